--- /dev/null
+++ b/cmd/saffronquay-system/help_test.go
@@ -0,0 +1,43 @@
+package main
+
+import (
+	"bytes"
+	"context"
+	"os"
+	"path/filepath"
+	"testing"
+
+	"github.com/matryer/is"
+	"github.com/urfave/cli/v3"
+
+	"saffronquay/internal/system/settings"
+)
+
+// The help of each command is as the golden file has it. SAFFRONQUAY_GOLDEN=write in the environment writes that anew.
+func TestGoldenHelp(t *testing.T) {
+	is := is.New(t)
+	t.Setenv(settings.Variable, "")
+	var help bytes.Buffer
+	writeHelp(t, command(), nil, &help)
+	path := filepath.Join("testdata", "help.txt")
+	if os.Getenv("SAFFRONQUAY_GOLDEN") == "write" {
+		is.NoErr(os.MkdirAll("testdata", 0o755))
+		is.NoErr(os.WriteFile(path, help.Bytes(), 0o644))
+	}
+	want, err := os.ReadFile(path)
+	is.NoErr(err)
+	is.Equal(help.String(), string(want))
+}
+
+// writeHelp writes the help of a command and of all below it; names are the words that lead to it.
+func writeHelp(t *testing.T, c *cli.Command, names []string, help *bytes.Buffer) {
+	t.Helper()
+	fresh := command() // a command that has run is not to run again
+	fresh.Writer, fresh.ErrWriter = help, help
+	words := append([]string{fresh.Name}, names...)
+	is.New(t).NoErr(fresh.Run(context.Background(), append(words, "--help")))
+	help.WriteString("====\n")
+	for _, below := range c.Commands {
+		writeHelp(t, below, append(names[:len(names):len(names)], below.Name), help)
+	}
+}
--- /dev/null
+++ b/internal/golden/durable_test.go
@@ -0,0 +1,132 @@
+package golden
+
+import (
+	"encoding/base64"
+	"fmt"
+	"path/filepath"
+	"slices"
+	"strings"
+	"sync/atomic"
+	"testing"
+
+	"github.com/matryer/is"
+	"google.golang.org/protobuf/proto"
+
+	"saffronquay/internal/broker"
+	"saffronquay/internal/once"
+	"saffronquay/internal/store"
+	"saffronquay/internal/store/form"
+)
+
+// A broker of an earlier build leaves its durable store; this build finds each record in a copy of it, and how each key stands.
+func TestDataOfTheDurableStore(t *testing.T) {
+	is := is.New(t)
+	if writing() {
+		writeDurable(t, dataFolder(t, "durable/data"))
+	}
+	s := openDurable(t, copied(t, "testdata/durable/data"), func() int64 { return durableNow })
+	defer s.Close()
+	is.Equal(len(s.Unknown()), 0)
+	var lines []string
+	for kind := store.Once; kind <= store.Rollout; kind++ {
+		is.NoErr(s.Each(kind, func(r store.Record) {
+			found, known, err := s.Get(kind, r.Key)
+			is.NoErr(err)
+			is.True(known)
+			is.Equal(found, r)
+			lines = append(lines, fmt.Sprintf("record %d %q until %d at %d seq %d: %s", r.Kind, r.Key, r.Until, r.At, r.Seq, base64.StdEncoding.EncodeToString(r.Value)))
+		}))
+	}
+	slices.Sort(lines)
+	ledger := once.New(s, onceConfig)
+	for _, key := range []string{"answered", "long", "doubtful", "released", "never"} {
+		for _, print := range []uint64{1, 2} {
+			entry, verdict := ledger.Begin(key, "label", print)
+			lines = append(lines, fmt.Sprintf("key %s of request %d stands as %d, answer %+v", key, print, verdict.Standing, verdict.Answer))
+			if entry != nil {
+				entry.Release()
+			}
+		}
+	}
+	compare(t, "durable/contents.txt", strings.Join(lines, "\n")+"\n")
+}
+
+// durableNow is the operating system's clock; the store's own goes on where the last record left it.
+const durableNow = 5_000_000
+
+var onceConfig = once.Config{Keep: 1_000_000, MaxBody: 10, Nonce: 99}
+
+func openDurable(t *testing.T, folder string, now func() int64) *store.Store {
+	t.Helper()
+	is := is.New(t)
+	var dirs [2]store.Dir
+	var err error
+	for i, name := range []string{"a", "b"} {
+		dirs[i], err = store.Directory(filepath.Join(folder, name))
+		is.NoErr(err)
+	}
+	s, err := store.Open(dirs, store.Options{ID: 7, Now: now, Keep: 1_000_000, SegmentSize: 600}, false)
+	is.NoErr(err)
+	return s
+}
+
+// writeDurable writes records of each kind, some of which are replaced, taken back or out of date, over several segments.
+func writeDurable(t *testing.T, folder string) {
+	t.Helper()
+	is := is.New(t)
+	var clock atomic.Int64
+	s := openDurable(t, folder, func() int64 { return clock.Add(1000) })
+	defer s.Close()
+	encoded := func(m proto.Message) []byte {
+		b, err := proto.Marshal(m)
+		is.NoErr(err)
+		return b
+	}
+	learned := &form.Learned{Admission: 0.5, Suspects: map[string]int64{"s1": 3}, Servers: []*form.Server{{Id: "s1", Pace: 2, PaceAt: 3, Fails: 4, Tries: 5, At: 6}},
+		Rations: []*form.Ration{{Tenant: "t", At: 7, Taken: []uint32{1, 2}, Extras: []uint32{3}}}}
+	for _, r := range []store.Record{
+		{Kind: store.Learned, Key: "learned", Value: encoded(learned)},
+		{Kind: store.Layout, Key: "layout", Value: encoded(&form.Layout{Doc: []byte("an older one")})},
+		{Kind: store.Layout, Key: "layout", Value: encoded(&form.Layout{Doc: []byte("document")})},
+		{Kind: store.Cursor, Key: "cursor", Value: encoded(&form.Cursor{Tenant: "t", Nonce: 8, Until: 9, Closed: true}), Until: 500_000},
+		{Kind: store.Cursor, Key: "out of date", Value: []byte("x"), Until: 1},
+		{Kind: store.Sealing, Key: "sealing", Value: []byte("0123456789abcdef")},
+		{Kind: store.Rollout, Key: "identity", Value: []byte{0, 0, 0, 0, 0, 0, 1, 1}},
+		{Kind: store.Rollout, Key: "taken back", Value: []byte("x")},
+		{Kind: store.Rollout, Key: "taken back", Gone: true},
+	} {
+		done := make(chan error, 1)
+		is.NoErr(s.Append(r, func(err error) { done <- err }))
+		is.NoErr(<-done)
+	}
+	ledger := once.New(s, onceConfig)
+	for _, key := range []string{"answered", "long", "doubtful", "released"} {
+		writeQuery(t, ledger, key)
+	}
+}
+
+// writeQuery has a query of a key leave its records.
+func writeQuery(t *testing.T, ledger *once.Ledger, key string) {
+	t.Helper()
+	is := is.New(t)
+	entry, verdict := ledger.Begin(key, "label", 1)
+	is.Equal(verdict.Standing, once.Fresh)
+	done := make(chan error, 1)
+	part := broker.Intended{Shard: 1, Server: "s1"}
+	part.Span.From, part.Span.To = 10, 20
+	is.NoErr(entry.Intend([]broker.Intended{part}, 6_000_000, func(err error) { done <- err }))
+	is.NoErr(<-done)
+	answer := once.Answer{Status: 200, Type: "text/plain", Fields: [][2]string{{"A", "b"}}, Body: []byte("done")}
+	switch key {
+	case "doubtful":
+		entry.Abandon()
+		return
+	case "released":
+		entry.Release() // closing the store writes it
+		return
+	case "long":
+		answer.Body = []byte(strings.Repeat("x", 11))
+	}
+	entry.End(answer, func(err error) { done <- err })
+	is.NoErr(<-done)
+}
--- /dev/null
+++ b/internal/golden/metrics_test.go
@@ -0,0 +1,175 @@
+package golden
+
+import (
+	"go/ast"
+	"path"
+	"regexp"
+	"strconv"
+	"testing"
+
+	"github.com/matryer/is"
+
+	"saffronquay/internal/operations"
+)
+
+// The figures of the rollout scheduler's program, as its sources name them: what stands in the package that makes them (the one over
+// VictoriaMetrics, wherever it lies) and in calls and literals of it elsewhere.
+func TestMetricNames(t *testing.T) {
+	list := sources(t)
+	maker := metricsFolder(t, list)
+	found := names{}
+	for _, s := range list {
+		if s.folder == maker {
+			ast.Inspect(s.file, func(n ast.Node) bool {
+				switch x := n.(type) {
+				case *ast.ImportSpec:
+					return false
+				case *ast.BasicLit:
+					if name, ok := literal(x); ok && metricName.MatchString(name) {
+						found.add("of the package itself: %s", name)
+					}
+				}
+				return true
+			})
+			continue
+		}
+		if local := importedAs(s.file, "saffronquay/"+maker); local != "" {
+			ast.Inspect(s.file, func(n ast.Node) bool { metricsAt(found, n, local); return true })
+		}
+	}
+	compare(t, "metrics.txt", found.text(false))
+}
+
+var metricName = regexp.MustCompile(`^[a-z][a-z0-9]*(_[a-z0-9]*)*$`)
+
+const victoria = "github.com/VictoriaMetrics/metrics"
+
+// metricsFolder is the package that makes the figures: the one that asks the library for counters by name.
+func metricsFolder(t *testing.T, list []source) (folder string) {
+	t.Helper()
+	for _, s := range list {
+		local := importedAs(s.file, victoria)
+		if local == "" {
+			continue
+		}
+		ast.Inspect(s.file, func(n ast.Node) bool {
+			if x, ok := n.(*ast.SelectorExpr); ok && x.Sel.Name == "GetOrCreateCounter" && isOf(x, local) {
+				folder = s.folder
+			}
+			return true
+		})
+	}
+	is.New(t).True(folder != "")
+	return folder
+}
+
+// importedAs is the name by which a file knows a package; empty where it doesn't import it.
+func importedAs(file *ast.File, of string) string {
+	for _, spec := range file.Imports {
+		if value, _ := strconv.Unquote(spec.Path.Value); value == of {
+			if spec.Name != nil {
+				return spec.Name.Name
+			}
+			return path.Base(of)
+		}
+	}
+	return ""
+}
+
+// isOf tells whether an expression is a name of a package.
+func isOf(e ast.Expr, local string) bool {
+	x, ok := e.(*ast.SelectorExpr)
+	if !ok {
+		return false
+	}
+	of, ok := x.X.(*ast.Ident)
+	return ok && of.Name == local
+}
+
+// metricsAt notes the figures' and labels' names that stand at a node: the first words of calls and of literals of the package that makes
+// figures.
+func metricsAt(found names, n ast.Node, local string) {
+	switch x := n.(type) {
+	case *ast.CallExpr:
+		if isOf(x.Fun, local) && len(x.Args) > 0 {
+			if name, ok := leading(x.Args[0]); ok {
+				found.add("figure %s", name)
+			}
+		}
+	case *ast.CompositeLit:
+		if isOf(x.Type, local) {
+			labelAt(found, x)
+		}
+		if list, ok := x.Type.(*ast.ArrayType); ok && isOf(list.Elt, local) {
+			for _, element := range x.Elts {
+				if label, ok := element.(*ast.CompositeLit); ok {
+					labelAt(found, label)
+				}
+			}
+		}
+	}
+}
+
+// labelAt notes a label's name, and its value where that is a literal.
+func labelAt(found names, x *ast.CompositeLit) {
+	line := "label"
+	for _, element := range x.Elts {
+		if pair, ok := element.(*ast.KeyValueExpr); ok {
+			element = pair.Value
+		}
+		if value, ok := leading(element); ok {
+			line += " " + value
+		}
+	}
+	found.add("%s", line)
+}
+
+// leading is a literal, or the literal that a sum begins with.
+func leading(e ast.Expr) (string, bool) {
+	if sum, ok := e.(*ast.BinaryExpr); ok {
+		name, ok := leading(sum.X)
+		return name + "...", ok
+	}
+	return literal(e)
+}
+
+// The figures of the broker's program, each with a value of its own.
+func TestFiguresOfTheBroker(t *testing.T) {
+	f := operations.NewFigures()
+	f.Routes = &operations.LayoutFigures{}
+	f.Cursors = func() int { return 11 }
+	f.Store = func() operations.StoreFigures {
+		return operations.StoreFigures{Bytes: 21, Keys: 22, Open: 23, Unknown: 24, Failing: 25, Appends: 26, Syncs: 27, Failed: 28, Cleaned: 29}
+	}
+	f.Fleet = func() operations.FleetFigures {
+		return operations.FleetFigures{Alive: 31, Reckon: 32, Suspected: 33, Dead: 34, Ill: 35, Twin: 36, Sent: 37, Received: 38, Dropped: 39, Bytes: 40, Exchanges: 41,
+			Failed: 42, Accused: 43, Refuted: 44, Died: 45, Naps: 46, Full: 47, Traffic: traffic(50)}
+	}
+	f.Rollout = func() operations.RolloutFigures {
+		return operations.RolloutFigures{Number: 61, Admits: 62, Holding: 63, LeaseMs: 64, Leads: 65,
+			Region: &operations.RegionFigures{Behind: 66, ApartMs: 67, Leads: 68}, Traffic: traffic(70)}
+	}
+	f.Relayed.Store(1)
+	f.Open.Store(2)
+	f.Listed.Store(3)
+	f.Out.Store(4)
+	f.CfgTaken.Store(5)
+	f.CfgFaulty.Store(6)
+	f.Routes.Epoch.Store(81)
+	f.Routes.Ranges.Store(82)
+	f.Routes.Changes.Store(83)
+	f.Routes.Stalled.Store(84)
+	f.Routes.Taken.Store(85)
+	f.Routes.Refused.Store(86)
+	f.Routes.Replanned.Store(87)
+	f.Routes.Misplaced.Store(88)
+	f.Know("known")
+	for _, status := range []int{200, 400, 404, 408, 429, 499, 500, 503, 504} {
+		f.Ended("known", status)
+	}
+	compare(t, "figures.txt", string(f.Stats(nil)))
+}
+
+func traffic(from int64) operations.TrafficFigures {
+	return operations.TrafficFigures{Sent: from, Received: from + 1, SentBytes: from + 2, ReceivedBytes: from + 3, ShareBytes: from + 4, Links: from + 5}
+}
