--- a/internal/golden/names_test.go
+++ b/internal/golden/names_test.go
@@ -224,6 +224,8 @@
 
 var underscored = regexp.MustCompile(`^[a-z][a-z0-9]*(_[a-z0-9]+)+$`)
 
+var environment = regexp.MustCompile(`\bSAFFRONQUAY_[A-Z_]+|\bLB_[A-Z_]+`)
+
 var word = regexp.MustCompile(`^[A-Za-z][A-Za-z0-9_.-]*$`)
 
 // The keys of the broker's files, which its reader is asked for by name: first words of calls of methods in the package above the schemas.
@@ -279,10 +281,12 @@
 		ast.Inspect(s.file, func(n ast.Node) bool {
 			switch x := n.(type) {
 			case *ast.BasicLit:
-				if name, ok := literal(x); ok && underscored.MatchString(name) {
+				name, ok := literal(x)
+				if ok && underscored.MatchString(name) {
 					found.add("underscored %s", name)
-				} else if ok && strings.HasPrefix(name, "SAFFRONQUAY_") {
-					found.add("environment %s", name)
+				}
+				for _, variable := range environment.FindAllString(name, -1) {
+					found.add("environment %s", variable)
 				}
 			case *ast.CompositeLit:
 				if m, ok := x.Type.(*ast.MapType); ok && types.ExprString(m.Key) == "string" {
