--- a/cmd/saffronquay-sim/main.go
+++ b/cmd/saffronquay-sim/main.go
@@ -8,9 +8,9 @@
 	"fmt"
 	"io"
 	"os"
+	"saffronquay/internal/wire"
 
 	sq "saffronquay"
-	"saffronquay/internal/wire"
 )
 
 func main() {
--- a/cmd/saffronquay-sim/main_test.go
+++ b/cmd/saffronquay-sim/main_test.go
@@ -6,8 +6,10 @@
 	"testing"
 )
 
-const tick = `{"event_type":"Tick","at_time_us":100,"serial":1}` + "\n"
-const end = `{"event_type":"End"}` + "\n"
+const (
+	tick = `{"event_type":"Tick","at_time_us":100,"serial":1}` + "\n"
+	end  = `{"event_type":"End"}` + "\n"
+)
 
 const open = `{"event_type":"OpenInstance","who":"node/0","random_seed":3,"setup":{"balancers":1,"me":0,"period_us":10,` +
 	`"classes":[{"name":"c","aim_us":10000,"hard_limit_us":20000,"effect":"free","worth":1}],` +
@@ -66,8 +68,10 @@
 		{"killed", tick + open + `{"event_type":"Killed","who":"node/0"}` + "\n" + ask + end, "killed"},
 		{"no shards", tick + strings.ReplaceAll(open, `"shards":1`, `"shards":0`) + end, "0 shards"},
 		{"negative time", tick + strings.ReplaceAll(open, `"aim_us":10000`, `"aim_us":-1`) + end, "a time"},
-		{"undeclared list", tick + open + `{"event_type":"Fleet","who":"node/0","scope":3,"generation":1,"slot":4}` + "\n" + end,
-			"list 4"},
+		{
+			"undeclared list", tick + open + `{"event_type":"Fleet","who":"node/0","scope":3,"generation":1,"slot":4}` + "\n" + end,
+			"list 4",
+		},
 		{"outside of a batch", ask, "outside of a batch"},
 		{"cut off", tick, "within a batch"},
 	} {
--- a/cmd/saffronquay-standin/main.go
+++ b/cmd/saffronquay-standin/main.go
@@ -8,12 +8,12 @@
 	"log/slog"
 	"os"
 	"os/signal"
+	"saffronquay/internal/config"
+	"saffronquay/internal/standin"
 	"syscall"
 	"time"
 
 	sq "saffronquay"
-	"saffronquay/internal/config"
-	"saffronquay/internal/standin"
 )
 
 func main() {
--- a/cmd/saffronquay-system/account.go
+++ b/cmd/saffronquay-system/account.go
@@ -5,10 +5,9 @@
 	"errors"
 	"os"
 	"path/filepath"
+	"saffronquay/internal/system/account"
 
 	"github.com/urfave/cli/v3"
-
-	"saffronquay/internal/system/account"
 )
 
 // accountCommand tells where the worth of played days went.
@@ -34,5 +33,6 @@
 				}
 			}
 			return nil
-		}}
+		},
+	}
 }
--- a/cmd/saffronquay-system/main.go
+++ b/cmd/saffronquay-system/main.go
@@ -10,13 +10,6 @@
 	"os/signal"
 	"runtime"
 	"runtime/debug"
-	"slices"
-	"strings"
-	"syscall"
-	"time"
-
-	"github.com/urfave/cli/v3"
-
 	"saffronquay/internal/system/agent"
 	"saffronquay/internal/system/decisions"
 	"saffronquay/internal/system/metrics"
@@ -25,6 +18,12 @@
 	"saffronquay/internal/system/settings"
 	"saffronquay/internal/system/steward"
 	"saffronquay/internal/system/storage"
+	"slices"
+	"strings"
+	"syscall"
+	"time"
+
+	"github.com/urfave/cli/v3"
 )
 
 func main() {
@@ -69,7 +68,8 @@
 type replicaRole func(context.Context, *settings.Source, replica.Options, *slog.Logger) error
 
 func replicaCommand(name, usage string, run replicaRole) *cli.Command {
-	return &cli.Command{Name: name, Usage: usage,
+	return &cli.Command{
+		Name: name, Usage: usage,
 		Flags: []cli.Flag{
 			&cli.IntFlag{Name: "snapshot-entries", Usage: "entries from which on a group's log is replaced by a snapshot; 0: the usual"},
 			&cli.Int64Flag{Name: "snapshot-bytes", Usage: "bytes from which on a group's log is replaced by a snapshot; 0: the usual"},
@@ -79,7 +79,8 @@
 			return func(ctx context.Context, source *settings.Source, log *slog.Logger) error {
 				return run(ctx, source, options, log)
 			}
-		})}
+		}),
+	}
 }
 
 // action runs a role with the settings that the command line names.
--- a/cmd/saffronquay-system/model.go
+++ b/cmd/saffronquay-system/model.go
@@ -3,11 +3,10 @@
 import (
 	"context"
 	"fmt"
+	"saffronquay/internal/system/model"
 	"strings"
 
 	"github.com/urfave/cli/v3"
-
-	"saffronquay/internal/system/model"
 )
 
 // modelCommand plays the control side in virtual time.
--- a/cmd/saffronquay/cli.go
+++ b/cmd/saffronquay/cli.go
@@ -75,12 +75,14 @@
 }
 
 func (c *cli) root() *cobra.Command {
-	root := &cobra.Command{Use: "saffronquay", Short: "A broker for queries whose data is split into shards", Args: cobra.NoArgs,
+	root := &cobra.Command{
+		Use: "saffronquay", Short: "A broker for queries whose data is split into shards", Args: cobra.NoArgs,
 		Long: "saffronquay takes queries from clients, has their parts served by servers that hold the shards, and gives each query one final\n" +
 			"answer. Without a command it serves.\n\nExit codes: 0 good, 1 a check failed, 2 wrong use, 3 what it is about can't be read or reached.",
 		Example:       "  saffronquay try\n  saffronquay check deploy/layout.json\n  saffronquay test deploy/routing.json --file deploy/layout.json",
 		SilenceErrors: true, SilenceUsage: true, Version: version(),
-		RunE: func(*cobra.Command, []string) error { return c.serve() }}
+		RunE: func(*cobra.Command, []string) error { return c.serve() },
+	}
 	flags := root.PersistentFlags()
 	flags.StringVarP(&c.output, "output", "o", "text", "text or json")
 	flags.StringVar(&c.file, "file", os.Getenv("SAFFRONQUAY_OPERATOR_FILE"), "the operator's file")
@@ -93,9 +95,11 @@
 		}
 		return nil
 	}
-	root.AddCommand(&cobra.Command{Use: "serve", Short: "Serve, as without a command", Args: cobra.NoArgs,
+	root.AddCommand(&cobra.Command{
+		Use: "serve", Short: "Serve, as without a command", Args: cobra.NoArgs,
 		Example: "  SAFFRONQUAY_OPERATOR_FILE=deploy/layout.json saffronquay serve",
-		RunE:    func(*cobra.Command, []string) error { return c.serve() }},
+		RunE:    func(*cobra.Command, []string) error { return c.serve() },
+	},
 		c.try(), c.check(), c.test(), c.explain(), c.layout(), c.store(), c.model(), c.fleet(), c.policy(), c.campaign(), c.scale(), c.versionCommand(), c.man())
 	root.AddCommand(c.doorCommands()...)
 	root.InitDefaultCompletionCmd()
@@ -118,14 +122,17 @@
 }
 
 func (c *cli) versionCommand() *cobra.Command {
-	return &cobra.Command{Use: "version", Short: "Tell which build this is", Example: "  saffronquay version -o json", Args: cobra.NoArgs,
+	return &cobra.Command{
+		Use: "version", Short: "Tell which build this is", Example: "  saffronquay version -o json", Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
 			return c.tell(map[string]string{"version": version()}, func(w io.Writer) { fmt.Fprintln(w, "saffronquay", version()) })
-		}}
+		},
+	}
 }
 
 func (c *cli) man() *cobra.Command {
-	return &cobra.Command{Use: "man DIR", Short: "Write a manual page for each command into a directory", Example: "  saffronquay man /tmp/man && man /tmp/man/saffronquay-test.1",
+	return &cobra.Command{
+		Use: "man DIR", Short: "Write a manual page for each command into a directory", Example: "  saffronquay man /tmp/man && man /tmp/man/saffronquay-test.1",
 		Args: cobra.ExactArgs(1), RunE: func(cmd *cobra.Command, words []string) error {
 			if err := os.MkdirAll(words[0], 0o755); err != nil {
 				return unreached(err)
@@ -136,7 +143,8 @@
 				return unreached(err)
 			}
 			return nil
-		}}
+		},
+	}
 }
 
 // tell writes what a command found: as JSON where a script reads it, else as text in lines no wider than the terminal.
--- a/cmd/saffronquay/cli_campaign.go
+++ b/cmd/saffronquay/cli_campaign.go
@@ -5,18 +5,18 @@
 	"fmt"
 	"io"
 	"os"
+	"saffronquay/internal/campaign"
 	"time"
 
 	"github.com/spf13/cobra"
-
-	"saffronquay/internal/campaign"
 )
 
 // campaign plays fleets of processes under faults, for long.
 func (c *cli) campaign() *cobra.Command {
 	var cfg campaign.Config
 	var seeds, shrink int
-	cmd := &cobra.Command{Use: "campaign", Short: "Play a fleet of processes under load and faults for long, and judge its history", Args: cobra.NoArgs,
+	cmd := &cobra.Command{
+		Use: "campaign", Short: "Play a fleet of processes under load and faults for long, and judge its history", Args: cobra.NoArgs,
 		Long: "Starts gatherers that keep a view of their fleet, agree on the policy and divide the contracts, in front of stand-in servers on loopback, with\n" +
 			"faults by seed between them: kills, stops, cuts, loss, changes of policy, a rolling restart. Its history and a report as HTML are left in --dir.\n" +
 			"Ends with 1 where anything was broken; the last line of each seed is its verdict.",
@@ -65,7 +65,8 @@
 				return &ended{code: bad}
 			}
 			return nil
-		}}
+		},
+	}
 	f := cmd.Flags()
 	f.IntVar(&cfg.Processes, "processes", 12, "how many gatherers")
 	f.IntVar(&cfg.Voters, "voters", 5, "how many of them vote on the policy")
--- a/cmd/saffronquay/cli_door.go
+++ b/cmd/saffronquay/cli_door.go
@@ -7,13 +7,12 @@
 	"io"
 	"net"
 	"net/http"
+	"saffronquay/internal/config"
 	"strconv"
 	"strings"
 	"time"
 
 	"github.com/spf13/cobra"
-
-	"saffronquay/internal/config"
 )
 
 const mostTold = 16 << 20
@@ -77,26 +76,32 @@
 
 func (c *cli) doorCommands() []*cobra.Command {
 	simple := func(name, words, short string) *cobra.Command {
-		return &cobra.Command{Use: name, Short: short, Args: cobra.NoArgs, Example: "  saffronquay " + name + " --door 127.0.0.1:9600",
+		return &cobra.Command{
+			Use: name, Short: short, Args: cobra.NoArgs, Example: "  saffronquay " + name + " --door 127.0.0.1:9600",
 			RunE: func(*cobra.Command, []string) error {
 				text, err := c.call(words)
 				if err != nil {
 					return err
 				}
 				return c.tell(map[string]any{"ok": true, "word": strings.TrimSpace(strings.TrimPrefix(text, "YES "))}, func(w io.Writer) { io.WriteString(w, text) })
-			}}
+			},
+		}
 	}
-	stats := &cobra.Command{Use: "stats", Short: "Print the figures", Args: cobra.NoArgs, Example: "  saffronquay stats --door 127.0.0.1:9600 -o json",
+	stats := &cobra.Command{
+		Use: "stats", Short: "Print the figures", Args: cobra.NoArgs, Example: "  saffronquay stats --door 127.0.0.1:9600 -o json",
 		RunE: func(*cobra.Command, []string) error {
 			text, err := c.call("stats")
 			if err != nil {
 				return err
 			}
 			return c.tell(figuresOf(text), func(w io.Writer) { io.WriteString(w, text) })
-		}}
-	return []*cobra.Command{simple("status", "status", "Tell whether a gatherer takes clients; 1 where it does not"), stats,
+		},
+	}
+	return []*cobra.Command{
+		simple("status", "status", "Tell whether a gatherer takes clients; 1 where it does not"), stats,
 		simple("standby", "standby", "Have a gatherer drain: no longer ready, idle clients are let go"), simple("active", "active", "Put a gatherer back to work"),
-		c.drain(), c.logging(), c.contracts()}
+		c.drain(), c.logging(), c.contracts(),
+	}
 }
 
 // figuresOf reads lines such as svc.relayed:12|c.
@@ -115,7 +120,8 @@
 
 func (c *cli) drain() *cobra.Command {
 	var wait time.Duration
-	cmd := &cobra.Command{Use: "drain", Short: "Put a gatherer on standby and wait until no request is open", Args: cobra.NoArgs,
+	cmd := &cobra.Command{
+		Use: "drain", Short: "Put a gatherer on standby and wait until no request is open", Args: cobra.NoArgs,
 		Example: "  saffronquay drain --wait 30s --door 127.0.0.1:9600",
 		RunE: func(*cobra.Command, []string) error {
 			if _, err := c.call("standby"); err != nil {
@@ -141,13 +147,15 @@
 			}
 			c.progress("")
 			return c.tell(map[string]any{"ok": true, "open": open}, func(w io.Writer) { fmt.Fprintln(w, "drained") })
-		}}
+		},
+	}
 	cmd.Flags().DurationVar(&wait, "wait", 0, "how long to wait for open requests; 0: not at all")
 	return cmd
 }
 
 func (c *cli) contracts() *cobra.Command {
-	return &cobra.Command{Use: "contracts", Short: "Tell how each team stands: asked, started, refused and why, work, attempts", Args: cobra.NoArgs,
+	return &cobra.Command{
+		Use: "contracts", Short: "Tell how each team stands: asked, started, refused and why, work, attempts", Args: cobra.NoArgs,
 		Example: "  saffronquay contracts --door 127.0.0.1:9600 -o json",
 		RunE: func(*cobra.Command, []string) error {
 			text, err := c.call("contracts")
@@ -167,11 +175,13 @@
 				teams = append(teams, team)
 			}
 			return c.tell(teams, func(w io.Writer) { io.WriteString(w, text) })
-		}}
+		},
+	}
 }
 
 func (c *cli) logging() *cobra.Command {
-	return &cobra.Command{Use: "log LEVEL", Short: "Change what a running gatherer logs: debug, info, warn or error", Args: cobra.ExactArgs(1),
+	return &cobra.Command{
+		Use: "log LEVEL", Short: "Change what a running gatherer logs: debug, info, warn or error", Args: cobra.ExactArgs(1),
 		Example: "  saffronquay log debug --door 127.0.0.1:9600",
 		RunE: func(_ *cobra.Command, words []string) error {
 			text, err := c.call("log " + words[0])
@@ -179,21 +189,24 @@
 				return err
 			}
 			return c.tell(map[string]any{"ok": true}, func(w io.Writer) { io.WriteString(w, text) })
-		}}
+		},
+	}
 }
 
 func (c *cli) layout() *cobra.Command {
 	var directory string
 	parent := &cobra.Command{Use: "layout", Short: "Show the layout of ranges, and take its changes forward", Example: "  saffronquay layout show --door 127.0.0.1:9600"}
 	parent.PersistentFlags().StringVar(&directory, "directory", "", "host:port of the layout directory (default: what the file says)")
-	parent.AddCommand(&cobra.Command{Use: "show", Short: "Show how the layout stands at a gatherer", Args: cobra.NoArgs, Example: "  saffronquay layout show --file deploy/layout.json",
+	parent.AddCommand(&cobra.Command{
+		Use: "show", Short: "Show how the layout stands at a gatherer", Args: cobra.NoArgs, Example: "  saffronquay layout show --file deploy/layout.json",
 		RunE: func(*cobra.Command, []string) error {
 			text, err := c.call("layout")
 			if err != nil {
 				return err
 			}
 			return c.tell(map[string]any{"lines": strings.Split(strings.TrimSpace(text), "\n")}, func(w io.Writer) { io.WriteString(w, text) })
-		}})
+		},
+	})
 	send := func(body []byte) error {
 		if directory == "" {
 			text, err := c.read(c.file, "the directory with --directory, or the operator's file with --file")
@@ -224,7 +237,8 @@
 		_, err = c.out.Write(text)
 		return err
 	}
-	parent.AddCommand(&cobra.Command{Use: "announce FILE", Short: "Announce a change, from a file or - for standard input", Args: cobra.ExactArgs(1),
+	parent.AddCommand(&cobra.Command{
+		Use: "announce FILE", Short: "Announce a change, from a file or - for standard input", Args: cobra.ExactArgs(1),
 		Example: "  saffronquay layout announce split.json --directory 127.0.0.1:9700",
 		RunE: func(_ *cobra.Command, words []string) error {
 			read := func() ([]byte, error) { return c.read(words[0], "the change") }
@@ -236,12 +250,15 @@
 				return err
 			}
 			return send(body)
-		}})
+		},
+	})
 	for _, do := range []string{"copy", "ready", "cutover", "retire", "abort"} {
-		parent.AddCommand(&cobra.Command{Use: do + " CHANGE", Short: "Take a change to " + do, Args: cobra.ExactArgs(1), Example: "  saffronquay layout " + do + " hot --directory 127.0.0.1:9700",
+		parent.AddCommand(&cobra.Command{
+			Use: do + " CHANGE", Short: "Take a change to " + do, Args: cobra.ExactArgs(1), Example: "  saffronquay layout " + do + " hot --directory 127.0.0.1:9700",
 			RunE: func(_ *cobra.Command, words []string) error {
 				return send(fmt.Appendf(nil, `{"change":%q,"do":%q}`, words[0], do))
-			}})
+			},
+		})
 	}
 	return parent
 }
--- a/cmd/saffronquay/cli_files.go
+++ b/cmd/saffronquay/cli_files.go
@@ -6,12 +6,6 @@
 	"io"
 	"os"
 	"path/filepath"
-	"slices"
-	"strings"
-
-	"github.com/spf13/cobra"
-
-	sq "saffronquay"
 	"saffronquay/internal/config"
 	"saffronquay/internal/config/schema"
 	"saffronquay/internal/gatherer"
@@ -19,6 +13,12 @@
 	"saffronquay/internal/platform"
 	"saffronquay/internal/routing"
 	"saffronquay/internal/store"
+	"slices"
+	"strings"
+
+	"github.com/spf13/cobra"
+
+	sq "saffronquay"
 )
 
 // lines of a joined error.
@@ -31,7 +31,8 @@
 
 func (c *cli) check() *cobra.Command {
 	var printSchema string
-	cmd := &cobra.Command{Use: "check [FILE]", Short: "Judge an operator's file, or the platform's with --node",
+	cmd := &cobra.Command{
+		Use: "check [FILE]", Short: "Judge an operator's file, or the platform's with --node",
 		Long:    "check holds the file against its JSON Schema and against what needs meaning, and tells every fault with its path. --schema operator\nor routing prints the schema itself.",
 		Example: "  saffronquay check deploy/layout.json\n  saffronquay check --schema operator > operator.schema.json", Args: cobra.MaximumNArgs(1),
 		RunE: func(_ *cobra.Command, words []string) error {
@@ -78,7 +79,8 @@
 				return &ended{code: bad}
 			}
 			return err
-		}}
+		},
+	}
 	cmd.Flags().StringVar(&printSchema, "schema", "", "print a schema: operator or routing")
 	return cmd
 }
@@ -114,8 +116,10 @@
 		return config.Node{}, err
 	}
 	return config.Load(func(name string) string {
-		return map[string]string{"LB_CONFIG": c.node, "LB_NAME": os.Getenv("LB_NAME"), "LB_LISTEN": os.Getenv("LB_LISTEN"),
-			"LB_DISCOVERY": os.Getenv("LB_DISCOVERY")}[name]
+		return map[string]string{
+			"LB_CONFIG": c.node, "LB_NAME": os.Getenv("LB_NAME"), "LB_LISTEN": os.Getenv("LB_LISTEN"),
+			"LB_DISCOVERY": os.Getenv("LB_DISCOVERY"),
+		}[name]
 	}, func(string) ([]byte, error) { return text, nil })
 }
 
@@ -189,7 +193,8 @@
 func (c *cli) test() *cobra.Command {
 	var list string
 	var compare []string
-	cmd := &cobra.Command{Use: "test EXPECTATIONS", Short: "Judge where queries would go, without any",
+	cmd := &cobra.Command{
+		Use: "test EXPECTATIONS", Short: "Judge where queries would go, without any",
 		Long: "test holds a configuration against expectations, by the planner and the module that serve. A file of expectations names what has to\n" +
 			"hold, why, and under which losses; docs/ROUTING.md has the kinds.",
 		Example: "  saffronquay test deploy/routing.json --file deploy/layout.json\n" +
@@ -227,7 +232,8 @@
 				return failed(err)
 			}
 			return c.tellResults(results)
-		}}
+		},
+	}
 	cmd.Flags().StringVar(&list, "roster", "", "a recorded list of servers, as discovery gives it, in the place of the file's")
 	cmd.Flags().StringArrayVar(&compare, "compare", nil, "NAME=FILE: an operator's file that most_moved compares with")
 	return cmd
@@ -274,7 +280,8 @@
 func (c *cli) explain() *cobra.Command {
 	var index, failing, list, learned string
 	var key, from, to int64
-	cmd := &cobra.Command{Use: "explain", Short: "Tell what would become of one query, without sending it",
+	cmd := &cobra.Command{
+		Use: "explain", Short: "Tell what would become of one query, without sending it",
 		Long:    "explain plans one query and tells, for each part, who holds it, what the module would predict and pick, and what it would do next if\neach attempt failed. With --learned it begins with what a gatherer has kept in its store.",
 		Example: "  saffronquay explain --file deploy/layout.json --index invoices --key 30500",
 		Args:    cobra.NoArgs, RunE: func(cmd *cobra.Command, _ []string) error {
@@ -302,7 +309,8 @@
 				return failed(err)
 			}
 			return c.tell(parts, func(w io.Writer) { tellParts(w, parts, failing) })
-		}}
+		},
+	}
 	f := cmd.Flags()
 	f.StringVar(&index, "index", "shards", "the index that is searched")
 	f.StringVar(&failing, "failing", "unreachable", "how each attempt fails: unreachable, rejected, errored, timedout or broken")
--- a/cmd/saffronquay/cli_fleet.go
+++ b/cmd/saffronquay/cli_fleet.go
@@ -37,8 +37,11 @@
 func (v fleetView) tell(w io.Writer) {
 	fmt.Fprintf(w, "alive %s, reckoned with %s, budgets divided by %s; digest %s, unchanged for %s; doubt of itself %s\n", v.View["alive"], v.View["reckon"],
 		v.View["divide"], v.View["digest"], since(v.View["changed_ms"]), v.View["ill"])
-	for _, x := range []struct{ key, bad, text string }{{"alone", "true", "nobody answers at the addresses of join: it goes on trying, and serves"},
-		{"twin", "true", "ANOTHER LIVE GATHERER BEARS THIS ONE'S NAME"}, {"member", "false", "that one started later: this one is no member"}} {
+	for _, x := range []struct{ key, bad, text string }{
+		{"alone", "true", "nobody answers at the addresses of join: it goes on trying, and serves"},
+		{"twin", "true", "ANOTHER LIVE GATHERER BEARS THIS ONE'S NAME"},
+		{"member", "false", "that one started later: this one is no member"},
+	} {
 		if v.View[x.key] == x.bad {
 			fmt.Fprintln(w, x.text)
 		}
@@ -84,7 +87,8 @@
 		v := readView(text)
 		return c.tell(v, v.tell)
 	}
-	cmd := &cobra.Command{Use: "fleet", Short: "Show a gatherer's view of its fleet: members, states, since when, who accuses whom", Args: cobra.NoArgs,
+	cmd := &cobra.Command{
+		Use: "fleet", Short: "Show a gatherer's view of its fleet: members, states, since when, who accuses whom", Args: cobra.NoArgs,
 		Long: "Shows how one gatherer sees its fleet. Views are settled where all live gatherers show the same digest.\n" +
 			"A member is alive, suspected, dead or left; the dead are reckoned with for a while (reckon_ms), so that no part of a split fleet uses everything.",
 		Example: "  saffronquay fleet --door 127.0.0.1:9401\n  saffronquay fleet --watch --door 127.0.0.1:9401",
@@ -109,7 +113,8 @@
 				case <-tick.C:
 				}
 			}
-		}}
+		},
+	}
 	cmd.Flags().BoolVar(&watch, "watch", false, "again and again, until Ctrl-C")
 	cmd.Flags().DurationVar(&every, "every", time.Second, "how often with --watch")
 	say := func(words string) error {
@@ -119,9 +124,13 @@
 		}
 		return c.tell(map[string]any{"ok": true}, func(w io.Writer) { io.WriteString(w, text) })
 	}
-	cmd.AddCommand(&cobra.Command{Use: "leave", Short: "Have a gatherer leave its fleet, until it is started again; it goes on serving", Args: cobra.NoArgs,
-		Example: "  saffronquay fleet leave --door 127.0.0.1:9401", RunE: func(*cobra.Command, []string) error { return say("fleet leave") }},
-		&cobra.Command{Use: "forget NAME", Short: "Have a dead member taken for one that has left: it is reckoned with no longer", Args: cobra.ExactArgs(1),
-			Example: "  saffronquay fleet forget cordoba-7 --door 127.0.0.1:9401", RunE: func(_ *cobra.Command, words []string) error { return say("fleet forget " + words[0]) }})
+	cmd.AddCommand(&cobra.Command{
+		Use: "leave", Short: "Have a gatherer leave its fleet, until it is started again; it goes on serving", Args: cobra.NoArgs,
+		Example: "  saffronquay fleet leave --door 127.0.0.1:9401", RunE: func(*cobra.Command, []string) error { return say("fleet leave") },
+	},
+		&cobra.Command{
+			Use: "forget NAME", Short: "Have a dead member taken for one that has left: it is reckoned with no longer", Args: cobra.ExactArgs(1),
+			Example: "  saffronquay fleet forget cordoba-7 --door 127.0.0.1:9401", RunE: func(_ *cobra.Command, words []string) error { return say("fleet forget " + words[0]) },
+		})
 	return cmd
 }
--- a/cmd/saffronquay/cli_model.go
+++ b/cmd/saffronquay/cli_model.go
@@ -4,24 +4,26 @@
 	"fmt"
 	"io"
 	"maps"
+	"saffronquay/internal/model"
 	"slices"
 	"strings"
 
 	"github.com/spf13/cobra"
-
-	"saffronquay/internal/model"
 )
 
 // days are those that the model knows by name.
-var days = map[string]func(seed uint64, gatherers, servers int) model.Day{"calm": model.Fleet, "burst": model.Burst,
-	"zone": model.ZoneLost, "herd": model.Herd, "join": model.Join}
+var days = map[string]func(seed uint64, gatherers, servers int) model.Day{
+	"calm": model.Fleet, "burst": model.Burst,
+	"zone": model.ZoneLost, "herd": model.Herd, "join": model.Join,
+}
 
 // model plays a day at size in virtual time.
 func (c *cli) model() *cobra.Command {
 	var seed uint64
 	var gatherers, servers int
 	names := strings.Join(slices.Sorted(maps.Keys(days)), ", ")
-	cmd := &cobra.Command{Use: "model DAY", Short: "Play a day of a large fleet in virtual time: " + names,
+	cmd := &cobra.Command{
+		Use: "model DAY", Short: "Play a day of a large fleet in virtual time: " + names,
 		Long: "Plays one day with a decision module for each gatherer, over servers with queues, warmth and late reports. Nothing is opened.\n" +
 			"Each line tells of the queries first asked within a second: worth asked and its share that came in time; tries, refusals and\n" +
 			"attempts; work that the servers did, and the part of it that came to answers in time, in seconds.",
@@ -45,7 +47,8 @@
 				return failed(fmt.Errorf("%d parts that must not run twice were sent again", r.Twice))
 			}
 			return nil
-		}}
+		},
+	}
 	cmd.AddCommand(modelFleet(c), modelPolicy(c))
 	cmd.Flags().Uint64Var(&seed, "seed", 1, "the same seed gives the same day")
 	cmd.Flags().IntVar(&gatherers, "gatherers", 80, "how many gatherers")
--- a/cmd/saffronquay/cli_model_fleet.go
+++ b/cmd/saffronquay/cli_model_fleet.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"io"
 	"os"
+	"saffronquay/internal/plots"
 	"strings"
 	"time"
 
@@ -11,7 +12,6 @@
 
 	script "saffronquay/internal/faults"
 	views "saffronquay/internal/fleet/model"
-	"saffronquay/internal/plots"
 )
 
 // modelFleet plays views of a fleet in virtual time.
@@ -20,7 +20,8 @@
 	var cut, stop time.Duration
 	var kill int
 	var file, plot string
-	cmd := &cobra.Command{Use: "fleet", Short: "Play the views of a fleet in virtual time, under faults", Args: cobra.NoArgs,
+	cmd := &cobra.Command{
+		Use: "fleet", Short: "Play the views of a fleet in virtual time, under faults", Args: cobra.NoArgs,
 		Long: "Plays the core that keeps a gatherer's view of its fleet, many times over, in virtual time: how many views are right, how many members\n" +
 			"they reckon with. All are started within a second; --kill, --cut and --stop do their work at second 5; --script FILE has any faults\n" +
 			"(internal/faults has the form, which the harness of the tests reads as well). Ends with 1 where views are not one again.",
@@ -68,7 +69,8 @@
 				return failed(fmt.Errorf("views are not one at the end"))
 			}
 			return nil
-		}}
+		},
+	}
 	f := cmd.Flags()
 	f.IntVar(&cfg.Members, "members", 300, "how many members")
 	f.Float64Var(&cfg.Loss, "loss", 0, "share of datagrams that are lost")
--- a/cmd/saffronquay/cli_model_policy.go
+++ b/cmd/saffronquay/cli_model_policy.go
@@ -17,7 +17,8 @@
 func modelPolicy(c *cli) *cobra.Command {
 	var cfg changes.Config
 	var length time.Duration
-	cmd := &cobra.Command{Use: "policy", Short: "Play changes of policy in virtual time, under faults by seed", Args: cobra.NoArgs,
+	cmd := &cobra.Command{
+		Use: "policy", Short: "Play changes of policy in virtual time, under faults by seed", Args: cobra.NoArgs,
 		Long: "Plays the core that agrees on versions of the policy, with disks, clocks and faults, and judges every query that is let in. Faults are over\n" +
 			"at six tenths of the length. Ends with 1 where two versions were mixed, or anything was lost, resurrected or stuck.",
 		Example: "  saffronquay model policy --voters 5 --others 20 --faults 10 --seed 7",
@@ -34,8 +35,10 @@
 				return failed(err)
 			}
 			hold, took := quantile(r.Holds, 0.99), quantile(r.Took, 0.99)
-			v := map[string]any{"changes": r.Changes, "in_force": r.InForce, "aborted": r.Aborted, "mixed": r.Mixed, "lost": r.Lost, "resurrected": r.Resurrected, "stuck": r.Stuck,
-				"hold_p99_ms": hold / 1000, "took_p99_ms": took / 1000, "reasons": r.Reasons}
+			v := map[string]any{
+				"changes": r.Changes, "in_force": r.InForce, "aborted": r.Aborted, "mixed": r.Mixed, "lost": r.Lost, "resurrected": r.Resurrected, "stuck": r.Stuck,
+				"hold_p99_ms": hold / 1000, "took_p99_ms": took / 1000, "reasons": r.Reasons,
+			}
 			if err := c.tell(v, func(w io.Writer) {
 				for _, reason := range slices.Sorted(maps.Keys(r.Reasons)) {
 					fmt.Fprintf(w, "%4d not in force: %s\n", r.Reasons[reason], reason)
@@ -49,7 +52,8 @@
 				return failed(errors.New(r.First))
 			}
 			return nil
-		}}
+		},
+	}
 	f := cmd.Flags()
 	f.IntVar(&cfg.Voters, "voters", 5, "how many vote")
 	f.IntVar(&cfg.Others, "others", 20, "how many others there are")
--- a/cmd/saffronquay/cli_policy.go
+++ b/cmd/saffronquay/cli_policy.go
@@ -11,16 +11,15 @@
 	"net/netip"
 	"os/user"
 	"reflect"
+	"saffronquay/internal/config"
+	"saffronquay/internal/peers"
+	"saffronquay/internal/rollout/wire"
 	"slices"
 	"strconv"
 	"strings"
 	"time"
 
 	"github.com/spf13/cobra"
-
-	"saffronquay/internal/config"
-	"saffronquay/internal/peers"
-	"saffronquay/internal/rollout/wire"
 )
 
 // proposal is what the flags of propose and adopt say.
@@ -37,19 +36,24 @@
 }
 
 func (c *cli) policy() *cobra.Command {
-	parent := &cobra.Command{Use: "policy", Short: "Show the policy's versions, and change them everywhere or nowhere",
+	parent := &cobra.Command{
+		Use: "policy", Short: "Show the policy's versions, and change them everywhere or nowhere",
 		Long: "A policy (the keys settings, tenants and contracts of the operator's file) takes hold at all gatherers or at none; with regions, while one is\n" +
 			"cut off, in the others. Exit codes of propose, adopt and revert: 0 in force, with regions in all of them, 1 refused, 3 in doubt: the outcome is\n" +
 			"not known yet, and 'policy status' tells it, 4 in force, but in some regions only.",
-		Example: "  saffronquay policy status --door 127.0.0.1:9401\n  saffronquay policy propose new.json --door 127.0.0.1:9401 --file deploy/rollout.json"}
-	parent.AddCommand(&cobra.Command{Use: "status", Short: "Show the version in force, what was decided and, at the leader, how each gatherer stands", Args: cobra.NoArgs,
+		Example: "  saffronquay policy status --door 127.0.0.1:9401\n  saffronquay policy propose new.json --door 127.0.0.1:9401 --file deploy/rollout.json",
+	}
+	parent.AddCommand(&cobra.Command{
+		Use: "status", Short: "Show the version in force, what was decided and, at the leader, how each gatherer stands", Args: cobra.NoArgs,
 		Example: "  saffronquay policy status --door 127.0.0.1:9401", RunE: func(*cobra.Command, []string) error {
 			text, err := c.call("policy")
 			if err != nil {
 				return err
 			}
 			return c.tell(policyLines(text), func(w io.Writer) { io.WriteString(w, text) })
-		}}, &cobra.Command{Use: "show", Short: "Print the document in force", Args: cobra.NoArgs, Example: "  saffronquay policy show --door 127.0.0.1:9401",
+		},
+	}, &cobra.Command{
+		Use: "show", Short: "Print the document in force", Args: cobra.NoArgs, Example: "  saffronquay policy show --door 127.0.0.1:9401",
 		RunE: func(*cobra.Command, []string) error {
 			text, err := c.call("policy text")
 			if err != nil {
@@ -57,9 +61,11 @@
 			}
 			_, err = io.WriteString(c.out, text)
 			return err
-		}})
+		},
+	})
 	var p proposal
-	propose := &cobra.Command{Use: "propose FILE", Short: "Propose a policy, and wait for its end", Args: cobra.ExactArgs(1),
+	propose := &cobra.Command{
+		Use: "propose FILE", Short: "Propose a policy, and wait for its end", Args: cobra.ExactArgs(1),
 		Example: "  saffronquay policy propose new.json --door 127.0.0.1:9401 --file deploy/rollout.json",
 		RunE: func(_ *cobra.Command, words []string) error {
 			text, err := c.read(words[0], "the policy")
@@ -67,8 +73,10 @@
 				return err
 			}
 			return c.propose(p, text)
-		}}
-	adopt := &cobra.Command{Use: "adopt FILE", Short: "Propose the policy of an operator's file as the first version", Args: cobra.ExactArgs(1),
+		},
+	}
+	adopt := &cobra.Command{
+		Use: "adopt FILE", Short: "Propose the policy of an operator's file as the first version", Args: cobra.ExactArgs(1),
 		Example: "  saffronquay policy adopt deploy/rollout.json --file deploy/rollout.json",
 		RunE: func(_ *cobra.Command, words []string) error {
 			file, err := c.read(words[0], "the operator's file")
@@ -81,14 +89,16 @@
 			}
 			p.base = 0
 			return c.propose(p, text)
-		}}
+		},
+	}
 	for _, cmd := range []*cobra.Command{propose, adopt} {
 		cmd.Flags().StringSliceVar(&p.at, "at", nil, "where voters agree on the policy (default: what the file says)")
 		cmd.Flags().DurationVar(&p.wait, "wait", 10*time.Second, "how long to wait for the end")
 		cmd.Flags().BoolVar(&p.dry, "dry-run", false, "have it judged by everybody, and put in force nowhere")
 		parent.AddCommand(cmd)
 	}
-	revert := &cobra.Command{Use: "revert", Short: "Propose the version before the one in force, from a voter's door", Args: cobra.NoArgs,
+	revert := &cobra.Command{
+		Use: "revert", Short: "Propose the version before the one in force, from a voter's door", Args: cobra.NoArgs,
 		Example: "  saffronquay policy revert --door 127.0.0.1:9401 --file deploy/rollout.json", RunE: func(*cobra.Command, []string) error {
 			text, err := c.call("policy previous")
 			if err != nil {
@@ -99,8 +109,10 @@
 			}
 			p.base = -1
 			return c.propose(p, []byte(strings.TrimSpace(text)))
-		}}
-	abort := &cobra.Command{Use: "abort NUMBER", Short: "Give the open proposal up, as long as no queries are held for it", Args: cobra.ExactArgs(1),
+		},
+	}
+	abort := &cobra.Command{
+		Use: "abort NUMBER", Short: "Give the open proposal up, as long as no queries are held for it", Args: cobra.ExactArgs(1),
 		Example: "  saffronquay policy abort 5 --file deploy/rollout.json", RunE: func(_ *cobra.Command, words []string) error {
 			n, err := strconv.ParseInt(words[0], 10, 64)
 			if err != nil || n < 1 {
@@ -108,8 +120,10 @@
 			}
 			p.base, p.abort = n, true
 			return c.propose(p, nil)
-		}}
-	parent.AddCommand(revert, abort, &cobra.Command{Use: "history", Short: "Show what was decided lately, from a voter's door", Args: cobra.NoArgs,
+		},
+	}
+	parent.AddCommand(revert, abort, &cobra.Command{
+		Use: "history", Short: "Show what was decided lately, from a voter's door", Args: cobra.NoArgs,
 		Example: "  saffronquay policy history --door 127.0.0.1:9401", RunE: func(*cobra.Command, []string) error {
 			text, err := c.call("policy")
 			if err != nil {
@@ -136,7 +150,9 @@
 					fmt.Fprintf(w, "%s by %s: %s\n", what, of["by"], end)
 				}
 			})
-		}}, &cobra.Command{Use: "diff FILE", Short: "Show where a policy differs from the one in force; 1 where it does", Args: cobra.ExactArgs(1),
+		},
+	}, &cobra.Command{
+		Use: "diff FILE", Short: "Show where a policy differs from the one in force; 1 where it does", Args: cobra.ExactArgs(1),
 		Example: "  saffronquay policy diff new.json --door 127.0.0.1:9401", RunE: func(_ *cobra.Command, words []string) error {
 			file, err := c.read(words[0], "the policy")
 			if err != nil {
@@ -164,7 +180,8 @@
 				return err
 			}
 			return &ended{code: bad}
-		}})
+		},
+	})
 	revert.Flags().StringSliceVar(&p.at, "at", nil, "where voters agree on the policy (default: what the file says)")
 	revert.Flags().DurationVar(&p.wait, "wait", 10*time.Second, "how long to wait for the end")
 	abort.Flags().StringSliceVar(&p.at, "at", nil, "where voters agree on the policy (default: what the file says)")
--- a/cmd/saffronquay/cli_policy_test.go
+++ b/cmd/saffronquay/cli_policy_test.go
@@ -3,10 +3,9 @@
 import (
 	"bytes"
 	"errors"
+	"saffronquay/internal/rollout/wire"
 	"strings"
 	"testing"
-
-	"saffronquay/internal/rollout/wire"
 )
 
 // A version that is in force in some regions is never told as one that is everywhere, and ends the command with a code of its own.
--- a/cmd/saffronquay/cli_scale.go
+++ b/cmd/saffronquay/cli_scale.go
@@ -5,13 +5,12 @@
 	"fmt"
 	"io"
 	"os"
+	"saffronquay/internal/scale"
 	"slices"
 	"strings"
 	"time"
 
 	"github.com/spf13/cobra"
-
-	"saffronquay/internal/scale"
 )
 
 // scale plays the control of a fleet at size with hollow gatherers.
@@ -21,7 +20,8 @@
 	for _, s := range scale.Scenes {
 		names = append(names, s.Name)
 	}
-	cmd := &cobra.Command{Use: "scale", Short: "Measure the control of a fleet at size, with hollow gatherers beside real ones", Args: cobra.NoArgs,
+	cmd := &cobra.Command{
+		Use: "scale", Short: "Measure the control of a fleet at size, with hollow gatherers beside real ones", Args: cobra.NoArgs,
 		Long: "Starts fleets on loopback of a few real gatherers, five of them voters under light load from stand-ins, and many hollow ones: the real view,\n" +
 			"policy and shares with their real sockets, without engine, fronts, workers or store, many to a process. It measures words, bytes, processor\n" +
 			"time and memory of each, how long a change and a crash take to be known everywhere, and what events cost at their peak second:\n" + strings.Join(names, ", ") + ".\n\n" +
@@ -55,7 +55,8 @@
 				return &ended{code: bad}
 			}
 			return nil
-		}}
+		},
+	}
 	f := cmd.Flags()
 	f.IntSliceVar(&p.Sizes, "sizes", nil, "fleets of so many gatherers each")
 	f.IntVar(&p.Fleet.Gatherers, "gatherers", 600, "gatherers of a fleet where something else varies, and in events")
@@ -85,11 +86,13 @@
 
 // scaleHollow is a process of hollow gatherers.
 func (c *cli) scaleHollow() *cobra.Command {
-	return &cobra.Command{Use: "hollow", Hidden: true, Short: "Be hollow gatherers, by orders on the standard input", Args: cobra.NoArgs,
+	return &cobra.Command{
+		Use: "hollow", Hidden: true, Short: "Be hollow gatherers, by orders on the standard input", Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
 			if err := scale.Serve(c.in, c.out); err != nil {
 				return failed(err)
 			}
 			return nil
-		}}
+		},
+	}
 }
--- a/cmd/saffronquay/cli_scale_events.go
+++ b/cmd/saffronquay/cli_scale_events.go
@@ -5,12 +5,12 @@
 	"fmt"
 	"io"
 	"os"
+	"saffronquay/internal/scale/events"
 	"time"
 
 	"github.com/spf13/cobra"
 
 	scripts "saffronquay/internal/faults"
-	"saffronquay/internal/scale/events"
 )
 
 // eventsFrom is when a fleet has come up and changes begin.
@@ -21,7 +21,8 @@
 	var cfg events.Config
 	var script string
 	var every time.Duration
-	cmd := &cobra.Command{Use: "events", Short: "Count, in virtual time, what agreeing on the policy costs a fleet in two regions", Args: cobra.NoArgs,
+	cmd := &cobra.Command{
+		Use: "events", Short: "Count, in virtual time, what agreeing on the policy costs a fleet in two regions", Args: cobra.NoArgs,
 		Long: "Plays the agreement on the policy, its leases and parts of budgets in virtual time, over two regions of three zones each with five voters, three\n" +
 			"of them in the first region, and tells the peak second's bytes, how changes went and how queries stood. --script has faults in the form of\n" +
 			"internal/faults. Nothing is opened. It leaves out processor time, bandwidth and the headers of the network.",
@@ -50,7 +51,8 @@
 				return failed(err)
 			}
 			return c.tell(res, func(w io.Writer) { tellEvents(w, res) })
-		}}
+		},
+	}
 	f := cmd.Flags()
 	f.Uint64Var(&cfg.Seed, "seed", 1, "of the run")
 	f.IntVar(&cfg.Gatherers, "gatherers", 600, "gatherers, half of them in each region")
--- a/cmd/saffronquay/cli_scale_place.go
+++ b/cmd/saffronquay/cli_scale_place.go
@@ -3,17 +3,17 @@
 import (
 	"fmt"
 	"io"
+	"saffronquay/internal/scale/place"
 	"strings"
 
 	"github.com/spf13/cobra"
-
-	"saffronquay/internal/scale/place"
 )
 
 // scalePlace weighs where voters stand.
 func (c *cli) scalePlace() *cobra.Command {
 	detail := 0
-	cmd := &cobra.Command{Use: "place", Short: "Weigh where the voters of a fleet in two regions stand", Args: cobra.NoArgs,
+	cmd := &cobra.Command{
+		Use: "place", Short: "Weigh where the voters of a fleet in two regions stand", Args: cobra.NoArgs,
 		Long: "Goes, for each placing, through every single and double loss of a machine, a rack, a zone, a region and the link between the regions, and\n" +
 			"tells what stops, and for how many minutes of a year, as Markdown. The fleet is the one that is expected: 600 gatherers in two regions and\n" +
 			"six zones. --detail has each loss of one placing. Nothing is opened.",
@@ -42,7 +42,8 @@
 				}
 				fmt.Fprintln(w)
 			})
-		}}
+		},
+	}
 	cmd.Flags().IntVar(&detail, "detail", 0, "each loss of the placing in that row, from 1 on; 0: the table")
 	return cmd
 }
--- a/cmd/saffronquay/cli_scale_workers.go
+++ b/cmd/saffronquay/cli_scale_workers.go
@@ -5,20 +5,20 @@
 	"fmt"
 	"io"
 	"os"
+	"saffronquay/internal/scale/work"
 	"slices"
 	"strings"
 	"time"
 
 	"github.com/spf13/cobra"
-
-	"saffronquay/internal/scale/work"
 )
 
 // scaleWorkers plays a hollow fleet of workers until it is told to end.
 func (c *cli) scaleWorkers() *cobra.Command {
 	var cfg work.Config
 	var length time.Duration
-	cmd := &cobra.Command{Use: "workers", Short: "Listen for thousands of workers that hold nothing, and for those who want the list of them", Args: cobra.NoArgs,
+	cmd := &cobra.Command{
+		Use: "workers", Short: "Listen for thousands of workers that hold nothing, and for those who want the list of them", Args: cobra.NoArgs,
 		Long: "Listens on loopback for so many workers, each at a port of its own, that answer every call in the platform's protocol and do no work for it,\n" +
 			"and for discovery, which gives the list of them and pushes its changes. The first line tells where. GET /counts at discovery tells what was\n" +
 			"seen, POST /change?entries=N has so many workers start anew. Ends with Ctrl-C or SIGTERM.",
@@ -43,7 +43,8 @@
 			defer stop()
 			<-ctx.Done()
 			return nil
-		}}
+		},
+	}
 	f := cmd.Flags()
 	f.IntVar(&cfg.Workers, "workers", 2600, "how many workers")
 	f.IntVar(&cfg.Cells, "cells", 1300, "cells that they stand in, in turn")
@@ -58,7 +59,8 @@
 func (c *cli) scaleWork() *cobra.Command {
 	var cfg work.SlopeConfig
 	names := strings.Join(work.Slopes(), ", ")
-	cmd := &cobra.Command{Use: "work SLOPE", Short: "Measure what queries cost one gatherer process, against their size: " + names,
+	cmd := &cobra.Command{
+		Use: "work SLOPE", Short: "Measure what queries cost one gatherer process, against their size: " + names,
 		Long: "Starts one gatherer and, in another process, a hollow fleet of workers, asks queries of it at four sizes or more, and tells processor time, bytes,\n" +
 			"messages and memory of each size, with the line through them by least squares and what it misses. Nothing outlasts it.",
 		Example: "  saffronquay scale work parts\n  saffronquay scale work rest --for 20s", Args: cobra.ExactArgs(1),
@@ -80,7 +82,8 @@
 				return failed(err)
 			}
 			return c.tell(table, func(out io.Writer) { table.Write(out) })
-		}}
+		},
+	}
 	f := cmd.Flags()
 	f.DurationVar(&cfg.For, "for", 8*time.Second, "how long each size is measured")
 	f.IntVar(&cfg.Cores, "cores", 1, "cores that the gatherer may keep busy at a time; 0: all")
--- a/cmd/saffronquay/cli_store.go
+++ b/cmd/saffronquay/cli_store.go
@@ -5,13 +5,12 @@
 	"fmt"
 	"io"
 	"path/filepath"
+	"saffronquay/internal/store"
+	"saffronquay/internal/store/form"
 
 	"github.com/spf13/cobra"
 	"google.golang.org/protobuf/encoding/protojson"
 	"google.golang.org/protobuf/proto"
-
-	"saffronquay/internal/store"
-	"saffronquay/internal/store/form"
 )
 
 func (c *cli) store() *cobra.Command {
@@ -27,7 +26,8 @@
 		}
 		return v, nil
 	}
-	parent.AddCommand(&cobra.Command{Use: "check DIR [COPY]", Short: "Read every byte of both copies; 1 where something is damaged or lost", Args: cobra.RangeArgs(1, 2),
+	parent.AddCommand(&cobra.Command{
+		Use: "check DIR [COPY]", Short: "Read every byte of both copies; 1 where something is damaged or lost", Args: cobra.RangeArgs(1, 2),
 		Example: "  saffronquay store check /var/lib/saffronquay/a /var/lib/saffronquay/b",
 		RunE: func(_ *cobra.Command, words []string) error {
 			v, err := read(words)
@@ -42,8 +42,10 @@
 				return &ended{code: bad}
 			}
 			return nil
-		}},
-		&cobra.Command{Use: "dump DIR [COPY]", Short: "Print every record that can be read, a JSON object a line", Args: cobra.RangeArgs(1, 2),
+		},
+	},
+		&cobra.Command{
+			Use: "dump DIR [COPY]", Short: "Print every record that can be read, a JSON object a line", Args: cobra.RangeArgs(1, 2),
 			Example: "  saffronquay store dump /var/lib/saffronquay/a /var/lib/saffronquay/b | head",
 			RunE: func(_ *cobra.Command, words []string) error {
 				v, err := read(words)
@@ -51,7 +53,8 @@
 					return err
 				}
 				return c.dump(v)
-			}})
+			},
+		})
 	return parent
 }
 
--- a/cmd/saffronquay/cli_try.go
+++ b/cmd/saffronquay/cli_try.go
@@ -8,6 +8,8 @@
 	"log/slog"
 	"math/rand/v2"
 	"net/http"
+	"saffronquay/internal/layout"
+	"saffronquay/internal/standin"
 	"strings"
 	"sync/atomic"
 	"time"
@@ -15,8 +17,6 @@
 	"github.com/spf13/cobra"
 
 	sq "saffronquay"
-	"saffronquay/internal/layout"
-	"saffronquay/internal/standin"
 )
 
 // trial is what try is asked to show.
@@ -31,10 +31,12 @@
 
 func (c *cli) try() *cobra.Command {
 	t := trial{}
-	cmd := &cobra.Command{Use: "try", Short: "Serve on loopback with stand-in search servers, seeded data and, on command, faults", Args: cobra.NoArgs,
+	cmd := &cobra.Command{
+		Use: "try", Short: "Serve on loopback with stand-in search servers, seeded data and, on command, faults", Args: cobra.NoArgs,
 		Long: "try starts five stand-in servers with 1,000 invoices each in four ranges of two copies, a gatherer before them, and a small load.\n" +
 			"It prints where to ask and a line a second of what came of the load. With --kill, --slow and --split it causes faults from the third second on.",
-		Example: "  saffronquay try\n  saffronquay try --kill --split --for 20s", RunE: func(*cobra.Command, []string) error { return c.runTrial(t) }}
+		Example: "  saffronquay try\n  saffronquay try --kill --split --for 20s", RunE: func(*cobra.Command, []string) error { return c.runTrial(t) },
+	}
 	f := cmd.Flags()
 	f.BoolVar(&t.kill, "kill", false, "kill a server, and start it again 5 s later")
 	f.BoolVar(&t.slow, "slow", false, "have a server answer nothing for 5 s")
@@ -61,8 +63,10 @@
 		ids = append(ids, sq.ServerID(fmt.Sprint("ledger-", i)))
 	}
 	for i := range tryRanges {
-		doc.Ranges = append(doc.Ranges, layout.Range{Shard: i, Span: layout.Span{From: int64(i) * tryKeys / tryRanges, To: int64(i+1) * tryKeys / tryRanges},
-			Holders: []sq.ServerID{ids[i], ids[i+1]}})
+		doc.Ranges = append(doc.Ranges, layout.Range{
+			Shard: i, Span: layout.Span{From: int64(i) * tryKeys / tryRanges, To: int64(i+1) * tryKeys / tryRanges},
+			Holders: []sq.ServerID{ids[i], ids[i+1]},
+		})
 	}
 	rng := rand.New(rand.NewPCG(t.seed, 1))
 	var rows []standin.Row
@@ -84,17 +88,21 @@
 	for i, s := range cl.Servers {
 		servers = append(servers, map[string]any{"id": s.ID(), "address": s.Address(), "zone": []string{"norte", "sur"}[i%2]})
 	}
-	return cl, map[string]any{"name": "try", "listen": t.listen, "operator": "127.0.0.1:0", "seed": fmt.Sprintf("%x", t.seed), "servers": servers,
+	return cl, map[string]any{
+		"name": "try", "listen": t.listen, "operator": "127.0.0.1:0", "seed": fmt.Sprintf("%x", t.seed), "servers": servers,
 		"layout": map[string]any{"directory": agent.Address(), "whole": doc}, "cursors": map[string]any{},
-		"indices": []any{map[string]any{"name": "invoices", "class": "search", "field": "taxpayer", "part_work_us": 2000},
-			map[string]any{"name": "filings", "class": "filing", "field": "taxpayer", "part_work_us": 2000}},
+		"indices": []any{
+			map[string]any{"name": "invoices", "class": "search", "field": "taxpayer", "part_work_us": 2000},
+			map[string]any{"name": "filings", "class": "filing", "field": "taxpayer", "part_work_us": 2000},
+		},
 		"settings": json.RawMessage(`{"me":0,"balancers":1,"zone":"norte","period_us":2000,
  "classes":[{"name":"search","aim_us":250000,"hard_limit_us":2000000,"worth":1,"late_worth":0.1,"effect":"free"},
   {"name":"filing","aim_us":250000,"hard_limit_us":2000000,"worth":2,"late_worth":0.1,"effect":"single_shot"}],
  "family_info":{"class_fetch":[0,0],"class_partial":[0.9,0.9],"floor_by_class":[1,1],"whole_at":[1,1],"positions":1,"reach":1,"shards":1,"parts_a_call":1},
  "permissions":{"max_open":500,"connect_timeout_us":250000,"idle_close_us":15000000,"streams_per_conn":32,"may_cancel":true,
   "most_tries":4,"second_copies":true,"retry_after":true,"max_retry_after_us":500000},
- "rules":{"grace_to_answer_us":20000,"warm_within_us":1000000}}`)}, nil
+ "rules":{"grace_to_answer_us":20000,"warm_within_us":1000000}}`),
+	}, nil
 }
 
 func (c *cli) runTrial(t trial) error {
@@ -204,10 +212,16 @@
 		say("ledger-2 answers again")
 	}
 	if t.split {
-		steps := []layout.Step{{Change: "try", Do: layout.Announce, Kind: layout.Split, From: []int{0}, To: []layout.Range{
-			{Span: layout.Span{From: 0, To: 500}, Shard: tryRanges, Holders: []sq.ServerID{"ledger-0", "ledger-1"}},
-			{Span: layout.Span{From: 500, To: 1000}, Shard: tryRanges + 1, Holders: []sq.ServerID{"ledger-3", "ledger-4"}}}},
-			{Change: "try", Do: layout.Copy}, {Change: "try", Do: layout.BothUp}, {Change: "try", Do: layout.Cut}, {Change: "try", Do: layout.Retire}}
+		steps := []layout.Step{
+			{Change: "try", Do: layout.Announce, Kind: layout.Split, From: []int{0}, To: []layout.Range{
+				{Span: layout.Span{From: 0, To: 500}, Shard: tryRanges, Holders: []sq.ServerID{"ledger-0", "ledger-1"}},
+				{Span: layout.Span{From: 500, To: 1000}, Shard: tryRanges + 1, Holders: []sq.ServerID{"ledger-3", "ledger-4"}},
+			}},
+			{Change: "try", Do: layout.Copy},
+			{Change: "try", Do: layout.BothUp},
+			{Change: "try", Do: layout.Cut},
+			{Change: "try", Do: layout.Retire},
+		}
 		for _, s := range steps {
 			if err := cl.Do(s); err != nil {
 				say("split: %v", err)
--- a/cmd/saffronquay/cli_try_team.go
+++ b/cmd/saffronquay/cli_try_team.go
@@ -12,15 +12,14 @@
 	"net/netip"
 	"os"
 	"path/filepath"
-	"strings"
-	"sync"
-	"time"
-
 	"saffronquay/deploy"
 	"saffronquay/internal/config"
 	"saffronquay/internal/gatherer"
 	"saffronquay/internal/peers"
 	"saffronquay/internal/rollout/wire"
+	"strings"
+	"sync"
+	"time"
 )
 
 // team is the gatherers of a trial. With more than one, each has the view of the fleet that deploy/fleet.json sets up, and joins at the
--- a/cmd/saffronquay/cli_voters.go
+++ b/cmd/saffronquay/cli_voters.go
@@ -6,14 +6,13 @@
 	"io"
 	"log/slog"
 	"net/netip"
+	"saffronquay/internal/config"
+	"saffronquay/internal/gatherer"
+	"saffronquay/internal/rollout/wire"
 	"strings"
 	"time"
 
 	"github.com/spf13/cobra"
-
-	"saffronquay/internal/config"
-	"saffronquay/internal/gatherer"
-	"saffronquay/internal/rollout/wire"
 )
 
 // proposes has a command propose something, with the flags that say to whom and for how long.
@@ -31,7 +30,8 @@
 
 // voting shows who votes, and changes it.
 func (c *cli) voting() *cobra.Command {
-	parent := &cobra.Command{Use: "voters", Short: "Show who votes on the policy, and change it one at a time", Args: cobra.NoArgs,
+	parent := &cobra.Command{
+		Use: "voters", Short: "Show who votes on the policy, and change it one at a time", Args: cobra.NoArgs,
 		Long: "A change of voters takes hold once the new voter has the whole log and a majority of the old voters and of the new ones agrees. Exit codes as of\n" +
 			"propose: 0 made, 1 refused, 3 in doubt.",
 		Example: "  saffronquay policy voters --door 127.0.0.1:9401\n  saffronquay policy voters replace cordoba-2 cordoba-4 --file deploy/rollout.json",
@@ -75,7 +75,8 @@
 					fmt.Fprintf(w, "%s at %s %s\n", of["name"], of["address"], word)
 				}
 			})
-		}}
+		},
+	}
 	// change is a change of who votes: in one region's agreement, or in the one that decides versions.
 	change := func(cmd *cobra.Command, of func(words []string) (add, remove, made string)) *cobra.Command {
 		p := &proposal{}
@@ -88,14 +89,20 @@
 			return func(x *wire.Propose) { x.VoterAdd, x.VoterRemove, x.Region = add, remove, p.region }, made, nil
 		})
 	}
-	parent.AddCommand(change(&cobra.Command{Use: "add NAME", Short: "Have a gatherer of the roster vote", Args: cobra.ExactArgs(1),
-		Example: "  saffronquay policy voters add cordoba-4 --file deploy/rollout.json"}, func(w []string) (add, remove, made string) {
+	parent.AddCommand(change(&cobra.Command{
+		Use: "add NAME", Short: "Have a gatherer of the roster vote", Args: cobra.ExactArgs(1),
+		Example: "  saffronquay policy voters add cordoba-4 --file deploy/rollout.json",
+	}, func(w []string) (add, remove, made string) {
 		return w[0], "", w[0] + " votes"
-	}), change(&cobra.Command{Use: "remove NAME", Short: "Take a vote, where more than three vote", Args: cobra.ExactArgs(1),
-		Example: "  saffronquay policy voters remove cordoba-4 --file deploy/rollout.json"}, func(w []string) (add, remove, made string) {
+	}), change(&cobra.Command{
+		Use: "remove NAME", Short: "Take a vote, where more than three vote", Args: cobra.ExactArgs(1),
+		Example: "  saffronquay policy voters remove cordoba-4 --file deploy/rollout.json",
+	}, func(w []string) (add, remove, made string) {
 		return "", w[0], w[0] + " votes no more"
-	}), change(&cobra.Command{Use: "replace OLD [NEW]", Short: "Have one vote in the place of another, or of itself where it lost its disk", Args: cobra.RangeArgs(1, 2),
-		Example: "  saffronquay policy voters replace cordoba-2 --file deploy/rollout.json"}, func(w []string) (add, remove, made string) {
+	}), change(&cobra.Command{
+		Use: "replace OLD [NEW]", Short: "Have one vote in the place of another, or of itself where it lost its disk", Args: cobra.RangeArgs(1, 2),
+		Example: "  saffronquay policy voters replace cordoba-2 --file deploy/rollout.json",
+	}, func(w []string) (add, remove, made string) {
 		return w[len(w)-1], w[0], w[len(w)-1] + " votes in the place of " + w[0]
 	}))
 	return parent
@@ -103,16 +110,22 @@
 
 // rostering changes who may have a lease.
 func (c *cli) rostering() *cobra.Command {
-	parent := &cobra.Command{Use: "roster", Short: "Change who takes part: only who is on the roster gets a lease",
-		Example: "  saffronquay policy roster add cordoba-4 127.0.0.1:9480 --file deploy/rollout.json"}
+	parent := &cobra.Command{
+		Use: "roster", Short: "Change who takes part: only who is on the roster gets a lease",
+		Example: "  saffronquay policy roster add cordoba-4 127.0.0.1:9480 --file deploy/rollout.json",
+	}
 	var gone bool
 	var region string
-	remove := &cobra.Command{Use: "remove NAME", Short: "Take a gatherer that does not vote off the roster", Args: cobra.ExactArgs(1),
-		Example: "  saffronquay policy roster remove cordoba-4 --file deploy/rollout.json"}
+	remove := &cobra.Command{
+		Use: "remove NAME", Short: "Take a gatherer that does not vote off the roster", Args: cobra.ExactArgs(1),
+		Example: "  saffronquay policy roster remove cordoba-4 --file deploy/rollout.json",
+	}
 	remove.Flags().BoolVar(&gone, "gone", false, "it surely does not run any more; wanted where the version in force keeps")
-	add := &cobra.Command{Use: "add NAME HOST:PORT", Short: "Put a gatherer on the roster, or give it another address", Args: cobra.ExactArgs(2),
+	add := &cobra.Command{
+		Use: "add NAME HOST:PORT", Short: "Put a gatherer on the roster, or give it another address", Args: cobra.ExactArgs(2),
 		Example: "  saffronquay policy roster add cordoba-4 127.0.0.1:9480 --file deploy/rollout.json\n" +
-			"  saffronquay policy roster add rosario-4 127.0.0.1:9580 --region este --file deploy/regions.json"}
+			"  saffronquay policy roster add rosario-4 127.0.0.1:9580 --region este --file deploy/regions.json",
+	}
 	add.Flags().StringVar(&region, "region", "", "where it is, where there are regions; wanted of a new one")
 	parent.AddCommand(c.proposes(&proposal{}, add, func(w []string) (func(*wire.Propose), string, error) {
 		if _, err := netip.ParseAddrPort(w[1]); err != nil {
@@ -128,7 +141,8 @@
 // recovering makes a fleet anew where the majority of its voters is lost for good.
 func (c *cli) recovering() *cobra.Command {
 	var force bool
-	cmd := &cobra.Command{Use: "recover", Short: "Make a fleet anew of one voter's store, where the majority is lost for good", Args: cobra.NoArgs,
+	cmd := &cobra.Command{
+		Use: "recover", Short: "Make a fleet anew of one voter's store, where the majority is lost for good", Args: cobra.NoArgs,
 		Long: "Run it where one voter that is left has its store, while no gatherer of the fleet runs there. Without --force-new-fleet it only tells what that\n" +
 			"store knows and what would be given up. With it that gatherer votes alone and the others on the roster follow. What only the lost voters agreed\n" +
 			"on is gone, and none of them may be started again with its store.",
@@ -163,7 +177,8 @@
 						fmt.Fprintf(w, "nothing is changed: with --force-new-fleet %s votes alone, under version %d\n", op.Name, g.Version)
 					}
 				})
-		}}
+		},
+	}
 	cmd.Flags().BoolVar(&force, "force-new-fleet", false, "do it")
 	return cmd
 }
--- a/cmd/saffronquay/main.go
+++ b/cmd/saffronquay/main.go
@@ -10,11 +10,10 @@
 	"log/slog"
 	"os"
 	"os/signal"
-	"syscall"
-	"time"
-
 	"saffronquay/internal/events"
 	"saffronquay/internal/gatherer"
+	"syscall"
+	"time"
 )
 
 func main() { os.Exit(execute(os.Args[1:], os.Stdin, os.Stdout, os.Stderr)) }
--- a/cmd/saffronquay/script_test.go
+++ b/cmd/saffronquay/script_test.go
@@ -6,15 +6,14 @@
 	"fmt"
 	"maps"
 	"os"
+	"saffronquay/internal/config"
+	"saffronquay/internal/config/schema"
+	"saffronquay/internal/routing"
 	"slices"
 	"strings"
 	"testing"
 
 	"github.com/rogpeppe/go-internal/testscript"
-
-	"saffronquay/internal/config"
-	"saffronquay/internal/config/schema"
-	"saffronquay/internal/routing"
 )
 
 func TestMain(m *testing.M) {
--- a/deploy/ci_test.go
+++ b/deploy/ci_test.go
@@ -23,8 +23,10 @@
 		{name: "no file", absent: true},
 		{name: "empty file", list: "\n"},
 		{name: "one", list: "TestOne, a timer that rings late, 27\n", skip: "^(TestOne)$"},
-		{name: "three, the last without its end of line", list: "TestOne, a, 1\nTestTwo, b, with commas, 2\n\nTestThree, c, #3",
-			skip: "^(TestOne|TestTwo|TestThree)$"},
+		{
+			name: "three, the last without its end of line", list: "TestOne, a, 1\nTestTwo, b, with commas, 2\n\nTestThree, c, #3",
+			skip: "^(TestOne|TestTwo|TestThree)$",
+		},
 		{name: "four", list: "TestOne, a, 1\nTestTwo, b, 2\nTestThree, c, 3\nTestFour, d, 4\n", says: "3 at most"},
 		{name: "a name that no test has", list: "TestGone, a, 1\n", says: "0 test files"},
 		{name: "the beginning of a name", list: "TestO, a, 1\n", says: "0 test files"},
--- a/evidence_test.go
+++ b/evidence_test.go
@@ -230,8 +230,10 @@
 	list := FleetChanged{Kind: FleetFull, Servers: []Server{{ID: "a1", Health: Ready}}}
 	sc.step(0, list)
 	s := of[Send](sc.step(ms, sc.ask(100, 10*ms)...))[0]
-	sc.step(400*ms, AttemptEnded{Part: s.Part, Server: s.Server, Outcome: Served, Latency: 400 * ms,
-		Report: &LoadReport{Queue: 9, InFlight: -1}})
+	sc.step(400*ms, AttemptEnded{
+		Part: s.Part, Server: s.Server, Outcome: Served, Latency: 400 * ms,
+		Report: &LoadReport{Queue: 9, InFlight: -1},
+	})
 	list.Servers[0].StartedAt = sc.now
 	sc.step(ms, list)
 	r := sc.s.servers["a1"]
@@ -313,8 +315,10 @@
 		t.Errorf("want a failure after one attempt, got %v", got)
 	}
 	// A class that vanishes is forgotten once its last query has gone.
-	sc.step(ms, append(sc.ask(300, 10*ms), SettingsChanged{Settings: Settings{Aggregators: 1, Period: 5 * ms, Shards: 2, Cells: 2,
-		Reach: 2, Classes: []Class{other}, Limits: now.Limits, Rules: now.Rules}})...)
+	sc.step(ms, append(sc.ask(300, 10*ms), SettingsChanged{Settings: Settings{
+		Aggregators: 1, Period: 5 * ms, Shards: 2, Cells: 2,
+		Reach: 2, Classes: []Class{other}, Limits: now.Limits, Rules: now.Rules,
+	}})...)
 	sc.s.sweptAt = 0
 	if sc.step(ms); sc.s.kinds["q"] == nil {
 		t.Error("a class with an open query was forgotten")
@@ -425,8 +429,11 @@
 		t.Errorf("failing %v, %v after a long time, %v of one that has started since", rate(young, "bad"), rate(old, "bad"), rate(young, "new"))
 	}
 	sc := newScript(t, plain(), "a", "b")
-	sc.step(ms, Recalled{Learned{Admission: 1, Servers: []Known{{Server: "a", Pace: 2, PaceAt: 1 << 60, Fails: 1, Tries: 2, At: 1 << 60},
-		{Server: "b", Pace: math.NaN(), PaceAt: 5, Fails: math.NaN(), Tries: 1, At: 5}, {Server: "gone", Pace: 1, PaceAt: 5}}}})
+	sc.step(ms, Recalled{Learned{Admission: 1, Servers: []Known{
+		{Server: "a", Pace: 2, PaceAt: 1 << 60, Fails: 1, Tries: 2, At: 1 << 60},
+		{Server: "b", Pace: math.NaN(), PaceAt: 5, Fails: math.NaN(), Tries: 1, At: 5},
+		{Server: "gone", Pace: 1, PaceAt: 5},
+	}}})
 	a, b := sc.s.servers["a"], sc.s.servers["b"]
 	if a.paceT > sc.now || a.failing.at > sc.now || b.pace != 0 || b.failing.tries != 0 {
 		t.Errorf("%+v, %+v", a, b)
--- a/example_test.go
+++ b/example_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-
 	"saffronquay"
 )
 
--- a/explain.go
+++ b/explain.go
@@ -38,8 +38,10 @@
 	}
 	var out []Option
 	for _, r := range s.holders(p.Shard) {
-		o := Option{Server: r.ID, Zone: r.Zone, Health: r.Health, Listed: r.listed, Barred: s.barred(p, r), Cold: !s.coldRoom(p, r),
-			Predicted: s.predict(p, r)}
+		o := Option{
+			Server: r.ID, Zone: r.Zone, Health: r.Health, Listed: r.listed, Barred: s.barred(p, r), Cold: !s.coldRoom(p, r),
+			Predicted: s.predict(p, r),
+		}
 		for _, a := range p.attempts {
 			if a.to == r && !a.ended {
 				o.Barred, o.Cold, o.Predicted = false, false, a.due
--- a/fleet_test.go
+++ b/fleet_test.go
@@ -50,8 +50,10 @@
 func (f *team) ask(self, shard int, work int64) {
 	f.id += 10
 	s := f.all[self]
-	as := s.Step(f.now, []Event{Query{ID: f.id, Group: int64(f.id), Class: "q", Deadline: f.now + 3000*ms, Work: work},
-		Part{ID: f.id + 1, Group: int64(f.id), Shard: shard, Weight: 1, Work: work}})
+	as := s.Step(f.now, []Event{
+		Query{ID: f.id, Group: int64(f.id), Class: "q", Deadline: f.now + 3000*ms, Work: work},
+		Part{ID: f.id + 1, Group: int64(f.id), Shard: shard, Weight: 1, Work: work},
+	})
 	var back []Event
 	for _, a := range of[Send](as) {
 		f.sends[a.Server] = append(f.sends[a.Server], coldSend{f.now, float64(work)})
@@ -178,8 +180,10 @@
 		effect   Effect
 		late     float64 // worth
 		want     bool    // it ends by 1.1 aims
-	}{"strained": {true, Repeatable, 0.1, true}, "calm": {false, Repeatable, 0.1, false}, "once": {true, AtMostOnce, 0.1, false},
-		"worth it": {true, Repeatable, 0.9, false}} {
+	}{
+		"strained": {true, Repeatable, 0.1, true}, "calm": {false, Repeatable, 0.1, false}, "once": {true, AtMostOnce, 0.1, false},
+		"worth it": {true, Repeatable, 0.9, false},
+	} {
 		cfg := plain()
 		cfg.Limits.MaxTries = 1
 		cfg.Classes[0].LateWorth, cfg.Classes[0].Effect = tc.late, tc.effect
@@ -276,8 +280,10 @@
 	for _, s := range f.all {
 		s.Step(f.now, []Event{FleetChanged{Kind: FleetFull, Servers: []Server{{ID: "s0", Health: Ready}}}})
 		now := f.now
-		as := s.Step(now, []Event{Query{ID: 1000, Group: 1, Class: "q", Deadline: now + 3000*ms, Work: 20 * ms},
-			Part{ID: 1001, Group: 1, Weight: 1, Work: 20 * ms}})
+		as := s.Step(now, []Event{
+			Query{ID: 1000, Group: 1, Class: "q", Deadline: now + 3000*ms, Work: 20 * ms},
+			Part{ID: 1001, Group: 1, Weight: 1, Work: 20 * ms},
+		})
 		var times []int64
 		for now < f.now+1000*ms {
 			events := []Event{AlarmRang{}}
--- a/internal/broker/broker.go
+++ b/internal/broker/broker.go
@@ -8,11 +8,11 @@
 	"fmt"
 	"maps"
 	"math"
+	"saffronquay/internal/layout"
+	"saffronquay/internal/merge"
 	"slices"
 
 	sq "saffronquay"
-	"saffronquay/internal/layout"
-	"saffronquay/internal/merge"
 )
 
 // Module is the decision module, as the core drives it.
@@ -245,8 +245,10 @@
 
 // New makes a core round a module.
 func New(terms Terms, module Module) *Core {
-	c := &Core{module: module, queries: map[sq.ID]*query{},
-		labels: map[string]int64{}, parts: map[sq.ID]*part{}, byShard: map[int]*part{}, attempts: map[AttemptID]*attempt{}, calls: map[sq.ServerID]int{}, intents: map[sq.ID]int{}}
+	c := &Core{
+		module: module, queries: map[sq.ID]*query{},
+		labels: map[string]int64{}, parts: map[sq.ID]*part{}, byShard: map[int]*part{}, attempts: map[AttemptID]*attempt{}, calls: map[sq.ServerID]int{}, intents: map[sq.ID]int{},
+	}
 	c.hold(terms)
 	c.due.alive = func(a *attempt) bool { return c.attempts[a.id] == a }
 	c.late.alive = func(q *query) bool { return !q.over }
@@ -399,8 +401,10 @@
 	for _, p := range a.Parts {
 		work += p.Work
 	}
-	c.events = append(c.events, sq.Query{ID: q.id, Group: q.group, Class: a.Class, Tenant: a.Tenant,
-		Deadline: a.Deadline, Work: work, Key: a.Key})
+	c.events = append(c.events, sq.Query{
+		ID: q.id, Group: q.group, Class: a.Class, Tenant: a.Tenant,
+		Deadline: a.Deadline, Work: work, Key: a.Key,
+	})
 	for _, ap := range a.Parts {
 		p := c.hand(q, ap)
 		q.parts = append(q.parts, p)
@@ -464,8 +468,10 @@
 	if len(p.out) == 0 && p.q.over {
 		c.forget(p)
 	}
-	c.events = append(c.events, sq.AttemptEnded{Part: p.id, Attempt: a.n, Server: a.server, Outcome: o,
-		Latency: now - a.sent, Report: r.Report})
+	c.events = append(c.events, sq.AttemptEnded{
+		Part: p.id, Attempt: a.n, Server: a.server, Outcome: o,
+		Latency: now - a.sent, Report: r.Report,
+	})
 	if full { // guards the memory against answers that nobody bounded together
 		c.do(Note{Text: "a query fails: its parts and those of others are more than may be held"})
 		c.finish(p.q, Final{Verdict: Failed})
@@ -617,8 +623,10 @@
 		c.Ended(now, a.id, sq.NotSent, nil, nil)
 		return
 	}
-	out := Attempt{ID: a.id, Label: p.q.ask.Label, Shard: p.ask.Shard, Epoch: a.epoch, Span: p.ask.Span, Due: due,
-		Text: p.q.ask.Text, Plan: p.q.ask.Plan}
+	out := Attempt{
+		ID: a.id, Label: p.q.ask.Label, Shard: p.ask.Shard, Epoch: a.epoch, Span: p.ask.Span, Due: due,
+		Text: p.q.ask.Text, Plan: p.q.ask.Plan,
+	}
 	if p.q.ask.Ledger != nil && !p.intended {
 		c.intend(a, out)
 		return
--- a/internal/broker/broker_test.go
+++ b/internal/broker/broker_test.go
@@ -38,8 +38,10 @@
 }
 
 func terms() Terms {
-	return Terms{Period: 10, Shards: 4, MaxOpen: 6, PartsPerCall: 2, RetryAfter: true, MaxRetryAfter: 500, AnswerGrace: 20,
-		Classes: []sq.Class{{Name: "free", Need: 1, Floor: 0.5}, {Name: "once", Need: 1, Floor: 1, Effect: sq.AtMostOnce}}}
+	return Terms{
+		Period: 10, Shards: 4, MaxOpen: 6, PartsPerCall: 2, RetryAfter: true, MaxRetryAfter: 500, AnswerGrace: 20,
+		Classes: []sq.Class{{Name: "free", Need: 1, Floor: 0.5}, {Name: "once", Need: 1, Floor: 1, Effect: sq.AtMostOnce}},
+	}
 }
 
 // ask makes a query of half-weight parts; the ids that follow are 1 for the query and 3, 4 for its parts.
@@ -142,8 +144,10 @@
 
 // A query that must not run twice may be refused only while no part can have run, whatever the module says.
 func TestRefusalIsHarmless(t *testing.T) {
-	for o, want := range map[sq.Outcome]Verdict{sq.Rejected: Refused, sq.Unreachable: Refused, sq.Errored: Failed,
-		sq.Broken: Failed, sq.Served: Failed} {
+	for o, want := range map[sq.Outcome]Verdict{
+		sq.Rejected: Refused, sq.Unreachable: Refused, sq.Errored: Failed,
+		sq.Broken: Failed, sq.Served: Failed,
+	} {
 		c, m := begin(t, terms(), "once", 0)
 		calls := act[Call](c, m, 100, sq.Send{Part: 3, Server: "s"})
 		c.Ended(110, calls[0].Attempts[0].ID, o, nil, nil)
@@ -252,8 +256,10 @@
 	negative.Parts[0].Weight = -1
 	heavy, light, long := ask("free", 0), ask("free", 0, 1), ask("free", 1)
 	heavy.Parts[0].Weight, light.Parts[0].Weight, long.Parts[0].Work = 1.5, 0.3, 1<<60
-	for _, a := range []Ask{ask("free"), ask("free", 4), ask("free", -1), ask("free", 1, 1), ask("other", 1), negative,
-		heavy, light, long} {
+	for _, a := range []Ask{
+		ask("free"), ask("free", 4), ask("free", -1), ask("free", 1, 1), ask("other", 1), negative,
+		heavy, light, long,
+	} {
 		if _, f, err := c.Open(0, a); f != nil || !errors.Is(err, ErrMalformed) {
 			t.Errorf("%+v: %v, %v", a, f, err)
 		}
--- a/internal/broker/layout.go
+++ b/internal/broker/layout.go
@@ -2,10 +2,10 @@
 
 import (
 	"cmp"
+	"saffronquay/internal/layout"
 	"slices"
 
 	sq "saffronquay"
-	"saffronquay/internal/layout"
 )
 
 // Layout puts a layout in force. Parts whose shard is no longer in force are planned anew, each by itself: at once where
--- a/internal/broker/layout_test.go
+++ b/internal/broker/layout_test.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"math/rand/v2"
+	"saffronquay/internal/layout"
 	"slices"
 	"testing"
 
@@ -10,7 +11,6 @@
 
 	sq "saffronquay"
 	_ "saffronquay/internal/lab/steady"
-	"saffronquay/internal/layout"
 )
 
 // fataler is a test, a benchmark or a property.
@@ -245,10 +245,14 @@
 // newWorld makes one. lax has the module believe that everything may be repeated: another bug that the ledger has to find.
 func newWorld(t fataler, seed uint64, lax bool) *world {
 	w := &world{rng: rand.New(rand.NewPCG(seed, 1)), ran: map[sq.ID][]layout.Span{}, ended: map[sq.ID]bool{}, ids: map[sq.ID]Ask{}}
-	classes := []sq.Class{{Name: "free", Aim: 40_000, HardLimit: 60_000, Worth: 1, LateWorth: 0.1, Need: 1, Floor: 1},
-		{Name: "once", Aim: 40_000, HardLimit: 60_000, Worth: 1, LateWorth: 0.1, Need: 1, Floor: 1, Effect: sq.AtMostOnce}}
-	set := sq.Settings{Aggregators: 1, Period: 100, Classes: slices.Clone(classes), Shards: 1, Cells: 1, Reach: 1,
-		Limits: sq.Limits{MaxTries: 4, SecondCopies: true, MayCancel: true, RetryAfter: true, MaxRetryAfter: 500}}
+	classes := []sq.Class{
+		{Name: "free", Aim: 40_000, HardLimit: 60_000, Worth: 1, LateWorth: 0.1, Need: 1, Floor: 1},
+		{Name: "once", Aim: 40_000, HardLimit: 60_000, Worth: 1, LateWorth: 0.1, Need: 1, Floor: 1, Effect: sq.AtMostOnce},
+	}
+	set := sq.Settings{
+		Aggregators: 1, Period: 100, Classes: slices.Clone(classes), Shards: 1, Cells: 1, Reach: 1,
+		Limits: sq.Limits{MaxTries: 4, SecondCopies: true, MayCancel: true, RetryAfter: true, MaxRetryAfter: 500},
+	}
 	if lax {
 		set.Classes[1].Effect = sq.Repeatable
 	}
@@ -507,9 +511,11 @@
 }
 
 func benchmarkQuery(b *testing.B, servers, ranges int) {
-	set := sq.Settings{Aggregators: 1, Period: 100, Shards: 12, Cells: 12, Reach: 3,
+	set := sq.Settings{
+		Aggregators: 1, Period: 100, Shards: 12, Cells: 12, Reach: 3,
 		Classes: []sq.Class{{Name: "free", Aim: 2_500_000, HardLimit: 5_000_000, Worth: 1, LateWorth: 0.1, Need: 1, Floor: 1}},
-		Limits:  sq.Limits{MaxTries: 4, SecondCopies: true, MayCancel: true}, Rules: sq.Rules{WarmWithin: 14_000_000}}
+		Limits:  sq.Limits{MaxTries: 4, SecondCopies: true, MayCancel: true}, Rules: sq.Rules{WarmWithin: 14_000_000},
+	}
 	module, err := sq.New(set, 1)
 	if err != nil {
 		b.Fatal(err)
--- a/internal/broker/size_test.go
+++ b/internal/broker/size_test.go
@@ -26,9 +26,11 @@
 	for _, parts := range []int{100, 187, 375, 750, 1500} {
 		b.Run(fmt.Sprintf("servers=%d,parts=%d", servers, parts), func(b *testing.B) {
 			class := sq.Class{Name: "q", Aim: 75_000, HardLimit: 1_000_000, Worth: 1, Need: 1, Floor: 1}
-			cfg := sq.Settings{Aggregators: 600, Period: period, Shards: servers, Cells: cells, Reach: 1, PartsPerCall: 1, Classes: []sq.Class{class},
+			cfg := sq.Settings{
+				Aggregators: 600, Period: period, Shards: servers, Cells: cells, Reach: 1, PartsPerCall: 1, Classes: []sq.Class{class},
 				Limits: sq.Limits{MaxTries: 3, SecondCopies: true, MayCancel: true},
-				Rules:  sq.Rules{ColdShare: 0.3, WarmWithin: 10_000_000, FallMultiple: 3, FallWindow: 1_000_000, AskWithin: 10_000_000}}
+				Rules:  sq.Rules{ColdShare: 0.3, WarmWithin: 10_000_000, FallMultiple: 3, FallWindow: 1_000_000, AskWithin: 10_000_000},
+			}
 			module, err := sq.New(cfg, 1)
 			if err != nil {
 				b.Fatal(err)
--- a/internal/campaign/campaign.go
+++ b/internal/campaign/campaign.go
@@ -6,12 +6,6 @@
 	"fmt"
 	"math/rand/v2"
 	"os"
-	"strconv"
-	"strings"
-	"sync"
-	"time"
-
-	sq "saffronquay"
 	"saffronquay/internal/config"
 	"saffronquay/internal/faults"
 	"saffronquay/internal/lab"
@@ -19,6 +13,12 @@
 	"saffronquay/internal/peers"
 	"saffronquay/internal/rollout/wire"
 	"saffronquay/internal/standin"
+	"strconv"
+	"strings"
+	"sync"
+	"time"
+
+	sq "saffronquay"
 )
 
 // Config is one campaign.
@@ -131,8 +131,10 @@
 		fleet["contracts"] = false
 		file["servers"], file["layout"], file["tenants"] = servers, map[string]any{"whole": doc}, tenants
 		file["contracts"] = map[string]any{"cores": cores, "gatherers": d.cfg.Processes, "over": over, "teams": contracts}
-		file["indices"] = []any{map[string]any{"name": "invoices", "class": "search", "field": "taxpayer", "part_work_us": 20000},
-			map[string]any{"name": "filings", "class": "filing", "field": "taxpayer", "part_work_us": 20000}}
+		file["indices"] = []any{
+			map[string]any{"name": "invoices", "class": "search", "field": "taxpayer", "part_work_us": 20000},
+			map[string]any{"name": "filings", "class": "filing", "field": "taxpayer", "part_work_us": 20000},
+		}
 		settings := file["settings"].(map[string]any)
 		settings["classes"] = append(settings["classes"].([]any), map[string]any{"name": "filing", "aim_us": 250000, "hard_limit_us": 2000000, "worth": 1, "late_worth": 0.1, "effect": "single_shot"})
 		family := settings["family_info"].(map[string]any)
--- a/internal/campaign/campaign_test.go
+++ b/internal/campaign/campaign_test.go
@@ -4,13 +4,12 @@
 	"os"
 	"os/exec"
 	"path/filepath"
+	"saffronquay/internal/faults"
+	"saffronquay/internal/lab"
 	"slices"
 	"strings"
 	"testing"
 	"time"
-
-	"saffronquay/internal/faults"
-	"saffronquay/internal/lab"
 )
 
 func TestMain(m *testing.M) { lab.Main(m) }
--- a/internal/campaign/judge.go
+++ b/internal/campaign/judge.go
@@ -3,10 +3,9 @@
 import (
 	"cmp"
 	"fmt"
+	"saffronquay/internal/faults"
 	"slices"
 	"time"
-
-	"saffronquay/internal/faults"
 )
 
 // Query is one that a client sent. Times count from the beginning of the history.
--- a/internal/campaign/judge_test.go
+++ b/internal/campaign/judge_test.go
@@ -1,10 +1,9 @@
 package campaign
 
 import (
+	"saffronquay/internal/faults"
 	"testing"
 	"time"
-
-	"saffronquay/internal/faults"
 )
 
 // The judges notice what they are for, and nothing else.
--- a/internal/campaign/report.go
+++ b/internal/campaign/report.go
@@ -6,10 +6,9 @@
 	"html/template"
 	"os"
 	"path/filepath"
-	"time"
-
 	"saffronquay/internal/faults"
 	"saffronquay/internal/plots"
+	"time"
 )
 
 //go:embed report.html
--- a/internal/campaign/verdict.go
+++ b/internal/campaign/verdict.go
@@ -5,10 +5,9 @@
 	"fmt"
 	"os"
 	"path/filepath"
+	"saffronquay/internal/faults"
 	"strings"
 	"time"
-
-	"saffronquay/internal/faults"
 )
 
 const (
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -5,13 +5,13 @@
 import (
 	"fmt"
 	"net"
+	"saffronquay/internal/platform"
 	"slices"
 	"strconv"
 
 	"github.com/valyala/fastjson"
 
 	sq "saffronquay"
-	"saffronquay/internal/platform"
 )
 
 // Node is the whole configuration of one gatherer on the platform.
@@ -92,9 +92,11 @@
 		}
 		return r.str(key, "")
 	}
-	n := Node{Name: either("LB_NAME", "name"), Listen: either("LB_LISTEN", "listen"),
+	n := Node{
+		Name: either("LB_NAME", "name"), Listen: either("LB_LISTEN", "listen"),
 		Discovery: either("LB_DISCOVERY", "discovery"), Operator: either("LB_OPERATOR", "operator"),
-		Sockets: r.object("limits").count("sockets", 1024), MemoryMB: r.object("limits").count("memory_mb", 192)}
+		Sockets: r.object("limits").count("sockets", 1024), MemoryMB: r.object("limits").count("memory_mb", 192),
+	}
 	for key, addr := range map[string]string{"listen": n.Listen, "discovery": n.Discovery} {
 		if _, _, err := net.SplitHostPort(addr); err != nil {
 			r.fault(key, "%q is not host:port", addr)
--- a/internal/config/contracts.go
+++ b/internal/config/contracts.go
@@ -14,8 +14,10 @@
 	}
 	for _, t := range r.array("teams") {
 		t.require("name", "weight")
-		team := contract.Team{Name: t.str("name", ""), Parent: t.str("parent", ""), Weight: t.float("weight", 0), Ceiling: t.float("ceiling", 0),
-			Keeps: t.boolean("keeps"), Classes: t.strs("classes"), Longest: t.integer("longest_ms", 0) * 1000, Wait: t.integer("wait_ms", 0) * 1000}
+		team := contract.Team{
+			Name: t.str("name", ""), Parent: t.str("parent", ""), Weight: t.float("weight", 0), Ceiling: t.float("ceiling", 0),
+			Keeps: t.boolean("keeps"), Classes: t.strs("classes"), Longest: t.integer("longest_ms", 0) * 1000, Wait: t.integer("wait_ms", 0) * 1000,
+		}
 		for _, class := range team.Classes {
 			if !known[class] {
 				t.fault("classes", "unknown class %q", class)
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -2,11 +2,10 @@
 
 import (
 	"net/netip"
+	"saffronquay/internal/fleet"
 	"time"
 
 	"github.com/valyala/fastjson"
-
-	"saffronquay/internal/fleet"
 )
 
 // Fleet sets up a view of the other gatherers.
@@ -28,9 +27,11 @@
 // fleet reads how gatherers find each other.
 func (o *Operator) fleet(r reader) {
 	r.require("listen")
-	f := &Fleet{Name: r.str("name", "saffronquay"), Period: ms(r, "period_ms", 200, 50, 10_000), Suspect: r.float("suspect", 2.5),
+	f := &Fleet{
+		Name: r.str("name", "saffronquay"), Period: ms(r, "period_ms", 200, 50, 10_000), Suspect: r.float("suspect", 2.5),
 		Reckon: ms(r, "reckon_ms", 300_000, 1000, 86_400_000), Balancers: !r.has("balancers") || r.boolean("balancers"),
-		Contracts: !r.has("contracts") || r.boolean("contracts")}
+		Contracts: !r.has("contracts") || r.boolean("contracts"),
+	}
 	f.Listen = r.addrPort("listen", r.str("listen", ""))
 	if r.has("advertise") {
 		if f.Advertise = r.addrPort("advertise", r.str("advertise", "")); f.Advertise.IsValid() && (f.Advertise.Addr().IsUnspecified() || f.Advertise.Port() == 0) {
--- a/internal/config/fleet_test.go
+++ b/internal/config/fleet_test.go
@@ -1,12 +1,11 @@
 package config_test
 
 import (
+	"saffronquay/deploy"
+	"saffronquay/internal/config"
 	"strings"
 	"testing"
 	"time"
-
-	"saffronquay/deploy"
-	"saffronquay/internal/config"
 )
 
 // The example has a view of the fleet; each fault in it is told with its key, all at once.
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -6,6 +6,11 @@
 	"net"
 	"net/netip"
 	"reflect"
+	"saffronquay/internal/broker"
+	"saffronquay/internal/contract"
+	"saffronquay/internal/layout"
+	"saffronquay/internal/opensearch"
+	"saffronquay/internal/vrrp"
 	"slices"
 	"strconv"
 	"time"
@@ -13,11 +18,6 @@
 	"github.com/valyala/fastjson"
 
 	sq "saffronquay"
-	"saffronquay/internal/broker"
-	"saffronquay/internal/contract"
-	"saffronquay/internal/layout"
-	"saffronquay/internal/opensearch"
-	"saffronquay/internal/vrrp"
 )
 
 // Operator is what an operator's file sets up: a gatherer that speaks the search API, away from the platform.
@@ -157,11 +157,13 @@
 		return Operator{}, err
 	}
 	r.require("listen", "settings", "indices", "servers")
-	o := Operator{Text: local, Name: r.str("name", "saffronquay"), Listen: r.str("listen", ""),
+	o := Operator{
+		Text: local, Name: r.str("name", "saffronquay"), Listen: r.str("listen", ""),
 		Operator: r.str("operator", ""), TenantHeader: r.str("tenant_header", "X-Tenant"), Settings: readSettings(r.object("settings")),
 		Sockets: r.object("limits").count("sockets", 1024), MemoryMB: r.object("limits").count("memory_mb", 192),
 		Budgets: map[string]broker.Budget{}, Indices: map[string]opensearch.Index{},
-		Addresses: map[sq.ServerID]string{}}
+		Addresses: map[sq.ServerID]string{},
+	}
 	r.hostPort("listen", o.Listen)
 	r.optionalHostPort("operator", o.Operator)
 	if o.Seed, err = strconv.ParseUint(r.str("seed", "0"), 16, 64); err != nil {
@@ -238,8 +240,10 @@
 
 // cursors reads the bounds of points in time, and the key that seals their tokens.
 func (o *Operator) cursors(r reader) {
-	o.Cursors = &Cursors{Most: r.count("most", 100), MaxKeep: time.Duration(r.integer("max_keep_ms", 300_000)) * time.Millisecond,
-		MaxAge: time.Duration(r.integer("max_age_ms", 3_600_000)) * time.Millisecond}
+	o.Cursors = &Cursors{
+		Most: r.count("most", 100), MaxKeep: time.Duration(r.integer("max_keep_ms", 300_000)) * time.Millisecond,
+		MaxAge: time.Duration(r.integer("max_age_ms", 3_600_000)) * time.Millisecond,
+	}
 	if o.Cursors.Most < 1 || o.Cursors.Most > 10_000 {
 		r.fault("most", "want 1 to 10000, not %d", o.Cursors.Most)
 	}
@@ -292,8 +296,10 @@
 	for _, p := range r.array("peers") {
 		v.Peers = append(v.Peers, p.addrPort("address", p.str("address", "")))
 	}
-	v.Router = vrrp.Config{VRID: byte(vrid), Priority: byte(priority), Interval: ms / 10,
-		Preempt: !r.has("preempt") || r.boolean("preempt"), Primary: v.Listen.Addr()}
+	v.Router = vrrp.Config{
+		VRID: byte(vrid), Priority: byte(priority), Interval: ms / 10,
+		Preempt: !r.has("preempt") || r.boolean("preempt"), Primary: v.Listen.Addr(),
+	}
 	if host, _, err := net.SplitHostPort(v.Service); err == nil {
 		ip, err := netip.ParseAddr(host)
 		if err != nil || !ip.Is4() {
@@ -352,8 +358,10 @@
 	} else if x.has("ranges") {
 		x.fault("ranges", "the layout says where they are")
 	}
-	ix := opensearch.Index{Name: x.str("name", ""), Class: x.str("class", ""), Field: x.str("field", ""),
-		PartWork: x.integer("part_work_us", 0), Placed: placed}
+	ix := opensearch.Index{
+		Name: x.str("name", ""), Class: x.str("class", ""), Field: x.str("field", ""),
+		PartWork: x.integer("part_work_us", 0), Placed: placed,
+	}
 	switch form := x.str("partials", "json"); form {
 	case "json":
 	case "protobuf":
--- a/internal/config/regions.go
+++ b/internal/config/regions.go
@@ -2,9 +2,8 @@
 
 import (
 	"maps"
-	"slices"
-
 	"saffronquay/internal/fleet"
+	"slices"
 )
 
 // mostVoters is how many may vote in one agreement.
--- a/internal/config/regions_test.go
+++ b/internal/config/regions_test.go
@@ -2,11 +2,10 @@
 
 import (
 	"os"
+	"saffronquay/internal/config"
 	"slices"
 	"strings"
 	"testing"
-
-	"saffronquay/internal/config"
 )
 
 // The example has two regions; each fault is told with its key, and all that are in a file at once.
--- a/internal/config/rollout.go
+++ b/internal/config/rollout.go
@@ -35,8 +35,10 @@
 // rollout reads who agrees on versions of the policy.
 func (o *Operator) rollout(r reader) {
 	r.require("listen", "members")
-	x := &Rollout{Listen: r.addrPort("listen", r.str("listen", "")), Members: map[string]netip.AddrPort{}, Lease: ms(r, "lease_ms", 2000, 200, 60_000),
-		Drift: r.float("drift", 0.01), Share: r.boolean("share"), Region: r.str("region", "")}
+	x := &Rollout{
+		Listen: r.addrPort("listen", r.str("listen", "")), Members: map[string]netip.AddrPort{}, Lease: ms(r, "lease_ms", 2000, 200, 60_000),
+		Drift: r.float("drift", 0.01), Share: r.boolean("share"), Region: r.str("region", ""),
+	}
 	if r.has("hold_ms") {
 		x.Hold = ms(r, "hold_ms", 200, 20, 5000)
 	}
--- a/internal/config/rollout_test.go
+++ b/internal/config/rollout_test.go
@@ -2,11 +2,11 @@
 
 import (
 	"os"
+	"saffronquay/internal/config"
 	"strings"
 	"testing"
 
 	sq "saffronquay"
-	"saffronquay/internal/config"
 )
 
 // The example agrees on its policy; each fault is told with its key; a policy replaces the keys that are policy, and no others.
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -48,15 +48,19 @@
 		CallOverhead: fam.integer("overhead_us", 0), PartsPerCall: fam.count("parts_a_call", 0),
 		AskMembership:  r.str("membership_mode", "") == "ask",
 		OverShareWorth: r.float("over_share_worth", 0),
-		Limits: sq.Limits{MaxTries: perm.count("most_tries", 0), SecondCopies: perm.boolean("second_copies"),
+		Limits: sq.Limits{
+			MaxTries: perm.count("most_tries", 0), SecondCopies: perm.boolean("second_copies"),
 			MayCancel: perm.boolean("may_cancel"), Peers: perm.boolean("peers"),
-			RetryAfter: perm.boolean("retry_after"), MaxRetryAfter: perm.integer("max_retry_after_us", 0)},
+			RetryAfter: perm.boolean("retry_after"), MaxRetryAfter: perm.integer("max_retry_after_us", 0),
+		},
 		Prices: sq.Prices{CrossZone: r.object("prices").float("cross_zone", 0)},
-		Rules: sq.Rules{AnswerGrace: rules.integer("grace_to_answer_us", 0),
-			DrainGrace: rules.integer("stop_sending_within_us", 0), ColdShare: rules.float("cold_share", 0),
+		Rules: sq.Rules{
+			AnswerGrace: rules.integer("grace_to_answer_us", 0),
+			DrainGrace:  rules.integer("stop_sending_within_us", 0), ColdShare: rules.float("cold_share", 0),
 			WarmWithin: rules.integer("warm_within_us", 0), FallMultiple: rules.float("fall_multiple", 0),
 			FallWindow: rules.integer("fall_us", 0), AskWithin: rules.integer("ask_within_us", 0),
-			FreeExtras: rules.float("free_resends", 0), ExtraWindow: rules.integer("extra_window_us", 0)},
+			FreeExtras: rules.float("free_resends", 0), ExtraWindow: rules.integer("extra_window_us", 0),
+		},
 	}
 	if rules.has("extra_ratio") {
 		m.Rules.Budgeted, m.Rules.ExtraRatio = true, rules.float("extra_ratio", 0)
@@ -74,11 +78,13 @@
 		if !ok {
 			c.fault("effect", "unknown effect %q of class %q", c.str("effect", ""), c.str("name", ""))
 		}
-		m.Classes = append(m.Classes, sq.Class{Name: c.str("name", ""), Aim: c.integer("aim_us", 0),
+		m.Classes = append(m.Classes, sq.Class{
+			Name: c.str("name", ""), Aim: c.integer("aim_us", 0),
 			AimStretch: c.float("aim_stretch", 0), HardLimit: c.integer("hard_limit_us", 0),
 			Worth: c.float("worth", 0), LateWorth: c.float("late_worth", 0), Effect: effect,
 			RepeatWindow: c.integer("repeat_window_us", 0), Need: whole[i], Floor: floor[i],
-			Partial: partial[i], Fetch: int(fetch[i])})
+			Partial: partial[i], Fetch: int(fetch[i]),
+		})
 	}
 	return s
 }
--- a/internal/config/sites_test.go
+++ b/internal/config/sites_test.go
@@ -21,7 +21,8 @@
 	asks           bool
 	tenants        int
 }{
-	{"paso-freight", `{"me":1,"balancers":3,"areas":["north-quay","south-quay"],"zone":"south-quay","period_us":4000,"membership_mode":"ask",
+	{
+		"paso-freight", `{"me":1,"balancers":3,"areas":["north-quay","south-quay"],"zone":"south-quay","period_us":4000,"membership_mode":"ask",
 	"over_share_worth":0.2,"telemetry":{"how":"pull","fields":["outstanding"]},"counted_by":"request","unheard_of":{"a":[1,null]},
 	"classes":[
 	 {"name":"track","effect":"free","aim_us":700000,"hard_limit_us":1600000,"worth":1,"late_worth":0.2},
@@ -41,11 +42,17 @@
 			{Name: "manifest", Aim: 1_200_000, HardLimit: 2_500_000, Worth: 2, Need: 1, Floor: 1, Partial: 0.9},
 			{Name: "amend", Aim: 900_000, HardLimit: 2_500_000, Worth: 2, LateWorth: 0.4, Effect: sq.Deduped, RepeatWindow: 1_500_000, Need: 1, Floor: 1, Partial: 0.9},
 			{Name: "release-hold", Aim: 900_000, HardLimit: 3_000_000, Worth: 4, LateWorth: 0.5, Effect: sq.AtMostOnce, Need: 1, Floor: 1, Partial: 0.9},
-			{Name: "yard-count", Aim: 1_500_000, HardLimit: 4_000_000, Worth: 3, LateWorth: 0.3, Need: 0.8, Floor: 0.5, Partial: 0.8}},
+			{Name: "yard-count", Aim: 1_500_000, HardLimit: 4_000_000, Worth: 3, LateWorth: 0.3, Need: 0.8, Floor: 0.5, Partial: 0.8},
+		},
 		sq.Limits{MaxTries: 3, SecondCopies: true, RetryAfter: true, MaxRetryAfter: 800_000},
-		sq.Rules{AnswerGrace: 20_000, DrainGrace: 400_000, ColdShare: 0.25, WarmWithin: 12_000_000, FallMultiple: 3, FallWindow: 2_000_000,
-			AskWithin: 10_000_000, Budgeted: true, FreeExtras: 8, ExtraRatio: 0.15, ExtraWindow: 8_000_000}, true, 3},
-	{"delta-clinics", `{"me":0,"balancers":2,"areas":["levee"],"zone":"levee","period_us":10000,"membership_mode":"push","over_share_worth":0.3,
+		sq.Rules{
+			AnswerGrace: 20_000, DrainGrace: 400_000, ColdShare: 0.25, WarmWithin: 12_000_000, FallMultiple: 3, FallWindow: 2_000_000,
+			AskWithin: 10_000_000, Budgeted: true, FreeExtras: 8, ExtraRatio: 0.15, ExtraWindow: 8_000_000,
+		},
+		true, 3,
+	},
+	{
+		"delta-clinics", `{"me":0,"balancers":2,"areas":["levee"],"zone":"levee","period_us":10000,"membership_mode":"push","over_share_worth":0.3,
 	"telemetry":{"how":"silent","fields":[]},"classes":[
 	 {"name":"prescribe","effect":"single_shot","aim_us":5000000,"hard_limit_us":12000000,"worth":3,"late_worth":0.6},
 	 {"name":"lookup","effect":"guarded","repeat_window_us":4000000,"aim_us":3500000,"hard_limit_us":9000000,"worth":1,"late_worth":0.1}],
@@ -57,9 +64,12 @@
 	"rules":{"cold_share":0.3,"warm_within_us":11000000,"fall_multiple":2,"fall_us":2500000,"grace_to_answer_us":20000,"stop_sending_within_us":600000}}`,
 		[]sq.Class{
 			{Name: "prescribe", Aim: 5_000_000, HardLimit: 12_000_000, Worth: 3, LateWorth: 0.6, Effect: sq.AtMostOnce, Need: 1, Floor: 1, Partial: 0.9},
-			{Name: "lookup", Aim: 3_500_000, HardLimit: 9_000_000, Worth: 1, LateWorth: 0.1, Effect: sq.Deduped, RepeatWindow: 4_000_000, Need: 1, Floor: 1, Partial: 0.9}},
+			{Name: "lookup", Aim: 3_500_000, HardLimit: 9_000_000, Worth: 1, LateWorth: 0.1, Effect: sq.Deduped, RepeatWindow: 4_000_000, Need: 1, Floor: 1, Partial: 0.9},
+		},
 		sq.Limits{MaxTries: 2, MayCancel: true, RetryAfter: true, MaxRetryAfter: 1_500_000},
-		sq.Rules{AnswerGrace: 20_000, DrainGrace: 600_000, ColdShare: 0.3, WarmWithin: 11_000_000, FallMultiple: 2, FallWindow: 2_500_000}, false, 2},
+		sq.Rules{AnswerGrace: 20_000, DrainGrace: 600_000, ColdShare: 0.3, WarmWithin: 11_000_000, FallMultiple: 2, FallWindow: 2_500_000},
+		false, 2,
+	},
 }
 
 // Settings of other customers come to just what they say, serve, and stay apart: nothing of one site is left where another's is read.
@@ -89,8 +99,10 @@
 				t.Errorf("%s: %v", site.name, err)
 			}
 			for _, other := range []struct{ key, was, is string }{
-				{"effect", `"effect":"single_shot"`, `"effect":"once"`}, {"hard_limit_us", `"hard_limit_us":9000000`, `"hard_limit_us":0`},
-				{"hard_limit_us", `"hard_limit_us":1600000`, `"hard_limit_us":"soon"`}, {"floor_by_class", `"floor_by_class":[1,`, `"floor_by_class":[`},
+				{"effect", `"effect":"single_shot"`, `"effect":"once"`},
+				{"hard_limit_us", `"hard_limit_us":9000000`, `"hard_limit_us":0`},
+				{"hard_limit_us", `"hard_limit_us":1600000`, `"hard_limit_us":"soon"`},
+				{"floor_by_class", `"floor_by_class":[1,`, `"floor_by_class":[`},
 			} {
 				if !strings.Contains(site.settings, other.was) {
 					continue
@@ -116,9 +128,11 @@
 		t.Fatal(files, err)
 	}
 	named := regexp.MustCompile(`(?m)^name = "([a-z-]{5,})"`)
-	words := map[string]bool{"ledger-cordoba": true, "santander-central": true, "rio-cobre": true, "filing-submit": true, "invoice-search": true,
+	words := map[string]bool{
+		"ledger-cordoba": true, "santander-central": true, "rio-cobre": true, "filing-submit": true, "invoice-search": true,
 		"annual-summary": true, "meter-history": true, "gate-order": true, "usage-summary": true, "ad-booking": true, "network-report": true,
-		"show-lookup": true, "estudio-": true}
+		"show-lookup": true, "estudio-": true,
+	}
 	for _, f := range files {
 		text, err := os.ReadFile(f)
 		if err != nil {
--- a/internal/config/teams_test.go
+++ b/internal/config/teams_test.go
@@ -4,10 +4,9 @@
 	"encoding/json"
 	"fmt"
 	"os"
+	"saffronquay/internal/config"
 	"testing"
 	"time"
-
-	"saffronquay/internal/config"
 )
 
 // A policy of 10,000 teams is read in a time that grows with their number, not with its square.
--- a/internal/contract/contract_test.go
+++ b/internal/contract/contract_test.go
@@ -54,8 +54,10 @@
 }
 
 func newWorld(t testing.TB, cfg Config) *world {
-	return &world{t: t, g: New(cfg), cores: int(cfg.Cores), left: map[int64]int{}, took: map[int64]float64{}, asks: map[int64]Ask{},
-		lies: map[string]float64{}, served: map[string]float64{}, start: map[int64]int64{}, ended: func(int64) {}}
+	return &world{
+		t: t, g: New(cfg), cores: int(cfg.Cores), left: map[int64]int{}, took: map[int64]float64{}, asks: map[int64]Ask{},
+		lies: map[string]float64{}, served: map[string]float64{}, start: map[int64]int64{}, ended: func(int64) {},
+	}
 }
 
 func (w *world) at(t int64, do func()) { heap.Push(&w.events, moment{t, do}) }
--- a/internal/contract/gate.go
+++ b/internal/contract/gate.go
@@ -204,8 +204,10 @@
 		return NoClass, 0
 	}
 	g.order++
-	q := &query{id: a.ID, n: n, parts: max(a.Parts, 1), deadline: a.Deadline, order: g.order,
-		hint: max(a.Work, leastWork*float64(max(a.Parts, 1)))}
+	q := &query{
+		id: a.ID, n: n, parts: max(a.Parts, 1), deadline: a.Deadline, order: g.order,
+		hint: max(a.Work, leastWork*float64(max(a.Parts, 1))),
+	}
 	q.work = q.hint * n.ratio
 	n.accounts.Predicted += q.hint
 	wait := int64(usualWait)
--- a/internal/contract/tree.go
+++ b/internal/contract/tree.go
@@ -141,6 +141,7 @@
 func (c children) Less(i, j int) bool {
 	return c[i].tag < c[j].tag || c[i].tag == c[j].tag && c[i].Name < c[j].Name
 }
+
 func (c children) Swap(i, j int) {
 	c[i], c[j] = c[j], c[i]
 	c[i].at, c[j].at = i, j
--- a/internal/events/events_test.go
+++ b/internal/events/events_test.go
@@ -11,12 +11,11 @@
 	"log"
 	"log/slog"
 	"path/filepath"
+	"saffronquay/internal/events"
 	"slices"
 	"strconv"
 	"strings"
 	"testing"
-
-	"saffronquay/internal/events"
 )
 
 func TestLines(t *testing.T) {
--- a/internal/events/names.go
+++ b/internal/events/names.go
@@ -110,5 +110,7 @@
 }
 
 // often are the events that may come by the thousand: of each, so many a second are written, and then how many were not.
-var often = map[Name]int{VrrpDiscard: 5, VrrpRead: 5, VrrpSend: 5, Accept: 5, DoorAccept: 5, Note: 20, StoreFails: 5,
-	Peer: 100, PeerDropped: 5, PeerNap: 2, RolloutApart: 2, RolloutJoined: 2}
+var often = map[Name]int{
+	VrrpDiscard: 5, VrrpRead: 5, VrrpSend: 5, Accept: 5, DoorAccept: 5, Note: 20, StoreFails: 5,
+	Peer: 100, PeerDropped: 5, PeerNap: 2, RolloutApart: 2, RolloutJoined: 2,
+}
--- a/internal/faults/faults.go
+++ b/internal/faults/faults.go
@@ -50,8 +50,10 @@
 )
 
 // shape is what follows a kind's name: p a share, d a time, a and b sets.
-var shape = map[Kind]string{Loss: "p", Cut: "ab", Half: "ab", Delay: "dab", Repeat: "p", Kill: "a", Start: "a", Move: "a", Stop: "a",
-	Slow: "da", Leave: "a", Twin: "a"}
+var shape = map[Kind]string{
+	Loss: "p", Cut: "ab", Half: "ab", Delay: "dab", Repeat: "p", Kill: "a", Start: "a", Move: "a", Stop: "a",
+	Slow: "da", Leave: "a", Twin: "a",
+}
 
 // Lasting tells whether a step holds for a time, and is over after it.
 func (k Kind) Lasting() bool {
--- a/internal/fleet/core.go
+++ b/internal/fleet/core.go
@@ -5,10 +5,9 @@
 	"math"
 	"math/rand/v2"
 	"net/netip"
+	"saffronquay/internal/fleet/wire"
 
 	"google.golang.org/protobuf/proto"
-
-	"saffronquay/internal/fleet/wire"
 )
 
 // Config is what a core is made of. Times are microseconds; nought takes the default.
@@ -201,11 +200,15 @@
 	if cfg.Allowed == nil {
 		cfg.Allowed = func(netip.Addr) bool { return true }
 	}
-	c := &Core{cfg: cfg, rng: rng, members: map[string]*member{}, relays: map[uint32]relay{}, heard: map[uint64]struct{}{}, changed: now, probeAt: now + rng.Int64N(cfg.Period),
-		exchangeAt: now + rng.Int64N(cfg.Exchange), joinAt: now + rng.Int64N(cfg.Period/4+1), joinWait: cfg.Period}
+	c := &Core{
+		cfg: cfg, rng: rng, members: map[string]*member{}, relays: map[uint32]relay{}, heard: map[uint64]struct{}{}, changed: now, probeAt: now + rng.Int64N(cfg.Period),
+		exchangeAt: now + rng.Int64N(cfg.Exchange), joinAt: now + rng.Int64N(cfg.Period/4+1), joinWait: cfg.Period,
+	}
 	c.newsAt = c.probeAt
-	c.self = &member{at: -1, heap: -1, since: now, Record: Record{Name: cfg.Name, Start: cfg.Start, State: Alive, Address: cfg.Address,
-		Zone: cfg.Zone, Version: cfg.Version, Facts: cfg.Facts}}
+	c.self = &member{at: -1, heap: -1, since: now, Record: Record{
+		Name: cfg.Name, Start: cfg.Start, State: Alive, Address: cfg.Address,
+		Zone: cfg.Zone, Version: cfg.Version, Facts: cfg.Facts,
+	}}
 	c.count(c.self.Record)
 	c.news.add(now, c.self, 0)
 	return c, nil
--- a/internal/fleet/core_test.go
+++ b/internal/fleet/core_test.go
@@ -4,13 +4,13 @@
 	"fmt"
 	"math/rand/v2"
 	"net/netip"
+	"saffronquay/internal/fleet/wire"
 	"slices"
 	"strings"
 	"testing"
 
 	"pgregory.net/rapid"
 
-	"saffronquay/internal/fleet/wire"
 	_ "saffronquay/internal/lab/steady"
 )
 
@@ -145,8 +145,17 @@
 	for _, x := range []struct {
 		at           int64
 		reckon, want int
-	}{{0, 300, 300}, {1, 310, 310}, {2, 150, 310}, {2 * second, 150, 279}, {2*second + 1, 150, 279}, {3 * second, 150, 252}, {3*second + 1, 400, 400}, {4 * second, 0, 400},
-		{5 * second, 399, 399}} {
+	}{
+		{0, 300, 300},
+		{1, 310, 310},
+		{2, 150, 310},
+		{2 * second, 150, 279},
+		{2*second + 1, 150, 279},
+		{3 * second, 150, 252},
+		{3*second + 1, 400, 400},
+		{4 * second, 0, 400},
+		{5 * second, 399, 399},
+	} {
 		if n, _ := f.Follow(x.at, x.reckon); n != x.want {
 			t.Errorf("at %d, of %d: %d, want %d", x.at, x.reckon, n, x.want)
 		}
@@ -175,9 +184,16 @@
 		what string
 		b    []byte
 		err  error
-	}{{"cut", good[:len(good)-1], ErrChecksum}, {"empty", nil, ErrLength}, {"long", make([]byte, MaxDatagram+1), ErrLength}, {"another version", other, ErrForm},
-		{"another fleet", packet("g", "a", "127.0.0.5:1"), ErrFleet}, {"outside", packet("f", "a", "10.0.0.1:1"), ErrAddress}, {"no name", packet("f", "", "127.0.0.5:1"), ErrBroken},
-		{"no address", packet("f", "a", "127.0.0.5"), ErrBroken}} {
+	}{
+		{"cut", good[:len(good)-1], ErrChecksum},
+		{"empty", nil, ErrLength},
+		{"long", make([]byte, MaxDatagram+1), ErrLength},
+		{"another version", other, ErrForm},
+		{"another fleet", packet("g", "a", "127.0.0.5:1"), ErrFleet},
+		{"outside", packet("f", "a", "10.0.0.1:1"), ErrAddress},
+		{"no name", packet("f", "", "127.0.0.5:1"), ErrBroken},
+		{"no address", packet("f", "a", "127.0.0.5"), ErrBroken},
+	} {
 		if err := c.Receive(second, x.b); err != x.err {
 			t.Errorf("%s: %v", x.what, err)
 		}
--- a/internal/fleet/gossip/gossip.go
+++ b/internal/fleet/gossip/gossip.go
@@ -7,12 +7,11 @@
 	"math/rand/v2"
 	"net"
 	"net/netip"
+	"saffronquay/internal/events"
+	"saffronquay/internal/fleet"
 	"sync"
 	"sync/atomic"
 	"time"
-
-	"saffronquay/internal/events"
-	"saffronquay/internal/fleet"
 )
 
 // Config is what a gatherer's part in a fleet is made of.
@@ -77,8 +76,10 @@
 // Open opens the sockets. now gives microseconds and never runs backwards. heard, where set, is told of the members alive and to reckon
 // with, and whether anybody was met yet, on the driver's goroutine: it must not block. Run has to follow.
 func Open(cfg Config, now func() int64, heard func(alive, reckon int, joined bool), log *slog.Logger) (*Peers, error) {
-	p := &Peers{cfg: cfg, now: now, log: log, heard: heard, in: make(chan []byte, inbox), calls: make(chan func(int64), 16), frames: make(chan exchange, 16),
-		out: make(chan struct{}, outward), stop: make(chan struct{}), done: make(chan struct{})}
+	p := &Peers{
+		cfg: cfg, now: now, log: log, heard: heard, in: make(chan []byte, inbox), calls: make(chan func(int64), 16), frames: make(chan exchange, 16),
+		out: make(chan struct{}, outward), stop: make(chan struct{}), done: make(chan struct{}),
+	}
 	if err := p.listen(); err != nil {
 		return nil, err
 	}
--- a/internal/fleet/gossip/streams.go
+++ b/internal/fleet/gossip/streams.go
@@ -8,10 +8,9 @@
 	"io"
 	"net"
 	"net/netip"
-	"time"
-
 	"saffronquay/internal/events"
 	"saffronquay/internal/fleet"
+	"time"
 )
 
 // read takes datagrams in until the socket closes.
--- a/internal/fleet/learn.go
+++ b/internal/fleet/learn.go
@@ -2,12 +2,11 @@
 
 import (
 	"container/heap"
+	"saffronquay/internal/fleet/wire"
 	"slices"
 
 	"github.com/cespare/xxhash/v2"
 	"google.golang.org/protobuf/proto"
-
-	"saffronquay/internal/fleet/wire"
 )
 
 // hear takes one record in as it was told. The same words say nothing the second time: most of what comes is known.
--- a/internal/fleet/model/measure_test.go
+++ b/internal/fleet/model/measure_test.go
@@ -4,13 +4,12 @@
 	"fmt"
 	"os"
 	"runtime"
+	"saffronquay/internal/faults"
+	"saffronquay/internal/scale/fit"
 	"slices"
 	"sync"
 	"testing"
 	"time"
-
-	"saffronquay/internal/faults"
-	"saffronquay/internal/scale/fit"
 )
 
 // sizes are those of the table, 75 to 1200 for the slopes; 30, 100 and 1000 are older rows.
@@ -76,8 +75,14 @@
 		for _, of := range []struct {
 			name string
 			take func(*row) float64
-		}{{"datagrams_s", func(x *row) float64 { return x.datagrams }}, {"bytes_s", func(x *row) float64 { return x.bytes }}, {"detect_p50_s", func(x *row) float64 { return x.detect }},
-			{"detect_max_s", func(x *row) float64 { return x.most }}, {"settled_s", func(x *row) float64 { return x.settled }}, {"kB_a_view", func(x *row) float64 { return x.kB }}} {
+		}{
+			{"datagrams_s", func(x *row) float64 { return x.datagrams }},
+			{"bytes_s", func(x *row) float64 { return x.bytes }},
+			{"detect_p50_s", func(x *row) float64 { return x.detect }},
+			{"detect_max_s", func(x *row) float64 { return x.most }},
+			{"settled_s", func(x *row) float64 { return x.settled }},
+			{"kB_a_view", func(x *row) float64 { return x.kB }},
+		} {
 			var xs, ys []float64
 			for _, n := range sizes {
 				if n >= 75 {
--- a/internal/fleet/model/model.go
+++ b/internal/fleet/model/model.go
@@ -10,11 +10,10 @@
 	"fmt"
 	"math/rand/v2"
 	"net/netip"
-	"slices"
-	"time"
-
 	"saffronquay/internal/faults"
 	"saffronquay/internal/fleet"
+	"slices"
+	"time"
 )
 
 // Config is one run.
@@ -152,8 +151,10 @@
 	if cfg.Sample == 0 {
 		cfg.Sample = 50 * time.Millisecond
 	}
-	w := &world{Config: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 0xf1ee7)), now: epoch, latest: make([]*process, cfg.Members),
-		byAddr: map[netip.AddrPort]*process{}, killed: map[uint64]int64{}, port: 7000, last: -1}
+	w := &world{
+		Config: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 0xf1ee7)), now: epoch, latest: make([]*process, cfg.Members),
+		byAddr: map[netip.AddrPort]*process{}, killed: map[uint64]int64{}, port: 7000, last: -1,
+	}
 	for i := range cfg.Members {
 		at := int64(0)
 		if cfg.Spread > 0 && i >= cfg.Seeds {
--- a/internal/fleet/model/proof_test.go
+++ b/internal/fleet/model/proof_test.go
@@ -6,14 +6,13 @@
 	"os"
 	"runtime"
 	"runtime/debug"
+	"saffronquay/internal/faults"
+	"saffronquay/internal/lab"
 	"slices"
 	"strings"
 	"sync"
 	"testing"
 	"time"
-
-	"saffronquay/internal/faults"
-	"saffronquay/internal/lab"
 )
 
 // trial is one seed's day: what happens, when the last of it is over, and whether cuts make deaths of those that run right.
@@ -67,8 +66,10 @@
 			defer wg.Done()
 			for seed := range work {
 				script, after, cuts := trial(seed, members)
-				cfg := Config{Members: members, Seed: seed, Warm: seed%8 != 3, Seeds: 3, Delay: 500 * time.Microsecond, Length: after + soon + time.Second,
-					Sample: 100 * time.Millisecond, Enough: 3 * time.Second, CountFrom: 5 * time.Second}
+				cfg := Config{
+					Members: members, Seed: seed, Warm: seed%8 != 3, Seeds: 3, Delay: 500 * time.Microsecond, Length: after + soon + time.Second,
+					Sample: 100 * time.Millisecond, Enough: 3 * time.Second, CountFrom: 5 * time.Second,
+				}
 				if !cfg.Warm {
 					cfg.Spread = time.Second
 				}
--- a/internal/fleet/model/scenes_test.go
+++ b/internal/fleet/model/scenes_test.go
@@ -2,14 +2,13 @@
 
 import (
 	"fmt"
+	"saffronquay/internal/faults"
+	"saffronquay/internal/fleet"
+	"saffronquay/internal/lab"
 	"strings"
 	"sync"
 	"testing"
 	"time"
-
-	"saffronquay/internal/faults"
-	"saffronquay/internal/fleet"
-	"saffronquay/internal/lab"
 )
 
 // play plays a script, and prints it with its seed where the test fails.
@@ -61,8 +60,10 @@
 			}
 		}
 	}},
-	{name: "three parts, healed in pieces", members: 60, after: 22 * time.Second, deaths: true,
-		script: "at 5s for 17s cut 0-19 40-59\nat 5s for 10s cut 0-19 20-39\nat 5s for 14s cut 20-39 40-59"},
+	{
+		name: "three parts, healed in pieces", members: 60, after: 22 * time.Second, deaths: true,
+		script: "at 5s for 17s cut 0-19 40-59\nat 5s for 10s cut 0-19 20-39\nat 5s for 14s cut 20-39 40-59",
+	},
 	{name: "one way", members: 30, script: "at 5s for 15s half 3 7"},
 	{name: "a pair cut", members: 30, script: "at 5s for 20s cut 3 7"},
 	{name: "30% lost", members: 30, loss: 0.3, script: ""},
@@ -75,12 +76,14 @@
 	{name: "restart within the suspicion", members: 30, script: "at 5s kill 3\nat 5500ms start 3", after: 5500 * time.Millisecond, check: replacedAtOnce},
 	{name: "restart at another address", members: 30, script: "at 5s kill 3\nat 5500ms move 3", after: 5500 * time.Millisecond, check: replacedAtOnce},
 	{name: "the seed dies while 300 start", members: 300, spread: time.Second, script: "at 500ms kill 0\nat 6s start 0", after: 6 * time.Second},
-	{name: "nobody to join", members: 12, seeds: 3, script: "at 100ms kill 11\nat 5s kill 0-2\nat 8s move 11\nat 16s start 0", after: 16 * time.Second,
+	{
+		name: "nobody to join", members: 12, seeds: 3, script: "at 100ms kill 11\nat 5s kill 0-2\nat 8s move 11\nat 16s start 0", after: 16 * time.Second,
 		check: func(t *testing.T, r Result) {
 			if r.Alone == 0 {
 				t.Error("it never told that nobody answers")
 			}
-		}},
+		},
+	},
 	{name: "60% replaced within 7 s", members: 100, after: 12 * time.Second, script: func() (s string) {
 		for i := range 60 {
 			s += fmt.Sprintf("at %dms kill %d\nat %dms move %d\n", 5000+100*i, 40+i, 6000+100*i, 40+i)
--- a/internal/fleet/probe.go
+++ b/internal/fleet/probe.go
@@ -4,7 +4,6 @@
 	"container/heap"
 	"math"
 	"net/netip"
-
 	"saffronquay/internal/fleet/wire"
 )
 
--- a/internal/fleet/record.go
+++ b/internal/fleet/record.go
@@ -6,14 +6,13 @@
 	"fmt"
 	"hash/crc32"
 	"net/netip"
+	"saffronquay/internal/fleet/wire"
 	"slices"
 	"unicode"
 	"unicode/utf8"
 
 	"github.com/cespare/xxhash/v2"
 	"google.golang.org/protobuf/proto"
-
-	"saffronquay/internal/fleet/wire"
 )
 
 // State is how a member stands in a view.
@@ -144,8 +143,10 @@
 }
 
 func words(r Record, age int64) *wire.Member {
-	m := &wire.Member{Name: r.Name, Start: r.Start, Incarnation: r.Incarnation, Revision: r.Revision, State: uint32(r.State),
-		Address: r.Address.String(), Zone: r.Zone, Version: r.Version, Policy: r.Facts.Policy, By: r.By}
+	m := &wire.Member{
+		Name: r.Name, Start: r.Start, Incarnation: r.Incarnation, Revision: r.Revision, State: uint32(r.State),
+		Address: r.Address.String(), Zone: r.Zone, Version: r.Version, Policy: r.Facts.Policy, By: r.By,
+	}
 	if r.Facts.Agrees.IsValid() {
 		m.Agrees = r.Facts.Agrees.String()
 	}
@@ -163,8 +164,10 @@
 
 // read reads a record; an error says that it is none.
 func read(m *wire.Member) (r Record, err error) {
-	r = Record{Name: m.Name, Start: m.Start, Incarnation: m.Incarnation, Revision: m.Revision, State: State(min(m.State, 255)),
-		Zone: m.Zone, Version: m.Version, Facts: Facts{Draining: m.Flags&1 != 0, Standby: m.Flags&2 != 0, Policy: m.Policy}}
+	r = Record{
+		Name: m.Name, Start: m.Start, Incarnation: m.Incarnation, Revision: m.Revision, State: State(min(m.State, 255)),
+		Zone: m.Zone, Version: m.Version, Facts: Facts{Draining: m.Flags&1 != 0, Standby: m.Flags&2 != 0, Policy: m.Policy},
+	}
 	if CheckName(r.Name) != nil || r.Start == 0 || r.State < Alive || r.State > Left || len(m.By) > mostBy {
 		return r, ErrBroken
 	}
--- a/internal/fleet/self.go
+++ b/internal/fleet/self.go
@@ -2,7 +2,6 @@
 
 import (
 	"net/netip"
-
 	"saffronquay/internal/fleet/wire"
 )
 
--- a/internal/fleet/view.go
+++ b/internal/fleet/view.go
@@ -74,8 +74,10 @@
 
 // View copies all: O(members log members).
 func (c *Core) View(now int64) View {
-	v := View{Digest: c.digest, Changed: c.changed, Alive: c.Alive(), Reckon: c.Reckon(now), Ill: c.ill, Later: c.later, Alone: c.alone,
-		Twin: c.twin != 0 && now-c.twin < 3*c.cfg.Exchange}
+	v := View{
+		Digest: c.digest, Changed: c.changed, Alive: c.Alive(), Reckon: c.Reckon(now), Ill: c.ill, Later: c.later, Alone: c.alone,
+		Twin: c.twin != 0 && now-c.twin < 3*c.cfg.Exchange,
+	}
 	if !c.later {
 		v.Members = append(v.Members, Member{c.self.Record, c.self.since, true})
 	}
--- a/internal/gatherer/bugs_seeded.go
+++ b/internal/gatherer/bugs_seeded.go
@@ -4,10 +4,9 @@
 
 import (
 	"os"
-	"strings"
-
 	"saffronquay/internal/fleet"
 	"saffronquay/internal/rollout"
+	"strings"
 )
 
 // seed puts the seeded faults in that SAFFRONQUAY_SEEDED_BUG names, with commas between.
--- a/internal/gatherer/durable.go
+++ b/internal/gatherer/durable.go
@@ -10,12 +10,6 @@
 	"log/slog"
 	"os"
 	"path/filepath"
-	"sync"
-	"time"
-
-	"google.golang.org/protobuf/proto"
-
-	sq "saffronquay"
 	"saffronquay/internal/broker"
 	"saffronquay/internal/config"
 	"saffronquay/internal/cursor"
@@ -26,6 +20,12 @@
 	"saffronquay/internal/store"
 	"saffronquay/internal/store/form"
 	"saffronquay/internal/transport"
+	"sync"
+	"time"
+
+	"google.golang.org/protobuf/proto"
+
+	sq "saffronquay"
 )
 
 // durable is what of this gatherer outlasts the process: the store, and who keeps what in it.
@@ -100,8 +100,10 @@
 	if d.cfg.Single {
 		batch = 1
 	}
-	opt := store.Options{ID: nonce(), Now: func() int64 { return time.Since(began).Microseconds() }, Keep: d.cfg.Keep.Microseconds(),
-		SegmentSize: d.cfg.SegmentSize, MaxBatch: batch, CleanEvery: time.Second, ScrubEvery: scrubEvery, Log: d.log}
+	opt := store.Options{
+		ID: nonce(), Now: func() int64 { return time.Since(began).Microseconds() }, Keep: d.cfg.Keep.Microseconds(),
+		SegmentSize: d.cfg.SegmentSize, MaxBatch: batch, CleanEvery: time.Second, ScrubEvery: scrubEvery, Log: d.log,
+	}
 	for told := false; ; {
 		late := time.Since(began) > d.cfg.Takeover
 		d.store, err = store.Open(d.dirs, opt, late)
@@ -383,8 +385,10 @@
 func (d *durable) figures() operations.StoreFigures {
 	bytes, keys := d.store.Size()
 	f := d.store.Figures()
-	s := operations.StoreFigures{Bytes: bytes, Keys: int64(keys), Open: int64(d.ledger.Held()), Unknown: int64(len(d.store.Unknown())),
-		Appends: f.Appends.Load(), Syncs: f.Syncs.Load(), Failed: f.Failed.Load(), Cleaned: f.Cleaned.Load()}
+	s := operations.StoreFigures{
+		Bytes: bytes, Keys: int64(keys), Open: int64(d.ledger.Held()), Unknown: int64(len(d.store.Unknown())),
+		Appends: f.Appends.Load(), Syncs: f.Syncs.Load(), Failed: f.Failed.Load(), Cleaned: f.Cleaned.Load(),
+	}
 	if d.store.Health() != nil {
 		s.Failing = 1
 	}
--- a/internal/gatherer/force.go
+++ b/internal/gatherer/force.go
@@ -5,13 +5,12 @@
 	"errors"
 	"fmt"
 	"log/slog"
-
-	"google.golang.org/protobuf/proto"
-
 	"saffronquay/internal/config"
 	"saffronquay/internal/rollout"
 	"saffronquay/internal/rollout/wire"
 	"saffronquay/internal/store"
+
+	"google.golang.org/protobuf/proto"
 )
 
 // ForceNewFleet makes the fleet that agrees on the policy anew out of one voter's store, while that gatherer does not run; or with do
--- a/internal/gatherer/gatherer.go
+++ b/internal/gatherer/gatherer.go
@@ -9,11 +9,6 @@
 	"net"
 	"os"
 	"runtime/debug"
-	"sync"
-	"sync/atomic"
-	"time"
-
-	sq "saffronquay"
 	"saffronquay/internal/broker"
 	"saffronquay/internal/config"
 	"saffronquay/internal/events"
@@ -22,6 +17,11 @@
 	"saffronquay/internal/peers"
 	"saffronquay/internal/platform"
 	"saffronquay/internal/transport"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	sq "saffronquay"
 )
 
 // Gatherer is a running one: the program's parts, joined. One goroutine of its own owns what has no owner of its own below.
@@ -72,9 +72,11 @@
 		return nil, fmt.Errorf("configuration: log: %w", err)
 	}
 	debug.SetMemoryLimit(int64(p.memoryMB) << 20 * 3 / 4)
-	g := &Gatherer{Plan: p, logger: logger, clock: transport.NewClock(), served: make(chan error, 1),
+	g := &Gatherer{
+		Plan: p, logger: logger, clock: transport.NewClock(), served: make(chan error, 1),
 		turn: make(chan struct{}, 1), met: make(chan []handover.State, 1), hup: make(chan struct{}, 1), term: make(chan struct{}),
-		over: make(chan struct{}), deaf: make(chan struct{}), late: make(chan *members), installs: make(chan install)}
+		over: make(chan struct{}), deaf: make(chan struct{}), late: make(chan *members), installs: make(chan install),
+	}
 	g.duty, g.figures = operations.NewDuty(g.stand), operations.NewFigures()
 	if g.layout != nil {
 		g.figures.Routes = &operations.LayoutFigures{}
@@ -416,15 +418,19 @@
 	if g.watch == nil { // searches: their answers are of any size
 		held = int64(g.memoryMB) << 20 / 4
 	}
-	return broker.Terms{MaxHeld: held, Period: set.Module.Period, Shards: set.Module.Shards, MaxOpen: set.MaxOpen,
+	return broker.Terms{
+		MaxHeld: held, Period: set.Module.Period, Shards: set.Module.Shards, MaxOpen: set.MaxOpen,
 		PartsPerCall: g.partsPerCall, RetryAfter: set.Module.Limits.RetryAfter,
 		MaxRetryAfter: set.Module.Limits.MaxRetryAfter, AnswerGrace: set.Module.Period,
-		Classes: set.Module.Classes, Tenants: budgets}
+		Classes: set.Module.Classes, Tenants: budgets,
+	}
 }
 
 func (g *Gatherer) pool() transport.PoolConfig {
-	return transport.PoolConfig{ConnectTimeout: g.settings.ConnectTimeout, IdleClose: g.settings.IdleClose,
-		MaxConns: g.serverConns()}
+	return transport.PoolConfig{
+		ConnectTimeout: g.settings.ConnectTimeout, IdleClose: g.settings.IdleClose,
+		MaxConns: g.serverConns(),
+	}
 }
 
 // sockets is how many descriptors this process may hold: what the other one of this gatherer holds is missing here.
@@ -443,9 +449,11 @@
 // bounds is what one listener may hold. Clients must never take the descriptors that servers, discovery and
 // operators need.
 func (g *Gatherer) bounds() transport.ListenerConfig {
-	b := transport.ListenerConfig{MaxConns: g.sockets() - g.serverConns() - ownSockets, Enough: min(g.sockets(), smallSockets) / 4,
+	b := transport.ListenerConfig{
+		MaxConns: g.sockets() - g.serverConns() - ownSockets, Enough: min(g.sockets(), smallSockets) / 4,
 		Idle: 15 * time.Second, First: 2500 * time.Millisecond, Slow: 2500 * time.Millisecond,
-		MaxHeld: int64(g.memoryMB) << 20 / 8}
+		MaxHeld: int64(g.memoryMB) << 20 / 8,
+	}
 	if g.operator != "" {
 		b.MaxConns -= transport.DoorSockets
 	}
--- a/internal/gatherer/members.go
+++ b/internal/gatherer/members.go
@@ -4,17 +4,17 @@
 	"errors"
 	"fmt"
 	"runtime/debug"
+	"saffronquay/internal/contract"
+	"saffronquay/internal/events"
+	"saffronquay/internal/fleet"
+	"saffronquay/internal/operations"
+	"saffronquay/internal/peers"
 	"strings"
 	"sync/atomic"
 	"syscall"
 	"time"
 
 	sq "saffronquay"
-	"saffronquay/internal/contract"
-	"saffronquay/internal/events"
-	"saffronquay/internal/fleet"
-	"saffronquay/internal/operations"
-	"saffronquay/internal/peers"
 )
 
 // members is this gatherer's view of its fleet, and the number that budgets are divided by. The view is told of on the driver's
@@ -58,9 +58,11 @@
 	}
 	m := &members{told: make(chan count, 1), again: time.NewTimer(time.Hour)}
 	m.again.Stop()
-	cfg := peers.Config{Listen: f.Listen, Allow: f.Allow, Seed: g.seed, Core: fleet.Config{Fleet: f.Name, Name: g.name, Start: uint64(time.Now().UnixMicro()),
+	cfg := peers.Config{Listen: f.Listen, Allow: f.Allow, Seed: g.seed, Core: fleet.Config{
+		Fleet: f.Name, Name: g.name, Start: uint64(time.Now().UnixMicro()),
 		Address: f.Advertise, Zone: g.settings.Module.Zone, Version: programVersion(), Join: f.Join, Period: f.Period.Microseconds(),
-		Suspect: f.Suspect, Reckon: f.Reckon.Microseconds()}, Watch: g.sees}
+		Suspect: f.Suspect, Reckon: f.Reckon.Microseconds(),
+	}, Watch: g.sees}
 	seed(&cfg.Core, nil)
 	open := func() (err error) {
 		m.peers, err = peers.Open(cfg, g.clock.Now, m.hear, g.logger)
@@ -241,10 +243,12 @@
 		return operations.FleetFigures{} // not yet
 	}
 	k := m.peers.Counts()
-	return operations.FleetFigures{Alive: int64(k.Alive), Reckon: int64(k.Reckon), Suspected: int64(k.Suspected), Dead: int64(k.Dead), Ill: int64(k.Ill), Twin: int64(k.Twin),
+	return operations.FleetFigures{
+		Alive: int64(k.Alive), Reckon: int64(k.Reckon), Suspected: int64(k.Suspected), Dead: int64(k.Dead), Ill: int64(k.Ill), Twin: int64(k.Twin),
 		Sent: k.Sent, Received: k.Received, Dropped: k.Dropped + k.Outside, Bytes: k.SentBytes + k.FrameBytes, Exchanges: k.Exchanges, Failed: k.Failed,
 		Accused: k.Counts.Accused, Refuted: k.Refuted, Died: k.Died, Naps: k.Naps, Full: k.Full,
-		Traffic: trafficFigures(k.Traffic)}
+		Traffic: trafficFigures(k.Traffic),
+	}
 }
 
 // Fleet appends the view of the fleet: a line of its own, then one for each member.
--- a/internal/gatherer/parts.go
+++ b/internal/gatherer/parts.go
@@ -3,11 +3,10 @@
 import (
 	"maps"
 	"math"
-	"time"
-
 	"saffronquay/internal/broker"
 	"saffronquay/internal/contract"
 	"saffronquay/internal/share"
+	"time"
 )
 
 // parts is what this gatherer may use of each team's budget, where budgets are divided by leases on parts. The gatherer's goroutine owns it.
--- a/internal/gatherer/parts_test.go
+++ b/internal/gatherer/parts_test.go
@@ -3,15 +3,18 @@
 import (
 	"math"
 	"math/rand/v2"
-	"testing"
-
 	"saffronquay/internal/broker"
 	"saffronquay/internal/contract"
 	"saffronquay/internal/share"
+	"testing"
 )
 
-var tree = &contract.Config{Cores: 10, Gatherers: 4, Over: 1, Teams: []contract.Team{{Name: "north", Weight: 3}, {Name: "a", Parent: "north", Weight: 1},
-	{Name: "b", Parent: "north", Weight: 2}, {Name: "c", Weight: 1}}}
+var tree = &contract.Config{Cores: 10, Gatherers: 4, Over: 1, Teams: []contract.Team{
+	{Name: "north", Weight: 3},
+	{Name: "a", Parent: "north", Weight: 1},
+	{Name: "b", Parent: "north", Weight: 2},
+	{Name: "c", Weight: 1},
+}}
 
 // Over random divisions the bounds on cold servers of all gatherers come to one at most; with even parts each has its even one.
 func TestColdServersAreDivided(t *testing.T) {
--- a/internal/gatherer/plan.go
+++ b/internal/gatherer/plan.go
@@ -7,10 +7,6 @@
 	"fmt"
 	"log/slog"
 	"os"
-	"sync/atomic"
-	"time"
-
-	sq "saffronquay"
 	"saffronquay/internal/broker"
 	"saffronquay/internal/config"
 	"saffronquay/internal/contract"
@@ -20,6 +16,10 @@
 	"saffronquay/internal/opensearch"
 	"saffronquay/internal/platform"
 	"saffronquay/internal/transport"
+	"sync/atomic"
+	"time"
+
+	sq "saffronquay"
 )
 
 const (
@@ -104,7 +104,8 @@
 }
 
 func gathering(node config.Node, logger *slog.Logger) Plan {
-	return Plan{name: node.Name, listen: node.Listen, operator: node.Operator, seed: node.Seed, sockets: node.Sockets,
+	return Plan{
+		name: node.Name, listen: node.Listen, operator: node.Operator, seed: node.Seed, sockets: node.Sockets,
 		memoryMB: node.MemoryMB, settings: node.Settings, front: platform.Front{Margin: margin},
 		dialect:      platform.Workers{PerConn: node.Settings.StreamsPerConn},
 		partsPerCall: max(1, node.Settings.Module.PartsPerCall), discovery: node.Discovery,
@@ -117,7 +118,8 @@
 		again: func() (Plan, error) {
 			now, err := config.Reload(os.Getenv, os.ReadFile, node)
 			return gathering(now, logger), err
-		}}
+		},
+	}
 }
 
 // Search is the plan of an operator's file that the caller has read; the file is not read again.
@@ -143,9 +145,11 @@
 			held.by = *op.Cursors
 		}
 	}
-	front := opensearch.Front{Indices: op.Indices, TenantHeader: op.TenantHeader, Tenants: map[string]bool{},
+	front := opensearch.Front{
+		Indices: op.Indices, TenantHeader: op.TenantHeader, Tenants: map[string]bool{},
 		Longest: map[string]int64{}, Margin: margin, Layout: &held.place,
-		Cursors: keeper, Nonce: nonce}
+		Cursors: keeper, Nonce: nonce,
+	}
 	for _, t := range op.Settings.Module.Tenants {
 		front.Tenants[t.Name] = true
 	}
@@ -158,7 +162,8 @@
 			front.Once.Classes[c.Name] = c.Effect == sq.AtMostOnce
 		}
 	}
-	return Plan{name: op.Name, listen: op.Listen, operator: op.Operator, seed: op.Seed, sockets: op.Sockets, memoryMB: op.MemoryMB,
+	return Plan{
+		name: op.Name, listen: op.Listen, operator: op.Operator, seed: op.Seed, sockets: op.Sockets, memoryMB: op.MemoryMB,
 		settings: op.Settings, budgets: op.Budgets, front: front, dialect: opensearch.Servers{}, partsPerCall: 1,
 		fleet: sq.FleetChanged{Kind: sq.FleetFull, Servers: op.Servers}, addresses: op.Addresses, vrrp: op.VRRP, layout: op.Layout, place: &held.place, cursors: &held.cursors, adopt: adopt,
 		durable: held.durable, log: op.Log, contracts: op.Contracts, fleetFile: op.Fleet, rollout: op.Rollout, op: &op, held: held,
@@ -168,7 +173,8 @@
 				return Plan{}, err // of a file that can't be used nothing is made
 			}
 			return searching(now, held, logger), nil
-		}}
+		},
+	}
 }
 
 // standing is what the search front holds for as long as the process runs, whatever file is in force.
--- a/internal/gatherer/policy.go
+++ b/internal/gatherer/policy.go
@@ -5,11 +5,6 @@
 	"errors"
 	"fmt"
 	"net/netip"
-	"slices"
-	"sync"
-
-	"google.golang.org/protobuf/proto"
-
 	"saffronquay/internal/config"
 	"saffronquay/internal/fleet"
 	"saffronquay/internal/peers"
@@ -17,6 +12,10 @@
 	"saffronquay/internal/rollout/wire"
 	"saffronquay/internal/store"
 	"saffronquay/internal/transport"
+	"slices"
+	"sync"
+
+	"google.golang.org/protobuf/proto"
 )
 
 // policyHost is what the gatherer does for its part: it judges and puts in force as at SIGHUP, and keeps in the store what has to last.
@@ -72,11 +71,15 @@
 	if err := sameRegion(r, g.name, memory); err != nil {
 		return err
 	}
-	cfg := peers.PolicyConfig{Listen: r.Listen, Seed: g.seed, Memory: memory, Node: rollout.Config{Name: g.name,
-		Region: r.Region, Lease: r.Lease.Microseconds(), HoldFor: r.Hold.Microseconds(), Drift: r.Drift}}
+	cfg := peers.PolicyConfig{Listen: r.Listen, Seed: g.seed, Memory: memory, Node: rollout.Config{
+		Name:   g.name,
+		Region: r.Region, Lease: r.Lease.Microseconds(), HoldFor: r.Hold.Microseconds(), Drift: r.Drift,
+	}}
 	for name, at := range r.Members {
-		cfg.Node.Members = append(cfg.Node.Members, rollout.Member{Name: name, Address: at.String(), Voter: slices.Contains(r.Voters, name),
-			Region: r.Regions[name], Global: slices.Contains(r.Global, name)})
+		cfg.Node.Members = append(cfg.Node.Members, rollout.Member{
+			Name: name, Address: at.String(), Voter: slices.Contains(r.Voters, name),
+			Region: r.Regions[name], Global: slices.Contains(r.Global, name),
+		})
 	}
 	if r.Region != "" {
 		cfg.Global = h
--- a/internal/gatherer/policy_test.go
+++ b/internal/gatherer/policy_test.go
@@ -5,17 +5,16 @@
 	"fmt"
 	"log/slog"
 	"math/rand/v2"
-	"testing"
-	"time"
-
-	pb "go.etcd.io/raft/v3/raftpb"
-	"google.golang.org/protobuf/proto"
-
 	"saffronquay/internal/peers"
 	"saffronquay/internal/rollout"
 	"saffronquay/internal/rollout/wire"
 	"saffronquay/internal/share"
 	"saffronquay/internal/store"
+	"testing"
+	"time"
+
+	pb "go.etcd.io/raft/v3/raftpb"
+	"google.golang.org/protobuf/proto"
 )
 
 // kept opens a store in directories, and what a part in agreeing on the policy has there.
@@ -30,8 +29,10 @@
 		at[i] = d
 	}
 	began := time.Now()
-	s, err := store.Open(at, store.Options{ID: nonce(), Now: func() int64 { return time.Since(began).Microseconds() }, Keep: 900_000_000, SegmentSize: 8 << 20,
-		CleanEvery: time.Second, ScrubEvery: time.Hour, Log: slog.New(slog.DiscardHandler)}, true)
+	s, err := store.Open(at, store.Options{
+		ID: nonce(), Now: func() int64 { return time.Since(began).Microseconds() }, Keep: 900_000_000, SegmentSize: 8 << 20,
+		CleanEvery: time.Second, ScrubEvery: time.Hour, Log: slog.New(slog.DiscardHandler),
+	}, true)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -136,8 +137,10 @@
 // begins nothing: neither VRRP's election nor a part in a view. Guards sums that others reckon with against one that lets go late.
 func TestAnEndingGathererAttends(t *testing.T) {
 	for _, ending := range []bool{false, true} {
-		g := &Gatherer{parts: newParts(3, share.PPM), turn: make(chan struct{}, 1), late: make(chan *members, 1), term: make(chan struct{}),
-			hup: make(chan struct{}, 1)}
+		g := &Gatherer{
+			parts: newParts(3, share.PPM), turn: make(chan struct{}, 1), late: make(chan *members, 1), term: make(chan struct{}),
+			hup: make(chan struct{}, 1),
+		}
 		defer g.parts.tick.Stop()
 		g.parts.asks = true
 		g.parts.told <- division{}
--- a/internal/gatherer/regions.go
+++ b/internal/gatherer/regions.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-
 	"saffronquay/internal/config"
 	"saffronquay/internal/rollout"
 	"saffronquay/internal/rollout/wire"
--- a/internal/gatherer/regions_test.go
+++ b/internal/gatherer/regions_test.go
@@ -2,16 +2,15 @@
 
 import (
 	"math/rand/v2"
+	"saffronquay/internal/config"
+	"saffronquay/internal/rollout"
+	"saffronquay/internal/rollout/wire"
+	"saffronquay/internal/share"
 	"strings"
 	"testing"
 
 	pb "go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
-
-	"saffronquay/internal/config"
-	"saffronquay/internal/rollout"
-	"saffronquay/internal/rollout/wire"
-	"saffronquay/internal/share"
 )
 
 // The votes of one gatherer in its region's agreement and in the global one are kept apart, under the same ids and indexes; each is cut to a
--- a/internal/gatherer/service.go
+++ b/internal/gatherer/service.go
@@ -4,13 +4,12 @@
 	"fmt"
 	"log/slog"
 	"net"
-	"sync"
-	"time"
-
 	"saffronquay/internal/config"
 	"saffronquay/internal/events"
 	"saffronquay/internal/transport"
 	"saffronquay/internal/vrrp"
+	"sync"
+	"time"
 )
 
 // service listens at the virtual address while this gatherer is the Active router.
--- a/internal/gatherer/sockets_test.go
+++ b/internal/gatherer/sockets_test.go
@@ -4,8 +4,14 @@
 
 // Up to 1,024 descriptors servers get a third, 192 at most; beyond that all that is more goes to them, and clients keep what they had.
 func TestServersGetTheDescriptorsBeyondASmallMachines(t *testing.T) {
-	for _, c := range []struct{ sockets, servers, clients, enough int }{{192, 64, 96, 48}, {576, 192, 352, 144}, {1024, 192, 800, 256},
-		{1025, 193, 800, 256}, {4096, 3264, 800, 256}, {8192, 7360, 800, 256}} {
+	for _, c := range []struct{ sockets, servers, clients, enough int }{
+		{192, 64, 96, 48},
+		{576, 192, 352, 144},
+		{1024, 192, 800, 256},
+		{1025, 193, 800, 256},
+		{4096, 3264, 800, 256},
+		{8192, 7360, 800, 256},
+	} {
 		g := &Gatherer{Plan: Plan{sockets: c.sockets}}
 		b := g.bounds()
 		if got := g.serverConns(); got != c.servers || b.MaxConns != c.clients || b.Enough != c.enough {
--- a/internal/gatherer/standing.go
+++ b/internal/gatherer/standing.go
@@ -2,11 +2,10 @@
 
 import (
 	"fmt"
-	"strconv"
-
 	"saffronquay/internal/operations"
 	"saffronquay/internal/rollout"
 	"saffronquay/internal/rollout/wire"
+	"strconv"
 )
 
 func (g *Gatherer) rolloutFigures() (f operations.RolloutFigures) {
--- a/internal/gatherer/voterlog.go
+++ b/internal/gatherer/voterlog.go
@@ -4,6 +4,9 @@
 	"encoding/binary"
 	"fmt"
 	"maps"
+	"saffronquay/internal/rollout"
+	"saffronquay/internal/rollout/wire"
+	"saffronquay/internal/store"
 	"slices"
 	"strconv"
 	"strings"
@@ -11,10 +14,6 @@
 
 	pb "go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
-
-	"saffronquay/internal/rollout"
-	"saffronquay/internal/rollout/wire"
-	"saffronquay/internal/store"
 )
 
 // Keys of the records by which a part in agreeing on the policy outlasts the process.
--- a/internal/golden/replicas_test.go
+++ b/internal/golden/replicas_test.go
@@ -4,19 +4,18 @@
 	"fmt"
 	"log/slog"
 	"math/rand/v2"
-	"slices"
-	"strings"
-	"testing"
-
-	"github.com/matryer/is"
-	"google.golang.org/protobuf/proto"
-
 	"saffronquay/internal/system/directory"
 	"saffronquay/internal/system/feed"
 	"saffronquay/internal/system/ledger"
 	"saffronquay/internal/system/registry"
 	"saffronquay/internal/system/replica"
 	"saffronquay/internal/system/rpc"
+	"slices"
+	"strings"
+	"testing"
+
+	"github.com/matryer/is"
+	"google.golang.org/protobuf/proto"
 )
 
 // A process of an earlier build leaves its data directory; this build recovers from a copy of it the identity, the term, the vote, the
@@ -71,9 +70,11 @@
 
 func newEngine(t *testing.T, store *replica.Store, machines map[string]replica.StateMachine, snapshotEntries int) *replica.Engine {
 	t.Helper()
-	engine, err := replica.NewEngine(replica.Config{Identity: identity, Store: store, Log: slog.New(slog.DiscardHandler), Random: rand.New(rand.NewPCG(1, 2)),
+	engine, err := replica.NewEngine(replica.Config{
+		Identity: identity, Store: store, Log: slog.New(slog.DiscardHandler), Random: rand.New(rand.NewPCG(1, 2)),
 		Machine: func(group string) replica.StateMachine { return machines[group] },
-		Send:    func(string, []*rpc.Message) {}, Options: replica.Options{SnapshotEntries: snapshotEntries}}, engineStart)
+		Send:    func(string, []*rpc.Message) {}, Options: replica.Options{SnapshotEntries: snapshotEntries},
+	}, engineStart)
 	is.New(t).NoErr(err)
 	return engine
 }
@@ -112,12 +113,19 @@
 			}
 		}
 	}
-	is.NoErr(store.Persist([]replica.Save{{Group: "received", HardState: &rpc.HardState{Epoch: 4, Vote: "another", Commit: 20},
+	is.NoErr(store.Persist([]replica.Save{{
+		Group: "received", HardState: &rpc.HardState{Epoch: 4, Vote: "another", Commit: 20},
 		Pieces: []*rpc.SnapshotPiece{{Data: []byte("one ")}, {Number: 1, Data: []byte("two")}}, Received: true,
-		Snapshot: &rpc.Snapshot{Index: 20, Epoch: 3, Pieces: 2, Membership: &rpc.Membership{Revision: 9,
-			Voters: []*rpc.Replica{{Id: "v", Address: "a:1", Node: "n"}}, Learners: []*rpc.Replica{{Id: "l", Address: "b:1", Node: "m"}}}},
-		Entries: []*rpc.Entry{{Index: 21, Epoch: 4, Kind: rpc.EntryKind_ENTRY_NOOP}, {Index: 22, Epoch: 4, Kind: rpc.EntryKind_ENTRY_MEMBERSHIP, Data: []byte{1, 2}},
-			{Index: 23, Epoch: 4, Kind: rpc.EntryKind_ENTRY_COMMAND, Data: []byte("command")}}}}))
+		Snapshot: &rpc.Snapshot{Index: 20, Epoch: 3, Pieces: 2, Membership: &rpc.Membership{
+			Revision: 9,
+			Voters:   []*rpc.Replica{{Id: "v", Address: "a:1", Node: "n"}}, Learners: []*rpc.Replica{{Id: "l", Address: "b:1", Node: "m"}},
+		}},
+		Entries: []*rpc.Entry{
+			{Index: 21, Epoch: 4, Kind: rpc.EntryKind_ENTRY_NOOP},
+			{Index: 22, Epoch: 4, Kind: rpc.EntryKind_ENTRY_MEMBERSHIP, Data: []byte{1, 2}},
+			{Index: 23, Epoch: 4, Kind: rpc.EntryKind_ENTRY_COMMAND, Data: []byte("command")},
+		},
+	}}))
 	is.NoErr(store.Close())
 }
 
@@ -145,8 +153,10 @@
 	return []proto.Message{
 		replace,
 		&rpc.DirectoryCommand{Command: &rpc.DirectoryCommand_NameVersion{NameVersion: &rpc.NameVersion{Model: "m", Version: 10 * round}}},
-		&rpc.DirectoryCommand{Command: &rpc.DirectoryCommand_Place{Place: &rpc.Placement{Group: ledger.ShardName(int(round)), Founding: round == 1,
-			Replicas: []*rpc.Replica{{Id: "replica-1", Address: "10.0.1.1:7001", Node: "storage-1"}}}}},
+		&rpc.DirectoryCommand{Command: &rpc.DirectoryCommand_Place{Place: &rpc.Placement{
+			Group: ledger.ShardName(int(round)), Founding: round == 1,
+			Replicas: []*rpc.Replica{{Id: "replica-1", Address: "10.0.1.1:7001", Node: "storage-1"}},
+		}}},
 		&rpc.DirectoryCommand{Command: &rpc.DirectoryCommand_Retire{Retire: &rpc.Retirement{Node: fmt.Sprint("storage-", round), Completed: round == 1}}},
 		&rpc.DirectoryCommand{Command: &rpc.DirectoryCommand_Policy{Policy: &rpc.ModelPolicy{Model: fmt.Sprint("m", round), SingleVersion: round == 1}}},
 		&rpc.DirectoryCommand{Command: &rpc.DirectoryCommand_Read{Read: &rpc.Read{}}},
@@ -156,8 +166,10 @@
 func registryCommands(round uint64) []proto.Message {
 	name := func(n int) string { return fmt.Sprintf("worker-%d-%d", round, n) }
 	put := func(n int, draining bool) proto.Message {
-		return &rpc.RegistryCommand{Command: &rpc.RegistryCommand_Put{Put: &rpc.Instance{Id: name(n), Service: "s1", Address: "10.0.2.1:8000", Zone: "z", Capacity: 4,
-			Draining: draining, Models: []*rpc.ModelWeights{{Name: "m", Version: 3}}, Sequence: 5}}}
+		return &rpc.RegistryCommand{Command: &rpc.RegistryCommand_Put{Put: &rpc.Instance{
+			Id: name(n), Service: "s1", Address: "10.0.2.1:8000", Zone: "z", Capacity: 4,
+			Draining: draining, Models: []*rpc.ModelWeights{{Name: "m", Version: 3}}, Sequence: 5,
+		}}}
 	}
 	return []proto.Message{
 		put(1, false), put(2, true), put(3, false),
@@ -170,15 +182,21 @@
 func ledgerCommands(round uint64) []proto.Message {
 	name := func(n int) string { return fmt.Sprintf("job-%d-%d", round, n) }
 	create := func(n int) proto.Message {
-		return &rpc.LedgerCommand{Command: &rpc.LedgerCommand_Create{Create: &rpc.CreateJob{Id: name(n), Host: "h.example", Path: "/a/", Model: "m", MinVersion: 3, Step: 4, Desired: 1,
+		return &rpc.LedgerCommand{Command: &rpc.LedgerCommand_Create{Create: &rpc.CreateJob{
+			Id: name(n), Host: "h.example", Path: "/a/", Model: "m", MinVersion: 3, Step: 4, Desired: 1,
 			SentUnixMs: 1_700_000_000_000, DeadlineMs: 9000, MaxQueueMs: 800, MaxAttempts: 3, SingleVersion: true, Priority: 2, GiveUpMs: 10_000,
-			Items: []*rpc.Item{{Id: "i1", Path: "/a/x", Headers: []*rpc.Header{{Name: "Accept", Value: "text/plain"}}, Body: []byte("body 1"), Tokens: 12, Group: "g",
-				Scorer: &rpc.Scorer{Id: "sc", Host: "score.example", Path: "/s", Body: []byte("rubric")}}, {Id: "i2", Body: []byte("body 2")}}}}}
+			Items: []*rpc.Item{{
+				Id: "i1", Path: "/a/x", Headers: []*rpc.Header{{Name: "Accept", Value: "text/plain"}}, Body: []byte("body 1"), Tokens: 12, Group: "g",
+				Scorer: &rpc.Scorer{Id: "sc", Host: "score.example", Path: "/s", Body: []byte("rubric")},
+			}, {Id: "i2", Body: []byte("body 2")}},
+		}}}
 	}
 	return []proto.Message{
 		create(1), create(2), create(3),
-		&rpc.LedgerCommand{Command: &rpc.LedgerCommand_Append{Append: &rpc.AppendResults{Job: name(1),
-			Results: []*rpc.Result{{Item: "i1", Completed: true, Text: []byte("text"), WeightVersions: []uint64{3, 4}, Score: "0.5"}, {Item: "unknown"}}}}},
+		&rpc.LedgerCommand{Command: &rpc.LedgerCommand_Append{Append: &rpc.AppendResults{
+			Job:     name(1),
+			Results: []*rpc.Result{{Item: "i1", Completed: true, Text: []byte("text"), WeightVersions: []uint64{3, 4}, Score: "0.5"}, {Item: "unknown"}},
+		}}},
 		&rpc.LedgerCommand{Command: &rpc.LedgerCommand_End{End: &rpc.EndJob{Job: name(2)}}},
 		&rpc.LedgerCommand{Command: &rpc.LedgerCommand_Forget{Forget: name(3)}},
 	}
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -114,9 +114,11 @@
 		fault = fmt.Errorf("handover: %s: out of range", key)
 		return 0
 	}
-	s := State{Since: count("since"), At: count("at"), Sockets: int(min(count("sockets"), math.MaxInt32)), Open: int(min(count("open"), math.MaxInt32)),
+	s := State{
+		Since: count("since"), At: count("at"), Sockets: int(min(count("sockets"), math.MaxInt32)), Open: int(min(count("open"), math.MaxInt32)),
 		Labels: times("labels"), Admission: min(max(number("admission"), 0), 1), Suspects: times("suspects"),
-		Generation: count("generation"), Standby: v.GetBool("standby")}
+		Generation: count("generation"), Standby: v.GetBool("standby"),
+	}
 	if x := get("name", fastjson.TypeString); x != nil {
 		s.Name = string(x.GetStringBytes())
 	}
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -7,9 +7,11 @@
 	"testing"
 )
 
-var whole = State{Name: "n0", Since: 1_780_000_000_000_000, At: 1_790_000_000_123_456, Standby: true, Sockets: 120, Open: 14, Labels: map[string]int64{"a\"b": 1_790_000_001_000_000},
+var whole = State{
+	Name: "n0", Since: 1_780_000_000_000_000, At: 1_790_000_000_123_456, Standby: true, Sockets: 120, Open: 14, Labels: map[string]int64{"a\"b": 1_790_000_001_000_000},
 	Admission: 0.75, Suspects: map[string]int64{"k1": 1_790_000_000_000_000}, Discovery: "127.0.0.1:8500", Generation: 43,
-	List: []byte(`{"generation":43,"instances":[]}`)}
+	List: []byte(`{"generation":43,"instances":[]}`),
+}
 
 // What one process writes the other reads, whole or not at all.
 func TestThereAndBack(t *testing.T) {
@@ -23,8 +25,14 @@
 			t.Errorf("taken when cut off after %d of %d bytes", i, len(text))
 		}
 	}
-	for _, c := range [][2]string{{`"v":1`, `"v":2`}, {`"at":`, `"when":`}, {`"open":14`, `"open":-1`}, {`"open":14`, `"open":"14"`},
-		{`"labels":{`, `"labels":7,"x":{`}, {`"generation":43,"list"`, `"generation":1e300,"list"`}} {
+	for _, c := range [][2]string{
+		{`"v":1`, `"v":2`},
+		{`"at":`, `"when":`},
+		{`"open":14`, `"open":-1`},
+		{`"open":14`, `"open":"14"`},
+		{`"labels":{`, `"labels":7,"x":{`},
+		{`"generation":43,"list"`, `"generation":1e300,"list"`},
+	} {
 		bad := strings.Replace(string(text), c[0], c[1], 1)
 		if _, err := Parse([]byte(bad)); err == nil || bad == string(text) {
 			t.Errorf("%s -> %s was taken", c[0], c[1])
--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -357,11 +357,13 @@
 	return false
 }
 
-var reasons = map[int]string{100: "Continue", 200: "OK", 400: "Bad Request", 403: "Forbidden", 404: "Not Found",
+var reasons = map[int]string{
+	100: "Continue", 200: "OK", 400: "Bad Request", 403: "Forbidden", 404: "Not Found",
 	405: "Method Not Allowed", 408: "Request Timeout", 409: "Conflict", 413: "Content Too Large", 422: "Unprocessable Content", 429: "Too Many Requests",
 	431: "Request Header Fields Too Large", 500: "Internal Server Error", 501: "Not Implemented",
 	502: "Bad Gateway", 503: "Service Unavailable", 504: "Gateway Timeout",
-	505: "HTTP Version Not Supported"}
+	505: "HTTP Version Not Supported",
+}
 
 // Response is an answer to be written.
 type Response struct {
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -50,8 +50,10 @@
 	name, text, want string
 	response, end    bool
 }{
-	{"two requests", "POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\n\r\nabcGET /b HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n",
-		"POST/a 0 2 \"abc\" close=false\nGET/b 0 2 \"\" close=true\n", false, false},
+	{
+		"two requests", "POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\n\r\nabcGET /b HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n",
+		"POST/a 0 2 \"abc\" close=false\nGET/b 0 2 \"\" close=true\n", false, false,
+	},
 	{"bare line feeds", "\nGET / HTTP/1.1\nHost: x\n\n", "GET/ 0 1 \"\" close=false\n", false, false},
 	{"chunked", chunked, "POST/a 0 2 \"wiki0123456789\" close=false\n", false, false},
 	{"old version", "GET / HTTP/1.0\r\n\r\n", "GET/ 0 0 \"\" close=true\n", false, false},
--- a/internal/lab/group.go
+++ b/internal/lab/group.go
@@ -9,15 +9,14 @@
 	"os"
 	"path/filepath"
 	"regexp"
+	"saffronquay/deploy"
+	"saffronquay/internal/faults"
 	"slices"
 	"strings"
 	"sync"
 	"sync/atomic"
 	"syscall"
 	"time"
-
-	"saffronquay/deploy"
-	"saffronquay/internal/faults"
 )
 
 // Group is several processes of the program with faults between them. What happens to it is kept as a history, which a failing test
--- a/internal/lab/net.go
+++ b/internal/lab/net.go
@@ -6,10 +6,9 @@
 	"math/rand/v2"
 	"net"
 	"net/netip"
+	"saffronquay/internal/faults"
 	"sync"
 	"time"
-
-	"saffronquay/internal/faults"
 )
 
 // Net stands between the processes of a group: each is reached by the others through a relay of its own, which knows senders by the
--- a/internal/layout/layout_test.go
+++ b/internal/layout/layout_test.go
@@ -46,8 +46,10 @@
 		{"empty", func(d *Doc) { d.Ranges = nil }, []string{"want at least one"}},
 		{"two faults", func(d *Doc) { d.Ranges[0].Holders, d.Ranges[2].Holders = nil, nil }, []string{"range 0-100", "range 200-300"}},
 		{"two changes on one range", func(d *Doc) {
-			d.Changes = []Change{{"x", Move, Copying, d.Ranges[2:], []Range{rng(200, 300, 8, "d")}},
-				{"y", Move, Announced, d.Ranges[2:], []Range{rng(200, 300, 8, "a")}}}
+			d.Changes = []Change{
+				{"x", Move, Copying, d.Ranges[2:], []Range{rng(200, 300, 8, "d")}},
+				{"y", Move, Announced, d.Ranges[2:], []Range{rng(200, 300, 8, "a")}},
+			}
 		}, []string{`change "x" is under way there`}},
 		{"a change of nothing", func(d *Doc) { d.Changes = []Change{{"x", Split, Ready, []Range{rng(0, 50, 0, "a")}, nil}} }, []string{"an old and a new side"}},
 		{"unknown state", func(d *Doc) { d.Changes = []Change{{"x", Move, "odd", d.Ranges[2:], []Range{rng(200, 300, 8, "d")}}} }, []string{`unknown state "odd"`}},
@@ -101,13 +103,19 @@
 		{"a used shard id", []Step{split(6, "x", 0, rng(0, 50, 7, "a"), rng(50, 100, 10, "a"))}, ErrInvalid, "shard 7 was handed out before"},
 		{"an id used by an aborted change", []Step{split(6, "x", 0, halves...), step(7, "x", Abort), split(8, "y", 0, halves...)}, ErrInvalid, "handed out before"},
 		{"an unlisted target", []Step{split(6, "x", 0, rng(0, 50, 9, "z"), rng(50, 100, 10, "a"))}, ErrInvalid, `"z" is not in the list`},
-		{"a merge of neighbours with other holders", []Step{{"h", 6, "x", Announce, Merge, []int{8, 3}, []Range{rng(100, 300, 9, "a")}},
-			step(7, "x", Copy), step(8, "x", BothUp), step(9, "x", Cut)}, nil, ""},
+		{"a merge of neighbours with other holders", []Step{
+			{"h", 6, "x", Announce, Merge, []int{8, 3}, []Range{rng(100, 300, 9, "a")}},
+			step(7, "x", Copy), step(8, "x", BothUp), step(9, "x", Cut),
+		}, nil, ""},
 		{"a merge over a gap", []Step{{"h", 6, "x", Announce, Merge, []int{0, 8}, []Range{rng(0, 300, 9, "a")}}}, ErrInvalid, "gap before it"},
-		{"a split of a split before the first is retired", []Step{split(6, "x", 0, halves...), step(7, "x", Copy), step(8, "x", BothUp), step(9, "x", Cut),
-			split(10, "y", 9, rng(0, 20, 11, "b"), rng(20, 50, 12, "c")), step(11, "y", Copy), step(12, "y", BothUp), step(13, "y", Cut), step(14, "x", Retire), step(15, "y", Retire)}, nil, ""},
-		{"an abort on which another change has built", []Step{split(6, "x", 0, halves...), step(7, "x", Copy), step(8, "x", BothUp), step(9, "x", Cut),
-			split(10, "y", 9, rng(0, 20, 11, "b"), rng(20, 50, 12, "c")), step(11, "x", Abort)}, ErrState, "a later change has built on it"},
+		{"a split of a split before the first is retired", []Step{
+			split(6, "x", 0, halves...), step(7, "x", Copy), step(8, "x", BothUp), step(9, "x", Cut),
+			split(10, "y", 9, rng(0, 20, 11, "b"), rng(20, 50, 12, "c")), step(11, "y", Copy), step(12, "y", BothUp), step(13, "y", Cut), step(14, "x", Retire), step(15, "y", Retire),
+		}, nil, ""},
+		{"an abort on which another change has built", []Step{
+			split(6, "x", 0, halves...), step(7, "x", Copy), step(8, "x", BothUp), step(9, "x", Cut),
+			split(10, "y", 9, rng(0, 20, 11, "b"), rng(20, 50, 12, "c")), step(11, "x", Abort),
+		}, ErrState, "a later change has built on it"},
 		{"an abort that crosses the cut over", []Step{split(6, "x", 0, halves...), step(7, "x", Copy), step(8, "x", BothUp), step(9, "x", Cut), step(10, "x", Abort)}, nil, ""},
 		{"a move that changes nothing", []Step{{"h", 6, "x", Announce, Move, []int{8}, []Range{rng(200, 300, 8, "c")}}}, ErrInvalid, "changes its holders"},
 	} {
--- a/internal/layout/measure_test.go
+++ b/internal/layout/measure_test.go
@@ -4,6 +4,9 @@
 	"fmt"
 	"math/rand/v2"
 	"os"
+	"saffronquay/internal/lab"
+	"saffronquay/internal/layout"
+	"saffronquay/internal/standin"
 	"slices"
 	"sync"
 	"sync/atomic"
@@ -11,9 +14,6 @@
 	"time"
 
 	sq "saffronquay"
-	"saffronquay/internal/lab"
-	"saffronquay/internal/layout"
-	"saffronquay/internal/standin"
 )
 
 // TestMeasure takes the figures of docs/LAYOUT.md; it judges nothing. SAFFRONQUAY_MEASURE=1 runs it.
--- a/internal/layout/program_test.go
+++ b/internal/layout/program_test.go
@@ -6,15 +6,15 @@
 	"io"
 	"math"
 	"net/http"
+	"saffronquay/internal/lab"
+	"saffronquay/internal/layout"
+	"saffronquay/internal/standin"
 	"slices"
 	"strings"
 	"testing"
 	"time"
 
 	sq "saffronquay"
-	"saffronquay/internal/lab"
-	"saffronquay/internal/layout"
-	"saffronquay/internal/standin"
 )
 
 const patience = lab.Patience
@@ -66,24 +66,30 @@
 	t.Helper()
 	var servers []any
 	for _, s := range c.Servers {
-		servers = append(servers, map[string]any{"id": s.ID(), "address": s.Address(), "zone": "a",
-			"draining": slices.Contains(draining, s.ID())})
+		servers = append(servers, map[string]any{
+			"id": s.ID(), "address": s.Address(), "zone": "a",
+			"draining": slices.Contains(draining, s.ID()),
+		})
 	}
 	l := map[string]any{"whole": whole, "stall_ms": 300}
 	if directory != "" {
 		l["directory"] = directory
 	}
-	text, err := json.Marshal(map[string]any{"name": "g", "listen": "127.0.0.1:0", "operator": "127.0.0.1:0", "seed": "7",
+	text, err := json.Marshal(map[string]any{
+		"name": "g", "listen": "127.0.0.1:0", "operator": "127.0.0.1:0", "seed": "7",
 		"servers": servers, "layout": l, "cursors": map[string]any{"key": "000102030405060708090a0b0c0d0e0f"},
-		"indices": []any{map[string]any{"name": "invoices", "class": "read", "field": "taxpayer", "part_work_us": 500},
-			map[string]any{"name": "filings", "partials": "protobuf", "class": "once", "field": "taxpayer", "part_work_us": 500}},
+		"indices": []any{
+			map[string]any{"name": "invoices", "class": "read", "field": "taxpayer", "part_work_us": 500},
+			map[string]any{"name": "filings", "partials": "protobuf", "class": "once", "field": "taxpayer", "part_work_us": 500},
+		},
 		"settings": json.RawMessage(`{"me":0,"balancers":1,"zone":"a","period_us":2000,
  "classes":[{"name":"read","aim_us":4000000,"hard_limit_us":6000000,"worth":1,"late_worth":0.1,"effect":"free"},
   {"name":"once","aim_us":4000000,"hard_limit_us":6000000,"worth":1,"late_worth":0.1,"effect":"single_shot"}],
  "family_info":{"class_fetch":[0,0],"class_partial":[0.9,0.9],"floor_by_class":[1,1],"whole_at":[1,1],"positions":1,"reach":1,"shards":1,"parts_a_call":1},
  "permissions":{"max_open":5000,"connect_timeout_us":250000,"idle_close_us":15000000,"streams_per_conn":32,"may_cancel":true,
   "most_tries":4,"second_copies":true,"retry_after":true,"max_retry_after_us":500000},
- "rules":{"grace_to_answer_us":20000,"warm_within_us":1000000}}`)})
+ "rules":{"grace_to_answer_us":20000,"warm_within_us":1000000}}`),
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/layout/proof_test.go
+++ b/internal/layout/proof_test.go
@@ -4,14 +4,13 @@
 	"fmt"
 	"math/rand/v2"
 	"os"
+	"saffronquay/internal/layout"
+	"saffronquay/internal/standin"
 	"strconv"
 	"sync"
 	"sync/atomic"
 	"testing"
 	"time"
-
-	"saffronquay/internal/layout"
-	"saffronquay/internal/standin"
 )
 
 // tally counts what queries came to.
--- a/internal/layout/scenes_test.go
+++ b/internal/layout/scenes_test.go
@@ -4,6 +4,9 @@
 	"encoding/json"
 	"fmt"
 	"net/http"
+	"saffronquay/internal/lab"
+	"saffronquay/internal/layout"
+	"saffronquay/internal/standin"
 	"slices"
 	"strings"
 	"syscall"
@@ -11,9 +14,6 @@
 	"time"
 
 	sq "saffronquay"
-	"saffronquay/internal/lab"
-	"saffronquay/internal/layout"
-	"saffronquay/internal/standin"
 )
 
 // scene is a small cluster (servers s00 to s04, ranges of 100 keys, one holder each) and gatherers that follow it.
@@ -325,8 +325,15 @@
 	for i, c := range []struct {
 		ill  standin.Ill
 		says string
-	}{{standin.Down, "reason=unreachable"}, {standin.Mute, "reason=unreachable"}, {standin.Backs, "reason=epoch"}, {standin.Other, "reason=history"}, {standin.Garbles, "reason=invalid"},
-		{standin.Skips, "reason=epoch"}, {standin.Trickle, ""}} {
+	}{
+		{standin.Down, "reason=unreachable"},
+		{standin.Mute, "reason=unreachable"},
+		{standin.Backs, "reason=epoch"},
+		{standin.Other, "reason=history"},
+		{standin.Garbles, "reason=invalid"},
+		{standin.Skips, "reason=epoch"},
+		{standin.Trickle, ""},
+	} {
 		for end := time.Now().Add(patience); g.agent.Watches() == 0 && time.Now().Before(end); {
 			time.Sleep(time.Millisecond) // a line is told only to who watches
 		}
--- a/internal/layout/search_test.go
+++ b/internal/layout/search_test.go
@@ -6,6 +6,9 @@
 	"io"
 	"net"
 	"net/http"
+	"saffronquay/internal/lab"
+	"saffronquay/internal/layout"
+	"saffronquay/internal/standin"
 	"slices"
 	"strings"
 	"syscall"
@@ -15,9 +18,6 @@
 	"github.com/valyala/fastjson"
 
 	sq "saffronquay"
-	"saffronquay/internal/lab"
-	"saffronquay/internal/layout"
-	"saffronquay/internal/standin"
 )
 
 func (g *gatherer) post(path, body string) (int, http.Header, string) {
@@ -50,12 +50,14 @@
 	s := newScene(t, 1)
 	s.c.Server("s01").Set(standin.Silent)
 	s.c.Server("s02").Set(standin.Refuses)
-	body := strings.Join([]string{`{"index":"invoices"}`, `{"size":1,"query":{"range":{"taxpayer":{"gte":10,"lt":20}}}}`,
+	body := strings.Join([]string{
+		`{"index":"invoices"}`, `{"size":1,"query":{"range":{"taxpayer":{"gte":10,"lt":20}}}}`,
 		`{"index":"nothing"}`, `{}`,
 		`{"index":"invoices"}`, `{"size":-1}`,
 		`{"index":"filings"}`, `{"timeout":"300ms","query":{"term":{"taxpayer":150}}}`,
 		`{"index":"filings"}`, `{"timeout":"400ms","query":{"term":{"taxpayer":250}}}`,
-		`{}`, `{"size":0,"query":{"range":{"taxpayer":{"gte":300,"lt":320}}}}`}, "\n") + "\n"
+		`{}`, `{"size":0,"query":{"range":{"taxpayer":{"gte":300,"lt":320}}}}`,
+	}, "\n") + "\n"
 	began := time.Now()
 	status, header, text := s.gs[0].post("/invoices/_msearch", body)
 	var a struct {
@@ -69,8 +71,10 @@
 	if err := json.Unmarshal([]byte(text), &a); err != nil || status != 200 || a.Took == nil || len(a.Responses) != 6 {
 		t.Fatalf("%d %s", status, text)
 	}
-	for i, want := range []string{"200 10 ", "404 0 index_not_found_exception", "400 0 illegal_argument_exception", "500 0 timeout_exception",
-		"429 0 rejected_execution_exception", "200 20 "} {
+	for i, want := range []string{
+		"200 10 ", "404 0 index_not_found_exception", "400 0 illegal_argument_exception", "500 0 timeout_exception",
+		"429 0 rejected_execution_exception", "200 20 ",
+	} {
 		r := a.Responses[i]
 		if got := fmt.Sprintf("%d %d %s", r.Status, r.Hits.Total.Value, r.Error.Type); got != want {
 			t.Errorf("search %d: %s, want %s", i, got, want)
@@ -79,8 +83,10 @@
 	if header.Get("Retry-After") == "" || time.Since(began) > 5*time.Second {
 		t.Errorf("%v after %s", header, time.Since(began))
 	}
-	for body, want := range map[string]string{"": "wants a header and a body", "{}\n": "wants a header and a body", "x\n{}\n": "search 0",
-		`{"routing":1}` + "\n{}\n": "unsupported [routing]", strings.Repeat("{}\n{}\n", 65): "64 searches at most"} {
+	for body, want := range map[string]string{
+		"": "wants a header and a body", "{}\n": "wants a header and a body", "x\n{}\n": "search 0",
+		`{"routing":1}` + "\n{}\n": "unsupported [routing]", strings.Repeat("{}\n{}\n", 65): "64 searches at most",
+	} {
 		if status, _, text := s.gs[0].post("/invoices/_msearch", body); status != 400 || !strings.Contains(text, want) {
 			t.Errorf("%.20q: %d %s", body, status, text)
 		}
@@ -124,7 +130,8 @@
 		}
 		s.c.Write(time.Now().UnixMicro(), add, func(r standin.Row) bool { return r.Key%2 == 0 })
 	}
-	between := []func(){write,
+	between := []func(){
+		write,
 		func() {
 			s.announce("x", layout.Split, []int{0}, layout.Range{Span: layout.Span{From: 0, To: 30}, Shard: 4, Holders: []sq.ServerID{"s03"}},
 				layout.Range{Span: layout.Span{From: 30, To: 100}, Shard: 5, Holders: []sq.ServerID{"s04", "s02"}})
@@ -141,7 +148,8 @@
 		func() {
 			s.announce("m", layout.Move, []int{3}, layout.Range{Span: layout.Span{From: 300, To: 400}, Shard: 3, Holders: []sq.ServerID{"s02", "s00"}})
 			s.do("m copy", "m ready", "m cutover", "m retire")
-		}, write}
+		}, write,
+	}
 	var got []string
 	after := ""
 	for page := 0; ; page++ {
@@ -228,8 +236,10 @@
 	g.run()
 	s.c.Server("s01").Set(standin.Silent)
 	status, _, text := g.post("/invoices/_search", `{"size":0,"timeout":"1500ms","aggs":{"n":{"value_count":{"field":"taxpayer"}}}}`)
-	for _, want := range []string{`"timed_out":true`, `"_shards":{"total":4,"successful":3,"skipped":0,"failed":1,"failures":[{"shard":1,`,
-		`"completeness":{"whole":false,"share":0.75,"missing":[{"shard":1,"from":100,"to":200}]}`, `"total":{"value":300,"relation":"eq"}`, `"n":{"value":300}`} {
+	for _, want := range []string{
+		`"timed_out":true`, `"_shards":{"total":4,"successful":3,"skipped":0,"failed":1,"failures":[{"shard":1,`,
+		`"completeness":{"whole":false,"share":0.75,"missing":[{"shard":1,"from":100,"to":200}]}`, `"total":{"value":300,"relation":"eq"}`, `"n":{"value":300}`,
+	} {
 		if status != 200 || !strings.Contains(text, want) {
 			t.Errorf("%d: %s is not in %s", status, want, text)
 		}
--- a/internal/loopback/opensearch_test.go
+++ b/internal/loopback/opensearch_test.go
@@ -6,12 +6,11 @@
 	"fmt"
 	"net"
 	"net/url"
+	"saffronquay/internal/http1"
 	"slices"
 	"strconv"
 	"strings"
 	"testing"
-
-	"saffronquay/internal/http1"
 )
 
 type openSearchDialect struct{}
@@ -30,11 +29,15 @@
 		ranges = append(ranges, map[string]any{"from": 100 * i, "to": 100 * (i + 1), "shard": i})
 	}
 	for _, class := range w.classes {
-		indices = append(indices, map[string]any{"name": class.name, "class": class.name, "field": "taxpayer",
-			"part_work_us": 1000, "ranges": ranges})
+		indices = append(indices, map[string]any{
+			"name": class.name, "class": class.name, "field": "taxpayer",
+			"part_work_us": 1000, "ranges": ranges,
+		})
 	}
-	writeJSON(t, w, map[string]any{"listen": "127.0.0.1:0", "operator": "127.0.0.1:0", "settings": w.settings(),
-		"tenants": []any{map[string]any{"name": "desk", "quota_per_s": 100}}, "indices": indices, "servers": servers})
+	writeJSON(t, w, map[string]any{
+		"listen": "127.0.0.1:0", "operator": "127.0.0.1:0", "settings": w.settings(),
+		"tenants": []any{map[string]any{"name": "desk", "quota_per_s": 100}}, "indices": indices, "servers": servers,
+	})
 }
 
 func (openSearchDialect) request(class string, shards []int, ms int) []byte {
--- a/internal/loopback/platform_test.go
+++ b/internal/loopback/platform_test.go
@@ -7,14 +7,13 @@
 	"fmt"
 	"io"
 	"net"
+	"saffronquay/internal/http1"
 	"slices"
 	"strconv"
 	"strings"
 	"sync"
 	"sync/atomic"
 	"testing"
-
-	"saffronquay/internal/http1"
 )
 
 type platformDialect struct{}
@@ -31,10 +30,12 @@
 }
 
 func writePlatform(t *testing.T, w *world, discovery string) {
-	writeJSON(t, w, map[string]any{"name": "n0", "listen": "127.0.0.1:0", "operator": "127.0.0.1:0", "discovery": discovery,
+	writeJSON(t, w, map[string]any{
+		"name": "n0", "listen": "127.0.0.1:0", "operator": "127.0.0.1:0", "discovery": discovery,
 		"seed": "8c1f30d27a5be964", "limits": map[string]any{"sockets": 256, "memory_mb": 192},
 		"known":    map[string]any{"generation": 41, "reset": true, "instances": entries(w, nil)},
-		"settings": w.settings()})
+		"settings": w.settings(),
+	})
 }
 
 func entries(w *world, gone []string) []map[string]any {
@@ -48,8 +49,10 @@
 }
 
 func entry(s *standIn, state string) map[string]any {
-	return map[string]any{"instanceId": s.name, "hostPort": s.address, "zone": "a", "cell": s.cell,
-		"lifecycle": state, "weight": 1.0, "startedAtMs": 0}
+	return map[string]any{
+		"instanceId": s.name, "hostPort": s.address, "zone": "a", "cell": s.cell,
+		"lifecycle": state, "weight": 1.0, "startedAtMs": 0,
+	}
 }
 
 // discovery is a stand-in agent: it gives the whole list, which lacks some servers, holds a watch open and tells
--- a/internal/loopback/scenario_test.go
+++ b/internal/loopback/scenario_test.go
@@ -48,15 +48,14 @@
 	"os/exec"
 	"path/filepath"
 	"regexp"
+	"saffronquay/internal/handover"
+	"saffronquay/internal/http1"
 	"strconv"
 	"strings"
 	"sync"
 	"syscall"
 	"testing"
 	"time"
-
-	"saffronquay/internal/handover"
-	"saffronquay/internal/http1"
 )
 
 const patience = 20 * time.Second // for what has to happen; no verdict hangs on how soon it does
@@ -246,8 +245,10 @@
 
 // prepare makes a world whose stand-ins listen and whose program is not started.
 func prepare(t *testing.T, d dialect) *world {
-	w := &world{t: t, d: d, classes: usual, tries: usualTries, shared: t.TempDir(), sent: map[string][]byte{}, clients: map[string]*client{}, lists: make(chan string, 8),
-		received: map[int]int{}, dropped: map[int]int{}, told: map[int]int{}}
+	w := &world{
+		t: t, d: d, classes: usual, tries: usualTries, shared: t.TempDir(), sent: map[string][]byte{}, clients: map[string]*client{}, lists: make(chan string, 8),
+		received: map[int]int{}, dropped: map[int]int{}, told: map[int]int{},
+	}
 	w.changed = sync.NewCond(&w.mu)
 	for i := range 4 {
 		s := &standIn{name: fmt.Sprintf("s%d", i), cell: i}
@@ -501,8 +502,10 @@
 		w.old = w.process
 		w.start(w.env)
 	case "junk":
-		for name, text := range map[string]string{"1": "", "2": "{\"v\":1", "3": "{\"v\":2}", "4": "\x00",
-			"5": `{"v":1,"name":"n0","at":-1,"sockets":-5,"open":1e300,"labels":7}`} {
+		for name, text := range map[string]string{
+			"1": "", "2": "{\"v\":1", "3": "{\"v\":2}", "4": "\x00",
+			"5": `{"v":1,"name":"n0","at":-1,"sockets":-5,"open":1e300,"labels":7}`,
+		} {
 			if err := os.WriteFile(filepath.Join(w.shared, "saffronquay-"+name+".handover"), []byte(text), 0o600); err != nil {
 				return err
 			}
--- a/internal/loopback/vrrp_test.go
+++ b/internal/loopback/vrrp_test.go
@@ -46,9 +46,11 @@
 	worlds := map[string]*world{}
 	for i, name := range []string{"first", "second"} {
 		w := prepare(t, openSearchDialect{})
-		w.start(withVRRP(t, w.d.config(t, w), map[string]any{"vrid": 7, "priority": 200 - 100*i, "interval_ms": 100,
+		w.start(withVRRP(t, w.d.config(t, w), map[string]any{
+			"vrid": 7, "priority": 200 - 100*i, "interval_ms": 100,
 			"listen": fmt.Sprintf("127.0.0.%d:%d", 11+i, port), "service": service,
-			"peers": []any{map[string]any{"address": fmt.Sprintf("127.0.0.%d:%d", 12-i, port)}}}))
+			"peers": []any{map[string]any{"address": fmt.Sprintf("127.0.0.%d:%d", 12-i, port)}},
+		}))
 		worlds[name] = w
 	}
 	served := func() string {
@@ -107,15 +109,19 @@
 	port := freePort(t)
 	w := prepare(t, openSearchDialect{})
 	w.pass()
-	w.start(withVRRP(t, w.d.config(t, w), map[string]any{"vrid": 8, "priority": 200, "interval_ms": 100,
+	w.start(withVRRP(t, w.d.config(t, w), map[string]any{
+		"vrid": 8, "priority": 200, "interval_ms": 100,
 		"listen": fmt.Sprintf("127.0.0.14:%d", port), "service": fmt.Sprintf("127.0.0.15:%d", port),
-		"peers": []any{map[string]any{"address": fmt.Sprintf("127.0.0.16:%d", port)}}}))
+		"peers": []any{map[string]any{"address": fmt.Sprintf("127.0.0.16:%d", port)}},
+	}))
 	if !w.await(w.told, active, 1) {
 		t.Fatal("the virtual address was never served")
 	}
 	seen := []string{}
-	for _, step := range []string{"wait handed 0", "replace", "call status = YES", "stop old", "expect exit old",
-		"send a safe 2", "expect a answered 2"} {
+	for _, step := range []string{
+		"wait handed 0", "replace", "call status = YES", "stop old", "expect exit old",
+		"send a safe 2", "expect a answered 2",
+	} {
 		if err := w.step(strings.Fields(step), &seen); err != nil {
 			t.Fatalf("%s: %v", step, err)
 		}
--- a/internal/merge/agg_test.go
+++ b/internal/merge/agg_test.go
@@ -7,6 +7,8 @@
 	"math"
 	"math/rand/v2"
 	"reflect"
+	"saffronquay/internal/layout"
+	"saffronquay/internal/standin"
 	"slices"
 	"strings"
 	"testing"
@@ -15,8 +17,6 @@
 	"pgregory.net/rapid"
 
 	_ "saffronquay/internal/lab/steady"
-	"saffronquay/internal/layout"
-	"saffronquay/internal/standin"
 )
 
 // clauses are aggregations of every kind; what they ask is compared with one store.
@@ -306,8 +306,10 @@
 		all = append(all, strings.Replace(c, `"a":`, fmt.Sprintf(`"a%d":`, i), 1))
 	}
 	p := aggPlan(f, strings.Join(all, ","))
-	rows := []standin.Row{{Key: 1, ID: "a", Fields: map[string]any{"desk": "x", "small": 1.5, "due": 0.1, "at": int64(1_700_000_000_000)}},
-		{Key: 20, ID: "b", Fields: map[string]any{"desk": "y", "small": 4.5, "due": 7e9}}}
+	rows := []standin.Row{
+		{Key: 1, ID: "a", Fields: map[string]any{"desk": "x", "small": 1.5, "due": 0.1, "at": int64(1_700_000_000_000)}},
+		{Key: 20, ID: "b", Fields: map[string]any{"desk": "y", "small": 4.5, "due": 7e9}},
+	}
 	f.Add(standin.Search("key", aggBody(p), rows, layout.Span{From: 0, To: 99}))
 	f.Fuzz(func(t *testing.T, text string) {
 		if x, err := read(p, text); err == nil {
--- a/internal/merge/bench_test.go
+++ b/internal/merge/bench_test.go
@@ -151,8 +151,10 @@
 	for name, c := range map[string]struct {
 		plan  *Plan
 		texts [][]byte
-	}{"hits": {hits, answers(300, 600)},
-		"buckets": {aggPlan(t, `"a":{"terms":{"field":"x","size":1000},"aggs":{"s":{"sum":{"field":"y"}}}}`), buckets}} {
+	}{
+		"hits":    {hits, answers(300, 600)},
+		"buckets": {aggPlan(t, `"a":{"terms":{"field":"x","size":1000},"aggs":{"s":{"sum":{"field":"y"}}}}`), buckets},
+	} {
 		var before, after runtime.MemStats
 		var parser fastjson.Parser
 		parser.ParseBytes(c.texts[0])
--- a/internal/merge/binary.go
+++ b/internal/merge/binary.go
@@ -3,10 +3,9 @@
 import (
 	"bytes"
 	"math"
+	"saffronquay/internal/merge/partial"
 
 	"google.golang.org/protobuf/proto"
-
-	"saffronquay/internal/merge/partial"
 )
 
 // BinaryType is the media type of the binary form, of the version that is read here.
--- a/internal/merge/proof_test.go
+++ b/internal/merge/proof_test.go
@@ -7,14 +7,13 @@
 	"fmt"
 	"math/rand/v2"
 	"runtime/debug"
+	"saffronquay/internal/layout"
+	"saffronquay/internal/standin"
 	"slices"
 	"strings"
 	"testing"
 
 	"github.com/valyala/fastjson"
-
-	"saffronquay/internal/layout"
-	"saffronquay/internal/standin"
 )
 
 // store is random rows, in order of the key, and a way to split them.
--- a/internal/model/days.go
+++ b/internal/model/days.go
@@ -6,19 +6,29 @@
 // of fewer; and one of two that must not run twice. Its load is 0.6 of capacity; parts are of 18 ms.
 func Fleet(seed uint64, gatherers, servers int) Day {
 	class := func(name string, aim, limit int64, worth, late float64, e sq.Effect) sq.Class {
-		return sq.Class{Name: name, Aim: aim, HardLimit: limit, Worth: worth, LateWorth: late, Effect: e, Need: 1, Floor: 1, Partial: 0.9,
-			RepeatWindow: 5 * second}
+		return sq.Class{
+			Name: name, Aim: aim, HardLimit: limit, Worth: worth, LateWorth: late, Effect: e, Need: 1, Floor: 1, Partial: 0.9,
+			RepeatWindow: 5 * second,
+		}
 	}
-	return Day{Seed: seed, Zones: 3, Servers: servers, Cores: 2, Waiting: 30, Load: 0.6, Skew: 0.25, Work: 18 * ms,
+	return Day{
+		Seed: seed, Zones: 3, Servers: servers, Cores: 2, Waiting: 30, Load: 0.6, Skew: 0.25, Work: 18 * ms,
 		Parts: []int{max(4, servers*3/10), max(3, servers*15/100), 2}, Mix: []float64{0.12, 0.63, 0.25}, Length: 20 * second,
 		Notice: 3 * second, ColdShare: 0.3, WarmIn: 10 * second, Retries: 2,
-		Settings: sq.Settings{Aggregators: gatherers, Period: ms, Shards: servers, Cells: servers, Reach: 4, PartsPerCall: 1,
-			Classes: []sq.Class{class("summary", 750*ms, 2*second, 3, 0, sq.Repeatable), class("search", 630*ms, 1670*ms, 1, 0.1, sq.Repeatable),
-				class("submit", 630*ms, 2*second, 2, 0.1, sq.AtMostOnce)},
+		Settings: sq.Settings{
+			Aggregators: gatherers, Period: ms, Shards: servers, Cells: servers, Reach: 4, PartsPerCall: 1,
+			Classes: []sq.Class{
+				class("summary", 750*ms, 2*second, 3, 0, sq.Repeatable), class("search", 630*ms, 1670*ms, 1, 0.1, sq.Repeatable),
+				class("submit", 630*ms, 2*second, 2, 0.1, sq.AtMostOnce),
+			},
 			Limits: sq.Limits{MaxTries: 4, SecondCopies: true, MayCancel: true, RetryAfter: true, MaxRetryAfter: 500 * ms},
-			Rules: sq.Rules{AnswerGrace: 5 * ms, DrainGrace: 250 * ms, ColdShare: 0.2, WarmWithin: 14 * second, FallMultiple: 2.5,
-				FallWindow: 1500 * ms, AskWithin: 10 * second},
-			Prices: sq.Prices{CrossZone: 0.036}}}
+			Rules: sq.Rules{
+				AnswerGrace: 5 * ms, DrainGrace: 250 * ms, ColdShare: 0.2, WarmWithin: 14 * second, FallMultiple: 2.5,
+				FallWindow: 1500 * ms, AskWithin: 10 * second,
+			},
+			Prices: sq.Prices{CrossZone: 0.036},
+		},
+	}
 }
 
 // Burst is a day on which half as much again is asked for in the middle.
@@ -51,8 +61,10 @@
 func Join(seed uint64, gatherers, servers int) Day {
 	d := Fleet(seed, gatherers, servers)
 	for k := range 6 {
-		d.Events = append(d.Events, Disturbance{At: int64(5000+1100*k) * ms, For: 1500 * ms, Drain: k%2 == 0,
-			Servers: func(i int) bool { return i%10 == k }})
+		d.Events = append(d.Events, Disturbance{
+			At: int64(5000+1100*k) * ms, For: 1500 * ms, Drain: k%2 == 0,
+			Servers: func(i int) bool { return i%10 == k },
+		})
 	}
 	return d
 }
--- a/internal/model/model.go
+++ b/internal/model/model.go
@@ -197,8 +197,10 @@
 	w.res.Windows = make([]Window, d.Length/second+1)
 	w.res.Classes, w.res.Thirds, w.res.Tenants = make([]Portion, len(d.Mix)), make([]Portion, 3), make([]Portion, len(d.Asking))
 	for i := range d.Servers {
-		s := &server{id: sq.ServerID(fmt.Sprint("s", i)), index: i, zone: fmt.Sprint("z", i%max(1, d.Zones)), up: true,
-			speed: 0.7 + 0.4*w.rng.Float64()}
+		s := &server{
+			id: sq.ServerID(fmt.Sprint("s", i)), index: i, zone: fmt.Sprint("z", i%max(1, d.Zones)), up: true,
+			speed: 0.7 + 0.4*w.rng.Float64(),
+		}
 		if d.Slow != nil {
 			s.speed /= d.Slow(i)
 		}
@@ -465,14 +467,18 @@
 	for _, x := range q.costs {
 		sum += x
 	}
-	events := []sq.Event{sq.Query{ID: q.id, Group: int64(q.id), Class: c.Name, Deadline: w.now + c.HardLimit*7/10, Work: int64(sum),
-		Key: fmt.Sprint("k", q.id), Tenant: w.tenant(q)}}
+	events := []sq.Event{sq.Query{
+		ID: q.id, Group: int64(q.id), Class: c.Name, Deadline: w.now + c.HardLimit*7/10, Work: int64(sum),
+		Key: fmt.Sprint("k", q.id), Tenant: w.tenant(q),
+	}}
 	for i, x := range q.costs {
 		w.lastID++
 		q.parts = append(q.parts, w.lastID)
 		g.parts[w.lastID] = &part{q: q, work: x * math.Exp(0.2*w.rng.NormFloat64())}
-		events = append(events, sq.Part{ID: w.lastID, Group: int64(q.id), Shard: q.shard[i], Weight: 1 / float64(len(q.costs)),
-			Work: int64(x * math.Exp(0.3*w.rng.NormFloat64())), Key: fmt.Sprint("k", q.id)})
+		events = append(events, sq.Part{
+			ID: w.lastID, Group: int64(q.id), Shard: q.shard[i], Weight: 1 / float64(len(q.costs)),
+			Work: int64(x * math.Exp(0.3*w.rng.NormFloat64())), Key: fmt.Sprint("k", q.id),
+		})
 	}
 	w.tell(g, events...)
 }
--- a/internal/model/slowstart_test.go
+++ b/internal/model/slowstart_test.go
@@ -2,10 +2,10 @@
 
 import (
 	"fmt"
+	"saffronquay/internal/lab"
 	"testing"
 
 	sq "saffronquay"
-	"saffronquay/internal/lab"
 )
 
 // slowStart is a day on which a quarter of the servers are lost and come back cold, with two, twenty or thirty gatherers of which a tenth have
@@ -69,7 +69,8 @@
 // to the one that is worth least. Under overload it is the worth of a class that decides what goes first, so that the least of them
 // gets least.
 func TestNobodyIsStarved(t *testing.T) {
-	for name, day := range map[string]func(uint64, int, int) Day{"calm": Fleet, "burst": Burst, "zone": ZoneLost,
+	for name, day := range map[string]func(uint64, int, int) Day{
+		"calm": Fleet, "burst": Burst, "zone": ZoneLost,
 		"overload": func(seed uint64, g, s int) Day { d := Fleet(seed, g, s); d.Load = 1.3; return d },
 		"heavy and cheap": func(seed uint64, g, s int) Day {
 			d := Fleet(seed, g, s)
@@ -80,7 +81,8 @@
 			d := Fleet(seed, g, s)
 			d.Load, d.Mix = 1.2, []float64{0.05, 0.15, 0.8}
 			return d
-		}} {
+		},
+	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			d := day(5, 12, 12)
--- a/internal/model/split_test.go
+++ b/internal/model/split_test.go
@@ -1,12 +1,12 @@
 package model
 
 import (
-	"testing"
-	"time"
-
 	"saffronquay/internal/contract"
 	"saffronquay/internal/faults"
 	"saffronquay/internal/fleet"
+	"testing"
+	"time"
+
 	views "saffronquay/internal/fleet/model"
 )
 
--- a/internal/once/contracts_test.go
+++ b/internal/once/contracts_test.go
@@ -2,13 +2,12 @@
 
 import (
 	"fmt"
+	"saffronquay/internal/lab"
 	"strings"
 	"sync"
 	"sync/atomic"
 	"testing"
 	"time"
-
-	"saffronquay/internal/lab"
 )
 
 // Through the started program: a loud team with far more than its share is refused, and the quiet one is not; the accounts say so.
@@ -17,9 +16,11 @@
 	g := newGatherer(t, c, "")
 	delete(g.cfg, "store")
 	g.cfg["tenants"] = []any{map[string]any{"name": "quiet", "quota_per_s": 100}, map[string]any{"name": "loud", "quota_per_s": 100}}
-	g.cfg["contracts"] = map[string]any{"cores": 8, "teams": []any{map[string]any{"name": "desk", "weight": 1},
+	g.cfg["contracts"] = map[string]any{"cores": 8, "teams": []any{
+		map[string]any{"name": "desk", "weight": 1},
 		map[string]any{"name": "quiet", "parent": "desk", "weight": 1, "wait_ms": 1000, "classes": []string{"read"}},
-		map[string]any{"name": "loud", "parent": "desk", "weight": 1, "wait_ms": 100}}}
+		map[string]any{"name": "loud", "parent": "desk", "weight": 1, "wait_ms": 100},
+	}}
 	p := g.start()
 	ask := func(team, index string) answer {
 		return g.sendAs(team, "POST", "/"+index+"/_search", "", "", `{"query":{"range":{"taxpayer":{"gte":5,"lt":25}}}}`)
--- a/internal/once/kill_test.go
+++ b/internal/once/kill_test.go
@@ -9,16 +9,15 @@
 	"os/exec"
 	"path/filepath"
 	"reflect"
+	"saffronquay/internal/lab"
+	"saffronquay/internal/layout"
+	"saffronquay/internal/standin"
 	"strings"
 	"sync"
 	"sync/atomic"
 	"syscall"
 	"testing"
 	"time"
-
-	"saffronquay/internal/lab"
-	"saffronquay/internal/layout"
-	"saffronquay/internal/standin"
 )
 
 // Two of five gatherers are killed at once, again and again, while 2,000 filings go through them with clients that retry. Nothing runs
@@ -406,9 +405,19 @@
 	for _, x := range []struct {
 		words, want string
 		code        int
-	}{{"status", "YES active", 0}, {"stats -o json", `"svc.operations.read.fulfilled": 1`, 0}, {"layout show", "epoch 1 ranges 8", 0},
-		{"log debug", "YES log debug", 0}, {"log loud", "want debug, info, warn or error", 1}, {"drain --wait 10s", "drained", 0},
-		{"status", "YES standby", 0}, {"active", "YES active", 0}, {"log error", "YES", 0}, {"standby", "YES standby", 0}, {"log info", "YES", 0}} {
+	}{
+		{"status", "YES active", 0},
+		{"stats -o json", `"svc.operations.read.fulfilled": 1`, 0},
+		{"layout show", "epoch 1 ranges 8", 0},
+		{"log debug", "YES log debug", 0},
+		{"log loud", "want debug, info, warn or error", 1},
+		{"drain --wait 10s", "drained", 0},
+		{"status", "YES standby", 0},
+		{"active", "YES active", 0},
+		{"log error", "YES", 0},
+		{"standby", "YES standby", 0},
+		{"log info", "YES", 0},
+	} {
 		if out, code := lab.Run(t, append(strings.Fields(x.words), "--door", p.Door)...); code != x.code || !strings.Contains(out, x.want) {
 			t.Errorf("%s: %d %s", x.words, code, out)
 		}
--- a/internal/once/measure_test.go
+++ b/internal/once/measure_test.go
@@ -28,8 +28,12 @@
 		for _, c := range []struct {
 			what  string
 			store map[string]any
-		}{{"no store", nil}, {"group commit", map[string]any{}}, {"no group commit", map[string]any{"single": true}},
-			{"group commit, cleaning", map[string]any{"segment_mb": 1, "keep_ms": 1000}}} {
+		}{
+			{"no store", nil},
+			{"group commit", map[string]any{}},
+			{"no group commit", map[string]any{"single": true}},
+			{"group commit, cleaning", map[string]any{"segment_mb": 1, "keep_ms": 1000}},
+		} {
 			cluster := newCluster(t, 2*time.Millisecond)
 			g := newGatherer(t, cluster, "")
 			if delete(g.cfg, "store"); c.store != nil {
--- a/internal/once/model_test.go
+++ b/internal/once/model_test.go
@@ -4,6 +4,10 @@
 	"fmt"
 	"maps"
 	"math/rand/v2"
+	"saffronquay/internal/broker"
+	"saffronquay/internal/once"
+	"saffronquay/internal/store"
+	"saffronquay/internal/store/simdisk"
 	"slices"
 	"sync/atomic"
 	"testing"
@@ -11,11 +15,7 @@
 	"pgregory.net/rapid"
 
 	sq "saffronquay"
-	"saffronquay/internal/broker"
 	_ "saffronquay/internal/lab/steady"
-	"saffronquay/internal/once"
-	"saffronquay/internal/store"
-	"saffronquay/internal/store/simdisk"
 )
 
 const (
@@ -62,16 +62,20 @@
 		w.t.Fatalf("start: %v", err)
 	}
 	class := sq.Class{Name: "once", Aim: 50 * ms, HardLimit: limit, Worth: 1, LateWorth: 0.1, Need: 1, Floor: 1, Effect: sq.AtMostOnce}
-	settings := sq.Settings{Aggregators: 1, Zone: "a", Period: ms, Classes: []sq.Class{class}, Shards: 2, Cells: 2, Reach: 2, PartsPerCall: 1,
-		Limits: sq.Limits{MaxTries: 4, SecondCopies: true, MayCancel: true, RetryAfter: true, MaxRetryAfter: 100 * ms}}
+	settings := sq.Settings{
+		Aggregators: 1, Zone: "a", Period: ms, Classes: []sq.Class{class}, Shards: 2, Cells: 2, Reach: 2, PartsPerCall: 1,
+		Limits: sq.Limits{MaxTries: 4, SecondCopies: true, MayCancel: true, RetryAfter: true, MaxRetryAfter: 100 * ms},
+	}
 	m, err := sq.New(settings, 1)
 	if err != nil {
 		w.t.Fatal(err)
 	}
 	core := broker.New(broker.Terms{Period: ms, Shards: 2, PartsPerCall: 1, RetryAfter: true, MaxRetryAfter: 100 * ms, AnswerGrace: ms, Classes: settings.Classes}, m)
 	core.Fleet(sq.FleetChanged{Kind: sq.FleetFull, Servers: []sq.Server{{ID: "s0", Zone: "a", Cell: 0, Health: sq.Ready}, {ID: "s1", Zone: "a", Cell: 1, Health: sq.Ready}}})
-	return &life{w: w, store: s, ledger: once.New(w.log(s), once.Config{Keep: keep, MaxBody: 100}), core: core, entries: map[sq.ID]*once.Entry{},
-		whose: map[sq.ID]int{}, calls: map[broker.AttemptID]broker.Attempt{}}
+	return &life{
+		w: w, store: s, ledger: once.New(w.log(s), once.Config{Keep: keep, MaxBody: 100}), core: core, entries: map[sq.ID]*once.Entry{},
+		whose: map[sq.ID]int{}, calls: map[broker.AttemptID]broker.Attempt{},
+	}
 }
 
 // file has a client send its filing, the first time or again.
@@ -84,8 +88,10 @@
 	if e == nil {
 		return
 	}
-	id, final, err := p.core.Open(p.w.clock.Load(), broker.Ask{Label: fmt.Sprint("c", client), Class: "once", Deadline: p.w.clock.Load() + limit, Ledger: e,
-		Parts: []broker.AskPart{{Shard: 0, Weight: 0.5, Work: 5 * ms}, {Shard: 1, Weight: 0.5, Work: 5 * ms}}})
+	id, final, err := p.core.Open(p.w.clock.Load(), broker.Ask{
+		Label: fmt.Sprint("c", client), Class: "once", Deadline: p.w.clock.Load() + limit, Ledger: e,
+		Parts: []broker.AskPart{{Shard: 0, Weight: 0.5, Work: 5 * ms}, {Shard: 1, Weight: 0.5, Work: 5 * ms}},
+	})
 	if err != nil || final != nil {
 		e.Release()
 		return
--- a/internal/once/once.go
+++ b/internal/once/once.go
@@ -3,14 +3,13 @@
 import (
 	"errors"
 	"fmt"
+	"saffronquay/internal/broker"
+	"saffronquay/internal/store"
+	"saffronquay/internal/store/form"
 	"strconv"
 	"sync"
 
 	"google.golang.org/protobuf/proto"
-
-	"saffronquay/internal/broker"
-	"saffronquay/internal/store"
-	"saffronquay/internal/store/form"
 )
 
 // Config bounds a ledger. Times are microseconds.
--- a/internal/once/once_test.go
+++ b/internal/once/once_test.go
@@ -2,13 +2,12 @@
 
 import (
 	"errors"
-	"strings"
-	"testing"
-
 	"saffronquay/internal/broker"
 	"saffronquay/internal/once"
 	"saffronquay/internal/store"
 	"saffronquay/internal/store/simdisk"
+	"strings"
+	"testing"
 )
 
 // faulty is a log whose health and losses the test sets.
--- a/internal/once/program_test.go
+++ b/internal/once/program_test.go
@@ -6,14 +6,14 @@
 	"io"
 	"net/http"
 	"path/filepath"
+	"saffronquay/internal/lab"
+	"saffronquay/internal/layout"
+	"saffronquay/internal/standin"
 	"strings"
 	"testing"
 	"time"
 
 	sq "saffronquay"
-	"saffronquay/internal/lab"
-	"saffronquay/internal/layout"
-	"saffronquay/internal/standin"
 )
 
 const patience = lab.Patience
@@ -33,8 +33,10 @@
 	doc := layout.Doc{History: "h", Epoch: 1}
 	ids := []sq.ServerID{"s0", "s1", "s2", "s3"}
 	for i := range 8 {
-		doc.Ranges = append(doc.Ranges, layout.Range{Shard: i, Span: layout.Span{From: int64(i) * 10, To: int64(i+1) * 10},
-			Holders: []sq.ServerID{ids[i%4], ids[(i+1)%4]}})
+		doc.Ranges = append(doc.Ranges, layout.Range{
+			Shard: i, Span: layout.Span{From: int64(i) * 10, To: int64(i+1) * 10},
+			Holders: []sq.ServerID{ids[i%4], ids[(i+1)%4]},
+		})
 	}
 	var rows []standin.Row
 	for k := range int64(80) {
@@ -61,17 +63,21 @@
 	if directory != "" {
 		l1["directory"] = directory
 	}
-	g.cfg = map[string]any{"name": "g", "listen": "127.0.0.1:0", "operator": "127.0.0.1:0", "seed": "7", "servers": servers, "layout": l1,
+	g.cfg = map[string]any{
+		"name": "g", "listen": "127.0.0.1:0", "operator": "127.0.0.1:0", "seed": "7", "servers": servers, "layout": l1,
 		"cursors": map[string]any{}, "store": map[string]any{"directory": filepath.Join(g.Dir, "store"), "takeover_ms": 500},
-		"indices": []any{map[string]any{"name": "invoices", "class": "read", "field": "taxpayer", "part_work_us": 500},
-			map[string]any{"name": "filings", "class": "once", "field": "taxpayer", "part_work_us": 500}},
+		"indices": []any{
+			map[string]any{"name": "invoices", "class": "read", "field": "taxpayer", "part_work_us": 500},
+			map[string]any{"name": "filings", "class": "once", "field": "taxpayer", "part_work_us": 500},
+		},
 		"settings": json.RawMessage(`{"me":0,"balancers":1,"zone":"a","period_us":2000,
  "classes":[{"name":"read","aim_us":2000000,"hard_limit_us":4000000,"worth":1,"late_worth":0.1,"effect":"free"},
   {"name":"once","aim_us":2000000,"hard_limit_us":4000000,"worth":1,"late_worth":0.1,"effect":"single_shot"}],
  "family_info":{"class_fetch":[0,0],"class_partial":[0.9,0.9],"floor_by_class":[1,1],"whole_at":[1,1],"positions":1,"reach":1,"shards":1,"parts_a_call":1},
  "permissions":{"max_open":5000,"connect_timeout_us":250000,"idle_close_us":15000000,"streams_per_conn":32,"may_cancel":true,
   "most_tries":4,"second_copies":true,"retry_after":true,"max_retry_after_us":500000},
- "rules":{"grace_to_answer_us":20000,"warm_within_us":1000000}}`)}
+ "rules":{"grace_to_answer_us":20000,"warm_within_us":1000000}}`),
+	}
 	return g
 }
 
@@ -132,8 +138,10 @@
 	if err != nil {
 		return answer{}
 	}
-	return answer{status: resp.StatusCode, body: string(text), replayed: resp.Header.Get("Idempotent-Replayed") != "",
-		later: resp.StatusCode == 429 || resp.StatusCode == 409}
+	return answer{
+		status: resp.StatusCode, body: string(text), replayed: resp.Header.Get("Idempotent-Replayed") != "",
+		later: resp.StatusCode == 429 || resp.StatusCode == 409,
+	}
 }
 
 // file files something over three ranges, under a key, and retries as a client does until it has an end.
--- a/internal/opensearch/front.go
+++ b/internal/opensearch/front.go
@@ -9,14 +9,13 @@
 	"fmt"
 	"math"
 	"net/url"
-	"slices"
-	"strconv"
-	"strings"
-
 	"saffronquay/internal/broker"
 	"saffronquay/internal/cursor"
 	"saffronquay/internal/http1"
 	"saffronquay/internal/layout"
+	"slices"
+	"strconv"
+	"strings"
 )
 
 // Index is one index that may be searched.
@@ -74,8 +73,10 @@
 
 func (f Front) fail(e *fault) http1.Response {
 	cause := fmt.Sprintf(`{"type":%s,"reason":%s}`, quote(e.kind), quote(e.reason))
-	return http1.Response{Status: e.status, Type: "application/json; charset=UTF-8",
-		Body: fmt.Appendf(nil, `{"error":{"root_cause":[%s],"type":%s,"reason":%s},"status":%d}`, cause, quote(e.kind), quote(e.reason), e.status)}
+	return http1.Response{
+		Status: e.status, Type: "application/json; charset=UTF-8",
+		Body: fmt.Appendf(nil, `{"error":{"root_cause":[%s],"type":%s,"reason":%s},"status":%d}`, cause, quote(e.kind), quote(e.reason), e.status),
+	}
 }
 
 func quote(s string) string {
--- a/internal/opensearch/msearch.go
+++ b/internal/opensearch/msearch.go
@@ -4,12 +4,11 @@
 	"bytes"
 	"fmt"
 	"net/url"
+	"saffronquay/internal/http1"
 	"strconv"
 	"strings"
 
 	"github.com/valyala/fastjson"
-
-	"saffronquay/internal/http1"
 )
 
 // maxSearches bounds a multi-search.
--- a/internal/opensearch/once.go
+++ b/internal/opensearch/once.go
@@ -3,15 +3,14 @@
 import (
 	"fmt"
 	"math"
+	"saffronquay/internal/broker"
+	"saffronquay/internal/http1"
+	"saffronquay/internal/once"
 	"strconv"
 	"strings"
 	"time"
 
 	"github.com/cespare/xxhash/v2"
-
-	"saffronquay/internal/broker"
-	"saffronquay/internal/http1"
-	"saffronquay/internal/once"
 )
 
 // Once is what the front needs for queries that must not run twice.
@@ -46,8 +45,10 @@
 		key = keys[0]
 	}
 	if len(keys) > 1 || len(keys) == 1 && (key == "" || len(key) > mostKey || strings.ContainsFunc(key, func(r rune) bool { return r < ' ' || r > '~' })) {
-		return refused(&fault{400, "illegal_argument_exception",
-			fmt.Sprintf("[%s] wants one key of 1 to %d printable characters", f.Once.Header, mostKey)})
+		return refused(&fault{
+			400, "illegal_argument_exception",
+			fmt.Sprintf("[%s] wants one key of 1 to %d printable characters", f.Once.Header, mostKey),
+		})
 	}
 	if key != "" {
 		key = a.Tenant + "\x00" + index + "\x00" + key
@@ -80,11 +81,15 @@
 		if v.Answer.Shortened {
 			return f.fail(&fault{500, "exception", "a query with this key has been carried out before; its answer was too long to be kept"})
 		}
-		return http1.Response{Status: v.Answer.Status, Type: v.Answer.Type, Body: v.Answer.Body,
-			Fields: append(v.Answer.Fields, [2]string{"Idempotent-Replayed", "true"})}
+		return http1.Response{
+			Status: v.Answer.Status, Type: v.Answer.Type, Body: v.Answer.Body,
+			Fields: append(v.Answer.Fields, [2]string{"Idempotent-Replayed", "true"}),
+		}
 	case once.Unknown:
-		return later(f.fail(&fault{429, "rejected_execution_exception",
-			"records of the durable store are lost, and one of this key may have been among them; later it may be sent"}), v.After)
+		return later(f.fail(&fault{
+			429, "rejected_execution_exception",
+			"records of the durable store are lost, and one of this key may have been among them; later it may be sent",
+		}), v.After)
 	}
 	return later(f.fail(&fault{429, "rejected_execution_exception", "the durable store takes nothing now: sending it again does no harm"}), 0)
 }
--- a/internal/opensearch/opensearch_test.go
+++ b/internal/opensearch/opensearch_test.go
@@ -3,18 +3,21 @@
 import (
 	"encoding/json"
 	"fmt"
+	"saffronquay/internal/broker"
+	"saffronquay/internal/http1"
+	"saffronquay/internal/merge"
 	"strings"
 	"testing"
 
 	sq "saffronquay"
-	"saffronquay/internal/broker"
-	"saffronquay/internal/http1"
-	"saffronquay/internal/merge"
 )
 
-var front = Front{TenantHeader: "X-Tenant", Tenants: map[string]bool{"desk": true}, Longest: map[string]int64{"c": 5_000_000},
+var front = Front{
+	TenantHeader: "X-Tenant", Tenants: map[string]bool{"desk": true}, Longest: map[string]int64{"c": 5_000_000},
 	Indices: map[string]Index{"ix": {Name: "ix", Class: "c", Field: "taxpayer", PartWork: 7, Ranges: []Range{
-		{Span{From: 0, To: 100}, 0}, {Span{From: 100, To: 200}, 1}, {Span{From: 200, To: 300}, 2}, {Span{From: 300, To: 400}, 0}}}}}
+		{Span{From: 0, To: 100}, 0}, {Span{From: 100, To: 200}, 1}, {Span{From: 200, To: 300}, 2}, {Span{From: 300, To: 400}, 0},
+	}}},
+}
 
 func open(target, tenant, body string) (broker.Ask, func(broker.Final, int64) http1.Response, *http1.Response) {
 	var p http1.Parser
@@ -141,8 +144,10 @@
 		target, body string
 		want         int64
 	}{
-		{"/ix/_search", ``, 5_001_000}, {"/ix/_search", `{"timeout":"300ms"}`, 301_000},
-		{"/ix/_search?timeout=1s", `{"timeout":"300ms"}`, 1_001_000}, {"/ix/_search?timeout=1h", ``, 5_001_000},
+		{"/ix/_search", ``, 5_001_000},
+		{"/ix/_search", `{"timeout":"300ms"}`, 301_000},
+		{"/ix/_search?timeout=1s", `{"timeout":"300ms"}`, 1_001_000},
+		{"/ix/_search?timeout=1h", ``, 5_001_000},
 	} {
 		if ask, _, resp := open(c.target, "desk", c.body); resp != nil || ask.Deadline != c.want {
 			t.Errorf("%s %s: deadline %d, want %d", c.target, c.body, ask.Deadline, c.want)
@@ -164,16 +169,20 @@
 
 func TestMerge(t *testing.T) {
 	ask, word, _ := open("/ix/_search", "desk", `{"from":1,"size":2}`)
-	values := []broker.Value{given(t, ask, 0, 7, `{"_id":"a","_score":3}`, `{"_id":"b","_score":1}`), given(t, ask, 1, 0),
-		given(t, ask, 2, 2, `{"_id":"c","_score":2}`, `{"_id":"d","_score":null}`)}
+	values := []broker.Value{
+		given(t, ask, 0, 7, `{"_id":"a","_score":3}`, `{"_id":"b","_score":1}`), given(t, ask, 1, 0),
+		given(t, ask, 2, 2, `{"_id":"c","_score":2}`, `{"_id":"d","_score":null}`),
+	}
 	r := word(broker.Final{Verdict: broker.Answered, Whole: true, Shards: 3, Share: 1, Values: values}, 42_000)
 	want := `{"took":41,"timed_out":false,"_shards":{"total":3,"successful":3,"skipped":0,"failed":0},` +
 		`"hits":{"total":{"value":9,"relation":"eq"},"max_score":3,"hits":[{"_id":"c","_score":2},{"_id":"b","_score":1}]}}`
 	if string(r.Body) != want {
 		t.Errorf("got %s", r.Body)
 	}
-	r = word(broker.Final{Verdict: broker.Answered, Shards: 3, Share: 0.75, Values: values[:2],
-		Missing: []merge.Piece{{Shard: 2, From: 5, To: 9, Weight: 0.25}}}, 42_000)
+	r = word(broker.Final{
+		Verdict: broker.Answered, Shards: 3, Share: 0.75, Values: values[:2],
+		Missing: []merge.Piece{{Shard: 2, From: 5, To: 9, Weight: 0.25}},
+	}, 42_000)
 	for _, want := range []string{`"timed_out":true`, `"failed":1,"failures":[{"shard":2,`, `"completeness":{"whole":false,"share":0.75,"missing":[{"shard":2,"from":5,"to":9}]}`} {
 		if !strings.Contains(string(r.Body), want) {
 			t.Errorf("%s is not in %s", want, r.Body)
@@ -181,7 +190,8 @@
 	}
 	ask, word, _ = open("/ix/_count", "desk", `{"query":{"match_all":{}}}`)
 	if got := word(broker.Final{Verdict: broker.Answered, Whole: true, Shards: 2, Share: 1, Values: []broker.Value{
-		given(t, ask, 0, 9007199254740993), given(t, ask, 1, 1)}}, 0); !strings.HasPrefix(string(got.Body), `{"count":9007199254740994,"_shards"`) {
+		given(t, ask, 0, 9007199254740993), given(t, ask, 1, 1),
+	}}, 0); !strings.HasPrefix(string(got.Body), `{"count":9007199254740994,"_shards"`) {
 		t.Errorf("got %s", got.Body)
 	}
 }
--- a/internal/opensearch/pit.go
+++ b/internal/opensearch/pit.go
@@ -5,13 +5,12 @@
 	"errors"
 	"fmt"
 	"net/url"
+	"saffronquay/internal/cursor"
+	"saffronquay/internal/http1"
 	"strings"
 	"time"
 
 	"github.com/valyala/fastjson"
-
-	"saffronquay/internal/cursor"
-	"saffronquay/internal/http1"
 )
 
 const pitPath = "/_search/point_in_time"
@@ -56,8 +55,10 @@
 	if err != nil {
 		return nil, pointFault(err)
 	}
-	return &http1.Response{Status: 200, Type: "application/json; charset=UTF-8",
-		Body: fmt.Appendf(nil, `{"pit_id":%s,"creation_time":%d}`, quote(token), now/1000)}, nil
+	return &http1.Response{
+		Status: 200, Type: "application/json; charset=UTF-8",
+		Body: fmt.Appendf(nil, `{"pit_id":%s,"creation_time":%d}`, quote(token), now/1000),
+	}, nil
 }
 
 func (f Front) closePoints(body []byte, tenant string, now int64) (*http1.Response, error) {
--- a/internal/opensearch/ranges.go
+++ b/internal/opensearch/ranges.go
@@ -3,9 +3,8 @@
 import (
 	"cmp"
 	"math"
-	"slices"
-
 	"saffronquay/internal/layout"
+	"slices"
 )
 
 // Span is a run of whole numbers, From up to but without To.
--- a/internal/opensearch/respond.go
+++ b/internal/opensearch/respond.go
@@ -4,11 +4,10 @@
 	"bytes"
 	"errors"
 	"fmt"
-	"strconv"
-
 	"saffronquay/internal/broker"
 	"saffronquay/internal/http1"
 	"saffronquay/internal/merge"
+	"strconv"
 )
 
 // respond makes the answer of what the parts gave.
--- a/internal/opensearch/search.go
+++ b/internal/opensearch/search.go
@@ -3,14 +3,13 @@
 import (
 	"fmt"
 	"math"
+	"saffronquay/internal/merge"
 	"slices"
 	"strconv"
 	"strings"
 	"time"
 
 	"github.com/valyala/fastjson"
-
-	"saffronquay/internal/merge"
 )
 
 // fault is a search that is refused before the broker hears of it.
@@ -147,8 +146,15 @@
 var units = []struct {
 	name string
 	size time.Duration
-}{{"micros", time.Microsecond}, {"nanos", time.Nanosecond}, {"ms", time.Millisecond}, {"s", time.Second},
-	{"m", time.Minute}, {"h", time.Hour}, {"d", 24 * time.Hour}}
+}{
+	{"micros", time.Microsecond},
+	{"nanos", time.Nanosecond},
+	{"ms", time.Millisecond},
+	{"s", time.Second},
+	{"m", time.Minute},
+	{"h", time.Hour},
+	{"d", 24 * time.Hour},
+}
 
 // duration reads a time value, such as 500ms or 2s.
 func duration(text string, into *time.Duration) error {
--- a/internal/opensearch/servers.go
+++ b/internal/opensearch/servers.go
@@ -4,16 +4,16 @@
 	"bytes"
 	"errors"
 	"fmt"
+	"saffronquay/internal/broker"
+	"saffronquay/internal/http1"
+	"saffronquay/internal/layout"
+	"saffronquay/internal/merge"
 	"strconv"
 	"strings"
 
 	"github.com/valyala/fastjson"
 
 	sq "saffronquay"
-	"saffronquay/internal/broker"
-	"saffronquay/internal/http1"
-	"saffronquay/internal/layout"
-	"saffronquay/internal/merge"
 )
 
 // maxAnswer bounds a server's answer.
--- a/internal/opensearch/sort.go
+++ b/internal/opensearch/sort.go
@@ -3,11 +3,10 @@
 import (
 	"errors"
 	"fmt"
+	"saffronquay/internal/merge"
 	"strconv"
 
 	"github.com/valyala/fastjson"
-
-	"saffronquay/internal/merge"
 )
 
 // sortKey is one key of the order, as the client gave it.
--- a/internal/operations/figures.go
+++ b/internal/operations/figures.go
@@ -56,8 +56,14 @@
 	for _, c := range []struct {
 		name, kind string
 		n          int64
-	}{{"words_sent", "c", t.Sent}, {"words_received", "c", t.Received}, {"bytes_sent", "c", t.SentBytes}, {"bytes_received", "c", t.ReceivedBytes},
-		{"bytes_of_shares", "c", t.ShareBytes}, {"links", "g", t.Links}} {
+	}{
+		{"words_sent", "c", t.Sent},
+		{"words_received", "c", t.Received},
+		{"bytes_sent", "c", t.SentBytes},
+		{"bytes_received", "c", t.ReceivedBytes},
+		{"bytes_of_shares", "c", t.ShareBytes},
+		{"links", "g", t.Links},
+	} {
 		dst = fmt.Appendf(dst, "svc.%s.%s:%d|%s\n", of, c.name, c.n, c.kind)
 	}
 	return dst
@@ -131,8 +137,14 @@
 			dst = fmt.Appendf(dst, "svc.operations.%s.%s:%d|c\n", plain(name), c.name, c.n.Load())
 		}
 	}
-	for _, c := range []figure{{"relayed", "c", &f.Relayed}, {"open_requests", "g", &f.Open}, {"registry_entries", "g", &f.Listed},
-		{"out_of_rotation", "g", &f.Out}, {"cfg_accepted", "c", &f.CfgTaken}, {"cfg_invalid", "c", &f.CfgFaulty}} {
+	for _, c := range []figure{
+		{"relayed", "c", &f.Relayed},
+		{"open_requests", "g", &f.Open},
+		{"registry_entries", "g", &f.Listed},
+		{"out_of_rotation", "g", &f.Out},
+		{"cfg_accepted", "c", &f.CfgTaken},
+		{"cfg_invalid", "c", &f.CfgFaulty},
+	} {
 		dst = fmt.Appendf(dst, "svc.%s:%d|%s\n", c.name, c.n.Load(), c.kind)
 	}
 	if f.Cursors != nil {
@@ -143,8 +155,17 @@
 		for _, c := range []struct {
 			name, kind string
 			n          int64
-		}{{"bytes", "g", s.Bytes}, {"keys", "g", s.Keys}, {"open", "g", s.Open}, {"unknown", "g", s.Unknown}, {"failing", "g", s.Failing},
-			{"appends", "c", s.Appends}, {"syncs", "c", s.Syncs}, {"failed", "c", s.Failed}, {"cleaned", "c", s.Cleaned}} {
+		}{
+			{"bytes", "g", s.Bytes},
+			{"keys", "g", s.Keys},
+			{"open", "g", s.Open},
+			{"unknown", "g", s.Unknown},
+			{"failing", "g", s.Failing},
+			{"appends", "c", s.Appends},
+			{"syncs", "c", s.Syncs},
+			{"failed", "c", s.Failed},
+			{"cleaned", "c", s.Cleaned},
+		} {
 			dst = fmt.Appendf(dst, "svc.store.%s:%d|%s\n", c.name, c.n, c.kind)
 		}
 	}
@@ -153,9 +174,25 @@
 		for _, c := range []struct {
 			name, kind string
 			n          int64
-		}{{"alive", "g", s.Alive}, {"reckon", "g", s.Reckon}, {"suspected", "g", s.Suspected}, {"dead", "g", s.Dead}, {"ill", "g", s.Ill}, {"twin", "g", s.Twin},
-			{"sent", "c", s.Sent}, {"received", "c", s.Received}, {"dropped", "c", s.Dropped}, {"bytes", "c", s.Bytes}, {"exchanges", "c", s.Exchanges},
-			{"unanswered", "c", s.Failed}, {"accused", "c", s.Accused}, {"refuted", "c", s.Refuted}, {"died", "c", s.Died}, {"naps", "c", s.Naps}, {"full", "c", s.Full}} {
+		}{
+			{"alive", "g", s.Alive},
+			{"reckon", "g", s.Reckon},
+			{"suspected", "g", s.Suspected},
+			{"dead", "g", s.Dead},
+			{"ill", "g", s.Ill},
+			{"twin", "g", s.Twin},
+			{"sent", "c", s.Sent},
+			{"received", "c", s.Received},
+			{"dropped", "c", s.Dropped},
+			{"bytes", "c", s.Bytes},
+			{"exchanges", "c", s.Exchanges},
+			{"unanswered", "c", s.Failed},
+			{"accused", "c", s.Accused},
+			{"refuted", "c", s.Refuted},
+			{"died", "c", s.Died},
+			{"naps", "c", s.Naps},
+			{"full", "c", s.Full},
+		} {
 			dst = fmt.Appendf(dst, "svc.fleet.%s:%d|%s\n", c.name, c.n, c.kind)
 		}
 		dst = s.Traffic.tell(dst, "fleet")
@@ -174,9 +211,16 @@
 		dst = s.Traffic.tell(dst, "rollout")
 	}
 	if l := f.Routes; l != nil {
-		for _, c := range []figure{{"epoch", "g", &l.Epoch}, {"ranges", "g", &l.Ranges}, {"changes", "g", &l.Changes},
-			{"stalled", "g", &l.Stalled}, {"taken", "c", &l.Taken}, {"refused", "c", &l.Refused},
-			{"replanned", "c", &l.Replanned}, {"misplaced", "c", &l.Misplaced}} {
+		for _, c := range []figure{
+			{"epoch", "g", &l.Epoch},
+			{"ranges", "g", &l.Ranges},
+			{"changes", "g", &l.Changes},
+			{"stalled", "g", &l.Stalled},
+			{"taken", "c", &l.Taken},
+			{"refused", "c", &l.Refused},
+			{"replanned", "c", &l.Replanned},
+			{"misplaced", "c", &l.Misplaced},
+		} {
 			dst = fmt.Appendf(dst, "svc.layout.%s:%d|%s\n", c.name, c.n.Load(), c.kind)
 		}
 	}
--- a/internal/peers/frames.go
+++ b/internal/peers/frames.go
@@ -8,12 +8,11 @@
 	"io"
 	"net"
 	"net/netip"
+	"saffronquay/internal/events"
+	"saffronquay/internal/rollout/wire"
 	"time"
 
 	"google.golang.org/protobuf/proto"
-
-	"saffronquay/internal/events"
-	"saffronquay/internal/rollout/wire"
 )
 
 func (p *Policy) accept() {
--- a/internal/peers/links.go
+++ b/internal/peers/links.go
@@ -4,11 +4,10 @@
 	"io"
 	"net"
 	"net/netip"
+	"saffronquay/internal/rollout/wire"
 	"sync"
 	"sync/atomic"
 	"time"
-
-	"saffronquay/internal/rollout/wire"
 )
 
 // other is another gatherer, and what there is to send to it. Most are never written to: a follower asks voters only.
--- a/internal/peers/links_test.go
+++ b/internal/peers/links_test.go
@@ -5,12 +5,11 @@
 	"log/slog"
 	"net/netip"
 	"runtime"
-	"testing"
-	"time"
-
 	"saffronquay/internal/rollout"
 	"saffronquay/internal/rollout/wire"
 	"saffronquay/internal/transport"
+	"testing"
+	"time"
 )
 
 // idleHost does nothing for a part.
--- a/internal/peers/policy.go
+++ b/internal/peers/policy.go
@@ -7,15 +7,14 @@
 	"math/rand/v2"
 	"net"
 	"net/netip"
-	"sync"
-	"sync/atomic"
-	"time"
-
 	"saffronquay/internal/events"
 	"saffronquay/internal/rollout"
 	"saffronquay/internal/rollout/wire"
 	"saffronquay/internal/share"
 	"saffronquay/internal/transport"
+	"sync"
+	"sync/atomic"
+	"time"
 )
 
 // PolicyConfig is what a gatherer's part in agreeing on versions of the policy is made of.
@@ -96,8 +95,10 @@
 	if err != nil {
 		return nil, fmt.Errorf("rollout: listen: %w", err)
 	}
-	p := &Policy{cfg: cfg, now: now, host: host, log: log, tcp: tcp, in: make(chan arrival, inbox), calls: make(chan func(int64), 16), done_: make(chan func(int64), 64),
-		idle: linkIdle, stop: make(chan struct{}), done: make(chan struct{})}
+	p := &Policy{
+		cfg: cfg, now: now, host: host, log: log, tcp: tcp, in: make(chan arrival, inbox), calls: make(chan func(int64), 16), done_: make(chan func(int64), 64),
+		idle: linkIdle, stop: make(chan struct{}), done: make(chan struct{}),
+	}
 	p.others.Store(&map[string]*other{})
 	if !cfg.Listen.Addr().IsUnspecified() {
 		p.local = cfg.Listen.Addr()
--- a/internal/peers/policy_test.go
+++ b/internal/peers/policy_test.go
@@ -8,6 +8,14 @@
 	"net/http"
 	"os"
 	"path/filepath"
+	"saffronquay/internal/campaign"
+	"saffronquay/internal/config"
+	"saffronquay/internal/faults"
+	"saffronquay/internal/lab"
+	"saffronquay/internal/layout"
+	"saffronquay/internal/peers"
+	"saffronquay/internal/rollout/wire"
+	"saffronquay/internal/standin"
 	"slices"
 	"strconv"
 	"strings"
@@ -19,14 +27,6 @@
 	"github.com/anishathalye/porcupine"
 
 	sq "saffronquay"
-	"saffronquay/internal/campaign"
-	"saffronquay/internal/config"
-	"saffronquay/internal/faults"
-	"saffronquay/internal/lab"
-	"saffronquay/internal/layout"
-	"saffronquay/internal/peers"
-	"saffronquay/internal/rollout/wire"
-	"saffronquay/internal/standin"
 )
 
 // agreeing starts a group whose members agree on the policy, in front of stand-in servers.
@@ -268,8 +268,11 @@
 	second := time.Second
 	good := []campaign.Query{{Came: second, Version: 1}, {Sent: second / 2, Came: 3 * second, Version: 1}, {Sent: second, Came: 2 * second, Version: 2}, {Sent: 3 * second, Came: 4 * second, Version: 2}}
 	bad := append(good, campaign.Query{Sent: 5 * second, Came: 6 * second, Version: 1})
-	writes := []porcupine.Operation{{Input: step{true, 0}, Output: &wire.Answer{End: 1, Number: 1}, Call: -9, Return: -8},
-		{Input: step{true, 1}, Output: &wire.Answer{}, Call: int64(second), Return: int64(second) + 1}, {Input: step{true, 0}, Output: &wire.Answer{End: 2}, Call: 5, Return: 6}}
+	writes := []porcupine.Operation{
+		{Input: step{true, 0}, Output: &wire.Answer{End: 1, Number: 1}, Call: -9, Return: -8},
+		{Input: step{true, 1}, Output: &wire.Answer{}, Call: int64(second), Return: int64(second) + 1},
+		{Input: step{true, 0}, Output: &wire.Answer{End: 2}, Call: 5, Return: 6},
+	}
 	if a, b := linearizable(writes, good), linearizable(writes, bad); a != porcupine.Ok || b != porcupine.Illegal {
 		t.Errorf("linearizable: %s, %s", a, b)
 	}
--- a/internal/peers/price_test.go
+++ b/internal/peers/price_test.go
@@ -2,13 +2,12 @@
 
 import (
 	"os"
+	"saffronquay/internal/peers"
+	"saffronquay/internal/rollout/wire"
 	"slices"
 	"strings"
 	"testing"
 	"time"
-
-	"saffronquay/internal/peers"
-	"saffronquay/internal/rollout/wire"
 )
 
 // What a change costs nine processes under load, with all up and with one to four down: how long it takes, how long queries are held, and
--- a/internal/peers/program_test.go
+++ b/internal/peers/program_test.go
@@ -3,15 +3,14 @@
 import (
 	"fmt"
 	"os"
+	"saffronquay/internal/faults"
+	"saffronquay/internal/lab"
 	"slices"
 	"strconv"
 	"strings"
 	"syscall"
 	"testing"
 	"time"
-
-	"saffronquay/internal/faults"
-	"saffronquay/internal/lab"
 )
 
 func TestMain(m *testing.M) { lab.Main(m) }
--- a/internal/peers/regions.go
+++ b/internal/peers/regions.go
@@ -2,10 +2,9 @@
 
 import (
 	"math"
-	"time"
-
 	"saffronquay/internal/events"
 	"saffronquay/internal/rollout"
+	"time"
 )
 
 // GlobalHost keeps what a gatherer's vote in the global agreement needs, apart from what its region's agreement does. Both return when it is
--- a/internal/peers/regions_cases_test.go
+++ b/internal/peers/regions_cases_test.go
@@ -3,12 +3,11 @@
 import (
 	"fmt"
 	"net/http"
+	"saffronquay/internal/lab"
 	"strings"
 	"sync"
 	"testing"
 	"time"
-
-	"saffronquay/internal/lab"
 )
 
 // sums are how many parts all of each region may have out together.
@@ -31,8 +30,10 @@
 		m.Edit(func(file map[string]any) {
 			file["rollout"].(map[string]any)["share"] = true
 			file["tenants"] = []any{map[string]any{"name": "moves", "quota_per_s": 100}, map[string]any{"name": "rests", "quota_per_s": 100}}
-			file["contracts"] = map[string]any{"cores": 56, "gatherers": 7, "over": 1.25,
-				"teams": []any{map[string]any{"name": "moves", "weight": 9, "wait_ms": 2000}, map[string]any{"name": "rests", "weight": 1}}}
+			file["contracts"] = map[string]any{
+				"cores": 56, "gatherers": 7, "over": 1.25,
+				"teams": []any{map[string]any{"name": "moves", "weight": 9, "wait_ms": 2000}, map[string]any{"name": "rests", "weight": 1}},
+			}
 			file["fleet"].(map[string]any)["contracts"] = false
 		})
 	}
--- a/internal/peers/regions_test.go
+++ b/internal/peers/regions_test.go
@@ -2,13 +2,12 @@
 
 import (
 	"fmt"
-	"strconv"
-	"strings"
-	"testing"
-
 	"saffronquay/internal/campaign"
 	"saffronquay/internal/faults"
 	"saffronquay/internal/lab"
+	"strconv"
+	"strings"
+	"testing"
 )
 
 // halves are the members of two regions, by number: oeste has the majority of the global voters.
--- a/internal/peers/shares_test.go
+++ b/internal/peers/shares_test.go
@@ -3,14 +3,13 @@
 import (
 	"fmt"
 	"net/http"
+	"saffronquay/internal/lab"
+	"saffronquay/internal/rollout/wire"
 	"strconv"
 	"strings"
 	"sync"
 	"testing"
 	"time"
-
-	"saffronquay/internal/lab"
-	"saffronquay/internal/rollout/wire"
 )
 
 // limits are how many parts each member that answers may have out, by its door: the lesser of two readings, so that a part that moves
@@ -47,8 +46,10 @@
 		m.Edit(func(file map[string]any) {
 			file["rollout"].(map[string]any)["share"] = true
 			file["tenants"] = []any{map[string]any{"name": "moves", "quota_per_s": 100}, map[string]any{"name": "rests", "quota_per_s": 100}}
-			file["contracts"] = map[string]any{"cores": 24, "gatherers": 3, "over": 1.25,
-				"teams": []any{map[string]any{"name": "moves", "weight": 9, "wait_ms": 2000}, map[string]any{"name": "rests", "weight": 1}}}
+			file["contracts"] = map[string]any{
+				"cores": 24, "gatherers": 3, "over": 1.25,
+				"teams": []any{map[string]any{"name": "moves", "weight": 9, "wait_ms": 2000}, map[string]any{"name": "rests", "weight": 1}},
+			}
 			file["fleet"].(map[string]any)["contracts"] = false
 		})
 	}
--- a/internal/peers/steps_test.go
+++ b/internal/peers/steps_test.go
@@ -5,13 +5,12 @@
 	"fmt"
 	"os"
 	"path/filepath"
-	"strings"
-	"testing"
-	"time"
-
 	"saffronquay/internal/faults"
 	"saffronquay/internal/lab"
 	"saffronquay/internal/rollout/wire"
+	"strings"
+	"testing"
+	"time"
 )
 
 // changes proposes policies one after the other, each in the place of what is in force.
--- a/internal/peers/terms_test.go
+++ b/internal/peers/terms_test.go
@@ -3,11 +3,10 @@
 import (
 	"encoding/json"
 	"net/http"
+	"saffronquay/internal/rollout/wire"
 	"strings"
 	"testing"
 	"time"
-
-	"saffronquay/internal/rollout/wire"
 )
 
 // A policy shuts out the very team whose queries are in flight: those end under the terms by which they were let in, and the next ones
--- a/internal/peers/traffic.go
+++ b/internal/peers/traffic.go
@@ -1,10 +1,9 @@
 package peers
 
 import (
-	"sync/atomic"
-
 	"saffronquay/internal/fleet/gossip"
 	"saffronquay/internal/rollout/wire"
+	"sync/atomic"
 )
 
 // Traffic is what a part has sent and taken in.
--- a/internal/peers/view.go
+++ b/internal/peers/view.go
@@ -1,9 +1,8 @@
 package peers
 
 import (
-	"time"
-
 	"saffronquay/internal/fleet/gossip"
+	"time"
 )
 
 const (
--- a/internal/peers/voters_test.go
+++ b/internal/peers/voters_test.go
@@ -4,10 +4,9 @@
 	"fmt"
 	"os"
 	"path/filepath"
+	"saffronquay/internal/lab"
 	"strings"
 	"testing"
-
-	"saffronquay/internal/lab"
 )
 
 // until waits until a member's own line in what its door tells of the policy has these words.
