--- a/internal/platform/client.go
+++ b/internal/platform/client.go
@@ -5,13 +5,12 @@
 	"encoding/json"
 	"fmt"
 	"math"
+	"saffronquay/internal/broker"
+	"saffronquay/internal/http1"
 	"strconv"
 	"strings"
 
 	"github.com/valyala/fastjson"
-
-	"saffronquay/internal/broker"
-	"saffronquay/internal/http1"
 )
 
 // Front speaks the platform's protocol towards clients.
@@ -77,8 +76,10 @@
 }
 
 func (f Front) ask(m *http1.Message, key string, now int64) (broker.Ask, error) {
-	a := broker.Ask{Label: m.Header.Get("Request-Id"), Unique: true, Class: m.Header.Get("Request-Class"),
-		Tenant: m.Header.Get("Tenant"), Key: key}
+	a := broker.Ask{
+		Label: m.Header.Get("Request-Id"), Unique: true, Class: m.Header.Get("Request-Class"),
+		Tenant: m.Header.Get("Tenant"), Key: key,
+	}
 	// Workers read the id up to a dot or space, so it has to be a plain word.
 	if a.Label == "" || len(a.Label) > maxID || strings.ContainsFunc(a.Label, func(r rune) bool { return r <= ' ' || r > '~' || r == '.' }) {
 		return a, fmt.Errorf("Request-Id: missing, too long, or not a plain word")
@@ -117,8 +118,10 @@
 		if err != nil {
 			return a, fmt.Errorf("segments[%d].segment: %w", i, err)
 		}
-		part := broker.AskPart{Shard: shard, Weight: p.GetFloat64("boost"),
-			Work: int64(max(-1, min(p.GetFloat64("work"), math.MaxInt32*1e6)))} // the core judges the range
+		part := broker.AskPart{
+			Shard: shard, Weight: p.GetFloat64("boost"),
+			Work: int64(max(-1, min(p.GetFloat64("work"), math.MaxInt32*1e6))),
+		} // the core judges the range
 		part.Key = string(p.GetStringBytes("affinity"))
 		a.Parts = append(a.Parts, part)
 	}
--- a/internal/platform/discovery.go
+++ b/internal/platform/discovery.go
@@ -83,8 +83,10 @@
 			return List{}, fmt.Errorf("list of workers: instances[%d]: no instanceId, or unknown lifecycle %q", i,
 				e.GetStringBytes("lifecycle"))
 		}
-		l.Servers = append(l.Servers, sq.Server{ID: id, Zone: string(e.GetStringBytes("zone")),
-			Cell: e.GetInt("cell"), Health: health, StartedAt: e.GetInt64("startedAtMs") * 1000})
+		l.Servers = append(l.Servers, sq.Server{
+			ID: id, Zone: string(e.GetStringBytes("zone")),
+			Cell: e.GetInt("cell"), Health: health, StartedAt: e.GetInt64("startedAtMs") * 1000,
+		})
 		if addr := e.GetStringBytes("hostPort"); len(addr) > 0 {
 			l.Addresses[id] = string(addr)
 		}
--- a/internal/platform/frames.go
+++ b/internal/platform/frames.go
@@ -5,13 +5,13 @@
 	"encoding/binary"
 	"fmt"
 	"math"
+	"saffronquay/internal/broker"
+	"saffronquay/internal/http1"
 	"strconv"
 	"strings"
 	"unicode/utf8"
 
 	sq "saffronquay"
-	"saffronquay/internal/broker"
-	"saffronquay/internal/http1"
 )
 
 // The bounds of what a worker sends. A value has to fit into an answer to a client.
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -4,12 +4,12 @@
 	"encoding/binary"
 	"fmt"
 	"reflect"
+	"saffronquay/internal/broker"
+	"saffronquay/internal/http1"
 	"strings"
 	"testing"
 
 	sq "saffronquay"
-	"saffronquay/internal/broker"
-	"saffronquay/internal/http1"
 )
 
 func frame(body string) string {
@@ -62,16 +62,20 @@
 }
 
 var answers = []struct{ name, text, want string }{
-	{"in any order", frame("Y9b1f.4 OK 1 inflight=7,util=0.61,odd=1\nva\nl") + frame("Y9b1f.3 REJECTED 0 -\n"),
-		"4:0:va\nl:{-1 7 -1 0.61} 3:2:: "},
+	{
+		"in any order", frame("Y9b1f.4 OK 1 inflight=7,util=0.61,odd=1\nva\nl") + frame("Y9b1f.3 REJECTED 0 -\n"),
+		"4:0:va\nl:{-1 7 -1 0.61} 3:2:: ",
+	},
 	{"a late answer is dropped", frame("Y9b1f.5 OK 1 -\nv") + frame("Y9b1f.3 OK 1 -\nw") +
 		frame("Y9b1f.4 ERROR 1 queue=2\n"), "3:0:w: 4:1::{2 -1 -1 -1} "},
 	{"the late one comes but once", frame("Y9b1f.5 OK 1 -\nv") + frame("Y9b1f.5 OK 1 -\nv"), "error"},
 	{"a second copy", frame("Y9b1f.3 OK 1 -\nv") + frame("Y9b1f.3 OK 1 -\nv"), "3:0:v: error"},
 	{"noise behind", frame("Y9b1f.3 OK 1 -\nv") + frame("Y9b1f.4 OK 1 -\nw") + frame("Y9b1f.5 OK 1 -\n") + "\x00", "3:0:v: 4:0:w: error"},
 	{"never sent here", frame("Y9b1f.9 OK 1 -\nw"), "error"},
-	{"reports in the settings' words", frame("Y9b1f.3 OK 1 utilization=0.086,backlog=3.177\nv") + frame("Y9b1f.4 OK 1 outstanding=5,throughput=20\nw"),
-		"3:0:v:{3.177 -1 -1 0.086} 4:0:w:{-1 5 20 -1} "},
+	{
+		"reports in the settings' words", frame("Y9b1f.3 OK 1 utilization=0.086,backlog=3.177\nv") + frame("Y9b1f.4 OK 1 outstanding=5,throughput=20\nw"),
+		"3:0:v:{3.177 -1 -1 0.086} 4:0:w:{-1 5 20 -1} ",
+	},
 	{"reports of nothing that is known", frame("Y9b1f.3 OK 1 errors_per_s=2\nv") + frame("Y9b1f.4 OK 1 odd=1,odd=2\nw"), "3:0:v: 4:0:w: "},
 	{"reports that can't be read", frame("Y9b1f.3 OK 1 queue=NaN,util=0.5\nv") + frame("Y9b1f.4 OK 1 ;; util 7 = -1\nw"), "3:0:v: 4:0:w: "},
 	{"reports out of range", frame("Y9b1f.3 OK 1 queue=-3\nv") + frame("Y9b1f.4 OK 1 queue=1e300\nw"), "3:0:v: 4:0:w: "},
@@ -132,8 +136,10 @@
 	if resp != nil {
 		t.Fatalf("%s", resp.Body)
 	}
-	want := broker.Ask{Label: "9b1f", Unique: true, Class: "c", Tenant: "acme", Key: "k1", Deadline: 480_990, Text: []byte(`a"b`),
-		Parts: []broker.AskPart{{Shard: 3, Weight: 0.5, Work: 9000, Key: "00ff"}, {Shard: 9, Weight: 0.5}}}
+	want := broker.Ask{
+		Label: "9b1f", Unique: true, Class: "c", Tenant: "acme", Key: "k1", Deadline: 480_990, Text: []byte(`a"b`),
+		Parts: []broker.AskPart{{Shard: 3, Weight: 0.5, Work: 9000, Key: "00ff"}, {Shard: 9, Weight: 0.5}},
+	}
 	if fmt.Sprint(ask) != fmt.Sprint(want) {
 		t.Errorf("got %v, want %v", ask, want)
 	}
@@ -157,8 +163,10 @@
 	for target, want := range map[string]struct {
 		key    string
 		status int // 0: it is a query
-	}{"/api": {}, "/api/": {}, "/api?x=1": {}, "/api/7f3a": {key: "7f3a"}, "/api/7f3a?x=1": {key: "7f3a"},
-		"/apis": {status: 404}, "/apix/7f3a": {status: 404}, "/": {status: 404}} {
+	}{
+		"/api": {}, "/api/": {}, "/api?x=1": {}, "/api/7f3a": {key: "7f3a"}, "/api/7f3a?x=1": {key: "7f3a"},
+		"/apis": {status: 404}, "/apix/7f3a": {status: 404}, "/": {status: 404},
+	} {
 		m := request(headers, `{"segments":[{"segment":3,"boost":1}],"text":"t"}`)
 		m.Target = target
 		a, _, r := Front{}.Open(m, 0, true)
--- a/internal/rollout/follow.go
+++ b/internal/rollout/follow.go
@@ -20,8 +20,10 @@
 // standGlobal words how the region stands, as its log has it: held is said only once the log says that all hold.
 func (v *voter) standGlobal(now, from int64) {
 	f, s := v.up, &v.state
-	a := &wire.Ask{Number: s.number(), Refused: s.GlobalRefused, Reason: s.GlobalReason, Want: f.want(s.number()), Judge: f.judge(),
-		Apart: now >= f.until && now-f.heard >= f.cfg.RegionLease}
+	a := &wire.Ask{
+		Number: s.number(), Refused: s.GlobalRefused, Reason: s.GlobalReason, Want: f.want(s.number()), Judge: f.judge(),
+		Apart: now >= f.until && now-f.heard >= f.cfg.RegionLease,
+	}
 	if p := s.Open; p != nil && !p.Decided {
 		switch {
 		case v.phase == closing && v.aborting: // from here on the region goes on without it
--- a/internal/rollout/follower.go
+++ b/internal/rollout/follower.go
@@ -2,7 +2,6 @@
 
 import (
 	"math/rand/v2"
-
 	"saffronquay/internal/rollout/wire"
 )
 
--- a/internal/rollout/force.go
+++ b/internal/rollout/force.go
@@ -2,12 +2,11 @@
 
 import (
 	"fmt"
+	"saffronquay/internal/rollout/wire"
 	"slices"
 
 	pb "go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
-
-	"saffronquay/internal/rollout/wire"
 )
 
 // forcedBy is how far a fleet that was made anew jumps in its log, so that no word of the old one passes for a later one.
@@ -92,6 +91,8 @@
 		return Disk{}, g, fmt.Errorf("rollout: state: %w", err)
 	}
 	term := max(disk.Hard.GetTerm(), g.Term) + 1
-	return Disk{ID: id, Hard: &pb.HardState{Term: &term, Vote: proto.Uint64(0), Commit: &index},
-		Snapshot: &pb.Snapshot{Data: data, Metadata: &pb.SnapshotMetadata{Index: &index, Term: &term, ConfState: &pb.ConfState{Voters: []uint64{id}}}}}, g, nil
+	return Disk{
+		ID: id, Hard: &pb.HardState{Term: &term, Vote: proto.Uint64(0), Commit: &index},
+		Snapshot: &pb.Snapshot{Data: data, Metadata: &pb.SnapshotMetadata{Index: &index, Term: &term, ConfState: &pb.ConfState{Voters: []uint64{id}}}},
+	}, g, nil
 }
--- a/internal/rollout/founding.go
+++ b/internal/rollout/founding.go
@@ -2,9 +2,8 @@
 
 import (
 	"maps"
-	"slices"
-
 	"saffronquay/internal/rollout/wire"
+	"slices"
 )
 
 // founding is one of the first voters before it may vote. A vote counts for a disk, not for a name: each of them writes down the
--- a/internal/rollout/group.go
+++ b/internal/rollout/group.go
@@ -2,12 +2,11 @@
 
 import (
 	"math/rand/v2"
+	"saffronquay/internal/rollout/wire"
+	"saffronquay/internal/share"
 
 	pb "go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
-
-	"saffronquay/internal/rollout/wire"
-	"saffronquay/internal/share"
 )
 
 // group is one node's part in one agreement: its vote there, or what it takes until it has one. Every gatherer has one in its region's, or
--- a/internal/rollout/holder.go
+++ b/internal/rollout/holder.go
@@ -3,7 +3,6 @@
 import (
 	"math"
 	"math/rand/v2"
-
 	"saffronquay/internal/rollout/wire"
 	"saffronquay/internal/share"
 )
@@ -176,8 +175,10 @@
 	if h.parts != nil {
 		parts = h.parts.Ask(now)
 	}
-	return h.leader, &wire.Ask{Share: parts, Nonce: h.nonce, Number: h.current.GetNumber(), Ready: h.ready, Refused: h.refused, Reason: h.reason, Held: h.holding,
-		Want: h.want, Judge: h.judge, MembersIndex: h.known_}
+	return h.leader, &wire.Ask{
+		Share: parts, Nonce: h.nonce, Number: h.current.GetNumber(), Ready: h.ready, Refused: h.refused, Reason: h.reason, Held: h.holding,
+		Want: h.want, Judge: h.judge, MembersIndex: h.known_,
+	}
 }
 
 // soon has the holder ask at once.
--- a/internal/rollout/leader.go
+++ b/internal/rollout/leader.go
@@ -3,12 +3,11 @@
 import (
 	"fmt"
 	"math"
+	"saffronquay/internal/rollout/wire"
+	"saffronquay/internal/share"
 
 	"go.etcd.io/raft/v3"
 	"google.golang.org/protobuf/proto"
-
-	"saffronquay/internal/rollout/wire"
-	"saffronquay/internal/share"
 )
 
 // lead follows raft's role.
@@ -157,8 +156,10 @@
 
 // word is how everything stands, for one who asks, or for all.
 func (v *voter) word(now int64, a *wire.Ask) *wire.Word {
-	w := &wire.Word{Leader: v.self, Index: v.applied, Number: v.state.number(), Decided: v.state.Decided, Committed: v.state.Committed, Open: v.state.open(),
-		Hold: v.holds() && v.attempt == v.state.open() && v.attempt != 0}
+	w := &wire.Word{
+		Leader: v.self, Index: v.applied, Number: v.state.number(), Decided: v.state.Decided, Committed: v.state.Committed, Open: v.state.open(),
+		Hold: v.holds() && v.attempt == v.state.open() && v.attempt != 0,
+	}
 	if v.cfg.global {
 		w.CurrentAttempt, w.Parts = v.state.CurrentAttempt, v.cfg.partsOf(v.state.Current)
 	}
--- a/internal/rollout/leave_test.go
+++ b/internal/rollout/leave_test.go
@@ -2,9 +2,8 @@
 
 import (
 	"math/rand/v2"
-	"testing"
-
 	"saffronquay/internal/rollout/wire"
+	"testing"
 )
 
 // trio is three voters whose words the test carries; a fourth gatherer, which follows, has no process.
--- a/internal/rollout/members.go
+++ b/internal/rollout/members.go
@@ -3,10 +3,9 @@
 import (
 	"cmp"
 	"fmt"
+	"saffronquay/internal/rollout/wire"
 	"slices"
 	"strings"
-
-	"saffronquay/internal/rollout/wire"
 )
 
 const (
--- a/internal/rollout/model/measure_test.go
+++ b/internal/rollout/model/measure_test.go
@@ -3,6 +3,8 @@
 import (
 	"fmt"
 	"math/rand/v2"
+	"saffronquay/internal/rollout"
+	"saffronquay/internal/rollout/wire"
 	"slices"
 	"testing"
 	"time"
@@ -10,9 +12,6 @@
 	"github.com/anishathalye/porcupine"
 
 	"google.golang.org/protobuf/proto"
-
-	"saffronquay/internal/rollout"
-	"saffronquay/internal/rollout/wire"
 )
 
 // What a change costs while nothing is wrong, and while some are down, in virtual time.
--- a/internal/rollout/model/model.go
+++ b/internal/rollout/model/model.go
@@ -8,6 +8,9 @@
 	"fmt"
 	"math/rand/v2"
 	"regexp"
+	"saffronquay/internal/rollout"
+	"saffronquay/internal/rollout/wire"
+	"saffronquay/internal/share"
 	"slices"
 	"strconv"
 	"strings"
@@ -15,10 +18,6 @@
 	"google.golang.org/protobuf/proto"
 
 	pb "go.etcd.io/raft/v3/raftpb"
-
-	"saffronquay/internal/rollout"
-	"saffronquay/internal/rollout/wire"
-	"saffronquay/internal/share"
 )
 
 // Config is one run. Times are microseconds.
@@ -194,8 +193,10 @@
 
 // Run plays a run.
 func Run(cfg Config) (Result, error) {
-	w := &world{Config: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 0x5a11)), now: epoch, cut: map[[2]int]int{}, texts: map[uint64]string{}, ends: map[uint64]bool{},
-		open: map[uint64]*proposal{}, loss: cfg.Loss}
+	w := &world{
+		Config: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 0x5a11)), now: epoch, cut: map[[2]int]int{}, texts: map[uint64]string{}, ends: map[uint64]bool{},
+		open: map[uint64]*proposal{}, loss: cfg.Loss,
+	}
 	total := cfg.Voters + cfg.Others + cfg.Spares
 	for i := range total {
 		w.nodes = append(w.nodes, &node{region: i % max(cfg.Regions, 1), index: i, name: fmt.Sprintf("n%03d", i), rate: 1 + 0.0099*(2*w.rng.Float64()-1), offset: w.rng.Int64N(100 * second)})
@@ -327,9 +328,11 @@
 	if g := d.global; g != nil {
 		global = rollout.GlobalMemory{Met: g.met, Disk: rollout.Disk{ID: g.id, Hard: g.hard, Entries: slices.Clone(g.entries), Snapshot: g.snapshot}}
 	}
-	n, err := rollout.New(cfg, w.local(x), rand.New(rand.NewPCG(w.Seed, uint64(x.index)<<20+uint64(x.life))), rollout.Memory{Identity: d.identity, Met: d.met, Global: global,
+	n, err := rollout.New(cfg, w.local(x), rand.New(rand.NewPCG(w.Seed, uint64(x.index)<<20+uint64(x.life))), rollout.Memory{
+		Identity: d.identity, Met: d.met, Global: global,
 		Members: d.roster.GetMembers(), MembersIndex: d.roster.GetMembersIndex(), Current: d.current, Staged: d.staged,
-		Disk: rollout.Disk{ID: d.id, Hard: d.hard, Entries: slices.Clone(d.entries), Snapshot: d.snapshot}})
+		Disk: rollout.Disk{ID: d.id, Hard: d.hard, Entries: slices.Clone(d.entries), Snapshot: d.snapshot},
+	})
 	if err != nil {
 		return err
 	}
--- a/internal/rollout/model/proof_test.go
+++ b/internal/rollout/model/proof_test.go
@@ -4,20 +4,21 @@
 	"fmt"
 	"os"
 	"runtime"
+	"saffronquay/internal/lab"
+	"saffronquay/internal/rollout"
+	"saffronquay/internal/rollout/wire"
 	"slices"
 	"sync"
 	"sync/atomic"
 	"testing"
-
-	"saffronquay/internal/lab"
-	"saffronquay/internal/rollout"
-	"saffronquay/internal/rollout/wire"
 )
 
 // usual is a run of five voters and twenty others under faults at any step.
 func usual(seed uint64) Config {
-	return Config{Seed: seed, Voters: 5, Others: 20, Faults: 10, Calm: 12 * second, Length: 20 * second, Every: 900 * ms, Admit: 20 * ms, SayNo: true, Loss: []float64{0, 0.02, 0.3}[seed%3],
-		Compact: []uint64{0, 4, 12, 30}[seed%4], Spares: 2, Operators: []int64{0, 700 * ms, 1500 * ms}[seed%5%3], Keep: seed%7 == 0}
+	return Config{
+		Seed: seed, Voters: 5, Others: 20, Faults: 10, Calm: 12 * second, Length: 20 * second, Every: 900 * ms, Admit: 20 * ms, SayNo: true, Loss: []float64{0, 0.02, 0.3}[seed%3],
+		Compact: []uint64{0, 4, 12, 30}[seed%4], Spares: 2, Operators: []int64{0, 700 * ms, 1500 * ms}[seed%5%3], Keep: seed%7 == 0,
+	}
 }
 
 // large is one of 300 gatherers.
@@ -90,10 +91,17 @@
 		name string
 		from uint64 // the rarer ones are looked for where they are known to show
 		bugs rollout.Bugs
-	}{{"a new leader does not wait", 0, rollout.Bugs{NoWait: true}}, {"ready before it is on disk", 0, rollout.Bugs{Early: true}},
-		{"the lease is looked at on arrival", 0, rollout.Bugs{AtArrival: true}}, {"it serves before it asks", 0, rollout.Bugs{Unasked: true}},
-		{"votes are forgotten", 290, rollout.Bugs{ForgetVote: true}}, {"an abort counts after a commit", 0, rollout.Bugs{AbortAfter: true}},
-		{"it goes on by its own time-out", 0, rollout.Bugs{OwnTimeout: true}}, {"the lease counts from the grant", 370, rollout.Bugs{FromArrival: true}}, {"who keeps is waited out", 380, rollout.Bugs{WaitOutKeepers: true}}} {
+	}{
+		{"a new leader does not wait", 0, rollout.Bugs{NoWait: true}},
+		{"ready before it is on disk", 0, rollout.Bugs{Early: true}},
+		{"the lease is looked at on arrival", 0, rollout.Bugs{AtArrival: true}},
+		{"it serves before it asks", 0, rollout.Bugs{Unasked: true}},
+		{"votes are forgotten", 290, rollout.Bugs{ForgetVote: true}},
+		{"an abort counts after a commit", 0, rollout.Bugs{AbortAfter: true}},
+		{"it goes on by its own time-out", 0, rollout.Bugs{OwnTimeout: true}},
+		{"the lease counts from the grant", 370, rollout.Bugs{FromArrival: true}},
+		{"who keeps is waited out", 380, rollout.Bugs{WaitOutKeepers: true}},
+	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			for seed := c.from; seed < c.from+1000; seed++ {
--- a/internal/rollout/model/regions.go
+++ b/internal/rollout/model/regions.go
@@ -3,11 +3,10 @@
 import (
 	"fmt"
 	"math"
-	"slices"
-
 	"saffronquay/internal/rollout"
 	"saffronquay/internal/rollout/wire"
 	"saffronquay/internal/share"
+	"slices"
 )
 
 // Cut cuts regions from each other: from At on, for so long. Times are microseconds from the beginning.
--- a/internal/rollout/model/regions_cases_test.go
+++ b/internal/rollout/model/regions_cases_test.go
@@ -2,17 +2,18 @@
 
 import (
 	"fmt"
-	"testing"
-
 	"saffronquay/internal/lab"
 	"saffronquay/internal/rollout"
 	"saffronquay/internal/rollout/wire"
+	"testing"
 )
 
 // twoRegions is a run of 24 gatherers in two regions with no faults but those of a script; most global voters are in the first one.
 func twoRegions(seed uint64, script func(*world)) Config {
-	return Config{Seed: seed, Regions: 2, Voters: 10, Others: 14, Global: 5, Between: 60 * ms, Calm: 42 * second, Length: 48 * second, Every: 2 * second, Admit: 20 * ms, Share: true, Wants: busy,
-		Spares: 2, Slots: 30, script: script}
+	return Config{
+		Seed: seed, Regions: 2, Voters: 10, Others: 14, Global: 5, Between: 60 * ms, Calm: 42 * second, Length: 48 * second, Every: 2 * second, Admit: 20 * ms, Share: true, Wants: busy,
+		Spares: 2, Slots: 30, script: script,
+	}
 }
 
 // few is how many seeds a case has; under the race detector one, since there are many cases.
--- a/internal/rollout/model/regions_proof_test.go
+++ b/internal/rollout/model/regions_proof_test.go
@@ -3,18 +3,19 @@
 import (
 	"fmt"
 	"os"
-	"slices"
-	"testing"
-
 	"saffronquay/internal/lab"
 	"saffronquay/internal/rollout"
 	"saffronquay/internal/share"
+	"slices"
+	"testing"
 )
 
 // apart is a run of 600 gatherers in two regions, 30 to 60 ms from each other, nine of them down, whose regions are cut from each other.
 func apart(seed uint64) Config {
-	cfg := Config{Seed: seed, Regions: 2, Voters: 10, Others: 590, Global: 5, Between: 60 * ms, Down: 9, From: 3 * second, Calm: 39 * second, Length: 44 * second, Every: 2 * second,
-		Admit: 100 * ms, Share: seed%4 == 0, Wants: busy}
+	cfg := Config{
+		Seed: seed, Regions: 2, Voters: 10, Others: 590, Global: 5, Between: 60 * ms, Down: 9, From: 3 * second, Calm: 39 * second, Length: 44 * second, Every: 2 * second,
+		Admit: 100 * ms, Share: seed%4 == 0, Wants: busy,
+	}
 	cfg.Cuts = []Cut{{At: 14*second + int64(seed)*137*ms%(2*second), For: 14 * second}}
 	switch seed % 6 {
 	case 3:
@@ -34,9 +35,11 @@
 
 // between is a run of 24 gatherers in two regions under faults of all kinds at any step, and cuts between the regions.
 func between(seed uint64) Config {
-	return Config{Seed: seed, Regions: 2, Voters: 10, Others: 14, Global: 5, Between: 60 * ms, Calm: 14 * second, Length: 26 * second, Every: 900 * ms, Admit: 20 * ms, Faults: 10, SayNo: true,
+	return Config{
+		Seed: seed, Regions: 2, Voters: 10, Others: 14, Global: 5, Between: 60 * ms, Calm: 14 * second, Length: 26 * second, Every: 900 * ms, Admit: 20 * ms, Faults: 10, SayNo: true,
 		Loss: []float64{0, 0.02, 0.3}[seed%3], Compact: []uint64{0, 4, 12, 30}[seed%4], Spares: 2, Operators: []int64{0, 700 * ms, 1500 * ms}[seed%5%3], Share: seed%2 == 0, Slots: 30, Wants: busy,
-		Cuts: [][]Cut{nil, {{At: 4 * second, For: 4 * second}}, {{At: 4 * second, For: 6 * second, Flaps: second}}, {{At: 4 * second, For: 4 * second, OneWay: 1 + int(seed/4%2)}}}[seed%4]}
+		Cuts: [][]Cut{nil, {{At: 4 * second, For: 4 * second}}, {{At: 4 * second, For: 6 * second, Flaps: second}}, {{At: 4 * second, For: 4 * second, OneWay: 1 + int(seed/4%2)}}}[seed%4],
+	}
 }
 
 // p99 is of microseconds, in milliseconds.
@@ -110,8 +113,10 @@
 	if sum.Region.Everywhere < small/4 || sum.Region.Partly < small/8 {
 		t.Errorf("%d changes took hold everywhere and %d in some regions: the runs show nothing", sum.Region.Everywhere, sum.Region.Partly)
 	}
-	before, _ := Run(Config{Seed: 1, Regions: 2, Unaware: true, Voters: 5, Others: 55, Between: 60 * ms, Calm: 100 * second, Length: 104 * second, Every: 2 * second, Admit: 100 * ms,
-		Cuts: []Cut{{At: 20 * second, For: 60 * second}}})
+	before, _ := Run(Config{
+		Seed: 1, Regions: 2, Unaware: true, Voters: 5, Others: 55, Between: 60 * ms, Calm: 100 * second, Length: 104 * second, Every: 2 * second, Admit: 100 * ms,
+		Cuts: []Cut{{At: 20 * second, For: 60 * second}},
+	})
 	b := before.Region
 	t.Logf("baseline: today's agreement, gatherers=60 voters=5 cut_s=60 served_of_all=%.3f cut_served=%.3f in_force=%d aborted=%d", b.ServedAll[1]/b.ServedAll[0], b.Served[1]/b.Served[0], before.InForce, before.Aborted)
 	if b.ServedAll[1] > 0.9 {
--- a/internal/rollout/node.go
+++ b/internal/rollout/node.go
@@ -4,12 +4,11 @@
 	"fmt"
 	"math"
 	"math/rand/v2"
+	"saffronquay/internal/rollout/wire"
+	"saffronquay/internal/share"
 	"slices"
 
 	pb "go.etcd.io/raft/v3/raftpb"
-
-	"saffronquay/internal/rollout/wire"
-	"saffronquay/internal/share"
 )
 
 // Config is what a node is made of. Times are microseconds; nought takes the default.
--- a/internal/rollout/regions.go
+++ b/internal/rollout/regions.go
@@ -2,9 +2,8 @@
 
 import (
 	"fmt"
-	"slices"
-
 	"saffronquay/internal/rollout/wire"
+	"slices"
 )
 
 // groups are the configurations of both agreements that a gatherer of a region takes part in: its region's, and the global one. Without
--- a/internal/rollout/regions_test.go
+++ b/internal/rollout/regions_test.go
@@ -2,14 +2,13 @@
 
 import (
 	"math/rand/v2"
+	"saffronquay/internal/rollout/wire"
+	"saffronquay/internal/share"
 	"strings"
 	"testing"
 
 	pb "go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
-
-	"saffronquay/internal/rollout/wire"
-	"saffronquay/internal/share"
 )
 
 // From any partition to any other the greater parts of both come to the whole at most, and it gets there.
@@ -44,8 +43,12 @@
 
 func TestGroups(t *testing.T) {
 	members := func(change func(m []Member)) []Member {
-		all := []Member{{Name: "a", Address: "a", Region: "n", Voter: true}, {Name: "b", Address: "b", Region: "n"}, {Name: "c", Address: "c", Region: "s", Voter: true},
-			{Name: "w", Address: "w", Region: "w", Global: true}}
+		all := []Member{
+			{Name: "a", Address: "a", Region: "n", Voter: true},
+			{Name: "b", Address: "b", Region: "n"},
+			{Name: "c", Address: "c", Region: "s", Voter: true},
+			{Name: "w", Address: "w", Region: "w", Global: true},
+		}
 		change(all)
 		return all
 	}
@@ -75,8 +78,11 @@
 
 // A region that is made anew out of one voter's disk keeps the global agreement's numbers, and what it has promised there it has refused.
 func TestForceNewRegion(t *testing.T) {
-	cfg := Config{Name: "a", Region: "n", Members: []Member{{Name: "a", Address: "a", Region: "n", Voter: true}, {Name: "b", Address: "b", Region: "n", Voter: true},
-		{Name: "c", Address: "c", Region: "s", Voter: true, Global: true}}}
+	cfg := Config{Name: "a", Region: "n", Members: []Member{
+		{Name: "a", Address: "a", Region: "n", Voter: true},
+		{Name: "b", Address: "b", Region: "n", Voter: true},
+		{Name: "c", Address: "c", Region: "s", Voter: true, Global: true},
+	}}
 	own, _, err := cfg.whole().groups()
 	if err != nil {
 		t.Fatal(err)
--- a/internal/rollout/state.go
+++ b/internal/rollout/state.go
@@ -4,11 +4,10 @@
 	"bytes"
 	"crypto/sha256"
 	"fmt"
+	"saffronquay/internal/rollout/wire"
 	"slices"
 
 	"google.golang.org/protobuf/proto"
-
-	"saffronquay/internal/rollout/wire"
 )
 
 // Kinds of log entries.
--- a/internal/rollout/voter.go
+++ b/internal/rollout/voter.go
@@ -6,14 +6,13 @@
 	"fmt"
 	"maps"
 	"math/rand/v2"
+	"saffronquay/internal/rollout/wire"
+	"saffronquay/internal/share"
 	"slices"
 
 	"go.etcd.io/raft/v3"
 	pb "go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
-
-	"saffronquay/internal/rollout/wire"
-	"saffronquay/internal/share"
 )
 
 // phase is how far a leader has come with the open proposal.
@@ -142,14 +141,18 @@
 			conf.Voters = append(conf.Voters, m.Id)
 		}
 	}
-	return Disk{ID: first.member(cfg.Name).GetId(), Hard: &pb.HardState{Term: proto.Uint64(1), Vote: proto.Uint64(0), Commit: proto.Uint64(1)},
-		Snapshot: &pb.Snapshot{Data: data, Metadata: &pb.SnapshotMetadata{Index: proto.Uint64(1), Term: proto.Uint64(1), ConfState: conf}}}, nil
+	return Disk{
+		ID: first.member(cfg.Name).GetId(), Hard: &pb.HardState{Term: proto.Uint64(1), Vote: proto.Uint64(0), Commit: proto.Uint64(1)},
+		Snapshot: &pb.Snapshot{Data: data, Metadata: &pb.SnapshotMetadata{Index: proto.Uint64(1), Term: proto.Uint64(1), ConfState: conf}},
+	}, nil
 }
 
 // newVoter makes a voter of its disk. One that was added later and has nothing on it yet learns everything from the leader.
 func newVoter(cfg Config, now int64, rng *rand.Rand, disk Disk) (*voter, error) {
-	v := &voter{cfg: cfg, rng: rng, known: map[string]*grantee{}, self: cfg.Name, id: disk.ID, lease: map[string]*grantee{}, batches: map[uint64][]waiter{}, words: map[uint64]int64{}, snaps: map[uint64]int64{},
-		storage: raft.NewMemoryStorage(), tickAt: now, heard: now}
+	v := &voter{
+		cfg: cfg, rng: rng, known: map[string]*grantee{}, self: cfg.Name, id: disk.ID, lease: map[string]*grantee{}, batches: map[uint64][]waiter{}, words: map[uint64]int64{}, snaps: map[uint64]int64{},
+		storage: raft.NewMemoryStorage(), tickAt: now, heard: now,
+	}
 	if snapshot := disk.Snapshot; snapshot != nil {
 		if err := v.storage.ApplySnapshot(snapshot); err != nil {
 			return nil, fmt.Errorf("rollout: snapshot: %w", err)
@@ -170,8 +173,10 @@
 		return nil, fmt.Errorf("rollout: log: %w", err)
 	}
 	var err error
-	v.node, err = raft.NewRawNode(&raft.Config{ID: v.id, ElectionTick: 1 << 20, HeartbeatTick: 1, Storage: v.storage, Applied: v.applied, MaxSizePerMsg: 512 << 10,
-		MaxInflightMsgs: 64, MaxUncommittedEntriesSize: 4 * mostText, PreVote: true, DisableProposalForwarding: true, StepDownOnRemoval: true, Logger: quiet{}})
+	v.node, err = raft.NewRawNode(&raft.Config{
+		ID: v.id, ElectionTick: 1 << 20, HeartbeatTick: 1, Storage: v.storage, Applied: v.applied, MaxSizePerMsg: 512 << 10,
+		MaxInflightMsgs: 64, MaxUncommittedEntriesSize: 4 * mostText, PreVote: true, DisableProposalForwarding: true, StepDownOnRemoval: true, Logger: quiet{},
+	})
 	if err != nil {
 		return nil, fmt.Errorf("rollout: raft: %w", err)
 	}
--- a/internal/rollout/voters.go
+++ b/internal/rollout/voters.go
@@ -2,12 +2,11 @@
 
 import (
 	"fmt"
+	"saffronquay/internal/rollout/wire"
 	"strings"
 
 	pb "go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
-
-	"saffronquay/internal/rollout/wire"
 )
 
 // proposedVoters takes an operator's change of who votes. It begins with a learner, which has no vote before it has the whole log; then
--- a/internal/routing/explain.go
+++ b/internal/routing/explain.go
@@ -2,9 +2,9 @@
 
 import (
 	"fmt"
+	"saffronquay/internal/layout"
 
 	sq "saffronquay"
-	"saffronquay/internal/layout"
 )
 
 // Step is one attempt of a part, as the module would make it.
@@ -64,8 +64,10 @@
 		}
 	}
 	deadline := s.now + class.HardLimit
-	events := []sq.Event{sq.Query{ID: 1, Group: 1, Class: class.Name, Deadline: deadline, Work: ix.PartWork},
-		sq.Part{ID: 2, Group: 1, Shard: p.Shard, Weight: 1, Work: ix.PartWork}}
+	events := []sq.Event{
+		sq.Query{ID: 1, Group: 1, Class: class.Name, Deadline: deadline, Work: ix.PartWork},
+		sq.Part{ID: 2, Group: 1, Shard: p.Shard, Weight: 1, Work: ix.PartWork},
+	}
 	for n := 0; s.now < deadline+class.HardLimit; {
 		actions := s.step(events...)
 		events = nil
--- a/internal/routing/judge.go
+++ b/internal/routing/judge.go
@@ -3,10 +3,10 @@
 import (
 	"fmt"
 	"maps"
+	"saffronquay/internal/layout"
 	"slices"
 
 	sq "saffronquay"
-	"saffronquay/internal/layout"
 )
 
 // Failure is one place where an expectation does not hold.
--- a/internal/routing/load.go
+++ b/internal/routing/load.go
@@ -3,10 +3,10 @@
 import (
 	"cmp"
 	"maps"
+	"saffronquay/internal/layout"
 	"slices"
 
 	sq "saffronquay"
-	"saffronquay/internal/layout"
 )
 
 // load is how the keys' work falls to servers: each range counts its width, and its holders share it.
--- a/internal/routing/proof_test.go
+++ b/internal/routing/proof_test.go
@@ -4,28 +4,32 @@
 	"fmt"
 	"math/rand/v2"
 	"os"
+	"saffronquay/internal/layout"
 	"slices"
 	"strings"
 	"testing"
 	"time"
 
 	sq "saffronquay"
-	"saffronquay/internal/layout"
 )
 
 // good makes a sound roster: twelve servers in three zones, forty ranges of a thousand keys, each held in all three.
 func good() Roster {
-	r := Roster{Name: "good", Seed: 1, Settings: sq.Settings{Aggregators: 1, Zone: "norte", Period: 1000, Shards: 1, Cells: 1, Reach: 1, PartsPerCall: 1,
+	r := Roster{Name: "good", Seed: 1, Settings: sq.Settings{
+		Aggregators: 1, Zone: "norte", Period: 1000, Shards: 1, Cells: 1, Reach: 1, PartsPerCall: 1,
 		Classes: []sq.Class{{Name: "c", Aim: 1e6, HardLimit: 4e6, Worth: 1, Need: 1, Floor: 1}},
 		Tenants: []sq.Tenant{{Name: "lagos", Quota: 100}, {Name: "ferrer", Quota: 50}},
-		Limits:  sq.Limits{MaxTries: 3, SecondCopies: true}}}
+		Limits:  sq.Limits{MaxTries: 3, SecondCopies: true},
+	}}
 	doc := layout.Doc{History: "h", Epoch: 1, NextShard: 40}
 	for i := range 12 {
 		r.Servers = append(r.Servers, sq.Server{ID: id(i), Zone: []string{"norte", "sur", "villa-maria"}[i%3], Health: sq.Ready})
 	}
 	for i := range 40 {
-		doc.Ranges = append(doc.Ranges, layout.Range{Shard: i, Span: layout.Span{From: int64(i) * 1000, To: int64(i+1) * 1000},
-			Holders: []sq.ServerID{id(i), id(i + 1), id(i + 2)}})
+		doc.Ranges = append(doc.Ranges, layout.Range{
+			Shard: i, Span: layout.Span{From: int64(i) * 1000, To: int64(i+1) * 1000},
+			Holders: []sq.ServerID{id(i), id(i + 1), id(i + 2)},
+		})
 	}
 	return r.with(doc)
 }
@@ -195,8 +199,10 @@
 		return r.under(layout.Move, []int{7}, []layout.Range{{Shard: 7, Span: span(7), Holders: []sq.ServerID{"s07"}}}, layout.Copy)
 	}, `{"name":"quiet","reason":"r","no_change":{}}`, "quiet, holders, zones, any server, any zone, villa-maria"},
 	{"a split that ends in one zone", func(r Roster) Roster {
-		return r.under(layout.Split, []int{7}, []layout.Range{{Shard: 40, Span: layout.Span{From: 7000, To: 7500}, Holders: []sq.ServerID{"s00", "s03", "s06"}},
-			{Shard: 41, Span: layout.Span{From: 7500, To: 8000}, Holders: []sq.ServerID{"s07", "s08", "s09"}}})
+		return r.under(layout.Split, []int{7}, []layout.Range{
+			{Shard: 40, Span: layout.Span{From: 7000, To: 7500}, Holders: []sq.ServerID{"s00", "s03", "s06"}},
+			{Shard: 41, Span: layout.Span{From: 7500, To: 8000}, Holders: []sq.ServerID{"s07", "s08", "s09"}},
+		})
 	}, "", "zones, any zone, villa-maria, parts"},
 	{"cut over and not retired", func(r Roster) Roster {
 		return r.under(layout.Move, []int{7}, []layout.Range{{Shard: 7, Span: span(7), Holders: []sq.ServerID{"s01", "s02", "s03"}}}, layout.Copy, layout.BothUp, layout.Cut)
@@ -304,8 +310,10 @@
 			}
 			return rs
 		})
-		for _, kind := range []string{`"least_holders":{"holders":2}`, `"least_zones":{"zones":2}`, `"most_load":{"times_mean":1.3}`,
-			`"contract_fits":{"index":"invoices","parts":2,"cores_per_server":4,"share":0.069}`} {
+		for _, kind := range []string{
+			`"least_holders":{"holders":2}`, `"least_zones":{"zones":2}`, `"most_load":{"times_mean":1.3}`,
+			`"contract_fits":{"index":"invoices","parts":2,"cores_per_server":4,"share":0.069}`,
+		} {
 			at := rng.IntN(12)
 			under := parsed(t, fmt.Sprintf(`{"expect":[{"name":"n","reason":"r","gone":{"server":%q},%s}]}`, id(at), kind))
 			plain := parsed(t, fmt.Sprintf(`{"expect":[{"name":"n","reason":"r",%s}]}`, kind))
@@ -348,8 +356,10 @@
 	r = r.with(doc)
 	var es []string
 	for i := range 200 {
-		kind := []string{`"least_holders":{"holders":2}`, `"least_zones":{"zones":2}`, `"most_load":{"times_mean":2}`,
-			fmt.Sprintf(`"key_zones":{"key":%d,"zones":2}`, i*500), fmt.Sprintf(`"key_goes_to":{"key":%d,"servers":["s%04d","s%04d","s%04d"]}`, i*500, i*50%1000, (i*50+1)%1000, (i*50+2)%1000)}[i%5]
+		kind := []string{
+			`"least_holders":{"holders":2}`, `"least_zones":{"zones":2}`, `"most_load":{"times_mean":2}`,
+			fmt.Sprintf(`"key_zones":{"key":%d,"zones":2}`, i*500), fmt.Sprintf(`"key_goes_to":{"key":%d,"servers":["s%04d","s%04d","s%04d"]}`, i*500, i*50%1000, (i*50+1)%1000, (i*50+2)%1000),
+		}[i%5]
 		es = append(es, fmt.Sprintf(`{"name":"e%d","reason":"r","gone":{"any":%q},%s}`, i, []string{"server", "zone"}[i/5%2], kind))
 	}
 	began := time.Now()
--- a/internal/routing/subject.go
+++ b/internal/routing/subject.go
@@ -2,10 +2,10 @@
 
 import (
 	"fmt"
+	"saffronquay/internal/layout"
 	"slices"
 
 	sq "saffronquay"
-	"saffronquay/internal/layout"
 )
 
 // Index is one index of a roster.
--- a/internal/scale/change.go
+++ b/internal/scale/change.go
@@ -4,13 +4,12 @@
 	"encoding/json"
 	"fmt"
 	"regexp"
-	"slices"
-	"strings"
-	"time"
-
 	"saffronquay/internal/config"
 	"saffronquay/internal/peers"
 	"saffronquay/internal/rollout/wire"
+	"slices"
+	"strings"
+	"time"
 )
 
 // Change is what came of one change of the policy.
--- a/internal/scale/children.go
+++ b/internal/scale/children.go
@@ -9,15 +9,14 @@
 	"net/netip"
 	"os"
 	"os/exec"
+	"saffronquay/internal/campaign"
+	"saffronquay/internal/lab"
+	"saffronquay/internal/peers"
 	"strconv"
 	"strings"
 	"sync"
 	"sync/atomic"
 	"time"
-
-	"saffronquay/internal/campaign"
-	"saffronquay/internal/lab"
-	"saffronquay/internal/peers"
 )
 
 // process is one of hollow gatherers. Calls are one at a time.
@@ -221,8 +220,10 @@
 	}
 	traffic := func(of string) peers.Traffic {
 		of = "svc." + of + "."
-		return peers.Traffic{Sent: at[of+"words_sent"], Received: at[of+"words_received"], SentBytes: at[of+"bytes_sent"], ReceivedBytes: at[of+"bytes_received"],
-			ShareBytes: at[of+"bytes_of_shares"], Links: at[of+"links"]}
+		return peers.Traffic{
+			Sent: at[of+"words_sent"], Received: at[of+"words_received"], SentBytes: at[of+"bytes_sent"], ReceivedBytes: at[of+"bytes_received"],
+			ShareBytes: at[of+"bytes_of_shares"], Links: at[of+"links"],
+		}
 	}
 	x.View, x.Policy, x.Leads, x.Alive = traffic("fleet"), traffic("rollout"), at["svc.rollout.leads"] == 1, at["svc.fleet.alive"]
 	x.CPU, x.RSS = processor(pid), resident(pid)
--- a/internal/scale/disk.go
+++ b/internal/scale/disk.go
@@ -1,12 +1,11 @@
 package scale
 
 import (
+	"saffronquay/internal/rollout"
+	"saffronquay/internal/rollout/wire"
 	"sync"
 
 	"google.golang.org/protobuf/proto"
-
-	"saffronquay/internal/rollout"
-	"saffronquay/internal/rollout/wire"
 )
 
 // disk is what a follower would keep in its store, as bytes.
--- a/internal/scale/event.go
+++ b/internal/scale/event.go
@@ -2,13 +2,12 @@
 
 import (
 	"fmt"
+	"saffronquay/internal/faults"
+	"saffronquay/internal/lab"
 	"slices"
 	"strings"
 	"sync"
 	"time"
-
-	"saffronquay/internal/faults"
-	"saffronquay/internal/lab"
 )
 
 // Event is what befell a fleet, and what it cost by the second.
@@ -222,8 +221,10 @@
 		count(&e.Over.LeaderCPU, s.Leader.CPU > BudgetCPU)
 	}
 	by := 1 / max(n, 1)
-	e.Before = Second{Hollow: Rates{}.plus(before.Hollow, by), Busiest: before.Busiest, Follower: Rates{}.plus(before.Follower, by), Voter: Rates{}.plus(before.Voter, by),
-		Leader: Rates{}.plus(before.Leader, by)}
+	e.Before = Second{
+		Hollow: Rates{}.plus(before.Hollow, by), Busiest: before.Busiest, Follower: Rates{}.plus(before.Follower, by), Voter: Rates{}.plus(before.Voter, by),
+		Leader: Rates{}.plus(before.Leader, by),
+	}
 }
 
 // watcher reads everybody once a second.
--- a/internal/scale/events/candidates_test.go
+++ b/internal/scale/events/candidates_test.go
@@ -1,12 +1,12 @@
 package events
 
 import (
+	"saffronquay/internal/scale/place"
 	"slices"
 	"testing"
 	"time"
 
 	rm "saffronquay/internal/rollout/model"
-	"saffronquay/internal/scale/place"
 )
 
 // What regions that are apart for a minute cost by rollout's own model: 60 gatherers, five voters, a change every 2 s, and thirty of them with
--- a/internal/scale/events/events.go
+++ b/internal/scale/events/events.go
@@ -4,14 +4,13 @@
 	"container/heap"
 	"fmt"
 	"math/rand/v2"
-	"time"
-
-	"google.golang.org/protobuf/proto"
-
 	"saffronquay/internal/faults"
 	"saffronquay/internal/rollout"
 	"saffronquay/internal/rollout/wire"
 	"saffronquay/internal/share"
+	"time"
+
+	"google.golang.org/protobuf/proto"
 )
 
 // Config is one run. The first half of the gatherers is one region, the second half the other one.
@@ -140,8 +139,10 @@
 	seconds := int(cfg.Length/time.Second) + 1
 	w.led = make([]int, seconds)
 	for i := range cfg.Gatherers {
-		x := &node{index: i, name: fmt.Sprintf("n%04d", i), sent: make([]int64, seconds), received: make([]int64, seconds),
-			out: make([]int64, seconds), in: make([]int64, seconds)}
+		x := &node{
+			index: i, name: fmt.Sprintf("n%04d", i), sent: make([]int64, seconds), received: make([]int64, seconds),
+			out: make([]int64, seconds), in: make([]int64, seconds),
+		}
 		x.disk.identity = w.rng.Uint64() | 1
 		w.nodes = append(w.nodes, x)
 		w.index[x.name] = i
--- a/internal/scale/events/events_test.go
+++ b/internal/scale/events/events_test.go
@@ -2,10 +2,9 @@
 
 import (
 	"reflect"
+	"saffronquay/internal/faults"
 	"testing"
 	"time"
-
-	"saffronquay/internal/faults"
 )
 
 func play(t testing.TB, cfg Config, script string) Result {
--- a/internal/scale/events/look.go
+++ b/internal/scale/events/look.go
@@ -1,13 +1,12 @@
 package events
 
 import (
+	"saffronquay/internal/rollout"
+	"saffronquay/internal/rollout/wire"
 	"slices"
 	"time"
 
 	pb "go.etcd.io/raft/v3/raftpb"
-
-	"saffronquay/internal/rollout"
-	"saffronquay/internal/rollout/wire"
 )
 
 // look sees how queries stand, and which changes are in force at everybody that lets any in.
@@ -91,8 +90,10 @@
 }
 
 func (d *disk) memory() rollout.Memory {
-	return rollout.Memory{Identity: d.identity, Met: d.met, Members: d.roster.GetMembers(), MembersIndex: d.roster.GetMembersIndex(), Current: d.current, Staged: d.staged,
-		Disk: rollout.Disk{ID: d.id, Hard: d.hard, Entries: slices.Clone(d.entries), Snapshot: d.snapshot}}
+	return rollout.Memory{
+		Identity: d.identity, Met: d.met, Members: d.roster.GetMembers(), MembersIndex: d.roster.GetMembersIndex(), Current: d.current, Staged: d.staged,
+		Disk: rollout.Disk{ID: d.id, Hard: d.hard, Entries: slices.Clone(d.entries), Snapshot: d.snapshot},
+	}
 }
 
 func (d *disk) write(s *rollout.Save) {
--- a/internal/scale/events/measure_test.go
+++ b/internal/scale/events/measure_test.go
@@ -3,14 +3,13 @@
 import (
 	"fmt"
 	"os"
+	"saffronquay/internal/faults"
+	"saffronquay/internal/scale/fit"
 	"slices"
 	"strings"
 	"sync"
 	"testing"
 	"time"
-
-	"saffronquay/internal/faults"
-	"saffronquay/internal/scale/fit"
 )
 
 var sizes = []int{75, 150, 300, 600, 1200}
--- a/internal/scale/figures_test.go
+++ b/internal/scale/figures_test.go
@@ -2,11 +2,10 @@
 
 import (
 	"math"
-	"testing"
-	"time"
-
 	"saffronquay/internal/faults"
 	"saffronquay/internal/peers"
+	"testing"
+	"time"
 )
 
 func step(t *testing.T, text string, members int) faults.Step {
@@ -32,10 +31,14 @@
 		f     func(float64) float64
 		power float64
 		off   float64
-	}{{"line", func(x float64) float64 { return 3 + 0.5*x }, 0, 1e-9}, {"square", func(x float64) float64 { return x * x }, 2, 1e-9},
-		{"root", func(x float64) float64 { return 7 * math.Sqrt(x) }, 0.5, 1e-9}, {"constant", func(float64) float64 { return 4 }, 0, 1e-9},
+	}{
+		{"line", func(x float64) float64 { return 3 + 0.5*x }, 0, 1e-9},
+		{"square", func(x float64) float64 { return x * x }, 2, 1e-9},
+		{"root", func(x float64) float64 { return 7 * math.Sqrt(x) }, 0.5, 1e-9},
+		{"constant", func(float64) float64 { return 4 }, 0, 1e-9},
 		{"scattered", func(x float64) float64 { return map[float64]float64{50: 22, 100: 18, 200: 21, 300: 19}[x] }, 0, 0.25},
-		{"bent", func(x float64) float64 { return 10 + x + math.Mod(x, 100)/10 }, 0, 0.1}} {
+		{"bent", func(x float64) float64 { return 10 + x + math.Mod(x, 100)/10 }, 0, 0.1},
+	} {
 		f := FitTo(xs, of(c.f))
 		if math.Abs(f.Power-c.power) > 1e-9 || f.Off > c.off || c.off < 0.01 && math.Abs(f.At(600)/c.f(600)-1) > 1e-6 {
 			t.Errorf("%s: %+v, at 600 %g", c.name, f, f.At(600))
--- a/internal/scale/hollow.go
+++ b/internal/scale/hollow.go
@@ -7,12 +7,6 @@
 	"log/slog"
 	"maps"
 	"net/netip"
-	"slices"
-	"strings"
-	"sync"
-	"sync/atomic"
-	"time"
-
 	"saffronquay/internal/config"
 	"saffronquay/internal/fleet"
 	"saffronquay/internal/peers"
@@ -20,6 +14,11 @@
 	"saffronquay/internal/rollout/wire"
 	"saffronquay/internal/share"
 	"saffronquay/internal/transport"
+	"slices"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"time"
 )
 
 // As package gatherer has them.
@@ -117,8 +116,10 @@
 	if h.policy, err = peers.OpenPolicy(peers.PolicyConfig{Listen: r.Listen, Seed: h.Seed, Memory: memory, Node: node}, h.clock.Now, h, h.log); err != nil {
 		return err
 	}
-	core := fleet.Config{Fleet: f.Name, Name: h.Name, Start: uint64(time.Now().UnixMicro()), Address: f.Advertise, Zone: op.Settings.Module.Zone, Version: h.version,
-		Join: f.Join, Period: f.Period.Microseconds(), Suspect: f.Suspect, Reckon: f.Reckon.Microseconds()}
+	core := fleet.Config{
+		Fleet: f.Name, Name: h.Name, Start: uint64(time.Now().UnixMicro()), Address: f.Advertise, Zone: op.Settings.Module.Zone, Version: h.version,
+		Join: f.Join, Period: f.Period.Microseconds(), Suspect: f.Suspect, Reckon: f.Reckon.Microseconds(),
+	}
 	if h.view, err = peers.Open(peers.Config{Listen: f.Listen, Allow: f.Allow, Seed: h.Seed, Core: core, Watch: h.sees}, h.clock.Now, h.heard, h.log); err != nil {
 		go h.policy.Run()
 		h.policy.Stop()
--- a/internal/scale/measure.go
+++ b/internal/scale/measure.go
@@ -2,10 +2,9 @@
 
 import (
 	"fmt"
-	"time"
-
 	"saffronquay/internal/campaign"
 	"saffronquay/internal/lab"
+	"time"
 )
 
 // Size is what one fleet came to.
--- a/internal/scale/place/place_test.go
+++ b/internal/scale/place/place_test.go
@@ -77,8 +77,17 @@
 	for _, c := range []struct {
 		lost []Loss
 		want float64 // gatherers
-	}{{nil, 0}, {[]Loss{{Machine, 0}}, 0}, {[]Loss{{Rack, 0}}, 20}, {[]Loss{{Rack, 0}, {Machine, 0}}, 20}, {[]Loss{{Zone, 0}}, 100}, {[]Loss{{Zone, 0}, {Rack, 0}}, 100},
-		{[]Loss{{Region, 0}, {Zone, 0}}, 300}, {[]Loss{{Region, 0}, {Region, 1}}, 600}, {[]Loss{{Kind: Link}}, 0}} {
+	}{
+		{nil, 0},
+		{[]Loss{{Machine, 0}}, 0},
+		{[]Loss{{Rack, 0}}, 20},
+		{[]Loss{{Rack, 0}, {Machine, 0}}, 20},
+		{[]Loss{{Zone, 0}}, 100},
+		{[]Loss{{Zone, 0}, {Rack, 0}}, 100},
+		{[]Loss{{Region, 0}, {Zone, 0}}, 300},
+		{[]Loss{{Region, 0}, {Region, 1}}, 600},
+		{[]Loss{{Kind: Link}}, 0},
+	} {
 		if got := f.After(p, c.lost...).Lost * 600; math.Abs(got-c.want) > 1e-9 {
 			t.Errorf("%v: %g gatherers are lost", c.lost, got)
 		}
--- a/internal/scale/place/sum.go
+++ b/internal/scale/place/sum.go
@@ -93,8 +93,10 @@
 
 // Table writes one row a placing, as Markdown.
 func Table(w io.Writer, f Fleet, all []Placing) {
-	rows := []string{"| placing | machine | rack | zone | region | link | pairs: changes stop somewhere / everywhere / queries, of | min a year without changes, somewhere / everywhere | refused, min of full service a year |",
-		"| --- | --- | --- | --- | --- | --- | --- | --- | --- |"}
+	rows := []string{
+		"| placing | machine | rack | zone | region | link | pairs: changes stop somewhere / everywhere / queries, of | min a year without changes, somewhere / everywhere | refused, min of full service a year |",
+		"| --- | --- | --- | --- | --- | --- | --- | --- | --- |",
+	}
 	for _, p := range all {
 		s := f.Weigh(p)
 		row := "| " + p.Name
--- a/internal/scale/process.go
+++ b/internal/scale/process.go
@@ -8,13 +8,12 @@
 	"log/slog"
 	"os"
 	"runtime"
+	"saffronquay/internal/events"
+	"saffronquay/internal/peers"
 	"strconv"
 	"strings"
 	"syscall"
 	"time"
-
-	"saffronquay/internal/events"
-	"saffronquay/internal/peers"
 )
 
 // Order is what a process of hollow gatherers is told, a line of JSON each; it answers each with a Report.
--- a/internal/scale/proof_test.go
+++ b/internal/scale/proof_test.go
@@ -4,12 +4,11 @@
 	"fmt"
 	"math"
 	"os"
+	"saffronquay/internal/lab"
 	"strings"
 	"sync"
 	"testing"
 	"time"
-
-	"saffronquay/internal/lab"
 )
 
 // The method by which size is measured: in four fleets at once, hollow gatherers cost what real ones in the same fleet do, and a fit over the
@@ -68,8 +67,12 @@
 	for _, row := range []struct {
 		name string
 		of   func(Size) float64
-	}{{"hollow_bytes", func(s Size) float64 { return s.Rest.Hollow.Bytes() }}, {"hollow_words", func(s Size) float64 { return s.Rest.Hollow.Words() }},
-		{"leader_bytes", func(s Size) float64 { return s.Rest.Leader.Bytes() }}, {"leader_words", func(s Size) float64 { return s.Rest.Leader.Words() }}} {
+	}{
+		{"hollow_bytes", func(s Size) float64 { return s.Rest.Hollow.Bytes() }},
+		{"hollow_words", func(s Size) float64 { return s.Rest.Hollow.Words() }},
+		{"leader_bytes", func(s Size) float64 { return s.Rest.Leader.Bytes() }},
+		{"leader_words", func(s Size) float64 { return s.Rest.Leader.Words() }},
+	} {
 		var xs, ys []float64
 		for _, s := range all[:len(all)-1] {
 			xs, ys = append(xs, float64(s.Gatherers)), append(ys, row.of(s))
--- a/internal/scale/rates.go
+++ b/internal/scale/rates.go
@@ -2,10 +2,9 @@
 
 import (
 	"math"
+	"saffronquay/internal/peers"
 	"slices"
 	"time"
-
-	"saffronquay/internal/peers"
 )
 
 // Rates are what one gatherer's control costs a second: words and bytes of payload both ways, in parts of a core.
@@ -26,14 +25,18 @@
 func (r Rates) Words() float64 { return r.ViewWords + r.PolicyWords }
 
 func (r Rates) plus(o Rates, by float64) Rates {
-	return Rates{r.ViewWords + by*o.ViewWords, r.ViewBytes + by*o.ViewBytes, r.PolicyWords + by*o.PolicyWords, r.PolicyBytes + by*o.PolicyBytes,
-		r.ShareBytes + by*o.ShareBytes, r.CPU + by*o.CPU, r.MB + by*o.MB}
+	return Rates{
+		r.ViewWords + by*o.ViewWords, r.ViewBytes + by*o.ViewBytes, r.PolicyWords + by*o.PolicyWords, r.PolicyBytes + by*o.PolicyBytes,
+		r.ShareBytes + by*o.ShareBytes, r.CPU + by*o.CPU, r.MB + by*o.MB,
+	}
 }
 
 // most takes the greater of each.
 func (r Rates) most(o Rates) Rates {
-	return Rates{max(r.ViewWords, o.ViewWords), max(r.ViewBytes, o.ViewBytes), max(r.PolicyWords, o.PolicyWords), max(r.PolicyBytes, o.PolicyBytes),
-		max(r.ShareBytes, o.ShareBytes), max(r.CPU, o.CPU), max(r.MB, o.MB)}
+	return Rates{
+		max(r.ViewWords, o.ViewWords), max(r.ViewBytes, o.ViewBytes), max(r.PolicyWords, o.PolicyWords), max(r.PolicyBytes, o.PolicyBytes),
+		max(r.ShareBytes, o.ShareBytes), max(r.CPU, o.CPU), max(r.MB, o.MB),
+	}
 }
 
 // Span is what everybody's control cost between two samples.
@@ -51,9 +54,11 @@
 func between(a, b Sample) (s Span) {
 	s.Seconds = float64(b.At-a.At) / 1e6
 	per := func(view, policy peers.Traffic, seconds float64) Rates {
-		return Rates{ViewWords: float64(view.Sent+view.Received) / seconds, ViewBytes: float64(view.SentBytes+view.ReceivedBytes) / seconds,
+		return Rates{
+			ViewWords: float64(view.Sent+view.Received) / seconds, ViewBytes: float64(view.SentBytes+view.ReceivedBytes) / seconds,
 			PolicyWords: float64(policy.Sent+policy.Received) / seconds, PolicyBytes: float64(policy.SentBytes+policy.ReceivedBytes) / seconds,
-			ShareBytes: float64(policy.ShareBytes) / seconds}
+			ShareBytes: float64(policy.ShareBytes) / seconds,
+		}
 	}
 	cpu, mb, ran := 0.0, 0.0, 0
 	for i, y := range b.Reports {
@@ -103,8 +108,10 @@
 }
 
 func minus(b, a peers.Traffic) peers.Traffic {
-	return peers.Traffic{Sent: b.Sent - a.Sent, Received: b.Received - a.Received, SentBytes: b.SentBytes - a.SentBytes, ReceivedBytes: b.ReceivedBytes - a.ReceivedBytes,
-		ShareBytes: b.ShareBytes - a.ShareBytes, Links: b.Links}
+	return peers.Traffic{
+		Sent: b.Sent - a.Sent, Received: b.Received - a.Received, SentBytes: b.SentBytes - a.SentBytes, ReceivedBytes: b.ReceivedBytes - a.ReceivedBytes,
+		ShareBytes: b.ShareBytes - a.ShareBytes, Links: b.Links,
+	}
 }
 
 // Alike is how hollow gatherers stand to real ones, as ratios.
--- a/internal/scale/rig.go
+++ b/internal/scale/rig.go
@@ -8,6 +8,10 @@
 	"net"
 	"net/netip"
 	"os"
+	"saffronquay/internal/campaign"
+	"saffronquay/internal/lab"
+	"saffronquay/internal/layout"
+	"saffronquay/internal/standin"
 	"slices"
 	"strings"
 	"sync"
@@ -15,10 +19,6 @@
 	"time"
 
 	sq "saffronquay"
-	"saffronquay/internal/campaign"
-	"saffronquay/internal/lab"
-	"saffronquay/internal/layout"
-	"saffronquay/internal/standin"
 )
 
 // Config is one fleet.
@@ -185,8 +185,10 @@
 		p := &process{rig: r, from: r.real + j}
 		for range size {
 			at := host(first, j)
-			x := Place{Name: fmt.Sprintf("h%03d", j), Zone: fmt.Sprintf("zone-%02d", k+1), View: netip.AddrPortFrom(at, viewPort), Policy: netip.AddrPortFrom(at, policyPort),
-				Seed: r.cfg.Seed + uint64(j), Identity: (r.cfg.Seed+uint64(j))<<1 | 1}
+			x := Place{
+				Name: fmt.Sprintf("h%03d", j), Zone: fmt.Sprintf("zone-%02d", k+1), View: netip.AddrPortFrom(at, viewPort), Policy: netip.AddrPortFrom(at, policyPort),
+				Seed: r.cfg.Seed + uint64(j), Identity: (r.cfg.Seed+uint64(j))<<1 | 1,
+			}
 			x.Advertise = x.View
 			agrees := x.Policy
 			if r.cfg.Relayed {
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -8,11 +8,10 @@
 	"io/fs"
 	"os"
 	"runtime"
+	"saffronquay/internal/lab"
 	"slices"
 	"strings"
 	"time"
-
-	"saffronquay/internal/lab"
 )
 
 // Plan is what a run plays: fleets of each size, of each number of busy teams and each length of a policy at one size, and scenes.
--- a/internal/scale/scale_test.go
+++ b/internal/scale/scale_test.go
@@ -8,12 +8,11 @@
 	"os"
 	"os/exec"
 	"path/filepath"
+	"saffronquay/internal/campaign"
+	"saffronquay/internal/lab"
 	"strings"
 	"testing"
 	"time"
-
-	"saffronquay/internal/campaign"
-	"saffronquay/internal/lab"
 )
 
 func TestMain(m *testing.M) { lab.Main(m) }
@@ -65,8 +64,10 @@
 	})
 	s := between(a, b)
 	hollow, real := s.Hollow, s.Follower
-	for name, x := range map[string][2]float64{"a view's word": {hollow.ViewBytes / hollow.ViewWords, real.ViewBytes / real.ViewWords},
-		"a policy's word": {hollow.PolicyBytes / hollow.PolicyWords, real.PolicyBytes / real.PolicyWords}, "shares in it": {hollow.ShareBytes / hollow.PolicyWords, real.ShareBytes / real.PolicyWords}} {
+	for name, x := range map[string][2]float64{
+		"a view's word":   {hollow.ViewBytes / hollow.ViewWords, real.ViewBytes / real.ViewWords},
+		"a policy's word": {hollow.PolicyBytes / hollow.PolicyWords, real.PolicyBytes / real.PolicyWords}, "shares in it": {hollow.ShareBytes / hollow.PolicyWords, real.ShareBytes / real.PolicyWords},
+	} {
 		if ratio := x[0] / x[1]; !(ratio > 0.9 && ratio < 1.1) {
 			t.Errorf("%s has %.1f bytes at a hollow gatherer and %.1f at a real one", name, x[0], x[1])
 		}
@@ -80,8 +81,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := Plan{Fleet: Config{Seed: 3, Gatherers: 12, Voters: 1, Followers: 1, Process: 10, Teams: 2, Busy: 1, Program: program, Dir: t.TempDir(), Say: t.Logf}, Sizes: []int{12}, Runs: 1, Out: filepath.Join(t.TempDir(), "scale"),
-		Effort: Effort{Rest: time.Second, Changes: 1}, Limit: time.Hour}
+	p := Plan{
+		Fleet: Config{Seed: 3, Gatherers: 12, Voters: 1, Followers: 1, Process: 10, Teams: 2, Busy: 1, Program: program, Dir: t.TempDir(), Say: t.Logf}, Sizes: []int{12}, Runs: 1, Out: filepath.Join(t.TempDir(), "scale"),
+		Effort: Effort{Rest: time.Second, Changes: 1}, Limit: time.Hour,
+	}
 	for i := range 2 {
 		rec, err := Run(t.Context(), p)
 		if err != nil || len(rec.Faults) > 0 || len(rec.Sizes) != 1+i || rec.Sizes[i].InForce.N != 1 {
@@ -107,8 +110,10 @@
 	if err := good.check(); err != nil {
 		t.Error(err)
 	}
-	for _, change := range []func(*Config){func(c *Config) { c.Gatherers = 1601 }, func(c *Config) { c.Gatherers = 9 }, func(c *Config) { c.Voters = 2 }, func(c *Config) { c.Process = 0 },
-		func(c *Config) { c.Process = 3 }, func(c *Config) { c.Apart = []int{600} }, func(c *Config) { c.Busy = 1 }} {
+	for _, change := range []func(*Config){
+		func(c *Config) { c.Gatherers = 1601 }, func(c *Config) { c.Gatherers = 9 }, func(c *Config) { c.Voters = 2 }, func(c *Config) { c.Process = 0 },
+		func(c *Config) { c.Process = 3 }, func(c *Config) { c.Apart = []int{600} }, func(c *Config) { c.Busy = 1 },
+	} {
 		bad := good
 		change(&bad)
 		if bad.check() == nil {
--- a/internal/scale/work/discovery.go
+++ b/internal/scale/work/discovery.go
@@ -48,8 +48,10 @@
 	if err != nil {
 		return nil, err
 	}
-	d := &Discovery{workers: w, address: l.Addr().String(), over: make(chan struct{}), generation: 41, started: make([]int64, w.cfg.Workers),
-		changed: make(chan struct{})}
+	d := &Discovery{
+		workers: w, address: l.Addr().String(), over: make(chan struct{}), generation: 41, started: make([]int64, w.cfg.Workers),
+		changed: make(chan struct{}),
+	}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /catalog/members", d.members)
 	mux.HandleFunc("GET /counts", d.counts)
@@ -82,8 +84,10 @@
 const zones = 6
 
 func (d *Discovery) entry(i int) entry {
-	return entry{InstanceID: Name(i), HostPort: d.workers.addresses[i], Zone: fmt.Sprint("z", i%zones), MachineType: "m2", Cell: i % d.workers.cfg.Cells,
-		Lifecycle: "SERVING", Weight: 1, StartedAtMs: d.started[i]}
+	return entry{
+		InstanceID: Name(i), HostPort: d.workers.addresses[i], Zone: fmt.Sprint("z", i%zones), MachineType: "m2", Cell: i % d.workers.cfg.Cells,
+		Lifecycle: "SERVING", Weight: 1, StartedAtMs: d.started[i],
+	}
 }
 
 // List is the whole list, in discovery's form.
--- a/internal/scale/work/engine_test.go
+++ b/internal/scale/work/engine_test.go
@@ -5,14 +5,14 @@
 	"io"
 	"log/slog"
 	"runtime"
-	"testing"
-	"time"
-
-	sq "saffronquay"
 	"saffronquay/internal/broker"
 	"saffronquay/internal/operations"
 	"saffronquay/internal/platform"
 	"saffronquay/internal/transport"
+	"testing"
+	"time"
+
+	sq "saffronquay"
 )
 
 // BenchmarkEngineBySize is a query through engine, core, module, pool and sockets, without the front, before a hollow fleet in the same
@@ -29,9 +29,13 @@
 			}
 			defer w.Close()
 			class := sq.Class{Name: "q", Aim: 4_000_000, HardLimit: 30_000_000, Worth: 1, Need: 1, Floor: 1, Partial: 0.9}
-			settings := sq.Settings{Aggregators: 600, Zone: "z0", Period: 5000, Classes: []sq.Class{class}, Shards: servers, Cells: cells, Reach: 1, PartsPerCall: 1,
-				Limits: sq.Limits{MaxTries: 3, MayCancel: true}, Rules: sq.Rules{AnswerGrace: 20_000, DrainGrace: 250_000, ColdShare: 0.2, WarmWithin: 14_000_000,
-					FallMultiple: 2.5, FallWindow: 1_500_000, AskWithin: 10_000_000}}
+			settings := sq.Settings{
+				Aggregators: 600, Zone: "z0", Period: 5000, Classes: []sq.Class{class}, Shards: servers, Cells: cells, Reach: 1, PartsPerCall: 1,
+				Limits: sq.Limits{MaxTries: 3, MayCancel: true}, Rules: sq.Rules{
+					AnswerGrace: 20_000, DrainGrace: 250_000, ColdShare: 0.2, WarmWithin: 14_000_000,
+					FallMultiple: 2.5, FallWindow: 1_500_000, AskWithin: 10_000_000,
+				},
+			}
 			module, err := sq.New(settings, 1)
 			if err != nil {
 				b.Fatal(err)
--- a/internal/scale/work/gatherer.go
+++ b/internal/scale/work/gatherer.go
@@ -4,10 +4,9 @@
 	"encoding/json"
 	"fmt"
 	"net/http"
+	"saffronquay/internal/lab"
 	"strings"
 	"time"
-
-	"saffronquay/internal/lab"
 )
 
 // Size is one gatherer among many, and what it is told.
@@ -26,17 +25,27 @@
 // settings is the gatherer's configuration in the platform's form.
 func (s Size) settings(discovery string, list []byte) []byte {
 	us := func(d time.Duration) int64 { return d.Microseconds() }
-	b, err := json.Marshal(map[string]any{"name": "n0", "listen": "127.0.0.1:0", "operator": "127.0.0.1:0", "discovery": discovery, "seed": "8c1f30d27a5be964",
+	b, err := json.Marshal(map[string]any{
+		"name": "n0", "listen": "127.0.0.1:0", "operator": "127.0.0.1:0", "discovery": discovery, "seed": "8c1f30d27a5be964",
 		"limits": map[string]any{"sockets": s.Sockets, "memory_mb": s.MemoryMB}, "known": json.RawMessage(list),
-		"settings": map[string]any{"me": 0, "balancers": 600, "zone": "z0", "period_us": us(s.Period), "membership_mode": "push", "areas": []string{"z0"},
+		"settings": map[string]any{
+			"me": 0, "balancers": 600, "zone": "z0", "period_us": us(s.Period), "membership_mode": "push", "areas": []string{"z0"},
 			"classes": []any{map[string]any{"name": "q", "aim_us": us(s.Aim), "hard_limit_us": us(8 * s.Aim), "worth": 1, "late_worth": 0.5, "effect": "free"}},
-			"family_info": map[string]any{"class_fetch": []int{0}, "class_partial": []float64{0.9}, "floor_by_class": []float64{s.Whole}, "whole_at": []float64{s.Whole},
-				"overhead_us": 0, "parts_a_call": s.PartsACall, "positions": s.Cells, "reach": s.Holders, "shards": s.Shards},
-			"permissions": map[string]any{"max_open": 0, "connect_timeout_us": 1_000_000, "idle_close_us": us(s.Idle), "streams_per_conn": 32, "may_cancel": true,
-				"most_tries": 3, "second_copies": s.Copies, "retry_after": true, "max_retry_after_us": 500_000},
+			"family_info": map[string]any{
+				"class_fetch": []int{0}, "class_partial": []float64{0.9}, "floor_by_class": []float64{s.Whole}, "whole_at": []float64{s.Whole},
+				"overhead_us": 0, "parts_a_call": s.PartsACall, "positions": s.Cells, "reach": s.Holders, "shards": s.Shards,
+			},
+			"permissions": map[string]any{
+				"max_open": 0, "connect_timeout_us": 1_000_000, "idle_close_us": us(s.Idle), "streams_per_conn": 32, "may_cancel": true,
+				"most_tries": 3, "second_copies": s.Copies, "retry_after": true, "max_retry_after_us": 500_000,
+			},
 			"prices": map[string]any{"cross_zone": 0},
-			"rules": map[string]any{"cold_share": 0.2, "fall_multiple": 2.5, "fall_us": 1_500_000, "grace_to_answer_us": 20_000,
-				"stop_sending_within_us": 250_000, "warm_within_us": 14_000_000, "ask_within_us": 10_000_000}}})
+			"rules": map[string]any{
+				"cold_share": 0.2, "fall_multiple": 2.5, "fall_us": 1_500_000, "grace_to_answer_us": 20_000,
+				"stop_sending_within_us": 250_000, "warm_within_us": 14_000_000, "ask_within_us": 10_000_000,
+			},
+		},
+	})
 	if err != nil {
 		panic(err) // numbers and plain words
 	}
--- a/internal/scale/work/measured.go
+++ b/internal/scale/work/measured.go
@@ -4,13 +4,13 @@
 	"io"
 	"log/slog"
 	"math"
+	"saffronquay/internal/lab"
+	"saffronquay/internal/transport"
 	"sync"
 	"sync/atomic"
 	"time"
 
 	sq "saffronquay"
-	"saffronquay/internal/lab"
-	"saffronquay/internal/transport"
 )
 
 const (
@@ -25,8 +25,10 @@
 func (s *stage) roomy(workers int) (Config, Size) {
 	cells := max(1, workers/holders)
 	return Config{Workers: workers, Cells: cells, Delay: s.Delay, Value: 8, Seed: 1},
-		Size{Workers: workers, Shards: workers, Cells: cells, Holders: 1, PartsACall: 1, Aim: 4 * time.Second, Whole: 1, Idle: 5 * time.Minute,
-			Sockets: roomySockets, MemoryMB: roomyMemory, Cores: s.Cores, Period: 5 * time.Millisecond}
+		Size{
+			Workers: workers, Shards: workers, Cells: cells, Holders: 1, PartsACall: 1, Aim: 4 * time.Second, Whole: 1, Idle: 5 * time.Minute,
+			Sockets: roomySockets, MemoryMB: roomyMemory, Cores: s.Cores, Period: 5 * time.Millisecond,
+		}
 }
 
 func (s *stage) set(cfg Config, size Size, parts int) *Scene {
@@ -75,9 +77,11 @@
 	})
 	pct := func(r Run) float64 { return 100 * float64(r.Gatherer.Total()) / float64(r.Took) }
 	grown := float64(connected.Gatherer.Resident - bare.Gatherer.Resident)
-	return []float64{pct(bare), pct(connected), float64(bare.Gatherer.Resident) / mb, float64(connected.Gatherer.Resident) / mb,
+	return []float64{
+		pct(bare), pct(connected), float64(bare.Gatherer.Resident) / mb, float64(connected.Gatherer.Resident) / mb,
 		grown / kb / float64(max(1, connected.Fleet.Open)), float64(connected.Fleet.Open), ms(changed.Gatherer.Total()) / changes, float64(length),
-		us(asked.Gatherer.Total()) / calls}
+		us(asked.Gatherer.Total()) / calls,
+	}
 }
 
 // walk is a gatherer that has one query of one part in each period of the module, so that nearly all that it does is to step.
@@ -99,8 +103,10 @@
 	scene := s.set(cfg, size, int(x))
 	r := scene.Play(s.ctx, Load{Parts: int(x), Shards: size.Shards, Rate: about / x, For: s.For, Patience: warmPatience})
 	n, q := float64(r.Fleet.Parts), float64(r.Asked)
-	return []float64{ms(r.Gatherer.Total()) / q, us(r.Gatherer.Total()) / n, us(r.Gatherer.System) / n, us(r.Workers.Total()) / n, float64(r.Fleet.Received) / n,
-		float64(r.Fleet.Sent) / n, float64(r.Gatherer.Resident) / mb, ms(r.P50), ms(r.P99), float64(r.Whole) / q}
+	return []float64{
+		ms(r.Gatherer.Total()) / q, us(r.Gatherer.Total()) / n, us(r.Gatherer.System) / n, us(r.Workers.Total()) / n, float64(r.Fleet.Received) / n,
+		float64(r.Fleet.Sent) / n, float64(r.Gatherer.Resident) / mb, ms(r.P50), ms(r.P99), float64(r.Whole) / q,
+	}
 }
 
 // opening is what a query costs whose connections all have to be opened, beside one that finds them.
@@ -126,8 +132,10 @@
 	scene := s.set(cfg, size, s.Parts)
 	r := scene.Play(s.ctx, Load{Parts: s.Parts, Shards: size.Shards, Rate: about / float64(s.Parts), For: s.For, Patience: warmPatience})
 	parts := float64(r.Fleet.Parts)
-	return []float64{us(r.Gatherer.Total()) / parts, us(r.Gatherer.System) / parts, us(r.Workers.Total()) / parts, parts / float64(r.Fleet.Calls),
-		float64(r.Fleet.Received) / parts, float64(r.Whole) / float64(r.Asked)}
+	return []float64{
+		us(r.Gatherer.Total()) / parts, us(r.Gatherer.System) / parts, us(r.Workers.Total()) / parts, parts / float64(r.Fleet.Calls),
+		float64(r.Fleet.Received) / parts, float64(r.Whole) / float64(r.Asked),
+	}
 }
 
 // guessed is what clients guess a part to take, in microseconds: with more digits a query of 1,500 parts is over 64 KiB.
@@ -141,9 +149,11 @@
 	scene := s.set(cfg, size, s.Parts)
 	r := scene.Play(s.ctx, Load{Parts: s.Parts, Shards: size.Shards, Rate: x, For: s.For, Patience: 4 * time.Second, Work: guessed})
 	q := float64(r.Asked + r.Held)
-	return []float64{100 * float64(r.Gatherer.Total()) / float64(r.Took), ms(r.Gatherer.Total()) / max(1, float64(r.Whole+r.Partial)), float64(r.Whole) / q,
+	return []float64{
+		100 * float64(r.Gatherer.Total()) / float64(r.Took), ms(r.Gatherer.Total()) / max(1, float64(r.Whole+r.Partial)), float64(r.Whole) / q,
 		float64(r.Partial) / q, float64(r.Refused) / q, float64(r.Failed) / q, float64(r.Lost+r.Held) / q,
-		1000 * (float64(r.Fleet.Parts)/max(1, float64(r.Asked)*float64(s.Parts)) - 1), ms(r.P50), ms(r.P99), float64(r.Gatherer.Resident) / mb}
+		1000 * (float64(r.Fleet.Parts)/max(1, float64(r.Asked)*float64(s.Parts)) - 1), ms(r.P50), ms(r.P99), float64(r.Gatherer.Resident) / mb,
+	}
 }
 
 // connections is what the connections of all gatherers cost one worker: a hollow one, so its sockets and the least that a program keeps.
@@ -228,6 +238,8 @@
 	changed, after := own()-began, told()
 	time.Sleep(6 * time.Second) // three signs of life
 	rest := told()
-	return []float64{float64(first.ListBytes) / kb / x, float64(after.ListBytes-first.ListBytes) / kb / changes, float64(rest.ListBytes-after.ListBytes) / 6,
-		float64(rest.Wholes-int64(x)) + math.Max(0, float64(rest.Watches)-x), ms(listed) / x, us(changed) / x / changes}
+	return []float64{
+		float64(first.ListBytes) / kb / x, float64(after.ListBytes-first.ListBytes) / kb / changes, float64(rest.ListBytes-after.ListBytes) / 6,
+		float64(rest.Wholes-int64(x)) + math.Max(0, float64(rest.Watches)-x), ms(listed) / x, us(changed) / x / changes,
+	}
 }
--- a/internal/scale/work/scene.go
+++ b/internal/scale/work/scene.go
@@ -8,11 +8,10 @@
 	"net"
 	"net/http"
 	"os/exec"
+	"saffronquay/internal/lab"
 	"slices"
 	"syscall"
 	"time"
-
-	"saffronquay/internal/lab"
 )
 
 // Hollow is a hollow fleet in a process of its own.
--- a/internal/scale/work/slopes.go
+++ b/internal/scale/work/slopes.go
@@ -6,13 +6,12 @@
 	"fmt"
 	"io"
 	"maps"
+	"saffronquay/internal/lab"
+	"saffronquay/internal/scale/fit"
 	"slices"
 	"strings"
 	"text/tabwriter"
 	"time"
-
-	"saffronquay/internal/lab"
-	"saffronquay/internal/scale/fit"
 )
 
 // SlopeConfig is how a slope is measured.
@@ -61,15 +60,27 @@
 }
 
 var slopes = map[string]slope{
-	"rest": {"servers", []float64{325, 650, 1300, 2600},
-		[]string{"core_pct", "core_pct_connected", "MB", "MB_connected", "kB_connection", "connections", "ms_change", "stats_B", "us_stats"}, (*stage).rest},
+	"rest": {
+		"servers",
+		[]float64{325, 650, 1300, 2600},
+		[]string{"core_pct", "core_pct_connected", "MB", "MB_connected", "kB_connection", "connections", "ms_change", "stats_B", "us_stats"},
+		(*stage).rest,
+	},
 	"walk": {"servers", []float64{325, 650, 1300, 2600}, []string{"core_pct", "core_us_query", "queries"}, (*stage).walk},
-	"parts": {"parts", []float64{100, 187, 375, 750, 1500},
-		[]string{"ms_query", "us_part", "system_us_part", "worker_us_part", "out_B_part", "in_B_part", "MB", "p50_ms", "p99_ms", "answered"}, (*stage).parts},
+	"parts": {
+		"parts",
+		[]float64{100, 187, 375, 750, 1500},
+		[]string{"ms_query", "us_part", "system_us_part", "worker_us_part", "out_B_part", "in_B_part", "MB", "p50_ms", "p99_ms", "answered"},
+		(*stage).parts,
+	},
 	"opening": {"parts", []float64{187, 375, 750, 1500}, []string{"ms_query", "ms_query_kept", "opened_query", "us_opening"}, (*stage).opening},
 	"calls":   {"parts_a_call", []float64{1, 2, 4, 8}, []string{"us_part", "system_us_part", "worker_us_part", "parts_call", "out_B_part", "answered"}, (*stage).calls},
-	"rates": {"queries_s", []float64{1, 2, 4, 8, 16, 32},
-		[]string{"core_pct", "ms_query", "whole", "partial", "refused", "failed", "lost_or_held", "copies_1000", "p50_ms", "p99_ms", "MB"}, (*stage).rates},
+	"rates": {
+		"queries_s",
+		[]float64{1, 2, 4, 8, 16, 32},
+		[]string{"core_pct", "ms_query", "whole", "partial", "refused", "failed", "lost_or_held", "copies_1000", "p50_ms", "p99_ms", "MB"},
+		(*stage).rates,
+	},
 	"connections": {"connections", []float64{75, 150, 300, 600}, []string{"MB", "kB", "kernel_kB", "us_part"}, (*stage).connections},
 	"watchers":    {"watchers", []float64{75, 150, 300, 600}, []string{"list_kB", "kB_change", "B_s_rest", "calls", "ms_list", "us_change"}, (*stage).watchers},
 }
--- a/internal/scale/work/slopes_test.go
+++ b/internal/scale/work/slopes_test.go
@@ -2,11 +2,10 @@
 
 import (
 	"context"
+	"saffronquay/internal/lab"
 	"slices"
 	"strings"
 	"testing"
-
-	"saffronquay/internal/lab"
 )
 
 // A slope is measured at all its sizes, and told with the line through each figure; what it has started is gone then.
--- a/internal/scale/work/workers.go
+++ b/internal/scale/work/workers.go
@@ -99,8 +99,10 @@
 
 // Counts tells what was seen so far.
 func (w *Workers) Counts() Counts {
-	return Counts{Opened: w.opened.Load(), Open: w.open.Load(), Calls: w.calls.Load(), Parts: w.parts.Load(), GivenUp: w.givenUp.Load(),
-		Received: w.received.Load(), Sent: w.sent.Load(), Spoilt: w.spoilt.Load()}
+	return Counts{
+		Opened: w.opened.Load(), Open: w.open.Load(), Calls: w.calls.Load(), Parts: w.parts.Load(), GivenUp: w.givenUp.Load(),
+		Received: w.received.Load(), Sent: w.sent.Load(), Spoilt: w.spoilt.Load(),
+	}
 }
 
 // Address is where a worker listens.
--- a/internal/scale/work/workers_test.go
+++ b/internal/scale/work/workers_test.go
@@ -4,12 +4,11 @@
 	"context"
 	"fmt"
 	"math"
+	"saffronquay/internal/http1"
+	"saffronquay/internal/lab"
 	"strconv"
 	"testing"
 	"time"
-
-	"saffronquay/internal/http1"
-	"saffronquay/internal/lab"
 )
 
 func TestMain(m *testing.M) { lab.Main(m) }
@@ -27,8 +26,10 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(d.Close)
-	return w, d, Size{Workers: 40, Shards: 60, Cells: 20, Holders: 1, PartsACall: 1, Aim: 20 * time.Second, Whole: 1, Idle: 60 * time.Second, Sockets: 1024,
-		MemoryMB: 192, Period: 5 * time.Millisecond}
+	return w, d, Size{
+		Workers: 40, Shards: 60, Cells: 20, Holders: 1, PartsACall: 1, Aim: 20 * time.Second, Whole: 1, Idle: 60 * time.Second, Sockets: 1024,
+		MemoryMB: 192, Period: 5 * time.Millisecond,
+	}
 }
 
 // The program itself, before a hollow fleet of forty: each query is whole, each part ran once, on connections that stay, and the list is
--- a/internal/share/books.go
+++ b/internal/share/books.go
@@ -2,11 +2,10 @@
 
 import (
 	"maps"
+	"saffronquay/internal/share/wire"
 	"slices"
 
 	"google.golang.org/protobuf/proto"
-
-	"saffronquay/internal/share/wire"
 )
 
 // Books are who may use what, as the keeper knows it: whoever leads, from its election on. They are not for several goroutines.
--- a/internal/share/books_test.go
+++ b/internal/share/books_test.go
@@ -1,11 +1,10 @@
 package share
 
 import (
+	"saffronquay/internal/share/wire"
 	"testing"
 
 	"google.golang.org/protobuf/proto"
-
-	"saffronquay/internal/share/wire"
 )
 
 var names = []string{"a", "b", "c", "d"}
--- a/internal/share/holder.go
+++ b/internal/share/holder.go
@@ -3,11 +3,10 @@
 import (
 	"cmp"
 	"maps"
+	"saffronquay/internal/share/wire"
 	"slices"
 
 	"google.golang.org/protobuf/proto"
-
-	"saffronquay/internal/share/wire"
 )
 
 const (
--- a/internal/share/model/measure_test.go
+++ b/internal/share/model/measure_test.go
@@ -3,10 +3,9 @@
 import (
 	"fmt"
 	"runtime"
-	"testing"
-
 	"saffronquay/internal/lab"
 	"saffronquay/internal/share"
+	"testing"
 )
 
 // What dividing costs on the way: it adds no message, and so many bytes for each gatherer and second.
--- a/internal/share/model/model.go
+++ b/internal/share/model/model.go
@@ -4,10 +4,10 @@
 
 import (
 	"fmt"
-
 	"saffronquay/internal/rollout"
-	rm "saffronquay/internal/rollout/model"
 	"saffronquay/internal/share"
+
+	rm "saffronquay/internal/rollout/model"
 )
 
 const second = int64(1_000_000)
@@ -106,8 +106,10 @@
 			r.AfterCrash = now - crash
 		}
 	}
-	c := rm.Config{Seed: cfg.Seed, Voters: 5, Others: n - 5, Faults: cfg.Faults, Calm: length - 8*second, Length: length, Admit: 200_000, Share: true, Wants: wants, Watch: watch,
-		Bugs: rollout.Bugs{Share: cfg.Bugs}}
+	c := rm.Config{
+		Seed: cfg.Seed, Voters: 5, Others: n - 5, Faults: cfg.Faults, Calm: length - 8*second, Length: length, Admit: 200_000, Share: true, Wants: wants, Watch: watch,
+		Bugs: rollout.Bugs{Share: cfg.Bugs},
+	}
 	if cfg.Faults == 0 {
 		c.At = []rm.At{{At: crash, For: 8 * second, Do: "kill", Node: two}}
 	} else {
--- a/internal/share/model/proof_test.go
+++ b/internal/share/model/proof_test.go
@@ -2,12 +2,11 @@
 
 import (
 	"runtime"
+	"saffronquay/internal/lab"
+	"saffronquay/internal/share"
 	"sync"
 	"sync/atomic"
 	"testing"
-
-	"saffronquay/internal/lab"
-	"saffronquay/internal/share"
 )
 
 // days plays days side by side, and hands each result over, one at a time.
@@ -63,8 +62,10 @@
 
 // Each seeded bug is caught; the fourth, OldTerm, by TestNewKeeper.
 func TestSeededBugsAreCaught(t *testing.T) {
-	for name, bugs := range map[string]share.Bugs{"a part outlasts its lease": {Forever: true}, "a new keeper takes nobody to hold anything": {Unclaimed: true},
-		"a part is lowered by the keeper alone": {Impatient: true}} {
+	for name, bugs := range map[string]share.Bugs{
+		"a part outlasts its lease": {Forever: true}, "a new keeper takes nobody to hold anything": {Unclaimed: true},
+		"a part is lowered by the keeper alone": {Impatient: true},
+	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			for seed := range uint64(60) {
--- a/internal/standin/binary.go
+++ b/internal/standin/binary.go
@@ -3,12 +3,11 @@
 import (
 	"encoding/base64"
 	"encoding/json"
+	"saffronquay/internal/layout"
+	"saffronquay/internal/merge/partial"
 
 	"github.com/valyala/fastjson"
 	"google.golang.org/protobuf/proto"
-
-	"saffronquay/internal/layout"
-	"saffronquay/internal/merge/partial"
 )
 
 // Binary is Search in the binary form of partial answers.
--- a/internal/standin/cluster.go
+++ b/internal/standin/cluster.go
@@ -3,11 +3,11 @@
 import (
 	"cmp"
 	"math/rand/v2"
+	"saffronquay/internal/layout"
 	"slices"
 	"sync"
 
 	sq "saffronquay"
-	"saffronquay/internal/layout"
 )
 
 // Cluster is servers with rows, the directory that says where they are, and who may hold what in truth.
@@ -241,8 +241,10 @@
 	case r.To-r.From >= 2:
 		s.Kind = layout.Split
 		mid := r.From + 1 + rng.Int64N(r.To-r.From-1)
-		s.To = []layout.Range{{Span: layout.Span{From: r.From, To: mid}, Shard: doc.NextShard, Holders: pick()},
-			{Span: layout.Span{From: mid, To: r.To}, Shard: doc.NextShard + 1, Holders: pick()}}
+		s.To = []layout.Range{
+			{Span: layout.Span{From: r.From, To: mid}, Shard: doc.NextShard, Holders: pick()},
+			{Span: layout.Span{From: mid, To: r.To}, Shard: doc.NextShard + 1, Holders: pick()},
+		}
 		return s, true
 	}
 	return layout.Step{}, false
--- a/internal/standin/directory.go
+++ b/internal/standin/directory.go
@@ -8,12 +8,12 @@
 	"log"
 	"net"
 	"net/http"
+	"saffronquay/internal/layout"
 	"strconv"
 	"sync"
 	"time"
 
 	sq "saffronquay"
-	"saffronquay/internal/layout"
 )
 
 // Directory is a stand-in layout directory: one line of epochs, told through agents.
--- a/internal/standin/ledger.go
+++ b/internal/standin/ledger.go
@@ -1,9 +1,8 @@
 package standin
 
 import (
-	"sync"
-
 	"saffronquay/internal/layout"
+	"sync"
 )
 
 // Ledger writes down every part that runs, apart from what the gatherer believes.
--- a/internal/standin/ledger_test.go
+++ b/internal/standin/ledger_test.go
@@ -1,9 +1,8 @@
 package standin
 
 import (
-	"testing"
-
 	"saffronquay/internal/layout"
+	"testing"
 )
 
 // Queries are told apart by their names. Those without one are not one and the same query: nothing can be said of them.
--- a/internal/standin/server.go
+++ b/internal/standin/server.go
@@ -9,6 +9,7 @@
 	"maps"
 	"net"
 	"net/http"
+	"saffronquay/internal/layout"
 	"slices"
 	"strconv"
 	"strings"
@@ -18,7 +19,6 @@
 	"github.com/valyala/fastjson"
 
 	sq "saffronquay"
-	"saffronquay/internal/layout"
 )
 
 // Fault is how a server treats searches, until it is told otherwise.
@@ -133,8 +133,10 @@
 }
 
 func newServer(cfg ServerConfig, ledger *Ledger, truth func(sq.ServerID, layout.Place) bool) (*Server, error) {
-	s := &Server{cfg: cfg, ledger: ledger, truth: truth, cores: make(chan struct{}, cfg.Cores), holds: map[int]*hold{},
-		address: cmp.Or(cfg.Address, "127.0.0.1:0"), other: make(chan struct{}), held: make(chan struct{}, 1024)}
+	s := &Server{
+		cfg: cfg, ledger: ledger, truth: truth, cores: make(chan struct{}, cfg.Cores), holds: map[int]*hold{},
+		address: cmp.Or(cfg.Address, "127.0.0.1:0"), other: make(chan struct{}), held: make(chan struct{}, 1024),
+	}
 	return s, s.Start()
 }
 
--- a/internal/store/cases_test.go
+++ b/internal/store/cases_test.go
@@ -4,15 +4,14 @@
 	"errors"
 	"fmt"
 	"math/rand/v2"
+	"saffronquay/internal/store"
+	"saffronquay/internal/store/simdisk"
 	"slices"
 	"strings"
 	"sync/atomic"
 	"syscall"
 	"testing"
 	"time"
-
-	"saffronquay/internal/store"
-	"saffronquay/internal/store/simdisk"
 )
 
 // bench is a store on two disks in memory, for one test.
@@ -417,8 +416,10 @@
 			}
 		}
 		start := time.Now()
-		return store.Open(d, store.Options{ID: 1, Now: func() int64 { return time.Since(start).Microseconds() }, Keep: 1 << 40, CleanEvery: time.Millisecond,
-			ScrubEvery: time.Millisecond, SegmentSize: 1 << 12}, force)
+		return store.Open(d, store.Options{
+			ID: 1, Now: func() int64 { return time.Since(start).Microseconds() }, Keep: 1 << 40, CleanEvery: time.Millisecond,
+			ScrubEvery: time.Millisecond, SegmentSize: 1 << 12,
+		}, force)
 	}
 	s, err := open(false)
 	if err != nil {
--- a/internal/store/commit.go
+++ b/internal/store/commit.go
@@ -4,7 +4,6 @@
 	"errors"
 	"fmt"
 	"io/fs"
-
 	"saffronquay/internal/store/form"
 )
 
@@ -65,8 +64,10 @@
 		e.At = at
 		n := len(b)
 		var err error
-		if b, err = appendFrame(b, key, e.off, &form.Record{Version: version, Seq: seq, At: e.At, Until: e.Until, Kind: uint32(e.Kind),
-			Key: []byte(e.Key), Value: e.Value, Gone: e.Gone}); err != nil {
+		if b, err = appendFrame(b, key, e.off, &form.Record{
+			Version: version, Seq: seq, At: e.At, Until: e.Until, Kind: uint32(e.Kind),
+			Key: []byte(e.Key), Value: e.Value, Gone: e.Gone,
+		}); err != nil {
 			return err
 		}
 		e.size = int64(len(b) - n)
--- a/internal/store/frame.go
+++ b/internal/store/frame.go
@@ -4,12 +4,11 @@
 	"encoding/binary"
 	"errors"
 	"fmt"
+	"saffronquay/internal/store/form"
 
 	"github.com/cespare/xxhash/v2"
 	"google.golang.org/protobuf/encoding/protowire"
 	"google.golang.org/protobuf/proto"
-
-	"saffronquay/internal/store/form"
 )
 
 // A frame is a magic number, its payload's length and a checksum, of 4, 4 and 8 bytes, little-endian, and the payload. The checksum
--- a/internal/store/log.go
+++ b/internal/store/log.go
@@ -7,11 +7,10 @@
 	"io"
 	"io/fs"
 	"math"
+	"saffronquay/internal/store/form"
 	"slices"
 	"strings"
 	"sync"
-
-	"saffronquay/internal/store/form"
 )
 
 // ref is where a record lies: the segment's number and the offset in it.
--- a/internal/store/manifest.go
+++ b/internal/store/manifest.go
@@ -3,13 +3,12 @@
 import (
 	"errors"
 	"fmt"
+	"saffronquay/internal/store/form"
 	"slices"
 	"strconv"
 	"strings"
 
 	"google.golang.org/protobuf/proto"
-
-	"saffronquay/internal/store/form"
 )
 
 // Unknown is a span of which both copies are gone: something may have stood between two records.
--- a/internal/store/measure_test.go
+++ b/internal/store/measure_test.go
@@ -5,15 +5,14 @@
 	"fmt"
 	"os"
 	"runtime"
+	"saffronquay/internal/store"
+	"saffronquay/internal/store/form"
 	"slices"
 	"sync"
 	"testing"
 	"time"
 
 	"google.golang.org/protobuf/proto"
-
-	"saffronquay/internal/store"
-	"saffronquay/internal/store/form"
 )
 
 // measured skips what takes long and gives figures, no verdict: SAFFRONQUAY_MEASURE=1.
--- a/internal/store/proof_test.go
+++ b/internal/store/proof_test.go
@@ -6,14 +6,13 @@
 	"math/rand/v2"
 	"os"
 	"runtime"
-	"sync"
-	"sync/atomic"
-	"testing"
-
 	"saffronquay/internal/broker"
 	"saffronquay/internal/once"
 	"saffronquay/internal/store"
 	"saffronquay/internal/store/simdisk"
+	"sync"
+	"sync/atomic"
+	"testing"
 )
 
 // tally is what a proof counts.
@@ -38,8 +37,10 @@
 }
 
 func newWorld(seed uint64, sum *tally) *world {
-	w := &world{keys: 12, plan: &simdisk.Plan{}, rng: rand.New(rand.NewPCG(seed, 7)), sum: sum, acked: map[string]string{}, maybe: map[string]map[string]int{},
-		ever: map[string]map[string]int{}, sent: map[string]int{}, told: map[string]string{}, worded: map[string]string{}}
+	w := &world{
+		keys: 12, plan: &simdisk.Plan{}, rng: rand.New(rand.NewPCG(seed, 7)), sum: sum, acked: map[string]string{}, maybe: map[string]map[string]int{},
+		ever: map[string]map[string]int{}, sent: map[string]int{}, told: map[string]string{}, worded: map[string]string{},
+	}
 	w.disks = [2]*simdisk.Disk{simdisk.New("a", w.plan), simdisk.New("b", w.plan)}
 	return w
 }
--- a/internal/store/simdisk/random.go
+++ b/internal/store/simdisk/random.go
@@ -2,9 +2,8 @@
 
 import (
 	"io"
-	"syscall"
-
 	"saffronquay/internal/system/replica"
+	"syscall"
 )
 
 // RandomAccess shows a disk as package replica wants it: files that are read and written anywhere, and renamed.
--- a/internal/store/simdisk/simdisk.go
+++ b/internal/store/simdisk/simdisk.go
@@ -10,11 +10,10 @@
 	"io/fs"
 	"maps"
 	"math/rand/v2"
+	"saffronquay/internal/store"
 	"slices"
 	"sync"
 	"syscall"
-
-	"saffronquay/internal/store"
 )
 
 // ErrCrashed is what every call gives after a crash.
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -4,12 +4,11 @@
 	"errors"
 	"fmt"
 	"log/slog"
+	"saffronquay/internal/events"
 	"slices"
 	"sync"
 	"sync/atomic"
 	"time"
-
-	"saffronquay/internal/events"
 )
 
 // Kind tells what a record is about.
@@ -126,8 +125,10 @@
 	if err != nil {
 		return nil, err
 	}
-	s := &Store{j: j, queue: make(chan *entry, queueSize), turns: make(chan func()), stop: make(chan struct{}), done: make(chan struct{}),
-		cleaned: make(chan struct{})}
+	s := &Store{
+		j: j, queue: make(chan *entry, queueSize), turns: make(chan func()), stop: make(chan struct{}), done: make(chan struct{}),
+		cleaned: make(chan struct{}),
+	}
 	for _, file := range j.damage {
 		events.Warn(opt.Log, events.StoreDamaged, "file", file)
 	}
--- a/internal/store/tend.go
+++ b/internal/store/tend.go
@@ -2,10 +2,9 @@
 
 import (
 	"errors"
+	"saffronquay/internal/events"
 	"slices"
 	"time"
-
-	"saffronquay/internal/events"
 )
 
 // moveBytes bounds what cleaning writes in one go: appends wait for no more than that.
--- a/internal/system/agent/agent.go
+++ b/internal/system/agent/agent.go
@@ -8,17 +8,16 @@
 	"math/rand/v2"
 	"net"
 	"net/http"
-	"slices"
-	"time"
-
-	"google.golang.org/protobuf/proto"
-
 	"saffronquay/internal/system/feed"
 	"saffronquay/internal/system/membership"
 	"saffronquay/internal/system/metrics"
 	"saffronquay/internal/system/rpc"
 	"saffronquay/internal/system/settings"
 	"saffronquay/internal/system/transport"
+	"slices"
+	"time"
+
+	"google.golang.org/protobuf/proto"
 )
 
 // MembersShard is the shard of the feed that tells which processes of the system are alive. Its offsets are times of the agent.
--- a/internal/system/batch/item.go
+++ b/internal/system/batch/item.go
@@ -3,18 +3,17 @@
 import (
 	"context"
 	"errors"
-	"strconv"
-	"time"
-
-	victoria "github.com/VictoriaMetrics/metrics"
-	"github.com/valyala/fasthttp"
-
 	"saffronquay/internal/system/configuration"
 	"saffronquay/internal/system/forward"
 	"saffronquay/internal/system/metrics"
 	"saffronquay/internal/system/routing"
 	"saffronquay/internal/system/rpc"
 	"saffronquay/internal/system/worker"
+	"strconv"
+	"time"
+
+	victoria "github.com/VictoriaMetrics/metrics"
+	"github.com/valyala/fasthttp"
 )
 
 const (
@@ -138,8 +137,10 @@
 var placeWaits = metrics.Durations("item_place_wait_seconds")
 
 // tryCounts count tries by what became of them.
-var tryCounts = [...]*victoria.Counter{tryAgain: tryCounter(tryAgain), tryWhole: tryCounter(tryWhole), tryFailed: tryCounter(tryFailed),
-	tryImpossible: tryCounter(tryImpossible)}
+var tryCounts = [...]*victoria.Counter{
+	tryAgain: tryCounter(tryAgain), tryWhole: tryCounter(tryWhole), tryFailed: tryCounter(tryFailed),
+	tryImpossible: tryCounter(tryImpossible),
+}
 
 func tryCounter(outcome tryOutcome) *victoria.Counter {
 	return metrics.Counter("tries_total", metrics.Label{Name: "kind", Value: "item"}, metrics.Label{Name: "verdict", Value: outcome.String()})
@@ -156,8 +157,10 @@
 	defer cancel()
 	silence := time.AfterFunc(r.Patience.First, cancel)
 	defer silence.Stop()
-	answer, err := r.Forwarder.Pool.Do(tryCtx, &worker.Call{Address: w.Address, Method: fasthttp.MethodPost, URI: lease.Item.Path, Host: lease.Host,
-		Headers: itemHeaders(lease, w.ID, made), Body: lease.Item.Body})
+	answer, err := r.Forwarder.Pool.Do(tryCtx, &worker.Call{
+		Address: w.Address, Method: fasthttp.MethodPost, URI: lease.Item.Path, Host: lease.Host,
+		Headers: itemHeaders(lease, w.ID, made), Body: lease.Item.Body,
+	})
 	if err != nil {
 		if ctx.Err() == nil {
 			r.Log.Debug("try failed", "item", lease.Item.Id, "worker", w.ID, "error", err)
--- a/internal/system/batch/item_test.go
+++ b/internal/system/batch/item_test.go
@@ -8,11 +8,6 @@
 	"math/rand/v2"
 	"net"
 	"net/textproto"
-	"testing"
-	"time"
-
-	"github.com/matryer/is"
-
 	"saffronquay/internal/system/configuration"
 	"saffronquay/internal/system/decisions"
 	"saffronquay/internal/system/forward"
@@ -20,6 +15,10 @@
 	"saffronquay/internal/system/routing"
 	"saffronquay/internal/system/rpc"
 	"saffronquay/internal/system/worker"
+	"testing"
+	"time"
+
+	"github.com/matryer/is"
 )
 
 // standIn answers one request on each connection with a text, and then says nothing more or closes.
@@ -76,9 +75,11 @@
 		table.Put(&rpc.Instance{Id: address, Service: "s", Address: address, Capacity: 4, Models: []*rpc.ModelWeights{{Name: "m", Version: uint64(3 + i)}}})
 	}
 	start := time.Now()
-	return &Runner{Forwarder: &forward.Forwarder{Table: table, Pool: worker.NewPool(), Clock: func() int64 { return time.Since(start).Milliseconds() + 1_000_000 }},
-		Table:    func() *configuration.Table { return config },
-		Patience: Patience{First: time.Second, Between: 30 * time.Millisecond}, Log: slog.New(slog.DiscardHandler)}
+	return &Runner{
+		Forwarder: &forward.Forwarder{Table: table, Pool: worker.NewPool(), Clock: func() int64 { return time.Since(start).Milliseconds() + 1_000_000 }},
+		Table:     func() *configuration.Table { return config },
+		Patience:  Patience{First: time.Second, Between: 30 * time.Millisecond}, Log: slog.New(slog.DiscardHandler),
+	}
 }
 
 func lease(min uint64) *rpc.Lease {
--- a/internal/system/batch/runner.go
+++ b/internal/system/batch/runner.go
@@ -5,13 +5,12 @@
 import (
 	"context"
 	"log/slog"
-	"sync"
-	"time"
-
 	"saffronquay/internal/system/configuration"
 	"saffronquay/internal/system/forward"
 	"saffronquay/internal/system/ledgerclient"
 	"saffronquay/internal/system/rpc"
+	"sync"
+	"time"
 )
 
 // Runner works on items of batch jobs at one gatherer.
--- a/internal/system/batch/score.go
+++ b/internal/system/batch/score.go
@@ -2,13 +2,12 @@
 
 import (
 	"context"
-	"time"
-
-	"github.com/valyala/fasthttp"
-
 	"saffronquay/internal/system/forward"
 	"saffronquay/internal/system/packing"
 	"saffronquay/internal/system/rpc"
+	"time"
+
+	"github.com/valyala/fasthttp"
 )
 
 const (
@@ -40,8 +39,10 @@
 		} else if time.Now().After(end) {
 			break
 		}
-		answer := r.Forwarder.Do(ctx, &forward.Request{ID: scorer.Id, Method: fasthttp.MethodPost, URI: scorer.Path, Host: scorer.Host, Body: scorer.Body,
-			Route: route, Deadline: earlier(time.Now().Add(left), end), WorkerDeadline: end})
+		answer := r.Forwarder.Do(ctx, &forward.Request{
+			ID: scorer.Id, Method: fasthttp.MethodPost, URI: scorer.Path, Host: scorer.Host, Body: scorer.Body,
+			Route: route, Deadline: earlier(time.Now().Add(left), end), WorkerDeadline: end,
+		})
 		errors500 += answer.Errors
 		if answer.Err == nil && answer.Status < 300 {
 			result.Score = string(answer.Answer.Header.Peek("Response-Stamp"))
--- a/internal/system/batch/text.go
+++ b/internal/system/batch/text.go
@@ -3,12 +3,11 @@
 import (
 	"errors"
 	"io"
-	"slices"
-	"time"
-
 	"saffronquay/internal/system/routing"
 	"saffronquay/internal/system/rpc"
 	"saffronquay/internal/system/worker"
+	"slices"
+	"time"
 )
 
 // text is what has been made of an item so far.
--- a/internal/system/consensus/core.go
+++ b/internal/system/consensus/core.go
@@ -3,11 +3,10 @@
 import (
 	"errors"
 	"math/rand/v2"
+	"saffronquay/internal/system/rpc"
 	"slices"
 
 	"google.golang.org/protobuf/proto"
-
-	"saffronquay/internal/system/rpc"
 )
 
 // Config says who a replica is and how patient it is.
--- a/internal/system/consensus/core_test.go
+++ b/internal/system/consensus/core_test.go
@@ -2,12 +2,11 @@
 
 import (
 	"math/rand/v2"
+	"saffronquay/internal/system/rpc"
 	"testing"
 
 	"github.com/cespare/xxhash/v2"
 	"github.com/matryer/is"
-
-	"saffronquay/internal/system/rpc"
 )
 
 const electionTest = 550
--- a/internal/system/consensus/log.go
+++ b/internal/system/consensus/log.go
@@ -1,9 +1,8 @@
 package consensus
 
 import (
-	"slices"
-
 	"saffronquay/internal/system/rpc"
+	"slices"
 )
 
 // log is the part of a group's log that is kept in memory: everything after the last snapshot.
--- a/internal/system/consensus/losses_test.go
+++ b/internal/system/consensus/losses_test.go
@@ -3,10 +3,9 @@
 import (
 	"fmt"
 	"math/rand/v2"
+	"saffronquay/internal/system/rpc"
 	"slices"
 	"testing"
-
-	"saffronquay/internal/system/rpc"
 )
 
 // cluster is a replica group whose messages arrive in the next tick, with machines that can be lost at any moment.
--- a/internal/system/consensus/membership.go
+++ b/internal/system/consensus/membership.go
@@ -1,11 +1,10 @@
 package consensus
 
 import (
+	"saffronquay/internal/system/rpc"
 	"slices"
 
 	"google.golang.org/protobuf/proto"
-
-	"saffronquay/internal/system/rpc"
 )
 
 func decodeMembership(data []byte, otherwise *rpc.Membership) *rpc.Membership {
--- a/internal/system/consensus/messages.go
+++ b/internal/system/consensus/messages.go
@@ -1,9 +1,8 @@
 package consensus
 
 import (
-	"slices"
-
 	"saffronquay/internal/system/rpc"
+	"slices"
 )
 
 // Step takes a message in.
--- a/internal/system/consensus/model/faults.go
+++ b/internal/system/consensus/model/faults.go
@@ -2,10 +2,9 @@
 
 import (
 	"fmt"
+	"saffronquay/internal/system/rpc"
 	"slices"
 	"strings"
-
-	"saffronquay/internal/system/rpc"
 )
 
 // recoverMS is how long a machine counts as lost after it has come back.
--- a/internal/system/consensus/model/model.go
+++ b/internal/system/consensus/model/model.go
@@ -7,13 +7,12 @@
 	"errors"
 	"fmt"
 	"math/rand/v2"
-	"slices"
-
-	"github.com/cespare/xxhash/v2"
-
 	"saffronquay/internal/system/consensus"
 	"saffronquay/internal/system/placement"
 	"saffronquay/internal/system/rpc"
+	"slices"
+
+	"github.com/cespare/xxhash/v2"
 )
 
 // Bug is a mistake that a driver could make.
@@ -116,8 +115,10 @@
 
 // Play plays one history and checks it.
 func Play(o Options) (Report, error) {
-	w := &world{options: o, random: rand.New(rand.NewPCG(o.Seed, 7)), cut: map[[2]string]int64{}, chosen: map[uint64]string{}, leaders: map[uint64]string{},
-		acked: map[string]bool{}, pending: map[string]uint64{}}
+	w := &world{
+		options: o, random: rand.New(rand.NewPCG(o.Seed, 7)), cut: map[[2]string]int64{}, chosen: map[uint64]string{}, leaders: map[uint64]string{},
+		acked: map[string]bool{}, pending: map[string]uint64{},
+	}
 	w.found()
 	for w.now = 1000; w.now < max(o.Length, w.lastLoss+quietMS); w.now += tickMS {
 		if err := w.step(w.now < o.Length-quietMS); err != nil {
--- a/internal/system/consensus/snapshot.go
+++ b/internal/system/consensus/snapshot.go
@@ -1,9 +1,9 @@
 package consensus
 
 import (
-	"github.com/cespare/xxhash/v2"
-
 	"saffronquay/internal/system/rpc"
+
+	"github.com/cespare/xxhash/v2"
 )
 
 // A snapshot travels piece by piece. The leader sends the next piece once the one before is acknowledged, so that both ends hold one piece
--- a/internal/system/decisions/decisions.go
+++ b/internal/system/decisions/decisions.go
@@ -40,9 +40,11 @@
 
 // byName are the switches by the names that the settings file gives them.
 func (s *Switches) byName() map[string]*bool {
-	return map[string]*bool{"nearbyWorkers": &s.NearbyWorkers, "compactPlaces": &s.CompactPlaces, "refusalBackoff": &s.RefusalBackoff,
+	return map[string]*bool{
+		"nearbyWorkers": &s.NearbyWorkers, "compactPlaces": &s.CompactPlaces, "refusalBackoff": &s.RefusalBackoff,
 		"gatheredChanges": &s.GatheredChanges, "quickRefusal": &s.QuickRefusal,
-		"gatheredWrites": &s.GatheredWrites}
+		"gatheredWrites": &s.GatheredWrites,
+	}
 }
 
 // Names are those of the switches, in order.
--- a/internal/system/dependencies_test.go
+++ b/internal/system/dependencies_test.go
@@ -14,8 +14,10 @@
 		t.Fatalf("%v: %s", err, out)
 	}
 	for _, name := range strings.Fields(string(out)) {
-		for _, word := range []string{"raft", "etcd", "memberlist", "serf", "consul", "zookeeper", "paxos", "net/http/httputil", "olric", "rqlite", "nats", "valyala/fasthttp/reuseport",
-			"saffronquay/internal/rollout", "saffronquay/internal/peers"} {
+		for _, word := range []string{
+			"raft", "etcd", "memberlist", "serf", "consul", "zookeeper", "paxos", "net/http/httputil", "olric", "rqlite", "nats", "valyala/fasthttp/reuseport",
+			"saffronquay/internal/rollout", "saffronquay/internal/peers",
+		} {
 			if strings.Contains(name, word) {
 				t.Errorf("the system's program is made with %s", name)
 			}
--- a/internal/system/directory/directory.go
+++ b/internal/system/directory/directory.go
@@ -9,15 +9,14 @@
 	"errors"
 	"io"
 	"maps"
-	"sync"
-
-	"google.golang.org/protobuf/proto"
-
 	"saffronquay/internal/system/configuration"
 	"saffronquay/internal/system/feed"
 	"saffronquay/internal/system/packing"
 	"saffronquay/internal/system/replica"
 	"saffronquay/internal/system/rpc"
+	"sync"
+
+	"google.golang.org/protobuf/proto"
 )
 
 // Shard is the name of the shard and of its group.
@@ -49,14 +48,17 @@
 
 // New returns an empty directory that publishes its changes.
 func New(table *feed.Table) *Directory {
-	return &Directory{feed: table, known: map[string]bool{}, models: map[string]uint64{}, placements: map[string]*rpc.Placement{}, retirements: map[string]bool{}, policies: map[string]bool{},
-		table: configuration.NewTable(&configuration.Document{})}
+	return &Directory{
+		feed: table, known: map[string]bool{}, models: map[string]uint64{}, placements: map[string]*rpc.Placement{}, retirements: map[string]bool{}, policies: map[string]bool{},
+		table: configuration.NewTable(&configuration.Document{}),
+	}
 }
 
 // Replace is the command for an operator's order: a whole configuration, or a change of named items, on top of a version.
 func Replace(base, version uint64, patch bool, body []byte) *rpc.DirectoryCommand {
 	return &rpc.DirectoryCommand{Command: &rpc.DirectoryCommand_Replace{Replace: &rpc.ReplaceConfiguration{
-		Base: base, Version: version, Body: packing.Documents.Pack(body), Digest: Digest(base, patch, body), Patch: patch}}}
+		Base: base, Version: version, Body: packing.Documents.Pack(body), Digest: Digest(base, patch, body), Patch: patch,
+	}}}
 }
 
 // Digest identifies what an operator sent.
--- a/internal/system/directory/directory_test.go
+++ b/internal/system/directory/directory_test.go
@@ -4,15 +4,14 @@
 	"bufio"
 	"bytes"
 	"fmt"
-	"testing"
-
-	"github.com/matryer/is"
-	"google.golang.org/protobuf/proto"
-
 	"saffronquay/internal/system/feed"
 	"saffronquay/internal/system/packing"
 	"saffronquay/internal/system/replica"
 	"saffronquay/internal/system/rpc"
+	"testing"
+
+	"github.com/matryer/is"
+	"google.golang.org/protobuf/proto"
 )
 
 type bench struct {
--- a/internal/system/feed/client.go
+++ b/internal/system/feed/client.go
@@ -3,12 +3,11 @@
 import (
 	"context"
 	"log/slog"
-	"sync/atomic"
-	"time"
-
 	"saffronquay/internal/system/metrics"
 	"saffronquay/internal/system/rpc"
 	"saffronquay/internal/system/transport"
+	"sync/atomic"
+	"time"
 )
 
 // Client keeps a table up to date from one source at a time: a steward, or the agent of its machine. It goes to the next source where
--- a/internal/system/feed/service.go
+++ b/internal/system/feed/service.go
@@ -2,9 +2,8 @@
 
 import (
 	"context"
-	"time"
-
 	"saffronquay/internal/system/rpc"
+	"time"
 )
 
 const (
--- a/internal/system/feed/table.go
+++ b/internal/system/feed/table.go
@@ -5,10 +5,9 @@
 
 import (
 	"maps"
+	"saffronquay/internal/system/rpc"
 	"slices"
 	"sync"
-
-	"saffronquay/internal/system/rpc"
 )
 
 // retained is the number of changes of a shard that can be asked for.
--- a/internal/system/feed/table_test.go
+++ b/internal/system/feed/table_test.go
@@ -4,12 +4,11 @@
 	"context"
 	"fmt"
 	"math/rand/v2"
+	"saffronquay/internal/system/rpc"
 	"testing"
 	"time"
 
 	"github.com/matryer/is"
-
-	"saffronquay/internal/system/rpc"
 )
 
 func instance(id string, sequence uint64) *rpc.FeedEvent {
--- a/internal/system/forward/counts.go
+++ b/internal/system/forward/counts.go
@@ -1,12 +1,11 @@
 package forward
 
 import (
+	"saffronquay/internal/system/metrics"
+	"saffronquay/internal/system/verdict"
 	"time"
 
 	victoria "github.com/VictoriaMetrics/metrics"
-
-	"saffronquay/internal/system/metrics"
-	"saffronquay/internal/system/verdict"
 )
 
 // served is the verdict of tries that brought an answer.
--- a/internal/system/forward/forward.go
+++ b/internal/system/forward/forward.go
@@ -6,16 +6,15 @@
 	"context"
 	"errors"
 	"math/rand/v2"
+	"saffronquay/internal/system/configuration"
+	"saffronquay/internal/system/routing"
+	"saffronquay/internal/system/verdict"
+	"saffronquay/internal/system/worker"
 	"strconv"
 	"strings"
 	"time"
 
 	"github.com/valyala/fasthttp"
-
-	"saffronquay/internal/system/configuration"
-	"saffronquay/internal/system/routing"
-	"saffronquay/internal/system/verdict"
-	"saffronquay/internal/system/worker"
 )
 
 // Request is what is to be sent.
@@ -108,8 +107,10 @@
 }
 
 func (f *Forwarder) newDelivery(r *Request, whole bool) *delivery {
-	return &delivery{Forwarder: f, request: r, whole: whole, services: order(r.Route), tried: map[string]bool{},
-		tries: NewTries(r.Route.Repeatable(), r.Route.MaxAttempts), last: Result{Verdict: verdict.NotRun, Err: ErrNoWorker}}
+	return &delivery{
+		Forwarder: f, request: r, whole: whole, services: order(r.Route), tried: map[string]bool{},
+		tries: NewTries(r.Route.Repeatable(), r.Route.MaxAttempts), last: Result{Verdict: verdict.NotRun, Err: ErrNoWorker},
+	}
 }
 
 // work asks workers until one has answered, no more may be asked, or the context ends. answered is false where no answer can be passed on.
--- a/internal/system/forward/forward_test.go
+++ b/internal/system/forward/forward_test.go
@@ -8,6 +8,12 @@
 	"math/rand/v2"
 	"net"
 	"net/textproto"
+	"saffronquay/internal/system/configuration"
+	"saffronquay/internal/system/decisions"
+	"saffronquay/internal/system/routing"
+	"saffronquay/internal/system/rpc"
+	"saffronquay/internal/system/verdict"
+	"saffronquay/internal/system/worker"
 	"strings"
 	"sync"
 	"sync/atomic"
@@ -15,18 +21,13 @@
 	"time"
 
 	"github.com/matryer/is"
-
-	"saffronquay/internal/system/configuration"
-	"saffronquay/internal/system/decisions"
-	"saffronquay/internal/system/routing"
-	"saffronquay/internal/system/rpc"
-	"saffronquay/internal/system/verdict"
-	"saffronquay/internal/system/worker"
 )
 
 // misdeeds are what a worker of these tests may do with a request.
-var misdeeds = []string{"serve", "serve", "serve", "decline", "reset unread", "run and reset", "run and be silent", "surplus answer", "late surplus", "another's answer first",
-	"another's empty answer first", "no stamp", "no id", "cut short", "serve and close"}
+var misdeeds = []string{
+	"serve", "serve", "serve", "decline", "reset unread", "run and reset", "run and be silent", "surplus answer", "late surplus", "another's answer first",
+	"another's empty answer first", "no stamp", "no id", "cut short", "serve and close",
+}
 
 // ledger notes which worker ran which request.
 type ledger struct {
--- a/internal/system/forward/try.go
+++ b/internal/system/forward/try.go
@@ -3,15 +3,14 @@
 import (
 	"context"
 	"errors"
+	"saffronquay/internal/system/routing"
+	"saffronquay/internal/system/verdict"
+	"saffronquay/internal/system/worker"
 	"strconv"
 	"strings"
 	"time"
 
 	"github.com/valyala/fasthttp"
-
-	"saffronquay/internal/system/routing"
-	"saffronquay/internal/system/verdict"
-	"saffronquay/internal/system/worker"
 )
 
 const (
@@ -62,8 +61,10 @@
 // exchange sends the request and reads the answer, its body only where it is wanted whole. After an error the answer is closed.
 func (d *delivery) exchange(ctx context.Context, w *routing.Worker) (*worker.Answer, []byte, error) {
 	r := d.request
-	answer, err := d.Pool.Do(ctx, &worker.Call{Address: w.Address, Method: r.Method, URI: r.URI, Host: r.Host, Headers: r.headers(w.ID), Body: r.Body,
-		DialTime: dialTimeout})
+	answer, err := d.Pool.Do(ctx, &worker.Call{
+		Address: w.Address, Method: r.Method, URI: r.URI, Host: r.Host, Headers: r.headers(w.ID), Body: r.Body,
+		DialTime: dialTimeout,
+	})
 	if err != nil {
 		return nil, nil, err
 	}
--- a/internal/system/ledger/job.go
+++ b/internal/system/ledger/job.go
@@ -6,12 +6,11 @@
 	"errors"
 	"fmt"
 	"hash/fnv"
+	"saffronquay/internal/system/packing"
+	"saffronquay/internal/system/rpc"
 	"slices"
 
 	"github.com/mailru/easyjson"
-
-	"saffronquay/internal/system/packing"
-	"saffronquay/internal/system/rpc"
 )
 
 //go:generate easyjson -no_std_marshalers job.go
--- a/internal/system/ledger/job_test.go
+++ b/internal/system/ledger/job_test.go
@@ -3,16 +3,15 @@
 import (
 	"bufio"
 	"bytes"
+	"saffronquay/internal/system/packing"
+	"saffronquay/internal/system/replica"
+	"saffronquay/internal/system/rpc"
 	"strings"
 	"testing"
 
 	"github.com/mailru/easyjson"
 	"github.com/matryer/is"
 	"google.golang.org/protobuf/proto"
-
-	"saffronquay/internal/system/packing"
-	"saffronquay/internal/system/replica"
-	"saffronquay/internal/system/rpc"
 )
 
 const submission = `{"step":7,"model":"m1","minVersion":6,"desired":12,"later":{"unknown":[1]},"requests":[{"id":"e5","path":"/p/1","headers":{"Model":"m1","Token-Usage":"540,400"},
@@ -35,8 +34,10 @@
 func TestPage(t *testing.T) {
 	is := is.New(t)
 	text := "a.1.2\nb \"quoted\" \\ \x01"
-	page, err := NewPage(&rpc.ReadResponse{Total: 9, Results: []*rpc.Result{{Item: "x", Completed: true, Text: packing.Texts.Pack([]byte(text)), WeightVersions: []uint64{6, 7}, Score: "s"},
-		{Item: "y"}}}, 4)
+	page, err := NewPage(&rpc.ReadResponse{Total: 9, Results: []*rpc.Result{
+		{Item: "x", Completed: true, Text: packing.Texts.Pack([]byte(text)), WeightVersions: []uint64{6, 7}, Score: "s"},
+		{Item: "y"},
+	}}, 4)
 	is.NoErr(err)
 	is.Equal(page.NextToken, 6)
 	out, err := easyjson.Marshal(page)
--- a/internal/system/ledger/leases.go
+++ b/internal/system/ledger/leases.go
@@ -1,9 +1,8 @@
 package ledger
 
 import (
-	"strings"
-
 	"saffronquay/internal/system/rpc"
+	"strings"
 )
 
 // lease is an item that a gatherer works on.
--- a/internal/system/ledger/ledger.go
+++ b/internal/system/ledger/ledger.go
@@ -5,13 +5,12 @@
 	"cmp"
 	"errors"
 	"io"
+	"saffronquay/internal/system/replica"
+	"saffronquay/internal/system/rpc"
 	"slices"
 	"sync"
 
 	"google.golang.org/protobuf/proto"
-
-	"saffronquay/internal/system/replica"
-	"saffronquay/internal/system/rpc"
 )
 
 // Ledger is the state of one shard. Apply, Snapshot and Restore are for the replica's goroutine; the rest may be called by any.
@@ -58,8 +57,10 @@
 // end drops what nobody may ask for any more: bodies, headers and reward calls. Whoever still holds the old items keeps them.
 func (j *job) end() {
 	j.ended = true
-	bare := &rpc.CreateJob{Id: j.create.Id, Host: j.create.Host, Model: j.create.Model, SentUnixMs: j.create.SentUnixMs, DeadlineMs: j.create.DeadlineMs,
-		MaxQueueMs: j.create.MaxQueueMs, Items: make([]*rpc.Item, 0, len(j.create.Items))}
+	bare := &rpc.CreateJob{
+		Id: j.create.Id, Host: j.create.Host, Model: j.create.Model, SentUnixMs: j.create.SentUnixMs, DeadlineMs: j.create.DeadlineMs,
+		MaxQueueMs: j.create.MaxQueueMs, Items: make([]*rpc.Item, 0, len(j.create.Items)),
+	}
 	for _, item := range j.create.Items {
 		bare.Items = append(bare.Items, &rpc.Item{Id: item.Id})
 	}
@@ -157,9 +158,11 @@
 
 // storedParts are the records of a job.
 func storedParts(j *job) (records []*rpc.StoredJob) {
-	head := &rpc.CreateJob{Id: j.create.Id, Host: j.create.Host, Path: j.create.Path, Model: j.create.Model, MinVersion: j.create.MinVersion,
+	head := &rpc.CreateJob{
+		Id: j.create.Id, Host: j.create.Host, Path: j.create.Path, Model: j.create.Model, MinVersion: j.create.MinVersion,
 		Step: j.create.Step, Desired: j.create.Desired, SentUnixMs: j.create.SentUnixMs, DeadlineMs: j.create.DeadlineMs, MaxQueueMs: j.create.MaxQueueMs,
-		MaxAttempts: j.create.MaxAttempts, SingleVersion: j.create.SingleVersion, Priority: j.create.Priority, GiveUpMs: j.create.GiveUpMs}
+		MaxAttempts: j.create.MaxAttempts, SingleVersion: j.create.SingleVersion, Priority: j.create.Priority, GiveUpMs: j.create.GiveUpMs,
+	}
 	items, results := j.create.Items, j.results
 	for {
 		some := items[:min(len(items), partsInRecord)]
--- a/internal/system/ledger/memory_test.go
+++ b/internal/system/ledger/memory_test.go
@@ -4,12 +4,11 @@
 	"fmt"
 	"math/rand/v2"
 	"runtime"
+	"saffronquay/internal/system/replica"
+	"saffronquay/internal/system/rpc"
 	"testing"
 
 	"github.com/matryer/is"
-
-	"saffronquay/internal/system/replica"
-	"saffronquay/internal/system/rpc"
 )
 
 // TestMemoryOfAJob holds what a ledger keeps in memory against the bytes of the texts and bodies: they lie there once. (The log's entries
@@ -41,8 +40,10 @@
 		}
 		apply(&rpc.LedgerCommand{Command: &rpc.LedgerCommand_Create{Create: create}})
 		for i := range items {
-			apply(&rpc.LedgerCommand{Command: &rpc.LedgerCommand_Append{Append: &rpc.AppendResults{Job: create.Id,
-				Results: []*rpc.Result{{Item: create.Items[i].Id, Completed: true, Text: fill(textBytes)}}}}})
+			apply(&rpc.LedgerCommand{Command: &rpc.LedgerCommand_Append{Append: &rpc.AppendResults{
+				Job:     create.Id,
+				Results: []*rpc.Result{{Item: create.Items[i].Id, Completed: true, Text: fill(textBytes)}},
+			}}})
 		}
 	}
 	runtime.GC()
--- a/internal/system/ledger/scheduler.go
+++ b/internal/system/ledger/scheduler.go
@@ -3,9 +3,8 @@
 import (
 	"cmp"
 	"fmt"
-	"slices"
-
 	"saffronquay/internal/system/rpc"
+	"slices"
 )
 
 // Scheduler hands out the items of a shard's open jobs while its process owns the shard. It is pure: times are milliseconds that the
@@ -72,8 +71,10 @@
 // NewScheduler returns a scheduler for an owner's epoch that knows the jobs of the ledger. wall is the time of day, which may be wrong: what is
 // due follows from it, but an item is given up only after the time that this process has known its job for.
 func NewScheduler(epoch uint64, now, wall int64, jobs []Stored) *Scheduler {
-	s := &Scheduler{epoch: epoch, begunAt: now, jobs: map[string]*openJob{}, gatherers: map[string]*gatherer{}, lives: map[string]string{},
-		leases: map[uint64]*lease{}, itemMS: map[string]float64{}}
+	s := &Scheduler{
+		epoch: epoch, begunAt: now, jobs: map[string]*openJob{}, gatherers: map[string]*gatherer{}, lives: map[string]string{},
+		leases: map[uint64]*lease{}, itemMS: map[string]float64{},
+	}
 	for _, stored := range jobs {
 		if !stored.Ended {
 			s.open(stored.Job, now-max(0, wall-stored.Job.SentUnixMs), min(stored.SeenAt, now), stored.Settled)
@@ -347,8 +348,10 @@
 	number := s.epoch<<32 | s.sequence
 	s.grant(x, name, number, now)
 	c := x.job.create
-	return &rpc.Lease{Job: c.Id, Number: number, Item: x.item, Host: c.Host, Model: c.Model, MinVersion: c.MinVersion, DueInMs: x.job.dueAt - now,
-		Failures: x.failures, MaxAttempts: c.MaxAttempts, SingleVersion: c.SingleVersion}
+	return &rpc.Lease{
+		Job: c.Id, Number: number, Item: x.item, Host: c.Host, Model: c.Model, MinVersion: c.MinVersion, DueInMs: x.job.dueAt - now,
+		Failures: x.failures, MaxAttempts: c.MaxAttempts, SingleVersion: c.SingleVersion,
+	}
 }
 
 // Describe tells how far a job is, for logs.
--- a/internal/system/ledger/scheduler_test.go
+++ b/internal/system/ledger/scheduler_test.go
@@ -3,11 +3,10 @@
 import (
 	"fmt"
 	"math/rand/v2"
+	"saffronquay/internal/system/rpc"
 	"testing"
 
 	"github.com/matryer/is"
-
-	"saffronquay/internal/system/rpc"
 )
 
 func newCreate(id string, groups, size int, desired uint32, dueMS uint32) *rpc.CreateJob {
--- a/internal/system/ledger/service.go
+++ b/internal/system/ledger/service.go
@@ -3,14 +3,13 @@
 import (
 	"context"
 	"log/slog"
+	"saffronquay/internal/system/replica"
+	"saffronquay/internal/system/rpc"
 	"strings"
 	"sync"
 	"time"
 
 	"google.golang.org/protobuf/proto"
-
-	"saffronquay/internal/system/replica"
-	"saffronquay/internal/system/rpc"
 )
 
 // Service answers the gatherers' calls about batch jobs for all shards of a process.
--- a/internal/system/ledgerclient/client.go
+++ b/internal/system/ledgerclient/client.go
@@ -4,12 +4,11 @@
 import (
 	"context"
 	"errors"
-	"sync"
-	"time"
-
 	"saffronquay/internal/system/ledger"
 	"saffronquay/internal/system/rpc"
 	"saffronquay/internal/system/transport"
+	"sync"
+	"time"
 )
 
 // Client finds the owner of each shard and calls it.
--- a/internal/system/membership/membership.go
+++ b/internal/system/membership/membership.go
@@ -7,14 +7,13 @@
 	"fmt"
 	"log/slog"
 	"net/netip"
-	"strings"
-	"sync/atomic"
-	"time"
-
 	"saffronquay/internal/fleet"
 	"saffronquay/internal/fleet/gossip"
 	"saffronquay/internal/system/rpc"
 	"saffronquay/internal/system/settings"
+	"strings"
+	"sync/atomic"
+	"time"
 )
 
 const (
@@ -82,9 +81,11 @@
 		}
 	}
 	cfg := gossip.Config{
-		Core: fleet.Config{Fleet: fleetName, Name: s.NodeName, Start: uint64(time.Now().UnixMicro()), Address: address, Zone: s.Zone,
+		Core: fleet.Config{
+			Fleet: fleetName, Name: s.NodeName, Start: uint64(time.Now().UnixMicro()), Address: address, Zone: s.Zone,
 			Version: kind + "/" + identity, Join: join, Period: probePeriod.Microseconds(), Exchange: exchangeEach.Microseconds(),
-			Keep: keepDead.Microseconds(), Reckon: keepDead.Microseconds()},
+			Keep: keepDead.Microseconds(), Reckon: keepDead.Microseconds(),
+		},
 		Listen: address,
 		Seed:   uint64(time.Now().UnixNano()),
 		Watch:  m.watch,
--- a/internal/system/model/calls.go
+++ b/internal/system/model/calls.go
@@ -2,10 +2,10 @@
 
 import (
 	"fmt"
-
 	"saffronquay/internal/system/forward"
 	"saffronquay/internal/system/rpc"
 	"saffronquay/internal/system/verdict"
+
 	workerpool "saffronquay/internal/system/worker"
 )
 
--- a/internal/system/model/clients.go
+++ b/internal/system/model/clients.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-
 	"saffronquay/internal/system/packing"
 	"saffronquay/internal/system/registry"
 	"saffronquay/internal/system/rpc"
@@ -206,8 +205,10 @@
 		return
 	}
 	t.jobs++
-	j := &jobRecord{shard: fmt.Sprintf("ledger-%d", t.jobs%ledgerShards),
-		create: &rpc.CreateJob{Id: fmt.Sprint("job", t.jobs), Host: "h", Model: model, Desired: itemsInJob, DeadlineMs: 9000, GiveUpMs: 60_000, MaxAttempts: 1000}}
+	j := &jobRecord{
+		shard:  fmt.Sprintf("ledger-%d", t.jobs%ledgerShards),
+		create: &rpc.CreateJob{Id: fmt.Sprint("job", t.jobs), Host: "h", Model: model, Desired: itemsInJob, DeadlineMs: 9000, GiveUpMs: 60_000, MaxAttempts: 1000},
+	}
 	for n := range itemsInJob {
 		j.create.Items = append(j.create.Items, &rpc.Item{Id: itemName(j.create.Id, n), Body: make([]byte, 200)})
 	}
--- a/internal/system/model/control.go
+++ b/internal/system/model/control.go
@@ -3,19 +3,19 @@
 import (
 	"cmp"
 	"maps"
-	"slices"
-	"time"
-
-	"google.golang.org/protobuf/proto"
-
 	"saffronquay/internal/system/directory"
 	"saffronquay/internal/system/ledger"
 	"saffronquay/internal/system/placement"
 	"saffronquay/internal/system/registry"
 	"saffronquay/internal/system/replica"
 	"saffronquay/internal/system/rpc"
-	stewardrole "saffronquay/internal/system/steward"
 	"saffronquay/internal/system/weights"
+	"slices"
+	"time"
+
+	"google.golang.org/protobuf/proto"
+
+	stewardrole "saffronquay/internal/system/steward"
 )
 
 const (
@@ -362,8 +362,10 @@
 	wanted := m.directory.Models()
 	present := m.desks[shard].Present(w.now)
 	slices.SortFunc(present, func(a, b *rpc.Instance) int { return cmp.Compare(a.Id, b.Id) })
-	orders := weights.Plan(present, wanted, nil, &weights.Rules{Single: func(string) bool { return false }, AtOnce: func(n int) int { return n },
-		Slots: func(string) float64 { return 100 }})
+	orders := weights.Plan(present, wanted, nil, &weights.Rules{
+		Single: func(string) bool { return false }, AtOnce: func(n int) int { return n },
+		Slots: func(string) float64 { return 100 },
+	})
 	if len(orders) == 0 {
 		return
 	}
--- a/internal/system/model/faults.go
+++ b/internal/system/model/faults.go
@@ -2,7 +2,6 @@
 
 import (
 	"math/rand/v2"
-
 	"saffronquay/internal/store/simdisk"
 	"saffronquay/internal/system/directory"
 )
--- a/internal/system/model/gatherers.go
+++ b/internal/system/model/gatherers.go
@@ -3,11 +3,10 @@
 import (
 	"fmt"
 	"maps"
-	"slices"
-
 	"saffronquay/internal/system/feed"
 	"saffronquay/internal/system/ledger"
 	"saffronquay/internal/system/rpc"
+	"slices"
 )
 
 const (
--- a/internal/system/model/history.go
+++ b/internal/system/model/history.go
@@ -3,11 +3,10 @@
 import (
 	"fmt"
 	"math"
+	"saffronquay/internal/system/configuration"
 	"time"
 
 	"github.com/anishathalye/porcupine"
-
-	"saffronquay/internal/system/configuration"
 )
 
 // history is what operators have seen of the configuration.
--- a/internal/system/model/judge.go
+++ b/internal/system/model/judge.go
@@ -2,12 +2,11 @@
 
 import (
 	"maps"
-	"slices"
-
 	"saffronquay/internal/system/directory"
 	"saffronquay/internal/system/ledger"
 	"saffronquay/internal/system/placement"
 	"saffronquay/internal/system/registry"
+	"slices"
 )
 
 const (
--- a/internal/system/model/machine.go
+++ b/internal/system/model/machine.go
@@ -4,8 +4,6 @@
 	"fmt"
 	"log/slog"
 	"math/rand/v2"
-	"slices"
-
 	"saffronquay/internal/store/simdisk"
 	"saffronquay/internal/system/directory"
 	"saffronquay/internal/system/feed"
@@ -14,6 +12,7 @@
 	"saffronquay/internal/system/registry"
 	"saffronquay/internal/system/replica"
 	"saffronquay/internal/system/rpc"
+	"slices"
 )
 
 type kind string
@@ -161,9 +160,11 @@
 		w.fail(Lost, "%s can't open its store: %v", m.name, err)
 		return
 	}
-	m.engine, err = replica.NewEngine(replica.Config{Identity: replica.Identity{ID: m.identity, Address: m.name, Node: m.name}, Store: opened,
+	m.engine, err = replica.NewEngine(replica.Config{
+		Identity: replica.Identity{ID: m.identity, Address: m.name, Node: m.name}, Store: opened,
 		Machine: m.machineOf, Send: m.send, Log: slog.New(slog.DiscardHandler), Random: rand.New(rand.NewPCG(w.options.Seed, uint64(w.random.Uint32()))),
-		Options: replica.Options{SnapshotEntries: snapshotEntries}}, w.now)
+		Options: replica.Options{SnapshotEntries: snapshotEntries},
+	}, w.now)
 	if err != nil {
 		w.fail(Lost, "%s can't start on its disk: %v", m.name, err)
 		return
--- a/internal/system/model/options.go
+++ b/internal/system/model/options.go
@@ -37,8 +37,10 @@
 )
 
 // Bugs are all that can be seeded.
-var Bugs = []Bug{StaleFeed, LocalRefusals, HolderAtOnce, LeaseIgnored, LocalReads, ForgetTaken, AckOnPropose, RepeatChecked, EmptiedEarly, DiskForgiven, NoRepair, HeardOnly, SkipRestore, Unsynced,
-	KeepConnection, RepeatAnyCall}
+var Bugs = []Bug{
+	StaleFeed, LocalRefusals, HolderAtOnce, LeaseIgnored, LocalReads, ForgetTaken, AckOnPropose, RepeatChecked, EmptiedEarly, DiskForgiven, NoRepair, HeardOnly, SkipRestore, Unsynced,
+	KeepConnection, RepeatAnyCall,
+}
 
 // Options say what is played.
 type Options struct {
--- a/internal/system/model/seeded.go
+++ b/internal/system/model/seeded.go
@@ -3,13 +3,12 @@
 import (
 	"bufio"
 	"fmt"
-
-	"google.golang.org/protobuf/proto"
-
 	"saffronquay/internal/store/simdisk"
 	"saffronquay/internal/system/directory"
 	"saffronquay/internal/system/replica"
 	"saffronquay/internal/system/rpc"
+
+	"google.golang.org/protobuf/proto"
 )
 
 // watchedMachine holds a state machine against what the other replicas of its group have applied, and makes the seeded mistakes of state machines.
--- a/internal/system/model/world.go
+++ b/internal/system/model/world.go
@@ -75,8 +75,10 @@
 
 // Play plays one history and checks it.
 func Play(o Options) (Report, error) {
-	w := &world{options: o, random: rand.New(rand.NewPCG(o.Seed, 11)), cuts: map[link]int64{}, chosen: map[string]string{}, winners: map[uint64]string{},
-		fences: map[string]map[uint64]string{}, jobs: map[string]*jobRecord{}, versions: map[string]uint64{}, runs: map[string]int{}}
+	w := &world{
+		options: o, random: rand.New(rand.NewPCG(o.Seed, 11)), cuts: map[link]int64{}, chosen: map[string]string{}, winners: map[uint64]string{},
+		fences: map[string]map[uint64]string{}, jobs: map[string]*jobRecord{}, versions: map[string]uint64{}, runs: map[string]int{},
+	}
 	w.build()
 	w.scheduleFaults()
 	for w.failed == nil && w.now < w.end() {
--- a/internal/system/placement/placement.go
+++ b/internal/system/placement/placement.go
@@ -4,9 +4,8 @@
 
 import (
 	"cmp"
-	"slices"
-
 	"saffronquay/internal/system/rpc"
+	"slices"
 )
 
 // Machine is a machine that can hold replicas.
--- a/internal/system/placement/placement_test.go
+++ b/internal/system/placement/placement_test.go
@@ -2,11 +2,10 @@
 
 import (
 	"fmt"
+	"saffronquay/internal/system/rpc"
 	"testing"
 
 	"github.com/matryer/is"
-
-	"saffronquay/internal/system/rpc"
 )
 
 func machines(n, zones int) (list []Machine) {
--- a/internal/system/proxy/handler.go
+++ b/internal/system/proxy/handler.go
@@ -4,17 +4,16 @@
 	"context"
 	"errors"
 	"io"
-	"strconv"
-	"strings"
-	"time"
-
-	"github.com/valyala/fasthttp"
-
 	"saffronquay/internal/system/configuration"
 	"saffronquay/internal/system/forward"
 	"saffronquay/internal/system/routing"
 	"saffronquay/internal/system/verdict"
 	"saffronquay/internal/system/worker"
+	"strconv"
+	"strings"
+	"time"
+
+	"github.com/valyala/fasthttp"
 )
 
 const (
@@ -118,9 +117,11 @@
 		answer(ctx, fasthttp.StatusBadRequest, "Request-Id: is missing")
 		return
 	}
-	request := &forward.Request{ID: id, Method: string(ctx.Method()), URI: path, Host: host, Body: ctx.PostBody(), Route: route,
+	request := &forward.Request{
+		ID: id, Method: string(ctx.Method()), URI: path, Host: host, Body: ctx.PostBody(), Route: route,
 		Headers: endToEnd(ctx), Deadline: deadline(ctx, route), Usage: usage(ctx), Model: string(ctx.Request.Header.Peek("Model")),
-		Prompt: forward.SharedPrompt(string(ctx.Request.Header.Peek("Prefix-Hash"))), Arrived: ctx.Time()}
+		Prompt: forward.SharedPrompt(string(ctx.Request.Header.Peek("Prefix-Hash"))), Arrived: ctx.Time(),
+	}
 	within, stop := untilDeparture(ctx, watchAfter)
 	if route.Type == configuration.Streaming {
 		p.stream(ctx, within, stop, request)
--- a/internal/system/proxy/jobs.go
+++ b/internal/system/proxy/jobs.go
@@ -3,17 +3,16 @@
 import (
 	"context"
 	"errors"
-	"strconv"
-	"time"
-
-	"github.com/mailru/easyjson"
-	"github.com/valyala/fasthttp"
-
 	"saffronquay/internal/system/agent"
 	"saffronquay/internal/system/configuration"
 	"saffronquay/internal/system/ledger"
 	"saffronquay/internal/system/ledgerclient"
 	"saffronquay/internal/system/rpc"
+	"strconv"
+	"time"
+
+	"github.com/mailru/easyjson"
+	"github.com/valyala/fasthttp"
 )
 
 const (
--- a/internal/system/proxy/pass_test.go
+++ b/internal/system/proxy/pass_test.go
@@ -8,18 +8,17 @@
 	"math/rand/v2"
 	"net"
 	"net/textproto"
-	"testing"
-	"time"
-
-	"github.com/matryer/is"
-	"github.com/valyala/fasthttp"
-
 	"saffronquay/internal/system/configuration"
 	"saffronquay/internal/system/decisions"
 	"saffronquay/internal/system/forward"
 	"saffronquay/internal/system/routing"
 	"saffronquay/internal/system/rpc"
 	"saffronquay/internal/system/worker"
+	"testing"
+	"time"
+
+	"github.com/matryer/is"
+	"github.com/valyala/fasthttp"
 )
 
 // standInWorker answers requests, but for those to /silent, and tells of its connections as they are opened and closed.
--- a/internal/system/proxy/proxy.go
+++ b/internal/system/proxy/proxy.go
@@ -6,14 +6,6 @@
 	"context"
 	"log/slog"
 	"math/rand/v2"
-	"strconv"
-	"sync"
-	"sync/atomic"
-	"time"
-
-	"github.com/fasthttp/router"
-	"github.com/valyala/fasthttp"
-
 	"saffronquay/internal/system/agent"
 	"saffronquay/internal/system/batch"
 	"saffronquay/internal/system/configuration"
@@ -28,6 +20,13 @@
 	"saffronquay/internal/system/settings"
 	"saffronquay/internal/system/transport"
 	"saffronquay/internal/system/worker"
+	"strconv"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"github.com/fasthttp/router"
+	"github.com/valyala/fasthttp"
 )
 
 // Proxy is a running process of this role.
@@ -83,8 +82,10 @@
 	readiness.GET("/api/readyz", p.readyz)
 	readyServer := &fasthttp.Server{Handler: readiness.Handler, NoDefaultServerHeader: true, NoDefaultDate: true}
 	go readyServer.Serve(ready)
-	server := &fasthttp.Server{Handler: p.handle, ReadBufferSize: readBuffer, MaxRequestBodySize: maxBody, ReadTimeout: readTimeout, IdleTimeout: idleTimeout,
-		NoDefaultServerHeader: true, NoDefaultDate: true, NoDefaultContentType: true, CloseOnShutdown: true, DisablePreParseMultipartForm: true}
+	server := &fasthttp.Server{
+		Handler: p.handle, ReadBufferSize: readBuffer, MaxRequestBodySize: maxBody, ReadTimeout: readTimeout, IdleTimeout: idleTimeout,
+		NoDefaultServerHeader: true, NoDefaultDate: true, NoDefaultContentType: true, CloseOnShutdown: true, DisablePreParseMultipartForm: true,
+	}
 	go server.Serve(front)
 	runner := &batch.Runner{Name: gathererName(s.NodeName), Forwarder: p.forwarder, Ledger: p.ledger, Table: p.config.Load, Patience: batch.UsualPatience, Log: log}
 	finished := make(chan struct{})
--- a/internal/system/proxy/resume_test.go
+++ b/internal/system/proxy/resume_test.go
@@ -1,13 +1,12 @@
 package proxy
 
 import (
+	"saffronquay/internal/system/forward"
+	"saffronquay/internal/system/worker"
 	"testing"
 	"time"
 
 	"github.com/matryer/is"
-
-	"saffronquay/internal/system/forward"
-	"saffronquay/internal/system/worker"
 )
 
 // A stream that is taken up again names the last event, leaves the first request as it was, and tells no wait of its own.
--- a/internal/system/proxy/start_test.go
+++ b/internal/system/proxy/start_test.go
@@ -1,14 +1,13 @@
 package proxy
 
 import (
+	"saffronquay/internal/system/decisions"
+	"saffronquay/internal/system/settings"
 	"testing"
 	"time"
 
 	"github.com/matryer/is"
 	"github.com/valyala/fasthttp"
-
-	"saffronquay/internal/system/decisions"
-	"saffronquay/internal/system/settings"
 )
 
 // unconfigured asks a process that knows no configuration yet, and returns its answer and how long it took.
--- a/internal/system/registry/desk.go
+++ b/internal/system/registry/desk.go
@@ -1,9 +1,8 @@
 package registry
 
 import (
-	"sync"
-
 	"saffronquay/internal/system/rpc"
+	"sync"
 )
 
 // Desk decides on what workers say of themselves, at a process that holds a replica of their shard. It is pure but for its lock.
--- a/internal/system/registry/owner.go
+++ b/internal/system/registry/owner.go
@@ -1,9 +1,8 @@
 package registry
 
 import (
-	"slices"
-
 	"saffronquay/internal/system/rpc"
+	"slices"
 )
 
 // Owner follows the heartbeats of a shard's workers while its process owns the shard. It is pure: times are milliseconds that the
--- a/internal/system/registry/registry.go
+++ b/internal/system/registry/registry.go
@@ -8,14 +8,13 @@
 	"fmt"
 	"hash/fnv"
 	"io"
+	"saffronquay/internal/system/feed"
+	"saffronquay/internal/system/replica"
+	"saffronquay/internal/system/rpc"
 	"slices"
 	"sync"
 
 	"google.golang.org/protobuf/proto"
-
-	"saffronquay/internal/system/feed"
-	"saffronquay/internal/system/replica"
-	"saffronquay/internal/system/rpc"
 )
 
 // Shards is the number of parts that the services are divided into.
--- a/internal/system/registry/registry_test.go
+++ b/internal/system/registry/registry_test.go
@@ -3,13 +3,12 @@
 import (
 	"bufio"
 	"bytes"
-	"testing"
-
-	"github.com/matryer/is"
-
 	"saffronquay/internal/system/feed"
 	"saffronquay/internal/system/replica"
 	"saffronquay/internal/system/rpc"
+	"testing"
+
+	"github.com/matryer/is"
 )
 
 func put(r *Registry, index uint64, i *rpc.Instance) {
--- a/internal/system/replica/engine.go
+++ b/internal/system/replica/engine.go
@@ -5,14 +5,13 @@
 	"errors"
 	"log/slog"
 	"math/rand/v2"
+	"saffronquay/internal/system/consensus"
+	"saffronquay/internal/system/rpc"
 	"slices"
 	"sync/atomic"
 
 	"github.com/puzpuzpuz/xsync/v4"
 	"google.golang.org/protobuf/proto"
-
-	"saffronquay/internal/system/consensus"
-	"saffronquay/internal/system/rpc"
 )
 
 // StateMachine is what a group agrees on. Its methods are called by one goroutine, in the order of the log.
@@ -174,8 +173,10 @@
 	for _, entry := range stored.Entries {
 		g.logBytes += int64(len(entry.Data)) + int64(entry.Stored)
 	}
-	g.core = consensus.New(consensus.Config{Group: name, ID: e.cfg.Identity.ID, Address: e.cfg.Identity.Address,
-		ElectionMS: electionMS, HeartbeatMS: heartbeatMS, Random: e.cfg.Random}, stored, now)
+	g.core = consensus.New(consensus.Config{
+		Group: name, ID: e.cfg.Identity.ID, Address: e.cfg.Identity.Address,
+		ElectionMS: electionMS, HeartbeatMS: heartbeatMS, Random: e.cfg.Random,
+	}, stored, now)
 	g.dirty = true
 	e.groups[name] = g
 	e.names = append(e.names, name)
--- a/internal/system/replica/host.go
+++ b/internal/system/replica/host.go
@@ -2,12 +2,11 @@
 
 import (
 	"context"
+	"saffronquay/internal/system/rpc"
 	"sync/atomic"
 	"time"
 
 	"google.golang.org/protobuf/proto"
-
-	"saffronquay/internal/system/rpc"
 )
 
 const queueLength = 4096
--- a/internal/system/replica/host_test.go
+++ b/internal/system/replica/host_test.go
@@ -7,14 +7,13 @@
 	"fmt"
 	"io"
 	"log/slog"
+	"saffronquay/internal/system/rpc"
 	"sync"
 	"testing"
 	"time"
 
 	"github.com/matryer/is"
 	"google.golang.org/protobuf/proto"
-
-	"saffronquay/internal/system/rpc"
 )
 
 // journal is a state machine that keeps its commands.
@@ -100,8 +99,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	host, err := NewHost(Config{Identity: Identity{ID: name, Address: name, Node: name}, Store: store, Send: n.send, Log: slog.New(slog.DiscardHandler), Options: options,
-		Machine: func(string) StateMachine { return machine }})
+	host, err := NewHost(Config{
+		Identity: Identity{ID: name, Address: name, Node: name}, Store: store, Send: n.send, Log: slog.New(slog.DiscardHandler), Options: options,
+		Machine: func(string) StateMachine { return machine },
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/system/replica/identity.go
+++ b/internal/system/replica/identity.go
@@ -3,9 +3,8 @@
 import (
 	"crypto/rand"
 	"encoding/hex"
-	"slices"
-
 	"saffronquay/internal/system/settings"
+	"slices"
 )
 
 // FounderID is the id of a replica that founds a group at the first start of the system. The founders know each other only by the seed
--- a/internal/system/replica/rewrite_test.go
+++ b/internal/system/replica/rewrite_test.go
@@ -4,13 +4,12 @@
 	"errors"
 	"fmt"
 	"math/rand/v2"
-	"testing"
-
-	"github.com/matryer/is"
-
 	"saffronquay/internal/store/simdisk"
 	"saffronquay/internal/system/replica"
 	"saffronquay/internal/system/rpc"
+	"testing"
+
+	"github.com/matryer/is"
 )
 
 // noFolderSync is a disk whose folder takes no sync.
--- a/internal/system/replica/sender.go
+++ b/internal/system/replica/sender.go
@@ -2,11 +2,10 @@
 
 import (
 	"context"
-	"sync"
-	"time"
-
 	"saffronquay/internal/system/rpc"
 	"saffronquay/internal/system/transport"
+	"sync"
+	"time"
 )
 
 const (
--- a/internal/system/replica/service.go
+++ b/internal/system/replica/service.go
@@ -2,10 +2,9 @@
 
 import (
 	"context"
-	"time"
-
 	"saffronquay/internal/system/rpc"
 	"saffronquay/internal/system/transport"
+	"time"
 )
 
 // Service answers the replication calls of other processes.
@@ -34,9 +33,11 @@
 	response := &rpc.StatusResponse{Node: s.Host.cfg.Identity.Node}
 	for _, name := range s.Host.Groups() {
 		if status := s.Host.Status(name); status != nil {
-			response.Groups = append(response.Groups, &rpc.GroupStatus{Group: name, Leader: status.LeaderID, LeaderAddress: status.LeaderAddress,
+			response.Groups = append(response.Groups, &rpc.GroupStatus{
+				Group: name, Leader: status.LeaderID, LeaderAddress: status.LeaderAddress,
 				Epoch: status.Epoch, Commit: status.Commit, Applied: status.Applied, Membership: status.Membership, Replica: s.Host.cfg.Identity.ID, Settled: status.Settled,
-				Leads: status.Lease(s.Host.Now()), HeldByAll: status.HeldByAll})
+				Leads: status.Lease(s.Host.Now()), HeldByAll: status.HeldByAll,
+			})
 		}
 	}
 	return response, nil
--- a/internal/system/replica/snapshots.go
+++ b/internal/system/replica/snapshots.go
@@ -3,11 +3,10 @@
 import (
 	"bytes"
 	"cmp"
+	"saffronquay/internal/system/rpc"
 
 	"github.com/cespare/xxhash/v2"
 	"google.golang.org/protobuf/proto"
-
-	"saffronquay/internal/system/rpc"
 )
 
 const (
--- a/internal/system/replica/status.go
+++ b/internal/system/replica/status.go
@@ -2,11 +2,10 @@
 
 import (
 	"fmt"
-	"sync/atomic"
-
 	"saffronquay/internal/system/consensus"
 	"saffronquay/internal/system/metrics"
 	"saffronquay/internal/system/rpc"
+	"sync/atomic"
 )
 
 // Status is how a replica saw its group when something last changed.
@@ -63,9 +62,11 @@
 func (e *Engine) publish(g *group) {
 	leaderID, leaderAddress := g.core.Leader()
 	ready, contact := g.core.Leading()
-	status := &Status{Leader: g.core.IsLeader(), Ready: ready, ContactAt: contact, LeaderID: leaderID, LeaderAddress: leaderAddress, Epoch: g.core.Epoch(),
+	status := &Status{
+		Leader: g.core.IsLeader(), Ready: ready, ContactAt: contact, LeaderID: leaderID, LeaderAddress: leaderAddress, Epoch: g.core.Epoch(),
 		Commit: g.core.Commit(), Applied: g.applied, HeardAt: g.core.HeardAt(), CurrentAt: g.core.CurrentAt(), LedSince: g.core.LedSince(), Membership: g.core.Membership(), Settled: g.core.Settled(),
-		HeldByAll: g.core.HeldByAll()}
+		HeldByAll: g.core.HeldByAll(),
+	}
 	if !g.joined && (status.Ready || status.LeaderID != "" && !status.Leader && status.CurrentAt > 0) {
 		g.joined = true
 		metrics.Phase("group " + g.name)
--- a/internal/system/replica/store.go
+++ b/internal/system/replica/store.go
@@ -5,12 +5,11 @@
 	"errors"
 	"fmt"
 	"io"
+	"saffronquay/internal/system/consensus"
+	"saffronquay/internal/system/rpc"
 	"slices"
 
 	"google.golang.org/protobuf/proto"
-
-	"saffronquay/internal/system/consensus"
-	"saffronquay/internal/system/rpc"
 )
 
 // Store keeps what the replicas of a process have promised: the logs and snapshots of all its groups, in one write-ahead log.
--- a/internal/system/replica/store_test.go
+++ b/internal/system/replica/store_test.go
@@ -5,11 +5,10 @@
 	"io"
 	"os"
 	"path/filepath"
+	"saffronquay/internal/system/rpc"
 	"testing"
 
 	"github.com/matryer/is"
-
-	"saffronquay/internal/system/rpc"
 )
 
 func entry(index, epoch uint64, data string) *rpc.Entry {
--- a/internal/system/replica/wal.go
+++ b/internal/system/replica/wal.go
@@ -7,10 +7,9 @@
 	"fmt"
 	"hash/crc32"
 	"io"
+	"saffronquay/internal/system/rpc"
 
 	"google.golang.org/protobuf/proto"
-
-	"saffronquay/internal/system/rpc"
 )
 
 // writeAheadLog is a file of records, each behind its length and checksum. What counts is synced before it counts, so a loss of power can
--- a/internal/system/routing/avoidance_test.go
+++ b/internal/system/routing/avoidance_test.go
@@ -1,11 +1,10 @@
 package routing
 
 import (
+	"saffronquay/internal/system/decisions"
 	"testing"
 
 	"github.com/matryer/is"
-
-	"saffronquay/internal/system/decisions"
 )
 
 // A worker that declines again right after it was left alone is left alone for twice as long, up to a bound; refusals that were on their way
--- a/internal/system/routing/choice_test.go
+++ b/internal/system/routing/choice_test.go
@@ -1,11 +1,10 @@
 package routing
 
 import (
+	"saffronquay/internal/system/decisions"
 	"testing"
 
 	"github.com/matryer/is"
-
-	"saffronquay/internal/system/decisions"
 )
 
 func withPolicy(policy decisions.Policy) *Table {
--- a/internal/system/routing/counts.go
+++ b/internal/system/routing/counts.go
@@ -1,9 +1,9 @@
 package routing
 
 import (
-	victoria "github.com/VictoriaMetrics/metrics"
-
 	"saffronquay/internal/system/metrics"
+
+	victoria "github.com/VictoriaMetrics/metrics"
 )
 
 // picks counts decisions by what was asked for and why the worker was taken.
@@ -69,8 +69,12 @@
 }
 
 func (k refusalKind) labels(w *Worker) []metrics.Label {
-	return []metrics.Label{{Name: "service", Value: w.Service}, {Name: "worker", Value: w.ID}, {Name: "model", Value: k.model},
-		{Name: "cause", Value: string(k.cause)}}
+	return []metrics.Label{
+		{Name: "service", Value: w.Service},
+		{Name: "worker", Value: w.ID},
+		{Name: "model", Value: k.model},
+		{Name: "cause", Value: string(k.cause)},
+	}
 }
 
 // sharedPrompts counts requests with a shared part by whether this gatherer has sent that part to the worker lately.
--- a/internal/system/routing/counts_test.go
+++ b/internal/system/routing/counts_test.go
@@ -2,14 +2,13 @@
 
 import (
 	"math/rand/v2"
+	"saffronquay/internal/system/decisions"
+	"saffronquay/internal/system/metrics"
+	"saffronquay/internal/system/rpc"
 	"strings"
 	"testing"
 
 	"github.com/matryer/is"
-
-	"saffronquay/internal/system/decisions"
-	"saffronquay/internal/system/metrics"
-	"saffronquay/internal/system/rpc"
 )
 
 // What a worker has declined is told as long as the worker is there.
--- a/internal/system/routing/places.go
+++ b/internal/system/routing/places.go
@@ -2,11 +2,10 @@
 
 import (
 	"cmp"
+	"saffronquay/internal/system/rpc"
 	"slices"
 
 	"github.com/cespare/xxhash/v2"
-
-	"saffronquay/internal/system/rpc"
 )
 
 // queueShare is the part, one in so many, of a worker's places that may wait there beyond those that run, so that none stands idle between two
--- a/internal/system/routing/places_test.go
+++ b/internal/system/routing/places_test.go
@@ -3,12 +3,11 @@
 import (
 	"fmt"
 	"math/rand/v2"
+	"saffronquay/internal/system/decisions"
+	"saffronquay/internal/system/rpc"
 	"testing"
 
 	"github.com/matryer/is"
-
-	"saffronquay/internal/system/decisions"
-	"saffronquay/internal/system/rpc"
 )
 
 // fleet is a table for each of some gatherers, all of which know the same.
--- a/internal/system/routing/subset_test.go
+++ b/internal/system/routing/subset_test.go
@@ -2,12 +2,11 @@
 
 import (
 	"fmt"
+	"saffronquay/internal/system/decisions"
+	"saffronquay/internal/system/rpc"
 	"testing"
 
 	"github.com/matryer/is"
-
-	"saffronquay/internal/system/decisions"
-	"saffronquay/internal/system/rpc"
 )
 
 // spread counts where a table's requests go when each is over before the next.
--- a/internal/system/routing/table.go
+++ b/internal/system/routing/table.go
@@ -2,11 +2,10 @@
 
 import (
 	"math/rand/v2"
-	"slices"
-	"sync"
-
 	"saffronquay/internal/system/decisions"
 	"saffronquay/internal/system/rpc"
+	"slices"
+	"sync"
 )
 
 // Worker is one start of a worker as this gatherer sees it.
@@ -49,8 +48,10 @@
 
 // NewTable returns an empty table of a gatherer.
 func NewTable(own Gatherer, use decisions.Switches, random *rand.Rand) *Table {
-	return &Table{own: own, use: use, byID: map[string]*Worker{}, byService: map[string][]*Worker{}, classes: map[string]*class{},
-		gatherers: gatherers{byZone: map[string][]string{}}, shares: map[string]*share{}, random: random, changed: make(chan struct{})}
+	return &Table{
+		own: own, use: use, byID: map[string]*Worker{}, byService: map[string][]*Worker{}, classes: map[string]*class{},
+		gatherers: gatherers{byZone: map[string][]string{}}, shares: map[string]*share{}, random: random, changed: make(chan struct{}),
+	}
 }
 
 func (t *Table) signal() {
--- a/internal/system/routing/table_test.go
+++ b/internal/system/routing/table_test.go
@@ -2,12 +2,11 @@
 
 import (
 	"math/rand/v2"
+	"saffronquay/internal/system/decisions"
+	"saffronquay/internal/system/rpc"
 	"testing"
 
 	"github.com/matryer/is"
-
-	"saffronquay/internal/system/decisions"
-	"saffronquay/internal/system/rpc"
 )
 
 func table(workers ...*rpc.Instance) *Table {
--- a/internal/system/settings/settings.go
+++ b/internal/system/settings/settings.go
@@ -8,12 +8,11 @@
 	"net"
 	"net/netip"
 	"os"
+	"saffronquay/internal/system/decisions"
 	"strings"
 	"time"
 
 	"github.com/pelletier/go-toml/v2"
-
-	"saffronquay/internal/system/decisions"
 )
 
 // Variable names the environment variable that holds the file's path.
@@ -102,8 +101,10 @@
 
 // Parse reads and checks a file's text. All faults are named at once, each with its key.
 func Parse(text []byte) (*Settings, error) {
-	s := &Settings{HeartbeatMS: 1000, Bounds: Bounds{ContactMS: 3000, CatchUpS: 5, DrainMS: 2000, GraceS: 8, PropagationMS: 2000,
-		StatusIntervalS: 120, CancelMS: 3000, LeaseMS: 3000}, Decisions: decisions.All()}
+	s := &Settings{HeartbeatMS: 1000, Bounds: Bounds{
+		ContactMS: 3000, CatchUpS: 5, DrainMS: 2000, GraceS: 8, PropagationMS: 2000,
+		StatusIntervalS: 120, CancelMS: 3000, LeaseMS: 3000,
+	}, Decisions: decisions.All()}
 	if err := toml.Unmarshal(text, s); err != nil {
 		var at *toml.DecodeError
 		if errors.As(err, &at) {
--- a/internal/system/settings/settings_test.go
+++ b/internal/system/settings/settings_test.go
@@ -1,12 +1,11 @@
 package settings
 
 import (
+	"saffronquay/internal/system/decisions"
 	"strings"
 	"testing"
 
 	"github.com/matryer/is"
-
-	"saffronquay/internal/system/decisions"
 )
 
 const good = `
--- a/internal/system/steward/api.go
+++ b/internal/system/steward/api.go
@@ -3,18 +3,17 @@
 import (
 	"context"
 	"encoding/json"
+	"saffronquay/internal/system/configuration"
+	"saffronquay/internal/system/directory"
+	"saffronquay/internal/system/packing"
+	"saffronquay/internal/system/replica"
+	"saffronquay/internal/system/rpc"
 	"strconv"
 	"time"
 
 	"github.com/fasthttp/router"
 	"github.com/valyala/fasthttp"
 	"google.golang.org/protobuf/proto"
-
-	"saffronquay/internal/system/configuration"
-	"saffronquay/internal/system/directory"
-	"saffronquay/internal/system/packing"
-	"saffronquay/internal/system/replica"
-	"saffronquay/internal/system/rpc"
 )
 
 const (
--- a/internal/system/steward/place.go
+++ b/internal/system/steward/place.go
@@ -2,13 +2,12 @@
 
 import (
 	"context"
-	"time"
-
 	"saffronquay/internal/system/directory"
 	"saffronquay/internal/system/placement"
 	"saffronquay/internal/system/replica"
 	"saffronquay/internal/system/rpc"
 	"saffronquay/internal/system/settings"
+	"time"
 )
 
 const (
@@ -112,8 +111,10 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, controlTimeout)
 	defer cancel()
-	command := replica.Marshal(&rpc.DirectoryCommand{Command: &rpc.DirectoryCommand_Place{Place: &rpc.Placement{Group: group, Replicas: plan,
-		Founding: current == nil}}})
+	command := replica.Marshal(&rpc.DirectoryCommand{Command: &rpc.DirectoryCommand_Place{Place: &rpc.Placement{
+		Group: group, Replicas: plan,
+		Founding: current == nil,
+	}}})
 	if st.host.Propose(ctx, directory.Shard, command).Outcome == rpc.Outcome_DONE {
 		st.log.Info("placement", "group", group, "replicas", nodes(plan))
 	}
--- a/internal/system/steward/retire.go
+++ b/internal/system/steward/retire.go
@@ -2,15 +2,14 @@
 
 import (
 	"context"
-	"time"
-
-	"github.com/valyala/fasthttp"
-
 	"saffronquay/internal/system/directory"
 	"saffronquay/internal/system/placement"
 	"saffronquay/internal/system/replica"
 	"saffronquay/internal/system/rpc"
 	"saffronquay/internal/system/settings"
+	"time"
+
+	"github.com/valyala/fasthttp"
 )
 
 // A machine is emptied by the directory's leader. Whether an order for it is taken or refused is that leader's to say: any other steward may
--- a/internal/system/steward/retire_test.go
+++ b/internal/system/steward/retire_test.go
@@ -1,12 +1,11 @@
 package steward
 
 import (
+	"saffronquay/internal/system/placement"
+	"saffronquay/internal/system/rpc"
 	"testing"
 
 	"github.com/matryer/is"
-
-	"saffronquay/internal/system/placement"
-	"saffronquay/internal/system/rpc"
 )
 
 func members(names ...string) (list []*rpc.Replica) {
--- a/internal/system/steward/shard.go
+++ b/internal/system/steward/shard.go
@@ -3,13 +3,12 @@
 import (
 	"cmp"
 	"context"
-	"time"
-
-	"google.golang.org/protobuf/proto"
-
 	"saffronquay/internal/system/registry"
 	"saffronquay/internal/system/replica"
 	"saffronquay/internal/system/rpc"
+	"time"
+
+	"google.golang.org/protobuf/proto"
 )
 
 const (
--- a/internal/system/steward/steward.go
+++ b/internal/system/steward/steward.go
@@ -9,11 +9,6 @@
 	"net"
 	"net/http"
 	"net/netip"
-	"sync"
-	"time"
-
-	"github.com/valyala/fasthttp"
-
 	"saffronquay/internal/system/directory"
 	"saffronquay/internal/system/feed"
 	"saffronquay/internal/system/ledger"
@@ -24,6 +19,10 @@
 	"saffronquay/internal/system/settings"
 	"saffronquay/internal/system/transport"
 	"saffronquay/internal/system/weights"
+	"sync"
+	"time"
+
+	"github.com/valyala/fasthttp"
 )
 
 // Steward is a running process of this role.
@@ -67,8 +66,10 @@
 
 // Run serves until the context ends, then closes what is open.
 func Run(ctx context.Context, source *settings.Source, options replica.Options, log *slog.Logger) error {
-	st := &Steward{source: source, settings: source.Current(), options: options, log: log, client: transport.NewClient(), feed: feed.NewTable(), shards: map[string]*shard{},
-		changed: make(chan struct{}), begun: time.Now()}
+	st := &Steward{
+		source: source, settings: source.Current(), options: options, log: log, client: transport.NewClient(), feed: feed.NewTable(), shards: map[string]*shard{},
+		changed: make(chan struct{}), begun: time.Now(),
+	}
 	if err := st.open(); err != nil {
 		return err
 	}
@@ -143,14 +144,18 @@
 	go st.host.Run()
 	go peer.Serve()
 	st.found()
-	st.control = &fasthttp.Server{Handler: st.routes(), MaxRequestBodySize: maxBody, NoDefaultServerHeader: true, NoDefaultDate: true,
-		IdleTimeout: time.Minute, ReadTimeout: 20 * time.Second, CloseOnShutdown: true}
+	st.control = &fasthttp.Server{
+		Handler: st.routes(), MaxRequestBodySize: maxBody, NoDefaultServerHeader: true, NoDefaultDate: true,
+		IdleTimeout: time.Minute, ReadTimeout: 20 * time.Second, CloseOnShutdown: true,
+	}
 	go st.control.Serve(control)
 	go st.controlLoop(ctx)
 	for _, sh := range st.shards {
-		holder := &weights.Holder{Node: st.settings.NodeName, Lease: settings.Milliseconds(st.settings.Bounds.LeaseMS),
+		holder := &weights.Holder{
+			Node: st.settings.NodeName, Lease: settings.Milliseconds(st.settings.Bounds.LeaseMS),
 			Fenced: st.settings.Bounds.Fencing, Shard: sh, Wanted: st.directory.Models,
-			Rules: weights.Rules{Single: st.singleVersion, AtOnce: weights.ShareAtOnce, Slots: st.slots}, Log: st.log}
+			Rules: weights.Rules{Single: st.singleVersion, AtOnce: weights.ShareAtOnce, Slots: st.slots}, Log: st.log,
+		}
 		go holder.Run(ctx)
 	}
 	select {
--- a/internal/system/steward/workers.go
+++ b/internal/system/steward/workers.go
@@ -3,13 +3,12 @@
 import (
 	"context"
 	"encoding/json"
+	"saffronquay/internal/system/registry"
+	"saffronquay/internal/system/rpc"
 	"strings"
 	"time"
 
 	"github.com/valyala/fasthttp"
-
-	"saffronquay/internal/system/registry"
-	"saffronquay/internal/system/rpc"
 )
 
 const (
@@ -84,8 +83,10 @@
 	if err := json.Unmarshal(text, &b); err != nil {
 		return nil, err
 	}
-	instance := &rpc.Instance{Id: id, Service: b.Service, Address: b.Address, Zone: b.Zone, Capacity: b.Capacity, Sequence: b.Sequence,
-		Draining: strings.EqualFold(b.State, "draining")}
+	instance := &rpc.Instance{
+		Id: id, Service: b.Service, Address: b.Address, Zone: b.Zone, Capacity: b.Capacity, Sequence: b.Sequence,
+		Draining: strings.EqualFold(b.State, "draining"),
+	}
 	for _, m := range b.Models {
 		instance.Models = append(instance.Models, &rpc.ModelWeights{Name: m.Name, Version: m.Version})
 	}
--- a/internal/system/storage/storage.go
+++ b/internal/system/storage/storage.go
@@ -8,9 +8,6 @@
 	"fmt"
 	"log/slog"
 	"net/http"
-	"slices"
-	"time"
-
 	"saffronquay/internal/system/feed"
 	"saffronquay/internal/system/ledger"
 	"saffronquay/internal/system/membership"
@@ -18,6 +15,8 @@
 	"saffronquay/internal/system/rpc"
 	"saffronquay/internal/system/settings"
 	"saffronquay/internal/system/transport"
+	"slices"
+	"time"
 )
 
 // Storage is a running process of this role.
@@ -52,8 +51,10 @@
 	sender := replica.NewSender(st.client)
 	options.SnapshotBytes = cmp.Or(options.SnapshotBytes, s.Limits.DiskMB<<20/diskShare)
 	options.Gather = s.Decisions.GatheredWrites
-	if st.host, err = replica.NewHost(replica.Config{Identity: st.identity, Store: store, Machine: st.service.Machine, Send: sender.Send, Log: log,
-		Options: options}); err != nil {
+	if st.host, err = replica.NewHost(replica.Config{
+		Identity: st.identity, Store: store, Machine: st.service.Machine, Send: sender.Send, Log: log,
+		Options: options,
+	}); err != nil {
 		return err
 	}
 	st.service.Host = st.host
--- a/internal/system/transport/transport.go
+++ b/internal/system/transport/transport.go
@@ -9,13 +9,12 @@
 	"net"
 	"net/http"
 	"os"
+	"saffronquay/internal/system/metrics"
 	"syscall"
 	"time"
 
 	"github.com/valyala/fasthttp"
 	"github.com/valyala/fasthttp/fasthttpadaptor"
-
-	"saffronquay/internal/system/metrics"
 )
 
 const (
--- a/internal/system/weights/holder.go
+++ b/internal/system/weights/holder.go
@@ -6,14 +6,14 @@
 	"fmt"
 	"log/slog"
 	"maps"
+	"saffronquay/internal/system/metrics"
+	"saffronquay/internal/system/rpc"
+	"saffronquay/internal/system/transport"
 	"strconv"
 	"sync"
 	"time"
 
 	"github.com/valyala/fasthttp"
-	"saffronquay/internal/system/metrics"
-	"saffronquay/internal/system/rpc"
-	"saffronquay/internal/system/transport"
 )
 
 // Shard is what a holder needs of the registry shard whose workers it sends orders to.
@@ -67,8 +67,10 @@
 // Run works until the context ends.
 func (h *Holder) Run(ctx context.Context) {
 	h.busy, h.loads = map[string]string{}, map[Mode]*loadTime{Wait: {}, Retain: {}}
-	h.client = fasthttp.Client{Dial: transport.Dial, MaxIdemponentCallAttempts: 1, MaxIdleConnDuration: idleMost, NoDefaultUserAgentHeader: true,
-		RetryIfErr: func(*fasthttp.Request, int, error) (bool, bool) { return false, false }}
+	h.client = fasthttp.Client{
+		Dial: transport.Dial, MaxIdemponentCallAttempts: 1, MaxIdleConnDuration: idleMost, NoDefaultUserAgentHeader: true,
+		RetryIfErr: func(*fasthttp.Request, int, error) (bool, bool) { return false, false },
+	}
 	ticker := time.NewTicker(round)
 	defer ticker.Stop()
 	for {
--- a/internal/system/weights/plan.go
+++ b/internal/system/weights/plan.go
@@ -6,9 +6,8 @@
 	"cmp"
 	"hash/fnv"
 	"math"
-	"slices"
-
 	"saffronquay/internal/system/rpc"
+	"slices"
 )
 
 // Mode says what becomes of requests that run when new weights are loaded.
@@ -104,8 +103,10 @@
 			if rules.Single(m.Name) {
 				mode = Wait
 			}
-			candidates = append(candidates, candidate{Order{w, m.Name, wanted[m.Name], mode, causeOf(m.Version, wanted[m.Name])},
-				wanted[m.Name] - m.Version, held[m.Name]})
+			candidates = append(candidates, candidate{
+				Order{w, m.Name, wanted[m.Name], mode, causeOf(m.Version, wanted[m.Name])},
+				wanted[m.Name] - m.Version, held[m.Name],
+			})
 		}
 	}
 	// The models go first of whose workers the smallest part has the version, and of these the workers that lag most.
--- a/internal/system/weights/weights_test.go
+++ b/internal/system/weights/weights_test.go
@@ -2,11 +2,10 @@
 
 import (
 	"fmt"
+	"saffronquay/internal/system/rpc"
 	"testing"
 
 	"github.com/matryer/is"
-
-	"saffronquay/internal/system/rpc"
 )
 
 func workers(n int, models ...string) (list []*rpc.Instance) {
--- a/internal/system/worker/pool.go
+++ b/internal/system/worker/pool.go
@@ -8,6 +8,9 @@
 	"context"
 	"io"
 	"net"
+	"saffronquay/internal/system/metrics"
+	"saffronquay/internal/system/transport"
+	"saffronquay/internal/system/verdict"
 	"strconv"
 	"strings"
 	"sync"
@@ -17,10 +20,6 @@
 
 	victoria "github.com/VictoriaMetrics/metrics"
 	"github.com/valyala/fasthttp"
-
-	"saffronquay/internal/system/metrics"
-	"saffronquay/internal/system/transport"
-	"saffronquay/internal/system/verdict"
 )
 
 // Call is a request to a worker.
--- a/internal/system/worker/worker_test.go
+++ b/internal/system/worker/worker_test.go
@@ -6,13 +6,12 @@
 	"errors"
 	"io"
 	"net"
+	"saffronquay/internal/system/verdict"
 	"strings"
 	"testing"
 	"time"
 
 	"github.com/matryer/is"
-
-	"saffronquay/internal/system/verdict"
 )
 
 // serve answers each request on each connection with the next text; an empty text closes the connection.
@@ -84,8 +83,10 @@
 // An answer that breaks off never looks whole.
 func TestBrokenAnswers(t *testing.T) {
 	is := is.New(t)
-	for _, text := range []string{"HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nhello<close>", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n<close>",
-		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\nabc\r\n0\r\n\r\n"} {
+	for _, text := range []string{
+		"HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nhello<close>", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n<close>",
+		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\nabc\r\n0\r\n\r\n",
+	} {
 		address := serve(t, text)
 		pool := NewPool()
 		a, err := pool.Do(context.Background(), call(address))
--- a/internal/transport/beside.go
+++ b/internal/transport/beside.go
@@ -6,11 +6,10 @@
 	"log/slog"
 	"os"
 	"path/filepath"
-	"strings"
-	"time"
-
 	"saffronquay/internal/events"
 	"saffronquay/internal/handover"
+	"strings"
+	"time"
 )
 
 const (
@@ -36,10 +35,13 @@
 // NewBeside makes one in a directory that outlives a process. snapshot gives this process's state, where it has one; met
 // is handed what the others told last, again and again. Run runs it.
 func NewBeside(dir, name string, clock Clock, snapshot func() (handover.State, bool), met func([]handover.State),
-	logger *slog.Logger) *Beside {
+	logger *slog.Logger,
+) *Beside {
 	own := fmt.Sprintf("%s%d-%d%s", besidePrefix, os.Getpid(), time.Now().UnixNano(), besideSuffix)
-	return &Beside{dir: dir, name: name, path: filepath.Join(dir, own), clock: clock, snapshot: snapshot, met: met,
-		log: logger, stop: make(chan struct{}), done: make(chan struct{})}
+	return &Beside{
+		dir: dir, name: name, path: filepath.Join(dir, own), clock: clock, snapshot: snapshot, met: met,
+		log: logger, stop: make(chan struct{}), done: make(chan struct{}),
+	}
 }
 
 // Run goes on until Stop.
--- a/internal/transport/beside_test.go
+++ b/internal/transport/beside_test.go
@@ -4,10 +4,9 @@
 	"log/slog"
 	"os"
 	"path/filepath"
+	"saffronquay/internal/handover"
 	"testing"
 	"time"
-
-	"saffronquay/internal/handover"
 )
 
 // Two processes hear of each other while both run, and of nothing else: guards a start against what a process that is
--- a/internal/transport/departed_test.go
+++ b/internal/transport/departed_test.go
@@ -6,6 +6,9 @@
 	"io"
 	"log/slog"
 	"net"
+	"saffronquay/internal/broker"
+	"saffronquay/internal/operations"
+	"saffronquay/internal/platform"
 	"strings"
 	"sync"
 	"testing"
@@ -13,9 +16,6 @@
 	"time"
 
 	sq "saffronquay"
-	"saffronquay/internal/broker"
-	"saffronquay/internal/operations"
-	"saffronquay/internal/platform"
 )
 
 // begunWithin is how long after its client has left an attempt may still begin.
@@ -111,10 +111,12 @@
 				t.Run(fmt.Sprintf("%s/mayCancel=%t/leaves=%t", name, mayCancel, leaves), func(t *testing.T) {
 					synctest.Test(t, func(t *testing.T) {
 						server := &farServer{up: tc.server.up, reads: tc.server.reads, ends: tc.server.ends, begun: map[string][]time.Time{}}
-						cfg := sq.Settings{Aggregators: 1, Period: 1000, Shards: 1, Cells: 1, Reach: 1, PartsPerCall: 1,
+						cfg := sq.Settings{
+							Aggregators: 1, Period: 1000, Shards: 1, Cells: 1, Reach: 1, PartsPerCall: 1,
 							Classes: []sq.Class{{Name: "c", Aim: 1e6, HardLimit: 3e6, Worth: 1, LateWorth: 0.5, Need: 1, Floor: 1}},
 							Limits:  sq.Limits{MaxTries: 4, MayCancel: mayCancel, SecondCopies: tc.copies},
-							Rules:   sq.Rules{WarmWithin: 10_000_000}}
+							Rules:   sq.Rules{WarmWithin: 10_000_000},
+						}
 						m, err := sq.New(cfg, 3)
 						if err != nil {
 							t.Fatal(err)
@@ -133,8 +135,10 @@
 							time.AfterFunc(tc.permit/2, func() { e.Permit(Permit{Until: hold + 1e9}) })
 						}
 						ask := func(label string) *Ticket {
-							a := broker.Ask{Label: label, Unique: true, Class: "c", Deadline: now() + 3e6, Text: []byte("x"),
-								Parts: []broker.AskPart{{Weight: 1, Work: 10_000}}}
+							a := broker.Ask{
+								Label: label, Unique: true, Class: "c", Deadline: now() + 3e6, Text: []byte("x"),
+								Parts: []broker.AskPart{{Weight: 1, Work: 10_000}},
+							}
 							if tc.ledger > 0 {
 								a.Ledger = slowLedger(tc.ledger)
 							}
--- a/internal/transport/discovery.go
+++ b/internal/transport/discovery.go
@@ -3,11 +3,11 @@
 import (
 	"fmt"
 	"log/slog"
+	"saffronquay/internal/events"
+	"saffronquay/internal/platform"
 	"sync"
 
 	sq "saffronquay"
-	"saffronquay/internal/events"
-	"saffronquay/internal/platform"
 )
 
 // Watcher follows discovery: it keeps a watch open and begins again from the last version it saw.
@@ -28,7 +28,8 @@
 // NewWatcher makes a watcher of the list from a version on; Run runs it. With asked, it begins only at
 // Begin, and tells of failures instead of beginning again by itself.
 func NewWatcher(address string, generation int64, asked bool, tell func(sq.FleetChanged, map[sq.ServerID]string),
-	logger *slog.Logger) *Watcher {
+	logger *slog.Logger,
+) *Watcher {
 	w := &Watcher{generation: generation, tell: tell, heard: make(chan struct{})}
 	w.follower = newFollower(address, maxList, w, logger)
 	w.asked = asked
--- a/internal/transport/door.go
+++ b/internal/transport/door.go
@@ -4,11 +4,10 @@
 	"errors"
 	"log/slog"
 	"net"
-	"sync"
-	"time"
-
 	"saffronquay/internal/events"
 	"saffronquay/internal/operations"
+	"sync"
+	"time"
 )
 
 const (
--- a/internal/transport/endings_test.go
+++ b/internal/transport/endings_test.go
@@ -6,6 +6,10 @@
 	"io"
 	"log/slog"
 	"net"
+	"saffronquay/internal/broker"
+	"saffronquay/internal/http1"
+	"saffronquay/internal/operations"
+	"saffronquay/internal/platform"
 	"strings"
 	"sync"
 	"sync/atomic"
@@ -14,10 +18,6 @@
 	"time"
 
 	sq "saffronquay"
-	"saffronquay/internal/broker"
-	"saffronquay/internal/http1"
-	"saffronquay/internal/operations"
-	"saffronquay/internal/platform"
 )
 
 // These tests force the moments in which an end meets what is owed: the listener's connections are real sockets whose reads and writes
--- a/internal/transport/engine.go
+++ b/internal/transport/engine.go
@@ -6,16 +6,16 @@
 	"cmp"
 	"log/slog"
 	"maps"
-	"slices"
-	"time"
-
-	sq "saffronquay"
 	"saffronquay/internal/broker"
 	"saffronquay/internal/contract"
 	"saffronquay/internal/events"
 	"saffronquay/internal/handover"
 	"saffronquay/internal/layout"
 	"saffronquay/internal/operations"
+	"slices"
+	"time"
+
+	sq "saffronquay"
 )
 
 func sortedKeys[K cmp.Ordered, V any](m map[K]V) []K { return slices.Sorted(maps.Keys(m)) }
@@ -64,9 +64,12 @@
 
 // NewEngine makes an engine; Run starts it.
 func NewEngine(clock Clock, core *broker.Core, cfg PoolConfig, d broker.Dialect, figures *operations.Figures,
-	logger *slog.Logger) *Engine {
-	e := &Engine{clock: clock, core: core, inbox: make(chan func(int64), inboxSize), stop: make(chan struct{}),
-		stopped: make(chan struct{}), waiting: map[sq.ID]func(broker.Final){}, figures: figures, log: logger}
+	logger *slog.Logger,
+) *Engine {
+	e := &Engine{
+		clock: clock, core: core, inbox: make(chan func(int64), inboxSize), stop: make(chan struct{}),
+		stopped: make(chan struct{}), waiting: map[sq.ID]func(broker.Final){}, figures: figures, log: logger,
+	}
 	e.pool = newPool(cfg, d, e.post)
 	e.pool.figures = figures
 	e.pool.ended, e.pool.over = core.Came, e.stopped
@@ -248,8 +251,10 @@
 	got := make(chan handover.State, 1)
 	go e.post(func(int64) {
 		held, learned := e.core.Standing(), e.core.Learned()
-		got <- handover.State{Sockets: e.pool.conns, Open: held.Open, Labels: held.Labels, Admission: learned.Admission,
-			Suspects: learned.Suspects}
+		got <- handover.State{
+			Sockets: e.pool.conns, Open: held.Open, Labels: held.Labels, Admission: learned.Admission,
+			Suspects: learned.Suspects,
+		}
 	})
 	t := time.NewTimer(standingWait)
 	defer t.Stop()
--- a/internal/transport/follow.go
+++ b/internal/transport/follow.go
@@ -9,11 +9,10 @@
 	"log/slog"
 	"math/rand/v2"
 	"net"
-	"sync"
-	"time"
-
 	"saffronquay/internal/events"
 	"saffronquay/internal/http1"
+	"sync"
+	"time"
 )
 
 // A change counts as told 6 s after discovery had it and could be reached, whatever call failed, was refused or was given up just before.
@@ -66,8 +65,10 @@
 }
 
 func newFollower(address string, most int, s source, logger *slog.Logger) follower {
-	return follower{source: s, log: logger, most: most, address: address, dial: dialPeer, begin: make(chan struct{}, 1),
-		stop: make(chan struct{}), done: make(chan struct{}), moved: make(chan struct{})}
+	return follower{
+		source: s, log: logger, most: most, address: address, dial: dialPeer, begin: make(chan struct{}, 1),
+		stop: make(chan struct{}), done: make(chan struct{}), moved: make(chan struct{}),
+	}
 }
 
 // Move goes over to another address at once; what is held stays until that one has told its own.
--- a/internal/transport/gate.go
+++ b/internal/transport/gate.go
@@ -2,7 +2,6 @@
 
 import (
 	"errors"
-
 	"saffronquay/internal/broker"
 	"saffronquay/internal/contract"
 )
--- a/internal/transport/listener.go
+++ b/internal/transport/listener.go
@@ -5,15 +5,14 @@
 	"io"
 	"log/slog"
 	"net"
+	"saffronquay/internal/broker"
+	"saffronquay/internal/events"
+	"saffronquay/internal/http1"
 	"strconv"
 	"sync"
 	"sync/atomic"
 	"syscall"
 	"time"
-
-	"saffronquay/internal/broker"
-	"saffronquay/internal/events"
-	"saffronquay/internal/http1"
 )
 
 // Front is one dialect towards clients. It knows no socket.
@@ -98,8 +97,10 @@
 
 // NewListener makes a listener on an open socket; Serve runs it.
 func NewListener(l net.Listener, cfg ListenerConfig, e *Engine, f Front, logger *slog.Logger) *Listener {
-	made := &Listener{engine: e, log: logger, net: l, grace: faultGrace, freed: make(chan struct{}, 1),
-		conns: map[*clientConn]bool{}, over: make(chan struct{})}
+	made := &Listener{
+		engine: e, log: logger, net: l, grace: faultGrace, freed: make(chan struct{}, 1),
+		conns: map[*clientConn]bool{}, over: make(chan struct{}),
+	}
 	made.Reconfigure(cfg, f)
 	return made
 }
@@ -197,8 +198,10 @@
 	if len(l.conns) >= l.terms.Load().MaxConns {
 		return false
 	}
-	c := &clientConn{l: l, net: conn, accepted: time.Now(), since: time.Now(), gone: make(chan struct{}),
-		bad: make(chan struct{}), flood: make(chan struct{}), told: make(chan struct{})}
+	c := &clientConn{
+		l: l, net: conn, accepted: time.Now(), since: time.Now(), gone: make(chan struct{}),
+		bad: make(chan struct{}), flood: make(chan struct{}), told: make(chan struct{}),
+	}
 	l.conns[c] = true
 	l.wg.Add(1)
 	go c.read()
--- a/internal/transport/outbox.go
+++ b/internal/transport/outbox.go
@@ -1,10 +1,9 @@
 package transport
 
 import (
+	"saffronquay/internal/broker"
 	"slices"
 	"sync"
-
-	"saffronquay/internal/broker"
 )
 
 // frame is bytes that leave in one go, and the call that they carry, if they do.
--- a/internal/transport/pool.go
+++ b/internal/transport/pool.go
@@ -4,12 +4,12 @@
 	"errors"
 	"io"
 	"net"
+	"saffronquay/internal/broker"
+	"saffronquay/internal/operations"
 	"sync/atomic"
 	"time"
 
 	sq "saffronquay"
-	"saffronquay/internal/broker"
-	"saffronquay/internal/operations"
 )
 
 // PoolConfig bounds the connections to servers. Times are microseconds.
@@ -83,8 +83,10 @@
 	connect := func(address string, timeout time.Duration) (net.Conn, error) {
 		return net.DialTimeout("tcp", address, timeout)
 	}
-	return &pool{cfg: cfg, dialect: d, post: post, connect: connect, after: time.AfterFunc, servers: map[sq.ServerID]*server{},
-		out: map[broker.AttemptID]*serverConn{}, figures: operations.NewFigures()}
+	return &pool{
+		cfg: cfg, dialect: d, post: post, connect: connect, after: time.AfterFunc, servers: map[sq.ServerID]*server{},
+		out: map[broker.AttemptID]*serverConn{}, figures: operations.NewFigures(),
+	}
 }
 
 func (p *pool) serverOf(id sq.ServerID) *server {
@@ -405,9 +407,11 @@
 			return nil
 		}
 	}
-	c := &serverConn{server: s, session: p.dialect.Session(s.address), calls: map[broker.AttemptID]*frame{},
+	c := &serverConn{
+		server: s, session: p.dialect.Session(s.address), calls: map[broker.AttemptID]*frame{},
 		sentAt: map[broker.AttemptID]int64{}, done: &atomic.Int64{},
-		writes: newOutbox(4*p.dialect.Streams() + 16), usedAt: now, openedAt: now}
+		writes: newOutbox(4*p.dialect.Streams() + 16), usedAt: now, openedAt: now,
+	}
 	s.conns = append(s.conns, c)
 	p.conns++
 	address, timeout := s.address, time.Duration(p.cfg.ConnectTimeout)*time.Microsecond
--- a/internal/transport/routes.go
+++ b/internal/transport/routes.go
@@ -6,14 +6,14 @@
 	"fmt"
 	"log/slog"
 	"net/url"
+	"saffronquay/internal/events"
+	"saffronquay/internal/layout"
+	"saffronquay/internal/operations"
 	"slices"
 	"sync"
 	"time"
 
 	sq "saffronquay"
-	"saffronquay/internal/events"
-	"saffronquay/internal/layout"
-	"saffronquay/internal/operations"
 )
 
 const (
@@ -52,7 +52,8 @@
 
 // NewRoutes makes the owner of a layout, with the one that is known at the start and the servers that may hold ranges.
 func NewRoutes(cfg RoutesConfig, first layout.Doc, servers []sq.ServerID, clock Clock, current *layout.Current,
-	tell func(layout.Update), figures *operations.LayoutFigures, logger *slog.Logger) (*Routes, error) {
+	tell func(layout.Update), figures *operations.LayoutFigures, logger *slog.Logger,
+) (*Routes, error) {
 	r := &Routes{cfg: cfg, clock: clock, current: current, tell: tell, figures: figures, wanted: make(chan struct{}, 1), heard: make(chan struct{})}
 	r.follower = newFollower(cfg.Directory, maxLayout, r, logger)
 	r.fresh = true
--- a/internal/transport/serve.go
+++ b/internal/transport/serve.go
@@ -2,10 +2,9 @@
 
 import (
 	"errors"
-	"time"
-
 	"saffronquay/internal/broker"
 	"saffronquay/internal/http1"
+	"time"
 )
 
 // asked is one query of a request, or the response that ends it at once.
--- a/internal/transport/size_test.go
+++ b/internal/transport/size_test.go
@@ -5,11 +5,11 @@
 	"io"
 	"log/slog"
 	"runtime"
+	"saffronquay/internal/broker"
+	"saffronquay/internal/platform"
 	"testing"
 
 	sq "saffronquay"
-	"saffronquay/internal/broker"
-	"saffronquay/internal/platform"
 )
 
 // listOf is a list of so many servers as discovery gives it, or only its first entries.
@@ -32,9 +32,11 @@
 	for _, servers := range []int{325, 650, 1300, 2600} {
 		for _, change := range []bool{false, true} {
 			b.Run(fmt.Sprintf("servers=%d,change=%v", servers, change), func(b *testing.B) {
-				cfg := sq.Settings{Aggregators: 600, Period: 5000, Shards: servers, Cells: max(1, servers/2), Reach: 1, PartsPerCall: 1,
+				cfg := sq.Settings{
+					Aggregators: 600, Period: 5000, Shards: servers, Cells: max(1, servers/2), Reach: 1, PartsPerCall: 1,
 					Classes: []sq.Class{{Name: "q", Aim: 75_000, HardLimit: 1_000_000, Worth: 1, Need: 1, Floor: 1}},
-					Rules:   sq.Rules{WarmWithin: 14_000_000, AskWithin: 10_000_000}}
+					Rules:   sq.Rules{WarmWithin: 14_000_000, AskWithin: 10_000_000},
+				}
 				module, err := sq.New(cfg, 1)
 				if err != nil {
 					b.Fatal(err)
@@ -85,8 +87,10 @@
 // BenchmarkLookBySize is what the engine looks at 20 times a second though nothing happens: every connection, and every server in the list.
 func BenchmarkLookBySize(b *testing.B) {
 	for _, servers := range []int{325, 650, 1300, 2600} {
-		cfg := sq.Settings{Aggregators: 600, Period: 5000, Shards: servers, Cells: servers, Reach: 1, PartsPerCall: 1,
-			Classes: []sq.Class{{Name: "q", Aim: 75_000, HardLimit: 1_000_000, Worth: 1, Need: 1, Floor: 1}}}
+		cfg := sq.Settings{
+			Aggregators: 600, Period: 5000, Shards: servers, Cells: servers, Reach: 1, PartsPerCall: 1,
+			Classes: []sq.Class{{Name: "q", Aim: 75_000, HardLimit: 1_000_000, Worth: 1, Need: 1, Floor: 1}},
+		}
 		module, err := sq.New(cfg, 1)
 		if err != nil {
 			b.Fatal(err)
--- a/internal/transport/told_test.go
+++ b/internal/transport/told_test.go
@@ -175,7 +175,8 @@
 
 // returns has discovery down for so long, and tells how long after its return its change was told, and how many calls it had before.
 func returns(t *testing.T, dial func(context.Context) error, fares func(net.Conn, string) bool, asked, moved bool, down,
-	wait time.Duration) (took time.Duration, calls int) {
+	wait time.Duration,
+) (took time.Duration, calls int) {
 	l := &list{}
 	back := make(chan struct{})
 	told := make(chan struct{})
@@ -216,9 +217,11 @@
 		return l.serves(wait)(conn, target)
 	}
 	if asked {
-		m, err := sq.New(sq.Settings{Aggregators: 1, Period: 1000, Shards: 1, Cells: 1, Reach: 1, PartsPerCall: 1, AskMembership: true,
+		m, err := sq.New(sq.Settings{
+			Aggregators: 1, Period: 1000, Shards: 1, Cells: 1, Reach: 1, PartsPerCall: 1, AskMembership: true,
 			Classes: []sq.Class{{Name: "c", Aim: 1e6, HardLimit: 3e6, Worth: 1, Need: 1, Floor: 1}}, Limits: sq.Limits{MaxTries: 1},
-			Rules: sq.Rules{AskWithin: 10_000_000, WarmWithin: 10_000_000}}, 7)
+			Rules: sq.Rules{AskWithin: 10_000_000, WarmWithin: 10_000_000},
+		}, 7)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -5,16 +5,16 @@
 	"io"
 	"log/slog"
 	"net"
+	"saffronquay/internal/broker"
+	"saffronquay/internal/http1"
+	"saffronquay/internal/operations"
+	"saffronquay/internal/platform"
 	"strings"
 	"sync/atomic"
 	"testing"
 	"time"
 
 	sq "saffronquay"
-	"saffronquay/internal/broker"
-	"saffronquay/internal/http1"
-	"saffronquay/internal/operations"
-	"saffronquay/internal/platform"
 )
 
 const patience = 20 * time.Second
@@ -56,8 +56,10 @@
 	near, far := net.Pipe()
 	t.Cleanup(func() { far.Close() })
 	s := b.servers["s"]
-	c := &serverConn{server: s, session: b.dialect.Session(""), net: near, up: true, calls: map[broker.AttemptID]*frame{},
-		sentAt: map[broker.AttemptID]int64{}, done: new(atomic.Int64), writes: newOutbox(1)}
+	c := &serverConn{
+		server: s, session: b.dialect.Session(""), net: near, up: true, calls: map[broker.AttemptID]*frame{},
+		sentAt: map[broker.AttemptID]int64{}, done: new(atomic.Int64), writes: newOutbox(1),
+	}
 	s.conns, b.conns = []*serverConn{c}, 1
 	return c
 }
@@ -297,8 +299,10 @@
 
 // A request that does not come in whole in its time is answered 408 and its connection closed.
 func TestSlowRequest(t *testing.T) {
-	l, _ := serve(t, ListenerConfig{MaxConns: 8, Enough: 8, Idle: patience, First: 50 * time.Millisecond, Slow: 50 * time.Millisecond,
-		MaxHeld: 1 << 20})
+	l, _ := serve(t, ListenerConfig{
+		MaxConns: 8, Enough: 8, Idle: patience, First: 50 * time.Millisecond, Slow: 50 * time.Millisecond,
+		MaxHeld: 1 << 20,
+	})
 	conn, err := net.Dial("tcp", l.net.Addr().String())
 	if err != nil {
 		t.Fatal(err)
@@ -456,8 +460,10 @@
 
 // Unfinished requests hold so many bytes in all; one more is told that it may try again.
 func TestHeldBytesAreBounded(t *testing.T) {
-	l, _ := serve(t, ListenerConfig{MaxConns: 8, Enough: 8, Idle: patience, First: patience, Slow: patience, MaxHeld: 10_000,
-		RetryAfter: 500 * time.Millisecond})
+	l, _ := serve(t, ListenerConfig{
+		MaxConns: 8, Enough: 8, Idle: patience, First: patience, Slow: patience, MaxHeld: 10_000,
+		RetryAfter: 500 * time.Millisecond,
+	})
 	half := "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 60000\r\n\r\n" + string(make([]byte, 6000))
 	var conns []net.Conn
 	for range 2 {
@@ -733,8 +739,10 @@
 	b := newBench()
 	b.fleet(0, sq.Ready, 0, "127.0.0.1:1")
 	near, far := net.Pipe()
-	c := &serverConn{server: b.servers["s"], session: b.dialect.Session(""), net: near, up: true,
-		calls: map[broker.AttemptID]*frame{}, sentAt: map[broker.AttemptID]int64{}, done: new(atomic.Int64), writes: newOutbox(4)}
+	c := &serverConn{
+		server: b.servers["s"], session: b.dialect.Session(""), net: near, up: true,
+		calls: map[broker.AttemptID]*frame{}, sentAt: map[broker.AttemptID]int64{}, done: new(atomic.Int64), writes: newOutbox(4),
+	}
 	b.servers["s"].conns, b.conns = []*serverConn{c}, 1
 	ended := make(chan struct{})
 	go func() { b.serve(c, near); close(ended) }()
--- a/internal/transport/unsent_test.go
+++ b/internal/transport/unsent_test.go
@@ -4,16 +4,16 @@
 	"fmt"
 	"io"
 	"net"
+	"saffronquay/internal/broker"
+	"saffronquay/internal/merge"
+	"saffronquay/internal/opensearch"
+	"saffronquay/internal/platform"
 	"strings"
 	"sync/atomic"
 	"testing"
 	"time"
 
 	sq "saffronquay"
-	"saffronquay/internal/broker"
-	"saffronquay/internal/merge"
-	"saffronquay/internal/opensearch"
-	"saffronquay/internal/platform"
 )
 
 // heldWrite gives the server a connection whose writer has begun call 1 and gets no further: the far end has taken one byte.
@@ -22,8 +22,10 @@
 	b.dialect = platform.Workers{PerConn: 8}
 	b.pool.fleet(0, sq.FleetChanged{Servers: []sq.Server{{ID: "s", Health: sq.Ready}}}, map[sq.ServerID]string{"s": "127.0.0.1:1"})
 	near, far := net.Pipe()
-	c := &serverConn{server: b.servers["s"], session: b.dialect.Session(""), net: near, up: true, calls: map[broker.AttemptID]*frame{},
-		sentAt: map[broker.AttemptID]int64{}, done: new(atomic.Int64), writes: newOutbox(8)}
+	c := &serverConn{
+		server: b.servers["s"], session: b.dialect.Session(""), net: near, up: true, calls: map[broker.AttemptID]*frame{},
+		sentAt: map[broker.AttemptID]int64{}, done: new(atomic.Int64), writes: newOutbox(8),
+	}
 	b.servers["s"].conns, b.conns = []*serverConn{c}, 1
 	ended := make(chan struct{})
 	go func() { b.serve(c, near); close(ended) }()
@@ -75,13 +77,22 @@
 		ends map[broker.AttemptID]sq.Outcome
 		want []string
 	}{
-		"over": {func(b *bench) { b.recall(1, 1); b.recall(1, 2); b.recall(1, 3) },
-			map[broker.AttemptID]sq.Outcome{2: sq.NotSent, 3: sq.NotSent}, []string{frameOf(1), frameOf(9)}},
-		"one of two is over": {func(b *bench) { b.recall(1, 2) }, map[broker.AttemptID]sq.Outcome{2: sq.NotSent},
-			[]string{frameOf(1), frameOf(3), frameOf(9)}},
+		"over": {
+			func(b *bench) { b.recall(1, 1); b.recall(1, 2); b.recall(1, 3) },
+			map[broker.AttemptID]sq.Outcome{2: sq.NotSent, 3: sq.NotSent},
+			[]string{frameOf(1), frameOf(9)},
+		},
+		"one of two is over": {
+			func(b *bench) { b.recall(1, 2) },
+			map[broker.AttemptID]sq.Outcome{2: sq.NotSent},
+			[]string{frameOf(1), frameOf(3), frameOf(9)},
+		},
 		"given up": {func(b *bench) { b.drop(1, 2); b.drop(1, 3) }, map[broker.AttemptID]sq.Outcome{}, []string{frameOf(1), frameOf(9)}},
-		"begun and given up": {func(b *bench) { b.drop(1, 1) }, map[broker.AttemptID]sq.Outcome{},
-			[]string{frameOf(1), frameOf(2, 3), "Aq.1", frameOf(9)}},
+		"begun and given up": {
+			func(b *bench) { b.drop(1, 1) },
+			map[broker.AttemptID]sq.Outcome{},
+			[]string{frameOf(1), frameOf(2, 3), "Aq.1", frameOf(9)},
+		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := newBench()
--- a/internal/transport/vrrp.go
+++ b/internal/transport/vrrp.go
@@ -4,10 +4,9 @@
 	"log/slog"
 	"net"
 	"net/netip"
-	"time"
-
 	"saffronquay/internal/events"
 	"saffronquay/internal/vrrp"
+	"time"
 )
 
 // Redundancy carries a virtual router's advertisements over UDP, from this router to each of its peers.
@@ -24,9 +23,12 @@
 
 // NewRedundancy makes a virtual router on an open socket; Run runs it.
 func NewRedundancy(clock Clock, cfg vrrp.Config, conn *net.UDPConn, peers []netip.AddrPort,
-	changed func(vrrp.State), logger *slog.Logger) *Redundancy {
-	return &Redundancy{clock: clock, machine: vrrp.New(cfg), conn: conn, peers: peers, changed: changed,
-		log: logger, stop: make(chan struct{}), done: make(chan struct{})}
+	changed func(vrrp.State), logger *slog.Logger,
+) *Redundancy {
+	return &Redundancy{
+		clock: clock, machine: vrrp.New(cfg), conn: conn, peers: peers, changed: changed,
+		log: logger, stop: make(chan struct{}), done: make(chan struct{}),
+	}
 }
 
 type received struct {
--- a/internal/vrrp/vrrp_test.go
+++ b/internal/vrrp/vrrp_test.go
@@ -9,8 +9,10 @@
 var virtual = []netip.Addr{netip.MustParseAddr("192.0.2.1")}
 
 func router(priority byte, preempt bool) *Machine {
-	return New(Config{VRID: 7, Priority: priority, Interval: 100, Preempt: preempt, Addresses: virtual,
-		Primary: netip.MustParseAddr("192.0.2.20")})
+	return New(Config{
+		VRID: 7, Priority: priority, Interval: 100, Preempt: preempt, Addresses: virtual,
+		Primary: netip.MustParseAddr("192.0.2.20"),
+	})
 }
 
 func heard(priority byte, interval int64) Advertisement {
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -8,9 +8,9 @@
 	"errors"
 	"fmt"
 	"math"
+	"saffronquay/internal/config"
 
 	sq "saffronquay"
-	"saffronquay/internal/config"
 )
 
 // Kind tells what a decoded line is.
@@ -182,8 +182,10 @@
 		if *r.Health < 0 || *r.Health > 2 {
 			return Message{}, fmt.Errorf("member %d: unknown health %d", i, *r.Health)
 		}
-		s := sq.Server{ID: sq.ServerID(*r.Server), Zone: r.Campus, Cell: *r.Slot, Health: sq.Health(*r.Health),
-			StartedAt: r.LastStart}
+		s := sq.Server{
+			ID: sq.ServerID(*r.Server), Zone: r.Campus, Cell: *r.Slot, Health: sq.Health(*r.Health),
+			StartedAt: r.LastStart,
+		}
 		m.Members = append(m.Members, s)
 	}
 	return m, nil
@@ -229,8 +231,10 @@
 		if err != nil {
 			return Message{}, err
 		}
-		return happened(sq.Query{ID: sq.ID(*l.Txn), Group: group, Class: *l.Priority, Tenant: tenant,
-			Deadline: *l.Deadline, Work: work, Key: key})
+		return happened(sq.Query{
+			ID: sq.ID(*l.Txn), Group: group, Class: *l.Priority, Tenant: tenant,
+			Deadline: *l.Deadline, Work: work, Key: key,
+		})
 	}
 	if *l.Segment > math.MaxInt32 {
 		return Message{}, fmt.Errorf("segment_no %v is out of range", *l.Segment)
@@ -238,8 +242,10 @@
 	if err := need("size_or_weight", l.Weight != nil); err != nil {
 		return Message{}, err
 	}
-	return happened(sq.Part{ID: sq.ID(*l.Txn), Group: group, Shard: int(*l.Segment), Weight: *l.Weight,
-		Work: work, Key: key})
+	return happened(sq.Part{
+		ID: sq.ID(*l.Txn), Group: group, Shard: int(*l.Segment), Weight: *l.Weight,
+		Work: work, Key: key,
+	})
 }
 
 // tenantOf reads a tenant's name; sites without tenants say 0 or nothing.
@@ -264,8 +270,10 @@
 	if err != nil {
 		return Message{}, err
 	}
-	return happened(sq.ProbeEnded{Server: sq.ServerID(*l.Server), Outcome: out, Latency: *l.Latency,
-		Report: report(l.Health)})
+	return happened(sq.ProbeEnded{
+		Server: sq.ServerID(*l.Server), Outcome: out, Latency: *l.Latency,
+		Report: report(l.Health),
+	})
 }
 
 func readResponse(l *rawLine) (Message, error) {
@@ -277,12 +285,16 @@
 	if err != nil {
 		return Message{}, err
 	}
-	return happened(sq.AttemptEnded{Part: sq.ID(*l.Txn), Attempt: *l.Shot, Server: sq.ServerID(*l.Server),
-		Outcome: out, Latency: *l.Latency, Report: report(l.Health)})
+	return happened(sq.AttemptEnded{
+		Part: sq.ID(*l.Txn), Attempt: *l.Shot, Server: sq.ServerID(*l.Server),
+		Outcome: out, Latency: *l.Latency, Report: report(l.Health),
+	})
 }
 
-var outcomes = map[int]sq.Outcome{100: sq.Served, 301: sq.Errored, 302: sq.Rejected, 303: sq.TimedOut,
-	304: sq.Unreachable, 305: sq.Broken, 306: sq.Cancelled, 307: sq.NotSent}
+var outcomes = map[int]sq.Outcome{
+	100: sq.Served, 301: sq.Errored, 302: sq.Rejected, 303: sq.TimedOut,
+	304: sq.Unreachable, 305: sq.Broken, 306: sq.Cancelled, 307: sq.NotSent,
+}
 
 func outcome(code int) (sq.Outcome, error) {
 	o, ok := outcomes[code]
@@ -302,6 +314,8 @@
 		}
 		return -1
 	}
-	return &sq.LoadReport{Queue: field("backlog"), InFlight: field("outstanding"), Throughput: field("throughput"),
-		Utilization: field("utilization")}
+	return &sq.LoadReport{
+		Queue: field("backlog"), InFlight: field("outstanding"), Throughput: field("throughput"),
+		Utilization: field("utilization"),
+	}
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -26,32 +26,56 @@
 		{`{"event_type":"Tick","at_time_us":8,"serial":12}`, Message{Kind: BatchStart, Now: 8, Serial: 12}},
 		{`{"event_type":"End"}`, Message{Kind: BatchEnd}},
 		{`{"event_type":"Killed","who":"node/3"}`, Message{Kind: Killed, Who: "node/3"}},
-		{`{"event_type":"DeadlineHit","who":"n","mark":77}`, Message{Kind: Happened, Who: "n",
-			Event: sq.AlarmRang{Mark: 77}}},
-		{`{"event_type":"Hangup","who":"n","txn":5}`, Message{Kind: Happened, Who: "n",
-			Event: sq.ClientLeft{Query: 5}}},
-		{`{"event_type":"Ingress","who":"n","txn":5,"segment_no":-1,"priority":"c","group_no":9,` +
-			`"client_deadline_us":70,"work_us":6,"object":"k","size_or_weight":3,"tenant":"t","resent":true}`,
-			Message{Kind: Happened, Who: "n", Event: sq.Query{ID: 5, Group: 9, Class: "c", Tenant: "t", Deadline: 70,
-				Work: 6, Key: "k"}}},
-		{`{"event_type":"Ingress","who":"n","txn":6,"segment_no":2,"priority":"c","group_no":9,` +
-			`"client_deadline_us":70,"size_or_weight":0.5,"tenant":0}`,
-			Message{Kind: Happened, Who: "n", Event: sq.Part{ID: 6, Group: 9, Shard: 2, Weight: 0.5}}},
-		{`{"event_type":"Response","who":"n","txn":6,"shot":1,"server":"s:1","disposition":305,"latency_us":4,` +
-			`"complete":true,"health_info":{"recent_ms":14.5,"backlog":4,"throughput":2.5,"other":1}}`,
-			Message{Kind: Happened, Who: "n", Event: sq.AttemptEnded{Part: 6, Attempt: 1, Server: "s:1",
-				Outcome: sq.Broken, Latency: 4, Report: report}}},
-		{`{"event_type":"ProbeResult","who":"n","server":"s:1","disposition":100,"latency_us":4}`,
-			Message{Kind: Happened, Who: "n", Event: sq.ProbeEnded{Server: "s:1", Latency: 4}}},
+		{`{"event_type":"DeadlineHit","who":"n","mark":77}`, Message{
+			Kind: Happened, Who: "n",
+			Event: sq.AlarmRang{Mark: 77},
+		}},
+		{`{"event_type":"Hangup","who":"n","txn":5}`, Message{
+			Kind: Happened, Who: "n",
+			Event: sq.ClientLeft{Query: 5},
+		}},
+		{
+			`{"event_type":"Ingress","who":"n","txn":5,"segment_no":-1,"priority":"c","group_no":9,` +
+				`"client_deadline_us":70,"work_us":6,"object":"k","size_or_weight":3,"tenant":"t","resent":true}`,
+			Message{Kind: Happened, Who: "n", Event: sq.Query{
+				ID: 5, Group: 9, Class: "c", Tenant: "t", Deadline: 70,
+				Work: 6, Key: "k",
+			}},
+		},
+		{
+			`{"event_type":"Ingress","who":"n","txn":6,"segment_no":2,"priority":"c","group_no":9,` +
+				`"client_deadline_us":70,"size_or_weight":0.5,"tenant":0}`,
+			Message{Kind: Happened, Who: "n", Event: sq.Part{ID: 6, Group: 9, Shard: 2, Weight: 0.5}},
+		},
+		{
+			`{"event_type":"Response","who":"n","txn":6,"shot":1,"server":"s:1","disposition":305,"latency_us":4,` +
+				`"complete":true,"health_info":{"recent_ms":14.5,"backlog":4,"throughput":2.5,"other":1}}`,
+			Message{Kind: Happened, Who: "n", Event: sq.AttemptEnded{
+				Part: 6, Attempt: 1, Server: "s:1",
+				Outcome: sq.Broken, Latency: 4, Report: report,
+			}},
+		},
+		{
+			`{"event_type":"ProbeResult","who":"n","server":"s:1","disposition":100,"latency_us":4}`,
+			Message{Kind: Happened, Who: "n", Event: sq.ProbeEnded{Server: "s:1", Latency: 4}},
+		},
 		{`{"event_type":"Ledger","slot":3,"members":[{"server":"s:1","campus":"z","slot_no":2,"health":1,"share":1.5,` +
-			`"last_start_us":9}]}`, Message{Kind: List, Slot: 3, Members: []sq.Server{{ID: "s:1", Zone: "z", Cell: 2,
-			Health: sq.Ready, StartedAt: 9}}}},
-		{`{"event_type":"Fleet","who":"n","scope":0,"generation":4,"slot":3}`, Message{Kind: Happened, Who: "n",
-			Slot: 3, UsesList: true, Event: sq.FleetChanged{Kind: sq.FleetDelta}}},
-		{`{"event_type":"Fleet","who":"n","scope":2,"generation":4}`, Message{Kind: Happened, Who: "n",
-			Event: sq.FleetChanged{Kind: sq.FleetFailed}}},
-		{`{"event_type":"NeighbourSays","who":"n","sender":2,"payload":"hi"}`,
-			Message{Kind: Happened, Who: "n", Event: sq.PeerSaid{Peer: 2, Text: "hi"}}},
+			`"last_start_us":9}]}`, Message{Kind: List, Slot: 3, Members: []sq.Server{{
+			ID: "s:1", Zone: "z", Cell: 2,
+			Health: sq.Ready, StartedAt: 9,
+		}}}},
+		{`{"event_type":"Fleet","who":"n","scope":0,"generation":4,"slot":3}`, Message{
+			Kind: Happened, Who: "n",
+			Slot: 3, UsesList: true, Event: sq.FleetChanged{Kind: sq.FleetDelta},
+		}},
+		{`{"event_type":"Fleet","who":"n","scope":2,"generation":4}`, Message{
+			Kind: Happened, Who: "n",
+			Event: sq.FleetChanged{Kind: sq.FleetFailed},
+		}},
+		{
+			`{"event_type":"NeighbourSays","who":"n","sender":2,"payload":"hi"}`,
+			Message{Kind: Happened, Who: "n", Event: sq.PeerSaid{Peer: 2, Text: "hi"}},
+		},
 	} {
 		got, err := Decode([]byte(c.line))
 		if err != nil {
@@ -76,8 +100,10 @@
 	if want := []sq.Tenant{{Name: "t", Quota: 1.5}}; !reflect.DeepEqual(s.Tenants, want) || s.OverShareWorth != 0.2 {
 		t.Errorf("tenants: %+v, over their share worth %v", s.Tenants, s.OverShareWorth)
 	}
-	want := sq.Class{Name: "c", Aim: 10, HardLimit: 20, Worth: 2, Effect: sq.Deduped, RepeatWindow: 5, Need: 1,
-		Floor: 0.8, Partial: 0.9, Fetch: 3}
+	want := sq.Class{
+		Name: "c", Aim: 10, HardLimit: 20, Worth: 2, Effect: sq.Deduped, RepeatWindow: 5, Need: 1,
+		Floor: 0.8, Partial: 0.9, Fetch: 3,
+	}
 	if len(s.Classes) != 1 || s.Classes[0] != want {
 		t.Errorf("classes: %+v", s.Classes)
 	}
--- a/invariants_test.go
+++ b/invariants_test.go
@@ -91,10 +91,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	o := &observer{t: t, cfg: cfg, rng: rand.New(rand.NewPCG(seed, 99)), s: s, now: 50_000_000, nextID: 1,
+	o := &observer{
+		t: t, cfg: cfg, rng: rand.New(rand.NewPCG(seed, 99)), s: s, now: 50_000_000, nextID: 1,
 		servers: map[ServerID]*Server{}, told: map[ServerID]int64{}, queries: map[ID]*seenQuery{},
 		parts: map[ID]*seenPart{}, cancels: map[*sentAttempt]bool{}, alarms: map[int64]int64{},
-		cold: map[ServerID][]coldSend{}}
+		cold: map[ServerID][]coldSend{},
+	}
 	var list []Server
 	for i := range 9 {
 		v := Server{ID: ServerID(fmt.Sprintf("s%d", i)), Cell: i % cfg.Cells, Health: Ready}
@@ -108,14 +110,18 @@
 func (o *observer) newQuery() []Event {
 	class := &o.cfg.Classes[o.rng.IntN(len(o.cfg.Classes))]
 	o.group++
-	q := &seenQuery{class: class, group: o.group,
-		deadline: o.now + class.HardLimit*int64(60+o.rng.IntN(41))/100}
+	q := &seenQuery{
+		class: class, group: o.group,
+		deadline: o.now + class.HardLimit*int64(60+o.rng.IntN(41))/100,
+	}
 	id := o.nextID
 	o.nextID++
 	o.queries[id] = q
 	o.order = append(o.order, id)
-	es := []Event{Query{ID: id, Group: o.group, Class: class.Name, Deadline: q.deadline, Work: 200 * ms,
-		Key: fmt.Sprint("k", o.rng.IntN(40)), Tenant: fmt.Sprint("t", o.rng.IntN(3))}}
+	es := []Event{Query{
+		ID: id, Group: o.group, Class: class.Name, Deadline: q.deadline, Work: 200 * ms,
+		Key: fmt.Sprint("k", o.rng.IntN(40)), Tenant: fmt.Sprint("t", o.rng.IntN(3)),
+	}}
 	return append(es, o.newParts(id, 1+o.rng.IntN(5))...)
 }
 
@@ -127,8 +133,10 @@
 		p := &seenPart{query: id, shard: o.rng.IntN(o.cfg.Shards), weight: 1 / float64(n)}
 		q.parts = append(q.parts, o.nextID)
 		o.parts[o.nextID] = p
-		es = append(es, Part{ID: o.nextID, Group: q.group, Shard: p.shard, Weight: p.weight,
-			Work: int64(20+o.rng.IntN(80)) * ms})
+		es = append(es, Part{
+			ID: o.nextID, Group: q.group, Shard: p.shard, Weight: p.weight,
+			Work: int64(20+o.rng.IntN(80)) * ms,
+		})
 		o.nextID++
 		o.taken = append(o.taken, o.now)
 	}
--- a/scheduler.go
+++ b/scheduler.go
@@ -128,8 +128,10 @@
 		}
 		r := s.servers[v.ID]
 		if r == nil {
-			r = &replica{Server: Server{ID: v.ID, Cell: v.Cell, Health: Ready},
-				byClass: map[string]*evidence{}}
+			r = &replica{
+				Server:  Server{ID: v.ID, Cell: v.Cell, Health: Ready},
+				byClass: map[string]*evidence{},
+			}
 			s.servers[v.ID] = r
 			s.place(r)
 		} else if r.Cell != v.Cell {
--- a/scheduler_test.go
+++ b/scheduler_test.go
@@ -14,11 +14,15 @@
 func plain() Settings {
 	return Settings{
 		Aggregators: 1, Period: 5 * ms, Shards: 2, Cells: 2, Reach: 2, PartsPerCall: 1,
-		Classes: []Class{{Name: "q", Aim: 1000 * ms, HardLimit: 3000 * ms, Worth: 1, Need: 1, Floor: 1, Partial: 0.9,
-			RepeatWindow: 1000 * ms}},
+		Classes: []Class{{
+			Name: "q", Aim: 1000 * ms, HardLimit: 3000 * ms, Worth: 1, Need: 1, Floor: 1, Partial: 0.9,
+			RepeatWindow: 1000 * ms,
+		}},
 		Limits: Limits{MaxTries: 3, MayCancel: true},
-		Rules: Rules{AnswerGrace: 20 * ms, DrainGrace: 1000 * ms, ColdShare: 0.3, WarmWithin: 10000 * ms,
-			FallMultiple: 3, FallWindow: 1000 * ms, AskWithin: 10000 * ms},
+		Rules: Rules{
+			AnswerGrace: 20 * ms, DrainGrace: 1000 * ms, ColdShare: 0.3, WarmWithin: 10000 * ms,
+			FallMultiple: 3, FallWindow: 1000 * ms, AskWithin: 10000 * ms,
+		},
 	}
 }
 
@@ -82,8 +86,10 @@
 	}
 	es := []Event{Query{ID: id, Group: int64(id), Class: "q", Deadline: sc.now + 3000*ms, Work: sum}}
 	for i, c := range costs {
-		es = append(es, Part{ID: id + ID(i) + 1, Group: int64(id), Shard: i % sc.s.cfg.Shards,
-			Weight: 1 / float64(len(costs)), Work: c})
+		es = append(es, Part{
+			ID: id + ID(i) + 1, Group: int64(id), Shard: i % sc.s.cfg.Shards,
+			Weight: 1 / float64(len(costs)), Work: c,
+		})
 	}
 	return es
 }
@@ -200,8 +206,10 @@
 	for i := 0; i < 100 && len(again) == 0; i++ {
 		got := sc.step(10 * ms)
 		for _, c := range of[Cancel](got) {
-			got = append(got, sc.step(0, AttemptEnded{Part: c.Part, Attempt: c.Attempt, Server: first.Server,
-				Outcome: Cancelled, Latency: 1})...)
+			got = append(got, sc.step(0, AttemptEnded{
+				Part: c.Part, Attempt: c.Attempt, Server: first.Server,
+				Outcome: Cancelled, Latency: 1,
+			})...)
 		}
 		again = of[Send](got)
 	}
@@ -498,11 +506,14 @@
 			t.Fatal(err)
 		}
 		s.Step(start, []Event{FleetChanged{Kind: FleetCached, Servers: []Server{
-			{ID: "cold", Health: Ready, StartedAt: start}}}})
+			{ID: "cold", Health: Ready, StartedAt: start},
+		}}})
 		for now := start + 50*ms; now < start+8000*ms; now += 50 * ms {
 			id := ID(now)
-			as := s.Step(now, []Event{Query{ID: id, Group: now, Class: "q", Deadline: now + 3000*ms, Work: 100 * ms},
-				Part{ID: id + 1, Group: now, Weight: 1, Work: 100 * ms}})
+			as := s.Step(now, []Event{
+				Query{ID: id, Group: now, Class: "q", Deadline: now + 3000*ms, Work: 100 * ms},
+				Part{ID: id + 1, Group: now, Weight: 1, Work: 100 * ms},
+			})
 			var back []Event
 			for _, a := range of[Send](as) {
 				all = append(all, sent{now, 100 * ms})
--- a/state.go
+++ b/state.go
@@ -174,11 +174,13 @@
 	if err := cfg.Validate(); err != nil {
 		return nil, err
 	}
-	s := &Scheduler{rng: rand.New(rand.NewPCG(seed, uint64(cfg.Self))), seed: seed,
+	s := &Scheduler{
+		rng: rand.New(rand.NewPCG(seed, uint64(cfg.Self))), seed: seed,
 		servers: map[ServerID]*replica{}, cells: make([][]*replica, cfg.Cells), queries: map[ID]*query{},
 		zones: map[string]*evidence{}, keys: map[string]keyMark{}, kinds: map[string]*kind{},
 		groups: map[int64]*query{}, ended: map[string]int64{}, parts: map[ID]*part{},
-		average: map[int]float64{}, started: -1, drain: 0.5}
+		average: map[int]float64{}, started: -1, drain: 0.5,
+	}
 	s.adopt(cfg)
 	s.slack = s.slackTop
 	return s, nil
@@ -229,8 +231,10 @@
 	}
 	for id, r := range s.servers {
 		if r.listed && (r.paceT > 0 || r.failing.at > 0) {
-			l.Servers = append(l.Servers, Known{Server: id, Pace: r.pace, PaceAt: r.paceT, Fails: r.failing.fails, Tries: r.failing.tries,
-				At: r.failing.at})
+			l.Servers = append(l.Servers, Known{
+				Server: id, Pace: r.pace, PaceAt: r.paceT, Fails: r.failing.fails, Tries: r.failing.tries,
+				At: r.failing.at,
+			})
 		}
 	}
 	slices.SortFunc(l.Servers, func(a, b Known) int { return cmp.Compare(a.Server, b.Server) })
