--- a/internal/golden/names_test.go
+++ b/internal/golden/names_test.go
@@ -1,6 +1,7 @@
 package golden
 
 import (
+	"errors"
 	"fmt"
 	"go/ast"
 	"go/parser"
@@ -14,6 +15,7 @@
 	"slices"
 	"strconv"
 	"strings"
+	"sync"
 	"testing"
 
 	"github.com/matryer/is"
@@ -26,12 +28,24 @@
 	file      *ast.File
 }
 
-// sources parses the Go files of the repository but for tests.
-func sources(t *testing.T) (list []source) {
+// sources are the parsed Go files of the repository but for tests.
+func sources(t *testing.T) []source {
 	t.Helper()
 	is := is.New(t)
-	root := moduleRoot(t)
-	is.NoErr(filepath.WalkDir(root, func(path string, entry fs.DirEntry, err error) error {
+	list, err := parsedOnce()
+	is.NoErr(err)
+	is.True(len(list) > 100)
+	return list
+}
+
+var parsedOnce = sync.OnceValues(parseSources)
+
+func parseSources() (list []source, err error) {
+	root, err := moduleRoot()
+	if err != nil {
+		return nil, err
+	}
+	err = filepath.WalkDir(root, func(path string, entry fs.DirEntry, err error) error {
 		if err != nil {
 			return err
 		}
@@ -49,9 +63,8 @@
 		folder, err := filepath.Rel(root, filepath.Dir(path))
 		list = append(list, source{filepath.ToSlash(folder), generator(name, file), file})
 		return err
-	}))
-	is.True(len(list) > 100)
-	return list
+	})
+	return list, err
 }
 
 // generator tells what made a file.
@@ -68,18 +81,18 @@
 }
 
 // moduleRoot is the folder of go.mod.
-func moduleRoot(t *testing.T) string {
-	t.Helper()
-	is := is.New(t)
+func moduleRoot() (string, error) {
 	folder, err := os.Getwd()
-	is.NoErr(err)
-	for {
+	for err == nil {
 		if _, err := os.Stat(filepath.Join(folder, "go.mod")); err == nil {
-			return folder
+			return folder, nil
+		}
+		if folder == filepath.Dir(folder) {
+			return "", errors.New("there is no go.mod above")
 		}
-		is.True(folder != filepath.Dir(folder)) // there is a go.mod above
 		folder = filepath.Dir(folder)
 	}
+	return "", err
 }
 
 // names is a set of lines.
@@ -226,6 +239,8 @@
 
 var environment = regexp.MustCompile(`\bSAFFRONQUAY_[A-Z_]+|\bLB_[A-Z_]+`)
 
+var urlPath = regexp.MustCompile(`^/[A-Za-z_{][A-Za-z0-9_{}/.*-]*$`)
+
 var word = regexp.MustCompile(`^[A-Za-z][A-Za-z0-9_.-]*$`)
 
 // The keys of the broker's files, which its reader is asked for by name: first words of calls of methods in the package above the schemas.
@@ -259,7 +274,8 @@
 func settingsFolder(t *testing.T) (folder string) {
 	t.Helper()
 	is := is.New(t)
-	root := moduleRoot(t)
+	root, err := moduleRoot()
+	is.NoErr(err)
 	is.NoErr(filepath.WalkDir(filepath.Join(root, "internal"), func(path string, entry fs.DirEntry, err error) error {
 		if err == nil && entry.Name() == "operator.schema.json" {
 			folder, err = filepath.Rel(root, filepath.Dir(filepath.Dir(path)))
@@ -270,8 +286,8 @@
 	return filepath.ToSlash(folder)
 }
 
-// Names that are read and written without tags: literals with underscores (settings, figures, keys of logs), keys of literal maps, and names of
-// variables of the environment.
+// Names that are read and written without tags: literals with underscores (settings, figures, keys of logs), keys of literal maps, paths,
+// and names of variables of the environment.
 func TestOtherNames(t *testing.T) {
 	found := names{}
 	for _, s := range sources(t) {
@@ -285,6 +301,9 @@
 				if ok && underscored.MatchString(name) {
 					found.add("underscored %s", name)
 				}
+				if ok && urlPath.MatchString(name) {
+					found.add("path %s", name)
+				}
 				for _, variable := range environment.FindAllString(name, -1) {
 					found.add("environment %s", variable)
 				}
