--- a/cmd/saffronquay-sim/main.go
+++ b/cmd/saffronquay-sim/main.go
@@ -8,7 +8,7 @@
 	"fmt"
 	"io"
 	"os"
-	"saffronquay/internal/wire"
+	"saffronquay/internal/broker/simwire"
 
 	sq "saffronquay"
 )
@@ -59,22 +59,22 @@
 }
 
 func (h *host) line(line []byte) error {
-	m, err := wire.Decode(line)
+	m, err := simwire.Decode(line)
 	if err != nil {
 		return err
 	}
-	if h.inBatch == (m.Kind == wire.BatchStart) {
+	if h.inBatch == (m.Kind == simwire.BatchStart) {
 		return errors.New("event outside of a batch, or a batch within a batch")
 	}
 	switch m.Kind {
-	case wire.BatchStart:
+	case simwire.BatchStart:
 		h.inBatch, h.now, h.serial = true, m.Now, m.Serial
-	case wire.BatchEnd:
+	case simwire.BatchEnd:
 		h.inBatch = false
 		return h.reply()
-	case wire.List:
+	case simwire.List:
 		h.lists[m.Slot] = m.Members
-	case wire.Open:
+	case simwire.Open:
 		s, err := sq.New(m.Settings, m.Seed)
 		if err != nil {
 			return fmt.Errorf("OpenInstance: setup: %w", err)
@@ -87,11 +87,11 @@
 	return nil
 }
 
-func (h *host) event(m wire.Message) error {
+func (h *host) event(m simwire.Message) error {
 	if h.instances[m.Who] == nil {
 		return fmt.Errorf("instance %q was never opened, or was killed", m.Who)
 	}
-	if m.Kind == wire.Killed {
+	if m.Kind == simwire.Killed {
 		delete(h.instances, m.Who)
 		return nil
 	}
@@ -129,14 +129,14 @@
 			continue
 		}
 		for _, a := range in.scheduler.Step(h.now, in.events) {
-			if buf, err = wire.Encode(buf, who, a); err != nil {
+			if buf, err = simwire.Encode(buf, who, a); err != nil {
 				return err
 			}
 		}
 		in.events, in.touched = nil, false
 	}
 	h.touched = h.touched[:0]
-	if buf, err = wire.EncodeAck(buf, h.serial); err != nil {
+	if buf, err = simwire.EncodeAck(buf, h.serial); err != nil {
 		return err
 	}
 	if _, err := h.out.Write(buf); err != nil {
--- a/cmd/saffronquay-standin/main.go
+++ b/cmd/saffronquay-standin/main.go
@@ -8,8 +8,8 @@
 	"log/slog"
 	"os"
 	"os/signal"
-	"saffronquay/internal/config"
-	"saffronquay/internal/standin"
+	"saffronquay/internal/broker/config"
+	"saffronquay/internal/testing/fakebackend"
 	"syscall"
 	"time"
 
@@ -40,7 +40,7 @@
 	case op.Layout == nil || op.Layout.Directory == "":
 		return fmt.Errorf("%s: layout.directory: missing", file)
 	}
-	cfg := standin.ServerConfig{Once: map[string]bool{}, Cores: 2, Queue: 100, Work: work}
+	cfg := fakebackend.ServerConfig{Once: map[string]bool{}, Cores: 2, Queue: 100, Work: work}
 	for name, ix := range op.Indices {
 		cfg.Field = ix.Field
 		for _, c := range op.Settings.Module.Classes {
@@ -52,11 +52,11 @@
 		ids = append(ids, s.ID)
 	}
 	first, last := op.Layout.Whole.Ranges[0].From, op.Layout.Whole.Ranges[len(op.Layout.Whole.Ranges)-1].To
-	var rows []standin.Row
+	var rows []fakebackend.Row
 	for k := first; k < min(last, first+keys); k++ {
-		rows = append(rows, standin.Row{Key: k, ID: fmt.Sprint("row-", k)})
+		rows = append(rows, fakebackend.Row{Key: k, ID: fmt.Sprint("row-", k)})
 	}
-	c, err := standin.NewCluster(ids, op.Addresses, cfg, op.Layout.Whole, rows)
+	c, err := fakebackend.NewCluster(ids, op.Addresses, cfg, op.Layout.Whole, rows)
 	if err != nil {
 		return err
 	}
--- a/cmd/saffronquay-system/account.go
+++ b/cmd/saffronquay-system/account.go
@@ -5,7 +5,7 @@
 	"errors"
 	"os"
 	"path/filepath"
-	"saffronquay/internal/system/account"
+	"saffronquay/internal/scheduler/dayreport"
 
 	"github.com/urfave/cli/v3"
 )
@@ -24,7 +24,7 @@
 				if err != nil {
 					return err
 				}
-				report, err := account.Read(text)
+				report, err := dayreport.Read(text)
 				if err != nil {
 					return err
 				}
--- a/cmd/saffronquay-system/help_test.go
+++ b/cmd/saffronquay-system/help_test.go
@@ -5,12 +5,11 @@
 	"context"
 	"os"
 	"path/filepath"
+	"saffronquay/internal/scheduler/settings"
 	"testing"
 
 	"github.com/matryer/is"
 	"github.com/urfave/cli/v3"
-
-	"saffronquay/internal/system/settings"
 )
 
 // The help of each command is as the golden file has it. SAFFRONQUAY_GOLDEN=write in the environment writes that anew.
--- a/cmd/saffronquay-system/main.go
+++ b/cmd/saffronquay-system/main.go
@@ -10,14 +10,14 @@
 	"os/signal"
 	"runtime"
 	"runtime/debug"
-	"saffronquay/internal/system/agent"
-	"saffronquay/internal/system/decisions"
-	"saffronquay/internal/system/metrics"
-	"saffronquay/internal/system/proxy"
-	"saffronquay/internal/system/replica"
-	"saffronquay/internal/system/settings"
-	"saffronquay/internal/system/steward"
-	"saffronquay/internal/system/storage"
+	"saffronquay/internal/scheduler/agent"
+	"saffronquay/internal/scheduler/controlplane"
+	"saffronquay/internal/scheduler/featuregate"
+	"saffronquay/internal/scheduler/metrics"
+	"saffronquay/internal/scheduler/proxy"
+	"saffronquay/internal/scheduler/replica"
+	"saffronquay/internal/scheduler/settings"
+	"saffronquay/internal/scheduler/storage"
 	"slices"
 	"strings"
 	"syscall"
@@ -43,12 +43,12 @@
 			&cli.StringFlag{Name: "log-format", Value: "text", Usage: "text or json"},
 			&cli.StringFlag{Name: "metrics", Usage: "PORT/PATH where the role tells its figures in Prometheus' text format; empty: nowhere"},
 			&cli.StringFlag{Name: "policy", Usage: "how workers are chosen, for measurements; overrules decisions.policy of the settings file"},
-			&cli.StringSliceFlag{Name: "without", Usage: "switch a mechanism off, for measurements: " + strings.Join(decisions.Names(), ", ")},
+			&cli.StringSliceFlag{Name: "without", Usage: "switch a mechanism off, for measurements: " + strings.Join(featuregate.Names(), ", ")},
 		},
 		Commands: []*cli.Command{
 			roleCommand("proxy", "carry the traffic of an edge machine", proxy.Run),
 			roleCommand("agent", "link the proxy of an edge machine to the control plane", agent.Run),
-			replicaCommand("steward", "serve control on a core machine", steward.Run),
+			replicaCommand("steward", "serve control on a core machine", controlplane.Run),
 			replicaCommand("store", "keep batch jobs on a storage machine", storage.Run),
 			modelCommand(),
 			accountCommand(),
@@ -148,8 +148,8 @@
 
 // overrules are the decisions that the command line takes in place of the settings file.
 func overrules(c *cli.Command) (settings.Overrule, error) {
-	policy, without := decisions.Policy(c.String("policy")), c.StringSlice("without")
-	apply := func(s *decisions.Switches) error {
+	policy, without := featuregate.Policy(c.String("policy")), c.StringSlice("without")
+	apply := func(s *featuregate.Switches) error {
 		if policy != "" {
 			s.Policy = policy
 		}
@@ -160,7 +160,7 @@
 		}
 		return s.Check()
 	}
-	probe := decisions.All()
+	probe := featuregate.All()
 	return func(s *settings.Settings) { apply(&s.Decisions) }, apply(&probe)
 }
 
--- a/cmd/saffronquay-system/model.go
+++ b/cmd/saffronquay-system/model.go
@@ -3,7 +3,7 @@
 import (
 	"context"
 	"fmt"
-	"saffronquay/internal/system/model"
+	"saffronquay/internal/scheduler/simulation"
 	"strings"
 
 	"github.com/urfave/cli/v3"
@@ -28,23 +28,23 @@
 
 func faultNames() string {
 	var names strings.Builder
-	for i, bug := range model.Bugs {
+	for i, bug := range simulation.Bugs {
 		fmt.Fprintf(&names, "  %2d  %s\n", i+1, bug)
 	}
 	return names.String()
 }
 
 // seededFault is the mistake that a flag names by its number or its text.
-func seededFault(name string) (model.Bug, error) {
+func seededFault(name string) (simulation.Bug, error) {
 	if name == "" {
-		return model.NoBug, nil
+		return simulation.NoBug, nil
 	}
-	for i, bug := range model.Bugs {
+	for i, bug := range simulation.Bugs {
 		if name == string(bug) || name == fmt.Sprint(i+1) {
 			return bug, nil
 		}
 	}
-	return model.NoBug, fmt.Errorf("--fault: want a number from 1 to %d or the text of a mistake, not %q", len(model.Bugs), name)
+	return simulation.NoBug, fmt.Errorf("--fault: want a number from 1 to %d or the text of a mistake, not %q", len(simulation.Bugs), name)
 }
 
 func playModel(_ context.Context, c *cli.Command) error {
@@ -54,15 +54,15 @@
 	}
 	out := c.Root().Writer
 	if c.Bool("trace") {
-		options := model.Seeded(c.Uint64("first"), bug)
+		options := simulation.Seeded(c.Uint64("first"), bug)
 		options.Trace = func(format string, values ...any) { fmt.Fprintf(out, format+"\n", values...) }
-		report, err := model.Play(options)
+		report, err := simulation.Play(options)
 		fmt.Fprintf(out, "%+v\n", report)
 		return err
 	}
-	var total model.Report
+	var total simulation.Report
 	broken := 0
-	model.Scan(c.Uint64("first"), c.Uint64("seeds"), bug, func(r model.Result) bool {
+	simulation.Scan(c.Uint64("first"), c.Uint64("seeds"), bug, func(r simulation.Result) bool {
 		total.Add(r.Report)
 		if r.Err != nil {
 			broken++
--- a/cmd/saffronquay/cli_campaign.go
+++ b/cmd/saffronquay/cli_campaign.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"io"
 	"os"
-	"saffronquay/internal/campaign"
+	"saffronquay/internal/testing/soak"
 	"time"
 
 	"github.com/spf13/cobra"
@@ -13,7 +13,7 @@
 
 // campaign plays fleets of processes under faults, for long.
 func (c *cli) campaign() *cobra.Command {
-	var cfg campaign.Config
+	var cfg soak.Config
 	var seeds, shrink int
 	cmd := &cobra.Command{
 		Use: "campaign", Short: "Play a fleet of processes under load and faults for long, and judge its history", Args: cobra.NoArgs,
@@ -33,7 +33,7 @@
 			cfg.Say = func(format string, args ...any) { fmt.Fprintf(c.errs, format+"\n", args...) }
 			broken := 0
 			for range seeds {
-				r, err := campaign.Run(cfg)
+				r, err := soak.Run(cfg)
 				if err != nil {
 					return failed(err)
 				}
@@ -41,13 +41,13 @@
 				if broken += len(r.Broken); len(r.Broken) > 0 && shrink > 0 {
 					quiet := cfg
 					quiet.Say = func(string, ...any) {}
-					if smallest, err = campaign.Shrink(quiet, r.Script, shrink, campaign.Run); err != nil {
+					if smallest, err = soak.Shrink(quiet, r.Script, shrink, soak.Run); err != nil {
 						return failed(err)
 					}
 				} else {
 					smallest = nil
 				}
-				path, err := campaign.Report(cfg, r, smallest)
+				path, err := soak.Report(cfg, r, smallest)
 				if err != nil {
 					return failed(err)
 				}
--- a/cmd/saffronquay/cli_door.go
+++ b/cmd/saffronquay/cli_door.go
@@ -7,7 +7,7 @@
 	"io"
 	"net"
 	"net/http"
-	"saffronquay/internal/config"
+	"saffronquay/internal/broker/config"
 	"strconv"
 	"strings"
 	"time"
--- a/cmd/saffronquay/cli_files.go
+++ b/cmd/saffronquay/cli_files.go
@@ -6,13 +6,13 @@
 	"io"
 	"os"
 	"path/filepath"
-	"saffronquay/internal/config"
-	"saffronquay/internal/config/schema"
-	"saffronquay/internal/gatherer"
-	"saffronquay/internal/layout"
-	"saffronquay/internal/platform"
-	"saffronquay/internal/routing"
-	"saffronquay/internal/store"
+	"saffronquay/internal/broker/config"
+	"saffronquay/internal/broker/config/schema"
+	"saffronquay/internal/broker/layout"
+	"saffronquay/internal/broker/platform"
+	"saffronquay/internal/broker/routecheck"
+	"saffronquay/internal/broker/server"
+	"saffronquay/internal/storage/recordlog"
 	"slices"
 	"strings"
 
@@ -124,14 +124,14 @@
 }
 
 // roster is what the files say of who holds what; list, where it is set, is discovery's recorded list.
-func (c *cli) roster(path, list string) (r routing.Roster, err error) {
+func (c *cli) roster(path, list string) (r routecheck.Roster, err error) {
 	if path == "" && c.node != "" {
 		n, err := c.readNode()
 		if err != nil {
 			return r, failed(err)
 		}
-		r = routing.Roster{Name: c.node, Settings: n.Settings.Module, Seed: n.Seed, Servers: n.Known, Indices: map[string]routing.Index{}}
-		ix := routing.Index{Class: n.Settings.Module.Classes[0].Name}
+		r = routecheck.Roster{Name: c.node, Settings: n.Settings.Module, Seed: n.Seed, Servers: n.Known, Indices: map[string]routecheck.Index{}}
+		ix := routecheck.Index{Class: n.Settings.Module.Classes[0].Name}
 		for s := range n.Settings.Module.Shards { // its keys are its shards
 			ix.Ranges = append(ix.Ranges, layout.Piece{Shard: s, Span: layout.Span{From: int64(s), To: int64(s) + 1}})
 		}
@@ -167,8 +167,8 @@
 }
 
 // rosterOf is what an operator's file says.
-func rosterOf(name string, op config.Operator) (routing.Roster, error) {
-	r := routing.Roster{Name: name, Settings: op.Settings.Module, Seed: op.Seed, Servers: op.Servers, Indices: map[string]routing.Index{}}
+func rosterOf(name string, op config.Operator) (routecheck.Roster, error) {
+	r := routecheck.Roster{Name: name, Settings: op.Settings.Module, Seed: op.Seed, Servers: op.Servers, Indices: map[string]routecheck.Index{}}
 	if op.Layout != nil {
 		l, err := layout.Make(op.Layout.Whole, nil)
 		if err != nil {
@@ -177,9 +177,9 @@
 		r.Layout = l
 	}
 	for n, ix := range op.Indices {
-		to := routing.Index{Class: ix.Class, PartWork: ix.PartWork}
+		to := routecheck.Index{Class: ix.Class, PartWork: ix.PartWork}
 		if r.Layout != nil {
-			to.Ranges = routing.Placed(r.Layout)
+			to.Ranges = routecheck.Placed(r.Layout)
 		}
 		for _, g := range ix.Ranges {
 			to.Ranges = append(to.Ranges, layout.Piece{Shard: g.Shard, Span: g.Span})
@@ -204,7 +204,7 @@
 			if err != nil {
 				return err
 			}
-			expectations, err := routing.Parse(text)
+			expectations, err := routecheck.Parse(text)
 			if err != nil {
 				return failed(fmt.Errorf("%s: %w", words[0], err))
 			}
@@ -215,7 +215,7 @@
 			if err != nil {
 				return err
 			}
-			others := map[string]routing.Roster{}
+			others := map[string]routecheck.Roster{}
 			for _, pair := range compare {
 				name, path, ok := strings.Cut(pair, "=")
 				if !ok {
@@ -226,7 +226,7 @@
 				}
 			}
 			c.progress("judging %d expectations", len(expectations))
-			results, err := routing.Judge(r, others, expectations)
+			results, err := routecheck.Judge(r, others, expectations)
 			c.progress("")
 			if err != nil {
 				return failed(err)
@@ -239,7 +239,7 @@
 	return cmd
 }
 
-func (c *cli) tellResults(results []routing.Result) error {
+func (c *cli) tellResults(results []routecheck.Result) error {
 	broken := 0
 	for _, r := range results {
 		if !r.OK {
@@ -304,7 +304,7 @@
 					return unreached(err)
 				}
 			}
-			parts, err := routing.Explain(r, index, []layout.Span{want}, o)
+			parts, err := routecheck.Explain(r, index, []layout.Span{want}, o)
 			if err != nil {
 				return failed(err)
 			}
@@ -322,7 +322,7 @@
 	return cmd
 }
 
-func tellParts(w io.Writer, parts []routing.Part, failing string) {
+func tellParts(w io.Writer, parts []routecheck.Part, failing string) {
 	for _, p := range parts {
 		fmt.Fprintf(w, "part: shard %d, keys %s, held by %v\n", p.Shard, p.Range, p.Holders)
 		for i, s := range p.Steps {
@@ -346,14 +346,14 @@
 
 // learnedIn is what was learnt, as a store has it.
 func learnedIn(dir string) (*sq.Learned, error) {
-	v, err := store.Read([2]store.Dir{store.Existing(dir), store.Existing(filepath.Join(dir, "copy"))})
+	v, err := recordlog.Read([2]recordlog.Dir{recordlog.Existing(dir), recordlog.Existing(filepath.Join(dir, "copy"))})
 	if err != nil {
 		return nil, err
 	}
 	var last *sq.Learned
-	v.Dump(func(r store.Record) {
-		if r.Kind == store.Learned && !r.Gone {
-			l := gatherer.Learned(r.Value)
+	v.Dump(func(r recordlog.Record) {
+		if r.Kind == recordlog.Learned && !r.Gone {
+			l := server.Learned(r.Value)
 			last = &l
 		}
 	})
--- a/cmd/saffronquay/cli_model.go
+++ b/cmd/saffronquay/cli_model.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"io"
 	"maps"
-	"saffronquay/internal/model"
+	"saffronquay/internal/broker/simulation"
 	"slices"
 	"strings"
 
@@ -12,9 +12,9 @@
 )
 
 // days are those that the model knows by name.
-var days = map[string]func(seed uint64, gatherers, servers int) model.Day{
-	"calm": model.Fleet, "burst": model.Burst,
-	"zone": model.ZoneLost, "herd": model.Herd, "join": model.Join,
+var days = map[string]func(seed uint64, gatherers, servers int) simulation.Day{
+	"calm": simulation.Fleet, "burst": simulation.Burst,
+	"zone": simulation.ZoneLost, "herd": simulation.Herd, "join": simulation.Join,
 }
 
 // model plays a day at size in virtual time.
@@ -36,7 +36,7 @@
 			case gatherers < 1 || gatherers > 1000 || servers < 8 || servers > 1000:
 				return fmt.Errorf("want 1 to 1000 gatherers and 8 to 1000 servers, not %d and %d", gatherers, servers)
 			}
-			r, err := model.Play(day(seed, gatherers, servers))
+			r, err := simulation.Play(day(seed, gatherers, servers))
 			if err != nil {
 				return err
 			}
@@ -56,7 +56,7 @@
 	return cmd
 }
 
-func tellDay(w io.Writer, r model.Result) {
+func tellDay(w io.Writer, r simulation.Result) {
 	fmt.Fprintf(w, "%6s %8s %8s %6s %8s %8s %8s %8s\n", "second", "asked", "in time", "tries", "refused", "attempts", "work s", "useful s")
 	for i, x := range r.Windows {
 		if x.Asked > 0 {
--- a/cmd/saffronquay/cli_model_fleet.go
+++ b/cmd/saffronquay/cli_model_fleet.go
@@ -4,14 +4,14 @@
 	"fmt"
 	"io"
 	"os"
-	"saffronquay/internal/plots"
+	"saffronquay/internal/testing/plots"
 	"strings"
 	"time"
 
 	"github.com/spf13/cobra"
 
-	script "saffronquay/internal/faults"
-	views "saffronquay/internal/fleet/model"
+	views "saffronquay/internal/cluster/swim/simulation"
+	script "saffronquay/internal/testing/faults"
 )
 
 // modelFleet plays views of a fleet in virtual time.
@@ -24,7 +24,7 @@
 		Use: "fleet", Short: "Play the views of a fleet in virtual time, under faults", Args: cobra.NoArgs,
 		Long: "Plays the core that keeps a gatherer's view of its fleet, many times over, in virtual time: how many views are right, how many members\n" +
 			"they reckon with. All are started within a second; --kill, --cut and --stop do their work at second 5; --script FILE has any faults\n" +
-			"(internal/faults has the form, which the harness of the tests reads as well). Ends with 1 where views are not one again.",
+			"(internal/testing/faults has the form, which the harness of the tests reads as well). Ends with 1 where views are not one again.",
 		Example: "  saffronquay model fleet --members 300 --loss 0.1 --cut 12s --plot split.svg",
 		RunE: func(*cobra.Command, []string) error {
 			n := cfg.Members
--- a/cmd/saffronquay/cli_model_policy.go
+++ b/cmd/saffronquay/cli_model_policy.go
@@ -10,7 +10,7 @@
 
 	"github.com/spf13/cobra"
 
-	changes "saffronquay/internal/rollout/model"
+	changes "saffronquay/internal/cluster/rollout/simulation"
 )
 
 // modelPolicy plays changes of policy in virtual time.
--- a/cmd/saffronquay/cli_policy.go
+++ b/cmd/saffronquay/cli_policy.go
@@ -11,9 +11,9 @@
 	"net/netip"
 	"os/user"
 	"reflect"
-	"saffronquay/internal/config"
-	"saffronquay/internal/peers"
-	"saffronquay/internal/rollout/wire"
+	"saffronquay/internal/broker/config"
+	"saffronquay/internal/cluster/peering"
+	"saffronquay/internal/cluster/rollout/wire"
 	"slices"
 	"strconv"
 	"strings"
@@ -338,7 +338,7 @@
 	var partial *wire.Answer // not in force in all regions, as it was told last,
 	var since time.Time      // and first
 	for i := 0; time.Since(began) < p.wait; time.Sleep(50 * time.Millisecond) {
-		answer, err := peers.AskPolicy(voters[i%len(voters)], x, c.timeout)
+		answer, err := peering.AskPolicy(voters[i%len(voters)], x, c.timeout)
 		if err != nil {
 			last = err
 			sent = true // it may have come in
--- a/cmd/saffronquay/cli_policy_test.go
+++ b/cmd/saffronquay/cli_policy_test.go
@@ -3,7 +3,7 @@
 import (
 	"bytes"
 	"errors"
-	"saffronquay/internal/rollout/wire"
+	"saffronquay/internal/cluster/rollout/wire"
 	"strings"
 	"testing"
 )
--- a/cmd/saffronquay/cli_scale_events.go
+++ b/cmd/saffronquay/cli_scale_events.go
@@ -10,7 +10,7 @@
 
 	"github.com/spf13/cobra"
 
-	scripts "saffronquay/internal/faults"
+	scripts "saffronquay/internal/testing/faults"
 )
 
 // eventsFrom is when a fleet has come up and changes begin.
@@ -25,7 +25,7 @@
 		Use: "events", Short: "Count, in virtual time, what agreeing on the policy costs a fleet in two regions", Args: cobra.NoArgs,
 		Long: "Plays the agreement on the policy, its leases and parts of budgets in virtual time, over two regions of three zones each with five voters, three\n" +
 			"of them in the first region, and tells the peak second's bytes, how changes went and how queries stood. --script has faults in the form of\n" +
-			"internal/faults. Nothing is opened. It leaves out processor time, bandwidth and the headers of the network.",
+			"internal/testing/faults. Nothing is opened. It leaves out processor time, bandwidth and the headers of the network.",
 		Example: "  saffronquay scale events --gatherers 600 --text 10000 --every 3s --length 60s",
 		RunE: func(*cobra.Command, []string) error {
 			n := cfg.Gatherers
--- a/cmd/saffronquay/cli_store.go
+++ b/cmd/saffronquay/cli_store.go
@@ -5,8 +5,8 @@
 	"fmt"
 	"io"
 	"path/filepath"
-	"saffronquay/internal/store"
-	"saffronquay/internal/store/form"
+	"saffronquay/internal/storage/recordlog"
+	"saffronquay/internal/storage/recordlog/form"
 
 	"github.com/spf13/cobra"
 	"google.golang.org/protobuf/encoding/protojson"
@@ -15,12 +15,12 @@
 
 func (c *cli) store() *cobra.Command {
 	parent := &cobra.Command{Use: "store", Short: "Look at a durable store, without touching it", Example: "  saffronquay store check /var/lib/saffronquay/a /var/lib/saffronquay/b"}
-	read := func(words []string) (*store.View, error) {
+	read := func(words []string) (*recordlog.View, error) {
 		second := filepath.Join(words[0], "copy")
 		if len(words) == 2 {
 			second = words[1]
 		}
-		v, err := store.Read([2]store.Dir{store.Existing(words[0]), store.Existing(second)})
+		v, err := recordlog.Read([2]recordlog.Dir{recordlog.Existing(words[0]), recordlog.Existing(second)})
 		if err != nil {
 			return nil, unreached(err)
 		}
@@ -58,7 +58,7 @@
 	return parent
 }
 
-func tellCheck(w io.Writer, r store.Report) {
+func tellCheck(w io.Writer, r recordlog.Report) {
 	for _, d := range r.Damaged {
 		fmt.Fprintln(w, "damaged", d)
 	}
@@ -72,21 +72,21 @@
 		r.Records, len(r.Damaged), len(r.Unknown), len(r.Stray), r.Took)
 }
 
-var kinds = map[store.Kind]struct {
+var kinds = map[recordlog.Kind]struct {
 	name  string
 	value func() proto.Message
 }{
-	store.Once:    {"once", func() proto.Message { return &form.Once{} }},
-	store.Learned: {"learned", func() proto.Message { return &form.Learned{} }},
-	store.Layout:  {"layout", func() proto.Message { return &form.Layout{} }},
-	store.Cursor:  {"cursor", func() proto.Message { return &form.Cursor{} }},
-	store.Sealing: {"sealing", nil}, // a secret
-	store.Rollout: {"rollout", nil}, // of several forms
+	recordlog.Once:    {"once", func() proto.Message { return &form.Once{} }},
+	recordlog.Learned: {"learned", func() proto.Message { return &form.Learned{} }},
+	recordlog.Layout:  {"layout", func() proto.Message { return &form.Layout{} }},
+	recordlog.Cursor:  {"cursor", func() proto.Message { return &form.Cursor{} }},
+	recordlog.Sealing: {"sealing", nil}, // a secret
+	recordlog.Rollout: {"rollout", nil}, // of several forms
 }
 
-func (c *cli) dump(v *store.View) error {
+func (c *cli) dump(v *recordlog.View) error {
 	var broken error
-	unknown := v.Dump(func(r store.Record) {
+	unknown := v.Dump(func(r recordlog.Record) {
 		if broken != nil {
 			return // nobody reads any more
 		}
--- a/cmd/saffronquay/cli_try.go
+++ b/cmd/saffronquay/cli_try.go
@@ -8,8 +8,8 @@
 	"log/slog"
 	"math/rand/v2"
 	"net/http"
-	"saffronquay/internal/layout"
-	"saffronquay/internal/standin"
+	"saffronquay/internal/broker/layout"
+	"saffronquay/internal/testing/fakebackend"
 	"strings"
 	"sync/atomic"
 	"time"
@@ -56,7 +56,7 @@
 )
 
 // cluster makes the stand-ins, and the operator's file that names them.
-func (t trial) cluster() (*standin.Cluster, map[string]any, error) {
+func (t trial) cluster() (*fakebackend.Cluster, map[string]any, error) {
 	doc := layout.Doc{History: "try", Epoch: 1, NextShard: tryRanges}
 	var ids []sq.ServerID
 	for i := range 5 {
@@ -69,13 +69,13 @@
 		})
 	}
 	rng := rand.New(rand.NewPCG(t.seed, 1))
-	var rows []standin.Row
+	var rows []fakebackend.Row
 	for range 5000 {
 		k := rng.Int64N(tryKeys)
-		rows = append(rows, standin.Row{Key: k, ID: fmt.Sprintf("invoice-%05d", len(rows))})
+		rows = append(rows, fakebackend.Row{Key: k, ID: fmt.Sprintf("invoice-%05d", len(rows))})
 	}
-	standin.SortRows(rows)
-	cl, err := standin.NewCluster(ids, nil, standin.ServerConfig{Field: "taxpayer", Once: map[string]bool{"filings": true}, Cores: 2, Queue: 50, Work: 2 * time.Millisecond}, doc, rows)
+	fakebackend.SortRows(rows)
+	cl, err := fakebackend.NewCluster(ids, nil, fakebackend.ServerConfig{Field: "taxpayer", Once: map[string]bool{"filings": true}, Cores: 2, Queue: 50, Work: 2 * time.Millisecond}, doc, rows)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -160,7 +160,7 @@
 }
 
 // faults causes what was asked for, one after the other, from the third second on.
-func (t trial) faults(ctx context.Context, out io.Writer, cl *standin.Cluster, team *team) {
+func (t trial) faults(ctx context.Context, out io.Writer, cl *fakebackend.Cluster, team *team) {
 	say := func(format string, args ...any) { fmt.Fprintf(out, "  >> "+format+"\n", args...) }
 	pause := func(d time.Duration) bool {
 		select {
@@ -204,11 +204,11 @@
 	}
 	if t.slow {
 		say("ledger-2 says nothing")
-		cl.Servers[2].Set(standin.Silent)
+		cl.Servers[2].Set(fakebackend.Silent)
 		if !pause(5 * time.Second) {
 			return
 		}
-		cl.Servers[2].Set(standin.None)
+		cl.Servers[2].Set(fakebackend.None)
 		say("ledger-2 answers again")
 	}
 	if t.split {
--- a/cmd/saffronquay/cli_try_team.go
+++ b/cmd/saffronquay/cli_try_team.go
@@ -13,10 +13,10 @@
 	"os"
 	"path/filepath"
 	"saffronquay/deploy"
-	"saffronquay/internal/config"
-	"saffronquay/internal/gatherer"
-	"saffronquay/internal/peers"
-	"saffronquay/internal/rollout/wire"
+	"saffronquay/internal/broker/config"
+	"saffronquay/internal/broker/server"
+	"saffronquay/internal/cluster/peering"
+	"saffronquay/internal/cluster/rollout/wire"
 	"strings"
 	"sync"
 	"time"
@@ -30,8 +30,8 @@
 	log  *slog.Logger
 
 	mu    sync.Mutex
-	all   []*gatherer.Gatherer // nil: it has been stopped
-	first string               // where the first one's view is reached
+	all   []*server.Gatherer // nil: it has been stopped
+	first string             // where the first one's view is reached
 	ended bool
 	dir   string   // for stores, where they agree on the policy
 	at    []string // where each agrees
@@ -81,7 +81,7 @@
 			say("policy: %v", err)
 			return
 		}
-		a, err := peers.AskPolicy(at, x, time.Second)
+		a, err := peering.AskPolicy(at, x, time.Second)
 		switch {
 		case err != nil || a.End == 3:
 			i++
@@ -132,11 +132,11 @@
 	if err != nil {
 		return err
 	}
-	plan, err := gatherer.Search(op, m.log)
+	plan, err := server.Search(op, m.log)
 	if err != nil {
 		return err
 	}
-	g, err := gatherer.Start(plan, m.log, nil)
+	g, err := server.Start(plan, m.log, nil)
 	if err != nil {
 		return err
 	}
--- a/cmd/saffronquay/cli_voters.go
+++ b/cmd/saffronquay/cli_voters.go
@@ -6,9 +6,9 @@
 	"io"
 	"log/slog"
 	"net/netip"
-	"saffronquay/internal/config"
-	"saffronquay/internal/gatherer"
-	"saffronquay/internal/rollout/wire"
+	"saffronquay/internal/broker/config"
+	"saffronquay/internal/broker/server"
+	"saffronquay/internal/cluster/rollout/wire"
 	"strings"
 	"time"
 
@@ -159,7 +159,7 @@
 			if op.Rollout == nil {
 				return failed(errors.New("the file sets up no rollout"))
 			}
-			g, err := gatherer.ForceNewFleet(op, force, slog.New(slog.DiscardHandler))
+			g, err := server.ForceNewFleet(op, force, slog.New(slog.DiscardHandler))
 			if err != nil {
 				return failed(err)
 			}
--- a/cmd/saffronquay/main.go
+++ b/cmd/saffronquay/main.go
@@ -10,8 +10,8 @@
 	"log/slog"
 	"os"
 	"os/signal"
-	"saffronquay/internal/events"
-	"saffronquay/internal/gatherer"
+	"saffronquay/internal/broker/logging"
+	"saffronquay/internal/broker/server"
 	"syscall"
 	"time"
 )
@@ -25,18 +25,18 @@
 	signal.Notify(hup, syscall.SIGHUP) // unheard it would end the program
 	logger, out := newLog(c.errs, "text", slog.LevelInfo)
 	if err := serve(logger, out, term, hup); err != nil {
-		events.Error(logger, events.Exit, "error", err)
+		logging.Error(logger, logging.Exit, "error", err)
 		return &ended{code: bad}
 	}
 	return nil
 }
 
-func serve(logger *slog.Logger, out *events.Output, term, hup <-chan os.Signal) error {
-	plan, err := gatherer.Load(logger)
+func serve(logger *slog.Logger, out *logging.Output, term, hup <-chan os.Signal) error {
+	plan, err := server.Load(logger)
 	if err != nil {
 		return fmt.Errorf("configuration: %w", err)
 	}
-	g, err := gatherer.Start(plan, logger, out)
+	g, err := server.Start(plan, logger, out)
 	if err != nil {
 		return err
 	}
@@ -53,8 +53,8 @@
 }
 
 // newLog is the program's log.
-func newLog(w io.Writer, format string, level slog.Level) (*slog.Logger, *events.Output) {
-	o := events.New(w, format, level)
+func newLog(w io.Writer, format string, level slog.Level) (*slog.Logger, *logging.Output) {
+	o := logging.New(w, format, level)
 	return o.Logger(), o
 }
 
--- a/cmd/saffronquay/script_test.go
+++ b/cmd/saffronquay/script_test.go
@@ -6,9 +6,9 @@
 	"fmt"
 	"maps"
 	"os"
-	"saffronquay/internal/config"
-	"saffronquay/internal/config/schema"
-	"saffronquay/internal/routing"
+	"saffronquay/internal/broker/config"
+	"saffronquay/internal/broker/config/schema"
+	"saffronquay/internal/broker/routecheck"
 	"slices"
 	"strings"
 	"testing"
@@ -121,7 +121,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	es, err := routing.Parse(expectations)
+	es, err := routecheck.Parse(expectations)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -159,7 +159,7 @@
 				if err != nil {
 					return
 				}
-				if _, err := routing.Judge(r, nil, es); err != nil && !strings.Contains(err.Error(), "settings") {
+				if _, err := routecheck.Judge(r, nil, es); err != nil && !strings.Contains(err.Error(), "settings") {
 					t.Errorf("%v", err)
 				}
 			})
--- a/internal/operations/call.go
+++ b/internal/broker/adminapi/call.go
@@ -1,6 +1,6 @@
-// Package operations is the operators' door as a state machine that is fed bytes, how the program stands. It opens
+// Package adminapi is the operators' door as a state machine that is fed bytes, how the program stands. It opens
 // no socket.
-package operations
+package adminapi
 
 import (
 	"bytes"
--- a/internal/operations/figures.go
+++ b/internal/broker/adminapi/figures.go
@@ -1,4 +1,4 @@
-package operations
+package adminapi
 
 import (
 	"fmt"
--- a/internal/contract/contract_test.go
+++ b/internal/broker/admission/contract_test.go
@@ -1,4 +1,4 @@
-package contract
+package admission
 
 import (
 	"container/heap"
--- a/internal/config/config.go
+++ b/internal/broker/config/config.go
@@ -5,7 +5,7 @@
 import (
 	"fmt"
 	"net"
-	"saffronquay/internal/platform"
+	"saffronquay/internal/broker/platform"
 	"slices"
 	"strconv"
 
--- a/internal/config/config_test.go
+++ b/internal/broker/config/config_test.go
@@ -85,7 +85,7 @@
 }
 
 func TestOperatorFile(t *testing.T) {
-	text, err := os.ReadFile("../../deploy/opensearch.json")
+	text, err := os.ReadFile("../../../deploy/opensearch.json")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -124,7 +124,7 @@
 
 // The durable store's section is judged with the rest.
 func TestOperatorStore(t *testing.T) {
-	text, err := os.ReadFile("../../deploy/durable.json")
+	text, err := os.ReadFile("../../../deploy/durable.json")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -158,7 +158,7 @@
 
 // A layout in the operator's file is judged with the rest, and takes the ranges' and cells' place.
 func TestOperatorLayout(t *testing.T) {
-	text, err := os.ReadFile("../../deploy/layout.json")
+	text, err := os.ReadFile("../../../deploy/layout.json")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/config/contracts.go
+++ b/internal/broker/config/contracts.go
@@ -1,20 +1,20 @@
 package config
 
 import (
-	"saffronquay/internal/contract"
+	"saffronquay/internal/broker/admission"
 )
 
 // contracts reads the tree of contracts. Each tenant has one; what stands above tenants in the tree has children.
 func (o *Operator) contracts(r reader) {
 	r.require("cores", "teams")
-	c := &contract.Config{Cores: r.float("cores", 0), Gatherers: r.count("gatherers", 1), Over: r.float("over", 1.25)}
+	c := &admission.Config{Cores: r.float("cores", 0), Gatherers: r.count("gatherers", 1), Over: r.float("over", 1.25)}
 	known := map[string]bool{}
 	for _, class := range o.Settings.Module.Classes {
 		known[class.Name] = true
 	}
 	for _, t := range r.array("teams") {
 		t.require("name", "weight")
-		team := contract.Team{
+		team := admission.Team{
 			Name: t.str("name", ""), Parent: t.str("parent", ""), Weight: t.float("weight", 0), Ceiling: t.float("ceiling", 0),
 			Keeps: t.boolean("keeps"), Classes: t.strs("classes"), Longest: t.integer("longest_ms", 0) * 1000, Wait: t.integer("wait_ms", 0) * 1000,
 		}
--- a/internal/config/fleet.go
+++ b/internal/broker/config/fleet.go
@@ -2,7 +2,7 @@
 
 import (
 	"net/netip"
-	"saffronquay/internal/fleet"
+	"saffronquay/internal/cluster/swim"
 	"time"
 
 	"github.com/valyala/fastjson"
@@ -40,7 +40,7 @@
 	} else if f.Listen.IsValid() && f.Listen.Addr().IsUnspecified() {
 		r.fault("advertise", "missing: with %s as listen others can't be told where this gatherer is", f.Listen)
 	}
-	if err := fleet.CheckName(f.Name); err != nil {
+	if err := swim.CheckName(f.Name); err != nil {
 		r.fault("name", "%v", err)
 	}
 	if !(f.Suspect >= 1 && f.Suspect <= 20) {
@@ -70,7 +70,7 @@
 func (o *Operator) named(r reader) {
 	if r.get("name", fastjson.TypeString) == nil {
 		r.fault("name", "missing: each gatherer of a fleet has a name of its own")
-	} else if err := fleet.CheckName(o.Name); err != nil {
+	} else if err := swim.CheckName(o.Name); err != nil {
 		r.fault("name", "%v", err)
 	}
 }
--- a/internal/config/fleet_test.go
+++ b/internal/broker/config/fleet_test.go
@@ -2,7 +2,7 @@
 
 import (
 	"saffronquay/deploy"
-	"saffronquay/internal/config"
+	"saffronquay/internal/broker/config"
 	"strings"
 	"testing"
 	"time"
--- a/internal/config/operator.go
+++ b/internal/broker/config/operator.go
@@ -6,11 +6,11 @@
 	"net"
 	"net/netip"
 	"reflect"
-	"saffronquay/internal/broker"
-	"saffronquay/internal/contract"
-	"saffronquay/internal/layout"
-	"saffronquay/internal/opensearch"
-	"saffronquay/internal/vrrp"
+	"saffronquay/internal/broker/admission"
+	"saffronquay/internal/broker/core"
+	"saffronquay/internal/broker/layout"
+	"saffronquay/internal/broker/opensearch"
+	"saffronquay/internal/broker/vrrp"
 	"slices"
 	"strconv"
 	"time"
@@ -27,7 +27,7 @@
 	Seed              uint64
 	Sockets, MemoryMB int
 	Settings          Settings
-	Budgets           map[string]broker.Budget // of attempts, by tenant
+	Budgets           map[string]core.Budget // of attempts, by tenant
 	TenantHeader      string
 	Indices           map[string]opensearch.Index
 	Servers           []sq.Server
@@ -37,10 +37,10 @@
 	Layout            *Layout  // nil: settings and indices say where shards are, for good
 	Store             *Store   // nil: nothing outlasts the process
 	Log               Log
-	Contracts         *contract.Config // nil: there are none
-	Fleet             *Fleet           // nil: it knows of no others
-	Rollout           *Rollout         // nil: the file alone has the policy
-	Text              []byte           // the file, without what an overlay changed
+	Contracts         *admission.Config // nil: there are none
+	Fleet             *Fleet            // nil: it knows of no others
+	Rollout           *Rollout          // nil: the file alone has the policy
+	Text              []byte            // the file, without what an overlay changed
 }
 
 // Log is how the log is written.
@@ -161,7 +161,7 @@
 		Text: local, Name: r.str("name", "saffronquay"), Listen: r.str("listen", ""),
 		Operator: r.str("operator", ""), TenantHeader: r.str("tenant_header", "X-Tenant"), Settings: readSettings(r.object("settings")),
 		Sockets: r.object("limits").count("sockets", 1024), MemoryMB: r.object("limits").count("memory_mb", 192),
-		Budgets: map[string]broker.Budget{}, Indices: map[string]opensearch.Index{},
+		Budgets: map[string]core.Budget{}, Indices: map[string]opensearch.Index{},
 		Addresses: map[sq.ServerID]string{},
 	}
 	r.hostPort("listen", o.Listen)
@@ -345,7 +345,7 @@
 		}
 		b := t.object("budget")
 		b.require("window_us")
-		o.Budgets[name] = broker.Budget{Free: b.float("free", 0), Ratio: b.float("ratio", 0), Window: b.integer("window_us", 0)}
+		o.Budgets[name] = core.Budget{Free: b.float("free", 0), Ratio: b.float("ratio", 0), Window: b.integer("window_us", 0)}
 		if x := o.Budgets[name]; x.Free < 0 || x.Ratio < 0 || x.Window <= 0 {
 			b.fault("window_us", "a budget wants free and ratio of nought or more and a window above nought")
 		}
--- a/internal/config/regions.go
+++ b/internal/broker/config/regions.go
@@ -2,7 +2,7 @@
 
 import (
 	"maps"
-	"saffronquay/internal/fleet"
+	"saffronquay/internal/cluster/swim"
 	"slices"
 )
 
@@ -28,7 +28,7 @@
 		votes, global := m.boolean("voter"), m.boolean("global")
 		if !has(m) {
 			m.fault("region", "missing: either every member has a region, or none has")
-		} else if err := fleet.CheckName(region); err != nil {
+		} else if err := swim.CheckName(region); err != nil {
 			m.fault("region", "%v", err)
 		}
 		x.Regions[name] = region
--- a/internal/config/regions_test.go
+++ b/internal/broker/config/regions_test.go
@@ -2,7 +2,7 @@
 
 import (
 	"os"
-	"saffronquay/internal/config"
+	"saffronquay/internal/broker/config"
 	"slices"
 	"strings"
 	"testing"
@@ -10,7 +10,7 @@
 
 // The example has two regions; each fault is told with its key, and all that are in a file at once.
 func TestOperatorRegions(t *testing.T) {
-	text, err := os.ReadFile("../../deploy/regions.json")
+	text, err := os.ReadFile("../../../deploy/regions.json")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/config/rollout_test.go
+++ b/internal/broker/config/rollout_test.go
@@ -2,7 +2,7 @@
 
 import (
 	"os"
-	"saffronquay/internal/config"
+	"saffronquay/internal/broker/config"
 	"strings"
 	"testing"
 
@@ -11,7 +11,7 @@
 
 // The example agrees on its policy; each fault is told with its key; a policy replaces the keys that are policy, and no others.
 func TestOperatorRollout(t *testing.T) {
-	text, err := os.ReadFile("../../deploy/rollout.json")
+	text, err := os.ReadFile("../../../deploy/rollout.json")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/config/sites_test.go
+++ b/internal/broker/config/sites_test.go
@@ -123,7 +123,7 @@
 
 // The program and the deploy files know no site's words: names of classes, tenants and zones come from settings alone.
 func TestNoSitesWordsInTheProgram(t *testing.T) {
-	files, err := filepath.Glob("../../deploy/sites/*.toml")
+	files, err := filepath.Glob("../../../deploy/sites/*.toml")
 	if err != nil || len(files) < 2 {
 		t.Fatal(files, err)
 	}
@@ -145,7 +145,7 @@
 	for _, w := range []string{"pauses", "shared_slow", "neighbour", "crash", "balancer_crash", "lookup", "amend", "track", "manifest", "audit", "customs"} {
 		delete(words, w) // ordinary words, and the bench's
 	}
-	err = filepath.WalkDir("../..", func(path string, d os.DirEntry, err error) error {
+	err = filepath.WalkDir("../../..", func(path string, d os.DirEntry, err error) error {
 		if err != nil {
 			return err
 		}
--- a/internal/config/teams_test.go
+++ b/internal/broker/config/teams_test.go
@@ -4,14 +4,14 @@
 	"encoding/json"
 	"fmt"
 	"os"
-	"saffronquay/internal/config"
+	"saffronquay/internal/broker/config"
 	"testing"
 	"time"
 )
 
 // A policy of 10,000 teams is read in a time that grows with their number, not with its square.
 func TestManyTeams(t *testing.T) {
-	text, err := os.ReadFile("../../deploy/rollout.json")
+	text, err := os.ReadFile("../../../deploy/rollout.json")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/broker/broker.go
+++ b/internal/broker/core/broker.go
@@ -1,15 +1,15 @@
-// Package broker is the core of the gatherer: it stands between the fronts, the servers and the decision
+// Package core is the core of the gatherer: it stands between the fronts, the servers and the decision
 // module, and knows no wire. It does no input or output and reads no clock: whoever owns a Core tells it what
 // was seen and when, and carries out what comes back. A Core is not safe for concurrent use.
-package broker
+package core
 
 import (
 	"errors"
 	"fmt"
 	"maps"
 	"math"
-	"saffronquay/internal/layout"
-	"saffronquay/internal/merge"
+	"saffronquay/internal/broker/layout"
+	"saffronquay/internal/broker/merge"
 	"slices"
 
 	sq "saffronquay"
--- a/internal/broker/budget.go
+++ b/internal/broker/core/budget.go
@@ -1,4 +1,4 @@
-package broker
+package core
 
 import "slices"
 
--- a/internal/broker/layout.go
+++ b/internal/broker/core/layout.go
@@ -1,8 +1,8 @@
-package broker
+package core
 
 import (
 	"cmp"
-	"saffronquay/internal/layout"
+	"saffronquay/internal/broker/layout"
 	"slices"
 
 	sq "saffronquay"
--- a/internal/broker/layout_test.go
+++ b/internal/broker/core/layout_test.go
@@ -1,16 +1,16 @@
-package broker
+package core
 
 import (
 	"fmt"
 	"math/rand/v2"
-	"saffronquay/internal/layout"
+	"saffronquay/internal/broker/layout"
 	"slices"
 	"testing"
 
 	"pgregory.net/rapid"
 
 	sq "saffronquay"
-	_ "saffronquay/internal/lab/steady"
+	_ "saffronquay/internal/testing/harness/steady"
 )
 
 // fataler is a test, a benchmark or a property.
--- a/internal/once/kill_test.go
+++ b/internal/broker/idempotency/kill_test.go
@@ -1,4 +1,4 @@
-package once_test
+package idempotency_test
 
 import (
 	"encoding/json"
@@ -9,9 +9,9 @@
 	"os/exec"
 	"path/filepath"
 	"reflect"
-	"saffronquay/internal/lab"
-	"saffronquay/internal/layout"
-	"saffronquay/internal/standin"
+	"saffronquay/internal/broker/layout"
+	"saffronquay/internal/testing/fakebackend"
+	"saffronquay/internal/testing/harness"
 	"strings"
 	"sync"
 	"sync/atomic"
@@ -25,7 +25,7 @@
 func TestKilledGatherers(t *testing.T) {
 	c := newCluster(t, time.Millisecond)
 	var gs []*gatherer
-	var ps []*lab.Life
+	var ps []*harness.Life
 	for range 5 {
 		g := newGatherer(t, c, "")
 		gs, ps = append(gs, g), append(ps, g.start())
@@ -243,7 +243,7 @@
 
 func dumped(t *testing.T, g *gatherer) string {
 	t.Helper()
-	out, code := lab.Run(t, "store", "dump", filepath.Join(g.Dir, "store"))
+	out, code := harness.Run(t, "store", "dump", filepath.Join(g.Dir, "store"))
 	if code == 2 {
 		t.Fatal(out)
 	}
@@ -260,10 +260,10 @@
 	}
 	p.Kill()
 	dir := filepath.Join(g.Dir, "store")
-	if out, code := lab.Run(t, "store", "check", dir); code != 0 || !strings.Contains(out, "damaged=0 unknown=0") {
+	if out, code := harness.Run(t, "store", "check", dir); code != 0 || !strings.Contains(out, "damaged=0 unknown=0") {
 		t.Errorf("check: %d %s", code, out)
 	}
-	path, err := lab.Binary()
+	path, err := harness.Binary()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -279,7 +279,7 @@
 			}
 		}
 	}
-	if out, code := lab.Run(t, "store", "check", dir); code != 3 || !strings.Contains(out, "no whole manifest") {
+	if out, code := harness.Run(t, "store", "check", dir); code != 3 || !strings.Contains(out, "no whole manifest") {
 		t.Errorf("check: %d %s", code, out)
 	}
 	if g.begin().Up() {
@@ -354,7 +354,7 @@
 	}
 	// Held by its server while its client goes and comes again: it ends once, and that end is told.
 	for _, s := range c.Servers {
-		s.Set(standin.Holds)
+		s.Set(fakebackend.Holds)
 	}
 	open := make(chan answer, 1)
 	go func() { open <- g.send("POST", "/filings/_search", "held", "held", body) }()
@@ -371,7 +371,7 @@
 	}
 	<-gone
 	for _, s := range c.Servers {
-		s.Set(standin.None)
+		s.Set(fakebackend.None)
 	}
 	a, b := <-open, answer{}
 	if b, _ = g.file("held"); a.status != 200 || b.body != a.body || !b.replayed {
@@ -383,7 +383,7 @@
 }
 
 // anyHolds waits until some server holds a part: which of a shard's holders gets it is the module's choice.
-func anyHolds(c *standin.Cluster) {
+func anyHolds(c *fakebackend.Cluster) {
 	var held []reflect.SelectCase
 	for _, s := range c.Servers {
 		held = append(held, reflect.SelectCase{Dir: reflect.SelectRecv, Chan: reflect.ValueOf(s.Held())})
@@ -418,7 +418,7 @@
 		{"standby", "YES standby", 0},
 		{"log info", "YES", 0},
 	} {
-		if out, code := lab.Run(t, append(strings.Fields(x.words), "--door", p.Door)...); code != x.code || !strings.Contains(out, x.want) {
+		if out, code := harness.Run(t, append(strings.Fields(x.words), "--door", p.Door)...); code != x.code || !strings.Contains(out, x.want) {
 			t.Errorf("%s: %d %s", x.words, code, out)
 		}
 	}
@@ -431,7 +431,7 @@
 		t.Fatal(err)
 	}
 	defer l.Close()
-	if out, code := lab.Run(t, "status", "--door", l.Addr().String(), "--timeout", "100ms"); code != 3 || !strings.Contains(out, "timeout") {
+	if out, code := harness.Run(t, "status", "--door", l.Addr().String(), "--timeout", "100ms"); code != 3 || !strings.Contains(out, "timeout") {
 		t.Errorf("a silent door: %d %s", code, out)
 	}
 	// A log in JSON, by the file.
--- a/internal/once/measure_test.go
+++ b/internal/broker/idempotency/measure_test.go
@@ -1,4 +1,4 @@
-package once_test
+package idempotency_test
 
 import (
 	"fmt"
--- a/internal/once/model_test.go
+++ b/internal/broker/idempotency/model_test.go
@@ -1,13 +1,13 @@
-package once_test
+package idempotency_test
 
 import (
 	"fmt"
 	"maps"
 	"math/rand/v2"
-	"saffronquay/internal/broker"
-	"saffronquay/internal/once"
-	"saffronquay/internal/store"
-	"saffronquay/internal/store/simdisk"
+	"saffronquay/internal/broker/core"
+	"saffronquay/internal/broker/idempotency"
+	"saffronquay/internal/storage/recordlog"
+	"saffronquay/internal/storage/simdisk"
 	"slices"
 	"sync/atomic"
 	"testing"
@@ -15,7 +15,7 @@
 	"pgregory.net/rapid"
 
 	sq "saffronquay"
-	_ "saffronquay/internal/lab/steady"
+	_ "saffronquay/internal/testing/harness/steady"
 )
 
 const (
@@ -27,21 +27,21 @@
 // life is one of a gatherer: store, ledger, and core with the module that serves.
 type life struct {
 	w       *world
-	store   *store.Store
-	ledger  *once.Ledger
-	core    *broker.Core
-	entries map[sq.ID]*once.Entry
+	store   *recordlog.Store
+	ledger  *idempotency.Ledger
+	core    *core.Core
+	entries map[sq.ID]*idempotency.Entry
 	whose   map[sq.ID]int
-	words   []func()                            // from the store, yet to be told to the core
-	calls   map[broker.AttemptID]broker.Attempt // that servers have
-	effects []broker.Effect
+	words   []func()                        // from the store, yet to be told to the core
+	calls   map[core.AttemptID]core.Attempt // that servers have
+	effects []core.Effect
 }
 
 // world is disks and servers, which outlast processes, and what clients were told.
 type world struct {
 	t      *rapid.T
 	fail   func(format string, args ...any)
-	log    func(store.Log) store.Log // between ledger and store; a seeded bug sits there
+	log    func(recordlog.Log) recordlog.Log // between ledger and store; a seeded bug sits there
 	plan   *simdisk.Plan
 	disks  [2]*simdisk.Disk
 	clock  atomic.Int64
@@ -50,14 +50,14 @@
 	told   map[int]string
 }
 
-func (w *world) options() store.Options {
-	return store.Options{ID: 5, Now: w.clock.Load, Keep: keep, SegmentSize: 1 << 10, Serial: true}
+func (w *world) options() recordlog.Options {
+	return recordlog.Options{ID: 5, Now: w.clock.Load, Keep: keep, SegmentSize: 1 << 10, Serial: true}
 }
 
 func (w *world) start(force bool) *life {
 	w.plan.SetRoom(0)
 	w.plan.FailSync(1 << 30)
-	s, err := store.Open([2]store.Dir{w.disks[0], w.disks[1]}, w.options(), force)
+	s, err := recordlog.Open([2]recordlog.Dir{w.disks[0], w.disks[1]}, w.options(), force)
 	if err != nil {
 		w.t.Fatalf("start: %v", err)
 	}
@@ -70,11 +70,11 @@
 	if err != nil {
 		w.t.Fatal(err)
 	}
-	core := broker.New(broker.Terms{Period: ms, Shards: 2, PartsPerCall: 1, RetryAfter: true, MaxRetryAfter: 100 * ms, AnswerGrace: ms, Classes: settings.Classes}, m)
-	core.Fleet(sq.FleetChanged{Kind: sq.FleetFull, Servers: []sq.Server{{ID: "s0", Zone: "a", Cell: 0, Health: sq.Ready}, {ID: "s1", Zone: "a", Cell: 1, Health: sq.Ready}}})
+	gatherer := core.New(core.Terms{Period: ms, Shards: 2, PartsPerCall: 1, RetryAfter: true, MaxRetryAfter: 100 * ms, AnswerGrace: ms, Classes: settings.Classes}, m)
+	gatherer.Fleet(sq.FleetChanged{Kind: sq.FleetFull, Servers: []sq.Server{{ID: "s0", Zone: "a", Cell: 0, Health: sq.Ready}, {ID: "s1", Zone: "a", Cell: 1, Health: sq.Ready}}})
 	return &life{
-		w: w, store: s, ledger: once.New(w.log(s), once.Config{Keep: keep, MaxBody: 100}), core: core, entries: map[sq.ID]*once.Entry{},
-		whose: map[sq.ID]int{}, calls: map[broker.AttemptID]broker.Attempt{},
+		w: w, store: s, ledger: idempotency.New(w.log(s), idempotency.Config{Keep: keep, MaxBody: 100}), core: gatherer, entries: map[sq.ID]*idempotency.Entry{},
+		whose: map[sq.ID]int{}, calls: map[core.AttemptID]core.Attempt{},
 	}
 }
 
@@ -82,15 +82,15 @@
 func (p *life) file(client int) {
 	e, v := p.ledger.Begin(fmt.Sprint("c", client), fmt.Sprint("c", client), uint64(client))
 	// One whose place was taken does not know what was told since; what it takes for new it can't send.
-	if told, ok := p.w.told[client]; ok && p == p.w.p && v.Standing != once.Unknown && v.Standing != once.Failing && (v.Standing != once.Over || string(v.Answer.Body) != told) {
+	if told, ok := p.w.told[client]; ok && p == p.w.p && v.Standing != idempotency.Unknown && v.Standing != idempotency.Failing && (v.Standing != idempotency.Over || string(v.Answer.Body) != told) {
 		p.w.fail("client %d was told %q, and now standing %d, %q", client, told, v.Standing, v.Answer.Body)
 	}
 	if e == nil {
 		return
 	}
-	id, final, err := p.core.Open(p.w.clock.Load(), broker.Ask{
+	id, final, err := p.core.Open(p.w.clock.Load(), core.Ask{
 		Label: fmt.Sprint("c", client), Class: "once", Deadline: p.w.clock.Load() + limit, Ledger: e,
-		Parts: []broker.AskPart{{Shard: 0, Weight: 0.5, Work: 5 * ms}, {Shard: 1, Weight: 0.5, Work: 5 * ms}},
+		Parts: []core.AskPart{{Shard: 0, Weight: 0.5, Work: 5 * ms}, {Shard: 1, Weight: 0.5, Work: 5 * ms}},
 	})
 	if err != nil || final != nil {
 		e.Release()
@@ -106,7 +106,7 @@
 		x := p.effects[0]
 		p.effects = p.effects[1:]
 		switch x := x.(type) {
-		case broker.Intend:
+		case core.Intend:
 			got := make(chan error, 1)
 			if err := x.Ledger.Intend(x.Parts, x.Deadline, func(err error) { got <- err }); err != nil {
 				p.core.Intended(p.w.clock.Load(), x.Attempts, err)
@@ -114,35 +114,35 @@
 			}
 			err := <-got
 			p.words = append(p.words, func() { p.core.Intended(p.w.clock.Load(), x.Attempts, err) })
-		case broker.Call:
+		case core.Call:
 			for _, a := range x.Attempts {
 				if p.calls[a.ID] = a; run() {
 					p.run(a)
 				}
 			}
-		case broker.Final:
+		case core.Final:
 			p.end(x)
 		}
 	}
 }
 
 // run has a server carry a part out: the ledger of what ran.
-func (p *life) run(a broker.Attempt) {
+func (p *life) run(a core.Attempt) {
 	key := fmt.Sprintf("%s#%d", a.Label, a.Shard)
 	if p.w.ran[key]++; p.w.ran[key] > 1 {
 		p.w.fail("%s ran twice", key)
 	}
 }
 
-func (p *life) end(f broker.Final) {
+func (p *life) end(f core.Final) {
 	e, client := p.entries[f.Query], p.whose[f.Query]
 	delete(p.entries, f.Query)
-	if f.Verdict == broker.Refused {
+	if f.Verdict == core.Refused {
 		e.Release()
 		return
 	}
 	body, kept := fmt.Sprintf("%d of client %d at %d", f.Verdict, client, p.w.clock.Load()), make(chan error, 1)
-	e.End(once.Answer{Status: 200, Body: []byte(body)}, func(err error) { kept <- err })
+	e.End(idempotency.Answer{Status: 200, Body: []byte(body)}, func(err error) { kept <- err })
 	if err := <-kept; err == nil {
 		p.w.told[client] = body
 	}
@@ -160,7 +160,7 @@
 }
 
 // check plays store, ledger, core and module under crashes, take-overs and bad servers.
-func check(t *rapid.T, log func(store.Log) store.Log, fail func(string, ...any)) {
+func check(t *rapid.T, log func(recordlog.Log) recordlog.Log, fail func(string, ...any)) {
 	w := &world{t: t, log: log, fail: fail, plan: &simdisk.Plan{}, ran: map[string]int{}, told: map[int]string{}}
 	w.clock.Store(1)
 	w.disks = [2]*simdisk.Disk{simdisk.New("a", w.plan), simdisk.New("b", w.plan)}
@@ -224,7 +224,7 @@
 		"disk":  func(t *rapid.T) { w.plan.FailSync(rapid.IntRange(1, 8).Draw(t, "sync")) },
 		"full": func(t *rapid.T) {
 			w.plan.SetRoom(rapid.SampledFrom([]int{0, 0, 100, 700}).Draw(t, "room"))
-			w.p.store.Append(store.Record{Kind: store.Learned}, nil) // as the program does each second: health comes back by it
+			w.p.store.Append(recordlog.Record{Kind: recordlog.Learned}, nil) // as the program does each second: health comes back by it
 		},
 	})
 }
@@ -232,31 +232,31 @@
 // No part of a filing runs twice, and no client is told two things, whatever crashes, fails, stalls or comes back.
 func TestNothingRunsTwice(t *testing.T) {
 	for range 20 {
-		rapid.Check(t, func(t *rapid.T) { check(t, func(l store.Log) store.Log { return l }, t.Fatalf) })
+		rapid.Check(t, func(t *rapid.T) { check(t, func(l recordlog.Log) recordlog.Log { return l }, t.Fatalf) })
 	}
 }
 
 // hasty is a log with a bug: it says that records are durable before they are.
-type hasty struct{ store.Log }
+type hasty struct{ recordlog.Log }
 
-func (h hasty) Append(r store.Record, done func(error)) error {
+func (h hasty) Append(r recordlog.Record, done func(error)) error {
 	go done(nil)
 	return h.Log.Append(r, nil)
 }
 
 // forgetful is a log with a bug: it has lost what is in doubt.
-type forgetful struct{ store.Log }
+type forgetful struct{ recordlog.Log }
 
-func (f forgetful) Get(k store.Kind, key string) (store.Record, bool, error) {
+func (f forgetful) Get(k recordlog.Kind, key string) (recordlog.Record, bool, error) {
 	r, ok, err := f.Log.Get(k, key)
 	return r, ok && len(r.Value) > 60, err
 }
 
 // The model finds what it is there to find.
 func TestModelFindsSeededBugs(t *testing.T) {
-	for name, bug := range map[string]func(store.Log) store.Log{
-		"hasty":     func(l store.Log) store.Log { return hasty{l} },
-		"forgetful": func(l store.Log) store.Log { return forgetful{l} },
+	for name, bug := range map[string]func(recordlog.Log) recordlog.Log{
+		"hasty":     func(l recordlog.Log) recordlog.Log { return hasty{l} },
+		"forgetful": func(l recordlog.Log) recordlog.Log { return forgetful{l} },
 	} {
 		found := false
 		for range 5 {
--- a/internal/once/once.go
+++ b/internal/broker/idempotency/once.go
@@ -1,11 +1,11 @@
-package once
+package idempotency
 
 import (
 	"errors"
 	"fmt"
-	"saffronquay/internal/broker"
-	"saffronquay/internal/store"
-	"saffronquay/internal/store/form"
+	"saffronquay/internal/broker/core"
+	"saffronquay/internal/storage/recordlog"
+	"saffronquay/internal/storage/recordlog/form"
 	"strconv"
 	"sync"
 
@@ -56,7 +56,7 @@
 // Ledger holds the open entries. It is safe for concurrent use. Each call costs O(1), and one read of the log where the key is known.
 type Ledger struct {
 	cfg Config
-	log store.Log
+	log recordlog.Log
 
 	mu      sync.Mutex
 	open    map[string]*Entry
@@ -65,7 +65,7 @@
 }
 
 // New makes a ledger over a log.
-func New(log store.Log, cfg Config) *Ledger {
+func New(log recordlog.Log, cfg Config) *Ledger {
 	return &Ledger{cfg: cfg, log: log, open: map[string]*Entry{}}
 }
 
@@ -120,7 +120,7 @@
 
 // judge goes by what the log says of an entry's key.
 func (l *Ledger) judge(e *Entry) Verdict {
-	r, ok, err := l.log.Get(store.Once, e.key)
+	r, ok, err := l.log.Get(recordlog.Once, e.key)
 	if err != nil {
 		return Verdict{Standing: Failing}
 	}
@@ -174,7 +174,7 @@
 
 // Intend makes it durable that parts are about to leave; done says whether it is. No part may leave before, nor after another word
 // than nil.
-func (e *Entry) Intend(parts []broker.Intended, deadline int64, done func(error)) error {
+func (e *Entry) Intend(parts []core.Intended, deadline int64, done func(error)) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.over {
@@ -204,7 +204,7 @@
 	if err != nil {
 		return fmt.Errorf("once: %w", err)
 	}
-	return l.log.Append(store.Record{Kind: store.Once, Key: key, Value: value, Until: l.log.Now() + l.cfg.Keep}, done)
+	return l.log.Append(recordlog.Record{Kind: recordlog.Once, Key: key, Value: value, Until: l.log.Now() + l.cfg.Keep}, done)
 }
 
 // Keeps tells that the query's end is wanted although its client has left: a retry will ask for it.
@@ -222,7 +222,7 @@
 	}
 	if written {
 		// What was handed to the log before is behind this one there; nothing else comes to stand under the key before it does.
-		if err := e.l.log.Append(store.Record{Kind: store.Once, Key: e.key, Gone: true, Until: e.l.log.Now() + e.l.cfg.Keep}, func(error) { e.l.drop(e) }); err == nil {
+		if err := e.l.log.Append(recordlog.Record{Kind: recordlog.Once, Key: e.key, Gone: true, Until: e.l.log.Now() + e.l.cfg.Keep}, func(error) { e.l.drop(e) }); err == nil {
 			return
 		}
 	}
--- a/internal/once/program_test.go
+++ b/internal/broker/idempotency/program_test.go
@@ -1,4 +1,4 @@
-package once_test
+package idempotency_test
 
 import (
 	"encoding/json"
@@ -6,9 +6,9 @@
 	"io"
 	"net/http"
 	"path/filepath"
-	"saffronquay/internal/lab"
-	"saffronquay/internal/layout"
-	"saffronquay/internal/standin"
+	"saffronquay/internal/broker/layout"
+	"saffronquay/internal/testing/fakebackend"
+	"saffronquay/internal/testing/harness"
 	"strings"
 	"testing"
 	"time"
@@ -16,19 +16,19 @@
 	sq "saffronquay"
 )
 
-const patience = lab.Patience
+const patience = harness.Patience
 
-func TestMain(m *testing.M) { lab.Main(m) }
+func TestMain(m *testing.M) { harness.Main(m) }
 
 // gatherer is a place where the program runs with one store and one listening socket that outlast it.
 type gatherer struct {
-	*lab.Place
+	*harness.Place
 	t    *testing.T
 	addr string
 	cfg  map[string]any
 }
 
-func newCluster(t *testing.T, work time.Duration) *standin.Cluster {
+func newCluster(t *testing.T, work time.Duration) *fakebackend.Cluster {
 	t.Helper()
 	doc := layout.Doc{History: "h", Epoch: 1}
 	ids := []sq.ServerID{"s0", "s1", "s2", "s3"}
@@ -38,11 +38,11 @@
 			Holders: []sq.ServerID{ids[i%4], ids[(i+1)%4]},
 		})
 	}
-	var rows []standin.Row
+	var rows []fakebackend.Row
 	for k := range int64(80) {
-		rows = append(rows, standin.Row{Key: k, ID: fmt.Sprint("row-", k)})
+		rows = append(rows, fakebackend.Row{Key: k, ID: fmt.Sprint("row-", k)})
 	}
-	c, err := standin.NewCluster(ids, nil, standin.ServerConfig{Field: "taxpayer", Once: map[string]bool{"filings": true}, Cores: 8, Queue: 1000, Work: work}, doc, rows)
+	c, err := fakebackend.NewCluster(ids, nil, fakebackend.ServerConfig{Field: "taxpayer", Once: map[string]bool{"filings": true}, Cores: 8, Queue: 1000, Work: work}, doc, rows)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -51,9 +51,9 @@
 }
 
 // newGatherer makes the place, with a file that names a cluster's servers. directory may be empty.
-func newGatherer(t *testing.T, c *standin.Cluster, directory string) *gatherer {
+func newGatherer(t *testing.T, c *fakebackend.Cluster, directory string) *gatherer {
 	t.Helper()
-	g := &gatherer{Place: lab.NewPlace(t), t: t}
+	g := &gatherer{Place: harness.NewPlace(t), t: t}
 	g.addr = g.Passed()
 	var servers []any
 	for _, s := range c.Servers {
@@ -82,7 +82,7 @@
 }
 
 // begin starts the program by the file as it is now.
-func (g *gatherer) begin() *lab.Life {
+func (g *gatherer) begin() *harness.Life {
 	g.t.Helper()
 	text, err := json.Marshal(g.cfg)
 	if err != nil {
@@ -92,7 +92,7 @@
 	return g.Begin()
 }
 
-func (g *gatherer) start() *lab.Life {
+func (g *gatherer) start() *harness.Life {
 	g.t.Helper()
 	l := g.begin()
 	if !l.Up() {
--- a/internal/layout/histories_test.go
+++ b/internal/broker/layout/histories_test.go
@@ -2,12 +2,11 @@
 
 import (
 	"fmt"
+	"saffronquay/internal/testing/harness"
 	"strings"
 	"testing"
 
 	"pgregory.net/rapid"
-
-	"saffronquay/internal/lab"
 )
 
 // The same draws give the layouts that were recorded, each with its plan. Names of fields are left out.
@@ -25,5 +24,5 @@
 	for seed := range 40 {
 		played[fmt.Sprint("seed-", seed)] = drawn.Example(seed)
 	}
-	lab.CheckHistories(t, played)
+	harness.CheckHistories(t, played)
 }
--- a/internal/layout/layout_test.go
+++ b/internal/broker/layout/layout_test.go
@@ -12,7 +12,7 @@
 	"pgregory.net/rapid"
 
 	sq "saffronquay"
-	_ "saffronquay/internal/lab/steady"
+	_ "saffronquay/internal/testing/harness/steady"
 )
 
 var servers = []sq.ServerID{"a", "b", "c", "d"}
--- a/internal/layout/measure_test.go
+++ b/internal/broker/layout/measure_test.go
@@ -4,9 +4,9 @@
 	"fmt"
 	"math/rand/v2"
 	"os"
-	"saffronquay/internal/lab"
-	"saffronquay/internal/layout"
-	"saffronquay/internal/standin"
+	"saffronquay/internal/broker/layout"
+	"saffronquay/internal/testing/fakebackend"
+	"saffronquay/internal/testing/harness"
 	"slices"
 	"sync"
 	"sync/atomic"
@@ -30,7 +30,7 @@
 // measureLatency has paced clients ask the same queries twice, without changes and during them.
 func measureLatency(t *testing.T) {
 	for _, changing := range []bool{false, true, false, true} {
-		c := newCluster(t, 12, 40, 3, 4000, standin.ServerConfig{Cores: 4, Queue: 1000, Work: 2 * time.Millisecond})
+		c := newCluster(t, 12, 40, 3, 4000, fakebackend.ServerConfig{Cores: 4, Queue: 1000, Work: 2 * time.Millisecond})
 		gs := []*gatherer{start(t, c)}
 		var changes atomic.Int64
 		stop := make(chan struct{})
@@ -95,7 +95,7 @@
 
 // measureHot loads one range of six servers with four times the rest, before and after it is split in four over other servers.
 func measureHot(t *testing.T) {
-	c := newCluster(t, 6, 6, 2, 600, standin.ServerConfig{Cores: 2, Queue: 200, Work: time.Millisecond, Each: 30 * time.Microsecond})
+	c := newCluster(t, 6, 6, 2, 600, fakebackend.ServerConfig{Cores: 2, Queue: 200, Work: time.Millisecond, Each: 30 * time.Microsecond})
 	g := start(t, c)
 	for _, when := range []string{"before", "after"} {
 		if when == "after" {
@@ -131,9 +131,9 @@
 
 // measureLate takes the time to the first page of 8 parts, with all servers well and with one that answers nothing.
 func measureLate(t *testing.T) {
-	c := newCluster(t, 8, 8, 2, 800, standin.ServerConfig{Cores: 4, Queue: 100, Work: 2 * time.Millisecond})
+	c := newCluster(t, 8, 8, 2, 800, fakebackend.ServerConfig{Cores: 4, Queue: 100, Work: 2 * time.Millisecond})
 	g := start(t, c)
-	for _, fault := range []standin.Fault{standin.None, standin.Silent} {
+	for _, fault := range []fakebackend.Fault{fakebackend.None, fakebackend.Silent} {
 		c.Servers[3].Set(fault)
 		var took []time.Duration
 		for n := range 40 {
@@ -149,13 +149,13 @@
 
 // measureRate takes how many queries of 8 parts a second the program answers on one core.
 func measureRate(t *testing.T) {
-	c := newCluster(t, 8, 8, 2, 800, standin.ServerConfig{Cores: 16, Queue: 1000, Work: time.Millisecond})
+	c := newCluster(t, 8, 8, 2, 800, fakebackend.ServerConfig{Cores: 16, Queue: 1000, Work: time.Millisecond})
 	agent, err := c.Directory.Agent("")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer agent.Close()
-	g := &gatherer{Place: lab.NewPlace(t), t: t, agent: agent}
+	g := &gatherer{Place: harness.NewPlace(t), t: t, agent: agent}
 	g.Env = append(g.Env, "GOMAXPROCS=1")
 	g.Write(config(t, c, c.Directory.Now().Doc(), agent.Address()))
 	g.run()
--- a/internal/layout/program_test.go
+++ b/internal/broker/layout/program_test.go
@@ -6,9 +6,9 @@
 	"io"
 	"math"
 	"net/http"
-	"saffronquay/internal/lab"
-	"saffronquay/internal/layout"
-	"saffronquay/internal/standin"
+	"saffronquay/internal/broker/layout"
+	"saffronquay/internal/testing/fakebackend"
+	"saffronquay/internal/testing/harness"
 	"slices"
 	"strings"
 	"testing"
@@ -17,22 +17,22 @@
 	sq "saffronquay"
 )
 
-const patience = lab.Patience
+const patience = harness.Patience
 
-var raced = lab.Raced
+var raced = harness.Raced
 
-func TestMain(m *testing.M) { lab.Main(m) }
+func TestMain(m *testing.M) { harness.Main(m) }
 
 // gatherer is a place with an agent of the directory of its own, and the life of the program that runs in it.
 type gatherer struct {
-	*lab.Place
+	*harness.Place
 	t     *testing.T
-	agent *standin.Agent
-	life  *lab.Life
+	agent *fakebackend.Agent
+	life  *harness.Life
 }
 
 // newCluster makes n servers and ranges of equal width over the keys from 0, a row each, held by reach servers.
-func newCluster(t *testing.T, servers, ranges, reach int, keys int64, cfg standin.ServerConfig) *standin.Cluster {
+func newCluster(t *testing.T, servers, ranges, reach int, keys int64, cfg fakebackend.ServerConfig) *fakebackend.Cluster {
 	t.Helper()
 	doc := layout.Doc{History: "h1", Epoch: 1}
 	var ids []sq.ServerID
@@ -46,14 +46,14 @@
 		}
 		doc.Ranges = append(doc.Ranges, r)
 	}
-	var rows []standin.Row
+	var rows []fakebackend.Row
 	for k := range keys {
-		rows = append(rows, standin.Row{Key: k, ID: fmt.Sprintf("row-%d", k)})
+		rows = append(rows, fakebackend.Row{Key: k, ID: fmt.Sprintf("row-%d", k)})
 	}
 	if cfg.Field, cfg.Once = "taxpayer", map[string]bool{"filings": true}; cfg.Cores == 0 {
 		cfg.Cores, cfg.Queue, cfg.Work = 4, 1000, 300*time.Microsecond
 	}
-	c, err := standin.NewCluster(ids, nil, cfg, doc, rows)
+	c, err := fakebackend.NewCluster(ids, nil, cfg, doc, rows)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -62,7 +62,7 @@
 }
 
 // config is an operator's file for a cluster; without a directory the file alone tells.
-func config(t *testing.T, c *standin.Cluster, whole layout.Doc, directory string, draining ...sq.ServerID) []byte {
+func config(t *testing.T, c *fakebackend.Cluster, whole layout.Doc, directory string, draining ...sq.ServerID) []byte {
 	t.Helper()
 	var servers []any
 	for _, s := range c.Servers {
@@ -97,14 +97,14 @@
 }
 
 // start starts a gatherer that follows the cluster's directory by an agent of its own.
-func start(t *testing.T, c *standin.Cluster) *gatherer {
+func start(t *testing.T, c *fakebackend.Cluster) *gatherer {
 	t.Helper()
 	agent, err := c.Directory.Agent("")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(agent.Close)
-	g := &gatherer{Place: lab.NewPlace(t), t: t, agent: agent}
+	g := &gatherer{Place: harness.NewPlace(t), t: t, agent: agent}
 	g.Write(config(t, c, c.Directory.Now().Doc(), agent.Address()))
 	g.run()
 	return g
@@ -191,7 +191,7 @@
 }
 
 // equals tells that an answer is what one store would give.
-func (o outcome) equals(c *standin.Cluster, want []layout.Span) bool {
+func (o outcome) equals(c *fakebackend.Cluster, want []layout.Span) bool {
 	ids := c.Single(want)
 	sum := 0.0
 	for _, r := range c.All {
--- a/internal/layout/proof_test.go
+++ b/internal/broker/layout/proof_test.go
@@ -4,8 +4,8 @@
 	"fmt"
 	"math/rand/v2"
 	"os"
-	"saffronquay/internal/layout"
-	"saffronquay/internal/standin"
+	"saffronquay/internal/broker/layout"
+	"saffronquay/internal/testing/fakebackend"
 	"strconv"
 	"sync"
 	"sync/atomic"
@@ -19,7 +19,7 @@
 const clients = 24
 
 // load has clients ask both gatherers until so many queries are through.
-func load(t *testing.T, c *standin.Cluster, gs []*gatherer, name string, queries int64, seed uint64, sum *tally) {
+func load(t *testing.T, c *fakebackend.Cluster, gs []*gatherer, name string, queries int64, seed uint64, sum *tally) {
 	var wg sync.WaitGroup
 	for i := range clients {
 		wg.Add(1)
@@ -36,7 +36,7 @@
 }
 
 // one asks once and judges the answer.
-func one(t *testing.T, c *standin.Cluster, g *gatherer, id string, rng *rand.Rand, sum *tally) {
+func one(t *testing.T, c *fakebackend.Cluster, g *gatherer, id string, rng *rand.Rand, sum *tally) {
 	index, n, width := "invoices", 1+rng.IntN(4), int64(80)
 	if rng.IntN(10) < 3 {
 		index, n, width = "filings", 1+rng.IntN(2), 4
@@ -63,7 +63,7 @@
 }
 
 // churn goes through changes of all kinds, some of which are aborted before or after the cut over, until stop.
-func churn(t *testing.T, c *standin.Cluster, stop <-chan struct{}, seed uint64, pause time.Duration, changes *atomic.Int64) *sync.WaitGroup {
+func churn(t *testing.T, c *fakebackend.Cluster, stop <-chan struct{}, seed uint64, pause time.Duration, changes *atomic.Int64) *sync.WaitGroup {
 	var wg sync.WaitGroup
 	for i := range 4 {
 		wg.Add(1)
@@ -107,10 +107,10 @@
 }
 
 // trouble gives servers and the directory's agents a fault each for a moment, again and again; kills too where asked.
-func trouble(c *standin.Cluster, gs []*gatherer, stop <-chan struct{}, seed uint64, kills bool) {
+func trouble(c *fakebackend.Cluster, gs []*gatherer, stop <-chan struct{}, seed uint64, kills bool) {
 	rng := rand.New(rand.NewPCG(seed, 99))
-	faults := []standin.Fault{standin.CutUnread, standin.CutHalf, standin.CutRan, standin.Refuses, standin.Mislabels, standin.Lags}
-	ills := []standin.Ill{standin.Down, standin.Mute, standin.Garbles, standin.Skips, standin.Backs, standin.Other, standin.Trickle}
+	faults := []fakebackend.Fault{fakebackend.CutUnread, fakebackend.CutHalf, fakebackend.CutRan, fakebackend.Refuses, fakebackend.Mislabels, fakebackend.Lags}
+	ills := []fakebackend.Ill{fakebackend.Down, fakebackend.Mute, fakebackend.Garbles, fakebackend.Skips, fakebackend.Backs, fakebackend.Other, fakebackend.Trickle}
 	for n := 0; ; n++ {
 		s, a := c.Servers[rng.IntN(len(c.Servers))], gs[rng.IntN(len(gs))].agent
 		a.Set(ills[rng.IntN(len(ills))], time.Duration(rng.IntN(200))*time.Millisecond)
@@ -125,11 +125,11 @@
 			ended = true
 		case <-time.After(time.Duration(20+rng.IntN(60)) * time.Millisecond):
 		}
-		s.Set(standin.None)
+		s.Set(fakebackend.None)
 		if kills {
 			s.Start()
 		}
-		a.Set(standin.Well, time.Duration(rng.IntN(100))*time.Millisecond)
+		a.Set(fakebackend.Well, time.Duration(rng.IntN(100))*time.Millisecond)
 		if ended {
 			return
 		}
@@ -151,7 +151,7 @@
 	if text := os.Getenv("SAFFRONQUAY_PROOF_QUERIES"); text != "" {
 		queries, _ = strconv.ParseInt(text, 10, 64)
 	}
-	c := newCluster(t, 12, 40, 3, 4000, standin.ServerConfig{})
+	c := newCluster(t, 12, 40, 3, 4000, fakebackend.ServerConfig{})
 	gs := []*gatherer{start(t, c), start(t, c)}
 	phase := func(name string, queries int64, kills bool) (*tally, int64) {
 		var sum tally
--- a/internal/layout/scenes_test.go
+++ b/internal/broker/layout/scenes_test.go
@@ -4,9 +4,9 @@
 	"encoding/json"
 	"fmt"
 	"net/http"
-	"saffronquay/internal/lab"
-	"saffronquay/internal/layout"
-	"saffronquay/internal/standin"
+	"saffronquay/internal/broker/layout"
+	"saffronquay/internal/testing/fakebackend"
+	"saffronquay/internal/testing/harness"
 	"slices"
 	"strings"
 	"syscall"
@@ -19,12 +19,12 @@
 // scene is a small cluster (servers s00 to s04, ranges of 100 keys, one holder each) and gatherers that follow it.
 type scene struct {
 	t  *testing.T
-	c  *standin.Cluster
+	c  *fakebackend.Cluster
 	gs []*gatherer
 }
 
 func newScene(t *testing.T, gatherers int) *scene {
-	s := &scene{t: t, c: newCluster(t, 5, 4, 1, 400, standin.ServerConfig{})}
+	s := &scene{t: t, c: newCluster(t, 5, 4, 1, 400, fakebackend.ServerConfig{})}
 	for range gatherers {
 		s.gs = append(s.gs, start(t, s.c))
 	}
@@ -92,17 +92,17 @@
 // move, after that nobody can know.
 func TestFilingInFlightWhenItsRangeMoves(t *testing.T) {
 	for _, c := range []struct {
-		fault  standin.Fault
+		fault  fakebackend.Fault
 		status int
 		ran    bool
-	}{{standin.CutUnread, 500, false}, {standin.CutHalf, 500, false}, {standin.None, 200, true}} {
+	}{{fakebackend.CutUnread, 500, false}, {fakebackend.CutHalf, 500, false}, {fakebackend.None, 200, true}} {
 		t.Run("cut "+string(c.fault), func(t *testing.T) {
 			t.Parallel()
 			s := newScene(t, 1)
 			s.announce("m", layout.Move, []int{0}, part(0, 100, 0, "s04"))
 			s.do("m copy", "m ready")
 			old := s.c.Server("s00")
-			old.Set(standin.Holds)
+			old.Set(fakebackend.Holds)
 			got := s.later(s.gs[0], "filings", "f", keys(10, 20))
 			<-old.Held()
 			s.do("m cutover")
@@ -111,7 +111,7 @@
 			if o := <-got; o.status != c.status || s.c.Ledger.Ran("f") != c.ran {
 				t.Errorf("%d, ran %t: %.200s", o.status, s.c.Ledger.Ran("f"), o.text)
 			}
-			old.Set(standin.None)
+			old.Set(fakebackend.None)
 			s.right("after")
 			s.clean(0)
 		})
@@ -121,7 +121,7 @@
 		s := newScene(t, 1)
 		s.announce("m", layout.Move, []int{0}, part(0, 100, 0, "s04"))
 		s.do("m copy", "m ready")
-		s.c.Server("s00").Set(standin.CutRan)
+		s.c.Server("s00").Set(fakebackend.CutRan)
 		o := s.gs[0].ask("filings", "f", keys(10, 20))
 		s.do("m cutover", "m retire")
 		if o.status != 500 || !s.c.Ledger.Ran("f") {
@@ -134,10 +134,10 @@
 		s := newScene(t, 1)
 		s.announce("m", layout.Move, []int{0}, part(0, 100, 0, "s04"))
 		s.do("m copy", "m ready", "m cutover") // the gatherer's own copy of the news is late
-		s.gs[0].agent.Set(standin.Down, 0)
+		s.gs[0].agent.Set(fakebackend.Down, 0)
 		s.c.Server("s00").Kill()
 		got := s.later(s.gs[0], "filings", "f", keys(10, 20))
-		s.gs[0].agent.Set(standin.Well, 0)
+		s.gs[0].agent.Set(fakebackend.Well, 0)
 		o := <-got
 		if o.status == 429 { // its attempts were spent before the news came: none ran, and sending it again does no harm
 			s.told()
@@ -186,7 +186,7 @@
 			s.announce("x", layout.Move, []int{0}, part(0, 100, 0, "s04"))
 			s.do("x copy", "x ready")
 			s.told()
-			s.gs[0].agent.Set(standin.Down, 0)
+			s.gs[0].agent.Set(fakebackend.Down, 0)
 			s.do("x cutover")
 			s.c.Server("s00").Kill()
 			asked := map[string]<-chan outcome{}
@@ -196,11 +196,11 @@
 			got := map[string]outcome{}
 			for index, o := range asked { // the news comes while they wait, or after their attempts are spent
 				if index == "invoices" {
-					s.gs[0].agent.Set(standin.Well, 0)
+					s.gs[0].agent.Set(fakebackend.Well, 0)
 				}
 				got[index] = <-o
 			}
-			s.gs[0].agent.Set(standin.Well, 0)
+			s.gs[0].agent.Set(fakebackend.Well, 0)
 			for index, o := range got {
 				// (Of the moving range only: with others beside it, parts that ran make a filing's end 500.)
 				// Refused connections use an attempt up each: a query whose attempts are spent on the dead source before the news comes is turned
@@ -238,12 +238,12 @@
 	s.announce("x", layout.Split, []int{0}, part(0, 50, 4, "s03"), part(50, 100, 5, "s04"))
 	s.do("x copy", "x ready", "x cutover")
 	s.told()
-	s.c.Server("s03").Set(standin.Holds)
+	s.c.Server("s03").Set(fakebackend.Holds)
 	read, file := s.later(s.gs[0], "invoices", "r", keys(0, 100)), s.later(s.gs[0], "filings", "f", keys(20, 30))
 	<-s.c.Server("s03").Held()
 	<-s.c.Server("s03").Held()
 	s.do("x abort")
-	s.c.Server("s03").Set(standin.None) // fenced: it denies both
+	s.c.Server("s03").Set(fakebackend.None) // fenced: it denies both
 	if o := <-read; !o.equals(s.c, keys(0, 100)) {
 		t.Errorf("read: %d %.200s", o.status, o.text)
 	}
@@ -259,13 +259,13 @@
 	s.announce("m", layout.Move, []int{0}, part(0, 100, 0, "s04"))
 	s.do("m copy", "m ready")
 	old := s.c.Server("s00")
-	old.Set(standin.Holds)
+	old.Set(fakebackend.Holds)
 	read, file := s.later(s.gs[0], "invoices", "r", keys(10, 20)), s.later(s.gs[0], "filings", "f", keys(10, 20))
 	<-old.Held()
 	<-old.Held()
 	s.do("m cutover", "m retire")
 	s.told()
-	old.Set(standin.Zombie)
+	old.Set(fakebackend.Zombie)
 	if o := <-read; !o.equals(s.c, keys(10, 20)) { // from the new holder
 		t.Errorf("read: %d %.200s", o.status, o.text)
 	}
@@ -280,14 +280,14 @@
 // A server answers under another range than it was asked for, or denies what it holds by an old epoch: neither is merged.
 func TestServersThatLie(t *testing.T) {
 	s := newScene(t, 1)
-	s.c.Server("s00").Set(standin.Mislabels)
+	s.c.Server("s00").Set(fakebackend.Mislabels)
 	if o := s.gs[0].ask("invoices", "r", keys(10, 20)); o.status == 200 {
 		t.Errorf("merged: %.200s", o.text)
 	}
 	if o := s.gs[0].ask("filings", "f", keys(10, 20)); o.status != 500 {
 		t.Errorf("it may have run: %d", o.status)
 	}
-	s.c.Server("s00").Set(standin.Lags)
+	s.c.Server("s00").Set(fakebackend.Lags)
 	if o := s.gs[0].ask("filings", "g", keys(10, 20)); o.status != 429 || s.c.Ledger.Ran("g") {
 		t.Errorf("it never ran: %d", o.status)
 	}
@@ -301,7 +301,7 @@
 	s.do("x copy", "x ready")
 	s.told()
 	const lag = 3 * time.Second
-	s.gs[1].agent.Set(standin.Well, lag)
+	s.gs[1].agent.Set(fakebackend.Well, lag)
 	began := time.Now()
 	s.do("x cutover", "x retire")
 	late := []<-chan outcome{s.later(s.gs[1], "invoices", "r1", keys(0, 400)), s.later(s.gs[1], "filings", "f1", keys(30, 70))}
@@ -323,16 +323,16 @@
 	s := newScene(t, 1)
 	g := s.gs[0]
 	for i, c := range []struct {
-		ill  standin.Ill
+		ill  fakebackend.Ill
 		says string
 	}{
-		{standin.Down, "reason=unreachable"},
-		{standin.Mute, "reason=unreachable"},
-		{standin.Backs, "reason=epoch"},
-		{standin.Other, "reason=history"},
-		{standin.Garbles, "reason=invalid"},
-		{standin.Skips, "reason=epoch"},
-		{standin.Trickle, ""},
+		{fakebackend.Down, "reason=unreachable"},
+		{fakebackend.Mute, "reason=unreachable"},
+		{fakebackend.Backs, "reason=epoch"},
+		{fakebackend.Other, "reason=history"},
+		{fakebackend.Garbles, "reason=invalid"},
+		{fakebackend.Skips, "reason=epoch"},
+		{fakebackend.Trickle, ""},
 	} {
 		for end := time.Now().Add(patience); g.agent.Watches() == 0 && time.Now().Before(end); {
 			time.Sleep(time.Millisecond) // a line is told only to who watches
@@ -345,7 +345,7 @@
 		if c.says != "" {
 			g.Says(before, "event=layout_kept", c.says)
 		}
-		g.agent.Set(standin.Well, 0)
+		g.agent.Set(fakebackend.Well, 0)
 		s.right(string(c.ill) + ", perhaps not yet told")
 		s.told()
 		s.right(string(c.ill))
@@ -362,13 +362,13 @@
 
 // SIGHUP and a replaced process in the middle of a move.
 func TestReloadAndReplaceInTheMiddleOfAMove(t *testing.T) {
-	s := &scene{t: t, c: newCluster(t, 5, 4, 1, 400, standin.ServerConfig{})}
+	s := &scene{t: t, c: newCluster(t, 5, 4, 1, 400, fakebackend.ServerConfig{})}
 	agent, err := s.c.Directory.Agent("")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer agent.Close()
-	g := &gatherer{Place: lab.NewPlace(t), t: t, agent: agent}
+	g := &gatherer{Place: harness.NewPlace(t), t: t, agent: agent}
 	g.Passed()
 	first := s.c.Directory.Now().Doc()
 	file := config(t, s.c, first, agent.Address())
@@ -400,9 +400,9 @@
 
 // Without a directory the file alone says where ranges are; one that goes back, or says two things of one epoch, is turned down.
 func TestFileAlone(t *testing.T) {
-	c := newCluster(t, 5, 4, 1, 400, standin.ServerConfig{})
+	c := newCluster(t, 5, 4, 1, 400, fakebackend.ServerConfig{})
 	doc := c.Directory.Now().Doc()
-	g := &gatherer{Place: lab.NewPlace(t), t: t}
+	g := &gatherer{Place: harness.NewPlace(t), t: t}
 	g.Write(config(t, c, doc, ""))
 	g.run()
 	s := &scene{t: t, c: c, gs: []*gatherer{g}}
@@ -432,9 +432,9 @@
 
 // A range all of whose holders drain: its queries are refused at once, saying when to come back; others are served.
 func TestRangeAllOfWhoseHoldersDrain(t *testing.T) {
-	c := newCluster(t, 5, 4, 1, 400, standin.ServerConfig{})
+	c := newCluster(t, 5, 4, 1, 400, fakebackend.ServerConfig{})
 	doc := c.Directory.Now().Doc()
-	g := &gatherer{Place: lab.NewPlace(t), t: t}
+	g := &gatherer{Place: harness.NewPlace(t), t: t}
 	g.Write(config(t, c, doc, "", "s01"))
 	g.run()
 	began := time.Now()
--- a/internal/layout/search_test.go
+++ b/internal/broker/layout/search_test.go
@@ -6,9 +6,9 @@
 	"io"
 	"net"
 	"net/http"
-	"saffronquay/internal/lab"
-	"saffronquay/internal/layout"
-	"saffronquay/internal/standin"
+	"saffronquay/internal/broker/layout"
+	"saffronquay/internal/testing/fakebackend"
+	"saffronquay/internal/testing/harness"
 	"slices"
 	"strings"
 	"syscall"
@@ -48,8 +48,8 @@
 // server is silent, one is refused where all that could serve it turn it away.
 func TestMultiSearch(t *testing.T) {
 	s := newScene(t, 1)
-	s.c.Server("s01").Set(standin.Silent)
-	s.c.Server("s02").Set(standin.Refuses)
+	s.c.Server("s01").Set(fakebackend.Silent)
+	s.c.Server("s02").Set(fakebackend.Refuses)
 	body := strings.Join([]string{
 		`{"index":"invoices"}`, `{"size":1,"query":{"range":{"taxpayer":{"gte":10,"lt":20}}}}`,
 		`{"index":"nothing"}`, `{}`,
@@ -111,7 +111,7 @@
 // Pages of a point in time go on over writes, a split, a move, a server that dies and a gatherer that is started anew: what stood at
 // its opening comes once, and nothing else. Where a server no longer holds that state, and after its end, the answer says so.
 func TestPointInTime(t *testing.T) {
-	s := &scene{t: t, c: newCluster(t, 5, 4, 2, 400, standin.ServerConfig{})}
+	s := &scene{t: t, c: newCluster(t, 5, 4, 2, 400, fakebackend.ServerConfig{})}
 	s.gs = []*gatherer{start(t, s.c)}
 	g := s.gs[0]
 	var stood []string
@@ -124,11 +124,11 @@
 		t.Fatal(text)
 	}
 	write := func() { // everything with an even key goes, as many others come
-		var add []standin.Row
+		var add []fakebackend.Row
 		for k := int64(0); k < 400; k += 3 {
-			add = append(add, standin.Row{Key: k, ID: fmt.Sprintf("new-%d-%d", k, time.Now().UnixNano())})
+			add = append(add, fakebackend.Row{Key: k, ID: fmt.Sprintf("new-%d-%d", k, time.Now().UnixNano())})
 		}
-		s.c.Write(time.Now().UnixMicro(), add, func(r standin.Row) bool { return r.Key%2 == 0 })
+		s.c.Write(time.Now().UnixMicro(), add, func(r fakebackend.Row) bool { return r.Key%2 == 0 })
 	}
 	between := []func(){
 		write,
@@ -204,11 +204,11 @@
 // Two holders of one range differ by a late write: as of a time after it, the one that lacks it turns the part away, and the other
 // answers.
 func TestHoldersThatDiffer(t *testing.T) {
-	s := &scene{t: t, c: newCluster(t, 5, 4, 2, 400, standin.ServerConfig{})}
+	s := &scene{t: t, c: newCluster(t, 5, 4, 2, 400, fakebackend.ServerConfig{})}
 	g := start(t, s.c)
 	at := time.Now().UnixMicro()
 	s.c.Server("s00").Miss(at)
-	s.c.Write(at, []standin.Row{{Key: 7, ID: "late"}}, func(r standin.Row) bool { return r.Key == 8 })
+	s.c.Write(at, []fakebackend.Row{{Key: 7, ID: "late"}}, func(r fakebackend.Row) bool { return r.Key == 8 })
 	_, _, text := g.post("/invoices/_search/point_in_time?keep_alive=1m", "")
 	id := fastjson.MustParse(text).GetStringBytes("pit_id")
 	for range 8 {
@@ -229,12 +229,12 @@
 // A class whose least share is under 1 is answered in part, with the exact share and what is missing, and never marked whole; a
 // class that needs all is not.
 func TestAnswersInPart(t *testing.T) {
-	s := &scene{t: t, c: newCluster(t, 5, 4, 1, 400, standin.ServerConfig{})}
-	g := &gatherer{Place: lab.NewPlace(t), t: t}
+	s := &scene{t: t, c: newCluster(t, 5, 4, 1, 400, fakebackend.ServerConfig{})}
+	g := &gatherer{Place: harness.NewPlace(t), t: t}
 	file := string(config(t, s.c, s.c.Directory.Now().Doc(), ""))
 	g.Write([]byte(strings.Replace(strings.Replace(file, `"floor_by_class":[1,1]`, `"floor_by_class":[0.5,1]`, 1), `"aim_us":4000000`, `"aim_us":1000000`, 1)))
 	g.run()
-	s.c.Server("s01").Set(standin.Silent)
+	s.c.Server("s01").Set(fakebackend.Silent)
 	status, _, text := g.post("/invoices/_search", `{"size":0,"timeout":"1500ms","aggs":{"n":{"value_count":{"field":"taxpayer"}}}}`)
 	for _, want := range []string{
 		`"timed_out":true`, `"_shards":{"total":4,"successful":3,"skipped":0,"failed":1,"failures":[{"shard":1,`,
--- a/internal/events/events.go
+++ b/internal/broker/logging/events.go
@@ -1,6 +1,6 @@
-// Package events is the one place that names what the program logs: events and their fields, how lines are written, and how many. It
+// Package logging is the one place that names what the program logs: events and their fields, how lines are written, and how many. It
 // rides on log/slog. It must never be handed values of clients' data.
-package events
+package logging
 
 import (
 	"context"
--- a/internal/events/events_test.go
+++ b/internal/broker/logging/events_test.go
@@ -1,4 +1,4 @@
-package events_test
+package logging_test
 
 import (
 	"bytes"
@@ -11,7 +11,7 @@
 	"log"
 	"log/slog"
 	"path/filepath"
-	"saffronquay/internal/events"
+	"saffronquay/internal/broker/logging"
 	"slices"
 	"strconv"
 	"strings"
@@ -20,10 +20,10 @@
 
 func TestLines(t *testing.T) {
 	var b bytes.Buffer
-	o := events.New(&b, "text", slog.LevelInfo)
+	o := logging.New(&b, "text", slog.LevelInfo)
 	l := o.Logger()
-	events.Info(l, events.Start, "name", "g", "listen", "127.0.0.1:1")
-	events.Debug(l, events.Start)
+	logging.Info(l, logging.Start, "name", "g", "listen", "127.0.0.1:1")
+	logging.Debug(l, logging.Start)
 	if got := b.String(); !strings.HasSuffix(got, " level=info event=start name=g listen=127.0.0.1:1\n") || strings.Count(got, "\n") != 1 {
 		t.Errorf("%q", got)
 	}
@@ -32,8 +32,8 @@
 	if err := o.Level("warn"); err != nil {
 		t.Fatal(err)
 	}
-	events.Info(l, events.Start)
-	events.Warn(l.With("gatherer", "g"), events.LayoutKept, "error", io.EOF)
+	logging.Info(l, logging.Start)
+	logging.Warn(l.With("gatherer", "g"), logging.LayoutKept, "error", io.EOF)
 	if got := b.String(); !strings.Contains(got, `"level":"warn","event":"layout_kept","error":"EOF","gatherer":"g"`) || strings.Count(got, "\n") != 1 {
 		t.Errorf("%q", got)
 	}
@@ -45,10 +45,10 @@
 // What comes by the thousand is written a few times a second, and what was not is counted.
 func TestSampling(t *testing.T) {
 	var b bytes.Buffer
-	l := events.New(&b, "text", slog.LevelInfo).Logger()
+	l := logging.New(&b, "text", slog.LevelInfo).Logger()
 	for range 1000 {
-		events.Warn(l, events.VrrpDiscard, "from", "x")
-		events.Info(l, events.Reload)
+		logging.Warn(l, logging.VrrpDiscard, "from", "x")
+		logging.Info(l, logging.Reload)
 	}
 	if n := strings.Count(b.String(), "vrrp_discard"); n < 5 || n > 15 {
 		t.Errorf("%d of 1000 are written", n)
@@ -62,8 +62,8 @@
 func TestAllEventsAreInTheTable(t *testing.T) {
 	used := map[string]bool{}
 	fset := token.NewFileSet()
-	err := filepath.WalkDir("../..", func(path string, d fs.DirEntry, err error) error {
-		if err != nil || d.IsDir() || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") || strings.Contains(path, "internal/store/weigh") ||
+	err := filepath.WalkDir("../../..", func(path string, d fs.DirEntry, err error) error {
+		if err != nil || d.IsDir() || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") || strings.Contains(path, "internal/storage/storebench") ||
 			strings.Contains(path, "cmd/saffronquay-standin") {
 			return err
 		}
@@ -82,7 +82,7 @@
 			}
 			from, is := sel.X.(*ast.Ident)
 			switch {
-			case !is || from.Name != "events":
+			case !is || from.Name != "logging":
 			case !slices.Contains([]string{"Debug", "Info", "Warn", "Error"}, sel.Sel.Name):
 			default:
 				check(t, fset.Position(call.Pos()).String(), call.Args, used)
@@ -97,7 +97,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for e := range events.Fields {
+	for e := range logging.Fields {
 		name := ""
 		for _, part := range strings.Split(string(e), "_") {
 			name += strings.ToUpper(part[:1]) + part[1:]
@@ -116,7 +116,7 @@
 	}
 	used[name.Sel.Name] = true
 	var fields []string
-	for e, fs := range events.Fields {
+	for e, fs := range logging.Fields {
 		camel := ""
 		for _, part := range strings.Split(string(e), "_") {
 			camel += strings.ToUpper(part[:1]) + part[1:]
@@ -148,22 +148,22 @@
 	})
 	for _, format := range []string{"text", "json"} {
 		b.Run(format, func(b *testing.B) {
-			l := events.New(writer{}, format, slog.LevelInfo).Logger()
+			l := logging.New(writer{}, format, slog.LevelInfo).Logger()
 			for i := range b.N {
-				events.Info(l, events.Fleet, "generation", i, "whole", true, "entries", 12)
+				logging.Info(l, logging.Fleet, "generation", i, "whole", true, "entries", 12)
 			}
 		})
 	}
 	b.Run("below the level", func(b *testing.B) {
-		l := events.New(writer{}, "text", slog.LevelWarn).Logger()
+		l := logging.New(writer{}, "text", slog.LevelWarn).Logger()
 		for i := range b.N {
-			events.Info(l, events.Fleet, "generation", i, "whole", true, "entries", 12)
+			logging.Info(l, logging.Fleet, "generation", i, "whole", true, "entries", 12)
 		}
 	})
 	b.Run("sampled", func(b *testing.B) {
-		l := events.New(writer{}, "text", slog.LevelInfo).Logger()
+		l := logging.New(writer{}, "text", slog.LevelInfo).Logger()
 		for range b.N {
-			events.Info(l, events.Note, "text", "x")
+			logging.Info(l, logging.Note, "text", "x")
 		}
 	})
 }
@@ -173,8 +173,8 @@
 func (writer) Write(p []byte) (int, error) { return len(p), nil }
 
 func ExampleNew() {
-	o := events.New(writer{}, "text", slog.LevelInfo)
-	events.Info(o.Logger(), events.Stopped)
+	o := logging.New(writer{}, "text", slog.LevelInfo)
+	logging.Info(o.Logger(), logging.Stopped)
 	fmt.Println(o.Level("debug"), o.Level("loud"))
 	// Output: <nil> want debug, info, warn or error, not "loud"
 }
--- a/internal/events/names.go
+++ b/internal/broker/logging/names.go
@@ -1,4 +1,4 @@
-package events
+package logging
 
 // Name is an event's.
 type Name string
--- a/internal/merge/agg_test.go
+++ b/internal/broker/merge/agg_test.go
@@ -7,8 +7,8 @@
 	"math"
 	"math/rand/v2"
 	"reflect"
-	"saffronquay/internal/layout"
-	"saffronquay/internal/standin"
+	"saffronquay/internal/broker/layout"
+	"saffronquay/internal/testing/fakebackend"
 	"slices"
 	"strings"
 	"testing"
@@ -16,7 +16,7 @@
 	"github.com/valyala/fastjson"
 	"pgregory.net/rapid"
 
-	_ "saffronquay/internal/lab/steady"
+	_ "saffronquay/internal/testing/harness/steady"
 )
 
 // clauses are aggregations of every kind; what they ask is compared with one store.
@@ -36,7 +36,7 @@
 }
 
 // fields are of aggregations: due over many magnitudes, where the order of adding matters; small; dates.
-func fields(rng *rand.Rand, rows []standin.Row) {
+func fields(rng *rand.Rand, rows []fakebackend.Row) {
 	for _, r := range rows {
 		r.Fields["due"] = (rng.Float64() - 0.5) * math.Pow(10, float64(rng.IntN(34)-17))
 		if rng.IntN(4) > 0 {
@@ -87,19 +87,19 @@
 			p := aggPlan(t, clause)
 			var in, binary []*Part
 			for i := range len(cuts) - 1 {
-				part, err := read(p, standin.Search("key", aggBody(p), rows, layout.Span{From: cuts[i], To: cuts[i+1]}))
+				part, err := read(p, fakebackend.Search("key", aggBody(p), rows, layout.Span{From: cuts[i], To: cuts[i+1]}))
 				if err != nil {
 					t.Fatalf("%s: %v", aggBody(p), err)
 				}
 				in = append(in, part)
-				other, err := p.ReadBinary(standin.Binary("key", aggBody(p), rows, layout.Span{From: cuts[i], To: cuts[i+1]}))
+				other, err := p.ReadBinary(fakebackend.Binary("key", aggBody(p), rows, layout.Span{From: cuts[i], To: cuts[i+1]}))
 				if err != nil {
 					t.Fatalf("%s: binary: %v", aggBody(p), err)
 				}
 				binary = append(binary, other)
 			}
 			spec := fastjson.MustParse("{" + strings.ReplaceAll(clause, `{"to":2},{"from":2,"to":4}`, `{"key":"*-2","to":2},{"key":"2-4","from":2,"to":4}`) + "}")
-			single, err := json.Marshal(standin.Aggregate(spec, rows, "key", false))
+			single, err := json.Marshal(fakebackend.Aggregate(spec, rows, "key", false))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -128,13 +128,13 @@
 func TestSketches(t *testing.T) {
 	rng := rand.New(rand.NewPCG(4, 4))
 	p := aggPlan(t, `"c":{"cardinality":{"field":"key"}},"p":{"percentiles":{"field":"due","percents":[1,50,99]}}`)
-	var rows []standin.Row
+	var rows []fakebackend.Row
 	for i := range 20_000 {
-		rows = append(rows, standin.Row{Key: int64(i), Fields: map[string]any{"due": rng.NormFloat64()}})
+		rows = append(rows, fakebackend.Row{Key: int64(i), Fields: map[string]any{"due": rng.NormFloat64()}})
 	}
 	var in []*Part
 	for from := int64(0); from < 20_000; from += 500 {
-		part, err := read(p, standin.Search("key", aggBody(p), rows, layout.Span{From: from, To: from + 500}))
+		part, err := read(p, fakebackend.Search("key", aggBody(p), rows, layout.Span{From: from, To: from + 500}))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -175,15 +175,15 @@
 func TestTermsBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := aggPlan(t, `"a":{"terms":{"field":"small","size":3,"shard_size":4}}`)
-		rows, truth := []standin.Row{}, map[float64]int64{}
+		rows, truth := []fakebackend.Row{}, map[float64]int64{}
 		n := rapid.IntRange(1, 200).Draw(t, "rows")
 		for i := range n {
 			v := float64(rapid.IntRange(0, 12).Draw(t, "v"))
-			rows, truth[v] = append(rows, standin.Row{Key: int64(i), Fields: map[string]any{"small": v}}), truth[v]+1
+			rows, truth[v] = append(rows, fakebackend.Row{Key: int64(i), Fields: map[string]any{"small": v}}), truth[v]+1
 		}
 		s := NewState(p)
 		for from := 0; from < n; from += 40 {
-			part, err := read(p, standin.Search("key", aggBody(p), rows, layout.Span{From: int64(from), To: int64(from + 40)}))
+			part, err := read(p, fakebackend.Search("key", aggBody(p), rows, layout.Span{From: int64(from), To: int64(from + 40)}))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -212,16 +212,16 @@
 	rapid.Check(t, func(t *rapid.T) {
 		xs := rapid.SliceOfN(rapid.Float64Range(-1e200, 1e200), 0, 40).Draw(t, "xs")
 		var a exact
-		rows := []standin.Row{}
+		rows := []fakebackend.Row{}
 		for i, x := range xs {
 			a.add(x)
-			rows = append(rows, standin.Row{Key: int64(i), Fields: map[string]any{"x": x}})
+			rows = append(rows, fakebackend.Row{Key: int64(i), Fields: map[string]any{"x": x}})
 		}
 		var b exact
 		for _, i := range rapid.Permutation(xs).Draw(t, "order") {
 			b.add(i)
 		}
-		text, _ := json.Marshal(standin.Aggregate(fastjson.MustParse(`{"a":{"sum":{"field":"x"}}}`), rows, "key", false))
+		text, _ := json.Marshal(fakebackend.Aggregate(fastjson.MustParse(`{"a":{"sum":{"field":"x"}}}`), rows, "key", false))
 		if want, err := parseFloat(fastjson.MustParseBytes(text).Get("a", "value")); err != nil || a.value() != b.value() || a.value() != want {
 			t.Fatalf("%g, %g, want %g", a.value(), b.value(), want)
 		}
@@ -306,11 +306,11 @@
 		all = append(all, strings.Replace(c, `"a":`, fmt.Sprintf(`"a%d":`, i), 1))
 	}
 	p := aggPlan(f, strings.Join(all, ","))
-	rows := []standin.Row{
+	rows := []fakebackend.Row{
 		{Key: 1, ID: "a", Fields: map[string]any{"desk": "x", "small": 1.5, "due": 0.1, "at": int64(1_700_000_000_000)}},
 		{Key: 20, ID: "b", Fields: map[string]any{"desk": "y", "small": 4.5, "due": 7e9}},
 	}
-	f.Add(standin.Search("key", aggBody(p), rows, layout.Span{From: 0, To: 99}))
+	f.Add(fakebackend.Search("key", aggBody(p), rows, layout.Span{From: 0, To: 99}))
 	f.Fuzz(func(t *testing.T, text string) {
 		if x, err := read(p, text); err == nil {
 			wellFormed(t, p, x)
--- a/internal/merge/binary.go
+++ b/internal/broker/merge/binary.go
@@ -3,7 +3,7 @@
 import (
 	"bytes"
 	"math"
-	"saffronquay/internal/merge/partial"
+	"saffronquay/internal/broker/merge/partial"
 
 	"google.golang.org/protobuf/proto"
 )
--- a/internal/merge/proof_test.go
+++ b/internal/broker/merge/proof_test.go
@@ -7,8 +7,8 @@
 	"fmt"
 	"math/rand/v2"
 	"runtime/debug"
-	"saffronquay/internal/layout"
-	"saffronquay/internal/standin"
+	"saffronquay/internal/broker/layout"
+	"saffronquay/internal/testing/fakebackend"
 	"slices"
 	"strings"
 	"testing"
@@ -17,10 +17,10 @@
 )
 
 // store is random rows, in order of the key, and a way to split them.
-func store(rng *rand.Rand) (rows []standin.Row, cuts []int64) {
+func store(rng *rand.Rand) (rows []fakebackend.Row, cuts []int64) {
 	n := rng.IntN(80)
 	for i := range n {
-		r := standin.Row{Key: int64(i), ID: fmt.Sprintf("d%03d", rng.IntN(1000)*1000+i), Score: float64(rng.IntN(4)), Fields: map[string]any{}}
+		r := fakebackend.Row{Key: int64(i), ID: fmt.Sprintf("d%03d", rng.IntN(1000)*1000+i), Score: float64(rng.IntN(4)), Fields: map[string]any{}}
 		if rng.IntN(5) > 0 {
 			r.Fields["due"] = []any{int64(rng.IntN(6)), int64(1)<<53 + int64(rng.IntN(3)), -int64(rng.IntN(3)), 0.5 * float64(rng.IntN(6)), 1e300}[rng.IntN(5)]
 		}
@@ -88,10 +88,10 @@
 }
 
 // parts asks the stores of each span.
-func parts(t *testing.T, p *Plan, rows []standin.Row, cuts []int64) (out []*Part) {
+func parts(t *testing.T, p *Plan, rows []fakebackend.Row, cuts []int64) (out []*Part) {
 	t.Helper()
 	for i := range len(cuts) - 1 {
-		part, err := read(p, standin.Search("key", body(p), rows, layout.Span{From: cuts[i], To: cuts[i+1]}))
+		part, err := read(p, fakebackend.Search("key", body(p), rows, layout.Span{From: cuts[i], To: cuts[i+1]}))
 		if err != nil {
 			t.Fatalf("%s: %v", body(p), err)
 		}
@@ -101,10 +101,10 @@
 }
 
 // partsBinary is the same in the binary form.
-func partsBinary(t *testing.T, p *Plan, rows []standin.Row, cuts []int64) (out []*Part) {
+func partsBinary(t *testing.T, p *Plan, rows []fakebackend.Row, cuts []int64) (out []*Part) {
 	t.Helper()
 	for i := range len(cuts) - 1 {
-		part, err := p.ReadBinary(standin.Binary("key", body(p), rows, layout.Span{From: cuts[i], To: cuts[i+1]}))
+		part, err := p.ReadBinary(fakebackend.Binary("key", body(p), rows, layout.Span{From: cuts[i], To: cuts[i+1]}))
 		if err != nil {
 			t.Fatalf("%s: %v", body(p), err)
 		}
@@ -130,9 +130,9 @@
 }
 
 // single is what one store gives, read as it stands: its own order and its own total.
-func single(p *Plan, rows []standin.Row) string {
+func single(p *Plan, rows []fakebackend.Row) string {
 	whole := *p
-	text := standin.Search("key", body(&whole), rows, layout.Span{From: 0, To: 1 << 40})
+	text := fakebackend.Search("key", body(&whole), rows, layout.Span{From: 0, To: 1 << 40})
 	v := fastjson.MustParse(text)
 	hits := v.GetArray("hits", "hits")
 	page := Page{Known: p.Limit != Uncounted, Total: v.GetInt64("hits", "total", "value"), Gte: string(v.GetStringBytes("hits", "total", "relation")) == "gte"}
@@ -335,8 +335,8 @@
 
 func FuzzReadBinary(f *testing.F) {
 	p := aggPlan(f, clauses[9]+`,"c":{"cardinality":{"field":"key"}},"p":{"percentiles":{"field":"due"}}`)
-	rows := []standin.Row{{Key: 1, ID: "a", Fields: map[string]any{"desk": "x", "small": 1.5, "due": 0.1}}}
-	f.Add(standin.Binary("key", aggBody(p), rows, layout.Span{From: 0, To: 9}))
+	rows := []fakebackend.Row{{Key: 1, ID: "a", Fields: map[string]any{"desk": "x", "small": 1.5, "due": 0.1}}}
+	f.Add(fakebackend.Binary("key", aggBody(p), rows, layout.Span{From: 0, To: 9}))
 	f.Add([]byte{8, 1})
 	f.Fuzz(func(t *testing.T, text []byte) {
 		if x, err := p.ReadBinary(text); err == nil {
--- a/internal/opensearch/msearch.go
+++ b/internal/broker/opensearch/msearch.go
@@ -4,7 +4,7 @@
 	"bytes"
 	"fmt"
 	"net/url"
-	"saffronquay/internal/http1"
+	"saffronquay/internal/broker/http1"
 	"strconv"
 	"strings"
 
--- a/internal/opensearch/once.go
+++ b/internal/broker/opensearch/once.go
@@ -3,9 +3,9 @@
 import (
 	"fmt"
 	"math"
-	"saffronquay/internal/broker"
-	"saffronquay/internal/http1"
-	"saffronquay/internal/once"
+	"saffronquay/internal/broker/core"
+	"saffronquay/internal/broker/http1"
+	"saffronquay/internal/broker/idempotency"
 	"strconv"
 	"strings"
 	"time"
@@ -15,7 +15,7 @@
 
 // Once is what the front needs for queries that must not run twice.
 type Once struct {
-	Ledger  *once.Ledger
+	Ledger  *idempotency.Ledger
 	Header  string          // the field that names a client's key
 	Classes map[string]bool // those that must not run twice
 	Without bool            // the store could not be opened: none of them is taken
@@ -28,11 +28,11 @@
 )
 
 // begin opens a query that must not run twice. A response says that it is not to be sent, and why.
-func (f Front) begin(m *http1.Message, index string, a *broker.Ask) (*once.Entry, *http1.Response) {
+func (f Front) begin(m *http1.Message, index string, a *core.Ask) (*idempotency.Entry, *http1.Response) {
 	if f.Once == nil || !f.Once.Classes[a.Class] {
 		return nil, nil
 	}
-	refused := func(e *fault) (*once.Entry, *http1.Response) {
+	refused := func(e *fault) (*idempotency.Entry, *http1.Response) {
 		r := f.fail(e)
 		return nil, &r
 	}
@@ -57,7 +57,7 @@
 	fmt.Fprintf(print, "%s %s\n", m.Method, m.Target)
 	print.Write(m.Body)
 	e, v := f.Once.Ledger.Begin(key, a.Label, print.Sum64())
-	if v.Standing == once.Fresh {
+	if v.Standing == idempotency.Fresh {
 		return e, nil
 	}
 	r := f.standing(v)
@@ -65,19 +65,19 @@
 }
 
 // standing words why a query is not sent.
-func (f Front) standing(v once.Verdict) http1.Response {
+func (f Front) standing(v idempotency.Verdict) http1.Response {
 	later := func(r http1.Response, us int64) http1.Response {
 		r.Fields = append(r.Fields, [2]string{"Retry-After", strconv.FormatInt(max(1, int64(math.Ceil(float64(us)/1e6))), 10)})
 		return r
 	}
 	switch v.Standing {
-	case once.Open:
+	case idempotency.Open:
 		return later(f.fail(&fault{409, "version_conflict_engine_exception", "the first query with this key is still under way"}), 0)
-	case once.Other:
+	case idempotency.Other:
 		return f.fail(&fault{422, "illegal_argument_exception", "this key came with another request before"})
-	case once.Doubt:
+	case idempotency.Doubt:
 		return f.fail(&fault{500, "search_phase_execution_exception", "a query with this key was sent before and its end is not known; parts of it may have run"})
-	case once.Over:
+	case idempotency.Over:
 		if v.Answer.Shortened {
 			return f.fail(&fault{500, "exception", "a query with this key has been carried out before; its answer was too long to be kept"})
 		}
@@ -85,7 +85,7 @@
 			Status: v.Answer.Status, Type: v.Answer.Type, Body: v.Answer.Body,
 			Fields: append(v.Answer.Fields, [2]string{"Idempotent-Replayed", "true"}),
 		}
-	case once.Unknown:
+	case idempotency.Unknown:
 		return later(f.fail(&fault{
 			429, "rejected_execution_exception",
 			"records of the durable store are lost, and one of this key may have been among them; later it may be sent",
@@ -95,14 +95,14 @@
 }
 
 // record keeps how a query ended, before its client is told. It waits for the disk, on the client's goroutine.
-func record(e *once.Entry, verdict broker.Verdict, r http1.Response) {
-	if verdict == broker.Refused {
+func record(e *idempotency.Entry, verdict core.Verdict, r http1.Response) {
+	if verdict == core.Refused {
 		e.Release()
 		return
 	}
 	kept := make(chan struct{})
-	e.End(once.Answer{Status: r.Status, Type: r.Type, Fields: r.Fields, Body: r.Body}, func(error) { close(kept) })
-	if verdict != broker.Answered {
+	e.End(idempotency.Answer{Status: r.Status, Type: r.Type, Fields: r.Fields, Body: r.Body}, func(error) { close(kept) })
+	if verdict != core.Answered {
 		return // without its record a retry is told the same
 	}
 	t := time.NewTimer(endWait)
--- a/internal/opensearch/pit.go
+++ b/internal/broker/opensearch/pit.go
@@ -5,8 +5,8 @@
 	"errors"
 	"fmt"
 	"net/url"
-	"saffronquay/internal/cursor"
-	"saffronquay/internal/http1"
+	"saffronquay/internal/broker/http1"
+	"saffronquay/internal/broker/pagination"
 	"strings"
 	"time"
 
@@ -87,9 +87,9 @@
 // pointFault words the end of a point in time.
 func pointFault(err error) error {
 	switch {
-	case errors.Is(err, cursor.ErrOver), errors.Is(err, cursor.ErrInvalid):
+	case errors.Is(err, pagination.ErrOver), errors.Is(err, pagination.ErrInvalid):
 		return &fault{404, "search_context_missing_exception", "point in time: " + err.Error()}
-	case errors.Is(err, cursor.ErrTooMany):
+	case errors.Is(err, pagination.ErrTooMany):
 		return &fault{429, "rejected_execution_exception", "point in time: " + err.Error()}
 	}
 	return illegal("point in time: %v", err)
--- a/internal/opensearch/ranges.go
+++ b/internal/broker/opensearch/ranges.go
@@ -3,7 +3,7 @@
 import (
 	"cmp"
 	"math"
-	"saffronquay/internal/layout"
+	"saffronquay/internal/broker/layout"
 	"slices"
 )
 
--- a/internal/opensearch/respond.go
+++ b/internal/broker/opensearch/respond.go
@@ -4,14 +4,14 @@
 	"bytes"
 	"errors"
 	"fmt"
-	"saffronquay/internal/broker"
-	"saffronquay/internal/http1"
-	"saffronquay/internal/merge"
+	"saffronquay/internal/broker/core"
+	"saffronquay/internal/broker/http1"
+	"saffronquay/internal/broker/merge"
 	"strconv"
 )
 
 // respond makes the answer of what the parts gave.
-func (s search) respond(final broker.Final, us int64) http1.Response {
+func (s search) respond(final core.Final, us int64) http1.Response {
 	state := merge.NewState(s.plan)
 	for _, v := range final.Values {
 		part, ok := v.Part.(*merge.Part)
@@ -53,7 +53,7 @@
 }
 
 // shards states what is in. An answer in part names its exact share and what is missing.
-func (s search) shards(b []byte, final broker.Final) []byte {
+func (s search) shards(b []byte, final core.Final) []byte {
 	in := len(final.Values)
 	b = fmt.Appendf(b, `"_shards":{"total":%d,"successful":%d,"skipped":0,"failed":%d`, final.Shards, in, final.Shards-in)
 	if len(final.Missing) == 0 {
--- a/internal/opensearch/search.go
+++ b/internal/broker/opensearch/search.go
@@ -3,7 +3,7 @@
 import (
 	"fmt"
 	"math"
-	"saffronquay/internal/merge"
+	"saffronquay/internal/broker/merge"
 	"slices"
 	"strconv"
 	"strings"
--- a/internal/opensearch/servers.go
+++ b/internal/broker/opensearch/servers.go
@@ -4,10 +4,10 @@
 	"bytes"
 	"errors"
 	"fmt"
-	"saffronquay/internal/broker"
-	"saffronquay/internal/http1"
-	"saffronquay/internal/layout"
-	"saffronquay/internal/merge"
+	"saffronquay/internal/broker/core"
+	"saffronquay/internal/broker/http1"
+	"saffronquay/internal/broker/layout"
+	"saffronquay/internal/broker/merge"
 	"strconv"
 	"strings"
 
@@ -36,20 +36,20 @@
 func (Servers) Streams() int { return 1 }
 
 // Session begins a connection to the server at an address.
-func (Servers) Session(address string) broker.Session {
+func (Servers) Session(address string) core.Session {
 	return &session{host: address, parser: http1.Parser{Response: true, Limit: maxAnswer}}
 }
 
 type session struct {
 	host   string
 	parser http1.Parser
-	out    broker.AttemptID // 0: none
-	plan   *merge.Plan      // by which its answer is read
-	place  layout.Place     // what it asks for, under a layout; else its epoch is 0
+	out    core.AttemptID // 0: none
+	plan   *merge.Plan    // by which its answer is read
+	place  layout.Place   // what it asks for, under a layout; else its epoch is 0
 }
 
 // Call writes the search for one part, kept to its shard.
-func (s *session) Call(dst []byte, c broker.Call, now int64) []byte {
+func (s *session) Call(dst []byte, c core.Call, now int64) []byte {
 	a := c.Attempts[0]
 	s.plan, _ = a.Plan.(*merge.Plan)
 	s.out, s.place = a.ID, layout.Place{Shard: a.Shard, Span: a.Span, Epoch: a.Epoch}
@@ -73,17 +73,17 @@
 }
 
 // Drop has no words in this dialect: only closing the connection gives a search up.
-func (s *session) Drop(dst []byte, id broker.AttemptID) ([]byte, bool) { return dst, s.out != id }
+func (s *session) Drop(dst []byte, id core.AttemptID) ([]byte, bool) { return dst, s.out != id }
 
 // Unsent forgets a search that never left; the connection can take another.
-func (s *session) Unsent(id broker.AttemptID) {
+func (s *session) Unsent(id core.AttemptID) {
 	if s.out == id {
 		s.out = 0
 	}
 }
 
 // Feed takes in bytes from the server and returns what they end.
-func (s *session) Feed(b []byte) ([]broker.Reply, error) {
+func (s *session) Feed(b []byte) ([]core.Reply, error) {
 	s.parser.Feed(b)
 	for {
 		m, err := s.parser.Next()
@@ -102,7 +102,7 @@
 		r := s.take(m)
 		switch {
 		case m.Close:
-			return r, broker.ErrLast
+			return r, core.ErrLast
 		case !s.parser.Idle():
 			return r, errors.New("bytes behind an answer")
 		}
@@ -110,16 +110,16 @@
 	}
 }
 
-func (s *session) take(m *http1.Message) []broker.Reply {
-	r := broker.Reply{Attempt: s.out, Size: len(m.Body)}
+func (s *session) take(m *http1.Message) []core.Reply {
+	r := core.Reply{Attempt: s.out, Size: len(m.Body)}
 	s.out = 0
 	plan, place := s.plan, s.place
-	r.Read = func() broker.Reply { return reading(r, m, plan, place) }
-	return []broker.Reply{r}
+	r.Read = func() core.Reply { return reading(r, m, plan, place) }
+	return []core.Reply{r}
 }
 
 // reading judges an answer to a part.
-func reading(r broker.Reply, m *http1.Message, plan *merge.Plan, place layout.Place) broker.Reply {
+func reading(r core.Reply, m *http1.Message, plan *merge.Plan, place layout.Place) core.Reply {
 	r.Read = nil
 	if r.Outcome, r.Part = judge(m, plan); place.Epoch > 0 {
 		if r.Outcome = placedAt(place, m, r.Outcome); r.Outcome != sq.Served {
@@ -160,7 +160,7 @@
 func (s *session) Partial() bool { return !s.parser.Idle() }
 
 // Closed says that the server has ended the connection, which may be what ends its answer.
-func (s *session) Closed() []broker.Reply {
+func (s *session) Closed() []core.Reply {
 	if m, err := s.parser.Ended(); err == nil && m != nil && s.out != 0 {
 		return s.take(m)
 	}
--- a/internal/opensearch/sort.go
+++ b/internal/broker/opensearch/sort.go
@@ -3,7 +3,7 @@
 import (
 	"errors"
 	"fmt"
-	"saffronquay/internal/merge"
+	"saffronquay/internal/broker/merge"
 	"strconv"
 
 	"github.com/valyala/fastjson"
--- a/internal/cursor/cursor.go
+++ b/internal/broker/pagination/cursor.go
@@ -1,11 +1,11 @@
-// Package cursor owns points in time: cursors over an index that keep pages stable while documents are written and ranges move.
+// Package pagination owns points in time: cursors over an index that keep pages stable while documents are written and ranges move.
 // It makes and checks their tokens and bounds how many a tenant has open, for how long. It reads no clock and makes no random
 // numbers, and it must never hold what a cursor's pages hold: servers answer as of the cursor's time, or say that they can't.
 //
 // A token is opaque, names its tenant and is sealed (HMAC-SHA256), so that it can't be made up or used by another tenant. With a key
 // in the operator's file every gatherer with that key, and a process that replaces this one, knows it; without, it is over with
 // the process.
-package cursor
+package pagination
 
 import (
 	"crypto/hmac"
--- a/internal/cursor/cursor_test.go
+++ b/internal/broker/pagination/cursor_test.go
@@ -1,11 +1,11 @@
-package cursor
+package pagination
 
 import (
 	"errors"
 	"testing"
 
 	"pgregory.net/rapid"
-	_ "saffronquay/internal/lab/steady"
+	_ "saffronquay/internal/testing/harness/steady"
 )
 
 const second = 1_000_000
--- a/internal/cursor/golden_test.go
+++ b/internal/broker/pagination/golden_test.go
@@ -1,4 +1,4 @@
-package cursor
+package pagination
 
 import (
 	"testing"
--- a/internal/platform/client.go
+++ b/internal/broker/platform/client.go
@@ -5,8 +5,8 @@
 	"encoding/json"
 	"fmt"
 	"math"
-	"saffronquay/internal/broker"
-	"saffronquay/internal/http1"
+	"saffronquay/internal/broker/core"
+	"saffronquay/internal/broker/http1"
 	"strconv"
 	"strings"
 
@@ -31,8 +31,8 @@
 
 // Open turns a request that arrived at now into a query, or into a response where it asks for nothing that
 // the broker has to decide.
-func (f Front) Open(m *http1.Message, now int64, ready bool) (broker.Ask, func(broker.Final, int64) http1.Response, *http1.Response) {
-	var none broker.Ask
+func (f Front) Open(m *http1.Message, now int64, ready bool) (core.Ask, func(core.Final, int64) http1.Response, *http1.Response) {
+	var none core.Ask
 	path, _, _ := strings.Cut(m.Target, "?")
 	if path == "/_health" {
 		if m.Method != "GET" && m.Method != "HEAD" {
@@ -54,7 +54,7 @@
 	if err != nil {
 		return none, nil, plain(400, err.Error())
 	}
-	return ask, func(final broker.Final, _ int64) http1.Response { return answer(final) }, nil
+	return ask, func(final core.Final, _ int64) http1.Response { return answer(final) }, nil
 }
 
 // Class is the class that a request for the broker names.
@@ -75,8 +75,8 @@
 	return strings.CutPrefix(rest, "/")
 }
 
-func (f Front) ask(m *http1.Message, key string, now int64) (broker.Ask, error) {
-	a := broker.Ask{
+func (f Front) ask(m *http1.Message, key string, now int64) (core.Ask, error) {
+	a := core.Ask{
 		Label: m.Header.Get("Request-Id"), Unique: true, Class: m.Header.Get("Request-Class"),
 		Tenant: m.Header.Get("Tenant"), Key: key,
 	}
@@ -118,7 +118,7 @@
 		if err != nil {
 			return a, fmt.Errorf("segments[%d].segment: %w", i, err)
 		}
-		part := broker.AskPart{
+		part := core.AskPart{
 			Shard: shard, Weight: p.GetFloat64("boost"),
 			Work: int64(max(-1, min(p.GetFloat64("work"), math.MaxInt32*1e6))),
 		} // the core judges the range
@@ -128,9 +128,9 @@
 	return a, nil
 }
 
-func answer(f broker.Final) http1.Response {
+func answer(f core.Final) http1.Response {
 	switch f.Verdict {
-	case broker.Answered:
+	case core.Answered:
 		b := fmt.Appendf(nil, `{"all_in":%t,"matches":[`, f.Whole)
 		for i, v := range f.Values {
 			if i > 0 {
@@ -143,7 +143,7 @@
 			b = fmt.Appendf(b, `{"segment":%d,"payload":%s}`, v.Shard, quoted)
 		}
 		return http1.Response{Status: 200, Type: "application/json", Body: append(b, "]}"...)}
-	case broker.Refused:
+	case core.Refused:
 		r := plain(429, "refused: trying again is harmless")
 		if f.RetryAfter > 0 {
 			s := strconv.FormatFloat(math.Ceil(float64(f.RetryAfter)/1000)/1000, 'f', -1, 64)
--- a/internal/platform/frames.go
+++ b/internal/broker/platform/frames.go
@@ -5,8 +5,8 @@
 	"encoding/binary"
 	"fmt"
 	"math"
-	"saffronquay/internal/broker"
-	"saffronquay/internal/http1"
+	"saffronquay/internal/broker/core"
+	"saffronquay/internal/broker/http1"
 	"strconv"
 	"strings"
 	"unicode/utf8"
@@ -28,21 +28,21 @@
 func (w Workers) Streams() int { return w.PerConn }
 
 // Session begins a connection to a worker.
-func (Workers) Session(string) broker.Session {
-	return &session{names: map[broker.AttemptID]string{}, out: map[string]broker.AttemptID{}, dropped: map[string]int{}}
+func (Workers) Session(string) core.Session {
+	return &session{names: map[core.AttemptID]string{}, out: map[string]core.AttemptID{}, dropped: map[string]int{}}
 }
 
 // session holds the names under which attempts are out on one connection.
 type session struct {
 	buf     []byte
-	names   map[broker.AttemptID]string
-	out     map[string]broker.AttemptID
+	names   map[core.AttemptID]string
+	out     map[string]core.AttemptID
 	dropped map[string]int // given up, and may still be answered; the oldest are forgotten
 	order   []string       // of dropped
 }
 
 // Call writes a frame for a call that leaves at now.
-func (s *session) Call(dst []byte, c broker.Call, now int64) []byte {
+func (s *session) Call(dst []byte, c core.Call, now int64) []byte {
 	body := []byte{'R'}
 	for _, a := range c.Attempts {
 		name := a.Label + "." + strconv.Itoa(a.Shard)
@@ -62,7 +62,7 @@
 }
 
 // Drop writes a frame that gives an attempt up; the connection is shared and stays.
-func (s *session) Drop(dst []byte, id broker.AttemptID) ([]byte, bool) {
+func (s *session) Drop(dst []byte, id core.AttemptID) ([]byte, bool) {
 	name, ok := s.names[id]
 	if !ok {
 		return dst, true
@@ -77,7 +77,7 @@
 }
 
 // Unsent forgets an attempt whose frame never left.
-func (s *session) Unsent(id broker.AttemptID) { s.forget(id) }
+func (s *session) Unsent(id core.AttemptID) { s.forget(id) }
 
 // late forgets one dropped attempt of a name; ok is false where there was none.
 func (s *session) late(name string) (ok bool) {
@@ -96,7 +96,7 @@
 	return true
 }
 
-func (s *session) forget(id broker.AttemptID) {
+func (s *session) forget(id core.AttemptID) {
 	if name := s.names[id]; s.out[name] == id {
 		delete(s.out, name)
 	}
@@ -111,9 +111,9 @@
 // Feed takes in bytes from the worker and returns what they end. Each bound is judged as soon as the bytes
 // that tell it are in: guards against buffering what a spoilt answer declares or never ends. What was good
 // before the spoilt bytes is returned with the error.
-func (s *session) Feed(b []byte) ([]broker.Reply, error) {
+func (s *session) Feed(b []byte) ([]core.Reply, error) {
 	s.buf = append(s.buf, b...)
-	var replies []broker.Reply
+	var replies []core.Reply
 	for len(s.buf) >= 4 {
 		n := int64(binary.BigEndian.Uint32(s.buf))
 		if n < 1 || n > maxFrame {
@@ -145,7 +145,7 @@
 		if err != nil {
 			if known {
 				s.forget(r.Attempt)
-				replies = append(replies, broker.Reply{Attempt: r.Attempt, Outcome: sq.Errored})
+				replies = append(replies, core.Reply{Attempt: r.Attempt, Outcome: sq.Errored})
 			}
 			return replies, err
 		}
@@ -171,11 +171,11 @@
 }
 
 // Closed says that the worker has ended the connection.
-func (s *session) Closed() []broker.Reply { return nil }
+func (s *session) Closed() []core.Reply { return nil }
 
 // head reads an answer's line. An answer for a name that was never sent here, or that has been answered, is
 // spoilt; a late one for an attempt that was given up is not.
-func (s *session) head(line []byte) (r broker.Reply, known bool, err error) {
+func (s *session) head(line []byte) (r core.Reply, known bool, err error) {
 	f := strings.SplitN(string(line), " ", 4) // a report that can't be read may hold anything
 	r.Attempt, known = s.out[f[0]]
 	if !known && s.dropped[f[0]] == 0 {
--- a/internal/platform/platform_test.go
+++ b/internal/broker/platform/platform_test.go
@@ -4,8 +4,8 @@
 	"encoding/binary"
 	"fmt"
 	"reflect"
-	"saffronquay/internal/broker"
-	"saffronquay/internal/http1"
+	"saffronquay/internal/broker/core"
+	"saffronquay/internal/broker/http1"
 	"strings"
 	"testing"
 
@@ -16,10 +16,10 @@
 	return string(binary.BigEndian.AppendUint32(nil, uint32(len(body)))) + body
 }
 
-func call(ids ...broker.AttemptID) broker.Call {
-	c := broker.Call{Server: "s"}
+func call(ids ...core.AttemptID) core.Call {
+	c := core.Call{Server: "s"}
 	for _, id := range ids {
-		c.Attempts = append(c.Attempts, broker.Attempt{ID: id, Label: "9b1f", Shard: int(id), Due: 250_500, Text: []byte("c4\n1")})
+		c.Attempts = append(c.Attempts, core.Attempt{ID: id, Label: "9b1f", Shard: int(id), Due: 250_500, Text: []byte("c4\n1")})
 	}
 	return c
 }
@@ -136,22 +136,22 @@
 	if resp != nil {
 		t.Fatalf("%s", resp.Body)
 	}
-	want := broker.Ask{
+	want := core.Ask{
 		Label: "9b1f", Unique: true, Class: "c", Tenant: "acme", Key: "k1", Deadline: 480_990, Text: []byte(`a"b`),
-		Parts: []broker.AskPart{{Shard: 3, Weight: 0.5, Work: 9000, Key: "00ff"}, {Shard: 9, Weight: 0.5}},
+		Parts: []core.AskPart{{Shard: 3, Weight: 0.5, Work: 9000, Key: "00ff"}, {Shard: 9, Weight: 0.5}},
 	}
 	if fmt.Sprint(ask) != fmt.Sprint(want) {
 		t.Errorf("got %v, want %v", ask, want)
 	}
-	r := word(broker.Final{Verdict: broker.Answered, Whole: true, Values: []broker.Value{{Shard: 3, Data: []byte(`5b"`)}}}, 0)
+	r := word(core.Final{Verdict: core.Answered, Whole: true, Values: []core.Value{{Shard: 3, Data: []byte(`5b"`)}}}, 0)
 	if got := string(r.Body); r.Status != 200 || got != `{"all_in":true,"matches":[{"segment":3,"payload":"5b\""}]}` {
 		t.Errorf("got %d %s", r.Status, got)
 	}
-	r = word(broker.Final{Verdict: broker.Refused, RetryAfter: 250_100}, 0)
+	r = word(core.Final{Verdict: core.Refused, RetryAfter: 250_100}, 0)
 	if r.Status != 429 || fmt.Sprint(r.Fields) != "[[Retry-After 0.251]]" {
 		t.Errorf("got %d %v", r.Status, r.Fields)
 	}
-	for _, f := range []broker.Final{{Verdict: broker.Failed}, {Verdict: broker.Failed, Overdue: true}} {
+	for _, f := range []core.Final{{Verdict: core.Failed}, {Verdict: core.Failed, Overdue: true}} {
 		if r := word(f, 0); r.Status == 429 || r.Status == 503 || r.Status < 500 {
 			t.Errorf("a failure must not say that a repeat is harmless: %d", r.Status)
 		}
@@ -207,7 +207,7 @@
 // A dropped attempt's name is remembered until its late answer, or until many others were dropped after it.
 func TestDroppedNamesAreBounded(t *testing.T) {
 	s := Workers{PerConn: 32}.Session("").(*session)
-	for id := broker.AttemptID(1); id <= 3*mostDropped; id++ {
+	for id := core.AttemptID(1); id <= 3*mostDropped; id++ {
 		s.Call(nil, call(id), 0)
 		s.Drop(nil, id)
 	}
--- a/internal/routing/expect.go
+++ b/internal/broker/routecheck/expect.go
@@ -1,4 +1,4 @@
-package routing
+package routecheck
 
 import (
 	"bytes"
--- a/internal/routing/explain.go
+++ b/internal/broker/routecheck/explain.go
@@ -1,8 +1,8 @@
-package routing
+package routecheck
 
 import (
 	"fmt"
-	"saffronquay/internal/layout"
+	"saffronquay/internal/broker/layout"
 
 	sq "saffronquay"
 )
--- a/internal/routing/load.go
+++ b/internal/broker/routecheck/load.go
@@ -1,9 +1,9 @@
-package routing
+package routecheck
 
 import (
 	"cmp"
 	"maps"
-	"saffronquay/internal/layout"
+	"saffronquay/internal/broker/layout"
 	"slices"
 
 	sq "saffronquay"
--- a/internal/routing/proof_test.go
+++ b/internal/broker/routecheck/proof_test.go
@@ -1,10 +1,10 @@
-package routing
+package routecheck
 
 import (
 	"fmt"
 	"math/rand/v2"
 	"os"
-	"saffronquay/internal/layout"
+	"saffronquay/internal/broker/layout"
 	"slices"
 	"strings"
 	"testing"
--- a/internal/gatherer/bugs.go
+++ b/internal/broker/server/bugs.go
@@ -1,11 +1,11 @@
 //go:build !seeded
 
-package gatherer
+package server
 
 import (
-	"saffronquay/internal/fleet"
-	"saffronquay/internal/rollout"
+	"saffronquay/internal/cluster/rollout"
+	"saffronquay/internal/cluster/swim"
 )
 
 // seed puts seeded faults in: none, in any build but one with the tag 'seeded', which is made to see that campaigns catch them.
-func seed(*fleet.Config, *rollout.Config) {}
+func seed(*swim.Config, *rollout.Config) {}
--- a/internal/gatherer/bugs_seeded.go
+++ b/internal/broker/server/bugs_seeded.go
@@ -1,16 +1,16 @@
 //go:build seeded
 
-package gatherer
+package server
 
 import (
 	"os"
-	"saffronquay/internal/fleet"
-	"saffronquay/internal/rollout"
+	"saffronquay/internal/cluster/rollout"
+	"saffronquay/internal/cluster/swim"
 	"strings"
 )
 
 // seed puts the seeded faults in that SAFFRONQUAY_SEEDED_BUG names, with commas between.
-func seed(f *fleet.Config, r *rollout.Config) {
+func seed(f *swim.Config, r *rollout.Config) {
 	for _, name := range strings.Split(os.Getenv("SAFFRONQUAY_SEEDED_BUG"), ",") {
 		switch {
 		case f != nil && name == "fleet:dead-tries":
--- a/internal/gatherer/durable.go
+++ b/internal/broker/server/durable.go
@@ -1,4 +1,4 @@
-package gatherer
+package server
 
 import (
 	"crypto/rand"
@@ -10,16 +10,16 @@
 	"log/slog"
 	"os"
 	"path/filepath"
-	"saffronquay/internal/broker"
-	"saffronquay/internal/config"
-	"saffronquay/internal/cursor"
-	"saffronquay/internal/events"
-	"saffronquay/internal/layout"
-	"saffronquay/internal/once"
-	"saffronquay/internal/operations"
-	"saffronquay/internal/store"
-	"saffronquay/internal/store/form"
-	"saffronquay/internal/transport"
+	"saffronquay/internal/broker/adminapi"
+	"saffronquay/internal/broker/config"
+	"saffronquay/internal/broker/core"
+	"saffronquay/internal/broker/idempotency"
+	"saffronquay/internal/broker/layout"
+	"saffronquay/internal/broker/logging"
+	"saffronquay/internal/broker/pagination"
+	"saffronquay/internal/broker/transport"
+	"saffronquay/internal/storage/recordlog"
+	"saffronquay/internal/storage/recordlog/form"
 	"sync"
 	"time"
 
@@ -33,13 +33,13 @@
 	cfg    config.Store
 	name   string // of the gatherer
 	log    *slog.Logger
-	dirs   [2]store.Dir
-	store  *store.Store // nil: it could not be opened, and the file allows to start without
-	ledger *once.Ledger
+	dirs   [2]recordlog.Dir
+	store  *recordlog.Store // nil: it could not be opened, and the file allows to start without
+	ledger *idempotency.Ledger
 	key    []byte      // what seals cursors
 	doc    *layout.Doc // the layout that was in force last
 	memory transport.Memory
-	marks  []cursor.Mark
+	marks  []pagination.Mark
 
 	stop, done chan struct{}
 	runs       bool
@@ -74,22 +74,22 @@
 		if !cfg.Without {
 			return nil, fmt.Errorf("%w: look at it with 'saffronquay store check %s %s', and see docs/STORE.md", err, cfg.Directories[0], cfg.Directories[1])
 		}
-		events.Error(logger, events.StoreOff, "classes", "those that must not run twice are turned away", "error", err)
+		logging.Error(logger, logging.StoreOff, "classes", "those that must not run twice are turned away", "error", err)
 		return d, nil
 	}
-	d.ledger = once.New(d.store, once.Config{Keep: cfg.Keep.Microseconds(), MaxBody: cfg.MaxAnswer, Nonce: nonce()})
+	d.ledger = idempotency.New(d.store, idempotency.Config{Keep: cfg.Keep.Microseconds(), MaxBody: cfg.MaxAnswer, Nonce: nonce()})
 	if err := d.recall(); err != nil {
 		d.store.Close()
 		return nil, fmt.Errorf("store: %w", err)
 	}
 	bytes, keys := d.store.Size()
-	events.Info(logger, events.Store, "bytes", bytes, "keys", keys, "unknown", len(d.store.Unknown()), "took", time.Since(began).Round(time.Millisecond))
+	logging.Info(logger, logging.Store, "bytes", bytes, "keys", keys, "unknown", len(d.store.Unknown()), "took", time.Since(began).Round(time.Millisecond))
 	return d, nil
 }
 
 func (d *durable) open() (err error) {
 	for i, path := range d.cfg.Directories {
-		if d.dirs[i], err = store.Directory(path); err != nil {
+		if d.dirs[i], err = recordlog.Directory(path); err != nil {
 			return err
 		}
 	}
@@ -100,16 +100,16 @@
 	if d.cfg.Single {
 		batch = 1
 	}
-	opt := store.Options{
+	opt := recordlog.Options{
 		ID: nonce(), Now: func() int64 { return time.Since(began).Microseconds() }, Keep: d.cfg.Keep.Microseconds(),
 		SegmentSize: d.cfg.SegmentSize, MaxBatch: batch, CleanEvery: time.Second, ScrubEvery: scrubEvery, Log: d.log,
 	}
 	for told := false; ; {
 		late := time.Since(began) > d.cfg.Takeover
-		d.store, err = store.Open(d.dirs, opt, late)
-		if !errors.Is(err, store.ErrOwned) {
+		d.store, err = recordlog.Open(d.dirs, opt, late)
+		if !errors.Is(err, recordlog.ErrOwned) {
 			if err == nil && late {
-				events.Warn(d.log, events.StoreTakenOver, "waited", d.cfg.Takeover)
+				logging.Warn(d.log, logging.StoreTakenOver, "waited", d.cfg.Takeover)
 			}
 			d.dirs[0].Remove(wanted)
 			return err
@@ -119,7 +119,7 @@
 		}
 		if !told {
 			told = true
-			events.Info(d.log, events.StoreWaits, "longest", d.cfg.Takeover)
+			logging.Info(d.log, logging.StoreWaits, "longest", d.cfg.Takeover)
 		}
 		if f, err := d.dirs[0].Create(wanted); err == nil {
 			f.Close()
@@ -174,18 +174,18 @@
 
 // recall reads what outlasted the process before.
 func (d *durable) recall() error {
-	if r, ok, err := d.store.Get(store.Sealing, ""); err != nil {
+	if r, ok, err := d.store.Get(recordlog.Sealing, ""); err != nil {
 		return err
 	} else if ok {
 		d.key = r.Value
 	} else {
 		d.key = make([]byte, 32)
 		rand.Read(d.key) // it never fails
-		if err := d.store.Append(store.Record{Kind: store.Sealing, Value: d.key}, nil); err != nil {
+		if err := d.store.Append(recordlog.Record{Kind: recordlog.Sealing, Value: d.key}, nil); err != nil {
 			return err
 		}
 	}
-	if r, ok, err := d.store.Get(store.Layout, ""); err != nil {
+	if r, ok, err := d.store.Get(recordlog.Layout, ""); err != nil {
 		return err
 	} else if ok {
 		var f form.Layout
@@ -195,15 +195,15 @@
 			}
 		}
 	}
-	if r, ok, err := d.store.Get(store.Learned, ""); err != nil {
+	if r, ok, err := d.store.Get(recordlog.Learned, ""); err != nil {
 		return err
 	} else if ok {
 		d.memory = remembered(r.Value)
 	}
-	return d.store.Each(store.Cursor, func(r store.Record) {
+	return d.store.Each(recordlog.Cursor, func(r recordlog.Record) {
 		var f form.Cursor
 		if proto.Unmarshal(r.Value, &f) == nil {
-			d.marks = append(d.marks, cursor.Mark{Tenant: f.Tenant, Nonce: f.Nonce, Until: f.Until, Closed: f.Closed})
+			d.marks = append(d.marks, pagination.Mark{Tenant: f.Tenant, Nonce: f.Nonce, Until: f.Until, Closed: f.Closed})
 		}
 	})
 }
@@ -221,9 +221,9 @@
 	for _, s := range f.Servers {
 		m.Learned.Servers = append(m.Learned.Servers, sq.Known{Server: sq.ServerID(s.Id), Pace: s.Pace, PaceAt: s.PaceAt, Fails: s.Fails, Tries: s.Tries, At: s.At})
 	}
-	m.Spent = map[string]broker.Spent{}
+	m.Spent = map[string]core.Spent{}
 	for _, r := range f.Rations {
-		s := broker.Spent{At: r.At}
+		s := core.Spent{At: r.At}
 		copy(s.Taken[:], r.Taken)
 		copy(s.Extras[:], r.Extras)
 		m.Spent[r.Tenant] = s
@@ -252,14 +252,14 @@
 		listed[id] = true
 	}
 	if _, err := layout.Make(*d.doc, func(id sq.ServerID) bool { return listed[id] }); err != nil {
-		events.Warn(d.log, events.StoreLayout, "kept", "file", "error", err)
+		logging.Warn(d.log, logging.StoreLayout, "kept", "file", "error", err)
 		return file
 	}
 	return *d.doc
 }
 
 // follow has a keeper of cursors told what stood, and its changes kept.
-func (d *durable) follow(k *cursor.Keeper, now int64) {
+func (d *durable) follow(k *pagination.Keeper, now int64) {
 	if d == nil || d.store == nil || k == nil {
 		return
 	}
@@ -267,19 +267,19 @@
 		k.Restore(now, m)
 	}
 	d.marks = nil
-	k.Tell(func(m cursor.Mark) {
+	k.Tell(func(m pagination.Mark) {
 		value, err := proto.Marshal(&form.Cursor{Tenant: m.Tenant, Nonce: m.Nonce, Until: m.Until, Closed: m.Closed})
 		if err != nil {
 			return
 		}
 		key := binary.BigEndian.AppendUint64([]byte(m.Tenant+"\x00"), m.Nonce)
 		// Until is Unix time, the store's clock is not: a record lasts as long as the cursor does.
-		d.keep(store.Record{Kind: store.Cursor, Key: string(key), Value: value, Until: d.store.Now() + max(1, m.Until-time.Now().UnixMicro())})
+		d.keep(recordlog.Record{Kind: recordlog.Cursor, Key: string(key), Value: value, Until: d.store.Now() + max(1, m.Until-time.Now().UnixMicro())})
 	})
 }
 
 // keep has a record written; nobody waits for it.
-func (d *durable) keep(r store.Record) bool {
+func (d *durable) keep(r recordlog.Record) bool {
 	err := d.store.Append(r, d.note)
 	if err != nil {
 		d.note(err)
@@ -292,7 +292,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if err != nil && !d.failed {
-		events.Warn(d.log, events.StoreMisses, "error", err)
+		logging.Warn(d.log, logging.StoreMisses, "error", err)
 	}
 	d.failed = err != nil
 }
@@ -332,7 +332,7 @@
 func (d *durable) remember(engine *transport.Engine, place *layout.Current) {
 	if m, ok := engine.Remember(); ok {
 		if value, err := worded(m); err == nil {
-			d.keep(store.Record{Kind: store.Learned, Value: value, Until: d.store.Now() + forgetIn.Microseconds()})
+			d.keep(recordlog.Record{Kind: recordlog.Learned, Value: value, Until: d.store.Now() + forgetIn.Microseconds()})
 		}
 	}
 	l := place.Load()
@@ -343,7 +343,7 @@
 	if err != nil {
 		return
 	}
-	if value, err := proto.Marshal(&form.Layout{Doc: doc}); err == nil && d.keep(store.Record{Kind: store.Layout, Value: value}) {
+	if value, err := proto.Marshal(&form.Layout{Doc: doc}); err == nil && d.keep(recordlog.Record{Kind: recordlog.Layout, Value: value}) {
 		d.tender = l
 	}
 }
@@ -365,7 +365,7 @@
 		break
 	}
 	d.store.Close()
-	events.Info(d.log, events.StoreYielded, "open", d.ledger.Held())
+	logging.Info(d.log, logging.StoreYielded, "open", d.ledger.Held())
 }
 
 // close lets the store go, where it is still held.
@@ -382,10 +382,10 @@
 }
 
 // figures are the store's, for the operators' door.
-func (d *durable) figures() operations.StoreFigures {
+func (d *durable) figures() adminapi.StoreFigures {
 	bytes, keys := d.store.Size()
 	f := d.store.Figures()
-	s := operations.StoreFigures{
+	s := adminapi.StoreFigures{
 		Bytes: bytes, Keys: int64(keys), Open: int64(d.ledger.Held()), Unknown: int64(len(d.store.Unknown())),
 		Appends: f.Appends.Load(), Syncs: f.Syncs.Load(), Failed: f.Failed.Load(), Cleaned: f.Cleaned.Load(),
 	}
--- a/internal/gatherer/force.go
+++ b/internal/broker/server/force.go
@@ -1,14 +1,14 @@
-package gatherer
+package server
 
 import (
 	"encoding/binary"
 	"errors"
 	"fmt"
 	"log/slog"
-	"saffronquay/internal/config"
-	"saffronquay/internal/rollout"
-	"saffronquay/internal/rollout/wire"
-	"saffronquay/internal/store"
+	"saffronquay/internal/broker/config"
+	"saffronquay/internal/cluster/rollout"
+	"saffronquay/internal/cluster/rollout/wire"
+	"saffronquay/internal/storage/recordlog"
 
 	"google.golang.org/protobuf/proto"
 )
@@ -47,7 +47,7 @@
 	if err := h.Roster(&wire.State{Members: s.Members, MembersIndex: s.MembersIndex}); err != nil {
 		return given, fmt.Errorf("rollout: %w", err)
 	}
-	if err := write(d.store, store.Record{Kind: store.Rollout, Key: keyIdentity, Value: binary.BigEndian.AppendUint64(nil, identity)}); err != nil {
+	if err := write(d.store, recordlog.Record{Kind: recordlog.Rollout, Key: keyIdentity, Value: binary.BigEndian.AppendUint64(nil, identity)}); err != nil {
 		return given, errors.Join(errors.New("rollout: the new identity is not on disk: do it again"), err)
 	}
 	// A vote in the global agreement was by the old identity: from here on it is as one whose disk is lost. Not before: a vote that is forgotten
--- a/internal/gatherer/gatherer.go
+++ b/internal/broker/server/gatherer.go
@@ -1,4 +1,4 @@
-package gatherer
+package server
 
 import (
 	"cmp"
@@ -9,14 +9,14 @@
 	"net"
 	"os"
 	"runtime/debug"
-	"saffronquay/internal/broker"
-	"saffronquay/internal/config"
-	"saffronquay/internal/events"
-	"saffronquay/internal/handover"
-	"saffronquay/internal/operations"
-	"saffronquay/internal/peers"
-	"saffronquay/internal/platform"
-	"saffronquay/internal/transport"
+	"saffronquay/internal/broker/adminapi"
+	"saffronquay/internal/broker/config"
+	"saffronquay/internal/broker/core"
+	"saffronquay/internal/broker/handover"
+	"saffronquay/internal/broker/logging"
+	"saffronquay/internal/broker/platform"
+	"saffronquay/internal/broker/transport"
+	"saffronquay/internal/cluster/peering"
 	"sync"
 	"sync/atomic"
 	"time"
@@ -34,10 +34,10 @@
 	routes    *transport.Routes  // nil: no layout
 	virtual   *service           // nil: no virtual address
 	door      *transport.Door    // nil: off
-	duty      *operations.Duty
-	figures   *operations.Figures
+	duty      *adminapi.Duty
+	figures   *adminapi.Figures
 	view      atomic.Pointer[members]         // the same as fleetView, for operators' calls
-	policy    atomic.Pointer[peers.Policy]    // the part in agreeing on the policy; nil: there is none
+	policy    atomic.Pointer[peering.Policy]  // the part in agreeing on the policy; nil: there is none
 	parts     *parts                          // of the budgets; nil: they are divided evenly
 	number    atomic.Uint64                   // of the policy in force here
 	inForce   atomic.Pointer[config.Operator] // the file, with the policy in force
@@ -66,7 +66,7 @@
 
 // Start starts a gatherer by a plan, and returns once it serves. output, where given, is what logger writes through: the plan's format
 // and level are put in force there.
-func Start(p Plan, logger *slog.Logger, output *events.Output) (*Gatherer, error) {
+func Start(p Plan, logger *slog.Logger, output *logging.Output) (*Gatherer, error) {
 	p.output = output
 	if err := p.applyLog(); err != nil {
 		return nil, fmt.Errorf("configuration: log: %w", err)
@@ -77,9 +77,9 @@
 		turn: make(chan struct{}, 1), met: make(chan []handover.State, 1), hup: make(chan struct{}, 1), term: make(chan struct{}),
 		over: make(chan struct{}), deaf: make(chan struct{}), late: make(chan *members), installs: make(chan install),
 	}
-	g.duty, g.figures = operations.NewDuty(g.stand), operations.NewFigures()
+	g.duty, g.figures = adminapi.NewDuty(g.stand), adminapi.NewFigures()
 	if g.layout != nil {
-		g.figures.Routes = &operations.LayoutFigures{}
+		g.figures.Routes = &adminapi.LayoutFigures{}
 	}
 	if g.adopt != nil {
 		g.adopt()
@@ -97,7 +97,7 @@
 		g.figures.Store = d.figures
 	}
 	if g.fleetFile != nil {
-		g.figures.Fleet = func() operations.FleetFigures { return g.view.Load().figures() }
+		g.figures.Fleet = func() adminapi.FleetFigures { return g.view.Load().figures() }
 	}
 	if g.rollout != nil {
 		g.figures.Rollout = g.rolloutFigures
@@ -264,7 +264,7 @@
 	}
 	g.duty.Begin()
 	g.clients, g.operators = socket.Addr().String(), door
-	events.Info(g.logger, events.Start, "name", g.name, "listen", socket.Addr(), "operator", door, "servers", len(g.fleet.Servers))
+	logging.Info(g.logger, logging.Start, "name", g.name, "listen", socket.Addr(), "operator", door, "servers", len(g.fleet.Servers))
 	return nil
 }
 
@@ -276,7 +276,7 @@
 	}
 	err := g.virtual.compete(!g.standsBy())
 	if err != nil && !g.waits {
-		events.Error(g.logger, events.Vrrp, "error", err)
+		logging.Error(g.logger, logging.Vrrp, "error", err)
 	}
 	g.waits = err != nil
 	return err
@@ -290,7 +290,7 @@
 	if g.listener != nil {
 		g.listener.Standby(standby)
 	}
-	events.Info(g.logger, events.Duty, "standby", standby)
+	logging.Info(g.logger, logging.Duty, "standby", standby)
 	select {
 	case g.turn <- struct{}{}:
 	default:
@@ -309,7 +309,7 @@
 	if err != nil {
 		return fmt.Errorf("configuration: settings: %w", err)
 	}
-	g.engine = transport.NewEngine(g.clock, broker.New(g.terms(), module), g.pool(), g.dialect, g.figures, g.logger)
+	g.engine = transport.NewEngine(g.clock, core.New(g.terms(), module), g.pool(), g.dialect, g.figures, g.logger)
 	g.engine.Contracts(g.contracts)
 	g.engine.Fleet(g.fleet, g.addresses)
 	if g.watch != nil {
@@ -330,14 +330,14 @@
 
 // desk is what the operators' door reaches.
 type desk struct {
-	*operations.Duty
-	*operations.Figures
+	*adminapi.Duty
+	*adminapi.Figures
 	routes *transport.Routes
-	output *events.Output
+	output *logging.Output
 	engine *transport.Engine
 	// members is the view of the fleet; nil before it is opened, or where there is none.
 	members func() *members
-	policy  func() *peers.Policy // nil where there is none
+	policy  func() *peering.Policy // nil where there is none
 }
 
 // Contracts appends how each team stands, a line each; nil where there are no contracts.
@@ -400,12 +400,12 @@
 	select {
 	case <-g.routes.Heard():
 	case <-t.C:
-		events.Warn(g.logger, events.Start, "layout", "given", "waited", firstList)
+		logging.Warn(g.logger, logging.Start, "layout", "given", "waited", firstList)
 	}
 }
 
 // terms is what the core holds to, by the settings in force.
-func (g *Gatherer) terms() broker.Terms {
+func (g *Gatherer) terms() core.Terms {
 	set := g.settings
 	for _, c := range set.Module.Classes {
 		g.figures.Know(c.Name)
@@ -418,7 +418,7 @@
 	if g.watch == nil { // searches: their answers are of any size
 		held = int64(g.memoryMB) << 20 / 4
 	}
-	return broker.Terms{
+	return core.Terms{
 		MaxHeld: held, Period: set.Module.Period, Shards: set.Module.Shards, MaxOpen: set.MaxOpen,
 		PartsPerCall: g.partsPerCall, RetryAfter: set.Module.Limits.RetryAfter,
 		MaxRetryAfter: set.Module.Limits.MaxRetryAfter, AnswerGrace: set.Module.Period,
@@ -505,10 +505,10 @@
 	g.share(others)
 	if from.Standby {
 		if err := g.duty.Standby(); err != nil {
-			events.Error(g.logger, events.Duty, "error", err)
+			logging.Error(g.logger, logging.Duty, "error", err)
 		}
 	}
-	events.Info(g.logger, events.Succeeds, "standby", from.Standby, "open", from.Open, "sockets", from.Sockets, "generation", from.Generation)
+	logging.Info(g.logger, logging.Succeeds, "standby", from.Standby, "open", from.Open, "sockets", from.Sockets, "generation", from.Generation)
 }
 
 // standing is how this process stands.
@@ -565,7 +565,7 @@
 	select {
 	case <-g.watcher.Heard():
 	case <-t.C:
-		events.Warn(g.logger, events.Start, "list", "given", "waited", firstList)
+		logging.Warn(g.logger, logging.Start, "list", "given", "waited", firstList)
 	}
 }
 
@@ -578,11 +578,11 @@
 	}
 	if err != nil {
 		g.figures.CfgFaulty.Add(1)
-		events.Error(g.logger, events.Reload, "kept", "old", "error", err)
+		logging.Error(g.logger, logging.Reload, "kept", "old", "error", err)
 		return
 	}
 	g.figures.CfgTaken.Add(1)
-	events.Info(g.logger, events.Reload, "classes", len(g.settings.Module.Classes), "discovery", g.discovery, "servers", len(g.fleet.Servers))
+	logging.Info(g.logger, logging.Reload, "classes", len(g.settings.Module.Classes), "discovery", g.discovery, "servers", len(g.fleet.Servers))
 }
 
 // enforce puts another plan in force, whole; after an error nothing has changed.
@@ -593,7 +593,7 @@
 		}
 	}
 	if now.listen != g.listen || now.operator != g.operator {
-		events.Warn(g.logger, events.Reload, "note", "listen and operator take a restart")
+		logging.Warn(g.logger, logging.Reload, "note", "listen and operator take a restart")
 	}
 	if now.adopt != nil {
 		now.adopt()
@@ -603,7 +603,7 @@
 	now.output = g.output
 	if now.log != g.Plan.log { // what an operator set at the door stays otherwise
 		if err := now.applyLog(); err != nil {
-			events.Error(g.logger, events.Reload, "error", err)
+			logging.Error(g.logger, logging.Reload, "error", err)
 		}
 	}
 	g.Plan = now
@@ -629,7 +629,7 @@
 	if g.routes != nil {
 		g.engine.Fleet(sq.FleetChanged{Kind: sq.FleetDelta, Servers: g.fleet.Servers}, g.addresses)
 		if err := g.routes.File(g.layout.Whole, g.serverIDs(), true); err != nil { // the directory has just said otherwise
-			events.Error(g.logger, events.Reload, "layout", "kept", "error", err)
+			logging.Error(g.logger, logging.Reload, "layout", "kept", "error", err)
 		}
 		if g.layout.Directory != "" {
 			g.routes.Move(g.layout.Directory)
@@ -653,7 +653,7 @@
 	}
 	still := func(since int64) bool { return g.listener.Quiet(since) && (g.virtual == nil || g.virtual.quiet(since)) }
 	empty := func() bool { return g.listener.Conns() == 0 && (g.virtual == nil || g.virtual.conns() == 0) }
-	events.Info(g.logger, events.Leaving, "held", g.engine.Held())
+	logging.Info(g.logger, logging.Leaving, "held", g.engine.Held())
 	since := g.clock.Now()
 	killed := since + g.lifeAfterTerm()
 	lastEntry := time.NewTimer(fullTime)
@@ -705,7 +705,7 @@
 	if g.door != nil {
 		g.door.Close()
 	}
-	events.Info(g.logger, events.Stopped)
+	logging.Info(g.logger, logging.Stopped)
 }
 
 const (
--- a/internal/gatherer/golden_test.go
+++ b/internal/broker/server/golden_test.go
@@ -1,4 +1,4 @@
-package gatherer
+package server
 
 import (
 	"bytes"
@@ -6,6 +6,9 @@
 	"fmt"
 	"os"
 	"path/filepath"
+	"saffronquay/internal/cluster/rollout"
+	"saffronquay/internal/cluster/rollout/wire"
+	"saffronquay/internal/storage/recordlog"
 	"strings"
 	"testing"
 
@@ -13,10 +16,6 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/encoding/protojson"
 	"google.golang.org/protobuf/proto"
-
-	"saffronquay/internal/rollout"
-	"saffronquay/internal/rollout/wire"
-	"saffronquay/internal/store"
 )
 
 // A gatherer of an earlier build leaves its part in agreeing on the policy, region's and global; this build recalls it from a copy.
@@ -47,16 +46,16 @@
 	is.Equal(host.own.void, []string{"hard/3"}) // a vote by another id
 }
 
-func openGoldenStore(t *testing.T, folder string) *store.Store {
+func openGoldenStore(t *testing.T, folder string) *recordlog.Store {
 	t.Helper()
 	is := is.New(t)
-	var dirs [2]store.Dir
+	var dirs [2]recordlog.Dir
 	var err error
 	for i, name := range []string{"a", "b"} {
-		dirs[i], err = store.Directory(filepath.Join(folder, name))
+		dirs[i], err = recordlog.Directory(filepath.Join(folder, name))
 		is.NoErr(err)
 	}
-	s, err := store.Open(dirs, store.Options{ID: 7, Now: func() int64 { return 5_000_000 }, Keep: 1_000_000}, false)
+	s, err := recordlog.Open(dirs, recordlog.Options{ID: 7, Now: func() int64 { return 5_000_000 }, Keep: 1_000_000}, false)
 	is.NoErr(err)
 	return s
 }
@@ -67,7 +66,7 @@
 	s := openGoldenStore(t, folder)
 	defer s.Close()
 	host := newPolicyHost(nil, s)
-	is.NoErr(write(s, store.Record{Kind: store.Rollout, Key: keyIdentity, Value: []byte{0, 0, 0, 0, 0, 0, 1, 1}}))
+	is.NoErr(write(s, recordlog.Record{Kind: recordlog.Rollout, Key: keyIdentity, Value: []byte{0, 0, 0, 0, 0, 0, 1, 1}}))
 	member := &wire.Member{Name: "g1", Address: "10.0.0.1:7100", Id: 4, Identity: 257, Region: "west", Global: true}
 	document := &wire.Document{Number: 2, Hash: []byte{1, 2, 3}, Text: []byte(`{"settings":{}}`), Keep: true, Parts: []*wire.Part{{Region: "west", Ppm: 600_000}}}
 	is.NoErr(host.Roster(&wire.State{Members: []*wire.Member{member}, MembersIndex: 6}))
@@ -83,8 +82,10 @@
 		is.NoErr(agreement.save(&rollout.Save{ID: 4, Hard: hard(2, agreement.vote, 2), Entries: []*pb.Entry{logged(t, 3, 2), logged(t, 4, 2)}}))
 		state, err := proto.Marshal(&wire.State{Current: document, CurrentAttempt: 1, Members: []*wire.Member{member}})
 		is.NoErr(err)
-		is.NoErr(agreement.snapshot(rollout.Disk{ID: 4, Snapshot: &pb.Snapshot{Data: state,
-			Metadata: &pb.SnapshotMetadata{Index: proto.Uint64(2), Term: proto.Uint64(1), ConfState: &pb.ConfState{Voters: []uint64{4, 6}}}}}))
+		is.NoErr(agreement.snapshot(rollout.Disk{ID: 4, Snapshot: &pb.Snapshot{
+			Data:     state,
+			Metadata: &pb.SnapshotMetadata{Index: proto.Uint64(2), Term: proto.Uint64(1), ConfState: &pb.ConfState{Voters: []uint64{4, 6}}},
+		}}))
 	}
 	is.NoErr(keep(s, keyHard+"/3", hard(1, 3, 0)))
 }
--- a/internal/gatherer/members.go
+++ b/internal/broker/server/members.go
@@ -1,14 +1,14 @@
-package gatherer
+package server
 
 import (
 	"errors"
 	"fmt"
 	"runtime/debug"
-	"saffronquay/internal/contract"
-	"saffronquay/internal/events"
-	"saffronquay/internal/fleet"
-	"saffronquay/internal/operations"
-	"saffronquay/internal/peers"
+	"saffronquay/internal/broker/adminapi"
+	"saffronquay/internal/broker/admission"
+	"saffronquay/internal/broker/logging"
+	"saffronquay/internal/cluster/peering"
+	"saffronquay/internal/cluster/swim"
 	"strings"
 	"sync/atomic"
 	"syscall"
@@ -20,9 +20,9 @@
 // members is this gatherer's view of its fleet, and the number that budgets are divided by. The view is told of on the driver's
 // goroutine; the number belongs to the gatherer's own.
 type members struct {
-	peers    *peers.Peers
+	peers    *peering.Peers
 	told     chan count // the newest
-	follower fleet.Follower
+	follower swim.Follower
 	reckon   int          // 0: nobody was met yet, and the file's numbers hold
 	divide   atomic.Int64 // 0: the file's
 	again    *time.Timer
@@ -58,14 +58,14 @@
 	}
 	m := &members{told: make(chan count, 1), again: time.NewTimer(time.Hour)}
 	m.again.Stop()
-	cfg := peers.Config{Listen: f.Listen, Allow: f.Allow, Seed: g.seed, Core: fleet.Config{
+	cfg := peering.Config{Listen: f.Listen, Allow: f.Allow, Seed: g.seed, Core: swim.Config{
 		Fleet: f.Name, Name: g.name, Start: uint64(time.Now().UnixMicro()),
 		Address: f.Advertise, Zone: g.settings.Module.Zone, Version: programVersion(), Join: f.Join, Period: f.Period.Microseconds(),
 		Suspect: f.Suspect, Reckon: f.Reckon.Microseconds(),
 	}, Watch: g.sees}
 	seed(&cfg.Core, nil)
 	open := func() (err error) {
-		m.peers, err = peers.Open(cfg, g.clock.Now, m.hear, g.logger)
+		m.peers, err = peering.Open(cfg, g.clock.Now, m.hear, g.logger)
 		return err
 	}
 	err := open()
@@ -76,7 +76,7 @@
 	if g.passed == 0 || !errors.Is(err, syscall.EADDRINUSE) {
 		return err
 	}
-	events.Warn(g.logger, events.Peers, "listen", f.Listen, "error", err)
+	logging.Warn(g.logger, logging.Peers, "listen", f.Listen, "error", err)
 	go func() {
 		tick := time.NewTicker(listenAgain)
 		defer tick.Stop()
@@ -108,7 +108,7 @@
 }
 
 // facts are what this gatherer tells of itself now.
-func (g *Gatherer) facts(f fleet.Facts) fleet.Facts {
+func (g *Gatherer) facts(f swim.Facts) swim.Facts {
 	_, word := g.duty.Status()
 	f.Draining, f.Standby = word == "leaving", word == "standby" || g.standsBy()
 	f.Policy = g.number.Load()
@@ -163,7 +163,7 @@
 		return
 	}
 	m.divide.Store(int64(n))
-	events.Info(g.logger, events.PeersReckon, "members", m.reckon, "divide", n)
+	logging.Info(g.logger, logging.PeersReckon, "members", m.reckon, "divide", n)
 	g.engine.Reconfigure(g.terms(), g.module(), g.pool(), g.dialect)
 	g.engine.Contracts(g.shares())
 }
@@ -184,7 +184,7 @@
 }
 
 // shares is the contracts, with the view's number where it is followed.
-func (g *Gatherer) shares() *contract.Config {
+func (g *Gatherer) shares() *admission.Config {
 	if g.parts != nil {
 		return g.parts.divided(g.contracts)
 	}
@@ -228,22 +228,22 @@
 }
 
 // change has what this gatherer tells of itself looked at again.
-func (m *members) change(facts func(fleet.Facts) fleet.Facts) {
+func (m *members) change(facts func(swim.Facts) swim.Facts) {
 	if m != nil {
 		m.peers.SetFacts(facts)
 	}
 }
 
-func trafficFigures(t peers.Traffic) operations.TrafficFigures {
-	return operations.TrafficFigures{Sent: t.Sent, Received: t.Received, SentBytes: t.SentBytes, ReceivedBytes: t.ReceivedBytes, ShareBytes: t.ShareBytes, Links: t.Links}
+func trafficFigures(t peering.Traffic) adminapi.TrafficFigures {
+	return adminapi.TrafficFigures{Sent: t.Sent, Received: t.Received, SentBytes: t.SentBytes, ReceivedBytes: t.ReceivedBytes, ShareBytes: t.ShareBytes, Links: t.Links}
 }
 
-func (m *members) figures() operations.FleetFigures {
+func (m *members) figures() adminapi.FleetFigures {
 	if m == nil {
-		return operations.FleetFigures{} // not yet
+		return adminapi.FleetFigures{} // not yet
 	}
 	k := m.peers.Counts()
-	return operations.FleetFigures{
+	return adminapi.FleetFigures{
 		Alive: int64(k.Alive), Reckon: int64(k.Reckon), Suspected: int64(k.Suspected), Dead: int64(k.Dead), Ill: int64(k.Ill), Twin: int64(k.Twin),
 		Sent: k.Sent, Received: k.Received, Dropped: k.Dropped + k.Outside, Bytes: k.SentBytes + k.FrameBytes, Exchanges: k.Exchanges, Failed: k.Failed,
 		Accused: k.Counts.Accused, Refuted: k.Refuted, Died: k.Died, Naps: k.Naps, Full: k.Full,
--- a/internal/gatherer/parts.go
+++ b/internal/broker/server/parts.go
@@ -1,11 +1,11 @@
-package gatherer
+package server
 
 import (
 	"maps"
 	"math"
-	"saffronquay/internal/broker"
-	"saffronquay/internal/contract"
-	"saffronquay/internal/share"
+	"saffronquay/internal/broker/admission"
+	"saffronquay/internal/broker/core"
+	"saffronquay/internal/cluster/quota"
 	"time"
 )
 
@@ -17,11 +17,11 @@
 	named    map[string]uint32
 	others   uint32
 	lows     map[string]low
-	free     map[string]broker.Budget // in force
-	inForce  int                      // among how many the bound on cold servers is divided
-	refused  map[string]int64         // by team, as counted at the last look
-	shares   map[string]float64       // of all, by team, of these contracts:
-	sharesOf *contract.Config
+	free     map[string]core.Budget // in force
+	inForce  int                    // among how many the bound on cold servers is divided
+	refused  map[string]int64       // by team, as counted at the last look
+	shares   map[string]float64     // of all, by team, of these contracts:
+	sharesOf *admission.Config
 	asks     bool          // a look is under way
 	told     chan division // what came of it
 }
@@ -43,7 +43,7 @@
 
 // floor is the part without a lease, among so many: the one that the keeper of the books in this gatherer's region reckons with.
 func (p *parts) floor(slots uint64) uint32 {
-	h := share.NewHolder(slots, share.Bugs{})
+	h := quota.NewHolder(slots, quota.Bugs{})
 	h.Region(p.ppm)
 	_, floor, _ := h.Parts(0)
 	return floor
@@ -90,14 +90,14 @@
 	}
 	return func(team string) float64 {
 		if part, ok := named[team]; ok {
-			return float64(part) / share.PPM
+			return float64(part) / quota.PPM
 		}
-		return float64(others) / share.PPM
+		return float64(others) / quota.PPM
 	}
 }
 
 // divided is the contracts with this gatherer's parts, where they are divided.
-func (p *parts) divided(c *contract.Config) *contract.Config {
+func (p *parts) divided(c *admission.Config) *admission.Config {
 	if p == nil || c == nil {
 		return c
 	}
@@ -107,24 +107,24 @@
 }
 
 // ofAll is this gatherer's part of everything: what its teams' parts come to together. O(named teams), but for new contracts.
-func (p *parts) ofAll(c *contract.Config) float64 {
+func (p *parts) ofAll(c *admission.Config) float64 {
 	if p.sharesOf != c {
 		p.shares, p.sharesOf = c.Shares(), c
 	}
-	named, others := p.named, float64(p.others)/share.PPM
+	named, others := p.named, float64(p.others)/quota.PPM
 	if uint64(c.Gatherers) != p.slots {
-		named, others = nil, float64(p.floor(uint64(c.Gatherers)))/share.PPM
+		named, others = nil, float64(p.floor(uint64(c.Gatherers)))/quota.PPM
 	}
 	all := others
 	for team, part := range named {
-		all += p.shares[team] * (float64(part)/share.PPM - others)
+		all += p.shares[team] * (float64(part)/quota.PPM - others)
 	}
 	return max(all, 1e-6)
 }
 
 // aggregators is among how many the bound on cold servers is divided here: rounded up, so that all together stay within it. Parts are of the
 // whole also where there are regions, so the bound is the whole fleet's, and not a region's.
-func (p *parts) aggregators(c *contract.Config) int { return int(math.Ceil(1/p.ofAll(c) - 1e-9)) }
+func (p *parts) aggregators(c *admission.Config) int { return int(math.Ceil(1/p.ofAll(c) - 1e-9)) }
 
 // low is the least part that this gatherer had of a team's budget for a window at least, and two at most.
 type low struct {
@@ -134,9 +134,9 @@
 
 // budgets are the free further attempts of each team, by the least part of its contract that this gatherer had for a window: whoever had it
 // before may have spent it, and what was spent counts for so long. What comes with its parts comes where they go.
-func (p *parts) budgets(now int64, all map[string]broker.Budget, c *contract.Config) map[string]broker.Budget {
+func (p *parts) budgets(now int64, all map[string]core.Budget, c *admission.Config) map[string]core.Budget {
 	of := p.of(uint64(c.Gatherers))
-	out := make(map[string]broker.Budget, len(all))
+	out := make(map[string]core.Budget, len(all))
 	lows := make(map[string]low, len(all))
 	for team, b := range all {
 		part := of(team)
@@ -157,8 +157,8 @@
 
 // demands is what this gatherer could use of each team's budget: what it has out, and more where somebody waits or was turned away. It
 // costs O(teams that have asked).
-func (p *parts) demands(all []contract.Account, slots uint64) []share.Demand {
-	var out []share.Demand
+func (p *parts) demands(all []admission.Account, slots uint64) []quota.Demand {
+	var out []quota.Demand
 	part := p.of(slots)
 	refused := map[string]int64{}
 	for _, a := range all {
@@ -172,13 +172,13 @@
 		if a.Queued > 0 || turned > p.refused[a.Team] {
 			want = hungry * max(used, part(a.Team))
 		}
-		out = append(out, share.Demand{Team: a.Team, Want: ppm(want), Used: ppm(used)})
+		out = append(out, quota.Demand{Team: a.Team, Want: ppm(want), Used: ppm(used)})
 	}
 	p.refused = refused
 	return out
 }
 
-func ppm(x float64) uint32 { return uint32(min(max(x, 0), 1) * share.PPM) }
+func ppm(x float64) uint32 { return uint32(min(max(x, 0), 1) * quota.PPM) }
 
 // lookAtParts tells what this gatherer could use, and asks what it may. It waits for nobody: whoever puts a policy in force may be waiting
 // for this goroutine.
--- a/internal/gatherer/parts_test.go
+++ b/internal/broker/server/parts_test.go
@@ -1,15 +1,15 @@
-package gatherer
+package server
 
 import (
 	"math"
 	"math/rand/v2"
-	"saffronquay/internal/broker"
-	"saffronquay/internal/contract"
-	"saffronquay/internal/share"
+	"saffronquay/internal/broker/admission"
+	"saffronquay/internal/broker/core"
+	"saffronquay/internal/cluster/quota"
 	"testing"
 )
 
-var tree = &contract.Config{Cores: 10, Gatherers: 4, Over: 1, Teams: []contract.Team{
+var tree = &admission.Config{Cores: 10, Gatherers: 4, Over: 1, Teams: []admission.Team{
 	{Name: "north", Weight: 3},
 	{Name: "a", Parent: "north", Weight: 1},
 	{Name: "b", Parent: "north", Weight: 2},
@@ -18,18 +18,18 @@
 
 // Over random divisions the bounds on cold servers of all gatherers come to one at most; with even parts each has its even one.
 func TestColdServersAreDivided(t *testing.T) {
-	even := newParts(4, share.PPM)
-	even.others = share.Even(4)
+	even := newParts(4, quota.PPM)
+	even.others = quota.Even(4)
 	if n := even.aggregators(tree); n != 4 {
 		t.Errorf("even parts: among %d", n)
 	}
 	for seed := range uint64(300) {
 		rng := rand.New(rand.NewPCG(seed, 1))
-		left := map[string]uint32{"a": share.PPM, "b": share.PPM, "c": share.PPM}
+		left := map[string]uint32{"a": quota.PPM, "b": quota.PPM, "c": quota.PPM}
 		sum := 0.0
 		for range 4 {
-			p := newParts(4, share.PPM)
-			p.named, p.others = map[string]uint32{}, share.Even(4)
+			p := newParts(4, quota.PPM)
+			p.named, p.others = map[string]uint32{}, quota.Even(4)
 			for team, l := range left {
 				part := uint32(rng.Float64() * float64(l))
 				p.named[team], left[team] = part, l-part
@@ -45,10 +45,10 @@
 // Two gatherers between which a team's part goes to and fro never spend more free attempts in a window than the contract has.
 func TestAttemptsWithinAWindow(t *testing.T) {
 	const window = 10_000_000
-	all := map[string]broker.Budget{"a": {Free: 12, Window: window}}
+	all := map[string]core.Budget{"a": {Free: 12, Window: window}}
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 2))
-		two := []*parts{newParts(4, share.PPM), newParts(4, share.PPM)}
+		two := []*parts{newParts(4, quota.PPM), newParts(4, quota.PPM)}
 		extras := [2][]float64{} // when each spent one
 		to, next := 0, int64(0)
 		for now := int64(1); now < 120_000_000; now += 250_000 {
@@ -90,10 +90,10 @@
 }
 
 func TestDemands(t *testing.T) {
-	p := newParts(4, share.PPM)
-	p.others = share.Even(4)
-	got := p.demands([]contract.Account{{Team: "idle", Budget: 10}, {Team: "works", Budget: 10, Out: 2}, {Team: "waits", Budget: 10, Out: 2, Queued: 3}}, 4)
-	if len(got) != 2 || got[0] != (share.Demand{Team: "works", Want: 200_000, Used: 200_000}) || got[1].Want != 500_000 || math.Abs(float64(got[1].Used)-200_000) > 1 {
+	p := newParts(4, quota.PPM)
+	p.others = quota.Even(4)
+	got := p.demands([]admission.Account{{Team: "idle", Budget: 10}, {Team: "works", Budget: 10, Out: 2}, {Team: "waits", Budget: 10, Out: 2, Queued: 3}}, 4)
+	if len(got) != 2 || got[0] != (quota.Demand{Team: "works", Want: 200_000, Used: 200_000}) || got[1].Want != 500_000 || math.Abs(float64(got[1].Used)-200_000) > 1 {
 		t.Errorf("%+v", got)
 	}
 }
--- a/internal/gatherer/plan.go
+++ b/internal/broker/server/plan.go
@@ -1,4 +1,4 @@
-package gatherer
+package server
 
 import (
 	"bytes"
@@ -7,15 +7,15 @@
 	"fmt"
 	"log/slog"
 	"os"
-	"saffronquay/internal/broker"
-	"saffronquay/internal/config"
-	"saffronquay/internal/contract"
-	"saffronquay/internal/cursor"
-	"saffronquay/internal/events"
-	"saffronquay/internal/layout"
-	"saffronquay/internal/opensearch"
-	"saffronquay/internal/platform"
-	"saffronquay/internal/transport"
+	"saffronquay/internal/broker/admission"
+	"saffronquay/internal/broker/config"
+	"saffronquay/internal/broker/core"
+	"saffronquay/internal/broker/layout"
+	"saffronquay/internal/broker/logging"
+	"saffronquay/internal/broker/opensearch"
+	"saffronquay/internal/broker/pagination"
+	"saffronquay/internal/broker/platform"
+	"saffronquay/internal/broker/transport"
 	"sync/atomic"
 	"time"
 
@@ -35,9 +35,9 @@
 	seed              uint64
 	sockets, memoryMB int
 	settings          config.Settings
-	budgets           map[string]broker.Budget
+	budgets           map[string]core.Budget
 	front             transport.Front
-	dialect           broker.Dialect
+	dialect           core.Dialect
 	partsPerCall      int
 	fleet             sq.FleetChanged
 	addresses         map[sq.ServerID]string
@@ -47,19 +47,19 @@
 	passed            int                                        // descriptor of the clients' socket; 0: it is opened here
 	shared            string                                     // directory shared with a process that is replaced
 	discovery         string
-	layout            *config.Layout                 // nil: shards are where the settings say, for good
-	cursors           *atomic.Pointer[cursor.Keeper] // of points in time; nil: there are none
-	place             *layout.Current                // what the front plans by, where there is a layout
-	adopt             func()                         // has what this plan made for itself in force; nil: nothing
-	again             func() (Plan, error)           // reads the file once more
-	durable           *durable                       // what outlasts the process; nil: nothing
-	log               config.Log                     // how lines are written
-	contracts         *contract.Config               // nil: there are none
-	fleetFile         *config.Fleet                  // nil: it knows of no other gatherers
-	rollout           *config.Rollout                // nil: the file alone has the policy
-	op                *config.Operator               // the file; nil on the platform
-	held              *standing                      // what the search front holds; nil on the platform
-	output            *events.Output                 // what they go through; nil: it can't be changed
+	layout            *config.Layout                     // nil: shards are where the settings say, for good
+	cursors           *atomic.Pointer[pagination.Keeper] // of points in time; nil: there are none
+	place             *layout.Current                    // what the front plans by, where there is a layout
+	adopt             func()                             // has what this plan made for itself in force; nil: nothing
+	again             func() (Plan, error)               // reads the file once more
+	durable           *durable                           // what outlasts the process; nil: nothing
+	log               config.Log                         // how lines are written
+	contracts         *admission.Config                  // nil: there are none
+	fleetFile         *config.Fleet                      // nil: it knows of no other gatherers
+	rollout           *config.Rollout                    // nil: the file alone has the policy
+	op                *config.Operator                   // the file; nil on the platform
+	held              *standing                          // what the search front holds; nil on the platform
+	output            *logging.Output                    // what they go through; nil: it can't be changed
 }
 
 // readStable reads a file that may be written meanwhile.
@@ -181,7 +181,7 @@
 type standing struct {
 	place   layout.Current
 	key     []byte // of cursors, where no file gave one
-	cursors atomic.Pointer[cursor.Keeper]
+	cursors atomic.Pointer[pagination.Keeper]
 	by      config.Cursors
 	durable *durable // nil: nothing outlasts the process
 	policy  [][]byte // the one in force, at most; the gatherer's goroutine owns it
@@ -189,7 +189,7 @@
 
 // of is the keeper of points in time by a file's settings; one whose settings stay keeps its cursors. Nil where there are none. It
 // changes nothing that is in force: the file may yet be turned down.
-func (s *standing) of(c *config.Cursors) *cursor.Keeper {
+func (s *standing) of(c *config.Cursors) *pagination.Keeper {
 	if c == nil {
 		return nil
 	}
@@ -203,7 +203,7 @@
 		if key == nil {
 			key = s.key
 		}
-		return cursor.NewKeeper(cursor.Config{Key: key, Most: c.Most, MaxKeep: c.MaxKeep.Microseconds(), MaxAge: c.MaxAge.Microseconds()})
+		return pagination.NewKeeper(pagination.Config{Key: key, Most: c.Most, MaxKeep: c.MaxKeep.Microseconds(), MaxAge: c.MaxAge.Microseconds()})
 	}
 	return now
 }
--- a/internal/gatherer/policy.go
+++ b/internal/broker/server/policy.go
@@ -1,17 +1,17 @@
-package gatherer
+package server
 
 import (
 	"bytes"
 	"errors"
 	"fmt"
 	"net/netip"
-	"saffronquay/internal/config"
-	"saffronquay/internal/fleet"
-	"saffronquay/internal/peers"
-	"saffronquay/internal/rollout"
-	"saffronquay/internal/rollout/wire"
-	"saffronquay/internal/store"
-	"saffronquay/internal/transport"
+	"saffronquay/internal/broker/config"
+	"saffronquay/internal/broker/transport"
+	"saffronquay/internal/cluster/peering"
+	"saffronquay/internal/cluster/rollout"
+	"saffronquay/internal/cluster/rollout/wire"
+	"saffronquay/internal/cluster/swim"
+	"saffronquay/internal/storage/recordlog"
 	"slices"
 	"sync"
 
@@ -21,15 +21,15 @@
 // policyHost is what the gatherer does for its part: it judges and puts in force as at SIGHUP, and keeps in the store what has to last.
 type policyHost struct {
 	g      *Gatherer
-	store  *store.Store // the plan that holds it is the gatherer's goroutine's
-	own    *voterLog    // in the region's agreement, or the fleet's
-	global *voterLog    // in the global agreement, where there are regions
+	store  *recordlog.Store // the plan that holds it is the gatherer's goroutine's
+	own    *voterLog        // in the region's agreement, or the fleet's
+	global *voterLog        // in the global agreement, where there are regions
 
 	mu     sync.Mutex
 	judged judged
 }
 
-func newPolicyHost(g *Gatherer, s *store.Store) *policyHost {
+func newPolicyHost(g *Gatherer, s *recordlog.Store) *policyHost {
 	return &policyHost{g: g, store: s, own: &voterLog{store: s}, global: &voterLog{store: s, prefix: ofGlobal}}
 }
 
@@ -71,7 +71,7 @@
 	if err := sameRegion(r, g.name, memory); err != nil {
 		return err
 	}
-	cfg := peers.PolicyConfig{Listen: r.Listen, Seed: g.seed, Memory: memory, Node: rollout.Config{
+	cfg := peering.PolicyConfig{Listen: r.Listen, Seed: g.seed, Memory: memory, Node: rollout.Config{
 		Name:   g.name,
 		Region: r.Region, Lease: r.Lease.Microseconds(), HoldFor: r.Hold.Microseconds(), Drift: r.Drift,
 	}}
@@ -91,7 +91,7 @@
 		g.engine.Contracts(g.shares())
 	}
 	seed(nil, &cfg.Node)
-	p, err := peers.OpenPolicy(cfg, g.clock.Now, h, g.logger)
+	p, err := peering.OpenPolicy(cfg, g.clock.Now, h, g.logger)
 	if err != nil {
 		return err
 	}
@@ -149,17 +149,17 @@
 	select {
 	case h.g.installs <- x:
 	case <-h.g.deaf:
-		return peers.ErrClosed
+		return peering.ErrClosed
 	case <-h.g.over:
-		return peers.ErrClosed
+		return peering.ErrClosed
 	}
 	select {
 	case err := <-x.done:
 		return err
 	case <-h.g.deaf:
-		return peers.ErrClosed
+		return peering.ErrClosed
 	case <-h.g.over:
-		return peers.ErrClosed
+		return peering.ErrClosed
 	}
 }
 
@@ -201,7 +201,7 @@
 	if d == nil || d.store == nil {
 		return nil
 	}
-	r, ok, err := d.store.Get(store.Rollout, keyCurrent)
+	r, ok, err := d.store.Get(recordlog.Rollout, keyCurrent)
 	var doc wire.Document
 	if err != nil || !ok || proto.Unmarshal(r.Value, &doc) != nil {
 		return nil
@@ -218,14 +218,14 @@
 }
 
 // sees has the view of the fleet say who is not there, and where the others are. It only saves time: nothing is decided by it.
-func (g *Gatherer) sees(v fleet.View) {
+func (g *Gatherer) sees(v swim.View) {
 	p := g.policy.Load()
 	if p == nil {
 		return
 	}
 	absent := map[string]bool{}
 	for _, m := range v.Members {
-		if m.State == fleet.Dead || m.State == fleet.Left {
+		if m.State == swim.Dead || m.State == swim.Left {
 			absent[m.Name] = true
 		} else if !m.Self {
 			p.Moved(m.Name, m.Facts.Agrees)
--- a/internal/gatherer/policy_test.go
+++ b/internal/broker/server/policy_test.go
@@ -1,15 +1,15 @@
-package gatherer
+package server
 
 import (
 	"errors"
 	"fmt"
 	"log/slog"
 	"math/rand/v2"
-	"saffronquay/internal/peers"
-	"saffronquay/internal/rollout"
-	"saffronquay/internal/rollout/wire"
-	"saffronquay/internal/share"
-	"saffronquay/internal/store"
+	"saffronquay/internal/cluster/peering"
+	"saffronquay/internal/cluster/quota"
+	"saffronquay/internal/cluster/rollout"
+	"saffronquay/internal/cluster/rollout/wire"
+	"saffronquay/internal/storage/recordlog"
 	"testing"
 	"time"
 
@@ -18,18 +18,18 @@
 )
 
 // kept opens a store in directories, and what a part in agreeing on the policy has there.
-func kept(t *testing.T, dirs [2]string) (*store.Store, *policyHost, rollout.Memory) {
+func kept(t *testing.T, dirs [2]string) (*recordlog.Store, *policyHost, rollout.Memory) {
 	t.Helper()
-	var at [2]store.Dir
+	var at [2]recordlog.Dir
 	for i, path := range dirs {
-		d, err := store.Directory(path)
+		d, err := recordlog.Directory(path)
 		if err != nil {
 			t.Fatal(err)
 		}
 		at[i] = d
 	}
 	began := time.Now()
-	s, err := store.Open(at, store.Options{
+	s, err := recordlog.Open(at, recordlog.Options{
 		ID: nonce(), Now: func() int64 { return time.Since(began).Microseconds() }, Keep: 900_000_000, SegmentSize: 8 << 20,
 		CleanEvery: time.Second, ScrubEvery: time.Hour, Log: slog.New(slog.DiscardHandler),
 	}, true)
@@ -125,7 +125,7 @@
 	go func() { ended <- (&policyHost{g: g}).Install(rollout.NewDocument(1, nil)) }()
 	select {
 	case err := <-ended:
-		if !errors.Is(err, peers.ErrClosed) {
+		if !errors.Is(err, peering.ErrClosed) {
 			t.Error(err)
 		}
 	case <-time.After(time.Minute):
@@ -138,7 +138,7 @@
 func TestAnEndingGathererAttends(t *testing.T) {
 	for _, ending := range []bool{false, true} {
 		g := &Gatherer{
-			parts: newParts(3, share.PPM), turn: make(chan struct{}, 1), late: make(chan *members, 1), term: make(chan struct{}),
+			parts: newParts(3, quota.PPM), turn: make(chan struct{}, 1), late: make(chan *members, 1), term: make(chan struct{}),
 			hup: make(chan struct{}, 1),
 		}
 		defer g.parts.tick.Stop()
--- a/internal/gatherer/regions.go
+++ b/internal/broker/server/regions.go
@@ -1,18 +1,18 @@
-package gatherer
+package server
 
 import (
 	"fmt"
-	"saffronquay/internal/config"
-	"saffronquay/internal/rollout"
-	"saffronquay/internal/rollout/wire"
-	"saffronquay/internal/share"
+	"saffronquay/internal/broker/config"
+	"saffronquay/internal/cluster/quota"
+	"saffronquay/internal/cluster/rollout"
+	"saffronquay/internal/cluster/rollout/wire"
 )
 
 // regionPart is what this gatherer's region has of every budget under a version, in millionths: as the version says or, before any says it,
 // by its gatherers' share of the first roster among the regions that serve. All of it where there are no regions.
 func regionPart(r *config.Rollout, d *wire.Document) uint32 {
 	if r == nil || r.Region == "" {
-		return share.PPM
+		return quota.PPM
 	}
 	if parts := d.GetParts(); len(parts) > 0 {
 		for _, p := range parts {
@@ -35,7 +35,7 @@
 			here++
 		}
 	}
-	return uint32(share.PPM * here / max(all, 1))
+	return uint32(quota.PPM * here / max(all, 1))
 }
 
 // sameRegion guards against a store that was made in another region, or without one: what it has was agreed on by others.
--- a/internal/gatherer/regions_test.go
+++ b/internal/broker/server/regions_test.go
@@ -1,11 +1,11 @@
-package gatherer
+package server
 
 import (
 	"math/rand/v2"
-	"saffronquay/internal/config"
-	"saffronquay/internal/rollout"
-	"saffronquay/internal/rollout/wire"
-	"saffronquay/internal/share"
+	"saffronquay/internal/broker/config"
+	"saffronquay/internal/cluster/quota"
+	"saffronquay/internal/cluster/rollout"
+	"saffronquay/internal/cluster/rollout/wire"
 	"strings"
 	"testing"
 
@@ -84,12 +84,12 @@
 		region string
 		doc    *wire.Document
 		want   uint32
-	}{{"este", nil, 250_000}, {"oeste", nil, 750_000}, {"norte", nil, 0}, {"este", parts, 100_000}, {"norte", parts, 0}, {"", parts, share.PPM}} {
+	}{{"este", nil, 250_000}, {"oeste", nil, 750_000}, {"norte", nil, 0}, {"este", parts, 100_000}, {"norte", parts, 0}, {"", parts, quota.PPM}} {
 		if r.Region = c.region; regionPart(r, c.doc) != c.want {
 			t.Errorf("%q: %d, want %d", c.region, regionPart(r, c.doc), c.want)
 		}
 	}
-	if regionPart(nil, nil) != share.PPM {
+	if regionPart(nil, nil) != quota.PPM {
 		t.Error("without a rollout")
 	}
 }
@@ -101,12 +101,12 @@
 		rng := rand.New(rand.NewPCG(seed, 3))
 		west := uint32(250_000 * (1 + rng.IntN(3)))
 		sum, floors := 0.0, uint32(0)
-		for _, ppm := range []uint32{west, share.PPM - west} {
+		for _, ppm := range []uint32{west, quota.PPM - west} {
 			left := map[string]uint32{"a": ppm, "b": ppm, "c": ppm}
-			for range 4 * ppm / share.PPM {
+			for range 4 * ppm / quota.PPM {
 				p := newParts(4, ppm)
 				floors += p.floor(4)
-				p.named, p.others = map[string]uint32{}, share.Even(4)
+				p.named, p.others = map[string]uint32{}, quota.Even(4)
 				for team, l := range left {
 					part := uint32(rng.Float64() * float64(l))
 					p.named[team], left[team] = part, l-part
@@ -114,7 +114,7 @@
 				sum += 1 / float64(p.aggregators(tree))
 			}
 		}
-		if sum > 1+1e-9 || floors > share.Reserve {
+		if sum > 1+1e-9 || floors > quota.Reserve {
 			t.Errorf("seed %d: the bounds come to %.4f of the whole, the floors to %d", seed, sum, floors)
 		}
 	}
@@ -130,7 +130,7 @@
 	if p.region(500_000) || p.of(4)("a") != 0.4 {
 		t.Errorf("nothing has changed: %v", p.of(4)("a"))
 	}
-	if !p.region(250_000) || p.of(4)("a") != float64(p.floor(4))/share.PPM || p.floor(4) > share.Floor(4) {
+	if !p.region(250_000) || p.of(4)("a") != float64(p.floor(4))/quota.PPM || p.floor(4) > quota.Floor(4) {
 		t.Errorf("half as much: %v", p.of(4)("a"))
 	}
 	g.redivideParts(division{slots: 4, ppm: 500_000, named: map[string]uint32{"a": 400_000}, others: 100_000, ok: true})
--- a/internal/gatherer/service.go
+++ b/internal/broker/server/service.go
@@ -1,13 +1,13 @@
-package gatherer
+package server
 
 import (
 	"fmt"
 	"log/slog"
 	"net"
-	"saffronquay/internal/config"
-	"saffronquay/internal/events"
-	"saffronquay/internal/transport"
-	"saffronquay/internal/vrrp"
+	"saffronquay/internal/broker/config"
+	"saffronquay/internal/broker/logging"
+	"saffronquay/internal/broker/transport"
+	"saffronquay/internal/broker/vrrp"
 	"sync"
 	"time"
 )
@@ -70,7 +70,7 @@
 			s.run(socket, stop)
 			return
 		}
-		events.Warn(s.log, events.VrrpService, "address", s.config.Service, "error", err)
+		logging.Warn(s.log, logging.VrrpService, "address", s.config.Service, "error", err)
 		t := time.NewTimer(listenAgain)
 		select {
 		case <-t.C:
@@ -90,13 +90,13 @@
 		s.listeners = s.listeners[1:]
 	}
 	s.mu.Unlock()
-	events.Info(s.log, events.VrrpService, "address", s.config.Service)
+	logging.Info(s.log, logging.VrrpService, "address", s.config.Service)
 	go func() {
 		<-stop
 		l.HandOver(false)
 	}()
 	if err := l.Serve(); err != nil {
-		events.Error(s.log, events.VrrpService, "error", err)
+		logging.Error(s.log, logging.VrrpService, "error", err)
 	}
 }
 
--- a/internal/gatherer/sockets_test.go
+++ b/internal/broker/server/sockets_test.go
@@ -1,4 +1,4 @@
-package gatherer
+package server
 
 import "testing"
 
--- a/internal/gatherer/standing.go
+++ b/internal/broker/server/standing.go
@@ -1,25 +1,25 @@
-package gatherer
+package server
 
 import (
 	"fmt"
-	"saffronquay/internal/operations"
-	"saffronquay/internal/rollout"
-	"saffronquay/internal/rollout/wire"
+	"saffronquay/internal/broker/adminapi"
+	"saffronquay/internal/cluster/rollout"
+	"saffronquay/internal/cluster/rollout/wire"
 	"strconv"
 )
 
-func (g *Gatherer) rolloutFigures() (f operations.RolloutFigures) {
+func (g *Gatherer) rolloutFigures() (f adminapi.RolloutFigures) {
 	p := g.policy.Load()
 	if p == nil {
 		return f // not yet
 	}
 	yes := map[bool]int64{true: 1}
-	got := make(chan operations.RolloutFigures, 1)
+	got := make(chan adminapi.RolloutFigures, 1)
 	if p.Status(func(n *rollout.Node, now int64) {
 		v, _, _ := n.Admit(now)
-		f := operations.RolloutFigures{Number: int64(n.Number()), Admits: yes[v == rollout.Let], Holding: yes[n.Holding()], LeaseMs: max(0, n.Lease()-now) / 1000, Leads: yes[n.Leads()]}
+		f := adminapi.RolloutFigures{Number: int64(n.Number()), Admits: yes[v == rollout.Let], Holding: yes[n.Holding()], LeaseMs: max(0, n.Lease()-now) / 1000, Leads: yes[n.Leads()]}
 		if r, are := n.Region(now); are {
-			f.Region = &operations.RegionFigures{Behind: int64(r.Newest - r.Number), ApartMs: r.Apart / 1000, Leads: yes[n.GlobalLeads()]}
+			f.Region = &adminapi.RegionFigures{Behind: int64(r.Newest - r.Number), ApartMs: r.Apart / 1000, Leads: yes[n.GlobalLeads()]}
 		}
 		got <- f
 	}) == nil {
--- a/internal/gatherer/voterlog.go
+++ b/internal/broker/server/voterlog.go
@@ -1,12 +1,12 @@
-package gatherer
+package server
 
 import (
 	"encoding/binary"
 	"fmt"
 	"maps"
-	"saffronquay/internal/rollout"
-	"saffronquay/internal/rollout/wire"
-	"saffronquay/internal/store"
+	"saffronquay/internal/cluster/rollout"
+	"saffronquay/internal/cluster/rollout/wire"
+	"saffronquay/internal/storage/recordlog"
 	"slices"
 	"strconv"
 	"strings"
@@ -34,7 +34,7 @@
 // voterLog is where the store has a gatherer's vote in one agreement, and the log of it. The two agreements of a gatherer in a region are
 // kept apart: a crash between their records leaves each whole.
 type voterLog struct {
-	store  *store.Store
+	store  *recordlog.Store
 	prefix string // of its keys
 
 	mu    sync.Mutex
@@ -47,10 +47,10 @@
 
 // identify draws the identity of this disk, once, and has it there before anybody hears of it.
 func (h *policyHost) identify() error {
-	if _, known, err := h.store.Get(store.Rollout, keyIdentity); known || err != nil {
+	if _, known, err := h.store.Get(recordlog.Rollout, keyIdentity); known || err != nil {
 		return err
 	}
-	return write(h.store, store.Record{Kind: store.Rollout, Key: keyIdentity, Value: binary.BigEndian.AppendUint64(nil, nonce()|1)})
+	return write(h.store, recordlog.Record{Kind: recordlog.Rollout, Key: keyIdentity, Value: binary.BigEndian.AppendUint64(nil, nonce()|1)})
 }
 
 // recall reads what outlasted the process before.
@@ -89,12 +89,12 @@
 	}
 	l.id, l.named, l.void = disk.ID, disk.ID != 0, nil
 	entries := map[uint64]*pb.Entry{}
-	read := func(r store.Record, to proto.Message) {
+	read := func(r recordlog.Record, to proto.Message) {
 		if e := unmarshal(r, to); e != nil && err == nil {
 			err = e
 		}
 	}
-	if e := l.store.Each(store.Rollout, func(r store.Record) {
+	if e := l.store.Each(recordlog.Rollout, func(r recordlog.Record) {
 		key, ours := strings.CutPrefix(r.Key, l.prefix)
 		if !ours || l.prefix == "" && strings.HasPrefix(key, ofGlobal) {
 			return
@@ -164,8 +164,8 @@
 		}
 		return keep(l.store, l.prefix+keyMet, x)
 	}
-	var all []store.Record
-	gone := func(key string) { all = append(all, store.Record{Kind: store.Rollout, Key: key, Gone: true}) }
+	var all []recordlog.Record
+	gone := func(key string) { all = append(all, recordlog.Record{Kind: recordlog.Rollout, Key: key, Gone: true}) }
 	if s.ID != l.id { // a vote of its own: what is there of another one is void once the id is written, which is last
 		for i := l.low; i <= l.last; i++ {
 			l.void = append(l.void, l.entry(i))
@@ -208,7 +208,7 @@
 		last = s.Entries[n-1].GetIndex()
 	}
 	if !l.named {
-		all = append(all, store.Record{Kind: store.Rollout, Key: l.prefix + keyVoter, Value: binary.BigEndian.AppendUint64(nil, l.id)})
+		all = append(all, recordlog.Record{Kind: recordlog.Rollout, Key: l.prefix + keyVoter, Value: binary.BigEndian.AppendUint64(nil, l.id)})
 	}
 	if err := write(l.store, all...); err != nil {
 		return err
@@ -228,13 +228,13 @@
 	if err != nil {
 		return err
 	}
-	all := []store.Record{r}
+	all := []recordlog.Record{r}
 	upTo := min(d.Snapshot.Metadata.GetIndex(), l.last)
 	for i := l.low; i <= upTo; i++ {
-		all = append(all, store.Record{Kind: store.Rollout, Key: l.entry(i), Gone: true})
+		all = append(all, recordlog.Record{Kind: recordlog.Rollout, Key: l.entry(i), Gone: true})
 	}
 	for _, key := range l.void {
-		all = append(all, store.Record{Kind: store.Rollout, Key: key, Gone: true})
+		all = append(all, recordlog.Record{Kind: recordlog.Rollout, Key: key, Gone: true})
 	}
 	if err := write(l.store, all...); err != nil {
 		return err
@@ -245,10 +245,10 @@
 
 // drop takes a vote and its log away, as where the disk is lost.
 func (l *voterLog) drop() error {
-	var all []store.Record
-	if err := l.store.Each(store.Rollout, func(r store.Record) {
+	var all []recordlog.Record
+	if err := l.store.Each(recordlog.Rollout, func(r recordlog.Record) {
 		if strings.HasPrefix(r.Key, l.prefix) {
-			all = append(all, store.Record{Kind: store.Rollout, Key: r.Key, Gone: true})
+			all = append(all, recordlog.Record{Kind: recordlog.Rollout, Key: r.Key, Gone: true})
 		}
 	}); err != nil {
 		return err
@@ -257,7 +257,7 @@
 }
 
 // write has records on disk, in their order, and returns when all are.
-func write(s *store.Store, records ...store.Record) error {
+func write(s *recordlog.Store, records ...recordlog.Record) error {
 	ends := make(chan error, len(records))
 	var first error
 	sent := 0
@@ -276,13 +276,13 @@
 	return first
 }
 
-func record(key string, m proto.Message) (store.Record, error) {
+func record(key string, m proto.Message) (recordlog.Record, error) {
 	b, err := proto.Marshal(m)
-	return store.Record{Kind: store.Rollout, Key: key, Value: b}, err
+	return recordlog.Record{Kind: recordlog.Rollout, Key: key, Value: b}, err
 }
 
 // keep has one record on disk.
-func keep(s *store.Store, key string, m proto.Message) error {
+func keep(s *recordlog.Store, key string, m proto.Message) error {
 	r, err := record(key, m)
 	if err != nil {
 		return err
@@ -291,8 +291,8 @@
 }
 
 // load reads one record; false: it is not there.
-func load(s *store.Store, key string, to proto.Message) (known bool, err error) {
-	r, known, err := s.Get(store.Rollout, key)
+func load(s *recordlog.Store, key string, to proto.Message) (known bool, err error) {
+	r, known, err := s.Get(recordlog.Rollout, key)
 	if err != nil {
 		return false, fmt.Errorf("record %q: %w", key, err)
 	}
@@ -302,7 +302,7 @@
 	return true, unmarshal(r, to)
 }
 
-func unmarshal(r store.Record, to proto.Message) error {
+func unmarshal(r recordlog.Record, to proto.Message) error {
 	if err := proto.Unmarshal(r.Value, to); err != nil {
 		return fmt.Errorf("record %q: %w", r.Key, err)
 	}
@@ -310,8 +310,8 @@
 }
 
 // numberAt is a number of eight bytes; 0: it is not there.
-func numberAt(s *store.Store, key string) (uint64, error) {
-	r, known, err := s.Get(store.Rollout, key)
+func numberAt(s *recordlog.Store, key string) (uint64, error) {
+	r, known, err := s.Get(recordlog.Rollout, key)
 	switch {
 	case err != nil:
 		return 0, fmt.Errorf("record %q: %w", key, err)
--- a/internal/model/histories_test.go
+++ b/internal/broker/simulation/histories_test.go
@@ -1,10 +1,9 @@
-package model
+package simulation
 
 import (
 	"fmt"
+	"saffronquay/internal/testing/harness"
 	"testing"
-
-	"saffronquay/internal/lab"
 )
 
 // The same seed gives the day that was recorded. A history is all that came of a day, without the names of fields.
@@ -16,5 +15,5 @@
 		r, err := Play(d)
 		played[name] = fmt.Sprintf("%v %v", r, err)
 	}
-	lab.CheckHistories(t, played)
+	harness.CheckHistories(t, played)
 }
--- a/internal/model/slowstart_test.go
+++ b/internal/broker/simulation/slowstart_test.go
@@ -1,8 +1,8 @@
-package model
+package simulation
 
 import (
 	"fmt"
-	"saffronquay/internal/lab"
+	"saffronquay/internal/testing/harness"
 	"testing"
 
 	sq "saffronquay"
@@ -37,7 +37,7 @@
 // start.
 func TestTheSumToAColdServer(t *testing.T) {
 	seeds, fleets, after := uint64(6), []int{2, 20, 30}, []bool{false, true}
-	if lab.Raced { // the rest is played without the race detector, which makes a day ten times as long
+	if harness.Raced { // the rest is played without the race detector, which makes a day ten times as long
 		seeds, fleets, after = 1, []int{2, 30}, []bool{true}
 	}
 	for _, n := range fleets {
--- a/internal/model/split_test.go
+++ b/internal/broker/simulation/split_test.go
@@ -1,13 +1,13 @@
-package model
+package simulation
 
 import (
-	"saffronquay/internal/contract"
-	"saffronquay/internal/faults"
-	"saffronquay/internal/fleet"
+	"saffronquay/internal/broker/admission"
+	"saffronquay/internal/cluster/swim"
+	"saffronquay/internal/testing/faults"
 	"testing"
 	"time"
 
-	views "saffronquay/internal/fleet/model"
+	views "saffronquay/internal/cluster/swim/simulation"
 )
 
 // While a fleet is split in halves and both go on, what it sends to a cold server and what it lets in of a contract stay under their
@@ -24,7 +24,7 @@
 	}
 	// The lowest number of any view at a time, as the program follows it, and the same of those alive.
 	by := func(of func(views.Sample) int) func(at int64) int {
-		var f fleet.Follower
+		var f swim.Follower
 		return func(at int64) int {
 			i := min(int(at*int64(len(r.Samples))/(30*second)), len(r.Samples)-1)
 			n, _ := f.Follow(at+1, of(r.Samples[max(0, i)]))
@@ -55,9 +55,9 @@
 	// A contract: what all gates together let in, each with more asked for than it may.
 	out := func(divide int) (sum int) {
 		for range n {
-			g := contract.New(contract.Config{Cores: 240, Over: 1, Gatherers: divide, Teams: []contract.Team{{Name: "a", Weight: 1}}})
+			g := admission.New(admission.Config{Cores: 240, Over: 1, Gatherers: divide, Teams: []admission.Team{{Name: "a", Weight: 1}}})
 			for id := range int64(1000) {
-				g.Arrive(1, contract.Ask{ID: id, Team: "a", Parts: 1, Work: 1000, Deadline: second})
+				g.Arrive(1, admission.Ask{ID: id, Team: "a", Parts: 1, Work: 1000, Deadline: second})
 			}
 			parts, _ := g.Out()
 			sum += parts
--- a/internal/wire/encode.go
+++ b/internal/broker/simwire/encode.go
@@ -1,4 +1,4 @@
-package wire
+package simwire
 
 import (
 	"encoding/json"
--- a/internal/wire/wire.go
+++ b/internal/broker/simwire/wire.go
@@ -1,6 +1,6 @@
-// Package wire translates between the simulator's line protocol and the types of package saffronquay. It
+// Package simwire translates between the simulator's line protocol and the types of package saffronquay. It
 // checks form only and decides nothing.
-package wire
+package simwire
 
 import (
 	"bytes"
@@ -8,7 +8,7 @@
 	"errors"
 	"fmt"
 	"math"
-	"saffronquay/internal/config"
+	"saffronquay/internal/broker/config"
 
 	sq "saffronquay"
 )
--- a/internal/transport/beside.go
+++ b/internal/broker/transport/beside.go
@@ -6,8 +6,8 @@
 	"log/slog"
 	"os"
 	"path/filepath"
-	"saffronquay/internal/events"
-	"saffronquay/internal/handover"
+	"saffronquay/internal/broker/handover"
+	"saffronquay/internal/broker/logging"
 	"strings"
 	"time"
 )
@@ -60,7 +60,7 @@
 		if s, ok := b.snapshot(); ok {
 			err := b.write(s)
 			if err != nil && !failed {
-				events.Warn(b.log, events.Handover, "error", err)
+				logging.Warn(b.log, logging.Handover, "error", err)
 			}
 			failed = err != nil
 		}
--- a/internal/transport/beside_test.go
+++ b/internal/broker/transport/beside_test.go
@@ -4,7 +4,7 @@
 	"log/slog"
 	"os"
 	"path/filepath"
-	"saffronquay/internal/handover"
+	"saffronquay/internal/broker/handover"
 	"testing"
 	"time"
 )
--- a/internal/transport/departed_test.go
+++ b/internal/broker/transport/departed_test.go
@@ -6,9 +6,9 @@
 	"io"
 	"log/slog"
 	"net"
-	"saffronquay/internal/broker"
-	"saffronquay/internal/operations"
-	"saffronquay/internal/platform"
+	"saffronquay/internal/broker/adminapi"
+	"saffronquay/internal/broker/core"
+	"saffronquay/internal/broker/platform"
 	"strings"
 	"sync"
 	"testing"
@@ -79,7 +79,7 @@
 // slowLedger takes so long to keep an intent.
 type slowLedger time.Duration
 
-func (d slowLedger) Intend(_ []broker.Intended, _ int64, done func(error)) error {
+func (d slowLedger) Intend(_ []core.Intended, _ int64, done func(error)) error {
 	time.AfterFunc(time.Duration(d), func() { done(nil) })
 	return nil
 }
@@ -121,9 +121,9 @@
 						if err != nil {
 							t.Fatal(err)
 						}
-						core := broker.New(broker.Terms{Period: cfg.Period, Shards: 1, PartsPerCall: 1, Classes: cfg.Classes}, m)
-						e := NewEngine(NewClock(), core, PoolConfig{ConnectTimeout: 1_500_000, IdleClose: 60_000_000, MaxConns: 8},
-							platform.Workers{PerConn: 8}, operations.NewFigures(), slog.New(slog.DiscardHandler))
+						gatherer := core.New(core.Terms{Period: cfg.Period, Shards: 1, PartsPerCall: 1, Classes: cfg.Classes}, m)
+						e := NewEngine(NewClock(), gatherer, PoolConfig{ConnectTimeout: 1_500_000, IdleClose: 60_000_000, MaxConns: 8},
+							platform.Workers{PerConn: 8}, adminapi.NewFigures(), slog.New(slog.DiscardHandler))
 						e.pool.connect = server.connect
 						go e.Run()
 						e.Fleet(sq.FleetChanged{Kind: sq.FleetFull, Servers: []sq.Server{{ID: "a", Health: sq.Ready}, {ID: "b", Health: sq.Ready}}},
@@ -135,9 +135,9 @@
 							time.AfterFunc(tc.permit/2, func() { e.Permit(Permit{Until: hold + 1e9}) })
 						}
 						ask := func(label string) *Ticket {
-							a := broker.Ask{
+							a := core.Ask{
 								Label: label, Unique: true, Class: "c", Deadline: now() + 3e6, Text: []byte("x"),
-								Parts: []broker.AskPart{{Weight: 1, Work: 10_000}},
+								Parts: []core.AskPart{{Weight: 1, Work: 10_000}},
 							}
 							if tc.ledger > 0 {
 								a.Ledger = slowLedger(tc.ledger)
--- a/internal/transport/discovery.go
+++ b/internal/broker/transport/discovery.go
@@ -3,8 +3,8 @@
 import (
 	"fmt"
 	"log/slog"
-	"saffronquay/internal/events"
-	"saffronquay/internal/platform"
+	"saffronquay/internal/broker/logging"
+	"saffronquay/internal/broker/platform"
 	"sync"
 
 	sq "saffronquay"
@@ -67,7 +67,7 @@
 }
 
 func (w *Watcher) ended(err error) {
-	events.Warn(w.log, events.WatchEnded, "generation", w.generation, "error", err)
+	logging.Warn(w.log, logging.WatchEnded, "generation", w.generation, "error", err)
 	if w.asked {
 		w.tell(sq.FleetChanged{Kind: sq.FleetFailed}, nil)
 	}
@@ -108,5 +108,5 @@
 		w.told = true
 		close(w.heard)
 	}
-	events.Info(w.log, events.Fleet, "generation", l.Generation, "whole", l.Whole, "entries", len(l.Servers))
+	logging.Info(w.log, logging.Fleet, "generation", l.Generation, "whole", l.Whole, "entries", len(l.Servers))
 }
--- a/internal/transport/door.go
+++ b/internal/broker/transport/door.go
@@ -4,8 +4,8 @@
 	"errors"
 	"log/slog"
 	"net"
-	"saffronquay/internal/events"
-	"saffronquay/internal/operations"
+	"saffronquay/internal/broker/adminapi"
+	"saffronquay/internal/broker/logging"
 	"sync"
 	"time"
 )
@@ -21,7 +21,7 @@
 // Door answers operators' calls on a listener of its own.
 type Door struct {
 	net  net.Listener
-	desk operations.Desk
+	desk adminapi.Desk
 	log  *slog.Logger
 	wg   sync.WaitGroup
 
@@ -34,7 +34,7 @@
 type callers []net.Conn
 
 // NewDoor makes a door on an open listener; Serve runs it.
-func NewDoor(l net.Listener, d operations.Desk, logger *slog.Logger) *Door {
+func NewDoor(l net.Listener, d adminapi.Desk, logger *slog.Logger) *Door {
 	return &Door{net: l, desk: d, log: logger}
 }
 
@@ -46,7 +46,7 @@
 			return
 		}
 		if err != nil {
-			events.Warn(d.log, events.DoorAccept, "error", err)
+			logging.Warn(d.log, logging.DoorAccept, "error", err)
 			time.Sleep(5 * time.Millisecond)
 			continue
 		}
@@ -76,8 +76,8 @@
 	defer d.wg.Done()
 	defer d.forget(conn)
 	conn.SetDeadline(time.Now().Add(doorTime))
-	var call operations.Call
-	buf := make([]byte, 2*operations.MaxCall)
+	var call adminapi.Call
+	buf := make([]byte, 2*adminapi.MaxCall)
 	for {
 		n, err := conn.Read(buf)
 		answer, done := call.Feed(buf[:n], d.desk)
--- a/internal/transport/engine.go
+++ b/internal/broker/transport/engine.go
@@ -6,12 +6,12 @@
 	"cmp"
 	"log/slog"
 	"maps"
-	"saffronquay/internal/broker"
-	"saffronquay/internal/contract"
-	"saffronquay/internal/events"
-	"saffronquay/internal/handover"
-	"saffronquay/internal/layout"
-	"saffronquay/internal/operations"
+	"saffronquay/internal/broker/adminapi"
+	"saffronquay/internal/broker/admission"
+	"saffronquay/internal/broker/core"
+	"saffronquay/internal/broker/handover"
+	"saffronquay/internal/broker/layout"
+	"saffronquay/internal/broker/logging"
 	"slices"
 	"time"
 
@@ -34,16 +34,16 @@
 // functions to run.
 type Engine struct {
 	clock   Clock
-	core    *broker.Core
+	core    *core.Core
 	pool    *pool
 	inbox   chan func(now int64)
 	stop    chan struct{}
 	stopped chan struct{}
-	waiting map[sq.ID]func(broker.Final)
+	waiting map[sq.ID]func(core.Final)
 	log     *slog.Logger
 	sweepAt int64
-	figures *operations.Figures
-	gate    *contract.Gate  // nil: there are no contracts
+	figures *adminapi.Figures
+	gate    *admission.Gate // nil: there are no contracts
 	held    map[int64]*held // queries that wait at the gate
 	gateID  int64
 	permit  *Permit  // nil: everything is let in
@@ -63,16 +63,16 @@
 )
 
 // NewEngine makes an engine; Run starts it.
-func NewEngine(clock Clock, core *broker.Core, cfg PoolConfig, d broker.Dialect, figures *operations.Figures,
+func NewEngine(clock Clock, gatherer *core.Core, cfg PoolConfig, d core.Dialect, figures *adminapi.Figures,
 	logger *slog.Logger,
 ) *Engine {
 	e := &Engine{
-		clock: clock, core: core, inbox: make(chan func(int64), inboxSize), stop: make(chan struct{}),
-		stopped: make(chan struct{}), waiting: map[sq.ID]func(broker.Final){}, figures: figures, log: logger,
+		clock: clock, core: gatherer, inbox: make(chan func(int64), inboxSize), stop: make(chan struct{}),
+		stopped: make(chan struct{}), waiting: map[sq.ID]func(core.Final){}, figures: figures, log: logger,
 	}
 	e.pool = newPool(cfg, d, e.post)
 	e.pool.figures = figures
-	e.pool.ended, e.pool.over = core.Came, e.stopped
+	e.pool.ended, e.pool.over = gatherer.Came, e.stopped
 	e.held = map[int64]*held{}
 	return e
 }
@@ -145,44 +145,44 @@
 	<-e.stopped
 }
 
-func (e *Engine) carryOut(now int64, effects []broker.Effect) {
+func (e *Engine) carryOut(now int64, effects []core.Effect) {
 	for _, x := range effects {
 		switch x := x.(type) {
-		case broker.Call:
+		case core.Call:
 			e.pool.call(now, x)
-		case broker.Intend:
+		case core.Intend:
 			e.intend(now, x)
-		case broker.Drop:
+		case core.Drop:
 			e.pool.drop(now, x.Attempt)
-		case broker.Recall:
+		case core.Recall:
 			e.pool.recall(now, x.Attempt)
-		case broker.CloseIdle:
+		case core.CloseIdle:
 			e.pool.closeIdle(now, x.Server)
-		case broker.Final:
+		case core.Final:
 			if done := e.waiting[x.Query]; done != nil {
 				delete(e.waiting, x.Query)
 				done(x)
 			}
-		case broker.Watch:
+		case core.Watch:
 			if e.Watch != nil {
 				e.Watch()
 			}
-		case broker.Fetch:
+		case core.Fetch:
 			if e.Fetch != nil {
 				e.Fetch()
 			}
-		case broker.Refresh:
+		case core.Refresh:
 			if e.Refresh != nil {
 				e.Refresh()
 			}
-		case broker.Note:
-			events.Info(e.log, events.Note, "text", x.Text)
+		case core.Note:
+			logging.Info(e.log, logging.Note, "text", x.Text)
 		}
 	}
 }
 
 // intend hands intents to their ledger, which must not block.
-func (e *Engine) intend(now int64, x broker.Intend) {
+func (e *Engine) intend(now int64, x core.Intend) {
 	done := func(err error) { e.post(func(now int64) { e.core.Intended(now, x.Attempts, err) }) }
 	if err := x.Ledger.Intend(x.Parts, x.Deadline, done); err != nil {
 		e.core.Intended(now, x.Attempts, err)
@@ -191,8 +191,8 @@
 
 // Ticket is a query that was handed to the engine.
 type Ticket struct {
-	Final  chan broker.Final // gets the one final answer
-	Err    chan error        // gets an error instead where the query is malformed
+	Final  chan core.Final // gets the one final answer
+	Err    chan error      // gets an error instead where the query is malformed
 	id     sq.ID
 	gate   int64  // of the query at the gate; 0: it has none
 	left   bool   // its client is gone; the engine's
@@ -200,8 +200,8 @@
 }
 
 // Open hands over a query.
-func (e *Engine) Open(a broker.Ask) *Ticket {
-	t := &Ticket{Final: make(chan broker.Final, 1), Err: make(chan error, 1)}
+func (e *Engine) Open(a core.Ask) *Ticket {
+	t := &Ticket{Final: make(chan core.Final, 1), Err: make(chan error, 1)}
 	e.post(func(now int64) { e.arrive(now, a, t) })
 	return t
 }
@@ -238,7 +238,7 @@
 }
 
 // Reconfigure puts other settings in force, in core, module and pool at once.
-func (e *Engine) Reconfigure(terms broker.Terms, settings sq.Settings, cfg PoolConfig, d broker.Dialect) {
+func (e *Engine) Reconfigure(terms core.Terms, settings sq.Settings, cfg PoolConfig, d core.Dialect) {
 	e.post(func(int64) {
 		e.core.Reconfigure(terms, settings)
 		e.pool.cfg, e.pool.dialect = cfg, d
@@ -269,7 +269,7 @@
 
 // Beside says how the other processes of this gatherer stand, and leaves this one so many connections to servers.
 func (e *Engine) Beside(others []handover.State, conns int) {
-	held := broker.Standing{Labels: map[string]int64{}}
+	held := core.Standing{Labels: map[string]int64{}}
 	for _, o := range others {
 		held.Open += o.Open
 		maps.Copy(held.Labels, o.Labels)
@@ -290,7 +290,7 @@
 // Memory is what a process that comes after this one's end should know. Times are Unix microseconds.
 type Memory struct {
 	Learned sq.Learned
-	Spent   map[string]broker.Spent
+	Spent   map[string]core.Spent
 }
 
 // Remember is what is known now; ok is false where the engine has ended, or is late.
--- a/internal/transport/follow.go
+++ b/internal/broker/transport/follow.go
@@ -9,8 +9,8 @@
 	"log/slog"
 	"math/rand/v2"
 	"net"
-	"saffronquay/internal/events"
-	"saffronquay/internal/http1"
+	"saffronquay/internal/broker/http1"
+	"saffronquay/internal/broker/logging"
 	"sync"
 	"time"
 )
@@ -113,7 +113,7 @@
 			return
 		case <-moved: // not a failure: the next address is asked at once
 			waits = false
-			events.Info(f.log, events.WatchMoved, "from", address)
+			logging.Info(f.log, logging.WatchMoved, "from", address)
 			continue
 		default:
 		}
--- a/internal/transport/gate.go
+++ b/internal/broker/transport/gate.go
@@ -2,8 +2,8 @@
 
 import (
 	"errors"
-	"saffronquay/internal/broker"
-	"saffronquay/internal/contract"
+	"saffronquay/internal/broker/admission"
+	"saffronquay/internal/broker/core"
 )
 
 // ErrContract marks a query that its team's contract does not have.
@@ -11,12 +11,12 @@
 
 // held is a query that waits at the gate.
 type held struct {
-	ask broker.Ask
+	ask core.Ask
 	t   *Ticket
 }
 
 // Contracts puts contracts in force; nil: none. What waits is let in where there are none any more.
-func (e *Engine) Contracts(cfg *contract.Config) {
+func (e *Engine) Contracts(cfg *admission.Config) {
 	e.post(func(now int64) {
 		switch {
 		case cfg == nil && e.gate != nil:
@@ -29,7 +29,7 @@
 			}
 		case cfg == nil:
 		case e.gate == nil:
-			e.gate = contract.New(*cfg)
+			e.gate = admission.New(*cfg)
 		default:
 			e.gate.Reconfigure(*cfg)
 			e.flow(now)
@@ -38,10 +38,10 @@
 }
 
 // Accounts lists how teams stand, the busiest first; they are put in order on the caller's goroutine.
-func (e *Engine) Accounts(most int) (out []contract.Account) {
-	got := make(chan []contract.Account, 1)
+func (e *Engine) Accounts(most int) (out []admission.Account) {
+	got := make(chan []admission.Account, 1)
 	e.post(func(int64) {
-		var all []contract.Account
+		var all []admission.Account
 		if e.gate != nil {
 			all = e.gate.Accounts()
 		}
@@ -51,11 +51,11 @@
 	case out = <-got:
 	case <-e.stopped:
 	}
-	return contract.Busiest(out, most)
+	return admission.Busiest(out, most)
 }
 
 // arrive asks the gate first, where there is one; the module hears of a query once it is let in.
-func (e *Engine) arrive(now int64, a broker.Ask, t *Ticket) {
+func (e *Engine) arrive(now int64, a core.Ask, t *Ticket) {
 	if e.endBy > 0 {
 		a.Deadline = min(a.Deadline, e.endBy)
 	}
@@ -72,16 +72,16 @@
 	}
 	e.gateID++
 	t.gate = e.gateID
-	v, after := e.gate.Arrive(now, contract.Ask{ID: t.gate, Team: a.Tenant, Class: a.Class, Parts: len(a.Parts), Work: float64(work), Deadline: a.Deadline})
+	v, after := e.gate.Arrive(now, admission.Ask{ID: t.gate, Team: a.Tenant, Class: a.Class, Parts: len(a.Parts), Work: float64(work), Deadline: a.Deadline})
 	switch v {
-	case contract.Start:
+	case admission.Start:
 		e.admit(now, a, t)
-	case contract.Wait:
+	case admission.Wait:
 		e.held[t.gate] = &held{a, t}
 		e.flow(now)
-	case contract.Ahead, contract.Full:
+	case admission.Ahead, admission.Full:
 		t.gate = 0
-		t.Final <- broker.Final{Verdict: broker.Refused, RetryAfter: e.core.Advice(after), Shards: len(a.Parts)}
+		t.Final <- core.Final{Verdict: core.Refused, RetryAfter: e.core.Advice(after), Shards: len(a.Parts)}
 	default:
 		t.gate = 0
 		t.Err <- ErrContract
@@ -89,7 +89,7 @@
 }
 
 // admit hands a query to the core.
-func (e *Engine) admit(now int64, a broker.Ask, t *Ticket) {
+func (e *Engine) admit(now int64, a core.Ask, t *Ticket) {
 	if !e.permitted(now, a, t) {
 		return
 	}
@@ -103,7 +103,7 @@
 		e.leave(now, t)
 	default:
 		t.id = id
-		e.waiting[id] = func(f broker.Final) {
+		e.waiting[id] = func(f core.Final) {
 			f.Policy = t.policy
 			t.Final <- f
 			if e.gate != nil && t.gate != 0 {
@@ -146,7 +146,7 @@
 		if h := e.held[id]; h != nil {
 			delete(e.held, id)
 			h.t.gate = 0
-			h.t.Final <- broker.Final{Verdict: broker.Refused, RetryAfter: e.core.Advice(after[i]), Shards: len(h.ask.Parts)}
+			h.t.Final <- core.Final{Verdict: core.Refused, RetryAfter: e.core.Advice(after[i]), Shards: len(h.ask.Parts)}
 		}
 	}
 }
