--- a/internal/transport/listener.go
+++ b/internal/broker/transport/listener.go
@@ -5,9 +5,9 @@
 	"io"
 	"log/slog"
 	"net"
-	"saffronquay/internal/broker"
-	"saffronquay/internal/events"
-	"saffronquay/internal/http1"
+	"saffronquay/internal/broker/core"
+	"saffronquay/internal/broker/http1"
+	"saffronquay/internal/broker/logging"
 	"strconv"
 	"sync"
 	"sync/atomic"
@@ -18,7 +18,7 @@
 // Front is one dialect towards clients. It knows no socket.
 type Front interface {
 	// Open turns a request into a query and the way to word its end, or into a response at once.
-	Open(m *http1.Message, now int64, ready bool) (broker.Ask, func(broker.Final, int64) http1.Response, *http1.Response)
+	Open(m *http1.Message, now int64, ready bool) (core.Ask, func(core.Final, int64) http1.Response, *http1.Response)
 	// Class is the class of a request that the broker has to decide, as far as its head tells; empty for others.
 	Class(m *http1.Message) string
 	// Fault words the answer to a request that could not be read or decided on.
@@ -133,7 +133,7 @@
 			return nil
 		}
 		if err != nil {
-			events.Warn(l.log, events.Accept, "error", err)
+			logging.Warn(l.log, logging.Accept, "error", err)
 			l.evict(0)
 			l.pause(wait)
 			wait = min(2*wait, most)
--- a/internal/transport/outbox.go
+++ b/internal/broker/transport/outbox.go
@@ -1,7 +1,7 @@
 package transport
 
 import (
-	"saffronquay/internal/broker"
+	"saffronquay/internal/broker/core"
 	"slices"
 	"sync"
 )
@@ -9,7 +9,7 @@
 // frame is bytes that leave in one go, and the call that they carry, if they do.
 type frame struct {
 	bytes  []byte
-	call   broker.Call
+	call   core.Call
 	number int64 // of the write, on its connection
 }
 
--- a/internal/transport/pool.go
+++ b/internal/broker/transport/pool.go
@@ -4,8 +4,8 @@
 	"errors"
 	"io"
 	"net"
-	"saffronquay/internal/broker"
-	"saffronquay/internal/operations"
+	"saffronquay/internal/broker/adminapi"
+	"saffronquay/internal/broker/core"
 	"sync/atomic"
 	"time"
 
@@ -30,14 +30,14 @@
 // goroutine through post and touch nothing of the pool themselves.
 type pool struct {
 	cfg     PoolConfig
-	dialect broker.Dialect
+	dialect core.Dialect
 	post    func(func(now int64)) bool // false: nobody runs it any more
-	ended   func(now int64, r broker.Reply)
+	ended   func(now int64, r core.Reply)
 	connect func(address string, timeout time.Duration) (net.Conn, error)
 	after   func(time.Duration, func()) *time.Timer
 	servers map[sq.ServerID]*server
-	out     map[broker.AttemptID]*serverConn
-	figures *operations.Figures
+	out     map[core.AttemptID]*serverConn
+	figures *adminapi.Figures
 	over    <-chan struct{} // closed when nothing that is posted runs any more
 	conns   int
 	hurt    int64   // when a connection was last lost with calls out on it; 0: never
@@ -56,15 +56,15 @@
 
 type serverConn struct {
 	server   *server
-	session  broker.Session
+	session  core.Session
 	net      net.Conn // nil until it is up
 	up       bool
 	retired  bool // takes no further calls and closes once it is empty
 	dead     bool
-	backlog  []broker.Call               // waiting for the connection to come up
-	calls    map[broker.AttemptID]*frame // out, with the write that carries each; nil: in the backlog
-	wrote    int64                       // writes handed over
-	done     *atomic.Int64               // number of the last write that was completed
+	backlog  []core.Call               // waiting for the connection to come up
+	calls    map[core.AttemptID]*frame // out, with the write that carries each; nil: in the backlog
+	wrote    int64                     // writes handed over
+	done     *atomic.Int64             // number of the last write that was completed
 	writes   *outbox
 	usedAt   int64
 	heardAt  int64
@@ -74,18 +74,18 @@
 	spared   bool        // has one, or is one: there is no further
 	late     *time.Timer // until it is, itself
 	passed   int         // calls that left after it fell silent and were answered elsewhere
-	sentAt   map[broker.AttemptID]int64
+	sentAt   map[core.AttemptID]int64
 	stalled  int64 // when the last bytes of an unfinished answer came; 0: there is none
 	unended  int64 // when its first bytes came
 }
 
-func newPool(cfg PoolConfig, d broker.Dialect, post func(func(int64)) bool) *pool {
+func newPool(cfg PoolConfig, d core.Dialect, post func(func(int64)) bool) *pool {
 	connect := func(address string, timeout time.Duration) (net.Conn, error) {
 		return net.DialTimeout("tcp", address, timeout)
 	}
 	return &pool{
 		cfg: cfg, dialect: d, post: post, connect: connect, after: time.AfterFunc, servers: map[sq.ServerID]*server{},
-		out: map[broker.AttemptID]*serverConn{}, figures: operations.NewFigures(),
+		out: map[core.AttemptID]*serverConn{}, figures: adminapi.NewFigures(),
 	}
 }
 
@@ -145,20 +145,20 @@
 func (p *pool) withdraw(now int64, c *serverConn) {
 	for _, id := range sortedKeys(c.calls) {
 		if p.unsend(now, c, id) {
-			p.end(now, c, broker.Reply{Attempt: id, Outcome: sq.Unreachable})
+			p.end(now, c, core.Reply{Attempt: id, Outcome: sq.Unreachable})
 		}
 	}
 }
 
 // unsend takes an attempt back where no byte of its call has begun to leave, and tells whether it did. Others that travel with it
 // stay where they are.
-func (p *pool) unsend(now int64, c *serverConn, id broker.AttemptID) bool {
+func (p *pool) unsend(now int64, c *serverConn, id core.AttemptID) bool {
 	f, out := c.calls[id]
 	if !out || c.dead {
 		return false
 	}
-	without := func(all []broker.Attempt) []broker.Attempt {
-		kept := make([]broker.Attempt, 0, len(all))
+	without := func(all []core.Attempt) []core.Attempt {
+		kept := make([]core.Attempt, 0, len(all))
 		for _, a := range all {
 			if a.ID != id {
 				kept = append(kept, a)
@@ -183,9 +183,9 @@
 }
 
 // recall takes back what nobody waits for, as far as it has not begun to leave.
-func (p *pool) recall(now int64, id broker.AttemptID) {
+func (p *pool) recall(now int64, id core.AttemptID) {
 	if c := p.out[id]; c != nil && p.unsend(now, c, id) {
-		p.end(now, c, broker.Reply{Attempt: id, Outcome: sq.NotSent})
+		p.end(now, c, core.Reply{Attempt: id, Outcome: sq.NotSent})
 		p.closeIfEmpty(now, c)
 	}
 }
@@ -272,7 +272,7 @@
 		return
 	}
 	for _, id := range sortedKeys(c.calls) {
-		p.end(now, c, broker.Reply{Attempt: id, Outcome: sq.Stranded})
+		p.end(now, c, core.Reply{Attempt: id, Outcome: sq.Stranded})
 	}
 	p.fail(now, c, false)
 }
@@ -280,7 +280,7 @@
 // call sends a call over the fullest connection with room, over one that is coming up, or over a new one.
 // While connections are being lost it takes the idle one used last, or a new one, as far as there is room, and
 // then the emptiest.
-func (p *pool) call(now int64, call broker.Call) {
+func (p *pool) call(now int64, call core.Call) {
 	s := p.servers[call.Server]
 	if s == nil || s.address == "" || s.closed {
 		p.refuse(now, call)
@@ -343,13 +343,13 @@
 	return n > m
 }
 
-func (p *pool) refuse(now int64, call broker.Call) {
+func (p *pool) refuse(now int64, call core.Call) {
 	for _, a := range call.Attempts {
-		p.ended(now, broker.Reply{Attempt: a.ID, Outcome: sq.Unreachable})
+		p.ended(now, core.Reply{Attempt: a.ID, Outcome: sq.Unreachable})
 	}
 }
 
-func (p *pool) write(now int64, c *serverConn, call broker.Call) {
+func (p *pool) write(now int64, c *serverConn, call core.Call) {
 	f := &frame{bytes: c.session.Call(nil, call, now), call: call, number: c.wrote + 1}
 	if !c.writes.put(f) { // the far end takes nothing any more
 		p.fail(now, c, false)
@@ -363,7 +363,7 @@
 }
 
 // drop gives an attempt up. One that has not begun to leave is taken back, and the server never hears of it.
-func (p *pool) drop(now int64, id broker.AttemptID) {
+func (p *pool) drop(now int64, id core.AttemptID) {
 	c := p.out[id]
 	if c == nil {
 		return
@@ -408,8 +408,8 @@
 		}
 	}
 	c := &serverConn{
-		server: s, session: p.dialect.Session(s.address), calls: map[broker.AttemptID]*frame{},
-		sentAt: map[broker.AttemptID]int64{}, done: &atomic.Int64{},
+		server: s, session: p.dialect.Session(s.address), calls: map[core.AttemptID]*frame{},
+		sentAt: map[core.AttemptID]int64{}, done: &atomic.Int64{},
 		writes: newOutbox(4*p.dialect.Streams() + 16), usedAt: now, openedAt: now,
 	}
 	s.conns = append(s.conns, c)
@@ -519,7 +519,7 @@
 			p.write(now, c, call)
 		} else {
 			for _, a := range call.Attempts {
-				p.end(now, c, broker.Reply{Attempt: a.ID, Outcome: sq.Unreachable})
+				p.end(now, c, core.Reply{Attempt: a.ID, Outcome: sq.Unreachable})
 			}
 		}
 	}
@@ -610,12 +610,12 @@
 // the one whose answer was spoilt; the others are given up with the connection. Either may have run. They are
 // not reported as broken: that is how queries look that bring down what serves them.
 func (p *pool) spoil(now int64, c *serverConn, err error) {
-	if !errors.Is(err, broker.ErrLast) {
+	if !errors.Is(err, core.ErrLast) {
 		p.hurt = now
 	}
 	o := sq.Errored
 	for _, id := range sortedKeys(c.calls) {
-		p.end(now, c, broker.Reply{Attempt: id, Outcome: o})
+		p.end(now, c, core.Reply{Attempt: id, Outcome: o})
 		o = sq.Stranded
 	}
 	p.fail(now, c, false)
@@ -623,7 +623,7 @@
 
 // take takes an answer in. One that is yet to be read is read beside the engine, which others wait for, and ends its attempt
 // when that is done; whatever becomes of its connection meanwhile, it has come in.
-func (p *pool) take(now int64, c *serverConn, r broker.Reply) {
+func (p *pool) take(now int64, c *serverConn, r core.Reply) {
 	if _, out := c.calls[r.Attempt]; !out || r.Read == nil {
 		p.end(now, c, r)
 		return
@@ -637,13 +637,13 @@
 }
 
 // gone takes an attempt off its connection.
-func (p *pool) gone(c *serverConn, id broker.AttemptID) {
+func (p *pool) gone(c *serverConn, id core.AttemptID) {
 	delete(c.calls, id)
 	delete(c.sentAt, id)
 	delete(p.out, id)
 }
 
-func (p *pool) end(now int64, c *serverConn, r broker.Reply) {
+func (p *pool) end(now int64, c *serverConn, r core.Reply) {
 	if _, out := c.calls[r.Attempt]; !out {
 		return
 	}
@@ -653,7 +653,7 @@
 }
 
 // count learns from how long a call took.
-func (p *pool) count(now int64, c *serverConn, r broker.Reply, sent int64) {
+func (p *pool) count(now int64, c *serverConn, r core.Reply, sent int64) {
 	if r.Outcome == sq.Served {
 		p.overtakes(c.server, sent)
 		if took := float64(now - sent); p.typical == 0 {
@@ -696,7 +696,7 @@
 			o, ran = ran, sq.Stranded
 			p.hurt = now
 		}
-		p.end(now, c, broker.Reply{Attempt: id, Outcome: o})
+		p.end(now, c, core.Reply{Attempt: id, Outcome: o})
 	}
 	if s.closed && len(s.conns) == 0 && p.servers[s.id] == s {
 		delete(p.servers, s.id)
--- a/internal/transport/routes.go
+++ b/internal/broker/transport/routes.go
@@ -6,9 +6,9 @@
 	"fmt"
 	"log/slog"
 	"net/url"
-	"saffronquay/internal/events"
-	"saffronquay/internal/layout"
-	"saffronquay/internal/operations"
+	"saffronquay/internal/broker/adminapi"
+	"saffronquay/internal/broker/layout"
+	"saffronquay/internal/broker/logging"
 	"slices"
 	"sync"
 	"time"
@@ -36,7 +36,7 @@
 	cfg     RoutesConfig
 	clock   Clock
 	tell    func(layout.Update)
-	figures *operations.LayoutFigures
+	figures *adminapi.LayoutFigures
 	wanted  chan struct{} // a server has a newer layout
 	heard   chan struct{} // closed with the directory's first word that agrees with what is in force
 	over    sync.WaitGroup
@@ -52,7 +52,7 @@
 
 // NewRoutes makes the owner of a layout, with the one that is known at the start and the servers that may hold ranges.
 func NewRoutes(cfg RoutesConfig, first layout.Doc, servers []sq.ServerID, clock Clock, current *layout.Current,
-	tell func(layout.Update), figures *operations.LayoutFigures, logger *slog.Logger,
+	tell func(layout.Update), figures *adminapi.LayoutFigures, logger *slog.Logger,
 ) (*Routes, error) {
 	r := &Routes{cfg: cfg, clock: clock, current: current, tell: tell, figures: figures, wanted: make(chan struct{}, 1), heard: make(chan struct{})}
 	r.follower = newFollower(cfg.Directory, maxLayout, r, logger)
@@ -179,7 +179,7 @@
 	r.figures.Ranges.Store(int64(u.Layout.Len()))
 	r.figures.Changes.Store(int64(len(u.Layout.Changes())))
 	r.figures.Taken.Add(1)
-	events.Info(r.log, events.Layout, "epoch", u.Layout.Epoch(), "ranges", u.Layout.Len(), "changed", len(u.Changed), "changes", len(u.Layout.Changes()), "from", from)
+	logging.Info(r.log, logging.Layout, "epoch", u.Layout.Epoch(), "ranges", u.Layout.Len(), "changed", len(u.Changed), "changes", len(u.Layout.Changes()), "from", from)
 }
 
 func (r *Routes) wholePath() string { return "/layout" }
@@ -264,7 +264,7 @@
 	}
 	if text := err.Error(); text != r.fault || time.Since(r.faultAt) > repeatAfter {
 		r.fault, r.faultAt = text, time.Now()
-		events.Warn(r.log, events.LayoutKept, "epoch", r.current.Load().Epoch(), "while", what, "reason", reason, "error", text)
+		logging.Warn(r.log, logging.LayoutKept, "epoch", r.current.Load().Epoch(), "while", what, "reason", reason, "error", text)
 	}
 }
 
@@ -276,7 +276,7 @@
 	all, fresh := r.keeper.Stalled(now, r.cfg.Stall.Microseconds())
 	r.figures.Stalled.Store(int64(len(all)))
 	for _, s := range fresh {
-		events.Warn(r.log, events.LayoutStalled, "change", s.ID, "kind", s.Kind, "state", s.State, "for", time.Duration(now-s.Since)*time.Microsecond)
+		logging.Warn(r.log, logging.LayoutStalled, "change", s.ID, "kind", s.Kind, "state", s.State, "for", time.Duration(now-s.Since)*time.Microsecond)
 	}
 }
 
--- a/internal/transport/serve.go
+++ b/internal/broker/transport/serve.go
@@ -2,18 +2,18 @@
 
 import (
 	"errors"
-	"saffronquay/internal/broker"
-	"saffronquay/internal/http1"
+	"saffronquay/internal/broker/core"
+	"saffronquay/internal/broker/http1"
 	"time"
 )
 
 // asked is one query of a request, or the response that ends it at once.
 type asked struct {
 	class string
-	word  func(broker.Final, int64) http1.Response
+	word  func(core.Final, int64) http1.Response
 	t     *Ticket
 	resp  *http1.Response
-	once  broker.Ledger // of a query that must not run twice; else nil
+	once  core.Ledger // of a query that must not run twice; else nil
 }
 
 // ask opens what a message asks for.
@@ -22,7 +22,7 @@
 	if a.class != "" {
 		c.l.engine.figures.Open.Add(1)
 	}
-	var ask broker.Ask
+	var ask core.Ask
 	if ask, a.word, a.resp = front.Open(m, now, c.l.ready()); a.resp == nil {
 		c.l.last.Store(now)
 		a.t, a.once = c.l.engine.Open(ask), ask.Ledger
@@ -145,7 +145,7 @@
 				a.once.Release()
 			}
 			status := 400
-			if errors.Is(err, broker.ErrTaken) {
+			if errors.Is(err, core.ErrTaken) {
 				status = 409
 			} else if errors.Is(err, ErrContract) {
 				status = 403
--- a/internal/transport/size_test.go
+++ b/internal/broker/transport/size_test.go
@@ -5,8 +5,8 @@
 	"io"
 	"log/slog"
 	"runtime"
-	"saffronquay/internal/broker"
-	"saffronquay/internal/platform"
+	"saffronquay/internal/broker/core"
+	"saffronquay/internal/broker/platform"
 	"testing"
 
 	sq "saffronquay"
@@ -41,15 +41,15 @@
 				if err != nil {
 					b.Fatal(err)
 				}
-				core := broker.New(broker.Terms{Period: 5000, Shards: servers, PartsPerCall: 1, Classes: cfg.Classes}, module)
+				gatherer := core.New(core.Terms{Period: 5000, Shards: servers, PartsPerCall: 1, Classes: cfg.Classes}, module)
 				p := newPool(PoolConfig{ConnectTimeout: 250_000, IdleClose: 15_000_000, MaxConns: 7000}, platform.Workers{PerConn: 32},
 					func(func(int64)) bool { return true })
 				now := int64(1_000_000_000)
 				w := NewWatcher("127.0.0.1:1", 0, false, func(f sq.FleetChanged, addresses map[sq.ServerID]string) {
 					now += 5000
 					p.fleet(now, f, addresses)
-					core.Fleet(f)
-					core.Step(now)
+					gatherer.Fleet(f)
+					gatherer.Step(now)
 				}, quiet)
 				if err := w.whole(listOf(servers, servers, 1).Append(nil), "x"); err != nil {
 					b.Fatal(err)
@@ -100,7 +100,7 @@
 		p := newPool(PoolConfig{IdleClose: 1 << 60, MaxConns: 7000}, platform.Workers{PerConn: 32}, func(func(int64)) bool { return true })
 		p.fleet(0, sq.FleetChanged{Kind: sq.FleetFull, Servers: list.Servers}, list.Addresses)
 		for _, s := range p.servers {
-			s.conns = append(s.conns, &serverConn{server: s, up: true, calls: map[broker.AttemptID]*frame{}})
+			s.conns = append(s.conns, &serverConn{server: s, up: true, calls: map[core.AttemptID]*frame{}})
 		}
 		b.Run(fmt.Sprintf("connections=%d", servers), func(b *testing.B) {
 			b.ReportAllocs()
--- a/internal/transport/transport_test.go
+++ b/internal/broker/transport/transport_test.go
@@ -5,10 +5,10 @@
 	"io"
 	"log/slog"
 	"net"
-	"saffronquay/internal/broker"
-	"saffronquay/internal/http1"
-	"saffronquay/internal/operations"
-	"saffronquay/internal/platform"
+	"saffronquay/internal/broker/adminapi"
+	"saffronquay/internal/broker/core"
+	"saffronquay/internal/broker/http1"
+	"saffronquay/internal/broker/platform"
 	"strings"
 	"sync/atomic"
 	"testing"
@@ -23,14 +23,14 @@
 type bench struct {
 	*pool
 	posted chan func(int64)
-	ends   map[broker.AttemptID]sq.Outcome
+	ends   map[core.AttemptID]sq.Outcome
 }
 
 func newBench() *bench {
-	b := &bench{posted: make(chan func(int64), 64), ends: map[broker.AttemptID]sq.Outcome{}}
+	b := &bench{posted: make(chan func(int64), 64), ends: map[core.AttemptID]sq.Outcome{}}
 	b.pool = newPool(PoolConfig{ConnectTimeout: 1_000_000, IdleClose: 9_000_000, MaxConns: 4}, platform.Workers{PerConn: 2},
 		func(f func(int64)) bool { b.posted <- f; return true })
-	b.ended = func(_ int64, r broker.Reply) { b.ends[r.Attempt] = r.Outcome }
+	b.ended = func(_ int64, r core.Reply) { b.ends[r.Attempt] = r.Outcome }
 	b.after = func(time.Duration, func()) *time.Timer { return time.NewTimer(0) } // a test says itself when a connection is late
 	return b
 }
@@ -57,15 +57,15 @@
 	t.Cleanup(func() { far.Close() })
 	s := b.servers["s"]
 	c := &serverConn{
-		server: s, session: b.dialect.Session(""), net: near, up: true, calls: map[broker.AttemptID]*frame{},
-		sentAt: map[broker.AttemptID]int64{}, done: new(atomic.Int64), writes: newOutbox(1),
+		server: s, session: b.dialect.Session(""), net: near, up: true, calls: map[core.AttemptID]*frame{},
+		sentAt: map[core.AttemptID]int64{}, done: new(atomic.Int64), writes: newOutbox(1),
 	}
 	s.conns, b.conns = []*serverConn{c}, 1
 	return c
 }
 
-func callOf(id broker.AttemptID) broker.Call {
-	return broker.Call{Server: "s", Attempts: []broker.Attempt{{ID: id, Label: "q", Shard: int(id), Due: 1 << 40}}}
+func callOf(id core.AttemptID) core.Call {
+	return core.Call{Server: "s", Attempts: []core.Attempt{{ID: id, Label: "q", Shard: int(id), Due: 1 << 40}}}
 }
 
 // listener accepts connections and hands them to the test.
@@ -183,7 +183,7 @@
 	address, _ := acceptor(t)
 	b := newBench()
 	b.fleet(0, sq.Ready, 0, address)
-	for id := broker.AttemptID(1); id <= 9; id++ {
+	for id := core.AttemptID(1); id <= 9; id++ {
 		b.call(0, callOf(id))
 	}
 	if b.conns != 4 || len(b.ends) != 1 || b.ends[9] != sq.Unreachable {
@@ -196,7 +196,7 @@
 	b.drop(2, 2)
 	b.fleet(3, sq.Ready, 0, address)
 	b.pool.fleet(3, sq.FleetChanged{Servers: []sq.Server{{ID: "u", Health: sq.Ready}}}, map[sq.ServerID]string{"u": address})
-	b.call(4, broker.Call{Server: "u", Attempts: []broker.Attempt{{ID: 10, Label: "q"}}})
+	b.call(4, core.Call{Server: "u", Attempts: []core.Attempt{{ID: 10, Label: "q"}}})
 	if _, ended := b.ends[10]; ended || b.conns != 4 || len(b.servers["s"].conns) != 3 {
 		t.Errorf("%d connections, %v", b.conns, b.ends)
 	}
@@ -217,11 +217,11 @@
 // echo is a front whose requests are answered at once, or, under /held, wait for ever.
 type echo struct{}
 
-func (echo) Open(m *http1.Message, now int64, _ bool) (broker.Ask, func(broker.Final, int64) http1.Response, *http1.Response) {
+func (echo) Open(m *http1.Message, now int64, _ bool) (core.Ask, func(core.Final, int64) http1.Response, *http1.Response) {
 	if m.Target == "/held" {
-		return broker.Ask{Class: "c", Deadline: now + 1<<40, Parts: []broker.AskPart{{Weight: 1}}}, nil, nil
+		return core.Ask{Class: "c", Deadline: now + 1<<40, Parts: []core.AskPart{{Weight: 1}}}, nil, nil
 	}
-	return broker.Ask{}, nil, &http1.Response{Status: 200, Body: []byte("ok")}
+	return core.Ask{}, nil, &http1.Response{Status: 200, Body: []byte("ok")}
 }
 
 func (echo) Class(m *http1.Message) string { return strings.TrimPrefix(m.Target, "/") }
@@ -231,9 +231,9 @@
 }
 
 func serve(t *testing.T, cfg ListenerConfig) (*Listener, *Engine) {
-	core := broker.New(broker.Terms{Period: 1000, Shards: 1, Classes: []sq.Class{{Name: "c"}}}, module{})
+	gatherer := core.New(core.Terms{Period: 1000, Shards: 1, Classes: []sq.Class{{Name: "c"}}}, module{})
 	quiet := slog.New(slog.DiscardHandler)
-	e := NewEngine(NewClock(), core, PoolConfig{MaxConns: 1, IdleClose: 1 << 40}, platform.Workers{PerConn: 1}, operations.NewFigures(), quiet)
+	e := NewEngine(NewClock(), gatherer, PoolConfig{MaxConns: 1, IdleClose: 1 << 40}, platform.Workers{PerConn: 1}, adminapi.NewFigures(), quiet)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -540,7 +540,7 @@
 	if len(b.ends) != 0 {
 		t.Fatalf("nothing was answered, and yet %v", b.ends)
 	}
-	for id := broker.AttemptID(2); ; id++ {
+	for id := core.AttemptID(2); ; id++ {
 		fmt.Fprintf(second, "\x00\x00\x00\x0cYq.%d OK 7 -\n", id)
 		b.next(t, late)
 		b.sweep(late)
@@ -741,7 +741,7 @@
 	near, far := net.Pipe()
 	c := &serverConn{
 		server: b.servers["s"], session: b.dialect.Session(""), net: near, up: true,
-		calls: map[broker.AttemptID]*frame{}, sentAt: map[broker.AttemptID]int64{}, done: new(atomic.Int64), writes: newOutbox(4),
+		calls: map[core.AttemptID]*frame{}, sentAt: map[core.AttemptID]int64{}, done: new(atomic.Int64), writes: newOutbox(4),
 	}
 	b.servers["s"].conns, b.conns = []*serverConn{c}, 1
 	ended := make(chan struct{})
--- a/internal/transport/unsent_test.go
+++ b/internal/broker/transport/unsent_test.go
@@ -4,10 +4,10 @@
 	"fmt"
 	"io"
 	"net"
-	"saffronquay/internal/broker"
-	"saffronquay/internal/merge"
-	"saffronquay/internal/opensearch"
-	"saffronquay/internal/platform"
+	"saffronquay/internal/broker/core"
+	"saffronquay/internal/broker/merge"
+	"saffronquay/internal/broker/opensearch"
+	"saffronquay/internal/broker/platform"
 	"strings"
 	"sync/atomic"
 	"testing"
@@ -23,8 +23,8 @@
 	b.pool.fleet(0, sq.FleetChanged{Servers: []sq.Server{{ID: "s", Health: sq.Ready}}}, map[sq.ServerID]string{"s": "127.0.0.1:1"})
 	near, far := net.Pipe()
 	c := &serverConn{
-		server: b.servers["s"], session: b.dialect.Session(""), net: near, up: true, calls: map[broker.AttemptID]*frame{},
-		sentAt: map[broker.AttemptID]int64{}, done: new(atomic.Int64), writes: newOutbox(8),
+		server: b.servers["s"], session: b.dialect.Session(""), net: near, up: true, calls: map[core.AttemptID]*frame{},
+		sentAt: map[core.AttemptID]int64{}, done: new(atomic.Int64), writes: newOutbox(8),
 	}
 	b.servers["s"].conns, b.conns = []*serverConn{c}, 1
 	ended := make(chan struct{})
@@ -59,8 +59,8 @@
 	}
 }
 
-func frameOf(ids ...broker.AttemptID) string {
-	c := broker.Call{}
+func frameOf(ids ...core.AttemptID) string {
+	c := core.Call{}
 	for _, id := range ids {
 		c.Attempts = append(c.Attempts, callOf(id).Attempts...)
 	}
@@ -71,26 +71,26 @@
 // up or its server drains. What has begun stays, and what travels with another stays too. Guards workers against work that nobody
 // waits for, and the drain rule against frames that were handed to a writer in time and leave late.
 func TestWhatWaitsBehindAWriteIsTakenBack(t *testing.T) {
-	both := broker.Call{Server: "s", Attempts: append(callOf(2).Attempts, callOf(3).Attempts...)}
+	both := core.Call{Server: "s", Attempts: append(callOf(2).Attempts, callOf(3).Attempts...)}
 	for name, tc := range map[string]struct {
 		do   func(b *bench)
-		ends map[broker.AttemptID]sq.Outcome
+		ends map[core.AttemptID]sq.Outcome
 		want []string
 	}{
 		"over": {
 			func(b *bench) { b.recall(1, 1); b.recall(1, 2); b.recall(1, 3) },
-			map[broker.AttemptID]sq.Outcome{2: sq.NotSent, 3: sq.NotSent},
+			map[core.AttemptID]sq.Outcome{2: sq.NotSent, 3: sq.NotSent},
 			[]string{frameOf(1), frameOf(9)},
 		},
 		"one of two is over": {
 			func(b *bench) { b.recall(1, 2) },
-			map[broker.AttemptID]sq.Outcome{2: sq.NotSent},
+			map[core.AttemptID]sq.Outcome{2: sq.NotSent},
 			[]string{frameOf(1), frameOf(3), frameOf(9)},
 		},
-		"given up": {func(b *bench) { b.drop(1, 2); b.drop(1, 3) }, map[broker.AttemptID]sq.Outcome{}, []string{frameOf(1), frameOf(9)}},
+		"given up": {func(b *bench) { b.drop(1, 2); b.drop(1, 3) }, map[core.AttemptID]sq.Outcome{}, []string{frameOf(1), frameOf(9)}},
 		"begun and given up": {
 			func(b *bench) { b.drop(1, 1) },
-			map[broker.AttemptID]sq.Outcome{},
+			map[core.AttemptID]sq.Outcome{},
 			[]string{frameOf(1), frameOf(2, 3), "Aq.1", frameOf(9)},
 		},
 	} {
@@ -246,7 +246,7 @@
 			b := newBench()
 			b.dialect = opensearch.Servers{}
 			b.fleet(0, sq.Ready, 0, address)
-			b.call(0, broker.Call{Server: "s", Attempts: []broker.Attempt{{ID: 1, Due: 1 << 40, Text: []byte("{}"), Plan: &merge.Plan{}}}})
+			b.call(0, core.Call{Server: "s", Attempts: []core.Attempt{{ID: 1, Due: 1 << 40, Text: []byte("{}"), Plan: &merge.Plan{}}}})
 			b.next(t, 1)
 			far := <-conns
 			defer far.Close()
--- a/internal/transport/vrrp.go
+++ b/internal/broker/transport/vrrp.go
@@ -4,8 +4,8 @@
 	"log/slog"
 	"net"
 	"net/netip"
-	"saffronquay/internal/events"
-	"saffronquay/internal/vrrp"
+	"saffronquay/internal/broker/logging"
+	"saffronquay/internal/broker/vrrp"
 	"time"
 )
 
@@ -48,7 +48,7 @@
 	for {
 		if now := r.machine.State(); now != state {
 			state = now
-			events.Info(r.log, events.Vrrp, "state", state)
+			logging.Info(r.log, logging.Vrrp, "state", state)
 			r.changed(state)
 		}
 		if at, ok := r.machine.Timer(); ok {
@@ -87,7 +87,7 @@
 			default:
 			}
 			// A peer that is down shows as a refused datagram on loopback; the socket stays good.
-			events.Warn(r.log, events.VrrpRead, "error", err)
+			logging.Warn(r.log, logging.VrrpRead, "error", err)
 			if _, ok := err.(net.Error); !ok {
 				return
 			}
@@ -99,7 +99,7 @@
 		}
 		a, err := vrrp.Parse(buf[:n])
 		if !known || err != nil {
-			events.Warn(r.log, events.VrrpDiscard, "from", from, "known", known, "error", err)
+			logging.Warn(r.log, logging.VrrpDiscard, "from", from, "known", known, "error", err)
 			continue
 		}
 		select {
@@ -116,13 +116,13 @@
 	}
 	b, err := a.Append(nil)
 	if err != nil {
-		events.Error(r.log, events.VrrpSend, "error", err)
+		logging.Error(r.log, logging.VrrpSend, "error", err)
 		return
 	}
 	for _, p := range r.peers {
 		r.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
 		if _, err := r.conn.WriteToUDPAddrPort(b, p); err != nil {
-			events.Warn(r.log, events.VrrpSend, "to", p, "error", err)
+			logging.Warn(r.log, logging.VrrpSend, "to", p, "error", err)
 		}
 	}
 }
--- a/internal/peers/frames.go
+++ b/internal/cluster/peering/frames.go
@@ -1,4 +1,4 @@
-package peers
+package peering
 
 import (
 	"encoding/binary"
@@ -8,8 +8,8 @@
 	"io"
 	"net"
 	"net/netip"
-	"saffronquay/internal/events"
-	"saffronquay/internal/rollout/wire"
+	"saffronquay/internal/broker/logging"
+	"saffronquay/internal/cluster/rollout/wire"
 	"time"
 
 	"google.golang.org/protobuf/proto"
@@ -24,7 +24,7 @@
 			if errors.Is(err, net.ErrClosed) {
 				return
 			}
-			events.Warn(p.log, events.PeerDropped, "what", "accept", "error", err)
+			logging.Warn(p.log, logging.PeerDropped, "what", "accept", "error", err)
 			time.Sleep(10 * time.Millisecond) // out of descriptors: not at once again
 			continue
 		}
@@ -59,7 +59,7 @@
 		m, err := readMessage(conn)
 		if err != nil {
 			if !errors.Is(err, io.EOF) && !errors.Is(err, net.ErrClosed) {
-				events.Debug(p.log, events.PeerDropped, "what", "message", "from", conn.RemoteAddr(), "error", err)
+				logging.Debug(p.log, logging.PeerDropped, "what", "message", "from", conn.RemoteAddr(), "error", err)
 			}
 			return
 		}
@@ -68,7 +68,7 @@
 		if m.Propose != nil {
 			a.reply = make(chan *wire.Answer, 1)
 		} else if o := (*p.others.Load())[m.From]; o == nil || m.To != p.cfg.Node.Name {
-			events.Warn(p.log, events.PeerDropped, "what", "message", "from", conn.RemoteAddr(), "error", errStranger)
+			logging.Warn(p.log, logging.PeerDropped, "what", "message", "from", conn.RemoteAddr(), "error", errStranger)
 			return
 		} else {
 			o.heard.Store(p.now())
--- a/internal/peers/golden_test.go
+++ b/internal/cluster/peering/golden_test.go
@@ -1,14 +1,13 @@
-package peers
+package peering
 
 import (
 	"bytes"
 	"encoding/hex"
+	"saffronquay/internal/cluster/rollout/wire"
 	"testing"
 
 	"github.com/matryer/is"
 	"google.golang.org/protobuf/proto"
-
-	"saffronquay/internal/rollout/wire"
 )
 
 // goldenFrame is a message between gatherers as an earlier build sends it.
--- a/internal/peers/links.go
+++ b/internal/cluster/peering/links.go
@@ -1,10 +1,10 @@
-package peers
+package peering
 
 import (
 	"io"
 	"net"
 	"net/netip"
-	"saffronquay/internal/rollout/wire"
+	"saffronquay/internal/cluster/rollout/wire"
 	"sync"
 	"sync/atomic"
 	"time"
--- a/internal/peers/links_test.go
+++ b/internal/cluster/peering/links_test.go
@@ -1,13 +1,13 @@
-package peers
+package peering
 
 import (
 	"fmt"
 	"log/slog"
 	"net/netip"
 	"runtime"
-	"saffronquay/internal/rollout"
-	"saffronquay/internal/rollout/wire"
-	"saffronquay/internal/transport"
+	"saffronquay/internal/broker/transport"
+	"saffronquay/internal/cluster/rollout"
+	"saffronquay/internal/cluster/rollout/wire"
 	"testing"
 	"time"
 )
--- a/internal/peers/policy.go
+++ b/internal/cluster/peering/policy.go
@@ -1,4 +1,4 @@
-package peers
+package peering
 
 import (
 	"errors"
@@ -7,11 +7,11 @@
 	"math/rand/v2"
 	"net"
 	"net/netip"
-	"saffronquay/internal/events"
-	"saffronquay/internal/rollout"
-	"saffronquay/internal/rollout/wire"
-	"saffronquay/internal/share"
-	"saffronquay/internal/transport"
+	"saffronquay/internal/broker/logging"
+	"saffronquay/internal/broker/transport"
+	"saffronquay/internal/cluster/quota"
+	"saffronquay/internal/cluster/rollout"
+	"saffronquay/internal/cluster/rollout/wire"
 	"sync"
 	"sync/atomic"
 	"time"
@@ -119,7 +119,7 @@
 // Run takes part until Stop, or until what is to be kept can't be: then nothing is let in any more.
 func (p *Policy) Run() {
 	defer close(p.done)
-	events.Info(p.log, events.Rollout, "listen", p.Address(), "number", p.node.Number(), "members", len(p.node.Members()), "founding", p.node.Founding())
+	logging.Info(p.log, logging.Rollout, "listen", p.Address(), "number", p.node.Number(), "members", len(p.node.Members()), "founding", p.node.Founding())
 	p.know(p.node.Members())
 	p.wg.Add(1)
 	go p.accept()
@@ -157,7 +157,7 @@
 
 // Divide says what this gatherer could use of the budgets, and gives what it may: of the teams that are named, and of all others. A lease is
 // taken to end so many microseconds early. False: they are not divided, or the answer is late.
-func (p *Policy) Divide(wants []share.Demand, early int64) (named map[string]uint32, others uint32, ok bool) {
+func (p *Policy) Divide(wants []quota.Demand, early int64) (named map[string]uint32, others uint32, ok bool) {
 	type answer struct {
 		named  map[string]uint32
 		others uint32
@@ -231,7 +231,7 @@
 	o := p.node.Out()
 	if s := o.Roster; s != nil {
 		p.know(s.Members)
-		events.Info(p.log, events.RolloutRoster, "members", len(s.Members), "index", s.MembersIndex)
+		logging.Info(p.log, logging.RolloutRoster, "members", len(s.Members), "index", s.MembersIndex)
 		p.beside(func() error { return p.host.Roster(s) }, func(_ int64, err error) {
 			if err != nil {
 				p.fail("roster", err)
@@ -249,7 +249,7 @@
 		if parts := p.node.Parts(); parts != nil {
 			parts.Slots(p.host.Slots())
 		}
-		events.Info(p.log, events.RolloutInForce, "number", d.Number)
+		logging.Info(p.log, logging.RolloutInForce, "number", d.Number)
 		p.beside(func() error { return p.host.Keep(d) }, func(_ int64, err error) {
 			if err != nil {
 				p.fail("keep", err)
@@ -286,7 +286,7 @@
 			fault := ""
 			if err != nil {
 				fault = err.Error()
-				events.Warn(p.log, events.RolloutRefused, "error", err)
+				logging.Warn(p.log, logging.RolloutRefused, "error", err)
 			}
 			p.node.Judged(now, x.Attempt, fault)
 		})
@@ -309,7 +309,7 @@
 	}
 	if p.failed == nil {
 		p.failed = fmt.Errorf("%s: %w", what, err)
-		events.Error(p.log, events.RolloutFails, "what", what, "error", err)
+		logging.Error(p.log, logging.RolloutFails, "what", what, "error", err)
 	}
 }
 
@@ -324,7 +324,7 @@
 		return
 	}
 	if x.Holding != p.permit.Holding {
-		events.Debug(p.log, events.RolloutHolds, "on", x.Holding, "number", x.Number)
+		logging.Debug(p.log, logging.RolloutHolds, "on", x.Holding, "number", x.Number)
 	}
 	p.permit = x
 	p.host.Permit(x)
--- a/internal/peers/policy_test.go
+++ b/internal/cluster/peering/policy_test.go
@@ -1,4 +1,4 @@
-package peers_test
+package peering_test
 
 import (
 	"encoding/json"
@@ -8,14 +8,14 @@
 	"net/http"
 	"os"
 	"path/filepath"
-	"saffronquay/internal/campaign"
-	"saffronquay/internal/config"
-	"saffronquay/internal/faults"
-	"saffronquay/internal/lab"
-	"saffronquay/internal/layout"
-	"saffronquay/internal/peers"
-	"saffronquay/internal/rollout/wire"
-	"saffronquay/internal/standin"
+	"saffronquay/internal/broker/config"
+	"saffronquay/internal/broker/layout"
+	"saffronquay/internal/cluster/peering"
+	"saffronquay/internal/cluster/rollout/wire"
+	"saffronquay/internal/testing/fakebackend"
+	"saffronquay/internal/testing/faults"
+	"saffronquay/internal/testing/harness"
+	"saffronquay/internal/testing/soak"
 	"slices"
 	"strconv"
 	"strings"
@@ -30,7 +30,7 @@
 )
 
 // agreeing starts a group whose members agree on the policy, in front of stand-in servers.
-func agreeing(t *testing.T, seed uint64, members, voters int) *lab.Group {
+func agreeing(t *testing.T, seed uint64, members, voters int) *harness.Group {
 	t.Helper()
 	g := prepared(t, seed, members, voters)
 	g.StartAll()
@@ -39,21 +39,21 @@
 }
 
 // prepared is such a group of which none runs yet.
-func prepared(t *testing.T, seed uint64, members, voters int) *lab.Group {
+func prepared(t *testing.T, seed uint64, members, voters int) *harness.Group {
 	t.Helper()
 	return served(t, seed, members, voters, time.Millisecond)
 }
 
 // served is the same with servers that take so long for a part.
-func served(t *testing.T, seed uint64, members, voters int, work time.Duration) *lab.Group {
+func served(t *testing.T, seed uint64, members, voters int, work time.Duration) *harness.Group {
 	t.Helper()
 	doc := layout.Doc{History: "h", Epoch: 1}
 	ids := []sq.ServerID{"s0", "s1"}
 	for i := range 2 {
 		doc.Ranges = append(doc.Ranges, layout.Range{Shard: i, Span: layout.Span{From: int64(i) * 2000, To: int64(i+1) * 2000}, Holders: ids})
 	}
-	rows := []standin.Row{{Key: 1, ID: "one"}, {Key: 3000, ID: "two"}}
-	c, err := standin.NewCluster(ids, nil, standin.ServerConfig{Field: "taxpayer", Cores: 8 * max(1, int(work/(50*time.Millisecond))), Queue: 1000, Work: work}, doc, rows)
+	rows := []fakebackend.Row{{Key: 1, ID: "one"}, {Key: 3000, ID: "two"}}
+	c, err := fakebackend.NewCluster(ids, nil, fakebackend.ServerConfig{Field: "taxpayer", Cores: 8 * max(1, int(work/(50*time.Millisecond))), Queue: 1000, Work: work}, doc, rows)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -62,7 +62,7 @@
 	for _, s := range c.Servers {
 		servers = append(servers, map[string]any{"id": s.ID(), "address": s.Address(), "zone": "norte"})
 	}
-	g := lab.NewGroup(t, seed, members, func(_ int, file, _ map[string]any) {
+	g := harness.NewGroup(t, seed, members, func(_ int, file, _ map[string]any) {
 		file["servers"], file["layout"] = servers, map[string]any{"whole": doc}
 		file["indices"] = []any{map[string]any{"name": "invoices", "class": "search", "field": "taxpayer", "part_work_us": 1000}}
 	})
@@ -71,7 +71,7 @@
 }
 
 // stands is the line of a member's own in what its door tells of the policy.
-func stands(m *lab.Member) map[string]string {
+func stands(m *harness.Member) map[string]string {
 	of := map[string]string{}
 	if m.Life == nil || m.Halted {
 		return of
@@ -88,7 +88,7 @@
 }
 
 // admit waits until every live member lets queries in, all under one version, and returns it.
-func admit(t *testing.T, g *lab.Group) (number int64) {
+func admit(t *testing.T, g *harness.Group) (number int64) {
 	t.Helper()
 	g.Until("one version, and everybody lets queries in", func() (how string, ok bool) {
 		ok = true
@@ -109,7 +109,7 @@
 }
 
 // policy is a document that differs from others by its number.
-func policy(t *testing.T, g *lab.Group, n int) []byte {
+func policy(t *testing.T, g *harness.Group, n int) []byte {
 	t.Helper()
 	file, err := os.ReadFile(g.Members[0].File)
 	if err != nil {
@@ -131,14 +131,14 @@
 }
 
 // propose sends a proposal to voters until its end is known, or until over; 0: not known.
-func propose(g *lab.Group, voters int, x *wire.Propose, over <-chan struct{}) *wire.Answer {
+func propose(g *harness.Group, voters int, x *wire.Propose, over <-chan struct{}) *wire.Answer {
 	for i := 0; ; i++ {
 		select {
 		case <-over:
 			return &wire.Answer{}
 		case <-time.After(20 * time.Millisecond): // between two asks
 		}
-		a, err := peers.AskPolicy(g.PolicyAt(i%voters), x, time.Second)
+		a, err := peering.AskPolicy(g.PolicyAt(i%voters), x, time.Second)
 		if err == nil && (a.End == 1 || a.End == 2) {
 			return a
 		}
@@ -149,9 +149,9 @@
 }
 
 // load sends searches to all members until over, and keeps what came of each.
-func load(g *lab.Group, clients int, over <-chan struct{}) (wait func() []campaign.Query) {
+func load(g *harness.Group, clients int, over <-chan struct{}) (wait func() []soak.Query) {
 	var mu sync.Mutex
-	var all []campaign.Query
+	var all []soak.Query
 	var wg sync.WaitGroup
 	began := g.Began()
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}, Timeout: 5 * time.Second}
@@ -169,7 +169,7 @@
 				if at == "" {
 					continue
 				}
-				q := campaign.Query{Sent: time.Since(began), Version: -1, At: name}
+				q := soak.Query{Sent: time.Since(began), Version: -1, At: name}
 				resp, err := client.Post("http://"+at+"/invoices/_search", "application/json", strings.NewReader(`{"query":{"range":{"taxpayer":{"gte":0,"lt":4000}}}}`))
 				if err != nil {
 					continue
@@ -186,7 +186,7 @@
 			}
 		}()
 	}
-	return func() []campaign.Query { wg.Wait(); return all }
+	return func() []soak.Query { wg.Wait(); return all }
 }
 
 // Under load and faults by seed: nothing is let in under a version after anything was answered under a later one; what was told to be in
@@ -245,7 +245,7 @@
 			number := admit(t, g)
 			close(over)
 			all := wait()
-			n, first := campaign.Mixed(all)
+			n, first := soak.Mixed(all)
 			let := 0
 			for _, q := range all {
 				if q.Version >= 0 {
@@ -266,8 +266,8 @@
 // The judge notices what it is for.
 func TestLinearizableIsJudged(t *testing.T) {
 	second := time.Second
-	good := []campaign.Query{{Came: second, Version: 1}, {Sent: second / 2, Came: 3 * second, Version: 1}, {Sent: second, Came: 2 * second, Version: 2}, {Sent: 3 * second, Came: 4 * second, Version: 2}}
-	bad := append(good, campaign.Query{Sent: 5 * second, Came: 6 * second, Version: 1})
+	good := []soak.Query{{Came: second, Version: 1}, {Sent: second / 2, Came: 3 * second, Version: 1}, {Sent: second, Came: 2 * second, Version: 2}, {Sent: 3 * second, Came: 4 * second, Version: 2}}
+	bad := append(good, soak.Query{Sent: 5 * second, Came: 6 * second, Version: 1})
 	writes := []porcupine.Operation{
 		{Input: step{true, 0}, Output: &wire.Answer{End: 1, Number: 1}, Call: -9, Return: -8},
 		{Input: step{true, 1}, Output: &wire.Answer{}, Call: int64(second), Return: int64(second) + 1},
@@ -286,7 +286,7 @@
 
 // linearizable holds changes, and what queries were let in under, against a register. A change whose end was not told may have taken
 // hold at any time from its beginning on. Of the queries at most some thousands are taken, spread over all.
-func linearizable(writes []porcupine.Operation, all []campaign.Query) porcupine.CheckResult {
+func linearizable(writes []porcupine.Operation, all []soak.Query) porcupine.CheckResult {
 	register := porcupine.Model{Init: func() any { return uint64(0) }, Step: func(state, in, out any) (bool, any) {
 		now, x := state.(uint64), in.(step)
 		if !x.write {
@@ -321,7 +321,7 @@
 // operator calls the commands, as an operator does.
 type operator struct {
 	t   *testing.T
-	g   *lab.Group
+	g   *harness.Group
 	dir string
 }
 
@@ -339,7 +339,7 @@
 // run wants a code, and words in what is printed.
 func (o *operator) run(code int, want string, words ...string) {
 	o.t.Helper()
-	if out, got := lab.Run(o.t, append([]string{"policy"}, words...)...); got != code || !strings.Contains(out, want) {
+	if out, got := harness.Run(o.t, append([]string{"policy"}, words...)...); got != code || !strings.Contains(out, want) {
 		o.t.Fatalf("policy %v: %d, want %d and %q: %s", words, got, code, want, out)
 	}
 }
@@ -431,7 +431,7 @@
 		ends <- propose(g, 3, &wire.Propose{Nonce: 77, Base: 5, Text: policy(t, g, 20), By: "test"}, over)
 	}()
 	g.Until("it is open", func() (string, bool) { of := stands(g.Members[g.Leader()]); return fmt.Sprint(of), of["open"] != "0" })
-	out, code := lab.Run(t, append([]string{"policy", "abort", "6"}, flags()...)...)
+	out, code := harness.Run(t, append([]string{"policy", "abort", "6"}, flags()...)...)
 	if a := <-ends; code == 0 && (a.End != 2 || !strings.Contains(a.Reason, "given up")) || code != 0 && a.End != 1 {
 		t.Errorf("abort ended with %d, %s, and the proposal with %v", code, out, a)
 	}
--- a/internal/peers/program_test.go
+++ b/internal/cluster/peering/program_test.go
@@ -1,10 +1,10 @@
-package peers_test
+package peering_test
 
 import (
 	"fmt"
 	"os"
-	"saffronquay/internal/faults"
-	"saffronquay/internal/lab"
+	"saffronquay/internal/testing/faults"
+	"saffronquay/internal/testing/harness"
 	"slices"
 	"strconv"
 	"strings"
@@ -13,7 +13,7 @@
 	"time"
 )
 
-func TestMain(m *testing.M) { lab.Main(m) }
+func TestMain(m *testing.M) { harness.Main(m) }
 
 // calm has members ask so rarely that a machine under load does not make them suspect each other for long.
 func calm(_ int, _, fleet map[string]any) { fleet["period_ms"] = 400 }
@@ -31,7 +31,7 @@
 }
 
 // nobodyDied says that no member held another one for dead.
-func nobodyDied(t *testing.T, g *lab.Group) {
+func nobodyDied(t *testing.T, g *harness.Group) {
 	t.Helper()
 	if n := g.Said("event=peer ", "what=dead"); n > 0 {
 		t.Errorf("%d times a member was held for dead", n)
@@ -48,9 +48,9 @@
 		name    string
 		members int
 		edit    func(int, map[string]any, map[string]any)
-		play    func(t *testing.T, g *lab.Group)
+		play    func(t *testing.T, g *harness.Group)
 	}{
-		{"half killed at once", 8, quick, func(t *testing.T, g *lab.Group) {
+		{"half killed at once", 8, quick, func(t *testing.T, g *harness.Group) {
 			for i := 4; i < 8; i++ {
 				g.Kill(i)
 			}
@@ -59,7 +59,7 @@
 				t.Errorf("alive %s, reckoned with %s, divided by %s", v.Of["alive"], v.Of["reckon"], v.Of["divide"])
 			}
 		}},
-		{"two halves, healed", 8, quick, func(t *testing.T, g *lab.Group) {
+		{"two halves, healed", 8, quick, func(t *testing.T, g *harness.Group) {
 			cut := script(t, "at 0s for 1h cut 0-3 4-7", 8)[0]
 			g.Net.Begin(cut)
 			for _, half := range []int{0, 4} {
@@ -73,22 +73,22 @@
 			g.Net.Expire(cut.At + cut.For)
 			g.Settled()
 		}},
-		{"one way", 6, calm, func(t *testing.T, g *lab.Group) {
+		{"one way", 6, calm, func(t *testing.T, g *harness.Group) {
 			g.Play(script(t, "at 0s for 6s half 1 4", 6))
 			nobodyDied(t, g)
 			g.Settled()
 		}},
-		{"a pair cut", 6, calm, func(t *testing.T, g *lab.Group) {
+		{"a pair cut", 6, calm, func(t *testing.T, g *harness.Group) {
 			g.Play(script(t, "at 0s for 6s cut 1 4", 6))
 			nobodyDied(t, g)
 			g.Settled()
 		}},
-		{"30% lost", 6, calm, func(t *testing.T, g *lab.Group) {
+		{"30% lost", 6, calm, func(t *testing.T, g *harness.Group) {
 			g.Play(script(t, "at 0s for 6s loss 0.3", 6))
 			nobodyDied(t, g)
 			g.Settled()
 		}},
-		{"repeats and disorder", 6, calm, func(t *testing.T, g *lab.Group) {
+		{"repeats and disorder", 6, calm, func(t *testing.T, g *harness.Group) {
 			g.Play(script(t, "at 0s for 6s repeat 0.5\nat 0s for 6s delay 20ms * *", 6))
 			nobodyDied(t, g)
 			g.Kill(2)
@@ -96,7 +96,7 @@
 			g.Start(2)
 			g.Settled()
 		}},
-		{"stopped, and goes on", 6, quick, func(t *testing.T, g *lab.Group) {
+		{"stopped, and goes on", 6, quick, func(t *testing.T, g *harness.Group) {
 			g.Halt(2)
 			g.Settled() // without it
 			time.Sleep(2500 * time.Millisecond * long)
@@ -108,7 +108,7 @@
 				t.Errorf("it had %d members held for dead", after-before)
 			}
 		}},
-		{"restart within the suspicion", 6, calm, func(t *testing.T, g *lab.Group) {
+		{"restart within the suspicion", 6, calm, func(t *testing.T, g *harness.Group) {
 			g.Kill(2)
 			g.Start(2)
 			g.Settled()
@@ -123,10 +123,10 @@
 				t.Errorf("%v: it is reached at %s", err, v.Members["g03"]["address"])
 			}
 		}},
-		{"two under one name", 5, calm, func(t *testing.T, g *lab.Group) {
+		{"two under one name", 5, calm, func(t *testing.T, g *harness.Group) {
 			twin := g.Twin(2, calm)
 			old := g.Members[2]
-			for _, m := range []*lab.Member{old, twin} {
+			for _, m := range []*harness.Member{old, twin} {
 				m.Says(0, "event=peer_twin")
 				g.Until("both show it", func() (string, bool) { v, ok := m.View(); return fmt.Sprint(v.Of), ok && v.Of["twin"] == "true" })
 			}
@@ -143,7 +143,7 @@
 			g.Until("the earlier one is back", func() (string, bool) { v, ok := old.View(); return fmt.Sprint(v.Of), ok && v.Of["member"] == "true" })
 			g.Settled()
 		}},
-		{"leave, standby, forget", 5, quick, func(t *testing.T, g *lab.Group) {
+		{"leave, standby, forget", 5, quick, func(t *testing.T, g *harness.Group) {
 			g.Leave(4)
 			g.Settled()
 			v, _ := g.Members[0].View()
@@ -162,25 +162,25 @@
 			g.Kill(3)
 			g.Settled()
 			door := g.Members[0].Life.Door
-			if out, code := lab.Run(t, "fleet", "forget", "g02", "--door", door); code != 1 || !strings.Contains(out, "not a dead member") {
+			if out, code := harness.Run(t, "fleet", "forget", "g02", "--door", door); code != 1 || !strings.Contains(out, "not a dead member") {
 				t.Errorf("a live one: %d %s", code, out)
 			}
-			if out, code := lab.Run(t, "fleet", "forget", "g03", "--door", door); code != 0 {
+			if out, code := harness.Run(t, "fleet", "forget", "g03", "--door", door); code != 0 {
 				t.Errorf("%d %s", code, out)
 			}
 			for i := range 3 {
 				g.Until("forgotten everywhere", func() (string, bool) { v, _ := g.Members[i].View(); return fmt.Sprint(v.Of), v.Of["reckon"] == "3" })
 			}
-			if out, code := lab.Run(t, "fleet", "--door", door); code != 0 || !strings.Contains(out, "alive 3, reckoned with 3") || !strings.Contains(out, "standby") {
+			if out, code := harness.Run(t, "fleet", "--door", door); code != 0 || !strings.Contains(out, "alive 3, reckoned with 3") || !strings.Contains(out, "standby") {
 				t.Errorf("%d %s", code, out)
 			}
-			if out, code := lab.Run(t, "fleet", "-o", "json", "--door", door); code != 0 || !strings.Contains(out, `"state": "left"`) {
+			if out, code := harness.Run(t, "fleet", "-o", "json", "--door", door); code != 0 || !strings.Contains(out, `"state": "left"`) {
 				t.Errorf("%d %s", code, out)
 			}
-			if out, code := lab.Run(t, "stats", "--door", door); code != 0 || !strings.Contains(out, "svc.fleet.alive:3|g") || !strings.Contains(out, "svc.fleet.died:1|c") {
+			if out, code := harness.Run(t, "stats", "--door", door); code != 0 || !strings.Contains(out, "svc.fleet.alive:3|g") || !strings.Contains(out, "svc.fleet.died:1|c") {
 				t.Errorf("%d %s", code, out)
 			}
-			if out, code := lab.Run(t, "fleet", "leave", "--door", g.Members[2].Life.Door); code != 0 {
+			if out, code := harness.Run(t, "fleet", "leave", "--door", g.Members[2].Life.Door); code != 0 {
 				t.Errorf("%d %s", code, out)
 			}
 			g.Until("left, and serving", func() (string, bool) {
@@ -188,7 +188,7 @@
 				return fmt.Sprint(v.Members["g02"]), v.Members["g02"]["state"] == "left" && strings.HasPrefix(g.Members[2].Life.Call("status"), "YES")
 			})
 		}},
-		{"replaced with a passed socket", 3, quick, func(t *testing.T, g *lab.Group) {
+		{"replaced with a passed socket", 3, quick, func(t *testing.T, g *harness.Group) {
 			m := g.Members[1]
 			m.Passed()
 			g.Leave(1)
@@ -204,7 +204,7 @@
 			g.Settled()
 			nobodyDied(t, g)
 		}},
-		{"nobody to join", 5, quick, func(t *testing.T, g *lab.Group) {
+		{"nobody to join", 5, quick, func(t *testing.T, g *harness.Group) {
 			for i := range 5 {
 				g.Kill(i)
 			}
@@ -222,7 +222,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			g := lab.NewGroup(t, 1, c.members, c.edit)
+			g := harness.NewGroup(t, 1, c.members, c.edit)
 			g.StartAll()
 			g.Settled()
 			c.play(t, g)
@@ -246,7 +246,7 @@
 	}
 	for seed := first; seed < first+uint64(seeds); seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			g := lab.NewGroup(t, seed, members, nil)
+			g := harness.NewGroup(t, seed, members, nil)
 			g.StartAll()
 			g.Settled()
 			s := faults.Random(seed, members, count, length)
@@ -261,7 +261,7 @@
 
 // What is no datagram or frame of this fleet is dropped and counted, and harms nobody.
 func TestNoise(t *testing.T) {
-	g := lab.NewGroup(t, 1, 2, func(i int, _, fleet map[string]any) {
+	g := harness.NewGroup(t, 1, 2, func(i int, _, fleet map[string]any) {
 		if i == 1 {
 			fleet["name"] = "another"
 		}
--- a/internal/peers/regions.go
+++ b/internal/cluster/peering/regions.go
@@ -1,9 +1,9 @@
-package peers
+package peering
 
 import (
 	"math"
-	"saffronquay/internal/events"
-	"saffronquay/internal/rollout"
+	"saffronquay/internal/broker/logging"
+	"saffronquay/internal/cluster/rollout"
 	"time"
 )
 
@@ -66,11 +66,11 @@
 	case r.Asked < 0: // nobody has told how it stands yet
 	case r.Apart == 0:
 		if s.apart {
-			events.Info(p.log, events.RolloutJoined, "region", r.Name, "number", r.Number, "newest", r.Newest)
+			logging.Info(p.log, logging.RolloutJoined, "region", r.Name, "number", r.Number, "newest", r.Newest)
 		}
 		s.joined, s.apart = true, false
 	case !s.apart && (s.joined || r.Apart >= startsWithin.Microseconds()):
-		events.Warn(p.log, events.RolloutApart, "region", r.Name, "number", r.Number, "for", time.Duration(r.Apart)*time.Microsecond)
+		logging.Warn(p.log, logging.RolloutApart, "region", r.Name, "number", r.Number, "for", time.Duration(r.Apart)*time.Microsecond)
 		s.joined, s.apart = false, true
 	}
 }
--- a/internal/peers/regions_cases_test.go
+++ b/internal/cluster/peering/regions_cases_test.go
@@ -1,9 +1,9 @@
-package peers_test
+package peering_test
 
 import (
 	"fmt"
 	"net/http"
-	"saffronquay/internal/lab"
+	"saffronquay/internal/testing/harness"
 	"strings"
 	"sync"
 	"testing"
@@ -11,7 +11,7 @@
 )
 
 // sums are how many parts all of each region may have out together.
-func sums(g *lab.Group) (at map[string]int, sum map[string]int) {
+func sums(g *harness.Group) (at map[string]int, sum map[string]int) {
 	at, _ = limits(g)
 	sum = map[string]int{}
 	for region, set := range halves {
--- a/internal/peers/regions_test.go
+++ b/internal/cluster/peering/regions_test.go
@@ -1,10 +1,10 @@
-package peers_test
+package peering_test
 
 import (
 	"fmt"
-	"saffronquay/internal/campaign"
-	"saffronquay/internal/faults"
-	"saffronquay/internal/lab"
+	"saffronquay/internal/testing/faults"
+	"saffronquay/internal/testing/harness"
+	"saffronquay/internal/testing/soak"
 	"strconv"
 	"strings"
 	"testing"
@@ -14,7 +14,7 @@
 var halves = map[string]faults.Set{"oeste": {0, 1, 2, 3}, "este": {4, 5, 6}}
 
 // regional is a group of two regions, of which none runs yet: three vote in each, and of those three and two on versions.
-func regional(t *testing.T, seed uint64) *lab.Group {
+func regional(t *testing.T, seed uint64) *harness.Group {
 	t.Helper()
 	return placed(t, seed, 7, func(i int) (region string, voter, global bool) {
 		if region = "oeste"; halves["este"].Has(i) {
@@ -25,7 +25,7 @@
 }
 
 // placed is a group whose members are where they are said to be, of which none runs yet.
-func placed(t *testing.T, seed uint64, members int, where func(i int) (region string, voter, global bool)) *lab.Group {
+func placed(t *testing.T, seed uint64, members int, where func(i int) (region string, voter, global bool)) *harness.Group {
 	t.Helper()
 	g := prepared(t, seed, members, 1)
 	for k, m := range g.Members {
@@ -42,7 +42,7 @@
 }
 
 // regionOf is the line of a member's region in what its door tells of the policy.
-func regionOf(m *lab.Member) map[string]string {
+func regionOf(m *harness.Member) map[string]string {
 	of := map[string]string{}
 	if m.Life == nil || m.Halted {
 		return of
@@ -59,7 +59,7 @@
 }
 
 // serves waits until all of a region answer queries under one version, and tell so.
-func serves(g *lab.Group, region string, number int64) {
+func serves(g *harness.Group, region string, number int64) {
 	g.T.Helper()
 	g.Until(fmt.Sprintf("%s answers under version %d", region, number), func() (how string, ok bool) {
 		ok = true
@@ -77,7 +77,7 @@
 }
 
 // apart waits until all of a region say that it goes on by itself, or that it does not.
-func apart(g *lab.Group, region string, is bool) {
+func apart(g *harness.Group, region string, is bool) {
 	g.T.Helper()
 	g.Until(fmt.Sprintf("%s: apart is %t", region, is), func() (how string, ok bool) {
 		ok = true
@@ -92,11 +92,11 @@
 }
 
 // unmixed holds what was let in against the rule within each region: nothing under a version after anything under a later one.
-func unmixed(t *testing.T, g *lab.Group, all []campaign.Query) (let map[string]int) {
+func unmixed(t *testing.T, g *harness.Group, all []soak.Query) (let map[string]int) {
 	t.Helper()
 	let = map[string]int{}
 	for region, set := range halves {
-		var here []campaign.Query
+		var here []soak.Query
 		for _, q := range all {
 			for _, i := range set {
 				if g.Members[i].Name == q.At {
@@ -106,7 +106,7 @@
 				}
 			}
 		}
-		if n, first := campaign.Mixed(here); n > 0 {
+		if n, first := soak.Mixed(here); n > 0 {
 			t.Errorf("%s: %d mixed: %s", region, n, first)
 		}
 	}
--- a/internal/peers/shares_test.go
+++ b/internal/cluster/peering/shares_test.go
@@ -1,10 +1,10 @@
-package peers_test
+package peering_test
 
 import (
 	"fmt"
 	"net/http"
-	"saffronquay/internal/lab"
-	"saffronquay/internal/rollout/wire"
+	"saffronquay/internal/cluster/rollout/wire"
+	"saffronquay/internal/testing/harness"
 	"strconv"
 	"strings"
 	"sync"
@@ -14,7 +14,7 @@
 
 // limits are how many parts each member that answers may have out, by its door: the lesser of two readings, so that a part that moves
 // meanwhile is not counted twice.
-func limits(g *lab.Group) (at map[string]int, sum int) {
+func limits(g *harness.Group) (at map[string]int, sum int) {
 	at = reading(g)
 	for name, n := range reading(g) {
 		at[name] = min(at[name], n)
@@ -23,7 +23,7 @@
 	return at, sum
 }
 
-func reading(g *lab.Group) map[string]int {
+func reading(g *harness.Group) map[string]int {
 	at := map[string]int{}
 	for _, m := range g.Members {
 		if m.Life == nil || m.Halted {
--- a/internal/peers/steps_test.go
+++ b/internal/cluster/peering/steps_test.go
@@ -1,13 +1,13 @@
-package peers_test
+package peering_test
 
 import (
 	"encoding/json"
 	"fmt"
 	"os"
 	"path/filepath"
-	"saffronquay/internal/faults"
-	"saffronquay/internal/lab"
-	"saffronquay/internal/rollout/wire"
+	"saffronquay/internal/cluster/rollout/wire"
+	"saffronquay/internal/testing/faults"
+	"saffronquay/internal/testing/harness"
 	"strings"
 	"testing"
 	"time"
@@ -16,7 +16,7 @@
 // changes proposes policies one after the other, each in the place of what is in force.
 type changes struct {
 	t      *testing.T
-	g      *lab.Group
+	g      *harness.Group
 	nonce  uint64
 	number uint64 // in force, as it was told last
 }
@@ -234,7 +234,7 @@
 }
 
 // many is a policy with so many teams.
-func many(t *testing.T, g *lab.Group, teams int) []byte {
+func many(t *testing.T, g *harness.Group, teams int) []byte {
 	t.Helper()
 	var v map[string]any
 	if err := json.Unmarshal(policy(t, g, 1), &v); err != nil {
--- a/internal/peers/terms_test.go
+++ b/internal/cluster/peering/terms_test.go
@@ -1,9 +1,9 @@
-package peers_test
+package peering_test
 
 import (
 	"encoding/json"
 	"net/http"
-	"saffronquay/internal/rollout/wire"
+	"saffronquay/internal/cluster/rollout/wire"
 	"strings"
 	"testing"
 	"time"
--- a/internal/peers/traffic.go
+++ b/internal/cluster/peering/traffic.go
@@ -1,8 +1,8 @@
-package peers
+package peering
 
 import (
-	"saffronquay/internal/fleet/gossip"
-	"saffronquay/internal/rollout/wire"
+	"saffronquay/internal/cluster/rollout/wire"
+	"saffronquay/internal/cluster/swim/gossip"
 	"sync/atomic"
 )
 
--- a/internal/peers/view.go
+++ b/internal/cluster/peering/view.go
@@ -1,7 +1,7 @@
-package peers
+package peering
 
 import (
-	"saffronquay/internal/fleet/gossip"
+	"saffronquay/internal/cluster/swim/gossip"
 	"time"
 )
 
--- a/internal/peers/voters_test.go
+++ b/internal/cluster/peering/voters_test.go
@@ -1,16 +1,16 @@
-package peers_test
+package peering_test
 
 import (
 	"fmt"
 	"os"
 	"path/filepath"
-	"saffronquay/internal/lab"
+	"saffronquay/internal/testing/harness"
 	"strings"
 	"testing"
 )
 
 // until waits until a member's own line in what its door tells of the policy has these words.
-func until(g *lab.Group, i int, words ...string) {
+func until(g *harness.Group, i int, words ...string) {
 	g.T.Helper()
 	g.Until(strings.Join(words, " "), func() (string, bool) {
 		text := g.Members[i].Life.Call("policy")
@@ -24,7 +24,7 @@
 }
 
 // forget takes away what a member, which does not run, has in its store.
-func forget(t *testing.T, g *lab.Group, i int) {
+func forget(t *testing.T, g *harness.Group, i int) {
 	t.Helper()
 	if err := os.RemoveAll(filepath.Join(g.Members[i].Dir, "store")); err != nil {
 		t.Fatal(err)
--- a/internal/share/books.go
+++ b/internal/cluster/quota/books.go
@@ -1,8 +1,8 @@
-package share
+package quota
 
 import (
 	"maps"
-	"saffronquay/internal/share/wire"
+	"saffronquay/internal/cluster/quota/wire"
 	"slices"
 
 	"google.golang.org/protobuf/proto"
--- a/internal/share/books_test.go
+++ b/internal/cluster/quota/books_test.go
@@ -1,7 +1,7 @@
-package share
+package quota
 
 import (
-	"saffronquay/internal/share/wire"
+	"saffronquay/internal/cluster/quota/wire"
 	"testing"
 
 	"google.golang.org/protobuf/proto"
--- a/internal/share/doc.go
+++ b/internal/cluster/quota/doc.go
@@ -1,4 +1,4 @@
-// Package share divides the budgets of one fleet among its gatherers, as leases on parts: who has more demand is given more by those who
+// Package quota divides the budgets of one fleet among its gatherers, as leases on parts: who has more demand is given more by those who
 // have less, and the sum over all is never above the budget, whoever is dead, stopped, cut off or late. It is a pure core: it is told
 // words, demands and times, and returns words and parts. No socket, no clock, no goroutine.
 //
@@ -21,4 +21,4 @@
 // # What it must never do
 //
 // Wait for a word before a query is let in; count a gatherer as gone by its silence alone before its lease is surely over.
-package share
+package quota
--- a/internal/share/holder.go
+++ b/internal/cluster/quota/holder.go
@@ -1,9 +1,9 @@
-package share
+package quota
 
 import (
 	"cmp"
 	"maps"
-	"saffronquay/internal/share/wire"
+	"saffronquay/internal/cluster/quota/wire"
 	"slices"
 
 	"google.golang.org/protobuf/proto"
--- a/internal/share/model/measure_test.go
+++ b/internal/cluster/quota/simulation/measure_test.go
@@ -1,17 +1,17 @@
-package model
+package simulation
 
 import (
 	"fmt"
 	"runtime"
-	"saffronquay/internal/lab"
-	"saffronquay/internal/share"
+	"saffronquay/internal/cluster/quota"
+	"saffronquay/internal/testing/harness"
 	"testing"
 )
 
 // What dividing costs on the way: it adds no message, and so many bytes for each gatherer and second.
 func TestMeasure(t *testing.T) {
 	sizes := []int{30, 300}
-	if lab.Raced {
+	if harness.Raced {
 		sizes = sizes[:1]
 	}
 	for _, n := range sizes {
@@ -29,14 +29,14 @@
 
 // A grant to one of 300 gatherers with twelve busy teams.
 func BenchmarkGrant(b *testing.B) {
-	books, names := share.NewBooks(1, 0, share.Bugs{}), []string{}
+	books, names := quota.NewBooks(1, 0, quota.Bugs{}), []string{}
 	books.Slots(300)
-	holders := []*share.Holder{}
+	holders := []*quota.Holder{}
 	for i := range 300 {
-		h := share.NewHolder(300, share.Bugs{})
-		var wants []share.Demand
+		h := quota.NewHolder(300, quota.Bugs{})
+		var wants []quota.Demand
 		for team := range 12 {
-			wants = append(wants, share.Demand{Team: fmt.Sprintf("team-%d", team), Want: uint32(3000 + 500*((i+team)%5))})
+			wants = append(wants, quota.Demand{Team: fmt.Sprintf("team-%d", team), Want: uint32(3000 + 500*((i+team)%5))})
 		}
 		h.Want(wants)
 		names, holders = append(names, fmt.Sprintf("n%03d", i)), append(holders, h)
--- a/internal/share/model/model.go
+++ b/internal/cluster/quota/simulation/model.go
@@ -1,13 +1,13 @@
-// Package model plays days of a fleet that divides its budgets, in virtual time, on package rollout's model: leases, elections, disks, clocks
+// Package simulation plays days of a fleet that divides its budgets, in virtual time, on package rollout's model: leases, elections, disks, clocks
 // and faults are that one's. It owns the days and their judges; it opens nothing.
-package model
+package simulation
 
 import (
 	"fmt"
-	"saffronquay/internal/rollout"
-	"saffronquay/internal/share"
+	"saffronquay/internal/cluster/quota"
+	"saffronquay/internal/cluster/rollout"
 
-	rm "saffronquay/internal/rollout/model"
+	rm "saffronquay/internal/cluster/rollout/simulation"
 )
 
 const second = int64(1_000_000)
@@ -18,7 +18,7 @@
 	Gatherers int
 	Teams     int // of which twelve are busy
 	Faults    int // by chance, until eight seconds before the end
-	Bugs      share.Bugs
+	Bugs      quota.Bugs
 }
 
 // Result is what came of a day.
@@ -41,20 +41,20 @@
 	one, two, three := 7%n, 11%n, 13%n
 	r.Equal = 1 / float64(n)
 	r.Skewed = 1
-	wants := func(now int64, node int) []share.Demand {
-		var all []share.Demand
-		even := share.Even(uint64(n))
+	wants := func(now int64, node int) []quota.Demand {
+		var all []quota.Demand
+		even := quota.Even(uint64(n))
 		for i := range 8 { // busy everywhere, in various measure
-			all = append(all, share.Demand{Team: fmt.Sprintf("busy-%d", i), Want: even * uint32(1+(node+i)%4) / 2})
+			all = append(all, quota.Demand{Team: fmt.Sprintf("busy-%d", i), Want: even * uint32(1+(node+i)%4) / 2})
 		}
-		all = append(all, share.Demand{Team: "loud", Want: share.PPM})
+		all = append(all, quota.Demand{Team: "loud", Want: quota.PPM})
 		if node == n-1 {
-			all = append(all, share.Demand{Team: "quiet", Want: 300_000})
+			all = append(all, quota.Demand{Team: "quiet", Want: 300_000})
 		}
 		at := -1
 		switch {
 		case now < 5*second:
-			all = append(all, share.Demand{Team: "moves", Want: even})
+			all = append(all, quota.Demand{Team: "moves", Want: even})
 		case now < 9*second:
 			at = one
 		case now < 14*second:
@@ -63,7 +63,7 @@
 			at = three
 		}
 		if node == at {
-			all = append(all, share.Demand{Team: "moves", Want: share.PPM})
+			all = append(all, quota.Demand{Team: "moves", Want: quota.PPM})
 		}
 		return all
 	}
@@ -71,7 +71,7 @@
 	for i := range 8 {
 		teams = append(teams, fmt.Sprintf("busy-%d", i))
 	}
-	floor := share.Floor(uint64(n))
+	floor := quota.Floor(uint64(n))
 	crash := 13 * second
 	watch := func(now int64, part func(int, string) uint32) {
 		for _, team := range teams {
@@ -82,7 +82,7 @@
 					r.wrong(&r.Starved, "at %.2f s gatherer %d stands under its floor of %s: %d", float64(now)/1e6, i, team, p)
 				}
 			}
-			if r.Most = max(r.Most, sum); sum > share.PPM {
+			if r.Most = max(r.Most, sum); sum > quota.PPM {
 				r.wrong(&r.Over, "at %.2f s the parts of %s come to %d", float64(now)/1e6, team, sum)
 			}
 		}
@@ -93,16 +93,16 @@
 				r.wrong(&r.Starved, "the quiet team has %d", part(n-1, "quiet"))
 			}
 			for i := range n {
-				if part(i, "loud") < share.Even(uint64(n))/2 {
+				if part(i, "loud") < quota.Even(uint64(n))/2 {
 					r.wrong(&r.Starved, "gatherer %d has %d of the loud team", i, part(i, "loud"))
 				}
 			}
 		case cfg.Faults > 0:
 		case near(8 * second):
-			r.Skewed = min(r.Skewed, float64(part(one, "moves"))/share.PPM)
+			r.Skewed = min(r.Skewed, float64(part(one, "moves"))/quota.PPM)
 		case near(12 * second):
-			r.Skewed = min(r.Skewed, float64(part(two, "moves"))/share.PPM)
-		case now > crash && r.AfterCrash == 0 && part(three, "moves") > share.PPM*85/100:
+			r.Skewed = min(r.Skewed, float64(part(two, "moves"))/quota.PPM)
+		case now > crash && r.AfterCrash == 0 && part(three, "moves") > quota.PPM*85/100:
 			r.AfterCrash = now - crash
 		}
 	}
--- a/internal/share/model/proof_test.go
+++ b/internal/cluster/quota/simulation/proof_test.go
@@ -1,9 +1,9 @@
-package model
+package simulation
 
 import (
 	"runtime"
-	"saffronquay/internal/lab"
-	"saffronquay/internal/share"
+	"saffronquay/internal/cluster/quota"
+	"saffronquay/internal/testing/harness"
 	"sync"
 	"sync/atomic"
 	"testing"
@@ -41,7 +41,7 @@
 // gatherer gets nine tenths there within 3 s, and after a crash the part is in use elsewhere within a lease and a second.
 func TestProof(t *testing.T) {
 	seeds := 200
-	if lab.Raced {
+	if harness.Raced {
 		seeds = 4
 	}
 	over, starved, skewed, crash, equal := 0, 0, 1.0, int64(0), 0.0
@@ -62,7 +62,7 @@
 
 // Each seeded bug is caught; the fourth, OldTerm, by TestNewKeeper.
 func TestSeededBugsAreCaught(t *testing.T) {
-	for name, bugs := range map[string]share.Bugs{
+	for name, bugs := range map[string]quota.Bugs{
 		"a part outlasts its lease": {Forever: true}, "a new keeper takes nobody to hold anything": {Unclaimed: true},
 		"a part is lowered by the keeper alone": {Impatient: true},
 	} {
--- a/internal/rollout/follow.go
+++ b/internal/cluster/rollout/follow.go
@@ -1,7 +1,7 @@
 package rollout
 
 import (
-	"saffronquay/internal/rollout/wire"
+	"saffronquay/internal/cluster/rollout/wire"
 )
 
 // askGlobal asks the global agreement for the region's lease, once the region's voters have confirmed that this one leads them.
--- a/internal/rollout/follower.go
+++ b/internal/cluster/rollout/follower.go
@@ -2,7 +2,7 @@
 
 import (
 	"math/rand/v2"
-	"saffronquay/internal/rollout/wire"
+	"saffronquay/internal/cluster/rollout/wire"
 )
 
 // follower is a region's side towards the global agreement, at one of the region's voters: what was heard of it and, where that voter leads
--- a/internal/rollout/founding.go
+++ b/internal/cluster/rollout/founding.go
@@ -2,7 +2,7 @@
 
 import (
 	"maps"
-	"saffronquay/internal/rollout/wire"
+	"saffronquay/internal/cluster/rollout/wire"
 	"slices"
 )
 
--- a/internal/rollout/global.go
+++ b/internal/cluster/rollout/global.go
@@ -1,7 +1,7 @@
 package rollout
 
 import (
-	"saffronquay/internal/rollout/wire"
+	"saffronquay/internal/cluster/rollout/wire"
 )
 
 // askedGlobal takes in what a region's leader, or another voter of a region, says. It gives the region's record; nil: it has none.
--- a/internal/rollout/group.go
+++ b/internal/cluster/rollout/group.go
@@ -2,8 +2,8 @@
 
 import (
 	"math/rand/v2"
-	"saffronquay/internal/rollout/wire"
-	"saffronquay/internal/share"
+	"saffronquay/internal/cluster/quota"
+	"saffronquay/internal/cluster/rollout/wire"
 
 	pb "go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
@@ -15,7 +15,7 @@
 	cfg      Config // as of this agreement: voters, lease
 	identity uint64
 	rng      *rand.Rand
-	parts    *share.Holder
+	parts    *quota.Holder
 	up       *follower // of a region's voters: how they stand with the global agreement; nil: none is followed
 	voter    *voter    // nil: it only follows
 	found    *founding // one of the first voters, until it may vote; nil: none
--- a/internal/rollout/holder.go
+++ b/internal/cluster/rollout/holder.go
@@ -3,8 +3,8 @@
 import (
 	"math"
 	"math/rand/v2"
-	"saffronquay/internal/rollout/wire"
-	"saffronquay/internal/share"
+	"saffronquay/internal/cluster/quota"
+	"saffronquay/internal/cluster/rollout/wire"
 )
 
 // Verdict is what becomes of a query at its admission.
@@ -32,7 +32,7 @@
 	FromArrival bool // a lease counts from the arrival of the grant
 
 	WaitOutKeepers bool // under a version that keeps, those that are silent are waited out as under any other
-	Share          share.Bugs
+	Share          quota.Bugs
 
 	VoteByName bool // a voter that comes back without its disk votes as the one it was
 
@@ -46,7 +46,7 @@
 	cfg      Config
 	name     string
 	rng      *rand.Rand
-	parts    *share.Holder // of budgets; nil: they are not divided here
+	parts    *quota.Holder // of budgets; nil: they are not divided here
 	identity uint64
 	members  []*wire.Member // the roster, as known here
 	known_   uint64         // the index of that
@@ -112,7 +112,7 @@
 func (h *Holder) Lease() int64 { return h.until }
 
 // Parts are this gatherer's of the budgets; nil: they are not divided here.
-func (h *Holder) Parts() *share.Holder { return h.parts }
+func (h *Holder) Parts() *quota.Holder { return h.parts }
 
 // Keeps tells that this gatherer goes on under the version in force also without a lease.
 func (h *Holder) Keeps() bool { return h.keeps && !h.left }
--- a/internal/rollout/leader.go
+++ b/internal/cluster/rollout/leader.go
@@ -3,8 +3,8 @@
 import (
 	"fmt"
 	"math"
-	"saffronquay/internal/rollout/wire"
-	"saffronquay/internal/share"
+	"saffronquay/internal/cluster/quota"
+	"saffronquay/internal/cluster/rollout/wire"
 
 	"go.etcd.io/raft/v3"
 	"google.golang.org/protobuf/proto"
@@ -29,7 +29,7 @@
 		}
 		v.books = nil
 		if v.parts != nil {
-			v.books = share.NewBooks(v.term, v.surely(now), v.cfg.Bugs.Share)
+			v.books = quota.NewBooks(v.term, v.surely(now), v.cfg.Bugs.Share)
 		}
 	} else if !leads && v.leads {
 		v.leads = false
--- a/internal/rollout/leave_test.go
+++ b/internal/cluster/rollout/leave_test.go
@@ -2,7 +2,7 @@
 
 import (
 	"math/rand/v2"
-	"saffronquay/internal/rollout/wire"
+	"saffronquay/internal/cluster/rollout/wire"
 	"testing"
 )
 
--- a/internal/rollout/members.go
+++ b/internal/cluster/rollout/members.go
@@ -3,7 +3,7 @@
 import (
 	"cmp"
 	"fmt"
-	"saffronquay/internal/rollout/wire"
+	"saffronquay/internal/cluster/rollout/wire"
 	"slices"
 	"strings"
 )
--- a/internal/rollout/node.go
+++ b/internal/cluster/rollout/node.go
@@ -4,8 +4,8 @@
 	"fmt"
 	"math"
 	"math/rand/v2"
-	"saffronquay/internal/rollout/wire"
-	"saffronquay/internal/share"
+	"saffronquay/internal/cluster/quota"
+	"saffronquay/internal/cluster/rollout/wire"
 	"slices"
 
 	pb "go.etcd.io/raft/v3/raftpb"
@@ -110,7 +110,7 @@
 		h.askAt = never
 	}
 	if cfg.Share {
-		h.parts = share.NewHolder(cfg.Slots, cfg.Bugs.Share)
+		h.parts = quota.NewHolder(cfg.Slots, cfg.Bugs.Share)
 		h.divide()
 	}
 	h.learn(memory.Members, memory.MembersIndex)
--- a/internal/rollout/parts.go
+++ b/internal/cluster/rollout/parts.go
@@ -1,8 +1,8 @@
 package rollout
 
 import (
-	"saffronquay/internal/rollout/wire"
-	"saffronquay/internal/share"
+	"saffronquay/internal/cluster/quota"
+	"saffronquay/internal/cluster/rollout/wire"
 )
 
 // partition is each region's part of the budgets by its gatherers' share of a roster; it is rounded down.
@@ -15,7 +15,7 @@
 		all += count[r]
 	}
 	for _, r := range regions {
-		parts = append(parts, &wire.Part{Region: r, Ppm: uint32(share.PPM * count[r] / max(all, 1))})
+		parts = append(parts, &wire.Part{Region: r, Ppm: uint32(quota.PPM * count[r] / max(all, 1))})
 	}
 	return parts
 }
@@ -33,7 +33,7 @@
 // move goes from one partition towards another: who is to have less has it at once, who is to have more gets what is free already. So the
 // greater of both parts of all regions come to the whole at most.
 func move(from, to []*wire.Part) (parts []*wire.Part) {
-	free, wanted := int64(share.PPM), int64(0)
+	free, wanted := int64(quota.PPM), int64(0)
 	for _, p := range from {
 		free -= int64(p.Ppm)
 	}
--- a/internal/rollout/regions.go
+++ b/internal/cluster/rollout/regions.go
@@ -2,7 +2,7 @@
 
 import (
 	"fmt"
-	"saffronquay/internal/rollout/wire"
+	"saffronquay/internal/cluster/rollout/wire"
 	"slices"
 )
 
--- a/internal/rollout/regions_test.go
+++ b/internal/cluster/rollout/regions_test.go
@@ -2,8 +2,8 @@
 
 import (
 	"math/rand/v2"
-	"saffronquay/internal/rollout/wire"
-	"saffronquay/internal/share"
+	"saffronquay/internal/cluster/quota"
+	"saffronquay/internal/cluster/rollout/wire"
 	"strings"
 	"testing"
 
@@ -31,7 +31,7 @@
 				most += max(next[i].Ppm, from[i].Ppm)
 				there = there && next[i].Ppm+3 >= to[i].Ppm
 			}
-			if most > share.PPM || step > 3 {
+			if most > quota.PPM || step > 3 {
 				t.Fatalf("from %v to %v: %v, %d at most; step %d", from, to, next, most, step)
 			}
 			if from = next; there {
--- a/internal/rollout/model/histories_test.go
+++ b/internal/cluster/rollout/simulation/histories_test.go
@@ -1,10 +1,9 @@
-package model
+package simulation
 
 import (
 	"fmt"
+	"saffronquay/internal/testing/harness"
 	"testing"
-
-	"saffronquay/internal/lab"
 )
 
 // The same seed gives the history that was recorded: in one region, and in two that are cut from each other. A history is all that came of a
@@ -20,5 +19,5 @@
 		play(fmt.Sprint("one-region/seed-", seed), usual(seed))
 		play(fmt.Sprint("two-regions/seed-", seed), between(seed))
 	}
-	lab.CheckHistories(t, played)
+	harness.CheckHistories(t, played)
 }
--- a/internal/rollout/model/measure_test.go
+++ b/internal/cluster/rollout/simulation/measure_test.go
@@ -1,10 +1,10 @@
-package model
+package simulation
 
 import (
 	"fmt"
 	"math/rand/v2"
-	"saffronquay/internal/rollout"
-	"saffronquay/internal/rollout/wire"
+	"saffronquay/internal/cluster/rollout"
+	"saffronquay/internal/cluster/rollout/wire"
 	"slices"
 	"testing"
 	"time"
--- a/internal/rollout/model/model.go
+++ b/internal/cluster/rollout/simulation/model.go
@@ -1,6 +1,6 @@
-// Package model plays many nodes of package rollout in virtual time, under faults by seed, and judges what they let in. The same seed
+// Package simulation plays many nodes of package rollout in virtual time, under faults by seed, and judges what they let in. The same seed
 // gives the same run. It owns the clocks, links and disks that it plays, and the history of admissions; it opens nothing.
-package model
+package simulation
 
 import (
 	"cmp"
@@ -8,9 +8,9 @@
 	"fmt"
 	"math/rand/v2"
 	"regexp"
-	"saffronquay/internal/rollout"
-	"saffronquay/internal/rollout/wire"
-	"saffronquay/internal/share"
+	"saffronquay/internal/cluster/quota"
+	"saffronquay/internal/cluster/rollout"
+	"saffronquay/internal/cluster/rollout/wire"
 	"slices"
 	"strconv"
 	"strings"
@@ -41,7 +41,7 @@
 	Keep           bool   // some versions keep: who has no lease goes on
 
 	Share bool                                                     // budgets are divided, among all of the first roster
-	Wants func(now int64, node int) []share.Demand                 // what each could use, asked for every 50 ms
+	Wants func(now int64, node int) []quota.Demand                 // what each could use, asked for every 50 ms
 	Watch func(now int64, part func(node int, team string) uint32) // is told every 50 ms what each that runs may use
 	At    []At                                                     // what happens besides
 
--- a/internal/rollout/model/proof_test.go
+++ b/internal/cluster/rollout/simulation/proof_test.go
@@ -1,12 +1,12 @@
-package model
+package simulation
 
 import (
 	"fmt"
 	"os"
 	"runtime"
-	"saffronquay/internal/lab"
-	"saffronquay/internal/rollout"
-	"saffronquay/internal/rollout/wire"
+	"saffronquay/internal/cluster/rollout"
+	"saffronquay/internal/cluster/rollout/wire"
+	"saffronquay/internal/testing/harness"
 	"slices"
 	"sync"
 	"sync/atomic"
@@ -55,7 +55,7 @@
 // SAFFRONQUAY_SEEDS plays more.
 func TestProof(t *testing.T) {
 	seeds, many := 1000, 20
-	if lab.Raced {
+	if harness.Raced {
 		seeds, many = 12, 0
 	}
 	if n := os.Getenv("SAFFRONQUAY_SEEDS"); n != "" {
--- a/internal/rollout/model/regions.go
+++ b/internal/cluster/rollout/simulation/regions.go
@@ -1,11 +1,11 @@
-package model
+package simulation
 
 import (
 	"fmt"
 	"math"
-	"saffronquay/internal/rollout"
-	"saffronquay/internal/rollout/wire"
-	"saffronquay/internal/share"
+	"saffronquay/internal/cluster/quota"
+	"saffronquay/internal/cluster/rollout"
+	"saffronquay/internal/cluster/rollout/wire"
 	"slices"
 )
 
@@ -245,7 +245,7 @@
 		text += fmt.Sprintf(" %s=%d", p.Region, p.Ppm)
 		sum += p.Ppm
 	}
-	if was, ok := w.parts[d.Number]; ok && was != text || sum > share.PPM || sum == 0 {
+	if was, ok := w.parts[d.Number]; ok && was != text || sum > quota.PPM || sum == 0 {
 		w.wrong(&w.res.Region.TwoTexts, "version %d has %s, and %s", d.Number, text, was)
 	}
 	w.parts[d.Number] = text
@@ -402,8 +402,8 @@
 	if least < most {
 		w.res.Region.Halved++
 	}
-	if all > share.PPM*most {
-		w.wrong(&w.res.Region.OverContract, "all parts come to %.0f of a contract of %.0f", all/share.PPM, most)
+	if all > quota.PPM*most {
+		w.wrong(&w.res.Region.OverContract, "all parts come to %.0f of a contract of %.0f", all/quota.PPM, most)
 	}
 }
 
@@ -422,5 +422,5 @@
 			return p.Ppm
 		}
 	}
-	return share.PPM / uint32(w.Regions) // by the first roster
+	return quota.PPM / uint32(w.Regions) // by the first roster
 }
--- a/internal/rollout/model/regions_cases_test.go
+++ b/internal/cluster/rollout/simulation/regions_cases_test.go
@@ -1,10 +1,10 @@
-package model
+package simulation
 
 import (
 	"fmt"
-	"saffronquay/internal/lab"
-	"saffronquay/internal/rollout"
-	"saffronquay/internal/rollout/wire"
+	"saffronquay/internal/cluster/rollout"
+	"saffronquay/internal/cluster/rollout/wire"
+	"saffronquay/internal/testing/harness"
 	"testing"
 )
 
@@ -18,7 +18,7 @@
 
 // few is how many seeds a case has; under the race detector one, since there are many cases.
 func few(n uint64) uint64 {
-	if lab.Raced {
+	if harness.Raced {
 		return 1
 	}
 	return n
@@ -112,7 +112,7 @@
 		},
 	}
 	for name, moment := range moments {
-		if lab.Raced && name != "hold" && name != "told" {
+		if harness.Raced && name != "hold" && name != "told" {
 			continue // the others are played without the race detector
 		}
 		t.Run(name, func(t *testing.T) {
--- a/internal/rollout/model/regions_proof_test.go
+++ b/internal/cluster/rollout/simulation/regions_proof_test.go
@@ -1,11 +1,11 @@
-package model
+package simulation
 
 import (
 	"fmt"
 	"os"
-	"saffronquay/internal/lab"
-	"saffronquay/internal/rollout"
-	"saffronquay/internal/share"
+	"saffronquay/internal/cluster/quota"
+	"saffronquay/internal/cluster/rollout"
+	"saffronquay/internal/testing/harness"
 	"slices"
 	"testing"
 )
@@ -29,8 +29,8 @@
 }
 
 // busy has everybody want much of one team's budget, and some more than others.
-func busy(_ int64, node int) []share.Demand {
-	return []share.Demand{{Team: "busy", Want: uint32(20_000 * (node % 5))}}
+func busy(_ int64, node int) []quota.Demand {
+	return []quota.Demand{{Team: "busy", Want: uint32(20_000 * (node % 5))}}
 }
 
 // between is a run of 24 gatherers in two regions under faults of all kinds at any step, and cuts between the regions.
@@ -58,7 +58,7 @@
 // race detector there are fewer seeds. SAFFRONQUAY_SEEDS plays more of the small ones.
 func TestProofRegions(t *testing.T) {
 	many, small, joined, found := 6, 60, 2, []uint64{142, 621, 817} // these have found faults
-	if lab.Raced {
+	if harness.Raced {
 		many, small, joined = 0, 6, 0
 	}
 	if n := os.Getenv("SAFFRONQUAY_SEEDS"); n != "" {
--- a/internal/rollout/state.go
+++ b/internal/cluster/rollout/state.go
@@ -4,7 +4,7 @@
 	"bytes"
 	"crypto/sha256"
 	"fmt"
-	"saffronquay/internal/rollout/wire"
+	"saffronquay/internal/cluster/rollout/wire"
 	"slices"
 
 	"google.golang.org/protobuf/proto"
--- a/internal/rollout/voter.go
+++ b/internal/cluster/rollout/voter.go
@@ -6,8 +6,8 @@
 	"fmt"
 	"maps"
 	"math/rand/v2"
-	"saffronquay/internal/rollout/wire"
-	"saffronquay/internal/share"
+	"saffronquay/internal/cluster/quota"
+	"saffronquay/internal/cluster/rollout/wire"
 	"slices"
 
 	"go.etcd.io/raft/v3"
@@ -65,8 +65,8 @@
 	elect   int64 // when to stand, where nobody is heard
 
 	up      *follower     // of a region's voters; nil: no other agreement is followed
-	parts   *share.Holder // of this process; nil: budgets are not divided
-	books   *share.Books  // while it leads
+	parts   *quota.Holder // of this process; nil: budgets are not divided
+	books   *quota.Books  // while it leads
 	names   []string      // on the roster, in order,
 	namesOf uint64        // of this index
 
--- a/internal/rollout/voters.go
+++ b/internal/cluster/rollout/voters.go
@@ -2,7 +2,7 @@
 
 import (
 	"fmt"
-	"saffronquay/internal/rollout/wire"
+	"saffronquay/internal/cluster/rollout/wire"
 	"strings"
 
 	pb "go.etcd.io/raft/v3/raftpb"
--- a/internal/fleet/core.go
+++ b/internal/cluster/swim/core.go
@@ -1,11 +1,11 @@
-package fleet
+package swim
 
 import (
 	"fmt"
 	"math"
 	"math/rand/v2"
 	"net/netip"
-	"saffronquay/internal/fleet/wire"
+	"saffronquay/internal/cluster/swim/wire"
 
 	"google.golang.org/protobuf/proto"
 )
--- a/internal/fleet/core_test.go
+++ b/internal/cluster/swim/core_test.go
@@ -1,17 +1,17 @@
-package fleet
+package swim
 
 import (
 	"fmt"
 	"math/rand/v2"
 	"net/netip"
-	"saffronquay/internal/fleet/wire"
+	"saffronquay/internal/cluster/swim/wire"
 	"slices"
 	"strings"
 	"testing"
 
 	"pgregory.net/rapid"
 
-	_ "saffronquay/internal/lab/steady"
+	_ "saffronquay/internal/testing/harness/steady"
 )
 
 const second = int64(1_000_000)
--- a/internal/fleet/doc.go
+++ b/internal/cluster/swim/doc.go
@@ -1,4 +1,4 @@
-// Package fleet is one gatherer's view of the others: who is there, who is held for dead, and since when. It is membership by gossip in
+// Package swim is one gatherer's view of the others: who is there, who is held for dead, and since when. It is membership by gossip in
 // the manner of SWIM with what Lifeguard adds, as a pure core: fed with datagrams, frames and ticks, it returns datagrams to send,
 // exchanges to open and events. No socket, no clock, no goroutine, no source of chance but the seeded one that it is given. A driver
 // (package peers) moves the bytes; package model under this one plays many cores in virtual time.
@@ -33,4 +33,4 @@
 //
 // Decide what a query or a policy may do: it tells who is there, and may be wrong for as long as a partition lasts. Safety is never
 // built on it.
-package fleet
+package swim
--- a/internal/fleet/exchange.go
+++ b/internal/cluster/swim/exchange.go
@@ -1,8 +1,8 @@
-package fleet
+package swim
 
 import (
 	"net/netip"
-	"saffronquay/internal/fleet/wire"
+	"saffronquay/internal/cluster/swim/wire"
 )
 
 // compare holds a digest against this view's. One that differs again and again is looked into by an exchange.
--- a/internal/fleet/follow.go
+++ b/internal/cluster/swim/follow.go
@@ -1,4 +1,4 @@
-package fleet
+package swim
 
 // Follower turns members to reckon with into the number that a budget is divided by. It goes up at once, since that lowers what each
 // may use, and down in bounded steps: a view that loses many at a time gives what they had to those that are left slowly, and a mistake
--- a/internal/fleet/golden_test.go
+++ b/internal/cluster/swim/golden_test.go
@@ -1,13 +1,12 @@
-package fleet
+package swim
 
 import (
 	"encoding/hex"
+	"saffronquay/internal/cluster/swim/wire"
 	"testing"
 
 	"github.com/matryer/is"
 	"google.golang.org/protobuf/proto"
-
-	"saffronquay/internal/fleet/wire"
 )
 
 // goldenSealed is a message of the fleet's members as an earlier build sends it; goldenHash is a record's part in a digest.
--- a/internal/fleet/gossip/gossip.go
+++ b/internal/cluster/swim/gossip/gossip.go
@@ -7,8 +7,8 @@
 	"math/rand/v2"
 	"net"
 	"net/netip"
-	"saffronquay/internal/events"
-	"saffronquay/internal/fleet"
+	"saffronquay/internal/broker/logging"
+	"saffronquay/internal/cluster/swim"
 	"sync"
 	"sync/atomic"
 	"time"
@@ -16,11 +16,11 @@
 
 // Config is what a gatherer's part in a fleet is made of.
 type Config struct {
-	Core   fleet.Config // Address is left out where it is what Listen turns out to be
+	Core   swim.Config // Address is left out where it is what Listen turns out to be
 	Listen netip.AddrPort
 	Allow  []netip.Prefix // of senders and of members; none: all
 	Seed   uint64
-	Watch  func(fleet.View) // where set, is told of views that differ, by Run's goroutine; it must not block
+	Watch  func(swim.View) // where set, is told of views that differ, by Run's goroutine; it must not block
 }
 
 const (
@@ -45,7 +45,7 @@
 	cfg     Config
 	now     func() int64
 	log     *slog.Logger
-	core    *fleet.Core // Run's goroutine owns it
+	core    *swim.Core // Run's goroutine owns it
 	udp     *net.UDPConn
 	tcp     *net.TCPListener
 	local   netip.Addr // where this process's own connections come from; not valid: the system's choice
@@ -91,7 +91,7 @@
 	}
 	cfg.Core.Allowed = p.allowed
 	var err error
-	if p.core, err = fleet.New(cfg.Core, now(), rand.New(rand.NewPCG(cfg.Seed, cfg.Core.Start))); err != nil {
+	if p.core, err = swim.New(cfg.Core, now(), rand.New(rand.NewPCG(cfg.Seed, cfg.Core.Start))); err != nil {
 		p.Close()
 		return nil, err
 	}
@@ -137,7 +137,7 @@
 func (p *Peers) Run() {
 	defer close(p.done)
 	self := p.core.Self()
-	events.Info(p.log, events.Peers, "listen", p.Address(), "advertise", self.Address, "start", self.Start)
+	logging.Info(p.log, logging.Peers, "listen", p.Address(), "advertise", self.Address, "start", self.Start)
 	p.wg.Add(2)
 	go p.read()
 	go p.accept()
@@ -153,7 +153,7 @@
 		case x := <-p.frames:
 			reply, err := p.core.Frame(p.now(), x.frame)
 			if err != nil {
-				events.Warn(p.log, events.PeerDropped, "what", "frame", "error", err)
+				logging.Warn(p.log, logging.PeerDropped, "what", "frame", "error", err)
 			}
 			x.reply <- reply
 		case f := <-p.calls:
@@ -205,7 +205,7 @@
 }
 
 // carry does what the core wants done, and tells whether the view may have changed.
-func (p *Peers) carry(o fleet.Output) bool {
+func (p *Peers) carry(o swim.Output) bool {
 	for _, d := range o.Datagrams {
 		// A full buffer or a peer that is down loses it, as the network may.
 		if _, err := p.udp.WriteToUDPAddrPort(d.Bytes, d.To); err != nil {
@@ -247,20 +247,20 @@
 	}
 }
 
-func (p *Peers) note(e fleet.Event) {
+func (p *Peers) note(e swim.Event) {
 	switch e.Kind {
-	case fleet.Twins:
-		events.Error(p.log, events.PeerTwin, "name", e.Name, "start", e.Start, "address", e.Address)
-	case fleet.Alone:
-		events.Error(p.log, events.PeersAlone, "join", len(p.cfg.Core.Join))
-	case fleet.Napped:
-		events.Warn(p.log, events.PeerNap, "for", time.Duration(e.For)*time.Microsecond)
-	case fleet.Refuted, fleet.Rejoined:
-		events.Warn(p.log, events.Peer, "what", e.Kind.String(), "name", e.Name, "start", e.Start, "by", by(e.By))
-	case fleet.Accused, fleet.Died:
-		events.Warn(p.log, events.Peer, "what", e.Kind.String(), "name", e.Name, "start", e.Start, "address", e.Address, "zone", e.Zone, "by", by(e.By))
+	case swim.Twins:
+		logging.Error(p.log, logging.PeerTwin, "name", e.Name, "start", e.Start, "address", e.Address)
+	case swim.Alone:
+		logging.Error(p.log, logging.PeersAlone, "join", len(p.cfg.Core.Join))
+	case swim.Napped:
+		logging.Warn(p.log, logging.PeerNap, "for", time.Duration(e.For)*time.Microsecond)
+	case swim.Refuted, swim.Rejoined:
+		logging.Warn(p.log, logging.Peer, "what", e.Kind.String(), "name", e.Name, "start", e.Start, "by", by(e.By))
+	case swim.Accused, swim.Died:
+		logging.Warn(p.log, logging.Peer, "what", e.Kind.String(), "name", e.Name, "start", e.Start, "address", e.Address, "zone", e.Zone, "by", by(e.By))
 	default:
-		events.Info(p.log, events.Peer, "what", e.Kind.String(), "name", e.Name, "start", e.Start, "address", e.Address, "zone", e.Zone)
+		logging.Info(p.log, logging.Peer, "what", e.Kind.String(), "name", e.Name, "start", e.Start, "address", e.Address, "zone", e.Zone)
 	}
 }
 
@@ -297,18 +297,18 @@
 }
 
 // View copies the view; now is the clock that its times are by.
-func (p *Peers) View() (v fleet.View, now int64, err error) {
-	got := make(chan fleet.View, 1)
+func (p *Peers) View() (v swim.View, now int64, err error) {
+	got := make(chan swim.View, 1)
 	at := make(chan int64, 1)
 	if err = p.ask(func(now int64) { at <- now; got <- p.core.View(now) }); err != nil {
-		return fleet.View{}, 0, err
+		return swim.View{}, 0, err
 	}
 	return <-got, <-at, nil
 }
 
 // Counts are what core and driver count.
 type Counts struct {
-	fleet.Counts
+	swim.Counts
 	Alive, Reckon, Suspected, Dead, Ill, Twin int
 	Outside, Full, Unsent                     int64 // dropped unread for their address; for want of room; not taken by the network
 	Traffic                                   Traffic
@@ -322,9 +322,9 @@
 		k := Counts{Counts: p.core.Counts(), Alive: v.Alive, Reckon: v.Reckon, Ill: v.Ill}
 		for _, m := range v.Members {
 			switch m.State {
-			case fleet.Suspected:
+			case swim.Suspected:
 				k.Suspected++
-			case fleet.Dead:
+			case swim.Dead:
 				k.Dead++
 			}
 		}
@@ -341,7 +341,7 @@
 }
 
 // SetFacts changes what this process tells of itself; soon, it does not wait.
-func (p *Peers) SetFacts(change func(fleet.Facts) fleet.Facts) {
+func (p *Peers) SetFacts(change func(swim.Facts) swim.Facts) {
 	go p.ask(func(now int64) { p.core.SetFacts(now, change(p.core.Self().Facts)) })
 }
 
--- a/internal/fleet/gossip/streams.go
+++ b/internal/cluster/swim/gossip/streams.go
@@ -8,8 +8,8 @@
 	"io"
 	"net"
 	"net/netip"
-	"saffronquay/internal/events"
-	"saffronquay/internal/fleet"
+	"saffronquay/internal/broker/logging"
+	"saffronquay/internal/cluster/swim"
 	"time"
 )
 
@@ -28,7 +28,7 @@
 		p.traffic.In(n)
 		if !p.allowed(from.Addr()) {
 			p.dropped.Add(1)
-			events.Warn(p.log, events.PeerDropped, "what", "datagram", "from", from, "error", fleet.ErrAddress)
+			logging.Warn(p.log, logging.PeerDropped, "what", "datagram", "from", from, "error", swim.ErrAddress)
 			continue
 		}
 		select {
@@ -49,14 +49,14 @@
 			if errors.Is(err, net.ErrClosed) {
 				return
 			}
-			events.Warn(p.log, events.PeerDropped, "what", "accept", "error", err)
+			logging.Warn(p.log, logging.PeerDropped, "what", "accept", "error", err)
 			time.Sleep(10 * time.Millisecond) // out of descriptors: not at once again
 			continue
 		}
 		from := conn.RemoteAddr().(*net.TCPAddr).AddrPort()
 		if !p.allowed(from.Addr()) {
 			p.dropped.Add(1)
-			events.Warn(p.log, events.PeerDropped, "what", "connection", "from", from, "error", fleet.ErrAddress)
+			logging.Warn(p.log, logging.PeerDropped, "what", "connection", "from", from, "error", swim.ErrAddress)
 			conn.Close()
 			continue
 		}
@@ -111,7 +111,7 @@
 }
 
 // open has one exchange that the core asked for.
-func (p *Peers) open(x fleet.Open) {
+func (p *Peers) open(x swim.Open) {
 	defer p.wg.Done()
 	defer func() { <-p.out }()
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
@@ -161,7 +161,7 @@
 		return nil, err
 	}
 	n := binary.BigEndian.Uint32(head[:])
-	if n == 0 || n > fleet.MaxFrame {
+	if n == 0 || n > swim.MaxFrame {
 		return nil, fmt.Errorf("a frame of %d bytes", n)
 	}
 	// It grows as it comes: a length alone takes no memory.
--- a/internal/fleet/learn.go
+++ b/internal/cluster/swim/learn.go
@@ -1,8 +1,8 @@
-package fleet
+package swim
 
 import (
 	"container/heap"
-	"saffronquay/internal/fleet/wire"
+	"saffronquay/internal/cluster/swim/wire"
 	"slices"
 
 	"github.com/cespare/xxhash/v2"
--- a/internal/fleet/probe.go
+++ b/internal/cluster/swim/probe.go
@@ -1,10 +1,10 @@
-package fleet
+package swim
 
 import (
 	"container/heap"
 	"math"
 	"net/netip"
-	"saffronquay/internal/fleet/wire"
+	"saffronquay/internal/cluster/swim/wire"
 )
 
 // probe is the one that is under way.
--- a/internal/fleet/record.go
+++ b/internal/cluster/swim/record.go
@@ -1,4 +1,4 @@
-package fleet
+package swim
 
 import (
 	"encoding/binary"
@@ -6,7 +6,7 @@
 	"fmt"
 	"hash/crc32"
 	"net/netip"
-	"saffronquay/internal/fleet/wire"
+	"saffronquay/internal/cluster/swim/wire"
 	"slices"
 	"unicode"
 	"unicode/utf8"
--- a/internal/fleet/self.go
+++ b/internal/cluster/swim/self.go
@@ -1,8 +1,8 @@
-package fleet
+package swim
 
 import (
 	"net/netip"
-	"saffronquay/internal/fleet/wire"
+	"saffronquay/internal/cluster/swim/wire"
 )
 
 // ofSelf hears what others believe of this process.
--- a/internal/fleet/model/histories_test.go
+++ b/internal/cluster/swim/simulation/histories_test.go
@@ -1,12 +1,11 @@
-package model
+package simulation
 
 import (
 	"fmt"
+	"saffronquay/internal/testing/faults"
+	"saffronquay/internal/testing/harness"
 	"testing"
 	"time"
-
-	"saffronquay/internal/faults"
-	"saffronquay/internal/lab"
 )
 
 // The same seed gives the run that was recorded: every look at the views, every crash that was noticed, every second's traffic. Names of
@@ -23,5 +22,5 @@
 		r.Cores = nil
 		played[fmt.Sprint("seed-", seed)] = fmt.Sprintf("%v %v", r, err)
 	}
-	lab.CheckHistories(t, played)
+	harness.CheckHistories(t, played)
 }
--- a/internal/fleet/model/measure_test.go
+++ b/internal/cluster/swim/simulation/measure_test.go
@@ -1,11 +1,11 @@
-package model
+package simulation
 
 import (
 	"fmt"
 	"os"
 	"runtime"
-	"saffronquay/internal/faults"
 	"saffronquay/internal/scale/fit"
+	"saffronquay/internal/testing/faults"
 	"slices"
 	"sync"
 	"testing"
--- a/internal/fleet/model/model.go
+++ b/internal/cluster/swim/simulation/model.go
@@ -1,17 +1,17 @@
-// Package model plays many views of a fleet (package fleet) in virtual time, under a script of faults (package faults): for designs, for
+// Package simulation plays many views of a fleet (package swim) in virtual time, under a script of faults (package faults): for designs, for
 // figures at sizes that started processes don't reach, and for tests that hold over many seeds. The same seed gives the same run.
 //
 // It owns the virtual clock, the links and the truth that views are held against. It opens nothing. What it leaves out: processor time,
 // full socket buffers but for those of stopped members, clocks of different speed.
-package model
+package simulation
 
 import (
 	"container/heap"
 	"fmt"
 	"math/rand/v2"
 	"net/netip"
-	"saffronquay/internal/faults"
-	"saffronquay/internal/fleet"
+	"saffronquay/internal/cluster/swim"
+	"saffronquay/internal/testing/faults"
 	"slices"
 	"time"
 )
@@ -27,7 +27,7 @@
 	Loss    float64       // of datagrams, all the time
 	Length  time.Duration
 	Script  faults.Script
-	Core    fleet.Config // settings of every core; what tells members apart is set here
+	Core    swim.Config // settings of every core; what tells members apart is set here
 	// SameStart is a seeded bug: a restart keeps the identity of the start.
 	SameStart bool
 	Sample    time.Duration // between looks at all views; 50 ms where nought
@@ -54,10 +54,10 @@
 	SettledAt time.Duration   // from here to the end all views were the truth; -1: not at the end
 	Naps      int
 	Twins     int // times that a process told of another one of its name
-	Counts    fleet.Counts
-	Rate      float64       // bytes that a member sent, a second, from CountFrom on
-	Seconds   []Second      // of the run, each
-	Cores     []*fleet.Core // of those that run at the end
+	Counts    swim.Counts
+	Rate      float64      // bytes that a member sent, a second, from CountFrom on
+	Seconds   []Second     // of the run, each
+	Cores     []*swim.Core // of those that run at the end
 }
 
 // Settled is how long after a moment all views were right, for good; -1 where they were not.
@@ -70,7 +70,7 @@
 
 type process struct {
 	index   int
-	core    *fleet.Core
+	core    *swim.Core
 	addr    netip.AddrPort
 	start   uint64
 	up      bool
@@ -298,30 +298,30 @@
 	w.push(happening{at: w.now + late, kind: frame, p: to, other: from, bytes: b})
 }
 
-func (w *world) note(e fleet.Event) {
+func (w *world) note(e swim.Event) {
 	switch e.Kind {
-	case fleet.Died, fleet.Departed, fleet.Restarted:
+	case swim.Died, swim.Departed, swim.Restarted:
 		for _, p := range w.all { // rare, and few
 			if p.core.Self().Name != e.Name {
 				continue
 			}
-			if at, dead := w.killed[p.start]; dead && (p.start == e.Start || e.Kind == fleet.Restarted && p.start < e.Start) {
+			if at, dead := w.killed[p.start]; dead && (p.start == e.Start || e.Kind == swim.Restarted && p.start < e.Start) {
 				w.res.Detect = append(w.res.Detect, time.Duration(w.now-at)*time.Microsecond)
 			}
-			if e.Kind == fleet.Died && p.up && !p.stopped && p.start == e.Start {
+			if e.Kind == swim.Died && p.up && !p.stopped && p.start == e.Start {
 				if w.res.FalseDead++; !p.ailing {
 					w.res.Healthy++
 				}
 			}
 		}
-		if e.Kind == fleet.Restarted {
+		if e.Kind == swim.Restarted {
 			w.res.Flaps++
 		}
-	case fleet.Alone:
+	case swim.Alone:
 		w.res.Alone++
-	case fleet.Napped:
+	case swim.Napped:
 		w.res.Naps++
-	case fleet.Twins:
+	case swim.Twins:
 		w.res.Twins++
 	}
 }
@@ -346,7 +346,7 @@
 	for j := range w.Seeds {
 		cfg.Join = append(cfg.Join, netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 1, byte(j >> 8), byte(j)}), 7000))
 	}
-	core, err := fleet.New(cfg, w.now, rand.New(rand.NewPCG(w.Seed, uint64(w.seq)+uint64(i)<<32)))
+	core, err := swim.New(cfg, w.now, rand.New(rand.NewPCG(w.Seed, uint64(w.seq)+uint64(i)<<32)))
 	if err != nil {
 		w.err = err
 		return
@@ -430,9 +430,9 @@
 
 // truth is the digest of exactly the live processes; of those under one name the latest.
 func (w *world) truth() (digest uint64, live []*process) {
-	var records []fleet.Record
+	var records []swim.Record
 	for _, p := range w.all {
-		if !p.up || p.stopped || p.core.Self().State == fleet.Left {
+		if !p.up || p.stopped || p.core.Self().State == swim.Left {
 			continue
 		}
 		live = append(live, p)
@@ -440,7 +440,7 @@
 			records = append(records, p.core.Self())
 		}
 	}
-	return fleet.DigestOf(records...), live
+	return swim.DigestOf(records...), live
 }
 
 func (w *world) look() {
--- a/internal/fleet/model/proof_test.go
+++ b/internal/cluster/swim/simulation/proof_test.go
@@ -1,4 +1,4 @@
-package model
+package simulation
 
 import (
 	"fmt"
@@ -6,8 +6,8 @@
 	"os"
 	"runtime"
 	"runtime/debug"
-	"saffronquay/internal/faults"
-	"saffronquay/internal/lab"
+	"saffronquay/internal/testing/faults"
+	"saffronquay/internal/testing/harness"
 	"slices"
 	"strings"
 	"sync"
@@ -48,7 +48,7 @@
 // held for dead. SAFFRONQUAY_SEEDS plays more.
 func TestProof(t *testing.T) {
 	members, seeds := 300, 200
-	if lab.Raced {
+	if harness.Raced {
 		members, seeds = 40, 16
 	}
 	if n := os.Getenv("SAFFRONQUAY_SEEDS"); n != "" {
--- a/internal/fleet/model/scenes_test.go
+++ b/internal/cluster/swim/simulation/scenes_test.go
@@ -1,10 +1,10 @@
-package model
+package simulation
 
 import (
 	"fmt"
-	"saffronquay/internal/faults"
-	"saffronquay/internal/fleet"
-	"saffronquay/internal/lab"
+	"saffronquay/internal/cluster/swim"
+	"saffronquay/internal/testing/faults"
+	"saffronquay/internal/testing/harness"
 	"strings"
 	"sync"
 	"testing"
@@ -118,7 +118,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			members, seeds := c.members, uint64(5)
-			if lab.Raced {
+			if harness.Raced {
 				seeds = 1
 				if members == 300 {
 					members = 80
@@ -156,17 +156,17 @@
 func TestBaselines(t *testing.T) {
 	script := starving(60, 15)
 	held, days := map[string]int{}, 2
-	if lab.Raced {
+	if harness.Raced {
 		days = 1
 	}
 	var mu sync.Mutex
 	var wg sync.WaitGroup
-	for name, w := range map[string]fleet.Without{"all": {}, "no awareness": {Awareness: true}, "no confirmation": {Confirmation: true}, "neither": {Awareness: true, Confirmation: true}} {
+	for name, w := range map[string]swim.Without{"all": {}, "no awareness": {Awareness: true}, "no confirmation": {Confirmation: true}, "neither": {Awareness: true, Confirmation: true}} {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
 			for seed := range uint64(days) {
-				r := play(t, Config{Members: 60, Seed: seed, Warm: true, Loss: 0.05, Length: 34 * time.Second, Core: fleet.Config{Without: w}}, script)
+				r := play(t, Config{Members: 60, Seed: seed, Warm: true, Loss: 0.05, Length: 34 * time.Second, Core: swim.Config{Without: w}}, script)
 				mu.Lock()
 				held[name] += r.Healthy
 				mu.Unlock()
@@ -179,7 +179,7 @@
 		t.Errorf("they are worth nothing here: %v", held)
 	}
 	for _, without := range []bool{false, true} {
-		r := play(t, Config{Members: 60, Length: 60 * time.Second, Core: fleet.Config{Without: fleet.Without{DeadTries: without}}}, "at 5s for 15s cut 0-29 30-59")
+		r := play(t, Config{Members: 60, Length: 60 * time.Second, Core: swim.Config{Without: swim.Without{DeadTries: without}}}, "at 5s for 15s cut 0-29 30-59")
 		if took := r.Settled(20 * time.Second); (took < 0) != without {
 			t.Errorf("without trying the dead: %t: settled after %s", without, took)
 		}
@@ -188,7 +188,7 @@
 
 // The tests above notice what is wrong: an accused that does not refute, a restart that keeps its identity.
 func TestSeededBugsAreCaught(t *testing.T) {
-	r := play(t, Config{Members: 30, Loss: 0.3, Length: 40 * time.Second, Core: fleet.Config{Without: fleet.Without{Refutation: true}}}, "")
+	r := play(t, Config{Members: 30, Loss: 0.3, Length: 40 * time.Second, Core: swim.Config{Without: swim.Without{Refutation: true}}}, "")
 	if r.Settled(0) >= 0 && r.FalseDead == 0 {
 		t.Error("nobody refutes, and nothing comes of it")
 	}
--- a/internal/fleet/model/traffic.go
+++ b/internal/cluster/swim/simulation/traffic.go
@@ -1,4 +1,4 @@
-package model
+package simulation
 
 // Second is what passed within one second, datagrams and streams together, without the headers of the network.
 type Second struct {
--- a/internal/fleet/view.go
+++ b/internal/cluster/swim/view.go
@@ -1,4 +1,4 @@
-package fleet
+package swim
 
 import (
 	"cmp"
--- a/internal/golden/descriptors_test.go
+++ b/internal/golden/descriptors_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"saffronquay/internal/scheduler/rpc"
 	"slices"
 	"strings"
 	"testing"
@@ -9,12 +10,11 @@
 	"google.golang.org/protobuf/reflect/protoreflect"
 	"google.golang.org/protobuf/reflect/protoregistry"
 
-	_ "saffronquay/internal/fleet/wire"
-	_ "saffronquay/internal/merge/partial"
-	_ "saffronquay/internal/rollout/wire"
-	_ "saffronquay/internal/share/wire"
-	_ "saffronquay/internal/store/form"
-	"saffronquay/internal/system/rpc"
+	_ "saffronquay/internal/broker/merge/partial"
+	_ "saffronquay/internal/cluster/quota/wire"
+	_ "saffronquay/internal/cluster/rollout/wire"
+	_ "saffronquay/internal/cluster/swim/wire"
+	_ "saffronquay/internal/storage/recordlog/form"
 )
 
 // Messages, fields, numbers, types and calls are what processes of an earlier build say and have on their disks.
--- a/internal/golden/durable_test.go
+++ b/internal/golden/durable_test.go
@@ -4,6 +4,10 @@
 	"encoding/base64"
 	"fmt"
 	"path/filepath"
+	"saffronquay/internal/broker/core"
+	"saffronquay/internal/broker/idempotency"
+	"saffronquay/internal/storage/recordlog"
+	"saffronquay/internal/storage/recordlog/form"
 	"slices"
 	"strings"
 	"sync/atomic"
@@ -11,11 +15,6 @@
 
 	"github.com/matryer/is"
 	"google.golang.org/protobuf/proto"
-
-	"saffronquay/internal/broker"
-	"saffronquay/internal/once"
-	"saffronquay/internal/store"
-	"saffronquay/internal/store/form"
 )
 
 // A broker of an earlier build leaves its durable store; this build finds each record in a copy of it, and how each key stands.
@@ -28,8 +27,8 @@
 	defer s.Close()
 	is.Equal(len(s.Unknown()), 0)
 	var lines []string
-	for kind := store.Once; kind <= store.Rollout; kind++ {
-		is.NoErr(s.Each(kind, func(r store.Record) {
+	for kind := recordlog.Once; kind <= recordlog.Rollout; kind++ {
+		is.NoErr(s.Each(kind, func(r recordlog.Record) {
 			found, known, err := s.Get(kind, r.Key)
 			is.NoErr(err)
 			is.True(known)
@@ -38,7 +37,7 @@
 		}))
 	}
 	slices.Sort(lines)
-	ledger := once.New(s, onceConfig)
+	ledger := idempotency.New(s, onceConfig)
 	for _, key := range []string{"answered", "long", "doubtful", "released", "never"} {
 		for _, print := range []uint64{1, 2} {
 			entry, verdict := ledger.Begin(key, "label", print)
@@ -54,18 +53,18 @@
 // durableNow is the operating system's clock; the store's own goes on where the last record left it.
 const durableNow = 5_000_000
 
-var onceConfig = once.Config{Keep: 1_000_000, MaxBody: 10, Nonce: 99}
+var onceConfig = idempotency.Config{Keep: 1_000_000, MaxBody: 10, Nonce: 99}
 
-func openDurable(t *testing.T, folder string, now func() int64) *store.Store {
+func openDurable(t *testing.T, folder string, now func() int64) *recordlog.Store {
 	t.Helper()
 	is := is.New(t)
-	var dirs [2]store.Dir
+	var dirs [2]recordlog.Dir
 	var err error
 	for i, name := range []string{"a", "b"} {
-		dirs[i], err = store.Directory(filepath.Join(folder, name))
+		dirs[i], err = recordlog.Directory(filepath.Join(folder, name))
 		is.NoErr(err)
 	}
-	s, err := store.Open(dirs, store.Options{ID: 7, Now: now, Keep: 1_000_000, SegmentSize: 600}, false)
+	s, err := recordlog.Open(dirs, recordlog.Options{ID: 7, Now: now, Keep: 1_000_000, SegmentSize: 600}, false)
 	is.NoErr(err)
 	return s
 }
@@ -82,41 +81,43 @@
 		is.NoErr(err)
 		return b
 	}
-	learned := &form.Learned{Admission: 0.5, Suspects: map[string]int64{"s1": 3}, Servers: []*form.Server{{Id: "s1", Pace: 2, PaceAt: 3, Fails: 4, Tries: 5, At: 6}},
-		Rations: []*form.Ration{{Tenant: "t", At: 7, Taken: []uint32{1, 2}, Extras: []uint32{3}}}}
-	for _, r := range []store.Record{
-		{Kind: store.Learned, Key: "learned", Value: encoded(learned)},
-		{Kind: store.Layout, Key: "layout", Value: encoded(&form.Layout{Doc: []byte("an older one")})},
-		{Kind: store.Layout, Key: "layout", Value: encoded(&form.Layout{Doc: []byte("document")})},
-		{Kind: store.Cursor, Key: "cursor", Value: encoded(&form.Cursor{Tenant: "t", Nonce: 8, Until: 9, Closed: true}), Until: 500_000},
-		{Kind: store.Cursor, Key: "out of date", Value: []byte("x"), Until: 1},
-		{Kind: store.Sealing, Key: "sealing", Value: []byte("0123456789abcdef")},
-		{Kind: store.Rollout, Key: "identity", Value: []byte{0, 0, 0, 0, 0, 0, 1, 1}},
-		{Kind: store.Rollout, Key: "taken back", Value: []byte("x")},
-		{Kind: store.Rollout, Key: "taken back", Gone: true},
+	learned := &form.Learned{
+		Admission: 0.5, Suspects: map[string]int64{"s1": 3}, Servers: []*form.Server{{Id: "s1", Pace: 2, PaceAt: 3, Fails: 4, Tries: 5, At: 6}},
+		Rations: []*form.Ration{{Tenant: "t", At: 7, Taken: []uint32{1, 2}, Extras: []uint32{3}}},
+	}
+	for _, r := range []recordlog.Record{
+		{Kind: recordlog.Learned, Key: "learned", Value: encoded(learned)},
+		{Kind: recordlog.Layout, Key: "layout", Value: encoded(&form.Layout{Doc: []byte("an older one")})},
+		{Kind: recordlog.Layout, Key: "layout", Value: encoded(&form.Layout{Doc: []byte("document")})},
+		{Kind: recordlog.Cursor, Key: "cursor", Value: encoded(&form.Cursor{Tenant: "t", Nonce: 8, Until: 9, Closed: true}), Until: 500_000},
+		{Kind: recordlog.Cursor, Key: "out of date", Value: []byte("x"), Until: 1},
+		{Kind: recordlog.Sealing, Key: "sealing", Value: []byte("0123456789abcdef")},
+		{Kind: recordlog.Rollout, Key: "identity", Value: []byte{0, 0, 0, 0, 0, 0, 1, 1}},
+		{Kind: recordlog.Rollout, Key: "taken back", Value: []byte("x")},
+		{Kind: recordlog.Rollout, Key: "taken back", Gone: true},
 	} {
 		done := make(chan error, 1)
 		is.NoErr(s.Append(r, func(err error) { done <- err }))
 		is.NoErr(<-done)
 	}
-	ledger := once.New(s, onceConfig)
+	ledger := idempotency.New(s, onceConfig)
 	for _, key := range []string{"answered", "long", "doubtful", "released"} {
 		writeQuery(t, ledger, key)
 	}
 }
 
 // writeQuery has a query of a key leave its records.
-func writeQuery(t *testing.T, ledger *once.Ledger, key string) {
+func writeQuery(t *testing.T, ledger *idempotency.Ledger, key string) {
 	t.Helper()
 	is := is.New(t)
 	entry, verdict := ledger.Begin(key, "label", 1)
-	is.Equal(verdict.Standing, once.Fresh)
+	is.Equal(verdict.Standing, idempotency.Fresh)
 	done := make(chan error, 1)
-	part := broker.Intended{Shard: 1, Server: "s1"}
+	part := core.Intended{Shard: 1, Server: "s1"}
 	part.Span.From, part.Span.To = 10, 20
-	is.NoErr(entry.Intend([]broker.Intended{part}, 6_000_000, func(err error) { done <- err }))
+	is.NoErr(entry.Intend([]core.Intended{part}, 6_000_000, func(err error) { done <- err }))
 	is.NoErr(<-done)
-	answer := once.Answer{Status: 200, Type: "text/plain", Fields: [][2]string{{"A", "b"}}, Body: []byte("done")}
+	answer := idempotency.Answer{Status: 200, Type: "text/plain", Fields: [][2]string{{"A", "b"}}, Body: []byte("done")}
 	switch key {
 	case "doubtful":
 		entry.Abandon()
--- a/internal/golden/metrics_test.go
+++ b/internal/golden/metrics_test.go
@@ -4,12 +4,11 @@
 	"go/ast"
 	"path"
 	"regexp"
+	"saffronquay/internal/broker/adminapi"
 	"strconv"
 	"testing"
 
 	"github.com/matryer/is"
-
-	"saffronquay/internal/operations"
 )
 
 // The figures of the rollout scheduler's program, as its sources name them: what stands in the package that makes them (the one over
@@ -135,19 +134,23 @@
 
 // The figures of the broker's program, each with a value of its own.
 func TestFiguresOfTheBroker(t *testing.T) {
-	f := operations.NewFigures()
-	f.Routes = &operations.LayoutFigures{}
+	f := adminapi.NewFigures()
+	f.Routes = &adminapi.LayoutFigures{}
 	f.Cursors = func() int { return 11 }
-	f.Store = func() operations.StoreFigures {
-		return operations.StoreFigures{Bytes: 21, Keys: 22, Open: 23, Unknown: 24, Failing: 25, Appends: 26, Syncs: 27, Failed: 28, Cleaned: 29}
+	f.Store = func() adminapi.StoreFigures {
+		return adminapi.StoreFigures{Bytes: 21, Keys: 22, Open: 23, Unknown: 24, Failing: 25, Appends: 26, Syncs: 27, Failed: 28, Cleaned: 29}
 	}
-	f.Fleet = func() operations.FleetFigures {
-		return operations.FleetFigures{Alive: 31, Reckon: 32, Suspected: 33, Dead: 34, Ill: 35, Twin: 36, Sent: 37, Received: 38, Dropped: 39, Bytes: 40, Exchanges: 41,
-			Failed: 42, Accused: 43, Refuted: 44, Died: 45, Naps: 46, Full: 47, Traffic: traffic(50)}
+	f.Fleet = func() adminapi.FleetFigures {
+		return adminapi.FleetFigures{
+			Alive: 31, Reckon: 32, Suspected: 33, Dead: 34, Ill: 35, Twin: 36, Sent: 37, Received: 38, Dropped: 39, Bytes: 40, Exchanges: 41,
+			Failed: 42, Accused: 43, Refuted: 44, Died: 45, Naps: 46, Full: 47, Traffic: traffic(50),
+		}
 	}
-	f.Rollout = func() operations.RolloutFigures {
-		return operations.RolloutFigures{Number: 61, Admits: 62, Holding: 63, LeaseMs: 64, Leads: 65,
-			Region: &operations.RegionFigures{Behind: 66, ApartMs: 67, Leads: 68}, Traffic: traffic(70)}
+	f.Rollout = func() adminapi.RolloutFigures {
+		return adminapi.RolloutFigures{
+			Number: 61, Admits: 62, Holding: 63, LeaseMs: 64, Leads: 65,
+			Region: &adminapi.RegionFigures{Behind: 66, ApartMs: 67, Leads: 68}, Traffic: traffic(70),
+		}
 	}
 	f.Relayed.Store(1)
 	f.Open.Store(2)
@@ -170,6 +173,6 @@
 	compare(t, "figures.txt", string(f.Stats(nil)))
 }
 
-func traffic(from int64) operations.TrafficFigures {
-	return operations.TrafficFigures{Sent: from, Received: from + 1, SentBytes: from + 2, ReceivedBytes: from + 3, ShareBytes: from + 4, Links: from + 5}
+func traffic(from int64) adminapi.TrafficFigures {
+	return adminapi.TrafficFigures{Sent: from, Received: from + 1, SentBytes: from + 2, ReceivedBytes: from + 3, ShareBytes: from + 4, Links: from + 5}
 }
--- a/internal/golden/replicas_test.go
+++ b/internal/golden/replicas_test.go
@@ -4,12 +4,12 @@
 	"fmt"
 	"log/slog"
 	"math/rand/v2"
-	"saffronquay/internal/system/directory"
-	"saffronquay/internal/system/feed"
-	"saffronquay/internal/system/ledger"
-	"saffronquay/internal/system/registry"
-	"saffronquay/internal/system/replica"
-	"saffronquay/internal/system/rpc"
+	"saffronquay/internal/scheduler/batchjobs"
+	"saffronquay/internal/scheduler/directory"
+	"saffronquay/internal/scheduler/feed"
+	"saffronquay/internal/scheduler/registry"
+	"saffronquay/internal/scheduler/replica"
+	"saffronquay/internal/scheduler/rpc"
 	"slices"
 	"strings"
 	"testing"
@@ -63,7 +63,7 @@
 func storeMachines() map[string]replica.StateMachine {
 	machines := map[string]replica.StateMachine{}
 	for n := range 2 {
-		machines[ledger.ShardName(n)] = ledger.New(nil, func() int64 { return 1 })
+		machines[batchjobs.ShardName(n)] = batchjobs.New(nil, func() int64 { return 1 })
 	}
 	return machines
 }
@@ -154,7 +154,7 @@
 		replace,
 		&rpc.DirectoryCommand{Command: &rpc.DirectoryCommand_NameVersion{NameVersion: &rpc.NameVersion{Model: "m", Version: 10 * round}}},
 		&rpc.DirectoryCommand{Command: &rpc.DirectoryCommand_Place{Place: &rpc.Placement{
-			Group: ledger.ShardName(int(round)), Founding: round == 1,
+			Group: batchjobs.ShardName(int(round)), Founding: round == 1,
 			Replicas: []*rpc.Replica{{Id: "replica-1", Address: "10.0.1.1:7001", Node: "storage-1"}},
 		}}},
 		&rpc.DirectoryCommand{Command: &rpc.DirectoryCommand_Retire{Retire: &rpc.Retirement{Node: fmt.Sprint("storage-", round), Completed: round == 1}}},
--- a/internal/scale/change.go
+++ b/internal/scale/change.go
@@ -4,9 +4,9 @@
 	"encoding/json"
 	"fmt"
 	"regexp"
-	"saffronquay/internal/config"
-	"saffronquay/internal/peers"
-	"saffronquay/internal/rollout/wire"
+	"saffronquay/internal/broker/config"
+	"saffronquay/internal/cluster/peering"
+	"saffronquay/internal/cluster/rollout/wire"
 	"slices"
 	"strings"
 	"time"
@@ -124,7 +124,7 @@
 			i++
 			continue
 		}
-		a, err := peers.AskPolicy(at, x, time.Second)
+		a, err := peering.AskPolicy(at, x, time.Second)
 		switch {
 		case err != nil || a.End == 3:
 			i++
--- a/internal/scale/children.go
+++ b/internal/scale/children.go
@@ -9,9 +9,9 @@
 	"net/netip"
 	"os"
 	"os/exec"
-	"saffronquay/internal/campaign"
-	"saffronquay/internal/lab"
-	"saffronquay/internal/peers"
+	"saffronquay/internal/cluster/peering"
+	"saffronquay/internal/testing/harness"
+	"saffronquay/internal/testing/soak"
 	"strconv"
 	"strings"
 	"sync"
@@ -42,7 +42,7 @@
 	program := p.rig.cfg.Program
 	if program == "" {
 		var err error
-		if program, err = lab.Binary(); err != nil {
+		if program, err = harness.Binary(); err != nil {
 			p.rig.t.Errorf("%v", err)
 			return
 		}
@@ -72,7 +72,7 @@
 }
 
 // cries has what a process says on its standard error for errors: it has nothing to say.
-type cries struct{ t lab.T }
+type cries struct{ t harness.T }
 
 func (c *cries) Write(b []byte) (int, error) {
 	c.t.Errorf("hollow gatherers said: %s", b)
@@ -157,7 +157,7 @@
 	Name         string
 	Leads, Votes bool
 	Alive        int64
-	View, Policy peers.Traffic
+	View, Policy peering.Traffic
 	CPU, RSS     int64 // microseconds; bytes
 }
 
@@ -211,16 +211,16 @@
 		return x
 	}
 	at := map[string]int64{}
-	for line := range strings.Lines((&lab.Life{Door: door}).Call("stats")) {
+	for line := range strings.Lines((&harness.Life{Door: door}).Call("stats")) {
 		name, rest, ok := strings.Cut(strings.TrimSpace(line), ":")
 		value, _, _ := strings.Cut(rest, "|")
 		if n, err := strconv.ParseInt(value, 10, 64); ok && err == nil {
 			at[name] = n
 		}
 	}
-	traffic := func(of string) peers.Traffic {
+	traffic := func(of string) peering.Traffic {
 		of = "svc." + of + "."
-		return peers.Traffic{
+		return peering.Traffic{
 			Sent: at[of+"words_sent"], Received: at[of+"words_received"], SentBytes: at[of+"bytes_sent"], ReceivedBytes: at[of+"bytes_received"],
 			ShareBytes: at[of+"bytes_of_shares"], Links: at[of+"links"],
 		}
@@ -259,7 +259,7 @@
 		go func() {
 			defer wg.Done()
 			defer func() { <-places }()
-			q := campaign.Query{Sent: time.Since(r.g.Began()), Version: -1, At: name}
+			q := soak.Query{Sent: time.Since(r.g.Began()), Version: -1, At: name}
 			req, err := http.NewRequest("POST", "http://"+at+"/invoices/_search", strings.NewReader(`{"query":{"range":{"taxpayer":{"gte":0,"lt":4000}}}}`))
 			if err != nil {
 				return
--- a/internal/scale/disk.go
+++ b/internal/scale/disk.go
@@ -1,8 +1,8 @@
 package scale
 
 import (
-	"saffronquay/internal/rollout"
-	"saffronquay/internal/rollout/wire"
+	"saffronquay/internal/cluster/rollout"
+	"saffronquay/internal/cluster/rollout/wire"
 	"sync"
 
 	"google.golang.org/protobuf/proto"
--- a/internal/scale/event.go
+++ b/internal/scale/event.go
@@ -2,8 +2,8 @@
 
 import (
 	"fmt"
-	"saffronquay/internal/faults"
-	"saffronquay/internal/lab"
+	"saffronquay/internal/testing/faults"
+	"saffronquay/internal/testing/harness"
 	"slices"
 	"strings"
 	"sync"
@@ -127,7 +127,7 @@
 }
 
 // Play plays one event, at a fleet that is at rest.
-func Play(t lab.T, cfg Config, scene Scene, delay, calm time.Duration) (e Event, err error) {
+func Play(t harness.T, cfg Config, scene Scene, delay, calm time.Duration) (e Event, err error) {
 	t.Helper()
 	cfg.Relayed = scene.Relayed
 	r, err := NewRig(t, cfg)
@@ -159,7 +159,7 @@
 		defer changes.Done()
 		defer func() { // a change that never ends is told of, and the watch goes on
 			if x := recover(); x != nil {
-				e.Fault = lab.Never(x)
+				e.Fault = harness.Never(x)
 			}
 		}()
 		for range scene.Changes {
--- a/internal/scale/events/candidates_test.go
+++ b/internal/scale/events/candidates_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	rm "saffronquay/internal/rollout/model"
+	rm "saffronquay/internal/cluster/rollout/simulation"
 )
 
 // What regions that are apart for a minute cost by rollout's own model: 60 gatherers, five voters, a change every 2 s, and thirty of them with
--- a/internal/scale/events/events.go
+++ b/internal/scale/events/events.go
@@ -4,10 +4,10 @@
 	"container/heap"
 	"fmt"
 	"math/rand/v2"
-	"saffronquay/internal/faults"
-	"saffronquay/internal/rollout"
-	"saffronquay/internal/rollout/wire"
-	"saffronquay/internal/share"
+	"saffronquay/internal/cluster/quota"
+	"saffronquay/internal/cluster/rollout"
+	"saffronquay/internal/cluster/rollout/wire"
+	"saffronquay/internal/testing/faults"
 	"time"
 
 	"google.golang.org/protobuf/proto"
@@ -213,10 +213,10 @@
 	if w.Teams == 0 {
 		return
 	}
-	even := share.Even(uint64(w.Gatherers))
-	all := make([]share.Demand, w.Teams)
+	even := quota.Even(uint64(w.Gatherers))
+	all := make([]quota.Demand, w.Teams)
 	for i := range all {
-		all[i] = share.Demand{Team: fmt.Sprintf("team-%03d", i), Want: even * uint32(1+(x.index+i)%4) / 2}
+		all[i] = quota.Demand{Team: fmt.Sprintf("team-%03d", i), Want: even * uint32(1+(x.index+i)%4) / 2}
 	}
 	x.n.Parts().Want(all)
 }
--- a/internal/scale/events/events_test.go
+++ b/internal/scale/events/events_test.go
@@ -2,7 +2,7 @@
 
 import (
 	"reflect"
-	"saffronquay/internal/faults"
+	"saffronquay/internal/testing/faults"
 	"testing"
 	"time"
 )
--- a/internal/scale/events/look.go
+++ b/internal/scale/events/look.go
@@ -1,8 +1,8 @@
 package events
 
 import (
-	"saffronquay/internal/rollout"
-	"saffronquay/internal/rollout/wire"
+	"saffronquay/internal/cluster/rollout"
+	"saffronquay/internal/cluster/rollout/wire"
 	"slices"
 	"time"
 
--- a/internal/scale/events/measure_test.go
+++ b/internal/scale/events/measure_test.go
@@ -3,8 +3,8 @@
 import (
 	"fmt"
 	"os"
-	"saffronquay/internal/faults"
 	"saffronquay/internal/scale/fit"
+	"saffronquay/internal/testing/faults"
 	"slices"
 	"strings"
 	"sync"
--- a/internal/scale/figures_test.go
+++ b/internal/scale/figures_test.go
@@ -2,8 +2,8 @@
 
 import (
 	"math"
-	"saffronquay/internal/faults"
-	"saffronquay/internal/peers"
+	"saffronquay/internal/cluster/peering"
+	"saffronquay/internal/testing/faults"
 	"testing"
 	"time"
 )
@@ -67,9 +67,9 @@
 	at := func(sent, cpu int64, runs ...bool) Sample {
 		r := Report{CPU: cpu, At: cpu * 10, RSS: 4 << 20}
 		for _, x := range runs {
-			r.Hollow = append(r.Hollow, Stand{Runs: x, View: peers.Traffic{Sent: sent, SentBytes: 10 * sent}, Policy: peers.Traffic{Received: sent, ReceivedBytes: sent, ShareBytes: sent}})
+			r.Hollow = append(r.Hollow, Stand{Runs: x, View: peering.Traffic{Sent: sent, SentBytes: 10 * sent}, Policy: peering.Traffic{Received: sent, ReceivedBytes: sent, ShareBytes: sent}})
 		}
-		leader := Real{Leads: true, Votes: true, CPU: cpu, View: peers.Traffic{Sent: sent}}
+		leader := Real{Leads: true, Votes: true, CPU: cpu, View: peering.Traffic{Sent: sent}}
 		return Sample{At: cpu * 10, Reports: []Report{r}, Real: []Real{leader, {CPU: 2 * cpu}}}
 	}
 	s := between(at(100, 1e5, true, true, false), at(300, 3e5, true, true, true))
--- a/internal/scale/hollow.go
+++ b/internal/scale/hollow.go
@@ -7,13 +7,13 @@
 	"log/slog"
 	"maps"
 	"net/netip"
-	"saffronquay/internal/config"
-	"saffronquay/internal/fleet"
-	"saffronquay/internal/peers"
-	"saffronquay/internal/rollout"
-	"saffronquay/internal/rollout/wire"
-	"saffronquay/internal/share"
-	"saffronquay/internal/transport"
+	"saffronquay/internal/broker/config"
+	"saffronquay/internal/broker/transport"
+	"saffronquay/internal/cluster/peering"
+	"saffronquay/internal/cluster/quota"
+	"saffronquay/internal/cluster/rollout"
+	"saffronquay/internal/cluster/rollout/wire"
+	"saffronquay/internal/cluster/swim"
 	"slices"
 	"strings"
 	"sync"
@@ -45,8 +45,8 @@
 	op      atomic.Pointer[config.Operator] // the file, with the policy in force
 	disk    disk
 
-	view   *peers.Peers // nil: it does not run
-	policy *peers.Policy
+	view   *peering.Peers // nil: it does not run
+	policy *peering.Policy
 	over   chan struct{}
 	wg     sync.WaitGroup
 
@@ -113,14 +113,14 @@
 	memory := h.disk.memory()
 	h.number.Store(memory.Current.GetNumber())
 	var err error
-	if h.policy, err = peers.OpenPolicy(peers.PolicyConfig{Listen: r.Listen, Seed: h.Seed, Memory: memory, Node: node}, h.clock.Now, h, h.log); err != nil {
+	if h.policy, err = peering.OpenPolicy(peering.PolicyConfig{Listen: r.Listen, Seed: h.Seed, Memory: memory, Node: node}, h.clock.Now, h, h.log); err != nil {
 		return err
 	}
-	core := fleet.Config{
+	core := swim.Config{
 		Fleet: f.Name, Name: h.Name, Start: uint64(time.Now().UnixMicro()), Address: f.Advertise, Zone: op.Settings.Module.Zone, Version: h.version,
 		Join: f.Join, Period: f.Period.Microseconds(), Suspect: f.Suspect, Reckon: f.Reckon.Microseconds(),
 	}
-	if h.view, err = peers.Open(peers.Config{Listen: f.Listen, Allow: f.Allow, Seed: h.Seed, Core: core, Watch: h.sees}, h.clock.Now, h.heard, h.log); err != nil {
+	if h.view, err = peering.Open(peering.Config{Listen: f.Listen, Allow: f.Allow, Seed: h.Seed, Core: core, Watch: h.sees}, h.clock.Now, h.heard, h.log); err != nil {
 		go h.policy.Run()
 		h.policy.Stop()
 		h.policy = nil
@@ -151,7 +151,7 @@
 }
 
 // divide asks what may be used of budgets, as often as a gatherer does.
-func (h *hollow) divide(policy *peers.Policy, over <-chan struct{}) {
+func (h *hollow) divide(policy *peering.Policy, over <-chan struct{}) {
 	defer h.wg.Done()
 	tick := time.NewTicker(partsEvery)
 	defer tick.Stop()
@@ -166,10 +166,10 @@
 }
 
 // demands are of the first busy teams of the contracts: half of an even part is in use, and twice as much wanted.
-func (h *hollow) demands() (all []share.Demand) {
-	even := share.Even(h.Slots())
+func (h *hollow) demands() (all []quota.Demand) {
+	even := quota.Even(h.Slots())
 	for i := range h.busy {
-		all = append(all, share.Demand{Team: team(i), Want: 2 * even, Used: even / 2})
+		all = append(all, quota.Demand{Team: team(i), Want: 2 * even, Used: even / 2})
 	}
 	return all
 }
@@ -177,7 +177,7 @@
 // team is a team's name by its number.
 func team(i int) string { return fmt.Sprintf("team-%05d", i) }
 
-func (h *hollow) facts(f fleet.Facts) fleet.Facts {
+func (h *hollow) facts(f swim.Facts) swim.Facts {
 	f.Policy, f.Agrees = h.number.Load(), h.op.Load().Rollout.Members[h.Name]
 	return f
 }
@@ -188,10 +188,10 @@
 }
 
 // sees does with a view what a gatherer does, and looks whether what is expected of it has come.
-func (h *hollow) sees(v fleet.View) {
+func (h *hollow) sees(v swim.View) {
 	absent := map[string]bool{}
 	for _, m := range v.Members {
-		if m.State == fleet.Dead || m.State == fleet.Left {
+		if m.State == swim.Dead || m.State == swim.Left {
 			absent[m.Name] = true
 		} else if !m.Self {
 			h.policy.Moved(m.Name, m.Facts.Agrees)
--- a/internal/scale/measure.go
+++ b/internal/scale/measure.go
@@ -2,8 +2,8 @@
 
 import (
 	"fmt"
-	"saffronquay/internal/campaign"
-	"saffronquay/internal/lab"
+	"saffronquay/internal/testing/harness"
+	"saffronquay/internal/testing/soak"
 	"time"
 )
 
@@ -59,7 +59,7 @@
 }
 
 // Measure plays one fleet to its end.
-func Measure(t lab.T, cfg Config, e Effort) (s Size, err error) {
+func Measure(t harness.T, cfg Config, e Effort) (s Size, err error) {
 	t.Helper()
 	r, err := NewRig(t, cfg)
 	if err != nil {
@@ -103,7 +103,7 @@
 		}
 	}
 	var first string
-	if s.Mixed, first = campaign.Mixed(asked); s.Mixed > 0 {
+	if s.Mixed, first = soak.Mixed(asked); s.Mixed > 0 {
 		t.Errorf("%d queries were let in under a version that was over: %s", s.Mixed, first)
 	}
 	return s, nil
--- a/internal/scale/process.go
+++ b/internal/scale/process.go
@@ -8,8 +8,8 @@
 	"log/slog"
 	"os"
 	"runtime"
-	"saffronquay/internal/events"
-	"saffronquay/internal/peers"
+	"saffronquay/internal/broker/logging"
+	"saffronquay/internal/cluster/peering"
 	"strconv"
 	"strings"
 	"syscall"
@@ -50,13 +50,13 @@
 	Installed    int64 // when the version asked for was put in force first, in Unix microseconds; 0: not
 	Times        int   // how often
 	Known        int64 // when what was expected had come; 0: not yet
-	View, Policy peers.Traffic
+	View, Policy peering.Traffic
 }
 
 // Serve is a process of hollow gatherers: it carries out orders until they end, and then ends without a word to others.
 func Serve(in io.Reader, out io.Writer) error {
 	lines, answers := bufio.NewReader(in), json.NewEncoder(out)
-	log := events.New(io.Discard, "text", slog.LevelInfo).Logger()
+	log := logging.New(io.Discard, "text", slog.LevelInfo).Logger()
 	var all []*hollow
 	for {
 		line, err := lines.ReadBytes('\n')
--- a/internal/scale/rates.go
+++ b/internal/scale/rates.go
@@ -2,7 +2,7 @@
 
 import (
 	"math"
-	"saffronquay/internal/peers"
+	"saffronquay/internal/cluster/peering"
 	"slices"
 	"time"
 )
@@ -53,7 +53,7 @@
 // between works out what lies between two samples. Who did not run at both, or was started anew, counts in nothing.
 func between(a, b Sample) (s Span) {
 	s.Seconds = float64(b.At-a.At) / 1e6
-	per := func(view, policy peers.Traffic, seconds float64) Rates {
+	per := func(view, policy peering.Traffic, seconds float64) Rates {
 		return Rates{
 			ViewWords: float64(view.Sent+view.Received) / seconds, ViewBytes: float64(view.SentBytes+view.ReceivedBytes) / seconds,
 			PolicyWords: float64(policy.Sent+policy.Received) / seconds, PolicyBytes: float64(policy.SentBytes+policy.ReceivedBytes) / seconds,
@@ -107,8 +107,8 @@
 	return s
 }
 
-func minus(b, a peers.Traffic) peers.Traffic {
-	return peers.Traffic{
+func minus(b, a peering.Traffic) peering.Traffic {
+	return peering.Traffic{
 		Sent: b.Sent - a.Sent, Received: b.Received - a.Received, SentBytes: b.SentBytes - a.SentBytes, ReceivedBytes: b.ReceivedBytes - a.ReceivedBytes,
 		ShareBytes: b.ShareBytes - a.ShareBytes, Links: b.Links,
 	}
--- a/internal/scale/rig.go
+++ b/internal/scale/rig.go
@@ -8,10 +8,10 @@
 	"net"
 	"net/netip"
 	"os"
-	"saffronquay/internal/campaign"
-	"saffronquay/internal/lab"
-	"saffronquay/internal/layout"
-	"saffronquay/internal/standin"
+	"saffronquay/internal/broker/layout"
+	"saffronquay/internal/testing/fakebackend"
+	"saffronquay/internal/testing/harness"
+	"saffronquay/internal/testing/soak"
 	"slices"
 	"strings"
 	"sync"
@@ -75,8 +75,8 @@
 // Rig is a fleet of real processes and hollow gatherers. It is for one goroutine, but for reads.
 type Rig struct {
 	cfg       Config
-	t         lab.T
-	g         *lab.Group
+	t         harness.T
+	g         *harness.Group
 	real      int
 	processes []*process
 	template  []byte
@@ -85,7 +85,7 @@
 	nonce     uint64
 	queries   atomic.Int64
 	mu        sync.Mutex
-	asked     []campaign.Query
+	asked     []soak.Query
 	over      chan struct{}
 	load      sync.WaitGroup
 	held      atomic.Int64 // MB of all processes together, at the most
@@ -93,7 +93,7 @@
 }
 
 // NewRig makes a fleet of which nothing runs yet; it ends with t.
-func NewRig(t lab.T, cfg Config) (*Rig, error) {
+func NewRig(t harness.T, cfg Config) (*Rig, error) {
 	if err := cfg.check(); err != nil {
 		return nil, err
 	}
@@ -107,7 +107,7 @@
 	for i := range 2 {
 		doc.Ranges = append(doc.Ranges, layout.Range{Shard: i, Span: layout.Span{From: int64(i) * 2000, To: int64(i+1) * 2000}, Holders: ids})
 	}
-	cluster, err := standin.NewCluster(ids, nil, standin.ServerConfig{Field: "taxpayer", Cores: 8, Queue: 1000, Work: time.Millisecond}, doc, []standin.Row{{Key: 1, ID: "one"}, {Key: 3000, ID: "two"}})
+	cluster, err := fakebackend.NewCluster(ids, nil, fakebackend.ServerConfig{Field: "taxpayer", Cores: 8, Queue: 1000, Work: time.Millisecond}, doc, []fakebackend.Row{{Key: 1, ID: "one"}, {Key: 3000, ID: "two"}})
 	if err != nil {
 		return nil, err
 	}
@@ -116,7 +116,7 @@
 	for _, s := range cluster.Servers {
 		servers = append(servers, map[string]any{"id": s.ID(), "address": s.Address(), "zone": "zone-00"})
 	}
-	r.g = lab.NewGroup(t, cfg.Seed, r.real, func(_ int, file, fleet map[string]any) {
+	r.g = harness.NewGroup(t, cfg.Seed, r.real, func(_ int, file, fleet map[string]any) {
 		fleet["contracts"], fleet["balancers"] = false, false
 		if cfg.Period > 0 {
 			fleet["period_ms"] = cfg.Period.Milliseconds()
@@ -153,7 +153,7 @@
 }
 
 // block takes a block of loopback addresses that no other run uses, for as long as this one lasts.
-func block(t lab.T) (netip.Addr, error) {
+func block(t harness.T) (netip.Addr, error) {
 	for i := range 7 * 32 {
 		n := (os.Getpid()*13 + i) % (7 * 32)
 		at := netip.AddrFrom4([4]byte{127, byte(121 + n/32), byte(n % 32 * 8), 0})
@@ -340,7 +340,7 @@
 }
 
 // Asked are the queries of the load so far, to be judged.
-func (r *Rig) Asked() []campaign.Query {
+func (r *Rig) Asked() []soak.Query {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return slices.Clone(r.asked)
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -8,7 +8,7 @@
 	"io/fs"
 	"os"
 	"runtime"
-	"saffronquay/internal/lab"
+	"saffronquay/internal/testing/harness"
 	"slices"
 	"strings"
 	"time"
@@ -77,7 +77,7 @@
 	}
 	rec.Runs = append(rec.Runs, occasion(p.Fleet.Seed))
 	began := time.Now()
-	one := func(what string, do func(t lab.T) error) error {
+	one := func(what string, do func(t harness.T) error) error {
 		if err := ctx.Err(); err != nil || time.Since(began) > p.Limit {
 			return errors.Join(ErrLimit, err)
 		}
@@ -98,7 +98,7 @@
 				cfg := p.Fleet
 				cfg.Seed += uint64(run)
 				set(&cfg, v)
-				if err := one(fmt.Sprintf("%s %d, run %d", what, v, run+1), func(t lab.T) error {
+				if err := one(fmt.Sprintf("%s %d, run %d", what, v, run+1), func(t harness.T) error {
 					s, err := Measure(t, cfg, p.Effort)
 					s.Run = first
 					*to = append(*to, s)
@@ -120,7 +120,7 @@
 			}
 			cfg := p.Fleet
 			cfg.Seed += uint64(run)
-			if err := one(fmt.Sprintf("%s, run %d", s.Name, run+1), func(t lab.T) error {
+			if err := one(fmt.Sprintf("%s, run %d", s.Name, run+1), func(t harness.T) error {
 				e, err := Play(t, cfg, s, p.Delay, p.Effort.Calm)
 				e.Run = first
 				rec.Events = append(rec.Events, e)
@@ -134,8 +134,8 @@
 }
 
 // played plays one fleet and ends all that it started, also where the context ends first: then the program ends.
-func played(ctx context.Context, cfg Config, do func(lab.T) error) (fault string, err error) {
-	t, err := lab.NewRunner(cfg.Dir, cfg.Say)
+func played(ctx context.Context, cfg Config, do func(harness.T) error) (fault string, err error) {
+	t, err := harness.NewRunner(cfg.Dir, cfg.Say)
 	if err != nil {
 		return "", err
 	}
@@ -151,7 +151,7 @@
 	}()
 	defer t.Close()
 	defer func() {
-		if never := lab.Never(recover()); never != "" {
+		if never := harness.Never(recover()); never != "" {
 			fault = never
 		} else {
 			fault = strings.Join(t.Errors(), "; ")
--- a/internal/scale/scale_test.go
+++ b/internal/scale/scale_test.go
@@ -8,14 +8,14 @@
 	"os"
 	"os/exec"
 	"path/filepath"
-	"saffronquay/internal/campaign"
-	"saffronquay/internal/lab"
+	"saffronquay/internal/testing/harness"
+	"saffronquay/internal/testing/soak"
 	"strings"
 	"testing"
 	"time"
 )
 
-func TestMain(m *testing.M) { lab.Main(m) }
+func TestMain(m *testing.M) { harness.Main(m) }
 
 // A small fleet: all see all; a change is in force at all, once; an end of a process is known to all, and they come back; a hollow gatherer says
 // what a real one says. Counts and orders only, so that it ends the same on a busy machine.
@@ -41,7 +41,7 @@
 	r.Settled(cfg.Gatherers - 3)
 	r.befall(step(t, "at 0s start "+apart.set(), cfg.Gatherers))
 	r.Settled(cfg.Gatherers)
-	if n, first := campaign.Mixed(r.Asked()); n > 0 {
+	if n, first := soak.Mixed(r.Asked()); n > 0 {
 		t.Errorf("%d queries were let in under a version that was over: %s", n, first)
 	}
 }
@@ -77,7 +77,7 @@
 
 // A run of the command's leaves its record and its tables, adds to them, and leaves nothing running; a context that is over begins nothing.
 func TestRunLeavesItsRecord(t *testing.T) {
-	program, err := lab.Binary()
+	program, err := harness.Binary()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -131,7 +131,7 @@
 
 // Processes that hold more memory together than may be held are ended.
 func TestGuard(t *testing.T) {
-	runner, err := lab.NewRunner(t.TempDir(), t.Logf)
+	runner, err := harness.NewRunner(t.TempDir(), t.Logf)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/scale/work/engine_test.go
+++ b/internal/scale/work/engine_test.go
@@ -5,10 +5,10 @@
 	"io"
 	"log/slog"
 	"runtime"
-	"saffronquay/internal/broker"
-	"saffronquay/internal/operations"
-	"saffronquay/internal/platform"
-	"saffronquay/internal/transport"
+	"saffronquay/internal/broker/adminapi"
+	"saffronquay/internal/broker/core"
+	"saffronquay/internal/broker/platform"
+	"saffronquay/internal/broker/transport"
 	"testing"
 	"time"
 
@@ -41,9 +41,9 @@
 				b.Fatal(err)
 			}
 			clock := transport.NewClock()
-			core := broker.New(broker.Terms{Period: 5000, Shards: servers, PartsPerCall: 1, AnswerGrace: 5000, Classes: settings.Classes}, module)
-			e := transport.NewEngine(clock, core, transport.PoolConfig{ConnectTimeout: 1_000_000, IdleClose: 60_000_000, MaxConns: 7000},
-				platform.Workers{PerConn: 32}, operations.NewFigures(), slog.New(slog.NewTextHandler(io.Discard, nil)))
+			gatherer := core.New(core.Terms{Period: 5000, Shards: servers, PartsPerCall: 1, AnswerGrace: 5000, Classes: settings.Classes}, module)
+			e := transport.NewEngine(clock, gatherer, transport.PoolConfig{ConnectTimeout: 1_000_000, IdleClose: 60_000_000, MaxConns: 7000},
+				platform.Workers{PerConn: 32}, adminapi.NewFigures(), slog.New(slog.NewTextHandler(io.Discard, nil)))
 			news, addresses := sq.FleetChanged{Kind: sq.FleetCached}, map[sq.ServerID]string{}
 			for i := range servers {
 				id := sq.ServerID(Name(i))
@@ -55,15 +55,15 @@
 			defer e.Stop()
 			asked := 0
 			query := func() {
-				ask := broker.Ask{Label: fmt.Sprintf("%016x", asked), Unique: true, Class: "q", Deadline: clock.Now() + 30_000_000, Text: []byte("c41e77d0")}
+				ask := core.Ask{Label: fmt.Sprintf("%016x", asked), Unique: true, Class: "q", Deadline: clock.Now() + 30_000_000, Text: []byte("c41e77d0")}
 				for i := range parts {
-					ask.Parts = append(ask.Parts, broker.AskPart{Shard: (asked*parts + i) % servers, Weight: 1 / float64(parts)})
+					ask.Parts = append(ask.Parts, core.AskPart{Shard: (asked*parts + i) % servers, Weight: 1 / float64(parts)})
 				}
 				asked++
 				t := e.Open(ask)
 				select {
 				case f := <-t.Final:
-					if f.Verdict != broker.Answered || !f.Whole {
+					if f.Verdict != core.Answered || !f.Whole {
 						b.Fatalf("query %d: %+v", asked, f.Verdict)
 					}
 				case err := <-t.Err:
--- a/internal/scale/work/gatherer.go
+++ b/internal/scale/work/gatherer.go
@@ -4,7 +4,7 @@
 	"encoding/json"
 	"fmt"
 	"net/http"
-	"saffronquay/internal/lab"
+	"saffronquay/internal/testing/harness"
 	"strings"
 	"time"
 )
@@ -54,18 +54,18 @@
 
 // Gatherer is a real gatherer process in front of a hollow fleet.
 type Gatherer struct {
-	*lab.Life
-	place *lab.Place
+	*harness.Life
+	place *harness.Place
 }
 
 // Start starts the program as a gatherer that has been told a hollow fleet's list; it ends with t. program empty: it is built.
-func Start(t lab.T, program string, s Size, discovery string) *Gatherer {
+func Start(t harness.T, program string, s Size, discovery string) *Gatherer {
 	t.Helper()
 	list, err := fetch(discovery, "/catalog/members")
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := lab.NewPlace(t)
+	p := harness.NewPlace(t)
 	p.Program = program
 	p.Write(s.settings(discovery, list))
 	p.Env = append(p.Env, "SAFFRONQUAY_OPERATOR_FILE=", "LB_CONFIG="+p.File, "LB_LISTEN=", "LB_DISCOVERY=", "LB_NAME=")
--- a/internal/scale/work/scene.go
+++ b/internal/scale/work/scene.go
@@ -8,7 +8,7 @@
 	"net"
 	"net/http"
 	"os/exec"
-	"saffronquay/internal/lab"
+	"saffronquay/internal/testing/harness"
 	"slices"
 	"syscall"
 	"time"
@@ -34,7 +34,7 @@
 }
 
 // Begin starts the program as a hollow fleet and waits until it listens; it ends with t, or with this process.
-func Begin(t lab.T, program Program, cfg Config) Hollow {
+func Begin(t harness.T, program Program, cfg Config) Hollow {
 	t.Helper()
 	cmd := exec.Command(program.File, program.words(cfg)...)
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
@@ -62,7 +62,7 @@
 			t.Fatal("the hollow fleet ended at its start: is the limit on descriptors too low for so many workers?")
 		}
 		return h
-	case <-time.After(lab.Patience):
+	case <-time.After(harness.Patience):
 		t.Fatal("the hollow fleet neither started nor ended")
 	}
 	return Hollow{}
@@ -99,13 +99,13 @@
 
 // Scene is a gatherer in front of a hollow fleet.
 type Scene struct {
-	T        lab.T
+	T        harness.T
 	Gatherer *Gatherer
 	Hollow   Hollow
 }
 
 // Stage starts both.
-func Stage(t lab.T, program Program, cfg Config, s Size) *Scene {
+func Stage(t harness.T, program Program, cfg Config, s Size) *Scene {
 	t.Helper()
 	h := Begin(t, program, cfg)
 	return &Scene{t, Start(t, program.File, s, h.Address), h}
@@ -172,7 +172,7 @@
 }
 
 // Dial opens so many connections to one worker of a hollow fleet; they end with t.
-func (h Hollow) Dial(t lab.T, n int) (conns []net.Conn) {
+func (h Hollow) Dial(t harness.T, n int) (conns []net.Conn) {
 	t.Helper()
 	for range n {
 		conn, err := net.DialTimeout("tcp", h.Worker, fetchWithin)
--- a/internal/scale/work/slopes.go
+++ b/internal/scale/work/slopes.go
@@ -6,8 +6,8 @@
 	"fmt"
 	"io"
 	"maps"
-	"saffronquay/internal/lab"
 	"saffronquay/internal/scale/fit"
+	"saffronquay/internal/testing/harness"
 	"slices"
 	"strings"
 	"text/tabwriter"
@@ -56,7 +56,7 @@
 type stage struct {
 	SlopeConfig
 	ctx context.Context
-	t   lab.T
+	t   harness.T
 }
 
 var slopes = map[string]slope{
@@ -127,13 +127,13 @@
 
 // size measures one size, and ends what it has started.
 func size(ctx context.Context, cfg SlopeConfig, x float64, one func(*stage, float64) []float64) (values []float64, err error) {
-	r, err := lab.NewRunner("", cfg.Say)
+	r, err := harness.NewRunner("", cfg.Say)
 	if err != nil {
 		return nil, err
 	}
 	defer r.Close()
 	defer func() {
-		if never := lab.Never(recover()); never != "" {
+		if never := harness.Never(recover()); never != "" {
 			err = errors.New(never)
 		} else if all := r.Errors(); len(all) > 0 {
 			err = errors.New(strings.Join(all, "; "))
--- a/internal/scale/work/slopes_test.go
+++ b/internal/scale/work/slopes_test.go
@@ -2,7 +2,7 @@
 
 import (
 	"context"
-	"saffronquay/internal/lab"
+	"saffronquay/internal/testing/harness"
 	"slices"
 	"strings"
 	"testing"
@@ -10,7 +10,7 @@
 
 // A slope is measured at all its sizes, and told with the line through each figure; what it has started is gone then.
 func TestASlopeIsMeasured(t *testing.T) {
-	path, err := lab.Binary()
+	path, err := harness.Binary()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/scale/work/workers_test.go
+++ b/internal/scale/work/workers_test.go
@@ -4,14 +4,14 @@
 	"context"
 	"fmt"
 	"math"
-	"saffronquay/internal/http1"
-	"saffronquay/internal/lab"
+	"saffronquay/internal/broker/http1"
+	"saffronquay/internal/testing/harness"
 	"strconv"
 	"testing"
 	"time"
 )
 
-func TestMain(m *testing.M) { lab.Main(m) }
+func TestMain(m *testing.M) { harness.Main(m) }
 
 // small is a fleet of which each query asks all shards.
 func small(t *testing.T) (*Workers, *Discovery, Size) {
--- a/internal/system/ledgerclient/client.go
+++ b/internal/scheduler/batchclient/client.go
@@ -1,12 +1,12 @@
-// Package ledgerclient calls the owners of the ledger's shards, wherever they are.
-package ledgerclient
+// Package batchclient calls the owners of the ledger's shards, wherever they are.
+package batchclient
 
 import (
 	"context"
 	"errors"
-	"saffronquay/internal/system/ledger"
-	"saffronquay/internal/system/rpc"
-	"saffronquay/internal/system/transport"
+	"saffronquay/internal/scheduler/batchjobs"
+	"saffronquay/internal/scheduler/rpc"
+	"saffronquay/internal/scheduler/transport"
 	"sync"
 	"time"
 )
@@ -71,9 +71,9 @@
 func (c *Client) Shards() (names []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	count := ledger.ShardsIn(func(group string) bool { return c.placements[group] != nil })
+	count := batchjobs.ShardsIn(func(group string) bool { return c.placements[group] != nil })
 	for n := range count {
-		names = append(names, ledger.ShardName(n))
+		names = append(names, batchjobs.ShardName(n))
 	}
 	return names
 }
@@ -81,7 +81,7 @@
 // ShardOf is the shard of a host's jobs; empty while the shards are not placed yet.
 func (c *Client) ShardOf(host string) string {
 	if n := len(c.Shards()); n > 0 {
-		return ledger.ShardOf(host, n)
+		return batchjobs.ShardOf(host, n)
 	}
 	return ""
 }
--- a/internal/system/ledger/demand.go
+++ b/internal/scheduler/batchjobs/demand.go
@@ -1,4 +1,4 @@
-package ledger
+package batchjobs
 
 const (
 	// firstItemMS is how long an item is taken to last before any was seen.
--- a/internal/system/ledger/job.go
+++ b/internal/scheduler/batchjobs/job.go
@@ -1,13 +1,13 @@
-// Package ledger keeps batch jobs. A shard's replica group agrees on which jobs were accepted, which results stand at which positions,
+// Package batchjobs keeps batch jobs. A shard's replica group agrees on which jobs were accepted, which results stand at which positions,
 // and which jobs have ended; the shard's owner hands the items out to gatherers under leases and settles what they report.
-package ledger
+package batchjobs
 
 import (
 	"errors"
 	"fmt"
 	"hash/fnv"
-	"saffronquay/internal/system/packing"
-	"saffronquay/internal/system/rpc"
+	"saffronquay/internal/scheduler/compression"
+	"saffronquay/internal/scheduler/rpc"
 	"slices"
 
 	"github.com/mailru/easyjson"
@@ -126,7 +126,7 @@
 		if versions == nil {
 			versions = []uint64{}
 		}
-		text, err := packing.Texts.Unpack(result.Text)
+		text, err := compression.Texts.Unpack(result.Text)
 		if err != nil {
 			return nil, err
 		}
--- a/internal/system/ledger/leases.go
+++ b/internal/scheduler/batchjobs/leases.go
@@ -1,7 +1,7 @@
-package ledger
+package batchjobs
 
 import (
-	"saffronquay/internal/system/rpc"
+	"saffronquay/internal/scheduler/rpc"
 	"strings"
 )
 
--- a/internal/system/ledger/ledger.go
+++ b/internal/scheduler/batchjobs/ledger.go
@@ -1,12 +1,12 @@
-package ledger
+package batchjobs
 
 import (
 	"bufio"
 	"cmp"
 	"errors"
 	"io"
-	"saffronquay/internal/system/replica"
-	"saffronquay/internal/system/rpc"
+	"saffronquay/internal/scheduler/replica"
+	"saffronquay/internal/scheduler/rpc"
 	"slices"
 	"sync"
 
--- a/internal/system/ledger/memory_test.go
+++ b/internal/scheduler/batchjobs/memory_test.go
@@ -1,11 +1,11 @@
-package ledger
+package batchjobs
 
 import (
 	"fmt"
 	"math/rand/v2"
 	"runtime"
-	"saffronquay/internal/system/replica"
-	"saffronquay/internal/system/rpc"
+	"saffronquay/internal/scheduler/replica"
+	"saffronquay/internal/scheduler/rpc"
 	"testing"
 
 	"github.com/matryer/is"
--- a/internal/system/ledger/scheduler.go
+++ b/internal/scheduler/batchjobs/scheduler.go
@@ -1,9 +1,9 @@
-package ledger
+package batchjobs
 
 import (
 	"cmp"
 	"fmt"
-	"saffronquay/internal/system/rpc"
+	"saffronquay/internal/scheduler/rpc"
 	"slices"
 )
 
--- a/internal/system/ledger/scheduler_test.go
+++ b/internal/scheduler/batchjobs/scheduler_test.go
@@ -1,9 +1,9 @@
-package ledger
+package batchjobs
 
 import (
 	"fmt"
 	"math/rand/v2"
-	"saffronquay/internal/system/rpc"
+	"saffronquay/internal/scheduler/rpc"
 	"testing"
 
 	"github.com/matryer/is"
--- a/internal/system/ledger/service.go
+++ b/internal/scheduler/batchjobs/service.go
@@ -1,10 +1,10 @@
-package ledger
+package batchjobs
 
 import (
 	"context"
 	"log/slog"
-	"saffronquay/internal/system/replica"
-	"saffronquay/internal/system/rpc"
+	"saffronquay/internal/scheduler/replica"
+	"saffronquay/internal/scheduler/rpc"
 	"strings"
 	"sync"
 	"time"
--- a/internal/system/batch/item.go
+++ b/internal/scheduler/batchrunner/item.go
@@ -1,14 +1,14 @@
-package batch
+package batchrunner
 
 import (
 	"context"
 	"errors"
-	"saffronquay/internal/system/configuration"
-	"saffronquay/internal/system/forward"
-	"saffronquay/internal/system/metrics"
-	"saffronquay/internal/system/routing"
-	"saffronquay/internal/system/rpc"
-	"saffronquay/internal/system/worker"
+	"saffronquay/internal/scheduler/configuration"
+	"saffronquay/internal/scheduler/forward"
+	"saffronquay/internal/scheduler/metrics"
+	"saffronquay/internal/scheduler/routing"
+	"saffronquay/internal/scheduler/rpc"
+	"saffronquay/internal/scheduler/worker"
 	"strconv"
 	"time"
 
--- a/internal/system/batch/item_test.go
+++ b/internal/scheduler/batchrunner/item_test.go
@@ -1,4 +1,4 @@
-package batch
+package batchrunner
 
 import (
 	"bufio"
@@ -8,13 +8,13 @@
 	"math/rand/v2"
 	"net"
 	"net/textproto"
-	"saffronquay/internal/system/configuration"
-	"saffronquay/internal/system/decisions"
-	"saffronquay/internal/system/forward"
-	"saffronquay/internal/system/packing"
-	"saffronquay/internal/system/routing"
-	"saffronquay/internal/system/rpc"
-	"saffronquay/internal/system/worker"
+	"saffronquay/internal/scheduler/compression"
+	"saffronquay/internal/scheduler/configuration"
+	"saffronquay/internal/scheduler/featuregate"
+	"saffronquay/internal/scheduler/forward"
+	"saffronquay/internal/scheduler/routing"
+	"saffronquay/internal/scheduler/rpc"
+	"saffronquay/internal/scheduler/worker"
 	"testing"
 	"time"
 
@@ -70,7 +70,7 @@
 		t.Fatal(err)
 	}
 	config := configuration.NewTable(document)
-	table := routing.NewTable(routing.Gatherer{Name: "g"}, decisions.All(), rand.New(rand.NewPCG(1, 1)))
+	table := routing.NewTable(routing.Gatherer{Name: "g"}, featuregate.All(), rand.New(rand.NewPCG(1, 1)))
 	for i, address := range addresses {
 		table.Put(&rpc.Instance{Id: address, Service: "s", Address: address, Capacity: 4, Models: []*rpc.ModelWeights{{Name: "m", Version: uint64(3 + i)}}})
 	}
@@ -101,7 +101,7 @@
 	healthy := standIn(t, heads, lastPart, false)
 	r.Forwarder.Table.Put(&rpc.Instance{Id: "healthy", Service: "s", Address: healthy, Capacity: 4, Models: []*rpc.ModelWeights{{Name: "m", Version: 3}}})
 	report := <-result
-	text, err := packing.Texts.Unpack(report.Result.Text)
+	text, err := compression.Texts.Unpack(report.Result.Text)
 	is.NoErr(err)
 	is.Equal(string(text), "a\nb")
 	is.Equal(report.Result.WeightVersions, []uint64{3})
--- a/internal/system/batch/patience.go
+++ b/internal/scheduler/batchrunner/patience.go
@@ -1,4 +1,4 @@
-package batch
+package batchrunner
 
 import "time"
 
--- a/internal/system/batch/runner.go
+++ b/internal/scheduler/batchrunner/runner.go
@@ -1,14 +1,14 @@
-// Package batch works on the items of batch jobs: it takes leases from the owners of the ledger's shards as far as the workers have room,
+// Package batchrunner works on the items of batch jobs: it takes leases from the owners of the ledger's shards as far as the workers have room,
 // runs each item as a request for tokens, has its text scored, and reports what became of it.
-package batch
+package batchrunner
 
 import (
 	"context"
 	"log/slog"
-	"saffronquay/internal/system/configuration"
-	"saffronquay/internal/system/forward"
-	"saffronquay/internal/system/ledgerclient"
-	"saffronquay/internal/system/rpc"
+	"saffronquay/internal/scheduler/batchclient"
+	"saffronquay/internal/scheduler/configuration"
+	"saffronquay/internal/scheduler/forward"
+	"saffronquay/internal/scheduler/rpc"
 	"sync"
 	"time"
 )
@@ -17,7 +17,7 @@
 type Runner struct {
 	Name      string
 	Forwarder *forward.Forwarder
-	Ledger    *ledgerclient.Client
+	Ledger    *batchclient.Client
 	Table     func() *configuration.Table // nil while no configuration is known
 	Patience  Patience
 	Log       *slog.Logger
--- a/internal/system/batch/score.go
+++ b/internal/scheduler/batchrunner/score.go
@@ -1,10 +1,10 @@
-package batch
+package batchrunner
 
 import (
 	"context"
-	"saffronquay/internal/system/forward"
-	"saffronquay/internal/system/packing"
-	"saffronquay/internal/system/rpc"
+	"saffronquay/internal/scheduler/compression"
+	"saffronquay/internal/scheduler/forward"
+	"saffronquay/internal/scheduler/rpc"
 	"time"
 
 	"github.com/valyala/fasthttp"
@@ -21,7 +21,7 @@
 
 // score has a whole text scored, where the item asks for that.
 func (r *Runner) score(ctx context.Context, lease *rpc.Lease, made *text) *rpc.Report {
-	result := &rpc.Result{Completed: true, Text: packing.Texts.Pack(made.data), WeightVersions: made.versions}
+	result := &rpc.Result{Completed: true, Text: compression.Texts.Pack(made.data), WeightVersions: made.versions}
 	scorer := lease.Item.Scorer
 	if scorer == nil {
 		return &rpc.Report{Result: result}
--- a/internal/system/batch/text.go
+++ b/internal/scheduler/batchrunner/text.go
@@ -1,11 +1,11 @@
-package batch
+package batchrunner
 
 import (
 	"errors"
 	"io"
-	"saffronquay/internal/system/routing"
-	"saffronquay/internal/system/rpc"
-	"saffronquay/internal/system/worker"
+	"saffronquay/internal/scheduler/routing"
+	"saffronquay/internal/scheduler/rpc"
+	"saffronquay/internal/scheduler/worker"
 	"slices"
 	"time"
 )
--- a/internal/system/packing/packing.go
+++ b/internal/scheduler/compression/packing.go
@@ -1,6 +1,6 @@
-// Package packing compresses what is kept in logs and carried between zones: texts of items, which make up most of the bytes, and
+// Package compression compresses what is kept in logs and carried between zones: texts of items, which make up most of the bytes, and
 // configurations, which go to every gatherer.
-package packing
+package compression
 
 import (
 	"bytes"
--- a/internal/system/packing/packing_test.go
+++ b/internal/scheduler/compression/packing_test.go
@@ -1,4 +1,4 @@
-package packing
+package compression
 
 import (
 	"bytes"
--- a/internal/system/consensus/core.go
+++ b/internal/scheduler/consensus/core.go
@@ -3,7 +3,7 @@
 import (
 	"errors"
 	"math/rand/v2"
-	"saffronquay/internal/system/rpc"
+	"saffronquay/internal/scheduler/rpc"
 	"slices"
 
 	"google.golang.org/protobuf/proto"
--- a/internal/system/consensus/core_test.go
+++ b/internal/scheduler/consensus/core_test.go
@@ -2,7 +2,7 @@
 
 import (
 	"math/rand/v2"
-	"saffronquay/internal/system/rpc"
+	"saffronquay/internal/scheduler/rpc"
 	"testing"
 
 	"github.com/cespare/xxhash/v2"
--- a/internal/system/consensus/losses_test.go
+++ b/internal/scheduler/consensus/losses_test.go
@@ -3,7 +3,7 @@
 import (
 	"fmt"
 	"math/rand/v2"
-	"saffronquay/internal/system/rpc"
+	"saffronquay/internal/scheduler/rpc"
 	"slices"
 	"testing"
 )
--- a/internal/system/consensus/model/faults.go
+++ b/internal/scheduler/consensus/simulation/faults.go
@@ -1,8 +1,8 @@
-package model
+package simulation
 
 import (
 	"fmt"
-	"saffronquay/internal/system/rpc"
+	"saffronquay/internal/scheduler/rpc"
 	"slices"
 	"strings"
 )
--- a/internal/system/consensus/model/hunt.go
+++ b/internal/scheduler/consensus/simulation/hunt.go
@@ -1,4 +1,4 @@
-package model
+package simulation
 
 // first is a history that shows each bug soon: the search begins there, so that it doesn't take minutes.
 var first = map[Bug]uint64{KeepIdentity: 74, FoundTwice: 74, TrustLease: 58}
--- a/internal/system/consensus/model/model.go
+++ b/internal/scheduler/consensus/simulation/model.go
@@ -1,15 +1,15 @@
-// Package model plays a replica group in virtual time under faults: lost, late and repeated messages, one-way cuts, crashes between any
+// Package simulation plays a replica group in virtual time under faults: lost, late and repeated messages, one-way cuts, crashes between any
 // two steps of the driver, lost disks, and machines that are replaced. It keeps a history of what was acknowledged and applied, and checks
 // it afterwards. With a seeded bug it shows that the checks notice.
-package model
+package simulation
 
 import (
 	"errors"
 	"fmt"
 	"math/rand/v2"
-	"saffronquay/internal/system/consensus"
-	"saffronquay/internal/system/placement"
-	"saffronquay/internal/system/rpc"
+	"saffronquay/internal/scheduler/consensus"
+	"saffronquay/internal/scheduler/placement"
+	"saffronquay/internal/scheduler/rpc"
 	"slices"
 
 	"github.com/cespare/xxhash/v2"
--- a/internal/system/consensus/model/trace_test.go
+++ b/internal/scheduler/consensus/simulation/trace_test.go
@@ -1,4 +1,4 @@
-package model
+package simulation
 
 import (
 	"fmt"
--- a/internal/system/consensus/snapshot.go
+++ b/internal/scheduler/consensus/snapshot.go
@@ -1,7 +1,7 @@
 package consensus
 
 import (
-	"saffronquay/internal/system/rpc"
+	"saffronquay/internal/scheduler/rpc"
 
 	"github.com/cespare/xxhash/v2"
 )
--- a/internal/system/steward/api.go
+++ b/internal/scheduler/controlplane/api.go
@@ -1,13 +1,13 @@
-package steward
+package controlplane
 
 import (
 	"context"
 	"encoding/json"
-	"saffronquay/internal/system/configuration"
-	"saffronquay/internal/system/directory"
-	"saffronquay/internal/system/packing"
-	"saffronquay/internal/system/replica"
-	"saffronquay/internal/system/rpc"
+	"saffronquay/internal/scheduler/compression"
+	"saffronquay/internal/scheduler/configuration"
+	"saffronquay/internal/scheduler/directory"
+	"saffronquay/internal/scheduler/replica"
+	"saffronquay/internal/scheduler/rpc"
 	"strconv"
 	"time"
 
@@ -125,7 +125,7 @@
 		fail(ctx, fasthttp.StatusNotFound, "no configuration has been taken yet")
 		return
 	}
-	text, err := packing.Documents.Unpack(result.Configuration)
+	text, err := compression.Documents.Unpack(result.Configuration)
 	if err != nil {
 		fail(ctx, fasthttp.StatusInternalServerError, err.Error())
 		return
--- a/internal/system/steward/place.go
+++ b/internal/scheduler/controlplane/place.go
@@ -1,12 +1,12 @@
-package steward
+package controlplane
 
 import (
 	"context"
-	"saffronquay/internal/system/directory"
-	"saffronquay/internal/system/placement"
-	"saffronquay/internal/system/replica"
-	"saffronquay/internal/system/rpc"
-	"saffronquay/internal/system/settings"
+	"saffronquay/internal/scheduler/directory"
+	"saffronquay/internal/scheduler/placement"
+	"saffronquay/internal/scheduler/replica"
+	"saffronquay/internal/scheduler/rpc"
+	"saffronquay/internal/scheduler/settings"
 	"time"
 )
 
--- a/internal/system/steward/retire_test.go
+++ b/internal/scheduler/controlplane/retire_test.go
@@ -1,8 +1,8 @@
-package steward
+package controlplane
 
 import (
-	"saffronquay/internal/system/placement"
-	"saffronquay/internal/system/rpc"
+	"saffronquay/internal/scheduler/placement"
+	"saffronquay/internal/scheduler/rpc"
 	"testing"
 
 	"github.com/matryer/is"
--- a/internal/system/steward/shard.go
+++ b/internal/scheduler/controlplane/shard.go
@@ -1,11 +1,11 @@
-package steward
+package controlplane
 
 import (
 	"cmp"
 	"context"
-	"saffronquay/internal/system/registry"
-	"saffronquay/internal/system/replica"
-	"saffronquay/internal/system/rpc"
+	"saffronquay/internal/scheduler/registry"
+	"saffronquay/internal/scheduler/replica"
+	"saffronquay/internal/scheduler/rpc"
 	"time"
 
 	"google.golang.org/protobuf/proto"
--- a/internal/system/steward/steward.go
+++ b/internal/scheduler/controlplane/steward.go
@@ -1,6 +1,6 @@
-// Package steward is the role that serves control: it holds the replicas of the directory and of the registry's shards, answers the
+// Package controlplane is the role that serves control: it holds the replicas of the directory and of the registry's shards, answers the
 // operator, the trainers and the workers, places replica groups, sends the workers their orders, and feeds whoever watches.
-package steward
+package controlplane
 
 import (
 	"context"
@@ -9,16 +9,16 @@
 	"net"
 	"net/http"
 	"net/netip"
-	"saffronquay/internal/system/directory"
-	"saffronquay/internal/system/feed"
-	"saffronquay/internal/system/ledger"
-	"saffronquay/internal/system/membership"
-	"saffronquay/internal/system/registry"
-	"saffronquay/internal/system/replica"
-	"saffronquay/internal/system/rpc"
-	"saffronquay/internal/system/settings"
-	"saffronquay/internal/system/transport"
-	"saffronquay/internal/system/weights"
+	"saffronquay/internal/scheduler/batchjobs"
+	"saffronquay/internal/scheduler/directory"
+	"saffronquay/internal/scheduler/feed"
+	"saffronquay/internal/scheduler/membership"
+	"saffronquay/internal/scheduler/registry"
+	"saffronquay/internal/scheduler/replica"
+	"saffronquay/internal/scheduler/rpc"
+	"saffronquay/internal/scheduler/settings"
+	"saffronquay/internal/scheduler/transport"
+	"saffronquay/internal/scheduler/weights"
 	"sync"
 	"time"
 
@@ -278,12 +278,12 @@
 // ledgerGroups names the groups that storage machines hold, shard 0 last: once it is placed, all are.
 func (st *Steward) ledgerGroups() (names []string) {
 	placements := st.directory.Placements()
-	shards := ledger.ShardsIn(func(group string) bool { return placements[group] != nil })
+	shards := batchjobs.ShardsIn(func(group string) bool { return placements[group] != nil })
 	if shards == 0 {
-		shards = ledger.ShardsFor(len(st.machines(settings.ServesStorage)))
+		shards = batchjobs.ShardsFor(len(st.machines(settings.ServesStorage)))
 	}
 	for n := shards - 1; n >= 0; n-- {
-		names = append(names, ledger.ShardName(n))
+		names = append(names, batchjobs.ShardName(n))
 	}
 	return names
 }
--- a/internal/system/steward/workers.go
+++ b/internal/scheduler/controlplane/workers.go
@@ -1,10 +1,10 @@
-package steward
+package controlplane
 
 import (
 	"context"
 	"encoding/json"
-	"saffronquay/internal/system/registry"
-	"saffronquay/internal/system/rpc"
+	"saffronquay/internal/scheduler/registry"
+	"saffronquay/internal/scheduler/rpc"
 	"strings"
 	"time"
 
--- a/internal/system/steward/workers_test.go
+++ b/internal/scheduler/controlplane/workers_test.go
@@ -1,4 +1,4 @@
-package steward
+package controlplane
 
 import (
 	"testing"
--- a/internal/system/account/account.go
+++ b/internal/scheduler/dayreport/account.go
@@ -1,6 +1,6 @@
-// Package account reads reports of played days and tells where their worth went: what was lost by requests, what was paid, and beside it the
+// Package dayreport reads reports of played days and tells where their worth went: what was lost by requests, what was paid, and beside it the
 // bound below which no decision can bring it. It is for whoever tunes the system on a new deployment.
-package account
+package dayreport
 
 import (
 	"encoding/json"
--- a/internal/system/account/account_test.go
+++ b/internal/scheduler/dayreport/account_test.go
@@ -1,4 +1,4 @@
-package account
+package dayreport
 
 import (
 	"math"
--- a/internal/system/dependencies_test.go
+++ b/internal/scheduler/dependencies_test.go
@@ -1,5 +1,5 @@
-// Package system holds tests that concern the whole of the system's program.
-package system
+// Package scheduler holds tests that concern the whole of the system's program.
+package scheduler
 
 import (
 	"os/exec"
@@ -16,7 +16,7 @@
 	for _, name := range strings.Fields(string(out)) {
 		for _, word := range []string{
 			"raft", "etcd", "memberlist", "serf", "consul", "zookeeper", "paxos", "net/http/httputil", "olric", "rqlite", "nats", "valyala/fasthttp/reuseport",
-			"saffronquay/internal/rollout", "saffronquay/internal/peers",
+			"saffronquay/internal/cluster/rollout", "saffronquay/internal/cluster/peering",
 		} {
 			if strings.Contains(name, word) {
 				t.Errorf("the system's program is made with %s", name)
--- a/internal/system/directory/directory.go
+++ b/internal/scheduler/directory/directory.go
@@ -9,11 +9,11 @@
 	"errors"
 	"io"
 	"maps"
-	"saffronquay/internal/system/configuration"
-	"saffronquay/internal/system/feed"
-	"saffronquay/internal/system/packing"
-	"saffronquay/internal/system/replica"
-	"saffronquay/internal/system/rpc"
+	"saffronquay/internal/scheduler/compression"
+	"saffronquay/internal/scheduler/configuration"
+	"saffronquay/internal/scheduler/feed"
+	"saffronquay/internal/scheduler/replica"
+	"saffronquay/internal/scheduler/rpc"
 	"sync"
 
 	"google.golang.org/protobuf/proto"
@@ -57,7 +57,7 @@
 // Replace is the command for an operator's order: a whole configuration, or a change of named items, on top of a version.
 func Replace(base, version uint64, patch bool, body []byte) *rpc.DirectoryCommand {
 	return &rpc.DirectoryCommand{Command: &rpc.DirectoryCommand_Replace{Replace: &rpc.ReplaceConfiguration{
-		Base: base, Version: version, Body: packing.Documents.Pack(body), Digest: Digest(base, patch, body), Patch: patch,
+		Base: base, Version: version, Body: compression.Documents.Pack(body), Digest: Digest(base, patch, body), Patch: patch,
 	}}}
 }
 
@@ -148,20 +148,20 @@
 
 // build returns the configuration that an order leads to, packed and read.
 func (d *Directory) build(r *rpc.ReplaceConfiguration) (packed []byte, document *configuration.Document, err error) {
-	body, err := packing.Documents.Unpack(r.Body)
+	body, err := compression.Documents.Unpack(r.Body)
 	if err != nil {
 		return nil, nil, err
 	}
 	packed = r.Body
 	if r.Patch {
-		current, err := packing.Documents.Unpack(d.configuration)
+		current, err := compression.Documents.Unpack(d.configuration)
 		if err != nil {
 			return nil, nil, err
 		}
 		if body, err = configuration.Apply(current, body); err != nil {
 			return nil, nil, err
 		}
-		packed = packing.Documents.Pack(body)
+		packed = compression.Documents.Pack(body)
 	}
 	document, err = configuration.Parse(body)
 	return packed, document, err
@@ -220,7 +220,7 @@
 	}
 	document := &configuration.Document{}
 	if len(s.Configuration) > 0 {
-		text, err := packing.Documents.Unpack(s.Configuration)
+		text, err := compression.Documents.Unpack(s.Configuration)
 		if err != nil {
 			return err
 		}
--- a/internal/system/directory/directory_test.go
+++ b/internal/scheduler/directory/directory_test.go
@@ -4,10 +4,10 @@
 	"bufio"
 	"bytes"
 	"fmt"
-	"saffronquay/internal/system/feed"
-	"saffronquay/internal/system/packing"
-	"saffronquay/internal/system/replica"
-	"saffronquay/internal/system/rpc"
+	"saffronquay/internal/scheduler/compression"
+	"saffronquay/internal/scheduler/feed"
+	"saffronquay/internal/scheduler/replica"
+	"saffronquay/internal/scheduler/rpc"
 	"testing"
 
 	"github.com/matryer/is"
@@ -55,7 +55,7 @@
 	is.Equal(b.replace(0, 3, text(3, "s")), rpc.DirectoryStatus_DIRECTORY_OK)
 	is.Equal(b.Table().Version, uint64(6))
 	read := b.apply(&rpc.DirectoryCommand{Command: &rpc.DirectoryCommand_Read{Read: &rpc.Read{}}})
-	back, err := packing.Documents.Unpack(read.Configuration)
+	back, err := compression.Documents.Unpack(read.Configuration)
 	is.NoErr(err)
 	is.Equal(string(back), string(text(6, "s")))
 }
--- a/internal/system/decisions/decisions.go
+++ b/internal/scheduler/featuregate/decisions.go
@@ -1,6 +1,6 @@
-// Package decisions names the mechanisms by which the system decides, each with a switch. Operators set them in the section `decisions` of a
+// Package featuregate names the mechanisms by which the system decides, each with a switch. Operators set them in the section `decisions` of a
 // settings file, or on the command line; all are on unless they say otherwise. Switching one off shows what it is worth.
-package decisions
+package featuregate
 
 import (
 	"fmt"
--- a/internal/system/decisions/decisions_test.go
+++ b/internal/scheduler/featuregate/decisions_test.go
@@ -1,4 +1,4 @@
-package decisions
+package featuregate
 
 import (
 	"reflect"
--- a/internal/system/feed/client.go
+++ b/internal/scheduler/feed/client.go
@@ -3,9 +3,9 @@
 import (
 	"context"
 	"log/slog"
-	"saffronquay/internal/system/metrics"
-	"saffronquay/internal/system/rpc"
-	"saffronquay/internal/system/transport"
+	"saffronquay/internal/scheduler/metrics"
+	"saffronquay/internal/scheduler/rpc"
+	"saffronquay/internal/scheduler/transport"
 	"sync/atomic"
 	"time"
 )
--- a/internal/system/feed/service.go
+++ b/internal/scheduler/feed/service.go
@@ -2,7 +2,7 @@
 
 import (
 	"context"
-	"saffronquay/internal/system/rpc"
+	"saffronquay/internal/scheduler/rpc"
 	"time"
 )
 
--- a/internal/system/feed/table.go
+++ b/internal/scheduler/feed/table.go
@@ -5,7 +5,7 @@
 
 import (
 	"maps"
-	"saffronquay/internal/system/rpc"
+	"saffronquay/internal/scheduler/rpc"
 	"slices"
 	"sync"
 )
--- a/internal/system/feed/table_test.go
+++ b/internal/scheduler/feed/table_test.go
@@ -4,7 +4,7 @@
 	"context"
 	"fmt"
 	"math/rand/v2"
-	"saffronquay/internal/system/rpc"
+	"saffronquay/internal/scheduler/rpc"
 	"testing"
 	"time"
 
--- a/internal/system/forward/counts.go
+++ b/internal/scheduler/forward/counts.go
@@ -1,8 +1,8 @@
 package forward
 
 import (
-	"saffronquay/internal/system/metrics"
-	"saffronquay/internal/system/verdict"
+	"saffronquay/internal/scheduler/metrics"
+	"saffronquay/internal/scheduler/outcome"
 	"time"
 
 	victoria "github.com/VictoriaMetrics/metrics"
@@ -15,7 +15,7 @@
 var tryCounts = map[string]*victoria.Counter{served: tryCounter(served)}
 
 func init() {
-	for _, v := range []verdict.Verdict{verdict.NotRun, verdict.MayHaveRun, verdict.Ran} {
+	for _, v := range []outcome.Verdict{outcome.NotRun, outcome.MayHaveRun, outcome.Ran} {
 		tryCounts[v.String()] = tryCounter(v.String())
 	}
 }
--- a/internal/system/forward/forward.go
+++ b/internal/scheduler/forward/forward.go
@@ -6,10 +6,10 @@
 	"context"
 	"errors"
 	"math/rand/v2"
-	"saffronquay/internal/system/configuration"
-	"saffronquay/internal/system/routing"
-	"saffronquay/internal/system/verdict"
-	"saffronquay/internal/system/worker"
+	"saffronquay/internal/scheduler/configuration"
+	"saffronquay/internal/scheduler/outcome"
+	"saffronquay/internal/scheduler/routing"
+	"saffronquay/internal/scheduler/worker"
 	"strconv"
 	"strings"
 	"time"
@@ -36,7 +36,7 @@
 	Answer  *worker.Answer
 	Status  int
 	Body    []byte
-	Verdict verdict.Verdict // where there is no answer
+	Verdict outcome.Verdict // where there is no answer
 	Err     error
 	Errors  int // answers of 500
 	Offered bool
@@ -89,7 +89,7 @@
 	}
 	cancel()
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
-		result.Err = verdict.Wrap(verdict.TimedOut, result.Verdict, ctx.Err(), "out of time")
+		result.Err = outcome.Wrap(outcome.TimedOut, result.Verdict, ctx.Err(), "out of time")
 	}
 	return result
 }
@@ -109,7 +109,7 @@
 func (f *Forwarder) newDelivery(r *Request, whole bool) *delivery {
 	return &delivery{
 		Forwarder: f, request: r, whole: whole, services: order(r.Route), tried: map[string]bool{},
-		tries: NewTries(r.Route.Repeatable(), r.Route.MaxAttempts), last: Result{Verdict: verdict.NotRun, Err: ErrNoWorker},
+		tries: NewTries(r.Route.Repeatable(), r.Route.MaxAttempts), last: Result{Verdict: outcome.NotRun, Err: ErrNoWorker},
 	}
 }
 
@@ -166,8 +166,8 @@
 // unanswered takes in a try without an answer, and tells whether another worker may be asked.
 func (d *delivery) unanswered(try *Result) (again bool) {
 	d.last.Err, d.last.Errors = try.Err, d.errors500
-	if try.Verdict != verdict.NotRun {
-		d.last.Verdict = verdict.MayHaveRun
+	if try.Verdict != outcome.NotRun {
+		d.last.Verdict = outcome.MayHaveRun
 	}
 	return d.tries.After(try.Verdict)
 }
@@ -178,11 +178,11 @@
 		return false
 	}
 	d.errors500++
-	if !d.tries.After(verdict.Ran) || ctx.Err() != nil {
+	if !d.tries.After(outcome.Ran) || ctx.Err() != nil {
 		return false
 	}
 	try.Release()
-	d.last = Result{Verdict: verdict.Ran, Err: errAnswer, Errors: d.errors500, Offered: true}
+	d.last = Result{Verdict: outcome.Ran, Err: errAnswer, Errors: d.errors500, Offered: true}
 	return true
 }
 
--- a/internal/system/forward/forward_test.go
+++ b/internal/scheduler/forward/forward_test.go
@@ -8,12 +8,12 @@
 	"math/rand/v2"
 	"net"
 	"net/textproto"
-	"saffronquay/internal/system/configuration"
-	"saffronquay/internal/system/decisions"
-	"saffronquay/internal/system/routing"
-	"saffronquay/internal/system/rpc"
-	"saffronquay/internal/system/verdict"
-	"saffronquay/internal/system/worker"
+	"saffronquay/internal/scheduler/configuration"
+	"saffronquay/internal/scheduler/featuregate"
+	"saffronquay/internal/scheduler/outcome"
+	"saffronquay/internal/scheduler/routing"
+	"saffronquay/internal/scheduler/rpc"
+	"saffronquay/internal/scheduler/worker"
 	"strings"
 	"sync"
 	"sync/atomic"
@@ -133,7 +133,7 @@
 func TestAnswersAndRuns(t *testing.T) {
 	is := is.New(t)
 	l := &ledger{runs: map[string][]string{}}
-	table := routing.NewTable(routing.Gatherer{Name: "g"}, decisions.All(), rand.New(rand.NewPCG(1, 1)))
+	table := routing.NewTable(routing.Gatherer{Name: "g"}, featuregate.All(), rand.New(rand.NewPCG(1, 1)))
 	for i := range 4 {
 		name := fmt.Sprint("worker", i)
 		table.Put(&rpc.Instance{Id: name, Service: "s", Capacity: 64, Address: spiteful(t, name, uint64(i), l)})
@@ -160,7 +160,7 @@
 					if string(result.Body) != bodyOf(id) || string(result.Answer.Header.Peek("Response-Stamp")) != "stamp-"+id {
 						t.Errorf("%s got %q", id, result.Body)
 					}
-				case result.Verdict == verdict.NotRun:
+				case result.Verdict == outcome.NotRun:
 					refused.Add(1)
 					defer func() { // also not later
 						if runs := l.of(id); len(runs) > 0 {
@@ -214,13 +214,13 @@
 			go decline(conn)
 		}
 	}()
-	table := routing.NewTable(routing.Gatherer{Name: "g"}, decisions.All(), rand.New(rand.NewPCG(1, 1)))
+	table := routing.NewTable(routing.Gatherer{Name: "g"}, featuregate.All(), rand.New(rand.NewPCG(1, 1)))
 	table.Put(&rpc.Instance{Id: "w", Service: "s", Capacity: 1, Address: listener.Addr().String()})
 	f := &Forwarder{Table: table, Pool: worker.NewPool(), Clock: func() int64 { return 1_000_000 }}
 	route := &configuration.Route{Name: "r", Service: "s", Type: configuration.Idempotent, MaxAttempts: 2, TimeoutMS: 5000, TargetLatencyMS: 20}
 	result := f.Do(context.Background(), &Request{ID: "r1", Method: "POST", URI: "/x", Host: "h", Route: route, Deadline: time.Now().Add(5 * time.Second)})
 	result.Release()
-	is.Equal(result.Verdict, verdict.NotRun)
+	is.Equal(result.Verdict, outcome.NotRun)
 	is.Equal(asked.Load(), int64(declinesMost))
 	is.Equal(connections.Load(), int64(1))
 	is.True(declined(result.Err))
--- a/internal/system/forward/tries.go
+++ b/internal/scheduler/forward/tries.go
@@ -1,6 +1,6 @@
 package forward
 
-import "saffronquay/internal/system/verdict"
+import "saffronquay/internal/scheduler/outcome"
 
 // declinesMost bounds the workers that may decline a request before it is given up.
 const declinesMost = 4
@@ -22,8 +22,8 @@
 
 // After takes in what became of a try, and tells whether another worker may be asked. What no worker has run can be sent again by anybody; what
 // may have run, after silence or a reset too, only where it may be repeated.
-func (t *Tries) After(v verdict.Verdict) (again bool) {
-	if v == verdict.NotRun {
+func (t *Tries) After(v outcome.Verdict) (again bool) {
+	if v == outcome.NotRun {
 		t.declines++
 		return t.declines < declinesMost
 	}
--- a/internal/system/forward/try.go
+++ b/internal/scheduler/forward/try.go
@@ -3,9 +3,9 @@
 import (
 	"context"
 	"errors"
-	"saffronquay/internal/system/routing"
-	"saffronquay/internal/system/verdict"
-	"saffronquay/internal/system/worker"
+	"saffronquay/internal/scheduler/outcome"
+	"saffronquay/internal/scheduler/routing"
+	"saffronquay/internal/scheduler/worker"
 	"strconv"
 	"strings"
 	"time"
@@ -82,7 +82,7 @@
 	body, err := answer.ReadAll()
 	if err != nil {
 		answer.Discard()
-		return nil, nil, verdict.Wrap(verdict.Failed, verdict.MayHaveRun, err, "read the answer of %s", w.ID)
+		return nil, nil, outcome.Wrap(outcome.Failed, outcome.MayHaveRun, err, "read the answer of %s", w.ID)
 	}
 	return answer, body, nil
 }
@@ -90,12 +90,12 @@
 // lost takes in a try that brought no answer. What the request's own end has cut off says nothing about the worker, unless the worker could
 // not be reached.
 func (d *delivery) lost(ctx context.Context, w *routing.Worker, err error) Result {
-	v := verdict.Of(err)
+	v := outcome.Of(err)
 	countTry(v.String())
 	var decline *declineError
-	refused := verdict.As(err, &decline)
+	refused := outcome.As(err, &decline)
 	switch {
-	case ctx.Err() != nil && (refused || v != verdict.NotRun):
+	case ctx.Err() != nil && (refused || v != outcome.NotRun):
 	case refused:
 		d.Table.Refused(d.Clock(), w, d.request.Model, decline.cause)
 	default:
@@ -140,7 +140,7 @@
 
 func declined(err error) bool {
 	var decline *declineError
-	return verdict.As(err, &decline)
+	return outcome.As(err, &decline)
 }
 
 // judge tells whether an answer is this request's and can be passed on.
@@ -148,20 +148,20 @@
 	switch {
 	case !answer.Belongs(d.request.ID):
 		d.Pool.Forget(w.Address)
-		return verdict.Wrap(verdict.Failed, verdict.MayHaveRun, errForeign, "worker %s", w.ID)
+		return outcome.Wrap(outcome.Failed, outcome.MayHaveRun, errForeign, "worker %s", w.ID)
 	case answer.Status == fasthttp.StatusMisdirectedRequest:
 		return decline(w, answer, routing.RefusedMisdirected)
 	case len(answer.Header.Peek("Not-Executed")) > 0:
 		return decline(w, answer, routing.RefusedNotExecuted)
 	case answer.Status < 300 && len(answer.Header.Peek("Response-Stamp")) == 0:
-		return verdict.Wrap(verdict.Failed, verdict.MayHaveRun, errForeign, "worker %s: no stamp", w.ID)
+		return outcome.Wrap(outcome.Failed, outcome.MayHaveRun, errForeign, "worker %s: no stamp", w.ID)
 	case answer.Status == fasthttp.StatusServiceUnavailable || answer.Status == fasthttp.StatusTooManyRequests || answer.Status == fasthttp.StatusRequestTimeout:
 		// These would promise the client that the request has not run, which the worker doesn't say.
-		return verdict.Wrap(verdict.Failed, verdict.MayHaveRun, nil, "worker %s answered %d", w.ID, answer.Status)
+		return outcome.Wrap(outcome.Failed, outcome.MayHaveRun, nil, "worker %s answered %d", w.ID, answer.Status)
 	}
 	return nil
 }
 
 func decline(w *routing.Worker, answer *worker.Answer, cause routing.RefusalCause) error {
-	return verdict.Wrap(verdict.Failed, verdict.NotRun, &declineError{cause}, "worker %s answered %d", w.ID, answer.Status)
+	return outcome.Wrap(outcome.Failed, outcome.NotRun, &declineError{cause}, "worker %s answered %d", w.ID, answer.Status)
 }
--- a/internal/system/membership/membership.go
+++ b/internal/scheduler/membership/membership.go
@@ -7,10 +7,10 @@
 	"fmt"
 	"log/slog"
 	"net/netip"
-	"saffronquay/internal/fleet"
-	"saffronquay/internal/fleet/gossip"
-	"saffronquay/internal/system/rpc"
-	"saffronquay/internal/system/settings"
+	"saffronquay/internal/cluster/swim"
+	"saffronquay/internal/cluster/swim/gossip"
+	"saffronquay/internal/scheduler/rpc"
+	"saffronquay/internal/scheduler/settings"
 	"strings"
 	"sync/atomic"
 	"time"
@@ -81,7 +81,7 @@
 		}
 	}
 	cfg := gossip.Config{
-		Core: fleet.Config{
+		Core: swim.Config{
 			Fleet: fleetName, Name: s.NodeName, Start: uint64(time.Now().UnixMicro()), Address: address, Zone: s.Zone,
 			Version: kind + "/" + identity, Join: join, Period: probePeriod.Microseconds(), Exchange: exchangeEach.Microseconds(),
 			Keep: keepDead.Microseconds(), Reckon: keepDead.Microseconds(),
@@ -102,13 +102,13 @@
 
 func (m *Membership) now() int64 { return time.Since(m.start).Microseconds() + 1_000_000 }
 
-func (m *Membership) watch(v fleet.View) {
+func (m *Membership) watch(v swim.View) {
 	view := &View{At: m.now()}
 	for _, x := range v.Members {
 		kind, identity, _ := strings.Cut(x.Version, "/")
 		view.Members = append(view.Members, Member{
 			Member: &rpc.Member{Name: x.Name, Kind: kind, Identity: identity, Address: m.peerOf(x.Address.String()), Zone: x.Zone},
-			Alive:  x.State == fleet.Alive || x.State == fleet.Suspected, Start: x.Start, Since: x.Since,
+			Alive:  x.State == swim.Alive || x.State == swim.Suspected, Start: x.Start, Since: x.Since,
 		})
 	}
 	m.view.Store(view)
--- a/internal/system/verdict/verdict.go
+++ b/internal/scheduler/outcome/verdict.go
@@ -1,6 +1,6 @@
-// Package verdict says, for a try of a request that did not end well, whether a worker may have run it. Whether it may be sent once
+// Package outcome says, for a try of a request that did not end well, whether a worker may have run it. Whether it may be sent once
 // more, and which status its client may get, follows from that alone.
-package verdict
+package outcome
 
 import (
 	"errors"
--- a/internal/system/verdict/verdict_test.go
+++ b/internal/scheduler/outcome/verdict_test.go
@@ -1,4 +1,4 @@
-package verdict
+package outcome
 
 import (
 	"errors"
--- a/internal/system/placement/placement.go
+++ b/internal/scheduler/placement/placement.go
@@ -4,7 +4,7 @@
 
 import (
 	"cmp"
-	"saffronquay/internal/system/rpc"
+	"saffronquay/internal/scheduler/rpc"
 	"slices"
 )
 
--- a/internal/system/placement/placement_test.go
+++ b/internal/scheduler/placement/placement_test.go
@@ -2,7 +2,7 @@
 
 import (
 	"fmt"
-	"saffronquay/internal/system/rpc"
+	"saffronquay/internal/scheduler/rpc"
 	"testing"
 
 	"github.com/matryer/is"
--- a/internal/system/proxy/handler.go
+++ b/internal/scheduler/proxy/handler.go
@@ -4,11 +4,11 @@
 	"context"
 	"errors"
 	"io"
-	"saffronquay/internal/system/configuration"
-	"saffronquay/internal/system/forward"
-	"saffronquay/internal/system/routing"
-	"saffronquay/internal/system/verdict"
-	"saffronquay/internal/system/worker"
+	"saffronquay/internal/scheduler/configuration"
+	"saffronquay/internal/scheduler/forward"
+	"saffronquay/internal/scheduler/outcome"
+	"saffronquay/internal/scheduler/routing"
+	"saffronquay/internal/scheduler/worker"
 	"strconv"
 	"strings"
 	"time"
@@ -141,9 +141,9 @@
 // giveUp gives a request whose tries are over its final answer.
 func giveUp(ctx *fasthttp.RequestCtx, result *forward.Result) {
 	switch {
-	case result.Verdict == verdict.NotRun:
+	case result.Verdict == outcome.NotRun:
 		refuse(ctx, "no worker takes the request now")
-	case verdict.IsTimeout(result.Err):
+	case outcome.IsTimeout(result.Err):
 		answer(ctx, fasthttp.StatusGatewayTimeout, "the time of the request is over")
 	default:
 		answer(ctx, fasthttp.StatusBadGateway, "no worker has answered the request whole")
--- a/internal/system/proxy/jobs.go
+++ b/internal/scheduler/proxy/jobs.go
@@ -3,11 +3,11 @@
 import (
 	"context"
 	"errors"
-	"saffronquay/internal/system/agent"
-	"saffronquay/internal/system/configuration"
-	"saffronquay/internal/system/ledger"
-	"saffronquay/internal/system/ledgerclient"
-	"saffronquay/internal/system/rpc"
+	"saffronquay/internal/scheduler/agent"
+	"saffronquay/internal/scheduler/batchclient"
+	"saffronquay/internal/scheduler/batchjobs"
+	"saffronquay/internal/scheduler/configuration"
+	"saffronquay/internal/scheduler/rpc"
 	"strconv"
 	"time"
 
@@ -30,7 +30,7 @@
 		answer(ctx, fasthttp.StatusBadRequest, "a batch job is a POST with a Request-Id")
 		return
 	}
-	job, err := ledger.ParseSubmission(ctx.PostBody())
+	job, err := batchjobs.ParseSubmission(ctx.PostBody())
 	if err != nil {
 		answer(ctx, fasthttp.StatusBadRequest, err.Error())
 		return
@@ -57,7 +57,7 @@
 	switch {
 	case err == nil:
 		ctx.SetStatusCode(fasthttp.StatusAccepted)
-	case errors.Is(err, ledgerclient.ErrUnavailable):
+	case errors.Is(err, batchclient.ErrUnavailable):
 		refuse(ctx, "batch jobs can't be kept now")
 	default:
 		answer(ctx, fasthttp.StatusGatewayTimeout, "the batch job may have been taken")
@@ -149,7 +149,7 @@
 }
 
 func writePage(ctx *fasthttp.RequestCtx, page *rpc.ReadResponse, after int) {
-	results, err := ledger.NewPage(page, after)
+	results, err := batchjobs.NewPage(page, after)
 	var text []byte
 	if err == nil {
 		text, err = easyjson.Marshal(results)
--- a/internal/system/proxy/pass_test.go
+++ b/internal/scheduler/proxy/pass_test.go
@@ -8,12 +8,12 @@
 	"math/rand/v2"
 	"net"
 	"net/textproto"
-	"saffronquay/internal/system/configuration"
-	"saffronquay/internal/system/decisions"
-	"saffronquay/internal/system/forward"
-	"saffronquay/internal/system/routing"
-	"saffronquay/internal/system/rpc"
-	"saffronquay/internal/system/worker"
+	"saffronquay/internal/scheduler/configuration"
+	"saffronquay/internal/scheduler/featuregate"
+	"saffronquay/internal/scheduler/forward"
+	"saffronquay/internal/scheduler/routing"
+	"saffronquay/internal/scheduler/rpc"
+	"saffronquay/internal/scheduler/worker"
 	"testing"
 	"time"
 
@@ -67,7 +67,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	table := routing.NewTable(routing.Gatherer{Name: "g"}, decisions.All(), rand.New(rand.NewPCG(1, 1)))
+	table := routing.NewTable(routing.Gatherer{Name: "g"}, featuregate.All(), rand.New(rand.NewPCG(1, 1)))
 	table.Put(&rpc.Instance{Id: "w", Service: "s", Address: workerAddress, Capacity: 4})
 	p := &Proxy{log: slog.New(slog.DiscardHandler), known: make(chan struct{}), forwarder: &forward.Forwarder{Table: table, Pool: worker.NewPool(), Clock: clock}}
 	p.config.Store(configuration.NewTable(document))
--- a/internal/system/proxy/proxy.go
+++ b/internal/scheduler/proxy/proxy.go
@@ -6,20 +6,20 @@
 	"context"
 	"log/slog"
 	"math/rand/v2"
-	"saffronquay/internal/system/agent"
-	"saffronquay/internal/system/batch"
-	"saffronquay/internal/system/configuration"
-	"saffronquay/internal/system/feed"
-	"saffronquay/internal/system/forward"
-	"saffronquay/internal/system/ledger"
-	"saffronquay/internal/system/ledgerclient"
-	"saffronquay/internal/system/metrics"
-	"saffronquay/internal/system/packing"
-	"saffronquay/internal/system/routing"
-	"saffronquay/internal/system/rpc"
-	"saffronquay/internal/system/settings"
-	"saffronquay/internal/system/transport"
-	"saffronquay/internal/system/worker"
+	"saffronquay/internal/scheduler/agent"
+	"saffronquay/internal/scheduler/batchclient"
+	"saffronquay/internal/scheduler/batchjobs"
+	"saffronquay/internal/scheduler/batchrunner"
+	"saffronquay/internal/scheduler/compression"
+	"saffronquay/internal/scheduler/configuration"
+	"saffronquay/internal/scheduler/feed"
+	"saffronquay/internal/scheduler/forward"
+	"saffronquay/internal/scheduler/metrics"
+	"saffronquay/internal/scheduler/routing"
+	"saffronquay/internal/scheduler/rpc"
+	"saffronquay/internal/scheduler/settings"
+	"saffronquay/internal/scheduler/transport"
+	"saffronquay/internal/scheduler/worker"
 	"strconv"
 	"sync"
 	"sync/atomic"
@@ -35,7 +35,7 @@
 	log       *slog.Logger
 	client    *transport.Client
 	forwarder *forward.Forwarder
-	ledger    *ledgerclient.Client
+	ledger    *batchclient.Client
 	config    atomic.Pointer[configuration.Table]
 	known     chan struct{} // closed once a configuration is known
 	stopping  atomic.Bool
@@ -64,7 +64,7 @@
 func Run(ctx context.Context, source *settings.Source, log *slog.Logger) error {
 	s := source.Current()
 	p := &Proxy{settings: s, log: log, client: transport.NewClient(), known: make(chan struct{}), policies: map[string]bool{}, noting: map[string]bool{}}
-	p.ledger = ledgerclient.New(p.client, s.Zone)
+	p.ledger = batchclient.New(p.client, s.Zone)
 	p.forwarder = &forward.Forwarder{Table: routing.NewTable(routing.Gatherer{Name: s.NodeName, Zone: s.Zone}, s.Decisions, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))), Pool: worker.NewPool(), Clock: clock}
 	front, err := transport.ListenTCP(s.Listen.Frontend)
 	if err != nil {
@@ -87,7 +87,7 @@
 		NoDefaultServerHeader: true, NoDefaultDate: true, NoDefaultContentType: true, CloseOnShutdown: true, DisablePreParseMultipartForm: true,
 	}
 	go server.Serve(front)
-	runner := &batch.Runner{Name: gathererName(s.NodeName), Forwarder: p.forwarder, Ledger: p.ledger, Table: p.config.Load, Patience: batch.UsualPatience, Log: log}
+	runner := &batchrunner.Runner{Name: gathererName(s.NodeName), Forwarder: p.forwarder, Ledger: p.ledger, Table: p.config.Load, Patience: batchrunner.UsualPatience, Log: log}
 	finished := make(chan struct{})
 	grace := settings.Seconds(s.Bounds.GraceS)
 	go func() {
@@ -105,7 +105,7 @@
 
 // gathererName names this life of the gatherer, so that owners of batch jobs know what an earlier one can't hold any more.
 func gathererName(node string) string {
-	return node + ledger.LifeSeparator + strconv.FormatUint(rand.Uint64(), 36)
+	return node + batchjobs.LifeSeparator + strconv.FormatUint(rand.Uint64(), 36)
 }
 
 // drain goes on serving while new connections may come and requests are open.
@@ -181,7 +181,7 @@
 	if old := p.config.Load(); old != nil && old.Version >= e.Version {
 		return
 	}
-	text, err := packing.Documents.Unpack(e.Body)
+	text, err := compression.Documents.Unpack(e.Body)
 	if err != nil {
 		p.log.Error("configuration can't be used", "version", e.Version, "error", err)
 		return
--- a/internal/system/proxy/resume_test.go
+++ b/internal/scheduler/proxy/resume_test.go
@@ -1,8 +1,8 @@
 package proxy
 
 import (
-	"saffronquay/internal/system/forward"
-	"saffronquay/internal/system/worker"
+	"saffronquay/internal/scheduler/forward"
+	"saffronquay/internal/scheduler/worker"
 	"testing"
 	"time"
 
--- a/internal/system/proxy/start_test.go
+++ b/internal/scheduler/proxy/start_test.go
@@ -1,8 +1,8 @@
 package proxy
 
 import (
-	"saffronquay/internal/system/decisions"
-	"saffronquay/internal/system/settings"
+	"saffronquay/internal/scheduler/featuregate"
+	"saffronquay/internal/scheduler/settings"
 	"testing"
 	"time"
 
@@ -11,7 +11,7 @@
 )
 
 // unconfigured asks a process that knows no configuration yet, and returns its answer and how long it took.
-func unconfigured(use decisions.Switches, deadlineMS string) (*fasthttp.Response, time.Duration) {
+func unconfigured(use featuregate.Switches, deadlineMS string) (*fasthttp.Response, time.Duration) {
 	p := &Proxy{settings: &settings.Settings{Decisions: use}, known: make(chan struct{})}
 	ctx := &fasthttp.RequestCtx{}
 	ctx.Request.SetRequestURI("http://h/x")
@@ -25,14 +25,14 @@
 // half of its time at most.
 func TestRefusedAtOnceAfterAStart(t *testing.T) {
 	is := is.New(t)
-	answer, took := unconfigured(decisions.All(), "2000")
+	answer, took := unconfigured(featuregate.All(), "2000")
 	is.Equal(answer.StatusCode(), fasthttp.StatusServiceUnavailable)
 	is.Equal(string(answer.Header.Peek("Retry-After")), "0.6")
 	is.True(took < 100*time.Millisecond)
-	answer, took = unconfigured(decisions.All(), "300")
+	answer, took = unconfigured(featuregate.All(), "300")
 	is.Equal(answer.StatusCode(), fasthttp.StatusServiceUnavailable)
 	is.True(took >= 150*time.Millisecond)
-	use := decisions.All()
+	use := featuregate.All()
 	is.NoErr(use.Without("quickRefusal"))
 	_, took = unconfigured(use, "2000")
 	is.True(took >= startWait)
--- a/internal/system/registry/desk.go
+++ b/internal/scheduler/registry/desk.go
@@ -1,7 +1,7 @@
 package registry
 
 import (
-	"saffronquay/internal/system/rpc"
+	"saffronquay/internal/scheduler/rpc"
 	"sync"
 )
 
--- a/internal/system/registry/registry.go
+++ b/internal/scheduler/registry/registry.go
@@ -8,9 +8,9 @@
 	"fmt"
 	"hash/fnv"
 	"io"
-	"saffronquay/internal/system/feed"
-	"saffronquay/internal/system/replica"
-	"saffronquay/internal/system/rpc"
+	"saffronquay/internal/scheduler/feed"
+	"saffronquay/internal/scheduler/replica"
+	"saffronquay/internal/scheduler/rpc"
 	"slices"
 	"sync"
 
--- a/internal/system/registry/registry_test.go
+++ b/internal/scheduler/registry/registry_test.go
@@ -3,9 +3,9 @@
 import (
 	"bufio"
 	"bytes"
-	"saffronquay/internal/system/feed"
-	"saffronquay/internal/system/replica"
-	"saffronquay/internal/system/rpc"
+	"saffronquay/internal/scheduler/feed"
+	"saffronquay/internal/scheduler/replica"
+	"saffronquay/internal/scheduler/rpc"
 	"testing"
 
 	"github.com/matryer/is"
--- a/internal/system/replica/apply.go
+++ b/internal/scheduler/replica/apply.go
@@ -1,8 +1,8 @@
 package replica
 
 import (
-	"saffronquay/internal/system/consensus"
-	"saffronquay/internal/system/rpc"
+	"saffronquay/internal/scheduler/consensus"
+	"saffronquay/internal/scheduler/rpc"
 )
 
 func (e *Engine) apply(g *group, r *consensus.Ready) {
--- a/internal/system/replica/engine.go
+++ b/internal/scheduler/replica/engine.go
@@ -5,8 +5,8 @@
 	"errors"
 	"log/slog"
 	"math/rand/v2"
-	"saffronquay/internal/system/consensus"
-	"saffronquay/internal/system/rpc"
+	"saffronquay/internal/scheduler/consensus"
+	"saffronquay/internal/scheduler/rpc"
 	"slices"
 	"sync/atomic"
 
--- a/internal/system/replica/host.go
+++ b/internal/scheduler/replica/host.go
@@ -2,7 +2,7 @@
 
 import (
 	"context"
-	"saffronquay/internal/system/rpc"
+	"saffronquay/internal/scheduler/rpc"
 	"sync/atomic"
 	"time"
 
--- a/internal/system/replica/host_test.go
+++ b/internal/scheduler/replica/host_test.go
@@ -7,7 +7,7 @@
 	"fmt"
 	"io"
 	"log/slog"
-	"saffronquay/internal/system/rpc"
+	"saffronquay/internal/scheduler/rpc"
 	"sync"
 	"testing"
 	"time"
--- a/internal/system/replica/identity.go
+++ b/internal/scheduler/replica/identity.go
@@ -3,7 +3,7 @@
 import (
 	"crypto/rand"
 	"encoding/hex"
-	"saffronquay/internal/system/settings"
+	"saffronquay/internal/scheduler/settings"
 	"slices"
 )
 
--- a/internal/system/replica/rewrite_test.go
+++ b/internal/scheduler/replica/rewrite_test.go
@@ -4,9 +4,9 @@
 	"errors"
 	"fmt"
 	"math/rand/v2"
-	"saffronquay/internal/store/simdisk"
-	"saffronquay/internal/system/replica"
-	"saffronquay/internal/system/rpc"
+	"saffronquay/internal/scheduler/replica"
+	"saffronquay/internal/scheduler/rpc"
+	"saffronquay/internal/storage/simdisk"
 	"testing"
 
 	"github.com/matryer/is"
--- a/internal/system/replica/service.go
+++ b/internal/scheduler/replica/service.go
@@ -2,8 +2,8 @@
 
 import (
 	"context"
-	"saffronquay/internal/system/rpc"
-	"saffronquay/internal/system/transport"
+	"saffronquay/internal/scheduler/rpc"
+	"saffronquay/internal/scheduler/transport"
 	"time"
 )
 
--- a/internal/system/replica/snapshots.go
+++ b/internal/scheduler/replica/snapshots.go
@@ -3,7 +3,7 @@
 import (
 	"bytes"
 	"cmp"
-	"saffronquay/internal/system/rpc"
+	"saffronquay/internal/scheduler/rpc"
 
 	"github.com/cespare/xxhash/v2"
 	"google.golang.org/protobuf/proto"
--- a/internal/system/replica/status.go
+++ b/internal/scheduler/replica/status.go
@@ -2,9 +2,9 @@
 
 import (
 	"fmt"
-	"saffronquay/internal/system/consensus"
-	"saffronquay/internal/system/metrics"
-	"saffronquay/internal/system/rpc"
+	"saffronquay/internal/scheduler/consensus"
+	"saffronquay/internal/scheduler/metrics"
+	"saffronquay/internal/scheduler/rpc"
 	"sync/atomic"
 )
 
--- a/internal/system/replica/store.go
+++ b/internal/scheduler/replica/store.go
@@ -5,8 +5,8 @@
 	"errors"
 	"fmt"
 	"io"
-	"saffronquay/internal/system/consensus"
-	"saffronquay/internal/system/rpc"
+	"saffronquay/internal/scheduler/consensus"
+	"saffronquay/internal/scheduler/rpc"
 	"slices"
 
 	"google.golang.org/protobuf/proto"
--- a/internal/system/replica/store_test.go
+++ b/internal/scheduler/replica/store_test.go
@@ -5,7 +5,7 @@
 	"io"
 	"os"
 	"path/filepath"
-	"saffronquay/internal/system/rpc"
+	"saffronquay/internal/scheduler/rpc"
 	"testing"
 
 	"github.com/matryer/is"
--- a/internal/system/replica/wal.go
+++ b/internal/scheduler/replica/wal.go
@@ -7,7 +7,7 @@
 	"fmt"
 	"hash/crc32"
 	"io"
-	"saffronquay/internal/system/rpc"
+	"saffronquay/internal/scheduler/rpc"
 
 	"google.golang.org/protobuf/proto"
 )
--- a/internal/system/routing/avoidance_test.go
+++ b/internal/scheduler/routing/avoidance_test.go
@@ -1,7 +1,7 @@
 package routing
 
 import (
-	"saffronquay/internal/system/decisions"
+	"saffronquay/internal/scheduler/featuregate"
 	"testing"
 
 	"github.com/matryer/is"
@@ -11,7 +11,7 @@
 // when the first came don't count, nor does one that comes much later.
 func TestRefusalsInARow(t *testing.T) {
 	is := is.New(t)
-	x := newFleet(decisions.All(), 1, 1, 1, 6)[0]
+	x := newFleet(featuregate.All(), 1, 1, 1, 6)[0]
 	w := x.byID["w00"]
 	refuse := func(now int64) int64 {
 		x.Refused(now, w, "m", RefusedNotExecuted)
@@ -29,7 +29,7 @@
 
 func TestRefusalBackoffSwitchedOff(t *testing.T) {
 	is := is.New(t)
-	use := decisions.All()
+	use := featuregate.All()
 	use.RefusalBackoff = false
 	x := newFleet(use, 1, 1, 1, 6)[0]
 	w := x.byID["w00"]
--- a/internal/system/routing/choice.go
+++ b/internal/scheduler/routing/choice.go
@@ -1,6 +1,6 @@
 package routing
 
-import "saffronquay/internal/system/decisions"
+import "saffronquay/internal/scheduler/featuregate"
 
 // Ticket is a request that is out at a worker.
 type Ticket struct {
@@ -79,12 +79,12 @@
 			list = append(list, candidate{w, avoided, t.score(w, share, cost)})
 		}
 	}
-	if t.use.Policy == decisions.TwoChoices && len(list) > 2 {
+	if t.use.Policy == featuregate.TwoChoices && len(list) > 2 {
 		first := t.random.IntN(len(list))
 		second := (first + 1 + t.random.IntN(len(list)-1)) % len(list)
 		return []candidate{list[first], list[second]}
 	}
-	if t.use.Policy == decisions.RoundRobin && len(list) > 0 {
+	if t.use.Policy == featuregate.RoundRobin && len(list) > 0 {
 		t.turn++
 		return []candidate{list[t.turn%len(list)]}
 	}
@@ -94,12 +94,12 @@
 // score is what the policy wants least of. A worker that isn't near counts as if one more such request were out at it.
 func (t *Table) score(w *Worker, s *share, cost float64) float64 {
 	switch t.use.Policy {
-	case decisions.Predicted:
+	case featuregate.Predicted:
 		if t.use.NearbyWorkers && !s.near[w.ID] {
 			return w.backlog + cost
 		}
 		return w.backlog
-	case decisions.LeastRequests, decisions.TwoChoices:
+	case featuregate.LeastRequests, featuregate.TwoChoices:
 		return float64(w.out)
 	}
 	return 0
--- a/internal/system/routing/choice_test.go
+++ b/internal/scheduler/routing/choice_test.go
@@ -1,14 +1,14 @@
 package routing
 
 import (
-	"saffronquay/internal/system/decisions"
+	"saffronquay/internal/scheduler/featuregate"
 	"testing"
 
 	"github.com/matryer/is"
 )
 
-func withPolicy(policy decisions.Policy) *Table {
-	use := decisions.All()
+func withPolicy(policy featuregate.Policy) *Table {
+	use := featuregate.All()
 	use.Policy = policy
 	x := newFleet(use, 1, 4, 1, 6)[0]
 	return x
@@ -27,19 +27,19 @@
 		}
 		return long
 	}
-	x := withPolicy(decisions.Predicted)
+	x := withPolicy(featuregate.Predicted)
 	long := load(x)
 	is.True(x.Pick(0, anywhere, 1).Worker != long)
-	x = withPolicy(decisions.LeastRequests)
+	x = withPolicy(featuregate.LeastRequests)
 	long = load(x)
 	is.Equal(x.Pick(0, anywhere, 1).Worker, long)
-	x = withPolicy(decisions.RoundRobin)
+	x = withPolicy(featuregate.RoundRobin)
 	seen := map[string]bool{}
 	for range 4 {
 		seen[x.Pick(0, anywhere, 1).Worker.ID] = true
 	}
 	is.Equal(len(seen), 4)
-	for _, policy := range []decisions.Policy{decisions.Random, decisions.TwoChoices} {
+	for _, policy := range []featuregate.Policy{featuregate.Random, featuregate.TwoChoices} {
 		x, seen = withPolicy(policy), map[string]bool{}
 		for range 100 {
 			k := x.Pick(0, anywhere, 1)
--- a/internal/system/routing/counts.go
+++ b/internal/scheduler/routing/counts.go
@@ -1,7 +1,7 @@
 package routing
 
 import (
-	"saffronquay/internal/system/metrics"
+	"saffronquay/internal/scheduler/metrics"
 
 	victoria "github.com/VictoriaMetrics/metrics"
 )
--- a/internal/system/routing/counts_test.go
+++ b/internal/scheduler/routing/counts_test.go
@@ -2,9 +2,9 @@
 
 import (
 	"math/rand/v2"
-	"saffronquay/internal/system/decisions"
-	"saffronquay/internal/system/metrics"
-	"saffronquay/internal/system/rpc"
+	"saffronquay/internal/scheduler/featuregate"
+	"saffronquay/internal/scheduler/metrics"
+	"saffronquay/internal/scheduler/rpc"
 	"strings"
 	"testing"
 
@@ -14,7 +14,7 @@
 // What a worker has declined is told as long as the worker is there.
 func TestRefusalsAreToldByWorker(t *testing.T) {
 	is := is.New(t)
-	x := NewTable(Gatherer{Name: "g"}, decisions.All(), rand.New(rand.NewPCG(1, 1)))
+	x := NewTable(Gatherer{Name: "g"}, featuregate.All(), rand.New(rand.NewPCG(1, 1)))
 	x.Put(&rpc.Instance{Id: "counted", Service: "s", Capacity: 1})
 	w := x.byID["counted"]
 	told := func() bool {
--- a/internal/system/routing/places.go
+++ b/internal/scheduler/routing/places.go
@@ -2,7 +2,7 @@
 
 import (
 	"cmp"
-	"saffronquay/internal/system/rpc"
+	"saffronquay/internal/scheduler/rpc"
 	"slices"
 
 	"github.com/cespare/xxhash/v2"
--- a/internal/system/routing/places_test.go
+++ b/internal/scheduler/routing/places_test.go
@@ -3,8 +3,8 @@
 import (
 	"fmt"
 	"math/rand/v2"
-	"saffronquay/internal/system/decisions"
-	"saffronquay/internal/system/rpc"
+	"saffronquay/internal/scheduler/featuregate"
+	"saffronquay/internal/scheduler/rpc"
 	"testing"
 
 	"github.com/matryer/is"
@@ -13,7 +13,7 @@
 // fleet is a table for each of some gatherers, all of which know the same.
 type fleet []*Table
 
-func newFleet(use decisions.Switches, gatherers, workers, zones, capacity int) fleet {
+func newFleet(use featuregate.Switches, gatherers, workers, zones, capacity int) fleet {
 	var f fleet
 	for i := range gatherers {
 		f = append(f, NewTable(Gatherer{Name: fmt.Sprintf("g%02d", i), Zone: fmt.Sprintf("z%d", i%zones)}, use, rand.New(rand.NewPCG(1, uint64(i)))))
@@ -65,7 +65,7 @@
 		for _, size := range [][4]int{{60, 48, 4, 6}, {6, 9, 3, 12}, {1, 1, 1, 1}, {3, 50, 1, 4}, {40, 2, 2, 6}} {
 			t.Run(fmt.Sprint(compact, size), func(t *testing.T) {
 				is := is.New(t)
-				use := decisions.All()
+				use := featuregate.All()
 				use.CompactPlaces = compact
 				f := newFleet(use, size[0], size[1], size[2], size[3])
 				parts := f.parts()
@@ -97,7 +97,7 @@
 func TestPlacesAreCompact(t *testing.T) {
 	is := is.New(t)
 	shared := func(compact bool) (count int) {
-		use := decisions.All()
+		use := featuregate.All()
 		use.CompactPlaces = compact
 		for _, list := range newFleet(use, 60, 48, 4, 6).parts() {
 			count += sharers(list)
@@ -110,7 +110,7 @@
 // A worker that leaves, or a gatherer, moves few of the places of the others.
 func TestChangesMoveFewPlaces(t *testing.T) {
 	is := is.New(t)
-	f := newFleet(decisions.All(), 16, 12, 1, 6)
+	f := newFleet(featuregate.All(), 16, 12, 1, 6)
 	before := f.parts()
 	moved := func() (count int) {
 		for id, list := range f.parts() {
@@ -140,7 +140,7 @@
 // A zone without gatherers is served by all of them.
 func TestZoneWithoutGatherers(t *testing.T) {
 	is := is.New(t)
-	f := newFleet(decisions.All(), 4, 2, 1, 6)
+	f := newFleet(featuregate.All(), 4, 2, 1, 6)
 	for _, t := range f {
 		t.Put(&rpc.Instance{Id: "far", Service: "s", Zone: "elsewhere", Capacity: 6, Models: []*rpc.ModelWeights{{Name: "m", Version: 1}}})
 	}
