--- a/internal/system/routing/subset_test.go
+++ b/internal/scheduler/routing/subset_test.go
@@ -2,8 +2,8 @@
 
 import (
 	"fmt"
-	"saffronquay/internal/system/decisions"
-	"saffronquay/internal/system/rpc"
+	"saffronquay/internal/scheduler/featuregate"
+	"saffronquay/internal/scheduler/rpc"
 	"testing"
 
 	"github.com/matryer/is"
@@ -23,7 +23,7 @@
 // Requests stay in their zone while it is no busier than others by more than one request.
 func TestRequestsStayNear(t *testing.T) {
 	is := is.New(t)
-	x := newFleet(decisions.All(), 8, 8, 4, 6)[0]
+	x := newFleet(featuregate.All(), 8, 8, 4, 6)[0]
 	is.Equal(spread(x, anywhere, 100)["z0"], 100)
 	var out []*Ticket
 	for range 2 {
@@ -44,18 +44,18 @@
 // Where the workers of the zone fail, decline or are asked already, others are asked at once.
 func TestRequestsLeaveTheirZone(t *testing.T) {
 	is := is.New(t)
-	x := newFleet(decisions.All(), 8, 8, 4, 6)[0]
+	x := newFleet(featuregate.All(), 8, 8, 4, 6)[0]
 	x.Failed(0, x.byID["w00"])
 	x.Refused(0, x.byID["w04"], "", RefusedNotExecuted)
 	is.Equal(spread(x, anywhere, 50)["z0"], 0)
-	y := newFleet(decisions.All(), 8, 8, 4, 6)[0]
+	y := newFleet(featuregate.All(), 8, 8, 4, 6)[0]
 	is.Equal(spread(y, &Query{Services: []string{"s"}, Without: map[string]bool{"w00": true, "w04": true}}, 50)["z0"], 0)
 }
 
 // A zone with many gatherers and few workers prefers none: its workers would be overrun.
 func TestStarvedZonePrefersNone(t *testing.T) {
 	is := is.New(t)
-	x := newFleet(decisions.All(), 1, 0, 1, 6)[0]
+	x := newFleet(featuregate.All(), 1, 0, 1, 6)[0]
 	for i := range 9 {
 		x.PutGatherer(Gatherer{Name: fmt.Sprintf("more%d", i), Zone: "z0"})
 	}
@@ -69,7 +69,7 @@
 // Without the mechanism every worker is as good as any other.
 func TestNearbyWorkersSwitchedOff(t *testing.T) {
 	is := is.New(t)
-	use := decisions.All()
+	use := featuregate.All()
 	use.NearbyWorkers = false
 	is.True(spread(newFleet(use, 8, 8, 4, 6)[0], anywhere, 400)["z0"] < 200)
 }
--- a/internal/system/routing/table.go
+++ b/internal/scheduler/routing/table.go
@@ -2,8 +2,8 @@
 
 import (
 	"math/rand/v2"
-	"saffronquay/internal/system/decisions"
-	"saffronquay/internal/system/rpc"
+	"saffronquay/internal/scheduler/featuregate"
+	"saffronquay/internal/scheduler/rpc"
 	"slices"
 	"sync"
 )
@@ -32,7 +32,7 @@
 type Table struct {
 	mu        sync.Mutex
 	own       Gatherer
-	use       decisions.Switches
+	use       featuregate.Switches
 	byID      map[string]*Worker
 	byService map[string][]*Worker
 	classes   map[string]*class
@@ -47,7 +47,7 @@
 type Gatherer struct{ Name, Zone string }
 
 // NewTable returns an empty table of a gatherer.
-func NewTable(own Gatherer, use decisions.Switches, random *rand.Rand) *Table {
+func NewTable(own Gatherer, use featuregate.Switches, random *rand.Rand) *Table {
 	return &Table{
 		own: own, use: use, byID: map[string]*Worker{}, byService: map[string][]*Worker{}, classes: map[string]*class{},
 		gatherers: gatherers{byZone: map[string][]string{}}, shares: map[string]*share{}, random: random, changed: make(chan struct{}),
--- a/internal/system/routing/table_test.go
+++ b/internal/scheduler/routing/table_test.go
@@ -2,15 +2,15 @@
 
 import (
 	"math/rand/v2"
-	"saffronquay/internal/system/decisions"
-	"saffronquay/internal/system/rpc"
+	"saffronquay/internal/scheduler/featuregate"
+	"saffronquay/internal/scheduler/rpc"
 	"testing"
 
 	"github.com/matryer/is"
 )
 
 func table(workers ...*rpc.Instance) *Table {
-	t := NewTable(Gatherer{Name: "g"}, decisions.All(), rand.New(rand.NewPCG(1, 1)))
+	t := NewTable(Gatherer{Name: "g"}, featuregate.All(), rand.New(rand.NewPCG(1, 1)))
 	for _, w := range workers {
 		t.Put(w)
 	}
--- a/internal/system/settings/settings.go
+++ b/internal/scheduler/settings/settings.go
@@ -8,7 +8,7 @@
 	"net"
 	"net/netip"
 	"os"
-	"saffronquay/internal/system/decisions"
+	"saffronquay/internal/scheduler/featuregate"
 	"strings"
 	"time"
 
@@ -27,26 +27,26 @@
 
 // Settings are what the file says.
 type Settings struct {
-	NodeName        string             `toml:"nodeName"`
-	Role            string             `toml:"role"`
-	MachineClass    string             `toml:"machineClass"`
-	Serves          []string           `toml:"serves"`
-	IP              string             `toml:"ip"`
-	Zone            string             `toml:"zone"`
-	Region          string             `toml:"region"`
-	PortRange       []int              `toml:"portRange"`
-	Seeds           []string           `toml:"seeds"`
-	Bootstrap       bool               `toml:"bootstrap"`
-	CountsForQuorum bool               `toml:"countsForQuorum"`
-	DataDir         string             `toml:"dataDir"`
-	HeartbeatMS     int64              `toml:"heartbeatMs"`
-	Contracts       []string           `toml:"contracts"`
-	Zones           map[string]string  `toml:"zones"`
-	Listen          Listen             `toml:"listen"`
-	Limits          Limits             `toml:"limits"`
-	Tolerance       Tolerance          `toml:"faultTolerance"`
-	Bounds          Bounds             `toml:"bounds"`
-	Decisions       decisions.Switches `toml:"decisions"`
+	NodeName        string               `toml:"nodeName"`
+	Role            string               `toml:"role"`
+	MachineClass    string               `toml:"machineClass"`
+	Serves          []string             `toml:"serves"`
+	IP              string               `toml:"ip"`
+	Zone            string               `toml:"zone"`
+	Region          string               `toml:"region"`
+	PortRange       []int                `toml:"portRange"`
+	Seeds           []string             `toml:"seeds"`
+	Bootstrap       bool                 `toml:"bootstrap"`
+	CountsForQuorum bool                 `toml:"countsForQuorum"`
+	DataDir         string               `toml:"dataDir"`
+	HeartbeatMS     int64                `toml:"heartbeatMs"`
+	Contracts       []string             `toml:"contracts"`
+	Zones           map[string]string    `toml:"zones"`
+	Listen          Listen               `toml:"listen"`
+	Limits          Limits               `toml:"limits"`
+	Tolerance       Tolerance            `toml:"faultTolerance"`
+	Bounds          Bounds               `toml:"bounds"`
+	Decisions       featuregate.Switches `toml:"decisions"`
 }
 
 // Listen holds the addresses for what the role serves.
@@ -104,7 +104,7 @@
 	s := &Settings{HeartbeatMS: 1000, Bounds: Bounds{
 		ContactMS: 3000, CatchUpS: 5, DrainMS: 2000, GraceS: 8, PropagationMS: 2000,
 		StatusIntervalS: 120, CancelMS: 3000, LeaseMS: 3000,
-	}, Decisions: decisions.All()}
+	}, Decisions: featuregate.All()}
 	if err := toml.Unmarshal(text, s); err != nil {
 		var at *toml.DecodeError
 		if errors.As(err, &at) {
--- a/internal/system/settings/settings_test.go
+++ b/internal/scheduler/settings/settings_test.go
@@ -1,7 +1,7 @@
 package settings
 
 import (
-	"saffronquay/internal/system/decisions"
+	"saffronquay/internal/scheduler/featuregate"
 	"strings"
 	"testing"
 
@@ -31,14 +31,14 @@
 	is.Equal(s.GossipOf("10.9.0.1:8144"), "10.9.0.1:7381")
 	is.Equal(s.GroupSize(), 3)
 	is.True(s.Bounds.Fencing)
-	is.Equal(s.Decisions, decisions.All())
+	is.Equal(s.Decisions, featuregate.All())
 }
 
 func TestDecisionsAreSwitchedOffOneByOne(t *testing.T) {
 	is := is.New(t)
 	s, err := Parse([]byte(good + "[decisions]\nnearbyWorkers = false\n"))
 	is.NoErr(err)
-	want := decisions.All()
+	want := featuregate.All()
 	want.NearbyWorkers = false
 	is.Equal(s.Decisions, want)
 }
--- a/internal/system/model/calls.go
+++ b/internal/scheduler/simulation/calls.go
@@ -1,12 +1,12 @@
-package model
+package simulation
 
 import (
 	"fmt"
-	"saffronquay/internal/system/forward"
-	"saffronquay/internal/system/rpc"
-	"saffronquay/internal/system/verdict"
+	"saffronquay/internal/scheduler/forward"
+	"saffronquay/internal/scheduler/outcome"
+	"saffronquay/internal/scheduler/rpc"
 
-	workerpool "saffronquay/internal/system/worker"
+	workerpool "saffronquay/internal/scheduler/worker"
 )
 
 // tryMS is how long a gatherer waits for an answer.
@@ -35,7 +35,7 @@
 	repeatable := g.calls%2 == 0
 	tries := forward.NewTries(repeatable, 3)
 	w.report.Calls++
-	outcome := verdict.NotRun
+	result := outcome.NotRun
 	var try func()
 	try = func() {
 		workers := g.usable()
@@ -43,24 +43,24 @@
 			return
 		}
 		to := workers[w.random.IntN(len(workers))]
-		g.send(to, id, func(r reply, v verdict.Verdict, ok bool) {
+		g.send(to, id, func(r reply, v outcome.Verdict, ok bool) {
 			if ok {
 				if r.body != answerFor(id) {
 					w.fail(WrongCaller, "call %s got %q", id, r.body)
 				}
 				return
 			}
-			if v != verdict.NotRun {
-				outcome = verdict.MayHaveRun
+			if v != outcome.NotRun {
+				result = outcome.MayHaveRun
 			}
 			again := tries.After(v)
 			if w.bug(RepeatAnyCall) {
-				again = tries.After(verdict.NotRun)
+				again = tries.After(outcome.NotRun)
 			}
 			switch {
 			case again && g.up:
 				w.after(5, try)
-			case outcome == verdict.NotRun:
+			case result == outcome.NotRun:
 				w.after(2000, func() {
 					if w.runs[id] > 0 {
 						w.fail(Twice, "call %s was refused as not run, and ran", id)
@@ -81,7 +81,7 @@
 func answerFor(id string) string { return "answer for " + id }
 
 // send sends a request over a kept connection, or a new one.
-func (g *gatherer) send(to *rpc.Instance, id string, done func(reply, verdict.Verdict, bool)) {
+func (g *gatherer) send(to *rpc.Instance, id string, done func(reply, outcome.Verdict, bool)) {
 	w := g.w
 	c := g.pool[to.Id]
 	if c == nil || !c.open || c.current != nil {
@@ -91,7 +91,7 @@
 		}
 	}
 	finished := false
-	finish := func(r reply, v verdict.Verdict, ok, keep bool) {
+	finish := func(r reply, v outcome.Verdict, ok, keep bool) {
 		if finished {
 			return
 		}
@@ -105,19 +105,19 @@
 	c.current = func(r reply) {
 		switch {
 		case r.reset:
-			finish(r, verdict.MayHaveRun, false, false)
+			finish(r, outcome.MayHaveRun, false, false)
 		case !workerpool.Belongs(r.status, r.id, id) && !w.bug(KeepConnection):
-			finish(r, verdict.MayHaveRun, false, false) // the right answer may still come on this connection
+			finish(r, outcome.MayHaveRun, false, false) // the right answer may still come on this connection
 		case r.decline:
-			finish(r, verdict.NotRun, false, true)
+			finish(r, outcome.NotRun, false, true)
 		default:
-			finish(r, verdict.Ran, true, true)
+			finish(r, outcome.Ran, true, true)
 		}
 	}
-	w.after(tryMS, func() { finish(reply{}, verdict.MayHaveRun, false, w.bug(KeepConnection)) })
+	w.after(tryMS, func() { finish(reply{}, outcome.MayHaveRun, false, w.bug(KeepConnection)) })
 	target := w.worker(to.Id)
 	if target == nil || !target.up {
-		w.after(w.latency(), func() { finish(reply{}, verdict.NotRun, false, false) })
+		w.after(w.latency(), func() { finish(reply{}, outcome.NotRun, false, false) })
 		return
 	}
 	w.after(w.latency(), func() { target.serve(c, id) })
--- a/internal/system/model/clients.go
+++ b/internal/scheduler/simulation/clients.go
@@ -1,10 +1,10 @@
-package model
+package simulation
 
 import (
 	"fmt"
-	"saffronquay/internal/system/packing"
-	"saffronquay/internal/system/registry"
-	"saffronquay/internal/system/rpc"
+	"saffronquay/internal/scheduler/compression"
+	"saffronquay/internal/scheduler/registry"
+	"saffronquay/internal/scheduler/rpc"
 )
 
 const (
@@ -158,7 +158,7 @@
 			return
 		}
 		w.report.Reads++
-		body, err := packing.Documents.Unpack(result.Configuration)
+		body, err := compression.Documents.Unpack(result.Configuration)
 		if err != nil {
 			panic(err) // what the directory holds is whole
 		}
--- a/internal/system/model/control.go
+++ b/internal/scheduler/simulation/control.go
@@ -1,21 +1,21 @@
-package model
+package simulation
 
 import (
 	"cmp"
 	"maps"
-	"saffronquay/internal/system/directory"
-	"saffronquay/internal/system/ledger"
-	"saffronquay/internal/system/placement"
-	"saffronquay/internal/system/registry"
-	"saffronquay/internal/system/replica"
-	"saffronquay/internal/system/rpc"
-	"saffronquay/internal/system/weights"
+	"saffronquay/internal/scheduler/batchjobs"
+	"saffronquay/internal/scheduler/directory"
+	"saffronquay/internal/scheduler/placement"
+	"saffronquay/internal/scheduler/registry"
+	"saffronquay/internal/scheduler/replica"
+	"saffronquay/internal/scheduler/rpc"
+	"saffronquay/internal/scheduler/weights"
 	"slices"
 	"time"
 
 	"google.golang.org/protobuf/proto"
 
-	stewardrole "saffronquay/internal/system/steward"
+	stewardrole "saffronquay/internal/scheduler/controlplane"
 )
 
 const (
@@ -73,7 +73,7 @@
 		m.placeGroup(group, current, placement.WithForgotten(m.knows(steward), current, listened), false)
 	}
 	for n := range ledgerShards {
-		group := ledger.ShardName(n)
+		group := batchjobs.ShardName(n)
 		current := placements[group].GetReplicas()
 		m.placeGroup(group, current, placement.WithForgotten(m.knows(store), current, listened), current == nil)
 	}
@@ -117,7 +117,7 @@
 func (m *machine) emptied(node string) bool {
 	placements := m.directory.Placements()
 	for n := range ledgerShards {
-		wanted := placements[ledger.ShardName(n)]
+		wanted := placements[batchjobs.ShardName(n)]
 		if wanted == nil {
 			continue
 		}
@@ -225,7 +225,7 @@
 	}
 	var placements []*rpc.Placement
 	for n := range ledgerShards {
-		if p := m.directory.Placements()[ledger.ShardName(n)]; p != nil {
+		if p := m.directory.Placements()[batchjobs.ShardName(n)]; p != nil {
 			placements = append(placements, p)
 		}
 	}
@@ -260,15 +260,15 @@
 			answer(false)
 			return
 		}
-		m.hear(shard, r, func(outcome rpc.Outcome) {
+		m.hear(shard, r, func(result rpc.Outcome) {
 			status := m.engine.Status(shard)
 			switch {
-			case outcome == rpc.Outcome_DONE:
+			case result == rpc.Outcome_DONE:
 				answer(true)
-			case outcome == rpc.Outcome_NOT_LEADER && status.LeaderAddress != "" && status.LeaderAddress != m.name:
+			case result == rpc.Outcome_NOT_LEADER && status.LeaderAddress != "" && status.LeaderAddress != m.name:
 				to := w.machine(status.LeaderAddress)
-				call(w, m.name, to, until-w.now, func(answer func(rpc.Outcome)) { to.hear(shard, r, answer) }, func(outcome rpc.Outcome, ok bool) {
-					if ok && outcome == rpc.Outcome_DONE {
+				call(w, m.name, to, until-w.now, func(answer func(rpc.Outcome)) { to.hear(shard, r, answer) }, func(result rpc.Outcome, ok bool) {
+					if ok && result == rpc.Outcome_DONE {
 						answer(true)
 						return
 					}
@@ -288,12 +288,12 @@
 		answer(rpc.Outcome_UNAVAILABLE)
 		return
 	}
-	outcome, command := m.desks[shard].Decide(m.ownership(shard), r)
-	if outcome != rpc.Outcome_DONE || command == nil || m.w.bug(LeaseIgnored) {
+	result, command := m.desks[shard].Decide(m.ownership(shard), r)
+	if result != rpc.Outcome_DONE || command == nil || m.w.bug(LeaseIgnored) {
 		if command != nil {
 			m.propose(shard, replica.Marshal(command), func(replica.Proposed) {})
 		}
-		answer(outcome)
+		answer(result)
 		return
 	}
 	m.propose(shard, replica.Marshal(command), func(p replica.Proposed) { answer(p.Outcome) })
--- a/internal/system/model/faults.go
+++ b/internal/scheduler/simulation/faults.go
@@ -1,9 +1,9 @@
-package model
+package simulation
 
 import (
 	"math/rand/v2"
-	"saffronquay/internal/store/simdisk"
-	"saffronquay/internal/system/directory"
+	"saffronquay/internal/scheduler/directory"
+	"saffronquay/internal/storage/simdisk"
 )
 
 const (
--- a/internal/system/model/gatherers.go
+++ b/internal/scheduler/simulation/gatherers.go
@@ -1,11 +1,11 @@
-package model
+package simulation
 
 import (
 	"fmt"
 	"maps"
-	"saffronquay/internal/system/feed"
-	"saffronquay/internal/system/ledger"
-	"saffronquay/internal/system/rpc"
+	"saffronquay/internal/scheduler/batchjobs"
+	"saffronquay/internal/scheduler/feed"
+	"saffronquay/internal/scheduler/rpc"
 	"slices"
 )
 
@@ -69,7 +69,7 @@
 	life := g.life
 	g.every(life, watchEach, g.watch)
 	for n := range ledgerShards {
-		g.every(life, pollEach, func() { g.poll(ledger.ShardName(n)) })
+		g.every(life, pollEach, func() { g.poll(batchjobs.ShardName(n)) })
 	}
 	g.every(life, 70, g.forwardCall)
 }
--- a/internal/system/model/histories_test.go
+++ b/internal/scheduler/simulation/histories_test.go
@@ -1,11 +1,10 @@
-package model
+package simulation
 
 import (
 	"fmt"
+	"saffronquay/internal/testing/harness"
 	"strings"
 	"testing"
-
-	"saffronquay/internal/lab"
 )
 
 // traced is all that happens in the history of a seed, what it came to and what went wrong. Names of fields are left out.
@@ -25,5 +24,5 @@
 		played[fmt.Sprint("seed-", seed)] = traced(seed, NoBug)
 		played[fmt.Sprint("mistake/seed-", seed)] = traced(seed, Bugs[(seed*3)%uint64(len(Bugs))])
 	}
-	lab.CheckHistories(t, played)
+	harness.CheckHistories(t, played)
 }
--- a/internal/system/model/history.go
+++ b/internal/scheduler/simulation/history.go
@@ -1,9 +1,9 @@
-package model
+package simulation
 
 import (
 	"fmt"
 	"math"
-	"saffronquay/internal/system/configuration"
+	"saffronquay/internal/scheduler/configuration"
 	"time"
 
 	"github.com/anishathalye/porcupine"
@@ -25,14 +25,14 @@
 type operation struct {
 	order    *configurationOrder // nil: a read
 	from, to int64
-	outcome  outcome
+	outcome  callOutcome
 	read     string
 }
 
-type outcome uint8
+type callOutcome uint8
 
 const (
-	unknown outcome = iota
+	unknown callOutcome = iota
 	taken
 	refused
 )
--- a/internal/system/model/judge.go
+++ b/internal/scheduler/simulation/judge.go
@@ -1,11 +1,11 @@
-package model
+package simulation
 
 import (
 	"maps"
-	"saffronquay/internal/system/directory"
-	"saffronquay/internal/system/ledger"
-	"saffronquay/internal/system/placement"
-	"saffronquay/internal/system/registry"
+	"saffronquay/internal/scheduler/batchjobs"
+	"saffronquay/internal/scheduler/directory"
+	"saffronquay/internal/scheduler/placement"
+	"saffronquay/internal/scheduler/registry"
 	"slices"
 )
 
@@ -18,7 +18,7 @@
 func allGroups() []string {
 	groups := stewardGroups()
 	for n := range ledgerShards {
-		groups = append(groups, ledger.ShardName(n))
+		groups = append(groups, batchjobs.ShardName(n))
 	}
 	return groups
 }
--- a/internal/system/model/ledgers.go
+++ b/internal/scheduler/simulation/ledgers.go
@@ -1,11 +1,11 @@
-package model
+package simulation
 
 import (
 	"fmt"
 	"maps"
-	"saffronquay/internal/system/ledger"
-	"saffronquay/internal/system/replica"
-	"saffronquay/internal/system/rpc"
+	"saffronquay/internal/scheduler/batchjobs"
+	"saffronquay/internal/scheduler/replica"
+	"saffronquay/internal/scheduler/rpc"
 	"slices"
 )
 
@@ -17,8 +17,8 @@
 )
 
 // ledgerChanged keeps the scheduler of a shard in step with its ledger.
-func (m *machine) ledgerChanged(shard string) func(ledger.Change) {
-	return func(c ledger.Change) {
+func (m *machine) ledgerChanged(shard string) func(batchjobs.Change) {
+	return func(c batchjobs.Change) {
 		s := m.schedule[shard]
 		if s == nil {
 			return
@@ -37,7 +37,7 @@
 }
 
 // scheduler returns the scheduler of a shard that this machine owns; nil where it doesn't.
-func (m *machine) scheduler(shard string) *ledger.Scheduler {
+func (m *machine) scheduler(shard string) *batchjobs.Scheduler {
 	status := m.engine.Status(shard)
 	if status == nil || !status.Lease(m.w.now) {
 		if status == nil || !status.Leader {
@@ -48,13 +48,13 @@
 	if s := m.schedule[shard]; s != nil && s.Epoch() == status.Epoch {
 		return s
 	}
-	m.schedule[shard] = ledger.NewScheduler(status.Epoch, m.w.now, m.wallClock(), m.ledgers[shard].Jobs())
+	m.schedule[shard] = batchjobs.NewScheduler(status.Epoch, m.w.now, m.wallClock(), m.ledgers[shard].Jobs())
 	return m.schedule[shard]
 }
 
 func (m *machine) tickLedgers() {
 	for n := range ledgerShards {
-		shard := ledger.ShardName(n)
+		shard := batchjobs.ShardName(n)
 		s := m.scheduler(shard)
 		if s == nil {
 			continue
--- a/internal/system/model/machine.go
+++ b/internal/scheduler/simulation/machine.go
@@ -1,17 +1,17 @@
-package model
+package simulation
 
 import (
 	"fmt"
 	"log/slog"
 	"math/rand/v2"
-	"saffronquay/internal/store/simdisk"
-	"saffronquay/internal/system/directory"
-	"saffronquay/internal/system/feed"
-	"saffronquay/internal/system/ledger"
-	"saffronquay/internal/system/placement"
-	"saffronquay/internal/system/registry"
-	"saffronquay/internal/system/replica"
-	"saffronquay/internal/system/rpc"
+	"saffronquay/internal/scheduler/batchjobs"
+	"saffronquay/internal/scheduler/directory"
+	"saffronquay/internal/scheduler/feed"
+	"saffronquay/internal/scheduler/placement"
+	"saffronquay/internal/scheduler/registry"
+	"saffronquay/internal/scheduler/replica"
+	"saffronquay/internal/scheduler/rpc"
+	"saffronquay/internal/storage/simdisk"
 	"slices"
 )
 
@@ -65,8 +65,8 @@
 	registry  map[string]*registry.Registry
 	desks     map[string]*registry.Desk
 	held      map[string]uint64 // by registry shard: the epoch under which it sends orders
-	ledgers   map[string]*ledger.Ledger
-	schedule  map[string]*ledger.Scheduler
+	ledgers   map[string]*batchjobs.Ledger
+	schedule  map[string]*batchjobs.Scheduler
 	tail      feed.Rotation
 	watching  bool // a watch of the feed is under way
 	holding   bool // it is being recorded as the holder of a shard
@@ -147,10 +147,10 @@
 		m.registry[name] = registry.New(name, m.feed)
 		m.desks[name] = registry.NewDesk(m.registry[name], heartbeatMS)
 	}
-	m.ledgers, m.schedule = map[string]*ledger.Ledger{}, map[string]*ledger.Scheduler{}
+	m.ledgers, m.schedule = map[string]*batchjobs.Ledger{}, map[string]*batchjobs.Scheduler{}
 	for n := range ledgerShards {
-		name := ledger.ShardName(n)
-		m.ledgers[name] = ledger.New(m.ledgerChanged(name), func() int64 { return w.now })
+		name := batchjobs.ShardName(n)
+		m.ledgers[name] = batchjobs.New(m.ledgerChanged(name), func() int64 { return w.now })
 	}
 	opened, err := replica.OpenStoreOn(m.replicaDisk(), rewriteFrom)
 	if err == nil {
--- a/internal/system/model/proof_test.go
+++ b/internal/scheduler/simulation/proof_test.go
@@ -1,4 +1,4 @@
-package model
+package simulation
 
 import (
 	"errors"
@@ -9,7 +9,7 @@
 
 	"github.com/matryer/is"
 
-	consensusmodel "saffronquay/internal/system/consensus/model"
+	consensusmodel "saffronquay/internal/scheduler/consensus/simulation"
 )
 
 // seeds is how many histories the proof plays, mostSeeds how many a seeded mistake is looked for in.
--- a/internal/system/model/seeded.go
+++ b/internal/scheduler/simulation/seeded.go
@@ -1,12 +1,12 @@
-package model
+package simulation
 
 import (
 	"bufio"
 	"fmt"
-	"saffronquay/internal/store/simdisk"
-	"saffronquay/internal/system/directory"
-	"saffronquay/internal/system/replica"
-	"saffronquay/internal/system/rpc"
+	"saffronquay/internal/scheduler/directory"
+	"saffronquay/internal/scheduler/replica"
+	"saffronquay/internal/scheduler/rpc"
+	"saffronquay/internal/storage/simdisk"
 
 	"google.golang.org/protobuf/proto"
 )
--- a/internal/system/storage/storage.go
+++ b/internal/scheduler/storage/storage.go
@@ -8,13 +8,13 @@
 	"fmt"
 	"log/slog"
 	"net/http"
-	"saffronquay/internal/system/feed"
-	"saffronquay/internal/system/ledger"
-	"saffronquay/internal/system/membership"
-	"saffronquay/internal/system/replica"
-	"saffronquay/internal/system/rpc"
-	"saffronquay/internal/system/settings"
-	"saffronquay/internal/system/transport"
+	"saffronquay/internal/scheduler/batchjobs"
+	"saffronquay/internal/scheduler/feed"
+	"saffronquay/internal/scheduler/membership"
+	"saffronquay/internal/scheduler/replica"
+	"saffronquay/internal/scheduler/rpc"
+	"saffronquay/internal/scheduler/settings"
+	"saffronquay/internal/scheduler/transport"
 	"slices"
 	"time"
 )
@@ -25,7 +25,7 @@
 	log        *slog.Logger
 	identity   replica.Identity
 	host       *replica.Host
-	service    *ledger.Service
+	service    *batchjobs.Service
 	client     *transport.Client
 	membership *membership.Membership
 }
@@ -47,7 +47,7 @@
 	if st.identity, err = replica.Identify(facts, s); err != nil {
 		return err
 	}
-	st.service = &ledger.Service{Log: log, KeepResults: settings.Seconds(s.Bounds.StatusIntervalS + keepSlackS), Demand: st.demand}
+	st.service = &batchjobs.Service{Log: log, KeepResults: settings.Seconds(s.Bounds.StatusIntervalS + keepSlackS), Demand: st.demand}
 	sender := replica.NewSender(st.client)
 	options.SnapshotBytes = cmp.Or(options.SnapshotBytes, s.Limits.DiskMB<<20/diskShare)
 	options.Gather = s.Decisions.GatheredWrites
--- a/internal/system/transport/transport.go
+++ b/internal/scheduler/transport/transport.go
@@ -9,7 +9,7 @@
 	"net"
 	"net/http"
 	"os"
-	"saffronquay/internal/system/metrics"
+	"saffronquay/internal/scheduler/metrics"
 	"syscall"
 	"time"
 
--- a/internal/system/weights/plan.go
+++ b/internal/scheduler/weights/plan.go
@@ -6,7 +6,7 @@
 	"cmp"
 	"hash/fnv"
 	"math"
-	"saffronquay/internal/system/rpc"
+	"saffronquay/internal/scheduler/rpc"
 	"slices"
 )
 
--- a/internal/system/weights/weights_test.go
+++ b/internal/scheduler/weights/weights_test.go
@@ -2,7 +2,7 @@
 
 import (
 	"fmt"
-	"saffronquay/internal/system/rpc"
+	"saffronquay/internal/scheduler/rpc"
 	"testing"
 
 	"github.com/matryer/is"
--- a/internal/system/worker/pool.go
+++ b/internal/scheduler/worker/pool.go
@@ -8,9 +8,9 @@
 	"context"
 	"io"
 	"net"
-	"saffronquay/internal/system/metrics"
-	"saffronquay/internal/system/transport"
-	"saffronquay/internal/system/verdict"
+	"saffronquay/internal/scheduler/metrics"
+	"saffronquay/internal/scheduler/outcome"
+	"saffronquay/internal/scheduler/transport"
 	"strconv"
 	"strings"
 	"sync"
@@ -79,31 +79,31 @@
 func (p *Pool) Do(ctx context.Context, call *Call) (*Answer, error) {
 	conn, err := p.connect(call)
 	if err != nil {
-		return nil, verdict.Wrap(verdict.Failed, verdict.NotRun, err, "connect to %s", call.Address)
+		return nil, outcome.Wrap(outcome.Failed, outcome.NotRun, err, "connect to %s", call.Address)
 	}
 	stop := context.AfterFunc(ctx, func() { conn.SetDeadline(time.Unix(1, 0)) })
-	fail := func(v verdict.Verdict, err error, what string) error {
+	fail := func(v outcome.Verdict, err error, what string) error {
 		stop()
 		conn.Close()
 		if ctx.Err() != nil {
-			return verdict.Wrap(verdict.TimedOut, v, ctx.Err(), "%s %s", what, call.Address)
+			return outcome.Wrap(outcome.TimedOut, v, ctx.Err(), "%s %s", what, call.Address)
 		}
-		return verdict.Wrap(verdict.Failed, v, err, "%s %s", what, call.Address)
+		return outcome.Wrap(outcome.Failed, v, err, "%s %s", what, call.Address)
 	}
 	a := &Answer{pool: p, address: call.Address, conn: conn, stop: stop}
 	if encoded := call.encode(); len(encoded) > directMost {
 		a.sendBeside(encoded)
 	} else if sent, err := conn.Write(encoded); err != nil {
-		v := verdict.MayHaveRun
+		v := outcome.MayHaveRun
 		if sent == 0 {
-			v = verdict.NotRun
+			v = outcome.NotRun
 		}
 		return nil, fail(v, err, "send to")
 	}
 	for {
 		a.Header.Reset()
 		if err := a.Header.Read(conn.reader); err != nil {
-			return nil, fail(verdict.MayHaveRun, err, "read from")
+			return nil, fail(outcome.MayHaveRun, err, "read from")
 		}
 		if a.Status = a.Header.StatusCode(); a.Status >= 200 {
 			break
--- a/internal/system/worker/worker_test.go
+++ b/internal/scheduler/worker/worker_test.go
@@ -6,7 +6,7 @@
 	"errors"
 	"io"
 	"net"
-	"saffronquay/internal/system/verdict"
+	"saffronquay/internal/scheduler/outcome"
 	"strings"
 	"testing"
 	"time"
@@ -121,14 +121,14 @@
 	dead := listener.Addr().String()
 	listener.Close()
 	_, err = NewPool().Do(context.Background(), call(dead))
-	is.Equal(verdict.Of(err), verdict.NotRun)
+	is.Equal(outcome.Of(err), outcome.NotRun)
 	_, err = NewPool().Do(context.Background(), call(serve(t, "")))
-	is.Equal(verdict.Of(err), verdict.MayHaveRun)
+	is.Equal(outcome.Of(err), outcome.MayHaveRun)
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Millisecond)
 	defer cancel()
 	_, err = NewPool().Do(ctx, call(serve(t, "HTTP/1.1 200")))
-	is.Equal(verdict.Of(err), verdict.MayHaveRun)
-	is.True(verdict.IsTimeout(err))
+	is.Equal(outcome.Of(err), outcome.MayHaveRun)
+	is.True(outcome.IsTimeout(err))
 }
 
 func TestEvents(t *testing.T) {
--- a/internal/store/cases_test.go
+++ b/internal/storage/recordlog/cases_test.go
@@ -1,11 +1,11 @@
-package store_test
+package recordlog_test
 
 import (
 	"errors"
 	"fmt"
 	"math/rand/v2"
-	"saffronquay/internal/store"
-	"saffronquay/internal/store/simdisk"
+	"saffronquay/internal/storage/recordlog"
+	"saffronquay/internal/storage/simdisk"
 	"slices"
 	"strings"
 	"sync/atomic"
@@ -28,13 +28,13 @@
 	return b
 }
 
-func (b *bench) options() store.Options {
-	return store.Options{ID: 3, Now: b.now.Load, Keep: 1000, SegmentSize: 512, Serial: true}
+func (b *bench) options() recordlog.Options {
+	return recordlog.Options{ID: 3, Now: b.now.Load, Keep: 1000, SegmentSize: 512, Serial: true}
 }
 
-func (b *bench) open() *store.Store {
+func (b *bench) open() *recordlog.Store {
 	b.t.Helper()
-	s, err := store.Open(dirs(b.disks), b.options(), false)
+	s, err := recordlog.Open(dirs(b.disks), b.options(), false)
 	if err != nil {
 		b.t.Fatal(err)
 	}
@@ -43,31 +43,31 @@
 }
 
 // put appends a record and waits for its end.
-func put(s *store.Store, key, value string, until int64) error {
+func put(s *recordlog.Store, key, value string, until int64) error {
 	done := make(chan error, 1)
-	if err := s.Append(store.Record{Kind: store.Once, Key: key, Value: []byte(value), Until: until}, func(err error) { done <- err }); err != nil {
+	if err := s.Append(recordlog.Record{Kind: recordlog.Once, Key: key, Value: []byte(value), Until: until}, func(err error) { done <- err }); err != nil {
 		return err
 	}
 	return <-done
 }
 
-func (b *bench) put(s *store.Store, key, value string, until int64) {
+func (b *bench) put(s *recordlog.Store, key, value string, until int64) {
 	b.t.Helper()
 	if err := put(s, key, value, until); err != nil {
 		b.t.Fatalf("%s: %v", key, err)
 	}
 }
 
-func (b *bench) wants(s *store.Store, key, value string) {
+func (b *bench) wants(s *recordlog.Store, key, value string) {
 	b.t.Helper()
-	r, ok, err := s.Get(store.Once, key)
+	r, ok, err := s.Get(recordlog.Once, key)
 	if err != nil || ok != (value != "") || string(r.Value) != value {
 		b.t.Errorf("%s: %q %t %v, want %q", key, r.Value, ok, err, value)
 	}
 }
 
 // crash is the machine's end and its coming back.
-func (b *bench) crash(s *store.Store, seed uint64) {
+func (b *bench) crash(s *recordlog.Store, seed uint64) {
 	b.plan.CrashAt(1)
 	s.Close()
 	b.plan = &simdisk.Plan{}
@@ -255,7 +255,7 @@
 		data[len(data)-3] ^= 1
 		d.Put(name, data)
 	}
-	if s, err := store.Open(dirs(tail), b.options(), false); err != nil || len(s.Unknown()) != 1 {
+	if s, err := recordlog.Open(dirs(tail), b.options(), false); err != nil || len(s.Unknown()) != 1 {
 		t.Errorf("the end gone: %v", err)
 	} else {
 		s.Close()
@@ -271,7 +271,7 @@
 	s = b.open()
 	found := 0
 	for i := range 5 {
-		if _, ok, _ := s.Get(store.Once, fmt.Sprint("k", i)); ok {
+		if _, ok, _ := s.Get(recordlog.Once, fmt.Sprint("k", i)); ok {
 			found++
 		}
 	}
@@ -305,7 +305,7 @@
 			}
 		}
 	}
-	if _, err := store.Open(dirs(b.disks), b.options(), false); !errors.Is(err, store.ErrNoManifest) {
+	if _, err := recordlog.Open(dirs(b.disks), b.options(), false); !errors.Is(err, recordlog.ErrNoManifest) {
 		t.Errorf("without a root: %v", err)
 	}
 }
@@ -343,27 +343,27 @@
 		for i := range 30 {
 			b.put(old, fmt.Sprint("k", i%4), "old", 0)
 		}
-		if _, err := store.Open(dirs(b.disks), b.options(), false); !errors.Is(err, store.ErrOwned) {
+		if _, err := recordlog.Open(dirs(b.disks), b.options(), false); !errors.Is(err, recordlog.ErrOwned) {
 			t.Fatalf("two owners: %v", err)
 		}
 		release := b.plan.Stall()
 		late := make(chan error, 1)
 		go func() { late <- put(old, "late", "never", 0) }()
-		opened := make(chan *store.Store, 1)
+		opened := make(chan *recordlog.Store, 1)
 		release()
-		s, err := store.Open(dirs(b.disks), b.options(), true)
+		s, err := recordlog.Open(dirs(b.disks), b.options(), true)
 		if err != nil {
 			t.Fatal(err)
 		}
 		opened <- s
 		if err := <-late; err == nil { // it was in time
 			b.wants(s, "late", "never")
-		} else if !errors.Is(err, store.ErrFenced) {
+		} else if !errors.Is(err, recordlog.ErrFenced) {
 			t.Errorf("late: %v", err)
 		}
 		b.put(s, "k1", "new", 0)
 		for i := range 3 {
-			if err := put(old, fmt.Sprint("later", i), "never", 0); !errors.Is(err, store.ErrFenced) {
+			if err := put(old, fmt.Sprint("later", i), "never", 0); !errors.Is(err, recordlog.ErrFenced) {
 				t.Errorf("later: %v", err)
 			}
 		}
@@ -387,7 +387,7 @@
 	release := b.plan.Stall()
 	var acked, busy atomic.Int64
 	for range 10_000 {
-		if err := s.Append(store.Record{Kind: store.Once, Key: "k", Value: []byte("v")}, func(error) { acked.Add(1) }); errors.Is(err, store.ErrBusy) {
+		if err := s.Append(recordlog.Record{Kind: recordlog.Once, Key: "k", Value: []byte("v")}, func(error) { acked.Add(1) }); errors.Is(err, recordlog.ErrBusy) {
 			busy.Add(1)
 		}
 	}
@@ -399,7 +399,7 @@
 	if acked.Load()+busy.Load() != 10_000 {
 		t.Errorf("%d of 10000 ended", acked.Load()+busy.Load())
 	}
-	if err := put(s, "k", "v", 0); !errors.Is(err, store.ErrClosed) {
+	if err := put(s, "k", "v", 0); !errors.Is(err, recordlog.ErrClosed) {
 		t.Error(err)
 	}
 }
@@ -407,16 +407,16 @@
 // On a real disk: two lives, a reader beside the owner, and the lock.
 func TestOnDisk(t *testing.T) {
 	dir := t.TempDir()
-	open := func(force bool) (*store.Store, error) {
-		var d [2]store.Dir
+	open := func(force bool) (*recordlog.Store, error) {
+		var d [2]recordlog.Dir
 		for i, name := range []string{"/a", "/b"} {
 			var err error
-			if d[i], err = store.Directory(dir + name); err != nil {
+			if d[i], err = recordlog.Directory(dir + name); err != nil {
 				t.Fatal(err)
 			}
 		}
 		start := time.Now()
-		return store.Open(d, store.Options{
+		return recordlog.Open(d, recordlog.Options{
 			ID: 1, Now: func() int64 { return time.Since(start).Microseconds() }, Keep: 1 << 40, CleanEvery: time.Millisecond,
 			ScrubEvery: time.Millisecond, SegmentSize: 1 << 12,
 		}, force)
@@ -430,18 +430,18 @@
 			t.Fatal(err)
 		}
 	}
-	if _, err := open(false); !errors.Is(err, store.ErrOwned) {
+	if _, err := open(false); !errors.Is(err, recordlog.ErrOwned) {
 		t.Errorf("two owners: %v", err)
 	}
-	read := [2]store.Dir{store.Existing(dir + "/a"), store.Existing(dir + "/b")}
-	if v, err := store.Read(read); err != nil || v.Check().Records < 50 {
+	read := [2]recordlog.Dir{recordlog.Existing(dir + "/a"), recordlog.Existing(dir + "/b")}
+	if v, err := recordlog.Read(read); err != nil || v.Check().Records < 50 {
 		t.Errorf("beside the owner: %v", err)
 	}
 	next, err := open(true)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := put(s, "k1", "late", 0); !errors.Is(err, store.ErrFenced) {
+	if err := put(s, "k1", "late", 0); !errors.Is(err, recordlog.ErrFenced) {
 		t.Errorf("the old owner: %v", err)
 	}
 	s.Close()
@@ -451,7 +451,7 @@
 	}
 	defer s.Close()
 	for i := range 50 {
-		if r, ok, err := s.Get(store.Once, fmt.Sprint("k", i)); !ok || err != nil || string(r.Value) != fmt.Sprint("v", 450+i) {
+		if r, ok, err := s.Get(recordlog.Once, fmt.Sprint("k", i)); !ok || err != nil || string(r.Value) != fmt.Sprint("v", 450+i) {
 			t.Errorf("k%d: %q %t %v", i, r.Value, ok, err)
 		}
 	}
--- a/internal/store/commit.go
+++ b/internal/storage/recordlog/commit.go
@@ -1,10 +1,10 @@
-package store
+package recordlog
 
 import (
 	"errors"
 	"fmt"
 	"io/fs"
-	"saffronquay/internal/store/form"
+	"saffronquay/internal/storage/recordlog/form"
 )
 
 // entry is one record on its way to the log.
--- a/internal/store/doc.go
+++ b/internal/storage/recordlog/doc.go
@@ -1,4 +1,4 @@
-// Package store owns the durable records of one gatherer: a segmented append-only log in two copies, with group commit, an index in
+// Package recordlog owns the durable records of one gatherer: a segmented append-only log in two copies, with group commit, an index in
 // memory, cleaning and recovery. docs/STORE-DESIGN.md has the file format and the ways weighed.
 //
 // What it promises. A record that was acknowledged is found again after any crash, and after the damage, loss or replacement of
@@ -10,4 +10,4 @@
 //
 // Costs: an append is O(its size) and one sync of each copy for all that wait together; Get is O(1), and one read of the disk where
 // there is such a record; opening is O(bytes of the log). Memory is 16 to 30 bytes for each key, and one segment while it is read.
-package store
+package recordlog
--- a/internal/store/frame.go
+++ b/internal/storage/recordlog/frame.go
@@ -1,10 +1,10 @@
-package store
+package recordlog
 
 import (
 	"encoding/binary"
 	"errors"
 	"fmt"
-	"saffronquay/internal/store/form"
+	"saffronquay/internal/storage/recordlog/form"
 
 	"github.com/cespare/xxhash/v2"
 	"google.golang.org/protobuf/encoding/protowire"
--- a/internal/store/log.go
+++ b/internal/storage/recordlog/log.go
@@ -1,4 +1,4 @@
-package store
+package recordlog
 
 import (
 	"errors"
@@ -7,7 +7,7 @@
 	"io"
 	"io/fs"
 	"math"
-	"saffronquay/internal/store/form"
+	"saffronquay/internal/storage/recordlog/form"
 	"slices"
 	"strings"
 	"sync"
--- a/internal/store/manifest.go
+++ b/internal/storage/recordlog/manifest.go
@@ -1,9 +1,9 @@
-package store
+package recordlog
 
 import (
 	"errors"
 	"fmt"
-	"saffronquay/internal/store/form"
+	"saffronquay/internal/storage/recordlog/form"
 	"slices"
 	"strconv"
 	"strings"
--- a/internal/store/measure_test.go
+++ b/internal/storage/recordlog/measure_test.go
@@ -1,12 +1,12 @@
-package store_test
+package recordlog_test
 
 import (
 	"bytes"
 	"fmt"
 	"os"
 	"runtime"
-	"saffronquay/internal/store"
-	"saffronquay/internal/store/form"
+	"saffronquay/internal/storage/recordlog"
+	"saffronquay/internal/storage/recordlog/form"
 	"slices"
 	"sync"
 	"testing"
@@ -22,18 +22,18 @@
 	}
 }
 
-func openOn(t *testing.T, dir string, opt store.Options) *store.Store {
+func openOn(t *testing.T, dir string, opt recordlog.Options) *recordlog.Store {
 	t.Helper()
-	var d [2]store.Dir
+	var d [2]recordlog.Dir
 	for i, name := range []string{"/a", "/b"} {
 		var err error
-		if d[i], err = store.Directory(dir + name); err != nil {
+		if d[i], err = recordlog.Directory(dir + name); err != nil {
 			t.Fatal(err)
 		}
 	}
 	start := time.Now()
 	opt.ID, opt.Now, opt.Keep = 1, func() int64 { return time.Since(start).Microseconds() }, 1<<40
-	s, err := store.Open(d, opt, false)
+	s, err := recordlog.Open(d, opt, false)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -59,13 +59,13 @@
 func TestMeasureRecovery(t *testing.T) {
 	measured(t)
 	dir := t.TempDir()
-	s := openOn(t, dir, store.Options{MaxWaiting: 64 << 20})
+	s := openOn(t, dir, recordlog.Options{MaxWaiting: 64 << 20})
 	intent := value(t, &form.Once{Intent: &form.Intent{Label: "filing-1234567", Deadline: 1 << 50, Print: 7, Parts: []*form.Part{{Shard: 1, From: 10, To: 20, Server: "ledger-3"}}}})
 	end := value(t, &form.Once{End: &form.End{Print: 7, Status: 200, Type: "application/json; charset=UTF-8", Body: bytes.Repeat([]byte("x"), 200)}})
 	began := time.Now()
 	for i := range 2_000_000 {
 		for _, v := range [][]byte{intent, end} {
-			r := store.Record{Kind: store.Once, Key: fmt.Sprintf("kestudio-lagos\x00filings\x00%08x-43dd-bc93-6894a57f9324", i), Value: v, Until: 1 << 60}
+			r := recordlog.Record{Kind: recordlog.Once, Key: fmt.Sprintf("kestudio-lagos\x00filings\x00%08x-43dd-bc93-6894a57f9324", i), Value: v, Until: 1 << 60}
 			for s.Append(r, nil) != nil {
 				runtime.Gosched()
 			}
@@ -78,7 +78,7 @@
 		before := heap()
 		runtime.GOMAXPROCS(cores)
 		began = time.Now()
-		s = openOn(t, dir, store.Options{})
+		s = openOn(t, dir, recordlog.Options{})
 		took := time.Since(began)
 		_, keys := s.Size()
 		t.Logf("opened on %d cores in %s: %d keys, %d MB of heap", cores, took.Round(time.Millisecond), keys, (heap()-before)>>20)
@@ -95,7 +95,7 @@
 		callers int
 		clean   time.Duration
 	}{{"one caller", 512, 1, 0}, {"group commit", 512, 64, 0}, {"no group commit", 1, 64, 0}, {"group commit, cleaning", 512, 64, 10 * time.Millisecond}} {
-		s := openOn(t, t.TempDir(), store.Options{MaxBatch: c.batch, SegmentSize: 1 << 20, CleanEvery: c.clean})
+		s := openOn(t, t.TempDir(), recordlog.Options{MaxBatch: c.batch, SegmentSize: 1 << 20, CleanEvery: c.clean})
 		var mu sync.Mutex
 		var all []time.Duration
 		var wg sync.WaitGroup
--- a/internal/store/proof_test.go
+++ b/internal/storage/recordlog/proof_test.go
@@ -1,4 +1,4 @@
-package store_test
+package recordlog_test
 
 import (
 	"fmt"
@@ -6,10 +6,10 @@
 	"math/rand/v2"
 	"os"
 	"runtime"
-	"saffronquay/internal/broker"
-	"saffronquay/internal/once"
-	"saffronquay/internal/store"
-	"saffronquay/internal/store/simdisk"
+	"saffronquay/internal/broker/core"
+	"saffronquay/internal/broker/idempotency"
+	"saffronquay/internal/storage/recordlog"
+	"saffronquay/internal/storage/simdisk"
 	"sync"
 	"sync/atomic"
 	"testing"
@@ -47,23 +47,25 @@
 
 const keep = 1_000_000_000
 
-func dirs(d [2]*simdisk.Disk) [2]store.Dir { return [2]store.Dir{d[0], d[1]} }
+func dirs(d [2]*simdisk.Disk) [2]recordlog.Dir { return [2]recordlog.Dir{d[0], d[1]} }
 
-func (w *world) options() store.Options {
-	return store.Options{ID: 99, Now: func() int64 { return atomic.LoadInt64(&w.now) }, Keep: keep, SegmentSize: 1 << 10, Serial: true}
+func (w *world) options() recordlog.Options {
+	return recordlog.Options{ID: 99, Now: func() int64 { return atomic.LoadInt64(&w.now) }, Keep: keep, SegmentSize: 1 << 10, Serial: true}
 }
 
-func (w *world) open() (*store.Store, error) { return store.Open(dirs(w.disks), w.options(), false) }
+func (w *world) open() (*recordlog.Store, error) {
+	return recordlog.Open(dirs(w.disks), w.options(), false)
+}
 
 // write appends some records together and waits for the ends.
-func (w *world) write(s *store.Store, n int) {
+func (w *world) write(s *recordlog.Store, n int) {
 	var wg sync.WaitGroup
 	var mu sync.Mutex
 	for range n {
 		key, value := fmt.Sprintf("key-%d", w.rng.IntN(w.keys)), fmt.Sprintf("value-%d-%x", w.steps, w.rng.Uint64())
 		w.steps++
 		step := w.steps
-		r := store.Record{Kind: store.Cursor, Key: key, Value: []byte(value), Until: 0}
+		r := recordlog.Record{Kind: recordlog.Cursor, Key: key, Value: []byte(value), Until: 0}
 		if w.rng.IntN(6) == 0 {
 			r.Gone, r.Value, value = true, nil, ""
 		}
@@ -92,20 +94,20 @@
 }
 
 // file has a client file something, or retry what it filed.
-func (w *world) file(l *once.Ledger, client int, ends bool) {
+func (w *world) file(l *idempotency.Ledger, client int, ends bool) {
 	key := fmt.Sprintf("client-%d", client)
 	e, v := l.Begin(key, "label", uint64(client))
 	switch {
-	case v.Standing == once.Over && string(v.Answer.Body) != w.worded[key]:
+	case v.Standing == idempotency.Over && string(v.Answer.Body) != w.worded[key]:
 		w.sum.invented.Add(1)
-	case v.Standing != once.Over && v.Standing != once.Unknown && v.Standing != once.Failing && w.told[key] != "":
+	case v.Standing != idempotency.Over && v.Standing != idempotency.Unknown && v.Standing != idempotency.Failing && w.told[key] != "":
 		w.sum.lost.Add(1)
 	}
 	if e == nil {
 		return
 	}
 	done := make(chan error, 1)
-	err := e.Intend([]broker.Intended{{Shard: client, Server: "s"}}, 1, func(err error) { done <- err })
+	err := e.Intend([]core.Intended{{Shard: client, Server: "s"}}, 1, func(err error) { done <- err })
 	if err == nil {
 		err = <-done
 	}
@@ -121,7 +123,7 @@
 		return
 	}
 	w.worded[key] = fmt.Sprintf("answer-%s-%d", key, w.steps)
-	e.End(once.Answer{Status: 200, Body: []byte(w.worded[key])}, func(err error) { done <- err })
+	e.End(idempotency.Answer{Status: 200, Body: []byte(w.worded[key])}, func(err error) { done <- err })
 	if err := <-done; err == nil {
 		w.told[key] = w.worded[key]
 	}
@@ -134,7 +136,7 @@
 		if err != nil {
 			return
 		}
-		l := once.New(s, once.Config{Keep: keep, MaxBody: 1 << 10})
+		l := idempotency.New(s, idempotency.Config{Keep: keep, MaxBody: 1 << 10})
 		for range 3 {
 			atomic.AddInt64(&w.now, 1000)
 			w.write(s, 1+w.rng.IntN(4))
@@ -152,7 +154,7 @@
 
 // judge opens what is on some disks and holds it against what was acknowledged. unknown says that lost spans may be told of.
 func (w *world) judge(disks [2]*simdisk.Disk, unknown bool) (again [2]*simdisk.Disk, ok bool) {
-	s, err := store.Open(dirs(disks), w.options(), false)
+	s, err := recordlog.Open(dirs(disks), w.options(), false)
 	if err != nil {
 		w.sum.lost.Add(1)
 		return disks, false
@@ -164,7 +166,7 @@
 		fault(&w.sum.lost)
 	}
 	for key, want := range w.acked {
-		r, there, err := s.Get(store.Cursor, key)
+		r, there, err := s.Get(recordlog.Cursor, key)
 		got := ""
 		if there {
 			got = string(r.Value)
@@ -179,21 +181,21 @@
 			fault(&w.sum.invented)
 		}
 	}
-	s.Each(store.Cursor, func(r store.Record) {
+	s.Each(recordlog.Cursor, func(r recordlog.Record) {
 		if w.ever[r.Key][string(r.Value)] == 0 {
 			fault(&w.sum.invented)
 		}
 	})
-	l := once.New(s, once.Config{Keep: keep, MaxBody: 1 << 10})
+	l := idempotency.New(s, idempotency.Config{Keep: keep, MaxBody: 1 << 10})
 	for client := range 10 {
 		key := fmt.Sprintf("client-%d", client)
 		e, v := l.Begin(key, "label", uint64(client))
 		switch {
-		case v.Standing == once.Fresh && w.sent[key] > 0:
+		case v.Standing == idempotency.Fresh && w.sent[key] > 0:
 			fault(&w.sum.resent)
-		case v.Standing == once.Over && string(v.Answer.Body) != w.worded[key]:
+		case v.Standing == idempotency.Over && string(v.Answer.Body) != w.worded[key]:
 			fault(&w.sum.invented)
-		case v.Standing != once.Over && v.Standing != once.Unknown && w.told[key] != "":
+		case v.Standing != idempotency.Over && v.Standing != idempotency.Unknown && w.told[key] != "":
 			fault(&w.sum.lost)
 		}
 		if e != nil {
--- a/internal/store/raced_test.go
+++ b/internal/storage/recordlog/raced_test.go
@@ -1,4 +1,4 @@
-package store_test
+package recordlog_test
 
 import (
 	"runtime/debug"
--- a/internal/store/store.go
+++ b/internal/storage/recordlog/store.go
@@ -1,10 +1,10 @@
-package store
+package recordlog
 
 import (
 	"errors"
 	"fmt"
 	"log/slog"
-	"saffronquay/internal/events"
+	"saffronquay/internal/broker/logging"
 	"slices"
 	"sync"
 	"sync/atomic"
@@ -130,10 +130,10 @@
 		cleaned: make(chan struct{}),
 	}
 	for _, file := range j.damage {
-		events.Warn(opt.Log, events.StoreDamaged, "file", file)
+		logging.Warn(opt.Log, logging.StoreDamaged, "file", file)
 	}
 	for _, u := range j.man.unknown {
-		events.Error(opt.Log, events.StoreUnknown, "after", u.After, "before", u.Before, "from", u.From, "to", u.To)
+		logging.Error(opt.Log, logging.StoreUnknown, "after", u.After, "before", u.Before, "from", u.From, "to", u.To)
 	}
 	go s.run()
 	go s.tend()
@@ -214,10 +214,10 @@
 	}
 	if was := s.health.Load(); err == nil && was != nil {
 		s.health.Store(nil)
-		events.Info(s.j.opt.Log, events.StoreWritesAgain)
+		logging.Info(s.j.opt.Log, logging.StoreWritesAgain)
 	} else if err != nil {
 		if s.health.Store(&err); was == nil {
-			events.Error(s.j.opt.Log, events.StoreFails, "error", err)
+			logging.Error(s.j.opt.Log, logging.StoreFails, "error", err)
 		}
 	}
 	for _, e := range batch {
--- a/internal/store/table_test.go
+++ b/internal/storage/recordlog/table_test.go
@@ -1,11 +1,11 @@
-package store
+package recordlog
 
 import (
 	"math/rand/v2"
 	"testing"
 
 	"pgregory.net/rapid"
-	_ "saffronquay/internal/lab/steady"
+	_ "saffronquay/internal/testing/harness/steady"
 )
 
 // The table holds what a map holds, also where many hashes share a home.
--- a/internal/store/tend.go
+++ b/internal/storage/recordlog/tend.go
@@ -1,8 +1,8 @@
-package store
+package recordlog
 
 import (
 	"errors"
-	"saffronquay/internal/events"
+	"saffronquay/internal/broker/logging"
 	"slices"
 	"time"
 )
@@ -24,7 +24,7 @@
 		select {
 		case <-tick.C:
 			if err := s.Clean(); err != nil && !errors.Is(err, ErrClosed) {
-				events.Warn(s.j.opt.Log, events.StoreClean, "error", err)
+				logging.Warn(s.j.opt.Log, logging.StoreClean, "error", err)
 			}
 			if every := s.j.opt.ScrubEvery; every > 0 && time.Since(scrubbed) >= every {
 				scrubbed = time.Now()
@@ -63,7 +63,7 @@
 		res := scan(s.j.dirs, s.j.man.store, &frozen, header{}, true, &bufs, nowhere{})
 		for i, bad := range res.damaged {
 			if bad > 0 {
-				events.Warn(s.j.opt.Log, events.StoreDamaged, "file", s.j.dirs[i].String()+"/"+seg.name(), "bytes", bad)
+				logging.Warn(s.j.opt.Log, logging.StoreDamaged, "file", s.j.dirs[i].String()+"/"+seg.name(), "bytes", bad)
 				s.j.mu.Lock()
 				seg.damaged = true
 				s.j.mu.Unlock()
--- a/internal/store/view.go
+++ b/internal/storage/recordlog/view.go
@@ -1,4 +1,4 @@
-package store
+package recordlog
 
 import (
 	"fmt"
--- a/internal/store/simdisk/random.go
+++ b/internal/storage/simdisk/random.go
@@ -2,7 +2,7 @@
 
 import (
 	"io"
-	"saffronquay/internal/system/replica"
+	"saffronquay/internal/scheduler/replica"
 	"syscall"
 )
 
--- a/internal/store/simdisk/simdisk.go
+++ b/internal/storage/simdisk/simdisk.go
@@ -10,7 +10,7 @@
 	"io/fs"
 	"maps"
 	"math/rand/v2"
-	"saffronquay/internal/store"
+	"saffronquay/internal/storage/recordlog"
 	"slices"
 	"sync"
 	"syscall"
@@ -138,7 +138,7 @@
 }
 
 // Create makes a file.
-func (d *Disk) Create(name string) (store.File, error) {
+func (d *Disk) Create(name string) (recordlog.File, error) {
 	n := &inode{}
 	err := d.do(func() error {
 		if d.names[name] != nil {
@@ -205,7 +205,7 @@
 		case d.names[name] == nil:
 			return fs.ErrNotExist
 		case d.locks[name]:
-			return store.ErrOwned
+			return recordlog.ErrOwned
 		}
 		d.locks[name] = true
 		return nil
--- a/internal/loopback/opensearch_test.go
+++ b/internal/testing/endtoend/opensearch_test.go
@@ -1,4 +1,4 @@
-package loopback
+package endtoend
 
 import (
 	"bufio"
@@ -6,7 +6,7 @@
 	"fmt"
 	"net"
 	"net/url"
-	"saffronquay/internal/http1"
+	"saffronquay/internal/broker/http1"
 	"slices"
 	"strconv"
 	"strings"
--- a/internal/loopback/outage_test.go
+++ b/internal/testing/endtoend/outage_test.go
@@ -1,4 +1,4 @@
-package loopback
+package endtoend
 
 import (
 	"bufio"
--- a/internal/loopback/platform_test.go
+++ b/internal/testing/endtoend/platform_test.go
@@ -1,4 +1,4 @@
-package loopback
+package endtoend
 
 import (
 	"bufio"
@@ -7,7 +7,7 @@
 	"fmt"
 	"io"
 	"net"
-	"saffronquay/internal/http1"
+	"saffronquay/internal/broker/http1"
 	"slices"
 	"strconv"
 	"strings"
--- a/internal/loopback/scenario_test.go
+++ b/internal/testing/endtoend/scenario_test.go
@@ -1,4 +1,4 @@
-// Package loopback tests the program as it is started, over loopback sockets, in both dialects. A scenario is
+// Package endtoend tests the program as it is started, over loopback sockets, in both dialects. A scenario is
 // a text of one step a line; the same text runs in each dialect and has to come out the same.
 //
 //	only DIALECT                      the scenario is not for the other one
@@ -36,7 +36,7 @@
 //	expect shard S received N         how many calls for a shard servers have seen in all
 //	expect figure NAME N              what the program counts, once it has
 //	expect ready|leaving|exit [old]   the program's health, or its orderly end
-package loopback
+package endtoend
 
 import (
 	"bufio"
@@ -48,8 +48,8 @@
 	"os/exec"
 	"path/filepath"
 	"regexp"
-	"saffronquay/internal/handover"
-	"saffronquay/internal/http1"
+	"saffronquay/internal/broker/handover"
+	"saffronquay/internal/broker/http1"
 	"strconv"
 	"strings"
 	"sync"
--- a/internal/standin/binary.go
+++ b/internal/testing/fakebackend/binary.go
@@ -1,10 +1,10 @@
-package standin
+package fakebackend
 
 import (
 	"encoding/base64"
 	"encoding/json"
-	"saffronquay/internal/layout"
-	"saffronquay/internal/merge/partial"
+	"saffronquay/internal/broker/layout"
+	"saffronquay/internal/broker/merge/partial"
 
 	"github.com/valyala/fastjson"
 	"google.golang.org/protobuf/proto"
--- a/internal/standin/cluster.go
+++ b/internal/testing/fakebackend/cluster.go
@@ -1,9 +1,9 @@
-package standin
+package fakebackend
 
 import (
 	"cmp"
 	"math/rand/v2"
-	"saffronquay/internal/layout"
+	"saffronquay/internal/broker/layout"
 	"slices"
 	"sync"
 
--- a/internal/standin/directory.go
+++ b/internal/testing/fakebackend/directory.go
@@ -1,4 +1,4 @@
-package standin
+package fakebackend
 
 import (
 	"cmp"
@@ -8,7 +8,7 @@
 	"log"
 	"net"
 	"net/http"
-	"saffronquay/internal/layout"
+	"saffronquay/internal/broker/layout"
 	"strconv"
 	"sync"
 	"time"
--- a/internal/standin/ledger_test.go
+++ b/internal/testing/fakebackend/ledger_test.go
@@ -1,7 +1,7 @@
-package standin
+package fakebackend
 
 import (
-	"saffronquay/internal/layout"
+	"saffronquay/internal/broker/layout"
 	"testing"
 )
 
--- a/internal/standin/query.go
+++ b/internal/testing/fakebackend/query.go
@@ -1,4 +1,4 @@
-package standin
+package fakebackend
 
 import (
 	"cmp"
--- a/internal/standin/server.go
+++ b/internal/testing/fakebackend/server.go
@@ -1,4 +1,4 @@
-package standin
+package fakebackend
 
 import (
 	"cmp"
@@ -9,7 +9,7 @@
 	"maps"
 	"net"
 	"net/http"
-	"saffronquay/internal/layout"
+	"saffronquay/internal/broker/layout"
 	"slices"
 	"strconv"
 	"strings"
--- a/internal/lab/group.go
+++ b/internal/testing/harness/group.go
@@ -1,4 +1,4 @@
-package lab
+package harness
 
 import (
 	"encoding/json"
@@ -10,7 +10,7 @@
 	"path/filepath"
 	"regexp"
 	"saffronquay/deploy"
-	"saffronquay/internal/faults"
+	"saffronquay/internal/testing/faults"
 	"slices"
 	"strings"
 	"sync"
--- a/internal/lab/net.go
+++ b/internal/testing/harness/net.go
@@ -1,4 +1,4 @@
-package lab
+package harness
 
 import (
 	"errors"
@@ -6,7 +6,7 @@
 	"math/rand/v2"
 	"net"
 	"net/netip"
-	"saffronquay/internal/faults"
+	"saffronquay/internal/testing/faults"
 	"sync"
 	"time"
 )
--- a/internal/lab/runner.go
+++ b/internal/testing/harness/runner.go
@@ -1,4 +1,4 @@
-package lab
+package harness
 
 import (
 	"fmt"
--- a/internal/lab/t.go
+++ b/internal/testing/harness/t.go
@@ -1,4 +1,4 @@
-package lab
+package harness
 
 // T is what the harness wants of a test, or of whoever runs it else.
 type T interface {
--- a/internal/campaign/campaign.go
+++ b/internal/testing/soak/campaign.go
@@ -1,4 +1,4 @@
-package campaign
+package soak
 
 import (
 	"encoding/json"
@@ -6,13 +6,13 @@
 	"fmt"
 	"math/rand/v2"
 	"os"
-	"saffronquay/internal/config"
-	"saffronquay/internal/faults"
-	"saffronquay/internal/lab"
-	"saffronquay/internal/layout"
-	"saffronquay/internal/peers"
-	"saffronquay/internal/rollout/wire"
-	"saffronquay/internal/standin"
+	"saffronquay/internal/broker/config"
+	"saffronquay/internal/broker/layout"
+	"saffronquay/internal/cluster/peering"
+	"saffronquay/internal/cluster/rollout/wire"
+	"saffronquay/internal/testing/fakebackend"
+	"saffronquay/internal/testing/faults"
+	"saffronquay/internal/testing/harness"
 	"strconv"
 	"strings"
 	"sync"
@@ -73,13 +73,13 @@
 	if err := os.MkdirAll(cfg.Dir, 0o755); err != nil {
 		return res, err
 	}
-	r, err := lab.NewRunner(cfg.Dir, cfg.Say)
+	r, err := harness.NewRunner(cfg.Dir, cfg.Say)
 	if err != nil {
 		return res, err
 	}
 	defer r.Close()
 	defer func() {
-		if never := lab.Never(recover()); never != "" { // a state that never came
+		if never := harness.Never(recover()); never != "" { // a state that never came
 			res.Unended++
 			res.Broken = append(res.Broken, never)
 		}
@@ -96,9 +96,9 @@
 type day struct {
 	cfg     Config
 	res     *Result
-	r       *lab.Runner
-	g       *lab.Group
-	cluster *standin.Cluster
+	r       *harness.Runner
+	g       *harness.Group
+	cluster *fakebackend.Cluster
 	calm    chan struct{} // closed once the faults are over
 	over    chan struct{} // closed once the load is
 	mu      sync.Mutex
@@ -113,9 +113,9 @@
 	for i := range 2 {
 		doc.Ranges = append(doc.Ranges, layout.Range{Shard: i, Span: layout.Span{From: int64(i) * 2000, To: int64(i+1) * 2000}, Holders: ids})
 	}
-	rows := []standin.Row{{Key: 1, ID: "one"}, {Key: 3000, ID: "two"}}
+	rows := []fakebackend.Row{{Key: 1, ID: "one"}, {Key: 3000, ID: "two"}}
 	var err error
-	d.cluster, err = standin.NewCluster(ids, nil, standin.ServerConfig{Field: "taxpayer", Once: map[string]bool{"filings": true}, Cores: 8, Queue: 1000, Work: 20 * time.Millisecond}, doc, rows)
+	d.cluster, err = fakebackend.NewCluster(ids, nil, fakebackend.ServerConfig{Field: "taxpayer", Once: map[string]bool{"filings": true}, Cores: 8, Queue: 1000, Work: 20 * time.Millisecond}, doc, rows)
 	if err != nil {
 		return err
 	}
@@ -127,7 +127,7 @@
 	for _, name := range teams {
 		tenants, contracts = append(tenants, map[string]any{"name": name, "quota_per_s": 100}), append(contracts, map[string]any{"name": name, "weight": 1, "wait_ms": 1000})
 	}
-	d.g = lab.NewGroup(d.r, d.cfg.Seed, d.cfg.Processes, func(i int, file, fleet map[string]any) {
+	d.g = harness.NewGroup(d.r, d.cfg.Seed, d.cfg.Processes, func(i int, file, fleet map[string]any) {
 		fleet["contracts"] = false
 		file["servers"], file["layout"], file["tenants"] = servers, map[string]any{"whole": doc}, tenants
 		file["contracts"] = map[string]any{"cores": cores, "gatherers": d.cfg.Processes, "over": over, "teams": contracts}
@@ -288,7 +288,7 @@
 			i++
 			continue
 		}
-		a, err := peers.AskPolicy(at, x, time.Second)
+		a, err := peering.AskPolicy(at, x, time.Second)
 		switch {
 		case err != nil || a.End == 3:
 			i++
--- a/internal/campaign/campaign_test.go
+++ b/internal/testing/soak/campaign_test.go
@@ -1,22 +1,22 @@
-package campaign
+package soak
 
 import (
 	"os"
 	"os/exec"
 	"path/filepath"
-	"saffronquay/internal/faults"
-	"saffronquay/internal/lab"
+	"saffronquay/internal/testing/faults"
+	"saffronquay/internal/testing/harness"
 	"slices"
 	"strings"
 	"testing"
 	"time"
 )
 
-func TestMain(m *testing.M) { lab.Main(m) }
+func TestMain(m *testing.M) { harness.Main(m) }
 
 // A short campaign breaks nothing, and leaves its report and its history.
 func TestCampaign(t *testing.T) {
-	program, err := lab.Binary()
+	program, err := harness.Binary()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/campaign/doc.go
+++ b/internal/testing/soak/doc.go
@@ -1,4 +1,4 @@
-// Package campaign plays a fleet of started processes under load and faults for long, keeps a history of it on disk, judges that, and writes
+// Package soak plays a fleet of started processes under load and faults for long, keeps a history of it on disk, judges that, and writes
 // a report. It owns the days, the load, the judges and the report; processes, relays and scripts are package lab's and package faults'.
 //
 // What it judges: each query has an answer, unless its gatherer was killed or stood still meanwhile; nothing is run twice that may not be; no
@@ -6,4 +6,4 @@
 // together never may have out more than the contract; views settle at the end; no process's memory grows.
 //
 // It must never judge by how soon something happens, nor start anything but the program and stand-ins on loopback.
-package campaign
+package soak
--- a/internal/campaign/judge.go
+++ b/internal/testing/soak/judge.go
@@ -1,9 +1,9 @@
-package campaign
+package soak
 
 import (
 	"cmp"
 	"fmt"
-	"saffronquay/internal/faults"
+	"saffronquay/internal/testing/faults"
 	"slices"
 	"time"
 )
--- a/internal/campaign/judge_test.go
+++ b/internal/testing/soak/judge_test.go
@@ -1,7 +1,7 @@
-package campaign
+package soak
 
 import (
-	"saffronquay/internal/faults"
+	"saffronquay/internal/testing/faults"
 	"testing"
 	"time"
 )
--- a/internal/campaign/load.go
+++ b/internal/testing/soak/load.go
@@ -1,4 +1,4 @@
-package campaign
+package soak
 
 import (
 	"fmt"
--- a/internal/campaign/report.go
+++ b/internal/testing/soak/report.go
@@ -1,4 +1,4 @@
-package campaign
+package soak
 
 import (
 	_ "embed"
@@ -6,8 +6,8 @@
 	"html/template"
 	"os"
 	"path/filepath"
-	"saffronquay/internal/faults"
-	"saffronquay/internal/plots"
+	"saffronquay/internal/testing/faults"
+	"saffronquay/internal/testing/plots"
 	"time"
 )
 
--- a/internal/campaign/verdict.go
+++ b/internal/testing/soak/verdict.go
@@ -1,11 +1,11 @@
-package campaign
+package soak
 
 import (
 	"encoding/json"
 	"fmt"
 	"os"
 	"path/filepath"
-	"saffronquay/internal/faults"
+	"saffronquay/internal/testing/faults"
 	"strings"
 	"time"
 )
--- a/tools/histories.sh
+++ b/tools/histories.sh
@@ -19,7 +19,7 @@
 # lines are passed over.
 #
 # Left out, since these do not repeat: 27 of the 200 seeds of `saffronquay-system model`, and seed 30 with the mistakes 1 and 4. In each of them a
-# replica group's leader is deposed with two proposals or more waiting, which internal/system/replica (Engine.apply) answers in the order of
+# replica group's leader is deposed with two proposals or more waiting, which internal/scheduler/replica (Engine.apply) answers in the order of
 # a Go map; each answer draws from the model's random numbers, so that the history goes on in different ways. All histories in which this
 # happens are left out, also those that came out alike when they were played again. Answered in the order of their indexes they repeat.
 #
