--- a/cmd/saffronquay-system/help_test.go
+++ b/cmd/saffronquay-system/help_test.go
@@ -15,7 +15,7 @@
 // The help of each command is as the golden file has it. SAFFRONQUAY_GOLDEN=write in the environment writes that anew.
 func TestGoldenHelp(t *testing.T) {
 	is := is.New(t)
-	t.Setenv(settings.Variable, "")
+	t.Setenv(settings.EnvironmentVariable, "")
 	var help bytes.Buffer
 	writeHelp(t, command(), nil, &help)
 	path := filepath.Join("testdata", "help.txt")
--- a/cmd/saffronquay-system/main.go
+++ b/cmd/saffronquay-system/main.go
@@ -38,7 +38,7 @@
 		Name:  "saffronquay-system",
 		Usage: "a rollout scheduler for trainers",
 		Flags: []cli.Flag{
-			&cli.StringFlag{Name: "settings", Usage: "path of the settings file (TOML)", Sources: cli.EnvVars(settings.Variable)},
+			&cli.StringFlag{Name: "settings", Usage: "path of the settings file (TOML)", Sources: cli.EnvVars(settings.EnvironmentVariable)},
 			&cli.StringFlag{Name: "log-level", Value: "warn", Usage: "debug, info, warn or error"},
 			&cli.StringFlag{Name: "log-format", Value: "text", Usage: "text or json"},
 			&cli.StringFlag{Name: "metrics", Usage: "PORT/PATH where the role tells its figures in Prometheus' text format; empty: nowhere"},
@@ -137,7 +137,7 @@
 func open(c *cli.Command) (*settings.Source, error) {
 	path := c.String("settings")
 	if path == "" {
-		return nil, fmt.Errorf("no settings file: set --settings or %s", settings.Variable)
+		return nil, fmt.Errorf("no settings file: set --settings or %s", settings.EnvironmentVariable)
 	}
 	overrule, err := overrules(c)
 	if err != nil {
@@ -147,7 +147,7 @@
 }
 
 // overrules are the decisions that the command line takes in place of the settings file.
-func overrules(c *cli.Command) (settings.Overrule, error) {
+func overrules(c *cli.Command) (settings.Override, error) {
 	policy, without := featuregate.Policy(c.String("policy")), c.StringSlice("without")
 	apply := func(s *featuregate.Switches) error {
 		if policy != "" {
@@ -161,7 +161,7 @@
 		return s.Check()
 	}
 	probe := featuregate.All()
-	return func(s *settings.Settings) { apply(&s.Decisions) }, apply(&probe)
+	return func(s *settings.Settings) { apply(&s.FeatureGates) }, apply(&probe)
 }
 
 func logger(c *cli.Command, s *settings.Settings) (*slog.Logger, error) {
--- a/internal/golden/replicas_test.go
+++ b/internal/golden/replicas_test.go
@@ -54,7 +54,7 @@
 func stewardMachines() map[string]replica.StateMachine {
 	table := feed.NewTable()
 	machines := map[string]replica.StateMachine{directory.Shard: directory.New(table)}
-	for n := range registry.Shards {
+	for n := range registry.ShardCount {
 		machines[registry.ShardName(n)] = registry.New(registry.ShardName(n), table)
 	}
 	return machines
@@ -146,9 +146,9 @@
 const configurationPatch = `{"version":2,"upsert":{"routes":[{"name":"r2","host":"h.example","pathPrefix":"/c/","timeoutMs":1,"service":"s1"}]}}`
 
 func directoryCommands(round uint64) []proto.Message {
-	replace := directory.Replace(0, 1, false, []byte(configurationText))
+	replace := directory.ReplaceCommand(0, 1, false, []byte(configurationText))
 	if round == 2 {
-		replace = directory.Replace(1, 2, true, []byte(configurationPatch))
+		replace = directory.ReplaceCommand(1, 2, true, []byte(configurationPatch))
 	}
 	return []proto.Message{
 		replace,
--- a/internal/scheduler/agent/agent.go
+++ b/internal/scheduler/agent/agent.go
@@ -58,7 +58,7 @@
 	if a.member, err = membership.Start(s, settings.ServesEdge, "", log, a.members); err != nil {
 		return err
 	}
-	a.tail = &feed.Client{Wait: feed.UsualWait, Table: a.feed, HTTP: a.client, Node: s.NodeName, Sources: a.stewards, Heard: func([]*rpc.FeedEvent) {}, Log: log}
+	a.tail = &feed.Client{Wait: feed.DefaultWait, Table: a.feed, HTTP: a.client, Node: s.NodeName, Sources: a.stewards, OnEvents: func([]*rpc.FeedEvent) {}, Log: log}
 	metrics.Gauge("in_touch", a.inTouch)
 	go server.Serve()
 	go a.tail.Run(ctx)
@@ -94,7 +94,7 @@
 		addresses = append(addresses, m.Address)
 	}
 	for _, seed := range s.Seeds {
-		if address := s.PeerOf(seed); address != "" && !slices.Contains(addresses, address) {
+		if address := s.PeerAddressOf(seed); address != "" && !slices.Contains(addresses, address) {
 			addresses = append(addresses, address)
 		}
 	}
@@ -128,7 +128,7 @@
 // Watch implements rpc.Control.
 func (a *Agent) Watch(ctx context.Context, r *rpc.WatchRequest) (*rpc.WatchResponse, error) {
 	if seen := r.Offsets[MembersShard]; seen > a.feed.Offset(MembersShard) {
-		a.feed.Overtake(MembersShard, seen) // this process was started anew, by a clock that has stepped back
+		a.feed.AdvancePast(MembersShard, seen) // this process was started anew, by a clock that has stepped back
 	}
 	// The proxy has nobody else to ask: it is held also while no steward is in touch.
 	source := feed.Source{Table: a.feed}
--- a/internal/scheduler/configuration/configuration_test.go
+++ b/internal/scheduler/configuration/configuration_test.go
@@ -7,14 +7,14 @@
 	"github.com/matryer/is"
 )
 
-const whole = `{"version":7,"routes":[
+const documentText = `{"version":7,"routes":[
  {"name":"r1","host":"h.example","pathPrefix":"/a/","type":"idempotent","timeoutMs":800,"service":"s1","maxAttempts":2},
  {"name":"r2","host":"h.example","pathPrefix":"/a/b/","type":"deployment","timeoutMs":800,"trafficSplit":[{"service":"s1","weight":90},{"service":"s2","weight":0}]}],
  "services":[{"name":"s1","engine":{"models":[{"name":"m"}]}},{"name":"s2"}],"limits":{"maxBodyBytes":100},"extra":{"kept":true}}`
 
 func TestLongestPrefixWins(t *testing.T) {
 	is := is.New(t)
-	d, err := Parse([]byte(whole))
+	d, err := Parse([]byte(documentText))
 	is.NoErr(err)
 	table := NewTable(d)
 	is.Equal(table.Find("h.example", "/a/x").Name, "r1")
@@ -22,20 +22,20 @@
 	is.True(table.Find("h.example", "/other/") == nil)
 	is.True(table.Find("other.example", "/a/") == nil)
 	is.Equal(table.DeploymentServices(), []string{"s1"})
-	is.Equal(table.ServicesOf("m"), []string{"s1"})
+	is.Equal(table.ServicesWithModel("m"), []string{"s1"})
 	is.True(!table.Find("h.example", "/a/b/").Allows("s2"))
 }
 
 func TestInvalidConfigurations(t *testing.T) {
 	for what, text := range map[string]string{
-		"cut short":       whole[:len(whole)-20],
-		"unknown service": strings.Replace(whole, `"service":"s1","maxAttempts"`, `"service":"s9","maxAttempts"`, 1),
-		"same place":      strings.Replace(whole, `/a/b/`, `/a/`, 1),
-		"no weight":       strings.Replace(whole, `"weight":90`, `"weight":0`, 1),
-		"no timeout":      strings.Replace(whole, `"timeoutMs":800`, `"timeoutMs":0`, 1),
-		"no version":      strings.Replace(whole, `"version":7`, `"version":0`, 1),
-		"trailing text":   whole + "{}",
-		"a wrong type":    strings.Replace(whole, `"version":7`, `"version":"7"`, 1),
+		"cut short":       documentText[:len(documentText)-20],
+		"unknown service": strings.Replace(documentText, `"service":"s1","maxAttempts"`, `"service":"s9","maxAttempts"`, 1),
+		"same place":      strings.Replace(documentText, `/a/b/`, `/a/`, 1),
+		"no weight":       strings.Replace(documentText, `"weight":90`, `"weight":0`, 1),
+		"no timeout":      strings.Replace(documentText, `"timeoutMs":800`, `"timeoutMs":0`, 1),
+		"no version":      strings.Replace(documentText, `"version":7`, `"version":0`, 1),
+		"trailing text":   documentText + "{}",
+		"a wrong type":    strings.Replace(documentText, `"version":7`, `"version":"7"`, 1),
 	} {
 		if _, err := Parse([]byte(text)); err == nil {
 			t.Errorf("%s: accepted", what)
@@ -45,7 +45,7 @@
 
 func TestChangesOfNamedItems(t *testing.T) {
 	is := is.New(t)
-	body, err := Apply([]byte(whole), []byte(`{"version":9,"upsert":{"routes":[{"name":"r3","host":"h.example","pathPrefix":"/c/","timeoutMs":1,"service":"s1"},
+	body, err := ApplyPatch([]byte(documentText), []byte(`{"version":9,"upsert":{"routes":[{"name":"r3","host":"h.example","pathPrefix":"/c/","timeoutMs":1,"service":"s1"},
  {"name":"r1","host":"h.example","pathPrefix":"/a/","timeoutMs":5,"service":"s2"}]},"remove":{"routes":["r2","never"]}}`))
 	is.NoErr(err)
 	d, err := Parse(body)
@@ -55,7 +55,7 @@
 	is.Equal(d.Routes[0].Service, "s2")
 	is.Equal(d.Routes[1].Name, "r3")
 	is.True(strings.Contains(string(body), `"kept":true`)) // what this program doesn't know stays
-	_, err = Apply([]byte(whole), []byte(`{"version":9,"upsert":{"routes":[{"host":"x"}]}}`))
+	_, err = ApplyPatch([]byte(documentText), []byte(`{"version":9,"upsert":{"routes":[{"host":"x"}]}}`))
 	is.True(err != nil)
 }
 
--- a/internal/scheduler/configuration/document.go
+++ b/internal/scheduler/configuration/document.go
@@ -17,27 +17,27 @@
 //
 //easyjson:json
 type Route struct {
-	Name            string  `json:"name"`
-	Host            string  `json:"host"`
-	PathPrefix      string  `json:"pathPrefix"`
-	Type            string  `json:"type"`
-	TimeoutMS       float64 `json:"timeoutMs"`
-	TargetLatencyMS float64 `json:"targetLatencyMs"`
-	Priority        int     `json:"priority"`
-	Service         string  `json:"service"`
-	TrafficSplit    []Share `json:"trafficSplit"`
-	MaxAttempts     int     `json:"maxAttempts"`
-	MaxQueueS       float64 `json:"maxQueueS"`
-	DeadlineMS      float64 `json:"deadlineMs"`
-	OnPolicy        bool    `json:"onPolicy"`
-	SessionAffinity bool    `json:"sessionAffinity"`
-	Resumable       bool    `json:"resumable"`
+	Name            string   `json:"name"`
+	Host            string   `json:"host"`
+	PathPrefix      string   `json:"pathPrefix"`
+	Type            string   `json:"type"`
+	TimeoutMS       float64  `json:"timeoutMs"`
+	TargetLatencyMS float64  `json:"targetLatencyMs"`
+	Priority        int      `json:"priority"`
+	Service         string   `json:"service"`
+	TrafficSplit    []Target `json:"trafficSplit"`
+	MaxAttempts     int      `json:"maxAttempts"`
+	MaxQueueS       float64  `json:"maxQueueS"`
+	DeadlineMS      float64  `json:"deadlineMs"`
+	OnPolicy        bool     `json:"onPolicy"`
+	SessionAffinity bool     `json:"sessionAffinity"`
+	Resumable       bool     `json:"resumable"`
 }
 
-// Share is a service's part in a route.
+// Target is a service's part in a route.
 //
 //easyjson:json
-type Share struct {
+type Target struct {
 	Service string  `json:"service"`
 	Weight  float64 `json:"weight"`
 }
@@ -81,8 +81,8 @@
 
 // The types of routes.
 const (
-	Idempotent    = "idempotent"
-	NonIdempotent = "non_idempotent"
-	Streaming     = "streaming"
-	Deployment    = "deployment"
+	TypeIdempotent    = "idempotent"
+	TypeNonIdempotent = "non_idempotent"
+	TypeStreaming     = "streaming"
+	TypeDeployment    = "deployment"
 )
--- a/internal/scheduler/configuration/document_easyjson.go
+++ b/internal/scheduler/configuration/document_easyjson.go
@@ -17,7 +17,7 @@
 	_ easyjson.Marshaler
 )
 
-func easyjson18605acbDecodeSaffronquayInternalSystemConfiguration(in *jlexer.Lexer, out *Share) {
+func easyjson18605acbDecodeSaffronquayInternalSystemConfiguration(in *jlexer.Lexer, out *Target) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -53,7 +53,7 @@
 		in.Consumed()
 	}
 }
-func easyjson18605acbEncodeSaffronquayInternalSystemConfiguration(out *jwriter.Writer, in Share) {
+func easyjson18605acbEncodeSaffronquayInternalSystemConfiguration(out *jwriter.Writer, in Target) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -71,12 +71,12 @@
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
-func (v Share) MarshalEasyJSON(w *jwriter.Writer) {
+func (v Target) MarshalEasyJSON(w *jwriter.Writer) {
 	easyjson18605acbEncodeSaffronquayInternalSystemConfiguration(w, v)
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *Share) UnmarshalEasyJSON(l *jlexer.Lexer) {
+func (v *Target) UnmarshalEasyJSON(l *jlexer.Lexer) {
 	easyjson18605acbDecodeSaffronquayInternalSystemConfiguration(l, v)
 }
 func easyjson18605acbDecodeSaffronquayInternalSystemConfiguration1(in *jlexer.Lexer, out *Service) {
@@ -245,15 +245,15 @@
 				in.Delim('[')
 				if out.TrafficSplit == nil {
 					if !in.IsDelim(']') {
-						out.TrafficSplit = make([]Share, 0, 2)
+						out.TrafficSplit = make([]Target, 0, 2)
 					} else {
-						out.TrafficSplit = []Share{}
+						out.TrafficSplit = []Target{}
 					}
 				} else {
 					out.TrafficSplit = (out.TrafficSplit)[:0]
 				}
 				for !in.IsDelim(']') {
-					var v1 Share
+					var v1 Target
 					if in.IsNull() {
 						in.Skip()
 					} else {
--- a/internal/scheduler/configuration/check.go
+++ b/internal/scheduler/configuration/parse.go
@@ -8,8 +8,8 @@
 	"github.com/mailru/easyjson"
 )
 
-// Read reads a configuration that was checked before, as gatherers do: what the directory holds is valid.
-func Read(body []byte) (*Document, error) {
+// ParseTrusted reads a configuration that was checked before, as gatherers do: what the directory holds is valid.
+func ParseTrusted(body []byte) (*Document, error) {
 	d := &Document{}
 	if err := easyjson.Unmarshal(body, d); err != nil {
 		return nil, fmt.Errorf("configuration: %w", err)
@@ -22,7 +22,7 @@
 	if !json.Valid(body) {
 		return nil, errors.New("configuration: not valid JSON")
 	}
-	d, err := Read(body)
+	d, err := ParseTrusted(body)
 	if err != nil {
 		return nil, err
 	}
@@ -85,8 +85,8 @@
 	return nil
 }
 
-// Change is the operator's request to alter named items.
-type Change struct {
+// Patch is the operator's request to alter named items.
+type Patch struct {
 	Version uint64                                `json:"version"`
 	Upsert  map[string][]json.RawMessage          `json:"upsert"`
 	Remove  map[string][]string                   `json:"remove"`
@@ -94,9 +94,9 @@
 	Other   map[string]map[string]json.RawMessage `json:"-"`
 }
 
-// Apply returns a configuration's text with a change made to it.
-func Apply(body, change []byte) ([]byte, error) {
-	var c Change
+// ApplyPatch returns a configuration's text with a change made to it.
+func ApplyPatch(body, change []byte) ([]byte, error) {
+	var c Patch
 	if err := json.Unmarshal(change, &c); err != nil {
 		return nil, fmt.Errorf("configuration: change: %w", err)
 	}
@@ -109,20 +109,20 @@
 		whole["limits"] = c.Limits
 	}
 	for key, names := range c.Remove {
-		if err := edit(whole, key, nil, names); err != nil {
+		if err := editList(whole, key, nil, names); err != nil {
 			return nil, err
 		}
 	}
 	for key, items := range c.Upsert {
-		if err := edit(whole, key, items, nil); err != nil {
+		if err := editList(whole, key, items, nil); err != nil {
 			return nil, err
 		}
 	}
 	return json.Marshal(whole)
 }
 
-// edit replaces or adds items of a list by their names, and removes others.
-func edit(whole map[string]json.RawMessage, key string, items []json.RawMessage, remove []string) error {
+// editList replaces or adds items of a list by their names, and removes others.
+func editList(whole map[string]json.RawMessage, key string, items []json.RawMessage, remove []string) error {
 	var list []json.RawMessage
 	if raw, ok := whole[key]; ok {
 		if err := json.Unmarshal(raw, &list); err != nil {
@@ -131,10 +131,10 @@
 	}
 	at := map[string]int{}
 	for i, item := range list {
-		at[nameOf(item)] = i
+		at[itemName(item)] = i
 	}
 	for _, item := range items {
-		name := nameOf(item)
+		name := itemName(item)
 		if name == "" {
 			return fmt.Errorf("configuration: upsert.%s: an item has no name", key)
 		}
@@ -161,7 +161,7 @@
 	return err
 }
 
-func nameOf(item json.RawMessage) string {
+func itemName(item json.RawMessage) string {
 	var named struct {
 		Name string `json:"name"`
 	}
--- a/internal/scheduler/configuration/table.go
+++ b/internal/scheduler/configuration/table.go
@@ -7,11 +7,11 @@
 
 // Table looks up routes. It doesn't change once it is made.
 type Table struct {
-	Version  uint64
-	Limits   Limits
-	hosts    map[string][]*Route // longest prefix first
-	services map[string]*Service
-	batch    []string // services that batch jobs go to
+	Version            uint64
+	Limits             Limits
+	hosts              map[string][]*Route // longest prefix first
+	services           map[string]*Service
+	deploymentServices []string // services that batch jobs go to
 }
 
 // NewTable makes a table of a configuration.
@@ -20,12 +20,12 @@
 	for i := range d.Routes {
 		route := &d.Routes[i]
 		t.hosts[route.Host] = append(t.hosts[route.Host], route)
-		if route.Type != Deployment {
+		if route.Type != TypeDeployment {
 			continue
 		}
 		for _, target := range route.Targets() {
-			if target.Weight > 0 && !slices.Contains(t.batch, target.Service) {
-				t.batch = append(t.batch, target.Service)
+			if target.Weight > 0 && !slices.Contains(t.deploymentServices, target.Service) {
+				t.deploymentServices = append(t.deploymentServices, target.Service)
 			}
 		}
 	}
@@ -61,7 +61,7 @@
 func (t *Table) Service(name string) *Service { return t.services[name] }
 
 // DeploymentServices names the services that batch jobs' routes go to.
-func (t *Table) DeploymentServices() []string { return t.batch }
+func (t *Table) DeploymentServices() []string { return t.deploymentServices }
 
 // HasHost tells whether any route has a host.
 func (t *Table) HasHost(host string) bool {
@@ -69,8 +69,8 @@
 	return len(t.hosts[host]) > 0 || len(t.hosts[name]) > 0
 }
 
-// ServicesOf names the services that hold a model, in order.
-func (t *Table) ServicesOf(model string) (names []string) {
+// ServicesWithModel names the services that hold a model, in order.
+func (t *Table) ServicesWithModel(model string) (names []string) {
 	for name, service := range t.services {
 		if service.Engine == nil {
 			continue
@@ -84,19 +84,19 @@
 }
 
 // Targets are the services that a route's requests may go to, with their weights.
-func (r *Route) Targets() []Share {
+func (r *Route) Targets() []Target {
 	if len(r.TrafficSplit) == 0 {
-		return []Share{{Service: r.Service, Weight: 1}}
+		return []Target{{Service: r.Service, Weight: 1}}
 	}
 	return r.TrafficSplit
 }
 
 // Allows tells whether a route's requests may go to a service.
 func (r *Route) Allows(service string) bool {
-	return slices.ContainsFunc(r.Targets(), func(s Share) bool { return s.Service == service && s.Weight > 0 })
+	return slices.ContainsFunc(r.Targets(), func(s Target) bool { return s.Service == service && s.Weight > 0 })
 }
 
-// Repeatable tells whether a request of this route may run more than once.
-func (r *Route) Repeatable() bool {
-	return r.Type == Idempotent || r.Type == Deployment || r.Type == Streaming && r.Resumable
+// Idempotent tells whether a request of this route may run more than once.
+func (r *Route) Idempotent() bool {
+	return r.Type == TypeIdempotent || r.Type == TypeDeployment || r.Type == TypeStreaming && r.Resumable
 }
--- a/internal/scheduler/controlplane/api.go
+++ b/internal/scheduler/controlplane/api.go
@@ -91,7 +91,7 @@
 			return
 		}
 	}
-	result := st.decide(ctx, directory.Replace(base, head.Version, patch, body))
+	result := st.decide(ctx, directory.ReplaceCommand(base, head.Version, patch, body))
 	if result == nil {
 		return
 	}
--- a/internal/scheduler/controlplane/shard.go
+++ b/internal/scheduler/controlplane/shard.go
@@ -31,7 +31,7 @@
 // ownership is how this steward stands towards the shard now.
 func (sh *shard) ownership(status *replica.Status) registry.Ownership {
 	now := sh.steward.host.Now()
-	return registry.Ownership{Now: now, Epoch: status.Epoch, Leased: status.Lease(now)}
+	return registry.Ownership{NowMS: now, Epoch: status.Epoch, HasLease: status.Lease(now)}
 }
 
 // heartbeat takes a heartbeat in where this steward owns the shard.
@@ -64,7 +64,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, controlTimeout)
 	defer cancel()
-	for _, command := range sh.desk.Overdue(sh.ownership(status), forgetAfterMS) {
+	for _, command := range sh.desk.OverdueCommands(sh.ownership(status), forgetAfterMS) {
 		sh.steward.log.Info("worker overdue", "shard", sh.name, "command", command)
 		sh.propose(ctx, command)
 	}
@@ -102,7 +102,7 @@
 
 // Instances implements weights.Shard. Workers that have missed a heartbeat are left out: an order to them would only wait.
 func (sh *shard) Instances() []*rpc.Instance {
-	return sh.desk.Present(sh.steward.host.Now())
+	return sh.desk.ResponsiveInstances(sh.steward.host.Now())
 }
 
 // Record implements weights.Shard.
--- a/internal/scheduler/controlplane/steward.go
+++ b/internal/scheduler/controlplane/steward.go
@@ -54,7 +54,7 @@
 	steward  *Steward
 	name     string
 	registry *registry.Registry
-	desk     *registry.Desk
+	desk     *registry.HeartbeatHandler
 }
 
 // gatherChanges is how long a change waits to be told to gatherers together with others: workers change their weights in bursts. It is small
@@ -81,7 +81,7 @@
 // groups names the groups that stewards hold.
 func groups() []string {
 	names := []string{directory.Shard}
-	for n := range registry.Shards {
+	for n := range registry.ShardCount {
 		names = append(names, registry.ShardName(n))
 	}
 	return names
@@ -98,13 +98,13 @@
 		return err
 	}
 	st.directory = directory.New(st.feed)
-	for n := range registry.Shards {
+	for n := range registry.ShardCount {
 		name := registry.ShardName(n)
 		state := registry.New(name, st.feed)
-		st.shards[name] = &shard{steward: st, name: name, registry: state, desk: registry.NewDesk(state, st.settings.HeartbeatMS)}
+		st.shards[name] = &shard{steward: st, name: name, registry: state, desk: registry.NewHeartbeatHandler(state, st.settings.HeartbeatMS)}
 	}
 	sender := replica.NewSender(st.client)
-	st.options.Gather = st.settings.Decisions.GatheredWrites
+	st.options.Gather = st.settings.FeatureGates.GatheredWrites
 	st.host, err = replica.NewHost(replica.Config{Identity: st.identity, Store: st.store, Machine: st.machine, Send: sender.Send, Log: st.log, Options: st.options, Changed: st.groupChanged})
 	return err
 }
@@ -153,7 +153,7 @@
 	for _, sh := range st.shards {
 		holder := &weights.Holder{
 			Node: st.settings.NodeName, Lease: settings.Milliseconds(st.settings.Bounds.LeaseMS),
-			Fenced: st.settings.Bounds.Fencing, Shard: sh, Wanted: st.directory.Models,
+			Fenced: st.settings.Bounds.Fencing, Shard: sh, Wanted: st.directory.NamedVersions,
 			Rules: weights.Rules{Single: st.singleVersion, AtOnce: weights.ShareAtOnce, Slots: st.slots}, Log: st.log,
 		}
 		go holder.Run(ctx)
@@ -182,7 +182,7 @@
 	var founders []*rpc.Replica
 	own := false
 	for _, seed := range st.settings.Seeds {
-		founders = append(founders, &rpc.Replica{Id: replica.FounderID(seed), Address: st.settings.PeerOf(seed)})
+		founders = append(founders, &rpc.Replica{Id: replica.FounderID(seed), Address: st.settings.PeerAddressOf(seed)})
 		own = own || replica.FounderID(seed) == st.identity.ID
 	}
 	if !own {
@@ -195,7 +195,7 @@
 
 // singleVersion tells whether a model's texts must be made by one version of its weights; while nobody has said so, they may have to.
 func (st *Steward) singleVersion(model string) bool {
-	single, known := st.directory.Policy(model)
+	single, known := st.directory.SingleVersionPolicy(model)
 	return single || !known
 }
 
@@ -216,8 +216,8 @@
 // Watch implements rpc.Control.
 func (st *Steward) Watch(ctx context.Context, r *rpc.WatchRequest) (*rpc.WatchResponse, error) {
 	source := feed.Source{Table: st.feed, Fresh: st.fresh}
-	if st.settings.Decisions.GatheredChanges {
-		source.Gather = gatherChanges
+	if st.settings.FeatureGates.GatheredChanges {
+		source.CoalesceDelay = gatherChanges
 	}
 	return source.Watch(ctx, r), nil
 }
--- a/internal/scheduler/directory/directory.go
+++ b/internal/scheduler/directory/directory.go
@@ -22,40 +22,40 @@
 // Shard is the name of the shard and of its group.
 const Shard = "directory"
 
-// takenMost is the number of taken configurations that are known again when they are sent once more. Of older ones nobody can say whether they
+// maxRemembered is the number of taken configurations that are known again when they are sent once more. Of older ones nobody can say whether they
 // were taken: such an order is neither acknowledged nor refused.
-const takenMost = 8192
+const maxRemembered = 8192
 
-// takenInRecord is the number of taken configurations in one record of a snapshot.
-const takenInRecord = 1024
+// acceptedPerRecord is the number of taken configurations in one record of a snapshot.
+const acceptedPerRecord = 1024
 
 // Directory is the state. Apply, Snapshot and Restore are for the replica's goroutine; the rest may be called by any.
 type Directory struct {
 	feed *feed.Table
 
-	mu            sync.RWMutex
-	version       uint64
-	configuration []byte // packed
-	table         *configuration.Table
-	taken         []*rpc.TakenConfiguration // in order
-	known         map[string]bool           // digests of taken
-	forgotten     uint64                    // the highest version that was taken and is no longer in taken
-	models        map[string]uint64
-	placements    map[string]*rpc.Placement
-	retirements   map[string]bool // machine: completed
-	policies      map[string]bool // model: texts are made by one version
+	mu               sync.RWMutex
+	version          uint64
+	configuration    []byte // packed
+	table            *configuration.Table
+	accepted         []*rpc.TakenConfiguration // in order
+	acceptedDigests  map[string]bool           // digests of taken
+	forgottenVersion uint64                    // the highest version that was taken and is no longer in taken
+	namedVersions    map[string]uint64
+	placements       map[string]*rpc.Placement
+	retirements      map[string]bool // machine: completed
+	singleVersion    map[string]bool // model: texts are made by one version
 }
 
 // New returns an empty directory that publishes its changes.
 func New(table *feed.Table) *Directory {
 	return &Directory{
-		feed: table, known: map[string]bool{}, models: map[string]uint64{}, placements: map[string]*rpc.Placement{}, retirements: map[string]bool{}, policies: map[string]bool{},
+		feed: table, acceptedDigests: map[string]bool{}, namedVersions: map[string]uint64{}, placements: map[string]*rpc.Placement{}, retirements: map[string]bool{}, singleVersion: map[string]bool{},
 		table: configuration.NewTable(&configuration.Document{}),
 	}
 }
 
-// Replace is the command for an operator's order: a whole configuration, or a change of named items, on top of a version.
-func Replace(base, version uint64, patch bool, body []byte) *rpc.DirectoryCommand {
+// ReplaceCommand is the command for an operator's order: a whole configuration, or a change of named items, on top of a version.
+func ReplaceCommand(base, version uint64, patch bool, body []byte) *rpc.DirectoryCommand {
 	return &rpc.DirectoryCommand{Command: &rpc.DirectoryCommand_Replace{Replace: &rpc.ReplaceConfiguration{
 		Base: base, Version: version, Body: compression.Documents.Pack(body), Digest: Digest(base, patch, body), Patch: patch,
 	}}}
@@ -99,10 +99,10 @@
 	case *rpc.DirectoryCommand_Replace:
 		return d.replace(x.Replace)
 	case *rpc.DirectoryCommand_NameVersion:
-		if x.NameVersion.Version <= d.models[x.NameVersion.Model] {
+		if x.NameVersion.Version <= d.namedVersions[x.NameVersion.Model] {
 			return done, nil
 		}
-		d.models[x.NameVersion.Model] = x.NameVersion.Version
+		d.namedVersions[x.NameVersion.Model] = x.NameVersion.Version
 		return done, &rpc.FeedEvent{Event: &rpc.FeedEvent_Version{Version: x.NameVersion}}
 	case *rpc.DirectoryCommand_Place:
 		x.Place.Revision = index
@@ -112,10 +112,10 @@
 		d.retirements[x.Retire.Node] = d.retirements[x.Retire.Node] || x.Retire.Completed
 		return done, nil
 	case *rpc.DirectoryCommand_Policy:
-		if old, ok := d.policies[x.Policy.Model]; ok && old == x.Policy.SingleVersion {
+		if old, ok := d.singleVersion[x.Policy.Model]; ok && old == x.Policy.SingleVersion {
 			return done, nil
 		}
-		d.policies[x.Policy.Model] = x.Policy.SingleVersion
+		d.singleVersion[x.Policy.Model] = x.Policy.SingleVersion
 		return done, &rpc.FeedEvent{Event: &rpc.FeedEvent_Policy{Policy: x.Policy}}
 	case *rpc.DirectoryCommand_Read:
 		return &rpc.DirectoryResult{Configuration: d.configuration}, nil
@@ -126,15 +126,15 @@
 // replace takes a configuration where it builds on the current one. One that was taken before is acknowledged once more.
 func (d *Directory) replace(r *rpc.ReplaceConfiguration) (*rpc.DirectoryResult, *rpc.FeedEvent) {
 	switch {
-	case d.known[string(r.Digest)]:
+	case d.acceptedDigests[string(r.Digest)]:
 		return &rpc.DirectoryResult{}, nil
-	case r.Version <= d.forgotten:
+	case r.Version <= d.forgottenVersion:
 		return &rpc.DirectoryResult{Status: rpc.DirectoryStatus_DIRECTORY_UNCERTAIN, Message: "an order of that version may have been taken long ago"}, nil
 	}
 	if r.Base != d.version {
 		return &rpc.DirectoryResult{Status: rpc.DirectoryStatus_DIRECTORY_CONFLICT, Message: "another version is current"}, nil
 	}
-	packed, document, err := d.build(r)
+	packed, document, err := d.buildDocument(r)
 	if err != nil {
 		return &rpc.DirectoryResult{Status: rpc.DirectoryStatus_DIRECTORY_INVALID, Message: err.Error()}, nil
 	}
@@ -142,12 +142,12 @@
 		return &rpc.DirectoryResult{Status: rpc.DirectoryStatus_DIRECTORY_INVALID, Message: "version: is not above the current one"}, nil
 	}
 	d.version, d.configuration, d.table = document.Version, packed, configuration.NewTable(document)
-	d.remember(&rpc.TakenConfiguration{Version: r.Version, Digest: r.Digest})
+	d.rememberAccepted(&rpc.TakenConfiguration{Version: r.Version, Digest: r.Digest})
 	return &rpc.DirectoryResult{}, &rpc.FeedEvent{Event: &rpc.FeedEvent_Configuration{Configuration: &rpc.ConfigurationEvent{Version: d.version, Body: packed}}}
 }
 
-// build returns the configuration that an order leads to, packed and read.
-func (d *Directory) build(r *rpc.ReplaceConfiguration) (packed []byte, document *configuration.Document, err error) {
+// buildDocument returns the configuration that an order leads to, packed and read.
+func (d *Directory) buildDocument(r *rpc.ReplaceConfiguration) (packed []byte, document *configuration.Document, err error) {
 	body, err := compression.Documents.Unpack(r.Body)
 	if err != nil {
 		return nil, nil, err
@@ -158,7 +158,7 @@
 		if err != nil {
 			return nil, nil, err
 		}
-		if body, err = configuration.Apply(current, body); err != nil {
+		if body, err = configuration.ApplyPatch(current, body); err != nil {
 			return nil, nil, err
 		}
 		packed = compression.Documents.Pack(body)
@@ -167,18 +167,18 @@
 	return packed, document, err
 }
 
-// remember notes what was taken, and forgets the older half once there is too much.
-func (d *Directory) remember(taken *rpc.TakenConfiguration) {
-	d.taken = append(d.taken, taken)
-	d.known[string(taken.Digest)] = true
-	if len(d.taken) <= takenMost {
+// rememberAccepted notes what was taken, and forgets the older half once there is too much.
+func (d *Directory) rememberAccepted(taken *rpc.TakenConfiguration) {
+	d.accepted = append(d.accepted, taken)
+	d.acceptedDigests[string(taken.Digest)] = true
+	if len(d.accepted) <= maxRemembered {
 		return
 	}
-	old := d.taken[:len(d.taken)-takenMost/2]
-	d.taken = append([]*rpc.TakenConfiguration(nil), d.taken[len(old):]...)
+	old := d.accepted[:len(d.accepted)-maxRemembered/2]
+	d.accepted = append([]*rpc.TakenConfiguration(nil), d.accepted[len(old):]...)
 	for _, t := range old {
-		delete(d.known, string(t.Digest))
-		d.forgotten = max(d.forgotten, t.Version)
+		delete(d.acceptedDigests, string(t.Digest))
+		d.forgottenVersion = max(d.forgottenVersion, t.Version)
 	}
 }
 
@@ -186,17 +186,17 @@
 func (d *Directory) Snapshot() (next func() proto.Message) {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
-	first := &rpc.DirectorySnapshot{Version: d.version, Configuration: d.configuration, Models: maps.Clone(d.models), Forgotten: d.forgotten}
+	first := &rpc.DirectorySnapshot{Version: d.version, Configuration: d.configuration, Models: maps.Clone(d.namedVersions), Forgotten: d.forgottenVersion}
 	for _, p := range d.placements {
 		first.Placements = append(first.Placements, p)
 	}
 	for node, completed := range d.retirements {
 		first.Retirements = append(first.Retirements, &rpc.Retirement{Node: node, Completed: completed})
 	}
-	for model, single := range d.policies {
+	for model, single := range d.singleVersion {
 		first.Policies = append(first.Policies, &rpc.ModelPolicy{Model: model, SingleVersion: single})
 	}
-	taken := d.taken // it is only ever appended to, or replaced
+	taken := d.accepted // it is only ever appended to, or replaced
 	return func() proto.Message {
 		if first != nil {
 			record := first
@@ -206,7 +206,7 @@
 		if len(taken) == 0 {
 			return nil
 		}
-		some := taken[:min(len(taken), takenInRecord)]
+		some := taken[:min(len(taken), acceptedPerRecord)]
 		taken = taken[len(some):]
 		return &rpc.DirectorySnapshot{Taken: some}
 	}
@@ -229,8 +229,8 @@
 		}
 	}
 	d.mu.Lock()
-	d.set(s, document)
-	events := d.events()
+	d.setState(s, document)
+	events := d.snapshotEvents()
 	d.mu.Unlock()
 	d.feed.Replace(Shard, index, events)
 	return nil
@@ -255,18 +255,18 @@
 	}
 }
 
-// set replaces the state.
-func (d *Directory) set(s *rpc.DirectorySnapshot, document *configuration.Document) {
+// setState replaces the state.
+func (d *Directory) setState(s *rpc.DirectorySnapshot, document *configuration.Document) {
 	d.version, d.configuration, d.table = s.Version, s.Configuration, configuration.NewTable(document)
-	d.taken, d.forgotten, d.known = s.Taken, s.Forgotten, make(map[string]bool, len(s.Taken))
+	d.accepted, d.forgottenVersion, d.acceptedDigests = s.Taken, s.Forgotten, make(map[string]bool, len(s.Taken))
 	for _, t := range s.Taken {
-		d.known[string(t.Digest)] = true
+		d.acceptedDigests[string(t.Digest)] = true
 	}
-	d.models, d.placements = map[string]uint64{}, map[string]*rpc.Placement{}
-	maps.Copy(d.models, s.Models)
-	d.retirements, d.policies = map[string]bool{}, map[string]bool{}
+	d.namedVersions, d.placements = map[string]uint64{}, map[string]*rpc.Placement{}
+	maps.Copy(d.namedVersions, s.Models)
+	d.retirements, d.singleVersion = map[string]bool{}, map[string]bool{}
 	for _, p := range s.Policies {
-		d.policies[p.Model] = p.SingleVersion
+		d.singleVersion[p.Model] = p.SingleVersion
 	}
 	for _, p := range s.Placements {
 		d.placements[p.Group] = p
@@ -276,27 +276,27 @@
 	}
 }
 
-func (d *Directory) events() (events []*rpc.FeedEvent) {
+func (d *Directory) snapshotEvents() (events []*rpc.FeedEvent) {
 	if d.version > 0 {
 		events = append(events, &rpc.FeedEvent{Event: &rpc.FeedEvent_Configuration{Configuration: &rpc.ConfigurationEvent{Version: d.version, Body: d.configuration}}})
 	}
-	for model, version := range d.models {
+	for model, version := range d.namedVersions {
 		events = append(events, &rpc.FeedEvent{Event: &rpc.FeedEvent_Version{Version: &rpc.NameVersion{Model: model, Version: version}}})
 	}
 	for _, p := range d.placements {
 		events = append(events, &rpc.FeedEvent{Event: &rpc.FeedEvent_Placement{Placement: p}})
 	}
-	for model, single := range d.policies {
+	for model, single := range d.singleVersion {
 		events = append(events, &rpc.FeedEvent{Event: &rpc.FeedEvent_Policy{Policy: &rpc.ModelPolicy{Model: model, SingleVersion: single}}})
 	}
 	return events
 }
 
-// Policy tells whether texts of a model must be made by one version; false for known where nobody has said so yet.
-func (d *Directory) Policy(model string) (single, known bool) {
+// SingleVersionPolicy tells whether texts of a model must be made by one version; false for known where nobody has said so yet.
+func (d *Directory) SingleVersionPolicy(model string) (single, known bool) {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
-	single, known = d.policies[model]
+	single, known = d.singleVersion[model]
 	return single, known
 }
 
@@ -307,12 +307,12 @@
 	return d.table
 }
 
-// Models are the newest versions that were named.
-func (d *Directory) Models() map[string]uint64 {
+// NamedVersions are the newest versions that were named.
+func (d *Directory) NamedVersions() map[string]uint64 {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
-	models := make(map[string]uint64, len(d.models))
-	for model, version := range d.models {
+	models := make(map[string]uint64, len(d.namedVersions))
+	for model, version := range d.namedVersions {
 		models[model] = version
 	}
 	return models
--- a/internal/scheduler/directory/directory_test.go
+++ b/internal/scheduler/directory/directory_test.go
@@ -39,7 +39,7 @@
 }
 
 func (b *bench) replace(base, version uint64, body []byte) rpc.DirectoryStatus {
-	return b.apply(Replace(base, version, false, body)).Status
+	return b.apply(ReplaceCommand(base, version, false, body)).Status
 }
 
 // Of two changes on top of one version one is taken; what was taken is acknowledged again however often it is sent, also after others.
@@ -75,20 +75,20 @@
 	is.NoErr(err)
 	c := newBench()
 	is.NoErr(c.Restore(b.index, state))
-	is.Equal(c.Models()["m"], uint64(4))
+	is.Equal(c.NamedVersions()["m"], uint64(4))
 	is.Equal(c.Retirements()["n"], true)
 	is.Equal(len(c.Placements()["g"].Replicas), 1)
-	single, known := c.Policy("m")
+	single, known := c.SingleVersionPolicy("m")
 	is.True(single && known)
 	is.Equal(c.replace(0, 3, text(3, "s")), rpc.DirectoryStatus_DIRECTORY_OK)
 }
 
 // Of what was taken so long ago that nobody remembers it cannot be said whether it was taken: it is neither acknowledged nor refused. What is
 // still remembered is acknowledged, also after a restore.
-func TestForgottenOrders(t *testing.T) {
+func TestForgottenUpdates(t *testing.T) {
 	is := is.New(t)
 	b := newBench()
-	for version := uint64(1); version <= takenMost+1; version++ {
+	for version := uint64(1); version <= maxRemembered+1; version++ {
 		is.Equal(b.replace(version-1, version, text(version, "s")), rpc.DirectoryStatus_DIRECTORY_OK)
 	}
 	state, err := replica.EncodeState(b.Snapshot())
@@ -96,11 +96,11 @@
 	restored := newBench()
 	is.NoErr(restored.Restore(b.index, state))
 	for _, d := range []*bench{b, restored} {
-		is.Equal(len(d.taken), takenMost/2)
-		is.Equal(len(d.known), takenMost/2)
+		is.Equal(len(d.accepted), maxRemembered/2)
+		is.Equal(len(d.acceptedDigests), maxRemembered/2)
 		is.Equal(d.replace(0, 1, text(1, "s")), rpc.DirectoryStatus_DIRECTORY_UNCERTAIN)
-		is.Equal(d.replace(takenMost, takenMost+1, text(takenMost+1, "s")), rpc.DirectoryStatus_DIRECTORY_OK)
-		is.Equal(d.replace(takenMost, takenMost+2, text(takenMost+2, "s")), rpc.DirectoryStatus_DIRECTORY_CONFLICT)
+		is.Equal(d.replace(maxRemembered, maxRemembered+1, text(maxRemembered+1, "s")), rpc.DirectoryStatus_DIRECTORY_OK)
+		is.Equal(d.replace(maxRemembered, maxRemembered+2, text(maxRemembered+2, "s")), rpc.DirectoryStatus_DIRECTORY_CONFLICT)
 	}
 }
 
--- a/internal/scheduler/feed/client.go
+++ b/internal/scheduler/feed/client.go
@@ -13,26 +13,26 @@
 // Client keeps a table up to date from one source at a time: a steward, or the agent of its machine. It goes to the next source where
 // one is silent, fails, or has itself lost touch.
 type Client struct {
-	Table   *Table
-	HTTP    *transport.Client
-	Node    string
-	Sources func() []string // addresses to ask, the best first
-	Heard   func(events []*rpc.FeedEvent)
-	Wait    time.Duration // that a source may hold a watch; it is how long a silent one goes unnoticed, less a margin
-	Log     *slog.Logger
+	Table    *Table
+	HTTP     *transport.Client
+	Node     string
+	Sources  func() []string // addresses to ask, the best first
+	OnEvents func(events []*rpc.FeedEvent)
+	Wait     time.Duration // that a source may hold a watch; it is how long a silent one goes unnoticed, less a margin
+	Log      *slog.Logger
 
 	freshAt atomic.Int64 // nanoseconds
 }
 
 const (
-	// UsualWait lets a source that has fallen silent be left within watchSlack more.
-	UsualWait = 600 * time.Millisecond
+	// DefaultWait lets a source that has fallen silent be left within watchTimeoutMargin more.
+	DefaultWait = 600 * time.Millisecond
 	// LoopbackWait is for a source on the same machine: it breaks its connections when it ends, and stands still only together with the caller.
-	LoopbackWait = 5 * time.Second
-	watchSlack   = 500 * time.Millisecond
-	pauseAfter   = 50 * time.Millisecond
-	// roundPause is how long to wait once no source was good: all may be waiting for the same leader.
-	roundPause = 150 * time.Millisecond
+	LoopbackWait       = 5 * time.Second
+	watchTimeoutMargin = 500 * time.Millisecond
+	failureDelay       = 50 * time.Millisecond
+	// allFailedDelay is how long to wait once no source was good: all may be waiting for the same leader.
+	allFailedDelay = 150 * time.Millisecond
 )
 
 // Fresh tells whether a source that is itself in touch has answered not longer ago than this.
@@ -47,13 +47,13 @@
 	for ctx.Err() == nil {
 		source := rotation.Next(c.Sources())
 		if source == "" {
-			c.pause(ctx, roundPause)
+			c.sleep(ctx, allFailedDelay)
 			continue
 		}
-		if good := c.ask(ctx, source); !good {
-			c.pause(ctx, rotation.Failed())
+		if good := c.watch(ctx, source); !good {
+			c.sleep(ctx, rotation.Failed())
 		} else {
-			rotation.Good()
+			rotation.Succeeded()
 		}
 	}
 }
@@ -61,48 +61,48 @@
 // Rotation says which source to ask next: the same one as long as it is good, else the one behind it. Now and then the first one, which is the
 // best, is tried again. The zero value begins with it.
 type Rotation struct {
-	turn, failed, good, sources int
+	position, consecutiveFailures, consecutiveSuccesses, sourceCount int
 }
 
-// homeAfter is the number of good answers of another source after which the first one is tried again.
-const homeAfter = 32
+// returnToFirstAfter is the number of good answers of another source after which the first one is tried again.
+const returnToFirstAfter = 32
 
 // Next is the source to ask; empty where there is none.
 func (r *Rotation) Next(sources []string) string {
-	if r.sources = len(sources); r.sources == 0 {
+	if r.sourceCount = len(sources); r.sourceCount == 0 {
 		return ""
 	}
-	return sources[r.turn%r.sources]
+	return sources[r.position%r.sourceCount]
 }
 
-// Good notes that the source was good.
-func (r *Rotation) Good() {
-	r.failed = 0
-	if r.good++; r.good >= homeAfter {
-		r.turn, r.good = 0, 0
+// Succeeded notes that the source was good.
+func (r *Rotation) Succeeded() {
+	r.consecutiveFailures = 0
+	if r.consecutiveSuccesses++; r.consecutiveSuccesses >= returnToFirstAfter {
+		r.position, r.consecutiveSuccesses = 0, 0
 	}
 }
 
 // Failed goes on to the next source and tells how long to wait before.
 func (r *Rotation) Failed() time.Duration {
-	r.turn++
-	r.good = 0
-	if r.failed++; r.failed%max(r.sources, 1) == 0 {
-		return roundPause
+	r.position++
+	r.consecutiveSuccesses = 0
+	if r.consecutiveFailures++; r.consecutiveFailures%max(r.sourceCount, 1) == 0 {
+		return allFailedDelay
 	}
-	return pauseAfter
+	return failureDelay
 }
 
-func (c *Client) pause(ctx context.Context, d time.Duration) {
+func (c *Client) sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-time.After(d):
 	case <-ctx.Done():
 	}
 }
 
-// ask watches once and tells whether the source is good to ask again.
-func (c *Client) ask(ctx context.Context, source string) bool {
-	ctx, cancel := context.WithTimeout(ctx, c.Wait+watchSlack)
+// watch watches once and tells whether the source is good to ask again.
+func (c *Client) watch(ctx context.Context, source string) bool {
+	ctx, cancel := context.WithTimeout(ctx, c.Wait+watchTimeoutMargin)
 	defer cancel()
 	request := &rpc.WatchRequest{Offsets: c.Table.Offsets(), WaitMs: uint32(c.Wait.Milliseconds()), Node: c.Node}
 	response, err := rpc.NewControlProtobufClient("http://"+source, c.HTTP).Watch(ctx, request)
@@ -110,8 +110,8 @@
 		c.Log.Debug("watch failed", "source", source, "error", err)
 		return false
 	}
-	if news := c.Table.Take(response.Feeds); len(news) > 0 {
-		c.Heard(news)
+	if news := c.Table.Merge(response.Feeds); len(news) > 0 {
+		c.OnEvents(news)
 	}
 	if response.Fresh {
 		if c.freshAt.Load() == 0 {
--- a/internal/scheduler/feed/service.go
+++ b/internal/scheduler/feed/source.go
@@ -9,8 +9,8 @@
 const (
 	// maxWait bounds how long a watcher may be held.
 	maxWait = 10 * time.Second
-	// lookEach is how often a held watch looks whether this process is still in touch.
-	lookEach = 150 * time.Millisecond
+	// freshnessCheckInterval is how often a held watch looks whether this process is still in touch.
+	freshnessCheckInterval = 150 * time.Millisecond
 )
 
 // Source answers watchers from a table.
@@ -18,8 +18,8 @@
 	Table *Table
 	// Fresh tells whether this process is in touch itself; nil: its watchers have nobody else to ask, and are held in any case.
 	Fresh func() bool
-	// Gather is how long a change waits for others to be told with it. Who begins, or is behind by a snapshot, is told at once.
-	Gather time.Duration
+	// CoalesceDelay is how long a change waits for others to be told with it. Who begins, or is behind by a snapshot, is told at once.
+	CoalesceDelay time.Duration
 }
 
 // Watch answers a watcher at once where something is new to it, or where this process has lost touch: the watcher should go elsewhere. Else it
@@ -29,42 +29,42 @@
 	defer cancel()
 	var look <-chan time.Time
 	if s.Fresh != nil {
-		ticker := time.NewTicker(lookEach)
+		ticker := time.NewTicker(freshnessCheckInterval)
 		defer ticker.Stop()
 		look = ticker.C
 	}
 	for {
 		feeds, changed := s.Table.Since(r.Offsets)
 		if len(feeds) > 0 {
-			feeds = s.gather(ctx, r, feeds)
-			return &rpc.WatchResponse{Fresh: s.fresh(), Feeds: feeds}
+			feeds = s.coalesce(ctx, r, feeds)
+			return &rpc.WatchResponse{Fresh: s.isFresh(), Feeds: feeds}
 		}
-		if !s.fresh() {
+		if !s.isFresh() {
 			return &rpc.WatchResponse{}
 		}
 		select {
 		case <-changed:
 		case <-look:
 		case <-ctx.Done():
-			return &rpc.WatchResponse{Fresh: s.fresh()}
+			return &rpc.WatchResponse{Fresh: s.isFresh()}
 		}
 	}
 }
 
-func (s *Source) fresh() bool { return s.Fresh == nil || s.Fresh() }
+func (s *Source) isFresh() bool { return s.Fresh == nil || s.Fresh() }
 
-// gather waits for further changes, where nobody waits for a snapshot.
-func (s *Source) gather(ctx context.Context, r *rpc.WatchRequest, feeds []*rpc.ShardFeed) []*rpc.ShardFeed {
+// coalesce waits for further changes, where nobody waits for a snapshot.
+func (s *Source) coalesce(ctx context.Context, r *rpc.WatchRequest, feeds []*rpc.ShardFeed) []*rpc.ShardFeed {
 	for _, f := range feeds {
 		if f.Snapshot {
 			return feeds
 		}
 	}
-	if s.Gather == 0 {
+	if s.CoalesceDelay == 0 {
 		return feeds
 	}
 	select {
-	case <-time.After(s.Gather):
+	case <-time.After(s.CoalesceDelay):
 	case <-ctx.Done():
 	}
 	feeds, _ = s.Table.Since(r.Offsets)
--- a/internal/scheduler/feed/table.go
+++ b/internal/scheduler/feed/table.go
@@ -10,15 +10,15 @@
 	"sync"
 )
 
-// retained is the number of changes of a shard that can be asked for.
-const retained = 2048
+// defaultRetainedEvents is the number of changes of a shard that can be asked for.
+const defaultRetainedEvents = 2048
 
 // Table holds the newest event for each key, by shard.
 type Table struct {
-	mu       sync.Mutex
-	shards   map[string]*shard
-	changed  chan struct{}
-	retained int // changes of a shard that can be asked for; whoever is further behind gets a snapshot
+	mu             sync.Mutex
+	shards         map[string]*shard
+	changed        chan struct{}
+	retainedEvents int // changes of a shard that can be asked for; whoever is further behind gets a snapshot
 }
 
 type shard struct {
@@ -30,13 +30,13 @@
 
 // NewTable returns an empty table.
 func NewTable() *Table {
-	return &Table{shards: map[string]*shard{}, changed: make(chan struct{}), retained: retained}
+	return &Table{shards: map[string]*shard{}, changed: make(chan struct{}), retainedEvents: defaultRetainedEvents}
 }
 
-// NewTail returns an empty table that nobody watches, so that it keeps no changes.
-func NewTail() *Table {
+// NewTableWithoutHistory returns an empty table that nobody watches, so that it keeps no changes.
+func NewTableWithoutHistory() *Table {
 	t := NewTable()
-	t.retained = 0
+	t.retainedEvents = 0
 	return t
 }
 
@@ -49,13 +49,13 @@
 	return s
 }
 
-func (t *Table) wake() {
+func (t *Table) notifyWatchers() {
 	close(t.changed)
 	t.changed = make(chan struct{})
 }
 
-// key is what an event is about: a later event with the same key replaces it.
-func key(e *rpc.FeedEvent) string {
+// eventKey is what an event is about: a later event with the same key replaces it.
+func eventKey(e *rpc.FeedEvent) string {
 	switch x := e.Event.(type) {
 	case *rpc.FeedEvent_Configuration:
 		return "configuration"
@@ -84,18 +84,18 @@
 	s := t.shard(name)
 	for _, e := range events {
 		e.Offset = index
-		s.put(e, t.retained)
+		s.put(e, t.retainedEvents)
 	}
 	s.offset = index
-	t.wake()
+	t.notifyWatchers()
 }
 
 func (s *shard) put(e *rpc.FeedEvent, retained int) {
 	switch e.Event.(type) {
 	case *rpc.FeedEvent_Gone, *rpc.FeedEvent_Left:
-		delete(s.newest, key(e))
+		delete(s.newest, eventKey(e))
 	default:
-		s.newest[key(e)] = e
+		s.newest[eventKey(e)] = e
 	}
 	if retained == 0 {
 		s.floor = e.Offset
@@ -117,7 +117,7 @@
 	s.newest = map[string]*rpc.FeedEvent{}
 	s.events, s.offset, s.floor = nil, index, index
 	for _, e := range events {
-		s.newest[key(e)] = e
+		s.newest[eventKey(e)] = e
 	}
 	for k, e := range old {
 		if s.newest[k] != nil {
@@ -130,13 +130,13 @@
 			removed = append(removed, &rpc.FeedEvent{Offset: index, Event: &rpc.FeedEvent_Left{Left: x.Member.Name}})
 		}
 	}
-	t.wake()
+	t.notifyWatchers()
 	return removed
 }
 
-// Overtake has a shard's offset exceed another one, and whoever is at that given a snapshot. It is for shards whose offsets are not indices of
+// AdvancePast has a shard's offset exceed another one, and whoever is at that given a snapshot. It is for shards whose offsets are not indices of
 // a log: a process that started anew may count from a lower one than a watcher has seen.
-func (t *Table) Overtake(name string, offset uint64) {
+func (t *Table) AdvancePast(name string, offset uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s := t.shard(name)
@@ -144,7 +144,7 @@
 		return
 	}
 	s.offset, s.floor, s.events = offset+1, offset+1, nil
-	t.wake()
+	t.notifyWatchers()
 }
 
 // Offset is the index of a shard's log up to which the table has its changes.
@@ -192,8 +192,8 @@
 	return feeds, t.changed
 }
 
-// Take records what another table told, and returns the events that are new here, in order.
-func (t *Table) Take(feeds []*rpc.ShardFeed) (news []*rpc.FeedEvent) {
+// Merge records what another table told, and returns the events that are new here, in order.
+func (t *Table) Merge(feeds []*rpc.ShardFeed) (news []*rpc.FeedEvent) {
 	for _, f := range feeds {
 		if f.Offset <= t.Offset(f.Shard) {
 			continue // an older state never replaces a newer one
@@ -207,12 +207,12 @@
 		s := t.shard(f.Shard)
 		for _, e := range f.Events {
 			if e.Offset > s.offset {
-				s.put(e, t.retained)
+				s.put(e, t.retainedEvents)
 				news = append(news, e)
 			}
 		}
 		s.offset = f.Offset
-		t.wake()
+		t.notifyWatchers()
 		t.mu.Unlock()
 	}
 	return news
--- a/internal/scheduler/feed/table_test.go
+++ b/internal/scheduler/feed/table_test.go
@@ -32,7 +32,7 @@
 }
 
 // A watcher that tails two sources by turns, of which one lags, sees all changes and never steps back.
-func TestWatchersFollowWhoeverIsAhead(t *testing.T) {
+func TestWatchersFollowTheSourceThatIsAhead(t *testing.T) {
 	is := is.New(t)
 	random := rand.New(rand.NewPCG(1, 1))
 	sources := []*Table{NewTable(), NewTable()}
@@ -40,7 +40,7 @@
 	truth := view{}
 	var history [][]*rpc.FeedEvent
 	behind := 0
-	for i := range 6 * retained {
+	for i := range 6 * defaultRetainedEvents {
 		id := fmt.Sprint(random.IntN(40))
 		events := []*rpc.FeedEvent{instance(id, uint64(i+1))}
 		if random.IntN(4) == 0 {
@@ -49,7 +49,7 @@
 		truth.take(events)
 		history = append(history, events)
 		sources[0].Publish("s", uint64(i+1), events...)
-		for behind < i-random.IntN(3*retained) {
+		for behind < i-random.IntN(3*defaultRetainedEvents) {
 			sources[1].Publish("s", uint64(behind+1), history[behind]...)
 			behind++
 		}
@@ -58,17 +58,17 @@
 		}
 		before := own.Offset("s")
 		feeds, _ := sources[random.IntN(2)].Since(own.Offsets())
-		news := own.Take(feeds)
+		news := own.Merge(feeds)
 		is.True(own.Offset("s") >= before)
 		seen.take(news)
 	}
 	feeds, _ := sources[0].Since(own.Offsets())
-	seen.take(own.Take(feeds))
+	seen.take(own.Merge(feeds))
 	is.Equal(seen, truth)
 }
 
 // Whoever waits is told of the next change, and not held where something is new already.
-func TestSinceTellsOfChanges(t *testing.T) {
+func TestSinceReturnsChanges(t *testing.T) {
 	is := is.New(t)
 	table := NewTable()
 	feeds, changed := table.Since(nil)
@@ -84,25 +84,25 @@
 }
 
 // A source that was started anew and counts from a lower offset than a watcher has seen overtakes it: the watcher is given all that there is.
-func TestOvertake(t *testing.T) {
+func TestAdvancePast(t *testing.T) {
 	is := is.New(t)
 	source, own, seen := NewTable(), NewTable(), view{}
 	source.Publish("members", 1000, instance("a", 1), instance("b", 1))
 	feeds, _ := source.Since(own.Offsets())
-	seen.take(own.Take(feeds))
+	seen.take(own.Merge(feeds))
 	again := NewTable()
 	again.Publish("members", 500, instance("b", 2))
 	feeds, _ = again.Since(own.Offsets())
 	is.Equal(len(feeds), 0)
-	again.Overtake("members", own.Offset("members"))
+	again.AdvancePast("members", own.Offset("members"))
 	feeds, _ = again.Since(own.Offsets())
-	seen.take(own.Take(feeds))
+	seen.take(own.Merge(feeds))
 	is.Equal(seen, view{"b": 2})
-	again.Overtake("members", 7) // it is ahead already
+	again.AdvancePast("members", 7) // it is ahead already
 	is.Equal(again.Offset("members"), uint64(1001))
 	again.Publish("members", 1002, instance("c", 1))
 	feeds, _ = again.Since(own.Offsets())
-	seen.take(own.Take(feeds))
+	seen.take(own.Merge(feeds))
 	is.Equal(seen, view{"b": 2, "c": 1})
 }
 
@@ -129,16 +129,16 @@
 	is.Equal(r.Next(nil), "")
 	sources := []string{"a", "b"}
 	is.Equal(r.Next(sources), "a")
-	is.Equal(r.Failed(), pauseAfter)
+	is.Equal(r.Failed(), failureDelay)
 	is.Equal(r.Next(sources), "b")
-	is.Equal(r.Failed(), roundPause)
+	is.Equal(r.Failed(), allFailedDelay)
 	is.Equal(r.Next(sources), "a")
-	r.Good()
+	r.Succeeded()
 	is.Equal(r.Next(sources), "a")
-	is.Equal(r.Failed(), pauseAfter)
-	for range homeAfter {
+	is.Equal(r.Failed(), failureDelay)
+	for range returnToFirstAfter {
 		is.Equal(r.Next(sources), "b")
-		r.Good()
+		r.Succeeded()
 	}
 	is.Equal(r.Next(sources), "a") // the first one is the best
 }
@@ -155,11 +155,11 @@
 }
 
 // Changes that follow each other soon are told together; who begins isn't kept waiting.
-func TestChangesAreGathered(t *testing.T) {
+func TestChangesAreCoalesced(t *testing.T) {
 	is := is.New(t)
 	table := NewTable()
 	table.Publish("s", 3, instance("a", 1))
-	source := &Source{Table: table, Gather: time.Hour}
+	source := &Source{Table: table, CoalesceDelay: time.Hour}
 	request := &rpc.WatchRequest{WaitMs: 60_000}
 	is.True(source.Watch(context.Background(), request).Feeds[0].Snapshot)
 	table.Publish("s", 4, instance("a", 2))
@@ -173,13 +173,13 @@
 }
 
 // A table that nobody watches keeps the newest of each, and no changes.
-func TestTailKeepsNoChanges(t *testing.T) {
+func TestTableWithoutHistoryRetainsNoChanges(t *testing.T) {
 	is := is.New(t)
-	source, tail, seen := NewTable(), NewTail(), view{}
+	source, tail, seen := NewTable(), NewTableWithoutHistory(), view{}
 	for version := range uint64(9) {
 		source.Publish("s", version+1, instance("a", version), instance("b", version))
 		feeds, _ := source.Since(tail.Offsets())
-		seen.take(tail.Take(feeds))
+		seen.take(tail.Merge(feeds))
 	}
 	is.Equal(seen, view{"a": 8, "b": 8})
 	is.Equal(len(tail.shards["s"].events), 0)
--- a/internal/scheduler/forward/forward.go
+++ b/internal/scheduler/forward/forward.go
@@ -109,7 +109,7 @@
 func (f *Forwarder) newDelivery(r *Request, whole bool) *delivery {
 	return &delivery{
 		Forwarder: f, request: r, whole: whole, services: order(r.Route), tried: map[string]bool{},
-		tries: NewTries(r.Route.Repeatable(), r.Route.MaxAttempts), last: Result{Verdict: outcome.NotRun, Err: ErrNoWorker},
+		tries: NewTries(r.Route.Idempotent(), r.Route.MaxAttempts), last: Result{Verdict: outcome.NotRun, Err: ErrNoWorker},
 	}
 }
 
--- a/internal/scheduler/forward/forward_test.go
+++ b/internal/scheduler/forward/forward_test.go
@@ -149,7 +149,7 @@
 			defer wait.Done()
 			for n := range calls {
 				id := fmt.Sprintf("r%d-%d", caller, n)
-				route := &configuration.Route{Name: "r", Service: "s", Type: configuration.Idempotent, MaxAttempts: attempts, TimeoutMS: 200, TargetLatencyMS: 20}
+				route := &configuration.Route{Name: "r", Service: "s", Type: configuration.TypeIdempotent, MaxAttempts: attempts, TimeoutMS: 200, TargetLatencyMS: 20}
 				if n%2 == 1 {
 					route.Type = "non_idempotent"
 				}
@@ -171,7 +171,7 @@
 					unsure.Add(1)
 				}
 				result.Release()
-				if runs := l.of(id); len(runs) > attempts || len(runs) > 1 && !route.Repeatable() {
+				if runs := l.of(id); len(runs) > attempts || len(runs) > 1 && !route.Idempotent() {
 					t.Errorf("%s (%s) ran at %v", id, route.Type, runs)
 				}
 			}
@@ -217,7 +217,7 @@
 	table := routing.NewTable(routing.Gatherer{Name: "g"}, featuregate.All(), rand.New(rand.NewPCG(1, 1)))
 	table.Put(&rpc.Instance{Id: "w", Service: "s", Capacity: 1, Address: listener.Addr().String()})
 	f := &Forwarder{Table: table, Pool: worker.NewPool(), Clock: func() int64 { return 1_000_000 }}
-	route := &configuration.Route{Name: "r", Service: "s", Type: configuration.Idempotent, MaxAttempts: 2, TimeoutMS: 5000, TargetLatencyMS: 20}
+	route := &configuration.Route{Name: "r", Service: "s", Type: configuration.TypeIdempotent, MaxAttempts: 2, TimeoutMS: 5000, TargetLatencyMS: 20}
 	result := f.Do(context.Background(), &Request{ID: "r1", Method: "POST", URI: "/x", Host: "h", Route: route, Deadline: time.Now().Add(5 * time.Second)})
 	result.Release()
 	is.Equal(result.Verdict, outcome.NotRun)
--- a/internal/scheduler/forward/try.go
+++ b/internal/scheduler/forward/try.go
@@ -49,7 +49,7 @@
 
 // hasPatience tells whether another worker is asked where this one takes long.
 func (d *delivery) hasPatience() bool {
-	return d.whole && d.request.Route.Repeatable() && !d.tries.Last()
+	return d.whole && d.request.Route.Idempotent() && !d.tries.Last()
 }
 
 func (d *delivery) patience() time.Duration {
--- a/internal/scheduler/membership/membership.go
+++ b/internal/scheduler/membership/membership.go
@@ -72,11 +72,11 @@
 	if err != nil {
 		return nil, fmt.Errorf("membership: %w", err)
 	}
-	m := &Membership{changed: changed, start: time.Now(), peerOf: s.PeerOf}
+	m := &Membership{changed: changed, start: time.Now(), peerOf: s.PeerAddressOf}
 	m.view.Store(&View{})
 	var join []netip.AddrPort
 	for _, seed := range s.Seeds {
-		if at, err := netip.ParseAddrPort(s.GossipOf(seed)); err == nil {
+		if at, err := netip.ParseAddrPort(s.GossipAddressOf(seed)); err == nil {
 			join = append(join, at)
 		}
 	}
--- a/internal/scheduler/proxy/handler.go
+++ b/internal/scheduler/proxy/handler.go
@@ -55,7 +55,7 @@
 	switch {
 	case route == nil:
 		answer(ctx, fasthttp.StatusNotFound, "no such route")
-	case route.Type == configuration.Deployment:
+	case route.Type == configuration.TypeDeployment:
 		p.submit(ctx, route, host)
 	default:
 		p.pass(ctx, route, host, path)
@@ -72,7 +72,7 @@
 	wait := startWait
 	if ms, err := strconv.ParseFloat(string(ctx.Request.Header.Peek("Deadline-Ms")), 64); err == nil && ms > 0 {
 		left := time.Duration(ms * float64(time.Millisecond))
-		if p.settings.Decisions.QuickRefusal && worthComingBack(left) {
+		if p.settings.FeatureGates.QuickRefusal && worthComingBack(left) {
 			return nil
 		}
 		wait = min(wait, left/2)
@@ -123,7 +123,7 @@
 		Prompt: forward.SharedPrompt(string(ctx.Request.Header.Peek("Prefix-Hash"))), Arrived: ctx.Time(),
 	}
 	within, stop := untilDeparture(ctx, watchAfter)
-	if route.Type == configuration.Streaming {
+	if route.Type == configuration.TypeStreaming {
 		p.stream(ctx, within, stop, request)
 		return
 	}
--- a/internal/scheduler/proxy/proxy.go
+++ b/internal/scheduler/proxy/proxy.go
@@ -65,7 +65,7 @@
 	s := source.Current()
 	p := &Proxy{settings: s, log: log, client: transport.NewClient(), known: make(chan struct{}), policies: map[string]bool{}, noting: map[string]bool{}}
 	p.ledger = batchclient.New(p.client, s.Zone)
-	p.forwarder = &forward.Forwarder{Table: routing.NewTable(routing.Gatherer{Name: s.NodeName, Zone: s.Zone}, s.Decisions, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))), Pool: worker.NewPool(), Clock: clock}
+	p.forwarder = &forward.Forwarder{Table: routing.NewTable(routing.Gatherer{Name: s.NodeName, Zone: s.Zone}, s.FeatureGates, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))), Pool: worker.NewPool(), Clock: clock}
 	front, err := transport.ListenTCP(s.Listen.Frontend)
 	if err != nil {
 		return err
@@ -74,7 +74,7 @@
 	if err != nil {
 		return err
 	}
-	tail := &feed.Client{Wait: feed.LoopbackWait, Table: feed.NewTail(), HTTP: p.client, Node: s.NodeName, Sources: func() []string { return []string{agent.Address(s)} }, Heard: p.heard, Log: log}
+	tail := &feed.Client{Wait: feed.LoopbackWait, Table: feed.NewTableWithoutHistory(), HTTP: p.client, Node: s.NodeName, Sources: func() []string { return []string{agent.Address(s)} }, OnEvents: p.heard, Log: log}
 	tailCtx, stopTail := context.WithCancel(context.Background())
 	defer stopTail()
 	go tail.Run(tailCtx)
@@ -186,7 +186,7 @@
 		p.log.Error("configuration can't be used", "version", e.Version, "error", err)
 		return
 	}
-	document, err := configuration.Read(text)
+	document, err := configuration.ParseTrusted(text)
 	if err != nil {
 		p.log.Error("configuration can't be used", "version", e.Version, "error", err)
 		return
--- a/internal/scheduler/registry/registry.go
+++ b/internal/scheduler/registry/registry.go
@@ -17,21 +17,21 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Shards is the number of parts that the services are divided into.
-const Shards = 2
+// ShardCount is the number of parts that the services are divided into.
+const ShardCount = 2
 
 // ShardOf is the shard that a service belongs to.
 func ShardOf(service string) string {
 	h := fnv.New32a()
 	h.Write([]byte(service))
-	return ShardName(int(h.Sum32() % Shards))
+	return ShardName(int(h.Sum32() % ShardCount))
 }
 
 // ShardName is the name of a shard and of its group.
 func ShardName(n int) string { return fmt.Sprintf("registry-%d", n) }
 
-// goneMost is the number of workers that are known to have left, so that a late heartbeat doesn't bring them back.
-const goneMost = 4096
+// maxRememberedLeft is the number of workers that are known to have left, so that a late heartbeat doesn't bring them back.
+const maxRememberedLeft = 4096
 
 // Registry is the state of one shard. Apply, Snapshot and Restore are for the replica's goroutine; the rest may be called by any.
 type Registry struct {
@@ -40,14 +40,14 @@
 
 	mu        sync.RWMutex
 	instances map[string]*rpc.Instance
-	gone      map[string]bool
-	goneOrder []string
+	left      map[string]bool
+	leftOrder []string
 	holder    *rpc.Holder
 }
 
 // New returns an empty shard that publishes its changes.
 func New(shard string, table *feed.Table) *Registry {
-	return &Registry{shard: shard, feed: table, instances: map[string]*rpc.Instance{}, gone: map[string]bool{}}
+	return &Registry{shard: shard, feed: table, instances: map[string]*rpc.Instance{}, left: map[string]bool{}}
 }
 
 // Apply implements replica.StateMachine.
@@ -73,7 +73,7 @@
 		r.instances[merged.Id] = merged
 		return []*rpc.FeedEvent{instanceEvent(merged)}
 	case *rpc.RegistryCommand_Remove:
-		r.remember(x.Remove)
+		r.rememberLeft(x.Remove)
 		if r.instances[x.Remove] == nil {
 			return nil
 		}
@@ -101,7 +101,7 @@
 // merge joins what a heartbeat says with what is known: a late heartbeat changes nothing, whoever drains goes on draining, and weights
 // never step back within one start of a worker.
 func (r *Registry) merge(in *rpc.Instance) *rpc.Instance {
-	if r.gone[in.Id] {
+	if r.left[in.Id] {
 		return nil
 	}
 	old := r.instances[in.Id]
@@ -114,12 +114,12 @@
 	merged := proto.Clone(in).(*rpc.Instance)
 	merged.Draining = merged.Draining || old.Draining
 	for _, weights := range old.Models {
-		raise(merged, weights)
+		raiseVersion(merged, weights)
 	}
 	return merged
 }
 
-func raise(instance *rpc.Instance, weights *rpc.ModelWeights) {
+func raiseVersion(instance *rpc.Instance, weights *rpc.ModelWeights) {
 	for _, own := range instance.Models {
 		if own.Name == weights.Name {
 			own.Version = max(own.Version, weights.Version)
@@ -128,15 +128,15 @@
 	}
 }
 
-func (r *Registry) remember(id string) {
-	if r.gone[id] {
+func (r *Registry) rememberLeft(id string) {
+	if r.left[id] {
 		return
 	}
-	r.gone[id] = true
-	r.goneOrder = append(r.goneOrder, id)
-	if len(r.goneOrder) > goneMost {
-		delete(r.gone, r.goneOrder[0])
-		r.goneOrder = r.goneOrder[1:]
+	r.left[id] = true
+	r.leftOrder = append(r.leftOrder, id)
+	if len(r.leftOrder) > maxRememberedLeft {
+		delete(r.left, r.leftOrder[0])
+		r.leftOrder = r.leftOrder[1:]
 	}
 }
 
@@ -144,14 +144,14 @@
 	return &rpc.FeedEvent{Event: &rpc.FeedEvent_Instance{Instance: i}}
 }
 
-// inRecord is the number of workers in one record of a snapshot.
-const inRecord = 256
+// instancesPerRecord is the number of workers in one record of a snapshot.
+const instancesPerRecord = 256
 
 // Snapshot implements replica.StateMachine.
 func (r *Registry) Snapshot() (next func() proto.Message) {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
-	gone, holder := slices.Clone(r.goneOrder), r.holder
+	gone, holder := slices.Clone(r.leftOrder), r.holder
 	instances := make([]*rpc.Instance, 0, len(r.instances))
 	for _, i := range r.instances { // an instance is replaced, never changed
 		instances = append(instances, i)
@@ -161,7 +161,7 @@
 		if ended {
 			return nil
 		}
-		some := instances[:min(len(instances), inRecord)]
+		some := instances[:min(len(instances), instancesPerRecord)]
 		instances = instances[len(some):]
 		if ended = len(instances) == 0; !ended {
 			return &rpc.RegistrySnapshot{Instances: some}
@@ -185,14 +185,14 @@
 		proto.Merge(whole, s)
 	}
 	r.mu.Lock()
-	r.instances, r.gone, r.goneOrder, r.holder = map[string]*rpc.Instance{}, map[string]bool{}, whole.Gone, whole.Holder
+	r.instances, r.left, r.leftOrder, r.holder = map[string]*rpc.Instance{}, map[string]bool{}, whole.Gone, whole.Holder
 	var events []*rpc.FeedEvent
 	for _, i := range whole.Instances {
 		r.instances[i.Id] = i
 		events = append(events, instanceEvent(i))
 	}
 	for _, id := range whole.Gone {
-		r.gone[id] = true
+		r.left[id] = true
 	}
 	r.mu.Unlock()
 	r.feed.Replace(r.shard, index, events)
@@ -213,11 +213,11 @@
 	return r.holder
 }
 
-// Gone tells whether a worker has left.
-func (r *Registry) Gone(id string) bool {
+// HasLeft tells whether a worker has left.
+func (r *Registry) HasLeft(id string) bool {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
-	return r.gone[id]
+	return r.left[id]
 }
 
 // Instances returns all known workers. They must not be changed.
--- a/internal/scheduler/registry/registry_test.go
+++ b/internal/scheduler/registry/registry_test.go
@@ -31,7 +31,7 @@
 	is.Equal(r.Instance("i").Models[0].Version, uint64(3))
 	r.Apply(4, replica.Marshal(&rpc.RegistryCommand{Command: &rpc.RegistryCommand_Remove{Remove: "i"}}))
 	put(r, 5, worker(9, 9, false))
-	is.True(r.Instance("i") == nil && r.Gone("i"))
+	is.True(r.Instance("i") == nil && r.HasLeft("i"))
 	state, err := replica.EncodeState(r.Snapshot())
 	is.NoErr(err)
 	again := New("registry-0", feed.NewTable())
@@ -41,21 +41,21 @@
 }
 
 // Only changes are logged; a worker is lost after three silent intervals, and never because the owner is new.
-func TestOwnerFollowsHeartbeats(t *testing.T) {
+func TestLivenessTracker(t *testing.T) {
 	is := is.New(t)
-	o := NewOwner(1000)
+	o := NewLivenessTracker(1000)
 	known := []*rpc.Instance{worker(1, 1, false)}
-	o.Begin(100_000, known)
-	is.Equal(len(o.Lost(103_000, known)), 0)
-	is.Equal(o.Lost(103_001, known), []string{"i"})
-	is.True(!o.Heard(103_100, known[0], worker(2, 1, false)))
-	is.True(o.Heard(103_100, known[0], worker(2, 2, false)))
-	is.True(o.Heard(103_100, known[0], worker(2, 1, true)))
-	is.True(o.Heard(103_100, nil, worker(2, 1, true)))
-	is.Equal(len(o.Lost(104_000, known)), 0)
-	is.True(o.Silent(105_000, "i"))
-	o.Begin(200_000, known)
-	is.Equal(len(o.Lost(200_500, known)), 0)
+	o.Reset(100_000, known)
+	is.Equal(len(o.NewlyLost(103_000, known)), 0)
+	is.Equal(o.NewlyLost(103_001, known), []string{"i"})
+	is.True(!o.Observe(103_100, known[0], worker(2, 1, false)))
+	is.True(o.Observe(103_100, known[0], worker(2, 2, false)))
+	is.True(o.Observe(103_100, known[0], worker(2, 1, true)))
+	is.True(o.Observe(103_100, nil, worker(2, 1, true)))
+	is.Equal(len(o.NewlyLost(104_000, known)), 0)
+	is.True(o.MissedHeartbeat(105_000, "i"))
+	o.Reset(200_000, known)
+	is.Equal(len(o.NewlyLost(200_500, known)), 0)
 }
 
 // A member that joins is sent the snapshot that the group was founded with, whose state is empty.
@@ -68,36 +68,36 @@
 }
 
 // A heartbeat that comes later than a newer one does not keep a worker alive, nor bring it back.
-func TestLateHeartbeatIsNoSignOfLife(t *testing.T) {
+func TestLateHeartbeatDoesNotProveLiveness(t *testing.T) {
 	is := is.New(t)
-	o := NewOwner(1000)
+	o := NewLivenessTracker(1000)
 	known := []*rpc.Instance{worker(5, 1, false)}
-	o.Begin(100_000, known)
-	is.True(!o.Heard(100_500, known[0], worker(8, 1, false)))
-	is.True(!o.Heard(103_000, known[0], worker(7, 2, false))) // it was on its way for long
-	is.Equal(o.Lost(103_501, known), []string{"i"})
+	o.Reset(100_000, known)
+	is.True(!o.Observe(100_500, known[0], worker(8, 1, false)))
+	is.True(!o.Observe(103_000, known[0], worker(7, 2, false))) // it was on its way for long
+	is.Equal(o.NewlyLost(103_501, known), []string{"i"})
 	lost := worker(5, 1, false)
 	lost.Lost = true
-	is.True(!o.Heard(104_000, lost, worker(7, 1, false)))
-	is.True(o.Heard(104_100, lost, worker(9, 1, false)))
+	is.True(!o.Observe(104_000, lost, worker(7, 1, false)))
+	is.True(o.Observe(104_100, lost, worker(9, 1, false)))
 }
 
 // A process that doesn't own the shard decides nothing; a leave is agreed on once, and late heartbeats after it change nothing.
-func TestDesk(t *testing.T) {
+func TestHeartbeatHandler(t *testing.T) {
 	is := is.New(t)
 	r := New("registry-0", feed.NewTable())
-	desk := NewDesk(r, 1000)
+	desk := NewHeartbeatHandler(r, 1000)
 	beat := &rpc.HeartbeatRequest{Instance: worker(1, 1, false)}
-	outcome, command := desk.Decide(Ownership{Now: 1000, Epoch: 2}, beat)
+	outcome, command := desk.Decide(Ownership{NowMS: 1000, Epoch: 2}, beat)
 	is.True(outcome == rpc.Outcome_NOT_LEADER && command == nil)
-	owner := Ownership{Now: 1000, Epoch: 2, Leased: true}
+	owner := Ownership{NowMS: 1000, Epoch: 2, HasLease: true}
 	outcome, command = desk.Decide(owner, beat)
 	is.True(outcome == rpc.Outcome_DONE && command.GetPut() != nil)
 	r.Apply(1, replica.Marshal(command))
 	outcome, command = desk.Decide(owner, beat)
 	is.True(outcome == rpc.Outcome_DONE && command == nil)
 	leave := &rpc.HeartbeatRequest{Instance: &rpc.Instance{Id: "i"}, Leaving: true}
-	outcome, command = desk.Decide(Ownership{Now: 1000, Epoch: 2}, leave)
+	outcome, command = desk.Decide(Ownership{NowMS: 1000, Epoch: 2}, leave)
 	is.True(outcome == rpc.Outcome_NOT_LEADER && command == nil)
 	_, command = desk.Decide(owner, leave)
 	r.Apply(2, replica.Marshal(command))
--- a/internal/scheduler/settings/settings.go
+++ b/internal/scheduler/settings/settings.go
@@ -15,8 +15,8 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Variable names the environment variable that holds the file's path.
-const Variable = "SAFFRONQUAY_SETTINGS"
+// EnvironmentVariable names the environment variable that holds the file's path.
+const EnvironmentVariable = "SAFFRONQUAY_SETTINGS"
 
 // What a process may serve.
 const (
@@ -46,7 +46,7 @@
 	Limits          Limits               `toml:"limits"`
 	Tolerance       Tolerance            `toml:"faultTolerance"`
 	Bounds          Bounds               `toml:"bounds"`
-	Decisions       featuregate.Switches `toml:"decisions"`
+	FeatureGates    featuregate.Switches `toml:"decisions"`
 }
 
 // Listen holds the addresses for what the role serves.
@@ -104,7 +104,7 @@
 	s := &Settings{HeartbeatMS: 1000, Bounds: Bounds{
 		ContactMS: 3000, CatchUpS: 5, DrainMS: 2000, GraceS: 8, PropagationMS: 2000,
 		StatusIntervalS: 120, CancelMS: 3000, LeaseMS: 3000,
-	}, Decisions: featuregate.All()}
+	}, FeatureGates: featuregate.All()}
 	if err := toml.Unmarshal(text, s); err != nil {
 		var at *toml.DecodeError
 		if errors.As(err, &at) {
@@ -148,7 +148,7 @@
 	if s.Tolerance.Machines < 0 {
 		fault("faultTolerance.machines", "want 0 or more, not %d", s.Tolerance.Machines)
 	}
-	if err := s.Decisions.Check(); err != nil {
+	if err := s.FeatureGates.Check(); err != nil {
 		fault("decisions.policy", "%v", err)
 	}
 	return errors.Join(faults...)
@@ -163,26 +163,28 @@
 	reservedPorts
 )
 
-func (s *Settings) at(port int) string {
+func (s *Settings) address(port int) string {
 	return net.JoinHostPort(s.IP, fmt.Sprint(s.PortRange[0]+port))
 }
 
 // PeerAddress is where the process answers calls of others of the system.
-func (s *Settings) PeerAddress() string { return s.at(peerPort) }
+func (s *Settings) PeerAddress() string { return s.address(peerPort) }
 
 // GossipAddress is where it takes part in the membership protocol.
-func (s *Settings) GossipAddress() string { return s.at(gossipPort) }
+func (s *Settings) GossipAddress() string { return s.address(gossipPort) }
 
 // AgentAddress is where the agent of a machine answers the proxy beside it.
-func (s *Settings) AgentAddress() string { return s.at(agentPort) }
+func (s *Settings) AgentAddress() string { return s.address(agentPort) }
 
-// PeerOf is the peer address of the machine that an address of any kind belongs to. Ports are the same on all machines.
-func (s *Settings) PeerOf(address string) string { return s.sibling(address, peerPort) }
+// PeerAddressOf is the peer address of the machine that an address of any kind belongs to. Ports are the same on all machines.
+func (s *Settings) PeerAddressOf(address string) string { return s.addressOnHostOf(address, peerPort) }
 
-// GossipOf is the address of the membership protocol on the machine that an address belongs to.
-func (s *Settings) GossipOf(address string) string { return s.sibling(address, gossipPort) }
+// GossipAddressOf is the address of the membership protocol on the machine that an address belongs to.
+func (s *Settings) GossipAddressOf(address string) string {
+	return s.addressOnHostOf(address, gossipPort)
+}
 
-func (s *Settings) sibling(address string, port int) string {
+func (s *Settings) addressOnHostOf(address string, port int) string {
 	host, _, err := net.SplitHostPort(address)
 	if err != nil {
 		return ""
--- a/internal/scheduler/settings/settings_test.go
+++ b/internal/scheduler/settings/settings_test.go
@@ -28,19 +28,19 @@
 	s, err := Parse([]byte(good))
 	is.NoErr(err)
 	is.Equal(s.PeerAddress(), "10.1.0.38:7380")
-	is.Equal(s.GossipOf("10.9.0.1:8144"), "10.9.0.1:7381")
+	is.Equal(s.GossipAddressOf("10.9.0.1:8144"), "10.9.0.1:7381")
 	is.Equal(s.GroupSize(), 3)
 	is.True(s.Bounds.Fencing)
-	is.Equal(s.Decisions, featuregate.All())
+	is.Equal(s.FeatureGates, featuregate.All())
 }
 
-func TestDecisionsAreSwitchedOffOneByOne(t *testing.T) {
+func TestFeatureGatesAreDisabledOneByOne(t *testing.T) {
 	is := is.New(t)
 	s, err := Parse([]byte(good + "[decisions]\nnearbyWorkers = false\n"))
 	is.NoErr(err)
 	want := featuregate.All()
 	want.NearbyWorkers = false
-	is.Equal(s.Decisions, want)
+	is.Equal(s.FeatureGates, want)
 }
 
 // All faults are named at once, each with its key.
--- a/internal/scheduler/settings/source.go
+++ b/internal/scheduler/settings/source.go
@@ -9,45 +9,45 @@
 // Source gives the settings as the file has them now: it is looked at again where it has changed, which may happen without any signal.
 type Source struct {
 	path     string
-	overrule Overrule
+	override Override
 
-	mu       sync.Mutex
-	current  *Settings
-	modified time.Time
-	looked   time.Time
+	mu         sync.Mutex
+	current    *Settings
+	modifiedAt time.Time
+	checkedAt  time.Time
 }
 
-// lookEach bounds how often the file is looked at.
-const lookEach = time.Second
+// checkInterval bounds how often the file is looked at.
+const checkInterval = time.Second
 
-// Overrule changes settings after they were read, as the command line says.
-type Overrule func(*Settings)
+// Override changes settings after they were read, as the command line says.
+type Override func(*Settings)
 
 // NewSource reads a file for the first time.
-func NewSource(path string, overrule Overrule) (*Source, error) {
+func NewSource(path string, overrule Override) (*Source, error) {
 	s, err := Load(path)
 	if err != nil {
 		return nil, err
 	}
 	overrule(s)
-	return &Source{path: path, overrule: overrule, current: s, looked: time.Now()}, nil
+	return &Source{path: path, override: overrule, current: s, checkedAt: time.Now()}, nil
 }
 
 // Current returns the newest settings that could be read.
 func (s *Source) Current() *Settings {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if time.Since(s.looked) < lookEach {
+	if time.Since(s.checkedAt) < checkInterval {
 		return s.current
 	}
-	s.looked = time.Now()
+	s.checkedAt = time.Now()
 	info, err := os.Stat(s.path)
-	if err != nil || info.ModTime().Equal(s.modified) {
+	if err != nil || info.ModTime().Equal(s.modifiedAt) {
 		return s.current
 	}
-	s.modified = info.ModTime()
+	s.modifiedAt = info.ModTime()
 	if changed, err := Load(s.path); err == nil {
-		s.overrule(changed)
+		s.override(changed)
 		s.current = changed
 	}
 	return s.current
--- a/internal/scheduler/simulation/clients.go
+++ b/internal/scheduler/simulation/clients.go
@@ -342,8 +342,8 @@
 		to.heartbeat(registry.ShardOf(r.Instance.Service), r, until, answer)
 		return
 	}
-	open, all := registry.Shards, true
-	for n := range registry.Shards {
+	open, all := registry.ShardCount, true
+	for n := range registry.ShardCount {
 		to.heartbeat(registry.ShardName(n), r, until, func(taken bool) {
 			all = all && taken
 			if open--; open == 0 {
--- a/internal/scheduler/simulation/control.go
+++ b/internal/scheduler/simulation/control.go
@@ -42,7 +42,7 @@
 		}
 	}
 	for _, shard := range slices.Sorted(maps.Keys(m.desks)) {
-		for _, command := range m.desks[shard].Overdue(m.ownership(shard), forgetMS) {
+		for _, command := range m.desks[shard].OverdueCommands(m.ownership(shard), forgetMS) {
 			m.propose(shard, replica.Marshal(command), func(replica.Proposed) {})
 		}
 		m.orderWorkers(shard)
@@ -58,7 +58,7 @@
 	if status == nil {
 		return registry.Ownership{}
 	}
-	return registry.Ownership{Now: m.w.now, Epoch: status.Epoch, Leased: status.Lease(m.w.now) || m.w.bug(LeaseIgnored)}
+	return registry.Ownership{NowMS: m.w.now, Epoch: status.Epoch, HasLease: status.Lease(m.w.now) || m.w.bug(LeaseIgnored)}
 }
 
 // place sees to it that each group's wanted replicas are those that the machines allow.
@@ -144,7 +144,7 @@
 
 // replaceConfiguration takes an operator's order and answers with a status.
 func (m *machine) replaceConfiguration(o *configurationOrder, answer func(int)) {
-	m.decide(directory.Replace(o.base, o.version, o.patch, o.body), func(result *rpc.DirectoryResult) {
+	m.decide(directory.ReplaceCommand(o.base, o.version, o.patch, o.body), func(result *rpc.DirectoryResult) {
 		if result == nil {
 			answer(503)
 			return
@@ -330,7 +330,7 @@
 		if !ok || !told.fresh {
 			m.tail.Failed()
 		}
-		for _, e := range m.feed.Take(told.feeds) {
+		for _, e := range m.feed.Merge(told.feeds) {
 			if p := e.GetPlacement(); p != nil {
 				m.follow(p)
 			}
@@ -359,8 +359,8 @@
 	if status == nil || !status.Lease(w.now) {
 		return
 	}
-	wanted := m.directory.Models()
-	present := m.desks[shard].Present(w.now)
+	wanted := m.directory.NamedVersions()
+	present := m.desks[shard].ResponsiveInstances(w.now)
 	slices.SortFunc(present, func(a, b *rpc.Instance) int { return cmp.Compare(a.Id, b.Id) })
 	orders := weights.Plan(present, wanted, nil, &weights.Rules{
 		Single: func(string) bool { return false }, AtOnce: func(n int) int { return n },
--- a/internal/scheduler/simulation/gatherers.go
+++ b/internal/scheduler/simulation/gatherers.go
@@ -104,7 +104,7 @@
 			return
 		}
 		if ok && told.fresh {
-			g.tail.Good()
+			g.tail.Succeeded()
 			g.freshAt = w.now
 		} else {
 			g.tail.Failed()
@@ -115,7 +115,7 @@
 
 func (g *gatherer) take(feeds []*rpc.ShardFeed) {
 	before := g.feed.Offsets()
-	for _, e := range g.feed.Take(feeds) {
+	for _, e := range g.feed.Merge(feeds) {
 		switch x := e.Event.(type) {
 		case *rpc.FeedEvent_Configuration:
 			if x.Configuration.Version < g.version {
--- a/internal/scheduler/simulation/history.go
+++ b/internal/scheduler/simulation/history.go
@@ -120,7 +120,7 @@
 	}
 	body := o.body
 	if o.patch {
-		changed, err := configuration.Apply([]byte(s.body), o.body)
+		changed, err := configuration.ApplyPatch([]byte(s.body), o.body)
 		if err != nil {
 			return s, false
 		}
--- a/internal/scheduler/simulation/judge.go
+++ b/internal/scheduler/simulation/judge.go
@@ -114,8 +114,8 @@
 		w.fail(Lost, "configuration %d was acknowledged, %d is in force", newest, leader.directory.Table().Version)
 	}
 	for name, version := range w.versions {
-		if leader.directory.Models()[name] < version {
-			w.fail(Lost, "version %d of %s was acknowledged, %d is known", version, name, leader.directory.Models()[name])
+		if leader.directory.NamedVersions()[name] < version {
+			w.fail(Lost, "version %d of %s was acknowledged, %d is known", version, name, leader.directory.NamedVersions()[name])
 		}
 	}
 	for _, id := range slices.Sorted(maps.Keys(w.jobs)) {
--- a/internal/scheduler/simulation/machine.go
+++ b/internal/scheduler/simulation/machine.go
@@ -63,7 +63,7 @@
 	feed      *feed.Table
 	directory *directory.Directory
 	registry  map[string]*registry.Registry
-	desks     map[string]*registry.Desk
+	desks     map[string]*registry.HeartbeatHandler
 	held      map[string]uint64 // by registry shard: the epoch under which it sends orders
 	ledgers   map[string]*batchjobs.Ledger
 	schedule  map[string]*batchjobs.Scheduler
@@ -108,7 +108,7 @@
 
 func stewardGroups() []string {
 	names := []string{directory.Shard}
-	for n := range registry.Shards {
+	for n := range registry.ShardCount {
 		names = append(names, registry.ShardName(n))
 	}
 	return names
@@ -141,11 +141,11 @@
 	m.up, m.heard, m.seenAt, m.tail = true, map[string]int64{}, 0, feed.Rotation{}
 	m.feed = feed.NewTable()
 	m.directory = directory.New(m.feed)
-	m.registry, m.desks, m.held = map[string]*registry.Registry{}, map[string]*registry.Desk{}, map[string]uint64{}
-	for n := range registry.Shards {
+	m.registry, m.desks, m.held = map[string]*registry.Registry{}, map[string]*registry.HeartbeatHandler{}, map[string]uint64{}
+	for n := range registry.ShardCount {
 		name := registry.ShardName(n)
 		m.registry[name] = registry.New(name, m.feed)
-		m.desks[name] = registry.NewDesk(m.registry[name], heartbeatMS)
+		m.desks[name] = registry.NewHeartbeatHandler(m.registry[name], heartbeatMS)
 	}
 	m.ledgers, m.schedule = map[string]*batchjobs.Ledger{}, map[string]*batchjobs.Scheduler{}
 	for n := range ledgerShards {
--- a/internal/scheduler/storage/storage.go
+++ b/internal/scheduler/storage/storage.go
@@ -50,7 +50,7 @@
 	st.service = &batchjobs.Service{Log: log, KeepResults: settings.Seconds(s.Bounds.StatusIntervalS + keepSlackS), Demand: st.demand}
 	sender := replica.NewSender(st.client)
 	options.SnapshotBytes = cmp.Or(options.SnapshotBytes, s.Limits.DiskMB<<20/diskShare)
-	options.Gather = s.Decisions.GatheredWrites
+	options.Gather = s.FeatureGates.GatheredWrites
 	if st.host, err = replica.NewHost(replica.Config{
 		Identity: st.identity, Store: store, Machine: st.service.Machine, Send: sender.Send, Log: log,
 		Options: options,
@@ -68,7 +68,7 @@
 	if st.membership, err = membership.Start(s, settings.ServesStorage, st.identity.ID, log, nil); err != nil {
 		return err
 	}
-	tail := &feed.Client{Wait: feed.UsualWait, Table: feed.NewTail(), HTTP: st.client, Node: s.NodeName, Sources: st.stewards, Heard: st.heard, Log: log}
+	tail := &feed.Client{Wait: feed.DefaultWait, Table: feed.NewTableWithoutHistory(), HTTP: st.client, Node: s.NodeName, Sources: st.stewards, OnEvents: st.heard, Log: log}
 	go st.host.Run()
 	go server.Serve()
 	go st.service.Run(ctx)
@@ -114,7 +114,7 @@
 		addresses = append(addresses, m.Address)
 	}
 	for _, seed := range s.Seeds {
-		if address := s.PeerOf(seed); address != "" && !slices.Contains(addresses, address) {
+		if address := s.PeerAddressOf(seed); address != "" && !slices.Contains(addresses, address) {
 			addresses = append(addresses, address)
 		}
 	}
