--- a/internal/scheduler/controlplane/api.go
+++ b/internal/scheduler/controlplane/api.go
@@ -22,7 +22,7 @@
 )
 
 // routes are the calls of the operator, the trainers and the workers.
-func (st *Steward) routes() fasthttp.RequestHandler {
+func (st *Server) routes() fasthttp.RequestHandler {
 	r := router.New()
 	r.POST("/api/Config.Replace", func(ctx *fasthttp.RequestCtx) { st.replace(ctx, false) })
 	r.POST("/api/Config.Patch", func(ctx *fasthttp.RequestCtx) { st.replace(ctx, true) })
@@ -54,7 +54,7 @@
 func fail(ctx *fasthttp.RequestCtx, status int, message string) { reply(ctx, status, answer{message}) }
 
 // decide has the directory decide on a command, and answers where it can't.
-func (st *Steward) decide(ctx *fasthttp.RequestCtx, command *rpc.DirectoryCommand) *rpc.DirectoryResult {
+func (st *Server) decide(ctx *fasthttp.RequestCtx, command *rpc.DirectoryCommand) *rpc.DirectoryResult {
 	within, cancel := context.WithTimeout(context.Background(), submitTimeout)
 	defer cancel()
 	proposed := st.submit(within, directory.Shard, replica.Marshal(command))
@@ -71,7 +71,7 @@
 }
 
 // replace takes a whole configuration, or a change of named items.
-func (st *Steward) replace(ctx *fasthttp.RequestCtx, patch bool) {
+func (st *Server) replace(ctx *fasthttp.RequestCtx, patch bool) {
 	body := append([]byte(nil), ctx.PostBody()...)
 	base, err := strconv.ParseUint(string(ctx.Request.Header.Peek("Base-Version")), 10, 64)
 	if err != nil {
@@ -95,15 +95,15 @@
 	if result == nil {
 		return
 	}
-	if status := StatusOf(result.Status); status == fasthttp.StatusOK {
+	if status := HTTPStatus(result.Status); status == fasthttp.StatusOK {
 		reply(ctx, status, answer{})
 	} else {
 		fail(ctx, status, result.Message)
 	}
 }
 
-// StatusOf is how the operator is told what the directory has decided. An order that may have been taken is never refused.
-func StatusOf(decided rpc.DirectoryStatus) int {
+// HTTPStatus is how the operator is told what the directory has decided. An order that may have been taken is never refused.
+func HTTPStatus(decided rpc.DirectoryStatus) int {
 	switch decided {
 	case rpc.DirectoryStatus_DIRECTORY_OK:
 		return fasthttp.StatusOK
@@ -116,7 +116,7 @@
 }
 
 // get returns the newest configuration as the operator sent it.
-func (st *Steward) get(ctx *fasthttp.RequestCtx) {
+func (st *Server) get(ctx *fasthttp.RequestCtx) {
 	result := st.decide(ctx, &rpc.DirectoryCommand{Command: &rpc.DirectoryCommand_Read{Read: &rpc.Read{}}})
 	if result == nil {
 		return
@@ -135,7 +135,7 @@
 }
 
 // nameVersion notes a version of weights.
-func (st *Steward) nameVersion(ctx *fasthttp.RequestCtx) {
+func (st *Server) nameVersion(ctx *fasthttp.RequestCtx) {
 	var named struct {
 		Model   string `json:"model"`
 		Version uint64 `json:"version"`
--- a/internal/scheduler/controlplane/place.go
+++ b/internal/scheduler/controlplane/place.go
@@ -20,7 +20,7 @@
 )
 
 // machines lists those that can hold replicas of a kind.
-func (st *Steward) machines(kind string) (list []placement.Machine) {
+func (st *Server) machines(kind string) (list []placement.Machine) {
 	view := st.membership.View()
 	retirements := st.directory.Retirements()
 	for _, m := range view.Members {
@@ -38,7 +38,7 @@
 }
 
 // place sees to it that each group's wanted replicas are those that the machines allow. Only the directory's leader does.
-func (st *Steward) place(ctx context.Context) {
+func (st *Server) place(ctx context.Context) {
 	status := st.host.Status(directory.Shard)
 	if status == nil || st.host.Now()-status.LedSince < settleTime.Milliseconds() {
 		return // members that were only just heard of again would look dead
@@ -77,7 +77,7 @@
 }
 
 // mayPlaceFirst tells whether enough storage machines are known to place a group for the first time.
-func (st *Steward) mayPlaceFirst(stores []placement.Machine, size int) bool {
+func (st *Server) mayPlaceFirst(stores []placement.Machine, size int) bool {
 	alive := 0
 	for _, m := range stores {
 		if m.Alive {
@@ -89,7 +89,7 @@
 }
 
 // withNodes adds the machines' names to founders, who know only each other's addresses.
-func (st *Steward) withNodes(replicas []*rpc.Replica, machines []placement.Machine) (named []*rpc.Replica) {
+func (st *Server) withNodes(replicas []*rpc.Replica, machines []placement.Machine) (named []*rpc.Replica) {
 	for _, r := range replicas {
 		x := &rpc.Replica{Id: r.Id, Address: r.Address, Node: r.Node}
 		for _, m := range machines {
@@ -105,7 +105,7 @@
 	return named
 }
 
-func (st *Steward) propose(ctx context.Context, group string, current, plan []*rpc.Replica) {
+func (st *Server) propose(ctx context.Context, group string, current, plan []*rpc.Replica) {
 	if len(plan) == 0 || placement.Same(current, plan) && st.directory.Placements()[group] != nil {
 		return
 	}
--- a/internal/scheduler/controlplane/retire.go
+++ b/internal/scheduler/controlplane/retire.go
@@ -19,7 +19,7 @@
 const stayingDeadMS = 30_000
 
 // startRetire asks for a storage machine to be emptied.
-func (st *Steward) startRetire(ctx *fasthttp.RequestCtx) {
+func (st *Server) startRetire(ctx *fasthttp.RequestCtx) {
 	response := st.askRetire(&rpc.RetireRequest{Node: ctx.UserValue("node").(string), Start: true})
 	switch {
 	case response == nil:
@@ -34,7 +34,7 @@
 }
 
 // getRetire tells how far the emptying of a storage machine is.
-func (st *Steward) getRetire(ctx *fasthttp.RequestCtx) {
+func (st *Server) getRetire(ctx *fasthttp.RequestCtx) {
 	response := st.askRetire(&rpc.RetireRequest{Node: ctx.UserValue("node").(string)})
 	state := "active"
 	switch {
@@ -53,7 +53,7 @@
 }
 
 // askRetire asks the directory's leader; nil where none answers.
-func (st *Steward) askRetire(r *rpc.RetireRequest) *rpc.RetireResponse {
+func (st *Server) askRetire(r *rpc.RetireRequest) *rpc.RetireResponse {
 	ctx, cancel := context.WithTimeout(context.Background(), passTimeout)
 	defer cancel()
 	for {
@@ -76,7 +76,7 @@
 }
 
 // Retire implements rpc.Control.
-func (st *Steward) Retire(ctx context.Context, r *rpc.RetireRequest) (*rpc.RetireResponse, error) {
+func (st *Server) Retire(ctx context.Context, r *rpc.RetireRequest) (*rpc.RetireResponse, error) {
 	status := st.host.Status(directory.Shard)
 	switch {
 	case status == nil:
@@ -95,7 +95,7 @@
 	case st.host.Now()-status.LedSince < settleTime.Milliseconds():
 		return &rpc.RetireResponse{Outcome: rpc.Outcome_UNAVAILABLE}, nil // machines that were not heard of yet would seem to be missing
 	}
-	if refusal := RefuseRetire(r.Node, st.machines(settings.ServesStorage), st.ledgerPlacements(), st.settings.GroupSize()); refusal != rpc.RetireState_RETIRE_NOT_ASKED {
+	if refusal := RetireRefusal(r.Node, st.machines(settings.ServesStorage), st.ledgerPlacements(), st.settings.GroupSize()); refusal != rpc.RetireState_RETIRE_NOT_ASKED {
 		return &rpc.RetireResponse{Outcome: rpc.Outcome_DONE, State: refusal}, nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, controlTimeout)
@@ -104,8 +104,8 @@
 	return &rpc.RetireResponse{Outcome: st.host.Propose(ctx, directory.Shard, command).Outcome, State: rpc.RetireState_RETIRE_ACTIVE}, nil
 }
 
-// RefuseRetire tells why a machine can't be emptied; RETIRE_NOT_ASKED where nothing speaks against it.
-func RefuseRetire(node string, machines []placement.Machine, placements []*rpc.Placement, size int) rpc.RetireState {
+// RetireRefusal returns why a machine can't be emptied; RETIRE_NOT_ASKED where nothing speaks against it.
+func RetireRefusal(node string, machines []placement.Machine, placements []*rpc.Placement, size int) rpc.RetireState {
 	known, staying := false, 0
 	for _, m := range machines {
 		known = known || m.Node == node
@@ -128,7 +128,7 @@
 }
 
 // ledgerPlacements are the wanted replicas of the groups that storage machines hold.
-func (st *Steward) ledgerPlacements() (list []*rpc.Placement) {
+func (st *Server) ledgerPlacements() (list []*rpc.Placement) {
 	for name, p := range st.directory.Placements() {
 		if st.machine(name) == nil {
 			list = append(list, p)
@@ -138,7 +138,7 @@
 }
 
 // retire finds out which machines that are to be emptied hold nothing any more.
-func (st *Steward) retire(ctx context.Context) {
+func (st *Server) retire(ctx context.Context) {
 	for node, completed := range st.directory.Retirements() {
 		if completed || !st.emptied(ctx, node) {
 			continue
@@ -151,7 +151,7 @@
 }
 
 // emptied tells whether no group has a replica on a machine, as the groups' leaders say.
-func (st *Steward) emptied(ctx context.Context, node string) bool {
+func (st *Server) emptied(ctx context.Context, node string) bool {
 	placements := st.directory.Placements()
 	for _, name := range st.ledgerGroups() {
 		wanted := placements[name]
@@ -171,7 +171,7 @@
 }
 
 // settled tells whether a group's leader says that its members are the wanted ones and hold everything.
-func (st *Steward) settled(ctx context.Context, wanted *rpc.Placement) bool {
+func (st *Server) settled(ctx context.Context, wanted *rpc.Placement) bool {
 	ctx, cancel := context.WithTimeout(ctx, controlTimeout)
 	defer cancel()
 	for _, r := range wanted.Replicas {
@@ -180,7 +180,7 @@
 			continue
 		}
 		for _, g := range response.Groups {
-			if g.Group == wanted.Group && SettledAs(g, wanted) {
+			if g.Group == wanted.Group && MatchesPlacement(g, wanted) {
 				return true
 			}
 		}
@@ -188,8 +188,8 @@
 	return false
 }
 
-// SettledAs tells whether a group's leader says, while it holds its lease, that the group's members are the wanted ones, that this is agreed
+// MatchesPlacement tells whether a group's leader says, while it holds its lease, that the group's members are the wanted ones, that this is agreed
 // on, and that each of them holds on its disk all that was there before. A machine that isn't among them holds nothing that they lack.
-func SettledAs(g *rpc.GroupStatus, wanted *rpc.Placement) bool {
+func MatchesPlacement(g *rpc.GroupStatus, wanted *rpc.Placement) bool {
 	return g.Leads && g.Settled && g.HeldByAll && len(g.Membership.GetLearners()) == 0 && placement.Same(g.Membership.GetVoters(), wanted.Replicas)
 }
--- a/internal/scheduler/controlplane/retire_test.go
+++ b/internal/scheduler/controlplane/retire_test.go
@@ -20,23 +20,23 @@
 func TestRefusedRetirements(t *testing.T) {
 	is := is.New(t)
 	machines := []placement.Machine{{Node: "a", Alive: true}, {Node: "b", Alive: true}, {Node: "c", DeadMS: 5000}, {Node: "d", Alive: true}}
-	is.Equal(RefuseRetire("d", machines, nil, 3), rpc.RetireState_RETIRE_NOT_ASKED)
-	is.Equal(RefuseRetire("x", machines, nil, 3), rpc.RetireState_RETIRE_NO_SUCH_MACHINE)
-	is.Equal(RefuseRetire("x", machines, []*rpc.Placement{{Replicas: members("x")}}, 3), rpc.RetireState_RETIRE_NOT_ASKED)
+	is.Equal(RetireRefusal("d", machines, nil, 3), rpc.RetireState_RETIRE_NOT_ASKED)
+	is.Equal(RetireRefusal("x", machines, nil, 3), rpc.RetireState_RETIRE_NO_SUCH_MACHINE)
+	is.Equal(RetireRefusal("x", machines, []*rpc.Placement{{Replicas: members("x")}}, 3), rpc.RetireState_RETIRE_NOT_ASKED)
 	machines[2].DeadMS = stayingDeadMS
-	is.Equal(RefuseRetire("d", machines, nil, 3), rpc.RetireState_RETIRE_TOO_FEW_LEFT)
+	is.Equal(RetireRefusal("d", machines, nil, 3), rpc.RetireState_RETIRE_TOO_FEW_LEFT)
 	machines[2] = placement.Machine{Node: "c", Alive: true, Retiring: true}
-	is.Equal(RefuseRetire("d", machines, nil, 3), rpc.RetireState_RETIRE_TOO_FEW_LEFT)
+	is.Equal(RetireRefusal("d", machines, nil, 3), rpc.RetireState_RETIRE_TOO_FEW_LEFT)
 }
 
 // A machine counts as emptied only where the leader itself, under its lease, says that the wanted members are in force and hold everything.
-func TestSettledAs(t *testing.T) {
+func TestMatchesPlacement(t *testing.T) {
 	is := is.New(t)
 	wanted := &rpc.Placement{Group: "g", Replicas: members("a", "b", "d"), Revision: 7}
 	good := func() *rpc.GroupStatus {
 		return &rpc.GroupStatus{Group: "g", Leads: true, Settled: true, HeldByAll: true, Membership: &rpc.Membership{Voters: members("d", "a", "b")}}
 	}
-	is.True(SettledAs(good(), wanted))
+	is.True(MatchesPlacement(good(), wanted))
 	for _, spoil := range []func(*rpc.GroupStatus){
 		func(g *rpc.GroupStatus) { g.Leads = false },     // it was cut off, or another one leads by now
 		func(g *rpc.GroupStatus) { g.Settled = false },   // the others haven't agreed
@@ -46,6 +46,6 @@
 	} {
 		g := good()
 		spoil(g)
-		is.True(!SettledAs(g, wanted))
+		is.True(!MatchesPlacement(g, wanted))
 	}
 }
--- a/internal/scheduler/controlplane/steward.go
+++ b/internal/scheduler/controlplane/server.go
@@ -25,8 +25,8 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Steward is a running process of this role.
-type Steward struct {
+// Server is a running process of this role.
+type Server struct {
 	source   *settings.Source
 	settings *settings.Settings
 	log      *slog.Logger
@@ -51,7 +51,7 @@
 
 // shard is a part of the registry at this steward.
 type shard struct {
-	steward  *Steward
+	server   *Server
 	name     string
 	registry *registry.Registry
 	desk     *registry.Desk
@@ -66,7 +66,7 @@
 
 // Run serves until the context ends, then closes what is open.
 func Run(ctx context.Context, source *settings.Source, options replica.Options, log *slog.Logger) error {
-	st := &Steward{
+	st := &Server{
 		source: source, settings: source.Current(), options: options, log: log, client: transport.NewClient(), feed: feed.NewTable(), shards: map[string]*shard{},
 		changed: make(chan struct{}), begun: time.Now(),
 	}
@@ -87,7 +87,7 @@
 	return names
 }
 
-func (st *Steward) open() (err error) {
+func (st *Server) open() (err error) {
 	if st.facts, err = replica.OpenFacts(st.settings.DataDir); err != nil {
 		return err
 	}
@@ -101,7 +101,7 @@
 	for n := range registry.Shards {
 		name := registry.ShardName(n)
 		state := registry.New(name, st.feed)
-		st.shards[name] = &shard{steward: st, name: name, registry: state, desk: registry.NewDesk(state, st.settings.HeartbeatMS)}
+		st.shards[name] = &shard{server: st, name: name, registry: state, desk: registry.NewDesk(state, st.settings.HeartbeatMS)}
 	}
 	sender := replica.NewSender(st.client)
 	st.options.Gather = st.settings.Decisions.GatheredWrites
@@ -109,7 +109,7 @@
 	return err
 }
 
-func (st *Steward) machine(group string) replica.StateMachine {
+func (st *Server) machine(group string) replica.StateMachine {
 	if group == directory.Shard {
 		return st.directory
 	}
@@ -119,14 +119,14 @@
 	return nil
 }
 
-func (st *Steward) groupChanged(string) {
+func (st *Server) groupChanged(string) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	close(st.changed)
 	st.changed = make(chan struct{})
 }
 
-func (st *Steward) serve(ctx context.Context) error {
+func (st *Server) serve(ctx context.Context) error {
 	peer, err := transport.Listen(st.settings.PeerAddress(), map[string]http.Handler{
 		rpc.ReplicationPathPrefix: rpc.NewReplicationServer(&replica.Service{Host: st.host}),
 		rpc.ControlPathPrefix:     rpc.NewControlServer(st),
@@ -151,10 +151,10 @@
 	go st.control.Serve(control)
 	go st.controlLoop(ctx)
 	for _, sh := range st.shards {
-		holder := &weights.Holder{
-			Node: st.settings.NodeName, Lease: settings.Milliseconds(st.settings.Bounds.LeaseMS),
+		holder := &weights.Dispatcher{
+			Node: st.settings.NodeName, TakeOverDelay: settings.Milliseconds(st.settings.Bounds.LeaseMS),
 			Fenced: st.settings.Bounds.Fencing, Shard: sh, Wanted: st.directory.Models,
-			Rules: weights.Rules{Single: st.singleVersion, AtOnce: weights.ShareAtOnce, Slots: st.slots}, Log: st.log,
+			Rules: weights.Rules{SingleVersion: st.singleVersion, MaxConcurrent: weights.ConcurrentLoads, Slots: st.slots}, Log: st.log,
 		}
 		go holder.Run(ctx)
 	}
@@ -175,7 +175,7 @@
 }
 
 // found starts the groups at the first start of the whole system: the machines that the seeds name are their founders.
-func (st *Steward) found() {
+func (st *Server) found() {
 	if !st.settings.Bootstrap {
 		return
 	}
@@ -194,16 +194,16 @@
 }
 
 // singleVersion tells whether a model's texts must be made by one version of its weights; while nobody has said so, they may have to.
-func (st *Steward) singleVersion(model string) bool {
+func (st *Server) singleVersion(model string) bool {
 	single, known := st.directory.Policy(model)
 	return single || !known
 }
 
 // slots is how many requests of a model its open jobs need to run at once.
-func (st *Steward) slots(model string) float64 { return st.demand.Slots(st.host.Now(), model) }
+func (st *Server) slots(model string) float64 { return st.demand.Slots(st.host.Now(), model) }
 
 // fresh tells whether this steward is in touch with the leaders of all groups.
-func (st *Steward) fresh() bool {
+func (st *Server) fresh() bool {
 	for _, name := range groups() {
 		status := st.host.Status(name)
 		if status == nil || !status.InTouch(st.host.Now(), freshWithin) {
@@ -214,7 +214,7 @@
 }
 
 // Watch implements rpc.Control.
-func (st *Steward) Watch(ctx context.Context, r *rpc.WatchRequest) (*rpc.WatchResponse, error) {
+func (st *Server) Watch(ctx context.Context, r *rpc.WatchRequest) (*rpc.WatchResponse, error) {
 	source := feed.Source{Table: st.feed, Fresh: st.fresh}
 	if st.settings.Decisions.GatheredChanges {
 		source.Gather = gatherChanges
@@ -223,7 +223,7 @@
 }
 
 // NotePolicy implements rpc.Control.
-func (st *Steward) NotePolicy(ctx context.Context, p *rpc.ModelPolicy) (*rpc.NotePolicyResponse, error) {
+func (st *Server) NotePolicy(ctx context.Context, p *rpc.ModelPolicy) (*rpc.NotePolicyResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, submitTimeout)
 	defer cancel()
 	command := replica.Marshal(&rpc.DirectoryCommand{Command: &rpc.DirectoryCommand_Policy{Policy: p}})
@@ -231,17 +231,17 @@
 }
 
 // NoteDemand implements rpc.Control.
-func (st *Steward) NoteDemand(_ context.Context, d *rpc.Demand) (*rpc.NoteDemandResponse, error) {
-	st.demand.Note(st.host.Now(), d.Shard, d.Slots)
+func (st *Server) NoteDemand(_ context.Context, d *rpc.Demand) (*rpc.NoteDemandResponse, error) {
+	st.demand.Update(st.host.Now(), d.Shard, d.Slots)
 	return &rpc.NoteDemandResponse{}, nil
 }
 
-func (st *Steward) submit(ctx context.Context, group string, command []byte) replica.Proposed {
+func (st *Server) submit(ctx context.Context, group string, command []byte) replica.Proposed {
 	return replica.Submit(ctx, st.host, st.client, group, command)
 }
 
 // controlAddress is where the process with a peer address answers workers and the operator.
-func (st *Steward) controlAddress(peer string) string {
+func (st *Server) controlAddress(peer string) string {
 	host, _, err := net.SplitHostPort(peer)
 	own, err2 := netip.ParseAddrPort(st.settings.Listen.ControlPlane)
 	if err != nil || err2 != nil {
@@ -251,7 +251,7 @@
 }
 
 // controlLoop keeps what this steward leads in order: placements, retirements, lost workers.
-func (st *Steward) controlLoop(ctx context.Context) {
+func (st *Server) controlLoop(ctx context.Context) {
 	ticker := time.NewTicker(150 * time.Millisecond)
 	defer ticker.Stop()
 	for {
@@ -276,7 +276,7 @@
 }
 
 // ledgerGroups names the groups that storage machines hold, shard 0 last: once it is placed, all are.
-func (st *Steward) ledgerGroups() (names []string) {
+func (st *Server) ledgerGroups() (names []string) {
 	placements := st.directory.Placements()
 	shards := batchjobs.ShardsIn(func(group string) bool { return placements[group] != nil })
 	if shards == 0 {
--- a/internal/scheduler/controlplane/shard.go
+++ b/internal/scheduler/controlplane/shard.go
@@ -17,10 +17,10 @@
 )
 
 // status is how the shard's group stands here; nil where this steward holds no replica of it.
-func (sh *shard) status() *replica.Status { return sh.steward.host.Status(sh.name) }
+func (sh *shard) status() *replica.Status { return sh.server.host.Status(sh.name) }
 
 // Heartbeat implements rpc.Control: it takes in what another steward passes on.
-func (st *Steward) Heartbeat(ctx context.Context, r *rpc.HeartbeatRequest) (*rpc.HeartbeatResponse, error) {
+func (st *Server) Heartbeat(ctx context.Context, r *rpc.HeartbeatRequest) (*rpc.HeartbeatResponse, error) {
 	sh := st.shards[cmp.Or(r.Shard, registry.ShardOf(r.Instance.Service))]
 	if sh == nil {
 		return &rpc.HeartbeatResponse{Outcome: rpc.Outcome_UNAVAILABLE}, nil
@@ -30,7 +30,7 @@
 
 // ownership is how this steward stands towards the shard now.
 func (sh *shard) ownership(status *replica.Status) registry.Ownership {
-	now := sh.steward.host.Now()
+	now := sh.server.host.Now()
 	return registry.Ownership{Now: now, Epoch: status.Epoch, Leased: status.Lease(now)}
 }
 
@@ -53,7 +53,7 @@
 }
 
 func (sh *shard) propose(ctx context.Context, command *rpc.RegistryCommand) *rpc.HeartbeatResponse {
-	return &rpc.HeartbeatResponse{Outcome: sh.steward.host.Propose(ctx, sh.name, replica.Marshal(command)).Outcome}
+	return &rpc.HeartbeatResponse{Outcome: sh.server.host.Propose(ctx, sh.name, replica.Marshal(command)).Outcome}
 }
 
 // tick declares workers lost whose heartbeats have ceased.
@@ -65,7 +65,7 @@
 	ctx, cancel := context.WithTimeout(ctx, controlTimeout)
 	defer cancel()
 	for _, command := range sh.desk.Overdue(sh.ownership(status), forgetAfterMS) {
-		sh.steward.log.Info("worker overdue", "shard", sh.name, "command", command)
+		sh.server.log.Info("worker overdue", "shard", sh.name, "command", command)
 		sh.propose(ctx, command)
 	}
 }
@@ -76,37 +76,37 @@
 	if status == nil {
 		return 0, false
 	}
-	return status.Epoch, status.Lease(sh.steward.host.Now())
+	return status.Epoch, status.Lease(sh.server.host.Now())
 }
 
-// Owned implements weights.Shard.
-func (sh *shard) Owned() time.Duration {
+// OwnedFor implements weights.Shard.
+func (sh *shard) OwnedFor() time.Duration {
 	status := sh.status()
 	if status == nil || !status.Leader {
 		return 0
 	}
-	return time.Duration(sh.steward.host.Now()-status.LedSince) * time.Millisecond
+	return time.Duration(sh.server.host.Now()-status.LedSince) * time.Millisecond
 }
 
 // LastHolder implements weights.Shard.
 func (sh *shard) LastHolder() (node string, ended bool) {
 	holder := sh.registry.Holder()
-	return holder.GetNode(), sh.steward.membership.View().Start(holder.GetNode()) != holder.GetStart()
+	return holder.GetNode(), sh.server.membership.View().Start(holder.GetNode()) != holder.GetStart()
 }
 
-// Hold implements weights.Shard.
-func (sh *shard) Hold(ctx context.Context, epoch uint64) bool {
-	hold := &rpc.Holder{Node: sh.steward.settings.NodeName, Epoch: epoch, Start: sh.steward.membership.View().Start(sh.steward.settings.NodeName)}
+// RecordHolder implements weights.Shard.
+func (sh *shard) RecordHolder(ctx context.Context, epoch uint64) bool {
+	hold := &rpc.Holder{Node: sh.server.settings.NodeName, Epoch: epoch, Start: sh.server.membership.View().Start(sh.server.settings.NodeName)}
 	return sh.propose(ctx, &rpc.RegistryCommand{Command: &rpc.RegistryCommand_Hold{Hold: hold}}).Outcome == rpc.Outcome_DONE
 }
 
 // Instances implements weights.Shard. Workers that have missed a heartbeat are left out: an order to them would only wait.
 func (sh *shard) Instances() []*rpc.Instance {
-	return sh.desk.Present(sh.steward.host.Now())
+	return sh.desk.Present(sh.server.host.Now())
 }
 
-// Record implements weights.Shard.
-func (sh *shard) Record(ctx context.Context, id, model string, version uint64) {
+// RecordVersion implements weights.Shard.
+func (sh *shard) RecordVersion(ctx context.Context, id, model string, version uint64) {
 	known := sh.registry.Instance(id)
 	if known == nil {
 		return
--- a/internal/scheduler/controlplane/workers.go
+++ b/internal/scheduler/controlplane/workers.go
@@ -36,7 +36,7 @@
 }
 
 // instance takes a worker's heartbeat or its leave.
-func (st *Steward) instance(ctx *fasthttp.RequestCtx, leaving bool) {
+func (st *Server) instance(ctx *fasthttp.RequestCtx, leaving bool) {
 	id := ctx.UserValue("id").(string)
 	if leaving {
 		st.leave(ctx, id)
@@ -59,7 +59,7 @@
 
 // leave takes a worker's leave. The call names no service, and this steward may not have heard of the worker yet, so every shard has to note
 // it: a leave that is acknowledged but noted at the wrong shard would have requests sent to the worker.
-func (st *Steward) leave(ctx *fasthttp.RequestCtx, id string) {
+func (st *Server) leave(ctx *fasthttp.RequestCtx, id string) {
 	within, cancel := context.WithTimeout(context.Background(), passTimeout)
 	defer cancel()
 	noted := make(chan bool, len(st.shards))
@@ -94,7 +94,7 @@
 }
 
 // pass gives a heartbeat or a leave to the owner of a shard, and tells who that is.
-func (st *Steward) pass(ctx context.Context, name string, r *rpc.HeartbeatRequest) (owner string, ok bool) {
+func (st *Server) pass(ctx context.Context, name string, r *rpc.HeartbeatRequest) (owner string, ok bool) {
 	sh := st.shards[name]
 	for {
 		response := sh.heartbeat(ctx, r)
--- a/internal/scheduler/simulation/control.go
+++ b/internal/scheduler/simulation/control.go
@@ -138,7 +138,7 @@
 			return false
 		}
 		s := at.engine.Status(wanted.Group)
-		return s != nil && stewardrole.SettledAs(&rpc.GroupStatus{Leads: s.Lease(m.w.now), Settled: s.Settled, HeldByAll: s.HeldByAll, Membership: s.Membership}, wanted)
+		return s != nil && stewardrole.MatchesPlacement(&rpc.GroupStatus{Leads: s.Lease(m.w.now), Settled: s.Settled, HeldByAll: s.HeldByAll, Membership: s.Membership}, wanted)
 	})
 }
 
@@ -149,7 +149,7 @@
 			answer(503)
 			return
 		}
-		answer(stewardrole.StatusOf(result.Status))
+		answer(stewardrole.HTTPStatus(result.Status))
 	})
 }
 
@@ -229,7 +229,7 @@
 			placements = append(placements, p)
 		}
 	}
-	switch stewardrole.RefuseRetire(node, m.knows(store), placements, m.w.groupSize()) {
+	switch stewardrole.RetireRefusal(node, m.knows(store), placements, m.w.groupSize()) {
 	case rpc.RetireState_RETIRE_NO_SUCH_MACHINE:
 		answer(404)
 		return
@@ -352,7 +352,7 @@
 	m.turnAt = 0
 }
 
-// orderWorkers sends the orders of a registry shard that this machine holds, as weights.Holder does.
+// orderWorkers sends the orders of a registry shard that this machine holds, as weights.Dispatcher does.
 func (m *machine) orderWorkers(shard string) {
 	w := m.w
 	status := m.engine.Status(shard)
@@ -363,7 +363,7 @@
 	present := m.desks[shard].Present(w.now)
 	slices.SortFunc(present, func(a, b *rpc.Instance) int { return cmp.Compare(a.Id, b.Id) })
 	orders := weights.Plan(present, wanted, nil, &weights.Rules{
-		Single: func(string) bool { return false }, AtOnce: func(n int) int { return n },
+		SingleVersion: func(string) bool { return false }, MaxConcurrent: func(n int) int { return n },
 		Slots: func(string) float64 { return 100 },
 	})
 	if len(orders) == 0 {
@@ -375,7 +375,7 @@
 		holder := w.machine(last.GetNode())
 		ended := holder == nil || uint64(holder.life) != last.GetStart()
 		owned := time.Duration(w.now-status.LedSince) * time.Millisecond
-		may := weights.MayHold(m.name, last.GetNode(), ended, w.options.Fencing, owned, leaseMS*time.Millisecond) || w.bug(HolderAtOnce)
+		may := weights.MayTakeOver(m.name, last.GetNode(), ended, w.options.Fencing, owned, leaseMS*time.Millisecond) || w.bug(HolderAtOnce)
 		if !may || m.holding {
 			return
 		}
--- a/internal/scheduler/weights/demand.go
+++ b/internal/scheduler/weights/demand.go
@@ -20,8 +20,8 @@
 // holdMS is how long a demand is held on to.
 const holdMS = 15_000
 
-// Note takes in what a shard of the ledger needs now. Times are milliseconds.
-func (d *Demand) Note(now int64, shard string, slots map[string]float64) {
+// Update takes in what a shard of the ledger needs now. Times are milliseconds.
+func (d *Demand) Update(now int64, shard string, slots map[string]float64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.peaks == nil {
--- a/internal/scheduler/weights/holder.go
+++ b/internal/scheduler/weights/dispatcher.go
@@ -16,30 +16,30 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Shard is what a holder needs of the registry shard whose workers it sends orders to.
+// Shard is what a dispatcher needs of the registry shard whose workers it sends orders to.
 type Shard interface {
 	// Lease tells whether this process owns the shard right now, and under which epoch.
 	Lease() (epoch uint64, owned bool)
-	// Owned is for how long it has owned it.
-	Owned() time.Duration
+	// OwnedFor is for how long it has owned it.
+	OwnedFor() time.Duration
 	// LastHolder is the machine that sent orders last; empty where none did. ended tells whether its process has ended since.
 	LastHolder() (node string, ended bool)
-	// Hold records this machine as the holder.
-	Hold(ctx context.Context, epoch uint64) bool
+	// RecordHolder records this machine as the holder.
+	RecordHolder(ctx context.Context, epoch uint64) bool
 	Instances() []*rpc.Instance
-	// Record tells the shard of a worker's new weights.
-	Record(ctx context.Context, instance, model string, version uint64)
+	// RecordVersion tells the shard of a worker's new weights.
+	RecordVersion(ctx context.Context, instance, model string, version uint64)
 }
 
-// Holder sends the orders of one shard.
-type Holder struct {
-	Node   string
-	Lease  time.Duration // how long after another holder's last order this one must wait
-	Fenced bool          // workers check fences, so that nothing late of an ended holder takes effect
-	Shard  Shard
-	Wanted func() map[string]uint64
-	Rules  Rules
-	Log    *slog.Logger
+// Dispatcher sends the orders of one shard.
+type Dispatcher struct {
+	Node          string
+	TakeOverDelay time.Duration // how long after another holder's last order this one must wait
+	Fenced        bool          // workers check fences, so that nothing late of an ended holder takes effect
+	Shard         Shard
+	Wanted        func() map[string]uint64
+	Rules         Rules
+	Log           *slog.Logger
 
 	mu     sync.Mutex
 	busy   map[string]string // the models of the orders under way, by worker
@@ -61,11 +61,11 @@
 	shareAtOnce   = 3 // one in so many workers loads at a time
 )
 
-// ShareAtOnce is how many workers of a service load weights at a time.
-func ShareAtOnce(workers int) int { return (workers + shareAtOnce - 1) / shareAtOnce }
+// ConcurrentLoads is how many workers of a service load weights at a time.
+func ConcurrentLoads(workers int) int { return (workers + shareAtOnce - 1) / shareAtOnce }
 
 // Run works until the context ends.
-func (h *Holder) Run(ctx context.Context) {
+func (h *Dispatcher) Run(ctx context.Context) {
 	h.busy, h.loads = map[string]string{}, map[Mode]*loadTime{Wait: {}, Retain: {}}
 	h.client = fasthttp.Client{
 		Dial: transport.Dial, MaxIdemponentCallAttempts: 1, MaxIdleConnDuration: idleMost, NoDefaultUserAgentHeader: true,
@@ -84,7 +84,7 @@
 }
 
 // turn begins the orders that are due now.
-func (h *Holder) turn(ctx context.Context) {
+func (h *Dispatcher) turn(ctx context.Context) {
 	wanted := h.Wanted()
 	if len(wanted) == 0 {
 		return
@@ -108,24 +108,24 @@
 	}
 }
 
-// MayHold tells whether a machine may send orders that has owned their shard for a while. Another one's last order must be a lease ago; at
+// MayTakeOver tells whether a machine may send orders that has owned their shard for a while. Another one's last order must be a lease ago; at
 // once only where that one's process has ended and workers check fences, so that nothing of it that is still on its way takes effect.
-func MayHold(node, last string, ended, fenced bool, owned, lease time.Duration) bool {
+func MayTakeOver(node, last string, ended, fenced bool, owned, lease time.Duration) bool {
 	return last == "" || last == node || owned >= lease || fenced && ended
 }
 
 // mayHold makes this machine the holder, once another one's last order is long enough ago.
-func (h *Holder) mayHold(ctx context.Context, epoch uint64) bool {
+func (h *Dispatcher) mayHold(ctx context.Context, epoch uint64) bool {
 	if h.held == epoch {
 		return true
 	}
 	last, ended := h.Shard.LastHolder()
-	if !MayHold(h.Node, last, ended, h.Fenced, h.Shard.Owned(), h.Lease) {
+	if !MayTakeOver(h.Node, last, ended, h.Fenced, h.Shard.OwnedFor(), h.TakeOverDelay) {
 		return false
 	}
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
-	if h.Shard.Hold(ctx, epoch) {
+	if h.Shard.RecordHolder(ctx, epoch) {
 		h.held = epoch
 	}
 	return h.held == epoch
@@ -142,7 +142,7 @@
 }
 
 // carryOut sends an order and waits until the worker has the weights.
-func (h *Holder) carryOut(ctx context.Context, order Order, epoch uint64) {
+func (h *Dispatcher) carryOut(ctx context.Context, order Order, epoch uint64) {
 	defer func() {
 		h.mu.Lock()
 		delete(h.busy, order.Instance.Id)
@@ -194,7 +194,7 @@
 		metrics.Label{Name: "mode", Value: string(order.Mode)}, metrics.Label{Name: "status", Value: strconv.Itoa(status)}).Inc()
 }
 
-func (h *Holder) pause(ctx context.Context, d time.Duration) bool {
+func (h *Dispatcher) pause(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-time.After(d):
 		return true
@@ -203,7 +203,7 @@
 	}
 }
 
-func (h *Holder) order(order Order, epoch uint64) (status int, err error) {
+func (h *Dispatcher) order(order Order, epoch uint64) (status int, err error) {
 	body, err := json.Marshal(orderBody{"version", order.Model, order.Version, order.Mode, h.Node, epoch})
 	if err != nil {
 		return 0, err
@@ -222,7 +222,7 @@
 	return response.StatusCode(), nil
 }
 
-func (h *Holder) report(instance *rpc.Instance, model string) (version uint64, busy bool, err error) {
+func (h *Dispatcher) report(instance *rpc.Instance, model string) (version uint64, busy bool, err error) {
 	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(request)
 	defer fasthttp.ReleaseResponse(response)
@@ -252,6 +252,6 @@
 	return version, r.Busy, nil
 }
 
-func (h *Holder) record(ctx context.Context, order Order) {
-	h.Shard.Record(ctx, order.Instance.Id, order.Model, order.Version)
+func (h *Dispatcher) record(ctx context.Context, order Order) {
+	h.Shard.RecordVersion(ctx, order.Instance.Id, order.Model, order.Version)
 }
--- a/internal/scheduler/weights/plan.go
+++ b/internal/scheduler/weights/plan.go
@@ -33,26 +33,26 @@
 
 // The causes.
 const (
-	NextVersion Cause = "next_version" // the worker has the version before
-	Skips       Cause = "skips"        // it has one further back: the versions between were never loaded there
-	Empty       Cause = "empty"        // it has none
+	NextVersion     Cause = "next_version" // the worker has the version before
+	SkippedVersions Cause = "skips"        // it has one further back: the versions between were never loaded there
+	NoVersion       Cause = "empty"        // it has none
 )
 
 func causeOf(has, wanted uint64) Cause {
 	switch {
 	case has == 0:
-		return Empty
+		return NoVersion
 	case wanted-has > 1:
-		return Skips
+		return SkippedVersions
 	}
 	return NextVersion
 }
 
 // Rules are what a plan follows.
 type Rules struct {
-	Single func(model string) bool    // whether a model's texts must be made by one version
-	AtOnce func(workers int) int      // bounds the orders under way for one model in a service of so many workers
-	Slots  func(model string) float64 // how many requests of a model its open jobs need to run at once; 0 where that isn't known
+	SingleVersion func(model string) bool    // whether a model's texts must be made by one version
+	MaxConcurrent func(workers int) int      // bounds the orders under way for one model in a service of so many workers
+	Slots         func(model string) float64 // how many requests of a model its open jobs need to run at once; 0 where that isn't known
 }
 
 // Plan returns the orders to send now. wanted holds the newest named version by model, busy the workers that an order is under way at and the
@@ -79,7 +79,7 @@
 			loading[model]++
 		}
 	}
-	most := rules.AtOnce(len(workers))
+	most := rules.MaxConcurrent(len(workers))
 	type candidate struct {
 		Order
 		behind uint64
@@ -100,7 +100,7 @@
 				continue
 			}
 			mode := Retain
-			if rules.Single(m.Name) {
+			if rules.SingleVersion(m.Name) {
 				mode = Wait
 			}
 			candidates = append(candidates, candidate{
--- a/internal/scheduler/weights/weights_test.go
+++ b/internal/scheduler/weights/weights_test.go
@@ -20,7 +20,7 @@
 }
 
 func rules() *Rules {
-	return &Rules{Single: func(string) bool { return false }, AtOnce: ShareAtOnce, Slots: func(string) float64 { return 0 }}
+	return &Rules{SingleVersion: func(string) bool { return false }, MaxConcurrent: ConcurrentLoads, Slots: func(string) float64 { return 0 }}
 }
 
 // A version reaches its model's share of the workers a few at a time, and the plan ends.
@@ -65,7 +65,7 @@
 func TestModes(t *testing.T) {
 	is := is.New(t)
 	single := rules()
-	single.Single = func(string) bool { return true }
+	single.SingleVersion = func(string) bool { return true }
 	orders := Plan(workers(3, "a"), map[string]uint64{"a": 2}, nil, single)
 	is.Equal(orders[0].Mode, Wait)
 	lost := workers(1, "a")
@@ -76,18 +76,18 @@
 func TestDemandHoldsOnToThePeak(t *testing.T) {
 	is := is.New(t)
 	var d Demand
-	d.Note(1000, "x", map[string]float64{"a": 30})
-	d.Note(2000, "x", map[string]float64{"a": 5})
-	d.Note(2000, "y", map[string]float64{"a": 7})
+	d.Update(1000, "x", map[string]float64{"a": 30})
+	d.Update(2000, "x", map[string]float64{"a": 5})
+	d.Update(2000, "y", map[string]float64{"a": 7})
 	is.Equal(d.Slots(3000, "a"), 37.0)
-	d.Note(1000+holdMS+1, "x", map[string]float64{"a": 5})
+	d.Update(1000+holdMS+1, "x", map[string]float64{"a": 5})
 	is.Equal(d.Slots(1000+holdMS+1, "a"), 12.0)
 }
 
 // Orders tell why they are sent.
 func TestOrdersTellTheirCause(t *testing.T) {
 	is := is.New(t)
-	for has, want := range map[uint64]Cause{0: Empty, 4: NextVersion, 3: Skips} {
+	for has, want := range map[uint64]Cause{0: NoVersion, 4: NextVersion, 3: SkippedVersions} {
 		w := workers(1, "a")
 		w[0].Models[0].Version = has
 		orders := Plan(w, map[string]uint64{"a": 5}, nil, rules())
