--- a/internal/golden/replicas_test.go
+++ b/internal/golden/replicas_test.go
@@ -63,7 +63,7 @@
 func storeMachines() map[string]replica.StateMachine {
 	machines := map[string]replica.StateMachine{}
 	for n := range 2 {
-		machines[batchjobs.ShardName(n)] = batchjobs.New(nil, func() int64 { return 1 })
+		machines[batchjobs.ShardName(n)] = batchjobs.NewState(nil, func() int64 { return 1 })
 	}
 	return machines
 }
--- a/internal/scheduler/batchclient/client.go
+++ b/internal/scheduler/batchclient/client.go
@@ -31,7 +31,7 @@
 // Errors of calls.
 var (
 	// ErrUnknown says that the call may take effect although nobody said so.
-	ErrUnknown = errors.New("ledger: no clear answer")
+	ErrOutcomeUnknown = errors.New("ledger: no clear answer")
 	// ErrUnavailable says that the call has had no effect.
 	ErrUnavailable = errors.New("ledger: no owner answers")
 )
@@ -42,21 +42,21 @@
 )
 
 // Place notes the replicas of a group.
-func (c *Client) Place(p *rpc.Placement) {
+func (c *Client) UpdatePlacement(p *rpc.Placement) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.placements[p.Group] = p
 }
 
 // Locate notes the zone of an address.
-func (c *Client) Locate(address, zone string) {
+func (c *Client) SetZone(address, zone string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.zones[address] = zone
 }
 
 // Near is a replica of a shard in this process's zone; empty where there is none, or where it leads and is called anyway.
-func (c *Client) Near(shard string) string {
+func (c *Client) NearbyReplica(shard string) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, r := range c.placements[shard].GetReplicas() {
@@ -68,10 +68,10 @@
 }
 
 // Shards are the names of the shards; none while they are not placed yet.
-func (c *Client) Shards() (names []string) {
+func (c *Client) ShardNames() (names []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	count := batchjobs.ShardsIn(func(group string) bool { return c.placements[group] != nil })
+	count := batchjobs.PlacedShardCount(func(group string) bool { return c.placements[group] != nil })
 	for n := range count {
 		names = append(names, batchjobs.ShardName(n))
 	}
@@ -79,9 +79,9 @@
 }
 
 // ShardOf is the shard of a host's jobs; empty while the shards are not placed yet.
-func (c *Client) ShardOf(host string) string {
-	if n := len(c.Shards()); n > 0 {
-		return batchjobs.ShardOf(host, n)
+func (c *Client) ShardOfHost(host string) string {
+	if n := len(c.ShardNames()); n > 0 {
+		return batchjobs.ShardOfHost(host, n)
 	}
 	return ""
 }
@@ -121,7 +121,7 @@
 			cancel()
 			switch {
 			case err != nil:
-				failure = ErrUnknown
+				failure = ErrOutcomeUnknown
 				c.learn(shard, address, "")
 			case outcome == rpc.Outcome_DONE:
 				c.mu.Lock()
@@ -129,7 +129,7 @@
 				c.mu.Unlock()
 				return nil
 			case outcome == rpc.Outcome_OUTCOME_UNKNOWN:
-				failure = ErrUnknown
+				failure = ErrOutcomeUnknown
 				c.learn(shard, address, "")
 			default:
 				c.learn(shard, address, leader)
--- a/internal/scheduler/batchjobs/job.go
+++ b/internal/scheduler/batchjobs/job.go
@@ -141,14 +141,14 @@
 func ShardName(n int) string { return fmt.Sprintf("%s%d", shardPrefix, n) }
 
 // ShardOf is the shard, of so many, that the jobs of a host belong to.
-func ShardOf(host string, shards int) string {
+func ShardOfHost(host string, shards int) string {
 	h := fnv.New32a()
 	h.Write([]byte(host))
 	return ShardName(int(h.Sum32() % uint32(max(shards, 1))))
 }
 
 // ShardsIn is the number of shards that a set of groups holds; 0 while shard 0, which is placed last, is missing.
-func ShardsIn(has func(group string) bool) int {
+func PlacedShardCount(has func(group string) bool) int {
 	if !has(ShardName(0)) {
 		return 0
 	}
@@ -163,4 +163,4 @@
 const machinesPerShard = 6
 
 // ShardsFor is the number of shards that a system with so many storage machines is founded with.
-func ShardsFor(machines int) int { return 1 + max(machines-1, 0)/machinesPerShard }
+func InitialShardCount(machines int) int { return 1 + max(machines-1, 0)/machinesPerShard }
--- a/internal/scheduler/batchjobs/job_test.go
+++ b/internal/scheduler/batchjobs/job_test.go
@@ -53,19 +53,19 @@
 
 func TestShards(t *testing.T) {
 	is := is.New(t)
-	is.Equal(ShardsFor(3), 1)
-	is.Equal(ShardsFor(14), 3)
+	is.Equal(InitialShardCount(3), 1)
+	is.Equal(InitialShardCount(14), 3)
 	has := map[string]bool{"ledger-1": true}
-	is.Equal(ShardsIn(func(g string) bool { return has[g] }), 0) // shard 0 is placed last
+	is.Equal(PlacedShardCount(func(g string) bool { return has[g] }), 0) // shard 0 is placed last
 	has["ledger-0"] = true
-	is.Equal(ShardsIn(func(g string) bool { return has[g] }), 2)
+	is.Equal(PlacedShardCount(func(g string) bool { return has[g] }), 2)
 }
 
 // A restored ledger holds all jobs, items and results, each at its position, also those that take several records; the snapshot that a group
 // was founded with holds none.
 func TestSnapshotOfLongJobs(t *testing.T) {
 	is := is.New(t)
-	l := New(nil, now)
+	l := NewState(nil, now)
 	create := newCreate("long", 50, 4, 50, 9000)
 	l.apply(&rpc.LedgerCommand{Command: &rpc.LedgerCommand_Create{Create: create}})
 	l.apply(&rpc.LedgerCommand{Command: &rpc.LedgerCommand_Create{Create: newCreate("ended", 2, 1, 2, 9000)}})
@@ -77,7 +77,7 @@
 	l.apply(&rpc.LedgerCommand{Command: &rpc.LedgerCommand_Append{Append: &rpc.AppendResults{Job: "long", Results: []*rpc.Result{{Item: create.Items[150].Id}}}}})
 	state, err := replica.EncodeState(next)
 	is.NoErr(err)
-	again := New(nil, now)
+	again := NewState(nil, now)
 	is.NoErr(again.Restore(9, state))
 	total, _, _, found := again.Read("long", 0)
 	is.True(found && total == 200)
@@ -85,7 +85,7 @@
 	for i, r := range again.jobs["long"].results {
 		is.Equal(r.Item, create.Items[i].Id)
 	}
-	body, found := again.Body("long", create.Items[199].Id)
+	body, found := again.ItemBody("long", create.Items[199].Id)
 	is.True(found && len(body) == 0)
 	is.True(again.jobs["ended"].ended)
 	is.NoErr(again.Restore(1, bufio.NewReader(bytes.NewReader(nil))))
--- a/internal/scheduler/batchjobs/leases.go
+++ b/internal/scheduler/batchjobs/leases.go
@@ -57,13 +57,13 @@
 }
 
 // LifeSeparator stands between the name of a gatherer's machine and what tells its process from earlier ones there.
-const LifeSeparator = "/"
+const IncarnationSeparator = "/"
 
 // Heard notes that a gatherer is alive. What an earlier process of its machine held is taken back.
-func (s *Scheduler) Heard(now int64, name string) {
-	machine, _, _ := strings.Cut(name, LifeSeparator)
+func (s *Scheduler) Observe(now int64, name string) {
+	machine, _, _ := strings.Cut(name, IncarnationSeparator)
 	if old := s.lives[machine]; old != name {
-		s.Leave(old)
+		s.RemoveGatherer(old)
 		s.lives[machine] = name
 	}
 	g := s.gatherers[name]
@@ -111,7 +111,7 @@
 }
 
 // Leave takes back what a gatherer holds that goes or is lost.
-func (s *Scheduler) Leave(name string) {
+func (s *Scheduler) RemoveGatherer(name string) {
 	g := s.gatherers[name]
 	if g == nil {
 		return
@@ -125,7 +125,7 @@
 }
 
 // Cancelled returns the leases that a gatherer should give up, once.
-func (s *Scheduler) Cancelled(name string) []uint64 {
+func (s *Scheduler) TakeCancelled(name string) []uint64 {
 	g := s.gatherers[name]
 	if g == nil {
 		return nil
--- a/internal/scheduler/batchjobs/memory_test.go
+++ b/internal/scheduler/batchjobs/memory_test.go
@@ -24,7 +24,7 @@
 		}
 		return b
 	}
-	l := New(nil, now)
+	l := NewState(nil, now)
 	index := uint64(0)
 	apply := func(c *rpc.LedgerCommand) {
 		index++
@@ -62,6 +62,6 @@
 	is.True(ended < jobs*items*textBytes*13/10) // the bodies are gone
 	total, results, _, found := l.Read("job1", 0)
 	is.True(found && total == items && len(results[0].Text) == textBytes)
-	_, found = l.Body("job1", "item1-0")
+	_, found = l.ItemBody("job1", "item1-0")
 	is.True(!found)
 }
--- a/internal/scheduler/batchjobs/scheduler.go
+++ b/internal/scheduler/batchjobs/scheduler.go
@@ -70,14 +70,14 @@
 
 // NewScheduler returns a scheduler for an owner's epoch that knows the jobs of the ledger. wall is the time of day, which may be wrong: what is
 // due follows from it, but an item is given up only after the time that this process has known its job for.
-func NewScheduler(epoch uint64, now, wall int64, jobs []Stored) *Scheduler {
+func NewScheduler(epoch uint64, now, wall int64, jobs []StoredJob) *Scheduler {
 	s := &Scheduler{
 		epoch: epoch, begunAt: now, jobs: map[string]*openJob{}, gatherers: map[string]*gatherer{}, lives: map[string]string{},
 		leases: map[uint64]*lease{}, itemMS: map[string]float64{},
 	}
 	for _, stored := range jobs {
 		if !stored.Ended {
-			s.open(stored.Job, now-max(0, wall-stored.Job.SentUnixMs), min(stored.SeenAt, now), stored.Settled)
+			s.open(stored.Job, now-max(0, wall-stored.Job.SentUnixMs), min(stored.FirstSeenMS, now), stored.Committed)
 		}
 	}
 	return s
@@ -87,7 +87,7 @@
 func (s *Scheduler) Epoch() uint64 { return s.epoch }
 
 // Open begins a job that was just accepted.
-func (s *Scheduler) Open(now int64, create *rpc.CreateJob) {
+func (s *Scheduler) OpenJob(now int64, create *rpc.CreateJob) {
 	if s.jobs[create.Id] == nil {
 		s.open(create, now, now, nil)
 	}
@@ -125,7 +125,7 @@
 }
 
 // Close ends a job: what runs of it is to be cancelled.
-func (s *Scheduler) Close(id string) {
+func (s *Scheduler) CloseJob(id string) {
 	j := s.jobs[id]
 	if j == nil {
 		return
@@ -138,7 +138,7 @@
 }
 
 // Settled records that items of a job are listed. It tells whether any gatherer is to give something up.
-func (s *Scheduler) Settled(id string, items []string) (cancelled bool) {
+func (s *Scheduler) ItemsCommitted(id string, items []string) (cancelled bool) {
 	j := s.jobs[id]
 	if j == nil {
 		return false
@@ -159,7 +159,7 @@
 }
 
 // Report takes in what became of a lease, and returns the result to be listed, if there is one. Other runs of the item go on until it is listed.
-func (s *Scheduler) Report(now int64, r *rpc.Report) *rpc.Result {
+func (s *Scheduler) HandleReport(now int64, r *rpc.Report) *rpc.Result {
 	j := s.jobs[r.Job]
 	if j == nil {
 		return nil
@@ -196,7 +196,7 @@
 }
 
 // Unsettled records that results could not be listed: the items are open again.
-func (s *Scheduler) Unsettled(id string, items []string) {
+func (s *Scheduler) ItemsReopened(id string, items []string) {
 	if j := s.jobs[id]; j != nil {
 		for _, name := range items {
 			if x := j.items[name]; x != nil && x.stage == settling {
@@ -214,7 +214,7 @@
 	for name, g := range s.gatherers {
 		if now-g.seenAt > gathererLostMS {
 			freed = freed || len(g.numbers) > 0
-			s.Leave(name)
+			s.RemoveGatherer(name)
 		}
 	}
 	if now-s.begunAt >= adoptMS && !s.begun {
@@ -261,7 +261,7 @@
 
 // Take leases up to so many items to a gatherer: of the most urgent job first, groups that are begun before others, and no more groups
 // than the trainer waits for and a few to spare while any job has wanted ones left.
-func (s *Scheduler) Take(now int64, name string, want int, free []*rpc.Room) (leases []*rpc.Lease) {
+func (s *Scheduler) GrantLeases(now int64, name string, want int, free []*rpc.Room) (leases []*rpc.Lease) {
 	if want <= 0 || !s.begun || s.gatherers[name] == nil {
 		return nil
 	}
--- a/internal/scheduler/batchjobs/scheduler_test.go
+++ b/internal/scheduler/batchjobs/scheduler_test.go
@@ -22,10 +22,10 @@
 // begun is a scheduler that hands out.
 func begun(jobs ...*rpc.CreateJob) *Scheduler {
 	s := NewScheduler(1, 0, 0, nil)
-	s.Heard(adoptMS, "g")
+	s.Observe(adoptMS, "g")
 	s.Tick(adoptMS)
 	for _, j := range jobs {
-		s.Open(adoptMS, j)
+		s.OpenJob(adoptMS, j)
 	}
 	return s
 }
@@ -36,7 +36,7 @@
 func TestOrder(t *testing.T) {
 	is := is.New(t)
 	s := begun(newCreate("late", 4, 2, 4, 9000), newCreate("soon", 16, 2, 8, 5000))
-	leases := s.Take(adoptMS, "g", 30, room(30))
+	leases := s.GrantLeases(adoptMS, "g", 30, room(30))
 	is.Equal(len(leases), 30)
 	for i, l := range leases {
 		switch {
@@ -55,9 +55,9 @@
 	is := is.New(t)
 	s := begun(newCreate("old", 2, 1, 2, 1000))
 	now := int64(adoptMS + 2001)
-	s.Heard(now, "g")
-	s.Open(now, newCreate("new", 2, 1, 2, 9000))
-	leases := s.Take(now, "g", 3, room(3))
+	s.Observe(now, "g")
+	s.OpenJob(now, newCreate("new", 2, 1, 2, 9000))
+	leases := s.GrantLeases(now, "g", 3, room(3))
 	is.Equal(leases[0].Job, "new")
 	is.Equal(leases[1].Job, "new")
 	is.Equal(leases[2].Job, "old")
@@ -68,39 +68,39 @@
 func TestWeightsMustFit(t *testing.T) {
 	is := is.New(t)
 	s := begun(newCreate("j", 4, 1, 4, 9000))
-	is.Equal(len(s.Take(adoptMS, "g", 9, []*rpc.Room{{Model: "m", Version: 1, Free: 9}, {Model: "x", Version: 9, Free: 9}})), 0)
-	is.Equal(len(s.Take(adoptMS, "g", 9, []*rpc.Room{{Model: "m", Version: 1, Free: 9}, {Model: "m", Version: 3, Free: 2}})), 2)
+	is.Equal(len(s.GrantLeases(adoptMS, "g", 9, []*rpc.Room{{Model: "m", Version: 1, Free: 9}, {Model: "x", Version: 9, Free: 9}})), 0)
+	is.Equal(len(s.GrantLeases(adoptMS, "g", 9, []*rpc.Room{{Model: "m", Version: 1, Free: 9}, {Model: "m", Version: 3, Free: 2}})), 2)
 }
 
 // What a lost gatherer held is handed to another one; its late result still counts, and only one does.
 func TestLostGatherer(t *testing.T) {
 	is := is.New(t)
 	s := begun(newCreate("j", 1, 1, 1, 9000))
-	first := s.Take(adoptMS, "g", 1, room(1))[0]
+	first := s.GrantLeases(adoptMS, "g", 1, room(1))[0]
 	now := int64(adoptMS + gathererLostMS + 1)
-	s.Heard(now, "other")
+	s.Observe(now, "other")
 	_, freed := s.Tick(now)
 	is.True(freed)
-	second := s.Take(now, "other", 1, room(1))
+	second := s.GrantLeases(now, "other", 1, room(1))
 	is.Equal(second[0].Item.Id, first.Item.Id)
-	is.True(s.Report(now, &rpc.Report{Job: "j", Item: first.Item.Id, Number: first.Number, Result: &rpc.Result{Item: first.Item.Id}}) != nil)
-	is.True(s.Report(now, &rpc.Report{Job: "j", Item: first.Item.Id, Number: second[0].Number, Result: &rpc.Result{Item: first.Item.Id}}) == nil)
+	is.True(s.HandleReport(now, &rpc.Report{Job: "j", Item: first.Item.Id, Number: first.Number, Result: &rpc.Result{Item: first.Item.Id}}) != nil)
+	is.True(s.HandleReport(now, &rpc.Report{Job: "j", Item: first.Item.Id, Number: second[0].Number, Result: &rpc.Result{Item: first.Item.Id}}) == nil)
 }
 
 // A new owner lets gatherers go on with what they hold, and cancels what has ended meanwhile. A cancellation that was lost is told again.
 func TestAdoption(t *testing.T) {
 	is := is.New(t)
 	create := newCreate("j", 2, 1, 2, 9000)
-	s := NewScheduler(2, 0, 1000, []Stored{{Job: create, Settled: map[string]bool{create.Items[0].Id: true}}, {Job: newCreate("ended", 1, 1, 1, 9000), Ended: true}})
-	s.Heard(1, "g")
+	s := NewScheduler(2, 0, 1000, []StoredJob{{Job: create, Committed: map[string]bool{create.Items[0].Id: true}}, {Job: newCreate("ended", 1, 1, 1, 9000), Ended: true}})
+	s.Observe(1, "g")
 	s.Adopt(1, "g", []*rpc.HeldLease{{Job: "j", Item: create.Items[0].Id, Number: 11}, {Job: "j", Item: create.Items[1].Id, Number: 12}, {Job: "ended", Item: "x", Number: 13}})
-	is.Equal(s.Cancelled("g"), []uint64{11, 13})
+	is.Equal(s.TakeCancelled("g"), []uint64{11, 13})
 	s.Tick(adoptMS)
-	is.Equal(len(s.Take(adoptMS, "g", 5, room(5))), 0) // the only open item is adopted
-	s.Close("j")
-	is.Equal(s.Cancelled("g"), []uint64{12})
+	is.Equal(len(s.GrantLeases(adoptMS, "g", 5, room(5))), 0) // the only open item is adopted
+	s.CloseJob("j")
+	is.Equal(s.TakeCancelled("g"), []uint64{12})
 	s.Adopt(adoptMS, "g", []*rpc.HeldLease{{Job: "j", Item: create.Items[1].Id, Number: 12}}) // the answer was lost
-	is.Equal(s.Cancelled("g"), []uint64{12})
+	is.Equal(s.TakeCancelled("g"), []uint64{12})
 }
 
 // A lease whose grant was lost on its way is taken back once the gatherer has not listed it for long enough, and not before: the grant may
@@ -108,17 +108,17 @@
 func TestLostGrant(t *testing.T) {
 	is := is.New(t)
 	s := begun(newCreate("j", 2, 1, 2, 90_000))
-	leases := s.Take(adoptMS, "g", 2, room(2))
+	leases := s.GrantLeases(adoptMS, "g", 2, room(2))
 	is.Equal(len(leases), 2)
 	kept := []*rpc.HeldLease{{Job: "j", Item: leases[0].Item.Id, Number: leases[0].Number}}
-	s.Heard(adoptMS+lostGrantMS, "g")
+	s.Observe(adoptMS+lostGrantMS, "g")
 	is.True(!s.Adopt(adoptMS+lostGrantMS, "g", kept))
-	is.Equal(len(s.Take(adoptMS+lostGrantMS, "g", 2, room(2))), 0)
+	is.Equal(len(s.GrantLeases(adoptMS+lostGrantMS, "g", 2, room(2))), 0)
 	is.True(s.Adopt(adoptMS+lostGrantMS+1, "g", kept))
-	again := s.Take(adoptMS+lostGrantMS+1, "g", 2, room(2))
+	again := s.GrantLeases(adoptMS+lostGrantMS+1, "g", 2, room(2))
 	is.Equal(len(again), 1)
 	is.Equal(again[0].Item.Id, leases[1].Item.Id)
-	is.Equal(s.Cancelled("g"), nil) // the other one goes on
+	is.Equal(s.TakeCancelled("g"), nil) // the other one goes on
 }
 
 // An item that fails too often is abandoned, one whose time is over too.
@@ -128,13 +128,13 @@
 	create.MaxQueueMs = 20000
 	s := begun(create)
 	for i := range 3 {
-		lease := s.Take(adoptMS, "g", 1, room(1))[0]
-		result := s.Report(adoptMS, &rpc.Report{Job: "j", Item: lease.Item.Id, Number: lease.Number, Failed: true})
+		lease := s.GrantLeases(adoptMS, "g", 1, room(1))[0]
+		result := s.HandleReport(adoptMS, &rpc.Report{Job: "j", Item: lease.Item.Id, Number: lease.Number, Failed: true})
 		is.Equal(result != nil, i == 2)
 	}
 	expired, _ := s.Tick(adoptMS + 20000)
 	is.Equal(len(expired["j"]), 1)
-	s.Unsettled("j", expired["j"])
+	s.ItemsReopened("j", expired["j"])
 	expired, _ = s.Tick(adoptMS + 20000)
 	is.Equal(len(expired["j"]), 1)
 }
@@ -148,7 +148,7 @@
 
 func playHistory(t *testing.T, seed uint64) {
 	random := rand.New(rand.NewPCG(seed, 3))
-	l := New(nil, now)
+	l := NewState(nil, now)
 	create := newCreate("j", 12, 3, 12, 60_000)
 	l.apply(&rpc.LedgerCommand{Command: &rpc.LedgerCommand_Create{Create: create}})
 	epoch := uint64(1)
@@ -166,13 +166,13 @@
 			delete(held, name) // it restarts
 			continue
 		}
-		s.Heard(now, name)
+		s.Observe(now, name)
 		var told []*rpc.HeldLease
 		for _, lease := range held[name] {
 			told = append(told, &rpc.HeldLease{Job: "j", Item: lease.Item.Id, Number: lease.Number})
 		}
 		s.Adopt(now, name, told)
-		for _, number := range s.Cancelled(name) {
+		for _, number := range s.TakeCancelled(name) {
 			for i, lease := range held[name] {
 				if lease.Number == number {
 					held[name] = append(held[name][:i:i], held[name][i+1:]...)
@@ -180,20 +180,20 @@
 				}
 			}
 		}
-		held[name] = append(held[name], s.Take(now, name, random.IntN(4), room(4))...)
+		held[name] = append(held[name], s.GrantLeases(now, name, random.IntN(4), room(4))...)
 		if len(held[name]) > 0 && random.IntN(2) == 0 {
 			lease := held[name][0]
 			held[name] = held[name][1:]
-			result := s.Report(now, &rpc.Report{Job: "j", Item: lease.Item.Id, Number: lease.Number, Result: &rpc.Result{Item: lease.Item.Id, Completed: true}})
+			result := s.HandleReport(now, &rpc.Report{Job: "j", Item: lease.Item.Id, Number: lease.Number, Result: &rpc.Result{Item: lease.Item.Id, Completed: true}})
 			if result == nil {
 				continue
 			}
 			if random.IntN(8) == 0 { // it could not be listed
-				s.Unsettled("j", []string{result.Item})
+				s.ItemsReopened("j", []string{result.Item})
 				continue
 			}
 			_, change := l.apply(&rpc.LedgerCommand{Command: &rpc.LedgerCommand_Append{Append: &rpc.AppendResults{Job: "j", Results: []*rpc.Result{result, result}}}})
-			s.Settled(change.Settled, change.Items)
+			s.ItemsCommitted(change.CommittedJob, change.CommittedItems)
 		}
 	}
 	seen := map[string]bool{}
@@ -213,7 +213,7 @@
 	is := is.New(t)
 	create := newCreate("j", 1, 1, 1, 9000)
 	create.MaxQueueMs, create.SentUnixMs = 20_000, 1_000_000
-	s := NewScheduler(2, 5000, 1_000_000+3_600_000, []Stored{{Job: create, SeenAt: 4000}})
+	s := NewScheduler(2, 5000, 1_000_000+3_600_000, []StoredJob{{Job: create, FirstSeenMS: 4000}})
 	expired, _ := s.Tick(23_999)
 	is.Equal(len(expired), 0)
 	expired, _ = s.Tick(24_000)
@@ -224,11 +224,11 @@
 func TestRestartedGatherer(t *testing.T) {
 	is := is.New(t)
 	s := begun(newCreate("j", 1, 1, 1, 9000))
-	s.Heard(adoptMS, "edge/1")
-	first := s.Take(adoptMS, "edge/1", 1, room(1))
+	s.Observe(adoptMS, "edge/1")
+	first := s.GrantLeases(adoptMS, "edge/1", 1, room(1))
 	is.Equal(len(first), 1)
-	s.Heard(adoptMS+100, "edge/2")
-	second := s.Take(adoptMS+100, "edge/2", 1, room(1))
+	s.Observe(adoptMS+100, "edge/2")
+	second := s.GrantLeases(adoptMS+100, "edge/2", 1, room(1))
 	is.Equal(len(second), 1)
 	is.Equal(second[0].Item.Id, first[0].Item.Id)
 }
@@ -238,41 +238,41 @@
 func TestLeaseOutlastsAnUnlistedResult(t *testing.T) {
 	is := is.New(t)
 	s := begun(newCreate("j", 1, 1, 1, 9000))
-	first := s.Take(adoptMS, "g", 1, room(1))[0]
+	first := s.GrantLeases(adoptMS, "g", 1, room(1))[0]
 	now := int64(adoptMS + gathererLostMS + 1)
 	s.Tick(now)
-	s.Heard(now, "other")
-	second := s.Take(now, "other", 1, room(1))[0]
+	s.Observe(now, "other")
+	second := s.GrantLeases(now, "other", 1, room(1))[0]
 	is.Equal(second.Item.Id, first.Item.Id)
-	s.Heard(now, "g")
-	is.True(s.Report(now, &rpc.Report{Job: "j", Item: first.Item.Id, Number: first.Number, Result: &rpc.Result{Item: first.Item.Id}}) != nil)
-	s.Unsettled("j", []string{first.Item.Id})
-	is.Equal(len(s.Take(now, "g", 1, room(1))), 0)
-	is.True(s.Report(now, &rpc.Report{Job: "j", Item: first.Item.Id, Number: second.Number, Released: true}) == nil)
-	is.Equal(len(s.Take(now, "g", 1, room(1))), 1)
+	s.Observe(now, "g")
+	is.True(s.HandleReport(now, &rpc.Report{Job: "j", Item: first.Item.Id, Number: first.Number, Result: &rpc.Result{Item: first.Item.Id}}) != nil)
+	s.ItemsReopened("j", []string{first.Item.Id})
+	is.Equal(len(s.GrantLeases(now, "g", 1, room(1))), 0)
+	is.True(s.HandleReport(now, &rpc.Report{Job: "j", Item: first.Item.Id, Number: second.Number, Released: true}) == nil)
+	is.Equal(len(s.GrantLeases(now, "g", 1, room(1))), 1)
 }
 
 // Where it is listed, the lease that came after it is cancelled.
 func TestListedResultCancelsTheLaterLease(t *testing.T) {
 	is := is.New(t)
 	s := begun(newCreate("j", 1, 1, 1, 9000))
-	first := s.Take(adoptMS, "g", 1, room(1))[0]
+	first := s.GrantLeases(adoptMS, "g", 1, room(1))[0]
 	now := int64(adoptMS + gathererLostMS + 1)
 	s.Tick(now)
-	s.Heard(now, "other")
-	second := s.Take(now, "other", 1, room(1))[0]
-	is.True(s.Report(now, &rpc.Report{Job: "j", Item: first.Item.Id, Number: first.Number, Result: &rpc.Result{Item: first.Item.Id}}) != nil)
-	is.True(s.Settled("j", []string{first.Item.Id}))
-	is.Equal(s.Cancelled("other"), []uint64{second.Number})
+	s.Observe(now, "other")
+	second := s.GrantLeases(now, "other", 1, room(1))[0]
+	is.True(s.HandleReport(now, &rpc.Report{Job: "j", Item: first.Item.Id, Number: first.Number, Result: &rpc.Result{Item: first.Item.Id}}) != nil)
+	is.True(s.ItemsCommitted("j", []string{first.Item.Id}))
+	is.Equal(s.TakeCancelled("other"), []uint64{second.Number})
 }
 
 // Who waits is woken by a result only where something is to be given up.
 func TestSettledTellsOfCancellations(t *testing.T) {
 	is := is.New(t)
 	s := begun(newCreate("j", 2, 1, 2, 9000))
-	lease := s.Take(adoptMS, "g", 1, room(1))[0]
-	s.Report(adoptMS, &rpc.Report{Job: "j", Item: lease.Item.Id, Number: lease.Number, Result: &rpc.Result{Item: lease.Item.Id}})
-	is.True(!s.Settled("j", []string{lease.Item.Id}))
+	lease := s.GrantLeases(adoptMS, "g", 1, room(1))[0]
+	s.HandleReport(adoptMS, &rpc.Report{Job: "j", Item: lease.Item.Id, Number: lease.Number, Result: &rpc.Result{Item: lease.Item.Id}})
+	is.True(!s.ItemsCommitted("j", []string{lease.Item.Id}))
 }
 
 // The demand is enough for the work that is due by each deadline, not the sum of what each job would need alone; a late job doesn't ask for
@@ -284,7 +284,7 @@
 	both := float64(70*firstItemMS) / (10_000 - handMS)
 	is.True(near < both)
 	is.Equal(s.Demand(adoptMS)["m"], both)
-	s.Close("later")
+	s.CloseJob("later")
 	is.Equal(s.Demand(adoptMS)["m"], near)
 	is.Equal(s.Demand(adoptMS + 4900)["m"], float64(10*firstItemMS)/(5000.0/leastLeft))
 }
@@ -293,12 +293,12 @@
 func TestLateWordOfAnEarlierProcess(t *testing.T) {
 	is := is.New(t)
 	s := begun(newCreate("j", 1, 1, 1, 9000))
-	s.Heard(adoptMS, "edge/2")
-	lease := s.Take(adoptMS, "edge/2", 1, room(1))[0]
-	s.Heard(adoptMS+10, "edge/1")
-	s.Heard(adoptMS+20, "edge/2")
+	s.Observe(adoptMS, "edge/2")
+	lease := s.GrantLeases(adoptMS, "edge/2", 1, room(1))[0]
+	s.Observe(adoptMS+10, "edge/1")
+	s.Observe(adoptMS+20, "edge/2")
 	s.Adopt(adoptMS+20, "edge/2", []*rpc.HeldLease{{Job: "j", Item: lease.Item.Id, Number: lease.Number}})
-	is.Equal(s.Cancelled("edge/2"), nil) // it goes on
-	is.Equal(len(s.Take(adoptMS+20, "edge/2", 1, room(1))), 0)
-	is.True(s.Report(adoptMS+30, &rpc.Report{Job: "j", Item: lease.Item.Id, Number: lease.Number, Result: &rpc.Result{Item: lease.Item.Id}}) != nil)
+	is.Equal(s.TakeCancelled("edge/2"), nil) // it goes on
+	is.Equal(len(s.GrantLeases(adoptMS+20, "edge/2", 1, room(1))), 0)
+	is.True(s.HandleReport(adoptMS+30, &rpc.Report{Job: "j", Item: lease.Item.Id, Number: lease.Number, Result: &rpc.Result{Item: lease.Item.Id}}) != nil)
 }
--- a/internal/scheduler/batchjobs/service.go
+++ b/internal/scheduler/batchjobs/service.go
@@ -25,7 +25,7 @@
 
 type shard struct {
 	name   string
-	ledger *Ledger
+	ledger *State
 
 	mu        sync.Mutex
 	scheduler *Scheduler    // nil while this process doesn't own the shard
@@ -42,7 +42,7 @@
 )
 
 // Machine returns the state machine of a shard.
-func (s *Service) Machine(name string) replica.StateMachine {
+func (s *Service) StateMachine(name string) replica.StateMachine {
 	if !strings.HasPrefix(name, shardPrefix) {
 		return nil
 	}
@@ -55,7 +55,7 @@
 		return sh.ledger
 	}
 	sh := &shard{name: name, wake: make(chan struct{})}
-	sh.ledger = New(sh.changed, now)
+	sh.ledger = NewState(sh.changed, now)
 	s.shards[name] = sh
 	return sh.ledger
 }
@@ -76,14 +76,14 @@
 	switch {
 	case c.Restored:
 		sh.scheduler = nil // it begins anew from what the ledger holds
-	case c.Created != nil:
-		sh.scheduler.Open(now(), c.Created)
-	case c.Settled != "":
-		if !sh.scheduler.Settled(c.Settled, c.Items) {
+	case c.CreatedJob != nil:
+		sh.scheduler.OpenJob(now(), c.CreatedJob)
+	case c.CommittedJob != "":
+		if !sh.scheduler.ItemsCommitted(c.CommittedJob, c.CommittedItems) {
 			return // nothing for those who wait
 		}
-	case c.Ended != "":
-		sh.scheduler.Close(c.Ended)
+	case c.EndedJob != "":
+		sh.scheduler.CloseJob(c.EndedJob)
 	}
 	sh.signal()
 }
@@ -125,7 +125,7 @@
 // follower returns a shard that follows a live leader and knows a job; nil where it can't be sure.
 func (s *Service) follower(name, job string) *shard {
 	sh, status := s.shard(name), s.Host.Status(name)
-	if sh == nil || status == nil || !status.InTouch(s.Host.Now(), inTouchMS) || !sh.ledger.Known(job) {
+	if sh == nil || status == nil || !status.InTouch(s.Host.Now(), inTouchMS) || !sh.ledger.HasJob(job) {
 		return nil
 	}
 	return sh
@@ -196,7 +196,7 @@
 	if outcome != rpc.Outcome_DONE {
 		return &rpc.BodyResponse{Outcome: outcome, LeaderAddress: leader}, nil
 	}
-	body, found := sh.ledger.Body(r.Job, r.Item)
+	body, found := sh.ledger.ItemBody(r.Job, r.Item)
 	return &rpc.BodyResponse{Outcome: rpc.Outcome_DONE, Found: found, Body: body}, nil
 }
 
@@ -207,7 +207,7 @@
 		return &rpc.EndResponse{Outcome: outcome, LeaderAddress: leader}, nil
 	}
 	s.Log.Info("batch job ends", "job", r.Job, "state", sh.describe(r.Job))
-	if !sh.ledger.Known(r.Job) {
+	if !sh.ledger.HasJob(r.Job) {
 		return &rpc.EndResponse{Outcome: rpc.Outcome_DONE}, nil
 	}
 	outcome, _ = s.propose(ctx, r.Shard, &rpc.LedgerCommand{Command: &rpc.LedgerCommand_End{End: &rpc.EndJob{Job: r.Job}}})
@@ -227,12 +227,12 @@
 	for {
 		sh.mu.Lock()
 		scheduler := sh.schedule(status.Epoch)
-		scheduler.Heard(now(), r.Gatherer)
-		response.Cancelled = append(response.Cancelled, scheduler.Cancelled(r.Gatherer)...)
+		scheduler.Observe(now(), r.Gatherer)
+		response.Cancelled = append(response.Cancelled, scheduler.TakeCancelled(r.Gatherer)...)
 		if r.Leaving {
-			scheduler.Leave(r.Gatherer)
+			scheduler.RemoveGatherer(r.Gatherer)
 		} else {
-			response.Leases = scheduler.Take(now(), r.Gatherer, int(r.Want), r.Rooms)
+			response.Leases = scheduler.GrantLeases(now(), r.Gatherer, int(r.Want), r.Rooms)
 		}
 		response.Gatherers = uint32(scheduler.Gatherers())
 		wake := sh.wake
@@ -258,12 +258,12 @@
 	byJob := map[string][]*rpc.Result{}
 	sh.mu.Lock()
 	scheduler := sh.schedule(epoch)
-	scheduler.Heard(now(), r.Gatherer)
+	scheduler.Observe(now(), r.Gatherer)
 	if r.HeldTold && scheduler.Adopt(now(), r.Gatherer, r.Held) {
 		sh.signal()
 	}
 	for _, report := range r.Reports {
-		if result := scheduler.Report(now(), report); result != nil {
+		if result := scheduler.HandleReport(now(), report); result != nil {
 			byJob[report.Job] = append(byJob[report.Job], result)
 		} else {
 			sh.signal() // it may be free again
@@ -290,7 +290,7 @@
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
 	if sh.scheduler != nil {
-		sh.scheduler.Unsettled(job, items)
+		sh.scheduler.ItemsReopened(job, items)
 		sh.signal() // they are open again
 	}
 	return false
@@ -355,7 +355,7 @@
 	}
 	for _, stored := range sh.ledger.Jobs() {
 		// The time of day may step; how long this process has known the job can't.
-		age := time.Duration(now()-stored.SeenAt) * time.Millisecond
+		age := time.Duration(now()-stored.FirstSeenMS) * time.Millisecond
 		if stored.Ended && age > s.KeepResults || age > 2*s.KeepResults+time.Duration(stored.Job.MaxQueueMs)*time.Millisecond {
 			s.propose(ctx, name, &rpc.LedgerCommand{Command: &rpc.LedgerCommand_Forget{Forget: stored.Job.Id}})
 		}
--- a/internal/scheduler/batchjobs/ledger.go
+++ b/internal/scheduler/batchjobs/state.go
@@ -14,7 +14,7 @@
 )
 
 // Ledger is the state of one shard. Apply, Snapshot and Restore are for the replica's goroutine; the rest may be called by any.
-type Ledger struct {
+type State struct {
 	mu      sync.Mutex
 	jobs    map[string]*job
 	changed func(Change) // told under no lock, in the order of the log
@@ -34,16 +34,16 @@
 
 // Change is what an entry of the log has changed.
 type Change struct {
-	Created  *rpc.CreateJob
-	Settled  string // job
-	Items    []string
-	Ended    string
-	Restored bool
+	CreatedJob     *rpc.CreateJob
+	CommittedJob   string // job
+	CommittedItems []string
+	EndedJob       string
+	Restored       bool
 }
 
 // New returns an empty ledger. changed is told of every change, on the replica's goroutine; clock gives milliseconds and never steps.
-func New(changed func(Change), clock func() int64) *Ledger {
-	return &Ledger{jobs: map[string]*job{}, changed: changed, clock: clock}
+func NewState(changed func(Change), clock func() int64) *State {
+	return &State{jobs: map[string]*job{}, changed: changed, clock: clock}
 }
 
 func newJob(create *rpc.CreateJob, seenAt int64) *job {
@@ -73,7 +73,7 @@
 }
 
 // Apply implements replica.StateMachine.
-func (l *Ledger) Apply(_ uint64, command []byte) []byte {
+func (l *State) Apply(_ uint64, command []byte) []byte {
 	c := &rpc.LedgerCommand{}
 	result := &rpc.LedgerResult{Unknown: true}
 	var change Change
@@ -89,7 +89,7 @@
 	return encoded
 }
 
-func (l *Ledger) apply(c *rpc.LedgerCommand) (*rpc.LedgerResult, Change) {
+func (l *State) apply(c *rpc.LedgerCommand) (*rpc.LedgerResult, Change) {
 	done := &rpc.LedgerResult{}
 	switch x := c.Command.(type) {
 	case *rpc.LedgerCommand_Create:
@@ -97,13 +97,13 @@
 			return done, Change{}
 		}
 		l.jobs[x.Create.Id] = newJob(x.Create, l.clock())
-		return done, Change{Created: x.Create}
+		return done, Change{CreatedJob: x.Create}
 	case *rpc.LedgerCommand_Append:
 		j := l.jobs[x.Append.Job]
 		if j == nil {
 			return &rpc.LedgerResult{Unknown: true}, Change{}
 		}
-		return done, Change{Settled: x.Append.Job, Items: j.append(x.Append.Results)}
+		return done, Change{CommittedJob: x.Append.Job, CommittedItems: j.append(x.Append.Results)}
 	case *rpc.LedgerCommand_End:
 		j := l.jobs[x.End.Job]
 		if j == nil {
@@ -113,10 +113,10 @@
 			j.end()
 			j.signal()
 		}
-		return done, Change{Ended: x.End.Job}
+		return done, Change{EndedJob: x.End.Job}
 	case *rpc.LedgerCommand_Forget:
 		delete(l.jobs, x.Forget)
-		return done, Change{Ended: x.Forget}
+		return done, Change{EndedJob: x.Forget}
 	}
 	return &rpc.LedgerResult{Unknown: true}, Change{}
 }
@@ -139,7 +139,7 @@
 const partsInRecord = 64
 
 // Snapshot implements replica.StateMachine. Jobs, items and results never change once they are there, so it copies only where they are.
-func (l *Ledger) Snapshot() (next func() proto.Message) {
+func (l *State) Snapshot() (next func() proto.Message) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var records []*rpc.StoredJob
@@ -178,7 +178,7 @@
 }
 
 // Restore implements replica.StateMachine.
-func (l *Ledger) Restore(_ uint64, state *bufio.Reader) error {
+func (l *State) Restore(_ uint64, state *bufio.Reader) error {
 	stored := map[string]*rpc.StoredJob{}
 	for {
 		record := &rpc.StoredJob{}
@@ -224,7 +224,7 @@
 }
 
 // Known tells whether a job was accepted.
-func (l *Ledger) Known(id string) bool {
+func (l *State) HasJob(id string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.jobs[id] != nil
@@ -234,7 +234,7 @@
 const pageBytes = 400 << 10
 
 // Read returns the results from a position on, and a channel that is closed when there is more.
-func (l *Ledger) Read(id string, after int) (total int, results []*rpc.Result, more <-chan struct{}, found bool) {
+func (l *State) Read(id string, after int) (total int, results []*rpc.Result, more <-chan struct{}, found bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	j := l.jobs[id]
@@ -253,7 +253,7 @@
 }
 
 // Body returns the body of an item that is not listed yet.
-func (l *Ledger) Body(id, item string) (body []byte, found bool) {
+func (l *State) ItemBody(id, item string) (body []byte, found bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	j := l.jobs[id]
@@ -264,15 +264,15 @@
 }
 
 // Stored is a job as it stands.
-type Stored struct {
-	Job     *rpc.CreateJob
-	Settled map[string]bool
-	Ended   bool
-	SeenAt  int64 // when this process heard of it first, by the ledger's clock
+type StoredJob struct {
+	Job         *rpc.CreateJob
+	Committed   map[string]bool
+	Ended       bool
+	FirstSeenMS int64 // when this process heard of it first, by the ledger's clock
 }
 
 // Jobs returns all jobs as they stand, by id.
-func (l *Ledger) Jobs() (list []Stored) {
+func (l *State) Jobs() (list []StoredJob) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, j := range l.jobs {
@@ -280,8 +280,8 @@
 		for id := range j.settled {
 			settled[id] = true
 		}
-		list = append(list, Stored{j.create, settled, j.ended, j.seenAt})
+		list = append(list, StoredJob{j.create, settled, j.ended, j.seenAt})
 	}
-	slices.SortFunc(list, func(a, b Stored) int { return cmp.Compare(a.Job.Id, b.Job.Id) })
+	slices.SortFunc(list, func(a, b StoredJob) int { return cmp.Compare(a.Job.Id, b.Job.Id) })
 	return list
 }
--- a/internal/scheduler/batchrunner/runner.go
+++ b/internal/scheduler/batchrunner/runner.go
@@ -79,7 +79,7 @@
 	defer cancel()
 	known := map[string]bool{}
 	for ctx.Err() == nil {
-		for _, shard := range r.Ledger.Shards() {
+		for _, shard := range r.Ledger.ShardNames() {
 			if known[shard] {
 				continue
 			}
--- a/internal/scheduler/controlplane/steward.go
+++ b/internal/scheduler/controlplane/steward.go
@@ -278,9 +278,9 @@
 // ledgerGroups names the groups that storage machines hold, shard 0 last: once it is placed, all are.
 func (st *Steward) ledgerGroups() (names []string) {
 	placements := st.directory.Placements()
-	shards := batchjobs.ShardsIn(func(group string) bool { return placements[group] != nil })
+	shards := batchjobs.PlacedShardCount(func(group string) bool { return placements[group] != nil })
 	if shards == 0 {
-		shards = batchjobs.ShardsFor(len(st.machines(settings.ServesStorage)))
+		shards = batchjobs.InitialShardCount(len(st.machines(settings.ServesStorage)))
 	}
 	for n := shards - 1; n >= 0; n-- {
 		names = append(names, batchjobs.ShardName(n))
--- a/internal/scheduler/proxy/jobs.go
+++ b/internal/scheduler/proxy/jobs.go
@@ -40,7 +40,7 @@
 	job.GiveUpMs = uint32(max(route.TimeoutMS, route.DeadlineMS))
 	job.MaxAttempts, job.SingleVersion, job.Priority = uint32(max(route.MaxAttempts, 1)), route.OnPolicy, uint32(max(route.Priority, 0))
 	p.notePolicy(job.Model, route.OnPolicy)
-	shard := p.ledger.ShardOf(host)
+	shard := p.ledger.ShardOfHost(host)
 	if shard == "" {
 		refuse(ctx, "batch jobs can't be kept yet")
 		return
@@ -86,7 +86,7 @@
 
 // job reads or ends a batch job.
 func (p *Proxy) job(ctx *fasthttp.RequestCtx, host, id string) {
-	shard := p.ledger.ShardOf(host)
+	shard := p.ledger.ShardOfHost(host)
 	switch {
 	case shard == "":
 		refuse(ctx, "batch jobs can't be read yet")
@@ -135,7 +135,7 @@
 
 // readNear reads from a replica of this zone, which spares the bytes between zones; nil where there is none that can answer.
 func (p *Proxy) readNear(shard, id string, after, hold int) *rpc.ReadResponse {
-	address := p.ledger.Near(shard)
+	address := p.ledger.NearbyReplica(shard)
 	if address == "" {
 		return nil
 	}
@@ -184,7 +184,7 @@
 
 // itemBody returns the body of an item.
 func (p *Proxy) itemBody(ctx *fasthttp.RequestCtx, host, id string) {
-	shard := p.ledger.ShardOf(host)
+	shard := p.ledger.ShardOfHost(host)
 	if shard == "" || !ctx.IsGet() {
 		refuse(ctx, "items can't be read yet")
 		return
--- a/internal/scheduler/proxy/proxy.go
+++ b/internal/scheduler/proxy/proxy.go
@@ -105,7 +105,7 @@
 
 // gathererName names this life of the gatherer, so that owners of batch jobs know what an earlier one can't hold any more.
 func gathererName(node string) string {
-	return node + batchjobs.LifeSeparator + strconv.FormatUint(rand.Uint64(), 36)
+	return node + batchjobs.IncarnationSeparator + strconv.FormatUint(rand.Uint64(), 36)
 }
 
 // drain goes on serving while new connections may come and requests are open.
@@ -158,7 +158,7 @@
 		case *rpc.FeedEvent_Gone:
 			p.forwarder.Table.Remove(x.Gone)
 		case *rpc.FeedEvent_Placement:
-			p.ledger.Place(x.Placement)
+			p.ledger.UpdatePlacement(x.Placement)
 		case *rpc.FeedEvent_Policy:
 			p.mu.Lock()
 			p.policies[x.Policy.Model] = x.Policy.SingleVersion
@@ -168,7 +168,7 @@
 			case settings.ServesEdge:
 				p.forwarder.Table.PutGatherer(routing.Gatherer{Name: x.Member.Name, Zone: x.Member.Zone})
 			case settings.ServesStorage:
-				p.ledger.Locate(x.Member.Address, x.Member.Zone)
+				p.ledger.SetZone(x.Member.Address, x.Member.Zone)
 			}
 		case *rpc.FeedEvent_Left:
 			p.forwarder.Table.RemoveGatherer(x.Left)
--- a/internal/scheduler/simulation/ledgers.go
+++ b/internal/scheduler/simulation/ledgers.go
@@ -26,12 +26,12 @@
 		switch {
 		case c.Restored:
 			delete(m.schedule, shard)
-		case c.Created != nil:
-			s.Open(m.w.now, c.Created)
-		case c.Settled != "":
-			s.Settled(c.Settled, c.Items)
-		case c.Ended != "":
-			s.Close(c.Ended)
+		case c.CreatedJob != nil:
+			s.OpenJob(m.w.now, c.CreatedJob)
+		case c.CommittedJob != "":
+			s.ItemsCommitted(c.CommittedJob, c.CommittedItems)
+		case c.EndedJob != "":
+			s.CloseJob(c.EndedJob)
 		}
 	}
 }
@@ -83,7 +83,7 @@
 			items = append(items, r.Item)
 		}
 		if s := m.schedule[shard]; s != nil {
-			s.Unsettled(job, items)
+			s.ItemsReopened(job, items)
 		}
 		done(false)
 	})
@@ -130,7 +130,7 @@
 func (m *machine) readJob(shard, job string, after int, near bool, answer func(ownerAnswer)) {
 	a, ok := m.notOwner(shard)
 	if !ok && near {
-		ok = m.inTouch(shard, inTouchMS) && m.ledgers[shard].Known(job)
+		ok = m.inTouch(shard, inTouchMS) && m.ledgers[shard].HasJob(job)
 	}
 	if !ok {
 		answer(a)
@@ -147,13 +147,13 @@
 		return
 	}
 	s := m.scheduler(r.Shard)
-	s.Heard(m.w.now, r.Gatherer)
+	s.Observe(m.w.now, r.Gatherer)
 	if r.HeldTold {
 		s.Adopt(m.w.now, r.Gatherer, r.Held)
 	}
 	byJob := map[string][]*rpc.Result{}
 	for _, report := range r.Reports {
-		if result := s.Report(m.w.now, report); result != nil {
+		if result := s.HandleReport(m.w.now, report); result != nil {
 			byJob[report.Job] = append(byJob[report.Job], result)
 		}
 	}
@@ -161,8 +161,8 @@
 	finish := func() {
 		response := &rpc.WorkResponse{Outcome: rpc.Outcome_DONE, Epoch: s.Epoch(), ReportsTaken: taken}
 		if now := m.scheduler(r.Shard); now != nil && now == s {
-			response.Cancelled = s.Cancelled(r.Gatherer)
-			response.Leases = s.Take(m.w.now, r.Gatherer, int(r.Want), r.Rooms)
+			response.Cancelled = s.TakeCancelled(r.Gatherer)
+			response.Leases = s.GrantLeases(m.w.now, r.Gatherer, int(r.Want), r.Rooms)
 		}
 		answer(ownerAnswer{outcome: rpc.Outcome_DONE, work: response})
 	}
--- a/internal/scheduler/simulation/machine.go
+++ b/internal/scheduler/simulation/machine.go
@@ -65,7 +65,7 @@
 	registry  map[string]*registry.Registry
 	desks     map[string]*registry.Desk
 	held      map[string]uint64 // by registry shard: the epoch under which it sends orders
-	ledgers   map[string]*batchjobs.Ledger
+	ledgers   map[string]*batchjobs.State
 	schedule  map[string]*batchjobs.Scheduler
 	tail      feed.Rotation
 	watching  bool // a watch of the feed is under way
@@ -147,10 +147,10 @@
 		m.registry[name] = registry.New(name, m.feed)
 		m.desks[name] = registry.NewDesk(m.registry[name], heartbeatMS)
 	}
-	m.ledgers, m.schedule = map[string]*batchjobs.Ledger{}, map[string]*batchjobs.Scheduler{}
+	m.ledgers, m.schedule = map[string]*batchjobs.State{}, map[string]*batchjobs.Scheduler{}
 	for n := range ledgerShards {
 		name := batchjobs.ShardName(n)
-		m.ledgers[name] = batchjobs.New(m.ledgerChanged(name), func() int64 { return w.now })
+		m.ledgers[name] = batchjobs.NewState(m.ledgerChanged(name), func() int64 { return w.now })
 	}
 	opened, err := replica.OpenStoreOn(m.replicaDisk(), rewriteFrom)
 	if err == nil {
--- a/internal/scheduler/storage/storage.go
+++ b/internal/scheduler/storage/storage.go
@@ -52,7 +52,7 @@
 	options.SnapshotBytes = cmp.Or(options.SnapshotBytes, s.Limits.DiskMB<<20/diskShare)
 	options.Gather = s.Decisions.GatheredWrites
 	if st.host, err = replica.NewHost(replica.Config{
-		Identity: st.identity, Store: store, Machine: st.service.Machine, Send: sender.Send, Log: log,
+		Identity: st.identity, Store: store, Machine: st.service.StateMachine, Send: sender.Send, Log: log,
 		Options: options,
 	}); err != nil {
 		return err
@@ -126,7 +126,7 @@
 func (st *Storage) heard(events []*rpc.FeedEvent) {
 	for _, e := range events {
 		p := e.GetPlacement()
-		if p == nil || st.service.Machine(p.Group) == nil {
+		if p == nil || st.service.StateMachine(p.Group) == nil {
 			continue
 		}
 		own := slices.ContainsFunc(p.Replicas, func(r *rpc.Replica) bool { return r.Id == st.identity.ID })
