--- a/internal/broker/admission/doc.go
+++ b/internal/broker/admission/doc.go
@@ -3,5 +3,5 @@
 // not before everybody's at the servers. It does no input or output and reads no clock.
 //
 // It owns what is queued, what is out, and the accounts of each team. It must never pick a server, nor judge load at servers: that is
-// the module's word, which sees a query once it is started here. docs/CONTRACTS-DESIGN.md has the ways weighed.
+// the module's word, which sees a query once it is started here. docs/CONTRACTS.md has the ways weighed.
 package admission
--- a/internal/broker/layout/doc.go
+++ b/internal/broker/layout/doc.go
@@ -6,5 +6,5 @@
 // module's word. A Layout never changes once it is made, so any goroutine may read it; a Keeper belongs to one owner.
 //
 // Spans are runs of whole numbers, From up to but without To. Epochs are whole numbers from 1 on. A shard id names one
-// span for as long as its history lasts and is never handed out again. docs/LAYOUT-DESIGN.md has the reasons.
+// span for as long as its history lasts and is never handed out again. docs/LAYOUT.md has the reasons.
 package layout
--- a/internal/broker/merge/doc.go
+++ b/internal/broker/merge/doc.go
@@ -3,5 +3,5 @@
 //
 // It does no input or output, reads no clock and asks no server for anything; which parts are wanted, and whether an answer in
 // part may be given, is the decision module's word. Memory is bounded by the parts' own bytes: of a part it keeps its text and
-// the sort values of as many hits as were asked for. docs/MERGE-DESIGN.md has the reasons.
+// the sort values of as many hits as were asked for. docs/SEARCH.md has the reasons.
 package merge
--- a/internal/broker/transport/size_test.go
+++ b/internal/broker/transport/size_test.go
@@ -26,7 +26,7 @@
 // BenchmarkListBySize is what the list of servers costs a gatherer, from the bytes that come until pool and module have it: the whole of it,
 // and a change of one entry.
 //
-//	go test -run '^$' -bench ListBySize -benchtime 1s ./internal/transport
+//	go test -run '^$' -bench ListBySize -benchtime 1s ./internal/broker/transport
 func BenchmarkListBySize(b *testing.B) {
 	quiet := slog.New(slog.NewTextHandler(io.Discard, nil))
 	for _, servers := range []int{325, 650, 1300, 2600} {
--- a/internal/cluster/rollout/doc.go
+++ b/internal/cluster/rollout/doc.go
@@ -36,7 +36,7 @@
 // # What it assumes
 //
 // Clocks differ in speed by no more than Config.Drift. Voters' disks keep what Saved said that they do. One process of a name runs at a time,
-// and none that an operator has said to be gone. Admission is looked at when a query is let in, on the goroutine that lets it in. docs/ROLLOUT-DESIGN.md has the argument.
+// and none that an operator has said to be gone. Admission is looked at when a query is let in, on the goroutine that lets it in. docs/ROLLOUT.md has the argument.
 //
 // # What it must never do
 //
--- a/internal/storage/recordlog/doc.go
+++ b/internal/storage/recordlog/doc.go
@@ -1,5 +1,5 @@
 // Package recordlog owns the durable records of one gatherer: a segmented append-only log in two copies, with group commit, an index in
-// memory, cleaning and recovery. docs/STORE-DESIGN.md has the file format and the ways weighed.
+// memory, cleaning and recovery. docs/STORE.md has the file format and the ways weighed.
 //
 // What it promises. A record that was acknowledged is found again after any crash, and after the damage, loss or replacement of
 // any single file. Where both copies of something are gone, Unknown names the span. A record that was not acknowledged may be found
--- a/internal/storage/storebench/main.go
+++ b/internal/storage/storebench/main.go
@@ -1,6 +1,6 @@
 // Command weigh holds two embedded stores of the registry against what the durable store has to do, in a module of its own, so that
 // the gatherer does not depend on them: the time of an acknowledged append, memory, and what single flipped bytes cost. It is run by
-// hand; docs/STORE-DESIGN.md has what it said.
+// hand; docs/STORE.md has what it said.
 package main
 
 import (
