--- a/internal/scheduler/consensus/core.go
+++ b/internal/scheduler/consensus/core.go
@@ -11,12 +11,12 @@
 
 // Config says who a replica is and how patient it is.
 type Config struct {
-	Group       string
-	ID          string
-	Address     string // of this replica's peer service
-	ElectionMS  int64  // shortest silence of a leader before an election; the longest is twice that
-	HeartbeatMS int64
-	Random      *rand.Rand
+	Group               string
+	ID                  string
+	Address             string // of this replica's peer service
+	ElectionTimeoutMS   int64  // shortest silence of a leader before an election; the longest is twice that
+	HeartbeatIntervalMS int64
+	Random              *rand.Rand
 }
 
 // Stored is what a replica finds on its disk.
@@ -26,11 +26,11 @@
 	Entries   []*rpc.Entry
 }
 
-// Ready is what a driver has to do, in this order: persist HardState, Pieces, Snapshot and Entries (with one sync); send Messages; apply
+// Ready is what a driver has to do, in this order: persist HardState, Chunks, Snapshot and Entries (with one sync); send Messages; apply
 // Restore and Committed.
 type Ready struct {
 	HardState *rpc.HardState
-	Pieces    []*rpc.SnapshotPiece // of a snapshot that is being received; number 0 begins a new one
+	Chunks    []*rpc.SnapshotPiece // of a snapshot that is being received; number 0 begins a new one
 	Snapshot  *rpc.Snapshot        // whose pieces are all there; it replaces the whole log
 	Entries   []*rpc.Entry         // replace whatever the log holds at and after the first of them
 	Messages  []*rpc.Message
@@ -40,7 +40,7 @@
 
 // MustSync tells whether something has to be on disk before the messages leave.
 func (r *Ready) MustSync() bool {
-	return r.HardState != nil || r.Snapshot != nil || len(r.Pieces) > 0 || len(r.Entries) > 0
+	return r.HardState != nil || r.Snapshot != nil || len(r.Chunks) > 0 || len(r.Entries) > 0
 }
 
 // Empty tells whether there is nothing to do.
@@ -138,11 +138,11 @@
 	}
 	c.findMembership()
 	// Whoever has just started waits less: where all replicas start together, nobody leads.
-	c.electionAt = c.now + cfg.ElectionMS/4 + cfg.Random.Int64N(cfg.ElectionMS/2)
+	c.electionAt = c.now + cfg.ElectionTimeoutMS/4 + cfg.Random.Int64N(cfg.ElectionTimeoutMS/2)
 	if c.epoch > foundingEpoch {
 		// It may have answered a leader just before it stopped, which counts on that until its lease is over.
-		c.quietUntil = c.now + LeaseMS(cfg.ElectionMS)
-		c.electionAt = c.quietUntil + cfg.Random.Int64N(cfg.ElectionMS/4)
+		c.quietUntil = c.now + LeaseMS(cfg.ElectionTimeoutMS)
+		c.electionAt = c.quietUntil + cfg.Random.Int64N(cfg.ElectionTimeoutMS/4)
 	}
 	return c
 }
@@ -172,39 +172,39 @@
 // Membership is the newest that stands in the log, agreed on or not.
 func (c *Core) Membership() *rpc.Membership { return c.membership }
 
-// Settled tells whether the newest membership is agreed on.
-func (c *Core) Settled() bool { return c.since <= c.commit }
+// MembershipCommitted tells whether the newest membership is agreed on.
+func (c *Core) MembershipCommitted() bool { return c.since <= c.commit }
 
 // LogLength is the number of entries since the last snapshot.
 func (c *Core) LogLength() int { return len(c.log.entries) }
 
-// HeardAt is when the leader that it follows was last heard.
-func (c *Core) HeardAt() int64 { return c.leaderHeardAt }
+// LeaderContactAt is when the leader that it follows was last heard.
+func (c *Core) LeaderContactAt() int64 { return c.leaderHeardAt }
 
 // CurrentAt is when the leader was last heard while this replica had all that was agreed on by then. A replica whose answers are lost hears
 // the leader but is sent no entries: what it has grows old.
 func (c *Core) CurrentAt() int64 { return c.currentAt }
 
-// Leading tells whether this replica leads and knows everything that earlier leaders have acknowledged, and when a majority was last
+// Leadership tells whether this replica leads and knows everything that earlier leaders have acknowledged, and when a majority was last
 // known to follow it.
-func (c *Core) Leading() (ready bool, contactAt int64) {
+func (c *Core) Leadership() (ready bool, quorumContactAt int64) {
 	if c.role != leader {
 		return false, 0
 	}
 	return c.commit >= c.firstIndex, c.quorumContact()
 }
 
-// HoldsLease tells whether this replica is the leader and no other can have been elected yet, and whether it knows everything that
+// HasLease tells whether this replica is the leader and no other can have been elected yet, and whether it knows everything that
 // earlier leaders have acknowledged. Reads of the state are then up to date.
-func (c *Core) HoldsLease(now int64) bool {
+func (c *Core) HasLease(now int64) bool {
 	if c.role != leader || c.commit < c.firstIndex {
 		return false
 	}
-	return now-c.quorumContact() < LeaseMS(c.cfg.ElectionMS)
+	return now-c.quorumContact() < LeaseMS(c.cfg.ElectionTimeoutMS)
 }
 
-// LedSince is when this replica became leader.
-func (c *Core) LedSince() int64 { return c.elected }
+// LeaderSince is when this replica became leader.
+func (c *Core) LeaderSince() int64 { return c.elected }
 
 // quorumContact is the latest time at which a majority is known to have followed this leader.
 func (c *Core) quorumContact() int64 {
@@ -233,14 +233,14 @@
 func (c *Core) quorum() int { return len(c.membership.Voters)/2 + 1 }
 
 func (c *Core) resetElection() {
-	c.electionAt = c.now + c.cfg.ElectionMS + c.cfg.Random.Int64N(c.cfg.ElectionMS)
+	c.electionAt = c.now + c.cfg.ElectionTimeoutMS + c.cfg.Random.Int64N(c.cfg.ElectionTimeoutMS)
 }
 
 // Tick tells the core the time.
 func (c *Core) Tick(now int64) {
 	c.now = max(c.now, now)
 	if c.role == leader {
-		if c.now-c.quorumContact() > 2*c.cfg.ElectionMS && c.now-c.elected > 2*c.cfg.ElectionMS {
+		if c.now-c.quorumContact() > 2*c.cfg.ElectionTimeoutMS && c.now-c.elected > 2*c.cfg.ElectionTimeoutMS {
 			c.follow(c.epoch, "", "")
 			return
 		}
@@ -260,7 +260,7 @@
 	c.votes = map[string]bool{c.cfg.ID: true}
 	c.resetElection()
 	if as == preCandidate { // asking again costs nothing: no epoch is raised
-		c.electionAt = c.now + c.cfg.ElectionMS/2 + c.cfg.Random.Int64N(c.cfg.ElectionMS/2)
+		c.electionAt = c.now + c.cfg.ElectionTimeoutMS/2 + c.cfg.Random.Int64N(c.cfg.ElectionTimeoutMS/2)
 	}
 	kind, epoch := rpc.MessageKind_PRE_VOTE, c.epoch+1
 	if as == candidate {
@@ -366,14 +366,14 @@
 // CaughtUp tells whether a replica holds almost everything that the leader holds.
 func (c *Core) CaughtUp(id string) bool {
 	p := c.peers[id]
-	return p != nil && c.now-p.heardAt < 3*c.cfg.HeartbeatMS && p.match >= c.log.snapshotIndex && p.match > 0 && p.match >= c.since && p.match+caughtUpWithin >= c.log.lastIndex()
+	return p != nil && c.now-p.heardAt < 3*c.cfg.HeartbeatIntervalMS && p.match >= c.log.snapshotIndex && p.match > 0 && p.match >= c.since && p.match+caughtUpWithin >= c.log.lastIndex()
 }
 
 // caughtUpWithin is how many entries a replica may lack to count as caught up.
 const caughtUpWithin = 8
 
-// HeldByAll tells whether each voter is known to hold on its disk all that was there when the membership last changed.
-func (c *Core) HeldByAll() bool {
+// FullyReplicated tells whether each voter is known to hold on its disk all that was there when the membership last changed.
+func (c *Core) FullyReplicated() bool {
 	if c.role != leader || c.since > c.commit {
 		return false
 	}
@@ -389,7 +389,7 @@
 // Reachable tells whether a replica has answered this leader lately.
 func (c *Core) Reachable(id string) bool {
 	p := c.peers[id]
-	return p != nil && c.now-p.heardAt < c.cfg.ElectionMS
+	return p != nil && c.now-p.heardAt < c.cfg.ElectionTimeoutMS
 }
 
 // findMembership takes the newest membership in the log, or the snapshot's.
@@ -423,8 +423,8 @@
 	c.resetElection()
 }
 
-// NextAt is when Tick has something to do if no message comes before.
-func (c *Core) NextAt() int64 {
+// NextTickAt is when Tick has something to do if no message comes before.
+func (c *Core) NextTickAt() int64 {
 	if c.role == leader {
 		return c.heartbeatAt
 	}
--- a/internal/scheduler/consensus/core_test.go
+++ b/internal/scheduler/consensus/core_test.go
@@ -21,7 +21,7 @@
 
 // replica returns a core that has started at time 0 with what its disk holds.
 func replica(id string, hard *rpc.HardState, entries ...*rpc.Entry) *Core {
-	return New(Config{Group: "g", ID: id, Address: id, ElectionMS: electionTest, HeartbeatMS: 110, Random: rand.New(rand.NewPCG(1, 1))},
+	return New(Config{Group: "g", ID: id, Address: id, ElectionTimeoutMS: electionTest, HeartbeatIntervalMS: 110, Random: rand.New(rand.NewPCG(1, 1))},
 		Stored{HardState: hard, Snapshot: &rpc.Snapshot{Index: 1, Epoch: 1, Membership: voters("a", "b", "c")}, Entries: entries}, 0)
 }
 
@@ -58,7 +58,7 @@
 		is.True(vote(replica("b", &rpc.HardState{Epoch: 5, Vote: "a"}), lease, kind))
 		is.True(vote(replica("b", &rpc.HardState{Epoch: foundingEpoch}), 0, kind))
 	}
-	is.True(replica("b", &rpc.HardState{Epoch: 5}).NextAt() >= lease)
+	is.True(replica("b", &rpc.HardState{Epoch: 5}).NextTickAt() >= lease)
 }
 
 // A snapshot that arrives although the log leads up to its end already leaves the entries behind it, which may have been acknowledged.
@@ -78,7 +78,7 @@
 	c.Step(10, &rpc.Message{Group: "g", To: "b", Kind: rpc.MessageKind_SNAPSHOT, From: "a", Epoch: 5, Snapshot: snapshotOf(3, 4, "state"), Piece: &rpc.SnapshotPiece{Data: []byte("state")}})
 	r := c.Ready()
 	is.Equal(r.Snapshot.Index, uint64(3))
-	is.Equal(len(r.Pieces), 1)
+	is.Equal(len(r.Chunks), 1)
 	is.True(r.Restore != nil)
 	is.Equal(c.log.lastIndex(), uint64(3))
 	is.Equal(c.log.lastEpoch(), uint64(4))
@@ -119,7 +119,7 @@
 // A leader that was told of an older placement than its group was changed for leaves the members as they are.
 func TestAnOlderPlacementChangesNothing(t *testing.T) {
 	is := is.New(t)
-	c := New(Config{Group: "g", ID: "a", Address: "a", ElectionMS: electionTest, HeartbeatMS: 110, Random: rand.New(rand.NewPCG(1, 1))},
+	c := New(Config{Group: "g", ID: "a", Address: "a", ElectionTimeoutMS: electionTest, HeartbeatIntervalMS: 110, Random: rand.New(rand.NewPCG(1, 1))},
 		Stored{HardState: &rpc.HardState{Epoch: 1}, Snapshot: &rpc.Snapshot{Index: 1, Epoch: 1, Membership: voters("a")}}, 0)
 	for now := int64(0); now < 3000 && !c.IsLeader(); now += 10 {
 		c.Tick(now)
@@ -132,7 +132,7 @@
 	is.Equal(next.Revision, uint64(7))
 	is.NoErr(c.ProposeMembership(next))
 	c.Ready()
-	is.True(c.Settled())
+	is.True(c.MembershipCommitted())
 	is.True(c.NextMembership(voters("a").Voters, 6) == nil)
 	is.True(c.NextMembership(voters("a").Voters, 8) != nil)
 }
@@ -144,7 +144,7 @@
 	answers(c, 1000, &rpc.Message{Kind: rpc.MessageKind_APPEND, From: "a", Epoch: 5, LogIndex: 2, LogEpoch: 5, Commit: 2})
 	is.Equal(c.CurrentAt(), int64(1000))
 	answers(c, 1100, &rpc.Message{Kind: rpc.MessageKind_APPEND, From: "a", Epoch: 5, LogIndex: 2, LogEpoch: 5, Commit: 3})
-	is.Equal(c.HeardAt(), int64(1100))
+	is.Equal(c.LeaderContactAt(), int64(1100))
 	is.Equal(c.CurrentAt(), int64(1000))
 	answers(c, 1200, &rpc.Message{Kind: rpc.MessageKind_APPEND, From: "a", Epoch: 5, LogIndex: 7, LogEpoch: 5, Commit: 7}) // it is refused
 	is.Equal(c.CurrentAt(), int64(1000))
--- a/internal/scheduler/consensus/losses_test.go
+++ b/internal/scheduler/consensus/losses_test.go
@@ -59,7 +59,7 @@
 func (c *cluster) start(name string, stored Stored) {
 	n := c.members[name]
 	n.stored, n.up, n.applied = stored, true, nil
-	n.core = New(Config{Group: "g", ID: n.id, Address: name, ElectionMS: electionTest, HeartbeatMS: 110, Random: c.random},
+	n.core = New(Config{Group: "g", ID: n.id, Address: name, ElectionTimeoutMS: electionTest, HeartbeatIntervalMS: 110, Random: c.random},
 		Stored{HardState: stored.HardState, Snapshot: stored.Snapshot, Entries: slices.Clone(stored.Entries)}, c.now)
 }
 
@@ -160,7 +160,7 @@
 	c.t.Helper()
 	for _, name := range c.names {
 		n := c.members[name]
-		if !n.up || !n.core.HoldsLease(c.now) {
+		if !n.up || !n.core.HasLease(c.now) {
 			continue
 		}
 		for command := range c.acked {
--- a/internal/scheduler/consensus/messages.go
+++ b/internal/scheduler/consensus/messages.go
@@ -70,8 +70,8 @@
 	}
 	current := m.LogEpoch > c.log.lastEpoch() || m.LogEpoch == c.log.lastEpoch() && m.LogIndex >= c.log.lastIndex()
 	// Whoever follows a live leader doesn't help to replace it: the leader's lease rests on that.
-	led := c.now < c.quietUntil || c.role == leader && c.now-c.quorumContact() < c.cfg.ElectionMS ||
-		c.role != leader && c.leaderID != "" && c.now-c.leaderHeardAt < c.cfg.ElectionMS
+	led := c.now < c.quietUntil || c.role == leader && c.now-c.quorumContact() < c.cfg.ElectionTimeoutMS ||
+		c.role != leader && c.leaderID != "" && c.now-c.leaderHeardAt < c.cfg.ElectionTimeoutMS
 	// A replica may vote without knowing yet that it is a voter: the entry that says so may have reached only the others. Whether its vote
 	// counts is for the candidate to say.
 	if led || m.Epoch < c.epoch || !current {
@@ -218,7 +218,7 @@
 
 func (c *Core) heartbeat() {
 	// On a common grid the heartbeats of all groups of a machine leave together.
-	c.heartbeatAt = (c.now/c.cfg.HeartbeatMS + 1) * c.cfg.HeartbeatMS
+	c.heartbeatAt = (c.now/c.cfg.HeartbeatIntervalMS + 1) * c.cfg.HeartbeatIntervalMS
 	c.round++
 	c.rounds[c.round] = c.now
 	delete(c.rounds, c.round-64)
@@ -236,7 +236,7 @@
 
 // replicate sends a replica what it lacks; with always an empty message where it lacks nothing.
 func (c *Core) replicate(id string, p *progress, always bool) {
-	silent := c.now-p.heardAt > 2*c.cfg.HeartbeatMS+c.cfg.ElectionMS/4 // it gets heartbeats only, until it answers
+	silent := c.now-p.heardAt > 2*c.cfg.HeartbeatIntervalMS+c.cfg.ElectionTimeoutMS/4 // it gets heartbeats only, until it answers
 	if silent && p.inFlight > 0 {
 		p.next, p.inFlight, p.probing = p.match+1, 0, true
 	}
@@ -288,7 +288,7 @@
 		r.HardState = c.hardState()
 		c.hardChanged = false
 	}
-	r.Pieces, r.Snapshot, r.Restore = c.newPieces, c.newSnapshot, c.restoreNeeded
+	r.Chunks, r.Snapshot, r.Restore = c.newPieces, c.newSnapshot, c.restoreNeeded
 	c.newPieces, c.newSnapshot, c.restoreNeeded = nil, nil, nil
 	if c.unstableFrom != 0 {
 		r.Entries = c.log.from(c.unstableFrom, int(^uint(0)>>1))
@@ -311,9 +311,9 @@
 	return &rpc.HardState{Epoch: c.epoch, Vote: c.vote, Commit: c.commit}
 }
 
-// Strip drops the data of entries up to an index, which the driver has applied and holds on disk, from memory. Where such an entry has to be
+// ReleaseData drops the data of entries up to an index, which the driver has applied and holds on disk, from memory. Where such an entry has to be
 // sent, it comes out of Ready without its data, and the driver fills it in.
-func (c *Core) Strip(from, to uint64) {
+func (c *Core) ReleaseData(from, to uint64) {
 	for index := from; index <= to && index <= c.handedOut; index++ {
 		c.log.strip(index)
 	}
--- a/internal/scheduler/consensus/simulation/model.go
+++ b/internal/scheduler/consensus/simulation/model.go
@@ -172,7 +172,7 @@
 		stored.Entries = stored.Entries[:n/2]
 	}
 	m.disk.received = nil
-	m.core = consensus.New(consensus.Config{Group: "g", ID: m.id, Address: m.name, ElectionMS: electionMS, HeartbeatMS: heartbeatMS, Random: w.random}, stored, w.now)
+	m.core = consensus.New(consensus.Config{Group: "g", ID: m.id, Address: m.name, ElectionTimeoutMS: electionMS, HeartbeatIntervalMS: heartbeatMS, Random: w.random}, stored, w.now)
 	m.applied, m.appliedN = decode(m.disk.pieces), stored.Snapshot.Index
 	m.up, m.inbox, m.leads = true, nil, 0
 	m.lives++
@@ -266,7 +266,7 @@
 }
 
 func persist(d *disk, r *consensus.Ready, bug Bug) {
-	for _, piece := range r.Pieces {
+	for _, piece := range r.Chunks {
 		d.received = append(slices.Clone(d.received[:piece.Number]), piece.Data)
 	}
 	if r.Snapshot != nil && bug != ApplyUnstored {
@@ -361,7 +361,7 @@
 			}
 		}
 	}
-	if length := m.core.LogLength(); length > compactAt && len(r.Committed) > 0 && (length > 3*compactAt || !m.core.Sending() && !m.core.Behind(m.appliedN)) {
+	if length := m.core.LogLength(); length > compactAt && len(r.Committed) > 0 && (length > 3*compactAt || !m.core.SendingSnapshot() && !m.core.HasLaggingReplica(m.appliedN)) {
 		m.compact()
 	}
 	return nil
@@ -402,7 +402,7 @@
 	if w.options.Bug == TrustLease {
 		now = 0
 	}
-	if m.core.HoldsLease(now) && w.random.IntN(4) == 0 {
+	if m.core.HasLease(now) && w.random.IntN(4) == 0 {
 		w.report.Reads++
 		for command := range w.acked {
 			if w.options.Bug != AckOnAppend && !slices.Contains(m.applied, command) {
@@ -428,7 +428,7 @@
 	}
 	leads := false
 	for _, m := range w.machines {
-		leads = leads || m.up && m.core.HoldsLease(w.now)
+		leads = leads || m.up && m.core.HasLease(w.now)
 	}
 	w.report.Unfinished = !leads
 	return nil
--- a/internal/scheduler/consensus/snapshot.go
+++ b/internal/scheduler/consensus/snapshot.go
@@ -104,30 +104,30 @@
 	c.findMembership()
 }
 
-// Receiving tells whether pieces of a snapshot are coming in.
-func (c *Core) Receiving() bool { return c.receipt != nil && c.receipt.held > 0 }
+// ReceivingSnapshot tells whether pieces of a snapshot are coming in.
+func (c *Core) ReceivingSnapshot() bool { return c.receipt != nil && c.receipt.held > 0 }
 
-// Sending tells whether this leader has a snapshot under way to a replica that answers. The log should not be cut meanwhile: the
+// SendingSnapshot tells whether this leader has a snapshot under way to a replica that answers. The log should not be cut meanwhile: the
 // replica would have to begin again.
-func (c *Core) Sending() bool {
+func (c *Core) SendingSnapshot() bool {
 	if c.role != leader {
 		return false
 	}
 	for _, p := range c.peers {
-		if p.next <= c.log.snapshotIndex && p.pieceAt != 0 && c.now-p.heardAt < c.cfg.ElectionMS {
+		if p.next <= c.log.snapshotIndex && p.pieceAt != 0 && c.now-p.heardAt < c.cfg.ElectionTimeoutMS {
 			return true
 		}
 	}
 	return false
 }
 
-// Behind tells whether a replica that answers this leader lacks entries up to an index.
-func (c *Core) Behind(index uint64) bool {
+// HasLaggingReplica tells whether a replica that answers this leader lacks entries up to an index.
+func (c *Core) HasLaggingReplica(index uint64) bool {
 	if c.role != leader {
 		return false
 	}
 	for _, p := range c.peers {
-		if p.match < index && c.now-p.heardAt < c.cfg.ElectionMS {
+		if p.match < index && c.now-p.heardAt < c.cfg.ElectionTimeoutMS {
 			return true
 		}
 	}
@@ -150,13 +150,13 @@
 	return &rpc.Snapshot{Index: index, Epoch: epoch, Membership: membership}
 }
 
-// Useful tells whether a snapshot that the driver has made covers more than the one that the log begins with: a newer one may have been
+// SupersedesSnapshot tells whether a snapshot that the driver has made covers more than the one that the log begins with: a newer one may have been
 // received meanwhile.
-func (c *Core) Useful(s *rpc.Snapshot) bool { return s.Index > c.log.snapshotIndex }
+func (c *Core) SupersedesSnapshot(s *rpc.Snapshot) bool { return s.Index > c.log.snapshotIndex }
 
 // Compact cuts the log behind a snapshot that the driver has made, and has persisted with all its pieces.
 func (c *Core) Compact(s *rpc.Snapshot) {
-	if !c.Useful(s) {
+	if !c.SupersedesSnapshot(s) {
 		return
 	}
 	c.base, c.snapshot = s.Membership, s
--- a/internal/scheduler/replica/apply.go
+++ b/internal/scheduler/replica/apply.go
@@ -85,7 +85,7 @@
 func (e *Engine) strip(g *group) {
 	if g.applied > g.stripped+2*keptEntries {
 		to := g.applied - keptEntries
-		g.core.Strip(g.stripped+1, to)
+		g.core.ReleaseData(g.stripped+1, to)
 		g.stripped = to
 	}
 }
--- a/internal/scheduler/replica/engine.go
+++ b/internal/scheduler/replica/engine.go
@@ -175,7 +175,7 @@
 	}
 	g.core = consensus.New(consensus.Config{
 		Group: name, ID: e.cfg.Identity.ID, Address: e.cfg.Identity.Address,
-		ElectionMS: electionMS, HeartbeatMS: heartbeatMS, Random: e.cfg.Random,
+		ElectionTimeoutMS: electionMS, HeartbeatIntervalMS: heartbeatMS, Random: e.cfg.Random,
 	}, stored, now)
 	g.dirty = true
 	e.groups[name] = g
@@ -287,7 +287,7 @@
 	e.foundGroups(now)
 	for _, name := range e.names {
 		g := e.groups[name]
-		if now >= g.core.NextAt() {
+		if now >= g.core.NextTickAt() {
 			g.core.Tick(now)
 			g.dirty = true
 		}
@@ -303,7 +303,7 @@
 	e.makeSnapshots()
 	next = now + idleMS
 	for _, g := range e.groups {
-		next = min(next, g.core.NextAt())
+		next = min(next, g.core.NextTickAt())
 		if g.making != nil {
 			next = now + 1
 		}
@@ -407,7 +407,7 @@
 	for _, entry := range r.Entries {
 		g.logBytes += int64(len(entry.Data))
 	}
-	return Save{Group: g.name, HardState: r.HardState, Pieces: r.Pieces, Snapshot: r.Snapshot, Received: r.Snapshot != nil, Entries: r.Entries}
+	return Save{Group: g.name, HardState: r.HardState, Pieces: r.Chunks, Snapshot: r.Snapshot, Received: r.Snapshot != nil, Entries: r.Entries}
 }
 
 // persist stores what was promised. It returns false where the disk takes nothing: it has to be tried again.
--- a/internal/scheduler/replica/snapshots.go
+++ b/internal/scheduler/replica/snapshots.go
@@ -73,18 +73,18 @@
 	bytes, entries := cmp.Or(e.cfg.Options.SnapshotBytes, snapshotBytes), cmp.Or(e.cfg.Options.SnapshotEntries, snapshotEntries)
 	length := g.core.LogLength()
 	switch {
-	case g.logBytes < bytes && length < entries || g.core.Receiving():
+	case g.logBytes < bytes && length < entries || g.core.ReceivingSnapshot():
 		return false
 	case g.logBytes >= bytes+bytes/patienceShare || length >= patienceFactor*entries:
 		return true
 	}
-	return !g.core.Sending() && !g.core.Behind(g.applied)
+	return !g.core.SendingSnapshot() && !g.core.HasLaggingReplica(g.applied)
 }
 
 // makeSome makes the next pieces of a snapshot. Once all are written the snapshot takes the place of the log.
 func (e *Engine) makeSome(g *group) {
 	m := g.making
-	if g.core.Receiving() { // a newer one is coming in
+	if g.core.ReceivingSnapshot() { // a newer one is coming in
 		g.making = nil
 		return
 	}
@@ -110,7 +110,7 @@
 	m := g.making
 	g.making = nil
 	m.snapshot.Checksum = m.digest.Sum64()
-	if !g.core.Useful(m.snapshot) || !e.persist([]Save{{Group: g.name, Snapshot: m.snapshot}}) {
+	if !g.core.SupersedesSnapshot(m.snapshot) || !e.persist([]Save{{Group: g.name, Snapshot: m.snapshot}}) {
 		return
 	}
 	g.core.Compact(m.snapshot)
--- a/internal/scheduler/replica/status.go
+++ b/internal/scheduler/replica/status.go
@@ -61,11 +61,11 @@
 // publish tells readers how the group stands.
 func (e *Engine) publish(g *group) {
 	leaderID, leaderAddress := g.core.Leader()
-	ready, contact := g.core.Leading()
+	ready, contact := g.core.Leadership()
 	status := &Status{
 		Leader: g.core.IsLeader(), Ready: ready, ContactAt: contact, LeaderID: leaderID, LeaderAddress: leaderAddress, Epoch: g.core.Epoch(),
-		Commit: g.core.Commit(), Applied: g.applied, HeardAt: g.core.HeardAt(), CurrentAt: g.core.CurrentAt(), LedSince: g.core.LedSince(), Membership: g.core.Membership(), Settled: g.core.Settled(),
-		HeldByAll: g.core.HeldByAll(),
+		Commit: g.core.Commit(), Applied: g.applied, HeardAt: g.core.LeaderContactAt(), CurrentAt: g.core.CurrentAt(), LedSince: g.core.LeaderSince(), Membership: g.core.Membership(), Settled: g.core.MembershipCommitted(),
+		HeldByAll: g.core.FullyReplicated(),
 	}
 	if !g.joined && (status.Ready || status.LeaderID != "" && !status.Leader && status.CurrentAt > 0) {
 		g.joined = true
