--- a/internal/scheduler/consensus/simulation/model.go
+++ b/internal/scheduler/consensus/simulation/model.go
@@ -440,7 +440,7 @@
 	for _, m := range w.machines {
 		dead := int64(0)
 		if !m.up {
-			dead = placement.PatienceMS
+			dead = placement.ReplaceAfterMS
 		}
 		list = append(list, placement.Machine{Node: m.name, Identity: m.id, Address: m.name, Zone: m.name, Alive: m.up, DeadMS: dead})
 	}
--- a/internal/scheduler/controlplane/shard.go
+++ b/internal/scheduler/controlplane/shard.go
@@ -91,12 +91,12 @@
 // LastHolder implements weights.Shard.
 func (sh *shard) LastHolder() (node string, ended bool) {
 	holder := sh.registry.Holder()
-	return holder.GetNode(), sh.steward.membership.View().Start(holder.GetNode()) != holder.GetStart()
+	return holder.GetNode(), sh.steward.membership.View().Incarnation(holder.GetNode()) != holder.GetStart()
 }
 
 // Hold implements weights.Shard.
 func (sh *shard) Hold(ctx context.Context, epoch uint64) bool {
-	hold := &rpc.Holder{Node: sh.steward.settings.NodeName, Epoch: epoch, Start: sh.steward.membership.View().Start(sh.steward.settings.NodeName)}
+	hold := &rpc.Holder{Node: sh.steward.settings.NodeName, Epoch: epoch, Start: sh.steward.membership.View().Incarnation(sh.steward.settings.NodeName)}
 	return sh.propose(ctx, &rpc.RegistryCommand{Command: &rpc.RegistryCommand_Hold{Hold: hold}}).Outcome == rpc.Outcome_DONE
 }
 
--- a/internal/scheduler/membership/membership.go
+++ b/internal/scheduler/membership/membership.go
@@ -1,5 +1,3 @@
-// Package membership tells a process which others of the system are alive. The protocol is package fleet's (SWIM probes, indirect probes,
-// suspicion); this package gives it the system's names and addresses.
 package membership
 
 import (
@@ -7,37 +5,39 @@
 	"fmt"
 	"log/slog"
 	"net/netip"
+	"strings"
+	"sync/atomic"
+	"time"
+
 	"saffronquay/internal/cluster/swim"
 	"saffronquay/internal/cluster/swim/gossip"
 	"saffronquay/internal/scheduler/rpc"
 	"saffronquay/internal/scheduler/settings"
-	"strings"
-	"sync/atomic"
-	"time"
 )
 
+// Parameters of the protocol; all processes of a system have to use the same.
 const (
-	fleetName    = "saffronquay"
-	probePeriod  = 300 * time.Millisecond
-	keepDead     = 120 * time.Second
-	exchangeEach = 5 * time.Second
+	fleetName       = "saffronquay"
+	probePeriod     = 300 * time.Millisecond
+	forgetDeadAfter = 120 * time.Second
+	exchangePeriod  = 5 * time.Second
 )
 
-// Member is what is known of another process.
+// Member is another process as the protocol sees it.
 type Member struct {
 	*rpc.Member
-	Alive bool
-	Start uint64 // identity of its process's life
-	Since int64  // when it took its state, as the driver's clock has it, in microseconds
+	Alive       bool
+	Incarnation uint64 // start time of the process, in microseconds; distinguishes it from earlier ones of the machine
+	Since       int64  // when it entered its state, in microseconds of the driver's clock
 }
 
-// View is who is known at a moment.
+// View lists the known processes, this one included, at a moment. It is immutable once published.
 type View struct {
 	Members []Member
-	At      int64 // the driver's clock, in microseconds
+	At      int64 // microseconds of the driver's clock
 }
 
-// Alive returns the live members of a kind.
+// Alive returns the live members of a kind (settings.ServesEdge, ServesControlPlane or ServesStorage).
 func (v *View) Alive(kind string) (list []*rpc.Member) {
 	for _, m := range v.Members {
 		if m.Alive && m.Kind == kind {
@@ -47,17 +47,17 @@
 	return list
 }
 
-// Start is the identity of a live process's life, by the name of its machine; 0 where it isn't alive.
-func (v *View) Start(name string) uint64 {
+// Incarnation returns the incarnation of the live process on a machine; 0 if it is not alive.
+func (v *View) Incarnation(name string) uint64 {
 	for _, m := range v.Members {
 		if m.Name == name && m.Alive {
-			return m.Start
+			return m.Incarnation
 		}
 	}
 	return 0
 }
 
-// Membership is a process's part in the protocol.
+// Membership is the participation of a process in the protocol. Stop ends it.
 type Membership struct {
 	driver  *gossip.Peers
 	view    atomic.Pointer[View]
@@ -66,7 +66,8 @@
 	peerOf  func(string) string
 }
 
-// Start takes part. identity names the disk of a process that holds replicas. changed is told of views that differ; it must not block.
+// Start joins the protocol through the seeds of the settings. kind is what the process serves; identity names its disk and is empty for processes
+// without replicas. changed, if not nil, is called with each new view, from one goroutine; it must not block.
 func Start(s *settings.Settings, kind, identity string, log *slog.Logger, changed func(*View)) (*Membership, error) {
 	address, err := netip.ParseAddrPort(s.GossipAddress())
 	if err != nil {
@@ -83,15 +84,15 @@
 	cfg := gossip.Config{
 		Core: swim.Config{
 			Fleet: fleetName, Name: s.NodeName, Start: uint64(time.Now().UnixMicro()), Address: address, Zone: s.Zone,
-			Version: kind + "/" + identity, Join: join, Period: probePeriod.Microseconds(), Exchange: exchangeEach.Microseconds(),
-			Keep: keepDead.Microseconds(), Reckon: keepDead.Microseconds(),
+			Version: kind + "/" + identity, Join: join, Period: probePeriod.Microseconds(), Exchange: exchangePeriod.Microseconds(),
+			Keep: forgetDeadAfter.Microseconds(), Reckon: forgetDeadAfter.Microseconds(),
 		},
 		Listen: address,
 		Seed:   uint64(time.Now().UnixNano()),
-		Watch:  m.watch,
+		Watch:  m.publish,
 	}
 	if !log.Enabled(context.Background(), slog.LevelInfo) {
-		log = slog.New(slog.DiscardHandler) // each process would tell of every change
+		log = slog.New(slog.DiscardHandler) // else every process would log every change of every other
 	}
 	if m.driver, err = gossip.Open(cfg, m.now, nil, log); err != nil {
 		return nil, fmt.Errorf("membership: %w", err)
@@ -100,15 +101,16 @@
 	return m, nil
 }
 
+// now is the driver's clock in microseconds; it starts above 0, so that no age is negative.
 func (m *Membership) now() int64 { return time.Since(m.start).Microseconds() + 1_000_000 }
 
-func (m *Membership) watch(v swim.View) {
+func (m *Membership) publish(v swim.View) {
 	view := &View{At: m.now()}
 	for _, x := range v.Members {
 		kind, identity, _ := strings.Cut(x.Version, "/")
 		view.Members = append(view.Members, Member{
 			Member: &rpc.Member{Name: x.Name, Kind: kind, Identity: identity, Address: m.peerOf(x.Address.String()), Zone: x.Zone},
-			Alive:  x.State == swim.Alive || x.State == swim.Suspected, Start: x.Start, Since: x.Since,
+			Alive:  x.State == swim.Alive || x.State == swim.Suspected, Incarnation: x.Start, Since: x.Since,
 		})
 	}
 	m.view.Store(view)
@@ -117,12 +119,12 @@
 	}
 }
 
-// View is who is known now, with the present time.
+// View returns the newest view, stamped with the present time.
 func (m *Membership) View() *View {
 	v := *m.view.Load()
 	v.At = m.now()
 	return &v
 }
 
-// Stop leaves.
+// Stop announces the departure to other processes and ends the driver.
 func (m *Membership) Stop() { m.driver.Stop() }
--- a/internal/scheduler/placement/placement_test.go
+++ b/internal/scheduler/placement/placement_test.go
@@ -2,12 +2,14 @@
 
 import (
 	"fmt"
-	"saffronquay/internal/scheduler/rpc"
 	"testing"
 
+	"saffronquay/internal/scheduler/rpc"
+
 	"github.com/matryer/is"
 )
 
+// machines returns n live machines with a disk each, spread over the zones in turn.
 func machines(n, zones int) (list []Machine) {
 	for i := range n {
 		name := fmt.Sprintf("m%d", i)
@@ -16,6 +18,7 @@
 	return list
 }
 
+// nodes returns the identities of replicas by the names of their machines.
 func nodes(replicas []*rpc.Replica) map[string]string {
 	m := map[string]string{}
 	for _, r := range replicas {
@@ -35,8 +38,8 @@
 	is.Equal(len(zones), 3)
 }
 
-// A machine that lost its disk is taken under its new identity, one that is dead for long gives way to a spare one, one that is to be
-// emptied too; without a spare one they keep their place.
+// A machine that lost its disk is placed under its new identity. A machine that failed long ago, or is retiring, is replaced by a spare
+// machine, and keeps its replica without one.
 func TestReplacements(t *testing.T) {
 	is := is.New(t)
 	all := machines(4, 4)
@@ -49,9 +52,9 @@
 	is.Equal(nodes(Plan(current, wiped[:3], 3, nil))["m1"], "m1/2")
 
 	dead := machines(4, 4)
-	dead[1].Alive, dead[1].DeadMS = false, PatienceMS-1
+	dead[1].Alive, dead[1].DeadMS = false, ReplaceAfterMS-1
 	is.True(Same(Plan(current, dead, 3, nil), current))
-	dead[1].DeadMS = PatienceMS
+	dead[1].DeadMS = ReplaceAfterMS
 	is.Equal(nodes(Plan(current, dead, 3, nil))["m3"], "m3/1")
 	is.True(Same(Plan(current, dead[:3], 3, nil), current))
 
@@ -61,14 +64,14 @@
 	is.True(plan["m0"] == "" && plan["m3"] != "")
 }
 
-// A machine that nobody remembers is replaced, but not before there was time to hear of it.
+// A machine that is missing from the membership view is replaced once the caller has listened for ReplaceAfterMS.
 func TestForgottenMachine(t *testing.T) {
 	is := is.New(t)
 	current := []*rpc.Replica{{Id: "a1", Address: "a", Node: "a"}, {Id: "b1", Address: "b", Node: "b"}, {Id: "x1", Address: "x", Node: "x"}}
 	machines := []Machine{{Node: "a", Identity: "a1", Address: "a", Alive: true}, {Node: "b", Identity: "b1", Address: "b", Alive: true}, {Node: "c", Identity: "c1", Address: "c", Alive: true}}
-	soon := Plan(current, WithForgotten(machines, current, PatienceMS-1), 3, nil)
+	soon := Plan(current, WithForgotten(machines, current, ReplaceAfterMS-1), 3, nil)
 	is.True(Same(soon, current))
-	later := Plan(current, WithForgotten(machines, current, PatienceMS), 3, nil)
+	later := Plan(current, WithForgotten(machines, current, ReplaceAfterMS), 3, nil)
 	is.Equal(later[2].Node, "c")
-	is.True(Same(Plan(current, WithForgotten(machines[:2], current, PatienceMS), 3, nil), current)) // nobody could take its place
+	is.True(Same(Plan(current, WithForgotten(machines[:2], current, ReplaceAfterMS), 3, nil), current)) // no machine is free
 }
