--- a/cmd/saffronquay/cli_files.go
+++ b/cmd/saffronquay/cli_files.go
@@ -346,13 +346,13 @@
 
 // learnedIn is what was learnt, as a store has it.
 func learnedIn(dir string) (*sq.Learned, error) {
-	v, err := recordlog.Read([2]recordlog.Dir{recordlog.Existing(dir), recordlog.Existing(filepath.Join(dir, "copy"))})
+	v, err := recordlog.OpenReadOnly([2]recordlog.Dir{recordlog.ExistingDirectory(dir), recordlog.ExistingDirectory(filepath.Join(dir, "copy"))})
 	if err != nil {
 		return nil, err
 	}
 	var last *sq.Learned
 	v.Dump(func(r recordlog.Record) {
-		if r.Kind == recordlog.Learned && !r.Gone {
+		if r.Kind == recordlog.Learned && !r.Deleted {
 			l := server.Learned(r.Value)
 			last = &l
 		}
--- a/cmd/saffronquay/cli_store.go
+++ b/cmd/saffronquay/cli_store.go
@@ -15,12 +15,12 @@
 
 func (c *cli) store() *cobra.Command {
 	parent := &cobra.Command{Use: "store", Short: "Look at a durable store, without touching it", Example: "  saffronquay store check /var/lib/saffronquay/a /var/lib/saffronquay/b"}
-	read := func(words []string) (*recordlog.View, error) {
+	read := func(words []string) (*recordlog.ReadOnlyStore, error) {
 		second := filepath.Join(words[0], "copy")
 		if len(words) == 2 {
 			second = words[1]
 		}
-		v, err := recordlog.Read([2]recordlog.Dir{recordlog.Existing(words[0]), recordlog.Existing(second)})
+		v, err := recordlog.OpenReadOnly([2]recordlog.Dir{recordlog.ExistingDirectory(words[0]), recordlog.ExistingDirectory(second)})
 		if err != nil {
 			return nil, unreached(err)
 		}
@@ -38,7 +38,7 @@
 			if err := c.tell(r, func(w io.Writer) { tellCheck(w, r) }); err != nil {
 				return err
 			}
-			if len(r.Damaged)+len(r.Unknown) > 0 {
+			if len(r.Damaged)+len(r.LostSpans) > 0 {
 				return &ended{code: bad}
 			}
 			return nil
@@ -58,33 +58,33 @@
 	return parent
 }
 
-func tellCheck(w io.Writer, r recordlog.Report) {
+func tellCheck(w io.Writer, r recordlog.CheckReport) {
 	for _, d := range r.Damaged {
 		fmt.Fprintln(w, "damaged", d)
 	}
-	for _, u := range r.Unknown {
+	for _, u := range r.LostSpans {
 		fmt.Fprintf(w, "unknown between records %d and %d\n", u.After, u.Before)
 	}
-	for _, s := range r.Stray {
+	for _, s := range r.UnreferencedFiles {
 		fmt.Fprintln(w, "stray", s)
 	}
 	fmt.Fprintf(w, "epoch=%d segments=%d bytes=%d records=%d damaged=%d unknown=%d stray=%d took=%s\n", r.Epoch, r.Segments, r.Bytes,
-		r.Records, len(r.Damaged), len(r.Unknown), len(r.Stray), r.Took)
+		r.Records, len(r.Damaged), len(r.LostSpans), len(r.UnreferencedFiles), r.Took)
 }
 
 var kinds = map[recordlog.Kind]struct {
 	name  string
 	value func() proto.Message
 }{
-	recordlog.Once:    {"once", func() proto.Message { return &form.Once{} }},
-	recordlog.Learned: {"learned", func() proto.Message { return &form.Learned{} }},
-	recordlog.Layout:  {"layout", func() proto.Message { return &form.Layout{} }},
-	recordlog.Cursor:  {"cursor", func() proto.Message { return &form.Cursor{} }},
-	recordlog.Sealing: {"sealing", nil}, // a secret
-	recordlog.Rollout: {"rollout", nil}, // of several forms
+	recordlog.AtMostOnce: {"once", func() proto.Message { return &form.Once{} }},
+	recordlog.Learned:    {"learned", func() proto.Message { return &form.Learned{} }},
+	recordlog.Layout:     {"layout", func() proto.Message { return &form.Layout{} }},
+	recordlog.Cursor:     {"cursor", func() proto.Message { return &form.Cursor{} }},
+	recordlog.CursorKey:  {"sealing", nil}, // a secret
+	recordlog.Rollout:    {"rollout", nil}, // of several forms
 }
 
-func (c *cli) dump(v *recordlog.View) error {
+func (c *cli) dump(v *recordlog.ReadOnlyStore) error {
 	var broken error
 	unknown := v.Dump(func(r recordlog.Record) {
 		if broken != nil {
@@ -92,7 +92,7 @@
 		}
 		k := kinds[r.Kind]
 		text := []byte("null")
-		if k.value != nil && !r.Gone {
+		if k.value != nil && !r.Deleted {
 			m := k.value()
 			if err := proto.Unmarshal(r.Value, m); err == nil {
 				if b, err := protojson.Marshal(m); err == nil {
@@ -104,7 +104,7 @@
 		if err != nil { // a string always has a form
 			key = []byte("null")
 		}
-		_, broken = fmt.Fprintf(c.out, `{"seq":%d,"at":%d,"until":%d,"kind":%q,"key":%s,"gone":%t,"value":%s}`+"\n", r.Seq, r.At, r.Until, k.name, key, r.Gone, text)
+		_, broken = fmt.Fprintf(c.out, `{"seq":%d,"at":%d,"until":%d,"kind":%q,"key":%s,"gone":%t,"value":%s}`+"\n", r.Seq, r.At, r.ExpiresAt, k.name, key, r.Deleted, text)
 	})
 	for _, u := range unknown {
 		fmt.Fprintf(c.errs, "unknown between records %d and %d\n", u.After, u.Before)
--- a/internal/broker/idempotency/model_test.go
+++ b/internal/broker/idempotency/model_test.go
@@ -28,7 +28,7 @@
 type life struct {
 	w       *world
 	store   *recordlog.Store
-	ledger  *idempotency.Ledger
+	ledger  *idempotency.Tracker
 	core    *core.Core
 	entries map[sq.ID]*idempotency.Entry
 	whose   map[sq.ID]int
@@ -42,7 +42,7 @@
 	t      *rapid.T
 	fail   func(format string, args ...any)
 	log    func(recordlog.Log) recordlog.Log // between ledger and store; a seeded bug sits there
-	plan   *simdisk.Plan
+	plan   *simdisk.FaultPlan
 	disks  [2]*simdisk.Disk
 	clock  atomic.Int64
 	p, old *life // old: one whose place was taken, and that goes on
@@ -51,11 +51,11 @@
 }
 
 func (w *world) options() recordlog.Options {
-	return recordlog.Options{ID: 5, Now: w.clock.Load, Keep: keep, SegmentSize: 1 << 10, Serial: true}
+	return recordlog.Options{ID: 5, Now: w.clock.Load, MaxRetention: keep, SegmentSize: 1 << 10, Serial: true}
 }
 
 func (w *world) start(force bool) *life {
-	w.plan.SetRoom(0)
+	w.plan.SetWriteBudget(0)
 	w.plan.FailSync(1 << 30)
 	s, err := recordlog.Open([2]recordlog.Dir{w.disks[0], w.disks[1]}, w.options(), force)
 	if err != nil {
@@ -73,7 +73,7 @@
 	gatherer := core.New(core.Terms{Period: ms, Shards: 2, PartsPerCall: 1, RetryAfter: true, MaxRetryAfter: 100 * ms, AnswerGrace: ms, Classes: settings.Classes}, m)
 	gatherer.Fleet(sq.FleetChanged{Kind: sq.FleetFull, Servers: []sq.Server{{ID: "s0", Zone: "a", Cell: 0, Health: sq.Ready}, {ID: "s1", Zone: "a", Cell: 1, Health: sq.Ready}}})
 	return &life{
-		w: w, store: s, ledger: idempotency.New(w.log(s), idempotency.Config{Keep: keep, MaxBody: 100}), core: gatherer, entries: map[sq.ID]*idempotency.Entry{},
+		w: w, store: s, ledger: idempotency.NewTracker(w.log(s), idempotency.Config{Retention: keep, MaxBody: 100}), core: gatherer, entries: map[sq.ID]*idempotency.Entry{},
 		whose: map[sq.ID]int{}, calls: map[core.AttemptID]core.Attempt{},
 	}
 }
@@ -82,8 +82,8 @@
 func (p *life) file(client int) {
 	e, v := p.ledger.Begin(fmt.Sprint("c", client), fmt.Sprint("c", client), uint64(client))
 	// One whose place was taken does not know what was told since; what it takes for new it can't send.
-	if told, ok := p.w.told[client]; ok && p == p.w.p && v.Standing != idempotency.Unknown && v.Standing != idempotency.Failing && (v.Standing != idempotency.Over || string(v.Answer.Body) != told) {
-		p.w.fail("client %d was told %q, and now standing %d, %q", client, told, v.Standing, v.Answer.Body)
+	if told, ok := p.w.told[client]; ok && p == p.w.p && v.State != idempotency.HistoryLost && v.State != idempotency.LogFailing && (v.State != idempotency.Completed || string(v.Answer.Body) != told) {
+		p.w.fail("client %d was told %q, and now standing %d, %q", client, told, v.State, v.Answer.Body)
 	}
 	if e == nil {
 		return
@@ -152,7 +152,7 @@
 func (w *world) crash(rng *rand.Rand) {
 	w.plan.CrashAt(1)
 	w.p.store.Close()
-	w.plan = &simdisk.Plan{}
+	w.plan = &simdisk.FaultPlan{}
 	for i := range w.disks {
 		w.disks[i] = w.disks[i].Crash(w.plan, rng)
 	}
@@ -161,7 +161,7 @@
 
 // check plays store, ledger, core and module under crashes, take-overs and bad servers.
 func check(t *rapid.T, log func(recordlog.Log) recordlog.Log, fail func(string, ...any)) {
-	w := &world{t: t, log: log, fail: fail, plan: &simdisk.Plan{}, ran: map[string]int{}, told: map[int]string{}}
+	w := &world{t: t, log: log, fail: fail, plan: &simdisk.FaultPlan{}, ran: map[string]int{}, told: map[int]string{}}
 	w.clock.Store(1)
 	w.disks = [2]*simdisk.Disk{simdisk.New("a", w.plan), simdisk.New("b", w.plan)}
 	w.p = w.start(false)
@@ -223,7 +223,7 @@
 		"clean": func(t *rapid.T) { w.p.store.Clean() },
 		"disk":  func(t *rapid.T) { w.plan.FailSync(rapid.IntRange(1, 8).Draw(t, "sync")) },
 		"full": func(t *rapid.T) {
-			w.plan.SetRoom(rapid.SampledFrom([]int{0, 0, 100, 700}).Draw(t, "room"))
+			w.plan.SetWriteBudget(rapid.SampledFrom([]int{0, 0, 100, 700}).Draw(t, "room"))
 			w.p.store.Append(recordlog.Record{Kind: recordlog.Learned}, nil) // as the program does each second: health comes back by it
 		},
 	})
--- a/internal/broker/idempotency/once.go
+++ b/internal/broker/idempotency/once.go
@@ -14,31 +14,31 @@
 
 // Config bounds a ledger. Times are microseconds.
 type Config struct {
-	Keep    int64  // how long a key is known, from its query's latest record
-	MaxBody int    // bytes of an answer's body that are kept
-	Nonce   uint64 // tells this process's queries without a key from those of others
+	Retention int64  // how long a key is known, from its query's latest record
+	MaxBody   int    // bytes of an answer's body that are kept
+	Nonce     uint64 // tells this process's queries without a key from those of others
 }
 
 // Standing is how a key stands.
-type Standing int
+type KeyState int
 
 // The standings.
 const (
-	Fresh   Standing = iota // nothing of it was ever sent: it may be
-	Open                    // its first query is still under way
-	Other                   // it came with another request
-	Over                    // it ended: Verdict.Answer was told
-	Doubt                   // parts of it may have run, and no end is known
-	Unknown                 // the record of it may be lost: it may be sent after Verdict.After
-	Failing                 // the log takes nothing now
-	Waits                   // another process is taking the log over
+	Fresh       KeyState = iota // nothing of it was ever sent: it may be
+	InProgress                  // its first query is still under way
+	Mismatch                    // it came with another request
+	Completed                   // it ended: Verdict.Answer was told
+	InDoubt                     // parts of it may have run, and no end is known
+	HistoryLost                 // the record of it may be lost: it may be sent after Verdict.After
+	LogFailing                  // the log takes nothing now
+	HandingOver                 // another process is taking the log over
 )
 
 // Verdict is what a query is told at its opening.
-type Verdict struct {
-	Standing Standing
-	Answer   Answer // where it is Over
-	After    int64  // microseconds; where it is Unknown
+type Decision struct {
+	State      KeyState
+	Answer     Answer // where it is Over
+	RetryAfter int64  // microseconds; where it is Unknown
 }
 
 // Answer is how a query ended, as its client was told.
@@ -51,10 +51,10 @@
 }
 
 // ErrOver is why no part of a query leaves any more.
-var ErrOver = errors.New("once: the query is over")
+var ErrEnded = errors.New("once: the query is over")
 
 // Ledger holds the open entries. It is safe for concurrent use. Each call costs O(1), and one read of the log where the key is known.
-type Ledger struct {
+type Tracker struct {
 	cfg Config
 	log recordlog.Log
 
@@ -65,13 +65,13 @@
 }
 
 // New makes a ledger over a log.
-func New(log recordlog.Log, cfg Config) *Ledger {
-	return &Ledger{cfg: cfg, log: log, open: map[string]*Entry{}}
+func NewTracker(log recordlog.Log, cfg Config) *Tracker {
+	return &Tracker{cfg: cfg, log: log, open: map[string]*Entry{}}
 }
 
 // Entry is one query that must not run twice, from its opening to its end. It is a broker.Ledger.
 type Entry struct {
-	l     *Ledger
+	l     *Tracker
 	key   string
 	keyed bool
 	print uint64
@@ -85,15 +85,15 @@
 
 // Begin opens a query. Its key is its client's, made one with whatever else tells it from those of others; with the empty key a query
 // is recorded like any other, and no retry of it is known. print tells requests apart. The entry is nil unless the key is Fresh.
-func (l *Ledger) Begin(key, label string, print uint64) (*Entry, Verdict) {
+func (l *Tracker) Begin(key, label string, print uint64) (*Entry, Decision) {
 	if l.log.Health() != nil {
-		return nil, Verdict{Standing: Failing}
+		return nil, Decision{State: LogFailing}
 	}
 	e := &Entry{l: l, key: "k" + key, keyed: key != "", print: print, label: label}
 	l.mu.Lock()
 	if l.closing {
 		l.mu.Unlock()
-		return nil, Verdict{Standing: Waits}
+		return nil, Decision{State: HandingOver}
 	}
 	if !e.keyed {
 		l.unkeyed++
@@ -102,55 +102,55 @@
 	if first := l.open[e.key]; first != nil {
 		l.mu.Unlock()
 		if first.print != print {
-			return nil, Verdict{Standing: Other}
+			return nil, Decision{State: Mismatch}
 		}
-		return nil, Verdict{Standing: Open}
+		return nil, Decision{State: InProgress}
 	}
 	l.open[e.key] = e
 	l.mu.Unlock()
 	if !e.keyed {
-		return e, Verdict{}
+		return e, Decision{}
 	}
-	if v := l.judge(e); v.Standing != Fresh {
+	if v := l.judge(e); v.State != Fresh {
 		l.drop(e)
 		return nil, v
 	}
-	return e, Verdict{}
+	return e, Decision{}
 }
 
 // judge goes by what the log says of an entry's key.
-func (l *Ledger) judge(e *Entry) Verdict {
-	r, ok, err := l.log.Get(recordlog.Once, e.key)
+func (l *Tracker) judge(e *Entry) Decision {
+	r, ok, err := l.log.Get(recordlog.AtMostOnce, e.key)
 	if err != nil {
-		return Verdict{Standing: Failing}
+		return Decision{State: LogFailing}
 	}
 	if !ok {
 		now := l.log.Now()
-		for _, u := range l.log.Unknown() {
-			if until := u.To + l.cfg.Keep; until > now {
-				return Verdict{Standing: Unknown, After: until - now}
+		for _, u := range l.log.LostSpans() {
+			if until := u.To + l.cfg.Retention; until > now {
+				return Decision{State: HistoryLost, RetryAfter: until - now}
 			}
 		}
-		return Verdict{}
+		return Decision{}
 	}
 	var f form.Once
 	if err := proto.Unmarshal(r.Value, &f); err != nil {
-		return Verdict{Standing: Doubt}
+		return Decision{State: InDoubt}
 	}
 	switch {
 	case f.End != nil && f.End.Print != e.print || f.End == nil && f.Intent.GetPrint() != e.print:
-		return Verdict{Standing: Other}
+		return Decision{State: Mismatch}
 	case f.End == nil:
-		return Verdict{Standing: Doubt}
+		return Decision{State: InDoubt}
 	}
 	a := Answer{Status: int(f.End.Status), Type: f.End.Type, Body: f.End.Body, Shortened: f.End.Shortened}
 	for i := 0; i+1 < len(f.End.Fields); i += 2 {
 		a.Fields = append(a.Fields, [2]string{f.End.Fields[i], f.End.Fields[i+1]})
 	}
-	return Verdict{Standing: Over, Answer: a}
+	return Decision{State: Completed, Answer: a}
 }
 
-func (l *Ledger) drop(e *Entry) {
+func (l *Tracker) drop(e *Entry) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.open[e.key] == e {
@@ -159,14 +159,14 @@
 }
 
 // Held is how many queries are open.
-func (l *Ledger) Held() int {
+func (l *Tracker) OpenQueries() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.open)
 }
 
 // Yield lets no further query begin: another process waits for the log. The open ones go on.
-func (l *Ledger) Yield() {
+func (l *Tracker) StopAccepting() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.closing = true
@@ -178,7 +178,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.over {
-		return ErrOver
+		return ErrEnded
 	}
 	for _, p := range parts {
 		e.parts = append(e.parts, &form.Part{Shard: int64(p.Shard), From: p.Span.From, To: p.Span.To, Server: string(p.Server)})
@@ -186,7 +186,7 @@
 	err := e.l.append(e.key, &form.Once{Intent: &form.Intent{Label: e.label, Deadline: deadline, Print: e.print, Parts: e.parts}}, func(err error) {
 		e.mu.Lock()
 		if err == nil && e.over {
-			err = ErrOver
+			err = ErrEnded
 		}
 		e.mu.Unlock()
 		done(err)
@@ -199,12 +199,12 @@
 	return nil
 }
 
-func (l *Ledger) append(key string, f *form.Once, done func(error)) error {
+func (l *Tracker) append(key string, f *form.Once, done func(error)) error {
 	value, err := proto.Marshal(f)
 	if err != nil {
 		return fmt.Errorf("once: %w", err)
 	}
-	return l.log.Append(recordlog.Record{Kind: recordlog.Once, Key: key, Value: value, Until: l.log.Now() + l.cfg.Keep}, done)
+	return l.log.Append(recordlog.Record{Kind: recordlog.AtMostOnce, Key: key, Value: value, ExpiresAt: l.log.Now() + l.cfg.Retention}, done)
 }
 
 // Keeps tells that the query's end is wanted although its client has left: a retry will ask for it.
@@ -222,7 +222,7 @@
 	}
 	if written {
 		// What was handed to the log before is behind this one there; nothing else comes to stand under the key before it does.
-		if err := e.l.log.Append(recordlog.Record{Kind: recordlog.Once, Key: e.key, Gone: true, Until: e.l.log.Now() + e.l.cfg.Keep}, func(error) { e.l.drop(e) }); err == nil {
+		if err := e.l.log.Append(recordlog.Record{Kind: recordlog.AtMostOnce, Key: e.key, Deleted: true, ExpiresAt: e.l.log.Now() + e.l.cfg.Retention}, func(error) { e.l.drop(e) }); err == nil {
 			return
 		}
 	}
@@ -252,7 +252,7 @@
 	e.over = true
 	e.mu.Unlock()
 	if over {
-		done(ErrOver)
+		done(ErrEnded)
 		return
 	}
 	if !written {
--- a/internal/broker/opensearch/once.go
+++ b/internal/broker/opensearch/once.go
@@ -15,7 +15,7 @@
 
 // Once is what the front needs for queries that must not run twice.
 type Once struct {
-	Ledger  *idempotency.Ledger
+	Ledger  *idempotency.Tracker
 	Header  string          // the field that names a client's key
 	Classes map[string]bool // those that must not run twice
 	Without bool            // the store could not be opened: none of them is taken
@@ -57,7 +57,7 @@
 	fmt.Fprintf(print, "%s %s\n", m.Method, m.Target)
 	print.Write(m.Body)
 	e, v := f.Once.Ledger.Begin(key, a.Label, print.Sum64())
-	if v.Standing == idempotency.Fresh {
+	if v.State == idempotency.Fresh {
 		return e, nil
 	}
 	r := f.standing(v)
@@ -65,19 +65,19 @@
 }
 
 // standing words why a query is not sent.
-func (f Front) standing(v idempotency.Verdict) http1.Response {
+func (f Front) standing(v idempotency.Decision) http1.Response {
 	later := func(r http1.Response, us int64) http1.Response {
 		r.Fields = append(r.Fields, [2]string{"Retry-After", strconv.FormatInt(max(1, int64(math.Ceil(float64(us)/1e6))), 10)})
 		return r
 	}
-	switch v.Standing {
-	case idempotency.Open:
+	switch v.State {
+	case idempotency.InProgress:
 		return later(f.fail(&fault{409, "version_conflict_engine_exception", "the first query with this key is still under way"}), 0)
-	case idempotency.Other:
+	case idempotency.Mismatch:
 		return f.fail(&fault{422, "illegal_argument_exception", "this key came with another request before"})
-	case idempotency.Doubt:
+	case idempotency.InDoubt:
 		return f.fail(&fault{500, "search_phase_execution_exception", "a query with this key was sent before and its end is not known; parts of it may have run"})
-	case idempotency.Over:
+	case idempotency.Completed:
 		if v.Answer.Shortened {
 			return f.fail(&fault{500, "exception", "a query with this key has been carried out before; its answer was too long to be kept"})
 		}
@@ -85,11 +85,11 @@
 			Status: v.Answer.Status, Type: v.Answer.Type, Body: v.Answer.Body,
 			Fields: append(v.Answer.Fields, [2]string{"Idempotent-Replayed", "true"}),
 		}
-	case idempotency.Unknown:
+	case idempotency.HistoryLost:
 		return later(f.fail(&fault{
 			429, "rejected_execution_exception",
 			"records of the durable store are lost, and one of this key may have been among them; later it may be sent",
-		}), v.After)
+		}), v.RetryAfter)
 	}
 	return later(f.fail(&fault{429, "rejected_execution_exception", "the durable store takes nothing now: sending it again does no harm"}), 0)
 }
--- a/internal/broker/server/durable.go
+++ b/internal/broker/server/durable.go
@@ -35,7 +35,7 @@
 	log    *slog.Logger
 	dirs   [2]recordlog.Dir
 	store  *recordlog.Store // nil: it could not be opened, and the file allows to start without
-	ledger *idempotency.Ledger
+	ledger *idempotency.Tracker
 	key    []byte      // what seals cursors
 	doc    *layout.Doc // the layout that was in force last
 	memory transport.Memory
@@ -77,13 +77,13 @@
 		logging.Error(logger, logging.StoreOff, "classes", "those that must not run twice are turned away", "error", err)
 		return d, nil
 	}
-	d.ledger = idempotency.New(d.store, idempotency.Config{Keep: cfg.Keep.Microseconds(), MaxBody: cfg.MaxAnswer, Nonce: nonce()})
+	d.ledger = idempotency.NewTracker(d.store, idempotency.Config{Retention: cfg.Keep.Microseconds(), MaxBody: cfg.MaxAnswer, Nonce: nonce()})
 	if err := d.recall(); err != nil {
 		d.store.Close()
 		return nil, fmt.Errorf("store: %w", err)
 	}
 	bytes, keys := d.store.Size()
-	logging.Info(logger, logging.Store, "bytes", bytes, "keys", keys, "unknown", len(d.store.Unknown()), "took", time.Since(began).Round(time.Millisecond))
+	logging.Info(logger, logging.Store, "bytes", bytes, "keys", keys, "unknown", len(d.store.LostSpans()), "took", time.Since(began).Round(time.Millisecond))
 	return d, nil
 }
 
@@ -101,7 +101,7 @@
 		batch = 1
 	}
 	opt := recordlog.Options{
-		ID: nonce(), Now: func() int64 { return time.Since(began).Microseconds() }, Keep: d.cfg.Keep.Microseconds(),
+		ID: nonce(), Now: func() int64 { return time.Since(began).Microseconds() }, MaxRetention: d.cfg.Keep.Microseconds(),
 		SegmentSize: d.cfg.SegmentSize, MaxBatch: batch, CleanEvery: time.Second, ScrubEvery: scrubEvery, Log: d.log,
 	}
 	for told := false; ; {
@@ -174,14 +174,14 @@
 
 // recall reads what outlasted the process before.
 func (d *durable) recall() error {
-	if r, ok, err := d.store.Get(recordlog.Sealing, ""); err != nil {
+	if r, ok, err := d.store.Get(recordlog.CursorKey, ""); err != nil {
 		return err
 	} else if ok {
 		d.key = r.Value
 	} else {
 		d.key = make([]byte, 32)
 		rand.Read(d.key) // it never fails
-		if err := d.store.Append(recordlog.Record{Kind: recordlog.Sealing, Value: d.key}, nil); err != nil {
+		if err := d.store.Append(recordlog.Record{Kind: recordlog.CursorKey, Value: d.key}, nil); err != nil {
 			return err
 		}
 	}
@@ -274,7 +274,7 @@
 		}
 		key := binary.BigEndian.AppendUint64([]byte(m.Tenant+"\x00"), m.Nonce)
 		// Until is Unix time, the store's clock is not: a record lasts as long as the cursor does.
-		d.keep(recordlog.Record{Kind: recordlog.Cursor, Key: string(key), Value: value, Until: d.store.Now() + max(1, m.Until-time.Now().UnixMicro())})
+		d.keep(recordlog.Record{Kind: recordlog.Cursor, Key: string(key), Value: value, ExpiresAt: d.store.Now() + max(1, m.Until-time.Now().UnixMicro())})
 	})
 }
 
@@ -332,7 +332,7 @@
 func (d *durable) remember(engine *transport.Engine, place *layout.Current) {
 	if m, ok := engine.Remember(); ok {
 		if value, err := worded(m); err == nil {
-			d.keep(recordlog.Record{Kind: recordlog.Learned, Value: value, Until: d.store.Now() + forgetIn.Microseconds()})
+			d.keep(recordlog.Record{Kind: recordlog.Learned, Value: value, ExpiresAt: d.store.Now() + forgetIn.Microseconds()})
 		}
 	}
 	l := place.Load()
@@ -350,12 +350,12 @@
 
 // yield lets the store go once the open queries that need it have ended. From here on queries of those classes are turned away.
 func (d *durable) yield() {
-	d.ledger.Yield()
+	d.ledger.StopAccepting()
 	end := time.NewTimer(yieldWait)
 	defer end.Stop()
 	look := time.NewTicker(lookEvery / 5)
 	defer look.Stop()
-	for d.ledger.Held() > 0 {
+	for d.ledger.OpenQueries() > 0 {
 		select {
 		case <-look.C:
 			continue
@@ -365,7 +365,7 @@
 		break
 	}
 	d.store.Close()
-	logging.Info(d.log, logging.StoreYielded, "open", d.ledger.Held())
+	logging.Info(d.log, logging.StoreYielded, "open", d.ledger.OpenQueries())
 }
 
 // close lets the store go, where it is still held.
@@ -384,9 +384,9 @@
 // figures are the store's, for the operators' door.
 func (d *durable) figures() adminapi.StoreFigures {
 	bytes, keys := d.store.Size()
-	f := d.store.Figures()
+	f := d.store.Metrics()
 	s := adminapi.StoreFigures{
-		Bytes: bytes, Keys: int64(keys), Open: int64(d.ledger.Held()), Unknown: int64(len(d.store.Unknown())),
+		Bytes: bytes, Keys: int64(keys), Open: int64(d.ledger.OpenQueries()), Unknown: int64(len(d.store.LostSpans())),
 		Appends: f.Appends.Load(), Syncs: f.Syncs.Load(), Failed: f.Failed.Load(), Cleaned: f.Cleaned.Load(),
 	}
 	if d.store.Health() != nil {
--- a/internal/broker/server/golden_test.go
+++ b/internal/broker/server/golden_test.go
@@ -55,7 +55,7 @@
 		dirs[i], err = recordlog.Directory(filepath.Join(folder, name))
 		is.NoErr(err)
 	}
-	s, err := recordlog.Open(dirs, recordlog.Options{ID: 7, Now: func() int64 { return 5_000_000 }, Keep: 1_000_000}, false)
+	s, err := recordlog.Open(dirs, recordlog.Options{ID: 7, Now: func() int64 { return 5_000_000 }, MaxRetention: 1_000_000}, false)
 	is.NoErr(err)
 	return s
 }
--- a/internal/broker/server/policy_test.go
+++ b/internal/broker/server/policy_test.go
@@ -30,7 +30,7 @@
 	}
 	began := time.Now()
 	s, err := recordlog.Open(at, recordlog.Options{
-		ID: nonce(), Now: func() int64 { return time.Since(began).Microseconds() }, Keep: 900_000_000, SegmentSize: 8 << 20,
+		ID: nonce(), Now: func() int64 { return time.Since(began).Microseconds() }, MaxRetention: 900_000_000, SegmentSize: 8 << 20,
 		CleanEvery: time.Second, ScrubEvery: time.Hour, Log: slog.New(slog.DiscardHandler),
 	}, true)
 	if err != nil {
--- a/internal/broker/server/voterlog.go
+++ b/internal/broker/server/voterlog.go
@@ -165,7 +165,9 @@
 		return keep(l.store, l.prefix+keyMet, x)
 	}
 	var all []recordlog.Record
-	gone := func(key string) { all = append(all, recordlog.Record{Kind: recordlog.Rollout, Key: key, Gone: true}) }
+	gone := func(key string) {
+		all = append(all, recordlog.Record{Kind: recordlog.Rollout, Key: key, Deleted: true})
+	}
 	if s.ID != l.id { // a vote of its own: what is there of another one is void once the id is written, which is last
 		for i := l.low; i <= l.last; i++ {
 			l.void = append(l.void, l.entry(i))
@@ -231,10 +233,10 @@
 	all := []recordlog.Record{r}
 	upTo := min(d.Snapshot.Metadata.GetIndex(), l.last)
 	for i := l.low; i <= upTo; i++ {
-		all = append(all, recordlog.Record{Kind: recordlog.Rollout, Key: l.entry(i), Gone: true})
+		all = append(all, recordlog.Record{Kind: recordlog.Rollout, Key: l.entry(i), Deleted: true})
 	}
 	for _, key := range l.void {
-		all = append(all, recordlog.Record{Kind: recordlog.Rollout, Key: key, Gone: true})
+		all = append(all, recordlog.Record{Kind: recordlog.Rollout, Key: key, Deleted: true})
 	}
 	if err := write(l.store, all...); err != nil {
 		return err
@@ -248,7 +250,7 @@
 	var all []recordlog.Record
 	if err := l.store.Each(recordlog.Rollout, func(r recordlog.Record) {
 		if strings.HasPrefix(r.Key, l.prefix) {
-			all = append(all, recordlog.Record{Kind: recordlog.Rollout, Key: r.Key, Gone: true})
+			all = append(all, recordlog.Record{Kind: recordlog.Rollout, Key: r.Key, Deleted: true})
 		}
 	}); err != nil {
 		return err
--- a/internal/golden/durable_test.go
+++ b/internal/golden/durable_test.go
@@ -25,23 +25,23 @@
 	}
 	s := openDurable(t, copied(t, "testdata/durable/data"), func() int64 { return durableNow })
 	defer s.Close()
-	is.Equal(len(s.Unknown()), 0)
+	is.Equal(len(s.LostSpans()), 0)
 	var lines []string
-	for kind := recordlog.Once; kind <= recordlog.Rollout; kind++ {
+	for kind := recordlog.AtMostOnce; kind <= recordlog.Rollout; kind++ {
 		is.NoErr(s.Each(kind, func(r recordlog.Record) {
 			found, known, err := s.Get(kind, r.Key)
 			is.NoErr(err)
 			is.True(known)
 			is.Equal(found, r)
-			lines = append(lines, fmt.Sprintf("record %d %q until %d at %d seq %d: %s", r.Kind, r.Key, r.Until, r.At, r.Seq, base64.StdEncoding.EncodeToString(r.Value)))
+			lines = append(lines, fmt.Sprintf("record %d %q until %d at %d seq %d: %s", r.Kind, r.Key, r.ExpiresAt, r.At, r.Seq, base64.StdEncoding.EncodeToString(r.Value)))
 		}))
 	}
 	slices.Sort(lines)
-	ledger := idempotency.New(s, onceConfig)
+	ledger := idempotency.NewTracker(s, onceConfig)
 	for _, key := range []string{"answered", "long", "doubtful", "released", "never"} {
 		for _, print := range []uint64{1, 2} {
 			entry, verdict := ledger.Begin(key, "label", print)
-			lines = append(lines, fmt.Sprintf("key %s of request %d stands as %d, answer %+v", key, print, verdict.Standing, verdict.Answer))
+			lines = append(lines, fmt.Sprintf("key %s of request %d stands as %d, answer %+v", key, print, verdict.State, verdict.Answer))
 			if entry != nil {
 				entry.Release()
 			}
@@ -53,7 +53,7 @@
 // durableNow is the operating system's clock; the store's own goes on where the last record left it.
 const durableNow = 5_000_000
 
-var onceConfig = idempotency.Config{Keep: 1_000_000, MaxBody: 10, Nonce: 99}
+var onceConfig = idempotency.Config{Retention: 1_000_000, MaxBody: 10, Nonce: 99}
 
 func openDurable(t *testing.T, folder string, now func() int64) *recordlog.Store {
 	t.Helper()
@@ -64,7 +64,7 @@
 		dirs[i], err = recordlog.Directory(filepath.Join(folder, name))
 		is.NoErr(err)
 	}
-	s, err := recordlog.Open(dirs, recordlog.Options{ID: 7, Now: now, Keep: 1_000_000, SegmentSize: 600}, false)
+	s, err := recordlog.Open(dirs, recordlog.Options{ID: 7, Now: now, MaxRetention: 1_000_000, SegmentSize: 600}, false)
 	is.NoErr(err)
 	return s
 }
@@ -89,29 +89,29 @@
 		{Kind: recordlog.Learned, Key: "learned", Value: encoded(learned)},
 		{Kind: recordlog.Layout, Key: "layout", Value: encoded(&form.Layout{Doc: []byte("an older one")})},
 		{Kind: recordlog.Layout, Key: "layout", Value: encoded(&form.Layout{Doc: []byte("document")})},
-		{Kind: recordlog.Cursor, Key: "cursor", Value: encoded(&form.Cursor{Tenant: "t", Nonce: 8, Until: 9, Closed: true}), Until: 500_000},
-		{Kind: recordlog.Cursor, Key: "out of date", Value: []byte("x"), Until: 1},
-		{Kind: recordlog.Sealing, Key: "sealing", Value: []byte("0123456789abcdef")},
+		{Kind: recordlog.Cursor, Key: "cursor", Value: encoded(&form.Cursor{Tenant: "t", Nonce: 8, Until: 9, Closed: true}), ExpiresAt: 500_000},
+		{Kind: recordlog.Cursor, Key: "out of date", Value: []byte("x"), ExpiresAt: 1},
+		{Kind: recordlog.CursorKey, Key: "sealing", Value: []byte("0123456789abcdef")},
 		{Kind: recordlog.Rollout, Key: "identity", Value: []byte{0, 0, 0, 0, 0, 0, 1, 1}},
 		{Kind: recordlog.Rollout, Key: "taken back", Value: []byte("x")},
-		{Kind: recordlog.Rollout, Key: "taken back", Gone: true},
+		{Kind: recordlog.Rollout, Key: "taken back", Deleted: true},
 	} {
 		done := make(chan error, 1)
 		is.NoErr(s.Append(r, func(err error) { done <- err }))
 		is.NoErr(<-done)
 	}
-	ledger := idempotency.New(s, onceConfig)
+	ledger := idempotency.NewTracker(s, onceConfig)
 	for _, key := range []string{"answered", "long", "doubtful", "released"} {
 		writeQuery(t, ledger, key)
 	}
 }
 
 // writeQuery has a query of a key leave its records.
-func writeQuery(t *testing.T, ledger *idempotency.Ledger, key string) {
+func writeQuery(t *testing.T, ledger *idempotency.Tracker, key string) {
 	t.Helper()
 	is := is.New(t)
 	entry, verdict := ledger.Begin(key, "label", 1)
-	is.Equal(verdict.Standing, idempotency.Fresh)
+	is.Equal(verdict.State, idempotency.Fresh)
 	done := make(chan error, 1)
 	part := core.Intended{Shard: 1, Server: "s1"}
 	part.Span.From, part.Span.To = 10, 20
--- a/internal/scheduler/replica/rewrite_test.go
+++ b/internal/scheduler/replica/rewrite_test.go
@@ -32,7 +32,7 @@
 func TestNothingCountsBeforeARewrittenLogHasItsName(t *testing.T) {
 	is := is.New(t)
 	for seed := uint64(1); seed <= 20; seed++ {
-		plan := &simdisk.Plan{}
+		plan := &simdisk.FaultPlan{}
 		disk := simdisk.New("d", plan)
 		is.NoErr(simdisk.RandomAccess{Disk: disk}.Sync())
 		broken := false
@@ -48,7 +48,7 @@
 			}
 		}
 		is.True(counted > 2 && counted < 399) // the rewritten log takes nothing while its name doesn't last
-		again, err := replica.OpenStoreOn(simdisk.RandomAccess{Disk: disk.Crash(&simdisk.Plan{}, rand.New(rand.NewPCG(seed, 1)))}, 2000)
+		again, err := replica.OpenStoreOn(simdisk.RandomAccess{Disk: disk.Crash(&simdisk.FaultPlan{}, rand.New(rand.NewPCG(seed, 1)))}, 2000)
 		is.NoErr(err)
 		stored, err := again.Load("g")
 		is.NoErr(err)
@@ -61,7 +61,7 @@
 func TestPowerLostAtEachCall(t *testing.T) {
 	is := is.New(t)
 	for crashAt := 1; crashAt < 400; crashAt += 1 {
-		plan := &simdisk.Plan{}
+		plan := &simdisk.FaultPlan{}
 		disk := simdisk.New("d", plan)
 		counted := uint64(0)
 		plan.CrashAt(crashAt)
@@ -72,7 +72,7 @@
 		if err == nil {
 			counted = writeSome(store)
 		}
-		again, err := replica.OpenStoreOn(simdisk.RandomAccess{Disk: disk.Crash(&simdisk.Plan{}, rand.New(rand.NewPCG(uint64(crashAt), 2)))}, 3000)
+		again, err := replica.OpenStoreOn(simdisk.RandomAccess{Disk: disk.Crash(&simdisk.FaultPlan{}, rand.New(rand.NewPCG(uint64(crashAt), 2)))}, 3000)
 		is.NoErr(err)
 		if counted == 0 {
 			continue
--- a/internal/scheduler/simulation/faults.go
+++ b/internal/scheduler/simulation/faults.go
@@ -130,11 +130,11 @@
 	case 10:
 		w.replace(m)
 	default:
-		m.disk.Plan().SetRoom(-1)
+		m.disk.Plan().SetWriteBudget(-1)
 		until := w.now + w.between(500, 4000)
 		w.lasts(until)
 		w.trace("the disk of %s takes nothing until %d", m.name, until)
-		w.after(until-w.now, func() { m.disk.Plan().SetRoom(0) })
+		w.after(until-w.now, func() { m.disk.Plan().SetWriteBudget(0) })
 	}
 }
 
@@ -144,9 +144,9 @@
 	m.up, m.upAt = false, w.now+down
 	if power {
 		m.darkUntil = m.upAt
-		m.disk = m.disk.Crash(&simdisk.Plan{}, rand.New(rand.NewPCG(w.options.Seed, uint64(w.random.Uint32()))))
+		m.disk = m.disk.Crash(&simdisk.FaultPlan{}, rand.New(rand.NewPCG(w.options.Seed, uint64(w.random.Uint32()))))
 	} else {
-		m.disk = m.disk.Clone(&simdisk.Plan{})
+		m.disk = m.disk.Clone(&simdisk.FaultPlan{})
 	}
 	w.lasts(m.upAt)
 	w.trace("%s is down until %d (power %v)", m.name, m.upAt, power)
--- a/internal/scheduler/simulation/machine.go
+++ b/internal/scheduler/simulation/machine.go
@@ -124,7 +124,7 @@
 
 // newDisk gives the machine an empty disk, and so a new identity.
 func (m *machine) newDisk() {
-	m.disk = simdisk.New(m.name, &simdisk.Plan{})
+	m.disk = simdisk.New(m.name, &simdisk.FaultPlan{})
 	m.disks++
 	if !m.w.bug(DiskForgiven) || m.identity == "" {
 		m.identity = fmt.Sprintf("%s/%d", m.name, m.disks)
--- a/internal/storage/recordlog/cases_test.go
+++ b/internal/storage/recordlog/cases_test.go
@@ -17,19 +17,19 @@
 // bench is a store on two disks in memory, for one test.
 type bench struct {
 	t     *testing.T
-	plan  *simdisk.Plan
+	plan  *simdisk.FaultPlan
 	disks [2]*simdisk.Disk
 	now   atomic.Int64
 }
 
 func newBench(t *testing.T) *bench {
-	b := &bench{t: t, plan: &simdisk.Plan{}}
+	b := &bench{t: t, plan: &simdisk.FaultPlan{}}
 	b.disks = [2]*simdisk.Disk{simdisk.New("a", b.plan), simdisk.New("b", b.plan)}
 	return b
 }
 
 func (b *bench) options() recordlog.Options {
-	return recordlog.Options{ID: 3, Now: b.now.Load, Keep: 1000, SegmentSize: 512, Serial: true}
+	return recordlog.Options{ID: 3, Now: b.now.Load, MaxRetention: 1000, SegmentSize: 512, Serial: true}
 }
 
 func (b *bench) open() *recordlog.Store {
@@ -45,7 +45,7 @@
 // put appends a record and waits for its end.
 func put(s *recordlog.Store, key, value string, until int64) error {
 	done := make(chan error, 1)
-	if err := s.Append(recordlog.Record{Kind: recordlog.Once, Key: key, Value: []byte(value), Until: until}, func(err error) { done <- err }); err != nil {
+	if err := s.Append(recordlog.Record{Kind: recordlog.AtMostOnce, Key: key, Value: []byte(value), ExpiresAt: until}, func(err error) { done <- err }); err != nil {
 		return err
 	}
 	return <-done
@@ -60,7 +60,7 @@
 
 func (b *bench) wants(s *recordlog.Store, key, value string) {
 	b.t.Helper()
-	r, ok, err := s.Get(recordlog.Once, key)
+	r, ok, err := s.Get(recordlog.AtMostOnce, key)
 	if err != nil || ok != (value != "") || string(r.Value) != value {
 		b.t.Errorf("%s: %q %t %v, want %q", key, r.Value, ok, err, value)
 	}
@@ -70,7 +70,7 @@
 func (b *bench) crash(s *recordlog.Store, seed uint64) {
 	b.plan.CrashAt(1)
 	s.Close()
-	b.plan = &simdisk.Plan{}
+	b.plan = &simdisk.FaultPlan{}
 	rng := rand.New(rand.NewPCG(seed, 1))
 	for i := range b.disks {
 		b.disks[i] = b.disks[i].Crash(b.plan, rng)
@@ -95,7 +95,7 @@
 			b.crash(s, seed)
 			whole := b.disks
 			for gone := range whole { // what is acknowledged stands in each copy by itself
-				plan := &simdisk.Plan{}
+				plan := &simdisk.FaultPlan{}
 				b.disks = [2]*simdisk.Disk{whole[0].Clone(plan), whole[1].Clone(plan)}
 				for _, name := range b.disks[gone].Files() {
 					b.disks[gone].Put(name, nil)
@@ -121,7 +121,7 @@
 		s = b.open()
 		b.put(s, "before", "1", 0)
 		b.now.Add(100)
-		b.plan.SetRoom(room)
+		b.plan.SetWriteBudget(room)
 		acked, failed := map[string]bool{}, false
 		for i := range 8 {
 			key := fmt.Sprint("k", i)
@@ -141,14 +141,14 @@
 			b.crash(s, uint64(room))
 			s = b.open()
 		}
-		b.plan.SetRoom(0)
+		b.plan.SetWriteBudget(0)
 		b.put(s, "after", "2", 0)
 		if s.Health() != nil {
 			t.Errorf("room %d: %v", room, s.Health())
 		}
 		s.Close()
 		s = b.open()
-		if u := s.Unknown(); len(u) > 0 && room%2 == 1 {
+		if u := s.LostSpans(); len(u) > 0 && room%2 == 1 {
 			t.Errorf("room %d: unknown %v", room, u)
 		}
 		b.wants(s, "before", "1")
@@ -189,13 +189,13 @@
 		for key, value := range want {
 			b.wants(s, key, value)
 		}
-		if u := s.Unknown(); len(u) > 0 {
+		if u := s.LostSpans(); len(u) > 0 {
 			t.Errorf("%s: unknown %v", what, u)
 		}
 		s.Close()
 	}
 	again := func() {
-		plan := &simdisk.Plan{}
+		plan := &simdisk.FaultPlan{}
 		b.disks = [2]*simdisk.Disk{whole[0].Clone(plan), whole[1].Clone(plan)}
 	}
 	for d := range whole {
@@ -248,14 +248,14 @@
 		}
 	}
 	// The last record, in bytes that nothing follows: that is no write which was cut off.
-	ends := &simdisk.Plan{}
+	ends := &simdisk.FaultPlan{}
 	tail := [2]*simdisk.Disk{b.disks[0].Clone(ends), b.disks[1].Clone(ends)}
 	for _, d := range tail {
 		data := d.Read(name)
 		data[len(data)-3] ^= 1
 		d.Put(name, data)
 	}
-	if s, err := recordlog.Open(dirs(tail), b.options(), false); err != nil || len(s.Unknown()) != 1 {
+	if s, err := recordlog.Open(dirs(tail), b.options(), false); err != nil || len(s.LostSpans()) != 1 {
 		t.Errorf("the end gone: %v", err)
 	} else {
 		s.Close()
@@ -271,23 +271,23 @@
 	s = b.open()
 	found := 0
 	for i := range 5 {
-		if _, ok, _ := s.Get(recordlog.Once, fmt.Sprint("k", i)); ok {
+		if _, ok, _ := s.Get(recordlog.AtMostOnce, fmt.Sprint("k", i)); ok {
 			found++
 		}
 	}
-	u := s.Unknown()
+	u := s.LostSpans()
 	if found != 3 || len(u) != 1 || u[0].After != 0 || u[0].Before != 3 {
 		t.Errorf("%d found, unknown %+v", found, u)
 	}
 	s.Clean() // the damaged segment goes, the knowledge stays
 	s.Close()
 	s = b.open()
-	if len(s.Unknown()) != 1 {
-		t.Errorf("forgotten: %v", s.Unknown())
+	if len(s.LostSpans()) != 1 {
+		t.Errorf("forgotten: %v", s.LostSpans())
 	}
 	b.now.Add(2000)
-	if len(s.Unknown()) != 0 {
-		t.Errorf("not over: %v", s.Unknown())
+	if len(s.LostSpans()) != 0 {
+		t.Errorf("not over: %v", s.LostSpans())
 	}
 	// A whole segment, and the roots, gone in both copies.
 	for _, d := range b.disks {
@@ -387,7 +387,7 @@
 	release := b.plan.Stall()
 	var acked, busy atomic.Int64
 	for range 10_000 {
-		if err := s.Append(recordlog.Record{Kind: recordlog.Once, Key: "k", Value: []byte("v")}, func(error) { acked.Add(1) }); errors.Is(err, recordlog.ErrBusy) {
+		if err := s.Append(recordlog.Record{Kind: recordlog.AtMostOnce, Key: "k", Value: []byte("v")}, func(error) { acked.Add(1) }); errors.Is(err, recordlog.ErrBusy) {
 			busy.Add(1)
 		}
 	}
@@ -417,7 +417,7 @@
 		}
 		start := time.Now()
 		return recordlog.Open(d, recordlog.Options{
-			ID: 1, Now: func() int64 { return time.Since(start).Microseconds() }, Keep: 1 << 40, CleanEvery: time.Millisecond,
+			ID: 1, Now: func() int64 { return time.Since(start).Microseconds() }, MaxRetention: 1 << 40, CleanEvery: time.Millisecond,
 			ScrubEvery: time.Millisecond, SegmentSize: 1 << 12,
 		}, force)
 	}
@@ -433,8 +433,8 @@
 	if _, err := open(false); !errors.Is(err, recordlog.ErrOwned) {
 		t.Errorf("two owners: %v", err)
 	}
-	read := [2]recordlog.Dir{recordlog.Existing(dir + "/a"), recordlog.Existing(dir + "/b")}
-	if v, err := recordlog.Read(read); err != nil || v.Check().Records < 50 {
+	read := [2]recordlog.Dir{recordlog.ExistingDirectory(dir + "/a"), recordlog.ExistingDirectory(dir + "/b")}
+	if v, err := recordlog.OpenReadOnly(read); err != nil || v.Check().Records < 50 {
 		t.Errorf("beside the owner: %v", err)
 	}
 	next, err := open(true)
@@ -451,7 +451,7 @@
 	}
 	defer s.Close()
 	for i := range 50 {
-		if r, ok, err := s.Get(recordlog.Once, fmt.Sprint("k", i)); !ok || err != nil || string(r.Value) != fmt.Sprint("v", 450+i) {
+		if r, ok, err := s.Get(recordlog.AtMostOnce, fmt.Sprint("k", i)); !ok || err != nil || string(r.Value) != fmt.Sprint("v", 450+i) {
 			t.Errorf("k%d: %q %t %v", i, r.Value, ok, err)
 		}
 	}
--- a/internal/storage/recordlog/clean.go
+++ b/internal/storage/recordlog/clean.go
@@ -99,6 +99,6 @@
 func (j *journal) forget() {
 	now := j.now()
 	j.mu.Lock()
-	j.man.unknown = slices.DeleteFunc(slices.Clone(j.man.unknown), func(u Unknown) bool { return u.To+j.opt.Keep <= now })
+	j.man.unknown = slices.DeleteFunc(slices.Clone(j.man.unknown), func(u LostSpan) bool { return u.To+j.opt.MaxRetention <= now })
 	j.mu.Unlock()
 }
--- a/internal/storage/recordlog/commit.go
+++ b/internal/storage/recordlog/commit.go
@@ -65,8 +65,8 @@
 		n := len(b)
 		var err error
 		if b, err = appendFrame(b, key, e.off, &form.Record{
-			Version: version, Seq: seq, At: e.At, Until: e.Until, Kind: uint32(e.Kind),
-			Key: []byte(e.Key), Value: e.Value, Gone: e.Gone,
+			Version: version, Seq: seq, At: e.At, Until: e.ExpiresAt, Kind: uint32(e.Kind),
+			Key: []byte(e.Key), Value: e.Value, Gone: e.Deleted,
 		}); err != nil {
 			return err
 		}
@@ -105,7 +105,7 @@
 	defer j.mu.Unlock()
 	for _, e := range entries {
 		if !e.skip {
-			j.put(j.active, e.off, e.size, e.hash, e.Until)
+			j.put(j.active, e.off, e.size, e.hash, e.ExpiresAt)
 		}
 	}
 }
@@ -138,7 +138,7 @@
 		if err != nil {
 			return Record{}, false, err
 		}
-		if r.Kind != k || r.Key != key || r.Gone || expired(r.Until, j.now()) {
+		if r.Kind != k || r.Key != key || r.Deleted || expired(r.ExpiresAt, j.now()) {
 			return Record{}, false, nil
 		}
 		return r, true, nil
--- a/internal/storage/recordlog/dir.go
+++ b/internal/storage/recordlog/dir.go
@@ -46,7 +46,7 @@
 }
 
 // Existing makes a Dir of a path that tools only read.
-func Existing(path string) Dir { return osDir(path) }
+func ExistingDirectory(path string) Dir { return osDir(path) }
 
 func (d osDir) String() string { return string(d) }
 
--- a/internal/storage/recordlog/frame.go
+++ b/internal/storage/recordlog/frame.go
@@ -159,7 +159,7 @@
 	if f.Version != version {
 		return Record{}, errForm
 	}
-	return Record{Kind: Kind(f.Kind), Key: string(f.Key), Value: f.Value, Until: f.Until, Gone: f.Gone, At: f.At, Seq: f.Seq}, nil
+	return Record{Kind: Kind(f.Kind), Key: string(f.Key), Value: f.Value, ExpiresAt: f.Until, Deleted: f.Gone, At: f.At, Seq: f.Seq}, nil
 }
 
 // expired tells that a record's time is over.
--- a/internal/storage/recordlog/log.go
+++ b/internal/storage/recordlog/log.go
@@ -143,7 +143,7 @@
 	}
 	j.begun, j.from = j.opt.Now(), j.last
 	r.end(j.last)
-	j.man.unknown = append(slices.DeleteFunc(j.man.unknown, func(u Unknown) bool { return u.To+j.opt.Keep <= j.last }), r.unknown...)
+	j.man.unknown = append(slices.DeleteFunc(j.man.unknown, func(u LostSpan) bool { return u.To+j.opt.MaxRetention <= j.last }), r.unknown...)
 	for i, whole := range h.whole {
 		if h.best != nil && !whole {
 			j.damage = append(j.damage, fmt.Sprintf("%s/%s", j.dirs[i], h.best.name()))
@@ -204,7 +204,7 @@
 type recovery struct {
 	j       *journal
 	segment *segment
-	unknown []Unknown
+	unknown []LostSpan
 }
 
 func (r *recovery) record(off int64, payload []byte, h header) {
@@ -217,7 +217,7 @@
 }
 
 func (r *recovery) lost(after header) {
-	r.unknown = append(r.unknown, Unknown{After: after.seq, From: after.at})
+	r.unknown = append(r.unknown, LostSpan{After: after.seq, From: after.at})
 }
 
 // end closes what nothing follows.
--- a/internal/storage/recordlog/manifest.go
+++ b/internal/storage/recordlog/manifest.go
@@ -12,7 +12,7 @@
 )
 
 // Unknown is a span of which both copies are gone: something may have stood between two records.
-type Unknown struct {
+type LostSpan struct {
 	After, Before uint64 // the records around it, by their numbers; Before is 0 where none follows
 	From, To      int64  // by the store's clock
 }
@@ -23,7 +23,7 @@
 	epoch    uint64
 	number   uint32
 	segments []*segment
-	unknown  []Unknown
+	unknown  []LostSpan
 	next     uint32
 	at       int64
 	seq      uint64
@@ -74,7 +74,7 @@
 		m.segments = append(m.segments, &segment{id: s.Id, epoch: s.Epoch, sealed: s.Sealed, size: s.Size})
 	}
 	for _, u := range f.Unknown {
-		m.unknown = append(m.unknown, Unknown{After: u.After, Before: u.Before, From: u.From, To: u.To})
+		m.unknown = append(m.unknown, LostSpan{After: u.After, Before: u.Before, From: u.From, To: u.To})
 	}
 	return m, nil
 }
--- a/internal/storage/recordlog/measure_test.go
+++ b/internal/storage/recordlog/measure_test.go
@@ -32,7 +32,7 @@
 		}
 	}
 	start := time.Now()
-	opt.ID, opt.Now, opt.Keep = 1, func() int64 { return time.Since(start).Microseconds() }, 1<<40
+	opt.ID, opt.Now, opt.MaxRetention = 1, func() int64 { return time.Since(start).Microseconds() }, 1<<40
 	s, err := recordlog.Open(d, opt, false)
 	if err != nil {
 		t.Fatal(err)
@@ -65,7 +65,7 @@
 	began := time.Now()
 	for i := range 2_000_000 {
 		for _, v := range [][]byte{intent, end} {
-			r := recordlog.Record{Kind: recordlog.Once, Key: fmt.Sprintf("kestudio-lagos\x00filings\x00%08x-43dd-bc93-6894a57f9324", i), Value: v, Until: 1 << 60}
+			r := recordlog.Record{Kind: recordlog.AtMostOnce, Key: fmt.Sprintf("kestudio-lagos\x00filings\x00%08x-43dd-bc93-6894a57f9324", i), Value: v, ExpiresAt: 1 << 60}
 			for s.Append(r, nil) != nil {
 				runtime.Gosched()
 			}
@@ -121,7 +121,7 @@
 		wg.Wait()
 		slices.Sort(all)
 		t.Logf("%s, %d callers: %d appends a second, p50 %s, p99 %s, %d syncs, %d segments cleaned", c.what, c.callers, len(all)/3, all[len(all)/2],
-			all[len(all)*99/100], s.Figures().Syncs.Load(), s.Figures().Cleaned.Load())
+			all[len(all)*99/100], s.Metrics().Syncs.Load(), s.Metrics().Cleaned.Load())
 		s.Close()
 	}
 }
--- a/internal/storage/recordlog/proof_test.go
+++ b/internal/storage/recordlog/proof_test.go
@@ -20,7 +20,7 @@
 
 // world is two disks, what was acknowledged on them, and what clients and servers saw.
 type world struct {
-	plan  *simdisk.Plan
+	plan  *simdisk.FaultPlan
 	disks [2]*simdisk.Disk
 	now   int64
 	rng   *rand.Rand
@@ -38,7 +38,7 @@
 
 func newWorld(seed uint64, sum *tally) *world {
 	w := &world{
-		keys: 12, plan: &simdisk.Plan{}, rng: rand.New(rand.NewPCG(seed, 7)), sum: sum, acked: map[string]string{}, maybe: map[string]map[string]int{},
+		keys: 12, plan: &simdisk.FaultPlan{}, rng: rand.New(rand.NewPCG(seed, 7)), sum: sum, acked: map[string]string{}, maybe: map[string]map[string]int{},
 		ever: map[string]map[string]int{}, sent: map[string]int{}, told: map[string]string{}, worded: map[string]string{},
 	}
 	w.disks = [2]*simdisk.Disk{simdisk.New("a", w.plan), simdisk.New("b", w.plan)}
@@ -50,7 +50,7 @@
 func dirs(d [2]*simdisk.Disk) [2]recordlog.Dir { return [2]recordlog.Dir{d[0], d[1]} }
 
 func (w *world) options() recordlog.Options {
-	return recordlog.Options{ID: 99, Now: func() int64 { return atomic.LoadInt64(&w.now) }, Keep: keep, SegmentSize: 1 << 10, Serial: true}
+	return recordlog.Options{ID: 99, Now: func() int64 { return atomic.LoadInt64(&w.now) }, MaxRetention: keep, SegmentSize: 1 << 10, Serial: true}
 }
 
 func (w *world) open() (*recordlog.Store, error) {
@@ -65,9 +65,9 @@
 		key, value := fmt.Sprintf("key-%d", w.rng.IntN(w.keys)), fmt.Sprintf("value-%d-%x", w.steps, w.rng.Uint64())
 		w.steps++
 		step := w.steps
-		r := recordlog.Record{Kind: recordlog.Cursor, Key: key, Value: []byte(value), Until: 0}
+		r := recordlog.Record{Kind: recordlog.Cursor, Key: key, Value: []byte(value), ExpiresAt: 0}
 		if w.rng.IntN(6) == 0 {
-			r.Gone, r.Value, value = true, nil, ""
+			r.Deleted, r.Value, value = true, nil, ""
 		}
 		mu.Lock()
 		for _, m := range []map[string]map[string]int{w.maybe, w.ever} {
@@ -94,13 +94,13 @@
 }
 
 // file has a client file something, or retry what it filed.
-func (w *world) file(l *idempotency.Ledger, client int, ends bool) {
+func (w *world) file(l *idempotency.Tracker, client int, ends bool) {
 	key := fmt.Sprintf("client-%d", client)
 	e, v := l.Begin(key, "label", uint64(client))
 	switch {
-	case v.Standing == idempotency.Over && string(v.Answer.Body) != w.worded[key]:
+	case v.State == idempotency.Completed && string(v.Answer.Body) != w.worded[key]:
 		w.sum.invented.Add(1)
-	case v.Standing != idempotency.Over && v.Standing != idempotency.Unknown && v.Standing != idempotency.Failing && w.told[key] != "":
+	case v.State != idempotency.Completed && v.State != idempotency.HistoryLost && v.State != idempotency.LogFailing && w.told[key] != "":
 		w.sum.lost.Add(1)
 	}
 	if e == nil {
@@ -136,7 +136,7 @@
 		if err != nil {
 			return
 		}
-		l := idempotency.New(s, idempotency.Config{Keep: keep, MaxBody: 1 << 10})
+		l := idempotency.NewTracker(s, idempotency.Config{Retention: keep, MaxBody: 1 << 10})
 		for range 3 {
 			atomic.AddInt64(&w.now, 1000)
 			w.write(s, 1+w.rng.IntN(4))
@@ -162,7 +162,7 @@
 	defer s.Close()
 	ok = true
 	fault := func(n *atomic.Int64) { n.Add(1); ok = false }
-	if len(s.Unknown()) > 0 && !unknown {
+	if len(s.LostSpans()) > 0 && !unknown {
 		fault(&w.sum.lost)
 	}
 	for key, want := range w.acked {
@@ -186,16 +186,16 @@
 			fault(&w.sum.invented)
 		}
 	})
-	l := idempotency.New(s, idempotency.Config{Keep: keep, MaxBody: 1 << 10})
+	l := idempotency.NewTracker(s, idempotency.Config{Retention: keep, MaxBody: 1 << 10})
 	for client := range 10 {
 		key := fmt.Sprintf("client-%d", client)
 		e, v := l.Begin(key, "label", uint64(client))
 		switch {
-		case v.Standing == idempotency.Fresh && w.sent[key] > 0:
+		case v.State == idempotency.Fresh && w.sent[key] > 0:
 			fault(&w.sum.resent)
-		case v.Standing == idempotency.Over && string(v.Answer.Body) != w.worded[key]:
+		case v.State == idempotency.Completed && string(v.Answer.Body) != w.worded[key]:
 			fault(&w.sum.invented)
-		case v.Standing != idempotency.Over && v.Standing != idempotency.Unknown && w.told[key] != "":
+		case v.State != idempotency.Completed && v.State != idempotency.HistoryLost && w.told[key] != "":
 			fault(&w.sum.lost)
 		}
 		if e != nil {
@@ -208,7 +208,7 @@
 }
 
 func (w *world) copies() [2]*simdisk.Disk {
-	plan := &simdisk.Plan{}
+	plan := &simdisk.FaultPlan{}
 	return [2]*simdisk.Disk{w.disks[0].Clone(plan), w.disks[1].Clone(plan)}
 }
 
@@ -280,7 +280,7 @@
 			w.plan.CrashAt(at)
 			w.work(rounds)
 			sum.crashes.Add(1)
-			plan := &simdisk.Plan{}
+			plan := &simdisk.FaultPlan{}
 			w.plan = plan
 			for d := range w.disks {
 				w.disks[d] = w.disks[d].Crash(plan, w.rng)
--- a/internal/storage/recordlog/store.go
+++ b/internal/storage/recordlog/store.go
@@ -16,23 +16,23 @@
 
 // The kinds. Their values are messages of package form.
 const (
-	Once    Kind = 1 + iota // how a query stands that must not run twice
-	Learned                 // what was learnt of servers
-	Layout                  // the layout in force
-	Cursor                  // an open point in time
-	Sealing                 // what seals cursors, where no file says
-	Rollout                 // versions of the policy: the voters' log and votes, what is in force, what is staged
+	AtMostOnce Kind = 1 + iota // how a query stands that must not run twice
+	Learned                    // what was learnt of servers
+	Layout                     // the layout in force
+	Cursor                     // an open point in time
+	CursorKey                  // what seals cursors, where no file says
+	Rollout                    // versions of the policy: the voters' log and votes, what is in force, what is staged
 )
 
 // Record is what stands under a key. Times are microseconds of the store's clock.
 type Record struct {
-	Kind  Kind
-	Key   string
-	Value []byte
-	Until int64 // when it may be forgotten; 0: never
-	Gone  bool  // it takes back what stands there
-	At    int64 // set by the store
-	Seq   uint64
+	Kind      Kind
+	Key       string
+	Value     []byte
+	ExpiresAt int64 // when it may be forgotten; 0: never
+	Deleted   bool  // it takes back what stands there
+	At        int64 // set by the store
+	Seq       uint64
 }
 
 // The ends of an append.
@@ -60,21 +60,21 @@
 	// Now is the store's clock.
 	Now() int64
 	// Unknown lists the spans of which both copies are gone and whose time is not over.
-	Unknown() []Unknown
+	LostSpans() []LostSpan
 }
 
 // Options bound a store. Times are microseconds, sizes bytes.
 type Options struct {
-	ID          uint64        // of a store that is made here; drawn at random
-	Now         func() int64  // a clock that never runs backwards
-	Keep        int64         // the longest that a record's Until lies ahead of it
-	SegmentSize int64         // from which on a new segment is begun
-	MaxBatch    int           // records that are synced together; 1: no group commit
-	MaxWaiting  int64         // bytes that wait to be written
-	CleanEvery  time.Duration // 0: only Clean does
-	ScrubEvery  time.Duration // how often one segment's copies are compared, in turn; 0: only Scrub does
-	Serial      bool          // the two copies are written one after the other
-	Log         *slog.Logger  // nil: none
+	ID           uint64        // of a store that is made here; drawn at random
+	Now          func() int64  // a clock that never runs backwards
+	MaxRetention int64         // the longest that a record's Until lies ahead of it
+	SegmentSize  int64         // from which on a new segment is begun
+	MaxBatch     int           // records that are synced together; 1: no group commit
+	MaxWaiting   int64         // bytes that wait to be written
+	CleanEvery   time.Duration // 0: only Clean does
+	ScrubEvery   time.Duration // how often one segment's copies are compared, in turn; 0: only Scrub does
+	Serial       bool          // the two copies are written one after the other
+	Log          *slog.Logger  // nil: none
 }
 
 func (o *Options) defaults() {
@@ -102,7 +102,7 @@
 	done     chan struct{}
 	cleaned  chan struct{} // closed when the cleaner has ended
 	health   atomic.Pointer[error]
-	figures  Figures
+	figures  Metrics
 	still    sync.Mutex // nothing is cleaned while it is held
 	scrubbed int        // guarded by still
 
@@ -111,7 +111,7 @@
 }
 
 // Figures are what a store counts since its opening.
-type Figures struct {
+type Metrics struct {
 	Appends, Syncs, Failed, Cleaned atomic.Int64
 }
 
@@ -281,13 +281,13 @@
 func (s *Store) Now() int64 { return s.j.now() }
 
 // Unknown lists the spans whose time is not over.
-func (s *Store) Unknown() []Unknown {
+func (s *Store) LostSpans() []LostSpan {
 	now := s.j.now()
 	s.j.mu.RLock()
 	defer s.j.mu.RUnlock()
-	var out []Unknown
+	var out []LostSpan
 	for _, u := range s.j.man.unknown {
-		if u.To+s.j.opt.Keep > now {
+		if u.To+s.j.opt.MaxRetention > now {
 			out = append(out, u)
 		}
 	}
@@ -295,7 +295,7 @@
 }
 
 // Figures are what it has counted.
-func (s *Store) Figures() *Figures { return &s.figures }
+func (s *Store) Metrics() *Metrics { return &s.figures }
 
 // Size is what the log takes of each copy's disk, in bytes, and how many keys it knows.
 func (s *Store) Size() (bytes int64, keys int) {
--- a/internal/storage/recordlog/view.go
+++ b/internal/storage/recordlog/view.go
@@ -9,23 +9,23 @@
 
 // View is a store that is only read: nothing is claimed, locked or written. It may be read while its owner writes; what is appended
 // meanwhile is seen in part.
-type View struct {
+type ReadOnlyStore struct {
 	dirs [2]Dir
 	man  manifest
 	had  holdings
 }
 
 // Read reads a store's root.
-func Read(dirs [2]Dir) (*View, error) {
+func OpenReadOnly(dirs [2]Dir) (*ReadOnlyStore, error) {
 	h := look(dirs)
 	if h.best == nil {
 		return nil, fmt.Errorf("store: %s and %s: %w", dirs[0], dirs[1], ErrNoManifest)
 	}
-	return &View{dirs: dirs, man: *h.best, had: h}, nil
+	return &ReadOnlyStore{dirs: dirs, man: *h.best, had: h}, nil
 }
 
 // Dump visits every record that can be read, in order, those that count no more among them.
-func (v *View) Dump(visit func(Record)) []Unknown {
+func (v *ReadOnlyStore) Dump(visit func(Record)) []LostSpan {
 	d := &dump{visit: visit}
 	v.scan(d, false)
 	return append(slices.Clone(v.man.unknown), d.unknown...)
@@ -33,11 +33,11 @@
 
 type dump struct {
 	visit   func(Record)
-	unknown []Unknown
+	unknown []LostSpan
 }
 
 func (d *dump) lost(after header) {
-	d.unknown = append(d.unknown, Unknown{After: after.seq, From: after.at})
+	d.unknown = append(d.unknown, LostSpan{After: after.seq, From: after.at})
 }
 
 func (d *dump) record(_ int64, payload []byte, h header) {
@@ -51,7 +51,7 @@
 	}
 }
 
-func (v *View) scan(to reading, both bool) (all []scanned) {
+func (v *ReadOnlyStore) scan(to reading, both bool) (all []scanned) {
 	var bufs buffers
 	prior := header{}
 	for _, s := range v.man.segments {
@@ -63,21 +63,21 @@
 }
 
 // Report is what a check came to.
-type Report struct {
-	Epoch    uint64
-	Segments int
-	Bytes    int64 // of one copy
-	Records  int
-	Damaged  []string // files that are not as they should be, and how
-	Unknown  []Unknown
-	Stray    []string // files that nothing names: an owner removes them at its start
-	Took     time.Duration
+type CheckReport struct {
+	Epoch             uint64
+	Segments          int
+	Bytes             int64 // of one copy
+	Records           int
+	Damaged           []string // files that are not as they should be, and how
+	LostSpans         []LostSpan
+	UnreferencedFiles []string // files that nothing names: an owner removes them at its start
+	Took              time.Duration
 }
 
 // Check reads every byte of both copies.
-func (v *View) Check() Report {
+func (v *ReadOnlyStore) Check() CheckReport {
 	began := time.Now()
-	r := Report{Epoch: v.man.epoch, Segments: len(v.man.segments)}
+	r := CheckReport{Epoch: v.man.epoch, Segments: len(v.man.segments)}
 	d := &dump{visit: func(Record) { r.Records++ }}
 	for i, whole := range v.had.whole {
 		if !whole {
@@ -95,11 +95,11 @@
 			}
 		}
 	}
-	r.Unknown = append(slices.Clone(v.man.unknown), d.unknown...)
+	r.LostSpans = append(slices.Clone(v.man.unknown), d.unknown...)
 	for i, names := range v.had.names {
 		for _, name := range names {
 			if strings.HasPrefix(name, segmentPrefix) && !named[name] {
-				r.Stray = append(r.Stray, fmt.Sprintf("%s/%s", v.dirs[i], name))
+				r.UnreferencedFiles = append(r.UnreferencedFiles, fmt.Sprintf("%s/%s", v.dirs[i], name))
 			}
 		}
 	}
--- a/internal/storage/simdisk/simdisk.go
+++ b/internal/storage/simdisk/simdisk.go
@@ -20,46 +20,46 @@
 var ErrCrashed = errors.New("simdisk: crashed")
 
 // Plan says what happens to the calls of all the disks that share it. The zero value lets all pass.
-type Plan struct {
-	mu      sync.Mutex
-	calls   int
-	crashAt int // the call from which on all fail; 0: none
-	syncAt  int // the call from which on the next sync fails, once; 0: none
-	gate    chan struct{}
-	Room    int // bytes that may still be written; 0: no bound, below: none
+type FaultPlan struct {
+	mu          sync.Mutex
+	calls       int
+	crashAt     int // the call from which on all fail; 0: none
+	syncAt      int // the call from which on the next sync fails, once; 0: none
+	gate        chan struct{}
+	WriteBudget int // bytes that may still be written; 0: no bound, below: none
 }
 
 // CrashAt has the nth call from now on fail, and all after it.
-func (p *Plan) CrashAt(n int) { p.set(func() { p.crashAt = p.calls + n }) }
+func (p *FaultPlan) CrashAt(n int) { p.set(func() { p.crashAt = p.calls + n }) }
 
 // FailSync has the first sync from the nth call from now on fail once. What it was for is dropped, and later syncs say yes.
-func (p *Plan) FailSync(n int) { p.set(func() { p.syncAt = p.calls + n }) }
+func (p *FaultPlan) FailSync(n int) { p.set(func() { p.syncAt = p.calls + n }) }
 
 // Stall has all calls wait until the function that comes back is called.
-func (p *Plan) Stall() (release func()) {
+func (p *FaultPlan) Stall() (release func()) {
 	gate := make(chan struct{})
 	p.set(func() { p.gate = gate })
 	return func() { p.set(func() { p.gate = nil }); close(gate) }
 }
 
 // SetRoom bounds the bytes that may still be written; 0: no bound, below: none.
-func (p *Plan) SetRoom(n int) { p.set(func() { p.Room = n }) }
+func (p *FaultPlan) SetWriteBudget(n int) { p.set(func() { p.WriteBudget = n }) }
 
 // Calls is how many there were.
-func (p *Plan) Calls() int {
+func (p *FaultPlan) Calls() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.calls
 }
 
-func (p *Plan) set(f func()) {
+func (p *FaultPlan) set(f func()) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	f()
 }
 
 // call counts one, and tells whether it is carried out.
-func (p *Plan) call() error {
+func (p *FaultPlan) call() error {
 	p.mu.Lock()
 	gate := p.gate
 	p.mu.Unlock()
@@ -76,7 +76,7 @@
 }
 
 // syncFails tells whether this sync is the one that fails.
-func (p *Plan) syncFails() bool {
+func (p *FaultPlan) syncFails() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.syncAt == 0 || p.calls < p.syncAt {
@@ -87,15 +87,15 @@
 }
 
 // take gives how many of n bytes there is room for.
-func (p *Plan) take(n int) int {
+func (p *FaultPlan) take(n int) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.Room == 0 {
+	if p.WriteBudget == 0 {
 		return n
 	}
-	got := min(n, max(p.Room, 0))
-	if p.Room -= got; p.Room == 0 {
-		p.Room = -1
+	got := min(n, max(p.WriteBudget, 0))
+	if p.WriteBudget -= got; p.WriteBudget == 0 {
+		p.WriteBudget = -1
 	}
 	return got
 }
@@ -108,7 +108,7 @@
 
 // Disk is one directory.
 type Disk struct {
-	plan *Plan
+	plan *FaultPlan
 	name string
 
 	mu      sync.Mutex
@@ -119,14 +119,14 @@
 }
 
 // New makes an empty directory.
-func New(name string, plan *Plan) *Disk {
+func New(name string, plan *FaultPlan) *Disk {
 	return &Disk{plan: plan, name: name, names: map[string]*inode{}, durable: map[string]*inode{}, renamed: map[string]bool{}, locks: map[string]bool{}}
 }
 
 func (d *Disk) String() string { return d.name }
 
 // Plan is what happens to its calls.
-func (d *Disk) Plan() *Plan { return d.plan }
+func (d *Disk) Plan() *FaultPlan { return d.plan }
 
 func (d *Disk) do(f func() error) error {
 	if err := d.plan.call(); err != nil {
@@ -259,7 +259,7 @@
 func (f *file) Close() error { return nil }
 
 // Crash is what the disk holds once its machine has come back: all that was synced, and of the rest as much as chance has it.
-func (d *Disk) Crash(plan *Plan, rng *rand.Rand) *Disk {
+func (d *Disk) Crash(plan *FaultPlan, rng *rand.Rand) *Disk {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	out := New(d.name, plan)
@@ -298,7 +298,7 @@
 }
 
 // Clone copies the disk as it stands, under another plan, with nothing locked.
-func (d *Disk) Clone(plan *Plan) *Disk {
+func (d *Disk) Clone(plan *FaultPlan) *Disk {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	out := New(d.name, plan)
