--- a/cmd/saffronquay-system/main.go
+++ b/cmd/saffronquay-system/main.go
@@ -149,12 +149,12 @@
 // overrules are the decisions that the command line takes in place of the settings file.
 func overrules(c *cli.Command) (settings.Overrule, error) {
 	policy, without := featuregate.Policy(c.String("policy")), c.StringSlice("without")
-	apply := func(s *featuregate.Switches) error {
+	apply := func(s *featuregate.Gates) error {
 		if policy != "" {
 			s.Policy = policy
 		}
 		for _, name := range without {
-			if err := s.Without(name); err != nil {
+			if err := s.Disable(name); err != nil {
 				return err
 			}
 		}
--- a/internal/scheduler/batchrunner/item.go
+++ b/internal/scheduler/batchrunner/item.go
@@ -53,7 +53,7 @@
 			return &rpc.Report{Released: true}
 		}
 		outcome := r.try(ctx, route, lease, ticket, made)
-		ticket.Clear()
+		ticket.Release()
 		countTry(outcome)
 		switch {
 		case ctx.Err() != nil:
@@ -71,17 +71,17 @@
 }
 
 // place waits for a place at a worker that fits.
-func (r *Runner) place(ctx context.Context, route *configuration.Route, lease *rpc.Lease, made *text) *routing.Ticket {
-	query := &routing.Query{Model: lease.Model, MinVersion: lease.MinVersion, Item: true, Prompt: forward.SharedPrompt(header(lease.Item, "Prefix-Hash"))}
+func (r *Runner) place(ctx context.Context, route *configuration.Route, lease *rpc.Lease, made *text) *routing.Reservation {
+	query := &routing.Query{Model: lease.Model, MinVersion: lease.MinVersion, Item: true, SharedPrompt: forward.ParseSharedPrompt(header(lease.Item, "Prefix-Hash"))}
 	for _, target := range route.Targets() {
 		if target.Weight > 0 {
 			query.Services = append(query.Services, target.Service)
 		}
 	}
 	if lease.SingleVersion && made.events > 0 {
-		query.Exact = made.current
+		query.ExactVersion = made.current
 	}
-	cost := r.Forwarder.Table.Cost(route.Name, route.TargetLatencyMS, usage(lease.Item))
+	cost := r.Forwarder.Table.EstimateCost(route.Name, route.TargetLatencyMS, usage(lease.Item))
 	begun := time.Now()
 	defer func() { placeWaits.UpdateDuration(begun) }()
 	deadline := time.NewTimer(placeWait)
@@ -95,9 +95,9 @@
 		case <-changed:
 		case <-time.After(retryPause):
 		case <-deadline.C:
-			if query.Exact != 0 { // no worker has this version any more: the text is made anew
+			if query.ExactVersion != 0 { // no worker has this version any more: the text is made anew
 				made.reset()
-				query.Exact = 0
+				query.ExactVersion = 0
 				deadline.Reset(placeWait)
 				continue
 			}
@@ -149,7 +149,7 @@
 func countTry(outcome tryOutcome) { tryCounts[outcome].Inc() }
 
 // try sends an item to one worker and reads its events.
-func (r *Runner) try(ctx context.Context, route *configuration.Route, lease *rpc.Lease, ticket *routing.Ticket, made *text) tryOutcome {
+func (r *Runner) try(ctx context.Context, route *configuration.Route, lease *rpc.Lease, ticket *routing.Reservation, made *text) tryOutcome {
 	table, clock, w := r.Forwarder.Table, r.Forwarder.Clock, ticket.Worker
 	begun := time.Now()
 	resumed := made.events > 0
@@ -164,14 +164,14 @@
 	if err != nil {
 		if ctx.Err() == nil {
 			r.Log.Debug("try failed", "item", lease.Item.Id, "worker", w.ID, "error", err)
-			table.Failed(clock(), w)
+			table.RecordFailure(clock(), w)
 		}
 		return tryAgain
 	}
 	defer answer.Close()
-	if !answer.Belongs(lease.Item.Id) {
+	if !answer.IsFor(lease.Item.Id) {
 		answer.Discard()
-		r.Forwarder.Pool.Forget(w.Address)
+		r.Forwarder.Pool.CloseIdle(w.Address)
 		return tryAgain
 	}
 	r.Log.Debug("answer", "item", lease.Item.Id, "worker", w.ID, "status", answer.Status, "weights", answer.Header.Peek("Weight-Versions"),
@@ -184,36 +184,36 @@
 	}
 	switch err := r.read(answer, lease, w, made, silence); {
 	case err == nil:
-		table.Served(w)
+		table.RecordSuccess(w)
 		if !resumed {
-			table.Learn(route.Name, route.TargetLatencyMS, float64(time.Since(begun).Microseconds())/1000, usage(lease.Item))
+			table.RecordLatency(route.Name, route.TargetLatencyMS, float64(time.Since(begun).Microseconds())/1000, usage(lease.Item))
 		}
 		return tryWhole
 	case ctx.Err() == nil && !errors.Is(err, errVersion):
 		r.Log.Debug("stream broke off", "item", lease.Item.Id, "worker", w.ID, "events", made.events, "error", err)
-		table.Failed(clock(), w)
+		table.RecordFailure(clock(), w)
 	}
 	return tryAgain
 }
 
 // judge tells what follows from an answer's head; ended is false where its events are to be read.
 func (r *Runner) judge(lease *rpc.Lease, w *routing.Worker, answer *worker.Answer) (outcome tryOutcome, ended bool) {
-	refused := func(cause routing.RefusalCause) (tryOutcome, bool) {
-		r.Forwarder.Table.Refused(r.Forwarder.Clock(), w, lease.Model, cause)
+	refused := func(cause routing.RejectionCause) (tryOutcome, bool) {
+		r.Forwarder.Table.RecordRejection(r.Forwarder.Clock(), w, lease.Model, cause)
 		return tryAgain, true
 	}
 	switch {
 	case answer.Status == fasthttp.StatusMisdirectedRequest:
 		r.noteVersion(w, lease.Model, answer)
-		return refused(routing.RefusedMisdirected)
+		return refused(routing.RejectedMisdirected)
 	case len(answer.Header.Peek("Not-Executed")) > 0:
-		return refused(routing.RefusedNotExecuted)
+		return refused(routing.RejectedNotExecuted)
 	case answer.Status == fasthttp.StatusUnprocessableEntity:
 		return tryImpossible, true
 	case answer.Status == fasthttp.StatusInternalServerError:
 		return tryFailed, true
 	case answer.Status >= 300:
-		return refused(routing.RefusedStatus)
+		return refused(routing.RejectedStatus)
 	}
 	return tryAgain, false
 }
@@ -221,7 +221,7 @@
 func (r *Runner) noteVersion(w *routing.Worker, model string, answer *worker.Answer) uint64 {
 	version, err := strconv.ParseUint(string(answer.Header.Peek("Weight-Versions")), 10, 64)
 	if err == nil {
-		r.Forwarder.Table.SawVersion(w, model, version)
+		r.Forwarder.Table.RecordVersion(w, model, version)
 	}
 	return version
 }
--- a/internal/scheduler/batchrunner/item_test.go
+++ b/internal/scheduler/batchrunner/item_test.go
@@ -72,7 +72,7 @@
 	config := configuration.NewTable(document)
 	table := routing.NewTable(routing.Gatherer{Name: "g"}, featuregate.All(), rand.New(rand.NewPCG(1, 1)))
 	for i, address := range addresses {
-		table.Put(&rpc.Instance{Id: address, Service: "s", Address: address, Capacity: 4, Models: []*rpc.ModelWeights{{Name: "m", Version: uint64(3 + i)}}})
+		table.PutWorker(&rpc.Instance{Id: address, Service: "s", Address: address, Capacity: 4, Models: []*rpc.ModelWeights{{Name: "m", Version: uint64(3 + i)}}})
 	}
 	start := time.Now()
 	return &Runner{
@@ -99,7 +99,7 @@
 	first := <-heads
 	is.Equal(first.Get("Last-Event-Id"), "")
 	healthy := standIn(t, heads, lastPart, false)
-	r.Forwarder.Table.Put(&rpc.Instance{Id: "healthy", Service: "s", Address: healthy, Capacity: 4, Models: []*rpc.ModelWeights{{Name: "m", Version: 3}}})
+	r.Forwarder.Table.PutWorker(&rpc.Instance{Id: "healthy", Service: "s", Address: healthy, Capacity: 4, Models: []*rpc.ModelWeights{{Name: "m", Version: 3}}})
 	report := <-result
 	text, err := compression.Texts.Unpack(report.Result.Text)
 	is.NoErr(err)
@@ -114,7 +114,7 @@
 	heads := make(chan textproto.MIMEHeader, 8)
 	old := standIn(t, heads, lastPart, false)
 	r := runner(t, "", old) // the table says version 4, the worker has 3
-	r.Forwarder.Table.Remove("")
+	r.Forwarder.Table.RemoveWorker("")
 	report := r.run(context.Background(), lease(4))
 	is.True(report.Released)
 	is.True(report.Result == nil)
--- a/internal/scheduler/batchrunner/runner.go
+++ b/internal/scheduler/batchrunner/runner.go
@@ -141,7 +141,7 @@
 // room is what this gatherer could begin now, less what waits for a place already and what other calls to the shard have asked for. Calls to
 // other shards don't count: most of them bring nothing, and what is too much waits for a place for a moment.
 func (r *Runner) room(shard string) (want int, rooms []*rpc.Room) {
-	rooms, want = r.Forwarder.Table.Rooms(r.Forwarder.Clock(), r.services())
+	rooms, want = r.Forwarder.Table.FreeSlots(r.Forwarder.Clock(), r.services())
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.stopping {
--- a/internal/scheduler/batchrunner/score.go
+++ b/internal/scheduler/batchrunner/score.go
@@ -43,14 +43,14 @@
 			ID: scorer.Id, Method: fasthttp.MethodPost, URI: scorer.Path, Host: scorer.Host, Body: scorer.Body,
 			Route: route, Deadline: earlier(time.Now().Add(left), end), WorkerDeadline: end,
 		})
-		errors500 += answer.Errors
+		errors500 += answer.ServerErrors
 		if answer.Err == nil && answer.Status < 300 {
 			result.Score = string(answer.Answer.Header.Peek("Response-Stamp"))
 			answer.Release()
 			return &rpc.Report{Result: result}
 		}
 		answer.Release()
-		r.Log.Debug("reward call", "item", lease.Item.Id, "status", answer.Status, "error", answer.Err, "errors", answer.Errors)
+		r.Log.Debug("reward call", "item", lease.Item.Id, "status", answer.Status, "error", answer.Err, "errors", answer.ServerErrors)
 		if ctx.Err() != nil {
 			return nil
 		}
--- a/internal/scheduler/batchrunner/text.go
+++ b/internal/scheduler/batchrunner/text.go
@@ -41,7 +41,7 @@
 
 // read adds an answer's events to the text; no error says that the text is whole.
 func (r *Runner) read(answer *worker.Answer, lease *rpc.Lease, w *routing.Worker, made *text, silence *time.Timer) error {
-	events := worker.NewEvents(answer)
+	events := worker.NewEventReader(answer)
 	for {
 		event, err := events.Next()
 		if errors.Is(err, io.EOF) {
@@ -54,13 +54,13 @@
 			return err
 		}
 		silence.Reset(r.Patience.Between)
-		if event.Version != 0 && event.Version != made.current {
-			r.Forwarder.Table.SawVersion(w, lease.Model, event.Version)
+		if event.WeightVersion != 0 && event.WeightVersion != made.current {
+			r.Forwarder.Table.RecordVersion(w, lease.Model, event.WeightVersion)
 			if lease.SingleVersion && made.events > 0 {
 				made.reset()
 				return errVersion
 			}
-			made.current = event.Version
+			made.current = event.WeightVersion
 		}
 		if made.events > 0 && event.ID >= 0 && event.ID <= made.lastID {
 			made.reset()
--- a/internal/scheduler/featuregate/decisions.go
+++ b/internal/scheduler/featuregate/featuregate.go
@@ -23,7 +23,7 @@
 var policies = []Policy{Predicted, LeastRequests, TwoChoices, RoundRobin, Random}
 
 // Switches says which mechanisms are in use.
-type Switches struct {
+type Gates struct {
 	Policy          Policy `toml:"policy"`
 	NearbyWorkers   bool   `toml:"nearbyWorkers"`   // requests prefer workers of the gatherer's zone
 	CompactPlaces   bool   `toml:"compactPlaces"`   // a worker's places are divided among as few gatherers as possible
@@ -34,12 +34,12 @@
 }
 
 // All has every mechanism in use.
-func All() Switches {
-	return Switches{Policy: Predicted, NearbyWorkers: true, CompactPlaces: true, RefusalBackoff: true, GatheredChanges: true, QuickRefusal: true, GatheredWrites: true}
+func All() Gates {
+	return Gates{Policy: Predicted, NearbyWorkers: true, CompactPlaces: true, RefusalBackoff: true, GatheredChanges: true, QuickRefusal: true, GatheredWrites: true}
 }
 
 // byName are the switches by the names that the settings file gives them.
-func (s *Switches) byName() map[string]*bool {
+func (s *Gates) byName() map[string]*bool {
 	return map[string]*bool{
 		"nearbyWorkers": &s.NearbyWorkers, "compactPlaces": &s.CompactPlaces, "refusalBackoff": &s.RefusalBackoff,
 		"gatheredChanges": &s.GatheredChanges, "quickRefusal": &s.QuickRefusal,
@@ -49,7 +49,7 @@
 
 // Names are those of the switches, in order.
 func Names() (names []string) {
-	for name := range (&Switches{}).byName() {
+	for name := range (&Gates{}).byName() {
 		names = append(names, name)
 	}
 	slices.Sort(names)
@@ -57,7 +57,7 @@
 }
 
 // Without switches a mechanism off.
-func (s *Switches) Without(name string) error {
+func (s *Gates) Disable(name string) error {
 	on := s.byName()[name]
 	if on == nil {
 		return fmt.Errorf("decisions: no mechanism %q: want one of %s", name, strings.Join(Names(), ", "))
@@ -67,7 +67,7 @@
 }
 
 // Check tells what is wrong with the switches.
-func (s *Switches) Check() error {
+func (s *Gates) Check() error {
 	if !slices.Contains(policies, s.Policy) {
 		return fmt.Errorf("unknown policy %q: want one of %v", s.Policy, policies)
 	}
--- a/internal/scheduler/featuregate/decisions_test.go
+++ b/internal/scheduler/featuregate/featuregate_test.go
@@ -12,7 +12,7 @@
 	is := is.New(t)
 	all := All()
 	is.NoErr(all.Check())
-	fields := reflect.TypeFor[Switches]()
+	fields := reflect.TypeFor[Gates]()
 	switches := 0
 	for i := range fields.NumField() {
 		field := fields.Field(i)
@@ -22,7 +22,7 @@
 		switches++
 		on := All()
 		is.True(reflect.ValueOf(on).Field(i).Bool())
-		is.NoErr(on.Without(field.Tag.Get("toml")))
+		is.NoErr(on.Disable(field.Tag.Get("toml")))
 		is.True(!reflect.ValueOf(on).Field(i).Bool())
 	}
 	is.Equal(len(Names()), switches)
@@ -31,7 +31,7 @@
 func TestUnknownNames(t *testing.T) {
 	is := is.New(t)
 	s := All()
-	is.True(s.Without("nothing") != nil)
+	is.True(s.Disable("nothing") != nil)
 	s.Policy = "luck"
 	is.True(s.Check() != nil)
 }
--- a/internal/scheduler/forward/forward.go
+++ b/internal/scheduler/forward/forward.go
@@ -27,22 +27,22 @@
 	WorkerDeadline        time.Time // that workers are told, where it is later
 	Usage                 routing.Usage
 	Model                 string
-	Prompt                string    // names the shared part that its prompt begins with; empty: none
+	SharedPrompt          string    // names the shared part that its prompt begins with; empty: none
 	Arrived               time.Time // from the client; zero: it comes from none
 }
 
 // Result is what became of it. Where Answer is set, its body hasn't been read; Release has to be called.
 type Result struct {
-	Answer  *worker.Answer
-	Status  int
-	Body    []byte
-	Verdict outcome.Verdict // where there is no answer
-	Err     error
-	Errors  int // answers of 500
-	Offered bool
-	ticket  *routing.Ticket
-	cancel  context.CancelFunc // of the whole request
-	stop    context.CancelFunc // of the try
+	Answer       *worker.Answer
+	Status       int
+	Body         []byte
+	Outcome      outcome.Outcome // where there is no answer
+	Err          error
+	ServerErrors int // answers of 500
+	Offered      bool
+	ticket       *routing.Reservation
+	cancel       context.CancelFunc // of the whole request
+	stop         context.CancelFunc // of the try
 }
 
 // Release ends what is left of a result.
@@ -51,7 +51,7 @@
 		r.Answer.Close()
 	}
 	if r.ticket != nil {
-		r.ticket.Clear()
+		r.ticket.Release()
 	}
 	for _, end := range []context.CancelFunc{r.stop, r.cancel} {
 		if end != nil {
@@ -71,7 +71,7 @@
 var ErrNoWorker = errors.New("forward: no worker may take the request")
 
 // declinePause is how long a request waits once every worker was asked.
-const declinePause = 8 * time.Millisecond
+const allRejectedBackoff = 8 * time.Millisecond
 
 // Do sends a request and reads the whole answer.
 func (f *Forwarder) Do(ctx context.Context, r *Request) Result { return f.run(ctx, r, true) }
@@ -89,7 +89,7 @@
 	}
 	cancel()
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
-		result.Err = outcome.Wrap(outcome.TimedOut, result.Verdict, ctx.Err(), "out of time")
+		result.Err = outcome.Wrap(outcome.TimedOut, result.Outcome, ctx.Err(), "out of time")
 	}
 	return result
 }
@@ -98,18 +98,18 @@
 type delivery struct {
 	*Forwarder
 	request   *Request
-	whole     bool // the answer's body is read here
+	complete  bool // the answer's body is read here
 	services  []string
-	tried     map[string]bool // workers
-	tries     *Tries
+	attempted map[string]bool // workers
+	attempts  *Attempts
 	errors500 int
 	last      Result // what there is to tell if nothing better comes
 }
 
 func (f *Forwarder) newDelivery(r *Request, whole bool) *delivery {
 	return &delivery{
-		Forwarder: f, request: r, whole: whole, services: order(r.Route), tried: map[string]bool{},
-		tries: NewTries(r.Route.Repeatable(), r.Route.MaxAttempts), last: Result{Verdict: outcome.NotRun, Err: ErrNoWorker},
+		Forwarder: f, request: r, complete: whole, services: order(r.Route), attempted: map[string]bool{},
+		attempts: NewAttempts(r.Route.Repeatable(), r.Route.MaxAttempts), last: Result{Outcome: outcome.NotRun, Err: ErrNoWorker},
 	}
 }
 
@@ -121,16 +121,16 @@
 			break
 		}
 		d.countWait()
-		d.tried[ticket.Worker.ID] = true
+		d.attempted[ticket.Worker.ID] = true
 		d.last.Offered = true
-		result = d.try(ctx, ticket)
+		result = d.attempt(ctx, ticket)
 		switch {
 		case result.Err != nil:
 			if !d.unanswered(&result) {
 				return d.last, false
 			}
 		case !d.retriesError(ctx, &result):
-			result.Errors, result.Offered = d.errors500, true
+			result.ServerErrors, result.Offered = d.errors500, true
 			return result, true
 		}
 	}
@@ -138,24 +138,24 @@
 }
 
 // next picks a worker that has not been asked yet; once all have been, after a pause any of them.
-func (d *delivery) next(ctx context.Context) *routing.Ticket {
+func (d *delivery) next(ctx context.Context) *routing.Reservation {
 	ticket := d.pick()
-	if ticket != nil || len(d.tried) == 0 {
+	if ticket != nil || len(d.attempted) == 0 {
 		return ticket
 	}
-	clear(d.tried)
-	if !pause(ctx, declinePause) {
+	clear(d.attempted)
+	if !waitBackoff(ctx, allRejectedBackoff) {
 		return nil
 	}
 	return d.pick()
 }
 
 // pick asks the services in turn: the others only where the drawn one has nobody.
-func (d *delivery) pick() *routing.Ticket {
+func (d *delivery) pick() *routing.Reservation {
 	r := d.request
-	cost := d.Table.Cost(r.Route.Name, r.Route.TargetLatencyMS, r.Usage)
+	cost := d.Table.EstimateCost(r.Route.Name, r.Route.TargetLatencyMS, r.Usage)
 	for _, service := range d.services {
-		query := &routing.Query{Services: []string{service}, Model: r.Model, Without: d.tried, Prompt: r.Prompt}
+		query := &routing.Query{Services: []string{service}, Model: r.Model, Exclude: d.attempted, SharedPrompt: r.SharedPrompt}
 		if ticket := d.Table.Pick(d.Clock(), query, cost); ticket != nil {
 			return ticket
 		}
@@ -165,11 +165,11 @@
 
 // unanswered takes in a try without an answer, and tells whether another worker may be asked.
 func (d *delivery) unanswered(try *Result) (again bool) {
-	d.last.Err, d.last.Errors = try.Err, d.errors500
-	if try.Verdict != outcome.NotRun {
-		d.last.Verdict = outcome.MayHaveRun
+	d.last.Err, d.last.ServerErrors = try.Err, d.errors500
+	if try.Outcome != outcome.NotRun {
+		d.last.Outcome = outcome.MayHaveRun
 	}
-	return d.tries.After(try.Verdict)
+	return d.attempts.Record(try.Outcome)
 }
 
 // retriesError takes in an answer, and tells whether it is an error of the worker after which another one is asked.
@@ -178,17 +178,17 @@
 		return false
 	}
 	d.errors500++
-	if !d.tries.After(outcome.Ran) || ctx.Err() != nil {
+	if !d.attempts.Record(outcome.Ran) || ctx.Err() != nil {
 		return false
 	}
 	try.Release()
-	d.last = Result{Verdict: outcome.Ran, Err: errAnswer, Errors: d.errors500, Offered: true}
+	d.last = Result{Outcome: outcome.Ran, Err: errServerError, ServerErrors: d.errors500, Offered: true}
 	return true
 }
 
-var errAnswer = errors.New("forward: the worker failed")
+var errServerError = errors.New("forward: the worker failed")
 
-func pause(ctx context.Context, d time.Duration) bool {
+func waitBackoff(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-time.After(d):
 		return true
@@ -235,7 +235,7 @@
 }
 
 // SharedPrompt names the shared part that a prompt begins with, from a Prefix-Hash header; empty where there is none.
-func SharedPrompt(value string) string {
+func ParseSharedPrompt(value string) string {
 	first, _, _ := strings.Cut(value, ",")
 	name, _, _ := strings.Cut(first, ":")
 	return strings.TrimSpace(name)
--- a/internal/scheduler/forward/forward_test.go
+++ b/internal/scheduler/forward/forward_test.go
@@ -136,7 +136,7 @@
 	table := routing.NewTable(routing.Gatherer{Name: "g"}, featuregate.All(), rand.New(rand.NewPCG(1, 1)))
 	for i := range 4 {
 		name := fmt.Sprint("worker", i)
-		table.Put(&rpc.Instance{Id: name, Service: "s", Capacity: 64, Address: spiteful(t, name, uint64(i), l)})
+		table.PutWorker(&rpc.Instance{Id: name, Service: "s", Capacity: 64, Address: spiteful(t, name, uint64(i), l)})
 	}
 	start := time.Now()
 	f := &Forwarder{Table: table, Pool: worker.NewPool(), Clock: func() int64 { return time.Since(start).Milliseconds() + 1_000_000 }}
@@ -160,7 +160,7 @@
 					if string(result.Body) != bodyOf(id) || string(result.Answer.Header.Peek("Response-Stamp")) != "stamp-"+id {
 						t.Errorf("%s got %q", id, result.Body)
 					}
-				case result.Verdict == outcome.NotRun:
+				case result.Outcome == outcome.NotRun:
 					refused.Add(1)
 					defer func() { // also not later
 						if runs := l.of(id); len(runs) > 0 {
@@ -215,22 +215,22 @@
 		}
 	}()
 	table := routing.NewTable(routing.Gatherer{Name: "g"}, featuregate.All(), rand.New(rand.NewPCG(1, 1)))
-	table.Put(&rpc.Instance{Id: "w", Service: "s", Capacity: 1, Address: listener.Addr().String()})
+	table.PutWorker(&rpc.Instance{Id: "w", Service: "s", Capacity: 1, Address: listener.Addr().String()})
 	f := &Forwarder{Table: table, Pool: worker.NewPool(), Clock: func() int64 { return 1_000_000 }}
 	route := &configuration.Route{Name: "r", Service: "s", Type: configuration.Idempotent, MaxAttempts: 2, TimeoutMS: 5000, TargetLatencyMS: 20}
 	result := f.Do(context.Background(), &Request{ID: "r1", Method: "POST", URI: "/x", Host: "h", Route: route, Deadline: time.Now().Add(5 * time.Second)})
 	result.Release()
-	is.Equal(result.Verdict, outcome.NotRun)
-	is.Equal(asked.Load(), int64(declinesMost))
+	is.Equal(result.Outcome, outcome.NotRun)
+	is.Equal(asked.Load(), int64(maxRejections))
 	is.Equal(connections.Load(), int64(1))
-	is.True(declined(result.Err))
+	is.True(isRejection(result.Err))
 }
 
 func TestSharedPrompt(t *testing.T) {
 	is := is.New(t)
-	is.Equal(SharedPrompt("9c2e41:300,5d07b8:240"), "9c2e41")
-	is.Equal(SharedPrompt(" 9c2e41:300"), "9c2e41")
-	is.Equal(SharedPrompt(""), "")
+	is.Equal(ParseSharedPrompt("9c2e41:300,5d07b8:240"), "9c2e41")
+	is.Equal(ParseSharedPrompt(" 9c2e41:300"), "9c2e41")
+	is.Equal(ParseSharedPrompt(""), "")
 }
 
 func TestParseLoad(t *testing.T) {
--- a/internal/scheduler/forward/counts.go
+++ b/internal/scheduler/forward/metrics.go
@@ -12,19 +12,19 @@
 const served = "served"
 
 // tryCounts count tries by what became of them.
-var tryCounts = map[string]*victoria.Counter{served: tryCounter(served)}
+var attemptCounters = map[string]*victoria.Counter{served: newAttemptCounter(served)}
 
 func init() {
-	for _, v := range []outcome.Verdict{outcome.NotRun, outcome.MayHaveRun, outcome.Ran} {
-		tryCounts[v.String()] = tryCounter(v.String())
+	for _, v := range []outcome.Outcome{outcome.NotRun, outcome.MayHaveRun, outcome.Ran} {
+		attemptCounters[v.String()] = newAttemptCounter(v.String())
 	}
 }
 
-func tryCounter(verdict string) *victoria.Counter {
+func newAttemptCounter(verdict string) *victoria.Counter {
 	return metrics.Counter("tries_total", metrics.Label{Name: "kind", Value: "request"}, metrics.Label{Name: "verdict", Value: verdict})
 }
 
-func countTry(verdict string) { tryCounts[verdict].Inc() }
+func countAttempt(verdict string) { attemptCounters[verdict].Inc() }
 
 // requestWaits are the times from a request's arrival to the choice of its first worker.
 var requestWaits = metrics.Durations("request_wait_seconds")
--- a/internal/scheduler/outcome/verdict.go
+++ b/internal/scheduler/outcome/outcome.go
@@ -9,18 +9,18 @@
 )
 
 // Verdict says whether a request may have run.
-type Verdict uint8
+type Outcome uint8
 
 const (
 	// MayHaveRun is the verdict where nothing says otherwise.
-	MayHaveRun Verdict = iota
+	MayHaveRun Outcome = iota
 	// NotRun says that no worker has run the request, nor will.
 	NotRun
 	// Ran says that a worker has run it.
 	Ran
 )
 
-func (v Verdict) String() string {
+func (v Outcome) String() string {
 	return [...]string{"may have run", "not run", "ran"}[v]
 }
 
@@ -33,26 +33,26 @@
 	// TimedOut is the type of errors of tries whose time ran out.
 	TimedOut = namespace.NewType("timed_out", errorx.Timeout())
 
-	property = errorx.RegisterProperty("verdict")
+	outcomeProperty = errorx.RegisterProperty("verdict")
 )
 
 // Of returns the verdict that an error carries: MayHaveRun where it carries none.
-func Of(err error) Verdict {
+func Of(err error) Outcome {
 	var x *errorx.Error
 	if errors.As(err, &x) {
-		if value, ok := x.Property(property); ok {
-			return value.(Verdict)
+		if value, ok := x.Property(outcomeProperty); ok {
+			return value.(Outcome)
 		}
 	}
 	return MayHaveRun
 }
 
 // Wrap gives an error a type and a verdict.
-func Wrap(kind *errorx.Type, v Verdict, err error, message string, values ...any) error {
+func Wrap(kind *errorx.Type, v Outcome, err error, message string, values ...any) error {
 	if err == nil {
-		return kind.New(message, values...).WithProperty(property, v)
+		return kind.New(message, values...).WithProperty(outcomeProperty, v)
 	}
-	return kind.Wrap(err, message, values...).WithProperty(property, v)
+	return kind.Wrap(err, message, values...).WithProperty(outcomeProperty, v)
 }
 
 // As is errors.As that also looks behind Wrap: errors of this version of errorx have no Unwrap.
--- a/internal/scheduler/proxy/handler.go
+++ b/internal/scheduler/proxy/handler.go
@@ -120,7 +120,7 @@
 	request := &forward.Request{
 		ID: id, Method: string(ctx.Method()), URI: path, Host: host, Body: ctx.PostBody(), Route: route,
 		Headers: endToEnd(ctx), Deadline: deadline(ctx, route), Usage: usage(ctx), Model: string(ctx.Request.Header.Peek("Model")),
-		Prompt: forward.SharedPrompt(string(ctx.Request.Header.Peek("Prefix-Hash"))), Arrived: ctx.Time(),
+		SharedPrompt: forward.ParseSharedPrompt(string(ctx.Request.Header.Peek("Prefix-Hash"))), Arrived: ctx.Time(),
 	}
 	within, stop := untilDeparture(ctx, watchAfter)
 	if route.Type == configuration.Streaming {
@@ -141,7 +141,7 @@
 // giveUp gives a request whose tries are over its final answer.
 func giveUp(ctx *fasthttp.RequestCtx, result *forward.Result) {
 	switch {
-	case result.Verdict == outcome.NotRun:
+	case result.Outcome == outcome.NotRun:
 		refuse(ctx, "no worker takes the request now")
 	case outcome.IsTimeout(result.Err):
 		answer(ctx, fasthttp.StatusGatewayTimeout, "the time of the request is over")
--- a/internal/scheduler/proxy/pass_test.go
+++ b/internal/scheduler/proxy/pass_test.go
@@ -68,7 +68,7 @@
 		t.Fatal(err)
 	}
 	table := routing.NewTable(routing.Gatherer{Name: "g"}, featuregate.All(), rand.New(rand.NewPCG(1, 1)))
-	table.Put(&rpc.Instance{Id: "w", Service: "s", Address: workerAddress, Capacity: 4})
+	table.PutWorker(&rpc.Instance{Id: "w", Service: "s", Address: workerAddress, Capacity: 4})
 	p := &Proxy{log: slog.New(slog.DiscardHandler), known: make(chan struct{}), forwarder: &forward.Forwarder{Table: table, Pool: worker.NewPool(), Clock: clock}}
 	p.config.Store(configuration.NewTable(document))
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
--- a/internal/scheduler/proxy/proxy.go
+++ b/internal/scheduler/proxy/proxy.go
@@ -133,7 +133,7 @@
 	for {
 		select {
 		case now := <-ticker.C:
-			p.forwarder.Pool.Sweep(now)
+			p.forwarder.Pool.CloseExpired(now)
 		case <-ctx.Done():
 			return
 		}
@@ -154,9 +154,9 @@
 		case *rpc.FeedEvent_Configuration:
 			p.configure(x.Configuration)
 		case *rpc.FeedEvent_Instance:
-			p.forwarder.Table.Put(x.Instance)
+			p.forwarder.Table.PutWorker(x.Instance)
 		case *rpc.FeedEvent_Gone:
-			p.forwarder.Table.Remove(x.Gone)
+			p.forwarder.Table.RemoveWorker(x.Gone)
 		case *rpc.FeedEvent_Placement:
 			p.ledger.Place(x.Placement)
 		case *rpc.FeedEvent_Policy:
--- a/internal/scheduler/proxy/start_test.go
+++ b/internal/scheduler/proxy/start_test.go
@@ -11,7 +11,7 @@
 )
 
 // unconfigured asks a process that knows no configuration yet, and returns its answer and how long it took.
-func unconfigured(use featuregate.Switches, deadlineMS string) (*fasthttp.Response, time.Duration) {
+func unconfigured(use featuregate.Gates, deadlineMS string) (*fasthttp.Response, time.Duration) {
 	p := &Proxy{settings: &settings.Settings{Decisions: use}, known: make(chan struct{})}
 	ctx := &fasthttp.RequestCtx{}
 	ctx.Request.SetRequestURI("http://h/x")
@@ -33,7 +33,7 @@
 	is.Equal(answer.StatusCode(), fasthttp.StatusServiceUnavailable)
 	is.True(took >= 150*time.Millisecond)
 	use := featuregate.All()
-	is.NoErr(use.Without("quickRefusal"))
+	is.NoErr(use.Disable("quickRefusal"))
 	_, took = unconfigured(use, "2000")
 	is.True(took >= startWait)
 }
--- a/internal/scheduler/routing/avoidance.go
+++ b/internal/scheduler/routing/avoidance.go
@@ -18,7 +18,7 @@
 }
 
 // Failed notes that a worker did not answer.
-func (t *Table) Failed(now int64, w *Worker) {
+func (t *Table) RecordFailure(now int64, w *Worker) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	w.failures++
@@ -26,17 +26,17 @@
 }
 
 // RefusalCause is what a worker's answer says of why it has declined a request.
-type RefusalCause string
+type RejectionCause string
 
 // The causes.
 const (
-	RefusedNotExecuted RefusalCause = "not_executed" // it is full, loads weights, or the request's time was over in its queue
-	RefusedMisdirected RefusalCause = "misdirected"  // another process has its address, or it has another version
-	RefusedStatus      RefusalCause = "status"       // any other status that is no success
+	RejectedNotExecuted RejectionCause = "not_executed" // it is full, loads weights, or the request's time was over in its queue
+	RejectedMisdirected RejectionCause = "misdirected"  // another process has its address, or it has another version
+	RejectedStatus      RejectionCause = "status"       // any other status that is no success
 )
 
 // Refused notes that a worker has declined a request for a model; empty where the request names none.
-func (t *Table) Refused(now int64, w *Worker, model string, cause RefusalCause) {
+func (t *Table) RecordRejection(now int64, w *Worker, model string, cause RejectionCause) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	w.refusalCounts.add(w, model, cause)
@@ -52,7 +52,7 @@
 }
 
 // Served notes that a worker has answered.
-func (t *Table) Served(w *Worker) {
+func (t *Table) RecordSuccess(w *Worker) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	w.failures, w.avoidUntil = 0, 0
--- a/internal/scheduler/routing/avoidance_test.go
+++ b/internal/scheduler/routing/avoidance_test.go
@@ -14,11 +14,11 @@
 	x := newFleet(featuregate.All(), 1, 1, 1, 6)[0]
 	w := x.byID["w00"]
 	refuse := func(now int64) int64 {
-		x.Refused(now, w, "m", RefusedNotExecuted)
+		x.RecordRejection(now, w, "m", RejectedNotExecuted)
 		return w.refusals["m"].until - now
 	}
 	is.Equal(refuse(1000), int64(refusedMS))
-	x.Refused(1050, w, "m", RefusedNotExecuted)
+	x.RecordRejection(1050, w, "m", RejectedNotExecuted)
 	is.Equal(w.refusals["m"].until, int64(1100))
 	is.Equal(refuse(1110), int64(2*refusedMS))
 	is.Equal(refuse(1320), int64(4*refusedMS))
@@ -34,7 +34,7 @@
 	x := newFleet(use, 1, 1, 1, 6)[0]
 	w := x.byID["w00"]
 	for _, now := range []int64{1000, 1110, 1220} {
-		x.Refused(now, w, "m", RefusedNotExecuted)
+		x.RecordRejection(now, w, "m", RejectedNotExecuted)
 		is.Equal(w.refusals["m"].until, now+refusedMS)
 	}
 }
--- a/internal/scheduler/routing/choice.go
+++ b/internal/scheduler/routing/choice.go
@@ -3,7 +3,7 @@
 import "saffronquay/internal/scheduler/featuregate"
 
 // Ticket is a request that is out at a worker.
-type Ticket struct {
+type Reservation struct {
 	Worker  *Worker
 	table   *Table
 	cost    float64
@@ -39,7 +39,7 @@
 
 // Pick returns a ticket for the worker with the least predicted backlog among those that the query allows, and charges it with the cost.
 // It returns nil where no worker fits.
-func (t *Table) Pick(now int64, q *Query, cost float64) *Ticket {
+func (t *Table) Pick(now int64, q *Query, cost float64) *Reservation {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var best candidate
@@ -58,8 +58,8 @@
 		return nil
 	}
 	countPick(q.Item, best.avoided, ties)
-	if q.Prompt != "" {
-		sharedPrompts[best.worker.prompts.meet(q.Prompt)].Inc()
+	if q.SharedPrompt != "" {
+		sharedPrompts[best.worker.prompts.meet(q.SharedPrompt)].Inc()
 	}
 	return t.charge(best.worker, cost, q.Item)
 }
@@ -106,17 +106,17 @@
 }
 
 // charge adds a request to its worker's backlog.
-func (t *Table) charge(w *Worker, cost float64, item bool) *Ticket {
+func (t *Table) charge(w *Worker, cost float64, item bool) *Reservation {
 	w.backlog += cost
 	w.out++
 	if item {
 		w.items++
 	}
-	return &Ticket{Worker: w, table: t, cost: cost, item: item}
+	return &Reservation{Worker: w, table: t, cost: cost, item: item}
 }
 
 // Clear takes a request off its worker's backlog, whatever its outcome. Later calls do nothing.
-func (k *Ticket) Clear() {
+func (k *Reservation) Release() {
 	t := k.table
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/scheduler/routing/choice_test.go
+++ b/internal/scheduler/routing/choice_test.go
@@ -44,7 +44,7 @@
 		for range 100 {
 			k := x.Pick(0, anywhere, 1)
 			seen[k.Worker.ID] = true
-			k.Clear()
+			k.Release()
 		}
 		is.Equal(len(seen), 4)
 	}
--- a/internal/scheduler/routing/counts.go
+++ b/internal/scheduler/routing/metrics.go
@@ -43,11 +43,11 @@
 // refusalKind is what refusals are counted by.
 type refusalKind struct {
 	model string
-	cause RefusalCause
+	cause RejectionCause
 }
 
 // add counts a refusal; nothing where the worker is gone.
-func (c refusalCounts) add(w *Worker, model string, cause RefusalCause) {
+func (c refusalCounts) add(w *Worker, model string, cause RejectionCause) {
 	if c == nil {
 		return
 	}
--- a/internal/scheduler/routing/counts_test.go
+++ b/internal/scheduler/routing/metrics_test.go
@@ -15,15 +15,15 @@
 func TestRefusalsAreToldByWorker(t *testing.T) {
 	is := is.New(t)
 	x := NewTable(Gatherer{Name: "g"}, featuregate.All(), rand.New(rand.NewPCG(1, 1)))
-	x.Put(&rpc.Instance{Id: "counted", Service: "s", Capacity: 1})
+	x.PutWorker(&rpc.Instance{Id: "counted", Service: "s", Capacity: 1})
 	w := x.byID["counted"]
 	told := func() bool {
 		return strings.Contains(metrics.Text(), `saffronquay_refusals_total{service="s",worker="counted",model="m",cause="misdirected"} 1`)
 	}
-	x.Refused(1000, w, "m", RefusedMisdirected)
+	x.RecordRejection(1000, w, "m", RejectedMisdirected)
 	is.True(told())
-	x.Remove("counted")
+	x.RemoveWorker("counted")
 	is.True(!told())
-	x.Refused(2000, w, "m", RefusedMisdirected) // it was on its way
+	x.RecordRejection(2000, w, "m", RejectedMisdirected) // it was on its way
 	is.True(!told())
 }
--- a/internal/scheduler/routing/prediction.go
+++ b/internal/scheduler/routing/prediction.go
@@ -30,7 +30,7 @@
 
 // Cost predicts how long a request of a class takes, in milliseconds: the moving average of the class, which starts at its latency aim,
 // in proportion to the request's tokens where it states them.
-func (t *Table) Cost(name string, aimMS float64, u Usage) float64 {
+func (t *Table) EstimateCost(name string, aimMS float64, u Usage) float64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	c := t.class(name, aimMS)
@@ -41,14 +41,14 @@
 }
 
 // Average is the moving average of a class's served latency, in milliseconds.
-func (t *Table) Average(name string, aimMS float64) float64 {
+func (t *Table) AverageLatency(name string, aimMS float64) float64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.class(name, aimMS).average
 }
 
 // Learn takes in how long a served request took.
-func (t *Table) Learn(name string, aimMS, tookMS float64, u Usage) {
+func (t *Table) RecordLatency(name string, aimMS, tookMS float64, u Usage) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	c := t.class(name, aimMS)
--- a/internal/scheduler/routing/places.go
+++ b/internal/scheduler/routing/slots.go
@@ -160,7 +160,7 @@
 func hash(s string) uint64 { return xxhash.Sum64String(s) }
 
 // Rooms tells how many items could begin now, by model and version, and in all; services are those that batch jobs' routes go to.
-func (t *Table) Rooms(now int64, services []string) (rooms []*rpc.Room, want int) {
+func (t *Table) FreeSlots(now int64, services []string) (rooms []*rpc.Room, want int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	type place struct {
--- a/internal/scheduler/routing/places_test.go
+++ b/internal/scheduler/routing/slots_test.go
@@ -13,7 +13,7 @@
 // fleet is a table for each of some gatherers, all of which know the same.
 type fleet []*Table
 
-func newFleet(use featuregate.Switches, gatherers, workers, zones, capacity int) fleet {
+func newFleet(use featuregate.Gates, gatherers, workers, zones, capacity int) fleet {
 	var f fleet
 	for i := range gatherers {
 		f = append(f, NewTable(Gatherer{Name: fmt.Sprintf("g%02d", i), Zone: fmt.Sprintf("z%d", i%zones)}, use, rand.New(rand.NewPCG(1, uint64(i)))))
@@ -23,7 +23,7 @@
 			t.PutGatherer(other.own)
 		}
 		for i := range workers {
-			t.Put(&rpc.Instance{Id: fmt.Sprintf("w%02d", i), Service: "s", Zone: fmt.Sprintf("z%d", i%zones), Capacity: uint32(capacity), Models: []*rpc.ModelWeights{{Name: "m", Version: 1}}})
+			t.PutWorker(&rpc.Instance{Id: fmt.Sprintf("w%02d", i), Service: "s", Zone: fmt.Sprintf("z%d", i%zones), Capacity: uint32(capacity), Models: []*rpc.ModelWeights{{Name: "m", Version: 1}}})
 		}
 	}
 	return f
@@ -122,7 +122,7 @@
 	}
 	total := 12 * 7
 	for _, t := range f {
-		t.Remove("w03")
+		t.RemoveWorker("w03")
 	}
 	is.True(moved() < total/3)
 	before = f.parts()
@@ -142,7 +142,7 @@
 	is := is.New(t)
 	f := newFleet(featuregate.All(), 4, 2, 1, 6)
 	for _, t := range f {
-		t.Put(&rpc.Instance{Id: "far", Service: "s", Zone: "elsewhere", Capacity: 6, Models: []*rpc.ModelWeights{{Name: "m", Version: 1}}})
+		t.PutWorker(&rpc.Instance{Id: "far", Service: "s", Zone: "elsewhere", Capacity: 6, Models: []*rpc.ModelWeights{{Name: "m", Version: 1}}})
 	}
 	is.Equal(sum(f.parts()["far"]), 7)
 }
--- a/internal/scheduler/routing/subset_test.go
+++ b/internal/scheduler/routing/subset_test.go
@@ -15,7 +15,7 @@
 	for range requests {
 		k := x.Pick(0, q, 10)
 		zones[k.Worker.Zone]++
-		k.Clear()
+		k.Release()
 	}
 	return zones
 }
@@ -25,7 +25,7 @@
 	is := is.New(t)
 	x := newFleet(featuregate.All(), 8, 8, 4, 6)[0]
 	is.Equal(spread(x, anywhere, 100)["z0"], 100)
-	var out []*Ticket
+	var out []*Reservation
 	for range 2 {
 		out = append(out, x.Pick(0, anywhere, 10))
 	}
@@ -45,11 +45,11 @@
 func TestRequestsLeaveTheirZone(t *testing.T) {
 	is := is.New(t)
 	x := newFleet(featuregate.All(), 8, 8, 4, 6)[0]
-	x.Failed(0, x.byID["w00"])
-	x.Refused(0, x.byID["w04"], "", RefusedNotExecuted)
+	x.RecordFailure(0, x.byID["w00"])
+	x.RecordRejection(0, x.byID["w04"], "", RejectedNotExecuted)
 	is.Equal(spread(x, anywhere, 50)["z0"], 0)
 	y := newFleet(featuregate.All(), 8, 8, 4, 6)[0]
-	is.Equal(spread(y, &Query{Services: []string{"s"}, Without: map[string]bool{"w00": true, "w04": true}}, 50)["z0"], 0)
+	is.Equal(spread(y, &Query{Services: []string{"s"}, Exclude: map[string]bool{"w00": true, "w04": true}}, 50)["z0"], 0)
 }
 
 // A zone with many gatherers and few workers prefers none: its workers would be overrun.
@@ -61,7 +61,7 @@
 	}
 	x.PutGatherer(Gatherer{Name: "other", Zone: "z1"})
 	for i := range 4 {
-		x.Put(&rpc.Instance{Id: fmt.Sprintf("w%d", i), Service: "s", Zone: []string{"z0", "z1"}[min(i, 1)], Capacity: 6})
+		x.PutWorker(&rpc.Instance{Id: fmt.Sprintf("w%d", i), Service: "s", Zone: []string{"z0", "z1"}[min(i, 1)], Capacity: 6})
 	}
 	is.True(spread(x, anywhere, 400)["z1"] > 200)
 }
--- a/internal/scheduler/routing/table.go
+++ b/internal/scheduler/routing/table.go
@@ -32,7 +32,7 @@
 type Table struct {
 	mu        sync.Mutex
 	own       Gatherer
-	use       featuregate.Switches
+	use       featuregate.Gates
 	byID      map[string]*Worker
 	byService map[string][]*Worker
 	classes   map[string]*class
@@ -47,7 +47,7 @@
 type Gatherer struct{ Name, Zone string }
 
 // NewTable returns an empty table of a gatherer.
-func NewTable(own Gatherer, use featuregate.Switches, random *rand.Rand) *Table {
+func NewTable(own Gatherer, use featuregate.Gates, random *rand.Rand) *Table {
 	return &Table{
 		own: own, use: use, byID: map[string]*Worker{}, byService: map[string][]*Worker{}, classes: map[string]*class{},
 		gatherers: gatherers{byZone: map[string][]string{}}, shares: map[string]*share{}, random: random, changed: make(chan struct{}),
@@ -67,7 +67,7 @@
 }
 
 // Put adds a worker or replaces what is known of it.
-func (t *Table) Put(i *rpc.Instance) {
+func (t *Table) PutWorker(i *rpc.Instance) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	w := t.byID[i.Id]
@@ -88,7 +88,7 @@
 }
 
 // Remove forgets a worker.
-func (t *Table) Remove(id string) {
+func (t *Table) RemoveWorker(id string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	w := t.byID[id]
@@ -122,7 +122,7 @@
 }
 
 // SawVersion notes which version of a model a worker's answer named.
-func (t *Table) SawVersion(w *Worker, model string, version uint64) {
+func (t *Table) RecordVersion(w *Worker, model string, version uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if w.versions[model] != version {
@@ -133,7 +133,7 @@
 
 // Reported resets a worker's backlog to what its answer says of its load: the requests that run and wait there, each taken for the
 // average time.
-func (t *Table) Reported(w *Worker, running, waiting int, average float64) {
+func (t *Table) RecordLoad(w *Worker, running, waiting int, average float64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	w.backlog = float64(running+waiting) * average
--- a/internal/scheduler/routing/table_test.go
+++ b/internal/scheduler/routing/table_test.go
@@ -12,7 +12,7 @@
 func table(workers ...*rpc.Instance) *Table {
 	t := NewTable(Gatherer{Name: "g"}, featuregate.All(), rand.New(rand.NewPCG(1, 1)))
 	for _, w := range workers {
-		t.Put(w)
+		t.PutWorker(w)
 	}
 	return t
 }
@@ -31,8 +31,8 @@
 	for range 3 {
 		is.True(x.Pick(0, anywhere, 10).Worker != long.Worker)
 	}
-	long.Clear()
-	long.Clear() // once only
+	long.Release()
+	long.Release() // once only
 	is.Equal(x.Pick(0, anywhere, 10).Worker, long.Worker)
 }
 
@@ -43,7 +43,7 @@
 	for range 3000 {
 		k := x.Pick(0, anywhere, 1)
 		count[k.Worker.ID]++
-		k.Clear()
+		k.Release()
 	}
 	for _, id := range []string{"a", "b", "c"} {
 		is.True(count[id] > 850 && count[id] < 1150)
@@ -59,12 +59,12 @@
 	other.Service = "other"
 	x := table(instance("a", 1), instance("b", 2), instance("c", 3), draining, other)
 	q := &Query{Services: []string{"s"}, Model: "m", MinVersion: 2}
-	is.Equal(x.Pick(0, &Query{Services: []string{"s"}, Model: "m", MinVersion: 2, Exact: 2}, 1).Worker.ID, "b")
+	is.Equal(x.Pick(0, &Query{Services: []string{"s"}, Model: "m", MinVersion: 2, ExactVersion: 2}, 1).Worker.ID, "b")
 	is.Equal(x.Pick(0, q, 1).Worker.ID, "c")
-	q.Without = map[string]bool{"b": true, "c": true}
+	q.Exclude = map[string]bool{"b": true, "c": true}
 	is.True(x.Pick(0, q, 1) == nil)
 	is.True(x.Pick(0, &Query{Services: []string{"s"}, Model: "unknown"}, 1) == nil)
-	x.Remove("c")
+	x.RemoveWorker("c")
 	is.True(x.Pick(0, &Query{Services: []string{"s"}, Model: "m", MinVersion: 3}, 1) == nil)
 }
 
@@ -73,13 +73,13 @@
 	is := is.New(t)
 	x := table(instance("a", 1), instance("b", 1))
 	a := x.byID["a"]
-	x.Failed(1000, a)
+	x.RecordFailure(1000, a)
 	for range 20 {
 		is.Equal(x.Pick(1001, anywhere, 1).Worker.ID, "b")
 	}
-	is.Equal(x.Pick(1001, &Query{Services: []string{"s"}, Without: map[string]bool{"b": true}}, 1).Worker.ID, "a")
-	is.True(x.Pick(1001, &Query{Services: []string{"s"}, Without: map[string]bool{"b": true}, Item: true}, 1) == nil)
-	x.Served(a)
+	is.Equal(x.Pick(1001, &Query{Services: []string{"s"}, Exclude: map[string]bool{"b": true}}, 1).Worker.ID, "a")
+	is.True(x.Pick(1001, &Query{Services: []string{"s"}, Exclude: map[string]bool{"b": true}, Item: true}, 1) == nil)
+	x.RecordSuccess(a)
 	is.True(a.avoidUntil == 0)
 }
 
@@ -87,10 +87,10 @@
 func TestCosts(t *testing.T) {
 	is := is.New(t)
 	x := table(instance("a", 1))
-	is.Equal(x.Cost("r", 150, Usage{}), 150.0)
-	x.Learn("r", 150, 40, Usage{Output: 100})
-	is.Equal(x.Cost("r", 150, Usage{Output: 200}), 80.0)
-	x.Reported(x.byID["a"], 3, 2, 40)
+	is.Equal(x.EstimateCost("r", 150, Usage{}), 150.0)
+	x.RecordLatency("r", 150, 40, Usage{Output: 100})
+	is.Equal(x.EstimateCost("r", 150, Usage{Output: 200}), 80.0)
+	x.RecordLoad(x.byID["a"], 3, 2, 40)
 	is.Equal(x.byID["a"].backlog, 200.0)
 }
 
@@ -100,10 +100,10 @@
 	x := table(instance("a", 1), instance("b", 2))
 	k := x.Pick(0, &Query{Services: []string{"s"}, Model: "m", MinVersion: 2, Item: true}, 1)
 	is.Equal(k.Worker.ID, "b")
-	rooms, want := x.Rooms(0, []string{"s"})
+	rooms, want := x.FreeSlots(0, []string{"s"})
 	is.Equal(want, 9)
 	is.Equal(len(rooms), 2)
-	x.Refused(0, k.Worker, "m", RefusedNotExecuted)
-	_, want = x.Rooms(1, []string{"s"})
+	x.RecordRejection(0, k.Worker, "m", RejectedNotExecuted)
+	_, want = x.FreeSlots(1, []string{"s"})
 	is.Equal(want, 5)
 }
--- a/internal/scheduler/settings/settings.go
+++ b/internal/scheduler/settings/settings.go
@@ -27,26 +27,26 @@
 
 // Settings are what the file says.
 type Settings struct {
-	NodeName        string               `toml:"nodeName"`
-	Role            string               `toml:"role"`
-	MachineClass    string               `toml:"machineClass"`
-	Serves          []string             `toml:"serves"`
-	IP              string               `toml:"ip"`
-	Zone            string               `toml:"zone"`
-	Region          string               `toml:"region"`
-	PortRange       []int                `toml:"portRange"`
-	Seeds           []string             `toml:"seeds"`
-	Bootstrap       bool                 `toml:"bootstrap"`
-	CountsForQuorum bool                 `toml:"countsForQuorum"`
-	DataDir         string               `toml:"dataDir"`
-	HeartbeatMS     int64                `toml:"heartbeatMs"`
-	Contracts       []string             `toml:"contracts"`
-	Zones           map[string]string    `toml:"zones"`
-	Listen          Listen               `toml:"listen"`
-	Limits          Limits               `toml:"limits"`
-	Tolerance       Tolerance            `toml:"faultTolerance"`
-	Bounds          Bounds               `toml:"bounds"`
-	Decisions       featuregate.Switches `toml:"decisions"`
+	NodeName        string            `toml:"nodeName"`
+	Role            string            `toml:"role"`
+	MachineClass    string            `toml:"machineClass"`
+	Serves          []string          `toml:"serves"`
+	IP              string            `toml:"ip"`
+	Zone            string            `toml:"zone"`
+	Region          string            `toml:"region"`
+	PortRange       []int             `toml:"portRange"`
+	Seeds           []string          `toml:"seeds"`
+	Bootstrap       bool              `toml:"bootstrap"`
+	CountsForQuorum bool              `toml:"countsForQuorum"`
+	DataDir         string            `toml:"dataDir"`
+	HeartbeatMS     int64             `toml:"heartbeatMs"`
+	Contracts       []string          `toml:"contracts"`
+	Zones           map[string]string `toml:"zones"`
+	Listen          Listen            `toml:"listen"`
+	Limits          Limits            `toml:"limits"`
+	Tolerance       Tolerance         `toml:"faultTolerance"`
+	Bounds          Bounds            `toml:"bounds"`
+	Decisions       featuregate.Gates `toml:"decisions"`
 }
 
 // Listen holds the addresses for what the role serves.
--- a/internal/scheduler/simulation/calls.go
+++ b/internal/scheduler/simulation/calls.go
@@ -33,7 +33,7 @@
 	g.calls++
 	id := fmt.Sprintf("%s/%d/%d", g.name, g.life, g.calls)
 	repeatable := g.calls%2 == 0
-	tries := forward.NewTries(repeatable, 3)
+	tries := forward.NewAttempts(repeatable, 3)
 	w.report.Calls++
 	result := outcome.NotRun
 	var try func()
@@ -43,7 +43,7 @@
 			return
 		}
 		to := workers[w.random.IntN(len(workers))]
-		g.send(to, id, func(r reply, v outcome.Verdict, ok bool) {
+		g.send(to, id, func(r reply, v outcome.Outcome, ok bool) {
 			if ok {
 				if r.body != answerFor(id) {
 					w.fail(WrongCaller, "call %s got %q", id, r.body)
@@ -53,9 +53,9 @@
 			if v != outcome.NotRun {
 				result = outcome.MayHaveRun
 			}
-			again := tries.After(v)
+			again := tries.Record(v)
 			if w.bug(RepeatAnyCall) {
-				again = tries.After(outcome.NotRun)
+				again = tries.Record(outcome.NotRun)
 			}
 			switch {
 			case again && g.up:
@@ -81,7 +81,7 @@
 func answerFor(id string) string { return "answer for " + id }
 
 // send sends a request over a kept connection, or a new one.
-func (g *gatherer) send(to *rpc.Instance, id string, done func(reply, outcome.Verdict, bool)) {
+func (g *gatherer) send(to *rpc.Instance, id string, done func(reply, outcome.Outcome, bool)) {
 	w := g.w
 	c := g.pool[to.Id]
 	if c == nil || !c.open || c.current != nil {
@@ -91,7 +91,7 @@
 		}
 	}
 	finished := false
-	finish := func(r reply, v outcome.Verdict, ok, keep bool) {
+	finish := func(r reply, v outcome.Outcome, ok, keep bool) {
 		if finished {
 			return
 		}
@@ -106,7 +106,7 @@
 		switch {
 		case r.reset:
 			finish(r, outcome.MayHaveRun, false, false)
-		case !workerpool.Belongs(r.status, r.id, id) && !w.bug(KeepConnection):
+		case !workerpool.IsAnswerFor(r.status, r.id, id) && !w.bug(KeepConnection):
 			finish(r, outcome.MayHaveRun, false, false) // the right answer may still come on this connection
 		case r.decline:
 			finish(r, outcome.NotRun, false, true)
--- a/internal/scheduler/worker/events.go
+++ b/internal/scheduler/worker/events.go
@@ -10,24 +10,26 @@
 
 // Event is one event of a stream.
 type Event struct {
-	ID      int64 // -1 where it names none
-	Data    []byte
-	Version uint64 // of the weights, where the event says that it has changed; else 0
+	ID            int64 // -1 where it names none
+	Data          []byte
+	WeightVersion uint64 // of the weights, where the event says that it has changed; else 0
 }
 
 // Events reads the events of an answer's body.
-type Events struct {
+type EventReader struct {
 	reader *bufio.Reader
 }
 
 // ErrEvent says that what came is no event.
-var ErrEvent = errors.New("worker: not an event")
+var ErrMalformedEvent = errors.New("worker: not an event")
 
 // NewEvents reads from a body.
-func NewEvents(body io.Reader) *Events { return &Events{bufio.NewReaderSize(body, readBuffer)} }
+func NewEventReader(body io.Reader) *EventReader {
+	return &EventReader{bufio.NewReaderSize(body, readBuffer)}
+}
 
 // Next returns the next event; io.EOF where the stream has ended whole. An event that breaks off is not returned.
-func (e *Events) Next() (Event, error) {
+func (e *EventReader) Next() (Event, error) {
 	event := Event{ID: -1}
 	begun := false
 	for {
@@ -67,10 +69,10 @@
 			e.Data = []byte{}
 		}
 	case "weight-versions":
-		e.Version, err = strconv.ParseUint(string(bytes.TrimSpace(value)), 10, 64)
+		e.WeightVersion, err = strconv.ParseUint(string(bytes.TrimSpace(value)), 10, 64)
 	}
 	if err != nil {
-		return errors.Join(ErrEvent, err)
+		return errors.Join(ErrMalformedEvent, err)
 	}
 	return nil
 }
--- a/internal/scheduler/worker/pool.go
+++ b/internal/scheduler/worker/pool.go
@@ -24,13 +24,13 @@
 
 // Call is a request to a worker.
 type Call struct {
-	Address  string
-	Method   string
-	URI      string // path and query, as they came
-	Host     string
-	Headers  []Header
-	Body     []byte
-	DialTime time.Duration // that a new connection may take; 0: the usual
+	Address     string
+	Method      string
+	URI         string // path and query, as they came
+	Host        string
+	Headers     []Header
+	Body        []byte
+	DialTimeout time.Duration // that a new connection may take; 0: the usual
 }
 
 // Header is one header field.
@@ -82,7 +82,7 @@
 		return nil, outcome.Wrap(outcome.Failed, outcome.NotRun, err, "connect to %s", call.Address)
 	}
 	stop := context.AfterFunc(ctx, func() { conn.SetDeadline(time.Unix(1, 0)) })
-	fail := func(v outcome.Verdict, err error, what string) error {
+	fail := func(v outcome.Outcome, err error, what string) error {
 		stop()
 		conn.Close()
 		if ctx.Err() != nil {
@@ -159,7 +159,7 @@
 		conn.Close()
 	}
 	opened[cause].Inc()
-	wait := call.DialTime
+	wait := call.DialTimeout
 	if wait == 0 {
 		wait = transport.DialTimeout
 	}
@@ -273,13 +273,13 @@
 }
 
 // Belongs tells whether an answer is to the request with an id.
-func (a *Answer) Belongs(id string) bool {
-	return Belongs(a.Status, string(a.Header.Peek("Request-Id")), id)
+func (a *Answer) IsFor(id string) bool {
+	return IsAnswerFor(a.Status, string(a.Header.Peek("Request-Id")), id)
 }
 
 // Belongs tells whether an answer with a status that names a request is to the one with an id. A success has to name it; other answers may
 // name none.
-func Belongs(status int, named, id string) bool {
+func IsAnswerFor(status int, named, id string) bool {
 	return named == id || named == "" && status >= fasthttp.StatusMultipleChoices
 }
 
@@ -295,7 +295,7 @@
 }
 
 // Forget closes the kept connections to an address.
-func (p *Pool) Forget(address string) {
+func (p *Pool) CloseIdle(address string) {
 	p.mu.Lock()
 	list := p.idle[address]
 	delete(p.idle, address)
@@ -306,7 +306,7 @@
 }
 
 // Sweep closes connections that have been idle for too long.
-func (p *Pool) Sweep(now time.Time) {
+func (p *Pool) CloseExpired(now time.Time) {
 	var old []*connection
 	p.mu.Lock()
 	for address, list := range p.idle {
--- a/internal/scheduler/worker/worker_test.go
+++ b/internal/scheduler/worker/worker_test.go
@@ -133,22 +133,22 @@
 
 func TestEvents(t *testing.T) {
 	is := is.New(t)
-	events := NewEvents(strings.NewReader("id: 1\ndata: a\n\nweight-versions: 7\nid: 2\ndata: b\ndata: c\n\n: note\nid:3\ndata:\n\nid: 4\nda"))
+	events := NewEventReader(strings.NewReader("id: 1\ndata: a\n\nweight-versions: 7\nid: 2\ndata: b\ndata: c\n\n: note\nid:3\ndata:\n\nid: 4\nda"))
 	first, err := events.Next()
 	is.NoErr(err)
 	is.Equal(string(first.Data), "a")
 	second, err := events.Next()
 	is.NoErr(err)
-	is.Equal(second.Version, uint64(7))
+	is.Equal(second.WeightVersion, uint64(7))
 	is.Equal(string(second.Data), "b\nc")
 	third, err := events.Next()
 	is.NoErr(err)
 	is.Equal(third.ID, int64(3))
 	_, err = events.Next()
 	is.Equal(err, io.ErrUnexpectedEOF) // an event that breaks off is none
-	_, err = NewEvents(strings.NewReader("id: x\n\n")).Next()
-	is.True(errors.Is(err, ErrEvent))
-	_, err = NewEvents(strings.NewReader("")).Next()
+	_, err = NewEventReader(strings.NewReader("id: x\n\n")).Next()
+	is.True(errors.Is(err, ErrMalformedEvent))
+	_, err = NewEventReader(strings.NewReader("")).Next()
 	is.Equal(err, io.EOF)
 }
 
@@ -189,10 +189,10 @@
 	pool := NewPool()
 	a, err := pool.Do(context.Background(), call(address))
 	is.NoErr(err)
-	is.True(!a.Belongs("mine") && a.Belongs("other"))
+	is.True(!a.IsFor("mine") && a.IsFor("other"))
 	a.Discard()
 	is.Equal(len(pool.idle[address]), 0)
 	a, err = pool.Do(context.Background(), call(address))
 	is.NoErr(err)
-	is.True(!a.Belongs("mine")) // a success that names no request
+	is.True(!a.IsFor("mine")) // a success that names no request
 }
