--- /dev/null
+++ b/internal/scheduler/consensus/election_test.go
@@ -0,0 +1,38 @@
+package consensus
+
+import (
+	"saffronquay/internal/scheduler/rpc"
+	"testing"
+
+	"github.com/matryer/is"
+)
+
+// A replica that has just started may have replied to a leader a moment ago. Until that leader's lease is over it grants no votes and starts no
+// election; a group that was just founded has no leader to wait for.
+func TestNoVoteDuringALeaseThatMayStillRun(t *testing.T) {
+	lease := LeaseMS(electionTimeoutTestMS)
+	cases := []struct {
+		name    string
+		hard    *rpc.HardState
+		now     int64
+		granted bool
+	}{
+		{"the lease may run", &rpc.HardState{Epoch: 5, Vote: "a"}, lease - 1, false},
+		{"the lease is over", &rpc.HardState{Epoch: 5, Vote: "a"}, lease, true},
+		{"the group was just founded", &rpc.HardState{Epoch: foundingEpoch}, 0, true},
+	}
+	for _, kind := range []rpc.MessageKind{rpc.MessageKind_PRE_VOTE, rpc.MessageKind_VOTE} {
+		for _, test := range cases {
+			t.Run(kind.String()+": "+test.name, func(t *testing.T) {
+				is := is.New(t)
+				c := startReplica(t, "b", newVoters("a", "b", "c"), test.hard)
+				replies := step(t, c, test.now, &rpc.Message{Kind: kind, From: "a", Epoch: 9, LogIndex: 9, LogEpoch: 9})
+				is.Equal(!replies[len(replies)-1].Reject, test.granted)
+			})
+		}
+	}
+	t.Run("no election before the lease is over", func(t *testing.T) {
+		is := is.New(t)
+		is.True(startReplica(t, "b", newVoters("a", "b", "c"), &rpc.HardState{Epoch: 5}).NextTickAt() >= lease)
+	})
+}
--- /dev/null
+++ b/internal/scheduler/consensus/lease.go
@@ -0,0 +1,72 @@
+package consensus
+
+import (
+	"cmp"
+	"slices"
+)
+
+// LeaseMS returns how long after its last contact with a majority a leader may answer reads. It is shorter than the shortest election timeout,
+// within which followers grant no votes.
+func LeaseMS(electionTimeoutMS int64) int64 { return electionTimeoutMS * 65 / 100 }
+
+// stepDownTimeouts is the number of election timeouts after which a leader that no majority has answered steps down.
+const stepDownTimeouts = 2
+
+// Leadership reports whether this replica leads and has committed an entry of its epoch, so that it knows all that earlier leaders have
+// acknowledged; and when a majority was last known to follow it (0 if it does not lead).
+func (c *Core) Leadership() (ready bool, quorumContactAt int64) {
+	if c.role != leader {
+		return false, 0
+	}
+	return c.hasCommittedOwnEntry(), c.quorumContact()
+}
+
+// HasLease reports whether reads of this replica's state are up to date: it leads, it knows all that earlier leaders have acknowledged, and no
+// other replica can have been elected yet. now must be read from the clock for this call: with an older time, a process that was paused
+// would trust a lease that has ended.
+func (c *Core) HasLease(now int64) bool {
+	if c.role != leader || !c.hasCommittedOwnEntry() {
+		return false
+	}
+	return now-c.quorumContact() < LeaseMS(c.config.ElectionTimeoutMS)
+}
+
+// LeaderSince returns when this replica last became leader; 0 if it never did.
+func (c *Core) LeaderSince() int64 { return c.leaderSince }
+
+// hasCommittedOwnEntry reports whether a leader has committed the first entry of its epoch. It then knows all that earlier leaders committed.
+func (c *Core) hasCommittedOwnEntry() bool { return c.commit >= c.epochStartIndex }
+
+// hasLostMajority reports whether a leader should step down.
+func (c *Core) hasLostMajority() bool {
+	limit := stepDownTimeouts * c.config.ElectionTimeoutMS
+	return c.now-c.quorumContact() > limit && c.now-c.leaderSince > limit
+}
+
+// quorumContact returns the latest time at which a majority is known to have followed this leader. It is the time when a heartbeat was sent, not when
+// it was answered: a follower's promise starts when the heartbeat arrives, which may be any time in between.
+func (c *Core) quorumContact() int64 {
+	return reachedByMajority(c, c.now, func(peer *progress) int64 { return peer.confirmedAt })
+}
+
+// reachedByMajority returns the greatest value that a majority of the voters has reached: own is this replica's value, ofPeer that of another
+// one, and a voter that the leader does not track has the zero value.
+func reachedByMajority[T cmp.Ordered](c *Core, own T, ofPeer func(*progress) T) T {
+	var zero T
+	values := make([]T, 0, len(c.membership.Voters))
+	for _, voter := range c.membership.Voters {
+		switch peer := c.peers[voter.Id]; {
+		case voter.Id == c.config.ID:
+			values = append(values, own)
+		case peer != nil:
+			values = append(values, ofPeer(peer))
+		default:
+			values = append(values, zero)
+		}
+	}
+	if len(values) == 0 {
+		return zero
+	}
+	slices.Sort(values)
+	return values[(len(values)-1)/2]
+}
--- a/internal/scheduler/consensus/log.go
+++ b/internal/scheduler/consensus/log.go
@@ -5,30 +5,37 @@
 	"slices"
 )
 
-// log is the part of a group's log that is kept in memory: everything after the last snapshot.
-type log struct {
+// entryLog is the part of a group's log that is kept in memory: all entries after the last snapshot. Its zero value is an empty log.
+type entryLog struct {
 	snapshotIndex uint64
 	snapshotEpoch uint64
 	entries       []*rpc.Entry // entries[0] has index snapshotIndex+1
 }
 
-func (l *log) lastIndex() uint64 { return l.snapshotIndex + uint64(len(l.entries)) }
+func (l *entryLog) lastIndex() uint64 { return l.snapshotIndex + uint64(len(l.entries)) }
 
-func (l *log) lastEpoch() uint64 { epoch, _ := l.epochAt(l.lastIndex()); return epoch }
+func (l *entryLog) lastEpoch() uint64 {
+	epoch, _ := l.epochAt(l.lastIndex())
+	return epoch
+}
+
+// entry returns the entry at an index that the log must hold.
+func (l *entryLog) entry(index uint64) *rpc.Entry { return l.entries[index-l.snapshotIndex-1] }
 
-// epochAt is the epoch of the entry at an index; false where the log doesn't hold it.
-func (l *log) epochAt(index uint64) (epoch uint64, ok bool) {
+// epochAt returns the epoch of the entry at an index, or of the snapshot there; ok is false if the log holds neither.
+func (l *entryLog) epochAt(index uint64) (epoch uint64, ok bool) {
 	switch {
 	case index == l.snapshotIndex:
 		return l.snapshotEpoch, true
 	case index < l.snapshotIndex || index > l.lastIndex():
 		return 0, false
 	}
-	return l.entries[index-l.snapshotIndex-1].Epoch, true
+	return l.entry(index).Epoch, true
 }
 
-// from returns the entries at and after an index, up to a number of bytes but at least one.
-func (l *log) from(index uint64, maxBytes int) []*rpc.Entry {
+// from returns the entries at and after an index, up to a number of bytes but at least one entry. It is nil if the log does not hold the
+// first. Released data counts with its size on disk, since the driver fills it in.
+func (l *entryLog) from(index uint64, maxBytes int) []*rpc.Entry {
 	if index <= l.snapshotIndex || index > l.lastIndex() {
 		return nil
 	}
@@ -41,37 +48,36 @@
 			break
 		}
 	}
-	return slices.Clone(rest[:count]) // entries may be stripped while these are on their way
+	return slices.Clone(rest[:count]) // releaseData may replace entries of the log while these are in use
 }
 
-func (l *log) entry(index uint64) *rpc.Entry { return l.entries[index-l.snapshotIndex-1] }
-
-// truncateAfter drops what stands after an index.
-func (l *log) truncateAfter(index uint64) {
+// truncateAfter drops the entries after an index. The dropped ones may still be in use elsewhere: a later append must not overwrite
+// them, so the capacity is cut too.
+func (l *entryLog) truncateAfter(index uint64) {
 	kept := l.entries[:index-l.snapshotIndex]
 	l.entries = kept[:len(kept):len(kept)]
 }
 
-// compact drops the entries up to an index that a snapshot covers.
-func (l *log) compact(index, epoch uint64) {
+// compact drops the entries up to an index, which a snapshot covers.
+func (l *entryLog) compact(index, epoch uint64) {
 	if index <= l.snapshotIndex {
 		return
 	}
 	if index < l.lastIndex() {
-		l.entries = append([]*rpc.Entry(nil), l.entries[index-l.snapshotIndex:]...)
+		l.entries = append([]*rpc.Entry(nil), l.entries[index-l.snapshotIndex:]...) // copied, so that the dropped entries are freed
 	} else {
 		l.entries = nil
 	}
 	l.snapshotIndex, l.snapshotEpoch = index, epoch
 }
 
-// strip drops the data of an entry, which is applied and on disk, from memory. The entry itself may be on its way to other replicas, so
-// another one takes its place.
-func (l *log) strip(index uint64) {
+// releaseData drops the data of a command from memory and keeps its size. The entry itself may be part of a message, so another one takes
+// its place in the log.
+func (l *entryLog) releaseData(index uint64) {
 	if index <= l.snapshotIndex || index > l.lastIndex() {
 		return
 	}
-	old := l.entries[index-l.snapshotIndex-1]
+	old := l.entry(index)
 	if old.Kind == rpc.EntryKind_ENTRY_COMMAND && len(old.Data) > 0 {
 		l.entries[index-l.snapshotIndex-1] = &rpc.Entry{Index: old.Index, Epoch: old.Epoch, Kind: old.Kind, Stored: uint32(len(old.Data))}
 	}
--- a/internal/scheduler/consensus/membership.go
+++ b/internal/scheduler/consensus/membership.go
@@ -7,90 +7,143 @@
 	"google.golang.org/protobuf/proto"
 )
 
-func decodeMembership(data []byte, otherwise *rpc.Membership) *rpc.Membership {
-	m := &rpc.Membership{}
-	if proto.Unmarshal(data, m) != nil {
-		return otherwise
+// minVotersForRemoval is the least number of voters from which an unreachable one is removed before its successor is admitted: of two, the
+// remaining one would be alone.
+const minVotersForRemoval = 3
+
+// Membership returns the newest membership in the log, committed or not. It is the one that elections and commits use. It must not be changed.
+func (c *Core) Membership() *rpc.Membership { return c.membership }
+
+// MembershipCommitted reports whether the newest membership is committed.
+func (c *Core) MembershipCommitted() bool { return c.membershipIndex <= c.commit }
+
+func (c *Core) isVoter(id string) bool { return hasReplica(c.membership.Voters, id) }
+
+// refreshMembership takes the newest membership in the log, or that of the snapshot.
+func (c *Core) refreshMembership() {
+	c.membership, c.membershipIndex = c.membershipAt(c.log.lastIndex())
+}
+
+// membershipAt returns the membership after an index that the log holds, and the index of the entry or snapshot that it is from. An entry that cannot
+// be decoded changes nothing.
+func (c *Core) membershipAt(index uint64) (membership *rpc.Membership, since uint64) {
+	for ; index > c.log.snapshotIndex; index-- {
+		entry := c.log.entry(index)
+		if entry.Kind != rpc.EntryKind_ENTRY_MEMBERSHIP {
+			continue
+		}
+		decoded := &rpc.Membership{}
+		if proto.Unmarshal(entry.Data, decoded) == nil {
+			return decoded, entry.Index
+		}
 	}
-	return m
+	return c.snapshotMembership, c.log.snapshotIndex
 }
 
-// NextMembership is the next change of one replica that leads from the current members to the wanted voters, or nil where there is
-// none to make now. A replica becomes a learner first and a voter once it is caught up. A live voter stays until its successor is admitted,
-// so that the number of copies never falls on the way; one that is gone leaves just before, since with it and its successor both the group
-// would need more live voters than it does without.
+// NextMembership returns the next change of one replica that leads from the current members to the wanted voters, for ProposeMembership. It is nil
+// if there is none to make now.
+//
+// A replica becomes a learner first, and a voter after it has caught up. A reachable voter stays until its successor is admitted, so that the number
+// of replicas never falls on the way. An unreachable one is removed just before that: with it and its successor both, the group would need
+// more live voters than it does without.
 //
-// revision is that of the placement which wants these voters. A leader that lags behind may have been told an older one than the membership
-// was changed for already; that changes nothing any more, or it would undo a repair, or bring back a member that was emptied.
+// revision is that of the placement which wants these voters. A leader that lags behind may hold an older placement than the one that the
+// membership was last changed for. That one changes nothing: it would undo a repair, or bring back a replica whose disk was emptied.
 func (c *Core) NextMembership(wanted []*rpc.Replica, revision uint64) *rpc.Membership {
-	if c.role != leader || c.commit < c.firstIndex || c.since > c.commit || len(wanted) == 0 || revision < c.membership.Revision {
+	if c.role != leader || !c.hasCommittedOwnEntry() || !c.MembershipCommitted() {
+		return nil
+	}
+	if len(wanted) == 0 || revision < c.membership.Revision {
 		return nil
 	}
-	current := proto.Clone(c.membership).(*rpc.Membership)
-	current.Revision = revision
-	has := func(list []*rpc.Replica, id string) bool {
-		return slices.ContainsFunc(list, func(r *rpc.Replica) bool { return r.Id == id })
+	next := proto.CloneOf(c.membership)
+	next.Revision = revision
+	if removeUnwantedLearner(next, wanted) {
+		return next
 	}
-	without := func(list []*rpc.Replica, id string) []*rpc.Replica {
-		return slices.DeleteFunc(slices.Clone(list), func(r *rpc.Replica) bool { return r.Id == id })
+	changed, awaitsLearner := c.advanceAdmission(next, wanted)
+	switch {
+	case changed:
+		return next
+	case awaitsLearner:
+		return nil
+	case c.removeUnwantedVoter(next, wanted):
+		return next
 	}
-	for _, replica := range current.Learners {
-		if !has(wanted, replica.Id) {
-			current.Learners = without(current.Learners, replica.Id)
-			return current
+	return nil
+}
+
+// removeUnwantedLearner removes the first learner that is not wanted, and reports whether there was one.
+func removeUnwantedLearner(membership *rpc.Membership, wanted []*rpc.Replica) bool {
+	for _, learner := range membership.Learners {
+		if !hasReplica(wanted, learner.Id) {
+			membership.Learners = withoutReplica(membership.Learners, learner.Id)
+			return true
 		}
 	}
-	missing := 0
+	return false
+}
+
+// advanceAdmission makes the next step towards the voters that are wanted: it adds one as a learner, or makes a learner that is caught up a voter, or
+// removes an unreachable voter just before that. awaitsLearner reports that there is nothing to do before a learner is caught up.
+func (c *Core) advanceAdmission(membership *rpc.Membership, wanted []*rpc.Replica) (changed, awaitsLearner bool) {
 	for _, replica := range wanted {
 		switch {
-		case has(current.Voters, replica.Id):
-		case !has(current.Learners, replica.Id):
-			current.Learners = append(current.Learners, replica)
-			return current
-		case c.CaughtUp(replica.Id):
-			if gone := c.goneVoter(current, wanted); gone != "" {
-				current.Voters = without(current.Voters, gone)
-				return current
+		case hasReplica(membership.Voters, replica.Id):
+		case !hasReplica(membership.Learners, replica.Id):
+			membership.Learners = append(membership.Learners, replica)
+			return true, false
+		case c.isCaughtUp(replica.Id):
+			if unreachable := c.unreachableVoter(membership, wanted); unreachable != "" {
+				membership.Voters = withoutReplica(membership.Voters, unreachable)
+				return true, false
 			}
-			current.Learners = without(current.Learners, replica.Id)
-			current.Voters = append(current.Voters, replica)
-			return current
+			membership.Learners = withoutReplica(membership.Learners, replica.Id)
+			membership.Voters = append(membership.Voters, replica)
+			return true, false
 		default:
-			missing++
+			awaitsLearner = true
 		}
 	}
-	if missing > 0 {
-		return nil
-	}
-	var self *rpc.Replica
-	for _, replica := range current.Voters {
-		if has(wanted, replica.Id) {
-			continue
-		}
-		if replica.Id == c.cfg.ID {
-			self = replica // the leader leaves last
-			continue
+	return false, awaitsLearner
+}
+
+// removeUnwantedVoter removes the first voter that is not wanted, the leader last, and reports whether there was one.
+func (c *Core) removeUnwantedVoter(membership *rpc.Membership, wanted []*rpc.Replica) bool {
+	removesLeader := false
+	for _, voter := range membership.Voters {
+		switch {
+		case hasReplica(wanted, voter.Id):
+		case voter.Id == c.config.ID:
+			removesLeader = true
+		default:
+			membership.Voters = withoutReplica(membership.Voters, voter.Id)
+			return true
 		}
-		current.Voters = without(current.Voters, replica.Id)
-		return current
 	}
-	if self != nil {
-		current.Voters = without(current.Voters, self.Id)
-		return current
+	if removesLeader {
+		membership.Voters = withoutReplica(membership.Voters, c.config.ID)
 	}
-	return nil
+	return removesLeader
 }
 
-// goneVoter is a voter that isn't wanted and doesn't answer; empty where there is none, or where too few would be left.
-func (c *Core) goneVoter(current *rpc.Membership, wanted []*rpc.Replica) string {
-	if len(current.Voters) <= 2 {
+// unreachableVoter returns the id of a voter that is not wanted and does not reply; empty if there is none, or if too few would be left.
+func (c *Core) unreachableVoter(membership *rpc.Membership, wanted []*rpc.Replica) string {
+	if len(membership.Voters) < minVotersForRemoval {
 		return ""
 	}
-	for _, replica := range current.Voters {
-		isWanted := slices.ContainsFunc(wanted, func(w *rpc.Replica) bool { return w.Id == replica.Id })
-		if !isWanted && replica.Id != c.cfg.ID && !c.Reachable(replica.Id) {
-			return replica.Id
+	for _, voter := range membership.Voters {
+		if !hasReplica(wanted, voter.Id) && voter.Id != c.config.ID && !c.isReachable(c.peers[voter.Id]) {
+			return voter.Id
 		}
 	}
 	return ""
 }
+
+func hasReplica(list []*rpc.Replica, id string) bool {
+	return slices.ContainsFunc(list, func(replica *rpc.Replica) bool { return replica.Id == id })
+}
+
+func withoutReplica(list []*rpc.Replica, id string) []*rpc.Replica {
+	return slices.DeleteFunc(slices.Clone(list), func(replica *rpc.Replica) bool { return replica.Id == id })
+}
--- a/internal/scheduler/consensus/losses_test.go
+++ b/internal/scheduler/consensus/repair_test.go
@@ -8,20 +8,20 @@
 	"testing"
 )
 
-// cluster is a replica group whose messages arrive in the next tick, with machines that can be lost at any moment.
+// cluster is a replica group in virtual time whose messages arrive in the next tick, with machines that can fail at any moment.
 type cluster struct {
-	t       *testing.T
-	size    int
-	now     int64
-	random  *rand.Rand
-	members map[string]*node // by machine
-	names   []string
-	air     []*rpc.Message
-	acked   map[string]bool
-	counter int
-	changes int // of the membership that were proposed
-	// lookOut is called at each change of the membership, before anything of it is sent.
-	lookOut func(change int)
+	t                 *testing.T
+	size              int
+	now               int64
+	random            *rand.Rand
+	nodes             map[string]*node // by machine
+	names             []string
+	inFlight          []*rpc.Message
+	acknowledged      map[string]bool
+	commands          int // proposed
+	membershipChanges int // proposed
+	// onMembershipChange is called after each proposed change of the membership, before anything of it is sent.
+	onMembershipChange func(change int)
 }
 
 // node is a machine with a disk.
@@ -36,12 +36,12 @@
 const testTick = 10
 
 func newCluster(t *testing.T, size, spares int) *cluster {
-	c := &cluster{t: t, size: size, random: rand.New(rand.NewPCG(uint64(size), 1)), members: map[string]*node{}, acked: map[string]bool{}}
+	c := &cluster{t: t, size: size, random: rand.New(rand.NewPCG(uint64(size), 1)), nodes: map[string]*node{}, acknowledged: map[string]bool{}}
 	var founders []*rpc.Replica
 	for i := range size + spares {
 		name := fmt.Sprint("m", i)
 		c.names = append(c.names, name)
-		c.members[name] = &node{id: name + "/1"}
+		c.nodes[name] = &node{id: name + "/1"}
 		if i < size {
 			founders = append(founders, &rpc.Replica{Id: name + "/1", Address: name, Node: name})
 		}
@@ -56,16 +56,17 @@
 	return c
 }
 
+// start starts a replica on a machine with what is on its disk.
 func (c *cluster) start(name string, stored Stored) {
-	n := c.members[name]
+	n := c.nodes[name]
 	n.stored, n.up, n.applied = stored, true, nil
-	n.core = New(Config{Group: "g", ID: n.id, Address: name, ElectionTimeoutMS: electionTest, HeartbeatIntervalMS: 110, Random: c.random},
+	n.core = New(Config{Group: "g", ID: n.id, Address: name, ElectionTimeoutMS: electionTimeoutTestMS, HeartbeatIntervalMS: heartbeatIntervalTestMS, Random: c.random},
 		Stored{HardState: stored.HardState, Snapshot: stored.Snapshot, Entries: slices.Clone(stored.Entries)}, c.now)
 }
 
-// lose takes a machine away; wiped, its disk is gone too and it is another replica when it comes back.
-func (c *cluster) lose(name string, wiped bool) {
-	n := c.members[name]
+// fail stops a machine. If it is wiped, its disk is lost too, and the machine is another replica when it restarts.
+func (c *cluster) fail(name string, wiped bool) {
+	n := c.nodes[name]
 	n.up = false
 	if wiped {
 		n.id += "+"
@@ -73,13 +74,14 @@
 	}
 }
 
-func (c *cluster) back(name string) { c.start(name, c.members[name].stored) }
+// restart starts a machine on what its disk holds.
+func (c *cluster) restart(name string) { c.start(name, c.nodes[name].stored) }
 
-// wanted are the replicas that the group should have: those on live machines first, in order.
-func (c *cluster) wanted() (list []*rpc.Replica) {
+// wantedReplicas returns the replicas that the group should have: those on live machines first, in order.
+func (c *cluster) wantedReplicas() (list []*rpc.Replica) {
 	for _, live := range []bool{true, false} {
 		for _, name := range c.names {
-			if n := c.members[name]; n.up == live && len(list) < c.size {
+			if n := c.nodes[name]; n.up == live && len(list) < c.size {
 				list = append(list, &rpc.Replica{Id: n.id, Address: name, Node: name})
 			}
 		}
@@ -87,38 +89,39 @@
 	return list
 }
 
-// run plays until a time; each leader proposes a command now and then.
+// run plays until a time. Each leader proposes a command every 50 ms.
 func (c *cluster) run(until int64) {
 	for ; c.now < until; c.now += testTick {
-		air := c.air
-		c.air = nil
-		for _, m := range air {
+		arriving := c.inFlight
+		c.inFlight = nil
+		for _, m := range arriving {
 			for _, name := range c.names {
-				if n := c.members[name]; n.up && n.id == m.To {
+				if n := c.nodes[name]; n.up && n.id == m.To {
 					n.core.Step(c.now, m)
 				}
 			}
 		}
 		for _, name := range c.names {
-			if n := c.members[name]; n.up {
-				c.turn(n)
+			if n := c.nodes[name]; n.up {
+				c.runDriver(n)
 			}
 		}
 	}
 }
 
-func (c *cluster) turn(n *node) {
+// runDriver is one round of a machine's driver.
+func (c *cluster) runDriver(n *node) {
 	n.core.Tick(c.now)
 	if n.core.IsLeader() {
-		if next := n.core.NextMembership(c.wanted(), 0); next != nil && n.core.ProposeMembership(next) == nil {
-			c.changes++
-			if c.lookOut != nil {
-				c.lookOut(c.changes)
+		if next := n.core.NextMembership(c.wantedReplicas(), 0); next != nil && n.core.ProposeMembership(next) == nil {
+			c.membershipChanges++
+			if c.onMembershipChange != nil {
+				c.onMembershipChange(c.membershipChanges)
 			}
 		}
 		if c.now%50 == 0 && n.up {
-			c.counter++
-			n.core.Propose(fmt.Appendf(nil, "c%d", c.counter))
+			c.commands++
+			n.core.Propose(fmt.Appendf(nil, "c%d", c.commands))
 		}
 	}
 	for n.up {
@@ -130,6 +133,7 @@
 	}
 }
 
+// carryOut persists, sends and applies what Ready returned.
 func (c *cluster) carryOut(n *node, r *Ready) {
 	if r.HardState != nil {
 		n.stored.HardState = r.HardState
@@ -141,29 +145,27 @@
 		keep := int(r.Entries[0].Index - n.stored.Snapshot.Index - 1)
 		n.stored.Entries = append(slices.Clone(n.stored.Entries[:keep]), r.Entries...)
 	}
-	for _, m := range r.Messages {
-		c.air = append(c.air, m)
-	}
+	c.inFlight = append(c.inFlight, r.Messages...)
 	for _, entry := range r.Committed {
 		if entry.Kind != rpc.EntryKind_ENTRY_COMMAND {
 			continue
 		}
 		n.applied = append(n.applied, string(entry.Data))
 		if n.core.IsLeader() {
-			c.acked[string(entry.Data)] = true
+			c.acknowledged[string(entry.Data)] = true
 		}
 	}
 }
 
-// healthy checks that the group has a leader under its lease that has all that was acknowledged, and the members that it should have.
-func (c *cluster) healthy(what string) {
+// checkHealthy checks that a leader has the lease and all that was acknowledged.
+func (c *cluster) checkHealthy(what string) {
 	c.t.Helper()
 	for _, name := range c.names {
-		n := c.members[name]
+		n := c.nodes[name]
 		if !n.up || !n.core.HasLease(c.now) {
 			continue
 		}
-		for command := range c.acked {
+		for command := range c.acknowledged {
 			if !slices.Contains(n.applied, command) {
 				c.t.Errorf("%s: %s was acknowledged and is gone", what, command)
 			}
@@ -174,31 +176,31 @@
 }
 
 const (
-	settled = 3000 // ms in which a group is founded
-	repair  = 4500 // ms in which a repair has to be over
+	foundingMS = 3000 // within which a group is founded
+	repairMS   = 4500 // within which a repair has to be complete
 )
 
-// A second loss as soon as the first one is repaired, of each other machine and in each way, leaves a majority with everything that was
-// acknowledged: groups of three, which bear one loss.
+// Groups of three tolerate one failure. A second one as soon as the first one is repaired, of each machine, with its disk and without, leaves a
+// majority with everything that was acknowledged.
 func TestSecondLossAfterARepair(t *testing.T) {
 	for first := range 3 {
 		for second := range 4 {
 			for how := range 4 {
 				what := fmt.Sprintf("m%d (wiped %v), then m%d (wiped %v)", first, how&1 == 1, second, how&2 == 2)
 				c := newCluster(t, 3, 1)
-				c.run(settled)
-				c.lose(c.names[first], how&1 == 1)
-				c.run(c.now + repair) // the spare machine takes its place
-				c.healthy(what + ": after the first loss")
-				c.lose(c.names[second], how&2 == 2)
-				c.run(c.now + repair)
-				c.healthy(what)
+				c.run(foundingMS)
+				c.fail(c.names[first], how&1 == 1)
+				c.run(c.now + repairMS) // the spare machine takes its place
+				c.checkHealthy(what + ": after the first loss")
+				c.fail(c.names[second], how&2 == 2)
+				c.run(c.now + repairMS)
+				c.checkHealthy(what)
 			}
 		}
 	}
 }
 
-// Groups of five bear two losses: the second one comes at each change of the membership that the first one's repair makes.
+// Groups of five tolerate two failures: the second one comes at each change of the membership that the repair of the first one makes.
 func TestSecondLossAtEachStepOfARepair(t *testing.T) {
 	steps := 0
 	for first := range 5 {
@@ -210,20 +212,20 @@
 				for step := 1; step <= 4; step++ {
 					what := fmt.Sprintf("m%d (wiped %v), then m%d (wiped %v) at step %d", first, how&1 == 1, second, how&2 == 2, step)
 					c := newCluster(t, 5, 1)
-					c.run(settled)
-					founded := c.changes
-					c.lookOut = func(change int) {
+					c.run(foundingMS)
+					founded := c.membershipChanges
+					c.onMembershipChange = func(change int) {
 						if change-founded == step {
 							steps++
-							c.lose(c.names[second], how&2 == 2)
+							c.fail(c.names[second], how&2 == 2)
 						}
 					}
-					c.lose(c.names[first], how&1 == 1)
-					c.run(c.now + repair)
-					c.healthy(what)
-					c.back(c.names[first])
-					c.run(c.now + repair)
-					c.healthy(what + ": the first one is back")
+					c.fail(c.names[first], how&1 == 1)
+					c.run(c.now + repairMS)
+					c.checkHealthy(what)
+					c.restart(c.names[first])
+					c.run(c.now + repairMS)
+					c.checkHealthy(what + ": the first one is back")
 				}
 			}
 		}
@@ -234,18 +236,18 @@
 	t.Logf("%d second losses at a change of the membership", steps)
 }
 
-// Losses of a learner's disk just before it is admitted, again and again, cost time only.
+// A learner that loses its disk just before it is admitted, again and again, only costs time.
 func TestLearnerLosesItsDiskBeforeItsAdmission(t *testing.T) {
 	c := newCluster(t, 5, 1)
-	c.run(settled)
-	founded := c.changes
-	c.lookOut = func(change int) {
+	c.run(foundingMS)
+	founded := c.membershipChanges
+	c.onMembershipChange = func(change int) {
 		if n := change - founded; n >= 1 && n <= 6 {
-			c.lose("m5", true) // the spare machine, which is to take the place of the lost one
-			c.back("m5")
+			c.fail("m5", true) // the spare machine, which is to take the place of the lost one
+			c.restart("m5")
 		}
 	}
-	c.lose("m0", true)
-	c.run(c.now + 3*repair)
-	c.healthy("m0 is lost, and its successor's disk again and again")
+	c.fail("m0", true)
+	c.run(c.now + 3*repairMS)
+	c.checkHealthy("m0 is lost, and its successor's disk again and again")
 }
--- /dev/null
+++ b/internal/scheduler/consensus/replication.go
@@ -0,0 +1,172 @@
+package consensus
+
+import "saffronquay/internal/scheduler/rpc"
+
+const (
+	maxAppendBytes    = 256 << 10 // of entries in one append, unless its first entry alone is larger
+	maxAppendsPending = 8         // appends to one replica without a reply
+
+	// heartbeatRoundsKept is how many heartbeats a reply may lag behind and still count for the lease.
+	heartbeatRoundsKept = 64
+
+	// commitNoticeMS is how soon followers receive a new commit index if no further entry carries it.
+	commitNoticeMS = 5
+)
+
+// appendMode says what replicate sends to a replica that lacks nothing, or that cannot be sent entries now.
+type appendMode uint8
+
+const (
+	entriesOnly   appendMode = iota // nothing
+	withHeartbeat                   // an append without entries
+)
+
+// sendHeartbeats begins a heartbeat round. Heartbeats fall on multiples of the interval, so that those of all groups of a machine leave together.
+func (c *Core) sendHeartbeats() {
+	c.heartbeatAt = (c.now/c.config.HeartbeatIntervalMS + 1) * c.config.HeartbeatIntervalMS
+	c.heartbeatRound++
+	c.heartbeatSentAt[c.heartbeatRound] = c.now
+	delete(c.heartbeatSentAt, c.heartbeatRound-heartbeatRoundsKept)
+	c.forEachPeer(func(id string, peer *progress) { c.replicate(id, peer, withHeartbeat) })
+}
+
+// replicate sends a replica what it lacks: entries, or a chunk of the snapshot if the log begins after what it needs.
+func (c *Core) replicate(id string, peer *progress, mode appendMode) {
+	unresponsive := c.isUnresponsive(peer)
+	if unresponsive && peer.inFlight > 0 {
+		peer.next, peer.inFlight, peer.probing = peer.match+1, 0, true
+	}
+	if peer.next <= c.log.snapshotIndex {
+		if mode == withHeartbeat {
+			c.sendAppend(id, c.log.snapshotIndex, nil)
+		}
+		if c.chunkIsDue(peer, unresponsive) {
+			c.sendChunk(id, peer)
+		}
+		return
+	}
+	sent := false
+	for !unresponsive && peer.mayAppend() {
+		entries := c.log.from(peer.next, maxAppendBytes)
+		if len(entries) == 0 {
+			break
+		}
+		c.sendAppend(id, peer.next-1, entries)
+		sent = true
+		peer.inFlight++
+		if peer.probing {
+			break // it may be rejected: next stays
+		}
+		peer.next += uint64(len(entries))
+	}
+	if !sent && mode == withHeartbeat {
+		c.sendAppend(id, peer.next-1, nil)
+	}
+}
+
+// mayAppend reports whether a replica may be sent another append with entries before it replies.
+func (p *progress) mayAppend() bool {
+	return p.inFlight == 0 || !p.probing && p.inFlight < maxAppendsPending
+}
+
+// sendAppend sends entries that follow the entry at an index.
+func (c *Core) sendAppend(id string, previousIndex uint64, entries []*rpc.Entry) {
+	previousEpoch, _ := c.log.epochAt(previousIndex)
+	c.send(&rpc.Message{
+		Kind: rpc.MessageKind_APPEND, To: id, Epoch: c.epoch, LogIndex: previousIndex, LogEpoch: previousEpoch,
+		Commit: c.commit, Entries: entries, Round: c.heartbeatRound,
+	})
+}
+
+// handleAppend takes over the leader's entries if they follow an entry that both logs hold, and replies how far the logs agree.
+func (c *Core) handleAppend(message *rpc.Message) {
+	reply := &rpc.Message{Kind: rpc.MessageKind_APPEND_REPLY, To: message.From, Epoch: c.epoch, Round: message.Round}
+	entries, previousIndex, previousEpoch := message.Entries, message.LogIndex, message.LogEpoch
+	if previousIndex < c.log.snapshotIndex {
+		// What the snapshot covers is committed and needs no comparison.
+		skipped := min(c.log.snapshotIndex-previousIndex, uint64(len(entries)))
+		entries = entries[skipped:]
+		previousIndex += skipped
+		previousEpoch = c.log.snapshotEpoch
+		if previousIndex < c.log.snapshotIndex {
+			reply.LogIndex = c.log.snapshotIndex
+			c.send(reply)
+			return
+		}
+	}
+	if epoch, ok := c.log.epochAt(previousIndex); !ok || epoch != previousEpoch {
+		reply.Reject = true
+		reply.LogIndex = min(c.log.lastIndex(), max(previousIndex, 1)-1)
+		reply.Refused = previousIndex
+		c.send(reply)
+		return
+	}
+	c.mergeEntries(entries)
+	lastIndex := previousIndex + uint64(len(entries))
+	c.commit = max(c.commit, min(message.Commit, lastIndex))
+	// A leader that was just elected knows all that is committed only after an entry of its own epoch is.
+	if epoch, ok := c.log.epochAt(message.Commit); ok && epoch == message.Epoch && c.commit >= message.Commit {
+		c.currentAt = c.now
+	}
+	reply.LogIndex = lastIndex
+	c.send(reply)
+}
+
+// mergeEntries adds the leader's entries to the log. From the first one that differs on, they replace what the log holds. Entries that agree are
+// left alone: an append that arrives late must not drop those after it.
+func (c *Core) mergeEntries(entries []*rpc.Entry) {
+	for i, entry := range entries {
+		if epoch, ok := c.log.epochAt(entry.Index); ok && epoch == entry.Epoch {
+			continue
+		}
+		if entry.Index <= c.log.lastIndex() {
+			c.log.truncateAfter(entry.Index - 1)
+		}
+		c.log.entries = append(c.log.entries, entries[i:]...)
+		c.addUnstable(entry.Index)
+		c.refreshMembership()
+		return
+	}
+}
+
+// handleAppendReply records how far a replica's log agrees, and sends it what it lacks.
+func (c *Core) handleAppendReply(message *rpc.Message) {
+	peer := c.peers[message.From]
+	if peer == nil {
+		return
+	}
+	c.recordReply(peer, message.Round)
+	peer.inFlight = max(0, peer.inFlight-1)
+	if message.Reject {
+		// Of several appends in flight, all after a lost one are rejected. Only the first rejection, or that of the newest probe, counts.
+		if message.Refused == peer.next-1 || !peer.probing && message.Refused < peer.next {
+			peer.next = max(min(message.LogIndex, peer.next-1), peer.match) + 1
+			peer.probing, peer.inFlight = true, 0
+			c.replicate(message.From, peer, entriesOnly)
+		}
+		return
+	}
+	peer.probing = false
+	peer.match = max(peer.match, message.LogIndex)
+	peer.next = max(peer.next, peer.match+1)
+	c.advanceCommit()
+	if peer.next <= c.log.lastIndex() {
+		c.replicate(message.From, peer, entriesOnly)
+	}
+}
+
+// advanceCommit commits the newest entry that a majority has persisted, if it is of the leader's own epoch: a majority that holds an entry
+// of an earlier epoch does not keep a later leader from replacing it. A leader that is no longer a voter steps down as soon as that is
+// committed.
+func (c *Core) advanceCommit() {
+	index := reachedByMajority(c, c.persistedIndex(), func(peer *progress) uint64 { return peer.match })
+	if epoch, ok := c.log.epochAt(index); index <= c.commit || !ok || epoch != c.epoch {
+		return
+	}
+	c.commit = index
+	c.heartbeatAt = min(c.heartbeatAt, c.now+commitNoticeMS)
+	if c.MembershipCommitted() && !c.isVoter(c.config.ID) {
+		c.sendHeartbeats() // with the commit index, before this replica leaves
+		c.becomeFollower(c.epoch, "", "")
+	}
+}
--- /dev/null
+++ b/internal/scheduler/consensus/replication_test.go
@@ -0,0 +1,34 @@
+package consensus
+
+import (
+	"saffronquay/internal/scheduler/rpc"
+	"testing"
+
+	"github.com/matryer/is"
+)
+
+// A replica whose replies are lost receives the leader's heartbeats but no entries: it is not current.
+func TestHeardButNotCurrent(t *testing.T) {
+	is := is.New(t)
+	c := startReplica(t, "b", newVoters("a", "b", "c"), &rpc.HardState{Epoch: 5, Commit: 2}, newCommand(2, 5))
+	step(t, c, 1000, &rpc.Message{Kind: rpc.MessageKind_APPEND, From: "a", Epoch: 5, LogIndex: 2, LogEpoch: 5, Commit: 2})
+	is.Equal(c.CurrentAt(), int64(1000))
+	step(t, c, 1100, &rpc.Message{Kind: rpc.MessageKind_APPEND, From: "a", Epoch: 5, LogIndex: 2, LogEpoch: 5, Commit: 3})
+	is.Equal(c.LeaderContactAt(), int64(1100))
+	is.Equal(c.CurrentAt(), int64(1000))
+	step(t, c, 1200, &rpc.Message{Kind: rpc.MessageKind_APPEND, From: "a", Epoch: 5, LogIndex: 7, LogEpoch: 5, Commit: 7}) // it is rejected
+	is.Equal(c.CurrentAt(), int64(1000))
+	step(t, c, 1300, &rpc.Message{Kind: rpc.MessageKind_APPEND, From: "a", Epoch: 5, LogIndex: 2, LogEpoch: 5, Commit: 3, Entries: []*rpc.Entry{newCommand(3, 5)}})
+	is.Equal(c.CurrentAt(), int64(1300))
+}
+
+// After a restart of all replicas, a new leader knows only what is committed according to its disk. Its followers are not current before an
+// entry of its epoch is committed.
+func TestNotCurrentUnderALeaderThatKnowsNothingYet(t *testing.T) {
+	is := is.New(t)
+	c := startReplica(t, "b", newVoters("a", "b", "c"), &rpc.HardState{Epoch: 5, Commit: 2}, newCommand(2, 5), newCommand(3, 5))
+	step(t, c, 1000, &rpc.Message{Kind: rpc.MessageKind_APPEND, From: "a", Epoch: 6, LogIndex: 3, LogEpoch: 5, Commit: 2, Entries: []*rpc.Entry{{Index: 4, Epoch: 6}}})
+	is.Equal(c.CurrentAt(), int64(0))
+	step(t, c, 1100, &rpc.Message{Kind: rpc.MessageKind_APPEND, From: "a", Epoch: 6, LogIndex: 4, LogEpoch: 6, Commit: 4})
+	is.Equal(c.CurrentAt(), int64(1100))
+}
--- a/internal/scheduler/consensus/snapshot.go
+++ b/internal/scheduler/consensus/snapshot.go
@@ -6,160 +6,171 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// A snapshot travels piece by piece. The leader sends the next piece once the one before is acknowledged, so that both ends hold one piece
-// in memory at most. The receiver's driver persists each piece; the snapshot counts once all are there and their checksum is right.
+// A snapshot is sent chunk by chunk. The leader sends the next chunk after the one before is acknowledged, so that both sides have at most one
+// chunk in memory. The receiver's driver persists each chunk; the snapshot counts after all have arrived and their checksum is right.
 
-// receipt is a snapshot that is being received.
-type receipt struct {
+// chunkRetryMS is after what time without an acknowledgement a chunk is sent again.
+const chunkRetryMS = 400
+
+// incomingSnapshot is a snapshot that is being received.
+type incomingSnapshot struct {
 	snapshot *rpc.Snapshot
-	held     uint32 // pieces
+	chunks   uint32 // received, in order from the first
 	digest   *xxhash.Digest
 }
 
-// of tells whether the pieces received so far belong to a snapshot.
-func (r *receipt) of(s *rpc.Snapshot) bool {
-	return r != nil && r.snapshot.Index == s.Index && r.snapshot.Epoch == s.Epoch && r.snapshot.Pieces == s.Pieces && r.snapshot.Checksum == s.Checksum
+func newIncomingSnapshot(snapshot *rpc.Snapshot) *incomingSnapshot {
+	return &incomingSnapshot{snapshot: snapshot, digest: xxhash.New()}
 }
 
-// pieceRetryMS is how long a piece may take before it is sent once more.
-const pieceRetryMS = 400
+// matches reports whether the chunks received so far belong to a snapshot. The receiver may be nil.
+func (s *incomingSnapshot) matches(other *rpc.Snapshot) bool {
+	return s != nil && s.snapshot.Index == other.Index && s.snapshot.Epoch == other.Epoch &&
+		s.snapshot.Pieces == other.Pieces && s.snapshot.Checksum == other.Checksum
+}
 
-// sendPiece sends a replica the next piece of the newest snapshot. The driver fills in the data.
-func (c *Core) sendPiece(id string, p *progress) {
-	if p.snapshotIndex != c.snapshot.Index {
-		p.snapshotIndex, p.pieces = c.snapshot.Index, 0
+// add takes the next chunk and reports whether it was the next one. Others are ignored.
+func (s *incomingSnapshot) add(chunk *rpc.SnapshotPiece) bool {
+	if chunk == nil || chunk.Number != s.chunks || s.chunks >= s.snapshot.Pieces {
+		return false
 	}
-	p.pieceAt = c.now
-	m := &rpc.Message{Kind: rpc.MessageKind_SNAPSHOT, To: id, Epoch: c.epoch, Round: c.round, Snapshot: c.snapshot}
-	if p.pieces < c.snapshot.Pieces {
-		m.Piece = &rpc.SnapshotPiece{Number: p.pieces}
+	s.chunks++
+	_, _ = s.digest.Write(chunk.Data) // never fails
+	return true
+}
+
+// chunkIsDue reports whether a replica that needs the snapshot has to be sent a chunk, other than in reply to the acknowledgement of the one before.
+func (c *Core) chunkIsDue(peer *progress, unresponsive bool) bool {
+	if peer.chunkSentAt == 0 || peer.snapshotIndex != c.latestSnapshot.Index {
+		return true
 	}
-	c.send(m)
+	return !unresponsive && c.now-peer.chunkSentAt >= chunkRetryMS
 }
 
-// onSnapshotReply goes on with the next piece.
-func (c *Core) onSnapshotReply(m *rpc.Message) {
-	p := c.peers[m.From]
-	if p == nil {
+// sendChunk sends a replica the next chunk of the newest snapshot, or the end of it after the last chunk. The driver fills in the data.
+func (c *Core) sendChunk(id string, peer *progress) {
+	if peer.snapshotIndex != c.latestSnapshot.Index {
+		peer.snapshotIndex, peer.chunksAcknowledged = c.latestSnapshot.Index, 0
+	}
+	peer.chunkSentAt = c.now
+	message := &rpc.Message{Kind: rpc.MessageKind_SNAPSHOT, To: id, Epoch: c.epoch, Round: c.heartbeatRound, Snapshot: c.latestSnapshot}
+	if peer.chunksAcknowledged < c.latestSnapshot.Pieces {
+		message.Piece = &rpc.SnapshotPiece{Number: peer.chunksAcknowledged}
+	}
+	c.send(message)
+}
+
+// handleSnapshotReply sends the next chunk.
+func (c *Core) handleSnapshotReply(message *rpc.Message) {
+	peer := c.peers[message.From]
+	if peer == nil {
 		return
 	}
-	c.heardFrom(p, m.Round)
-	if p.next > c.log.snapshotIndex || m.LogIndex != c.snapshot.Index || p.snapshotIndex != c.snapshot.Index {
+	c.recordReply(peer, message.Round)
+	needsSnapshot := peer.next <= c.log.snapshotIndex
+	if !needsSnapshot || message.LogIndex != c.latestSnapshot.Index || peer.snapshotIndex != c.latestSnapshot.Index {
 		return
 	}
-	p.pieces = min(m.PiecesHeld, c.snapshot.Pieces)
-	c.sendPiece(m.From, p)
+	peer.chunksAcknowledged = min(message.PiecesHeld, c.latestSnapshot.Pieces)
+	c.sendChunk(message.From, peer)
 }
 
-// onSnapshot takes a piece of a snapshot in.
-func (c *Core) onSnapshot(m *rpc.Message) {
-	s := m.Snapshot
-	if s == nil {
+// handleSnapshot takes a chunk of a snapshot. It acknowledges the chunk, or, when nothing more is needed, the log up to the commit index.
+func (c *Core) handleSnapshot(message *rpc.Message) {
+	snapshot := message.Snapshot
+	if snapshot == nil {
 		return
 	}
-	epoch, known := c.log.epochAt(s.Index)
+	epoch, known := c.log.epochAt(snapshot.Index)
 	switch {
-	case s.Index <= c.commit:
-	case known && epoch == s.Epoch:
-		// The log leads up to the same entry, so it holds all that the snapshot covers. What stands behind it may have been acknowledged
-		// already and must stay.
-		c.commit = s.Index
-	case !c.receive(s, m.Piece):
-		c.send(&rpc.Message{Kind: rpc.MessageKind_SNAPSHOT_REPLY, To: m.From, Epoch: c.epoch, Round: m.Round, LogIndex: s.Index, PiecesHeld: c.receipt.held})
+	case snapshot.Index <= c.commit:
+	case known && epoch == snapshot.Epoch:
+		// The log leads up to the same entry, so it has all that the snapshot covers. Entries after it may have been acknowledged already and
+		// must stay.
+		c.commit = snapshot.Index
+	case !c.receiveChunk(snapshot, message.Piece):
+		c.send(&rpc.Message{
+			Kind: rpc.MessageKind_SNAPSHOT_REPLY, To: message.From, Epoch: c.epoch, Round: message.Round,
+			LogIndex: snapshot.Index, PiecesHeld: c.incoming.chunks,
+		})
 		return
 	default:
-		c.install(s)
+		c.installSnapshot(snapshot)
 	}
-	c.receipt = nil
-	c.send(&rpc.Message{Kind: rpc.MessageKind_APPEND_REPLY, To: m.From, Epoch: c.epoch, LogIndex: c.commit, Round: m.Round})
+	c.incoming = nil
+	c.send(&rpc.Message{Kind: rpc.MessageKind_APPEND_REPLY, To: message.From, Epoch: c.epoch, LogIndex: c.commit, Round: message.Round})
 }
 
-// receive takes the next piece of a snapshot and tells whether it is whole now.
-func (c *Core) receive(s *rpc.Snapshot, piece *rpc.SnapshotPiece) (whole bool) {
-	if !c.receipt.of(s) {
-		c.receipt = &receipt{snapshot: s, digest: xxhash.New()}
+// receiveChunk takes the next chunk of a snapshot, and reports whether the snapshot is complete and its checksum right. With a wrong
+// checksum it begins again. A chunk of another snapshot than before discards those before.
+func (c *Core) receiveChunk(snapshot *rpc.Snapshot, chunk *rpc.SnapshotPiece) (complete bool) {
+	if !c.incoming.matches(snapshot) {
+		c.incoming = newIncomingSnapshot(snapshot)
 	}
-	r := c.receipt
-	if piece != nil && piece.Number == r.held && r.held < s.Pieces {
-		r.held++
-		r.digest.Write(piece.Data)
-		c.newPieces = append(c.newPieces, piece)
+	if c.incoming.add(chunk) {
+		c.unstableChunks = append(c.unstableChunks, chunk)
 	}
-	if r.held < s.Pieces {
+	if c.incoming.chunks < snapshot.Pieces {
 		return false
 	}
-	if s.Pieces > 0 && r.digest.Sum64() != s.Checksum {
-		c.receipt = &receipt{snapshot: s, digest: xxhash.New()} // from the beginning
+	if snapshot.Pieces > 0 && c.incoming.digest.Sum64() != snapshot.Checksum {
+		c.incoming = newIncomingSnapshot(snapshot)
 		return false
 	}
 	return true
 }
 
-// install puts a snapshot in the place of the whole log.
-func (c *Core) install(s *rpc.Snapshot) {
-	c.log = log{snapshotIndex: s.Index, snapshotEpoch: s.Epoch}
-	c.commit, c.handedOut, c.unstableFrom = s.Index, s.Index, 0
-	c.snapshot, c.newSnapshot, c.restoreNeeded = s, s, s
-	c.base = s.Membership
-	c.findMembership()
+// installSnapshot replaces all of the log by a snapshot.
+func (c *Core) installSnapshot(snapshot *rpc.Snapshot) {
+	c.log = entryLog{snapshotIndex: snapshot.Index, snapshotEpoch: snapshot.Epoch}
+	c.commit, c.deliveredIndex, c.firstUnstable = snapshot.Index, snapshot.Index, 0
+	c.latestSnapshot, c.receivedToStore, c.receivedToApply = snapshot, snapshot, snapshot
+	c.snapshotMembership = snapshot.Membership
+	c.refreshMembership()
 }
 
-// ReceivingSnapshot tells whether pieces of a snapshot are coming in.
-func (c *Core) ReceivingSnapshot() bool { return c.receipt != nil && c.receipt.held > 0 }
+// ReceivingSnapshot reports whether chunks of a snapshot have arrived, and more are needed.
+func (c *Core) ReceivingSnapshot() bool { return c.incoming != nil && c.incoming.chunks > 0 }
 
-// SendingSnapshot tells whether this leader has a snapshot under way to a replica that answers. The log should not be cut meanwhile: the
-// replica would have to begin again.
+// SendingSnapshot reports whether this leader is sending a snapshot to a replica that replies. The log should not be compacted meanwhile: the
+// replica would have to begin again with the new snapshot.
 func (c *Core) SendingSnapshot() bool {
 	if c.role != leader {
 		return false
 	}
-	for _, p := range c.peers {
-		if p.next <= c.log.snapshotIndex && p.pieceAt != 0 && c.now-p.heardAt < c.cfg.ElectionTimeoutMS {
-			return true
-		}
-	}
-	return false
-}
-
-// HasLaggingReplica tells whether a replica that answers this leader lacks entries up to an index.
-func (c *Core) HasLaggingReplica(index uint64) bool {
-	if c.role != leader {
-		return false
-	}
-	for _, p := range c.peers {
-		if p.match < index && c.now-p.heardAt < c.cfg.ElectionTimeoutMS {
+	for _, peer := range c.peers {
+		if peer.next <= c.log.snapshotIndex && peer.chunkSentAt != 0 && c.isReachable(peer) {
 			return true
 		}
 	}
 	return false
 }
 
-// PrepareSnapshot returns a snapshot of the state after an index that was handed out, without its pieces. It is nil where a newer one
-// is there.
+// PrepareSnapshot returns a snapshot of the state after an index, without its chunks: the driver makes them, sets their number and
+// checksum, and persists all before it calls Compact. It returns nil if the log does not hold the index any more, or if Ready has not returned it as
+// committed.
 func (c *Core) PrepareSnapshot(index uint64) *rpc.Snapshot {
 	epoch, ok := c.log.epochAt(index)
-	if !ok || index > c.handedOut || index <= c.log.snapshotIndex {
+	if !ok || index > c.deliveredIndex || index <= c.log.snapshotIndex {
 		return nil
 	}
-	membership := c.base
-	for i := c.log.snapshotIndex + 1; i <= index; i++ {
-		if entry := c.log.entry(i); entry.Kind == rpc.EntryKind_ENTRY_MEMBERSHIP {
-			membership = decodeMembership(entry.Data, membership)
-		}
-	}
+	membership, _ := c.membershipAt(index)
 	return &rpc.Snapshot{Index: index, Epoch: epoch, Membership: membership}
 }
 
-// SupersedesSnapshot tells whether a snapshot that the driver has made covers more than the one that the log begins with: a newer one may have been
-// received meanwhile.
-func (c *Core) SupersedesSnapshot(s *rpc.Snapshot) bool { return s.Index > c.log.snapshotIndex }
+// SupersedesSnapshot reports whether a snapshot that the driver has made covers more than the one that the log begins after. A newer one may have
+// been received while the driver made it.
+func (c *Core) SupersedesSnapshot(snapshot *rpc.Snapshot) bool {
+	return snapshot.Index > c.log.snapshotIndex
+}
 
-// Compact cuts the log behind a snapshot that the driver has made, and has persisted with all its pieces.
-func (c *Core) Compact(s *rpc.Snapshot) {
-	if !c.SupersedesSnapshot(s) {
+// Compact drops the entries that a snapshot covers. The driver has made the snapshot and has persisted it with all its chunks. It does nothing
+// if the snapshot does not supersede the present one.
+func (c *Core) Compact(snapshot *rpc.Snapshot) {
+	if !c.SupersedesSnapshot(snapshot) {
 		return
 	}
-	c.base, c.snapshot = s.Membership, s
-	c.log.compact(s.Index, s.Epoch)
-	c.findMembership()
+	c.snapshotMembership, c.latestSnapshot = snapshot.Membership, snapshot
+	c.log.compact(snapshot.Index, snapshot.Epoch)
+	c.refreshMembership()
 }
--- /dev/null
+++ b/internal/scheduler/consensus/snapshot_test.go
@@ -0,0 +1,99 @@
+package consensus
+
+import (
+	"saffronquay/internal/scheduler/rpc"
+	"testing"
+
+	"github.com/cespare/xxhash/v2"
+	"github.com/matryer/is"
+)
+
+// newSnapshot returns a snapshot whose state is these chunks.
+func newSnapshot(t *testing.T, index, epoch uint64, chunks ...string) *rpc.Snapshot {
+	t.Helper()
+	is := is.New(t)
+	digest := xxhash.New()
+	for _, chunk := range chunks {
+		_, err := digest.WriteString(chunk)
+		is.NoErr(err)
+	}
+	return &rpc.Snapshot{Index: index, Epoch: epoch, Membership: newVoters("a", "b", "c"), Pieces: uint32(len(chunks)), Checksum: digest.Sum64()}
+}
+
+// newChunkMessage returns the message with which a leader "a" of epoch 5 sends a chunk.
+func newChunkMessage(snapshot *rpc.Snapshot, number uint32, data string) *rpc.Message {
+	return &rpc.Message{
+		Kind: rpc.MessageKind_SNAPSHOT, From: "a", Epoch: 5, Snapshot: snapshot,
+		Piece: &rpc.SnapshotPiece{Number: number, Data: []byte(data)},
+	}
+}
+
+// A snapshot that arrives although the log leads up to its end already leaves the entries after it, which may have been acknowledged.
+func TestSnapshotKeepsAcknowledgedEntries(t *testing.T) {
+	is := is.New(t)
+	c := startReplica(t, "b", newVoters("a", "b", "c"), &rpc.HardState{Epoch: 5, Commit: 2}, newCommand(2, 5), newCommand(3, 5), newCommand(4, 5), newCommand(5, 5))
+	replies := step(t, c, 10, newChunkMessage(newSnapshot(t, 3, 5, "state"), 0, "state"))
+	is.Equal(replies[0].LogIndex, uint64(3))
+	is.Equal(c.log.lastIndex(), uint64(5))
+	is.Equal(c.Commit(), uint64(3))
+}
+
+// Entries that an earlier leader left behind and that do not lead up to the snapshot are dropped with the log.
+func TestSnapshotReplacesAnotherHistory(t *testing.T) {
+	is := is.New(t)
+	c := startReplica(t, "b", newVoters("a", "b", "c"), &rpc.HardState{Epoch: 5, Commit: 1}, newCommand(2, 2), newCommand(3, 2), newCommand(4, 2))
+	message := newChunkMessage(newSnapshot(t, 3, 4, "state"), 0, "state")
+	message.Group, message.To = "g", "b"
+	c.Step(10, message)
+	ready := c.Ready()
+	is.Equal(ready.Snapshot.Index, uint64(3))
+	is.Equal(len(ready.Chunks), 1)
+	is.True(ready.Restore != nil)
+	is.Equal(c.log.lastIndex(), uint64(3))
+	is.Equal(c.log.lastEpoch(), uint64(4))
+}
+
+// Chunks that are lost, repeated, late or corrupt only cost time: the snapshot counts after all have arrived in order and their checksum is right.
+func TestChunksInAnyOrder(t *testing.T) {
+	is := is.New(t)
+	parts := []string{"one", "two", "three"}
+	snapshot := newSnapshot(t, 9, 4, parts...)
+	c := startReplica(t, "b", newVoters("a", "b", "c"), &rpc.HardState{Epoch: 5})
+	receive := func(number uint32, data string) (chunks uint32, complete bool) {
+		replies := step(t, c, 10, newChunkMessage(snapshot, number, data))
+		return replies[0].PiecesHeld, replies[0].Kind == rpc.MessageKind_APPEND_REPLY
+	}
+	for _, test := range []struct {
+		name   string
+		number uint32
+		data   string
+		chunks uint32
+	}{
+		{"the first one is lost", 1, "two", 0},
+		{"the first one", 0, "one", 1},
+		{"repeated", 0, "one", 1},
+		{"the second one is lost", 2, "three", 1},
+		{"corrupt", 1, "TWO", 2},
+		{"the last one: the checksum is wrong", 2, "three", 0},
+		{"the first one again", 0, "one", 1},
+		{"the second one", 1, "two", 2},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			is := is.New(t)
+			chunks, complete := receive(test.number, test.data)
+			is.Equal(chunks, test.chunks)
+			is.True(!complete)
+		})
+	}
+	// After a chunk of another snapshot, the first one begins again.
+	other := newSnapshot(t, 8, 4, "x", "y")
+	replies := step(t, c, 10, newChunkMessage(other, 0, "x"))
+	is.Equal(replies[0].PiecesHeld, uint32(1))
+	chunks, _ := receive(2, "three")
+	is.Equal(chunks, uint32(0))
+	for i, part := range parts {
+		_, complete := receive(uint32(i), part)
+		is.Equal(complete, i == 2)
+	}
+	is.Equal(c.Commit(), uint64(9))
+}
