--- a/api.go
+++ b/api.go
@@ -17,52 +17,52 @@
 
 // The effects of a class.
 const (
-	Repeatable Effect = iota // may be repeated freely
-	Deduped                  // repeats are dropped by the servers for a limited time
-	AtMostOnce               // must never be carried out twice
+	Idempotent   Effect = iota // may be repeated freely
+	Deduplicated               // repeats are dropped by the servers for a limited time
+	AtMostOnce                 // must never be carried out twice
 )
 
 // Class is one class of query.
 type Class struct {
-	Name         string
-	Aim          int64   // an answer within this time earns the whole worth
-	AimStretch   float64 // the aim grows by this multiple of the query's own work
-	HardLimit    int64   // how long a client waits over all its tries
-	Worth        float64
-	LateWorth    float64 // the fraction of Worth earned after the aim
-	Effect       Effect
-	RepeatWindow int64 // for Deduped: how long servers drop repeats
+	Name                 string
+	LatencyTarget        int64   // an answer within this time earns the whole worth
+	LatencyTargetStretch float64 // the aim grows by this multiple of the query's own work
+	HardLimit            int64   // how long a client waits over all its tries
+	Value                float64
+	LateValue            float64 // the fraction of Worth earned after the aim
+	Effect               Effect
+	DedupWindow          int64 // for Deduped: how long servers drop repeats
 	// Need is the weight that makes a whole answer, Floor the least that may be answered at all, and
 	// Partial scales what an answer that is not whole earns.
-	Need, Floor, Partial float64
-	Fetch                int // parts of a second step; 0 for none
+	CompleteWeight, MinWeight, PartialValue float64
+	SecondStepParts                         int // parts of a second step; 0 for none
 }
 
 // Limits is what the deployment permits.
 type Limits struct {
-	MaxTries      int
-	SecondCopies  bool
+	MaxAttempts   int
+	Hedging       bool
 	MayCancel     bool
-	Peers         bool // messages to other aggregators are allowed
+	PeerMessages  bool // messages to other aggregators are allowed
 	RetryAfter    bool
 	MaxRetryAfter int64
 }
 
 // Rules holds the figures of the rules that must never be broken.
 type Rules struct {
-	AnswerGrace  int64 // a final answer still counts so long after the deadline
-	DrainGrace   int64 // sends to a draining or gone server must cease within this
-	ColdShare    float64
-	WarmWithin   int64
-	FallMultiple float64
-	FallWindow   int64
-	AskWithin    int64
+	AnswerGrace       int64 // a final answer still counts so long after the deadline
+	DrainGrace        int64 // sends to a draining or gone server must cease within this
+	SlowStartFraction float64
+	WarmUp            int64
+	OverloadMultiple  float64
+	OverloadWindow    int64
+	MembershipWithin  int64
 	// Budgeted says that further attempts are rationed: over any ExtraWindow at most FreeExtras plus
 	// ExtraRatio of the requests taken.
-	Budgeted    bool
-	FreeExtras  float64
-	ExtraRatio  float64
-	ExtraWindow int64
+	Budgeted           bool
+	FreeExtraAttempts  float64
+	ExtraAttemptRatio  float64
+	ExtraAttemptWindow int64
 }
 
 // Prices are the charges, as fractions of the worth asked for, that a decision weighs.
@@ -78,19 +78,19 @@
 
 // Settings is what an aggregator is told at its start.
 type Settings struct {
-	Self, Aggregators    int
-	Zone                 string
-	Period               int64 // the least time between two steps
-	Classes              []Class
-	Shards, Cells, Reach int   // shard s is held by cells (s+j) mod Cells for j below Reach
-	CallOverhead         int64 // work that a call costs a server beside its parts
-	PartsPerCall         int
-	AskMembership        bool     // changes of the fleet come only after Watch or Fetch
-	Tenants              []Tenant // none where they are not told apart
-	OverShareWorth       float64  // the fraction of a query's worth that is left beyond its tenant's share
-	Limits               Limits
-	Rules                Rules
-	Prices               Prices
+	Self, Aggregators            int
+	Zone                         string
+	Period                       int64 // the least time between two steps
+	Classes                      []Class
+	Shards, Cells, CellsPerShard int   // shard s is held by cells (s+j) mod Cells for j below Reach
+	CallOverhead                 int64 // work that a call costs a server beside its parts
+	PartsPerCall                 int
+	WatchMembership              bool     // changes of the fleet come only after Watch or Fetch
+	Tenants                      []Tenant // none where they are not told apart
+	OverQuotaValue               float64  // the fraction of a query's worth that is left beyond its tenant's share
+	Limits                       Limits
+	Rules                        Rules
+	Prices                       Prices
 }
 
 // Health is what the list of servers says of one.
@@ -202,13 +202,13 @@
 }
 
 // PeerSaid is a message from another aggregator; some are lost.
-type PeerSaid struct {
+type PeerMessage struct {
 	Peer int // its number, as in Settings.Self
 	Text string
 }
 
 // AlarmRang says that an alarm set by SetAlarm is due.
-type AlarmRang struct{ Mark int64 }
+type AlarmRang struct{ ID int64 }
 
 // SettingsChanged puts other settings in force, of the same layout (Shards, Cells, Reach) and valid. A query that is
 // open keeps the class that it came with.
@@ -218,16 +218,16 @@
 type Learned struct {
 	Admission float64          // how far admission is open, 0 to 1
 	Suspects  map[string]int64 // keys that bring down servers, and when that was found
-	Servers   []Known
+	Servers   []LearnedServer
 }
 
 // Known is what was learnt of one server. It fades from its times on.
-type Known struct {
-	Server       ServerID
-	Pace         float64 // observed latency over predicted
-	PaceAt       int64   // when it was last observed; 0: never
-	Fails, Tries float64 // decaying counts of attempts, and of those that failed
-	At           int64   // when one was last counted
+type LearnedServer struct {
+	Server             ServerID
+	LatencyRatio       float64 // observed latency over predicted
+	LatencyRatioAt     int64   // when it was last observed; 0: never
+	Failures, Attempts float64 // decaying counts of attempts, and of those that failed
+	CountedAt          int64   // when one was last counted
 }
 
 // Recalled brings what the process before this one had learnt. That one may still be sending: for one window the free
@@ -259,7 +259,7 @@
 func (AttemptEnded) isEvent()    {}
 func (ProbeEnded) isEvent()      {}
 func (FleetChanged) isEvent()    {}
-func (PeerSaid) isEvent()        {}
+func (PeerMessage) isEvent()     {}
 func (AlarmRang) isEvent()       {}
 func (SettingsChanged) isEvent() {}
 func (Recalled) isEvent()        {}
@@ -283,8 +283,8 @@
 // Answer answers a query from the parts that are in. In a class with a second step the first Answer brings
 // the parts of that step.
 type Answer struct {
-	Query ID
-	Whole bool
+	Query    ID
+	Complete bool
 }
 
 // Refuse ends a query and says that repeating it does no harm.
@@ -300,7 +300,7 @@
 type CloseIdle struct{ Server ServerID }
 
 // SetAlarm asks for AlarmRang at a time.
-type SetAlarm struct{ Mark, At int64 }
+type SetAlarm struct{ ID, At int64 }
 
 // Watch subscribes to changes of the fleet.
 type Watch struct{}
@@ -309,22 +309,22 @@
 type Fetch struct{}
 
 // Tell sends a short message, 256 bytes at most, to another aggregator, or to all of them when Peer is negative.
-type Tell struct {
+type NotifyPeer struct {
 	Peer int
 	Text string
 }
 
 // Note is a line for the log: rare, and says what changed.
-type Note struct{ Text string }
-
-func (Send) isAction()      {}
-func (Cancel) isAction()    {}
-func (Answer) isAction()    {}
-func (Refuse) isAction()    {}
-func (Fail) isAction()      {}
-func (CloseIdle) isAction() {}
-func (SetAlarm) isAction()  {}
-func (Watch) isAction()     {}
-func (Fetch) isAction()     {}
-func (Tell) isAction()      {}
-func (Note) isAction()      {}
+type Log struct{ Text string }
+
+func (Send) isAction()       {}
+func (Cancel) isAction()     {}
+func (Answer) isAction()     {}
+func (Refuse) isAction()     {}
+func (Fail) isAction()       {}
+func (CloseIdle) isAction()  {}
+func (SetAlarm) isAction()   {}
+func (Watch) isAction()      {}
+func (Fetch) isAction()      {}
+func (NotifyPeer) isAction() {}
+func (Log) isAction()        {}
--- a/cmd/saffronquay/cli_files.go
+++ b/cmd/saffronquay/cli_files.go
@@ -332,12 +332,12 @@
 			fmt.Fprintf(w, "  sent to %s: %s\n", s.Pick, s.Why)
 			for _, o := range s.Options {
 				note := ""
-				if o.Barred {
+				if o.Excluded {
 					note = ", barred"
-				} else if o.Cold {
+				} else if o.WarmingUp {
 					note = ", cold"
 				}
-				fmt.Fprintf(w, "    %s in %s: predicted %.1f ms, %.1f ms for its zone%s\n", o.Server, o.Zone, o.Predicted/1000, o.Crossing/1000, note)
+				fmt.Fprintf(w, "    %s in %s: predicted %.1f ms, %.1f ms for its zone%s\n", o.Server, o.Zone, o.Predicted/1000, o.ZoneCharge/1000, note)
 			}
 		}
 		fmt.Fprintf(w, "  then: %s\n", p.End)
--- a/evidence_test.go
+++ b/evidence_test.go
@@ -19,7 +19,7 @@
 
 func oneCell() Settings {
 	cfg := plain()
-	cfg.Shards, cfg.Cells, cfg.Reach = 1, 1, 1
+	cfg.Shards, cfg.Cells, cfg.CellsPerShard = 1, 1, 1
 	return cfg
 }
 
@@ -156,8 +156,8 @@
 	for _, servers := range []int{12, 100, 400} {
 		b.Run(fmt.Sprintf("servers=%d", servers), func(b *testing.B) {
 			cfg := plain()
-			cfg.Shards, cfg.Cells, cfg.Reach, cfg.Aggregators = servers, servers, 3, 40
-			cfg.Classes[0].Aim, cfg.Classes[0].HardLimit = 1e9, 3e9
+			cfg.Shards, cfg.Cells, cfg.CellsPerShard, cfg.Aggregators = servers, servers, 3, 40
+			cfg.Classes[0].LatencyTarget, cfg.Classes[0].HardLimit = 1e9, 3e9
 			s, err := New(cfg, 1)
 			if err != nil {
 				b.Fatal(err)
@@ -282,7 +282,7 @@
 // what was learnt against classes that change places, and the memory against classes that come and go.
 func TestSettingsChange(t *testing.T) {
 	cfg := plain()
-	cfg.Limits.MaxTries = 3
+	cfg.Limits.MaxAttempts = 3
 	other := cfg.Classes[0]
 	other.Name = "other"
 	cfg.Classes = append(cfg.Classes, other)
@@ -291,10 +291,10 @@
 	sc.s.left(&query{class: sc.s.classes["other"], came: sc.now - 100*ms, Query: Query{Deadline: sc.now + 1e9}})
 	sc.s.servers["a"].ofClass(sc.s.classes["other"]).note(sc.now, 1000*ms, 1)
 	now := cfg
-	now.Limits.MaxTries = 2
+	now.Limits.MaxAttempts = 2
 	strict := cfg.Classes[0]
 	strict.Effect = AtMostOnce
-	now.Classes = []Class{{Name: "new", Aim: 500 * ms, HardLimit: 9000 * ms, Worth: 1, Need: 1, Floor: 1}, other, strict}
+	now.Classes = []Class{{Name: "new", LatencyTarget: 500 * ms, HardLimit: 9000 * ms, Value: 1, CompleteWeight: 1, MinWeight: 1}, other, strict}
 	sc.step(ms, SettingsChanged{Settings: now})
 	if k := sc.s.kind(&other); k.leftAt == 0 || sc.s.servers["a"].byClass["other"].tries == 0 {
 		t.Error("what was learnt of a class that stays is gone")
@@ -317,7 +317,7 @@
 	// A class that vanishes is forgotten once its last query has gone.
 	sc.step(ms, append(sc.ask(300, 10*ms), SettingsChanged{Settings: Settings{
 		Aggregators: 1, Period: 5 * ms, Shards: 2, Cells: 2,
-		Reach: 2, Classes: []Class{other}, Limits: now.Limits, Rules: now.Rules,
+		CellsPerShard: 2, Classes: []Class{other}, Limits: now.Limits, Rules: now.Rules,
 	}})...)
 	sc.s.sweptAt = 0
 	if sc.step(ms); sc.s.kinds["q"] == nil {
@@ -373,7 +373,7 @@
 	}
 	l.Suspects["old"], l.Suspects["ahead"] = before.now-1e9, before.now+1e9
 	cfg := plain()
-	cfg.Rules.Budgeted, cfg.Rules.FreeExtras, cfg.Rules.ExtraWindow = true, 5, 100*ms
+	cfg.Rules.Budgeted, cfg.Rules.FreeExtraAttempts, cfg.Rules.ExtraAttemptWindow = true, 5, 100*ms
 	sc := newScript(t, cfg, "a")
 	sc.step(ms, Recalled{l})
 	if got := sc.s.slackNow() / sc.s.slackTop; got < 0.7 || got > 0.8 {
@@ -407,7 +407,7 @@
 	before.s.servers["bad"].failing = evidence{fails: 8, tries: 9, at: before.now}
 	before.s.servers["new"].failing = evidence{fails: 8, tries: 9, at: before.now}
 	l := before.s.Learned()
-	if len(l.Servers) != 3 || l.Servers[2].Server != "slow" || l.Servers[2].Pace != 3 {
+	if len(l.Servers) != 3 || l.Servers[2].Server != "slow" || l.Servers[2].LatencyRatio != 3 {
 		t.Fatalf("%+v", l.Servers)
 	}
 	at := func(age int64) *script {
@@ -429,10 +429,10 @@
 		t.Errorf("failing %v, %v after a long time, %v of one that has started since", rate(young, "bad"), rate(old, "bad"), rate(young, "new"))
 	}
 	sc := newScript(t, plain(), "a", "b")
-	sc.step(ms, Recalled{Learned{Admission: 1, Servers: []Known{
-		{Server: "a", Pace: 2, PaceAt: 1 << 60, Fails: 1, Tries: 2, At: 1 << 60},
-		{Server: "b", Pace: math.NaN(), PaceAt: 5, Fails: math.NaN(), Tries: 1, At: 5},
-		{Server: "gone", Pace: 1, PaceAt: 5},
+	sc.step(ms, Recalled{Learned{Admission: 1, Servers: []LearnedServer{
+		{Server: "a", LatencyRatio: 2, LatencyRatioAt: 1 << 60, Failures: 1, Attempts: 2, CountedAt: 1 << 60},
+		{Server: "b", LatencyRatio: math.NaN(), LatencyRatioAt: 5, Failures: math.NaN(), Attempts: 1, CountedAt: 5},
+		{Server: "gone", LatencyRatio: 1, LatencyRatioAt: 5},
 	}}})
 	a, b := sc.s.servers["a"], sc.s.servers["b"]
 	if a.paceT > sc.now || a.failing.at > sc.now || b.pace != 0 || b.failing.tries != 0 {
--- a/example_test.go
+++ b/example_test.go
@@ -8,11 +8,11 @@
 // A front node with one query of one part, from arrival to answer.
 func Example() {
 	s, err := saffronquay.New(saffronquay.Settings{
-		Aggregators: 1, Period: 5_000, Shards: 1, Cells: 1, Reach: 1, PartsPerCall: 1,
+		Aggregators: 1, Period: 5_000, Shards: 1, Cells: 1, CellsPerShard: 1, PartsPerCall: 1,
 		Classes: []saffronquay.Class{
-			{Name: "lookup", Aim: 1_000_000, HardLimit: 3_000_000, Worth: 1, Need: 1, Floor: 1},
+			{Name: "lookup", LatencyTarget: 1_000_000, HardLimit: 3_000_000, Value: 1, CompleteWeight: 1, MinWeight: 1},
 		},
-		Limits: saffronquay.Limits{MaxTries: 3, MayCancel: true},
+		Limits: saffronquay.Limits{MaxAttempts: 3, MayCancel: true},
 		Rules:  saffronquay.Rules{AnswerGrace: 20_000, DrainGrace: 1_000_000},
 	}, 42)
 	if err != nil {
@@ -25,7 +25,7 @@
 			case saffronquay.Send:
 				fmt.Println("send part", a.Part, "to", a.Server)
 			case saffronquay.Answer:
-				fmt.Println("answer query", a.Query, "whole:", a.Whole)
+				fmt.Println("answer query", a.Query, "whole:", a.Complete)
 			}
 		}
 	}
--- a/explain.go
+++ b/explain.go
@@ -9,14 +9,14 @@
 
 // Option is one server that holds a shard, as a part would find it now. Times are microseconds.
 type Option struct {
-	Server    ServerID
-	Zone      string
-	Health    Health
-	Listed    bool
-	Barred    bool    // it has been tried for the part, or is silent, or lost the shard
-	Cold      bool    // it has no room for the part while it warms up
-	Predicted float64 // latency of the part there
-	Crossing  float64 // what its zone adds in the comparison
+	Server     ServerID
+	Zone       string
+	Health     Health
+	Listed     bool
+	Excluded   bool    `json:"Barred"` // it has been tried for the part, or is silent, or lost the shard
+	WarmingUp  bool    `json:"Cold"`   // it has no room for the part while it warms up
+	Predicted  float64 // latency of the part there
+	ZoneCharge float64 `json:"Crossing"` // what its zone adds in the comparison
 }
 
 // Holders lists the servers that hold a shard and may be sent to now, in no order that matters. It is what pick chooses from.
@@ -39,21 +39,21 @@
 	var out []Option
 	for _, r := range s.holders(p.Shard) {
 		o := Option{
-			Server: r.ID, Zone: r.Zone, Health: r.Health, Listed: r.listed, Barred: s.barred(p, r), Cold: !s.coldRoom(p, r),
+			Server: r.ID, Zone: r.Zone, Health: r.Health, Listed: r.listed, Excluded: s.barred(p, r), WarmingUp: !s.coldRoom(p, r),
 			Predicted: s.predict(p, r),
 		}
 		for _, a := range p.attempts {
 			if a.to == r && !a.ended {
-				o.Barred, o.Cold, o.Predicted = false, false, a.due
+				o.Excluded, o.WarmingUp, o.Predicted = false, false, a.due
 			}
 		}
 		if r.Zone != s.cfg.Zone {
-			o.Crossing = zoneWeight * s.cfg.Prices.CrossZone * float64(p.q.class.Aim)
+			o.ZoneCharge = zoneWeight * s.cfg.Prices.CrossZone * float64(p.q.class.LatencyTarget)
 		}
 		out = append(out, o)
 	}
 	slices.SortStableFunc(out, func(a, b Option) int {
-		return cmp.Or(cmp.Compare(b2i(a.Barred || a.Cold), b2i(b.Barred || b.Cold)), cmp.Compare(a.Predicted+a.Crossing, b.Predicted+b.Crossing),
+		return cmp.Or(cmp.Compare(b2i(a.Excluded || a.WarmingUp), b2i(b.Excluded || b.WarmingUp)), cmp.Compare(a.Predicted+a.ZoneCharge, b.Predicted+b.ZoneCharge),
 			cmp.Compare(a.Server, b.Server))
 	})
 	return out
--- a/fleet_test.go
+++ b/fleet_test.go
@@ -22,9 +22,9 @@
 
 func newTeam(t *testing.T, aggregators, servers int, zones ...string) *team {
 	cfg := plain()
-	cfg.Aggregators, cfg.Shards, cfg.Cells, cfg.Reach, cfg.Period = aggregators, servers, servers, 4, ms
-	cfg.Limits.MaxTries = 4
-	cfg.Rules.ColdShare, cfg.Rules.FallMultiple, cfg.Rules.FallWindow, cfg.Rules.WarmWithin = 0.2, 2.5, 1500*ms, 14_000*ms
+	cfg.Aggregators, cfg.Shards, cfg.Cells, cfg.CellsPerShard, cfg.Period = aggregators, servers, servers, 4, ms
+	cfg.Limits.MaxAttempts = 4
+	cfg.Rules.SlowStartFraction, cfg.Rules.OverloadMultiple, cfg.Rules.OverloadWindow, cfg.Rules.WarmUp = 0.2, 2.5, 1500*ms, 14_000*ms
 	f := &team{t: t, cfg: cfg, now: 1_000_000_000, sends: map[ServerID][]coldSend{}, cold: map[ServerID]bool{}}
 	var list []Server
 	for i := range servers {
@@ -76,12 +76,12 @@
 	for i, from := range f.sends[id] {
 		sum := 0.0
 		for _, x := range f.sends[id][i:] {
-			if x.at < from.at+r.FallWindow {
+			if x.at < from.at+r.OverloadWindow {
 				sum += x.work
 			}
 		}
-		warm := r.ColdShare + (1-r.ColdShare)*float64(from.at-started)/float64(r.WarmWithin)
-		worst = max(worst, sum/(r.FallMultiple*warm*float64(r.FallWindow)))
+		warm := r.SlowStartFraction + (1-r.SlowStartFraction)*float64(from.at-started)/float64(r.WarmUp)
+		worst = max(worst, sum/(r.OverloadMultiple*warm*float64(r.OverloadWindow)))
 	}
 	return worst
 }
@@ -128,7 +128,7 @@
 				f.ask(rng.IntN(aggregators), (from+rng.IntN(shards))%servers, work)
 			}
 			if since >= 0 {
-				warm := f.cfg.Rules.ColdShare + (1-f.cfg.Rules.ColdShare)*float64(since)/float64(f.cfg.Rules.WarmWithin)
+				warm := f.cfg.Rules.SlowStartFraction + (1-f.cfg.Rules.SlowStartFraction)*float64(since)/float64(f.cfg.Rules.WarmUp)
 				asked += n / servers * warm
 			}
 			f.now += tick
@@ -181,12 +181,12 @@
 		late     float64 // worth
 		want     bool    // it ends by 1.1 aims
 	}{
-		"strained": {true, Repeatable, 0.1, true}, "calm": {false, Repeatable, 0.1, false}, "once": {true, AtMostOnce, 0.1, false},
-		"worth it": {true, Repeatable, 0.9, false},
+		"strained": {true, Idempotent, 0.1, true}, "calm": {false, Idempotent, 0.1, false}, "once": {true, AtMostOnce, 0.1, false},
+		"worth it": {true, Idempotent, 0.9, false},
 	} {
 		cfg := plain()
-		cfg.Limits.MaxTries = 1
-		cfg.Classes[0].LateWorth, cfg.Classes[0].Effect = tc.late, tc.effect
+		cfg.Limits.MaxAttempts = 1
+		cfg.Classes[0].LateValue, cfg.Classes[0].Effect = tc.late, tc.effect
 		sc := newScript(t, cfg, "a", "b")
 		sent := of[Send](sc.step(0, sc.ask(100, 10*ms)...))
 		for id := ID(200); id < 300; id += 10 {
@@ -219,7 +219,7 @@
 func TestTheLastOfManyPartsGetsACopy(t *testing.T) {
 	for parts, want := range map[int]int{16: 1, 4: 0} {
 		cfg := plain()
-		cfg.Shards, cfg.Cells, cfg.Reach, cfg.Limits.SecondCopies = 16, 16, 2, true
+		cfg.Shards, cfg.Cells, cfg.CellsPerShard, cfg.Limits.Hedging = 16, 16, 2, true
 		var ids []ServerID
 		for i := range 16 {
 			ids = append(ids, ServerID(fmt.Sprint("s", i)))
@@ -313,7 +313,7 @@
 		for _, busy := range []bool{false, true} {
 			b.Run(fmt.Sprintf("servers=%d,busy=%v", servers, busy), func(b *testing.B) {
 				cfg := plain()
-				cfg.Aggregators, cfg.Shards, cfg.Cells, cfg.Reach, cfg.Period = 300, servers, servers, 4, ms
+				cfg.Aggregators, cfg.Shards, cfg.Cells, cfg.CellsPerShard, cfg.Period = 300, servers, servers, 4, ms
 				s, err := New(cfg, 1)
 				if err != nil {
 					b.Fatal(err)
--- a/gauge_test.go
+++ b/gauge_test.go
@@ -61,7 +61,7 @@
 	for seed := range uint64(12) {
 		rng := rand.New(rand.NewPCG(seed, 9))
 		cfg := large(60, 3)
-		cfg.Classes[0].Need, cfg.Classes[0].Floor, cfg.Limits.SecondCopies = 0.9, 0.5, seed%2 == 0
+		cfg.Classes[0].CompleteWeight, cfg.Classes[0].MinWeight, cfg.Limits.Hedging = 0.9, 0.5, seed%2 == 0
 		late, err := New(cfg, seed)
 		if err != nil {
 			t.Fatal(err)
@@ -108,7 +108,7 @@
 				tries[x.Part]++
 			}
 			now += int64(1+rng.IntN(8)) * ms
-			events = []Event{AlarmRang{Mark: late.mark}}
+			events = []Event{AlarmRang{ID: late.mark}}
 			kept := out[:0]
 			for _, f := range out {
 				switch {
@@ -137,12 +137,12 @@
 			case 1:
 				other := cfg
 				other.Classes = slices.Clone(cfg.Classes)
-				other.Classes[0].Aim = int64(40+rng.IntN(80)) * ms
+				other.Classes[0].LatencyTarget = int64(40+rng.IntN(80)) * ms
 				events = append(events, SettingsChanged{Settings: other})
 			case 2:
 				l := Learned{Admission: rng.Float64()}
 				for i := range 130 { // of those that have served nothing since they started
-					l.Servers = append(l.Servers, Known{Server: ServerID(fmt.Sprint("s", i)), Pace: 9 * rng.Float64(), PaceAt: now, Tries: 2, At: now})
+					l.Servers = append(l.Servers, LearnedServer{Server: ServerID(fmt.Sprint("s", i)), LatencyRatio: 9 * rng.Float64(), LatencyRatioAt: now, Attempts: 2, CountedAt: now})
 				}
 				events = slices.Insert(events, rng.IntN(2), Event(Recalled{l}))
 			}
@@ -169,7 +169,7 @@
 	sc.step(10 * ms)
 	l := Learned{Admission: 1}
 	for _, id := range []ServerID{"b", "c", "d"} {
-		l.Servers = append(l.Servers, Known{Server: id, Pace: 9, PaceAt: sc.now, At: sc.now})
+		l.Servers = append(l.Servers, LearnedServer{Server: id, LatencyRatio: 9, LatencyRatioAt: sc.now, CountedAt: sc.now})
 	}
 	want := eager(sc.s)
 	sc.s.recall(l)
--- a/internal/broker/config/settings.go
+++ b/internal/broker/config/settings.go
@@ -15,7 +15,7 @@
 	StreamsPerConn int
 }
 
-var effects = map[string]sq.Effect{"free": sq.Repeatable, "guarded": sq.Deduped, "single_shot": sq.AtMostOnce}
+var effects = map[string]sq.Effect{"free": sq.Idempotent, "guarded": sq.Deduplicated, "single_shot": sq.AtMostOnce}
 
 // ParseSettings reads the settings object, in the form that the simulator's first message and a gatherer's
 // configuration share. What the figures mean is judged by saffronquay.New; form is judged here.
@@ -44,26 +44,26 @@
 	*m = sq.Settings{
 		Self: r.count("me", 0), Aggregators: r.count("balancers", 0), Zone: r.str("zone", ""),
 		Period: r.integer("period_us", 0),
-		Shards: fam.count("shards", 0), Cells: fam.count("positions", 0), Reach: fam.count("reach", 0),
+		Shards: fam.count("shards", 0), Cells: fam.count("positions", 0), CellsPerShard: fam.count("reach", 0),
 		CallOverhead: fam.integer("overhead_us", 0), PartsPerCall: fam.count("parts_a_call", 0),
-		AskMembership:  r.str("membership_mode", "") == "ask",
-		OverShareWorth: r.float("over_share_worth", 0),
+		WatchMembership: r.str("membership_mode", "") == "ask",
+		OverQuotaValue:  r.float("over_share_worth", 0),
 		Limits: sq.Limits{
-			MaxTries: perm.count("most_tries", 0), SecondCopies: perm.boolean("second_copies"),
-			MayCancel: perm.boolean("may_cancel"), Peers: perm.boolean("peers"),
+			MaxAttempts: perm.count("most_tries", 0), Hedging: perm.boolean("second_copies"),
+			MayCancel: perm.boolean("may_cancel"), PeerMessages: perm.boolean("peers"),
 			RetryAfter: perm.boolean("retry_after"), MaxRetryAfter: perm.integer("max_retry_after_us", 0),
 		},
 		Prices: sq.Prices{CrossZone: r.object("prices").float("cross_zone", 0)},
 		Rules: sq.Rules{
 			AnswerGrace: rules.integer("grace_to_answer_us", 0),
-			DrainGrace:  rules.integer("stop_sending_within_us", 0), ColdShare: rules.float("cold_share", 0),
-			WarmWithin: rules.integer("warm_within_us", 0), FallMultiple: rules.float("fall_multiple", 0),
-			FallWindow: rules.integer("fall_us", 0), AskWithin: rules.integer("ask_within_us", 0),
-			FreeExtras: rules.float("free_resends", 0), ExtraWindow: rules.integer("extra_window_us", 0),
+			DrainGrace:  rules.integer("stop_sending_within_us", 0), SlowStartFraction: rules.float("cold_share", 0),
+			WarmUp: rules.integer("warm_within_us", 0), OverloadMultiple: rules.float("fall_multiple", 0),
+			OverloadWindow: rules.integer("fall_us", 0), MembershipWithin: rules.integer("ask_within_us", 0),
+			FreeExtraAttempts: rules.float("free_resends", 0), ExtraAttemptWindow: rules.integer("extra_window_us", 0),
 		},
 	}
 	if rules.has("extra_ratio") {
-		m.Rules.Budgeted, m.Rules.ExtraRatio = true, rules.float("extra_ratio", 0)
+		m.Rules.Budgeted, m.Rules.ExtraAttemptRatio = true, rules.float("extra_ratio", 0)
 	}
 	for _, p := range r.array("parties") {
 		m.Tenants = append(m.Tenants, sq.Tenant{Name: p.str("name", ""), Quota: p.float("quota_per_s", 0)})
@@ -79,11 +79,11 @@
 			c.fault("effect", "unknown effect %q of class %q", c.str("effect", ""), c.str("name", ""))
 		}
 		m.Classes = append(m.Classes, sq.Class{
-			Name: c.str("name", ""), Aim: c.integer("aim_us", 0),
-			AimStretch: c.float("aim_stretch", 0), HardLimit: c.integer("hard_limit_us", 0),
-			Worth: c.float("worth", 0), LateWorth: c.float("late_worth", 0), Effect: effect,
-			RepeatWindow: c.integer("repeat_window_us", 0), Need: whole[i], Floor: floor[i],
-			Partial: partial[i], Fetch: int(fetch[i]),
+			Name: c.str("name", ""), LatencyTarget: c.integer("aim_us", 0),
+			LatencyTargetStretch: c.float("aim_stretch", 0), HardLimit: c.integer("hard_limit_us", 0),
+			Value: c.float("worth", 0), LateValue: c.float("late_worth", 0), Effect: effect,
+			DedupWindow: c.integer("repeat_window_us", 0), CompleteWeight: whole[i], MinWeight: floor[i],
+			PartialValue: partial[i], SecondStepParts: int(fetch[i]),
 		})
 	}
 	return s
@@ -97,17 +97,17 @@
 		}
 	}
 	for i, c := range s.Module.Classes {
-		if c.Fetch > 0 {
+		if c.SecondStepParts > 0 {
 			r.fault("family_info.class_fetch", "class %q has a second step, which is not served on sockets", c.Name)
 		}
 		if s.Module.Classes[i].Name == "" {
 			r.fault(fmt.Sprintf("classes[%d].name", i), "missing")
 		}
 		above(fmt.Sprintf("classes[%d].hard_limit_us", i), c.HardLimit)
-		above(fmt.Sprintf("classes[%d].aim_us", i), c.Aim)
+		above(fmt.Sprintf("classes[%d].aim_us", i), c.LatencyTarget)
 	}
 	if r.object("permissions").has("most_tries") {
-		above("permissions.most_tries", int64(s.Module.Limits.MaxTries))
+		above("permissions.most_tries", int64(s.Module.Limits.MaxAttempts))
 	}
 	above("permissions.connect_timeout_us", s.ConnectTimeout)
 	above("permissions.idle_close_us", s.IdleClose)
@@ -131,9 +131,9 @@
 		return fmt.Errorf("settings.family_info.shards: %d now, %d needs a restart", a.Shards, b.Shards)
 	case a.Cells != b.Cells:
 		return fmt.Errorf("settings.family_info.positions: %d now, %d needs a restart", a.Cells, b.Cells)
-	case a.Reach != b.Reach:
-		return fmt.Errorf("settings.family_info.reach: %d now, %d needs a restart", a.Reach, b.Reach)
-	case a.AskMembership != b.AskMembership:
+	case a.CellsPerShard != b.CellsPerShard:
+		return fmt.Errorf("settings.family_info.reach: %d now, %d needs a restart", a.CellsPerShard, b.CellsPerShard)
+	case a.WatchMembership != b.WatchMembership:
 		return fmt.Errorf("settings.membership_mode: another one needs a restart")
 	}
 	return nil
--- a/internal/broker/config/sites_test.go
+++ b/internal/broker/config/sites_test.go
@@ -38,16 +38,16 @@
 	"rules":{"ask_within_us":10000000,"cold_share":0.25,"warm_within_us":12000000,"fall_multiple":3,"fall_us":2000000,"grace_to_answer_us":20000,
 	 "stop_sending_within_us":400000,"extra_ratio":0.15,"free_resends":8,"extra_window_us":8000000}}`,
 		[]sq.Class{
-			{Name: "track", Aim: 700_000, HardLimit: 1_600_000, Worth: 1, LateWorth: 0.2, Need: 1, Floor: 1, Partial: 0.9},
-			{Name: "manifest", Aim: 1_200_000, HardLimit: 2_500_000, Worth: 2, Need: 1, Floor: 1, Partial: 0.9},
-			{Name: "amend", Aim: 900_000, HardLimit: 2_500_000, Worth: 2, LateWorth: 0.4, Effect: sq.Deduped, RepeatWindow: 1_500_000, Need: 1, Floor: 1, Partial: 0.9},
-			{Name: "release-hold", Aim: 900_000, HardLimit: 3_000_000, Worth: 4, LateWorth: 0.5, Effect: sq.AtMostOnce, Need: 1, Floor: 1, Partial: 0.9},
-			{Name: "yard-count", Aim: 1_500_000, HardLimit: 4_000_000, Worth: 3, LateWorth: 0.3, Need: 0.8, Floor: 0.5, Partial: 0.8},
+			{Name: "track", LatencyTarget: 700_000, HardLimit: 1_600_000, Value: 1, LateValue: 0.2, CompleteWeight: 1, MinWeight: 1, PartialValue: 0.9},
+			{Name: "manifest", LatencyTarget: 1_200_000, HardLimit: 2_500_000, Value: 2, CompleteWeight: 1, MinWeight: 1, PartialValue: 0.9},
+			{Name: "amend", LatencyTarget: 900_000, HardLimit: 2_500_000, Value: 2, LateValue: 0.4, Effect: sq.Deduplicated, DedupWindow: 1_500_000, CompleteWeight: 1, MinWeight: 1, PartialValue: 0.9},
+			{Name: "release-hold", LatencyTarget: 900_000, HardLimit: 3_000_000, Value: 4, LateValue: 0.5, Effect: sq.AtMostOnce, CompleteWeight: 1, MinWeight: 1, PartialValue: 0.9},
+			{Name: "yard-count", LatencyTarget: 1_500_000, HardLimit: 4_000_000, Value: 3, LateValue: 0.3, CompleteWeight: 0.8, MinWeight: 0.5, PartialValue: 0.8},
 		},
-		sq.Limits{MaxTries: 3, SecondCopies: true, RetryAfter: true, MaxRetryAfter: 800_000},
+		sq.Limits{MaxAttempts: 3, Hedging: true, RetryAfter: true, MaxRetryAfter: 800_000},
 		sq.Rules{
-			AnswerGrace: 20_000, DrainGrace: 400_000, ColdShare: 0.25, WarmWithin: 12_000_000, FallMultiple: 3, FallWindow: 2_000_000,
-			AskWithin: 10_000_000, Budgeted: true, FreeExtras: 8, ExtraRatio: 0.15, ExtraWindow: 8_000_000,
+			AnswerGrace: 20_000, DrainGrace: 400_000, SlowStartFraction: 0.25, WarmUp: 12_000_000, OverloadMultiple: 3, OverloadWindow: 2_000_000,
+			MembershipWithin: 10_000_000, Budgeted: true, FreeExtraAttempts: 8, ExtraAttemptRatio: 0.15, ExtraAttemptWindow: 8_000_000,
 		},
 		true, 3,
 	},
@@ -63,11 +63,11 @@
 	"parties":[{"name":"clinics","quota_per_s":9},{"name":"audit","quota_per_s":1}],
 	"rules":{"cold_share":0.3,"warm_within_us":11000000,"fall_multiple":2,"fall_us":2500000,"grace_to_answer_us":20000,"stop_sending_within_us":600000}}`,
 		[]sq.Class{
-			{Name: "prescribe", Aim: 5_000_000, HardLimit: 12_000_000, Worth: 3, LateWorth: 0.6, Effect: sq.AtMostOnce, Need: 1, Floor: 1, Partial: 0.9},
-			{Name: "lookup", Aim: 3_500_000, HardLimit: 9_000_000, Worth: 1, LateWorth: 0.1, Effect: sq.Deduped, RepeatWindow: 4_000_000, Need: 1, Floor: 1, Partial: 0.9},
+			{Name: "prescribe", LatencyTarget: 5_000_000, HardLimit: 12_000_000, Value: 3, LateValue: 0.6, Effect: sq.AtMostOnce, CompleteWeight: 1, MinWeight: 1, PartialValue: 0.9},
+			{Name: "lookup", LatencyTarget: 3_500_000, HardLimit: 9_000_000, Value: 1, LateValue: 0.1, Effect: sq.Deduplicated, DedupWindow: 4_000_000, CompleteWeight: 1, MinWeight: 1, PartialValue: 0.9},
 		},
-		sq.Limits{MaxTries: 2, MayCancel: true, RetryAfter: true, MaxRetryAfter: 1_500_000},
-		sq.Rules{AnswerGrace: 20_000, DrainGrace: 600_000, ColdShare: 0.3, WarmWithin: 11_000_000, FallMultiple: 2, FallWindow: 2_500_000},
+		sq.Limits{MaxAttempts: 2, MayCancel: true, RetryAfter: true, MaxRetryAfter: 1_500_000},
+		sq.Rules{AnswerGrace: 20_000, DrainGrace: 600_000, SlowStartFraction: 0.3, WarmUp: 11_000_000, OverloadMultiple: 2, OverloadWindow: 2_500_000},
 		false, 2,
 	},
 }
@@ -84,8 +84,8 @@
 			if fmt.Sprint(m.Classes) != fmt.Sprint(site.classes) {
 				t.Errorf("%s: classes %+v, want %+v", site.name, m.Classes, site.classes)
 			}
-			if m.Limits != site.limits || m.Rules != site.rules || m.AskMembership != site.asks || len(m.Tenants) != site.tenants {
-				t.Errorf("%s: %+v %+v asks %t, %d tenants", site.name, m.Limits, m.Rules, m.AskMembership, len(m.Tenants))
+			if m.Limits != site.limits || m.Rules != site.rules || m.WatchMembership != site.asks || len(m.Tenants) != site.tenants {
+				t.Errorf("%s: %+v %+v asks %t, %d tenants", site.name, m.Limits, m.Rules, m.WatchMembership, len(m.Tenants))
 			}
 			r, err := newReader([]byte(site.settings))
 			if err != nil {
--- a/internal/broker/core/broker.go
+++ b/internal/broker/core/broker.go
@@ -550,7 +550,7 @@
 	kept := c.alarms[:0]
 	for _, a := range c.alarms {
 		if a.At <= now {
-			c.events = append(c.events, sq.AlarmRang{Mark: a.Mark})
+			c.events = append(c.events, sq.AlarmRang{ID: a.ID})
 		} else {
 			kept = append(kept, a)
 		}
@@ -596,9 +596,9 @@
 		c.do(Watch{})
 	case sq.Fetch:
 		c.do(Fetch{})
-	case sq.Note:
+	case sq.Log:
 		c.do(Note{Text: a.Text})
-	case sq.Tell: // gatherers share nothing
+	case sq.NotifyPeer: // gatherers share nothing
 	}
 }
 
@@ -663,12 +663,12 @@
 		}
 		pieces = append(pieces, merge.Piece{Weight: p.ask.Weight, Shard: p.ask.Shard, From: p.ask.Span.From, To: p.ask.Span.To, In: p.in})
 	}
-	extent := merge.Completeness{Need: q.class.Need, Floor: q.class.Floor}.Judge(pieces)
+	extent := merge.Completeness{Need: q.class.CompleteWeight, Floor: q.class.MinWeight}.Judge(pieces)
 	if !extent.Give {
 		c.finish(q, Final{Verdict: Failed})
 		return
 	}
-	f.Whole, f.Share, f.Missing = a.Whole && extent.Whole, extent.Share, extent.Missing
+	f.Whole, f.Share, f.Missing = a.Complete && extent.Whole, extent.Share, extent.Missing
 	c.finish(q, f)
 }
 
--- a/internal/broker/core/broker_test.go
+++ b/internal/broker/core/broker_test.go
@@ -40,7 +40,7 @@
 func terms() Terms {
 	return Terms{
 		Period: 10, Shards: 4, MaxOpen: 6, PartsPerCall: 2, RetryAfter: true, MaxRetryAfter: 500, AnswerGrace: 20,
-		Classes: []sq.Class{{Name: "free", Need: 1, Floor: 0.5}, {Name: "once", Need: 1, Floor: 1, Effect: sq.AtMostOnce}},
+		Classes: []sq.Class{{Name: "free", CompleteWeight: 1, MinWeight: 0.5}, {Name: "once", CompleteWeight: 1, MinWeight: 1, Effect: sq.AtMostOnce}},
 	}
 }
 
@@ -85,7 +85,7 @@
 		t.Fatalf("%v", calls)
 	}
 	c.Ended(140, calls[0].Attempts[0].ID, sq.Served, []byte("v"), nil)
-	got := act[Final](c, m, 150, sq.Answer{Query: 1, Whole: true}, sq.Refuse{Query: 1}, sq.Fail{Query: 1})
+	got := act[Final](c, m, 150, sq.Answer{Query: 1, Complete: true}, sq.Refuse{Query: 1}, sq.Fail{Query: 1})
 	if len(got) != 1 || got[0].Verdict != Answered || !got[0].Whole || string(got[0].Values[0].Data) != "v" {
 		t.Errorf("%+v", got)
 	}
@@ -170,7 +170,7 @@
 		for _, a := range calls[0].Attempts[:served] {
 			c.Ended(110, a.ID, sq.Served, []byte("v"), nil)
 		}
-		got := act[Final](c, m, 120, sq.Answer{Query: 1, Whole: true})
+		got := act[Final](c, m, 120, sq.Answer{Query: 1, Complete: true})
 		if len(got) != 1 || fmt.Sprint(int(got[0].Verdict), " ", got[0].Whole) != want {
 			t.Errorf("with %d of 2 in: %+v", served, got)
 		}
@@ -213,14 +213,14 @@
 			}
 		}
 		if now == 110 {
-			m.next = []sq.Action{sq.SetAlarm{Mark: 7, At: 125}}
+			m.next = []sq.Action{sq.SetAlarm{ID: 7, At: 125}}
 			c.Fleet(sq.FleetChanged{})
 		}
 	}
 	if fmt.Sprint(m.steps) != "[100 110 120 130]" {
 		t.Errorf("steps at %v", m.steps)
 	}
-	if last := m.seen[len(m.seen)-1]; last != (sq.AlarmRang{Mark: 7}) {
+	if last := m.seen[len(m.seen)-1]; last != (sq.AlarmRang{ID: 7}) {
 		t.Errorf("last was %v", last)
 	}
 }
@@ -299,7 +299,7 @@
 	c, m := begin(t, old, "free", 0)
 	act[Call](c, m, 100, sq.Send{Part: 3, Server: "s"}, sq.Send{Part: 3, Server: "s"})
 	now := terms()
-	now.Classes = []sq.Class{{Name: "free", Need: 1, Floor: 1, Effect: sq.AtMostOnce}}
+	now.Classes = []sq.Class{{Name: "free", CompleteWeight: 1, MinWeight: 1, Effect: sq.AtMostOnce}}
 	now.MaxOpen = 2
 	now.Tenants = map[string]Budget{"t": {Free: 2, Window: 1000}}
 	if _, f, err := c.Open(105, ask("once", 1)); f != nil || err != nil {
--- a/internal/broker/core/layout_test.go
+++ b/internal/broker/core/layout_test.go
@@ -246,15 +246,15 @@
 func newWorld(t fataler, seed uint64, lax bool) *world {
 	w := &world{rng: rand.New(rand.NewPCG(seed, 1)), ran: map[sq.ID][]layout.Span{}, ended: map[sq.ID]bool{}, ids: map[sq.ID]Ask{}}
 	classes := []sq.Class{
-		{Name: "free", Aim: 40_000, HardLimit: 60_000, Worth: 1, LateWorth: 0.1, Need: 1, Floor: 1},
-		{Name: "once", Aim: 40_000, HardLimit: 60_000, Worth: 1, LateWorth: 0.1, Need: 1, Floor: 1, Effect: sq.AtMostOnce},
+		{Name: "free", LatencyTarget: 40_000, HardLimit: 60_000, Value: 1, LateValue: 0.1, CompleteWeight: 1, MinWeight: 1},
+		{Name: "once", LatencyTarget: 40_000, HardLimit: 60_000, Value: 1, LateValue: 0.1, CompleteWeight: 1, MinWeight: 1, Effect: sq.AtMostOnce},
 	}
 	set := sq.Settings{
-		Aggregators: 1, Period: 100, Classes: slices.Clone(classes), Shards: 1, Cells: 1, Reach: 1,
-		Limits: sq.Limits{MaxTries: 4, SecondCopies: true, MayCancel: true, RetryAfter: true, MaxRetryAfter: 500},
+		Aggregators: 1, Period: 100, Classes: slices.Clone(classes), Shards: 1, Cells: 1, CellsPerShard: 1,
+		Limits: sq.Limits{MaxAttempts: 4, Hedging: true, MayCancel: true, RetryAfter: true, MaxRetryAfter: 500},
 	}
 	if lax {
-		set.Classes[1].Effect = sq.Repeatable
+		set.Classes[1].Effect = sq.Idempotent
 	}
 	module, err := sq.New(set, seed)
 	if err != nil {
@@ -512,9 +512,9 @@
 
 func benchmarkQuery(b *testing.B, servers, ranges int) {
 	set := sq.Settings{
-		Aggregators: 1, Period: 100, Shards: 12, Cells: 12, Reach: 3,
-		Classes: []sq.Class{{Name: "free", Aim: 2_500_000, HardLimit: 5_000_000, Worth: 1, LateWorth: 0.1, Need: 1, Floor: 1}},
-		Limits:  sq.Limits{MaxTries: 4, SecondCopies: true, MayCancel: true}, Rules: sq.Rules{WarmWithin: 14_000_000},
+		Aggregators: 1, Period: 100, Shards: 12, Cells: 12, CellsPerShard: 3,
+		Classes: []sq.Class{{Name: "free", LatencyTarget: 2_500_000, HardLimit: 5_000_000, Value: 1, LateValue: 0.1, CompleteWeight: 1, MinWeight: 1}},
+		Limits:  sq.Limits{MaxAttempts: 4, Hedging: true, MayCancel: true}, Rules: sq.Rules{WarmUp: 14_000_000},
 	}
 	module, err := sq.New(set, 1)
 	if err != nil {
--- a/internal/broker/core/size_test.go
+++ b/internal/broker/core/size_test.go
@@ -25,11 +25,11 @@
 	const servers, cells, steps, period = 2600, 1300, 4, 5000
 	for _, parts := range []int{100, 187, 375, 750, 1500} {
 		b.Run(fmt.Sprintf("servers=%d,parts=%d", servers, parts), func(b *testing.B) {
-			class := sq.Class{Name: "q", Aim: 75_000, HardLimit: 1_000_000, Worth: 1, Need: 1, Floor: 1}
+			class := sq.Class{Name: "q", LatencyTarget: 75_000, HardLimit: 1_000_000, Value: 1, CompleteWeight: 1, MinWeight: 1}
 			cfg := sq.Settings{
-				Aggregators: 600, Period: period, Shards: servers, Cells: cells, Reach: 1, PartsPerCall: 1, Classes: []sq.Class{class},
-				Limits: sq.Limits{MaxTries: 3, SecondCopies: true, MayCancel: true},
-				Rules:  sq.Rules{ColdShare: 0.3, WarmWithin: 10_000_000, FallMultiple: 3, FallWindow: 1_000_000, AskWithin: 10_000_000},
+				Aggregators: 600, Period: period, Shards: servers, Cells: cells, CellsPerShard: 1, PartsPerCall: 1, Classes: []sq.Class{class},
+				Limits: sq.Limits{MaxAttempts: 3, Hedging: true, MayCancel: true},
+				Rules:  sq.Rules{SlowStartFraction: 0.3, WarmUp: 10_000_000, OverloadMultiple: 3, OverloadWindow: 1_000_000, MembershipWithin: 10_000_000},
 			}
 			module, err := sq.New(cfg, 1)
 			if err != nil {
--- a/internal/broker/idempotency/model_test.go
+++ b/internal/broker/idempotency/model_test.go
@@ -61,10 +61,10 @@
 	if err != nil {
 		w.t.Fatalf("start: %v", err)
 	}
-	class := sq.Class{Name: "once", Aim: 50 * ms, HardLimit: limit, Worth: 1, LateWorth: 0.1, Need: 1, Floor: 1, Effect: sq.AtMostOnce}
+	class := sq.Class{Name: "once", LatencyTarget: 50 * ms, HardLimit: limit, Value: 1, LateValue: 0.1, CompleteWeight: 1, MinWeight: 1, Effect: sq.AtMostOnce}
 	settings := sq.Settings{
-		Aggregators: 1, Zone: "a", Period: ms, Classes: []sq.Class{class}, Shards: 2, Cells: 2, Reach: 2, PartsPerCall: 1,
-		Limits: sq.Limits{MaxTries: 4, SecondCopies: true, MayCancel: true, RetryAfter: true, MaxRetryAfter: 100 * ms},
+		Aggregators: 1, Zone: "a", Period: ms, Classes: []sq.Class{class}, Shards: 2, Cells: 2, CellsPerShard: 2, PartsPerCall: 1,
+		Limits: sq.Limits{MaxAttempts: 4, Hedging: true, MayCancel: true, RetryAfter: true, MaxRetryAfter: 100 * ms},
 	}
 	m, err := sq.New(settings, 1)
 	if err != nil {
--- a/internal/broker/routecheck/explain.go
+++ b/internal/broker/routecheck/explain.go
@@ -101,7 +101,7 @@
 		first = "the next one: " + first
 	}
 	for _, o := range options {
-		if o.Server == pick && o.Crossing > 0 {
+		if o.Server == pick && o.ZoneCharge > 0 {
 			return first + ", its other zone counted in"
 		}
 	}
--- a/internal/broker/routecheck/proof_test.go
+++ b/internal/broker/routecheck/proof_test.go
@@ -16,10 +16,10 @@
 // good makes a sound roster: twelve servers in three zones, forty ranges of a thousand keys, each held in all three.
 func good() Roster {
 	r := Roster{Name: "good", Seed: 1, Settings: sq.Settings{
-		Aggregators: 1, Zone: "norte", Period: 1000, Shards: 1, Cells: 1, Reach: 1, PartsPerCall: 1,
-		Classes: []sq.Class{{Name: "c", Aim: 1e6, HardLimit: 4e6, Worth: 1, Need: 1, Floor: 1}},
+		Aggregators: 1, Zone: "norte", Period: 1000, Shards: 1, Cells: 1, CellsPerShard: 1, PartsPerCall: 1,
+		Classes: []sq.Class{{Name: "c", LatencyTarget: 1e6, HardLimit: 4e6, Value: 1, CompleteWeight: 1, MinWeight: 1}},
 		Tenants: []sq.Tenant{{Name: "lagos", Quota: 100}, {Name: "ferrer", Quota: 50}},
-		Limits:  sq.Limits{MaxTries: 3, SecondCopies: true},
+		Limits:  sq.Limits{MaxAttempts: 3, Hedging: true},
 	}}
 	doc := layout.Doc{History: "h", Epoch: 1, NextShard: 40}
 	for i := range 12 {
--- a/internal/broker/server/durable.go
+++ b/internal/broker/server/durable.go
@@ -219,7 +219,7 @@
 	}
 	m.Learned = sq.Learned{Admission: min(max(f.Admission, 0), 1), Suspects: f.Suspects}
 	for _, s := range f.Servers {
-		m.Learned.Servers = append(m.Learned.Servers, sq.Known{Server: sq.ServerID(s.Id), Pace: s.Pace, PaceAt: s.PaceAt, Fails: s.Fails, Tries: s.Tries, At: s.At})
+		m.Learned.Servers = append(m.Learned.Servers, sq.LearnedServer{Server: sq.ServerID(s.Id), LatencyRatio: s.Pace, LatencyRatioAt: s.PaceAt, Failures: s.Fails, Attempts: s.Tries, CountedAt: s.At})
 	}
 	m.Spent = map[string]core.Spent{}
 	for _, r := range f.Rations {
@@ -234,7 +234,7 @@
 func worded(m transport.Memory) ([]byte, error) {
 	f := &form.Learned{Admission: m.Learned.Admission, Suspects: m.Learned.Suspects}
 	for _, s := range m.Learned.Servers {
-		f.Servers = append(f.Servers, &form.Server{Id: string(s.Server), Pace: s.Pace, PaceAt: s.PaceAt, Fails: s.Fails, Tries: s.Tries, At: s.At})
+		f.Servers = append(f.Servers, &form.Server{Id: string(s.Server), Pace: s.LatencyRatio, PaceAt: s.LatencyRatioAt, Fails: s.Failures, Tries: s.Attempts, At: s.CountedAt})
 	}
 	for tenant, s := range m.Spent {
 		f.Rations = append(f.Rations, &form.Ration{Tenant: tenant, At: s.At, Taken: s.Taken[:], Extras: s.Extras[:]})
--- a/internal/broker/simulation/days.go
+++ b/internal/broker/simulation/days.go
@@ -7,8 +7,8 @@
 func Fleet(seed uint64, gatherers, servers int) Day {
 	class := func(name string, aim, limit int64, worth, late float64, e sq.Effect) sq.Class {
 		return sq.Class{
-			Name: name, Aim: aim, HardLimit: limit, Worth: worth, LateWorth: late, Effect: e, Need: 1, Floor: 1, Partial: 0.9,
-			RepeatWindow: 5 * second,
+			Name: name, LatencyTarget: aim, HardLimit: limit, Value: worth, LateValue: late, Effect: e, CompleteWeight: 1, MinWeight: 1, PartialValue: 0.9,
+			DedupWindow: 5 * second,
 		}
 	}
 	return Day{
@@ -16,15 +16,15 @@
 		Parts: []int{max(4, servers*3/10), max(3, servers*15/100), 2}, Mix: []float64{0.12, 0.63, 0.25}, Length: 20 * second,
 		Notice: 3 * second, ColdShare: 0.3, WarmIn: 10 * second, Retries: 2,
 		Settings: sq.Settings{
-			Aggregators: gatherers, Period: ms, Shards: servers, Cells: servers, Reach: 4, PartsPerCall: 1,
+			Aggregators: gatherers, Period: ms, Shards: servers, Cells: servers, CellsPerShard: 4, PartsPerCall: 1,
 			Classes: []sq.Class{
-				class("summary", 750*ms, 2*second, 3, 0, sq.Repeatable), class("search", 630*ms, 1670*ms, 1, 0.1, sq.Repeatable),
+				class("summary", 750*ms, 2*second, 3, 0, sq.Idempotent), class("search", 630*ms, 1670*ms, 1, 0.1, sq.Idempotent),
 				class("submit", 630*ms, 2*second, 2, 0.1, sq.AtMostOnce),
 			},
-			Limits: sq.Limits{MaxTries: 4, SecondCopies: true, MayCancel: true, RetryAfter: true, MaxRetryAfter: 500 * ms},
+			Limits: sq.Limits{MaxAttempts: 4, Hedging: true, MayCancel: true, RetryAfter: true, MaxRetryAfter: 500 * ms},
 			Rules: sq.Rules{
-				AnswerGrace: 5 * ms, DrainGrace: 250 * ms, ColdShare: 0.2, WarmWithin: 14 * second, FallMultiple: 2.5,
-				FallWindow: 1500 * ms, AskWithin: 10 * second,
+				AnswerGrace: 5 * ms, DrainGrace: 250 * ms, SlowStartFraction: 0.2, WarmUp: 14 * second, OverloadMultiple: 2.5,
+				OverloadWindow: 1500 * ms, MembershipWithin: 10 * second,
 			},
 			Prices: sq.Prices{CrossZone: 0.036},
 		},
--- a/internal/broker/simulation/model.go
+++ b/internal/broker/simulation/model.go
@@ -419,7 +419,7 @@
 		q.shard = append(q.shard, s)
 		q.costs = append(q.costs, float64(w.Work)*math.Exp(0.5*w.rng.NormFloat64()-0.125))
 	}
-	q.worth = w.Settings.Classes[class].Worth * float64(w.Parts[class])
+	q.worth = w.Settings.Classes[class].Value * float64(w.Parts[class])
 	w.window(w.now).Asked += q.worth
 	for _, p := range w.portions(q) {
 		p.Asked += q.worth
@@ -533,7 +533,7 @@
 	case sq.Answer:
 		if q := g.queries[a.Query]; q != nil {
 			w.close(g, q)
-			if w.now <= q.first+w.Settings.Classes[q.class].Aim {
+			if w.now <= q.first+w.Settings.Classes[q.class].LatencyTarget {
 				w.window(q.first).InTime += q.worth
 				for _, p := range w.portions(q) {
 					p.InTime += q.worth
@@ -561,7 +561,7 @@
 		life := g.life
 		w.at(a.At, func() {
 			if g.up && g.life == life {
-				w.tell(g, sq.AlarmRang{Mark: a.Mark})
+				w.tell(g, sq.AlarmRang{ID: a.ID})
 			}
 		})
 	}
@@ -733,11 +733,11 @@
 	}
 	worst, mean := 0.0, float64(w.Work)
 	for i, sum, from := 0, 0.0, 0; i < len(s.got); i++ {
-		for sum += s.got[i].work; s.got[from].at <= s.got[i].at-r.FallWindow; from++ {
+		for sum += s.got[i].work; s.got[from].at <= s.got[i].at-r.OverloadWindow; from++ {
 			sum -= s.got[from].work
 		}
 		c := s.capacity(s.got[from].at, &w.Day) * float64(w.Cores)
-		most := r.FallMultiple * c * float64(r.FallWindow)
+		most := r.OverloadMultiple * c * float64(r.OverloadWindow)
 		n := most / mean
 		worst = max(worst, sum/most)
 		w.res.Chance = max(w.res.Chance, sum/mean/(n+2*math.Sqrt(n)+2))
--- a/internal/broker/simulation/slowstart_test.go
+++ b/internal/broker/simulation/slowstart_test.go
@@ -17,7 +17,7 @@
 	d.Work = work
 	for i := range d.Settings.Classes {
 		c := &d.Settings.Classes[i]
-		c.Aim, c.HardLimit = c.Aim*(scale+1)/2, c.HardLimit*(scale+1)/2
+		c.LatencyTarget, c.HardLimit = c.LatencyTarget*(scale+1)/2, c.HardLimit*(scale+1)/2
 	}
 	d.Length = 20 * second
 	d.Events = []Disturbance{{At: 3 * second, For: 4 * second, Servers: func(i int) bool { return i%4 == int(seed)%4 }}}
@@ -74,7 +74,7 @@
 		"overload": func(seed uint64, g, s int) Day { d := Fleet(seed, g, s); d.Load = 1.3; return d },
 		"heavy and cheap": func(seed uint64, g, s int) Day {
 			d := Fleet(seed, g, s)
-			d.Load, d.Settings.Classes[0].Worth, d.Settings.Classes[2].Worth = 1.2, 1, 4
+			d.Load, d.Settings.Classes[0].Value, d.Settings.Classes[2].Value = 1.2, 1, 4
 			return d
 		},
 		"mostly once": func(seed uint64, g, s int) Day {
--- a/internal/broker/simwire/encode.go
+++ b/internal/broker/simwire/encode.go
@@ -34,7 +34,7 @@
 	case sq.Cancel:
 		r.Type, r.Txn, r.Shot = "Abandon", id(a.Part), &a.Attempt
 	case sq.Answer:
-		r.Type, r.Txn, r.Entire = "GatherUp", id(a.Query), &a.Whole
+		r.Type, r.Txn, r.Entire = "GatherUp", id(a.Query), &a.Complete
 	case sq.Refuse:
 		r.Type, r.Txn, r.CoolDown = "TurnAway", id(a.Query), a.RetryAfter
 	case sq.Fail:
@@ -42,19 +42,19 @@
 	case sq.CloseIdle:
 		r.Type, r.Server = "FreeLinks", string(a.Server)
 	case sq.SetAlarm:
-		r.Type, r.Mark, r.Alarm = "SetAlarm", &a.Mark, &a.At
+		r.Type, r.Mark, r.Alarm = "SetAlarm", &a.ID, &a.At
 	case sq.Watch:
 		on := true
 		r.Type, r.Entire = "KeepInformed", &on
 	case sq.Fetch:
 		r.Type = "GetList"
-	case sq.Tell:
+	case sq.NotifyPeer:
 		var to any = a.Peer
 		if a.Peer < 0 {
 			to = "*"
 		}
 		r.Type, r.Target, r.Payload = "Share", to, &a.Text
-	case sq.Note:
+	case sq.Log:
 		r.Type, r.Text = "WriteLog", &a.Text
 	default:
 		return dst, fmt.Errorf("action %T has no form on the wire", a)
--- a/internal/broker/simwire/wire.go
+++ b/internal/broker/simwire/wire.go
@@ -134,13 +134,13 @@
 		if err := need("who", l.Who != nil, "mark", l.Mark != nil); err != nil {
 			return Message{}, err
 		}
-		return happened(sq.AlarmRang{Mark: *l.Mark})
+		return happened(sq.AlarmRang{ID: *l.Mark})
 	},
 	"NeighbourSays": func(l *rawLine) (Message, error) {
 		if err := need("who", l.Who != nil, "sender", l.Sender != nil, "payload", l.Payload != nil); err != nil {
 			return Message{}, err
 		}
-		return happened(sq.PeerSaid{Peer: int(*l.Sender), Text: *l.Payload})
+		return happened(sq.PeerMessage{Peer: int(*l.Sender), Text: *l.Payload})
 	},
 }
 
--- a/internal/broker/simwire/wire_test.go
+++ b/internal/broker/simwire/wire_test.go
@@ -28,7 +28,7 @@
 		{`{"event_type":"Killed","who":"node/3"}`, Message{Kind: Killed, Who: "node/3"}},
 		{`{"event_type":"DeadlineHit","who":"n","mark":77}`, Message{
 			Kind: Happened, Who: "n",
-			Event: sq.AlarmRang{Mark: 77},
+			Event: sq.AlarmRang{ID: 77},
 		}},
 		{`{"event_type":"Hangup","who":"n","txn":5}`, Message{
 			Kind: Happened, Who: "n",
@@ -74,7 +74,7 @@
 		}},
 		{
 			`{"event_type":"NeighbourSays","who":"n","sender":2,"payload":"hi"}`,
-			Message{Kind: Happened, Who: "n", Event: sq.PeerSaid{Peer: 2, Text: "hi"}},
+			Message{Kind: Happened, Who: "n", Event: sq.PeerMessage{Peer: 2, Text: "hi"}},
 		},
 	} {
 		got, err := Decode([]byte(c.line))
@@ -92,17 +92,17 @@
 		t.Fatal(err)
 	}
 	s := m.Settings
-	if m.Kind != Open || m.Seed != 1<<63 || s.Self != 1 || s.Aggregators != 2 || !s.AskMembership ||
-		s.Shards != 8 || s.Cells != 4 || s.Reach != 2 || s.CallOverhead != 7 ||
-		!s.Rules.Budgeted || s.Rules.ExtraRatio != 0.05 || s.Rules.FreeExtras != 10 || !s.Limits.SecondCopies {
+	if m.Kind != Open || m.Seed != 1<<63 || s.Self != 1 || s.Aggregators != 2 || !s.WatchMembership ||
+		s.Shards != 8 || s.Cells != 4 || s.CellsPerShard != 2 || s.CallOverhead != 7 ||
+		!s.Rules.Budgeted || s.Rules.ExtraAttemptRatio != 0.05 || s.Rules.FreeExtraAttempts != 10 || !s.Limits.Hedging {
 		t.Errorf("settings were misread: %+v", s)
 	}
-	if want := []sq.Tenant{{Name: "t", Quota: 1.5}}; !reflect.DeepEqual(s.Tenants, want) || s.OverShareWorth != 0.2 {
-		t.Errorf("tenants: %+v, over their share worth %v", s.Tenants, s.OverShareWorth)
+	if want := []sq.Tenant{{Name: "t", Quota: 1.5}}; !reflect.DeepEqual(s.Tenants, want) || s.OverQuotaValue != 0.2 {
+		t.Errorf("tenants: %+v, over their share worth %v", s.Tenants, s.OverQuotaValue)
 	}
 	want := sq.Class{
-		Name: "c", Aim: 10, HardLimit: 20, Worth: 2, Effect: sq.Deduped, RepeatWindow: 5, Need: 1,
-		Floor: 0.8, Partial: 0.9, Fetch: 3,
+		Name: "c", LatencyTarget: 10, HardLimit: 20, Value: 2, Effect: sq.Deduplicated, DedupWindow: 5, CompleteWeight: 1,
+		MinWeight: 0.8, PartialValue: 0.9, SecondStepParts: 3,
 	}
 	if len(s.Classes) != 1 || s.Classes[0] != want {
 		t.Errorf("classes: %+v", s.Classes)
@@ -145,12 +145,12 @@
 		{sq.Refuse{Query: 7, RetryAfter: 9}, `{"event_type":"TurnAway","who":"n","txn":7,"cool_down_us":9}`},
 		{sq.Fail{Query: 7}, `{"event_type":"RespondError","who":"n","txn":7}`},
 		{sq.CloseIdle{Server: "s:1"}, `{"event_type":"FreeLinks","who":"n","server":"s:1"}`},
-		{sq.SetAlarm{Mark: 0, At: 3}, `{"event_type":"SetAlarm","who":"n","mark":0,"alarm_time_us":3}`},
+		{sq.SetAlarm{ID: 0, At: 3}, `{"event_type":"SetAlarm","who":"n","mark":0,"alarm_time_us":3}`},
 		{sq.Watch{}, `{"event_type":"KeepInformed","who":"n","entire":true}`},
-		{sq.Tell{Peer: -1, Text: "hi"}, `{"event_type":"Share","who":"n","target":"*","payload":"hi"}`},
-		{sq.Tell{Peer: 0, Text: "hi"}, `{"event_type":"Share","who":"n","target":0,"payload":"hi"}`},
+		{sq.NotifyPeer{Peer: -1, Text: "hi"}, `{"event_type":"Share","who":"n","target":"*","payload":"hi"}`},
+		{sq.NotifyPeer{Peer: 0, Text: "hi"}, `{"event_type":"Share","who":"n","target":0,"payload":"hi"}`},
 		{sq.Fetch{}, `{"event_type":"GetList","who":"n"}`},
-		{sq.Note{Text: "a \"b\""}, `{"event_type":"WriteLog","who":"n","reason_text":"a \"b\""}`},
+		{sq.Log{Text: "a \"b\""}, `{"event_type":"WriteLog","who":"n","reason_text":"a \"b\""}`},
 	} {
 		got, err := Encode(nil, "n", c.action)
 		if err != nil {
--- a/internal/broker/transport/departed_test.go
+++ b/internal/broker/transport/departed_test.go
@@ -112,10 +112,10 @@
 					synctest.Test(t, func(t *testing.T) {
 						server := &farServer{up: tc.server.up, reads: tc.server.reads, ends: tc.server.ends, begun: map[string][]time.Time{}}
 						cfg := sq.Settings{
-							Aggregators: 1, Period: 1000, Shards: 1, Cells: 1, Reach: 1, PartsPerCall: 1,
-							Classes: []sq.Class{{Name: "c", Aim: 1e6, HardLimit: 3e6, Worth: 1, LateWorth: 0.5, Need: 1, Floor: 1}},
-							Limits:  sq.Limits{MaxTries: 4, MayCancel: mayCancel, SecondCopies: tc.copies},
-							Rules:   sq.Rules{WarmWithin: 10_000_000},
+							Aggregators: 1, Period: 1000, Shards: 1, Cells: 1, CellsPerShard: 1, PartsPerCall: 1,
+							Classes: []sq.Class{{Name: "c", LatencyTarget: 1e6, HardLimit: 3e6, Value: 1, LateValue: 0.5, CompleteWeight: 1, MinWeight: 1}},
+							Limits:  sq.Limits{MaxAttempts: 4, MayCancel: mayCancel, Hedging: tc.copies},
+							Rules:   sq.Rules{WarmUp: 10_000_000},
 						}
 						m, err := sq.New(cfg, 3)
 						if err != nil {
--- a/internal/broker/transport/size_test.go
+++ b/internal/broker/transport/size_test.go
@@ -33,9 +33,9 @@
 		for _, change := range []bool{false, true} {
 			b.Run(fmt.Sprintf("servers=%d,change=%v", servers, change), func(b *testing.B) {
 				cfg := sq.Settings{
-					Aggregators: 600, Period: 5000, Shards: servers, Cells: max(1, servers/2), Reach: 1, PartsPerCall: 1,
-					Classes: []sq.Class{{Name: "q", Aim: 75_000, HardLimit: 1_000_000, Worth: 1, Need: 1, Floor: 1}},
-					Rules:   sq.Rules{WarmWithin: 14_000_000, AskWithin: 10_000_000},
+					Aggregators: 600, Period: 5000, Shards: servers, Cells: max(1, servers/2), CellsPerShard: 1, PartsPerCall: 1,
+					Classes: []sq.Class{{Name: "q", LatencyTarget: 75_000, HardLimit: 1_000_000, Value: 1, CompleteWeight: 1, MinWeight: 1}},
+					Rules:   sq.Rules{WarmUp: 14_000_000, MembershipWithin: 10_000_000},
 				}
 				module, err := sq.New(cfg, 1)
 				if err != nil {
@@ -88,8 +88,8 @@
 func BenchmarkLookBySize(b *testing.B) {
 	for _, servers := range []int{325, 650, 1300, 2600} {
 		cfg := sq.Settings{
-			Aggregators: 600, Period: 5000, Shards: servers, Cells: servers, Reach: 1, PartsPerCall: 1,
-			Classes: []sq.Class{{Name: "q", Aim: 75_000, HardLimit: 1_000_000, Worth: 1, Need: 1, Floor: 1}},
+			Aggregators: 600, Period: 5000, Shards: servers, Cells: servers, CellsPerShard: 1, PartsPerCall: 1,
+			Classes: []sq.Class{{Name: "q", LatencyTarget: 75_000, HardLimit: 1_000_000, Value: 1, CompleteWeight: 1, MinWeight: 1}},
 		}
 		module, err := sq.New(cfg, 1)
 		if err != nil {
--- a/internal/broker/transport/told_test.go
+++ b/internal/broker/transport/told_test.go
@@ -95,7 +95,7 @@
 		case sq.Watch:
 			a.w.Begin()
 		case sq.SetAlarm:
-			time.AfterFunc(time.Duration(x.At-now)*time.Microsecond, func() { a.step(sq.AlarmRang{Mark: x.Mark}) })
+			time.AfterFunc(time.Duration(x.At-now)*time.Microsecond, func() { a.step(sq.AlarmRang{ID: x.ID}) })
 		}
 	}
 }
@@ -218,9 +218,9 @@
 	}
 	if asked {
 		m, err := sq.New(sq.Settings{
-			Aggregators: 1, Period: 1000, Shards: 1, Cells: 1, Reach: 1, PartsPerCall: 1, AskMembership: true,
-			Classes: []sq.Class{{Name: "c", Aim: 1e6, HardLimit: 3e6, Worth: 1, Need: 1, Floor: 1}}, Limits: sq.Limits{MaxTries: 1},
-			Rules: sq.Rules{AskWithin: 10_000_000, WarmWithin: 10_000_000},
+			Aggregators: 1, Period: 1000, Shards: 1, Cells: 1, CellsPerShard: 1, PartsPerCall: 1, WatchMembership: true,
+			Classes: []sq.Class{{Name: "c", LatencyTarget: 1e6, HardLimit: 3e6, Value: 1, CompleteWeight: 1, MinWeight: 1}}, Limits: sq.Limits{MaxAttempts: 1},
+			Rules: sq.Rules{MembershipWithin: 10_000_000, WarmUp: 10_000_000},
 		}, 7)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/scale/work/engine_test.go
+++ b/internal/scale/work/engine_test.go
@@ -28,12 +28,12 @@
 				b.Fatal(err)
 			}
 			defer w.Close()
-			class := sq.Class{Name: "q", Aim: 4_000_000, HardLimit: 30_000_000, Worth: 1, Need: 1, Floor: 1, Partial: 0.9}
+			class := sq.Class{Name: "q", LatencyTarget: 4_000_000, HardLimit: 30_000_000, Value: 1, CompleteWeight: 1, MinWeight: 1, PartialValue: 0.9}
 			settings := sq.Settings{
-				Aggregators: 600, Zone: "z0", Period: 5000, Classes: []sq.Class{class}, Shards: servers, Cells: cells, Reach: 1, PartsPerCall: 1,
-				Limits: sq.Limits{MaxTries: 3, MayCancel: true}, Rules: sq.Rules{
-					AnswerGrace: 20_000, DrainGrace: 250_000, ColdShare: 0.2, WarmWithin: 14_000_000,
-					FallMultiple: 2.5, FallWindow: 1_500_000, AskWithin: 10_000_000,
+				Aggregators: 600, Zone: "z0", Period: 5000, Classes: []sq.Class{class}, Shards: servers, Cells: cells, CellsPerShard: 1, PartsPerCall: 1,
+				Limits: sq.Limits{MaxAttempts: 3, MayCancel: true}, Rules: sq.Rules{
+					AnswerGrace: 20_000, DrainGrace: 250_000, SlowStartFraction: 0.2, WarmUp: 14_000_000,
+					OverloadMultiple: 2.5, OverloadWindow: 1_500_000, MembershipWithin: 10_000_000,
 				},
 			}
 			module, err := sq.New(settings, 1)
--- a/invariants_test.go
+++ b/invariants_test.go
@@ -64,23 +64,23 @@
 
 func strictSettings(kind int) Settings {
 	c := plain()
-	c.Shards, c.Cells, c.Reach, c.Aggregators = 6, 6, 3, 2
+	c.Shards, c.Cells, c.CellsPerShard, c.Aggregators = 6, 6, 3, 2
 	c.Classes = append(c.Classes,
-		Class{Name: "some", Aim: 800 * ms, HardLimit: 2000 * ms, Worth: 2, LateWorth: 0.2, Need: 0.6, Floor: 0.6, Partial: 0.9},
-		Class{Name: "two", Aim: 900 * ms, HardLimit: 2500 * ms, Worth: 2, LateWorth: 0.3, Need: 1, Floor: 0.8, Partial: 0.9, Fetch: 2},
-		Class{Name: "dedup", Aim: 900 * ms, HardLimit: 2500 * ms, Worth: 1, Need: 1, Floor: 1, Effect: Deduped, RepeatWindow: 500 * ms},
-		Class{Name: "once", Aim: 900 * ms, HardLimit: 2500 * ms, Worth: 1, Need: 1, Floor: 1, Effect: AtMostOnce})
-	c.Limits.SecondCopies = kind%2 == 0
+		Class{Name: "some", LatencyTarget: 800 * ms, HardLimit: 2000 * ms, Value: 2, LateValue: 0.2, CompleteWeight: 0.6, MinWeight: 0.6, PartialValue: 0.9},
+		Class{Name: "two", LatencyTarget: 900 * ms, HardLimit: 2500 * ms, Value: 2, LateValue: 0.3, CompleteWeight: 1, MinWeight: 0.8, PartialValue: 0.9, SecondStepParts: 2},
+		Class{Name: "dedup", LatencyTarget: 900 * ms, HardLimit: 2500 * ms, Value: 1, CompleteWeight: 1, MinWeight: 1, Effect: Deduplicated, DedupWindow: 500 * ms},
+		Class{Name: "once", LatencyTarget: 900 * ms, HardLimit: 2500 * ms, Value: 1, CompleteWeight: 1, MinWeight: 1, Effect: AtMostOnce})
+	c.Limits.Hedging = kind%2 == 0
 	c.Limits.RetryAfter, c.Limits.MaxRetryAfter = kind%3 == 0, 1000*ms
-	c.AskMembership = kind%3 == 1
+	c.WatchMembership = kind%3 == 1
 	if kind%4 == 1 {
-		c.Rules.DrainGrace, c.Rules.FallMultiple = 250*ms, 2
+		c.Rules.DrainGrace, c.Rules.OverloadMultiple = 250*ms, 2
 	}
 	if kind%3 == 2 {
-		c.Tenants, c.OverShareWorth = []Tenant{{Name: "t0", Quota: 3}, {Name: "t1", Quota: 1}}, 0.05
+		c.Tenants, c.OverQuotaValue = []Tenant{{Name: "t0", Quota: 3}, {Name: "t1", Quota: 1}}, 0.05
 	}
 	if kind%4 < 2 { // each with and without second copies
-		c.Rules.Budgeted, c.Rules.FreeExtras, c.Rules.ExtraRatio, c.Rules.ExtraWindow = true, 4, 0.05, 5000*ms
+		c.Rules.Budgeted, c.Rules.FreeExtraAttempts, c.Rules.ExtraAttemptRatio, c.Rules.ExtraAttemptWindow = true, 4, 0.05, 5000*ms
 	}
 	return c
 }
@@ -197,7 +197,7 @@
 	var left []int64
 	for _, m := range o.marks {
 		if o.alarms[m] <= o.now {
-			es = append(es, AlarmRang{Mark: m})
+			es = append(es, AlarmRang{ID: m})
 		} else {
 			left = append(left, m)
 		}
@@ -243,17 +243,17 @@
 				all = false
 			}
 		}
-		if w < q.class.Floor-0.0001 {
-			o.t.Fatalf("answered from %v, floor %v", w, q.class.Floor)
+		if w < q.class.MinWeight-0.0001 {
+			o.t.Fatalf("answered from %v, floor %v", w, q.class.MinWeight)
 		}
-		if a.Whole && (w < q.class.Need-0.0001 || q.step == 1 && (!all || !q.firstWhole)) {
-			o.t.Fatalf("marked whole from %v of %v", w, q.class.Need)
+		if a.Complete && (w < q.class.CompleteWeight-0.0001 || q.step == 1 && (!all || !q.firstWhole)) {
+			o.t.Fatalf("marked whole from %v of %v", w, q.class.CompleteWeight)
 		}
-		if q.class.Fetch > 0 && q.step == 0 {
+		if q.class.SecondStepParts > 0 && q.step == 0 {
 			if q.finals > 0 {
 				o.t.Fatalf("answered a query that has ended")
 			}
-			q.step, q.firstWhole, q.fetchAt, q.parts = 1, a.Whole, o.now, nil
+			q.step, q.firstWhole, q.fetchAt, q.parts = 1, a.Complete, o.now, nil
 			return
 		}
 		o.final(a.Query)
@@ -273,8 +273,8 @@
 	case Cancel:
 		o.cancels[o.parts[a.Part].attempts[a.Attempt]] = true
 	case SetAlarm:
-		o.alarms[a.Mark] = a.At
-		o.marks = append(o.marks, a.Mark)
+		o.alarms[a.ID] = a.At
+		o.marks = append(o.marks, a.ID)
 	}
 }
 
@@ -285,7 +285,7 @@
 	if q.finals > 0 {
 		o.t.Fatalf("part %d left after its query ended", a.Part)
 	}
-	if (v.Cell-p.shard%o.cfg.Cells+o.cfg.Cells)%o.cfg.Cells >= o.cfg.Reach {
+	if (v.Cell-p.shard%o.cfg.Cells+o.cfg.Cells)%o.cfg.Cells >= o.cfg.CellsPerShard {
 		o.t.Fatalf("server %s does not hold shard %d", a.Server, p.shard)
 	}
 	if at, ok := o.told[a.Server]; ok && o.now > at+o.cfg.Rules.DrainGrace {
@@ -297,24 +297,24 @@
 			open++
 		}
 		if mayHave := at.open || at.ran; mayHave && q.class.Effect == AtMostOnce ||
-			mayHave && q.class.Effect == Deduped && o.now > at.at+q.class.RepeatWindow {
+			mayHave && q.class.Effect == Deduplicated && o.now > at.at+q.class.DedupWindow {
 			o.t.Fatalf("a part of class %s that may have run was sent again", q.class.Name)
 		}
 	}
-	if open > 0 && !o.cfg.Limits.SecondCopies || open > 1 || len(p.attempts) >= o.cfg.Limits.MaxTries {
+	if open > 0 && !o.cfg.Limits.Hedging || open > 1 || len(p.attempts) >= o.cfg.Limits.MaxAttempts {
 		o.t.Fatalf("too many attempts of part %d", a.Part)
 	}
 	if len(p.attempts) > 0 && o.cfg.Rules.Budgeted {
 		o.extras = append(o.extras, o.now)
 		n := func(ts []int64) (n int) {
 			for _, t := range ts {
-				if t > o.now-o.cfg.Rules.ExtraWindow {
+				if t > o.now-o.cfg.Rules.ExtraAttemptWindow {
 					n++
 				}
 			}
 			return n
 		}
-		if x, most := float64(n(o.extras)), o.cfg.Rules.FreeExtras+o.cfg.Rules.ExtraRatio*float64(n(o.taken)); x > most {
+		if x, most := float64(n(o.extras)), o.cfg.Rules.FreeExtraAttempts+o.cfg.Rules.ExtraAttemptRatio*float64(n(o.taken)); x > most {
 			o.t.Fatalf("%v further attempts, %v allowed", x, most)
 		}
 	}
@@ -327,19 +327,19 @@
 // checkCold holds this aggregator to its share of what a cold server of four cores can be sent.
 func (o *observer) checkCold(v *Server) {
 	age := o.now - v.StartedAt
-	if v.StartedAt == 0 || age >= o.cfg.Rules.WarmWithin {
+	if v.StartedAt == 0 || age >= o.cfg.Rules.WarmUp {
 		return
 	}
 	sends := append(o.cold[v.ID], coldSend{o.now, 60 * ms})
 	o.cold[v.ID] = sends
 	sum := 0.0
 	for _, c := range sends {
-		if c.at > o.now-o.cfg.Rules.FallWindow {
+		if c.at > o.now-o.cfg.Rules.OverloadWindow {
 			sum += c.work
 		}
 	}
-	share := o.cfg.Rules.ColdShare + (1-o.cfg.Rules.ColdShare)*float64(age)/float64(o.cfg.Rules.WarmWithin)
-	if most := o.cfg.Rules.FallMultiple * share * 4 * float64(o.cfg.Rules.FallWindow) / float64(o.cfg.Aggregators); sum > most {
+	share := o.cfg.Rules.SlowStartFraction + (1-o.cfg.Rules.SlowStartFraction)*float64(age)/float64(o.cfg.Rules.WarmUp)
+	if most := o.cfg.Rules.OverloadMultiple * share * 4 * float64(o.cfg.Rules.OverloadWindow) / float64(o.cfg.Aggregators); sum > most {
 		o.t.Fatalf("%v of work to cold %s, %v is its share", sum, v.ID, most)
 	}
 }
--- a/scheduler.go
+++ b/scheduler.go
@@ -61,8 +61,8 @@
 }
 
 func (s *Scheduler) open() {
-	s.started, s.servedAt, s.unseen = s.now, s.now, float64(s.cfg.Classes[0].Aim)
-	if s.cfg.AskMembership {
+	s.started, s.servedAt, s.unseen = s.now, s.now, float64(s.cfg.Classes[0].LatencyTarget)
+	if s.cfg.WatchMembership {
 		s.watch()
 	}
 }
@@ -88,7 +88,7 @@
 		}
 	case FleetChanged:
 		s.fleet(e)
-	case PeerSaid:
+	case PeerMessage:
 		if key, ok := strings.CutPrefix(e.Text, badKey); ok {
 			s.condemn(key)
 		}
@@ -101,7 +101,7 @@
 	case Replanned:
 		s.replan(e)
 	case AlarmRang:
-		if e.Mark == s.mark {
+		if e.ID == s.mark {
 			s.alarmAt = 0
 		}
 	}
@@ -112,8 +112,8 @@
 func (s *Scheduler) fleet(e FleetChanged) {
 	if e.Kind == FleetFailed {
 		// Ask again soon, not at once: its service may be in trouble. What took long has used up its pause.
-		wait := s.cfg.Rules.AskWithin/8 + s.rng.Int64N(s.cfg.Rules.AskWithin/8+1)
-		s.do(Note{Text: "the fleet's list could not be had; asking again"})
+		wait := s.cfg.Rules.MembershipWithin/8 + s.rng.Int64N(s.cfg.Rules.MembershipWithin/8+1)
+		s.do(Log{Text: "the fleet's list could not be had; asking again"})
 		s.watchAt = min(s.now+wait, max(s.calledAt+askApart, s.now+askApart/20+s.rng.Int64N(askApart/8)))
 		return
 	}
@@ -162,7 +162,7 @@
 		}
 		return hs
 	}
-	for j := 0; j < min(s.cfg.Reach, s.cfg.Cells); j++ {
+	for j := 0; j < min(s.cfg.CellsPerShard, s.cfg.Cells); j++ {
 		for _, r := range s.cells[(shard+j)%s.cfg.Cells] {
 			if r.Health == Ready {
 				hs = append(hs, r)
@@ -175,11 +175,11 @@
 // warmth is the least share of its capacity that a server can be counted on to have; 1 when it is warm.
 func (s *Scheduler) warmth(r *replica) float64 {
 	age := s.now - r.StartedAt
-	if r.StartedAt <= 0 || age >= s.cfg.Rules.WarmWithin {
+	if r.StartedAt <= 0 || age >= s.cfg.Rules.WarmUp {
 		return 1
 	}
-	c := s.cfg.Rules.ColdShare
-	return c + (1-c)*float64(max(age, 0))/float64(s.cfg.Rules.WarmWithin)
+	c := s.cfg.Rules.SlowStartFraction
+	return c + (1-c)*float64(max(age, 0))/float64(s.cfg.Rules.WarmUp)
 }
 
 // coldRoom tells whether a server that may be cold can take a part. Guards the rule that a cold server is not
@@ -190,15 +190,15 @@
 // the others' shifts what a server is taken to have.
 func (s *Scheduler) coldRoom(p *part, r *replica) bool {
 	w, work := s.warmth(r), s.ruleCost(p)
-	if w >= 1 || s.cfg.Rules.FallMultiple <= 0 {
+	if w >= 1 || s.cfg.Rules.OverloadMultiple <= 0 {
 		return true
 	}
-	for len(r.sends) > 0 && r.sends[0].at <= s.now-s.cfg.Rules.FallWindow-s.cfg.Period {
+	for len(r.sends) > 0 && r.sends[0].at <= s.now-s.cfg.Rules.OverloadWindow-s.cfg.Period {
 		r.sends = r.sends[1:]
 	}
-	most := coldMargin * s.cfg.Rules.FallMultiple * w // times capacity
+	most := coldMargin * s.cfg.Rules.OverloadMultiple * w // times capacity
 	rate := most * (s.carried() + 1/float64(s.cfg.Aggregators))
-	share := rate * float64(s.cfg.Rules.FallWindow)
+	share := rate * float64(s.cfg.Rules.OverloadWindow)
 	if work > share {
 		return s.coldTurn(p, r, rate) && s.drawn(p, r) < most
 	}
@@ -224,8 +224,8 @@
 // many are let through as are its fair share. Guards against what many aggregators have saved being spent at
 // the same moment, when something happens that all of them see.
 func (s *Scheduler) drawn(p *part, r *replica) float64 {
-	holders := max(s.cfg.Reach, len(s.holders(p.Shard)))
-	window := uint64(s.now / max(s.cfg.Rules.FallWindow, 1))
+	holders := max(s.cfg.CellsPerShard, len(s.holders(p.Shard)))
+	window := uint64(s.now / max(s.cfg.Rules.OverloadWindow, 1))
 	return draw(s.seed, uint64(p.ID), uint64(tagOf(string(r.ID))), window) * float64(holders)
 }
 
@@ -310,7 +310,7 @@
 	// Sends so far against time so far, in windows of the warm-up time, tell how rarely a server is tried.
 	s.span = 2 * s.aim
 	if n := s.sendsOf(); n > 0 {
-		s.span = min(max(s.span, int64(2*float64(s.ready)/n)), s.cfg.Rules.WarmWithin)
+		s.span = min(max(s.span, int64(2*float64(s.ready)/n)), s.cfg.Rules.WarmUp)
 	}
 }
 
@@ -371,7 +371,7 @@
 	if rate := r.failing.rate(s.now, s.span, 0); !r.struck && rate > 2.0/3 || r.struck && rate < 0.5 {
 		r.struck = !r.struck
 		text := map[bool]string{true: " is struck: most attempts fail", false: " answers again"}[r.struck]
-		s.do(Note{Text: "server " + string(r.ID) + text})
+		s.do(Log{Text: "server " + string(r.ID) + text})
 	}
 }
 
@@ -424,7 +424,7 @@
 			s.giveUp(q)
 		case s.now >= s.goal(q)-3*s.cfg.Period && s.answerable(q):
 			// Nothing later earns more: an answer in part now against late worth.
-			if q.class.Partial*q.weightIn()/max(q.class.Need, 0.01) >= q.class.LateWorth {
+			if q.class.PartialValue*q.weightIn()/max(q.class.CompleteWeight, 0.01) >= q.class.LateValue {
 				s.answer(q)
 			}
 		case s.now >= s.wanted(q):
@@ -445,9 +445,9 @@
 		return
 	}
 	s.condemn(q.Key)
-	s.do(Note{Text: "queries of key " + tag(q.Key) + " bring down servers: turned away"})
-	if s.cfg.Limits.Peers {
-		s.do(Tell{Peer: -1, Text: badKey + q.Key})
+	s.do(Log{Text: "queries of key " + tag(q.Key) + " bring down servers: turned away"})
+	if s.cfg.Limits.PeerMessages {
+		s.do(NotifyPeer{Peer: -1, Text: badKey + q.Key})
 	}
 }
 
@@ -483,11 +483,11 @@
 	slices.Sort(waits)
 	last := 0.0
 	if n := len(waits); n > 0 {
-		last = waits[max(0, min(n, int(math.Ceil(q.class.Floor*float64(n)-0.001)))-1)]
+		last = waits[max(0, min(n, int(math.Ceil(q.class.MinWeight*float64(n)-0.001)))-1)]
 	}
 	slack := s.slackNow() / (1 + strictly*s.strained())
-	allowed := min(slack*q.class.Worth*s.inShare(q)/s.bestWorth, slackMost) * float64(s.goal(q)-s.now)
-	if q.admitted = last <= allowed || q.class.LateWorth >= 1; q.admitted {
+	allowed := min(slack*q.class.Value*s.inShare(q)/s.bestWorth, slackMost) * float64(s.goal(q)-s.now)
+	if q.admitted = last <= allowed || q.class.LateValue >= 1; q.admitted {
 		return
 	}
 	s.refuse(q, int64(last-allowed))
@@ -507,13 +507,13 @@
 		return 1
 	}
 	use := (t.asked + fewQueries) / (s.asked*t.part + fewQueries)
-	return s.cfg.OverShareWorth + (1-s.cfg.OverShareWorth)*min(1, 1/use)
+	return s.cfg.OverQuotaValue + (1-s.cfg.OverQuotaValue)*min(1, 1/use)
 }
 
 // goal is the time to answer by: the aim, or before it as long as clients are seen to wait.
 func (s *Scheduler) goal(q *query) int64 {
 	by := min(q.aimOf(), q.Deadline-s.cfg.Period)
-	if w := s.patienceOf(q.class); w < float64(q.class.Aim) {
+	if w := s.patienceOf(q.class); w < float64(q.class.LatencyTarget) {
 		return min(by, q.came+int64(w))
 	}
 	return by
@@ -530,21 +530,22 @@
 	k := s.kind(q.class)
 	w := s.patienceOf(q.class)
 	next := w + paceWeight*(float64(s.now-q.came)-w)
-	if aim := float64(q.class.Aim); w >= aim/2 && next < aim/2 {
-		s.do(Note{Text: "clients of class " + q.class.Name + " leave early"})
+	if aim := float64(q.class.LatencyTarget); w >= aim/2 && next < aim/2 {
+		s.do(Log{Text: "clients of class " + q.class.Name + " leave early"})
 	}
 	k.patience, k.leftAt = next, s.now
-	k.leavers.note(s.now, 4*q.class.Aim, 1)
+	k.leavers.note(s.now, 4*q.class.LatencyTarget, 1)
 	s.learn(q, false)
 }
 
 // patienceOf is how long clients of a class are expected to wait, the aim at most, as far as they do leave.
 func (s *Scheduler) patienceOf(c *Class) float64 {
-	k, aim := s.kind(c), float64(c.Aim)
+	k, aim := s.kind(c), float64(c.LatencyTarget)
 	if k.leftAt == 0 {
 		return aim
 	}
-	counts := min(1, leaving*k.leavers.rate(s.now, 4*c.Aim, 0)) * fade(s.now-k.leftAt, 4*c.Aim)
+	span := 4 * c.LatencyTarget
+	counts := min(1, leaving*k.leavers.rate(s.now, span, 0)) * fade(s.now-k.leftAt, span)
 	return min(aim, aim+(k.patience-aim)*counts)
 }
 
@@ -554,7 +555,7 @@
 // given.
 func (s *Scheduler) wanted(q *query) int64 {
 	c := q.class
-	if c.LateWorth == 0 || c.LateWorth < 0.5 && c.Effect != AtMostOnce && s.strained() > strain {
+	if c.LateValue == 0 || c.LateValue < 0.5 && c.Effect != AtMostOnce && s.strained() > strain {
 		return q.aimOf()
 	}
 	return q.Deadline
@@ -563,7 +564,7 @@
 // answerable tells that an answer in part may be given for good.
 func (s *Scheduler) answerable(q *query) bool {
 	w := q.weightIn()
-	return w > 0 && w >= q.class.Floor && (q.second || q.class.Fetch == 0)
+	return w > 0 && w >= q.class.MinWeight && (q.second || q.class.SecondStepParts == 0)
 }
 
 // hopeless tells that the least weight for an answer can no longer come in.
@@ -572,15 +573,15 @@
 		return !q.second
 	}
 	w := q.weight(func(p *part) bool { return p.served || p.out() > 0 || s.mayTry(p) && s.hasHolder(p) })
-	return w < min(q.class.Floor, q.class.Need)-0.0001
+	return w < min(q.class.MinWeight, q.class.CompleteWeight)-0.0001
 }
 
 func (s *Scheduler) answer(q *query) {
 	whole := q.whole() && (!q.second || q.first)
-	s.kind(q.class).leavers.note(s.now, 4*q.class.Aim, 0)
+	s.kind(q.class).leavers.note(s.now, 4*q.class.LatencyTarget, 0)
 	s.learn(q, whole && s.now <= q.aimOf())
-	s.do(Answer{Query: q.ID, Whole: whole})
-	if q.class.Fetch > 0 && !q.second {
+	s.do(Answer{Query: q.ID, Complete: whole})
+	if q.class.SecondStepParts > 0 && !q.second {
 		s.release(q)
 		q.second, q.first, q.parts = true, whole, nil
 		return
@@ -643,7 +644,7 @@
 	s.slack, s.slackAt = min(max(s.slackNow()*by, slackLeast), s.slackTop), s.now
 	if strict := s.slack < 1; strict != s.strict && (strict || s.slack > s.slackTop/2) {
 		s.strict = strict
-		s.do(Note{Text: map[bool]string{true: "admission: strict", false: "admission: open"}[strict]})
+		s.do(Log{Text: map[bool]string{true: "admission: strict", false: "admission: open"}[strict]})
 	}
 }
 
@@ -671,18 +672,18 @@
 // mayTry tells whether the rules allow one more attempt of a part while none, or where second copies are
 // allowed one, is out.
 func (s *Scheduler) mayTry(p *part) bool {
-	if p.served || p.q.done || p.tries() >= max(1, s.cfg.Limits.MaxTries) {
+	if p.served || p.q.done || p.tries() >= max(1, s.cfg.Limits.MaxAttempts) {
 		return false
 	}
-	if n := p.out(); n > 1 || n == 1 && !s.cfg.Limits.SecondCopies {
+	if n := p.out(); n > 1 || n == 1 && !s.cfg.Limits.Hedging {
 		return false
 	}
 	switch p.q.class.Effect {
 	case AtMostOnce:
 		return !p.mayHaveRun()
-	case Deduped:
+	case Deduplicated:
 		for _, a := range p.attempts {
-			if (!a.ended || a.ran) && s.now > a.sent+p.q.class.RepeatWindow-2*s.cfg.Period {
+			if (!a.ended || a.ran) && s.now > a.sent+p.q.class.DedupWindow-2*s.cfg.Period {
 				return false
 			}
 		}
@@ -696,18 +697,18 @@
 	if !r.Budgeted {
 		return math.Inf(1)
 	}
-	since := s.now - r.ExtraWindow
+	since := s.now - r.ExtraAttemptWindow
 	for len(s.taken) > 0 && s.taken[0] <= since {
 		s.taken = s.taken[1:]
 	}
 	for len(s.extras) > 0 && s.extras[0] < since {
 		s.extras = s.extras[1:]
 	}
-	free := r.FreeExtras
+	free := r.FreeExtraAttempts
 	if s.now < s.freeFrom {
 		free = 0
 	}
-	return math.Floor(free+r.ExtraRatio*float64(len(s.taken))) - float64(len(s.extras))
+	return math.Floor(free+r.ExtraAttemptRatio*float64(len(s.taken))) - float64(len(s.extras))
 }
 
 // dispatch sends every part that waits, the heavy ones first.
@@ -738,7 +739,8 @@
 		}
 	}
 	for _, p := range doubtful {
-		if q := p.q; q.class.Floor >= q.class.Need || q.second || q.coming() < q.class.Floor {
+		q := p.q
+		if q.class.MinWeight >= q.class.CompleteWeight || q.second || q.coming() < q.class.MinWeight {
 			r, _ := s.pick(p)
 			s.sendFor(p, r)
 		}
@@ -785,7 +787,7 @@
 		if len(spare) < len(q.parts) {
 			return true
 		}
-		promised = q.class.Need - 1e-9
+		promised = q.class.CompleteWeight - 1e-9
 	}
 	prices := map[*part]float64{}
 	for _, p := range spare {
@@ -796,7 +798,7 @@
 	}
 	slices.SortStableFunc(spare, func(a, b *part) int { return cmp.Compare(prices[a], prices[b]) })
 	n := 0
-	for ; n < len(spare) && (q.second || promised < q.class.Need); n++ {
+	for ; n < len(spare) && (q.second || promised < q.class.CompleteWeight); n++ {
 		spare[n].asked = true
 		promised += spare[n].Weight
 	}
@@ -811,7 +813,7 @@
 			missing++
 		}
 	}
-	return q.class.Worth * float64(q.Work) / float64(max(missing, 1))
+	return q.class.Value * float64(q.Work) / float64(max(missing, 1))
 }
 
 // overdue tells that a part's latest attempt has taken longer than predicted, and that its query's time is
@@ -820,7 +822,7 @@
 func (s *Scheduler) overdue(p *part) bool {
 	a := p.attempts[len(p.attempts)-1]
 	by, usual := s.goal(p.q), a.due
-	if p.q.class.Fetch > 0 && !p.q.second {
+	if p.q.class.SecondStepParts > 0 && !p.q.second {
 		by -= (by - p.q.came) / 3
 	}
 	if p.q.nearly() { // what counts is how long it takes elsewhere
@@ -832,7 +834,7 @@
 // giveUpLoss weighs what a further attempt throws away: twice as much must be in sight where the first has
 // to be taken back, since its work and its place in the queue are lost.
 func (s *Scheduler) giveUpLoss() float64 {
-	if s.cfg.Limits.SecondCopies {
+	if s.cfg.Limits.Hedging {
 		return 1
 	}
 	return 2
@@ -846,19 +848,19 @@
 func (s *Scheduler) tryElsewhere(p *part) {
 	a := p.attempts[len(p.attempts)-1]
 	r, t := s.pick(p)
-	nearly := p.q.nearly() && s.cfg.Limits.SecondCopies
+	nearly := p.q.nearly() && s.cfg.Limits.Hedging
 	if !nearly {
 		t *= s.doubt()
 	}
-	if r == nil || s.budget() < 1 || p.tries() >= s.cfg.Limits.MaxTries || t > float64(s.goal(p.q)-s.now) ||
-		!nearly && t >= float64(s.now-a.sent)/s.giveUpLoss() {
+	if r == nil || s.budget() < 1 || p.tries() >= s.cfg.Limits.MaxAttempts ||
+		t > float64(s.goal(p.q)-s.now) || !nearly && t >= float64(s.now-a.sent)/s.giveUpLoss() {
 		return
 	}
 	if s.mayTry(p) {
 		s.send(p, r)
 		return
 	}
-	if !s.cfg.Limits.MayCancel || s.cfg.Limits.SecondCopies || p.q.class.Effect == AtMostOnce {
+	if !s.cfg.Limits.MayCancel || s.cfg.Limits.Hedging || p.q.class.Effect == AtMostOnce {
 		return
 	}
 	s.do(Cancel{Part: p.ID, Attempt: a.n})
@@ -888,7 +890,7 @@
 		w := t
 		if r.Zone != s.cfg.Zone {
 			// A crossing is charged as a delay: only the last of a query's parts delays its answer.
-			w += zoneWeight * s.cfg.Prices.CrossZone * float64(p.q.class.Aim)
+			w += zoneWeight * s.cfg.Prices.CrossZone * float64(p.q.class.LatencyTarget)
 		}
 		switch {
 		case best == nil || w < least:
@@ -951,7 +953,7 @@
 	}
 	if !s.recent(s.staleAt) {
 		s.stale = a.idle
-		s.do(Note{Text: "connections break when idle: closing them before use"})
+		s.do(Log{Text: "connections break when idle: closing them before use"})
 	}
 	s.stale, s.staleAt = min(s.stale, a.idle), s.now
 	return true
@@ -1056,5 +1058,5 @@
 	}
 	s.mark++
 	s.alarmAt = next
-	s.do(SetAlarm{Mark: s.mark, At: next})
+	s.do(SetAlarm{ID: s.mark, At: next})
 }
--- a/scheduler_test.go
+++ b/scheduler_test.go
@@ -13,15 +13,15 @@
 // plain is a deployment of one cell with n classes' worth of defaults; tests change what they need.
 func plain() Settings {
 	return Settings{
-		Aggregators: 1, Period: 5 * ms, Shards: 2, Cells: 2, Reach: 2, PartsPerCall: 1,
+		Aggregators: 1, Period: 5 * ms, Shards: 2, Cells: 2, CellsPerShard: 2, PartsPerCall: 1,
 		Classes: []Class{{
-			Name: "q", Aim: 1000 * ms, HardLimit: 3000 * ms, Worth: 1, Need: 1, Floor: 1, Partial: 0.9,
-			RepeatWindow: 1000 * ms,
+			Name: "q", LatencyTarget: 1000 * ms, HardLimit: 3000 * ms, Value: 1, CompleteWeight: 1, MinWeight: 1, PartialValue: 0.9,
+			DedupWindow: 1000 * ms,
 		}},
-		Limits: Limits{MaxTries: 3, MayCancel: true},
+		Limits: Limits{MaxAttempts: 3, MayCancel: true},
 		Rules: Rules{
-			AnswerGrace: 20 * ms, DrainGrace: 1000 * ms, ColdShare: 0.3, WarmWithin: 10000 * ms,
-			FallMultiple: 3, FallWindow: 1000 * ms, AskWithin: 10000 * ms,
+			AnswerGrace: 20 * ms, DrainGrace: 1000 * ms, SlowStartFraction: 0.3, WarmUp: 10000 * ms,
+			OverloadMultiple: 3, OverloadWindow: 1000 * ms, MembershipWithin: 10000 * ms,
 		},
 	}
 }
@@ -53,7 +53,7 @@
 func (sc *script) step(after int64, events ...Event) []Action {
 	sc.now += after
 	if len(events) == 0 {
-		events = []Event{AlarmRang{Mark: sc.s.mark}}
+		events = []Event{AlarmRang{ID: sc.s.mark}}
 	}
 	sc.got = sc.s.Step(sc.now, events)
 	return sc.got
@@ -139,7 +139,7 @@
 		t.Fatalf("answered from half the parts: %v", got)
 	}
 	got := of[Answer](sc.step(ms, served(sends[1], 0, 51*ms)))
-	if len(got) != 1 || !got[0].Whole || got[0].Query != 100 {
+	if len(got) != 1 || !got[0].Complete || got[0].Query != 100 {
 		t.Fatalf("want one whole answer, got %v", got)
 	}
 	if got := sc.run(4000 * ms); len(of[Fail](got))+len(of[Refuse](got))+len(of[Answer](got)) != 0 {
@@ -236,14 +236,14 @@
 
 func TestAnAnswerInPartGoesOutAtTheAim(t *testing.T) {
 	cfg := plain()
-	cfg.Classes[0].Floor, cfg.Classes[0].LateWorth = 0.5, 0.1
+	cfg.Classes[0].MinWeight, cfg.Classes[0].LateValue = 0.5, 0.1
 	sc := newScript(t, cfg, "a", "b")
 	sends := of[Send](sc.step(0, sc.ask(100, 50*ms, 50*ms)...))
 	sc.step(60*ms, served(sends[0], 0, 60*ms))
 	start := sc.now
 	for sc.now < start+2000*ms {
 		if got := of[Answer](sc.step(10 * ms)); len(got) > 0 {
-			if got[0].Whole || sc.now > start+945*ms {
+			if got[0].Complete || sc.now > start+945*ms {
 				t.Fatalf("%v after %d us", got, sc.now-start)
 			}
 			return
@@ -254,7 +254,7 @@
 
 func TestOnlyTheSufficientPartsAreAsked(t *testing.T) {
 	cfg := plain()
-	cfg.Classes[0].Need, cfg.Classes[0].Floor = 0.6, 0.6
+	cfg.Classes[0].CompleteWeight, cfg.Classes[0].MinWeight = 0.6, 0.6
 	sc := newScript(t, cfg, "a", "b")
 	if got := of[Send](sc.step(0, sc.ask(100, 50*ms, 50*ms, 50*ms, 50*ms, 50*ms)...)); len(got) != 3 {
 		t.Fatalf("want three of five parts, got %v", got)
@@ -339,13 +339,13 @@
 		"no shards":      func(s *Settings) { s.Shards = 0 },
 		"no cells":       func(s *Settings) { s.Cells = 0 },
 		"no classes":     func(s *Settings) { s.Classes = nil },
-		"negative aim":   func(s *Settings) { s.Classes[0].Aim = -1 },
-		"need above one": func(s *Settings) { s.Classes[0].Need = 1.5 },
-		"negative rule":  func(s *Settings) { s.Rules.FallWindow = -1 },
+		"negative aim":   func(s *Settings) { s.Classes[0].LatencyTarget = -1 },
+		"need above one": func(s *Settings) { s.Classes[0].CompleteWeight = 1.5 },
+		"negative rule":  func(s *Settings) { s.Rules.OverloadWindow = -1 },
 		"tenant below 0": func(s *Settings) { s.Tenants = []Tenant{{Name: "t", Quota: -1}} },
-		"over share":     func(s *Settings) { s.OverShareWorth = -0.1 },
+		"over share":     func(s *Settings) { s.OverQuotaValue = -0.1 },
 		"a window below 0, though no part is repeated": func(s *Settings) {
-			s.Classes[0].Effect, s.Classes[0].RepeatWindow = AtMostOnce, -1
+			s.Classes[0].Effect, s.Classes[0].DedupWindow = AtMostOnce, -1
 		},
 		"self too large": func(s *Settings) { s.Self = 1 },
 	} {
@@ -396,7 +396,7 @@
 
 func TestAKeyThatBringsDownServersIsTurnedAway(t *testing.T) {
 	cfg := plain()
-	cfg.Limits.Peers = true
+	cfg.Limits.PeerMessages = true
 	sc := newScript(t, cfg, "a", "b")
 	for id := ID(10); id < 20; id += 2 { // the path is sound
 		a := of[Send](sc.step(ms, sc.ask(id, 10*ms)...))[0]
@@ -412,7 +412,7 @@
 	if r := of[Refuse](sc.got); len(r) != 1 || r[0].Query != 100 {
 		t.Fatalf("want query 100 ended, got %v", sc.got)
 	}
-	if tell := of[Tell](sc.got); len(tell) != 1 || tell[0].Text != "bad k" {
+	if tell := of[NotifyPeer](sc.got); len(tell) != 1 || tell[0].Text != "bad k" {
 		t.Errorf("want the peers told, got %v", tell)
 	}
 	if !slices.ContainsFunc(again, func(s Send) bool { return s.Part == bystander.Part }) {
@@ -433,11 +433,11 @@
 
 func TestAPeersWordTurnsAKeyAway(t *testing.T) {
 	sc := newScript(t, plain(), "a", "b")
-	sc.step(0, PeerSaid{Peer: 1, Text: "bad k"}, PeerSaid{Peer: 1, Text: "something else"})
+	sc.step(0, PeerMessage{Peer: 1, Text: "bad k"}, PeerMessage{Peer: 1, Text: "something else"})
 	if r := of[Refuse](sc.step(ms, withKey(sc.ask(100, 100*ms), "k")...)); len(r) != 1 {
 		t.Fatalf("not turned away: %v", sc.got)
 	}
-	sc.step(plain().Rules.WarmWithin + ms)
+	sc.step(plain().Rules.WarmUp + ms)
 	if got := of[Send](sc.step(ms, withKey(sc.ask(200, 100*ms, 100*ms), "k")...)); len(got) == 0 {
 		t.Errorf("still turned away after the warm-up time: %v", sc.got)
 	}
@@ -452,7 +452,7 @@
 	if strict != slackLeast {
 		t.Fatalf("slack %v after many misses, want %v", strict, slackLeast)
 	}
-	sc.now += 60 * plain().Classes[0].Aim
+	sc.now += 60 * plain().Classes[0].LatencyTarget
 	sc.s.now = sc.now
 	if open := sc.s.slackNow(); open < 0.95*sc.s.slackTop {
 		t.Errorf("slack %v long after the last miss, want about %v", open, sc.s.slackTop)
@@ -463,8 +463,8 @@
 func behindABusyHolder(t *testing.T, floor float64, work int64) *script {
 	t.Helper()
 	cfg := plain()
-	cfg.Reach = 1
-	cfg.Classes[0].Floor = floor
+	cfg.CellsPerShard = 1
+	cfg.Classes[0].MinWeight = floor
 	sc := newScript(t, cfg, "a", "b")
 	sc.step(0, sc.ask(100, work)...)
 	return sc
@@ -495,7 +495,7 @@
 // their sum keeps the rule for a server of one core.
 func TestManyAggregatorsTakeTurnsAtAColdServer(t *testing.T) {
 	cfg := plain()
-	cfg.Aggregators, cfg.Shards, cfg.Cells, cfg.Reach = 40, 1, 1, 1
+	cfg.Aggregators, cfg.Shards, cfg.Cells, cfg.CellsPerShard = 40, 1, 1, 1
 	start := int64(1_000_000_000)
 	type sent struct{ at, work int64 }
 	var all []sent
@@ -530,12 +530,12 @@
 	for _, from := range all {
 		var sum int64
 		for _, x := range all {
-			if x.at >= from.at && x.at < from.at+cfg.Rules.FallWindow {
+			if x.at >= from.at && x.at < from.at+cfg.Rules.OverloadWindow {
 				sum += x.work
 			}
 		}
-		warm := cfg.Rules.ColdShare + (1-cfg.Rules.ColdShare)*float64(from.at-start)/float64(cfg.Rules.WarmWithin)
-		if most := cfg.Rules.FallMultiple * warm * float64(cfg.Rules.FallWindow); float64(sum) > most {
+		warm := cfg.Rules.SlowStartFraction + (1-cfg.Rules.SlowStartFraction)*float64(from.at-start)/float64(cfg.Rules.WarmUp)
+		if most := cfg.Rules.OverloadMultiple * warm * float64(cfg.Rules.OverloadWindow); float64(sum) > most {
 			t.Fatalf("%d of work within a window from %d, the rule allows %v", sum, from.at-start, most)
 		}
 	}
--- a/size_test.go
+++ b/size_test.go
@@ -25,9 +25,9 @@
 // large is a deployment of so many servers, each shard held by reach of them, in six zones of two regions' worth.
 func large(servers, reach int) Settings {
 	cfg := plain()
-	cfg.Aggregators, cfg.Shards, cfg.Cells, cfg.Reach, cfg.Zone = 600, servers, servers, reach, "z0"
-	cfg.Classes = []Class{{Name: "q", Aim: 75 * ms, HardLimit: 1000 * ms, Worth: 1, Need: 1, Floor: 1, Partial: 0.9}}
-	cfg.Limits.SecondCopies = true
+	cfg.Aggregators, cfg.Shards, cfg.Cells, cfg.CellsPerShard, cfg.Zone = 600, servers, servers, reach, "z0"
+	cfg.Classes = []Class{{Name: "q", LatencyTarget: 75 * ms, HardLimit: 1000 * ms, Value: 1, CompleteWeight: 1, MinWeight: 1, PartialValue: 0.9}}
+	cfg.Limits.Hedging = true
 	return cfg
 }
 
--- a/sparse_test.go
+++ b/sparse_test.go
@@ -59,7 +59,7 @@
 
 func TestCopiesThatComeToNothingAreHeldBack(t *testing.T) {
 	cfg := plain()
-	cfg.Limits.SecondCopies = true
+	cfg.Limits.Hedging = true
 	if first := vainCopies(t, cfg, 1); first != 1 {
 		t.Fatalf("%d copies of the first part that is overdue, want one: nothing is known yet", first)
 	}
@@ -74,7 +74,7 @@
 		want int64
 	}{{0, 1000 * ms}, {0.1, 3000 * ms}} {
 		cfg := plain()
-		cfg.Classes[0].LateWorth = tc.late
+		cfg.Classes[0].LateValue = tc.late
 		sc := newScript(t, cfg, "a", "b")
 		if s := of[Send](sc.step(0, sc.ask(100, 100*ms)...)); len(s) != 1 || s[0].Timeout != tc.want {
 			t.Errorf("late worth %v: %v, want a time-out of %d us", tc.late, s, tc.want)
@@ -114,7 +114,7 @@
 func TestSharesOfAColdServerSumToLessThanTheRule(t *testing.T) {
 	cfg := oneCell()
 	cfg.Aggregators = 8
-	cfg.Rules.FallMultiple = 2
+	cfg.Rules.OverloadMultiple = 2
 	sum := 0.0
 	for self := range cfg.Aggregators {
 		cfg.Self = self
@@ -125,7 +125,7 @@
 		if self == 0 {
 			carried = 0.9
 		}
-		sc.s.served, sc.s.servedAt = carried*float64(cfg.Rules.WarmWithin), sc.now
+		sc.s.served, sc.s.servedAt = carried*float64(cfg.Rules.WarmUp), sc.now
 		room := 0.0
 		p := &part{Part: Part{Work: ms}, q: &query{class: &sc.s.cfg.Classes[0]}}
 		for r := sc.s.servers["cold"]; sc.s.coldRoom(p, r); room += ms {
@@ -133,7 +133,7 @@
 		}
 		sum += room
 	}
-	limit := cfg.Rules.FallMultiple * cfg.Rules.ColdShare * float64(cfg.Rules.FallWindow)
+	limit := cfg.Rules.OverloadMultiple * cfg.Rules.SlowStartFraction * float64(cfg.Rules.OverloadWindow)
 	if sum > limit {
 		t.Errorf("%v us of work may reach a cold server within a window, the rule allows %v", sum, limit)
 	}
@@ -144,7 +144,7 @@
 
 func TestATenantBeyondItsShareIsRefusedFirst(t *testing.T) {
 	cfg := plain()
-	cfg.Tenants, cfg.OverShareWorth = []Tenant{{Name: "big", Quota: 1}, {Name: "small", Quota: 9}}, 0.1
+	cfg.Tenants, cfg.OverQuotaValue = []Tenant{{Name: "big", Quota: 1}, {Name: "small", Quota: 9}}, 0.1
 	sc := newScript(t, cfg, "a", "b")
 	asTenant := func(id ID, tenant string) []Event {
 		return withQuery(sc.ask(id, ms), func(q *Query) { q.Tenant = tenant })
@@ -155,7 +155,7 @@
 		}
 	}
 	worth := func(tenant string) float64 { return sc.s.inShare(&query{Query: Query{Tenant: tenant}}) }
-	if big := worth("big"); big > 0.35 || big < cfg.OverShareWorth {
+	if big := worth("big"); big > 0.35 || big < cfg.OverQuotaValue {
 		t.Errorf("a tenant with ten times its part of the traffic counts %v of its worth", big)
 	}
 	if small, other := worth("small"), worth("unheard of"); small != 1 || other != 1 {
--- a/state.go
+++ b/state.go
@@ -194,14 +194,14 @@
 	}
 	cfg.Classes, cfg.Tenants = slices.Clone(cfg.Classes), slices.Clone(cfg.Tenants)
 	s.cfg, s.classes = cfg, map[string]*Class{}
-	s.aim, s.longest, s.bestWorth = cfg.Classes[0].Aim, 0, 0
+	s.aim, s.longest, s.bestWorth = cfg.Classes[0].LatencyTarget, 0, 0
 	least := math.Inf(1)
 	for i := range cfg.Classes {
 		c := &cfg.Classes[i]
-		s.aim = max(1, min(s.aim, c.Aim))
+		s.aim = max(1, min(s.aim, c.LatencyTarget))
 		s.longest = max(s.longest, c.HardLimit)
-		s.bestWorth = max(s.bestWorth, c.Worth, 1e-9)
-		least = min(least, max(c.Worth, 1e-9))
+		s.bestWorth = max(s.bestWorth, c.Value, 1e-9)
+		least = min(least, max(c.Value, 1e-9))
 		s.classes[c.Name] = c
 	}
 	s.slackTop = slackMost * s.bestWorth / least
@@ -231,13 +231,13 @@
 	}
 	for id, r := range s.servers {
 		if r.listed && (r.paceT > 0 || r.failing.at > 0) {
-			l.Servers = append(l.Servers, Known{
-				Server: id, Pace: r.pace, PaceAt: r.paceT, Fails: r.failing.fails, Tries: r.failing.tries,
-				At: r.failing.at,
+			l.Servers = append(l.Servers, LearnedServer{
+				Server: id, LatencyRatio: r.pace, LatencyRatioAt: r.paceT, Failures: r.failing.fails, Attempts: r.failing.tries,
+				CountedAt: r.failing.at,
 			})
 		}
 	}
-	slices.SortFunc(l.Servers, func(a, b Known) int { return cmp.Compare(a.Server, b.Server) })
+	slices.SortFunc(l.Servers, func(a, b LearnedServer) int { return cmp.Compare(a.Server, b.Server) })
 	return l
 }
 
@@ -316,16 +316,16 @@
 
 // recallServer takes in what was learnt of a server, unless something was learnt here already. A time that lies ahead, as a clock that
 // was set back leaves it, counts as now.
-func (s *Scheduler) recallServer(k Known) {
+func (s *Scheduler) recallServer(k LearnedServer) {
 	r := s.servers[k.Server]
-	if r == nil || r.StartedAt > max(k.PaceAt, k.At) || !(k.Fails >= 0 && k.Tries >= k.Fails) || math.IsInf(k.Tries, 0) {
+	if r == nil || r.StartedAt > max(k.LatencyRatioAt, k.CountedAt) || !(k.Failures >= 0 && k.Attempts >= k.Failures) || math.IsInf(k.Attempts, 0) {
 		return
 	}
-	if r.paceT == 0 && k.PaceAt > r.StartedAt && k.Pace > 0 && !math.IsInf(k.Pace, 0) {
-		r.pace, r.paceT = k.Pace, min(k.PaceAt, s.now)
+	if r.paceT == 0 && k.LatencyRatioAt > r.StartedAt && k.LatencyRatio > 0 && !math.IsInf(k.LatencyRatio, 0) {
+		r.pace, r.paceT = k.LatencyRatio, min(k.LatencyRatioAt, s.now)
 	}
-	if r.failing.at == 0 && k.At > r.StartedAt {
-		r.failing = evidence{fails: k.Fails, tries: k.Tries, at: min(k.At, s.now)}
+	if r.failing.at == 0 && k.CountedAt > r.StartedAt {
+		r.failing = evidence{fails: k.Failures, tries: k.Attempts, at: min(k.CountedAt, s.now)}
 	}
 }
 
@@ -341,7 +341,7 @@
 			s.plagueAt = max(s.plagueAt, at)
 		}
 	}
-	s.freeFrom = s.now + s.cfg.Rules.ExtraWindow
+	s.freeFrom = s.now + s.cfg.Rules.ExtraAttemptWindow
 }
 
 // tag stands for a key in the log: keys are clients' data.
@@ -527,12 +527,12 @@
 	if q.second {
 		return q.allIn()
 	}
-	return q.allIn() || q.weightIn() >= q.class.Need
+	return q.allIn() || q.weightIn() >= q.class.CompleteWeight
 }
 
 // tally counts a query, of a tenant or of none, within about the warm-up time.
 func (s *Scheduler) tally(tenant string) {
-	kept := fade(s.now-s.askedAt, s.cfg.Rules.WarmWithin)
+	kept := fade(s.now-s.askedAt, s.cfg.Rules.WarmUp)
 	for _, t := range s.tenants {
 		t.asked *= kept
 	}
@@ -559,7 +559,7 @@
 
 func (s *Scheduler) decayServed() {
 	if s.now > s.servedAt {
-		s.served *= math.Exp(-float64(s.now-s.servedAt) / max(1, float64(s.cfg.Rules.WarmWithin)))
+		s.served *= math.Exp(-float64(s.now-s.servedAt) / max(1, float64(s.cfg.Rules.WarmUp)))
 		s.servedAt = s.now
 	}
 }
@@ -570,7 +570,7 @@
 }
 
 // recent tells that something happened within the warm-up time.
-func (s *Scheduler) recent(at int64) bool { return at > 0 && s.now < at+s.cfg.Rules.WarmWithin }
+func (s *Scheduler) recent(at int64) bool { return at > 0 && s.now < at+s.cfg.Rules.WarmUp }
 
 // brokeApart tells that attempts of a query's parts broke on two servers that one event does not explain: in two zones,
 // where zones are told apart, or one of them after the other was known.
@@ -603,7 +603,7 @@
 
 // aimOf is the time by which an answer earns its whole worth.
 func (q *query) aimOf() int64 {
-	aim := float64(q.class.Aim) + q.class.AimStretch*float64(q.Work)
+	aim := float64(q.class.LatencyTarget) + q.class.LatencyTargetStretch*float64(q.Work)
 	return min(q.arrived+int64(aim), q.Deadline)
 }
 
@@ -626,7 +626,7 @@
 	if warm == 0 || s.now == s.started {
 		return 0
 	}
-	tau := float64(s.cfg.Rules.WarmWithin)
+	tau := float64(s.cfg.Rules.WarmUp)
 	return s.served / float64(warm) / (tau * (1 - math.Exp(-float64(s.now-s.started)/tau)))
 }
 
--- a/validate.go
+++ b/validate.go
@@ -12,13 +12,13 @@
 		return fmt.Errorf("aggregator %d of %d makes no sense", c.Self, c.Aggregators)
 	case c.Period < 0:
 		return errors.New("the period is negative")
-	case c.Shards < 1 || c.Cells < 1 || c.Reach < 1:
-		return fmt.Errorf("%d shards in %d cells, each held by %d, make no sense", c.Shards, c.Cells, c.Reach)
+	case c.Shards < 1 || c.Cells < 1 || c.CellsPerShard < 1:
+		return fmt.Errorf("%d shards in %d cells, each held by %d, make no sense", c.Shards, c.Cells, c.CellsPerShard)
 	case len(c.Classes) == 0:
 		return errors.New("there are no classes")
 	case c.CallOverhead < 0 || c.PartsPerCall < 0:
 		return errors.New("a call has a negative overhead or number of parts")
-	case c.Limits.MaxTries < 0 || c.Limits.MaxRetryAfter < 0:
+	case c.Limits.MaxAttempts < 0 || c.Limits.MaxRetryAfter < 0:
 		return errors.New("a limit is negative")
 	}
 	for _, k := range c.Tenants {
@@ -26,12 +26,12 @@
 			return fmt.Errorf("tenant %q has a share below nought", k.Name)
 		}
 	}
-	if c.OverShareWorth < 0 {
+	if c.OverQuotaValue < 0 {
 		return errors.New("the worth beyond a tenant's share is negative")
 	}
 	r := c.Rules
-	if r.AnswerGrace < 0 || r.DrainGrace < 0 || r.ColdShare < 0 || r.WarmWithin < 0 || r.FallMultiple < 0 ||
-		r.FallWindow < 0 || r.AskWithin < 0 || r.FreeExtras < 0 || r.ExtraRatio < 0 || r.ExtraWindow < 0 {
+	if r.AnswerGrace < 0 || r.DrainGrace < 0 || r.SlowStartFraction < 0 || r.WarmUp < 0 || r.OverloadMultiple < 0 ||
+		r.OverloadWindow < 0 || r.MembershipWithin < 0 || r.FreeExtraAttempts < 0 || r.ExtraAttemptRatio < 0 || r.ExtraAttemptWindow < 0 {
 		return errors.New("a figure of the rules is negative")
 	}
 	named := map[string]bool{}
@@ -39,9 +39,9 @@
 		switch {
 		case named[k.Name]:
 			return fmt.Errorf("class %q is there twice", k.Name)
-		case k.Aim < 0 || k.HardLimit <= 0 || k.RepeatWindow < 0 || k.AimStretch < 0:
+		case k.LatencyTarget < 0 || k.HardLimit <= 0 || k.DedupWindow < 0 || k.LatencyTargetStretch < 0:
 			return fmt.Errorf("class %q has a time that makes no sense", k.Name)
-		case k.Need < 0 || k.Need > 1 || k.Floor < 0 || k.Floor > 1 || k.Fetch < 0 || k.Worth < 0:
+		case k.CompleteWeight < 0 || k.CompleteWeight > 1 || k.MinWeight < 0 || k.MinWeight > 1 || k.SecondStepParts < 0 || k.Value < 0:
 			return fmt.Errorf("class %q has a share, worth or number of parts that makes no sense", k.Name)
 		}
 		named[k.Name] = true
