--- a/internal/scheduler/registry/heartbeat_handler.go
+++ b/internal/scheduler/registry/heartbeat_handler.go
@@ -5,82 +5,85 @@
 	"sync"
 )
 
-// HeartbeatHandler decides on what workers say of themselves, at a process that holds a replica of their shard. It is pure but for its lock.
+// HeartbeatHandler decides on the heartbeats of a shard's workers at a process with a replica of the shard. It only returns decisions: the
+// caller proposes the commands to the shard's log. All methods may be called from any goroutine.
 type HeartbeatHandler struct {
 	registry *Registry
 
 	mu       sync.Mutex
 	liveness *LivenessTracker
-	epoch    uint64 // under which owner has begun
+	epoch    uint64 // the one in which liveness was last reset
 }
 
-// NewHeartbeatHandler returns the handler of a shard.
+// NewHeartbeatHandler returns the handler of a shard. HeartbeatMS is the interval at which workers send heartbeats.
 func NewHeartbeatHandler(registry *Registry, heartbeatMS int64) *HeartbeatHandler {
 	return &HeartbeatHandler{registry: registry, liveness: NewLivenessTracker(heartbeatMS)}
 }
 
-// Ownership is how a process stands towards a shard at a moment.
+// Ownership is a process's relation to a shard at one moment.
 type Ownership struct {
-	NowMS    int64 // milliseconds
-	Epoch    uint64
-	HasLease bool // it is the owner, and no other can have been elected yet
+	NowMS    int64  // the time, of a clock that never runs backwards
+	Epoch    uint64 // the shard's epoch as far as this process knows
+	HasLease bool   // the process leads the shard's group, and no other can have been elected yet
 }
 
-// Decide takes a heartbeat or a leave in. Where it returns a command, that has to be agreed on before the worker is answered; DONE without one
-// says that the shard knows all of it already. A process that doesn't own the shard decides nothing.
-func (d *HeartbeatHandler) Decide(o Ownership, r *rpc.HeartbeatRequest) (rpc.Outcome, *rpc.RegistryCommand) {
+// Decide handles a heartbeat, or the message with which a worker leaves. A returned command must be committed before the worker is answered.
+// DONE without a command means that the shard knows all of it already. Without the lease the outcome is NOT_LEADER, and nothing is recorded.
+func (h *HeartbeatHandler) Decide(o Ownership, r *rpc.HeartbeatRequest) (rpc.Outcome, *rpc.RegistryCommand) {
 	id := r.Instance.Id
 	switch {
 	case !o.HasLease:
 		return rpc.Outcome_NOT_LEADER, nil
-	case d.registry.HasLeft(id):
+	case h.registry.HasLeft(id):
 		return rpc.Outcome_DONE, nil
 	case r.Leaving:
 		return rpc.Outcome_DONE, &rpc.RegistryCommand{Command: &rpc.RegistryCommand_Remove{Remove: id}}
 	}
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.beginEpoch(o)
-	if !d.liveness.Observe(o.NowMS, d.registry.Instance(id), r.Instance) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.beginEpoch(o)
+	if !h.liveness.Observe(o.NowMS, h.registry.Instance(id), r.Instance) {
 		return rpc.Outcome_DONE, nil
 	}
 	return rpc.Outcome_DONE, &rpc.RegistryCommand{Command: &rpc.RegistryCommand_Put{Put: r.Instance}}
 }
 
-// beginEpoch starts following the heartbeats when this process has become the owner.
-func (d *HeartbeatHandler) beginEpoch(o Ownership) {
-	if d.epoch != o.Epoch {
-		d.epoch = o.Epoch
-		d.liveness.Reset(o.NowMS, d.registry.Instances())
+// beginEpoch resets the liveness tracker at the first call in an epoch that this process owns.
+func (h *HeartbeatHandler) beginEpoch(o Ownership) {
+	if h.epoch != o.Epoch {
+		h.epoch = o.Epoch
+		h.liveness.Reset(o.NowMS, h.registry.Instances())
 	}
 }
 
-// OverdueCommands returns the commands that declare workers lost whose heartbeats have ceased, and forget those that were lost long ago.
-func (d *HeartbeatHandler) OverdueCommands(o Ownership, forgetAfterMS int64) (commands []*rpc.RegistryCommand) {
+// OverdueCommands returns the commands that declare workers without heartbeats lost, and that remove those lost for longer than forgetAfterMS.
+// Without the lease there are none. The caller calls it periodically and proposes the commands; one that is not committed is returned again.
+func (h *HeartbeatHandler) OverdueCommands(o Ownership, forgetAfterMS int64) (commands []*rpc.RegistryCommand) {
 	if !o.HasLease {
 		return nil
 	}
-	known := d.registry.Instances()
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.beginEpoch(o)
-	if lost := d.liveness.NewlyLost(o.NowMS, known); len(lost) > 0 {
+	known := h.registry.Instances()
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.beginEpoch(o)
+	if lost := h.liveness.NewlyLost(o.NowMS, known); len(lost) > 0 {
 		commands = append(commands, &rpc.RegistryCommand{Command: &rpc.RegistryCommand_MarkLost{MarkLost: &rpc.Instances{Ids: lost}}})
 	}
-	for _, id := range d.liveness.Expired(o.NowMS, known, forgetAfterMS) {
+	for _, id := range h.liveness.Expired(o.NowMS, known, forgetAfterMS) {
 		commands = append(commands, &rpc.RegistryCommand{Command: &rpc.RegistryCommand_Remove{Remove: id}})
 	}
 	return commands
 }
 
-// ResponsiveInstances returns the workers that have not missed a heartbeat by a margin.
-func (d *HeartbeatHandler) ResponsiveInstances(now int64) []*rpc.Instance {
-	known := d.registry.Instances()
-	d.mu.Lock()
-	defer d.mu.Unlock()
+// ResponsiveInstances returns the known workers whose next heartbeat is not late by a margin. It is meaningful only at the owner, where the
+// heartbeats arrive: elsewhere the times are old or missing, and a worker without a time is included.
+func (h *HeartbeatHandler) ResponsiveInstances(nowMS int64) []*rpc.Instance {
+	known := h.registry.Instances()
+	h.mu.Lock()
+	defer h.mu.Unlock()
 	list := make([]*rpc.Instance, 0, len(known))
 	for _, i := range known {
-		if !d.liveness.MissedHeartbeat(now, i.Id) {
+		if !h.liveness.MissedHeartbeat(nowMS, i.Id) {
 			list = append(list, i)
 		}
 	}
--- a/internal/scheduler/registry/liveness.go
+++ b/internal/scheduler/registry/liveness.go
@@ -5,62 +5,74 @@
 	"slices"
 )
 
-// LivenessTracker follows the heartbeats of a shard's workers while its process owns the shard. It is pure: times are milliseconds that the
-// caller gives.
+const (
+	// lostAfterIntervals is the number of heartbeat intervals without a heartbeat after which a worker is lost.
+	lostAfterIntervals = 3
+	// missedAfterPercent is the part of a heartbeat interval, in percent, after which the next heartbeat counts as missed.
+	missedAfterPercent = 150
+)
+
+// LivenessTracker follows the heartbeats of a shard's workers at the process that owns the shard. It is a pure state machine: all times are
+// milliseconds of one clock of the caller that never runs backwards. It has no lock; its caller makes one call at a time.
 type LivenessTracker struct {
 	heartbeatMS     int64
-	lastHeartbeatMS map[string]int64
+	lastHeartbeatMS map[string]int64  // when the newest heartbeat of each worker arrived
 	sequences       map[string]uint64 // of the newest heartbeat of each worker
 }
 
-// lostAfterIntervals is the number of heartbeat intervals of silence after which a worker counts as lost.
-const lostAfterIntervals = 3
-
-// NewLivenessTracker returns a tracker that has heard of nobody yet.
+// NewLivenessTracker returns a tracker without any worker. HeartbeatMS is the interval at which workers send heartbeats.
 func NewLivenessTracker(heartbeatMS int64) *LivenessTracker {
 	return &LivenessTracker{heartbeatMS: heartbeatMS, lastHeartbeatMS: map[string]int64{}, sequences: map[string]uint64{}}
 }
 
-// Reset starts ownership: everybody known counts as heard just now.
-func (o *LivenessTracker) Reset(now int64, known []*rpc.Instance) {
-	clear(o.lastHeartbeatMS)
-	clear(o.sequences)
+// Reset starts anew when the process becomes the owner: every known worker counts as heard from now.
+func (t *LivenessTracker) Reset(nowMS int64, known []*rpc.Instance) {
+	clear(t.lastHeartbeatMS)
+	clear(t.sequences)
 	for _, i := range known {
-		o.lastHeartbeatMS[i.Id] = now
-		o.sequences[i.Id] = i.Sequence
+		t.lastHeartbeatMS[i.Id] = nowMS
+		t.sequences[i.Id] = i.Sequence
 	}
 }
 
-// Observe takes a heartbeat in and tells whether it changes what the shard knows. One that comes later than a newer one says nothing: neither
-// how the worker is now nor that it is alive.
-func (o *LivenessTracker) Observe(now int64, known, heard *rpc.Instance) (changes bool) {
-	if heard.Sequence < o.sequences[heard.Id] {
+// Observe records a heartbeat and returns whether it changes what the shard knows of the worker; known is nil for a new one. A heartbeat that
+// arrives after a newer one is ignored: it proves neither the worker's state nor that it is alive.
+func (t *LivenessTracker) Observe(nowMS int64, known, reported *rpc.Instance) (changes bool) {
+	if reported.Sequence < t.sequences[reported.Id] {
 		return false
 	}
-	o.lastHeartbeatMS[heard.Id], o.sequences[heard.Id] = now, heard.Sequence
-	return known == nil || known.Lost || !known.Draining && heard.Draining || known.Address != heard.Address || known.Service != heard.Service ||
-		known.Capacity != heard.Capacity || !noNewerWeights(known.Models, heard.Models)
+	t.lastHeartbeatMS[reported.Id] = nowMS
+	t.sequences[reported.Id] = reported.Sequence
+	return known == nil || known.Lost || changesState(known, reported)
 }
 
-// noNewerWeights tells whether heard says nothing newer than known.
-func noNewerWeights(known, heard []*rpc.ModelWeights) bool {
-	for _, weights := range heard {
-		if !slices.ContainsFunc(known, func(k *rpc.ModelWeights) bool { return k.Name == weights.Name && k.Version >= weights.Version }) {
-			return false
-		}
-	}
-	return true
+// changesState returns whether a heartbeat reports something that has to be agreed on.
+func changesState(known, reported *rpc.Instance) bool {
+	startsDraining := reported.Draining && !known.Draining
+	return startsDraining ||
+		known.Address != reported.Address ||
+		known.Service != reported.Service ||
+		known.Capacity != reported.Capacity ||
+		hasNewerWeights(known.Models, reported.Models)
+}
+
+// hasNewerWeights returns whether a model is reported that is not known at its version or a later one.
+func hasNewerWeights(known, reported []*rpc.ModelWeights) bool {
+	return slices.ContainsFunc(reported, func(weights *rpc.ModelWeights) bool {
+		return !slices.ContainsFunc(known, func(k *rpc.ModelWeights) bool { return k.Name == weights.Name && k.Version >= weights.Version })
+	})
 }
 
-// NewlyLost returns the workers that have been silent for too long and are not known as lost yet.
-func (o *LivenessTracker) NewlyLost(now int64, known []*rpc.Instance) (ids []string) {
+// NewlyLost returns the ids, sorted, of the known workers without a heartbeat for lostAfterIntervals that are not declared lost yet. A worker
+// that the tracker has not seen before counts as heard from now.
+func (t *LivenessTracker) NewlyLost(nowMS int64, known []*rpc.Instance) (ids []string) {
 	for _, i := range known {
-		at, ok := o.lastHeartbeatMS[i.Id]
-		if !ok {
-			o.lastHeartbeatMS[i.Id] = now
+		last, seen := t.lastHeartbeatMS[i.Id]
+		if !seen {
+			t.lastHeartbeatMS[i.Id] = nowMS
 			continue
 		}
-		if !i.Lost && now-at > lostAfterIntervals*o.heartbeatMS {
+		if !i.Lost && nowMS-last > lostAfterIntervals*t.heartbeatMS {
 			ids = append(ids, i.Id)
 		}
 	}
@@ -68,16 +80,16 @@
 	return ids
 }
 
-// MissedHeartbeat tells whether a worker has missed a heartbeat by a margin.
-func (o *LivenessTracker) MissedHeartbeat(now int64, id string) bool {
-	at, ok := o.lastHeartbeatMS[id]
-	return ok && now-at > o.heartbeatMS*3/2
+// MissedHeartbeat returns whether a worker's next heartbeat is late by a margin. It is false for a worker that the tracker has not seen.
+func (t *LivenessTracker) MissedHeartbeat(nowMS int64, id string) bool {
+	last, seen := t.lastHeartbeatMS[id]
+	return seen && nowMS-last > t.heartbeatMS*missedAfterPercent/100
 }
 
-// Expired returns lost workers that have been silent for so long that nobody needs to know of them any more.
-func (o *LivenessTracker) Expired(now int64, known []*rpc.Instance, afterMS int64) (ids []string) {
+// Expired returns the ids of lost workers without a heartbeat for longer than afterMS, in the order of known. The shard need not remember them.
+func (t *LivenessTracker) Expired(nowMS int64, known []*rpc.Instance, afterMS int64) (ids []string) {
 	for _, i := range known {
-		if at, ok := o.lastHeartbeatMS[i.Id]; ok && i.Lost && now-at > afterMS {
+		if last, seen := t.lastHeartbeatMS[i.Id]; seen && i.Lost && nowMS-last > afterMS {
 			ids = append(ids, i.Id)
 		}
 	}
--- a/internal/scheduler/registry/registry.go
+++ b/internal/scheduler/registry/registry.go
@@ -1,56 +1,38 @@
-// Package registry keeps which workers exist. It has one shard for each part of the services' names; a shard's replica group agrees on
-// what changes (a worker is new, drains, has other weights, is lost or gone), and its owner follows the heartbeats in between.
 package registry
 
 import (
-	"bufio"
-	"errors"
-	"fmt"
-	"hash/fnv"
-	"io"
 	"saffronquay/internal/scheduler/feed"
-	"saffronquay/internal/scheduler/replica"
 	"saffronquay/internal/scheduler/rpc"
-	"slices"
 	"sync"
 
 	"google.golang.org/protobuf/proto"
 )
 
-// ShardCount is the number of parts that the services are divided into.
-const ShardCount = 2
-
-// ShardOf is the shard that a service belongs to.
-func ShardOf(service string) string {
-	h := fnv.New32a()
-	h.Write([]byte(service))
-	return ShardName(int(h.Sum32() % ShardCount))
-}
-
-// ShardName is the name of a shard and of its group.
-func ShardName(n int) string { return fmt.Sprintf("registry-%d", n) }
-
-// maxRememberedLeft is the number of workers that are known to have left, so that a late heartbeat doesn't bring them back.
+// maxRememberedLeft is the number of workers that are remembered as having left. The id of one that has left is never registered again while
+// it is remembered, so a late heartbeat does not bring the worker back.
 const maxRememberedLeft = 4096
 
-// Registry is the state of one shard. Apply, Snapshot and Restore are for the replica's goroutine; the rest may be called by any.
+// Registry is one replica's state of one shard. Apply, Snapshot and Restore are for the replica's goroutine, one call at a time. All other
+// methods may be called from any goroutine; they show what this replica has applied.
 type Registry struct {
 	shard string
 	feed  *feed.Table
 
+	// mu guards the fields below. It is never locked while the feed is written to.
 	mu        sync.RWMutex
-	instances map[string]*rpc.Instance
-	left      map[string]bool
-	leftOrder []string
+	instances map[string]*rpc.Instance // by id; an instance is replaced, never changed
+	left      map[string]bool          // ids of workers that have left
+	leftOrder []string                 // the ids in left, the first to leave first
 	holder    *rpc.Holder
 }
 
-// New returns an empty shard that publishes its changes.
+// New returns an empty shard that publishes its changes to table under the shard's name.
 func New(shard string, table *feed.Table) *Registry {
 	return &Registry{shard: shard, feed: table, instances: map[string]*rpc.Instance{}, left: map[string]bool{}}
 }
 
-// Apply implements replica.StateMachine.
+// Apply implements replica.StateMachine. It carries out an encoded rpc.RegistryCommand; a proposer gets no result beyond its being committed.
+// The feed's offset reaches index even if the command changes nothing.
 func (r *Registry) Apply(index uint64, command []byte) []byte {
 	c := &rpc.RegistryCommand{}
 	var events []*rpc.FeedEvent
@@ -63,62 +45,53 @@
 	return nil
 }
 
+// apply carries out a decoded command and returns the events to publish.
 func (r *Registry) apply(c *rpc.RegistryCommand) []*rpc.FeedEvent {
 	switch x := c.Command.(type) {
 	case *rpc.RegistryCommand_Put:
-		merged := r.merge(x.Put)
-		if merged == nil {
-			return nil
-		}
-		r.instances[merged.Id] = merged
-		return []*rpc.FeedEvent{instanceEvent(merged)}
+		return r.put(x.Put)
 	case *rpc.RegistryCommand_Remove:
-		r.rememberLeft(x.Remove)
-		if r.instances[x.Remove] == nil {
-			return nil
-		}
-		delete(r.instances, x.Remove)
-		return []*rpc.FeedEvent{{Event: &rpc.FeedEvent_Gone{Gone: x.Remove}}}
+		return r.remove(x.Remove)
 	case *rpc.RegistryCommand_MarkLost:
-		var events []*rpc.FeedEvent
-		for _, id := range x.MarkLost.Ids {
-			if old := r.instances[id]; old != nil && !old.Lost {
-				lost := proto.Clone(old).(*rpc.Instance)
-				lost.Lost = true
-				r.instances[id] = lost
-				events = append(events, instanceEvent(lost))
-			}
-		}
-		return events
+		return r.declareLost(x.MarkLost.Ids)
 	case *rpc.RegistryCommand_Hold:
-		if r.holder == nil || x.Hold.Epoch >= r.holder.Epoch {
-			r.holder = x.Hold
-		}
+		r.setHolder(x.Hold)
 	}
 	return nil
 }
 
-// merge joins what a heartbeat says with what is known: a late heartbeat changes nothing, whoever drains goes on draining, and weights
-// never step back within one start of a worker.
-func (r *Registry) merge(in *rpc.Instance) *rpc.Instance {
-	if r.left[in.Id] {
+// put records what a heartbeat reports.
+func (r *Registry) put(reported *rpc.Instance) []*rpc.FeedEvent {
+	merged := r.merge(reported)
+	if merged == nil {
 		return nil
 	}
-	old := r.instances[in.Id]
-	if old == nil {
-		return in
+	r.instances[merged.Id] = merged
+	return []*rpc.FeedEvent{instanceEvent(merged)}
+}
+
+// merge joins a reported instance with the known one. It returns nil if nothing changes: the worker has left, or a newer heartbeat is known.
+// Draining never ends, and the version of a model's weights never steps back.
+func (r *Registry) merge(reported *rpc.Instance) *rpc.Instance {
+	if r.left[reported.Id] {
+		return nil
+	}
+	known := r.instances[reported.Id]
+	if known == nil {
+		return reported
 	}
-	if in.Sequence < old.Sequence {
+	if reported.Sequence < known.Sequence {
 		return nil
 	}
-	merged := proto.Clone(in).(*rpc.Instance)
-	merged.Draining = merged.Draining || old.Draining
-	for _, weights := range old.Models {
+	merged := proto.CloneOf(reported)
+	merged.Draining = merged.Draining || known.Draining
+	for _, weights := range known.Models {
 		raiseVersion(merged, weights)
 	}
 	return merged
 }
 
+// raiseVersion raises the version of a model that the instance has to at least that of weights.
 func raiseVersion(instance *rpc.Instance, weights *rpc.ModelWeights) {
 	for _, own := range instance.Models {
 		if own.Name == weights.Name {
@@ -128,6 +101,17 @@
 	}
 }
 
+// remove forgets a worker and remembers that it has left.
+func (r *Registry) remove(id string) []*rpc.FeedEvent {
+	r.rememberLeft(id)
+	if r.instances[id] == nil {
+		return nil
+	}
+	delete(r.instances, id)
+	return []*rpc.FeedEvent{{Event: &rpc.FeedEvent_Gone{Gone: id}}}
+}
+
+// rememberLeft records that a worker has left. The one that left first is forgotten when there are more than maxRememberedLeft.
 func (r *Registry) rememberLeft(id string) {
 	if r.left[id] {
 		return
@@ -140,93 +124,67 @@
 	}
 }
 
-func instanceEvent(i *rpc.Instance) *rpc.FeedEvent {
-	return &rpc.FeedEvent{Event: &rpc.FeedEvent_Instance{Instance: i}}
-}
-
-// instancesPerRecord is the number of workers in one record of a snapshot.
-const instancesPerRecord = 256
-
-// Snapshot implements replica.StateMachine.
-func (r *Registry) Snapshot() (next func() proto.Message) {
-	r.mu.RLock()
-	defer r.mu.RUnlock()
-	gone, holder := slices.Clone(r.leftOrder), r.holder
-	instances := make([]*rpc.Instance, 0, len(r.instances))
-	for _, i := range r.instances { // an instance is replaced, never changed
-		instances = append(instances, i)
-	}
-	ended := false
-	return func() proto.Message {
-		if ended {
-			return nil
+// declareLost declares workers lost. The next heartbeat that is recorded says otherwise.
+func (r *Registry) declareLost(ids []string) (events []*rpc.FeedEvent) {
+	for _, id := range ids {
+		known := r.instances[id]
+		if known == nil || known.Lost {
+			continue
 		}
-		some := instances[:min(len(instances), instancesPerRecord)]
-		instances = instances[len(some):]
-		if ended = len(instances) == 0; !ended {
-			return &rpc.RegistrySnapshot{Instances: some}
-		}
-		return &rpc.RegistrySnapshot{Instances: some, Gone: gone, Holder: holder}
+		lost := proto.CloneOf(known)
+		lost.Lost = true
+		r.instances[id] = lost
+		events = append(events, instanceEvent(lost))
 	}
+	return events
 }
 
-// Restore implements replica.StateMachine.
-func (r *Registry) Restore(index uint64, state *bufio.Reader) error {
-	whole := &rpc.RegistrySnapshot{}
-	for {
-		s := &rpc.RegistrySnapshot{}
-		err := replica.ReadRecord(state, s)
-		if errors.Is(err, io.EOF) {
-			break
-		}
-		if err != nil {
-			return err
-		}
-		proto.Merge(whole, s)
-	}
-	r.mu.Lock()
-	r.instances, r.left, r.leftOrder, r.holder = map[string]*rpc.Instance{}, map[string]bool{}, whole.Gone, whole.Holder
-	var events []*rpc.FeedEvent
-	for _, i := range whole.Instances {
-		r.instances[i.Id] = i
-		events = append(events, instanceEvent(i))
+// setHolder records the holder of the right to send orders. A holder of an earlier epoch changes nothing.
+func (r *Registry) setHolder(holder *rpc.Holder) {
+	if r.holder == nil || holder.Epoch >= r.holder.Epoch {
+		r.holder = holder
 	}
-	for _, id := range whole.Gone {
-		r.left[id] = true
-	}
-	r.mu.Unlock()
-	r.feed.Replace(r.shard, index, events)
-	return nil
 }
 
-// Instance returns what is known of a worker; nil where it isn't known. It must not be changed.
+func instanceEvent(i *rpc.Instance) *rpc.FeedEvent {
+	return &rpc.FeedEvent{Event: &rpc.FeedEvent_Instance{Instance: i}}
+}
+
+// Instance returns a worker, or nil if the shard does not know it. The instance is shared and must not be changed.
 func (r *Registry) Instance(id string) *rpc.Instance {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
 	return r.instances[id]
 }
 
-// Holder is the machine that may send orders to the shard's workers; nil where none ever did.
-func (r *Registry) Holder() *rpc.Holder {
+// Instances returns all known workers, lost ones too, in no particular order. The slice is the caller's; the instances are shared and must not
+// be changed.
+func (r *Registry) Instances() []*rpc.Instance {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
-	return r.holder
+	return r.listInstances()
 }
 
-// HasLeft tells whether a worker has left.
-func (r *Registry) HasLeft(id string) bool {
+// listInstances returns the workers; the caller has locked mu.
+func (r *Registry) listInstances() []*rpc.Instance {
+	list := make([]*rpc.Instance, 0, len(r.instances))
+	for _, i := range r.instances {
+		list = append(list, i)
+	}
+	return list
+}
+
+// Holder returns the machine that may send orders to the shard's workers, with the epoch in which it took over. It is nil as long as there was
+// none. The holder is shared and must not be changed.
+func (r *Registry) Holder() *rpc.Holder {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
-	return r.left[id]
+	return r.holder
 }
 
-// Instances returns all known workers. They must not be changed.
-func (r *Registry) Instances() []*rpc.Instance {
+// HasLeft returns whether a worker is remembered as having left.
+func (r *Registry) HasLeft(id string) bool {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
-	list := make([]*rpc.Instance, 0, len(r.instances))
-	for _, i := range r.instances {
-		list = append(list, i)
-	}
-	return list
+	return r.left[id]
 }
