--- a/internal/scheduler/batchclient/client.go
+++ b/internal/scheduler/batchclient/client.go
@@ -1,4 +1,3 @@
-// Package batchclient calls the owners of the ledger's shards, wherever they are.
 package batchclient
 
 import (
@@ -11,63 +10,65 @@
 	"time"
 )
 
+// The errors of Call.
+var (
+	// ErrOutcomeUnknown means that the call may have taken effect, or may still do so.
+	ErrOutcomeUnknown = errors.New("batch jobs: no clear answer from the shard's owner")
+	// ErrUnavailable means that the call has had no effect and won't have any.
+	ErrUnavailable = errors.New("batch jobs: no owner of the shard answers")
+)
+
+const (
+	// attemptTimeout bounds one attempt, without the time that the owner may wait before it answers.
+	attemptTimeout = 900 * time.Millisecond
+	// retryBackoff is the wait before the next attempt, unless a replica named another leader.
+	retryBackoff = 40 * time.Millisecond
+)
+
 // Client finds the owner of each shard and calls it.
 type Client struct {
-	HTTP *transport.Client
-	Zone string // of this process
+	http *transport.Client
+	zone string // of this process
 
 	mu         sync.Mutex
-	placements map[string]*rpc.Placement
-	leaders    map[string]string
-	zones      map[string]string // of replicas, by address
-	turn       int
+	placements map[string]*rpc.Placement // by group
+	leaders    map[string]string         // address of the replica that owned a shard last, by shard
+	zones      map[string]string         // of replicas, by address
+	nextTarget int                       // counts attempts without a known leader
 }
 
-// New returns a client that knows no shards yet.
+// New returns a client of a process in a zone. It knows no shards until UpdatePlacement is called.
 func New(http *transport.Client, zone string) *Client {
-	return &Client{HTTP: http, Zone: zone, zones: map[string]string{}, placements: map[string]*rpc.Placement{}, leaders: map[string]string{}}
+	return &Client{http: http, zone: zone, zones: map[string]string{}, placements: map[string]*rpc.Placement{}, leaders: map[string]string{}}
 }
 
-// Errors of calls.
-var (
-	// ErrUnknown says that the call may take effect although nobody said so.
-	ErrOutcomeUnknown = errors.New("ledger: no clear answer")
-	// ErrUnavailable says that the call has had no effect.
-	ErrUnavailable = errors.New("ledger: no owner answers")
-)
-
-const (
-	tryTimeout = 900 * time.Millisecond
-	retryPause = 40 * time.Millisecond
-)
-
-// Place notes the replicas of a group.
+// UpdatePlacement records the replicas of a group in place of earlier ones. Groups other than shards are harmless.
 func (c *Client) UpdatePlacement(p *rpc.Placement) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.placements[p.Group] = p
 }
 
-// Locate notes the zone of an address.
+// SetZone records the zone of the replica at an address.
 func (c *Client) SetZone(address, zone string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.zones[address] = zone
 }
 
-// Near is a replica of a shard in this process's zone; empty where there is none, or where it leads and is called anyway.
+// NearbyReplica returns the address of a replica in this process's zone that is not known to lead the shard; empty where there is none.
 func (c *Client) NearbyReplica(shard string) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, r := range c.placements[shard].GetReplicas() {
-		if c.zones[r.Address] == c.Zone && r.Address != c.leaders[shard] {
+		if c.zones[r.Address] == c.zone && r.Address != c.leaders[shard] {
 			return r.Address
 		}
 	}
 	return ""
 }
 
-// Shards are the names of the shards; none while they are not placed yet.
+// ShardNames returns the names of all shards; none until all of them are placed.
 func (c *Client) ShardNames() (names []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -78,7 +79,7 @@
 	return names
 }
 
-// ShardOf is the shard of a host's jobs; empty while the shards are not placed yet.
+// ShardOfHost returns the shard that keeps a host's jobs; empty until all shards are placed.
 func (c *Client) ShardOfHost(host string) string {
 	if n := len(c.ShardNames()); n > 0 {
 		return batchjobs.ShardOfHost(host, n)
@@ -86,62 +87,63 @@
 	return ""
 }
 
-// target is the replica to ask: the leader where it is known, else each in turn.
-func (c *Client) target(shard string) string {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if leader := c.leaders[shard]; leader != "" {
-		return leader
-	}
-	replicas := c.placements[shard].GetReplicas()
-	if len(replicas) == 0 {
-		return ""
-	}
-	c.turn++
-	return replicas[c.turn%len(replicas)].Address
-}
+// Attempt makes one call to the replica that should own a shard. It returns the call's outcome and the leader that the replica named, empty
+// where it named none.
+type Attempt func(ctx context.Context, owner rpc.Ledger) (outcome rpc.Outcome, leader string, err error)
 
-func (c *Client) learn(shard, asked, leader string) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if leader == asked {
-		leader = ""
-	}
-	c.leaders[shard] = leader
-}
-
-// Call calls the owner of a shard until one has answered or the context ends. call returns the outcome, and the leader that the process
-// named. A call must do no harm when it takes effect twice.
-func (c *Client) Call(ctx context.Context, shard string, extra time.Duration, call func(context.Context, rpc.Ledger) (rpc.Outcome, string, error)) error {
+// Call makes attempts until one has the outcome DONE or the context ends. ownerWait is how long the owner may wait before it answers, which
+// is added to the timeout of each attempt. Call may repeat an attempt that took effect, so attempts must be idempotent.
+//
+// Call returns nil, ErrUnavailable or ErrOutcomeUnknown. Without a deadline in the context it doesn't return before an attempt succeeds.
+func (c *Client) Call(ctx context.Context, shard string, ownerWait time.Duration, attempt Attempt) error {
 	failure := ErrUnavailable
 	for {
 		if address := c.target(shard); address != "" {
-			tryCtx, cancel := context.WithTimeout(ctx, tryTimeout+extra)
-			outcome, leader, err := call(tryCtx, rpc.NewLedgerProtobufClient("http://"+address, c.HTTP))
+			attemptCtx, cancel := context.WithTimeout(ctx, attemptTimeout+ownerWait)
+			outcome, leader, err := attempt(attemptCtx, rpc.NewLedgerProtobufClient("http://"+address, c.http))
 			cancel()
 			switch {
-			case err != nil:
+			case err != nil || outcome == rpc.Outcome_OUTCOME_UNKNOWN:
 				failure = ErrOutcomeUnknown
-				c.learn(shard, address, "")
+				c.setLeader(shard, "")
 			case outcome == rpc.Outcome_DONE:
-				c.mu.Lock()
-				c.leaders[shard] = address
-				c.mu.Unlock()
+				c.setLeader(shard, address)
 				return nil
-			case outcome == rpc.Outcome_OUTCOME_UNKNOWN:
-				failure = ErrOutcomeUnknown
-				c.learn(shard, address, "")
-			default:
-				c.learn(shard, address, leader)
-				if leader != "" && leader != address && ctx.Err() == nil {
+			case leader != "" && leader != address:
+				c.setLeader(shard, leader)
+				if ctx.Err() == nil {
 					continue
 				}
+			default:
+				c.setLeader(shard, "")
 			}
 		}
 		select {
-		case <-time.After(retryPause):
+		case <-time.After(retryBackoff):
 		case <-ctx.Done():
 			return failure
 		}
 	}
 }
+
+// target returns the address to call: the leader where it is known, otherwise each replica in turn; empty where the shard is not placed.
+func (c *Client) target(shard string) string {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if leader := c.leaders[shard]; leader != "" {
+		return leader
+	}
+	replicas := c.placements[shard].GetReplicas()
+	if len(replicas) == 0 {
+		return ""
+	}
+	c.nextTarget++
+	return replicas[c.nextTarget%len(replicas)].Address
+}
+
+// setLeader records who owns a shard; empty where that is not known.
+func (c *Client) setLeader(shard, address string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.leaders[shard] = address
+}
--- a/internal/scheduler/batchjobs/job.go
+++ b/internal/scheduler/batchjobs/job.go
@@ -1,21 +1,20 @@
-// Package batchjobs keeps batch jobs. A shard's replica group agrees on which jobs were accepted, which results stand at which positions,
-// and which jobs have ended; the shard's owner hands the items out to gatherers under leases and settles what they report.
 package batchjobs
 
 import (
 	"errors"
 	"fmt"
-	"hash/fnv"
 	"saffronquay/internal/scheduler/compression"
 	"saffronquay/internal/scheduler/rpc"
 	"slices"
+	"strings"
 
 	"github.com/mailru/easyjson"
 )
 
 //go:generate easyjson -no_std_marshalers job.go
 
-// Submission is a batch job as a trainer sends it.
+// Submission is a batch job as a trainer sends it in JSON. Desired is the number of groups that the trainer waits for, 0 for all. Unknown
+// fields are ignored.
 //
 //easyjson:json
 type Submission struct {
@@ -26,7 +25,8 @@
 	Requests   []SubmittedItem `json:"requests"`
 }
 
-// SubmittedItem is one request of a batch job.
+// SubmittedItem is one request of a submission. Its ID must be unique within the job. Items with the same Group count together
+// towards Submission.Desired; an item without one is a group of its own.
 //
 //easyjson:json
 type SubmittedItem struct {
@@ -39,7 +39,7 @@
 	Scorer  *SubmittedScorer  `json:"scorer"`
 }
 
-// SubmittedScorer is the call that an item's text is scored by.
+// SubmittedScorer is the request that scores an item's text.
 //
 //easyjson:json
 type SubmittedScorer struct {
@@ -49,7 +49,8 @@
 	Body []byte `json:"body"`
 }
 
-// Page is a part of a batch job's results as a trainer reads it.
+// Page is a range of a batch job's results as a trainer reads it. Total is the number of the job's items, NextToken the position after the
+// last result of the page.
 //
 //easyjson:json
 type Page struct {
@@ -58,7 +59,7 @@
 	Results   []PageResult `json:"results"`
 }
 
-// PageResult is one result.
+// PageResult is one result. State is Completed or Abandoned; an abandoned item has no text.
 //
 //easyjson:json
 type PageResult struct {
@@ -69,25 +70,31 @@
 	Score          string   `json:"score,omitempty"`
 }
 
-// The states of a result.
+// The values of PageResult.State.
 const (
+	// Completed means that a worker finished the item.
 	Completed = "completed"
+	// Abandoned means that the item failed too often or was not finished in time. It is not tried again.
 	Abandoned = "abandoned"
 )
 
-// ParseSubmission reads and checks a batch job.
+// ParseSubmission decodes and checks a batch job. The returned job doesn't refer to body, which the caller may reuse. The error's text is
+// meant for the trainer.
 func ParseSubmission(body []byte) (*rpc.CreateJob, error) {
-	var s Submission
-	if err := easyjson.Unmarshal(body, &s); err != nil {
+	var submission Submission
+	if err := easyjson.Unmarshal(body, &submission); err != nil {
 		return nil, fmt.Errorf("batch job: %w", err)
 	}
-	if len(s.Requests) == 0 {
+	if len(submission.Requests) == 0 {
 		return nil, errors.New("batch job: requests: there are none")
 	}
-	job := &rpc.CreateJob{Model: s.Model, MinVersion: s.MinVersion, Step: s.Step, Desired: s.Desired, Items: make([]*rpc.Item, 0, len(s.Requests))}
-	seen := make(map[string]bool, len(s.Requests))
-	for i := range s.Requests {
-		r := &s.Requests[i]
+	job := &rpc.CreateJob{
+		Model: submission.Model, MinVersion: submission.MinVersion, Step: submission.Step, Desired: submission.Desired,
+		Items: make([]*rpc.Item, 0, len(submission.Requests)),
+	}
+	seen := make(map[string]bool, len(submission.Requests))
+	for i := range submission.Requests {
+		r := &submission.Requests[i]
 		if r.ID == "" || seen[r.ID] {
 			return nil, fmt.Errorf("batch job: requests[%d].id: %q is missing or stands twice", i, r.ID)
 		}
@@ -97,24 +104,20 @@
 	return job, nil
 }
 
+// item converts a submitted item. Headers are sorted by name, so that the same submission is always encoded the same way.
 func (r *SubmittedItem) item() *rpc.Item {
 	item := &rpc.Item{Id: r.ID, Path: r.Path, Body: r.Body, Tokens: r.Tokens, Group: r.Group}
 	for name, value := range r.Headers {
 		item.Headers = append(item.Headers, &rpc.Header{Name: name, Value: value})
 	}
-	slices.SortFunc(item.Headers, func(a, b *rpc.Header) int {
-		if a.Name < b.Name {
-			return -1
-		}
-		return 1
-	})
+	slices.SortFunc(item.Headers, func(a, b *rpc.Header) int { return strings.Compare(a.Name, b.Name) })
 	if r.Scorer != nil {
 		item.Scorer = &rpc.Scorer{Id: r.Scorer.ID, Host: r.Scorer.Host, Path: r.Scorer.Path, Body: r.Scorer.Body}
 	}
 	return item
 }
 
-// NewPage makes the answer to a trainer's read.
+// NewPage converts the results from position after on to the page that a trainer reads. It fails where a stored text can't be unpacked.
 func NewPage(r *rpc.ReadResponse, after int) (*Page, error) {
 	page := &Page{Total: int(r.Total), NextToken: after + len(r.Results), Results: make([]PageResult, 0, len(r.Results))}
 	for _, result := range r.Results {
@@ -134,33 +137,3 @@
 	}
 	return page, nil
 }
-
-const shardPrefix = "ledger-"
-
-// ShardName is the name of a shard and of its group.
-func ShardName(n int) string { return fmt.Sprintf("%s%d", shardPrefix, n) }
-
-// ShardOf is the shard, of so many, that the jobs of a host belong to.
-func ShardOfHost(host string, shards int) string {
-	h := fnv.New32a()
-	h.Write([]byte(host))
-	return ShardName(int(h.Sum32() % uint32(max(shards, 1))))
-}
-
-// ShardsIn is the number of shards that a set of groups holds; 0 while shard 0, which is placed last, is missing.
-func PlacedShardCount(has func(group string) bool) int {
-	if !has(ShardName(0)) {
-		return 0
-	}
-	n := 1
-	for has(ShardName(n)) {
-		n++
-	}
-	return n
-}
-
-// machinesPerShard is the number of storage machines that one shard is founded for.
-const machinesPerShard = 6
-
-// ShardsFor is the number of shards that a system with so many storage machines is founded with.
-func InitialShardCount(machines int) int { return 1 + max(machines-1, 0)/machinesPerShard }
--- a/internal/scheduler/batchjobs/job_easyjson.go
+++ b/internal/scheduler/batchjobs/job_easyjson.go
@@ -17,7 +17,7 @@
 	_ easyjson.Marshaler
 )
 
-func easyjson8a33d6c7DecodeSaffronquayInternalSystemLedger(in *jlexer.Lexer, out *SubmittedScorer) {
+func easyjson8a33d6c7DecodeSaffronquayInternalSchedulerBatchjobs(in *jlexer.Lexer, out *SubmittedScorer) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -66,7 +66,7 @@
 		in.Consumed()
 	}
 }
-func easyjson8a33d6c7EncodeSaffronquayInternalSystemLedger(out *jwriter.Writer, in SubmittedScorer) {
+func easyjson8a33d6c7EncodeSaffronquayInternalSchedulerBatchjobs(out *jwriter.Writer, in SubmittedScorer) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -95,14 +95,14 @@
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v SubmittedScorer) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson8a33d6c7EncodeSaffronquayInternalSystemLedger(w, v)
+	easyjson8a33d6c7EncodeSaffronquayInternalSchedulerBatchjobs(w, v)
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *SubmittedScorer) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson8a33d6c7DecodeSaffronquayInternalSystemLedger(l, v)
+	easyjson8a33d6c7DecodeSaffronquayInternalSchedulerBatchjobs(l, v)
 }
-func easyjson8a33d6c7DecodeSaffronquayInternalSystemLedger1(in *jlexer.Lexer, out *SubmittedItem) {
+func easyjson8a33d6c7DecodeSaffronquayInternalSchedulerBatchjobs1(in *jlexer.Lexer, out *SubmittedItem) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -191,7 +191,7 @@
 		in.Consumed()
 	}
 }
-func easyjson8a33d6c7EncodeSaffronquayInternalSystemLedger1(out *jwriter.Writer, in SubmittedItem) {
+func easyjson8a33d6c7EncodeSaffronquayInternalSchedulerBatchjobs1(out *jwriter.Writer, in SubmittedItem) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -255,14 +255,14 @@
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v SubmittedItem) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson8a33d6c7EncodeSaffronquayInternalSystemLedger1(w, v)
+	easyjson8a33d6c7EncodeSaffronquayInternalSchedulerBatchjobs1(w, v)
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *SubmittedItem) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson8a33d6c7DecodeSaffronquayInternalSystemLedger1(l, v)
+	easyjson8a33d6c7DecodeSaffronquayInternalSchedulerBatchjobs1(l, v)
 }
-func easyjson8a33d6c7DecodeSaffronquayInternalSystemLedger2(in *jlexer.Lexer, out *Submission) {
+func easyjson8a33d6c7DecodeSaffronquayInternalSchedulerBatchjobs2(in *jlexer.Lexer, out *Submission) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -337,7 +337,7 @@
 		in.Consumed()
 	}
 }
-func easyjson8a33d6c7EncodeSaffronquayInternalSystemLedger2(out *jwriter.Writer, in Submission) {
+func easyjson8a33d6c7EncodeSaffronquayInternalSchedulerBatchjobs2(out *jwriter.Writer, in Submission) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -382,14 +382,14 @@
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v Submission) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson8a33d6c7EncodeSaffronquayInternalSystemLedger2(w, v)
+	easyjson8a33d6c7EncodeSaffronquayInternalSchedulerBatchjobs2(w, v)
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *Submission) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson8a33d6c7DecodeSaffronquayInternalSystemLedger2(l, v)
+	easyjson8a33d6c7DecodeSaffronquayInternalSchedulerBatchjobs2(l, v)
 }
-func easyjson8a33d6c7DecodeSaffronquayInternalSystemLedger3(in *jlexer.Lexer, out *PageResult) {
+func easyjson8a33d6c7DecodeSaffronquayInternalSchedulerBatchjobs3(in *jlexer.Lexer, out *PageResult) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -464,7 +464,7 @@
 		in.Consumed()
 	}
 }
-func easyjson8a33d6c7EncodeSaffronquayInternalSystemLedger3(out *jwriter.Writer, in PageResult) {
+func easyjson8a33d6c7EncodeSaffronquayInternalSchedulerBatchjobs3(out *jwriter.Writer, in PageResult) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -509,14 +509,14 @@
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v PageResult) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson8a33d6c7EncodeSaffronquayInternalSystemLedger3(w, v)
+	easyjson8a33d6c7EncodeSaffronquayInternalSchedulerBatchjobs3(w, v)
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *PageResult) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson8a33d6c7DecodeSaffronquayInternalSystemLedger3(l, v)
+	easyjson8a33d6c7DecodeSaffronquayInternalSchedulerBatchjobs3(l, v)
 }
-func easyjson8a33d6c7DecodeSaffronquayInternalSystemLedger4(in *jlexer.Lexer, out *Page) {
+func easyjson8a33d6c7DecodeSaffronquayInternalSchedulerBatchjobs4(in *jlexer.Lexer, out *Page) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -579,7 +579,7 @@
 		in.Consumed()
 	}
 }
-func easyjson8a33d6c7EncodeSaffronquayInternalSystemLedger4(out *jwriter.Writer, in Page) {
+func easyjson8a33d6c7EncodeSaffronquayInternalSchedulerBatchjobs4(out *jwriter.Writer, in Page) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -614,10 +614,10 @@
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v Page) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson8a33d6c7EncodeSaffronquayInternalSystemLedger4(w, v)
+	easyjson8a33d6c7EncodeSaffronquayInternalSchedulerBatchjobs4(w, v)
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *Page) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson8a33d6c7DecodeSaffronquayInternalSystemLedger4(l, v)
+	easyjson8a33d6c7DecodeSaffronquayInternalSchedulerBatchjobs4(l, v)
 }
--- a/internal/scheduler/batchjobs/job_test.go
+++ b/internal/scheduler/batchjobs/job_test.go
@@ -61,24 +61,24 @@
 	is.Equal(PlacedShardCount(func(g string) bool { return has[g] }), 2)
 }
 
-// A restored ledger holds all jobs, items and results, each at its position, also those that take several records; the snapshot that a group
-// was founded with holds none.
+// A restored state has all jobs, items and results, each at its position, also those that take several records; the snapshot that a group
+// is founded with has none.
 func TestSnapshotOfLongJobs(t *testing.T) {
 	is := is.New(t)
-	l := NewState(nil, now)
+	state := NewState(nil, monotonicMS)
 	create := newCreate("long", 50, 4, 50, 9000)
-	l.apply(&rpc.LedgerCommand{Command: &rpc.LedgerCommand_Create{Create: create}})
-	l.apply(&rpc.LedgerCommand{Command: &rpc.LedgerCommand_Create{Create: newCreate("ended", 2, 1, 2, 9000)}})
+	state.apply(&rpc.LedgerCommand{Command: &rpc.LedgerCommand_Create{Create: create}})
+	state.apply(&rpc.LedgerCommand{Command: &rpc.LedgerCommand_Create{Create: newCreate("ended", 2, 1, 2, 9000)}})
 	for _, item := range create.Items[:150] {
-		l.apply(&rpc.LedgerCommand{Command: &rpc.LedgerCommand_Append{Append: &rpc.AppendResults{Job: "long", Results: []*rpc.Result{{Item: item.Id, Completed: true}}}}})
+		state.apply(&rpc.LedgerCommand{Command: &rpc.LedgerCommand_Append{Append: &rpc.AppendResults{Job: "long", Results: []*rpc.Result{{Item: item.Id, Completed: true}}}}})
 	}
-	l.apply(&rpc.LedgerCommand{Command: &rpc.LedgerCommand_End{End: &rpc.EndJob{Job: "ended"}}})
-	next := l.Snapshot()
-	l.apply(&rpc.LedgerCommand{Command: &rpc.LedgerCommand_Append{Append: &rpc.AppendResults{Job: "long", Results: []*rpc.Result{{Item: create.Items[150].Id}}}}})
-	state, err := replica.EncodeState(next)
+	state.apply(&rpc.LedgerCommand{Command: &rpc.LedgerCommand_End{End: &rpc.EndJob{Job: "ended"}}})
+	next := state.Snapshot()
+	state.apply(&rpc.LedgerCommand{Command: &rpc.LedgerCommand_Append{Append: &rpc.AppendResults{Job: "long", Results: []*rpc.Result{{Item: create.Items[150].Id}}}}})
+	snapshot, err := replica.EncodeState(next)
 	is.NoErr(err)
-	again := NewState(nil, now)
-	is.NoErr(again.Restore(9, state))
+	again := NewState(nil, monotonicMS)
+	is.NoErr(again.Restore(9, snapshot))
 	total, _, _, found := again.Read("long", 0)
 	is.True(found && total == 200)
 	is.Equal(len(again.jobs["long"].results), 150) // as it stood when the snapshot was begun
@@ -92,7 +92,7 @@
 	is.Equal(len(again.jobs), 0)
 }
 
-// The body of a request lies in a buffer that is used again: nothing of a job may point into it.
+// The body of a request lies in a buffer that is reused: no part of a job may point into it.
 func TestSubmissionOutlivesItsBuffer(t *testing.T) {
 	is := is.New(t)
 	buffer := []byte(submission)
--- a/internal/scheduler/batchjobs/leases.go
+++ b/internal/scheduler/batchjobs/leases.go
@@ -5,132 +5,148 @@
 	"strings"
 )
 
+// IncarnationSeparator separates, in the name of a gatherer, its machine from what distinguishes its process from earlier ones there.
+const IncarnationSeparator = "/"
+
 // lease is an item that a gatherer works on.
 type lease struct {
-	number   uint64
-	item     *itemState
-	gatherer string
-	at       int64
+	number    uint64
+	item      *itemState
+	gatherer  string
+	grantedAt int64
 }
 
+// gatherer is a gatherer that sent a request lately.
 type gatherer struct {
-	seenAt    int64
-	numbers   map[uint64]bool
-	cancelled []uint64
+	lastSeenAt   int64
+	leaseNumbers map[uint64]bool
+	cancelled    []uint64 // leases whose cancellation was not sent yet
 }
 
-// grant leases an item to a gatherer.
-func (s *Scheduler) grant(x *itemState, name string, number uint64, at int64) {
-	l := &lease{number, x, name, at}
-	x.stage = leased
-	x.lease = l
-	x.group.begun = true
+// recordLease notes that a gatherer works on an item. The gatherer must be known.
+func (s *Scheduler) recordLease(state *itemState, gatherer string, number uint64, at int64) {
+	l := &lease{number: number, item: state, gatherer: gatherer, grantedAt: at}
+	state.stage = leased
+	state.lease = l
+	state.group.started = true
 	s.leases[number] = l
-	s.gatherers[name].numbers[number] = true
+	s.gatherers[gatherer].leaseNumbers[number] = true
 }
 
-// drop takes a lease back.
-func (s *Scheduler) drop(l *lease) {
+// dropLease removes a lease. Its item is pending again unless it has a result.
+func (s *Scheduler) dropLease(l *lease) {
 	if g := s.gatherers[l.gatherer]; g != nil {
-		delete(g.numbers, l.number)
+		delete(g.leaseNumbers, l.number)
 	}
 	delete(s.leases, l.number)
-	x := l.item
-	x.lease = nil
-	if x.stage == leased {
-		x.stage = pending
+	state := l.item
+	state.lease = nil
+	if state.stage == leased {
+		state.stage = pending
 	}
 }
 
-// cancel takes an item's lease back and has its gatherer told. It tells whether there was one to tell.
-func (s *Scheduler) cancel(x *itemState) (told bool) {
-	l := x.lease
+// cancelLease removes an item's lease and queues the cancellation for its gatherer. It returns whether there was a gatherer to notify.
+func (s *Scheduler) cancelLease(state *itemState) (queued bool) {
+	l := state.lease
 	if l == nil {
 		return false
 	}
 	if g := s.gatherers[l.gatherer]; g != nil {
 		g.cancelled = append(g.cancelled, l.number)
-		told = true
+		queued = true
 	}
-	s.drop(l)
-	return told
+	s.dropLease(l)
+	return queued
 }
 
-// LifeSeparator stands between the name of a gatherer's machine and what tells its process from earlier ones there.
-const IncarnationSeparator = "/"
-
-// Heard notes that a gatherer is alive. What an earlier process of its machine held is taken back.
+// Observe records that a gatherer is alive. Where another incarnation of it was seen on the same machine before, that one's leases are dropped.
 func (s *Scheduler) Observe(now int64, name string) {
 	machine, _, _ := strings.Cut(name, IncarnationSeparator)
-	if old := s.lives[machine]; old != name {
-		s.RemoveGatherer(old)
-		s.lives[machine] = name
+	if previous := s.incarnations[machine]; previous != name {
+		s.RemoveGatherer(previous)
+		s.incarnations[machine] = name
 	}
 	g := s.gatherers[name]
 	if g == nil {
-		g = &gatherer{numbers: map[uint64]bool{}}
+		g = &gatherer{leaseNumbers: map[uint64]bool{}}
 		s.gatherers[name] = g
 	}
-	g.seenAt = now
+	g.lastSeenAt = now
 }
 
-// Adopt compares what a gatherer says it holds with what it has leases for. It may go on with what nobody else has, as after a change of
-// the owner; the rest is to be cancelled. Leases that it doesn't list were lost on their way to it and are taken back; freed tells whether
-// there were any.
-func (s *Scheduler) Adopt(now int64, name string, held []*rpc.HeldLease) (freed bool) {
+// Adopt compares the complete list of leases that a gatherer reports with the leases recorded for it. A reported lease that is not recorded, as
+// after a change of the owner, is recorded where its item is pending and cancelled otherwise. A recorded lease that is older than
+// lostGrantTimeoutMS and not reported never reached the gatherer and is dropped; freed reports whether there was one.
+func (s *Scheduler) Adopt(now int64, name string, reported []*rpc.HeldLease) (freed bool) {
 	g := s.gatherers[name]
 	if g == nil {
 		return false
 	}
-	listed := make(map[uint64]bool, len(held))
-	for _, h := range held {
-		listed[h.Number] = true
-	}
-	for number := range g.numbers {
-		if l := s.leases[number]; l != nil && !listed[number] && now-l.at > lostGrantMS {
-			s.drop(l)
-			freed = true
-		}
-	}
-	for _, h := range held {
-		if g.numbers[h.Number] {
+	freed = s.dropLostGrants(now, g, reported)
+	for _, r := range reported {
+		if g.leaseNumbers[r.Number] {
 			continue
 		}
-		j := s.jobs[h.Job]
-		var x *itemState
-		if j != nil {
-			x = j.items[h.Item]
-		}
-		if x == nil || x.stage != pending {
-			g.cancelled = append(g.cancelled, h.Number)
+		state := s.itemOf(r.Job, r.Item)
+		if state == nil || state.stage != pending {
+			g.cancelled = append(g.cancelled, r.Number)
 			continue
 		}
-		s.grant(x, name, h.Number, g.seenAt)
+		s.recordLease(state, name, r.Number, g.lastSeenAt)
 	}
 	return freed
 }
 
-// Leave takes back what a gatherer holds that goes or is lost.
+// dropLostGrants drops the leases of a gatherer that it should have received and doesn't report.
+func (s *Scheduler) dropLostGrants(now int64, g *gatherer, reported []*rpc.HeldLease) (freed bool) {
+	isReported := make(map[uint64]bool, len(reported))
+	for _, r := range reported {
+		isReported[r.Number] = true
+	}
+	for number := range g.leaseNumbers {
+		if l := s.leases[number]; l != nil && !isReported[number] && now-l.grantedAt > lostGrantTimeoutMS {
+			s.dropLease(l)
+			freed = true
+		}
+	}
+	return freed
+}
+
+// itemOf returns an item of an open job; nil where it is not known.
+func (s *Scheduler) itemOf(jobID, itemID string) *itemState {
+	j := s.jobs[jobID]
+	if j == nil {
+		return nil
+	}
+	return j.items[itemID]
+}
+
+// RemoveGatherer forgets a gatherer that leaves or is lost. Its leases are dropped, so its items may be granted again.
 func (s *Scheduler) RemoveGatherer(name string) {
 	g := s.gatherers[name]
 	if g == nil {
 		return
 	}
-	for number := range g.numbers {
+	for number := range g.leaseNumbers {
 		if l := s.leases[number]; l != nil {
-			s.drop(l)
+			s.dropLease(l)
 		}
 	}
 	delete(s.gatherers, name)
 }
 
-// Cancelled returns the leases that a gatherer should give up, once.
+// TakeCancelled returns the numbers of the leases that a gatherer has to cancel, and clears the list. Where the answer is lost, the gatherer
+// reports the leases again and Adopt queues them anew.
 func (s *Scheduler) TakeCancelled(name string) []uint64 {
 	g := s.gatherers[name]
 	if g == nil {
 		return nil
 	}
-	list := g.cancelled
+	cancelled := g.cancelled
 	g.cancelled = nil
-	return list
+	return cancelled
 }
+
+// Gatherers returns the number of gatherers that sent a request lately.
+func (s *Scheduler) Gatherers() int { return len(s.gatherers) }
--- /dev/null
+++ b/internal/scheduler/batchjobs/maintenance.go
@@ -0,0 +1,84 @@
+package batchjobs
+
+import (
+	"context"
+	"saffronquay/internal/scheduler/rpc"
+	"time"
+)
+
+const (
+	tickInterval   = 100 * time.Millisecond
+	forgetInterval = 5 * time.Second
+	demandInterval = 500 * time.Millisecond
+)
+
+// Run does the periodic work of the owned shards until the context ends: it drops the leases of lost gatherers, abandons items whose
+// queueing time is over, reports the demand and forgets old jobs. It is called once.
+func (s *Service) Run(ctx context.Context) {
+	ticker := time.NewTicker(tickInterval)
+	defer ticker.Stop()
+	forgetAt := time.Now().Add(forgetInterval)
+	for {
+		select {
+		case <-ticker.C:
+		case <-ctx.Done():
+			return
+		}
+		forget := time.Now().After(forgetAt)
+		if forget {
+			forgetAt = time.Now().Add(forgetInterval)
+		}
+		for _, name := range s.shardNames() {
+			owner := s.ownerOf(name)
+			if !owner.isOwner() {
+				continue
+			}
+			s.tickShard(ctx, owner)
+			if forget {
+				s.forgetJobs(ctx, owner.shard)
+			}
+		}
+	}
+}
+
+func (s *Service) shardNames() (names []string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for name := range s.shards {
+		names = append(names, name)
+	}
+	return names
+}
+
+// tickShard advances the scheduler of an owned shard, reports its demand and abandons expired items.
+func (s *Service) tickShard(ctx context.Context, owner ownership) {
+	expired, demand := owner.shard.tick(owner.epoch)
+	if s.Demand != nil && len(demand) > 0 {
+		s.Demand(owner.shard.name, demand)
+	}
+	for job, items := range expired {
+		results := make([]*rpc.Result, 0, len(items))
+		for _, item := range items {
+			results = append(results, &rpc.Result{Item: item})
+		}
+		s.commitResults(ctx, owner.shard, job, results)
+	}
+}
+
+// forgetJobs removes the jobs of an owned shard whose results need not be kept any more. What is not committed is proposed again in the
+// next interval.
+func (s *Service) forgetJobs(ctx context.Context, sh *shard) {
+	for _, stored := range sh.state.Jobs() {
+		if s.isOutdated(stored) {
+			s.propose(ctx, sh.name, &rpc.LedgerCommand{Command: &rpc.LedgerCommand_Forget{Forget: stored.Job.Id}})
+		}
+	}
+}
+
+// isOutdated reports whether a job may be forgotten: an ended one after KeepResults, any other one after twice that and its time in the
+// queue. The age is how long this process has known the job, because the time of day may step.
+func (s *Service) isOutdated(stored StoredJob) bool {
+	age := time.Duration(monotonicMS()-stored.FirstSeenMS) * time.Millisecond
+	maxQueue := time.Duration(stored.Job.MaxQueueMs) * time.Millisecond
+	return stored.Ended && age > s.KeepResults || age > 2*s.KeepResults+maxQueue
+}
--- a/internal/scheduler/batchjobs/memory_test.go
+++ b/internal/scheduler/batchjobs/memory_test.go
@@ -11,8 +11,8 @@
 	"github.com/matryer/is"
 )
 
-// TestMemoryOfAJob holds what a ledger keeps in memory against the bytes of the texts and bodies: they lie there once. (The log's entries
-// are stripped of theirs once they are applied: see package replica.)
+// TestMemoryOfAJob compares the memory of a state with the bytes of its texts and bodies: there is one copy of them. (Entries of the log lose
+// theirs after they are applied: see package replica.)
 func TestMemoryOfAJob(t *testing.T) {
 	is := is.New(t)
 	const jobs, items, bodyBytes, textBytes = 8, 400, 2000, 3000
@@ -24,11 +24,11 @@
 		}
 		return b
 	}
-	l := NewState(nil, now)
+	state := NewState(nil, monotonicMS)
 	index := uint64(0)
 	apply := func(c *rpc.LedgerCommand) {
 		index++
-		l.Apply(index, replica.Marshal(c))
+		state.Apply(index, replica.Marshal(c))
 	}
 	var before, after runtime.MemStats
 	runtime.GC()
@@ -48,20 +48,20 @@
 	}
 	runtime.GC()
 	runtime.ReadMemStats(&after)
-	held := after.HeapAlloc - before.HeapAlloc
+	inUse := after.HeapAlloc - before.HeapAlloc
 	data := uint64(jobs * items * (bodyBytes + textBytes))
-	t.Logf("data %d KB, held %d KB, %.2f of it", data>>10, held>>10, float64(held)/float64(data))
-	is.True(held < data*13/10)
+	t.Logf("data %d KB, in use %d KB, %.2f of it", data>>10, inUse>>10, float64(inUse)/float64(data))
+	is.True(inUse < data*13/10)
 	for j := range jobs {
 		apply(&rpc.LedgerCommand{Command: &rpc.LedgerCommand_End{End: &rpc.EndJob{Job: fmt.Sprintf("job%d", j)}}})
 	}
 	runtime.GC()
 	runtime.ReadMemStats(&after)
 	ended := after.HeapAlloc - before.HeapAlloc
-	t.Logf("held %d KB once the jobs have ended", ended>>10)
+	t.Logf("in use %d KB after the jobs have ended", ended>>10)
 	is.True(ended < jobs*items*textBytes*13/10) // the bodies are gone
-	total, results, _, found := l.Read("job1", 0)
+	total, results, _, found := state.Read("job1", 0)
 	is.True(found && total == items && len(results[0].Text) == textBytes)
-	_, found = l.ItemBody("job1", "item1-0")
+	_, found = state.ItemBody("job1", "item1-0")
 	is.True(!found)
 }
--- /dev/null
+++ b/internal/scheduler/batchjobs/openjob.go
@@ -0,0 +1,133 @@
+package batchjobs
+
+import (
+	"cmp"
+	"saffronquay/internal/scheduler/rpc"
+)
+
+// stage is how far an item is.
+type stage uint8
+
+const (
+	// pending: the item may be granted.
+	pending stage = iota
+	// leased: a gatherer works on it.
+	leased
+	// committing: a result was handed to the caller and is not committed yet.
+	committing
+	// committed: the item has a result. This stage is final.
+	committed
+)
+
+// openJob is a job that has not ended, as the scheduler sees it.
+type openJob struct {
+	spec           *rpc.CreateJob
+	deadlineAt     int64
+	valuelessAt    int64 // from then on its results have no value
+	abandonAt      int64 // from then on its pending items are abandoned, where the job bounds its time in the queue
+	groups         []*group
+	items          map[string]*itemState // by id
+	completeGroups int
+}
+
+// group is the items of a job that count together towards the number of groups that the trainer waits for.
+type group struct {
+	items       []*itemState
+	uncommitted int  // number of items that are not committed
+	started     bool // an item was granted or is committed
+}
+
+// itemState is an item of an open job.
+type itemState struct {
+	job      *openJob
+	group    *group
+	item     *rpc.Item
+	stage    stage
+	failures uint32
+	lease    *lease // nil where no gatherer works on the item; a lease may outlast the result of an earlier one until that is committed
+}
+
+// newOpenJob returns a job that was sent and first seen at these times, with the items in done committed.
+func newOpenJob(spec *rpc.CreateJob, sentAt, firstSeenAt int64, done map[string]bool) *openJob {
+	j := &openJob{
+		spec:        spec,
+		deadlineAt:  sentAt + int64(spec.DeadlineMs),
+		valuelessAt: sentAt + int64(max(spec.GiveUpMs, spec.DeadlineMs)),
+		abandonAt:   firstSeenAt + int64(spec.MaxQueueMs),
+		items:       map[string]*itemState{},
+	}
+	groups := map[string]*group{}
+	for _, item := range spec.Items {
+		name := cmp.Or(item.Group, item.Id)
+		g := groups[name]
+		if g == nil {
+			g = &group{}
+			groups[name] = g
+			j.groups = append(j.groups, g)
+		}
+		state := &itemState{job: j, group: g, item: item}
+		if done[item.Id] {
+			state.stage = committed
+			g.started = true
+		} else {
+			g.uncommitted++
+		}
+		g.items = append(g.items, state)
+		j.items[item.Id] = state
+	}
+	for _, g := range j.groups {
+		if g.uncommitted == 0 {
+			j.completeGroups++
+		}
+	}
+	return j
+}
+
+// timeliness orders jobs by the value that their results still have.
+type timeliness uint8
+
+const (
+	onTime timeliness = iota
+	late
+	valueless
+)
+
+func (j *openJob) timeliness(now int64) timeliness {
+	switch {
+	case now < j.deadlineAt:
+		return onTime
+	case now < j.valuelessAt:
+		return late
+	}
+	return valueless
+}
+
+// startedGroups returns the number of groups that were started.
+func (j *openJob) startedGroups() int {
+	started := 0
+	for _, g := range j.groups {
+		if g.started {
+			started++
+		}
+	}
+	return started
+}
+
+// wantedItems returns the number of uncommitted items that the trainer waits for: those of the first open groups, as many as it still wants.
+func (j *openJob) wantedItems() int {
+	groups := int(j.spec.Desired) - j.completeGroups
+	if j.spec.Desired == 0 {
+		groups = len(j.groups) - j.completeGroups
+	}
+	items := 0
+	for _, g := range j.groups {
+		if groups <= 0 {
+			break
+		}
+		if g.uncommitted > 0 {
+			items += g.uncommitted
+			groups--
+		}
+	}
+	return items
+}
--- /dev/null
+++ b/internal/scheduler/batchjobs/reports.go
@@ -0,0 +1,83 @@
+package batchjobs
+
+import "saffronquay/internal/scheduler/rpc"
+
+// HandleReport takes a gatherer's report on a lease. It returns the result that has to be committed, nil where there is none; the caller then
+// commits it and calls ItemsCommitted or ItemsReopened. A result counts also when its lease was dropped meanwhile; a later
+// lease of the item then goes on until the result is committed.
+func (s *Scheduler) HandleReport(now int64, r *rpc.Report) *rpc.Result {
+	j := s.jobs[r.Job]
+	if j == nil {
+		return nil
+	}
+	state := j.items[r.Item]
+	if state == nil || state.stage == committed || state.stage == committing {
+		return nil
+	}
+	reported := s.leases[r.Number]
+	if reported != nil && reported.item != state {
+		reported = nil
+	}
+	switch {
+	case r.Result != nil:
+		if reported != nil {
+			s.observeDuration(j.spec.Model, float64(now-reported.grantedAt))
+			s.dropLease(reported)
+		}
+		state.stage = committing
+		return r.Result
+	case r.Failed:
+		state.failures++
+		if reported != nil {
+			s.dropLease(reported)
+		}
+		if state.failures >= max(j.spec.MaxAttempts, 1) {
+			state.stage = committing
+			return &rpc.Result{Item: r.Item}
+		}
+	case reported != nil:
+		s.dropLease(reported)
+	}
+	return nil
+}
+
+// ItemsCommitted records that items of a job have a result, and cancels their leases. It returns whether a cancellation has to be sent
+// to a gatherer.
+func (s *Scheduler) ItemsCommitted(id string, items []string) (cancelled bool) {
+	j := s.jobs[id]
+	if j == nil {
+		return false
+	}
+	for _, itemID := range items {
+		state := j.items[itemID]
+		if state == nil || state.stage == committed {
+			continue
+		}
+		cancelled = s.cancelLease(state) || cancelled // the result is of an earlier lease
+		state.stage = committed
+		state.group.uncommitted--
+		if state.group.uncommitted == 0 {
+			j.completeGroups++
+		}
+	}
+	return cancelled
+}
+
+// ItemsReopened records that the results of items were not committed: the items are leased where a gatherer still works on them, otherwise
+// pending. Whether a result is committed may be uncertain; ItemsCommitted then follows when the entry is applied.
+func (s *Scheduler) ItemsReopened(id string, items []string) {
+	j := s.jobs[id]
+	if j == nil {
+		return
+	}
+	for _, itemID := range items {
+		state := j.items[itemID]
+		if state == nil || state.stage != committing {
+			continue
+		}
+		state.stage = pending
+		if state.lease != nil {
+			state.stage = leased
+		}
+	}
+}
--- a/internal/scheduler/batchjobs/scheduler_test.go
+++ b/internal/scheduler/batchjobs/scheduler_test.go
@@ -19,75 +19,75 @@
 	return c
 }
 
-// begun is a scheduler that hands out.
-func begun(jobs ...*rpc.CreateJob) *Scheduler {
+// newGrantingScheduler returns a scheduler of epoch 1 that grants items of these jobs, and knows the gatherer g.
+func newGrantingScheduler(jobs ...*rpc.CreateJob) *Scheduler {
 	s := NewScheduler(1, 0, 0, nil)
-	s.Observe(adoptMS, "g")
-	s.Tick(adoptMS)
+	s.Observe(adoptionWaitMS, "g")
+	s.Tick(adoptionWaitMS)
 	for _, j := range jobs {
-		s.OpenJob(adoptMS, j)
+		s.OpenJob(adoptionWaitMS, j)
 	}
 	return s
 }
 
-func room(n uint32) []*rpc.Room { return []*rpc.Room{{Model: "m", Version: 2, Free: n}} }
+func slots(n uint32) []*rpc.Room { return []*rpc.Room{{Model: "m", Version: 2, Free: n}} }
 
-// The job that is due first goes first, begun groups before others, and spare groups only when no job wants more.
+// The job with the earliest deadline comes first, started groups before others, and spare groups only when no job wants more.
 func TestOrder(t *testing.T) {
 	is := is.New(t)
-	s := begun(newCreate("late", 4, 2, 4, 9000), newCreate("soon", 16, 2, 8, 5000))
-	leases := s.GrantLeases(adoptMS, "g", 30, room(30))
+	s := newGrantingScheduler(newCreate("late", 4, 2, 4, 9000), newCreate("soon", 16, 2, 8, 5000))
+	leases := s.GrantLeases(adoptionWaitMS, "g", 30, slots(30))
 	is.Equal(len(leases), 30)
-	for i, l := range leases {
+	for i, lease := range leases {
 		switch {
 		case i < 18: // 8 groups and one to spare
-			is.Equal(l.Job, "soon")
+			is.Equal(lease.Job, "soon")
 		case i < 26:
-			is.Equal(l.Job, "late")
+			is.Equal(lease.Job, "late")
 		default:
-			is.Equal(l.Job, "soon")
+			is.Equal(lease.Job, "soon")
 		}
 	}
 }
 
-// A job whose results are worth nothing any more waits for all others.
+// Items of a job whose results have no value any more are granted after those of all others.
 func TestWorthlessJobsGoLast(t *testing.T) {
 	is := is.New(t)
-	s := begun(newCreate("old", 2, 1, 2, 1000))
-	now := int64(adoptMS + 2001)
+	s := newGrantingScheduler(newCreate("old", 2, 1, 2, 1000))
+	now := int64(adoptionWaitMS + 2001)
 	s.Observe(now, "g")
 	s.OpenJob(now, newCreate("new", 2, 1, 2, 9000))
-	leases := s.GrantLeases(now, "g", 3, room(3))
+	leases := s.GrantLeases(now, "g", 3, slots(3))
 	is.Equal(leases[0].Job, "new")
 	is.Equal(leases[1].Job, "new")
 	is.Equal(leases[2].Job, "old")
 	is.Equal(len(s.Demand(now)), 1)
 }
 
-// Items go only where weights fit.
+// Items are granted only for slots with the job's model in a new enough version.
 func TestWeightsMustFit(t *testing.T) {
 	is := is.New(t)
-	s := begun(newCreate("j", 4, 1, 4, 9000))
-	is.Equal(len(s.GrantLeases(adoptMS, "g", 9, []*rpc.Room{{Model: "m", Version: 1, Free: 9}, {Model: "x", Version: 9, Free: 9}})), 0)
-	is.Equal(len(s.GrantLeases(adoptMS, "g", 9, []*rpc.Room{{Model: "m", Version: 1, Free: 9}, {Model: "m", Version: 3, Free: 2}})), 2)
+	s := newGrantingScheduler(newCreate("j", 4, 1, 4, 9000))
+	is.Equal(len(s.GrantLeases(adoptionWaitMS, "g", 9, []*rpc.Room{{Model: "m", Version: 1, Free: 9}, {Model: "x", Version: 9, Free: 9}})), 0)
+	is.Equal(len(s.GrantLeases(adoptionWaitMS, "g", 9, []*rpc.Room{{Model: "m", Version: 1, Free: 9}, {Model: "m", Version: 3, Free: 2}})), 2)
 }
 
-// What a lost gatherer held is handed to another one; its late result still counts, and only one does.
+// The items of a lost gatherer are granted to another one; its late result still counts, and only one does.
 func TestLostGatherer(t *testing.T) {
 	is := is.New(t)
-	s := begun(newCreate("j", 1, 1, 1, 9000))
-	first := s.GrantLeases(adoptMS, "g", 1, room(1))[0]
-	now := int64(adoptMS + gathererLostMS + 1)
+	s := newGrantingScheduler(newCreate("j", 1, 1, 1, 9000))
+	first := s.GrantLeases(adoptionWaitMS, "g", 1, slots(1))[0]
+	now := int64(adoptionWaitMS + gathererTimeoutMS + 1)
 	s.Observe(now, "other")
 	_, freed := s.Tick(now)
 	is.True(freed)
-	second := s.GrantLeases(now, "other", 1, room(1))
+	second := s.GrantLeases(now, "other", 1, slots(1))
 	is.Equal(second[0].Item.Id, first.Item.Id)
 	is.True(s.HandleReport(now, &rpc.Report{Job: "j", Item: first.Item.Id, Number: first.Number, Result: &rpc.Result{Item: first.Item.Id}}) != nil)
 	is.True(s.HandleReport(now, &rpc.Report{Job: "j", Item: first.Item.Id, Number: second[0].Number, Result: &rpc.Result{Item: first.Item.Id}}) == nil)
 }
 
-// A new owner lets gatherers go on with what they hold, and cancels what has ended meanwhile. A cancellation that was lost is told again.
+// A new owner adopts the leases that gatherers report, and cancels those whose item or job has ended meanwhile. A lost cancellation is sent again.
 func TestAdoption(t *testing.T) {
 	is := is.New(t)
 	create := newCreate("j", 2, 1, 2, 9000)
@@ -95,51 +95,51 @@
 	s.Observe(1, "g")
 	s.Adopt(1, "g", []*rpc.HeldLease{{Job: "j", Item: create.Items[0].Id, Number: 11}, {Job: "j", Item: create.Items[1].Id, Number: 12}, {Job: "ended", Item: "x", Number: 13}})
 	is.Equal(s.TakeCancelled("g"), []uint64{11, 13})
-	s.Tick(adoptMS)
-	is.Equal(len(s.GrantLeases(adoptMS, "g", 5, room(5))), 0) // the only open item is adopted
+	s.Tick(adoptionWaitMS)
+	is.Equal(len(s.GrantLeases(adoptionWaitMS, "g", 5, slots(5))), 0) // the only open item is adopted
 	s.CloseJob("j")
 	is.Equal(s.TakeCancelled("g"), []uint64{12})
-	s.Adopt(adoptMS, "g", []*rpc.HeldLease{{Job: "j", Item: create.Items[1].Id, Number: 12}}) // the answer was lost
+	s.Adopt(adoptionWaitMS, "g", []*rpc.HeldLease{{Job: "j", Item: create.Items[1].Id, Number: 12}}) // the answer was lost
 	is.Equal(s.TakeCancelled("g"), []uint64{12})
 }
 
-// A lease whose grant was lost on its way is taken back once the gatherer has not listed it for long enough, and not before: the grant may
+// A lease whose grant was lost is dropped when its gatherer has not reported it for long enough, and not before: the grant may
 // still arrive.
 func TestLostGrant(t *testing.T) {
 	is := is.New(t)
-	s := begun(newCreate("j", 2, 1, 2, 90_000))
-	leases := s.GrantLeases(adoptMS, "g", 2, room(2))
+	s := newGrantingScheduler(newCreate("j", 2, 1, 2, 90_000))
+	leases := s.GrantLeases(adoptionWaitMS, "g", 2, slots(2))
 	is.Equal(len(leases), 2)
 	kept := []*rpc.HeldLease{{Job: "j", Item: leases[0].Item.Id, Number: leases[0].Number}}
-	s.Observe(adoptMS+lostGrantMS, "g")
-	is.True(!s.Adopt(adoptMS+lostGrantMS, "g", kept))
-	is.Equal(len(s.GrantLeases(adoptMS+lostGrantMS, "g", 2, room(2))), 0)
-	is.True(s.Adopt(adoptMS+lostGrantMS+1, "g", kept))
-	again := s.GrantLeases(adoptMS+lostGrantMS+1, "g", 2, room(2))
+	s.Observe(adoptionWaitMS+lostGrantTimeoutMS, "g")
+	is.True(!s.Adopt(adoptionWaitMS+lostGrantTimeoutMS, "g", kept))
+	is.Equal(len(s.GrantLeases(adoptionWaitMS+lostGrantTimeoutMS, "g", 2, slots(2))), 0)
+	is.True(s.Adopt(adoptionWaitMS+lostGrantTimeoutMS+1, "g", kept))
+	again := s.GrantLeases(adoptionWaitMS+lostGrantTimeoutMS+1, "g", 2, slots(2))
 	is.Equal(len(again), 1)
 	is.Equal(again[0].Item.Id, leases[1].Item.Id)
 	is.Equal(s.TakeCancelled("g"), nil) // the other one goes on
 }
 
-// An item that fails too often is abandoned, one whose time is over too.
+// An item is abandoned when it fails too often, and when its queueing time is over.
 func TestAbandoned(t *testing.T) {
 	is := is.New(t)
 	create := newCreate("j", 2, 1, 2, 9000)
 	create.MaxQueueMs = 20000
-	s := begun(create)
+	s := newGrantingScheduler(create)
 	for i := range 3 {
-		lease := s.GrantLeases(adoptMS, "g", 1, room(1))[0]
-		result := s.HandleReport(adoptMS, &rpc.Report{Job: "j", Item: lease.Item.Id, Number: lease.Number, Failed: true})
+		lease := s.GrantLeases(adoptionWaitMS, "g", 1, slots(1))[0]
+		result := s.HandleReport(adoptionWaitMS, &rpc.Report{Job: "j", Item: lease.Item.Id, Number: lease.Number, Failed: true})
 		is.Equal(result != nil, i == 2)
 	}
-	expired, _ := s.Tick(adoptMS + 20000)
+	expired, _ := s.Tick(adoptionWaitMS + 20000)
 	is.Equal(len(expired["j"]), 1)
 	s.ItemsReopened("j", expired["j"])
-	expired, _ = s.Tick(adoptMS + 20000)
+	expired, _ = s.Tick(adoptionWaitMS + 20000)
 	is.Equal(len(expired["j"]), 1)
 }
 
-// In random histories of gatherers that come, go, fail and report, every item is settled once, and no lease is held by two.
+// In random histories of gatherers that come, go, fail and report, every item gets exactly one result.
 func TestHistories(t *testing.T) {
 	for seed := uint64(1); seed <= 60; seed++ {
 		playHistory(t, seed)
@@ -148,30 +148,30 @@
 
 func playHistory(t *testing.T, seed uint64) {
 	random := rand.New(rand.NewPCG(seed, 3))
-	l := NewState(nil, now)
+	state := NewState(nil, monotonicMS)
 	create := newCreate("j", 12, 3, 12, 60_000)
-	l.apply(&rpc.LedgerCommand{Command: &rpc.LedgerCommand_Create{Create: create}})
+	state.apply(&rpc.LedgerCommand{Command: &rpc.LedgerCommand_Create{Create: create}})
 	epoch := uint64(1)
-	s := NewScheduler(epoch, 0, 0, l.Jobs())
+	s := NewScheduler(epoch, 0, 0, state.Jobs())
 	held := map[string][]*rpc.Lease{}
 	now := int64(0)
-	for ; now < 400_000 && len(l.jobs["j"].results) < len(create.Items); now += 100 {
+	for ; now < 400_000 && len(state.jobs["j"].results) < len(create.Items); now += 100 {
 		s.Tick(now)
 		name := fmt.Sprint("g", random.IntN(4))
 		if random.IntN(60) == 0 { // the owner changes
 			epoch++
-			s = NewScheduler(epoch, now, now, l.Jobs())
+			s = NewScheduler(epoch, now, now, state.Jobs())
 		}
 		if random.IntN(40) == 0 {
 			delete(held, name) // it restarts
 			continue
 		}
 		s.Observe(now, name)
-		var told []*rpc.HeldLease
+		var reported []*rpc.HeldLease
 		for _, lease := range held[name] {
-			told = append(told, &rpc.HeldLease{Job: "j", Item: lease.Item.Id, Number: lease.Number})
+			reported = append(reported, &rpc.HeldLease{Job: "j", Item: lease.Item.Id, Number: lease.Number})
 		}
-		s.Adopt(now, name, told)
+		s.Adopt(now, name, reported)
 		for _, number := range s.TakeCancelled(name) {
 			for i, lease := range held[name] {
 				if lease.Number == number {
@@ -180,7 +180,7 @@
 				}
 			}
 		}
-		held[name] = append(held[name], s.GrantLeases(now, name, random.IntN(4), room(4))...)
+		held[name] = append(held[name], s.GrantLeases(now, name, random.IntN(4), slots(4))...)
 		if len(held[name]) > 0 && random.IntN(2) == 0 {
 			lease := held[name][0]
 			held[name] = held[name][1:]
@@ -192,12 +192,12 @@
 				s.ItemsReopened("j", []string{result.Item})
 				continue
 			}
-			_, change := l.apply(&rpc.LedgerCommand{Command: &rpc.LedgerCommand_Append{Append: &rpc.AppendResults{Job: "j", Results: []*rpc.Result{result, result}}}})
+			_, change := state.apply(&rpc.LedgerCommand{Command: &rpc.LedgerCommand_Append{Append: &rpc.AppendResults{Job: "j", Results: []*rpc.Result{result, result}}}})
 			s.ItemsCommitted(change.CommittedJob, change.CommittedItems)
 		}
 	}
 	seen := map[string]bool{}
-	for _, result := range l.jobs["j"].results {
+	for _, result := range state.jobs["j"].results {
 		if seen[result.Item] {
 			t.Fatalf("seed %d: %s stands at two positions", seed, result.Item)
 		}
@@ -208,7 +208,7 @@
 	}
 }
 
-// A new owner whose time of day runs ahead gives nothing up too soon.
+// A new owner whose time of day is ahead abandons nothing too early.
 func TestNothingIsGivenUpByAWrongClock(t *testing.T) {
 	is := is.New(t)
 	create := newCreate("j", 1, 1, 1, 9000)
@@ -220,85 +220,85 @@
 	is.Equal(len(expired["j"]), 1)
 }
 
-// A gatherer that was started anew holds nothing of what its last process held: that is handed out at once.
+// A restarted gatherer has none of the leases of its last process: their items are granted immediately.
 func TestRestartedGatherer(t *testing.T) {
 	is := is.New(t)
-	s := begun(newCreate("j", 1, 1, 1, 9000))
-	s.Observe(adoptMS, "edge/1")
-	first := s.GrantLeases(adoptMS, "edge/1", 1, room(1))
+	s := newGrantingScheduler(newCreate("j", 1, 1, 1, 9000))
+	s.Observe(adoptionWaitMS, "edge/1")
+	first := s.GrantLeases(adoptionWaitMS, "edge/1", 1, slots(1))
 	is.Equal(len(first), 1)
-	s.Observe(adoptMS+100, "edge/2")
-	second := s.GrantLeases(adoptMS+100, "edge/2", 1, room(1))
+	s.Observe(adoptionWaitMS+100, "edge/2")
+	second := s.GrantLeases(adoptionWaitMS+100, "edge/2", 1, slots(1))
 	is.Equal(len(second), 1)
 	is.Equal(second[0].Item.Id, first[0].Item.Id)
 }
 
-// A result of a gatherer that counted as lost, which could not be listed, leaves the lease that came after it going; where that is handed back,
-// too, the item is open again.
+// When the result of a lost gatherer can't be committed, the later lease of the item stays; when that is released too, the item is pending
+// again.
 func TestLeaseOutlastsAnUnlistedResult(t *testing.T) {
 	is := is.New(t)
-	s := begun(newCreate("j", 1, 1, 1, 9000))
-	first := s.GrantLeases(adoptMS, "g", 1, room(1))[0]
-	now := int64(adoptMS + gathererLostMS + 1)
+	s := newGrantingScheduler(newCreate("j", 1, 1, 1, 9000))
+	first := s.GrantLeases(adoptionWaitMS, "g", 1, slots(1))[0]
+	now := int64(adoptionWaitMS + gathererTimeoutMS + 1)
 	s.Tick(now)
 	s.Observe(now, "other")
-	second := s.GrantLeases(now, "other", 1, room(1))[0]
+	second := s.GrantLeases(now, "other", 1, slots(1))[0]
 	is.Equal(second.Item.Id, first.Item.Id)
 	s.Observe(now, "g")
 	is.True(s.HandleReport(now, &rpc.Report{Job: "j", Item: first.Item.Id, Number: first.Number, Result: &rpc.Result{Item: first.Item.Id}}) != nil)
 	s.ItemsReopened("j", []string{first.Item.Id})
-	is.Equal(len(s.GrantLeases(now, "g", 1, room(1))), 0)
+	is.Equal(len(s.GrantLeases(now, "g", 1, slots(1))), 0)
 	is.True(s.HandleReport(now, &rpc.Report{Job: "j", Item: first.Item.Id, Number: second.Number, Released: true}) == nil)
-	is.Equal(len(s.GrantLeases(now, "g", 1, room(1))), 1)
+	is.Equal(len(s.GrantLeases(now, "g", 1, slots(1))), 1)
 }
 
-// Where it is listed, the lease that came after it is cancelled.
+// When the result of a lost gatherer is committed, the later lease of the item is cancelled.
 func TestListedResultCancelsTheLaterLease(t *testing.T) {
 	is := is.New(t)
-	s := begun(newCreate("j", 1, 1, 1, 9000))
-	first := s.GrantLeases(adoptMS, "g", 1, room(1))[0]
-	now := int64(adoptMS + gathererLostMS + 1)
+	s := newGrantingScheduler(newCreate("j", 1, 1, 1, 9000))
+	first := s.GrantLeases(adoptionWaitMS, "g", 1, slots(1))[0]
+	now := int64(adoptionWaitMS + gathererTimeoutMS + 1)
 	s.Tick(now)
 	s.Observe(now, "other")
-	second := s.GrantLeases(now, "other", 1, room(1))[0]
+	second := s.GrantLeases(now, "other", 1, slots(1))[0]
 	is.True(s.HandleReport(now, &rpc.Report{Job: "j", Item: first.Item.Id, Number: first.Number, Result: &rpc.Result{Item: first.Item.Id}}) != nil)
 	is.True(s.ItemsCommitted("j", []string{first.Item.Id}))
 	is.Equal(s.TakeCancelled("other"), []uint64{second.Number})
 }
 
-// Who waits is woken by a result only where something is to be given up.
-func TestSettledTellsOfCancellations(t *testing.T) {
+// A committed result wakes waiting gatherers only where it cancels a lease.
+func TestItemsCommittedReportsCancellations(t *testing.T) {
 	is := is.New(t)
-	s := begun(newCreate("j", 2, 1, 2, 9000))
-	lease := s.GrantLeases(adoptMS, "g", 1, room(1))[0]
-	s.HandleReport(adoptMS, &rpc.Report{Job: "j", Item: lease.Item.Id, Number: lease.Number, Result: &rpc.Result{Item: lease.Item.Id}})
+	s := newGrantingScheduler(newCreate("j", 2, 1, 2, 9000))
+	lease := s.GrantLeases(adoptionWaitMS, "g", 1, slots(1))[0]
+	s.HandleReport(adoptionWaitMS, &rpc.Report{Job: "j", Item: lease.Item.Id, Number: lease.Number, Result: &rpc.Result{Item: lease.Item.Id}})
 	is.True(!s.ItemsCommitted("j", []string{lease.Item.Id}))
 }
 
-// The demand is enough for the work that is due by each deadline, not the sum of what each job would need alone; a late job doesn't ask for
-// more than it could use.
+// The demand is enough for the work that is due by each deadline, not the sum of what each job would need alone; a late job doesn't
+// demand more than it could use.
 func TestDemand(t *testing.T) {
 	is := is.New(t)
-	s := begun(newCreate("soon", 10, 1, 10, 5000), newCreate("later", 60, 1, 60, 10_000))
-	near := float64(10*firstItemMS) / (5000 - handMS)
-	both := float64(70*firstItemMS) / (10_000 - handMS)
+	s := newGrantingScheduler(newCreate("soon", 10, 1, 10, 5000), newCreate("later", 60, 1, 60, 10_000))
+	near := float64(10*initialItemMS) / (5000 - deadlineReserveMS)
+	both := float64(70*initialItemMS) / (10_000 - deadlineReserveMS)
 	is.True(near < both)
-	is.Equal(s.Demand(adoptMS)["m"], both)
+	is.Equal(s.Demand(adoptionWaitMS)["m"], both)
 	s.CloseJob("later")
-	is.Equal(s.Demand(adoptMS)["m"], near)
-	is.Equal(s.Demand(adoptMS + 4900)["m"], float64(10*firstItemMS)/(5000.0/leastLeft))
+	is.Equal(s.Demand(adoptionWaitMS)["m"], near)
+	is.Equal(s.Demand(adoptionWaitMS + 4900)["m"], float64(10*initialItemMS)/(5000.0/minTimeLeftDivisor))
 }
 
-// A word of an earlier process that comes late, when the next one works already, loses nothing: what it held is handed out, or reported all the same.
-func TestLateWordOfAnEarlierProcess(t *testing.T) {
+// A request of an earlier process that arrives late, when the next one works already, loses nothing: its items are granted or reported all the same.
+func TestLateRequestOfAnEarlierProcess(t *testing.T) {
 	is := is.New(t)
-	s := begun(newCreate("j", 1, 1, 1, 9000))
-	s.Observe(adoptMS, "edge/2")
-	lease := s.GrantLeases(adoptMS, "edge/2", 1, room(1))[0]
-	s.Observe(adoptMS+10, "edge/1")
-	s.Observe(adoptMS+20, "edge/2")
-	s.Adopt(adoptMS+20, "edge/2", []*rpc.HeldLease{{Job: "j", Item: lease.Item.Id, Number: lease.Number}})
+	s := newGrantingScheduler(newCreate("j", 1, 1, 1, 9000))
+	s.Observe(adoptionWaitMS, "edge/2")
+	lease := s.GrantLeases(adoptionWaitMS, "edge/2", 1, slots(1))[0]
+	s.Observe(adoptionWaitMS+10, "edge/1")
+	s.Observe(adoptionWaitMS+20, "edge/2")
+	s.Adopt(adoptionWaitMS+20, "edge/2", []*rpc.HeldLease{{Job: "j", Item: lease.Item.Id, Number: lease.Number}})
 	is.Equal(s.TakeCancelled("edge/2"), nil) // it goes on
-	is.Equal(len(s.GrantLeases(adoptMS+20, "edge/2", 1, room(1))), 0)
-	is.True(s.HandleReport(adoptMS+30, &rpc.Report{Job: "j", Item: lease.Item.Id, Number: lease.Number, Result: &rpc.Result{Item: lease.Item.Id}}) != nil)
+	is.Equal(len(s.GrantLeases(adoptionWaitMS+20, "edge/2", 1, slots(1))), 0)
+	is.True(s.HandleReport(adoptionWaitMS+30, &rpc.Report{Job: "j", Item: lease.Item.Id, Number: lease.Number, Result: &rpc.Result{Item: lease.Item.Id}}) != nil)
 }
--- /dev/null
+++ b/internal/scheduler/batchjobs/snapshot.go
@@ -0,0 +1,110 @@
+package batchjobs
+
+import (
+	"bufio"
+	"errors"
+	"io"
+	"saffronquay/internal/scheduler/replica"
+	"saffronquay/internal/scheduler/rpc"
+
+	"google.golang.org/protobuf/proto"
+)
+
+// itemsPerRecord is the maximal number of items, and of results, in one record of a snapshot.
+const itemsPerRecord = 64
+
+// Snapshot implements replica.StateMachine. Stored specs, items and results never change, so it copies references only; the
+// returned function may run while further commands are applied.
+func (s *State) Snapshot() (next func() proto.Message) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	var records []*rpc.StoredJob
+	for _, j := range s.jobs {
+		records = append(records, j.snapshotRecords()...)
+	}
+	return func() proto.Message {
+		if len(records) == 0 {
+			return nil
+		}
+		record := records[0]
+		records = records[1:]
+		return record
+	}
+}
+
+// snapshotRecords returns the records of a job, in order. The first has all of the job's fields, the continued ones only its id.
+func (j *job) snapshotRecords() (records []*rpc.StoredJob) {
+	head := &rpc.CreateJob{
+		Id: j.spec.Id, Host: j.spec.Host, Path: j.spec.Path, Model: j.spec.Model, MinVersion: j.spec.MinVersion,
+		Step: j.spec.Step, Desired: j.spec.Desired, SentUnixMs: j.spec.SentUnixMs, DeadlineMs: j.spec.DeadlineMs, MaxQueueMs: j.spec.MaxQueueMs,
+		MaxAttempts: j.spec.MaxAttempts, SingleVersion: j.spec.SingleVersion, Priority: j.spec.Priority, GiveUpMs: j.spec.GiveUpMs,
+	}
+	items, results := j.spec.Items, j.results
+	for {
+		recordItems := items[:min(len(items), itemsPerRecord)]
+		recordResults := results[:min(len(results), itemsPerRecord)]
+		items, results = items[len(recordItems):], results[len(recordResults):]
+		head.Items = recordItems
+		records = append(records, &rpc.StoredJob{Job: head, Results: recordResults, Ended: j.ended, Continued: len(records) > 0})
+		if len(items) == 0 && len(results) == 0 {
+			return records
+		}
+		head = &rpc.CreateJob{Id: j.spec.Id}
+	}
+}
+
+// Restore implements replica.StateMachine. Where the snapshot can't be read, the state stays as it was. Jobs that were known before keep the
+// time when this process saw them first.
+func (s *State) Restore(_ uint64, snapshot *bufio.Reader) error {
+	stored, err := readSnapshot(snapshot)
+	if err != nil {
+		return err
+	}
+	s.mu.Lock()
+	for _, j := range s.jobs {
+		j.notifyReaders()
+	}
+	jobs := map[string]*job{}
+	for id, record := range stored {
+		j := newJob(record.Job, s.clock())
+		if old := s.jobs[id]; old != nil {
+			j.firstSeenMS = old.firstSeenMS
+		}
+		j.results = record.Results
+		if record.Ended {
+			j.end()
+		}
+		for _, r := range record.Results {
+			j.committed[r.Item] = true
+		}
+		jobs[id] = j
+	}
+	s.jobs = jobs
+	s.mu.Unlock()
+	if s.onChange != nil {
+		s.onChange(Change{Restored: true})
+	}
+	return nil
+}
+
+// readSnapshot reads all records of a snapshot and joins those of one job. The result is by job id.
+func readSnapshot(snapshot *bufio.Reader) (map[string]*rpc.StoredJob, error) {
+	jobs := map[string]*rpc.StoredJob{}
+	for {
+		record := &rpc.StoredJob{}
+		err := replica.ReadRecord(snapshot, record)
+		if errors.Is(err, io.EOF) {
+			return jobs, nil
+		}
+		if err != nil {
+			return nil, err
+		}
+		id := record.Job.GetId()
+		if first := jobs[id]; record.Continued && first != nil {
+			first.Job.Items = append(first.Job.Items, record.Job.Items...)
+			first.Results = append(first.Results, record.Results...)
+			continue
+		}
+		jobs[id] = record
+	}
+}
