--- /dev/null
+++ b/internal/scheduler/controlplane/operator_api.go
@@ -0,0 +1,143 @@
+package controlplane
+
+import (
+	"bytes"
+	"context"
+	"encoding/json"
+	"saffronquay/internal/scheduler/compression"
+	"saffronquay/internal/scheduler/configuration"
+	"saffronquay/internal/scheduler/directory"
+	"saffronquay/internal/scheduler/replica"
+	"saffronquay/internal/scheduler/rpc"
+	"strconv"
+
+	"github.com/valyala/fasthttp"
+	"google.golang.org/protobuf/proto"
+)
+
+// decide has the directory decide on a command. Where it can't in time, decide answers the request itself and returns nil.
+func (s *Server) decide(ctx context.Context, request *fasthttp.RequestCtx, command *rpc.DirectoryCommand) *rpc.DirectoryResult {
+	ctx, cancel := context.WithTimeout(ctx, submitTimeout)
+	defer cancel()
+	proposed := s.submit(ctx, directory.Shard, replica.Marshal(command))
+	if proposed.Outcome != rpc.Outcome_DONE {
+		fail(request, fasthttp.StatusServiceUnavailable, "no majority of the stewards answers")
+		return nil
+	}
+	result := &rpc.DirectoryResult{}
+	if err := proto.Unmarshal(proposed.Result, result); err != nil {
+		fail(request, fasthttp.StatusInternalServerError, err.Error())
+		return nil
+	}
+	return result
+}
+
+// replaceConfiguration answers the operator's request to take a complete configuration.
+func (s *Server) replaceConfiguration(ctx context.Context, request *fasthttp.RequestCtx) {
+	change, ok := readChange(request)
+	if !ok {
+		return
+	}
+	if _, err := configuration.Parse(change.body); err != nil {
+		fail(request, fasthttp.StatusBadRequest, err.Error())
+		return
+	}
+	s.changeConfiguration(ctx, request, directory.Replace(change.base, change.version, false, change.body))
+}
+
+// patchConfiguration answers the operator's request to change named items. Only the directory can check it: the other items are there.
+func (s *Server) patchConfiguration(ctx context.Context, request *fasthttp.RequestCtx) {
+	change, ok := readChange(request)
+	if !ok {
+		return
+	}
+	s.changeConfiguration(ctx, request, directory.Replace(change.base, change.version, true, change.body))
+}
+
+// configurationChange is a request for another configuration.
+type configurationChange struct {
+	base    uint64 // the version that it builds on
+	version uint64 // the version that it makes
+	body    []byte
+}
+
+// readChange reads a request. Where it is malformed, readChange answers it.
+func readChange(request *fasthttp.RequestCtx) (change configurationChange, ok bool) {
+	base, err := strconv.ParseUint(string(request.Request.Header.Peek("Base-Version")), 10, 64)
+	if err != nil {
+		fail(request, fasthttp.StatusBadRequest, "Base-Version: want a whole number")
+		return change, false
+	}
+	body := bytes.Clone(request.PostBody())
+	var head struct {
+		Version uint64 `json:"version"`
+	}
+	if err := json.Unmarshal(body, &head); err != nil {
+		fail(request, fasthttp.StatusBadRequest, "configuration: "+err.Error())
+		return change, false
+	}
+	return configurationChange{base, head.Version, body}, true
+}
+
+func (s *Server) changeConfiguration(ctx context.Context, request *fasthttp.RequestCtx, command *rpc.DirectoryCommand) {
+	result := s.decide(ctx, request, command)
+	if result == nil {
+		return
+	}
+	if status := HTTPStatus(result.Status); status == fasthttp.StatusOK {
+		reply(request, status, emptyBody{})
+	} else {
+		fail(request, status, result.Message)
+	}
+}
+
+// HTTPStatus returns how the operator is answered what the directory has decided. A change that may have been taken long ago is answered 503:
+// a refusal could be wrong.
+func HTTPStatus(decided rpc.DirectoryStatus) int {
+	switch decided {
+	case rpc.DirectoryStatus_DIRECTORY_OK:
+		return fasthttp.StatusOK
+	case rpc.DirectoryStatus_DIRECTORY_CONFLICT:
+		return fasthttp.StatusPreconditionFailed
+	case rpc.DirectoryStatus_DIRECTORY_UNCERTAIN:
+		return fasthttp.StatusServiceUnavailable
+	}
+	return fasthttp.StatusBadRequest
+}
+
+// readConfiguration answers the newest configuration as the operator sent it. The read is a command of the directory's log, so that no
+// older configuration is answered.
+func (s *Server) readConfiguration(ctx context.Context, request *fasthttp.RequestCtx) {
+	result := s.decide(ctx, request, &rpc.DirectoryCommand{Command: &rpc.DirectoryCommand_Read{Read: &rpc.Read{}}})
+	if result == nil {
+		return
+	}
+	if len(result.Configuration) == 0 {
+		fail(request, fasthttp.StatusNotFound, "no configuration has been taken yet")
+		return
+	}
+	text, err := compression.Documents.Unpack(result.Configuration)
+	if err != nil {
+		fail(request, fasthttp.StatusInternalServerError, err.Error())
+		return
+	}
+	request.SetContentType("application/json")
+	request.SetBody(text)
+}
+
+// nameVersion answers a trainer's request to roll a weight version out. A version that isn't above the model's newest one changes nothing.
+func (s *Server) nameVersion(ctx context.Context, request *fasthttp.RequestCtx) {
+	var named struct {
+		Model   string `json:"model"`
+		Version uint64 `json:"version"`
+	}
+	if err := json.Unmarshal(request.PostBody(), &named); err != nil || named.Model == "" || named.Version == 0 {
+		fail(request, fasthttp.StatusBadRequest, "want a model and a version above 0")
+		return
+	}
+	version := &rpc.NameVersion{Model: named.Model, Version: named.Version}
+	command := &rpc.DirectoryCommand{Command: &rpc.DirectoryCommand_NameVersion{NameVersion: version}}
+	if s.decide(ctx, request, command) != nil {
+		reply(request, fasthttp.StatusOK, emptyBody{})
+	}
+}
--- /dev/null
+++ b/internal/scheduler/controlplane/retirements.go
@@ -0,0 +1,199 @@
+package controlplane
+
+import (
+	"context"
+	"saffronquay/internal/scheduler/directory"
+	"saffronquay/internal/scheduler/placement"
+	"saffronquay/internal/scheduler/replica"
+	"saffronquay/internal/scheduler/rpc"
+	"saffronquay/internal/scheduler/settings"
+	"slices"
+
+	"github.com/valyala/fasthttp"
+)
+
+// A storage machine is emptied by the directory's leader: placements no longer name it, and its retirement is completed when the groups have
+// left it. Only that leader accepts or refuses a request for it: any other controller may be partitioned, and know neither the machines nor
+// the requests that were accepted.
+
+// countsAsStayingMS is for how long a failed machine still counts as staying when a request is judged: most of them come back.
+const countsAsStayingMS = 30_000
+
+// startRetirement answers the operator's request to empty a storage machine.
+func (s *Server) startRetirement(ctx context.Context, request *fasthttp.RequestCtx) {
+	response := s.requestRetirement(ctx, &rpc.RetireRequest{Node: pathValue(request, "node"), Start: true})
+	switch {
+	case response == nil:
+		fail(request, fasthttp.StatusServiceUnavailable, "the directory's leader doesn't answer")
+	case response.State == rpc.RetireState_RETIRE_NO_SUCH_MACHINE:
+		fail(request, fasthttp.StatusNotFound, "no such storage machine")
+	case response.State == rpc.RetireState_RETIRE_TOO_FEW_LEFT:
+		fail(request, fasthttp.StatusConflict, "too few storage machines would be left")
+	default:
+		reply(request, fasthttp.StatusOK, emptyBody{})
+	}
+}
+
+// readRetirement answers how far the emptying of a storage machine is.
+func (s *Server) readRetirement(ctx context.Context, request *fasthttp.RequestCtx) {
+	response := s.requestRetirement(ctx, &rpc.RetireRequest{Node: pathValue(request, "node")})
+	state := "active"
+	switch {
+	case response == nil:
+		fail(request, fasthttp.StatusServiceUnavailable, "the directory's leader doesn't answer")
+		return
+	case response.State == rpc.RetireState_RETIRE_NOT_ASKED:
+		fail(request, fasthttp.StatusNotFound, "this machine is not being emptied")
+		return
+	case response.State == rpc.RetireState_RETIRE_COMPLETED:
+		state = "completed"
+	}
+	reply(request, fasthttp.StatusOK, struct {
+		State string `json:"state"`
+	}{state})
+}
+
+// requestRetirement has the directory's leader answer, wherever that is. It retries for forwardTimeout, and returns nil then.
+func (s *Server) requestRetirement(ctx context.Context, r *rpc.RetireRequest) *rpc.RetireResponse {
+	ctx, cancel := context.WithTimeout(ctx, forwardTimeout)
+	defer cancel()
+	for {
+		response := s.retire(ctx, r)
+		if response.Outcome == rpc.Outcome_NOT_LEADER && response.LeaderAddress != "" {
+			forwarded, err := s.controlClient(response.LeaderAddress).Retire(ctx, r)
+			if err == nil {
+				response = forwarded
+			}
+		}
+		if response.Outcome == rpc.Outcome_DONE {
+			return response
+		}
+		if !sleep(ctx, forwardBackoff) {
+			return nil
+		}
+	}
+}
+
+// Retire implements rpc.Control. It answers for the directory's leader only; it never forwards.
+func (s *Server) Retire(ctx context.Context, r *rpc.RetireRequest) (*rpc.RetireResponse, error) {
+	return s.retire(ctx, r), nil
+}
+
+func (s *Server) retire(ctx context.Context, r *rpc.RetireRequest) *rpc.RetireResponse {
+	status := s.host.Status(directory.Shard)
+	switch {
+	case status == nil:
+		return &rpc.RetireResponse{Outcome: rpc.Outcome_UNAVAILABLE}
+	case !status.Lease(s.host.Now()):
+		return &rpc.RetireResponse{Outcome: rpc.Outcome_NOT_LEADER, LeaderAddress: status.LeaderAddress}
+	}
+	completed, started := s.directory.Retirements()[r.Node]
+	switch {
+	case completed:
+		return &rpc.RetireResponse{Outcome: rpc.Outcome_DONE, State: rpc.RetireState_RETIRE_COMPLETED}
+	case started:
+		return &rpc.RetireResponse{Outcome: rpc.Outcome_DONE, State: rpc.RetireState_RETIRE_ACTIVE}
+	case !r.Start:
+		return &rpc.RetireResponse{Outcome: rpc.Outcome_DONE}
+	case s.host.Now()-status.LedSince < minLeadTime.Milliseconds():
+		return &rpc.RetireResponse{Outcome: rpc.Outcome_UNAVAILABLE} // machines that were not heard of yet would seem to be missing
+	}
+	refusal := RetireRefusal(r.Node, s.machines(settings.ServesStorage), s.jobPlacements(), s.settings.GroupSize())
+	if refusal != rpc.RetireState_RETIRE_NOT_ASKED {
+		return &rpc.RetireResponse{Outcome: rpc.Outcome_DONE, State: refusal}
+	}
+	outcome := s.proposeRetirement(ctx, &rpc.Retirement{Node: r.Node})
+	return &rpc.RetireResponse{Outcome: outcome, State: rpc.RetireState_RETIRE_ACTIVE}
+}
+
+func (s *Server) proposeRetirement(ctx context.Context, retirement *rpc.Retirement) rpc.Outcome {
+	ctx, cancel := context.WithTimeout(ctx, controlTimeout)
+	defer cancel()
+	command := replica.Marshal(&rpc.DirectoryCommand{Command: &rpc.DirectoryCommand_Retire{Retire: retirement}})
+	return s.host.Propose(ctx, directory.Shard, command).Outcome
+}
+
+// RetireRefusal returns why a storage machine must not be emptied: it is unknown, or fewer machines than a group has replicas (size) would
+// stay. It returns RETIRE_NOT_ASKED where the request may be accepted. It is pure.
+func RetireRefusal(node string, machines []placement.Machine, placements []*rpc.Placement, size int) rpc.RetireState {
+	known, staying := false, 0
+	for _, m := range machines {
+		known = known || m.Node == node
+		if m.Node != node && !m.Retiring && (m.Alive || m.DeadMS < countsAsStayingMS) {
+			staying++
+		}
+	}
+	known = known || slices.ContainsFunc(placements, func(p *rpc.Placement) bool { return hasReplicaOn(p, node) })
+	switch {
+	case !known:
+		return rpc.RetireState_RETIRE_NO_SUCH_MACHINE
+	case staying < size:
+		return rpc.RetireState_RETIRE_TOO_FEW_LEFT
+	}
+	return rpc.RetireState_RETIRE_NOT_ASKED
+}
+
+// hasReplicaOn reports whether a placement has a replica on a machine.
+func hasReplicaOn(p *rpc.Placement, node string) bool {
+	return slices.ContainsFunc(p.Replicas, func(r *rpc.Replica) bool { return r.Node == node })
+}
+
+// jobPlacements returns the placements of the groups that storage machines run.
+func (s *Server) jobPlacements() (list []*rpc.Placement) {
+	for name, p := range s.directory.Placements() {
+		if s.stateMachine(name) == nil {
+			list = append(list, p)
+		}
+	}
+	return list
+}
+
+// completeRetirements commits the end of retirements whose machines no group needs any more. Only the directory's leader calls it.
+func (s *Server) completeRetirements(ctx context.Context) {
+	for node, completed := range s.directory.Retirements() {
+		if completed || !s.isEmptied(ctx, node) {
+			continue
+		}
+		s.proposeRetirement(ctx, &rpc.Retirement{Node: node, Completed: true}) // without a decision in time, a later turn proposes it again
+	}
+}
+
+// isEmptied reports whether no group needs a machine, by the placements and by what the groups' leaders say.
+func (s *Server) isEmptied(ctx context.Context, node string) bool {
+	placements := s.directory.Placements()
+	for _, name := range s.jobGroups() {
+		wanted := placements[name]
+		if wanted == nil {
+			continue
+		}
+		if hasReplicaOn(wanted, node) || !s.isInForce(ctx, wanted) {
+			return false
+		}
+	}
+	return true
+}
+
+// isInForce reports whether a group's leader says that its members are those of the placement and have everything.
+func (s *Server) isInForce(ctx context.Context, wanted *rpc.Placement) bool {
+	ctx, cancel := context.WithTimeout(ctx, controlTimeout)
+	defer cancel()
+	for _, r := range wanted.Replicas {
+		response, err := rpc.NewReplicationProtobufClient("http://"+r.Address, s.client).Status(ctx, &rpc.StatusRequest{})
+		if err != nil {
+			continue // a replica that doesn't answer isn't the leader, or is queried again in a later turn
+		}
+		for _, g := range response.Groups {
+			if g.Group == wanted.Group && MatchesPlacement(g, wanted) {
+				return true
+			}
+		}
+	}
+	return false
+}
+
+// MatchesPlacement reports whether a status is reported by a leader with its lease, its members are those of the placement, this membership is
+// committed, and each member has on its disk all that was there before. A machine that isn't among them then has nothing that they lack.
+// It is pure.
+func MatchesPlacement(g *rpc.GroupStatus, wanted *rpc.Placement) bool {
+	return g.Leads && g.Settled && g.HeldByAll && len(g.Membership.GetLearners()) == 0 && placement.Same(g.Membership.GetVoters(), wanted.Replicas)
+}
--- a/internal/scheduler/controlplane/server.go
+++ b/internal/scheduler/controlplane/server.go
@@ -1,17 +1,16 @@
-// Package controlplane is the role that serves control: it holds the replicas of the directory and of the registry's shards, answers the
-// operator, the trainers and the workers, places replica groups, sends the workers their orders, and feeds whoever watches.
 package controlplane
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"log/slog"
 	"net"
 	"net/http"
 	"net/netip"
-	"saffronquay/internal/scheduler/batchjobs"
 	"saffronquay/internal/scheduler/directory"
 	"saffronquay/internal/scheduler/feed"
+	"saffronquay/internal/scheduler/lifecycle"
 	"saffronquay/internal/scheduler/membership"
 	"saffronquay/internal/scheduler/registry"
 	"saffronquay/internal/scheduler/replica"
@@ -19,271 +18,184 @@
 	"saffronquay/internal/scheduler/settings"
 	"saffronquay/internal/scheduler/transport"
 	"saffronquay/internal/scheduler/weights"
-	"sync"
 	"time"
 
 	"github.com/valyala/fasthttp"
 )
 
-// Server is a running process of this role.
+// errDiskFailed ends the role: its replicas can't say what they have voted for.
+var errDiskFailed = errors.New("controlplane: disk failed, replicas stopped")
+
+const (
+	maxBody     = 64 << 20 // bytes of a request
+	idleTimeout = time.Minute
+	readTimeout = 20 * time.Second
+)
+
+// Server is a running process of this role. Its fields are set before it serves and stay; what they point to may be used concurrently.
 type Server struct {
-	source   *settings.Source
 	settings *settings.Settings
 	log      *slog.Logger
-	identity replica.Identity
+	client   *transport.Client
+	started  time.Time
 
-	options    replica.Options
+	identity   replica.Identity
 	facts      *replica.Facts
 	store      *replica.Store
 	host       *replica.Host
-	client     *transport.Client
-	feed       *feed.Table
-	directory  *directory.Directory
-	shards     map[string]*shard
 	membership *membership.Membership
-	demand     weights.Demand
-	control    *fasthttp.Server
 
-	mu      sync.Mutex
-	changed chan struct{} // closed when a group's status changes
-	begun   time.Time
+	feed      *feed.Table
+	directory *directory.Directory
+	shards    map[string]*shard
+	demand    weights.Demand
 }
 
-// shard is a part of the registry at this steward.
-type shard struct {
-	server   *Server
-	name     string
-	registry *registry.Registry
-	desk     *registry.Desk
-}
-
-// gatherChanges is how long a change waits to be told to gatherers together with others: workers change their weights in bursts. It is small
-// beside the time within which a change must be in force everywhere.
-const gatherChanges = 40 * time.Millisecond
-
-// freshWithin is how long ago a leader may have been heard for a steward to count as in touch.
-const freshWithin = 700 // ms
-
-// Run serves until the context ends, then closes what is open.
+// Run serves until ctx ends, then closes what is open. It returns an error where the process can't start or its disk fails. Other members
+// are not notified: they detect the end.
 func Run(ctx context.Context, source *settings.Source, options replica.Options, log *slog.Logger) error {
-	st := &Server{
-		source: source, settings: source.Current(), options: options, log: log, client: transport.NewClient(), feed: feed.NewTable(), shards: map[string]*shard{},
-		changed: make(chan struct{}), begun: time.Now(),
+	s := &Server{
+		settings: source.Current(), log: log, client: transport.NewClient(), started: time.Now(),
+		feed: feed.NewTable(), shards: map[string]*shard{},
 	}
-	if err := st.open(); err != nil {
+	if err := s.open(options); err != nil {
 		return err
 	}
-	defer st.facts.Close()
-	defer st.store.Close()
-	return st.serve(ctx)
+	defer s.facts.Close()
+	defer s.store.Close()
+	return s.serve(ctx)
 }
 
-// groups names the groups that stewards hold.
-func groups() []string {
-	names := []string{directory.Shard}
-	for n := range registry.Shards {
-		names = append(names, registry.ShardName(n))
-	}
-	return names
-}
-
-func (st *Server) open() (err error) {
-	if st.facts, err = replica.OpenFacts(st.settings.DataDir); err != nil {
+// open reads the disk, and prepares the state machines and the host of the replicas.
+func (s *Server) open(options replica.Options) (err error) {
+	if s.facts, err = replica.OpenFacts(s.settings.DataDir); err != nil {
 		return err
 	}
-	if st.identity, err = replica.Identify(st.facts, st.settings); err != nil {
+	if s.identity, err = replica.Identify(s.facts, s.settings); err != nil {
 		return err
 	}
-	if st.store, err = replica.OpenStore(st.settings.DataDir); err != nil {
+	if s.store, err = replica.OpenStore(s.settings.DataDir); err != nil {
 		return err
 	}
-	st.directory = directory.New(st.feed)
+	s.directory = directory.New(s.feed)
 	for n := range registry.Shards {
 		name := registry.ShardName(n)
-		state := registry.New(name, st.feed)
-		st.shards[name] = &shard{server: st, name: name, registry: state, desk: registry.NewDesk(state, st.settings.HeartbeatMS)}
+		state := registry.New(name, s.feed)
+		s.shards[name] = &shard{server: s, name: name, registry: state, desk: registry.NewDesk(state, s.settings.HeartbeatMS)}
 	}
-	sender := replica.NewSender(st.client)
-	st.options.Gather = st.settings.Decisions.GatheredWrites
-	st.host, err = replica.NewHost(replica.Config{Identity: st.identity, Store: st.store, Machine: st.machine, Send: sender.Send, Log: st.log, Options: st.options, Changed: st.groupChanged})
+	options.Gather = s.settings.Decisions.GatheredWrites
+	s.host, err = replica.NewHost(replica.Config{
+		Identity: s.identity, Store: s.store, Machine: s.stateMachine, Send: replica.NewSender(s.client).Send, Log: s.log, Options: options,
+	})
 	return err
 }
 
-func (st *Server) machine(group string) replica.StateMachine {
-	if group == directory.Shard {
-		return st.directory
-	}
-	if sh := st.shards[group]; sh != nil {
-		return sh.registry
-	}
-	return nil
-}
-
-func (st *Server) groupChanged(string) {
-	st.mu.Lock()
-	defer st.mu.Unlock()
-	close(st.changed)
-	st.changed = make(chan struct{})
-}
-
-func (st *Server) serve(ctx context.Context) error {
-	peer, err := transport.Listen(st.settings.PeerAddress(), map[string]http.Handler{
-		rpc.ReplicationPathPrefix: rpc.NewReplicationServer(&replica.Service{Host: st.host}),
-		rpc.ControlPathPrefix:     rpc.NewControlServer(st),
+// serve runs the servers and loops until ctx ends or the disk fails.
+func (s *Server) serve(ctx context.Context) error {
+	peer, err := transport.Listen(s.settings.PeerAddress(), map[string]http.Handler{
+		rpc.ReplicationPathPrefix: rpc.NewReplicationServer(&replica.Service{Host: s.host}),
+		rpc.ControlPathPrefix:     rpc.NewControlServer(s),
 	})
 	if err != nil {
 		return err
 	}
-	control, err := transport.ListenTCP(st.settings.Listen.ControlPlane)
+	listener, err := transport.ListenTCP(s.settings.Listen.ControlPlane)
 	if err != nil {
 		return err
 	}
-	if st.membership, err = membership.Start(st.settings, settings.ServesControlPlane, st.identity.ID, st.log, nil); err != nil {
+	//nolint:contextcheck // the membership's goroutine isn't bound to a context: it runs as long as the process
+	if s.membership, err = membership.Start(s.settings, settings.ServesControlPlane, s.identity.ID, s.log, nil); err != nil {
 		return err
 	}
-	go st.host.Run()
-	go peer.Serve()
-	st.found()
-	st.control = &fasthttp.Server{
-		Handler: st.routes(), MaxRequestBodySize: maxBody, NoDefaultServerHeader: true, NoDefaultDate: true,
-		IdleTimeout: time.Minute, ReadTimeout: 20 * time.Second, CloseOnShutdown: true,
-	}
-	go st.control.Serve(control)
-	go st.controlLoop(ctx)
-	for _, sh := range st.shards {
-		holder := &weights.Dispatcher{
-			Node: st.settings.NodeName, TakeOverDelay: settings.Milliseconds(st.settings.Bounds.LeaseMS),
-			Fenced: st.settings.Bounds.Fencing, Shard: sh, Wanted: st.directory.Models,
-			Rules: weights.Rules{SingleVersion: st.singleVersion, MaxConcurrent: weights.ConcurrentLoads, Slots: st.slots}, Log: st.log,
-		}
-		go holder.Run(ctx)
+	ctx, stop := context.WithCancel(ctx)
+	defer stop()
+	var tasks lifecycle.Tasks
+	go s.host.Run() // shutdown waits for it
+	tasks.Serve(s.log, "peer", peer.Serve)
+	s.foundGroups()
+	api := &fasthttp.Server{
+		Handler: s.routes(context.WithoutCancel(ctx)), MaxRequestBodySize: maxBody, NoDefaultServerHeader: true, NoDefaultDate: true,
+		IdleTimeout: idleTimeout, ReadTimeout: readTimeout, CloseOnShutdown: true,
+	}
+	tasks.Serve(s.log, "api", func() error { return api.Serve(listener) })
+	tasks.Go(func() { s.controlLoop(ctx) })
+	for _, sh := range s.shards {
+		tasks.Go(func() { s.newDispatcher(sh).Run(ctx) })
 	}
 	select {
 	case <-ctx.Done():
-	case <-st.host.Done():
-	}
-	st.log.Info("stopping")
-	end, cancel := context.WithTimeout(context.Background(), time.Second)
-	defer cancel()
-	st.control.ShutdownWithContext(end)
-	peer.Close(end)
-	if !st.host.Failed() {
-		st.host.Stop()
-		return nil
+	case <-s.host.Done():
 	}
-	return fmt.Errorf("steward: the disk failed")
+	s.log.Info("stopping")
+	stop()
+	return s.shutdown(context.WithoutCancel(ctx), &tasks, api.ShutdownWithContext, peer.Close)
 }
 
-// found starts the groups at the first start of the whole system: the machines that the seeds name are their founders.
-func (st *Server) found() {
-	if !st.settings.Bootstrap {
-		return
-	}
-	var founders []*rpc.Replica
-	own := false
-	for _, seed := range st.settings.Seeds {
-		founders = append(founders, &rpc.Replica{Id: replica.FounderID(seed), Address: st.settings.PeerOf(seed)})
-		own = own || replica.FounderID(seed) == st.identity.ID
-	}
-	if !own {
-		return
+// shutdown closes the servers, waits for the tasks and stops the replicas.
+func (s *Server) shutdown(ctx context.Context, tasks *lifecycle.Tasks, closers ...func(context.Context) error) error {
+	ctx, cancel := context.WithTimeout(ctx, lifecycle.ShutdownTimeout)
+	defer cancel()
+	for _, closeServer := range closers {
+		if err := closeServer(ctx); err != nil {
+			s.log.Info("server not closed in time", "error", err)
+		}
 	}
-	for _, name := range groups() {
-		st.host.Found(name, founders)
+	tasks.Wait(ctx)
+	if s.host.Failed() {
+		return errDiskFailed
 	}
+	s.host.Stop()
+	return nil
 }
 
-// singleVersion tells whether a model's texts must be made by one version of its weights; while nobody has said so, they may have to.
-func (st *Server) singleVersion(model string) bool {
-	single, known := st.directory.Policy(model)
-	return single || !known
-}
-
-// slots is how many requests of a model its open jobs need to run at once.
-func (st *Server) slots(model string) float64 { return st.demand.Slots(st.host.Now(), model) }
-
-// fresh tells whether this steward is in touch with the leaders of all groups.
-func (st *Server) fresh() bool {
-	for _, name := range groups() {
-		status := st.host.Status(name)
-		if status == nil || !status.InTouch(st.host.Now(), freshWithin) {
-			return false
-		}
+// newDispatcher returns the sender of the orders of one registry shard.
+func (s *Server) newDispatcher(sh *shard) *weights.Dispatcher {
+	return &weights.Dispatcher{
+		Node: s.settings.NodeName, TakeOverDelay: settings.Milliseconds(s.settings.Bounds.LeaseMS),
+		Fenced: s.settings.Bounds.Fencing, Shard: sh, Wanted: s.directory.Models,
+		Rules: weights.Rules{SingleVersion: s.singleVersion, MaxConcurrent: weights.ConcurrentLoads, Slots: s.slots}, Log: s.log,
 	}
-	return true
 }
 
-// Watch implements rpc.Control.
-func (st *Server) Watch(ctx context.Context, r *rpc.WatchRequest) (*rpc.WatchResponse, error) {
-	source := feed.Source{Table: st.feed, Fresh: st.fresh}
-	if st.settings.Decisions.GatheredChanges {
-		source.Gather = gatherChanges
-	}
-	return source.Watch(ctx, r), nil
+// singleVersion reports whether a model's texts must be made by one version of its weights. It is assumed while no trainer has said so.
+func (s *Server) singleVersion(model string) bool {
+	single, known := s.directory.Policy(model)
+	return single || !known
 }
 
-// NotePolicy implements rpc.Control.
-func (st *Server) NotePolicy(ctx context.Context, p *rpc.ModelPolicy) (*rpc.NotePolicyResponse, error) {
-	ctx, cancel := context.WithTimeout(ctx, submitTimeout)
-	defer cancel()
-	command := replica.Marshal(&rpc.DirectoryCommand{Command: &rpc.DirectoryCommand_Policy{Policy: p}})
-	return &rpc.NotePolicyResponse{Taken: st.submit(ctx, directory.Shard, command).Outcome == rpc.Outcome_DONE}, nil
-}
+// slots is the number of requests of a model that its open batch jobs need to run concurrently.
+func (s *Server) slots(model string) float64 { return s.demand.Slots(s.host.Now(), model) }
 
-// NoteDemand implements rpc.Control.
-func (st *Server) NoteDemand(_ context.Context, d *rpc.Demand) (*rpc.NoteDemandResponse, error) {
-	st.demand.Update(st.host.Now(), d.Shard, d.Slots)
-	return &rpc.NoteDemandResponse{}, nil
+// submit has a group decide on a command, at its leader, wherever that is. It retries until ctx ends.
+func (s *Server) submit(ctx context.Context, group string, command []byte) replica.Proposed {
+	return replica.Submit(ctx, s.host, s.client, group, command)
 }
 
-func (st *Server) submit(ctx context.Context, group string, command []byte) replica.Proposed {
-	return replica.Submit(ctx, st.host, st.client, group, command)
+// controlClient returns a client of the control service at another process.
+func (s *Server) controlClient(address string) rpc.Control {
+	return rpc.NewControlProtobufClient("http://"+address, s.client)
 }
 
-// controlAddress is where the process with a peer address answers workers and the operator.
-func (st *Server) controlAddress(peer string) string {
+// controlAddress is where the controller with a peer address answers workers and the operator; empty where an address can't be read.
+// All controllers listen for them on the same port.
+func (s *Server) controlAddress(peer string) string {
 	host, _, err := net.SplitHostPort(peer)
-	own, err2 := netip.ParseAddrPort(st.settings.Listen.ControlPlane)
-	if err != nil || err2 != nil {
+	if err != nil {
 		return ""
 	}
-	return net.JoinHostPort(host, fmt.Sprint(own.Port()))
-}
-
-// controlLoop keeps what this steward leads in order: placements, retirements, lost workers.
-func (st *Server) controlLoop(ctx context.Context) {
-	ticker := time.NewTicker(150 * time.Millisecond)
-	defer ticker.Stop()
-	for {
-		select {
-		case <-ticker.C:
-		case <-ctx.Done():
-			return
-		}
-		for name, placement := range st.directory.Placements() {
-			if st.machine(name) != nil {
-				st.host.SetWanted(placement)
-			}
-		}
-		for _, sh := range st.shards {
-			sh.tick(ctx)
-		}
-		if status := st.host.Status(directory.Shard); status != nil && status.Lease(st.host.Now()) {
-			st.place(ctx)
-			st.retire(ctx)
-		}
+	own, err := netip.ParseAddrPort(s.settings.Listen.ControlPlane)
+	if err != nil {
+		return ""
 	}
+	return net.JoinHostPort(host, fmt.Sprint(own.Port()))
 }
 
-// ledgerGroups names the groups that storage machines hold, shard 0 last: once it is placed, all are.
-func (st *Server) ledgerGroups() (names []string) {
-	placements := st.directory.Placements()
-	shards := batchjobs.PlacedShardCount(func(group string) bool { return placements[group] != nil })
-	if shards == 0 {
-		shards = batchjobs.InitialShardCount(len(st.machines(settings.ServesStorage)))
-	}
-	for n := shards - 1; n >= 0; n-- {
-		names = append(names, batchjobs.ShardName(n))
+// sleep waits. It returns false where ctx ends first.
+func sleep(ctx context.Context, d time.Duration) bool {
+	select {
+	case <-time.After(d):
+		return true
+	case <-ctx.Done():
+		return false
 	}
-	return names
 }
--- a/internal/scheduler/controlplane/shard.go
+++ b/internal/scheduler/controlplane/shard.go
@@ -1,40 +1,44 @@
 package controlplane
 
 import (
-	"cmp"
 	"context"
 	"saffronquay/internal/scheduler/registry"
 	"saffronquay/internal/scheduler/replica"
 	"saffronquay/internal/scheduler/rpc"
+	"saffronquay/internal/scheduler/weights"
 	"time"
 
 	"google.golang.org/protobuf/proto"
 )
 
 const (
+	// heartbeatTimeout bounds how long a heartbeat's command waits for the group's decision.
 	heartbeatTimeout = 700 * time.Millisecond
-	forgetAfterMS    = 120_000
+	// forgetAfterMS is how long a lost worker is kept in the registry.
+	forgetAfterMS = 120_000
 )
 
-// status is how the shard's group stands here; nil where this steward holds no replica of it.
-func (sh *shard) status() *replica.Status { return sh.server.host.Status(sh.name) }
-
-// Heartbeat implements rpc.Control: it takes in what another steward passes on.
-func (st *Server) Heartbeat(ctx context.Context, r *rpc.HeartbeatRequest) (*rpc.HeartbeatResponse, error) {
-	sh := st.shards[cmp.Or(r.Shard, registry.ShardOf(r.Instance.Service))]
-	if sh == nil {
-		return &rpc.HeartbeatResponse{Outcome: rpc.Outcome_UNAVAILABLE}, nil
-	}
-	return sh.heartbeat(ctx, r), nil
+// shard is this process's replica of a registry shard. It implements weights.Shard.
+type shard struct {
+	server   *Server
+	name     string
+	registry *registry.Registry
+	desk     *registry.Desk
 }
 
-// ownership is how this steward stands towards the shard now.
+var _ weights.Shard = (*shard)(nil)
+
+// status returns how the shard's group stands here; nil where this process has no replica of it.
+func (sh *shard) status() *replica.Status { return sh.server.host.Status(sh.name) }
+
+// ownership says under which epoch this process decides for the shard, and whether it may.
 func (sh *shard) ownership(status *replica.Status) registry.Ownership {
 	now := sh.server.host.Now()
 	return registry.Ownership{Now: now, Epoch: status.Epoch, Leased: status.Lease(now)}
 }
 
-// heartbeat takes a heartbeat in where this steward owns the shard.
+// heartbeat decides on a heartbeat, or a leave, where this process owns the shard; elsewhere it names the owner. DONE says that what the
+// heartbeat changes is committed.
 func (sh *shard) heartbeat(ctx context.Context, r *rpc.HeartbeatRequest) *rpc.HeartbeatResponse {
 	status := sh.status()
 	if status == nil {
@@ -49,15 +53,17 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, heartbeatTimeout)
 	defer cancel()
-	return sh.propose(ctx, command)
+	return &rpc.HeartbeatResponse{Outcome: sh.propose(ctx, command)}
 }
 
-func (sh *shard) propose(ctx context.Context, command *rpc.RegistryCommand) *rpc.HeartbeatResponse {
-	return &rpc.HeartbeatResponse{Outcome: sh.server.host.Propose(ctx, sh.name, replica.Marshal(command)).Outcome}
+// propose has the shard's group, which this process leads, decide on a command.
+func (sh *shard) propose(ctx context.Context, command *rpc.RegistryCommand) rpc.Outcome {
+	return sh.server.host.Propose(ctx, sh.name, replica.Marshal(command)).Outcome
 }
 
-// tick declares workers lost whose heartbeats have ceased.
-func (sh *shard) tick(ctx context.Context) {
+// removeOverdue declares workers lost whose heartbeats have ceased, and removes those that were lost long ago. It does nothing where this
+// process doesn't own the shard.
+func (sh *shard) removeOverdue(ctx context.Context) {
 	status := sh.status()
 	if status == nil {
 		return
@@ -66,7 +72,7 @@
 	defer cancel()
 	for _, command := range sh.desk.Overdue(sh.ownership(status), forgetAfterMS) {
 		sh.server.log.Info("worker overdue", "shard", sh.name, "command", command)
-		sh.propose(ctx, command)
+		sh.propose(ctx, command) // without a decision in time, a later turn proposes it again
 	}
 }
 
@@ -88,7 +94,7 @@
 	return time.Duration(sh.server.host.Now()-status.LedSince) * time.Millisecond
 }
 
-// LastHolder implements weights.Shard.
+// LastHolder implements weights.Shard. A process has ended where its machine is failed or runs another one.
 func (sh *shard) LastHolder() (node string, ended bool) {
 	holder := sh.registry.Holder()
 	return holder.GetNode(), sh.server.membership.View().Incarnation(holder.GetNode()) != holder.GetStart()
@@ -96,8 +102,9 @@
 
 // RecordHolder implements weights.Shard.
 func (sh *shard) RecordHolder(ctx context.Context, epoch uint64) bool {
-	hold := &rpc.Holder{Node: sh.server.settings.NodeName, Epoch: epoch, Start: sh.server.membership.View().Incarnation(sh.server.settings.NodeName)}
-	return sh.propose(ctx, &rpc.RegistryCommand{Command: &rpc.RegistryCommand_Hold{Hold: hold}}).Outcome == rpc.Outcome_DONE
+	node := sh.server.settings.NodeName
+	holder := &rpc.Holder{Node: node, Epoch: epoch, Start: sh.server.membership.View().Incarnation(node)}
+	return sh.propose(ctx, &rpc.RegistryCommand{Command: &rpc.RegistryCommand_Hold{Hold: holder}}) == rpc.Outcome_DONE
 }
 
 // Instances implements weights.Shard. Workers that have missed a heartbeat are left out: an order to them would only wait.
@@ -105,13 +112,13 @@
 	return sh.desk.Present(sh.server.host.Now())
 }
 
-// RecordVersion implements weights.Shard.
+// RecordVersion implements weights.Shard. Without a decision in time nothing is lost: the worker's next heartbeat says the same.
 func (sh *shard) RecordVersion(ctx context.Context, id, model string, version uint64) {
 	known := sh.registry.Instance(id)
 	if known == nil {
 		return
 	}
-	instance := proto.Clone(known).(*rpc.Instance)
+	instance := proto.CloneOf(known)
 	for _, m := range instance.Models {
 		if m.Name == model {
 			m.Version = max(m.Version, version)
--- /dev/null
+++ b/internal/scheduler/controlplane/worker_api.go
@@ -0,0 +1,109 @@
+package controlplane
+
+import (
+	"context"
+	"encoding/json"
+	"saffronquay/internal/scheduler/registry"
+	"saffronquay/internal/scheduler/rpc"
+	"strings"
+
+	"github.com/valyala/fasthttp"
+)
+
+// heartbeatBody is a worker's report of itself.
+type heartbeatBody struct {
+	Service  string `json:"service"`
+	Address  string `json:"address"`
+	Zone     string `json:"zone"`
+	Capacity uint32 `json:"capacity"`
+	State    string `json:"state"`
+	Sequence uint64 `json:"sequence"`
+	Models   []struct {
+		Name    string `json:"name"`
+		Version uint64 `json:"version"`
+	} `json:"models"`
+}
+
+// stateDraining is the state, in any case of its letters, of a worker that takes no new requests.
+const stateDraining = "draining"
+
+// heartbeatAnswer names the controller that owns the worker's shard, so that later heartbeats go there directly.
+type heartbeatAnswer struct {
+	Endpoint string `json:"heartbeatEndpoint,omitempty"`
+}
+
+// receiveHeartbeat answers a worker's heartbeat, when the owner of its service's shard has decided on it.
+func (s *Server) receiveHeartbeat(ctx context.Context, request *fasthttp.RequestCtx) {
+	instance, err := readHeartbeat(pathValue(request, "id"), request.PostBody())
+	if err != nil {
+		fail(request, fasthttp.StatusBadRequest, err.Error())
+		return
+	}
+	ctx, cancel := context.WithTimeout(ctx, forwardTimeout)
+	defer cancel()
+	owner, ok := s.forwardHeartbeat(ctx, registry.ShardOf(instance.Service), &rpc.HeartbeatRequest{Instance: instance})
+	if !ok {
+		fail(request, fasthttp.StatusServiceUnavailable, "the owner of the service's shard doesn't answer")
+		return
+	}
+	reply(request, fasthttp.StatusOK, heartbeatAnswer{s.controlAddress(owner)})
+}
+
+// deregister answers a worker that leaves. The call names no service, and this controller may not know the worker yet, so every shard has to
+// commit the leave: one that is acknowledged but committed at the wrong shard would leave requests going to the worker.
+func (s *Server) deregister(ctx context.Context, request *fasthttp.RequestCtx) {
+	id := pathValue(request, "id")
+	ctx, cancel := context.WithTimeout(ctx, forwardTimeout)
+	defer cancel()
+	committed := make(chan bool, len(s.shards))
+	for name := range s.shards {
+		go func() { // ends with ctx at the latest; the channel is large enough for all answers
+			_, ok := s.forwardHeartbeat(ctx, name, &rpc.HeartbeatRequest{Shard: name, Instance: &rpc.Instance{Id: id}, Leaving: true})
+			committed <- ok
+		}()
+	}
+	for range s.shards {
+		if !<-committed {
+			fail(request, fasthttp.StatusServiceUnavailable, "not all owners of shards answer")
+			return
+		}
+	}
+	reply(request, fasthttp.StatusOK, emptyBody{})
+}
+
+// readHeartbeat reads the body of a heartbeat. What it returns has no part of the body's buffer.
+func readHeartbeat(id string, text []byte) (*rpc.Instance, error) {
+	var b heartbeatBody
+	if err := json.Unmarshal(text, &b); err != nil {
+		return nil, err
+	}
+	instance := &rpc.Instance{
+		Id: id, Service: b.Service, Address: b.Address, Zone: b.Zone, Capacity: b.Capacity, Sequence: b.Sequence,
+		Draining: strings.EqualFold(b.State, stateDraining),
+	}
+	for _, m := range b.Models {
+		instance.Models = append(instance.Models, &rpc.ModelWeights{Name: m.Name, Version: m.Version})
+	}
+	return instance, nil
+}
+
+// forwardHeartbeat has the owner of a shard decide on a heartbeat or a leave. It retries until ctx ends. It returns the peer address of the
+// owner, and whether that one decided.
+func (s *Server) forwardHeartbeat(ctx context.Context, name string, r *rpc.HeartbeatRequest) (owner string, ok bool) {
+	sh := s.shards[name]
+	for {
+		response := sh.heartbeat(ctx, r)
+		if response.Outcome == rpc.Outcome_DONE {
+			return s.identity.Address, true
+		}
+		if address := response.LeaderAddress; address != "" && address != s.identity.Address {
+			forwarded, err := s.controlClient(address).Heartbeat(ctx, r)
+			if err == nil && forwarded.Outcome == rpc.Outcome_DONE {
+				return address, true
+			}
+		}
+		if !sleep(ctx, forwardBackoff) {
+			return "", false
+		}
+	}
+}
--- a/internal/scheduler/controlplane/workers_test.go
+++ b/internal/scheduler/controlplane/worker_api_test.go
@@ -6,7 +6,7 @@
 	"github.com/matryer/is"
 )
 
-// A heartbeat lies in a buffer that is used again: nothing of what is kept may point into it.
+// The buffer of a heartbeat is reused: nothing that is kept may point into it.
 func TestHeartbeatOutlivesItsBuffer(t *testing.T) {
 	is := is.New(t)
 	buffer := []byte(`{"service":"s1","address":"10.0.0.1:80","zone":"z","capacity":12,"state":"draining","models":[{"name":"m","version":3}],"sequence":4}`)
