--- a/internal/scheduler/controlplane/control_service.go
+++ b/internal/scheduler/controlplane/control_service.go
@@ -12,9 +12,9 @@
 )
 
 const (
-	// gatherChanges is how long a change waits to be delivered together with others: workers change their weights in bursts. It is small
+	// coalesceDelay is how long a change waits to be delivered together with others: workers change their weights in bursts. It is small
 	// beside the time within which a change must be in force everywhere.
-	gatherChanges = 40 * time.Millisecond
+	coalesceDelay = 40 * time.Millisecond
 	// inTouchMS is how long ago a leader may have been heard for a controller to count as in touch.
 	inTouchMS = 700
 	// submitTimeout bounds how long a command waits for its group's decision.
@@ -24,8 +24,8 @@
 // Watch implements rpc.Control. It delivers the changes of all groups that controllers run.
 func (s *Server) Watch(ctx context.Context, r *rpc.WatchRequest) (*rpc.WatchResponse, error) {
 	source := feed.Source{Table: s.feed, Fresh: s.inTouch}
-	if s.settings.Decisions.GatheredChanges {
-		source.Gather = gatherChanges
+	if s.settings.FeatureGates.GatheredChanges {
+		source.CoalesceDelay = coalesceDelay
 	}
 	return source.Watch(ctx, r), nil
 }
--- a/internal/scheduler/controlplane/groups.go
+++ b/internal/scheduler/controlplane/groups.go
@@ -12,7 +12,7 @@
 // controlGroups names the replica groups that controllers run.
 func controlGroups() []string {
 	names := []string{directory.Shard}
-	for n := range registry.Shards {
+	for n := range registry.ShardCount {
 		names = append(names, registry.ShardName(n))
 	}
 	return names
@@ -53,7 +53,7 @@
 	included := false
 	for _, seed := range s.settings.Seeds {
 		id := replica.FounderID(seed)
-		founders = append(founders, &rpc.Replica{Id: id, Address: s.settings.PeerOf(seed)})
+		founders = append(founders, &rpc.Replica{Id: id, Address: s.settings.PeerAddressOf(seed)})
 		included = included || id == s.identity.ID
 	}
 	if !included {
--- a/internal/scheduler/controlplane/operator_api.go
+++ b/internal/scheduler/controlplane/operator_api.go
@@ -42,7 +42,7 @@
 		fail(request, fasthttp.StatusBadRequest, err.Error())
 		return
 	}
-	s.changeConfiguration(ctx, request, directory.Replace(change.base, change.version, false, change.body))
+	s.changeConfiguration(ctx, request, directory.ReplaceCommand(change.base, change.version, false, change.body))
 }
 
 // patchConfiguration answers the operator's request to change named items. Only the directory can check it: the other items are there.
@@ -51,7 +51,7 @@
 	if !ok {
 		return
 	}
-	s.changeConfiguration(ctx, request, directory.Replace(change.base, change.version, true, change.body))
+	s.changeConfiguration(ctx, request, directory.ReplaceCommand(change.base, change.version, true, change.body))
 }
 
 // configurationChange is a request for another configuration.
--- a/internal/scheduler/controlplane/server.go
+++ b/internal/scheduler/controlplane/server.go
@@ -78,12 +78,12 @@
 		return err
 	}
 	s.directory = directory.New(s.feed)
-	for n := range registry.Shards {
+	for n := range registry.ShardCount {
 		name := registry.ShardName(n)
 		state := registry.New(name, s.feed)
-		s.shards[name] = &shard{server: s, name: name, registry: state, desk: registry.NewDesk(state, s.settings.HeartbeatMS)}
+		s.shards[name] = &shard{server: s, name: name, registry: state, heartbeats: registry.NewHeartbeatHandler(state, s.settings.HeartbeatMS)}
 	}
-	options.Gather = s.settings.Decisions.GatheredWrites
+	options.Gather = s.settings.FeatureGates.GatheredWrites
 	s.host, err = replica.NewHost(replica.Config{
 		Identity: s.identity, Store: s.store, Machine: s.stateMachine, Send: replica.NewSender(s.client).Send, Log: s.log, Options: options,
 	})
@@ -152,14 +152,14 @@
 func (s *Server) newDispatcher(sh *shard) *weights.Dispatcher {
 	return &weights.Dispatcher{
 		Node: s.settings.NodeName, TakeOverDelay: settings.Milliseconds(s.settings.Bounds.LeaseMS),
-		Fenced: s.settings.Bounds.Fencing, Shard: sh, Wanted: s.directory.Models,
+		Fenced: s.settings.Bounds.Fencing, Shard: sh, Wanted: s.directory.NamedVersions,
 		Rules: weights.Rules{SingleVersion: s.singleVersion, MaxConcurrent: weights.ConcurrentLoads, Slots: s.slots}, Log: s.log,
 	}
 }
 
 // singleVersion reports whether a model's texts must be made by one version of its weights. It is assumed while no trainer has said so.
 func (s *Server) singleVersion(model string) bool {
-	single, known := s.directory.Policy(model)
+	single, known := s.directory.SingleVersionPolicy(model)
 	return single || !known
 }
 
--- a/internal/scheduler/controlplane/shard.go
+++ b/internal/scheduler/controlplane/shard.go
@@ -20,10 +20,10 @@
 
 // shard is this process's replica of a registry shard. It implements weights.Shard.
 type shard struct {
-	server   *Server
-	name     string
-	registry *registry.Registry
-	desk     *registry.Desk
+	server     *Server
+	name       string
+	registry   *registry.Registry
+	heartbeats *registry.HeartbeatHandler
 }
 
 var _ weights.Shard = (*shard)(nil)
@@ -34,7 +34,7 @@
 // ownership says under which epoch this process decides for the shard, and whether it may.
 func (sh *shard) ownership(status *replica.Status) registry.Ownership {
 	now := sh.server.host.Now()
-	return registry.Ownership{Now: now, Epoch: status.Epoch, Leased: status.Lease(now)}
+	return registry.Ownership{NowMS: now, Epoch: status.Epoch, HasLease: status.Lease(now)}
 }
 
 // heartbeat decides on a heartbeat, or a leave, where this process owns the shard; elsewhere it names the owner. DONE says that what the
@@ -44,7 +44,7 @@
 	if status == nil {
 		return &rpc.HeartbeatResponse{Outcome: rpc.Outcome_UNAVAILABLE}
 	}
-	outcome, command := sh.desk.Decide(sh.ownership(status), r)
+	outcome, command := sh.heartbeats.Decide(sh.ownership(status), r)
 	if outcome != rpc.Outcome_DONE {
 		return &rpc.HeartbeatResponse{Outcome: outcome, LeaderAddress: status.LeaderAddress}
 	}
@@ -70,7 +70,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, controlTimeout)
 	defer cancel()
-	for _, command := range sh.desk.Overdue(sh.ownership(status), forgetAfterMS) {
+	for _, command := range sh.heartbeats.OverdueCommands(sh.ownership(status), forgetAfterMS) {
 		sh.server.log.Info("worker overdue", "shard", sh.name, "command", command)
 		sh.propose(ctx, command) // without a decision in time, a later turn proposes it again
 	}
@@ -109,7 +109,7 @@
 
 // Instances implements weights.Shard. Workers that have missed a heartbeat are left out: an order to them would only wait.
 func (sh *shard) Instances() []*rpc.Instance {
-	return sh.desk.Present(sh.server.host.Now())
+	return sh.heartbeats.ResponsiveInstances(sh.server.host.Now())
 }
 
 // RecordVersion implements weights.Shard. Without a decision in time nothing is lost: the worker's next heartbeat says the same.
--- a/internal/scheduler/forward/forward.go
+++ b/internal/scheduler/forward/forward.go
@@ -109,7 +109,7 @@
 func (f *Forwarder) newDelivery(r *Request, whole bool) *delivery {
 	return &delivery{
 		Forwarder: f, request: r, complete: whole, services: order(r.Route), attempted: map[string]bool{},
-		attempts: NewAttempts(r.Route.Repeatable(), r.Route.MaxAttempts), last: Result{Outcome: outcome.NotRun, Err: ErrNoWorker},
+		attempts: NewAttempts(r.Route.Idempotent(), r.Route.MaxAttempts), last: Result{Outcome: outcome.NotRun, Err: ErrNoWorker},
 	}
 }
 
