--- a/cmd/saffronquay-system/account.go
+++ b/cmd/saffronquay-system/account.go
@@ -24,7 +24,7 @@
 				if err != nil {
 					return err
 				}
-				report, err := dayreport.Read(text)
+				report, err := dayreport.Parse(text)
 				if err != nil {
 					return err
 				}
--- a/internal/scheduler/agent/agent.go
+++ b/internal/scheduler/agent/agent.go
@@ -59,7 +59,7 @@
 		return err
 	}
 	a.tail = &feed.Client{Wait: feed.UsualWait, Table: a.feed, HTTP: a.client, Node: s.NodeName, Sources: a.stewards, Heard: func([]*rpc.FeedEvent) {}, Log: log}
-	metrics.Gauge("in_touch", a.inTouch)
+	metrics.GaugeFunc("in_touch", a.inTouch)
 	go server.Serve()
 	go a.tail.Run(ctx)
 	<-ctx.Done()
--- a/internal/scheduler/batchrunner/item.go
+++ b/internal/scheduler/batchrunner/item.go
@@ -18,19 +18,19 @@
 
 const (
 	// placeWait is how long an item waits for a place at a worker before it is handed back.
-	placeWait = 700 * time.Millisecond
+	placementTimeout = 700 * time.Millisecond
 	// triesMost bounds the workers that an item is sent to under one lease.
-	triesMost  = 12
-	retryPause = 20 * time.Millisecond
+	maxAttempts  = 12
+	retryBackoff = 20 * time.Millisecond
 	// itemSlack is added to what is left until a job's deadline: late groups are still worth something, and what nobody wants any more is
 	// cancelled.
-	itemSlack = 10 * time.Second
-	itemLeast = 5 * time.Second
+	deadlineSlack = 10 * time.Second
+	minDeadline   = 5 * time.Second
 )
 
 // run works on an item until its result is known; nil where the lease was taken back.
-func (r *Runner) run(ctx context.Context, lease *rpc.Lease) *rpc.Report {
-	made := &text{lastID: -1}
+func (r *Runner) runItem(ctx context.Context, lease *rpc.Lease) *rpc.Report {
+	generated := &generatedText{lastID: -1}
 	waiting := true
 	placed := func() {
 		if waiting {
@@ -41,50 +41,50 @@
 		}
 	}
 	defer placed()
-	for range triesMost {
-		table := r.Table()
+	for range maxAttempts {
+		table := r.Configuration()
 		route := table.Find(lease.Host, lease.Item.Path)
 		if route == nil {
 			return &rpc.Report{Result: &rpc.Result{}} // its route has ended
 		}
-		ticket := r.place(ctx, route, lease, made)
+		ticket := r.waitForWorker(ctx, route, lease, generated)
 		placed()
 		if ticket == nil {
 			return &rpc.Report{Released: true}
 		}
-		outcome := r.try(ctx, route, lease, ticket, made)
+		outcome := r.attempt(ctx, route, lease, ticket, generated)
 		ticket.Clear()
-		countTry(outcome)
+		countAttempt(outcome)
 		switch {
 		case ctx.Err() != nil:
 			return nil
-		case outcome == tryWhole:
-			return r.score(ctx, lease, made)
-		case outcome == tryFailed:
+		case outcome == attemptComplete:
+			return r.score(ctx, lease, generated)
+		case outcome == attemptFailed:
 			return &rpc.Report{Failed: true}
-		case outcome == tryImpossible:
+		case outcome == attemptImpossible:
 			return &rpc.Report{Result: &rpc.Result{}}
 		}
-		pause(ctx, retryPause)
+		backOff(ctx, retryBackoff)
 	}
 	return &rpc.Report{Released: true}
 }
 
 // place waits for a place at a worker that fits.
-func (r *Runner) place(ctx context.Context, route *configuration.Route, lease *rpc.Lease, made *text) *routing.Ticket {
-	query := &routing.Query{Model: lease.Model, MinVersion: lease.MinVersion, Item: true, Prompt: forward.SharedPrompt(header(lease.Item, "Prefix-Hash"))}
+func (r *Runner) waitForWorker(ctx context.Context, route *configuration.Route, lease *rpc.Lease, generated *generatedText) *routing.Ticket {
+	query := &routing.Query{Model: lease.Model, MinVersion: lease.MinVersion, Item: true, Prompt: forward.SharedPrompt(headerValue(lease.Item, "Prefix-Hash"))}
 	for _, target := range route.Targets() {
 		if target.Weight > 0 {
 			query.Services = append(query.Services, target.Service)
 		}
 	}
-	if lease.SingleVersion && made.events > 0 {
-		query.Exact = made.current
+	if lease.SingleVersion && generated.events > 0 {
+		query.Exact = generated.currentVersion
 	}
 	cost := r.Forwarder.Table.Cost(route.Name, route.TargetLatencyMS, usage(lease.Item))
 	begun := time.Now()
-	defer func() { placeWaits.UpdateDuration(begun) }()
-	deadline := time.NewTimer(placeWait)
+	defer func() { placementWaits.UpdateDuration(begun) }()
+	deadline := time.NewTimer(placementTimeout)
 	defer deadline.Stop()
 	for {
 		changed := r.Forwarder.Table.Changed()
@@ -93,12 +93,12 @@
 		}
 		select {
 		case <-changed:
-		case <-time.After(retryPause):
+		case <-time.After(retryBackoff):
 		case <-deadline.C:
 			if query.Exact != 0 { // no worker has this version any more: the text is made anew
-				made.reset()
+				generated.reset()
 				query.Exact = 0
-				deadline.Reset(placeWait)
+				deadline.Reset(placementTimeout)
 				continue
 			}
 			return nil
@@ -108,10 +108,10 @@
 	}
 }
 
-func usage(item *rpc.Item) routing.Usage { return forward.ParseUsage(header(item, "Token-Usage")) }
+func usage(item *rpc.Item) routing.Usage { return forward.ParseUsage(headerValue(item, "Token-Usage")) }
 
 // header returns the value of an item's header field; empty where it has none.
-func header(item *rpc.Item, name string) string {
+func headerValue(item *rpc.Item, name string) string {
 	for _, h := range item.Headers {
 		if h.Name == name {
 			return h.Value
@@ -120,105 +120,105 @@
 	return ""
 }
 
-type tryOutcome uint8
+type attemptOutcome uint8
 
 const (
-	tryAgain tryOutcome = iota
-	tryWhole
-	tryFailed
-	tryImpossible
+	attemptRetry attemptOutcome = iota
+	attemptComplete
+	attemptFailed
+	attemptImpossible
 )
 
-func (o tryOutcome) String() string {
+func (o attemptOutcome) String() string {
 	return [...]string{"again", "whole", "failed", "impossible"}[o]
 }
 
 // placeWaits are the times that leased items wait for a place at a worker.
-var placeWaits = metrics.Durations("item_place_wait_seconds")
+var placementWaits = metrics.DurationHistogram("item_place_wait_seconds")
 
 // tryCounts count tries by what became of them.
-var tryCounts = [...]*victoria.Counter{
-	tryAgain: tryCounter(tryAgain), tryWhole: tryCounter(tryWhole), tryFailed: tryCounter(tryFailed),
-	tryImpossible: tryCounter(tryImpossible),
+var attemptCounters = [...]*victoria.Counter{
+	attemptRetry: newAttemptCounter(attemptRetry), attemptComplete: newAttemptCounter(attemptComplete), attemptFailed: newAttemptCounter(attemptFailed),
+	attemptImpossible: newAttemptCounter(attemptImpossible),
 }
 
-func tryCounter(outcome tryOutcome) *victoria.Counter {
+func newAttemptCounter(outcome attemptOutcome) *victoria.Counter {
 	return metrics.Counter("tries_total", metrics.Label{Name: "kind", Value: "item"}, metrics.Label{Name: "verdict", Value: outcome.String()})
 }
 
-func countTry(outcome tryOutcome) { tryCounts[outcome].Inc() }
+func countAttempt(outcome attemptOutcome) { attemptCounters[outcome].Inc() }
 
 // try sends an item to one worker and reads its events.
-func (r *Runner) try(ctx context.Context, route *configuration.Route, lease *rpc.Lease, ticket *routing.Ticket, made *text) tryOutcome {
+func (r *Runner) attempt(ctx context.Context, route *configuration.Route, lease *rpc.Lease, ticket *routing.Ticket, generated *generatedText) attemptOutcome {
 	table, clock, w := r.Forwarder.Table, r.Forwarder.Clock, ticket.Worker
 	begun := time.Now()
-	resumed := made.events > 0
-	tryCtx, cancel := context.WithCancel(ctx)
+	resumed := generated.events > 0
+	attemptCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	silence := time.AfterFunc(r.Patience.First, cancel)
+	silence := time.AfterFunc(r.Timeouts.FirstEvent, cancel)
 	defer silence.Stop()
-	answer, err := r.Forwarder.Pool.Do(tryCtx, &worker.Call{
+	answer, err := r.Forwarder.Pool.Do(attemptCtx, &worker.Call{
 		Address: w.Address, Method: fasthttp.MethodPost, URI: lease.Item.Path, Host: lease.Host,
-		Headers: itemHeaders(lease, w.ID, made), Body: lease.Item.Body,
+		Headers: requestHeaders(lease, w.ID, generated), Body: lease.Item.Body,
 	})
 	if err != nil {
 		if ctx.Err() == nil {
 			r.Log.Debug("try failed", "item", lease.Item.Id, "worker", w.ID, "error", err)
 			table.Failed(clock(), w)
 		}
-		return tryAgain
+		return attemptRetry
 	}
 	defer answer.Close()
 	if !answer.Belongs(lease.Item.Id) {
 		answer.Discard()
 		r.Forwarder.Pool.Forget(w.Address)
-		return tryAgain
+		return attemptRetry
 	}
 	r.Log.Debug("answer", "item", lease.Item.Id, "worker", w.ID, "status", answer.Status, "weights", answer.Header.Peek("Weight-Versions"),
 		"not", answer.Header.Peek("Not-Executed"))
-	if outcome, ended := r.judge(lease, w, answer); ended {
+	if outcome, ended := r.classifyHead(lease, w, answer); ended {
 		return outcome
 	}
-	if !made.fits(lease, r.noteVersion(w, lease.Model, answer)) {
-		return tryAgain
+	if !generated.acceptVersion(lease, r.recordVersion(w, lease.Model, answer)) {
+		return attemptRetry
 	}
-	switch err := r.read(answer, lease, w, made, silence); {
+	switch err := r.readEvents(answer, lease, w, generated, silence); {
 	case err == nil:
 		table.Served(w)
 		if !resumed {
 			table.Learn(route.Name, route.TargetLatencyMS, float64(time.Since(begun).Microseconds())/1000, usage(lease.Item))
 		}
-		return tryWhole
-	case ctx.Err() == nil && !errors.Is(err, errVersion):
-		r.Log.Debug("stream broke off", "item", lease.Item.Id, "worker", w.ID, "events", made.events, "error", err)
+		return attemptComplete
+	case ctx.Err() == nil && !errors.Is(err, errVersionChanged):
+		r.Log.Debug("stream broke off", "item", lease.Item.Id, "worker", w.ID, "events", generated.events, "error", err)
 		table.Failed(clock(), w)
 	}
-	return tryAgain
+	return attemptRetry
 }
 
 // judge tells what follows from an answer's head; ended is false where its events are to be read.
-func (r *Runner) judge(lease *rpc.Lease, w *routing.Worker, answer *worker.Answer) (outcome tryOutcome, ended bool) {
-	refused := func(cause routing.RefusalCause) (tryOutcome, bool) {
+func (r *Runner) classifyHead(lease *rpc.Lease, w *routing.Worker, answer *worker.Answer) (outcome attemptOutcome, ended bool) {
+	refused := func(cause routing.RefusalCause) (attemptOutcome, bool) {
 		r.Forwarder.Table.Refused(r.Forwarder.Clock(), w, lease.Model, cause)
-		return tryAgain, true
+		return attemptRetry, true
 	}
 	switch {
 	case answer.Status == fasthttp.StatusMisdirectedRequest:
-		r.noteVersion(w, lease.Model, answer)
+		r.recordVersion(w, lease.Model, answer)
 		return refused(routing.RefusedMisdirected)
 	case len(answer.Header.Peek("Not-Executed")) > 0:
 		return refused(routing.RefusedNotExecuted)
 	case answer.Status == fasthttp.StatusUnprocessableEntity:
-		return tryImpossible, true
+		return attemptImpossible, true
 	case answer.Status == fasthttp.StatusInternalServerError:
-		return tryFailed, true
+		return attemptFailed, true
 	case answer.Status >= 300:
 		return refused(routing.RefusedStatus)
 	}
-	return tryAgain, false
+	return attemptRetry, false
 }
 
-func (r *Runner) noteVersion(w *routing.Worker, model string, answer *worker.Answer) uint64 {
+func (r *Runner) recordVersion(w *routing.Worker, model string, answer *worker.Answer) uint64 {
 	version, err := strconv.ParseUint(string(answer.Header.Peek("Weight-Versions")), 10, 64)
 	if err == nil {
 		r.Forwarder.Table.SawVersion(w, model, version)
@@ -226,18 +226,18 @@
 	return version
 }
 
-func itemHeaders(lease *rpc.Lease, instance string, made *text) []worker.Header {
-	left := max(time.Duration(lease.DueInMs)*time.Millisecond+itemSlack, itemLeast)
+func requestHeaders(lease *rpc.Lease, instance string, generated *generatedText) []worker.Header {
+	left := max(time.Duration(lease.DueInMs)*time.Millisecond+deadlineSlack, minDeadline)
 	headers := make([]worker.Header, 0, len(lease.Item.Headers)+5)
 	for _, h := range lease.Item.Headers {
 		headers = append(headers, worker.Header{Name: h.Name, Value: h.Value})
 	}
 	headers = append(headers, worker.Header{Name: "Request-Id", Value: lease.Item.Id}, worker.Header{Name: "Expect-Instance", Value: instance},
 		worker.Header{Name: "Deadline-Ms", Value: strconv.FormatInt(left.Milliseconds(), 10)})
-	if made.events > 0 {
-		headers = append(headers, worker.Header{Name: "Last-Event-Id", Value: strconv.FormatInt(made.lastID, 10)})
+	if generated.events > 0 {
+		headers = append(headers, worker.Header{Name: "Last-Event-Id", Value: strconv.FormatInt(generated.lastID, 10)})
 		if lease.SingleVersion {
-			headers = append(headers, worker.Header{Name: "Expect-Version", Value: strconv.FormatUint(made.current, 10)})
+			headers = append(headers, worker.Header{Name: "Expect-Version", Value: strconv.FormatUint(generated.currentVersion, 10)})
 		}
 	}
 	return headers
--- a/internal/scheduler/batchrunner/item_test.go
+++ b/internal/scheduler/batchrunner/item_test.go
@@ -22,7 +22,7 @@
 )
 
 // standIn answers one request on each connection with a text, and then says nothing more or closes.
-func standIn(t *testing.T, heads chan<- textproto.MIMEHeader, answer string, hang bool) string {
+func startFakeWorker(t *testing.T, heads chan<- textproto.MIMEHeader, answer string, hang bool) string {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -63,7 +63,7 @@
 	lastPart  = stream + "f\r\nid: 2\ndata: b\n\n\r\n0\r\n\r\n"
 )
 
-func runner(t *testing.T, addresses ...string) *Runner {
+func newRunner(t *testing.T, addresses ...string) *Runner {
 	t.Helper()
 	document, err := configuration.Parse([]byte(`{"version":1,"routes":[{"name":"r","host":"h","pathPrefix":"/","type":"deployment","timeoutMs":9000,"service":"s"}],"services":[{"name":"s"}]}`))
 	if err != nil {
@@ -76,29 +76,29 @@
 	}
 	start := time.Now()
 	return &Runner{
-		Forwarder: &forward.Forwarder{Table: table, Pool: worker.NewPool(), Clock: func() int64 { return time.Since(start).Milliseconds() + 1_000_000 }},
-		Table:     func() *configuration.Table { return config },
-		Patience:  Patience{First: time.Second, Between: 30 * time.Millisecond}, Log: slog.New(slog.DiscardHandler),
+		Forwarder:     &forward.Forwarder{Table: table, Pool: worker.NewPool(), Clock: func() int64 { return time.Since(start).Milliseconds() + 1_000_000 }},
+		Configuration: func() *configuration.Table { return config },
+		Timeouts:      Timeouts{FirstEvent: time.Second, BetweenEvents: 30 * time.Millisecond}, Log: slog.New(slog.DiscardHandler),
 	}
 }
 
-func lease(min uint64) *rpc.Lease {
+func newLease(min uint64) *rpc.Lease {
 	return &rpc.Lease{Job: "j", Number: 1, Host: "h", Model: "m", MinVersion: min, DueInMs: 9000, Item: &rpc.Item{Id: "item", Path: "/x", Body: []byte("b")}}
 }
 
 // A worker falls silent in the middle of a text: the text is taken up at another one, behind its last event.
-func TestSilentWorker(t *testing.T) {
+func TestUnresponsiveWorker(t *testing.T) {
 	is := is.New(t)
 	heads := make(chan textproto.MIMEHeader, 8)
-	silent := standIn(t, heads, firstPart, true)
-	r := runner(t, silent)
+	silent := startFakeWorker(t, heads, firstPart, true)
+	r := newRunner(t, silent)
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
 	result := make(chan *rpc.Report, 1)
-	go func() { result <- r.run(ctx, lease(0)) }()
+	go func() { result <- r.runItem(ctx, newLease(0)) }()
 	first := <-heads
 	is.Equal(first.Get("Last-Event-Id"), "")
-	healthy := standIn(t, heads, lastPart, false)
+	healthy := startFakeWorker(t, heads, lastPart, false)
 	r.Forwarder.Table.Put(&rpc.Instance{Id: "healthy", Service: "s", Address: healthy, Capacity: 4, Models: []*rpc.ModelWeights{{Name: "m", Version: 3}}})
 	report := <-result
 	text, err := compression.Texts.Unpack(report.Result.Text)
@@ -112,10 +112,10 @@
 func TestOldWeights(t *testing.T) {
 	is := is.New(t)
 	heads := make(chan textproto.MIMEHeader, 8)
-	old := standIn(t, heads, lastPart, false)
-	r := runner(t, "", old) // the table says version 4, the worker has 3
+	old := startFakeWorker(t, heads, lastPart, false)
+	r := newRunner(t, "", old) // the table says version 4, the worker has 3
 	r.Forwarder.Table.Remove("")
-	report := r.run(context.Background(), lease(4))
+	report := r.runItem(context.Background(), newLease(4))
 	is.True(report.Released)
 	is.True(report.Result == nil)
 }
@@ -124,10 +124,10 @@
 func TestFailures(t *testing.T) {
 	is := is.New(t)
 	heads := make(chan textproto.MIMEHeader, 8)
-	failing := standIn(t, heads, "HTTP/1.1 500 Oh\r\nRequest-Id: item\r\nContent-Length: 0\r\n\r\n", false)
-	is.True(runner(t, failing).run(context.Background(), lease(0)).Failed)
-	never := standIn(t, heads, "HTTP/1.1 422 No\r\nRequest-Id: item\r\nContent-Length: 0\r\n\r\n", false)
-	report := runner(t, never).run(context.Background(), lease(0))
+	failing := startFakeWorker(t, heads, "HTTP/1.1 500 Oh\r\nRequest-Id: item\r\nContent-Length: 0\r\n\r\n", false)
+	is.True(newRunner(t, failing).runItem(context.Background(), newLease(0)).Failed)
+	never := startFakeWorker(t, heads, "HTTP/1.1 422 No\r\nRequest-Id: item\r\nContent-Length: 0\r\n\r\n", false)
+	report := newRunner(t, never).runItem(context.Background(), newLease(0))
 	is.True(report.Result != nil && !report.Result.Completed)
 }
 
@@ -136,22 +136,22 @@
 func TestEqualNumbersOfTwoShards(t *testing.T) {
 	is := is.New(t)
 	heads := make(chan textproto.MIMEHeader, 8)
-	r := runner(t, standIn(t, heads, firstPart, true))
-	r.begin()
-	r.Patience = Patience{First: time.Minute, Between: time.Minute}
+	r := newRunner(t, startFakeWorker(t, heads, firstPart, true))
+	r.initialize()
+	r.Timeouts = Timeouts{FirstEvent: time.Minute, BetweenEvents: time.Minute}
 	ctx, cancel := context.WithCancel(context.Background())
 	for _, shard := range []string{"ledger-0", "ledger-1"} {
-		r.take(ctx, shard, &rpc.WorkResponse{Epoch: 2, Leases: []*rpc.Lease{lease(0)}})
+		r.applyResponse(ctx, shard, &rpc.WorkResponse{Epoch: 2, Leases: []*rpc.Lease{newLease(0)}})
 		<-heads
 	}
-	first, told := r.held("ledger-0")
+	first, told := r.leasesToNotify("ledger-0")
 	is.True(told)
 	is.Equal(len(first), 1)
-	second, _ := r.held("ledger-1")
+	second, _ := r.leasesToNotify("ledger-1")
 	is.Equal(len(second), 1)
-	r.take(ctx, "ledger-0", &rpc.WorkResponse{Epoch: 2, Cancelled: []uint64{1}})
-	delete(r.toldAt, "ledger-1")
-	second, _ = r.held("ledger-1")
+	r.applyResponse(ctx, "ledger-0", &rpc.WorkResponse{Epoch: 2, Cancelled: []uint64{1}})
+	delete(r.notifiedAt, "ledger-1")
+	second, _ = r.leasesToNotify("ledger-1")
 	is.Equal(len(second), 1) // still worked on
 	cancel()
 	r.active.Wait()
@@ -159,22 +159,22 @@
 }
 
 // A lease counts as held until the owner has taken its report, so that the owner doesn't hand the item out once more.
-func TestHeldUntilReported(t *testing.T) {
+func TestLeasedUntilReported(t *testing.T) {
 	is := is.New(t)
 	heads := make(chan textproto.MIMEHeader, 8)
-	r := runner(t, standIn(t, heads, "HTTP/1.1 500 Oh\r\nRequest-Id: item\r\nContent-Length: 0\r\n\r\n", false))
-	r.begin()
-	queue := make(chan outcome, 1)
-	r.reports["s"] = queue
-	r.take(context.Background(), "s", &rpc.WorkResponse{Epoch: 2, Leases: []*rpc.Lease{lease(0)}})
+	r := newRunner(t, startFakeWorker(t, heads, "HTTP/1.1 500 Oh\r\nRequest-Id: item\r\nContent-Length: 0\r\n\r\n", false))
+	r.initialize()
+	queue := make(chan pendingReport, 1)
+	r.reportQueues["s"] = queue
+	r.applyResponse(context.Background(), "s", &rpc.WorkResponse{Epoch: 2, Leases: []*rpc.Lease{newLease(0)}})
 	reported := <-queue
 	is.True(reported.report.Failed)
-	held, _ := r.held("s")
+	held, _ := r.leasesToNotify("s")
 	is.Equal(len(held), 1)
-	r.letGo(reported.key)
+	r.release(reported.key)
 	r.active.Wait()
-	delete(r.toldAt, "s")
-	held, told := r.held("s")
+	delete(r.notifiedAt, "s")
+	held, told := r.leasesToNotify("s")
 	is.True(told)
 	is.Equal(len(held), 0)
 }
--- a/internal/scheduler/batchrunner/score.go
+++ b/internal/scheduler/batchrunner/score.go
@@ -12,30 +12,30 @@
 
 const (
 	// scoreTries bounds how often a text's reward call is made anew.
-	scoreTries = 8
+	maxScoreAttempts = 8
 	// scoreLeast is the least time that one of these tries has, and scoreTimeouts the time for all of them, in timeouts of the route. Workers are
 	// told the end of that whole time each time: a call that is sent once more must not be given more time than the first.
-	scoreLeast    = 500 // ms
-	scoreTimeouts = 3
+	minScoreAttemptMS   = 500 // ms
+	scoreBudgetTimeouts = 3
 )
 
 // score has a whole text scored, where the item asks for that.
-func (r *Runner) score(ctx context.Context, lease *rpc.Lease, made *text) *rpc.Report {
-	result := &rpc.Result{Completed: true, Text: compression.Texts.Pack(made.data), WeightVersions: made.versions}
+func (r *Runner) score(ctx context.Context, lease *rpc.Lease, generated *generatedText) *rpc.Report {
+	result := &rpc.Result{Completed: true, Text: compression.Texts.Pack(generated.data), WeightVersions: generated.versions}
 	scorer := lease.Item.Scorer
 	if scorer == nil {
 		return &rpc.Report{Result: result}
 	}
-	errors500 := 0
+	serverErrors := 0
 	var end time.Time
-	for range scoreTries {
-		route := r.Table().Find(scorer.Host, scorer.Path)
+	for range maxScoreAttempts {
+		route := r.Configuration().Find(scorer.Host, scorer.Path)
 		if route == nil {
 			return &rpc.Report{Result: &rpc.Result{}}
 		}
-		left := time.Duration(max(route.TimeoutMS, scoreLeast)) * time.Millisecond
+		left := time.Duration(max(route.TimeoutMS, minScoreAttemptMS)) * time.Millisecond
 		if end.IsZero() {
-			end = time.Now().Add(scoreTimeouts * left)
+			end = time.Now().Add(scoreBudgetTimeouts * left)
 		} else if time.Now().After(end) {
 			break
 		}
@@ -43,7 +43,7 @@
 			ID: scorer.Id, Method: fasthttp.MethodPost, URI: scorer.Path, Host: scorer.Host, Body: scorer.Body,
 			Route: route, Deadline: earlier(time.Now().Add(left), end), WorkerDeadline: end,
 		})
-		errors500 += answer.Errors
+		serverErrors += answer.Errors
 		if answer.Err == nil && answer.Status < 300 {
 			result.Score = string(answer.Answer.Header.Peek("Response-Stamp"))
 			answer.Release()
@@ -54,10 +54,10 @@
 		if ctx.Err() != nil {
 			return nil
 		}
-		if errors500 >= max(route.MaxAttempts, 1) {
+		if serverErrors >= max(route.MaxAttempts, 1) {
 			return &rpc.Report{Result: &rpc.Result{}}
 		}
-		pause(ctx, retryPause)
+		backOff(ctx, retryBackoff)
 	}
 	return &rpc.Report{Released: true}
 }
--- a/internal/scheduler/batchrunner/text.go
+++ b/internal/scheduler/batchrunner/text.go
@@ -11,41 +11,41 @@
 )
 
 // text is what has been made of an item so far.
-type text struct {
-	data     []byte
-	events   int
-	lastID   int64
-	versions []uint64
-	current  uint64
+type generatedText struct {
+	data           []byte
+	events         int
+	lastID         int64
+	versions       []uint64
+	currentVersion uint64
 }
 
-func (t *text) reset() { *t = text{lastID: -1} }
+func (t *generatedText) reset() { *t = generatedText{lastID: -1} }
 
 // fits tells whether a text may go on under a version of the weights, and notes it. A text of one version begins anew under a later one.
-func (t *text) fits(lease *rpc.Lease, version uint64) bool {
+func (t *generatedText) acceptVersion(lease *rpc.Lease, version uint64) bool {
 	if version < lease.MinVersion {
 		return false
 	}
-	if lease.SingleVersion && t.events > 0 && version != t.current {
+	if lease.SingleVersion && t.events > 0 && version != t.currentVersion {
 		t.reset()
 		return false
 	}
-	t.current = version
+	t.currentVersion = version
 	return true
 }
 
 var (
-	errVersion = errors.New("batch: the version of the weights changed within a text")
-	errOrder   = errors.New("batch: an event is missing or stands twice")
+	errVersionChanged = errors.New("batch: the version of the weights changed within a text")
+	errEventOrder     = errors.New("batch: an event is missing or stands twice")
 )
 
 // read adds an answer's events to the text; no error says that the text is whole.
-func (r *Runner) read(answer *worker.Answer, lease *rpc.Lease, w *routing.Worker, made *text, silence *time.Timer) error {
+func (r *Runner) readEvents(answer *worker.Answer, lease *rpc.Lease, w *routing.Worker, generated *generatedText, silence *time.Timer) error {
 	events := worker.NewEvents(answer)
 	for {
 		event, err := events.Next()
 		if errors.Is(err, io.EOF) {
-			if made.events == 0 {
+			if generated.events == 0 {
 				return io.ErrUnexpectedEOF
 			}
 			return nil
@@ -53,27 +53,27 @@
 		if err != nil {
 			return err
 		}
-		silence.Reset(r.Patience.Between)
-		if event.Version != 0 && event.Version != made.current {
+		silence.Reset(r.Timeouts.BetweenEvents)
+		if event.Version != 0 && event.Version != generated.currentVersion {
 			r.Forwarder.Table.SawVersion(w, lease.Model, event.Version)
-			if lease.SingleVersion && made.events > 0 {
-				made.reset()
-				return errVersion
+			if lease.SingleVersion && generated.events > 0 {
+				generated.reset()
+				return errVersionChanged
 			}
-			made.current = event.Version
+			generated.currentVersion = event.Version
 		}
-		if made.events > 0 && event.ID >= 0 && event.ID <= made.lastID {
-			made.reset()
-			return errOrder
+		if generated.events > 0 && event.ID >= 0 && event.ID <= generated.lastID {
+			generated.reset()
+			return errEventOrder
 		}
-		if made.events > 0 {
-			made.data = append(made.data, '\n')
+		if generated.events > 0 {
+			generated.data = append(generated.data, '\n')
 		}
-		made.data = append(made.data, event.Data...)
-		made.events++
-		made.lastID = event.ID
-		if !slices.Contains(made.versions, made.current) {
-			made.versions = append(made.versions, made.current)
+		generated.data = append(generated.data, event.Data...)
+		generated.events++
+		generated.lastID = event.ID
+		if !slices.Contains(generated.versions, generated.currentVersion) {
+			generated.versions = append(generated.versions, generated.currentVersion)
 		}
 	}
 }
--- a/internal/scheduler/dayreport/account_test.go
+++ b/internal/scheduler/dayreport/account_test.go
@@ -13,17 +13,17 @@
 "nodes":[{"role":"agent","class":"front","n":60,"cpu_mean":0.003},{"role":"proxy","class":"front","n":60},{"role":"steward","class":"core","n":5},{"role":"store","class":"store","n":11}],
 "classes":[{"name":"a","n":10,"late":2,"refused":0,"failed":1,"worth":0.95},{"name":"b","n":5,"worth":1}],"services":[{"name":"pool","arrivals":9,"not_run":1}]}`
 
-func TestLines(t *testing.T) {
+func TestLosses(t *testing.T) {
 	is := is.New(t)
-	r, err := Read([]byte(report))
+	r, err := Parse([]byte(report))
 	is.NoErr(err)
-	lines := r.Lines(2)
-	is.Equal(lines[0].What, "machine-seconds")
+	lines := r.Losses(2)
+	is.Equal(lines[0].Name, "machine-seconds")
 	is.True(math.Abs(lines[0].Bound-0.019*70/76) < 1e-9)
-	is.Equal(lines[1].What, "worst class")
+	is.Equal(lines[1].Name, "worst class")
 	is.True(math.Abs(lines[1].Cost-0.015) < 1e-9)
 	for _, l := range lines {
-		switch l.What {
+		switch l.Name {
 		case "loads of weights":
 			is.Equal(l.Bound, 0.0)
 		case "orders":
@@ -36,7 +36,7 @@
 
 func TestWrite(t *testing.T) {
 	is := is.New(t)
-	r, err := Read([]byte(report))
+	r, err := Parse([]byte(report))
 	is.NoErr(err)
 	var b strings.Builder
 	is.NoErr(r.Write(&b, "a day", 2))
@@ -47,7 +47,7 @@
 func TestWhatIsNoReport(t *testing.T) {
 	is := is.New(t)
 	for _, text := range []string{"", "{}", `{"parts":[["x",1]]}`, `{"parts":[[1,1,1]]}`} {
-		_, err := Read([]byte(text))
+		_, err := Parse([]byte(text))
 		is.True(err != nil)
 	}
 }
--- a/internal/scheduler/feed/client.go
+++ b/internal/scheduler/feed/client.go
@@ -115,7 +115,7 @@
 	}
 	if response.Fresh {
 		if c.freshAt.Load() == 0 {
-			metrics.Phase("in_touch")
+			metrics.RecordStartPhase("in_touch")
 		}
 		c.freshAt.Store(time.Now().UnixNano())
 	}
--- a/internal/scheduler/forward/counts.go
+++ b/internal/scheduler/forward/counts.go
@@ -27,7 +27,7 @@
 func countTry(verdict string) { tryCounts[verdict].Inc() }
 
 // requestWaits are the times from a request's arrival to the choice of its first worker.
-var requestWaits = metrics.Durations("request_wait_seconds")
+var requestWaits = metrics.DurationHistogram("request_wait_seconds")
 
 // countWait notes how long the request has waited for its first worker.
 func (d *delivery) countWait() {
--- a/internal/scheduler/metrics/metrics.go
+++ b/internal/scheduler/metrics/metrics.go
@@ -37,24 +37,24 @@
 }
 
 // Forget ends the figure of a name and labels.
-func Forget(name string, labels ...Label) {
+func Unregister(name string, labels ...Label) {
 	metrics.UnregisterMetric(series(name, labels))
 }
 
 // Durations returns the histogram of a name and labels, in seconds.
-func Durations(name string, labels ...Label) *metrics.Histogram {
+func DurationHistogram(name string, labels ...Label) *metrics.Histogram {
 	return metrics.GetOrCreateHistogram(series(name, labels))
 }
 
 // Gauge has a figure told that is worked out when it is asked for.
-func Gauge(name string, value func() float64, labels ...Label) {
+func GaugeFunc(name string, value func() float64, labels ...Label) {
 	metrics.GetOrCreateGauge(series(name, labels), value)
 }
 
 var processStart = time.Now()
 
 // Phase notes that a phase of this process's start is over, once: the seconds since the process began.
-func Phase(name string) {
+func RecordStartPhase(name string) {
 	series := series("phase_seconds", []Label{{"phase", name}})
 	if gauge := metrics.GetOrCreateGauge(series, nil); gauge.Get() == 0 {
 		gauge.Set(time.Since(processStart).Seconds())
@@ -81,7 +81,7 @@
 	readTimeout = 5 * time.Second
 	readBuffer  = 1 << 10
 	// connectionsMost bounds those who ask at once.
-	connectionsMost = 8
+	maxConnections = 8
 )
 
 // Serve answers at an address of this machine until the process ends.
@@ -90,12 +90,12 @@
 	if err != nil {
 		return fmt.Errorf("metrics: %w", err)
 	}
-	server := &fasthttp.Server{Handler: e.answer, NoDefaultServerHeader: true, ReadTimeout: readTimeout, ReadBufferSize: readBuffer, Concurrency: connectionsMost}
+	server := &fasthttp.Server{Handler: e.handle, NoDefaultServerHeader: true, ReadTimeout: readTimeout, ReadBufferSize: readBuffer, Concurrency: maxConnections}
 	go server.Serve(listener)
 	return nil
 }
 
-func (e Endpoint) answer(ctx *fasthttp.RequestCtx) {
+func (e Endpoint) handle(ctx *fasthttp.RequestCtx) {
 	if string(ctx.Path()) != e.Path {
 		ctx.SetStatusCode(fasthttp.StatusNotFound)
 		return
--- a/internal/scheduler/metrics/metrics_test.go
+++ b/internal/scheduler/metrics/metrics_test.go
@@ -8,7 +8,7 @@
 	"github.com/valyala/fasthttp"
 )
 
-func TestFiguresAreTold(t *testing.T) {
+func TestMetricsAreExposed(t *testing.T) {
 	is := is.New(t)
 	Counter("test_total", Label{"cause", `a "quoted" one`}).Inc()
 	Counter("test_total", Label{"cause", `a "quoted" one`}).Inc()
@@ -16,19 +16,19 @@
 	is.NoErr(err)
 	ctx := &fasthttp.RequestCtx{}
 	ctx.Request.SetRequestURI("/metrics")
-	e.answer(ctx)
+	e.handle(ctx)
 	is.True(strings.Contains(string(ctx.Response.Body()), `saffronquay_test_total{cause="a \"quoted\" one"} 2`))
 	ctx.Request.SetRequestURI("/other")
-	e.answer(ctx)
+	e.handle(ctx)
 	is.Equal(ctx.Response.StatusCode(), fasthttp.StatusNotFound)
 }
 
 // A phase is noted once: what happens again later is no part of the start.
-func TestPhaseIsNotedOnce(t *testing.T) {
+func TestStartPhaseIsRecordedOnce(t *testing.T) {
 	is := is.New(t)
-	Phase("test")
+	RecordStartPhase("test")
 	first := Text()
-	Phase("test")
+	RecordStartPhase("test")
 	is.Equal(Text(), first)
 	is.True(strings.Contains(first, `saffronquay_phase_seconds{phase="test"}`))
 }
--- a/internal/scheduler/proxy/departure.go
+++ b/internal/scheduler/proxy/departure.go
@@ -11,28 +11,28 @@
 )
 
 // watchAfter is how long a request has to last before its client's connection is watched: most are over by then.
-const watchAfter = 80 * time.Millisecond
+const disconnectWatchDelay = 80 * time.Millisecond
 
 // departure cancels a request once its client has closed the connection, so that no worker goes on with it. The HTTP server gives no word of
 // that while a handler runs.
-type departure struct {
-	conn    net.Conn
-	timer   *time.Timer
-	watched chan struct{} // closed when the watch has ended
+type disconnectWatch struct {
+	conn  net.Conn
+	timer *time.Timer
+	done  chan struct{} // closed when the watch has ended
 }
 
 // untilDeparture returns a context that ends when the client of a request leaves, once the request has lasted for so long. stop has to be
 // called before the answer is written.
-func untilDeparture(ctx *fasthttp.RequestCtx, after time.Duration) (within context.Context, stop func()) {
+func watchClient(ctx *fasthttp.RequestCtx, after time.Duration) (within context.Context, stop func()) {
 	within, cancel := context.WithCancel(context.Background())
 	conn, ok := ctx.Conn().(syscall.Conn)
 	if !ok {
 		return within, cancel
 	}
-	d := &departure{conn: ctx.Conn(), watched: make(chan struct{})}
+	d := &disconnectWatch{conn: ctx.Conn(), done: make(chan struct{})}
 	d.timer = time.AfterFunc(after, func() {
-		defer close(d.watched)
-		if closed(conn) {
+		defer close(d.done)
+		if waitForClose(conn) {
 			cancel()
 		}
 	})
@@ -43,17 +43,17 @@
 }
 
 // stop ends the watch, and leaves the connection without a deadline for reads: the server sets one before it reads on.
-func (d *departure) stop() {
+func (d *disconnectWatch) stop() {
 	if d.timer.Stop() {
 		return
 	}
 	d.conn.SetReadDeadline(time.Unix(1, 0))
-	<-d.watched
+	<-d.done
 	d.conn.SetReadDeadline(time.Time{})
 }
 
 // closed waits until a connection was closed by its peer, bytes have arrived on it, or a deadline for reads is set. It takes no bytes.
-func closed(conn syscall.Conn) (gone bool) {
+func waitForClose(conn syscall.Conn) (gone bool) {
 	raw, err := conn.SyscallConn()
 	if err != nil {
 		return false
--- a/internal/scheduler/proxy/departure_test.go
+++ b/internal/scheduler/proxy/departure_test.go
@@ -12,7 +12,7 @@
 )
 
 // serveUntilDeparture answers each request once a word comes, or tells that its client has left.
-func serveUntilDeparture(t *testing.T) (address string, watching chan struct{}, finish chan struct{}, left chan struct{}) {
+func serveUntilDisconnect(t *testing.T) (address string, watching chan struct{}, finish chan struct{}, left chan struct{}) {
 	t.Helper()
 	watching, finish, left = make(chan struct{}, 8), make(chan struct{}), make(chan struct{}, 8)
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -20,7 +20,7 @@
 		t.Fatal(err)
 	}
 	server := &fasthttp.Server{IdleTimeout: time.Minute, ReadTimeout: time.Minute, Handler: func(ctx *fasthttp.RequestCtx) {
-		within, stop := untilDeparture(ctx, 0)
+		within, stop := watchClient(ctx, 0)
 		defer stop()
 		watching <- struct{}{}
 		select {
@@ -41,7 +41,7 @@
 	for _, how := range []string{"closes", "resets"} {
 		t.Run(how, func(t *testing.T) {
 			is := is.New(t)
-			address, watching, _, left := serveUntilDeparture(t)
+			address, watching, _, left := serveUntilDisconnect(t)
 			conn, err := net.Dial("tcp4", address)
 			is.NoErr(err)
 			_, err = io.WriteString(conn, plainRequest)
@@ -63,7 +63,7 @@
 // A client that stays gets its answers, short and long ones, on one connection, also where its next request is there already.
 func TestWatchedConnectionServesOn(t *testing.T) {
 	is := is.New(t)
-	address, watching, finish, left := serveUntilDeparture(t)
+	address, watching, finish, left := serveUntilDisconnect(t)
 	conn, err := net.Dial("tcp4", address)
 	is.NoErr(err)
 	defer conn.Close()
--- a/internal/scheduler/proxy/events_test.go
+++ b/internal/scheduler/proxy/events_test.go
@@ -9,17 +9,17 @@
 // Only whole events reach the client, so that a stream can be taken up behind the last one.
 func TestEventCutter(t *testing.T) {
 	is := is.New(t)
-	var c eventCutter
+	var c eventBuffer
 	b := make([]byte, 64)
-	c.add([]byte("id: 1\nda"))
-	is.Equal(c.take(b), 0)
-	c.add([]byte("ta: x\n\nid: 2\ndata: bro"))
-	n := c.take(b)
+	c.write([]byte("id: 1\nda"))
+	is.Equal(c.readComplete(b), 0)
+	c.write([]byte("ta: x\n\nid: 2\ndata: bro"))
+	n := c.readComplete(b)
 	is.Equal(string(b[:n]), "id: 1\ndata: x\n\n")
 	is.Equal(c.lastID, "1")
-	c.drop() // the worker broke off; another one goes on behind event 1
-	c.add([]byte("id: 2\ndata: y\n\n"))
-	n = c.take(b)
+	c.discardPartial() // the worker broke off; another one goes on behind event 1
+	c.write([]byte("id: 2\ndata: y\n\n"))
+	n = c.readComplete(b)
 	is.Equal(string(b[:n]), "id: 2\ndata: y\n\n")
-	is.Equal(c.rest(b), 0)
+	is.Equal(c.readRemainder(b), 0)
 }
--- a/internal/scheduler/proxy/handler.go
+++ b/internal/scheduler/proxy/handler.go
@@ -20,14 +20,14 @@
 	retryAfter = "0.25" // seconds
 	// startRetryAfter is for requests that meet a process which has just started: most know a configuration by then. Clients wait for a third of
 	// the time that remains to them at most.
-	startRetryAfter = 600 * time.Millisecond
-	clientsWait     = 3
-	jobsPath        = "/api/lots/"
-	itemsPath       = "/api/items/"
+	startRetryAfter   = 600 * time.Millisecond
+	clientWaitDivisor = 3
+	jobsPath          = "/api/lots/"
+	itemsPath         = "/api/items/"
 	// answerMargin is left between the end of a worker's time and the answer that the client waits for.
 	answerMargin = 4 * time.Millisecond
 	// startWait is how long a request may wait for the first configuration after the process has started.
-	startWait = 600 * time.Millisecond
+	maxConfigurationWait = 600 * time.Millisecond
 )
 
 // handle answers one request of a client.
@@ -37,18 +37,18 @@
 	if p.stopping.Load() {
 		ctx.SetConnectionClose()
 	}
-	table := p.configured(ctx)
+	table := p.awaitConfiguration(ctx)
 	if table == nil {
-		refuseFor(ctx, seconds(startRetryAfter), "no configuration is known yet")
+		rejectWithRetryAfter(ctx, formatSeconds(startRetryAfter), "no configuration is known yet")
 		return
 	}
 	path, host := string(ctx.RequestURI()), string(ctx.Host())
 	switch {
 	case strings.HasPrefix(path, jobsPath) && table.HasHost(host):
-		p.job(ctx, host, pathID(path, jobsPath))
+		p.handleJob(ctx, host, pathID(path, jobsPath))
 		return
 	case strings.HasPrefix(path, itemsPath) && table.HasHost(host):
-		p.itemBody(ctx, host, pathID(path, itemsPath))
+		p.readItemBody(ctx, host, pathID(path, itemsPath))
 		return
 	}
 	route := table.Find(host, path)
@@ -56,39 +56,39 @@
 	case route == nil:
 		answer(ctx, fasthttp.StatusNotFound, "no such route")
 	case route.Type == configuration.Deployment:
-		p.submit(ctx, route, host)
+		p.submitJob(ctx, route, host)
 	default:
-		p.pass(ctx, route, host, path)
+		p.forwardRequest(ctx, route, host, path)
 	}
 }
 
 // configured returns the configuration in force; nil right after the start. A request that is refused at once and comes back is worth more
 // than one that waits; where its client would come back too soon, it waits for a configuration for a while.
-func (p *Proxy) configured(ctx *fasthttp.RequestCtx) *configuration.Table {
+func (p *Proxy) awaitConfiguration(ctx *fasthttp.RequestCtx) *configuration.Table {
 	table := p.config.Load()
 	if table != nil {
 		return table
 	}
-	wait := startWait
+	wait := maxConfigurationWait
 	if ms, err := strconv.ParseFloat(string(ctx.Request.Header.Peek("Deadline-Ms")), 64); err == nil && ms > 0 {
 		left := time.Duration(ms * float64(time.Millisecond))
-		if p.settings.Decisions.QuickRefusal && worthComingBack(left) {
+		if p.settings.Decisions.QuickRefusal && retryFitsDeadline(left) {
 			return nil
 		}
 		wait = min(wait, left/2)
 	}
 	select {
-	case <-p.known:
+	case <-p.configured:
 	case <-time.After(wait):
 	}
 	return p.config.Load()
 }
 
 // worthComingBack tells whether a client with so much time left waits for as long as a process needs to know a configuration.
-func worthComingBack(left time.Duration) bool { return left/clientsWait >= startRetryAfter }
+func retryFitsDeadline(left time.Duration) bool { return left/clientWaitDivisor >= startRetryAfter }
 
 // seconds writes a time as Retry-After has it.
-func seconds(d time.Duration) string { return strconv.FormatFloat(d.Seconds(), 'f', -1, 64) }
+func formatSeconds(d time.Duration) string { return strconv.FormatFloat(d.Seconds(), 'f', -1, 64) }
 
 func pathID(path, prefix string) string {
 	id, _, _ := strings.Cut(strings.TrimPrefix(path, prefix), "?")
@@ -102,16 +102,18 @@
 }
 
 // refuse answers that the request has not run and never will.
-func refuse(ctx *fasthttp.RequestCtx, message string) { refuseFor(ctx, retryAfter, message) }
+func rejectRetryable(ctx *fasthttp.RequestCtx, message string) {
+	rejectWithRetryAfter(ctx, retryAfter, message)
+}
 
 // refuseFor refuses and tells after how many seconds to come back.
-func refuseFor(ctx *fasthttp.RequestCtx, seconds, message string) {
+func rejectWithRetryAfter(ctx *fasthttp.RequestCtx, seconds, message string) {
 	ctx.Response.Header.Set("Retry-After", seconds)
 	answer(ctx, fasthttp.StatusServiceUnavailable, message)
 }
 
 // pass sends a request on to a worker.
-func (p *Proxy) pass(ctx *fasthttp.RequestCtx, route *configuration.Route, host, path string) {
+func (p *Proxy) forwardRequest(ctx *fasthttp.RequestCtx, route *configuration.Route, host, path string) {
 	id := string(ctx.Request.Header.Peek("Request-Id"))
 	if id == "" {
 		answer(ctx, fasthttp.StatusBadRequest, "Request-Id: is missing")
@@ -119,30 +121,30 @@
 	}
 	request := &forward.Request{
 		ID: id, Method: string(ctx.Method()), URI: path, Host: host, Body: ctx.PostBody(), Route: route,
-		Headers: endToEnd(ctx), Deadline: deadline(ctx, route), Usage: usage(ctx), Model: string(ctx.Request.Header.Peek("Model")),
+		Headers: endToEndHeaders(ctx), Deadline: deadline(ctx, route), Usage: usage(ctx), Model: string(ctx.Request.Header.Peek("Model")),
 		Prompt: forward.SharedPrompt(string(ctx.Request.Header.Peek("Prefix-Hash"))), Arrived: ctx.Time(),
 	}
-	within, stop := untilDeparture(ctx, watchAfter)
+	within, stop := watchClient(ctx, disconnectWatchDelay)
 	if route.Type == configuration.Streaming {
-		p.stream(ctx, within, stop, request)
+		p.forwardStream(ctx, within, stop, request)
 		return
 	}
 	defer stop()
 	result := p.forwarder.Do(within, request)
 	defer result.Release() // before stop: the end of its context would take the worker's connection with it
 	if result.Err != nil {
-		giveUp(ctx, &result)
+		answerFailure(ctx, &result)
 		return
 	}
-	copyHead(ctx, result.Answer)
+	copyResponseHead(ctx, result.Answer)
 	ctx.Response.SetBodyRaw(result.Body)
 }
 
 // giveUp gives a request whose tries are over its final answer.
-func giveUp(ctx *fasthttp.RequestCtx, result *forward.Result) {
+func answerFailure(ctx *fasthttp.RequestCtx, result *forward.Result) {
 	switch {
 	case result.Verdict == outcome.NotRun:
-		refuse(ctx, "no worker takes the request now")
+		rejectRetryable(ctx, "no worker takes the request now")
 	case outcome.IsTimeout(result.Err):
 		answer(ctx, fasthttp.StatusGatewayTimeout, "the time of the request is over")
 	default:
@@ -168,9 +170,9 @@
 }
 
 // endToEnd are the header fields that concern more than one connection.
-func endToEnd(ctx *fasthttp.RequestCtx) (headers []worker.Header) {
+func endToEndHeaders(ctx *fasthttp.RequestCtx) (headers []worker.Header) {
 	for name, value := range ctx.Request.Header.All() {
-		if !ownField(string(name)) {
+		if !isHopByHop(string(name)) {
 			headers = append(headers, worker.Header{Name: string(name), Value: string(value)})
 		}
 	}
@@ -178,7 +180,7 @@
 }
 
 // ownField tells whether a field concerns one connection only, or is written by this program.
-func ownField(name string) bool {
+func isHopByHop(name string) bool {
 	switch strings.ToLower(name) {
 	case "connection", "keep-alive", "proxy-connection", "proxy-authenticate", "proxy-authorization", "te", "trailer", "transfer-encoding", "upgrade",
 		"content-length", "host", "expect", "request-id", "deadline-ms", "expect-instance", "priority", "expect-version":
@@ -188,7 +190,7 @@
 }
 
 // copyHead passes a worker's status and fields on.
-func copyHead(ctx *fasthttp.RequestCtx, from *worker.Answer) {
+func copyResponseHead(ctx *fasthttp.RequestCtx, from *worker.Answer) {
 	ctx.SetStatusCode(from.Status)
 	for name, value := range from.Header.All() {
 		switch strings.ToLower(string(name)) {
@@ -202,19 +204,19 @@
 }
 
 // stream passes a stream on event by event. Until its first event the client's departure ends it; then the writes to it tell.
-func (p *Proxy) stream(ctx *fasthttp.RequestCtx, within context.Context, stop func(), request *forward.Request) {
+func (p *Proxy) forwardStream(ctx *fasthttp.RequestCtx, within context.Context, stop func(), request *forward.Request) {
 	if last := ctx.Request.Header.Peek("Last-Event-Id"); len(last) > 0 && !request.Route.Resumable {
 		stop()
 		answer(ctx, fasthttp.StatusBadRequest, "Last-Event-Id: streams of this route can't be taken up again")
 		return
 	}
-	result := p.open(within, stop, request)
+	result := p.openStream(within, stop, request)
 	if result.Err != nil {
 		defer result.Release()
-		giveUp(ctx, &result)
+		answerFailure(ctx, &result)
 		return
 	}
-	copyHead(ctx, result.Answer)
+	copyResponseHead(ctx, result.Answer)
 	if result.Status >= 300 {
 		defer result.Release()
 		body, err := result.Answer.ReadAll()
@@ -228,11 +230,11 @@
 	}
 	p.active.Add(1)
 	ctx.Response.ImmediateHeaderFlush = true
-	ctx.Response.SetBodyStream(&relay{proxy: p, request: request, result: result}, -1)
+	ctx.Response.SetBodyStream(&streamRelay{proxy: p, request: request, result: result}, -1)
 }
 
 // open sends a stream's request under a context that outlasts the watch of its client.
-func (p *Proxy) open(within context.Context, stop func(), request *forward.Request) forward.Result {
+func (p *Proxy) openStream(within context.Context, stop func(), request *forward.Request) forward.Result {
 	whole, cancel := context.WithCancel(context.Background())
 	unlink := context.AfterFunc(within, cancel)
 	result := p.forwarder.Open(whole, request)
@@ -245,27 +247,27 @@
 }
 
 // relay reads a stream from its worker, and goes on at another one where the route allows that.
-type relay struct {
+type streamRelay struct {
 	proxy   *Proxy
 	request *forward.Request
 	result  forward.Result
 	closed  bool
-	events  eventCutter
+	events  eventBuffer
 }
 
 // Read implements io.Reader. Any error but io.EOF has the client's connection closed, so that the stream doesn't look whole.
-func (r *relay) Read(b []byte) (int, error) {
+func (r *streamRelay) Read(b []byte) (int, error) {
 	for {
-		if n := r.events.take(b); n > 0 {
+		if n := r.events.readComplete(b); n > 0 {
 			return n, nil
 		}
 		n, err := r.result.Answer.Read(b)
-		r.events.add(b[:n])
+		r.events.write(b[:n])
 		if n > 0 {
 			continue
 		}
 		if errors.Is(err, io.EOF) {
-			if n := r.events.rest(b); n > 0 {
+			if n := r.events.readRemainder(b); n > 0 {
 				return n, nil
 			}
 			return 0, io.EOF
@@ -277,24 +279,24 @@
 }
 
 // resume takes the stream up at another worker behind the last whole event.
-func (r *relay) resume() bool {
-	if !r.request.Route.Resumable || !r.events.seen || time.Until(r.request.Deadline) <= 0 {
+func (r *streamRelay) resume() bool {
+	if !r.request.Route.Resumable || !r.events.hasID || time.Until(r.request.Deadline) <= 0 {
 		return false
 	}
 	r.result.Release()
 	r.result.Answer = nil
-	result := r.proxy.forwarder.Open(context.Background(), continued(r.request, r.events.lastID))
+	result := r.proxy.forwarder.Open(context.Background(), resumeRequest(r.request, r.events.lastID))
 	if result.Err != nil || result.Status >= 300 {
 		result.Release()
 		return false
 	}
 	r.result = result
-	r.events.drop()
+	r.events.discardPartial()
 	return true
 }
 
 // continued is the request for what follows an event of a stream. It does not count as one that has waited since the client sent it.
-func continued(request *forward.Request, lastEvent string) *forward.Request {
+func resumeRequest(request *forward.Request, lastEvent string) *forward.Request {
 	next := *request
 	next.Headers = append(next.Headers[:len(next.Headers):len(next.Headers)], worker.Header{Name: "Last-Event-Id", Value: lastEvent})
 	next.Arrived = time.Time{}
@@ -302,7 +304,7 @@
 }
 
 // Close ends the stream.
-func (r *relay) Close() error {
+func (r *streamRelay) Close() error {
 	if !r.closed {
 		r.closed = true
 		r.result.Release()
--- a/internal/scheduler/proxy/jobs.go
+++ b/internal/scheduler/proxy/jobs.go
@@ -16,15 +16,15 @@
 )
 
 const (
-	submitTimeout = 2500 * time.Millisecond
-	readTimeoutMS = 1500 // beyond what the client lets a read be held
-	maxHoldMS     = 2000
-	nearSlackMS   = 300 // beyond the hold, that a replica of the own zone may take
-	noteTimeout   = 2 * time.Second
+	submitTimeout    = 2500 * time.Millisecond
+	readTimeoutMS    = 1500 // beyond what the client lets a read be held
+	maxReadWaitMS    = 2000
+	nearReadMarginMS = 300 // beyond the hold, that a replica of the own zone may take
+	policyTimeout    = 2 * time.Second
 )
 
 // submit takes a batch job.
-func (p *Proxy) submit(ctx *fasthttp.RequestCtx, route *configuration.Route, host string) {
+func (p *Proxy) submitJob(ctx *fasthttp.RequestCtx, route *configuration.Route, host string) {
 	id := string(ctx.Request.Header.Peek("Request-Id"))
 	if id == "" || !ctx.IsPost() {
 		answer(ctx, fasthttp.StatusBadRequest, "a batch job is a POST with a Request-Id")
@@ -39,15 +39,15 @@
 	job.DeadlineMs, job.MaxQueueMs = uint32(route.DeadlineMS), uint32(route.MaxQueueS*1000)
 	job.GiveUpMs = uint32(max(route.TimeoutMS, route.DeadlineMS))
 	job.MaxAttempts, job.SingleVersion, job.Priority = uint32(max(route.MaxAttempts, 1)), route.OnPolicy, uint32(max(route.Priority, 0))
-	p.notePolicy(job.Model, route.OnPolicy)
-	shard := p.ledger.ShardOf(host)
+	p.reportPolicy(job.Model, route.OnPolicy)
+	shard := p.jobOwners.ShardOf(host)
 	if shard == "" {
-		refuse(ctx, "batch jobs can't be kept yet")
+		rejectRetryable(ctx, "batch jobs can't be kept yet")
 		return
 	}
 	within, cancel := context.WithTimeout(context.Background(), submitTimeout)
 	defer cancel()
-	err = p.ledger.Call(within, shard, 0, func(ctx context.Context, l rpc.Ledger) (rpc.Outcome, string, error) {
+	err = p.jobOwners.Call(within, shard, 0, func(ctx context.Context, l rpc.Ledger) (rpc.Outcome, string, error) {
 		response, err := l.Submit(ctx, &rpc.SubmitRequest{Shard: shard, Job: job})
 		if err != nil {
 			return rpc.Outcome_OUTCOME_UNKNOWN, "", err
@@ -58,42 +58,42 @@
 	case err == nil:
 		ctx.SetStatusCode(fasthttp.StatusAccepted)
 	case errors.Is(err, batchclient.ErrUnavailable):
-		refuse(ctx, "batch jobs can't be kept now")
+		rejectRetryable(ctx, "batch jobs can't be kept now")
 	default:
 		answer(ctx, fasthttp.StatusGatewayTimeout, "the batch job may have been taken")
 	}
 }
 
 // notePolicy tells the directory, once for each model, whether its texts must be made by one version of the weights.
-func (p *Proxy) notePolicy(model string, single bool) {
+func (p *Proxy) reportPolicy(model string, single bool) {
 	p.mu.Lock()
 	known, ok := p.policies[model]
-	if model == "" || ok && (known || !single) || p.noting[model] {
+	if model == "" || ok && (known || !single) || p.policyCalls[model] {
 		p.mu.Unlock()
 		return
 	}
-	p.noting[model] = true
+	p.policyCalls[model] = true
 	p.mu.Unlock()
 	go func() {
-		ctx, cancel := context.WithTimeout(context.Background(), noteTimeout)
+		ctx, cancel := context.WithTimeout(context.Background(), policyTimeout)
 		defer cancel()
 		rpc.NewControlProtobufClient("http://"+agent.Address(p.settings), p.client).NotePolicy(ctx, &rpc.ModelPolicy{Model: model, SingleVersion: single})
 		p.mu.Lock()
-		delete(p.noting, model)
+		delete(p.policyCalls, model)
 		p.mu.Unlock()
 	}()
 }
 
 // job reads or ends a batch job.
-func (p *Proxy) job(ctx *fasthttp.RequestCtx, host, id string) {
-	shard := p.ledger.ShardOf(host)
+func (p *Proxy) handleJob(ctx *fasthttp.RequestCtx, host, id string) {
+	shard := p.jobOwners.ShardOf(host)
 	switch {
 	case shard == "":
-		refuse(ctx, "batch jobs can't be read yet")
+		rejectRetryable(ctx, "batch jobs can't be read yet")
 	case ctx.IsGet():
 		p.readJob(ctx, shard, id)
 	case ctx.IsDelete():
-		p.endJob(ctx, shard, id)
+		p.cancelJob(ctx, shard, id)
 	default:
 		answer(ctx, fasthttp.StatusMethodNotAllowed, "want GET or DELETE")
 	}
@@ -105,9 +105,9 @@
 	if err != nil || hold < 0 {
 		hold = 0
 	}
-	hold = min(hold, maxHoldMS)
+	hold = min(hold, maxReadWaitMS)
 	begun := time.Now()
-	page := p.readNear(shard, id, after, hold)
+	page := p.readFromNearReplica(shard, id, after, hold)
 	if page != nil {
 		writePage(ctx, page, after)
 		return
@@ -115,7 +115,7 @@
 	hold = max(0, hold-int(time.Since(begun).Milliseconds()))
 	within, cancel := context.WithTimeout(context.Background(), time.Duration(hold+readTimeoutMS)*time.Millisecond)
 	defer cancel()
-	err = p.ledger.Call(within, shard, time.Duration(hold)*time.Millisecond, func(ctx context.Context, l rpc.Ledger) (rpc.Outcome, string, error) {
+	err = p.jobOwners.Call(within, shard, time.Duration(hold)*time.Millisecond, func(ctx context.Context, l rpc.Ledger) (rpc.Outcome, string, error) {
 		response, err := l.Read(ctx, &rpc.ReadRequest{Shard: shard, Job: id, After: uint32(after), WaitMs: uint32(hold)})
 		if err != nil {
 			return rpc.Outcome_OUTCOME_UNKNOWN, "", err
@@ -125,7 +125,7 @@
 	})
 	switch {
 	case err != nil:
-		refuse(ctx, "the batch job can't be read now")
+		rejectRetryable(ctx, "the batch job can't be read now")
 	case !page.Found:
 		answer(ctx, fasthttp.StatusNotFound, "no such batch job")
 	default:
@@ -134,12 +134,12 @@
 }
 
 // readNear reads from a replica of this zone, which spares the bytes between zones; nil where there is none that can answer.
-func (p *Proxy) readNear(shard, id string, after, hold int) *rpc.ReadResponse {
-	address := p.ledger.Near(shard)
+func (p *Proxy) readFromNearReplica(shard, id string, after, hold int) *rpc.ReadResponse {
+	address := p.jobOwners.Near(shard)
 	if address == "" {
 		return nil
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(hold+nearSlackMS)*time.Millisecond)
+	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(hold+nearReadMarginMS)*time.Millisecond)
 	defer cancel()
 	page, err := rpc.NewLedgerProtobufClient("http://"+address, p.client).Read(ctx, &rpc.ReadRequest{Shard: shard, Job: id, After: uint32(after), WaitMs: uint32(hold), Near: true})
 	if err != nil || page.Outcome != rpc.Outcome_DONE || !page.Found {
@@ -162,11 +162,11 @@
 	ctx.SetBody(text)
 }
 
-func (p *Proxy) endJob(ctx *fasthttp.RequestCtx, shard, id string) {
+func (p *Proxy) cancelJob(ctx *fasthttp.RequestCtx, shard, id string) {
 	found := false
 	within, cancel := context.WithTimeout(context.Background(), submitTimeout)
 	defer cancel()
-	err := p.ledger.Call(within, shard, 0, func(ctx context.Context, l rpc.Ledger) (rpc.Outcome, string, error) {
+	err := p.jobOwners.Call(within, shard, 0, func(ctx context.Context, l rpc.Ledger) (rpc.Outcome, string, error) {
 		response, err := l.End(ctx, &rpc.EndRequest{Shard: shard, Job: id})
 		if err != nil {
 			return rpc.Outcome_OUTCOME_UNKNOWN, "", err
@@ -183,17 +183,17 @@
 }
 
 // itemBody returns the body of an item.
-func (p *Proxy) itemBody(ctx *fasthttp.RequestCtx, host, id string) {
-	shard := p.ledger.ShardOf(host)
+func (p *Proxy) readItemBody(ctx *fasthttp.RequestCtx, host, id string) {
+	shard := p.jobOwners.ShardOf(host)
 	if shard == "" || !ctx.IsGet() {
-		refuse(ctx, "items can't be read yet")
+		rejectRetryable(ctx, "items can't be read yet")
 		return
 	}
 	item := string(ctx.QueryArgs().Peek("id"))
 	var body *rpc.BodyResponse
 	within, cancel := context.WithTimeout(context.Background(), readTimeoutMS*time.Millisecond)
 	defer cancel()
-	err := p.ledger.Call(within, shard, 0, func(ctx context.Context, l rpc.Ledger) (rpc.Outcome, string, error) {
+	err := p.jobOwners.Call(within, shard, 0, func(ctx context.Context, l rpc.Ledger) (rpc.Outcome, string, error) {
 		response, err := l.Body(ctx, &rpc.BodyRequest{Shard: shard, Job: id, Item: item})
 		if err != nil {
 			return rpc.Outcome_OUTCOME_UNKNOWN, "", err
@@ -203,7 +203,7 @@
 	})
 	switch {
 	case err != nil:
-		refuse(ctx, "the item can't be read now")
+		rejectRetryable(ctx, "the item can't be read now")
 	case !body.Found:
 		answer(ctx, fasthttp.StatusNotFound, "no such item")
 	default:
--- a/internal/scheduler/proxy/pass_test.go
+++ b/internal/scheduler/proxy/pass_test.go
@@ -22,7 +22,7 @@
 )
 
 // standInWorker answers requests, but for those to /silent, and tells of its connections as they are opened and closed.
-func standInWorker(t *testing.T) (address string, opened, closed chan struct{}) {
+func startFakeWorker(t *testing.T) (address string, opened, closed chan struct{}) {
 	t.Helper()
 	opened, closed = make(chan struct{}, 16), make(chan struct{}, 16)
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -61,7 +61,7 @@
 }
 
 // front serves a proxy with one worker.
-func front(t *testing.T, workerAddress string) (address string) {
+func startProxy(t *testing.T, workerAddress string) (address string) {
 	t.Helper()
 	document, err := configuration.Parse([]byte(`{"version":1,"routes":[{"name":"r","host":"h","pathPrefix":"/","type":"idempotent","timeoutMs":60000,"targetLatencyMs":30000,"service":"s"}],"services":[{"name":"s"}]}`))
 	if err != nil {
@@ -69,7 +69,7 @@
 	}
 	table := routing.NewTable(routing.Gatherer{Name: "g"}, featuregate.All(), rand.New(rand.NewPCG(1, 1)))
 	table.Put(&rpc.Instance{Id: "w", Service: "s", Address: workerAddress, Capacity: 4})
-	p := &Proxy{log: slog.New(slog.DiscardHandler), known: make(chan struct{}), forwarder: &forward.Forwarder{Table: table, Pool: worker.NewPool(), Clock: clock}}
+	p := &Proxy{log: slog.New(slog.DiscardHandler), configured: make(chan struct{}), forwarder: &forward.Forwarder{Table: table, Pool: worker.NewPool(), Clock: clock}}
 	p.config.Store(configuration.NewTable(document))
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -87,8 +87,8 @@
 // The connection to a worker is kept for the next request: it outlasts the watch of the client that the first one came from.
 func TestWorkersConnectionIsKept(t *testing.T) {
 	is := is.New(t)
-	workerAddress, opened, _ := standInWorker(t)
-	address := front(t, workerAddress)
+	workerAddress, opened, _ := startFakeWorker(t)
+	address := startProxy(t, workerAddress)
 	for n := range 5 {
 		conn, err := net.Dial("tcp4", address)
 		is.NoErr(err)
@@ -105,8 +105,8 @@
 // A worker is let go once the client of its request has left.
 func TestWorkerIsLetGoWhenTheClientLeaves(t *testing.T) {
 	is := is.New(t)
-	workerAddress, opened, closed := standInWorker(t)
-	conn, err := net.Dial("tcp4", front(t, workerAddress))
+	workerAddress, opened, closed := startFakeWorker(t)
+	conn, err := net.Dial("tcp4", startProxy(t, workerAddress))
 	is.NoErr(err)
 	_, err = io.WriteString(conn, requestFor("/silent", "r"))
 	is.NoErr(err)
--- a/internal/scheduler/proxy/proxy.go
+++ b/internal/scheduler/proxy/proxy.go
@@ -31,29 +31,29 @@
 
 // Proxy is a running process of this role.
 type Proxy struct {
-	settings  *settings.Settings
-	log       *slog.Logger
-	client    *transport.Client
-	forwarder *forward.Forwarder
-	ledger    *batchclient.Client
-	config    atomic.Pointer[configuration.Table]
-	known     chan struct{} // closed once a configuration is known
-	stopping  atomic.Bool
-	active    atomic.Int64
+	settings   *settings.Settings
+	log        *slog.Logger
+	client     *transport.Client
+	forwarder  *forward.Forwarder
+	jobOwners  *batchclient.Client
+	config     atomic.Pointer[configuration.Table]
+	configured chan struct{} // closed once a configuration is known
+	stopping   atomic.Bool
+	active     atomic.Int64
 
-	mu       sync.Mutex
-	policies map[string]bool
-	noting   map[string]bool
+	mu          sync.Mutex
+	policies    map[string]bool
+	policyCalls map[string]bool
 }
 
 const (
-	drainLeast  = 2600 * time.Millisecond // after SIGTERM new connections come for so long
-	drainMargin = 900 * time.Millisecond
-	sweepEach   = 2 * time.Second
-	readBuffer  = 64 << 10
-	maxBody     = 64 << 20
-	readTimeout = 15 * time.Second
-	idleTimeout = 90 * time.Second
+	minDrain        = 2600 * time.Millisecond // after SIGTERM new connections come for so long
+	drainMargin     = 900 * time.Millisecond
+	sweepInterval   = 2 * time.Second
+	readBufferBytes = 64 << 10
+	maxBodyBytes    = 64 << 20
+	readTimeout     = 15 * time.Second
+	idleTimeout     = 90 * time.Second
 )
 
 var processStart = time.Now()
@@ -63,8 +63,8 @@
 // Run serves until the context ends, then drains.
 func Run(ctx context.Context, source *settings.Source, log *slog.Logger) error {
 	s := source.Current()
-	p := &Proxy{settings: s, log: log, client: transport.NewClient(), known: make(chan struct{}), policies: map[string]bool{}, noting: map[string]bool{}}
-	p.ledger = batchclient.New(p.client, s.Zone)
+	p := &Proxy{settings: s, log: log, client: transport.NewClient(), configured: make(chan struct{}), policies: map[string]bool{}, policyCalls: map[string]bool{}}
+	p.jobOwners = batchclient.New(p.client, s.Zone)
 	p.forwarder = &forward.Forwarder{Table: routing.NewTable(routing.Gatherer{Name: s.NodeName, Zone: s.Zone}, s.Decisions, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))), Pool: worker.NewPool(), Clock: clock}
 	front, err := transport.ListenTCP(s.Listen.Frontend)
 	if err != nil {
@@ -74,27 +74,27 @@
 	if err != nil {
 		return err
 	}
-	tail := &feed.Client{Wait: feed.LoopbackWait, Table: feed.NewTail(), HTTP: p.client, Node: s.NodeName, Sources: func() []string { return []string{agent.Address(s)} }, Heard: p.heard, Log: log}
+	tail := &feed.Client{Wait: feed.LoopbackWait, Table: feed.NewTail(), HTTP: p.client, Node: s.NodeName, Sources: func() []string { return []string{agent.Address(s)} }, Heard: p.applyEvents, Log: log}
 	tailCtx, stopTail := context.WithCancel(context.Background())
 	defer stopTail()
 	go tail.Run(tailCtx)
 	readiness := router.New()
-	readiness.GET("/api/readyz", p.readyz)
+	readiness.GET("/api/readyz", p.handleReadiness)
 	readyServer := &fasthttp.Server{Handler: readiness.Handler, NoDefaultServerHeader: true, NoDefaultDate: true}
 	go readyServer.Serve(ready)
 	server := &fasthttp.Server{
-		Handler: p.handle, ReadBufferSize: readBuffer, MaxRequestBodySize: maxBody, ReadTimeout: readTimeout, IdleTimeout: idleTimeout,
+		Handler: p.handle, ReadBufferSize: readBufferBytes, MaxRequestBodySize: maxBodyBytes, ReadTimeout: readTimeout, IdleTimeout: idleTimeout,
 		NoDefaultServerHeader: true, NoDefaultDate: true, NoDefaultContentType: true, CloseOnShutdown: true, DisablePreParseMultipartForm: true,
 	}
 	go server.Serve(front)
-	runner := &batchrunner.Runner{Name: gathererName(s.NodeName), Forwarder: p.forwarder, Ledger: p.ledger, Table: p.config.Load, Patience: batchrunner.UsualPatience, Log: log}
+	runner := &batchrunner.Runner{Name: gathererName(s.NodeName), Forwarder: p.forwarder, JobOwners: p.jobOwners, Configuration: p.config.Load, Timeouts: batchrunner.DefaultTimeouts, Log: log}
 	finished := make(chan struct{})
 	grace := settings.Seconds(s.Bounds.GraceS)
 	go func() {
 		runner.Run(ctx, grace/2)
 		close(finished)
 	}()
-	go p.sweep(tailCtx)
+	go p.sweepConnections(tailCtx)
 	<-ctx.Done()
 	p.drain(grace, finished)
 	end, cancel := context.WithTimeout(context.Background(), 300*time.Millisecond)
@@ -120,15 +120,15 @@
 			batchDone = true
 		default:
 		}
-		if time.Since(begun) > drainLeast && p.active.Load() == 0 && batchDone {
+		if time.Since(begun) > minDrain && p.active.Load() == 0 && batchDone {
 			return
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
 }
 
-func (p *Proxy) sweep(ctx context.Context) {
-	ticker := time.NewTicker(sweepEach)
+func (p *Proxy) sweepConnections(ctx context.Context) {
+	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -141,24 +141,24 @@
 }
 
 // readyz tells the platform whether new connections may come here.
-func (p *Proxy) readyz(ctx *fasthttp.RequestCtx) {
+func (p *Proxy) handleReadiness(ctx *fasthttp.RequestCtx) {
 	if p.stopping.Load() || p.config.Load() == nil {
 		ctx.SetStatusCode(fasthttp.StatusServiceUnavailable)
 	}
 }
 
 // heard takes in what the agent tells.
-func (p *Proxy) heard(events []*rpc.FeedEvent) {
+func (p *Proxy) applyEvents(events []*rpc.FeedEvent) {
 	for _, e := range events {
 		switch x := e.Event.(type) {
 		case *rpc.FeedEvent_Configuration:
-			p.configure(x.Configuration)
+			p.applyConfiguration(x.Configuration)
 		case *rpc.FeedEvent_Instance:
 			p.forwarder.Table.Put(x.Instance)
 		case *rpc.FeedEvent_Gone:
 			p.forwarder.Table.Remove(x.Gone)
 		case *rpc.FeedEvent_Placement:
-			p.ledger.Place(x.Placement)
+			p.jobOwners.Place(x.Placement)
 		case *rpc.FeedEvent_Policy:
 			p.mu.Lock()
 			p.policies[x.Policy.Model] = x.Policy.SingleVersion
@@ -168,7 +168,7 @@
 			case settings.ServesEdge:
 				p.forwarder.Table.PutGatherer(routing.Gatherer{Name: x.Member.Name, Zone: x.Member.Zone})
 			case settings.ServesStorage:
-				p.ledger.Locate(x.Member.Address, x.Member.Zone)
+				p.jobOwners.Locate(x.Member.Address, x.Member.Zone)
 			}
 		case *rpc.FeedEvent_Left:
 			p.forwarder.Table.RemoveGatherer(x.Left)
@@ -177,7 +177,7 @@
 }
 
 // configure puts a configuration in force; an older one never replaces a newer one.
-func (p *Proxy) configure(e *rpc.ConfigurationEvent) {
+func (p *Proxy) applyConfiguration(e *rpc.ConfigurationEvent) {
 	if old := p.config.Load(); old != nil && old.Version >= e.Version {
 		return
 	}
@@ -192,8 +192,8 @@
 		return
 	}
 	if p.config.Swap(configuration.NewTable(document)) == nil {
-		close(p.known)
-		metrics.Phase("configuration")
+		close(p.configured)
+		metrics.RecordStartPhase("configuration")
 	}
 	p.log.Info("configuration", "version", e.Version, "routes", len(document.Routes))
 }
--- a/internal/scheduler/proxy/resume_test.go
+++ b/internal/scheduler/proxy/resume_test.go
@@ -14,8 +14,8 @@
 	is := is.New(t)
 	headers := append(make([]worker.Header, 0, 4), worker.Header{Name: "Model", Value: "m"})
 	first := &forward.Request{ID: "r1", URI: "/x", Headers: headers, Arrived: time.Unix(1, 0)}
-	next := continued(first, "41")
-	other := continued(first, "42")
+	next := resumeRequest(first, "41")
+	other := resumeRequest(first, "42")
 	is.Equal(next.Headers, []worker.Header{{Name: "Model", Value: "m"}, {Name: "Last-Event-Id", Value: "41"}})
 	is.Equal(other.Headers[1].Value, "42")
 	is.Equal(next.ID, "r1")
--- a/internal/scheduler/proxy/start_test.go
+++ b/internal/scheduler/proxy/start_test.go
@@ -12,7 +12,7 @@
 
 // unconfigured asks a process that knows no configuration yet, and returns its answer and how long it took.
 func unconfigured(use featuregate.Switches, deadlineMS string) (*fasthttp.Response, time.Duration) {
-	p := &Proxy{settings: &settings.Settings{Decisions: use}, known: make(chan struct{})}
+	p := &Proxy{settings: &settings.Settings{Decisions: use}, configured: make(chan struct{})}
 	ctx := &fasthttp.RequestCtx{}
 	ctx.Request.SetRequestURI("http://h/x")
 	ctx.Request.Header.Set("Deadline-Ms", deadlineMS)
@@ -35,5 +35,5 @@
 	use := featuregate.All()
 	is.NoErr(use.Without("quickRefusal"))
 	_, took = unconfigured(use, "2000")
-	is.True(took >= startWait)
+	is.True(took >= maxConfigurationWait)
 }
--- a/internal/scheduler/replica/status.go
+++ b/internal/scheduler/replica/status.go
@@ -69,7 +69,7 @@
 	}
 	if !g.joined && (status.Ready || status.LeaderID != "" && !status.Leader && status.CurrentAt > 0) {
 		g.joined = true
-		metrics.Phase("group " + g.name)
+		metrics.RecordStartPhase("group " + g.name)
 	}
 	old := g.status.Swap(status)
 	e.statuses.Store(g.name, g.status)
--- a/internal/scheduler/routing/counts.go
+++ b/internal/scheduler/routing/counts.go
@@ -63,7 +63,7 @@
 // forget ends the counters of a worker that is gone.
 func (c refusalCounts) forget(w *Worker) {
 	for kind := range c {
-		metrics.Forget("refusals_total", kind.labels(w)...)
+		metrics.Unregister("refusals_total", kind.labels(w)...)
 	}
 	clear(c)
 }
