--- a/internal/scheduler/proxy/jobs.go
+++ b/internal/scheduler/proxy/jobs.go
@@ -40,7 +40,7 @@
 	job.GiveUpMs = uint32(max(route.TimeoutMS, route.DeadlineMS))
 	job.MaxAttempts, job.SingleVersion, job.Priority = uint32(max(route.MaxAttempts, 1)), route.OnPolicy, uint32(max(route.Priority, 0))
 	p.reportPolicy(job.Model, route.OnPolicy)
-	shard := p.jobOwners.ShardOf(host)
+	shard := p.jobOwners.ShardOfHost(host)
 	if shard == "" {
 		rejectRetryable(ctx, "batch jobs can't be kept yet")
 		return
@@ -86,7 +86,7 @@
 
 // job reads or ends a batch job.
 func (p *Proxy) handleJob(ctx *fasthttp.RequestCtx, host, id string) {
-	shard := p.jobOwners.ShardOf(host)
+	shard := p.jobOwners.ShardOfHost(host)
 	switch {
 	case shard == "":
 		rejectRetryable(ctx, "batch jobs can't be read yet")
@@ -135,7 +135,7 @@
 
 // readNear reads from a replica of this zone, which spares the bytes between zones; nil where there is none that can answer.
 func (p *Proxy) readFromNearReplica(shard, id string, after, hold int) *rpc.ReadResponse {
-	address := p.jobOwners.Near(shard)
+	address := p.jobOwners.NearbyReplica(shard)
 	if address == "" {
 		return nil
 	}
@@ -184,7 +184,7 @@
 
 // itemBody returns the body of an item.
 func (p *Proxy) readItemBody(ctx *fasthttp.RequestCtx, host, id string) {
-	shard := p.jobOwners.ShardOf(host)
+	shard := p.jobOwners.ShardOfHost(host)
 	if shard == "" || !ctx.IsGet() {
 		rejectRetryable(ctx, "items can't be read yet")
 		return
