--- a/internal/scheduler/batchrunner/text.go
+++ b/internal/scheduler/batchrunner/text.go
@@ -41,7 +41,7 @@
 
 // read adds an answer's events to the text; no error says that the text is whole.
 func (r *Runner) readEvents(answer *worker.Answer, lease *rpc.Lease, w *routing.Worker, generated *generatedText, silence *time.Timer) error {
-	events := worker.NewEvents(answer)
+	events := worker.NewEventReader(answer)
 	for {
 		event, err := events.Next()
 		if errors.Is(err, io.EOF) {
@@ -54,13 +54,13 @@
 			return err
 		}
 		silence.Reset(r.Timeouts.BetweenEvents)
-		if event.Version != 0 && event.Version != generated.currentVersion {
-			r.Forwarder.Table.SawVersion(w, lease.Model, event.Version)
+		if event.WeightVersion != 0 && event.WeightVersion != generated.currentVersion {
+			r.Forwarder.Table.RecordVersion(w, lease.Model, event.WeightVersion)
 			if lease.SingleVersion && generated.events > 0 {
 				generated.reset()
 				return errVersionChanged
 			}
-			generated.currentVersion = event.Version
+			generated.currentVersion = event.WeightVersion
 		}
 		if generated.events > 0 && event.ID >= 0 && event.ID <= generated.lastID {
 			generated.reset()
--- a/internal/scheduler/controlplane/shard.go
+++ b/internal/scheduler/controlplane/shard.go
@@ -91,12 +91,12 @@
 // LastHolder implements weights.Shard.
 func (sh *shard) LastHolder() (node string, ended bool) {
 	holder := sh.registry.Holder()
-	return holder.GetNode(), sh.server.membership.View().Start(holder.GetNode()) != holder.GetStart()
+	return holder.GetNode(), sh.server.membership.View().Incarnation(holder.GetNode()) != holder.GetStart()
 }
 
 // RecordHolder implements weights.Shard.
 func (sh *shard) RecordHolder(ctx context.Context, epoch uint64) bool {
-	hold := &rpc.Holder{Node: sh.server.settings.NodeName, Epoch: epoch, Start: sh.server.membership.View().Start(sh.server.settings.NodeName)}
+	hold := &rpc.Holder{Node: sh.server.settings.NodeName, Epoch: epoch, Start: sh.server.membership.View().Incarnation(sh.server.settings.NodeName)}
 	return sh.propose(ctx, &rpc.RegistryCommand{Command: &rpc.RegistryCommand_Hold{Hold: hold}}).Outcome == rpc.Outcome_DONE
 }
 
--- a/internal/scheduler/proxy/handler.go
+++ b/internal/scheduler/proxy/handler.go
@@ -122,7 +122,7 @@
 	request := &forward.Request{
 		ID: id, Method: string(ctx.Method()), URI: path, Host: host, Body: ctx.PostBody(), Route: route,
 		Headers: endToEndHeaders(ctx), Deadline: deadline(ctx, route), Usage: usage(ctx), Model: string(ctx.Request.Header.Peek("Model")),
-		Prompt: forward.SharedPrompt(string(ctx.Request.Header.Peek("Prefix-Hash"))), Arrived: ctx.Time(),
+		SharedPrompt: forward.ParseSharedPrompt(string(ctx.Request.Header.Peek("Prefix-Hash"))), Arrived: ctx.Time(),
 	}
 	within, stop := watchClient(ctx, disconnectWatchDelay)
 	if route.Type == configuration.Streaming {
@@ -143,7 +143,7 @@
 // giveUp gives a request whose tries are over its final answer.
 func answerFailure(ctx *fasthttp.RequestCtx, result *forward.Result) {
 	switch {
-	case result.Verdict == outcome.NotRun:
+	case result.Outcome == outcome.NotRun:
 		rejectRetryable(ctx, "no worker takes the request now")
 	case outcome.IsTimeout(result.Err):
 		answer(ctx, fasthttp.StatusGatewayTimeout, "the time of the request is over")
--- a/internal/scheduler/proxy/proxy.go
+++ b/internal/scheduler/proxy/proxy.go
@@ -133,7 +133,7 @@
 	for {
 		select {
 		case now := <-ticker.C:
-			p.forwarder.Pool.Sweep(now)
+			p.forwarder.Pool.CloseExpired(now)
 		case <-ctx.Done():
 			return
 		}
@@ -154,9 +154,9 @@
 		case *rpc.FeedEvent_Configuration:
 			p.applyConfiguration(x.Configuration)
 		case *rpc.FeedEvent_Instance:
-			p.forwarder.Table.Put(x.Instance)
+			p.forwarder.Table.PutWorker(x.Instance)
 		case *rpc.FeedEvent_Gone:
-			p.forwarder.Table.Remove(x.Gone)
+			p.forwarder.Table.RemoveWorker(x.Gone)
 		case *rpc.FeedEvent_Placement:
 			p.jobOwners.UpdatePlacement(x.Placement)
 		case *rpc.FeedEvent_Policy:
