--- a/internal/scheduler/proxy/handler.go
+++ b/internal/scheduler/proxy/handler.go
@@ -55,7 +55,7 @@
 	switch {
 	case route == nil:
 		answer(ctx, fasthttp.StatusNotFound, "no such route")
-	case route.Type == configuration.Deployment:
+	case route.Type == configuration.TypeDeployment:
 		p.submitJob(ctx, route, host)
 	default:
 		p.forwardRequest(ctx, route, host, path)
@@ -72,7 +72,7 @@
 	wait := maxConfigurationWait
 	if ms, err := strconv.ParseFloat(string(ctx.Request.Header.Peek("Deadline-Ms")), 64); err == nil && ms > 0 {
 		left := time.Duration(ms * float64(time.Millisecond))
-		if p.settings.Decisions.QuickRefusal && retryFitsDeadline(left) {
+		if p.settings.FeatureGates.QuickRefusal && retryFitsDeadline(left) {
 			return nil
 		}
 		wait = min(wait, left/2)
@@ -125,7 +125,7 @@
 		SharedPrompt: forward.ParseSharedPrompt(string(ctx.Request.Header.Peek("Prefix-Hash"))), Arrived: ctx.Time(),
 	}
 	within, stop := watchClient(ctx, disconnectWatchDelay)
-	if route.Type == configuration.Streaming {
+	if route.Type == configuration.TypeStreaming {
 		p.forwardStream(ctx, within, stop, request)
 		return
 	}
