--- a/internal/scheduler/routing/counts.go
+++ b/internal/scheduler/routing/metrics.go
@@ -43,11 +43,11 @@
 // refusalKind is what refusals are counted by.
 type refusalKind struct {
 	model string
-	cause RefusalCause
+	cause RejectionCause
 }
 
 // add counts a refusal; nothing where the worker is gone.
-func (c refusalCounts) add(w *Worker, model string, cause RefusalCause) {
+func (c refusalCounts) add(w *Worker, model string, cause RejectionCause) {
 	if c == nil {
 		return
 	}
@@ -63,7 +63,7 @@
 // forget ends the counters of a worker that is gone.
 func (c refusalCounts) forget(w *Worker) {
 	for kind := range c {
-		metrics.Forget("refusals_total", kind.labels(w)...)
+		metrics.Unregister("refusals_total", kind.labels(w)...)
 	}
 	clear(c)
 }
