--- a/internal/scheduler/forward/attempt.go
+++ b/internal/scheduler/forward/attempt.go
@@ -49,7 +49,7 @@
 
 // hasPatience tells whether another worker is asked where this one takes long.
 func (d *delivery) hasAttemptTimeout() bool {
-	return d.complete && d.request.Route.Repeatable() && !d.attempts.IsLast()
+	return d.complete && d.request.Route.Idempotent() && !d.attempts.IsLast()
 }
 
 func (d *delivery) attemptTimeout() time.Duration {
