--- a/internal/scheduler/feed/client.go
+++ b/internal/scheduler/feed/client.go
@@ -10,97 +10,54 @@
 	"time"
 )
 
-// Client keeps a table up to date from one source at a time: a steward, or the agent of its machine. It goes to the next source where
-// one is silent, fails, or has itself lost touch.
-type Client struct {
-	Table    *Table
-	HTTP     *transport.Client
-	Node     string
-	Sources  func() []string // addresses to ask, the best first
-	OnEvents func(events []*rpc.FeedEvent)
-	Wait     time.Duration // that a source may hold a watch; it is how long a silent one goes unnoticed, less a margin
-	Log      *slog.Logger
-
-	freshAt atomic.Int64 // nanoseconds
-}
-
 const (
-	// DefaultWait lets a source that has fallen silent be left within watchTimeoutMargin more.
+	// DefaultWait is the Wait of a client whose sources are other machines: an unresponsive one is left after DefaultWait and watchTimeoutMargin.
 	DefaultWait = 600 * time.Millisecond
-	// LoopbackWait is for a source on the same machine: it breaks its connections when it ends, and stands still only together with the caller.
-	LoopbackWait       = 5 * time.Second
+	// LoopbackWait is the Wait of a client whose source is on the same machine. Such a source breaks its connections when it ends, and stands
+	// still only together with its client, so the wait may be long.
+	LoopbackWait = 5 * time.Second
+	// watchTimeoutMargin is how much longer than Wait a client waits for the answer to a watch.
 	watchTimeoutMargin = 500 * time.Millisecond
-	failureDelay       = 50 * time.Millisecond
-	// allFailedDelay is how long to wait once no source was good: all may be waiting for the same leader.
-	allFailedDelay = 150 * time.Millisecond
 )
 
-// Fresh tells whether a source that is itself in touch has answered not longer ago than this.
+// Client keeps a table up to date from one source at a time: a controller, or the agent of its machine. It goes to the next source if one does
+// not answer in time, fails, or says that it is not fresh. The exported fields are set before Run and not changed afterwards; all are needed.
+type Client struct {
+	Table    *Table                        // where the state is merged; others may only change shards in it that the sources do not have
+	HTTP     *transport.Client             // carries the requests
+	Node     string                        // name of this process's machine, sent with each watch
+	Sources  func() []string               // addresses of the sources, the best first; called before each watch
+	OnEvents func(events []*rpc.FeedEvent) // called by Run with each batch of new events, after Table has them; the next watch waits for its return
+	Wait     time.Duration                 // how long a source may wait for a change before it answers
+	Log      *slog.Logger
+
+	freshAt atomic.Int64 // Unix time in nanoseconds of the last fresh answer; 0 before the first
+}
+
+// Fresh returns whether the last answer of a source that was fresh itself is not older than within. It may be called from any goroutine.
 func (c *Client) Fresh(within time.Duration) bool {
 	at := c.freshAt.Load()
 	return at != 0 && time.Now().UnixNano()-at < int64(within)
 }
 
-// Run asks until the context ends.
+// Run watches the sources until the context ends.
 func (c *Client) Run(ctx context.Context) {
 	var rotation Rotation
 	for ctx.Err() == nil {
 		source := rotation.Next(c.Sources())
 		if source == "" {
-			c.sleep(ctx, allFailedDelay)
+			sleep(ctx, allFailedDelay)
 			continue
 		}
-		if good := c.watch(ctx, source); !good {
-			c.sleep(ctx, rotation.Failed())
-		} else {
+		if c.watch(ctx, source) {
 			rotation.Succeeded()
+		} else {
+			sleep(ctx, rotation.Failed())
 		}
 	}
 }
 
-// Rotation says which source to ask next: the same one as long as it is good, else the one behind it. Now and then the first one, which is the
-// best, is tried again. The zero value begins with it.
-type Rotation struct {
-	position, consecutiveFailures, consecutiveSuccesses, sourceCount int
-}
-
-// returnToFirstAfter is the number of good answers of another source after which the first one is tried again.
-const returnToFirstAfter = 32
-
-// Next is the source to ask; empty where there is none.
-func (r *Rotation) Next(sources []string) string {
-	if r.sourceCount = len(sources); r.sourceCount == 0 {
-		return ""
-	}
-	return sources[r.position%r.sourceCount]
-}
-
-// Succeeded notes that the source was good.
-func (r *Rotation) Succeeded() {
-	r.consecutiveFailures = 0
-	if r.consecutiveSuccesses++; r.consecutiveSuccesses >= returnToFirstAfter {
-		r.position, r.consecutiveSuccesses = 0, 0
-	}
-}
-
-// Failed goes on to the next source and tells how long to wait before.
-func (r *Rotation) Failed() time.Duration {
-	r.position++
-	r.consecutiveSuccesses = 0
-	if r.consecutiveFailures++; r.consecutiveFailures%max(r.sourceCount, 1) == 0 {
-		return allFailedDelay
-	}
-	return failureDelay
-}
-
-func (c *Client) sleep(ctx context.Context, d time.Duration) {
-	select {
-	case <-time.After(d):
-	case <-ctx.Done():
-	}
-}
-
-// watch watches once and tells whether the source is good to ask again.
+// watch sends one watch, merges the answer, and returns whether the source is fresh.
 func (c *Client) watch(ctx context.Context, source string) bool {
 	ctx, cancel := context.WithTimeout(ctx, c.Wait+watchTimeoutMargin)
 	defer cancel()
@@ -110,8 +67,8 @@
 		c.Log.Debug("watch failed", "source", source, "error", err)
 		return false
 	}
-	if news := c.Table.Merge(response.Feeds); len(news) > 0 {
-		c.OnEvents(news)
+	if updates := c.Table.Merge(response.Feeds); len(updates) > 0 {
+		c.OnEvents(updates)
 	}
 	if response.Fresh {
 		if c.freshAt.Load() == 0 {
@@ -121,3 +78,11 @@
 	}
 	return response.Fresh
 }
+
+// sleep waits for a duration or until the context ends.
+func sleep(ctx context.Context, d time.Duration) {
+	select {
+	case <-time.After(d):
+	case <-ctx.Done():
+	}
+}
--- a/internal/scheduler/feed/source.go
+++ b/internal/scheduler/feed/source.go
@@ -7,31 +7,32 @@
 )
 
 const (
-	// maxWait bounds how long a watcher may be held.
+	// maxWait bounds how long a watch waits for a change, whatever the watcher allows.
 	maxWait = 10 * time.Second
-	// freshnessCheckInterval is how often a held watch looks whether this process is still in touch.
+	// freshnessCheckInterval is how often a waiting watch checks whether this process is still fresh.
 	freshnessCheckInterval = 150 * time.Millisecond
 )
 
-// Source answers watchers from a table.
+// Source answers watchers from a table. Its fields are set before its first use and not changed afterwards.
 type Source struct {
 	Table *Table
-	// Fresh tells whether this process is in touch itself; nil: its watchers have nobody else to ask, and are held in any case.
+	// Fresh returns whether this process is in touch with the leaders of the shards. It is called from the goroutine of each watch. Nil means that
+	// the watchers have no other source: then every answer counts as fresh.
 	Fresh func() bool
-	// CoalesceDelay is how long a change waits for others to be told with it. Who begins, or is behind by a snapshot, is told at once.
+	// CoalesceDelay is how long a change is delayed so that others are sent with it. Snapshots are sent without it.
 	CoalesceDelay time.Duration
 }
 
-// Watch answers a watcher at once where something is new to it, or where this process has lost touch: the watcher should go elsewhere. Else it
-// answers when something changes or the wait ends.
+// Watch returns as soon as the table has something that is new to the watcher. Otherwise it returns without feeds when the wait that the
+// request allows is over, when the context ends, or when this process is not fresh: then the watcher should go to another source.
 func (s *Source) Watch(ctx context.Context, r *rpc.WatchRequest) *rpc.WatchResponse {
 	ctx, cancel := context.WithTimeout(ctx, min(time.Duration(r.WaitMs)*time.Millisecond, maxWait))
 	defer cancel()
-	var look <-chan time.Time
+	var checkFreshness <-chan time.Time
 	if s.Fresh != nil {
 		ticker := time.NewTicker(freshnessCheckInterval)
 		defer ticker.Stop()
-		look = ticker.C
+		checkFreshness = ticker.C
 	}
 	for {
 		feeds, changed := s.Table.Since(r.Offsets)
@@ -44,7 +45,7 @@
 		}
 		select {
 		case <-changed:
-		case <-look:
+		case <-checkFreshness:
 		case <-ctx.Done():
 			return &rpc.WatchResponse{Fresh: s.isFresh()}
 		}
@@ -53,7 +54,8 @@
 
 func (s *Source) isFresh() bool { return s.Fresh == nil || s.Fresh() }
 
-// coalesce waits for further changes, where nobody waits for a snapshot.
+// coalesce waits CoalesceDelay, or until the context ends, and returns the feeds with the changes that came meanwhile. It returns the given
+// feeds at once if one of them is a snapshot or there is no delay.
 func (s *Source) coalesce(ctx context.Context, r *rpc.WatchRequest, feeds []*rpc.ShardFeed) []*rpc.ShardFeed {
 	for _, f := range feeds {
 		if f.Snapshot {
@@ -63,10 +65,7 @@
 	if s.CoalesceDelay == 0 {
 		return feeds
 	}
-	select {
-	case <-time.After(s.CoalesceDelay):
-	case <-ctx.Done():
-	}
+	sleep(ctx, s.CoalesceDelay)
 	feeds, _ = s.Table.Since(r.Offsets)
 	return feeds
 }
--- a/internal/scheduler/feed/table.go
+++ b/internal/scheduler/feed/table.go
@@ -1,6 +1,3 @@
-// Package feed brings control state to the processes that act on it: a table for each shard, a snapshot of it for whoever begins, and a
-// feed of changes from an offset for whoever goes on. An offset is an index of the shard's log, so it means the same at every steward,
-// and a process that goes on at another one neither misses a change nor steps back.
 package feed
 
 import (
@@ -10,22 +7,17 @@
 	"sync"
 )
 
-// defaultRetainedEvents is the number of changes of a shard that can be asked for.
+// defaultRetainedEvents is the least number of latest changes that a table retains of each shard. Before that many have come, it retains all.
 const defaultRetainedEvents = 2048
 
-// Table holds the newest event for each key, by shard.
+// Table has the newest event about each subject, by shard, and the latest changes. A process that decides on control state publishes to a
+// table; one that follows merges what its source sends. All methods may be called from any goroutine, but calls of Publish, Replace and Merge for
+// one shard must not overlap: Merge checks a shard's offset and changes it in two steps.
 type Table struct {
 	mu             sync.Mutex
 	shards         map[string]*shard
-	changed        chan struct{}
-	retainedEvents int // changes of a shard that can be asked for; whoever is further behind gets a snapshot
-}
-
-type shard struct {
-	offset uint64
-	floor  uint64 // changes at and below it are no longer retained
-	events []*rpc.FeedEvent
-	newest map[string]*rpc.FeedEvent
+	changed        chan struct{} // closed and replaced at each change
+	retainedEvents int           // of each shard; a watcher that is further behind is sent a snapshot
 }
 
 // NewTable returns an empty table.
@@ -33,51 +25,15 @@
 	return &Table{shards: map[string]*shard{}, changed: make(chan struct{}), retainedEvents: defaultRetainedEvents}
 }
 
-// NewTableWithoutHistory returns an empty table that nobody watches, so that it keeps no changes.
+// NewTableWithoutHistory returns an empty table that retains no changes. It is for a process that follows a source and has no watchers.
 func NewTableWithoutHistory() *Table {
 	t := NewTable()
 	t.retainedEvents = 0
 	return t
 }
 
-func (t *Table) shard(name string) *shard {
-	s := t.shards[name]
-	if s == nil {
-		s = &shard{newest: map[string]*rpc.FeedEvent{}}
-		t.shards[name] = s
-	}
-	return s
-}
-
-func (t *Table) notifyWatchers() {
-	close(t.changed)
-	t.changed = make(chan struct{})
-}
-
-// eventKey is what an event is about: a later event with the same key replaces it.
-func eventKey(e *rpc.FeedEvent) string {
-	switch x := e.Event.(type) {
-	case *rpc.FeedEvent_Configuration:
-		return "configuration"
-	case *rpc.FeedEvent_Version:
-		return "version/" + x.Version.Model
-	case *rpc.FeedEvent_Placement:
-		return "placement/" + x.Placement.Group
-	case *rpc.FeedEvent_Instance:
-		return "instance/" + x.Instance.Id
-	case *rpc.FeedEvent_Gone:
-		return "instance/" + x.Gone
-	case *rpc.FeedEvent_Policy:
-		return "policy/" + x.Policy.Model
-	case *rpc.FeedEvent_Member:
-		return "member/" + x.Member.Name
-	case *rpc.FeedEvent_Left:
-		return "member/" + x.Left
-	}
-	return ""
-}
-
-// Publish records changes that the entry at an index of the shard's log has made.
+// Publish records the changes that the entry at an index of the shard's log has made, also if there are none: the shard's offset becomes index,
+// and watchers are woken. The table sets the offsets of the events and keeps them; the caller must not change them afterwards.
 func (t *Table) Publish(name string, index uint64, events ...*rpc.FeedEvent) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -90,52 +46,18 @@
 	t.notifyWatchers()
 }
 
-func (s *shard) put(e *rpc.FeedEvent, retained int) {
-	switch e.Event.(type) {
-	case *rpc.FeedEvent_Gone, *rpc.FeedEvent_Left:
-		delete(s.newest, eventKey(e))
-	default:
-		s.newest[eventKey(e)] = e
-	}
-	if retained == 0 {
-		s.floor = e.Offset
-		return
-	}
-	s.events = append(s.events, e)
-	if len(s.events) > 2*retained {
-		s.floor = s.events[retained-1].Offset
-		s.events = append([]*rpc.FeedEvent(nil), s.events[retained:]...)
-	}
-}
-
-// Replace sets a shard to a snapshot. It returns events that say what is gone.
+// Replace sets a shard to a snapshot, whatever its offset was, and wakes the watchers. It returns the removals of workers and members that the
+// snapshot lacks. The table keeps the events; the caller must not change them afterwards.
 func (t *Table) Replace(name string, index uint64, events []*rpc.FeedEvent) (removed []*rpc.FeedEvent) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	s := t.shard(name)
-	old := s.newest
-	s.newest = map[string]*rpc.FeedEvent{}
-	s.events, s.offset, s.floor = nil, index, index
-	for _, e := range events {
-		s.newest[eventKey(e)] = e
-	}
-	for k, e := range old {
-		if s.newest[k] != nil {
-			continue
-		}
-		switch x := e.Event.(type) {
-		case *rpc.FeedEvent_Instance:
-			removed = append(removed, &rpc.FeedEvent{Offset: index, Event: &rpc.FeedEvent_Gone{Gone: x.Instance.Id}})
-		case *rpc.FeedEvent_Member:
-			removed = append(removed, &rpc.FeedEvent{Offset: index, Event: &rpc.FeedEvent_Left{Left: x.Member.Name}})
-		}
-	}
+	removed = t.shard(name).replace(index, events)
 	t.notifyWatchers()
 	return removed
 }
 
-// AdvancePast has a shard's offset exceed another one, and whoever is at that given a snapshot. It is for shards whose offsets are not indices of
-// a log: a process that started anew may count from a lower one than a watcher has seen.
+// AdvancePast raises a shard's offset above another one, unless it is above already, so that a watcher at that offset is sent a snapshot. It is
+// for shards whose offsets are not indexes of a log: a process that was restarted may count from a lower offset than its watchers have seen.
 func (t *Table) AdvancePast(name string, offset uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -147,14 +69,14 @@
 	t.notifyWatchers()
 }
 
-// Offset is the index of a shard's log up to which the table has its changes.
+// Offset returns the offset up to which the table has a shard's changes, 0 for an unknown shard.
 func (t *Table) Offset(name string) uint64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.shard(name).offset
 }
 
-// Offsets are those of all shards.
+// Offsets returns the offset of every shard by name. The map is the caller's.
 func (t *Table) Offsets() map[string]uint64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -165,55 +87,66 @@
 	return offsets
 }
 
-// Since returns what is new to somebody with these offsets, and a channel that is closed at the next change.
+// Since returns what is new to a watcher with these offsets, sorted by shard, and a channel that is closed at the next change of any shard. A
+// shard that is not in offsets, or at 0, is sent as a snapshot. The events are shared and must not be changed.
 func (t *Table) Since(offsets map[string]uint64) (feeds []*rpc.ShardFeed, changed <-chan struct{}) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, name := range slices.Sorted(maps.Keys(t.shards)) {
 		s, have := t.shards[name], offsets[name]
-		if have >= s.offset {
-			continue
-		}
-		f := &rpc.ShardFeed{Shard: name, Offset: s.offset}
-		if have < s.floor || have == 0 {
-			f.Snapshot = true
-			for _, key := range slices.Sorted(maps.Keys(s.newest)) {
-				f.Events = append(f.Events, s.newest[key])
-			}
-		} else {
-			for _, e := range s.events {
-				if e.Offset > have {
-					f.Events = append(f.Events, e)
-				}
-			}
+		if have < s.offset {
+			feeds = append(feeds, s.since(name, have))
 		}
-		feeds = append(feeds, f)
 	}
 	return feeds, t.changed
 }
 
-// Merge records what another table told, and returns the events that are new here, in order.
-func (t *Table) Merge(feeds []*rpc.ShardFeed) (news []*rpc.FeedEvent) {
+// Merge records what another table's Since returned. It returns the events that are new here, in the order in which they have to be acted on,
+// with removals for what a snapshot lacks. A feed that does not lead past the shard's offset is ignored: an older state never replaces a newer
+// one.
+func (t *Table) Merge(feeds []*rpc.ShardFeed) (updates []*rpc.FeedEvent) {
 	for _, f := range feeds {
 		if f.Offset <= t.Offset(f.Shard) {
-			continue // an older state never replaces a newer one
+			continue
 		}
 		if f.Snapshot {
-			news = append(news, t.Replace(f.Shard, f.Offset, f.Events)...)
-			news = append(news, f.Events...)
+			updates = append(updates, t.Replace(f.Shard, f.Offset, f.Events)...)
+			updates = append(updates, f.Events...)
 			continue
 		}
-		t.mu.Lock()
-		s := t.shard(f.Shard)
-		for _, e := range f.Events {
-			if e.Offset > s.offset {
-				s.put(e, t.retainedEvents)
-				news = append(news, e)
-			}
+		updates = append(updates, t.mergeChanges(f)...)
+	}
+	return updates
+}
+
+// mergeChanges records the changes of a feed that are after the shard's offset, and returns them.
+func (t *Table) mergeChanges(f *rpc.ShardFeed) (updates []*rpc.FeedEvent) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	s := t.shard(f.Shard)
+	for _, e := range f.Events {
+		if e.Offset > s.offset {
+			s.put(e, t.retainedEvents)
+			updates = append(updates, e)
 		}
-		s.offset = f.Offset
-		t.notifyWatchers()
-		t.mu.Unlock()
 	}
-	return news
+	s.offset = f.Offset
+	t.notifyWatchers()
+	return updates
+}
+
+// shard returns the state of a shard, an empty one if it was unknown. The caller has locked mu.
+func (t *Table) shard(name string) *shard {
+	s := t.shards[name]
+	if s == nil {
+		s = &shard{newest: map[string]*rpc.FeedEvent{}}
+		t.shards[name] = s
+	}
+	return s
+}
+
+// notifyWatchers closes the channel that Since returned. The caller has locked mu.
+func (t *Table) notifyWatchers() {
+	close(t.changed)
+	t.changed = make(chan struct{})
 }
