--- a/internal/golden/replicas_test.go
+++ b/internal/golden/replicas_test.go
@@ -34,10 +34,10 @@
 				writeReplicas(t, dataFolder(t, role.name+"/data"), role.machines())
 			}
 			folder := copied(t, "testdata/"+role.name+"/data")
-			facts, err := replica.OpenFacts(folder)
+			identities, err := replica.OpenIdentityStore(folder)
 			is.NoErr(err)
-			defer facts.Close()
-			id, err := facts.Identity()
+			defer identities.Close()
+			id, err := identities.Identity()
 			is.NoErr(err)
 			is.Equal(id, identity.ID)
 			store, err := replica.OpenStore(folder)
@@ -91,31 +91,31 @@
 func writeReplicas(t *testing.T, folder string, machines map[string]replica.StateMachine) {
 	t.Helper()
 	is := is.New(t)
-	facts, err := replica.OpenFacts(folder)
+	identities, err := replica.OpenIdentityStore(folder)
 	is.NoErr(err)
-	is.NoErr(facts.SetIdentity(identity.ID))
-	is.NoErr(facts.Close())
+	is.NoErr(identities.SetIdentity(identity.ID))
+	is.NoErr(identities.Close())
 	store, err := replica.OpenStore(folder)
 	is.NoErr(err)
 	engine := newEngine(t, store, machines, commandsBeforeSnapshot)
 	now := int64(engineStart)
 	for name := range machines {
-		engine.Found(name, []*rpc.Replica{{Id: identity.ID, Address: identity.Address, Node: identity.Node}})
+		engine.CreateGroup(name, []*rpc.Replica{{Id: identity.ID, Address: identity.Address, Node: identity.Node}})
 	}
 	for name := range machines {
 		for _, command := range slices.Concat(commands(name, 1), commands(name, 2)) {
 			done := false
 			for !done {
 				is.True(now < engineEnd)
-				now = engine.Turn(now)
-				engine.Propose(name, replica.Marshal(command), func(p replica.Proposed) { done = p.Outcome == rpc.Outcome_DONE })
-				now = engine.Turn(now)
+				now = engine.Tick(now)
+				engine.Propose(name, replica.Marshal(command), func(p replica.ProposalResult) { done = p.Outcome == rpc.Outcome_DONE })
+				now = engine.Tick(now)
 			}
 		}
 	}
-	is.NoErr(store.Persist([]replica.Save{{
+	is.NoErr(store.Persist([]replica.GroupWrite{{
 		Group: "received", HardState: &rpc.HardState{Epoch: 4, Vote: "another", Commit: 20},
-		Pieces: []*rpc.SnapshotPiece{{Data: []byte("one ")}, {Number: 1, Data: []byte("two")}}, Received: true,
+		Chunks: []*rpc.SnapshotPiece{{Data: []byte("one ")}, {Number: 1, Data: []byte("two")}}, Received: true,
 		Snapshot: &rpc.Snapshot{Index: 20, Epoch: 3, Pieces: 2, Membership: &rpc.Membership{
 			Revision: 9,
 			Voters:   []*rpc.Replica{{Id: "v", Address: "a:1", Node: "n"}}, Learners: []*rpc.Replica{{Id: "l", Address: "b:1", Node: "m"}},
@@ -237,9 +237,9 @@
 	now := int64(engineStart)
 	for name := range machines {
 		for engine.Status(name).Applied < last[name] {
-			is.NoErr(engine.Failed())
+			is.NoErr(engine.Err())
 			is.True(now < engineEnd)
-			now = engine.Turn(now)
+			now = engine.Tick(now)
 		}
 	}
 	var lines []string
--- a/internal/scheduler/batchjobs/service.go
+++ b/internal/scheduler/batchjobs/service.go
@@ -108,7 +108,7 @@
 	if status == nil {
 		return nil, nil, rpc.Outcome_UNAVAILABLE, ""
 	}
-	if !status.Lease(s.Host.Now()) {
+	if !status.HasLease(s.Host.Now()) {
 		sh.mu.Lock()
 		if !status.Leader {
 			sh.scheduler = nil
--- a/internal/scheduler/controlplane/place.go
+++ b/internal/scheduler/controlplane/place.go
@@ -40,10 +40,10 @@
 // place sees to it that each group's wanted replicas are those that the machines allow. Only the directory's leader does.
 func (st *Server) place(ctx context.Context) {
 	status := st.host.Status(directory.Shard)
-	if status == nil || st.host.Now()-status.LedSince < settleTime.Milliseconds() {
+	if status == nil || st.host.Now()-status.LeaderSince < settleTime.Milliseconds() {
 		return // members that were only just heard of again would look dead
 	}
-	listened := st.host.Now() - status.LedSince
+	listened := st.host.Now() - status.LeaderSince
 	stewards := st.machines(settings.ServesControlPlane)
 	placements := st.directory.Placements()
 	size := st.settings.GroupSize()
--- a/internal/scheduler/controlplane/retire.go
+++ b/internal/scheduler/controlplane/retire.go
@@ -81,7 +81,7 @@
 	switch {
 	case status == nil:
 		return &rpc.RetireResponse{Outcome: rpc.Outcome_UNAVAILABLE}, nil
-	case !status.Lease(st.host.Now()):
+	case !status.HasLease(st.host.Now()):
 		return &rpc.RetireResponse{Outcome: rpc.Outcome_NOT_LEADER, LeaderAddress: status.LeaderAddress}, nil
 	}
 	completed, begun := st.directory.Retirements()[r.Node]
@@ -92,7 +92,7 @@
 		return &rpc.RetireResponse{Outcome: rpc.Outcome_DONE, State: rpc.RetireState_RETIRE_ACTIVE}, nil
 	case !r.Start:
 		return &rpc.RetireResponse{Outcome: rpc.Outcome_DONE}, nil
-	case st.host.Now()-status.LedSince < settleTime.Milliseconds():
+	case st.host.Now()-status.LeaderSince < settleTime.Milliseconds():
 		return &rpc.RetireResponse{Outcome: rpc.Outcome_UNAVAILABLE}, nil // machines that were not heard of yet would seem to be missing
 	}
 	if refusal := RetireRefusal(r.Node, st.machines(settings.ServesStorage), st.ledgerPlacements(), st.settings.GroupSize()); refusal != rpc.RetireState_RETIRE_NOT_ASKED {
--- a/internal/scheduler/controlplane/server.go
+++ b/internal/scheduler/controlplane/server.go
@@ -33,7 +33,7 @@
 	identity replica.Identity
 
 	options    replica.Options
-	facts      *replica.Facts
+	facts      *replica.IdentityStore
 	store      *replica.Store
 	host       *replica.Host
 	client     *transport.Client
@@ -88,10 +88,10 @@
 }
 
 func (st *Server) open() (err error) {
-	if st.facts, err = replica.OpenFacts(st.settings.DataDir); err != nil {
+	if st.facts, err = replica.OpenIdentityStore(st.settings.DataDir); err != nil {
 		return err
 	}
-	if st.identity, err = replica.Identify(st.facts, st.settings); err != nil {
+	if st.identity, err = replica.LoadOrCreateIdentity(st.facts, st.settings); err != nil {
 		return err
 	}
 	if st.store, err = replica.OpenStore(st.settings.DataDir); err != nil {
@@ -104,7 +104,7 @@
 		st.shards[name] = &shard{server: st, name: name, registry: state, desk: registry.NewHeartbeatHandler(state, st.settings.HeartbeatMS)}
 	}
 	sender := replica.NewSender(st.client)
-	st.options.Gather = st.settings.FeatureGates.GatheredWrites
+	st.options.BatchCalls = st.settings.FeatureGates.GatheredWrites
 	st.host, err = replica.NewHost(replica.Config{Identity: st.identity, Store: st.store, Machine: st.machine, Send: sender.Send, Log: st.log, Options: st.options, Changed: st.groupChanged})
 	return err
 }
@@ -189,7 +189,7 @@
 		return
 	}
 	for _, name := range groups() {
-		st.host.Found(name, founders)
+		st.host.CreateGroup(name, founders)
 	}
 }
 
@@ -236,7 +236,7 @@
 	return &rpc.NoteDemandResponse{}, nil
 }
 
-func (st *Server) submit(ctx context.Context, group string, command []byte) replica.Proposed {
+func (st *Server) submit(ctx context.Context, group string, command []byte) replica.ProposalResult {
 	return replica.Submit(ctx, st.host, st.client, group, command)
 }
 
@@ -268,7 +268,7 @@
 		for _, sh := range st.shards {
 			sh.tick(ctx)
 		}
-		if status := st.host.Status(directory.Shard); status != nil && status.Lease(st.host.Now()) {
+		if status := st.host.Status(directory.Shard); status != nil && status.HasLease(st.host.Now()) {
 			st.place(ctx)
 			st.retire(ctx)
 		}
--- a/internal/scheduler/controlplane/shard.go
+++ b/internal/scheduler/controlplane/shard.go
@@ -31,7 +31,7 @@
 // ownership is how this steward stands towards the shard now.
 func (sh *shard) ownership(status *replica.Status) registry.Ownership {
 	now := sh.server.host.Now()
-	return registry.Ownership{NowMS: now, Epoch: status.Epoch, HasLease: status.Lease(now)}
+	return registry.Ownership{NowMS: now, Epoch: status.Epoch, HasLease: status.HasLease(now)}
 }
 
 // heartbeat takes a heartbeat in where this steward owns the shard.
@@ -76,7 +76,7 @@
 	if status == nil {
 		return 0, false
 	}
-	return status.Epoch, status.Lease(sh.server.host.Now())
+	return status.Epoch, status.HasLease(sh.server.host.Now())
 }
 
 // OwnedFor implements weights.Shard.
@@ -85,7 +85,7 @@
 	if status == nil || !status.Leader {
 		return 0
 	}
-	return time.Duration(sh.server.host.Now()-status.LedSince) * time.Millisecond
+	return time.Duration(sh.server.host.Now()-status.LeaderSince) * time.Millisecond
 }
 
 // LastHolder implements weights.Shard.
--- a/internal/scheduler/replica/engine.go
+++ b/internal/scheduler/replica/engine.go
@@ -37,10 +37,10 @@
 	Groups() []string
 	Load(group string) (consensus.Stored, error)
 	Entry(group string, index uint64) (*rpc.Entry, error)
-	Piece(group string, number uint32) (*rpc.SnapshotPiece, error)
-	State(group string) *bufio.Reader
-	Persist(saves []Save) error
-	StagePiece(group string, piece *rpc.SnapshotPiece) error
+	Chunk(group string, number uint32) (*rpc.SnapshotPiece, error)
+	SnapshotState(group string) *bufio.Reader
+	Persist(saves []GroupWrite) error
+	StageChunk(group string, chunk *rpc.SnapshotPiece) error
 }
 
 // Config is what an engine, and the host around it, is made of.
@@ -62,32 +62,32 @@
 	// memory, so it should be as long as the disk allows.
 	SnapshotBytes   int64
 	SnapshotEntries int
-	// Gather has a host take in what comes within gatherTime of the first call or message at once, so that one sync and one message to each replica
+	// BatchCalls has a host take in what comes within batchWindow of the first call or message at once, so that one sync and one message to each replica
 	// serve it all.
-	Gather bool
+	BatchCalls bool
 }
 
 const (
-	electionMS      = 550
-	heartbeatMS     = 110
-	snapshotBytes   = 16 << 20
-	snapshotEntries = 20000
-	idleMS          = 200
-	keptEntries     = 64 // whose data stays in memory after they are applied
-	diskRetryMS     = 200
+	electionTimeoutMS      = 550
+	heartbeatIntervalMS    = 110
+	defaultSnapshotBytes   = 16 << 20
+	defaultSnapshotEntries = 20000
+	maxTickIntervalMS      = 200
+	cachedEntries          = 64 // whose data stays in memory after they are applied
+	diskRetryIntervalMS    = 200
 )
 
 // Engine runs the replicas of one process: it tells the cores the time, persists, sends and applies. It is for one goroutine, never blocks but
 // for the disk, and has no clock: times are milliseconds that the caller gives.
 type Engine struct {
-	cfg      Config
-	groups   map[string]*group
-	names    []string          // of the groups, in order
-	address  map[string]string // of replicas, by id
-	founding []foundation
-	pending  *work // what the disk has not taken yet
-	failed   error
-	counts   Counts
+	cfg       Config
+	groups    map[string]*group
+	names     []string          // of the groups, in order
+	addresses map[string]string // of replicas, by id
+	creations []groupCreation
+	pending   *readyBatch // what the disk has not taken yet
+	err       error
+	counts    Counts
 	// statuses can be read by any goroutine.
 	statuses *xsync.Map[string, *atomic.Pointer[Status]]
 }
@@ -104,9 +104,9 @@
 	waiters  map[uint64]waiter
 	wanted   *rpc.Placement
 	applied  uint64
-	stripped uint64 // entries up to it have their data on disk only
+	released uint64 // entries up to it have their data on disk only
 	logBytes int64
-	making   *snapshotMaker
+	snapshot *snapshotWriter
 	status   *atomic.Pointer[Status]
 	dirty    bool
 	joined   bool // it was in touch with its group once
@@ -114,25 +114,25 @@
 
 type waiter struct {
 	epoch uint64
-	done  func(Proposed)
+	done  func(ProposalResult)
 }
 
-// Proposed is what became of a proposal.
-type Proposed struct {
+// ProposalResult is what became of a proposal.
+type ProposalResult struct {
 	Outcome rpc.Outcome
 	Result  []byte
 }
 
 // foundation is a group that is to be founded.
-type foundation struct {
+type groupCreation struct {
 	name     string
 	founders []*rpc.Replica
 }
 
 // work is one round of what the cores want done.
-type work struct {
-	saves []Save
-	tasks []task
+type readyBatch struct {
+	writes []GroupWrite
+	tasks  []task
 }
 
 type task struct {
@@ -145,14 +145,14 @@
 	if cfg.Random == nil {
 		cfg.Random = rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	}
-	e := &Engine{cfg: cfg, groups: map[string]*group{}, address: map[string]string{}, statuses: xsync.NewMap[string, *atomic.Pointer[Status]]()}
+	e := &Engine{cfg: cfg, groups: map[string]*group{}, addresses: map[string]string{}, statuses: xsync.NewMap[string, *atomic.Pointer[Status]]()}
 	for _, name := range cfg.Store.Groups() {
 		stored, err := cfg.Store.Load(name)
 		if err != nil {
 			return nil, err
 		}
 		if machine := cfg.Machine(name); machine != nil {
-			if err := e.open(now, name, machine, stored); err != nil {
+			if err := e.openGroup(now, name, machine, stored); err != nil {
 				return nil, err
 			}
 		}
@@ -160,11 +160,11 @@
 	return e, nil
 }
 
-func (e *Engine) open(now int64, name string, machine StateMachine, stored consensus.Stored) error {
+func (e *Engine) openGroup(now int64, name string, machine StateMachine, stored consensus.Stored) error {
 	g := &group{name: name, machine: machine, waiters: map[uint64]waiter{}, status: &atomic.Pointer[Status]{}}
 	if stored.Snapshot != nil {
 		if stored.Snapshot.Pieces > 0 {
-			if err := machine.Restore(stored.Snapshot.Index, e.cfg.Store.State(name)); err != nil {
+			if err := machine.Restore(stored.Snapshot.Index, e.cfg.Store.SnapshotState(name)); err != nil {
 				return err
 			}
 		}
@@ -175,7 +175,7 @@
 	}
 	g.core = consensus.New(consensus.Config{
 		Group: name, ID: e.cfg.Identity.ID, Address: e.cfg.Identity.Address,
-		ElectionTimeoutMS: electionMS, HeartbeatIntervalMS: heartbeatMS, Random: e.cfg.Random,
+		ElectionTimeoutMS: electionTimeoutMS, HeartbeatIntervalMS: heartbeatIntervalMS, Random: e.cfg.Random,
 	}, stored, now)
 	g.dirty = true
 	e.groups[name] = g
@@ -189,31 +189,31 @@
 func (e *Engine) Counts() Counts { return e.counts }
 
 // Failed is why the engine has ended; nil while it works. What it would say without its state would be wrong.
-func (e *Engine) Failed() error { return e.failed }
+func (e *Engine) Err() error { return e.err }
 
 // Stalled tells whether the disk has not taken what the cores have promised. Until it has, nothing else is done: messages that come are
 // lost, and leases run out.
 func (e *Engine) Stalled() bool { return e.pending != nil }
 
-// Found starts a group with these founders, of whom this replica is one. Where the group exists already, nothing happens.
-func (e *Engine) Found(name string, founders []*rpc.Replica) {
-	e.founding = append(e.founding, foundation{name, founders})
+// CreateGroup starts a group with these founders, of whom this replica is one. Where the group exists already, nothing happens.
+func (e *Engine) CreateGroup(name string, founders []*rpc.Replica) {
+	e.creations = append(e.creations, groupCreation{name, founders})
 }
 
-func (e *Engine) foundGroups(now int64) {
-	for len(e.founding) > 0 {
-		f := e.founding[0]
+func (e *Engine) createGroups(now int64) {
+	for len(e.creations) > 0 {
+		f := e.creations[0]
 		machine := e.cfg.Machine(f.name)
 		if e.groups[f.name] == nil && machine != nil {
 			// The founders stand in a snapshot, so that whoever joins later is sent them.
 			snapshot := &rpc.Snapshot{Index: 1, Epoch: 1, Membership: &rpc.Membership{Voters: f.founders}}
 			hard := &rpc.HardState{Epoch: 1}
-			if !e.persist([]Save{{Group: f.name, Snapshot: snapshot, HardState: hard}}) {
+			if !e.persist([]GroupWrite{{Group: f.name, Snapshot: snapshot, HardState: hard}}) {
 				return
 			}
-			e.check(e.open(now, f.name, machine, consensus.Stored{Snapshot: snapshot, HardState: hard}))
+			e.check(e.openGroup(now, f.name, machine, consensus.Stored{Snapshot: snapshot, HardState: hard}))
 		}
-		e.founding = e.founding[1:]
+		e.creations = e.creations[1:]
 	}
 }
 
@@ -228,10 +228,10 @@
 // Step takes messages of other replicas in.
 func (e *Engine) Step(now int64, messages []*rpc.Message) {
 	for _, m := range messages {
-		if m.To != e.cfg.Identity.ID || e.Stalled() || e.failed != nil {
+		if m.To != e.cfg.Identity.ID || e.Stalled() || e.err != nil {
 			continue
 		}
-		e.address[m.From] = m.FromAddress
+		e.addresses[m.From] = m.FromAddress
 		g := e.groups[m.Group]
 		if g == nil {
 			if g = e.join(now, m); g == nil {
@@ -253,38 +253,38 @@
 		return nil
 	}
 	empty := consensus.Stored{Snapshot: &rpc.Snapshot{Membership: &rpc.Membership{}}, HardState: &rpc.HardState{}}
-	if !e.persist([]Save{{Group: m.Group, Snapshot: empty.Snapshot, HardState: empty.HardState}}) {
+	if !e.persist([]GroupWrite{{Group: m.Group, Snapshot: empty.Snapshot, HardState: empty.HardState}}) {
 		return nil // the leader sends it again
 	}
-	e.check(e.open(now, m.Group, machine, empty))
+	e.check(e.openGroup(now, m.Group, machine, empty))
 	return e.groups[m.Group]
 }
 
 // Propose has a command agreed on by a group that this replica leads. done is called once, from this call or a later one.
-func (e *Engine) Propose(name string, command []byte, done func(Proposed)) {
+func (e *Engine) Propose(name string, command []byte, done func(ProposalResult)) {
 	g := e.groups[name]
-	if g == nil || e.Stalled() || e.failed != nil {
-		done(Proposed{Outcome: rpc.Outcome_UNAVAILABLE})
+	if g == nil || e.Stalled() || e.err != nil {
+		done(ProposalResult{Outcome: rpc.Outcome_UNAVAILABLE})
 		return
 	}
 	index, epoch, err := g.core.Propose(command)
 	if err != nil {
-		done(Proposed{Outcome: rpc.Outcome_NOT_LEADER})
+		done(ProposalResult{Outcome: rpc.Outcome_NOT_LEADER})
 		return
 	}
 	g.waiters[index] = waiter{epoch, done}
 	g.dirty = true
 }
 
-// Turn does what is due, and returns when it has to be called again if nothing happens before.
-func (e *Engine) Turn(now int64) (next int64) {
-	if e.failed != nil {
-		return now + idleMS
+// Tick does what is due, and returns when it has to be called again if nothing happens before.
+func (e *Engine) Tick(now int64) (next int64) {
+	if e.err != nil {
+		return now + maxTickIntervalMS
 	}
 	if !e.flush() {
-		return now + diskRetryMS
+		return now + diskRetryIntervalMS
 	}
-	e.foundGroups(now)
+	e.createGroups(now)
 	for _, name := range e.names {
 		g := e.groups[name]
 		if now >= g.core.NextTickAt() {
@@ -292,19 +292,19 @@
 			g.dirty = true
 		}
 		if g.dirty && g.wanted != nil {
-			e.steer(g)
+			e.changeMembership(g)
 		}
 	}
-	for e.round() {
+	for e.processReady() {
 	}
 	if e.Stalled() {
-		return now + diskRetryMS
+		return now + diskRetryIntervalMS
 	}
-	e.makeSnapshots()
-	next = now + idleMS
+	e.advanceSnapshots()
+	next = now + maxTickIntervalMS
 	for _, g := range e.groups {
 		next = min(next, g.core.NextTickAt())
-		if g.making != nil {
+		if g.snapshot != nil {
 			next = now + 1
 		}
 	}
@@ -312,7 +312,7 @@
 }
 
 // steer makes the next change of membership that leads to the wanted one.
-func (e *Engine) steer(g *group) {
+func (e *Engine) changeMembership(g *group) {
 	next := g.core.NextMembership(g.wanted.Replicas, g.wanted.Revision)
 	if next == nil {
 		return
@@ -330,8 +330,8 @@
 }
 
 // round does one round of what the cores want done; it tells whether there may be more.
-func (e *Engine) round() bool {
-	w := &work{}
+func (e *Engine) processReady() bool {
+	w := &readyBatch{}
 	for _, name := range e.names {
 		g := e.groups[name]
 		if !g.dirty {
@@ -345,7 +345,7 @@
 		}
 		w.tasks = append(w.tasks, task{g, r})
 		if r.MustSync() {
-			w.saves = append(w.saves, e.save(g, &r))
+			w.writes = append(w.writes, e.groupWrite(g, &r))
 		}
 	}
 	if len(w.tasks) == 0 {
@@ -361,7 +361,7 @@
 	if w == nil {
 		return true
 	}
-	if len(w.saves) > 0 && !e.persist(w.saves) {
+	if len(w.writes) > 0 && !e.persist(w.writes) {
 		return false
 	}
 	e.pending = nil
@@ -371,21 +371,21 @@
 		t.group.dirty = true
 		e.publish(t.group)
 	}
-	return e.failed == nil
+	return e.err == nil
 }
 
 // send passes the messages of a round on, in one batch for each address.
-func (e *Engine) send(w *work) {
+func (e *Engine) send(w *readyBatch) {
 	outgoing := map[string][]*rpc.Message{}
 	var addresses []string
 	for _, t := range w.tasks {
 		members := t.group.core.Membership()
 		for _, replica := range slices.Concat(members.GetVoters(), members.GetLearners()) {
-			e.address[replica.Id] = replica.Address
+			e.addresses[replica.Id] = replica.Address
 		}
 		for _, m := range t.ready.Messages {
-			address := e.address[m.To]
-			if address == "" || !e.fill(t.group, m) {
+			address := e.addresses[m.To]
+			if address == "" || !e.loadData(t.group, m) {
 				continue
 			}
 			if outgoing[address] == nil {
@@ -399,7 +399,7 @@
 	}
 }
 
-func (e *Engine) save(g *group, r *consensus.Ready) Save {
+func (e *Engine) groupWrite(g *group, r *consensus.Ready) GroupWrite {
 	if r.Snapshot != nil {
 		g.logBytes = 0
 		e.counts.SnapshotsReceived++
@@ -407,13 +407,13 @@
 	for _, entry := range r.Entries {
 		g.logBytes += int64(len(entry.Data))
 	}
-	return Save{Group: g.name, HardState: r.HardState, Pieces: r.Chunks, Snapshot: r.Snapshot, Received: r.Snapshot != nil, Entries: r.Entries}
+	return GroupWrite{Group: g.name, HardState: r.HardState, Chunks: r.Chunks, Snapshot: r.Snapshot, Received: r.Snapshot != nil, Entries: r.Entries}
 }
 
 // persist stores what was promised. It returns false where the disk takes nothing: it has to be tried again.
-func (e *Engine) persist(saves []Save) bool {
-	err := e.cfg.Store.Persist(saves)
-	if errors.Is(err, ErrDamaged) {
+func (e *Engine) persist(writes []GroupWrite) bool {
+	err := e.cfg.Store.Persist(writes)
+	if errors.Is(err, ErrCorrupt) {
 		return e.check(err)
 	}
 	if err != nil {
@@ -424,9 +424,9 @@
 
 // check ends the engine where its state can't be read.
 func (e *Engine) check(err error) bool {
-	if err != nil && e.failed == nil {
+	if err != nil && e.err == nil {
 		e.cfg.Log.Error("replica state can't be read", "error", err)
-		e.failed = err
+		e.err = err
 	}
 	return err == nil
 }
--- a/internal/scheduler/replica/host.go
+++ b/internal/scheduler/replica/host.go
@@ -9,14 +9,14 @@
 	"google.golang.org/protobuf/proto"
 )
 
-const queueLength = 4096
+const inputQueueLength = 4096
 
 // Host runs an engine on a goroutine of its own, by the clock.
 type Host struct {
 	engine *Engine
 	cfg    Config
 	start  time.Time
-	in     chan func(now int64)
+	input  chan func(now int64)
 	stop   chan struct{}
 	done   chan struct{}
 	failed atomic.Bool
@@ -24,7 +24,7 @@
 
 // NewHost returns a host that holds what its store holds.
 func NewHost(cfg Config) (*Host, error) {
-	h := &Host{cfg: cfg, start: time.Now(), in: make(chan func(int64), queueLength), stop: make(chan struct{}), done: make(chan struct{})}
+	h := &Host{cfg: cfg, start: time.Now(), input: make(chan func(int64), inputQueueLength), stop: make(chan struct{}), done: make(chan struct{})}
 	engine, err := NewEngine(cfg, h.Now())
 	h.engine = engine
 	return h, err
@@ -39,40 +39,40 @@
 // Groups names the groups of this process.
 func (h *Host) Groups() []string { return h.engine.Groups() }
 
-// Found starts a group with these founders, of whom this replica is one. Where the group exists already, nothing happens.
-func (h *Host) Found(name string, founders []*rpc.Replica) {
-	h.do(func(int64) { h.engine.Found(name, founders) })
+// CreateGroup starts a group with these founders, of whom this replica is one. Where the group exists already, nothing happens.
+func (h *Host) CreateGroup(name string, founders []*rpc.Replica) {
+	h.enqueue(func(int64) { h.engine.CreateGroup(name, founders) })
 }
 
 // SetWanted says which voters a group should have. The group's leader brings it there, one replica at a time.
 func (h *Host) SetWanted(wanted *rpc.Placement) {
-	h.do(func(int64) { h.engine.SetWanted(wanted) })
+	h.enqueue(func(int64) { h.engine.SetWanted(wanted) })
 }
 
 // Step takes messages of other replicas in. Where the queue is full they are dropped, as a network may.
 func (h *Host) Step(messages []*rpc.Message) {
 	select {
-	case h.in <- func(now int64) { h.engine.Step(now, messages) }:
+	case h.input <- func(now int64) { h.engine.Step(now, messages) }:
 	default:
 	}
 }
 
 // Propose has a command agreed on by a group that this replica leads.
-func (h *Host) Propose(ctx context.Context, name string, command []byte) Proposed {
-	done := make(chan Proposed, 1)
-	h.do(func(int64) { h.engine.Propose(name, command, func(p Proposed) { done <- p }) })
+func (h *Host) Propose(ctx context.Context, name string, command []byte) ProposalResult {
+	done := make(chan ProposalResult, 1)
+	h.enqueue(func(int64) { h.engine.Propose(name, command, func(p ProposalResult) { done <- p }) })
 	select {
 	case result := <-done:
 		return result
 	case <-ctx.Done():
 	case <-h.done:
 	}
-	return Proposed{Outcome: rpc.Outcome_OUTCOME_UNKNOWN}
+	return ProposalResult{Outcome: rpc.Outcome_OUTCOME_UNKNOWN}
 }
 
-func (h *Host) do(f func(now int64)) {
+func (h *Host) enqueue(f func(now int64)) {
 	select {
-	case h.in <- f:
+	case h.input <- f:
 	case <-h.done:
 	}
 }
@@ -83,21 +83,21 @@
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
-		in := h.in
+		in := h.input
 		if h.engine.Stalled() {
 			in = nil // it would be lost
 		}
 		select {
 		case f := <-in:
 			f(h.Now())
-			h.drain()
+			h.runQueued()
 		case <-timer.C:
 		case <-h.stop:
 			return
 		}
 		now := h.Now()
-		next := h.engine.Turn(now)
-		if h.engine.Failed() != nil {
+		next := h.engine.Tick(now)
+		if h.engine.Err() != nil {
 			h.failed.Store(true)
 			return
 		}
@@ -106,22 +106,22 @@
 }
 
 const (
-	// gatherTime is small beside the way between zones, the time that an item takes, and the time between heartbeats.
-	gatherTime = 3 * time.Millisecond
-	gatherMost = 256
+	// batchWindow is small beside the way between zones, the time that an item takes, and the time between heartbeats.
+	batchWindow     = 3 * time.Millisecond
+	maxBatchedCalls = 256
 )
 
 // drain takes in what else waits or comes soon, so that one sync serves it all.
-func (h *Host) drain() {
+func (h *Host) runQueued() {
 	var end <-chan time.Time
-	if h.cfg.Options.Gather {
-		timer := time.NewTimer(gatherTime)
+	if h.cfg.Options.BatchCalls {
+		timer := time.NewTimer(batchWindow)
 		defer timer.Stop()
 		end = timer.C
 	}
-	for range gatherMost {
+	for range maxBatchedCalls {
 		select {
-		case f := <-h.in:
+		case f := <-h.input:
 			f(h.Now())
 			continue
 		default:
@@ -130,7 +130,7 @@
 			return
 		}
 		select {
-		case f := <-h.in:
+		case f := <-h.input:
 			f(h.Now())
 		case <-end:
 			return
--- a/internal/scheduler/replica/host_test.go
+++ b/internal/scheduler/replica/host_test.go
@@ -132,11 +132,11 @@
 	}
 	hosts := []*Host{n.start(t, "a", machines["a"], options), n.start(t, "b", machines["b"], options)}
 	for _, host := range hosts {
-		host.Found("g", founders[:3])
+		host.CreateGroup("g", founders[:3])
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 60*time.Second)
 	defer cancel()
-	const commands = 4 * keptEntries
+	const commands = 4 * cachedEntries
 	for i := range commands {
 		command := fmt.Appendf(nil, "command %d", i)
 		for done := false; !done && ctx.Err() == nil; {
--- a/internal/scheduler/replica/identity.go
+++ b/internal/scheduler/replica/identity.go
@@ -11,10 +11,10 @@
 // addresses.
 func FounderID(seed string) string { return "founder-" + seed }
 
-// Identify returns who a process's replicas are. The id is bound to the disk: an empty disk gets a new one, which nobody has heard any
+// LoadOrCreateIdentity returns who a process's replicas are. The id is bound to the disk: an empty disk gets a new one, which nobody has heard any
 // promise from. Only at the very first start do the seeds' machines take the ids that the others know them by.
-func Identify(facts *Facts, s *settings.Settings) (Identity, error) {
-	id, err := facts.Identity()
+func LoadOrCreateIdentity(identities *IdentityStore, s *settings.Settings) (Identity, error) {
+	id, err := identities.Identity()
 	if err != nil {
 		return Identity{}, err
 	}
@@ -23,7 +23,7 @@
 		if s.Bootstrap && s.Listen.ControlPlane != "" && slices.Contains(s.Seeds, s.Listen.ControlPlane) {
 			id = FounderID(s.Listen.ControlPlane)
 		}
-		if err := facts.SetIdentity(id); err != nil {
+		if err := identities.SetIdentity(id); err != nil {
 			return Identity{}, err
 		}
 	}
--- a/internal/scheduler/replica/rewrite_test.go
+++ b/internal/scheduler/replica/rewrite_test.go
@@ -39,11 +39,11 @@
 		store, err := replica.OpenStoreOn(noFolderSync{simdisk.RandomAccess{Disk: disk}, &broken}, 2000)
 		is.NoErr(err)
 		is.NoErr(disk.Sync())
-		is.NoErr(store.Persist([]replica.Save{{Group: "g", Snapshot: &rpc.Snapshot{Index: 1, Epoch: 1}}}))
+		is.NoErr(store.Persist([]replica.GroupWrite{{Group: "g", Snapshot: &rpc.Snapshot{Index: 1, Epoch: 1}}}))
 		broken = true
 		counted := uint64(0)
 		for epoch := uint64(2); epoch < 400; epoch++ { // old hard states are of no use, so the log is rewritten on the way
-			if store.Persist([]replica.Save{{Group: "g", HardState: &rpc.HardState{Epoch: epoch, Vote: fmt.Sprint("replica ", epoch)}}}) == nil {
+			if store.Persist([]replica.GroupWrite{{Group: "g", HardState: &rpc.HardState{Epoch: epoch, Vote: fmt.Sprint("replica ", epoch)}}}) == nil {
 				counted = epoch
 			}
 		}
@@ -87,7 +87,7 @@
 			is.Equal(entry.Index, stored.Snapshot.Index+1+uint64(i))
 		}
 		for number := range stored.Snapshot.Pieces {
-			_, err := again.Piece("g", number)
+			_, err := again.Chunk("g", number)
 			is.NoErr(err)
 		}
 	}
@@ -95,13 +95,13 @@
 
 // writeSome writes entries with snapshots in between, and returns the last index that counted.
 func writeSome(store *replica.Store) (counted uint64) {
-	if store.Persist([]replica.Save{{Group: "g", Snapshot: &rpc.Snapshot{Index: 1, Epoch: 1}}}) != nil {
+	if store.Persist([]replica.GroupWrite{{Group: "g", Snapshot: &rpc.Snapshot{Index: 1, Epoch: 1}}}) != nil {
 		return 0
 	}
 	counted = 1
 	for index := uint64(2); index < 80; index++ {
-		save := replica.Save{Group: "g", Entries: []*rpc.Entry{{Index: index, Epoch: 1, Kind: rpc.EntryKind_ENTRY_COMMAND, Data: make([]byte, 100)}}}
-		if store.Persist([]replica.Save{save}) != nil {
+		save := replica.GroupWrite{Group: "g", Entries: []*rpc.Entry{{Index: index, Epoch: 1, Kind: rpc.EntryKind_ENTRY_COMMAND, Data: make([]byte, 100)}}}
+		if store.Persist([]replica.GroupWrite{save}) != nil {
 			return counted
 		}
 		counted = index
@@ -110,11 +110,11 @@
 		}
 		snapshot := &rpc.Snapshot{Index: index, Epoch: 1, Pieces: 3}
 		for number := range snapshot.Pieces {
-			if store.StagePiece("g", &rpc.SnapshotPiece{Number: number, Data: make([]byte, 50)}) != nil {
+			if store.StageChunk("g", &rpc.SnapshotPiece{Number: number, Data: make([]byte, 50)}) != nil {
 				return counted
 			}
 		}
-		if store.Persist([]replica.Save{{Group: "g", Snapshot: snapshot}}) != nil {
+		if store.Persist([]replica.GroupWrite{{Group: "g", Snapshot: snapshot}}) != nil {
 			return counted
 		}
 	}
--- a/internal/scheduler/replica/sender.go
+++ b/internal/scheduler/replica/sender.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	sendTimeout = 500 * time.Millisecond
-	outbox      = 256
-	maxBatch    = 128
+	sendTimeout        = 500 * time.Millisecond
+	queueBatches       = 256
+	maxMessagesPerCall = 128
 )
 
 // Sender carries messages to other replicas. Each address has a queue of its own, so that one that is silent holds up nobody else;
@@ -32,7 +32,7 @@
 	s.mu.Lock()
 	queue := s.queues[address]
 	if queue == nil {
-		queue = make(chan []*rpc.Message, outbox)
+		queue = make(chan []*rpc.Message, queueBatches)
 		s.queues[address] = queue
 		go s.run(address, queue)
 	}
@@ -48,7 +48,7 @@
 	for messages := range queue {
 		batch := messages
 	more:
-		for len(batch) < maxBatch {
+		for len(batch) < maxMessagesPerCall {
 			select {
 			case messages := <-queue:
 				batch = append(batch, messages...)
--- a/internal/scheduler/replica/service.go
+++ b/internal/scheduler/replica/service.go
@@ -35,8 +35,8 @@
 		if status := s.Host.Status(name); status != nil {
 			response.Groups = append(response.Groups, &rpc.GroupStatus{
 				Group: name, Leader: status.LeaderID, LeaderAddress: status.LeaderAddress,
-				Epoch: status.Epoch, Commit: status.Commit, Applied: status.Applied, Membership: status.Membership, Replica: s.Host.cfg.Identity.ID, Settled: status.Settled,
-				Leads: status.Lease(s.Host.Now()), HeldByAll: status.HeldByAll,
+				Epoch: status.Epoch, Commit: status.Commit, Applied: status.Applied, Membership: status.Membership, Replica: s.Host.cfg.Identity.ID, Settled: status.MembershipCommitted,
+				Leads: status.HasLease(s.Host.Now()), HeldByAll: status.FullyReplicated,
 			})
 		}
 	}
@@ -45,7 +45,7 @@
 
 const (
 	proposeTimeout = 2 * time.Second
-	retryPause     = 60 * time.Millisecond
+	retryInterval  = 60 * time.Millisecond
 )
 
 // NextHop tells where a command for a group has to go now, as its replica here sees it: to this process itself, to the leader's, or, where
@@ -62,8 +62,8 @@
 
 // Submit has a command agreed on, by whoever leads the group. The command must do no harm when it is carried out twice: it is sent
 // again where its first try may have been lost.
-func Submit(ctx context.Context, h *Host, client *transport.Client, group string, command []byte) Proposed {
-	result := Proposed{Outcome: rpc.Outcome_UNAVAILABLE}
+func Submit(ctx context.Context, h *Host, client *transport.Client, group string, command []byte) ProposalResult {
+	result := ProposalResult{Outcome: rpc.Outcome_UNAVAILABLE}
 	for {
 		status := h.Status(group)
 		self, address := status.NextHop()
@@ -77,7 +77,7 @@
 			return result
 		}
 		select {
-		case <-time.After(retryPause):
+		case <-time.After(retryInterval):
 		case <-ctx.Done():
 			return result
 		}
@@ -86,19 +86,19 @@
 
 // forward has the leader at an address decide. It gives that up where this replica hears of another leader, or of none: the old one may be
 // without power and would hold the call up to its end.
-func forward(ctx context.Context, h *Host, client *transport.Client, address, group string, command []byte) Proposed {
+func forward(ctx context.Context, h *Host, client *transport.Client, address, group string, command []byte) ProposalResult {
 	ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
 	defer cancel()
-	answered := make(chan Proposed, 1)
+	answered := make(chan ProposalResult, 1)
 	go func() {
 		response, err := rpc.NewReplicationProtobufClient("http://"+address, client).Propose(ctx, &rpc.ProposeRequest{Group: group, Command: command})
 		if err != nil {
-			answered <- Proposed{Outcome: rpc.Outcome_OUTCOME_UNKNOWN}
+			answered <- ProposalResult{Outcome: rpc.Outcome_OUTCOME_UNKNOWN}
 			return
 		}
-		answered <- Proposed{Outcome: response.Outcome, Result: response.Result}
+		answered <- ProposalResult{Outcome: response.Outcome, Result: response.Result}
 	}()
-	look := time.NewTicker(retryPause)
+	look := time.NewTicker(retryInterval)
 	defer look.Stop()
 	for {
 		select {
@@ -106,7 +106,7 @@
 			return result
 		case <-look.C:
 			if _, now := h.Status(group).NextHop(); now != address {
-				return Proposed{Outcome: rpc.Outcome_OUTCOME_UNKNOWN}
+				return ProposalResult{Outcome: rpc.Outcome_OUTCOME_UNKNOWN}
 			}
 		}
 	}
--- a/internal/scheduler/replica/snapshots.go
+++ b/internal/scheduler/replica/snapshots.go
@@ -11,31 +11,31 @@
 
 const (
 	// pieceBytes is the length of all pieces of a snapshot but the last.
-	pieceBytes = 256 << 10
+	chunkBytes = 256 << 10
 	// piecesATurn bounds the pieces that are made in one turn, so that heartbeats go on meanwhile.
-	piecesATurn = 2
+	chunksPerTick = 2
 	// patienceShare is the part of its bound, one in so many, by which a log may outgrow it while cutting it would cost a replica that
 	// answers a snapshot; patienceFactor is the same for the number of entries, which cost next to nothing.
-	patienceShare  = 4
-	patienceFactor = 3
+	byteSlackDivisor = 4
+	entrySlackFactor = 3
 )
 
 // snapshotMaker writes a snapshot of a group's state to the disk, some pieces a turn, while the group goes on.
-type snapshotMaker struct {
-	snapshot *rpc.Snapshot
-	next     func() proto.Message
-	buffer   bytes.Buffer
-	digest   *xxhash.Digest
-	ended    bool
-	logBytes int64 // of the group's log when it was begun
+type snapshotWriter struct {
+	snapshot   *rpc.Snapshot
+	nextRecord func() proto.Message
+	buffer     bytes.Buffer
+	digest     *xxhash.Digest
+	exhausted  bool
+	logBytes   int64 // of the group's log when it was begun
 }
 
 // piece returns the next piece; nil once there are no more.
-func (m *snapshotMaker) piece() (*rpc.SnapshotPiece, error) {
-	for !m.ended && m.buffer.Len() < pieceBytes {
-		record := m.next()
+func (m *snapshotWriter) nextChunk() (*rpc.SnapshotPiece, error) {
+	for !m.exhausted && m.buffer.Len() < chunkBytes {
+		record := m.nextRecord()
 		if record == nil {
-			m.ended = true
+			m.exhausted = true
 			break
 		}
 		if err := writeRecord(&m.buffer, record); err != nil {
@@ -45,24 +45,24 @@
 	if m.buffer.Len() == 0 {
 		return nil, nil
 	}
-	data := bytes.Clone(m.buffer.Next(pieceBytes))
+	data := bytes.Clone(m.buffer.Next(chunkBytes))
 	m.digest.Write(data)
-	piece := &rpc.SnapshotPiece{Number: m.snapshot.Pieces, Data: data}
+	chunk := &rpc.SnapshotPiece{Number: m.snapshot.Pieces, Data: data}
 	m.snapshot.Pieces++
-	return piece, nil
+	return chunk, nil
 }
 
 // makeSnapshots begins snapshots of groups whose logs have grown long, and goes on with those that are begun.
-func (e *Engine) makeSnapshots() {
+func (e *Engine) advanceSnapshots() {
 	for _, name := range e.names {
 		g := e.groups[name]
-		if g.making == nil && e.snapshotDue(g) {
+		if g.snapshot == nil && e.snapshotDue(g) {
 			if snapshot := g.core.PrepareSnapshot(g.applied); snapshot != nil {
-				g.making = &snapshotMaker{snapshot: snapshot, next: g.machine.Snapshot(), digest: xxhash.New(), logBytes: g.logBytes}
+				g.snapshot = &snapshotWriter{snapshot: snapshot, nextRecord: g.machine.Snapshot(), digest: xxhash.New(), logBytes: g.logBytes}
 			}
 		}
-		if g.making != nil {
-			e.makeSome(g)
+		if g.snapshot != nil {
+			e.writeChunks(g)
 		}
 	}
 }
@@ -70,47 +70,47 @@
 // snapshotDue tells whether a group's log should be replaced by a snapshot. A leader waits a while for replicas that are about to catch up
 // from the log, or whose snapshot is on its way: they would have to begin with a new one.
 func (e *Engine) snapshotDue(g *group) bool {
-	bytes, entries := cmp.Or(e.cfg.Options.SnapshotBytes, snapshotBytes), cmp.Or(e.cfg.Options.SnapshotEntries, snapshotEntries)
+	bytes, entries := cmp.Or(e.cfg.Options.SnapshotBytes, defaultSnapshotBytes), cmp.Or(e.cfg.Options.SnapshotEntries, defaultSnapshotEntries)
 	length := g.core.LogLength()
 	switch {
 	case g.logBytes < bytes && length < entries || g.core.ReceivingSnapshot():
 		return false
-	case g.logBytes >= bytes+bytes/patienceShare || length >= patienceFactor*entries:
+	case g.logBytes >= bytes+bytes/byteSlackDivisor || length >= entrySlackFactor*entries:
 		return true
 	}
 	return !g.core.SendingSnapshot() && !g.core.HasLaggingReplica(g.applied)
 }
 
 // makeSome makes the next pieces of a snapshot. Once all are written the snapshot takes the place of the log.
-func (e *Engine) makeSome(g *group) {
-	m := g.making
+func (e *Engine) writeChunks(g *group) {
+	m := g.snapshot
 	if g.core.ReceivingSnapshot() { // a newer one is coming in
-		g.making = nil
+		g.snapshot = nil
 		return
 	}
-	for range piecesATurn {
-		piece, err := m.piece()
+	for range chunksPerTick {
+		chunk, err := m.nextChunk()
 		if err != nil {
 			e.check(err)
 			return
 		}
-		if piece == nil {
-			e.finish(g)
+		if chunk == nil {
+			e.finishSnapshot(g)
 			return
 		}
-		if err := e.cfg.Store.StagePiece(g.name, piece); err != nil {
+		if err := e.cfg.Store.StageChunk(g.name, chunk); err != nil {
 			e.cfg.Log.Error("the disk takes no snapshot", "group", g.name, "error", err)
-			g.making = nil // it is begun anew
+			g.snapshot = nil // it is begun anew
 			return
 		}
 	}
 }
 
-func (e *Engine) finish(g *group) {
-	m := g.making
-	g.making = nil
+func (e *Engine) finishSnapshot(g *group) {
+	m := g.snapshot
+	g.snapshot = nil
 	m.snapshot.Checksum = m.digest.Sum64()
-	if !g.core.SupersedesSnapshot(m.snapshot) || !e.persist([]Save{{Group: g.name, Snapshot: m.snapshot}}) {
+	if !g.core.SupersedesSnapshot(m.snapshot) || !e.persist([]GroupWrite{{Group: g.name, Snapshot: m.snapshot}}) {
 		return
 	}
 	g.core.Compact(m.snapshot)
--- a/internal/scheduler/replica/status.go
+++ b/internal/scheduler/replica/status.go
@@ -10,35 +10,37 @@
 
 // Status is how a replica saw its group when something last changed.
 type Status struct {
-	Leader        bool
-	Ready         bool  // it leads, and knows everything that earlier leaders acknowledged
-	ContactAt     int64 // when a majority was last known to follow this leader, as Host.Now
-	LeaderID      string
-	LeaderAddress string
-	Epoch         uint64
-	Commit        uint64
-	Applied       uint64
-	HeardAt       int64 // when the leader was last heard
-	CurrentAt     int64 // when the leader was last heard while this replica had all that was agreed on
-	LedSince      int64
-	Membership    *rpc.Membership
-	Settled       bool // the membership is agreed on
-	HeldByAll     bool // each voter holds on its disk what was there when the membership last changed
+	Leader              bool
+	Ready               bool  // it leads, and knows everything that earlier leaders acknowledged
+	QuorumContactAt     int64 // when a majority was last known to follow this leader, as Host.Now
+	LeaderID            string
+	LeaderAddress       string
+	Epoch               uint64
+	Commit              uint64
+	Applied             uint64
+	LeaderContactAt     int64 // when the leader was last heard
+	CurrentAt           int64 // when the leader was last heard while this replica had all that was agreed on
+	LeaderSince         int64
+	Membership          *rpc.Membership
+	MembershipCommitted bool // the membership is agreed on
+	FullyReplicated     bool // each voter holds on its disk what was there when the membership last changed
 }
 
 // Lease tells whether this replica is the leader and no other can have been elected yet, so that what it has applied is up to date.
-func (s *Status) Lease(now int64) bool { return s.Leader && s.Ready && now-s.ContactAt < leaseMS }
+func (s *Status) HasLease(now int64) bool {
+	return s.Leader && s.Ready && now-s.QuorumContactAt < leaseMS
+}
 
-var leaseMS = consensus.LeaseMS(electionMS)
+var leaseMS = consensus.LeaseMS(electionTimeoutMS)
 
 // InTouch tells whether this replica lately had all that was agreed on, as its leader said, or leads itself and holds its lease.
 func (s *Status) InTouch(now, within int64) bool {
-	return s.Lease(now) || !s.Leader && s.LeaderID != "" && now-s.CurrentAt < within
+	return s.HasLease(now) || !s.Leader && s.LeaderID != "" && now-s.CurrentAt < within
 }
 
 // String tells how a group stands, for logs.
 func (s *Status) String() string {
-	return fmt.Sprintf("leader %v (%s) epoch %d commit %d applied %d members %v settled %v", s.Leader, s.LeaderID, s.Epoch, s.Commit, s.Applied, s.Membership, s.Settled)
+	return fmt.Sprintf("leader %v (%s) epoch %d commit %d applied %d members %v settled %v", s.Leader, s.LeaderID, s.Epoch, s.Commit, s.Applied, s.Membership, s.MembershipCommitted)
 }
 
 // Status is how this replica sees a group; nil where it holds none. It doesn't wait for anything.
@@ -63,9 +65,9 @@
 	leaderID, leaderAddress := g.core.Leader()
 	ready, contact := g.core.Leadership()
 	status := &Status{
-		Leader: g.core.IsLeader(), Ready: ready, ContactAt: contact, LeaderID: leaderID, LeaderAddress: leaderAddress, Epoch: g.core.Epoch(),
-		Commit: g.core.Commit(), Applied: g.applied, HeardAt: g.core.LeaderContactAt(), CurrentAt: g.core.CurrentAt(), LedSince: g.core.LeaderSince(), Membership: g.core.Membership(), Settled: g.core.MembershipCommitted(),
-		HeldByAll: g.core.FullyReplicated(),
+		Leader: g.core.IsLeader(), Ready: ready, QuorumContactAt: contact, LeaderID: leaderID, LeaderAddress: leaderAddress, Epoch: g.core.Epoch(),
+		Commit: g.core.Commit(), Applied: g.applied, LeaderContactAt: g.core.LeaderContactAt(), CurrentAt: g.core.CurrentAt(), LeaderSince: g.core.LeaderSince(), Membership: g.core.Membership(), MembershipCommitted: g.core.MembershipCommitted(),
+		FullyReplicated: g.core.FullyReplicated(),
 	}
 	if !g.joined && (status.Ready || status.LeaderID != "" && !status.Leader && status.CurrentAt > 0) {
 		g.joined = true
--- a/internal/scheduler/replica/store_test.go
+++ b/internal/scheduler/replica/store_test.go
@@ -15,8 +15,8 @@
 	return &rpc.Entry{Index: index, Epoch: epoch, Kind: rpc.EntryKind_ENTRY_COMMAND, Data: []byte(data)}
 }
 
-func founded(group string) Save {
-	return Save{Group: group, Snapshot: &rpc.Snapshot{Index: 1, Epoch: 1}, HardState: &rpc.HardState{Epoch: 1}}
+func founded(group string) GroupWrite {
+	return GroupWrite{Group: group, Snapshot: &rpc.Snapshot{Index: 1, Epoch: 1}, HardState: &rpc.HardState{Epoch: 1}}
 }
 
 func openStore(t *testing.T, folder string) *Store {
@@ -34,9 +34,9 @@
 	is := is.New(t)
 	folder := t.TempDir()
 	s := openStore(t, folder)
-	is.NoErr(s.Persist([]Save{founded("a"), founded("b")}))
-	is.NoErr(s.Persist([]Save{{Group: "a", Entries: []*rpc.Entry{entry(2, 1, "x"), entry(3, 1, "y"), entry(4, 1, "z")}}}))
-	is.NoErr(s.Persist([]Save{{Group: "a", HardState: &rpc.HardState{Epoch: 2, Vote: "v"}, Entries: []*rpc.Entry{entry(3, 2, "w")}}}))
+	is.NoErr(s.Persist([]GroupWrite{founded("a"), founded("b")}))
+	is.NoErr(s.Persist([]GroupWrite{{Group: "a", Entries: []*rpc.Entry{entry(2, 1, "x"), entry(3, 1, "y"), entry(4, 1, "z")}}}))
+	is.NoErr(s.Persist([]GroupWrite{{Group: "a", HardState: &rpc.HardState{Epoch: 2, Vote: "v"}, Entries: []*rpc.Entry{entry(3, 2, "w")}}}))
 	is.NoErr(s.Close())
 	s = openStore(t, folder)
 	is.Equal(len(s.Groups()), 2)
@@ -60,10 +60,10 @@
 			t.Fatal(err)
 		}
 	}
-	must(s.Persist([]Save{founded("a")}))
-	must(s.Persist([]Save{{Group: "a", Entries: []*rpc.Entry{entry(2, 1, "kept")}}}))
+	must(s.Persist([]GroupWrite{founded("a")}))
+	must(s.Persist([]GroupWrite{{Group: "a", Entries: []*rpc.Entry{entry(2, 1, "kept")}}}))
 	synced := s.log.size
-	must(s.Persist([]Save{{Group: "a", Entries: []*rpc.Entry{entry(3, 1, "torn one"), entry(4, 1, "torn two")}}}))
+	must(s.Persist([]GroupWrite{{Group: "a", Entries: []*rpc.Entry{entry(3, 1, "torn one"), entry(4, 1, "torn two")}}}))
 	must(s.Close())
 	whole, err := os.ReadFile(filepath.Join(folder, logName))
 	must(err)
@@ -88,7 +88,7 @@
 			if len(stored.Entries) == 0 || string(kept.Data) != "kept" || len(stored.Entries) > 3 {
 				t.Fatalf("%s at %d: %d entries", damage, cut, len(stored.Entries))
 			}
-			must(s.Persist([]Save{{Group: "a", Entries: []*rpc.Entry{entry(uint64(len(stored.Entries))+2, 1, "on")}}}))
+			must(s.Persist([]GroupWrite{{Group: "a", Entries: []*rpc.Entry{entry(uint64(len(stored.Entries))+2, 1, "on")}}}))
 			s.Close()
 		}
 	}
@@ -99,23 +99,23 @@
 	is := is.New(t)
 	folder := t.TempDir()
 	s := openStore(t, folder)
-	is.NoErr(s.Persist([]Save{founded("a")}))
+	is.NoErr(s.Persist([]GroupWrite{founded("a")}))
 	for i := uint64(2); i < 50; i++ {
-		is.NoErr(s.Persist([]Save{{Group: "a", Entries: []*rpc.Entry{entry(i, 1, "some data of an entry")}}}))
+		is.NoErr(s.Persist([]GroupWrite{{Group: "a", Entries: []*rpc.Entry{entry(i, 1, "some data of an entry")}}}))
 	}
-	is.NoErr(s.StagePiece("a", &rpc.SnapshotPiece{Data: []byte("sta")}))
-	is.NoErr(s.StagePiece("a", &rpc.SnapshotPiece{Number: 1, Data: []byte("te")}))
-	is.NoErr(s.Persist([]Save{{Group: "a", Snapshot: &rpc.Snapshot{Index: 45, Epoch: 1, Pieces: 2}}}))
+	is.NoErr(s.StageChunk("a", &rpc.SnapshotPiece{Data: []byte("sta")}))
+	is.NoErr(s.StageChunk("a", &rpc.SnapshotPiece{Number: 1, Data: []byte("te")}))
+	is.NoErr(s.Persist([]GroupWrite{{Group: "a", Snapshot: &rpc.Snapshot{Index: 45, Epoch: 1, Pieces: 2}}}))
 	before := s.log.size
-	is.NoErr(s.log.rewrite(s.spans()))
+	is.NoErr(s.log.rewrite(s.liveSpans()))
 	is.True(s.log.size < before/2)
-	is.NoErr(s.Persist([]Save{{Group: "a", Entries: []*rpc.Entry{entry(50, 1, "new")}}}))
+	is.NoErr(s.Persist([]GroupWrite{{Group: "a", Entries: []*rpc.Entry{entry(50, 1, "new")}}}))
 	is.NoErr(s.Close())
 	s = openStore(t, folder)
 	stored, err := s.Load("a")
 	is.NoErr(err)
 	is.Equal(stored.Snapshot.Index, uint64(45))
-	state, err := io.ReadAll(s.State("a"))
+	state, err := io.ReadAll(s.SnapshotState("a"))
 	is.NoErr(err)
 	is.Equal(string(state), "state")
 	is.Equal(len(stored.Entries), 5)
@@ -129,15 +129,15 @@
 	is := is.New(t)
 	folder := t.TempDir()
 	s := openStore(t, folder)
-	is.NoErr(s.Persist([]Save{founded("a")}))
+	is.NoErr(s.Persist([]GroupWrite{founded("a")}))
 	good := s.log.file
 	readOnly, err := os.Open(filepath.Join(folder, logName))
 	is.NoErr(err)
 	defer readOnly.Close()
 	s.log.file = diskFile{readOnly}
-	is.True(s.Persist([]Save{{Group: "a", Entries: []*rpc.Entry{entry(2, 1, "x")}}}) != nil)
+	is.True(s.Persist([]GroupWrite{{Group: "a", Entries: []*rpc.Entry{entry(2, 1, "x")}}}) != nil)
 	s.log.file = good
-	is.NoErr(s.Persist([]Save{{Group: "a", Entries: []*rpc.Entry{entry(2, 1, "x")}}}))
+	is.NoErr(s.Persist([]GroupWrite{{Group: "a", Entries: []*rpc.Entry{entry(2, 1, "x")}}}))
 	stored, err := s.Load("a")
 	is.NoErr(err)
 	is.Equal(len(stored.Entries), 1)
@@ -147,14 +147,14 @@
 func TestIdentityStays(t *testing.T) {
 	is := is.New(t)
 	folder := t.TempDir()
-	facts, err := OpenFacts(folder)
+	identities, err := OpenIdentityStore(folder)
 	is.NoErr(err)
-	is.NoErr(facts.SetIdentity("me"))
-	is.NoErr(facts.Close())
-	facts, err = OpenFacts(folder)
+	is.NoErr(identities.SetIdentity("me"))
+	is.NoErr(identities.Close())
+	identities, err = OpenIdentityStore(folder)
 	is.NoErr(err)
-	defer facts.Close()
-	id, err := facts.Identity()
+	defer identities.Close()
+	id, err := identities.Identity()
 	is.NoErr(err)
 	is.Equal(id, "me")
 }
@@ -165,13 +165,13 @@
 	is := is.New(t)
 	folder := t.TempDir()
 	s := openStore(t, folder)
-	is.NoErr(s.Persist([]Save{founded("a")}))
+	is.NoErr(s.Persist([]GroupWrite{founded("a")}))
 	var entries []*rpc.Entry
 	for i := uint64(2); i <= 30; i++ {
 		entries = append(entries, entry(i, 1, "given up"))
 	}
-	is.NoErr(s.Persist([]Save{{Group: "a", Entries: entries}}))
-	is.NoErr(s.Persist([]Save{{Group: "a", Pieces: []*rpc.SnapshotPiece{{Data: []byte("state")}}, Snapshot: &rpc.Snapshot{Index: 20, Epoch: 4, Pieces: 1}, Received: true}}))
+	is.NoErr(s.Persist([]GroupWrite{{Group: "a", Entries: entries}}))
+	is.NoErr(s.Persist([]GroupWrite{{Group: "a", Chunks: []*rpc.SnapshotPiece{{Data: []byte("state")}}, Snapshot: &rpc.Snapshot{Index: 20, Epoch: 4, Pieces: 1}, Received: true}}))
 	is.NoErr(s.Close())
 	s = openStore(t, folder)
 	stored, err := s.Load("a")
@@ -185,14 +185,14 @@
 	is := is.New(t)
 	folder := t.TempDir()
 	s := openStore(t, folder)
-	is.NoErr(s.Persist([]Save{founded("a")}))
-	is.NoErr(s.Persist([]Save{{Group: "a", Entries: []*rpc.Entry{entry(2, 1, "x")}, Pieces: []*rpc.SnapshotPiece{{Data: []byte("old")}}}}))
+	is.NoErr(s.Persist([]GroupWrite{founded("a")}))
+	is.NoErr(s.Persist([]GroupWrite{{Group: "a", Entries: []*rpc.Entry{entry(2, 1, "x")}, Chunks: []*rpc.SnapshotPiece{{Data: []byte("old")}}}}))
 	is.NoErr(s.Close())
 	s = openStore(t, folder)
 	stored, err := s.Load("a")
 	is.NoErr(err)
 	is.Equal(stored.Snapshot.Index, uint64(1))
 	is.Equal(len(stored.Entries), 1)
-	err = s.Persist([]Save{{Group: "a", Snapshot: &rpc.Snapshot{Index: 2, Epoch: 1, Pieces: 2}, Received: true}})
-	is.True(errors.Is(err, ErrDamaged)) // its pieces aren't there
+	err = s.Persist([]GroupWrite{{Group: "a", Snapshot: &rpc.Snapshot{Index: 2, Epoch: 1, Pieces: 2}, Received: true}})
+	is.True(errors.Is(err, ErrCorrupt)) // its pieces aren't there
 }
--- a/internal/scheduler/replica/wal.go
+++ b/internal/scheduler/replica/wal.go
@@ -28,11 +28,11 @@
 type span struct{ offset, length int64 }
 
 const (
-	logName     = "replicas.log"
-	rewriteName = "replicas.new"
-	recordHead  = 8 // length and checksum
-	recordMost  = 512 << 20
-	bufferKept  = 1 << 20
+	logName            = "replicas.log"
+	rewriteName        = "replicas.new"
+	recordHeaderBytes  = 8 // length and checksum
+	maxRecordBytes     = 512 << 20
+	maxKeptBufferBytes = 1 << 20
 )
 
 // openLog opens the log on a disk and shows its records in order.
@@ -59,33 +59,33 @@
 	reader := bufio.NewReaderSize(io.NewSectionReader(l.file, 0, size), 256<<10)
 	var payload []byte
 	for {
-		var head [recordHead]byte
+		var head [recordHeaderBytes]byte
 		if _, err := io.ReadFull(reader, head[:]); err != nil {
-			return l.cut(size, err)
+			return l.truncateTail(size, err)
 		}
 		length := int64(binary.BigEndian.Uint32(head[:]))
-		if length == 0 || length > recordMost {
-			return l.cut(size, io.EOF)
+		if length == 0 || length > maxRecordBytes {
+			return l.truncateTail(size, io.EOF)
 		}
 		if int64(cap(payload)) < length {
 			payload = make([]byte, length)
 		}
 		payload = payload[:length]
 		if _, err := io.ReadFull(reader, payload); err != nil {
-			return l.cut(size, err)
+			return l.truncateTail(size, err)
 		}
 		if crc32.ChecksumIEEE(payload) != binary.BigEndian.Uint32(head[4:]) {
-			return l.cut(size, io.EOF)
+			return l.truncateTail(size, io.EOF)
 		}
-		if err := show(payload, span{l.size + recordHead, length}); err != nil {
+		if err := show(payload, span{l.size + recordHeaderBytes, length}); err != nil {
 			return err
 		}
-		l.size += recordHead + length
+		l.size += recordHeaderBytes + length
 	}
 }
 
 // cut ends a scan at the last whole record.
-func (l *writeAheadLog) cut(size int64, err error) error {
+func (l *writeAheadLog) truncateTail(size int64, err error) error {
 	if !errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF) {
 		return fmt.Errorf("replica: read log: %w", err)
 	}
@@ -100,22 +100,22 @@
 
 // append writes records behind the others and, where sync is set, has them last. After an error the file is as it was.
 func (l *writeAheadLog) append(records []*rpc.StoredRecord, sync bool) (spans []span, err error) {
-	if err := l.keepName(); err != nil {
+	if err := l.syncName(); err != nil {
 		return nil, err
 	}
 	buffer := l.buffer[:0]
 	for _, r := range records {
 		start := len(buffer)
-		buffer = append(buffer, make([]byte, recordHead)...)
+		buffer = append(buffer, make([]byte, recordHeaderBytes)...)
 		if buffer, err = (proto.MarshalOptions{}).MarshalAppend(buffer, r); err != nil {
 			return nil, err
 		}
-		payload := buffer[start+recordHead:]
+		payload := buffer[start+recordHeaderBytes:]
 		binary.BigEndian.PutUint32(buffer[start:], uint32(len(payload)))
 		binary.BigEndian.PutUint32(buffer[start+4:], crc32.ChecksumIEEE(payload))
-		spans = append(spans, span{l.size + int64(start) + recordHead, int64(len(payload))})
+		spans = append(spans, span{l.size + int64(start) + recordHeaderBytes, int64(len(payload))})
 	}
-	if cap(buffer) <= bufferKept {
+	if cap(buffer) <= maxKeptBufferBytes {
 		l.buffer = buffer
 	}
 	if _, err = l.file.WriteAt(buffer, l.size); err == nil && sync {
@@ -129,7 +129,7 @@
 }
 
 // keepName makes the name of a rewritten file last.
-func (l *writeAheadLog) keepName() error {
+func (l *writeAheadLog) syncName() error {
 	if !l.renamed {
 		return nil
 	}
@@ -170,10 +170,10 @@
 	}
 	l.file.Close()
 	l.file, l.size, l.renamed = file, size, true
-	offset := int64(recordHead)
+	offset := int64(recordHeaderBytes)
 	for _, at := range keep {
 		at.offset = offset
-		offset += at.length + recordHead
+		offset += at.length + recordHeaderBytes
 	}
 	return nil
 }
@@ -194,7 +194,7 @@
 	to := &offsetWriter{file: file}
 	writer := bufio.NewWriterSize(to, 256<<10)
 	for _, at := range keep {
-		whole := io.NewSectionReader(l.file, at.offset-recordHead, recordHead+at.length)
+		whole := io.NewSectionReader(l.file, at.offset-recordHeaderBytes, recordHeaderBytes+at.length)
 		if _, err := io.Copy(writer, whole); err != nil {
 			return 0, err
 		}
--- a/internal/scheduler/simulation/control.go
+++ b/internal/scheduler/simulation/control.go
@@ -43,11 +43,11 @@
 	}
 	for _, shard := range slices.Sorted(maps.Keys(m.desks)) {
 		for _, command := range m.desks[shard].OverdueCommands(m.ownership(shard), forgetMS) {
-			m.propose(shard, replica.Marshal(command), func(replica.Proposed) {})
+			m.propose(shard, replica.Marshal(command), func(replica.ProposalResult) {})
 		}
 		m.orderWorkers(shard)
 	}
-	if status := m.engine.Status(directory.Shard); status != nil && status.Lease(m.w.now) && m.w.now-status.LedSince >= settleMS {
+	if status := m.engine.Status(directory.Shard); status != nil && status.HasLease(m.w.now) && m.w.now-status.LeaderSince >= settleMS {
 		m.place(status)
 		m.completeRetirements()
 	}
@@ -58,12 +58,12 @@
 	if status == nil {
 		return registry.Ownership{}
 	}
-	return registry.Ownership{NowMS: m.w.now, Epoch: status.Epoch, HasLease: status.Lease(m.w.now) || m.w.bug(LeaseIgnored)}
+	return registry.Ownership{NowMS: m.w.now, Epoch: status.Epoch, HasLease: status.HasLease(m.w.now) || m.w.bug(LeaseIgnored)}
 }
 
 // place sees to it that each group's wanted replicas are those that the machines allow.
 func (m *machine) place(status *replica.Status) {
-	listened := m.w.now - status.LedSince
+	listened := m.w.now - status.LeaderSince
 	placements := m.directory.Placements()
 	for _, group := range stewardGroups() {
 		current := placements[group].GetReplicas()
@@ -99,7 +99,7 @@
 	}
 	m.w.trace("%s wants %s on %v", m.name, group, plan)
 	command := &rpc.DirectoryCommand{Command: &rpc.DirectoryCommand_Place{Place: &rpc.Placement{Group: group, Replicas: plan, Founding: founding}}}
-	m.propose(directory.Shard, replica.Marshal(command), func(replica.Proposed) {})
+	m.propose(directory.Shard, replica.Marshal(command), func(replica.ProposalResult) {})
 }
 
 // completeRetirements notes which machines hold nothing any more.
@@ -110,7 +110,7 @@
 			continue
 		}
 		command := &rpc.DirectoryCommand{Command: &rpc.DirectoryCommand_Retire{Retire: &rpc.Retirement{Node: node, Completed: true}}}
-		m.propose(directory.Shard, replica.Marshal(command), func(replica.Proposed) {})
+		m.propose(directory.Shard, replica.Marshal(command), func(replica.ProposalResult) {})
 	}
 }
 
@@ -138,7 +138,7 @@
 			return false
 		}
 		s := at.engine.Status(wanted.Group)
-		return s != nil && stewardrole.MatchesPlacement(&rpc.GroupStatus{Leads: s.Lease(m.w.now), Settled: s.Settled, HeldByAll: s.HeldByAll, Membership: s.Membership}, wanted)
+		return s != nil && stewardrole.MatchesPlacement(&rpc.GroupStatus{Leads: s.HasLease(m.w.now), Settled: s.MembershipCommitted, HeldByAll: s.FullyReplicated, Membership: s.Membership}, wanted)
 	})
 }
 
@@ -168,7 +168,7 @@
 		done(m.localRead())
 		return
 	}
-	m.submit(directory.Shard, replica.Marshal(command), m.w.now+submitMS, func(p replica.Proposed) {
+	m.submit(directory.Shard, replica.Marshal(command), m.w.now+submitMS, func(p replica.ProposalResult) {
 		result := &rpc.DirectoryResult{}
 		if p.Outcome != rpc.Outcome_DONE || proto.Unmarshal(p.Result, result) != nil {
 			done(nil)
@@ -219,7 +219,7 @@
 		answer(200)
 		return
 	}
-	if m.w.now-status.LedSince < settleMS && !m.w.bug(LocalRefusals) {
+	if m.w.now-status.LeaderSince < settleMS && !m.w.bug(LocalRefusals) {
 		later()
 		return
 	}
@@ -238,7 +238,7 @@
 		return
 	}
 	command := &rpc.DirectoryCommand{Command: &rpc.DirectoryCommand_Retire{Retire: &rpc.Retirement{Node: node}}}
-	m.propose(directory.Shard, replica.Marshal(command), func(p replica.Proposed) {
+	m.propose(directory.Shard, replica.Marshal(command), func(p replica.ProposalResult) {
 		if p.Outcome != rpc.Outcome_DONE {
 			later()
 			return
@@ -291,12 +291,12 @@
 	result, command := m.desks[shard].Decide(m.ownership(shard), r)
 	if result != rpc.Outcome_DONE || command == nil || m.w.bug(LeaseIgnored) {
 		if command != nil {
-			m.propose(shard, replica.Marshal(command), func(replica.Proposed) {})
+			m.propose(shard, replica.Marshal(command), func(replica.ProposalResult) {})
 		}
 		answer(result)
 		return
 	}
-	m.propose(shard, replica.Marshal(command), func(p replica.Proposed) { answer(p.Outcome) })
+	m.propose(shard, replica.Marshal(command), func(p replica.ProposalResult) { answer(p.Outcome) })
 }
 
 // watchAnswer is what a watcher is told.
@@ -345,9 +345,9 @@
 	}
 	own := slices.ContainsFunc(p.Replicas, func(r *rpc.Replica) bool { return r.Id == m.identity })
 	if p.Founding && own {
-		m.engine.Found(p.Group, p.Replicas)
+		m.engine.CreateGroup(p.Group, p.Replicas)
 	}
-	m.engine.Turn(m.w.now) // so that the group is there before its wanted members are set
+	m.engine.Tick(m.w.now) // so that the group is there before its wanted members are set
 	m.engine.SetWanted(p)
 	m.turnAt = 0
 }
@@ -356,7 +356,7 @@
 func (m *machine) orderWorkers(shard string) {
 	w := m.w
 	status := m.engine.Status(shard)
-	if status == nil || !status.Lease(w.now) {
+	if status == nil || !status.HasLease(w.now) {
 		return
 	}
 	wanted := m.directory.NamedVersions()
@@ -374,14 +374,14 @@
 		last := m.registry[shard].Holder()
 		holder := w.machine(last.GetNode())
 		ended := holder == nil || uint64(holder.life) != last.GetStart()
-		owned := time.Duration(w.now-status.LedSince) * time.Millisecond
+		owned := time.Duration(w.now-status.LeaderSince) * time.Millisecond
 		may := weights.MayTakeOver(m.name, last.GetNode(), ended, w.options.Fencing, owned, leaseMS*time.Millisecond) || w.bug(HolderAtOnce)
 		if !may || m.holding {
 			return
 		}
 		m.holding = true
 		hold := &rpc.RegistryCommand{Command: &rpc.RegistryCommand_Hold{Hold: &rpc.Holder{Node: m.name, Epoch: status.Epoch, Start: uint64(m.life)}}}
-		m.propose(shard, replica.Marshal(hold), func(p replica.Proposed) {
+		m.propose(shard, replica.Marshal(hold), func(p replica.ProposalResult) {
 			if m.holding = false; p.Outcome == rpc.Outcome_DONE {
 				m.held[shard] = status.Epoch
 			}
--- a/internal/scheduler/simulation/ledgers.go
+++ b/internal/scheduler/simulation/ledgers.go
@@ -39,7 +39,7 @@
 // scheduler returns the scheduler of a shard that this machine owns; nil where it doesn't.
 func (m *machine) scheduler(shard string) *batchjobs.Scheduler {
 	status := m.engine.Status(shard)
-	if status == nil || !status.Lease(m.w.now) {
+	if status == nil || !status.HasLease(m.w.now) {
 		if status == nil || !status.Leader {
 			delete(m.schedule, shard)
 		}
@@ -73,7 +73,7 @@
 // list has results agreed on.
 func (m *machine) list(shard, job string, results []*rpc.Result, done func(bool)) {
 	command := &rpc.LedgerCommand{Command: &rpc.LedgerCommand_Append{Append: &rpc.AppendResults{Job: job, Results: results}}}
-	m.propose(shard, replica.Marshal(command), func(p replica.Proposed) {
+	m.propose(shard, replica.Marshal(command), func(p replica.ProposalResult) {
 		if p.Outcome == rpc.Outcome_DONE {
 			done(true)
 			return
@@ -110,7 +110,7 @@
 	switch {
 	case status == nil:
 		return ownerAnswer{outcome: rpc.Outcome_UNAVAILABLE}, false
-	case !status.Lease(m.w.now):
+	case !status.HasLease(m.w.now):
 		return ownerAnswer{outcome: rpc.Outcome_NOT_LEADER, leader: status.LeaderAddress}, false
 	}
 	return ownerAnswer{outcome: rpc.Outcome_DONE}, true
@@ -123,7 +123,7 @@
 		return
 	}
 	command := &rpc.LedgerCommand{Command: &rpc.LedgerCommand_Create{Create: create}}
-	m.propose(shard, replica.Marshal(command), func(p replica.Proposed) { answer(ownerAnswer{outcome: p.Outcome}) })
+	m.propose(shard, replica.Marshal(command), func(p replica.ProposalResult) { answer(ownerAnswer{outcome: p.Outcome}) })
 }
 
 // readJob reads a batch job; a follower that is in touch may answer where near is set.
--- a/internal/scheduler/simulation/machine.go
+++ b/internal/scheduler/simulation/machine.go
@@ -91,7 +91,7 @@
 	founders := w.founders()
 	for _, m := range w.of(steward) {
 		for _, group := range stewardGroups() {
-			m.engine.Found(group, founders)
+			m.engine.CreateGroup(group, founders)
 		}
 	}
 	w.buildClients()
@@ -226,8 +226,8 @@
 		return
 	}
 	if w.now >= m.turnAt {
-		m.turnAt = m.engine.Turn(w.now)
-		if err := m.engine.Failed(); err != nil {
+		m.turnAt = m.engine.Tick(w.now)
+		if err := m.engine.Err(); err != nil {
 			w.fail(Lost, "%s ended: %v", m.name, err)
 		}
 	}
@@ -273,12 +273,12 @@
 }
 
 // submit has a command agreed on by whoever leads a group, as replica.Submit does, until a time.
-func (m *machine) submit(group string, command []byte, until int64, done func(replica.Proposed)) {
+func (m *machine) submit(group string, command []byte, until int64, done func(replica.ProposalResult)) {
 	const retryPause, proposeTimeout = 60, 2000
 	w, life := m.w, m.life
-	last := replica.Proposed{Outcome: rpc.Outcome_UNAVAILABLE}
+	last := replica.ProposalResult{Outcome: rpc.Outcome_UNAVAILABLE}
 	var try func()
-	again := func(p replica.Proposed) {
+	again := func(p replica.ProposalResult) {
 		if last = p; p.Outcome == rpc.Outcome_DONE {
 			done(p)
 			return
@@ -296,7 +296,7 @@
 			m.propose(group, command, again)
 		case address != "":
 			answered := false
-			once := func(p replica.Proposed) {
+			once := func(p replica.ProposalResult) {
 				if !answered {
 					answered = true
 					again(p)
@@ -305,17 +305,17 @@
 			var look func()
 			look = func() {
 				if _, now := m.engine.Status(group).NextHop(); now != address {
-					once(replica.Proposed{Outcome: rpc.Outcome_OUTCOME_UNKNOWN})
+					once(replica.ProposalResult{Outcome: rpc.Outcome_OUTCOME_UNKNOWN})
 				} else if !answered && m.life == life {
 					w.after(retryPause, look)
 				}
 			}
 			w.after(retryPause, look)
 			to := w.machine(address)
-			call(w, m.name, to, min(proposeTimeout, until-w.now), func(answer func(replica.Proposed)) { to.propose(group, command, answer) },
-				func(p replica.Proposed, ok bool) {
+			call(w, m.name, to, min(proposeTimeout, until-w.now), func(answer func(replica.ProposalResult)) { to.propose(group, command, answer) },
+				func(p replica.ProposalResult, ok bool) {
 					if !ok {
-						p = replica.Proposed{Outcome: rpc.Outcome_OUTCOME_UNKNOWN}
+						p = replica.ProposalResult{Outcome: rpc.Outcome_OUTCOME_UNKNOWN}
 					}
 					once(p)
 				})
@@ -327,11 +327,11 @@
 }
 
 // propose has a command agreed on by a group that this machine leads.
-func (m *machine) propose(group string, command []byte, done func(replica.Proposed)) {
+func (m *machine) propose(group string, command []byte, done func(replica.ProposalResult)) {
 	if self, _ := m.engine.Status(group).NextHop(); m.w.bug(AckOnPropose) && self && group == directory.Shard && isReplace(command) {
-		m.engine.Propose(group, command, func(replica.Proposed) {})
+		m.engine.Propose(group, command, func(replica.ProposalResult) {})
 		m.turnAt = 0
-		done(replica.Proposed{Outcome: rpc.Outcome_DONE, Result: replica.Marshal(&rpc.DirectoryResult{})})
+		done(replica.ProposalResult{Outcome: rpc.Outcome_DONE, Result: replica.Marshal(&rpc.DirectoryResult{})})
 		return
 	}
 	m.engine.Propose(group, command, done)
@@ -341,13 +341,13 @@
 // leased tells whether this machine leads a group and no other can by now.
 func (m *machine) leased(group string) bool {
 	status := m.engine.Status(group)
-	return status != nil && status.Lease(m.w.now)
+	return status != nil && status.HasLease(m.w.now)
 }
 
 // inTouch tells whether this machine had lately all that a group has agreed on.
 func (m *machine) inTouch(group string, within int64) bool {
 	status := m.engine.Status(group)
-	if status != nil && m.w.bug(HeardOnly) && !status.Leader && status.LeaderID != "" && m.w.now-status.HeardAt < within {
+	if status != nil && m.w.bug(HeardOnly) && !status.Leader && status.LeaderID != "" && m.w.now-status.LeaderContactAt < within {
 		return true
 	}
 	return status != nil && status.InTouch(m.w.now, within)
--- a/internal/scheduler/storage/storage.go
+++ b/internal/scheduler/storage/storage.go
@@ -33,7 +33,7 @@
 // Run serves until the context ends.
 func Run(ctx context.Context, source *settings.Source, options replica.Options, log *slog.Logger) error {
 	s := source.Current()
-	facts, err := replica.OpenFacts(s.DataDir)
+	facts, err := replica.OpenIdentityStore(s.DataDir)
 	if err != nil {
 		return err
 	}
@@ -44,13 +44,13 @@
 	}
 	defer store.Close()
 	st := &Storage{source: source, log: log, client: transport.NewClient()}
-	if st.identity, err = replica.Identify(facts, s); err != nil {
+	if st.identity, err = replica.LoadOrCreateIdentity(facts, s); err != nil {
 		return err
 	}
 	st.service = &batchjobs.Service{Log: log, KeepResults: settings.Seconds(s.Bounds.StatusIntervalS + keepSlackS), Demand: st.demand}
 	sender := replica.NewSender(st.client)
 	options.SnapshotBytes = cmp.Or(options.SnapshotBytes, s.Limits.DiskMB<<20/diskShare)
-	options.Gather = s.FeatureGates.GatheredWrites
+	options.BatchCalls = s.FeatureGates.GatheredWrites
 	if st.host, err = replica.NewHost(replica.Config{
 		Identity: st.identity, Store: store, Machine: st.service.StateMachine, Send: sender.Send, Log: log,
 		Options: options,
@@ -131,7 +131,7 @@
 		}
 		own := slices.ContainsFunc(p.Replicas, func(r *rpc.Replica) bool { return r.Id == st.identity.ID })
 		if p.Founding && own {
-			st.host.Found(p.Group, p.Replicas)
+			st.host.CreateGroup(p.Group, p.Replicas)
 		}
 		st.host.SetWanted(p)
 	}
