--- a/internal/scheduler/forward/attempt.go
+++ b/internal/scheduler/forward/attempt.go
@@ -82,7 +82,7 @@
 	body, err := answer.ReadAll()
 	if err != nil {
 		answer.Discard()
-		return nil, nil, outcome.Wrap(outcome.Failed, outcome.MayHaveRun, err, "read the answer of %s", w.ID)
+		return nil, nil, outcome.Errorf(outcome.Failed, outcome.MayHaveRun, err, "read the answer of %s", w.ID)
 	}
 	return answer, body, nil
 }
@@ -93,7 +93,7 @@
 	v := outcome.Of(err)
 	countAttempt(v.String())
 	var decline *rejectionError
-	refused := outcome.As(err, &decline)
+	refused := errors.As(err, &decline)
 	switch {
 	case ctx.Err() != nil && (refused || v != outcome.NotRun):
 	case refused:
@@ -140,7 +140,7 @@
 
 func isRejection(err error) bool {
 	var decline *rejectionError
-	return outcome.As(err, &decline)
+	return errors.As(err, &decline)
 }
 
 // judge tells whether an answer is this request's and can be passed on.
@@ -148,20 +148,20 @@
 	switch {
 	case !answer.IsFor(d.request.ID):
 		d.Pool.CloseIdle(w.Address)
-		return outcome.Wrap(outcome.Failed, outcome.MayHaveRun, errWrongAnswer, "worker %s", w.ID)
+		return outcome.Errorf(outcome.Failed, outcome.MayHaveRun, errWrongAnswer, "worker %s", w.ID)
 	case answer.Status == fasthttp.StatusMisdirectedRequest:
 		return reject(w, answer, routing.RejectedMisdirected)
 	case len(answer.Header.Peek("Not-Executed")) > 0:
 		return reject(w, answer, routing.RejectedNotExecuted)
 	case answer.Status < 300 && len(answer.Header.Peek("Response-Stamp")) == 0:
-		return outcome.Wrap(outcome.Failed, outcome.MayHaveRun, errWrongAnswer, "worker %s: no stamp", w.ID)
+		return outcome.Errorf(outcome.Failed, outcome.MayHaveRun, errWrongAnswer, "worker %s: no stamp", w.ID)
 	case answer.Status == fasthttp.StatusServiceUnavailable || answer.Status == fasthttp.StatusTooManyRequests || answer.Status == fasthttp.StatusRequestTimeout:
 		// These would promise the client that the request has not run, which the worker doesn't say.
-		return outcome.Wrap(outcome.Failed, outcome.MayHaveRun, nil, "worker %s answered %d", w.ID, answer.Status)
+		return outcome.Errorf(outcome.Failed, outcome.MayHaveRun, nil, "worker %s answered %d", w.ID, answer.Status)
 	}
 	return nil
 }
 
 func reject(w *routing.Worker, answer *worker.Answer, cause routing.RejectionCause) error {
-	return outcome.Wrap(outcome.Failed, outcome.NotRun, &rejectionError{cause}, "worker %s answered %d", w.ID, answer.Status)
+	return outcome.Errorf(outcome.Failed, outcome.NotRun, &rejectionError{cause}, "worker %s answered %d", w.ID, answer.Status)
 }
--- a/internal/scheduler/forward/forward.go
+++ b/internal/scheduler/forward/forward.go
@@ -89,7 +89,7 @@
 	}
 	cancel()
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
-		result.Err = outcome.Wrap(outcome.TimedOut, result.Outcome, ctx.Err(), "out of time")
+		result.Err = outcome.Errorf(outcome.TimedOut, result.Outcome, ctx.Err(), "out of time")
 	}
 	return result
 }
--- a/internal/scheduler/outcome/outcome.go
+++ b/internal/scheduler/outcome/outcome.go
@@ -1,74 +1,29 @@
-// Package outcome says, for a try of a request that did not end well, whether a worker may have run it. Whether it may be sent once
-// more, and which status its client may get, follows from that alone.
 package outcome
 
-import (
-	"errors"
+import "errors"
 
-	"github.com/joomcode/errorx"
-)
-
-// Verdict says whether a request may have run.
+// Outcome says whether a worker may have run a request that has failed. The zero value is MayHaveRun, the cautious one.
 type Outcome uint8
 
 const (
-	// MayHaveRun is the verdict where nothing says otherwise.
+	// MayHaveRun is the outcome of everything that does not prove another one: the request may have run, or may still run.
 	MayHaveRun Outcome = iota
-	// NotRun says that no worker has run the request, nor will.
+	// NotRun guarantees that no worker has run the request and none will. Sending it again is safe for every kind of request.
 	NotRun
-	// Ran says that a worker has run it.
+	// Ran says that a worker has run the request and answered with an error.
 	Ran
 )
 
-func (v Outcome) String() string {
-	return [...]string{"may have run", "not run", "ran"}[v]
+// String returns the outcome as the label of the metric tries_total has it.
+func (o Outcome) String() string {
+	return [...]string{"may have run", "not run", "ran"}[o]
 }
 
-var (
-	namespace = errorx.NewNamespace("request")
-	// Failed is the type of errors of one try.
-	Failed = namespace.NewType("try_failed")
-	// Cancelled is the type of errors of tries that this side gave up.
-	Cancelled = namespace.NewType("cancelled")
-	// TimedOut is the type of errors of tries whose time ran out.
-	TimedOut = namespace.NewType("timed_out", errorx.Timeout())
-
-	outcomeProperty = errorx.RegisterProperty("verdict")
-)
-
-// Of returns the verdict that an error carries: MayHaveRun where it carries none.
+// Of returns the outcome of the outermost Error in the chain of err. It is MayHaveRun where there is none.
 func Of(err error) Outcome {
-	var x *errorx.Error
-	if errors.As(err, &x) {
-		if value, ok := x.Property(outcomeProperty); ok {
-			return value.(Outcome)
-		}
+	var failure *Error
+	if errors.As(err, &failure) {
+		return failure.Outcome
 	}
 	return MayHaveRun
 }
-
-// Wrap gives an error a type and a verdict.
-func Wrap(kind *errorx.Type, v Outcome, err error, message string, values ...any) error {
-	if err == nil {
-		return kind.New(message, values...).WithProperty(outcomeProperty, v)
-	}
-	return kind.Wrap(err, message, values...).WithProperty(outcomeProperty, v)
-}
-
-// As is errors.As that also looks behind Wrap: errors of this version of errorx have no Unwrap.
-func As(err error, target any) bool {
-	for err != nil {
-		if errors.As(err, target) {
-			return true
-		}
-		var wrap *errorx.Error
-		if !errors.As(err, &wrap) {
-			return false
-		}
-		err = wrap.Cause()
-	}
-	return false
-}
-
-// IsTimeout tells whether an error says that time ran out.
-func IsTimeout(err error) bool { return errorx.IsTimeout(err) }
--- a/internal/scheduler/outcome/outcome_test.go
+++ b/internal/scheduler/outcome/outcome_test.go
@@ -12,20 +12,47 @@
 
 func (typed) Error() string { return "typed" }
 
-// A cause of a type is found behind any number of wraps of either kind, as it was given.
+// errors.As finds a cause of a type behind any number of wraps of either kind, with its value.
 func TestCauseIsFoundBehindWraps(t *testing.T) {
 	is := is.New(t)
 	cause := fmt.Errorf("with: %w", typed{7})
-	once := Wrap(Failed, NotRun, cause, "worker %s", "w1")
-	twice := fmt.Errorf("try: %w", Wrap(Failed, NotRun, once, "again"))
-	for _, err := range []error{typed{7}, cause, once, twice} {
+	wrapped := Errorf(Failed, NotRun, cause, "worker %s", "w1")
+	wrappedTwice := fmt.Errorf("attempt: %w", Errorf(Failed, NotRun, wrapped, "again"))
+	for _, err := range []error{typed{7}, cause, wrapped, wrappedTwice} {
 		var found typed
-		is.True(As(err, &found))
+		is.True(errors.As(err, &found))
 		is.Equal(found.number, 7)
 	}
 	var found typed
-	is.True(!As(nil, &found))
-	is.True(!As(Wrap(Failed, NotRun, errors.New("other"), "worker"), &found))
-	is.True(!As(Wrap(Failed, MayHaveRun, nil, "no cause"), &found))
-	is.Equal(Of(twice), NotRun)
+	is.True(!errors.As(nil, &found))
+	is.True(!errors.As(Errorf(Failed, NotRun, errors.New("other"), "worker"), &found))
+	is.True(!errors.As(Errorf(Failed, MayHaveRun, nil, "no cause"), &found))
+	is.Equal(Of(wrappedTwice), NotRun)
+}
+
+// The texts are those that log lines have had; the outermost error decides on outcome and timeout.
+func TestErrors(t *testing.T) {
+	timedOut := Errorf(TimedOut, MayHaveRun, errors.New("deadline"), "read from %s", "w1")
+	for _, c := range []struct {
+		name    string
+		err     error
+		text    string
+		outcome Outcome
+		timeout bool
+	}{
+		{"without a cause", Errorf(Failed, Ran, nil, "worker %s answered %d", "w1", 500), "request.try_failed: worker w1 answered 500", Ran, false},
+		{"timed out", timedOut, "request.timed_out: read from w1, cause: deadline", MayHaveRun, true},
+		{
+			"a timeout as cause", Errorf(Failed, NotRun, timedOut, "given up"),
+			"request.try_failed: given up, cause: request.timed_out: read from w1, cause: deadline", NotRun, false,
+		},
+		{"of another package", errors.New("other"), "other", MayHaveRun, false},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			is := is.New(t)
+			is.Equal(c.err.Error(), c.text)
+			is.Equal(Of(c.err), c.outcome)
+			is.Equal(IsTimeout(c.err), c.timeout)
+		})
+	}
 }
--- a/internal/scheduler/worker/pool.go
+++ b/internal/scheduler/worker/pool.go
@@ -79,16 +79,16 @@
 func (p *Pool) Do(ctx context.Context, call *Call) (*Answer, error) {
 	conn, err := p.connect(call)
 	if err != nil {
-		return nil, outcome.Wrap(outcome.Failed, outcome.NotRun, err, "connect to %s", call.Address)
+		return nil, outcome.Errorf(outcome.Failed, outcome.NotRun, err, "connect to %s", call.Address)
 	}
 	stop := context.AfterFunc(ctx, func() { conn.SetDeadline(time.Unix(1, 0)) })
 	fail := func(v outcome.Outcome, err error, what string) error {
 		stop()
 		conn.Close()
 		if ctx.Err() != nil {
-			return outcome.Wrap(outcome.TimedOut, v, ctx.Err(), "%s %s", what, call.Address)
+			return outcome.Errorf(outcome.TimedOut, v, ctx.Err(), "%s %s", what, call.Address)
 		}
-		return outcome.Wrap(outcome.Failed, v, err, "%s %s", what, call.Address)
+		return outcome.Errorf(outcome.Failed, v, err, "%s %s", what, call.Address)
 	}
 	a := &Answer{pool: p, address: call.Address, conn: conn, stop: stop}
 	if encoded := call.encode(); len(encoded) > directMost {
