--- a/internal/scheduler/forward/attempt.go
+++ b/internal/scheduler/forward/attempt.go
@@ -47,7 +47,7 @@
 
 // hasAttemptTimeout reports whether an attempt that takes long is ended in favour of another one.
 func (d *delivery) hasAttemptTimeout() bool {
-	return d.mode == readBody && d.request.Route.Repeatable() && !d.attempts.IsLast()
+	return d.mode == readBody && d.request.Route.Idempotent() && !d.attempts.IsLast()
 }
 
 func (d *delivery) attemptTimeout() time.Duration {
--- a/internal/scheduler/forward/attempts.go
+++ b/internal/scheduler/forward/attempts.go
@@ -7,23 +7,23 @@
 
 // Attempts decides whether another attempt of one request is allowed. It has no clock and no lock: one goroutine uses it.
 type Attempts struct {
-	repeatable bool
+	idempotent bool
 	maxRuns    int // attempts that may have run
 	runs       int
 	rejections int
 }
 
-// NewAttempts returns the attempts of a request that has had none. A repeatable request may run max(maxRuns, 1) times, any other one time only.
-func NewAttempts(repeatable bool, maxRuns int) *Attempts {
-	return &Attempts{repeatable: repeatable, maxRuns: max(maxRuns, 1)}
+// NewAttempts returns the attempts of a request that has had none. An idempotent request may run max(maxRuns, 1) times, any other one time only.
+func NewAttempts(idempotent bool, maxRuns int) *Attempts {
+	return &Attempts{idempotent: idempotent, maxRuns: max(maxRuns, 1)}
 }
 
 // IsLast reports whether no other attempt is allowed after the next one that may have run.
-func (a *Attempts) IsLast() bool { return !a.repeatable || a.runs+1 >= a.maxRuns }
+func (a *Attempts) IsLast() bool { return !a.idempotent || a.runs+1 >= a.maxRuns }
 
 // Record counts an attempt that brought no answer to pass on, and reports whether another one is allowed. An attempt that has not run allows one
-// for every request, up to maxRejections. An attempt that has run or may have run, also one that timed out or was reset, allows one only for a
-// repeatable request, and counts against its maximum.
+// for every request, up to maxRejections. An attempt that has run or may have run, also one that timed out or was reset, allows one only for an
+// idempotent request, and counts against its maximum.
 func (a *Attempts) Record(o outcome.Outcome) (retry bool) {
 	if o == outcome.NotRun {
 		a.rejections++
--- a/internal/scheduler/forward/forward.go
+++ b/internal/scheduler/forward/forward.go
@@ -78,7 +78,7 @@
 		mode:      mode,
 		services:  drawServices(r.Route),
 		attempted: map[string]bool{},
-		attempts:  NewAttempts(r.Route.Repeatable(), r.Route.MaxAttempts),
+		attempts:  NewAttempts(r.Route.Idempotent(), r.Route.MaxAttempts),
 		failure:   Result{Outcome: outcome.NotRun, Err: ErrNoWorker},
 	}
 }
--- a/internal/scheduler/forward/metrics.go
+++ b/internal/scheduler/forward/metrics.go
@@ -25,7 +25,7 @@
 func countAttempt(label string) { attemptCounters[label].Inc() }
 
 // requestWaits are the times from a request's arrival to the reservation of its first worker.
-var requestWaits = metrics.Durations("request_wait_seconds")
+var requestWaits = metrics.DurationHistogram("request_wait_seconds")
 
 // countWait adds the request's wait to requestWaits before its first attempt. Requests that no client waits for don't count.
 func (d *delivery) countWait() {
--- a/internal/scheduler/outcome/doc.go
+++ b/internal/scheduler/outcome/doc.go
@@ -17,12 +17,12 @@
 //
 // # Which outcome allows another attempt
 //
-//	            Route.Repeatable                     other routes
+//	            Route.Idempotent                     other routes
 //	NotRun      until 4 attempts were not run        until 4 attempts were not run
 //	MayHaveRun  until maxAttempts workers may have   never
 //	Ran         run the request                      never
 //
-// Repeatable are the routes of the types idempotent and deployment, and resumable streams.
+// Idempotent are the routes of the types idempotent and deployment, and resumable streams.
 //
 // # Which status the client gets
 //
