--- a/internal/scheduler/batchrunner/item_test.go
+++ b/internal/scheduler/batchrunner/item_test.go
@@ -21,7 +21,7 @@
 	"github.com/matryer/is"
 )
 
-// standIn answers one request on each connection with a text, and then says nothing more or closes.
+// startFakeWorker starts a worker that sends one answer on each connection and then closes it, or with hang sends nothing more.
 func startFakeWorker(t *testing.T, heads chan<- textproto.MIMEHeader, answer string, hang bool) string {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -86,12 +86,12 @@
 	return &rpc.Lease{Job: "j", Number: 1, Host: "h", Model: "m", MinVersion: min, DueInMs: 9000, Item: &rpc.Item{Id: "item", Path: "/x", Body: []byte("b")}}
 }
 
-// A worker falls silent in the middle of a text: the text is taken up at another one, behind its last event.
+// A worker sends nothing more in the middle of a text: another one continues the text after its last event.
 func TestUnresponsiveWorker(t *testing.T) {
 	is := is.New(t)
 	heads := make(chan textproto.MIMEHeader, 8)
-	silent := startFakeWorker(t, heads, firstPart, true)
-	r := newRunner(t, silent)
+	unresponsive := startFakeWorker(t, heads, firstPart, true)
+	r := newRunner(t, unresponsive)
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
 	result := make(chan *rpc.Report, 1)
@@ -108,19 +108,19 @@
 	is.Equal((<-heads).Get("Last-Event-Id"), "1")
 }
 
-// Tokens of weights that are too old are not used, although the table said otherwise.
+// Tokens of weights that are too old are not used, although the routing table has a newer version for the worker.
 func TestOldWeights(t *testing.T) {
 	is := is.New(t)
 	heads := make(chan textproto.MIMEHeader, 8)
 	old := startFakeWorker(t, heads, lastPart, false)
-	r := newRunner(t, "", old) // the table says version 4, the worker has 3
+	r := newRunner(t, "", old) // the routing table has version 4, the worker 3
 	r.Forwarder.Table.RemoveWorker("")
 	report := r.runItem(context.Background(), newLease(4))
 	is.True(report.Released)
 	is.True(report.Result == nil)
 }
 
-// A worker that fails says so once; one that can't do the item ends it.
+// A 500 is reported as a failure of the lease; a 422 ends the item without a result.
 func TestFailures(t *testing.T) {
 	is := is.New(t)
 	heads := make(chan textproto.MIMEHeader, 8)
@@ -144,21 +144,21 @@
 		r.applyResponse(ctx, shard, &rpc.WorkResponse{Epoch: 2, Leases: []*rpc.Lease{newLease(0)}})
 		<-heads
 	}
-	first, told := r.leasesToNotify("ledger-0")
-	is.True(told)
+	first, listed := r.leasesToNotify("ledger-0")
+	is.True(listed)
 	is.Equal(len(first), 1)
 	second, _ := r.leasesToNotify("ledger-1")
 	is.Equal(len(second), 1)
 	r.applyResponse(ctx, "ledger-0", &rpc.WorkResponse{Epoch: 2, Cancelled: []uint64{1}})
 	delete(r.notifiedAt, "ledger-1")
 	second, _ = r.leasesToNotify("ledger-1")
-	is.Equal(len(second), 1) // still worked on
+	is.Equal(len(second), 1) // still running
 	cancel()
 	r.active.Wait()
 	is.Equal(len(r.leases), 0)
 }
 
-// A lease counts as held until the owner has taken its report, so that the owner doesn't hand the item out once more.
+// A lease is listed until the owner has acknowledged its report, so that the owner doesn't lease the item again in between.
 func TestLeasedUntilReported(t *testing.T) {
 	is := is.New(t)
 	heads := make(chan textproto.MIMEHeader, 8)
@@ -169,12 +169,12 @@
 	r.applyResponse(context.Background(), "s", &rpc.WorkResponse{Epoch: 2, Leases: []*rpc.Lease{newLease(0)}})
 	reported := <-queue
 	is.True(reported.report.Failed)
-	held, _ := r.leasesToNotify("s")
-	is.Equal(len(held), 1)
+	leases, _ := r.leasesToNotify("s")
+	is.Equal(len(leases), 1)
 	r.release(reported.key)
 	r.active.Wait()
 	delete(r.notifiedAt, "s")
-	held, told := r.leasesToNotify("s")
-	is.True(told)
-	is.Equal(len(held), 0)
+	leases, listed := r.leasesToNotify("s")
+	is.True(listed)
+	is.Equal(len(leases), 0)
 }
--- /dev/null
+++ b/internal/scheduler/batchrunner/report.go
@@ -0,0 +1,99 @@
+package batchrunner
+
+import (
+	"context"
+	"saffronquay/internal/scheduler/rpc"
+)
+
+const (
+	// reportQueueSize bounds the reports that wait for a shard's owner. Beyond it leases end without a report, and the owner notices that the
+	// next list of leases lacks them.
+	reportQueueSize = 4096
+	maxReportBatch  = 64
+)
+
+// pendingReport is a report that the owner of the lease's shard has not acknowledged.
+type pendingReport struct {
+	key    leaseKey
+	report *rpc.Report
+}
+
+// runLease executes the item of a lease and queues its report. A lease that was cancelled ends without a report, unless it has a result.
+func (r *Runner) runLease(ctx context.Context, shard string, lease *rpc.Lease) {
+	key := leaseKey{shard, lease.Number}
+	report := r.runItem(ctx, lease)
+	cancelled := ctx.Err() != nil
+	if report == nil || cancelled && report.Result == nil {
+		r.release(key)
+		return
+	}
+	report.Job, report.Item, report.Number = lease.Job, lease.Item.Id, lease.Number
+	if report.Result != nil {
+		report.Result.Item = lease.Item.Id
+	}
+	r.mu.Lock()
+	queue := r.reportQueues[shard]
+	r.mu.Unlock()
+	select {
+	case queue <- pendingReport{key, report}:
+	default:
+		r.Log.Warn("report dropped: queue is full", "shard", shard)
+		r.release(key)
+	}
+}
+
+// release ends a lease: it is not listed to the owner any more.
+func (r *Runner) release(key leaseKey) {
+	r.mu.Lock()
+	if l := r.leases[key]; l != nil {
+		l.cancel()
+		delete(r.leases, key)
+	}
+	r.mu.Unlock()
+	r.active.Done()
+}
+
+// deliverReports sends the queued reports of a shard to its owner in batches, until ctx ends.
+func (r *Runner) deliverReports(ctx context.Context, shard string, queue <-chan pendingReport) {
+	for {
+		select {
+		case first := <-queue:
+			r.deliver(ctx, shard, collectBatch(first, queue))
+		case <-ctx.Done():
+			return
+		}
+	}
+}
+
+// collectBatch returns first and what else is queued at the moment, maxReportBatch at most.
+func collectBatch(first pendingReport, queue <-chan pendingReport) []pendingReport {
+	batch := []pendingReport{first}
+	for len(batch) < maxReportBatch {
+		select {
+		case next := <-queue:
+			batch = append(batch, next)
+		default:
+			return batch
+		}
+	}
+	return batch
+}
+
+// deliver sends reports until the owner acknowledges them or ctx ends, and requests new items with the same call.
+func (r *Runner) deliver(ctx context.Context, shard string, batch []pendingReport) {
+	reports := make([]*rpc.Report, 0, len(batch))
+	for _, pending := range batch {
+		reports = append(reports, pending.report)
+	}
+	for ctx.Err() == nil {
+		want, slots := r.freeCapacity(shard)
+		response := r.requestWork(ctx, shard, &rpc.WorkRequest{Reports: reports, Rooms: slots}, want)
+		if response != nil && response.ReportsTaken {
+			for _, pending := range batch {
+				r.release(pending.key)
+			}
+			return
+		}
+		backOff(ctx, callBackoff)
+	}
+}
--- a/internal/scheduler/batchrunner/score.go
+++ b/internal/scheduler/batchrunner/score.go
@@ -11,18 +11,20 @@
 )
 
 const (
-	// scoreTries bounds how often a text's reward call is made anew.
+	// maxScoreAttempts bounds the reward calls for one text.
 	maxScoreAttempts = 8
-	// scoreLeast is the least time that one of these tries has, and scoreTimeouts the time for all of them, in timeouts of the route. Workers are
-	// told the end of that whole time each time: a call that is sent once more must not be given more time than the first.
-	minScoreAttemptMS   = 500 // ms
+	// minScoreAttemptMS is the least time of one reward call, in milliseconds; otherwise it has the timeout of its route.
+	minScoreAttemptMS = 500
+	// scoreBudgetTimeouts is the time for all reward calls of a text, in timeouts of one call. Workers get the end of this time as their
+	// deadline with each call: a repeated call must not be given more time than the first.
 	scoreBudgetTimeouts = 3
 )
 
-// score has a whole text scored, where the item asks for that.
-func (r *Runner) score(ctx context.Context, lease *rpc.Lease, generated *generatedText) *rpc.Report {
-	result := &rpc.Result{Completed: true, Text: compression.Texts.Pack(generated.data), WeightVersions: generated.versions}
-	scorer := lease.Item.Scorer
+// score sends a complete text's reward call where the item names one, and returns the report; nil where ctx was cancelled. The item ends
+// without a result where workers answered 500 as often as the route allows. It is handed back where the time or the calls are used up.
+func (r *itemRun) score(ctx context.Context) *rpc.Report {
+	result := &rpc.Result{Completed: true, Text: compression.Texts.Pack(r.text.data), WeightVersions: r.text.versions}
+	scorer := r.lease.Item.Scorer
 	if scorer == nil {
 		return &rpc.Report{Result: result}
 	}
@@ -31,37 +33,38 @@
 	for range maxScoreAttempts {
 		route := r.Configuration().Find(scorer.Host, scorer.Path)
 		if route == nil {
-			return &rpc.Report{Result: &rpc.Result{}}
+			return incompleteReport()
 		}
-		left := time.Duration(max(route.TimeoutMS, minScoreAttemptMS)) * time.Millisecond
+		timeout := time.Duration(max(route.TimeoutMS, minScoreAttemptMS)) * time.Millisecond
 		if end.IsZero() {
-			end = time.Now().Add(scoreBudgetTimeouts * left)
+			end = time.Now().Add(scoreBudgetTimeouts * timeout)
 		} else if time.Now().After(end) {
 			break
 		}
 		answer := r.Forwarder.Do(ctx, &forward.Request{
 			ID: scorer.Id, Method: fasthttp.MethodPost, URI: scorer.Path, Host: scorer.Host, Body: scorer.Body,
-			Route: route, Deadline: earlier(time.Now().Add(left), end), WorkerDeadline: end,
+			Route: route, Deadline: earlier(time.Now().Add(timeout), end), WorkerDeadline: end,
 		})
 		serverErrors += answer.ServerErrors
-		if answer.Err == nil && answer.Status < 300 {
+		if answer.Err == nil && answer.Status < fasthttp.StatusMultipleChoices {
 			result.Score = string(answer.Answer.Header.Peek("Response-Stamp"))
 			answer.Release()
 			return &rpc.Report{Result: result}
 		}
 		answer.Release()
-		r.Log.Debug("reward call", "item", lease.Item.Id, "status", answer.Status, "error", answer.Err, "errors", answer.ServerErrors)
+		r.Log.Debug("reward call", "item", r.lease.Item.Id, "status", answer.Status, "error", answer.Err, "errors", answer.ServerErrors)
 		if ctx.Err() != nil {
 			return nil
 		}
 		if serverErrors >= max(route.MaxAttempts, 1) {
-			return &rpc.Report{Result: &rpc.Result{}}
+			return incompleteReport()
 		}
 		backOff(ctx, retryBackoff)
 	}
-	return &rpc.Report{Released: true}
+	return releaseReport()
 }
 
+// earlier returns the earlier of two times.
 func earlier(a, b time.Time) time.Time {
 	if a.Before(b) {
 		return a
--- a/internal/scheduler/batchrunner/text.go
+++ b/internal/scheduler/batchrunner/text.go
@@ -10,18 +10,22 @@
 	"time"
 )
 
-// text is what has been made of an item so far.
+// generatedText is what the workers have generated for an item so far.
 type generatedText struct {
-	data           []byte
+	data           []byte // of all events, separated by line feeds
 	events         int
-	lastID         int64
-	versions       []uint64
-	currentVersion uint64
+	lastID         int64    // of the last event
+	versions       []uint64 // of the weights, in the order of their first event
+	currentVersion uint64   // of the weights, of the events that come now
 }
 
-func (t *generatedText) reset() { *t = generatedText{lastID: -1} }
+func newText() generatedText { return generatedText{lastID: -1} }
 
-// fits tells whether a text may go on under a version of the weights, and notes it. A text of one version begins anew under a later one.
+// reset discards the text, so that the next worker begins it anew.
+func (t *generatedText) reset() { *t = newText() }
+
+// acceptVersion reports whether a worker with this version of the weights may continue the text, and makes the version the current one. Where
+// the lease wants one version only and the worker has another, the text is reset.
 func (t *generatedText) acceptVersion(lease *rpc.Lease, version uint64) bool {
 	if version < lease.MinVersion {
 		return false
@@ -34,18 +38,33 @@
 	return true
 }
 
+// append adds an event.
+func (t *generatedText) append(id int64, data []byte) {
+	if t.events > 0 {
+		t.data = append(t.data, '\n')
+	}
+	t.data = append(t.data, data...)
+	t.events++
+	t.lastID = id
+	if !slices.Contains(t.versions, t.currentVersion) {
+		t.versions = append(t.versions, t.currentVersion)
+	}
+}
+
 var (
-	errVersionChanged = errors.New("batch: the version of the weights changed within a text")
-	errEventOrder     = errors.New("batch: an event is missing or stands twice")
+	errVersionChanged = errors.New("batchrunner: weight version changed within a text")
+	errEventOrder     = errors.New("batchrunner: event is missing or repeated")
 )
 
-// read adds an answer's events to the text; no error says that the text is whole.
-func (r *Runner) readEvents(answer *worker.Answer, lease *rpc.Lease, w *routing.Worker, generated *generatedText, silence *time.Timer) error {
+// readEvents appends an answer's events to the text; without an error the text is complete. Each event starts the timeout again. After
+// errVersionChanged and errEventOrder the text is reset, after other errors another worker may continue it.
+func (r *itemRun) readEvents(answer *worker.Answer, w *routing.Worker, timeout *time.Timer) error {
 	events := worker.NewEventReader(answer)
+	text := &r.text
 	for {
 		event, err := events.Next()
 		if errors.Is(err, io.EOF) {
-			if generated.events == 0 {
+			if text.events == 0 {
 				return io.ErrUnexpectedEOF
 			}
 			return nil
@@ -53,27 +72,19 @@
 		if err != nil {
 			return err
 		}
-		silence.Reset(r.Timeouts.BetweenEvents)
-		if event.WeightVersion != 0 && event.WeightVersion != generated.currentVersion {
-			r.Forwarder.Table.RecordVersion(w, lease.Model, event.WeightVersion)
-			if lease.SingleVersion && generated.events > 0 {
-				generated.reset()
+		timeout.Reset(r.Timeouts.BetweenEvents)
+		if event.WeightVersion != 0 && event.WeightVersion != text.currentVersion {
+			r.Forwarder.Table.RecordVersion(w, r.lease.Model, event.WeightVersion)
+			if r.lease.SingleVersion && text.events > 0 {
+				text.reset()
 				return errVersionChanged
 			}
-			generated.currentVersion = event.WeightVersion
+			text.currentVersion = event.WeightVersion
 		}
-		if generated.events > 0 && event.ID >= 0 && event.ID <= generated.lastID {
-			generated.reset()
+		if text.events > 0 && event.ID >= 0 && event.ID <= text.lastID {
+			text.reset()
 			return errEventOrder
 		}
-		if generated.events > 0 {
-			generated.data = append(generated.data, '\n')
-		}
-		generated.data = append(generated.data, event.Data...)
-		generated.events++
-		generated.lastID = event.ID
-		if !slices.Contains(generated.versions, generated.currentVersion) {
-			generated.versions = append(generated.versions, generated.currentVersion)
-		}
+		text.append(event.ID, event.Data)
 	}
 }
