--- a/internal/scheduler/controlplane/placements.go
+++ b/internal/scheduler/controlplane/placements.go
@@ -48,7 +48,7 @@
 	if status == nil {
 		return
 	}
-	ledMS := s.host.Now() - status.LedSince
+	ledMS := s.host.Now() - status.LeaderSince
 	if ledMS < minLeadTime.Milliseconds() {
 		return
 	}
