--- a/internal/scheduler/consensus/core.go
+++ b/internal/scheduler/consensus/core.go
@@ -130,7 +130,8 @@
 func (c *Core) LeaderContactAt() int64 { return c.leaderContactAt }
 
 // CurrentAt returns when a leader's message last arrived while this replica had all that was committed by then; 0 if never. A replica whose
-// replies are lost still receives heartbeats but no entries: LeaderContactAt advances, CurrentAt does not.
+// replies are lost still receives heartbeats but no entries: LeaderContactAt advances, CurrentAt does not. Neither advances while the replica
+// leads; Leadership has the time to use then.
 func (c *Core) CurrentAt() int64 { return c.currentAt }
 
 // Tick advances the core's time: it starts elections, sends heartbeats, and makes a leader without a majority step down. It is due at NextTickAt.
@@ -152,7 +153,8 @@
 	}
 }
 
-// NextTickAt returns when Tick is due if no message arrives before. It is in the past for a replica that is no voter and hears of no leader.
+// NextTickAt returns when Tick is due if no message arrives before. It stays in the past for a replica that is no voter and hears of no leader:
+// Tick does nothing there.
 func (c *Core) NextTickAt() int64 {
 	if c.role == leader {
 		return c.heartbeatAt
--- a/internal/scheduler/consensus/doc.go
+++ b/internal/scheduler/consensus/doc.go
@@ -40,6 +40,6 @@
 //
 // # Concurrency and errors
 //
-// A Core is for one goroutine. Propose and ProposeMembership return ErrNotLeader or ErrBusy, and have no effect then. Messages of
-// another group or for another replica, and those of earlier epochs, are ignored or rejected and cause no error.
+// A Core is for one goroutine. A proposal that returns an error has had no effect; ErrNotLeader and ErrBusy say why. Messages of another
+// group or for another replica, and those of earlier epochs, are ignored or rejected and cause no error.
 package consensus
--- a/internal/scheduler/consensus/repair_test.go
+++ b/internal/scheduler/consensus/repair_test.go
@@ -49,7 +49,10 @@
 	for i, name := range c.names {
 		stored := Stored{HardState: &rpc.HardState{}, Snapshot: &rpc.Snapshot{Membership: &rpc.Membership{}}}
 		if i < size {
-			stored = Stored{HardState: &rpc.HardState{Epoch: foundingEpoch}, Snapshot: &rpc.Snapshot{Index: 1, Epoch: 1, Membership: &rpc.Membership{Voters: founders}}}
+			stored = Stored{
+				HardState: &rpc.HardState{Epoch: foundingEpoch},
+				Snapshot:  &rpc.Snapshot{Index: 1, Epoch: 1, Membership: &rpc.Membership{Voters: founders}},
+			}
 		}
 		c.start(name, stored)
 	}
@@ -60,7 +63,11 @@
 func (c *cluster) start(name string, stored Stored) {
 	n := c.nodes[name]
 	n.stored, n.up, n.applied = stored, true, nil
-	n.core = New(Config{Group: "g", ID: n.id, Address: name, ElectionTimeoutMS: electionTimeoutTestMS, HeartbeatIntervalMS: heartbeatIntervalTestMS, Random: c.random},
+	config := Config{
+		Group: "g", ID: n.id, Address: name,
+		ElectionTimeoutMS: electionTimeoutTestMS, HeartbeatIntervalMS: heartbeatIntervalTestMS, Random: c.random,
+	}
+	n.core = New(config,
 		Stored{HardState: stored.HardState, Snapshot: stored.Snapshot, Entries: slices.Clone(stored.Entries)}, c.now)
 }
 
