--- a/evidence_test.go
+++ b/evidence_test.go
@@ -27,7 +27,7 @@
 	sc := newScript(t, oneCell())
 	sc.step(0, fleetOf(map[ServerID]string{"a1": "a", "a2": "a", "b1": "b", "b2": "b"}))
 	for id := ID(100); id < 140; id += 2 { // zone b answers, zone a cannot be reached, from here alone
-		es := sc.ask(id, 10*ms)
+		es := sc.request(id, 10*ms)
 		s := of[Send](sc.step(100*ms, es...))[0]
 		for n := 0; ; n++ {
 			if s.Server[0] == 'b' {
@@ -43,7 +43,7 @@
 	}
 	// A server of each zone that was never tried joins: the one in the sound zone gets the part.
 	sc.step(0, fleetOf(map[ServerID]string{"a3": "a", "b3": "b"}))
-	if s := of[Send](sc.step(ms, sc.ask(900, 10*ms)...)); len(s) != 1 || s[0].Server != "b3" {
+	if s := of[Send](sc.step(ms, sc.request(900, 10*ms)...)); len(s) != 1 || s[0].Server != "b3" {
 		t.Fatalf("want b3, got %v", s)
 	}
 }
@@ -56,7 +56,7 @@
 	sc := newScript(t, cfg)
 	sc.step(0, fleetOf(map[ServerID]string{"a1": "a"}))
 	for id := ID(100); id < 120; id += 2 {
-		es := sc.ask(id, 10*ms)
+		es := sc.request(id, 10*ms)
 		out := Errored
 		if id%4 == 0 {
 			q := es[0].(Query)
@@ -67,7 +67,7 @@
 		sc.step(ms, AttemptEnded{Part: s.Part, Server: s.Server, Outcome: out, Latency: 10 * ms}, ClientLeft{Query: id})
 	}
 	r := sc.s.servers["a1"]
-	if bad, good := sc.s.risk("q", r), sc.s.risk("other", r); bad < 0.5 || good > 0.35 {
+	if bad, good := sc.s.failureRisk("q", r), sc.s.failureRisk("other", r); bad < 0.5 || good > 0.35 {
 		t.Errorf("risk %v for the class that fails, %v for the other", bad, good)
 	}
 }
@@ -76,19 +76,19 @@
 	sc := newScript(t, oneCell())
 	sc.step(0, fleetOf(map[ServerID]string{"a1": "a"}))
 	r := sc.s.servers["a1"]
-	p := &part{q: &query{class: &sc.s.cfg.Classes[0]}}
+	p := &part{query: &query{class: &sc.s.cfg.Classes[0]}}
 	for i := range 15 { // a fifth of the answers is lost
 		failed := 0.0
 		if i%5 == 0 {
 			failed = 1
 		}
-		sc.s.judge(p, r, failed)
+		sc.s.recordOutcome(p, r, failed)
 	}
-	if got := sc.s.risk("q", r); got < 0.08 || got > 0.4 {
+	if got := sc.s.failureRisk("q", r); got < 0.08 || got > 0.4 {
 		t.Errorf("risk %v of a server that loses a fifth", got)
 	}
 	sc.step(ms, FleetChanged{Kind: FleetDelta, Servers: []Server{{ID: "a1", Zone: "a", Health: Ready, StartedAt: sc.now}}})
-	if got := r.failing.tries; got != 0 {
+	if got := r.failureRate.count; got != 0 {
 		t.Errorf("a new process is judged by %v attempts of the old one", got)
 	}
 }
@@ -102,19 +102,19 @@
 			sc := newScript(t, oneCell())
 			sc.step(0, fleetOf(map[ServerID]string{"a1": "a", "a2": "a", "b1": "b"}))
 			for id := ID(100); id < 200; id += 2 {
-				s := of[Send](sc.step(tc.every, sc.ask(id, 10*ms)...))[0]
+				s := of[Send](sc.step(tc.every, sc.request(id, 10*ms)...))[0]
 				sc.step(10*ms, served(s, 0, 10*ms))
 			}
-			if got := sc.s.span > 2*sc.s.aim; got != tc.longer {
-				t.Errorf("evidence lasts %d us where an attempt leaves every %d us", sc.s.span, tc.every)
+			if got := sc.s.evidenceSpan > 2*sc.s.shortestTarget; got != tc.longer {
+				t.Errorf("evidence lasts %d us where an attempt leaves every %d us", sc.s.evidenceSpan, tc.every)
 			}
 		})
 	}
 }
 
-func TestAFurtherAttemptWaitsUntilTheAimIsNear(t *testing.T) {
+func TestAFurtherAttemptWaitsUntilTheLatencyTargetIsNear(t *testing.T) {
 	sc := newScript(t, plain(), "a", "b")
-	sc.step(0, sc.ask(100, 100*ms)...)
+	sc.step(0, sc.request(100, 100*ms)...)
 	if c := of[Cancel](sc.run(600 * ms)); len(c) > 0 {
 		t.Errorf("taken back with half the aim left: %v", c)
 	}
@@ -125,29 +125,29 @@
 
 // This aggregator stands still for longer than an aim and then finds all that came meanwhile: its servers answered
 // in time, so nothing is held against them and nothing is sent twice.
-func TestLostTimeOfThisAggregatorIsNotTheServersSilence(t *testing.T) {
+func TestAStallOfThisAggregatorDoesNotMakeServersUnresponsive(t *testing.T) {
 	sc := newScript(t, plain(), "a", "b")
-	a := of[Send](sc.step(0, sc.ask(100, 50*ms, 50*ms)...))
+	a := of[Send](sc.step(0, sc.request(100, 50*ms, 50*ms)...))
 	got := sc.step(1500*ms, served(a[0], 0, 60*ms), served(a[1], 0, 60*ms))
 	if n := len(of[Send](got)) + len(of[Cancel](got)); n > 0 {
 		t.Errorf("copies after a stall: %v", got)
 	}
 	for id, r := range sc.s.servers {
-		if r.failing.fails > 0 || r.struck {
+		if r.failureRate.sum > 0 || r.mostlyFailing {
 			t.Errorf("server %s is blamed for the stall", id)
 		}
 	}
 }
 
-func TestABreakWithinIdleTimesSeenToHoldIsTheServers(t *testing.T) {
+func TestABreakWithinSoundIdleTimesCountsAgainstTheServer(t *testing.T) {
 	sc := newScript(t, plain(), "a", "b")
 	for id := ID(100); id < 140; id += 2 {
-		s := of[Send](sc.step(700*ms, sc.ask(id, 10*ms)...))[0]
+		s := of[Send](sc.step(700*ms, sc.request(id, 10*ms)...))[0]
 		sc.step(10*ms, served(s, 0, 10*ms))
 	}
-	s := of[Send](sc.step(400*ms, sc.ask(900, 10*ms)...))[0]
+	s := of[Send](sc.step(400*ms, sc.request(900, 10*ms)...))[0]
 	sc.step(ms, broken(s, 0))
-	if r := sc.s.servers[s.Server]; r.failing.fails == 0 {
+	if r := sc.s.servers[s.Server]; r.failureRate.sum == 0 {
 		t.Error("the break passed for an idle cut though longer idle connections hold")
 	}
 }
@@ -186,11 +186,11 @@
 }
 
 // Guards the many that wait: where one client in ten goes away soon, the others are served as before.
-func TestAFewWhoLeaveTurnNobodyAway(t *testing.T) {
+func TestAFewClientsThatLeaveCauseNoRefusals(t *testing.T) {
 	sc := newScript(t, oneCell())
 	sc.step(0, fleetOf(map[ServerID]string{"a1": "a"}))
 	for i := range ID(40) {
-		s := of[Send](sc.step(50*ms, sc.ask(100+10*i, 10*ms)...))
+		s := of[Send](sc.step(50*ms, sc.request(100+10*i, 10*ms)...))
 		if len(s) != 1 {
 			t.Fatalf("query %d: %d sends", i, len(s))
 		}
@@ -201,7 +201,7 @@
 			sc.step(10*ms, served(s[0], 0, 10*ms))
 		}
 	}
-	if w := sc.s.patienceOf(&sc.s.cfg.Classes[0]); w < 800*ms {
+	if w := sc.s.expectedClientWait(&sc.s.cfg.Classes[0]); w < 800*ms {
 		t.Errorf("clients are thought to wait %v ms of 1000", w/ms)
 	}
 }
@@ -213,13 +213,13 @@
 	sc := newScript(t, cfg)
 	sc.step(0, fleetOf(map[ServerID]string{"a1": "a"}))
 	for id := ID(100); id < 140; id += 2 {
-		s := of[Send](sc.step(ms, sc.ask(id, 10*ms)...))[0]
+		s := of[Send](sc.step(ms, sc.request(id, 10*ms)...))[0]
 		got := sc.step(500*ms, AttemptEnded{Part: s.Part, Server: s.Server, Outcome: Stranded, Latency: 500 * ms})
 		if len(of[Fail](got)) != 1 || len(of[Send](got)) != 0 {
 			t.Fatalf("want one failure, got %v", got)
 		}
 	}
-	if p := sc.s.risk("q", sc.s.servers["a1"]); p > 0.01 {
+	if p := sc.s.failureRisk("q", sc.s.servers["a1"]); p > 0.01 {
 		t.Errorf("risk %v", p)
 	}
 }
@@ -229,7 +229,7 @@
 	sc := newScript(t, oneCell())
 	list := FleetChanged{Kind: FleetFull, Servers: []Server{{ID: "a1", Health: Ready}}}
 	sc.step(0, list)
-	s := of[Send](sc.step(ms, sc.ask(100, 10*ms)...))[0]
+	s := of[Send](sc.step(ms, sc.request(100, 10*ms)...))[0]
 	sc.step(400*ms, AttemptEnded{
 		Part: s.Part, Server: s.Server, Outcome: Served, Latency: 400 * ms,
 		Report: &LoadReport{Queue: 9, InFlight: -1},
@@ -237,8 +237,8 @@
 	list.Servers[0].StartedAt = sc.now
 	sc.step(ms, list)
 	r := sc.s.servers["a1"]
-	if r.pace != 0 || r.foreign != 0 || r.usedAt != 0 || sc.s.warmth(r) > 0.5 {
-		t.Errorf("pace %v, foreign %v, used %d, warmth %v", r.pace, r.foreign, r.usedAt, sc.s.warmth(r))
+	if r.latencyRatio != 0 || r.foreignWork != 0 || r.lastUsedAt != 0 || sc.s.warmUpFraction(r) > 0.5 {
+		t.Errorf("pace %v, foreign %v, used %d, warmth %v", r.latencyRatio, r.foreignWork, r.lastUsedAt, sc.s.warmUpFraction(r))
 	}
 }
 
@@ -246,9 +246,9 @@
 func TestKeysAreForgottenWithoutRefusals(t *testing.T) {
 	sc := newScript(t, oneCell())
 	sc.step(0, fleetOf(map[ServerID]string{"a1": "a"}))
-	sc.s.condemn("bad")
+	sc.s.blockKey("bad")
 	for id := ID(100); id < 2100; id += 2 {
-		s := of[Send](sc.step(20*ms, withKey(sc.ask(id, ms), fmt.Sprint("key", id))...))
+		s := of[Send](sc.step(20*ms, withKey(sc.request(id, ms), fmt.Sprint("key", id))...))
 		sc.step(ms, served(s[0], 0, ms))
 	}
 	sc.run(20_000 * ms)
@@ -259,21 +259,21 @@
 
 // A part that is never answered makes its server look silent only until a part sent after it was due is served:
 // guards servers against being left out for what was lost on one connection.
-func TestAPartLostOnItsWayIsNotItsServersSilence(t *testing.T) {
+func TestALostPartDoesNotMakeItsServerUnresponsive(t *testing.T) {
 	sc := newScript(t, oneCell())
 	sc.step(0, fleetOf(map[ServerID]string{"a1": "a"}))
 	r := sc.s.servers["a1"]
-	lost := of[Send](sc.step(ms, sc.ask(100, 10*ms)...))
+	lost := of[Send](sc.step(ms, sc.request(100, 10*ms)...))
 	if len(lost) != 1 {
 		t.Fatal(sc.got)
 	}
 	sc.step(200 * ms)
-	if w := sc.s.wait(r); w < 200*ms {
+	if w := sc.s.predictWait(r); w < 200*ms {
 		t.Errorf("an overdue part, and yet a wait of %v", w)
 	}
-	s := of[Send](sc.step(ms, sc.ask(200, 10*ms)...))
+	s := of[Send](sc.step(ms, sc.request(200, 10*ms)...))
 	sc.step(10*ms, served(s[0], 0, 10*ms))
-	if w := sc.s.wait(r); w > 100*ms {
+	if w := sc.s.predictWait(r); w > 100*ms {
 		t.Errorf("a later part was served, and yet a wait of %v", w)
 	}
 }
@@ -287,16 +287,16 @@
 	other.Name = "other"
 	cfg.Classes = append(cfg.Classes, other)
 	sc := newScript(t, cfg, "a", "b")
-	open := of[Send](sc.step(ms, sc.ask(100, 10*ms)...))[0]
-	sc.s.left(&query{class: sc.s.classes["other"], came: sc.now - 100*ms, Query: Query{Deadline: sc.now + 1e9}})
-	sc.s.servers["a"].ofClass(sc.s.classes["other"]).note(sc.now, 1000*ms, 1)
+	open := of[Send](sc.step(ms, sc.request(100, 10*ms)...))[0]
+	sc.s.recordClientLeft(&query{class: sc.s.classes["other"], arrivedAt: sc.now - 100*ms, Query: Query{Deadline: sc.now + 1e9}})
+	sc.s.servers["a"].classFailureRate(sc.s.classes["other"]).add(sc.now, 1000*ms, 1)
 	now := cfg
 	now.Limits.MaxAttempts = 2
 	strict := cfg.Classes[0]
 	strict.Effect = AtMostOnce
 	now.Classes = []Class{{Name: "new", LatencyTarget: 500 * ms, HardLimit: 9000 * ms, Value: 1, CompleteWeight: 1, MinWeight: 1}, other, strict}
 	sc.step(ms, SettingsChanged{Settings: now})
-	if k := sc.s.kind(&other); k.leftAt == 0 || sc.s.servers["a"].byClass["other"].tries == 0 {
+	if k := sc.s.statsOf(&other); k.clientLeftAt == 0 || sc.s.servers["a"].classFailureRates["other"].count == 0 {
 		t.Error("what was learnt of a class that stays is gone")
 	}
 	// The open one may be repeated as when it came, but no more often than now.
@@ -311,26 +311,26 @@
 		t.Errorf("want a refusal after two attempts, got %v", got)
 	}
 	// One that comes now is under the stricter effect.
-	if got := fail(of[Send](sc.step(ms, sc.ask(200, 10*ms)...))[0], 0); len(of[Send](got)) != 0 || len(of[Fail](got)) != 1 {
+	if got := fail(of[Send](sc.step(ms, sc.request(200, 10*ms)...))[0], 0); len(of[Send](got)) != 0 || len(of[Fail](got)) != 1 {
 		t.Errorf("want a failure after one attempt, got %v", got)
 	}
 	// A class that vanishes is forgotten once its last query has gone.
-	sc.step(ms, append(sc.ask(300, 10*ms), SettingsChanged{Settings: Settings{
+	sc.step(ms, append(sc.request(300, 10*ms), SettingsChanged{Settings: Settings{
 		Aggregators: 1, Period: 5 * ms, Shards: 2, Cells: 2,
 		CellsPerShard: 2, Classes: []Class{other}, Limits: now.Limits, Rules: now.Rules,
 	}})...)
 	sc.s.sweptAt = 0
-	if sc.step(ms); sc.s.kinds["q"] == nil {
+	if sc.step(ms); sc.s.statsByClass["q"] == nil {
 		t.Error("a class with an open query was forgotten")
 	}
 	sc.step(ms, ClientLeft{Query: 300})
 	sc.s.sweptAt = 0
 	sc.step(ms)
-	if len(sc.s.kinds) != 1 || len(sc.s.servers["a"].byClass)+len(sc.s.servers["b"].byClass) > 2 {
-		t.Errorf("kept: %v", sc.s.kinds)
+	if len(sc.s.statsByClass) != 1 || len(sc.s.servers["a"].classFailureRates)+len(sc.s.servers["b"].classFailureRates) > 2 {
+		t.Errorf("kept: %v", sc.s.statsByClass)
 	}
 	for _, r := range sc.s.servers {
-		if r.byClass["q"] != nil {
+		if r.classFailureRates["q"] != nil {
 			t.Error("a server keeps what was learnt of a class that is gone")
 		}
 	}
@@ -349,14 +349,14 @@
 	sc.step(ms, FleetChanged{Kind: FleetDelta, Servers: []Server{{ID: "drains", Health: Draining, Cell: 1}, {ID: "gone", Health: Gone, Cell: 1}}})
 	want(3, 1)
 	r := sc.s.servers["silent"]
-	r.attempts = append(r.attempts, &attempt{to: r, sent: sc.now, due: 10 * ms})
+	r.attempts = append(r.attempts, &attempt{replica: r, sentAt: sc.now, predicted: 10 * ms})
 	sc.step(900 * ms)
 	want(3, 1)
 	sc.step(200 * ms)
 	want(3, 2)
 	r.attempts = nil
 	for range 5 {
-		sc.s.judge(&part{q: &query{class: sc.s.classes["q"]}}, sc.s.servers["fine"], 1)
+		sc.s.recordOutcome(&part{query: &query{class: sc.s.classes["q"]}}, sc.s.servers["fine"], 1)
 	}
 	want(3, 2)
 }
@@ -365,8 +365,8 @@
 // part is not spent twice.
 func TestRecalled(t *testing.T) {
 	before := newScript(t, plain(), "a")
-	before.s.condemn("bad")
-	before.s.learn(&query{class: &before.s.cfg.Classes[0], admitted: true}, false)
+	before.s.blockKey("bad")
+	before.s.adjustAdmission(&query{class: &before.s.cfg.Classes[0], admitted: true}, false)
 	l := before.s.Learned()
 	if l.Admission < 0.7 || l.Admission > 0.8 || l.Suspects["bad"] != before.now {
 		t.Fatalf("%+v", l)
@@ -376,10 +376,10 @@
 	cfg.Rules.Budgeted, cfg.Rules.FreeExtraAttempts, cfg.Rules.ExtraAttemptWindow = true, 5, 100*ms
 	sc := newScript(t, cfg, "a")
 	sc.step(ms, Recalled{l})
-	if got := sc.s.slackNow() / sc.s.slackTop; got < 0.7 || got > 0.8 {
+	if got := sc.s.currentSlack() / sc.s.openSlack; got < 0.7 || got > 0.8 {
 		t.Errorf("admission %v", got)
 	}
-	es := sc.ask(100, 10*ms)
+	es := sc.request(100, 10*ms)
 	q := es[0].(Query)
 	q.Key = "bad"
 	es[0] = q
@@ -389,12 +389,12 @@
 	if len(sc.s.keys) != 1 {
 		t.Errorf("keys %v", sc.s.keys)
 	}
-	if sc.s.budget() != 0 {
-		t.Errorf("budget %v within the first window", sc.s.budget())
+	if sc.s.extraAttemptBudget() != 0 {
+		t.Errorf("budget %v within the first window", sc.s.extraAttemptBudget())
 	}
 	sc.step(200 * ms)
-	if sc.s.budget() != 5 {
-		t.Errorf("budget %v after it", sc.s.budget())
+	if sc.s.extraAttemptBudget() != 5 {
+		t.Errorf("budget %v after it", sc.s.extraAttemptBudget())
 	}
 }
 
@@ -403,9 +403,9 @@
 func TestServersRecalled(t *testing.T) {
 	before := newScript(t, plain(), "slow", "bad", "new")
 	r := before.s.servers["slow"]
-	r.pace, r.paceT = 3, before.now
-	before.s.servers["bad"].failing = evidence{fails: 8, tries: 9, at: before.now}
-	before.s.servers["new"].failing = evidence{fails: 8, tries: 9, at: before.now}
+	r.latencyRatio, r.latencyRatioAt = 3, before.now
+	before.s.servers["bad"].failureRate = decayingMean{sum: 8, count: 9, at: before.now}
+	before.s.servers["new"].failureRate = decayingMean{sum: 8, count: 9, at: before.now}
 	l := before.s.Learned()
 	if len(l.Servers) != 3 || l.Servers[2].Server != "slow" || l.Servers[2].LatencyRatio != 3 {
 		t.Fatalf("%+v", l.Servers)
@@ -417,14 +417,16 @@
 		sc.step(0, Recalled{l})
 		return sc
 	}
-	young, old := at(ms), at(100*before.s.span)
-	if got := young.s.paceOf(young.s.servers["slow"]); got < 2.5 {
+	young, old := at(ms), at(100*before.s.evidenceSpan)
+	if got := young.s.latencyRatioOf(young.s.servers["slow"]); got < 2.5 {
 		t.Errorf("pace %v", got)
 	}
-	if got := old.s.paceOf(old.s.servers["slow"]); got > 1.5 {
+	if got := old.s.latencyRatioOf(old.s.servers["slow"]); got > 1.5 {
 		t.Errorf("pace %v after a long time", got)
 	}
-	rate := func(sc *script, id ServerID) float64 { return sc.s.servers[id].failing.rate(sc.now, sc.s.span, 0) }
+	rate := func(sc *script, id ServerID) float64 {
+		return sc.s.servers[id].failureRate.mean(sc.now, sc.s.evidenceSpan, 0)
+	}
 	if rate(young, "bad") < 0.7 || rate(old, "bad") > 0.1 || rate(young, "new") != 0 {
 		t.Errorf("failing %v, %v after a long time, %v of one that has started since", rate(young, "bad"), rate(old, "bad"), rate(young, "new"))
 	}
@@ -435,7 +437,7 @@
 		{Server: "gone", LatencyRatio: 1, LatencyRatioAt: 5},
 	}}})
 	a, b := sc.s.servers["a"], sc.s.servers["b"]
-	if a.paceT > sc.now || a.failing.at > sc.now || b.pace != 0 || b.failing.tries != 0 {
+	if a.latencyRatioAt > sc.now || a.failureRate.at > sc.now || b.latencyRatio != 0 || b.failureRate.count != 0 {
 		t.Errorf("%+v, %+v", a, b)
 	}
 }
--- a/explain.go
+++ b/explain.go
@@ -39,27 +39,27 @@
 	var out []Option
 	for _, r := range s.holders(p.Shard) {
 		o := Option{
-			Server: r.ID, Zone: r.Zone, Health: r.Health, Listed: r.listed, Excluded: s.barred(p, r), WarmingUp: !s.coldRoom(p, r),
+			Server: r.ID, Zone: r.Zone, Health: r.Health, Listed: r.listed, Excluded: s.isExcluded(p, r), WarmingUp: !s.hasWarmUpCapacity(p, r),
 			Predicted: s.predict(p, r),
 		}
 		for _, a := range p.attempts {
-			if a.to == r && !a.ended {
-				o.Excluded, o.WarmingUp, o.Predicted = false, false, a.due
+			if a.replica == r && !a.ended {
+				o.Excluded, o.WarmingUp, o.Predicted = false, false, a.predicted
 			}
 		}
 		if r.Zone != s.cfg.Zone {
-			o.ZoneCharge = zoneWeight * s.cfg.Prices.CrossZone * float64(p.q.class.LatencyTarget)
+			o.ZoneCharge = zoneChargeTargets * s.cfg.Prices.CrossZone * float64(p.query.class.LatencyTarget)
 		}
 		out = append(out, o)
 	}
 	slices.SortStableFunc(out, func(a, b Option) int {
-		return cmp.Or(cmp.Compare(b2i(a.Excluded || a.WarmingUp), b2i(b.Excluded || b.WarmingUp)), cmp.Compare(a.Predicted+a.ZoneCharge, b.Predicted+b.ZoneCharge),
+		return cmp.Or(cmp.Compare(boolToInt(a.Excluded || a.WarmingUp), boolToInt(b.Excluded || b.WarmingUp)), cmp.Compare(a.Predicted+a.ZoneCharge, b.Predicted+b.ZoneCharge),
 			cmp.Compare(a.Server, b.Server))
 	})
 	return out
 }
 
-func b2i(b bool) int {
+func boolToInt(b bool) int {
 	if b {
 		return 1
 	}
--- a/fleet_test.go
+++ b/fleet_test.go
@@ -10,14 +10,14 @@
 
 // team is a fleet of aggregators over servers of one cell each, as many as there are shards; each shard is held by four.
 type team struct {
-	t     *testing.T
-	cfg   Settings
-	all   []*Scheduler
-	now   int64
-	id    ID
-	sends map[ServerID][]coldSend
-	cold  map[ServerID]bool // those that are not busy
-	idle  bool              // none is
+	t         *testing.T
+	cfg       Settings
+	all       []*Scheduler
+	now       int64
+	id        ID
+	sends     map[ServerID][]warmUpSend
+	warmingUp map[ServerID]bool // those that are not busy
+	idle      bool              // none is
 }
 
 func newTeam(t *testing.T, aggregators, servers int, zones ...string) *team {
@@ -25,7 +25,7 @@
 	cfg.Aggregators, cfg.Shards, cfg.Cells, cfg.CellsPerShard, cfg.Period = aggregators, servers, servers, 4, ms
 	cfg.Limits.MaxAttempts = 4
 	cfg.Rules.SlowStartFraction, cfg.Rules.OverloadMultiple, cfg.Rules.OverloadWindow, cfg.Rules.WarmUp = 0.2, 2.5, 1500*ms, 14_000*ms
-	f := &team{t: t, cfg: cfg, now: 1_000_000_000, sends: map[ServerID][]coldSend{}, cold: map[ServerID]bool{}}
+	f := &team{t: t, cfg: cfg, now: 1_000_000_000, sends: map[ServerID][]warmUpSend{}, warmingUp: map[ServerID]bool{}}
 	var list []Server
 	for i := range servers {
 		v := Server{ID: ServerID(fmt.Sprint("s", i)), Cell: i, Health: Ready}
@@ -47,7 +47,7 @@
 }
 
 // ask has one aggregator asked for one part, and serves whatever it sends after a while.
-func (f *team) ask(self, shard int, work int64) {
+func (f *team) request(self, shard int, work int64) {
 	f.id += 10
 	s := f.all[self]
 	as := s.Step(f.now, []Event{
@@ -56,9 +56,9 @@
 	})
 	var back []Event
 	for _, a := range of[Send](as) {
-		f.sends[a.Server] = append(f.sends[a.Server], coldSend{f.now, float64(work)})
+		f.sends[a.Server] = append(f.sends[a.Server], warmUpSend{f.now, float64(work)})
 		queue := int64(5 + f.id/10%20)
-		if f.idle || f.cold[a.Server] {
+		if f.idle || f.warmingUp[a.Server] {
 			queue = 0
 		}
 		end := served(a, 0, work+work*queue/2)
@@ -89,7 +89,7 @@
 // A server of many comes back cold in a fleet whose aggregators see little of it each. It gets a good part of what it can do, and
 // never more than the rule allows: with steady traffic, with a surge that all see at once when each has saved its share, and where all that could
 // serve a shard are cold and much more is asked for than they can do.
-func TestAFleetGivesAColdServerItsShareAndNoMore(t *testing.T) {
+func TestAFleetKeepsAWarmingServerWithinItsCapacity(t *testing.T) {
 	const aggregators, servers, work = 120, 12, 20 * ms
 	for name, tc := range map[string]struct {
 		cold  int     // servers that start anew
@@ -104,17 +104,17 @@
 		f := newTeam(t, aggregators, servers)
 		rng := f.all[0].rng
 		tick, started := int64(50*ms), f.now+5000*ms
-		var cold []Server
+		var warmingUp []Server
 		for i := range tc.cold {
 			v := Server{ID: ServerID(fmt.Sprint("s", i)), Cell: i, Health: Ready, StartedAt: started}
-			cold, f.cold[v.ID] = append(cold, v), true
+			warmingUp, f.warmingUp[v.ID] = append(warmingUp, v), true
 		}
-		asked := 0.0
+		requested := 0.0
 		for f.now < started+7000*ms {
 			if f.now == started {
-				f.sends = map[ServerID][]coldSend{}
+				f.sends = map[ServerID][]warmUpSend{}
 				for _, s := range f.all {
-					s.Step(f.now, []Event{FleetChanged{Kind: FleetDelta, Servers: cold}})
+					s.Step(f.now, []Event{FleetChanged{Kind: FleetDelta, Servers: warmingUp}})
 				}
 			}
 			since := f.now - started
@@ -125,21 +125,21 @@
 				}
 			}
 			for range int(n) {
-				f.ask(rng.IntN(aggregators), (from+rng.IntN(shards))%servers, work)
+				f.request(rng.IntN(aggregators), (from+rng.IntN(shards))%servers, work)
 			}
 			if since >= 0 {
 				warm := f.cfg.Rules.SlowStartFraction + (1-f.cfg.Rules.SlowStartFraction)*float64(since)/float64(f.cfg.Rules.WarmUp)
-				asked += n / servers * warm
+				requested += n / servers * warm
 			}
 			f.now += tick
 		}
-		for _, v := range cold {
+		for _, v := range warmingUp {
 			if over := f.worst(v.ID, started); over > 1 {
 				t.Errorf("%s: %s was sent %.2f times what the rule allows", name, v.ID, over)
 			}
 		}
-		if got := float64(len(f.sends["s0"])); got < tc.least*asked {
-			t.Errorf("%s: the cold server got %v parts, its share is %.0f", name, got, asked)
+		if got := float64(len(f.sends["s0"])); got < tc.least*requested {
+			t.Errorf("%s: the cold server got %v parts, its share is %.0f", name, got, requested)
 		}
 	}
 }
@@ -157,24 +157,24 @@
 		"one after another": {[2]string{"x", "x"}, true, true},
 		"no zones told":     {[2]string{"", ""}, false, true},
 	} {
-		a := &attempt{to: &replica{Server: Server{ID: "a", Zone: tc.zones[0]}}, sent: 1, broke: 10}
-		b := &attempt{to: &replica{Server: Server{ID: "b", Zone: tc.zones[1]}}, sent: 1, broke: 10}
+		a := &attempt{replica: &replica{Server: Server{ID: "a", Zone: tc.zones[0]}}, sentAt: 1, brokeAt: 10}
+		b := &attempt{replica: &replica{Server: Server{ID: "b", Zone: tc.zones[1]}}, sentAt: 1, brokeAt: 10}
 		if tc.later {
-			b.sent, b.broke = 11, 20
+			b.sentAt, b.brokeAt = 11, 20
 		}
 		q := &query{parts: []*part{{attempts: []*attempt{a}}, {attempts: []*attempt{b}}}}
-		if got := q.brokeApart(); got != tc.want {
+		if got := q.brokeIndependently(); got != tc.want {
 			t.Errorf("%s: condemned %v", name, got)
 		}
 	}
-	if math.Abs(draw(1, 2, 3)-draw(1, 2, 3)) > 0 || draw(1) == draw(2) {
+	if math.Abs(hashFraction(1, 2, 3)-hashFraction(1, 2, 3)) > 0 || hashFraction(1) == hashFraction(2) {
 		t.Error("a draw is not settled by its words")
 	}
 }
 
 // Where parts are turned away or run out of time, a query is given up at its aim, although a late answer would earn a little: but
 // not one that must not run twice, nor where all goes well.
-func TestUnderStrainNothingLateIsWorkedOn(t *testing.T) {
+func TestUnderOverloadNothingLateIsWorkedOn(t *testing.T) {
 	for name, tc := range map[string]struct {
 		strained bool
 		effect   Effect
@@ -188,10 +188,10 @@
 		cfg.Limits.MaxAttempts = 1
 		cfg.Classes[0].LateValue, cfg.Classes[0].Effect = tc.late, tc.effect
 		sc := newScript(t, cfg, "a", "b")
-		sent := of[Send](sc.step(0, sc.ask(100, 10*ms)...))
+		sent := of[Send](sc.step(0, sc.request(100, 10*ms)...))
 		for id := ID(200); id < 300; id += 10 {
 			sc.step(90 * ms)
-			for _, a := range of[Send](sc.step(ms, sc.ask(id, 10*ms)...)) {
+			for _, a := range of[Send](sc.step(ms, sc.request(id, 10*ms)...)) {
 				end := served(a, 0, ms)
 				if tc.strained && id%20 == 0 {
 					end.Outcome = Rejected
@@ -229,7 +229,7 @@
 		for i := range costs {
 			costs[i] = 120 * ms
 		}
-		sent := of[Send](sc.step(ms, sc.ask(100, costs...)...))
+		sent := of[Send](sc.step(ms, sc.request(100, costs...)...))
 		var back []Event
 		for _, a := range sent[1:] {
 			end := served(a, 0, 120*ms)
@@ -255,7 +255,7 @@
 func TestABacklogRestsAtTheServersOwnMean(t *testing.T) {
 	sc := newScript(t, oneCell(), "busy", "idle")
 	for id := ID(100); id < 300; id += 10 {
-		for _, a := range of[Send](sc.step(50*ms, sc.ask(id, 20*ms)...)) {
+		for _, a := range of[Send](sc.step(50*ms, sc.request(id, 20*ms)...)) {
 			end := served(a, 0, 20*ms)
 			end.Report = &LoadReport{Utilization: 1}
 			if a.Server == "busy" {
@@ -264,7 +264,7 @@
 			sc.step(ms, end)
 		}
 		r := sc.s.servers["busy"]
-		sc.s.report(r, &LoadReport{Queue: 20})
+		sc.s.applyReport(r, &LoadReport{Queue: 20})
 	}
 	sc.step(5000 * ms)
 	if b, i := sc.s.backlog(sc.s.servers["busy"]), sc.s.backlog(sc.s.servers["idle"]); b < 1.5*i || b < 50*ms {
@@ -274,7 +274,7 @@
 
 // A full server that turns a part away is not asked at once again for it: the attempts are few, and where no other holder is left,
 // they are spread. Those of many aggregators don't come back together.
-func TestAFullServerIsNotAskedAtOnceAgain(t *testing.T) {
+func TestAFullServerIsNotRetriedImmediately(t *testing.T) {
 	f := newTeam(t, 40, 4)
 	last := map[int64]int{}
 	for _, s := range f.all {
@@ -368,7 +368,7 @@
 		sc.hearQueues(100, 20, 0, 10*ms, 100*ms)
 		waits := 10 * 100 * ms / cores
 		sc.hearQueues(1000, 60, 10, 10*ms, 100*ms+int64(waits))
-		if w := sc.s.wait(sc.s.servers["a"]); w < 0.5*waits || w > 1.6*waits {
+		if w := sc.s.predictWait(sc.s.servers["a"]); w < 0.5*waits || w > 1.6*waits {
 			t.Errorf("%v cores: a wait of %.0f us is predicted, it was %.0f", cores, w, waits)
 		}
 	}
--- a/gauge_test.go
+++ b/gauge_test.go
@@ -16,25 +16,25 @@
 	const servers = 400
 	c := newCrowd(t, large(servers, 2))
 	c.now += 5 * ms
-	out := of[Send](c.s.Step(c.now, c.ask(100)))
+	out := of[Send](c.s.Step(c.now, c.request(100)))
 	if len(out) != 100 {
 		t.Fatalf("%d sends, want 100", len(out))
 	}
-	looked := c.s.looked
+	looked := c.s.replicasScanned
 	for range 50 { // a query is open, its parts are out, and nothing happens
 		c.now += 100
 		if got := c.s.Step(c.now, []Event{AlarmRang{}}); len(of[Send](got)) > 0 {
 			t.Fatal("the steps are not idle")
 		}
 	}
-	if n := c.s.looked - looked; n != 0 {
+	if n := c.s.replicasScanned - looked; n != 0 {
 		t.Errorf("50 idle steps looked at %d servers", n)
 	}
 	for i, a := range out[:40] {
-		before := c.s.looked
+		before := c.s.replicasScanned
 		c.now += 100
 		c.s.Step(c.now, []Event{served(a, 0, 4*ms)})
-		if n := c.s.looked - before; n > 2*servers || i > 0 && n > servers {
+		if n := c.s.replicasScanned - before; n > 2*servers || i > 0 && n > servers {
 			t.Fatalf("a step with an answer looked at %d servers of %d", n, servers)
 		}
 	}
@@ -44,8 +44,8 @@
 func eager(s *Scheduler) float64 {
 	var ps []float64
 	for _, r := range s.servers {
-		if r.Health == Ready && r.pace > 0 {
-			ps = append(ps, 1+(r.pace-1)*fade(s.gaugedAt-r.paceT, s.gaugedFor))
+		if r.Health == Ready && r.latencyRatio > 0 {
+			ps = append(ps, 1+(r.latencyRatio-1)*decay(s.medianAt-r.latencyRatioAt, s.medianSpan))
 		}
 	}
 	if len(ps) == 0 {
@@ -91,7 +91,7 @@
 			if !reflect.DeepEqual(a, b) {
 				t.Fatalf("seed %d, step %d: %v, and where the median was asked for %v", seed, step, a, b)
 			}
-			if got, want := early.usualPace(), eager(early); math.Float64bits(got) != math.Float64bits(want) {
+			if got, want := early.medianLatencyRatio(), eager(early); math.Float64bits(got) != math.Float64bits(want) {
 				t.Fatalf("seed %d, step %d: a median of %v, want %v", seed, step, got, want)
 			}
 			ready := 0
@@ -100,15 +100,15 @@
 					ready++
 				}
 			}
-			if late.ready != ready {
-				t.Fatalf("seed %d, step %d: %d servers are counted as ready, of %d", seed, step, late.ready, ready)
+			if late.readyCount != ready {
+				t.Fatalf("seed %d, step %d: %d servers are counted as ready, of %d", seed, step, late.readyCount, ready)
 			}
 			for _, x := range of[Send](a) {
 				out = append(out, flight{x, tries[x.Part], now})
 				tries[x.Part]++
 			}
 			now += int64(1+rng.IntN(8)) * ms
-			events = []Event{AlarmRang{ID: late.mark}}
+			events = []Event{AlarmRang{ID: late.alarmID}}
 			kept := out[:0]
 			for _, f := range out {
 				switch {
@@ -156,8 +156,8 @@
 				})
 			}
 		}
-		if late.looked >= early.looked {
-			t.Errorf("seed %d: %d servers looked at, no fewer than the %d of one that is asked after each step", seed, late.looked, early.looked)
+		if late.replicasScanned >= early.replicasScanned {
+			t.Errorf("seed %d: %d servers looked at, no fewer than the %d of one that is asked after each step", seed, late.replicasScanned, early.replicasScanned)
 		}
 	}
 }
@@ -165,7 +165,7 @@
 // What a process before this one knew of servers changes the median from the next step on only, as when it was taken in each step.
 func TestWhatIsRecalledCountsFromTheNextStep(t *testing.T) {
 	sc := newScript(t, plain(), "a", "b", "c", "d", "e")
-	sc.s.servers["a"].pace, sc.s.servers["a"].paceT = 3, sc.now
+	sc.s.servers["a"].latencyRatio, sc.s.servers["a"].latencyRatioAt = 3, sc.now
 	sc.step(10 * ms)
 	l := Learned{Admission: 1}
 	for _, id := range []ServerID{"b", "c", "d"} {
@@ -173,11 +173,11 @@
 	}
 	want := eager(sc.s)
 	sc.s.recall(l)
-	if got := sc.s.usualPace(); got != want || got < 2 || got > 3 {
+	if got := sc.s.medianLatencyRatio(); got != want || got < 2 || got > 3 {
 		t.Errorf("a median of %v, want the %v of the step before", got, want)
 	}
-	if sc.step(10 * ms); sc.s.usualPace() < 8 {
-		t.Errorf("a median of %v once three of four are known to take nine times as long", sc.s.usualPace())
+	if sc.step(10 * ms); sc.s.medianLatencyRatio() < 8 {
+		t.Errorf("a median of %v once three of four are known to take nine times as long", sc.s.medianLatencyRatio())
 	}
 }
 
@@ -186,7 +186,7 @@
 		v := rapid.SliceOfN(rapid.OneOf(rapid.Float64(), rapid.SampledFrom([]float64{0, 1, 1, 2, math.NaN(), math.Inf(1), math.Inf(-1)})), 1, 200).Draw(t, "v")
 		k := rapid.IntRange(0, len(v)-1).Draw(t, "k")
 		sorted := slices.Sorted(slices.Values(v))
-		if got := nth(v, k); math.Float64bits(got) != math.Float64bits(sorted[k]) && !(got != got && sorted[k] != sorted[k]) && got != sorted[k] {
+		if got := selectNth(v, k); math.Float64bits(got) != math.Float64bits(sorted[k]) && !(got != got && sorted[k] != sorted[k]) && got != sorted[k] {
 			t.Fatalf("%v at %d, want %v", got, k, sorted[k])
 		}
 	})
@@ -199,7 +199,7 @@
 		slices.Reverse(down)
 		for _, v := range [][]float64{up, down, same} {
 			want := slices.Sorted(slices.Values(v))[n/2]
-			if got := nth(v, n/2); got != want {
+			if got := selectNth(v, n/2); got != want {
 				t.Errorf("%d values: %v, want %v", n, got, want)
 			}
 		}
--- a/invariants_test.go
+++ b/invariants_test.go
@@ -27,39 +27,39 @@
 }
 
 type seenQuery struct {
-	class       *Class
-	deadline    int64
-	finals      int
-	step        int
-	firstWhole  bool
-	parts       []ID
-	group       int64
-	fetchAt     int64
-	abandonedBy int64
+	class             *Class
+	deadline          int64
+	finals            int
+	step              int
+	firstStepComplete bool
+	parts             []ID
+	group             int64
+	fetchAt           int64
+	abandonedBy       int64
 }
 
 type observer struct {
-	t       *testing.T
-	cfg     Settings
-	rng     *rand.Rand
-	s       *Scheduler
-	now     int64
-	nextID  ID
-	group   int64
-	servers map[ServerID]*Server
-	ids     []ServerID
-	told    map[ServerID]int64
-	queries map[ID]*seenQuery
-	order   []ID
-	parts   map[ID]*seenPart
-	out     []*sentAttempt
-	cancels map[*sentAttempt]bool
-	alarms  map[int64]int64
-	marks   []int64
-	taken   []int64
-	extras  []int64
-	trace   []string
-	cold    map[ServerID][]coldSend
+	t                *testing.T
+	cfg              Settings
+	rng              *rand.Rand
+	s                *Scheduler
+	now              int64
+	nextID           ID
+	group            int64
+	servers          map[ServerID]*Server
+	ids              []ServerID
+	unavailableSince map[ServerID]int64
+	queries          map[ID]*seenQuery
+	order            []ID
+	parts            map[ID]*seenPart
+	out              []*sentAttempt
+	cancels          map[*sentAttempt]bool
+	alarms           map[int64]int64
+	marks            []int64
+	taken            []int64
+	extras           []int64
+	trace            []string
+	warmUpSends      map[ServerID][]warmUpSend
 }
 
 func strictSettings(kind int) Settings {
@@ -93,9 +93,9 @@
 	}
 	o := &observer{
 		t: t, cfg: cfg, rng: rand.New(rand.NewPCG(seed, 99)), s: s, now: 50_000_000, nextID: 1,
-		servers: map[ServerID]*Server{}, told: map[ServerID]int64{}, queries: map[ID]*seenQuery{},
+		servers: map[ServerID]*Server{}, unavailableSince: map[ServerID]int64{}, queries: map[ID]*seenQuery{},
 		parts: map[ID]*seenPart{}, cancels: map[*sentAttempt]bool{}, alarms: map[int64]int64{},
-		cold: map[ServerID][]coldSend{},
+		warmUpSends: map[ServerID][]warmUpSend{},
 	}
 	var list []Server
 	for i := range 9 {
@@ -176,9 +176,9 @@
 		was := v.Health
 		if v.Health = Health(o.rng.IntN(3)); v.Health == Ready && was != Ready {
 			v.StartedAt = o.now - int64(o.rng.IntN(500))*ms
-			delete(o.told, v.ID)
+			delete(o.unavailableSince, v.ID)
 		} else if v.Health != Ready && was == Ready {
-			o.told[v.ID] = o.now
+			o.unavailableSince[v.ID] = o.now
 		}
 		es = append(es, FleetChanged{Kind: FleetDelta, Servers: []Server{*v}})
 	}
@@ -246,14 +246,14 @@
 		if w < q.class.MinWeight-0.0001 {
 			o.t.Fatalf("answered from %v, floor %v", w, q.class.MinWeight)
 		}
-		if a.Complete && (w < q.class.CompleteWeight-0.0001 || q.step == 1 && (!all || !q.firstWhole)) {
+		if a.Complete && (w < q.class.CompleteWeight-0.0001 || q.step == 1 && (!all || !q.firstStepComplete)) {
 			o.t.Fatalf("marked whole from %v of %v", w, q.class.CompleteWeight)
 		}
 		if q.class.SecondStepParts > 0 && q.step == 0 {
 			if q.finals > 0 {
 				o.t.Fatalf("answered a query that has ended")
 			}
-			q.step, q.firstWhole, q.fetchAt, q.parts = 1, a.Complete, o.now, nil
+			q.step, q.firstStepComplete, q.fetchAt, q.parts = 1, a.Complete, o.now, nil
 			return
 		}
 		o.final(a.Query)
@@ -288,7 +288,7 @@
 	if (v.Cell-p.shard%o.cfg.Cells+o.cfg.Cells)%o.cfg.Cells >= o.cfg.CellsPerShard {
 		o.t.Fatalf("server %s does not hold shard %d", a.Server, p.shard)
 	}
-	if at, ok := o.told[a.Server]; ok && o.now > at+o.cfg.Rules.DrainGrace {
+	if at, ok := o.unavailableSince[a.Server]; ok && o.now > at+o.cfg.Rules.DrainGrace {
 		o.t.Fatalf("sent to %s, which drains or is gone", a.Server)
 	}
 	open := 0
@@ -318,20 +318,20 @@
 			o.t.Fatalf("%v further attempts, %v allowed", x, most)
 		}
 	}
-	o.checkCold(v)
+	o.checkWarmUp(v)
 	at := &sentAttempt{part: a.Part, n: len(p.attempts), server: a.Server, at: o.now, open: true}
 	p.attempts = append(p.attempts, at)
 	o.out = append(o.out, at)
 }
 
 // checkCold holds this aggregator to its share of what a cold server of four cores can be sent.
-func (o *observer) checkCold(v *Server) {
+func (o *observer) checkWarmUp(v *Server) {
 	age := o.now - v.StartedAt
 	if v.StartedAt == 0 || age >= o.cfg.Rules.WarmUp {
 		return
 	}
-	sends := append(o.cold[v.ID], coldSend{o.now, 60 * ms})
-	o.cold[v.ID] = sends
+	sends := append(o.warmUpSends[v.ID], warmUpSend{o.now, 60 * ms})
+	o.warmUpSends[v.ID] = sends
 	sum := 0.0
 	for _, c := range sends {
 		if c.at > o.now-o.cfg.Rules.OverloadWindow {
@@ -353,7 +353,7 @@
 	}
 }
 
-func TestRulesHoldOnRandomEvents(t *testing.T) {
+func TestRulesAreKeptOnRandomEvents(t *testing.T) {
 	sends := 0
 	for kind := range 8 {
 		o := newObserver(t, kind, uint64(kind)*1000+1)
--- a/scheduler_test.go
+++ b/scheduler_test.go
@@ -53,7 +53,7 @@
 func (sc *script) step(after int64, events ...Event) []Action {
 	sc.now += after
 	if len(events) == 0 {
-		events = []Event{AlarmRang{ID: sc.s.mark}}
+		events = []Event{AlarmRang{ID: sc.s.alarmID}}
 	}
 	sc.got = sc.s.Step(sc.now, events)
 	return sc.got
@@ -79,7 +79,7 @@
 }
 
 // ask makes the events of a query with one part for each given cost, on shards 0, 1, ...
-func (sc *script) ask(id ID, costs ...int64) []Event {
+func (sc *script) request(id ID, costs ...int64) []Event {
 	var sum int64
 	for _, c := range costs {
 		sum += c
@@ -100,20 +100,20 @@
 
 func TestEachPartGoesToTheSmallestBacklog(t *testing.T) {
 	sc := newScript(t, plain(), "a", "b")
-	first := of[Send](sc.step(0, sc.ask(100, 300*ms)...))
+	first := of[Send](sc.step(0, sc.request(100, 300*ms)...))
 	if len(first) != 1 {
 		t.Fatalf("want one send, got %v", sc.got)
 	}
 	// A light part goes to the other server, and so does the next: two light ones are less than one heavy.
 	for id := ID(200); id <= 300; id += 100 {
-		next := of[Send](sc.step(ms, sc.ask(id, 50*ms)...))
+		next := of[Send](sc.step(ms, sc.request(id, 50*ms)...))
 		if len(next) != 1 || next[0].Server == first[0].Server {
 			t.Fatalf("query %d: %v should avoid %s", id, next, first[0].Server)
 		}
 	}
 	// Once the heavy part is in, its server has the smaller backlog.
 	sc.step(ms, served(first[0], 0, 300*ms))
-	next := of[Send](sc.step(ms, sc.ask(400, 50*ms)...))
+	next := of[Send](sc.step(ms, sc.request(400, 50*ms)...))
 	if len(next) != 1 || next[0].Server != first[0].Server {
 		t.Fatalf("%v should go back to %s", next, first[0].Server)
 	}
@@ -121,20 +121,20 @@
 
 func TestALoadReportResetsTheBacklog(t *testing.T) {
 	sc := newScript(t, plain(), "a", "b")
-	first := of[Send](sc.step(0, sc.ask(100, 100*ms)...))[0]
+	first := of[Send](sc.step(0, sc.request(100, 100*ms)...))[0]
 	done := served(first, 0, 100*ms)
 	done.Report = &LoadReport{Queue: 20, InFlight: -1}
 	sc.step(100*ms, done)
 	for id := ID(200); id <= 300; id += 100 {
-		if next := of[Send](sc.step(ms, sc.ask(id, 50*ms)...)); next[0].Server == first.Server {
+		if next := of[Send](sc.step(ms, sc.request(id, 50*ms)...)); next[0].Server == first.Server {
 			t.Fatalf("a server that reports a long queue was chosen: %v", next)
 		}
 	}
 }
 
-func TestAWholeAnswerEndsTheQueryOnce(t *testing.T) {
+func TestACompleteAnswerEndsTheQuery(t *testing.T) {
 	sc := newScript(t, plain(), "a", "b")
-	sends := of[Send](sc.step(0, sc.ask(100, 50*ms, 60*ms)...))
+	sends := of[Send](sc.step(0, sc.request(100, 50*ms, 60*ms)...))
 	if got := sc.step(50*ms, served(sends[0], 0, 50*ms)); len(of[Answer](got)) != 0 {
 		t.Fatalf("answered from half the parts: %v", got)
 	}
@@ -149,19 +149,19 @@
 
 func TestIdleConnectionsThatBreakAreClosedBeforeUse(t *testing.T) {
 	sc := newScript(t, plain(), "a")
-	first := of[Send](sc.step(0, sc.ask(100, 50*ms)...))[0]
+	first := of[Send](sc.step(0, sc.request(100, 50*ms)...))[0]
 	sc.step(50*ms, served(first, 0, 50*ms))
-	second := of[Send](sc.step(900*ms, sc.ask(200, 50*ms)...))[0]
+	second := of[Send](sc.step(900*ms, sc.request(200, 50*ms)...))[0]
 	broke := AttemptEnded{Part: second.Part, Server: "a", Outcome: Broken, Latency: ms}
 	again := of[Send](sc.step(5*ms, broke))
 	if len(again) != 1 || again[0].Server != "a" {
 		t.Fatalf("a break on an idle connection should not be held against its server: %v", sc.got)
 	}
 	sc.step(50*ms, served(again[0], 1, 50*ms))
-	if got := sc.step(900*ms, sc.ask(300, 50*ms)...); len(of[CloseIdle](got)) != 1 {
+	if got := sc.step(900*ms, sc.request(300, 50*ms)...); len(of[CloseIdle](got)) != 1 {
 		t.Fatalf("want the idle connection closed before the send, got %v", got)
 	}
-	if got := sc.step(5*ms, sc.ask(400, 50*ms)...); len(of[CloseIdle](got)) != 0 {
+	if got := sc.step(5*ms, sc.request(400, 50*ms)...); len(of[CloseIdle](got)) != 0 {
 		t.Fatalf("a busy connection was closed: %v", got)
 	}
 }
@@ -170,27 +170,27 @@
 	sc := newScript(t, plain(), "a", "b")
 	id := ID(100)
 	for range 20 { // clients leave after 150 ms
-		sc.step(10*ms, sc.ask(id, 100*ms)...)
+		sc.step(10*ms, sc.request(id, 100*ms)...)
 		for _, c := range of[Cancel](sc.step(150*ms, ClientLeft{Query: id})) {
 			sc.step(0, AttemptEnded{Part: c.Part, Attempt: c.Attempt, Outcome: Cancelled, Latency: 150 * ms})
 		}
 		id += 100
 	}
-	slow := sc.ask(id, 400*ms)
+	slow := sc.request(id, 400*ms)
 	if got := of[Refuse](sc.step(10*ms, slow...)); len(got) != 1 {
 		t.Fatalf("a query that nobody will wait for was taken: %v", sc.got)
 	}
 	sc.now += 30_000 * ms // nobody has left for long
-	if got := of[Send](sc.step(10*ms, sc.ask(id+100, 400*ms)...)); len(got) != 1 {
+	if got := of[Send](sc.step(10*ms, sc.request(id+100, 400*ms)...)); len(got) != 1 {
 		t.Fatalf("impatience was not unlearned: %v", sc.got)
 	}
 }
 
-func TestOverloadTurnsAwayWhatCannotMeetItsAim(t *testing.T) {
+func TestOverloadRefusesWhatCannotMeetItsLatencyTarget(t *testing.T) {
 	sc := newScript(t, plain(), "a", "b")
 	id, refused, sent := ID(100), 0, 0
 	for range 40 {
-		got := sc.step(ms, sc.ask(id, 200*ms, 200*ms)...)
+		got := sc.step(ms, sc.request(id, 200*ms, 200*ms)...)
 		refused, sent = refused+len(of[Refuse](got)), sent+len(of[Send](got))
 		id += 100
 	}
@@ -199,9 +199,9 @@
 	}
 }
 
-func TestSilenceIsAvoidedAndPartsAreSentElsewhere(t *testing.T) {
+func TestUnresponsiveServersAreAvoidedAndPartsSentElsewhere(t *testing.T) {
 	sc := newScript(t, plain(), "a", "b")
-	first := of[Send](sc.step(0, sc.ask(100, 100*ms)...))[0]
+	first := of[Send](sc.step(0, sc.request(100, 100*ms)...))[0]
 	var again []Send
 	for i := 0; i < 100 && len(again) == 0; i++ {
 		got := sc.step(10 * ms)
@@ -216,7 +216,7 @@
 	if len(again) != 1 || again[0].Server == first.Server {
 		t.Fatalf("the silent part was not sent elsewhere: %v", again)
 	}
-	next := of[Send](sc.step(10*ms, sc.ask(200, 10*ms)...))
+	next := of[Send](sc.step(10*ms, sc.request(200, 10*ms)...))
 	if len(next) != 1 || next[0].Server == first.Server {
 		t.Fatalf("the silent server was chosen again: %v", next)
 	}
@@ -224,21 +224,21 @@
 
 func TestQuickErrorsDoNotMakeAServerLookIdle(t *testing.T) {
 	sc := newScript(t, plain(), "a", "b")
-	first := of[Send](sc.step(0, sc.ask(100, 100*ms)...))[0]
+	first := of[Send](sc.step(0, sc.request(100, 100*ms)...))[0]
 	again := of[Send](sc.step(ms, AttemptEnded{Part: first.Part, Server: first.Server, Outcome: Errored, Latency: ms}))
 	if len(again) != 1 || again[0].Server == first.Server {
 		t.Fatalf("the part was not sent elsewhere: %v", sc.got)
 	}
-	if next := of[Send](sc.step(ms, sc.ask(200, 10*ms)...)); len(next) != 1 || next[0].Server == first.Server {
+	if next := of[Send](sc.step(ms, sc.request(200, 10*ms)...)); len(next) != 1 || next[0].Server == first.Server {
 		t.Fatalf("the server that erred draws the next part: %v", next)
 	}
 }
 
-func TestAnAnswerInPartGoesOutAtTheAim(t *testing.T) {
+func TestAPartialAnswerGoesOutAtTheLatencyTarget(t *testing.T) {
 	cfg := plain()
 	cfg.Classes[0].MinWeight, cfg.Classes[0].LateValue = 0.5, 0.1
 	sc := newScript(t, cfg, "a", "b")
-	sends := of[Send](sc.step(0, sc.ask(100, 50*ms, 50*ms)...))
+	sends := of[Send](sc.step(0, sc.request(100, 50*ms, 50*ms)...))
 	sc.step(60*ms, served(sends[0], 0, 60*ms))
 	start := sc.now
 	for sc.now < start+2000*ms {
@@ -252,11 +252,11 @@
 	t.Fatal("no answer in part")
 }
 
-func TestOnlyTheSufficientPartsAreAsked(t *testing.T) {
+func TestOnlyTheSufficientPartsAreSent(t *testing.T) {
 	cfg := plain()
 	cfg.Classes[0].CompleteWeight, cfg.Classes[0].MinWeight = 0.6, 0.6
 	sc := newScript(t, cfg, "a", "b")
-	if got := of[Send](sc.step(0, sc.ask(100, 50*ms, 50*ms, 50*ms, 50*ms, 50*ms)...)); len(got) != 3 {
+	if got := of[Send](sc.step(0, sc.request(100, 50*ms, 50*ms, 50*ms, 50*ms, 50*ms)...)); len(got) != 3 {
 		t.Fatalf("want three of five parts, got %v", got)
 	}
 }
@@ -265,7 +265,7 @@
 	sc := newScript(t, plain(), "a", "b")
 	sc.step(ms, FleetChanged{Kind: FleetDelta, Servers: []Server{{ID: "a", Cell: 0, Health: Draining}}})
 	for id := ID(100); id < 600; id += 100 {
-		for _, s := range of[Send](sc.step(ms, sc.ask(id, 50*ms)...)) {
+		for _, s := range of[Send](sc.step(ms, sc.request(id, 50*ms)...)) {
 			if s.Server == "a" {
 				t.Fatal("a part left for a draining server")
 			}
@@ -275,9 +275,9 @@
 
 func TestANoticeOfADrainCountsInItsOwnStep(t *testing.T) {
 	sc := newScript(t, plain(), "a", "b")
-	first := of[Send](sc.step(ms, sc.ask(100, 50*ms)...))[0]
+	first := of[Send](sc.step(ms, sc.request(100, 50*ms)...))[0]
 	cells := map[ServerID]int{"a": 0, "b": 1}
-	es := append(sc.ask(200, 50*ms, 50*ms), // the query comes before the notice, in one step
+	es := append(sc.request(200, 50*ms, 50*ms), // the query comes before the notice, in one step
 		AttemptEnded{Part: first.Part, Server: first.Server, Outcome: Rejected, Latency: ms},
 		FleetChanged{Kind: FleetDelta, Servers: []Server{{ID: first.Server, Cell: cells[first.Server], Health: Draining}}})
 	got := of[Send](sc.step(5*ms, es...))
@@ -293,25 +293,25 @@
 
 func TestAShardWithoutHoldersEndsHonestly(t *testing.T) {
 	sc := newScript(t, plain())
-	sc.step(0, sc.ask(100, 50*ms)...)
+	sc.step(0, sc.request(100, 50*ms)...)
 	got := append(sc.got, sc.run(3100*ms)...)
 	if n := len(of[Refuse](got)) + len(of[Fail](got)); n != 1 || len(of[Answer](got)) != 0 {
 		t.Fatalf("want one honest end, got %v", got)
 	}
 }
 
-func TestPartsOfOneTurnShareACall(t *testing.T) {
+func TestPartsOfOneStepTravelInOneCall(t *testing.T) {
 	cfg := plain()
 	cfg.CallOverhead, cfg.PartsPerCall = 200*ms, 2
 	sc := newScript(t, cfg, "a", "b")
-	sends := of[Send](sc.step(0, sc.ask(100, 60*ms, 50*ms, 40*ms, 30*ms)...))
+	sends := of[Send](sc.step(0, sc.request(100, 60*ms, 50*ms, 40*ms, 30*ms)...))
 	calls := map[ServerID]bool{}
 	for _, s := range sends {
 		calls[s.Server] = true
 	}
 	sum := 0.0
 	for _, r := range sc.s.servers {
-		sum += r.own
+		sum += r.ownWork
 	}
 	if len(sends) != 4 || sum != float64(len(calls))*200*ms+180*ms {
 		t.Fatalf("%d calls of %v are charged %v", len(calls), sends, sum)
@@ -321,16 +321,16 @@
 func TestNothingIsRememberedForGood(t *testing.T) {
 	sc := newScript(t, plain(), "a")
 	for id := ID(100); id < 400_000; id += 100 {
-		es := withKey(sc.ask(id, 400*ms), fmt.Sprint("key", id))
+		es := withKey(sc.request(id, 400*ms), fmt.Sprint("key", id))
 		for _, s := range of[Send](sc.step(50*ms, es...)) {
 			sc.step(0, AttemptEnded{Part: s.Part, Server: s.Server, Outcome: Errored, Latency: ms})
 		}
 	}
 	sc.run(4000 * ms)
 	s := sc.s
-	if len(s.ended) > 500 || len(s.taken) > 500 || len(s.extras) > 500 || len(s.queries) > 0 || len(s.groups) > 0 {
-		t.Errorf("kept: %d ended, %d taken, %d extras, %d queries, %d groups", len(s.ended), len(s.taken),
-			len(s.extras), len(s.queries), len(s.groups))
+	if len(s.endedUnserved) > 500 || len(s.requestTimes) > 500 || len(s.extraAttemptTimes) > 500 || len(s.queries) > 0 || len(s.groups) > 0 {
+		t.Errorf("kept: %d ended, %d taken, %d extras, %d queries, %d groups", len(s.endedUnserved), len(s.requestTimes),
+			len(s.extraAttemptTimes), len(s.queries), len(s.groups))
 	}
 }
 
@@ -399,11 +399,11 @@
 	cfg.Limits.PeerMessages = true
 	sc := newScript(t, cfg, "a", "b")
 	for id := ID(10); id < 20; id += 2 { // the path is sound
-		a := of[Send](sc.step(ms, sc.ask(id, 10*ms)...))[0]
+		a := of[Send](sc.step(ms, sc.request(id, 10*ms)...))[0]
 		sc.step(10*ms, served(a, 0, 10*ms))
 	}
-	sent := of[Send](sc.step(0, withKey(sc.ask(100, 100*ms, 100*ms), "k")...))
-	bystander := of[Send](sc.step(0, withKey(sc.ask(200, 10*ms), "other")...))[0]
+	sent := of[Send](sc.step(0, withKey(sc.request(100, 100*ms, 100*ms), "k")...))
+	bystander := of[Send](sc.step(0, withKey(sc.request(200, 10*ms), "other")...))[0]
 	if got := of[Refuse](sc.step(20*ms, broken(sent[0], 0), broken(bystander, 0))); len(got) > 0 {
 		t.Fatalf("one break is no evidence against a key: %v", got)
 	}
@@ -418,11 +418,11 @@
 	if !slices.ContainsFunc(again, func(s Send) bool { return s.Part == bystander.Part }) {
 		t.Errorf("the bystander was not sent again: %v", again)
 	}
-	if r := of[Refuse](sc.step(ms, withKey(sc.ask(300, 100*ms), "k")...)); len(r) != 1 {
+	if r := of[Refuse](sc.step(ms, withKey(sc.request(300, 100*ms), "k")...)); len(r) != 1 {
 		t.Errorf("its next query was not turned away: %v", sc.got)
 	}
 	// Another key goes one part first, the rest once that is served.
-	one := of[Send](sc.step(ms, withKey(sc.ask(400, 100*ms, 100*ms), "new")...))
+	one := of[Send](sc.step(ms, withKey(sc.request(400, 100*ms, 100*ms), "new")...))
 	if len(one) != 1 {
 		t.Fatalf("want one part first, got %v", one)
 	}
@@ -431,14 +431,14 @@
 	}
 }
 
-func TestAPeersWordTurnsAKeyAway(t *testing.T) {
+func TestAPeerMessageBlocksAKey(t *testing.T) {
 	sc := newScript(t, plain(), "a", "b")
 	sc.step(0, PeerMessage{Peer: 1, Text: "bad k"}, PeerMessage{Peer: 1, Text: "something else"})
-	if r := of[Refuse](sc.step(ms, withKey(sc.ask(100, 100*ms), "k")...)); len(r) != 1 {
+	if r := of[Refuse](sc.step(ms, withKey(sc.request(100, 100*ms), "k")...)); len(r) != 1 {
 		t.Fatalf("not turned away: %v", sc.got)
 	}
 	sc.step(plain().Rules.WarmUp + ms)
-	if got := of[Send](sc.step(ms, withKey(sc.ask(200, 100*ms, 100*ms), "k")...)); len(got) == 0 {
+	if got := of[Send](sc.step(ms, withKey(sc.request(200, 100*ms, 100*ms), "k")...)); len(got) == 0 {
 		t.Errorf("still turned away after the warm-up time: %v", sc.got)
 	}
 }
@@ -446,16 +446,16 @@
 func TestAdmissionOpensByItself(t *testing.T) {
 	sc := newScript(t, plain(), "a", "b")
 	for range 30 {
-		sc.s.learn(&query{class: &sc.s.cfg.Classes[0], admitted: true}, false)
+		sc.s.adjustAdmission(&query{class: &sc.s.cfg.Classes[0], admitted: true}, false)
 	}
-	strict := sc.s.slackNow()
-	if strict != slackLeast {
-		t.Fatalf("slack %v after many misses, want %v", strict, slackLeast)
+	strict := sc.s.currentSlack()
+	if strict != minSlack {
+		t.Fatalf("slack %v after many misses, want %v", strict, minSlack)
 	}
 	sc.now += 60 * plain().Classes[0].LatencyTarget
 	sc.s.now = sc.now
-	if open := sc.s.slackNow(); open < 0.95*sc.s.slackTop {
-		t.Errorf("slack %v long after the last miss, want about %v", open, sc.s.slackTop)
+	if open := sc.s.currentSlack(); open < 0.95*sc.s.openSlack {
+		t.Errorf("slack %v long after the last miss, want about %v", open, sc.s.openSlack)
 	}
 }
 
@@ -466,7 +466,7 @@
 	cfg.CellsPerShard = 1
 	cfg.Classes[0].MinWeight = floor
 	sc := newScript(t, cfg, "a", "b")
-	sc.step(0, sc.ask(100, work)...)
+	sc.step(0, sc.request(100, work)...)
 	return sc
 }
 
@@ -480,7 +480,7 @@
 		{"half the parts may do", 0.5, false},
 	} {
 		sc := behindABusyHolder(t, tc.floor, 1550*ms)
-		got := of[Refuse](sc.step(ms, sc.ask(200, 100*ms, 100*ms)...))
+		got := of[Refuse](sc.step(ms, sc.request(200, 100*ms, 100*ms)...))
 		var refused bool
 		for _, r := range got {
 			refused = refused || r.Query == 200
@@ -493,7 +493,7 @@
 
 // Forty aggregators with little traffic each: none's share of a cold server is a whole part, yet it gets work, and
 // their sum keeps the rule for a server of one core.
-func TestManyAggregatorsTakeTurnsAtAColdServer(t *testing.T) {
+func TestManyAggregatorsTakeTurnsAtAWarmingServer(t *testing.T) {
 	cfg := plain()
 	cfg.Aggregators, cfg.Shards, cfg.Cells, cfg.CellsPerShard = 40, 1, 1, 1
 	start := int64(1_000_000_000)
@@ -546,7 +546,7 @@
 	for i := range 3000 { // a release under new names, again and again
 		id := ServerID(fmt.Sprint("s", i))
 		sc.step(1000*ms, FleetChanged{Kind: FleetFull, Servers: []Server{{ID: id, Health: Ready}}})
-		s := of[Send](sc.step(ms, sc.ask(ID(10*i+10), 10*ms)...))
+		s := of[Send](sc.step(ms, sc.request(ID(10*i+10), 10*ms)...))
 		if len(s) != 1 || s[0].Server != id {
 			t.Fatalf("want a part at %s, got %v", id, s)
 		}
--- a/size_test.go
+++ b/size_test.go
@@ -55,7 +55,7 @@
 		c.query(min(c.servers, 1500), 2)
 		known = 0
 		for _, r := range s.servers {
-			if r.pace > 0 {
+			if r.latencyRatio > 0 {
 				known++
 			}
 		}
@@ -67,7 +67,7 @@
 }
 
 // ask is a query of so many parts, each of another shard.
-func (c *crowd) ask(parts int) []Event {
+func (c *crowd) request(parts int) []Event {
 	c.id += ID(parts) + 1
 	events := make([]Event, 0, parts+1)
 	events = append(events, Query{ID: c.id, Group: int64(c.id), Class: "q", Deadline: c.now + 1000*ms, Work: int64(parts) * 5 * ms})
@@ -80,7 +80,7 @@
 // query opens a query and has its parts served over so many further steps; it tells whether it was answered, and how many parts left.
 func (c *crowd) query(parts, steps int) (answered bool, sent int) {
 	c.now += 5 * ms
-	out := of[Send](c.s.Step(c.now, c.ask(parts)))
+	out := of[Send](c.s.Step(c.now, c.request(parts)))
 	sent = len(out)
 	for i := range steps {
 		c.now += 5 * ms
@@ -182,7 +182,7 @@
 				c := newCrowd(b, large(2600, 2))
 				before := heap()
 				for range 8 {
-					c.s.Step(c.now, c.ask(parts))
+					c.s.Step(c.now, c.request(parts))
 				}
 				b.ReportMetric((heap()-before)/8/float64(parts), "B/part")
 				runtime.KeepAlive(c)
--- a/sparse_test.go
+++ b/sparse_test.go
@@ -11,7 +11,7 @@
 // a latency and a report of so long a queue.
 func (sc *script) hearQueues(id ID, queries int, queue float64, after, latency int64) {
 	for range queries {
-		for _, s := range of[Send](sc.step(200*ms, sc.ask(id, 100*ms)...)) {
+		for _, s := range of[Send](sc.step(200*ms, sc.request(id, 100*ms)...)) {
 			done := served(s, 0, latency)
 			done.Report = &LoadReport{Queue: queue, InFlight: -1}
 			sc.step(after, done)
@@ -25,12 +25,12 @@
 	sc := newScript(t, cfg, "a", "b")
 	sc.hearQueues(100, 30, 10, 10*ms, 700*ms)
 	sc.step(1000*ms, FleetChanged{Kind: FleetDelta, Servers: []Server{{ID: "new", Health: Ready}}})
-	if w := sc.s.wait(sc.s.servers["new"]); w < 300*ms {
+	if w := sc.s.predictWait(sc.s.servers["new"]); w < 300*ms {
 		t.Errorf("all others report a second of work, a server not heard of is predicted %v us", w)
 	}
 	sc.now += 60_000 * ms
 	sc.hearQueues(1000, 80, 0, 10*ms, 100*ms)
-	if w := sc.s.wait(sc.s.servers["new"]); w > 50*ms {
+	if w := sc.s.predictWait(sc.s.servers["new"]); w > 50*ms {
 		t.Errorf("all report to be idle again, a server not heard of is predicted %v us", w)
 	}
 }
@@ -43,11 +43,11 @@
 	id, copies := ID(100), 0
 	for range rounds {
 		for range 4 {
-			s := of[Send](sc.step(10*ms, sc.ask(id, 100*ms)...))[0]
+			s := of[Send](sc.step(10*ms, sc.request(id, 100*ms)...))[0]
 			sc.step(100*ms, served(s, 0, 100*ms))
 			id += 10
 		}
-		first := of[Send](sc.step(10*ms, sc.ask(id, 100*ms)...))[0]
+		first := of[Send](sc.step(10*ms, sc.request(id, 100*ms)...))[0]
 		copies = len(of[Send](sc.run(850 * ms)))
 		for _, c := range of[Cancel](sc.step(0, served(first, 0, 850*ms))) {
 			sc.step(0, AttemptEnded{Part: c.Part, Attempt: c.Attempt, Outcome: Cancelled, Latency: 150 * ms})
@@ -57,7 +57,7 @@
 	return copies
 }
 
-func TestCopiesThatComeToNothingAreHeldBack(t *testing.T) {
+func TestHedgesThatNeverWinAreLimited(t *testing.T) {
 	cfg := plain()
 	cfg.Limits.Hedging = true
 	if first := vainCopies(t, cfg, 1); first != 1 {
@@ -76,21 +76,21 @@
 		cfg := plain()
 		cfg.Classes[0].LateValue = tc.late
 		sc := newScript(t, cfg, "a", "b")
-		if s := of[Send](sc.step(0, sc.ask(100, 100*ms)...)); len(s) != 1 || s[0].Timeout != tc.want {
+		if s := of[Send](sc.step(0, sc.request(100, 100*ms)...)); len(s) != 1 || s[0].Timeout != tc.want {
 			t.Errorf("late worth %v: %v, want a time-out of %d us", tc.late, s, tc.want)
 		}
 	}
 }
 
-func TestWhatIsRememberedOfLoadFadesWithoutNews(t *testing.T) {
+func TestReportedLoadDecaysWithoutReports(t *testing.T) {
 	sc := newScript(t, oneCell(), "a", "b")
 	sc.hearQueues(100, 20, 40, 900*ms, 900*ms)
-	if got := sc.step(10*ms, sc.ask(800, 100*ms)...); len(of[Refuse](got)) != 1 {
+	if got := sc.step(10*ms, sc.request(800, 100*ms)...); len(of[Refuse](got)) != 1 {
 		t.Fatalf("every server reports four seconds of work, yet a query with an aim of one was taken: %v", got)
 	}
 	// Nothing was sent since, so no report came either.
 	sc.now += 30_000 * ms
-	if got := sc.step(10*ms, sc.ask(900, 100*ms)...); len(of[Send](got)) != 1 {
+	if got := sc.step(10*ms, sc.request(900, 100*ms)...); len(of[Send](got)) != 1 {
 		t.Errorf("half a minute later all is still turned away: %v", got)
 	}
 }
@@ -102,7 +102,7 @@
 		want  int
 	}{{"half may do", 0.5, 1}, {"all are needed", 1, 2}} {
 		sc := behindABusyHolder(t, tc.floor, 1200*ms)
-		got := of[Send](sc.step(ms, sc.ask(200, 100*ms, 100*ms)...))
+		got := of[Send](sc.step(ms, sc.request(200, 100*ms, 100*ms)...))
 		if len(got) != tc.want || !slices.ContainsFunc(got, func(s Send) bool { return s.Part == 202 }) {
 			t.Errorf("%s: sent %v, want %d parts, one of them 202", tc.name, got, tc.want)
 		}
@@ -111,7 +111,7 @@
 
 // All aggregators together, one with nearly all traffic, stay under what a cold server of one core may be sent
 // though the warm ones are fully busy.
-func TestSharesOfAColdServerSumToLessThanTheRule(t *testing.T) {
+func TestWorkToAWarmingServerSumsToLessThanTheRule(t *testing.T) {
 	cfg := oneCell()
 	cfg.Aggregators = 8
 	cfg.Rules.OverloadMultiple = 2
@@ -125,11 +125,11 @@
 		if self == 0 {
 			carried = 0.9
 		}
-		sc.s.served, sc.s.servedAt = carried*float64(cfg.Rules.WarmUp), sc.now
+		sc.s.servedWork, sc.s.servedWorkAt = carried*float64(cfg.Rules.WarmUp), sc.now
 		room := 0.0
-		p := &part{Part: Part{Work: ms}, q: &query{class: &sc.s.cfg.Classes[0]}}
-		for r := sc.s.servers["cold"]; sc.s.coldRoom(p, r); room += ms {
-			r.sends = append(r.sends, coldSend{sc.now, ms})
+		p := &part{Part: Part{Work: ms}, query: &query{class: &sc.s.cfg.Classes[0]}}
+		for r := sc.s.servers["cold"]; sc.s.hasWarmUpCapacity(p, r); room += ms {
+			r.warmUpSends = append(r.warmUpSends, warmUpSend{sc.now, ms})
 		}
 		sum += room
 	}
@@ -142,19 +142,19 @@
 	}
 }
 
-func TestATenantBeyondItsShareIsRefusedFirst(t *testing.T) {
+func TestATenantBeyondItsQuotaIsRefusedFirst(t *testing.T) {
 	cfg := plain()
 	cfg.Tenants, cfg.OverQuotaValue = []Tenant{{Name: "big", Quota: 1}, {Name: "small", Quota: 9}}, 0.1
 	sc := newScript(t, cfg, "a", "b")
 	asTenant := func(id ID, tenant string) []Event {
-		return withQuery(sc.ask(id, ms), func(q *Query) { q.Tenant = tenant })
+		return withQuery(sc.request(id, ms), func(q *Query) { q.Tenant = tenant })
 	}
 	for id := ID(100); id < 1000; id += 10 { // all traffic is that of the one with a tenth of the shares
 		for _, s := range of[Send](sc.step(10*ms, asTenant(id, "big")...)) {
 			sc.step(ms, served(s, 0, ms))
 		}
 	}
-	worth := func(tenant string) float64 { return sc.s.inShare(&query{Query: Query{Tenant: tenant}}) }
+	worth := func(tenant string) float64 { return sc.s.quotaValue(&query{Query: Query{Tenant: tenant}}) }
 	if big := worth("big"); big > 0.35 || big < cfg.OverQuotaValue {
 		t.Errorf("a tenant with ten times its part of the traffic counts %v of its worth", big)
 	}
