--- a/explain.go
+++ b/explain.go
@@ -1,3 +1,5 @@
+// What a Scheduler would do, reported without doing it. Nothing in this file decides.
+
 package saffronquay
 
 import (
@@ -5,21 +7,35 @@
 	"slices"
 )
 
-// What a Scheduler would do, told without doing it. Nothing here decides: it asks what decides.
-
-// Option is one server that holds a shard, as a part would find it now. Times are microseconds.
+// Option is one server that has a shard, as a part would find it now. Times are microseconds. It is written as JSON by
+// the commands that explain routes; keys that differ from the field's name are kept for their readers.
 type Option struct {
 	Server     ServerID
 	Zone       string
 	Health     Health
 	Listed     bool
-	Excluded   bool    `json:"Barred"` // it has been tried for the part, or is silent, or lost the shard
-	WarmingUp  bool    `json:"Cold"`   // it has no room for the part while it warms up
+	Excluded   bool    `json:"Barred"` // the part is in flight there, was rejected there, or the server lost the shard
+	WarmingUp  bool    `json:"Cold"`   // it has no capacity for the part while it warms up
 	Predicted  float64 // latency of the part there
-	ZoneCharge float64 `json:"Crossing"` // what its zone adds in the comparison
+	ZoneCharge float64 `json:"Crossing"` // delay that its zone is charged as, in the comparison
+}
+
+// Rotation reports how many servers are in the list, and how many of those are avoided now: not ready,
+// failing most of the time, or unresponsive for longer than the shortest latency target.
+func (s *Scheduler) Rotation() (listed, out int) {
+	for _, r := range s.servers {
+		if !r.listed {
+			continue
+		}
+		listed++
+		if r.Health != Ready || r.mostlyFailing || s.unresponsiveFor(r) > float64(s.shortestTarget) {
+			out++
+		}
+	}
+	return listed, out
 }
 
-// Holders lists the servers that hold a shard and may be sent to now, in no order that matters. It is what pick chooses from.
+// Holders lists the servers that hold a shard and may be sent to now. It is what chooseReplica chooses from.
 func (s *Scheduler) Holders(shard int) []ServerID {
 	rs := s.holders(shard)
 	ids := make([]ServerID, len(rs))
@@ -29,8 +45,8 @@
 	return ids
 }
 
-// Options tells of each server that holds an open part's shard how it stands, the best first. One that the part is out at is told as
-// it was at the send.
+// Options reports how each server that holds an open part's shard stands, the best first; nil when the part
+// is not open. A server where the part is in flight is reported as it was at the send.
 func (s *Scheduler) Options(part ID) []Option {
 	p := s.parts[part]
 	if p == nil {
@@ -39,8 +55,8 @@
 	var out []Option
 	for _, r := range s.holders(p.Shard) {
 		o := Option{
-			Server: r.ID, Zone: r.Zone, Health: r.Health, Listed: r.listed, Excluded: s.isExcluded(p, r), WarmingUp: !s.hasWarmUpCapacity(p, r),
-			Predicted: s.predict(p, r),
+			Server: r.ID, Zone: r.Zone, Health: r.Health, Listed: r.listed,
+			Excluded: s.isExcluded(p, r), WarmingUp: !s.hasWarmUpCapacity(p, r), Predicted: s.predict(p, r),
 		}
 		for _, a := range p.attempts {
 			if a.replica == r && !a.ended {
--- /dev/null
+++ b/handover.go
@@ -0,0 +1,63 @@
+// What one process hands to the next. Nothing in this file decides.
+
+package saffronquay
+
+import (
+	"cmp"
+	"math"
+	"slices"
+)
+
+// Learned is what the process that takes this one's place should know. It is a copy.
+func (s *Scheduler) Learned() Learned {
+	l := Learned{Admission: s.currentSlack() / s.openSlack, Suspects: map[string]int64{}}
+	for key, k := range s.keys {
+		if k.harmful && s.isRecent(k.at) {
+			l.Suspects[key] = k.at
+		}
+	}
+	for id, r := range s.servers {
+		if r.listed && (r.latencyRatioAt > 0 || r.failureRate.at > 0) {
+			l.Servers = append(l.Servers, LearnedServer{
+				Server:       id,
+				LatencyRatio: r.latencyRatio, LatencyRatioAt: r.latencyRatioAt,
+				Failures: r.failureRate.sum, Attempts: r.failureRate.count, CountedAt: r.failureRate.at,
+			})
+		}
+	}
+	slices.SortFunc(l.Servers, func(a, b LearnedServer) int { return cmp.Compare(a.Server, b.Server) })
+	return l
+}
+
+// recall applies what the process before this one had learnt.
+func (s *Scheduler) recall(l Learned) {
+	s.medianLatencyRatio() // of what was known before the change
+	for _, k := range l.Servers {
+		s.recallServer(k)
+	}
+	s.slack, s.slackAt = min(max(l.Admission*s.openSlack, minSlack), s.openSlack), s.now
+	for key, at := range l.Suspects {
+		if at <= s.now && s.isRecent(at) {
+			s.keys[key] = keyRecord{harmful: true, at: at}
+			s.harmfulKeyAt = max(s.harmfulKeyAt, at)
+		}
+	}
+	s.freeExtrasFrom = s.now + s.cfg.Rules.ExtraAttemptWindow
+}
+
+// recallServer takes what was learnt of a server, unless something was learnt here already. A time that lies
+// ahead, as after a clock was set back, counts as now; values that make no sense are ignored.
+func (s *Scheduler) recallServer(k LearnedServer) {
+	r := s.servers[k.Server]
+	plausible := k.Failures >= 0 && k.Attempts >= k.Failures && !math.IsInf(k.Attempts, 0)
+	if r == nil || r.StartedAt > max(k.LatencyRatioAt, k.CountedAt) || !plausible {
+		return
+	}
+	ratioPlausible := k.LatencyRatio > 0 && !math.IsInf(k.LatencyRatio, 0)
+	if r.latencyRatioAt == 0 && k.LatencyRatioAt > r.StartedAt && ratioPlausible {
+		r.latencyRatio, r.latencyRatioAt = k.LatencyRatio, min(k.LatencyRatioAt, s.now)
+	}
+	if r.failureRate.at == 0 && k.CountedAt > r.StartedAt {
+		r.failureRate = decayingMean{sum: k.Failures, count: k.Attempts, at: min(k.CountedAt, s.now)}
+	}
+}
--- a/invariants_test.go
+++ b/invariants_test.go
@@ -35,7 +35,6 @@
 	parts             []ID
 	group             int64
 	fetchAt           int64
-	abandonedBy       int64
 }
 
 type observer struct {
--- /dev/null
+++ b/queries.go
@@ -0,0 +1,243 @@
+// Open queries, their parts and the attempts of those. Nothing in this file decides.
+
+package saffronquay
+
+import (
+	"fmt"
+	"slices"
+)
+
+// partsPerQueryWeight is how many parts a query counts for in means of parts: those of one query are alike.
+const partsPerQueryWeight = 4.0
+
+// query is one open query. It is in Scheduler.openQueries until its final answer has gone.
+type query struct {
+	Query
+	class             *Class
+	firstArrivedAt    int64   // of its first arrival, where this one is known to be a client's retry
+	arrivedAt         int64   // of this arrival
+	parts             []*part // of the current step
+	inSecondStep      bool    // the first step's answer has gone
+	firstStepComplete bool    // that answer was complete
+	admitted          bool    // it has passed admission
+	outcomeCounted    bool    // admission has been adjusted by it, or must not be
+	done              bool    // its final answer has gone
+}
+
+// part is one part of a query's current step, or of one that is over with attempts in flight.
+type part struct {
+	Part
+	query    *query
+	attempts []*attempt // in the order of their sends
+	selected bool       // wanted for the answer; others are spare
+	served   bool
+}
+
+// attempt is one send of a part to one replica.
+type attempt struct {
+	number           int  // its index in part.attempts
+	hedge            bool // sent while another was in flight
+	replica          *replica
+	sentAt           int64
+	work             float64 // predicted work, its call's overhead included
+	predictedBacklog float64 // work at the replica at the send, this included
+	reportedWork     float64 // the part of it that is expected from reports
+	predicted        float64 // latency predicted at the send
+	connectionIdle   int64   // how long the connection had been idle at the send
+	ended            bool
+	mayHaveRun       bool  // its outcome does not prove that it never ran
+	brokeAt          int64 // when its connection broke while it was in flight; 0: it did not
+	retryAt          int64 // the part does not return to the replica before, since it rejected it
+	holdersSince     int64 // version of the shard's holders at the send, by the table
+	misplaced        bool  // the replica was found without the shard
+}
+
+// addQuery opens a query. One of an unknown class is treated as of the first class. The latency target of a
+// client's retry runs from its first arrival.
+func (s *Scheduler) addQuery(e Query) {
+	class := s.classes[e.Class]
+	if class == nil {
+		class = &s.cfg.Classes[0]
+	}
+	q := &query{Query: e, class: class, firstArrivedAt: s.now, arrivedAt: s.now}
+	if at, ok := s.endedUnserved[q.signature()]; ok && e.Key != "" {
+		delete(s.endedUnserved, q.signature())
+		if s.now < at+class.HardLimit {
+			q.firstArrivedAt = at
+		}
+	}
+	s.countQuery(e.Tenant)
+	s.queries[e.ID], s.groups[e.Group] = q, q
+	s.openQueries = append(s.openQueries, q)
+}
+
+// addPart adds a part to its open query. A part of no open query, or of a shard that does not exist, is
+// ignored.
+func (s *Scheduler) addPart(e Part) {
+	q := s.groups[e.Group]
+	if q == nil || q.done || s.table == nil && (e.Shard < 0 || e.Shard >= s.cfg.Shards) {
+		return
+	}
+	p := &part{Part: e, query: q}
+	q.parts = append(q.parts, p)
+	s.parts[e.ID] = p
+	c, by := s.partWork(p), averageWeight*min(1, partsPerQueryWeight*e.Weight)
+	s.meanPartWork = movingAverage(s.meanPartWork, c, by)
+	if e.Work > 0 {
+		k := s.statsOf(q.class)
+		k.meanPartWork = movingAverage(k.meanPartWork, c, by)
+	}
+}
+
+// replan replaces a part whose shard is no longer in force by other parts.
+func (s *Scheduler) replan(e Replanned) {
+	p := s.parts[e.Part]
+	if p == nil || p.query.done {
+		return
+	}
+	p.query.parts = slices.DeleteFunc(p.query.parts, func(o *part) bool { return o == p })
+	if p.openAttempts() == 0 {
+		delete(s.parts, p.ID)
+	}
+	for _, n := range e.Into {
+		s.addPart(n)
+	}
+}
+
+// endQuery forgets a query and cancels what is still in flight for it.
+func (s *Scheduler) endQuery(q *query) {
+	s.releaseParts(q)
+	q.done = true
+	delete(s.queries, q.ID)
+	delete(s.groups, q.Group)
+	s.openQueries = slices.DeleteFunc(s.openQueries, func(o *query) bool { return o == q })
+}
+
+// releaseParts cancels the attempts of a query's parts, where that is allowed, and forgets parts with none in
+// flight.
+func (s *Scheduler) releaseParts(q *query) {
+	for _, p := range q.parts {
+		if s.cfg.Limits.MayCancel {
+			s.cancelAttempts(p)
+		}
+		if p.openAttempts() == 0 {
+			delete(s.parts, p.ID)
+		}
+	}
+}
+
+// cancelAttempts cancels the attempts of a part that are in flight.
+func (s *Scheduler) cancelAttempts(p *part) {
+	for _, a := range p.attempts {
+		if !a.ended {
+			s.emit(Cancel{Part: p.ID, Attempt: a.number})
+		}
+	}
+}
+
+// weight is the weight of the current step's parts that match.
+func (q *query) weight(of func(*part) bool) float64 {
+	w := 0.0
+	for _, p := range q.parts {
+		if of(p) {
+			w += p.Weight
+		}
+	}
+	return w
+}
+
+// servedWeight is the weight of the parts that are served.
+func (q *query) servedWeight() float64 { return q.weight(func(p *part) bool { return p.served }) }
+
+// expectedWeight is the weight of the parts that are served or in flight.
+func (q *query) expectedWeight() float64 {
+	return q.weight(func(p *part) bool { return p.served || p.openAttempts() > 0 })
+}
+
+// allServed reports whether every part of the current step is served.
+func (q *query) allServed() bool {
+	return !slices.ContainsFunc(q.parts, func(p *part) bool { return !p.served })
+}
+
+// isComplete reports whether the parts that are served make a complete answer of the current step.
+func (q *query) isComplete() bool {
+	if len(q.parts) == 0 {
+		return false
+	}
+	if q.inSecondStep {
+		return q.allServed()
+	}
+	return q.allServed() || q.servedWeight() >= q.class.CompleteWeight
+}
+
+// nearlyComplete reports whether all but a few of a query's many parts are served.
+func (q *query) nearlyComplete() bool {
+	missing := 0
+	for _, p := range q.parts {
+		if !p.served {
+			missing++
+		}
+	}
+	return missing*nearlyCompleteParts <= len(q.parts)
+}
+
+// brokeIndependently reports whether attempts of a query's parts broke on two servers in a way that one event
+// does not explain: in two zones, where zones are known, or one sent after the other broke.
+func (q *query) brokeIndependently() bool {
+	var broke []*attempt
+	for _, p := range q.parts {
+		for _, a := range p.attempts {
+			if a.brokeAt > 0 {
+				broke = append(broke, a)
+			}
+		}
+	}
+	return slices.ContainsFunc(broke, func(a *attempt) bool {
+		return slices.ContainsFunc(broke, func(b *attempt) bool {
+			return a.replica != b.replica &&
+				(a.replica.Zone == "" || a.replica.Zone != b.replica.Zone || a.sentAt >= b.brokeAt)
+		})
+	})
+}
+
+// latencyTargetTime is the time by which an answer earns its full value.
+func (q *query) latencyTargetTime() int64 {
+	target := float64(q.class.LatencyTarget) + q.class.LatencyTargetStretch*float64(q.Work)
+	return min(q.firstArrivedAt+int64(target), q.Deadline)
+}
+
+// signature identifies a client's retry of a query, where the client does not mark it.
+func (q *query) signature() string { return fmt.Sprint(q.Class, " ", q.Key, " ", q.Work) }
+
+// openAttempts counts the attempts in flight.
+func (p *part) openAttempts() int {
+	n := 0
+	for _, a := range p.attempts {
+		if !a.ended {
+			n++
+		}
+	}
+	return n
+}
+
+// countedAttempts counts the attempts that count against the limit. One that found its server without the
+// shard did not ask it for anything, and goes to each holder at most once.
+func (p *part) countedAttempts() int {
+	n := 0
+	for _, a := range p.attempts {
+		if !a.misplaced {
+			n++
+		}
+	}
+	return n
+}
+
+// mayHaveRun reports whether an attempt of the part is in flight or may have run.
+func (p *part) mayHaveRun() bool {
+	return slices.ContainsFunc(p.attempts, func(a *attempt) bool { return !a.ended || a.mayHaveRun })
+}
+
+// outcomeMayHaveRun reports whether an attempt with this outcome may have run.
+func outcomeMayHaveRun(o Outcome) bool {
+	return o != Rejected && o != Unreachable && o != NotSent && o != Misplaced
+}
--- /dev/null
+++ b/statistics.go
@@ -0,0 +1,190 @@
+// Decaying means, counts and hashes. Nothing in this file decides.
+
+package saffronquay
+
+import (
+	"cmp"
+	"fmt"
+	"hash/fnv"
+	"math"
+	"slices"
+)
+
+// decayingMean is a mean of samples whose weights decay with time and with each later sample.
+// Without samples it is the prior that is passed to mean. A nil *decayingMean has no samples.
+type decayingMean struct {
+	sum, count float64
+	at         int64 // when the latest sample was added
+}
+
+// classStats is what is known of the queries of one class. It is kept by name: a class's definition may change.
+type classStats struct {
+	clientWait   float64      // how long clients were seen to wait
+	clientLeftAt int64        // when one was last seen to leave early; 0: never
+	leaveRate    decayingMean // fraction of clients that do
+	meanPartWork float64      // mean hint of a part's work
+}
+
+// tenant is what is known of one tenant's traffic here.
+type tenant struct {
+	quotaFraction float64 // its quota over the sum of all quotas
+	queries       float64 // decaying count of its queries
+}
+
+// keyRecord is what is known of a query's key while some key brings down servers.
+type keyRecord struct {
+	harmful bool // it brings down servers; otherwise its query was served
+	at      int64
+}
+
+// add adds one sample; old ones decay by half every span and a little with each newer one.
+func (e *decayingMean) add(now, span int64, failed float64) {
+	k := decay(now-e.at, span) * (1 - sampleWeight/2)
+	e.sum, e.count, e.at = e.sum*k+failed, e.count*k+1, now
+}
+
+// mean is the mean of the samples, where the prior counts as one sample; without samples it is the prior.
+func (e *decayingMean) mean(now, span int64, prior float64) float64 {
+	if e == nil {
+		return prior
+	}
+	k := decay(now-e.at, span)
+	return (e.sum*k + prior) / (e.count*k + 1)
+}
+
+// movingAverage moves a mean towards a sample by the sample's weight. A mean of 0 has no samples yet.
+func movingAverage(mean, sample, weight float64) float64 {
+	if mean == 0 {
+		return sample
+	}
+	return mean + weight*(sample-mean)
+}
+
+// decay is what is left of 1 after so long, halved every span.
+func decay(since, span int64) float64 { return math.Exp2(-float64(since) / float64(max(span, 1))) }
+
+// selectNth is the value that sorting would put at index k; it reorders v. It takes O(len(v)) but for
+// adversarial orders, which fall back to sorting.
+func selectNth(v []float64, k int) float64 {
+	for lo, hi, rounds := 0, len(v)-1, 0; lo < hi; rounds++ {
+		if rounds > 64 {
+			slices.Sort(v[lo : hi+1])
+			break
+		}
+		three := [3]float64{v[lo], v[lo+(hi-lo)/2], v[hi]}
+		slices.Sort(three[:])
+		i, j := lo, hi
+		for i <= j {
+			for cmp.Less(v[i], three[1]) {
+				i++
+			}
+			for cmp.Less(three[1], v[j]) {
+				j--
+			}
+			if i <= j {
+				v[i], v[j] = v[j], v[i]
+				i, j = i+1, j-1
+			}
+		}
+		if k > j && k < i {
+			break
+		}
+		if k <= j {
+			hi = j
+		} else {
+			lo = i
+		}
+	}
+	return v[k]
+}
+
+// statsOf is the record of a class; it is made when missing.
+func (s *Scheduler) statsOf(c *Class) *classStats {
+	k := s.statsByClass[c.Name]
+	if k == nil {
+		k = &classStats{}
+		s.statsByClass[c.Name] = k
+	}
+	return k
+}
+
+// countQuery counts a query, of a tenant or of none, halved every warm-up time.
+func (s *Scheduler) countQuery(tenant string) {
+	kept := decay(s.now-s.queryCountAt, s.cfg.Rules.WarmUp)
+	for _, t := range s.tenants {
+		t.queries *= kept
+	}
+	if t := s.tenants[tenant]; t != nil {
+		t.queries++
+	}
+	s.queryCount, s.queryCountAt = s.queryCount*kept+1, s.now
+}
+
+// shardLatency is the mean served latency of a shard, or what stands in for one not seen.
+func (s *Scheduler) shardLatency(shard int) float64 {
+	if a, ok := s.shardLatencies[shard]; ok {
+		return a
+	}
+	return s.unseenShardLatency
+}
+
+// sendRate is how many parts this aggregator sends in a microsecond.
+func (s *Scheduler) sendRate() float64 {
+	span := 4 * s.shortestTarget
+	return s.sendCount * decay(s.now-s.sendCountAt, span) * math.Ln2 / float64(span)
+}
+
+// warmServerRate is the work in a microsecond that one warm server serves for this aggregator, in cores. It
+// is computed at most once a step, after the first: O(servers).
+func (s *Scheduler) warmServerRate() float64 {
+	if s.warmRateAt != s.now || s.now == s.started {
+		s.warmRate, s.warmRateAt = s.computeWarmServerRate(), s.now
+	}
+	return s.warmRate
+}
+
+// computeWarmServerRate is warmServerRate without its memory; 0 when no server is warm.
+func (s *Scheduler) computeWarmServerRate() float64 {
+	s.decayServedWork()
+	warm := 0
+	for _, r := range s.servers {
+		if r.Health == Ready && s.warmUpFraction(r) >= 1 {
+			warm++
+		}
+	}
+	if warm == 0 || s.now == s.started {
+		return 0
+	}
+	tau := float64(s.cfg.Rules.WarmUp)
+	return s.servedWork / float64(warm) / (tau * (1 - math.Exp(-float64(s.now-s.started)/tau)))
+}
+
+// decayServedWork brings servedWork up to the current step.
+func (s *Scheduler) decayServedWork() {
+	if s.now > s.servedWorkAt {
+		s.servedWork *= math.Exp(-float64(s.now-s.servedWorkAt) / max(1, float64(s.cfg.Rules.WarmUp)))
+		s.servedWorkAt = s.now
+	}
+}
+
+// keyTag stands for a key in the log: keys are clients' data.
+func keyTag(key string) string { return fmt.Sprintf("#%08x", hash32(key)) }
+
+// hash32 is the FNV-1a hash of a key.
+func hash32(key string) uint32 {
+	h := fnv.New32a()
+	h.Write([]byte(key))
+	return h.Sum32()
+}
+
+// hashFraction is a number from 0 up to 1 that the same words always give.
+func hashFraction(words ...uint64) float64 {
+	h := uint64(0)
+	for _, w := range words {
+		h += w + 0x9e3779b97f4a7c15 // the steps of splitmix64
+		h = (h ^ h>>30) * 0xbf58476d1ce4e5b9
+		h = (h ^ h>>27) * 0x94d049bb133111eb
+		h ^= h >> 31
+	}
+	return float64(h>>11) / (1 << 53)
+}
--- a/validate.go
+++ b/validate.go
@@ -5,15 +5,15 @@
 	"fmt"
 )
 
-// Validate tells what makes no sense in the settings.
+// Validate reports the first fault of the settings, or nil. Nothing in this file decides.
 func (c Settings) Validate() error {
 	switch {
 	case c.Aggregators < 1 || c.Self < 0 || c.Self >= c.Aggregators:
-		return fmt.Errorf("aggregator %d of %d makes no sense", c.Self, c.Aggregators)
+		return fmt.Errorf("aggregator %d of %d does not exist", c.Self, c.Aggregators)
 	case c.Period < 0:
 		return errors.New("the period is negative")
 	case c.Shards < 1 || c.Cells < 1 || c.CellsPerShard < 1:
-		return fmt.Errorf("%d shards in %d cells, each held by %d, make no sense", c.Shards, c.Cells, c.CellsPerShard)
+		return fmt.Errorf("%d shards in %d cells, %d cells a shard: each must be at least 1", c.Shards, c.Cells, c.CellsPerShard)
 	case len(c.Classes) == 0:
 		return errors.New("there are no classes")
 	case c.CallOverhead < 0 || c.PartsPerCall < 0:
@@ -23,26 +23,26 @@
 	}
 	for _, k := range c.Tenants {
 		if k.Quota < 0 {
-			return fmt.Errorf("tenant %q has a share below nought", k.Name)
+			return fmt.Errorf("tenant %q has a negative quota", k.Name)
 		}
 	}
 	if c.OverQuotaValue < 0 {
-		return errors.New("the worth beyond a tenant's share is negative")
+		return errors.New("the value beyond a tenant's quota is negative")
 	}
 	r := c.Rules
 	if r.AnswerGrace < 0 || r.DrainGrace < 0 || r.SlowStartFraction < 0 || r.WarmUp < 0 || r.OverloadMultiple < 0 ||
 		r.OverloadWindow < 0 || r.MembershipWithin < 0 || r.FreeExtraAttempts < 0 || r.ExtraAttemptRatio < 0 || r.ExtraAttemptWindow < 0 {
-		return errors.New("a figure of the rules is negative")
+		return errors.New("a parameter of the rules is negative")
 	}
 	named := map[string]bool{}
 	for _, k := range c.Classes {
 		switch {
 		case named[k.Name]:
-			return fmt.Errorf("class %q is there twice", k.Name)
+			return fmt.Errorf("class %q is defined twice", k.Name)
 		case k.LatencyTarget < 0 || k.HardLimit <= 0 || k.DedupWindow < 0 || k.LatencyTargetStretch < 0:
-			return fmt.Errorf("class %q has a time that makes no sense", k.Name)
+			return fmt.Errorf("class %q has a time out of range", k.Name)
 		case k.CompleteWeight < 0 || k.CompleteWeight > 1 || k.MinWeight < 0 || k.MinWeight > 1 || k.SecondStepParts < 0 || k.Value < 0:
-			return fmt.Errorf("class %q has a share, worth or number of parts that makes no sense", k.Name)
+			return fmt.Errorf("class %q has a weight, value or number of parts out of range", k.Name)
 		}
 		named[k.Name] = true
 	}
