--- a/internal/scheduler/routing/avoidance.go
+++ b/internal/scheduler/routing/avoidance.go
@@ -1,64 +1,73 @@
 package routing
 
 const (
-	// A worker that has failed is avoided for avoidFirstMS, twice as long after each further failure in a row, avoidMostMS at most.
-	avoidFirstMS = 150
-	avoidMostMS  = 2000
-	// A worker that has declined requests for a model, since it is full or loads weights, is left alone by these for refusedMS. With each
-	// refusal that follows within refusedAgainMS of the end of that time it is left alone for twice as long, refusedMostMS at most.
-	refusedMS      = 100
-	refusedMostMS  = 400
-	refusedAgainMS = 100
+	// A worker that has failed is avoided for minAvoidanceMS, twice as long after each further failure in a row, maxAvoidanceMS at most.
+	minAvoidanceMS         = 150
+	maxAvoidanceMS         = 2000
+	maxAvoidanceDoublings  = 10 // keeps the shift in range; maxAvoidanceMS is reached before
+	minRejectionBackoffMS  = 100
+	maxRejectionBackoffMS  = 400
+	rejectionBackoffFactor = 2
+	// repeatedRejectionMS plus the length of a rejection backoff is the time after its end in which another rejection counts as repeated.
+	repeatedRejectionMS = 100
 )
 
-// refusal is how a worker has declined the requests for a model.
-type refusal struct {
-	until  int64
-	lastMS int64 // how long it was left alone the last time
+// rejectionBackoff is the time in which requests for one model avoid a worker that has rejected one. A repeated rejection makes the next one
+// rejectionBackoffFactor times as long, from minRejectionBackoffMS up to maxRejectionBackoffMS.
+type rejectionBackoff struct {
+	until    int64
+	lengthMS int64
 }
 
-// Failed notes that a worker did not answer.
-func (t *Table) RecordFailure(now int64, w *Worker) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	w.failures++
-	w.avoidUntil = now + int64(min(avoidFirstMS<<min(w.failures-1, 10), avoidMostMS))
-}
-
-// RefusalCause is what a worker's answer says of why it has declined a request.
+// RejectionCause is why a worker has rejected a request. Its text is the label of the metric refusals_total.
 type RejectionCause string
 
 // The causes.
 const (
-	RejectedNotExecuted RejectionCause = "not_executed" // it is full, loads weights, or the request's time was over in its queue
-	RejectedMisdirected RejectionCause = "misdirected"  // another process has its address, or it has another version
-	RejectedStatus      RejectionCause = "status"       // any other status that is no success
+	// RejectedNotExecuted says that the worker is full, loads weights, or that the request's time was over in its queue.
+	RejectedNotExecuted RejectionCause = "not_executed"
+	// RejectedMisdirected says that another process has the worker's address, or that it has another weight version.
+	RejectedMisdirected RejectionCause = "misdirected"
+	// RejectedStatus says that the answer had any other status that is no success.
+	RejectedStatus RejectionCause = "status"
 )
 
-// Refused notes that a worker has declined a request for a model; empty where the request names none.
+// RecordFailure notes at the time now that a worker could not be reached or gave no usable answer. All of this gatherer's requests avoid it for a
+// while.
+func (t *Table) RecordFailure(now int64, w *Worker) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	w.failures++
+	doublings := min(w.failures-1, maxAvoidanceDoublings)
+	w.avoidedUntil = now + int64(min(minAvoidanceMS<<doublings, maxAvoidanceMS))
+}
+
+// RecordRejection notes at the time now that a worker has rejected a request for a model; the model is empty where the request names none. This
+// gatherer's requests for that model avoid the worker for a while. A rejection during that while is counted only: its request was in flight before.
 func (t *Table) RecordRejection(now int64, w *Worker, model string, cause RejectionCause) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	w.refusalCounts.add(w, model, cause)
-	old := w.refusals[model]
-	if now < old.until {
-		return // it was on its way when the first of them was declined
+	w.rejectionCounters.add(w, model, cause)
+	previous := w.rejections[model]
+	if now < previous.until {
+		return
 	}
-	wait := int64(refusedMS)
-	if t.use.RefusalBackoff && old.lastMS > 0 && now-old.until < refusedAgainMS+old.lastMS {
-		wait = min(2*old.lastMS, refusedMostMS)
+	length := int64(minRejectionBackoffMS)
+	repeated := previous.lengthMS > 0 && now-previous.until < repeatedRejectionMS+previous.lengthMS
+	if t.gates.RefusalBackoff && repeated {
+		length = min(rejectionBackoffFactor*previous.lengthMS, maxRejectionBackoffMS)
 	}
-	w.refusals[model] = refusal{now + wait, wait}
+	w.rejections[model] = rejectionBackoff{until: now + length, lengthMS: length}
 }
 
-// Served notes that a worker has answered.
+// RecordSuccess notes that a worker has given a usable answer: it is no longer avoided for its failures. Rejections stay.
 func (t *Table) RecordSuccess(w *Worker) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	w.failures, w.avoidUntil = 0, 0
+	w.failures, w.avoidedUntil = 0, 0
 }
 
-// avoided tells whether others should go before a worker.
+// avoided reports whether a request for a model goes to other workers first: the worker is lost, has failed, or has rejected such a request.
 func (w *Worker) avoided(now int64, model string) bool {
-	return w.lost || now < w.avoidUntil || now < w.refusals[model].until
+	return w.lost || now < w.avoidedUntil || now < w.rejections[model].until
 }
--- a/internal/scheduler/routing/doc.go
+++ b/internal/scheduler/routing/doc.go
@@ -1,14 +1,33 @@
-// Package routing picks the worker for each request, each item of a batch job and each stream that is resumed. A decision goes through
-// these steps, each in a file of its own:
+// Package routing chooses the worker for each request, each item of a batch job and each stream that is resumed.
 //
-//   - filter.go: which workers the request may go to;
-//   - avoidance.go: which of these have failed or declined lately, so that others go first;
-//   - subset.go and places.go: which workers are near this gatherer, and how many items it may have at each;
-//   - prediction.go: what the request will cost, in milliseconds;
-//   - choice.go: the worker with the least predicted backlog is taken, ties at random, and charged with the cost.
+// # The steps of a choice
 //
-// The rule is Predicted, after Freire et al., "Scheduling Queries Across Replicas": a worker's backlog is the summed predicted response time
-// of this gatherer's requests that are out at it. Sending adds a request's predicted time, and any outcome, a cancel or a cut too, removes it.
+// Table.Pick goes through these steps, each in a file of its own:
 //
-// The package is pure: times are milliseconds that the caller gives.
+//   - filter.go: which workers the request may go to at all;
+//   - avoidance.go: which of these have failed or rejected requests lately, so that all others go first;
+//   - subset.go and slots.go: which workers of a service this gatherer prefers, and how many items it may have at each;
+//   - estimate.go: what the request costs, in milliseconds;
+//   - pick.go: the worker with the least predicted backlog is taken, ties at random;
+//   - reservation.go: the cost is added to the worker's backlog until the reservation is released.
+//
+// table.go and worker.go hold the state, free_slots.go sums up what batch jobs may still begin, prompts.go and metrics.go only count.
+//
+// # The rule
+//
+// The rule is Predicted, after Freire et al., "Scheduling Queries Across Replicas": a worker's backlog is the sum of the estimated response times
+// of this gatherer's requests in flight there. A reservation adds a request's estimate, its release removes it, whatever the outcome was, a cancelled
+// request included. A worker's answer may state its load; the backlog is set to that (RecordLoad). The other policies of package featuregate are
+// baselines for measurements.
+//
+// # What it owns and what it must not know
+//
+// The package owns this gatherer's view of the workers and gatherers. It sends nothing, starts no goroutine and reads no clock: times are
+// milliseconds that the caller passes, of one clock that doesn't go back, and random numbers come from the caller's source. What workers exist is
+// put in by package proxy from the registry's feed; how attempts went by packages forward and batchrunner.
+//
+// # Concurrency and errors
+//
+// A Table and its reservations are safe for concurrent use. Only the fields ID and Service of a Worker never change; the table writes Address, Zone
+// and Capacity under its lock when the registry announces a change. No function returns an error: Pick returns nil where no worker fits.
 package routing
--- a/internal/scheduler/routing/metrics.go
+++ b/internal/scheduler/routing/metrics.go
@@ -6,19 +6,22 @@
 	victoria "github.com/VictoriaMetrics/metrics"
 )
 
-// picks counts decisions by what was asked for and why the worker was taken.
-var picks = map[bool]map[pickReason]*victoria.Counter{true: pickCounters("item"), false: pickCounters("request")}
-
-// pickReason is why a worker was taken.
+// pickReason is why a worker was picked.
 type pickReason string
 
 const (
-	pickLeast   pickReason = "least"   // it had the least backlog
-	pickTie     pickReason = "tie"     // as others had; drawn at random
-	pickAvoided pickReason = "avoided" // all that were left had failed or declined
+	pickLeast   pickReason = "least"   // it alone had the least score
+	pickTie     pickReason = "tie"     // it was drawn from several with the least score
+	pickAvoided pickReason = "avoided" // only avoided workers were left
+)
+
+// requestPicks and itemPicks count picks by reason.
+var (
+	requestPicks = newPickCounters("request")
+	itemPicks    = newPickCounters("item")
 )
 
-func pickCounters(kind string) map[pickReason]*victoria.Counter {
+func newPickCounters(kind string) map[pickReason]*victoria.Counter {
 	counters := map[pickReason]*victoria.Counter{}
 	for _, reason := range []pickReason{pickLeast, pickTie, pickAvoided} {
 		counters[reason] = metrics.Counter("picks_total", metrics.Label{Name: "kind", Value: kind}, metrics.Label{Name: "reason", Value: string(reason)})
@@ -34,52 +37,69 @@
 	case ties > 1:
 		reason = pickTie
 	}
-	picks[item][reason].Inc()
+	if item {
+		itemPicks[reason].Inc()
+	} else {
+		requestPicks[reason].Inc()
+	}
 }
 
-// refusalCounts count what one worker has declined. They end with the worker: each start of a worker has a name of its own.
-type refusalCounts map[refusalKind]*victoria.Counter
+// rejectionCounters count what one worker has rejected. They are unregistered with the worker, since each start of a worker has an ID, and so series,
+// of its own.
+type rejectionCounters map[rejectionLabels]*victoria.Counter
 
-// refusalKind is what refusals are counted by.
-type refusalKind struct {
+// rejectionLabels are the labels that differ between the counters of one worker.
+type rejectionLabels struct {
 	model string
 	cause RejectionCause
 }
 
-// add counts a refusal; nothing where the worker is gone.
-func (c refusalCounts) add(w *Worker, model string, cause RejectionCause) {
+// add counts a rejection; it does nothing after the worker was removed.
+func (c rejectionCounters) add(w *Worker, model string, cause RejectionCause) {
 	if c == nil {
 		return
 	}
-	kind := refusalKind{model, cause}
-	counter := c[kind]
+	labels := rejectionLabels{model, cause}
+	counter := c[labels]
 	if counter == nil {
-		counter = metrics.Counter("refusals_total", kind.labels(w)...)
-		c[kind] = counter
+		counter = metrics.Counter("refusals_total", labels.of(w)...)
+		c[labels] = counter
 	}
 	counter.Inc()
 }
 
-// forget ends the counters of a worker that is gone.
-func (c refusalCounts) forget(w *Worker) {
-	for kind := range c {
-		metrics.Unregister("refusals_total", kind.labels(w)...)
+// unregister ends the counters of a worker that is removed.
+func (c rejectionCounters) unregister(w *Worker) {
+	for labels := range c {
+		metrics.Unregister("refusals_total", labels.of(w)...)
 	}
 	clear(c)
 }
 
-func (k refusalKind) labels(w *Worker) []metrics.Label {
+// of returns all labels of a worker's counter.
+func (l rejectionLabels) of(w *Worker) []metrics.Label {
 	return []metrics.Label{
 		{Name: "service", Value: w.Service},
 		{Name: "worker", Value: w.ID},
-		{Name: "model", Value: k.model},
-		{Name: "cause", Value: string(k.cause)},
+		{Name: "model", Value: l.model},
+		{Name: "cause", Value: string(l.cause)},
 	}
 }
 
-// sharedPrompts counts requests with a shared part by whether this gatherer has sent that part to the worker lately.
-var sharedPrompts = map[bool]*victoria.Counter{true: sharedPromptCounter("met"), false: sharedPromptCounter("missed")}
+// The counters of requests with a shared prompt, by whether this gatherer has sent that prompt to the worker lately.
+var (
+	sharedPromptsMet    = newSharedPromptCounter("met")
+	sharedPromptsMissed = newSharedPromptCounter("missed")
+)
 
-func sharedPromptCounter(outcome string) *victoria.Counter {
+func newSharedPromptCounter(outcome string) *victoria.Counter {
 	return metrics.Counter("shared_prompts_total", metrics.Label{Name: "outcome", Value: outcome})
 }
+
+func countSharedPrompt(met bool) {
+	if met {
+		sharedPromptsMet.Inc()
+	} else {
+		sharedPromptsMissed.Inc()
+	}
+}
--- a/internal/scheduler/routing/metrics_test.go
+++ b/internal/scheduler/routing/metrics_test.go
@@ -11,19 +11,19 @@
 	"github.com/matryer/is"
 )
 
-// What a worker has declined is told as long as the worker is there.
-func TestRefusalsAreToldByWorker(t *testing.T) {
+// A worker's rejections are exported until the worker is removed.
+func TestRejectionsAreCountedByWorker(t *testing.T) {
 	is := is.New(t)
 	x := NewTable(Gatherer{Name: "g"}, featuregate.All(), rand.New(rand.NewPCG(1, 1)))
 	x.PutWorker(&rpc.Instance{Id: "counted", Service: "s", Capacity: 1})
 	w := x.byID["counted"]
-	told := func() bool {
+	counted := func() bool {
 		return strings.Contains(metrics.Text(), `saffronquay_refusals_total{service="s",worker="counted",model="m",cause="misdirected"} 1`)
 	}
 	x.RecordRejection(1000, w, "m", RejectedMisdirected)
-	is.True(told())
+	is.True(counted())
 	x.RemoveWorker("counted")
-	is.True(!told())
-	x.RecordRejection(2000, w, "m", RejectedMisdirected) // it was on its way
-	is.True(!told())
+	is.True(!counted())
+	x.RecordRejection(2000, w, "m", RejectedMisdirected) // of a request that was in flight
+	is.True(!counted())
 }
--- a/internal/scheduler/routing/prompts.go
+++ b/internal/scheduler/routing/prompts.go
@@ -1,16 +1,16 @@
 package routing
 
-// promptsKept is how many shared parts of prompts are remembered of a worker. Only what is counted follows from them, no decision.
-const promptsKept = 16
+// maxRecentPrompts is how many shared prompts are remembered for each worker. They are only counted; no decision depends on them.
+const maxRecentPrompts = 16
 
-// recentPrompts are the hashes of the shared parts that this gatherer has sent to a worker last, the oldest overwritten first.
+// recentPrompts is a ring of the hashes of the shared prompts that this gatherer has sent to a worker last.
 type recentPrompts struct {
-	hashes [promptsKept]uint64
-	next   int
+	hashes [maxRecentPrompts]uint64
+	next   int // the oldest one, which is overwritten next
 }
 
-// meet tells whether a shared part was sent there lately, and remembers it.
-func (r *recentPrompts) meet(prompt string) bool {
+// add remembers a shared prompt, and reports whether it was remembered before. One that was keeps its age.
+func (r *recentPrompts) add(prompt string) (known bool) {
 	sum := hash(prompt)
 	for _, kept := range r.hashes {
 		if kept == sum {
@@ -18,6 +18,6 @@
 		}
 	}
 	r.hashes[r.next] = sum
-	r.next = (r.next + 1) % promptsKept
+	r.next = (r.next + 1) % maxRecentPrompts
 	return false
 }
--- a/internal/scheduler/routing/prompts_test.go
+++ b/internal/scheduler/routing/prompts_test.go
@@ -7,16 +7,16 @@
 	"github.com/matryer/is"
 )
 
-// A shared part is met again until so many others have followed it as are remembered.
+// A shared prompt is known until maxRecentPrompts others have followed it.
 func TestRecentPrompts(t *testing.T) {
 	is := is.New(t)
 	var r recentPrompts
-	is.True(!r.meet("a"))
-	is.True(r.meet("a"))
-	for i := range promptsKept - 1 {
-		is.True(!r.meet(fmt.Sprint("other", i)))
+	is.True(!r.add("a"))
+	is.True(r.add("a"))
+	for i := range maxRecentPrompts - 1 {
+		is.True(!r.add(fmt.Sprint("other", i)))
 	}
-	is.True(r.meet("a"))
-	is.True(!r.meet("one more"))
-	is.True(!r.meet("a"))
+	is.True(r.add("a"))
+	is.True(!r.add("one more"))
+	is.True(!r.add("a"))
 }
--- /dev/null
+++ b/internal/scheduler/routing/reservation.go
@@ -0,0 +1,42 @@
+package routing
+
+// Reservation counts a request in its worker's backlog. It must be released when the request has ended, whatever its outcome.
+type Reservation struct {
+	Worker *Worker
+
+	table    *Table
+	costMS   float64
+	item     bool
+	released bool
+}
+
+// reserve adds a request to a worker's backlog. t.mu must be locked.
+func (t *Table) reserve(w *Worker, costMS float64, item bool) *Reservation {
+	w.backlogMS += costMS
+	w.inFlight++
+	if item {
+		w.itemsInFlight++
+	}
+	return &Reservation{Worker: w, table: t, costMS: costMS, item: item}
+}
+
+// Release takes the request off its worker's backlog and closes the channel of Table.Changed. Later calls do nothing.
+func (r *Reservation) Release() {
+	t := r.table
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if r.released {
+		return
+	}
+	r.released = true
+	w := r.Worker
+	w.inFlight--
+	if r.item {
+		w.itemsInFlight--
+	}
+	w.backlogMS = max(0, w.backlogMS-r.costMS)
+	if w.inFlight == 0 {
+		w.backlogMS = 0 // rounding and RecordLoad leave a rest
+	}
+	t.signalChange()
+}
--- a/internal/scheduler/routing/slots_test.go
+++ b/internal/scheduler/routing/slots_test.go
@@ -10,17 +10,17 @@
 	"github.com/matryer/is"
 )
 
-// fleet is a table for each of some gatherers, all of which know the same.
+// fleet has a table for each of several gatherers, which all know the same workers and gatherers.
 type fleet []*Table
 
-func newFleet(use featuregate.Gates, gatherers, workers, zones, capacity int) fleet {
+func newFleet(gates featuregate.Gates, gatherers, workers, zones, capacity int) fleet {
 	var f fleet
 	for i := range gatherers {
-		f = append(f, NewTable(Gatherer{Name: fmt.Sprintf("g%02d", i), Zone: fmt.Sprintf("z%d", i%zones)}, use, rand.New(rand.NewPCG(1, uint64(i)))))
+		f = append(f, NewTable(Gatherer{Name: fmt.Sprintf("g%02d", i), Zone: fmt.Sprintf("z%d", i%zones)}, gates, rand.New(rand.NewPCG(1, uint64(i)))))
 	}
 	for _, t := range f {
 		for _, other := range f {
-			t.PutGatherer(other.own)
+			t.PutGatherer(other.self)
 		}
 		for i := range workers {
 			t.PutWorker(&rpc.Instance{Id: fmt.Sprintf("w%02d", i), Service: "s", Zone: fmt.Sprintf("z%d", i%zones), Capacity: uint32(capacity), Models: []*rpc.ModelWeights{{Name: "m", Version: 1}}})
@@ -29,11 +29,11 @@
 	return f
 }
 
-// parts is how many places each gatherer has at each worker.
-func (f fleet) parts() map[string][]int {
+// slots returns the slots of each gatherer, by worker id.
+func (f fleet) slots() map[string][]int {
 	parts := map[string][]int{}
 	for i, t := range f {
-		for id, n := range t.share("s").places {
+		for id, n := range t.subset("s").slots {
 			if parts[id] == nil {
 				parts[id] = make([]int, len(f))
 			}
@@ -59,22 +59,23 @@
 	return count
 }
 
-// Each way of dividing gives out all places of each worker, once, to gatherers of its zone, and the same number to each gatherer of a zone.
+// Both divisions give each slot of each worker to exactly one gatherer of its zone. The compact one gives the same number to each gatherer of a zone,
+// differing by one at most.
 func TestPlacesAreDividedWholly(t *testing.T) {
 	for _, compact := range []bool{true, false} {
 		for _, size := range [][4]int{{60, 48, 4, 6}, {6, 9, 3, 12}, {1, 1, 1, 1}, {3, 50, 1, 4}, {40, 2, 2, 6}} {
 			t.Run(fmt.Sprint(compact, size), func(t *testing.T) {
 				is := is.New(t)
-				use := featuregate.All()
-				use.CompactPlaces = compact
-				f := newFleet(use, size[0], size[1], size[2], size[3])
-				parts := f.parts()
+				gates := featuregate.All()
+				gates.CompactPlaces = compact
+				f := newFleet(gates, size[0], size[1], size[2], size[3])
+				parts := f.slots()
 				is.Equal(len(parts), size[1])
 				perGatherer := map[int]int{}
 				for id, list := range parts {
-					is.Equal(sum(list), f[0].byID[id].places())
+					is.Equal(sum(list), f[0].byID[id].slots())
 					for i, n := range list {
-						is.True(n == 0 || f[i].own.Zone == f[0].byID[id].Zone)
+						is.True(n == 0 || f[i].self.Zone == f[0].byID[id].Zone)
 						perGatherer[i] += n
 					}
 				}
@@ -83,7 +84,7 @@
 				}
 				for i, t := range f {
 					for j, other := range f {
-						if t.own.Zone == other.own.Zone {
+						if t.self.Zone == other.self.Zone {
 							is.True(perGatherer[i]-perGatherer[j] <= 1)
 						}
 					}
@@ -93,13 +94,13 @@
 	}
 }
 
-// Few gatherers share a worker, and each gatherer works at few.
+// The compact division has at most half as many pairs of gatherer and worker as the even one.
 func TestPlacesAreCompact(t *testing.T) {
 	is := is.New(t)
 	shared := func(compact bool) (count int) {
-		use := featuregate.All()
-		use.CompactPlaces = compact
-		for _, list := range newFleet(use, 60, 48, 4, 6).parts() {
+		gates := featuregate.All()
+		gates.CompactPlaces = compact
+		for _, list := range newFleet(gates, 60, 48, 4, 6).slots() {
 			count += sharers(list)
 		}
 		return count
@@ -107,13 +108,13 @@
 	is.True(shared(true) <= shared(false)/2)
 }
 
-// A worker that leaves, or a gatherer, moves few of the places of the others.
+// After a worker or a gatherer has left, the others get few new slots.
 func TestChangesMoveFewPlaces(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(featuregate.All(), 16, 12, 1, 6)
-	before := f.parts()
+	before := f.slots()
 	moved := func() (count int) {
-		for id, list := range f.parts() {
+		for id, list := range f.slots() {
 			for i, n := range list {
 				count += max(0, n-before[id][i])
 			}
@@ -125,8 +126,8 @@
 		t.RemoveWorker("w03")
 	}
 	is.True(moved() < total/3)
-	before = f.parts()
-	gone := f[5].own.Name
+	before = f.slots()
+	gone := f[5].self.Name
 	f = append(f[:5:5], f[6:]...)
 	for id, list := range before {
 		before[id] = append(list[:5:5], list[6:]...)
@@ -137,12 +138,12 @@
 	is.True(moved() < total/3)
 }
 
-// A zone without gatherers is served by all of them.
+// The workers of a zone without gatherers are divided among all gatherers.
 func TestZoneWithoutGatherers(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(featuregate.All(), 4, 2, 1, 6)
 	for _, t := range f {
 		t.PutWorker(&rpc.Instance{Id: "far", Service: "s", Zone: "elsewhere", Capacity: 6, Models: []*rpc.ModelWeights{{Name: "m", Version: 1}}})
 	}
-	is.Equal(sum(f.parts()["far"]), 7)
+	is.Equal(sum(f.slots()["far"]), 7)
 }
--- a/internal/scheduler/routing/subset_test.go
+++ b/internal/scheduler/routing/subset_test.go
@@ -9,7 +9,7 @@
 	"github.com/matryer/is"
 )
 
-// spread counts where a table's requests go when each is over before the next.
+// spread counts the zones that a number of requests go to, each released before the next.
 func spread(x *Table, q *Query, requests int) map[string]int {
 	zones := map[string]int{}
 	for range requests {
@@ -20,7 +20,7 @@
 	return zones
 }
 
-// Requests stay in their zone while it is no busier than others by more than one request.
+// Requests stay in their zone while its workers have no more than one request more in flight than others.
 func TestRequestsStayNear(t *testing.T) {
 	is := is.New(t)
 	x := newFleet(featuregate.All(), 8, 8, 4, 6)[0]
@@ -38,10 +38,10 @@
 			far++
 		}
 	}
-	is.True(far >= 4) // each near worker has one out: the others are as good
+	is.True(far >= 4) // each worker of the zone has one in flight: the others are equal
 }
 
-// Where the workers of the zone fail, decline or are asked already, others are asked at once.
+// Where the workers of the zone have failed, rejected a request or are excluded, requests go to others immediately.
 func TestRequestsLeaveTheirZone(t *testing.T) {
 	is := is.New(t)
 	x := newFleet(featuregate.All(), 8, 8, 4, 6)[0]
@@ -52,7 +52,7 @@
 	is.Equal(spread(y, &Query{Services: []string{"s"}, Exclude: map[string]bool{"w00": true, "w04": true}}, 50)["z0"], 0)
 }
 
-// A zone with many gatherers and few workers prefers none: its workers would be overrun.
+// The gatherers of a zone with many gatherers and few workers prefer no zone: these workers would be overloaded.
 func TestStarvedZonePrefersNone(t *testing.T) {
 	is := is.New(t)
 	x := newFleet(featuregate.All(), 1, 0, 1, 6)[0]
@@ -66,10 +66,10 @@
 	is.True(spread(x, anywhere, 400)["z1"] > 200)
 }
 
-// Without the mechanism every worker is as good as any other.
+// Without the gate requests go to all zones alike.
 func TestNearbyWorkersSwitchedOff(t *testing.T) {
 	is := is.New(t)
-	use := featuregate.All()
-	use.NearbyWorkers = false
-	is.True(spread(newFleet(use, 8, 8, 4, 6)[0], anywhere, 400)["z0"] < 200)
+	gates := featuregate.All()
+	gates.NearbyWorkers = false
+	is.True(spread(newFleet(gates, 8, 8, 4, 6)[0], anywhere, 400)["z0"] < 200)
 }
--- a/internal/scheduler/routing/table.go
+++ b/internal/scheduler/routing/table.go
@@ -8,86 +8,73 @@
 	"sync"
 )
 
-// Worker is one start of a worker as this gatherer sees it.
-type Worker struct {
-	ID, Address, Service, Zone string
-	Capacity                   int
-
-	draining, lost bool
-	versions       map[string]uint64
-	backlog        float64 // predicted, ms
-	out            int     // requests of this gatherer
-	items          int     // of these, items of batch jobs
-	failures       int     // in a row
-	avoidUntil     int64
-	refusals       map[string]refusal // by model
-	refusalCounts  refusalCounts
-	prompts        recentPrompts
-}
-
-// usable tells whether a worker takes part in the division of places and in subsets. All gatherers know that of a worker in the same way.
-func (w *Worker) usable() bool { return !w.draining && !w.lost }
-
-// Table holds the workers and the other gatherers.
+// Table holds the workers and gatherers that the registry lists, and what this gatherer has learnt of the workers. Its lock also guards the fields of
+// all its workers and reservations.
 type Table struct {
-	mu        sync.Mutex
-	own       Gatherer
-	use       featuregate.Gates
-	byID      map[string]*Worker
-	byService map[string][]*Worker
-	classes   map[string]*class
-	gatherers gatherers
-	shares    map[string]*share // by service; empty after a change
-	random    *rand.Rand
-	turn      int // of RoundRobin
-	changed   chan struct{}
+	self  Gatherer
+	gates featuregate.Gates
+
+	mu             sync.Mutex
+	random         *rand.Rand
+	byID           map[string]*Worker
+	byService      map[string][]*Worker // in the order in which they were put
+	estimates      map[string]*latencyEstimate
+	gatherers      gatherers
+	subsets        map[string]*subset // by service; computed when needed, deleted when outdated
+	roundRobinTurn int
+	changed        chan struct{} // closed and replaced by signalChange
 }
 
 // Gatherer names a gatherer and its zone.
 type Gatherer struct{ Name, Zone string }
 
-// NewTable returns an empty table of a gatherer.
-func NewTable(own Gatherer, use featuregate.Gates, random *rand.Rand) *Table {
+// NewTable returns an empty table for the gatherer self. The table uses random from now on alone.
+func NewTable(self Gatherer, gates featuregate.Gates, random *rand.Rand) *Table {
 	return &Table{
-		own: own, use: use, byID: map[string]*Worker{}, byService: map[string][]*Worker{}, classes: map[string]*class{},
-		gatherers: gatherers{byZone: map[string][]string{}}, shares: map[string]*share{}, random: random, changed: make(chan struct{}),
+		self:      self,
+		gates:     gates,
+		random:    random,
+		byID:      map[string]*Worker{},
+		byService: map[string][]*Worker{},
+		estimates: map[string]*latencyEstimate{},
+		gatherers: gatherers{byZone: map[string][]string{}},
+		subsets:   map[string]*subset{},
+		changed:   make(chan struct{}),
 	}
 }
 
-func (t *Table) signal() {
-	close(t.changed)
-	t.changed = make(chan struct{})
-}
-
-// Changed returns a channel that is closed when a worker may have become able to take more.
+// Changed returns a channel that is closed at the next change that may let a worker take more: a worker or gatherer that was put, a gatherer that
+// was removed, a reservation that was released, a new weight version. Call it before the look at the table that the wait depends on.
 func (t *Table) Changed() <-chan struct{} {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.changed
 }
 
-// Put adds a worker or replaces what is known of it.
+// signalChange closes the channel of Changed. t.mu must be locked.
+func (t *Table) signalChange() {
+	close(t.changed)
+	t.changed = make(chan struct{})
+}
+
+// PutWorker adds a worker, or replaces what the registry has said of it. What this gatherer has learnt of the worker stays.
 func (t *Table) PutWorker(i *rpc.Instance) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	w := t.byID[i.Id]
 	if w == nil {
-		w = &Worker{ID: i.Id, Service: i.Service, versions: map[string]uint64{}, refusals: map[string]refusal{}, refusalCounts: refusalCounts{}}
+		w = newWorker(i)
 		t.byID[i.Id] = w
 		t.byService[i.Service] = append(t.byService[i.Service], w)
-		delete(t.shares, w.Service)
-	}
-	if w.Zone != i.Zone || w.Capacity != int(i.Capacity) || w.draining != i.Draining || w.lost != i.Lost {
-		delete(t.shares, w.Service)
+		delete(t.subsets, w.Service)
 	}
-	w.Address, w.Zone, w.Capacity, w.draining, w.lost = i.Address, i.Zone, int(i.Capacity), i.Draining, i.Lost
-	for _, m := range i.Models {
-		w.versions[m.Name] = max(w.versions[m.Name], m.Version)
+	if w.update(i) {
+		delete(t.subsets, w.Service)
 	}
-	t.signal()
+	t.signalChange()
 }
 
-// Remove forgets a worker.
+// RemoveWorker forgets a worker and unregisters its counters. Reservations of it may still be released.
 func (t *Table) RemoveWorker(id string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -96,45 +83,44 @@
 		return
 	}
 	w.draining, w.lost = true, true
-	w.refusalCounts.forget(w)
-	w.refusalCounts = nil
+	w.rejectionCounters.unregister(w)
+	w.rejectionCounters = nil
 	delete(t.byID, id)
-	delete(t.shares, w.Service)
+	delete(t.subsets, w.Service)
 	t.byService[w.Service] = slices.DeleteFunc(t.byService[w.Service], func(x *Worker) bool { return x == w })
 }
 
-// PutGatherer notes that a gatherer is alive.
+// PutGatherer adds a gatherer that is alive; one that is known stays as it is.
 func (t *Table) PutGatherer(g Gatherer) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.gatherers.put(g)
-	clear(t.shares)
-	t.signal()
+	clear(t.subsets)
+	t.signalChange()
 }
 
-// RemoveGatherer notes that a gatherer is gone.
+// RemoveGatherer forgets a gatherer that has failed or left.
 func (t *Table) RemoveGatherer(name string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.gatherers.remove(name)
-	clear(t.shares)
-	t.signal()
+	clear(t.subsets)
+	t.signalChange()
 }
 
-// SawVersion notes which version of a model a worker's answer named.
+// RecordVersion sets the weight version of a model that a worker's answer has named. Unlike PutWorker it may set an earlier one.
 func (t *Table) RecordVersion(w *Worker, model string, version uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if w.versions[model] != version {
 		w.versions[model] = version
-		t.signal()
+		t.signalChange()
 	}
 }
 
-// Reported resets a worker's backlog to what its answer says of its load: the requests that run and wait there, each taken for the
-// average time.
-func (t *Table) RecordLoad(w *Worker, running, waiting int, average float64) {
+// RecordLoad sets a worker's backlog to the load that its answer states: the requests that run and wait there, each taken for averageMS.
+func (t *Table) RecordLoad(w *Worker, running, waiting int, averageMS float64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	w.backlog = float64(running+waiting) * average
+	w.backlogMS = float64(running+waiting) * averageMS
 }
--- a/internal/scheduler/routing/table_test.go
+++ b/internal/scheduler/routing/table_test.go
@@ -23,7 +23,7 @@
 
 var anywhere = &Query{Services: []string{"s"}}
 
-// The least predicted backlog is picked, not the fewest requests; any outcome clears what sending has charged.
+// The worker with the least predicted backlog is picked, not the one with the fewest requests; a release takes off what the reservation has added.
 func TestLeastPredictedBacklog(t *testing.T) {
 	is := is.New(t)
 	x := table(instance("a", 1), instance("b", 1))
@@ -32,7 +32,7 @@
 		is.True(x.Pick(0, anywhere, 10).Worker != long.Worker)
 	}
 	long.Release()
-	long.Release() // once only
+	long.Release() // without effect
 	is.Equal(x.Pick(0, anywhere, 10).Worker, long.Worker)
 }
 
@@ -50,7 +50,7 @@
 	}
 }
 
-// A request goes only where it may: to its services, to no draining worker, to fitting weights, and not twice to the same worker.
+// A request goes only to workers of its services that are not draining, have fitting weights and are not excluded.
 func TestFilter(t *testing.T) {
 	is := is.New(t)
 	draining := instance("d", 9)
@@ -68,7 +68,7 @@
 	is.True(x.Pick(0, &Query{Services: []string{"s"}, Model: "m", MinVersion: 3}, 1) == nil)
 }
 
-// A worker that fails is avoided for a while that grows, but taken where there is no other.
+// A worker that has failed is avoided, but taken for a request where there is no other, until it serves one.
 func TestAvoidance(t *testing.T) {
 	is := is.New(t)
 	x := table(instance("a", 1), instance("b", 1))
@@ -80,10 +80,10 @@
 	is.Equal(x.Pick(1001, &Query{Services: []string{"s"}, Exclude: map[string]bool{"b": true}}, 1).Worker.ID, "a")
 	is.True(x.Pick(1001, &Query{Services: []string{"s"}, Exclude: map[string]bool{"b": true}, Item: true}, 1) == nil)
 	x.RecordSuccess(a)
-	is.True(a.avoidUntil == 0)
+	is.True(a.avoidedUntil == 0)
 }
 
-// Costs follow the class's latency and the tokens of the request; a report of the load takes the place of the sum.
+// Estimates follow the route's latency and the tokens of the request; a reported load replaces the backlog.
 func TestCosts(t *testing.T) {
 	is := is.New(t)
 	x := table(instance("a", 1))
@@ -91,18 +91,18 @@
 	x.RecordLatency("r", 150, 40, Usage{Output: 100})
 	is.Equal(x.EstimateCost("r", 150, Usage{Output: 200}), 80.0)
 	x.RecordLoad(x.byID["a"], 3, 2, 40)
-	is.Equal(x.byID["a"].backlog, 200.0)
+	is.Equal(x.byID["a"].backlogMS, 200.0)
 }
 
-// A gatherer that is alone has all places of a worker of four slots: the slots and one that waits.
-func TestRooms(t *testing.T) {
+// A gatherer that is alone has all slots of each worker of capacity four: these four and one that waits.
+func TestFreeSlots(t *testing.T) {
 	is := is.New(t)
 	x := table(instance("a", 1), instance("b", 2))
 	k := x.Pick(0, &Query{Services: []string{"s"}, Model: "m", MinVersion: 2, Item: true}, 1)
 	is.Equal(k.Worker.ID, "b")
-	rooms, want := x.FreeSlots(0, []string{"s"})
+	slots, want := x.FreeSlots(0, []string{"s"})
 	is.Equal(want, 9)
-	is.Equal(len(rooms), 2)
+	is.Equal(len(slots), 2)
 	x.RecordRejection(0, k.Worker, "m", RejectedNotExecuted)
 	_, want = x.FreeSlots(1, []string{"s"})
 	is.Equal(want, 5)
--- /dev/null
+++ b/internal/scheduler/routing/worker.go
@@ -0,0 +1,45 @@
+package routing
+
+import "saffronquay/internal/scheduler/rpc"
+
+// Worker is one incarnation of a worker as this gatherer sees it: each start of a worker has an ID of its own.
+type Worker struct {
+	ID, Address, Service, Zone string
+	Capacity                   int // items and requests that it runs at a time
+
+	draining, lost bool              // as the registry says
+	versions       map[string]uint64 // weight version by model; empty: it hasn't named any
+	backlogMS      float64           // predicted time of this gatherer's requests in flight
+	inFlight       int               // this gatherer's requests, items included
+	itemsInFlight  int               // of these, items of batch jobs
+
+	failures          int                         // in a row
+	avoidedUntil      int64                       // since the last failure
+	rejections        map[string]rejectionBackoff // by model
+	rejectionCounters rejectionCounters           // nil after the worker was removed
+	recentPrompts     recentPrompts
+}
+
+func newWorker(i *rpc.Instance) *Worker {
+	return &Worker{
+		ID:                i.Id,
+		Service:           i.Service,
+		versions:          map[string]uint64{},
+		rejections:        map[string]rejectionBackoff{},
+		rejectionCounters: rejectionCounters{},
+	}
+}
+
+// update takes over what the registry says, and reports whether the subsets of its service have to be computed again. The version of a model only
+// grows here: an answer may have named a later one already.
+func (w *Worker) update(i *rpc.Instance) (subsetsChange bool) {
+	subsetsChange = w.Zone != i.Zone || w.Capacity != int(i.Capacity) || w.draining != i.Draining || w.lost != i.Lost
+	w.Address, w.Zone, w.Capacity, w.draining, w.lost = i.Address, i.Zone, int(i.Capacity), i.Draining, i.Lost
+	for _, model := range i.Models {
+		w.versions[model.Name] = max(w.versions[model.Name], model.Version)
+	}
+	return subsetsChange
+}
+
+// usable reports whether the worker counts in subsets. It depends only on what the registry says, so that all gatherers agree on it.
+func (w *Worker) usable() bool { return !w.draining && !w.lost }
