--- a/internal/broker/idempotency/contracts_test.go
+++ b/internal/broker/idempotency/contracts_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// Through the started program: a loud team with far more than its share is refused, and the quiet one is not; the accounts say so.
+// With the started program: a loud team that sends far more than its quota is rejected, the quiet one is not, and the counters agree.
 func TestContractsThroughTheProgram(t *testing.T) {
 	c := newCluster(t, 10*time.Millisecond)
 	g := newGatherer(t, c, "")
@@ -22,7 +22,7 @@
 		map[string]any{"name": "loud", "parent": "desk", "weight": 1, "wait_ms": 100},
 	}}
 	p := g.start()
-	ask := func(team, index string) answer {
+	send := func(team, index string) answer {
 		return g.sendAs(team, "POST", "/"+index+"/_search", "", "", `{"query":{"range":{"taxpayer":{"gte":5,"lt":25}}}}`)
 	}
 	stop := make(chan struct{})
@@ -38,7 +38,7 @@
 					return
 				default:
 				}
-				switch a := ask("loud", "invoices"); a.status {
+				switch a := send("loud", "invoices"); a.status {
 				case 429:
 					refused.Add(1)
 				case 200:
@@ -50,11 +50,11 @@
 		}()
 	}
 	for i := range 40 {
-		if a := ask("quiet", "invoices"); a.status != 200 {
+		if a := send("quiet", "invoices"); a.status != 200 {
 			t.Errorf("quiet, %d: %+v", i, a)
 		}
 	}
-	if a := ask("quiet", "filings"); a.status != 403 {
+	if a := send("quiet", "filings"); a.status != 403 {
 		t.Errorf("a class that its contract does not have: %+v", a)
 	}
 	close(stop)
--- a/internal/broker/idempotency/kill_test.go
+++ b/internal/broker/idempotency/kill_test.go
@@ -20,8 +20,8 @@
 	"time"
 )
 
-// Two of five gatherers are killed at once, again and again, while 2,000 filings go through them with clients that retry. Nothing runs
-// twice, and what a client was told once it is told again.
+// Two of five gatherers at a time are killed, again and again, while 2,000 filings go through them with clients that retry. Nothing runs
+// twice, and a client that got an answer gets the same one again.
 func TestKilledGatherers(t *testing.T) {
 	c := newCluster(t, time.Millisecond)
 	var gs []*gatherer
@@ -32,8 +32,8 @@
 	}
 	const filings, clients = 2000, 16
 	var next, failed, lost, retries atomic.Int64
-	var told sync.Map
-	over := make(chan struct{})
+	var answers sync.Map
+	done := make(chan struct{})
 	var wg sync.WaitGroup
 	for range clients {
 		wg.Add(1)
@@ -48,7 +48,7 @@
 					if !c.Ledger.Ran(key) {
 						t.Errorf("%s is acknowledged and never ran", key)
 					}
-					told.Store(key, a.body)
+					answers.Store(key, a.body)
 				case a.status == 500:
 					failed.Add(1)
 				default:
@@ -57,12 +57,12 @@
 			}
 		}()
 	}
-	go func() { wg.Wait(); close(over) }()
+	go func() { wg.Wait(); close(done) }()
 	rng := rand.New(rand.NewPCG(3, 3))
 	kills := 0
 	for killing := true; killing; {
 		select {
-		case <-over:
+		case <-done:
 			killing = false
 			continue
 		case <-time.After(time.Duration(60+rng.IntN(100)) * time.Millisecond):
@@ -77,19 +77,19 @@
 			kills++
 		}
 	}
-	// Once more, all of them, and each client asks again.
+	// Finally all of them are killed, and each client sends its filing again.
 	for i, p := range ps {
 		p.Kill()
 		ps[i] = gs[i].start()
 	}
 	acked := 0
-	told.Range(func(key, body any) bool {
+	answers.Range(func(key, body any) bool {
 		acked++
 		var i int
 		fmt.Sscanf(key.(string), "filing-%d", &i)
 		if a := gs[i%5].send("POST", "/filings/_search", key.(string), key.(string), `{"query":{"range":{"taxpayer":{"gte":5,"lt":25}}}}`); a.status != 200 || a.body != body.(string) || !a.replayed {
 			lost.Add(1)
-			t.Errorf("%s: told %q, and now %+v", key, body, a)
+			t.Errorf("%s: answered %q, and now %+v", key, body, a)
 		}
 		return true
 	})
@@ -101,7 +101,7 @@
 		retries.Load(), kills, runs, twice, lost.Load())
 }
 
-// A process takes another one's place: filings go on, and each one has its end.
+// A process replaces another one: filings go on, and each one is answered.
 func TestStoreIsHandedOver(t *testing.T) {
 	c := newCluster(t, time.Millisecond)
 	g := newGatherer(t, c, "")
@@ -145,11 +145,11 @@
 		t.Errorf("the store was yielded %d times: %s", n, g.Said())
 	}
 	if !strings.Contains(old.Call("stats"), "svc.store.failing:0|g") {
-		t.Error("no figures of the store")
+		t.Error("no metrics of the store")
 	}
 }
 
-// The old process stands still with filings out, another one takes its store, and the old one goes on: with SAFFRONQUAY_LONG=1 after 10 s.
+// The old process is suspended with filings in flight, another one takes its store, and the old one goes on: with SAFFRONQUAY_LONG=1 after 10 s.
 func TestOldProcessGoesOnLate(t *testing.T) {
 	stall := 1500 * time.Millisecond
 	if os.Getenv("SAFFRONQUAY_LONG") != "" {
@@ -176,7 +176,7 @@
 	old.Signal(syscall.SIGTERM)
 	wg.Wait()
 	<-old.Exited
-	for i := range ends { // whoever is asked now, it is told nothing else, or that it is in doubt
+	for i := range ends { // every later answer is the same, or that the filing is in doubt
 		if a, _ := g.file(fmt.Sprint("late-", i)); a.status != 200 && a.status != 500 || a.status == 200 && ends[i].status == 200 && a.body != ends[i].body {
 			t.Errorf("late-%d: %+v, then %+v", i, ends[i], a)
 		}
@@ -187,7 +187,7 @@
 	next.Kill()
 }
 
-// What else outlasts the process: cursors, and the layout while its directory is away.
+// What else outlasts the process: cursors, and the layout while its directory is unreachable.
 func TestStateIsRecovered(t *testing.T) {
 	c := newCluster(t, time.Millisecond)
 	agent, err := c.Directory.Agent("")
@@ -218,15 +218,15 @@
 		}
 	}
 	g.Says(0, "event=layout epoch=3")
-	for end := time.Now().Add(patience); ; time.Sleep(10 * time.Millisecond) { // it is kept once a second
-		if out := dumped(t, g); strings.Contains(out, `"kind":"layout"`) && strings.Count(out, `"kind":"cursor"`) > 2 && strings.Contains(out, `"paceAt"`) || time.Now().After(end) {
+	for end := time.Now().Add(timeout); ; time.Sleep(10 * time.Millisecond) { // it is written every second
+		if out := dumpStore(t, g); strings.Contains(out, `"kind":"layout"`) && strings.Count(out, `"kind":"cursor"`) > 2 && strings.Contains(out, `"paceAt"`) || time.Now().After(end) {
 			break
 		}
 		g.send("POST", "/invoices/_search", "", "", `{}`)
 	}
 	time.Sleep(1100 * time.Millisecond)
 	p.Kill()
-	agent.Close() // the directory is away at the start
+	agent.Close() // the directory is unreachable at the start
 	p = g.start()
 	if a := p.Call("layout"); !strings.Contains(a, "epoch 3 ranges 8") || !strings.Contains(a, "change m move") {
 		t.Errorf("the layout: %s", a)
@@ -241,7 +241,7 @@
 	}
 }
 
-func dumped(t *testing.T, g *gatherer) string {
+func dumpStore(t *testing.T, g *gatherer) string {
 	t.Helper()
 	out, code := harness.Run(t, "store", "dump", filepath.Join(g.Dir, "store"))
 	if code == 2 {
@@ -250,7 +250,7 @@
 	return out
 }
 
-// A store that can't be opened ends the start with its name and what to do, or has the program start without what needs it.
+// Where the store can't be opened, the start fails with its name and what to do, or the program starts without what needs it.
 func TestStoreCannotBeOpened(t *testing.T) {
 	c := newCluster(t, time.Millisecond)
 	g := newGatherer(t, c, "")
@@ -267,7 +267,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	// Its reader leaves after one line.
+	// Its reader closes the pipe after one line.
 	if out, err := exec.Command("sh", "-c", `"$0" store dump "$1" | head -n 1`, path, dir).CombinedOutput(); err != nil || strings.Count(string(out), "\n") != 1 || !strings.HasPrefix(string(out), `{"seq":`) {
 		t.Errorf("dump into head: %v %s", err, out)
 	}
@@ -282,7 +282,7 @@
 	if out, code := harness.Run(t, "store", "check", dir); code != 3 || !strings.Contains(out, "no whole manifest") {
 		t.Errorf("check: %d %s", code, out)
 	}
-	if g.begin().Up() {
+	if g.launch().Up() {
 		t.Error("it started")
 	}
 	if said := g.Said(); !strings.Contains(said, dir) || !strings.Contains(said, "store check") {
@@ -299,8 +299,8 @@
 	}
 }
 
-// A gatherer that is set up with another one's directories by mistake does not take its store; a process that asked for it and died
-// does not make its owner yield.
+// A gatherer that is configured with another one's directories by mistake does not take its store; a process that requested the store and
+// died does not make its owner yield.
 func TestStoreIsNotTakenByMistake(t *testing.T) {
 	c := newCluster(t, time.Millisecond)
 	g := newGatherer(t, c, "")
@@ -311,10 +311,10 @@
 	other := newGatherer(t, c, "")
 	other.cfg["name"] = "other"
 	other.cfg["store"].(map[string]any)["directory"] = filepath.Join(g.Dir, "store")
-	if other.begin().Up() || !strings.Contains(other.Said(), `names gatherer`) {
+	if other.launch().Up() || !strings.Contains(other.Said(), `names gatherer`) {
 		t.Errorf("it said: %s", other.Said())
 	}
-	for end := time.Now().Add(patience); ; time.Sleep(10 * time.Millisecond) {
+	for end := time.Now().Add(timeout); ; time.Sleep(10 * time.Millisecond) {
 		if _, err := os.Stat(filepath.Join(g.Dir, "store", "wanted")); err != nil {
 			break // the owner has seen it
 		} else if time.Now().After(end) {
@@ -327,7 +327,7 @@
 	}
 }
 
-// What the front tells of keys.
+// The answers of the HTTP front end to queries with keys.
 func TestKeys(t *testing.T) {
 	c := newCluster(t, time.Millisecond)
 	g := newGatherer(t, c, "")
@@ -352,13 +352,13 @@
 		responses(one.body) != responses(two.body) {
 		t.Errorf("%+v, then %+v", one, two)
 	}
-	// Held by its server while its client goes and comes again: it ends once, and that end is told.
+	// A server holds the part back while its client disconnects and retries: the filing is answered once, and the retry gets that answer.
 	for _, s := range c.Servers {
 		s.Set(fakebackend.Holds)
 	}
 	open := make(chan answer, 1)
 	go func() { open <- g.send("POST", "/filings/_search", "held", "held", body) }()
-	anyHolds(c) // nothing else is out: the part that is held is the keyed request's
+	awaitHeldPart(c) // nothing else is in flight: the part that is held back is the keyed request's
 	gone := make(chan answer, 1)
 	go func() {
 		impatient := *client
@@ -373,8 +373,8 @@
 	for _, s := range c.Servers {
 		s.Set(fakebackend.None)
 	}
-	a, b := <-open, answer{}
-	if b, _ = g.file("held"); a.status != 200 || b.body != a.body || !b.replayed {
+	a := <-open
+	if b, _ := g.file("held"); a.status != 200 || b.body != a.body || !b.replayed {
 		t.Errorf("%+v, then %+v", a, b)
 	}
 	if _, twice, _ := c.Ledger.Counts(); twice != 0 {
@@ -382,13 +382,13 @@
 	}
 }
 
-// anyHolds waits until some server holds a part: which of a shard's holders gets it is the module's choice.
-func anyHolds(c *fakebackend.Cluster) {
-	var held []reflect.SelectCase
+// awaitHeldPart waits until some server holds a part back: the decision module chooses which replica of a shard gets it.
+func awaitHeldPart(c *fakebackend.Cluster) {
+	var heldParts []reflect.SelectCase
 	for _, s := range c.Servers {
-		held = append(held, reflect.SelectCase{Dir: reflect.SelectRecv, Chan: reflect.ValueOf(s.Held())})
+		heldParts = append(heldParts, reflect.SelectCase{Dir: reflect.SelectRecv, Chan: reflect.ValueOf(s.Held())})
 	}
-	reflect.Select(held)
+	reflect.Select(heldParts)
 }
 
 func responses(body string) string {
@@ -396,8 +396,8 @@
 	return rest
 }
 
-// The commands that go through the door, at a running gatherer.
-func TestDoorCommands(t *testing.T) {
+// The commands that use the admin endpoint, at a running gatherer.
+func TestAdminCommands(t *testing.T) {
 	c := newCluster(t, time.Millisecond)
 	g := newGatherer(t, c, "")
 	p := g.start()
@@ -425,18 +425,18 @@
 	if n := strings.Count(g.Said(), "event=duty"); n != 2 { // the third came while only errors were logged
 		t.Errorf("%d changes of duty are logged: %s", n, g.Said())
 	}
-	// A door that takes calls and says nothing.
+	// An admin endpoint that accepts calls and does not answer.
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
 	if out, code := harness.Run(t, "status", "--door", l.Addr().String(), "--timeout", "100ms"); code != 3 || !strings.Contains(out, "timeout") {
-		t.Errorf("a silent door: %d %s", code, out)
+		t.Errorf("an admin endpoint that does not answer: %d %s", code, out)
 	}
 	// A log in JSON, by the file.
 	p.Kill()
 	g.cfg["log"] = map[string]any{"format": "json", "level": "info"}
-	g.begin()
+	g.launch()
 	g.Says(0, `"level":"info","event":"start","name":"g"`)
 }
--- a/internal/broker/idempotency/measure_test.go
+++ b/internal/broker/idempotency/measure_test.go
@@ -17,8 +17,8 @@
 	counts   = regexp.MustCompile(`svc\.store\.(bytes|syncs|cleaned|appends):(\d+)`)
 )
 
-// What the store adds to a filing of three parts, at a fixed rate: without it, with group commit and without, and while segments are
-// cleaned all the time. SAFFRONQUAY_MEASURE=1.
+// The time that the store adds to a filing of three parts, at a fixed rate: without a store, with and without group commit, and while
+// segments are cleaned all the time. SAFFRONQUAY_MEASURE=1.
 func TestMeasureFilings(t *testing.T) {
 	if os.Getenv("SAFFRONQUAY_MEASURE") == "" {
 		t.Skip("SAFFRONQUAY_MEASURE is not set")
--- a/internal/broker/idempotency/model_test.go
+++ b/internal/broker/idempotency/model_test.go
@@ -19,49 +19,49 @@
 )
 
 const (
-	ms    = 1000
-	keep  = 10_000 * ms
-	limit = 400 * ms
+	ms        = 1000
+	retention = 10_000 * ms
+	hardLimit = 400 * ms
 )
 
-// life is one of a gatherer: store, ledger, and core with the module that serves.
-type life struct {
-	w       *world
-	store   *recordlog.Store
-	ledger  *idempotency.Tracker
-	core    *core.Core
-	entries map[sq.ID]*idempotency.Entry
-	whose   map[sq.ID]int
-	words   []func()                        // from the store, yet to be told to the core
-	calls   map[core.AttemptID]core.Attempt // that servers have
-	effects []core.Effect
+// process is one process of a gatherer: its store, its tracker, and the core with the decision module.
+type process struct {
+	world          *world
+	store          *recordlog.Store
+	tracker        *idempotency.Tracker
+	core           *core.Core
+	entries        map[sq.ID]*idempotency.Entry
+	clients        map[sq.ID]int
+	pendingIntents []func()                        // answers of the store to intents that the core has not received yet
+	running        map[core.AttemptID]core.Attempt // attempts that servers work on
+	effects        []core.Effect
 }
 
-// world is disks and servers, which outlast processes, and what clients were told.
+// world has what outlasts a process: the disks, what servers ran, and the answers that clients got.
 type world struct {
-	t      *rapid.T
-	fail   func(format string, args ...any)
-	log    func(recordlog.Log) recordlog.Log // between ledger and store; a seeded bug sits there
-	plan   *simdisk.FaultPlan
-	disks  [2]*simdisk.Disk
-	clock  atomic.Int64
-	p, old *life // old: one whose place was taken, and that goes on
-	ran    map[string]int
-	told   map[int]string
+	t            *rapid.T
+	fail         func(format string, args ...any)
+	log          func(recordlog.Log) recordlog.Log // wraps the store for the tracker; seeded bugs are put here
+	faults       *simdisk.FaultPlan
+	disks        [2]*simdisk.Disk
+	clock        atomic.Int64
+	current, old *process // old: a process that was replaced and goes on all the same
+	runs         map[string]int
+	answers      map[int]string
 }
 
 func (w *world) options() recordlog.Options {
-	return recordlog.Options{ID: 5, Now: w.clock.Load, MaxRetention: keep, SegmentSize: 1 << 10, Serial: true}
+	return recordlog.Options{ID: 5, Now: w.clock.Load, MaxRetention: retention, SegmentSize: 1 << 10, Serial: true}
 }
 
-func (w *world) start(force bool) *life {
-	w.plan.SetWriteBudget(0)
-	w.plan.FailSync(1 << 30)
+func (w *world) start(force bool) *process {
+	w.faults.SetWriteBudget(0)
+	w.faults.FailSync(1 << 30)
 	s, err := recordlog.Open([2]recordlog.Dir{w.disks[0], w.disks[1]}, w.options(), force)
 	if err != nil {
 		w.t.Fatalf("start: %v", err)
 	}
-	class := sq.Class{Name: "once", LatencyTarget: 50 * ms, HardLimit: limit, Value: 1, LateValue: 0.1, CompleteWeight: 1, MinWeight: 1, Effect: sq.AtMostOnce}
+	class := sq.Class{Name: "once", LatencyTarget: 50 * ms, HardLimit: hardLimit, Value: 1, LateValue: 0.1, CompleteWeight: 1, MinWeight: 1, Effect: sq.AtMostOnce}
 	settings := sq.Settings{
 		Aggregators: 1, Zone: "a", Period: ms, Classes: []sq.Class{class}, Shards: 2, Cells: 2, CellsPerShard: 2, PartsPerCall: 1,
 		Limits: sq.Limits{MaxAttempts: 4, Hedging: true, MayCancel: true, RetryAfter: true, MaxRetryAfter: 100 * ms},
@@ -72,36 +72,36 @@
 	}
 	gatherer := core.New(core.Terms{Period: ms, Shards: 2, PartsPerCall: 1, RetryAfter: true, MaxRetryAfter: 100 * ms, AnswerGrace: ms, Classes: settings.Classes}, m)
 	gatherer.Fleet(sq.FleetChanged{Kind: sq.FleetFull, Servers: []sq.Server{{ID: "s0", Zone: "a", Cell: 0, Health: sq.Ready}, {ID: "s1", Zone: "a", Cell: 1, Health: sq.Ready}}})
-	return &life{
-		w: w, store: s, ledger: idempotency.NewTracker(w.log(s), idempotency.Config{Retention: keep, MaxBody: 100}), core: gatherer, entries: map[sq.ID]*idempotency.Entry{},
-		whose: map[sq.ID]int{}, calls: map[core.AttemptID]core.Attempt{},
+	return &process{
+		world: w, store: s, tracker: idempotency.NewTracker(w.log(s), idempotency.Config{Retention: retention, MaxBody: 100}), core: gatherer, entries: map[sq.ID]*idempotency.Entry{},
+		clients: map[sq.ID]int{}, running: map[core.AttemptID]core.Attempt{},
 	}
 }
 
-// file has a client send its filing, the first time or again.
-func (p *life) file(client int) {
-	e, v := p.ledger.Begin(fmt.Sprint("c", client), fmt.Sprint("c", client), uint64(client))
-	// One whose place was taken does not know what was told since; what it takes for new it can't send.
-	if told, ok := p.w.told[client]; ok && p == p.w.p && v.State != idempotency.HistoryLost && v.State != idempotency.LogFailing && (v.State != idempotency.Completed || string(v.Answer.Body) != told) {
-		p.w.fail("client %d was told %q, and now standing %d, %q", client, told, v.State, v.Answer.Body)
+// submit has a client send its filing, for the first time or as a retry.
+func (p *process) submit(client int) {
+	e, v := p.tracker.Begin(fmt.Sprint("c", client), fmt.Sprint("c", client), uint64(client))
+	// A replaced process does not know later answers, but it can't send what it takes for new.
+	if answer, ok := p.world.answers[client]; ok && p == p.world.current && v.State != idempotency.HistoryLost && v.State != idempotency.LogFailing && (v.State != idempotency.Completed || string(v.Answer.Body) != answer) {
+		p.world.fail("client %d got %q before, and now state %d, %q", client, answer, v.State, v.Answer.Body)
 	}
 	if e == nil {
 		return
 	}
-	id, final, err := p.core.Open(p.w.clock.Load(), core.Ask{
-		Label: fmt.Sprint("c", client), Class: "once", Deadline: p.w.clock.Load() + limit, Ledger: e,
+	id, final, err := p.core.Open(p.world.clock.Load(), core.Ask{
+		Label: fmt.Sprint("c", client), Class: "once", Deadline: p.world.clock.Load() + hardLimit, Ledger: e,
 		Parts: []core.AskPart{{Shard: 0, Weight: 0.5, Work: 5 * ms}, {Shard: 1, Weight: 0.5, Work: 5 * ms}},
 	})
 	if err != nil || final != nil {
 		e.Release()
 		return
 	}
-	p.entries[id], p.whose[id] = e, client
+	p.entries[id], p.clients[id] = e, client
 }
 
-// step steps the core and carries out what it wants. What leaves for a server may run at once.
-func (p *life) step(run func() bool) {
-	p.effects = append(p.effects, p.core.Step(p.w.clock.Load())...)
+// step advances the core and carries out its effects. A part that is sent to a server runs immediately where run says so.
+func (p *process) step(run func() bool) {
+	p.effects = append(p.effects, p.core.Step(p.world.clock.Load())...)
 	for len(p.effects) > 0 {
 		x := p.effects[0]
 		p.effects = p.effects[1:]
@@ -109,14 +109,14 @@
 		case core.Intend:
 			got := make(chan error, 1)
 			if err := x.Ledger.Intend(x.Parts, x.Deadline, func(err error) { got <- err }); err != nil {
-				p.core.Intended(p.w.clock.Load(), x.Attempts, err)
+				p.core.Intended(p.world.clock.Load(), x.Attempts, err)
 				continue
 			}
 			err := <-got
-			p.words = append(p.words, func() { p.core.Intended(p.w.clock.Load(), x.Attempts, err) })
+			p.pendingIntents = append(p.pendingIntents, func() { p.core.Intended(p.world.clock.Load(), x.Attempts, err) })
 		case core.Call:
 			for _, a := range x.Attempts {
-				if p.calls[a.ID] = a; run() {
+				if p.running[a.ID] = a; run() {
 					p.run(a)
 				}
 			}
@@ -126,142 +126,143 @@
 	}
 }
 
-// run has a server carry a part out: the ledger of what ran.
-func (p *life) run(a core.Attempt) {
+// run has a server run a part, and counts that.
+func (p *process) run(a core.Attempt) {
 	key := fmt.Sprintf("%s#%d", a.Label, a.Shard)
-	if p.w.ran[key]++; p.w.ran[key] > 1 {
-		p.w.fail("%s ran twice", key)
+	if p.world.runs[key]++; p.world.runs[key] > 1 {
+		p.world.fail("%s ran twice", key)
 	}
 }
 
-func (p *life) end(f core.Final) {
-	e, client := p.entries[f.Query], p.whose[f.Query]
+func (p *process) end(f core.Final) {
+	e, client := p.entries[f.Query], p.clients[f.Query]
 	delete(p.entries, f.Query)
 	if f.Verdict == core.Refused {
 		e.Release()
 		return
 	}
-	body, kept := fmt.Sprintf("%d of client %d at %d", f.Verdict, client, p.w.clock.Load()), make(chan error, 1)
+	body, kept := fmt.Sprintf("%d of client %d at %d", f.Verdict, client, p.world.clock.Load()), make(chan error, 1)
 	e.End(idempotency.Answer{Status: 200, Body: []byte(body)}, func(err error) { kept <- err })
 	if err := <-kept; err == nil {
-		p.w.told[client] = body
+		p.world.answers[client] = body
 	}
 }
 
-// crash ends the process with its machine.
+// crash crashes the machine with its process and starts a new process.
 func (w *world) crash(rng *rand.Rand) {
-	w.plan.CrashAt(1)
-	w.p.store.Close()
-	w.plan = &simdisk.FaultPlan{}
+	w.faults.CrashAt(1)
+	w.current.store.Close()
+	w.faults = &simdisk.FaultPlan{}
 	for i := range w.disks {
-		w.disks[i] = w.disks[i].Crash(w.plan, rng)
+		w.disks[i] = w.disks[i].Crash(w.faults, rng)
 	}
-	w.old, w.p = nil, w.start(false)
+	w.old, w.current = nil, w.start(false)
 }
 
-// check plays store, ledger, core and module under crashes, take-overs and bad servers.
-func check(t *rapid.T, log func(recordlog.Log) recordlog.Log, fail func(string, ...any)) {
-	w := &world{t: t, log: log, fail: fail, plan: &simdisk.FaultPlan{}, ran: map[string]int{}, told: map[int]string{}}
+// playModel plays store, tracker, core and decision module under crashes, replaced processes and faulty servers.
+func playModel(t *rapid.T, log func(recordlog.Log) recordlog.Log, fail func(string, ...any)) {
+	w := &world{t: t, log: log, fail: fail, faults: &simdisk.FaultPlan{}, runs: map[string]int{}, answers: map[int]string{}}
 	w.clock.Store(1)
-	w.disks = [2]*simdisk.Disk{simdisk.New("a", w.plan), simdisk.New("b", w.plan)}
-	w.p = w.start(false)
+	w.disks = [2]*simdisk.Disk{simdisk.New("a", w.faults), simdisk.New("b", w.faults)}
+	w.current = w.start(false)
 	defer func() {
-		w.p.store.Close()
+		w.current.store.Close()
 		if w.old != nil {
 			w.old.store.Close()
 		}
 	}()
 	rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
 	chance := func() bool { return rng.IntN(3) > 0 }
-	pick := func() *life {
+	pick := func() *process {
 		if w.old != nil && rapid.Bool().Draw(t, "old") {
 			return w.old
 		}
-		return w.p
+		return w.current
 	}
 	tick := func(t *rapid.T) {
 		w.clock.Add(rapid.Int64Range(1, 30).Draw(t, "ms") * ms)
 		pick().step(chance)
 	}
 	t.Repeat(map[string]func(*rapid.T){
-		"file": func(t *rapid.T) { pick().file(rapid.IntRange(0, 3).Draw(t, "client")) },
+		"file": func(t *rapid.T) { pick().submit(rapid.IntRange(0, 3).Draw(t, "client")) },
 		"tick": tick, "tock": tick,
-		"word": func(t *rapid.T) { // the store's word reaches the core
-			if p := pick(); len(p.words) > 0 {
-				p.words[0]()
-				p.words = p.words[1:]
+		"word": func(t *rapid.T) { // the store's answer to an intent reaches the core
+			if p := pick(); len(p.pendingIntents) > 0 {
+				p.pendingIntents[0]()
+				p.pendingIntents = p.pendingIntents[1:]
 				p.step(chance)
 			}
 		},
 		"reply": func(t *rapid.T) {
 			p := pick()
-			for _, id := range slices.Sorted(maps.Keys(p.calls)) {
-				a := p.calls[id]
-				delete(p.calls, id)
-				o := rapid.SampledFrom([]sq.Outcome{sq.Served, sq.Served, sq.Served, sq.Errored, sq.Broken, sq.Rejected, sq.Unreachable}).Draw(t, "outcome")
-				if ran := w.ran[fmt.Sprintf("%s#%d", a.Label, a.Shard)] > 0; ran && (o == sq.Rejected || o == sq.Unreachable) {
-					o = sq.Broken
-				} else if !ran && o == sq.Served {
-					o = sq.Rejected
-				}
-				p.core.Ended(w.clock.Load(), id, o, []byte("v"), nil)
-				p.step(chance)
-				break
+			if len(p.running) == 0 {
+				return
+			}
+			id := slices.Min(slices.Collect(maps.Keys(p.running)))
+			a := p.running[id]
+			delete(p.running, id)
+			o := rapid.SampledFrom([]sq.Outcome{sq.Served, sq.Served, sq.Served, sq.Errored, sq.Broken, sq.Rejected, sq.Unreachable}).Draw(t, "outcome")
+			if ran := w.runs[fmt.Sprintf("%s#%d", a.Label, a.Shard)] > 0; ran && (o == sq.Rejected || o == sq.Unreachable) {
+				o = sq.Broken
+			} else if !ran && o == sq.Served {
+				o = sq.Rejected
 			}
+			p.core.Ended(w.clock.Load(), id, o, []byte("v"), nil)
+			p.step(chance)
 		},
 		"crash": func(t *rapid.T) {
 			if rapid.IntRange(0, 3).Draw(t, "really") == 0 {
 				w.crash(rng)
 			}
 		},
-		"replace": func(t *rapid.T) { // the old one stands still, and goes on later
+		"replace": func(t *rapid.T) { // the old process is suspended, and goes on later
 			if w.old == nil && rapid.IntRange(0, 3).Draw(t, "really") == 0 {
-				w.old = w.p
-				w.p = w.start(true)
+				w.old = w.current
+				w.current = w.start(true)
 			}
 		},
-		"clean": func(t *rapid.T) { w.p.store.Clean() },
-		"disk":  func(t *rapid.T) { w.plan.FailSync(rapid.IntRange(1, 8).Draw(t, "sync")) },
+		"clean": func(t *rapid.T) { w.current.store.Clean() },
+		"disk":  func(t *rapid.T) { w.faults.FailSync(rapid.IntRange(1, 8).Draw(t, "sync")) },
 		"full": func(t *rapid.T) {
-			w.plan.SetWriteBudget(rapid.SampledFrom([]int{0, 0, 100, 700}).Draw(t, "room"))
-			w.p.store.Append(recordlog.Record{Kind: recordlog.Learned}, nil) // as the program does each second: health comes back by it
+			w.faults.SetWriteBudget(rapid.SampledFrom([]int{0, 0, 100, 700}).Draw(t, "room"))
+			w.current.store.Append(recordlog.Record{Kind: recordlog.Learned}, nil) // as the program does each second: health comes back by it
 		},
 	})
 }
 
-// No part of a filing runs twice, and no client is told two things, whatever crashes, fails, stalls or comes back.
+// No part of a filing runs twice, and no client gets two different answers, whatever crashes, fails, stalls or returns.
 func TestNothingRunsTwice(t *testing.T) {
 	for range 20 {
-		rapid.Check(t, func(t *rapid.T) { check(t, func(l recordlog.Log) recordlog.Log { return l }, t.Fatalf) })
+		rapid.Check(t, func(t *rapid.T) { playModel(t, func(l recordlog.Log) recordlog.Log { return l }, t.Fatalf) })
 	}
 }
 
-// hasty is a log with a bug: it says that records are durable before they are.
-type hasty struct{ recordlog.Log }
+// earlyLog is a log with a bug: it reports records as durable before they are.
+type earlyLog struct{ recordlog.Log }
 
-func (h hasty) Append(r recordlog.Record, done func(error)) error {
+func (e earlyLog) Append(r recordlog.Record, done func(error)) error {
 	go done(nil)
-	return h.Log.Append(r, nil)
+	return e.Log.Append(r, nil)
 }
 
-// forgetful is a log with a bug: it has lost what is in doubt.
-type forgetful struct{ recordlog.Log }
+// forgetfulLog is a log with a bug: it has lost the records of queries in doubt.
+type forgetfulLog struct{ recordlog.Log }
 
-func (f forgetful) Get(k recordlog.Kind, key string) (recordlog.Record, bool, error) {
+func (f forgetfulLog) Get(k recordlog.Kind, key string) (recordlog.Record, bool, error) {
 	r, ok, err := f.Log.Get(k, key)
 	return r, ok && len(r.Value) > 60, err
 }
 
-// The model finds what it is there to find.
+// The model detects seeded bugs.
 func TestModelFindsSeededBugs(t *testing.T) {
 	for name, bug := range map[string]func(recordlog.Log) recordlog.Log{
-		"hasty":     func(l recordlog.Log) recordlog.Log { return hasty{l} },
-		"forgetful": func(l recordlog.Log) recordlog.Log { return forgetful{l} },
+		"hasty":     func(l recordlog.Log) recordlog.Log { return earlyLog{l} },
+		"forgetful": func(l recordlog.Log) recordlog.Log { return forgetfulLog{l} },
 	} {
 		found := false
 		for range 5 {
 			if !found {
-				rapid.Check(t, func(t *rapid.T) { check(t, bug, func(string, ...any) { found = true }) })
+				rapid.Check(t, func(t *rapid.T) { playModel(t, bug, func(string, ...any) { found = true }) })
 			}
 		}
 		if !found {
--- a/internal/broker/idempotency/program_test.go
+++ b/internal/broker/idempotency/program_test.go
@@ -16,11 +16,11 @@
 	sq "saffronquay"
 )
 
-const patience = harness.Patience
+const timeout = harness.Patience
 
 func TestMain(m *testing.M) { harness.Main(m) }
 
-// gatherer is a place where the program runs with one store and one listening socket that outlast it.
+// gatherer runs the program, one process after another, with a store and a listening socket that outlast it.
 type gatherer struct {
 	*harness.Place
 	t    *testing.T
@@ -50,7 +50,7 @@
 	return c
 }
 
-// newGatherer makes the place, with a file that names a cluster's servers. directory may be empty.
+// newGatherer returns a gatherer whose configuration names a cluster's servers. directory may be empty.
 func newGatherer(t *testing.T, c *fakebackend.Cluster, directory string) *gatherer {
 	t.Helper()
 	g := &gatherer{Place: harness.NewPlace(t), t: t}
@@ -81,8 +81,8 @@
 	return g
 }
 
-// begin starts the program by the file as it is now.
-func (g *gatherer) begin() *harness.Life {
+// launch starts the program with the configuration as it is now.
+func (g *gatherer) launch() *harness.Life {
 	g.t.Helper()
 	text, err := json.Marshal(g.cfg)
 	if err != nil {
@@ -94,23 +94,23 @@
 
 func (g *gatherer) start() *harness.Life {
 	g.t.Helper()
-	l := g.begin()
+	l := g.launch()
 	if !l.Up() {
 		g.t.Fatalf("the program ended at its start: %s", g.Said())
 	}
 	return l
 }
 
-var client = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}, Timeout: patience}
+var client = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}, Timeout: timeout}
 
 type answer struct {
 	status   int
 	body     string
 	replayed bool
-	later    bool // it may be sent again
+	mayRetry bool // the client may send it again
 }
 
-// send sends one request; an error has status 0.
+// send sends one request. An error gives status 0.
 func (g *gatherer) send(method, path, key, id, body string) answer {
 	return g.sendAs("", method, path, key, id, body)
 }
@@ -121,7 +121,7 @@
 		g.t.Error(err)
 		return answer{}
 	}
-	req.GetBody = nil // else net/http repeats by itself what has such a key
+	req.GetBody = nil // otherwise net/http itself repeats requests with such a key
 	if key != "" {
 		req.Header.Set("Idempotency-Key", key)
 	}
@@ -140,18 +140,18 @@
 	}
 	return answer{
 		status: resp.StatusCode, body: string(text), replayed: resp.Header.Get("Idempotent-Replayed") != "",
-		later: resp.StatusCode == 429 || resp.StatusCode == 409,
+		mayRetry: resp.StatusCode == 429 || resp.StatusCode == 409,
 	}
 }
 
-// file files something over three ranges, under a key, and retries as a client does until it has an end.
+// file sends a filing over three ranges under a key, and retries as a client does until it has a final answer.
 func (g *gatherer) file(key string) (a answer, sent int) {
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(timeout); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 		sent++
-		if a = g.send("POST", "/filings/_search", key, key, `{"query":{"range":{"taxpayer":{"gte":5,"lt":25}}}}`); a.status != 0 && !a.later {
+		if a = g.send("POST", "/filings/_search", key, key, `{"query":{"range":{"taxpayer":{"gte":5,"lt":25}}}}`); a.status != 0 && !a.mayRetry {
 			return a, sent
 		}
 	}
-	g.t.Errorf("%s: no end: %+v", key, a)
+	g.t.Errorf("%s: no final answer: %+v", key, a)
 	return a, sent
 }
--- a/internal/broker/idempotency/once_test.go
+++ b/internal/broker/idempotency/tracker_test.go
@@ -10,34 +10,34 @@
 	"testing"
 )
 
-// faulty is a log whose health and losses the test sets.
-type faulty struct {
+// faultyLog is a log whose health and lost spans the test sets.
+type faultyLog struct {
 	recordlog.Log
-	unknown []recordlog.LostSpan
-	sick    error
-	now     int64
+	lostSpans []recordlog.LostSpan
+	health    error
+	now       int64
 }
 
-func (f *faulty) LostSpans() []recordlog.LostSpan { return f.unknown }
-func (f *faulty) Health() error                   { return f.sick }
-func (f *faulty) Now() int64                      { return f.now }
+func (f *faultyLog) LostSpans() []recordlog.LostSpan { return f.lostSpans }
+func (f *faultyLog) Health() error                   { return f.health }
+func (f *faultyLog) Now() int64                      { return f.now }
 
-// What a key is told, from its first query to the end of its time.
-func TestStandings(t *testing.T) {
+// The states of a key, from its first query to the end of its retention.
+func TestKeyStates(t *testing.T) {
 	plan := &simdisk.FaultPlan{}
 	now := int64(0)
-	s, err := recordlog.Open([2]recordlog.Dir{simdisk.New("a", plan), simdisk.New("b", plan)}, recordlog.Options{ID: 1, Now: func() int64 { return now }, MaxRetention: keep}, false)
+	s, err := recordlog.Open([2]recordlog.Dir{simdisk.New("a", plan), simdisk.New("b", plan)}, recordlog.Options{ID: 1, Now: func() int64 { return now }, MaxRetention: retention}, false)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer s.Close()
-	log := &faulty{Log: s}
+	log := &faultyLog{Log: s}
 	l := idempotency.NewTracker(log, idempotency.Config{Retention: 1000, MaxBody: 10})
 	begin := func(key string, print uint64, want idempotency.KeyState) (*idempotency.Entry, idempotency.Decision) {
 		t.Helper()
 		e, v := l.Begin(key, "label", print)
 		if v.State != want || (e != nil) != (want == idempotency.Fresh) {
-			t.Errorf("%s: standing %d, want %d", key, v.State, want)
+			t.Errorf("%s: state %d, want %d", key, v.State, want)
 		}
 		return e, v
 	}
@@ -52,7 +52,7 @@
 		t.Helper()
 		done := make(chan error, 1)
 		if e.End(idempotency.Answer{Status: 200, Type: "text/plain", Fields: [][2]string{{"A", "b"}}, Body: []byte(body)}, func(err error) { done <- err }); <-done != nil {
-			t.Error("the end is not kept")
+			t.Error("the answer is not recorded")
 		}
 	}
 	a, _ := begin("a", 1, idempotency.Fresh)
@@ -68,9 +68,9 @@
 	}
 	begin("a", 2, idempotency.Mismatch)
 	if err := intend(a); !errors.Is(err, idempotency.ErrEnded) {
-		t.Errorf("a part of a query that is over: %v", err)
+		t.Errorf("a part of a query that has ended: %v", err)
 	}
-	// One that was refused, with an intent in the log, is as new; one without an end is in doubt.
+	// A key that was released with an intent in the log is fresh; one without an answer is in doubt.
 	b, _ := begin("b", 1, idempotency.Fresh)
 	intend(b)
 	b.Release()
@@ -81,35 +81,35 @@
 	b.Abandon()
 	begin("b", 1, idempotency.InDoubt)
 	begin("b", 2, idempotency.Mismatch)
-	// A long answer is not kept, but that there was one is.
+	// A long answer is not recorded, but that there was one is.
 	c, _ := begin("c", 1, idempotency.Fresh)
 	intend(c)
 	end(c, strings.Repeat("x", 11))
 	if _, v := begin("c", 1, idempotency.Completed); !v.Answer.Shortened || v.Answer.Body != nil {
 		t.Errorf("%+v", v)
 	}
-	// A span that is lost: what could lie in it has to wait, what is known need not.
-	log.unknown = []recordlog.LostSpan{{From: 100, To: 200}}
+	// A lost span: keys that may lie in it have to wait, known ones do not.
+	log.lostSpans = []recordlog.LostSpan{{From: 100, To: 200}}
 	log.now = 300
 	if _, v := begin("d", 1, idempotency.HistoryLost); v.RetryAfter != 900 {
 		t.Errorf("%+v", v)
 	}
 	begin("c", 1, idempotency.Completed)
 	if e, _ := begin("", 1, idempotency.Fresh); e.Keeps() {
-		t.Error("no retry of a query without a key is known")
+		t.Error("a query without a key is kept for retries")
 	}
 	log.now = 1200
 	d, _ := begin("d", 1, idempotency.Fresh)
 	d.Release()
 	// The log fails, or goes to another process.
-	log.sick = errors.New("full")
+	log.health = errors.New("full")
 	begin("e", 1, idempotency.LogFailing)
-	log.sick = nil
+	log.health = nil
 	l.StopAccepting()
 	begin("e", 1, idempotency.HandingOver)
-	// Its time is over.
+	// Its retention is over.
 	now, log.now = 5000, 5000
 	if _, ok, _ := s.Get(recordlog.AtMostOnce, "ka"); ok {
-		t.Error("a key is known for good")
+		t.Error("a key is known after its retention")
 	}
 }
--- a/internal/scheduler/batchjobs/openjob.go
+++ b/internal/scheduler/batchjobs/openjob.go
@@ -9,13 +9,13 @@
 type stage uint8
 
 const (
-	// pending: the item may be granted.
+	// pending means: the item may be granted.
 	pending stage = iota
-	// leased: a gatherer works on it.
+	// leased means: a gatherer works on it.
 	leased
-	// committing: a result was handed to the caller and is not committed yet.
+	// committing means: a result was handed to the caller and is not committed yet.
 	committing
-	// committed: the item has a result. This stage is final.
+	// committed means: the item has a result. This stage is final.
 	committed
 )
 
--- a/internal/scheduler/membership/membership.go
+++ b/internal/scheduler/membership/membership.go
@@ -5,14 +5,13 @@
 	"fmt"
 	"log/slog"
 	"net/netip"
-	"strings"
-	"sync/atomic"
-	"time"
-
 	"saffronquay/internal/cluster/swim"
 	"saffronquay/internal/cluster/swim/gossip"
 	"saffronquay/internal/scheduler/rpc"
 	"saffronquay/internal/scheduler/settings"
+	"strings"
+	"sync/atomic"
+	"time"
 )
 
 // Parameters of the protocol; all processes of a system have to use the same.
--- a/internal/scheduler/placement/placement.go
+++ b/internal/scheduler/placement/placement.go
@@ -2,9 +2,8 @@
 
 import (
 	"cmp"
-	"slices"
-
 	"saffronquay/internal/scheduler/rpc"
+	"slices"
 )
 
 // Machine is a machine on which a replica can be placed, as the caller sees it.
--- a/internal/scheduler/placement/placement_test.go
+++ b/internal/scheduler/placement/placement_test.go
@@ -2,9 +2,8 @@
 
 import (
 	"fmt"
-	"testing"
-
 	"saffronquay/internal/scheduler/rpc"
+	"testing"
 
 	"github.com/matryer/is"
 )
--- a/internal/scheduler/replica/apply.go
+++ b/internal/scheduler/replica/apply.go
@@ -2,10 +2,9 @@
 
 import (
 	"maps"
-	"slices"
-
 	"saffronquay/internal/scheduler/consensus"
 	"saffronquay/internal/scheduler/rpc"
+	"slices"
 )
 
 func (e *Engine) apply(g *group, r *consensus.Ready) {
