--- a/internal/scheduler/proxy/departure_test.go
+++ b/internal/scheduler/proxy/disconnect_test.go
@@ -11,7 +11,8 @@
 	"github.com/valyala/fasthttp"
 )
 
-// serveUntilDeparture answers each request once a word comes, or tells that its client has left.
+// serveUntilDisconnect starts a server whose handler answers a request after a receive from finish, or sends to left where its client has
+// disconnected. It sends to watching when the watch has begun.
 func serveUntilDisconnect(t *testing.T) (address string, watching chan struct{}, finish chan struct{}, left chan struct{}) {
 	t.Helper()
 	watching, finish, left = make(chan struct{}, 8), make(chan struct{}), make(chan struct{}, 8)
@@ -36,7 +37,7 @@
 
 const plainRequest = "GET /x HTTP/1.1\r\nHost: h\r\n\r\n"
 
-// A request whose client closes the connection, or resets it, ends at once.
+// A client that closes or resets its connection ends the context of its request.
 func TestClientLeaves(t *testing.T) {
 	for _, how := range []string{"closes", "resets"} {
 		t.Run(how, func(t *testing.T) {
@@ -54,13 +55,13 @@
 			select {
 			case <-left:
 			case <-time.After(20 * time.Second):
-				t.Fatal("its departure was not noticed")
+				t.Fatal("the disconnect was not noticed")
 			}
 		})
 	}
 }
 
-// A client that stays gets its answers, short and long ones, on one connection, also where its next request is there already.
+// A client that stays connected gets all its answers on one connection, also where its next request has arrived already.
 func TestWatchedConnectionServesOn(t *testing.T) {
 	is := is.New(t)
 	address, watching, finish, left := serveUntilDisconnect(t)
@@ -74,7 +75,7 @@
 		is.NoErr(response.Read(reader))
 		is.Equal(response.StatusCode(), fasthttp.StatusOK)
 	}
-	for range 200 { // the watch ends in all the moments of its life
+	for range 200 { // often enough that the watch ends at any of its steps
 		_, err = io.WriteString(conn, plainRequest)
 		is.NoErr(err)
 		<-watching
--- a/internal/scheduler/proxy/events.go
+++ b/internal/scheduler/proxy/eventbuffer.go
@@ -2,27 +2,31 @@
 
 import "bytes"
 
-// eventCutter passes on whole events only, so that a stream can be taken up again behind the last one that the client has.
+// eventBuffer splits a stream into complete events, so that the stream can be continued after the last one that the client has.
 type eventBuffer struct {
 	buffer   []byte
-	complete int // bytes of buffer that are whole events
-	lastID   string
-	hasID    bool
+	complete int    // length of the complete events at the start of buffer
+	lastID   string // of the last complete event that has an id
+	hasID    bool   // a complete event had an id
 }
 
+// write appends bytes of the stream.
 func (c *eventBuffer) write(b []byte) {
 	c.buffer = append(c.buffer, b...)
 	for {
-		end := bytes.Index(c.buffer[c.complete:], []byte("\n\n"))
+		end := bytes.Index(c.buffer[c.complete:], eventEnd)
 		if end < 0 {
 			return
 		}
 		c.recordID(c.buffer[c.complete : c.complete+end])
-		c.complete += end + 2
+		c.complete += end + len(eventEnd)
 	}
 }
 
-// note remembers the id of an event.
+// eventEnd ends an event: an empty line.
+var eventEnd = []byte("\n\n")
+
+// recordID stores the id of an event, if it has one.
 func (c *eventBuffer) recordID(event []byte) {
 	for line := range bytes.SplitSeq(event, []byte("\n")) {
 		if id, ok := bytes.CutPrefix(line, []byte("id:")); ok {
@@ -31,7 +35,7 @@
 	}
 }
 
-// take moves whole events to b.
+// readComplete moves bytes of complete events to b and returns how many.
 func (c *eventBuffer) readComplete(b []byte) int {
 	n := copy(b, c.buffer[:c.complete])
 	c.buffer = c.buffer[n:]
@@ -39,12 +43,12 @@
 	return n
 }
 
-// rest moves what stands behind the last whole event to b, once the stream has ended whole.
+// readRemainder moves bytes to b that follow the last complete event. It is for the end of a complete stream.
 func (c *eventBuffer) readRemainder(b []byte) int {
 	n := copy(b, c.buffer)
 	c.buffer = c.buffer[n:]
 	return n
 }
 
-// drop forgets an event that has broken off.
+// discardPartial discards the event that broke off.
 func (c *eventBuffer) discardPartial() { c.buffer = c.buffer[:c.complete] }
--- a/internal/scheduler/proxy/pass_test.go
+++ b/internal/scheduler/proxy/forward_test.go
@@ -21,7 +21,7 @@
 	"github.com/valyala/fasthttp"
 )
 
-// standInWorker answers requests, but for those to /silent, and tells of its connections as they are opened and closed.
+// startFakeWorker starts a worker that answers requests, but for those to /silent. It sends to opened and closed for each connection.
 func startFakeWorker(t *testing.T) (address string, opened, closed chan struct{}) {
 	t.Helper()
 	opened, closed = make(chan struct{}, 16), make(chan struct{}, 16)
@@ -60,7 +60,7 @@
 	return listener.Addr().String(), opened, closed
 }
 
-// front serves a proxy with one worker.
+// startProxy starts the HTTP server of a proxy with one worker.
 func startProxy(t *testing.T, workerAddress string) (address string) {
 	t.Helper()
 	document, err := configuration.Parse([]byte(`{"version":1,"routes":[{"name":"r","host":"h","pathPrefix":"/","type":"idempotent","timeoutMs":60000,"targetLatencyMs":30000,"service":"s"}],"services":[{"name":"s"}]}`))
@@ -84,7 +84,7 @@
 	return "GET " + path + " HTTP/1.1\r\nHost: h\r\nRequest-Id: " + id + "\r\nDeadline-Ms: 60000\r\n\r\n"
 }
 
-// The connection to a worker is kept for the next request: it outlasts the watch of the client that the first one came from.
+// The connection to a worker is kept for the next request: it outlasts the watch of the first request's client.
 func TestWorkersConnectionIsKept(t *testing.T) {
 	is := is.New(t)
 	workerAddress, opened, _ := startFakeWorker(t)
@@ -102,7 +102,7 @@
 	is.Equal(len(opened), 1)
 }
 
-// A worker is let go once the client of its request has left.
+// The connection to a worker is closed when the client of its request has disconnected.
 func TestWorkerIsLetGoWhenTheClientLeaves(t *testing.T) {
 	is := is.New(t)
 	workerAddress, opened, closed := startFakeWorker(t)
@@ -115,6 +115,6 @@
 	select {
 	case <-closed:
 	case <-time.After(20 * time.Second):
-		t.Fatal("the worker is still at work")
+		t.Fatal("the connection to the worker is still open")
 	}
 }
--- a/internal/scheduler/proxy/start_test.go
+++ b/internal/scheduler/proxy/handler_test.go
@@ -10,7 +10,7 @@
 	"github.com/valyala/fasthttp"
 )
 
-// unconfigured asks a process that knows no configuration yet, and returns its answer and how long it took.
+// unconfigured sends a request to a process that knows no configuration yet, and returns the answer and the time that it took.
 func unconfigured(use featuregate.Gates, deadlineMS string) (*fasthttp.Response, time.Duration) {
 	p := &Proxy{settings: &settings.Settings{FeatureGates: use}, configured: make(chan struct{})}
 	ctx := &fasthttp.RequestCtx{}
@@ -21,8 +21,8 @@
 	return &ctx.Response, time.Since(begun)
 }
 
-// A client that has the time to come back once a configuration is known is told so at once. One that would come back too soon waits for it, for
-// half of its time at most.
+// A client that has the time to come back after the first configuration is rejected immediately. One that would come back too soon waits for
+// the configuration, half of its time at most.
 func TestRefusedAtOnceAfterAStart(t *testing.T) {
 	is := is.New(t)
 	answer, took := unconfigured(featuregate.All(), "2000")
--- /dev/null
+++ b/internal/scheduler/proxy/headers.go
@@ -0,0 +1,42 @@
+package proxy
+
+import (
+	"saffronquay/internal/scheduler/worker"
+	"strings"
+
+	"github.com/valyala/fasthttp"
+)
+
+// forwardedHeaders returns the header fields of a request that are forwarded to the worker.
+func forwardedHeaders(ctx *fasthttp.RequestCtx) (headers []worker.Header) {
+	for name, value := range ctx.Request.Header.All() {
+		if !isReplacedInRequest(string(name)) {
+			headers = append(headers, worker.Header{Name: string(name), Value: string(value)})
+		}
+	}
+	return headers
+}
+
+// isReplacedInRequest reports whether a field of a request concerns the client's connection only (hop by hop), or is set by package forward.
+func isReplacedInRequest(name string) bool {
+	switch strings.ToLower(name) {
+	case "connection", "keep-alive", "proxy-connection", "proxy-authenticate", "proxy-authorization", "te", "trailer", "transfer-encoding", "upgrade",
+		"content-length", "host", "expect", "request-id", "deadline-ms", "expect-instance", "priority", "expect-version":
+		return true
+	}
+	return false
+}
+
+// copyResponseHead copies a worker's status and its header fields, but for those that concern the worker's connection only.
+func copyResponseHead(ctx *fasthttp.RequestCtx, from *worker.Answer) {
+	ctx.SetStatusCode(from.Status)
+	for name, value := range from.Header.All() {
+		switch strings.ToLower(string(name)) {
+		case "connection", "keep-alive", "transfer-encoding", "content-length", "trailer", "upgrade", "proxy-authenticate", "date", "server":
+		case "content-type":
+			ctx.Response.Header.SetContentTypeBytes(value)
+		default:
+			ctx.Response.Header.AddBytesKV(name, value)
+		}
+	}
+}
--- a/internal/scheduler/proxy/jobs.go
+++ b/internal/scheduler/proxy/jobs.go
@@ -2,11 +2,7 @@
 
 import (
 	"context"
-	"errors"
-	"saffronquay/internal/scheduler/agent"
-	"saffronquay/internal/scheduler/batchclient"
 	"saffronquay/internal/scheduler/batchjobs"
-	"saffronquay/internal/scheduler/configuration"
 	"saffronquay/internal/scheduler/rpc"
 	"strconv"
 	"time"
@@ -16,80 +12,41 @@
 )
 
 const (
-	submitTimeout    = 2500 * time.Millisecond
-	readTimeoutMS    = 1500 // beyond what the client lets a read be held
-	maxReadWaitMS    = 2000
-	nearReadMarginMS = 300 // beyond the hold, that a replica of the own zone may take
-	policyTimeout    = 2 * time.Second
+	jobReadTimeout = 1500 * time.Millisecond // of a read, beyond the time that the client lets it wait
+	maxReadWait    = 2 * time.Second         // that a client may let a read wait for new results
+	// nearbyReadMargin is the time of a read from a replica of this zone, beyond the client's wait.
+	nearbyReadMargin = 300 * time.Millisecond
 )
 
-// submit takes a batch job.
-func (p *Proxy) submitJob(ctx *fasthttp.RequestCtx, route *configuration.Route, host string) {
-	id := string(ctx.Request.Header.Peek("Request-Id"))
-	if id == "" || !ctx.IsPost() {
-		answer(ctx, fasthttp.StatusBadRequest, "a batch job is a POST with a Request-Id")
-		return
-	}
-	job, err := batchjobs.ParseSubmission(ctx.PostBody())
-	if err != nil {
-		answer(ctx, fasthttp.StatusBadRequest, err.Error())
-		return
-	}
-	job.Id, job.Host, job.Path, job.SentUnixMs = id, host, string(ctx.Path()), time.Now().UnixMilli()
-	job.DeadlineMs, job.MaxQueueMs = uint32(route.DeadlineMS), uint32(route.MaxQueueS*1000)
-	job.GiveUpMs = uint32(max(route.TimeoutMS, route.DeadlineMS))
-	job.MaxAttempts, job.SingleVersion, job.Priority = uint32(max(route.MaxAttempts, 1)), route.OnPolicy, uint32(max(route.Priority, 0))
-	p.reportPolicy(job.Model, route.OnPolicy)
-	shard := p.jobOwners.ShardOfHost(host)
-	if shard == "" {
-		rejectRetryable(ctx, "batch jobs can't be kept yet")
-		return
-	}
-	within, cancel := context.WithTimeout(context.Background(), submitTimeout)
+// ownerResponse is a response of a shard's owner, or of a replica that isn't the owner.
+type ownerResponse interface {
+	GetOutcome() rpc.Outcome
+	GetLeaderAddress() string
+}
+
+// callOwner calls the owner of a shard until it has answered, or timeout and ownerWait have passed. ownerWait is how long the owner may let the
+// call wait. The errors are those of batchclient.Client.Call; the call may be repeated.
+func callOwner[R ownerResponse](p *Proxy, shard string, timeout, ownerWait time.Duration, call func(context.Context, rpc.Ledger) (R, error)) (R, error) {
+	ctx, cancel := context.WithTimeout(context.Background(), timeout+ownerWait)
 	defer cancel()
-	err = p.jobOwners.Call(within, shard, 0, func(ctx context.Context, l rpc.Ledger) (rpc.Outcome, string, error) {
-		response, err := l.Submit(ctx, &rpc.SubmitRequest{Shard: shard, Job: job})
+	var last R
+	err := p.jobOwners.Call(ctx, shard, ownerWait, func(ctx context.Context, owner rpc.Ledger) (rpc.Outcome, string, error) {
+		response, err := call(ctx, owner)
 		if err != nil {
 			return rpc.Outcome_OUTCOME_UNKNOWN, "", err
 		}
-		return response.Outcome, response.LeaderAddress, nil
+		last = response
+		return response.GetOutcome(), response.GetLeaderAddress(), nil
 	})
-	switch {
-	case err == nil:
-		ctx.SetStatusCode(fasthttp.StatusAccepted)
-	case errors.Is(err, batchclient.ErrUnavailable):
-		rejectRetryable(ctx, "batch jobs can't be kept now")
-	default:
-		answer(ctx, fasthttp.StatusGatewayTimeout, "the batch job may have been taken")
-	}
-}
-
-// notePolicy tells the directory, once for each model, whether its texts must be made by one version of the weights.
-func (p *Proxy) reportPolicy(model string, single bool) {
-	p.mu.Lock()
-	known, ok := p.policies[model]
-	if model == "" || ok && (known || !single) || p.policyCalls[model] {
-		p.mu.Unlock()
-		return
-	}
-	p.policyCalls[model] = true
-	p.mu.Unlock()
-	go func() {
-		ctx, cancel := context.WithTimeout(context.Background(), policyTimeout)
-		defer cancel()
-		rpc.NewControlProtobufClient("http://"+agent.Address(p.settings), p.client).NotePolicy(ctx, &rpc.ModelPolicy{Model: model, SingleVersion: single})
-		p.mu.Lock()
-		delete(p.policyCalls, model)
-		p.mu.Unlock()
-	}()
+	return last, err
 }
 
-// job reads or ends a batch job.
+// handleJob reads or cancels a batch job.
 func (p *Proxy) handleJob(ctx *fasthttp.RequestCtx, host, id string) {
 	shard := p.jobOwners.ShardOfHost(host)
 	switch {
 	case shard == "":
-		rejectRetryable(ctx, "batch jobs can't be read yet")
+		reject(ctx, "batch jobs can't be read yet")
 	case ctx.IsGet():
 		p.readJob(ctx, shard, id)
 	case ctx.IsDelete():
@@ -99,33 +56,24 @@
 	}
 }
 
+// readJob answers with the results of a job after the position that the query names. Where there is none yet, the read waits as long as the
+// header Wait-Ms says, maxReadWait at most.
 func (p *Proxy) readJob(ctx *fasthttp.RequestCtx, shard, id string) {
 	after := ctx.QueryArgs().GetUintOrZero("after")
-	hold, err := strconv.Atoi(string(ctx.Request.Header.Peek("Wait-Ms")))
-	if err != nil || hold < 0 {
-		hold = 0
-	}
-	hold = min(hold, maxReadWaitMS)
 	begun := time.Now()
-	page := p.readFromNearReplica(shard, id, after, hold)
+	wait := readWait(ctx)
+	page := p.readFromNearbyReplica(shard, id, after, wait)
 	if page != nil {
 		writePage(ctx, page, after)
 		return
 	}
-	hold = max(0, hold-int(time.Since(begun).Milliseconds()))
-	within, cancel := context.WithTimeout(context.Background(), time.Duration(hold+readTimeoutMS)*time.Millisecond)
-	defer cancel()
-	err = p.jobOwners.Call(within, shard, time.Duration(hold)*time.Millisecond, func(ctx context.Context, l rpc.Ledger) (rpc.Outcome, string, error) {
-		response, err := l.Read(ctx, &rpc.ReadRequest{Shard: shard, Job: id, After: uint32(after), WaitMs: uint32(hold)})
-		if err != nil {
-			return rpc.Outcome_OUTCOME_UNKNOWN, "", err
-		}
-		page = response
-		return response.Outcome, response.LeaderAddress, nil
+	wait = max(0, wait-time.Since(begun).Truncate(time.Millisecond))
+	page, err := callOwner(p, shard, jobReadTimeout, wait, func(ctx context.Context, owner rpc.Ledger) (*rpc.ReadResponse, error) {
+		return owner.Read(ctx, &rpc.ReadRequest{Shard: shard, Job: id, After: uint32(after), WaitMs: uint32(wait.Milliseconds())})
 	})
 	switch {
 	case err != nil:
-		rejectRetryable(ctx, "the batch job can't be read now")
+		reject(ctx, "the batch job can't be read now")
 	case !page.Found:
 		answer(ctx, fasthttp.StatusNotFound, "no such batch job")
 	default:
@@ -133,21 +81,34 @@
 	}
 }
 
-// readNear reads from a replica of this zone, which spares the bytes between zones; nil where there is none that can answer.
-func (p *Proxy) readFromNearReplica(shard, id string, after, hold int) *rpc.ReadResponse {
+// readWait returns how long a client lets a read wait for new results, rounded down to milliseconds.
+func readWait(ctx *fasthttp.RequestCtx) time.Duration {
+	ms, err := strconv.Atoi(string(ctx.Request.Header.Peek("Wait-Ms")))
+	if err != nil || ms < 0 {
+		return 0
+	}
+	return time.Duration(min(ms, int(maxReadWait.Milliseconds()))) * time.Millisecond
+}
+
+// readFromNearbyReplica reads from a replica of this zone, so that the results don't cross zones; nil where there is none, or where it doesn't
+// answer, has not caught up or doesn't know the job. The caller reads from the owner then.
+func (p *Proxy) readFromNearbyReplica(shard, id string, after int, wait time.Duration) *rpc.ReadResponse {
 	address := p.jobOwners.NearbyReplica(shard)
 	if address == "" {
 		return nil
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(hold+nearReadMarginMS)*time.Millisecond)
+	ctx, cancel := context.WithTimeout(context.Background(), wait+nearbyReadMargin)
 	defer cancel()
-	page, err := rpc.NewLedgerProtobufClient("http://"+address, p.client).Read(ctx, &rpc.ReadRequest{Shard: shard, Job: id, After: uint32(after), WaitMs: uint32(hold), Near: true})
+	replica := rpc.NewLedgerProtobufClient("http://"+address, p.client)
+	request := &rpc.ReadRequest{Shard: shard, Job: id, After: uint32(after), WaitMs: uint32(wait.Milliseconds()), Near: true}
+	page, err := replica.Read(ctx, request)
 	if err != nil || page.Outcome != rpc.Outcome_DONE || !page.Found {
 		return nil
 	}
 	return page
 }
 
+// writePage answers with a page of results as JSON.
 func writePage(ctx *fasthttp.RequestCtx, page *rpc.ReadResponse, after int) {
 	results, err := batchjobs.NewPage(page, after)
 	var text []byte
@@ -162,48 +123,34 @@
 	ctx.SetBody(text)
 }
 
+// cancelJob ends a batch job before its items are complete. Every failure is answered 504, also where the owner was not reached: the trainer
+// may repeat the cancellation in any case.
 func (p *Proxy) cancelJob(ctx *fasthttp.RequestCtx, shard, id string) {
-	found := false
-	within, cancel := context.WithTimeout(context.Background(), submitTimeout)
-	defer cancel()
-	err := p.jobOwners.Call(within, shard, 0, func(ctx context.Context, l rpc.Ledger) (rpc.Outcome, string, error) {
-		response, err := l.End(ctx, &rpc.EndRequest{Shard: shard, Job: id})
-		if err != nil {
-			return rpc.Outcome_OUTCOME_UNKNOWN, "", err
-		}
-		found = response.Found
-		return response.Outcome, response.LeaderAddress, nil
+	response, err := callOwner(p, shard, submitTimeout, 0, func(ctx context.Context, owner rpc.Ledger) (*rpc.EndResponse, error) {
+		return owner.End(ctx, &rpc.EndRequest{Shard: shard, Job: id})
 	})
 	switch {
 	case err != nil:
 		answer(ctx, fasthttp.StatusGatewayTimeout, "the end of the batch job is not certain")
-	case !found:
+	case !response.Found:
 		answer(ctx, fasthttp.StatusNotFound, "no such batch job")
 	}
 }
 
-// itemBody returns the body of an item.
+// readItemBody answers with the body of an item, which the query names.
 func (p *Proxy) readItemBody(ctx *fasthttp.RequestCtx, host, id string) {
 	shard := p.jobOwners.ShardOfHost(host)
 	if shard == "" || !ctx.IsGet() {
-		rejectRetryable(ctx, "items can't be read yet")
+		reject(ctx, "items can't be read yet")
 		return
 	}
 	item := string(ctx.QueryArgs().Peek("id"))
-	var body *rpc.BodyResponse
-	within, cancel := context.WithTimeout(context.Background(), readTimeoutMS*time.Millisecond)
-	defer cancel()
-	err := p.jobOwners.Call(within, shard, 0, func(ctx context.Context, l rpc.Ledger) (rpc.Outcome, string, error) {
-		response, err := l.Body(ctx, &rpc.BodyRequest{Shard: shard, Job: id, Item: item})
-		if err != nil {
-			return rpc.Outcome_OUTCOME_UNKNOWN, "", err
-		}
-		body = response
-		return response.Outcome, response.LeaderAddress, nil
+	body, err := callOwner(p, shard, jobReadTimeout, 0, func(ctx context.Context, owner rpc.Ledger) (*rpc.BodyResponse, error) {
+		return owner.Body(ctx, &rpc.BodyRequest{Shard: shard, Job: id, Item: item})
 	})
 	switch {
 	case err != nil:
-		rejectRetryable(ctx, "the item can't be read now")
+		reject(ctx, "the item can't be read now")
 	case !body.Found:
 		answer(ctx, fasthttp.StatusNotFound, "no such item")
 	default:
--- a/internal/scheduler/proxy/proxy.go
+++ b/internal/scheduler/proxy/proxy.go
@@ -1,22 +1,18 @@
-// Package proxy is the role that carries the traffic: it takes requests of clients, trainers' batch jobs and reads, sends requests to
-// workers, and works on the items of batch jobs. What it knows of the system comes from the agent of its machine.
 package proxy
 
 import (
 	"context"
 	"log/slog"
 	"math/rand/v2"
+	"net"
 	"saffronquay/internal/scheduler/agent"
 	"saffronquay/internal/scheduler/batchclient"
 	"saffronquay/internal/scheduler/batchjobs"
 	"saffronquay/internal/scheduler/batchrunner"
-	"saffronquay/internal/scheduler/compression"
 	"saffronquay/internal/scheduler/configuration"
 	"saffronquay/internal/scheduler/feed"
 	"saffronquay/internal/scheduler/forward"
-	"saffronquay/internal/scheduler/metrics"
 	"saffronquay/internal/scheduler/routing"
-	"saffronquay/internal/scheduler/rpc"
 	"saffronquay/internal/scheduler/settings"
 	"saffronquay/internal/scheduler/transport"
 	"saffronquay/internal/scheduler/worker"
@@ -29,6 +25,16 @@
 	"github.com/valyala/fasthttp"
 )
 
+const (
+	sweepInterval   = 2 * time.Second // between two searches for idle connections to workers
+	readBufferBytes = 64 << 10        // bounds the head of a request
+	maxBodyBytes    = 64 << 20
+	readTimeout     = 15 * time.Second
+	idleTimeout     = 90 * time.Second
+	// shutdownTimeout bounds the closing of connections after the drain. What is open then ends with the process.
+	shutdownTimeout = 300 * time.Millisecond
+)
+
 // Proxy is a running process of this role.
 type Proxy struct {
 	settings   *settings.Settings
@@ -36,97 +42,128 @@
 	client     *transport.Client
 	forwarder  *forward.Forwarder
 	jobOwners  *batchclient.Client
-	config     atomic.Pointer[configuration.Table]
-	configured chan struct{} // closed once a configuration is known
-	stopping   atomic.Bool
-	active     atomic.Int64
-
-	mu          sync.Mutex
-	policies    map[string]bool
-	policyCalls map[string]bool
-}
+	config     atomic.Pointer[configuration.Table] // nil until the first configuration
+	configured chan struct{}                       // closed with the first configuration
+	stopping   atomic.Bool                         // the process drains
+	active     atomic.Int64                        // handlers and streams under way
 
-const (
-	minDrain        = 2600 * time.Millisecond // after SIGTERM new connections come for so long
-	drainMargin     = 900 * time.Millisecond
-	sweepInterval   = 2 * time.Second
-	readBufferBytes = 64 << 10
-	maxBodyBytes    = 64 << 20
-	readTimeout     = 15 * time.Second
-	idleTimeout     = 90 * time.Second
-)
+	mu          sync.Mutex      // guards the fields below
+	policies    map[string]bool // by model: whether the directory knows that its texts must come from one version
+	policyCalls map[string]bool // models with a call to the directory under way
+}
 
+// processStart is the zero of clock, but for its offset.
 var processStart = time.Now()
 
-func clock() int64 { return time.Since(processStart).Milliseconds() + 1_000_000 }
+// clockOffsetMS keeps the clock away from 0, which stands for "never" in the tables.
+const clockOffsetMS = 1_000_000
+
+// clock returns milliseconds that never step back.
+func clock() int64 { return time.Since(processStart).Milliseconds() + clockOffsetMS }
 
-// Run serves until the context ends, then drains.
+// Run serves until ctx ends, then drains: readiness fails at once, requests are served on for a while, leased items are finished or handed
+// back. It returns an error only where an address can't be listened on. Settings that change later have no effect.
 func Run(ctx context.Context, source *settings.Source, log *slog.Logger) error {
 	s := source.Current()
-	p := &Proxy{settings: s, log: log, client: transport.NewClient(), configured: make(chan struct{}), policies: map[string]bool{}, policyCalls: map[string]bool{}}
-	p.jobOwners = batchclient.New(p.client, s.Zone)
-	p.forwarder = &forward.Forwarder{Table: routing.NewTable(routing.Gatherer{Name: s.NodeName, Zone: s.Zone}, s.FeatureGates, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))), Pool: worker.NewPool(), Clock: clock}
-	front, err := transport.ListenTCP(s.Listen.Frontend)
+	p := newProxy(s, log)
+	frontend, err := transport.ListenTCP(s.Listen.Frontend)
 	if err != nil {
 		return err
 	}
-	ready, err := transport.ListenTCP(s.Listen.Readiness)
+	readiness, err := transport.ListenTCP(s.Listen.Readiness)
 	if err != nil {
 		return err
 	}
-	tail := &feed.Client{Wait: feed.LoopbackWait, Table: feed.NewTableWithoutHistory(), HTTP: p.client, Node: s.NodeName, Sources: func() []string { return []string{agent.Address(s)} }, OnEvents: p.applyEvents, Log: log}
-	tailCtx, stopTail := context.WithCancel(context.Background())
-	defer stopTail()
-	go tail.Run(tailCtx)
-	readiness := router.New()
-	readiness.GET("/api/readyz", p.handleReadiness)
-	readyServer := &fasthttp.Server{Handler: readiness.Handler, NoDefaultServerHeader: true, NoDefaultDate: true}
-	go readyServer.Serve(ready)
-	server := &fasthttp.Server{
-		Handler: p.handle, ReadBufferSize: readBufferBytes, MaxRequestBodySize: maxBodyBytes, ReadTimeout: readTimeout, IdleTimeout: idleTimeout,
-		NoDefaultServerHeader: true, NoDefaultDate: true, NoDefaultContentType: true, CloseOnShutdown: true, DisablePreParseMultipartForm: true,
-	}
-	go server.Serve(front)
-	runner := &batchrunner.Runner{Name: gathererName(s.NodeName), Forwarder: p.forwarder, JobOwners: p.jobOwners, Configuration: p.config.Load, Timeouts: batchrunner.DefaultTimeouts, Log: log}
-	finished := make(chan struct{})
+	// The feed outlasts ctx: requests are routed during the drain.
+	serving, stopServing := context.WithCancel(context.WithoutCancel(ctx))
+	defer stopServing()
+	go p.newFeed().Run(serving)
+	go p.serve(p.newReadinessServer(), readiness)
+	server := p.newServer()
+	go p.serve(server, frontend)
 	grace := settings.Seconds(s.Bounds.GraceS)
+	runner := p.newRunner()
+	runnerDone := make(chan struct{})
 	go func() {
 		runner.Run(ctx, grace/2)
-		close(finished)
+		close(runnerDone)
 	}()
-	go p.sweepConnections(tailCtx)
+	go p.sweepConnections(serving)
 	<-ctx.Done()
-	p.drain(grace, finished)
-	end, cancel := context.WithTimeout(context.Background(), 300*time.Millisecond)
+	p.drain(grace, runnerDone)
+	shutdown, cancel := context.WithTimeout(context.WithoutCancel(ctx), shutdownTimeout)
 	defer cancel()
-	server.ShutdownWithContext(end)
+	_ = server.ShutdownWithContext(shutdown) // an error says that connections are still open; they end with the process
 	return nil
 }
 
-// gathererName names this life of the gatherer, so that owners of batch jobs know what an earlier one can't hold any more.
-func gathererName(node string) string {
-	return node + batchjobs.IncarnationSeparator + strconv.FormatUint(rand.Uint64(), 36)
+func newProxy(s *settings.Settings, log *slog.Logger) *Proxy {
+	client := transport.NewClient()
+	random := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
+	table := routing.NewTable(routing.Gatherer{Name: s.NodeName, Zone: s.Zone}, s.FeatureGates, random)
+	return &Proxy{
+		settings:    s,
+		log:         log,
+		client:      client,
+		forwarder:   &forward.Forwarder{Table: table, Pool: worker.NewPool(), Clock: clock},
+		jobOwners:   batchclient.New(client, s.Zone),
+		configured:  make(chan struct{}),
+		policies:    map[string]bool{},
+		policyCalls: map[string]bool{},
+	}
 }
 
-// drain goes on serving while new connections may come and requests are open.
-func (p *Proxy) drain(grace time.Duration, finished <-chan struct{}) {
-	p.stopping.Store(true)
-	p.log.Info("draining")
-	begun := time.Now()
-	for time.Since(begun) < grace-drainMargin {
-		batchDone := false
-		select {
-		case <-finished:
-			batchDone = true
-		default:
-		}
-		if time.Since(begun) > minDrain && p.active.Load() == 0 && batchDone {
-			return
-		}
-		time.Sleep(50 * time.Millisecond)
+// newFeed returns the client that keeps this process up to date from the agent of its machine.
+func (p *Proxy) newFeed() *feed.Client {
+	return &feed.Client{
+		Wait:     feed.LoopbackWait,
+		Table:    feed.NewTableWithoutHistory(),
+		HTTP:     p.client,
+		Node:     p.settings.NodeName,
+		Sources:  func() []string { return []string{agent.Address(p.settings)} },
+		OnEvents: p.applyEvents,
+		Log:      p.log,
+	}
+}
+
+func (p *Proxy) newReadinessServer() *fasthttp.Server {
+	routes := router.New()
+	routes.GET("/api/readyz", p.handleReadiness)
+	return &fasthttp.Server{Handler: routes.Handler, NoDefaultServerHeader: true, NoDefaultDate: true}
+}
+
+func (p *Proxy) newServer() *fasthttp.Server {
+	return &fasthttp.Server{
+		Handler: p.handle, ReadBufferSize: readBufferBytes, MaxRequestBodySize: maxBodyBytes, ReadTimeout: readTimeout, IdleTimeout: idleTimeout,
+		NoDefaultServerHeader: true, NoDefaultDate: true, NoDefaultContentType: true, CloseOnShutdown: true, DisablePreParseMultipartForm: true,
+	}
+}
+
+// serve runs a server until it is shut down or the process ends.
+func (p *Proxy) serve(server *fasthttp.Server, listener net.Listener) {
+	if err := server.Serve(listener); err != nil {
+		p.log.Error("server failed", "address", listener.Addr().String(), "error", err)
+	}
+}
+
+func (p *Proxy) newRunner() *batchrunner.Runner {
+	return &batchrunner.Runner{
+		Name:          gathererName(p.settings.NodeName),
+		Forwarder:     p.forwarder,
+		JobOwners:     p.jobOwners,
+		Configuration: p.config.Load,
+		Timeouts:      batchrunner.DefaultTimeouts,
+		Log:           p.log,
 	}
 }
 
+// gathererName returns a name for this run of the gatherer, so that owners of batch jobs take back the leases of an earlier run.
+func gathererName(node string) string {
+	const base = 36
+	return node + batchjobs.IncarnationSeparator + strconv.FormatUint(rand.Uint64(), base)
+}
+
+// sweepConnections closes idle connections to workers until ctx ends.
 func (p *Proxy) sweepConnections(ctx context.Context) {
 	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
@@ -139,61 +176,3 @@
 		}
 	}
 }
-
-// readyz tells the platform whether new connections may come here.
-func (p *Proxy) handleReadiness(ctx *fasthttp.RequestCtx) {
-	if p.stopping.Load() || p.config.Load() == nil {
-		ctx.SetStatusCode(fasthttp.StatusServiceUnavailable)
-	}
-}
-
-// heard takes in what the agent tells.
-func (p *Proxy) applyEvents(events []*rpc.FeedEvent) {
-	for _, e := range events {
-		switch x := e.Event.(type) {
-		case *rpc.FeedEvent_Configuration:
-			p.applyConfiguration(x.Configuration)
-		case *rpc.FeedEvent_Instance:
-			p.forwarder.Table.PutWorker(x.Instance)
-		case *rpc.FeedEvent_Gone:
-			p.forwarder.Table.RemoveWorker(x.Gone)
-		case *rpc.FeedEvent_Placement:
-			p.jobOwners.UpdatePlacement(x.Placement)
-		case *rpc.FeedEvent_Policy:
-			p.mu.Lock()
-			p.policies[x.Policy.Model] = x.Policy.SingleVersion
-			p.mu.Unlock()
-		case *rpc.FeedEvent_Member:
-			switch x.Member.Kind {
-			case settings.ServesEdge:
-				p.forwarder.Table.PutGatherer(routing.Gatherer{Name: x.Member.Name, Zone: x.Member.Zone})
-			case settings.ServesStorage:
-				p.jobOwners.SetZone(x.Member.Address, x.Member.Zone)
-			}
-		case *rpc.FeedEvent_Left:
-			p.forwarder.Table.RemoveGatherer(x.Left)
-		}
-	}
-}
-
-// configure puts a configuration in force; an older one never replaces a newer one.
-func (p *Proxy) applyConfiguration(e *rpc.ConfigurationEvent) {
-	if old := p.config.Load(); old != nil && old.Version >= e.Version {
-		return
-	}
-	text, err := compression.Documents.Unpack(e.Body)
-	if err != nil {
-		p.log.Error("configuration can't be used", "version", e.Version, "error", err)
-		return
-	}
-	document, err := configuration.ParseTrusted(text)
-	if err != nil {
-		p.log.Error("configuration can't be used", "version", e.Version, "error", err)
-		return
-	}
-	if p.config.Swap(configuration.NewTable(document)) == nil {
-		close(p.configured)
-		metrics.RecordStartPhase("configuration")
-	}
-	p.log.Info("configuration", "version", e.Version, "routes", len(document.Routes))
-}
--- a/internal/scheduler/proxy/resume_test.go
+++ b/internal/scheduler/proxy/stream_test.go
@@ -9,7 +9,7 @@
 	"github.com/matryer/is"
 )
 
-// A stream that is taken up again names the last event, leaves the first request as it was, and tells no wait of its own.
+// The request that continues a stream names the last event, leaves the first request as it was, and has no time of arrival.
 func TestContinuedRequest(t *testing.T) {
 	is := is.New(t)
 	headers := append(make([]worker.Header, 0, 4), worker.Header{Name: "Model", Value: "m"})
