--- a/internal/scheduler/weights/dispatcher.go
+++ b/internal/scheduler/weights/dispatcher.go
@@ -2,13 +2,10 @@
 
 import (
 	"context"
-	"encoding/json"
-	"fmt"
 	"log/slog"
 	"maps"
 	"saffronquay/internal/scheduler/metrics"
 	"saffronquay/internal/scheduler/rpc"
-	"saffronquay/internal/scheduler/transport"
 	"strconv"
 	"sync"
 	"time"
@@ -16,185 +13,187 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Shard is what a dispatcher needs of the registry shard whose workers it sends orders to.
+// Shard is what a Dispatcher needs of the registry shard whose workers it sends orders to. Its methods are called by several goroutines.
 type Shard interface {
-	// Lease tells whether this process owns the shard right now, and under which epoch.
+	// Lease reports whether this process owns the shard now, and under which epoch. While it does, no other process owns it.
 	Lease() (epoch uint64, owned bool)
-	// OwnedFor is for how long it has owned it.
+	// OwnedFor returns for how long this process has owned the shard.
 	OwnedFor() time.Duration
-	// LastHolder is the machine that sent orders last; empty where none did. ended tells whether its process has ended since.
+	// LastHolder returns the machine that sent orders last, empty where none did, and whether the process that sent them has ended since.
 	LastHolder() (node string, ended bool)
-	// RecordHolder records this machine as the holder.
+	// RecordHolder commits this machine as the holder under an epoch. It returns false where that isn't known to be committed.
 	RecordHolder(ctx context.Context, epoch uint64) bool
+	// Instances returns the workers that orders may be sent to. The caller must not change them.
 	Instances() []*rpc.Instance
-	// RecordVersion tells the shard of a worker's new weights.
+	// RecordVersion commits that a worker has a version of a model, where the group decides in time.
 	RecordVersion(ctx context.Context, instance, model string, version uint64)
 }
 
-// Dispatcher sends the orders of one shard.
+// Dispatcher sends the orders of one shard. Its exported fields are set before Run and stay.
 type Dispatcher struct {
-	Node          string
-	TakeOverDelay time.Duration // how long after another holder's last order this one must wait
-	Fenced        bool          // workers check fences, so that nothing late of an ended holder takes effect
-	Shard         Shard
-	Wanted        func() map[string]uint64
+	Node          string                   // name of this machine, which the workers see as the holder
+	TakeOverDelay time.Duration            // how long another holder's last order must be past before this one may send
+	Fenced        bool                     // workers check fencing tokens, so that no late order of an ended holder takes effect
+	Shard         Shard                    // whose workers get the orders
+	Wanted        func() map[string]uint64 // newest named version by model
 	Rules         Rules
 	Log           *slog.Logger
 
-	mu     sync.Mutex
-	busy   map[string]string // the models of the orders under way, by worker
-	held   uint64            // epoch under which this machine is recorded as the holder
-	client fasthttp.Client
-	loads  map[Mode]*loadTime // by mode: in the one, what runs ends first
+	client        *workerClient
+	loadTimes     map[Mode]*loadTime // by mode: with Wait, requests end before the load
+	recordedEpoch uint64             // epoch under which this machine is recorded as the holder; of Run's goroutine alone
+	orders        sync.WaitGroup     // the goroutines of the orders in flight
+
+	mu       sync.Mutex
+	inFlight map[string]string // models of the orders in flight, by worker
 }
 
 const (
-	round = 50 * time.Millisecond
-	// idleMost is how long a connection to a worker is kept for the next order: versions follow each other within seconds. It is shorter than
-	// workers keep theirs.
-	idleMost      = 9 * time.Second
-	orderTimeout  = 800 * time.Millisecond
-	reportTimeout = 500 * time.Millisecond
-	reportEach    = 100 * time.Millisecond
-	refusedPause  = 200 * time.Millisecond
-	loadMost      = 8 * time.Second
-	shareAtOnce   = 3 // one in so many workers loads at a time
+	planInterval = 50 * time.Millisecond
+	// retryDelay is how long a worker that rejected an order, or didn't answer, gets no other one.
+	retryDelay = 200 * time.Millisecond
+	// queryInterval is the time between two queries whether a worker has loaded.
+	queryInterval = 100 * time.Millisecond
+	// maxOrderTime, idleLimit and unreachableLimit bound how long a worker is waited for, from the order on: in any case, while it reports that
+	// it isn't busy, and while it doesn't report.
+	maxOrderTime     = 8 * time.Second
+	idleLimit        = 2 * time.Second
+	unreachableLimit = 3 * time.Second
 )
 
-// ConcurrentLoads is how many workers of a service load weights at a time.
-func ConcurrentLoads(workers int) int { return (workers + shareAtOnce - 1) / shareAtOnce }
+// MayTakeOver reports whether a machine may send orders that has owned their shard for a while. Another machine's last order must be a lease
+// ago; it need not be where that machine's process has ended and workers check fences, so that nothing of it takes effect that is still on its
+// way. It is pure.
+func MayTakeOver(node, last string, ended, fenced bool, owned, lease time.Duration) bool {
+	return last == "" || last == node || owned >= lease || fenced && ended
+}
 
-// Run works until the context ends.
-func (h *Dispatcher) Run(ctx context.Context) {
-	h.busy, h.loads = map[string]string{}, map[Mode]*loadTime{Wait: {}, Retain: {}}
-	h.client = fasthttp.Client{
-		Dial: transport.Dial, MaxIdemponentCallAttempts: 1, MaxIdleConnDuration: idleMost, NoDefaultUserAgentHeader: true,
-		RetryIfErr: func(*fasthttp.Request, int, error) (bool, bool) { return false, false },
-	}
-	ticker := time.NewTicker(round)
+// Run sends orders until ctx ends, whenever this process owns the shard. It returns when the orders in flight have ended, which takes no longer
+// than one request to a worker and one query.
+func (d *Dispatcher) Run(ctx context.Context) {
+	d.inFlight, d.loadTimes = map[string]string{}, map[Mode]*loadTime{Wait: {}, Retain: {}}
+	d.client = newWorkerClient()
+	defer d.orders.Wait()
+	ticker := time.NewTicker(planInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ticker.C:
-			h.turn(ctx)
+			d.dispatch(ctx)
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// turn begins the orders that are due now.
-func (h *Dispatcher) turn(ctx context.Context) {
-	wanted := h.Wanted()
+// dispatch starts the orders that are due now.
+func (d *Dispatcher) dispatch(ctx context.Context) {
+	wanted := d.Wanted()
 	if len(wanted) == 0 {
 		return
 	}
-	h.mu.Lock()
-	busy := maps.Clone(h.busy)
-	h.mu.Unlock()
-	orders := Plan(h.Shard.Instances(), wanted, busy, &h.Rules)
+	d.mu.Lock()
+	busy := maps.Clone(d.inFlight)
+	d.mu.Unlock()
+	orders := Plan(d.Shard.Instances(), wanted, busy, &d.Rules)
 	if len(orders) == 0 {
 		return
 	}
-	epoch, owned := h.Shard.Lease()
-	if !owned || !h.mayHold(ctx, epoch) {
+	epoch, owned := d.Shard.Lease()
+	if !owned || !d.becomeHolder(ctx, epoch) {
 		return
 	}
 	for _, order := range orders {
-		h.mu.Lock()
-		h.busy[order.Instance.Id] = order.Model
-		h.mu.Unlock()
-		go h.carryOut(ctx, order, epoch)
+		d.mu.Lock()
+		d.inFlight[order.Instance.Id] = order.Model
+		d.mu.Unlock()
+		d.orders.Go(func() { d.execute(ctx, order, epoch) })
 	}
 }
 
-// MayTakeOver tells whether a machine may send orders that has owned their shard for a while. Another one's last order must be a lease ago; at
-// once only where that one's process has ended and workers check fences, so that nothing of it that is still on its way takes effect.
-func MayTakeOver(node, last string, ended, fenced bool, owned, lease time.Duration) bool {
-	return last == "" || last == node || owned >= lease || fenced && ended
-}
-
-// mayHold makes this machine the holder, once another one's last order is long enough ago.
-func (h *Dispatcher) mayHold(ctx context.Context, epoch uint64) bool {
-	if h.held == epoch {
+// becomeHolder records this machine as the holder, where it may take over. It returns false where orders must not be sent.
+func (d *Dispatcher) becomeHolder(ctx context.Context, epoch uint64) bool {
+	if d.recordedEpoch == epoch {
 		return true
 	}
-	last, ended := h.Shard.LastHolder()
-	if !MayTakeOver(h.Node, last, ended, h.Fenced, h.Shard.OwnedFor(), h.TakeOverDelay) {
+	last, ended := d.Shard.LastHolder()
+	if !MayTakeOver(d.Node, last, ended, d.Fenced, d.Shard.OwnedFor(), d.TakeOverDelay) {
 		return false
 	}
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
-	if h.Shard.RecordHolder(ctx, epoch) {
-		h.held = epoch
+	if d.Shard.RecordHolder(ctx, epoch) {
+		d.recordedEpoch = epoch
 	}
-	return h.held == epoch
-}
-
-// orderBody is what a worker is sent.
-type orderBody struct {
-	Operation string `json:"operation"`
-	Model     string `json:"model"`
-	Version   uint64 `json:"version"`
-	Mode      Mode   `json:"mode"`
-	Holder    string `json:"holder"`
-	Fence     uint64 `json:"fence"`
+	return d.recordedEpoch == epoch
 }
 
-// carryOut sends an order and waits until the worker has the weights.
-func (h *Dispatcher) carryOut(ctx context.Context, order Order, epoch uint64) {
+// execute sends an order and waits until the worker has the weights. The worker gets no other order meanwhile.
+func (d *Dispatcher) execute(ctx context.Context, order Order, epoch uint64) {
 	defer func() {
-		h.mu.Lock()
-		delete(h.busy, order.Instance.Id)
-		h.mu.Unlock()
+		d.mu.Lock()
+		delete(d.inFlight, order.Instance.Id)
+		d.mu.Unlock()
 	}()
-	if now, owned := h.Shard.Lease(); !owned || now != epoch {
+	if now, owned := d.Shard.Lease(); !owned || now != epoch {
 		return
 	}
-	begun := time.Now()
-	status, err := h.order(order, epoch)
+	sentAt := time.Now()
+	status, err := d.client.order(order, d.Node, epoch)
 	countOrder(order, status)
-	h.Log.Info("order", "instance", order.Instance.Id, "model", order.Model, "version", order.Version, "mode", order.Mode, "fence", epoch, "status", status)
-	defer func() {
-		h.Log.Info("order over", "instance", order.Instance.Id, "model", order.Model, "version", order.Version, "took", time.Since(begun))
-	}()
+	log := d.Log.With("instance", order.Instance.Id, "model", order.Model, "version", order.Version)
+	log.Info("order sent", "mode", order.Mode, "fence", epoch, "status", status)
+	defer func() { log.Info("order ended", "took", time.Since(sentAt)) }()
 	switch {
 	case err != nil:
-		h.Log.Warn("order unanswered", "instance", order.Instance.Id, "error", err)
-		h.pause(ctx, refusedPause)
+		log.Warn("order not answered", "error", err)
+		sleep(ctx, retryDelay) // the worker may load all the same
 	case status == fasthttp.StatusOK:
-		h.record(ctx, order)
+		d.recordVersion(ctx, order)
 		return
 	case status != fasthttp.StatusAccepted && status != fasthttp.StatusConflict:
-		h.Log.Warn("order refused", "instance", order.Instance.Id, "model", order.Model, "version", order.Version, "status", status)
-		h.pause(ctx, refusedPause)
+		log.Warn("order rejected", "status", status)
+		sleep(ctx, retryDelay)
 		return
 	}
-	usual := h.loads[order.Mode]
-	h.pause(ctx, usual.guess())
-	for first := true; time.Since(begun) < loadMost; first = false {
-		version, busy, err := h.report(order.Instance, order.Model)
-		if err == nil && version >= order.Version {
-			usual.learn(first, time.Since(begun))
-			h.record(ctx, order)
+	d.awaitLoad(ctx, order, sentAt)
+}
+
+// awaitLoad queries a worker until it has the ordered version, and records that. Where it gives up, a later turn orders again.
+func (d *Dispatcher) awaitLoad(ctx context.Context, order Order, sentAt time.Time) {
+	usual := d.loadTimes[order.Mode]
+	sleep(ctx, usual.estimate())
+	for queries := 1; time.Since(sentAt) < maxOrderTime; queries++ {
+		report, err := d.client.report(order.Instance, order.Model)
+		if err == nil && report.version >= order.Version {
+			usual.observe(time.Since(sentAt), queries)
+			d.recordVersion(ctx, order)
 			return
 		}
-		if err == nil && !busy && time.Since(begun) > 2*time.Second || err != nil && time.Since(begun) > 3*time.Second {
-			return // the next turn orders it again
+		if err == nil && !report.busy && time.Since(sentAt) > idleLimit || err != nil && time.Since(sentAt) > unreachableLimit {
+			return
 		}
-		if !h.pause(ctx, reportEach) {
+		if !sleep(ctx, queryInterval) {
 			return
 		}
 	}
 }
 
-// countOrder counts orders by why they are sent, by mode, and by what the worker said; status 0: nothing.
+func (d *Dispatcher) recordVersion(ctx context.Context, order Order) {
+	d.Shard.RecordVersion(ctx, order.Instance.Id, order.Model, order.Version)
+}
+
+// countOrder counts orders by model, cause, mode, and by the status that the worker answered; 0 where it didn't answer.
 func countOrder(order Order, status int) {
-	metrics.Counter("orders_total", metrics.Label{Name: "model", Value: order.Model}, metrics.Label{Name: "cause", Value: string(order.Cause)},
-		metrics.Label{Name: "mode", Value: string(order.Mode)}, metrics.Label{Name: "status", Value: strconv.Itoa(status)}).Inc()
+	metrics.Counter(
+		"orders_total",
+		metrics.Label{Name: "model", Value: order.Model}, metrics.Label{Name: "cause", Value: string(order.Cause)},
+		metrics.Label{Name: "mode", Value: string(order.Mode)}, metrics.Label{Name: "status", Value: strconv.Itoa(status)},
+	).Inc()
 }
 
-func (h *Dispatcher) pause(ctx context.Context, d time.Duration) bool {
+// sleep waits. It returns false where ctx ends first.
+func sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-time.After(d):
 		return true
@@ -202,56 +201,3 @@
 		return false
 	}
 }
-
-func (h *Dispatcher) order(order Order, epoch uint64) (status int, err error) {
-	body, err := json.Marshal(orderBody{"version", order.Model, order.Version, order.Mode, h.Node, epoch})
-	if err != nil {
-		return 0, err
-	}
-	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
-	defer fasthttp.ReleaseRequest(request)
-	defer fasthttp.ReleaseResponse(response)
-	request.Header.SetMethod(fasthttp.MethodPost)
-	request.SetRequestURI("http://" + order.Instance.Address + "/api/order")
-	request.Header.SetContentType("application/json")
-	request.Header.Set("Expect-Instance", order.Instance.Id)
-	request.SetBody(body)
-	if err := h.client.DoTimeout(request, response, orderTimeout); err != nil {
-		return 0, err
-	}
-	return response.StatusCode(), nil
-}
-
-func (h *Dispatcher) report(instance *rpc.Instance, model string) (version uint64, busy bool, err error) {
-	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
-	defer fasthttp.ReleaseRequest(request)
-	defer fasthttp.ReleaseResponse(response)
-	request.SetRequestURI("http://" + instance.Address + "/api/report")
-	request.Header.Set("Expect-Instance", instance.Id)
-	if err := h.client.DoTimeout(request, response, reportTimeout); err != nil {
-		return 0, false, err
-	}
-	if response.StatusCode() != fasthttp.StatusOK {
-		return 0, false, fmt.Errorf("weights: report: status %d", response.StatusCode())
-	}
-	var r struct {
-		Models []struct {
-			Name    string `json:"name"`
-			Version uint64 `json:"version"`
-		} `json:"models"`
-		Busy bool `json:"utilization"`
-	}
-	if err := json.Unmarshal(response.Body(), &r); err != nil {
-		return 0, false, err
-	}
-	for _, m := range r.Models {
-		if m.Name == model {
-			version = m.Version
-		}
-	}
-	return version, r.Busy, nil
-}
-
-func (h *Dispatcher) record(ctx context.Context, order Order) {
-	h.Shard.RecordVersion(ctx, order.Instance.Id, order.Model, order.Version)
-}
--- a/internal/scheduler/weights/weights_test.go
+++ b/internal/scheduler/weights/plan_test.go
@@ -8,6 +8,7 @@
 	"github.com/matryer/is"
 )
 
+// workers returns n workers of one service that have version 1 of the models.
 func workers(n int, models ...string) (list []*rpc.Instance) {
 	for i := range n {
 		w := &rpc.Instance{Id: fmt.Sprintf("i%d", i), Service: "s", Capacity: 10}
@@ -19,11 +20,12 @@
 	return list
 }
 
+// rules allow several versions and know of no demand.
 func rules() *Rules {
 	return &Rules{SingleVersion: func(string) bool { return false }, MaxConcurrent: ConcurrentLoads, Slots: func(string) float64 { return 0 }}
 }
 
-// A version reaches its model's share of the workers a few at a time, and the plan ends.
+// A version reaches its model's part of the workers a few at a time, and the plan ends.
 func TestRollOut(t *testing.T) {
 	is := is.New(t)
 	list := workers(9, "a", "b", "c")
@@ -41,8 +43,8 @@
 	is.Equal(loads, 3)
 }
 
-// More demand brings more workers, up to all; a worker with an order under way gets no second one.
-func TestDemandWidensTheShare(t *testing.T) {
+// More demand brings more workers, up to all; a worker with an order in flight gets no second one.
+func TestDemandAssignsMoreWorkers(t *testing.T) {
 	is := is.New(t)
 	for slots, want := range map[float64]int{0: 3, 20: 4, 40: 6, 1000: 9} {
 		r := rules()
@@ -61,7 +63,7 @@
 	is.Equal(len(Plan(workers(9, "a"), map[string]uint64{"a": 2}, busy, rules())), 0)
 }
 
-// Texts of one version are not mixed: their model's workers end what runs before they load.
+// Texts of one version are not mixed: their model's workers end what runs before they load. A lost worker gets no order.
 func TestModes(t *testing.T) {
 	is := is.New(t)
 	single := rules()
@@ -73,19 +75,8 @@
 	is.Equal(len(Plan(lost, map[string]uint64{"a": 2}, nil, rules())), 0)
 }
 
-func TestDemandHoldsOnToThePeak(t *testing.T) {
-	is := is.New(t)
-	var d Demand
-	d.Update(1000, "x", map[string]float64{"a": 30})
-	d.Update(2000, "x", map[string]float64{"a": 5})
-	d.Update(2000, "y", map[string]float64{"a": 7})
-	is.Equal(d.Slots(3000, "a"), 37.0)
-	d.Update(1000+holdMS+1, "x", map[string]float64{"a": 5})
-	is.Equal(d.Slots(1000+holdMS+1, "a"), 12.0)
-}
-
-// Orders tell why they are sent.
-func TestOrdersTellTheirCause(t *testing.T) {
+// Orders carry the cause for which they are sent.
+func TestOrdersCarryTheirCause(t *testing.T) {
 	is := is.New(t)
 	for has, want := range map[uint64]Cause{0: NoVersion, 4: NextVersion, 3: SkippedVersions} {
 		w := workers(1, "a")
@@ -96,7 +87,7 @@
 	}
 }
 
-// The bound on loads at a time holds for each model: those of one do not wait for those of another, at other workers.
+// The bound on concurrent loads is one for each model: loads of one model do not wait for those of another, at other workers.
 func TestModelsLoadBesideEachOther(t *testing.T) {
 	is := is.New(t)
 	list := workers(9, "a", "b")
@@ -109,6 +100,6 @@
 		is.True(!at[o.Instance.Id] && busy[o.Instance.Id] == "") // one order at a time for each worker
 		at[o.Instance.Id] = true
 	}
-	is.Equal(count["a"], 1) // two are under way
+	is.Equal(count["a"], 1) // two are in flight
 	is.Equal(count["b"], 3)
 }
