--- a/internal/scheduler/worker/pool.go
+++ b/internal/scheduler/worker/pool.go
@@ -79,16 +79,16 @@
 func (p *Pool) Do(ctx context.Context, call *Call) (*Answer, error) {
 	conn, err := p.connect(call)
 	if err != nil {
-		return nil, outcome.Wrap(outcome.Failed, outcome.NotRun, err, "connect to %s", call.Address)
+		return nil, outcome.Errorf(outcome.Failed, outcome.NotRun, err, "connect to %s", call.Address)
 	}
 	stop := context.AfterFunc(ctx, func() { conn.SetDeadline(time.Unix(1, 0)) })
 	fail := func(v outcome.Outcome, err error, what string) error {
 		stop()
 		conn.Close()
 		if ctx.Err() != nil {
-			return outcome.Wrap(outcome.TimedOut, v, ctx.Err(), "%s %s", what, call.Address)
+			return outcome.Errorf(outcome.TimedOut, v, ctx.Err(), "%s %s", what, call.Address)
 		}
-		return outcome.Wrap(outcome.Failed, v, err, "%s %s", what, call.Address)
+		return outcome.Errorf(outcome.Failed, v, err, "%s %s", what, call.Address)
 	}
 	a := &Answer{pool: p, address: call.Address, conn: conn, stop: stop}
 	if encoded := call.encode(); len(encoded) > directMost {
@@ -272,6 +272,9 @@
 	a.Close()
 }
 
+// IsSuccess reports whether the status is below 300. Heads with a status below 200 are never answers.
+func (a *Answer) IsSuccess() bool { return a.Status < fasthttp.StatusMultipleChoices }
+
 // Belongs tells whether an answer is to the request with an id.
 func (a *Answer) IsFor(id string) bool {
 	return IsAnswerFor(a.Status, string(a.Header.Peek("Request-Id")), id)
