--- a/internal/scheduler/controlplane/control_loop.go
+++ b/internal/scheduler/controlplane/control_loop.go
@@ -31,7 +31,7 @@
 		for _, sh := range s.shards {
 			sh.removeOverdue(ctx)
 		}
-		if status := s.host.Status(directory.Shard); status != nil && status.Lease(s.host.Now()) {
+		if status := s.host.Status(directory.Shard); status != nil && status.HasLease(s.host.Now()) {
 			s.updatePlacements(ctx)
 			s.completeRetirements(ctx)
 		}
--- a/internal/scheduler/controlplane/retirements.go
+++ b/internal/scheduler/controlplane/retirements.go
@@ -84,7 +84,7 @@
 	switch {
 	case status == nil:
 		return &rpc.RetireResponse{Outcome: rpc.Outcome_UNAVAILABLE}
-	case !status.Lease(s.host.Now()):
+	case !status.HasLease(s.host.Now()):
 		return &rpc.RetireResponse{Outcome: rpc.Outcome_NOT_LEADER, LeaderAddress: status.LeaderAddress}
 	}
 	completed, started := s.directory.Retirements()[r.Node]
@@ -95,7 +95,7 @@
 		return &rpc.RetireResponse{Outcome: rpc.Outcome_DONE, State: rpc.RetireState_RETIRE_ACTIVE}
 	case !r.Start:
 		return &rpc.RetireResponse{Outcome: rpc.Outcome_DONE}
-	case s.host.Now()-status.LedSince < minLeadTime.Milliseconds():
+	case s.host.Now()-status.LeaderSince < minLeadTime.Milliseconds():
 		return &rpc.RetireResponse{Outcome: rpc.Outcome_UNAVAILABLE} // machines that were not heard of yet would seem to be missing
 	}
 	refusal := RetireRefusal(r.Node, s.machines(settings.ServesStorage), s.jobPlacements(), s.settings.GroupSize())
