--- a/internal/scheduler/controlplane/server.go
+++ b/internal/scheduler/controlplane/server.go
@@ -40,7 +40,7 @@
 	started  time.Time
 
 	identity   replica.Identity
-	facts      *replica.Facts
+	facts      *replica.IdentityStore
 	store      *replica.Store
 	host       *replica.Host
 	membership *membership.Membership
@@ -68,10 +68,10 @@
 
 // open reads the disk, and prepares the state machines and the host of the replicas.
 func (s *Server) open(options replica.Options) (err error) {
-	if s.facts, err = replica.OpenFacts(s.settings.DataDir); err != nil {
+	if s.facts, err = replica.OpenIdentityStore(s.settings.DataDir); err != nil {
 		return err
 	}
-	if s.identity, err = replica.Identify(s.facts, s.settings); err != nil {
+	if s.identity, err = replica.LoadOrCreateIdentity(s.facts, s.settings); err != nil {
 		return err
 	}
 	if s.store, err = replica.OpenStore(s.settings.DataDir); err != nil {
@@ -83,7 +83,7 @@
 		state := registry.New(name, s.feed)
 		s.shards[name] = &shard{server: s, name: name, registry: state, heartbeats: registry.NewHeartbeatHandler(state, s.settings.HeartbeatMS)}
 	}
-	options.Gather = s.settings.FeatureGates.GatheredWrites
+	options.BatchCalls = s.settings.FeatureGates.GatheredWrites
 	s.host, err = replica.NewHost(replica.Config{
 		Identity: s.identity, Store: s.store, Machine: s.stateMachine, Send: replica.NewSender(s.client).Send, Log: s.log, Options: options,
 	})
@@ -167,7 +167,7 @@
 func (s *Server) slots(model string) float64 { return s.demand.Slots(s.host.Now(), model) }
 
 // submit has a group decide on a command, at its leader, wherever that is. It retries until ctx ends.
-func (s *Server) submit(ctx context.Context, group string, command []byte) replica.Proposed {
+func (s *Server) submit(ctx context.Context, group string, command []byte) replica.ProposalResult {
 	return replica.Submit(ctx, s.host, s.client, group, command)
 }
 
--- a/internal/scheduler/controlplane/shard.go
+++ b/internal/scheduler/controlplane/shard.go
@@ -34,7 +34,7 @@
 // ownership says under which epoch this process decides for the shard, and whether it may.
 func (sh *shard) ownership(status *replica.Status) registry.Ownership {
 	now := sh.server.host.Now()
-	return registry.Ownership{NowMS: now, Epoch: status.Epoch, HasLease: status.Lease(now)}
+	return registry.Ownership{NowMS: now, Epoch: status.Epoch, HasLease: status.HasLease(now)}
 }
 
 // heartbeat decides on a heartbeat, or a leave, where this process owns the shard; elsewhere it names the owner. DONE says that what the
@@ -82,7 +82,7 @@
 	if status == nil {
 		return 0, false
 	}
-	return status.Epoch, status.Lease(sh.server.host.Now())
+	return status.Epoch, status.HasLease(sh.server.host.Now())
 }
 
 // OwnedFor implements weights.Shard.
@@ -91,7 +91,7 @@
 	if status == nil || !status.Leader {
 		return 0
 	}
-	return time.Duration(sh.server.host.Now()-status.LedSince) * time.Millisecond
+	return time.Duration(sh.server.host.Now()-status.LeaderSince) * time.Millisecond
 }
 
 // LastHolder implements weights.Shard. A process has ended where its machine is failed or runs another one.
