--- a/internal/scheduler/feed/client.go
+++ b/internal/scheduler/feed/client.go
@@ -10,99 +10,56 @@
 	"time"
 )
 
-// Client keeps a table up to date from one source at a time: a steward, or the agent of its machine. It goes to the next source where
-// one is silent, fails, or has itself lost touch.
-type Client struct {
-	Table   *Table
-	HTTP    *transport.Client
-	Node    string
-	Sources func() []string // addresses to ask, the best first
-	Heard   func(events []*rpc.FeedEvent)
-	Wait    time.Duration // that a source may hold a watch; it is how long a silent one goes unnoticed, less a margin
-	Log     *slog.Logger
-
-	freshAt atomic.Int64 // nanoseconds
-}
-
 const (
-	// UsualWait lets a source that has fallen silent be left within watchSlack more.
-	UsualWait = 600 * time.Millisecond
-	// LoopbackWait is for a source on the same machine: it breaks its connections when it ends, and stands still only together with the caller.
+	// DefaultWait is the Wait of a client whose sources are other machines: an unresponsive one is left after DefaultWait and watchTimeoutMargin.
+	DefaultWait = 600 * time.Millisecond
+	// LoopbackWait is the Wait of a client whose source is on the same machine. Such a source breaks its connections when it ends, and stands
+	// still only together with its client, so the wait may be long.
 	LoopbackWait = 5 * time.Second
-	watchSlack   = 500 * time.Millisecond
-	pauseAfter   = 50 * time.Millisecond
-	// roundPause is how long to wait once no source was good: all may be waiting for the same leader.
-	roundPause = 150 * time.Millisecond
+	// watchTimeoutMargin is how much longer than Wait a client waits for the answer to a watch.
+	watchTimeoutMargin = 500 * time.Millisecond
 )
 
-// Fresh tells whether a source that is itself in touch has answered not longer ago than this.
+// Client keeps a table up to date from one source at a time: a controller, or the agent of its machine. It goes to the next source if one does
+// not answer in time, fails, or says that it is not fresh. The exported fields are set before Run and not changed afterwards; all are needed.
+type Client struct {
+	Table    *Table                        // where the state is merged; others may only change shards in it that the sources do not have
+	HTTP     *transport.Client             // carries the requests
+	Node     string                        // name of this process's machine, sent with each watch
+	Sources  func() []string               // addresses of the sources, the best first; called before each watch
+	OnEvents func(events []*rpc.FeedEvent) // called by Run with each batch of new events, after Table has them; the next watch waits for its return
+	Wait     time.Duration                 // how long a source may wait for a change before it answers
+	Log      *slog.Logger
+
+	freshAt atomic.Int64 // Unix time in nanoseconds of the last fresh answer; 0 before the first
+}
+
+// Fresh returns whether the last answer of a source that was fresh itself is not older than within. It may be called from any goroutine.
 func (c *Client) Fresh(within time.Duration) bool {
 	at := c.freshAt.Load()
 	return at != 0 && time.Now().UnixNano()-at < int64(within)
 }
 
-// Run asks until the context ends.
+// Run watches the sources until the context ends.
 func (c *Client) Run(ctx context.Context) {
 	var rotation Rotation
 	for ctx.Err() == nil {
 		source := rotation.Next(c.Sources())
 		if source == "" {
-			c.pause(ctx, roundPause)
+			sleep(ctx, allFailedDelay)
 			continue
 		}
-		if good := c.ask(ctx, source); !good {
-			c.pause(ctx, rotation.Failed())
+		if c.watch(ctx, source) {
+			rotation.Succeeded()
 		} else {
-			rotation.Good()
+			sleep(ctx, rotation.Failed())
 		}
 	}
 }
 
-// Rotation says which source to ask next: the same one as long as it is good, else the one behind it. Now and then the first one, which is the
-// best, is tried again. The zero value begins with it.
-type Rotation struct {
-	turn, failed, good, sources int
-}
-
-// homeAfter is the number of good answers of another source after which the first one is tried again.
-const homeAfter = 32
-
-// Next is the source to ask; empty where there is none.
-func (r *Rotation) Next(sources []string) string {
-	if r.sources = len(sources); r.sources == 0 {
-		return ""
-	}
-	return sources[r.turn%r.sources]
-}
-
-// Good notes that the source was good.
-func (r *Rotation) Good() {
-	r.failed = 0
-	if r.good++; r.good >= homeAfter {
-		r.turn, r.good = 0, 0
-	}
-}
-
-// Failed goes on to the next source and tells how long to wait before.
-func (r *Rotation) Failed() time.Duration {
-	r.turn++
-	r.good = 0
-	if r.failed++; r.failed%max(r.sources, 1) == 0 {
-		return roundPause
-	}
-	return pauseAfter
-}
-
-func (c *Client) pause(ctx context.Context, d time.Duration) {
-	select {
-	case <-time.After(d):
-	case <-ctx.Done():
-	}
-}
-
-// ask watches once and tells whether the source is good to ask again.
-func (c *Client) ask(ctx context.Context, source string) bool {
-	ctx, cancel := context.WithTimeout(ctx, c.Wait+watchSlack)
+// watch sends one watch, merges the answer, and returns whether the source is fresh.
+func (c *Client) watch(ctx context.Context, source string) bool {
+	ctx, cancel := context.WithTimeout(ctx, c.Wait+watchTimeoutMargin)
 	defer cancel()
 	request := &rpc.WatchRequest{Offsets: c.Table.Offsets(), WaitMs: uint32(c.Wait.Milliseconds()), Node: c.Node}
 	response, err := rpc.NewControlProtobufClient("http://"+source, c.HTTP).Watch(ctx, request)
@@ -110,14 +67,22 @@
 		c.Log.Debug("watch failed", "source", source, "error", err)
 		return false
 	}
-	if news := c.Table.Take(response.Feeds); len(news) > 0 {
-		c.Heard(news)
+	if updates := c.Table.Merge(response.Feeds); len(updates) > 0 {
+		c.OnEvents(updates)
 	}
 	if response.Fresh {
 		if c.freshAt.Load() == 0 {
-			metrics.Phase("in_touch")
+			metrics.RecordStartPhase("in_touch")
 		}
 		c.freshAt.Store(time.Now().UnixNano())
 	}
 	return response.Fresh
 }
+
+// sleep waits for a duration or until the context ends.
+func sleep(ctx context.Context, d time.Duration) {
+	select {
+	case <-time.After(d):
+	case <-ctx.Done():
+	}
+}
