--- a/internal/scheduler/batchjobs/service.go
+++ b/internal/scheduler/batchjobs/service.go
@@ -91,7 +91,7 @@
 	if status == nil {
 		return ownership{outcome: rpc.Outcome_UNAVAILABLE}
 	}
-	if !status.Lease(s.Host.Now()) {
+	if !status.HasLease(s.Host.Now()) {
 		sh.mu.Lock()
 		if !status.Leader {
 			sh.scheduler = nil
--- a/internal/scheduler/controlplane/groups.go
+++ b/internal/scheduler/controlplane/groups.go
@@ -60,6 +60,6 @@
 		return
 	}
 	for _, name := range controlGroups() {
-		s.host.Found(name, founders)
+		s.host.CreateGroup(name, founders)
 	}
 }
