--- a/cmd/saffronquay/cli_model_fleet.go
+++ b/cmd/saffronquay/cli_model_fleet.go
@@ -16,7 +16,7 @@
 
 // modelFleet plays views of a fleet in virtual time.
 func modelFleet(c *cli) *cobra.Command {
-	cfg := views.Config{Seeds: 3, Spread: time.Second}
+	cfg := views.Config{SeedMembers: 3, StartWithin: time.Second}
 	var cut, stop time.Duration
 	var kill int
 	var file, plot string
@@ -28,7 +28,7 @@
 		Example: "  saffronquay model fleet --members 300 --loss 0.1 --cut 12s --plot split.svg",
 		RunE: func(*cobra.Command, []string) error {
 			n := cfg.Members
-			if n < 2 || n > 1000 || cfg.Loss < 0 || cfg.Loss >= 1 || kill < 0 || kill >= n || cut < 0 || stop < 0 || cfg.Delay < 0 || cfg.Length <= 0 {
+			if n < 2 || n > 1000 || cfg.Loss < 0 || cfg.Loss >= 1 || kill < 0 || kill >= n || cut < 0 || stop < 0 || cfg.Delay < 0 || cfg.Duration <= 0 {
 				return fmt.Errorf("want 2 to 1000 members, a loss of 0 to under 1, fewer killed than there are, and times of nought or more")
 			}
 			text := ""
@@ -80,7 +80,7 @@
 	f.DurationVar(&stop, "stop", 0, "one is stopped for so long, and goes on")
 	f.StringVar(&file, "script", "", "a file of faults")
 	f.Uint64Var(&cfg.Seed, "seed", 1, "the same seed gives the same run")
-	f.DurationVar(&cfg.Length, "length", 40*time.Second, "how long, in virtual time")
+	f.DurationVar(&cfg.Duration, "length", 40*time.Second, "how long, in virtual time")
 	f.StringVar(&plot, "plot", "", "a file for a drawing: .svg or .png")
 	return cmd
 }
@@ -95,11 +95,11 @@
 }
 
 func verdictOf(cfg views.Config, r views.Result) viewsVerdict {
-	v := viewsVerdict{SettledAfterS: -1, FalseDead: r.FalseDead, BytesS: r.Rate}
-	if took := r.Settled(cfg.Script.End()); took >= 0 {
+	v := viewsVerdict{SettledAfterS: -1, FalseDead: r.FalseDeaths, BytesS: r.BytesPerSecond}
+	if took := r.SettledAfter(cfg.Script.End()); took >= 0 {
 		v.SettledAfterS = took.Seconds()
 	}
-	if d := r.Detect; len(d) > 0 {
+	if d := r.DetectionTimes; len(d) > 0 {
 		v.DetectP50Ms, v.DetectP99Ms = views.Quantile(d, 0.5).Milliseconds(), views.Quantile(d, 0.99).Milliseconds()
 	}
 	return v
@@ -110,8 +110,8 @@
 	fmt.Fprintf(w, "%8s %6s %6s %14s %8s\n", "second", "live", "right", "reckoned with", "fewest")
 	var last views.Sample
 	for i, s := range r.Samples {
-		if i == 0 || s.At%time.Second == 0 && (s.Live != last.Live || s.Right != last.Right || s.Least != last.Least || s.Fewest != last.Fewest) {
-			fmt.Fprintf(w, "%8.1f %6d %6d %6d to %4d %8d\n", s.At.Seconds(), s.Live, s.Right, s.Least, s.Most, s.Fewest)
+		if i == 0 || s.At%time.Second == 0 && (s.Live != last.Live || s.Correct != last.Correct || s.MinEffectiveSize != last.MinEffectiveSize || s.MinAlive != last.MinAlive) {
+			fmt.Fprintf(w, "%8.1f %6d %6d %6d to %4d %8d\n", s.At.Seconds(), s.Live, s.Correct, s.MinEffectiveSize, s.MaxEffectiveSize, s.MinAlive)
 			last = s
 		}
 	}
@@ -123,7 +123,7 @@
 func drawViews(file string, cfg views.Config, r views.Result) error {
 	lines := []plots.Line{{Name: "live"}, {Name: "views that are right"}, {Name: "least reckoned with"}, {Name: "fewest seen alive"}}
 	for _, s := range r.Samples {
-		for i, y := range []int{s.Live, s.Right, s.Least, s.Fewest} {
+		for i, y := range []int{s.Live, s.Correct, s.MinEffectiveSize, s.MinAlive} {
 			lines[i].X, lines[i].Y = append(lines[i].X, s.At.Seconds()), append(lines[i].Y, float64(y))
 		}
 	}
--- a/internal/broker/server/bugs_seeded.go
+++ b/internal/broker/server/bugs_seeded.go
@@ -14,9 +14,9 @@
 	for _, name := range strings.Split(os.Getenv("SAFFRONQUAY_SEEDED_BUG"), ",") {
 		switch {
 		case f != nil && name == "fleet:dead-tries":
-			f.Without.DeadTries = true
+			f.Disabled.DeadExchanges = true
 		case f != nil && name == "fleet:refutation":
-			f.Without.Refutation = true
+			f.Disabled.Refutation = true
 		case r != nil && name == "rollout:own-timeout":
 			r.Bugs.OwnTimeout = true
 		case r != nil && name == "rollout:no-wait":
@@ -24,9 +24,9 @@
 		case r != nil && name == "rollout:unasked":
 			r.Bugs.Unasked = true
 		case r != nil && name == "share:forever":
-			r.Bugs.Share.Forever = true
+			r.Bugs.Share.IgnoresExpiry = true
 		case r != nil && name == "share:impatient":
-			r.Bugs.Share.Impatient = true
+			r.Bugs.Share.ReleasesEarly = true
 		}
 	}
 }
--- a/internal/broker/server/members.go
+++ b/internal/broker/server/members.go
@@ -22,7 +22,7 @@
 type members struct {
 	peers    *peering.Peers
 	told     chan count // the newest
-	follower swim.Follower
+	follower swim.Divisor
 	reckon   int          // 0: nobody was met yet, and the file's numbers hold
 	divide   atomic.Int64 // 0: the file's
 	again    *time.Timer
@@ -60,9 +60,9 @@
 	m.again.Stop()
 	cfg := peering.Config{Listen: f.Listen, Allow: f.Allow, Seed: g.seed, Core: swim.Config{
 		Fleet: f.Name, Name: g.name, Start: uint64(time.Now().UnixMicro()),
-		Address: f.Advertise, Zone: g.settings.Module.Zone, Version: programVersion(), Join: f.Join, Period: f.Period.Microseconds(),
-		Suspect: f.Suspect, Reckon: f.Reckon.Microseconds(),
-	}, Watch: g.sees}
+		Address: f.Advertise, Zone: g.settings.Module.Zone, Version: programVersion(), Join: f.Join, ProbePeriod: f.Period.Microseconds(),
+		SuspicionFactor: f.Suspect, CountDeadFor: f.Reckon.Microseconds(),
+	}, OnView: g.sees}
 	seed(&cfg.Core, nil)
 	open := func() (err error) {
 		m.peers, err = peering.Open(cfg, g.clock.Now, m.hear, g.logger)
@@ -104,16 +104,16 @@
 	g.fleetView = m
 	g.view.Store(m)
 	go m.peers.Run()
-	m.peers.SetFacts(g.facts)
+	m.peers.SetMetadata(g.facts)
 }
 
 // facts are what this gatherer tells of itself now.
-func (g *Gatherer) facts(f swim.Facts) swim.Facts {
+func (g *Gatherer) facts(f swim.Metadata) swim.Metadata {
 	_, word := g.duty.Status()
 	f.Draining, f.Standby = word == "leaving", word == "standby" || g.standsBy()
-	f.Policy = g.number.Load()
+	f.PolicyVersion = g.number.Load()
 	if op := g.inForce.Load(); op != nil && op.Rollout != nil {
-		f.Agrees = op.Rollout.Members[op.Name]
+		f.PolicyAddress = op.Rollout.Members[op.Name]
 	}
 	return f
 }
@@ -155,7 +155,7 @@
 // redivide moves the number that budgets are divided by towards the members to reckon with, and puts it in force.
 func (g *Gatherer) redivide() {
 	m := g.fleetView
-	n, next := m.follower.Follow(g.clock.Now(), m.reckon)
+	n, next := m.follower.Update(g.clock.Now(), m.reckon)
 	if next > 0 {
 		m.again.Reset(time.Duration(max(0, next-g.clock.Now())) * time.Microsecond)
 	}
@@ -215,7 +215,7 @@
 func (g *Gatherer) Members() (alive, reckon int) {
 	if m := g.view.Load(); m != nil {
 		k := m.peers.Counts()
-		return k.Alive, k.Reckon
+		return k.AliveCount, k.EffectiveSize
 	}
 	return 0, 0
 }
@@ -228,14 +228,14 @@
 }
 
 // change has what this gatherer tells of itself looked at again.
-func (m *members) change(facts func(swim.Facts) swim.Facts) {
+func (m *members) change(facts func(swim.Metadata) swim.Metadata) {
 	if m != nil {
-		m.peers.SetFacts(facts)
+		m.peers.SetMetadata(facts)
 	}
 }
 
 func trafficFigures(t peering.Traffic) adminapi.TrafficFigures {
-	return adminapi.TrafficFigures{Sent: t.Sent, Received: t.Received, SentBytes: t.SentBytes, ReceivedBytes: t.ReceivedBytes, ShareBytes: t.ShareBytes, Links: t.Links}
+	return adminapi.TrafficFigures{Sent: t.Sent, Received: t.Received, SentBytes: t.SentBytes, ReceivedBytes: t.ReceivedBytes, ShareBytes: t.QuotaBytes, Links: t.Links}
 }
 
 func (m *members) figures() adminapi.FleetFigures {
@@ -244,9 +244,9 @@
 	}
 	k := m.peers.Counts()
 	return adminapi.FleetFigures{
-		Alive: int64(k.Alive), Reckon: int64(k.Reckon), Suspected: int64(k.Suspected), Dead: int64(k.Dead), Ill: int64(k.Ill), Twin: int64(k.Twin),
-		Sent: k.Sent, Received: k.Received, Dropped: k.Dropped + k.Outside, Bytes: k.SentBytes + k.FrameBytes, Exchanges: k.Exchanges, Failed: k.Failed,
-		Accused: k.Counts.Accused, Refuted: k.Refuted, Died: k.Died, Naps: k.Naps, Full: k.Full,
+		Alive: int64(k.AliveCount), Reckon: int64(k.EffectiveSize), Suspected: int64(k.Suspected), Dead: int64(k.Dead), Ill: int64(k.HealthScore), Twin: int64(k.NameConflict),
+		Sent: k.Sent, Received: k.Received, Dropped: k.Dropped + k.DroppedByAddress, Bytes: k.SentBytes + k.FrameBytes, Exchanges: k.Exchanges, Failed: k.FailedProbes,
+		Accused: k.Counts.Suspicions, Refuted: k.Refutations, Died: k.Deaths, Naps: k.Stalls, Full: k.DroppedByLimit,
 		Traffic: trafficFigures(k.Traffic),
 	}
 }
@@ -261,11 +261,11 @@
 	if err != nil {
 		return nil
 	}
-	dst = fmt.Appendf(dst, "view digest=%016x changed_ms=%d alive=%d reckon=%d divide=%d ill=%d alone=%t twin=%t member=%t\n", v.Digest, (now-v.Changed)/1000, v.Alive, v.Reckon,
-		m.divisor(), v.Ill, v.Alone, v.Twin, !v.Later)
+	dst = fmt.Appendf(dst, "view digest=%016x changed_ms=%d alive=%d reckon=%d divide=%d ill=%d alone=%t twin=%t member=%t\n", v.Digest, (now-v.DigestChanged)/1000, v.AliveCount, v.EffectiveSize,
+		m.divisor(), v.HealthScore, v.Isolated, v.NameConflict, !v.Superseded)
 	for _, x := range v.Members {
 		dst = fmt.Appendf(dst, "member name=%s state=%s since_ms=%d address=%s zone=%s start=%d incarnation=%d version=%s draining=%t standby=%t policy=%d self=%t by=%s\n",
-			x.Name, x.State, (now-x.Since)/1000, x.Address, x.Zone, x.Start, x.Incarnation, x.Version, x.Facts.Draining, x.Facts.Standby, x.Facts.Policy, x.Self, strings.Join(x.By, ","))
+			x.Name, x.State, (now-x.Since)/1000, x.Address, x.Zone, x.Start, x.Incarnation, x.Version, x.Metadata.Draining, x.Metadata.Standby, x.Metadata.PolicyVersion, x.Self, strings.Join(x.Accusers, ","))
 	}
 	return dst
 }
--- a/internal/broker/server/policy.go
+++ b/internal/broker/server/policy.go
@@ -228,7 +228,7 @@
 		if m.State == swim.Dead || m.State == swim.Left {
 			absent[m.Name] = true
 		} else if !m.Self {
-			p.Moved(m.Name, m.Facts.Agrees)
+			p.Moved(m.Name, m.Metadata.PolicyAddress)
 		}
 	}
 	p.Absent(absent)
--- a/internal/broker/simulation/split_test.go
+++ b/internal/broker/simulation/split_test.go
@@ -18,22 +18,22 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r, err := views.Run(views.Config{Members: n, Seed: 3, Warm: true, Delay: time.Millisecond, Length: 30 * time.Second, Script: s})
+	r, err := views.Run(views.Config{Members: n, Seed: 3, WarmStart: true, Delay: time.Millisecond, Duration: 30 * time.Second, Script: s})
 	if err != nil {
 		t.Fatal(err)
 	}
 	// The lowest number of any view at a time, as the program follows it, and the same of those alive.
 	by := func(of func(views.Sample) int) func(at int64) int {
-		var f swim.Follower
+		var f swim.Divisor
 		return func(at int64) int {
 			i := min(int(at*int64(len(r.Samples))/(30*second)), len(r.Samples)-1)
-			n, _ := f.Follow(at+1, of(r.Samples[max(0, i)]))
+			n, _ := f.Update(at+1, of(r.Samples[max(0, i)]))
 			return n
 		}
 	}
-	reckon, alive := by(func(x views.Sample) int { return x.Least }), by(func(x views.Sample) int { return x.Fewest })
-	if last := r.Samples[len(r.Samples)-1]; last.Least != n || last.Fewest != n/2 {
-		t.Fatalf("at the end views reckon with %d and see %d", last.Least, last.Fewest)
+	reckon, alive := by(func(x views.Sample) int { return x.MinEffectiveSize }), by(func(x views.Sample) int { return x.MinAlive })
+	if last := r.Samples[len(r.Samples)-1]; last.MinEffectiveSize != n || last.MinAlive != n/2 {
+		t.Fatalf("at the end views reckon with %d and see %d", last.MinEffectiveSize, last.MinAlive)
 	}
 	worst := map[string]float64{}
 	for name, divide := range map[string]func(int64) int{"file": nil, "reckon": reckon, "alive": alive} {
--- a/internal/cluster/peering/frames.go
+++ b/internal/cluster/peering/frames.go
@@ -44,7 +44,7 @@
 
 // serve takes in what one connection brings: a gatherer's messages, or an operator's proposals, which are answered on it.
 func (p *Policy) serve(conn net.Conn) {
-	conn = p.counts.Of(conn)
+	conn = p.counts.WrapConn(conn)
 	over := make(chan struct{})
 	defer close(over)
 	go func() {
--- a/internal/cluster/peering/links.go
+++ b/internal/cluster/peering/links.go
@@ -119,7 +119,7 @@
 					}
 					continue
 				}
-				conn, dialed = p.counts.Of(c), p.now()
+				conn, dialed = p.counts.WrapConn(c), p.now()
 				go func() { // the other side says nothing here but its end
 					io.Copy(io.Discard, c)
 					c.Close()
--- a/internal/cluster/peering/links_test.go
+++ b/internal/cluster/peering/links_test.go
@@ -75,8 +75,8 @@
 		}
 	})
 	for range 2 {
-		sent := p.counts.Read().Sent
-		until(t, "said something", func() bool { return p.counts.Read().Sent > sent })
+		sent := p.counts.Snapshot().Sent
+		until(t, "said something", func() bool { return p.counts.Snapshot().Sent > sent })
 		until(t, "let its link go", func() bool { return p.links.Load() == 0 })
 	}
 }
--- a/internal/cluster/peering/traffic.go
+++ b/internal/cluster/peering/traffic.go
@@ -17,19 +17,19 @@
 
 // said and heard count a message on the policy; its bytes are counted by the connection.
 func (c *counter) said(m *wire.Message) {
-	c.Words(1, 0)
+	c.CountMessages(1, 0)
 	c.shareBytes.Add(int64(len(m.Ask.GetShare()) + len(m.Word.GetShare())))
 }
 
 func (c *counter) heard(m *wire.Message) {
-	c.Words(0, 1)
+	c.CountMessages(0, 1)
 	c.shareBytes.Add(int64(len(m.Ask.GetShare()) + len(m.Word.GetShare())))
 }
 
 // Traffic is what was sent and taken in for agreeing on the policy, and for dividing budgets.
 func (p *Policy) Traffic() Traffic {
-	t := p.counts.Read()
-	t.ShareBytes = p.counts.shareBytes.Load()
+	t := p.counts.Snapshot()
+	t.QuotaBytes = p.counts.shareBytes.Load()
 	t.Links = p.links.Load()
 	return t
 }
--- a/internal/cluster/peering/view.go
+++ b/internal/cluster/peering/view.go
@@ -15,7 +15,7 @@
 	// Config is what a gatherer's part in a fleet is made of.
 	Config = gossip.Config
 	// Peers is a running part in a fleet.
-	Peers = gossip.Peers
+	Peers = gossip.Driver
 	// Counts are what core and driver of the view count.
 	Counts = gossip.Counts
 )
--- a/internal/cluster/swim/core.go
+++ b/internal/cluster/swim/core.go
@@ -12,30 +12,30 @@
 
 // Config is what a core is made of. Times are microseconds; nought takes the default.
 type Config struct {
-	Fleet   string // name that all members share; what bears another is dropped
-	Name    string // of this member
-	Start   uint64 // identity of this start: Unix microseconds do
-	Address netip.AddrPort
-	Zone    string
-	Version string
-	Facts   Facts
+	Fleet    string // name that all members share; what bears another is dropped
+	Name     string // of this member
+	Start    uint64 // identity of this start: Unix microseconds do
+	Address  netip.AddrPort
+	Zone     string
+	Version  string
+	Metadata Metadata
 
 	Join    []netip.AddrPort           // where others may be; its own address among them does no harm
 	Allowed func(addr netip.Addr) bool // nil: every address
 
-	Period   int64   // of a probe; 200 ms
-	Suspect  float64 // the shortest suspicion is so many periods times log10 of the fleet; 2.5
-	Reckon   int64   // how long the dead are reckoned with; 300 s
-	Keep     int64   // how long they are tried and remembered; 1 h, at least Reckon
-	Exchange int64   // between full exchanges; 25 periods
-	Most     int     // members that are kept; 4096
+	ProbePeriod     int64   // of a probe; 200 ms
+	SuspicionFactor float64 // the shortest suspicion is so many periods times log10 of the fleet; 2.5
+	CountDeadFor    int64   // how long the dead are reckoned with; 300 s
+	ForgetAfter     int64   // how long they are tried and remembered; 1 h, at least Reckon
+	ExchangePeriod  int64   // between full exchanges; 25 periods
+	MaxMembers      int     // members that are kept; 4096
 
-	Without Without
+	Disabled Disabled
 }
 
 // Without switches parts off, to measure what they are worth and to see that tests notice. Nothing of it is for use.
-type Without struct {
-	Awareness, Confirmation, DeadTries, Refutation bool
+type Disabled struct {
+	Awareness, Confirmation, DeadExchanges, Refutation bool
 }
 
 const (
@@ -80,50 +80,50 @@
 
 // Open asks for a full exchange: a stream to To is to be opened, Frame sent, the frame that comes back given to Core.Frame, and its
 // answer sent.
-type Open struct {
+type Exchange struct {
 	To    netip.AddrPort
 	Frame []byte
 }
 
 // Kind is what an event is about.
-type Kind uint8
+type EventKind uint8
 
 // The kinds of events.
 const (
-	Joined    Kind = iota // a member is new in this view, or alive again after it was dead
-	Accused               // a member is suspected; By has its first accuser
-	Cleared               // a suspected member is alive
-	Died                  // a member is held for dead
-	Departed              // a member has left
-	Restarted             // a member has a later start
-	Changed               // a member tells something else of itself
-	Refuted               // this one was accused, and says otherwise
-	Twins                 // another live process bears this one's name
-	Rejoined              // this one has taken a new identity
-	Napped                // this process did not run for a while, and doubts itself
-	Alone                 // nobody of Join has answered
-	Found                 // somebody has
+	EventJoined       EventKind = iota // a member is new in this view, or alive again after it was dead
+	EventSuspected                     // a member is suspected; By has its first accuser
+	EventCleared                       // a suspected member is alive
+	EventDead                          // a member is held for dead
+	EventLeft                          // a member has left
+	EventRestarted                     // a member has a later start
+	EventUpdated                       // a member tells something else of itself
+	EventRefuted                       // this one was accused, and says otherwise
+	EventNameConflict                  // another live process bears this one's name
+	EventRejoined                      // this one has taken a new identity
+	EventStalled                       // this process did not run for a while, and doubts itself
+	EventIsolated                      // nobody of Join has answered
+	EventConnected                     // somebody has
 )
 
 // Event is something that an operator or the program's other parts may want to know.
 type Event struct {
-	Kind Kind
+	Kind EventKind
 	Record
-	For int64 // Napped: how late it was
+	Late int64 // Napped: how late it was
 }
 
 // Output is what a core wants done, in order.
 type Output struct {
 	Datagrams []Datagram
-	Opens     []Open
+	Exchanges []Exchange
 	Events    []Event
 }
 
 // Counts are what a core counts from its beginning.
 type Counts struct {
-	Sent, SentBytes, Received, Dropped              int64 // datagrams and what was dropped of them, and of frames
-	Probes, Failed, Accused, Refuted, Died          int64
-	Exchanges, Misfits, Naps, FrameBytes, Forgotten int64
+	Sent, SentBytes, Received, Dropped                         int64 // datagrams and what was dropped of them, and of frames
+	Probes, FailedProbes, Suspicions, Refutations, Deaths      int64
+	Exchanges, DigestMismatches, Stalls, FrameBytes, Forgotten int64
 }
 
 // Core is one process's view of its fleet. It is not for several goroutines.
@@ -187,27 +187,27 @@
 			*v = otherwise
 		}
 	}
-	set(&cfg.Period, 200_000)
-	set(&cfg.Reckon, 300_000_000)
-	set(&cfg.Keep, max(cfg.Reckon, 3_600_000_000))
-	set(&cfg.Exchange, 25*cfg.Period)
-	if cfg.Suspect == 0 {
-		cfg.Suspect = 2.5
+	set(&cfg.ProbePeriod, 200_000)
+	set(&cfg.CountDeadFor, 300_000_000)
+	set(&cfg.ForgetAfter, max(cfg.CountDeadFor, 3_600_000_000))
+	set(&cfg.ExchangePeriod, 25*cfg.ProbePeriod)
+	if cfg.SuspicionFactor == 0 {
+		cfg.SuspicionFactor = 2.5
 	}
-	if cfg.Most == 0 {
-		cfg.Most = 4096
+	if cfg.MaxMembers == 0 {
+		cfg.MaxMembers = 4096
 	}
 	if cfg.Allowed == nil {
 		cfg.Allowed = func(netip.Addr) bool { return true }
 	}
 	c := &Core{
-		cfg: cfg, rng: rng, members: map[string]*member{}, relays: map[uint32]relay{}, heard: map[uint64]struct{}{}, changed: now, probeAt: now + rng.Int64N(cfg.Period),
-		exchangeAt: now + rng.Int64N(cfg.Exchange), joinAt: now + rng.Int64N(cfg.Period/4+1), joinWait: cfg.Period,
+		cfg: cfg, rng: rng, members: map[string]*member{}, relays: map[uint32]relay{}, heard: map[uint64]struct{}{}, changed: now, probeAt: now + rng.Int64N(cfg.ProbePeriod),
+		exchangeAt: now + rng.Int64N(cfg.ExchangePeriod), joinAt: now + rng.Int64N(cfg.ProbePeriod/4+1), joinWait: cfg.ProbePeriod,
 	}
 	c.newsAt = c.probeAt
 	c.self = &member{at: -1, heap: -1, since: now, Record: Record{
 		Name: cfg.Name, Start: cfg.Start, State: Alive, Address: cfg.Address,
-		Zone: cfg.Zone, Version: cfg.Version, Facts: cfg.Facts,
+		Zone: cfg.Zone, Version: cfg.Version, Metadata: cfg.Metadata,
 	}}
 	c.count(c.self.Record)
 	c.news.add(now, c.self, 0)
@@ -215,7 +215,7 @@
 }
 
 // Out gives what is to be done since the last call. The core keeps none of it.
-func (c *Core) Out() Output {
+func (c *Core) TakeOutput() Output {
 	o := c.out
 	c.out = Output{}
 	return o
@@ -224,7 +224,7 @@
 // Counts are what was counted so far.
 func (c *Core) Counts() Counts { return c.counts }
 
-func (c *Core) event(k Kind, r Record) {
+func (c *Core) event(k EventKind, r Record) {
 	c.out.Events = append(c.out.Events, Event{Kind: k, Record: r})
 }
 
@@ -281,7 +281,7 @@
 )
 
 // Receive takes a datagram in. The error says why it was dropped.
-func (c *Core) Receive(now int64, b []byte) error {
+func (c *Core) HandleDatagram(now int64, b []byte) error {
 	c.observe(now)
 	c.counts.Received++
 	p := &wire.Packet{}
@@ -348,11 +348,11 @@
 }
 
 func (c *Core) sender(name string, start uint64, address string, news int) (from netip.AddrPort, err error) {
-	if CheckName(name) != nil || start == 0 || news > c.cfg.Most {
-		return from, ErrBroken
+	if CheckName(name) != nil || start == 0 || news > c.cfg.MaxMembers {
+		return from, ErrMalformed
 	}
 	if from, err = netip.ParseAddrPort(address); err != nil || from.Port() == 0 {
-		return from, ErrBroken
+		return from, ErrMalformed
 	}
 	if !c.cfg.Allowed(from.Addr()) {
 		return from, ErrAddress
--- a/internal/cluster/swim/core_test.go
+++ b/internal/cluster/swim/core_test.go
@@ -32,7 +32,7 @@
 func record(name string, start uint64, inc uint32, s State) Record {
 	r := Record{Name: name, Start: start, Incarnation: inc, State: s, Address: addr(9)}
 	if s == Suspected {
-		r.By = []string{"x"}
+		r.Accusers = []string{"x"}
 	}
 	return r
 }
@@ -61,10 +61,10 @@
 			c.apply(now, r, 0)
 		}
 		for range 100 { // nobody answers: what is suspected or told to be dead is dead in the end
-			now = max(now, c.Next())
+			now = max(now, c.NextTick())
 			c.Tick(now)
 		}
-		got, _, _ := c.State("m")
+		got, _, _ := c.Lookup("m")
 		if best.State == Dead && got.State != Dead || got.Start != best.Start || got.Incarnation != best.Incarnation {
 			t.Fatalf("of %v came %v, not %v", order, got, best)
 		}
@@ -81,21 +81,21 @@
 		r     Record
 		inc   uint32
 		start uint64
-		kind  Kind
+		kind  EventKind
 		told  bool
 	}{
-		{"suspected", record("me", 100, 0, Suspected), 1, 100, Refuted, true},
-		{"dead, with a later incarnation", record("me", 100, 7, Dead), 8, 100, Refuted, true},
+		{"suspected", record("me", 100, 0, Suspected), 1, 100, EventRefuted, true},
+		{"dead, with a later incarnation", record("me", 100, 7, Dead), 8, 100, EventRefuted, true},
 		{"an earlier start is dead", record("me", 99, 7, Dead), 0, 100, 0, false},
-		{"left, which it has not", record("me", 100, 0, Left), 0, uint64(2 * second), Rejoined, true},
-		{"a later start is dead", record("me", 200, 0, Dead), 0, uint64(2 * second), Rejoined, true},
-		{"a later start is alive", record("me", 200, 0, Alive), 0, 100, Twins, true},
+		{"left, which it has not", record("me", 100, 0, Left), 0, uint64(2 * second), EventRejoined, true},
+		{"a later start is dead", record("me", 200, 0, Dead), 0, uint64(2 * second), EventRejoined, true},
+		{"a later start is alive", record("me", 200, 0, Alive), 0, 100, EventNameConflict, true},
 	} {
 		c := newCore(t, "me", 0)
-		c.Out()
+		c.TakeOutput()
 		c.apply(2*second, x.r, 0)
 		told := false
-		for _, e := range c.Out().Events {
+		for _, e := range c.TakeOutput().Events {
 			told = told || e.Kind == x.kind
 		}
 		if s := c.Self(); s.Incarnation != x.inc || s.Start != x.start || told != x.told {
@@ -105,11 +105,11 @@
 	// One of whom a later start is known is no member, and becomes one again when that is over.
 	c := newCore(t, "me", 0)
 	c.apply(2*second, record("me", 200, 0, Alive), 0)
-	if v := c.View(2 * second); !v.Later || !v.Twin || v.Alive != 1 || len(v.Members) != 1 || v.Members[0].Start != 200 {
+	if v := c.View(2 * second); !v.Superseded || !v.NameConflict || v.AliveCount != 1 || len(v.Members) != 1 || v.Members[0].Start != 200 {
 		t.Errorf("%+v", v)
 	}
 	c.apply(3*second, record("me", 200, 0, Left), 0)
-	if v := c.View(3 * second); v.Later || v.Alive != 1 || !v.Members[0].Self || v.Members[0].Start <= 200 {
+	if v := c.View(3 * second); v.Superseded || v.AliveCount != 1 || !v.Members[0].Self || v.Members[0].Start <= 200 {
 		t.Errorf("%+v", v)
 	}
 }
@@ -122,26 +122,26 @@
 	}
 	c.apply(2*second, record("old", 1, 0, Dead), 400*second) // dead for longer than it counts
 	c.apply(2*second, record("lost", 1, 0, Dead), 100*second)
-	if a, r := c.Alive(), c.Reckon(2*second); a != 11 || r != 12 {
+	if a, r := c.AliveCount(), c.EffectiveSize(2*second); a != 11 || r != 12 {
 		t.Errorf("alive %d, reckoned with %d", a, r)
 	}
-	if r := c.Reckon(202 * second); r != 11 {
+	if r := c.EffectiveSize(202 * second); r != 11 {
 		t.Errorf("later it is reckoned with %d", r)
 	}
 	if err := c.Forget(2*second, "m1"); err == nil {
 		t.Error("a live one is forgotten")
 	}
-	if err := c.Forget(2*second, "lost"); err != nil || c.Reckon(2*second) != 11 {
-		t.Errorf("%v, reckoned with %d", err, c.Reckon(2*second))
+	if err := c.Forget(2*second, "lost"); err != nil || c.EffectiveSize(2*second) != 11 {
+		t.Errorf("%v, reckoned with %d", err, c.EffectiveSize(2*second))
 	}
 	c.Leave(3 * second)
-	if a := c.Alive(); a != 10 || c.Left(3*second) {
+	if a := c.AliveCount(); a != 10 || c.HasLeft(3*second) {
 		t.Errorf("one that leaves counts itself: %d", a)
 	}
 }
 
 func TestFollower(t *testing.T) {
-	var f Follower
+	var f Divisor
 	for _, x := range []struct {
 		at           int64
 		reckon, want int
@@ -156,7 +156,7 @@
 		{4 * second, 0, 400},
 		{5 * second, 399, 399},
 	} {
-		if n, _ := f.Follow(x.at, x.reckon); n != x.want {
+		if n, _ := f.Update(x.at, x.reckon); n != x.want {
 			t.Errorf("at %d, of %d: %d, want %d", x.at, x.reckon, n, x.want)
 		}
 	}
@@ -188,24 +188,24 @@
 		{"cut", good[:len(good)-1], ErrChecksum},
 		{"empty", nil, ErrLength},
 		{"long", make([]byte, MaxDatagram+1), ErrLength},
-		{"another version", other, ErrForm},
+		{"another version", other, ErrVersion},
 		{"another fleet", packet("g", "a", "127.0.0.5:1"), ErrFleet},
 		{"outside", packet("f", "a", "10.0.0.1:1"), ErrAddress},
-		{"no name", packet("f", "", "127.0.0.5:1"), ErrBroken},
-		{"no address", packet("f", "a", "127.0.0.5"), ErrBroken},
+		{"no name", packet("f", "", "127.0.0.5:1"), ErrMalformed},
+		{"no address", packet("f", "a", "127.0.0.5"), ErrMalformed},
 	} {
-		if err := c.Receive(second, x.b); err != x.err {
+		if err := c.HandleDatagram(second, x.b); err != x.err {
 			t.Errorf("%s: %v", x.what, err)
 		}
 	}
 	if v := c.View(second); len(v.Members) != 1 || c.Counts().Dropped != 8 {
 		t.Errorf("%d members, %d dropped", len(v.Members), c.Counts().Dropped)
 	}
-	if err := c.Receive(second, good); err != nil || c.Alive() != 2 {
-		t.Errorf("%v, %d alive", err, c.Alive())
+	if err := c.HandleDatagram(second, good); err != nil || c.AliveCount() != 2 {
+		t.Errorf("%v, %d alive", err, c.AliveCount())
 	}
-	if err := c.Receive(second, packet("f", "a", "127.0.0.5:1", &wire.Member{Name: "c", Address: "10.0.0.1:1"})); err != nil || c.Alive() != 2 {
-		t.Errorf("a rumour points outside: %v, %d alive", err, c.Alive())
+	if err := c.HandleDatagram(second, packet("f", "a", "127.0.0.5:1", &wire.Member{Name: "c", Address: "10.0.0.1:1"})); err != nil || c.AliveCount() != 2 {
+		t.Errorf("a rumour points outside: %v, %d alive", err, c.AliveCount())
 	}
 }
 
@@ -227,13 +227,13 @@
 			b = append([]byte{0, 0, 0, 0, form}, b...)
 			reseal(b)
 		}
-		c.Receive(second, b)
+		c.HandleDatagram(second, b)
 		if !mended && len(c.members) > 0 && checksum(b[4:]) != uint32(b[0])<<24|uint32(b[1])<<16|uint32(b[2])<<8|uint32(b[3]) {
 			t.Fatal("a member came of bytes without a checksum")
 		}
-		c.Frame(second, b)
+		c.HandleFrame(second, b)
 		for range 50 {
-			c.Tick(max(second, c.Next()))
+			c.Tick(max(second, c.NextTick()))
 		}
 		for name, m := range c.members {
 			if CheckName(name) != nil || !strings.Contains(string(b), name) || !m.Address.IsValid() {
@@ -246,12 +246,12 @@
 func ExampleCore() {
 	a, _ := New(Config{Fleet: "f", Name: "a", Start: 1, Address: addr(0)}, second, rand.New(rand.NewPCG(1, 1)))
 	b, _ := New(Config{Fleet: "f", Name: "b", Start: 1, Address: addr(1), Join: []netip.AddrPort{addr(0)}}, second, rand.New(rand.NewPCG(1, 2)))
-	b.Tick(b.Next())
-	for _, open := range b.Out().Opens { // a driver sends the frame to open.To, and brings back what is answered
-		answer, _ := a.Frame(2*second, open.Frame)
-		b.Frame(2*second, answer)
+	b.Tick(b.NextTick())
+	for _, open := range b.TakeOutput().Exchanges { // a driver sends the frame to open.To, and brings back what is answered
+		answer, _ := a.HandleFrame(2*second, open.Frame)
+		b.HandleFrame(2*second, answer)
 	}
-	fmt.Println(a.Alive(), b.Alive())
+	fmt.Println(a.AliveCount(), b.AliveCount())
 	// Output: 2 2
 }
 
@@ -268,8 +268,8 @@
 		b.Run(fmt.Sprintf("quiet/%d", n), func(b *testing.B) {
 			b.ReportAllocs()
 			for range b.N {
-				c.Receive(second, quiet)
-				c.Out()
+				c.HandleDatagram(second, quiet)
+				c.TakeOutput()
 			}
 		})
 		b.Run(fmt.Sprintf("news/%d", n), func(b *testing.B) {
@@ -282,17 +282,17 @@
 				}
 				x := seal(p)
 				b.StartTimer()
-				c.Receive(second, x)
-				c.Out()
+				c.HandleDatagram(second, x)
+				c.TakeOutput()
 			}
 		})
 		b.Run(fmt.Sprintf("tick/%d", n), func(b *testing.B) {
 			b.ReportAllocs()
 			now := second
 			for range b.N {
-				now = max(now, c.Next())
+				now = max(now, c.NextTick())
 				c.Tick(now)
-				c.Out()
+				c.TakeOutput()
 				for _, m := range c.present { // everybody is heard, so that nobody dies
 					m.heard = now
 					break
--- a/internal/cluster/swim/departure_test.go
+++ b/internal/cluster/swim/departure_test.go
@@ -31,23 +31,23 @@
 	}
 	for now := from; now < until; now += 10_000 {
 		for _, c := range cores {
-			if now >= c.Next() {
+			if now >= c.NextTick() {
 				c.Tick(now)
 			}
-			out := c.Out()
+			out := c.TakeOutput()
 			for _, d := range out.Datagrams {
 				if to := at[d.To]; to != nil {
-					to.Receive(now, d.Bytes)
+					to.HandleDatagram(now, d.Bytes)
 				}
 			}
-			for _, open := range out.Opens {
+			for _, open := range out.Exchanges {
 				to := at[open.To]
 				if to == nil {
 					continue
 				}
-				if answer, err := to.Frame(now, open.Frame); err == nil && answer != nil {
-					if rest, err := c.Frame(now, answer); err == nil && rest != nil {
-						to.Frame(now, rest)
+				if answer, err := to.HandleFrame(now, open.Frame); err == nil && answer != nil {
+					if rest, err := c.HandleFrame(now, answer); err == nil && rest != nil {
+						to.HandleFrame(now, rest)
 					}
 				}
 			}
@@ -71,7 +71,7 @@
 			c.news.drop(c.members["gone"]) // all that is told of it is lost
 			play(cores, 2*second, 42*second)
 			for i, c := range cores {
-				if a, r := c.Alive(), c.Reckon(42*second); a != 3 || r != 3 {
+				if a, r := c.AliveCount(), c.EffectiveSize(42*second); a != 3 || r != 3 {
 					t.Errorf("m%d: alive %d, reckoned with %d", i, a, r)
 				}
 			}
@@ -82,11 +82,11 @@
 // Members that hold the same ones for dead send no more than the digests.
 func TestEqualDeadAreNotTold(t *testing.T) {
 	cores := trio(t)
-	answer, err := cores[1].Frame(3*second, cores[0].Hello(3*second))
+	answer, err := cores[1].HandleFrame(3*second, cores[0].OpeningFrame(3*second))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if rest, err := cores[0].Frame(3*second, answer); err != nil || rest != nil {
+	if rest, err := cores[0].HandleFrame(3*second, answer); err != nil || rest != nil {
 		t.Errorf("%v: the exchange goes on with %d bytes", err, len(rest))
 	}
 }
--- a/internal/cluster/swim/exchange.go
+++ b/internal/cluster/swim/exchange.go
@@ -11,9 +11,9 @@
 		c.unlike = 0
 		return
 	}
-	if c.unlike++; c.unlike >= unlike && now-c.exchanged >= c.cfg.Exchange/5 {
+	if c.unlike++; c.unlike >= unlike && now-c.exchanged >= c.cfg.ExchangePeriod/5 {
 		c.unlike = 0
-		c.counts.Misfits++
+		c.counts.DigestMismatches++
 		c.exchange(now, m.Address)
 	}
 }
@@ -22,11 +22,11 @@
 func (c *Core) exchange(now int64, to netip.AddrPort) {
 	c.exchanged = now
 	c.counts.Exchanges++
-	c.out.Opens = append(c.out.Opens, Open{to, c.Hello(now)})
+	c.out.Exchanges = append(c.out.Exchanges, Exchange{to, c.OpeningFrame(now)})
 }
 
 // Hello is the frame by which this process begins an exchange.
-func (c *Core) Hello(now int64) []byte {
+func (c *Core) OpeningFrame(now int64) []byte {
 	return c.frame(now, &wire.Frame{Kind: sums, Sums: c.sums[:], Dead: c.deadDigest(now), First: !c.joined}, nil)
 }
 
@@ -47,14 +47,14 @@
 // join tries one of the addresses to join at, rarer and rarer.
 func (c *Core) join(now int64) {
 	c.joinAt = now + c.joinWait/2 + c.rng.Int64N(c.joinWait)
-	c.joinWait = min(2*c.joinWait, c.cfg.Exchange)
+	c.joinWait = min(2*c.joinWait, c.cfg.ExchangePeriod)
 	some := c.joinAddresses(helpers)
 	if len(some) == 0 {
 		return
 	}
 	if c.tries++; c.tries == 4 && !c.alone {
 		c.alone = true
-		c.event(Alone, c.self.Record)
+		c.event(EventIsolated, c.self.Record)
 	}
 	for _, to := range some {
 		c.exchange(now, to)
@@ -92,7 +92,7 @@
 			c.packet(now, m.Address, &wire.Packet{Kind: tell}, nil)
 		}
 	}
-	if c.cfg.Without.DeadTries {
+	if c.cfg.Disabled.DeadExchanges {
 		return
 	}
 	for range 4 {
@@ -112,7 +112,7 @@
 }
 
 // Frame takes a frame of an exchange in, from whichever side, and returns what to answer; nil: the exchange is over.
-func (c *Core) Frame(now int64, b []byte) (reply []byte, err error) {
+func (c *Core) HandleFrame(now int64, b []byte) (reply []byte, err error) {
 	c.observe(now)
 	f := &wire.Frame{}
 	if err := unseal(b, MaxFrame, f); err != nil {
--- a/internal/cluster/swim/gossip/gossip.go
+++ b/internal/cluster/swim/gossip/gossip.go
@@ -20,7 +20,7 @@
 	Listen netip.AddrPort
 	Allow  []netip.Prefix // of senders and of members; none: all
 	Seed   uint64
-	Watch  func(swim.View) // where set, is told of views that differ, by Run's goroutine; it must not block
+	OnView func(swim.View) // where set, is told of views that differ, by Run's goroutine; it must not block
 }
 
 const (
@@ -41,7 +41,7 @@
 var ErrClosed = errors.New("gossip: the view is closed or late")
 
 // Peers is a running part in a fleet.
-type Peers struct {
+type Driver struct {
 	cfg     Config
 	now     func() int64
 	log     *slog.Logger
@@ -75,8 +75,8 @@
 
 // Open opens the sockets. now gives microseconds and never runs backwards. heard, where set, is told of the members alive and to reckon
 // with, and whether anybody was met yet, on the driver's goroutine: it must not block. Run has to follow.
-func Open(cfg Config, now func() int64, heard func(alive, reckon int, joined bool), log *slog.Logger) (*Peers, error) {
-	p := &Peers{
+func Open(cfg Config, now func() int64, heard func(alive, reckon int, joined bool), log *slog.Logger) (*Driver, error) {
+	p := &Driver{
 		cfg: cfg, now: now, log: log, heard: heard, in: make(chan []byte, inbox), calls: make(chan func(int64), 16), frames: make(chan exchange, 16),
 		out: make(chan struct{}, outward), stop: make(chan struct{}), done: make(chan struct{}),
 	}
@@ -99,7 +99,7 @@
 }
 
 // listen takes the same port for both; where the system chooses it, one that both have free.
-func (p *Peers) listen() (err error) {
+func (p *Driver) listen() (err error) {
 	for range rebind {
 		at := net.TCPAddrFromAddrPort(p.cfg.Listen)
 		if p.tcp, err = net.ListenTCP("tcp", at); err != nil {
@@ -118,9 +118,9 @@
 }
 
 // Address is where it listens.
-func (p *Peers) Address() netip.AddrPort { return p.tcp.Addr().(*net.TCPAddr).AddrPort() }
+func (p *Driver) Address() netip.AddrPort { return p.tcp.Addr().(*net.TCPAddr).AddrPort() }
 
-func (p *Peers) allowed(a netip.Addr) bool {
+func (p *Driver) allowed(a netip.Addr) bool {
 	if len(p.cfg.Allow) == 0 {
 		return true
 	}
@@ -134,7 +134,7 @@
 }
 
 // Run takes part until Stop, or until the leave that Stop begins is told.
-func (p *Peers) Run() {
+func (p *Driver) Run() {
 	defer close(p.done)
 	self := p.core.Self()
 	logging.Info(p.log, logging.Peers, "listen", p.Address(), "advertise", self.Address, "start", self.Start)
@@ -148,10 +148,10 @@
 	for {
 		select {
 		case b := <-p.in:
-			p.core.Receive(p.now(), b)
+			p.core.HandleDatagram(p.now(), b)
 			p.drain()
 		case x := <-p.frames:
-			reply, err := p.core.Frame(p.now(), x.frame)
+			reply, err := p.core.HandleFrame(p.now(), x.frame)
 			if err != nil {
 				logging.Warn(p.log, logging.PeerDropped, "what", "frame", "error", err)
 			}
@@ -166,19 +166,19 @@
 			end = p.now() + leaving.Microseconds()
 		}
 		now := p.now()
-		if now >= p.core.Next() {
+		if now >= p.core.NextTick() {
 			p.core.Tick(now)
 		}
-		changed := p.carry(p.core.Out())
+		changed := p.carry(p.core.TakeOutput())
 		if changed || now >= look {
 			look = now + lookAt.Microseconds()
 			p.tell(now)
 			p.watch(now)
 		}
-		if stop == nil && (p.core.Left(now) || now > end) {
+		if stop == nil && (p.core.HasLeft(now) || now > end) {
 			break
 		}
-		timer.Reset(time.Duration(max(0, min(p.core.Next(), look)-p.now())) * time.Microsecond)
+		timer.Reset(time.Duration(max(0, min(p.core.NextTick(), look)-p.now())) * time.Microsecond)
 	}
 	p.Close()
 	for { // whoever still waits for an answer gets none
@@ -193,11 +193,11 @@
 }
 
 // drain takes in what has come already: it is heard before anything is concluded from silence.
-func (p *Peers) drain() {
+func (p *Driver) drain() {
 	for range atOnce {
 		select {
 		case b := <-p.in:
-			p.core.Receive(p.now(), b)
+			p.core.HandleDatagram(p.now(), b)
 		default:
 			return
 		}
@@ -205,16 +205,16 @@
 }
 
 // carry does what the core wants done, and tells whether the view may have changed.
-func (p *Peers) carry(o swim.Output) bool {
+func (p *Driver) carry(o swim.Output) bool {
 	for _, d := range o.Datagrams {
 		// A full buffer or a peer that is down loses it, as the network may.
 		if _, err := p.udp.WriteToUDPAddrPort(d.Bytes, d.To); err != nil {
 			p.failed.Add(1)
 		} else {
-			p.traffic.Out(len(d.Bytes))
+			p.traffic.CountSent(len(d.Bytes))
 		}
 	}
-	for _, x := range o.Opens {
+	for _, x := range o.Exchanges {
 		select {
 		case p.out <- struct{}{}:
 			p.wg.Add(1)
@@ -230,8 +230,8 @@
 }
 
 // tell tells who listens of the numbers, where they have changed.
-func (p *Peers) tell(now int64) {
-	alive, reckon := p.core.Alive(), p.core.Reckon(now)
+func (p *Driver) tell(now int64) {
+	alive, reckon := p.core.AliveCount(), p.core.EffectiveSize(now)
 	p.joined = p.joined || alive > 1
 	if p.heard != nil && p.last != [2]int{alive, reckon} {
 		p.last = [2]int{alive, reckon}
@@ -240,25 +240,25 @@
 }
 
 // watch tells who listens of the view, where it differs: ten times a second at most, since a view is as long as the fleet is large.
-func (p *Peers) watch(now int64) {
-	if digest, _ := p.core.Digest(); p.cfg.Watch != nil && digest != p.watched && now-p.watchAt >= watchIn.Microseconds() {
+func (p *Driver) watch(now int64) {
+	if digest, _ := p.core.Digest(); p.cfg.OnView != nil && digest != p.watched && now-p.watchAt >= watchIn.Microseconds() {
 		p.watched, p.watchAt = digest, now
-		p.cfg.Watch(p.core.View(now))
+		p.cfg.OnView(p.core.View(now))
 	}
 }
 
-func (p *Peers) note(e swim.Event) {
+func (p *Driver) note(e swim.Event) {
 	switch e.Kind {
-	case swim.Twins:
+	case swim.EventNameConflict:
 		logging.Error(p.log, logging.PeerTwin, "name", e.Name, "start", e.Start, "address", e.Address)
-	case swim.Alone:
+	case swim.EventIsolated:
 		logging.Error(p.log, logging.PeersAlone, "join", len(p.cfg.Core.Join))
-	case swim.Napped:
-		logging.Warn(p.log, logging.PeerNap, "for", time.Duration(e.For)*time.Microsecond)
-	case swim.Refuted, swim.Rejoined:
-		logging.Warn(p.log, logging.Peer, "what", e.Kind.String(), "name", e.Name, "start", e.Start, "by", by(e.By))
-	case swim.Accused, swim.Died:
-		logging.Warn(p.log, logging.Peer, "what", e.Kind.String(), "name", e.Name, "start", e.Start, "address", e.Address, "zone", e.Zone, "by", by(e.By))
+	case swim.EventStalled:
+		logging.Warn(p.log, logging.PeerNap, "for", time.Duration(e.Late)*time.Microsecond)
+	case swim.EventRefuted, swim.EventRejoined:
+		logging.Warn(p.log, logging.Peer, "what", e.Kind.String(), "name", e.Name, "start", e.Start, "by", by(e.Accusers))
+	case swim.EventSuspected, swim.EventDead:
+		logging.Warn(p.log, logging.Peer, "what", e.Kind.String(), "name", e.Name, "start", e.Start, "address", e.Address, "zone", e.Zone, "by", by(e.Accusers))
 	default:
 		logging.Info(p.log, logging.Peer, "what", e.Kind.String(), "name", e.Name, "start", e.Start, "address", e.Address, "zone", e.Zone)
 	}
@@ -275,7 +275,7 @@
 }
 
 // ask runs a function on the goroutine that owns the core.
-func (p *Peers) ask(f func(now int64)) error {
+func (p *Driver) ask(f func(now int64)) error {
 	over := make(chan struct{})
 	t := time.NewTimer(askedIn)
 	defer t.Stop()
@@ -297,7 +297,7 @@
 }
 
 // View copies the view; now is the clock that its times are by.
-func (p *Peers) View() (v swim.View, now int64, err error) {
+func (p *Driver) View() (v swim.View, now int64, err error) {
 	got := make(chan swim.View, 1)
 	at := make(chan int64, 1)
 	if err = p.ask(func(now int64) { at <- now; got <- p.core.View(now) }); err != nil {
@@ -309,17 +309,17 @@
 // Counts are what core and driver count.
 type Counts struct {
 	swim.Counts
-	Alive, Reckon, Suspected, Dead, Ill, Twin int
-	Outside, Full, Unsent                     int64 // dropped unread for their address; for want of room; not taken by the network
-	Traffic                                   Traffic
+	AliveCount, EffectiveSize, Suspected, Dead, HealthScore, NameConflict int
+	DroppedByAddress, DroppedByLimit, SendFailures                        int64 // dropped unread for their address; for want of room; not taken by the network
+	Traffic                                                               Traffic
 }
 
 // Counts are as they stand; nought where the driver has ended.
-func (p *Peers) Counts() (c Counts) {
+func (p *Driver) Counts() (c Counts) {
 	got := make(chan Counts, 1)
 	if p.ask(func(now int64) {
 		v := p.core.View(now)
-		k := Counts{Counts: p.core.Counts(), Alive: v.Alive, Reckon: v.Reckon, Ill: v.Ill}
+		k := Counts{Counts: p.core.Counts(), AliveCount: v.AliveCount, EffectiveSize: v.EffectiveSize, HealthScore: v.HealthScore}
 		for _, m := range v.Members {
 			switch m.State {
 			case swim.Suspected:
@@ -328,25 +328,25 @@
 				k.Dead++
 			}
 		}
-		if v.Twin || v.Later {
-			k.Twin = 1
+		if v.NameConflict || v.Superseded {
+			k.NameConflict = 1
 		}
 		got <- k
 	}) != nil {
 		return c
 	}
 	c = <-got
-	c.Outside, c.Full, c.Unsent, c.Traffic = p.dropped.Load(), p.full.Load(), p.failed.Load(), p.Traffic()
+	c.DroppedByAddress, c.DroppedByLimit, c.SendFailures, c.Traffic = p.dropped.Load(), p.full.Load(), p.failed.Load(), p.Traffic()
 	return c
 }
 
 // SetFacts changes what this process tells of itself; soon, it does not wait.
-func (p *Peers) SetFacts(change func(swim.Facts) swim.Facts) {
-	go p.ask(func(now int64) { p.core.SetFacts(now, change(p.core.Self().Facts)) })
+func (p *Driver) SetMetadata(change func(swim.Metadata) swim.Metadata) {
+	go p.ask(func(now int64) { p.core.SetMetadata(now, change(p.core.Self().Metadata)) })
 }
 
 // Forget has a dead member taken for one that has left.
-func (p *Peers) Forget(name string) error {
+func (p *Driver) Forget(name string) error {
 	got := make(chan error, 1)
 	if err := p.ask(func(now int64) { got <- p.core.Forget(now, name) }); err != nil {
 		return err
@@ -355,16 +355,16 @@
 }
 
 // Leave has this process leave the fleet; it goes on answering, and is no member until it is started again.
-func (p *Peers) Leave() error { return p.ask(func(now int64) { p.core.Leave(now) }) }
+func (p *Driver) Leave() error { return p.ask(func(now int64) { p.core.Leave(now) }) }
 
 // Close lets the sockets of a part go that never ran.
-func (p *Peers) Close() {
+func (p *Driver) Close() {
 	p.udp.Close()
 	p.tcp.Close()
 }
 
 // Stop tells of the leave and ends Run; a second call only waits.
-func (p *Peers) Stop() {
+func (p *Driver) Stop() {
 	p.stopping.Do(func() { close(p.stop) })
 	<-p.done
 	p.wg.Wait()
--- a/internal/cluster/swim/gossip/streams.go
+++ b/internal/cluster/swim/gossip/streams.go
@@ -14,7 +14,7 @@
 )
 
 // read takes datagrams in until the socket closes.
-func (p *Peers) read() {
+func (p *Driver) read() {
 	defer p.wg.Done()
 	buf := make([]byte, maxRead)
 	for {
@@ -25,7 +25,7 @@
 			}
 			continue // a peer that is down shows as a refused datagram on loopback; the socket stays good
 		}
-		p.traffic.In(n)
+		p.traffic.CountReceived(n)
 		if !p.allowed(from.Addr()) {
 			p.dropped.Add(1)
 			logging.Warn(p.log, logging.PeerDropped, "what", "datagram", "from", from, "error", swim.ErrAddress)
@@ -40,7 +40,7 @@
 }
 
 // accept takes exchanges in that others open, so many at a time.
-func (p *Peers) accept() {
+func (p *Driver) accept() {
 	defer p.wg.Done()
 	places := make(chan struct{}, inward)
 	for {
@@ -77,9 +77,9 @@
 }
 
 // serve answers one exchange: its first frame, and the one with what the other side had more.
-func (p *Peers) serve(conn net.Conn) {
+func (p *Driver) serve(conn net.Conn) {
 	conn.SetDeadline(time.Now().Add(patience))
-	conn = p.traffic.Of(conn)
+	conn = p.traffic.WrapConn(conn)
 	for range 2 {
 		b, err := readFrame(conn)
 		if err != nil {
@@ -94,7 +94,7 @@
 }
 
 // hand gives a frame to the core.
-func (p *Peers) hand(b []byte) []byte {
+func (p *Driver) hand(b []byte) []byte {
 	x := exchange{frame: b, reply: make(chan []byte, 1)}
 	p.traffic.received.Add(1)
 	select {
@@ -111,7 +111,7 @@
 }
 
 // open has one exchange that the core asked for.
-func (p *Peers) open(x swim.Open) {
+func (p *Driver) open(x swim.Exchange) {
 	defer p.wg.Done()
 	defer func() { <-p.out }()
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
@@ -134,7 +134,7 @@
 	}
 	defer conn.Close()
 	conn.SetDeadline(time.Now().Add(patience))
-	conn = p.traffic.Of(conn)
+	conn = p.traffic.WrapConn(conn)
 	if writeFrame(conn, x.Frame) != nil {
 		return
 	}
--- a/internal/cluster/swim/gossip/traffic.go
+++ b/internal/cluster/swim/gossip/traffic.go
@@ -10,7 +10,7 @@
 type Traffic struct {
 	Sent, Received           int64 // words
 	SentBytes, ReceivedBytes int64
-	ShareBytes               int64 // of both, those that are of budgets
+	QuotaBytes               int64 // of both, those that are of budgets
 	Links                    int64 // to others, that are open now
 }
 
@@ -18,24 +18,24 @@
 type Counter struct{ sent, received, sentBytes, receivedBytes atomic.Int64 }
 
 // Out counts a word of so many bytes that was sent.
-func (c *Counter) Out(n int) { c.sent.Add(1); c.sentBytes.Add(int64(n)) }
+func (c *Counter) CountSent(n int) { c.sent.Add(1); c.sentBytes.Add(int64(n)) }
 
 // In counts a word of so many bytes that was taken in.
-func (c *Counter) In(n int) { c.received.Add(1); c.receivedBytes.Add(int64(n)) }
+func (c *Counter) CountReceived(n int) { c.received.Add(1); c.receivedBytes.Add(int64(n)) }
 
 // Words counts words whose bytes are counted elsewhere.
-func (c *Counter) Words(sent, received int64) { c.sent.Add(sent); c.received.Add(received) }
+func (c *Counter) CountMessages(sent, received int64) { c.sent.Add(sent); c.received.Add(received) }
 
 // Read returns what was counted.
-func (c *Counter) Read() Traffic {
+func (c *Counter) Snapshot() Traffic {
 	return Traffic{Sent: c.sent.Load(), Received: c.received.Load(), SentBytes: c.sentBytes.Load(), ReceivedBytes: c.receivedBytes.Load()}
 }
 
 // Traffic is what was sent and taken in for the view.
-func (p *Peers) Traffic() Traffic { return p.traffic.Read() }
+func (p *Driver) Traffic() Traffic { return p.traffic.Snapshot() }
 
 // Of counts the bytes of a connection.
-func (c *Counter) Of(conn net.Conn) net.Conn { return counted{conn, c} }
+func (c *Counter) WrapConn(conn net.Conn) net.Conn { return counted{conn, c} }
 
 type counted struct {
 	net.Conn
--- a/internal/cluster/swim/learn.go
+++ b/internal/cluster/swim/learn.go
@@ -51,10 +51,10 @@
 	m := c.members[r.Name]
 	switch {
 	case m == nil:
-		if r.State == Left || r.State == Dead && age >= c.cfg.Reckon {
+		if r.State == Left || r.State == Dead && age >= c.cfg.CountDeadFor {
 			return false
 		}
-		if len(c.members) >= c.cfg.Most && !c.evict() {
+		if len(c.members) >= c.cfg.MaxMembers && !c.evict() {
 			c.counts.Dropped++
 			return false
 		}
@@ -68,7 +68,7 @@
 		return false
 	case m.State == Suspected && r.present() == (r.State == Suspected) && r.State != Left && r.Start == m.Start && r.Incarnation == m.Incarnation:
 		// A death that others tell of is as good as its accusers.
-		return c.confirm(now, m, r.By)
+		return c.confirm(now, m, r.Accusers)
 	case m.State == Alive && r.State == Dead && r.Start == m.Start:
 		c.hearsay(now, m, r)
 		return false
@@ -86,7 +86,7 @@
 	}
 	m.dead, m.checks, m.due = &r, 0, now
 	if c.challenges--; c.challenges < 0 { // not all at once
-		m.due += c.rng.Int64N(5 * c.cfg.Period)
+		m.due += c.rng.Int64N(5 * c.cfg.ProbePeriod)
 	}
 	heap.Push(&c.suspects, m)
 }
@@ -134,21 +134,21 @@
 func (c *Core) tellOf(old, r Record) {
 	switch {
 	case r.State == Dead && old.State != Dead:
-		c.counts.Died++
-		c.event(Died, r)
+		c.counts.Deaths++
+		c.event(EventDead, r)
 	case r.State == Left && old.State != Left:
-		c.event(Departed, r)
+		c.event(EventLeft, r)
 	case r.present() && old.Start != 0 && r.Start != old.Start:
-		c.event(Restarted, r)
+		c.event(EventRestarted, r)
 	case r.present() && !old.present():
-		c.event(Joined, r)
+		c.event(EventJoined, r)
 	case r.State == Suspected && old.State == Alive:
-		c.counts.Accused++
-		c.event(Accused, r)
+		c.counts.Suspicions++
+		c.event(EventSuspected, r)
 	case r.State == Alive && old.State == Suspected:
-		c.event(Cleared, r)
+		c.event(EventCleared, r)
 	case r.present() && r.Revision != old.Revision:
-		c.event(Changed, r)
+		c.event(EventUpdated, r)
 	}
 }
 
@@ -174,7 +174,7 @@
 	if !c.joined {
 		c.joined = true
 		if c.alone {
-			c.event(Found, m.Record)
+			c.event(EventConnected, m.Record)
 		}
 		c.alone = false
 	}
--- a/internal/cluster/swim/probe.go
+++ b/internal/cluster/swim/probe.go
@@ -31,15 +31,15 @@
 // observe notices that this process did not run when it wanted to: it was stopped, or starved. What would have ended meanwhile is given
 // that time again, and the process doubts itself until it has had answers.
 func (c *Core) observe(now int64) {
-	if c.cfg.Without.Awareness {
+	if c.cfg.Disabled.Awareness {
 		return
 	}
-	late := now - c.Next()
-	if late <= c.cfg.Period/2 {
+	late := now - c.NextTick()
+	if late <= c.cfg.ProbePeriod/2 {
 		return
 	}
-	c.counts.Naps++
-	c.out.Events = append(c.out.Events, Event{Kind: Napped, Record: c.self.Record, For: late})
+	c.counts.Stalls++
+	c.out.Events = append(c.out.Events, Event{Kind: EventStalled, Record: c.self.Record, Late: late})
 	c.probe = nil
 	c.probeAt, c.newsAt = now, now
 	c.exchangeAt += late
@@ -51,12 +51,12 @@
 	clear(c.relays)
 	c.relayed = c.relayed[:0]
 	c.worse(2)
-	c.doubts, c.doubtEnd = afterNap, now+c.cfg.Exchange
+	c.doubts, c.doubtEnd = afterNap, now+c.cfg.ExchangePeriod
 }
 
 // worse lowers this process's trust in itself, or raises it.
 func (c *Core) worse(by int) {
-	if !c.cfg.Without.Awareness {
+	if !c.cfg.Disabled.Awareness {
 		c.ill = min(max(c.ill+by, 0), mostIll)
 	}
 }
@@ -64,7 +64,7 @@
 func (c *Core) doubting(now int64) bool { return c.doubts > 0 && now < c.doubtEnd }
 
 // Next is when Tick wants to be called; a call that comes much later is taken for a stop of this process.
-func (c *Core) Next() int64 {
+func (c *Core) NextTick() int64 {
 	at := min(c.probeAt, c.newsAt, c.exchangeAt)
 	if c.probe != nil {
 		at = min(at, c.probe.at)
@@ -92,11 +92,11 @@
 		c.judge(now, c.suspects[0])
 	}
 	if now >= c.newsAt {
-		c.newsAt = now + c.cfg.Period/2
+		c.newsAt = now + c.cfg.ProbePeriod/2
 		c.spread(now)
 	}
 	if now >= c.exchangeAt {
-		c.exchangeAt = now + c.cfg.Exchange*3/4 + c.rng.Int64N(c.cfg.Exchange/2)
+		c.exchangeAt = now + c.cfg.ExchangePeriod*3/4 + c.rng.Int64N(c.cfg.ExchangePeriod/2)
 		c.exchangeSome(now)
 	}
 	if !c.joined && now >= c.joinAt {
@@ -107,7 +107,7 @@
 // spread tells news to some members by chance.
 func (c *Core) spread(now int64) {
 	n := fanout
-	if c.leaving != 0 && now-c.leaving < 5*c.cfg.Period {
+	if c.leaving != 0 && now-c.leaving < 5*c.cfg.ProbePeriod {
 		n = 2 * fanout
 	} else if c.news.count == 0 || c.leaving != 0 {
 		return
@@ -135,7 +135,7 @@
 
 // probeNext begins a probe of the next member of the round; a round meets every member once, in an order by chance.
 func (c *Core) probeNext(now int64) {
-	all := c.cfg.Period * int64(1+c.ill)
+	all := c.cfg.ProbePeriod * int64(1+c.ill)
 	c.probeAt = now + all
 	if c.probe != nil { // it has had its whole time
 		c.failed(now)
@@ -205,7 +205,7 @@
 func (c *Core) failed(now int64) {
 	p := c.probe
 	c.probe = nil
-	c.counts.Failed++
+	c.counts.FailedProbes++
 	if p.nacks == 0 {
 		c.worse(1) // helpers are silent too, or there are none: it may be this process that is slow
 	}
@@ -217,7 +217,7 @@
 		return
 	}
 	r := p.m.Record
-	r.State, r.By = Suspected, []string{c.self.Name}
+	r.State, r.Accusers = Suspected, []string{c.self.Name}
 	c.put(now, p.m, r, 0)
 	c.ping(now, p.m, p.seq) // the accused hears of it first
 }
@@ -261,7 +261,7 @@
 		return
 	}
 	c.seq++
-	c.relays[c.seq] = relay{asker: asker, seq: p.Seq, target: p.Target, until: now + c.cfg.Period*mostIll}
+	c.relays[c.seq] = relay{asker: asker, seq: p.Seq, target: p.Target, until: now + c.cfg.ProbePeriod*mostIll}
 	c.relayed = append(c.relayed, c.seq)
 	c.ping(now, m, c.seq)
 	c.ping(now, m, c.seq)
@@ -295,9 +295,9 @@
 // patience is how long a suspicion with so many accusers lasts: from the longest time, with one, to the shortest, with confirms more.
 func (c *Core) patience(accusers int) int64 {
 	n := float64(max(c.size(), 10))
-	least := c.cfg.Suspect * math.Log10(n) * float64(c.cfg.Period)
+	least := c.cfg.SuspicionFactor * math.Log10(n) * float64(c.cfg.ProbePeriod)
 	k := min(confirms, c.size()-2)
-	if k < 1 || c.cfg.Without.Confirmation {
+	if k < 1 || c.cfg.Disabled.Confirmation {
 		return int64(least)
 	}
 	share := math.Log(float64(min(max(accusers-1, 0), k)+1)) / math.Log(float64(k+1))
@@ -307,7 +307,7 @@
 // begin begins a suspicion, or goes on with it under a new incarnation.
 func (c *Core) begin(now int64, m *member) {
 	m.began, m.checks, m.extended, m.dead = now, 0, false, nil
-	m.end = now + c.patience(len(m.By))
+	m.end = now + c.patience(len(m.Accusers))
 	m.due = m.stage()
 	if m.heap < 0 {
 		heap.Push(&c.suspects, m)
@@ -326,16 +326,16 @@
 func (c *Core) confirm(now int64, m *member, by []string) bool {
 	added := false
 	for _, name := range by {
-		if len(m.By) > confirms {
+		if len(m.Accusers) > confirms {
 			break
 		}
-		if !contains(m.By, name) {
-			m.By = append(m.By[:len(m.By):len(m.By)], name)
+		if !contains(m.Accusers, name) {
+			m.Accusers = append(m.Accusers[:len(m.Accusers):len(m.Accusers)], name)
 			added = true
 		}
 	}
 	if added {
-		m.end = max(m.began+c.patience(len(m.By)), now)
+		m.end = max(m.began+c.patience(len(m.Accusers)), now)
 		m.due = max(m.stage(), now)
 		heap.Fix(&c.suspects, m.heap)
 		c.news.add(now, m, c.limit()*3/4)
@@ -362,7 +362,7 @@
 func (c *Core) judge(now int64, m *member) {
 	switch {
 	case m.dead != nil && m.checks == 0:
-		m.checks, m.due = 1, now+6*c.cfg.Period
+		m.checks, m.due = 1, now+6*c.cfg.ProbePeriod
 		for range 2 {
 			c.packet(now, m.Address, &wire.Packet{Kind: ping}, &member{Record: *m.dead, since: now})
 		}
@@ -371,8 +371,8 @@
 		m.due = max(m.stage(), now+1)
 		c.ping(now, m, 0)
 	case c.doubting(now) || c.later || c.leaving != 0:
-		m.due = now + c.cfg.Period
-	case m.heard > m.began && !m.extended && !c.cfg.Without.Awareness:
+		m.due = now + c.cfg.ProbePeriod
+	case m.heard > m.began && !m.extended && !c.cfg.Disabled.Awareness:
 		m.extended = true // it was heard itself since: its answer may be on the way
 		m.checks, m.began, m.end = 0, now, now+c.patience(1)
 		m.due = m.stage()
@@ -392,9 +392,9 @@
 func (c *Core) begone(now int64) {
 	for range min(len(c.gone), 2) {
 		m := c.gone[c.rng.IntN(len(c.gone))]
-		keep := c.cfg.Keep
+		keep := c.cfg.ForgetAfter
 		if m.State == Left {
-			keep = min(keep, c.cfg.Reckon)
+			keep = min(keep, c.cfg.CountDeadFor)
 		}
 		if now-m.since > keep {
 			c.forgetMember(m)
--- a/internal/cluster/swim/record.go
+++ b/internal/cluster/swim/record.go
@@ -34,10 +34,10 @@
 }
 
 // Facts are what a member tells of itself beside where it is.
-type Facts struct {
+type Metadata struct {
 	Draining, Standby bool
-	Policy            uint64         // version in force there
-	Agrees            netip.AddrPort // where it agrees on versions of the policy; not valid: it does not
+	PolicyVersion     uint64         // version in force there
+	PolicyAddress     netip.AddrPort // where it agrees on versions of the policy; not valid: it does not
 }
 
 // Record is what is told of one member.
@@ -48,8 +48,8 @@
 	State                 State
 	Address               netip.AddrPort
 	Zone, Version         string
-	Facts                 Facts
-	By                    []string // who accuses it, where it is suspected or was when it was declared dead
+	Metadata              Metadata
+	Accusers              []string // who accuses it, where it is suspected or was when it was declared dead
 }
 
 // over tells whether a prevails over b, a record of the same name.
@@ -90,12 +90,12 @@
 
 // Why something that came in was dropped.
 var (
-	ErrLength   = errors.New("too long or too short")
-	ErrChecksum = errors.New("checksum")
-	ErrForm     = errors.New("another version of the form")
-	ErrFleet    = errors.New("another fleet")
-	ErrBroken   = errors.New("it can't be read")
-	ErrAddress  = errors.New("address is not allowed")
+	ErrLength    = errors.New("too long or too short")
+	ErrChecksum  = errors.New("checksum")
+	ErrVersion   = errors.New("another version of the form")
+	ErrFleet     = errors.New("another fleet")
+	ErrMalformed = errors.New("it can't be read")
+	ErrAddress   = errors.New("address is not allowed")
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
@@ -121,10 +121,10 @@
 	case binary.BigEndian.Uint32(b) != checksum(b[4:]):
 		return ErrChecksum
 	case b[4] != form:
-		return ErrForm
+		return ErrVersion
 	}
 	if err := proto.Unmarshal(b[headBytes:], m); err != nil {
-		return ErrBroken
+		return ErrMalformed
 	}
 	return nil
 }
@@ -145,15 +145,15 @@
 func words(r Record, age int64) *wire.Member {
 	m := &wire.Member{
 		Name: r.Name, Start: r.Start, Incarnation: r.Incarnation, Revision: r.Revision, State: uint32(r.State),
-		Address: r.Address.String(), Zone: r.Zone, Version: r.Version, Policy: r.Facts.Policy, By: r.By,
+		Address: r.Address.String(), Zone: r.Zone, Version: r.Version, Policy: r.Metadata.PolicyVersion, By: r.Accusers,
 	}
-	if r.Facts.Agrees.IsValid() {
-		m.Agrees = r.Facts.Agrees.String()
+	if r.Metadata.PolicyAddress.IsValid() {
+		m.Agrees = r.Metadata.PolicyAddress.String()
 	}
-	if r.Facts.Draining {
+	if r.Metadata.Draining {
 		m.Flags |= 1
 	}
-	if r.Facts.Standby {
+	if r.Metadata.Standby {
 		m.Flags |= 2
 	}
 	if !r.present() {
@@ -166,27 +166,27 @@
 func read(m *wire.Member) (r Record, err error) {
 	r = Record{
 		Name: m.Name, Start: m.Start, Incarnation: m.Incarnation, Revision: m.Revision, State: State(min(m.State, 255)),
-		Zone: m.Zone, Version: m.Version, Facts: Facts{Draining: m.Flags&1 != 0, Standby: m.Flags&2 != 0, Policy: m.Policy},
+		Zone: m.Zone, Version: m.Version, Metadata: Metadata{Draining: m.Flags&1 != 0, Standby: m.Flags&2 != 0, PolicyVersion: m.Policy},
 	}
 	if CheckName(r.Name) != nil || r.Start == 0 || r.State < Alive || r.State > Left || len(m.By) > mostBy {
-		return r, ErrBroken
+		return r, ErrMalformed
 	}
 	for _, text := range []string{r.Zone, r.Version} {
 		if text != "" && CheckName(text) != nil {
-			return r, ErrBroken
+			return r, ErrMalformed
 		}
 	}
 	if r.Address, err = netip.ParseAddrPort(m.Address); err != nil || r.Address.Port() == 0 {
-		return r, ErrBroken
+		return r, ErrMalformed
 	}
 	if m.Agrees != "" {
-		if r.Facts.Agrees, err = netip.ParseAddrPort(m.Agrees); err != nil {
-			return r, ErrBroken
+		if r.Metadata.PolicyAddress, err = netip.ParseAddrPort(m.Agrees); err != nil {
+			return r, ErrMalformed
 		}
 	}
 	if slices.ContainsFunc(m.By, func(by string) bool { return CheckName(by) != nil }) {
-		return r, ErrBroken
+		return r, ErrMalformed
 	}
-	r.By = m.By
+	r.Accusers = m.By
 	return r, nil
 }
--- a/internal/cluster/swim/self.go
+++ b/internal/cluster/swim/self.go
@@ -36,13 +36,13 @@
 	case r.State == Left:
 		c.rename(now, r.Start+1) // somebody took it for gone: it is there
 	case r.State != Alive && r.Incarnation >= s.Incarnation || r.Incarnation > s.Incarnation:
-		if c.cfg.Without.Refutation {
+		if c.cfg.Disabled.Refutation {
 			return
 		}
 		s.Incarnation = r.Incarnation + 1
 		c.worse(1)
-		c.counts.Refuted++
-		c.event(Refuted, r)
+		c.counts.Refutations++
+		c.event(EventRefuted, r)
 		c.news.add(now, s, 0)
 	default:
 		c.stale = r.State != Alive
@@ -63,7 +63,7 @@
 	c.count(s.Record)
 	c.changed = now
 	c.news.add(now, s, 0)
-	c.event(Rejoined, s.Record)
+	c.event(EventRejoined, s.Record)
 }
 
 // namesake hears from a process of this one's name.
@@ -82,22 +82,22 @@
 
 // heardTwin notes that another live process bears this one's name; it is told of again after a while.
 func (c *Core) heardTwin(now int64, r Record) {
-	if c.twin = now; c.twinSeen == 0 || now-c.twinSeen >= 10*c.cfg.Exchange {
+	if c.twin = now; c.twinSeen == 0 || now-c.twinSeen >= 10*c.cfg.ExchangePeriod {
 		c.twinSeen = now
-		c.event(Twins, r)
+		c.event(EventNameConflict, r)
 	}
 }
 
 // SetFacts changes what this process tells of itself.
-func (c *Core) SetFacts(now int64, f Facts) {
+func (c *Core) SetMetadata(now int64, f Metadata) {
 	s := c.self
-	if s.Facts == f || c.leaving != 0 {
+	if s.Metadata == f || c.leaving != 0 {
 		return
 	}
 	if !c.later {
 		c.count(s.Record)
 	}
-	s.Facts = f
+	s.Metadata = f
 	s.Incarnation++
 	s.Revision++
 	if c.later {
@@ -125,6 +125,6 @@
 }
 
 // Left tells whether a leave has been told, or nobody is there to be told.
-func (c *Core) Left(now int64) bool {
-	return c.leaving != 0 && (len(c.present) == 0 || now-c.leaving >= leaveIn*c.cfg.Period/2)
+func (c *Core) HasLeft(now int64) bool {
+	return c.leaving != 0 && (len(c.present) == 0 || now-c.leaving >= leaveIn*c.cfg.ProbePeriod/2)
 }
--- a/internal/cluster/swim/simulation/histories_test.go
+++ b/internal/cluster/swim/simulation/histories_test.go
@@ -18,7 +18,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		r, err := Run(Config{Members: 20, Seed: seed, Warm: seed%2 == 0, Seeds: 3, Delay: 500 * time.Microsecond, Loss: 0.02, Length: after + soon, Script: parsed})
+		r, err := Run(Config{Members: 20, Seed: seed, WarmStart: seed%2 == 0, SeedMembers: 3, Delay: 500 * time.Microsecond, Loss: 0.02, Duration: after + soon, Script: parsed})
 		r.Cores = nil
 		played[fmt.Sprint("seed-", seed)] = fmt.Sprintf("%v %v", r, err)
 	}
--- a/internal/cluster/swim/simulation/measure_test.go
+++ b/internal/cluster/swim/simulation/measure_test.go
@@ -53,15 +53,15 @@
 			x := &row{}
 			rows[[2]float64{float64(n), loss}] = x
 			all = append(all, func() {
-				quiet := play(t, Config{Members: n, Seed: 1, Warm: true, Loss: loss, Length: 20 * time.Second, CountFrom: 10 * time.Second}, "")
-				crash := play(t, Config{Members: n, Seed: 1, Warm: true, Loss: loss, Length: 14 * time.Second}, fmt.Sprintf("at 3s kill %d", n-1))
-				split := play(t, Config{Members: n, Seed: 1, Warm: true, Loss: loss, Length: 26 * time.Second},
+				quiet := play(t, Config{Members: n, Seed: 1, WarmStart: true, Loss: loss, Duration: 20 * time.Second, RateFrom: 10 * time.Second}, "")
+				crash := play(t, Config{Members: n, Seed: 1, WarmStart: true, Loss: loss, Duration: 14 * time.Second}, fmt.Sprintf("at 3s kill %d", n-1))
+				split := play(t, Config{Members: n, Seed: 1, WarmStart: true, Loss: loss, Duration: 26 * time.Second},
 					fmt.Sprintf("at 3s for 12s cut %s %s", faults.Set(span(0, n/2)), faults.Set(span(n/2, n))))
-				x.datagrams, x.bytes = float64(quiet.Counts.Sent)/float64(n)/20, quiet.Rate
-				x.detect, x.most, x.settled = Quantile(crash.Detect, 0.5).Seconds(), slices.Max(crash.Detect).Seconds(), split.Settled(15*time.Second).Seconds()
+				x.datagrams, x.bytes = float64(quiet.Counts.Sent)/float64(n)/20, quiet.BytesPerSecond
+				x.detect, x.most, x.settled = Quantile(crash.DetectionTimes, 0.5).Seconds(), slices.Max(crash.DetectionTimes).Seconds(), split.SettledAfter(15*time.Second).Seconds()
 				heal := Peak(split.Seconds[15:])
 				x.text = fmt.Sprintf("members=%d loss=%g datagrams_s=%.1f bytes_s=%.0f detect_p50_ms=%.0f detect_max_ms=%.0f settled_after_split_ms=%.0f heal_peak_bytes_s=%d heal_most_sent=%d heal_most_received=%d",
-					n, loss, x.datagrams, x.bytes, 1000*x.detect, 1000*x.most, 1000*x.settled, heal.Sent/int64(n), heal.MostSent, heal.MostReceived)
+					n, loss, x.datagrams, x.bytes, 1000*x.detect, 1000*x.most, 1000*x.settled, heal.Sent/int64(n), heal.MaxSent, heal.MaxReceived)
 			})
 		}
 	}
@@ -109,7 +109,7 @@
 
 // kBAView is the memory of one view.
 func kBAView(t *testing.T, n int, loss float64) float64 {
-	r := play(t, Config{Members: n, Seed: 1, Warm: true, Loss: loss, Length: 2 * time.Second}, "")
+	r := play(t, Config{Members: n, Seed: 1, WarmStart: true, Loss: loss, Duration: 2 * time.Second}, "")
 	cores := r.Cores
 	r = Result{}
 	var with, without runtime.MemStats
@@ -152,7 +152,7 @@
 				continue // an hour of processor time
 			}
 			all = append(all, func() {
-				cfg := Config{Members: n, Seed: 1, Warm: true, Seeds: 3, Length: e.length, Sample: 100 * time.Millisecond}
+				cfg := Config{Members: n, Seed: 1, WarmStart: true, SeedMembers: 3, Duration: e.length, SampleEvery: 100 * time.Millisecond}
 				r := play(t, cfg, fmt.Sprintf("at 0s delay 30ms %s %s\n%s", a, b, e.script))
 				begin := 5
 				if e.script != "" {
@@ -161,20 +161,20 @@
 				p := Peak(r.Seconds[begin:])
 				over := 0
 				for _, s := range r.Seconds[begin:] {
-					if max(s.MostSent, s.MostReceived) > 28_000 {
+					if max(s.MaxSent, s.MaxReceived) > 28_000 {
 						over++
 					}
 				}
 				least := n
 				for _, s := range r.Samples {
 					if s.At > 5*time.Second {
-						least = min(least, s.Least)
+						least = min(least, s.MinEffectiveSize)
 					}
 				}
 				t.Logf("members=%d %s: peak_sent_a_member=%d most_sent=%d most_received=%d most_datagrams=%d most_arriving=%d seconds_over_28kB=%d detect_p50_ms=%d detect_max_ms=%d settled_ms=%d false_dead=%d least_reckoned_with=%d failed_probes=%d accused=%d refuted=%d mean_bytes_s=%.0f",
-					n, e.name, p.Sent/int64(n), p.MostSent, p.MostReceived, p.MostDatagrams, p.MostArriving, over, Quantile(r.Detect, 0.5).Milliseconds(),
-					Quantile(r.Detect, 1).Milliseconds(), r.Settled(e.over).Milliseconds(), r.FalseDead, least, r.Counts.Failed, r.Counts.Accused,
-					r.Counts.Refuted, r.Rate)
+					n, e.name, p.Sent/int64(n), p.MaxSent, p.MaxReceived, p.MaxDatagrams, p.MaxArriving, over, Quantile(r.DetectionTimes, 0.5).Milliseconds(),
+					Quantile(r.DetectionTimes, 1).Milliseconds(), r.SettledAfter(e.over).Milliseconds(), r.FalseDeaths, least, r.Counts.FailedProbes, r.Counts.Suspicions,
+					r.Counts.Refutations, r.BytesPerSecond)
 			})
 		}
 	}
@@ -188,11 +188,11 @@
 	for _, n := range []int{600, 300, 150, 75} {
 		for _, delay := range []time.Duration{0, 5 * time.Millisecond, 15 * time.Millisecond, 20 * time.Millisecond, 25 * time.Millisecond, 30 * time.Millisecond} {
 			all = append(all, func() {
-				r := play(t, Config{Members: n, Seed: 1, Warm: true, Seeds: 3, Length: 30 * time.Second, CountFrom: 10 * time.Second, Sample: 200 * time.Millisecond},
+				r := play(t, Config{Members: n, Seed: 1, WarmStart: true, SeedMembers: 3, Duration: 30 * time.Second, RateFrom: 10 * time.Second, SampleEvery: 200 * time.Millisecond},
 					fmt.Sprintf("at 0s delay %s %s %s", delay, faults.Set(span(0, n/2)), faults.Set(span(n/2, n))))
 				k := float64(n) * 30
-				t.Logf("members=%d apart=%s: bytes_s=%.0f datagrams_s=%.1f probes_s=%.2f failed_of_probes=%.3f accused=%d refuted=%d false_dead=%d", n, delay, r.Rate, float64(r.Counts.Sent)/k,
-					float64(r.Counts.Probes)/k, float64(r.Counts.Failed)/float64(max(1, r.Counts.Probes)), r.Counts.Accused, r.Counts.Refuted, r.FalseDead)
+				t.Logf("members=%d apart=%s: bytes_s=%.0f datagrams_s=%.1f probes_s=%.2f failed_of_probes=%.3f accused=%d refuted=%d false_dead=%d", n, delay, r.BytesPerSecond, float64(r.Counts.Sent)/k,
+					float64(r.Counts.Probes)/k, float64(r.Counts.FailedProbes)/float64(max(1, r.Counts.Probes)), r.Counts.Suspicions, r.Counts.Refutations, r.FalseDeaths)
 			})
 		}
 	}
--- a/internal/cluster/swim/simulation/model.go
+++ b/internal/cluster/swim/simulation/model.go
@@ -18,50 +18,50 @@
 
 // Config is one run.
 type Config struct {
-	Members int
-	Seed    uint64
-	Spread  time.Duration // in which all are started
-	Warm    bool          // all know each other from the beginning
-	Seeds   int           // so many members are those that others join at; 1 where nought
-	Delay   time.Duration // of a datagram one way, and as much again by chance
-	Loss    float64       // of datagrams, all the time
-	Length  time.Duration
-	Script  faults.Script
-	Core    swim.Config // settings of every core; what tells members apart is set here
+	Members     int
+	Seed        uint64
+	StartWithin time.Duration // in which all are started
+	WarmStart   bool          // all know each other from the beginning
+	SeedMembers int           // so many members are those that others join at; 1 where nought
+	Delay       time.Duration // of a datagram one way, and as much again by chance
+	Loss        float64       // of datagrams, all the time
+	Duration    time.Duration
+	Script      faults.Script
+	Core        swim.Config // settings of every core; what tells members apart is set here
 	// SameStart is a seeded bug: a restart keeps the identity of the start.
-	SameStart bool
-	Sample    time.Duration // between looks at all views; 50 ms where nought
-	Enough    time.Duration // above nought: the run is over once views were right for so long after the script's end
-	CountFrom time.Duration // Result.Rate is of the time from here on
+	SameStart          bool
+	SampleEvery        time.Duration // between looks at all views; 50 ms where nought
+	StopWhenSettledFor time.Duration // above nought: the run is over once views were right for so long after the script's end
+	RateFrom           time.Duration // Result.Rate is of the time from here on
 }
 
 // Sample is a look at all views.
 type Sample struct {
-	At          time.Duration
-	Live, Right int // processes that run, and those of them whose view is the truth
-	Least, Most int // members to reckon with, over the views
-	Fewest      int // members alive, over the views
+	At                                 time.Duration
+	Live, Correct                      int // processes that run, and those of them whose view is the truth
+	MinEffectiveSize, MaxEffectiveSize int // members to reckon with, over the views
+	MinAlive                           int // members alive, over the views
 }
 
 // Result is what came of a run.
 type Result struct {
-	Samples   []Sample
-	Detect    []time.Duration // from each crash to each live view that holds it for dead, left or replaced
-	FalseDead int             // times that a view held a process for dead that ran
-	Healthy   int             // of those, of processes that were never stopped or slow
-	Alone     int             // times that a process told that nobody of those to join at answers
-	Flaps     int             // times that a view took another start of a name for the present one
-	SettledAt time.Duration   // from here to the end all views were the truth; -1: not at the end
-	Naps      int
-	Twins     int // times that a process told of another one of its name
-	Counts    swim.Counts
-	Rate      float64      // bytes that a member sent, a second, from CountFrom on
-	Seconds   []Second     // of the run, each
-	Cores     []*swim.Core // of those that run at the end
+	Samples            []Sample
+	DetectionTimes     []time.Duration // from each crash to each live view that holds it for dead, left or replaced
+	FalseDeaths        int             // times that a view held a process for dead that ran
+	HealthyFalseDeaths int             // of those, of processes that were never stopped or slow
+	Isolations         int             // times that a process told that nobody of those to join at answers
+	Restarts           int             // times that a view took another start of a name for the present one
+	SettledAt          time.Duration   // from here to the end all views were the truth; -1: not at the end
+	Stalls             int
+	NameConflicts      int // times that a process told of another one of its name
+	Counts             swim.Counts
+	BytesPerSecond     float64      // bytes that a member sent, a second, from CountFrom on
+	Seconds            []Second     // of the run, each
+	Cores              []*swim.Core // of those that run at the end
 }
 
 // Settled is how long after a moment all views were right, for good; -1 where they were not.
-func (r Result) Settled(after time.Duration) time.Duration {
+func (r Result) SettledAfter(after time.Duration) time.Duration {
 	if r.SettledAt < 0 {
 		return -1
 	}
@@ -144,12 +144,12 @@
 
 // Run plays a run.
 func Run(cfg Config) (Result, error) {
-	if cfg.Members < 1 || cfg.Length <= 0 {
+	if cfg.Members < 1 || cfg.Duration <= 0 {
 		return Result{}, fmt.Errorf("model: want members and a length")
 	}
-	cfg.Seeds, cfg.Sample = max(cfg.Seeds, 1), max(cfg.Sample, 0)
-	if cfg.Sample == 0 {
-		cfg.Sample = 50 * time.Millisecond
+	cfg.SeedMembers, cfg.SampleEvery = max(cfg.SeedMembers, 1), max(cfg.SampleEvery, 0)
+	if cfg.SampleEvery == 0 {
+		cfg.SampleEvery = 50 * time.Millisecond
 	}
 	w := &world{
 		Config: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 0xf1ee7)), now: epoch, latest: make([]*process, cfg.Members),
@@ -157,21 +157,21 @@
 	}
 	for i := range cfg.Members {
 		at := int64(0)
-		if cfg.Spread > 0 && i >= cfg.Seeds {
-			at = w.rng.Int64N(cfg.Spread.Microseconds())
+		if cfg.StartWithin > 0 && i >= cfg.SeedMembers {
+			at = w.rng.Int64N(cfg.StartWithin.Microseconds())
 		}
 		w.later(at, func() { w.begin(i, false) })
 	}
-	if cfg.Warm {
+	if cfg.WarmStart {
 		w.later(0, w.warm)
 	}
 	for _, x := range cfg.Script {
 		w.later(x.At.Microseconds(), func() { w.befall(x) })
 	}
-	w.later(cfg.Sample.Microseconds(), w.look)
-	w.end = epoch + cfg.Length.Microseconds()
-	if cfg.CountFrom > 0 {
-		w.later(cfg.CountFrom.Microseconds(), func() { w.before = w.sent() })
+	w.later(cfg.SampleEvery.Microseconds(), w.look)
+	w.end = epoch + cfg.Duration.Microseconds()
+	if cfg.RateFrom > 0 {
+		w.later(cfg.RateFrom.Microseconds(), func() { w.before = w.sent() })
 	}
 	for len(w.todo) > 0 && w.todo[0].at <= w.end && w.err == nil {
 		h := heap.Pop(&w.todo).(happening)
@@ -213,7 +213,7 @@
 				h.p.held = append(h.p.held, h.bytes)
 			}
 		default:
-			h.p.core.Receive(w.now, h.bytes)
+			h.p.core.HandleDatagram(w.now, h.bytes)
 			w.carry(h.p)
 		}
 	case frame:
@@ -221,7 +221,7 @@
 			return
 		}
 		w.pass(h.p, 0, len(h.bytes), false)
-		reply, err := h.p.core.Frame(w.now, h.bytes)
+		reply, err := h.p.core.HandleFrame(w.now, h.bytes)
 		w.carry(h.p)
 		if err == nil && reply != nil {
 			w.stream(h.p, h.other, reply, 0)
@@ -231,7 +231,7 @@
 
 // carry does what a core wants done, and has it woken when it wants to be.
 func (w *world) carry(p *process) {
-	o := p.core.Out()
+	o := p.core.TakeOutput()
 	for _, d := range o.Datagrams {
 		w.pass(p, len(d.Bytes), 0, true)
 		to := w.byAddr[d.To]
@@ -254,7 +254,7 @@
 			w.push(happening{at: w.now + late + to.slow, kind: datagram, p: to, bytes: d.Bytes})
 		}
 	}
-	for _, x := range o.Opens {
+	for _, x := range o.Exchanges {
 		if to := w.byAddr[x.To]; to != nil && to.up {
 			w.stream(p, to, x.Frame, 2)
 		}
@@ -262,7 +262,7 @@
 	for _, e := range o.Events {
 		w.note(e)
 	}
-	next := p.core.Next() + p.slow
+	next := p.core.NextTick() + p.slow
 	if p.wakeAt == 0 || next < p.wakeAt {
 		p.wakeAt, p.wakeGen = next, p.wakeGen+1
 		w.push(happening{at: max(next, w.now), kind: wake, p: p, gen: p.wakeGen})
@@ -300,29 +300,29 @@
 
 func (w *world) note(e swim.Event) {
 	switch e.Kind {
-	case swim.Died, swim.Departed, swim.Restarted:
+	case swim.EventDead, swim.EventLeft, swim.EventRestarted:
 		for _, p := range w.all { // rare, and few
 			if p.core.Self().Name != e.Name {
 				continue
 			}
-			if at, dead := w.killed[p.start]; dead && (p.start == e.Start || e.Kind == swim.Restarted && p.start < e.Start) {
-				w.res.Detect = append(w.res.Detect, time.Duration(w.now-at)*time.Microsecond)
+			if at, dead := w.killed[p.start]; dead && (p.start == e.Start || e.Kind == swim.EventRestarted && p.start < e.Start) {
+				w.res.DetectionTimes = append(w.res.DetectionTimes, time.Duration(w.now-at)*time.Microsecond)
 			}
-			if e.Kind == swim.Died && p.up && !p.stopped && p.start == e.Start {
-				if w.res.FalseDead++; !p.ailing {
-					w.res.Healthy++
+			if e.Kind == swim.EventDead && p.up && !p.stopped && p.start == e.Start {
+				if w.res.FalseDeaths++; !p.ailing {
+					w.res.HealthyFalseDeaths++
 				}
 			}
 		}
-		if e.Kind == swim.Restarted {
-			w.res.Flaps++
+		if e.Kind == swim.EventRestarted {
+			w.res.Restarts++
 		}
-	case swim.Alone:
-		w.res.Alone++
-	case swim.Napped:
-		w.res.Naps++
-	case swim.Twins:
-		w.res.Twins++
+	case swim.EventIsolated:
+		w.res.Isolations++
+	case swim.EventStalled:
+		w.res.Stalls++
+	case swim.EventNameConflict:
+		w.res.NameConflicts++
 	}
 }
 
@@ -338,12 +338,12 @@
 		addr = netip.AddrPortFrom(addr.Addr(), w.port)
 	}
 	cfg := w.Core
-	cfg.Fleet, cfg.Name, cfg.Address, cfg.Start = "model", Name(i), addr, uint64(w.now)
+	cfg.Fleet, cfg.Name, cfg.Address, cfg.Start = "model", MemberName(i), addr, uint64(w.now)
 	cfg.Zone = fmt.Sprint("z", i%3)
 	if w.SameStart && old != nil {
 		cfg.Start = old.start
 	}
-	for j := range w.Seeds {
+	for j := range w.SeedMembers {
 		cfg.Join = append(cfg.Join, netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 1, byte(j >> 8), byte(j)}), 7000))
 	}
 	core, err := swim.New(cfg, w.now, rand.New(rand.NewPCG(w.Seed, uint64(w.seq)+uint64(i)<<32)))
@@ -359,7 +359,7 @@
 }
 
 // Name is a member's.
-func Name(i int) string { return fmt.Sprintf("g%03d", i) }
+func MemberName(i int) string { return fmt.Sprintf("g%03d", i) }
 
 func (w *world) befall(x faults.Step) {
 	w.links.Begin(x)
@@ -405,7 +405,7 @@
 
 // goes ends a process once it has told of its leave.
 func (w *world) goes(p *process) {
-	if !p.core.Left(w.now) {
+	if !p.core.HasLeft(w.now) {
 		w.later(10_000, func() { w.goes(p) })
 		return
 	}
@@ -421,7 +421,7 @@
 	held := p.held
 	p.held = nil
 	for _, b := range held {
-		p.core.Receive(w.now, b)
+		p.core.HandleDatagram(w.now, b)
 	}
 	p.core.Tick(w.now)
 	p.wakeAt = 0
@@ -449,36 +449,36 @@
 	s := Sample{At: time.Duration(w.now-epoch) * time.Microsecond, Live: len(live)}
 	for i, p := range live {
 		if digest, _ := p.core.Digest(); digest == want {
-			s.Right++
+			s.Correct++
 		}
-		r, a := p.core.Reckon(w.now), p.core.Alive()
+		r, a := p.core.EffectiveSize(w.now), p.core.AliveCount()
 		if i == 0 {
-			s.Least, s.Fewest = r, a
+			s.MinEffectiveSize, s.MinAlive = r, a
 		}
-		s.Least, s.Most, s.Fewest = min(s.Least, r), max(s.Most, r), min(s.Fewest, a)
+		s.MinEffectiveSize, s.MaxEffectiveSize, s.MinAlive = min(s.MinEffectiveSize, r), max(s.MaxEffectiveSize, r), min(s.MinAlive, a)
 	}
-	if s.Right < s.Live {
+	if s.Correct < s.Live {
 		w.last = w.now
 	}
-	if over := epoch + w.Script.End().Microseconds(); w.Enough > 0 && w.now-max(w.last, over) > w.Enough.Microseconds() {
+	if over := epoch + w.Script.End().Microseconds(); w.StopWhenSettledFor > 0 && w.now-max(w.last, over) > w.StopWhenSettledFor.Microseconds() {
 		w.end = w.now
 	}
 	w.res.Samples = append(w.res.Samples, s)
-	w.later(w.Sample.Microseconds(), w.look)
+	w.later(w.SampleEvery.Microseconds(), w.look)
 }
 
 // warm has the first process hear of all others, and these hear of all from it.
 func (w *world) warm() {
 	teacher := w.latest[0].core
 	for _, p := range w.latest[1:] {
-		if _, err := teacher.Frame(w.now, p.core.Hello(w.now)); err != nil {
+		if _, err := teacher.HandleFrame(w.now, p.core.OpeningFrame(w.now)); err != nil {
 			w.err = err
 		}
 	}
 	for _, p := range w.latest[1:] {
-		all, err := teacher.Frame(w.now, p.core.Hello(w.now))
+		all, err := teacher.HandleFrame(w.now, p.core.OpeningFrame(w.now))
 		if err == nil {
-			_, err = p.core.Frame(w.now, all)
+			_, err = p.core.HandleFrame(w.now, all)
 		}
 		if err != nil {
 			w.err = err
@@ -497,16 +497,16 @@
 }
 
 func (w *world) finish() {
-	if d := w.now - epoch - w.CountFrom.Microseconds(); d > 0 {
-		w.res.Rate = float64(w.sent()-w.before) / float64(w.Members) / (float64(d) / 1e6)
+	if d := w.now - epoch - w.RateFrom.Microseconds(); d > 0 {
+		w.res.BytesPerSecond = float64(w.sent()-w.before) / float64(w.Members) / (float64(d) / 1e6)
 	}
 	switch {
 	case w.last < 0:
 		w.res.SettledAt = 0
-	case w.now-w.last < 2*w.Sample.Microseconds():
+	case w.now-w.last < 2*w.SampleEvery.Microseconds():
 		w.res.SettledAt = -1
 	default:
-		w.res.SettledAt = time.Duration(w.last-epoch)*time.Microsecond + w.Sample
+		w.res.SettledAt = time.Duration(w.last-epoch)*time.Microsecond + w.SampleEvery
 	}
 	for _, p := range w.all {
 		w.settle(p)
--- a/internal/cluster/swim/simulation/proof_test.go
+++ b/internal/cluster/swim/simulation/proof_test.go
@@ -67,11 +67,11 @@
 			for seed := range work {
 				script, after, cuts := trial(seed, members)
 				cfg := Config{
-					Members: members, Seed: seed, Warm: seed%8 != 3, Seeds: 3, Delay: 500 * time.Microsecond, Length: after + soon + time.Second,
-					Sample: 100 * time.Millisecond, Enough: 3 * time.Second, CountFrom: 5 * time.Second,
+					Members: members, Seed: seed, WarmStart: seed%8 != 3, SeedMembers: 3, Delay: 500 * time.Microsecond, Duration: after + soon + time.Second,
+					SampleEvery: 100 * time.Millisecond, StopWhenSettledFor: 3 * time.Second, RateFrom: 5 * time.Second,
 				}
-				if !cfg.Warm {
-					cfg.Spread = time.Second
+				if !cfg.WarmStart {
+					cfg.StartWithin = time.Second
 				}
 				if seed/8%2 == 1 {
 					cfg.Loss = 0.1
@@ -87,22 +87,22 @@
 					t.Error(err)
 					continue
 				}
-				took := r.Settled(after)
+				took := r.SettledAfter(after)
 				mu.Lock()
 				if !cuts {
-					falseDead += r.FalseDead
+					falseDead += r.FalseDeaths
 				}
 				if took < 0 || took > soon {
 					never++
 				}
 				if settle = append(settle, took); !cuts {
-					detect = append(detect, r.Detect...)
+					detect = append(detect, r.DetectionTimes...)
 				}
 				if seed%8 == 1 {
-					bytes = max(bytes, r.Rate)
+					bytes = max(bytes, r.BytesPerSecond)
 				}
-				if took < 0 || took > soon || !cuts && r.FalseDead > 0 {
-					t.Errorf("seed %d, loss %g: settled after %s, %d of those that run held for dead; script:\n%s", seed, cfg.Loss, took, r.FalseDead, strings.TrimSpace(script))
+				if took < 0 || took > soon || !cuts && r.FalseDeaths > 0 {
+					t.Errorf("seed %d, loss %g: settled after %s, %d of those that run held for dead; script:\n%s", seed, cfg.Loss, took, r.FalseDeaths, strings.TrimSpace(script))
 				}
 				mu.Unlock()
 			}
--- a/internal/cluster/swim/simulation/scenes_test.go
+++ b/internal/cluster/swim/simulation/scenes_test.go
@@ -51,12 +51,12 @@
 	{name: "half killed at once", members: 60, script: "at 5s kill 0-29", after: 5 * time.Second},
 	{name: "two halves", members: 60, script: "at 5s for 12s cut 0-29 30-59", after: 17 * time.Second, deaths: true, check: func(t *testing.T, r Result) {
 		for _, s := range r.Samples {
-			if s.At > 5*time.Second && s.Least < 60 {
-				t.Errorf("at %s a view reckons with %d members", s.At, s.Least)
+			if s.At > 5*time.Second && s.MinEffectiveSize < 60 {
+				t.Errorf("at %s a view reckons with %d members", s.At, s.MinEffectiveSize)
 				return
 			}
-			if s.At == 16*time.Second && s.Fewest != 30 {
-				t.Errorf("a half sees %d alive", s.Fewest)
+			if s.At == 16*time.Second && s.MinAlive != 30 {
+				t.Errorf("a half sees %d alive", s.MinAlive)
 			}
 		}
 	}},
@@ -68,7 +68,7 @@
 	{name: "a pair cut", members: 30, script: "at 5s for 20s cut 3 7"},
 	{name: "30% lost", members: 30, loss: 0.3, script: ""},
 	{name: "stopped for 10 s", members: 30, script: "at 5s for 10s stop 4", after: 15 * time.Second, check: func(t *testing.T, r Result) {
-		if r.Naps == 0 {
+		if r.Stalls == 0 {
 			t.Error("it never noticed")
 		}
 	}},
@@ -79,7 +79,7 @@
 	{
 		name: "nobody to join", members: 12, seeds: 3, script: "at 100ms kill 11\nat 5s kill 0-2\nat 8s move 11\nat 16s start 0", after: 16 * time.Second,
 		check: func(t *testing.T, r Result) {
-			if r.Alone == 0 {
+			if r.Isolations == 0 {
 				t.Error("it never told that nobody answers")
 			}
 		},
@@ -91,16 +91,16 @@
 		return s
 	}()},
 	{name: "two under one name", members: 30, script: "at 5s twin 3", after: 5 * time.Second, check: func(t *testing.T, r Result) {
-		if r.Twins < 2 {
-			t.Errorf("%d of both told of the other", r.Twins)
+		if r.NameConflicts < 2 {
+			t.Errorf("%d of both told of the other", r.NameConflicts)
 		}
-		if r.Flaps > 35 {
-			t.Errorf("views changed %d times between the two", r.Flaps)
+		if r.Restarts > 35 {
+			t.Errorf("views changed %d times between the two", r.Restarts)
 		}
 	}},
 	{name: "answers are lost", members: 30, deaths: true, script: "at 5s for 15s half 3 0-2,4-27", after: 20 * time.Second, check: func(t *testing.T, r Result) {
-		if r.Counts.Refuted < 2 || r.Counts.Refuted > 400 {
-			t.Errorf("it refuted %d times", r.Counts.Refuted)
+		if r.Counts.Refutations < 2 || r.Counts.Refutations > 400 {
+			t.Errorf("it refuted %d times", r.Counts.Refutations)
 		}
 	}},
 	{name: "repeats, out of order by seconds", members: 30, loss: 0.05, script: "at 0s repeat 0.5\nat 5s kill 3\nat 9s start 3", after: 9 * time.Second},
@@ -108,8 +108,8 @@
 
 // replacedAtOnce says that nobody had to refute: a new start is no business of what is said of the old one.
 func replacedAtOnce(t *testing.T, r Result) {
-	if r.Counts.Refuted > 0 || r.Twins > 0 {
-		t.Errorf("it had to refute %d times, and was taken for a twin %d times", r.Counts.Refuted, r.Twins)
+	if r.Counts.Refutations > 0 || r.NameConflicts > 0 {
+		t.Errorf("it had to refute %d times, and was taken for a twin %d times", r.Counts.Refutations, r.NameConflicts)
 	}
 }
 
@@ -125,12 +125,12 @@
 				}
 			}
 			for seed := range seeds {
-				r := play(t, Config{Members: members, Seed: seed, Loss: c.loss, Spread: c.spread, Seeds: c.seeds, Length: c.after + 25*time.Second}, c.script)
-				switch took := r.Settled(c.after); {
+				r := play(t, Config{Members: members, Seed: seed, Loss: c.loss, StartWithin: c.spread, SeedMembers: c.seeds, Duration: c.after + 25*time.Second}, c.script)
+				switch took := r.SettledAfter(c.after); {
 				case took < 0 || took > soon:
-					t.Errorf("settled after %s: %d of %d right at the end", took, r.Samples[len(r.Samples)-1].Right, r.Samples[len(r.Samples)-1].Live)
-				case !c.deaths && r.FalseDead > 0:
-					t.Errorf("%d times a process that ran was held for dead", r.FalseDead)
+					t.Errorf("settled after %s: %d of %d right at the end", took, r.Samples[len(r.Samples)-1].Correct, r.Samples[len(r.Samples)-1].Live)
+				case !c.deaths && r.FalseDeaths > 0:
+					t.Errorf("%d times a process that ran was held for dead", r.FalseDeaths)
 				}
 				if c.check != nil {
 					c.check(t, r)
@@ -161,14 +161,14 @@
 	}
 	var mu sync.Mutex
 	var wg sync.WaitGroup
-	for name, w := range map[string]swim.Without{"all": {}, "no awareness": {Awareness: true}, "no confirmation": {Confirmation: true}, "neither": {Awareness: true, Confirmation: true}} {
+	for name, w := range map[string]swim.Disabled{"all": {}, "no awareness": {Awareness: true}, "no confirmation": {Confirmation: true}, "neither": {Awareness: true, Confirmation: true}} {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
 			for seed := range uint64(days) {
-				r := play(t, Config{Members: 60, Seed: seed, Warm: true, Loss: 0.05, Length: 34 * time.Second, Core: swim.Config{Without: w}}, script)
+				r := play(t, Config{Members: 60, Seed: seed, WarmStart: true, Loss: 0.05, Duration: 34 * time.Second, Core: swim.Config{Disabled: w}}, script)
 				mu.Lock()
-				held[name] += r.Healthy
+				held[name] += r.HealthyFalseDeaths
 				mu.Unlock()
 			}
 		}()
@@ -179,8 +179,8 @@
 		t.Errorf("they are worth nothing here: %v", held)
 	}
 	for _, without := range []bool{false, true} {
-		r := play(t, Config{Members: 60, Length: 60 * time.Second, Core: swim.Config{Without: swim.Without{DeadTries: without}}}, "at 5s for 15s cut 0-29 30-59")
-		if took := r.Settled(20 * time.Second); (took < 0) != without {
+		r := play(t, Config{Members: 60, Duration: 60 * time.Second, Core: swim.Config{Disabled: swim.Disabled{DeadExchanges: without}}}, "at 5s for 15s cut 0-29 30-59")
+		if took := r.SettledAfter(20 * time.Second); (took < 0) != without {
 			t.Errorf("without trying the dead: %t: settled after %s", without, took)
 		}
 	}
@@ -188,12 +188,12 @@
 
 // The tests above notice what is wrong: an accused that does not refute, a restart that keeps its identity.
 func TestSeededBugsAreCaught(t *testing.T) {
-	r := play(t, Config{Members: 30, Loss: 0.3, Length: 40 * time.Second, Core: swim.Config{Without: swim.Without{Refutation: true}}}, "")
-	if r.Settled(0) >= 0 && r.FalseDead == 0 {
+	r := play(t, Config{Members: 30, Loss: 0.3, Duration: 40 * time.Second, Core: swim.Config{Disabled: swim.Disabled{Refutation: true}}}, "")
+	if r.SettledAfter(0) >= 0 && r.FalseDeaths == 0 {
 		t.Error("nobody refutes, and nothing comes of it")
 	}
-	r = play(t, Config{Members: 30, SameStart: true, Warm: true, Length: 20 * time.Second}, "at 5s kill 3\nat 5500ms move 3")
-	if r.Counts.Refuted == 0 && r.Twins == 0 {
+	r = play(t, Config{Members: 30, SameStart: true, WarmStart: true, Duration: 20 * time.Second}, "at 5s kill 3\nat 5500ms move 3")
+	if r.Counts.Refutations == 0 && r.NameConflicts == 0 {
 		t.Error("a restart keeps its identity, and nothing comes of it")
 	}
 }
--- a/internal/cluster/swim/simulation/traffic.go
+++ b/internal/cluster/swim/simulation/traffic.go
@@ -2,18 +2,18 @@
 
 // Second is what passed within one second, datagrams and streams together, without the headers of the network.
 type Second struct {
-	Datagrams                   int64 // that all sent, streams not among them
-	Sent, Received              int64 // bytes, of all
-	MostSent, MostReceived      int64 // bytes, of the one process that sent, or received, the most
-	MostDatagrams, MostArriving int64 // datagrams, likewise
+	Datagrams                 int64 // that all sent, streams not among them
+	Sent, Received            int64 // bytes, of all
+	MaxSent, MaxReceived      int64 // bytes, of the one process that sent, or received, the most
+	MaxDatagrams, MaxArriving int64 // datagrams, likewise
 }
 
 // Peak is the largest of each over some seconds.
 func Peak(all []Second) (most Second) {
 	for _, s := range all {
 		most.Datagrams, most.Sent, most.Received = max(most.Datagrams, s.Datagrams), max(most.Sent, s.Sent), max(most.Received, s.Received)
-		most.MostSent, most.MostReceived = max(most.MostSent, s.MostSent), max(most.MostReceived, s.MostReceived)
-		most.MostDatagrams, most.MostArriving = max(most.MostDatagrams, s.MostDatagrams), max(most.MostArriving, s.MostArriving)
+		most.MaxSent, most.MaxReceived = max(most.MaxSent, s.MaxSent), max(most.MaxReceived, s.MaxReceived)
+		most.MaxDatagrams, most.MaxArriving = max(most.MaxDatagrams, s.MaxDatagrams), max(most.MaxArriving, s.MaxArriving)
 	}
 	return most
 }
@@ -51,7 +51,7 @@
 func (w *world) settle(p *process) {
 	if t := p.traffic; t.second < len(w.res.Seconds) {
 		s := &w.res.Seconds[t.second]
-		s.MostSent, s.MostReceived = max(s.MostSent, t.sent), max(s.MostReceived, t.received)
-		s.MostDatagrams, s.MostArriving = max(s.MostDatagrams, t.datagrams), max(s.MostArriving, t.arrived)
+		s.MaxSent, s.MaxReceived = max(s.MaxSent, t.sent), max(s.MaxReceived, t.received)
+		s.MaxDatagrams, s.MaxArriving = max(s.MaxDatagrams, t.datagrams), max(s.MaxArriving, t.arrived)
 	}
 }
--- a/internal/cluster/swim/simulation/traffic_test.go
+++ b/internal/cluster/swim/simulation/traffic_test.go
@@ -7,11 +7,11 @@
 
 // What passes in each second adds up to what the cores say that they sent, and the one that sent the most sent no less than the mean.
 func TestSecondsAddUp(t *testing.T) {
-	calm := play(t, Config{Members: 30, Seed: 3, Length: 20 * time.Second}, "")
+	calm := play(t, Config{Members: 30, Seed: 3, Duration: 20 * time.Second}, "")
 	var sent, received, datagrams int64
 	for i, s := range calm.Seconds {
 		sent, received, datagrams = sent+s.Sent, received+s.Received, datagrams+s.Datagrams
-		if s.MostSent*30 < s.Sent || s.MostReceived*30 < s.Received || s.MostSent > s.Sent || s.MostDatagrams > s.Datagrams {
+		if s.MaxSent*30 < s.Sent || s.MaxReceived*30 < s.Received || s.MaxSent > s.Sent || s.MaxDatagrams > s.Datagrams {
 			t.Errorf("second %d: %+v", i, s)
 		}
 	}
@@ -21,9 +21,9 @@
 	if received > sent || received < sent*99/100 { // what is on its way at the end
 		t.Errorf("%d bytes received of %d", received, sent)
 	}
-	r := play(t, Config{Members: 30, Seed: 3, Warm: true, Length: 20 * time.Second}, "at 5s kill 3\nat 8s start 3\nat 10s for 5s cut 0-14 15-29")
+	r := play(t, Config{Members: 30, Seed: 3, WarmStart: true, Duration: 20 * time.Second}, "at 5s kill 3\nat 8s start 3\nat 10s for 5s cut 0-14 15-29")
 	quiet, busy := Peak(r.Seconds[1:5]), Peak(r.Seconds[15:20])
-	if busy.Sent <= quiet.Sent || busy.MostReceived <= quiet.MostReceived {
+	if busy.Sent <= quiet.Sent || busy.MaxReceived <= quiet.MaxReceived {
 		t.Errorf("halves that meet again pass no more than at rest: %+v, %+v", quiet, busy)
 	}
 }
--- a/internal/cluster/swim/view.go
+++ b/internal/cluster/swim/view.go
@@ -14,18 +14,18 @@
 
 // View is a copy of what a core holds.
 type View struct {
-	Members       []Member // by name
-	Digest        uint64
-	Changed       int64 // when the digest changed last
-	Alive, Reckon int
-	Ill           int  // this process's doubt of itself, 0 to 8
-	Twin          bool // another live process bears its name: it was heard of lately
-	Later         bool // and that one's start is later, so that this one is no member
-	Alone         bool // nobody of Config.Join has answered
+	Members                   []Member // by name
+	Digest                    uint64
+	DigestChanged             int64 // when the digest changed last
+	AliveCount, EffectiveSize int
+	HealthScore               int  // this process's doubt of itself, 0 to 8
+	NameConflict              bool // another live process bears its name: it was heard of lately
+	Superseded                bool // and that one's start is later, so that this one is no member
+	Isolated                  bool // nobody of Config.Join has answered
 }
 
 // String is the kind as logs name it.
-func (k Kind) String() string {
+func (k EventKind) String() string {
 	return [...]string{"joined", "suspected", "cleared", "dead", "left", "restarted", "changed", "refuted", "twin", "rejoined", "napped", "alone", "found"}[k]
 }
 
@@ -33,7 +33,7 @@
 func (c *Core) Digest() (digest uint64, changed int64) { return c.digest, c.changed }
 
 // Alive is how many members are alive or suspected, this one with them.
-func (c *Core) Alive() int {
+func (c *Core) AliveCount() int {
 	if c.later || c.leaving != 0 {
 		return len(c.present)
 	}
@@ -42,8 +42,8 @@
 
 // Reckon is how many members have to be reckoned with: those alive or suspected, and those dead for less than Config.Reckon. It costs
 // O(dead).
-func (c *Core) Reckon(now int64) int {
-	n := c.Alive()
+func (c *Core) EffectiveSize(now int64) int {
+	n := c.AliveCount()
 	for _, m := range c.gone {
 		if c.reckoned(now, m) {
 			n++
@@ -54,11 +54,11 @@
 
 // reckoned tells whether a member that is gone has to be reckoned with.
 func (c *Core) reckoned(now int64, m *member) bool {
-	return m.State == Dead && now-m.since < c.cfg.Reckon
+	return m.State == Dead && now-m.since < c.cfg.CountDeadFor
 }
 
 // State is how a member stands in this view; ok is false of one that is unknown. since is the time of its last change of state.
-func (c *Core) State(name string) (r Record, since int64, ok bool) {
+func (c *Core) Lookup(name string) (r Record, since int64, ok bool) {
 	if name == c.self.Name && !c.later {
 		return c.self.Record, c.self.since, true
 	}
@@ -75,8 +75,8 @@
 // View copies all: O(members log members).
 func (c *Core) View(now int64) View {
 	v := View{
-		Digest: c.digest, Changed: c.changed, Alive: c.Alive(), Reckon: c.Reckon(now), Ill: c.ill, Later: c.later, Alone: c.alone,
-		Twin: c.twin != 0 && now-c.twin < 3*c.cfg.Exchange,
+		Digest: c.digest, DigestChanged: c.changed, AliveCount: c.AliveCount(), EffectiveSize: c.EffectiveSize(now), HealthScore: c.ill, Superseded: c.later, Isolated: c.alone,
+		NameConflict: c.twin != 0 && now-c.twin < 3*c.cfg.ExchangePeriod,
 	}
 	if !c.later {
 		v.Members = append(v.Members, Member{c.self.Record, c.self.since, true})
@@ -103,13 +103,13 @@
 	c.Received += o.Received
 	c.Dropped += o.Dropped
 	c.Probes += o.Probes
-	c.Failed += o.Failed
-	c.Accused += o.Accused
-	c.Refuted += o.Refuted
-	c.Died += o.Died
+	c.FailedProbes += o.FailedProbes
+	c.Suspicions += o.Suspicions
+	c.Refutations += o.Refutations
+	c.Deaths += o.Deaths
 	c.Exchanges += o.Exchanges
-	c.Misfits += o.Misfits
-	c.Naps += o.Naps
+	c.DigestMismatches += o.DigestMismatches
+	c.Stalls += o.Stalls
 	c.FrameBytes += o.FrameBytes
 	c.Forgotten += o.Forgotten
 	return c
--- a/internal/scale/children.go
+++ b/internal/scale/children.go
@@ -222,7 +222,7 @@
 		of = "svc." + of + "."
 		return peering.Traffic{
 			Sent: at[of+"words_sent"], Received: at[of+"words_received"], SentBytes: at[of+"bytes_sent"], ReceivedBytes: at[of+"bytes_received"],
-			ShareBytes: at[of+"bytes_of_shares"], Links: at[of+"links"],
+			QuotaBytes: at[of+"bytes_of_shares"], Links: at[of+"links"],
 		}
 	}
 	x.View, x.Policy, x.Leads, x.Alive = traffic("fleet"), traffic("rollout"), at["svc.rollout.leads"] == 1, at["svc.fleet.alive"]
--- a/internal/scale/figures_test.go
+++ b/internal/scale/figures_test.go
@@ -67,7 +67,7 @@
 	at := func(sent, cpu int64, runs ...bool) Sample {
 		r := Report{CPU: cpu, At: cpu * 10, RSS: 4 << 20}
 		for _, x := range runs {
-			r.Hollow = append(r.Hollow, Stand{Runs: x, View: peering.Traffic{Sent: sent, SentBytes: 10 * sent}, Policy: peering.Traffic{Received: sent, ReceivedBytes: sent, ShareBytes: sent}})
+			r.Hollow = append(r.Hollow, Stand{Runs: x, View: peering.Traffic{Sent: sent, SentBytes: 10 * sent}, Policy: peering.Traffic{Received: sent, ReceivedBytes: sent, QuotaBytes: sent}})
 		}
 		leader := Real{Leads: true, Votes: true, CPU: cpu, View: peering.Traffic{Sent: sent}}
 		return Sample{At: cpu * 10, Reports: []Report{r}, Real: []Real{leader, {CPU: 2 * cpu}}}
--- a/internal/scale/hollow.go
+++ b/internal/scale/hollow.go
@@ -118,16 +118,16 @@
 	}
 	core := swim.Config{
 		Fleet: f.Name, Name: h.Name, Start: uint64(time.Now().UnixMicro()), Address: f.Advertise, Zone: op.Settings.Module.Zone, Version: h.version,
-		Join: f.Join, Period: f.Period.Microseconds(), Suspect: f.Suspect, Reckon: f.Reckon.Microseconds(),
+		Join: f.Join, ProbePeriod: f.Period.Microseconds(), SuspicionFactor: f.Suspect, CountDeadFor: f.Reckon.Microseconds(),
 	}
-	if h.view, err = peering.Open(peering.Config{Listen: f.Listen, Allow: f.Allow, Seed: h.Seed, Core: core, Watch: h.sees}, h.clock.Now, h.heard, h.log); err != nil {
+	if h.view, err = peering.Open(peering.Config{Listen: f.Listen, Allow: f.Allow, Seed: h.Seed, Core: core, OnView: h.sees}, h.clock.Now, h.heard, h.log); err != nil {
 		go h.policy.Run()
 		h.policy.Stop()
 		h.policy = nil
 		return err
 	}
 	go h.view.Run()
-	h.view.SetFacts(h.facts)
+	h.view.SetMetadata(h.facts)
 	go h.policy.Run()
 	h.over = make(chan struct{})
 	if r.Share {
@@ -177,8 +177,8 @@
 // team is a team's name by its number.
 func team(i int) string { return fmt.Sprintf("team-%05d", i) }
 
-func (h *hollow) facts(f swim.Facts) swim.Facts {
-	f.Policy, f.Agrees = h.number.Load(), h.op.Load().Rollout.Members[h.Name]
+func (h *hollow) facts(f swim.Metadata) swim.Metadata {
+	f.PolicyVersion, f.PolicyAddress = h.number.Load(), h.op.Load().Rollout.Members[h.Name]
 	return f
 }
 
@@ -194,7 +194,7 @@
 		if m.State == swim.Dead || m.State == swim.Left {
 			absent[m.Name] = true
 		} else if !m.Self {
-			h.policy.Moved(m.Name, m.Facts.Agrees)
+			h.policy.Moved(m.Name, m.Metadata.PolicyAddress)
 		}
 	}
 	h.policy.Absent(absent)
@@ -248,7 +248,7 @@
 	}
 	h.mu.Unlock()
 	if h.view != nil {
-		h.view.SetFacts(h.facts)
+		h.view.SetMetadata(h.facts)
 	}
 	return nil
 }
--- a/internal/scale/rates.go
+++ b/internal/scale/rates.go
@@ -57,7 +57,7 @@
 		return Rates{
 			ViewWords: float64(view.Sent+view.Received) / seconds, ViewBytes: float64(view.SentBytes+view.ReceivedBytes) / seconds,
 			PolicyWords: float64(policy.Sent+policy.Received) / seconds, PolicyBytes: float64(policy.SentBytes+policy.ReceivedBytes) / seconds,
-			ShareBytes: float64(policy.ShareBytes) / seconds,
+			ShareBytes: float64(policy.QuotaBytes) / seconds,
 		}
 	}
 	cpu, mb, ran := 0.0, 0.0, 0
@@ -110,7 +110,7 @@
 func minus(b, a peering.Traffic) peering.Traffic {
 	return peering.Traffic{
 		Sent: b.Sent - a.Sent, Received: b.Received - a.Received, SentBytes: b.SentBytes - a.SentBytes, ReceivedBytes: b.ReceivedBytes - a.ReceivedBytes,
-		ShareBytes: b.ShareBytes - a.ShareBytes, Links: b.Links,
+		QuotaBytes: b.QuotaBytes - a.QuotaBytes, Links: b.Links,
 	}
 }
 
--- a/internal/scheduler/membership/membership.go
+++ b/internal/scheduler/membership/membership.go
@@ -58,7 +58,7 @@
 
 // Membership is the participation of a process in the protocol. Stop ends it.
 type Membership struct {
-	driver  *gossip.Peers
+	driver  *gossip.Driver
 	view    atomic.Pointer[View]
 	changed func(*View)
 	start   time.Time
@@ -83,12 +83,12 @@
 	cfg := gossip.Config{
 		Core: swim.Config{
 			Fleet: fleetName, Name: s.NodeName, Start: uint64(time.Now().UnixMicro()), Address: address, Zone: s.Zone,
-			Version: kind + "/" + identity, Join: join, Period: probePeriod.Microseconds(), Exchange: exchangePeriod.Microseconds(),
-			Keep: forgetDeadAfter.Microseconds(), Reckon: forgetDeadAfter.Microseconds(),
+			Version: kind + "/" + identity, Join: join, ProbePeriod: probePeriod.Microseconds(), ExchangePeriod: exchangePeriod.Microseconds(),
+			ForgetAfter: forgetDeadAfter.Microseconds(), CountDeadFor: forgetDeadAfter.Microseconds(),
 		},
 		Listen: address,
 		Seed:   uint64(time.Now().UnixNano()),
-		Watch:  m.publish,
+		OnView: m.publish,
 	}
 	if !log.Enabled(context.Background(), slog.LevelInfo) {
 		log = slog.New(slog.DiscardHandler) // else every process would log every change of every other
