--- a/internal/storage/recordlog/clean.go
+++ b/internal/storage/recordlog/clean.go
@@ -2,103 +2,108 @@
 
 import "slices"
 
-// mostSmall segments of under a quarter of the usual size are left in peace: each start begins a new one.
-const mostSmall = 16
+const (
+	// maxSmallSegments is the number of small segments that cleaning leaves alone. Each start begins a new segment.
+	maxSmallSegments = 16
+	// smallSegmentDivisor sets the size below which a segment is small: this part of the size at which a new one is begun.
+	smallSegmentDivisor = 4
+)
 
-// cleaning writes the live records of one segment anew, at the log's end, and then drops the segment.
+// cleaning collects the live records of one segment. They are then written anew at the log's end, and the segment is dropped.
 type cleaning struct {
-	j       *journal
-	segment *segment
-	live    []*entry
-	over    []uint64 // hashes of records whose time is over
-	bytes   int64
-	now     int64
+	journal       *journal
+	segment       *segment
+	live          []*entry
+	expiredHashes []uint64 // of records that the index points to
+	now           int64
 }
 
-// toClean is the segment that is best cleaned now: one whose copy is damaged, or that is half empty or over.
-func (j *journal) toClean() *segment {
+// segmentToClean returns the segment that should be cleaned next: the first that is damaged or has only expired records, else the one with
+// the smallest live part below a half, else the first small one where there are too many; nil where none needs it.
+func (j *journal) segmentToClean() *segment {
 	j.mu.RLock()
 	defer j.mu.RUnlock()
 	now := j.now()
-	var best, small *segment
-	smalls := 0
-	for _, s := range j.man.segments {
-		if s.sealed && s.size < j.opt.SegmentSize/4 {
-			if smalls++; small == nil {
-				small = s
+	var emptiest, firstSmall *segment
+	small := 0
+	for _, s := range j.manifest.segments {
+		if !s.sealed {
+			continue
+		}
+		if s.size < j.opt.SegmentSize/smallSegmentDivisor {
+			small++
+			if firstSmall == nil {
+				firstSmall = s
 			}
 		}
-		switch {
-		case !s.sealed:
-		case s.damaged, s.until <= now:
+		if s.damaged || s.expiresAt <= now {
 			return s
-		case s.live < s.size/2 && (best == nil || s.live*best.size < best.live*s.size):
-			best = s
+		}
+		if s.live < s.size/2 && (emptiest == nil || s.live*emptiest.size < emptiest.live*s.size) {
+			emptiest = s
 		}
 	}
-	if best == nil && smalls > mostSmall {
-		return small
+	if emptiest == nil && small > maxSmallSegments {
+		return firstSmall
 	}
-	return best
+	return emptiest
 }
 
-// sweep reads a segment and collects what has to go on living. It may run beside the owner's goroutine: the segment is sealed.
-func (j *journal) sweep(s *segment) *cleaning {
-	c := &cleaning{j: j, segment: s, now: j.now()}
-	var bufs buffers
-	scan(j.dirs, j.man.store, s, header{}, false, &bufs, c)
+// collectLive reads a sealed segment and collects its live and expired records. It may run beside the writer.
+func (j *journal) collectLive(s *segment) *cleaning {
+	c := &cleaning{journal: j, segment: s, now: j.now()}
+	var bufs copyBuffers
+	scan(j.source(), s, scanOptions{}, &bufs, c)
 	return c
 }
 
-func (c *cleaning) lost(header) {} // it was noted when the store was opened; what is lost since is found by the next opening
+// visitLost does nothing: spans that were lost before are known since the store was opened, later ones are found when it is opened next.
+func (c *cleaning) visitLost(header) {}
 
-func (c *cleaning) record(off int64, payload []byte, h header) {
-	at := refOf(c.segment.id, off)
-	hash := c.j.keyOf(h.kind, h.key)
-	c.j.mu.RLock()
-	points := c.j.points(hash, at)
-	c.j.mu.RUnlock()
+func (c *cleaning) visitRecord(off int64, payload []byte, h header) {
+	at := newRef(c.segment.id, off)
+	hash := c.journal.keyHash(h.kind, h.key)
 	switch {
-	case !points:
-	case expired(h.until, c.now):
-		c.over = append(c.over, hash)
+	case !c.journal.isCurrent(hash, at):
+	case isExpired(h.expiresAt, c.now):
+		c.expiredHashes = append(c.expiredHashes, hash)
 	default:
 		if r, err := readRecord(payload); err == nil {
-			c.live = append(c.live, &entry{Record: r, moved: at})
-			c.bytes += int64(len(payload))
+			c.live = append(c.live, &entry{Record: r, movedFrom: at})
 		}
 	}
 }
 
-// drop takes a segment off the list and removes its files. Whatever was alive in it has been acknowledged elsewhere.
-func (j *journal) drop(c *cleaning) error {
+// dropSegment removes a cleaned segment from the manifest, its expired records from the index, and then its files. All live records of it must
+// have been committed elsewhere. It is for the writer.
+func (j *journal) dropSegment(c *cleaning) error {
 	s := c.segment
-	rest := slices.DeleteFunc(slices.Clone(j.man.segments), func(o *segment) bool { return o == s })
-	j.forget()
-	if err := j.write(rest); err != nil {
+	remaining := slices.DeleteFunc(slices.Clone(j.manifest.segments), func(o *segment) bool { return o == s })
+	j.forgetLostSpans()
+	if err := j.writeManifest(remaining); err != nil {
 		return err
 	}
 	j.mu.Lock()
-	j.man.segments = rest
-	delete(j.byID, s.id)
-	for _, hash := range c.over {
+	j.manifest.segments = remaining
+	delete(j.segmentsByID, s.id)
+	for _, hash := range c.expiredHashes {
 		if at, ok := j.index.get(hash); ok {
-			if id, _ := at.at(); id == s.id {
+			if id, _ := at.split(); id == s.id {
 				j.index.drop(hash)
 			}
 		}
 	}
 	j.mu.Unlock()
 	for _, d := range j.dirs {
-		d.Remove(s.name()) // what stays behind, the next start removes
+		_ = d.Remove(s.name()) // the next start removes it otherwise
 	}
 	return nil
 }
 
-// forget drops the unknown spans whose time is over.
-func (j *journal) forget() {
+// forgetLostSpans removes the outdated lost spans from the manifest that is written next.
+func (j *journal) forgetLostSpans() {
 	now := j.now()
 	j.mu.Lock()
-	j.man.unknown = slices.DeleteFunc(slices.Clone(j.man.unknown), func(u LostSpan) bool { return u.To+j.opt.MaxRetention <= now })
-	j.mu.Unlock()
+	defer j.mu.Unlock()
+	j.manifest.lostSpans = slices.DeleteFunc(slices.Clone(j.manifest.lostSpans), func(span LostSpan) bool { return j.isOutdated(span, now) })
 }
--- a/internal/storage/recordlog/commit.go
+++ b/internal/storage/recordlog/commit.go
@@ -3,170 +3,120 @@
 import (
 	"errors"
 	"fmt"
-	"io/fs"
 	"saffronquay/internal/storage/recordlog/form"
 )
 
 // entry is one record on its way to the log.
 type entry struct {
 	Record
-	done  func(error)
-	moved ref // where it lies until now; 0: it is new
-	skip  bool
-	off   int64
-	size  int64
-	hash  uint64
+	done       func(error) // may be nil
+	movedFrom  ref         // where cleaning found the record; 0: it is new
+	superseded bool        // a newer record was written since cleaning found this one, so it is not written
+	offset     int64       // in the active segment
+	size       int64       // of the frame
+	hash       uint64
 }
 
-// commit makes entries durable together, or none of them. Where the active segment fails, nothing more is written to it: a sync that
-// failed may have dropped what it was for, and a later one then says yes to nothing. They are written once more to a new one.
+// queuedSize returns the bytes that an entry counts while it waits.
+func (e *entry) queuedSize() int64 { return int64(len(e.Key)+len(e.Value)) + frameHeadSize }
+
+// commit makes entries durable together, or none of them. Where the active segment fails, nothing more is written to it, since a failed sync
+// may have dropped data and a later sync then succeeds without them; the entries are then written to a new segment.
 func (j *journal) commit(entries []*entry) error {
-	if j.broken || j.active.size >= j.opt.SegmentSize {
+	if j.activeBroken || j.active.size >= j.opt.SegmentSize {
 		if err := j.roll(); err != nil {
-			j.broken = true
+			j.activeBroken = true
 			return err
 		}
 	}
-	err := j.append(entries)
-	if err != nil && !errors.Is(err, errForm) {
-		if j.broken = true; !j.owns() {
-			return ErrFenced
-		}
-		first := err
-		if err = j.roll(); err != nil {
-			return errors.Join(first, err)
-		}
-		if err = j.append(entries); err != nil {
-			j.broken = true
-			return errors.Join(first, err)
+	if err := j.append(entries); err != nil {
+		if err := j.appendToNewSegment(entries, err); err != nil {
+			return err
 		}
 	}
-	// Only now, behind the sync, does the look at the claim prove that whoever comes next reads these records.
-	if !j.owns() {
-		j.broken = true
+	// The claim is checked only now, after the sync: that proves that the next owner will read these records.
+	if !j.isOwner() {
+		j.activeBroken = true
 		return ErrFenced
 	}
-	j.settle(entries)
+	j.updateIndex(entries)
 	return nil
 }
 
+// appendToNewSegment writes entries to a new segment after the active one failed with an error.
+func (j *journal) appendToNewSegment(entries []*entry, first error) error {
+	j.activeBroken = true
+	if !j.isOwner() {
+		return ErrFenced
+	}
+	if err := j.roll(); err != nil {
+		return errors.Join(first, err)
+	}
+	if err := j.append(entries); err != nil {
+		j.activeBroken = true
+		return errors.Join(first, err)
+	}
+	return nil
+}
+
+// append writes entries to both copies of the active segment and syncs them. It sets the entries' positions.
 func (j *journal) append(entries []*entry) error {
 	s := j.active
-	b, key, at := j.buf[:0], seed(j.man.store, s.epoch, s.id), max(j.now(), j.last)
-	seq := j.seq
+	seed, at := s.seed(j.manifest.store), max(j.now(), j.lastAt)
+	b, seq := j.buf[:0], j.lastSeq
 	for _, e := range entries {
-		e.hash = j.keyOf(e.Kind, []byte(e.Key))
-		if e.skip = e.moved != 0 && !j.points(e.hash, e.moved); e.skip {
-			continue // something newer stands under its key
+		e.hash = j.keyHash(e.Kind, []byte(e.Key))
+		if e.superseded = e.movedFrom != 0 && !j.pointsTo(e.hash, e.movedFrom); e.superseded {
+			continue
 		}
 		seq++
-		e.Seq, e.off = seq, s.size+int64(len(b))
-		e.At = at
-		n := len(b)
+		e.Seq, e.At, e.offset = seq, at, s.size+int64(len(b))
+		previous := len(b)
 		var err error
-		if b, err = appendFrame(b, key, e.off, &form.Record{
-			Version: version, Seq: seq, At: e.At, Until: e.ExpiresAt, Kind: uint32(e.Kind),
-			Key: []byte(e.Key), Value: e.Value, Gone: e.Deleted,
-		}); err != nil {
+		if b, err = appendFrame(b, seed, e.offset, e.message()); err != nil {
 			return err
 		}
-		e.size = int64(len(b) - n)
+		e.size = int64(len(b) - previous)
 	}
 	if j.buf = b; len(b) == 0 {
 		return nil
 	}
-	err := j.both(s.name(), func(i int) error {
-		if n, err := j.files[i].Write(b); err != nil {
-			return err
-		} else if n < len(b) {
-			return fmt.Errorf("%d of %d bytes written", n, len(b))
-		}
-		return j.files[i].Sync()
-	})
-	if err != nil {
+	if err := j.forBothCopies(s.name(), func(i int) error { return writeAndSync(j.files[i], b) }); err != nil {
 		return err
 	}
 	j.mu.Lock()
 	s.size += int64(len(b))
 	j.mu.Unlock()
-	j.seq, j.last = seq, max(j.last, at)
+	j.lastSeq, j.lastAt = seq, max(j.lastAt, at)
 	return nil
 }
 
-// points tells whether the index points to a place. The lock is held, or the caller is the one who changes the index.
-func (j *journal) points(hash uint64, at ref) bool {
-	got, ok := j.index.get(hash)
-	return ok && got == at
-}
-
-// settle has the index point to what was acknowledged.
-func (j *journal) settle(entries []*entry) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	for _, e := range entries {
-		if !e.skip {
-			j.put(j.active, e.off, e.size, e.hash, e.ExpiresAt)
-		}
+// message returns the message that is stored for an entry.
+func (e *entry) message() *form.Record {
+	return &form.Record{
+		Version: formatVersion, Seq: e.Seq, At: e.At, Until: e.ExpiresAt, Kind: uint32(e.Kind),
+		Key: []byte(e.Key), Value: e.Value, Gone: e.Deleted,
 	}
 }
 
-// get is what stands under a key; ok is false where nothing does.
-func (j *journal) get(k Kind, key string) (Record, bool, error) {
-	hash := j.keyOf(k, []byte(key))
-	for range 8 { // a segment may be cleaned away in between
-		j.mu.RLock()
-		at, ok := j.index.get(hash)
-		id, off := at.at()
-		s := j.byID[id]
-		var name string
-		var epoch uint64
-		if s != nil {
-			name, epoch = s.name(), s.epoch
-		}
-		j.mu.RUnlock()
-		if !ok || s == nil {
-			return Record{}, false, nil
-		}
-		payload, err := j.payload(name, seed(j.man.store, epoch, id), off)
-		if errors.Is(err, fs.ErrNotExist) {
-			continue
-		}
-		if err != nil {
-			return Record{}, false, err
-		}
-		r, err := readRecord(payload)
-		if err != nil {
-			return Record{}, false, err
-		}
-		if r.Kind != k || r.Key != key || r.Deleted || expired(r.ExpiresAt, j.now()) {
-			return Record{}, false, nil
-		}
-		return r, true, nil
+func writeAndSync(f File, b []byte) error {
+	n, err := f.Write(b)
+	if err != nil {
+		return err
 	}
-	return Record{}, false, fmt.Errorf("store: the record of a key moves on and on")
+	if n < len(b) {
+		return fmt.Errorf("%d of %d bytes written", n, len(b))
+	}
+	return f.Sync()
 }
 
-// payload reads one frame, from the copy that has it.
-func (j *journal) payload(name string, key uint64, off int64) ([]byte, error) {
-	var fault error
-	for _, d := range j.dirs {
-		head := make([]byte, frameHead)
-		err := readAt(d, name, off, head)
-		if err == nil {
-			n := frameLength(head)
-			if n > mostPayload {
-				fault = fmt.Errorf("store: %s/%s is damaged at %d", d, name, off)
-				continue
-			}
-			b := make([]byte, frameHead+n)
-			if err = readAt(d, name, off, b); err == nil {
-				if checked(b, key, off) {
-					return b[frameHead:], nil
-				}
-				err = fmt.Errorf("store: %s/%s is damaged at %d", d, name, off)
-			}
+// updateIndex makes the index point to entries that are acknowledged.
+func (j *journal) updateIndex(entries []*entry) {
+	j.mu.Lock()
+	defer j.mu.Unlock()
+	for _, e := range entries {
+		if !e.superseded {
+			j.pointTo(j.active, e.offset, e.size, e.hash, e.ExpiresAt)
 		}
-		fault = err
 	}
-	return nil, fault
 }
--- a/internal/storage/recordlog/dir.go
+++ b/internal/storage/recordlog/dir.go
@@ -10,20 +10,21 @@
 	"syscall"
 )
 
-// Dir is the directory that holds one copy. Names are plain; errors wrap fs.ErrExist, fs.ErrNotExist and syscall's.
+// Dir is the directory of one copy. Names have no path. Errors wrap fs.ErrExist, fs.ErrNotExist and those of package syscall. It is safe for
+// concurrent use.
 type Dir interface {
-	fmt.Stringer                      // its path, for people
+	fmt.Stringer                      // its path, for messages
 	Create(name string) (File, error) // a new file; fs.ErrExist where there is one
 	Open(name string) (io.ReadSeekCloser, error)
 	Exists(name string) (bool, error)
 	Remove(name string) error
 	List() ([]string, error)
-	Sync() error // makes the names in it last
-	// Lock takes a file for this process, until it is closed or the process ends; ErrOwned where another has it.
+	Sync() error // makes the names of the files in it durable
+	// Lock locks a file for this process, until the lock is closed or the process ends; ErrOwned where another process has it.
 	Lock(name string) (io.Closer, error)
 }
 
-// File is a file that is written from its start on.
+// File is a new file that is written from its start to its end. A write is durable after Sync has returned nil.
 type File interface {
 	io.WriteCloser
 	Sync() error
@@ -32,20 +33,20 @@
 // osDir is a Dir of the operating system.
 type osDir string
 
-// Directory makes a Dir of a path, and the directory where it is missing.
+// Directory returns the Dir of a path, and creates the directory where it is missing.
 func Directory(path string) (Dir, error) {
 	if err := os.MkdirAll(path, 0o700); err != nil {
 		return nil, fmt.Errorf("store: %w", err)
 	}
-	// The directory's own name has to last too.
+	// The directory's own name has to be durable too. A file system that can't sync a directory doesn't need that.
 	if parent, err := os.Open(filepath.Dir(filepath.Clean(path))); err == nil {
-		parent.Sync() // where its file system can't, it has no need to
+		_ = parent.Sync()
 		parent.Close()
 	}
 	return osDir(path), nil
 }
 
-// Existing makes a Dir of a path that tools only read.
+// ExistingDirectory returns the Dir of a path that tools only read. It creates nothing.
 func ExistingDirectory(path string) Dir { return osDir(path) }
 
 func (d osDir) String() string { return string(d) }
@@ -101,7 +102,8 @@
 	return f, nil
 }
 
-// readAll is a whole file; nil where it is missing or can't be read, which its other copy makes up for.
+// readAll reads a complete file into dst, which it replaces where that is too small. It returns nil where the file is missing or can't be read,
+// and what comes before an error otherwise: the other copy makes up for both.
 func readAll(d Dir, name string, dst []byte) []byte {
 	f, err := d.Open(name)
 	if err != nil {
@@ -109,7 +111,7 @@
 	}
 	defer f.Close()
 	size, err := f.Seek(0, io.SeekEnd)
-	if err != nil || size > mostFile {
+	if err != nil || size > maxFileSize {
 		return nil
 	}
 	if _, err = f.Seek(0, io.SeekStart); err != nil {
@@ -120,12 +122,12 @@
 	}
 	n, err := io.ReadFull(f, dst[:size])
 	if err != nil && !errors.Is(err, io.ErrUnexpectedEOF) {
-		return dst[:n] // a bad sector: what is behind it is taken from the other copy
+		return dst[:n] // a bad sector: what follows it is taken from the other copy
 	}
 	return dst[:n]
 }
 
-// readAt reads a piece of a file.
+// readAt fills dst from an offset of a file on.
 func readAt(d Dir, name string, off int64, dst []byte) error {
 	f, err := d.Open(name)
 	if err != nil {
--- a/internal/storage/recordlog/cases_test.go
+++ b/internal/storage/recordlog/faults_test.go
@@ -14,25 +14,26 @@
 	"time"
 )
 
-// bench is a store on two disks in memory, for one test.
-type bench struct {
-	t     *testing.T
-	plan  *simdisk.FaultPlan
-	disks [2]*simdisk.Disk
-	now   atomic.Int64
+// fixture is a store on two simulated disks, for one test.
+type fixture struct {
+	t      *testing.T
+	faults *simdisk.FaultPlan
+	disks  [2]*simdisk.Disk
+	now    atomic.Int64
 }
 
-func newBench(t *testing.T) *bench {
-	b := &bench{t: t, plan: &simdisk.FaultPlan{}}
-	b.disks = [2]*simdisk.Disk{simdisk.New("a", b.plan), simdisk.New("b", b.plan)}
+func newFixture(t *testing.T) *fixture {
+	t.Helper()
+	b := &fixture{t: t, faults: &simdisk.FaultPlan{}}
+	b.disks = [2]*simdisk.Disk{simdisk.New("a", b.faults), simdisk.New("b", b.faults)}
 	return b
 }
 
-func (b *bench) options() recordlog.Options {
+func (b *fixture) options() recordlog.Options {
 	return recordlog.Options{ID: 3, Now: b.now.Load, MaxRetention: 1000, SegmentSize: 512, Serial: true}
 }
 
-func (b *bench) open() *recordlog.Store {
+func (b *fixture) open() *recordlog.Store {
 	b.t.Helper()
 	s, err := recordlog.Open(dirs(b.disks), b.options(), false)
 	if err != nil {
@@ -42,7 +43,7 @@
 	return s
 }
 
-// put appends a record and waits for its end.
+// put appends a record and waits until it is durable or has failed.
 func put(s *recordlog.Store, key, value string, until int64) error {
 	done := make(chan error, 1)
 	if err := s.Append(recordlog.Record{Kind: recordlog.AtMostOnce, Key: key, Value: []byte(value), ExpiresAt: until}, func(err error) { done <- err }); err != nil {
@@ -51,14 +52,14 @@
 	return <-done
 }
 
-func (b *bench) put(s *recordlog.Store, key, value string, until int64) {
+func (b *fixture) put(s *recordlog.Store, key, value string, until int64) {
 	b.t.Helper()
 	if err := put(s, key, value, until); err != nil {
 		b.t.Fatalf("%s: %v", key, err)
 	}
 }
 
-func (b *bench) wants(s *recordlog.Store, key, value string) {
+func (b *fixture) expect(s *recordlog.Store, key, value string) {
 	b.t.Helper()
 	r, ok, err := s.Get(recordlog.AtMostOnce, key)
 	if err != nil || ok != (value != "") || string(r.Value) != value {
@@ -66,25 +67,25 @@
 	}
 }
 
-// crash is the machine's end and its coming back.
-func (b *bench) crash(s *recordlog.Store, seed uint64) {
-	b.plan.CrashAt(1)
+// crash crashes the machine and starts it again.
+func (b *fixture) crash(s *recordlog.Store, seed uint64) {
+	b.faults.CrashAt(1)
 	s.Close()
-	b.plan = &simdisk.FaultPlan{}
+	b.faults = &simdisk.FaultPlan{}
 	rng := rand.New(rand.NewPCG(seed, 1))
 	for i := range b.disks {
-		b.disks[i] = b.disks[i].Crash(b.plan, rng)
+		b.disks[i] = b.disks[i].Crash(b.faults, rng)
 	}
 }
 
-// A sync that fails once and then says yes has dropped what it was for: what is acknowledged later must not stand on it.
-func TestSyncFailsOnceThenSaysYes(t *testing.T) {
+// A sync that fails once and then succeeds has dropped its data: nothing that is acknowledged later may depend on that.
+func TestSyncFailsThenSucceeds(t *testing.T) {
 	for call := 1; call < 12; call++ {
 		for seed := range uint64(8) {
-			b := newBench(t)
+			b := newFixture(t)
 			s := b.open()
 			b.put(s, "before", "1", 0)
-			b.plan.FailSync(call)
+			b.faults.FailSync(call)
 			acked := map[string]string{"before": "1"}
 			for i := range 6 {
 				key := fmt.Sprint("k", i)
@@ -93,16 +94,16 @@
 				}
 			}
 			b.crash(s, seed)
-			whole := b.disks
-			for gone := range whole { // what is acknowledged stands in each copy by itself
+			intact := b.disks
+			for gone := range intact { // each copy alone has what is acknowledged
 				plan := &simdisk.FaultPlan{}
-				b.disks = [2]*simdisk.Disk{whole[0].Clone(plan), whole[1].Clone(plan)}
+				b.disks = [2]*simdisk.Disk{intact[0].Clone(plan), intact[1].Clone(plan)}
 				for _, name := range b.disks[gone].Files() {
 					b.disks[gone].Put(name, nil)
 				}
 				s = b.open()
 				for key, value := range acked {
-					b.wants(s, key, value)
+					b.expect(s, key, value)
 				}
 				s.Close()
 			}
@@ -110,59 +111,59 @@
 	}
 }
 
-// A disk that runs full in the middle of a record, or of anything else, is told to callers, costs nothing that was acknowledged,
-// and is written to again once there is room.
+// Callers learn that a disk has become full in the middle of a record or of anything else. It costs nothing that was acknowledged, and
+// the store writes again when there is space.
 func TestDiskFull(t *testing.T) {
-	for room := 1; room < 400; room += 3 {
-		b := newBench(t)
+	for budget := 1; budget < 400; budget += 3 {
+		b := newFixture(t)
 		s := b.open()
 		b.put(s, "over", "0", s.Now()+10)
 		s.Close()
 		s = b.open()
 		b.put(s, "before", "1", 0)
 		b.now.Add(100)
-		b.plan.SetWriteBudget(room)
+		b.faults.SetWriteBudget(budget)
 		acked, failed := map[string]bool{}, false
 		for i := range 8 {
 			key := fmt.Sprint("k", i)
 			if err := put(s, key, strings.Repeat("v", 20), 0); err == nil {
 				acked[key] = true
 			} else if failed = true; !errors.Is(err, syscall.ENOSPC) || s.Health() == nil {
-				t.Fatalf("room %d: %v, health %v", room, err, s.Health())
+				t.Fatalf("budget %d: %v, health %v", budget, err, s.Health())
 			}
 		}
 		if !failed {
-			t.Fatalf("room %d: it never ran full", room)
+			t.Fatalf("budget %d: it never became full", budget)
 		}
 		if s.Clean() == nil {
-			t.Errorf("room %d: cleaning found room", room)
+			t.Errorf("budget %d: cleaning found space", budget)
 		}
-		if room%2 == 0 {
-			b.crash(s, uint64(room))
+		if budget%2 == 0 {
+			b.crash(s, uint64(budget))
 			s = b.open()
 		}
-		b.plan.SetWriteBudget(0)
+		b.faults.SetWriteBudget(0)
 		b.put(s, "after", "2", 0)
 		if s.Health() != nil {
-			t.Errorf("room %d: %v", room, s.Health())
+			t.Errorf("budget %d: %v", budget, s.Health())
 		}
 		s.Close()
 		s = b.open()
-		if u := s.LostSpans(); len(u) > 0 && room%2 == 1 {
-			t.Errorf("room %d: unknown %v", room, u)
+		if u := s.LostSpans(); len(u) > 0 && budget%2 == 1 {
+			t.Errorf("budget %d: lost spans %v", budget, u)
 		}
-		b.wants(s, "before", "1")
-		b.wants(s, "after", "2")
+		b.expect(s, "before", "1")
+		b.expect(s, "after", "2")
 		for key := range acked {
-			b.wants(s, key, strings.Repeat("v", 20))
+			b.expect(s, key, strings.Repeat("v", 20))
 		}
 		s.Close()
 	}
 }
 
-// Any two files swapped, within a copy or across, and any file put back as it was before.
+// Any two files swapped, within a copy or across copies, and any file replaced by an earlier state of it.
 func TestSwappedAndOldFiles(t *testing.T) {
-	b := newBench(t)
+	b := newFixture(t)
 	s := b.open()
 	old := [2]map[string][]byte{}
 	want := map[string]string{}
@@ -183,58 +184,58 @@
 		}
 	}
 	s.Close()
-	whole := b.disks
-	holds := func(what string) {
+	intact := b.disks
+	verify := func(what string) {
 		s := b.open()
 		for key, value := range want {
-			b.wants(s, key, value)
+			b.expect(s, key, value)
 		}
 		if u := s.LostSpans(); len(u) > 0 {
-			t.Errorf("%s: unknown %v", what, u)
+			t.Errorf("%s: lost spans %v", what, u)
 		}
 		s.Close()
 	}
-	again := func() {
+	restore := func() {
 		plan := &simdisk.FaultPlan{}
-		b.disks = [2]*simdisk.Disk{whole[0].Clone(plan), whole[1].Clone(plan)}
+		b.disks = [2]*simdisk.Disk{intact[0].Clone(plan), intact[1].Clone(plan)}
 	}
-	for d := range whole {
-		for _, x := range whole[d].Files() {
-			for _, y := range whole[d].Files() {
+	for d := range intact {
+		for _, x := range intact[d].Files() {
+			for _, y := range intact[d].Files() {
 				if x >= y {
 					continue
 				}
-				again()
+				restore()
 				bx, by := b.disks[d].Read(x), b.disks[d].Read(y)
 				b.disks[d].Put(x, by)
 				b.disks[d].Put(y, bx)
-				holds(x + " and " + y)
+				verify(x + " and " + y)
 			}
 		}
 		for name, data := range old[d] {
-			if strings.HasPrefix(name, "manifest-") { // under a name that it does not bear
-				again()
+			if strings.HasPrefix(name, "manifest-") { // under another name than its own
+				restore()
 				b.disks[d].Put("manifest-00ffffff-00000001", data)
-				holds("renamed " + name)
+				verify("renamed " + name)
 			}
-			again()
-			b.disks[d].Put(name, data) // one that was cleaned away, or a shorter state of one that is there
-			holds("old " + name)
+			restore()
+			b.disks[d].Put(name, data) // a file that cleaning removed, or an earlier state of one that is there
+			verify("old " + name)
 		}
 	}
-	for _, name := range whole[0].Files() { // a file and its copy
-		if x, y := whole[0].Read(name), whole[1].Read(name); y != nil {
-			again()
+	for _, name := range intact[0].Files() { // a file and its copy
+		if x, y := intact[0].Read(name), intact[1].Read(name); y != nil {
+			restore()
 			b.disks[0].Put(name, y)
 			b.disks[1].Put(name, x)
-			holds("copies of " + name)
+			verify("copies of " + name)
 		}
 	}
 }
 
-// Where both copies are gone the span is told, for as long as something of it may matter; the rest is found.
+// Where both copies are gone, the span is reported until its records are expired; the other records are found.
 func TestBothCopiesGone(t *testing.T) {
-	b := newBench(t)
+	b := newFixture(t)
 	s := b.open()
 	for i := range 5 {
 		b.now.Add(10)
@@ -247,7 +248,7 @@
 			name = n
 		}
 	}
-	// The last record, in bytes that nothing follows: that is no write which was cut off.
+	// The last record, in bytes that nothing follows: that does not look like a write that was cut off.
 	ends := &simdisk.FaultPlan{}
 	tail := [2]*simdisk.Disk{b.disks[0].Clone(ends), b.disks[1].Clone(ends)}
 	for _, d := range tail {
@@ -256,7 +257,7 @@
 		d.Put(name, data)
 	}
 	if s, err := recordlog.Open(dirs(tail), b.options(), false); err != nil || len(s.LostSpans()) != 1 {
-		t.Errorf("the end gone: %v", err)
+		t.Errorf("the end is damaged: %v", err)
 	} else {
 		s.Close()
 	}
@@ -277,9 +278,9 @@
 	}
 	u := s.LostSpans()
 	if found != 3 || len(u) != 1 || u[0].After != 0 || u[0].Before != 3 {
-		t.Errorf("%d found, unknown %+v", found, u)
+		t.Errorf("%d found, lost spans %+v", found, u)
 	}
-	s.Clean() // the damaged segment goes, the knowledge stays
+	s.Clean() // the damaged segment is dropped, the lost span stays known
 	s.Close()
 	s = b.open()
 	if len(s.LostSpans()) != 1 {
@@ -287,9 +288,9 @@
 	}
 	b.now.Add(2000)
 	if len(s.LostSpans()) != 0 {
-		t.Errorf("not over: %v", s.LostSpans())
+		t.Errorf("still reported: %v", s.LostSpans())
 	}
-	// A whole segment, and the roots, gone in both copies.
+	// The manifests are missing in both copies.
 	for _, d := range b.disks {
 		for _, n := range d.Files() {
 			if strings.HasPrefix(n, "manifest-") {
@@ -306,13 +307,13 @@
 		}
 	}
 	if _, err := recordlog.Open(dirs(b.disks), b.options(), false); !errors.Is(err, recordlog.ErrNoManifest) {
-		t.Errorf("without a root: %v", err)
+		t.Errorf("without a manifest: %v", err)
 	}
 }
 
-// A clock that goes back or ahead between two lives forgets nothing too early.
+// A clock that jumps back or ahead between two processes makes no record expire too early.
 func TestClocksJump(t *testing.T) {
-	b := newBench(t)
+	b := newFixture(t)
 	b.now.Store(1_000_000)
 	s := b.open()
 	b.put(s, "k", "v", s.Now()+900)
@@ -320,25 +321,25 @@
 	for _, at := range []int64{5, 1 << 50} {
 		b.now.Store(at)
 		s = b.open()
-		b.wants(s, "k", "v")
+		b.expect(s, "k", "v")
 		b.now.Add(500)
-		b.wants(s, "k", "v")
+		b.expect(s, "k", "v")
 		s.Close()
 	}
 	b.now.Store(7)
 	s = b.open()
 	b.now.Add(901)
-	b.wants(s, "k", "")
+	b.expect(s, "k", "")
 	s.Clean()
 	if _, keys := s.Size(); keys != 0 {
-		t.Errorf("%d keys are held", keys)
+		t.Errorf("%d keys are in the index", keys)
 	}
 }
 
-// The old owner stands still, and writes once another one has taken its place: nothing of that is acknowledged, or counts.
+// The old owner is suspended, and writes after another one has replaced it: nothing of that is acknowledged or counts.
 func TestOldOwnerWritesLate(t *testing.T) {
 	for _, cleans := range []bool{false, true} {
-		b := newBench(t)
+		b := newFixture(t)
 		old := b.open()
 		for i := range 30 {
 			b.put(old, fmt.Sprint("k", i%4), "old", 0)
@@ -346,7 +347,7 @@
 		if _, err := recordlog.Open(dirs(b.disks), b.options(), false); !errors.Is(err, recordlog.ErrOwned) {
 			t.Fatalf("two owners: %v", err)
 		}
-		release := b.plan.Stall()
+		release := b.faults.Stall()
 		late := make(chan error, 1)
 		go func() { late <- put(old, "late", "never", 0) }()
 		opened := make(chan *recordlog.Store, 1)
@@ -357,7 +358,7 @@
 		}
 		opened <- s
 		if err := <-late; err == nil { // it was in time
-			b.wants(s, "late", "never")
+			b.expect(s, "late", "never")
 		} else if !errors.Is(err, recordlog.ErrFenced) {
 			t.Errorf("late: %v", err)
 		}
@@ -373,18 +374,18 @@
 		old.Close()
 		s.Close()
 		s = b.open()
-		b.wants(s, "k1", "new")
-		b.wants(s, "k2", "old")
-		b.wants(s, "later1", "")
+		b.expect(s, "k1", "new")
+		b.expect(s, "k2", "old")
+		b.expect(s, "later1", "")
 		s.Close()
 	}
 }
 
-// A stalled disk lets callers wait or fail at once, within bounds.
+// With a stalled disk callers wait or fail immediately, within bounds.
 func TestStalledDisk(t *testing.T) {
-	b := newBench(t)
+	b := newFixture(t)
 	s := b.open()
-	release := b.plan.Stall()
+	release := b.faults.Stall()
 	var acked, busy atomic.Int64
 	for range 10_000 {
 		if err := s.Append(recordlog.Record{Kind: recordlog.AtMostOnce, Key: "k", Value: []byte("v")}, func(error) { acked.Add(1) }); errors.Is(err, recordlog.ErrBusy) {
@@ -392,7 +393,7 @@
 		}
 	}
 	if busy.Load() < 5000 || acked.Load() > 0 {
-		t.Errorf("%d turned away, %d acknowledged", busy.Load(), acked.Load())
+		t.Errorf("%d rejected, %d acknowledged", busy.Load(), acked.Load())
 	}
 	release()
 	s.Close()
@@ -404,7 +405,7 @@
 	}
 }
 
-// On a real disk: two lives, a reader beside the owner, and the lock.
+// On a real disk: two processes, a reader beside the owner, and the lock.
 func TestOnDisk(t *testing.T) {
 	dir := t.TempDir()
 	open := func(force bool) (*recordlog.Store, error) {
@@ -435,7 +436,7 @@
 	}
 	read := [2]recordlog.Dir{recordlog.ExistingDirectory(dir + "/a"), recordlog.ExistingDirectory(dir + "/b")}
 	if v, err := recordlog.OpenReadOnly(read); err != nil || v.Check().Records < 50 {
-		t.Errorf("beside the owner: %v", err)
+		t.Errorf("a reader beside the owner: %v", err)
 	}
 	next, err := open(true)
 	if err != nil {
--- a/internal/storage/recordlog/manifest.go
+++ b/internal/storage/recordlog/manifest.go
@@ -11,133 +11,150 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Unknown is a span of which both copies are gone: something may have stood between two records.
-type LostSpan struct {
-	After, Before uint64 // the records around it, by their numbers; Before is 0 where none follows
-	From, To      int64  // by the store's clock
-}
-
-// manifest is the root of a store: a file of one frame, whose name tells its rank.
+// manifest is the root of a store: which segments count, in their order. It is a file of one frame. Of several manifests, the valid one with
+// the highest name counts, whichever copy it is in.
 type manifest struct {
-	store    uint64
-	epoch    uint64
-	number   uint32
-	segments []*segment
-	unknown  []LostSpan
-	next     uint32
-	at       int64
-	seq      uint64
+	store         uint64 // id of the store
+	epoch         uint64
+	number        uint32 // within the epoch
+	segments      []*segment
+	lostSpans     []LostSpan
+	nextSegmentID uint32
+	lastAt        int64
+	lastSeq       uint64
 }
 
+// The names of files are stored, so they can't change.
 const (
 	manifestPrefix = "manifest-"
 	segmentPrefix  = "segment-"
 	claimPrefix    = "claim-"
-	manifestSeed   = 0x6d616e6966657374
+	// manifestSeed is the seed of the checksums of manifests.
+	manifestSeed = 0x6d616e6966657374
 )
 
+// name returns the manifest's file name. Names sort by epoch and number.
 func (m *manifest) name() string {
 	return fmt.Sprintf("%s%08x-%08x", manifestPrefix, m.epoch, m.number)
 }
 
+// claimName returns the name of the file that the owner of an epoch creates and locks.
 func claimName(epoch uint64) string { return fmt.Sprintf("%s%08x", claimPrefix, epoch) }
 
+// frame returns the content of the manifest's file.
 func (m *manifest) frame() ([]byte, error) {
-	f := &form.Manifest{Version: version, Store: m.store, Epoch: m.epoch, Number: m.number, Next: m.next, At: m.at, Seq: m.seq}
+	stored := &form.Manifest{
+		Version: formatVersion, Store: m.store, Epoch: m.epoch, Number: m.number, Next: m.nextSegmentID, At: m.lastAt, Seq: m.lastSeq,
+	}
 	for _, s := range m.segments {
-		f.Segments = append(f.Segments, &form.Segment{Id: s.id, Epoch: s.epoch, Sealed: s.sealed, Size: s.size})
+		stored.Segments = append(stored.Segments, &form.Segment{Id: s.id, Epoch: s.epoch, Sealed: s.sealed, Size: s.size})
 	}
-	for _, u := range m.unknown {
-		f.Unknown = append(f.Unknown, &form.Unknown{After: u.After, Before: u.Before, From: u.From, To: u.To})
+	for _, span := range m.lostSpans {
+		stored.Unknown = append(stored.Unknown, &form.Unknown{After: span.After, Before: span.Before, From: span.From, To: span.To})
 	}
-	return appendFrame(nil, manifestSeed, 0, f)
+	return appendFrame(nil, manifestSeed, 0, stored)
 }
 
-// readManifest reads one that is whole and bears its own name.
+// readManifest decodes a manifest. It fails where the frame is damaged or belongs to another name.
 func readManifest(name string, b []byte) (*manifest, error) {
 	payload, ok, _ := frameAt(b, manifestSeed, 0)
-	if !ok || len(b) != frameHead+len(payload) {
+	if !ok || len(b) != frameHeadSize+len(payload) {
 		return nil, errors.New("damaged")
 	}
-	var f form.Manifest
-	if err := proto.Unmarshal(payload, &f); err != nil {
+	var stored form.Manifest
+	if err := proto.Unmarshal(payload, &stored); err != nil {
 		return nil, err
 	}
-	if f.Version != version {
-		return nil, fmt.Errorf("of version %d", f.Version)
+	if stored.Version != formatVersion {
+		return nil, fmt.Errorf("of version %d", stored.Version)
+	}
+	m := &manifest{
+		store: stored.Store, epoch: stored.Epoch, number: stored.Number, nextSegmentID: stored.Next, lastAt: stored.At, lastSeq: stored.Seq,
 	}
-	m := &manifest{store: f.Store, epoch: f.Epoch, number: f.Number, next: f.Next, at: f.At, seq: f.Seq}
 	if m.name() != name {
 		return nil, fmt.Errorf("it is %s", m.name())
 	}
-	for _, s := range f.Segments {
+	for _, s := range stored.Segments {
 		m.segments = append(m.segments, &segment{id: s.Id, epoch: s.Epoch, sealed: s.Sealed, size: s.Size})
 	}
-	for _, u := range f.Unknown {
-		m.unknown = append(m.unknown, LostSpan{After: u.After, Before: u.Before, From: u.From, To: u.To})
+	for _, span := range stored.Unknown {
+		m.lostSpans = append(m.lostSpans, LostSpan{After: span.After, Before: span.Before, From: span.From, To: span.To})
 	}
 	return m, nil
 }
 
-// holdings is what lies in the two directories.
-type holdings struct {
-	names [2][]string
-	best  *manifest // the latest that is whole in either
-	whole [2]bool   // it is whole there
-	epoch uint64    // the highest that any name tells
-	first uint32    // above the number of each segment there
+// directoryState is what the two directories have.
+type directoryState struct {
+	names         [2][]string // of the files, sorted
+	latest        *manifest   // the manifest that counts; nil where there is none
+	intact        [2]bool     // which copies of it are valid
+	maxEpoch      uint64      // the highest epoch in any name
+	nextSegmentID uint32      // above the ids of all segments there
 }
 
-// look reads the names in both directories, and the latest manifest. A directory that can't be read is as one that is empty.
-func look(dirs [2]Dir) (h holdings) {
+// readDirectories reads the names in both directories, and the latest manifest. A directory that can't be read counts as empty.
+func readDirectories(dirs [2]Dir) (state directoryState) {
 	for i, d := range dirs {
 		names, err := d.List()
 		if err != nil {
 			continue
 		}
 		slices.Sort(names)
-		h.names[i] = names
+		state.names[i] = names
 		for _, name := range slices.Backward(names) {
-			if epoch, id, ok := numbers(name); ok {
-				h.epoch = max(h.epoch, epoch)
-				if strings.HasPrefix(name, segmentPrefix) {
-					h.first = max(h.first, id+1)
-				}
-			}
-			if !strings.HasPrefix(name, manifestPrefix) {
-				continue
-			}
-			if h.best != nil && name < h.best.name() {
-				continue
-			}
-			if m, err := readManifest(name, readAll(d, name, nil)); err == nil {
-				if h.best == nil || name > h.best.name() {
-					h.best, h.whole = m, [2]bool{}
-				}
-				h.whole[i] = true
+			state.addNumbers(name)
+			if strings.HasPrefix(name, manifestPrefix) {
+				state.considerManifest(i, d, name)
 			}
 		}
 	}
-	return h
+	return state
+}
+
+// addNumbers takes the epoch and segment id in a file's name into account.
+func (state *directoryState) addNumbers(name string) {
+	epoch, id, ok := parseFileName(name)
+	if !ok {
+		return
+	}
+	state.maxEpoch = max(state.maxEpoch, epoch)
+	if strings.HasPrefix(name, segmentPrefix) {
+		state.nextSegmentID = max(state.nextSegmentID, id+1)
+	}
+}
+
+// considerManifest reads a manifest of copy i, unless a later one was found.
+func (state *directoryState) considerManifest(i int, d Dir, name string) {
+	if state.latest != nil && name < state.latest.name() {
+		return
+	}
+	m, err := readManifest(name, readAll(d, name, nil))
+	if err != nil {
+		return
+	}
+	if state.latest == nil || name > state.latest.name() {
+		state.latest, state.intact = m, [2]bool{}
+	}
+	state.intact[i] = true
 }
 
-// numbers are the epoch, and the number behind it, in a file's name.
-func numbers(name string) (epoch uint64, n uint32, ok bool) {
+// parseFileName returns the epoch in a file's name and, except for claims, the number after it.
+func parseFileName(name string) (epoch uint64, number uint32, ok bool) {
 	for _, prefix := range []string{claimPrefix, manifestPrefix, segmentPrefix} {
-		rest, is := strings.CutPrefix(name, prefix)
-		if !is {
+		rest, found := strings.CutPrefix(name, prefix)
+		if !found {
 			continue
 		}
-		first, second, two := strings.Cut(rest, "-")
-		e, err := strconv.ParseUint(first, 16, 64)
+		first, second, hasNumber := strings.Cut(rest, "-")
+		epoch, err := strconv.ParseUint(first, 16, 64)
 		if err != nil {
 			return 0, 0, false
 		}
-		if two {
-			x, err := strconv.ParseUint(second, 16, 32)
-			return e, uint32(x), err == nil
+		if !hasNumber {
+			return epoch, 0, prefix == claimPrefix
 		}
-		return e, 0, prefix == claimPrefix
+		number, err := strconv.ParseUint(second, 16, 32)
+		return epoch, uint32(number), err == nil
 	}
 	return 0, 0, false
 }
--- a/internal/storage/recordlog/measure_test.go
+++ b/internal/storage/recordlog/measure_test.go
@@ -15,8 +15,9 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// measured skips what takes long and gives figures, no verdict: SAFFRONQUAY_MEASURE=1.
-func measured(t *testing.T) {
+// skipUnlessMeasuring skips a test that takes long and only measures, unless SAFFRONQUAY_MEASURE is set.
+func skipUnlessMeasuring(t *testing.T) {
+	t.Helper()
 	if os.Getenv("SAFFRONQUAY_MEASURE") == "" {
 		t.Skip("SAFFRONQUAY_MEASURE is not set")
 	}
@@ -41,6 +42,7 @@
 }
 
 func value(t *testing.T, o *form.Once) []byte {
+	t.Helper()
 	b, err := proto.Marshal(o)
 	if err != nil {
 		t.Fatal(err)
@@ -55,9 +57,9 @@
 	return int64(m.HeapAlloc)
 }
 
-// A day at Cordoba's busiest rate: 2 million parts, each a filing by itself, which is the worst case; an intent and an end for each.
+// A day at Cordoba's highest rate: 2 million parts, each a filing of its own, which is the worst case; an intent and an end for each.
 func TestMeasureRecovery(t *testing.T) {
-	measured(t)
+	skipUnlessMeasuring(t)
 	dir := t.TempDir()
 	s := openOn(t, dir, recordlog.Options{MaxWaiting: 64 << 20})
 	intent := value(t, &form.Once{Intent: &form.Intent{Label: "filing-1234567", Deadline: 1 << 50, Print: 7, Parts: []*form.Part{{Shard: 1, From: 10, To: 20, Server: "ledger-3"}}}})
@@ -86,9 +88,9 @@
 	}
 }
 
-// Appends a second and the time of one, by how many wait at a time, with and without group commit, and while segments are cleaned.
+// Appends per second and the latency of one, by the number of concurrent callers, with and without group commit, and while segments are cleaned.
 func TestMeasureAppends(t *testing.T) {
-	measured(t)
+	skipUnlessMeasuring(t)
 	for _, c := range []struct {
 		what    string
 		batch   int
--- /dev/null
+++ b/internal/storage/recordlog/ownership.go
@@ -0,0 +1,69 @@
+package recordlog
+
+import (
+	"errors"
+	"io"
+	"io/fs"
+	"strings"
+)
+
+// claimOwnership makes this process the owner and returns its epoch, the next one. Records that the owner before writes from now on are not
+// acknowledged, since isOwner fails there. The claims are in the first directory only.
+func (j *journal) claimOwnership(force bool) (epoch uint64, err error) {
+	found := readDirectories(j.dirs)
+	previous, err := j.lockPreviousClaim(claimName(found.maxEpoch), force)
+	if err != nil {
+		return 0, err
+	}
+	if previous != nil {
+		defer previous.Close()
+	}
+	epoch = found.maxEpoch + 1
+	name := claimName(epoch)
+	f, err := j.dirs[0].Create(name)
+	if errors.Is(err, fs.ErrExist) {
+		return 0, ErrOwned // another process was faster
+	}
+	if err != nil {
+		return 0, j.fileError(0, name, err)
+	}
+	f.Close()
+	if j.claim, err = j.dirs[0].Lock(name); err != nil {
+		return 0, j.fileError(0, name, err)
+	}
+	for _, old := range found.names[0] {
+		if strings.HasPrefix(old, claimPrefix) {
+			// The owner before sees by this, too, that it is replaced. The next epoch's claim alone is enough for that.
+			_ = j.dirs[0].Remove(old)
+		}
+	}
+	if err := j.dirs[0].Sync(); err != nil {
+		j.claim.Close()
+		return 0, j.fileError(0, name, err)
+	}
+	return epoch, nil
+}
+
+// lockPreviousClaim locks the claim of the owner before, which succeeds when that one has yielded, ended or died. It returns nil where there
+// is no claim, or where the owner has it locked and force is set.
+func (j *journal) lockPreviousClaim(name string, force bool) (io.Closer, error) {
+	exists, err := j.dirs[0].Exists(name)
+	if canLock := err == nil && exists; !canLock {
+		return nil, nil
+	}
+	lock, err := j.dirs[0].Lock(name)
+	switch {
+	case err == nil:
+		return lock, nil
+	case force && errors.Is(err, ErrOwned):
+		return nil, nil
+	}
+	return nil, j.fileError(0, name, err)
+}
+
+// isOwner reports whether this process is still the owner. It is false, too, where that can't be seen.
+func (j *journal) isOwner() bool {
+	own, err := j.dirs[0].Exists(claimName(j.manifest.epoch))
+	next, nextErr := j.dirs[0].Exists(claimName(j.manifest.epoch + 1))
+	return err == nil && nextErr == nil && own && !next
+}
--- a/internal/storage/recordlog/proof_test.go
+++ b/internal/storage/recordlog/proof_test.go
@@ -15,49 +15,49 @@
 	"testing"
 )
 
-// tally is what a proof counts.
-type tally struct{ cuts, flips, crashes, lost, invented, resent atomic.Int64 }
+// counts is what a proof counts.
+type counts struct{ cuts, flips, crashes, lost, invented, resent atomic.Int64 }
 
-// world is two disks, what was acknowledged on them, and what clients and servers saw.
+// world has two disks, what was acknowledged on them, and what clients and servers saw.
 type world struct {
-	plan  *simdisk.FaultPlan
-	disks [2]*simdisk.Disk
-	now   int64
-	rng   *rand.Rand
-	sum   *tally
+	faults *simdisk.FaultPlan
+	disks  [2]*simdisk.Disk
+	now    int64
+	rng    *rand.Rand
+	counts *counts
 
-	acked  map[string]string         // the latest that was acknowledged; "" where it was taken back
-	maybe  map[string]map[string]int // submitted since, and not acknowledged, by the step
-	ever   map[string]map[string]int
-	sent   map[string]int    // frames that left, by client's key
-	told   map[string]string // answers whose record was acknowledged
-	worded map[string]string // answers that were handed to the ledger
-	steps  int
-	keys   int
+	acked            map[string]string         // the latest acknowledged value of a key; "" where it was deleted
+	pending          map[string]map[string]int // steps of the values that were appended since and not acknowledged, by key and value
+	submitted        map[string]map[string]int
+	sent             map[string]int    // how often a query was sent, by client's key
+	recordedAnswers  map[string]string // answers whose record was acknowledged, by client's key
+	submittedAnswers map[string]string // answers that were handed to the tracker, by client's key
+	steps            int
+	keys             int
 }
 
-func newWorld(seed uint64, sum *tally) *world {
+func newWorld(seed uint64, sum *counts) *world {
 	w := &world{
-		keys: 12, plan: &simdisk.FaultPlan{}, rng: rand.New(rand.NewPCG(seed, 7)), sum: sum, acked: map[string]string{}, maybe: map[string]map[string]int{},
-		ever: map[string]map[string]int{}, sent: map[string]int{}, told: map[string]string{}, worded: map[string]string{},
+		keys: 12, faults: &simdisk.FaultPlan{}, rng: rand.New(rand.NewPCG(seed, 7)), counts: sum, acked: map[string]string{}, pending: map[string]map[string]int{},
+		submitted: map[string]map[string]int{}, sent: map[string]int{}, recordedAnswers: map[string]string{}, submittedAnswers: map[string]string{},
 	}
-	w.disks = [2]*simdisk.Disk{simdisk.New("a", w.plan), simdisk.New("b", w.plan)}
+	w.disks = [2]*simdisk.Disk{simdisk.New("a", w.faults), simdisk.New("b", w.faults)}
 	return w
 }
 
-const keep = 1_000_000_000
+const retention = 1_000_000_000
 
 func dirs(d [2]*simdisk.Disk) [2]recordlog.Dir { return [2]recordlog.Dir{d[0], d[1]} }
 
 func (w *world) options() recordlog.Options {
-	return recordlog.Options{ID: 99, Now: func() int64 { return atomic.LoadInt64(&w.now) }, MaxRetention: keep, SegmentSize: 1 << 10, Serial: true}
+	return recordlog.Options{ID: 99, Now: func() int64 { return atomic.LoadInt64(&w.now) }, MaxRetention: retention, SegmentSize: 1 << 10, Serial: true}
 }
 
 func (w *world) open() (*recordlog.Store, error) {
 	return recordlog.Open(dirs(w.disks), w.options(), false)
 }
 
-// write appends some records together and waits for the ends.
+// write appends n records together and waits until each is durable or has failed.
 func (w *world) write(s *recordlog.Store, n int) {
 	var wg sync.WaitGroup
 	var mu sync.Mutex
@@ -70,7 +70,7 @@
 			r.Deleted, r.Value, value = true, nil, ""
 		}
 		mu.Lock()
-		for _, m := range []map[string]map[string]int{w.maybe, w.ever} {
+		for _, m := range []map[string]map[string]int{w.pending, w.submitted} {
 			if m[key] == nil {
 				m[key] = map[string]int{}
 			}
@@ -82,7 +82,7 @@
 			if err == nil {
 				mu.Lock()
 				w.acked[key] = value
-				maps.DeleteFunc(w.maybe[key], func(_ string, of int) bool { return of <= step })
+				maps.DeleteFunc(w.pending[key], func(_ string, of int) bool { return of <= step })
 				mu.Unlock()
 			}
 			wg.Done()
@@ -93,15 +93,15 @@
 	wg.Wait()
 }
 
-// file has a client file something, or retry what it filed.
+// file has a client send a filing, for the first time or as a retry.
 func (w *world) file(l *idempotency.Tracker, client int, ends bool) {
 	key := fmt.Sprintf("client-%d", client)
 	e, v := l.Begin(key, "label", uint64(client))
 	switch {
-	case v.State == idempotency.Completed && string(v.Answer.Body) != w.worded[key]:
-		w.sum.invented.Add(1)
-	case v.State != idempotency.Completed && v.State != idempotency.HistoryLost && v.State != idempotency.LogFailing && w.told[key] != "":
-		w.sum.lost.Add(1)
+	case v.State == idempotency.Completed && string(v.Answer.Body) != w.submittedAnswers[key]:
+		w.counts.invented.Add(1)
+	case v.State != idempotency.Completed && v.State != idempotency.HistoryLost && v.State != idempotency.LogFailing && w.recordedAnswers[key] != "":
+		w.counts.lost.Add(1)
 	}
 	if e == nil {
 		return
@@ -116,27 +116,27 @@
 		return
 	}
 	if w.sent[key]++; w.sent[key] > 1 {
-		w.sum.resent.Add(1)
+		w.counts.resent.Add(1)
 	}
 	if !ends {
 		e.Abandon()
 		return
 	}
-	w.worded[key] = fmt.Sprintf("answer-%s-%d", key, w.steps)
-	e.End(idempotency.Answer{Status: 200, Body: []byte(w.worded[key])}, func(err error) { done <- err })
+	w.submittedAnswers[key] = fmt.Sprintf("answer-%s-%d", key, w.steps)
+	e.End(idempotency.Answer{Status: 200, Body: []byte(w.submittedAnswers[key])}, func(err error) { done <- err })
 	if err := <-done; err == nil {
-		w.told[key] = w.worded[key]
+		w.recordedAnswers[key] = w.submittedAnswers[key]
 	}
 }
 
-// work is a gatherer's life of some steps: appends, filings, cleaning, and starts in between. It ends early where the disk crashes.
+// work plays a gatherer for some rounds: appends, filings, cleaning, and restarts in between. It ends early where the disk crashes.
 func (w *world) work(rounds int) {
 	s, err := w.open()
 	for i := range rounds {
 		if err != nil {
 			return
 		}
-		l := idempotency.NewTracker(s, idempotency.Config{Retention: keep, MaxBody: 1 << 10})
+		l := idempotency.NewTracker(s, idempotency.Config{Retention: retention, MaxBody: 1 << 10})
 		for range 3 {
 			atomic.AddInt64(&w.now, 1000)
 			w.write(s, 1+w.rng.IntN(4))
@@ -152,18 +152,18 @@
 	}
 }
 
-// judge opens what is on some disks and holds it against what was acknowledged. unknown says that lost spans may be told of.
-func (w *world) judge(disks [2]*simdisk.Disk, unknown bool) (again [2]*simdisk.Disk, ok bool) {
+// verify opens the store on some disks and compares it with what was acknowledged. mayLose allows lost spans.
+func (w *world) verify(disks [2]*simdisk.Disk, mayLose bool) (again [2]*simdisk.Disk, ok bool) {
 	s, err := recordlog.Open(dirs(disks), w.options(), false)
 	if err != nil {
-		w.sum.lost.Add(1)
+		w.counts.lost.Add(1)
 		return disks, false
 	}
 	defer s.Close()
 	ok = true
 	fault := func(n *atomic.Int64) { n.Add(1); ok = false }
-	if len(s.LostSpans()) > 0 && !unknown {
-		fault(&w.sum.lost)
+	if len(s.LostSpans()) > 0 && !mayLose {
+		fault(&w.counts.lost)
 	}
 	for key, want := range w.acked {
 		r, there, err := s.Get(recordlog.Cursor, key)
@@ -173,30 +173,30 @@
 		}
 		switch {
 		case err != nil:
-			fault(&w.sum.lost)
-		case got == want || w.maybe[key][got] > 0:
-		case w.ever[key][got] > 0:
-			fault(&w.sum.lost)
+			fault(&w.counts.lost)
+		case got == want || w.pending[key][got] > 0:
+		case w.submitted[key][got] > 0:
+			fault(&w.counts.lost)
 		default:
-			fault(&w.sum.invented)
+			fault(&w.counts.invented)
 		}
 	}
 	s.Each(recordlog.Cursor, func(r recordlog.Record) {
-		if w.ever[r.Key][string(r.Value)] == 0 {
-			fault(&w.sum.invented)
+		if w.submitted[r.Key][string(r.Value)] == 0 {
+			fault(&w.counts.invented)
 		}
 	})
-	l := idempotency.NewTracker(s, idempotency.Config{Retention: keep, MaxBody: 1 << 10})
+	l := idempotency.NewTracker(s, idempotency.Config{Retention: retention, MaxBody: 1 << 10})
 	for client := range 10 {
 		key := fmt.Sprintf("client-%d", client)
 		e, v := l.Begin(key, "label", uint64(client))
 		switch {
 		case v.State == idempotency.Fresh && w.sent[key] > 0:
-			fault(&w.sum.resent)
-		case v.State == idempotency.Completed && string(v.Answer.Body) != w.worded[key]:
-			fault(&w.sum.invented)
-		case v.State != idempotency.Completed && v.State != idempotency.HistoryLost && w.told[key] != "":
-			fault(&w.sum.lost)
+			fault(&w.counts.resent)
+		case v.State == idempotency.Completed && string(v.Answer.Body) != w.submittedAnswers[key]:
+			fault(&w.counts.invented)
+		case v.State != idempotency.Completed && v.State != idempotency.HistoryLost && w.recordedAnswers[key] != "":
+			fault(&w.counts.lost)
 		}
 		if e != nil {
 			e.Release()
@@ -212,8 +212,8 @@
 	return [2]*simdisk.Disk{w.disks[0].Clone(plan), w.disks[1].Clone(plan)}
 }
 
-// each runs jobs on all cores.
-func each(n int, job func(i int)) {
+// parallel runs jobs on all cores.
+func parallel(n int, job func(i int)) {
 	var next atomic.Int64
 	var wg sync.WaitGroup
 	for range runtime.GOMAXPROCS(0) {
@@ -228,7 +228,7 @@
 	wg.Wait()
 }
 
-// damage plays every cut and every flip of every file of a store of several segments.
+// damage truncates every file of a store of several segments at every byte, and flips a bit in every byte.
 func damage(t *testing.T, w *world) {
 	type spot struct {
 		disk, at int
@@ -242,50 +242,50 @@
 			}
 		}
 	}
-	each(2*len(spots), func(i int) {
+	parallel(2*len(spots), func(i int) {
 		x, disks := spots[i/2], w.copies()
 		data := disks[x.disk].Read(x.name)
 		if i%2 == 0 {
-			w.sum.cuts.Add(1)
+			w.counts.cuts.Add(1)
 			data = data[:x.at]
 		} else {
-			w.sum.flips.Add(1)
+			w.counts.flips.Add(1)
 			data[x.at] ^= 1 << (x.at % 8)
 		}
 		disks[x.disk].Put(x.name, data)
-		disks, ok := w.judge(disks, false)
+		disks, ok := w.verify(disks, false)
 		if !ok {
 			t.Errorf("%s/%s at %d, %d: not as it was", w.disks[x.disk], x.name, x.at, i%2)
 		}
-		if i%29 == 0 { // what was damaged has been written anew: the other copy may go as a whole
+		if i%29 == 0 { // the damaged part was written anew: the other copy may be lost completely
 			for _, name := range disks[1-x.disk].Files() {
 				disks[1-x.disk].Put(name, nil)
 			}
-			if _, ok := w.judge(disks, false); !ok {
-				t.Errorf("%s/%s at %d, then the other copy gone: not as it was", w.disks[x.disk], x.name, x.at)
+			if _, ok := w.verify(disks, false); !ok {
+				t.Errorf("%s/%s at %d, then the other copy lost: not as it was", w.disks[x.disk], x.name, x.at)
 			}
 		}
 	})
 }
 
-// crash plays a crash at every call of the disk, three times in a row, each followed by a start that goes on.
-func crash(t *testing.T, sum *tally, seed uint64, rounds, every int) {
+// crash plays a crash at every call of the disk, three times in a row, each followed by a restart that goes on.
+func crash(t *testing.T, sum *counts, seed uint64, rounds, every int) {
 	whole := newWorld(seed, sum)
 	whole.work(rounds)
-	calls := whole.plan.Calls()
-	each(calls/every, func(i int) {
+	calls := whole.faults.Calls()
+	parallel(calls/every, func(i int) {
 		w := newWorld(seed, sum)
 		at := i*every + 1
 		for again := range 3 {
-			w.plan.CrashAt(at)
+			w.faults.CrashAt(at)
 			w.work(rounds)
 			sum.crashes.Add(1)
 			plan := &simdisk.FaultPlan{}
-			w.plan = plan
+			w.faults = plan
 			for d := range w.disks {
 				w.disks[d] = w.disks[d].Crash(plan, w.rng)
 			}
-			if _, ok := w.judge(w.copies(), true); !ok {
+			if _, ok := w.verify(w.copies(), true); !ok {
 				t.Errorf("seed %d, crash at call %d, the %d. time: not as it was", seed, at, again+1)
 				return
 			}
@@ -294,12 +294,13 @@
 	})
 }
 
-// The long form plays a bigger store and more seeds: SAFFRONQUAY_LONG=1.
+// No damage of a file and no crash loses an acknowledged record, invents one or sends a query twice. SAFFRONQUAY_LONG=1 plays a bigger store
+// and more seeds.
 func TestProof(t *testing.T) {
-	sum, rounds, seeds, every := &tally{}, 9, uint64(2), 1
+	sum, rounds, seeds, every := &counts{}, 9, uint64(2), 1
 	if os.Getenv("SAFFRONQUAY_LONG") != "" {
 		rounds, seeds = 40, 12
-	} else if raced {
+	} else if raceDetector {
 		rounds, seeds, every = 4, 1, 3
 	}
 	w := newWorld(1, sum)
--- a/internal/storage/recordlog/raced_test.go
+++ b/internal/storage/recordlog/racedetector_test.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// raced tells that the race detector is on, which makes everything ten times as slow.
-var raced = func() bool {
+// raceDetector reports whether the race detector is on, which makes everything about ten times as slow.
+var raceDetector = func() bool {
 	info, ok := debug.ReadBuildInfo()
 	return ok && slices.Contains(info.Settings, debug.BuildSetting{Key: "-race", Value: "true"})
 }()
--- a/internal/storage/recordlog/scan.go
+++ b/internal/storage/recordlog/scan.go
@@ -2,121 +2,169 @@
 
 import "fmt"
 
-// segment is one file, in two copies, of the log.
+// segment is one file of the log, in two copies. Its fields are guarded by journal.mu while it is in the manifest.
 type segment struct {
 	id     uint32
 	epoch  uint64
 	sealed bool
-	size   int64 // of a sealed one; else what is acknowledged of it
+	size   int64 // up to the end of the last acknowledged record
 
-	live    int64 // bytes of records that the index points to
-	until   int64 // when the last of its records may be forgotten
-	damaged bool  // one copy is not as it should be
+	live      int64 // bytes of records that the index points to
+	expiresAt int64 // from then on all of its records are expired
+	damaged   bool  // a copy is damaged
 }
 
-func (s *segment) name() string { return fmt.Sprintf("segment-%08x-%08x", s.epoch, s.id) }
+func (s *segment) name() string { return fmt.Sprintf("%s%08x-%08x", segmentPrefix, s.epoch, s.id) }
 
-// scanned is what reading a segment came to.
-type scanned struct {
-	size    int64    // up to the end of the last whole frame
-	damaged [2]int64 // bytes of each copy that are not as they should be
-	last    header   // the last one read, without its key
+// seed distinguishes the checksums of the segment's frames from those of all other files. store is the store's id.
+func (s *segment) seed(store uint64) uint64 { return mix(mix(store)+s.epoch) + uint64(s.id) }
+
+// segmentSource is where segments are read from.
+type segmentSource struct {
+	dirs  [2]Dir
+	store uint64 // id
 }
 
-// reading is what a scan tells of, in order.
-type reading interface {
-	record(off int64, payload []byte, h header)
-	// lost: what lies between the records around it is gone in both copies.
-	lost(after header)
+// scanOptions are the options of a scan. The zero value is right for a sealed segment of which only the records matter.
+type scanOptions struct {
+	prior      header // last record before the segment
+	bothCopies bool   // read both copies of a sealed segment, even where the first is intact
 }
 
-// buffers are used again and again.
-type buffers [2][]byte
-
-// scan goes through a segment's records in order. What one copy lacks is taken from the other; where both lack it, the span between
-// the records around it is unknown. Of the copies of a sealed segment the second is read only where the first is damaged; both says
-// to read it anyway. prior is the last record before the segment.
-func scan(dirs [2]Dir, store uint64, s *segment, prior header, both bool, bufs *buffers, to reading) scanned {
-	res, key := scanned{last: prior}, seed(store, s.epoch, s.id)
-	var copies [2][]byte
-	loaded := [2]bool{}
-	load := func(i int) []byte {
-		if !loaded[i] {
-			loaded[i] = true
-			bufs[i] = readAll(dirs[i], s.name(), bufs[i])
-			copies[i] = bufs[i]
-			if s.sealed && int64(len(copies[i])) > s.size { // what lies beyond was never acknowledged
-				copies[i] = copies[i][:s.size]
-			}
-		}
-		return copies[i]
+// scanResult is the result of a scan.
+type scanResult struct {
+	size    int64    // up to the end of the last valid frame
+	damaged [2]int64 // damaged or missing bytes of each copy
+	last    header   // of the last record, without its key
+}
+
+// recordVisitor visits the records of a scan, in their order.
+type recordVisitor interface {
+	visitRecord(off int64, payload []byte, h header)
+	// visitLost visits a span that both copies lack, after the last record before it.
+	visitLost(after header)
+}
+
+// copyBuffers are buffers for the two copies of a segment. They are reused from one scan to the next.
+type copyBuffers [2][]byte
+
+// scanner is one scan of a segment.
+type scanner struct {
+	source  segmentSource
+	segment *segment
+	seed    uint64
+	visitor recordVisitor
+	bufs    *copyBuffers
+	copies  [2][]byte
+	loaded  [2]bool
+	result  scanResult
+}
+
+// scan goes through a segment's records in their order. What one copy lacks is taken from the other; where both lack it, the span between the
+// records around it is lost. The second copy of a sealed segment is read only where the first is damaged or the options say so.
+func scan(source segmentSource, seg *segment, opt scanOptions, bufs *copyBuffers, visitor recordVisitor) scanResult {
+	s := &scanner{
+		source: source, segment: seg, seed: seg.seed(source.store), visitor: visitor, bufs: bufs, result: scanResult{last: opt.prior},
 	}
-	load(0)
-	if both || !s.sealed {
-		load(1)
+	s.load(0)
+	if opt.bothCopies || !seg.sealed {
+		s.load(1)
 	}
 	off := int64(0)
-	for !s.sealed || off < s.size {
-		payload, ok, short := frameAt(copies[0], key, off)
-		if loaded[1] || !ok {
-			other, ok1, short1 := frameAt(load(1), key, off)
-			switch {
-			case ok && !ok1:
-				res.damaged[1] += frameHead + int64(len(payload))
-			case !ok && ok1:
-				res.damaged[0] += frameHead + int64(len(other))
-				payload, ok = other, true
-			}
-			short = short && short1
-		}
+	for !seg.sealed || off < seg.size {
+		payload, ok, short := s.frame(off)
 		if ok {
-			res.note(off, payload, to)
-			off += frameHead + int64(len(payload))
+			s.visitFrame(off, payload)
+			off += frameHeadSize + int64(len(payload))
 			continue
 		}
-		next := resync(copies, key, off+1)
-		if next < 0 && !s.sealed && short && off > 0 { // the head was synced before anything named the segment
+		next := nextFrame(s.copies, s.seed, off+1)
+		// The head was synced before any manifest named the segment, so it can't have been cut off.
+		if next < 0 && !seg.sealed && short && off > 0 {
 			break // the end, or the beginning of a write that was never acknowledged
 		}
-		to.lost(res.last)
+		s.visitor.visitLost(s.result.last)
 		if next < 0 {
-			end := max(int64(len(copies[0])), int64(len(copies[1])))
-			if s.sealed {
-				end = s.size
-			}
-			res.damaged[0], res.damaged[1] = res.damaged[0]+end-off, res.damaged[1]+end-off
+			s.addDamage(s.end() - off)
 			break
 		}
-		res.damaged[0], res.damaged[1] = res.damaged[0]+next-off, res.damaged[1]+next-off
+		s.addDamage(next - off)
 		off = next
 	}
-	res.size = off
-	return res
+	s.result.size = off
+	return s.result
 }
 
-// note takes in a whole frame.
-func (r *scanned) note(off int64, payload []byte, to reading) {
+// load returns the bytes of a copy, and reads them if that is not done yet.
+func (s *scanner) load(i int) []byte {
+	if s.loaded[i] {
+		return s.copies[i]
+	}
+	s.loaded[i] = true
+	s.bufs[i] = readAll(s.source.dirs[i], s.segment.name(), s.bufs[i])
+	s.copies[i] = s.bufs[i]
+	if s.segment.sealed && int64(len(s.copies[i])) > s.segment.size { // what lies beyond was never acknowledged
+		s.copies[i] = s.copies[i][:s.segment.size]
+	}
+	return s.copies[i]
+}
+
+// frame returns the frame at an offset from the copy that has it, and counts the damage of a copy that lacks what the other has. short means
+// that both copies end before the frame could.
+func (s *scanner) frame(off int64) (payload []byte, ok, short bool) {
+	payload, ok, short = frameAt(s.copies[0], s.seed, off)
+	if ok && !s.loaded[1] {
+		return payload, ok, short
+	}
+	second, secondOK, secondShort := frameAt(s.load(1), s.seed, off)
+	switch {
+	case ok && !secondOK:
+		s.result.damaged[1] += frameHeadSize + int64(len(payload))
+	case !ok && secondOK:
+		s.result.damaged[0] += frameHeadSize + int64(len(second))
+		payload, ok = second, true
+	}
+	return payload, ok, short && secondShort
+}
+
+// visitFrame visits a valid frame.
+func (s *scanner) visitFrame(off int64, payload []byte) {
 	if off == 0 {
-		return // the head; frames tell by themselves where they belong
+		return // the head; the seed already proves where the frames belong
 	}
 	h, err := readHeader(payload)
-	if err != nil { // of a version that is not known here
-		to.lost(r.last)
+	if err != nil { // of an unknown version
+		s.visitor.visitLost(s.result.last)
 		return
 	}
-	r.last = h
-	r.last.key = nil
-	to.record(off, payload, h)
+	s.result.last = h
+	s.result.last.key = nil
+	s.visitor.visitRecord(off, payload, h)
 }
 
-// resync is where the next whole frame begins, or -1.
-func resync(copies [2][]byte, key uint64, from int64) int64 {
+// end returns where the segment ends, as far as that is known.
+func (s *scanner) end() int64 {
+	if s.segment.sealed {
+		return s.segment.size
+	}
+	return max(int64(len(s.copies[0])), int64(len(s.copies[1])))
+}
+
+// addDamage counts bytes that both copies lack.
+func (s *scanner) addDamage(n int64) {
+	s.result.damaged[0] += n
+	s.result.damaged[1] += n
+}
+
+// nextFrame returns the offset of the next valid frame in either copy, or -1.
+func nextFrame(copies [2][]byte, seed uint64, from int64) int64 {
 	for off := from; off < int64(len(copies[0])) || off < int64(len(copies[1])); off++ {
 		for _, c := range copies {
-			if off+frameHead <= int64(len(c)) && c[off] == magic&0xff {
-				if _, ok, _ := frameAt(c, key, off); ok {
-					return off
-				}
+			if off+frameHeadSize > int64(len(c)) || c[off] != magic&0xff {
+				continue
+			}
+			if _, ok, _ := frameAt(c, seed, off); ok {
+				return off
 			}
 		}
 	}
--- a/internal/storage/recordlog/store.go
+++ b/internal/storage/recordlog/store.go
@@ -1,275 +1,211 @@
 package recordlog
 
 import (
-	"errors"
 	"fmt"
-	"log/slog"
 	"saffronquay/internal/broker/logging"
-	"slices"
 	"sync"
 	"sync/atomic"
-	"time"
 )
 
-// Kind tells what a record is about.
-type Kind uint32
-
-// The kinds. Their values are messages of package form.
-const (
-	AtMostOnce Kind = 1 + iota // how a query stands that must not run twice
-	Learned                    // what was learnt of servers
-	Layout                     // the layout in force
-	Cursor                     // an open point in time
-	CursorKey                  // what seals cursors, where no file says
-	Rollout                    // versions of the policy: the voters' log and votes, what is in force, what is staged
-)
-
-// Record is what stands under a key. Times are microseconds of the store's clock.
-type Record struct {
-	Kind      Kind
-	Key       string
-	Value     []byte
-	ExpiresAt int64 // when it may be forgotten; 0: never
-	Deleted   bool  // it takes back what stands there
-	At        int64 // set by the store
-	Seq       uint64
-}
-
-// The ends of an append.
-var (
-	ErrBusy   = errors.New("store: too much waits to be written")
-	ErrClosed = errors.New("store: closed")
-	ErrFenced = errors.New("store: another process has taken it over")
-	// ErrOwned is why a store can't be opened while another process holds it.
-	ErrOwned = errors.New("store: another process holds it")
-	// ErrNoManifest says that neither copy of the root can be read.
-	ErrNoManifest = errors.New("no whole manifest in either copy")
-)
-
-// Log is what the store's users see.
-type Log interface {
-	// Append queues a record. An error says that it was not taken; else done is called once, from the store's goroutine, when the
-	// record is durable, or with why it is not known to be. done must not block.
-	Append(r Record, done func(error)) error
-	// Get is what stands under a key.
-	Get(k Kind, key string) (Record, bool, error)
-	// Each visits what stands under all keys of a kind, in no order.
-	Each(k Kind, visit func(Record)) error
-	// Health is nil, or why the last append failed.
-	Health() error
-	// Now is the store's clock.
-	Now() int64
-	// Unknown lists the spans of which both copies are gone and whose time is not over.
-	LostSpans() []LostSpan
-}
-
-// Options bound a store. Times are microseconds, sizes bytes.
-type Options struct {
-	ID           uint64        // of a store that is made here; drawn at random
-	Now          func() int64  // a clock that never runs backwards
-	MaxRetention int64         // the longest that a record's Until lies ahead of it
-	SegmentSize  int64         // from which on a new segment is begun
-	MaxBatch     int           // records that are synced together; 1: no group commit
-	MaxWaiting   int64         // bytes that wait to be written
-	CleanEvery   time.Duration // 0: only Clean does
-	ScrubEvery   time.Duration // how often one segment's copies are compared, in turn; 0: only Scrub does
-	Serial       bool          // the two copies are written one after the other
-	Log          *slog.Logger  // nil: none
-}
-
-func (o *Options) defaults() {
-	if o.SegmentSize == 0 {
-		o.SegmentSize = 8 << 20
-	}
-	if o.MaxBatch == 0 {
-		o.MaxBatch = 512
-	}
-	if o.MaxWaiting == 0 {
-		o.MaxWaiting = 4 << 20
-	}
-	if o.Log == nil {
-		o.Log = slog.New(slog.DiscardHandler)
-	}
-}
-
-// Store is a Log on disk. Its goroutine is the one writer.
+// Store is a Log on disk. It is safe for concurrent use. One goroutine of it is the only writer; another one cleans. Close ends both.
 type Store struct {
-	j        *journal
-	queue    chan *entry
-	waiting  atomic.Int64 // bytes in the queue
-	turns    chan func()  // run by the writer between batches
-	stop     chan struct{}
-	done     chan struct{}
-	cleaned  chan struct{} // closed when the cleaner has ended
-	health   atomic.Pointer[error]
-	figures  Metrics
-	still    sync.Mutex // nothing is cleaned while it is held
-	scrubbed int        // guarded by still
+	journal      *journal
+	queue        chan *entry
+	waitingBytes atomic.Int64 // of the records in the queue
+	writerTasks  chan func()  // run by the writer between batches
+	stop         chan struct{}
+	writerDone   chan struct{} // closed when the writer has ended
+	cleanerDone  chan struct{} // closed when the cleaner has ended
+	health       atomic.Pointer[error]
+	metrics      Metrics
+
+	maintenance   sync.Mutex // serialises Clean, Scrub and Each, so that no segment is dropped while another one reads it
+	scrubPosition int        // guarded by maintenance
 
-	mu     sync.RWMutex // of closed
+	mu     sync.RWMutex // guards closed; held for reading while a record is queued
 	closed bool
 }
 
-// Figures are what a store counts since its opening.
+// Metrics counts what a store did since it was opened. Appends and Failed are records, Syncs batches, Cleaned segments. Failed is a part of
+// Appends.
 type Metrics struct {
 	Appends, Syncs, Failed, Cleaned atomic.Int64
 }
 
+// queueSize is the maximal number of records that wait to be written.
 const queueSize = 4096
 
-// Open claims a store and reads it. ErrOwned: another process holds it; with force its place is taken all the same, and its appends
-// fail from then on.
+var _ Log = (*Store)(nil)
+
+// Open makes this process the owner of the store in two directories and reads it. Where another process owns it, Open returns ErrOwned; with
+// force it takes the ownership all the same, and that one's appends fail from then on. Damage that the other copy makes up for is logged, and
+// so are lost spans; neither fails Open. The caller must call Close.
 func Open(dirs [2]Dir, opt Options, force bool) (*Store, error) {
-	opt.defaults()
+	opt.setDefaults()
 	j, err := open(dirs, opt, force)
 	if err != nil {
 		return nil, err
 	}
 	s := &Store{
-		j: j, queue: make(chan *entry, queueSize), turns: make(chan func()), stop: make(chan struct{}), done: make(chan struct{}),
-		cleaned: make(chan struct{}),
+		journal: j, queue: make(chan *entry, queueSize), writerTasks: make(chan func()), stop: make(chan struct{}),
+		writerDone: make(chan struct{}), cleanerDone: make(chan struct{}),
 	}
-	for _, file := range j.damage {
+	for _, file := range j.damagedFiles {
 		logging.Warn(opt.Log, logging.StoreDamaged, "file", file)
 	}
-	for _, u := range j.man.unknown {
-		logging.Error(opt.Log, logging.StoreUnknown, "after", u.After, "before", u.Before, "from", u.From, "to", u.To)
+	for _, span := range j.manifest.lostSpans {
+		logging.Error(opt.Log, logging.StoreUnknown, "after", span.After, "before", span.Before, "from", span.From, "to", span.To)
 	}
-	go s.run()
-	go s.tend()
+	go s.runWriter()
+	go s.runCleaner()
 	return s, nil
 }
 
-// Append queues a record.
+// Append implements Log. It returns ErrBusy, ErrClosed, or an error for a record that is larger than MaxValue.
 func (s *Store) Append(r Record, done func(error)) error {
 	size := int64(len(r.Key) + len(r.Value))
 	if size > MaxValue {
 		return fmt.Errorf("store: a record of %d bytes, of %d at most", size, MaxValue)
 	}
-	return s.put(&entry{Record: r, done: done})
+	return s.enqueue(&entry{Record: r, done: done})
 }
 
-func (s *Store) put(e *entry) error {
+// enqueue queues an entry for the writer. A single entry may exceed the bound on waiting bytes where nothing else waits.
+func (s *Store) enqueue(e *entry) error {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	if s.closed {
 		return ErrClosed
 	}
-	size := int64(len(e.Key)+len(e.Value)) + frameHead
-	if s.waiting.Add(size) > s.j.opt.MaxWaiting && s.waiting.Load() > size {
-		s.waiting.Add(-size)
+	size := e.queuedSize()
+	if s.waitingBytes.Add(size) > s.journal.opt.MaxWaiting && s.waitingBytes.Load() > size {
+		s.waitingBytes.Add(-size)
 		return ErrBusy
 	}
 	select {
 	case s.queue <- e:
 		return nil
 	default:
-		s.waiting.Add(-size)
+		s.waitingBytes.Add(-size)
 		return ErrBusy
 	}
 }
 
-// run is the writer. While one batch is synced the next one gathers, so that one sync serves all that wait.
-func (s *Store) run() {
-	defer close(s.done)
+// runWriter is the writer's goroutine. While one batch is synced the next one gathers in the queue, so that one sync serves all that wait.
+func (s *Store) runWriter() {
+	defer close(s.writerDone)
 	var batch []*entry
 	for {
 		batch = batch[:0]
 		select {
 		case e := <-s.queue:
-			batch = append(batch, e)
-		case f := <-s.turns:
-			f()
-			continue
+			batch = s.fillBatch(append(batch, e))
+			s.commitBatch(batch)
+		case task := <-s.writerTasks:
+			task()
 		case <-s.stop:
-			for { // nothing is put any more
-				select {
-				case e := <-s.queue:
-					s.commit([]*entry{e})
-				default:
-					s.j.close()
-					return
-				}
-			}
-		}
-	gather:
-		for len(batch) < s.j.opt.MaxBatch {
-			select {
-			case e := <-s.queue:
-				batch = append(batch, e)
-			default:
-				break gather
-			}
+			s.drainQueue()
+			s.journal.close()
+			return
 		}
-		s.commit(batch)
 	}
 }
 
-func (s *Store) commit(batch []*entry) {
-	err := s.j.commit(batch)
-	s.figures.Syncs.Add(1)
-	s.figures.Appends.Add(int64(len(batch)))
-	if err != nil {
-		s.figures.Failed.Add(int64(len(batch)))
+// fillBatch adds the entries that wait to a batch, up to its maximal size.
+func (s *Store) fillBatch(batch []*entry) []*entry {
+	for len(batch) < s.journal.opt.MaxBatch {
+		select {
+		case e := <-s.queue:
+			batch = append(batch, e)
+		default:
+			return batch
+		}
 	}
-	if was := s.health.Load(); err == nil && was != nil {
-		s.health.Store(nil)
-		logging.Info(s.j.opt.Log, logging.StoreWritesAgain)
-	} else if err != nil {
-		if s.health.Store(&err); was == nil {
-			logging.Error(s.j.opt.Log, logging.StoreFails, "error", err)
+	return batch
+}
+
+// drainQueue commits what waits when the store is closed. Nothing is queued any more.
+func (s *Store) drainQueue() {
+	for {
+		select {
+		case e := <-s.queue:
+			s.commitBatch([]*entry{e})
+		default:
+			return
 		}
 	}
+}
+
+// commitBatch makes a batch durable, records the health of the store and calls the entries' callbacks.
+func (s *Store) commitBatch(batch []*entry) {
+	err := s.journal.commit(batch)
+	s.metrics.Syncs.Add(1)
+	s.metrics.Appends.Add(int64(len(batch)))
+	if err != nil {
+		s.metrics.Failed.Add(int64(len(batch)))
+	}
+	s.recordHealth(err)
 	for _, e := range batch {
-		s.waiting.Add(-int64(len(e.Key)+len(e.Value)) - frameHead)
+		s.waitingBytes.Add(-e.queuedSize())
 		if e.done != nil {
 			e.done(err)
 		}
 	}
 }
 
-// Get is what stands under a key.
-func (s *Store) Get(k Kind, key string) (Record, bool, error) { return s.j.get(k, key) }
+// recordHealth records the result of the last commit, and logs when appends begin to fail and when they succeed again.
+func (s *Store) recordHealth(err error) {
+	previous := s.health.Load()
+	switch {
+	case err == nil && previous != nil:
+		s.health.Store(nil)
+		logging.Info(s.journal.opt.Log, logging.StoreWritesAgain)
+	case err != nil:
+		s.health.Store(&err)
+		if previous == nil {
+			logging.Error(s.journal.opt.Log, logging.StoreFails, "error", err)
+		}
+	}
+}
+
+// Get implements Log. It takes a read of the disk where the key has a record.
+func (s *Store) Get(k Kind, key string) (Record, bool, error) { return s.journal.get(k, key) }
 
-// Each visits what stands under all keys of a kind. It reads the whole log.
+// Each implements Log. It reads the complete log, and waits for cleaning and scrubbing. Records that are appended meanwhile may be missed. It
+// returns no error.
 func (s *Store) Each(k Kind, visit func(Record)) error {
-	s.still.Lock()
-	defer s.still.Unlock()
-	s.j.mu.RLock()
-	segments := slices.Clone(s.j.man.segments)
-	s.j.mu.RUnlock()
-	var bufs buffers
-	for _, seg := range segments {
-		s.j.mu.RLock()
-		frozen := segment{id: seg.id, epoch: seg.epoch, sealed: true, size: seg.size}
-		s.j.mu.RUnlock()
-		scan(s.j.dirs, s.j.man.store, &frozen, header{}, false, &bufs, &each{s.j, frozen.id, k, visit})
+	s.maintenance.Lock()
+	defer s.maintenance.Unlock()
+	var bufs copyBuffers
+	for _, seg := range s.journal.segments() {
+		frozen, _ := s.journal.freeze(seg)
+		visitor := &kindVisitor{journal: s.journal, segmentID: frozen.id, kind: k, visit: visit}
+		scan(s.journal.source(), &frozen, scanOptions{}, &bufs, visitor)
 	}
 	return nil
 }
 
-type each struct {
-	j     *journal
-	id    uint32
-	kind  Kind
-	visit func(Record)
+// kindVisitor visits the records of a kind that are current and not expired.
+type kindVisitor struct {
+	journal   *journal
+	segmentID uint32
+	kind      Kind
+	visit     func(Record)
 }
 
-func (e *each) lost(header) {}
+func (v *kindVisitor) visitLost(header) {}
 
-func (e *each) record(off int64, payload []byte, h header) {
-	if h.kind != e.kind || h.gone || expired(h.until, e.j.now()) {
+func (v *kindVisitor) visitRecord(off int64, payload []byte, h header) {
+	if h.kind != v.kind || h.deleted || isExpired(h.expiresAt, v.journal.now()) {
 		return
 	}
-	e.j.mu.RLock()
-	points := e.j.points(e.j.keyOf(h.kind, h.key), refOf(e.id, off))
-	e.j.mu.RUnlock()
-	if r, err := readRecord(payload); err == nil && points {
-		e.visit(r)
+	current := v.journal.isCurrent(v.journal.keyHash(h.kind, h.key), newRef(v.segmentID, off))
+	if r, err := readRecord(payload); err == nil && current {
+		v.visit(r)
 	}
 }
 
-// Health is why the last append failed.
+// Health implements Log.
 func (s *Store) Health() error {
 	if err := s.health.Load(); err != nil {
 		return *err
@@ -277,45 +213,46 @@
 	return nil
 }
 
-// Now is the store's clock.
-func (s *Store) Now() int64 { return s.j.now() }
+// Now implements Log.
+func (s *Store) Now() int64 { return s.journal.now() }
 
-// Unknown lists the spans whose time is not over.
+// LostSpans implements Log.
 func (s *Store) LostSpans() []LostSpan {
-	now := s.j.now()
-	s.j.mu.RLock()
-	defer s.j.mu.RUnlock()
-	var out []LostSpan
-	for _, u := range s.j.man.unknown {
-		if u.To+s.j.opt.MaxRetention > now {
-			out = append(out, u)
+	now := s.journal.now()
+	s.journal.mu.RLock()
+	defer s.journal.mu.RUnlock()
+	var spans []LostSpan
+	for _, span := range s.journal.manifest.lostSpans {
+		if !s.journal.isOutdated(span, now) {
+			spans = append(spans, span)
 		}
 	}
-	return out
+	return spans
 }
 
-// Figures are what it has counted.
-func (s *Store) Metrics() *Metrics { return &s.figures }
+// Metrics returns the store's counters, which go on counting.
+func (s *Store) Metrics() *Metrics { return &s.metrics }
 
-// Size is what the log takes of each copy's disk, in bytes, and how many keys it knows.
+// Size returns the number of bytes that the log takes in each directory, and the number of keys in the index.
 func (s *Store) Size() (bytes int64, keys int) {
-	s.j.mu.RLock()
-	defer s.j.mu.RUnlock()
-	for _, seg := range s.j.man.segments {
+	s.journal.mu.RLock()
+	defer s.journal.mu.RUnlock()
+	for _, seg := range s.journal.manifest.segments {
 		bytes += seg.size
 	}
-	return bytes, s.j.index.n
+	return bytes, s.journal.index.n
 }
 
-// Close writes what waits, lets the store go and ends its goroutines.
+// Close writes the records that wait, gives up the ownership, and waits until the store's goroutines have ended. Later appends fail with
+// ErrClosed. Close may be called more than once.
 func (s *Store) Close() {
 	s.mu.Lock()
-	was := s.closed
+	alreadyClosed := s.closed
 	s.closed = true
 	s.mu.Unlock()
-	if !was {
+	if !alreadyClosed {
 		close(s.stop)
 	}
-	<-s.done
-	<-s.cleaned
+	<-s.writerDone
+	<-s.cleanerDone
 }
--- a/internal/storage/recordlog/table.go
+++ b/internal/storage/recordlog/table.go
@@ -2,10 +2,10 @@
 
 import "math/bits"
 
-// table maps the hashes of keys to where their records lie, in 16 bytes for each of its slots, of which 64 to 88 of a hundred are in
-// use: 18 to 25 bytes a key. Go's own map takes 36 a key at two million. It grows by three eighths, a 256th of it at a time, so that
-// no insertion waits for all of it and no second copy of it is ever held. Hashes have to be uniform. The zero value is empty. It is
-// not safe for concurrent use.
+// table is a hash table with open addressing, from the hashes of keys to the places of their records. A slot takes 16 bytes, and 64 to 88 of a
+// hundred slots are in use: 18 to 25 bytes for each key, where Go's map takes 36 at two million keys. It grows by three eighths, one of its
+// 256 shards at a time, so that no insertion waits for all of it and there is never a second copy of it. Hashes must be uniform. The zero
+// value is empty. It is not safe for concurrent use.
 type table struct {
 	shards [256]shard
 	n      int
@@ -16,16 +16,16 @@
 	n     int
 }
 
-// slot is empty where its ref is 0: no record lies at the start of segment 0, whose head does.
+// slot is empty where its ref is 0. No record has that ref, since the start of segment 0 is its head.
 type slot struct {
 	hash uint64
 	at   ref
 }
 
-const leastSlots = 8
+const minSlots = 8
 
-// home is where a hash is looked for first: its bits below the shard's, scaled to the number of slots, so that the order of homes is
-// that of the hashes and any number of slots will do.
+// home returns the slot where a hash is looked for first: its bits below those of the shard, scaled to the number of slots, which need not be
+// a power of two.
 func (s *shard) home(hash uint64) int {
 	hi, _ := bits.Mul64(hash<<8, uint64(len(s.slots)))
 	return int(hi)
@@ -38,7 +38,7 @@
 	return i
 }
 
-// find is the slot of a hash, or the empty one where it belongs.
+// find returns the slot of a hash, or the empty one where it belongs.
 func (s *shard) find(hash uint64) int {
 	i := s.home(hash)
 	for s.slots[i].at != 0 && s.slots[i].hash != hash {
@@ -56,7 +56,7 @@
 	return at, at != 0
 }
 
-// set returns what stood there before; 0: nothing did.
+// set stores the place for a hash, and returns the one before; 0: there was none.
 func (t *table) set(hash uint64, at ref) (before ref) {
 	s := &t.shards[hash>>56]
 	if (s.n+1)*8 > len(s.slots)*7 {
@@ -71,9 +71,12 @@
 	return before
 }
 
-func (s *shard) grow() {
+func (s *shard) grow() { s.resize(max(minSlots, len(s.slots)+len(s.slots)*3/8)) }
+
+// resize moves all entries to a new slice of slots.
+func (s *shard) resize(slots int) {
 	old := s.slots
-	s.slots = make([]slot, max(leastSlots, len(old)+len(old)*3/8))
+	s.slots = make([]slot, slots)
 	for _, x := range old {
 		if x.at != 0 {
 			s.slots[s.find(x.hash)] = x
@@ -81,7 +84,7 @@
 	}
 }
 
-// drop takes a hash away. What was pushed behind it by others moves up, so that nothing is marked and lookups stay short.
+// drop removes a hash. Entries that collisions pushed behind it move up, so that no slot has to be marked as deleted and lookups stay short.
 func (t *table) drop(hash uint64) {
 	s := &t.shards[hash>>56]
 	if s.n == 0 {
@@ -94,25 +97,17 @@
 	s.n--
 	t.n--
 	for j := s.next(i); s.slots[j].at != 0; j = s.next(j) {
-		// The one at j may go to i where its home does not lie behind i, up to j.
+		// The entry at j may move to i unless its home is after i, up to j.
 		if h := s.home(s.slots[j].hash); i <= j && (h <= i || h > j) || i > j && h <= i && h > j {
 			s.slots[i] = s.slots[j]
 			i = j
 		}
 	}
 	s.slots[i] = slot{}
-	if len(s.slots) > 4*leastSlots && s.n*4 < len(s.slots) {
+	if len(s.slots) > 4*minSlots && s.n*4 < len(s.slots) {
 		s.shrink()
 	}
 }
 
-// shrink gives memory back after many keys have been forgotten.
-func (s *shard) shrink() {
-	old := s.slots
-	s.slots = make([]slot, max(leastSlots, s.n*3/2))
-	for _, x := range old {
-		if x.at != 0 {
-			s.slots[s.find(x.hash)] = x
-		}
-	}
-}
+// shrink frees memory after many keys were removed.
+func (s *shard) shrink() { s.resize(max(minSlots, s.n*3/2)) }
--- a/internal/storage/recordlog/table_test.go
+++ b/internal/storage/recordlog/table_test.go
@@ -8,7 +8,7 @@
 	_ "saffronquay/internal/testing/harness/steady"
 )
 
-// The table holds what a map holds, also where many hashes share a home.
+// The table has the same entries as a map, also where many hashes share a home.
 func TestTable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var x table
@@ -20,11 +20,11 @@
 			k := uint64(rng.IntN(keys))
 			hash := mix(k)>>8 | uint64(rng.IntN(shards)*0+int(k)%shards)<<56
 			if keys == 20 {
-				hash &^= 0x00ffff0000000000 // they meet
+				hash &^= 0x00ffff0000000000 // they collide
 			}
 			if rng.IntN(3) > 0 {
 				if before := x.set(hash, ref(i+1)); before != want[hash] {
-					t.Fatalf("%x: stood %d, want %d", hash, before, want[hash])
+					t.Fatalf("%x: replaced %d, want %d", hash, before, want[hash])
 				}
 				want[hash] = ref(i + 1)
 			} else {
