--- a/internal/scheduler/configuration/doc.go
+++ b/internal/scheduler/configuration/doc.go
@@ -13,7 +13,7 @@
 //
 // # Concurrency and errors
 //
-// A Table never changes and may be used from any goroutine, as long as the Document is not changed that it was made of. The functions keep no
+// A Table never changes and may be used from any goroutine, as long as the Document that it was made of is not changed. The functions keep no
 // state and do not refer to their input after they return. Errors begin with "configuration:" or with the place of the fault in the document,
 // such as "routes[2] (name).timeoutMs:"; Parse reports all faults that it finds, joined by errors.Join.
 package configuration
--- a/internal/scheduler/settings/settings.go
+++ b/internal/scheduler/settings/settings.go
@@ -1,12 +1,8 @@
-// Package settings reads the settings file of a process: who it is, where it listens, what its machine has, and the bounds that its
-// deployment sets. Keys that it does not know are ignored.
 package settings
 
 import (
 	"errors"
 	"fmt"
-	"net"
-	"net/netip"
 	"os"
 	"saffronquay/internal/scheduler/featuregate"
 	"strings"
@@ -15,78 +11,97 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// EnvironmentVariable names the environment variable that holds the file's path.
+// EnvironmentVariable is the name of the environment variable with the path of the settings file.
 const EnvironmentVariable = "SAFFRONQUAY_SETTINGS"
 
-// What a process may serve.
+// The values of Settings.Serves.
 const (
-	ServesEdge         = "edge"
-	ServesControlPlane = "control_plane"
-	ServesStorage      = "storage"
+	ServesEdge         = "edge"          // clients' requests
+	ServesControlPlane = "control_plane" // replicas of the directory and the registry
+	ServesStorage      = "storage"       // replicas of the batch job shards
 )
 
-// Settings are what the file says.
+// Settings is the content of a settings file. Fields marked as not read have no effect in the scheduler.
 type Settings struct {
-	NodeName        string            `toml:"nodeName"`
-	Role            string            `toml:"role"`
-	MachineClass    string            `toml:"machineClass"`
-	Serves          []string          `toml:"serves"`
-	IP              string            `toml:"ip"`
-	Zone            string            `toml:"zone"`
-	Region          string            `toml:"region"`
-	PortRange       []int             `toml:"portRange"`
-	Seeds           []string          `toml:"seeds"`
-	Bootstrap       bool              `toml:"bootstrap"`
-	CountsForQuorum bool              `toml:"countsForQuorum"`
-	DataDir         string            `toml:"dataDir"`
-	HeartbeatMS     int64             `toml:"heartbeatMs"`
-	Contracts       []string          `toml:"contracts"`
-	Zones           map[string]string `toml:"zones"`
+	NodeName        string            `toml:"nodeName"`        // of the machine; no other one has it
+	Role            string            `toml:"role"`            // not read
+	MachineClass    string            `toml:"machineClass"`    // not read
+	Serves          []string          `toml:"serves"`          // the Serves constants
+	IP              string            `toml:"ip"`              // of the machine, for the processes of the scheduler
+	Zone            string            `toml:"zone"`            // of the machine
+	Region          string            `toml:"region"`          // not read
+	PortRange       []int             `toml:"portRange"`       // the first and the last port that the process may use
+	Seeds           []string          `toml:"seeds"`           // addresses of the control plane's machines, with a port
+	Bootstrap       bool              `toml:"bootstrap"`       // the control plane's machines that Seeds names found the replica groups at the first start
+	CountsForQuorum bool              `toml:"countsForQuorum"` // not read
+	DataDir         string            `toml:"dataDir"`         // of the log, the snapshots and the identity
+	HeartbeatMS     int64             `toml:"heartbeatMs"`     // interval of workers' heartbeats
+	Contracts       []string          `toml:"contracts"`       // not read
+	Zones           map[string]string `toml:"zones"`           // not read
 	Listen          Listen            `toml:"listen"`
 	Limits          Limits            `toml:"limits"`
 	Tolerance       Tolerance         `toml:"faultTolerance"`
 	Bounds          Bounds            `toml:"bounds"`
-	FeatureGates    featuregate.Gates `toml:"decisions"`
+	FeatureGates    featuregate.Gates `toml:"decisions"` // the mechanisms that are in use
 }
 
-// Listen holds the addresses for what the role serves.
+// Listen has the addresses with port of the interfaces that a process offers outside the scheduler. An empty one passes
+// the check.
 type Listen struct {
-	Frontend     string `toml:"frontend"`
-	Readiness    string `toml:"readiness"`
-	ControlPlane string `toml:"controlPlane"`
+	Frontend     string `toml:"frontend"`     // clients' requests
+	Readiness    string `toml:"readiness"`    // readiness checks
+	ControlPlane string `toml:"controlPlane"` // workers' heartbeats and the operator
 }
 
-// Limits are what the machine grants the process.
+// Limits are what the machine grants the process. 0 means that no limit is set.
 type Limits struct {
-	CPUShare float64 `toml:"cpuShare"`
-	Cores    int     `toml:"cores"`
-	MemoryMB int64   `toml:"memoryMb"`
-	MaxFDs   int     `toml:"maxFds"`
-	LinkMbps float64 `toml:"linkMbps"`
-	DiskMB   int64   `toml:"diskMb"`
+	CPUShare float64 `toml:"cpuShare"` // not read
+	Cores    int     `toml:"cores"`    // not read
+	MemoryMB int64   `toml:"memoryMb"` // the memory limit of the Go runtime is a part of it
+	MaxFDs   int     `toml:"maxFds"`   // not read
+	LinkMbps float64 `toml:"linkMbps"` // not read
+	DiskMB   int64   `toml:"diskMb"`   // the log of a shard of batch jobs is compacted when it takes a part of it
 }
 
-// Tolerance is what may be lost at once while all rules are kept.
+// Tolerance is what the deployment must bear to lose at the same time.
 type Tolerance struct {
-	Machines int `toml:"machines"`
-	Zones    int `toml:"zones"`
-	Regions  int `toml:"regions"`
+	Machines int `toml:"machines"` // decides the size of the replica groups
+	Zones    int `toml:"zones"`    // not read
+	Regions  int `toml:"regions"`  // not read
 }
 
-// Bounds are figures of the rules. Names that end in S are seconds, those in MS milliseconds.
+// Bounds are the deployment's times. Names ending in S are seconds, in MS milliseconds.
 type Bounds struct {
-	ContactMS       float64 `toml:"contactMs"`
-	CatchUpS        float64 `toml:"catchUpS"`
-	DrainMS         float64 `toml:"drainMs"`
-	GraceS          float64 `toml:"graceS"`
-	PropagationMS   float64 `toml:"propagationMs"`
-	StatusIntervalS float64 `toml:"statusIntervalS"`
-	CancelMS        float64 `toml:"cancelMs"`
-	Fencing         bool    `toml:"fencing"`
-	LeaseMS         float64 `toml:"leaseMs"`
+	ContactMS       float64 `toml:"contactMs"`       // not read
+	CatchUpS        float64 `toml:"catchUpS"`        // not read
+	DrainMS         float64 `toml:"drainMs"`         // not read
+	GraceS          float64 `toml:"graceS"`          // from SIGTERM to the end of a proxy
+	PropagationMS   float64 `toml:"propagationMs"`   // not read
+	StatusIntervalS float64 `toml:"statusIntervalS"` // how long a batch job's results stay after its end, at least
+	CancelMS        float64 `toml:"cancelMs"`        // not read
+	Fencing         bool    `toml:"fencing"`         // workers check fencing tokens: then LeaseMS need not pass once the other machine's process has ended
+	LeaseMS         float64 `toml:"leaseMs"`         // how long a process must own a registry shard before it sends orders to workers that another machine sent orders to
 }
 
-// Load reads and checks the file at a path.
+// defaults are the settings of an empty file.
+func defaults() *Settings {
+	return &Settings{
+		HeartbeatMS: 1000,
+		Bounds: Bounds{
+			ContactMS:       3000,
+			CatchUpS:        5,
+			DrainMS:         2000,
+			GraceS:          8,
+			PropagationMS:   2000,
+			StatusIntervalS: 120,
+			CancelMS:        3000,
+			LeaseMS:         3000,
+		},
+		FeatureGates: featuregate.All(),
+	}
+}
+
+// Load reads and checks the file at a path. The error names the path, and all faults with their keys.
 func Load(path string) (*Settings, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -99,104 +114,26 @@
 	return s, nil
 }
 
-// Parse reads and checks a file's text. All faults are named at once, each with its key.
+// Parse reads and checks the text of a file. Text that is not TOML or has a value of a wrong type is reported with its position; otherwise the
+// error joins all faults, each with its key, and the settings are returned with it.
 func Parse(text []byte) (*Settings, error) {
-	s := &Settings{HeartbeatMS: 1000, Bounds: Bounds{
-		ContactMS: 3000, CatchUpS: 5, DrainMS: 2000, GraceS: 8, PropagationMS: 2000,
-		StatusIntervalS: 120, CancelMS: 3000, LeaseMS: 3000,
-	}, FeatureGates: featuregate.All()}
+	s := defaults()
 	if err := toml.Unmarshal(text, s); err != nil {
-		var at *toml.DecodeError
-		if errors.As(err, &at) {
-			row, column := at.Position()
-			return nil, fmt.Errorf("line %d, column %d, key %s: %w", row, column, strings.Join(at.Key(), "."), err)
+		var decodeError *toml.DecodeError
+		if errors.As(err, &decodeError) {
+			row, column := decodeError.Position()
+			return nil, fmt.Errorf("line %d, column %d, key %s: %w", row, column, strings.Join(decodeError.Key(), "."), err)
 		}
 		return nil, err
 	}
 	return s, s.check()
 }
 
-func (s *Settings) check() error {
-	var faults []error
-	fault := func(key, format string, values ...any) {
-		faults = append(faults, fmt.Errorf("%s: %s", key, fmt.Sprintf(format, values...)))
-	}
-	if s.NodeName == "" {
-		fault("nodeName", "is missing")
-	}
-	if _, err := netip.ParseAddr(s.IP); err != nil {
-		fault("ip", "%q is no address", s.IP)
-	}
-	if len(s.PortRange) != 2 || s.PortRange[0] < 1 || s.PortRange[1] < s.PortRange[0]+reservedPorts-1 || s.PortRange[1] > 65535 {
-		fault("portRange", "want the first and the last of %d ports or more, not %v", reservedPorts, s.PortRange)
-	}
-	for i, seed := range s.Seeds {
-		if _, err := netip.ParseAddrPort(seed); err != nil {
-			fault(fmt.Sprintf("seeds[%d]", i), "%q is no address with a port", seed)
-		}
-	}
-	for key, address := range map[string]string{"listen.frontend": s.Listen.Frontend, "listen.readiness": s.Listen.Readiness, "listen.controlPlane": s.Listen.ControlPlane} {
-		if _, err := netip.ParseAddrPort(address); address != "" && err != nil {
-			fault(key, "%q is no address with a port", address)
-		}
-	}
-	for key, value := range map[string]float64{"heartbeatMs": float64(s.HeartbeatMS), "bounds.graceS": s.Bounds.GraceS, "bounds.leaseMs": s.Bounds.LeaseMS} {
-		if value <= 0 {
-			fault(key, "want more than 0, not %v", value)
-		}
-	}
-	if s.Tolerance.Machines < 0 {
-		fault("faultTolerance.machines", "want 0 or more, not %d", s.Tolerance.Machines)
-	}
-	if err := s.FeatureGates.Check(); err != nil {
-		fault("decisions.policy", "%v", err)
-	}
-	return errors.Join(faults...)
-}
-
-// The ports of portRange that the processes of a machine use between each other.
-const (
-	peerPort = iota
-	gossipPort
-	agentPort
-	agentGossipPort
-	reservedPorts
-)
-
-func (s *Settings) address(port int) string {
-	return net.JoinHostPort(s.IP, fmt.Sprint(s.PortRange[0]+port))
-}
-
-// PeerAddress is where the process answers calls of others of the system.
-func (s *Settings) PeerAddress() string { return s.address(peerPort) }
-
-// GossipAddress is where it takes part in the membership protocol.
-func (s *Settings) GossipAddress() string { return s.address(gossipPort) }
-
-// AgentAddress is where the agent of a machine answers the proxy beside it.
-func (s *Settings) AgentAddress() string { return s.address(agentPort) }
-
-// PeerAddressOf is the peer address of the machine that an address of any kind belongs to. Ports are the same on all machines.
-func (s *Settings) PeerAddressOf(address string) string { return s.addressOnHostOf(address, peerPort) }
-
-// GossipAddressOf is the address of the membership protocol on the machine that an address belongs to.
-func (s *Settings) GossipAddressOf(address string) string {
-	return s.addressOnHostOf(address, gossipPort)
-}
-
-func (s *Settings) addressOnHostOf(address string, port int) string {
-	host, _, err := net.SplitHostPort(address)
-	if err != nil {
-		return ""
-	}
-	return net.JoinHostPort(host, fmt.Sprint(s.PortRange[0]+port))
-}
-
-// GroupSize is the number of replicas that bears the loss of as many machines as the deployment names.
+// GroupSize returns the number of replicas of a group that keeps a majority after the loss of Tolerance.Machines machines, at least 3.
 func (s *Settings) GroupSize() int { return 2*max(s.Tolerance.Machines, 1) + 1 }
 
-// Milliseconds turns a bound into a duration.
+// Milliseconds returns a bound in milliseconds as a duration.
 func Milliseconds(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
-// Seconds turns a bound into a duration.
+// Seconds returns a bound in seconds as a duration.
 func Seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/internal/scheduler/settings/settings_test.go
+++ b/internal/scheduler/settings/settings_test.go
@@ -8,7 +8,8 @@
 	"github.com/matryer/is"
 )
 
-const good = `
+// validFile is a file with the keys that have no default, and one that the package does not have.
+const validFile = `
 nodeName = "edge-a-1"
 ip = "10.1.0.38"
 zone = "a"
@@ -23,9 +24,10 @@
 fencing = true
 `
 
+// Addresses, the group's size and the feature gates of a valid file.
 func TestParse(t *testing.T) {
 	is := is.New(t)
-	s, err := Parse([]byte(good))
+	s, err := Parse([]byte(validFile))
 	is.NoErr(err)
 	is.Equal(s.PeerAddress(), "10.1.0.38:7380")
 	is.Equal(s.GossipAddressOf("10.9.0.1:8144"), "10.9.0.1:7381")
@@ -34,16 +36,17 @@
 	is.Equal(s.FeatureGates, featuregate.All())
 }
 
+// A key of the section decisions disables one feature gate and leaves the others as they are.
 func TestFeatureGatesAreDisabledOneByOne(t *testing.T) {
 	is := is.New(t)
-	s, err := Parse([]byte(good + "[decisions]\nnearbyWorkers = false\n"))
+	s, err := Parse([]byte(validFile + "[decisions]\nnearbyWorkers = false\n"))
 	is.NoErr(err)
 	want := featuregate.All()
 	want.NearbyWorkers = false
 	is.Equal(s.FeatureGates, want)
 }
 
-// All faults are named at once, each with its key.
+// All faults are reported together, each with its key. A value of a wrong type is reported with its key.
 func TestFaultsNameTheirKeys(t *testing.T) {
 	is := is.New(t)
 	_, err := Parse([]byte(`
@@ -61,7 +64,7 @@
 	is.True(err != nil)
 	for _, key := range []string{"nodeName", "ip", "portRange", "seeds[0]", "listen.frontend", "bounds.graceS", "decisions.policy"} {
 		if !strings.Contains(err.Error(), key+":") {
-			t.Errorf("%s is not named: %v", key, err)
+			t.Errorf("%s is not in the error: %v", key, err)
 		}
 	}
 	_, err = Parse([]byte("nodeName = 3\n"))
--- a/internal/scheduler/settings/source.go
+++ b/internal/scheduler/settings/source.go
@@ -6,34 +6,36 @@
 	"time"
 )
 
-// Source gives the settings as the file has them now: it is looked at again where it has changed, which may happen without any signal.
+// checkInterval is the least time between two checks whether the file was changed.
+const checkInterval = time.Second
+
+// Override changes settings after they were read from the file, as the command line says. It is called for each version of the file.
+type Override func(*Settings)
+
+// Source has the settings that are in force. It reads the file again after it was changed, which takes no signal.
 type Source struct {
 	path     string
 	override Override
 
 	mu         sync.Mutex
 	current    *Settings
-	modifiedAt time.Time
+	modifiedAt time.Time // modification time of the file as it was last read by Current
 	checkedAt  time.Time
 }
 
-// checkInterval bounds how often the file is looked at.
-const checkInterval = time.Second
-
-// Override changes settings after they were read, as the command line says.
-type Override func(*Settings)
-
-// NewSource reads a file for the first time.
-func NewSource(path string, overrule Override) (*Source, error) {
+// NewSource reads the file at a path and applies override, which must not be nil. The error is that of Load.
+func NewSource(path string, override Override) (*Source, error) {
 	s, err := Load(path)
 	if err != nil {
 		return nil, err
 	}
-	overrule(s)
-	return &Source{path: path, override: overrule, current: s, checkedAt: time.Now()}, nil
+	override(s)
+	return &Source{path: path, override: override, current: s, checkedAt: time.Now()}, nil
 }
 
-// Current returns the newest settings that could be read.
+// Current returns the newest settings that could be read. At most every checkInterval it checks the file's modification time, and reads the
+// file if that is new. A file that cannot be read or has faults is ignored until its modification time is another one. The settings are shared
+// and must not be changed.
 func (s *Source) Current() *Settings {
 	s.mu.Lock()
 	defer s.mu.Unlock()
