--- a/cmd/saffronquay-system/account.go
+++ b/cmd/saffronquay-system/account.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"errors"
+	"io"
 	"os"
 	"path/filepath"
 	"saffronquay/internal/scheduler/dayreport"
@@ -10,7 +11,7 @@
 	"github.com/urfave/cli/v3"
 )
 
-// accountCommand tells where the worth of played days went.
+// accountCommand returns the command that breaks down the scores of played days (package dayreport).
 func accountCommand() *cli.Command {
 	return &cli.Command{
 		Name: "account", Usage: "tell where the worth of played days went, from their reports", ArgsUsage: "REPORT...",
@@ -20,15 +21,7 @@
 				return errors.New("account: want the paths of reports")
 			}
 			for _, path := range c.Args().Slice() {
-				text, err := os.ReadFile(path)
-				if err != nil {
-					return err
-				}
-				report, err := dayreport.Parse(text)
-				if err != nil {
-					return err
-				}
-				if err := report.Write(c.Root().Writer, filepath.Base(path), c.Int("tolerance")); err != nil {
+				if err := writeBreakdown(c.Root().Writer, path, c.Int("tolerance")); err != nil {
 					return err
 				}
 			}
@@ -36,3 +29,16 @@
 		},
 	}
 }
+
+// writeBreakdown writes the breakdown of one report, titled with the name of its file.
+func writeBreakdown(out io.Writer, path string, tolerance int) error {
+	text, err := os.ReadFile(path)
+	if err != nil {
+		return err
+	}
+	report, err := dayreport.Parse(text)
+	if err != nil {
+		return err
+	}
+	return report.Write(out, filepath.Base(path), tolerance)
+}
--- a/cmd/saffronquay-system/help_test.go
+++ b/cmd/saffronquay-system/help_test.go
@@ -12,7 +12,7 @@
 	"github.com/urfave/cli/v3"
 )
 
-// The help of each command is as the golden file has it. SAFFRONQUAY_GOLDEN=write in the environment writes that anew.
+// The help of each command equals the golden file. SAFFRONQUAY_GOLDEN=write in the environment writes the file anew.
 func TestGoldenHelp(t *testing.T) {
 	is := is.New(t)
 	t.Setenv(settings.EnvironmentVariable, "")
@@ -28,10 +28,10 @@
 	is.Equal(help.String(), string(want))
 }
 
-// writeHelp writes the help of a command and of all below it; names are the words that lead to it.
+// writeHelp writes the help of a command and of all its subcommands; names are the command line that leads to it.
 func writeHelp(t *testing.T, c *cli.Command, names []string, help *bytes.Buffer) {
 	t.Helper()
-	fresh := command() // a command that has run is not to run again
+	fresh := command() // a command that has run must not run again
 	fresh.Writer, fresh.ErrWriter = help, help
 	words := append([]string{fresh.Name}, names...)
 	is.New(t).NoErr(fresh.Run(context.Background(), append(words, "--help")))
--- a/cmd/saffronquay-system/model.go
+++ b/cmd/saffronquay-system/model.go
@@ -3,13 +3,14 @@
 import (
 	"context"
 	"fmt"
+	"io"
 	"saffronquay/internal/scheduler/simulation"
 	"strings"
 
 	"github.com/urfave/cli/v3"
 )
 
-// modelCommand plays the control side in virtual time.
+// modelCommand returns the command that plays the control plane in virtual time (package simulation).
 func modelCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "model",
@@ -26,6 +27,7 @@
 	}
 }
 
+// faultNames lists the mistakes that can be seeded, with their numbers, for the help.
 func faultNames() string {
 	var names strings.Builder
 	for i, bug := range simulation.Bugs {
@@ -34,7 +36,7 @@
 	return names.String()
 }
 
-// seededFault is the mistake that a flag names by its number or its text.
+// seededFault returns the mistake that the flag --fault names, by its number or its text; NoBug where it is empty.
 func seededFault(name string) (simulation.Bug, error) {
 	if name == "" {
 		return simulation.NoBug, nil
@@ -47,22 +49,34 @@
 	return simulation.NoBug, fmt.Errorf("--fault: want a number from 1 to %d or the text of a mistake, not %q", len(simulation.Bugs), name)
 }
 
+// playModel plays histories in virtual time: one with its trace, or many with a sum of their reports. It returns an error where a history breaks
+// a rule.
 func playModel(_ context.Context, c *cli.Command) error {
 	bug, err := seededFault(c.String("fault"))
 	if err != nil {
 		return err
 	}
-	out := c.Root().Writer
+	out, first := c.Root().Writer, c.Uint64("first")
 	if c.Bool("trace") {
-		options := simulation.Seeded(c.Uint64("first"), bug)
-		options.Trace = func(format string, values ...any) { fmt.Fprintf(out, format+"\n", values...) }
-		report, err := simulation.Play(options)
-		fmt.Fprintf(out, "%+v\n", report)
-		return err
+		return traceHistory(out, first, bug)
 	}
+	return scanHistories(out, first, c.Uint64("seeds"), bug)
+}
+
+// traceHistory plays the history of a seed and prints what happens in it.
+func traceHistory(out io.Writer, seed uint64, bug simulation.Bug) error {
+	options := simulation.Seeded(seed, bug)
+	options.Trace = func(format string, values ...any) { fmt.Fprintf(out, format+"\n", values...) }
+	report, err := simulation.Play(options)
+	fmt.Fprintf(out, "%+v\n", report)
+	return err
+}
+
+// scanHistories plays the histories of consecutive seeds and prints those that break a rule, and the sum of all reports.
+func scanHistories(out io.Writer, first, seeds uint64, bug simulation.Bug) error {
 	var total simulation.Report
 	broken := 0
-	simulation.Scan(c.Uint64("first"), c.Uint64("seeds"), bug, func(r simulation.Result) bool {
+	simulation.Scan(first, seeds, bug, func(r simulation.Result) bool {
 		total.Add(r.Report)
 		if r.Err != nil {
 			broken++
@@ -70,7 +84,7 @@
 		}
 		return true
 	})
-	fmt.Fprintf(out, "%+v\nseeds %d, broken %d\n", total, c.Uint64("seeds"), broken)
+	fmt.Fprintf(out, "%+v\nseeds %d, broken %d\n", total, seeds, broken)
 	if broken > 0 {
 		return fmt.Errorf("%d histories broke a rule", broken)
 	}
--- /dev/null
+++ b/internal/scheduler/metrics/endpoint.go
@@ -0,0 +1,65 @@
+package metrics
+
+import (
+	"context"
+	"fmt"
+	"net"
+	"strconv"
+	"strings"
+	"time"
+
+	"github.com/VictoriaMetrics/metrics"
+	"github.com/valyala/fasthttp"
+)
+
+const (
+	readTimeout     = 5 * time.Second
+	readBufferBytes = 1 << 10
+	maxConnections  = 8
+	maxPort         = 65535
+)
+
+// Endpoint is the port and path at which a process exports its metrics.
+type Endpoint struct {
+	Port int
+	Path string // begins with a slash
+}
+
+// ParseEndpoint parses the form PORT/PATH that the command line has. The error quotes the text.
+func ParseEndpoint(text string) (Endpoint, error) {
+	portText, path, found := strings.Cut(text, "/")
+	port, err := strconv.Atoi(portText)
+	if err != nil || !found || path == "" || port < 1 || port > maxPort {
+		return Endpoint{}, fmt.Errorf("metrics: want PORT/PATH, not %q", text)
+	}
+	return Endpoint{Port: port, Path: "/" + path}, nil
+}
+
+// Start begins to export the metrics at an address of this machine and returns. The export goes on until the process ends; ctx bounds only the
+// start. It returns an error where the address can't be listened on. onError is called from another goroutine if the export fails later.
+func (e Endpoint) Start(ctx context.Context, ip string, onError func(error)) error {
+	var config net.ListenConfig
+	listener, err := config.Listen(ctx, "tcp4", net.JoinHostPort(ip, strconv.Itoa(e.Port)))
+	if err != nil {
+		return fmt.Errorf("metrics: %w", err)
+	}
+	server := &fasthttp.Server{
+		Handler: e.handle, NoDefaultServerHeader: true, ReadTimeout: readTimeout, ReadBufferSize: readBufferBytes, Concurrency: maxConnections,
+	}
+	go func() {
+		if err := server.Serve(listener); err != nil {
+			onError(fmt.Errorf("metrics: %w", err))
+		}
+	}()
+	return nil
+}
+
+// handle answers a request: 404 for another path.
+func (e Endpoint) handle(ctx *fasthttp.RequestCtx) {
+	if string(ctx.Path()) != e.Path {
+		ctx.SetStatusCode(fasthttp.StatusNotFound)
+		return
+	}
+	ctx.SetContentType("text/plain; version=0.0.4")
+	metrics.WritePrometheus(ctx, true)
+}
--- a/internal/scheduler/metrics/metrics.go
+++ b/internal/scheduler/metrics/metrics.go
@@ -1,25 +1,20 @@
-// Package metrics counts what a process does and tells it in Prometheus' text format. Counting is lock-free and costs some nanoseconds; a
-// counter takes memory once, with the first count.
 package metrics
 
 import (
-	"fmt"
-	"net"
 	"strconv"
 	"strings"
 	"time"
 
 	"github.com/VictoriaMetrics/metrics"
-	"github.com/valyala/fasthttp"
 )
 
-// prefix stands before all names.
+// prefix begins all names.
 const prefix = "saffronquay_"
 
-// Label is a dimension of a figure.
+// Label is a dimension of a metric.
 type Label struct{ Name, Value string }
 
-// series is the full name of a figure.
+// series returns the full name of a metric, with its labels.
 func series(name string, labels []Label) string {
 	if len(labels) == 0 {
 		return prefix + name
@@ -31,80 +26,40 @@
 	return prefix + name + "{" + strings.Join(parts, ",") + "}"
 }
 
-// Counter returns the counter of a name and labels; the same one each time.
+// Counter returns the counter of a name and labels. Equal arguments in the same order return the same counter.
 func Counter(name string, labels ...Label) *metrics.Counter {
 	return metrics.GetOrCreateCounter(series(name, labels))
 }
 
-// Forget ends the figure of a name and labels.
+// Unregister removes the metric of a name and labels from the export. A counter that a caller has kept counts on unseen.
 func Unregister(name string, labels ...Label) {
 	metrics.UnregisterMetric(series(name, labels))
 }
 
-// Durations returns the histogram of a name and labels, in seconds.
+// DurationHistogram returns the histogram of a name and labels, whose values are seconds. Equal arguments in the same order return the same
+// histogram.
 func DurationHistogram(name string, labels ...Label) *metrics.Histogram {
 	return metrics.GetOrCreateHistogram(series(name, labels))
 }
 
-// Gauge has a figure told that is worked out when it is asked for.
+// GaugeFunc registers a gauge whose value is computed with each export. value has to be safe for concurrent use. A second call for the same
+// name and labels has no effect.
 func GaugeFunc(name string, value func() float64, labels ...Label) {
 	metrics.GetOrCreateGauge(series(name, labels), value)
 }
 
 var processStart = time.Now()
 
-// Phase notes that a phase of this process's start is over, once: the seconds since the process began.
+// RecordStartPhase sets the gauge phase_seconds of a phase of the process's start to the seconds since the process began. Only the first call
+// for a phase has an effect.
 func RecordStartPhase(name string) {
-	series := series("phase_seconds", []Label{{"phase", name}})
-	if gauge := metrics.GetOrCreateGauge(series, nil); gauge.Get() == 0 {
+	gauge := metrics.GetOrCreateGauge(series("phase_seconds", []Label{{"phase", name}}), nil)
+	if gauge.Get() == 0 {
 		gauge.Set(time.Since(processStart).Seconds())
 	}
 }
 
-// Endpoint is where a process tells its figures.
-type Endpoint struct {
-	Port int
-	Path string
-}
-
-// ParseEndpoint reads PORT/PATH, as deploy files have it.
-func ParseEndpoint(text string) (e Endpoint, err error) {
-	port, path, found := strings.Cut(text, "/")
-	if e.Port, err = strconv.Atoi(port); err != nil || !found || path == "" || e.Port < 1 || e.Port > 65535 {
-		return Endpoint{}, fmt.Errorf("metrics: want PORT/PATH, not %q", text)
-	}
-	e.Path = "/" + path
-	return e, nil
-}
-
-const (
-	readTimeout = 5 * time.Second
-	readBuffer  = 1 << 10
-	// connectionsMost bounds those who ask at once.
-	maxConnections = 8
-)
-
-// Serve answers at an address of this machine until the process ends.
-func (e Endpoint) Serve(ip string) error {
-	listener, err := net.Listen("tcp4", net.JoinHostPort(ip, strconv.Itoa(e.Port)))
-	if err != nil {
-		return fmt.Errorf("metrics: %w", err)
-	}
-	server := &fasthttp.Server{Handler: e.handle, NoDefaultServerHeader: true, ReadTimeout: readTimeout, ReadBufferSize: readBuffer, Concurrency: maxConnections}
-	go server.Serve(listener)
-	return nil
-}
-
-func (e Endpoint) handle(ctx *fasthttp.RequestCtx) {
-	if string(ctx.Path()) != e.Path {
-		ctx.SetStatusCode(fasthttp.StatusNotFound)
-		return
-	}
-	ctx.SetContentType("text/plain; version=0.0.4")
-	metrics.WritePrometheus(ctx, true)
-}
-
-// Text is all figures but those of the process itself, for logs.
+// Text returns all metrics in Prometheus' text format, but for those of the Go runtime and the operating system. It is for logs.
 func Text() string {
 	var b strings.Builder
 	metrics.WritePrometheus(&b, false)
--- a/internal/scheduler/metrics/metrics_test.go
+++ b/internal/scheduler/metrics/metrics_test.go
@@ -23,7 +23,7 @@
 	is.Equal(ctx.Response.StatusCode(), fasthttp.StatusNotFound)
 }
 
-// A phase is noted once: what happens again later is no part of the start.
+// Only the first call for a phase counts: what happens again later is no part of the start.
 func TestStartPhaseIsRecordedOnce(t *testing.T) {
 	is := is.New(t)
 	RecordStartPhase("test")
@@ -41,7 +41,7 @@
 	}
 }
 
-// What counting costs: a counter that is kept, and one that is looked up by its labels.
+// BenchmarkCounters measures a counter that the caller keeps, one that is looked up by its labels, and the export.
 func BenchmarkCounters(b *testing.B) {
 	kept := Counter("bench_total")
 	b.Run("kept", func(b *testing.B) {
@@ -55,7 +55,7 @@
 			Counter("bench_total", Label{"kind", "request"}, Label{"verdict", "served"}).Inc()
 		}
 	})
-	b.Run("told", func(b *testing.B) {
+	b.Run("exported", func(b *testing.B) {
 		b.ReportAllocs()
 		for b.Loop() {
 			Text()
