--- a/internal/scheduler/dayreport/account_test.go
+++ b/internal/scheduler/dayreport/report_test.go
@@ -13,27 +13,29 @@
 "nodes":[{"role":"agent","class":"front","n":60,"cpu_mean":0.003},{"role":"proxy","class":"front","n":60},{"role":"steward","class":"core","n":5},{"role":"store","class":"store","n":11}],
 "classes":[{"name":"a","n":10,"late":2,"refused":0,"failed":1,"worth":0.95},{"name":"b","n":5,"worth":1}],"services":[{"name":"pool","arrivals":9,"not_run":1}]}`
 
+// Losses are sorted by cost, those without cost are left out, and bounds follow from the rest of the report.
 func TestLosses(t *testing.T) {
 	is := is.New(t)
 	r, err := Parse([]byte(report))
 	is.NoErr(err)
-	lines := r.Losses(2)
-	is.Equal(lines[0].Name, "machine-seconds")
-	is.True(math.Abs(lines[0].Bound-0.019*70/76) < 1e-9)
-	is.Equal(lines[1].Name, "worst class")
-	is.True(math.Abs(lines[1].Cost-0.015) < 1e-9)
-	for _, l := range lines {
+	losses := r.Losses(2)
+	is.Equal(losses[0].Name, "machine-seconds")
+	is.True(math.Abs(losses[0].Bound-0.019*70/76) < 1e-9)
+	is.Equal(losses[1].Name, "worst class")
+	is.True(math.Abs(losses[1].Cost-0.015) < 1e-9)
+	for _, l := range losses {
 		switch l.Name {
 		case "loads of weights":
 			is.Equal(l.Bound, 0.0)
 		case "orders":
 			is.True(math.Abs(l.Bound-0.0006) < 1e-9)
 		case "duties missed":
-			t.Error("what cost nothing is told")
+			t.Error("a charge without cost is listed")
 		}
 	}
 }
 
+// Only classes with requests that were not served in time get a row.
 func TestWrite(t *testing.T) {
 	is := is.New(t)
 	r, err := Parse([]byte(report))
@@ -44,6 +46,7 @@
 	is.True(!strings.Contains(b.String(), "class b"))
 }
 
+// A text that is no JSON, or has no or malformed components, is an error.
 func TestWhatIsNoReport(t *testing.T) {
 	is := is.New(t)
 	for _, text := range []string{"", "{}", `{"parts":[["x",1]]}`, `{"parts":[[1,1,1]]}`} {
