--- a/internal/scheduler/replica/apply.go
+++ b/internal/scheduler/replica/apply.go
@@ -2,92 +2,81 @@
 
 import (
 	"maps"
+	"math"
 	"saffronquay/internal/scheduler/consensus"
 	"saffronquay/internal/scheduler/rpc"
 	"slices"
 )
 
-func (e *Engine) apply(g *group, r *consensus.Ready) {
-	if r.Restore != nil {
-		if !e.check(g.machine.Restore(r.Restore.Index, e.cfg.Store.SnapshotState(g.name))) {
-			return
-		}
-		g.applied = r.Restore.Index
-		g.released = r.Restore.Index
-		e.completeSkipped(g)
+// apply gives the state machine of a group a received snapshot and committed entries, and answers the proposals that are decided by them. It
+// ends the engine if their data can't be read.
+func (e *Engine) apply(g *group, ready *consensus.Ready) {
+	if ready.Restore != nil && !e.restore(g, ready.Restore) {
+		return
 	}
-	for _, entry := range r.Committed {
-		var result []byte
-		if entry.Kind == rpc.EntryKind_ENTRY_COMMAND {
-			whole, err := e.loadEntry(g, entry)
-			if !e.check(err) {
-				return
-			}
-			result = g.machine.Apply(whole.Index, whole.Data)
-		}
-		g.applied = entry.Index
-		if w, ok := g.waiters[entry.Index]; ok {
-			delete(g.waiters, entry.Index)
-			if w.epoch == entry.Epoch {
-				w.done(ProposalResult{Outcome: rpc.Outcome_DONE, Result: result})
-			} else {
-				w.done(ProposalResult{Outcome: rpc.Outcome_NOT_LEADER}) // another entry stands in its place
-			}
+	for _, entry := range ready.Committed {
+		if !e.applyEntry(g, entry) {
+			return
 		}
 	}
-	if !g.core.IsLeader() && len(g.waiters) > 0 {
-		for _, index := range slices.Sorted(maps.Keys(g.waiters)) { // in a fixed order, so that a simulation repeats
-			g.waiters[index].done(ProposalResult{Outcome: rpc.Outcome_OUTCOME_UNKNOWN})
-			delete(g.waiters, index)
-		}
+	if !g.core.IsLeader() {
+		g.abandonWaiters(math.MaxUint64)
 	}
-	e.releaseData(g)
+	g.releaseData()
 }
 
-// answerOld answers waiters whose entries a snapshot has passed over.
-func (e *Engine) completeSkipped(g *group) {
-	for _, index := range slices.Sorted(maps.Keys(g.waiters)) {
-		if index <= g.applied {
-			g.waiters[index].done(ProposalResult{Outcome: rpc.Outcome_OUTCOME_UNKNOWN})
-			delete(g.waiters, index)
-		}
+// restore sets a group's state machine to the snapshot that its store has. Proposals at the indexes that it covers are abandoned: whether
+// the snapshot includes them is not known.
+func (e *Engine) restore(g *group, snapshot *rpc.Snapshot) bool {
+	if !e.stopOnError(g.machine.Restore(snapshot.Index, e.cfg.Store.SnapshotState(g.name))) {
+		return false
 	}
+	g.applied = snapshot.Index
+	g.released = snapshot.Index
+	g.abandonWaiters(g.applied)
+	return true
 }
 
-// fill gives a message's entries and piece the data that lies on disk only. It returns false where that can't be read.
-func (e *Engine) loadData(g *group, m *rpc.Message) bool {
-	for i, entry := range m.Entries {
-		whole, err := e.loadEntry(g, entry)
-		if err != nil {
-			e.cfg.Log.Error("entry can't be read", "group", g.name, "index", entry.Index, "error", err)
+// applyEntry applies a committed entry, and answers the proposal that waits at its index.
+func (e *Engine) applyEntry(g *group, entry *rpc.Entry) bool {
+	var result []byte
+	if entry.Kind == rpc.EntryKind_ENTRY_COMMAND {
+		loaded, err := e.loadEntry(g, entry)
+		if !e.stopOnError(err) {
 			return false
 		}
-		m.Entries[i] = whole
+		result = g.machine.Apply(loaded.Index, loaded.Data)
 	}
-	if m.Piece != nil {
-		chunk, err := e.cfg.Store.Chunk(g.name, m.Piece.Number)
-		if err != nil {
-			e.cfg.Log.Error("piece of a snapshot can't be read", "group", g.name, "piece", m.Piece.Number, "error", err)
-			return false
-		}
-		m.Piece = chunk
+	g.applied = entry.Index
+	w, ok := g.waiters[entry.Index]
+	if !ok {
+		return true
+	}
+	delete(g.waiters, entry.Index)
+	if w.epoch == entry.Epoch {
+		w.done(ProposalResult{Outcome: rpc.Outcome_DONE, Result: result})
+	} else {
+		w.done(ProposalResult{Outcome: rpc.Outcome_NOT_LEADER}) // another leader's entry was committed in its place
 	}
 	return true
 }
 
-// whole returns an entry with its data.
-func (e *Engine) loadEntry(g *group, entry *rpc.Entry) (*rpc.Entry, error) {
-	if entry.Stored == 0 {
-		return entry, nil
+// abandonWaiters answers the proposals up to an index that this replica will not learn the outcome of. It does so in the order of their
+// indexes, so that simulations repeat.
+func (g *group) abandonWaiters(last uint64) {
+	for _, index := range slices.Sorted(maps.Keys(g.waiters)) {
+		if index <= last {
+			g.waiters[index].done(ProposalResult{Outcome: rpc.Outcome_OUTCOME_UNKNOWN})
+			delete(g.waiters, index)
+		}
 	}
-	return e.cfg.Store.Entry(g.name, entry.Index)
 }
 
-// strip drops the data of entries that are applied from memory, but for the newest, which slower replicas still have to be sent.
-func (e *Engine) releaseData(g *group) {
+// releaseData drops the data of applied entries from memory, except for the newest cachedEntries to 2*cachedEntries of them.
+func (g *group) releaseData() {
 	if g.applied > g.released+2*cachedEntries {
-		to := g.applied - cachedEntries
-		g.core.ReleaseData(g.released+1, to)
-		g.released = to
+		last := g.applied - cachedEntries
+		g.core.ReleaseData(g.released+1, last)
+		g.released = last
 	}
 }
--- a/internal/scheduler/replica/disk.go
+++ b/internal/scheduler/replica/disk.go
@@ -6,14 +6,16 @@
 	"path/filepath"
 )
 
-// Disk is a folder for the files of a store. After a loss of power a file holds what its last sync covered and any part of what was
-// written later, and a name that was made or changed since the last Sync of the folder may be there or not.
+// Disk is a folder for the files of a store. After a loss of power a file has what its last sync covered and any part of what was written
+// later, and a name that was made or changed since the last Sync of the folder may be there or not.
 type Disk interface {
-	// Open opens a file for reading and writing; it is made where it isn't there.
+	// Open opens a file for reading and writing, and makes it if there is none of the name.
 	Open(name string) (File, error)
+	// Rename gives a file another name, and replaces the file that has that name.
 	Rename(from, to string) error
+	// Remove removes a name.
 	Remove(name string) error
-	// Sync makes the names last.
+	// Sync makes the names durable.
 	Sync() error
 }
 
@@ -24,6 +26,7 @@
 	io.Closer
 	Truncate(size int64) error
 	Size() (int64, error)
+	// Sync makes what is written, and the size, durable.
 	Sync() error
 }
 
@@ -53,6 +56,7 @@
 	return open.Sync()
 }
 
+// diskFile is a File of the operating system.
 type diskFile struct{ *os.File }
 
 func (f diskFile) Size() (int64, error) {
--- /dev/null
+++ b/internal/scheduler/replica/groups.go
@@ -0,0 +1,82 @@
+package replica
+
+import (
+	"saffronquay/internal/scheduler/consensus"
+	"saffronquay/internal/scheduler/rpc"
+)
+
+// groupCreation is a group that is to be created at the next Tick.
+type groupCreation struct {
+	name     string
+	founders []*rpc.Replica
+}
+
+// CreateGroup has the next Tick create a group. founders are its first voters, this replica among them; all of them must be given the same
+// list. It does nothing if this process has the group already.
+func (e *Engine) CreateGroup(name string, founders []*rpc.Replica) {
+	e.creations = append(e.creations, groupCreation{name, founders})
+}
+
+// createGroups creates the requested groups. If the disk does not take one, that one and the rest wait for the next Tick.
+func (e *Engine) createGroups(now int64) {
+	for len(e.creations) > 0 {
+		creation := e.creations[0]
+		machine := e.cfg.Machine(creation.name)
+		if e.groups[creation.name] == nil && machine != nil {
+			// The founders are in a snapshot, so that it is sent to every replica that joins later.
+			snapshot := &rpc.Snapshot{Index: 1, Epoch: 1, Membership: &rpc.Membership{Voters: creation.founders}}
+			hard := &rpc.HardState{Epoch: 1}
+			if !e.persist([]GroupWrite{{Group: creation.name, Snapshot: snapshot, HardState: hard}}) {
+				return
+			}
+			e.stopOnError(e.openGroup(now, creation.name, machine, consensus.Stored{Snapshot: snapshot, HardState: hard}))
+		}
+		e.creations = e.creations[1:]
+	}
+}
+
+// joinGroup starts an empty replica of a group whose leader sends it a message. It returns nil if the message is not of a leader, if this
+// process keeps no replica of the group, or if the disk did not take the empty replica: the leader sends its message again.
+func (e *Engine) joinGroup(now int64, m *rpc.Message) *group {
+	if m.Kind != rpc.MessageKind_APPEND && m.Kind != rpc.MessageKind_SNAPSHOT {
+		return nil
+	}
+	machine := e.cfg.Machine(m.Group)
+	if machine == nil {
+		return nil
+	}
+	empty := consensus.Stored{Snapshot: &rpc.Snapshot{Membership: &rpc.Membership{}}, HardState: &rpc.HardState{}}
+	if !e.persist([]GroupWrite{{Group: m.Group, Snapshot: empty.Snapshot, HardState: empty.HardState}}) {
+		return nil
+	}
+	e.stopOnError(e.openGroup(now, m.Group, machine, empty))
+	return e.groups[m.Group]
+}
+
+// SetWanted sets the voters that a group should have. Its leader changes the membership to them, one replica at a time. A placement older than
+// the newest one set is ignored, and so is one of a group that this process does not have.
+func (e *Engine) SetWanted(wanted *rpc.Placement) {
+	if g := e.groups[wanted.Group]; g != nil && (g.wanted == nil || wanted.Revision >= g.wanted.Revision) {
+		g.wanted = wanted
+		g.dirty = true
+	}
+}
+
+// changeMembership proposes the next step towards the wanted membership, if there is one and this replica may propose it.
+func (e *Engine) changeMembership(g *group) {
+	next := g.core.NextMembership(g.wanted.Replicas, g.wanted.Revision)
+	if next == nil {
+		return
+	}
+	if err := g.core.ProposeMembership(next); err != nil {
+		return // it does not lead any more, or another change is under way: a later Tick proposes again
+	}
+	e.cfg.Log.Info("membership change", "group", g.name, "epoch", g.core.Epoch(), "voters", nodeNames(next.Voters), "learners", nodeNames(next.Learners))
+}
+
+func nodeNames(replicas []*rpc.Replica) (names []string) {
+	for _, replica := range replicas {
+		names = append(names, replica.Node)
+	}
+	return names
+}
--- a/internal/scheduler/replica/host.go
+++ b/internal/scheduler/replica/host.go
@@ -9,47 +9,70 @@
 	"google.golang.org/protobuf/proto"
 )
 
-const inputQueueLength = 4096
+const (
+	// inputQueueLength bounds the calls and messages that wait for the engine.
+	inputQueueLength = 4096
+	// clockStartMS is the first value of a host's clock.
+	clockStartMS = 1_000_000
+	// batchWindow is how long a host with Options.BatchCalls collects calls and messages. It is small beside the time that a message takes
+	// between zones, the time that an item takes, and the interval of heartbeats.
+	batchWindow = 3 * time.Millisecond
+	// maxBatchedCalls bounds the calls and messages that are executed before the next Tick of the engine.
+	maxBatchedCalls = 256
+)
 
-// Host runs an engine on a goroutine of its own, by the clock.
+// Host runs an Engine on a goroutine of its own, by the clock of the machine. Its methods may be called by any goroutine; they queue calls for
+// the engine, and block while the queue is full unless they say otherwise.
 type Host struct {
 	engine *Engine
 	cfg    Config
 	start  time.Time
-	input  chan func(now int64)
-	stop   chan struct{}
-	done   chan struct{}
+	input  chan func(now int64) // calls for the engine
+	stop   chan struct{}        // closed by Stop
+	done   chan struct{}        // closed when Run returns
 	failed atomic.Bool
 }
 
-// NewHost returns a host that holds what its store holds.
+// NewHost returns a host with the groups that its store has. It fails if stored state can't be read. The caller has to start Run on a
+// goroutine, and to call Stop before it closes the store.
 func NewHost(cfg Config) (*Host, error) {
-	h := &Host{cfg: cfg, start: time.Now(), input: make(chan func(int64), inputQueueLength), stop: make(chan struct{}), done: make(chan struct{})}
+	h := &Host{
+		cfg:   cfg,
+		start: time.Now(),
+		input: make(chan func(int64), inputQueueLength),
+		stop:  make(chan struct{}),
+		done:  make(chan struct{}),
+	}
 	engine, err := NewEngine(cfg, h.Now())
+	if err != nil {
+		return nil, err
+	}
 	h.engine = engine
-	return h, err
+	return h, nil
 }
 
-// Now is the host's clock in milliseconds; it starts far enough above 0 that no age is below it.
-func (h *Host) Now() int64 { return time.Since(h.start).Milliseconds() + 1_000_000 }
+// Now returns the time of the host's clock in milliseconds. The clock never runs backwards. It starts far above 0, so that the age of a time
+// that was never set is longer than any bound.
+func (h *Host) Now() int64 { return time.Since(h.start).Milliseconds() + clockStartMS }
 
-// Status is how this replica sees a group; nil where it holds none. It doesn't wait for anything.
+// Status returns this replica's view of a group; nil if the process does not have it. It does not block.
 func (h *Host) Status(name string) *Status { return h.engine.Status(name) }
 
-// Groups names the groups of this process.
+// Groups returns the names of the groups of this process, in no order. It does not block.
 func (h *Host) Groups() []string { return h.engine.Groups() }
 
-// CreateGroup starts a group with these founders, of whom this replica is one. Where the group exists already, nothing happens.
+// CreateGroup creates a group. founders are its first voters, this replica among them; all of them must be given the same list. It does
+// nothing if this process has the group already, and returns before the group exists.
 func (h *Host) CreateGroup(name string, founders []*rpc.Replica) {
 	h.enqueue(func(int64) { h.engine.CreateGroup(name, founders) })
 }
 
-// SetWanted says which voters a group should have. The group's leader brings it there, one replica at a time.
+// SetWanted sets the voters that a group should have. Its leader changes the membership to them, one replica at a time.
 func (h *Host) SetWanted(wanted *rpc.Placement) {
 	h.enqueue(func(int64) { h.engine.SetWanted(wanted) })
 }
 
-// Step takes messages of other replicas in. Where the queue is full they are dropped, as a network may.
+// Step gives the engine messages of other replicas. It does not block: if the queue is full the messages are dropped, as a network may do.
 func (h *Host) Step(messages []*rpc.Message) {
 	select {
 	case h.input <- func(now int64) { h.engine.Step(now, messages) }:
@@ -57,7 +80,8 @@
 	}
 }
 
-// Propose has a command agreed on by a group that this replica leads.
+// Propose has a group that this replica leads commit and apply a command, and waits for the result. The outcome is OUTCOME_UNKNOWN if ctx or
+// the host ends before. ctx does not bound the wait for a place in the queue.
 func (h *Host) Propose(ctx context.Context, name string, command []byte) ProposalResult {
 	done := make(chan ProposalResult, 1)
 	h.enqueue(func(int64) { h.engine.Propose(name, command, func(p ProposalResult) { done <- p }) })
@@ -70,33 +94,33 @@
 	return ProposalResult{Outcome: rpc.Outcome_OUTCOME_UNKNOWN}
 }
 
-func (h *Host) enqueue(f func(now int64)) {
+// enqueue queues a call for the engine. If the host has ended the call may be dropped, and is never executed.
+func (h *Host) enqueue(call func(now int64)) {
 	select {
-	case h.input <- f:
+	case h.input <- call:
 	case <-h.done:
 	}
 }
 
-// Run works until Stop.
+// Run drives the engine until Stop is called or the engine ends. It must be called once.
 func (h *Host) Run() {
 	defer close(h.done)
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
-		in := h.input
+		input := h.input
 		if h.engine.Stalled() {
-			in = nil // it would be lost
+			input = nil // the engine would drop it
 		}
 		select {
-		case f := <-in:
-			f(h.Now())
+		case call := <-input:
+			call(h.Now())
 			h.runQueued()
 		case <-timer.C:
 		case <-h.stop:
 			return
 		}
-		now := h.Now()
-		next := h.engine.Tick(now)
+		next := h.engine.Tick(h.Now())
 		if h.engine.Err() != nil {
 			h.failed.Store(true)
 			return
@@ -105,52 +129,48 @@
 	}
 }
 
-const (
-	// batchWindow is small beside the way between zones, the time that an item takes, and the time between heartbeats.
-	batchWindow     = 3 * time.Millisecond
-	maxBatchedCalls = 256
-)
-
-// drain takes in what else waits or comes soon, so that one sync serves it all.
+// runQueued executes the calls that wait, so that one sync of the disk serves them all. With BatchCalls it also waits for those that come
+// within batchWindow.
 func (h *Host) runQueued() {
-	var end <-chan time.Time
+	var windowEnd <-chan time.Time
 	if h.cfg.Options.BatchCalls {
 		timer := time.NewTimer(batchWindow)
 		defer timer.Stop()
-		end = timer.C
+		windowEnd = timer.C
 	}
 	for range maxBatchedCalls {
 		select {
-		case f := <-h.input:
-			f(h.Now())
+		case call := <-h.input:
+			call(h.Now())
 			continue
 		default:
 		}
-		if end == nil {
+		if windowEnd == nil {
 			return
 		}
 		select {
-		case f := <-h.input:
-			f(h.Now())
-		case <-end:
+		case call := <-h.input:
+			call(h.Now())
+		case <-windowEnd:
 			return
 		}
 	}
 }
 
-// Failed tells whether the host has ended because its state could not be read.
+// Failed reports whether the host has ended because state could not be read. The process has to end then.
 func (h *Host) Failed() bool { return h.failed.Load() }
 
-// Done is closed when the host has ended.
+// Done returns a channel that is closed when Run has returned.
 func (h *Host) Done() <-chan struct{} { return h.done }
 
-// Stop ends Run.
+// Stop ends Run and waits for it. It must be called at most once, and only if Run was started: it would wait for ever otherwise.
 func (h *Host) Stop() {
 	close(h.stop)
 	<-h.done
 }
 
-// Marshal encodes a command; commands of this package's users always can be.
+// Marshal encodes a command for Propose or Submit. It panics if the command can't be encoded, as with a string that is not UTF-8: the caller
+// must have checked that.
 func Marshal(m proto.Message) []byte {
 	b, err := proto.Marshal(m)
 	if err != nil {
--- a/internal/scheduler/replica/host_test.go
+++ b/internal/scheduler/replica/host_test.go
@@ -16,7 +16,7 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// journal is a state machine that keeps its commands.
+// journal is a state machine that keeps its commands. wake receives a value when the state has changed.
 type journal struct {
 	mu       sync.Mutex
 	commands []string
@@ -78,7 +78,7 @@
 	return len(j.commands)
 }
 
-// network passes messages between hosts in one process.
+// network carries messages between the hosts of a test, by their addresses.
 type network struct {
 	mu    sync.Mutex
 	hosts map[string]*Host
@@ -114,14 +114,15 @@
 	return host
 }
 
-// A replica that starts late is sent everything, also what the leader holds on disk only; and a replaced member leaves. With short logs it is
-// sent a snapshot in many pieces.
+// A replica that starts late receives everything, also entries whose data the leader has on disk only, and takes the place of another. With
+// short logs it receives a snapshot in many chunks.
 func TestHostsAgreeAndCatchUp(t *testing.T) {
 	t.Run("by the log", func(t *testing.T) { agreeAndCatchUp(t, Options{}) })
 	t.Run("by snapshots", func(t *testing.T) { agreeAndCatchUp(t, Options{SnapshotEntries: 20}) })
 }
 
 func agreeAndCatchUp(t *testing.T, options Options) {
+	t.Helper()
 	is := is.New(t)
 	n := &network{hosts: map[string]*Host{}}
 	machines := map[string]*journal{}
@@ -139,15 +140,7 @@
 	const commands = 4 * cachedEntries
 	for i := range commands {
 		command := fmt.Appendf(nil, "command %d", i)
-		for done := false; !done && ctx.Err() == nil; {
-			for _, host := range hosts {
-				if result := host.Propose(ctx, "g", command); result.Outcome == rpc.Outcome_DONE {
-					is.Equal(string(result.Result), string(command))
-					done = true
-					break
-				}
-			}
-		}
+		is.Equal(string(proposeAtLeader(ctx, hosts, command)), string(command))
 	}
 	n.start(t, "d", machines["d"], options) // takes c's place
 	for _, host := range hosts {
@@ -163,3 +156,15 @@
 	is.Equal(machines["d"].commands[0], "command 0")
 	is.Equal(machines["d"].commands[commands-1], fmt.Sprintf("command %d", commands-1))
 }
+
+// proposeAtLeader proposes a command to one host after the other until one has committed it, and returns its result; nil if ctx ends before.
+func proposeAtLeader(ctx context.Context, hosts []*Host, command []byte) []byte {
+	for ctx.Err() == nil {
+		for _, host := range hosts {
+			if result := host.Propose(ctx, "g", command); result.Outcome == rpc.Outcome_DONE {
+				return result.Result
+			}
+		}
+	}
+	return nil
+}
--- a/internal/scheduler/replica/identity.go
+++ b/internal/scheduler/replica/identity.go
@@ -7,12 +7,16 @@
 	"slices"
 )
 
-// FounderID is the id of a replica that founds a group at the first start of the system. The founders know each other only by the seed
-// addresses.
+// idBytes is the number of random bytes in a replica's id.
+const idBytes = 8
+
+// FounderID returns the id of a replica that founds a group at the first start of the system. Founders know each other only by the seed
+// addresses, so the id follows from them.
 func FounderID(seed string) string { return "founder-" + seed }
 
-// LoadOrCreateIdentity returns who a process's replicas are. The id is bound to the disk: an empty disk gets a new one, which nobody has heard any
-// promise from. Only at the very first start do the seeds' machines take the ids that the others know them by.
+// LoadOrCreateIdentity returns the identity of a process's replicas. Their id is bound to the disk. An empty disk gets a new random id, under
+// which no other replica has received a vote or an acknowledgement. Only with the setting bootstrap, at the very first start of the system,
+// does a seed take the id that the other founders know it by.
 func LoadOrCreateIdentity(identities *IdentityStore, s *settings.Settings) (Identity, error) {
 	id, err := identities.Identity()
 	if err != nil {
@@ -30,8 +34,9 @@
 	return Identity{ID: id, Address: s.PeerAddress(), Node: s.NodeName}, nil
 }
 
+// newID returns a random id.
 func newID() string {
-	var b [8]byte
-	rand.Read(b[:])
+	var b [idBytes]byte
+	_, _ = rand.Read(b[:]) // it never fails: crypto/rand ends the program if the system has no random numbers
 	return "replica-" + hex.EncodeToString(b[:])
 }
--- a/internal/scheduler/replica/identity_store.go
+++ b/internal/scheduler/replica/identity_store.go
@@ -9,22 +9,23 @@
 	"github.com/tidwall/buntdb"
 )
 
-// IdentityStore keeps what is small and hardly ever changes: the identity that is bound to a disk.
-type IdentityStore struct{ db *buntdb.DB }
-
 const (
 	identityFileName = "facts.db"
 	identityKey      = "identity"
 )
 
-// OpenIdentityStore opens the facts in a folder, which is made where it isn't there.
+// IdentityStore keeps the id that is bound to a disk. It is separate from the Store, so that the id is known before any group is. Its methods may
+// be called by any goroutine.
+type IdentityStore struct{ db *buntdb.DB }
+
+// OpenIdentityStore opens the identity store in a folder, and makes the folder if there is none. The caller has to close it.
 func OpenIdentityStore(path string) (*IdentityStore, error) {
 	if err := os.MkdirAll(path, 0o755); err != nil {
 		return nil, err
 	}
 	db, err := buntdb.Open(filepath.Join(path, identityFileName))
 	if err != nil {
-		return nil, fmt.Errorf("replica: open facts: %w", err)
+		return nil, fmt.Errorf("replica: open identity store: %w", err)
 	}
 	if err := db.SetConfig(buntdb.Config{SyncPolicy: buntdb.Always, AutoShrinkDisabled: true}); err != nil {
 		return nil, err
@@ -33,11 +34,11 @@
 }
 
 // Close closes the file.
-func (f *IdentityStore) Close() error { return f.db.Close() }
+func (s *IdentityStore) Close() error { return s.db.Close() }
 
-// Identity returns the id that is bound to this disk, empty where the disk has none yet.
-func (f *IdentityStore) Identity() (id string, err error) {
-	err = f.db.View(func(tx *buntdb.Tx) error {
+// Identity returns the id that is bound to this disk; empty if none is yet.
+func (s *IdentityStore) Identity() (id string, err error) {
+	err = s.db.View(func(tx *buntdb.Tx) error {
 		id, err = tx.Get(identityKey)
 		if errors.Is(err, buntdb.ErrNotFound) {
 			return nil
@@ -47,9 +48,9 @@
 	return id, err
 }
 
-// SetIdentity binds an id to this disk.
-func (f *IdentityStore) SetIdentity(id string) error {
-	return f.db.Update(func(tx *buntdb.Tx) error {
+// SetIdentity binds an id to this disk. The id is durable when it returns without an error.
+func (s *IdentityStore) SetIdentity(id string) error {
+	return s.db.Update(func(tx *buntdb.Tx) error {
 		_, _, err := tx.Set(identityKey, id, nil)
 		return err
 	})
--- a/internal/scheduler/replica/rewrite_test.go
+++ b/internal/scheduler/replica/rewrite_test.go
@@ -12,13 +12,13 @@
 	"github.com/matryer/is"
 )
 
-// noFolderSync is a disk whose folder takes no sync.
+// noFolderSync is a disk whose folder can't be synced while broken is set.
 type noFolderSync struct {
 	simdisk.RandomAccess
 	broken *bool
 }
 
-var errSync = errors.New("the folder takes no sync")
+var errSync = errors.New("the folder can't be synced")
 
 func (d noFolderSync) Sync() error {
 	if *d.broken {
@@ -27,8 +27,8 @@
 	return d.RandomAccess.Sync()
 }
 
-// A log that was rewritten has taken the old one's name, but that may not last yet. What is appended before it does must not count: after a
-// loss of power the old file could be back, without it.
+// A rewritten log has replaced the old one, but its name may not be durable yet. Nothing may be appended before it is: after a loss of power
+// the old file could be back, without what was appended.
 func TestNothingCountsBeforeARewrittenLogHasItsName(t *testing.T) {
 	is := is.New(t)
 	for seed := uint64(1); seed <= 20; seed++ {
@@ -42,12 +42,12 @@
 		is.NoErr(store.Persist([]replica.GroupWrite{{Group: "g", Snapshot: &rpc.Snapshot{Index: 1, Epoch: 1}}}))
 		broken = true
 		counted := uint64(0)
-		for epoch := uint64(2); epoch < 400; epoch++ { // old hard states are of no use, so the log is rewritten on the way
+		for epoch := uint64(2); epoch < 400; epoch++ { // earlier hard states are obsolete, so the log is rewritten on the way
 			if store.Persist([]replica.GroupWrite{{Group: "g", HardState: &rpc.HardState{Epoch: epoch, Vote: fmt.Sprint("replica ", epoch)}}}) == nil {
 				counted = epoch
 			}
 		}
-		is.True(counted > 2 && counted < 399) // the rewritten log takes nothing while its name doesn't last
+		is.True(counted > 2 && counted < 399) // the rewritten log takes nothing while its name isn't durable
 		again, err := replica.OpenStoreOn(simdisk.RandomAccess{Disk: disk.Crash(&simdisk.FaultPlan{}, rand.New(rand.NewPCG(seed, 1)))}, 2000)
 		is.NoErr(err)
 		stored, err := again.Load("g")
@@ -56,11 +56,11 @@
 	}
 }
 
-// Power is lost at any call while entries are written, snapshots are made and received, and the log is rewritten: what counted is there, and
-// the log never has a gap.
+// Power is lost at each call of the disk while entries are written, snapshots are made, and the log is rewritten: everything that was persisted is
+// there afterwards, and the log has no gap.
 func TestPowerLostAtEachCall(t *testing.T) {
 	is := is.New(t)
-	for crashAt := 1; crashAt < 400; crashAt += 1 {
+	for crashAt := 1; crashAt < 400; crashAt++ {
 		plan := &simdisk.FaultPlan{}
 		disk := simdisk.New("d", plan)
 		counted := uint64(0)
@@ -93,7 +93,7 @@
 	}
 }
 
-// writeSome writes entries with snapshots in between, and returns the last index that counted.
+// writeSome writes entries with snapshots in between, and returns the last index that was persisted.
 func writeSome(store *replica.Store) (counted uint64) {
 	if store.Persist([]replica.GroupWrite{{Group: "g", Snapshot: &rpc.Snapshot{Index: 1, Epoch: 1}}}) != nil {
 		return 0
--- a/internal/scheduler/replica/snapshots.go
+++ b/internal/scheduler/replica/snapshots.go
@@ -10,88 +10,112 @@
 )
 
 const (
-	// pieceBytes is the length of all pieces of a snapshot but the last.
+	// chunkBytes is the length of every chunk of a snapshot but the last.
 	chunkBytes = 256 << 10
-	// piecesATurn bounds the pieces that are made in one turn, so that heartbeats go on meanwhile.
+	// chunksPerTick bounds the chunks of a group that are made in one Tick, so that heartbeats go on in between.
 	chunksPerTick = 2
-	// patienceShare is the part of its bound, one in so many, by which a log may outgrow it while cutting it would cost a replica that
-	// answers a snapshot; patienceFactor is the same for the number of entries, which cost next to nothing.
+	// byteSlackDivisor and entrySlackFactor say how far a log may outgrow its bounds while a snapshot would cut off a replica that is
+	// catching up: by one part in byteSlackDivisor of the bytes, and to entrySlackFactor times the entries, which take next to no memory.
 	byteSlackDivisor = 4
 	entrySlackFactor = 3
 )
 
-// snapshotMaker writes a snapshot of a group's state to the disk, some pieces a turn, while the group goes on.
+// snapshotWriter makes a snapshot of a group's state, some chunks at each Tick, while further commands are applied.
 type snapshotWriter struct {
 	snapshot   *rpc.Snapshot
 	nextRecord func() proto.Message
-	buffer     bytes.Buffer
+	buffer     bytes.Buffer // records that are not in a chunk yet
 	digest     *xxhash.Digest
-	exhausted  bool
-	logBytes   int64 // of the group's log when it was begun
+	exhausted  bool  // nextRecord has returned the last record
+	logBytes   int64 // length of the group's log when the snapshot was begun
 }
 
-// piece returns the next piece; nil once there are no more.
-func (m *snapshotWriter) nextChunk() (*rpc.SnapshotPiece, error) {
-	for !m.exhausted && m.buffer.Len() < chunkBytes {
-		record := m.nextRecord()
-		if record == nil {
-			m.exhausted = true
-			break
-		}
-		if err := writeRecord(&m.buffer, record); err != nil {
-			return nil, err
-		}
+// nextChunk returns the next chunk; nil after the last one.
+func (w *snapshotWriter) nextChunk() (*rpc.SnapshotPiece, error) {
+	if err := w.fillBuffer(); err != nil {
+		return nil, err
 	}
-	if m.buffer.Len() == 0 {
+	if w.buffer.Len() == 0 {
 		return nil, nil
 	}
-	data := bytes.Clone(m.buffer.Next(chunkBytes))
-	m.digest.Write(data)
-	chunk := &rpc.SnapshotPiece{Number: m.snapshot.Pieces, Data: data}
-	m.snapshot.Pieces++
+	data := bytes.Clone(w.buffer.Next(chunkBytes))
+	_, _ = w.digest.Write(data) // a digest takes every write
+	chunk := &rpc.SnapshotPiece{Number: w.snapshot.Pieces, Data: data}
+	w.snapshot.Pieces++
 	return chunk, nil
 }
 
-// makeSnapshots begins snapshots of groups whose logs have grown long, and goes on with those that are begun.
+// fillBuffer reads records until there are enough for a chunk, or no more.
+func (w *snapshotWriter) fillBuffer() error {
+	for !w.exhausted && w.buffer.Len() < chunkBytes {
+		record := w.nextRecord()
+		if record == nil {
+			w.exhausted = true
+			return nil
+		}
+		if err := writeRecord(&w.buffer, record); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// advanceSnapshots begins snapshots of the groups whose logs have grown long, and goes on with those that are begun.
 func (e *Engine) advanceSnapshots() {
 	for _, name := range e.names {
 		g := e.groups[name]
-		if g.snapshot == nil && e.snapshotDue(g) {
-			if snapshot := g.core.PrepareSnapshot(g.applied); snapshot != nil {
-				g.snapshot = &snapshotWriter{snapshot: snapshot, nextRecord: g.machine.Snapshot(), digest: xxhash.New(), logBytes: g.logBytes}
-			}
+		if g.snapshotInMaking == nil && e.snapshotDue(g) {
+			g.beginSnapshot()
 		}
-		if g.snapshot != nil {
+		if g.snapshotInMaking != nil {
 			e.writeChunks(g)
 		}
 	}
 }
 
-// snapshotDue tells whether a group's log should be replaced by a snapshot. A leader waits a while for replicas that are about to catch up
-// from the log, or whose snapshot is on its way: they would have to begin with a new one.
+// snapshotDue reports whether a group's log should be replaced by a snapshot. A leader waits a while for replicas that are about to catch up
+// from the log, or that a snapshot is being sent to: they would have to begin again with the new one.
 func (e *Engine) snapshotDue(g *group) bool {
-	bytes, entries := cmp.Or(e.cfg.Options.SnapshotBytes, defaultSnapshotBytes), cmp.Or(e.cfg.Options.SnapshotEntries, defaultSnapshotEntries)
-	length := g.core.LogLength()
+	maxBytes := cmp.Or(e.cfg.Options.SnapshotBytes, defaultSnapshotBytes)
+	maxEntries := cmp.Or(e.cfg.Options.SnapshotEntries, defaultSnapshotEntries)
+	entries := g.core.LogLength()
 	switch {
-	case g.logBytes < bytes && length < entries || g.core.ReceivingSnapshot():
+	case g.logBytes < maxBytes && entries < maxEntries:
+		return false
+	case g.core.ReceivingSnapshot():
 		return false
-	case g.logBytes >= bytes+bytes/byteSlackDivisor || length >= entrySlackFactor*entries:
+	case g.logBytes >= maxBytes+maxBytes/byteSlackDivisor || entries >= entrySlackFactor*maxEntries:
 		return true
 	}
 	return !g.core.SendingSnapshot() && !g.core.HasLaggingReplica(g.applied)
 }
 
-// makeSome makes the next pieces of a snapshot. Once all are written the snapshot takes the place of the log.
+// beginSnapshot begins a snapshot of all that is applied, unless the core has no use for it.
+func (g *group) beginSnapshot() {
+	snapshot := g.core.PrepareSnapshot(g.applied)
+	if snapshot == nil {
+		return
+	}
+	g.snapshotInMaking = &snapshotWriter{
+		snapshot:   snapshot,
+		nextRecord: g.machine.Snapshot(),
+		digest:     xxhash.New(),
+		logBytes:   g.logBytes,
+	}
+}
+
+// writeChunks writes the next chunks of a snapshot. After the last one the snapshot takes the place of the log. A snapshot that the disk does
+// not take is given up, and begun again by a later Tick.
 func (e *Engine) writeChunks(g *group) {
-	m := g.snapshot
-	if g.core.ReceivingSnapshot() { // a newer one is coming in
-		g.snapshot = nil
+	writer := g.snapshotInMaking
+	if g.core.ReceivingSnapshot() {
+		g.snapshotInMaking = nil // the one that is being received is newer
 		return
 	}
 	for range chunksPerTick {
-		chunk, err := m.nextChunk()
+		chunk, err := writer.nextChunk()
 		if err != nil {
-			e.check(err)
+			e.stopOnError(err)
 			return
 		}
 		if chunk == nil {
@@ -99,22 +123,24 @@
 			return
 		}
 		if err := e.cfg.Store.StageChunk(g.name, chunk); err != nil {
-			e.cfg.Log.Error("the disk takes no snapshot", "group", g.name, "error", err)
-			g.snapshot = nil // it is begun anew
+			e.cfg.Log.Error("snapshot can't be written", "group", g.name, "error", err)
+			g.snapshotInMaking = nil
 			return
 		}
 	}
 }
 
+// finishSnapshot persists a snapshot whose chunks are all written, and drops the log that it covers.
 func (e *Engine) finishSnapshot(g *group) {
-	m := g.snapshot
-	g.snapshot = nil
-	m.snapshot.Checksum = m.digest.Sum64()
-	if !g.core.SupersedesSnapshot(m.snapshot) || !e.persist([]GroupWrite{{Group: g.name, Snapshot: m.snapshot}}) {
+	writer := g.snapshotInMaking
+	g.snapshotInMaking = nil
+	snapshot := writer.snapshot
+	snapshot.Checksum = writer.digest.Sum64()
+	if !g.core.SupersedesSnapshot(snapshot) || !e.persist([]GroupWrite{{Group: g.name, Snapshot: snapshot}}) {
 		return
 	}
-	g.core.Compact(m.snapshot)
-	g.logBytes = max(0, g.logBytes-m.logBytes)
+	g.core.Compact(snapshot)
+	g.logBytes = max(0, g.logBytes-writer.logBytes)
 	e.counts.SnapshotsMade++
-	e.cfg.Log.Info("snapshot", "group", g.name, "index", m.snapshot.Index, "pieces", m.snapshot.Pieces)
+	e.cfg.Log.Info("snapshot", "group", g.name, "index", snapshot.Index, "chunks", snapshot.Pieces)
 }
--- a/internal/scheduler/replica/status.go
+++ b/internal/scheduler/replica/status.go
@@ -8,42 +8,59 @@
 	"sync/atomic"
 )
 
-// Status is how a replica saw its group when something last changed.
+// Status is a replica's view of its group when something last changed. It is not altered after it was published, so any goroutine may read
+// it. Times are those of Host.Now.
 type Status struct {
-	Leader              bool
-	Ready               bool  // it leads, and knows everything that earlier leaders acknowledged
-	QuorumContactAt     int64 // when a majority was last known to follow this leader, as Host.Now
-	LeaderID            string
-	LeaderAddress       string
+	Leader              bool   // this replica leads; whether others still follow says HasLease
+	Ready               bool   // it leads, and knows everything that earlier leaders acknowledged
+	QuorumContactAt     int64  // of a leader: when a majority was last known to follow it
+	LeaderID            string // empty: no known leader
+	LeaderAddress       string // of the leader's peer service
 	Epoch               uint64
 	Commit              uint64
 	Applied             uint64
-	LeaderContactAt     int64 // when the leader was last heard
-	CurrentAt           int64 // when the leader was last heard while this replica had all that was agreed on
-	LeaderSince         int64
+	LeaderContactAt     int64 // when a message of the leader last arrived
+	CurrentAt           int64 // when a message of the leader last arrived while this replica had all that was committed
+	LeaderSince         int64 // when this replica last became leader
 	Membership          *rpc.Membership
-	MembershipCommitted bool // the membership is agreed on
-	FullyReplicated     bool // each voter holds on its disk what was there when the membership last changed
+	MembershipCommitted bool // Membership is committed
+	FullyReplicated     bool // each voter has on its disk what was in the log when the membership last changed
 }
 
-// Lease tells whether this replica is the leader and no other can have been elected yet, so that what it has applied is up to date.
+// leaseMS is how long after its last contact with a majority a leader has its lease.
+var leaseMS = consensus.LeaseMS(electionTimeoutMS)
+
+// HasLease reports whether this replica leads and no other can have been elected yet, so that what it has applied is up to date. now must be
+// read after the status was.
 func (s *Status) HasLease(now int64) bool {
 	return s.Leader && s.Ready && now-s.QuorumContactAt < leaseMS
 }
 
-var leaseMS = consensus.LeaseMS(electionTimeoutMS)
-
-// InTouch tells whether this replica lately had all that was agreed on, as its leader said, or leads itself and holds its lease.
+// InTouch reports whether this replica had everything that was committed, as its leader said, within a time, or leads itself and has its
+// lease.
 func (s *Status) InTouch(now, within int64) bool {
 	return s.HasLease(now) || !s.Leader && s.LeaderID != "" && now-s.CurrentAt < within
 }
 
-// String tells how a group stands, for logs.
+// NextHop returns where a command for the group has to go: to this process if self is set, else to the leader's address. With neither, no
+// leader is known. A nil Status, of a group that this process does not have, knows none.
+func (s *Status) NextHop() (self bool, address string) {
+	switch {
+	case s == nil:
+		return false, ""
+	case s.Leader:
+		return true, ""
+	}
+	return false, s.LeaderAddress
+}
+
+// String describes the status for logs.
 func (s *Status) String() string {
-	return fmt.Sprintf("leader %v (%s) epoch %d commit %d applied %d members %v settled %v", s.Leader, s.LeaderID, s.Epoch, s.Commit, s.Applied, s.Membership, s.MembershipCommitted)
+	return fmt.Sprintf("leader %v (%s) epoch %d commit %d applied %d members %v settled %v",
+		s.Leader, s.LeaderID, s.Epoch, s.Commit, s.Applied, s.Membership, s.MembershipCommitted)
 }
 
-// Status is how this replica sees a group; nil where it holds none. It doesn't wait for anything.
+// Status returns this replica's view of a group; nil if the process does not have it. It may be called by any goroutine and does not block.
 func (e *Engine) Status(name string) *Status {
 	if status, ok := e.statuses.Load(name); ok {
 		return status.Load()
@@ -51,7 +68,7 @@
 	return nil
 }
 
-// Groups names the groups of this process.
+// Groups returns the names of the groups of this process, in no order. It may be called by any goroutine.
 func (e *Engine) Groups() (names []string) {
 	e.statuses.Range(func(name string, _ *atomic.Pointer[Status]) bool {
 		names = append(names, name)
@@ -60,25 +77,47 @@
 	return names
 }
 
-// publish tells readers how the group stands.
-func (e *Engine) publish(g *group) {
-	leaderID, leaderAddress := g.core.Leader()
-	ready, contact := g.core.Leadership()
-	status := &Status{
-		Leader: g.core.IsLeader(), Ready: ready, QuorumContactAt: contact, LeaderID: leaderID, LeaderAddress: leaderAddress, Epoch: g.core.Epoch(),
-		Commit: g.core.Commit(), Applied: g.applied, LeaderContactAt: g.core.LeaderContactAt(), CurrentAt: g.core.CurrentAt(), LeaderSince: g.core.LeaderSince(), Membership: g.core.Membership(), MembershipCommitted: g.core.MembershipCommitted(),
-		FullyReplicated: g.core.FullyReplicated(),
-	}
-	if !g.joined && (status.Ready || status.LeaderID != "" && !status.Leader && status.CurrentAt > 0) {
+// publishStatus gives readers the present status of a group, and logs and reports what has changed.
+func (e *Engine) publishStatus(g *group) {
+	status := g.currentStatus()
+	if !g.joined && status.hasContact() {
 		g.joined = true
 		metrics.RecordStartPhase("group " + g.name)
 	}
 	old := g.status.Swap(status)
 	e.statuses.Store(g.name, g.status)
-	if old != nil && (old.Leader != status.Leader || old.LeaderID != status.LeaderID) {
+	leaderChanged := old != nil && (old.Leader != status.Leader || old.LeaderID != status.LeaderID)
+	if leaderChanged {
 		e.cfg.Log.Info("leader", "group", g.name, "epoch", status.Epoch, "leader", status.LeaderID, "self", status.Leader)
 	}
-	if e.cfg.Changed != nil && (old == nil || old.Applied != status.Applied || old.Leader != status.Leader || old.LeaderID != status.LeaderID) {
+	if e.cfg.Changed != nil && (old == nil || leaderChanged || old.Applied != status.Applied) {
 		e.cfg.Changed(g.name)
 	}
 }
+
+// currentStatus returns what the core says now.
+func (g *group) currentStatus() *Status {
+	leaderID, leaderAddress := g.core.Leader()
+	ready, quorumContactAt := g.core.Leadership()
+	return &Status{
+		Leader:              g.core.IsLeader(),
+		Ready:               ready,
+		QuorumContactAt:     quorumContactAt,
+		LeaderID:            leaderID,
+		LeaderAddress:       leaderAddress,
+		Epoch:               g.core.Epoch(),
+		Commit:              g.core.Commit(),
+		Applied:             g.applied,
+		LeaderContactAt:     g.core.LeaderContactAt(),
+		CurrentAt:           g.core.CurrentAt(),
+		LeaderSince:         g.core.LeaderSince(),
+		Membership:          g.core.Membership(),
+		MembershipCommitted: g.core.MembershipCommitted(),
+		FullyReplicated:     g.core.FullyReplicated(),
+	}
+}
+
+// hasContact reports whether the replica has taken part in its group: it leads with all that was committed, or has had all of it from a leader.
+func (s *Status) hasContact() bool {
+	return s.Ready || s.LeaderID != "" && !s.Leader && s.CurrentAt > 0
+}
--- a/internal/scheduler/replica/store.go
+++ b/internal/scheduler/replica/store.go
@@ -5,7 +5,6 @@
 	"errors"
 	"fmt"
 	"io"
-	"maps"
 	"saffronquay/internal/scheduler/consensus"
 	"saffronquay/internal/scheduler/rpc"
 	"slices"
@@ -13,40 +12,24 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Store keeps what the replicas of a process have promised: the logs and snapshots of all its groups, in one write-ahead log.
+// Store is the Storage of a process on its disk: the logs, snapshots and hard states of all its groups, in one write-ahead log. It keeps in
+// memory only where the records are. It is for one goroutine.
 type Store struct {
-	log              *writeAheadLog
-	groups           map[string]*groupIndex
-	rewriteFrom      int64 // size of the log from which on it is rewritten where its larger part is of no use
-	nextRewriteCheck int64 // size at which that is looked at next
+	log         *writeAheadLog
+	groups      map[string]*groupIndex
+	rewriteFrom int64 // size in bytes from which on the log is rewritten if more than half of it is obsolete
+	// nextRewriteCheck is the size of the log at which that is checked next.
+	nextRewriteCheck int64
 }
 
-// storedGroup says where the records of a group lie that are still of use.
-type groupIndex struct {
-	hardState      span
-	snapshot       span
-	chunks         []span // of the snapshot
-	stagedLocal    []span // pieces of a snapshot that is being made
-	stagedReceived []span // pieces of a snapshot that is being received
-	first          uint64 // index of entries[0]
-	entries        []entryLocation
-}
-
-// storedEntry says where an entry lies, and what is known of it without reading it again.
-type entryLocation struct {
-	span
-	epoch uint64
-	kind  rpc.EntryKind
-	size  uint32 // of its data
-}
-
-// ErrCorrupt says that a stored record is not what was written.
+// ErrCorrupt says that a stored record is missing or is not what was written. What depends on it is lost on this disk.
 var ErrCorrupt = errors.New("replica: a stored record is damaged")
 
-// rewriteAfter is the size in bytes from which on a log whose larger part is of no use any more is rewritten.
+// defaultRewriteFrom is Store.rewriteFrom of a store that OpenStore opens.
 const defaultRewriteFrom = 32 << 20
 
-// OpenStore opens the store in a folder of the operating system. An empty folder gives an empty store.
+// OpenStore opens the store in a folder of the operating system, which must exist. An empty folder gives an empty store. The caller has to
+// close the store, after the engine that uses it has ended.
 func OpenStore(path string) (*Store, error) {
 	store, err := OpenStoreOn(folder(path), defaultRewriteFrom)
 	if err != nil {
@@ -55,7 +38,8 @@
 	return store, folder(path).Sync()
 }
 
-// OpenStoreOn opens the store on a disk. Its log is rewritten from a size in bytes on.
+// OpenStoreOn opens the store on a disk. Its log is rewritten from a size in bytes on. The caller has to sync the disk before anything that the
+// store persists counts, since the log's name may be new.
 func OpenStoreOn(disk Disk, rewriteFrom int64) (*Store, error) {
 	s := &Store{groups: map[string]*groupIndex{}, rewriteFrom: rewriteFrom, nextRewriteCheck: rewriteFrom}
 	log, err := openLog(disk, s.replay)
@@ -63,7 +47,7 @@
 		return nil, err
 	}
 	s.log = log
-	for _, g := range s.groups { // what was being made or received has to begin anew
+	for _, g := range s.groups { // snapshots that were not complete begin anew
 		g.stagedLocal, g.stagedReceived = nil, nil
 	}
 	return s, nil
@@ -72,72 +56,7 @@
 // Close closes the file.
 func (s *Store) Close() error { return s.log.close() }
 
-func (s *Store) group(name string) *groupIndex {
-	g := s.groups[name]
-	if g == nil {
-		g = &groupIndex{}
-		s.groups[name] = g
-	}
-	return g
-}
-
-// replay notes where a record lies.
-func (s *Store) replay(payload []byte, at span) error {
-	r := &rpc.StoredRecord{}
-	if err := proto.Unmarshal(payload, r); err != nil {
-		return err
-	}
-	return s.index(r, at)
-}
-
-func (s *Store) index(r *rpc.StoredRecord, at span) error {
-	g := s.group(r.Group)
-	switch {
-	case r.HardState != nil:
-		g.hardState = at
-	case r.Piece != nil:
-		stage := g.staged(r.Received)
-		if int(r.Piece.Number) <= len(*stage) {
-			*stage = append((*stage)[:r.Piece.Number], at)
-		}
-	case r.Snapshot != nil:
-		return g.activateSnapshot(r, at)
-	case r.Entry != nil && r.Entry.Index >= g.first && r.Entry.Index <= g.first+uint64(len(g.entries)):
-		g.entries = append(g.entries[:r.Entry.Index-g.first], entryLocation{at, r.Entry.Epoch, r.Entry.Kind, uint32(len(r.Entry.Data))})
-	}
-	return nil
-}
-
-// stage are the pieces of a snapshot that is being made, or received.
-func (g *groupIndex) staged(received bool) *[]span {
-	if received {
-		return &g.stagedReceived
-	}
-	return &g.stagedLocal
-}
-
-// noteSnapshot puts a snapshot in force whose pieces are all there. One that was made takes the place of the entries that it covers. One that
-// was received takes the place of the whole log: what stands behind its index may be what the leader has given up, and with it the replica
-// would vote for candidates that lack what the snapshot holds.
-func (g *groupIndex) activateSnapshot(r *rpc.StoredRecord, at span) error {
-	stage := g.staged(r.Received)
-	if len(*stage) < int(r.Snapshot.Pieces) {
-		return fmt.Errorf("%w: snapshot of group %s at %d: %d of %d pieces", ErrCorrupt, r.Group, r.Snapshot.Index, len(*stage), r.Snapshot.Pieces)
-	}
-	g.snapshot, g.chunks = at, (*stage)[:r.Snapshot.Pieces]
-	g.stagedLocal, g.stagedReceived = nil, nil
-	next := r.Snapshot.Index + 1
-	switch {
-	case r.Received:
-		g.entries, g.first = nil, next
-	case next > g.first:
-		g.entries = g.entries[min(int(next-g.first), len(g.entries)):]
-		g.first = next
-	}
-	return nil
-}
-
-// Groups names the groups that the store holds something of, in order.
+// Groups returns the names of the groups that have a snapshot, in order. A group has one from its beginning.
 func (s *Store) Groups() (names []string) {
 	for name, g := range s.groups {
 		if g.snapshot.length > 0 {
@@ -148,7 +67,7 @@
 	return names
 }
 
-// Load reads what is stored of a group. Commands stay on disk: their entries say only how long they are.
+// Load returns what is stored of a group. Commands stay on disk: their entries come without data, and Stored says how long it is.
 func (s *Store) Load(name string) (stored consensus.Stored, err error) {
 	g := s.group(name)
 	stored.HardState, stored.Snapshot = &rpc.HardState{}, &rpc.Snapshot{}
@@ -162,10 +81,10 @@
 	} else if r.Snapshot != nil {
 		stored.Snapshot = r.Snapshot
 	}
-	for i, e := range g.entries {
+	for i, location := range g.entries {
 		index := g.first + uint64(i)
-		if e.kind == rpc.EntryKind_ENTRY_COMMAND && e.size > 0 {
-			stored.Entries = append(stored.Entries, &rpc.Entry{Index: index, Epoch: e.epoch, Kind: e.kind, Stored: e.size})
+		if location.kind == rpc.EntryKind_ENTRY_COMMAND && location.size > 0 {
+			stored.Entries = append(stored.Entries, &rpc.Entry{Index: index, Epoch: location.epoch, Kind: location.kind, Stored: location.size})
 			continue
 		}
 		entry, err := s.Entry(name, index)
@@ -177,10 +96,10 @@
 	return stored, nil
 }
 
-// Entry reads one entry of a group.
+// Entry returns one entry of a group's log with its data. It fails if the log does not have the index.
 func (s *Store) Entry(name string, index uint64) (*rpc.Entry, error) {
 	g := s.group(name)
-	if index < g.first || index >= g.first+uint64(len(g.entries)) {
+	if index < g.first || index >= g.nextIndex() {
 		return nil, fmt.Errorf("replica: group %s has no entry %d", name, index)
 	}
 	r, err := s.readRecord(g.entries[index-g.first].span)
@@ -193,11 +112,11 @@
 	return r.Entry, nil
 }
 
-// Piece reads one piece of a group's snapshot.
+// Chunk returns one chunk of a group's snapshot. It fails if the snapshot does not have the number.
 func (s *Store) Chunk(name string, number uint32) (*rpc.SnapshotPiece, error) {
 	g := s.group(name)
 	if int(number) >= len(g.chunks) {
-		return nil, fmt.Errorf("replica: the snapshot of group %s has no piece %d", name, number)
+		return nil, fmt.Errorf("replica: the snapshot of group %s has no chunk %d", name, number)
 	}
 	r, err := s.readRecord(g.chunks[number])
 	if err == nil && r.Piece == nil {
@@ -209,17 +128,17 @@
 	return r.Piece, nil
 }
 
-// State reads the state of a group's snapshot, one piece at a time.
+// SnapshotState returns the state in a group's snapshot. It is read chunk by chunk, and must be read before the store is written to again.
 func (s *Store) SnapshotState(name string) *bufio.Reader {
 	return bufio.NewReader(&chunkReader{store: s, group: name})
 }
 
-// pieceReader reads the pieces of a snapshot one after the other.
+// chunkReader reads the data of a snapshot's chunks one after the other.
 type chunkReader struct {
 	store *Store
 	group string
-	next  uint32
-	rest  []byte
+	next  uint32 // number of the next chunk
+	rest  []byte // of the chunk before
 }
 
 func (r *chunkReader) Read(b []byte) (int, error) {
@@ -239,7 +158,7 @@
 	return n, nil
 }
 
-// read reads one record; an empty one where there is none.
+// readRecord reads one record; an empty one if the span is empty.
 func (s *Store) readRecord(at span) (*rpc.StoredRecord, error) {
 	r := &rpc.StoredRecord{}
 	if at.length == 0 {
@@ -252,65 +171,56 @@
 	return r, proto.Unmarshal(payload, r)
 }
 
-// GroupWrite is what is to be stored of one group.
+// GroupWrite is what has to be stored of one group. Its parts are stored in the order of the fields.
 type GroupWrite struct {
 	Group     string
 	HardState *rpc.HardState
-	Chunks    []*rpc.SnapshotPiece // of a snapshot that is being received
-	Snapshot  *rpc.Snapshot
-	Received  bool // the snapshot comes from the leader
-	Entries   []*rpc.Entry
+	Chunks    []*rpc.SnapshotPiece // of a snapshot that is being received; number 0 begins a new one
+	Snapshot  *rpc.Snapshot        // all its chunks are stored, or are among Chunks; it takes the place of the one in force
+	Received  bool                 // Snapshot comes from the leader and replaces all of the log, not only the entries that it covers
+	Entries   []*rpc.Entry         // they replace all entries at and after the index of the first one
 }
 
-// records are the records of a save, in the order in which they have to be replayed.
-func (save *GroupWrite) records() (records []*rpc.StoredRecord) {
-	if save.HardState != nil {
-		records = append(records, &rpc.StoredRecord{Group: save.Group, HardState: save.HardState})
+// records returns the records of a write, in the order in which they have to be replayed.
+func (w *GroupWrite) records() (records []*rpc.StoredRecord) {
+	if w.HardState != nil {
+		records = append(records, &rpc.StoredRecord{Group: w.Group, HardState: w.HardState})
 	}
-	for _, chunk := range save.Chunks {
-		records = append(records, &rpc.StoredRecord{Group: save.Group, Piece: chunk, Received: true})
+	for _, chunk := range w.Chunks {
+		records = append(records, &rpc.StoredRecord{Group: w.Group, Piece: chunk, Received: true})
 	}
-	if save.Snapshot != nil {
-		records = append(records, &rpc.StoredRecord{Group: save.Group, Snapshot: save.Snapshot, Received: save.Received})
+	if w.Snapshot != nil {
+		records = append(records, &rpc.StoredRecord{Group: w.Group, Snapshot: w.Snapshot, Received: w.Received})
 	}
-	for _, entry := range save.Entries {
-		records = append(records, &rpc.StoredRecord{Group: save.Group, Entry: entry})
+	for _, entry := range w.Entries {
+		records = append(records, &rpc.StoredRecord{Group: w.Group, Entry: entry})
 	}
 	return records
 }
 
-// Persist stores all of it with one sync. After an error nothing of it counts, and it can be tried again.
+// Persist stores all writes durably, with one sync. After an error nothing of them counts and they may be repeated, unless the error is
+// ErrCorrupt: chunks of a snapshot are missing then, and the store must not be used any more.
 func (s *Store) Persist(writes []GroupWrite) error {
 	var records []*rpc.StoredRecord
 	for i := range writes {
 		records = append(records, writes[i].records()...)
 	}
-	if err := s.append(records, true); err != nil {
+	if err := s.append(records, durable); err != nil {
 		return err
 	}
 	s.rewriteIfWasteful()
 	return nil
 }
 
-// tidy rewrites the log where most of it is of no use any more. Where that fails the old one goes on, and it is tried again once that has
-// grown.
-func (s *Store) rewriteIfWasteful() {
-	if s.log.size <= s.nextRewriteCheck {
-		return
-	}
-	if s.log.size > 2*s.liveBytes() {
-		s.log.rewrite(s.liveSpans())
-	}
-	s.nextRewriteCheck = max(s.rewriteFrom, s.log.size+s.log.size/8)
-}
-
-// StageChunk writes a piece of a snapshot that is being made. It need not last before the snapshot itself is persisted.
+// StageChunk writes a chunk of a snapshot that this replica makes; number 0 begins a new one. It is not synced: it counts only when a later
+// Persist stores the snapshot, and the sync of that makes it durable.
 func (s *Store) StageChunk(group string, chunk *rpc.SnapshotPiece) error {
-	return s.append([]*rpc.StoredRecord{{Group: group, Piece: chunk}}, false)
+	return s.append([]*rpc.StoredRecord{{Group: group, Piece: chunk}}, notSynced)
 }
 
-func (s *Store) append(records []*rpc.StoredRecord, sync bool) error {
-	spans, err := s.log.append(records, sync)
+// append appends records to the log and notes where they are.
+func (s *Store) append(records []*rpc.StoredRecord, durability durability) error {
+	spans, err := s.log.append(records, durability)
 	if err != nil {
 		return err
 	}
@@ -322,36 +232,14 @@
 	return nil
 }
 
-// spans are all records that are still of use, in the order in which they have to be replayed.
-func (s *Store) liveSpans() (keep []*span) {
-	for _, name := range slices.Sorted(maps.Keys(s.groups)) { // in a fixed order, so that a simulation repeats
-		g := s.groups[name]
-		single := []*span{&g.hardState}
-		for i := range g.chunks {
-			single = append(single, &g.chunks[i])
-		}
-		single = append(single, &g.snapshot)
-		for _, at := range single {
-			if at.length > 0 {
-				keep = append(keep, at)
-			}
-		}
-		for i := range g.entries {
-			keep = append(keep, &g.entries[i].span)
-		}
-		for _, stage := range [][]span{g.stagedLocal, g.stagedReceived} {
-			for i := range stage {
-				keep = append(keep, &stage[i])
-			}
-		}
+// rewriteIfWasteful rewrites the log without its obsolete records if they are more than half of it. If that fails, the old file stays in use,
+// and it is tried again when that has grown by an eighth.
+func (s *Store) rewriteIfWasteful() {
+	if s.log.size <= s.nextRewriteCheck {
+		return
 	}
-	return keep
-}
-
-// live is the number of bytes that are still of use.
-func (s *Store) liveBytes() (bytes int64) {
-	for _, at := range s.liveSpans() {
-		bytes += at.length + recordHeaderBytes
+	if s.log.size > 2*s.liveBytes() {
+		_ = s.log.rewrite(s.liveSpans()) // optional, and repeated later: see above
 	}
-	return bytes
+	s.nextRewriteCheck = max(s.rewriteFrom, s.log.size+s.log.size/8)
 }
--- a/internal/scheduler/replica/store_test.go
+++ b/internal/scheduler/replica/store_test.go
@@ -29,7 +29,7 @@
 	return s
 }
 
-// What was persisted is there after a restart, and later entries replace those at and after their index.
+// Everything persisted is there after a restart. Later entries replace those at and after their index.
 func TestStoreKeepsTheLog(t *testing.T) {
 	is := is.New(t)
 	folder := t.TempDir()
@@ -50,7 +50,7 @@
 	is.Equal(string(one.Data), "w")
 }
 
-// A loss of power may tear the last append anywhere: what was synced before stays, and the log goes on behind it.
+// A loss of power may tear the last append anywhere: what was synced before stays, and new entries are appended after it.
 func TestStoreWithATornTail(t *testing.T) {
 	folder := t.TempDir()
 	s := openStore(t, folder)
@@ -94,7 +94,7 @@
 	}
 }
 
-// A rewritten log holds what is of use, and the old one's place is taken by a whole file.
+// A rewritten log has all records that are not obsolete, and replaces the old one by a complete file.
 func TestStoreRewrites(t *testing.T) {
 	is := is.New(t)
 	folder := t.TempDir()
@@ -124,7 +124,7 @@
 	is.Equal(string(newest.Data), "new")
 }
 
-// After a write that fails the log is as it was, and takes the same again.
+// After a failed write the log is as it was before, and the write can be repeated.
 func TestStoreAfterAFailedWrite(t *testing.T) {
 	is := is.New(t)
 	folder := t.TempDir()
@@ -159,8 +159,8 @@
 	is.Equal(id, "me")
 }
 
-// A snapshot that was received takes the place of the whole log. Were entries behind it kept, which the leader has given up, a restarted
-// replica would take itself for one with an older log than it has, and vote for candidates that lack what the snapshot holds.
+// A received snapshot replaces all of the log. If entries after it were kept, which the leader has given up, a restarted replica would compare
+// candidates with the epoch of those, and vote for some that lack entries that the snapshot covers.
 func TestReceivedSnapshotReplacesTheLog(t *testing.T) {
 	is := is.New(t)
 	folder := t.TempDir()
@@ -180,7 +180,7 @@
 	is.Equal(len(stored.Entries), 0)
 }
 
-// Pieces of a snapshot that was not finished count for nothing after a restart.
+// Chunks of a snapshot that was not complete are ignored after a restart.
 func TestUnfinishedSnapshot(t *testing.T) {
 	is := is.New(t)
 	folder := t.TempDir()
@@ -194,5 +194,5 @@
 	is.Equal(stored.Snapshot.Index, uint64(1))
 	is.Equal(len(stored.Entries), 1)
 	err = s.Persist([]GroupWrite{{Group: "a", Snapshot: &rpc.Snapshot{Index: 2, Epoch: 1, Pieces: 2}, Received: true}})
-	is.True(errors.Is(err, ErrCorrupt)) // its pieces aren't there
+	is.True(errors.Is(err, ErrCorrupt)) // its chunks are missing
 }
--- /dev/null
+++ b/internal/scheduler/replica/submit.go
@@ -0,0 +1,76 @@
+package replica
+
+import (
+	"context"
+	"saffronquay/internal/scheduler/rpc"
+	"saffronquay/internal/scheduler/transport"
+	"time"
+)
+
+// retryInterval is the wait between two attempts to have a command committed. A forwarded attempt looks as often whether the leader has
+// changed.
+const retryInterval = 60 * time.Millisecond
+
+// Submit has the leader of a group, wherever it is, commit and apply a command. It repeats the command until one attempt is DONE or ctx
+// ends, so the command must do no harm if it is applied twice. The result is that of the last attempt: if it is not DONE, an earlier attempt
+// may have taken effect nevertheless.
+func Submit(ctx context.Context, h *Host, client *transport.Client, group string, command []byte) ProposalResult {
+	s := submission{host: h, client: client, group: group, command: command}
+	result := ProposalResult{Outcome: rpc.Outcome_UNAVAILABLE}
+	for {
+		self, address := h.Status(group).NextHop()
+		switch {
+		case self:
+			result = h.Propose(ctx, group, command)
+		case address != "":
+			result = s.forward(ctx, address)
+		}
+		if result.Outcome == rpc.Outcome_DONE {
+			return result
+		}
+		select {
+		case <-time.After(retryInterval):
+		case <-ctx.Done():
+			return result
+		}
+	}
+}
+
+// submission is a command that is submitted to a group.
+type submission struct {
+	host    *Host
+	client  *transport.Client
+	group   string
+	command []byte
+}
+
+// forward has the leader at an address decide, and waits for its answer for at most proposeTimeout. It stops waiting when this replica learns of
+// another leader, or loses its leader: the old one may be without power, and would delay the command until the call times out.
+func (s *submission) forward(ctx context.Context, address string) ProposalResult {
+	ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
+	defer cancel()
+	answered := make(chan ProposalResult, 1) // buffered, since the call may end after forward has returned
+	go func() { answered <- s.call(ctx, address) }()
+	ticker := time.NewTicker(retryInterval)
+	defer ticker.Stop()
+	for {
+		select {
+		case result := <-answered:
+			return result
+		case <-ticker.C:
+			if _, leader := s.host.Status(s.group).NextHop(); leader != address {
+				return ProposalResult{Outcome: rpc.Outcome_OUTCOME_UNKNOWN}
+			}
+		}
+	}
+}
+
+// call makes the call to a leader. ctx bounds it.
+func (s *submission) call(ctx context.Context, address string) ProposalResult {
+	client := rpc.NewReplicationProtobufClient("http://"+address, s.client)
+	response, err := client.Propose(ctx, &rpc.ProposeRequest{Group: s.group, Command: s.command})
+	if err != nil {
+		return ProposalResult{Outcome: rpc.Outcome_OUTCOME_UNKNOWN}
+	}
+	return ProposalResult{Outcome: response.Outcome, Result: response.Result}
+}
--- a/internal/scheduler/replica/wal.go
+++ b/internal/scheduler/replica/wal.go
@@ -12,79 +12,104 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// writeAheadLog is a file of records, each behind its length and checksum. What counts is synced before it counts, so a loss of power can
-// tear only what was written after the last sync: the file is cut where it stops being whole.
+// writeAheadLog is a file of records. Each record is a header and a payload: the payload's length and its CRC-32 (IEEE), both as 32 bits in
+// big-endian order, and an encoded rpc.StoredRecord.
+//
+// Everything that counts is synced before it counts. So a loss of power can tear only what was written after the last sync, and the file is
+// cut at the first record that is not complete.
 type writeAheadLog struct {
 	disk   Disk
 	file   File
-	size   int64
+	size   int64 // of the complete records
 	buffer []byte
-	// renamed says that the file took the place of an older one and that its name may not last yet. Nothing counts before it does: a loss
-	// of power could bring the older file back.
+	// renamed says that the file has replaced an older one and that its name may not be durable yet. Nothing may be appended before it is: a
+	// loss of power could bring the older file back.
 	renamed bool
 }
 
-// span is where a record's payload lies in the file.
+// span is where a record's payload is in the file.
 type span struct{ offset, length int64 }
 
+// durability says whether an append has to be on disk when it returns.
+type durability bool
+
 const (
-	logName            = "replicas.log"
-	rewriteName        = "replicas.new"
-	recordHeaderBytes  = 8 // length and checksum
+	notSynced durability = false
+	durable   durability = true
+)
+
+const (
+	logName     = "replicas.log"
+	rewriteName = "replicas.new"
+
+	recordHeaderBytes  = 8
+	checksumOffset     = 4 // in the header
 	maxRecordBytes     = 512 << 20
-	maxKeptBufferBytes = 1 << 20
+	maxKeptBufferBytes = 1 << 20 // a longer buffer is not kept for the next append
+	ioBufferBytes      = 256 << 10
 )
 
-// openLog opens the log on a disk and shows its records in order.
-func openLog(disk Disk, show func(payload []byte, at span) error) (*writeAheadLog, error) {
-	disk.Remove(rewriteName) // of a rewrite that was not finished; mostly there is none
+// openLog opens the log on a disk and calls visit with its records in order. payload is valid only during the call. An error of visit ends it.
+func openLog(disk Disk, visit func(payload []byte, at span) error) (*writeAheadLog, error) {
+	_ = disk.Remove(rewriteName) // of a rewrite that was interrupted; mostly there is none
 	file, err := disk.Open(logName)
 	if err != nil {
 		return nil, fmt.Errorf("replica: open log: %w", err)
 	}
 	l := &writeAheadLog{disk: disk, file: file}
-	if err := l.scan(show); err != nil {
+	if err := l.scan(visit); err != nil {
 		file.Close()
 		return nil, err
 	}
 	return l, nil
 }
 
-// scan shows the whole records and cuts off what stands behind them.
-func (l *writeAheadLog) scan(show func(payload []byte, at span) error) error {
+// scan visits the complete records and cuts off what comes after them.
+func (l *writeAheadLog) scan(visit func(payload []byte, at span) error) error {
 	size, err := l.file.Size()
 	if err != nil {
 		return fmt.Errorf("replica: read log: %w", err)
 	}
-	reader := bufio.NewReaderSize(io.NewSectionReader(l.file, 0, size), 256<<10)
+	reader := bufio.NewReaderSize(io.NewSectionReader(l.file, 0, size), ioBufferBytes)
 	var payload []byte
 	for {
-		var head [recordHeaderBytes]byte
-		if _, err := io.ReadFull(reader, head[:]); err != nil {
+		payload, err = readFrame(reader, payload)
+		if err != nil {
 			return l.truncateTail(size, err)
 		}
-		length := int64(binary.BigEndian.Uint32(head[:]))
-		if length == 0 || length > maxRecordBytes {
-			return l.truncateTail(size, io.EOF)
-		}
-		if int64(cap(payload)) < length {
-			payload = make([]byte, length)
-		}
-		payload = payload[:length]
-		if _, err := io.ReadFull(reader, payload); err != nil {
-			return l.truncateTail(size, err)
-		}
-		if crc32.ChecksumIEEE(payload) != binary.BigEndian.Uint32(head[4:]) {
-			return l.truncateTail(size, io.EOF)
-		}
-		if err := show(payload, span{l.size + recordHeaderBytes, length}); err != nil {
+		length := int64(len(payload))
+		if err := visit(payload, span{l.size + recordHeaderBytes, length}); err != nil {
 			return err
 		}
 		l.size += recordHeaderBytes + length
 	}
 }
 
-// cut ends a scan at the last whole record.
+// readFrame reads the next record and returns its payload, in buffer if that is long enough. It returns io.EOF or io.ErrUnexpectedEOF if
+// there is no complete record.
+func readFrame(reader io.Reader, buffer []byte) (payload []byte, err error) {
+	var header [recordHeaderBytes]byte
+	if _, err := io.ReadFull(reader, header[:]); err != nil {
+		return nil, err
+	}
+	length := int64(binary.BigEndian.Uint32(header[:]))
+	if length == 0 || length > maxRecordBytes {
+		return nil, io.EOF
+	}
+	if int64(cap(buffer)) < length {
+		buffer = make([]byte, length)
+	}
+	payload = buffer[:length]
+	if _, err := io.ReadFull(reader, payload); err != nil {
+		return nil, err
+	}
+	if crc32.ChecksumIEEE(payload) != binary.BigEndian.Uint32(header[checksumOffset:]) {
+		return nil, io.EOF
+	}
+	return payload, nil
+}
+
+// truncateTail cuts the file after the last complete record. It returns the error that ended the scan if that is not an end of the file.
 func (l *writeAheadLog) truncateTail(size int64, err error) error {
 	if !errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF) {
 		return fmt.Errorf("replica: read log: %w", err)
@@ -98,37 +123,46 @@
 	return l.file.Sync()
 }
 
-// append writes records behind the others and, where sync is set, has them last. After an error the file is as it was.
-func (l *writeAheadLog) append(records []*rpc.StoredRecord, sync bool) (spans []span, err error) {
+// append writes records after the others and returns where they are. After an error the log is as it was before.
+func (l *writeAheadLog) append(records []*rpc.StoredRecord, durability durability) (spans []span, err error) {
 	if err := l.syncName(); err != nil {
 		return nil, err
 	}
-	buffer := l.buffer[:0]
+	buffer, spans, err := l.encode(records)
+	if err != nil {
+		return nil, err
+	}
+	if _, err = l.file.WriteAt(buffer, l.size); err == nil && durability == durable {
+		err = l.file.Sync()
+	}
+	if err != nil {
+		return nil, errors.Join(err, l.file.Truncate(l.size))
+	}
+	l.size += int64(len(buffer))
+	return spans, nil
+}
+
+// encode returns records as they are appended, and where they will be. The buffer is valid until the next call.
+func (l *writeAheadLog) encode(records []*rpc.StoredRecord) (buffer []byte, spans []span, err error) {
+	buffer = l.buffer[:0]
 	for _, r := range records {
 		start := len(buffer)
 		buffer = append(buffer, make([]byte, recordHeaderBytes)...)
 		if buffer, err = (proto.MarshalOptions{}).MarshalAppend(buffer, r); err != nil {
-			return nil, err
+			return nil, nil, err
 		}
 		payload := buffer[start+recordHeaderBytes:]
 		binary.BigEndian.PutUint32(buffer[start:], uint32(len(payload)))
-		binary.BigEndian.PutUint32(buffer[start+4:], crc32.ChecksumIEEE(payload))
+		binary.BigEndian.PutUint32(buffer[start+checksumOffset:], crc32.ChecksumIEEE(payload))
 		spans = append(spans, span{l.size + int64(start) + recordHeaderBytes, int64(len(payload))})
 	}
 	if cap(buffer) <= maxKeptBufferBytes {
 		l.buffer = buffer
 	}
-	if _, err = l.file.WriteAt(buffer, l.size); err == nil && sync {
-		err = l.file.Sync()
-	}
-	if err != nil {
-		return nil, errors.Join(err, l.file.Truncate(l.size))
-	}
-	l.size += int64(len(buffer))
-	return spans, nil
+	return buffer, spans, nil
 }
 
-// keepName makes the name of a rewritten file last.
+// syncName makes the name of a rewritten file durable.
 func (l *writeAheadLog) syncName() error {
 	if !l.renamed {
 		return nil
@@ -140,6 +174,7 @@
 	return nil
 }
 
+// read returns the payload of a record.
 func (l *writeAheadLog) read(at span) ([]byte, error) {
 	payload := make([]byte, at.length)
 	if _, err := l.file.ReadAt(payload, at.offset); err != nil {
@@ -148,15 +183,15 @@
 	return payload, nil
 }
 
-// rewrite puts a file of some records in this one's place and moves their spans to where they lie there. After an error everything is as it
-// was.
-func (l *writeAheadLog) rewrite(keep []*span) error {
-	l.disk.Remove(rewriteName)
+// rewrite replaces the file by one that has only some of its records, in the order of live, and sets their spans to where they are in it. After
+// an error everything is as it was before.
+func (l *writeAheadLog) rewrite(live []*span) error {
+	_ = l.disk.Remove(rewriteName) // of a rewrite that failed; mostly there is none
 	file, err := l.disk.Open(rewriteName)
 	if err != nil {
 		return fmt.Errorf("replica: rewrite log: %w", err)
 	}
-	size, err := l.copyTo(file, keep)
+	size, err := l.copyTo(file, live)
 	if err == nil {
 		err = file.Sync()
 	}
@@ -165,13 +200,13 @@
 	}
 	if err != nil {
 		file.Close()
-		l.disk.Remove(rewriteName)
+		_ = l.disk.Remove(rewriteName) // it is removed before the next rewrite, or at the next start, if not now
 		return fmt.Errorf("replica: rewrite log: %w", err)
 	}
 	l.file.Close()
 	l.file, l.size, l.renamed = file, size, true
 	offset := int64(recordHeaderBytes)
-	for _, at := range keep {
+	for _, at := range live {
 		at.offset = offset
 		offset += at.length + recordHeaderBytes
 	}
@@ -190,12 +225,13 @@
 	return n, err
 }
 
-func (l *writeAheadLog) copyTo(file File, keep []*span) (size int64, err error) {
+// copyTo copies records to an empty file and returns its size.
+func (l *writeAheadLog) copyTo(file File, live []*span) (size int64, err error) {
 	to := &offsetWriter{file: file}
-	writer := bufio.NewWriterSize(to, 256<<10)
-	for _, at := range keep {
-		whole := io.NewSectionReader(l.file, at.offset-recordHeaderBytes, recordHeaderBytes+at.length)
-		if _, err := io.Copy(writer, whole); err != nil {
+	writer := bufio.NewWriterSize(to, ioBufferBytes)
+	for _, at := range live {
+		record := io.NewSectionReader(l.file, at.offset-recordHeaderBytes, recordHeaderBytes+at.length)
+		if _, err := io.Copy(writer, record); err != nil {
 			return 0, err
 		}
 	}
