--- a/internal/scheduler/worker/body.go
+++ b/internal/scheduler/worker/body.go
@@ -10,103 +10,116 @@
 
 // fixedReader reads a body whose length the head states.
 type fixedReader struct {
-	answer *Answer
-	left   int64
+	answer    *Answer
+	remaining int64
 }
 
 func (r *fixedReader) Read(b []byte) (int, error) {
-	if r.left <= 0 {
-		r.answer.whole = true
+	if r.remaining <= 0 {
+		r.answer.complete = true
 		return 0, io.EOF
 	}
-	if int64(len(b)) > r.left {
-		b = b[:r.left]
+	if int64(len(b)) > r.remaining {
+		b = b[:r.remaining]
 	}
 	n, err := r.answer.conn.reader.Read(b)
-	r.left -= int64(n)
-	if r.left == 0 {
-		r.answer.whole = true
+	r.remaining -= int64(n)
+	if r.remaining == 0 {
+		r.answer.complete = true
 		return n, nil
 	}
-	return n, unexpected(err)
+	return n, asUnexpectedEOF(err)
 }
 
-// closingReader reads a body that ends with its connection. A connection that is reset leaves it incomplete.
+// closingReader reads a body that has no length and ends when the worker closes the connection. A reset is an error. The connection is never kept:
+// the answer does not become complete.
 type closingReader struct{ answer *Answer }
 
 func (r *closingReader) Read(b []byte) (int, error) { return r.answer.conn.reader.Read(b) }
 
-var errChunk = errors.New("worker: broken chunk")
+// errMalformedChunk says that a chunk's head is no hexadecimal number, or that a chunk has no line end behind it.
+var errMalformedChunk = errors.New("worker: broken chunk")
 
 // chunkedReader reads a body in chunks.
 type chunkedReader struct {
-	answer *Answer
-	left   int64
-	inside bool
-	done   bool
+	answer     *Answer
+	remaining  int64 // of the current chunk
+	insideBody bool  // a chunk was read, whose line end is due
+	done       bool
 }
 
 func (r *chunkedReader) Read(b []byte) (int, error) {
 	if r.done {
 		return 0, io.EOF
 	}
-	if r.left == 0 {
-		if err := r.next(); err != nil {
+	if r.remaining == 0 {
+		if err := r.nextChunk(); err != nil {
 			return 0, err
 		}
 	}
-	if int64(len(b)) > r.left {
-		b = b[:r.left]
+	if int64(len(b)) > r.remaining {
+		b = b[:r.remaining]
 	}
 	n, err := r.answer.conn.reader.Read(b)
-	r.left -= int64(n)
-	return n, unexpected(err)
+	r.remaining -= int64(n)
+	return n, asUnexpectedEOF(err)
 }
 
-// next reads the head of the next chunk; io.EOF where it is the last one.
-func (r *chunkedReader) next() error {
-	if r.inside {
-		line, err := r.line()
+// nextChunk reads the head of the next chunk. It returns io.EOF behind the last chunk and its trailers.
+func (r *chunkedReader) nextChunk() error {
+	if r.insideBody {
+		line, err := r.readLine()
 		if err != nil {
 			return err
 		}
 		if len(line) != 0 {
-			return errChunk
+			return errMalformedChunk
 		}
 	}
-	line, err := r.line()
+	line, err := r.readLine()
 	if err != nil {
 		return err
 	}
-	size, _, _ := bytes.Cut(line, []byte(";"))
-	r.left, err = strconv.ParseInt(string(bytes.TrimSpace(size)), 16, 63)
-	if err != nil || r.left < 0 {
-		return errChunk
+	size, _, _ := bytes.Cut(line, []byte(";")) // extensions are ignored
+	r.remaining, err = strconv.ParseInt(string(bytes.TrimSpace(size)), 16, 63)
+	if err != nil || r.remaining < 0 {
+		return errMalformedChunk
 	}
-	r.inside = true
-	if r.left > 0 {
+	r.insideBody = true
+	if r.remaining > 0 {
 		return nil
 	}
-	for { // trailers
-		if line, err = r.line(); err != nil {
+	if err := r.skipTrailers(); err != nil {
+		return err
+	}
+	r.done, r.answer.complete = true, true
+	return io.EOF
+}
+
+// skipTrailers reads up to the empty line that ends the body.
+func (r *chunkedReader) skipTrailers() error {
+	for {
+		line, err := r.readLine()
+		if err != nil {
 			return err
 		}
 		if len(line) == 0 {
-			r.done, r.answer.whole = true, true
-			return io.EOF
+			return nil
 		}
 	}
 }
 
-func (r *chunkedReader) line() ([]byte, error) {
+// readLine returns the next line without its end. It is valid until the next read.
+func (r *chunkedReader) readLine() ([]byte, error) {
 	line, err := r.answer.conn.reader.ReadSlice('\n')
 	if err != nil {
-		return nil, unexpected(err)
+		return nil, asUnexpectedEOF(err)
 	}
 	return bytes.TrimRight(line, "\r\n"), nil
 }
 
-func unexpected(err error) error {
+// asUnexpectedEOF turns io.EOF into an error that wraps io.ErrUnexpectedEOF, and returns any other error as it is.
+func asUnexpectedEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return fmt.Errorf("worker: the answer breaks off: %w", io.ErrUnexpectedEOF)
 	}
--- /dev/null
+++ b/internal/scheduler/worker/call.go
@@ -0,0 +1,45 @@
+package worker
+
+import (
+	"bytes"
+	"strconv"
+	"time"
+
+	"github.com/valyala/fasthttp"
+)
+
+// Call is a request to a worker.
+type Call struct {
+	Address     string // host and port
+	Method      string
+	URI         string // path and query, as the client sent them
+	Host        string
+	Headers     []Header // all but Host and Content-Length
+	Body        []byte
+	DialTimeout time.Duration // for a new connection; 0: transport.DialTimeout
+}
+
+// Header is one header field.
+type Header struct{ Name, Value string }
+
+// headSizeEstimate is the size of a usual head.
+const headSizeEstimate = 512
+
+// encode returns the request as it goes over the connection.
+func (c *Call) encode() []byte {
+	var b bytes.Buffer
+	b.Grow(headSizeEstimate + len(c.Body))
+	b.WriteString(c.Method + " " + c.URI + " HTTP/1.1\r\nHost: " + c.Host + "\r\n")
+	for _, h := range c.Headers {
+		b.WriteString(h.Name)
+		b.WriteString(": ")
+		b.WriteString(h.Value)
+		b.WriteString("\r\n")
+	}
+	if len(c.Body) > 0 || c.Method != fasthttp.MethodGet && c.Method != fasthttp.MethodHead {
+		b.WriteString("Content-Length: " + strconv.Itoa(len(c.Body)) + "\r\n")
+	}
+	b.WriteString("\r\n")
+	b.Write(c.Body)
+	return b.Bytes()
+}
--- a/internal/scheduler/worker/worker_test.go
+++ b/internal/scheduler/worker/worker_test.go
@@ -14,7 +14,8 @@
 	"github.com/matryer/is"
 )
 
-// serve answers each request on each connection with the next text; an empty text closes the connection.
+// serve starts a worker that answers each request on each connection with the next text, and returns its address. An empty text closes the
+// connection.
 func serve(t *testing.T, answers ...string) string {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -80,7 +81,7 @@
 	}
 }
 
-// An answer that breaks off never looks whole.
+// An answer that breaks off is an error, and its connection is not kept.
 func TestBrokenAnswers(t *testing.T) {
 	is := is.New(t)
 	for _, text := range []string{
@@ -98,7 +99,7 @@
 	}
 }
 
-// Bytes behind a whole answer belong to no request: the connection isn't used again.
+// Bytes behind a complete answer belong to no request: the connection isn't used again.
 func TestSurplusBytes(t *testing.T) {
 	is := is.New(t)
 	address := serve(t, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nokHTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nbad", "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ngood")
@@ -113,14 +114,14 @@
 	}
 }
 
-// The verdict is that nothing has run only where nothing was sent.
-func TestVerdicts(t *testing.T) {
+// The outcome is NotRun only where nothing was sent.
+func TestOutcomes(t *testing.T) {
 	is := is.New(t)
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	is.NoErr(err)
-	dead := listener.Addr().String()
+	closedAddress := listener.Addr().String()
 	listener.Close()
-	_, err = NewPool().Do(context.Background(), call(dead))
+	_, err = NewPool().Do(context.Background(), call(closedAddress))
 	is.Equal(outcome.Of(err), outcome.NotRun)
 	_, err = NewPool().Do(context.Background(), call(serve(t, "")))
 	is.Equal(outcome.Of(err), outcome.MayHaveRun)
@@ -131,6 +132,7 @@
 	is.True(outcome.IsTimeout(err))
 }
 
+// Events end with an empty line; fields that are no numbers and an end within an event are errors.
 func TestEvents(t *testing.T) {
 	is := is.New(t)
 	events := NewEventReader(strings.NewReader("id: 1\ndata: a\n\nweight-versions: 7\nid: 2\ndata: b\ndata: c\n\n: note\nid:3\ndata:\n\nid: 4\nda"))
@@ -145,21 +147,21 @@
 	is.NoErr(err)
 	is.Equal(third.ID, int64(3))
 	_, err = events.Next()
-	is.Equal(err, io.ErrUnexpectedEOF) // an event that breaks off is none
+	is.Equal(err, io.ErrUnexpectedEOF) // an event that breaks off is not returned
 	_, err = NewEventReader(strings.NewReader("id: x\n\n")).Next()
 	is.True(errors.Is(err, ErrMalformedEvent))
 	_, err = NewEventReader(strings.NewReader("")).Next()
 	is.Equal(err, io.EOF)
 }
 
-// A worker may answer a long request before it has read it. The answer is taken at once, and the connection is not used again: the worker would
+// A worker may answer a long request before it has read it. The answer is taken immediately, and the connection is not used again: the worker would
 // take the next request for the rest of that one.
 func TestAnswerBeforeTheRequestIsRead(t *testing.T) {
 	is := is.New(t)
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	is.NoErr(err)
 	defer listener.Close()
-	held := make(chan net.Conn, 1)
+	accepted := make(chan net.Conn, 1)
 	go func() {
 		conn, err := listener.Accept()
 		if err != nil {
@@ -167,22 +169,22 @@
 		}
 		conn.(*net.TCPConn).SetReadBuffer(4 << 10)
 		io.WriteString(conn, "HTTP/1.1 503 Full\r\nNot-Executed: 1\r\nContent-Length: 0\r\n\r\n")
-		held <- conn
+		accepted <- conn
 	}()
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
 	pool := NewPool()
 	c := call(listener.Addr().String())
-	c.Method, c.Body = "POST", make([]byte, 32<<20) // more than the buffers between them hold
+	c.Method, c.Body = "POST", make([]byte, 32<<20) // more than the buffers of both ends take
 	a, err := pool.Do(ctx, c)
 	is.NoErr(err)
 	is.Equal(a.Status, 503)
 	a.Close()
 	is.Equal(len(pool.idle[c.Address]), 0)
-	(<-held).Close()
+	(<-accepted).Close()
 }
 
-// The connection of an answer that belongs to another request is given up, also where its body is empty and so read to its end.
+// The connection of an answer that belongs to another request is closed, also where its body is empty and so read to its end.
 func TestDiscardedAnswer(t *testing.T) {
 	is := is.New(t)
 	address := serve(t, "HTTP/1.1 500 Oh\r\nRequest-Id: other\r\nContent-Length: 0\r\n\r\n", "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
