--- /dev/null
+++ b/internal/scheduler/agent/members.go
@@ -0,0 +1,38 @@
+package agent
+
+import (
+	"saffronquay/internal/scheduler/membership"
+	"saffronquay/internal/scheduler/rpc"
+	"time"
+
+	"google.golang.org/protobuf/proto"
+)
+
+// membersShard is the shard of the feed that lists the live processes of the system. Only this agent publishes it: its offsets are the agent's
+// times in microseconds, so that they go on increasing over a restart.
+const membersShard = "members"
+
+// publishMembers brings the feed to a new view: a member that appeared or differs, and a member that is no longer alive, make an event each.
+func (a *Agent) publishMembers(v *membership.View) {
+	var events []*rpc.FeedEvent
+	alive := map[string]*rpc.Member{}
+	for _, m := range v.Members {
+		if !m.Alive {
+			continue
+		}
+		alive[m.Name] = m.Member
+		if old := a.published[m.Name]; old == nil || !proto.Equal(old, m.Member) {
+			events = append(events, &rpc.FeedEvent{Event: &rpc.FeedEvent_Member{Member: m.Member}})
+		}
+	}
+	for name := range a.published {
+		if alive[name] == nil {
+			events = append(events, &rpc.FeedEvent{Event: &rpc.FeedEvent_Left{Left: name}})
+		}
+	}
+	a.published = alive
+	if len(events) > 0 {
+		offset := max(uint64(time.Now().UnixMicro()), a.feed.Offset(membersShard)+1)
+		a.feed.Publish(membersShard, offset, events...)
+	}
+}
--- a/internal/scheduler/controlplane/server.go
+++ b/internal/scheduler/controlplane/server.go
@@ -23,7 +23,7 @@
 	"github.com/valyala/fasthttp"
 )
 
-// errDiskFailed ends the role: its replicas can't say what they have voted for.
+// errDiskFailed ends the role: the state of its replicas could not be read.
 var errDiskFailed = errors.New("controlplane: disk failed, replicas stopped")
 
 const (
@@ -40,7 +40,7 @@
 	started  time.Time
 
 	identity   replica.Identity
-	facts      *replica.IdentityStore
+	identities *replica.IdentityStore
 	store      *replica.Store
 	host       *replica.Host
 	membership *membership.Membership
@@ -61,17 +61,17 @@
 	if err := s.open(options); err != nil {
 		return err
 	}
-	defer s.facts.Close()
+	defer s.identities.Close()
 	defer s.store.Close()
 	return s.serve(ctx)
 }
 
 // open reads the disk, and prepares the state machines and the host of the replicas.
 func (s *Server) open(options replica.Options) (err error) {
-	if s.facts, err = replica.OpenIdentityStore(s.settings.DataDir); err != nil {
+	if s.identities, err = replica.OpenIdentityStore(s.settings.DataDir); err != nil {
 		return err
 	}
-	if s.identity, err = replica.LoadOrCreateIdentity(s.facts, s.settings); err != nil {
+	if s.identity, err = replica.LoadOrCreateIdentity(s.identities, s.settings); err != nil {
 		return err
 	}
 	if s.store, err = replica.OpenStore(s.settings.DataDir); err != nil {
@@ -103,8 +103,7 @@
 	if err != nil {
 		return err
 	}
-	//nolint:contextcheck // the membership's goroutine isn't bound to a context: it runs as long as the process
-	if s.membership, err = membership.Start(s.settings, settings.ServesControlPlane, s.identity.ID, s.log, nil); err != nil {
+	if s.membership, err = membership.Start(ctx, s.settings, settings.ServesControlPlane, s.identity.ID, s.log, nil); err != nil {
 		return err
 	}
 	ctx, stop := context.WithCancel(ctx)
--- a/internal/scheduler/membership/membership.go
+++ b/internal/scheduler/membership/membership.go
@@ -10,6 +10,7 @@
 	"saffronquay/internal/scheduler/rpc"
 	"saffronquay/internal/scheduler/settings"
 	"strings"
+	"sync"
 	"sync/atomic"
 	"time"
 )
@@ -59,6 +60,7 @@
 // Membership is the participation of a process in the protocol. Stop ends it.
 type Membership struct {
 	driver  *gossip.Peers
+	running sync.WaitGroup // of the driver's goroutine
 	view    atomic.Pointer[View]
 	changed func(*View)
 	start   time.Time
@@ -66,8 +68,9 @@
 }
 
 // Start joins the protocol through the seeds of the settings. kind is what the process serves; identity names its disk and is empty for processes
-// without replicas. changed, if not nil, is called with each new view, from one goroutine; it must not block.
-func Start(s *settings.Settings, kind, identity string, log *slog.Logger, changed func(*View)) (*Membership, error) {
+// without replicas. changed, if not nil, is called with each new view, from one goroutine; it must not block. Stop ends the participation; the
+// end of ctx doesn't.
+func Start(ctx context.Context, s *settings.Settings, kind, identity string, log *slog.Logger, changed func(*View)) (*Membership, error) {
 	address, err := netip.ParseAddrPort(s.GossipAddress())
 	if err != nil {
 		return nil, fmt.Errorf("membership: %w", err)
@@ -90,13 +93,13 @@
 		Seed:   uint64(time.Now().UnixNano()),
 		Watch:  m.publish,
 	}
-	if !log.Enabled(context.Background(), slog.LevelInfo) {
+	if !log.Enabled(ctx, slog.LevelInfo) {
 		log = slog.New(slog.DiscardHandler) // else every process would log every change of every other
 	}
 	if m.driver, err = gossip.Open(cfg, m.now, nil, log); err != nil {
 		return nil, fmt.Errorf("membership: %w", err)
 	}
-	go m.driver.Run()
+	m.running.Go(m.driver.Run)
 	return m, nil
 }
 
@@ -126,4 +129,7 @@
 }
 
 // Stop announces the departure to other processes and ends the driver.
-func (m *Membership) Stop() { m.driver.Stop() }
+func (m *Membership) Stop() {
+	m.driver.Stop()
+	m.running.Wait()
+}
--- a/internal/scheduler/weights/worker_client.go
+++ b/internal/scheduler/weights/worker_client.go
@@ -48,7 +48,9 @@
 
 // order sends an order and returns the status of the answer. After an error the worker may load all the same.
 func (c *workerClient) order(order Order, holder string, epoch uint64) (status int, err error) {
-	body, err := json.Marshal(orderBody{Operation: loadVersion, Model: order.Model, Version: order.Version, Mode: order.Mode, Holder: holder, Epoch: epoch})
+	body, err := json.Marshal(orderBody{
+		Operation: loadVersion, Model: order.Model, Version: order.Version, Mode: order.Mode, Holder: holder, Epoch: epoch,
+	})
 	if err != nil {
 		return 0, err
 	}
