--- a/internal/scheduler/settings/doc.go
+++ b/internal/scheduler/settings/doc.go
@@ -3,7 +3,8 @@
 //
 // # What it owns
 //
-// Settings is the content of a file; its TOML keys are part of the operators' interface. Keys that it does not have are ignored. Parse gives missing keys their defaults and reports all faults together, each with its key. Source returns the settings that are in force and reads the
+// Settings is the content of a file; its TOML keys are part of the operators' interface. Keys that it does not have are ignored. Parse gives
+// missing keys their defaults and reports all faults together, each with its key. Source returns the settings that are in force and reads the
 // file again after it was changed. The package also knows the layout of a machine's port range.
 //
 // # What it must not know
--- a/internal/scheduler/settings/settings.go
+++ b/internal/scheduler/settings/settings.go
@@ -32,7 +32,7 @@
 	Region          string            `toml:"region"`          // not read
 	PortRange       []int             `toml:"portRange"`       // the first and the last port that the process may use
 	Seeds           []string          `toml:"seeds"`           // addresses of the control plane's machines, with a port
-	Bootstrap       bool              `toml:"bootstrap"`       // the control plane's machines that Seeds names found the replica groups at the first start
+	Bootstrap       bool              `toml:"bootstrap"`       // the machines in Seeds found the replica groups at their first start
 	CountsForQuorum bool              `toml:"countsForQuorum"` // not read
 	DataDir         string            `toml:"dataDir"`         // of the log, the snapshots and the identity
 	HeartbeatMS     int64             `toml:"heartbeatMs"`     // interval of workers' heartbeats
@@ -45,8 +45,7 @@
 	FeatureGates    featuregate.Gates `toml:"decisions"` // the mechanisms that are in use
 }
 
-// Listen has the addresses with port of the interfaces that a process offers outside the scheduler. An empty one passes
-// the check.
+// Listen has the addresses with port of the interfaces that a process offers outside the scheduler. An empty one passes the check.
 type Listen struct {
 	Frontend     string `toml:"frontend"`     // clients' requests
 	Readiness    string `toml:"readiness"`    // readiness checks
@@ -70,7 +69,10 @@
 	Regions  int `toml:"regions"`  // not read
 }
 
-// Bounds are the deployment's times. Names ending in S are seconds, in MS milliseconds.
+// Bounds are the deployment's times, and whether workers check fencing tokens. Names ending in S are seconds, in MS milliseconds.
+//
+// A process that takes over a registry shard sends no order to its workers until it has owned the shard for LeaseMS. It need not wait if no other
+// machine was the last sender, or if Fencing is set and the process of the last sender has ended: then a late order has no effect.
 type Bounds struct {
 	ContactMS       float64 `toml:"contactMs"`       // not read
 	CatchUpS        float64 `toml:"catchUpS"`        // not read
@@ -79,8 +81,8 @@
 	PropagationMS   float64 `toml:"propagationMs"`   // not read
 	StatusIntervalS float64 `toml:"statusIntervalS"` // how long a batch job's results stay after its end, at least
 	CancelMS        float64 `toml:"cancelMs"`        // not read
-	Fencing         bool    `toml:"fencing"`         // workers check fencing tokens: then LeaseMS need not pass once the other machine's process has ended
-	LeaseMS         float64 `toml:"leaseMs"`         // how long a process must own a registry shard before it sends orders to workers that another machine sent orders to
+	Fencing         bool    `toml:"fencing"`         // workers check fencing tokens
+	LeaseMS         float64 `toml:"leaseMs"`         // wait of a new owner of a registry shard
 }
 
 // defaults are the settings of an empty file.
