--- a/internal/scheduler/controlplane/control_service.go
+++ b/internal/scheduler/controlplane/control_service.go
@@ -24,7 +24,7 @@
 // Watch implements rpc.Control. It delivers the changes of all groups that controllers run.
 func (s *Server) Watch(ctx context.Context, r *rpc.WatchRequest) (*rpc.WatchResponse, error) {
 	source := feed.Source{Table: s.feed, Fresh: s.inTouch}
-	if s.settings.FeatureGates.GatheredChanges {
+	if s.settings.FeatureGates.CoalescedChanges {
 		source.CoalesceDelay = coalesceDelay
 	}
 	return source.Watch(ctx, r), nil
--- a/internal/scheduler/controlplane/server.go
+++ b/internal/scheduler/controlplane/server.go
@@ -83,7 +83,7 @@
 		state := registry.New(name, s.feed)
 		s.shards[name] = &shard{server: s, name: name, registry: state, heartbeats: registry.NewHeartbeatHandler(state, s.settings.HeartbeatMS)}
 	}
-	options.BatchCalls = s.settings.FeatureGates.GatheredWrites
+	options.BatchCalls = s.settings.FeatureGates.BatchedWrites
 	s.host, err = replica.NewHost(replica.Config{
 		Identity: s.identity, Store: s.store, Machine: s.stateMachine, Send: replica.NewSender(s.client).Send, Log: s.log, Options: options,
 	})
--- a/internal/scheduler/featuregate/featuregate.go
+++ b/internal/scheduler/featuregate/featuregate.go
@@ -1,9 +1,8 @@
-// Package featuregate names the mechanisms by which the system decides, each with a switch. Operators set them in the section `decisions` of a
-// settings file, or on the command line; all are on unless they say otherwise. Switching one off shows what it is worth.
 package featuregate
 
 import (
 	"fmt"
+	"maps"
 	"slices"
 	"strings"
 )
@@ -11,65 +10,80 @@
 // Policy is the rule by which a worker is chosen among those that a request may go to. All but Predicted are baselines for measurements.
 type Policy string
 
-// The policies.
+// The policies, by their names in the settings file.
 const (
 	Predicted     Policy = "predicted"      // the least predicted backlog
-	LeastRequests Policy = "least_requests" // the fewest requests of this gatherer that are out
-	TwoChoices    Policy = "two_choices"    // of two drawn at random, the one with the fewest
+	LeastRequests Policy = "least_requests" // the fewest requests of this gatherer in flight
+	TwoChoices    Policy = "two_choices"    // of two drawn at random, the one with the fewest requests in flight
 	RoundRobin    Policy = "round_robin"    // one after the other
 	Random        Policy = "random"         // any
 )
 
+// policies lists those that Check allows.
 var policies = []Policy{Predicted, LeastRequests, TwoChoices, RoundRobin, Random}
 
-// Switches says which mechanisms are in use.
+// Gates is the policy and the state of each gate; true is on. The names of the settings file are older than the glossary's terms, which the fields
+// have.
 type Gates struct {
-	Policy          Policy `toml:"policy"`
-	NearbyWorkers   bool   `toml:"nearbyWorkers"`   // requests prefer workers of the gatherer's zone
-	CompactPlaces   bool   `toml:"compactPlaces"`   // a worker's places are divided among as few gatherers as possible
-	RefusalBackoff  bool   `toml:"refusalBackoff"`  // a worker that declines again is left alone for longer
-	GatheredChanges bool   `toml:"gatheredChanges"` // changes of workers are told to gatherers some at a time
-	QuickRefusal    bool   `toml:"quickRefusal"`    // a gatherer without a configuration refuses at once instead of waiting for it
-	GatheredWrites  bool   `toml:"gatheredWrites"`  // a replica takes in what comes within a few milliseconds at once
+	Policy Policy `toml:"policy"`
+	// NearbyWorkers has requests prefer the workers of the gatherer's zone.
+	NearbyWorkers bool `toml:"nearbyWorkers"`
+	// CompactSlots divides a worker's slots for items among as few gatherers as possible.
+	CompactSlots bool `toml:"compactPlaces"`
+	// RejectionBackoff has a gatherer avoid a worker for longer that rejects a request again.
+	RejectionBackoff bool `toml:"refusalBackoff"`
+	// CoalescedChanges has the control plane send changes of workers to gatherers several at a time.
+	CoalescedChanges bool `toml:"gatheredChanges"`
+	// ImmediateRejection has a gatherer without a configuration reject a request whose client has the time to come back, instead of waiting for one.
+	ImmediateRejection bool `toml:"quickRefusal"`
+	// BatchedWrites has a replica process the calls and messages of a few milliseconds together.
+	BatchedWrites bool `toml:"gatheredWrites"`
 }
 
-// All has every mechanism in use.
+// All returns the default: the policy Predicted and every gate on.
 func All() Gates {
-	return Gates{Policy: Predicted, NearbyWorkers: true, CompactPlaces: true, RefusalBackoff: true, GatheredChanges: true, QuickRefusal: true, GatheredWrites: true}
+	return Gates{
+		Policy:             Predicted,
+		NearbyWorkers:      true,
+		CompactSlots:       true,
+		RejectionBackoff:   true,
+		CoalescedChanges:   true,
+		ImmediateRejection: true,
+		BatchedWrites:      true,
+	}
 }
 
-// byName are the switches by the names that the settings file gives them.
-func (s *Gates) byName() map[string]*bool {
+// byName returns the gates by their names in the settings file. A new gate needs a line here.
+func (g *Gates) byName() map[string]*bool {
 	return map[string]*bool{
-		"nearbyWorkers": &s.NearbyWorkers, "compactPlaces": &s.CompactPlaces, "refusalBackoff": &s.RefusalBackoff,
-		"gatheredChanges": &s.GatheredChanges, "quickRefusal": &s.QuickRefusal,
-		"gatheredWrites": &s.GatheredWrites,
+		"nearbyWorkers":   &g.NearbyWorkers,
+		"compactPlaces":   &g.CompactSlots,
+		"refusalBackoff":  &g.RejectionBackoff,
+		"gatheredChanges": &g.CoalescedChanges,
+		"quickRefusal":    &g.ImmediateRejection,
+		"gatheredWrites":  &g.BatchedWrites,
 	}
 }
 
-// Names are those of the switches, in order.
-func Names() (names []string) {
-	for name := range (&Gates{}).byName() {
-		names = append(names, name)
-	}
-	slices.Sort(names)
-	return names
+// Names returns the names of all gates, sorted. They are the same in the settings file and on the command line.
+func Names() []string {
+	return slices.Sorted(maps.Keys((&Gates{}).byName()))
 }
 
-// Without switches a mechanism off.
-func (s *Gates) Disable(name string) error {
-	on := s.byName()[name]
-	if on == nil {
+// Disable switches off the gate with a name. The error lists all names where there is none.
+func (g *Gates) Disable(name string) error {
+	enabled := g.byName()[name]
+	if enabled == nil {
 		return fmt.Errorf("decisions: no mechanism %q: want one of %s", name, strings.Join(Names(), ", "))
 	}
-	*on = false
+	*enabled = false
 	return nil
 }
 
-// Check tells what is wrong with the switches.
-func (s *Gates) Check() error {
-	if !slices.Contains(policies, s.Policy) {
-		return fmt.Errorf("unknown policy %q: want one of %v", s.Policy, policies)
+// Check returns an error where the policy is unknown.
+func (g *Gates) Check() error {
+	if !slices.Contains(policies, g.Policy) {
+		return fmt.Errorf("unknown policy %q: want one of %v", g.Policy, policies)
 	}
 	return nil
 }
--- a/internal/scheduler/proxy/handler.go
+++ b/internal/scheduler/proxy/handler.go
@@ -60,7 +60,7 @@
 	}
 	wait := maxConfigurationWait
 	if left, ok := clientTime(ctx); ok {
-		if p.settings.FeatureGates.QuickRefusal && retryFitsDeadline(left) {
+		if p.settings.FeatureGates.ImmediateRejection && retryFitsDeadline(left) {
 			return nil
 		}
 		wait = min(wait, left/2)
--- a/internal/scheduler/routing/avoidance.go
+++ b/internal/scheduler/routing/avoidance.go
@@ -54,7 +54,7 @@
 	}
 	length := int64(minRejectionBackoffMS)
 	repeated := previous.lengthMS > 0 && now-previous.until < repeatedRejectionMS+previous.lengthMS
-	if t.gates.RefusalBackoff && repeated {
+	if t.gates.RejectionBackoff && repeated {
 		length = min(rejectionBackoffFactor*previous.lengthMS, maxRejectionBackoffMS)
 	}
 	w.rejections[model] = rejectionBackoff{until: now + length, lengthMS: length}
--- a/internal/scheduler/routing/avoidance_test.go
+++ b/internal/scheduler/routing/avoidance_test.go
@@ -31,7 +31,7 @@
 func TestRejectionBackoffSwitchedOff(t *testing.T) {
 	is := is.New(t)
 	gates := featuregate.All()
-	gates.RefusalBackoff = false
+	gates.RejectionBackoff = false
 	x := newFleet(gates, 1, 1, 1, 6)[0]
 	w := x.byID["w00"]
 	for _, now := range []int64{1000, 1110, 1220} {
--- a/internal/scheduler/routing/slots.go
+++ b/internal/scheduler/routing/slots.go
@@ -27,7 +27,7 @@
 		if !found && len(names) > 0 {
 			continue
 		}
-		if t.gates.CompactPlaces && len(names) > 0 {
+		if t.gates.CompactSlots && len(names) > 0 {
 			divideCompactly(zoneWorkers, names, rank, own)
 		} else {
 			divideEvenly(zoneWorkers, rank, max(len(names), 1), own)
--- a/internal/scheduler/routing/slots_test.go
+++ b/internal/scheduler/routing/slots_test.go
@@ -67,7 +67,7 @@
 			t.Run(fmt.Sprint(compact, size), func(t *testing.T) {
 				is := is.New(t)
 				gates := featuregate.All()
-				gates.CompactPlaces = compact
+				gates.CompactSlots = compact
 				f := newFleet(gates, size[0], size[1], size[2], size[3])
 				parts := f.slots()
 				is.Equal(len(parts), size[1])
@@ -99,7 +99,7 @@
 	is := is.New(t)
 	shared := func(compact bool) (count int) {
 		gates := featuregate.All()
-		gates.CompactPlaces = compact
+		gates.CompactSlots = compact
 		for _, list := range newFleet(gates, 60, 48, 4, 6).slots() {
 			count += sharers(list)
 		}
--- a/internal/scheduler/storage/storage.go
+++ b/internal/scheduler/storage/storage.go
@@ -50,7 +50,7 @@
 	st.service = &batchjobs.Service{Log: log, KeepResults: settings.Seconds(s.Bounds.StatusIntervalS + keepSlackS), Demand: st.demand}
 	sender := replica.NewSender(st.client)
 	options.SnapshotBytes = cmp.Or(options.SnapshotBytes, s.Limits.DiskMB<<20/diskShare)
-	options.BatchCalls = s.FeatureGates.GatheredWrites
+	options.BatchCalls = s.FeatureGates.BatchedWrites
 	if st.host, err = replica.NewHost(replica.Config{
 		Identity: st.identity, Store: store, Machine: st.service.StateMachine, Send: sender.Send, Log: log,
 		Options: options,
