--- a/cmd/saffronquay-sim/main.go
+++ b/cmd/saffronquay-sim/main.go
@@ -23,7 +23,7 @@
 type instance struct {
 	scheduler *sq.Scheduler
 	events    []sq.Event
-	touched   bool
+	active   bool
 }
 
 type host struct {
@@ -33,7 +33,7 @@
 	inBatch   bool
 	now       int64
 	serial    int64
-	touched   []string // instances with an event in this batch, in order of the first
+	active   []string // instances with an event in this batch, in order of the first
 }
 
 func run(in io.Reader, out io.Writer) error {
@@ -45,7 +45,7 @@
 			return fmt.Errorf("line %d: read: %w", n, err)
 		}
 		if len(line) > 0 {
-			if err := h.line(line); err != nil {
+			if err := h.handleLine(line); err != nil {
 				return fmt.Errorf("line %d: %w", n, err)
 			}
 		}
@@ -58,7 +58,7 @@
 	}
 }
 
-func (h *host) line(line []byte) error {
+func (h *host) handleLine(line []byte) error {
 	m, err := simwire.Decode(line)
 	if err != nil {
 		return err
@@ -80,14 +80,14 @@
 			return fmt.Errorf("OpenInstance: setup: %w", err)
 		}
 		h.instances[m.Who] = &instance{scheduler: s}
-		h.touch(m.Who)
+		h.markActive(m.Who)
 	default:
-		return h.event(m)
+		return h.handleEvent(m)
 	}
 	return nil
 }
 
-func (h *host) event(m simwire.Message) error {
+func (h *host) handleEvent(m simwire.Message) error {
 	if h.instances[m.Who] == nil {
 		return fmt.Errorf("instance %q was never opened, or was killed", m.Who)
 	}
@@ -104,18 +104,18 @@
 		f.Servers = list
 		m.Event = f
 	}
-	in := h.touch(m.Who)
+	in := h.markActive(m.Who)
 	if m.Event != nil {
 		in.events = append(in.events, m.Event)
 	}
 	return nil
 }
 
-func (h *host) touch(who string) *instance {
+func (h *host) markActive(who string) *instance {
 	in := h.instances[who]
-	if !in.touched {
-		in.touched = true
-		h.touched = append(h.touched, who)
+	if !in.active {
+		in.active = true
+		h.active = append(h.active, who)
 	}
 	return in
 }
@@ -123,9 +123,9 @@
 func (h *host) reply() error {
 	var buf []byte
 	var err error
-	for _, who := range h.touched {
+	for _, who := range h.active {
 		in := h.instances[who]
-		if in == nil || !in.touched {
+		if in == nil || !in.active {
 			continue
 		}
 		for _, a := range in.scheduler.Step(h.now, in.events) {
@@ -133,9 +133,9 @@
 				return err
 			}
 		}
-		in.events, in.touched = nil, false
+		in.events, in.active = nil, false
 	}
-	h.touched = h.touched[:0]
+	h.active = h.active[:0]
 	if buf, err = simwire.EncodeAck(buf, h.serial); err != nil {
 		return err
 	}
--- a/cmd/saffronquay-sim/main_test.go
+++ b/cmd/saffronquay-sim/main_test.go
@@ -19,14 +19,14 @@
 const list = `{"event_type":"Ledger","slot":0,"members":[{"server":"s:1","slot_no":0,"health":1}]}` + "\n" +
 	`{"event_type":"Fleet","who":"node/0","scope":1,"generation":1,"slot":0}` + "\n"
 
-const ask = `{"event_type":"Ingress","who":"node/0","txn":1,"segment_no":-1,"priority":"c","group_no":1,` +
+const query = `{"event_type":"Ingress","who":"node/0","txn":1,"segment_no":-1,"priority":"c","group_no":1,` +
 	`"client_deadline_us":20000,"size_or_weight":1}` + "\n" +
 	`{"event_type":"Ingress","who":"node/0","txn":2,"segment_no":0,"priority":"c","group_no":1,` +
 	`"client_deadline_us":20000,"size_or_weight":1,"work_us":50}` + "\n"
 
 func TestARoundOnTheWire(t *testing.T) {
 	var out bytes.Buffer
-	if err := run(strings.NewReader(tick+end+tick+open+list+ask+end), &out); err != nil {
+	if err := run(strings.NewReader(tick+end+tick+open+list+query+end), &out); err != nil {
 		t.Fatal(err)
 	}
 	got := out.String()
@@ -53,8 +53,8 @@
 		}
 		return strings.Join(lines, "\n")
 	}
-	alone := reply(tick+open+list+ask+end, "node/0")
-	both := reply(tick+other(open)+open+list+other(list)+other(ask)+ask+end, "node/0")
+	alone := reply(tick+open+list+query+end, "node/0")
+	both := reply(tick+other(open)+open+list+other(list)+other(query)+query+end, "node/0")
 	if alone == "" || alone != both {
 		t.Errorf("alone:\n%s\nbeside another:\n%s", alone, both)
 	}
@@ -64,15 +64,15 @@
 	for _, c := range []struct{ name, in, says string }{
 		{"not JSON", tick + "{\n", "line 2"},
 		{"unknown event", tick + `{"event_type":"What"}` + "\n", "unknown event"},
-		{"never opened", tick + ask + end, "never opened"},
-		{"killed", tick + open + `{"event_type":"Killed","who":"node/0"}` + "\n" + ask + end, "killed"},
+		{"never opened", tick + query + end, "never opened"},
+		{"killed", tick + open + `{"event_type":"Killed","who":"node/0"}` + "\n" + query + end, "killed"},
 		{"no shards", tick + strings.ReplaceAll(open, `"shards":1`, `"shards":0`) + end, "0 shards"},
 		{"negative time", tick + strings.ReplaceAll(open, `"aim_us":10000`, `"aim_us":-1`) + end, "a time"},
 		{
 			"undeclared list", tick + open + `{"event_type":"Fleet","who":"node/0","scope":3,"generation":1,"slot":4}` + "\n" + end,
 			"list 4",
 		},
-		{"outside of a batch", ask, "outside of a batch"},
+		{"outside of a batch", query, "outside of a batch"},
 		{"cut off", tick, "within a batch"},
 	} {
 		var out bytes.Buffer
--- a/evidence_test.go
+++ b/evidence_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// fleetOf lists servers by zone; all hold everything.
+// fleetOf lists servers by zone. Each has every shard in a deployment of one cell.
 func fleetOf(zones map[ServerID]string) FleetChanged {
 	f := FleetChanged{Kind: FleetCached}
 	for _, id := range []ServerID{"a1", "a2", "a3", "b1", "b2", "b3"} {
@@ -27,8 +27,8 @@
 	sc := newScript(t, oneCell())
 	sc.step(0, fleetOf(map[ServerID]string{"a1": "a", "a2": "a", "b1": "b", "b2": "b"}))
 	for id := ID(100); id < 140; id += 2 { // zone b answers, zone a cannot be reached, from here alone
-		es := sc.request(id, 10*ms)
-		s := of[Send](sc.step(100*ms, es...))[0]
+		events := sc.request(id, 10*ms)
+		s := of[Send](sc.step(100*ms, events...))[0]
 		for n := 0; ; n++ {
 			if s.Server[0] == 'b' {
 				sc.step(10*ms, served(s, n, 10*ms))
@@ -116,15 +116,15 @@
 	sc := newScript(t, plain(), "a", "b")
 	sc.step(0, sc.request(100, 100*ms)...)
 	if c := of[Cancel](sc.run(600 * ms)); len(c) > 0 {
-		t.Errorf("taken back with half the aim left: %v", c)
+		t.Errorf("cancelled with half the latency target left: %v", c)
 	}
 	if c := of[Cancel](sc.run(350 * ms)); len(c) == 0 {
-		t.Error("the part was not taken back before the aim")
+		t.Error("the part was not cancelled before the latency target")
 	}
 }
 
-// This aggregator stands still for longer than an aim and then finds all that came meanwhile: its servers answered
-// in time, so nothing is held against them and nothing is sent twice.
+// This aggregator stalls for longer than the latency target and then gets all events of that time together. Its servers
+// answered in time, so none counts as failing and nothing is sent twice.
 func TestAStallOfThisAggregatorDoesNotMakeServersUnresponsive(t *testing.T) {
 	sc := newScript(t, plain(), "a", "b")
 	a := of[Send](sc.step(0, sc.request(100, 50*ms, 50*ms)...))
@@ -148,7 +148,7 @@
 	s := of[Send](sc.step(400*ms, sc.request(900, 10*ms)...))[0]
 	sc.step(ms, broken(s, 0))
 	if r := sc.s.servers[s.Server]; r.failureRate.sum == 0 {
-		t.Error("the break passed for an idle cut though longer idle connections hold")
+		t.Error("the break was taken for an idle connection though longer idle ones work")
 	}
 }
 
@@ -185,7 +185,7 @@
 	}
 }
 
-// Guards the many that wait: where one client in ten goes away soon, the others are served as before.
+// Where one client in ten leaves soon, the others are served as before.
 func TestAFewClientsThatLeaveCauseNoRefusals(t *testing.T) {
 	sc := newScript(t, oneCell())
 	sc.step(0, fleetOf(map[ServerID]string{"a1": "a"}))
@@ -206,7 +206,7 @@
 	}
 }
 
-// Attempts stranded with their connection say nothing of the server; they may have run all the same.
+// Attempts stranded with their connection say nothing about the server. They may have run all the same.
 func TestStrandedAttemptsAreNotTheServers(t *testing.T) {
 	cfg := oneCell()
 	cfg.Classes[0].Effect = AtMostOnce
@@ -224,7 +224,7 @@
 	}
 }
 
-// A new process in a server's place is judged by what it does itself.
+// A new process in a server's place is judged by its own attempts only.
 func TestAReplacedProcessStartsClean(t *testing.T) {
 	sc := newScript(t, oneCell())
 	list := FleetChanged{Kind: FleetFull, Servers: []Server{{ID: "a1", Health: Ready}}}
@@ -242,7 +242,7 @@
 	}
 }
 
-// Keys that were seen served while some key brought down servers are forgotten although nothing is turned away.
+// Keys that were seen served while some key brought down servers are forgotten although nothing is refused.
 func TestKeysAreForgottenWithoutRefusals(t *testing.T) {
 	sc := newScript(t, oneCell())
 	sc.step(0, fleetOf(map[ServerID]string{"a1": "a"}))
@@ -257,8 +257,8 @@
 	}
 }
 
-// A part that is never answered makes its server look silent only until a part sent after it was due is served:
-// guards servers against being left out for what was lost on one connection.
+// A part that is never answered makes its server look unresponsive only until a part sent after it was due is served.
+// Guards servers against being avoided for what was lost on one connection.
 func TestALostPartDoesNotMakeItsServerUnresponsive(t *testing.T) {
 	sc := newScript(t, oneCell())
 	sc.step(0, fleetOf(map[ServerID]string{"a1": "a"}))
@@ -278,8 +278,8 @@
 	}
 }
 
-// Settings change while queries are open. Guards queries that are open against rules of a class they did not come with,
-// what was learnt against classes that change places, and the memory against classes that come and go.
+// Settings change while queries are open. Guards open queries against rules of a class they did not come with, what was
+// learnt against classes that change places, and the memory against classes that are added and removed.
 func TestSettingsChange(t *testing.T) {
 	cfg := plain()
 	cfg.Limits.MaxAttempts = 3
@@ -314,7 +314,7 @@
 	if got := fail(of[Send](sc.step(ms, sc.request(200, 10*ms)...))[0], 0); len(of[Send](got)) != 0 || len(of[Fail](got)) != 1 {
 		t.Errorf("want a failure after one attempt, got %v", got)
 	}
-	// A class that vanishes is forgotten once its last query has gone.
+	// A removed class is forgotten after its last query has ended.
 	sc.step(ms, append(sc.request(300, 10*ms), SettingsChanged{Settings: Settings{
 		Aggregators: 1, Period: 5 * ms, Shards: 2, Cells: 2,
 		CellsPerShard: 2, Classes: []Class{other}, Limits: now.Limits, Rules: now.Rules,
@@ -336,9 +336,9 @@
 	}
 }
 
-// What operators are told of the list: how long it is, and how much of it is avoided and why.
+// Rotation reports the length of the list and how many of its servers are avoided.
 func TestRotation(t *testing.T) {
-	sc := newScript(t, plain(), "fine", "drains", "silent", "gone")
+	sc := newScript(t, plain(), "fine", "drains", "unresponsive", "gone")
 	want := func(listed, out int) {
 		t.Helper()
 		if l, o := sc.s.Rotation(); l != listed || o != out {
@@ -348,7 +348,7 @@
 	want(4, 0)
 	sc.step(ms, FleetChanged{Kind: FleetDelta, Servers: []Server{{ID: "drains", Health: Draining, Cell: 1}, {ID: "gone", Health: Gone, Cell: 1}}})
 	want(3, 1)
-	r := sc.s.servers["silent"]
+	r := sc.s.servers["unresponsive"]
 	r.attempts = append(r.attempts, &attempt{replica: r, sentAt: sc.now, predicted: 10 * ms})
 	sc.step(900 * ms)
 	want(3, 1)
@@ -361,8 +361,8 @@
 	want(3, 2)
 }
 
-// What a process hands on: keys that bring down servers stay condemned, admission stays as strict, and the budget's free
-// part is not spent twice.
+// What a process hands over: keys that bring down servers stay blocked, admission stays as strict, and the free part of the
+// budget is not spent twice.
 func TestRecalled(t *testing.T) {
 	before := newScript(t, plain(), "a")
 	before.s.blockKey("bad")
@@ -398,8 +398,8 @@
 	}
 }
 
-// What was learnt of servers is known again, as old as it is, unless they have started since; a clock that went back makes nothing
-// younger than now, and noise counts for nothing.
+// What was learnt of servers is known again, as old as it is, unless they have started since. A clock that went back makes
+// nothing newer than now, and values that make no sense are ignored.
 func TestServersRecalled(t *testing.T) {
 	before := newScript(t, plain(), "slow", "bad", "new")
 	r := before.s.servers["slow"]
--- a/example_test.go
+++ b/example_test.go
@@ -5,7 +5,7 @@
 	"saffronquay"
 )
 
-// A front node with one query of one part, from arrival to answer.
+// One query of one part, from arrival to answer.
 func Example() {
 	s, err := saffronquay.New(saffronquay.Settings{
 		Aggregators: 1, Period: 5_000, Shards: 1, Cells: 1, CellsPerShard: 1, PartsPerCall: 1,
@@ -25,7 +25,7 @@
 			case saffronquay.Send:
 				fmt.Println("send part", a.Part, "to", a.Server)
 			case saffronquay.Answer:
-				fmt.Println("answer query", a.Query, "whole:", a.Complete)
+				fmt.Println("answer query", a.Query, "complete:", a.Complete)
 			}
 		}
 	}
@@ -41,5 +41,5 @@
 	}))
 	// Output:
 	// send part 2 to 10.0.0.1:80
-	// answer query 1 whole: true
+	// answer query 1 complete: true
 }
--- a/fleet_test.go
+++ b/fleet_test.go
@@ -6,9 +6,9 @@
 	"testing"
 )
 
-// What many aggregators do side by side, each with its share of the traffic: what is asserted is the sum.
+// Tests of many aggregators side by side, each with a fraction of the traffic. They assert the sum of what all do.
 
-// team is a fleet of aggregators over servers of one cell each, as many as there are shards; each shard is held by four.
+// team is a fleet of aggregators over servers of one cell each, as many as there are shards. Four servers have each shard.
 type team struct {
 	t         *testing.T
 	cfg       Settings
@@ -16,7 +16,7 @@
 	now       int64
 	id        ID
 	sends     map[ServerID][]warmUpSend
-	warmingUp map[ServerID]bool // those that are not busy
+	warmingUp map[ServerID]bool // those without a queue
 	idle      bool              // none is
 }
 
@@ -46,7 +46,7 @@
 	return f
 }
 
-// ask has one aggregator asked for one part, and serves whatever it sends after a while.
+// request gives one aggregator a query of one part, and serves whatever it sends after a while.
 func (f *team) request(self, shard int, work int64) {
 	f.id += 10
 	s := f.all[self]
@@ -86,20 +86,20 @@
 	return worst
 }
 
-// A server of many comes back cold in a fleet whose aggregators see little of it each. It gets a good part of what it can do, and
-// never more than the rule allows: with steady traffic, with a surge that all see at once when each has saved its share, and where all that could
-// serve a shard are cold and much more is asked for than they can do.
+// A server restarts in a fleet whose aggregators each send it little. It gets a good part of what it can do, and never more than
+// the rule allows: with steady traffic, with a surge that all see together after each has saved credit, and where all servers
+// of a shard are warming up and much more is requested than they can do.
 func TestAFleetKeepsAWarmingServerWithinItsCapacity(t *testing.T) {
 	const aggregators, servers, work = 120, 12, 20 * ms
 	for name, tc := range map[string]struct {
 		cold  int     // servers that start anew
 		asked float64 // parts a second for each server, in the fleet
-		surge bool    // it is not needed in the first four seconds, then much is asked of it in a tick
-		least float64 // of the cold server's share of what is asked for, that it gets
+		surge bool    // it is not needed in the first four seconds, then much is requested in one tick
+		least float64 // of the warming server's fraction of what is requested, that it gets
 	}{
-		"steady":       {1, 30, false, 0.15},
-		"surge":        {1, 30, true, 0},
-		"all are cold": {12, 200, false, 0},
+		"steady":             {1, 30, false, 0.15},
+		"surge":              {1, 30, true, 0},
+		"all are warming up": {12, 200, false, 0},
 	} {
 		f := newTeam(t, aggregators, servers)
 		rng := f.all[0].rng
@@ -119,7 +119,7 @@
 			}
 			since := f.now - started
 			n, from, shards := tc.asked*servers*float64(tick)/1e6, 0, servers
-			if f.idle = tc.surge && since < 3000*ms; tc.surge && since >= 3000*ms { // the shards that s0 does not hold, then those that it does
+			if f.idle = tc.surge && since < 3000*ms; tc.surge && since >= 3000*ms { // the shards that s0 does not have, then those that it has
 				if from, shards = 1, 8; since == 4000*ms {
 					n, from, shards = 4*tc.asked*servers, 9, 4
 				}
@@ -139,12 +139,12 @@
 			}
 		}
 		if got := float64(len(f.sends["s0"])); got < tc.least*requested {
-			t.Errorf("%s: the cold server got %v parts, its share is %.0f", name, got, requested)
+			t.Errorf("%s: the warming server got %v parts, its fraction is %.0f", name, got, requested)
 		}
 	}
 }
 
-// Connections that break at the same moment in one zone are the zone's trouble, not the key's; those that break in two zones, or one
+// Connections that break at the same moment in one zone are the zone's fault, not the key's; those that break in two zones, or one
 // after the other, are the key's.
 func TestALostZoneCondemnsNoKey(t *testing.T) {
 	for name, tc := range map[string]struct {
@@ -152,10 +152,10 @@
 		later bool // the second attempt leaves after the first has broken
 		want  bool
 	}{
-		"one zone at once":  {[2]string{"x", "x"}, false, false},
+		"one zone together": {[2]string{"x", "x"}, false, false},
 		"two zones":         {[2]string{"x", "y"}, false, true},
 		"one after another": {[2]string{"x", "x"}, true, true},
-		"no zones told":     {[2]string{"", ""}, false, true},
+		"no zones known":    {[2]string{"", ""}, false, true},
 	} {
 		a := &attempt{replica: &replica{Server: Server{ID: "a", Zone: tc.zones[0]}}, sentAt: 1, brokeAt: 10}
 		b := &attempt{replica: &replica{Server: Server{ID: "b", Zone: tc.zones[1]}}, sentAt: 1, brokeAt: 10}
@@ -168,21 +168,21 @@
 		}
 	}
 	if math.Abs(hashFraction(1, 2, 3)-hashFraction(1, 2, 3)) > 0 || hashFraction(1) == hashFraction(2) {
-		t.Error("a draw is not settled by its words")
+		t.Error("hashFraction does not depend on its words alone")
 	}
 }
 
-// Where parts are turned away or run out of time, a query is given up at its aim, although a late answer would earn a little: but
-// not one that must not run twice, nor where all goes well.
+// Where parts are rejected or run out of time, a query is ended at its latency target, although a late answer would earn a little:
+// but not one that must not run twice, nor where there is no overload.
 func TestUnderOverloadNothingLateIsWorkedOn(t *testing.T) {
 	for name, tc := range map[string]struct {
 		strained bool
 		effect   Effect
-		late     float64 // worth
-		want     bool    // it ends by 1.1 aims
+		late     float64 // value
+		want     bool    // it ends by 1.1 latency targets
 	}{
-		"strained": {true, Idempotent, 0.1, true}, "calm": {false, Idempotent, 0.1, false}, "once": {true, AtMostOnce, 0.1, false},
-		"worth it": {true, Idempotent, 0.9, false},
+		"strained": {true, Idempotent, 0.1, true}, "calm": {false, Idempotent, 0.1, false}, "at most once": {true, AtMostOnce, 0.1, false},
+		"late value": {true, Idempotent, 0.9, false},
 	} {
 		cfg := plain()
 		cfg.Limits.MaxAttempts = 1
@@ -214,8 +214,8 @@
 	}
 }
 
-// The last of many parts gets a copy as soon as it is overdue and another server should be in time; one of few does not before
-// that server should be sooner than the first is late.
+// The last of many parts is hedged as soon as it is overdue and another server should be in time. The last of few is not hedged
+// before another server should be sooner than the first is late.
 func TestTheLastOfManyPartsGetsACopy(t *testing.T) {
 	for parts, want := range map[int]int{16: 1, 4: 0} {
 		cfg := plain()
@@ -251,7 +251,7 @@
 	}
 }
 
-// A server that was busy whenever it was heard of is taken to be so between two reports, and others are not.
+// A server that was busy in each of its reports is taken to be busy between two reports, and others are not.
 func TestABacklogRestsAtTheServersOwnMean(t *testing.T) {
 	sc := newScript(t, oneCell(), "busy", "idle")
 	for id := ID(100); id < 300; id += 10 {
@@ -268,12 +268,12 @@
 	}
 	sc.step(5000 * ms)
 	if b, i := sc.s.backlog(sc.s.servers["busy"]), sc.s.backlog(sc.s.servers["idle"]); b < 1.5*i || b < 50*ms {
-		t.Errorf("five aims after the last reports the busy one is taken to have %v before it, the idle one %v", b, i)
+		t.Errorf("five latency targets after the last reports the busy one is predicted %v of backlog, the idle one %v", b, i)
 	}
 }
 
-// A full server that turns a part away is not asked at once again for it: the attempts are few, and where no other holder is left,
-// they are spread. Those of many aggregators don't come back together.
+// A part does not return immediately to a full server that rejected it: its attempts are few, and where no other holder is left, they
+// are spread. Those of many aggregators do not return together.
 func TestAFullServerIsNotRetriedImmediately(t *testing.T) {
 	f := newTeam(t, 40, 4)
 	last := map[int64]int{}
@@ -360,14 +360,14 @@
 	}
 }
 
-// How many cores work on a reported queue is told nowhere. What a gatherer takes a part to wait before it is about what answers showed,
-// whatever the cores; a new gatherer begins with two.
+// No report says how many cores work on its queue. The wait that is predicted for a part is about what answers showed, whatever the
+// cores; a new aggregator assumes two.
 func TestHowFastAQueueDrainsIsLearnt(t *testing.T) {
 	for _, cores := range []float64{1, 2, 8} {
 		sc := newScript(t, oneCell(), "a", "b")
-		sc.hearQueues(100, 20, 0, 10*ms, 100*ms)
+		sc.queryWithReports(100, 20, 0, 10*ms, 100*ms)
 		waits := 10 * 100 * ms / cores
-		sc.hearQueues(1000, 60, 10, 10*ms, 100*ms+int64(waits))
+		sc.queryWithReports(1000, 60, 10, 10*ms, 100*ms+int64(waits))
 		if w := sc.s.predictWait(sc.s.servers["a"]); w < 0.5*waits || w > 1.6*waits {
 			t.Errorf("%v cores: a wait of %.0f us is predicted, it was %.0f", cores, w, waits)
 		}
--- a/gauge_test.go
+++ b/gauge_test.go
@@ -11,10 +11,10 @@
 	"pgregory.net/rapid"
 )
 
-// A step in which nothing is decided looks at no server; one in which parts are sent looks at each once at most.
+// A step in which nothing is decided scans no server. One in which parts are sent scans each server once at most.
 func TestAnIdleStepLooksAtNoServer(t *testing.T) {
 	const servers = 400
-	c := newCrowd(t, large(servers, 2))
+	c := newBusyModule(t, large(servers, 2))
 	c.now += 5 * ms
 	out := of[Send](c.s.Step(c.now, c.request(100)))
 	if len(out) != 100 {
@@ -28,19 +28,19 @@
 		}
 	}
 	if n := c.s.replicasScanned - looked; n != 0 {
-		t.Errorf("50 idle steps looked at %d servers", n)
+		t.Errorf("50 idle steps scanned %d servers", n)
 	}
 	for i, a := range out[:40] {
 		before := c.s.replicasScanned
 		c.now += 100
 		c.s.Step(c.now, []Event{served(a, 0, 4*ms)})
 		if n := c.s.replicasScanned - before; n > 2*servers || i > 0 && n > servers {
-			t.Fatalf("a step with an answer looked at %d servers of %d", n, servers)
+			t.Fatalf("a step with an answer scanned %d servers of %d", n, servers)
 		}
 	}
 }
 
-// eager is the median as it was taken in each step: of all paces, sorted.
+// eager is the median as computed in each step: of all latency ratios, sorted.
 func eager(s *Scheduler) float64 {
 	var ps []float64
 	for _, r := range s.servers {
@@ -55,8 +55,8 @@
 	return ps[len(ps)/2]
 }
 
-// Two modules live through the same day, with servers that come, go, drain and start anew, other settings and what a process before knew; of one
-// the median is asked for after each step. They decide the same, and that median is the one of all paces, sorted.
+// Two modules get the same events, with servers that come, go, drain and restart, changed settings and recalled state. Of one the
+// median is computed after each step. Both decide the same, and the median is that of all ratios, sorted.
 func TestAMedianWorkedOutLateChangesNothing(t *testing.T) {
 	for seed := range uint64(12) {
 		rng := rand.New(rand.NewPCG(seed, 9))
@@ -89,7 +89,7 @@
 		for step := range 1500 {
 			a, b := late.Step(now, events), early.Step(now, slices.Clone(events))
 			if !reflect.DeepEqual(a, b) {
-				t.Fatalf("seed %d, step %d: %v, and where the median was asked for %v", seed, step, a, b)
+				t.Fatalf("seed %d, step %d: %v, and where the median was computed each step %v", seed, step, a, b)
 			}
 			if got, want := early.medianLatencyRatio(), eager(early); math.Float64bits(got) != math.Float64bits(want) {
 				t.Fatalf("seed %d, step %d: a median of %v, want %v", seed, step, got, want)
@@ -157,12 +157,12 @@
 			}
 		}
 		if late.replicasScanned >= early.replicasScanned {
-			t.Errorf("seed %d: %d servers looked at, no fewer than the %d of one that is asked after each step", seed, late.replicasScanned, early.replicasScanned)
+			t.Errorf("seed %d: %d servers scanned, no fewer than the %d where the median is computed after each step", seed, late.replicasScanned, early.replicasScanned)
 		}
 	}
 }
 
-// What a process before this one knew of servers changes the median from the next step on only, as when it was taken in each step.
+// What a former process knew of servers changes the median from the next step on only, as when it was computed in each step.
 func TestWhatIsRecalledCountsFromTheNextStep(t *testing.T) {
 	sc := newScript(t, plain(), "a", "b", "c", "d", "e")
 	sc.s.servers["a"].latencyRatio, sc.s.servers["a"].latencyRatioAt = 3, sc.now
@@ -177,7 +177,7 @@
 		t.Errorf("a median of %v, want the %v of the step before", got, want)
 	}
 	if sc.step(10 * ms); sc.s.medianLatencyRatio() < 8 {
-		t.Errorf("a median of %v once three of four are known to take nine times as long", sc.s.medianLatencyRatio())
+		t.Errorf("a median of %v after three of four are known to take nine times as long", sc.s.medianLatencyRatio())
 	}
 }
 
--- a/internal/broker/simwire/encode.go
+++ b/internal/broker/simwire/encode.go
@@ -16,7 +16,7 @@
 	Shot     *int    `json:"shot,omitempty"`
 	Entire   *bool   `json:"entire,omitempty"`
 	CoolDown int64   `json:"cool_down_us,omitempty"`
-	Mark     *int64  `json:"mark,omitempty"`
+	AlarmID     *int64  `json:"mark,omitempty"`
 	Alarm    *int64  `json:"alarm_time_us,omitempty"`
 	Text     *string `json:"reason_text,omitempty"`
 	Serial   *int64  `json:"serial,omitempty"`
@@ -42,7 +42,7 @@
 	case sq.CloseIdle:
 		r.Type, r.Server = "FreeLinks", string(a.Server)
 	case sq.SetAlarm:
-		r.Type, r.Mark, r.Alarm = "SetAlarm", &a.ID, &a.At
+		r.Type, r.AlarmID, r.Alarm = "SetAlarm", &a.ID, &a.At
 	case sq.Watch:
 		on := true
 		r.Type, r.Entire = "KeepInformed", &on
--- a/internal/broker/simwire/wire.go
+++ b/internal/broker/simwire/wire.go
@@ -66,7 +66,7 @@
 	Latency     *int64             `json:"latency_us"`
 	Health      map[string]float64 `json:"health_info"`
 	Shot        *int               `json:"shot"`
-	Mark        *int64             `json:"mark"`
+	AlarmID        *int64             `json:"mark"`
 	Sender      *int64             `json:"sender"`
 	Payload     *string            `json:"payload"`
 }
@@ -105,49 +105,49 @@
 
 var readers = map[string]func(*rawLine) (Message, error){
 	"Tick": func(l *rawLine) (Message, error) {
-		if err := need("at_time_us", l.AtTime != nil, "serial", l.Serial != nil); err != nil {
+		if err := requireFields("at_time_us", l.AtTime != nil, "serial", l.Serial != nil); err != nil {
 			return Message{}, err
 		}
 		return Message{Kind: BatchStart, Now: *l.AtTime, Serial: *l.Serial}, nil
 	},
 	"End":          func(*rawLine) (Message, error) { return Message{Kind: BatchEnd}, nil },
 	"OpenInstance": readOpen,
-	"Ledger":       readLedger,
+	"Ledger":       readList,
 	"Fleet":        readFleet,
 	"Ingress":      readIngress,
 	"Hangup": func(l *rawLine) (Message, error) {
-		if err := need("who", l.Who != nil, "txn", l.Txn != nil); err != nil {
+		if err := requireFields("who", l.Who != nil, "txn", l.Txn != nil); err != nil {
 			return Message{}, err
 		}
-		return happened(sq.ClientLeft{Query: sq.ID(*l.Txn)})
+		return eventMessage(sq.ClientLeft{Query: sq.ID(*l.Txn)})
 	},
 	"ProbeResult": readProbe,
 	"Response":    readResponse,
 	"HeadReceived": func(l *rawLine) (Message, error) {
-		return Message{Kind: Ignored}, need("who", l.Who != nil, "txn", l.Txn != nil, "server", l.Server != nil,
+		return Message{Kind: Ignored}, requireFields("who", l.Who != nil, "txn", l.Txn != nil, "server", l.Server != nil,
 			"shot", l.Shot != nil, "latency_us", l.Latency != nil)
 	},
 	"Killed": func(l *rawLine) (Message, error) {
-		return Message{Kind: Killed}, need("who", l.Who != nil)
+		return Message{Kind: Killed}, requireFields("who", l.Who != nil)
 	},
 	"DeadlineHit": func(l *rawLine) (Message, error) {
-		if err := need("who", l.Who != nil, "mark", l.Mark != nil); err != nil {
+		if err := requireFields("who", l.Who != nil, "mark", l.AlarmID != nil); err != nil {
 			return Message{}, err
 		}
-		return happened(sq.AlarmRang{ID: *l.Mark})
+		return eventMessage(sq.AlarmRang{ID: *l.AlarmID})
 	},
 	"NeighbourSays": func(l *rawLine) (Message, error) {
-		if err := need("who", l.Who != nil, "sender", l.Sender != nil, "payload", l.Payload != nil); err != nil {
+		if err := requireFields("who", l.Who != nil, "sender", l.Sender != nil, "payload", l.Payload != nil); err != nil {
 			return Message{}, err
 		}
-		return happened(sq.PeerMessage{Peer: int(*l.Sender), Text: *l.Payload})
+		return eventMessage(sq.PeerMessage{Peer: int(*l.Sender), Text: *l.Payload})
 	},
 }
 
-func happened(e sq.Event) (Message, error) { return Message{Kind: Happened, Event: e}, nil }
+func eventMessage(e sq.Event) (Message, error) { return Message{Kind: Happened, Event: e}, nil }
 
 // need takes pairs of a field's name and whether it is there, and names the first that is missing.
-func need(pairs ...any) error {
+func requireFields(pairs ...any) error {
 	for i := 0; i+1 < len(pairs); i += 2 {
 		if !pairs[i+1].(bool) {
 			return fmt.Errorf("missing field %q", pairs[i])
@@ -157,7 +157,7 @@
 }
 
 func readOpen(l *rawLine) (Message, error) {
-	if err := need("who", l.Who != nil, "random_seed", l.Seed != nil, "setup", len(l.Setup) > 0); err != nil {
+	if err := requireFields("who", l.Who != nil, "random_seed", l.Seed != nil, "setup", len(l.Setup) > 0); err != nil {
 		return Message{}, err
 	}
 	set, err := config.ParseSettings(l.Setup)
@@ -167,8 +167,8 @@
 	return Message{Kind: Open, Seed: *l.Seed, Settings: set.Module}, nil
 }
 
-func readLedger(l *rawLine) (Message, error) {
-	if err := need("slot", l.Slot != nil, "members", l.Members != nil); err != nil {
+func readList(l *rawLine) (Message, error) {
+	if err := requireFields("slot", l.Slot != nil, "members", l.Members != nil); err != nil {
 		return Message{}, err
 	}
 	if *l.Slot < 0 || *l.Slot > 15 {
@@ -176,7 +176,7 @@
 	}
 	m := Message{Kind: List, Slot: *l.Slot}
 	for i, r := range *l.Members {
-		if err := need("server", r.Server != nil, "slot_no", r.Slot != nil, "health", r.Health != nil); err != nil {
+		if err := requireFields("server", r.Server != nil, "slot_no", r.Slot != nil, "health", r.Health != nil); err != nil {
 			return Message{}, fmt.Errorf("member %d: %w", i, err)
 		}
 		if *r.Health < 0 || *r.Health > 2 {
@@ -192,7 +192,7 @@
 }
 
 func readFleet(l *rawLine) (Message, error) {
-	if err := need("who", l.Who != nil, "scope", l.Scope != nil); err != nil {
+	if err := requireFields("who", l.Who != nil, "scope", l.Scope != nil); err != nil {
 		return Message{}, err
 	}
 	kinds := []sq.FleetKind{sq.FleetDelta, sq.FleetCached, sq.FleetFailed, sq.FleetFull}
@@ -204,7 +204,7 @@
 		return m, nil
 	}
 	m.UsesList = true
-	if err := need("slot", l.Slot != nil); err != nil {
+	if err := requireFields("slot", l.Slot != nil); err != nil {
 		return Message{}, err
 	}
 	m.Slot = *l.Slot
@@ -212,7 +212,7 @@
 }
 
 func readIngress(l *rawLine) (Message, error) {
-	err := need("who", l.Who != nil, "txn", l.Txn != nil, "segment_no", l.Segment != nil, "priority",
+	err := requireFields("who", l.Who != nil, "txn", l.Txn != nil, "segment_no", l.Segment != nil, "priority",
 		l.Priority != nil, "group_no", l.Group != nil, "client_deadline_us", l.Deadline != nil)
 	if err != nil {
 		return Message{}, err
@@ -231,7 +231,7 @@
 		if err != nil {
 			return Message{}, err
 		}
-		return happened(sq.Query{
+		return eventMessage(sq.Query{
 			ID: sq.ID(*l.Txn), Group: group, Class: *l.Priority, Tenant: tenant,
 			Deadline: *l.Deadline, Work: work, Key: key,
 		})
@@ -239,10 +239,10 @@
 	if *l.Segment > math.MaxInt32 {
 		return Message{}, fmt.Errorf("segment_no %v is out of range", *l.Segment)
 	}
-	if err := need("size_or_weight", l.Weight != nil); err != nil {
+	if err := requireFields("size_or_weight", l.Weight != nil); err != nil {
 		return Message{}, err
 	}
-	return happened(sq.Part{
+	return eventMessage(sq.Part{
 		ID: sq.ID(*l.Txn), Group: group, Shard: int(*l.Segment), Weight: *l.Weight,
 		Work: work, Key: key,
 	})
@@ -262,32 +262,32 @@
 }
 
 func readProbe(l *rawLine) (Message, error) {
-	if err := need("who", l.Who != nil, "server", l.Server != nil, "disposition", l.Disposition != nil,
+	if err := requireFields("who", l.Who != nil, "server", l.Server != nil, "disposition", l.Disposition != nil,
 		"latency_us", l.Latency != nil); err != nil {
 		return Message{}, err
 	}
-	out, err := outcome(*l.Disposition)
+	out, err := outcomeOf(*l.Disposition)
 	if err != nil {
 		return Message{}, err
 	}
-	return happened(sq.ProbeEnded{
+	return eventMessage(sq.ProbeEnded{
 		Server: sq.ServerID(*l.Server), Outcome: out, Latency: *l.Latency,
-		Report: report(l.Health),
+		Report: loadReport(l.Health),
 	})
 }
 
 func readResponse(l *rawLine) (Message, error) {
-	if err := need("who", l.Who != nil, "txn", l.Txn != nil, "shot", l.Shot != nil, "server", l.Server != nil,
+	if err := requireFields("who", l.Who != nil, "txn", l.Txn != nil, "shot", l.Shot != nil, "server", l.Server != nil,
 		"disposition", l.Disposition != nil, "latency_us", l.Latency != nil); err != nil {
 		return Message{}, err
 	}
-	out, err := outcome(*l.Disposition)
+	out, err := outcomeOf(*l.Disposition)
 	if err != nil {
 		return Message{}, err
 	}
-	return happened(sq.AttemptEnded{
+	return eventMessage(sq.AttemptEnded{
 		Part: sq.ID(*l.Txn), Attempt: *l.Shot, Server: sq.ServerID(*l.Server),
-		Outcome: out, Latency: *l.Latency, Report: report(l.Health),
+		Outcome: out, Latency: *l.Latency, Report: loadReport(l.Health),
 	})
 }
 
@@ -296,7 +296,7 @@
 	304: sq.Unreachable, 305: sq.Broken, 306: sq.Cancelled, 307: sq.NotSent,
 }
 
-func outcome(code int) (sq.Outcome, error) {
+func outcomeOf(code int) (sq.Outcome, error) {
 	o, ok := outcomes[code]
 	if !ok {
 		return 0, fmt.Errorf("unknown disposition %d", code)
@@ -304,7 +304,7 @@
 	return o, nil
 }
 
-func report(values map[string]float64) *sq.LoadReport {
+func loadReport(values map[string]float64) *sq.LoadReport {
 	if values == nil {
 		return nil
 	}
--- a/internal/broker/simwire/wire_test.go
+++ b/internal/broker/simwire/wire_test.go
@@ -134,7 +134,7 @@
 	}
 }
 
-func TestEncodeRoundTrip(t *testing.T) {
+func TestEncodeActions(t *testing.T) {
 	for _, c := range []struct {
 		action sq.Action
 		want   string
--- a/invariants_test.go
+++ b/invariants_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// A seeded stream of random events with a strict observer beside it: whatever happens, the rules hold.
+// A seeded stream of random events with a strict observer beside it, which checks the rules at every action.
 
 type sentAttempt struct {
 	part   ID
@@ -142,7 +142,7 @@
 	return es
 }
 
-// events makes up what happens next.
+// events draws what happens next.
 func (o *observer) events() []Event {
 	var es []Event
 	if o.rng.IntN(12) == 0 {
@@ -246,7 +246,7 @@
 			o.t.Fatalf("answered from %v, floor %v", w, q.class.MinWeight)
 		}
 		if a.Complete && (w < q.class.CompleteWeight-0.0001 || q.step == 1 && (!all || !q.firstStepComplete)) {
-			o.t.Fatalf("marked whole from %v of %v", w, q.class.CompleteWeight)
+			o.t.Fatalf("marked complete from %v of %v", w, q.class.CompleteWeight)
 		}
 		if q.class.SecondStepParts > 0 && q.step == 0 {
 			if q.finals > 0 {
@@ -285,7 +285,7 @@
 		o.t.Fatalf("part %d left after its query ended", a.Part)
 	}
 	if (v.Cell-p.shard%o.cfg.Cells+o.cfg.Cells)%o.cfg.Cells >= o.cfg.CellsPerShard {
-		o.t.Fatalf("server %s does not hold shard %d", a.Server, p.shard)
+		o.t.Fatalf("server %s does not have shard %d", a.Server, p.shard)
 	}
 	if at, ok := o.unavailableSince[a.Server]; ok && o.now > at+o.cfg.Rules.DrainGrace {
 		o.t.Fatalf("sent to %s, which drains or is gone", a.Server)
@@ -323,7 +323,7 @@
 	o.out = append(o.out, at)
 }
 
-// checkCold holds this aggregator to its share of what a cold server of four cores can be sent.
+// checkWarmUp checks that this aggregator keeps to its fraction of what a warming server of four cores may be sent.
 func (o *observer) checkWarmUp(v *Server) {
 	age := o.now - v.StartedAt
 	if v.StartedAt == 0 || age >= o.cfg.Rules.WarmUp {
@@ -339,7 +339,7 @@
 	}
 	share := o.cfg.Rules.SlowStartFraction + (1-o.cfg.Rules.SlowStartFraction)*float64(age)/float64(o.cfg.Rules.WarmUp)
 	if most := o.cfg.Rules.OverloadMultiple * share * 4 * float64(o.cfg.Rules.OverloadWindow) / float64(o.cfg.Aggregators); sum > most {
-		o.t.Fatalf("%v of work to cold %s, %v is its share", sum, v.ID, most)
+		o.t.Fatalf("%v of work to %s, which warms up; %v is allowed", sum, v.ID, most)
 	}
 }
 
--- a/scheduler_test.go
+++ b/scheduler_test.go
@@ -13,7 +13,7 @@
 
 const ms = 1000
 
-// plain is a deployment of one cell with n classes' worth of defaults; tests change what they need.
+// plain is a small deployment of one class; tests change what they need.
 func plain() Settings {
 	return Settings{
 		Aggregators: 1, Period: 5 * ms, Shards: 2, Cells: 2, CellsPerShard: 2, PartsPerCall: 1,
@@ -29,7 +29,7 @@
 	}
 }
 
-// script drives one scheduler and remembers what is out.
+// script drives one scheduler with scripted events.
 type script struct {
 	t   *testing.T
 	s   *Scheduler
@@ -52,7 +52,7 @@
 	return sc
 }
 
-// step lets so many microseconds pass and hands over events.
+// step lets so many microseconds pass and steps with the events, or without any with an alarm.
 func (sc *script) step(after int64, events ...Event) []Action {
 	sc.now += after
 	if len(events) == 0 {
@@ -62,7 +62,7 @@
 	return sc.got
 }
 
-// run lets time pass in small turns and gathers what is done.
+// run lets time pass in small steps and returns all actions.
 func (sc *script) run(total int64) []Action {
 	var all []Action
 	for end := sc.now + total; sc.now < end; {
@@ -81,7 +81,7 @@
 	return out
 }
 
-// ask makes the events of a query with one part for each given cost, on shards 0, 1, ...
+// request makes the events of a query with one part for each given cost, on shards 0, 1, ...
 func (sc *script) request(id ID, costs ...int64) []Event {
 	var sum int64
 	for _, c := range costs {
@@ -114,7 +114,7 @@
 			t.Fatalf("query %d: %v should avoid %s", id, next, first[0].Server)
 		}
 	}
-	// Once the heavy part is in, its server has the smaller backlog.
+	// After the heavy part is served, its server has the smaller backlog.
 	sc.step(ms, served(first[0], 0, 300*ms))
 	next := of[Send](sc.step(ms, sc.request(400, 50*ms)...))
 	if len(next) != 1 || next[0].Server != first[0].Server {
@@ -143,7 +143,7 @@
 	}
 	got := of[Answer](sc.step(ms, served(sends[1], 0, 51*ms)))
 	if len(got) != 1 || !got[0].Complete || got[0].Query != 100 {
-		t.Fatalf("want one whole answer, got %v", got)
+		t.Fatalf("want one complete answer, got %v", got)
 	}
 	if got := sc.run(4000 * ms); len(of[Fail](got))+len(of[Refuse](got))+len(of[Answer](got)) != 0 {
 		t.Fatalf("a second final answer: %v", got)
@@ -158,7 +158,7 @@
 	broke := AttemptEnded{Part: second.Part, Server: "a", Outcome: Broken, Latency: ms}
 	again := of[Send](sc.step(5*ms, broke))
 	if len(again) != 1 || again[0].Server != "a" {
-		t.Fatalf("a break on an idle connection should not be held against its server: %v", sc.got)
+		t.Fatalf("a break on an idle connection should not count against its server: %v", sc.got)
 	}
 	sc.step(50*ms, served(again[0], 1, 50*ms))
 	if got := sc.step(900*ms, sc.request(300, 50*ms)...); len(of[CloseIdle](got)) != 1 {
@@ -181,9 +181,9 @@
 	}
 	slow := sc.request(id, 400*ms)
 	if got := of[Refuse](sc.step(10*ms, slow...)); len(got) != 1 {
-		t.Fatalf("a query that nobody will wait for was taken: %v", sc.got)
+		t.Fatalf("a query that no client will wait for was accepted: %v", sc.got)
 	}
-	sc.now += 30_000 * ms // nobody has left for long
+	sc.now += 30_000 * ms // no client has left for long
 	if got := of[Send](sc.step(10*ms, sc.request(id+100, 400*ms)...)); len(got) != 1 {
 		t.Fatalf("impatience was not unlearned: %v", sc.got)
 	}
@@ -198,7 +198,7 @@
 		id += 100
 	}
 	if sent == 0 || refused == 0 {
-		t.Fatalf("%d sends, %d refusals: some should be served and the rest turned away at once", sent, refused)
+		t.Fatalf("%d sends, %d refusals: some should be served and the rest refused", sent, refused)
 	}
 }
 
@@ -217,11 +217,11 @@
 		again = of[Send](got)
 	}
 	if len(again) != 1 || again[0].Server == first.Server {
-		t.Fatalf("the silent part was not sent elsewhere: %v", again)
+		t.Fatalf("the unresponsive part was not sent elsewhere: %v", again)
 	}
 	next := of[Send](sc.step(10*ms, sc.request(200, 10*ms)...))
 	if len(next) != 1 || next[0].Server == first.Server {
-		t.Fatalf("the silent server was chosen again: %v", next)
+		t.Fatalf("the unresponsive server was chosen again: %v", next)
 	}
 }
 
@@ -339,14 +339,14 @@
 
 func TestSettingsThatMakeNoSense(t *testing.T) {
 	for name, spoil := range map[string]func(*Settings){
-		"no shards":      func(s *Settings) { s.Shards = 0 },
-		"no cells":       func(s *Settings) { s.Cells = 0 },
-		"no classes":     func(s *Settings) { s.Classes = nil },
-		"negative aim":   func(s *Settings) { s.Classes[0].LatencyTarget = -1 },
-		"need above one": func(s *Settings) { s.Classes[0].CompleteWeight = 1.5 },
-		"negative rule":  func(s *Settings) { s.Rules.OverloadWindow = -1 },
-		"tenant below 0": func(s *Settings) { s.Tenants = []Tenant{{Name: "t", Quota: -1}} },
-		"over share":     func(s *Settings) { s.OverQuotaValue = -0.1 },
+		"no shards":               func(s *Settings) { s.Shards = 0 },
+		"no cells":                func(s *Settings) { s.Cells = 0 },
+		"no classes":              func(s *Settings) { s.Classes = nil },
+		"negative latency target": func(s *Settings) { s.Classes[0].LatencyTarget = -1 },
+		"need above one":          func(s *Settings) { s.Classes[0].CompleteWeight = 1.5 },
+		"negative rule":           func(s *Settings) { s.Rules.OverloadWindow = -1 },
+		"tenant below 0":          func(s *Settings) { s.Tenants = []Tenant{{Name: "t", Quota: -1}} },
+		"over quota":              func(s *Settings) { s.OverQuotaValue = -0.1 },
 		"a window below 0, though no part is repeated": func(s *Settings) {
 			s.Classes[0].Effect, s.Classes[0].DedupWindow = AtMostOnce, -1
 		},
@@ -456,15 +456,15 @@
 		t.Fatalf("want query 100 ended, got %v", sc.got)
 	}
 	if tell := of[NotifyPeer](sc.got); len(tell) != 1 || tell[0].Text != "bad k" {
-		t.Errorf("want the peers told, got %v", tell)
+		t.Errorf("want the peers notified, got %v", tell)
 	}
 	if !slices.ContainsFunc(again, func(s Send) bool { return s.Part == bystander.Part }) {
 		t.Errorf("the bystander was not sent again: %v", again)
 	}
 	if r := of[Refuse](sc.step(ms, withKey(sc.request(300, 100*ms), "k")...)); len(r) != 1 {
-		t.Errorf("its next query was not turned away: %v", sc.got)
+		t.Errorf("its next query was not refused: %v", sc.got)
 	}
-	// Another key goes one part first, the rest once that is served.
+	// Of another key one part goes first, the rest after that is served.
 	one := of[Send](sc.step(ms, withKey(sc.request(400, 100*ms, 100*ms), "new")...))
 	if len(one) != 1 {
 		t.Fatalf("want one part first, got %v", one)
@@ -478,11 +478,11 @@
 	sc := newScript(t, plain(), "a", "b")
 	sc.step(0, PeerMessage{Peer: 1, Text: "bad k"}, PeerMessage{Peer: 1, Text: "something else"})
 	if r := of[Refuse](sc.step(ms, withKey(sc.request(100, 100*ms), "k")...)); len(r) != 1 {
-		t.Fatalf("not turned away: %v", sc.got)
+		t.Fatalf("not refused: %v", sc.got)
 	}
 	sc.step(plain().Rules.WarmUp + ms)
 	if got := of[Send](sc.step(ms, withKey(sc.request(200, 100*ms, 100*ms), "k")...)); len(got) == 0 {
-		t.Errorf("still turned away after the warm-up time: %v", sc.got)
+		t.Errorf("still refused after the warm-up time: %v", sc.got)
 	}
 }
 
@@ -502,7 +502,7 @@
 	}
 }
 
-// behindABusyHolder is a script in which the only holder of shard 0 has so much work, that of shard 1 none.
+// behindABusyHolder is a script in which the only server of shard 0 has so much work, and that of shard 1 none.
 func behindABusyHolder(t *testing.T, floor float64, work int64) *script {
 	t.Helper()
 	cfg := plain()
@@ -534,8 +534,8 @@
 	}
 }
 
-// Forty aggregators with little traffic each: none's share of a cold server is a whole part, yet it gets work, and
-// their sum keeps the rule for a server of one core.
+// Forty aggregators with little traffic each: the fraction of a warming server's capacity that each may use is less than a part,
+// yet the server gets work, and the sum keeps the rule for a server of one core.
 func TestManyAggregatorsTakeTurnsAtAWarmingServer(t *testing.T) {
 	cfg := plain()
 	cfg.Aggregators, cfg.Shards, cfg.Cells, cfg.CellsPerShard = 40, 1, 1, 1
@@ -568,7 +568,7 @@
 		}
 	}
 	if len(all) < 8 {
-		t.Fatalf("the cold server got only %d parts in eight seconds", len(all))
+		t.Fatalf("the warming server got only %d parts in eight seconds", len(all))
 	}
 	for _, from := range all {
 		var sum int64
--- a/size_test.go
+++ b/size_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// What the module costs at the size of many servers and many parts a query. One command gives all slopes; cpu is processor time of the whole
+// Benchmarks of the module at the size of many servers and many parts a query. One command gives all slopes; cpu is processor time of the whole
 // process, the collector's included, and says the same on busy cores:
 //
 //	go test -run '^$' -bench 'BySize$' -benchtime 1s .
@@ -22,7 +22,7 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// large is a deployment of so many servers, each shard held by reach of them, in six zones of two regions' worth.
+// large is a deployment of so many servers, each shard on reach of them, in six zones.
 func large(servers, reach int) Settings {
 	cfg := plain()
 	cfg.Aggregators, cfg.Shards, cfg.Cells, cfg.CellsPerShard, cfg.Zone = 600, servers, servers, reach, "z0"
@@ -31,21 +31,21 @@
 	return cfg
 }
 
-// crowd is a module with servers that have all served, and the means to ask it on.
-type crowd struct {
+// busyModule is a module whose servers have all served, and what drives it.
+type busyModule struct {
 	s       *Scheduler
 	now     int64
 	id      ID
 	servers int
 }
 
-func newCrowd(tb testing.TB, cfg Settings) *crowd {
+func newBusyModule(tb testing.TB, cfg Settings) *busyModule {
 	tb.Helper()
 	s, err := New(cfg, 1)
 	if err != nil {
 		tb.Fatal(err)
 	}
-	c := &crowd{s: s, now: 1_000_000_000, servers: cfg.Cells}
+	c := &busyModule{s: s, now: 1_000_000_000, servers: cfg.Cells}
 	var list []Server
 	for i := range c.servers {
 		list = append(list, Server{ID: ServerID(fmt.Sprintf("s-%08x", i)), Zone: fmt.Sprint("z", i%6), Cell: i, Health: Ready})
@@ -66,8 +66,8 @@
 	return c
 }
 
-// ask is a query of so many parts, each of another shard.
-func (c *crowd) request(parts int) []Event {
+// request is a query of so many parts, each of another shard.
+func (c *busyModule) request(parts int) []Event {
 	c.id += ID(parts) + 1
 	events := make([]Event, 0, parts+1)
 	events = append(events, Query{ID: c.id, Group: int64(c.id), Class: "q", Deadline: c.now + 1000*ms, Work: int64(parts) * 5 * ms})
@@ -77,8 +77,8 @@
 	return events
 }
 
-// query opens a query and has its parts served over so many further steps; it tells whether it was answered, and how many parts left.
-func (c *crowd) query(parts, steps int) (answered bool, sent int) {
+// query opens a query and has its parts served over so many further steps; it reports whether it was answered, and how many parts left.
+func (c *busyModule) query(parts, steps int) (answered bool, sent int) {
 	c.now += 5 * ms
 	out := of[Send](c.s.Step(c.now, c.request(parts)))
 	sent = len(out)
@@ -104,7 +104,7 @@
 func BenchmarkIdleStepBySize(b *testing.B) {
 	for _, servers := range []int{325, 650, 1300, 2600} {
 		b.Run(fmt.Sprintf("servers=%d", servers), func(b *testing.B) {
-			c := newCrowd(b, large(servers, 2))
+			c := newBusyModule(b, large(servers, 2))
 			b.ReportAllocs()
 			began := processorTime()
 			for b.Loop() {
@@ -116,7 +116,7 @@
 	}
 }
 
-// BenchmarkQueryBySize is a whole query whose parts are served over so many steps, against its parts, against the servers, against the
+// BenchmarkQueryBySize is a query whose parts are served over so many steps, against its parts, against the servers, against the
 // holders of a shard and against the steps that it is open.
 func BenchmarkQueryBySize(b *testing.B) {
 	type size struct{ servers, parts, reach, steps int }
@@ -136,7 +136,7 @@
 	}
 	for _, z := range sizes {
 		b.Run(fmt.Sprintf("servers=%d,parts=%d,holders=%d,steps=%d", z.servers, z.parts, z.reach, z.steps), func(b *testing.B) {
-			c := newCrowd(b, large(z.servers, z.reach))
+			c := newBusyModule(b, large(z.servers, z.reach))
 			var before, after runtime.MemStats
 			runtime.ReadMemStats(&before)
 			n, late, began := 0, 0, processorTime()
@@ -164,13 +164,13 @@
 	return float64(m.HeapAlloc)
 }
 
-// BenchmarkStateBySize is not about time: it tells what a server and an open part keep in memory.
+// BenchmarkStateBySize is not about time: it reports the memory of a server and of an open part.
 func BenchmarkStateBySize(b *testing.B) {
 	for _, servers := range []int{325, 650, 1300, 2600} {
 		b.Run(fmt.Sprintf("servers=%d", servers), func(b *testing.B) {
 			for b.Loop() {
 				before := heap()
-				c := newCrowd(b, large(servers, 2))
+				c := newBusyModule(b, large(servers, 2))
 				b.ReportMetric((heap()-before)/float64(servers), "B/server")
 				runtime.KeepAlive(c)
 			}
@@ -179,7 +179,7 @@
 	for _, parts := range []int{100, 187, 375, 750, 1500} {
 		b.Run(fmt.Sprintf("parts=%d", parts), func(b *testing.B) {
 			for b.Loop() {
-				c := newCrowd(b, large(2600, 2))
+				c := newBusyModule(b, large(2600, 2))
 				before := heap()
 				for range 8 {
 					c.s.Step(c.now, c.request(parts))
--- a/sparse_test.go
+++ b/sparse_test.go
@@ -5,11 +5,11 @@
 	"testing"
 )
 
-// What an aggregator does that sees each of many servers rarely.
+// Tests of an aggregator that hears from each of many servers rarely.
 
-// hearQueues asks so many queries of one part, from an id on; each part that leaves is served after a time, with
+// queryWithReports sends so many queries of one part, from an id on; each part that leaves is served after a time, with
 // a latency and a report of so long a queue.
-func (sc *script) hearQueues(id ID, queries int, queue float64, after, latency int64) {
+func (sc *script) queryWithReports(id ID, queries int, queue float64, after, latency int64) {
 	for range queries {
 		for _, s := range of[Send](sc.step(200*ms, sc.request(id, 100*ms)...)) {
 			done := served(s, 0, latency)
@@ -23,21 +23,21 @@
 func TestAServerNotHeardOfIsAsBusyAsTheOthersReport(t *testing.T) {
 	cfg := oneCell()
 	sc := newScript(t, cfg, "a", "b")
-	sc.hearQueues(100, 30, 10, 10*ms, 700*ms)
+	sc.queryWithReports(100, 30, 10, 10*ms, 700*ms)
 	sc.step(1000*ms, FleetChanged{Kind: FleetDelta, Servers: []Server{{ID: "new", Health: Ready}}})
 	if w := sc.s.predictWait(sc.s.servers["new"]); w < 300*ms {
 		t.Errorf("all others report a second of work, a server not heard of is predicted %v us", w)
 	}
 	sc.now += 60_000 * ms
-	sc.hearQueues(1000, 80, 0, 10*ms, 100*ms)
+	sc.queryWithReports(1000, 80, 0, 10*ms, 100*ms)
 	if w := sc.s.predictWait(sc.s.servers["new"]); w > 50*ms {
 		t.Errorf("all report to be idle again, a server not heard of is predicted %v us", w)
 	}
 }
 
-// vainCopies lets every fifth query be slow at first, with copies that never come in before it, and counts the
-// copies of the last slow one.
-func vainCopies(t *testing.T, cfg Settings, rounds int) int {
+// wastedHedges lets every fifth query be slow at first, with hedges that are never served before it, and counts the
+// hedges of the last slow one.
+func wastedHedges(t *testing.T, cfg Settings, rounds int) int {
 	t.Helper()
 	sc := newScript(t, cfg, "a", "b")
 	id, copies := ID(100), 0
@@ -60,10 +60,10 @@
 func TestHedgesThatNeverWinAreLimited(t *testing.T) {
 	cfg := plain()
 	cfg.Limits.Hedging = true
-	if first := vainCopies(t, cfg, 1); first != 1 {
+	if first := wastedHedges(t, cfg, 1); first != 1 {
 		t.Fatalf("%d copies of the first part that is overdue, want one: nothing is known yet", first)
 	}
-	if last := vainCopies(t, cfg, 12); last > 0 {
+	if last := wastedHedges(t, cfg, 12); last > 0 {
 		t.Errorf("%d copies though none of eleven came in before the first attempt", last)
 	}
 }
@@ -77,21 +77,21 @@
 		cfg.Classes[0].LateValue = tc.late
 		sc := newScript(t, cfg, "a", "b")
 		if s := of[Send](sc.step(0, sc.request(100, 100*ms)...)); len(s) != 1 || s[0].Timeout != tc.want {
-			t.Errorf("late worth %v: %v, want a time-out of %d us", tc.late, s, tc.want)
+			t.Errorf("late value %v: %v, want a time-out of %d us", tc.late, s, tc.want)
 		}
 	}
 }
 
 func TestReportedLoadDecaysWithoutReports(t *testing.T) {
 	sc := newScript(t, oneCell(), "a", "b")
-	sc.hearQueues(100, 20, 40, 900*ms, 900*ms)
+	sc.queryWithReports(100, 20, 40, 900*ms, 900*ms)
 	if got := sc.step(10*ms, sc.request(800, 100*ms)...); len(of[Refuse](got)) != 1 {
-		t.Fatalf("every server reports four seconds of work, yet a query with an aim of one was taken: %v", got)
+		t.Fatalf("every server reports four seconds of work, yet a query with a latency target of one was accepted: %v", got)
 	}
 	// Nothing was sent since, so no report came either.
 	sc.now += 30_000 * ms
 	if got := sc.step(10*ms, sc.request(900, 100*ms)...); len(of[Send](got)) != 1 {
-		t.Errorf("half a minute later all is still turned away: %v", got)
+		t.Errorf("half a minute later all is still refused: %v", got)
 	}
 }
 
@@ -109,8 +109,8 @@
 	}
 }
 
-// All aggregators together, one with nearly all traffic, stay under what a cold server of one core may be sent
-// though the warm ones are fully busy.
+// All aggregators together, one with nearly all traffic, stay under what a warming server of one core may be sent though the
+// warm ones are fully busy.
 func TestWorkToAWarmingServerSumsToLessThanTheRule(t *testing.T) {
 	cfg := oneCell()
 	cfg.Aggregators = 8
@@ -135,10 +135,10 @@
 	}
 	limit := cfg.Rules.OverloadMultiple * cfg.Rules.SlowStartFraction * float64(cfg.Rules.OverloadWindow)
 	if sum > limit {
-		t.Errorf("%v us of work may reach a cold server within a window, the rule allows %v", sum, limit)
+		t.Errorf("%v us of work may reach a warming server within a window, the rule allows %v", sum, limit)
 	}
 	if sum < limit/4 {
-		t.Errorf("only %v us of work may reach a cold server, of %v", sum, limit)
+		t.Errorf("only %v us of work may reach a warming server, of %v", sum, limit)
 	}
 }
 
@@ -149,16 +149,16 @@
 	asTenant := func(id ID, tenant string) []Event {
 		return withQuery(sc.request(id, ms), func(q *Query) { q.Tenant = tenant })
 	}
-	for id := ID(100); id < 1000; id += 10 { // all traffic is that of the one with a tenth of the shares
+	for id := ID(100); id < 1000; id += 10 { // all traffic is that of the one with a tenth of the quota
 		for _, s := range of[Send](sc.step(10*ms, asTenant(id, "big")...)) {
 			sc.step(ms, served(s, 0, ms))
 		}
 	}
 	worth := func(tenant string) float64 { return sc.s.quotaValue(&query{Query: Query{Tenant: tenant}}) }
 	if big := worth("big"); big > 0.35 || big < cfg.OverQuotaValue {
-		t.Errorf("a tenant with ten times its part of the traffic counts %v of its worth", big)
+		t.Errorf("a tenant with ten times its part of the traffic keeps %v of its value", big)
 	}
 	if small, other := worth("small"), worth("unheard of"); small != 1 || other != 1 {
-		t.Errorf("tenants within their share count %v and %v of their worth", small, other)
+		t.Errorf("tenants within their quota keep %v and %v of their value", small, other)
 	}
 }
