--- a/cmd/saffronquay-sim/main.go
+++ b/cmd/saffronquay-sim/main.go
@@ -1,5 +1,6 @@
-// Command saffronquay-sim hosts instances of the scheduler behind the simulator's wire: batches of events on
-// standard input, one reply each on standard output. It decides nothing.
+// Command saffronquay-sim hosts instances of the decision module behind the simulator's line protocol: it reads batches
+// of events from standard input and writes one reply for each to standard output. It decides nothing, runs on one
+// goroutine and ends with the input. Malformed input ends it with exit code 1 and one message that names the line.
 package main
 
 import (
@@ -13,6 +14,9 @@
 	sq "saffronquay"
 )
 
+// readBuffer is the size of the input's buffer in bytes; longer lines are read all the same.
+const readBuffer = 1 << 20
+
 func main() {
 	if err := run(os.Stdin, os.Stdout); err != nil {
 		fmt.Fprintln(os.Stderr, "saffronquay-sim:", err)
@@ -20,25 +24,28 @@
 	}
 }
 
+// instance is one aggregator of the simulated fleet.
 type instance struct {
 	scheduler *sq.Scheduler
 	events    []sq.Event
-	active   bool
+	active    bool
 }
 
+// host is the state between lines.
 type host struct {
 	out       io.Writer
 	instances map[string]*instance
-	lists     map[int][]sq.Server
+	lists     map[int][]sq.Server // declared, by slot
 	inBatch   bool
 	now       int64
 	serial    int64
-	active   []string // instances with an event in this batch, in order of the first
+	active    []string // instances with an event in this batch, in order of the first
 }
 
+// run answers batches until the input ends. An input that ends within a batch is an error.
 func run(in io.Reader, out io.Writer) error {
 	h := &host{out: out, instances: map[string]*instance{}, lists: map[int][]sq.Server{}}
-	r := bufio.NewReaderSize(in, 1<<20)
+	r := bufio.NewReaderSize(in, readBuffer)
 	for n := 1; ; n++ {
 		line, err := r.ReadBytes('\n')
 		if err != nil && !errors.Is(err, io.EOF) {
@@ -58,6 +65,7 @@
 	}
 }
 
+// handleLine applies one line; the end of a batch writes the reply.
 func (h *host) handleLine(line []byte) error {
 	m, err := simwire.Decode(line)
 	if err != nil {
@@ -87,6 +95,7 @@
 	return nil
 }
 
+// handleEvent keeps an event for the end of the batch, or ends an instance.
 func (h *host) handleEvent(m simwire.Message) error {
 	if h.instances[m.Who] == nil {
 		return fmt.Errorf("instance %q was never opened, or was killed", m.Who)
@@ -100,9 +109,12 @@
 		if !ok {
 			return fmt.Errorf("list %d was never declared", m.Slot)
 		}
-		f := m.Event.(sq.FleetChanged)
-		f.Servers = list
-		m.Event = f
+		change, ok := m.Event.(sq.FleetChanged)
+		if !ok {
+			return fmt.Errorf("list %d is not for an event of type %T", m.Slot, m.Event)
+		}
+		change.Servers = list
+		m.Event = change
 	}
 	in := h.markActive(m.Who)
 	if m.Event != nil {
@@ -111,6 +123,7 @@
 	return nil
 }
 
+// markActive has an instance step at the end of the batch, after those that were marked before.
 func (h *host) markActive(who string) *instance {
 	in := h.instances[who]
 	if !in.active {
@@ -120,6 +133,7 @@
 	return in
 }
 
+// reply steps the active instances and writes their actions and the acknowledgement in one call.
 func (h *host) reply() error {
 	var buf []byte
 	var err error
--- a/internal/broker/simwire/wire.go
+++ b/internal/broker/simwire/decode.go
@@ -1,5 +1,3 @@
-// Package simwire translates between the simulator's line protocol and the types of package saffronquay. It
-// checks form only and decides nothing.
 package simwire
 
 import (
@@ -13,26 +11,29 @@
 	sq "saffronquay"
 )
 
-// Kind tells what a decoded line is.
+// Kind says what a decoded line is.
 type Kind int
 
-// The kinds of line.
+// The kinds of line. A batch is a BatchStart, any number of other lines, and a BatchEnd.
 const (
-	BatchStart Kind = iota
-	BatchEnd
-	Open
-	List
-	Killed
-	Happened // an event for the scheduler, in Message.Event
-	Ignored  // well formed, and of no interest
+	BatchStart Kind = iota // begins a batch at the time Message.Now
+	BatchEnd               // ends it; the host replies
+	Open                   // starts the instance Message.Who
+	List                   // declares the list Message.Slot
+	Killed                 // ends the instance Message.Who without a reply
+	Happened               // an event for the scheduler of Message.Who, in Message.Event
+	Ignored                // well formed, but not used
 )
 
-// Message is one decoded line.
+// maxSlot is the highest number of a declared list.
+const maxSlot = 15
+
+// Message is one decoded line. Which fields are set depends on Kind.
 type Message struct {
 	Kind     Kind
-	Who      string
-	Now      int64
-	Serial   int64
+	Who      string // the instance that the line is for
+	Now      int64  // microseconds
+	Serial   int64  // of the batch
 	Seed     uint64
 	Settings sq.Settings
 	Slot     int
@@ -41,6 +42,7 @@
 	UsesList bool
 }
 
+// rawLine has the fields of all types of line. A nil pointer is a field that is not there.
 type rawLine struct {
 	Type        string             `json:"event_type"`
 	AtTime      *int64             `json:"at_time_us"`
@@ -66,11 +68,12 @@
 	Latency     *int64             `json:"latency_us"`
 	Health      map[string]float64 `json:"health_info"`
 	Shot        *int               `json:"shot"`
-	AlarmID        *int64             `json:"mark"`
+	AlarmID     *int64             `json:"mark"`
 	Sender      *int64             `json:"sender"`
 	Payload     *string            `json:"payload"`
 }
 
+// rawServer is one entry of a declared list.
 type rawServer struct {
 	Server    *string `json:"server"`
 	Campus    string  `json:"campus"`
@@ -79,7 +82,7 @@
 	LastStart int64   `json:"last_start_us"`
 }
 
-// Decode reads one line.
+// Decode reads one line. The error of a malformed line names its type and the field.
 func Decode(line []byte) (Message, error) {
 	var l rawLine
 	dec := json.NewDecoder(bytes.NewReader(line))
@@ -103,9 +106,10 @@
 	return m, nil
 }
 
+// readers has the function for each type of line; it checks the fields that the type requires.
 var readers = map[string]func(*rawLine) (Message, error){
 	"Tick": func(l *rawLine) (Message, error) {
-		if err := requireFields("at_time_us", l.AtTime != nil, "serial", l.Serial != nil); err != nil {
+		if err := requireFields(field{"at_time_us", l.AtTime != nil}, field{"serial", l.Serial != nil}); err != nil {
 			return Message{}, err
 		}
 		return Message{Kind: BatchStart, Now: *l.AtTime, Serial: *l.Serial}, nil
@@ -116,7 +120,7 @@
 	"Fleet":        readFleet,
 	"Ingress":      readIngress,
 	"Hangup": func(l *rawLine) (Message, error) {
-		if err := requireFields("who", l.Who != nil, "txn", l.Txn != nil); err != nil {
+		if err := requireFields(field{"who", l.Who != nil}, field{"txn", l.Txn != nil}); err != nil {
 			return Message{}, err
 		}
 		return eventMessage(sq.ClientLeft{Query: sq.ID(*l.Txn)})
@@ -124,40 +128,61 @@
 	"ProbeResult": readProbe,
 	"Response":    readResponse,
 	"HeadReceived": func(l *rawLine) (Message, error) {
-		return Message{Kind: Ignored}, requireFields("who", l.Who != nil, "txn", l.Txn != nil, "server", l.Server != nil,
-			"shot", l.Shot != nil, "latency_us", l.Latency != nil)
+		return Message{Kind: Ignored}, requireFields(
+			field{"who", l.Who != nil},
+			field{"txn", l.Txn != nil},
+			field{"server", l.Server != nil},
+			field{"shot", l.Shot != nil},
+			field{"latency_us", l.Latency != nil},
+		)
 	},
 	"Killed": func(l *rawLine) (Message, error) {
-		return Message{Kind: Killed}, requireFields("who", l.Who != nil)
+		return Message{Kind: Killed}, requireFields(field{"who", l.Who != nil})
 	},
 	"DeadlineHit": func(l *rawLine) (Message, error) {
-		if err := requireFields("who", l.Who != nil, "mark", l.AlarmID != nil); err != nil {
+		if err := requireFields(field{"who", l.Who != nil}, field{"mark", l.AlarmID != nil}); err != nil {
 			return Message{}, err
 		}
 		return eventMessage(sq.AlarmRang{ID: *l.AlarmID})
 	},
 	"NeighbourSays": func(l *rawLine) (Message, error) {
-		if err := requireFields("who", l.Who != nil, "sender", l.Sender != nil, "payload", l.Payload != nil); err != nil {
+		if err := requireFields(
+			field{"who", l.Who != nil},
+			field{"sender", l.Sender != nil},
+			field{"payload", l.Payload != nil},
+		); err != nil {
 			return Message{}, err
 		}
 		return eventMessage(sq.PeerMessage{Peer: int(*l.Sender), Text: *l.Payload})
 	},
 }
 
+// eventMessage is a line that is an event for the scheduler.
 func eventMessage(e sq.Event) (Message, error) { return Message{Kind: Happened, Event: e}, nil }
 
-// need takes pairs of a field's name and whether it is there, and names the first that is missing.
-func requireFields(pairs ...any) error {
-	for i := 0; i+1 < len(pairs); i += 2 {
-		if !pairs[i+1].(bool) {
-			return fmt.Errorf("missing field %q", pairs[i])
+// field is a field of a line, and whether it is there.
+type field struct {
+	name    string
+	present bool
+}
+
+// requireFields names the first field that is missing.
+func requireFields(fields ...field) error {
+	for _, f := range fields {
+		if !f.present {
+			return fmt.Errorf("missing field %q", f.name)
 		}
 	}
 	return nil
 }
 
+// readOpen reads the start of an instance, settings included.
 func readOpen(l *rawLine) (Message, error) {
-	if err := requireFields("who", l.Who != nil, "random_seed", l.Seed != nil, "setup", len(l.Setup) > 0); err != nil {
+	if err := requireFields(
+		field{"who", l.Who != nil},
+		field{"random_seed", l.Seed != nil},
+		field{"setup", len(l.Setup) > 0},
+	); err != nil {
 		return Message{}, err
 	}
 	set, err := config.ParseSettings(l.Setup)
@@ -167,19 +192,24 @@
 	return Message{Kind: Open, Seed: *l.Seed, Settings: set.Module}, nil
 }
 
+// readList reads a list of servers.
 func readList(l *rawLine) (Message, error) {
-	if err := requireFields("slot", l.Slot != nil, "members", l.Members != nil); err != nil {
+	if err := requireFields(field{"slot", l.Slot != nil}, field{"members", l.Members != nil}); err != nil {
 		return Message{}, err
 	}
-	if *l.Slot < 0 || *l.Slot > 15 {
-		return Message{}, fmt.Errorf("slot %d is not within 0 to 15", *l.Slot)
+	if *l.Slot < 0 || *l.Slot > maxSlot {
+		return Message{}, fmt.Errorf("slot %d is not within 0 to %d", *l.Slot, maxSlot)
 	}
 	m := Message{Kind: List, Slot: *l.Slot}
 	for i, r := range *l.Members {
-		if err := requireFields("server", r.Server != nil, "slot_no", r.Slot != nil, "health", r.Health != nil); err != nil {
+		if err := requireFields(
+			field{"server", r.Server != nil},
+			field{"slot_no", r.Slot != nil},
+			field{"health", r.Health != nil},
+		); err != nil {
 			return Message{}, fmt.Errorf("member %d: %w", i, err)
 		}
-		if *r.Health < 0 || *r.Health > 2 {
+		if *r.Health < int(sq.Gone) || *r.Health > int(sq.Draining) {
 			return Message{}, fmt.Errorf("member %d: unknown health %d", i, *r.Health)
 		}
 		s := sq.Server{
@@ -191,8 +221,9 @@
 	return m, nil
 }
 
+// readFleet reads a change of the list of servers; the servers are those of a declared list.
 func readFleet(l *rawLine) (Message, error) {
-	if err := requireFields("who", l.Who != nil, "scope", l.Scope != nil); err != nil {
+	if err := requireFields(field{"who", l.Who != nil}, field{"scope", l.Scope != nil}); err != nil {
 		return Message{}, err
 	}
 	kinds := []sq.FleetKind{sq.FleetDelta, sq.FleetCached, sq.FleetFailed, sq.FleetFull}
@@ -204,16 +235,23 @@
 		return m, nil
 	}
 	m.UsesList = true
-	if err := requireFields("slot", l.Slot != nil); err != nil {
+	if err := requireFields(field{"slot", l.Slot != nil}); err != nil {
 		return Message{}, err
 	}
 	m.Slot = *l.Slot
 	return m, nil
 }
 
+// readIngress reads a query, which has a negative segment, or a part.
 func readIngress(l *rawLine) (Message, error) {
-	err := requireFields("who", l.Who != nil, "txn", l.Txn != nil, "segment_no", l.Segment != nil, "priority",
-		l.Priority != nil, "group_no", l.Group != nil, "client_deadline_us", l.Deadline != nil)
+	err := requireFields(
+		field{"who", l.Who != nil},
+		field{"txn", l.Txn != nil},
+		field{"segment_no", l.Segment != nil},
+		field{"priority", l.Priority != nil},
+		field{"group_no", l.Group != nil},
+		field{"client_deadline_us", l.Deadline != nil},
+	)
 	if err != nil {
 		return Message{}, err
 	}
@@ -239,7 +277,7 @@
 	if *l.Segment > math.MaxInt32 {
 		return Message{}, fmt.Errorf("segment_no %v is out of range", *l.Segment)
 	}
-	if err := requireFields("size_or_weight", l.Weight != nil); err != nil {
+	if err := requireFields(field{"size_or_weight", l.Weight != nil}); err != nil {
 		return Message{}, err
 	}
 	return eventMessage(sq.Part{
@@ -248,7 +286,7 @@
 	})
 }
 
-// tenantOf reads a tenant's name; sites without tenants say 0 or nothing.
+// tenantOf reads a tenant's name. Sites without tenants have 0, null or no field there.
 func tenantOf(raw json.RawMessage) (string, error) {
 	switch string(raw) {
 	case "", "0", "null":
@@ -261,9 +299,14 @@
 	return name, nil
 }
 
+// readProbe reads the outcome of a probe.
 func readProbe(l *rawLine) (Message, error) {
-	if err := requireFields("who", l.Who != nil, "server", l.Server != nil, "disposition", l.Disposition != nil,
-		"latency_us", l.Latency != nil); err != nil {
+	if err := requireFields(
+		field{"who", l.Who != nil},
+		field{"server", l.Server != nil},
+		field{"disposition", l.Disposition != nil},
+		field{"latency_us", l.Latency != nil},
+	); err != nil {
 		return Message{}, err
 	}
 	out, err := outcomeOf(*l.Disposition)
@@ -276,9 +319,16 @@
 	})
 }
 
+// readResponse reads the outcome of an attempt.
 func readResponse(l *rawLine) (Message, error) {
-	if err := requireFields("who", l.Who != nil, "txn", l.Txn != nil, "shot", l.Shot != nil, "server", l.Server != nil,
-		"disposition", l.Disposition != nil, "latency_us", l.Latency != nil); err != nil {
+	if err := requireFields(
+		field{"who", l.Who != nil},
+		field{"txn", l.Txn != nil},
+		field{"shot", l.Shot != nil},
+		field{"server", l.Server != nil},
+		field{"disposition", l.Disposition != nil},
+		field{"latency_us", l.Latency != nil},
+	); err != nil {
 		return Message{}, err
 	}
 	out, err := outcomeOf(*l.Disposition)
@@ -291,11 +341,13 @@
 	})
 }
 
+// outcomes has the module's outcome for each disposition on the wire.
 var outcomes = map[int]sq.Outcome{
 	100: sq.Served, 301: sq.Errored, 302: sq.Rejected, 303: sq.TimedOut,
 	304: sq.Unreachable, 305: sq.Broken, 306: sq.Cancelled, 307: sq.NotSent,
 }
 
+// outcomeOf is the outcome of a disposition; an unknown one is an error.
 func outcomeOf(code int) (sq.Outcome, error) {
 	o, ok := outcomes[code]
 	if !ok {
@@ -304,6 +356,7 @@
 	return o, nil
 }
 
+// loadReport reads a server's load; nil when the line has none. Values that are not there are -1.
 func loadReport(values map[string]float64) *sq.LoadReport {
 	if values == nil {
 		return nil
--- a/internal/broker/simwire/encode.go
+++ b/internal/broker/simwire/encode.go
@@ -7,6 +7,7 @@
 	sq "saffronquay"
 )
 
+// rawAction has the fields of all types of action. Zero values and nil pointers are left out.
 type rawAction struct {
 	Type     string  `json:"event_type"`
 	Who      string  `json:"who,omitempty"`
@@ -16,7 +17,7 @@
 	Shot     *int    `json:"shot,omitempty"`
 	Entire   *bool   `json:"entire,omitempty"`
 	CoolDown int64   `json:"cool_down_us,omitempty"`
-	AlarmID     *int64  `json:"mark,omitempty"`
+	AlarmID  *int64  `json:"mark,omitempty"`
 	Alarm    *int64  `json:"alarm_time_us,omitempty"`
 	Text     *string `json:"reason_text,omitempty"`
 	Serial   *int64  `json:"serial,omitempty"`
@@ -24,7 +25,7 @@
 	Payload  *string `json:"payload,omitempty"`
 }
 
-// Encode appends the line of one action of an instance.
+// Encode appends the line of one action of the instance who to dst. An action that the wire has no form for is an error.
 func Encode(dst []byte, who string, a sq.Action) ([]byte, error) {
 	r := rawAction{Who: who}
 	id := func(v sq.ID) *int64 { n := int64(v); return &n }
@@ -62,11 +63,12 @@
 	return appendLine(dst, r)
 }
 
-// EncodeAck appends the line that closes a reply.
+// EncodeAck appends the line that ends the reply to the batch with this serial.
 func EncodeAck(dst []byte, serial int64) ([]byte, error) {
 	return appendLine(dst, rawAction{Type: "Ack", Serial: &serial})
 }
 
+// appendLine appends an action as JSON and a line feed.
 func appendLine(dst []byte, r rawAction) ([]byte, error) {
 	b, err := json.Marshal(r)
 	if err != nil {
