--- a/internal/scheduler/batchjobs/job.go
+++ b/internal/scheduler/batchjobs/job.go
@@ -129,7 +129,7 @@
 		if versions == nil {
 			versions = []uint64{}
 		}
-		text, err := compression.Texts.Unpack(result.Text)
+		text, err := compression.Texts.Decompress(result.Text)
 		if err != nil {
 			return nil, err
 		}
--- a/internal/scheduler/batchjobs/job_test.go
+++ b/internal/scheduler/batchjobs/job_test.go
@@ -35,7 +35,7 @@
 	is := is.New(t)
 	text := "a.1.2\nb \"quoted\" \\ \x01"
 	page, err := NewPage(&rpc.ReadResponse{Total: 9, Results: []*rpc.Result{
-		{Item: "x", Completed: true, Text: compression.Texts.Pack([]byte(text)), WeightVersions: []uint64{6, 7}, Score: "s"},
+		{Item: "x", Completed: true, Text: compression.Texts.Compress([]byte(text)), WeightVersions: []uint64{6, 7}, Score: "s"},
 		{Item: "y"},
 	}}, 4)
 	is.NoErr(err)
@@ -47,7 +47,7 @@
 	is.Equal(again.Results[0].Text, text)
 	is.Equal(again.Results[1].State, Abandoned)
 	is.Equal(again.Results[1].Text, "")
-	_, err = compression.Texts.Unpack([]byte("nothing that was packed"))
+	_, err = compression.Texts.Decompress([]byte("nothing that was packed"))
 	is.True(err != nil)
 }
 
--- a/internal/scheduler/batchrunner/item_test.go
+++ b/internal/scheduler/batchrunner/item_test.go
@@ -101,7 +101,7 @@
 	healthy := startFakeWorker(t, heads, lastPart, false)
 	r.Forwarder.Table.PutWorker(&rpc.Instance{Id: "healthy", Service: "s", Address: healthy, Capacity: 4, Models: []*rpc.ModelWeights{{Name: "m", Version: 3}}})
 	report := <-result
-	text, err := compression.Texts.Unpack(report.Result.Text)
+	text, err := compression.Texts.Decompress(report.Result.Text)
 	is.NoErr(err)
 	is.Equal(string(text), "a\nb")
 	is.Equal(report.Result.WeightVersions, []uint64{3})
--- a/internal/scheduler/batchrunner/score.go
+++ b/internal/scheduler/batchrunner/score.go
@@ -23,7 +23,7 @@
 // score sends a complete text's reward call where the item names one, and returns the report; nil where ctx was cancelled. The item ends
 // without a result where workers answered 500 as often as the route allows. It is handed back where the time or the calls are used up.
 func (r *itemRun) score(ctx context.Context) *rpc.Report {
-	result := &rpc.Result{Completed: true, Text: compression.Texts.Pack(r.text.data), WeightVersions: r.text.versions}
+	result := &rpc.Result{Completed: true, Text: compression.Texts.Compress(r.text.data), WeightVersions: r.text.versions}
 	scorer := r.lease.Item.Scorer
 	if scorer == nil {
 		return &rpc.Report{Result: result}
--- a/internal/scheduler/compression/packing_test.go
+++ b/internal/scheduler/compression/codec_test.go
@@ -8,25 +8,26 @@
 	"github.com/matryer/is"
 )
 
-func TestWhatIsPackedComesBack(t *testing.T) {
+// Decompress returns what Compress was given, also with buffers that were used before, and after an error.
+func TestDecompressReturnsWhatWasCompressed(t *testing.T) {
 	is := is.New(t)
-	for _, p := range []*Packer{Texts, Documents} {
+	for _, codec := range []*Codec{Texts, Documents} {
 		for _, text := range [][]byte{nil, []byte("a"), bytes.Repeat([]byte("asiento 0123 "), 10_000)} {
 			for range 2 { // writers and readers are used again
-				back, err := p.Unpack(p.Pack(text))
+				back, err := codec.Decompress(codec.Compress(text))
 				is.NoErr(err)
 				is.True(bytes.Equal(back, text))
 			}
 		}
-		_, err := p.Unpack([]byte("no such thing"))
+		_, err := codec.Decompress([]byte("no such thing"))
 		is.True(err != nil)
-		back, err := p.Unpack(p.Pack([]byte("after an error")))
+		back, err := codec.Decompress(codec.Compress([]byte("after an error")))
 		is.NoErr(err)
 		is.Equal(string(back), "after an error")
 	}
 }
 
-// A configuration of many routes takes less than a quarter.
+// A configuration of many routes is compressed to less than a quarter.
 func TestRoutesRepeatThemselves(t *testing.T) {
 	is := is.New(t)
 	var b bytes.Buffer
@@ -34,5 +35,5 @@
 		fmt.Fprintf(&b, `{"name":"r-%x","host":"h%x.example","pathPrefix":"/%x/","type":"idempotent","timeoutMs":1200,"targetLatencyMs":150,"priority":2,"service":"huvo11a","maxAttempts":2},`,
 			i*7919, i*104729, i*1299709)
 	}
-	is.True(len(Documents.Pack(b.Bytes())) < b.Len()/4)
+	is.True(len(Documents.Compress(b.Bytes())) < b.Len()/4)
 }
--- a/internal/scheduler/controlplane/operator_api.go
+++ b/internal/scheduler/controlplane/operator_api.go
@@ -116,7 +116,7 @@
 		fail(request, fasthttp.StatusNotFound, "no configuration has been taken yet")
 		return
 	}
-	text, err := compression.Documents.Unpack(result.Configuration)
+	text, err := compression.Documents.Decompress(result.Configuration)
 	if err != nil {
 		fail(request, fasthttp.StatusInternalServerError, err.Error())
 		return
--- a/internal/scheduler/directory/directory_test.go
+++ b/internal/scheduler/directory/directory_test.go
@@ -55,7 +55,7 @@
 	is.Equal(h.replace(0, 3, text(3, "s")), rpc.DirectoryStatus_DIRECTORY_OK)
 	is.Equal(h.Table().Version, uint64(6))
 	read := h.apply(&rpc.DirectoryCommand{Command: &rpc.DirectoryCommand_Read{Read: &rpc.Read{}}})
-	back, err := compression.Documents.Unpack(read.Configuration)
+	back, err := compression.Documents.Decompress(read.Configuration)
 	is.NoErr(err)
 	is.Equal(string(back), string(text(6, "s")))
 }
--- a/internal/scheduler/directory/snapshot.go
+++ b/internal/scheduler/directory/snapshot.go
@@ -61,7 +61,7 @@
 	}
 	document := &configuration.Document{}
 	if len(snapshot.Configuration) > 0 {
-		text, err := compression.Documents.Unpack(snapshot.Configuration)
+		text, err := compression.Documents.Decompress(snapshot.Configuration)
 		if err != nil {
 			return err
 		}
--- a/internal/scheduler/directory/update.go
+++ b/internal/scheduler/directory/update.go
@@ -18,7 +18,7 @@
 	return &rpc.DirectoryCommand{Command: &rpc.DirectoryCommand_Replace{Replace: &rpc.ReplaceConfiguration{
 		Base:    base,
 		Version: version,
-		Body:    compression.Documents.Pack(body),
+		Body:    compression.Documents.Compress(body),
 		Digest:  digest(base, patch, body),
 		Patch:   patch,
 	}}}
@@ -63,20 +63,20 @@
 
 // buildDocument returns the configuration that an update leads to, as compressed text and parsed.
 func (d *Directory) buildDocument(r *rpc.ReplaceConfiguration) (packed []byte, document *configuration.Document, err error) {
-	body, err := compression.Documents.Unpack(r.Body)
+	body, err := compression.Documents.Decompress(r.Body)
 	if err != nil {
 		return nil, nil, err
 	}
 	packed = r.Body
 	if r.Patch {
-		current, err := compression.Documents.Unpack(d.configuration)
+		current, err := compression.Documents.Decompress(d.configuration)
 		if err != nil {
 			return nil, nil, err
 		}
 		if body, err = configuration.ApplyPatch(current, body); err != nil {
 			return nil, nil, err
 		}
-		packed = compression.Documents.Pack(body)
+		packed = compression.Documents.Compress(body)
 	}
 	document, err = configuration.Parse(body)
 	return packed, document, err
--- a/internal/scheduler/proxy/feed.go
+++ b/internal/scheduler/proxy/feed.go
@@ -49,7 +49,7 @@
 	if old := p.config.Load(); old != nil && old.Version >= e.Version {
 		return
 	}
-	text, err := compression.Documents.Unpack(e.Body)
+	text, err := compression.Documents.Decompress(e.Body)
 	if err != nil {
 		p.log.Error("configuration can't be used", "version", e.Version, "error", err)
 		return
--- a/internal/scheduler/simulation/clients.go
+++ b/internal/scheduler/simulation/clients.go
@@ -158,7 +158,7 @@
 			return
 		}
 		w.report.Reads++
-		body, err := compression.Documents.Unpack(result.Configuration)
+		body, err := compression.Documents.Decompress(result.Configuration)
 		if err != nil {
 			panic(err) // what the directory holds is whole
 		}
