--- a/internal/scheduler/simulation/faults.go
+++ b/internal/scheduler/simulation/faults.go
@@ -130,11 +130,11 @@
 	case 10:
 		w.replace(m)
 	default:
-		m.disk.Plan().SetWriteBudget(-1)
+		m.disk.Faults().SetWriteBudget(-1)
 		until := w.now + w.between(500, 4000)
 		w.lasts(until)
 		w.trace("the disk of %s takes nothing until %d", m.name, until)
-		w.after(until-w.now, func() { m.disk.Plan().SetWriteBudget(0) })
+		w.after(until-w.now, func() { m.disk.Faults().SetWriteBudget(0) })
 	}
 }
 
--- a/internal/storage/recordlog/faults_test.go
+++ b/internal/storage/recordlog/faults_test.go
@@ -98,8 +98,8 @@
 			for gone := range intact { // each copy alone has what is acknowledged
 				plan := &simdisk.FaultPlan{}
 				b.disks = [2]*simdisk.Disk{intact[0].Clone(plan), intact[1].Clone(plan)}
-				for _, name := range b.disks[gone].Files() {
-					b.disks[gone].Put(name, nil)
+				for _, name := range b.disks[gone].FileNames() {
+					b.disks[gone].SetFileContent(name, nil)
 				}
 				s = b.open()
 				for key, value := range acked {
@@ -174,8 +174,8 @@
 		if i == 20 {
 			for d := range b.disks {
 				old[d] = map[string][]byte{}
-				for _, name := range b.disks[d].Files() {
-					old[d][name] = b.disks[d].Read(name)
+				for _, name := range b.disks[d].FileNames() {
+					old[d][name] = b.disks[d].FileContent(name)
 				}
 			}
 		}
@@ -200,34 +200,34 @@
 		b.disks = [2]*simdisk.Disk{intact[0].Clone(plan), intact[1].Clone(plan)}
 	}
 	for d := range intact {
-		for _, x := range intact[d].Files() {
-			for _, y := range intact[d].Files() {
+		for _, x := range intact[d].FileNames() {
+			for _, y := range intact[d].FileNames() {
 				if x >= y {
 					continue
 				}
 				restore()
-				bx, by := b.disks[d].Read(x), b.disks[d].Read(y)
-				b.disks[d].Put(x, by)
-				b.disks[d].Put(y, bx)
+				bx, by := b.disks[d].FileContent(x), b.disks[d].FileContent(y)
+				b.disks[d].SetFileContent(x, by)
+				b.disks[d].SetFileContent(y, bx)
 				verify(x + " and " + y)
 			}
 		}
 		for name, data := range old[d] {
 			if strings.HasPrefix(name, "manifest-") { // under another name than its own
 				restore()
-				b.disks[d].Put("manifest-00ffffff-00000001", data)
+				b.disks[d].SetFileContent("manifest-00ffffff-00000001", data)
 				verify("renamed " + name)
 			}
 			restore()
-			b.disks[d].Put(name, data) // a file that cleaning removed, or an earlier state of one that is there
+			b.disks[d].SetFileContent(name, data) // a file that cleaning removed, or an earlier state of one that is there
 			verify("old " + name)
 		}
 	}
-	for _, name := range intact[0].Files() { // a file and its copy
-		if x, y := intact[0].Read(name), intact[1].Read(name); y != nil {
+	for _, name := range intact[0].FileNames() { // a file and its copy
+		if x, y := intact[0].FileContent(name), intact[1].FileContent(name); y != nil {
 			restore()
-			b.disks[0].Put(name, y)
-			b.disks[1].Put(name, x)
+			b.disks[0].SetFileContent(name, y)
+			b.disks[1].SetFileContent(name, x)
 			verify("copies of " + name)
 		}
 	}
@@ -243,8 +243,8 @@
 	}
 	s.Close()
 	var name string
-	for _, n := range b.disks[0].Files() {
-		if strings.HasPrefix(n, "segment-") && len(b.disks[0].Read(n)) > 200 {
+	for _, n := range b.disks[0].FileNames() {
+		if strings.HasPrefix(n, "segment-") && len(b.disks[0].FileContent(n)) > 200 {
 			name = n
 		}
 	}
@@ -252,9 +252,9 @@
 	ends := &simdisk.FaultPlan{}
 	tail := [2]*simdisk.Disk{b.disks[0].Clone(ends), b.disks[1].Clone(ends)}
 	for _, d := range tail {
-		data := d.Read(name)
+		data := d.FileContent(name)
 		data[len(data)-3] ^= 1
-		d.Put(name, data)
+		d.SetFileContent(name, data)
 	}
 	if s, err := recordlog.Open(dirs(tail), b.options(), false); err != nil || len(s.LostSpans()) != 1 {
 		t.Errorf("the end is damaged: %v", err)
@@ -262,12 +262,12 @@
 		s.Close()
 	}
 	for _, d := range b.disks {
-		data := d.Read(name)
+		data := d.FileContent(name)
 		at := slices.Index(data, 'v') // in the first record
 		for i := range 60 {
 			data[at+i] ^= 0x55
 		}
-		d.Put(name, data)
+		d.SetFileContent(name, data)
 	}
 	s = b.open()
 	found := 0
@@ -292,17 +292,17 @@
 	}
 	// The manifests are missing in both copies.
 	for _, d := range b.disks {
-		for _, n := range d.Files() {
+		for _, n := range d.FileNames() {
 			if strings.HasPrefix(n, "manifest-") {
-				d.Put(n, nil)
+				d.SetFileContent(n, nil)
 			}
 		}
 	}
 	s.Close()
 	for _, d := range b.disks {
-		for _, n := range d.Files() {
+		for _, n := range d.FileNames() {
 			if strings.HasPrefix(n, "manifest-") {
-				d.Put(n, nil)
+				d.SetFileContent(n, nil)
 			}
 		}
 	}
--- a/internal/storage/recordlog/proof_test.go
+++ b/internal/storage/recordlog/proof_test.go
@@ -236,15 +236,15 @@
 	}
 	var spots []spot
 	for d := range w.disks {
-		for _, name := range w.disks[d].Files() {
-			for at := range w.disks[d].Read(name) {
+		for _, name := range w.disks[d].FileNames() {
+			for at := range w.disks[d].FileContent(name) {
 				spots = append(spots, spot{d, at, name})
 			}
 		}
 	}
 	parallel(2*len(spots), func(i int) {
 		x, disks := spots[i/2], w.copies()
-		data := disks[x.disk].Read(x.name)
+		data := disks[x.disk].FileContent(x.name)
 		if i%2 == 0 {
 			w.counts.cuts.Add(1)
 			data = data[:x.at]
@@ -252,14 +252,14 @@
 			w.counts.flips.Add(1)
 			data[x.at] ^= 1 << (x.at % 8)
 		}
-		disks[x.disk].Put(x.name, data)
+		disks[x.disk].SetFileContent(x.name, data)
 		disks, ok := w.verify(disks, false)
 		if !ok {
 			t.Errorf("%s/%s at %d, %d: not as it was", w.disks[x.disk], x.name, x.at, i%2)
 		}
 		if i%29 == 0 { // the damaged part was written anew: the other copy may be lost completely
-			for _, name := range disks[1-x.disk].Files() {
-				disks[1-x.disk].Put(name, nil)
+			for _, name := range disks[1-x.disk].FileNames() {
+				disks[1-x.disk].SetFileContent(name, nil)
 			}
 			if _, ok := w.verify(disks, false); !ok {
 				t.Errorf("%s/%s at %d, then the other copy lost: not as it was", w.disks[x.disk], x.name, x.at)
--- a/internal/storage/simdisk/random.go
+++ b/internal/storage/simdisk/randomaccess.go
@@ -6,13 +6,15 @@
 	"syscall"
 )
 
-// RandomAccess shows a disk as package replica wants it: files that are read and written anywhere, and renamed.
+// RandomAccess implements the disk of package replica: its files are read and written at any offset, and renamed.
 type RandomAccess struct{ Disk *Disk }
 
-// Open opens a file for reading and writing; it is made where it isn't there.
+var _ replica.Disk = RandomAccess{}
+
+// Open implements replica.Disk.
 func (r RandomAccess) Open(name string) (replica.File, error) {
 	var n *inode
-	err := r.Disk.do(func() error {
+	err := r.Disk.call(func() error {
 		if n = r.Disk.names[name]; n == nil {
 			n = &inode{}
 			r.Disk.names[name] = n
@@ -25,9 +27,9 @@
 	return &randomFile{file{r.Disk, n}}, nil
 }
 
-// Rename gives a file another name, and so takes the place of a file that has it.
+// Rename implements replica.Disk.
 func (r RandomAccess) Rename(from, to string) error {
-	return r.Disk.do(func() error {
+	return r.Disk.call(func() error {
 		n := r.Disk.names[from]
 		if n == nil {
 			return syscall.ENOENT
@@ -39,34 +41,35 @@
 	})
 }
 
-// Remove takes a file's name away.
+// Remove implements replica.Disk.
 func (r RandomAccess) Remove(name string) error { return r.Disk.Remove(name) }
 
-// Sync makes the names last.
+// Sync implements replica.Disk.
 func (r RandomAccess) Sync() error { return r.Disk.Sync() }
 
+// randomFile is a file that is read and written at any offset.
 type randomFile struct{ file }
 
 func (f *randomFile) ReadAt(b []byte, offset int64) (n int, err error) {
-	f.d.mu.Lock()
-	defer f.d.mu.Unlock()
-	if offset >= int64(len(f.n.data)) {
+	f.disk.mu.Lock()
+	defer f.disk.mu.Unlock()
+	if offset >= int64(len(f.inode.data)) {
 		return 0, io.EOF
 	}
-	if n = copy(b, f.n.data[offset:]); n < len(b) {
+	if n = copy(b, f.inode.data[offset:]); n < len(b) {
 		err = io.EOF
 	}
 	return n, err
 }
 
 func (f *randomFile) WriteAt(b []byte, offset int64) (n int, err error) {
-	err = f.d.do(func() error {
-		n = f.d.plan.take(len(b))
-		for int64(len(f.n.data)) < offset+int64(n) {
-			f.n.data = append(f.n.data, make([]byte, offset+int64(n)-int64(len(f.n.data)))...)
+	err = f.disk.call(func() error {
+		n = f.disk.faults.takeBudget(len(b))
+		for int64(len(f.inode.data)) < offset+int64(n) {
+			f.inode.data = append(f.inode.data, make([]byte, offset+int64(n)-int64(len(f.inode.data)))...)
 		}
-		copy(f.n.data[offset:], b[:n])
-		f.n.synced = min(f.n.synced, int(offset))
+		copy(f.inode.data[offset:], b[:n])
+		f.inode.synced = min(f.inode.synced, int(offset))
 		if n < len(b) {
 			return syscall.ENOSPC
 		}
@@ -76,15 +79,15 @@
 }
 
 func (f *randomFile) Truncate(size int64) error {
-	return f.d.do(func() error {
-		f.n.data = f.n.data[:min(int(size), len(f.n.data))]
-		f.n.synced = min(f.n.synced, len(f.n.data))
+	return f.disk.call(func() error {
+		f.inode.data = f.inode.data[:min(int(size), len(f.inode.data))]
+		f.inode.synced = min(f.inode.synced, len(f.inode.data))
 		return nil
 	})
 }
 
 func (f *randomFile) Size() (int64, error) {
-	f.d.mu.Lock()
-	defer f.d.mu.Unlock()
-	return int64(len(f.n.data)), nil
+	f.disk.mu.Lock()
+	defer f.disk.mu.Unlock()
+	return int64(len(f.inode.data)), nil
 }
