--- a/cmd/saffronquay/cli_model.go
+++ b/cmd/saffronquay/cli_model.go
@@ -43,8 +43,8 @@
 			if err := c.tell(r, func(w io.Writer) { tellDay(w, r) }); err != nil {
 				return err
 			}
-			if r.Twice > 0 {
-				return failed(fmt.Errorf("%d parts that must not run twice were sent again", r.Twice))
+			if r.RunTwice > 0 {
+				return failed(fmt.Errorf("%d parts that must not run twice were sent again", r.RunTwice))
 			}
 			return nil
 		},
@@ -59,11 +59,11 @@
 func tellDay(w io.Writer, r simulation.Result) {
 	fmt.Fprintf(w, "%6s %8s %8s %6s %8s %8s %8s %8s\n", "second", "asked", "in time", "tries", "refused", "attempts", "work s", "useful s")
 	for i, x := range r.Windows {
-		if x.Asked > 0 {
-			fmt.Fprintf(w, "%6d %8.0f %8.3f %6d %8d %8d %8.1f %8.1f\n", i, x.Asked, x.InTime/x.Asked, x.Tries, x.Refused, x.Sends,
-				float64(x.Work)/1e6, x.Useful/1e6)
+		if x.Requested > 0 {
+			fmt.Fprintf(w, "%6d %8.0f %8.3f %6d %8d %8d %8.1f %8.1f\n", i, x.Requested, x.InTime/x.Requested, x.ClientAttempts, x.Refused, x.Sends,
+				float64(x.Work)/1e6, x.UsefulWork/1e6)
 		}
 	}
-	fmt.Fprintf(w, "served %.3f of the worth; cold servers: %d sent more than they may be, the worst %.2f of it; run twice %d\n", r.Served, r.Toppled,
-		r.Worst, r.Twice)
+	fmt.Fprintf(w, "served %.3f of the worth; cold servers: %d sent more than they may be, the worst %.2f of it; run twice %d\n", r.Served, r.Overloaded,
+		r.WorstLoad, r.RunTwice)
 }
--- a/internal/broker/simulation/days.go
+++ b/internal/broker/simulation/days.go
@@ -12,9 +12,9 @@
 		}
 	}
 	return Day{
-		Seed: seed, Zones: 3, Servers: servers, Cores: 2, Waiting: 30, Load: 0.6, Skew: 0.25, Work: 18 * ms,
-		Parts: []int{max(4, servers*3/10), max(3, servers*15/100), 2}, Mix: []float64{0.12, 0.63, 0.25}, Length: 20 * second,
-		Notice: 3 * second, ColdShare: 0.3, WarmIn: 10 * second, Retries: 2,
+		Seed: seed, Zones: 3, Servers: servers, Cores: 2, QueueLimit: 30, Load: 0.6, Skew: 0.25, MeanWork: 18 * ms,
+		Parts: []int{max(4, servers*3/10), max(3, servers*15/100), 2}, ClassMix: []float64{0.12, 0.63, 0.25}, Length: 20 * second,
+		MembershipDelay: 3 * second, SlowStartFraction: 0.3, WarmUp: 10 * second, Retries: 2,
 		Settings: sq.Settings{
 			Aggregators: gatherers, Period: ms, Shards: servers, Cells: servers, CellsPerShard: 4, PartsPerCall: 1,
 			Classes: []sq.Class{
@@ -34,7 +34,7 @@
 // Burst is a day on which half as much again is asked for in the middle.
 func Burst(seed uint64, gatherers, servers int) Day {
 	d := Fleet(seed, gatherers, servers)
-	d.Events = []Disturbance{{At: 6 * second, For: 4 * second, Load: 1.5}}
+	d.Events = []Disturbance{{At: 6 * second, Duration: 4 * second, Load: 1.5}}
 	return d
 }
 
@@ -42,17 +42,17 @@
 func ZoneLost(seed uint64, gatherers, servers int) Day {
 	d := Fleet(seed, gatherers, servers)
 	d.Slow = slow
-	d.Events = []Disturbance{{At: 6 * second, For: 5 * second, Servers: func(i int) bool { return i%3 == 0 }}}
+	d.Events = []Disturbance{{At: 6 * second, Duration: 5 * second, Servers: func(i int) bool { return i%3 == 0 }}}
 	return d
 }
 
 // Herd is a day on which seven in ten gatherers are killed at once in a release that renews the servers in steps.
 func Herd(seed uint64, gatherers, servers int) Day {
 	d := Fleet(seed, gatherers, servers)
-	d.Events = []Disturbance{{At: 6 * second, For: 1500 * ms, Gatherers: func(i int) bool { return i%10 < 7 }}}
+	d.Events = []Disturbance{{At: 6 * second, Duration: 1500 * ms, Gatherers: func(i int) bool { return i%10 < 7 }}}
 	d.Slow = slow
 	for k, at := range []int64{4000, 5200, 8400, 9600, 11_400} {
-		d.Events = append(d.Events, Disturbance{At: at * ms, For: 3600 * ms, Drain: true, Servers: func(i int) bool { return i%7 == k }})
+		d.Events = append(d.Events, Disturbance{At: at * ms, Duration: 3600 * ms, Drain: true, Servers: func(i int) bool { return i%7 == k }})
 	}
 	return d
 }
@@ -62,7 +62,7 @@
 	d := Fleet(seed, gatherers, servers)
 	for k := range 6 {
 		d.Events = append(d.Events, Disturbance{
-			At: int64(5000+1100*k) * ms, For: 1500 * ms, Drain: k%2 == 0,
+			At: int64(5000+1100*k) * ms, Duration: 1500 * ms, Drain: k%2 == 0,
 			Servers: func(i int) bool { return i%10 == k },
 		})
 	}
--- a/internal/broker/simulation/model_test.go
+++ b/internal/broker/simulation/model_test.go
@@ -21,9 +21,9 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if r.Served < tc.least || r.Twice > 0 || tc.told && r.Toppled > 0 {
-				t.Errorf("served %.3f, want %v; %d run twice; %d toppled, the worst %.2f of what it may be sent", r.Served, tc.least, r.Twice,
-					r.Toppled, r.Worst)
+			if r.Served < tc.least || r.RunTwice > 0 || tc.told && r.Overloaded > 0 {
+				t.Errorf("served %.3f, want %v; %d run twice; %d toppled, the worst %.2f of what it may be sent", r.Served, tc.least, r.RunTwice,
+					r.Overloaded, r.WorstLoad)
 			}
 			if name != "calm" {
 				return
--- a/internal/broker/simulation/slowstart_test.go
+++ b/internal/broker/simulation/slowstart_test.go
@@ -13,17 +13,17 @@
 // while they are cold: those have neither learnt what warm servers carry nor saved anything.
 func slowStart(seed uint64, gatherers int, work int64, restarts bool) Day {
 	d := Fleet(seed, gatherers, 12)
-	scale := work / d.Work
-	d.Work = work
+	scale := work / d.MeanWork
+	d.MeanWork = work
 	for i := range d.Settings.Classes {
 		c := &d.Settings.Classes[i]
 		c.LatencyTarget, c.HardLimit = c.LatencyTarget*(scale+1)/2, c.HardLimit*(scale+1)/2
 	}
 	d.Length = 20 * second
-	d.Events = []Disturbance{{At: 3 * second, For: 4 * second, Servers: func(i int) bool { return i%4 == int(seed)%4 }}}
+	d.Events = []Disturbance{{At: 3 * second, Duration: 4 * second, Servers: func(i int) bool { return i%4 == int(seed)%4 }}}
 	if restarts {
-		d.Events = append(d.Events, Disturbance{At: 6 * second, For: 1500 * ms, Gatherers: func(i int) bool { return i%3 == 0 }},
-			Disturbance{At: 9 * second, For: 1500 * ms, Gatherers: func(i int) bool { return i%3 == 1 }})
+		d.Events = append(d.Events, Disturbance{At: 6 * second, Duration: 1500 * ms, Gatherers: func(i int) bool { return i%3 == 0 }},
+			Disturbance{At: 9 * second, Duration: 1500 * ms, Gatherers: func(i int) bool { return i%3 == 1 }})
 	}
 	return d
 }
@@ -35,7 +35,7 @@
 // What the bound rests on: servers of a core or more; a number of gatherers (Settings.Aggregators) that is the fleet's; hints, or what was
 // served, that are about right in the mean; clocks that agree on a start to within the window; and a gatherer that has been told of the
 // start.
-func TestTheSumToAColdServer(t *testing.T) {
+func TestTheSumToAWarmingServer(t *testing.T) {
 	seeds, fleets, after := uint64(6), []int{2, 20, 30}, []bool{false, true}
 	if harness.Raced { // the rest is played without the race detector, which makes a day ten times as long
 		seeds, fleets, after = 1, []int{2, 30}, []bool{true}
@@ -51,7 +51,7 @@
 						if err != nil {
 							t.Fatal(err)
 						}
-						worst, served, warm = max(worst, r.Chance), min(served, r.Served), min(warm, r.Warming)
+						worst, served, warm = max(worst, r.WorstBudget), min(served, r.Served), min(warm, r.LeastWarmUpWork)
 					}
 					t.Logf("at most %.2f of the budget and chance; %.3f served; a cold server did %.2f of what it could", worst, served, warm)
 					if worst > 1 || served < 0.9 || warm < 0.01 {
@@ -68,7 +68,7 @@
 // calm days, under a burst, under an overload that lasts, and with a zone lost; whether the many parts belong to the class that is worth most or
 // to the one that is worth least. Under overload it is the worth of a class that decides what goes first, so that the least of them
 // gets least.
-func TestNobodyIsStarved(t *testing.T) {
+func TestNoClassOrTenantIsStarved(t *testing.T) {
 	for name, day := range map[string]func(uint64, int, int) Day{
 		"calm": Fleet, "burst": Burst, "zone": ZoneLost,
 		"overload": func(seed uint64, g, s int) Day { d := Fleet(seed, g, s); d.Load = 1.3; return d },
@@ -79,7 +79,7 @@
 		},
 		"mostly once": func(seed uint64, g, s int) Day {
 			d := Fleet(seed, g, s)
-			d.Load, d.Mix = 1.2, []float64{0.05, 0.15, 0.8}
+			d.Load, d.ClassMix = 1.2, []float64{0.05, 0.15, 0.8}
 			return d
 		},
 	} {
@@ -88,12 +88,12 @@
 			d := day(5, 12, 12)
 			d.Length = 12 * second
 			d.Settings.Tenants = []sq.Tenant{{Name: "a", Quota: 60}, {Name: "b", Quota: 30}, {Name: "c", Quota: 10}}
-			d.Asking = []float64{0.6, 0.3, 0.1}
+			d.TenantMix = []float64{0.6, 0.3, 0.1}
 			r, err := Play(d)
 			if err != nil {
 				t.Fatal(err)
 			}
-			t.Logf("%.3f served; classes %v, thirds %v, tenants %v", r.Served, shares(r.Classes), shares(r.Thirds), shares(r.Tenants))
+			t.Logf("%.3f served; classes %v, thirds %v, tenants %v", r.Served, servedFractions(r.Classes), servedFractions(r.Thirds), servedFractions(r.Tenants))
 			for what, ps := range map[string][]Portion{"class": r.Classes, "third": r.Thirds, "tenant": r.Tenants} {
 				for i, p := range ps {
 					if p.Served() < r.Served/3 {
@@ -105,7 +105,7 @@
 	}
 }
 
-func shares(ps []Portion) (out []string) {
+func servedFractions(ps []Portion) (out []string) {
 	for _, p := range ps {
 		out = append(out, fmt.Sprintf("%.3f", p.Served()))
 	}
--- a/internal/broker/simulation/split_test.go
+++ b/internal/broker/simulation/split_test.go
@@ -38,17 +38,17 @@
 	worst := map[string]float64{}
 	for name, divide := range map[string]func(int64) int{"file": nil, "reckon": reckon, "alive": alive} {
 		d := Join(3, n, n)
-		d.Length, d.Divide, d.Notice = 14*second, divide, 1*second
+		d.Length, d.FleetSize, d.MembershipDelay = 14*second, divide, 1*second
 		for i := range d.Events { // the list tells of each before it is back
-			d.Events[i].At, d.Events[i].For = d.Events[i].At+4*second, 3*second
+			d.Events[i].At, d.Events[i].Duration = d.Events[i].At+4*second, 3*second
 		}
 		out, err := Play(d)
 		if err != nil {
 			t.Fatal(err)
 		}
-		worst[name] = out.Worst
-		if name == "reckon" && out.Toppled > 0 || out.Twice > 0 {
-			t.Errorf("by %s: %d cold servers were sent too much, the worst %.2f of it; %d run twice", name, out.Toppled, out.Worst, out.Twice)
+		worst[name] = out.WorstLoad
+		if name == "reckon" && out.Overloaded > 0 || out.RunTwice > 0 {
+			t.Errorf("by %s: %d cold servers were sent too much, the worst %.2f of it; %d run twice", name, out.Overloaded, out.WorstLoad, out.RunTwice)
 		}
 	}
 	t.Logf("the most that a cold server was sent, of what it may be: %v", worst)
