--- a/internal/broker/simulation/days.go
+++ b/internal/broker/simulation/days.go
@@ -2,13 +2,13 @@
 
 import sq "saffronquay"
 
-// Fleet is a calm day of so many gatherers and servers in three zones, of three classes: one of many parts, worth nothing late; one
-// of fewer; and one of two that must not run twice. Its load is 0.6 of capacity; parts are of 18 ms.
+// Fleet is a calm day of so many gatherers and servers in three zones. It has three classes: one of many parts, without value
+// when late; one of fewer; and one of two that must not run twice. Its load is 0.6 of capacity; parts take 18 ms.
 func Fleet(seed uint64, gatherers, servers int) Day {
-	class := func(name string, aim, limit int64, worth, late float64, e sq.Effect) sq.Class {
+	class := func(name string, target, limit int64, value, late float64, e sq.Effect) sq.Class {
 		return sq.Class{
-			Name: name, LatencyTarget: aim, HardLimit: limit, Value: worth, LateValue: late, Effect: e, CompleteWeight: 1, MinWeight: 1, PartialValue: 0.9,
-			DedupWindow: 5 * second,
+			Name: name, LatencyTarget: target, HardLimit: limit, Value: value, LateValue: late, Effect: e,
+			CompleteWeight: 1, MinWeight: 1, PartialValue: 0.9, DedupWindow: 5 * second,
 		}
 	}
 	return Day{
@@ -31,14 +31,14 @@
 	}
 }
 
-// Burst is a day on which half as much again is asked for in the middle.
+// Burst is a day with half as much load again in the middle.
 func Burst(seed uint64, gatherers, servers int) Day {
 	d := Fleet(seed, gatherers, servers)
 	d.Events = []Disturbance{{At: 6 * second, Duration: 4 * second, Load: 1.5}}
 	return d
 }
 
-// ZoneLost is a day on which the servers of one zone stop for five seconds and return cold.
+// ZoneLost is a day on which the servers of one zone stop for five seconds and return warming up.
 func ZoneLost(seed uint64, gatherers, servers int) Day {
 	d := Fleet(seed, gatherers, servers)
 	d.Slow = slow
@@ -46,7 +46,7 @@
 	return d
 }
 
-// Herd is a day on which seven in ten gatherers are killed at once in a release that renews the servers in steps.
+// Herd is a day on which seven in ten gatherers are killed together in a release that restarts the servers in steps.
 func Herd(seed uint64, gatherers, servers int) Day {
 	d := Fleet(seed, gatherers, servers)
 	d.Events = []Disturbance{{At: 6 * second, Duration: 1500 * ms, Gatherers: func(i int) bool { return i%10 < 7 }}}
@@ -57,7 +57,7 @@
 	return d
 }
 
-// Join is a day on which six in ten servers are renewed within seven seconds.
+// Join is a day on which six in ten servers restart within seven seconds.
 func Join(seed uint64, gatherers, servers int) Day {
 	d := Fleet(seed, gatherers, servers)
 	for k := range 6 {
--- a/internal/broker/simulation/doc.go
+++ b/internal/broker/simulation/doc.go
@@ -1,6 +1,10 @@
-// Package simulation plays a fleet in virtual time: many gatherers, each with a decision module of its own, over servers with
-// queues, warmth and stale reports. It is for designs at sizes that sockets don't reach, and for tests that assert what the
-// sum of a fleet does. It owns no decision, opens nothing and reads no clock; the same seed gives the same day.
+// Package simulation plays a fleet in virtual time: many gatherers, each with a decision module of its own, over servers
+// that queue, warm up and report their load late. It is for designs at sizes that sockets do not reach, and for tests that
+// assert what a fleet does in sum.
 //
-// What it leaves out: connections, processor time, lists that differ between gatherers, spoilt answers.
+// Play plays a Day and returns its Result. It makes no decision, does no input or output and reads no clock. It runs on
+// one goroutine, and the same Day gives the same Result; days can be played concurrently. It fails only for settings
+// that are not valid.
+//
+// What it leaves out: connections, processor time, lists that differ between gatherers, malformed answers.
 package simulation
--- a/internal/broker/simulation/slowstart_test.go
+++ b/internal/broker/simulation/slowstart_test.go
@@ -8,9 +8,9 @@
 	sq "saffronquay"
 )
 
-// slowStart is a day on which a quarter of the servers are lost and come back cold, with two, twenty or thirty gatherers of which a tenth have
-// several times the traffic of the others. With restarts a third of the gatherers is killed just before the servers' return, and another third
-// while they are cold: those have neither learnt what warm servers carry nor saved anything.
+// slowStart is a day on which a quarter of the servers are lost and come back warming up, with two, twenty or thirty gatherers of which a tenth
+// have several times the traffic of the others. With restarts a third of the gatherers is killed just before the servers return, and another
+// third while they warm up: those have neither learnt what warm servers carry nor saved any credit.
 func slowStart(seed uint64, gatherers int, work int64, restarts bool) Day {
 	d := Fleet(seed, gatherers, 12)
 	scale := work / d.MeanWork
@@ -28,13 +28,12 @@
 	return d
 }
 
-// Gatherers that share nothing send a cold server, all together, no more than its budget of N calls and what counts as chance beyond it,
-// 2·√N + 2: with two, twenty or thirty of them, uneven traffic, restarts among them, many small parts or few large ones. All the same the server
-// gets work while it is cold (a fifth of what it could do, but few hundredths where parts are large and gatherers many), and service stays.
+// Gatherers without shared state send a warming server, all together, no more than its budget of N calls and a chance excess of 2·√N + 2: with
+// two, twenty or thirty of them, uneven traffic, restarts among them, many small parts or few large ones. All the same the server gets work
+// while it warms up (a fifth of what it could do, but few hundredths where parts are large and gatherers many), and queries are served.
 //
-// What the bound rests on: servers of a core or more; a number of gatherers (Settings.Aggregators) that is the fleet's; hints, or what was
-// served, that are about right in the mean; clocks that agree on a start to within the window; and a gatherer that has been told of the
-// start.
+// What the bound rests on: servers of a core or more; a number of gatherers (Settings.Aggregators) that is the fleet's; hints, or served
+// work, that are about right in the mean; clocks that agree on a start to within the window; and gatherers whose list shows the start.
 func TestTheSumToAWarmingServer(t *testing.T) {
 	seeds, fleets, after := uint64(6), []int{2, 20, 30}, []bool{false, true}
 	if harness.Raced { // the rest is played without the race detector, which makes a day ten times as long
@@ -53,9 +52,9 @@
 						}
 						worst, served, warm = max(worst, r.WorstBudget), min(served, r.Served), min(warm, r.LeastWarmUpWork)
 					}
-					t.Logf("at most %.2f of the budget and chance; %.3f served; a cold server did %.2f of what it could", worst, served, warm)
+					t.Logf("at most %.2f of the budget and chance; %.3f served; a warming server did %.2f of what it could", worst, served, warm)
 					if worst > 1 || served < 0.9 || warm < 0.01 {
-						t.Errorf("at most %.2f of the budget and chance, want 1; %.3f served, want 0.9; a cold server did %.2f of what it could, want 0.01",
+						t.Errorf("at most %.2f of the budget and chance, want 1; %.3f served, want 0.9; a warming server did %.2f of what it could, want 0.01",
 							worst, served, warm)
 					}
 				})
@@ -64,10 +63,9 @@
 	}
 }
 
-// No class, effect, third of the day or tenant is starved by another's shape: each gets at least a third of the share that the day as a whole gets, on
-// calm days, under a burst, under an overload that lasts, and with a zone lost; whether the many parts belong to the class that is worth most or
-// to the one that is worth least. Under overload it is the worth of a class that decides what goes first, so that the least of them
-// gets least.
+// No class, effect, third of the day or tenant is starved by another: each has at least a third of the fraction served that the day as a whole
+// has, on calm days, under a burst, under an overload that lasts, and with a zone lost; whether the many parts belong to the class of the
+// highest value or to that of the lowest. Under overload the value of a class decides what goes first, so that the lowest gets least.
 func TestNoClassOrTenantIsStarved(t *testing.T) {
 	for name, day := range map[string]func(uint64, int, int) Day{
 		"calm": Fleet, "burst": Burst, "zone": ZoneLost,
@@ -77,7 +75,7 @@
 			d.Load, d.Settings.Classes[0].Value, d.Settings.Classes[2].Value = 1.2, 1, 4
 			return d
 		},
-		"mostly once": func(seed uint64, g, s int) Day {
+		"mostly at most once": func(seed uint64, g, s int) Day {
 			d := Fleet(seed, g, s)
 			d.Load, d.ClassMix = 1.2, []float64{0.05, 0.15, 0.8}
 			return d
--- a/internal/broker/simulation/split_test.go
+++ b/internal/broker/simulation/split_test.go
@@ -10,8 +10,8 @@
 	views "saffronquay/internal/cluster/swim/simulation"
 )
 
-// While a fleet is split in halves and both go on, what it sends to a cold server and what it lets in of a contract stay under their
-// bounds as a sum: each half divides by the members to reckon with. By the members alive it would be twice as much.
+// While a fleet is partitioned in halves and both go on, what it sends to a warming server and what it admits of a contract stay below their
+// bounds in sum: each half divides by the estimated members. Divided by the members alive it would be twice as much.
 func TestSumsWhileTheFleetIsSplit(t *testing.T) {
 	const n = 24
 	s, err := faults.Parse("at 3s for 30s cut 0-11 12-23", n)
@@ -39,7 +39,7 @@
 	for name, divide := range map[string]func(int64) int{"file": nil, "reckon": reckon, "alive": alive} {
 		d := Join(3, n, n)
 		d.Length, d.FleetSize, d.MembershipDelay = 14*second, divide, 1*second
-		for i := range d.Events { // the list tells of each before it is back
+		for i := range d.Events { // the list shows each before it is back
 			d.Events[i].At, d.Events[i].Duration = d.Events[i].At+4*second, 3*second
 		}
 		out, err := Play(d)
@@ -48,10 +48,10 @@
 		}
 		worst[name] = out.WorstLoad
 		if name == "reckon" && out.Overloaded > 0 || out.RunTwice > 0 {
-			t.Errorf("by %s: %d cold servers were sent too much, the worst %.2f of it; %d run twice", name, out.Overloaded, out.WorstLoad, out.RunTwice)
+			t.Errorf("by %s: %d warming servers got too much, the worst %.2f of it; %d run twice", name, out.Overloaded, out.WorstLoad, out.RunTwice)
 		}
 	}
-	t.Logf("the most that a cold server was sent, of what it may be: %v", worst)
+	t.Logf("the most that a warming server got, of what it may get: %v", worst)
 	// A contract: what all gates together let in, each with more asked for than it may.
 	out := func(divide int) (sum int) {
 		for range n {
--- /dev/null
+++ b/internal/broker/simulation/world.go
@@ -0,0 +1,210 @@
+package simulation
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"slices"
+
+	sq "saffronquay"
+)
+
+// world is the state of a day while it is played. It runs on one goroutine.
+type world struct {
+	Day
+	rng         *rand.Rand
+	now         int64
+	sequence    int // of the latest scheduled event
+	agenda      agenda
+	servers     []*server
+	byID        map[sq.ServerID]*server
+	gatherers   []*gatherer
+	totalWeight float64 // of gatherers' weights
+	lastID      sq.ID
+	loadFactor  float64
+	result      Result
+}
+
+// Play plays a day. It fails only if the settings are not valid.
+func Play(d Day) (Result, error) {
+	w := &world{
+		Day: d, rng: rand.New(rand.NewPCG(d.Seed, 77)), byID: map[sq.ServerID]*server{}, loadFactor: 1, now: epochStart,
+	}
+	w.result.Windows = make([]Window, d.Length/second+1)
+	w.result.Classes = make([]Portion, len(d.ClassMix))
+	w.result.Thirds = make([]Portion, 3)
+	w.result.Tenants = make([]Portion, len(d.TenantMix))
+	w.addServers()
+	if err := w.addGatherers(); err != nil {
+		return Result{}, err
+	}
+	for _, e := range d.Events {
+		w.schedule(epochStart+e.At, func() { w.beginDisturbance(e) })
+	}
+	if d.FleetSize != nil {
+		w.updateFleetSize()
+	}
+	w.scheduleQuery()
+	end := epochStart + d.Length + 4*second
+	for len(w.agenda) > 0 && w.agenda[0].at <= end {
+		e := w.agenda.pop()
+		w.now = e.at
+		e.do()
+	}
+	w.sumUp()
+	return w.result, nil
+}
+
+// addServers draws the servers' speeds.
+func (w *world) addServers() {
+	for i := range w.Servers {
+		s := &server{
+			id: sq.ServerID(fmt.Sprint("s", i)), index: i, zone: fmt.Sprint("z", i%max(1, w.Zones)), up: true,
+			speed: 0.7 + 0.4*w.rng.Float64(),
+		}
+		if w.Slow != nil {
+			s.speed /= w.Slow(i)
+		}
+		w.servers, w.byID[s.id] = append(w.servers, s), s
+	}
+}
+
+// addGatherers draws the gatherers' traffic, of which one in ten has three times as much, and starts them.
+func (w *world) addGatherers() error {
+	for i := range w.Settings.Aggregators {
+		g := &gatherer{self: i, zone: fmt.Sprint("z", i%max(1, w.Zones)), weight: 0.3 + 1.4*w.rng.Float64()}
+		if i%10 == 0 {
+			g.weight *= 3
+		}
+		w.totalWeight += g.weight
+		w.gatherers = append(w.gatherers, g)
+		if err := w.startGatherer(g); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// sumUp computes the figures of the whole day.
+func (w *world) sumUp() {
+	requested, inTime := 0.0, 0.0
+	for _, x := range w.result.Windows {
+		requested, inTime = requested+x.Requested, inTime+x.InTime
+	}
+	w.result.Served, w.result.LeastWarmUpWork = inTime/max(requested, 1e-9), 1
+	for _, s := range w.servers {
+		w.recordWarmUp(s)
+	}
+}
+
+// schedule has something done at a time, or now if that is past.
+func (w *world) schedule(t int64, do func()) {
+	w.sequence++
+	w.agenda.push(event{at: max(t, w.now), sequence: w.sequence, do: do})
+}
+
+// scheduleAfter has something done after a time.
+func (w *world) scheduleAfter(d int64, do func()) { w.schedule(w.now+d, do) }
+
+// beginDisturbance lets a disturbance begin, and schedules its end.
+func (w *world) beginDisturbance(e Disturbance) {
+	if e.Load > 0 {
+		w.loadFactor = e.Load
+		w.scheduleAfter(e.Duration, func() { w.loadFactor = 1 })
+	}
+	var changed []sq.ServerID
+	for _, s := range w.servers {
+		if e.Servers == nil || !e.Servers(s.index) {
+			continue
+		}
+		changed = append(changed, s.id)
+		if s.draining = e.Drain; !e.Drain {
+			w.stopServer(s)
+		}
+		w.scheduleAfter(e.Duration, func() {
+			w.stopServer(s)
+			s.up, s.draining, s.startedAt, s.warmUpWork, s.busy = true, false, w.now, nil, 0
+		})
+	}
+	if changed != nil {
+		notice := w.MembershipDelay
+		if e.Drain {
+			notice /= 6
+		}
+		w.scheduleAfter(notice, func() { w.announce(changed) })
+		w.scheduleAfter(e.Duration+w.MembershipDelay/3, func() { w.announce(changed) })
+	}
+	for _, g := range w.gatherers {
+		if e.Gatherers == nil || !e.Gatherers(g.self) {
+			continue
+		}
+		g.up = false
+		g.run++
+		for _, id := range sorted(g.queries) {
+			w.retry(g.queries[id], 200*ms)
+		}
+		w.scheduleAfter(e.Duration, func() { _ = w.startGatherer(g) }) // the settings were good at the first start
+	}
+}
+
+// updateFleetSize notifies every gatherer's module of the number of gatherers, where that has changed, each in an event
+// of its own. It repeats itself.
+func (w *world) updateFleetSize() {
+	n := max(1, w.FleetSize(w.now-epochStart))
+	for _, g := range w.gatherers {
+		if g.up && g.fleetSize != n {
+			g.fleetSize = n
+			w.notify(g, sq.SettingsChanged{Settings: w.settingsOf(g, n)})
+		}
+	}
+	w.scheduleAfter(500*ms, w.updateFleetSize)
+}
+
+// settingsOf is the settings of a gatherer in a fleet of n.
+func (w *world) settingsOf(g *gatherer, n int) sq.Settings {
+	cfg := w.Settings
+	cfg.Aggregators, cfg.Self, cfg.Zone = n, min(g.self, n-1), g.zone
+	return cfg
+}
+
+// serverList is the list of servers as of now.
+func (w *world) serverList() []sq.Server {
+	var l []sq.Server
+	for _, s := range w.servers {
+		v := sq.Server{ID: s.id, Zone: s.zone, Cell: s.index, Health: sq.Ready, StartedAt: s.startedAt}
+		if s.draining {
+			v.Health = sq.Draining
+		} else if !s.up {
+			v.Health = sq.Gone
+		}
+		l = append(l, v)
+	}
+	return l
+}
+
+// announce notifies all gatherers of servers as they are now, each after a delay of its own.
+func (w *world) announce(ids []sq.ServerID) {
+	var l []sq.Server
+	for _, v := range w.serverList() {
+		if slices.Contains(ids, v.ID) {
+			l = append(l, v)
+		}
+	}
+	for _, g := range w.gatherers {
+		run := g.run
+		w.scheduleAfter(w.rng.Int64N(300*ms), func() {
+			if g.up && g.run == run {
+				w.notify(g, sq.FleetChanged{Kind: sq.FleetDelta, Servers: l})
+			}
+		})
+	}
+}
+
+// sorted is the ids of a map in order, so that what is done for each does not depend on the map.
+func sorted[V any](m map[sq.ID]V) []sq.ID {
+	ids := make([]sq.ID, 0, len(m))
+	for id := range m {
+		ids = append(ids, id)
+	}
+	slices.Sort(ids)
+	return ids
+}
