--- a/internal/scheduler/proxy/answer.go
+++ b/internal/scheduler/proxy/answer.go
@@ -46,7 +46,7 @@
 
 // failureStatus returns status and text for a request that got no answer from a worker. The outcome decides first: 503 promises that the
 // request has not run, so that only outcome.NotRun leads to it, also where the request ran out of time. Otherwise a worker may have run it,
-// and the client gets 504 where its time is over and 502 where the attempts are used up.
+// and the client gets 504 where the last error is a timeout, otherwise 502.
 func failureStatus(result *forward.Result) (status int, message string) {
 	switch {
 	case result.Outcome == outcome.NotRun:
--- a/internal/scheduler/proxy/doc.go
+++ b/internal/scheduler/proxy/doc.go
@@ -16,15 +16,18 @@
 //	                                                   were tried rejected the request or could not be reached, or
 //	                                                   its time ended before one took it
 //	503     batch jobs can't be kept yet               the placement of the shards is not known                      submitJob
-//	503     batch jobs can't be kept now               no owner was reached in time, no call may have taken effect   submitJob
+//	503     batch jobs can't be kept now               no replica of the shard was called, or each one answered      submitJob
+//	                                                   that the call had no effect
 //	503     batch jobs can't be read yet               the placement of the shards is not known                      handleJob
 //	503     the batch job can't be read now            no replica answered in time                                   readJob
 //	503     items can't be read yet                    the placement is not known, or the method is not GET          readItemBody
 //	503     the item can't be read now                 the owner did not answer in time                              readItemBody
 //	502     no worker has answered the request whole   a worker may have run the request, none answered              failureStatus
 //	502     the worker's answer broke off              the error answer to a stream's request was incomplete         forwardStream
-//	504     the time of the request is over            the deadline passed after a worker may have begun             failureStatus
-//	504     the batch job may have been taken          an owner was called, its answer was lost                      submitJob
+//	504     the time of the request is over            a worker may have run the request, and the deadline passed    failureStatus
+//	                                                   or the last attempt timed out
+//	504     the batch job may have been taken          a call brought no clear answer: a lost one, a refused         submitJob
+//	                                                   connection, or one that was cut off by the timeout
 //	504     the end of the batch job is not certain    the owner did not confirm the cancellation in time            cancelJob
 //	500     (an error)                                 a page of results could not be encoded                        writePage
 //	405     want GET or DELETE                         another method for a batch job                                 handleJob
@@ -36,7 +39,7 @@
 //	400     (an error)                                 the batch job is malformed                                    submitJob
 //	202     (empty)                                    the batch job is stored by a majority                         submitJob
 //
-// Every other status is a worker's: 500 too, where the request may not be sent to another worker. A worker's 503, 429 and 408 never reach the
+// Package outcome says which errors prove that a request has not run. Every other status is a worker's: 500 too, where the request may not be sent to another worker. A worker's 503, 429 and 408 never reach the
 // client, since they would promise that the request has not run: with Not-Executed they count as rejections, without it as failures (502).
 // Requests that are not HTTP are answered by the HTTP server before this package sees them.
 //
--- a/internal/scheduler/proxy/forward_test.go
+++ b/internal/scheduler/proxy/forward_test.go
@@ -71,6 +71,12 @@
 	table.PutWorker(&rpc.Instance{Id: "w", Service: "s", Address: workerAddress, Capacity: 4})
 	p := &Proxy{log: slog.New(slog.DiscardHandler), configured: make(chan struct{}), forwarder: &forward.Forwarder{Table: table, Pool: worker.NewPool(), Clock: clock}}
 	p.config.Store(configuration.NewTable(document))
+	return serveProxy(t, p)
+}
+
+// serveProxy starts the HTTP server of a proxy.
+func serveProxy(t *testing.T, p *Proxy) (address string) {
+	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- /dev/null
+++ b/internal/scheduler/proxy/jobs_test.go
@@ -0,0 +1,109 @@
+package proxy
+
+import (
+	"context"
+	"net/http/httptest"
+	"saffronquay/internal/scheduler/batchjobs"
+	"saffronquay/internal/scheduler/rpc"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/matryer/is"
+	"github.com/valyala/fasthttp"
+)
+
+// fakeOwner answers every call with the same outcome.
+type fakeOwner struct {
+	outcome rpc.Outcome
+	found   bool
+	absent  bool // its shard has no replicas, so that it is never called
+}
+
+func (o fakeOwner) Submit(context.Context, *rpc.SubmitRequest) (*rpc.SubmitResponse, error) {
+	return &rpc.SubmitResponse{Outcome: o.outcome}, nil
+}
+
+func (o fakeOwner) Read(context.Context, *rpc.ReadRequest) (*rpc.ReadResponse, error) {
+	return &rpc.ReadResponse{Outcome: o.outcome, Found: o.found, Total: 3}, nil
+}
+
+func (o fakeOwner) Body(context.Context, *rpc.BodyRequest) (*rpc.BodyResponse, error) {
+	return &rpc.BodyResponse{Outcome: o.outcome, Found: o.found, Body: []byte("body")}, nil
+}
+
+func (o fakeOwner) End(context.Context, *rpc.EndRequest) (*rpc.EndResponse, error) {
+	return &rpc.EndResponse{Outcome: o.outcome, Found: o.found}, nil
+}
+
+func (o fakeOwner) Work(context.Context, *rpc.WorkRequest) (*rpc.WorkResponse, error) {
+	return &rpc.WorkResponse{Outcome: o.outcome}, nil
+}
+
+// serveJobs starts a proxy whose batch jobs all belong to one owner.
+func serveJobs(t *testing.T, owner fakeOwner) (address string) {
+	t.Helper()
+	server := httptest.NewServer(rpc.NewLedgerServer(owner))
+	t.Cleanup(server.Close)
+	p := newStatusProxy(t)
+	placement := &rpc.Placement{Group: batchjobs.ShardName(0)}
+	if !owner.absent {
+		placement.Replicas = []*rpc.Replica{{Address: strings.TrimPrefix(server.URL, "http://")}}
+	}
+	p.jobOwners.UpdatePlacement(placement)
+	return serveProxy(t, p)
+}
+
+// A call that has no effect, or whose effect is not known, leads to the status that the package's documentation lists. Rejections promise that
+// nothing was stored, so that only a submission without effect and reads get one.
+func TestStatusByOutcomeOfTheOwner(t *testing.T) {
+	const (
+		job        = "/api/lots/j"
+		item       = "/api/items/j?id=i"
+		submission = `{"requests":[{"id":"a","path":"/x"}]}`
+	)
+	done, missing := fakeOwner{outcome: rpc.Outcome_DONE, found: true}, fakeOwner{outcome: rpc.Outcome_DONE}
+	unavailable, unknown := fakeOwner{outcome: rpc.Outcome_UNAVAILABLE}, fakeOwner{outcome: rpc.Outcome_OUTCOME_UNKNOWN}
+	absent := fakeOwner{absent: true}
+	for _, test := range []struct {
+		name   string
+		owner  fakeOwner
+		method string
+		path   string
+		body   string
+		status int
+		text   string
+	}{
+		{"submitted", done, "POST", "/x", submission, 202, ""},
+		{"not submitted", absent, "POST", "/x", submission, 503, "batch jobs can't be kept now"},
+		{"perhaps submitted", unknown, "POST", "/x", submission, 504, "the batch job may have been taken"},
+		{"read", done, "GET", job, "", 200, `{"total":3`},
+		{"read of no job", missing, "GET", job, "", 404, "no such batch job"},
+		{"not read", unavailable, "GET", job, "", 503, "the batch job can't be read now"},
+		{"read without a clear answer", unknown, "GET", job, "", 503, "the batch job can't be read now"},
+		{"cancelled", done, "DELETE", job, "", 200, ""},
+		{"cancellation of no job", missing, "DELETE", job, "", 404, "no such batch job"},
+		{"not cancelled", unavailable, "DELETE", job, "", 504, "the end of the batch job is not certain"},
+		{"perhaps cancelled", unknown, "DELETE", job, "", 504, "the end of the batch job is not certain"},
+		{"item", done, "GET", item, "", 200, "body"},
+		{"no item", missing, "GET", item, "", 404, "no such item"},
+		{"item not read", unavailable, "GET", item, "", 503, "the item can't be read now"},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			t.Parallel() // the failures take seconds
+			is := is.New(t)
+			var request fasthttp.Request
+			var response fasthttp.Response
+			request.Header.SetMethod(test.method)
+			request.SetRequestURI("http://" + serveJobs(t, test.owner) + test.path)
+			request.UseHostHeader = true
+			request.Header.SetHost("deployment")
+			request.Header.Set("Request-Id", "r")
+			request.SetBodyString(test.body)
+			is.NoErr(fasthttp.DoTimeout(&request, &response, 20*time.Second))
+			is.Equal(response.StatusCode(), test.status)
+			is.True(strings.HasPrefix(string(response.Body()), test.text))
+			is.Equal(len(response.Header.Peek("Retry-After")) > 0, test.status == 503)
+		})
+	}
+}
