--- a/cmd/saffronquay/cli_policy.go
+++ b/cmd/saffronquay/cli_policy.go
@@ -338,7 +338,7 @@
 	var partial *wire.Answer // not in force in all regions, as it was told last,
 	var since time.Time      // and first
 	for i := 0; time.Since(began) < p.wait; time.Sleep(50 * time.Millisecond) {
-		answer, err := peering.AskPolicy(voters[i%len(voters)], x, c.timeout)
+		answer, err := peering.CallPolicyNode(voters[i%len(voters)], x, c.timeout)
 		if err != nil {
 			last = err
 			sent = true // it may have come in
--- a/cmd/saffronquay/cli_try_team.go
+++ b/cmd/saffronquay/cli_try_team.go
@@ -81,7 +81,7 @@
 			say("policy: %v", err)
 			return
 		}
-		a, err := peering.AskPolicy(at, x, time.Second)
+		a, err := peering.CallPolicyNode(at, x, time.Second)
 		switch {
 		case err != nil || a.End == 3:
 			i++
--- a/internal/broker/server/gatherer.go
+++ b/internal/broker/server/gatherer.go
@@ -36,20 +36,20 @@
 	door      *transport.Door    // nil: off
 	duty      *adminapi.Duty
 	figures   *adminapi.Figures
-	view      atomic.Pointer[members]         // the same as fleetView, for operators' calls
-	policy    atomic.Pointer[peering.Policy]  // the part in agreeing on the policy; nil: there is none
-	parts     *parts                          // of the budgets; nil: they are divided evenly
-	number    atomic.Uint64                   // of the policy in force here
-	inForce   atomic.Pointer[config.Operator] // the file, with the policy in force
-	installs  chan install                    // policies to be put in force
-	beside    *transport.Beside               // nil: no socket is passed, so nobody replaces this process or is replaced by it
-	met       chan []handover.State           // what other processes of this gatherer told
-	waits     bool                            // it could not take part in VRRP's election
-	others    int                             // descriptors that they hold
-	fleetView *members                        // nil: no view of a fleet
-	late      chan *members                   // a view whose address was still held by the process that this one replaces
-	served    chan error                      // the listener's end
-	turn      chan struct{}                   // the duty has changed
+	view      atomic.Pointer[members]            // the same as fleetView, for operators' calls
+	policy    atomic.Pointer[peering.PolicyNode] // the part in agreeing on the policy; nil: there is none
+	parts     *parts                             // of the budgets; nil: they are divided evenly
+	number    atomic.Uint64                      // of the policy in force here
+	inForce   atomic.Pointer[config.Operator]    // the file, with the policy in force
+	installs  chan install                       // policies to be put in force
+	beside    *transport.Beside                  // nil: no socket is passed, so nobody replaces this process or is replaced by it
+	met       chan []handover.State              // what other processes of this gatherer told
+	waits     bool                               // it could not take part in VRRP's election
+	others    int                                // descriptors that they hold
+	fleetView *members                           // nil: no view of a fleet
+	late      chan *members                      // a view whose address was still held by the process that this one replaces
+	served    chan error                         // the listener's end
+	turn      chan struct{}                      // the duty has changed
 
 	clients, operators string        // where they call
 	hup                chan struct{} // the file is to be read again
@@ -337,7 +337,7 @@
 	engine *transport.Engine
 	// members is the view of the fleet; nil before it is opened, or where there is none.
 	members func() *members
-	policy  func() *peering.Policy // nil where there is none
+	policy  func() *peering.PolicyNode // nil where there is none
 }
 
 // Contracts appends how each team stands, a line each; nil where there are no contracts.
--- a/internal/broker/server/parts.go
+++ b/internal/broker/server/parts.go
@@ -191,7 +191,7 @@
 	slots, ppm := uint64(op.Contracts.Gatherers), p.ppm
 	go func() {
 		d := division{slots: slots, ppm: ppm}
-		d.named, d.others, d.ok = policy.Divide(p.demands(g.engine.Accounts(1<<20), slots), partsEarly)
+		d.named, d.others, d.ok = policy.UpdateDemand(p.demands(g.engine.Accounts(1<<20), slots), partsEarly)
 		p.told <- d
 	}()
 }
--- a/internal/broker/server/policy.go
+++ b/internal/broker/server/policy.go
@@ -91,7 +91,7 @@
 		g.engine.Contracts(g.shares())
 	}
 	seed(nil, &cfg.Node)
-	p, err := peering.OpenPolicy(cfg, g.clock.Now, h, g.logger)
+	p, err := peering.OpenPolicyNode(cfg, g.clock.Now, h, g.logger)
 	if err != nil {
 		return err
 	}
@@ -228,8 +228,8 @@
 		if m.State == swim.Dead || m.State == swim.Left {
 			absent[m.Name] = true
 		} else if !m.Self {
-			p.Moved(m.Name, m.Facts.Agrees)
+			p.UpdateAddress(m.Name, m.Facts.Agrees)
 		}
 	}
-	p.Absent(absent)
+	p.SetAbsent(absent)
 }
--- a/internal/broker/server/standing.go
+++ b/internal/broker/server/standing.go
@@ -15,7 +15,7 @@
 	}
 	yes := map[bool]int64{true: 1}
 	got := make(chan adminapi.RolloutFigures, 1)
-	if p.Status(func(n *rollout.Node, now int64) {
+	if p.Inspect(func(n *rollout.Node, now int64) {
 		v, _, _ := n.Admit(now)
 		f := adminapi.RolloutFigures{Number: int64(n.Number()), Admits: yes[v == rollout.Let], Holding: yes[n.Holding()], LeaseMs: max(0, n.Lease()-now) / 1000, Leads: yes[n.Leads()]}
 		if r, are := n.Region(now); are {
@@ -36,7 +36,7 @@
 		return nil
 	}
 	got := make(chan []byte, 1)
-	err := p.Status(func(n *rollout.Node, now int64) {
+	err := p.Inspect(func(n *rollout.Node, now int64) {
 		var dst []byte
 		v, number, _ := n.Admit(now)
 		ready, refused, reason := n.Verdicts()
@@ -127,7 +127,7 @@
 		return nil
 	}
 	got := make(chan []byte, 1)
-	if p.Status(func(n *rollout.Node, _ int64) {
+	if p.Inspect(func(n *rollout.Node, _ int64) {
 		text, doc := []byte{}, n.Current()
 		if previous {
 			if doc = n.Previous(); n.GlobalVotes() {
--- a/internal/cluster/peering/links_test.go
+++ b/internal/cluster/peering/links_test.go
@@ -26,7 +26,7 @@
 func (idleHost) Slots() uint64                { return 1 }
 
 // roster opens one part on a roster of so many, of whom the first three vote and the last is this one, and runs it.
-func roster(t *testing.T, members int, idle time.Duration, edit func([]rollout.Member)) *Policy {
+func roster(t *testing.T, members int, idle time.Duration, edit func([]rollout.Member)) *PolicyNode {
 	t.Helper()
 	cfg := PolicyConfig{Listen: netip.MustParseAddrPort("127.0.0.1:0"), Seed: 1, Memory: rollout.Memory{Identity: 1}, Node: rollout.Config{Name: fmt.Sprintf("g%04d", members-1)}}
 	for i := range members {
@@ -35,11 +35,11 @@
 	if edit != nil {
 		edit(cfg.Node.Members)
 	}
-	p, err := OpenPolicy(cfg, transport.NewClock().Now, idleHost{}, slog.New(slog.DiscardHandler))
+	p, err := OpenPolicyNode(cfg, transport.NewClock().Now, idleHost{}, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
-	p.idle = idle
+	p.idleTimeout = idle
 	go p.Run()
 	t.Cleanup(p.Stop)
 	return p
@@ -59,9 +59,9 @@
 func TestFollowerHasLinksToVotersOnly(t *testing.T) {
 	before := runtime.NumGoroutine()
 	p := roster(t, 600, time.Hour, nil)
-	until(t, "asked", func() bool { return p.links.Load() > 0 })
-	until(t, "known", func() bool { return len(*p.others.Load()) == 599 })
-	if links, more := p.links.Load(), runtime.NumGoroutine()-before; links > 3 || more > 20 {
+	until(t, "asked", func() bool { return p.openLinks.Load() > 0 })
+	until(t, "known", func() bool { return len(*p.peers.Load()) == 599 })
+	if links, more := p.openLinks.Load(), runtime.NumGoroutine()-before; links > 3 || more > 20 {
 		t.Errorf("%d links and %d goroutines more on a roster of 600", links, more)
 	}
 }
@@ -75,29 +75,29 @@
 		}
 	})
 	for range 2 {
-		sent := p.counts.Read().Sent
-		until(t, "said something", func() bool { return p.counts.Read().Sent > sent })
-		until(t, "let its link go", func() bool { return p.links.Load() == 0 })
+		sent := p.traffic.Read().Sent
+		until(t, "said something", func() bool { return p.traffic.Read().Sent > sent })
+		until(t, "let its link go", func() bool { return p.openLinks.Load() == 0 })
 	}
 }
 
 // What is sent to one whose link is being let go is not lost: either the link goes on, or a new one sends it.
 func TestMessageAtTheEndOfALink(t *testing.T) {
-	p := &Policy{idle: time.Hour, done: make(chan struct{}), now: transport.NewClock().Now}
-	o := &other{gone: make(chan struct{})}
+	p := &PolicyNode{idleTimeout: time.Hour, done: make(chan struct{}), now: transport.NewClock().Now}
+	o := &peer{removed: make(chan struct{})}
 	at := netip.MustParseAddrPort("127.0.0.1:1")
-	o.at.Store(&at)
+	o.address.Store(&at)
 	o.queue = make(chan *wire.Message, 1)
 	o.queue <- &wire.Message{}
-	if p.rest(o) || o.queue == nil {
+	if p.closeIfIdle(o) || o.queue == nil {
 		t.Error("a link was let go with a message in its queue")
 	}
 	<-o.queue
-	if !p.rest(o) || o.queue != nil {
+	if !p.closeIfIdle(o) || o.queue != nil {
 		t.Error("an empty link was not let go")
 	}
-	p.post(o, &wire.Message{})
-	if p.links.Load() != 1 {
+	p.enqueue(o, &wire.Message{})
+	if p.openLinks.Load() != 1 {
 		t.Error("no new link began")
 	}
 	close(p.done)
@@ -124,12 +124,12 @@
 	for i := range members {
 		cfg.Node.Members = append(cfg.Node.Members, rollout.Member{Name: fmt.Sprintf("g%04d", i), Address: "127.0.0.1:1", Voter: i < 3})
 	}
-	p, err := OpenPolicy(cfg, transport.NewClock().Now, idleHost{}, slog.New(slog.DiscardHandler))
+	p, err := OpenPolicyNode(cfg, transport.NewClock().Now, idleHost{}, slog.New(slog.DiscardHandler))
 	if err != nil {
 		b.Fatal(err)
 	}
 	go p.Run()
-	for len(*p.others.Load()) < members-1 {
+	for len(*p.peers.Load()) < members-1 {
 		time.Sleep(time.Millisecond) // between two looks
 	}
 	runtime.GC()
--- a/internal/cluster/peering/policy_test.go
+++ b/internal/cluster/peering/policy_test.go
@@ -138,7 +138,7 @@
 			return &wire.Answer{}
 		case <-time.After(20 * time.Millisecond): // between two asks
 		}
-		a, err := peering.AskPolicy(g.PolicyAt(i%voters), x, time.Second)
+		a, err := peering.CallPolicyNode(g.PolicyAt(i%voters), x, time.Second)
 		if err == nil && (a.End == 1 || a.End == 2) {
 			return a
 		}
@@ -242,7 +242,7 @@
 			g.Until("a change after the faults", func() (string, bool) { return fmt.Sprint(told.Load(), " before ", before), told.Load() > before })
 			close(calm)
 			wg.Wait()
-			number := admit(t, g)
+			admit(t, g) // a version is in force everywhere
 			close(over)
 			all := wait()
 			n, first := soak.Mixed(all)
@@ -255,7 +255,8 @@
 			if got := linearizable(writes, all); got != porcupine.Ok {
 				t.Errorf("the register of versions is not linearizable: %s", got)
 			}
-			if number = admit(t, g); n > 0 || number < acked.Load() || let < 100 || told.Load() == 0 {
+			number := admit(t, g)
+			if n > 0 || number < acked.Load() || let < 100 || told.Load() == 0 {
 				t.Errorf("mixed %d (%s); version %d is in force, and %d was told; %d queries let in, %d changes", n, first, number, acked.Load(), let, told.Load())
 			}
 			t.Logf("seed %d: faults=%d queries=%d let_in=%d in_force=%d refused=%d mixed=%d version=%d", seed, len(s), len(all), let, told.Load(), refused.Load(), n, number)
--- a/internal/cluster/peering/price_test.go
+++ b/internal/cluster/peering/price_test.go
@@ -32,7 +32,7 @@
 		began := time.Now()
 		for a := (&wire.Answer{}); a.End == 0; {
 			var err error
-			if a, err = peering.AskPolicy(leader, x, time.Second); err != nil || a.End == 2 || time.Since(began) > time.Minute {
+			if a, err = peering.CallPolicyNode(leader, x, time.Second); err != nil || a.End == 2 || time.Since(began) > time.Minute {
 				t.Fatalf("%v %v", a, err)
 			}
 			if a.End == 3 {
--- a/internal/cluster/peering/regions_cases_test.go
+++ b/internal/cluster/peering/regions_cases_test.go
@@ -24,7 +24,7 @@
 
 // Budgets where regions are cut: each goes on with its part, which follows the traffic within it; a contract that is halved on one side holds there,
 // and what all may have out together is within the contract throughout.
-func TestSharesInRegions(t *testing.T) {
+func TestQuotasInRegions(t *testing.T) {
 	g := regional(t, 52)
 	for _, m := range g.Members {
 		m.Edit(func(file map[string]any) {
--- a/internal/cluster/peering/shares_test.go
+++ b/internal/cluster/peering/shares_test.go
@@ -40,7 +40,7 @@
 
 // A team's traffic is all at one gatherer, then at another, which is killed: the parts follow, and what all may have out together never
 // passes the contract. A contract that is halved holds at once.
-func TestSharesFollowTheTraffic(t *testing.T) {
+func TestQuotasFollowTheTraffic(t *testing.T) {
 	g := served(t, 41, 3, 3, 100*time.Millisecond)
 	for _, m := range g.Members {
 		m.Edit(func(file map[string]any) {
--- a/internal/cluster/peering/traffic.go
+++ b/internal/cluster/peering/traffic.go
@@ -6,30 +6,33 @@
 	"sync/atomic"
 )
 
-// Traffic is what a part has sent and taken in.
+// Traffic is what a node has sent and received.
 type Traffic = gossip.Traffic
 
-// counter counts the traffic of messages on the policy; any goroutine may.
-type counter struct {
+// trafficCounter counts messages of the agreement. It is safe for concurrent use; bytes are counted by the connections.
+type trafficCounter struct {
 	gossip.Counter
-	shareBytes atomic.Int64
+	quotaBytes atomic.Int64 // of the division of budgets
 }
 
-// said and heard count a message on the policy; its bytes are counted by the connection.
-func (c *counter) said(m *wire.Message) {
+func (c *trafficCounter) countSent(m *wire.Message) {
 	c.Words(1, 0)
-	c.shareBytes.Add(int64(len(m.Ask.GetShare()) + len(m.Word.GetShare())))
+	c.countQuotaBytes(m)
 }
 
-func (c *counter) heard(m *wire.Message) {
+func (c *trafficCounter) countReceived(m *wire.Message) {
 	c.Words(0, 1)
-	c.shareBytes.Add(int64(len(m.Ask.GetShare()) + len(m.Word.GetShare())))
+	c.countQuotaBytes(m)
 }
 
-// Traffic is what was sent and taken in for agreeing on the policy, and for dividing budgets.
-func (p *Policy) Traffic() Traffic {
-	t := p.counts.Read()
-	t.ShareBytes = p.counts.shareBytes.Load()
-	t.Links = p.links.Load()
+func (c *trafficCounter) countQuotaBytes(m *wire.Message) {
+	c.quotaBytes.Add(int64(len(m.Ask.GetShare()) + len(m.Word.GetShare())))
+}
+
+// Traffic returns what was sent and received for the agreement on the policy, and for dividing budgets.
+func (p *PolicyNode) Traffic() Traffic {
+	t := p.traffic.Read()
+	t.ShareBytes = p.traffic.quotaBytes.Load()
+	t.Links = p.openLinks.Load()
 	return t
 }
--- a/internal/cluster/peering/view.go
+++ b/internal/cluster/peering/view.go
@@ -1,26 +1,18 @@
 package peering
 
-import (
-	"saffronquay/internal/cluster/swim/gossip"
-	"time"
-)
-
-const (
-	inbox   = 1024            // messages that wait for the core of the policy
-	askedIn = 1 * time.Second // that the core's owner may take to answer a call
-)
+import "saffronquay/internal/cluster/swim/gossip"
 
-// The driver of the view of the fleet.
+// The driver of the view of the fleet, for callers that use both drivers.
 type (
-	// Config is what a gatherer's part in a fleet is made of.
+	// Config configures a gatherer's part in the view.
 	Config = gossip.Config
-	// Peers is a running part in a fleet.
+	// Peers is a running part in the view.
 	Peers = gossip.Peers
-	// Counts are what core and driver of the view count.
+	// Counts are the counters of the view's core and driver.
 	Counts = gossip.Counts
 )
 
-// ErrClosed says that a driver has ended, or is too late to answer.
+// ErrClosed is returned when a driver has ended, or did not answer in time.
 var ErrClosed = gossip.ErrClosed
 
 // Open opens the sockets of a view.
--- a/internal/scale/change.go
+++ b/internal/scale/change.go
@@ -124,7 +124,7 @@
 			i++
 			continue
 		}
-		a, err := peering.AskPolicy(at, x, time.Second)
+		a, err := peering.CallPolicyNode(at, x, time.Second)
 		switch {
 		case err != nil || a.End == 3:
 			i++
--- a/internal/scale/hollow.go
+++ b/internal/scale/hollow.go
@@ -46,7 +46,7 @@
 	disk    disk
 
 	view   *peering.Peers // nil: it does not run
-	policy *peering.Policy
+	policy *peering.PolicyNode
 	over   chan struct{}
 	wg     sync.WaitGroup
 
@@ -113,7 +113,7 @@
 	memory := h.disk.memory()
 	h.number.Store(memory.Current.GetNumber())
 	var err error
-	if h.policy, err = peering.OpenPolicy(peering.PolicyConfig{Listen: r.Listen, Seed: h.Seed, Memory: memory, Node: node}, h.clock.Now, h, h.log); err != nil {
+	if h.policy, err = peering.OpenPolicyNode(peering.PolicyConfig{Listen: r.Listen, Seed: h.Seed, Memory: memory, Node: node}, h.clock.Now, h, h.log); err != nil {
 		return err
 	}
 	core := swim.Config{
@@ -151,7 +151,7 @@
 }
 
 // divide asks what may be used of budgets, as often as a gatherer does.
-func (h *hollow) divide(policy *peering.Policy, over <-chan struct{}) {
+func (h *hollow) divide(policy *peering.PolicyNode, over <-chan struct{}) {
 	defer h.wg.Done()
 	tick := time.NewTicker(partsEvery)
 	defer tick.Stop()
@@ -160,7 +160,7 @@
 		case <-over:
 			return
 		case <-tick.C:
-			policy.Divide(h.demands(), partsEarly)
+			policy.UpdateDemand(h.demands(), partsEarly)
 		}
 	}
 }
@@ -194,10 +194,10 @@
 		if m.State == swim.Dead || m.State == swim.Left {
 			absent[m.Name] = true
 		} else if !m.Self {
-			h.policy.Moved(m.Name, m.Facts.Agrees)
+			h.policy.UpdateAddress(m.Name, m.Facts.Agrees)
 		}
 	}
-	h.policy.Absent(absent)
+	h.policy.SetAbsent(absent)
 	h.digest.Store(v.Digest)
 	x := h.expect.Load()
 	if x == nil || x.at.Load() > 0 {
--- a/internal/testing/soak/campaign.go
+++ b/internal/testing/soak/campaign.go
@@ -288,7 +288,7 @@
 			i++
 			continue
 		}
-		a, err := peering.AskPolicy(at, x, time.Second)
+		a, err := peering.CallPolicyNode(at, x, time.Second)
 		switch {
 		case err != nil || a.End == 3:
 			i++
