--- a/internal/scheduler/transport/transport_test.go
+++ b/internal/scheduler/transport/transport_test.go
@@ -16,6 +16,7 @@
 	"github.com/matryer/is"
 )
 
+// post makes a call with a body and returns the body of its response.
 func post(t *testing.T, c *Client, address, body string, timeout time.Duration) (string, error) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
@@ -32,7 +33,7 @@
 	return string(text), err
 }
 
-// echo is a server that answers each call with its body.
+// echo starts a server that answers each call with its body, and returns its address.
 func echo(t *testing.T) string {
 	t.Helper()
 	server, err := Listen("127.0.0.1:0", map[string]http.Handler{"/echo": http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -47,7 +48,7 @@
 	return server.listener.Addr().String()
 }
 
-// Buffers are used again for other calls. What a call was answered stays as it was, however many calls follow, also at the same time.
+// Buffers are used again for other calls. A response keeps its body, however many calls follow, also concurrent ones.
 func TestAnswersOutliveTheBuffers(t *testing.T) {
 	is := is.New(t)
 	address, client := echo(t), NewClient()
@@ -71,7 +72,7 @@
 			}
 			for body, response := range kept {
 				if text, _ := io.ReadAll(response.Body); !bytes.Equal(text, []byte(body)) {
-					t.Errorf("a call was answered %q, and kept %q", body, text)
+					t.Errorf("a call was answered %q, but its body became %q", body, text)
 				}
 			}
 		}()
@@ -80,47 +81,17 @@
 	is.True(!t.Failed())
 }
 
-// A call is sent once, whatever becomes of it: also over a kept connection that the server closes, and after silence.
+// A call is sent once, whatever its outcome: also over a kept connection that the server resets or closes, and if no answer comes.
 func TestCallsAreSentOnce(t *testing.T) {
 	is := is.New(t)
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	is.NoErr(err)
 	defer listener.Close()
 	received := make(chan string, 64)
-	go func() {
-		for {
-			conn, err := listener.Accept()
-			if err != nil {
-				return
-			}
-			go func() {
-				defer conn.Close()
-				reader := bufio.NewReader(conn)
-				for {
-					request, err := http.ReadRequest(reader)
-					if err != nil {
-						return
-					}
-					body, _ := io.ReadAll(request.Body)
-					received <- string(body)
-					switch {
-					case strings.HasPrefix(string(body), "reset"):
-						conn.(*net.TCPConn).SetLinger(0)
-						return
-					case strings.HasPrefix(string(body), "close"):
-						return
-					case strings.HasPrefix(string(body), "silence"):
-						io.Copy(io.Discard, conn)
-						return
-					}
-					io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
-				}
-			}()
-		}
-	}()
+	go serveScript(listener, received)
 	client, address := NewClient(), listener.Addr().String()
 	sent := 0
-	for _, how := range []string{"reset", "close", "silence"} {
+	for _, how := range []string{"reset", "close", "no answer"} {
 		_, err := post(t, client, address, "good before "+how, 20*time.Second) // so that a connection is kept
 		is.NoErr(err)
 		_, err = post(t, client, address, how, 100*time.Millisecond)
@@ -132,3 +103,40 @@
 	sent++
 	is.Equal(len(received), sent)
 }
+
+// serveScript accepts connections until the listener is closed, and answers the requests on each.
+func serveScript(listener net.Listener, received chan<- string) {
+	for {
+		conn, err := listener.Accept()
+		if err != nil {
+			return
+		}
+		go followScript(conn, received)
+	}
+}
+
+// followScript reports the bodies of the requests on a connection. A body says what happens to its request: the connection is reset or closed,
+// or there is no answer; any other request is answered.
+func followScript(conn net.Conn, received chan<- string) {
+	defer conn.Close()
+	reader := bufio.NewReader(conn)
+	for {
+		request, err := http.ReadRequest(reader)
+		if err != nil {
+			return
+		}
+		body, _ := io.ReadAll(request.Body)
+		received <- string(body)
+		switch {
+		case strings.HasPrefix(string(body), "reset"):
+			conn.(*net.TCPConn).SetLinger(0)
+			return
+		case strings.HasPrefix(string(body), "close"):
+			return
+		case strings.HasPrefix(string(body), "no answer"):
+			io.Copy(io.Discard, conn)
+			return
+		}
+		io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
+	}
+}
