--- a/internal/scheduler/forward/answer.go
+++ b/internal/scheduler/forward/answer.go
@@ -17,7 +17,7 @@
 // rejectionError says that a worker did not run a request and never will.
 type rejectionError struct{ cause routing.RejectionCause }
 
-func (e *rejectionError) Error() string { return "declined: " + string(e.cause) }
+func (e *rejectionError) Error() string { return "rejected: " + string(e.cause) }
 
 func isRejection(err error) bool {
 	var rejection *rejectionError
--- a/internal/scheduler/forward/forward_test.go
+++ b/internal/scheduler/forward/forward_test.go
@@ -54,6 +54,22 @@
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nRequest-Id: %s\r\nResponse-Stamp: stamp-%s\r\nContent-Length: %d\r\n\r\n%s", id, id, len(body), body)
 }
 
+func rejection(id string) string {
+	return "HTTP/1.1 503 Full\r\nRequest-Id: " + id + "\r\nNot-Executed: 1\r\nContent-Length: 0\r\n\r\n"
+}
+
+// readRequest reads a request without a body and returns its id.
+func readRequest(reader *textproto.Reader) (id string, err error) {
+	if _, err := reader.ReadLine(); err != nil {
+		return "", err
+	}
+	head, err := reader.ReadMIMEHeader()
+	if err != nil {
+		return "", err
+	}
+	return head.Get("Request-Id"), nil
+}
+
 // startFaultyWorker starts a worker that draws its behaviour for each request, and returns its address.
 func startFaultyWorker(t *testing.T, name string, seed uint64, l *runLog) string {
 	t.Helper()
@@ -74,19 +90,16 @@
 	return listener.Addr().String()
 }
 
+// serveFaultily serves the requests of one connection.
 func serveFaultily(conn *net.TCPConn, name string, random *rand.Rand, l *runLog) {
 	defer conn.Close()
 	reader := textproto.NewReader(bufio.NewReader(conn))
 	previous := "none"
 	for {
-		if _, err := reader.ReadLine(); err != nil {
-			return
-		}
-		head, err := reader.ReadMIMEHeader()
+		id, err := readRequest(reader)
 		if err != nil {
 			return
 		}
-		id := head.Get("Request-Id")
 		send := func(text string) { io.WriteString(conn, text) }
 		behaviour := workerBehaviours[random.IntN(len(workerBehaviours))]
 		if behaviour != "reject" && behaviour != "reset unread" {
@@ -96,7 +109,7 @@
 		case "serve":
 			send(completeAnswer(id))
 		case "reject":
-			send("HTTP/1.1 503 Full\r\nRequest-Id: " + id + "\r\nNot-Executed: 1\r\nContent-Length: 0\r\n\r\n")
+			send(rejection(id))
 		case "reset unread", "run and reset":
 			conn.SetLinger(0)
 			return
@@ -189,19 +202,16 @@
 	is.NoErr(err)
 	t.Cleanup(func() { listener.Close() })
 	var connections, requests atomic.Int64
-	decline := func(conn net.Conn) {
+	reject := func(conn net.Conn) {
 		defer conn.Close()
 		reader := textproto.NewReader(bufio.NewReader(conn))
 		for {
-			if _, err := reader.ReadLine(); err != nil {
-				return
-			}
-			head, err := reader.ReadMIMEHeader()
+			id, err := readRequest(reader)
 			if err != nil {
 				return
 			}
 			requests.Add(1)
-			io.WriteString(conn, "HTTP/1.1 503 Full\r\nRequest-Id: "+head.Get("Request-Id")+"\r\nNot-Executed: 1\r\nContent-Length: 0\r\n\r\n")
+			io.WriteString(conn, rejection(id))
 		}
 	}
 	go func() {
@@ -211,7 +221,7 @@
 				return
 			}
 			connections.Add(1)
-			go decline(conn)
+			go reject(conn)
 		}
 	}()
 	table := routing.NewTable(routing.Gatherer{Name: "g"}, featuregate.All(), rand.New(rand.NewPCG(1, 1)))
--- a/internal/scheduler/routing/avoidance_test.go
+++ b/internal/scheduler/routing/avoidance_test.go
@@ -11,14 +11,14 @@
 // don't count, nor does one that comes much later; requests for another model go to the worker.
 func TestRejectionsInARow(t *testing.T) {
 	is := is.New(t)
-	x := newFleet(featuregate.All(), 1, 1, 1, 6)[0]
-	w := x.byID["w00"]
+	table := newFleet(featuregate.All(), 1, 1, 1, 6)[0]
+	w := table.byID["w00"]
 	reject := func(now int64) int64 {
-		x.RecordRejection(now, w, "m", RejectedNotExecuted)
+		table.RecordRejection(now, w, "m", RejectedNotExecuted)
 		return w.rejections["m"].until - now
 	}
 	is.Equal(reject(1000), int64(minRejectionBackoffMS))
-	x.RecordRejection(1050, w, "m", RejectedNotExecuted)
+	table.RecordRejection(1050, w, "m", RejectedNotExecuted)
 	is.Equal(w.rejections["m"].until, int64(1100))
 	is.Equal(reject(1110), int64(2*minRejectionBackoffMS))
 	is.Equal(reject(1320), int64(4*minRejectionBackoffMS))
@@ -32,10 +32,10 @@
 	is := is.New(t)
 	gates := featuregate.All()
 	gates.RejectionBackoff = false
-	x := newFleet(gates, 1, 1, 1, 6)[0]
-	w := x.byID["w00"]
+	table := newFleet(gates, 1, 1, 1, 6)[0]
+	w := table.byID["w00"]
 	for _, now := range []int64{1000, 1110, 1220} {
-		x.RecordRejection(now, w, "m", RejectedNotExecuted)
+		table.RecordRejection(now, w, "m", RejectedNotExecuted)
 		is.Equal(w.rejections["m"].until, now+minRejectionBackoffMS)
 	}
 }
--- a/internal/scheduler/routing/metrics_test.go
+++ b/internal/scheduler/routing/metrics_test.go
@@ -14,16 +14,16 @@
 // A worker's rejections are exported until the worker is removed.
 func TestRejectionsAreCountedByWorker(t *testing.T) {
 	is := is.New(t)
-	x := NewTable(Gatherer{Name: "g"}, featuregate.All(), rand.New(rand.NewPCG(1, 1)))
-	x.PutWorker(&rpc.Instance{Id: "counted", Service: "s", Capacity: 1})
-	w := x.byID["counted"]
+	table := NewTable(Gatherer{Name: "g"}, featuregate.All(), rand.New(rand.NewPCG(1, 1)))
+	table.PutWorker(&rpc.Instance{Id: "counted", Service: "s", Capacity: 1})
+	w := table.byID["counted"]
 	counted := func() bool {
 		return strings.Contains(metrics.Text(), `saffronquay_refusals_total{service="s",worker="counted",model="m",cause="misdirected"} 1`)
 	}
-	x.RecordRejection(1000, w, "m", RejectedMisdirected)
+	table.RecordRejection(1000, w, "m", RejectedMisdirected)
 	is.True(counted())
-	x.RemoveWorker("counted")
+	table.RemoveWorker("counted")
 	is.True(!counted())
-	x.RecordRejection(2000, w, "m", RejectedMisdirected) // of a request that was in flight
+	table.RecordRejection(2000, w, "m", RejectedMisdirected) // of a request that was in flight
 	is.True(!counted())
 }
--- a/internal/scheduler/routing/pick.go
+++ b/internal/scheduler/routing/pick.go
@@ -32,12 +32,12 @@
 // Pick reserves the best worker that the query allows at the time now, and returns nil where there is none. With the policy Predicted that is the
 // one with the least predicted backlog; equal ones are drawn at random. An avoided worker is taken only where no other is left, and never for an item.
 // costMS, from EstimateCost, is added to the worker's backlog until the reservation is released, which the caller must do.
-func (t *Table) Pick(now int64, q *Query, costMS float64) *Reservation {
+func (t *Table) Pick(now int64, query *Query, costMS float64) *Reservation {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var best candidate
 	ties := 0
-	for _, c := range t.candidates(now, q, costMS) {
+	for _, c := range t.candidates(now, query, costMS) {
 		switch order := c.compare(best); {
 		case best.worker == nil || order < 0:
 			best, ties = c, 1
@@ -51,24 +51,24 @@
 	if best.worker == nil {
 		return nil
 	}
-	countPick(q.Item, best.avoided, ties)
-	if q.SharedPrompt != "" {
-		countSharedPrompt(best.worker.recentPrompts.add(q.SharedPrompt))
+	countPick(query.Item, best.avoided, ties)
+	if query.SharedPrompt != "" {
+		countSharedPrompt(best.worker.recentPrompts.add(query.SharedPrompt))
 	}
-	return t.reserve(best.worker, costMS, q.Item)
+	return t.reserve(best.worker, costMS, query.Item)
 }
 
 // candidates returns the workers that a request may go to with their scores, narrowed down as the policies TwoChoices and RoundRobin want it.
-func (t *Table) candidates(now int64, q *Query, costMS float64) []candidate {
+func (t *Table) candidates(now int64, query *Query, costMS float64) []candidate {
 	var allowed []candidate
-	for _, service := range q.Services {
+	for _, service := range query.Services {
 		subset := t.subset(service)
 		for _, w := range t.byService[service] {
-			if !q.allows(w) {
+			if !query.allows(w) {
 				continue
 			}
-			avoided := w.avoided(now, q.Model)
-			if q.Item && (avoided || w.itemsInFlight >= subset.slots[w.ID]) {
+			avoided := w.avoided(now, query.Model)
+			if query.Item && (avoided || w.itemsInFlight >= subset.slots[w.ID]) {
 				continue
 			}
 			allowed = append(allowed, candidate{w, avoided, t.score(w, subset, costMS)})
--- a/internal/scheduler/routing/pick_test.go
+++ b/internal/scheduler/routing/pick_test.go
@@ -10,8 +10,8 @@
 func withPolicy(policy featuregate.Policy) *Table {
 	gates := featuregate.All()
 	gates.Policy = policy
-	x := newFleet(gates, 1, 4, 1, 6)[0]
-	return x
+	table := newFleet(gates, 1, 4, 1, 6)[0]
+	return table
 }
 
 // The baselines choose what their names say.
@@ -42,9 +42,9 @@
 	for _, policy := range []featuregate.Policy{featuregate.Random, featuregate.TwoChoices} {
 		table, seen = withPolicy(policy), map[string]bool{}
 		for range 100 {
-			k := table.Pick(0, anywhere, 1)
-			seen[k.Worker.ID] = true
-			k.Release()
+			reservation := table.Pick(0, anywhere, 1)
+			seen[reservation.Worker.ID] = true
+			reservation.Release()
 		}
 		is.Equal(len(seen), 4)
 	}
--- a/internal/scheduler/routing/slots_test.go
+++ b/internal/scheduler/routing/slots_test.go
@@ -63,16 +63,25 @@
 // differing by one at most.
 func TestPlacesAreDividedWholly(t *testing.T) {
 	for _, compact := range []bool{true, false} {
-		for _, size := range [][4]int{{60, 48, 4, 6}, {6, 9, 3, 12}, {1, 1, 1, 1}, {3, 50, 1, 4}, {40, 2, 2, 6}} {
-			t.Run(fmt.Sprint(compact, size), func(t *testing.T) {
+		for _, c := range []struct {
+			name                                string
+			gatherers, workers, zones, capacity int
+		}{
+			{"many of both", 60, 48, 4, 6},
+			{"more workers, large ones", 6, 9, 3, 12},
+			{"one of each", 1, 1, 1, 1},
+			{"few gatherers", 3, 50, 1, 4},
+			{"few workers", 40, 2, 2, 6},
+		} {
+			t.Run(fmt.Sprintf("compact %v, %s", compact, c.name), func(t *testing.T) {
 				is := is.New(t)
 				gates := featuregate.All()
 				gates.CompactSlots = compact
-				f := newFleet(gates, size[0], size[1], size[2], size[3])
-				parts := f.slots()
-				is.Equal(len(parts), size[1])
+				f := newFleet(gates, c.gatherers, c.workers, c.zones, c.capacity)
+				slots := f.slots()
+				is.Equal(len(slots), c.workers)
 				perGatherer := map[int]int{}
-				for id, list := range parts {
+				for id, list := range slots {
 					is.Equal(sum(list), f[0].byID[id].slots())
 					for i, n := range list {
 						is.True(n == 0 || f[i].self.Zone == f[0].byID[id].Zone)
@@ -82,9 +91,9 @@
 				if !compact {
 					return
 				}
-				for i, t := range f {
+				for i, table := range f {
 					for j, other := range f {
-						if t.self.Zone == other.self.Zone {
+						if table.self.Zone == other.self.Zone {
 							is.True(perGatherer[i]-perGatherer[j] <= 1)
 						}
 					}
--- a/internal/scheduler/routing/table_test.go
+++ b/internal/scheduler/routing/table_test.go
@@ -9,7 +9,7 @@
 	"github.com/matryer/is"
 )
 
-func table(workers ...*rpc.Instance) *Table {
+func newTestTable(workers ...*rpc.Instance) *Table {
 	t := NewTable(Gatherer{Name: "g"}, featuregate.All(), rand.New(rand.NewPCG(1, 1)))
 	for _, w := range workers {
 		t.PutWorker(w)
@@ -17,7 +17,7 @@
 	return t
 }
 
-func instance(id string, version uint64) *rpc.Instance {
+func newInstance(id string, version uint64) *rpc.Instance {
 	return &rpc.Instance{Id: id, Service: "s", Address: id, Capacity: 4, Models: []*rpc.ModelWeights{{Name: "m", Version: version}}}
 }
 
@@ -26,24 +26,24 @@
 // The worker with the least predicted backlog is picked, not the one with the fewest requests; a release takes off what the reservation has added.
 func TestLeastPredictedBacklog(t *testing.T) {
 	is := is.New(t)
-	x := table(instance("a", 1), instance("b", 1))
-	long := x.Pick(0, anywhere, 100)
+	table := newTestTable(newInstance("a", 1), newInstance("b", 1))
+	long := table.Pick(0, anywhere, 100)
 	for range 3 {
-		is.True(x.Pick(0, anywhere, 10).Worker != long.Worker)
+		is.True(table.Pick(0, anywhere, 10).Worker != long.Worker)
 	}
 	long.Release()
 	long.Release() // without effect
-	is.Equal(x.Pick(0, anywhere, 10).Worker, long.Worker)
+	is.Equal(table.Pick(0, anywhere, 10).Worker, long.Worker)
 }
 
 func TestTiesAreBrokenAtRandom(t *testing.T) {
 	is := is.New(t)
-	x := table(instance("a", 1), instance("b", 1), instance("c", 1))
+	table := newTestTable(newInstance("a", 1), newInstance("b", 1), newInstance("c", 1))
 	count := map[string]int{}
 	for range 3000 {
-		k := x.Pick(0, anywhere, 1)
-		count[k.Worker.ID]++
-		k.Release()
+		reservation := table.Pick(0, anywhere, 1)
+		count[reservation.Worker.ID]++
+		reservation.Release()
 	}
 	for _, id := range []string{"a", "b", "c"} {
 		is.True(count[id] > 850 && count[id] < 1150)
@@ -53,57 +53,57 @@
 // A request goes only to workers of its services that are not draining, have fitting weights and are not excluded.
 func TestFilter(t *testing.T) {
 	is := is.New(t)
-	draining := instance("d", 9)
+	draining := newInstance("d", 9)
 	draining.Draining = true
-	other := instance("o", 9)
+	other := newInstance("o", 9)
 	other.Service = "other"
-	x := table(instance("a", 1), instance("b", 2), instance("c", 3), draining, other)
-	q := &Query{Services: []string{"s"}, Model: "m", MinVersion: 2}
-	is.Equal(x.Pick(0, &Query{Services: []string{"s"}, Model: "m", MinVersion: 2, ExactVersion: 2}, 1).Worker.ID, "b")
-	is.Equal(x.Pick(0, q, 1).Worker.ID, "c")
-	q.Exclude = map[string]bool{"b": true, "c": true}
-	is.True(x.Pick(0, q, 1) == nil)
-	is.True(x.Pick(0, &Query{Services: []string{"s"}, Model: "unknown"}, 1) == nil)
-	x.RemoveWorker("c")
-	is.True(x.Pick(0, &Query{Services: []string{"s"}, Model: "m", MinVersion: 3}, 1) == nil)
+	table := newTestTable(newInstance("a", 1), newInstance("b", 2), newInstance("c", 3), draining, other)
+	query := &Query{Services: []string{"s"}, Model: "m", MinVersion: 2}
+	is.Equal(table.Pick(0, &Query{Services: []string{"s"}, Model: "m", MinVersion: 2, ExactVersion: 2}, 1).Worker.ID, "b")
+	is.Equal(table.Pick(0, query, 1).Worker.ID, "c")
+	query.Exclude = map[string]bool{"b": true, "c": true}
+	is.True(table.Pick(0, query, 1) == nil)
+	is.True(table.Pick(0, &Query{Services: []string{"s"}, Model: "unknown"}, 1) == nil)
+	table.RemoveWorker("c")
+	is.True(table.Pick(0, &Query{Services: []string{"s"}, Model: "m", MinVersion: 3}, 1) == nil)
 }
 
 // A worker that has failed is avoided, but taken for a request where there is no other, until it serves one.
 func TestAvoidance(t *testing.T) {
 	is := is.New(t)
-	x := table(instance("a", 1), instance("b", 1))
-	a := x.byID["a"]
-	x.RecordFailure(1000, a)
+	table := newTestTable(newInstance("a", 1), newInstance("b", 1))
+	a := table.byID["a"]
+	table.RecordFailure(1000, a)
 	for range 20 {
-		is.Equal(x.Pick(1001, anywhere, 1).Worker.ID, "b")
+		is.Equal(table.Pick(1001, anywhere, 1).Worker.ID, "b")
 	}
-	is.Equal(x.Pick(1001, &Query{Services: []string{"s"}, Exclude: map[string]bool{"b": true}}, 1).Worker.ID, "a")
-	is.True(x.Pick(1001, &Query{Services: []string{"s"}, Exclude: map[string]bool{"b": true}, Item: true}, 1) == nil)
-	x.RecordSuccess(a)
+	is.Equal(table.Pick(1001, &Query{Services: []string{"s"}, Exclude: map[string]bool{"b": true}}, 1).Worker.ID, "a")
+	is.True(table.Pick(1001, &Query{Services: []string{"s"}, Exclude: map[string]bool{"b": true}, Item: true}, 1) == nil)
+	table.RecordSuccess(a)
 	is.True(a.avoidedUntil == 0)
 }
 
 // Estimates follow the route's latency and the tokens of the request; a reported load replaces the backlog.
 func TestCosts(t *testing.T) {
 	is := is.New(t)
-	x := table(instance("a", 1))
-	is.Equal(x.EstimateCost("r", 150, Usage{}), 150.0)
-	x.RecordLatency("r", 150, 40, Usage{Output: 100})
-	is.Equal(x.EstimateCost("r", 150, Usage{Output: 200}), 80.0)
-	x.RecordLoad(x.byID["a"], 3, 2, 40)
-	is.Equal(x.byID["a"].backlogMS, 200.0)
+	table := newTestTable(newInstance("a", 1))
+	is.Equal(table.EstimateCost("r", 150, Usage{}), 150.0)
+	table.RecordLatency("r", 150, 40, Usage{Output: 100})
+	is.Equal(table.EstimateCost("r", 150, Usage{Output: 200}), 80.0)
+	table.RecordLoad(table.byID["a"], 3, 2, 40)
+	is.Equal(table.byID["a"].backlogMS, 200.0)
 }
 
 // A gatherer that is alone has all slots of each worker of capacity four: these four and one that waits.
 func TestFreeSlots(t *testing.T) {
 	is := is.New(t)
-	x := table(instance("a", 1), instance("b", 2))
-	k := x.Pick(0, &Query{Services: []string{"s"}, Model: "m", MinVersion: 2, Item: true}, 1)
-	is.Equal(k.Worker.ID, "b")
-	slots, want := x.FreeSlots(0, []string{"s"})
-	is.Equal(want, 9)
+	table := newTestTable(newInstance("a", 1), newInstance("b", 2))
+	reservation := table.Pick(0, &Query{Services: []string{"s"}, Model: "m", MinVersion: 2, Item: true}, 1)
+	is.Equal(reservation.Worker.ID, "b")
+	slots, total := table.FreeSlots(0, []string{"s"})
+	is.Equal(total, 9)
 	is.Equal(len(slots), 2)
-	x.RecordRejection(0, k.Worker, "m", RejectedNotExecuted)
-	_, want = x.FreeSlots(1, []string{"s"})
-	is.Equal(want, 5)
+	table.RecordRejection(0, reservation.Worker, "m", RejectedNotExecuted)
+	_, total = table.FreeSlots(1, []string{"s"})
+	is.Equal(total, 5)
 }
