--- a/internal/scheduler/storage/server.go
+++ b/internal/scheduler/storage/server.go
@@ -73,7 +73,7 @@
 		Log: s.log, KeepResults: settings.Seconds(current.Bounds.StatusIntervalS + resultSlackS), Demand: s.reportDemand,
 	}
 	options.SnapshotBytes = cmp.Or(options.SnapshotBytes, current.Limits.DiskMB<<20/logsPerDisk)
-	options.BatchCalls = current.FeatureGates.GatheredWrites
+	options.BatchCalls = current.FeatureGates.BatchedWrites
 	s.host, err = replica.NewHost(replica.Config{
 		Identity: s.identity, Store: store, Machine: s.service.StateMachine, Send: replica.NewSender(s.client).Send, Log: s.log, Options: options,
 	})
