--- a/cmd/saffronquay-sim/main.go
+++ b/cmd/saffronquay-sim/main.go
@@ -1,5 +1,6 @@
-// Command saffronquay-sim hosts instances of the scheduler behind the simulator's wire: batches of events on
-// standard input, one reply each on standard output. It decides nothing.
+// Command saffronquay-sim hosts instances of the decision module behind the simulator's line protocol: it reads batches
+// of events from standard input and writes one reply for each to standard output. It decides nothing, runs on one
+// goroutine and ends with the input. Malformed input ends it with exit code 1 and one message that names the line.
 package main
 
 import (
@@ -13,6 +14,9 @@
 	sq "saffronquay"
 )
 
+// readBuffer is the size of the input's buffer in bytes; longer lines are read all the same.
+const readBuffer = 1 << 20
+
 func main() {
 	if err := run(os.Stdin, os.Stdout); err != nil {
 		fmt.Fprintln(os.Stderr, "saffronquay-sim:", err)
@@ -20,32 +24,35 @@
 	}
 }
 
+// instance is one aggregator of the simulated fleet.
 type instance struct {
 	scheduler *sq.Scheduler
 	events    []sq.Event
-	touched   bool
+	active    bool
 }
 
+// host is the state between lines.
 type host struct {
 	out       io.Writer
 	instances map[string]*instance
-	lists     map[int][]sq.Server
+	lists     map[int][]sq.Server // declared, by slot
 	inBatch   bool
 	now       int64
 	serial    int64
-	touched   []string // instances with an event in this batch, in order of the first
+	active    []string // instances with an event in this batch, in order of the first
 }
 
+// run answers batches until the input ends. An input that ends within a batch is an error.
 func run(in io.Reader, out io.Writer) error {
 	h := &host{out: out, instances: map[string]*instance{}, lists: map[int][]sq.Server{}}
-	r := bufio.NewReaderSize(in, 1<<20)
+	r := bufio.NewReaderSize(in, readBuffer)
 	for n := 1; ; n++ {
 		line, err := r.ReadBytes('\n')
 		if err != nil && !errors.Is(err, io.EOF) {
 			return fmt.Errorf("line %d: read: %w", n, err)
 		}
 		if len(line) > 0 {
-			if err := h.line(line); err != nil {
+			if err := h.handleLine(line); err != nil {
 				return fmt.Errorf("line %d: %w", n, err)
 			}
 		}
@@ -58,7 +65,8 @@
 	}
 }
 
-func (h *host) line(line []byte) error {
+// handleLine applies one line; the end of a batch writes the reply.
+func (h *host) handleLine(line []byte) error {
 	m, err := simwire.Decode(line)
 	if err != nil {
 		return err
@@ -80,14 +88,15 @@
 			return fmt.Errorf("OpenInstance: setup: %w", err)
 		}
 		h.instances[m.Who] = &instance{scheduler: s}
-		h.touch(m.Who)
+		h.markActive(m.Who)
 	default:
-		return h.event(m)
+		return h.handleEvent(m)
 	}
 	return nil
 }
 
-func (h *host) event(m simwire.Message) error {
+// handleEvent keeps an event for the end of the batch, or ends an instance.
+func (h *host) handleEvent(m simwire.Message) error {
 	if h.instances[m.Who] == nil {
 		return fmt.Errorf("instance %q was never opened, or was killed", m.Who)
 	}
@@ -100,32 +109,37 @@
 		if !ok {
 			return fmt.Errorf("list %d was never declared", m.Slot)
 		}
-		f := m.Event.(sq.FleetChanged)
-		f.Servers = list
-		m.Event = f
+		change, ok := m.Event.(sq.FleetChanged)
+		if !ok {
+			return fmt.Errorf("list %d is not for an event of type %T", m.Slot, m.Event)
+		}
+		change.Servers = list
+		m.Event = change
 	}
-	in := h.touch(m.Who)
+	in := h.markActive(m.Who)
 	if m.Event != nil {
 		in.events = append(in.events, m.Event)
 	}
 	return nil
 }
 
-func (h *host) touch(who string) *instance {
+// markActive has an instance step at the end of the batch, after those that were marked before.
+func (h *host) markActive(who string) *instance {
 	in := h.instances[who]
-	if !in.touched {
-		in.touched = true
-		h.touched = append(h.touched, who)
+	if !in.active {
+		in.active = true
+		h.active = append(h.active, who)
 	}
 	return in
 }
 
+// reply steps the active instances and writes their actions and the acknowledgement in one call.
 func (h *host) reply() error {
 	var buf []byte
 	var err error
-	for _, who := range h.touched {
+	for _, who := range h.active {
 		in := h.instances[who]
-		if in == nil || !in.touched {
+		if in == nil || !in.active {
 			continue
 		}
 		for _, a := range in.scheduler.Step(h.now, in.events) {
@@ -133,9 +147,9 @@
 				return err
 			}
 		}
-		in.events, in.touched = nil, false
+		in.events, in.active = nil, false
 	}
-	h.touched = h.touched[:0]
+	h.active = h.active[:0]
 	if buf, err = simwire.EncodeAck(buf, h.serial); err != nil {
 		return err
 	}
