--- a/cmd/saffronquay/cli_model_policy.go
+++ b/cmd/saffronquay/cli_model_policy.go
@@ -29,27 +29,27 @@
 				return errors.New("want 1 to 7 voters, up to 1000 gatherers, fewer down than there are, a loss of 0 to under 1, and a length of 5 s to 1 h")
 			}
 			cfg.Length = length.Microseconds()
-			cfg.Calm, cfg.Every, cfg.Admit, cfg.From = cfg.Length*6/10, 1_000_000, 20_000, 1_000_000
+			cfg.FaultsEnd, cfg.ProposeInterval, cfg.QueryInterval, cfg.StartAt = cfg.Length*6/10, 1_000_000, 20_000, 1_000_000
 			r, err := changes.Run(cfg)
 			if err != nil {
 				return failed(err)
 			}
-			hold, took := quantile(r.Holds, 0.99), quantile(r.Took, 0.99)
+			hold, took := quantile(r.Pauses, 0.99), quantile(r.ChangeTimes, 0.99)
 			v := map[string]any{
 				"changes": r.Changes, "in_force": r.InForce, "aborted": r.Aborted, "mixed": r.Mixed, "lost": r.Lost, "resurrected": r.Resurrected, "stuck": r.Stuck,
-				"hold_p99_ms": hold / 1000, "took_p99_ms": took / 1000, "reasons": r.Reasons,
+				"hold_p99_ms": hold / 1000, "took_p99_ms": took / 1000, "reasons": r.AbortReasons,
 			}
 			if err := c.tell(v, func(w io.Writer) {
-				for _, reason := range slices.Sorted(maps.Keys(r.Reasons)) {
-					fmt.Fprintf(w, "%4d not in force: %s\n", r.Reasons[reason], reason)
+				for _, reason := range slices.Sorted(maps.Keys(r.AbortReasons)) {
+					fmt.Fprintf(w, "%4d not in force: %s\n", r.AbortReasons[reason], reason)
 				}
 				fmt.Fprintf(w, "changes=%d in_force=%d aborted=%d mixed=%d lost=%d resurrected=%d stuck=%d hold_p99_ms=%d took_p99_ms=%d\n", r.Changes, r.InForce, r.Aborted,
 					r.Mixed, r.Lost, r.Resurrected, r.Stuck, hold/1000, took/1000)
 			}); err != nil {
 				return err
 			}
-			if r.Bad() && cfg.Down == 0 {
-				return failed(errors.New(r.First))
+			if r.HasViolations() && cfg.Down == 0 {
+				return failed(errors.New(r.FirstViolation))
 			}
 			return nil
 		},
--- a/internal/broker/server/bugs_seeded.go
+++ b/internal/broker/server/bugs_seeded.go
@@ -18,15 +18,15 @@
 		case f != nil && name == "fleet:refutation":
 			f.Without.Refutation = true
 		case r != nil && name == "rollout:own-timeout":
-			r.Bugs.OwnTimeout = true
+			r.Bugs.HolderTimeout = true
 		case r != nil && name == "rollout:no-wait":
-			r.Bugs.NoWait = true
+			r.Bugs.SkipLeaseWait = true
 		case r != nil && name == "rollout:unasked":
-			r.Bugs.Unasked = true
+			r.Bugs.ServeBeforeContact = true
 		case r != nil && name == "share:forever":
-			r.Bugs.Share.Forever = true
+			r.Bugs.Quota.IgnoresExpiry = true
 		case r != nil && name == "share:impatient":
-			r.Bugs.Share.Impatient = true
+			r.Bugs.Quota.ReleasesEarly = true
 		}
 	}
 }
--- a/internal/broker/server/force.go
+++ b/internal/broker/server/force.go
@@ -14,8 +14,8 @@
 )
 
 // ForceNewFleet makes the fleet that agrees on the policy anew out of one voter's store, while that gatherer does not run; or with do
-// false only tells what would be given up. See rollout.ForceNew.
-func ForceNewFleet(op config.Operator, do bool, log *slog.Logger) (given rollout.GivenUp, err error) {
+// false only tells what would be given up. See rollout.ForceNewFleet.
+func ForceNewFleet(op config.Operator, do bool, log *slog.Logger) (given rollout.ForceReport, err error) {
 	if op.Rollout == nil || op.Store == nil {
 		return given, errNoRollout
 	}
@@ -32,7 +32,7 @@
 		return given, fmt.Errorf("rollout: %w", err)
 	}
 	identity := nonce() | 1
-	disk, given, err := rollout.ForceNew(memory.Disk, memory.Current, op.Name, identity)
+	disk, given, err := rollout.ForceNewFleet(memory.Disk, memory.Current, op.Name, identity)
 	if err != nil || !do {
 		return given, err
 	}
@@ -41,7 +41,7 @@
 		return given, err
 	}
 	// The new disk's records first, by which nobody goes yet; then who votes by them.
-	if err := h.Save(&rollout.Save{ID: disk.ID, Hard: disk.Hard, Snapshot: disk.Snapshot}); err != nil {
+	if err := h.Save(&rollout.Save{ID: disk.ID, HardState: disk.HardState, Snapshot: disk.Snapshot}); err != nil {
 		return given, fmt.Errorf("rollout: %w", err)
 	}
 	if err := h.Roster(&wire.State{Members: s.Members, MembersIndex: s.MembersIndex}); err != nil {
--- a/internal/broker/server/golden_test.go
+++ b/internal/broker/server/golden_test.go
@@ -77,9 +77,9 @@
 		snapshot func(rollout.Disk) error
 		vote     uint64
 	}{{host.Save, host.Snapshot, 4}, {host.SaveGlobal, host.SnapshotGlobal, 6}} {
-		is.NoErr(agreement.save(&rollout.Save{Met: map[string]uint64{"g1": 257, "g2": 258}}))
-		is.NoErr(agreement.save(&rollout.Save{ID: 4, Hard: hard(1, agreement.vote, 1), Entries: []*pb.Entry{logged(t, 1, 1), logged(t, 2, 1), logged(t, 3, 1), logged(t, 4, 1)}}))
-		is.NoErr(agreement.save(&rollout.Save{ID: 4, Hard: hard(2, agreement.vote, 2), Entries: []*pb.Entry{logged(t, 3, 2), logged(t, 4, 2)}}))
+		is.NoErr(agreement.save(&rollout.Save{VoterIdentities: map[string]uint64{"g1": 257, "g2": 258}}))
+		is.NoErr(agreement.save(&rollout.Save{ID: 4, HardState: hard(1, agreement.vote, 1), Entries: []*pb.Entry{logged(t, 1, 1), logged(t, 2, 1), logged(t, 3, 1), logged(t, 4, 1)}}))
+		is.NoErr(agreement.save(&rollout.Save{ID: 4, HardState: hard(2, agreement.vote, 2), Entries: []*pb.Entry{logged(t, 3, 2), logged(t, 4, 2)}}))
 		state, err := proto.Marshal(&wire.State{Current: document, CurrentAttempt: 1, Members: []*wire.Member{member}})
 		is.NoErr(err)
 		is.NoErr(agreement.snapshot(rollout.Disk{ID: 4, Snapshot: &pb.Snapshot{
@@ -102,7 +102,7 @@
 }
 
 // memoryText is what was recalled, a line for each part.
-func memoryText(t *testing.T, m *rollout.Memory) string {
+func memoryText(t *testing.T, m *rollout.PersistentState) string {
 	t.Helper()
 	var b strings.Builder
 	line := func(name string, m proto.Message) {
@@ -122,9 +122,9 @@
 		name string
 		met  map[string]uint64
 		disk rollout.Disk
-	}{{"own", m.Met, m.Disk}, {"global", m.Global.Met, m.Global.Disk}} {
+	}{{"own", m.VoterIdentities, m.Disk}, {"global", m.Global.VoterIdentities, m.Global.Disk}} {
 		fmt.Fprintf(&b, "%s met %v\n%s voter %d\n", agreement.name, agreement.met, agreement.name, agreement.disk.ID)
-		line(agreement.name+" hard", agreement.disk.Hard)
+		line(agreement.name+" hard", agreement.disk.HardState)
 		line(agreement.name+" snapshot", agreement.disk.Snapshot)
 		for _, entry := range agreement.disk.Entries {
 			line(agreement.name+" entry", entry)
--- a/internal/broker/server/policy.go
+++ b/internal/broker/server/policy.go
@@ -73,7 +73,7 @@
 	}
 	cfg := peering.PolicyConfig{Listen: r.Listen, Seed: g.seed, Memory: memory, Node: rollout.Config{
 		Name:   g.name,
-		Region: r.Region, Lease: r.Lease.Microseconds(), HoldFor: r.Hold.Microseconds(), Drift: r.Drift,
+		Region: r.Region, Lease: r.Lease.Microseconds(), MaxPause: r.Hold.Microseconds(), Drift: r.Drift,
 	}}
 	for name, at := range r.Members {
 		cfg.Node.Members = append(cfg.Node.Members, rollout.Member{
@@ -86,7 +86,7 @@
 	}
 	g.number.Store(memory.Current.GetNumber())
 	if r.Share {
-		cfg.Node.Share, cfg.Node.Slots = true, h.Slots()
+		cfg.Node.DivideBudgets, cfg.Node.Slots = true, h.Slots()
 		g.parts = newParts(cfg.Node.Slots, regionPart(r, memory.Current))
 		g.engine.Contracts(g.shares())
 	}
--- a/internal/broker/server/policy_test.go
+++ b/internal/broker/server/policy_test.go
@@ -18,7 +18,7 @@
 )
 
 // kept opens a store in directories, and what a part in agreeing on the policy has there.
-func kept(t *testing.T, dirs [2]string) (*recordlog.Store, *policyHost, rollout.Memory) {
+func kept(t *testing.T, dirs [2]string) (*recordlog.Store, *policyHost, rollout.PersistentState) {
 	t.Helper()
 	var at [2]recordlog.Dir
 	for i, path := range dirs {
@@ -54,13 +54,13 @@
 	if m.Identity == 0 || m.Disk.ID != 0 {
 		t.Fatalf("a new disk: %+v", m)
 	}
-	cfg := rollout.Config{Name: "a", Members: []rollout.Member{{Name: "a", Address: "127.0.0.1:1", Voter: true}}, Compact: 1 << 20}
+	cfg := rollout.Config{Name: "a", Members: []rollout.Member{{Name: "a", Address: "127.0.0.1:1", Voter: true}}, CompactAfter: 1 << 20}
 	n, err := rollout.New(cfg, 1, rand.New(rand.NewPCG(1, 1)), m)
 	if err != nil {
 		t.Fatal(err)
 	}
 	save := func() {
-		for o := n.Out(); o.Save != nil; o = n.Out() {
+		for o := n.TakeOutput(); o.Save != nil; o = n.TakeOutput() {
 			if err := h.Save(o.Save); err != nil {
 				t.Fatal(err)
 			}
@@ -85,7 +85,7 @@
 	for len(entries) > 0 {
 		part := entries[:min(500, len(entries))]
 		entries = entries[len(part):]
-		if err := h.Save(&rollout.Save{ID: 1, Entries: part, Hard: &pb.HardState{Term: proto.Uint64(1), Vote: proto.Uint64(1), Commit: proto.Uint64(*part[len(part)-1].Index)}}); err != nil {
+		if err := h.Save(&rollout.Save{ID: 1, Entries: part, HardState: &pb.HardState{Term: proto.Uint64(1), Vote: proto.Uint64(1), Commit: proto.Uint64(*part[len(part)-1].Index)}}); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -106,13 +106,13 @@
 	}
 	t.Logf("a log of %d changes is in force again after %s", changes, took.Round(time.Millisecond))
 	// The same disk votes by another id: nothing of the first one is left to go by.
-	if err := h.Save(&rollout.Save{ID: 99, Hard: &pb.HardState{Term: proto.Uint64(7), Vote: proto.Uint64(0), Commit: proto.Uint64(0)}}); err != nil {
+	if err := h.Save(&rollout.Save{ID: 99, HardState: &pb.HardState{Term: proto.Uint64(7), Vote: proto.Uint64(0), Commit: proto.Uint64(0)}}); err != nil {
 		t.Fatal(err)
 	}
 	s.Close()
 	s, _, again := kept(t, dirs)
 	defer s.Close()
-	if d := again.Disk; d.ID != 99 || d.Snapshot != nil || len(d.Entries) != 0 || d.Hard.GetTerm() != 7 || again.Identity != m.Identity {
+	if d := again.Disk; d.ID != 99 || d.Snapshot != nil || len(d.Entries) != 0 || d.HardState.GetTerm() != 7 || again.Identity != m.Identity {
 		t.Errorf("id %d, snapshot %v, %d entries, identity %x and %x", d.ID, d.Snapshot != nil, len(d.Entries), again.Identity, m.Identity)
 	}
 }
--- a/internal/broker/server/regions.go
+++ b/internal/broker/server/regions.go
@@ -39,7 +39,7 @@
 }
 
 // sameRegion guards against a store that was made in another region, or without one: what it has was agreed on by others.
-func sameRegion(r *config.Rollout, name string, m rollout.Memory) error {
+func sameRegion(r *config.Rollout, name string, m rollout.PersistentState) error {
 	for _, x := range m.Members {
 		if x.Name == name && x.Region != r.Region {
 			return fmt.Errorf("rollout.region: %q, and the store has this gatherer in region %q: with another one it wants an empty store", r.Region, x.Region)
--- a/internal/broker/server/regions_test.go
+++ b/internal/broker/server/regions_test.go
@@ -25,10 +25,10 @@
 		return &pb.HardState{Term: proto.Uint64(1), Vote: proto.Uint64(2), Commit: proto.Uint64(commit)}
 	}
 	for _, err := range []error{
-		h.Save(&rollout.Save{Met: map[string]uint64{"a": 1}}),
-		h.SaveGlobal(&rollout.Save{Met: map[string]uint64{"a": 1, "x": 9}}),
-		h.Save(&rollout.Save{ID: 3, Entries: []*pb.Entry{entry(1, "own"), entry(2, "own")}, Hard: hard(2)}),
-		h.SaveGlobal(&rollout.Save{ID: 2, Entries: []*pb.Entry{entry(1, "global"), entry(2, "global"), entry(3, "global")}, Hard: hard(3)}),
+		h.Save(&rollout.Save{VoterIdentities: map[string]uint64{"a": 1}}),
+		h.SaveGlobal(&rollout.Save{VoterIdentities: map[string]uint64{"a": 1, "x": 9}}),
+		h.Save(&rollout.Save{ID: 3, Entries: []*pb.Entry{entry(1, "own"), entry(2, "own")}, HardState: hard(2)}),
+		h.SaveGlobal(&rollout.Save{ID: 2, Entries: []*pb.Entry{entry(1, "global"), entry(2, "global"), entry(3, "global")}, HardState: hard(3)}),
 		h.SnapshotGlobal(rollout.Disk{ID: 2, Snapshot: &pb.Snapshot{Data: []byte("s"), Metadata: &pb.SnapshotMetadata{Index: proto.Uint64(2), Term: proto.Uint64(1)}}}),
 		h.Roster(&wire.State{Members: []*wire.Member{{Name: "a", Region: "oeste"}}, MembersIndex: 4}),
 	} {
@@ -36,22 +36,22 @@
 			t.Fatal(err)
 		}
 	}
-	again := func() rollout.Memory {
+	again := func() rollout.PersistentState {
 		t.Helper()
 		s.Close()
-		var m rollout.Memory
+		var m rollout.PersistentState
 		s, h, m = kept(t, dirs)
 		return m
 	}
 	m := again()
-	if d := m.Disk; d.ID != 3 || d.Snapshot != nil || len(d.Entries) != 2 || string(d.Entries[1].Data) != "own" || d.Hard.GetCommit() != 2 || len(m.Met) != 1 {
-		t.Errorf("own: %+v, met %v", d, m.Met)
+	if d := m.Disk; d.ID != 3 || d.Snapshot != nil || len(d.Entries) != 2 || string(d.Entries[1].Data) != "own" || d.HardState.GetCommit() != 2 || len(m.VoterIdentities) != 1 {
+		t.Errorf("own: %+v, met %v", d, m.VoterIdentities)
 	}
-	if d := m.Global.Disk; d.ID != 2 || string(d.Snapshot.GetData()) != "s" || len(d.Entries) != 1 || string(d.Entries[0].Data) != "global" || len(m.Global.Met) != 2 {
-		t.Errorf("global: %+v, met %v", d, m.Global.Met)
+	if d := m.Global.Disk; d.ID != 2 || string(d.Snapshot.GetData()) != "s" || len(d.Entries) != 1 || string(d.Entries[0].Data) != "global" || len(m.Global.VoterIdentities) != 2 {
+		t.Errorf("global: %+v, met %v", d, m.Global.VoterIdentities)
 	}
 	// Another id in one of them makes void what that one has, and nothing of the other.
-	if err := h.SaveGlobal(&rollout.Save{ID: 77, Hard: hard(0)}); err != nil {
+	if err := h.SaveGlobal(&rollout.Save{ID: 77, HardState: hard(0)}); err != nil {
 		t.Fatal(err)
 	}
 	if m = again(); m.Global.Disk.ID != 77 || len(m.Global.Disk.Entries) != 0 || m.Global.Disk.Snapshot != nil || len(m.Disk.Entries) != 2 {
@@ -60,7 +60,7 @@
 	if err := h.global.drop(); err != nil {
 		t.Fatal(err)
 	}
-	if m = again(); m.Global.Disk.ID != 0 || m.Global.Met != nil || len(m.Disk.Entries) != 2 || len(m.Met) != 1 || m.Identity == 0 {
+	if m = again(); m.Global.Disk.ID != 0 || m.Global.VoterIdentities != nil || len(m.Disk.Entries) != 2 || len(m.VoterIdentities) != 1 || m.Identity == 0 {
 		t.Errorf("after one was taken away: %+v", m)
 	}
 	s.Close()
--- a/internal/broker/server/standing.go
+++ b/internal/broker/server/standing.go
@@ -17,9 +17,9 @@
 	got := make(chan adminapi.RolloutFigures, 1)
 	if p.Inspect(func(n *rollout.Node, now int64) {
 		v, _, _ := n.Admit(now)
-		f := adminapi.RolloutFigures{Number: int64(n.Number()), Admits: yes[v == rollout.Let], Holding: yes[n.Holding()], LeaseMs: max(0, n.Lease()-now) / 1000, Leads: yes[n.Leads()]}
+		f := adminapi.RolloutFigures{Number: int64(n.Number()), Admits: yes[v == rollout.Admitted], Holding: yes[n.IsPaused()], LeaseMs: max(0, n.LeaseUntil()-now) / 1000, Leads: yes[n.IsLeader()]}
 		if r, are := n.Region(now); are {
-			f.Region = &adminapi.RegionFigures{Behind: int64(r.Newest - r.Number), ApartMs: r.Apart / 1000, Leads: yes[n.GlobalLeads()]}
+			f.Region = &adminapi.RegionFigures{Behind: int64(r.Newest - r.Number), ApartMs: r.IsolatedFor / 1000, Leads: yes[n.IsGlobalLeader()]}
 		}
 		got <- f
 	}) == nil {
@@ -39,13 +39,13 @@
 	err := p.Inspect(func(n *rollout.Node, now int64) {
 		var dst []byte
 		v, number, _ := n.Admit(now)
-		ready, refused, reason := n.Verdicts()
+		ready, refused, reason := n.Validations()
 		hash := ""
 		if doc := n.Current(); doc != nil {
 			hash = fmt.Sprintf("%x", doc.Hash)
 		}
 		dst = fmt.Appendf(dst, "policy number=%d hash=%s admits=%s lease_ms=%d keeps=%t holding=%t leader=%s leads=%t ready=%d refused=%d reason=%s open=%d founding=%t lost_disk=%t\n",
-			max(number, n.Number()), hash, v, max(0, n.Lease()-now)/1000, n.Keeps(), n.Holding(), n.Leader(), n.Leads(), ready, refused, strconv.Quote(reason), n.Open(), n.Founding(), n.Stranger())
+			max(number, n.Number()), hash, v, max(0, n.LeaseUntil()-now)/1000, n.AdmitsWithoutLease(), n.IsPaused(), n.Leader(), n.IsLeader(), ready, refused, strconv.Quote(reason), n.OpenAttempt(), n.IsBootstrapping(), n.HasIdentityConflict())
 		r, are := n.Region(now)
 		if are {
 			dst = regionLine(dst, n, r, now)
@@ -59,12 +59,12 @@
 		}
 		dst = decisionLines(dst, n, r, are)
 		for _, x := range n.Grants() {
-			dst = fmt.Appendf(dst, "holder name=%s number=%d lease_ms=%d seen_ms=%d ready=%d held=%d refused=%d voter=%t lost_disk=%t left=%t reason=%s\n", x.Name, x.Number, max(0, x.Until-now)/1000, seen(x, now),
-				x.Ready, x.Held, x.Refused, x.Voter, x.Lost, x.Left, strconv.Quote(x.Reason))
+			dst = fmt.Appendf(dst, "holder name=%s number=%d lease_ms=%d seen_ms=%d ready=%d held=%d refused=%d voter=%t lost_disk=%t left=%t reason=%s\n", x.Name, x.Number, max(0, x.LeaseUntil-now)/1000, seen(x, now),
+				x.Ready, x.Paused, x.Refused, x.Voter, x.DiskReplaced, x.Left, strconv.Quote(x.Reason))
 		}
 		for _, x := range n.GlobalGrants() {
-			dst = fmt.Appendf(dst, "region_holder name=%s number=%d lease_ms=%d seen_ms=%d ready=%d held=%d refused=%d reason=%s\n", x.Name, x.Number, max(0, x.Until-now)/1000, seen(x, now),
-				x.Ready, x.Held, x.Refused, strconv.Quote(x.Reason))
+			dst = fmt.Appendf(dst, "region_holder name=%s number=%d lease_ms=%d seen_ms=%d ready=%d held=%d refused=%d reason=%s\n", x.Name, x.Number, max(0, x.LeaseUntil-now)/1000, seen(x, now),
+				x.Ready, x.Paused, x.Refused, strconv.Quote(x.Reason))
 		}
 		got <- dst
 	})
@@ -75,22 +75,22 @@
 }
 
 // regionLine tells how this gatherer's region stands with the others. What was decided beyond a cut is not known: behind is at least so much.
-func regionLine(dst []byte, n *rollout.Node, r rollout.Region, now int64) []byte {
+func regionLine(dst []byte, n *rollout.Node, r rollout.RegionStatus, now int64) []byte {
 	asked := int64(-1)
-	if r.Asked >= 0 {
-		asked = r.Asked / 1000
+	if r.StatusAge >= 0 {
+		asked = r.StatusAge / 1000
 	}
 	reason := r.Reason
-	if r.Apart > 0 && reason == "" {
+	if r.IsolatedFor > 0 && reason == "" {
 		reason = "no lease: the voters of the global agreement are not reached, or not a majority of them"
 	}
 	return fmt.Appendf(dst, "region name=%s number=%d newest=%d behind=%d apart=%t apart_ms=%d lease_ms=%d asked_ms=%d global_leader=%s global_leads=%t global_votes=%t global_open=%d reason=%s\n",
-		r.Name, r.Number, r.Newest, r.Newest-r.Number, r.Apart > 0, r.Apart/1000, max(0, r.Until-now)/1000, asked, r.Leader, n.GlobalLeads(), n.GlobalVotes(), n.GlobalOpen(), strconv.Quote(reason))
+		r.Name, r.Number, r.Newest, r.Newest-r.Number, r.IsolatedFor > 0, r.IsolatedFor/1000, max(0, r.LeaseUntil-now)/1000, asked, r.Leader, n.IsGlobalLeader(), n.HasGlobalVote(), n.GlobalOpenAttempt(), strconv.Quote(reason))
 }
 
 // decisionLines tell what was decided: without regions all that a voter knows; with them what the global agreement has decided where this
 // gatherer votes in it, else what its region has, and in both cases changes of who votes in the region.
-func decisionLines(dst []byte, n *rollout.Node, r rollout.Region, are bool) []byte {
+func decisionLines(dst []byte, n *rollout.Node, r rollout.RegionStatus, are bool) []byte {
 	tell := func(all []*wire.Decision, region string, such func(*wire.Decision) bool) {
 		for _, x := range all {
 			if !such(x) {
@@ -103,7 +103,7 @@
 			dst = append(dst, '\n')
 		}
 	}
-	global := n.GlobalVotes()
+	global := n.HasGlobalVote()
 	tell(n.GlobalDecisions(), "", func(*wire.Decision) bool { return global })
 	if !are {
 		r.Name = ""
@@ -114,10 +114,10 @@
 
 // seen is for how long somebody has not asked, in milliseconds; -1: not under this leader.
 func seen(x rollout.Grant, now int64) int64 {
-	if x.Seen == 0 {
+	if x.LastSeen == 0 {
 		return -1
 	}
-	return (now - x.Seen) / 1000
+	return (now - x.LastSeen) / 1000
 }
 
 // PolicyText is the document in force, for operators, or the one before it, which voters know; empty where there is none.
@@ -130,7 +130,7 @@
 	if p.Inspect(func(n *rollout.Node, _ int64) {
 		text, doc := []byte{}, n.Current()
 		if previous {
-			if doc = n.Previous(); n.GlobalVotes() {
+			if doc = n.Previous(); n.HasGlobalVote() {
 				doc = n.GlobalPrevious()
 			}
 		}
--- a/internal/broker/server/voterlog.go
+++ b/internal/broker/server/voterlog.go
@@ -54,14 +54,14 @@
 }
 
 // recall reads what outlasted the process before.
-func (h *policyHost) recall() (m rollout.Memory, err error) {
+func (h *policyHost) recall() (m rollout.PersistentState, err error) {
 	if m.Identity, err = numberAt(h.store, keyIdentity); err != nil {
 		return m, err
 	}
-	if m.Met, m.Disk, err = h.own.recall(); err != nil {
+	if m.VoterIdentities, m.Disk, err = h.own.recall(); err != nil {
 		return m, err
 	}
-	if m.Global.Met, m.Global.Disk, err = h.global.recall(); err != nil {
+	if m.Global.VoterIdentities, m.Global.Disk, err = h.global.recall(); err != nil {
 		return m, err
 	}
 	roster, current, staged := &wire.State{}, &wire.Document{}, &wire.Proposal{}
@@ -114,8 +114,8 @@
 				met[y.Name] = y.Identity
 			}
 		case keyHard:
-			disk.Hard = &pb.HardState{}
-			read(r, disk.Hard)
+			disk.HardState = &pb.HardState{}
+			read(r, disk.HardState)
 		case keySnapshot:
 			disk.Snapshot = &pb.Snapshot{}
 			read(r, disk.Snapshot)
@@ -140,7 +140,7 @@
 		l.last++
 		disk.Entries = append(disk.Entries, entries[l.last])
 	}
-	if hard := disk.Hard; hard != nil && hard.GetCommit() > l.last {
+	if hard := disk.HardState; hard != nil && hard.GetCommit() > l.last {
 		hard.Commit = proto.Uint64(l.last) // what it speaks of was not acknowledged
 	}
 	return met, disk, nil
@@ -157,10 +157,10 @@
 func (l *voterLog) save(s *rollout.Save) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if s.Met != nil {
+	if s.VoterIdentities != nil {
 		x := &wire.Hello{}
-		for _, name := range slices.Sorted(maps.Keys(s.Met)) {
-			x.Met = append(x.Met, &wire.Met{Name: name, Identity: s.Met[name]})
+		for _, name := range slices.Sorted(maps.Keys(s.VoterIdentities)) {
+			x.Met = append(x.Met, &wire.Met{Name: name, Identity: s.VoterIdentities[name]})
 		}
 		return keep(l.store, l.prefix+keyMet, x)
 	}
@@ -193,8 +193,8 @@
 		last = s.Snapshot.Metadata.GetIndex()
 		low = last + 1
 	}
-	if s.Hard != nil {
-		if err := add(l.of(keyHard), s.Hard); err != nil {
+	if s.HardState != nil {
+		if err := add(l.of(keyHard), s.HardState); err != nil {
 			return err
 		}
 	}
--- a/internal/cluster/peering/execute.go
+++ b/internal/cluster/peering/execute.go
@@ -12,7 +12,7 @@
 // execute does what the node wants done. The order matters: the engine has the new permit before any message leaves, so that held queries are reported only
 // when they are held; and messages leave only where all that they depend on could be stored.
 func (p *PolicyNode) execute() {
-	output := p.node.Out()
+	output := p.node.TakeOutput()
 	p.storeRoster(output.Roster)
 	p.install(output.Install)
 	p.updatePermit()
@@ -29,7 +29,7 @@
 		p.storeAsync("snapshot", func() error { return p.host.Snapshot(disk) })
 	}
 	p.executeGlobal(output.Global)
-	for _, proposal := range output.Judge {
+	for _, proposal := range output.Validate {
 		p.judge(proposal)
 	}
 	if p.failed != nil {
@@ -77,7 +77,7 @@
 	}
 	for _, document := range documents {
 		p.failOn("install", p.host.Install(document))
-		if holder := p.node.Parts(); holder != nil {
+		if holder := p.node.Quota(); holder != nil {
 			holder.SetSlots(p.host.Slots())
 		}
 		logging.Info(p.log, logging.RolloutInForce, "number", document.Number)
@@ -99,14 +99,14 @@
 			fault = err.Error()
 			logging.Warn(p.log, logging.RolloutRefused, "error", err)
 		}
-		p.node.Judged(now, proposal.Attempt, fault)
+		p.node.Validated(now, proposal.Attempt, fault)
 	})
 }
 
 // updatePermit gives the engine the node's present permit where it differs from the last one.
 func (p *PolicyNode) updatePermit() {
 	n := p.node
-	permit := transport.Permit{Number: n.Number(), Until: n.Until(), Holding: n.Holding(), HoldEnd: n.HoldEnd(), Later: p.cfg.Node.Lease / 2}
+	permit := transport.Permit{Number: n.Number(), Until: n.AdmitsUntil(), Holding: n.IsPaused(), HoldEnd: n.PauseEnd(), Later: p.cfg.Node.Lease / 2}
 	if p.failed != nil {
 		permit.Until, permit.Holding = 0, false
 	}
--- a/internal/cluster/peering/links_test.go
+++ b/internal/cluster/peering/links_test.go
@@ -28,7 +28,7 @@
 // roster opens one part on a roster of so many, of whom the first three vote and the last is this one, and runs it.
 func roster(t *testing.T, members int, idle time.Duration, edit func([]rollout.Member)) *PolicyNode {
 	t.Helper()
-	cfg := PolicyConfig{Listen: netip.MustParseAddrPort("127.0.0.1:0"), Seed: 1, Memory: rollout.Memory{Identity: 1}, Node: rollout.Config{Name: fmt.Sprintf("g%04d", members-1)}}
+	cfg := PolicyConfig{Listen: netip.MustParseAddrPort("127.0.0.1:0"), Seed: 1, Memory: rollout.PersistentState{Identity: 1}, Node: rollout.Config{Name: fmt.Sprintf("g%04d", members-1)}}
 	for i := range members {
 		cfg.Node.Members = append(cfg.Node.Members, rollout.Member{Name: fmt.Sprintf("g%04d", i), Address: "127.0.0.1:1", Voter: i < 3})
 	}
@@ -120,7 +120,7 @@
 	runtime.GC()
 	runtime.ReadMemStats(&before)
 	goroutines := runtime.NumGoroutine()
-	cfg := PolicyConfig{Listen: netip.MustParseAddrPort("127.0.0.1:0"), Seed: 1, Memory: rollout.Memory{Identity: 1}, Node: rollout.Config{Name: fmt.Sprintf("g%04d", members-1)}}
+	cfg := PolicyConfig{Listen: netip.MustParseAddrPort("127.0.0.1:0"), Seed: 1, Memory: rollout.PersistentState{Identity: 1}, Node: rollout.Config{Name: fmt.Sprintf("g%04d", members-1)}}
 	for i := range members {
 		cfg.Node.Members = append(cfg.Node.Members, rollout.Member{Name: fmt.Sprintf("g%04d", i), Address: "127.0.0.1:1", Voter: i < 3})
 	}
--- a/internal/cluster/peering/node.go
+++ b/internal/cluster/peering/node.go
@@ -28,8 +28,8 @@
 // PolicyConfig configures a gatherer's part in the agreement.
 type PolicyConfig struct {
 	Node   rollout.Config
-	Memory rollout.Memory // what the last process of this gatherer has stored
-	Global GlobalHost     // required if the node has a region
+	Memory rollout.PersistentState // what the last process of this gatherer has stored
+	Global GlobalHost              // required if the node has a region
 	Listen netip.AddrPort
 	Seed   uint64
 }
@@ -133,7 +133,7 @@
 // Run takes part in the agreement until Stop. Where something can't be stored or installed it revokes the engine's permit and takes part no more.
 func (p *PolicyNode) Run() {
 	defer close(p.done)
-	logging.Info(p.log, logging.Rollout, "listen", p.Address(), "number", p.node.Number(), "members", len(p.node.Members()), "founding", p.node.Founding())
+	logging.Info(p.log, logging.Rollout, "listen", p.Address(), "number", p.node.Number(), "members", len(p.node.Members()), "founding", p.node.IsBootstrapping())
 	p.setPeers(p.node.Members())
 	p.wg.Add(1)
 	go p.accept()
@@ -153,12 +153,12 @@
 			return
 		}
 		p.handleQueued()
-		if now := p.now(); now >= p.node.Next() {
+		if now := p.now(); now >= p.node.NextTick() {
 			p.node.Tick(now)
 		}
 		p.execute()
 		p.watchRegion()
-		timer.Reset(time.Duration(max(0, p.node.Next()-p.now())) * time.Microsecond)
+		timer.Reset(time.Duration(max(0, p.node.NextTick()-p.now())) * time.Microsecond)
 	}
 }
 
@@ -191,7 +191,7 @@
 	}
 	answer := make(chan quotas, 1)
 	err := p.Inspect(func(n *rollout.Node, now int64) {
-		if holder := n.Parts(); holder != nil {
+		if holder := n.Quota(); holder != nil {
 			holder.SetDemand(demand)
 			named, others, _ := holder.Quotas(now + earlyBy)
 			answer <- quotas{named, others}
@@ -211,7 +211,7 @@
 // SetAbsent reports which members are not alive by the view of the fleet. Where the queue is full it is dropped; the next view repeats it.
 func (p *PolicyNode) SetAbsent(names map[string]bool) {
 	select {
-	case p.calls <- func(int64) { p.node.Absent(names) }:
+	case p.calls <- func(int64) { p.node.SetAbsent(names) }:
 	default:
 	}
 }
@@ -253,7 +253,7 @@
 	}
 	deadline := time.Now().Add(leaveTimeout)
 	var wg sync.WaitGroup
-	for _, m := range p.node.Out().Messages {
+	for _, m := range p.node.TakeOutput().Messages {
 		voter := (*p.peers.Load())[m.To]
 		if m.Ask == nil || !m.Ask.Leaves || voter == nil {
 			continue
--- a/internal/cluster/peering/region.go
+++ b/internal/cluster/peering/region.go
@@ -41,14 +41,14 @@
 		return
 	}
 	switch state := &p.region; {
-	case status.Asked < 0: // the state isn't known yet
-	case status.Apart == 0:
+	case status.StatusAge < 0: // the state isn't known yet
+	case status.IsolatedFor == 0:
 		if state.isolated {
 			logging.Info(p.log, logging.RolloutJoined, "region", status.Name, "number", status.Number, "newest", status.Newest)
 		}
 		state.joined, state.isolated = true, false
-	case !state.isolated && (state.joined || status.Apart >= startGrace.Microseconds()):
-		logging.Warn(p.log, logging.RolloutApart, "region", status.Name, "number", status.Number, "for", time.Duration(status.Apart)*time.Microsecond)
+	case !state.isolated && (state.joined || status.IsolatedFor >= startGrace.Microseconds()):
+		logging.Warn(p.log, logging.RolloutApart, "region", status.Name, "number", status.Number, "for", time.Duration(status.IsolatedFor)*time.Microsecond)
 		state.joined, state.isolated = false, true
 	}
 }
--- a/internal/cluster/quota/simulation/measure_test.go
+++ b/internal/cluster/quota/simulation/measure_test.go
@@ -20,8 +20,8 @@
 			t.Fatalf("%v %s", err, r.First)
 		}
 		per := 26 * float64(n)
-		t.Logf("gatherers=%d busy=12 messages_a_gatherer_s=%.1f share_bytes_a_gatherer_s=%.0f", n, float64(r.Policy.Messages)/per, float64(r.Policy.Shares)/per)
-		if bytes := float64(r.Policy.Shares) / per; bytes > 20_000 {
+		t.Logf("gatherers=%d busy=12 messages_a_gatherer_s=%.1f share_bytes_a_gatherer_s=%.0f", n, float64(r.Policy.Messages)/per, float64(r.Policy.QuotaBytes)/per)
+		if bytes := float64(r.Policy.QuotaBytes) / per; bytes > 20_000 {
 			t.Errorf("%.0f bytes for each gatherer and second", bytes)
 		}
 	}
--- a/internal/cluster/quota/simulation/proof_test.go
+++ b/internal/cluster/quota/simulation/proof_test.go
@@ -46,8 +46,8 @@
 	}
 	over, starved, skewed, crash, equal := 0, 0, 1.0, int64(0), 0.0
 	playDays(t, seeds, usual, func(seed uint64, r Result) {
-		if r.OverBudget+r.BelowFloor > 0 || r.Policy.Bad() {
-			t.Errorf("seed %d: over %d starved %d: %s; %s", seed, r.OverBudget, r.BelowFloor, r.First, r.Policy.First)
+		if r.OverBudget+r.BelowFloor > 0 || r.Policy.HasViolations() {
+			t.Errorf("seed %d: over %d starved %d: %s; %s", seed, r.OverBudget, r.BelowFloor, r.First, r.Policy.FirstViolation)
 		}
 		over, starved, skewed, crash, equal = over+r.OverBudget, starved+r.BelowFloor, min(skewed, r.Skewed), max(crash, r.AfterCrash), r.Equal
 		if usual(seed).Faults == 0 && r.AfterCrash == 0 {
--- a/internal/cluster/quota/simulation/simulation.go
+++ b/internal/cluster/quota/simulation/simulation.go
@@ -72,17 +72,17 @@
 // rolloutConfig is the day as the simulation of the agreement plays it.
 func (d *day) rolloutConfig() rolloutsim.Config {
 	cfg := rolloutsim.Config{
-		Seed: d.cfg.Seed, Voters: 5, Others: d.cfg.Gatherers - 5, Faults: d.cfg.Faults, Calm: dayLength - 8*second, Length: dayLength,
-		Admit: 200_000, Share: true, Wants: d.demand, Watch: d.check, Bugs: rollout.Bugs{Share: d.cfg.Bugs},
+		Seed: d.cfg.Seed, Voters: 5, Others: d.cfg.Gatherers - 5, Faults: d.cfg.Faults, FaultsEnd: dayLength - 8*second, Length: dayLength,
+		QueryInterval: 200_000, DivideBudgets: true, Demand: d.demand, ObserveQuotas: d.check, Bugs: rollout.Bugs{Quota: d.cfg.Bugs},
 	}
 	if d.cfg.Faults == 0 {
-		cfg.At = []rolloutsim.At{{At: crashAt, For: 8 * second, Do: "kill", Node: d.targets[1]}}
+		cfg.Events = []rolloutsim.Event{{At: crashAt, Duration: 8 * second, Action: "kill", Node: d.targets[1]}}
 		return cfg
 	}
 	cfg.Loss = []float64{0, 0.05}[d.cfg.Seed%2]
-	cfg.At = []rolloutsim.At{
-		{At: 8 * second, For: 5 * second, Do: "cut", Node: d.targets[0]},
-		{At: 10 * second, For: 4 * second, Do: "stop", Node: d.targets[1]},
+	cfg.Events = []rolloutsim.Event{
+		{At: 8 * second, Duration: 5 * second, Action: "cut", Node: d.targets[0]},
+		{At: 10 * second, Duration: 4 * second, Action: "stop", Node: d.targets[1]},
 	}
 	return cfg
 }
--- a/internal/cluster/rollout/founding.go
+++ b/internal/cluster/rollout/founding.go
@@ -9,33 +9,33 @@
 // founding is one of the first voters before it may vote. A vote counts for a disk, not for a name: each of them writes down the
 // identities of all others' disks, and votes under its own only when all others have said that they wrote it down. So whoever comes back
 // under a name without its disk is known to be somebody else, to everybody, and gets no word in until operators give it a vote of its own.
-type founding struct {
-	self     string
-	identity uint64
-	others   []string
-	met      map[string]uint64 // on disk, with this one's own
-	fresh    map[string]uint64 // met, and not on disk yet
-	knows    map[string]bool   // who has this one's identity on its disk
-	stranger bool              // one of the others knows another disk under this name
-	saving   bool              // what is fresh
-	sent     map[string]uint64 // of it, what is on its way to the disk
-	at       int64             // when to say hello next
+type bootstrap struct {
+	name             string
+	identity         uint64
+	peers            []string
+	known            map[string]uint64 // on disk, with this one's own
+	unsaved          map[string]uint64 // met, and not on disk yet
+	knownBy          map[string]bool   // who has this one's identity on its disk
+	identityConflict bool              // one of the others knows another disk under this name
+	saving           bool              // what is fresh
+	beingSaved       map[string]uint64 // of it, what is on its way to the disk
+	helloAt          int64             // when to say hello next
 }
 
-func newFounding(cfg Config, now int64, memory Memory) *founding {
-	f := &founding{self: cfg.Name, identity: memory.Identity, met: map[string]uint64{cfg.Name: memory.Identity}, fresh: map[string]uint64{}, knows: map[string]bool{}, at: now}
-	maps.Copy(f.met, memory.Met)
+func newBootstrap(cfg Config, now int64, memory PersistentState) *bootstrap {
+	f := &bootstrap{name: cfg.Name, identity: memory.Identity, known: map[string]uint64{cfg.Name: memory.Identity}, unsaved: map[string]uint64{}, knownBy: map[string]bool{}, helloAt: now}
+	maps.Copy(f.known, memory.VoterIdentities)
 	for _, m := range cfg.Members {
 		if m.Voter && m.Name != cfg.Name {
-			f.others = append(f.others, m.Name)
+			f.peers = append(f.peers, m.Name)
 		}
 	}
-	slices.Sort(f.others)
+	slices.Sort(f.peers)
 	return f
 }
 
 // hello words what this one has on its disk.
-func hello(met map[string]uint64) *wire.Hello {
+func newHello(met map[string]uint64) *wire.Hello {
 	h := &wire.Hello{}
 	for _, name := range slices.Sorted(maps.Keys(met)) {
 		h.Met = append(h.Met, &wire.Met{Name: name, Identity: met[name]})
@@ -44,57 +44,57 @@
 }
 
 // hear takes another one's hello in.
-func (f *founding) hear(from string, identity uint64, h *wire.Hello) {
-	if !slices.Contains(f.others, from) || identity == 0 {
+func (f *bootstrap) handleHello(from string, identity uint64, h *wire.Hello) {
+	if !slices.Contains(f.peers, from) || identity == 0 {
 		return
 	}
-	known := f.met[from]
+	known := f.known[from]
 	if known == 0 {
-		known = f.sent[from]
+		known = f.beingSaved[from]
 	}
 	if known == 0 {
-		known = f.fresh[from]
+		known = f.unsaved[from]
 	}
 	if known == 0 {
-		f.fresh[from] = identity
+		f.unsaved[from] = identity
 		known = identity
 	}
 	for _, m := range h.Met {
-		if m.Name != f.self {
+		if m.Name != f.name {
 			continue
 		}
 		if m.Identity != f.identity {
-			f.stranger = true
+			f.identityConflict = true
 		} else if known == identity {
-			f.knows[from] = true
+			f.knownBy[from] = true
 		}
 	}
 }
 
 // wait is how long until the next hello: a stranger needs operators, and they take their time.
-func (f *founding) wait(tick int64) int64 {
-	if f.stranger {
+func (f *bootstrap) helloInterval(tick int64) int64 {
+	if f.identityConflict {
 		return 20 * tick
 	}
 	return tick
 }
 
 // over tells that this one may vote.
-func (f *founding) over() bool {
-	return !slices.ContainsFunc(f.others, func(name string) bool { return f.met[name] == 0 || !f.knows[name] })
+func (f *bootstrap) isComplete() bool {
+	return !slices.ContainsFunc(f.peers, func(name string) bool { return f.known[name] == 0 || !f.knownBy[name] })
 }
 
 // all is what is to be on disk from now on.
-func (f *founding) all() map[string]uint64 {
-	f.sent = f.fresh
-	f.fresh = map[string]uint64{}
-	all := maps.Clone(f.met)
-	maps.Copy(all, f.sent)
+func (f *bootstrap) takeIdentities() map[string]uint64 {
+	f.beingSaved = f.unsaved
+	f.unsaved = map[string]uint64{}
+	all := maps.Clone(f.known)
+	maps.Copy(all, f.beingSaved)
 	return all
 }
 
 // saved says that it is.
-func (f *founding) saved() {
-	maps.Copy(f.met, f.sent)
-	f.sent, f.saving = nil, false
+func (f *bootstrap) handleSaved() {
+	maps.Copy(f.known, f.beingSaved)
+	f.beingSaved, f.saving = nil, false
 }
--- a/internal/cluster/rollout/leave_test.go
+++ b/internal/cluster/rollout/leave_test.go
@@ -7,18 +7,18 @@
 )
 
 // trio is three voters whose words the test carries; a fourth gatherer, which follows, has no process.
-type trio struct {
-	t     *testing.T
-	now   int64
-	nodes map[string]*Node
-	words []*wire.Message // not delivered yet
+type threeVoters struct {
+	t           *testing.T
+	now         int64
+	nodes       map[string]*Node
+	undelivered []*wire.Message // not delivered yet
 }
 
-func newTrio(t *testing.T) *trio {
-	x := &trio{t: t, now: 1, nodes: map[string]*Node{}}
+func newThreeVoters(t *testing.T) *threeVoters {
+	x := &threeVoters{t: t, now: 1, nodes: map[string]*Node{}}
 	members := []Member{{Name: "a", Address: "a", Voter: true}, {Name: "b", Address: "b", Voter: true}, {Name: "c", Address: "c", Voter: true}, {Name: "d", Address: "d"}}
 	for i, m := range members[:3] {
-		n, err := New(Config{Name: m.Name, Members: members}, x.now, rand.New(rand.NewPCG(uint64(i), 1)), Memory{Identity: uint64(i) + 1})
+		n, err := New(Config{Name: m.Name, Members: members}, x.now, rand.New(rand.NewPCG(uint64(i), 1)), PersistentState{Identity: uint64(i) + 1})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -28,9 +28,9 @@
 }
 
 // collect takes what a node wants done: all is on disk at once, and its words wait for deliver.
-func (x *trio) collect(n *Node) {
-	for o := n.Out(); o.Save != nil || len(o.Messages) > 0; o = n.Out() {
-		x.words = append(x.words, o.Messages...)
+func (x *threeVoters) collect(n *Node) {
+	for o := n.TakeOutput(); o.Save != nil || len(o.Messages) > 0; o = n.TakeOutput() {
+		x.undelivered = append(x.undelivered, o.Messages...)
 		if o.Save != nil {
 			if err := n.Saved(x.now); err != nil {
 				x.t.Fatal(err)
@@ -40,10 +40,10 @@
 }
 
 // deliver carries all words, and those that come of them; it gives those to who has no process.
-func (x *trio) deliver() (others []*wire.Message) {
-	for len(x.words) > 0 {
-		m := x.words[0]
-		x.words = x.words[1:]
+func (x *threeVoters) deliver() (others []*wire.Message) {
+	for len(x.undelivered) > 0 {
+		m := x.undelivered[0]
+		x.undelivered = x.undelivered[1:]
 		if n := x.nodes[m.To]; n != nil {
 			n.Receive(x.now, m)
 			x.collect(n)
@@ -55,7 +55,7 @@
 }
 
 // leader runs the three until one of them leads and gives leases.
-func (x *trio) leader() *Node {
+func (x *threeVoters) awaitLeader() *Node {
 	for range 1000 {
 		x.now += 10_000
 		for _, name := range []string{"a", "b", "c"} {
@@ -66,7 +66,7 @@
 		x.deliver()
 		for _, n := range x.nodes {
 			for _, g := range n.Grants() {
-				if g.Until > x.now && g.Seen != 0 {
+				if g.LeaseUntil > x.now && g.LastSeen != 0 {
 					return n
 				}
 			}
@@ -79,8 +79,8 @@
 // Who leaves in order is not waited for, also where an ask of its came before and still waits to be answered. Guards the next change against
 // a wait for a lease that nobody uses: the ask took the leave back.
 func TestLeaveOvertakesAnAsk(t *testing.T) {
-	x := newTrio(t)
-	lead := x.leader()
+	x := newThreeVoters(t)
+	lead := x.awaitLeader()
 	of := func() Grant {
 		for _, g := range lead.Grants() {
 			if g.Name == "d" {
@@ -101,7 +101,7 @@
 			t.Errorf("a lease for one that has left: %v", m)
 		}
 	}
-	if g := of(); !g.Left || g.Until > x.now {
+	if g := of(); !g.Left || g.LeaseUntil > x.now {
 		t.Errorf("it has left, and counts as %+v at %d", g, x.now)
 	}
 	// A new process of its name asks for itself.
@@ -110,7 +110,7 @@
 	for _, m := range x.deliver() {
 		given = given || m.Word.GetNonce() == 3 && m.Word.Lease > 0
 	}
-	if g := of(); !given || g.Left || g.Until <= x.now {
+	if g := of(); !given || g.Left || g.LeaseUntil <= x.now {
 		t.Errorf("back again: a lease is given: %t; %+v at %d", given, g, x.now)
 	}
 }
--- a/internal/cluster/rollout/members.go
+++ b/internal/cluster/rollout/members.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	mostVoters = 7
-	firstID    = 16 // above it are the ids of voters that were added later: this and the index of the entry that began it
+	maxVoters      = 7
+	addedVoterBase = 16 // above it are the ids of voters that were added later: this and the index of the entry that began it
 )
 
 // Member is one gatherer of the first roster.
@@ -23,7 +23,7 @@
 }
 
 // firstMembers are the records of the first roster; ids go by the order of names, identities are those that the voters met.
-func firstMembers(members []Member, met map[string]uint64) (all []*wire.Member) {
+func initialMembers(members []Member, met map[string]uint64) (all []*wire.Member) {
 	id := uint64(0)
 	for _, m := range slices.SortedFunc(slices.Values(members), func(a, b Member) int { return cmp.Compare(a.Name, b.Name) }) {
 		x := &wire.Member{Name: m.Name, Address: m.Address, Region: m.Region, Global: m.Global}
@@ -37,7 +37,7 @@
 }
 
 // find is a member of a list; nil: it is not on it.
-func find(members []*wire.Member, name string) *wire.Member {
+func findMember(members []*wire.Member, name string) *wire.Member {
 	i, ok := slices.BinarySearchFunc(members, name, func(m *wire.Member, name string) int { return cmp.Compare(m.Name, name) })
 	if !ok {
 		return nil
@@ -46,7 +46,7 @@
 }
 
 // votersOf are the names of those of a list who vote.
-func votersOf(members []*wire.Member) (names []string) {
+func voterNames(members []*wire.Member) (names []string) {
 	for _, m := range members {
 		if m.Id != 0 {
 			names = append(names, m.Name)
@@ -56,10 +56,10 @@
 }
 
 // member is one on the roster; nil: it is not.
-func (s *state) member(name string) *wire.Member { return find(s.Members, name) }
+func (s *state) member(name string) *wire.Member { return findMember(s.Members, name) }
 
 // voter is who votes, is to vote or voted last under an id; nil: nobody known.
-func (s *state) voter(id uint64) *wire.Member {
+func (s *state) voterByID(id uint64) *wire.Member {
 	for _, m := range s.Members {
 		if m.Id == id {
 			return m
@@ -75,7 +75,7 @@
 }
 
 // put has a member on the roster, or its address changed. Lists that were given out stay as they are.
-func (s *state) put(m *wire.Member) {
+func (s *state) putMember(m *wire.Member) {
 	s.Members = slices.Clone(s.Members)
 	i, ok := slices.BinarySearchFunc(s.Members, m.Name, func(x *wire.Member, name string) int { return cmp.Compare(x.Name, name) })
 	if ok {
@@ -86,12 +86,12 @@
 }
 
 // roster takes a change of the roster in: all of it, or nothing with the reason.
-func (s *state) roster(index uint64, e *wire.Entry) {
-	if s.told(e.Nonce) != nil {
+func (s *state) applyRoster(index uint64, e *wire.Entry) {
+	if s.decision(e.Nonce) != nil {
 		return
 	}
-	d := &wire.Decision{Attempt: index, Nonce: e.Nonce, By: e.By, What: worded(e)}
-	if d.Reason = s.unfit(e); d.Reason == "" {
+	d := &wire.Decision{Attempt: index, Nonce: e.Nonce, By: e.By, What: describeChange(e)}
+	if d.Reason = s.checkRosterChange(e); d.Reason == "" {
 		d.Committed, s.MembersIndex = true, index
 		for _, m := range e.Add {
 			x := &wire.Member{Name: m.Name, Address: m.Address, Region: m.Region, Global: m.Global}
@@ -101,7 +101,7 @@
 					x.Region, x.Global = was.Region, was.Global
 				}
 			}
-			s.put(x)
+			s.putMember(x)
 		}
 		for _, name := range e.Remove {
 			s.Members = slices.DeleteFunc(slices.Clone(s.Members), func(m *wire.Member) bool { return m.Name == name })
@@ -111,7 +111,7 @@
 }
 
 // unfit is why a change of the roster can't be made; empty: it can.
-func (s *state) unfit(e *wire.Entry) string {
+func (s *state) checkRosterChange(e *wire.Entry) string {
 	for _, m := range e.Add {
 		if m.Name == "" || m.Address == "" {
 			return "it names nobody, or no address"
@@ -126,8 +126,8 @@
 			return fmt.Sprintf("%s: there is no region %q", m.Name, m.Region)
 		}
 	}
-	if len(s.Members)+len(e.Add) > mostRoster {
-		return fmt.Sprintf("the roster would have over %d", mostRoster)
+	if len(s.Members)+len(e.Add) > maxRoster {
+		return fmt.Sprintf("the roster would have over %d", maxRoster)
 	}
 	for _, name := range e.Remove {
 		switch m := s.member(name); {
@@ -143,34 +143,34 @@
 }
 
 // beginVoters takes the beginning of a change of who votes in; raft has a learner for it from the same entry on.
-func (s *state) beginVoters(index uint64, e *wire.Entry) {
+func (s *state) beginVoterChange(index uint64, e *wire.Entry) {
 	c := e.Voters
 	c.Index = index
 	s.Change = c
 }
 
 // endVoters takes its end in.
-func (s *state) endVoters(index uint64, e *wire.Entry) {
+func (s *state) endVoterChange(index uint64, e *wire.Entry) {
 	c := e.Voters
-	s.remember(&wire.Decision{Attempt: index, Nonce: c.Nonce, By: c.By, What: worded(e), Committed: e.Made, Reason: e.Reason})
+	s.remember(&wire.Decision{Attempt: index, Nonce: c.Nonce, By: c.By, What: describeChange(e), Committed: e.Made, Reason: e.Reason})
 	s.Change = nil
 	if !e.Made {
 		return
 	}
 	s.MembersIndex = index
 	if c.Remove != "" {
-		if m := s.voter(c.RemoveId); m != nil {
+		if m := s.voterByID(c.RemoveId); m != nil {
 			s.Retired = m
-			s.put(&wire.Member{Name: m.Name, Address: m.Address, Region: m.Region, Global: m.Global})
+			s.putMember(&wire.Member{Name: m.Name, Address: m.Address, Region: m.Region, Global: m.Global})
 		}
 	}
 	if c.Add != nil {
-		s.put(c.Add)
+		s.putMember(c.Add)
 	}
 }
 
 // worded tells what an entry changes, for those who read what was decided.
-func worded(e *wire.Entry) string {
+func describeChange(e *wire.Entry) string {
 	var parts []string
 	for _, m := range e.Add {
 		parts = append(parts, "+"+m.Name)
--- a/internal/cluster/rollout/parts.go
+++ b/internal/cluster/rollout/parts.go
@@ -6,7 +6,7 @@
 )
 
 // partition is each region's part of the budgets by its gatherers' share of a roster; it is rounded down.
-func partition(members []*wire.Member, regions []string) (parts []*wire.Part) {
+func partsByRoster(members []*wire.Member, regions []string) (parts []*wire.Part) {
 	count, all := map[string]uint64{}, uint64(0)
 	for _, m := range members {
 		count[m.Region]++
@@ -32,7 +32,7 @@
 
 // move goes from one partition towards another: who is to have less has it at once, who is to have more gets what is free already. So the
 // greater of both parts of all regions come to the whole at most.
-func move(from, to []*wire.Part) (parts []*wire.Part) {
+func moveParts(from, to []*wire.Part) (parts []*wire.Part) {
 	free, wanted := int64(quota.PPM), int64(0)
 	for _, p := range from {
 		free -= int64(p.Ppm)
@@ -56,12 +56,12 @@
 	if len(d.GetParts()) > 0 {
 		return d.Parts
 	}
-	return partition(firstMembers(cfg.Members, nil), cfg.regions)
+	return partsByRoster(initialMembers(cfg.Members, nil), cfg.regions)
 }
 
 // divide has this gatherer go by its region's part of the budgets under the version in force.
-func (h *Holder) divide() {
-	if h.parts != nil && h.cfg.Region != "" {
-		h.parts.SetRegion(partOf(h.cfg.partsOf(h.current), h.cfg.Region))
+func (h *Holder) applyRegionPart() {
+	if h.quota != nil && h.cfg.Region != "" {
+		h.quota.SetRegion(partOf(h.cfg.partsOf(h.current), h.cfg.Region))
 	}
 }
--- a/internal/cluster/rollout/regions.go
+++ b/internal/cluster/rollout/regions.go
@@ -8,7 +8,7 @@
 
 // groups are the configurations of both agreements that a gatherer of a region takes part in: its region's, and the global one. Without
 // regions the first is the fleet's, and the second nobody's.
-func (cfg Config) groups() (own, global Config, err error) {
+func (cfg Config) agreements() (own, global Config, err error) {
 	own = cfg
 	if cfg.Region == "" {
 		if slices.ContainsFunc(cfg.Members, func(m Member) bool { return m.Region != "" || m.Global }) {
@@ -17,7 +17,7 @@
 		return own, global, nil
 	}
 	global = cfg
-	global.Lease, global.Share, global.global, global.judging = cfg.RegionLease, false, true, 3*cfg.Lease
+	global.Lease, global.DivideBudgets, global.isGlobal, global.validationSlack = cfg.RegionLease, false, true, 3*cfg.Lease
 	own.Members, global.Members = slices.Clone(cfg.Members), slices.Clone(cfg.Members)
 	named := slices.ContainsFunc(cfg.Members, func(m Member) bool { return m.Global })
 	voters := map[string]int{}
@@ -44,11 +44,11 @@
 	}
 	slices.Sort(global.regions)
 	for region, n := range voters {
-		if n > mostVoters {
+		if n > maxVoters {
 			return own, global, fmt.Errorf("rollout: want one to seven voters in region %s, not %d", region, n)
 		}
 	}
-	if count < 1 || count > mostVoters {
+	if count < 1 || count > maxVoters {
 		return own, global, fmt.Errorf("rollout: want one to seven global voters, not %d", count)
 	}
 	own.regions = global.regions
@@ -56,11 +56,11 @@
 }
 
 // foreign tells that a gatherer is of another region.
-func (n *Node) foreign(name string) bool {
+func (n *Node) isOtherRegion(name string) bool {
 	if n.global == nil {
 		return false
 	}
-	m := find(n.members, name)
+	m := findMember(n.members, name)
 	return m != nil && m.Region != n.cfg.Region
 }
 
@@ -69,42 +69,42 @@
 	if v := n.global.voter; v != nil {
 		v.tick(now)
 	}
-	for _, m := range n.global.greet(now) {
+	for _, m := range n.global.dueHellos(now) {
 		m.Global = true
 		n.send(now, m)
 	}
-	if n.own.voter == nil || now < n.up.askAt {
+	if n.local.voter == nil || now < n.follower.requestAt {
 		return
 	}
-	if n.own.voter.leads {
-		n.own.voter.askGlobal(now)
-	} else if to, ask := n.up.ping(now); to != "" {
+	if n.local.voter.isLeader {
+		n.local.voter.requestGlobalLease(now)
+	} else if to, ask := n.follower.newPing(now); to != "" {
 		n.send(now, &wire.Message{From: n.name, To: to, Ask: ask, Global: true})
 	}
 }
 
 // takeGlobal takes a message of the global agreement in.
-func (n *Node) takeGlobal(now int64, m *wire.Message) {
+func (n *Node) dispatchGlobal(now int64, m *wire.Message) {
 	g := n.global
 	if g == nil {
 		return
 	}
 	switch {
 	case m.Word != nil:
-		n.up.hear(now, m.From, m.Word)
-		if n.own.voter != nil {
-			n.own.voter.drive(now)
+		n.follower.handleStatus(now, m.From, m.Word)
+		if n.local.voter != nil {
+			n.local.voter.advance(now)
 		}
 	case m.Hello != nil:
-		if answer := g.greeted(now, m); answer != nil {
+		if answer := g.handleHello(now, m); answer != nil {
 			answer.Global = true
 			n.send(now, answer)
 		}
 	case m.Raft != nil:
-		g.raft(now, m)
-	case m.Ask != nil && !g.opened():
+		g.handleRaft(now, m)
+	case m.Ask != nil && !g.isActiveLeader():
 		w := &wire.Word{Nonce: m.Ask.Nonce}
-		if g.votes() && !g.voter.leads {
+		if g.hasVote() && !g.voter.isLeader {
 			w.Leader = g.voter.leader()
 		}
 		if g.voter != nil && g.voter.state.MembersIndex > m.Ask.MembersIndex {
@@ -112,34 +112,34 @@
 		}
 		n.send(now, &wire.Message{From: n.name, To: m.From, Word: w, Global: true})
 	case m.Ask != nil:
-		g.voter.asked(now, m.From, m.Identity, m.Ask)
+		g.voter.handleLeaseRequest(now, m.From, m.Identity, m.Ask)
 	}
 }
 
 // proposeGlobal takes a proposal where there are regions: all but who votes in a region is the global agreement's.
-func (n *Node) proposeGlobal(now int64, p *wire.Propose) (a *wire.Answer) {
+func (n *Node) proposeWithRegions(now int64, p *wire.Propose) (a *wire.Answer) {
 	if p.Region != "" {
 		switch {
 		case p.Region != n.cfg.Region:
-			a = &wire.Answer{Nonce: p.Nonce, End: 3, Leader: n.anyOf(func(m *wire.Member) bool { return m.Region == p.Region })}
+			a = &wire.Answer{Nonce: p.Nonce, End: 3, Leader: n.randomMember(func(m *wire.Member) bool { return m.Region == p.Region })}
 		case p.VoterAdd == "" && p.VoterRemove == "":
 			a = &wire.Answer{Nonce: p.Nonce, End: 2, Reason: "only who votes is a region's own to change"}
-		case !n.own.votes():
+		case !n.local.hasVote():
 			a = &wire.Answer{Nonce: p.Nonce, End: 3, Leader: n.Holder.leader}
 		default:
-			a = n.own.voter.proposed(now, p)
+			a = n.local.voter.handleProposal(now, p)
 		}
-	} else if n.global.votes() {
-		a = n.global.voter.proposed(now, p)
-	} else if a = (&wire.Answer{Nonce: p.Nonce, End: 3, Leader: n.up.leader}); a.Leader == "" {
-		a.Leader = n.anyOf(func(m *wire.Member) bool { return m.Global })
+	} else if n.global.hasVote() {
+		a = n.global.voter.handleProposal(now, p)
+	} else if a = (&wire.Answer{Nonce: p.Nonce, End: 3, Leader: n.follower.leader}); a.Leader == "" {
+		a.Leader = n.randomMember(func(m *wire.Member) bool { return m.Global })
 	}
 	n.collect(now)
 	return a
 }
 
 // anyOf is one of the roster's that are such, by chance; empty: there is none.
-func (n *Node) anyOf(such func(*wire.Member) bool) string {
+func (n *Node) randomMember(such func(*wire.Member) bool) string {
 	var names []string
 	for _, m := range n.members {
 		if such(m) {
@@ -154,68 +154,68 @@
 
 // SavedGlobal says that Output.Global.Save is on disk.
 func (n *Node) SavedGlobal(now int64) error {
-	snapshot, err := n.global.saved(now)
+	snapshot, err := n.global.handleSaved(now)
 	if err != nil {
 		return err
 	}
 	if snapshot != nil {
-		n.out.Global.Snapshot, n.out.Global.SnapshotOf = snapshot, n.global.voter.id
+		n.output.Global.Snapshot, n.output.Global.SnapshotOf = snapshot, n.global.voter.id
 	}
 	n.collect(now)
 	return nil
 }
 
 // Region is how a gatherer's region stands with the others.
-type Region struct {
-	Name   string
-	Number uint64 // in force here
-	Newest uint64 // the newest version that was heard of; what was decided beyond the cut is not known
-	Apart  int64  // for how long at least the region has gone on by itself, in microseconds; 0: it does not
-	Reason string // why the newest version is not put in force here; empty: nothing is in the way
-	Asked  int64  // for how long the gatherer has had no word of its region's leader, in microseconds; -1: never
-	Until  int64  // at the region's leader: the end of the region's lease; 0: there is none, or it does not lead
-	Leader string // of the global agreement, as a voter of the region knows it
+type RegionStatus struct {
+	Name        string
+	Number      uint64 // in force here
+	Newest      uint64 // the newest version that was heard of; what was decided beyond the cut is not known
+	IsolatedFor int64  // for how long at least the region has gone on by itself, in microseconds; 0: it does not
+	Reason      string // why the newest version is not put in force here; empty: nothing is in the way
+	StatusAge   int64  // for how long the gatherer has had no word of its region's leader, in microseconds; -1: never
+	LeaseUntil  int64  // at the region's leader: the end of the region's lease; 0: there is none, or it does not lead
+	Leader      string // of the global agreement, as a voter of the region knows it
 }
 
 // Region tells how this gatherer's region stands, as its leader has told it; false: the fleet has no regions.
-func (n *Node) Region(now int64) (Region, bool) {
+func (n *Node) Region(now int64) (RegionStatus, bool) {
 	if n.global == nil {
-		return Region{}, false
+		return RegionStatus{}, false
 	}
-	r := Region{Name: n.cfg.Region, Number: n.Number(), Asked: -1, Leader: n.up.leader}
-	if n.told != 0 {
-		r.Asked = now - n.told
+	r := RegionStatus{Name: n.cfg.Region, Number: n.Number(), StatusAge: -1, Leader: n.follower.leader}
+	if n.standingAt != 0 {
+		r.StatusAge = now - n.standingAt
 	}
 	s := n.standing
-	if n.own.opened() {
-		s, r.Until, r.Asked = n.own.voter.standing(now), n.up.until, 0
+	if n.local.isActiveLeader() {
+		s, r.LeaseUntil, r.StatusAge = n.local.voter.regionStanding(now), n.follower.leaseUntil, 0
 	}
 	r.Newest, r.Reason = max(s.GetNewest(), r.Number), s.GetReason()
-	if r.Apart = s.GetApart(); r.Apart > 0 && r.Asked > 0 {
-		r.Apart += r.Asked
+	if r.IsolatedFor = s.GetApart(); r.IsolatedFor > 0 && r.StatusAge > 0 {
+		r.IsolatedFor += r.StatusAge
 	}
 	return r, true
 }
 
 // GlobalVotes tells whether this gatherer votes in the global agreement, GlobalLeads whether it leads there, as far as it knows.
-func (n *Node) GlobalVotes() bool { return n.global != nil && n.global.votes() }
+func (n *Node) HasGlobalVote() bool { return n.global != nil && n.global.hasVote() }
 
 // GlobalLeads tells whether this gatherer leads the global agreement, as far as it knows.
-func (n *Node) GlobalLeads() bool {
-	return n.global != nil && n.global.voter != nil && n.global.voter.leads
+func (n *Node) IsGlobalLeader() bool {
+	return n.global != nil && n.global.voter != nil && n.global.voter.isLeader
 }
 
 // GlobalOpen is the proposal that is open, as far as this global voter knows; 0: none, or it is no global voter.
-func (n *Node) GlobalOpen() uint64 {
+func (n *Node) GlobalOpenAttempt() uint64 {
 	if n.global == nil || n.global.voter == nil {
 		return 0
 	}
-	return n.global.voter.state.open()
+	return n.global.voter.state.openAttempt()
 }
 
 // GlobalGrants are how the regions stand with the global leader, by name; nil where this node does not lead there.
 func (n *Node) GlobalGrants() []Grant {
-	if !n.GlobalLeads() {
+	if !n.IsGlobalLeader() {
 		return nil
 	}
 	return n.global.voter.grants()
--- a/internal/cluster/rollout/regions_test.go
+++ b/internal/cluster/rollout/regions_test.go
@@ -21,12 +21,12 @@
 				members = append(members, &wire.Member{Region: r})
 			}
 		}
-		return partition(members, []string{"a", "b", "c"})
+		return partsByRoster(members, []string{"a", "b", "c"})
 	}
 	for range 1000 {
 		from, to := draw(), draw()
 		for step := 0; ; step++ {
-			next, most, there := move(from, to), uint32(0), true
+			next, most, there := moveParts(from, to), uint32(0), true
 			for i := range next {
 				most += max(next[i].Ppm, from[i].Ppm)
 				there = there && next[i].Ppm+3 >= to[i].Ppm
@@ -60,9 +60,9 @@
 		"want one to seven global voters, not 0":     {Name: "b", Region: "n", Members: members(func(m []Member) { m[0].Voter, m[2].Voter, m[3].Global = false, false, false })},
 		"a name, an identity and one to seven voter": {Name: "b", Region: "n", Members: members(func(m []Member) { m[0].Voter = false })},
 	} {
-		n, err := New(c, 1, rand.New(rand.NewPCG(1, 1)), Memory{Identity: 1})
+		n, err := New(c, 1, rand.New(rand.NewPCG(1, 1)), PersistentState{Identity: 1})
 		if want == "" {
-			if err != nil || n.global == nil || len(n.own.cfg.regions) != 2 {
+			if err != nil || n.global == nil || len(n.local.cfg.regions) != 2 {
 				t.Errorf("%v", err)
 			}
 		} else if err == nil || !strings.Contains(err.Error(), want) {
@@ -70,8 +70,8 @@
 		}
 	}
 	// A witness votes, and has nobody to ask for a lease.
-	n, err := New(Config{Name: "w", Region: "w", Members: members(func(m []Member) { m[0].Global, m[2].Global = true, true })}, 1, rand.New(rand.NewPCG(1, 1)), Memory{Identity: 1})
-	if err != nil || n.global.found == nil || n.own.found != nil || n.Holder.next() != never {
+	n, err := New(Config{Name: "w", Region: "w", Members: members(func(m []Member) { m[0].Global, m[2].Global = true, true })}, 1, rand.New(rand.NewPCG(1, 1)), PersistentState{Identity: 1})
+	if err != nil || n.global.bootstrap == nil || n.local.bootstrap != nil || n.Holder.nextRequest() != never {
 		t.Errorf("a witness: %v", err)
 	}
 }
@@ -83,11 +83,11 @@
 		{Name: "b", Address: "b", Region: "n", Voter: true},
 		{Name: "c", Address: "c", Region: "s", Voter: true, Global: true},
 	}}
-	own, _, err := cfg.whole().groups()
+	own, _, err := cfg.withDefaults().agreements()
 	if err != nil {
 		t.Fatal(err)
 	}
-	disk, err := firstDisk(own, map[string]uint64{"a": 5, "b": 6})
+	disk, err := initialDisk(own, map[string]uint64{"a": 5, "b": 6})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -98,7 +98,7 @@
 		}
 		disk.Entries = append(disk.Entries, &pb.Entry{Index: proto.Uint64(uint64(2 + i)), Term: proto.Uint64(1), Data: data})
 	}
-	anew, given, err := ForceNew(disk, NewDocument(6, []byte("w")), "a", 9)
+	anew, given, err := ForceNewFleet(disk, NewDocument(6, []byte("w")), "a", 9)
 	var s state
 	if err == nil {
 		err = proto.Unmarshal(anew.Snapshot.Data, &s.State)
@@ -111,7 +111,7 @@
 // Where only who votes in a region is its own, everything else goes to the global agreement.
 func TestProposeInARegion(t *testing.T) {
 	cfg := Config{Name: "b", Region: "n", Members: []Member{{Name: "a", Address: "a", Region: "n", Voter: true}, {Name: "b", Address: "b", Region: "n"}, {Name: "c", Address: "c", Region: "s", Voter: true, Global: true}}}
-	n, err := New(cfg, 1, rand.New(rand.NewPCG(1, 1)), Memory{Identity: 1})
+	n, err := New(cfg, 1, rand.New(rand.NewPCG(1, 1)), PersistentState{Identity: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/cluster/rollout/simulation/histories_test.go
+++ b/internal/cluster/rollout/simulation/histories_test.go
@@ -16,8 +16,8 @@
 		played[name] = fmt.Sprintf("%v %v", r, err)
 	}
 	for seed := range uint64(2) {
-		play(fmt.Sprint("one-region/seed-", seed), usual(seed))
-		play(fmt.Sprint("two-regions/seed-", seed), between(seed))
+		play(fmt.Sprint("one-region/seed-", seed), standardRun(seed))
+		play(fmt.Sprint("two-regions/seed-", seed), regionFaultRun(seed))
 	}
 	harness.CheckHistories(t, played)
 }
--- a/internal/cluster/rollout/simulation/measure_test.go
+++ b/internal/cluster/rollout/simulation/measure_test.go
@@ -27,11 +27,11 @@
 		voters, others, down int
 		most                 time.Duration // that a change takes
 	}{{5, 4, 0, 200 * time.Millisecond}, {5, 4, 1, 3 * time.Second}, {5, 4, 2, 3 * time.Second}, {5, 295, 0, 300 * time.Millisecond}} {
-		r, err := Run(Config{Seed: 1, Voters: c.voters, Others: c.others, Down: c.down, Calm: 30 * second, Length: 36 * second, Every: 3 * second, Admit: 20 * ms, From: 6 * second})
-		if err != nil || c.down == 0 && r.Bad() {
-			t.Errorf("%v %s", err, r.First)
+		r, err := Run(Config{Seed: 1, Voters: c.voters, Others: c.others, Down: c.down, FaultsEnd: 30 * second, Length: 36 * second, ProposeInterval: 3 * second, QueryInterval: 20 * ms, StartAt: 6 * second})
+		if err != nil || c.down == 0 && r.HasViolations() {
+			t.Errorf("%v %s", err, r.FirstViolation)
 		}
-		took, holds := p99(r.Took), p99(r.Holds)
+		took, holds := p99(r.ChangeTimes), p99(r.Pauses)
 		if took > c.most || r.InForce < 3 || c.down == 0 && holds > 20*time.Millisecond {
 			t.Errorf("%d of %d down: a change takes %s (p99), and holds queries for %s", c.down, c.voters+c.others, took, holds)
 		}
@@ -55,14 +55,14 @@
 		return out.(uint64) == now, now
 	}}
 	for seed := range uint64(20) {
-		cfg := usual(seed)
+		cfg := standardRun(seed)
 		cfg.History = true
 		r, err := Run(cfg)
 		if err != nil {
 			t.Fatal(err)
 		}
 		var ops []porcupine.Operation
-		for i, o := range r.Ops {
+		for i, o := range r.Operations {
 			ops = append(ops, porcupine.Operation{ClientId: i % 1000, Input: input{o.Write, o.Number - 1, o.Number}, Call: o.Call, Return: o.Return, Output: map[bool]any{true: true, false: o.Number}[o.Write]})
 		}
 		if got := porcupine.CheckOperationsTimeout(register, ops, 20*time.Second); got != porcupine.Ok {
@@ -73,7 +73,7 @@
 
 // What the rollout adds to a query while nothing changes.
 func BenchmarkAdmit(b *testing.B) {
-	n, err := rollout.New(rollout.Config{Name: "a", Members: []rollout.Member{{Name: "a", Address: "a", Voter: true}}}, 1, rand.New(rand.NewPCG(1, 1)), rollout.Memory{Identity: 1})
+	n, err := rollout.New(rollout.Config{Name: "a", Members: []rollout.Member{{Name: "a", Address: "a", Voter: true}}}, 1, rand.New(rand.NewPCG(1, 1)), rollout.PersistentState{Identity: 1})
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -90,13 +90,13 @@
 		name := fmt.Sprintf("n%03d", i)
 		cfg.Members = append(cfg.Members, rollout.Member{Name: name, Address: "127.0.0.1:9450", Voter: i == 0})
 	}
-	n, err := rollout.New(cfg, 1, rand.New(rand.NewPCG(1, 1)), rollout.Memory{Identity: 1})
+	n, err := rollout.New(cfg, 1, rand.New(rand.NewPCG(1, 1)), rollout.PersistentState{Identity: 1})
 	if err != nil {
 		b.Fatal(err)
 	}
 	now, bytes := int64(1), 0
 	step := func() {
-		for o := n.Out(); o.Save != nil || len(o.Messages) > 0; o = n.Out() {
+		for o := n.TakeOutput(); o.Save != nil || len(o.Messages) > 0; o = n.TakeOutput() {
 			for _, m := range o.Messages {
 				bytes += proto.Size(m)
 			}
@@ -107,7 +107,7 @@
 			}
 		}
 	}
-	for ; !n.Leads(); now += 10_000 {
+	for ; !n.IsLeader(); now += 10_000 {
 		n.Tick(now)
 		step()
 	}
--- a/internal/cluster/rollout/simulation/proof_test.go
+++ b/internal/cluster/rollout/simulation/proof_test.go
@@ -14,20 +14,20 @@
 )
 
 // usual is a run of five voters and twenty others under faults at any step.
-func usual(seed uint64) Config {
+func standardRun(seed uint64) Config {
 	return Config{
-		Seed: seed, Voters: 5, Others: 20, Faults: 10, Calm: 12 * second, Length: 20 * second, Every: 900 * ms, Admit: 20 * ms, SayNo: true, Loss: []float64{0, 0.02, 0.3}[seed%3],
-		Compact: []uint64{0, 4, 12, 30}[seed%4], Spares: 2, Operators: []int64{0, 700 * ms, 1500 * ms}[seed%5%3], Keep: seed%7 == 0,
+		Seed: seed, Voters: 5, Others: 20, Faults: 10, FaultsEnd: 12 * second, Length: 20 * second, ProposeInterval: 900 * ms, QueryInterval: 20 * ms, RejectSome: true, Loss: []float64{0, 0.02, 0.3}[seed%3],
+		CompactAfter: []uint64{0, 4, 12, 30}[seed%4], Spares: 2, OperatorInterval: []int64{0, 700 * ms, 1500 * ms}[seed%5%3], KeepSome: seed%7 == 0,
 	}
 }
 
 // large is one of 300 gatherers.
-func large(seed uint64) Config {
-	return Config{Seed: seed, Voters: 5, Others: 295, Faults: 12, Calm: 8 * second, Length: 16 * second, Every: 1500 * ms, Admit: 50 * ms, Loss: 0.01}
+func largeRun(seed uint64) Config {
+	return Config{Seed: seed, Voters: 5, Others: 295, Faults: 12, FaultsEnd: 8 * second, Length: 16 * second, ProposeInterval: 1500 * ms, QueryInterval: 50 * ms, Loss: 0.01}
 }
 
 // play plays runs side by side, and hands each result over, one at a time.
-func play(t *testing.T, seeds int, of func(uint64) Config, take func(seed uint64, r Result)) {
+func playAll(t *testing.T, seeds int, of func(uint64) Config, take func(seed uint64, r Result)) {
 	t.Helper()
 	var mu sync.Mutex
 	var wg sync.WaitGroup
@@ -63,26 +63,26 @@
 	}
 	var sum Result
 	take := func(seed uint64, r Result) {
-		if r.Bad() {
-			t.Errorf("seed %d: mixed %d lost %d resurrected %d stuck %d unstaged %d; %s", seed, r.Mixed, r.Lost, r.Resurrected, r.Stuck, r.Unstaged, r.First)
+		if r.HasViolations() {
+			t.Errorf("seed %d: mixed %d lost %d resurrected %d stuck %d unstaged %d; %s", seed, r.Mixed, r.Lost, r.Resurrected, r.Stuck, r.ReadyNotStored, r.FirstViolation)
 		}
 		sum.Changes, sum.InForce, sum.Aborted = sum.Changes+r.Changes, sum.InForce+r.InForce, sum.Aborted+r.Aborted
 		sum.Mixed, sum.Lost, sum.Resurrected, sum.Stuck = sum.Mixed+r.Mixed, sum.Lost+r.Lost, sum.Resurrected+r.Resurrected, sum.Stuck+r.Stuck
-		sum.Voters, sum.Rosters, sum.Disks = sum.Voters+r.Voters, sum.Rosters+r.Rosters, sum.Disks+r.Disks
-		sum.Holds = append(sum.Holds, r.Holds...)
+		sum.VoterChanges, sum.RosterChanges, sum.DisksLost = sum.VoterChanges+r.VoterChanges, sum.RosterChanges+r.RosterChanges, sum.DisksLost+r.DisksLost
+		sum.Pauses = append(sum.Pauses, r.Pauses...)
 	}
-	play(t, seeds, usual, take)
-	play(t, many, large, take)
-	slices.Sort(sum.Holds)
+	playAll(t, seeds, standardRun, take)
+	playAll(t, many, largeRun, take)
+	slices.Sort(sum.Pauses)
 	p99 := int64(0)
-	if n := len(sum.Holds); n > 0 {
-		p99 = sum.Holds[n*99/100] / ms
+	if n := len(sum.Pauses); n > 0 {
+		p99 = sum.Pauses[n*99/100] / ms
 	}
-	if sum.InForce < seeds/2 || sum.Aborted == 0 || sum.Voters < seeds/4 || sum.Rosters < seeds/4 || sum.Disks < seeds/50 {
+	if sum.InForce < seeds/2 || sum.Aborted == 0 || sum.VoterChanges < seeds/4 || sum.RosterChanges < seeds/4 || sum.DisksLost < seeds/50 {
 		t.Errorf("%d changes took hold, and %d did not: the runs show nothing", sum.InForce, sum.Aborted)
 	}
 	t.Logf("proof: seeds=%d gatherers=25 changes=%d in_force=%d aborted=%d mixed=%d lost=%d resurrected=%d stuck=%d hold_p99_ms=%d (voters_changed=%d rosters_changed=%d voters_disks_lost=%d, %d seeds of 300 gatherers)", seeds+many,
-		sum.Changes, sum.InForce, sum.Aborted, sum.Mixed, sum.Lost, sum.Resurrected, sum.Stuck, p99, sum.Voters, sum.Rosters, sum.Disks, many)
+		sum.Changes, sum.InForce, sum.Aborted, sum.Mixed, sum.Lost, sum.Resurrected, sum.Stuck, p99, sum.VoterChanges, sum.RosterChanges, sum.DisksLost, many)
 }
 
 // Each seeded bug is caught by the same judges, within the seeds that the proof plays.
@@ -92,24 +92,24 @@
 		from uint64 // the rarer ones are looked for where they are known to show
 		bugs rollout.Bugs
 	}{
-		{"a new leader does not wait", 0, rollout.Bugs{NoWait: true}},
-		{"ready before it is on disk", 0, rollout.Bugs{Early: true}},
-		{"the lease is looked at on arrival", 0, rollout.Bugs{AtArrival: true}},
-		{"it serves before it asks", 0, rollout.Bugs{Unasked: true}},
+		{"a new leader does not wait", 0, rollout.Bugs{SkipLeaseWait: true}},
+		{"ready before it is on disk", 0, rollout.Bugs{ReadyBeforeStaged: true}},
+		{"the lease is looked at on arrival", 0, rollout.Bugs{LeaseAtArrival: true}},
+		{"it serves before it asks", 0, rollout.Bugs{ServeBeforeContact: true}},
 		{"votes are forgotten", 290, rollout.Bugs{ForgetVote: true}},
-		{"an abort counts after a commit", 0, rollout.Bugs{AbortAfter: true}},
-		{"it goes on by its own time-out", 0, rollout.Bugs{OwnTimeout: true}},
-		{"the lease counts from the grant", 370, rollout.Bugs{FromArrival: true}},
-		{"who keeps is waited out", 380, rollout.Bugs{WaitOutKeepers: true}},
+		{"an abort counts after a commit", 0, rollout.Bugs{AbortAfterCommit: true}},
+		{"it goes on by its own time-out", 0, rollout.Bugs{HolderTimeout: true}},
+		{"the lease counts from the grant", 370, rollout.Bugs{LeaseFromArrival: true}},
+		{"who keeps is waited out", 380, rollout.Bugs{ExpireKeepers: true}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			for seed := c.from; seed < c.from+1000; seed++ {
-				cfg := usual(seed)
+				cfg := standardRun(seed)
 				cfg.Bugs = c.bugs
-				r, err := caught(cfg)
-				if err != nil || r.Bad() {
-					t.Logf("seed %d: %v %s", seed, err, r.First)
+				r, err := runRecovering(cfg)
+				if err != nil || r.HasViolations() {
+					t.Logf("seed %d: %v %s", seed, err, r.FirstViolation)
 					return
 				}
 			}
@@ -119,7 +119,7 @@
 }
 
 // caught plays a run; that raft itself gives up over what a bug did is a catch as well.
-func caught(cfg Config) (r Result, err error) {
+func runRecovering(cfg Config) (r Result, err error) {
 	defer func() {
 		if x := recover(); x != nil {
 			err = fmt.Errorf("it gave up: %v", x)
@@ -132,57 +132,57 @@
 // knows nothing make no majority. Once operators have given it a vote of its own, changes go on.
 func TestLostDiskHasNoVote(t *testing.T) {
 	for _, bug := range []bool{false, true} {
-		cfg := Config{Seed: 5, Voters: 3, Others: 3, Calm: 16 * second, Length: 26 * second, Admit: 20 * ms, Bugs: rollout.Bugs{VoteByName: bug}}
+		cfg := Config{Seed: 5, Voters: 3, Others: 3, FaultsEnd: 16 * second, Length: 26 * second, QueryInterval: 20 * ms, Bugs: rollout.Bugs{VoteByName: bug}}
 		cfg.script = func(w *world) {
 			apart := func(of int, over int64) {
 				for i := range w.nodes {
-					w.sever(of, i, over)
-					w.sever(i, of, over)
+					w.cutLink(of, i, over)
+					w.cutLink(i, of, over)
 				}
 			}
 			change := func(at int64, base uint64, to int) {
-				w.later(at, func() {
-					w.proposed++
-					w.res.Changes++
-					w.submit(&proposal{p: &wire.Propose{Nonce: w.proposed, Base: base, Text: []byte{byte(w.proposed)}, By: "operator"}, at: w.now, to: to})
+				w.schedule(at, func() {
+					w.lastNonce++
+					w.result.Changes++
+					w.submit(&proposal{request: &wire.Propose{Nonce: w.lastNonce, Base: base, Text: []byte{byte(w.lastNonce)}, By: "operator"}, proposedAt: w.now, target: to})
 				})
 			}
-			w.later(3*second, func() { apart(2, 6*second) })
+			w.schedule(3*second, func() { apart(2, 6*second) })
 			change(3500*ms, 0, 0)
-			w.later(8900*ms, func() { w.wipe(w.nodes[1], 50*ms); apart(0, 5*second) })
+			w.schedule(8900*ms, func() { w.loseDisk(w.nodes[1], 50*ms); apart(0, 5*second) })
 			change(10*second, 0, 2) // with the bug, who knows nothing puts another version 1 in force
-			w.later(15*second, func() { w.revive(w.nodes[1]) })
+			w.schedule(15*second, func() { w.restoreVote(w.nodes[1]) })
 			change(18*second, 1, 0)
 		}
-		r, err := caught(cfg)
-		if bad := err != nil || r.Bad(); bad != bug || !bug && (r.InForce != 2 || r.Voters != 1) {
-			t.Errorf("votes go by name: %t; %v %s; %+v", bug, err, r.First, r)
+		r, err := runRecovering(cfg)
+		if bad := err != nil || r.HasViolations(); bad != bug || !bug && (r.InForce != 2 || r.VoterChanges != 1) {
+			t.Errorf("votes go by name: %t; %v %s; %+v", bug, err, r.FirstViolation, r)
 		}
 	}
 }
 
 // A leader that is cut off does not keep an operator waiting: it says that it can't tell, and the operator goes on to the others.
 func TestCutOffLeaderSendsOn(t *testing.T) {
-	cfg := Config{Seed: 9, Voters: 3, Others: 1, Calm: 9 * second, Length: 14 * second, Admit: 20 * ms}
+	cfg := Config{Seed: 9, Voters: 3, Others: 1, FaultsEnd: 9 * second, Length: 14 * second, QueryInterval: 20 * ms}
 	var answers [4]int
 	cfg.script = func(w *world) {
-		w.later(3*second, func() {
+		w.schedule(3*second, func() {
 			for _, x := range w.nodes[:3] {
-				if !x.n.Leads() {
+				if !x.core.IsLeader() {
 					continue
 				}
 				for i := range w.nodes {
-					w.sever(x.index, i, 4*second)
-					w.sever(i, x.index, 4*second)
+					w.cutLink(x.index, i, 4*second)
+					w.cutLink(i, x.index, 4*second)
 				}
-				w.later(2*second, func() {
-					answers[x.n.Propose(w.local(x), &wire.Propose{Nonce: 1, Text: []byte("a"), By: "operator"}).End]++
+				w.schedule(2*second, func() {
+					answers[x.core.Propose(w.localTime(x), &wire.Propose{Nonce: 1, Text: []byte("a"), By: "operator"}).End]++
 				})
 			}
 		})
 	}
 	r, err := Run(cfg)
-	if err != nil || r.Bad() || answers != [4]int{3: 1} {
-		t.Errorf("%v %s; answers by their end: %v", err, r.First, answers)
+	if err != nil || r.HasViolations() || answers != [4]int{3: 1} {
+		t.Errorf("%v %s; answers by their end: %v", err, r.FirstViolation, answers)
 	}
 }
--- a/internal/cluster/rollout/simulation/regions_proof_test.go
+++ b/internal/cluster/rollout/simulation/regions_proof_test.go
@@ -11,34 +11,34 @@
 )
 
 // apart is a run of 600 gatherers in two regions, 30 to 60 ms from each other, nine of them down, whose regions are cut from each other.
-func apart(seed uint64) Config {
+func partitionedRun(seed uint64) Config {
 	cfg := Config{
-		Seed: seed, Regions: 2, Voters: 10, Others: 590, Global: 5, Between: 60 * ms, Down: 9, From: 3 * second, Calm: 39 * second, Length: 44 * second, Every: 2 * second,
-		Admit: 100 * ms, Share: seed%4 == 0, Wants: busy,
+		Seed: seed, Regions: 2, Voters: 10, Others: 590, GlobalVoters: 5, RegionDelay: 60 * ms, Down: 9, StartAt: 3 * second, FaultsEnd: 39 * second, Length: 44 * second, ProposeInterval: 2 * second,
+		QueryInterval: 100 * ms, DivideBudgets: seed%4 == 0, Demand: busyDemand,
 	}
-	cfg.Cuts = []Cut{{At: 14*second + int64(seed)*137*ms%(2*second), For: 14 * second}}
+	cfg.Partitions = []Partition{{At: 14*second + int64(seed)*137*ms%(2*second), Duration: 14 * second}}
 	switch seed % 6 {
 	case 3:
-		cfg.Cuts[0].OneWay = 1
+		cfg.Partitions[0].OneWay = 1
 	case 4:
-		cfg.Cuts[0].OneWay = 2
+		cfg.Partitions[0].OneWay = 2
 	case 5:
-		cfg.Cuts[0].Flaps = second
+		cfg.Partitions[0].FlapPeriod = second
 	}
 	return cfg
 }
 
 // busy has everybody want much of one team's budget, and some more than others.
-func busy(_ int64, node int) []quota.Demand {
+func busyDemand(_ int64, node int) []quota.Demand {
 	return []quota.Demand{{Team: "busy", Want: uint32(20_000 * (node % 5))}}
 }
 
 // between is a run of 24 gatherers in two regions under faults of all kinds at any step, and cuts between the regions.
-func between(seed uint64) Config {
+func regionFaultRun(seed uint64) Config {
 	return Config{
-		Seed: seed, Regions: 2, Voters: 10, Others: 14, Global: 5, Between: 60 * ms, Calm: 14 * second, Length: 26 * second, Every: 900 * ms, Admit: 20 * ms, Faults: 10, SayNo: true,
-		Loss: []float64{0, 0.02, 0.3}[seed%3], Compact: []uint64{0, 4, 12, 30}[seed%4], Spares: 2, Operators: []int64{0, 700 * ms, 1500 * ms}[seed%5%3], Share: seed%2 == 0, Slots: 30, Wants: busy,
-		Cuts: [][]Cut{nil, {{At: 4 * second, For: 4 * second}}, {{At: 4 * second, For: 6 * second, Flaps: second}}, {{At: 4 * second, For: 4 * second, OneWay: 1 + int(seed/4%2)}}}[seed%4],
+		Seed: seed, Regions: 2, Voters: 10, Others: 14, GlobalVoters: 5, RegionDelay: 60 * ms, FaultsEnd: 14 * second, Length: 26 * second, ProposeInterval: 900 * ms, QueryInterval: 20 * ms, Faults: 10, RejectSome: true,
+		Loss: []float64{0, 0.02, 0.3}[seed%3], CompactAfter: []uint64{0, 4, 12, 30}[seed%4], Spares: 2, OperatorInterval: []int64{0, 700 * ms, 1500 * ms}[seed%5%3], DivideBudgets: seed%2 == 0, Slots: 30, Demand: busyDemand,
+		Partitions: [][]Partition{nil, {{At: 4 * second, Duration: 4 * second}}, {{At: 4 * second, Duration: 6 * second, FlapPeriod: second}}, {{At: 4 * second, Duration: 4 * second, OneWay: 1 + int(seed/4%2)}}}[seed%4],
 	}
 }
 
@@ -68,41 +68,41 @@
 	var sum Result
 	take := func(name string, judge func(seed uint64, r Result)) func(uint64, Result) {
 		return func(seed uint64, r Result) {
-			x, s := r.Region, &sum.Region
-			if r.Bad() {
+			x, s := r.Regions, &sum.Regions
+			if r.HasViolations() {
 				t.Errorf("%s, seed %d: mixed in region %d, joined %d, two texts %d, told wrong %d, over contract %d, lost %d, resurrected %d, stuck %d, unstaged %d, unlisted %d; %s", name, seed,
-					x.MixedInRegion, x.MixedJoined, x.TwoTexts, x.ToldWrong, x.OverContract, r.Lost, r.Resurrected, r.Stuck, r.Unstaged, r.Unlisted, r.First)
+					x.MixedInRegion, x.MixedJoined, x.AmbiguousVersions, x.WrongAnswers, x.OverBudget, r.Lost, r.Resurrected, r.Stuck, r.ReadyNotStored, r.Unlisted, r.FirstViolation)
 			}
-			s.MixedInRegion, s.MixedJoined, s.TwoTexts = s.MixedInRegion+x.MixedInRegion, s.MixedJoined+x.MixedJoined, s.TwoTexts+x.TwoTexts+r.Resurrected
-			s.OverContract, s.ToldWrong, sum.Stuck = s.OverContract+x.OverContract, s.ToldWrong+x.ToldWrong, sum.Stuck+r.Stuck
+			s.MixedInRegion, s.MixedJoined, s.AmbiguousVersions = s.MixedInRegion+x.MixedInRegion, s.MixedJoined+x.MixedJoined, s.AmbiguousVersions+x.AmbiguousVersions+r.Resurrected
+			s.OverBudget, s.WrongAnswers, sum.Stuck = s.OverBudget+x.OverBudget, s.WrongAnswers+x.WrongAnswers, sum.Stuck+r.Stuck
 			sum.Changes, sum.InForce = sum.Changes+r.Changes, sum.InForce+r.InForce
-			s.Everywhere, s.Partly, s.Behind = s.Everywhere+x.Everywhere, s.Partly+x.Partly, s.Behind+x.Behind
+			s.InForceEverywhere, s.InForcePartly, s.ReportedIsolated = s.InForceEverywhere+x.InForceEverywhere, s.InForcePartly+x.InForcePartly, s.ReportedIsolated+x.ReportedIsolated
 			judge(seed, r)
 		}
 	}
-	play(t, many, apart, take("600 cut", func(seed uint64, r Result) {
-		x := r.Region
-		now := x.Served[1] / x.Served[0]
-		if served = min(served, now); now < 0.99 || x.Everywhere == 0 || x.Behind == 0 || x.Partly == 0 && seed%6 != 5 {
-			t.Errorf("seed %d: of what was let in before %.4f was while they were apart; %d changes everywhere, %d in some, told behind %d times", seed, now, x.Everywhere, x.Partly, x.Behind)
+	playAll(t, many, partitionedRun, take("600 cut", func(seed uint64, r Result) {
+		x := r.Regions
+		now := x.ServedLeast[1] / x.ServedLeast[0]
+		if served = min(served, now); now < 0.99 || x.InForceEverywhere == 0 || x.ReportedIsolated == 0 || x.InForcePartly == 0 && seed%6 != 5 {
+			t.Errorf("seed %d: of what was let in before %.4f was while they were apart; %d changes everywhere, %d in some, told behind %d times", seed, now, x.InForceEverywhere, x.InForcePartly, x.ReportedIsolated)
 		}
-		rejoined = append(rejoined, x.Rejoined...)
+		rejoined = append(rejoined, x.RejoinTimes...)
 	}))
-	play(t, joined, func(seed uint64) Config {
-		cfg := apart(seed)
-		cfg.Cuts = nil
+	playAll(t, joined, func(seed uint64) Config {
+		cfg := partitionedRun(seed)
+		cfg.Partitions = nil
 		return cfg
 	}, take("600 joined", func(seed uint64, r Result) {
-		if r.Region.Partly > 0 {
-			t.Errorf("seed %d: %d changes in some regions only, and nothing was cut", seed, r.Region.Partly)
+		if r.Regions.InForcePartly > 0 {
+			t.Errorf("seed %d: %d changes in some regions only, and nothing was cut", seed, r.Regions.InForcePartly)
 		}
-		took, holds = append(took, r.Took...), append(holds, r.Holds...)
+		took, holds = append(took, r.ChangeTimes...), append(holds, r.Pauses...)
 	}))
-	play(t, small+len(found), func(seed uint64) Config {
+	playAll(t, small+len(found), func(seed uint64) Config {
 		if seed >= uint64(small) {
 			seed = found[seed-uint64(small)]
 		}
-		return between(seed)
+		return regionFaultRun(seed)
 	}, take("24 with faults", func(uint64, Result) {}))
 	if most := slices.Max(append(rejoined, 0)); most > 7*second {
 		t.Errorf("after a cut it took %d ms until all were under one version", most/ms)
@@ -110,22 +110,22 @@
 	if p99(took) > 7000 {
 		t.Errorf("joined, a change takes %d ms", p99(took))
 	}
-	if sum.Region.Everywhere < small/4 || sum.Region.Partly < small/8 {
-		t.Errorf("%d changes took hold everywhere and %d in some regions: the runs show nothing", sum.Region.Everywhere, sum.Region.Partly)
+	if sum.Regions.InForceEverywhere < small/4 || sum.Regions.InForcePartly < small/8 {
+		t.Errorf("%d changes took hold everywhere and %d in some regions: the runs show nothing", sum.Regions.InForceEverywhere, sum.Regions.InForcePartly)
 	}
 	before, _ := Run(Config{
-		Seed: 1, Regions: 2, Unaware: true, Voters: 5, Others: 55, Between: 60 * ms, Calm: 100 * second, Length: 104 * second, Every: 2 * second, Admit: 100 * ms,
-		Cuts: []Cut{{At: 20 * second, For: 60 * second}},
+		Seed: 1, Regions: 2, IgnoreRegions: true, Voters: 5, Others: 55, RegionDelay: 60 * ms, FaultsEnd: 100 * second, Length: 104 * second, ProposeInterval: 2 * second, QueryInterval: 100 * ms,
+		Partitions: []Partition{{At: 20 * second, Duration: 60 * second}},
 	})
-	b := before.Region
-	t.Logf("baseline: today's agreement, gatherers=60 voters=5 cut_s=60 served_of_all=%.3f cut_served=%.3f in_force=%d aborted=%d", b.ServedAll[1]/b.ServedAll[0], b.Served[1]/b.Served[0], before.InForce, before.Aborted)
+	b := before.Regions
+	t.Logf("baseline: today's agreement, gatherers=60 voters=5 cut_s=60 served_of_all=%.3f cut_served=%.3f in_force=%d aborted=%d", b.ServedAll[1]/b.ServedAll[0], b.ServedLeast[1]/b.ServedLeast[0], before.InForce, before.Aborted)
 	if b.ServedAll[1] > 0.9 {
 		t.Errorf("today's agreement lets in %.3f of all queries while halves are apart", b.ServedAll[1])
 	}
-	t.Logf("changes=%d in_force=%d (everywhere=%d partly=%d) told_wrong=%d mixed_joined=%d joined: took_p99_ms=%d hold_p99_ms=%d; rejoined_most_ms=%d", sum.Changes, sum.InForce, sum.Region.Everywhere, sum.Region.Partly,
-		sum.Region.ToldWrong, sum.Region.MixedJoined, p99(took), p99(holds), slices.Max(append(rejoined, 0))/ms)
+	t.Logf("changes=%d in_force=%d (everywhere=%d partly=%d) told_wrong=%d mixed_joined=%d joined: took_p99_ms=%d hold_p99_ms=%d; rejoined_most_ms=%d", sum.Changes, sum.InForce, sum.Regions.InForceEverywhere, sum.Regions.InForcePartly,
+		sum.Regions.WrongAnswers, sum.Regions.MixedJoined, p99(took), p99(holds), slices.Max(append(rejoined, 0))/ms)
 	t.Logf("proof: seeds=%d gatherers=600/24 regions=2 cut_served=%.4f mixed_in_region=%d two_texts=%d over_contract=%d rejoined_p99_ms=%d stuck=%d", many+joined+small+len(found), served,
-		sum.Region.MixedInRegion, sum.Region.TwoTexts, sum.Region.OverContract, p99(rejoined), sum.Stuck)
+		sum.Regions.MixedInRegion, sum.Regions.AmbiguousVersions, sum.Regions.OverBudget, p99(rejoined), sum.Stuck)
 }
 
 // Both seeded bugs are caught by the same judges, within the seeds that the proof plays.
@@ -134,14 +134,14 @@
 		name string
 		from uint64 // the rarer one is looked for where it is known to show
 		bugs rollout.Bugs
-	}{{"held is told before the region's log has it", 20, rollout.Bugs{HeldUnlogged: true}}, {"everywhere is told before the regions have said so", 0, rollout.Bugs{ToldEverywhere: true}}} {
+	}{{"held is told before the region's log has it", 20, rollout.Bugs{PausedBeforeLogged: true}}, {"everywhere is told before the regions have said so", 0, rollout.Bugs{ReportedEverywhere: true}}} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			for seed := c.from; seed < c.from+1000; seed++ {
-				cfg := between(seed)
+				cfg := regionFaultRun(seed)
 				cfg.Bugs = c.bugs
-				if r, err := caught(cfg); err != nil || r.Bad() {
-					t.Logf("seed %d: %v %s", seed, err, r.First)
+				if r, err := runRecovering(cfg); err != nil || r.HasViolations() {
+					t.Logf("seed %d: %v %s", seed, err, r.FirstViolation)
 					return
 				}
 			}
--- a/internal/cluster/rollout/state.go
+++ b/internal/cluster/rollout/state.go
@@ -16,16 +16,16 @@
 	entryCommit
 	entryAbort
 	entryRoster
-	entryVoters   // a change of who votes begins
-	entryVotersBe // it ends
-	entryFollow   // of a region: a proposal of the global agreement is followed
-	entryPrepared // of a region: all hold for it
+	entryVoters    // a change of who votes begins
+	entryVotersEnd // it ends
+	entryFollow    // of a region: a proposal of the global agreement is followed
+	entryPrepared  // of a region: all hold for it
 )
 
 const (
-	mostHistory = 64      // decisions that are remembered
-	mostRoster  = 4096    // gatherers
-	mostText    = 8 << 20 // bytes of a document
+	maxHistory = 64      // decisions that are remembered
+	maxRoster  = 4096    // gatherers
+	maxText    = 8 << 20 // bytes of a document
 )
 
 // state is what the voters' log comes to: the same at all of them after the same entries. Of two words on one proposal the first counts.
@@ -40,8 +40,8 @@
 }
 
 // whole tells whether a document is what its hash says.
-func whole(d *wire.Document) bool {
-	if d == nil || len(d.Text) > mostText {
+func hashMatches(d *wire.Document) bool {
+	if d == nil || len(d.Text) > maxText {
 		return false
 	}
 	sum := sha256.Sum256(d.Text)
@@ -61,14 +61,14 @@
 		}
 		p := &wire.Proposal{Attempt: index, Document: e.Document, Base: e.Base, By: e.By, Nonce: e.Nonce, Dry: e.Dry}
 		switch {
-		case s.told(e.Nonce) != nil || s.Open != nil && s.Open.Nonce == e.Nonce:
+		case s.decision(e.Nonce) != nil || s.Open != nil && s.Open.Nonce == e.Nonce:
 			return nil // it was proposed twice: the first counts
-		case !whole(e.Document):
-			s.record(p, false, "the document is not what its hash says")
+		case !hashMatches(e.Document):
+			s.recordOutcome(p, false, "the document is not what its hash says")
 		case s.Open != nil:
-			s.record(p, false, fmt.Sprintf("a proposal of %s is open", s.Open.By))
+			s.recordOutcome(p, false, fmt.Sprintf("a proposal of %s is open", s.Open.By))
 		case e.Base != s.number():
-			s.record(p, false, fmt.Sprintf("it replaces version %d, and version %d is in force", e.Base, s.number()))
+			s.recordOutcome(p, false, fmt.Sprintf("it replaces version %d, and version %d is in force", e.Base, s.number()))
 		default:
 			p.Document.Number = s.number() + 1
 			s.Open = p
@@ -89,38 +89,38 @@
 			}
 			s.Previous, s.Current, s.CurrentAttempt = s.Current, p.Document, p.Attempt
 		}
-		s.record(p, s.Committed, e.Reason)
+		s.recordOutcome(p, s.Committed, e.Reason)
 	case entryFollow:
-		if s.Open == nil && whole(e.Document) && e.Document.Number > s.number() {
+		if s.Open == nil && hashMatches(e.Document) && e.Document.Number > s.number() {
 			s.Open = &wire.Proposal{Attempt: index, Document: e.Document, By: e.By, Global: e.Global, Decided: e.Decided}
 		}
 	case entryPrepared:
-		if s.open() == e.Attempt {
+		if s.openAttempt() == e.Attempt {
 			s.Open.Prepared = true
 		}
 	case entryRoster:
-		s.roster(index, &e)
+		s.applyRoster(index, &e)
 	case entryVoters:
-		s.beginVoters(index, &e)
-	case entryVotersBe:
-		s.endVoters(index, &e)
+		s.beginVoterChange(index, &e)
+	case entryVotersEnd:
+		s.endVoterChange(index, &e)
 	}
 	return nil
 }
 
-func (s *state) record(p *wire.Proposal, committed bool, reason string) {
+func (s *state) recordOutcome(p *wire.Proposal, committed bool, reason string) {
 	s.remember(&wire.Decision{Attempt: p.Attempt, Number: p.Document.GetNumber(), Nonce: p.Nonce, Committed: committed, Reason: reason, By: p.By, Hash: p.Document.GetHash()})
 }
 
 func (s *state) remember(d *wire.Decision) {
 	s.History = append(s.History, d)
-	if len(s.History) > mostHistory {
-		s.History = slices.Delete(s.History, 0, len(s.History)-mostHistory)
+	if len(s.History) > maxHistory {
+		s.History = slices.Delete(s.History, 0, len(s.History)-maxHistory)
 	}
 }
 
 // told is how a proposal was decided; nil where it was not, or is forgotten.
-func (s *state) told(nonce uint64) *wire.Decision {
+func (s *state) decision(nonce uint64) *wire.Decision {
 	for _, d := range s.History {
 		if d.Nonce == nonce {
 			return d
@@ -131,4 +131,4 @@
 
 func (s *state) number() uint64 { return s.Current.GetNumber() }
 
-func (s *state) open() uint64 { return s.Open.GetAttempt() }
+func (s *state) openAttempt() uint64 { return s.Open.GetAttempt() }
--- a/internal/cluster/rollout/voters.go
+++ b/internal/cluster/rollout/voters.go
@@ -11,13 +11,13 @@
 
 // proposedVoters takes an operator's change of who votes. It begins with a learner, which has no vote before it has the whole log; then
 // the old and the new voters agree jointly, so that no majority of either can be alone. One change at a time.
-func (v *voter) proposedVoters(now int64, p *wire.Propose, a *wire.Answer) *wire.Answer {
+func (v *voter) proposeVoterChange(now int64, p *wire.Propose, a *wire.Answer) *wire.Answer {
 	if c := v.state.Change; c != nil && c.Nonce == p.Nonce {
 		return a // under way
 	}
 	c := &wire.VoterChange{Nonce: p.Nonce, By: p.By, Remove: p.VoterRemove}
-	if a.Reason = v.unfitVoters(now, p, c); a.Reason != "" {
-		if a.End = 2; now-v.since < v.cfg.Lease {
+	if a.Reason = v.checkVoterChange(now, p, c); a.Reason != "" {
+		if a.End = 2; now-v.leaderSince < v.cfg.Lease {
 			a.End, a.Reason = 0, "" // a new leader has not heard of everybody yet
 		}
 		return a
@@ -30,21 +30,21 @@
 	e := &wire.Entry{Kind: entryVoters, Voters: c}
 	change := &pb.ConfChangeSingle{Type: pb.ConfChangeType_ConfChangeAddLearnerNode.Enum()}
 	if c.Add != nil {
-		c.Add.Id = firstID + last + 1 // nobody had it before: entries of that index in other terms are never agreed on beside it
+		c.Add.Id = addedVoterBase + last + 1 // nobody had it before: entries of that index in other terms are never agreed on beside it
 		change.NodeId = proto.Uint64(c.Add.Id)
 	} else {
-		e.Kind, e.Made = entryVotersBe, true
+		e.Kind, e.Made = entryVotersEnd, true
 		change.Type, change.NodeId = pb.ConfChangeType_ConfChangeRemoveNode.Enum(), proto.Uint64(c.RemoveId)
 	}
-	if err := v.reconfigure(e, change); err != nil {
+	if err := v.proposeConfChange(e, change); err != nil {
 		a.End, a.Reason = 3, err.Error()
 	}
 	return a
 }
 
 // unfitVoters is why a change of who votes can't be made; empty: it can, and c is filled in.
-func (v *voter) unfitVoters(now int64, p *wire.Propose, c *wire.VoterChange) string {
-	voters := votersOf(v.state.Members)
+func (v *voter) checkVoterChange(now int64, p *wire.Propose, c *wire.VoterChange) string {
+	voters := voterNames(v.state.Members)
 	switch {
 	case v.state.Change != nil:
 		return "a change of voters by " + v.state.Change.By + " is under way"
@@ -62,35 +62,35 @@
 		if len(voters) < 4 {
 			return fmt.Sprintf("of %d voters none can be taken without another in its place", len(voters))
 		}
-		return v.alone(now, 0, c.RemoveId)
+		return v.missingQuorum(now, 0, c.RemoveId)
 	}
-	m, g := v.listed(p.VoterAdd), v.lease[p.VoterAdd]
-	if v.cfg.global {
-		m, g = v.state.member(p.VoterAdd), v.known[p.VoterAdd]
+	m, g := v.leaseMember(p.VoterAdd), v.grantees[p.VoterAdd]
+	if v.cfg.isGlobal {
+		m, g = v.state.member(p.VoterAdd), v.globalPeers[p.VoterAdd]
 	}
 	switch {
 	case m == nil:
 		return p.VoterAdd + " is not on the roster"
 	case m.Id != 0 && p.VoterAdd != p.VoterRemove:
 		return p.VoterAdd + " votes already"
-	case g == nil || g.identity == 0 || g.left || now-g.seen > v.cfg.Lease:
+	case g == nil || g.identity == 0 || g.left || now-g.seenAt > v.cfg.Lease:
 		return p.VoterAdd + " was not heard of lately"
 	case m.Id != 0 && g.identity == m.Identity:
 		return p.VoterAdd + " has the disk that it votes by: there is nothing to replace"
-	case p.VoterRemove == "" && len(voters) >= mostVoters:
+	case p.VoterRemove == "" && len(voters) >= maxVoters:
 		return fmt.Sprintf("there are %d voters already", len(voters))
 	}
 	c.Add = &wire.Member{Name: m.Name, Address: m.Address, Identity: g.identity, Region: m.Region, Global: m.Global}
-	return v.alone(now, 0, 0)
+	return v.missingQuorum(now, 0, 0)
 }
 
 // alone is why those who would vote could not agree: too few of them were heard lately. With one added, and one taken; 0: none.
-func (v *voter) alone(now int64, added, taken uint64) string {
+func (v *voter) missingQuorum(now int64, added, taken uint64) string {
 	all, up := 0, 0
 	var silent []string
 	count := func(id uint64, name string) {
 		all++
-		if id == v.id || v.words[id] > 0 && now-v.words[id] < v.cfg.Elect {
+		if id == v.id || v.heardFrom[id] > 0 && now-v.heardFrom[id] < v.cfg.ElectionTimeout {
 			up++
 		} else {
 			silent = append(silent, name)
@@ -102,7 +102,7 @@
 		}
 	}
 	if added != 0 {
-		count(added, v.state.voter(added).GetName())
+		count(added, v.state.voterByID(added).GetName())
 	}
 	if 2*up > all {
 		return ""
@@ -111,52 +111,52 @@
 }
 
 // reconfigure puts a change of raft's own voters into the log, with what it means for the state.
-func (v *voter) reconfigure(e *wire.Entry, changes ...*pb.ConfChangeSingle) error {
+func (v *voter) proposeConfChange(e *wire.Entry, changes ...*pb.ConfChangeSingle) error {
 	b, err := proto.Marshal(e)
 	if err != nil {
 		return err
 	}
-	return v.node.ProposeConfChange(&pb.ConfChangeV2{Changes: changes, Context: b})
+	return v.raftNode.ProposeConfChange(&pb.ConfChangeV2{Changes: changes, Context: b})
 }
 
 // driveVoters ends the change of voters that is under way: made, once the learner has the log; given up, where it does not get there.
-func (v *voter) driveVoters(now int64) {
+func (v *voter) advanceVoterChange(now int64) {
 	c := v.state.Change
-	if v.changing != c.Index {
-		v.changing, v.since2, v.tried = c.Index, now, 0
+	if v.changeIndex != c.Index {
+		v.changeIndex, v.changeSince, v.changeTriedAt = c.Index, now, 0
 	}
-	if v.tried != 0 && now-v.tried < v.cfg.Elect {
+	if v.changeTriedAt != 0 && now-v.changeTriedAt < v.cfg.ElectionTimeout {
 		return
 	}
-	e := &wire.Entry{Kind: entryVotersBe, Voters: c}
-	progress := v.node.Status().Progress[c.Add.Id]
-	switch why := v.alone(now, c.Add.Id, c.RemoveId); {
+	e := &wire.Entry{Kind: entryVotersEnd, Voters: c}
+	progress := v.raftNode.Status().Progress[c.Add.Id]
+	switch why := v.missingQuorum(now, c.Add.Id, c.RemoveId); {
 	case progress.Match >= c.Index && why == "":
-		v.tried, e.Made = now, true
+		v.changeTriedAt, e.Made = now, true
 		changes := []*pb.ConfChangeSingle{{Type: pb.ConfChangeType_ConfChangeAddNode.Enum(), NodeId: proto.Uint64(c.Add.Id)}}
 		if c.RemoveId != 0 {
 			changes = append(changes, &pb.ConfChangeSingle{Type: pb.ConfChangeType_ConfChangeRemoveNode.Enum(), NodeId: proto.Uint64(c.RemoveId)})
 		}
-		v.reconfigure(e, changes...) // where it is lost it is tried again
-	case now-v.since2 > 5*v.cfg.Lease:
+		v.proposeConfChange(e, changes...) // where it is lost it is tried again
+	case now-v.changeSince > 5*v.cfg.Lease:
 		if e.Reason = why; why == "" {
 			e.Reason = c.Add.Name + " did not take the log over in time"
 		}
-		v.tried = now
-		v.reconfigure(e, &pb.ConfChangeSingle{Type: pb.ConfChangeType_ConfChangeRemoveNode.Enum(), NodeId: proto.Uint64(c.Add.Id)})
+		v.changeTriedAt = now
+		v.proposeConfChange(e, &pb.ConfChangeSingle{Type: pb.ConfChangeType_ConfChangeRemoveNode.Enum(), NodeId: proto.Uint64(c.Add.Id)})
 	}
 }
 
 // reshape applies an agreed change of raft's voters, and takes what it means into the state.
-func (v *voter) reshape(entry *pb.Entry) error {
+func (v *voter) applyConfChange(entry *pb.Entry) error {
 	cc := &pb.ConfChangeV2{}
 	if err := proto.Unmarshal(entry.Data, cc); err != nil {
 		return fmt.Errorf("rollout: entry %d: %w", entry.GetIndex(), err)
 	}
-	v.conf = v.node.ApplyConfChange(cc)
+	v.confState = v.raftNode.ApplyConfChange(cc)
 	if len(cc.Context) == 0 {
 		return nil // raft's own: the old voters are let go
 	}
-	v.told = false
+	v.announced = false
 	return v.state.apply(entry.GetIndex(), cc.Context)
 }
--- a/internal/scale/disk.go
+++ b/internal/scale/disk.go
@@ -27,10 +27,10 @@
 }
 
 // memory is what the next life begins with.
-func (d *disk) memory() rollout.Memory {
+func (d *disk) memory() rollout.PersistentState {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	m := rollout.Memory{Identity: d.identity}
+	m := rollout.PersistentState{Identity: d.identity}
 	if d.roster != nil {
 		var s wire.State
 		if proto.Unmarshal(d.roster, &s) == nil {
--- a/internal/scale/events/candidates_test.go
+++ b/internal/scale/events/candidates_test.go
@@ -18,9 +18,9 @@
 	for _, keep := range []bool{false, true} {
 		for seed := range uint64(3) {
 			run := func(cut bool, length int64) rm.Result {
-				c := rm.Config{Seed: seed, Voters: 5, Others: 55, Calm: 75 * second, Length: length, Every: 2 * second, Admit: 20_000, From: 2 * second, Keep: keep}
+				c := rm.Config{Seed: seed, Voters: 5, Others: 55, FaultsEnd: 75 * second, Length: length, ProposeInterval: 2 * second, QueryInterval: 20_000, StartAt: 2 * second, KeepSome: keep}
 				for i := 3; cut && i < 33; i++ {
-					c.At = append(c.At, rm.At{At: 10 * second, For: 60 * second, Do: "cut", Node: i})
+					c.Events = append(c.Events, rm.Event{At: 10 * second, Duration: 60 * second, Action: "cut", Node: i})
 				}
 				r, err := rm.Run(c)
 				if err != nil {
@@ -29,9 +29,9 @@
 				return r
 			}
 			before, during, calm := run(true, 10*second), run(true, 70*second), run(false, 70*second)
-			let, refused := during.Let-before.Let, during.Refused-before.Refused
+			let, refused := during.Admitted-before.Admitted, during.Refused-before.Refused
 			t.Logf("keep=%t seed=%d: of %d looks while they are apart %.1f%% are refused or held; changes in force before the cut %d, within its 60 s %d; without a cut %d; reasons %v", keep, seed, let+refused,
-				100*float64(refused)/float64(let+refused), before.InForce, during.InForce-before.InForce, calm.InForce-before.InForce, during.Reasons)
+				100*float64(refused)/float64(let+refused), before.InForce, during.InForce-before.InForce, calm.InForce-before.InForce, during.AbortReasons)
 		}
 	}
 }
@@ -95,12 +95,12 @@
 	for _, n := range sizes {
 		for _, down := range []int{0, 1, 9} {
 			all = append(all, func() {
-				r, err := rm.Run(rm.Config{Seed: 1, Voters: 5, Others: n - 5, Down: down, Calm: 66 * second, Length: 70 * second, Every: 3 * second, Admit: 100_000, From: 6 * second})
+				r, err := rm.Run(rm.Config{Seed: 1, Voters: 5, Others: n - 5, Down: down, FaultsEnd: 66 * second, Length: 70 * second, ProposeInterval: 3 * second, QueryInterval: 100_000, StartAt: 6 * second})
 				if err != nil {
 					t.Error(err)
 				}
 				t.Logf("gatherers=%d down=%d: changes=%d in_force=%d took_p50_ms=%d p99_ms=%d max_ms=%d hold_p50_ms=%d p99_ms=%d messages_a_gatherer_s=%.1f mixed=%d lost=%d", n, down, r.Changes, r.InForce,
-					milli(r.Took, 0.5), milli(r.Took, 0.99), milli(r.Took, 1), milli(r.Holds, 0.5), milli(r.Holds, 0.99), float64(r.Messages)/float64(n)/70, r.Mixed, r.Lost)
+					milli(r.ChangeTimes, 0.5), milli(r.ChangeTimes, 0.99), milli(r.ChangeTimes, 1), milli(r.Pauses, 0.5), milli(r.Pauses, 0.99), float64(r.Messages)/float64(n)/70, r.Mixed, r.Lost)
 			})
 		}
 	}
--- a/internal/scale/events/events.go
+++ b/internal/scale/events/events.go
@@ -194,7 +194,7 @@
 func (w *world) start(x *node) {
 	x.life++
 	cfg := w.Core
-	cfg.Name, cfg.Share, cfg.Slots = x.name, w.Teams > 0, uint64(w.Gatherers)
+	cfg.Name, cfg.DivideBudgets, cfg.Slots = x.name, w.Teams > 0, uint64(w.Gatherers)
 	for _, y := range w.nodes {
 		cfg.Members = append(cfg.Members, rollout.Member{Name: y.name, Address: fmt.Sprintf("10.0.%d.%d:9450", y.index>>8, y.index&255), Voter: y.voter})
 	}
@@ -218,12 +218,12 @@
 	for i := range all {
 		all[i] = quota.Demand{Team: fmt.Sprintf("team-%03d", i), Want: even * uint32(1+(x.index+i)%4) / 2}
 	}
-	x.n.Parts().SetDemand(all)
+	x.n.Quota().SetDemand(all)
 }
 
 // carry does what a gatherer wants done.
 func (w *world) carry(x *node) {
-	o, life := x.n.Out(), x.life
+	o, life := x.n.TakeOutput(), x.life
 	if s := o.Save; s != nil {
 		w.later(500+w.rng.Int64N(2000), func() {
 			if x.up && x.life == life {
@@ -244,11 +244,11 @@
 	for _, d := range o.Install {
 		x.disk.current = d
 	}
-	for _, p := range o.Judge {
+	for _, p := range o.Validate {
 		w.later(500+w.rng.Int64N(3000), func() {
 			if x.up && x.life == life {
 				x.disk.staged = p
-				x.n.Judged(w.now, p.Attempt, "")
+				x.n.Validated(w.now, p.Attempt, "")
 				w.carry(x)
 			}
 		})
@@ -256,12 +256,12 @@
 	for _, m := range o.Messages {
 		w.send(x, m)
 	}
-	if leads := x.n.Leads(); leads != x.leads {
+	if leads := x.n.IsLeader(); leads != x.leads {
 		if x.leads = leads; leads {
 			w.res.Leaders++
 		}
 	}
-	if next := x.n.Next(); x.wakeAt == 0 || next < x.wakeAt {
+	if next := x.n.NextTick(); x.wakeAt == 0 || next < x.wakeAt {
 		x.wakeAt, x.wakeGen = next, x.wakeGen+1
 		w.seq++
 		heap.Push(&w.todo, happening{at: max(next, w.now+1), seq: w.seq, wake: x, gen: x.wakeGen})
--- a/internal/scale/events/look.go
+++ b/internal/scale/events/look.go
@@ -25,12 +25,12 @@
 			takenFor[i]++
 		}
 		v, number, _ := x.n.Admit(w.now)
-		if count[v]++; v == rollout.Let {
+		if count[v]++; v == rollout.Admitted {
 			least, versions[number] = min(least, number), true
 		}
 	}
 	if n := float64(l.Live); n > 0 {
-		l.Let, l.Held, l.Doubt, l.Lapse = float64(count[rollout.Let])/n, float64(count[rollout.Hold])/n, float64(count[rollout.Doubt])/n, float64(count[rollout.Lapse])/n
+		l.Let, l.Held, l.Doubt, l.Lapse = float64(count[rollout.Admitted])/n, float64(count[rollout.Paused])/n, float64(count[rollout.InDoubt])/n, float64(count[rollout.NoLease])/n
 	}
 	l.Versions = len(versions)
 	most := slices.Max(takenFor)
@@ -38,7 +38,7 @@
 	w.led[(w.now-epoch)/1_000_000] = w.res.Leader
 	w.res.Looks = append(w.res.Looks, l)
 	for i := range w.res.Changes {
-		if c := &w.res.Changes[i]; c.InForce && c.All == 0 && count[rollout.Let] > 0 && count[rollout.Hold] == 0 && least >= c.number {
+		if c := &w.res.Changes[i]; c.InForce && c.All == 0 && count[rollout.Admitted] > 0 && count[rollout.Paused] == 0 && least >= c.number {
 			c.All = l.At - c.At
 		}
 	}
@@ -89,16 +89,16 @@
 	snapshot *pb.Snapshot
 }
 
-func (d *disk) memory() rollout.Memory {
-	return rollout.Memory{
-		Identity: d.identity, Met: d.met, Members: d.roster.GetMembers(), MembersIndex: d.roster.GetMembersIndex(), Current: d.current, Staged: d.staged,
-		Disk: rollout.Disk{ID: d.id, Hard: d.hard, Entries: slices.Clone(d.entries), Snapshot: d.snapshot},
+func (d *disk) memory() rollout.PersistentState {
+	return rollout.PersistentState{
+		Identity: d.identity, VoterIdentities: d.met, Members: d.roster.GetMembers(), MembersIndex: d.roster.GetMembersIndex(), Current: d.current, Staged: d.staged,
+		Disk: rollout.Disk{ID: d.id, HardState: d.hard, Entries: slices.Clone(d.entries), Snapshot: d.snapshot},
 	}
 }
 
 func (d *disk) write(s *rollout.Save) {
-	if s.Met != nil {
-		d.met = s.Met
+	if s.VoterIdentities != nil {
+		d.met = s.VoterIdentities
 		return
 	}
 	if s.ID != d.id {
@@ -113,8 +113,8 @@
 		}
 		d.entries = append(d.entries[:len(d.entries):len(d.entries)], e)
 	}
-	if s.Hard != nil {
-		d.hard = s.Hard
+	if s.HardState != nil {
+		d.hard = s.HardState
 	}
 }
 
--- a/internal/scale/hollow.go
+++ b/internal/scale/hollow.go
@@ -103,7 +103,7 @@
 func (h *hollow) start() error {
 	op := h.op.Load()
 	r, f := op.Rollout, op.Fleet
-	node := rollout.Config{Name: h.Name, Lease: r.Lease.Microseconds(), HoldFor: r.Hold.Microseconds(), Drift: r.Drift, Share: r.Share}
+	node := rollout.Config{Name: h.Name, Lease: r.Lease.Microseconds(), MaxPause: r.Hold.Microseconds(), Drift: r.Drift, DivideBudgets: r.Share}
 	for name, at := range r.Members {
 		node.Members = append(node.Members, rollout.Member{Name: name, Address: at.String(), Voter: slices.Contains(r.Voters, name)})
 	}
