--- a/internal/scheduler/proxy/doc.go
+++ b/internal/scheduler/proxy/doc.go
@@ -23,7 +23,7 @@
 //	503     items can't be read yet                    the placement is not known, or the method is not GET          readItemBody
 //	503     the item can't be read now                 the owner did not answer in time                              readItemBody
 //	502     no worker has answered the request whole   a worker may have run the request, none answered              failureStatus
-//	502     the worker's answer broke off              the error answer to a stream's request was incomplete         forwardStream
+//	502     the worker's answer broke off              the error answer to a stream's request was incomplete         copyErrorBody
 //	504     the time of the request is over            a worker may have run the request, and the deadline passed    failureStatus
 //	                                                   or the last attempt timed out
 //	504     the batch job may have been taken          a call brought no clear answer: a lost one, a refused         submitJob
@@ -39,12 +39,14 @@
 //	400     (an error)                                 the batch job is malformed                                    submitJob
 //	202     (empty)                                    the batch job is stored by a majority                         submitJob
 //
-// Package outcome says which errors prove that a request has not run. Every other status is a worker's: 500 too, where the request may not be sent to another worker. A worker's 503, 429 and 408 never reach the
-// client, since they would promise that the request has not run: with Not-Executed they count as rejections, without it as failures (502).
-// Requests that are not HTTP are answered by the HTTP server before this package sees them.
+// Package outcome says which errors prove that a request has not run. Every other status is a worker's: 500 too, where the request may not be
+// sent to another worker. A worker's 503, 429 and 408 never reach the client, since they would promise that the request has not run: with
+// Not-Executed they count as rejections, without it as failures (502). What is not HTTP is answered by the HTTP server and doesn't come here.
 //
-// A stream's status is sent with its first event. What fails later closes the connection without the end of the body, so that the client sees
-// that the stream is incomplete.
+// A stream's status is sent with the head of the worker's answer. What fails later closes the connection without the end of the body, so that
+// the client sees that the stream is incomplete.
+//
+// The readiness address answers GET /api/readyz for the platform: 503 while the process drains or knows no configuration, otherwise 200.
 //
 // # Why did this request get 503
 //
