--- a/api.go
+++ b/api.go
@@ -1,4 +1,4 @@
-// The whole interface of the module: settings, events and actions. Types only; the contract is in doc.go.
+// The interface of the module: settings, events and actions. Types only; the contract is in doc.go.
 
 package saffronquay
 
@@ -178,7 +178,7 @@
 	Report  *LoadReport
 }
 
-// ProbeEnded is the outcome of a probe, where the front node sends probes of its own.
+// ProbeEnded is the outcome of a health check, where the owner sends them. Only its Report counts.
 type ProbeEnded struct {
 	Server  ServerID
 	Outcome Outcome
--- a/dispatch.go
+++ b/dispatch.go
@@ -224,7 +224,7 @@
 	return d
 }
 
-// valuePerMissingPart is the value that one missing part of the query holds up.
+// valuePerMissingPart is the value that waits for each missing part of the query, by its work.
 func (q *query) valuePerMissingPart() float64 {
 	missing := 0
 	for _, p := range q.parts {
--- a/internal/broker/simulation/servers.go
+++ b/internal/broker/simulation/servers.go
@@ -7,6 +7,12 @@
 	sq "saffronquay"
 )
 
+// How servers account for their load.
+const (
+	busySpan       = 200 * ms // time in which the past halves its weight in server.busy
+	reportInterval = 150 * ms // between two updates of a server's report
+)
+
 // server is one simulated server. Its process number grows with each stop, so that what an earlier process ran is
 // recognized.
 type server struct {
@@ -118,9 +124,9 @@
 		}
 		j.state = jobRunning
 		s.running++
-		epoch, took := s.process, int64(j.work/s.speedAt(w.now, &w.Day))
+		process, took := s.process, int64(j.work/s.speedAt(w.now, &w.Day))
 		w.scheduleAfter(took, func() {
-			if s.process != epoch || j.state != jobRunning {
+			if s.process != process || j.state != jobRunning {
 				return
 			}
 			w.windowAt(w.now).Work += int64(j.work)
@@ -144,9 +150,9 @@
 
 // updateLoad brings up to date how busy a server has been and, at intervals, its report.
 func (w *world) updateLoad(s *server) {
-	k := math.Exp2(-float64(w.now-s.busyAt) / float64(200*ms))
+	k := math.Exp2(-float64(w.now-s.busyAt) / float64(busySpan))
 	s.busy, s.busyAt = s.busy*k+(1-k)*float64(s.running)/float64(w.Cores), w.now
-	if w.now >= s.reportedAt+150*ms {
+	if w.now >= s.reportedAt+reportInterval {
 		s.reportedAt = w.now
 		s.report = sq.LoadReport{Queue: float64(len(s.queue) - s.running), InFlight: -1, Throughput: -1, Utilization: s.busy}
 	}
--- a/internal/broker/simulation/split_test.go
+++ b/internal/broker/simulation/split_test.go
@@ -22,7 +22,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	// The lowest number of any view at a time, as the program follows it, and the same of those alive.
+	// The lowest number of any view at a time, as the program follows it, and the same of the members alive.
 	by := func(of func(views.Sample) int) func(at int64) int {
 		var f swim.Follower
 		return func(at int64) int {
@@ -31,12 +31,12 @@
 			return n
 		}
 	}
-	reckon, alive := by(func(x views.Sample) int { return x.Least }), by(func(x views.Sample) int { return x.Fewest })
+	estimate, alive := by(func(x views.Sample) int { return x.Least }), by(func(x views.Sample) int { return x.Fewest })
 	if last := r.Samples[len(r.Samples)-1]; last.Least != n || last.Fewest != n/2 {
-		t.Fatalf("at the end views reckon with %d and see %d", last.Least, last.Fewest)
+		t.Fatalf("at the end views estimate %d and see %d", last.Least, last.Fewest)
 	}
 	worst := map[string]float64{}
-	for name, divide := range map[string]func(int64) int{"file": nil, "reckon": reckon, "alive": alive} {
+	for name, divide := range map[string]func(int64) int{"file": nil, "estimate": estimate, "alive": alive} {
 		d := Join(3, n, n)
 		d.Length, d.FleetSize, d.MembershipDelay = 14*second, divide, 1*second
 		for i := range d.Events { // the list shows each before it is back
@@ -47,12 +47,12 @@
 			t.Fatal(err)
 		}
 		worst[name] = out.WorstLoad
-		if name == "reckon" && out.Overloaded > 0 || out.RunTwice > 0 {
+		if name == "estimate" && out.Overloaded > 0 || out.RunTwice > 0 {
 			t.Errorf("by %s: %d warming servers got too much, the worst %.2f of it; %d run twice", name, out.Overloaded, out.WorstLoad, out.RunTwice)
 		}
 	}
 	t.Logf("the most that a warming server got, of what it may get: %v", worst)
-	// A contract: what all gates together let in, each with more asked for than it may.
+	// A contract: what all gates together admit, each with more requests than it may admit.
 	out := func(divide int) (sum int) {
 		for range n {
 			g := admission.New(admission.Config{Cores: 240, Over: 1, Gatherers: divide, Teams: []admission.Team{{Name: "a", Weight: 1}}})
@@ -65,12 +65,12 @@
 		return sum
 	}
 	at := 29 * second
-	byReckon, byAlive := out(reckon(at)), out(alive(at))
+	byEstimate, byAlive := out(estimate(at)), out(alive(at))
 	for range 20 { // it goes down in steps
 		at += second
 		byAlive = out(alive(at))
 	}
-	if byReckon > 240 || byAlive < 400 {
-		t.Errorf("of 240 parts at a time both halves have %d by the members to reckon with, and %d by those alive", byReckon, byAlive)
+	if byEstimate > 240 || byAlive < 400 {
+		t.Errorf("of 240 parts at a time both halves have %d by the estimated members, and %d by those alive", byEstimate, byAlive)
 	}
 }
--- a/internal/broker/simulation/world.go
+++ b/internal/broker/simulation/world.go
@@ -84,7 +84,7 @@
 	return nil
 }
 
-// sumUp computes the figures of the whole day.
+// sumUp computes the results of the day from its windows and servers.
 func (w *world) sumUp() {
 	requested, inTime := 0.0, 0.0
 	for _, x := range w.result.Windows {
@@ -111,9 +111,19 @@
 		w.loadFactor = e.Load
 		w.scheduleAfter(e.Duration, func() { w.loadFactor = 1 })
 	}
+	if e.Servers != nil {
+		w.disturbServers(e)
+	}
+	if e.Gatherers != nil {
+		w.disturbGatherers(e)
+	}
+}
+
+// disturbServers stops or drains servers, restarts them after the disturbance, and has the list follow later.
+func (w *world) disturbServers(e Disturbance) {
 	var changed []sq.ServerID
 	for _, s := range w.servers {
-		if e.Servers == nil || !e.Servers(s.index) {
+		if !e.Servers(s.index) {
 			continue
 		}
 		changed = append(changed, s.id)
@@ -126,15 +136,19 @@
 		})
 	}
 	if changed != nil {
-		notice := w.MembershipDelay
+		delay := w.MembershipDelay
 		if e.Drain {
-			notice /= 6
+			delay /= 6
 		}
-		w.scheduleAfter(notice, func() { w.announce(changed) })
+		w.scheduleAfter(delay, func() { w.announce(changed) })
 		w.scheduleAfter(e.Duration+w.MembershipDelay/3, func() { w.announce(changed) })
 	}
+}
+
+// disturbGatherers kills gatherers, whose clients retry elsewhere, and restarts them after the disturbance.
+func (w *world) disturbGatherers(e Disturbance) {
 	for _, g := range w.gatherers {
-		if e.Gatherers == nil || !e.Gatherers(g.self) {
+		if !e.Gatherers(g.self) {
 			continue
 		}
 		g.up = false
@@ -142,7 +156,8 @@
 		for _, id := range sorted(g.queries) {
 			w.retry(g.queries[id], 200*ms)
 		}
-		w.scheduleAfter(e.Duration, func() { _ = w.startGatherer(g) }) // the settings were good at the first start
+		// The error is ignored: the settings were valid at the first start.
+		w.scheduleAfter(e.Duration, func() { _ = w.startGatherer(g) })
 	}
 }
 
--- a/statistics.go
+++ b/statistics.go
@@ -38,18 +38,18 @@
 }
 
 // add adds one sample; old ones decay by half every span and a little with each newer one.
-func (e *decayingMean) add(now, span int64, failed float64) {
-	k := decay(now-e.at, span) * (1 - sampleWeight/2)
-	e.sum, e.count, e.at = e.sum*k+failed, e.count*k+1, now
+func (m *decayingMean) add(now, span int64, sample float64) {
+	kept := decay(now-m.at, span) * (1 - sampleWeight/2)
+	m.sum, m.count, m.at = m.sum*kept+sample, m.count*kept+1, now
 }
 
 // mean is the mean of the samples, where the prior counts as one sample; without samples it is the prior.
-func (e *decayingMean) mean(now, span int64, prior float64) float64 {
-	if e == nil {
+func (m *decayingMean) mean(now, span int64, prior float64) float64 {
+	if m == nil {
 		return prior
 	}
-	k := decay(now-e.at, span)
-	return (e.sum*k + prior) / (e.count*k + 1)
+	kept := decay(now-m.at, span)
+	return (m.sum*kept + prior) / (m.count*kept + 1)
 }
 
 // movingAverage moves a mean towards a sample by the sample's weight. A mean of 0 has no samples yet.
@@ -108,7 +108,7 @@
 	return k
 }
 
-// countQuery counts a query, of a tenant or of none, halved every warm-up time.
+// countQuery counts a query, of a tenant or of none. Counts halve every warm-up time.
 func (s *Scheduler) countQuery(tenant string) {
 	kept := decay(s.now-s.queryCountAt, s.cfg.Rules.WarmUp)
 	for _, t := range s.tenants {
