--- a/internal/broker/admission/doc.go
+++ b/internal/broker/admission/doc.go
@@ -1,7 +1,9 @@
-// Package admission decides which team's query goes next to the module, which waits, and which is refused: weighted fair queueing
-// by predicted work over a tree of contracts, with few parts at the servers at a time, so that a loud team's queries wait here and
-// not before everybody's at the servers. It does no input or output and reads no clock.
+// Package admission decides which team's query starts next, which one is queued, and which one is rejected.
 //
-// It owns what is queued, what is out, and the accounts of each team. It must never pick a server, nor judge load at servers: that is
-// the module's word, which sees a query once it is started here. docs/CONTRACTS.md has the ways weighed.
+// It is weighted fair queueing by predicted work over a tree of contracts. Only a bounded number of parts is out at the servers at a time, so that a team that sends
+// too much fills its own queue here and not the common queues at the servers.
+//
+// A Gate owns what is queued, what is out, and the usage of each team. It never chooses a server and never judges the load of servers: that is the decision
+// module's task, which sees a query only after it has started here. The package does no input or output and reads no clock; times are microseconds that the
+// caller gives. A Gate is not safe for concurrent use. docs/CONTRACTS.md has the alternatives that were considered.
 package admission
--- a/internal/broker/config/contracts.go
+++ b/internal/broker/config/contracts.go
@@ -7,7 +7,7 @@
 // contracts reads the tree of contracts. Each tenant has one; what stands above tenants in the tree has children.
 func (o *Operator) contracts(r reader) {
 	r.require("cores", "teams")
-	c := &admission.Config{Cores: r.float("cores", 0), Gatherers: r.count("gatherers", 1), Over: r.float("over", 1.25)}
+	c := &admission.Config{Cores: r.float("cores", 0), Gatherers: r.count("gatherers", 1), Oversubscription: r.float("over", 1.25)}
 	known := map[string]bool{}
 	for _, class := range o.Settings.Module.Classes {
 		known[class.Name] = true
@@ -15,8 +15,8 @@
 	for _, t := range r.array("teams") {
 		t.require("name", "weight")
 		team := admission.Team{
-			Name: t.str("name", ""), Parent: t.str("parent", ""), Weight: t.float("weight", 0), Ceiling: t.float("ceiling", 0),
-			Keeps: t.boolean("keeps"), Classes: t.strs("classes"), Longest: t.integer("longest_ms", 0) * 1000, Wait: t.integer("wait_ms", 0) * 1000,
+			Name: t.str("name", ""), Parent: t.str("parent", ""), Weight: t.float("weight", 0), MaxFraction: t.float("ceiling", 0),
+			Reserved: t.boolean("keeps"), Classes: t.strs("classes"), MaxDeadline: t.integer("longest_ms", 0) * 1000, MaxWait: t.integer("wait_ms", 0) * 1000,
 		}
 		for _, class := range team.Classes {
 			if !known[class] {
--- a/internal/broker/server/gatherer.go
+++ b/internal/broker/server/gatherer.go
@@ -344,7 +344,7 @@
 func (d desk) Contracts(dst []byte) []byte {
 	for _, a := range d.engine.Accounts(mostAccounts) {
 		dst = fmt.Appendf(dst, "team %s share=%.4f queued=%d out=%d asked=%d started=%d waited=%d ahead=%d full=%d class=%d expired=%d predicted_us=%.0f took_us=%.0f lent_us=%.0f attempts=%d budget=%.2f limit=%d ratio=%.3f\n",
-			a.Team, a.Share, a.Queued, a.Out, a.Asked, a.Started, a.Waited, a.Ahead, a.Full, a.Class, a.Expired, a.Predicted, a.Took, a.Lent, a.Attempts, a.Budget, a.Limit, a.Ratio)
+			a.Team, a.Fraction, a.Queued, a.Out, a.Requested, a.Started, a.Queued, a.RejectedBacklog, a.RejectedQueueFull, a.RejectedClass, a.Expired, a.Predicted, a.Consumed, a.Borrowed, a.Attempts, a.Budget, a.Limit, a.Ratio)
 	}
 	return dst
 }
--- a/internal/broker/server/parts.go
+++ b/internal/broker/server/parts.go
@@ -102,14 +102,14 @@
 		return c
 	}
 	d := *c
-	d.Part = p.of(uint64(c.Gatherers))
+	d.Quota = p.of(uint64(c.Gatherers))
 	return &d
 }
 
 // ofAll is this gatherer's part of everything: what its teams' parts come to together. O(named teams), but for new contracts.
 func (p *parts) ofAll(c *admission.Config) float64 {
 	if p.sharesOf != c {
-		p.shares, p.sharesOf = c.Shares(), c
+		p.shares, p.sharesOf = c.TeamFractions(), c
 	}
 	named, others := p.named, float64(p.others)/quota.PPM
 	if uint64(c.Gatherers) != p.slots {
@@ -157,12 +157,12 @@
 
 // demands is what this gatherer could use of each team's budget: what it has out, and more where somebody waits or was turned away. It
 // costs O(teams that have asked).
-func (p *parts) demands(all []admission.Account, slots uint64) []quota.Demand {
+func (p *parts) demands(all []admission.TeamStatus, slots uint64) []quota.Demand {
 	var out []quota.Demand
 	part := p.of(slots)
 	refused := map[string]int64{}
 	for _, a := range all {
-		turned := a.Ahead + a.Full + a.Expired
+		turned := a.RejectedBacklog + a.RejectedQueueFull + a.Expired
 		refused[a.Team] = turned
 		if a.Budget <= 0 || a.Queued == 0 && a.Out == 0 && turned == p.refused[a.Team] {
 			continue
--- a/internal/broker/server/parts_test.go
+++ b/internal/broker/server/parts_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-var tree = &admission.Config{Cores: 10, Gatherers: 4, Over: 1, Teams: []admission.Team{
+var tree = &admission.Config{Cores: 10, Gatherers: 4, Oversubscription: 1, Teams: []admission.Team{
 	{Name: "north", Weight: 3},
 	{Name: "a", Parent: "north", Weight: 1},
 	{Name: "b", Parent: "north", Weight: 2},
@@ -92,7 +92,7 @@
 func TestDemands(t *testing.T) {
 	p := newParts(4, quota.PPM)
 	p.others = quota.EvenQuota(4)
-	got := p.demands([]admission.Account{{Team: "idle", Budget: 10}, {Team: "works", Budget: 10, Out: 2}, {Team: "waits", Budget: 10, Out: 2, Queued: 3}}, 4)
+	got := p.demands([]admission.TeamStatus{{Team: "idle", Budget: 10}, {Team: "works", Budget: 10, Out: 2}, {Team: "waits", Budget: 10, Out: 2, Queued: 3}}, 4)
 	if len(got) != 2 || got[0] != (quota.Demand{Team: "works", Want: 200_000, Used: 200_000}) || got[1].Want != 500_000 || math.Abs(float64(got[1].Used)-200_000) > 1 {
 		t.Errorf("%+v", got)
 	}
--- a/internal/broker/simulation/split_test.go
+++ b/internal/broker/simulation/split_test.go
@@ -55,11 +55,11 @@
 	// A contract: what all gates together let in, each with more asked for than it may.
 	out := func(divide int) (sum int) {
 		for range n {
-			g := admission.New(admission.Config{Cores: 240, Over: 1, Gatherers: divide, Teams: []admission.Team{{Name: "a", Weight: 1}}})
+			g := admission.New(admission.Config{Cores: 240, Oversubscription: 1, Gatherers: divide, Teams: []admission.Team{{Name: "a", Weight: 1}}})
 			for id := range int64(1000) {
-				g.Arrive(1, admission.Ask{ID: id, Team: "a", Parts: 1, Work: 1000, Deadline: second})
+				g.Arrive(1, admission.Request{ID: id, Team: "a", Parts: 1, Work: 1000, Deadline: second})
 			}
-			parts, _ := g.Out()
+			parts, _ := g.PartsOut()
 			sum += parts
 		}
 		return sum
--- a/internal/broker/transport/engine.go
+++ b/internal/broker/transport/engine.go
@@ -128,7 +128,7 @@
 			at = min(at, next)
 		}
 		if e.gate != nil {
-			if next, ok := e.gate.Next(); ok {
+			if next, ok := e.gate.NextExpiry(); ok {
 				at = min(at, next)
 			}
 		}
--- a/internal/broker/transport/gate.go
+++ b/internal/broker/transport/gate.go
@@ -38,12 +38,12 @@
 }
 
 // Accounts lists how teams stand, the busiest first; they are put in order on the caller's goroutine.
-func (e *Engine) Accounts(most int) (out []admission.Account) {
-	got := make(chan []admission.Account, 1)
+func (e *Engine) Accounts(most int) (out []admission.TeamStatus) {
+	got := make(chan []admission.TeamStatus, 1)
 	e.post(func(int64) {
-		var all []admission.Account
+		var all []admission.TeamStatus
 		if e.gate != nil {
-			all = e.gate.Accounts()
+			all = e.gate.TeamStatuses()
 		}
 		got <- all
 	})
@@ -51,7 +51,7 @@
 	case out = <-got:
 	case <-e.stopped:
 	}
-	return admission.Busiest(out, most)
+	return admission.TopTeams(out, most)
 }
 
 // arrive asks the gate first, where there is one; the module hears of a query once it is let in.
@@ -63,7 +63,7 @@
 		e.admit(now, a, t)
 		return
 	}
-	if longest := e.gate.Longest(a.Tenant); longest > 0 {
+	if longest := e.gate.MaxDeadline(a.Tenant); longest > 0 {
 		a.Deadline = min(a.Deadline, now+longest)
 	}
 	work := int64(0)
@@ -72,14 +72,14 @@
 	}
 	e.gateID++
 	t.gate = e.gateID
-	v, after := e.gate.Arrive(now, admission.Ask{ID: t.gate, Team: a.Tenant, Class: a.Class, Parts: len(a.Parts), Work: float64(work), Deadline: a.Deadline})
+	v, after := e.gate.Arrive(now, admission.Request{ID: t.gate, Team: a.Tenant, Class: a.Class, Parts: len(a.Parts), Work: float64(work), Deadline: a.Deadline})
 	switch v {
-	case admission.Start:
+	case admission.Admitted:
 		e.admit(now, a, t)
-	case admission.Wait:
+	case admission.Queued:
 		e.held[t.gate] = &held{a, t}
 		e.flow(now)
-	case admission.Ahead, admission.Full:
+	case admission.RejectedBacklog, admission.RejectedQueueFull:
 		t.gate = 0
 		t.Final <- core.Final{Verdict: core.Refused, RetryAfter: e.core.Advice(after), Shards: len(a.Parts)}
 	default:
@@ -126,7 +126,7 @@
 
 // flow lets in what may go now.
 func (e *Engine) flow(now int64) {
-	for _, id := range e.gate.Started() {
+	for _, id := range e.gate.StartQueued() {
 		if h := e.held[id]; h != nil {
 			delete(e.held, id)
 			e.admit(now, h.ask, h.t)
@@ -141,7 +141,7 @@
 	if e.gate == nil {
 		return
 	}
-	ids, after := e.gate.Expired(now)
+	ids, after := e.gate.ExpireQueued(now)
 	for i, id := range ids {
 		if h := e.held[id]; h != nil {
 			delete(e.held, id)
