--- a/internal/scheduler/controlplane/retirements.go
+++ b/internal/scheduler/controlplane/retirements.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"saffronquay/internal/scheduler/directory"
+	"saffronquay/internal/scheduler/lifecycle"
 	"saffronquay/internal/scheduler/placement"
 	"saffronquay/internal/scheduler/replica"
 	"saffronquay/internal/scheduler/rpc"
@@ -68,7 +69,7 @@
 		if response.Outcome == rpc.Outcome_DONE {
 			return response
 		}
-		if !sleep(ctx, forwardBackoff) {
+		if !lifecycle.Sleep(ctx, forwardBackoff) {
 			return nil
 		}
 	}
--- a/internal/scheduler/controlplane/server.go
+++ b/internal/scheduler/controlplane/server.go
@@ -188,13 +188,3 @@
 	}
 	return net.JoinHostPort(host, fmt.Sprint(own.Port()))
 }
-
-// sleep waits. It returns false where ctx ends first.
-func sleep(ctx context.Context, d time.Duration) bool {
-	select {
-	case <-time.After(d):
-		return true
-	case <-ctx.Done():
-		return false
-	}
-}
--- a/internal/scheduler/controlplane/worker_api.go
+++ b/internal/scheduler/controlplane/worker_api.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"encoding/json"
+	"saffronquay/internal/scheduler/lifecycle"
 	"saffronquay/internal/scheduler/registry"
 	"saffronquay/internal/scheduler/rpc"
 	"strings"
@@ -102,7 +103,7 @@
 				return address, true
 			}
 		}
-		if !sleep(ctx, forwardBackoff) {
+		if !lifecycle.Sleep(ctx, forwardBackoff) {
 			return "", false
 		}
 	}
--- a/internal/scheduler/lifecycle/tasks.go
+++ b/internal/scheduler/lifecycle/tasks.go
@@ -1,5 +1,5 @@
 // Package lifecycle owns the goroutines of a role: it starts them, logs servers that end by an error, and waits for all of them when the
-// role stops, for a bounded time. It knows nothing of what they do.
+// role stops, for a bounded time. It must not know what they do.
 package lifecycle
 
 import (
@@ -45,3 +45,13 @@
 		return false
 	}
 }
+
+// Sleep waits. It returns false where ctx ends first.
+func Sleep(ctx context.Context, d time.Duration) bool {
+	select {
+	case <-time.After(d):
+		return true
+	case <-ctx.Done():
+		return false
+	}
+}
--- a/internal/scheduler/lifecycle/tasks_test.go
+++ b/internal/scheduler/lifecycle/tasks_test.go
@@ -57,3 +57,11 @@
 		})
 	}
 }
+
+func TestSleepEndsWithTheContext(t *testing.T) {
+	is := is.New(t)
+	ctx, cancel := context.WithCancel(context.Background())
+	is.True(Sleep(ctx, time.Millisecond))
+	cancel()
+	is.True(!Sleep(ctx, time.Hour))
+}
--- a/internal/scheduler/weights/dispatcher.go
+++ b/internal/scheduler/weights/dispatcher.go
@@ -4,6 +4,7 @@
 	"context"
 	"log/slog"
 	"maps"
+	"saffronquay/internal/scheduler/lifecycle"
 	"saffronquay/internal/scheduler/metrics"
 	"saffronquay/internal/scheduler/rpc"
 	"strconv"
@@ -147,13 +148,13 @@
 	switch {
 	case err != nil:
 		log.Warn("order not answered", "error", err)
-		sleep(ctx, retryDelay) // the worker may load all the same
+		lifecycle.Sleep(ctx, retryDelay) // the worker may load all the same
 	case status == fasthttp.StatusOK:
 		d.recordVersion(ctx, order)
 		return
 	case status != fasthttp.StatusAccepted && status != fasthttp.StatusConflict:
 		log.Warn("order rejected", "status", status)
-		sleep(ctx, retryDelay)
+		lifecycle.Sleep(ctx, retryDelay)
 		return
 	}
 	d.awaitLoad(ctx, order, sentAt)
@@ -162,7 +163,7 @@
 // awaitLoad queries a worker until it has the ordered version, and records that. Where it gives up, a later turn orders again.
 func (d *Dispatcher) awaitLoad(ctx context.Context, order Order, sentAt time.Time) {
 	usual := d.loadTimes[order.Mode]
-	sleep(ctx, usual.estimate())
+	lifecycle.Sleep(ctx, usual.estimate())
 	for queries := 1; time.Since(sentAt) < maxOrderTime; queries++ {
 		report, err := d.client.report(order.Instance, order.Model)
 		if err == nil && report.version >= order.Version {
@@ -173,7 +174,7 @@
 		if err == nil && !report.busy && time.Since(sentAt) > idleLimit || err != nil && time.Since(sentAt) > unreachableLimit {
 			return
 		}
-		if !sleep(ctx, queryInterval) {
+		if !lifecycle.Sleep(ctx, queryInterval) {
 			return
 		}
 	}
@@ -191,13 +192,3 @@
 		metrics.Label{Name: "mode", Value: string(order.Mode)}, metrics.Label{Name: "status", Value: strconv.Itoa(status)},
 	).Inc()
 }
-
-// sleep waits. It returns false where ctx ends first.
-func sleep(ctx context.Context, d time.Duration) bool {
-	select {
-	case <-time.After(d):
-		return true
-	case <-ctx.Done():
-		return false
-	}
-}
