--- a/internal/scheduler/agent/agent.go
+++ b/internal/scheduler/agent/agent.go
@@ -43,7 +43,7 @@
 func Run(ctx context.Context, source *settings.Source, log *slog.Logger) error {
 	s := source.Current()
 	a := &Agent{source: source, client: transport.NewClient(), feed: feed.NewTable(), published: map[string]*rpc.Member{}}
-	server, err := transport.Listen(Address(s), map[string]http.Handler{rpc.ControlPathPrefix: rpc.NewControlServer(a)})
+	server, err := transport.Listen(ctx, Address(s), map[string]http.Handler{rpc.ControlPathPrefix: rpc.NewControlServer(a)})
 	if err != nil {
 		return err
 	}
--- a/internal/scheduler/controlplane/server.go
+++ b/internal/scheduler/controlplane/server.go
@@ -92,14 +92,14 @@
 
 // serve runs the servers and loops until ctx ends or the disk fails.
 func (s *Server) serve(ctx context.Context) error {
-	peer, err := transport.Listen(s.settings.PeerAddress(), map[string]http.Handler{
+	peer, err := transport.Listen(ctx, s.settings.PeerAddress(), map[string]http.Handler{
 		rpc.ReplicationPathPrefix: rpc.NewReplicationServer(&replica.Service{Host: s.host}),
 		rpc.ControlPathPrefix:     rpc.NewControlServer(s),
 	})
 	if err != nil {
 		return err
 	}
-	listener, err := transport.ListenTCP(s.settings.Listen.ControlPlane)
+	listener, err := transport.ListenTCP(ctx, s.settings.Listen.ControlPlane)
 	if err != nil {
 		return err
 	}
--- a/internal/scheduler/metrics/metrics_test.go
+++ b/internal/scheduler/metrics/metrics_test.go
@@ -10,8 +10,10 @@
 
 func TestMetricsAreExposed(t *testing.T) {
 	is := is.New(t)
-	Counter("test_total", Label{"cause", `a "quoted" one`}).Inc()
-	Counter("test_total", Label{"cause", `a "quoted" one`}).Inc()
+	cause := Label{"cause", `a "quoted" one`}
+	t.Cleanup(func() { Unregister("test_total", cause) }) // the next run in the process begins at 0
+	Counter("test_total", cause).Inc()
+	Counter("test_total", cause).Inc()
 	e, err := ParseEndpoint("9464/metrics")
 	is.NoErr(err)
 	ctx := &fasthttp.RequestCtx{}
--- a/internal/scheduler/proxy/proxy.go
+++ b/internal/scheduler/proxy/proxy.go
@@ -66,11 +66,11 @@
 func Run(ctx context.Context, source *settings.Source, log *slog.Logger) error {
 	s := source.Current()
 	p := newProxy(s, log)
-	frontend, err := transport.ListenTCP(s.Listen.Frontend)
+	frontend, err := transport.ListenTCP(ctx, s.Listen.Frontend)
 	if err != nil {
 		return err
 	}
-	readiness, err := transport.ListenTCP(s.Listen.Readiness)
+	readiness, err := transport.ListenTCP(ctx, s.Listen.Readiness)
 	if err != nil {
 		return err
 	}
--- a/internal/scheduler/storage/server.go
+++ b/internal/scheduler/storage/server.go
@@ -84,7 +84,7 @@
 // serve runs the server and the loops until ctx ends or the disk fails.
 func (s *Server) serve(ctx context.Context) error {
 	current := s.source.Current()
-	server, err := transport.Listen(current.PeerAddress(), map[string]http.Handler{
+	server, err := transport.Listen(ctx, current.PeerAddress(), map[string]http.Handler{
 		rpc.ReplicationPathPrefix: rpc.NewReplicationServer(&replica.Service{Host: s.host}),
 		rpc.LedgerPathPrefix:      rpc.NewLedgerServer(s.service),
 	})
--- a/internal/scheduler/transport/dial.go
+++ b/internal/scheduler/transport/dial.go
@@ -44,13 +44,13 @@
 }
 
 // ListenTCP opens a listening socket over IPv4. If the address is in use, as an earlier process of the machine may still have it, it tries again
-// for up to 2 s. Any other error is returned at once.
-func ListenTCP(address string) (net.Listener, error) {
+// for up to 2 s. Any other error is returned at once. The socket outlasts ctx.
+func ListenTCP(ctx context.Context, address string) (net.Listener, error) {
 	var config net.ListenConfig
 	var err error
 	for range listenAttempts {
 		var listener net.Listener
-		if listener, err = config.Listen(context.Background(), "tcp4", address); err == nil {
+		if listener, err = config.Listen(ctx, "tcp4", address); err == nil {
 			return listener, nil
 		}
 		if !errors.Is(err, syscall.EADDRINUSE) {
--- a/internal/scheduler/transport/server.go
+++ b/internal/scheduler/transport/server.go
@@ -22,12 +22,12 @@
 
 // Listen opens a server. services has the handlers of the services by the prefixes of their paths, of which none may begin with another. Other
 // paths are answered 404. The caller has to run Serve, and Close to end it.
-func Listen(address string, services map[string]http.Handler) (*Server, error) {
+func Listen(ctx context.Context, address string, services map[string]http.Handler) (*Server, error) {
 	handlers := map[string]fasthttp.RequestHandler{}
 	for prefix, service := range services {
 		handlers[prefix] = fasthttpadaptor.NewFastHTTPHandler(service)
 	}
-	listener, err := ListenTCP(address)
+	listener, err := ListenTCP(ctx, address)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/scheduler/transport/transport_test.go
+++ b/internal/scheduler/transport/transport_test.go
@@ -36,7 +36,7 @@
 // echo starts a server that answers each call with its body, and returns its address.
 func echo(t *testing.T) string {
 	t.Helper()
-	server, err := Listen("127.0.0.1:0", map[string]http.Handler{"/echo": http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	server, err := Listen(t.Context(), "127.0.0.1:0", map[string]http.Handler{"/echo": http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
 		w.Write(body)
 	})})
