--- a/internal/scheduler/simulation/calls.go
+++ b/internal/scheduler/simulation/calls.go
@@ -10,11 +10,11 @@
 )
 
 // tryMS is how long a gatherer waits for an answer.
-const tryMS = 300
+const attemptTimeoutMS = 300
 
 // connection is kept from a gatherer to a worker. One request is under way on it at a time.
 type connection struct {
-	current func(reply reply) // nil: no call waits
+	deliver func(reply reply) // nil: no call waits
 	open    bool
 }
 
@@ -23,71 +23,71 @@
 	status  int
 	id      string // of the request that it says it answers
 	body    string
-	decline bool
+	rejected bool
 	reset   bool
 }
 
 // forwardCall begins a client's request: every other one may not be repeated.
 func (g *gatherer) forwardCall() {
-	w := g.w
+	w := g.world
 	g.calls++
-	id := fmt.Sprintf("%s/%d/%d", g.name, g.life, g.calls)
+	id := fmt.Sprintf("%s/%d/%d", g.name, g.incarnation, g.calls)
 	repeatable := g.calls%2 == 0
-	tries := forward.NewAttempts(repeatable, 3)
+	attempts := forward.NewAttempts(repeatable, 3)
 	w.report.Calls++
 	result := outcome.NotRun
-	var try func()
-	try = func() {
-		workers := g.usable()
+	var attempt func()
+	attempt = func() {
+		workers := g.usableWorkers()
 		if len(workers) == 0 {
 			return
 		}
 		to := workers[w.random.IntN(len(workers))]
-		g.send(to, id, func(r reply, v outcome.Outcome, ok bool) {
+		g.sendRequest(to, id, func(r reply, v outcome.Outcome, ok bool) {
 			if ok {
-				if r.body != answerFor(id) {
-					w.fail(WrongCaller, "call %s got %q", id, r.body)
+				if r.body != replyText(id) {
+					w.reportViolation(WrongCaller, "call %s got %q", id, r.body)
 				}
 				return
 			}
 			if v != outcome.NotRun {
 				result = outcome.MayHaveRun
 			}
-			again := tries.Record(v)
-			if w.bug(RepeatAnyCall) {
-				again = tries.Record(outcome.NotRun)
+			retry := attempts.Record(v)
+			if w.bug(RetryAnyCall) {
+				retry = attempts.Record(outcome.NotRun)
 			}
 			switch {
-			case again && g.up:
-				w.after(5, try)
+			case retry && g.up:
+				w.schedule(5, attempt)
 			case result == outcome.NotRun:
-				w.after(2000, func() {
-					if w.runs[id] > 0 {
-						w.fail(Twice, "call %s was refused as not run, and ran", id)
+				w.schedule(2000, func() {
+					if w.executions[id] > 0 {
+						w.reportViolation(Duplicated, "call %s was refused as not run, and ran", id)
 					}
 				})
 			}
 		})
 	}
-	try()
-	w.after(5000, func() {
-		if !repeatable && w.runs[id] > 1 {
-			w.fail(Twice, "call %s, which may not be repeated, ran %d times", id, w.runs[id])
+	attempt()
+	w.schedule(5000, func() {
+		if !repeatable && w.executions[id] > 1 {
+			w.reportViolation(Duplicated, "call %s, which may not be repeated, ran %d times", id, w.executions[id])
 		}
-		delete(w.runs, id)
+		delete(w.executions, id)
 	})
 }
 
-func answerFor(id string) string { return "answer for " + id }
+func replyText(id string) string { return "answer for " + id }
 
 // send sends a request over a kept connection, or a new one.
-func (g *gatherer) send(to *rpc.Instance, id string, done func(reply, outcome.Outcome, bool)) {
-	w := g.w
-	c := g.pool[to.Id]
-	if c == nil || !c.open || c.current != nil {
+func (g *gatherer) sendRequest(to *rpc.Instance, id string, done func(reply, outcome.Outcome, bool)) {
+	w := g.world
+	c := g.connections[to.Id]
+	if c == nil || !c.open || c.deliver != nil {
 		c = &connection{open: true}
-		if g.pool[to.Id] == nil || !g.pool[to.Id].open {
-			g.pool[to.Id] = c
+		if g.connections[to.Id] == nil || !g.connections[to.Id].open {
+			g.connections[to.Id] = c
 		}
 	}
 	finished := false
@@ -96,49 +96,49 @@
 			return
 		}
 		finished = true
-		c.current = nil
+		c.deliver = nil
 		if !keep {
 			c.open = false
 		}
 		done(r, v, ok)
 	}
-	c.current = func(r reply) {
+	c.deliver = func(r reply) {
 		switch {
 		case r.reset:
 			finish(r, outcome.MayHaveRun, false, false)
 		case !workerpool.IsAnswerFor(r.status, r.id, id) && !w.bug(KeepConnection):
 			finish(r, outcome.MayHaveRun, false, false) // the right answer may still come on this connection
-		case r.decline:
+		case r.rejected:
 			finish(r, outcome.NotRun, false, true)
 		default:
 			finish(r, outcome.Ran, true, true)
 		}
 	}
-	w.after(tryMS, func() { finish(reply{}, outcome.MayHaveRun, false, w.bug(KeepConnection)) })
+	w.schedule(attemptTimeoutMS, func() { finish(reply{}, outcome.MayHaveRun, false, w.bug(KeepConnection)) })
 	target := w.worker(to.Id)
 	if target == nil || !target.up {
-		w.after(w.latency(), func() { finish(reply{}, outcome.NotRun, false, false) })
+		w.schedule(w.latency(), func() { finish(reply{}, outcome.NotRun, false, false) })
 		return
 	}
-	w.after(w.latency(), func() { target.serve(c, id) })
+	w.schedule(w.latency(), func() { target.serve(c, id) })
 }
 
 // serve is what a worker does with a request, by chance.
-func (x *worker) serve(c *connection, id string) {
-	w := x.w
+func (k *worker) serve(c *connection, id string) {
+	w := k.world
 	say := func(delay int64, r reply) {
-		w.after(delay, func() {
-			if c.open && c.current != nil {
-				c.current(r)
+		w.schedule(delay, func() {
+			if c.open && c.deliver != nil {
+				c.deliver(r)
 			}
 		})
 	}
-	good := reply{status: 200, id: id, body: answerFor(id)}
-	previous := reply{status: 200, id: x.previous, body: answerFor(x.previous)}
-	run := func() { w.runs[id]++; x.previous = id }
+	good := reply{status: 200, id: id, body: replyText(id)}
+	previous := reply{status: 200, id: k.previousCall, body: replyText(k.previousCall)}
+	run := func() { w.executions[id]++; k.previousCall = id }
 	switch w.random.IntN(14) {
 	case 0:
-		say(w.latency(), reply{status: 503, id: id, decline: true})
+		say(w.latency(), reply{status: 503, id: id, rejected: true})
 	case 1:
 		say(w.latency(), reply{reset: true})
 	case 2:
@@ -148,7 +148,7 @@
 		run()
 	case 4: // an answer that comes when the caller has given up
 		run()
-		say(tryMS+w.between(1, 200), good)
+		say(attemptTimeoutMS+w.randomBetween(1, 200), good)
 	case 5: // a surplus answer, where the next one is due
 		run()
 		say(10, good)
@@ -159,6 +159,6 @@
 		say(15, good)
 	default:
 		run()
-		say(w.between(5, 60), good)
+		say(w.randomBetween(5, 60), good)
 	}
 }
--- a/internal/scheduler/simulation/control.go
+++ b/internal/scheduler/simulation/control.go
@@ -19,36 +19,36 @@
 )
 
 const (
-	settleMS     = 1200
-	submitMS     = 1500
-	passMS       = 850
-	passPauseMS  = 50
-	forgetMS     = 120_000
-	leaseMS      = 3000 // of whoever sends orders to workers
-	watchTimeout = 1100
+	leaderSettleMS     = 1200
+	submitTimeoutMS     = 1500
+	forwardTimeoutMS       = 850
+	forwardRetryMS  = 50
+	forgetWorkerMS     = 120_000
+	dispatchLeaseMS      = 3000 // of whoever sends orders to workers
+	watchTimeoutMS = 1100
 )
 
 // control keeps what this machine leads in order, as the roles' control loops do.
-func (m *machine) control() {
-	if m.kind == store {
+func (m *machine) runControlLoop() {
+	if m.kind == storageKind {
 		m.watchFeed()
-		m.tickLedgers()
+		m.expireItems()
 		return
 	}
 	placements := m.directory.Placements()
 	for _, group := range slices.Sorted(maps.Keys(placements)) {
-		if m.machineOf(group) != nil {
+		if m.stateMachineOf(group) != nil {
 			m.engine.SetWanted(placements[group])
 		}
 	}
-	for _, shard := range slices.Sorted(maps.Keys(m.desks)) {
-		for _, command := range m.desks[shard].OverdueCommands(m.ownership(shard), forgetMS) {
+	for _, shard := range slices.Sorted(maps.Keys(m.heartbeatHandlers)) {
+		for _, command := range m.heartbeatHandlers[shard].OverdueCommands(m.ownership(shard), forgetWorkerMS) {
 			m.propose(shard, replica.Marshal(command), func(replica.ProposalResult) {})
 		}
-		m.orderWorkers(shard)
+		m.dispatchOrders(shard)
 	}
-	if status := m.engine.Status(directory.Shard); status != nil && status.HasLease(m.w.now) && m.w.now-status.LeaderSince >= settleMS {
-		m.place(status)
+	if status := m.engine.Status(directory.Shard); status != nil && status.HasLease(m.world.now) && m.world.now-status.LeaderSince >= leaderSettleMS {
+		m.updatePlacements(status)
 		m.completeRetirements()
 	}
 }
@@ -58,33 +58,33 @@
 	if status == nil {
 		return registry.Ownership{}
 	}
-	return registry.Ownership{NowMS: m.w.now, Epoch: status.Epoch, HasLease: status.HasLease(m.w.now) || m.w.bug(LeaseIgnored)}
+	return registry.Ownership{NowMS: m.world.now, Epoch: status.Epoch, HasLease: status.HasLease(m.world.now) || m.world.bug(IgnoreLease)}
 }
 
 // place sees to it that each group's wanted replicas are those that the machines allow.
-func (m *machine) place(status *replica.Status) {
-	listened := m.w.now - status.LeaderSince
+func (m *machine) updatePlacements(status *replica.Status) {
+	listened := m.world.now - status.LeaderSince
 	placements := m.directory.Placements()
-	for _, group := range stewardGroups() {
+	for _, group := range controllerGroups() {
 		current := placements[group].GetReplicas()
 		if current == nil {
 			current = status.Membership.GetVoters()
 		}
-		m.placeGroup(group, current, placement.WithForgotten(m.knows(steward), current, listened), false)
+		m.updatePlacement(group, current, placement.WithForgotten(m.visibleMachines(controllerKind), current, listened), false)
 	}
-	for n := range ledgerShards {
+	for n := range jobShards {
 		group := batchjobs.ShardName(n)
 		current := placements[group].GetReplicas()
-		m.placeGroup(group, current, placement.WithForgotten(m.knows(store), current, listened), current == nil)
+		m.updatePlacement(group, current, placement.WithForgotten(m.visibleMachines(storageKind), current, listened), current == nil)
 	}
 }
 
-func (m *machine) placeGroup(group string, current []*rpc.Replica, machines []placement.Machine, founding bool) {
-	size := m.w.groupSize()
+func (m *machine) updatePlacement(group string, current []*rpc.Replica, machines []placement.Machine, founding bool) {
+	size := m.world.groupSize()
 	if founding && len(machines) < size {
 		return
 	}
-	if m.w.bug(NoRepair) {
+	if m.world.bug(NoRepair) {
 		for i := range machines {
 			for _, r := range current {
 				if r.Node == machines[i].Node {
@@ -97,7 +97,7 @@
 	if len(plan) == 0 || placement.Same(current, plan) && m.directory.Placements()[group] != nil {
 		return
 	}
-	m.w.trace("%s wants %s on %v", m.name, group, plan)
+	m.world.trace("%s wants %s on %v", m.name, group, plan)
 	command := &rpc.DirectoryCommand{Command: &rpc.DirectoryCommand_Place{Place: &rpc.Placement{Group: group, Replicas: plan, Founding: founding}}}
 	m.propose(directory.Shard, replica.Marshal(command), func(replica.ProposalResult) {})
 }
@@ -106,7 +106,7 @@
 func (m *machine) completeRetirements() {
 	retirements := m.directory.Retirements()
 	for _, node := range slices.Sorted(maps.Keys(retirements)) {
-		if retirements[node] || !m.emptied(node) {
+		if retirements[node] || !m.isEmptied(node) {
 			continue
 		}
 		command := &rpc.DirectoryCommand{Command: &rpc.DirectoryCommand_Retire{Retire: &rpc.Retirement{Node: node, Completed: true}}}
@@ -114,9 +114,9 @@
 	}
 }
 
-func (m *machine) emptied(node string) bool {
+func (m *machine) isEmptied(node string) bool {
 	placements := m.directory.Placements()
-	for n := range ledgerShards {
+	for n := range jobShards {
 		wanted := placements[batchjobs.ShardName(n)]
 		if wanted == nil {
 			continue
@@ -124,27 +124,27 @@
 		if slices.ContainsFunc(wanted.Replicas, func(r *rpc.Replica) bool { return r.Node == node }) {
 			return false
 		}
-		if !m.w.bug(EmptiedEarly) && !m.settled(wanted) {
+		if !m.world.bug(RetireEarly) && !m.isPlacementComplete(wanted) {
 			return false
 		}
 	}
 	return true
 }
 
-func (m *machine) settled(wanted *rpc.Placement) bool {
+func (m *machine) isPlacementComplete(wanted *rpc.Placement) bool {
 	return slices.ContainsFunc(wanted.Replicas, func(r *rpc.Replica) bool {
-		at := m.w.machine(r.Address)
-		if at == nil || !at.alive() || at.dark() || m.w.isCut(m.name, at.name) {
+		at := m.world.machine(r.Address)
+		if at == nil || !at.isRunning() || at.isPowerless() || m.world.isPartitioned(m.name, at.name) {
 			return false
 		}
 		s := at.engine.Status(wanted.Group)
-		return s != nil && stewardrole.MatchesPlacement(&rpc.GroupStatus{Leads: s.HasLease(m.w.now), Settled: s.MembershipCommitted, HeldByAll: s.FullyReplicated, Membership: s.Membership}, wanted)
+		return s != nil && stewardrole.MatchesPlacement(&rpc.GroupStatus{Leads: s.HasLease(m.world.now), Settled: s.MembershipCommitted, HeldByAll: s.FullyReplicated, Membership: s.Membership}, wanted)
 	})
 }
 
 // replaceConfiguration takes an operator's order and answers with a status.
 func (m *machine) replaceConfiguration(o *configurationOrder, answer func(int)) {
-	m.decide(directory.ReplaceCommand(o.base, o.version, o.patch, o.body), func(result *rpc.DirectoryResult) {
+	m.decideDirectory(directory.ReplaceCommand(o.base, o.version, o.patch, o.body), func(result *rpc.DirectoryResult) {
 		if result == nil {
 			answer(503)
 			return
@@ -154,7 +154,7 @@
 }
 
 // localRead is the mistake of answering a read without asking the leader.
-func (m *machine) localRead() *rpc.DirectoryResult {
+func (m *machine) readLocally() *rpc.DirectoryResult {
 	record, ok := m.directory.Snapshot()().(*rpc.DirectorySnapshot)
 	if !ok {
 		return nil
@@ -163,12 +163,12 @@
 }
 
 // decide has the directory decide on a command; nil where it can't.
-func (m *machine) decide(command *rpc.DirectoryCommand, done func(*rpc.DirectoryResult)) {
-	if m.w.bug(LocalReads) && command.GetRead() != nil {
-		done(m.localRead())
+func (m *machine) decideDirectory(command *rpc.DirectoryCommand, done func(*rpc.DirectoryResult)) {
+	if m.world.bug(LocalReads) && command.GetRead() != nil {
+		done(m.readLocally())
 		return
 	}
-	m.submit(directory.Shard, replica.Marshal(command), m.w.now+submitMS, func(p replica.ProposalResult) {
+	m.submit(directory.Shard, replica.Marshal(command), m.world.now+submitTimeoutMS, func(p replica.ProposalResult) {
 		result := &rpc.DirectoryResult{}
 		if p.Outcome != rpc.Outcome_DONE || proto.Unmarshal(p.Result, result) != nil {
 			done(nil)
@@ -179,57 +179,57 @@
 }
 
 // retire takes an order to empty a machine and answers with a status.
-func (m *machine) retire(node string, until int64, answer func(int)) {
-	w, life := m.w, m.life
-	var try func()
-	again := func() { w.after(passPauseMS, try) }
-	try = func() {
+func (m *machine) handleRetirement(node string, until int64, answer func(int)) {
+	w, incarnation := m.world, m.incarnation
+	var attempt func()
+	retry := func() { w.schedule(forwardRetryMS, attempt) }
+	attempt = func() {
 		status := m.engine.Status(directory.Shard)
 		switch {
-		case m.life != life:
+		case m.incarnation != incarnation:
 			return
 		case w.now >= until:
 			answer(503)
-		case m.leased(directory.Shard) || w.bug(LocalRefusals):
-			m.judgeRetire(node, status, answer, again)
+		case m.hasLease(directory.Shard) || w.bug(LocalRefusals):
+			m.decideRetirement(node, status, answer, retry)
 		case status != nil && status.LeaderAddress != "" && status.LeaderAddress != m.name:
 			to := w.machine(status.LeaderAddress)
 			call(w, m.name, to, until-w.now, func(answer func(int)) {
-				if !to.leased(directory.Shard) {
+				if !to.hasLease(directory.Shard) {
 					answer(0)
 					return
 				}
-				to.judgeRetire(node, to.engine.Status(directory.Shard), answer, func() { answer(0) })
+				to.decideRetirement(node, to.engine.Status(directory.Shard), answer, func() { answer(0) })
 			}, func(status int, ok bool) {
 				if !ok || status == 0 {
-					again()
+					retry()
 					return
 				}
 				answer(status)
 			})
 		default:
-			again()
+			retry()
 		}
 	}
-	try()
+	attempt()
 }
 
-func (m *machine) judgeRetire(node string, status *replica.Status, answer func(int), later func()) {
+func (m *machine) decideRetirement(node string, status *replica.Status, answer func(int), later func()) {
 	if _, begun := m.directory.Retirements()[node]; begun {
 		answer(200)
 		return
 	}
-	if m.w.now-status.LeaderSince < settleMS && !m.w.bug(LocalRefusals) {
+	if m.world.now-status.LeaderSince < leaderSettleMS && !m.world.bug(LocalRefusals) {
 		later()
 		return
 	}
 	var placements []*rpc.Placement
-	for n := range ledgerShards {
+	for n := range jobShards {
 		if p := m.directory.Placements()[batchjobs.ShardName(n)]; p != nil {
 			placements = append(placements, p)
 		}
 	}
-	switch stewardrole.RetireRefusal(node, m.knows(store), placements, m.w.groupSize()) {
+	switch stewardrole.RetireRefusal(node, m.visibleMachines(storageKind), placements, m.world.groupSize()) {
 	case rpc.RetireState_RETIRE_NO_SUCH_MACHINE:
 		answer(404)
 		return
@@ -248,48 +248,48 @@
 }
 
 // heartbeat takes in what a worker says of itself, and answers whether the owner of the shard has.
-func (m *machine) heartbeat(shard string, r *rpc.HeartbeatRequest, until int64, answer func(bool)) {
-	w, life := m.w, m.life
-	var try func()
-	again := func() { w.after(passPauseMS, try) }
-	try = func() {
-		if m.life != life {
+func (m *machine) forwardHeartbeat(shard string, r *rpc.HeartbeatRequest, until int64, answer func(bool)) {
+	w, incarnation := m.world, m.incarnation
+	var attempt func()
+	retry := func() { w.schedule(forwardRetryMS, attempt) }
+	attempt = func() {
+		if m.incarnation != incarnation {
 			return
 		}
 		if w.now >= until {
 			answer(false)
 			return
 		}
-		m.hear(shard, r, func(result rpc.Outcome) {
+		m.decideHeartbeat(shard, r, func(result rpc.Outcome) {
 			status := m.engine.Status(shard)
 			switch {
 			case result == rpc.Outcome_DONE:
 				answer(true)
 			case result == rpc.Outcome_NOT_LEADER && status.LeaderAddress != "" && status.LeaderAddress != m.name:
 				to := w.machine(status.LeaderAddress)
-				call(w, m.name, to, until-w.now, func(answer func(rpc.Outcome)) { to.hear(shard, r, answer) }, func(result rpc.Outcome, ok bool) {
+				call(w, m.name, to, until-w.now, func(answer func(rpc.Outcome)) { to.decideHeartbeat(shard, r, answer) }, func(result rpc.Outcome, ok bool) {
 					if ok && result == rpc.Outcome_DONE {
 						answer(true)
 						return
 					}
-					again()
+					retry()
 				})
 			default:
-				again()
+				retry()
 			}
 		})
 	}
-	try()
+	attempt()
 }
 
 // hear decides on a heartbeat where this machine owns the shard.
-func (m *machine) hear(shard string, r *rpc.HeartbeatRequest, answer func(rpc.Outcome)) {
+func (m *machine) decideHeartbeat(shard string, r *rpc.HeartbeatRequest, answer func(rpc.Outcome)) {
 	if m.engine.Status(shard) == nil {
 		answer(rpc.Outcome_UNAVAILABLE)
 		return
 	}
-	result, command := m.desks[shard].Decide(m.ownership(shard), r)
-	if result != rpc.Outcome_DONE || command == nil || m.w.bug(LeaseIgnored) {
+	result, command := m.heartbeatHandlers[shard].Decide(m.ownership(shard), r)
+	if result != rpc.Outcome_DONE || command == nil || m.world.bug(IgnoreLease) {
 		if command != nil {
 			m.propose(shard, replica.Marshal(command), func(replica.ProposalResult) {})
 		}
@@ -300,67 +300,67 @@
 }
 
 // watchAnswer is what a watcher is told.
-type watchAnswer struct {
+type feedAnswer struct {
 	feeds []*rpc.ShardFeed
 	fresh bool
 }
 
-func (m *machine) tell(offsets map[string]uint64) watchAnswer {
+func (m *machine) feedSince(offsets map[string]uint64) feedAnswer {
 	feeds, _ := m.feed.Since(offsets)
-	return watchAnswer{feeds, m.fresh()}
+	return feedAnswer{feeds, m.isFresh()}
 }
 
 // watchFeed has a store follow the placements.
 func (m *machine) watchFeed() {
-	w, life := m.w, m.life
+	w, incarnation := m.world, m.incarnation
 	if m.watching {
 		return
 	}
 	var names []string
-	for _, s := range w.of(steward) {
+	for _, s := range w.machinesOf(controllerKind) {
 		names = append(names, s.name)
 	}
-	source := w.machine(m.tail.Next(names))
+	source := w.machine(m.rotation.Next(names))
 	m.watching = true
-	call(w, m.name, source, watchTimeout, func(answer func(watchAnswer)) { answer(source.tell(m.feed.Offsets())) }, func(told watchAnswer, ok bool) {
-		if m.life != life {
+	call(w, m.name, source, watchTimeoutMS, func(answer func(feedAnswer)) { answer(source.feedSince(m.feed.Offsets())) }, func(reported feedAnswer, ok bool) {
+		if m.incarnation != incarnation {
 			return
 		}
 		m.watching = false
-		if !ok || !told.fresh {
-			m.tail.Failed()
+		if !ok || !reported.fresh {
+			m.rotation.Failed()
 		}
-		for _, e := range m.feed.Merge(told.feeds) {
+		for _, e := range m.feed.Merge(reported.feeds) {
 			if p := e.GetPlacement(); p != nil {
-				m.follow(p)
+				m.followPlacement(p)
 			}
 		}
 	})
 }
 
 // follow acts on a new placement.
-func (m *machine) follow(p *rpc.Placement) {
-	if m.machineOf(p.Group) == nil {
+func (m *machine) followPlacement(p *rpc.Placement) {
+	if m.stateMachineOf(p.Group) == nil {
 		return
 	}
 	own := slices.ContainsFunc(p.Replicas, func(r *rpc.Replica) bool { return r.Id == m.identity })
 	if p.Founding && own {
 		m.engine.CreateGroup(p.Group, p.Replicas)
 	}
-	m.engine.Tick(m.w.now) // so that the group is there before its wanted members are set
+	m.engine.Tick(m.world.now) // so that the group is there before its wanted members are set
 	m.engine.SetWanted(p)
-	m.turnAt = 0
+	m.nextTickAt = 0
 }
 
 // orderWorkers sends the orders of a registry shard that this machine holds, as weights.Dispatcher does.
-func (m *machine) orderWorkers(shard string) {
-	w := m.w
+func (m *machine) dispatchOrders(shard string) {
+	w := m.world
 	status := m.engine.Status(shard)
 	if status == nil || !status.HasLease(w.now) {
 		return
 	}
 	wanted := m.directory.NamedVersions()
-	present := m.desks[shard].ResponsiveInstances(w.now)
+	present := m.heartbeatHandlers[shard].ResponsiveInstances(w.now)
 	slices.SortFunc(present, func(a, b *rpc.Instance) int { return cmp.Compare(a.Id, b.Id) })
 	orders := weights.Plan(present, wanted, nil, &weights.Rules{
 		SingleVersion: func(string) bool { return false }, MaxConcurrent: func(n int) int { return n },
@@ -370,27 +370,27 @@
 		return
 	}
 	slices.SortFunc(orders, func(a, b weights.Order) int { return cmp.Compare(a.Instance.Id, b.Instance.Id) })
-	if m.held[shard] != status.Epoch {
-		last := m.registry[shard].Holder()
+	if m.dispatchEpochs[shard] != status.Epoch {
+		last := m.registries[shard].Holder()
 		holder := w.machine(last.GetNode())
-		ended := holder == nil || uint64(holder.life) != last.GetStart()
+		ended := holder == nil || uint64(holder.incarnation) != last.GetStart()
 		owned := time.Duration(w.now-status.LeaderSince) * time.Millisecond
-		may := weights.MayTakeOver(m.name, last.GetNode(), ended, w.options.Fencing, owned, leaseMS*time.Millisecond) || w.bug(HolderAtOnce)
-		if !may || m.holding {
+		may := weights.MayTakeOver(m.name, last.GetNode(), ended, w.options.Fencing, owned, dispatchLeaseMS*time.Millisecond) || w.bug(ImmediateTakeover)
+		if !may || m.takingOver {
 			return
 		}
-		m.holding = true
-		hold := &rpc.RegistryCommand{Command: &rpc.RegistryCommand_Hold{Hold: &rpc.Holder{Node: m.name, Epoch: status.Epoch, Start: uint64(m.life)}}}
+		m.takingOver = true
+		hold := &rpc.RegistryCommand{Command: &rpc.RegistryCommand_Hold{Hold: &rpc.Holder{Node: m.name, Epoch: status.Epoch, Start: uint64(m.incarnation)}}}
 		m.propose(shard, replica.Marshal(hold), func(p replica.ProposalResult) {
-			if m.holding = false; p.Outcome == rpc.Outcome_DONE {
-				m.held[shard] = status.Epoch
+			if m.takingOver = false; p.Outcome == rpc.Outcome_DONE {
+				m.dispatchEpochs[shard] = status.Epoch
 			}
 		})
 		return
 	}
 	for _, o := range orders {
-		if target := w.worker(o.Instance.Id); target != nil && m.leased(shard) {
-			target.order(m, shard, status.Epoch, o.Version)
+		if target := w.worker(o.Instance.Id); target != nil && m.hasLease(shard) {
+			target.receiveOrder(m, shard, status.Epoch, o.Version)
 		}
 	}
 }
--- a/internal/scheduler/simulation/faults.go
+++ b/internal/scheduler/simulation/faults.go
@@ -12,7 +12,7 @@
 	// quietMS is the time at the end in which nothing goes wrong.
 	quietMS = 7000
 	// emptiedIn is how long a machine may take to be emptied in calm.
-	emptiedIn = 12_000
+	maxRetirementMS = 12_000
 )
 
 // end is when the history ends; it is set once the last trouble is over.
@@ -21,38 +21,38 @@
 // scheduleFaults begins the first trouble.
 func (w *world) scheduleFaults() {
 	w.endAt = 1 << 60
-	w.after(firstFaultMS, func() { w.phase(0) })
+	w.schedule(firstFaultMS, func() { w.beginPhase(0) })
 }
 
 // phase plays one trouble. The next begins as soon as the tolerance allows.
-func (w *world) phase(n int) {
+func (w *world) beginPhase(n int) {
 	if n >= w.options.Phases {
 		w.endAt = w.now + 2*quietMS
-		w.after(quietMS, w.wholeAgain)
+		w.schedule(quietMS, w.checkReplicaGroups)
 		return
 	}
-	w.eventAt = w.now
-	w.troubleUntil = w.now
-	w.trouble()
-	w.after(w.troubleUntil-w.now+tickMS, func() { w.over(n) })
+	w.lastFaultAt = w.now
+	w.faultUntil = w.now
+	w.injectFault()
+	w.schedule(w.faultUntil-w.now+tickMS, func() { w.endPhase(n) })
 }
 
 // over ends a trouble, once all that belongs to it has ended.
-func (w *world) over(n int) {
-	if w.now < w.troubleUntil || w.emptying != "" {
-		w.after(max(w.troubleUntil-w.now, 10*tickMS), func() { w.over(n) })
+func (w *world) endPhase(n int) {
+	if w.now < w.faultUntil || w.retiring != "" {
+		w.schedule(max(w.faultUntil-w.now, 10*tickMS), func() { w.endPhase(n) })
 		return
 	}
-	w.eventAt = w.now
-	w.after(catchUpMS, w.led)
-	w.after(catchUpMS+w.between(0, 1500), func() { w.phase(n + 1) })
+	w.lastFaultAt = w.now
+	w.schedule(recoveryMS, w.checkLeaders)
+	w.schedule(recoveryMS+w.randomBetween(0, 1500), func() { w.beginPhase(n + 1) })
 }
 
 // lasts notes that a trouble goes on until a time.
-func (w *world) lasts(until int64) { w.troubleUntil = max(w.troubleUntil, until) }
+func (w *world) extendFault(until int64) { w.faultUntil = max(w.faultUntil, until) }
 
 // victim is a machine by chance, or one that leads a group.
-func (w *world) victim(kinds ...kind) *machine {
+func (w *world) pickMachine(kinds ...machineKind) *machine {
 	var list, leaders []*machine
 	for _, m := range w.machines {
 		if m.removed || len(kinds) > 0 && m.kind != kinds[0] {
@@ -60,111 +60,111 @@
 		}
 		list = append(list, m)
 		for _, group := range m.engine.Groups() {
-			if m.leased(group) {
+			if m.hasLease(group) {
 				leaders = append(leaders, m)
 				break
 			}
 		}
 	}
-	if len(leaders) > 0 && w.chance(2) {
+	if len(leaders) > 0 && w.oneIn(2) {
 		list = leaders
 	}
 	return list[w.random.IntN(len(list))]
 }
 
 // trouble has something go wrong, within what the tolerance allows.
-func (w *world) trouble() {
-	if w.chance(3) { // machines without a disk may be lost in any number
+func (w *world) injectFault() {
+	if w.oneIn(3) { // machines without a disk may be lost in any number
 		w.gatherers[w.random.IntN(len(w.gatherers))].kill()
 	}
-	if w.chance(4) {
-		m := w.victim()
-		m.clockStep += w.between(-7_200_000, 7_200_000)
+	if w.oneIn(4) {
+		m := w.pickMachine()
+		m.clockOffset += w.randomBetween(-7_200_000, 7_200_000)
 		w.report.ClockStep++
 		w.trace("the clock of %s steps", m.name)
 	}
 	switch kind := w.random.IntN(14); kind {
 	case 0:
-		w.allDown()
+		w.stopAll()
 	case 1, 2:
-		w.emptyOne(w.chance(2))
+		w.retireStore(w.oneIn(2))
 	case 12:
-		w.halve()
+		w.partitionHalves()
 	case 13:
 		w.overlap()
 	default:
 		count := 1 + w.random.IntN(w.options.Tolerance)
 		for i := range count {
-			w.lose(w.victim(), kind, i == 0)
+			w.failMachine(w.pickMachine(), kind, i == 0)
 		}
 	}
 }
 
 // lose has one machine be lost for a while, or for good.
-func (w *world) lose(m *machine, how int, first bool) {
+func (w *world) failMachine(m *machine, how int, first bool) {
 	if !m.up || m.removed || m.frozenUntil > w.now {
 		return
 	}
 	switch how {
 	case 3:
 		w.report.Kills++
-		m.stop(false, w.between(100, 1000))
+		m.stopProcess(false, w.randomBetween(100, 1000))
 	case 4:
 		w.report.Kills++
-		m.stop(true, w.between(200, 4000))
+		m.stopProcess(true, w.randomBetween(200, 4000))
 	case 5, 6:
-		w.wipe(m)
-		if first && w.chance(2) {
+		w.loseDisk(m)
+		if first && w.oneIn(2) {
 			for _, other := range w.machines {
 				if other != m && !other.removed && other.up {
-					other.stop(true, w.between(200, 900))
+					other.stopProcess(true, w.randomBetween(200, 900))
 				}
 			}
 		}
 	case 7:
-		m.frozenUntil = w.now + w.between(300, 5000)
-		w.lasts(m.frozenUntil)
+		m.frozenUntil = w.now + w.randomBetween(300, 5000)
+		w.extendFault(m.frozenUntil)
 		w.trace("%s stands still until %d", m.name, m.frozenUntil)
 	case 8, 9:
 		w.isolate(m)
 	case 10:
-		w.replace(m)
+		w.replaceMachine(m)
 	default:
 		m.disk.Plan().SetWriteBudget(-1)
-		until := w.now + w.between(500, 4000)
-		w.lasts(until)
+		until := w.now + w.randomBetween(500, 4000)
+		w.extendFault(until)
 		w.trace("the disk of %s takes nothing until %d", m.name, until)
-		w.after(until-w.now, func() { m.disk.Plan().SetWriteBudget(0) })
+		w.schedule(until-w.now, func() { m.disk.Plan().SetWriteBudget(0) })
 	}
 }
 
 // stop ends a machine's process; power also takes what was not synced.
-func (m *machine) stop(power bool, down int64) {
-	w := m.w
-	m.up, m.upAt = false, w.now+down
+func (m *machine) stopProcess(power bool, down int64) {
+	w := m.world
+	m.up, m.restartAt = false, w.now+down
 	if power {
-		m.darkUntil = m.upAt
+		m.powerlessUntil = m.restartAt
 		m.disk = m.disk.Crash(&simdisk.FaultPlan{}, rand.New(rand.NewPCG(w.options.Seed, uint64(w.random.Uint32()))))
 	} else {
 		m.disk = m.disk.Clone(&simdisk.FaultPlan{})
 	}
-	w.lasts(m.upAt)
-	w.trace("%s is down until %d (power %v)", m.name, m.upAt, power)
+	w.extendFault(m.restartAt)
+	w.trace("%s is down until %d (power %v)", m.name, m.restartAt, power)
 }
 
-func (w *world) wipe(m *machine) {
+func (w *world) loseDisk(m *machine) {
 	w.report.Wipes++
-	m.stop(true, w.between(300, 3000))
-	m.newDisk()
+	m.stopProcess(true, w.randomBetween(300, 3000))
+	m.replaceDisk()
 	w.trace("%s loses its disk", m.name)
 }
 
-func (w *world) allDown() {
-	power := w.chance(2)
+func (w *world) stopAll() {
+	power := w.oneIn(2)
 	for _, m := range w.machines {
 		if !m.removed && m.up {
 			w.report.Kills++
-			m.stop(power, w.between(50, 900))
+			m.stopProcess(power, w.randomBetween(50, 900))
 		}
 	}
 }
@@ -173,52 +173,52 @@
 // be misled by it.
 func (w *world) isolate(m *machine) {
 	w.report.Cuts++
-	until := w.now + w.between(800, 6000)
-	if w.chance(4) {
+	until := w.now + w.randomBetween(800, 6000)
+	if w.oneIn(4) {
 		until = w.now + 20_000
 	}
 	way, reach := w.random.IntN(3), w.random.IntN(3)
-	apart := func(a, b string) {
+	partition := func(a, b string) {
 		if way != 0 {
-			w.cuts[link{a, b}] = until
+			w.partitionedUntil[link{a, b}] = until
 		}
 		if way != 1 {
-			w.cuts[link{b, a}] = until
+			w.partitionedUntil[link{b, a}] = until
 		}
 	}
 	for _, other := range w.machines {
 		if other != m {
-			apart(m.name, other.name)
+			partition(m.name, other.name)
 		}
 	}
-	lured := w.gatherers[w.random.IntN(len(w.gatherers))]
+	misled := w.gatherers[w.random.IntN(len(w.gatherers))]
 	for _, g := range w.gatherers {
 		if reach == 1 {
-			apart(m.name, g.name)
+			partition(m.name, g.name)
 		}
 	}
 	if reach == 2 { // this one reaches the others no longer
-		lured.apartUntil = until
+		misled.partitionedUntil = until
 		for _, other := range w.machines {
 			if other != m {
-				w.cuts[link{lured.name, other.name}], w.cuts[link{other.name, lured.name}] = until, until
+				w.partitionedUntil[link{misled.name, other.name}], w.partitionedUntil[link{other.name, misled.name}] = until, until
 			}
 		}
 	}
-	w.lasts(until)
+	w.extendFault(until)
 	w.trace("%s is cut off until %d (way %d, reach %d)", m.name, until, way, reach)
-	if w.chance(3) { // it is started anew, and knows only what its disk and those tell that it reaches
-		m.stop(false, w.between(100, 600))
+	if w.oneIn(3) { // it is started anew, and knows only what its disk and those tell that it reaches
+		m.stopProcess(false, w.randomBetween(100, 600))
 	}
-	if m.kind == steward && w.chance(2) {
-		w.after(w.between(500, 2500), func() { w.emptyOne(false) })
+	if m.kind == controllerKind && w.oneIn(2) {
+		w.schedule(w.randomBetween(500, 2500), func() { w.retireStore(false) })
 	}
 }
 
 // halve cuts the counted machines into two halves, whatever the tolerance. All others reach both.
-func (w *world) halve() {
+func (w *world) partitionHalves() {
 	w.report.Halves++
-	until := w.now + w.between(800, 7000)
+	until := w.now + w.randomBetween(800, 7000)
 	half := map[string]bool{}
 	var names []string
 	for _, m := range w.machines {
@@ -232,16 +232,16 @@
 	for _, a := range names {
 		for _, b := range names {
 			if half[a] != half[b] {
-				w.cuts[link{a, b}] = until
+				w.partitionedUntil[link{a, b}] = until
 			}
 		}
 	}
-	w.lasts(until)
+	w.extendFault(until)
 	w.trace("the counted machines are cut into halves until %d", until)
 }
 
 // disturbed notes that the counted machines are not stable now: nobody is in touch for a while.
-func (w *world) disturbed() { w.eventAt = w.now }
+func (w *world) markUnstable() { w.lastFaultAt = w.now }
 
 // overlap has more machines lose power than the tolerance allows, one after the other while the ones before are down; no more disks are lost than it
 // allows.
@@ -249,84 +249,84 @@
 	w.report.Overlaps++
 	disks := w.random.IntN(w.options.Tolerance + 1)
 	for range 2*w.options.Tolerance + 1 {
-		w.after(w.between(0, 1500), func() {
+		w.schedule(w.randomBetween(0, 1500), func() {
 			m := w.machines[w.random.IntN(len(w.machines))]
 			switch {
 			case m.removed || !m.up:
 			case disks > 0:
 				disks--
-				w.wipe(m)
+				w.loseDisk(m)
 			default:
-				m.stop(true, w.between(500, 2500))
+				m.stopProcess(true, w.randomBetween(500, 2500))
 			}
-			w.disturbed()
-			w.after(max(m.upAt-w.now, 0), w.disturbed)
+			w.markUnstable()
+			w.schedule(max(m.restartAt-w.now, 0), w.markUnstable)
 		})
 	}
-	w.lasts(w.now + 1500)
+	w.extendFault(w.now + 1500)
 }
 
 // replace has a machine go for good; an empty one comes at another address.
-func (w *world) replace(m *machine) {
+func (w *world) replaceMachine(m *machine) {
 	w.report.Replacements++
 	m.up, m.removed = false, true
 	w.trace("%s is gone for good", m.name)
-	w.after(1000, func() {
+	w.schedule(1000, func() {
 		fresh := w.addMachine(m.kind, w.random.IntN(3))
 		fresh.start()
 	})
-	w.lasts(w.now + 1000)
+	w.extendFault(w.now + 1000)
 }
 
 // emptyOne has an operator ask for a store to be emptied. Once that is completed the machine is taken away with its disk; sometimes another
 // store loses its disk at that moment.
-func (w *world) emptyOne(wipe bool) {
-	stores := w.of(store)
-	if len(stores) <= w.groupSize() || w.emptying != "" {
+func (w *world) retireStore(wipe bool) {
+	stores := w.machinesOf(storageKind)
+	if len(stores) <= w.groupSize() || w.retiring != "" {
 		return
 	}
 	m := stores[w.random.IntN(len(stores))]
-	w.emptying = m.name
+	w.retiring = m.name
 	w.report.Retirements++
 	w.trace("%s is to be emptied", m.name)
-	w.orderRetire(m.name, w.now, wipe)
+	w.requestRetirement(m.name, w.now, wipe)
 }
 
-func (w *world) orderRetire(node string, begun int64, wipe bool) {
-	to := w.stewardFor()
-	call(w, "operator0", to, operatorPatience, func(answer func(int)) { to.retire(node, w.now+passMS, answer) }, func(status int, ok bool) {
+func (w *world) requestRetirement(node string, begun int64, wipe bool) {
+	to := w.randomController()
+	call(w, "operator0", to, operatorTimeoutMS, func(answer func(int)) { to.handleRetirement(node, w.now+forwardTimeoutMS, answer) }, func(status int, ok bool) {
 		switch {
 		case !ok || status == 503:
-			w.after(150, func() { w.orderRetire(node, begun, wipe) })
+			w.schedule(150, func() { w.requestRetirement(node, begun, wipe) })
 		case status == 200:
-			w.awaitEmptied(node, w.now, wipe)
+			w.awaitRetirement(node, w.now, wipe)
 		default:
-			w.fail(Refused, "%s refused with %d to have %s emptied", to.name, status, node)
+			w.reportViolation(Refused, "%s refused with %d to have %s emptied", to.name, status, node)
 		}
 	})
 }
 
 // awaitEmptied looks whether a machine is emptied, as an operator does.
-func (w *world) awaitEmptied(node string, since int64, wipe bool) {
-	for _, m := range w.of(steward) {
-		if !m.up || !m.leased(directory.Shard) || !m.directory.Retirements()[node] {
+func (w *world) awaitRetirement(node string, since int64, wipe bool) {
+	for _, m := range w.machinesOf(controllerKind) {
+		if !m.up || !m.hasLease(directory.Shard) || !m.directory.Retirements()[node] {
 			continue
 		}
 		gone := w.machine(node)
 		gone.up, gone.removed = false, true
-		w.emptying = ""
-		w.eventAt = w.now
+		w.retiring = ""
+		w.lastFaultAt = w.now
 		w.trace("%s is emptied and taken away", node)
-		if wipe && w.now >= w.troubleUntil {
-			others := w.of(store)
-			w.wipe(others[w.random.IntN(len(others))])
+		if wipe && w.now >= w.faultUntil {
+			others := w.machinesOf(storageKind)
+			w.loseDisk(others[w.random.IntN(len(others))])
 		}
-		w.after(1000, func() { w.addMachine(store, w.random.IntN(3)).start() })
-		w.lasts(w.now + 1000)
+		w.schedule(1000, func() { w.addMachine(storageKind, w.random.IntN(3)).start() })
+		w.extendFault(w.now + 1000)
 		return
 	}
-	if since = max(since, w.troubleUntil); w.now-since > emptiedIn {
-		w.fail(Stuck, "%s is not emptied %d ms after that was asked", node, emptiedIn)
+	if since = max(since, w.faultUntil); w.now-since > maxRetirementMS {
+		w.reportViolation(Stuck, "%s is not emptied %d ms after that was asked", node, maxRetirementMS)
 	}
-	w.after(100, func() { w.awaitEmptied(node, since, wipe) })
+	w.schedule(100, func() { w.awaitRetirement(node, since, wipe) })
 }
--- a/internal/scheduler/simulation/history.go
+++ b/internal/scheduler/simulation/history.go
@@ -13,10 +13,10 @@
 type history struct {
 	operations []*operation
 	byName     map[string]*operation
-	newest     []ackedVersion
+	acknowledged     []acknowledgedVersion
 }
 
-type ackedVersion struct {
+type acknowledgedVersion struct {
 	version uint64
 	at      int64
 }
@@ -33,7 +33,7 @@
 
 const (
 	unknown callOutcome = iota
-	taken
+	accepted
 	refused
 )
 
@@ -52,14 +52,14 @@
 		return
 	}
 	if o.to, o.outcome = now, refused; ok {
-		o.outcome = taken
+		o.outcome = accepted
 	}
 }
 
 // read ends a read and returns the version that it brought.
 func (h *history) read(name string, now int64, body []byte) uint64 {
 	o := h.byName[name]
-	o.to, o.outcome, o.read = now, taken, string(body)
+	o.to, o.outcome, o.read = now, accepted, string(body)
 	if len(body) == 0 {
 		return 0
 	}
@@ -70,13 +70,13 @@
 	return document.Version
 }
 
-func (h *history) acked(version uint64, now int64) {
-	h.newest = append(h.newest, ackedVersion{version, now})
+func (h *history) recordAcknowledged(version uint64, now int64) {
+	h.acknowledged = append(h.acknowledged, acknowledgedVersion{version, now})
 }
 
 // ackedBy is the newest version that was acknowledged by a time.
-func (h *history) ackedBy(at int64) (version uint64) {
-	for _, a := range h.newest {
+func (h *history) newestAcknowledged(at int64) (version uint64) {
+	for _, a := range h.acknowledged {
 		if a.at <= at {
 			version = max(version, a.version)
 		}
@@ -91,7 +91,7 @@
 }
 
 // register says what an operation may do to the configuration.
-var register = porcupine.NondeterministicModel{
+var configurationRegister = porcupine.NondeterministicModel{
 	Init:  func() []any { return []any{configurationState{}} },
 	Equal: func(a, b any) bool { return a == b },
 	Step: func(state, input, _ any) []any {
@@ -103,7 +103,7 @@
 			return nil
 		}
 		var next []any
-		if after, ok := s.take(o.order); ok && o.outcome != refused {
+		if after, ok := s.apply(o.order); ok && o.outcome != refused {
 			next = append(next, after)
 		}
 		if o.outcome == unknown || o.outcome == refused && s.version != o.order.base {
@@ -114,7 +114,7 @@
 }
 
 // take is the state after an order; false where the order doesn't build on this state.
-func (s configurationState) take(o *configurationOrder) (configurationState, bool) {
+func (s configurationState) apply(o *configurationOrder) (configurationState, bool) {
 	if s.version != o.base {
 		return s, false
 	}
@@ -137,7 +137,7 @@
 	for i, o := range h.operations {
 		list = append(list, porcupine.Operation{ClientId: i, Input: o, Call: o.from, Output: nil, Return: o.to})
 	}
-	model := register.ToModel()
+	model := configurationRegister.ToModel()
 	if result := porcupine.CheckOperationsTimeout(model, list, checkTimeout); result != porcupine.Ok {
 		return fmt.Errorf("the configuration's history of %d operations: %s", len(list), result)
 	}
--- a/internal/scheduler/simulation/judge.go
+++ b/internal/scheduler/simulation/judge.go
@@ -10,35 +10,35 @@
 )
 
 const (
-	observeEach = 200
+	checkIntervalMS = 200
 	// closeEntries is by how many entries a replica that follows may lag behind.
-	closeEntries = 40
+	maxLagEntries = 40
 )
 
 func allGroups() []string {
-	groups := stewardGroups()
-	for n := range ledgerShards {
+	groups := controllerGroups()
+	for n := range jobShards {
 		groups = append(groups, batchjobs.ShardName(n))
 	}
 	return groups
 }
 
 // observe checks on the way what gatherers in touch act on.
-func (w *world) observe() {
-	if w.now%observeEach != 0 || w.now < firstFaultMS || w.now-w.eventAt <= contactMS {
+func (w *world) checkGatherers() {
+	if w.now%checkIntervalMS != 0 || w.now < firstFaultMS || w.now-w.lastFaultAt <= contactMS {
 		return
 	}
-	newest := w.history.ackedBy(w.now - propagationMS)
+	newest := w.history.newestAcknowledged(w.now - propagationMS)
 	for _, g := range w.gatherers {
-		if !g.up || w.now-g.inTouch <= contactMS || w.now-g.apartUntil <= contactMS {
+		if !g.up || w.now-g.startedAt <= contactMS || w.now-g.partitionedUntil <= contactMS {
 			continue
 		}
 		if g.version < newest {
-			w.fail(Back, "%s acts on configuration %d, and %d was acknowledged %d ms ago", g.name, g.version, newest, propagationMS)
+			w.reportViolation(Regressed, "%s acts on configuration %d, and %d was acknowledged %d ms ago", g.name, g.version, newest, propagationMS)
 		}
-		for _, x := range w.workers {
-			if i := g.instances[x.id]; i != nil && x.goneAt > 0 && w.now-x.goneAt > propagationMS && !i.Draining {
-				w.fail(Back, "%s still uses %s, whose leave was acknowledged at %d", g.name, x.id, x.goneAt)
+		for _, k := range w.workers {
+			if i := g.instances[k.id]; i != nil && k.leftAt > 0 && w.now-k.leftAt > propagationMS && !i.Draining {
+				w.reportViolation(Regressed, "%s still uses %s, whose leave was acknowledged at %d", g.name, k.id, k.leftAt)
 			}
 		}
 	}
@@ -47,7 +47,7 @@
 // leader is the machine that leads a group under its lease; nil where there is none.
 func (w *world) leader(group string) *machine {
 	for _, m := range w.machines {
-		if !m.removed && m.alive() && m.engine.Status(group) != nil && m.leased(group) {
+		if !m.removed && m.isRunning() && m.engine.Status(group) != nil && m.hasLease(group) {
 			return m
 		}
 	}
@@ -55,31 +55,31 @@
 }
 
 // led checks that a majority of each group is back.
-func (w *world) led() {
+func (w *world) checkLeaders() {
 	for _, group := range allGroups() {
 		if w.leader(group) == nil {
-			w.fail(Stuck, "%s has no leader %d ms after the trouble was over: %s", group, catchUpMS, w.describe(group))
+			w.reportViolation(Stuck, "%s has no leader %d ms after the trouble was over: %s", group, recoveryMS, w.describe(group))
 		}
 	}
 }
 
 // wholeAgain checks that each group has the members that it should have, and that all of them are up to date.
-func (w *world) wholeAgain() {
-	w.led()
-	if w.failed != nil {
+func (w *world) checkReplicaGroups() {
+	w.checkLeaders()
+	if w.violation != nil {
 		return
 	}
 	placements := w.leader(directory.Shard).directory.Placements()
 	for _, group := range allGroups() {
 		status := w.leader(group).engine.Status(group)
 		if !placement.Same(status.Membership.GetVoters(), placements[group].GetReplicas()) || len(status.Membership.GetVoters()) != w.groupSize() {
-			w.fail(Stuck, "%s has not the members that it should have: %s", group, w.describe(group))
+			w.reportViolation(Stuck, "%s has not the members that it should have: %s", group, w.describe(group))
 			return
 		}
 		for _, r := range status.Membership.GetVoters() {
 			m := w.machine(r.Node)
-			if m == nil || m.identity != r.Id || m.engine.Status(group) == nil || m.engine.Status(group).Applied+closeEntries < status.Applied {
-				w.fail(Stuck, "%s: the replica on %s has not caught up: %s", group, r.Node, w.describe(group))
+			if m == nil || m.identity != r.Id || m.engine.Status(group) == nil || m.engine.Status(group).Applied+maxLagEntries < status.Applied {
+				w.reportViolation(Stuck, "%s: the replica on %s has not caught up: %s", group, r.Node, w.describe(group))
 				return
 			}
 		}
@@ -100,49 +100,49 @@
 }
 
 // judge checks the history at its end, when all has been well for a while.
-func (w *world) judge() {
+func (w *world) checkEnd() {
 	if err := w.history.check(); err != nil {
-		w.fail(TwoWinners, "%v", err)
+		w.reportViolation(TwoWinners, "%v", err)
 		return
 	}
-	w.led()
-	if w.failed != nil {
+	w.checkLeaders()
+	if w.violation != nil {
 		return
 	}
 	leader := w.leader(directory.Shard)
-	if newest := w.history.ackedBy(w.now); leader.directory.Table().Version < newest {
-		w.fail(Lost, "configuration %d was acknowledged, %d is in force", newest, leader.directory.Table().Version)
+	if newest := w.history.newestAcknowledged(w.now); leader.directory.Table().Version < newest {
+		w.reportViolation(Lost, "configuration %d was acknowledged, %d is in force", newest, leader.directory.Table().Version)
 	}
 	for name, version := range w.versions {
 		if leader.directory.NamedVersions()[name] < version {
-			w.fail(Lost, "version %d of %s was acknowledged, %d is known", version, name, leader.directory.NamedVersions()[name])
+			w.reportViolation(Lost, "version %d of %s was acknowledged, %d is known", version, name, leader.directory.NamedVersions()[name])
 		}
 	}
 	for _, id := range slices.Sorted(maps.Keys(w.jobs)) {
-		w.judgeJob(w.jobs[id])
+		w.checkJob(w.jobs[id])
 	}
-	for _, x := range w.workers {
-		if x.goneAt > 0 && w.leader(registry.ShardOf(x.service)).registry[registry.ShardOf(x.service)].Instance(x.id) != nil {
-			w.fail(Lost, "%s is known although its leave was acknowledged at %d", x.id, x.goneAt)
+	for _, k := range w.workers {
+		if k.leftAt > 0 && w.leader(registry.ShardOf(k.service)).registries[registry.ShardOf(k.service)].Instance(k.id) != nil {
+			w.reportViolation(Lost, "%s is known although its leave was acknowledged at %d", k.id, k.leftAt)
 		}
 	}
 }
 
 // judgeJob holds a job at its shard's leader against all that was read of it.
-func (w *world) judgeJob(j *jobRecord) {
-	if j.ackedAt == 0 {
+func (w *world) checkJob(j *jobRecord) {
+	if j.acknowledgedAt == 0 {
 		return
 	}
-	l := w.leader(j.shard).ledgers[j.shard]
+	l := w.leader(j.shard).jobStates[j.shard]
 	total, results, _, found := l.Read(j.create.Id, 0)
-	w.read(j, 0, &readAnswer{w.now, found, total, results})
+	w.checkJobRead(j, 0, &readAnswer{w.now, found, total, results})
 	if len(results) < len(j.create.Items) {
-		w.fail(Stuck, "job %s has %d of %d results at the end", j.create.Id, len(results), len(j.create.Items))
+		w.reportViolation(Stuck, "job %s has %d of %d results at the end", j.create.Id, len(results), len(j.create.Items))
 	}
 }
 
 // count adds what a machine's engine has done since its start.
-func (w *world) count(m *machine) {
+func (w *world) countSnapshots(m *machine) {
 	if m.engine == nil {
 		return
 	}
--- a/internal/scheduler/simulation/proof_test.go
+++ b/internal/scheduler/simulation/proof_test.go
@@ -23,7 +23,7 @@
 const mostSeeds = 3000
 
 // firstSeeds are shortly before the first histories that show a mistake: the search begins there, so that it doesn't take long.
-var firstSeeds = map[Bug]uint64{HeardOnly: 115, LocalRefusals: 30}
+var firstSeeds = map[Bug]uint64{CountContactOnly: 115, LocalRefusals: 30}
 
 // TestProof plays the control side under faults: no rule is broken, and each seeded mistake is noticed, those of the replica groups' own
 // model included.
@@ -33,7 +33,7 @@
 	broken := map[Rule]int{}
 	Scan(1, seeds(), NoBug, func(r Result) bool {
 		total.Add(r.Report)
-		var violation *Violation
+		var violation *ViolationError
 		if errors.As(r.Err, &violation) {
 			broken[violation.Rule]++
 			t.Errorf("seed %d: %v", r.Seed, r.Err)
@@ -59,7 +59,7 @@
 	}
 	t.Logf("%+v", total)
 	t.Logf("proof: seeds=%d lost=%d refused=%d twice=%d two_winners=%d two_holders=%d back=%d wrong_caller=%d stuck=%d snapshots=%d installed=%d bugs_caught=%d/%d", seeds(),
-		broken[Lost], broken[Refused], broken[Twice], broken[TwoWinners], broken[TwoHolders], broken[Back], broken[WrongCaller], broken[Stuck],
+		broken[Lost], broken[Refused], broken[Duplicated], broken[TwoWinners], broken[TwoHolders], broken[Regressed], broken[WrongCaller], broken[Stuck],
 		total.SnapshotsMade, total.SnapshotsReceived, caught, len(Bugs)+len(consensusmodel.Bugs))
 	is.True(total.Orders > 0 && total.Repeated > 0 && total.Jobs > 0 && total.Calls > 0 && total.SnapshotsReceived > 0)
 	is.True(total.Wipes > 0 && total.Cuts > 0 && total.Halves > 0 && total.Overlaps > 0 && total.Replacements > 0 && total.Retirements > 0 && total.ClockStep > 0)
@@ -109,9 +109,9 @@
 func TestSeedsRepeat(t *testing.T) {
 	for seed := uint64(1); seed <= 3; seed++ {
 		first, err := Play(Seeded(seed, NoBug))
-		again, errAgain := Play(Seeded(seed, NoBug))
-		if first != again || fmt.Sprint(err) != fmt.Sprint(errAgain) {
-			t.Errorf("seed %d: %+v %v, then %+v %v", seed, first, err, again, errAgain)
+		retry, errAgain := Play(Seeded(seed, NoBug))
+		if first != retry || fmt.Sprint(err) != fmt.Sprint(errAgain) {
+			t.Errorf("seed %d: %+v %v, then %+v %v", seed, first, err, retry, errAgain)
 		}
 	}
 }
@@ -129,7 +129,7 @@
 		Scan(1, count, bug, func(r Result) bool {
 			played++
 			if r.Err != nil {
-				found[r.Err.(*Violation).Rule]++
+				found[r.Err.(*ViolationError).Rule]++
 				if first.Err == nil || r.Seed < first.Seed {
 					first = r
 				}
--- a/internal/scheduler/simulation/seeded.go
+++ b/internal/scheduler/simulation/seeded.go
@@ -12,25 +12,25 @@
 )
 
 // watchedMachine holds a state machine against what the other replicas of its group have applied, and makes the seeded mistakes of state machines.
-type watchedMachine struct {
+type checkedMachine struct {
 	replica.StateMachine
-	m     *machine
+	machine     *machine
 	group string
 }
 
-func (m *machine) watched(group string, inner replica.StateMachine) replica.StateMachine {
-	return &watchedMachine{inner, m, group}
+func (m *machine) checkedStateMachine(group string, inner replica.StateMachine) replica.StateMachine {
+	return &checkedMachine{inner, m, group}
 }
 
-func (s *watchedMachine) Apply(index uint64, command []byte) []byte {
-	w := s.m.w
+func (s *checkedMachine) Apply(index uint64, command []byte) []byte {
+	w := s.machine.world
 	place := fmt.Sprintf("%s/%d", s.group, index)
-	if first, ok := w.chosen[place]; ok && first != string(command) {
-		w.fail(Lost, "%s applied another command at %s than was applied there first", s.m.name, place)
+	if first, ok := w.appliedAt[place]; ok && first != string(command) {
+		w.reportViolation(Lost, "%s applied another command at %s than was applied there first", s.machine.name, place)
 	}
-	w.chosen[place] = string(command)
-	if w.bug(RepeatChecked) && s.group == directory.Shard {
-		command = unknownDigest(command, place)
+	w.appliedAt[place] = string(command)
+	if w.bug(CheckVersionFirst) && s.group == directory.Shard {
+		command = changeDigest(command, place)
 	}
 	return s.StateMachine.Apply(index, command)
 }
@@ -42,7 +42,7 @@
 }
 
 // unknownDigest is a command whose order is not known again.
-func unknownDigest(command []byte, place string) []byte {
+func changeDigest(command []byte, place string) []byte {
 	c := &rpc.DirectoryCommand{}
 	if proto.Unmarshal(command, c) != nil || c.GetReplace() == nil {
 		return command
@@ -51,9 +51,9 @@
 	return replica.Marshal(c)
 }
 
-func (s *watchedMachine) Snapshot() func() proto.Message {
+func (s *checkedMachine) Snapshot() func() proto.Message {
 	next := s.StateMachine.Snapshot()
-	if !s.m.w.bug(ForgetTaken) {
+	if !s.machine.world.bug(ForgetAcceptedOrders) {
 		return next
 	}
 	return func() proto.Message {
@@ -65,28 +65,28 @@
 	}
 }
 
-func (s *watchedMachine) Restore(index uint64, state *bufio.Reader) error {
-	if s.m.w.bug(SkipRestore) && !s.m.starting {
+func (s *checkedMachine) Restore(index uint64, state *bufio.Reader) error {
+	if s.machine.world.bug(SkipRestore) && !s.machine.starting {
 		return nil
 	}
 	return s.StateMachine.Restore(index, state)
 }
 
 // unsynced is a disk whose files take no syncs.
-type unsynced struct{ simdisk.RandomAccess }
+type unsyncedDisk struct{ simdisk.RandomAccess }
 
 type unsyncedFile struct{ replica.File }
 
 func (unsyncedFile) Sync() error { return nil }
 
-func (d unsynced) Open(name string) (replica.File, error) {
+func (d unsyncedDisk) Open(name string) (replica.File, error) {
 	file, err := d.RandomAccess.Open(name)
 	return unsyncedFile{file}, err
 }
 
 func (m *machine) replicaDisk() replica.Disk {
-	if m.w.bug(Unsynced) {
-		return unsynced{simdisk.RandomAccess{Disk: m.disk}}
+	if m.world.bug(Unsynced) {
+		return unsyncedDisk{simdisk.RandomAccess{Disk: m.disk}}
 	}
 	return simdisk.RandomAccess{Disk: m.disk}
 }
