--- a/internal/scheduler/simulation/calls.go
+++ b/internal/scheduler/simulation/calls.go
@@ -20,11 +20,11 @@
 
 // reply is what arrives on a connection.
 type reply struct {
-	status  int
-	id      string // of the request that it says it answers
-	body    string
+	status   int
+	id       string // of the request that it says it answers
+	body     string
 	rejected bool
-	reset   bool
+	reset    bool
 }
 
 // forwardCall begins a client's request: every other one may not be repeated.
@@ -122,43 +122,3 @@
 	}
 	w.schedule(w.latency(), func() { target.serve(c, id) })
 }
-
-// serve is what a worker does with a request, by chance.
-func (k *worker) serve(c *connection, id string) {
-	w := k.world
-	say := func(delay int64, r reply) {
-		w.schedule(delay, func() {
-			if c.open && c.deliver != nil {
-				c.deliver(r)
-			}
-		})
-	}
-	good := reply{status: 200, id: id, body: replyText(id)}
-	previous := reply{status: 200, id: k.previousCall, body: replyText(k.previousCall)}
-	run := func() { w.executions[id]++; k.previousCall = id }
-	switch w.random.IntN(14) {
-	case 0:
-		say(w.latency(), reply{status: 503, id: id, rejected: true})
-	case 1:
-		say(w.latency(), reply{reset: true})
-	case 2:
-		run()
-		say(w.latency(), reply{reset: true})
-	case 3: // silence
-		run()
-	case 4: // an answer that comes when the caller has given up
-		run()
-		say(attemptTimeoutMS+w.randomBetween(1, 200), good)
-	case 5: // a surplus answer, where the next one is due
-		run()
-		say(10, good)
-		say(20, previous)
-	case 6:
-		run()
-		say(5, previous)
-		say(15, good)
-	default:
-		run()
-		say(w.randomBetween(5, 60), good)
-	}
-}
--- a/internal/scheduler/simulation/judge.go
+++ b/internal/scheduler/simulation/checks.go
@@ -2,10 +2,10 @@
 
 import (
 	"maps"
-	"saffronquay/internal/scheduler/batchjobs"
 	"saffronquay/internal/scheduler/directory"
 	"saffronquay/internal/scheduler/placement"
 	"saffronquay/internal/scheduler/registry"
+	"saffronquay/internal/scheduler/rpc"
 	"slices"
 )
 
@@ -15,14 +15,6 @@
 	maxLagEntries = 40
 )
 
-func allGroups() []string {
-	groups := controllerGroups()
-	for n := range jobShards {
-		groups = append(groups, batchjobs.ShardName(n))
-	}
-	return groups
-}
-
 // observe checks on the way what gatherers in touch act on.
 func (w *world) checkGatherers() {
 	if w.now%checkIntervalMS != 0 || w.now < firstFaultMS || w.now-w.lastFaultAt <= contactMS {
@@ -150,3 +142,38 @@
 	w.report.SnapshotsMade += c.SnapshotsMade
 	w.report.SnapshotsReceived += c.SnapshotsReceived
 }
+
+// read holds what was read of a job against what was read before.
+func (w *world) checkJobRead(j *jobRecord, after int, a *readAnswer) {
+	const settleMS = 1000
+	if !a.found {
+		if j.acknowledgedAt > 0 && a.at-j.acknowledgedAt > settleMS {
+			w.reportViolation(Lost, "job %s was accepted at %d and is not found", j.create.Id, j.acknowledgedAt)
+		}
+		return
+	}
+	w.report.Reads++
+	if a.total != len(j.create.Items) {
+		w.reportViolation(Lost, "job %s has %d items, not %d", j.create.Id, a.total, len(j.create.Items))
+	}
+	if after+len(a.results) < len(j.results) && a.at-j.newestReadAt > settleMS {
+		w.reportViolation(Regressed, "job %s: %d results were read, now there are %d", j.create.Id, len(j.results), after+len(a.results))
+	}
+	for i, r := range a.results {
+		at := after + i
+		if at < len(j.results) {
+			if j.results[at].Item != r.Item || string(j.results[at].Text) != string(r.Text) {
+				w.reportViolation(Duplicated, "job %s: position %d held %s, now %s", j.create.Id, at, j.results[at].Item, r.Item)
+			}
+			continue
+		}
+		if slices.ContainsFunc(j.results, func(s *rpc.Result) bool { return s.Item == r.Item }) {
+			w.reportViolation(Duplicated, "job %s: item %s stands at two positions", j.create.Id, r.Item)
+		}
+		if r.Completed && string(r.Text) != resultText(r.Item) {
+			w.reportViolation(WrongCaller, "job %s: item %s has the text %q", j.create.Id, r.Item, r.Text)
+		}
+		j.results, j.newestReadAt = append(j.results, r), w.now
+		w.report.Results++
+	}
+}
--- a/internal/scheduler/simulation/gatherers.go
+++ b/internal/scheduler/simulation/gatherers.go
@@ -10,36 +10,36 @@
 )
 
 const (
-	watchIntervalMS  = 150
-	pollIntervalMS   = 200
-	heldReportIntervalMS   = 1000
-	leaseTimeoutMS  = 2400 // how long items are worked on without a word of their shard's owner
-	gathererPrefix = "gatherer"
+	watchIntervalMS      = 150
+	pollIntervalMS       = 200
+	heldReportIntervalMS = 1000
+	leaseTimeoutMS       = 2400 // how long items are worked on without a word of their shard's owner
+	gathererPrefix       = "gatherer"
 )
 
 // gatherer is a machine without a disk: an agent that tails the feed and a proxy that works on items and forwards calls.
 type gatherer struct {
-	world    *world
-	name string
+	world       *world
+	name        string
 	incarnation int
-	up   bool
-	restartAt int64
-
-	feed       *feed.Table
-	rotation       feed.Rotation
-	version    uint64 // of the configuration in force
-	instances  map[string]*rpc.Instance
-	freshAt    int64
-	startedAt    int64 // since when it has been up
+	up          bool
+	restartAt   int64
+
+	feed             *feed.Table
+	rotation         feed.Rotation
+	version          uint64 // of the configuration in force
+	instances        map[string]*rpc.Instance
+	freshAt          int64
+	startedAt        int64 // since when it has been up
 	partitionedUntil int64 // it is cut off from most machines
 
-	leaders map[string]string
-	leases  map[leaseKey]*lease
-	ownerHeardAt map[string]int64
-	heldReportedAt  map[string]int64
-	epochs  map[string]uint64
+	leaders        map[string]string
+	leases         map[leaseKey]*lease
+	ownerHeardAt   map[string]int64
+	heldReportedAt map[string]int64
+	epochs         map[string]uint64
 	connections    map[string]*connection
-	calls   int
+	calls          int
 }
 
 type leaseKey struct {
--- a/internal/scheduler/simulation/history.go
+++ b/internal/scheduler/simulation/history.go
@@ -11,9 +11,9 @@
 
 // history is what operators have seen of the configuration.
 type history struct {
-	operations []*operation
-	byName     map[string]*operation
-	acknowledged     []acknowledgedVersion
+	operations   []*operation
+	byName       map[string]*operation
+	acknowledged []acknowledgedVersion
 }
 
 type acknowledgedVersion struct {
--- a/internal/scheduler/simulation/options.go
+++ b/internal/scheduler/simulation/options.go
@@ -10,30 +10,30 @@
 	NoBug Bug = ""
 
 	// A machine that was cut off.
-	StaleFeed     Bug = "a steward that is cut off goes on telling gatherers that it is in touch"
-	LocalRefusals Bug = "any steward refuses retirements by what it knows itself"
-	ImmediateTakeover  Bug = "whoever owns a shard sends its workers orders at once"
-	IgnoreLease  Bug = "a steward that was cut off acknowledges what workers say"
-	LocalReads    Bug = "any steward answers reads of the configuration by what it has itself"
+	StaleFeed         Bug = "a steward that is cut off goes on telling gatherers that it is in touch"
+	LocalRefusals     Bug = "any steward refuses retirements by what it knows itself"
+	ImmediateTakeover Bug = "whoever owns a shard sends its workers orders at once"
+	IgnoreLease       Bug = "a steward that was cut off acknowledges what workers say"
+	LocalReads        Bug = "any steward answers reads of the configuration by what it has itself"
 
 	// Two operators, and orders that are sent again.
-	ForgetAcceptedOrders   Bug = "a restored directory does not know which orders were taken"
-	AckOnPropose  Bug = "an order is acknowledged once the leader has it"
-	CheckVersionFirst Bug = "an order that is sent again is held against the present version first"
+	ForgetAcceptedOrders Bug = "a restored directory does not know which orders were taken"
+	AckOnPropose         Bug = "an order is acknowledged once the leader has it"
+	CheckVersionFirst    Bug = "an order that is sent again is held against the present version first"
 
 	// A second loss after a repair.
-	RetireEarly Bug = "a machine counts as emptied once its replicas are wanted elsewhere"
+	RetireEarly  Bug = "a machine counts as emptied once its replicas are wanted elsewhere"
 	KeepIdentity Bug = "a machine that lost its disk keeps its identity"
 	NoRepair     Bug = "replicas on lost disks are not replaced"
 
 	// Restarts after many changes.
-	CountContactOnly   Bug = "a replica counts as in touch that hears the leader but lacks what was agreed on"
-	SkipRestore Bug = "a received snapshot is stored without the state being set to it"
-	Unsynced    Bug = "what is appended counts before it is synced"
+	CountContactOnly Bug = "a replica counts as in touch that hears the leader but lacks what was agreed on"
+	SkipRestore      Bug = "a received snapshot is stored without the state being set to it"
+	Unsynced         Bug = "what is appended counts before it is synced"
 
 	// Answers and calls.
 	KeepConnection Bug = "a connection is kept although its call was given up, and answers are not held against their calls"
-	RetryAnyCall  Bug = "a call that may not be repeated is sent again after silence or a reset"
+	RetryAnyCall   Bug = "a call that may not be repeated is sent again after silence or a reset"
 )
 
 // Bugs are all that can be seeded.
@@ -101,9 +101,9 @@
 	Refused     Rule = "refused"      // an order that was taken, or is proper, is refused
 	TwoWinners  Rule = "two_winners"  // two orders took one number, or the history has no order of its own
 	TwoHolders  Rule = "two_holders"  // two machines ordered workers under one fence, or by turns
-	Regressed        Rule = "back"         // an older state after a newer one, or read by somebody in touch
+	Regressed   Rule = "back"         // an older state after a newer one, or read by somebody in touch
 	WrongCaller Rule = "wrong_caller" // an answer went to another call
-	Duplicated       Rule = "twice"        // a call that may not be repeated ran twice, or an item stands at two positions
+	Duplicated  Rule = "twice"        // a call that may not be repeated ran twice, or an item stands at two positions
 	Stuck       Rule = "stuck"        // a group is not whole again in time
 )
 
@@ -114,4 +114,6 @@
 	Detail string
 }
 
-func (v *ViolationError) Error() string { return fmt.Sprintf("%s at %d ms: %s", v.Rule, v.At, v.Detail) }
+func (v *ViolationError) Error() string {
+	return fmt.Sprintf("%s at %d ms: %s", v.Rule, v.At, v.Detail)
+}
--- a/internal/scheduler/simulation/seeded.go
+++ b/internal/scheduler/simulation/seededbugs.go
@@ -14,8 +14,8 @@
 // watchedMachine holds a state machine against what the other replicas of its group have applied, and makes the seeded mistakes of state machines.
 type checkedMachine struct {
 	replica.StateMachine
-	machine     *machine
-	group string
+	machine *machine
+	group   string
 }
 
 func (m *machine) checkedStateMachine(group string, inner replica.StateMachine) replica.StateMachine {
--- a/internal/scheduler/simulation/ledgers.go
+++ b/internal/scheduler/simulation/storage.go
@@ -1,7 +1,6 @@
 package simulation
 
 import (
-	"fmt"
 	"maps"
 	"saffronquay/internal/scheduler/batchjobs"
 	"saffronquay/internal/scheduler/replica"
@@ -179,89 +178,3 @@
 		})
 	}
 }
-
-// toOwner calls the owner of a shard until one has answered or the time is over, as package ledgerclient does. unsure tells whether a call may
-// have taken effect although none answered.
-func (w *world) callOwner(from string, until int64, leaders map[string]string, shard string, serve func(*machine, func(ownerAnswer)), done func(a ownerAnswer, ok, unsure bool)) {
-	const tryTimeout, retryPause = 900, 40
-	unsure := false
-	var attempt func()
-	retry := func() { w.schedule(retryPause, attempt) }
-	attempt = func() {
-		if w.now >= until {
-			done(ownerAnswer{}, false, unsure)
-			return
-		}
-		to := w.machine(leaders[shard])
-		if to == nil {
-			stores := w.machinesOf(storageKind)
-			to = stores[w.random.IntN(len(stores))]
-		}
-		call(w, from, to, min(tryTimeout, until-w.now), func(answer func(ownerAnswer)) { serve(to, answer) }, func(a ownerAnswer, ok bool) {
-			switch {
-			case ok && a.outcome == rpc.Outcome_DONE:
-				leaders[shard] = to.name
-				done(a, true, unsure)
-			case !ok || a.outcome == rpc.Outcome_OUTCOME_UNKNOWN:
-				unsure = true
-				delete(leaders, shard)
-				retry()
-			default:
-				delete(leaders, shard)
-				if a.leader != "" && a.leader != to.name {
-					leaders[shard] = a.leader
-				}
-				retry()
-			}
-		})
-	}
-	attempt()
-}
-
-// jobRecord is what clients know of a batch job.
-type jobRecord struct {
-	create  *rpc.CreateJob
-	shard   string
-	acknowledgedAt int64 // 0: not yet
-	results    []*rpc.Result
-	newestReadAt  int64 // when the newest position was read first
-}
-
-// read holds what was read of a job against what was read before.
-func (w *world) checkJobRead(j *jobRecord, after int, a *readAnswer) {
-	const settleMS = 1000
-	if !a.found {
-		if j.acknowledgedAt > 0 && a.at-j.acknowledgedAt > settleMS {
-			w.reportViolation(Lost, "job %s was accepted at %d and is not found", j.create.Id, j.acknowledgedAt)
-		}
-		return
-	}
-	w.report.Reads++
-	if a.total != len(j.create.Items) {
-		w.reportViolation(Lost, "job %s has %d items, not %d", j.create.Id, a.total, len(j.create.Items))
-	}
-	if after+len(a.results) < len(j.results) && a.at-j.newestReadAt > settleMS {
-		w.reportViolation(Regressed, "job %s: %d results were read, now there are %d", j.create.Id, len(j.results), after+len(a.results))
-	}
-	for i, r := range a.results {
-		at := after + i
-		if at < len(j.results) {
-			if j.results[at].Item != r.Item || string(j.results[at].Text) != string(r.Text) {
-				w.reportViolation(Duplicated, "job %s: position %d held %s, now %s", j.create.Id, at, j.results[at].Item, r.Item)
-			}
-			continue
-		}
-		if slices.ContainsFunc(j.results, func(s *rpc.Result) bool { return s.Item == r.Item }) {
-			w.reportViolation(Duplicated, "job %s: item %s stands at two positions", j.create.Id, r.Item)
-		}
-		if r.Completed && string(r.Text) != resultText(r.Item) {
-			w.reportViolation(WrongCaller, "job %s: item %s has the text %q", j.create.Id, r.Item, r.Text)
-		}
-		j.results, j.newestReadAt = append(j.results, r), w.now
-		w.report.Results++
-	}
-}
-
-func resultText(item string) string { return "text of " + item }
-
-func itemName(job string, n int) string { return fmt.Sprintf("%s-i%d", job, n) }
--- a/internal/scheduler/simulation/world.go
+++ b/internal/scheduler/simulation/world.go
@@ -4,9 +4,83 @@
 	"container/heap"
 	"fmt"
 	"math/rand/v2"
+	"saffronquay/internal/scheduler/batchjobs"
+	"saffronquay/internal/scheduler/directory"
+	"saffronquay/internal/scheduler/registry"
+	"saffronquay/internal/scheduler/rpc"
 	"slices"
 )
 
+func (w *world) buildClients() {
+	for n := range 3 {
+		w.addGatherer(n)
+	}
+	for n := range 4 {
+		w.addWorker(n)
+	}
+	for n := range 2 {
+		o := &operator{world: w, name: fmt.Sprint("operator", n)}
+		w.operators = append(w.operators, o)
+		w.schedule(startMS, o.nextOrder)
+	}
+	t := &trainer{world: w, name: "trainer", leaders: map[string]string{}}
+	w.trainers = append(w.trainers, t)
+	w.schedule(startMS, t.nextJob)
+	w.schedule(startMS+500, t.nextVersion)
+}
+
+// stewardFor is a steward that a caller may reach, one by chance.
+func (w *world) randomController() *machine {
+	stewards := w.machinesOf(controllerKind)
+	return stewards[w.random.IntN(len(stewards))]
+}
+
+func allGroups() []string {
+	groups := controllerGroups()
+	for n := range jobShards {
+		groups = append(groups, batchjobs.ShardName(n))
+	}
+	return groups
+}
+
+// build makes the machines, with the first stewards as founders, and everybody else.
+func (w *world) buildMachines() {
+	size := w.groupSize()
+	for i := range size {
+		w.addMachine(controllerKind, i)
+	}
+	for i := range size + 1 { // one more than needed, so that a machine can be emptied
+		w.addMachine(storageKind, i)
+	}
+	for _, m := range w.machines {
+		m.start()
+	}
+	founders := w.founders()
+	for _, m := range w.machinesOf(controllerKind) {
+		for _, group := range controllerGroups() {
+			m.engine.CreateGroup(group, founders)
+		}
+	}
+	w.buildClients()
+}
+
+func (w *world) groupSize() int { return 2*w.options.Tolerance + 1 }
+
+func (w *world) founders() (founders []*rpc.Replica) {
+	for _, m := range w.machinesOf(controllerKind) {
+		founders = append(founders, &rpc.Replica{Id: m.identity, Address: m.name, Node: m.name})
+	}
+	return founders
+}
+
+func controllerGroups() []string {
+	names := []string{directory.Shard}
+	for n := range registry.ShardCount {
+		names = append(names, registry.ShardName(n))
+	}
+	return names
+}
+
 const (
 	tickMS = 10
 	// startMS is when clients begin: the machines have found each other by then.
@@ -19,35 +93,15 @@
 	contactMS = 3000
 )
 
-// event is something that happens at a time.
-type event struct {
-	at, sequence int64
-	run        func()
-}
-
-type eventQueue []event
-
-func (e eventQueue) Len() int { return len(e) }
-func (e eventQueue) Less(i, j int) bool {
-	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].sequence < e[j].sequence
-}
-func (e eventQueue) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
-func (e *eventQueue) Push(k any)   { *e = append(*e, k.(event)) }
-func (e *eventQueue) Pop() any {
-	last := (*e)[len(*e)-1]
-	*e = (*e)[:len(*e)-1]
-	return last
-}
-
 // world is one history as it is played.
 type world struct {
-	options Options
-	random  *rand.Rand
-	now     int64
-	events   eventQueue
-	lastSequence   int64
-	violation  *ViolationError
-	report  Report
+	options      Options
+	random       *rand.Rand
+	now          int64
+	events       eventQueue
+	lastSequence int64
+	violation    *ViolationError
+	report       Report
 
 	machines  []*machine // stewards and stores
 	gatherers []*gatherer
@@ -55,24 +109,22 @@
 	operators []*operator
 	trainers  []*trainer
 
-	partitionedUntil    map[link]int64 // one-way links that are cut, until when
-	lastFaultAt int64          // when a trouble began or ended last
+	partitionedUntil map[link]int64 // one-way links that are cut, until when
+	lastFaultAt      int64          // when a trouble began or ended last
 	// troubleUntil is the end of the trouble that goes on now.
-	faultUntil int64
-	retiring     string // the machine that is to be emptied
-	endAt        int64
-	addresses    int // given out so far
-	appliedAt       map[string]string
-	history      history
-	acknowledgedOrders      map[uint64]string // by version: the order that was acknowledged
-	dispatchers       map[string]map[uint64]string
-	jobs         map[string]*jobRecord
-	versions     map[string]uint64 // named and acknowledged, by model
+	faultUntil         int64
+	retiring           string // the machine that is to be emptied
+	endAt              int64
+	addresses          int // given out so far
+	appliedAt          map[string]string
+	history            history
+	acknowledgedOrders map[uint64]string // by version: the order that was acknowledged
+	dispatchers        map[string]map[uint64]string
+	jobs               map[string]*jobRecord
+	versions           map[string]uint64 // named and acknowledged, by model
 	executions         map[string]int    // of calls that may not be repeated
 }
 
-type link struct{ from, to string }
-
 // Play plays one history and checks it.
 func Play(o Options) (Report, error) {
 	w := &world{
@@ -108,12 +160,6 @@
 	w.checkGatherers()
 }
 
-// after has something happen later.
-func (w *world) schedule(delay int64, do func()) {
-	w.lastSequence++
-	heap.Push(&w.events, event{w.now + max(delay, 0), w.lastSequence, do})
-}
-
 // fail notes the first broken rule.
 func (w *world) reportViolation(rule Rule, format string, values ...any) {
 	if w.violation == nil {
@@ -129,67 +175,6 @@
 
 func (w *world) bug(b Bug) bool { return w.options.Bug == b }
 
-// chance is true once in so many times.
-func (w *world) oneIn(in int) bool { return w.random.IntN(in) == 0 }
-
-// between returns a number from low to below high.
-func (w *world) randomBetween(low, high int64) int64 { return low + w.random.Int64N(high-low) }
-
-func (w *world) isPartitionedOneWay(from, to string) bool { return w.now < w.partitionedUntil[link{from, to}] }
-
-// isCut tells whether two ends are apart in either direction.
-func (w *world) isPartitioned(a, b string) bool { return w.isPartitionedOneWay(a, b) || w.isPartitionedOneWay(b, a) }
-
-// latency is how long a message takes.
-func (w *world) latency() int64 {
-	if w.oneIn(80) {
-		return w.randomBetween(50, 600)
-	}
-	return w.randomBetween(1, 12)
-}
-
-// call has a machine answer a question. serve is given the means to answer, once; done is called once, with the answer or, after a reset or the
-// time-out, without. Bytes that a cut holds up are lost.
-func call[A any](w *world, from string, to *machine, timeout int64, serve func(answer func(A)), done func(answer A, ok bool)) {
-	finished := false
-	finish := func(a A, ok bool) {
-		if !finished {
-			finished = true
-			done(a, ok)
-		}
-	}
-	var none A
-	w.schedule(timeout, func() { finish(none, false) })
-	if to == nil || w.isPartitionedOneWay(from, to.name) {
-		return
-	}
-	incarnation := 0
-	answer := func(a A) {
-		if to.incarnation != incarnation || w.isPartitionedOneWay(to.name, from) || w.oneIn(200) {
-			return
-		}
-		w.schedule(w.latency(), func() {
-			if !w.isPartitionedOneWay(to.name, from) {
-				finish(a, true)
-			}
-		})
-	}
-	var arrive func()
-	arrive = func() {
-		switch {
-		case w.isPartitionedOneWay(from, to.name) || to.isPowerless():
-		case !to.up:
-			w.schedule(w.latency(), func() { finish(none, false) }) // a dead port resets
-		case w.now < to.frozenUntil:
-			w.schedule(to.frozenUntil-w.now, arrive)
-		default:
-			incarnation = to.incarnation
-			serve(answer)
-		}
-	}
-	w.schedule(w.latency(), arrive)
-}
-
 // machine returns the machine with a name, or with the address of its present place; nil where there is none.
 func (w *world) machine(name string) *machine {
 	i := slices.IndexFunc(w.machines, func(m *machine) bool { return m.name == name && !m.removed })
