--- a/internal/scheduler/simulation/faults.go
+++ b/internal/scheduler/simulation/faults.go
@@ -124,11 +124,11 @@
 	case 10:
 		w.replaceMachine(m)
 	default:
-		m.disk.Plan().SetWriteBudget(-1)
+		m.disk.Faults().SetWriteBudget(-1)
 		until := w.now + w.randomBetween(500, 4000)
 		w.extendFault(until)
 		w.trace("the disk of %s takes nothing until %d", m.name, until)
-		w.schedule(until-w.now, func() { m.disk.Plan().SetWriteBudget(0) })
+		w.schedule(until-w.now, func() { m.disk.Faults().SetWriteBudget(0) })
 	}
 }
 
