--- a/internal/scheduler/simulation/checks.go
+++ b/internal/scheduler/simulation/checks.go
@@ -11,11 +11,11 @@
 
 const (
 	checkIntervalMS = 200
-	// closeEntries is by how many entries a replica that follows may lag behind.
-	maxLagEntries = 40
+	maxLagEntries   = 40   // by which a follower may lag behind in a group without faults
+	jobVisibleMS    = 1000 // after which a read must show what was acknowledged or read before
 )
 
-// observe checks on the way what gatherers in touch act on.
+// checkGatherers checks during the history that gatherers in touch act on nothing that is older than propagationMS.
 func (w *world) checkGatherers() {
 	if w.now%checkIntervalMS != 0 || w.now < firstFaultMS || w.now-w.lastFaultAt <= contactMS {
 		return
@@ -36,7 +36,7 @@
 	}
 }
 
-// leader is the machine that leads a group under its lease; nil where there is none.
+// leader returns the machine that leads a group and has its lease; nil if there is none.
 func (w *world) leader(group string) *machine {
 	for _, m := range w.machines {
 		if !m.removed && m.isRunning() && m.engine.Status(group) != nil && m.hasLease(group) {
@@ -46,7 +46,7 @@
 	return nil
 }
 
-// led checks that a majority of each group is back.
+// checkLeaders checks that each group has a leader, recoveryMS after a fault.
 func (w *world) checkLeaders() {
 	for _, group := range allGroups() {
 		if w.leader(group) == nil {
@@ -55,7 +55,7 @@
 	}
 }
 
-// wholeAgain checks that each group has the members that it should have, and that all of them are up to date.
+// checkReplicaGroups checks that each group has the members of its placement, and that none of them lags behind.
 func (w *world) checkReplicaGroups() {
 	w.checkLeaders()
 	if w.violation != nil {
@@ -64,13 +64,13 @@
 	placements := w.leader(directory.Shard).directory.Placements()
 	for _, group := range allGroups() {
 		status := w.leader(group).engine.Status(group)
-		if !placement.Same(status.Membership.GetVoters(), placements[group].GetReplicas()) || len(status.Membership.GetVoters()) != w.groupSize() {
+		voters := status.Membership.GetVoters()
+		if !placement.Same(voters, placements[group].GetReplicas()) || len(voters) != w.groupSize() {
 			w.reportViolation(Stuck, "%s has not the members that it should have: %s", group, w.describe(group))
 			return
 		}
-		for _, r := range status.Membership.GetVoters() {
-			m := w.machine(r.Node)
-			if m == nil || m.identity != r.Id || m.engine.Status(group) == nil || m.engine.Status(group).Applied+maxLagEntries < status.Applied {
+		for _, r := range voters {
+			if !w.hasCaughtUp(group, r, status.Applied) {
 				w.reportViolation(Stuck, "%s: the replica on %s has not caught up: %s", group, r.Node, w.describe(group))
 				return
 			}
@@ -78,7 +78,17 @@
 	}
 }
 
-// describe tells how a group stands, for those who look for the cause.
+// hasCaughtUp reports whether a replica is on its machine and lags at most maxLagEntries behind the leader's applied index.
+func (w *world) hasCaughtUp(group string, r *rpc.Replica, leaderApplied uint64) bool {
+	m := w.machine(r.Node)
+	if m == nil || m.identity != r.Id {
+		return false
+	}
+	status := m.engine.Status(group)
+	return status != nil && status.Applied+maxLagEntries >= leaderApplied
+}
+
+// describe returns the status of each replica of a group, for the text of a violation.
 func (w *world) describe(group string) (text string) {
 	for _, m := range w.machines {
 		if m.removed || m.engine == nil {
@@ -91,7 +101,8 @@
 	return text
 }
 
-// judge checks the history at its end, when all has been well for a while.
+// checkEnd checks a history at its end, when there have been no faults for a while: the configuration is linearizable, and the leaders have all
+// that was acknowledged.
 func (w *world) checkEnd() {
 	if err := w.history.check(); err != nil {
 		w.reportViolation(TwoWinners, "%v", err)
@@ -114,13 +125,14 @@
 		w.checkJob(w.jobs[id])
 	}
 	for _, k := range w.workers {
-		if k.leftAt > 0 && w.leader(registry.ShardOf(k.service)).registries[registry.ShardOf(k.service)].Instance(k.id) != nil {
+		shard := registry.ShardOf(k.service)
+		if k.leftAt > 0 && w.leader(shard).registries[shard].Instance(k.id) != nil {
 			w.reportViolation(Lost, "%s is known although its leave was acknowledged at %d", k.id, k.leftAt)
 		}
 	}
 }
 
-// judgeJob holds a job at its shard's leader against all that was read of it.
+// checkJob checks a batch job at its shard's leader: it agrees with all that was read of it, and each item has a result.
 func (w *world) checkJob(j *jobRecord) {
 	if j.acknowledgedAt == 0 {
 		return
@@ -133,7 +145,7 @@
 	}
 }
 
-// count adds what a machine's engine has done since its start.
+// countSnapshots adds the snapshots of a machine's process to the report.
 func (w *world) countSnapshots(m *machine) {
 	if m.engine == nil {
 		return
@@ -143,11 +155,10 @@
 	w.report.SnapshotsReceived += c.SnapshotsReceived
 }
 
-// read holds what was read of a job against what was read before.
+// checkJobRead checks what was read of a job from a position on against what was read before, and records new positions.
 func (w *world) checkJobRead(j *jobRecord, after int, a *readAnswer) {
-	const settleMS = 1000
 	if !a.found {
-		if j.acknowledgedAt > 0 && a.at-j.acknowledgedAt > settleMS {
+		if j.acknowledgedAt > 0 && a.at-j.acknowledgedAt > jobVisibleMS {
 			w.reportViolation(Lost, "job %s was accepted at %d and is not found", j.create.Id, j.acknowledgedAt)
 		}
 		return
@@ -156,24 +167,29 @@
 	if a.total != len(j.create.Items) {
 		w.reportViolation(Lost, "job %s has %d items, not %d", j.create.Id, a.total, len(j.create.Items))
 	}
-	if after+len(a.results) < len(j.results) && a.at-j.newestReadAt > settleMS {
+	if after+len(a.results) < len(j.results) && a.at-j.newestReadAt > jobVisibleMS {
 		w.reportViolation(Regressed, "job %s: %d results were read, now there are %d", j.create.Id, len(j.results), after+len(a.results))
 	}
 	for i, r := range a.results {
-		at := after + i
-		if at < len(j.results) {
-			if j.results[at].Item != r.Item || string(j.results[at].Text) != string(r.Text) {
-				w.reportViolation(Duplicated, "job %s: position %d held %s, now %s", j.create.Id, at, j.results[at].Item, r.Item)
+		position := after + i
+		if position < len(j.results) {
+			if first := j.results[position]; first.Item != r.Item || string(first.Text) != string(r.Text) {
+				w.reportViolation(Duplicated, "job %s: position %d held %s, now %s", j.create.Id, position, first.Item, r.Item)
 			}
 			continue
 		}
-		if slices.ContainsFunc(j.results, func(s *rpc.Result) bool { return s.Item == r.Item }) {
-			w.reportViolation(Duplicated, "job %s: item %s stands at two positions", j.create.Id, r.Item)
-		}
-		if r.Completed && string(r.Text) != resultText(r.Item) {
-			w.reportViolation(WrongCaller, "job %s: item %s has the text %q", j.create.Id, r.Item, r.Text)
-		}
+		w.checkNewResult(j, r)
 		j.results, j.newestReadAt = append(j.results, r), w.now
 		w.report.Results++
 	}
 }
+
+// checkNewResult checks a result that was read at a new position of a job.
+func (w *world) checkNewResult(j *jobRecord, r *rpc.Result) {
+	if slices.ContainsFunc(j.results, func(s *rpc.Result) bool { return s.Item == r.Item }) {
+		w.reportViolation(Duplicated, "job %s: item %s stands at two positions", j.create.Id, r.Item)
+	}
+	if r.Completed && string(r.Text) != resultText(r.Item) {
+		w.reportViolation(WrongCaller, "job %s: item %s has the text %q", j.create.Id, r.Item, r.Text)
+	}
+}
--- a/internal/scheduler/simulation/control.go
+++ b/internal/scheduler/simulation/control.go
@@ -4,29 +4,23 @@
 	"cmp"
 	"maps"
 	"saffronquay/internal/scheduler/batchjobs"
+	"saffronquay/internal/scheduler/controlplane"
 	"saffronquay/internal/scheduler/directory"
 	"saffronquay/internal/scheduler/placement"
-	"saffronquay/internal/scheduler/registry"
 	"saffronquay/internal/scheduler/replica"
 	"saffronquay/internal/scheduler/rpc"
 	"saffronquay/internal/scheduler/weights"
 	"slices"
 	"time"
-
-	stewardrole "saffronquay/internal/scheduler/controlplane"
 )
 
 const (
-	leaderSettleMS   = 1200
-	submitTimeoutMS  = 1500
-	forwardTimeoutMS = 850
-	forwardRetryMS   = 50
-	forgetWorkerMS   = 120_000
-	dispatchLeaseMS  = 3000 // of whoever sends orders to workers
-	watchTimeoutMS   = 1100
+	forgetWorkerMS  = 120_000 // after which an unresponsive worker is forgotten
+	dispatchLeaseMS = 3000    // of the machine that sends orders to the workers of a shard
+	workerSlots     = 100     // of each worker
 )
 
-// control keeps what this machine leads in order, as the roles' control loops do.
+// runControlLoop does what the control loops of the roles do, for the groups that this machine leads.
 func (m *machine) runControlLoop() {
 	if m.kind == storageKind {
 		m.watchFeed()
@@ -41,77 +35,66 @@
 	}
 	for _, shard := range slices.Sorted(maps.Keys(m.heartbeatHandlers)) {
 		for _, command := range m.heartbeatHandlers[shard].OverdueCommands(m.ownership(shard), forgetWorkerMS) {
-			m.propose(shard, replica.Marshal(command), func(replica.ProposalResult) {})
+			m.proposeOnly(shard, replica.Marshal(command))
 		}
 		m.dispatchOrders(shard)
 	}
-	if status := m.engine.Status(directory.Shard); status != nil && status.HasLease(m.world.now) && m.world.now-status.LeaderSince >= leaderSettleMS {
+	status := m.engine.Status(directory.Shard)
+	if m.hasLease(directory.Shard) && m.world.now-status.LeaderSince >= newLeaderDelayMS {
 		m.updatePlacements(status)
 		m.completeRetirements()
 	}
 }
 
-func (m *machine) ownership(shard string) registry.Ownership {
-	status := m.engine.Status(shard)
-	if status == nil {
-		return registry.Ownership{}
-	}
-	return registry.Ownership{NowMS: m.world.now, Epoch: status.Epoch, HasLease: status.HasLease(m.world.now) || m.world.bug(IgnoreLease)}
-}
-
-// place sees to it that each group's wanted replicas are those that the machines allow.
+// updatePlacements keeps the placement of each group on machines that are alive. It runs at the directory's leader.
 func (m *machine) updatePlacements(status *replica.Status) {
-	listened := m.world.now - status.LeaderSince
+	listenedMS := m.world.now - status.LeaderSince
 	placements := m.directory.Placements()
 	for _, group := range controllerGroups() {
 		current := placements[group].GetReplicas()
 		if current == nil {
 			current = status.Membership.GetVoters()
 		}
-		m.updatePlacement(group, current, placement.WithForgotten(m.visibleMachines(controllerKind), current, listened), false)
+		machines := placement.WithForgotten(m.visibleMachines(controllerKind), current, listenedMS)
+		m.updatePlacement(&rpc.Placement{Group: group, Replicas: current}, machines)
 	}
 	for n := range jobShards {
 		group := batchjobs.ShardName(n)
 		current := placements[group].GetReplicas()
-		m.updatePlacement(group, current, placement.WithForgotten(m.visibleMachines(storageKind), current, listened), current == nil)
+		machines := placement.WithForgotten(m.visibleMachines(storageKind), current, listenedMS)
+		m.updatePlacement(&rpc.Placement{Group: group, Replicas: current, Founding: current == nil}, machines)
 	}
 }
 
-func (m *machine) updatePlacement(group string, current []*rpc.Replica, machines []placement.Machine, founding bool) {
+// updatePlacement proposes another placement of a group if the machines require one. A group is founded only when there are enough machines.
+func (m *machine) updatePlacement(current *rpc.Placement, machines []placement.Machine) {
 	size := m.world.groupSize()
-	if founding && len(machines) < size {
+	if current.Founding && len(machines) < size {
 		return
 	}
 	if m.world.bug(NoRepair) {
-		for i := range machines {
-			for _, r := range current {
-				if r.Node == machines[i].Node {
-					machines[i].Identity = r.Id
-				}
-			}
-		}
+		hideLostDisks(machines, current.Replicas)
 	}
-	plan := placement.Plan(current, machines, size, nil)
-	if len(plan) == 0 || placement.Same(current, plan) && m.directory.Placements()[group] != nil {
+	plan := placement.Plan(current.Replicas, machines, size, nil)
+	if len(plan) == 0 || placement.Same(current.Replicas, plan) && m.directory.Placements()[current.Group] != nil {
 		return
 	}
-	m.world.trace("%s wants %s on %v", m.name, group, plan)
-	command := &rpc.DirectoryCommand{Command: &rpc.DirectoryCommand_Place{Place: &rpc.Placement{Group: group, Replicas: plan, Founding: founding}}}
-	m.propose(directory.Shard, replica.Marshal(command), func(replica.ProposalResult) {})
+	m.world.trace("%s wants %s on %v", m.name, current.Group, plan)
+	wanted := &rpc.Placement{Group: current.Group, Replicas: plan, Founding: current.Founding}
+	m.proposeOnly(directory.Shard, replica.Marshal(&rpc.DirectoryCommand{Command: &rpc.DirectoryCommand_Place{Place: wanted}}))
 }
 
-// completeRetirements notes which machines hold nothing any more.
+// completeRetirements records which machines are emptied.
 func (m *machine) completeRetirements() {
 	retirements := m.directory.Retirements()
 	for _, node := range slices.Sorted(maps.Keys(retirements)) {
-		if retirements[node] || !m.isEmptied(node) {
-			continue
+		if completed := retirements[node]; !completed && m.isEmptied(node) {
+			m.proposeOnly(directory.Shard, retireCommand(node, true))
 		}
-		command := &rpc.DirectoryCommand{Command: &rpc.DirectoryCommand_Retire{Retire: &rpc.Retirement{Node: node, Completed: true}}}
-		m.propose(directory.Shard, replica.Marshal(command), func(replica.ProposalResult) {})
 	}
 }
 
+// isEmptied reports whether no job shard is placed on a machine, and all placements are complete.
 func (m *machine) isEmptied(node string) bool {
 	placements := m.directory.Placements()
 	for n := range jobShards {
@@ -129,98 +112,114 @@
 	return true
 }
 
+// isPlacementComplete reports whether a group's leader can be reached and says that the group is placed as wanted.
 func (m *machine) isPlacementComplete(wanted *rpc.Placement) bool {
 	return slices.ContainsFunc(wanted.Replicas, func(r *rpc.Replica) bool {
-		at := m.world.machine(r.Address)
-		if at == nil || !at.isRunning() || at.isPowerless() || m.world.isPartitioned(m.name, at.name) {
+		holder := m.world.machine(r.Address)
+		if holder == nil || !holder.isRunning() || holder.isPowerless() || m.world.isPartitioned(m.name, holder.name) {
 			return false
 		}
-		s := at.engine.Status(wanted.Group)
-		return s != nil && stewardrole.MatchesPlacement(&rpc.GroupStatus{Leads: s.HasLease(m.world.now), Settled: s.MembershipCommitted, HeldByAll: s.FullyReplicated, Membership: s.Membership}, wanted)
+		s := holder.engine.Status(wanted.Group)
+		if s == nil {
+			return false
+		}
+		return controlplane.MatchesPlacement(&rpc.GroupStatus{
+			Leads: s.HasLease(m.world.now), Settled: s.MembershipCommitted, HeldByAll: s.FullyReplicated, Membership: s.Membership,
+		}, wanted)
 	})
 }
 
-// watchFeed has a store follow the placements.
+// watchFeed has a storage node read the feed for placements, one read at a time.
 func (m *machine) watchFeed() {
 	w, incarnation := m.world, m.incarnation
 	if m.watching {
 		return
 	}
-	var names []string
-	for _, s := range w.machinesOf(controllerKind) {
-		names = append(names, s.name)
-	}
-	source := w.machine(m.rotation.Next(names))
+	source := w.machine(m.rotation.Next(w.machineNames(controllerKind)))
 	m.watching = true
-	call(w, m.name, source, watchTimeoutMS, func(answer func(feedAnswer)) { answer(source.feedSince(m.feed.Offsets())) }, func(reported feedAnswer, ok bool) {
+	call(w, m.name, source, watchTimeoutMS, func(answer func(feedAnswer)) { answer(source.feedSince(m.feed.Offsets())) }, func(answer feedAnswer, ok bool) {
 		if m.incarnation != incarnation {
 			return
 		}
 		m.watching = false
-		if !ok || !reported.fresh {
+		if !ok || !answer.fresh {
 			m.rotation.Failed()
 		}
-		for _, e := range m.feed.Merge(reported.feeds) {
-			if p := e.GetPlacement(); p != nil {
-				m.followPlacement(p)
+		for _, event := range m.feed.Merge(answer.feeds) {
+			if wanted := event.GetPlacement(); wanted != nil {
+				m.followPlacement(wanted)
 			}
 		}
 	})
 }
 
-// follow acts on a new placement.
-func (m *machine) followPlacement(p *rpc.Placement) {
-	if m.stateMachineOf(p.Group) == nil {
+// followPlacement founds a group if this machine is one of its founders, and passes the wanted members on to the engine.
+func (m *machine) followPlacement(wanted *rpc.Placement) {
+	if m.stateMachineOf(wanted.Group) == nil {
 		return
 	}
-	own := slices.ContainsFunc(p.Replicas, func(r *rpc.Replica) bool { return r.Id == m.identity })
-	if p.Founding && own {
-		m.engine.CreateGroup(p.Group, p.Replicas)
+	own := slices.ContainsFunc(wanted.Replicas, func(r *rpc.Replica) bool { return r.Id == m.identity })
+	if wanted.Founding && own {
+		m.engine.CreateGroup(wanted.Group, wanted.Replicas)
 	}
-	m.engine.Tick(m.world.now) // so that the group is there before its wanted members are set
-	m.engine.SetWanted(p)
+	m.engine.Tick(m.world.now) // the group must exist before its wanted members are set
+	m.engine.SetWanted(wanted)
 	m.nextTickAt = 0
 }
 
-// orderWorkers sends the orders of a registry shard that this machine holds, as weights.Dispatcher does.
+// dispatchOrders sends the orders of a registry shard that this machine owns, as weights.Dispatcher does. Before the first order of an epoch it
+// has itself recorded as the holder.
 func (m *machine) dispatchOrders(shard string) {
 	w := m.world
 	status := m.engine.Status(shard)
 	if status == nil || !status.HasLease(w.now) {
 		return
 	}
-	wanted := m.directory.NamedVersions()
-	present := m.heartbeatHandlers[shard].ResponsiveInstances(w.now)
-	slices.SortFunc(present, func(a, b *rpc.Instance) int { return cmp.Compare(a.Id, b.Id) })
-	orders := weights.Plan(present, wanted, nil, &weights.Rules{
-		SingleVersion: func(string) bool { return false }, MaxConcurrent: func(n int) int { return n },
-		Slots: func(string) float64 { return 100 },
-	})
+	orders := m.plannedOrders(shard)
 	if len(orders) == 0 {
 		return
 	}
-	slices.SortFunc(orders, func(a, b weights.Order) int { return cmp.Compare(a.Instance.Id, b.Instance.Id) })
 	if m.dispatchEpochs[shard] != status.Epoch {
-		last := m.registries[shard].Holder()
-		holder := w.machine(last.GetNode())
-		ended := holder == nil || uint64(holder.incarnation) != last.GetStart()
-		owned := time.Duration(w.now-status.LeaderSince) * time.Millisecond
-		may := weights.MayTakeOver(m.name, last.GetNode(), ended, w.options.Fencing, owned, dispatchLeaseMS*time.Millisecond) || w.bug(ImmediateTakeover)
-		if !may || m.takingOver {
-			return
-		}
-		m.takingOver = true
-		hold := &rpc.RegistryCommand{Command: &rpc.RegistryCommand_Hold{Hold: &rpc.Holder{Node: m.name, Epoch: status.Epoch, Start: uint64(m.incarnation)}}}
-		m.propose(shard, replica.Marshal(hold), func(p replica.ProposalResult) {
-			if m.takingOver = false; p.Outcome == rpc.Outcome_DONE {
-				m.dispatchEpochs[shard] = status.Epoch
-			}
-		})
+		m.takeOverDispatch(shard, status)
 		return
 	}
-	for _, o := range orders {
-		if target := w.worker(o.Instance.Id); target != nil && m.hasLease(shard) {
-			target.receiveOrder(m, shard, status.Epoch, o.Version)
+	for _, order := range orders {
+		if target := w.worker(order.Instance.Id); target != nil && m.hasLease(shard) {
+			target.receiveOrder(m, shard, status.Epoch, order.Version)
 		}
 	}
 }
+
+// plannedOrders returns the orders that are due in a shard, by worker. All workers may load at the same time.
+func (m *machine) plannedOrders(shard string) []weights.Order {
+	present := m.heartbeatHandlers[shard].ResponsiveInstances(m.world.now)
+	slices.SortFunc(present, func(a, b *rpc.Instance) int { return cmp.Compare(a.Id, b.Id) })
+	orders := weights.Plan(present, m.directory.NamedVersions(), nil, &weights.Rules{
+		SingleVersion: func(string) bool { return false },
+		MaxConcurrent: func(n int) int { return n },
+		Slots:         func(string) float64 { return workerSlots },
+	})
+	slices.SortFunc(orders, func(a, b weights.Order) int { return cmp.Compare(a.Instance.Id, b.Instance.Id) })
+	return orders
+}
+
+// takeOverDispatch has this machine recorded as the holder of a shard, if the last holder cannot send orders any more.
+func (m *machine) takeOverDispatch(shard string, status *replica.Status) {
+	w := m.world
+	last := m.registries[shard].Holder()
+	holder := w.machine(last.GetNode())
+	ended := holder == nil || uint64(holder.incarnation) != last.GetStart()
+	owned := time.Duration(w.now-status.LeaderSince) * time.Millisecond
+	allowed := weights.MayTakeOver(m.name, last.GetNode(), ended, w.options.Fencing, owned, dispatchLeaseMS*time.Millisecond)
+	if !allowed && !w.bug(ImmediateTakeover) || m.takingOver {
+		return
+	}
+	m.takingOver = true
+	hold := &rpc.Holder{Node: m.name, Epoch: status.Epoch, Start: uint64(m.incarnation)}
+	m.propose(shard, replica.Marshal(&rpc.RegistryCommand{Command: &rpc.RegistryCommand_Hold{Hold: hold}}), func(p replica.ProposalResult) {
+		m.takingOver = false
+		if p.Outcome == rpc.Outcome_DONE {
+			m.dispatchEpochs[shard] = status.Epoch
+		}
+	})
+}
--- a/internal/scheduler/simulation/controllers.go
+++ b/internal/scheduler/simulation/controllers.go
@@ -1,37 +1,40 @@
 package simulation
 
 import (
+	"net/http"
 	"saffronquay/internal/scheduler/batchjobs"
+	"saffronquay/internal/scheduler/controlplane"
 	"saffronquay/internal/scheduler/directory"
+	"saffronquay/internal/scheduler/registry"
 	"saffronquay/internal/scheduler/replica"
 	"saffronquay/internal/scheduler/rpc"
 
 	"google.golang.org/protobuf/proto"
+)
 
-	stewardrole "saffronquay/internal/scheduler/controlplane"
+const (
+	newLeaderDelayMS = 1200 // after its election, before which a leader does not decide on machines
+	submitTimeoutMS  = 1500 // of a command for the directory
+	forwardTimeoutMS = 850  // of a request that a controller may pass to the leader
+	forwardRetryMS   = 50   // between two attempts of it
+	watchTimeoutMS   = 1100 // of a read of the feed
 )
 
-// replaceConfiguration takes an operator's order and answers with a status.
-func (m *machine) replaceConfiguration(o *configurationOrder, answer func(int)) {
+// notDecided is the status with which a controller answers another one if it does not decide on a request.
+const notDecided = 0
+
+// replaceConfiguration handles an operator's order, and answers with an HTTP status.
+func (m *machine) replaceConfiguration(o *configurationOrder, answer func(status int)) {
 	m.decideDirectory(directory.ReplaceCommand(o.base, o.version, o.patch, o.body), func(result *rpc.DirectoryResult) {
 		if result == nil {
-			answer(503)
+			answer(http.StatusServiceUnavailable)
 			return
 		}
-		answer(stewardrole.HTTPStatus(result.Status))
+		answer(controlplane.HTTPStatus(result.Status))
 	})
 }
 
-// localRead is the mistake of answering a read without asking the leader.
-func (m *machine) readLocally() *rpc.DirectoryResult {
-	record, ok := m.directory.Snapshot()().(*rpc.DirectorySnapshot)
-	if !ok {
-		return nil
-	}
-	return &rpc.DirectoryResult{Configuration: record.Configuration}
-}
-
-// decide has the directory decide on a command; nil where it can't.
+// decideDirectory has the directory decide on a command. The result is nil if that failed; the command may have taken effect then.
 func (m *machine) decideDirectory(command *rpc.DirectoryCommand, done func(*rpc.DirectoryResult)) {
 	if m.world.bug(LocalReads) && command.GetRead() != nil {
 		done(m.readLocally())
@@ -47,8 +50,9 @@
 	})
 }
 
-// retire takes an order to empty a machine and answers with a status.
-func (m *machine) handleRetirement(node string, until int64, answer func(int)) {
+// handleRetirement handles an operator's request to empty a machine: here if this controller leads the directory, at the leader otherwise. It
+// answers with an HTTP status, until a virtual time.
+func (m *machine) handleRetirement(node string, until int64, answer func(status int)) {
 	w, incarnation := m.world, m.incarnation
 	var attempt func()
 	retry := func() { w.schedule(forwardRetryMS, attempt) }
@@ -58,19 +62,13 @@
 		case m.incarnation != incarnation:
 			return
 		case w.now >= until:
-			answer(503)
+			answer(http.StatusServiceUnavailable)
 		case m.hasLease(directory.Shard) || w.bug(LocalRefusals):
 			m.decideRetirement(node, status, answer, retry)
-		case status != nil && status.LeaderAddress != "" && status.LeaderAddress != m.name:
+		case m.knowsOtherLeader(status):
 			to := w.machine(status.LeaderAddress)
-			call(w, m.name, to, until-w.now, func(answer func(int)) {
-				if !to.hasLease(directory.Shard) {
-					answer(0)
-					return
-				}
-				to.decideRetirement(node, to.engine.Status(directory.Shard), answer, func() { answer(0) })
-			}, func(status int, ok bool) {
-				if !ok || status == 0 {
+			call(w, m.name, to, until-w.now, func(answer func(int)) { to.decideForwardedRetirement(node, answer) }, func(status int, ok bool) {
+				if !ok || status == notDecided {
 					retry()
 					return
 				}
@@ -83,13 +81,28 @@
 	attempt()
 }
 
-func (m *machine) decideRetirement(node string, status *replica.Status, answer func(int), later func()) {
+// knowsOtherLeader reports whether another machine is known to lead a group.
+func (m *machine) knowsOtherLeader(status *replica.Status) bool {
+	return status != nil && status.LeaderAddress != "" && status.LeaderAddress != m.name
+}
+
+// decideForwardedRetirement decides on a request that another controller has passed on, if this one leads the directory.
+func (m *machine) decideForwardedRetirement(node string, answer func(status int)) {
+	if !m.hasLease(directory.Shard) {
+		answer(notDecided)
+		return
+	}
+	m.decideRetirement(node, m.engine.Status(directory.Shard), answer, func() { answer(notDecided) })
+}
+
+// decideRetirement accepts or refuses a retirement at the directory's leader. retry runs instead of answer if that is not possible now.
+func (m *machine) decideRetirement(node string, status *replica.Status, answer func(status int), retry func()) {
 	if _, begun := m.directory.Retirements()[node]; begun {
-		answer(200)
+		answer(http.StatusOK)
 		return
 	}
-	if m.world.now-status.LeaderSince < leaderSettleMS && !m.world.bug(LocalRefusals) {
-		later()
+	if m.world.now-status.LeaderSince < newLeaderDelayMS && !m.world.bug(LocalRefusals) {
+		retry()
 		return
 	}
 	var placements []*rpc.Placement
@@ -98,26 +111,31 @@
 			placements = append(placements, p)
 		}
 	}
-	switch stewardrole.RetireRefusal(node, m.visibleMachines(storageKind), placements, m.world.groupSize()) {
+	switch controlplane.RetireRefusal(node, m.visibleMachines(storageKind), placements, m.world.groupSize()) {
 	case rpc.RetireState_RETIRE_NO_SUCH_MACHINE:
-		answer(404)
+		answer(http.StatusNotFound)
 		return
 	case rpc.RetireState_RETIRE_TOO_FEW_LEFT:
-		answer(409)
+		answer(http.StatusConflict)
 		return
 	}
-	command := &rpc.DirectoryCommand{Command: &rpc.DirectoryCommand_Retire{Retire: &rpc.Retirement{Node: node}}}
-	m.propose(directory.Shard, replica.Marshal(command), func(p replica.ProposalResult) {
+	m.propose(directory.Shard, retireCommand(node, false), func(p replica.ProposalResult) {
 		if p.Outcome != rpc.Outcome_DONE {
-			later()
+			retry()
 			return
 		}
-		answer(200)
+		answer(http.StatusOK)
 	})
 }
 
-// heartbeat takes in what a worker says of itself, and answers whether the owner of the shard has.
-func (m *machine) forwardHeartbeat(shard string, r *rpc.HeartbeatRequest, until int64, answer func(bool)) {
+// retireCommand returns the command that begins or completes a retirement.
+func retireCommand(node string, completed bool) []byte {
+	return replica.Marshal(&rpc.DirectoryCommand{Command: &rpc.DirectoryCommand_Retire{Retire: &rpc.Retirement{Node: node, Completed: completed}}})
+}
+
+// handleHeartbeat handles a worker's heartbeat for a registry shard: here if this controller owns the shard, at the owner otherwise. It answers
+// whether the owner has acknowledged it, until a virtual time.
+func (m *machine) handleHeartbeat(shard string, r *rpc.HeartbeatRequest, until int64, answer func(acknowledged bool)) {
 	w, incarnation := m.world, m.incarnation
 	var attempt func()
 	retry := func() { w.schedule(forwardRetryMS, attempt) }
@@ -134,7 +152,7 @@
 			switch {
 			case result == rpc.Outcome_DONE:
 				answer(true)
-			case result == rpc.Outcome_NOT_LEADER && status.LeaderAddress != "" && status.LeaderAddress != m.name:
+			case result == rpc.Outcome_NOT_LEADER && m.knowsOtherLeader(status):
 				to := w.machine(status.LeaderAddress)
 				call(w, m.name, to, until-w.now, func(answer func(rpc.Outcome)) { to.decideHeartbeat(shard, r, answer) }, func(result rpc.Outcome, ok bool) {
 					if ok && result == rpc.Outcome_DONE {
@@ -151,7 +169,7 @@
 	attempt()
 }
 
-// hear decides on a heartbeat where this machine owns the shard.
+// decideHeartbeat decides on a heartbeat if this controller owns the shard. What changes the registry is acknowledged when it is committed.
 func (m *machine) decideHeartbeat(shard string, r *rpc.HeartbeatRequest, answer func(rpc.Outcome)) {
 	if m.engine.Status(shard) == nil {
 		answer(rpc.Outcome_UNAVAILABLE)
@@ -160,7 +178,7 @@
 	result, command := m.heartbeatHandlers[shard].Decide(m.ownership(shard), r)
 	if result != rpc.Outcome_DONE || command == nil || m.world.bug(IgnoreLease) {
 		if command != nil {
-			m.propose(shard, replica.Marshal(command), func(replica.ProposalResult) {})
+			m.proposeOnly(shard, replica.Marshal(command))
 		}
 		answer(result)
 		return
@@ -168,13 +186,23 @@
 	m.propose(shard, replica.Marshal(command), func(p replica.ProposalResult) { answer(p.Outcome) })
 }
 
-// watchAnswer is what a watcher is told.
+// ownership returns what this controller knows of its ownership of a registry shard.
+func (m *machine) ownership(shard string) registry.Ownership {
+	status := m.engine.Status(shard)
+	if status == nil {
+		return registry.Ownership{}
+	}
+	return registry.Ownership{NowMS: m.world.now, Epoch: status.Epoch, HasLease: status.HasLease(m.world.now) || m.world.bug(IgnoreLease)}
+}
+
+// feedAnswer is the answer to a read of the feed.
 type feedAnswer struct {
 	feeds []*rpc.ShardFeed
-	fresh bool
+	fresh bool // the controller is in touch with the leaders of all groups
 }
 
+// feedSince returns the events of all shards after the given offsets.
 func (m *machine) feedSince(offsets map[string]uint64) feedAnswer {
-	feeds, _ := m.feed.Since(offsets)
+	feeds, _ := m.feed.Since(offsets) // nothing waits for the next change
 	return feedAnswer{feeds, m.isFresh()}
 }
--- a/internal/scheduler/simulation/doc.go
+++ b/internal/scheduler/simulation/doc.go
@@ -1,11 +1,20 @@
-// Package simulation plays the whole control side in virtual time: stewards and stores with their replicas on simulated disks, gatherers that tail
-// the feed, work on items and forward calls, workers that send heartbeats and take orders, and operators and trainers that send an order again
-// until they have a clear answer. It drives the real cores (package replica's engine with its store, directory, registry, ledger, feed,
-// placement, weights, forward), under cuts, freezes, kills, losses of power with torn writes, lost disks, replacements, retirements and steps
-// of the clock, one machine at a time as the tolerance allows, with snapshots every few entries.
-//
-// What happened is checked afterwards and on the way: the configuration is linearizable (porcupine), one order wins a number, what was
-// acknowledged is neither refused when it is sent again nor lost, nobody in touch reads what is old, no state steps back, one machine holds a
-// fence, results stay at their positions, answers go to their callers, calls that may not be repeated run once, and each group is whole
-// again soon after each loss. With a seeded bug it shows that the checks notice.
+// Package simulation plays the complete control plane in virtual time under faults: controllers and storage nodes with their replicas on simulated
+// disks, gatherers that tail the feed, work on items and forward calls, workers that send heartbeats and take orders, and operators and a trainer
+// that repeat their requests until they have a definite answer. It drives the real cores: the engine and store of package replica, and packages
+// directory, registry, batchjobs, feed, placement, weights and forward. What their drivers do is written again here, in virtual time.
+//
+// Machines are partitioned, frozen, killed, replaced and retired; they lose power with torn writes, or their disks; their clocks step. No more
+// disks are lost at the same time than Options.Tolerance allows; processes may end in any number. Logs are replaced by snapshots every few
+// entries.
+//
+// Rules are checked during the history and at its end: the configuration is linearizable (porcupine), what was acknowledged is not lost and not
+// refused when it is sent again, a gatherer in touch acts on nothing old, no state steps back, one machine sends orders under an epoch, results
+// keep their positions, answers reach their own calls, calls that are not idempotent run one time at most, and each group is complete soon after
+// each fault. With a seeded Bug it shows that the checks detect it.
+//
+// The same Options give the same history: all random numbers come from generators that the seed determines. A change of the number or order of
+// the draws or of the scheduled events changes every history, and so does a change of the texts of traces and violations; recorded digests
+// guard both.
+//
+// A history is for one goroutine; several may be played at the same time. The error of a history is a *ViolationError.
 package simulation
--- a/internal/scheduler/simulation/faults.go
+++ b/internal/scheduler/simulation/faults.go
@@ -1,24 +1,29 @@
 package simulation
 
 const (
-	// firstFaultMS is when troubles begin: all groups are placed by then.
-	firstFaultMS = startMS + 4000
-	// quietMS is the time at the end in which nothing goes wrong.
-	quietMS = 7000
-	// emptiedIn is how long a machine may take to be emptied in calm.
-	maxRetirementMS = 12_000
+	firstFaultMS   = startMS + 4000 // all groups are placed by then
+	quietMS        = 7000           // at the end of a history, in which there are no faults
+	replaceDelayMS = 1000           // after which a new machine takes the place of a removed one
+	overlapMS      = 1500           // in which the faults of an overlap begin
+	maxClockStepMS = 7_200_000
+
+	endUnknown = 1 << 60 // endAt before the last fault is over
 )
 
-// end is when the history ends; it is set once the last trouble is over.
-func (w *world) end() int64 { return w.endAt }
+// Chances of a fault are 1 to these numbers.
+const (
+	gathererKillChance = 3
+	clockStepChance    = 4
+	faultKinds         = 14 // see injectFault
+)
 
-// scheduleFaults begins the first trouble.
+// scheduleFaults schedules the first phase.
 func (w *world) scheduleFaults() {
-	w.endAt = 1 << 60
+	w.endAt = endUnknown
 	w.schedule(firstFaultMS, func() { w.beginPhase(0) })
 }
 
-// phase plays one trouble. The next begins as soon as the tolerance allows.
+// beginPhase injects the fault of a phase. After the last phase it schedules the end of the history and the check of the replica groups.
 func (w *world) beginPhase(n int) {
 	if n >= w.options.Phases {
 		w.endAt = w.now + 2*quietMS
@@ -31,7 +36,7 @@
 	w.schedule(w.faultUntil-w.now+tickMS, func() { w.endPhase(n) })
 }
 
-// over ends a trouble, once all that belongs to it has ended.
+// endPhase waits until the fault and all that belongs to it are over. The next phase begins when the failed machines have recovered.
 func (w *world) endPhase(n int) {
 	if w.now < w.faultUntil || w.retiring != "" {
 		w.schedule(max(w.faultUntil-w.now, 10*tickMS), func() { w.endPhase(n) })
@@ -42,22 +47,22 @@
 	w.schedule(recoveryMS+w.randomBetween(0, 1500), func() { w.beginPhase(n + 1) })
 }
 
-// lasts notes that a trouble goes on until a time.
+// extendFault records that the present fault lasts until a time at least.
 func (w *world) extendFault(until int64) { w.faultUntil = max(w.faultUntil, until) }
 
-// victim is a machine by chance, or one that leads a group.
-func (w *world) pickMachine(kinds ...machineKind) *machine {
+// recordFault records a fault now: no machine counts as in touch for a while.
+func (w *world) recordFault() { w.lastFaultAt = w.now }
+
+// pickMachine draws a machine, half of the time among those that lead a group.
+func (w *world) pickMachine() *machine {
 	var list, leaders []*machine
 	for _, m := range w.machines {
-		if m.removed || len(kinds) > 0 && m.kind != kinds[0] {
+		if m.removed {
 			continue
 		}
 		list = append(list, m)
-		for _, group := range m.engine.Groups() {
-			if m.hasLease(group) {
-				leaders = append(leaders, m)
-				break
-			}
+		if m.leadsAnyGroup() {
+			leaders = append(leaders, m)
 		}
 	}
 	if len(leaders) > 0 && w.oneIn(2) {
@@ -66,18 +71,29 @@
 	return list[w.random.IntN(len(list))]
 }
 
-// trouble has something go wrong, within what the tolerance allows.
+// leadsAnyGroup reports whether the machine has the lease of a group.
+func (m *machine) leadsAnyGroup() bool {
+	for _, group := range m.engine.Groups() {
+		if m.hasLease(group) {
+			return true
+		}
+	}
+	return false
+}
+
+// injectFault injects the fault of a phase, within the tolerance or without loss of disks. Gatherers have no disk, so any number may fail; a
+// step of a clock is tolerated at any time.
 func (w *world) injectFault() {
-	if w.oneIn(3) { // machines without a disk may be lost in any number
+	if w.oneIn(gathererKillChance) {
 		w.gatherers[w.random.IntN(len(w.gatherers))].kill()
 	}
-	if w.oneIn(4) {
+	if w.oneIn(clockStepChance) {
 		m := w.pickMachine()
-		m.clockOffset += w.randomBetween(-7_200_000, 7_200_000)
+		m.clockOffset += w.randomBetween(-maxClockStepMS, maxClockStepMS)
 		w.report.ClockStep++
 		w.trace("the clock of %s steps", m.name)
 	}
-	switch kind := w.random.IntN(14); kind {
+	switch kind := w.random.IntN(faultKinds); kind {
 	case 0:
 		w.stopAll()
 	case 1, 2:
@@ -94,12 +110,13 @@
 	}
 }
 
-// lose has one machine be lost for a while, or for good.
-func (w *world) failMachine(m *machine, how int, first bool) {
+// failMachine has one machine fail for a while, or for good, in the way that injectFault has drawn. A machine that has already failed is left
+// as it is. After a loss of the first machine's disk the others may lose power.
+func (w *world) failMachine(m *machine, kind int, first bool) {
 	if !m.up || m.removed || m.frozenUntil > w.now {
 		return
 	}
-	switch how {
+	switch kind {
 	case 3:
 		w.report.Kills++
 		m.stopProcess(false, w.randomBetween(100, 1000))
@@ -109,29 +126,20 @@
 	case 5, 6:
 		w.loseDisk(m)
 		if first && w.oneIn(2) {
-			for _, other := range w.machines {
-				if other != m && !other.removed && other.up {
-					other.stopProcess(true, w.randomBetween(200, 900))
-				}
-			}
+			w.cutPowerExcept(m)
 		}
 	case 7:
-		m.frozenUntil = w.now + w.randomBetween(300, 5000)
-		w.extendFault(m.frozenUntil)
-		w.trace("%s stands still until %d", m.name, m.frozenUntil)
+		w.freeze(m)
 	case 8, 9:
 		w.isolate(m)
 	case 10:
 		w.replaceMachine(m)
 	default:
-		m.disk.Faults().SetWriteBudget(-1)
-		until := w.now + w.randomBetween(500, 4000)
-		w.extendFault(until)
-		w.trace("the disk of %s takes nothing until %d", m.name, until)
-		w.schedule(until-w.now, func() { m.disk.Faults().SetWriteBudget(0) })
+		w.failWrites(m)
 	}
 }
 
+// loseDisk ends a machine's process and replaces its disk by an empty one.
 func (w *world) loseDisk(m *machine) {
 	w.report.Wipes++
 	m.stopProcess(true, w.randomBetween(300, 3000))
@@ -139,97 +147,49 @@
 	w.trace("%s loses its disk", m.name)
 }
 
-func (w *world) stopAll() {
-	power := w.oneIn(2)
-	for _, m := range w.machines {
-		if !m.removed && m.up {
-			w.report.Kills++
-			m.stopProcess(power, w.randomBetween(50, 900))
+// cutPowerExcept has all machines but one lose power.
+func (w *world) cutPowerExcept(m *machine) {
+	for _, other := range w.machines {
+		if other != m && !other.removed && other.up {
+			other.stopProcess(true, w.randomBetween(200, 900))
 		}
 	}
 }
 
-// isolate cuts a machine off from the other counted ones, in one direction or both; sometimes from everybody, or from all but some who would
-// be misled by it.
-func (w *world) isolate(m *machine) {
-	w.report.Cuts++
-	until := w.now + w.randomBetween(800, 6000)
-	if w.oneIn(4) {
-		until = w.now + 20_000
-	}
-	way, reach := w.random.IntN(3), w.random.IntN(3)
-	partition := func(a, b string) {
-		if way != 0 {
-			w.partitionedUntil[link{a, b}] = until
-		}
-		if way != 1 {
-			w.partitionedUntil[link{b, a}] = until
-		}
-	}
-	for _, other := range w.machines {
-		if other != m {
-			partition(m.name, other.name)
-		}
-	}
-	misled := w.gatherers[w.random.IntN(len(w.gatherers))]
-	for _, g := range w.gatherers {
-		if reach == 1 {
-			partition(m.name, g.name)
-		}
-	}
-	if reach == 2 { // this one reaches the others no longer
-		misled.partitionedUntil = until
-		for _, other := range w.machines {
-			if other != m {
-				w.partitionedUntil[link{misled.name, other.name}], w.partitionedUntil[link{other.name, misled.name}] = until, until
-			}
-		}
-	}
+// freeze stops a machine's process for a time. Virtual time goes on.
+func (w *world) freeze(m *machine) {
+	m.frozenUntil = w.now + w.randomBetween(300, 5000)
+	w.extendFault(m.frozenUntil)
+	w.trace("%s stands still until %d", m.name, m.frozenUntil)
+}
+
+// failWrites has a machine's disk refuse writes for a time.
+func (w *world) failWrites(m *machine) {
+	m.disk.Faults().SetWriteBudget(-1)
+	until := w.now + w.randomBetween(500, 4000)
 	w.extendFault(until)
-	w.trace("%s is cut off until %d (way %d, reach %d)", m.name, until, way, reach)
-	if w.oneIn(3) { // it is started anew, and knows only what its disk and those tell that it reaches
-		m.stopProcess(false, w.randomBetween(100, 600))
-	}
-	if m.kind == controllerKind && w.oneIn(2) {
-		w.schedule(w.randomBetween(500, 2500), func() { w.retireStore(false) })
-	}
+	w.trace("the disk of %s takes nothing until %d", m.name, until)
+	w.schedule(until-w.now, func() { m.disk.Faults().SetWriteBudget(0) })
 }
 
-// halve cuts the counted machines into two halves, whatever the tolerance. All others reach both.
-func (w *world) partitionHalves() {
-	w.report.Halves++
-	until := w.now + w.randomBetween(800, 7000)
-	half := map[string]bool{}
-	var names []string
+// stopAll ends the processes of all machines, half of the time by a loss of power. Their disks stay.
+func (w *world) stopAll() {
+	powerLoss := w.oneIn(2)
 	for _, m := range w.machines {
-		if !m.removed {
-			names = append(names, m.name)
-		}
-	}
-	for i, at := range w.random.Perm(len(names)) {
-		half[names[at]] = i < len(names)/2
-	}
-	for _, a := range names {
-		for _, b := range names {
-			if half[a] != half[b] {
-				w.partitionedUntil[link{a, b}] = until
-			}
+		if !m.removed && m.up {
+			w.report.Kills++
+			m.stopProcess(powerLoss, w.randomBetween(50, 900))
 		}
 	}
-	w.extendFault(until)
-	w.trace("the counted machines are cut into halves until %d", until)
 }
 
-// disturbed notes that the counted machines are not stable now: nobody is in touch for a while.
-func (w *world) markUnstable() { w.lastFaultAt = w.now }
-
-// overlap has more machines lose power than the tolerance allows, one after the other while the ones before are down; no more disks are lost than it
-// allows.
+// overlap has more machines lose power than the tolerance allows, at random times of which the downtimes may overlap. No more disks are lost
+// than the tolerance allows.
 func (w *world) overlap() {
 	w.report.Overlaps++
 	disks := w.random.IntN(w.options.Tolerance + 1)
 	for range 2*w.options.Tolerance + 1 {
-		w.schedule(w.randomBetween(0, 1500), func() {
+		w.schedule(w.randomBetween(0, overlapMS), func() {
 			m := w.machines[w.random.IntN(len(w.machines))]
 			switch {
 			case m.removed || !m.up:
@@ -239,21 +199,23 @@
 			default:
 				m.stopProcess(true, w.randomBetween(500, 2500))
 			}
-			w.markUnstable()
-			w.schedule(max(m.restartAt-w.now, 0), w.markUnstable)
+			w.recordFault()
+			w.schedule(max(m.restartAt-w.now, 0), w.recordFault)
 		})
 	}
-	w.extendFault(w.now + 1500)
+	w.extendFault(w.now + overlapMS)
 }
 
-// replace has a machine go for good; an empty one comes at another address.
+// replaceMachine removes a machine for good. An empty one of its kind comes at another address.
 func (w *world) replaceMachine(m *machine) {
 	w.report.Replacements++
 	m.up, m.removed = false, true
 	w.trace("%s is gone for good", m.name)
-	w.schedule(1000, func() {
-		fresh := w.addMachine(m.kind, w.random.IntN(3))
-		fresh.start()
-	})
-	w.extendFault(w.now + 1000)
+	w.addMachineLater(m.kind)
+	w.extendFault(w.now + replaceDelayMS)
+}
+
+// addMachineLater starts a new machine of a kind, in a random zone, after replaceDelayMS.
+func (w *world) addMachineLater(kind machineKind) {
+	w.schedule(replaceDelayMS, func() { w.addMachine(kind, w.random.IntN(zones)).start() })
 }
--- a/internal/scheduler/simulation/gatherers.go
+++ b/internal/scheduler/simulation/gatherers.go
@@ -10,122 +10,128 @@
 )
 
 const (
-	watchIntervalMS      = 150
-	pollIntervalMS       = 200
-	heldReportIntervalMS = 1000
-	leaseTimeoutMS       = 2400 // how long items are worked on without a word of their shard's owner
-	gathererPrefix       = "gatherer"
+	gathererPrefix        = "gatherer"
+	watchIntervalMS       = 150
+	pollIntervalMS        = 200
+	callIntervalMS        = 70
+	leaseReportIntervalMS = 1000 // between two complete reports of the leases
+	leaseTimeoutMS        = 2400 // without an answer of the shard's owner, after which leases are dropped
+	workTimeoutMS         = 900  // of one exchange of work
+	itemsWanted           = 4    // in one exchange
+	maxLeases             = 8    // with more of them a gatherer requests none
 )
 
-// gatherer is a machine without a disk: an agent that tails the feed and a proxy that works on items and forwards calls.
+// gatherer is a machine without a disk: an agent that tails the feed, and a proxy that works on items and forwards calls.
 type gatherer struct {
 	world       *world
 	name        string
 	incarnation int
 	up          bool
-	restartAt   int64
+	restartAt   int64 // if it is not up
 
 	feed             *feed.Table
 	rotation         feed.Rotation
 	version          uint64 // of the configuration in force
 	instances        map[string]*rpc.Instance
-	freshAt          int64
-	startedAt        int64 // since when it has been up
-	partitionedUntil int64 // it is cut off from most machines
-
-	leaders        map[string]string
-	leases         map[leaseKey]*lease
-	ownerHeardAt   map[string]int64
-	heldReportedAt map[string]int64
-	epochs         map[string]uint64
-	connections    map[string]*connection
-	calls          int
+	startedAt        int64
+	partitionedUntil int64 // from most machines
+
+	leaders          map[string]string // by shard: the storage node that it takes for the owner
+	leases           map[leaseKey]*lease
+	ownerHeardAt     map[string]int64  // by shard: when its owner answered last
+	leasesReportedAt map[string]int64  // by shard: when all leases were reported last
+	epochs           map[string]uint64 // by shard: the owner's epoch at the last answer
+	connections      map[string]*connection
+	calls            int
 }
 
+// leaseKey identifies a lease.
 type leaseKey struct {
 	shard  string
 	number uint64
 }
 
-// lease is an item that is worked on, or whose report is on its way.
+// lease is an item that is worked on, or whose report is still to be acknowledged.
 type lease struct {
 	*rpc.Lease
-	report *rpc.Report
-	ended  bool // given up
+	report *rpc.Report // nil: the work goes on
 }
 
+// addGatherer starts a gatherer.
 func (w *world) addGatherer(n int) {
 	g := &gatherer{world: w, name: fmt.Sprintf("%s%d", gathererPrefix, n)}
 	w.gatherers = append(w.gatherers, g)
 	g.start()
 }
 
+// start starts a new process, which knows nothing of the one before.
 func (g *gatherer) start() {
-	w := g.world
 	g.incarnation++
-	g.up, g.feed, g.rotation, g.version, g.freshAt, g.startedAt = true, feed.NewTable(), feed.Rotation{}, 0, 0, w.now
-	g.instances, g.leaders, g.leases, g.connections = map[string]*rpc.Instance{}, map[string]string{}, map[leaseKey]*lease{}, map[string]*connection{}
-	g.ownerHeardAt, g.heldReportedAt, g.epochs = map[string]int64{}, map[string]int64{}, map[string]uint64{}
-	incarnation := g.incarnation
-	g.repeat(incarnation, watchIntervalMS, g.watchFeed)
+	g.up, g.startedAt = true, g.world.now
+	g.feed, g.rotation, g.version = feed.NewTable(), feed.Rotation{}, 0
+	g.instances = map[string]*rpc.Instance{}
+	g.leaders = map[string]string{}
+	g.leases = map[leaseKey]*lease{}
+	g.connections = map[string]*connection{}
+	g.ownerHeardAt, g.leasesReportedAt = map[string]int64{}, map[string]int64{}
+	g.epochs = map[string]uint64{}
+	g.repeat(watchIntervalMS, g.watchFeed)
 	for n := range jobShards {
-		g.repeat(incarnation, pollIntervalMS, func() { g.exchangeWork(batchjobs.ShardName(n)) })
+		g.repeat(pollIntervalMS, func() { g.exchangeWork(batchjobs.ShardName(n)) })
 	}
-	g.repeat(incarnation, 70, g.forwardCall)
+	g.repeat(callIntervalMS, g.forwardCall)
 }
 
-// every has something done over and over while this process lives.
-func (g *gatherer) repeat(incarnation int, each int64, do func()) {
-	var retry func()
-	retry = func() {
+// repeat runs a function about every so many milliseconds until the present process ends.
+func (g *gatherer) repeat(intervalMS int64, run func()) {
+	w, incarnation := g.world, g.incarnation
+	var next func()
+	next = func() {
 		if g.incarnation == incarnation && g.up {
-			do()
-			g.world.schedule(each+g.world.randomBetween(0, each/4+1), retry)
+			run()
+			w.schedule(intervalMS+w.randomBetween(0, intervalMS/4+1), next)
 		}
 	}
-	g.world.schedule(g.world.randomBetween(1, each), retry)
+	w.schedule(w.randomBetween(1, intervalMS), next)
 }
 
+// kill ends the process; a new one starts within two seconds.
 func (g *gatherer) kill() {
 	g.up, g.restartAt = false, g.world.now+g.world.randomBetween(100, 2000)
 	g.world.schedule(g.restartAt-g.world.now, g.start)
 }
 
-// watch asks the source whose turn it is.
+// watchFeed reads the feed at the next controller of the rotation.
 func (g *gatherer) watchFeed() {
 	w, incarnation := g.world, g.incarnation
-	var names []string
-	for _, s := range w.machinesOf(controllerKind) {
-		names = append(names, s.name)
-	}
-	source := w.machine(g.rotation.Next(names))
-	call(w, g.name, source, watchTimeoutMS, func(answer func(feedAnswer)) { answer(source.feedSince(g.feed.Offsets())) }, func(reported feedAnswer, ok bool) {
+	source := w.machine(g.rotation.Next(w.machineNames(controllerKind)))
+	call(w, g.name, source, watchTimeoutMS, func(answer func(feedAnswer)) { answer(source.feedSince(g.feed.Offsets())) }, func(answer feedAnswer, ok bool) {
 		if g.incarnation != incarnation {
 			return
 		}
-		if ok && reported.fresh {
+		if ok && answer.fresh {
 			g.rotation.Succeeded()
-			g.freshAt = w.now
 		} else {
 			g.rotation.Failed()
 		}
-		g.applyFeeds(reported.feeds)
+		g.applyFeeds(answer.feeds)
 	})
 }
 
+// applyFeeds acts on new events, and checks that no state steps back.
 func (g *gatherer) applyFeeds(feeds []*rpc.ShardFeed) {
 	before := g.feed.Offsets()
 	for _, e := range g.feed.Merge(feeds) {
-		switch k := e.Event.(type) {
+		switch event := e.Event.(type) {
 		case *rpc.FeedEvent_Configuration:
-			if k.Configuration.Version < g.version {
-				g.world.reportViolation(Regressed, "%s had configuration %d and was told %d", g.name, g.version, k.Configuration.Version)
+			if event.Configuration.Version < g.version {
+				g.world.reportViolation(Regressed, "%s had configuration %d and was told %d", g.name, g.version, event.Configuration.Version)
 			}
-			g.version = k.Configuration.Version
+			g.version = event.Configuration.Version
 		case *rpc.FeedEvent_Instance:
-			g.instances[k.Instance.Id] = k.Instance
+			g.instances[event.Instance.Id] = event.Instance
 		case *rpc.FeedEvent_Gone:
-			delete(g.instances, k.Gone)
+			delete(g.instances, event.Gone)
 		}
 	}
 	for shard, offset := range g.feed.Offsets() {
@@ -135,15 +141,35 @@
 	}
 }
 
-// poll reports to a shard's owner, and asks it for items.
+// exchangeWork reports to the owner of a shard, and requests items.
 func (g *gatherer) exchangeWork(shard string) {
 	w, incarnation := g.world, g.incarnation
-	request := &rpc.WorkRequest{Shard: shard, Gatherer: g.name, Want: 4, Rooms: []*rpc.Room{{Model: "m", Version: 1 << 30, Free: 4}}}
-	var reported []leaseKey
-	heldCount := 0
+	request, reported := g.workRequest(shard)
+	exchange := &ownerCall{world: w, from: g.name, shard: shard, until: w.now + workTimeoutMS, leaders: g.leaders}
+	exchange.serve = func(to *machine, answer func(ownerAnswer)) { to.exchangeWork(request, answer) }
+	exchange.done = func(answer ownerAnswer, ok bool) {
+		if g.incarnation != incarnation {
+			return
+		}
+		if !ok {
+			delete(g.epochs, shard)
+			return
+		}
+		g.applyWork(shard, reported, answer.work)
+	}
+	exchange.attempt()
+}
+
+// workRequest returns the request of one exchange, and the leases whose reports it has. Leases that have timed out are dropped.
+func (g *gatherer) workRequest(shard string) (request *rpc.WorkRequest, reported []leaseKey) {
+	now := g.world.now
+	request = &rpc.WorkRequest{
+		Shard: shard, Gatherer: g.name, Want: itemsWanted,
+		Rooms: []*rpc.Room{{Model: modelName, Version: 1 << 30, Free: itemsWanted}},
+	}
 	for _, key := range g.leaseKeys(shard) {
 		l := g.leases[key]
-		if at, ok := g.ownerHeardAt[shard]; ok && w.now-at > leaseTimeoutMS && l.report == nil {
+		if heardAt, ok := g.ownerHeardAt[shard]; ok && now-heardAt > leaseTimeoutMS && l.report == nil {
 			delete(g.leases, key)
 			continue
 		}
@@ -151,29 +177,21 @@
 			request.Reports = append(request.Reports, l.report)
 			reported = append(reported, key)
 		}
-		heldCount++
 		request.Held = append(request.Held, &rpc.HeldLease{Job: l.Job, Item: l.Item.Id, Number: key.number})
 	}
-	if heldCount > 8 {
+	if len(request.Held) > maxLeases {
 		request.Want = 0
 	}
-	if request.HeldTold = g.epochs[shard] == 0 || w.now-g.heldReportedAt[shard] >= heldReportIntervalMS; request.HeldTold {
-		g.heldReportedAt[shard] = w.now
+	request.HeldTold = g.epochs[shard] == 0 || now-g.leasesReportedAt[shard] >= leaseReportIntervalMS
+	if request.HeldTold {
+		g.leasesReportedAt[shard] = now
 	} else {
 		request.Held = nil
 	}
-	w.callOwner(g.name, w.now+900, g.leaders, shard, func(m *machine, answer func(ownerAnswer)) { m.exchangeWork(request, answer) }, func(a ownerAnswer, ok, _ bool) {
-		if g.incarnation != incarnation {
-			return
-		}
-		if !ok {
-			delete(g.epochs, shard)
-			return
-		}
-		g.applyWork(shard, reported, a.work)
-	})
+	return request, reported
 }
 
+// leaseKeys returns the leases of a shard in the order of their numbers.
 func (g *gatherer) leaseKeys(shard string) []leaseKey {
 	var keys []leaseKey
 	for key := range g.leases {
@@ -185,9 +203,9 @@
 	return keys
 }
 
+// applyWork takes the answer to an exchange. All leases are reported again after a change of the owner's epoch.
 func (g *gatherer) applyWork(shard string, reported []leaseKey, response *rpc.WorkResponse) {
-	w, incarnation := g.world, g.incarnation
-	g.ownerHeardAt[shard] = w.now
+	g.ownerHeardAt[shard] = g.world.now
 	if old := g.epochs[shard]; old != 0 && old != response.Epoch {
 		delete(g.epochs, shard)
 	} else {
@@ -203,33 +221,38 @@
 	}
 	for _, granted := range response.Leases {
 		key := leaseKey{shard, granted.Number}
-		if g.leases[key] != nil {
-			continue
+		if g.leases[key] == nil {
+			g.workOn(key, granted)
 		}
-		l := &lease{Lease: granted}
-		g.leases[key] = l
-		w.schedule(w.randomBetween(30, 700), func() {
-			if g.incarnation != incarnation || g.leases[key] != l {
-				return
-			}
-			l.report = &rpc.Report{Job: l.Job, Item: l.Item.Id, Number: granted.Number}
-			switch w.random.IntN(12) {
-			case 0:
-				l.report.Failed = true
-			case 1:
-				l.report.Released = true
-			default:
-				l.report.Result = &rpc.Result{Item: l.Item.Id, Completed: true, Text: []byte(resultText(l.Item.Id))}
-			}
-		})
 	}
 }
 
-// usable lists the workers that a request may go to.
+// workOn works on a granted item for some time. The work fails or is released with a small chance.
+func (g *gatherer) workOn(key leaseKey, granted *rpc.Lease) {
+	w, incarnation := g.world, g.incarnation
+	l := &lease{Lease: granted}
+	g.leases[key] = l
+	w.schedule(w.randomBetween(30, 700), func() {
+		if g.incarnation != incarnation || g.leases[key] != l {
+			return
+		}
+		l.report = &rpc.Report{Job: l.Job, Item: l.Item.Id, Number: granted.Number}
+		switch w.random.IntN(12) {
+		case 0:
+			l.report.Failed = true
+		case 1:
+			l.report.Released = true
+		default:
+			l.report.Result = &rpc.Result{Item: l.Item.Id, Completed: true, Text: []byte(resultText(l.Item.Id))}
+		}
+	})
+}
+
+// usableWorkers returns the workers that a request may go to, in the order of their ids.
 func (g *gatherer) usableWorkers() (list []*rpc.Instance) {
 	for _, id := range slices.Sorted(maps.Keys(g.instances)) {
-		if i := g.instances[id]; !i.Draining && !i.Lost {
-			list = append(list, i)
+		if instance := g.instances[id]; !instance.Draining && !instance.Lost {
+			list = append(list, instance)
 		}
 	}
 	return list
--- a/internal/scheduler/simulation/histories_test.go
+++ b/internal/scheduler/simulation/histories_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// traced is all that happens in the history of a seed, what it came to and what went wrong. Names of fields are left out.
+// traced returns the trace of a seed's history, its report without the names of the fields, and its violation.
 func traced(seed uint64, bug Bug) string {
 	var text strings.Builder
 	options := Seeded(seed, bug)
@@ -17,7 +17,7 @@
 	return text.String()
 }
 
-// The same seed gives the history that was recorded, with a seeded mistake too.
+// TestRecordedHistories compares histories with the recorded ones, with and without a seeded bug.
 func TestRecordedHistories(t *testing.T) {
 	played := map[string]string{}
 	for seed := uint64(1); seed <= 2; seed++ {
--- a/internal/scheduler/simulation/history.go
+++ b/internal/scheduler/simulation/history.go
@@ -9,13 +9,14 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// history is what operators have seen of the configuration.
+// history records what operators have seen of the configuration, for the check of linearizability.
 type history struct {
 	operations   []*operation
 	byName       map[string]*operation
 	acknowledged []acknowledgedVersion
 }
 
+// acknowledgedVersion is a version of the configuration, and when it was acknowledged.
 type acknowledgedVersion struct {
 	version uint64
 	at      int64
@@ -24,19 +25,21 @@
 // operation is an order with all its repetitions, or a read.
 type operation struct {
 	order    *configurationOrder // nil: a read
-	from, to int64
-	outcome  callOutcome
-	read     string
+	from, to int64               // virtual milliseconds; to is the maximum while there is no definite answer
+	outcome  operationOutcome
+	read     string // the configuration
 }
 
-type callOutcome uint8
+// operationOutcome is what an operator knows of an operation.
+type operationOutcome uint8
 
 const (
-	unknown callOutcome = iota
+	unknown operationOutcome = iota
 	accepted
 	refused
 )
 
+// begin records the begin of an operation, an order or with nil a read.
 func (h *history) begin(name string, now int64, order *configurationOrder) {
 	if h.byName == nil {
 		h.byName = map[string]*operation{}
@@ -46,17 +49,16 @@
 	h.operations = append(h.operations, o)
 }
 
-func (h *history) end(name string, now int64, ok bool) {
+// end records the first definite answer to an order.
+func (h *history) end(name string, now int64, outcome operationOutcome) {
 	o := h.byName[name]
 	if o == nil || o.outcome != unknown {
 		return
 	}
-	if o.to, o.outcome = now, refused; ok {
-		o.outcome = accepted
-	}
+	o.to, o.outcome = now, outcome
 }
 
-// read ends a read and returns the version that it brought.
+// read records the end of a read, and returns the version of the configuration; 0 if there is none.
 func (h *history) read(name string, now int64, body []byte) uint64 {
 	o := h.byName[name]
 	o.to, o.outcome, o.read = now, accepted, string(body)
@@ -70,11 +72,12 @@
 	return document.Version
 }
 
+// recordAcknowledged records that an order for a version was acknowledged.
 func (h *history) recordAcknowledged(version uint64, now int64) {
 	h.acknowledged = append(h.acknowledged, acknowledgedVersion{version, now})
 }
 
-// ackedBy is the newest version that was acknowledged by a time.
+// newestAcknowledged returns the newest version that had been acknowledged at a time; 0 if there was none.
 func (h *history) newestAcknowledged(at int64) (version uint64) {
 	for _, a := range h.acknowledged {
 		if a.at <= at {
@@ -84,36 +87,45 @@
 	return version
 }
 
-// configurationState is the state of the register that operators see.
+// configurationState is a state of the configuration as operators see it.
 type configurationState struct {
 	version uint64
 	body    string
 }
 
-// register says what an operation may do to the configuration.
+// configurationRegister is the sequential model of the configuration.
 var configurationRegister = porcupine.NondeterministicModel{
 	Init:  func() []any { return []any{configurationState{}} },
 	Equal: func(a, b any) bool { return a == b },
 	Step: func(state, input, _ any) []any {
-		s, o := state.(configurationState), input.(*operation)
-		if o.order == nil {
-			if o.outcome == unknown || o.read == s.body {
-				return []any{s}
-			}
-			return nil
-		}
-		var next []any
-		if after, ok := s.apply(o.order); ok && o.outcome != refused {
-			next = append(next, after)
-		}
-		if o.outcome == unknown || o.outcome == refused && s.version != o.order.base {
-			next = append(next, s)
+		from, isState := state.(configurationState)
+		o, isOperation := input.(*operation)
+		if !isState || !isOperation {
+			return nil // check passes nothing else
 		}
-		return next
+		return o.nextStates(from)
 	},
 }
 
-// take is the state after an order; false where the order doesn't build on this state.
+// nextStates returns the states that may follow after an operation; none if it cannot have had its outcome in this state. An order without a
+// definite answer may have taken effect or not.
+func (o *operation) nextStates(from configurationState) (next []any) {
+	if o.order == nil {
+		if o.outcome == unknown || o.read == from.body {
+			return []any{from}
+		}
+		return nil
+	}
+	if after, ok := from.apply(o.order); ok && o.outcome != refused {
+		next = append(next, after)
+	}
+	if o.outcome == unknown || o.outcome == refused && from.version != o.order.base {
+		next = append(next, from)
+	}
+	return next
+}
+
+// apply returns the state after an order; ok is false if the order does not build on this state.
 func (s configurationState) apply(o *configurationOrder) (configurationState, bool) {
 	if s.version != o.base {
 		return s, false
@@ -129,9 +141,10 @@
 	return configurationState{o.version, string(body)}, true
 }
 
+// checkTimeout is the real time that the check of linearizability may take; a longer one counts as a violation.
 const checkTimeout = 20 * time.Second
 
-// check tells whether the operations have an order in which they make sense.
+// check returns an error unless the operations are linearizable.
 func (h *history) check() error {
 	var list []porcupine.Operation
 	for i, o := range h.operations {
--- a/internal/scheduler/simulation/machine.go
+++ b/internal/scheduler/simulation/machine.go
@@ -12,20 +12,7 @@
 	"saffronquay/internal/storage/simdisk"
 )
 
-// stop ends a machine's process; power also takes what was not synced.
-func (m *machine) stopProcess(power bool, down int64) {
-	w := m.world
-	m.up, m.restartAt = false, w.now+down
-	if power {
-		m.powerlessUntil = m.restartAt
-		m.disk = m.disk.Crash(&simdisk.FaultPlan{}, rand.New(rand.NewPCG(w.options.Seed, uint64(w.random.Uint32()))))
-	} else {
-		m.disk = m.disk.Clone(&simdisk.FaultPlan{})
-	}
-	w.extendFault(m.restartAt)
-	w.trace("%s is down until %d (power %v)", m.name, m.restartAt, power)
-}
-
+// machineKind is the role that a machine has. Names of machines and traces begin with it.
 type machineKind string
 
 const (
@@ -34,68 +21,74 @@
 )
 
 const (
-	// snapshotEntries is the length of a log from which on a snapshot takes its place: an ordinary matter here.
-	snapshotEntries    = 30
-	rewriteBytes       = 24 << 10
-	controlIntervalMS  = 150
-	announceIntervalMS = 300
-	// deadAfter is how long a machine may be silent before others hold it for dead.
-	failureTimeoutMS    = 1500
+	snapshotEntries     = 30       // length of a log from which a snapshot is made: short, so that snapshots are frequent
+	rewriteBytes        = 24 << 10 // size of the store's file from which it is rewritten
+	controlIntervalMS   = 150
+	announceIntervalMS  = 300
+	failureTimeoutMS    = 1500 // after which a machine that was not heard of counts as failed
 	heartbeatIntervalMS = 1200
-	// freshWithin is as the stewards have it.
-	feedFreshMS = 700
+	feedFreshMS         = 700 // see isFresh
+
+	epochStartMS = 1_700_000_000_000 // the time of day at virtual time 0, in Unix milliseconds
+	zones        = 3
 )
 
-// machine is a computer with a disk that holds replicas.
+// machine is a computer with a disk for replicas, and the process that runs on it.
 type machine struct {
 	world       *world
 	kind        machineKind
-	name        string // and its address: a replacement has another one
+	name        string // also its address; a replacement has another one
 	zone        string
-	identity    string
-	disksUsed   int // that it has had
-	incarnation int
+	identity    string // bound to the disk
+	disksUsed   int
+	incarnation int // number of the process, from 1
 
 	disk           *simdisk.Disk
 	up             bool
-	starting       bool
-	restartAt      int64 // when it starts again
-	powerlessUntil int64 // it has no power: nothing is heard of it
-	frozenUntil    int64
-	removed        bool
-	clockOffset    int64 // of its time of day
+	starting       bool  // the process reads its disk
+	restartAt      int64 // if it is not up
+	powerlessUntil int64 // it neither answers nor resets connections until then
+	frozenUntil    int64 // the process does not run until then
+	removed        bool  // for good
+	clockOffset    int64 // of its time of day, in milliseconds
 
 	engine       *replica.Engine
-	nextTickAt   int64
-	heardAt      map[string]int64 // when others were heard last
-	announcedAt  int64            // when it sent its last signs of life
-	controlRanAt int64            // when its control loop ran last
+	nextTickAt   int64 // of the engine
+	heardAt      map[string]int64
+	announcedAt  int64
+	controlRanAt int64
 
 	feed              *feed.Table
 	directory         *directory.Directory
 	registries        map[string]*registry.Registry
 	heartbeatHandlers map[string]*registry.HeartbeatHandler
-	dispatchEpochs    map[string]uint64 // by registry shard: the epoch under which it sends orders
+	dispatchEpochs    map[string]uint64 // by registry shard: the epoch under which it may send orders
 	jobStates         map[string]*batchjobs.State
-	schedulers        map[string]*batchjobs.Scheduler
+	schedulers        map[string]*batchjobs.Scheduler // of the job shards that it owns
 	rotation          feed.Rotation
-	watching          bool // a watch of the feed is under way
-	takingOver        bool // it is being recorded as the holder of a shard
+	watching          bool // a watch of the feed is in flight
+	takingOver        bool // a proposal to record it as a shard's holder is in flight
 }
 
+// isPowerless reports whether the machine has no power now.
 func (m *machine) isPowerless() bool { return m.world.now < m.powerlessUntil }
 
+// isRunning reports whether the machine's process is up and not frozen.
 func (m *machine) isRunning() bool { return m.up && m.world.now >= m.frozenUntil }
 
-func (w *world) addMachine(kind machineKind, i int) *machine {
+// wallClock returns the machine's time of day in Unix milliseconds.
+func (m *machine) wallClock() int64 { return epochStartMS + m.world.now + m.clockOffset }
+
+// addMachine adds a machine with an empty disk under a new name. Its process is not started.
+func (w *world) addMachine(kind machineKind, zone int) *machine {
 	w.addresses++
-	m := &machine{world: w, kind: kind, name: fmt.Sprintf("%s%d", kind, w.addresses), zone: fmt.Sprintf("z%d", i%3)}
+	m := &machine{world: w, kind: kind, name: fmt.Sprintf("%s%d", kind, w.addresses), zone: fmt.Sprintf("z%d", zone%zones)}
 	w.machines = append(w.machines, m)
 	m.replaceDisk()
 	return m
 }
 
-// newDisk gives the machine an empty disk, and so a new identity.
+// replaceDisk gives the machine an empty disk, and so a new identity.
 func (m *machine) replaceDisk() {
 	m.disk = simdisk.New(m.name, &simdisk.FaultPlan{})
 	m.disksUsed++
@@ -104,27 +97,15 @@
 	}
 }
 
-// start begins a process on what the disk holds.
+// start starts a process from the disk. A store that cannot be opened is a violation.
 func (m *machine) start() {
 	w := m.world
-	w.countSnapshots(m) // of the life before
+	w.countSnapshots(m) // of the process before
 	m.incarnation++
 	m.starting = true
 	defer func() { m.starting = false }()
-	m.up, m.heardAt, m.announcedAt, m.rotation = true, map[string]int64{}, 0, feed.Rotation{}
-	m.feed = feed.NewTable()
-	m.directory = directory.New(m.feed)
-	m.registries, m.heartbeatHandlers, m.dispatchEpochs = map[string]*registry.Registry{}, map[string]*registry.HeartbeatHandler{}, map[string]uint64{}
-	for n := range registry.ShardCount {
-		name := registry.ShardName(n)
-		m.registries[name] = registry.New(name, m.feed)
-		m.heartbeatHandlers[name] = registry.NewHeartbeatHandler(m.registries[name], heartbeatIntervalMS)
-	}
-	m.jobStates, m.schedulers = map[string]*batchjobs.State{}, map[string]*batchjobs.Scheduler{}
-	for n := range jobShards {
-		name := batchjobs.ShardName(n)
-		m.jobStates[name] = batchjobs.NewState(m.jobsChanged(name), func() int64 { return w.now })
-	}
+	m.up = true
+	m.resetState()
 	opened, err := replica.OpenStoreOn(m.replicaDisk(), rewriteBytes)
 	if err == nil {
 		err = m.disk.Sync()
@@ -135,7 +116,7 @@
 	}
 	m.engine, err = replica.NewEngine(replica.Config{
 		Identity: replica.Identity{ID: m.identity, Address: m.name, Node: m.name}, Store: opened,
-		Machine: m.stateMachineOf, Send: m.send, Log: slog.New(slog.DiscardHandler), Random: rand.New(rand.NewPCG(w.options.Seed, uint64(w.random.Uint32()))),
+		Machine: m.stateMachineOf, Send: m.send, Log: slog.New(slog.DiscardHandler), Random: w.newRandom(),
 		Options: replica.Options{SnapshotEntries: snapshotEntries},
 	}, w.now)
 	if err != nil {
@@ -147,7 +128,47 @@
 	w.trace("start %s as %s", m.name, m.identity)
 }
 
-// tick runs the machine for a moment.
+// newRandom returns a generator whose seed is drawn from the history's.
+func (w *world) newRandom() *rand.Rand {
+	return rand.New(rand.NewPCG(w.options.Seed, uint64(w.random.Uint32())))
+}
+
+// resetState empties the memory of a process.
+func (m *machine) resetState() {
+	now := func() int64 { return m.world.now }
+	m.heardAt, m.announcedAt, m.rotation = map[string]int64{}, 0, feed.Rotation{}
+	m.feed = feed.NewTable()
+	m.directory = directory.New(m.feed)
+	m.registries = map[string]*registry.Registry{}
+	m.heartbeatHandlers = map[string]*registry.HeartbeatHandler{}
+	m.dispatchEpochs = map[string]uint64{}
+	for n := range registry.ShardCount {
+		name := registry.ShardName(n)
+		m.registries[name] = registry.New(name, m.feed)
+		m.heartbeatHandlers[name] = registry.NewHeartbeatHandler(m.registries[name], heartbeatIntervalMS)
+	}
+	m.jobStates, m.schedulers = map[string]*batchjobs.State{}, map[string]*batchjobs.Scheduler{}
+	for n := range jobShards {
+		name := batchjobs.ShardName(n)
+		m.jobStates[name] = batchjobs.NewState(m.jobsChanged(name), now)
+	}
+}
+
+// stopProcess ends the machine's process for so many milliseconds. A loss of power also takes what the disk has not synced.
+func (m *machine) stopProcess(powerLoss bool, downMS int64) {
+	w := m.world
+	m.up, m.restartAt = false, w.now+downMS
+	if powerLoss {
+		m.powerlessUntil = m.restartAt
+		m.disk = m.disk.Crash(&simdisk.FaultPlan{}, w.newRandom())
+	} else {
+		m.disk = m.disk.Clone(&simdisk.FaultPlan{})
+	}
+	w.extendFault(m.restartAt)
+	w.trace("%s is down until %d (power %v)", m.name, m.restartAt, powerLoss)
+}
+
+// tick runs the machine for one tick: it restarts a process whose time has come, and runs engine and control loop when they are due.
 func (m *machine) tick() {
 	w := m.world
 	switch {
@@ -173,6 +194,3 @@
 		m.runControlLoop()
 	}
 }
-
-// wallClock is the machine's time of day in milliseconds.
-func (m *machine) wallClock() int64 { return 1_700_000_000_000 + m.world.now + m.clockOffset }
--- a/internal/scheduler/simulation/network.go
+++ b/internal/scheduler/simulation/network.go
@@ -2,105 +2,49 @@
 
 import "saffronquay/internal/scheduler/rpc"
 
-// toOwner calls the owner of a shard until one has answered or the time is over, as package ledgerclient does. unsure tells whether a call may
-// have taken effect although none answered.
-func (w *world) callOwner(from string, until int64, leaders map[string]string, shard string, serve func(*machine, func(ownerAnswer)), done func(a ownerAnswer, ok, unsure bool)) {
-	const tryTimeout, retryPause = 900, 40
-	unsure := false
-	var attempt func()
-	retry := func() { w.schedule(retryPause, attempt) }
-	attempt = func() {
-		if w.now >= until {
-			done(ownerAnswer{}, false, unsure)
-			return
-		}
-		to := w.machine(leaders[shard])
-		if to == nil {
-			stores := w.machinesOf(storageKind)
-			to = stores[w.random.IntN(len(stores))]
-		}
-		call(w, from, to, min(tryTimeout, until-w.now), func(answer func(ownerAnswer)) { serve(to, answer) }, func(a ownerAnswer, ok bool) {
-			switch {
-			case ok && a.outcome == rpc.Outcome_DONE:
-				leaders[shard] = to.name
-				done(a, true, unsure)
-			case !ok || a.outcome == rpc.Outcome_OUTCOME_UNKNOWN:
-				unsure = true
-				delete(leaders, shard)
-				retry()
-			default:
-				delete(leaders, shard)
-				if a.leader != "" && a.leader != to.name {
-					leaders[shard] = a.leader
-				}
-				retry()
-			}
-		})
-	}
-	attempt()
-}
+// Chances of an event are 1 to these numbers.
+const (
+	slowChance        = 80  // a message is slow
+	answerLossChance  = 200 // an answer is lost
+	messageLossChance = 60  // a message between replicas is lost
+	repeatChance      = 40  // a message between replicas is sent twice
+)
 
-// send carries messages to the replica at an address.
-func (m *machine) send(address string, messages []*rpc.Message) {
-	w := m.world
-	to := w.machine(address)
-	if to == nil {
-		return
-	}
-	for range 1 + w.random.IntN(40)/39 { // now and then twice
-		if w.oneIn(60) || w.isPartitionedOneWay(m.name, address) {
-			return
-		}
-		w.schedule(w.latency(), func() {
-			if to.isRunning() && !w.isPartitionedOneWay(m.name, address) {
-				to.engine.Step(w.now, messages)
-				to.nextTickAt = 0
-			}
-		})
-	}
-}
-
-// signs tells the others that this machine is alive, as the membership protocol does in its way.
-func (m *machine) announce() {
-	w := m.world
-	if w.now-m.announcedAt < announceIntervalMS {
-		return
-	}
-	m.announcedAt = w.now
-	for _, other := range w.machines {
-		if other != m && !other.removed && other.up && !w.isPartitioned(m.name, other.name) {
-			other.heardAt[m.name] = w.now
-		}
-	}
-}
+const (
+	ownerAttemptTimeoutMS = 900 // of one attempt of an ownerCall
+	ownerRetryMS          = 40  // between two of them
+)
 
+// link is the direction from one end to another, by their names.
 type link struct{ from, to string }
 
+// isPartitionedOneWay reports whether messages from one end do not reach the other.
 func (w *world) isPartitionedOneWay(from, to string) bool {
 	return w.now < w.partitionedUntil[link{from, to}]
 }
 
-// isCut tells whether two ends are apart in either direction.
+// isPartitioned reports whether a link is partitioned in either direction.
 func (w *world) isPartitioned(a, b string) bool {
 	return w.isPartitionedOneWay(a, b) || w.isPartitionedOneWay(b, a)
 }
 
-// latency is how long a message takes.
+// latency draws how long a message takes, in milliseconds.
 func (w *world) latency() int64 {
-	if w.oneIn(80) {
+	if w.oneIn(slowChance) {
 		return w.randomBetween(50, 600)
 	}
 	return w.randomBetween(1, 12)
 }
 
-// call has a machine answer a question. serve is given the means to answer, once; done is called once, with the answer or, after a reset or the
-// time-out, without. Bytes that a cut holds up are lost.
+// call sends a request to a machine. serve runs there, if the request arrives, and gets the function that sends the answer. done runs one time:
+// with the answer, or with ok false after a reset or the timeout in milliseconds. A request that reaches a frozen machine waits until that
+// machine goes on. An answer is lost if the process that got the request has ended, or if the link is partitioned.
 func call[A any](w *world, from string, to *machine, timeout int64, serve func(answer func(A)), done func(answer A, ok bool)) {
 	finished := false
-	finish := func(a A, ok bool) {
+	finish := func(answer A, ok bool) {
 		if !finished {
 			finished = true
-			done(a, ok)
+			done(answer, ok)
 		}
 	}
 	var none A
@@ -110,7 +54,7 @@
 	}
 	incarnation := 0
 	answer := func(a A) {
-		if to.incarnation != incarnation || w.isPartitionedOneWay(to.name, from) || w.oneIn(200) {
+		if to.incarnation != incarnation || w.isPartitionedOneWay(to.name, from) || w.oneIn(answerLossChance) {
 			return
 		}
 		w.schedule(w.latency(), func() {
@@ -122,9 +66,9 @@
 	var arrive func()
 	arrive = func() {
 		switch {
-		case w.isPartitionedOneWay(from, to.name) || to.isPowerless():
+		case w.isPartitionedOneWay(from, to.name) || to.isPowerless(): // lost
 		case !to.up:
-			w.schedule(w.latency(), func() { finish(none, false) }) // a dead port resets
+			w.schedule(w.latency(), func() { finish(none, false) }) // the machine resets the connection
 		case w.now < to.frozenUntil:
 			w.schedule(to.frozenUntil-w.now, arrive)
 		default:
@@ -134,3 +78,75 @@
 	}
 	w.schedule(w.latency(), arrive)
 }
+
+// ownerCall is a request of a client to the owner of a job shard. It is repeated at other storage nodes until the owner has answered or the time
+// is over, as package ledgerclient does.
+type ownerCall struct {
+	world   *world
+	from    string // name of the client
+	shard   string
+	until   int64             // virtual milliseconds
+	leaders map[string]string // of the client, by shard: the storage node that it takes for the owner; attempts keep it up to date
+	serve   func(to *machine, answer func(ownerAnswer))
+	done    func(answer ownerAnswer, ok bool) // runs one time
+}
+
+// attempt sends the request to the supposed owner, or to a random storage node if none is known.
+func (c *ownerCall) attempt() {
+	w := c.world
+	if w.now >= c.until {
+		c.done(ownerAnswer{}, false)
+		return
+	}
+	to := w.machine(c.leaders[c.shard])
+	if to == nil {
+		to = w.randomMachineOf(storageKind)
+	}
+	call(w, c.from, to, min(ownerAttemptTimeoutMS, c.until-w.now), func(answer func(ownerAnswer)) { c.serve(to, answer) }, func(answer ownerAnswer, ok bool) {
+		if ok && answer.outcome == rpc.Outcome_DONE {
+			c.leaders[c.shard] = to.name
+			c.done(answer, true)
+			return
+		}
+		delete(c.leaders, c.shard)
+		if ok && answer.outcome != rpc.Outcome_OUTCOME_UNKNOWN && answer.leader != "" && answer.leader != to.name {
+			c.leaders[c.shard] = answer.leader
+		}
+		w.schedule(ownerRetryMS, c.attempt)
+	})
+}
+
+// send sends messages to the replica at an address. They may be lost, or arrive twice.
+func (m *machine) send(address string, messages []*rpc.Message) {
+	w := m.world
+	to := w.machine(address)
+	if to == nil {
+		return
+	}
+	copies := 1 + w.random.IntN(repeatChance)/(repeatChance-1)
+	for range copies {
+		if w.oneIn(messageLossChance) || w.isPartitionedOneWay(m.name, address) {
+			return
+		}
+		w.schedule(w.latency(), func() {
+			if to.isRunning() && !w.isPartitionedOneWay(m.name, address) {
+				to.engine.Step(w.now, messages)
+				to.nextTickAt = 0
+			}
+		})
+	}
+}
+
+// announce informs the machines that can be reached that this one is alive, in place of the membership protocol.
+func (m *machine) announce() {
+	w := m.world
+	if w.now-m.announcedAt < announceIntervalMS {
+		return
+	}
+	m.announcedAt = w.now
+	for _, other := range w.machines {
+		if other != m && !other.removed && other.up && !w.isPartitioned(m.name, other.name) {
+			other.heardAt[m.name] = w.now
+		}
+	}
+}
--- a/internal/scheduler/simulation/operators.go
+++ b/internal/scheduler/simulation/operators.go
@@ -2,58 +2,71 @@
 
 import (
 	"fmt"
+	"net/http"
 	"saffronquay/internal/scheduler/compression"
 	"saffronquay/internal/scheduler/rpc"
 )
 
 const (
 	operatorTimeoutMS = 1000 // after which an operator calls another controller
-	orderPauseMS      = 350  // between two orders of an operator, on average
+	orderIntervalMS   = 350  // between two orders of an operator, on average
+	readRetryMS       = 100
+	maxVersionStep    = 3 // between the versions of two orders
+
+	// Chances of an event are 1 to these numbers.
+	repeatOrderChance        = 6 // an acknowledged order is sent again
+	readChance               = 5
+	patchChance              = 3
+	operatorAnswerLossChance = 6
 )
 
-// operator sends orders for the configuration, one at a time, each until it has a clear answer.
+// operator sends orders for the configuration and reads it, one request at a time, each until it has a definite answer.
 type operator struct {
 	world        *world
 	name         string
-	knownVersion uint64 // the version that it takes for current
-	count        int
-	acknowledged []*configurationOrder // that were acknowledged, to be sent again now and then
+	knownVersion uint64                // that it takes for the current one
+	count        int                   // of its requests
+	acknowledged []*configurationOrder // some of them are sent again
 }
 
-// configurationOrder is one order.
+// configurationOrder is an order for another configuration, with all its repetitions.
 type configurationOrder struct {
 	name          string
-	base, version uint64
-	body          []byte
+	base, version uint64 // it takes the configuration from base to version
+	body          []byte // the complete document, or a patch
 	patch         bool
-	begun         int64
 	acknowledged  bool
 }
 
+// nextOrder sends a new order, sends an acknowledged one again as if its answer had been lost, or reads the configuration.
 func (o *operator) nextOrder() {
 	w := o.world
-	if w.now > w.end()-quietMS {
+	if w.now > w.endAt-quietMS {
 		return
 	}
 	switch {
-	case len(o.acknowledged) > 0 && w.oneIn(6): // the answer to an earlier one was lost
+	case len(o.acknowledged) > 0 && w.oneIn(repeatOrderChance):
 		w.report.Repeated++
 		o.sendOrder(o.acknowledged[w.random.IntN(len(o.acknowledged))], 0, o.scheduleNext)
-	case w.oneIn(5):
+	case w.oneIn(readChance):
 		o.read(o.scheduleNext)
 	default:
 		o.count++
-		order := &configurationOrder{name: fmt.Sprintf("%s/%d", o.name, o.count), base: o.knownVersion, version: o.knownVersion + uint64(1+w.random.IntN(3)), begun: w.now, patch: o.knownVersion > 0 && w.oneIn(3)}
+		order := &configurationOrder{name: fmt.Sprintf("%s/%d", o.name, o.count), base: o.knownVersion}
+		order.version = order.base + uint64(1+w.random.IntN(maxVersionStep))
+		order.patch = order.base > 0 && w.oneIn(patchChance)
 		order.body = orderBody(order)
 		w.history.begin(order.name, w.now, order)
 		o.sendOrder(order, 0, o.scheduleNext)
 	}
 }
 
+// scheduleNext schedules the next request.
 func (o *operator) scheduleNext() {
-	o.world.schedule(o.world.randomBetween(20, 2*orderPauseMS), o.nextOrder)
+	o.world.schedule(o.world.randomBetween(20, 2*orderIntervalMS), o.nextOrder)
 }
 
+// orderBody returns a configuration with one service that has the order's name, or a patch that adds such a service.
 func orderBody(o *configurationOrder) []byte {
 	if o.patch {
 		return fmt.Appendf(nil, `{"version":%d,"upsert":{"services":[{"name":%q}]}}`, o.version, o.name)
@@ -61,35 +74,37 @@
 	return fmt.Appendf(nil, `{"version":%d,"routes":[{"name":"r","host":"h","pathPrefix":"/","timeoutMs":5,"service":%q}],"services":[{"name":%q}]}`, o.version, o.name, o.name)
 }
 
-// send sends an order until it has a clear answer.
+// sendOrder sends an order until it has a definite answer, and then runs done. An order that is refused although it was acknowledged before is a
+// violation.
 func (o *operator) sendOrder(order *configurationOrder, attempts int, done func()) {
 	w := o.world
-	if w.now > w.end()-quietMS/2 {
-		return // it stays without a clear answer
+	if w.now > w.endAt-quietMS/2 {
+		return // it stays without a definite answer
 	}
-	to := w.randomController()
+	to := w.randomMachineOf(controllerKind)
 	call(w, o.name, to, operatorTimeoutMS, func(answer func(int)) { to.replaceConfiguration(order, answer) }, func(status int, ok bool) {
-		if ok && w.oneIn(6) {
-			ok = false // lost on its way
+		if ok && w.oneIn(operatorAnswerLossChance) {
+			ok = false
 		}
 		switch {
-		case !ok || status >= 500:
+		case !ok || status >= http.StatusInternalServerError:
 			w.schedule(int64(50)<<min(attempts, 4), func() { o.sendOrder(order, attempts+1, done) })
 			return
-		case status == 200:
+		case status == http.StatusOK:
 			o.recordAcknowledged(order)
 		case order.acknowledged:
 			w.reportViolation(Refused, "%s was acknowledged, and refused with %d when it was sent again", order.name, status)
 		default:
 			w.report.Refused++
-			w.history.end(order.name, w.now, false)
-			o.read(done) // which version is current then
+			w.history.end(order.name, w.now, refused)
+			o.read(done) // learns which version is current
 			return
 		}
 		done()
 	})
 }
 
+// recordAcknowledged records the first acknowledgement of an order, and checks that no other order has its version.
 func (o *operator) recordAcknowledged(order *configurationOrder) {
 	w := o.world
 	if order.acknowledged {
@@ -101,13 +116,13 @@
 		w.reportViolation(TwoWinners, "%s and %s were both acknowledged under %d", other, order.name, order.version)
 	}
 	w.acknowledgedOrders[order.version] = order.name
-	w.history.end(order.name, w.now, true)
+	w.history.end(order.name, w.now, accepted)
 	w.history.recordAcknowledged(order.version, w.now)
 	o.acknowledged = append(o.acknowledged, order)
 	o.knownVersion = max(o.knownVersion, order.version)
 }
 
-// read reads the configuration back.
+// read reads the configuration, and then runs done.
 func (o *operator) read(done func()) {
 	w := o.world
 	o.count++
@@ -116,22 +131,23 @@
 	o.attemptRead(name, done)
 }
 
+// attemptRead reads the configuration at random controllers until one answers.
 func (o *operator) attemptRead(name string, done func()) {
 	w := o.world
-	if w.now > w.end()-quietMS/2 {
+	if w.now > w.endAt-quietMS/2 {
 		return
 	}
-	to := w.randomController()
+	to := w.randomMachineOf(controllerKind)
 	command := &rpc.DirectoryCommand{Command: &rpc.DirectoryCommand_Read{Read: &rpc.Read{}}}
 	call(w, o.name, to, operatorTimeoutMS, func(answer func(*rpc.DirectoryResult)) { to.decideDirectory(command, answer) }, func(result *rpc.DirectoryResult, ok bool) {
 		if !ok || result == nil {
-			w.schedule(100, func() { o.attemptRead(name, done) })
+			w.schedule(readRetryMS, func() { o.attemptRead(name, done) })
 			return
 		}
 		w.report.Reads++
 		body, err := compression.Documents.Decompress(result.Configuration)
 		if err != nil {
-			panic(err) // what the directory holds is whole
+			panic(err) // the directory has compressed it itself
 		}
 		o.knownVersion = max(o.knownVersion, w.history.read(name, w.now, body))
 		done()
--- a/internal/scheduler/simulation/proof_test.go
+++ b/internal/scheduler/simulation/proof_test.go
@@ -12,7 +12,7 @@
 	consensusmodel "saffronquay/internal/scheduler/consensus/simulation"
 )
 
-// seeds is how many histories the proof plays, mostSeeds how many a seeded mistake is looked for in.
+// seeds returns how many histories TestProof plays.
 func seeds() uint64 {
 	if os.Getenv("SAFFRONQUAY_LONG") != "" {
 		return 5000
@@ -20,13 +20,14 @@
 	return 120
 }
 
+// mostSeeds is how many histories a seeded bug is looked for in.
 const mostSeeds = 3000
 
-// firstSeeds are shortly before the first histories that show a mistake: the search begins there, so that it doesn't take long.
+// firstSeeds are shortly before the first histories that show a bug: the search begins there to save time.
 var firstSeeds = map[Bug]uint64{CountContactOnly: 115, LocalRefusals: 30}
 
-// TestProof plays the control side under faults: no rule is broken, and each seeded mistake is noticed, those of the replica groups' own
-// model included.
+// TestProof plays the control plane under faults: no rule is broken, and the checks detect each seeded bug, also those of the simulation of the
+// replica groups.
 func TestProof(t *testing.T) {
 	is := is.New(t)
 	var total Report
@@ -65,7 +66,7 @@
 	is.True(total.Wipes > 0 && total.Cuts > 0 && total.Halves > 0 && total.Overlaps > 0 && total.Replacements > 0 && total.Retirements > 0 && total.ClockStep > 0)
 }
 
-// noticed looks for a history that shows a seeded mistake.
+// noticed looks for a history in which the checks detect a seeded bug.
 func noticed(bug Bug) (first Result, ok bool) {
 	Scan(max(firstSeeds[bug], 1), mostSeeds, bug, func(r Result) bool {
 		if r.Err != nil {
@@ -76,7 +77,7 @@
 	return first, ok
 }
 
-// TestTrace prints what happens in one history: SAFFRONQUAY_SEED says which, SAFFRONQUAY_BUG which mistake is seeded.
+// TestTrace prints what happens in one history: SAFFRONQUAY_SEED says which, SAFFRONQUAY_BUG which bug is seeded.
 func TestTrace(t *testing.T) {
 	seed, err := strconv.ParseUint(os.Getenv("SAFFRONQUAY_SEED"), 10, 64)
 	if err != nil {
@@ -105,7 +106,7 @@
 	t.Logf("%+v", total)
 }
 
-// A seed is one history: played again it is the same.
+// TestSeedsRepeat plays histories twice: the same seed gives the same history.
 func TestSeedsRepeat(t *testing.T) {
 	for seed := uint64(1); seed <= 3; seed++ {
 		first, err := Play(Seeded(seed, NoBug))
@@ -116,7 +117,7 @@
 	}
 }
 
-// TestHuntBugs prints where each seeded bug is noticed first: SAFFRONQUAY_HUNT says among how many seeds.
+// TestHuntBugs prints the first history in which each seeded bug is detected: SAFFRONQUAY_HUNT says among how many seeds.
 func TestHuntBugs(t *testing.T) {
 	count, err := strconv.ParseUint(os.Getenv("SAFFRONQUAY_HUNT"), 10, 64)
 	if err != nil {
@@ -128,11 +129,17 @@
 		played := 0
 		Scan(1, count, bug, func(r Result) bool {
 			played++
-			if r.Err != nil {
-				found[r.Err.(*ViolationError).Rule]++
-				if first.Err == nil || r.Seed < first.Seed {
-					first = r
-				}
+			if r.Err == nil {
+				return true
+			}
+			var violation *ViolationError
+			if !errors.As(r.Err, &violation) {
+				t.Errorf("%q: seed %d: %v is no violation", bug, r.Seed, r.Err)
+				return false
+			}
+			found[violation.Rule]++
+			if first.Err == nil || r.Seed < first.Seed {
+				first = r
 			}
 			return true
 		})
--- a/internal/scheduler/simulation/retirements.go
+++ b/internal/scheduler/simulation/retirements.go
@@ -1,10 +1,20 @@
 package simulation
 
-import "saffronquay/internal/scheduler/directory"
+import (
+	"net/http"
+	"saffronquay/internal/scheduler/directory"
+)
 
-// emptyOne has an operator ask for a store to be emptied. Once that is completed the machine is taken away with its disk; sometimes another
-// store loses its disk at that moment.
-func (w *world) retireStore(wipe bool) {
+const (
+	maxRetirementMS    = 12_000 // in which a machine is emptied when there are no faults
+	retirementRetryMS  = 150
+	retirementPollMS   = 100
+	retirementOperator = "operator0" // name of the client that has machines retired
+)
+
+// retireStore has an operator retire a storage node, if there are more than a group needs and no other is being retired. When it is emptied it is
+// removed with its disk; with loseAnother another storage node loses its disk at that moment.
+func (w *world) retireStore(loseAnother bool) {
 	stores := w.machinesOf(storageKind)
 	if len(stores) <= w.groupSize() || w.retiring != "" {
 		return
@@ -13,44 +23,57 @@
 	w.retiring = m.name
 	w.report.Retirements++
 	w.trace("%s is to be emptied", m.name)
-	w.requestRetirement(m.name, w.now, wipe)
+	w.requestRetirement(m.name, loseAnother)
 }
 
-func (w *world) requestRetirement(node string, begun int64, wipe bool) {
-	to := w.randomController()
-	call(w, "operator0", to, operatorTimeoutMS, func(answer func(int)) { to.handleRetirement(node, w.now+forwardTimeoutMS, answer) }, func(status int, ok bool) {
+// requestRetirement sends the operator's request until it is accepted. No other answer is right, since retireStore has checked the numbers.
+func (w *world) requestRetirement(node string, loseAnother bool) {
+	to := w.randomMachineOf(controllerKind)
+	call(w, retirementOperator, to, operatorTimeoutMS, func(answer func(int)) { to.handleRetirement(node, w.now+forwardTimeoutMS, answer) }, func(status int, ok bool) {
 		switch {
-		case !ok || status == 503:
-			w.schedule(150, func() { w.requestRetirement(node, begun, wipe) })
-		case status == 200:
-			w.awaitRetirement(node, w.now, wipe)
+		case !ok || status == http.StatusServiceUnavailable:
+			w.schedule(retirementRetryMS, func() { w.requestRetirement(node, loseAnother) })
+		case status == http.StatusOK:
+			w.awaitRetirement(node, w.now, loseAnother)
 		default:
 			w.reportViolation(Refused, "%s refused with %d to have %s emptied", to.name, status, node)
 		}
 	})
 }
 
-// awaitEmptied looks whether a machine is emptied, as an operator does.
-func (w *world) awaitRetirement(node string, since int64, wipe bool) {
-	for _, m := range w.machinesOf(controllerKind) {
-		if !m.up || !m.hasLease(directory.Shard) || !m.directory.Retirements()[node] {
-			continue
-		}
-		gone := w.machine(node)
-		gone.up, gone.removed = false, true
-		w.retiring = ""
-		w.lastFaultAt = w.now
-		w.trace("%s is emptied and taken away", node)
-		if wipe && w.now >= w.faultUntil {
-			others := w.machinesOf(storageKind)
-			w.loseDisk(others[w.random.IntN(len(others))])
-		}
-		w.schedule(1000, func() { w.addMachine(storageKind, w.random.IntN(3)).start() })
-		w.extendFault(w.now + 1000)
+// awaitRetirement removes a machine when the directory's leader says that it is emptied. It checks that this takes no longer than
+// maxRetirementMS after since or the last fault.
+func (w *world) awaitRetirement(node string, since int64, loseAnother bool) {
+	if w.isRetired(node) {
+		w.removeRetired(node, loseAnother)
 		return
 	}
 	if since = max(since, w.faultUntil); w.now-since > maxRetirementMS {
 		w.reportViolation(Stuck, "%s is not emptied %d ms after that was asked", node, maxRetirementMS)
 	}
-	w.schedule(100, func() { w.awaitRetirement(node, since, wipe) })
+	w.schedule(retirementPollMS, func() { w.awaitRetirement(node, since, loseAnother) })
+}
+
+// isRetired reports whether the directory's leader has a machine as emptied.
+func (w *world) isRetired(node string) bool {
+	for _, m := range w.machinesOf(controllerKind) {
+		if m.up && m.hasLease(directory.Shard) && m.directory.Retirements()[node] {
+			return true
+		}
+	}
+	return false
+}
+
+// removeRetired removes an emptied machine with its disk. An empty one comes at another address.
+func (w *world) removeRetired(node string, loseAnother bool) {
+	retired := w.machine(node)
+	retired.up, retired.removed = false, true
+	w.retiring = ""
+	w.recordFault()
+	w.trace("%s is emptied and taken away", node)
+	if loseAnother && w.now >= w.faultUntil {
+		w.loseDisk(w.randomMachineOf(storageKind))
+	}
+	w.addMachineLater(storageKind)
+	w.extendFault(w.now + replaceDelayMS)
 }
--- a/internal/scheduler/simulation/scan.go
+++ b/internal/scheduler/simulation/scan.go
@@ -6,15 +6,16 @@
 	"sync/atomic"
 )
 
-// Result is what came of one seed.
+// Result is the result of one seed.
 type Result struct {
 	Seed   uint64
 	Report Report
-	Err    error // a *Violation, or nil
+	Err    error // a *ViolationError, or nil
 }
 
-// Scan plays the histories of so many seeds, several at a time, and hands each result over, in no certain order. visit is called by one
-// goroutine at a time; once it returns false no further seed is begun.
+// Scan plays the histories of consecutive seeds, as many at a time as there are processors, and passes each result to visit, in no certain
+// order. visit is called by one goroutine at a time; after it has returned false it is not called again, and no further seed is begun. Scan
+// returns when all histories that have begun are over.
 func Scan(first, count uint64, bug Bug, visit func(Result) bool) {
 	var next atomic.Uint64
 	var mu sync.Mutex
--- a/internal/scheduler/simulation/storage.go
+++ b/internal/scheduler/simulation/storage.go
@@ -9,13 +9,11 @@
 )
 
 const (
-	// ledgerShards is the number of shards that jobs are divided into.
-	jobShards = 2
-	// inTouchMS is how long ago a follower may have heard its leader to answer reads, as the stores have it.
-	localReadMS = 400
+	jobShards   = 2   // that the batch jobs are divided into
+	localReadMS = 400 // within which a follower has been in touch to answer reads
 )
 
-// ledgerChanged keeps the scheduler of a shard in step with its ledger.
+// jobsChanged returns the function that passes changes of a job shard's state on to its scheduler, if this machine has one.
 func (m *machine) jobsChanged(shard string) func(batchjobs.Change) {
 	return func(c batchjobs.Change) {
 		s := m.schedulers[shard]
@@ -35,7 +33,7 @@
 	}
 }
 
-// scheduler returns the scheduler of a shard that this machine owns; nil where it doesn't.
+// ownedScheduler returns the scheduler of a job shard; nil if this machine does not own the shard. Each epoch begins with a new one.
 func (m *machine) ownedScheduler(shard string) *batchjobs.Scheduler {
 	status := m.engine.Status(shard)
 	if status == nil || !status.HasLease(m.world.now) {
@@ -51,6 +49,7 @@
 	return m.schedulers[shard]
 }
 
+// expireItems commits empty results of the items that the schedulers have given up.
 func (m *machine) expireItems() {
 	for n := range jobShards {
 		shard := batchjobs.ShardName(n)
@@ -69,7 +68,7 @@
 	}
 }
 
-// list has results agreed on.
+// commitResults commits results of a job. If that fails their items are open again. done gets whether it succeeded.
 func (m *machine) commitResults(shard, job string, results []*rpc.Result, done func(bool)) {
 	command := &rpc.LedgerCommand{Command: &rpc.LedgerCommand_Append{Append: &rpc.AppendResults{Job: job, Results: results}}}
 	m.propose(shard, replica.Marshal(command), func(p replica.ProposalResult) {
@@ -88,22 +87,23 @@
 	})
 }
 
-// ownerAnswer is what a store says to a call for a shard's owner.
+// ownerAnswer is the answer of a storage node to an ownerCall.
 type ownerAnswer struct {
 	outcome rpc.Outcome
-	leader  string
+	leader  string // address of the owner, if the outcome is NOT_LEADER and it is known
 	read    *readAnswer
 	work    *rpc.WorkResponse
 }
 
+// readAnswer is what was read of a batch job.
 type readAnswer struct {
-	at      int64 // when it was read
+	at      int64 // virtual milliseconds
 	found   bool
-	total   int
-	results []*rpc.Result
+	total   int           // number of items
+	results []*rpc.Result // from the requested position on
 }
 
-// notOwner is the answer of a store that doesn't own a shard; ok where it does.
+// refuseUnlessOwner returns the answer of a storage node that does not own a shard; ok is true if it does.
 func (m *machine) refuseUnlessOwner(shard string) (a ownerAnswer, ok bool) {
 	status := m.engine.Status(shard)
 	switch {
@@ -115,7 +115,7 @@
 	return ownerAnswer{outcome: rpc.Outcome_DONE}, true
 }
 
-// createJob takes a batch job.
+// createJob commits a batch job.
 func (m *machine) createJob(shard string, create *rpc.CreateJob, answer func(ownerAnswer)) {
 	if a, ok := m.refuseUnlessOwner(shard); !ok {
 		answer(a)
@@ -125,10 +125,10 @@
 	m.propose(shard, replica.Marshal(command), func(p replica.ProposalResult) { answer(ownerAnswer{outcome: p.Outcome}) })
 }
 
-// readJob reads a batch job; a follower that is in touch may answer where near is set.
-func (m *machine) readJob(shard, job string, after int, near bool, answer func(ownerAnswer)) {
+// readJob reads a batch job from a position on. With anyReplica a follower that is in touch also answers.
+func (m *machine) readJob(shard, job string, after int, anyReplica bool, answer func(ownerAnswer)) {
 	a, ok := m.refuseUnlessOwner(shard)
-	if !ok && near {
+	if !ok && anyReplica {
 		ok = m.isInTouch(shard, localReadMS) && m.jobStates[shard].HasJob(job)
 	}
 	if !ok {
@@ -139,7 +139,7 @@
 	answer(ownerAnswer{outcome: rpc.Outcome_DONE, read: &readAnswer{m.world.now, found, total, results}})
 }
 
-// work takes in what became of a gatherer's leases and hands out new ones.
+// exchangeWork handles a gatherer's reports and grants it new leases. It answers when the reported results are committed, or have failed to be.
 func (m *machine) exchangeWork(r *rpc.WorkRequest, answer func(ownerAnswer)) {
 	if a, ok := m.refuseUnlessOwner(r.Shard); !ok {
 		answer(a)
@@ -156,9 +156,9 @@
 			byJob[report.Job] = append(byJob[report.Job], result)
 		}
 	}
-	open, taken := len(byJob), true
+	open, committed := len(byJob), true
 	finish := func() {
-		response := &rpc.WorkResponse{Outcome: rpc.Outcome_DONE, Epoch: s.Epoch(), ReportsTaken: taken}
+		response := &rpc.WorkResponse{Outcome: rpc.Outcome_DONE, Epoch: s.Epoch(), ReportsTaken: committed}
 		if now := m.ownedScheduler(r.Shard); now != nil && now == s {
 			response.Cancelled = s.TakeCancelled(r.Gatherer)
 			response.Leases = s.GrantLeases(m.world.now, r.Gatherer, int(r.Want), r.Rooms)
@@ -171,7 +171,7 @@
 	}
 	for _, job := range slices.Sorted(maps.Keys(byJob)) {
 		m.commitResults(r.Shard, job, byJob[job], func(ok bool) {
-			taken = taken && ok
+			committed = committed && ok
 			if open--; open == 0 {
 				finish()
 			}
--- a/internal/scheduler/simulation/trainers.go
+++ b/internal/scheduler/simulation/trainers.go
@@ -2,13 +2,22 @@
 
 import (
 	"fmt"
+	"saffronquay/internal/scheduler/batchjobs"
 	"saffronquay/internal/scheduler/rpc"
 )
 
 const (
-	modelName  = "m"  // of the only model
-	jobPauseMS = 1500 // between two batch jobs
-	itemsInJob = 5
+	modelName       = "m"  // of the only model
+	jobIntervalMS   = 1500 // between two batch jobs, on average
+	itemsInJob      = 5
+	itemBytes       = 200
+	trainerRetryMS  = 200  // between two attempts of a trainer's request
+	submitJobMS     = 2500 // timeout of a submission
+	readJobMS       = 1500 // timeout of a read at the owner
+	readReplicaMS   = 900  // timeout of a read at any storage node
+	jobDeadlineMS   = 9000
+	jobGiveUpMS     = 60_000
+	maxItemAttempts = 1000
 )
 
 // trainer names versions of weights, and submits and reads batch jobs.
@@ -16,28 +25,30 @@
 	world   *world
 	name    string
 	version uint64
-	jobs    int
-	leaders map[string]string
+	jobs    int               // submitted so far
+	leaders map[string]string // by shard: the storage node that it takes for the owner
 }
 
+// nextVersion names the next version of the weights. The one after follows when this one is acknowledged.
 func (t *trainer) nextVersion() {
 	w := t.world
-	if w.now > w.end()-quietMS {
+	if w.now > w.endAt-quietMS {
 		return
 	}
 	t.version++
 	t.nameVersion(t.version+1, func() { w.schedule(w.randomBetween(1500, 4000), t.nextVersion) })
 }
 
+// nameVersion names a version until that is acknowledged, and then runs done.
 func (t *trainer) nameVersion(version uint64, done func()) {
 	w := t.world
-	to := w.randomController()
+	to := w.randomMachineOf(controllerKind)
 	command := &rpc.DirectoryCommand{Command: &rpc.DirectoryCommand_NameVersion{NameVersion: &rpc.NameVersion{Model: modelName, Version: version}}}
 	call(w, t.name, to, operatorTimeoutMS, func(answer func(bool)) {
 		to.decideDirectory(command, func(r *rpc.DirectoryResult) { answer(r != nil) })
 	}, func(taken, ok bool) {
 		if !ok || !taken {
-			w.schedule(200, func() { t.nameVersion(version, done) })
+			w.schedule(trainerRetryMS, func() { t.nameVersion(version, done) })
 			return
 		}
 		w.versions[modelName] = version
@@ -45,41 +56,49 @@
 	})
 }
 
+// nextJob submits a batch job and schedules the next one.
 func (t *trainer) nextJob() {
 	w := t.world
-	if w.now > w.end()-2*quietMS {
+	if w.now > w.endAt-2*quietMS {
 		return
 	}
 	t.jobs++
 	j := &jobRecord{
-		shard:  fmt.Sprintf("ledger-%d", t.jobs%jobShards),
-		create: &rpc.CreateJob{Id: fmt.Sprint("job", t.jobs), Host: "h", Model: modelName, Desired: itemsInJob, DeadlineMs: 9000, GiveUpMs: 60_000, MaxAttempts: 1000},
+		shard: batchjobs.ShardName(t.jobs % jobShards),
+		create: &rpc.CreateJob{
+			Id: fmt.Sprint("job", t.jobs), Host: "h", Model: modelName, Desired: itemsInJob,
+			DeadlineMs: jobDeadlineMS, GiveUpMs: jobGiveUpMS, MaxAttempts: maxItemAttempts,
+		},
 	}
 	for n := range itemsInJob {
-		j.create.Items = append(j.create.Items, &rpc.Item{Id: itemName(j.create.Id, n), Body: make([]byte, 200)})
+		j.create.Items = append(j.create.Items, &rpc.Item{Id: itemName(j.create.Id, n), Body: make([]byte, itemBytes)})
 	}
 	w.jobs[j.create.Id] = j
 	t.submit(j)
-	w.schedule(w.randomBetween(300, 2*jobPauseMS), t.nextJob)
+	w.schedule(w.randomBetween(300, 2*jobIntervalMS), t.nextJob)
 }
 
+// submit submits a job until that is acknowledged, and then begins to read it.
 func (t *trainer) submit(j *jobRecord) {
 	w := t.world
-	w.callOwner(t.name, w.now+2500, t.leaders, j.shard, func(m *machine, answer func(ownerAnswer)) { m.createJob(j.shard, j.create, answer) }, func(_ ownerAnswer, ok, _ bool) {
+	submission := &ownerCall{world: w, from: t.name, shard: j.shard, until: w.now + submitJobMS, leaders: t.leaders}
+	submission.serve = func(to *machine, answer func(ownerAnswer)) { to.createJob(j.shard, j.create, answer) }
+	submission.done = func(_ ownerAnswer, ok bool) {
 		if !ok {
-			w.schedule(200, func() { t.submit(j) })
+			w.schedule(trainerRetryMS, func() { t.submit(j) })
 			return
 		}
 		j.acknowledgedAt = w.now
 		w.report.Jobs++
 		t.readRepeatedly(j)
-	})
+	}
+	submission.attempt()
 }
 
-// readOn reads a job from a position by chance, at a store near or at the owner, again and again.
+// readRepeatedly reads a job from a random position until the history ends, at random storage nodes or at the owner, and checks what was read.
 func (t *trainer) readRepeatedly(j *jobRecord) {
 	w := t.world
-	if w.now > w.end() {
+	if w.now > w.endAt {
 		return
 	}
 	after := 0
@@ -88,9 +107,8 @@
 	}
 	next := func() { w.schedule(w.randomBetween(300, 1500), func() { t.readRepeatedly(j) }) }
 	if w.oneIn(2) {
-		stores := w.machinesOf(storageKind)
-		to := stores[w.random.IntN(len(stores))]
-		call(w, t.name, to, 900, func(answer func(ownerAnswer)) { to.readJob(j.shard, j.create.Id, after, true, answer) }, func(a ownerAnswer, ok bool) {
+		to := w.randomMachineOf(storageKind)
+		call(w, t.name, to, readReplicaMS, func(answer func(ownerAnswer)) { to.readJob(j.shard, j.create.Id, after, true, answer) }, func(a ownerAnswer, ok bool) {
 			if ok && a.outcome == rpc.Outcome_DONE && a.read.found {
 				w.checkJobRead(j, after, a.read)
 			}
@@ -98,23 +116,28 @@
 		})
 		return
 	}
-	w.callOwner(t.name, w.now+1500, t.leaders, j.shard, func(m *machine, answer func(ownerAnswer)) { m.readJob(j.shard, j.create.Id, after, false, answer) }, func(a ownerAnswer, ok, _ bool) {
+	read := &ownerCall{world: w, from: t.name, shard: j.shard, until: w.now + readJobMS, leaders: t.leaders}
+	read.serve = func(to *machine, answer func(ownerAnswer)) { to.readJob(j.shard, j.create.Id, after, false, answer) }
+	read.done = func(a ownerAnswer, ok bool) {
 		if ok {
 			w.checkJobRead(j, after, a.read)
 		}
 		next()
-	})
+	}
+	read.attempt()
 }
 
-// jobRecord is what clients know of a batch job.
+// jobRecord is what the trainer has learned of a batch job.
 type jobRecord struct {
 	create         *rpc.CreateJob
 	shard          string
-	acknowledgedAt int64 // 0: not yet
-	results        []*rpc.Result
-	newestReadAt   int64 // when the newest position was read first
+	acknowledgedAt int64         // 0: not yet
+	results        []*rpc.Result // by position: as read first
+	newestReadAt   int64         // when the newest position was read first
 }
 
+// resultText returns the text of an item's result.
 func resultText(item string) string { return "text of " + item }
 
+// itemName returns the id of a job's item.
 func itemName(job string, n int) string { return fmt.Sprintf("%s-i%d", job, n) }
--- a/internal/scheduler/simulation/workers.go
+++ b/internal/scheduler/simulation/workers.go
@@ -2,74 +2,53 @@
 
 import (
 	"fmt"
+	"net/http"
 	"saffronquay/internal/scheduler/registry"
 	"saffronquay/internal/scheduler/rpc"
 )
 
-// serve is what a worker does with a request, by chance.
-func (k *worker) serve(c *connection, id string) {
-	w := k.world
-	say := func(delay int64, r reply) {
-		w.schedule(delay, func() {
-			if c.open && c.deliver != nil {
-				c.deliver(r)
-			}
-		})
-	}
-	good := reply{status: 200, id: id, body: replyText(id)}
-	previous := reply{status: 200, id: k.previousCall, body: replyText(k.previousCall)}
-	run := func() { w.executions[id]++; k.previousCall = id }
-	switch w.random.IntN(14) {
-	case 0:
-		say(w.latency(), reply{status: 503, id: id, rejected: true})
-	case 1:
-		say(w.latency(), reply{reset: true})
-	case 2:
-		run()
-		say(w.latency(), reply{reset: true})
-	case 3: // silence
-		run()
-	case 4: // an answer that comes when the caller has given up
-		run()
-		say(attemptTimeoutMS+w.randomBetween(1, 200), good)
-	case 5: // a surplus answer, where the next one is due
-		run()
-		say(10, good)
-		say(20, previous)
-	case 6:
-		run()
-		say(5, previous)
-		say(15, good)
-	default:
-		run()
-		say(w.randomBetween(5, 60), good)
-	}
-}
+const (
+	firstLeaveMS       = startMS + 4000 // before which no worker leaves
+	drainMS            = 6000           // for which a worker goes on after it has begun to leave
+	restartDelayMS     = 100            // after which a new worker takes its place
+	heartbeatTimeoutMS = 1000           // of one attempt to report a heartbeat
+	heartbeatRetries   = 3
+	leaveRetries       = 12
+	clockToleranceMS   = 300 // by which an order may come before the last holder's lease has ended
+
+	// Chances of an event are 1 to these numbers.
+	leaveChance         = 14
+	slowHeartbeatChance = 12
+
+	serveKinds = 14 // see serve
+)
 
 // worker is a model worker.
 type worker struct {
 	world        *world
 	id           string
 	service      string
-	starts       int
+	starts       int // of workers in this place before
 	up           bool
-	sequence     uint64
-	controller   *machine
-	version      uint64
+	sequence     uint64   // of the newest heartbeat
+	controller   *machine // that acknowledged the last heartbeat; nil if none did
+	version      uint64   // of the weights
 	draining     bool
 	leftAt       int64 // when its leave was acknowledged
 	previousCall string
-	orderedBy    string // machine that sent the last order
+	orderedBy    string // name of the machine that sent the last order
 	orderedAt    int64
-	epoch        uint64
+	epoch        uint64 // of the last order: the fencing token
 }
 
+// addWorker adds a worker that is up and about to send its first heartbeat.
 func (w *world) addWorker(n int) {
 	k := &worker{world: w, id: fmt.Sprintf("worker%d", n), service: fmt.Sprint("s", n%2), up: true, version: 1}
 	w.workers = append(w.workers, k)
 	w.schedule(w.randomBetween(500, 1500), k.sendHeartbeat)
 }
 
+// worker returns the worker with an id; nil if there is none.
 func (w *world) worker(id string) *worker {
 	for _, k := range w.workers {
 		if k.id == id {
@@ -79,34 +58,38 @@
 	return nil
 }
 
-// beat sends a heartbeat; now and then one is on its way for long.
+// sendHeartbeat sends a heartbeat and schedules the next one. With some chance it is delayed by seconds, or the worker leaves instead.
 func (k *worker) sendHeartbeat() {
 	w := k.world
 	if !k.up || k.draining {
 		return
 	}
-	if w.now > startMS+4000 && w.now < w.end()-2*quietMS && w.oneIn(14) {
+	if w.now > firstLeaveMS && w.now < w.endAt-2*quietMS && w.oneIn(leaveChance) {
 		k.leave()
 		return
 	}
 	k.sequence++
-	instance := &rpc.Instance{Id: k.id, Service: k.service, Address: k.id, Capacity: 4, Sequence: k.sequence, Models: []*rpc.ModelWeights{{Name: modelName, Version: k.version}}}
+	instance := &rpc.Instance{
+		Id: k.id, Service: k.service, Address: k.id, Capacity: 4, Sequence: k.sequence,
+		Models: []*rpc.ModelWeights{{Name: modelName, Version: k.version}},
+	}
 	delay := int64(0)
-	if w.oneIn(12) {
+	if w.oneIn(slowHeartbeatChance) {
 		delay = w.randomBetween(500, 5000)
 	}
-	w.schedule(delay, func() { k.reportHeartbeat(&rpc.HeartbeatRequest{Instance: instance}, 3, nil) })
+	w.schedule(delay, func() { k.reportHeartbeat(&rpc.HeartbeatRequest{Instance: instance}, heartbeatRetries, nil) })
 	w.schedule(heartbeatIntervalMS+w.randomBetween(-50, 50), k.sendHeartbeat)
 }
 
-// tell has a steward take a heartbeat in, the one that did so last or one by chance.
-func (k *worker) reportHeartbeat(r *rpc.HeartbeatRequest, attempts int, acknowledged func()) {
+// reportHeartbeat sends a heartbeat to the last controller that acknowledged one, or a random one, and retries at others. acknowledged runs
+// after a success, if it is not nil.
+func (k *worker) reportHeartbeat(r *rpc.HeartbeatRequest, retries int, acknowledged func()) {
 	w := k.world
 	to := k.controller
 	if to == nil || to.removed {
-		to = w.randomController()
+		to = w.randomMachineOf(controllerKind)
 	}
-	call(w, k.id, to, 1000, func(answer func(bool)) { k.forwardHeartbeat(to, r, answer) }, func(taken, ok bool) {
+	call(w, k.id, to, heartbeatTimeoutMS, func(answer func(bool)) { to.handleWorkerReport(r, answer) }, func(taken, ok bool) {
 		switch {
 		case ok && taken:
 			k.controller = to
@@ -114,23 +97,23 @@
 			if acknowledged != nil {
 				acknowledged()
 			}
-		case attempts > 0:
+		case retries > 0:
 			k.controller = nil
-			k.reportHeartbeat(r, attempts-1, acknowledged)
+			k.reportHeartbeat(r, retries-1, acknowledged)
 		}
 	})
 }
 
-// takenIn has a steward pass a heartbeat to the owner of its shard, a leave to all owners.
-func (k *worker) forwardHeartbeat(to *machine, r *rpc.HeartbeatRequest, answer func(bool)) {
-	until := k.world.now + forwardTimeoutMS
+// handleWorkerReport passes a heartbeat to the owner of its shard, a leave to the owners of all shards. It answers whether all have acknowledged.
+func (m *machine) handleWorkerReport(r *rpc.HeartbeatRequest, answer func(acknowledged bool)) {
+	until := m.world.now + forwardTimeoutMS
 	if !r.Leaving {
-		to.forwardHeartbeat(registry.ShardOf(r.Instance.Service), r, until, answer)
+		m.handleHeartbeat(registry.ShardOf(r.Instance.Service), r, until, answer)
 		return
 	}
 	open, all := registry.ShardCount, true
 	for n := range registry.ShardCount {
-		to.forwardHeartbeat(registry.ShardName(n), r, until, func(taken bool) {
+		m.handleHeartbeat(registry.ShardName(n), r, until, func(taken bool) {
 			all = all && taken
 			if open--; open == 0 {
 				answer(all)
@@ -139,47 +122,93 @@
 	}
 }
 
-// leave tells that the worker goes, serves on for a while, and comes back as another one.
+// leave begins a graceful shutdown: the worker goes on for drainMS, then another one under a new id takes its place.
 func (k *worker) leave() {
 	w := k.world
 	k.draining = true
-	k.reportHeartbeat(&rpc.HeartbeatRequest{Instance: &rpc.Instance{Id: k.id}, Leaving: true}, 12, func() { k.leftAt = w.now })
-	w.schedule(6000, func() {
+	k.reportHeartbeat(&rpc.HeartbeatRequest{Instance: &rpc.Instance{Id: k.id}, Leaving: true}, leaveRetries, func() { k.leftAt = w.now })
+	w.schedule(drainMS, func() {
 		k.up = false
 		k.starts++
-		retry := &worker{world: w, id: fmt.Sprintf("%s+%d", k.id, k.starts), service: k.service, up: true, starts: k.starts, version: k.version}
-		w.workers = append(w.workers, retry)
-		w.schedule(100, retry.sendHeartbeat)
+		next := &worker{world: w, id: fmt.Sprintf("%s+%d", k.id, k.starts), service: k.service, up: true, starts: k.starts, version: k.version}
+		w.workers = append(w.workers, next)
+		w.schedule(restartDelayMS, next.sendHeartbeat)
 	})
 }
 
-// order is an order for other weights as it reaches the worker.
+// receiveOrder takes an order to load weights, some time after it was sent. It checks that one process sends a shard's orders under an epoch,
+// and, without fencing, that the holders follow each other with a lease between them.
 func (k *worker) receiveOrder(from *machine, shard string, epoch, version uint64) {
 	w := k.world
-	incarnation := from.incarnation
+	holder := fmt.Sprint(from.name, "#", from.incarnation)
 	sentAt := w.now
 	w.schedule(w.latency(), func() {
 		if w.isPartitionedOneWay(from.name, k.id) || !k.up {
 			return
 		}
-		if w.dispatchers[shard] == nil {
-			w.dispatchers[shard] = map[uint64]string{}
-		}
-		holder := fmt.Sprint(from.name, "#", incarnation)
-		if other, ok := w.dispatchers[shard][epoch]; ok && other != holder {
-			w.reportViolation(TwoHolders, "%s and %s sent orders of %s under the fence %d", other, holder, shard, epoch)
-		}
-		w.dispatchers[shard][epoch] = holder
+		w.checkDispatcher(shard, epoch, holder)
 		if epoch < k.epoch {
 			if !w.options.Fencing && sentAt-k.orderedAt < dispatchLeaseMS && from.name != k.orderedBy {
 				w.reportViolation(TwoHolders, "%s was ordered by %s under %d, then by %s under %d", k.id, k.orderedBy, k.epoch, from.name, epoch)
 			}
 			return
 		}
-		if !w.options.Fencing && k.orderedBy != "" && k.orderedBy != from.name && w.now-k.orderedAt < dispatchLeaseMS-300 {
+		if !w.options.Fencing && k.orderedBy != "" && k.orderedBy != from.name && w.now-k.orderedAt < dispatchLeaseMS-clockToleranceMS {
 			w.reportViolation(TwoHolders, "%s was ordered by %s and %d ms later by %s", k.id, k.orderedBy, w.now-k.orderedAt, from.name)
 		}
 		k.epoch, k.orderedBy, k.orderedAt = epoch, from.name, w.now
 		k.version = max(k.version, version)
 	})
 }
+
+// checkDispatcher checks that no other process has sent orders of a shard under the same epoch, and records this one.
+func (w *world) checkDispatcher(shard string, epoch uint64, holder string) {
+	if w.dispatchers[shard] == nil {
+		w.dispatchers[shard] = map[uint64]string{}
+	}
+	if other, ok := w.dispatchers[shard][epoch]; ok && other != holder {
+		w.reportViolation(TwoHolders, "%s and %s sent orders of %s under the fence %d", other, holder, shard, epoch)
+	}
+	w.dispatchers[shard][epoch] = holder
+}
+
+// serve handles a request that has arrived on a connection. By chance it answers, rejects the request, resets the connection before or after the
+// run, does not answer, answers late, or sends the answer to the previous request as well.
+func (k *worker) serve(c *connection, id string) {
+	w := k.world
+	send := func(delay int64, answer reply) {
+		w.schedule(delay, func() {
+			if c.open && c.deliver != nil {
+				c.deliver(answer)
+			}
+		})
+	}
+	right := reply{status: http.StatusOK, id: id, body: replyText(id)}
+	previous := reply{status: http.StatusOK, id: k.previousCall, body: replyText(k.previousCall)}
+	run := func() { w.executions[id]++; k.previousCall = id }
+	switch w.random.IntN(serveKinds) {
+	case 0:
+		send(w.latency(), reply{status: http.StatusServiceUnavailable, id: id, rejected: true})
+	case 1:
+		send(w.latency(), reply{reset: true})
+	case 2:
+		run()
+		send(w.latency(), reply{reset: true})
+	case 3: // no answer
+		run()
+	case 4: // too late: the gatherer has given the attempt up
+		run()
+		send(attemptTimeoutMS+w.randomBetween(1, 200), right)
+	case 5: // a second answer, when the next request may wait for its own
+		run()
+		send(10, right)
+		send(20, previous)
+	case 6:
+		run()
+		send(5, previous)
+		send(15, right)
+	default:
+		run()
+		send(w.randomBetween(5, 60), right)
+	}
+}
