--- a/internal/scheduler/proxy/eventbuffer_test.go
+++ b/internal/scheduler/proxy/eventbuffer_test.go
@@ -7,7 +7,7 @@
 )
 
 // Only complete events reach the client, so that a stream can be continued after the last one.
-func TestEventCutter(t *testing.T) {
+func TestEventBuffer(t *testing.T) {
 	is := is.New(t)
 	var c eventBuffer
 	b := make([]byte, 64)
