--- /dev/null
+++ b/readable_test.go
@@ -0,0 +1,71 @@
+package saffronquay
+
+import (
+	"os"
+	"path/filepath"
+	"regexp"
+	"slices"
+	"strconv"
+	"strings"
+	"testing"
+)
+
+// The decisions stay small enough to be read in one go: all files that deploy/balancer.toml names as the policy together, as
+// when they were one file. A new file of the module is either named there or listed here as one that decides nothing.
+func TestTheModuleStaysReadable(t *testing.T) {
+	decides := policyFiles(t)
+	plain := []string{
+		"api.go", "doc.go", "explain.go", "handover.go", "queries.go", "replicas.go", "state.go", "statistics.go", "validate.go",
+	}
+	files, err := filepath.Glob("*.go")
+	if err != nil {
+		t.Fatal(err)
+	}
+	files = slices.DeleteFunc(files, func(name string) bool { return strings.HasSuffix(name, "_test.go") })
+	if want := slices.Sorted(slices.Values(slices.Concat(decides, plain))); !slices.Equal(files, want) {
+		t.Errorf("the module's files are %v, want %v", files, want)
+	}
+	total := 0
+	for _, name := range decides {
+		text, err := os.ReadFile(name)
+		if err != nil {
+			t.Fatal(err)
+		}
+		lines := strings.Split(string(text), "\n")
+		for i, l := range lines {
+			if n := len([]rune(strings.ReplaceAll(l, "\t", "    "))); n > 110 {
+				t.Errorf("%s: line %d has %d characters", name, i+1, n)
+			}
+		}
+		lines = slices.DeleteFunc(lines, func(l string) bool { return strings.TrimSpace(l) == "" })
+		total += len(lines)
+		if !strings.Contains(strings.Join(lines[:10], "\n"), "api.go") {
+			t.Errorf("%s: the head comment does not name api.go", name)
+		}
+	}
+	if total > 1000 {
+		t.Errorf("%d lines that are not blank; 1000 at most", total)
+	}
+}
+
+// policyFiles are the files that deploy/balancer.toml names as the policy.
+func policyFiles(t *testing.T) []string {
+	t.Helper()
+	text, err := os.ReadFile("deploy/balancer.toml")
+	if err != nil {
+		t.Fatal(err)
+	}
+	line := regexp.MustCompile(`(?m)^policy = \[(.*)\]$`).FindSubmatch(text)
+	if line == nil {
+		t.Fatal("deploy/balancer.toml has no line policy")
+	}
+	var names []string
+	for _, item := range strings.Split(string(line[1]), ",") {
+		name, err := strconv.Unquote(strings.TrimSpace(item))
+		if err != nil {
+			t.Fatalf("policy: %s: %v", item, err)
+		}
+		names = append(names, name)
+	}
+	return names
+}
--- a/scheduler_test.go
+++ b/scheduler_test.go
@@ -2,105 +2,10 @@
 
 import (
 	"fmt"
-	"os"
-	"path/filepath"
-	"regexp"
 	"slices"
-	"strconv"
-	"strings"
 	"testing"
 )
 
-const ms = 1000
-
-// plain is a small deployment of one class; tests change what they need.
-func plain() Settings {
-	return Settings{
-		Aggregators: 1, Period: 5 * ms, Shards: 2, Cells: 2, CellsPerShard: 2, PartsPerCall: 1,
-		Classes: []Class{{
-			Name: "q", LatencyTarget: 1000 * ms, HardLimit: 3000 * ms, Value: 1, CompleteWeight: 1, MinWeight: 1, PartialValue: 0.9,
-			DedupWindow: 1000 * ms,
-		}},
-		Limits: Limits{MaxAttempts: 3, MayCancel: true},
-		Rules: Rules{
-			AnswerGrace: 20 * ms, DrainGrace: 1000 * ms, SlowStartFraction: 0.3, WarmUp: 10000 * ms,
-			OverloadMultiple: 3, OverloadWindow: 1000 * ms, MembershipWithin: 10000 * ms,
-		},
-	}
-}
-
-// script drives one scheduler with scripted events.
-type script struct {
-	t   *testing.T
-	s   *Scheduler
-	now int64
-	got []Action
-}
-
-func newScript(t *testing.T, cfg Settings, ids ...ServerID) *script {
-	t.Helper()
-	s, err := New(cfg, 7)
-	if err != nil {
-		t.Fatal(err)
-	}
-	sc := &script{t: t, s: s, now: 1_000_000_000}
-	var list []Server
-	for i, id := range ids {
-		list = append(list, Server{ID: id, Cell: i % cfg.Cells, Health: Ready})
-	}
-	sc.step(0, FleetChanged{Kind: FleetCached, Servers: list})
-	return sc
-}
-
-// step lets so many microseconds pass and steps with the events, or without any with an alarm.
-func (sc *script) step(after int64, events ...Event) []Action {
-	sc.now += after
-	if len(events) == 0 {
-		events = []Event{AlarmRang{ID: sc.s.alarmID}}
-	}
-	sc.got = sc.s.Step(sc.now, events)
-	return sc.got
-}
-
-// run lets time pass in small steps and returns all actions.
-func (sc *script) run(total int64) []Action {
-	var all []Action
-	for end := sc.now + total; sc.now < end; {
-		all = append(all, sc.step(10*ms)...)
-	}
-	return all
-}
-
-func of[T Action](as []Action) []T {
-	var out []T
-	for _, a := range as {
-		if v, ok := a.(T); ok {
-			out = append(out, v)
-		}
-	}
-	return out
-}
-
-// request makes the events of a query with one part for each given cost, on shards 0, 1, ...
-func (sc *script) request(id ID, costs ...int64) []Event {
-	var sum int64
-	for _, c := range costs {
-		sum += c
-	}
-	es := []Event{Query{ID: id, Group: int64(id), Class: "q", Deadline: sc.now + 3000*ms, Work: sum}}
-	for i, c := range costs {
-		es = append(es, Part{
-			ID: id + ID(i) + 1, Group: int64(id), Shard: i % sc.s.cfg.Shards,
-			Weight: 1 / float64(len(costs)), Work: c,
-		})
-	}
-	return es
-}
-
-func served(a Send, n int, latency int64) AttemptEnded {
-	return AttemptEnded{Part: a.Part, Attempt: n, Server: a.Server, Outcome: Served, Latency: latency}
-}
-
 func TestEachPartGoesToTheSmallestBacklog(t *testing.T) {
 	sc := newScript(t, plain(), "a", "b")
 	first := of[Send](sc.step(0, sc.request(100, 300*ms)...))
@@ -360,83 +265,6 @@
 	}
 }
 
-// The decisions stay small enough to be read in one go: all files that deploy/balancer.toml names as the policy together, as
-// when they were one file. A new file of the module is either named there or listed here as one that decides nothing.
-func TestTheModuleStaysReadable(t *testing.T) {
-	decides := policyFiles(t)
-	plain := []string{
-		"api.go", "doc.go", "explain.go", "handover.go", "queries.go", "replicas.go", "state.go", "statistics.go", "validate.go",
-	}
-	files, err := filepath.Glob("*.go")
-	if err != nil {
-		t.Fatal(err)
-	}
-	files = slices.DeleteFunc(files, func(name string) bool { return strings.HasSuffix(name, "_test.go") })
-	if want := slices.Sorted(slices.Values(slices.Concat(decides, plain))); !slices.Equal(files, want) {
-		t.Errorf("the module's files are %v, want %v", files, want)
-	}
-	total := 0
-	for _, name := range decides {
-		text, err := os.ReadFile(name)
-		if err != nil {
-			t.Fatal(err)
-		}
-		lines := strings.Split(string(text), "\n")
-		for i, l := range lines {
-			if n := len([]rune(strings.ReplaceAll(l, "\t", "    "))); n > 110 {
-				t.Errorf("%s: line %d has %d characters", name, i+1, n)
-			}
-		}
-		lines = slices.DeleteFunc(lines, func(l string) bool { return strings.TrimSpace(l) == "" })
-		total += len(lines)
-		if !strings.Contains(strings.Join(lines[:10], "\n"), "api.go") {
-			t.Errorf("%s: the head comment does not name api.go", name)
-		}
-	}
-	if total > 1000 {
-		t.Errorf("%d lines that are not blank; 1000 at most", total)
-	}
-}
-
-// policyFiles are the files that deploy/balancer.toml names as the policy.
-func policyFiles(t *testing.T) []string {
-	t.Helper()
-	text, err := os.ReadFile("deploy/balancer.toml")
-	if err != nil {
-		t.Fatal(err)
-	}
-	line := regexp.MustCompile(`(?m)^policy = \[(.*)\]$`).FindSubmatch(text)
-	if line == nil {
-		t.Fatal("deploy/balancer.toml has no line policy")
-	}
-	var names []string
-	for _, item := range strings.Split(string(line[1]), ",") {
-		name, err := strconv.Unquote(strings.TrimSpace(item))
-		if err != nil {
-			t.Fatalf("policy: %s: %v", item, err)
-		}
-		names = append(names, name)
-	}
-	return names
-}
-
-// withKey gives the query among some events a key.
-func withKey(es []Event, key string) []Event {
-	return withQuery(es, func(q *Query) { q.Key = key })
-}
-
-// withQuery changes the query among some events.
-func withQuery(es []Event, change func(*Query)) []Event {
-	q := es[0].(Query)
-	change(&q)
-	es[0] = q
-	return es
-}
-
-func broken(a Send, n int) AttemptEnded {
-	return AttemptEnded{Part: a.Part, Attempt: n, Server: a.Server, Outcome: Broken}
-}
-
 func TestAKeyThatBringsDownServersIsTurnedAway(t *testing.T) {
 	cfg := plain()
 	cfg.Limits.PeerMessages = true
@@ -502,17 +330,6 @@
 	}
 }
 
-// behindABusyHolder is a script in which the only server of shard 0 has so much work, and that of shard 1 none.
-func behindABusyHolder(t *testing.T, floor float64, work int64) *script {
-	t.Helper()
-	cfg := plain()
-	cfg.CellsPerShard = 1
-	cfg.Classes[0].MinWeight = floor
-	sc := newScript(t, cfg, "a", "b")
-	sc.step(0, sc.request(100, work)...)
-	return sc
-}
-
 func TestAdmissionLooksAtTheLastPartNeeded(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
