--- a/internal/cluster/swim/core.go
+++ b/internal/cluster/swim/core.go
@@ -39,37 +39,37 @@
 }
 
 const (
-	longest   = 6 // the longest suspicion, in shortest ones
-	confirms  = 3 // accusers beside the first that make it the shortest
-	helpers   = 3 // that are asked to probe
-	fanout    = 3 // members that news are sent to, every half period
-	mostIll   = 8 // steps of awareness
-	mostRelay = 256
-	mostHeard = 4096 // records
-	mostCalls = 16   // members that are told what others say of them, for each datagram or frame that comes
-	buckets   = 32
-	unlike    = 6 // contacts in a row with another digest that begin an exchange
-	afterNap  = 3 // answers that end a process's doubt of itself
-	leaveIn   = 4 // half periods in which a leave is told
+	maxSuspicionFactor = 6 // the longest suspicion, in shortest ones
+	confirmations      = 3 // accusers beside the first that make it the shortest
+	indirectProbes     = 3 // that are asked to probe
+	gossipFanout       = 3 // members that news are sent to, every half period
+	maxHealthScore     = 8 // steps of awareness
+	maxRelays          = 256
+	maxSeenRecords     = 4096 // records
+	maxChallenges      = 16   // members that are told what others say of them, for each datagram or frame that comes
+	digestBuckets      = 32
+	mismatchLimit      = 6 // contacts in a row with another digest that begin an exchange
+	acksAfterStall     = 3 // answers that end a process's doubt of itself
+	leaveHalfPeriods   = 4 // half periods in which a leave is told
 )
 
 // member is what is held of one.
 type member struct {
 	Record
-	since int64 // of its state
-	heard int64 // when it was heard itself
-	at    int   // in present or gone; -1: in neither
-
-	began, end int64   // of its suspicion
-	due        int64   // when it is looked at next
-	checks     int     // times that it was told of its suspicion to its end
-	extended   bool    // the end was put off once, since it was heard itself
-	dead       *Record // what others say of it, while it is alive here
-	heap       int     // among the suspicions; -1: none
-
-	queued bool
-	gen    uint32
-	form   []byte // as it is told
+	since     int64 // of its state
+	lastHeard int64 // when it was heard itself
+	listIndex int   // in present or gone; -1: in neither
+
+	suspectedAt, suspicionEnd int64   // of its suspicion
+	checkAt                   int64   // when it is looked at next
+	checks                    int     // times that it was told of its suspicion to its end
+	extended                  bool    // the end was put off once, since it was heard itself
+	reportedDead              *Record // what others say of it, while it is alive here
+	heapIndex                 int     // among the suspicions; -1: none
+
+	queued     bool
+	generation uint32
+	encoded    []byte // as it is told
 }
 
 // Datagram is to be sent.
@@ -128,46 +128,46 @@
 
 // Core is one process's view of its fleet. It is not for several goroutines.
 type Core struct {
-	cfg     Config
-	rng     *rand.Rand
-	self    *member
-	members map[string]*member // all but itself; under its own name a twin of a later start
-	present []*member          // alive or suspected
-	gone    []*member          // dead or left
-	digest  uint64
-	sums    [buckets]uint64
-	changed int64 // when the digest changed last
-
-	round    []*member
-	next     int
-	probe    *probe
-	probeAt  int64 // of the next one
-	seq      uint32
-	relays   map[uint32]relay
-	relayed  []uint32 // in the order of their ends
-	ill      int      // awareness: 0 well, mostIll at worst
-	doubts   int      // answers that are still wanted before it accuses
-	doubtEnd int64
-
-	suspects   suspects
-	news       news
-	stale      bool                // what came in last accuses this process of what it has refuted already
-	challenges int                 // that may still be sent for what came in last
-	heard      map[uint64]struct{} // sums of records as they were told, that are known
-	newsAt     int64
-
-	exchangeAt, exchanged int64
-	unlike                int
-	joinAt                int64
-	joinWait              int64
-	tries                 int
-	alone, joined         bool
-	newcomer              bool  // what comes in is the answer to its first words
-	leaving               int64 // 0: not
-	twin, twinSeen        int64 // when another one of its name was heard of, and told of
-	later                 bool  // that one's start is later: this one is no member
-
-	out    Output
+	cfg             Config
+	rng             *rand.Rand
+	self            *member
+	members         map[string]*member // all but itself; under its own name a twin of a later start
+	present         []*member          // alive or suspected
+	gone            []*member          // dead or left
+	digest          uint64
+	bucketDigests   [digestBuckets]uint64
+	digestChangedAt int64 // when the digest changed last
+
+	probeOrder    []*member
+	probeIndex    int
+	probe         *probe
+	nextProbeAt   int64 // of the next one
+	lastSeq       uint32
+	relays        map[uint32]relay
+	relayOrder    []uint32 // in the order of their ends
+	healthScore   int      // awareness: 0 well, mostIll at worst
+	acksToTrust   int      // answers that are still wanted before it accuses
+	distrustUntil int64
+
+	suspicions     suspicionHeap
+	broadcasts     broadcastQueue
+	accusedAgain   bool                // what came in last accuses this process of what it has refuted already
+	challengesLeft int                 // that may still be sent for what came in last
+	seenRecords    map[uint64]struct{} // sums of records as they were told, that are known
+	nextGossipAt   int64
+
+	nextExchangeAt, lastExchangeAt     int64
+	mismatches                         int
+	nextJoinAt                         int64
+	joinBackoff                        int64
+	joinAttempts                       int
+	isolated, joined                   bool
+	bootstrapping                      bool  // what comes in is the answer to its first words
+	leavingSince                       int64 // 0: not
+	conflictSeenAt, conflictReportedAt int64 // when another one of its name was heard of, and told of
+	superseded                         bool  // that one's start is later: this one is no member
+
+	output Output
 	counts Counts
 }
 
@@ -201,102 +201,102 @@
 		cfg.Allowed = func(netip.Addr) bool { return true }
 	}
 	c := &Core{
-		cfg: cfg, rng: rng, members: map[string]*member{}, relays: map[uint32]relay{}, heard: map[uint64]struct{}{}, changed: now, probeAt: now + rng.Int64N(cfg.ProbePeriod),
-		exchangeAt: now + rng.Int64N(cfg.ExchangePeriod), joinAt: now + rng.Int64N(cfg.ProbePeriod/4+1), joinWait: cfg.ProbePeriod,
+		cfg: cfg, rng: rng, members: map[string]*member{}, relays: map[uint32]relay{}, seenRecords: map[uint64]struct{}{}, digestChangedAt: now, nextProbeAt: now + rng.Int64N(cfg.ProbePeriod),
+		nextExchangeAt: now + rng.Int64N(cfg.ExchangePeriod), nextJoinAt: now + rng.Int64N(cfg.ProbePeriod/4+1), joinBackoff: cfg.ProbePeriod,
 	}
-	c.newsAt = c.probeAt
-	c.self = &member{at: -1, heap: -1, since: now, Record: Record{
+	c.nextGossipAt = c.nextProbeAt
+	c.self = &member{listIndex: -1, heapIndex: -1, since: now, Record: Record{
 		Name: cfg.Name, Start: cfg.Start, State: Alive, Address: cfg.Address,
 		Zone: cfg.Zone, Version: cfg.Version, Metadata: cfg.Metadata,
 	}}
-	c.count(c.self.Record)
-	c.news.add(now, c.self, 0)
+	c.toggleDigest(c.self.Record)
+	c.broadcasts.add(now, c.self, 0)
 	return c, nil
 }
 
 // Out gives what is to be done since the last call. The core keeps none of it.
 func (c *Core) TakeOutput() Output {
-	o := c.out
-	c.out = Output{}
+	o := c.output
+	c.output = Output{}
 	return o
 }
 
 // Counts are what was counted so far.
 func (c *Core) Counts() Counts { return c.counts }
 
-func (c *Core) event(k EventKind, r Record) {
-	c.out.Events = append(c.out.Events, Event{Kind: k, Record: r})
+func (c *Core) emit(k EventKind, r Record) {
+	c.output.Events = append(c.output.Events, Event{Kind: k, Record: r})
 }
 
 // count puts a record into the digest, or takes it out.
-func (c *Core) count(r Record) {
+func (c *Core) toggleDigest(r Record) {
 	h := r.hash()
 	c.digest ^= h
-	c.sums[bucket(r.Name)] ^= h
+	c.bucketDigests[bucketOf(r.Name)] ^= h
 }
 
-func bucket(name string) int {
+func bucketOf(name string) int {
 	h := uint32(2166136261)
 	for i := range len(name) {
 		h = (h ^ uint32(name[i])) * 16777619
 	}
-	return int(h>>7) % buckets
+	return int(h>>7) % digestBuckets
 }
 
 // size is how many members there are, this one with them.
 func (c *Core) size() int { return len(c.present) + 1 }
 
 // limit is how often each member tells a record.
-func (c *Core) limit() int { return 4 * int(math.Ceil(math.Log10(float64(c.size()+1)))) }
+func (c *Core) transmitLimit() int { return 4 * int(math.Ceil(math.Log10(float64(c.size()+1)))) }
 
 // packet sends a datagram with as much news as fits. extra is told first, whatever was told before.
-func (c *Core) packet(now int64, to netip.AddrPort, p *wire.Packet, extra *member) {
+func (c *Core) send(now int64, to netip.AddrPort, p *wire.Packet, subject *member) {
 	p.Fleet, p.From, p.Start, p.Address, p.Digest = c.cfg.Fleet, c.self.Name, c.self.Start, c.self.Address.String(), c.digest
-	if extra != nil {
-		p.News = append(p.News, encoded(extra.Record, now-extra.since))
+	if subject != nil {
+		p.News = append(p.News, encodeRecord(subject.Record, now-subject.since))
 	}
-	if c.news.count > 0 {
-		p.News = c.news.take(p.News, MaxDatagram-headBytes-proto.Size(p), c.limit(), extra)
+	if c.broadcasts.count > 0 {
+		p.News = c.broadcasts.take(p.News, MaxDatagram-headerBytes-proto.Size(p), c.transmitLimit(), subject)
 	}
-	b := seal(p)
-	if b == nil {
+	sealed := seal(p)
+	if sealed == nil {
 		return
 	}
 	c.counts.Sent++
-	c.counts.SentBytes += int64(len(b))
-	c.out.Datagrams = append(c.out.Datagrams, Datagram{to, b})
+	c.counts.SentBytes += int64(len(sealed))
+	c.output.Datagrams = append(c.output.Datagrams, Datagram{to, sealed})
 }
 
 // Kinds of datagrams and frames.
 const (
-	ping = 1 + iota
-	ack
-	ask
-	nack
-	tell
-
-	sums       = 1
-	difference = 2
-	rest       = 3
+	packetPing = 1 + iota
+	packetAck
+	packetIndirectPing
+	packetNack
+	packetGossip
+
+	frameDigests     = 1
+	frameDifferences = 2
+	frameRest        = 3
 )
 
 // Receive takes a datagram in. The error says why it was dropped.
 func (c *Core) HandleDatagram(now int64, b []byte) error {
-	c.observe(now)
+	c.detectStall(now)
 	c.counts.Received++
 	p := &wire.Packet{}
-	from, err := c.open(b, p)
+	from, err := c.decodePacket(b, p)
 	if err != nil {
 		c.counts.Dropped++
 		return err
 	}
 	if p.From == c.self.Name {
-		c.namesake(now, p.Start, from)
+		c.handleNamesake(now, p.Start, from)
 		return nil
 	}
-	c.challenges, c.stale = mostCalls, false
+	c.challengesLeft, c.accusedAgain = maxChallenges, false
 	for _, b := range p.News {
-		c.hear(now, b)
+		c.mergeEncoded(now, b)
 	}
 	m := c.members[p.From]
 	known := m != nil && m.Start == p.Start && m.present()
@@ -304,7 +304,7 @@
 	var about *member // what the sender should know of itself
 	switch {
 	case known:
-		m.heard = now
+		m.lastHeard = now
 		to = m.Address
 		if m.State == Suspected {
 			about = m
@@ -312,43 +312,43 @@
 	case m != nil && !p.Unknown:
 		about = m
 	}
-	if known && (p.Kind == ping || p.Kind == ack) {
-		c.compare(now, p.Digest, m)
+	if known && (p.Kind == packetPing || p.Kind == packetAck) {
+		c.compareDigest(now, p.Digest, m)
 	}
 	switch p.Kind {
-	case ping:
-		if c.stale && about == nil {
+	case packetPing:
+		if c.accusedAgain && about == nil {
 			about = c.self
 		}
-		c.packet(now, to, &wire.Packet{Kind: ack, Seq: p.Seq, Unknown: !known}, about)
-	case ack:
-		c.answered(now, p, m)
-	case ask:
-		c.help(now, p, to)
-	case nack:
+		c.send(now, to, &wire.Packet{Kind: packetAck, Seq: p.Seq, Unknown: !known}, about)
+	case packetAck:
+		c.handleAck(now, p, m)
+	case packetIndirectPing:
+		c.handleIndirectPing(now, p, to)
+	case packetNack:
 		if c.probe != nil && c.probe.seq == p.Seq {
 			c.probe.nacks++
 		}
 	}
-	if p.Unknown && (p.Kind == ping || p.Kind == ack) && !c.later {
-		c.packet(now, to, &wire.Packet{Kind: tell}, c.self)
+	if p.Unknown && (p.Kind == packetPing || p.Kind == packetAck) && !c.superseded {
+		c.send(now, to, &wire.Packet{Kind: packetGossip}, c.self)
 	}
 	return nil
 }
 
 // open reads a datagram, and tells where its sender says that it is.
-func (c *Core) open(b []byte, p *wire.Packet) (from netip.AddrPort, err error) {
+func (c *Core) decodePacket(b []byte, p *wire.Packet) (from netip.AddrPort, err error) {
 	if err = unseal(b, MaxDatagram, p); err != nil {
 		return from, err
 	}
 	if p.Fleet != c.cfg.Fleet {
 		return from, ErrFleet
 	}
-	return c.sender(p.From, p.Start, p.Address, len(p.News))
+	return c.checkSender(p.From, p.Start, p.Address, len(p.News))
 }
 
-func (c *Core) sender(name string, start uint64, address string, news int) (from netip.AddrPort, err error) {
-	if CheckName(name) != nil || start == 0 || news > c.cfg.MaxMembers {
+func (c *Core) checkSender(name string, start uint64, address string, records int) (from netip.AddrPort, err error) {
+	if CheckName(name) != nil || start == 0 || records > c.cfg.MaxMembers {
 		return from, ErrMalformed
 	}
 	if from, err = netip.ParseAddrPort(address); err != nil || from.Port() == 0 {
@@ -369,14 +369,14 @@
 	}
 	r := m.Record
 	r.State = Left
-	c.put(now, m, r, 0)
+	c.setRecord(now, m, r, 0)
 	return nil
 }
 
 // forgetMember drops all that is held of one.
-func (c *Core) forgetMember(m *member) {
+func (c *Core) removeMember(m *member) {
 	if m.present() {
-		c.count(m.Record)
+		c.toggleDigest(m.Record)
 	}
 	was := m.present()
 	list := &c.gone
@@ -384,18 +384,18 @@
 		list = &c.present
 	}
 	last := (*list)[len(*list)-1]
-	(*list)[m.at], last.at = last, m.at
+	(*list)[m.listIndex], last.listIndex = last, m.listIndex
 	*list = (*list)[:len(*list)-1]
-	m.at = -1
-	c.clear(m)
-	c.news.drop(m)
+	m.listIndex = -1
+	c.endSuspicion(m)
+	c.broadcasts.drop(m)
 	delete(c.members, m.Name)
-	clear(c.heard) // what was known of it is not any more
+	clear(c.seenRecords) // what was known of it is not any more
 	c.counts.Forgotten++
 }
 
 // evict makes room by the one that has been gone for longest.
-func (c *Core) evict() bool {
+func (c *Core) evictOldest() bool {
 	var oldest *member
 	for _, m := range c.gone {
 		if oldest == nil || m.since < oldest.since {
@@ -405,6 +405,6 @@
 	if oldest == nil {
 		return false
 	}
-	c.forgetMember(oldest)
+	c.removeMember(oldest)
 	return true
 }
--- a/internal/cluster/swim/core_test.go
+++ b/internal/cluster/swim/core_test.go
@@ -16,13 +16,13 @@
 
 const second = int64(1_000_000)
 
-func addr(i int) netip.AddrPort {
+func testAddress(i int) netip.AddrPort {
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, byte(i + 1)}), 7000)
 }
 
 func newCore(t testing.TB, name string, i int, join ...netip.AddrPort) *Core {
 	t.Helper()
-	c, err := New(Config{Fleet: "f", Name: name, Start: 100, Address: addr(i), Join: join}, second, rand.New(rand.NewPCG(1, uint64(i))))
+	c, err := New(Config{Fleet: "f", Name: name, Start: 100, Address: testAddress(i), Join: join}, second, rand.New(rand.NewPCG(1, uint64(i))))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -30,7 +30,7 @@
 }
 
 func record(name string, start uint64, inc uint32, s State) Record {
-	r := Record{Name: name, Start: start, Incarnation: inc, State: s, Address: addr(9)}
+	r := Record{Name: name, Start: start, Incarnation: inc, State: s, Address: testAddress(9)}
 	if s == Suspected {
 		r.Accusers = []string{"x"}
 	}
@@ -47,18 +47,18 @@
 		}
 		best := all[0]
 		for _, r := range all[1:] {
-			if r.over(best) {
+			if r.prevailsOver(best) {
 				best = r
 			}
 		}
-		c, err := New(Config{Fleet: "f", Name: "me", Start: 100, Address: addr(0)}, second, rand.New(rand.NewPCG(1, 1)))
+		c, err := New(Config{Fleet: "f", Name: "me", Start: 100, Address: testAddress(0)}, second, rand.New(rand.NewPCG(1, 1)))
 		if err != nil {
 			t.Fatal(err)
 		}
 		order := rapid.Permutation(append(slices.Clone(all), all...)).Draw(t, "order")
 		now := second
 		for _, r := range order {
-			c.apply(now, r, 0)
+			c.merge(now, r, 0)
 		}
 		for range 100 { // nobody answers: what is suspected or told to be dead is dead in the end
 			now = max(now, c.NextTick())
@@ -93,7 +93,7 @@
 	} {
 		c := newCore(t, "me", 0)
 		c.TakeOutput()
-		c.apply(2*second, x.r, 0)
+		c.merge(2*second, x.r, 0)
 		told := false
 		for _, e := range c.TakeOutput().Events {
 			told = told || e.Kind == x.kind
@@ -104,11 +104,11 @@
 	}
 	// One of whom a later start is known is no member, and becomes one again when that is over.
 	c := newCore(t, "me", 0)
-	c.apply(2*second, record("me", 200, 0, Alive), 0)
+	c.merge(2*second, record("me", 200, 0, Alive), 0)
 	if v := c.View(2 * second); !v.Superseded || !v.NameConflict || v.AliveCount != 1 || len(v.Members) != 1 || v.Members[0].Start != 200 {
 		t.Errorf("%+v", v)
 	}
-	c.apply(3*second, record("me", 200, 0, Left), 0)
+	c.merge(3*second, record("me", 200, 0, Left), 0)
 	if v := c.View(3 * second); v.Superseded || v.AliveCount != 1 || !v.Members[0].Self || v.Members[0].Start <= 200 {
 		t.Errorf("%+v", v)
 	}
@@ -118,10 +118,10 @@
 func TestReckon(t *testing.T) {
 	c := newCore(t, "me", 0)
 	for i := range 10 {
-		c.apply(2*second, record(fmt.Sprint("m", i), 1, 0, Alive), 0)
+		c.merge(2*second, record(fmt.Sprint("m", i), 1, 0, Alive), 0)
 	}
-	c.apply(2*second, record("old", 1, 0, Dead), 400*second) // dead for longer than it counts
-	c.apply(2*second, record("lost", 1, 0, Dead), 100*second)
+	c.merge(2*second, record("old", 1, 0, Dead), 400*second) // dead for longer than it counts
+	c.merge(2*second, record("lost", 1, 0, Dead), 100*second)
 	if a, r := c.AliveCount(), c.EffectiveSize(2*second); a != 11 || r != 12 {
 		t.Errorf("alive %d, reckoned with %d", a, r)
 	}
@@ -165,14 +165,14 @@
 // What is not a datagram of this fleet changes nothing, and is counted.
 func TestDropped(t *testing.T) {
 	allowed := netip.MustParsePrefix("127.0.0.0/8")
-	c, err := New(Config{Fleet: "f", Name: "me", Start: 1, Address: addr(0), Allowed: allowed.Contains}, second, rand.New(rand.NewPCG(1, 1)))
+	c, err := New(Config{Fleet: "f", Name: "me", Start: 1, Address: testAddress(0), Allowed: allowed.Contains}, second, rand.New(rand.NewPCG(1, 1)))
 	if err != nil {
 		t.Fatal(err)
 	}
 	packet := func(fleet, from, address string, news ...*wire.Member) []byte {
-		p := &wire.Packet{Fleet: fleet, Kind: ping, From: from, Start: 1, Address: address}
+		p := &wire.Packet{Fleet: fleet, Kind: packetPing, From: from, Start: 1, Address: address}
 		for _, m := range news {
-			p.News = append(p.News, encoded(Record{Name: m.Name, Start: 1, State: Alive, Address: netip.MustParseAddrPort(m.Address)}, 0))
+			p.News = append(p.News, encodeRecord(Record{Name: m.Name, Start: 1, State: Alive, Address: netip.MustParseAddrPort(m.Address)}, 0))
 		}
 		return seal(p)
 	}
@@ -217,14 +217,14 @@
 
 // Any bytes: no panic, and no member that nobody told of; with a right checksum no more than what is in them, within bounds.
 func FuzzCore(f *testing.F) {
-	p := &wire.Packet{Fleet: "f", Kind: ping, From: "a", Start: 1, Address: "127.0.0.5:1", News: [][]byte{encoded(record("b", 1, 2, Suspected), 0)}}
+	p := &wire.Packet{Fleet: "f", Kind: packetPing, From: "a", Start: 1, Address: "127.0.0.5:1", News: [][]byte{encodeRecord(record("b", 1, 2, Suspected), 0)}}
 	f.Add(seal(p), false)
-	f.Add(seal(p)[headBytes:], true)
-	f.Add(seal(&wire.Frame{Fleet: "f", Kind: sums, From: "a", Start: 1, Address: "127.0.0.5:1", Members: []*wire.Member{words(record("b", 1, 2, Dead), 0)}})[headBytes:], true)
+	f.Add(seal(p)[headerBytes:], true)
+	f.Add(seal(&wire.Frame{Fleet: "f", Kind: frameDigests, From: "a", Start: 1, Address: "127.0.0.5:1", Members: []*wire.Member{toWire(record("b", 1, 2, Dead), 0)}})[headerBytes:], true)
 	f.Fuzz(func(t *testing.T, b []byte, mended bool) {
 		c := newCore(t, "me", 0)
 		if mended {
-			b = append([]byte{0, 0, 0, 0, form}, b...)
+			b = append([]byte{0, 0, 0, 0, formatVersion}, b...)
 			reseal(b)
 		}
 		c.HandleDatagram(second, b)
@@ -244,8 +244,8 @@
 }
 
 func ExampleCore() {
-	a, _ := New(Config{Fleet: "f", Name: "a", Start: 1, Address: addr(0)}, second, rand.New(rand.NewPCG(1, 1)))
-	b, _ := New(Config{Fleet: "f", Name: "b", Start: 1, Address: addr(1), Join: []netip.AddrPort{addr(0)}}, second, rand.New(rand.NewPCG(1, 2)))
+	a, _ := New(Config{Fleet: "f", Name: "a", Start: 1, Address: testAddress(0)}, second, rand.New(rand.NewPCG(1, 1)))
+	b, _ := New(Config{Fleet: "f", Name: "b", Start: 1, Address: testAddress(1), Join: []netip.AddrPort{testAddress(0)}}, second, rand.New(rand.NewPCG(1, 2)))
 	b.Tick(b.NextTick())
 	for _, open := range b.TakeOutput().Exchanges { // a driver sends the frame to open.To, and brings back what is answered
 		answer, _ := a.HandleFrame(2*second, open.Frame)
@@ -261,10 +261,10 @@
 		c := newCore(b, "me", 0)
 		for i := range n {
 			r := record(fmt.Sprintf("m%04d", i), 1, 0, Alive)
-			c.apply(second, r, 0)
+			c.merge(second, r, 0)
 		}
-		c.news = news{}
-		quiet := seal(&wire.Packet{Fleet: "f", Kind: ping, From: "m0001", Start: 1, Address: addr(9).String(), Digest: c.digest})
+		c.broadcasts = broadcastQueue{}
+		quiet := seal(&wire.Packet{Fleet: "f", Kind: packetPing, From: "m0001", Start: 1, Address: testAddress(9).String(), Digest: c.digest})
 		b.Run(fmt.Sprintf("quiet/%d", n), func(b *testing.B) {
 			b.ReportAllocs()
 			for range b.N {
@@ -276,9 +276,9 @@
 			b.ReportAllocs()
 			for i := range b.N {
 				b.StopTimer()
-				p := &wire.Packet{Fleet: "f", Kind: ping, From: "m0001", Start: 1, Address: addr(9).String(), Digest: c.digest}
+				p := &wire.Packet{Fleet: "f", Kind: packetPing, From: "m0001", Start: 1, Address: testAddress(9).String(), Digest: c.digest}
 				for j := range 10 {
-					p.News = append(p.News, encoded(record(fmt.Sprintf("m%04d", (i*10+j)%n), 1, uint32(1+i), Alive), 0))
+					p.News = append(p.News, encodeRecord(record(fmt.Sprintf("m%04d", (i*10+j)%n), 1, uint32(1+i), Alive), 0))
 				}
 				x := seal(p)
 				b.StartTimer()
@@ -294,7 +294,7 @@
 				c.Tick(now)
 				c.TakeOutput()
 				for _, m := range c.present { // everybody is heard, so that nobody dies
-					m.heard = now
+					m.lastHeard = now
 					break
 				}
 				c.probe = nil
--- a/internal/cluster/swim/departure_test.go
+++ b/internal/cluster/swim/departure_test.go
@@ -12,13 +12,13 @@
 	cores := []*Core{newCore(t, "m0", 0), newCore(t, "m1", 1), newCore(t, "m2", 2)}
 	for _, c := range cores {
 		for i := range cores {
-			c.apply(2*second, Record{Name: fmt.Sprintf("m%d", i), Start: 100, State: Alive, Address: addr(i)}, 0)
+			c.merge(2*second, Record{Name: fmt.Sprintf("m%d", i), Start: 100, State: Alive, Address: testAddress(i)}, 0)
 		}
-		c.apply(2*second, Record{Name: "gone", Start: 100, State: Alive, Address: addr(8)}, 0)
+		c.merge(2*second, Record{Name: "gone", Start: 100, State: Alive, Address: testAddress(8)}, 0)
 		m := c.members["gone"]
 		dead := m.Record
 		dead.State = Dead
-		c.put(2*second, m, dead, 0)
+		c.setRecord(2*second, m, dead, 0)
 	}
 	return cores
 }
@@ -27,7 +27,7 @@
 func play(cores []*Core, from, until int64) {
 	at := map[netip.AddrPort]*Core{}
 	for i, c := range cores {
-		at[addr(i)] = c
+		at[testAddress(i)] = c
 	}
 	for now := from; now < until; now += 10_000 {
 		for _, c := range cores {
@@ -68,7 +68,7 @@
 				t.Fatal(err)
 			}
 			c := cores[x.forgetter]
-			c.news.drop(c.members["gone"]) // all that is told of it is lost
+			c.broadcasts.drop(c.members["gone"]) // all that is told of it is lost
 			play(cores, 2*second, 42*second)
 			for i, c := range cores {
 				if a, r := c.AliveCount(), c.EffectiveSize(42*second); a != 3 || r != 3 {
--- a/internal/cluster/swim/gossip/gossip.go
+++ b/internal/cluster/swim/gossip/gossip.go
@@ -24,17 +24,17 @@
 }
 
 const (
-	inbox    = 1024            // datagrams that wait for the core
-	atOnce   = 256             // of them that are taken in before a tick
-	outward  = 16              // exchanges that this process has open, and
-	inward   = 32              // those that others have with it
-	patience = 2 * time.Second // for a whole exchange
-	askedIn  = 1 * time.Second // that the core's owner may take to answer a call
-	watchIn  = 100 * time.Millisecond
-	lookAt   = 1 * time.Second  // between looks at the number to reckon with, where nothing happens
-	rebind   = 32               // tries for a port that both UDP and TCP have free
-	maxRead  = 64 << 10         // of a datagram: longer ones are cut, and dropped by their checksum
-	leaving  = 10 * time.Second // at most, for a leave to be told
+	inboxSize       = 1024            // datagrams that wait for the core
+	maxDrain        = 256             // of them that are taken in before a tick
+	maxOutgoing     = 16              // exchanges that this process has open, and
+	maxIncoming     = 32              // those that others have with it
+	exchangeTimeout = 2 * time.Second // for a whole exchange
+	callTimeout     = 1 * time.Second // that the core's owner may take to answer a call
+	viewInterval    = 100 * time.Millisecond
+	sizeInterval    = 1 * time.Second  // between looks at the number to reckon with, where nothing happens
+	bindAttempts    = 32               // tries for a port that both UDP and TCP have free
+	readBuffer      = 64 << 10         // of a datagram: longer ones are cut, and dropped by their checksum
+	leaveTimeout    = 10 * time.Second // at most, for a leave to be told
 )
 
 // ErrClosed says that the driver has ended, or is too late to answer.
@@ -42,33 +42,33 @@
 
 // Peers is a running part in a fleet.
 type Driver struct {
-	cfg     Config
-	now     func() int64
-	log     *slog.Logger
-	core    *swim.Core // Run's goroutine owns it
-	udp     *net.UDPConn
-	tcp     *net.TCPListener
-	local   netip.Addr // where this process's own connections come from; not valid: the system's choice
-	in      chan []byte
-	calls   chan func(now int64)
-	frames  chan exchange
-	out     chan struct{} // a place for each open exchange of its own
-	heard   func(alive, reckon int, joined bool)
-	last    [2]int
-	joined  bool
-	watched uint64 // the digest that Watch was told of last
-	watchAt int64  // when
+	cfg             Config
+	now             func() int64
+	log             *slog.Logger
+	core            *swim.Core // Run's goroutine owns it
+	udp             *net.UDPConn
+	tcp             *net.TCPListener
+	localAddress    netip.Addr // where this process's own connections come from; not valid: the system's choice
+	datagrams       chan []byte
+	calls           chan func(now int64)
+	frames          chan frameRequest
+	outgoing        chan struct{} // a place for each open exchange of its own
+	onSize          func(alive, reckon int, joined bool)
+	lastSize        [2]int
+	joined          bool
+	publishedDigest uint64 // the digest that Watch was told of last
+	publishedAt     int64  // when
 
-	dropped, full, failed atomic.Int64
-	traffic               Counter
-	wg                    sync.WaitGroup
-	stop                  chan struct{}
-	stopping              sync.Once
-	done                  chan struct{}
+	droppedByAddress, droppedByLimit, sendFailures atomic.Int64
+	traffic                                        Counter
+	wg                                             sync.WaitGroup
+	stop                                           chan struct{}
+	stopOnce                                       sync.Once
+	done                                           chan struct{}
 }
 
 // exchange is a frame that has come, and who waits for what to answer.
-type exchange struct {
+type frameRequest struct {
 	frame []byte
 	reply chan []byte
 }
@@ -77,14 +77,14 @@
 // with, and whether anybody was met yet, on the driver's goroutine: it must not block. Run has to follow.
 func Open(cfg Config, now func() int64, heard func(alive, reckon int, joined bool), log *slog.Logger) (*Driver, error) {
 	p := &Driver{
-		cfg: cfg, now: now, log: log, heard: heard, in: make(chan []byte, inbox), calls: make(chan func(int64), 16), frames: make(chan exchange, 16),
-		out: make(chan struct{}, outward), stop: make(chan struct{}), done: make(chan struct{}),
+		cfg: cfg, now: now, log: log, onSize: heard, datagrams: make(chan []byte, inboxSize), calls: make(chan func(int64), 16), frames: make(chan frameRequest, 16),
+		outgoing: make(chan struct{}, maxOutgoing), stop: make(chan struct{}), done: make(chan struct{}),
 	}
 	if err := p.listen(); err != nil {
 		return nil, err
 	}
 	if !cfg.Listen.Addr().IsUnspecified() {
-		p.local = cfg.Listen.Addr()
+		p.localAddress = cfg.Listen.Addr()
 	}
 	if !cfg.Core.Address.IsValid() {
 		cfg.Core.Address = p.Address()
@@ -100,7 +100,7 @@
 
 // listen takes the same port for both; where the system chooses it, one that both have free.
 func (p *Driver) listen() (err error) {
-	for range rebind {
+	for range bindAttempts {
 		at := net.TCPAddrFromAddrPort(p.cfg.Listen)
 		if p.tcp, err = net.ListenTCP("tcp", at); err != nil {
 			return fmt.Errorf("fleet: listen: %w", err)
@@ -139,15 +139,15 @@
 	self := p.core.Self()
 	logging.Info(p.log, logging.Peers, "listen", p.Address(), "advertise", self.Address, "start", self.Start)
 	p.wg.Add(2)
-	go p.read()
-	go p.accept()
+	go p.readDatagrams()
+	go p.acceptExchanges()
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	stop, look := p.stop, p.now()
 	var end int64
 	for {
 		select {
-		case b := <-p.in:
+		case b := <-p.datagrams:
 			p.core.HandleDatagram(p.now(), b)
 			p.drain()
 		case x := <-p.frames:
@@ -163,17 +163,17 @@
 		case <-stop:
 			stop = nil
 			p.core.Leave(p.now())
-			end = p.now() + leaving.Microseconds()
+			end = p.now() + leaveTimeout.Microseconds()
 		}
 		now := p.now()
 		if now >= p.core.NextTick() {
 			p.core.Tick(now)
 		}
-		changed := p.carry(p.core.TakeOutput())
+		changed := p.perform(p.core.TakeOutput())
 		if changed || now >= look {
-			look = now + lookAt.Microseconds()
-			p.tell(now)
-			p.watch(now)
+			look = now + sizeInterval.Microseconds()
+			p.reportSize(now)
+			p.publishView(now)
 		}
 		if stop == nil && (p.core.HasLeft(now) || now > end) {
 			break
@@ -194,9 +194,9 @@
 
 // drain takes in what has come already: it is heard before anything is concluded from silence.
 func (p *Driver) drain() {
-	for range atOnce {
+	for range maxDrain {
 		select {
-		case b := <-p.in:
+		case b := <-p.datagrams:
 			p.core.HandleDatagram(p.now(), b)
 		default:
 			return
@@ -205,49 +205,49 @@
 }
 
 // carry does what the core wants done, and tells whether the view may have changed.
-func (p *Driver) carry(o swim.Output) bool {
+func (p *Driver) perform(o swim.Output) bool {
 	for _, d := range o.Datagrams {
 		// A full buffer or a peer that is down loses it, as the network may.
 		if _, err := p.udp.WriteToUDPAddrPort(d.Bytes, d.To); err != nil {
-			p.failed.Add(1)
+			p.sendFailures.Add(1)
 		} else {
 			p.traffic.CountSent(len(d.Bytes))
 		}
 	}
 	for _, x := range o.Exchanges {
 		select {
-		case p.out <- struct{}{}:
+		case p.outgoing <- struct{}{}:
 			p.wg.Add(1)
-			go p.open(x)
+			go p.openExchange(x)
 		default:
-			p.full.Add(1)
+			p.droppedByLimit.Add(1)
 		}
 	}
 	for _, e := range o.Events {
-		p.note(e)
+		p.logEvent(e)
 	}
 	return len(o.Events) > 0
 }
 
 // tell tells who listens of the numbers, where they have changed.
-func (p *Driver) tell(now int64) {
+func (p *Driver) reportSize(now int64) {
 	alive, reckon := p.core.AliveCount(), p.core.EffectiveSize(now)
 	p.joined = p.joined || alive > 1
-	if p.heard != nil && p.last != [2]int{alive, reckon} {
-		p.last = [2]int{alive, reckon}
-		p.heard(alive, reckon, p.joined)
+	if p.onSize != nil && p.lastSize != [2]int{alive, reckon} {
+		p.lastSize = [2]int{alive, reckon}
+		p.onSize(alive, reckon, p.joined)
 	}
 }
 
 // watch tells who listens of the view, where it differs: ten times a second at most, since a view is as long as the fleet is large.
-func (p *Driver) watch(now int64) {
-	if digest, _ := p.core.Digest(); p.cfg.OnView != nil && digest != p.watched && now-p.watchAt >= watchIn.Microseconds() {
-		p.watched, p.watchAt = digest, now
+func (p *Driver) publishView(now int64) {
+	if digest, _ := p.core.Digest(); p.cfg.OnView != nil && digest != p.publishedDigest && now-p.publishedAt >= viewInterval.Microseconds() {
+		p.publishedDigest, p.publishedAt = digest, now
 		p.cfg.OnView(p.core.View(now))
 	}
 }
 
-func (p *Driver) note(e swim.Event) {
+func (p *Driver) logEvent(e swim.Event) {
 	switch e.Kind {
 	case swim.EventNameConflict:
 		logging.Error(p.log, logging.PeerTwin, "name", e.Name, "start", e.Start, "address", e.Address)
@@ -275,9 +275,9 @@
 }
 
 // ask runs a function on the goroutine that owns the core.
-func (p *Driver) ask(f func(now int64)) error {
+func (p *Driver) call(f func(now int64)) error {
 	over := make(chan struct{})
-	t := time.NewTimer(askedIn)
+	t := time.NewTimer(callTimeout)
 	defer t.Stop()
 	select {
 	case p.calls <- func(now int64) { f(now); close(over) }:
@@ -300,7 +300,7 @@
 func (p *Driver) View() (v swim.View, now int64, err error) {
 	got := make(chan swim.View, 1)
 	at := make(chan int64, 1)
-	if err = p.ask(func(now int64) { at <- now; got <- p.core.View(now) }); err != nil {
+	if err = p.call(func(now int64) { at <- now; got <- p.core.View(now) }); err != nil {
 		return swim.View{}, 0, err
 	}
 	return <-got, <-at, nil
@@ -317,7 +317,7 @@
 // Counts are as they stand; nought where the driver has ended.
 func (p *Driver) Counts() (c Counts) {
 	got := make(chan Counts, 1)
-	if p.ask(func(now int64) {
+	if p.call(func(now int64) {
 		v := p.core.View(now)
 		k := Counts{Counts: p.core.Counts(), AliveCount: v.AliveCount, EffectiveSize: v.EffectiveSize, HealthScore: v.HealthScore}
 		for _, m := range v.Members {
@@ -336,26 +336,26 @@
 		return c
 	}
 	c = <-got
-	c.DroppedByAddress, c.DroppedByLimit, c.SendFailures, c.Traffic = p.dropped.Load(), p.full.Load(), p.failed.Load(), p.Traffic()
+	c.DroppedByAddress, c.DroppedByLimit, c.SendFailures, c.Traffic = p.droppedByAddress.Load(), p.droppedByLimit.Load(), p.sendFailures.Load(), p.Traffic()
 	return c
 }
 
 // SetFacts changes what this process tells of itself; soon, it does not wait.
 func (p *Driver) SetMetadata(change func(swim.Metadata) swim.Metadata) {
-	go p.ask(func(now int64) { p.core.SetMetadata(now, change(p.core.Self().Metadata)) })
+	go p.call(func(now int64) { p.core.SetMetadata(now, change(p.core.Self().Metadata)) })
 }
 
 // Forget has a dead member taken for one that has left.
 func (p *Driver) Forget(name string) error {
 	got := make(chan error, 1)
-	if err := p.ask(func(now int64) { got <- p.core.Forget(now, name) }); err != nil {
+	if err := p.call(func(now int64) { got <- p.core.Forget(now, name) }); err != nil {
 		return err
 	}
 	return <-got
 }
 
 // Leave has this process leave the fleet; it goes on answering, and is no member until it is started again.
-func (p *Driver) Leave() error { return p.ask(func(now int64) { p.core.Leave(now) }) }
+func (p *Driver) Leave() error { return p.call(func(now int64) { p.core.Leave(now) }) }
 
 // Close lets the sockets of a part go that never ran.
 func (p *Driver) Close() {
@@ -365,7 +365,7 @@
 
 // Stop tells of the leave and ends Run; a second call only waits.
 func (p *Driver) Stop() {
-	p.stopping.Do(func() { close(p.stop) })
+	p.stopOnce.Do(func() { close(p.stop) })
 	<-p.done
 	p.wg.Wait()
 }
--- a/internal/cluster/swim/gossip/streams.go
+++ b/internal/cluster/swim/gossip/streams.go
@@ -14,9 +14,9 @@
 )
 
 // read takes datagrams in until the socket closes.
-func (p *Driver) read() {
+func (p *Driver) readDatagrams() {
 	defer p.wg.Done()
-	buf := make([]byte, maxRead)
+	buf := make([]byte, readBuffer)
 	for {
 		n, from, err := p.udp.ReadFromUDPAddrPort(buf)
 		if err != nil {
@@ -27,22 +27,22 @@
 		}
 		p.traffic.CountReceived(n)
 		if !p.allowed(from.Addr()) {
-			p.dropped.Add(1)
+			p.droppedByAddress.Add(1)
 			logging.Warn(p.log, logging.PeerDropped, "what", "datagram", "from", from, "error", swim.ErrAddress)
 			continue
 		}
 		select {
-		case p.in <- append([]byte(nil), buf[:n]...):
+		case p.datagrams <- append([]byte(nil), buf[:n]...):
 		default:
-			p.full.Add(1)
+			p.droppedByLimit.Add(1)
 		}
 	}
 }
 
 // accept takes exchanges in that others open, so many at a time.
-func (p *Driver) accept() {
+func (p *Driver) acceptExchanges() {
 	defer p.wg.Done()
-	places := make(chan struct{}, inward)
+	places := make(chan struct{}, maxIncoming)
 	for {
 		conn, err := p.tcp.AcceptTCP()
 		if err != nil {
@@ -55,7 +55,7 @@
 		}
 		from := conn.RemoteAddr().(*net.TCPAddr).AddrPort()
 		if !p.allowed(from.Addr()) {
-			p.dropped.Add(1)
+			p.droppedByAddress.Add(1)
 			logging.Warn(p.log, logging.PeerDropped, "what", "connection", "from", from, "error", swim.ErrAddress)
 			conn.Close()
 			continue
@@ -67,25 +67,25 @@
 				defer p.wg.Done()
 				defer func() { <-places }()
 				defer conn.Close()
-				p.serve(conn)
+				p.serveExchange(conn)
 			}()
 		default:
-			p.full.Add(1)
+			p.droppedByLimit.Add(1)
 			conn.Close()
 		}
 	}
 }
 
 // serve answers one exchange: its first frame, and the one with what the other side had more.
-func (p *Driver) serve(conn net.Conn) {
-	conn.SetDeadline(time.Now().Add(patience))
+func (p *Driver) serveExchange(conn net.Conn) {
+	conn.SetDeadline(time.Now().Add(exchangeTimeout))
 	conn = p.traffic.WrapConn(conn)
 	for range 2 {
 		b, err := readFrame(conn)
 		if err != nil {
 			return
 		}
-		reply := p.hand(b)
+		reply := p.handleFrame(b)
 		if reply == nil || writeFrame(conn, reply) != nil {
 			return
 		}
@@ -94,8 +94,8 @@
 }
 
 // hand gives a frame to the core.
-func (p *Driver) hand(b []byte) []byte {
-	x := exchange{frame: b, reply: make(chan []byte, 1)}
+func (p *Driver) handleFrame(b []byte) []byte {
+	x := frameRequest{frame: b, reply: make(chan []byte, 1)}
 	p.traffic.received.Add(1)
 	select {
 	case p.frames <- x:
@@ -111,10 +111,10 @@
 }
 
 // open has one exchange that the core asked for.
-func (p *Driver) open(x swim.Exchange) {
+func (p *Driver) openExchange(x swim.Exchange) {
 	defer p.wg.Done()
-	defer func() { <-p.out }()
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	defer func() { <-p.outgoing }()
+	ctx, cancel := context.WithTimeout(context.Background(), exchangeTimeout)
 	defer cancel()
 	go func() {
 		select {
@@ -124,16 +124,16 @@
 		}
 	}()
 	dialer := net.Dialer{}
-	if p.local.IsValid() {
-		dialer.LocalAddr = net.TCPAddrFromAddrPort(netip.AddrPortFrom(p.local, 0))
+	if p.localAddress.IsValid() {
+		dialer.LocalAddr = net.TCPAddrFromAddrPort(netip.AddrPortFrom(p.localAddress, 0))
 	}
 	conn, err := dialer.DialContext(ctx, "tcp", x.To.String())
 	if err != nil {
-		p.failed.Add(1)
+		p.sendFailures.Add(1)
 		return
 	}
 	defer conn.Close()
-	conn.SetDeadline(time.Now().Add(patience))
+	conn.SetDeadline(time.Now().Add(exchangeTimeout))
 	conn = p.traffic.WrapConn(conn)
 	if writeFrame(conn, x.Frame) != nil {
 		return
@@ -143,7 +143,7 @@
 	if err != nil {
 		return
 	}
-	if reply := p.hand(b); reply != nil && writeFrame(conn, reply) == nil {
+	if reply := p.handleFrame(b); reply != nil && writeFrame(conn, reply) == nil {
 		p.traffic.sent.Add(1)
 	}
 }
--- a/internal/cluster/swim/gossip/traffic.go
+++ b/internal/cluster/swim/gossip/traffic.go
@@ -35,21 +35,21 @@
 func (p *Driver) Traffic() Traffic { return p.traffic.Snapshot() }
 
 // Of counts the bytes of a connection.
-func (c *Counter) WrapConn(conn net.Conn) net.Conn { return counted{conn, c} }
+func (c *Counter) WrapConn(conn net.Conn) net.Conn { return countedConn{conn, c} }
 
-type counted struct {
+type countedConn struct {
 	net.Conn
-	c *Counter
+	counter *Counter
 }
 
-func (x counted) Read(b []byte) (int, error) {
+func (x countedConn) Read(b []byte) (int, error) {
 	n, err := x.Conn.Read(b)
-	x.c.receivedBytes.Add(int64(n))
+	x.counter.receivedBytes.Add(int64(n))
 	return n, err
 }
 
-func (x counted) Write(b []byte) (int, error) {
+func (x countedConn) Write(b []byte) (int, error) {
 	n, err := x.Conn.Write(b)
-	x.c.sentBytes.Add(int64(n))
+	x.counter.sentBytes.Add(int64(n))
 	return n, err
 }
--- a/internal/cluster/swim/probe.go
+++ b/internal/cluster/swim/probe.go
@@ -9,28 +9,28 @@
 
 // probe is the one that is under way.
 type probe struct {
-	m     *member
-	start uint64 // of the member when it was probed
-	seq   uint32
-	began int64
-	at    int64 // of its next stage
-	stage int   // 0 asked once, 1 twice, 2 through helpers
-	asked int
-	nacks int
-	all   int64 // its whole time
+	target      *member
+	start       uint64 // of the member when it was probed
+	seq         uint32
+	startedAt   int64
+	nextStageAt int64 // of its next stage
+	stage       int   // 0 asked once, 1 twice, 2 through helpers
+	indirect    int
+	nacks       int
+	duration    int64 // its whole time
 }
 
 // relay is a probe for another.
 type relay struct {
-	asker  netip.AddrPort
-	seq    uint32
-	target string
-	until  int64
+	requester netip.AddrPort
+	seq       uint32
+	target    string
+	until     int64
 }
 
 // observe notices that this process did not run when it wanted to: it was stopped, or starved. What would have ended meanwhile is given
 // that time again, and the process doubts itself until it has had answers.
-func (c *Core) observe(now int64) {
+func (c *Core) detectStall(now int64) {
 	if c.cfg.Disabled.Awareness {
 		return
 	}
@@ -39,93 +39,93 @@
 		return
 	}
 	c.counts.Stalls++
-	c.out.Events = append(c.out.Events, Event{Kind: EventStalled, Record: c.self.Record, Late: late})
+	c.output.Events = append(c.output.Events, Event{Kind: EventStalled, Record: c.self.Record, Late: late})
 	c.probe = nil
-	c.probeAt, c.newsAt = now, now
-	c.exchangeAt += late
-	for _, m := range c.suspects { // all by as much: their order stays
-		m.began += late
-		m.end += late
-		m.due += late
+	c.nextProbeAt, c.nextGossipAt = now, now
+	c.nextExchangeAt += late
+	for _, m := range c.suspicions { // all by as much: their order stays
+		m.suspectedAt += late
+		m.suspicionEnd += late
+		m.checkAt += late
 	}
 	clear(c.relays)
-	c.relayed = c.relayed[:0]
-	c.worse(2)
-	c.doubts, c.doubtEnd = afterNap, now+c.cfg.ExchangePeriod
+	c.relayOrder = c.relayOrder[:0]
+	c.adjustHealth(2)
+	c.acksToTrust, c.distrustUntil = acksAfterStall, now+c.cfg.ExchangePeriod
 }
 
 // worse lowers this process's trust in itself, or raises it.
-func (c *Core) worse(by int) {
+func (c *Core) adjustHealth(by int) {
 	if !c.cfg.Disabled.Awareness {
-		c.ill = min(max(c.ill+by, 0), mostIll)
+		c.healthScore = min(max(c.healthScore+by, 0), maxHealthScore)
 	}
 }
 
-func (c *Core) doubting(now int64) bool { return c.doubts > 0 && now < c.doubtEnd }
+func (c *Core) distrustsItself(now int64) bool { return c.acksToTrust > 0 && now < c.distrustUntil }
 
 // Next is when Tick wants to be called; a call that comes much later is taken for a stop of this process.
 func (c *Core) NextTick() int64 {
-	at := min(c.probeAt, c.newsAt, c.exchangeAt)
+	at := min(c.nextProbeAt, c.nextGossipAt, c.nextExchangeAt)
 	if c.probe != nil {
-		at = min(at, c.probe.at)
+		at = min(at, c.probe.nextStageAt)
 	}
-	if len(c.suspects) > 0 {
-		at = min(at, c.suspects[0].due)
+	if len(c.suspicions) > 0 {
+		at = min(at, c.suspicions[0].checkAt)
 	}
 	if !c.joined {
-		at = min(at, c.joinAt)
+		at = min(at, c.nextJoinAt)
 	}
 	return at
 }
 
 // Tick does what is due.
 func (c *Core) Tick(now int64) {
-	c.observe(now)
-	if c.probe != nil && now >= c.probe.at {
-		c.press(now)
+	c.detectStall(now)
+	if c.probe != nil && now >= c.probe.nextStageAt {
+		c.escalateProbe(now)
 	}
-	if now >= c.probeAt {
-		c.begone(now)
-		c.probeNext(now)
+	if now >= c.nextProbeAt {
+		c.forgetExpired(now)
+		c.startNextProbe(now)
 	}
-	for len(c.suspects) > 0 && now >= c.suspects[0].due {
-		c.judge(now, c.suspects[0])
+	for len(c.suspicions) > 0 && now >= c.suspicions[0].checkAt {
+		c.checkSuspicion(now, c.suspicions[0])
 	}
-	if now >= c.newsAt {
-		c.newsAt = now + c.cfg.ProbePeriod/2
-		c.spread(now)
+	if now >= c.nextGossipAt {
+		c.nextGossipAt = now + c.cfg.ProbePeriod/2
+		c.gossip(now)
 	}
-	if now >= c.exchangeAt {
-		c.exchangeAt = now + c.cfg.ExchangePeriod*3/4 + c.rng.Int64N(c.cfg.ExchangePeriod/2)
-		c.exchangeSome(now)
+	if now >= c.nextExchangeAt {
+		c.nextExchangeAt = now + c.cfg.ExchangePeriod*3/4 + c.rng.Int64N(c.cfg.ExchangePeriod/2)
+		c.startExchanges(now)
 	}
-	if !c.joined && now >= c.joinAt {
+	if !c.joined && now >= c.nextJoinAt {
 		c.join(now)
 	}
 }
 
 // spread tells news to some members by chance.
-func (c *Core) spread(now int64) {
-	n := fanout
-	if c.leaving != 0 && now-c.leaving < 5*c.cfg.ProbePeriod {
-		n = 2 * fanout
-	} else if c.news.count == 0 || c.leaving != 0 {
+func (c *Core) gossip(now int64) {
+	n := gossipFanout
+	if c.leavingSince != 0 && now-c.leavingSince < 5*c.cfg.ProbePeriod {
+		n = 2 * gossipFanout
+	} else if c.broadcasts.count == 0 || c.leavingSince != 0 {
 		return
 	}
 	for range min(n, len(c.present)) {
 		var extra *member
-		if c.leaving != 0 && !c.later {
+		if c.leavingSince != 0 && !c.superseded {
 			extra = c.self
 		}
-		c.packet(now, c.likely().Address, &wire.Packet{Kind: tell}, extra)
+		c.send(now, c.gossipTarget().Address, &wire.Packet{Kind: packetGossip}, extra)
 	}
 }
 
 // likely is a member by chance, rather one that is not suspected: news to those that are gone is wasted.
-func (c *Core) likely() *member {
+func (c *Core) gossipTarget() *member {
 	m := c.present[c.rng.IntN(len(c.present))]
 	for range 2 {
-		if m.State == Alive && m.dead == nil {
+		if m.State == Alive && m.reportedDead == nil {
 			break
 		}
 		m = c.present[c.rng.IntN(len(c.present))]
@@ -134,32 +134,32 @@
 }
 
 // probeNext begins a probe of the next member of the round; a round meets every member once, in an order by chance.
-func (c *Core) probeNext(now int64) {
-	all := c.cfg.ProbePeriod * int64(1+c.ill)
-	c.probeAt = now + all
+func (c *Core) startNextProbe(now int64) {
+	all := c.cfg.ProbePeriod * int64(1+c.healthScore)
+	c.nextProbeAt = now + all
 	if c.probe != nil { // it has had its whole time
-		c.failed(now)
+		c.failProbe(now)
 	}
-	if c.leaving != 0 {
+	if c.leavingSince != 0 {
 		return
 	}
 	for {
-		if c.next >= len(c.round) {
+		if c.probeIndex >= len(c.probeOrder) {
 			if len(c.present) == 0 {
-				c.round, c.next = c.round[:0], 0
+				c.probeOrder, c.probeIndex = c.probeOrder[:0], 0
 				return
 			}
-			c.round, c.next = append(c.round[:0], c.present...), 0
-			c.rng.Shuffle(len(c.round), func(i, j int) { c.round[i], c.round[j] = c.round[j], c.round[i] })
+			c.probeOrder, c.probeIndex = append(c.probeOrder[:0], c.present...), 0
+			c.rng.Shuffle(len(c.probeOrder), func(i, j int) { c.probeOrder[i], c.probeOrder[j] = c.probeOrder[j], c.probeOrder[i] })
 		}
-		m := c.round[c.next]
-		if c.next++; m.at < 0 || !m.present() {
+		m := c.probeOrder[c.probeIndex]
+		if c.probeIndex++; m.listIndex < 0 || !m.present() {
 			continue // gone meanwhile
 		}
-		c.seq++
-		c.probe = &probe{m: m, start: m.Start, seq: c.seq, began: now, at: now + all/4, all: all}
+		c.lastSeq++
+		c.probe = &probe{target: m, start: m.Start, seq: c.lastSeq, startedAt: now, nextStageAt: now + all/4, duration: all}
 		c.counts.Probes++
-		c.ping(now, m, c.seq)
+		c.ping(now, m, c.lastSeq)
 		return
 	}
 }
@@ -169,64 +169,64 @@
 	if m.State == Suspected {
 		about = m // it should know, and refute
 	}
-	c.packet(now, m.Address, &wire.Packet{Kind: ping, Seq: seq}, about)
+	c.send(now, m.Address, &wire.Packet{Kind: packetPing, Seq: seq}, about)
 }
 
 // press takes an unanswered probe to its next stage.
-func (c *Core) press(now int64) {
+func (c *Core) escalateProbe(now int64) {
 	p := c.probe
 	switch p.stage {
 	case 0:
-		c.ping(now, p.m, p.seq)
-		p.stage, p.at = 1, p.began+p.all/2
+		c.ping(now, p.target, p.seq)
+		p.stage, p.nextStageAt = 1, p.startedAt+p.duration/2
 	case 1:
-		c.ping(now, p.m, p.seq)
-		for range 4 * helpers {
-			if p.asked == helpers || p.asked+1 >= len(c.present) {
+		c.ping(now, p.target, p.seq)
+		for range 4 * indirectProbes {
+			if p.indirect == indirectProbes || p.indirect+1 >= len(c.present) {
 				break
 			}
 			h := c.present[c.rng.IntN(len(c.present))]
-			if h == p.m || h.State != Alive {
+			if h == p.target || h.State != Alive {
 				continue
 			}
-			p.asked++
-			c.packet(now, h.Address, &wire.Packet{Kind: ask, Seq: p.seq, Target: p.m.Name}, nil)
+			p.indirect++
+			c.send(now, h.Address, &wire.Packet{Kind: packetIndirectPing, Seq: p.seq, Target: p.target.Name}, nil)
 		}
-		p.stage, p.at = 2, p.began+p.all
+		p.stage, p.nextStageAt = 2, p.startedAt+p.duration
 	default:
-		p.at = p.began + p.all // probeNext ends it
-		if p.at <= now {
-			c.failed(now)
+		p.nextStageAt = p.startedAt + p.duration // probeNext ends it
+		if p.nextStageAt <= now {
+			c.failProbe(now)
 		}
 	}
 }
 
 // failed ends a probe without an answer.
-func (c *Core) failed(now int64) {
+func (c *Core) failProbe(now int64) {
 	p := c.probe
 	c.probe = nil
 	c.counts.FailedProbes++
 	if p.nacks == 0 {
-		c.worse(1) // helpers are silent too, or there are none: it may be this process that is slow
+		c.adjustHealth(1) // helpers are silent too, or there are none: it may be this process that is slow
 	}
-	if p.m.at < 0 || !p.m.present() || p.m.dead != nil || p.m.Start != p.start || p.m.heard >= p.began || c.later || c.leaving != 0 || c.doubting(now) {
+	if p.target.listIndex < 0 || !p.target.present() || p.target.reportedDead != nil || p.target.Start != p.start || p.target.lastHeard >= p.startedAt || c.superseded || c.leavingSince != 0 || c.distrustsItself(now) {
 		return
 	}
-	if p.m.State == Suspected {
-		c.confirm(now, p.m, []string{c.self.Name})
+	if p.target.State == Suspected {
+		c.addAccusers(now, p.target, []string{c.self.Name})
 		return
 	}
-	r := p.m.Record
+	r := p.target.Record
 	r.State, r.Accusers = Suspected, []string{c.self.Name}
-	c.put(now, p.m, r, 0)
-	c.ping(now, p.m, p.seq) // the accused hears of it first
+	c.setRecord(now, p.target, r, 0)
+	c.ping(now, p.target, p.seq) // the accused hears of it first
 }
 
 // answered takes an answer to a probe in, of this process's or of one that it helps.
-func (c *Core) answered(now int64, p *wire.Packet, from *member) {
+func (c *Core) handleAck(now int64, p *wire.Packet, from *member) {
 	if r, ok := c.relays[p.Seq]; ok && p.Target == "" && r.target == p.From {
 		delete(c.relays, p.Seq)
-		c.packet(now, r.asker, &wire.Packet{Kind: ack, Seq: r.seq, Target: r.target}, nil)
+		c.send(now, r.requester, &wire.Packet{Kind: packetAck, Seq: r.seq, Target: r.target}, nil)
 	}
 	if c.probe == nil || c.probe.seq != p.Seq {
 		return
@@ -235,98 +235,98 @@
 	if who == "" {
 		who = p.From
 	}
-	if who != c.probe.m.Name {
+	if who != c.probe.target.Name {
 		return
 	}
 	c.probe = nil
-	c.worse(-1)
-	c.doubts = max(0, c.doubts-1)
+	c.adjustHealth(-1)
+	c.acksToTrust = max(0, c.acksToTrust-1)
 }
 
 // help probes for another.
-func (c *Core) help(now int64, p *wire.Packet, asker netip.AddrPort) {
-	for len(c.relayed) > 0 {
-		r, open := c.relays[c.relayed[0]]
-		if open && r.until > now && len(c.relays) < mostRelay {
+func (c *Core) handleIndirectPing(now int64, p *wire.Packet, asker netip.AddrPort) {
+	for len(c.relayOrder) > 0 {
+		r, open := c.relays[c.relayOrder[0]]
+		if open && r.until > now && len(c.relays) < maxRelays {
 			break
 		}
 		if open {
-			delete(c.relays, c.relayed[0])
+			delete(c.relays, c.relayOrder[0])
 		}
-		c.relayed = c.relayed[1:]
+		c.relayOrder = c.relayOrder[1:]
 	}
 	m := c.members[p.Target]
 	if m == nil || !m.present() {
-		c.packet(now, asker, &wire.Packet{Kind: nack, Seq: p.Seq, Target: p.Target}, m)
+		c.send(now, asker, &wire.Packet{Kind: packetNack, Seq: p.Seq, Target: p.Target}, m)
 		return
 	}
-	c.seq++
-	c.relays[c.seq] = relay{asker: asker, seq: p.Seq, target: p.Target, until: now + c.cfg.ProbePeriod*mostIll}
-	c.relayed = append(c.relayed, c.seq)
-	c.ping(now, m, c.seq)
-	c.ping(now, m, c.seq)
+	c.lastSeq++
+	c.relays[c.lastSeq] = relay{requester: asker, seq: p.Seq, target: p.Target, until: now + c.cfg.ProbePeriod*maxHealthScore}
+	c.relayOrder = append(c.relayOrder, c.lastSeq)
+	c.ping(now, m, c.lastSeq)
+	c.ping(now, m, c.lastSeq)
 	// That this one is there is worth saying by itself: an asker that hears from no helper has to doubt itself.
-	c.packet(now, asker, &wire.Packet{Kind: nack, Seq: p.Seq, Target: p.Target}, nil)
+	c.send(now, asker, &wire.Packet{Kind: packetNack, Seq: p.Seq, Target: p.Target}, nil)
 }
 
 // suspects are the suspected members by the ends of their times.
-type suspects []*member
+type suspicionHeap []*member
 
-func (s suspects) Len() int           { return len(s) }
-func (s suspects) Less(i, j int) bool { return s[i].due < s[j].due }
-func (s suspects) Swap(i, j int) {
+func (s suspicionHeap) Len() int           { return len(s) }
+func (s suspicionHeap) Less(i, j int) bool { return s[i].checkAt < s[j].checkAt }
+func (s suspicionHeap) Swap(i, j int) {
 	s[i], s[j] = s[j], s[i]
-	s[i].heap, s[j].heap = i, j
+	s[i].heapIndex, s[j].heapIndex = i, j
 }
 
-func (s *suspects) Push(x any) {
+func (s *suspicionHeap) Push(x any) {
 	m := x.(*member)
-	m.heap = len(*s)
+	m.heapIndex = len(*s)
 	*s = append(*s, m)
 }
 
-func (s *suspects) Pop() any {
+func (s *suspicionHeap) Pop() any {
 	m := (*s)[len(*s)-1]
 	*s = (*s)[:len(*s)-1]
-	m.heap = -1
+	m.heapIndex = -1
 	return m
 }
 
 // patience is how long a suspicion with so many accusers lasts: from the longest time, with one, to the shortest, with confirms more.
-func (c *Core) patience(accusers int) int64 {
+func (c *Core) suspicionTimeout(accusers int) int64 {
 	n := float64(max(c.size(), 10))
 	least := c.cfg.SuspicionFactor * math.Log10(n) * float64(c.cfg.ProbePeriod)
-	k := min(confirms, c.size()-2)
+	k := min(confirmations, c.size()-2)
 	if k < 1 || c.cfg.Disabled.Confirmation {
 		return int64(least)
 	}
 	share := math.Log(float64(min(max(accusers-1, 0), k)+1)) / math.Log(float64(k+1))
-	return int64(least * (longest - (longest-1)*share))
+	return int64(least * (maxSuspicionFactor - (maxSuspicionFactor-1)*share))
 }
 
 // begin begins a suspicion, or goes on with it under a new incarnation.
-func (c *Core) begin(now int64, m *member) {
-	m.began, m.checks, m.extended, m.dead = now, 0, false, nil
-	m.end = now + c.patience(len(m.Accusers))
-	m.due = m.stage()
-	if m.heap < 0 {
-		heap.Push(&c.suspects, m)
+func (c *Core) startSuspicion(now int64, m *member) {
+	m.suspectedAt, m.checks, m.extended, m.reportedDead = now, 0, false, nil
+	m.suspicionEnd = now + c.suspicionTimeout(len(m.Accusers))
+	m.checkAt = m.nextCheck()
+	if m.heapIndex < 0 {
+		heap.Push(&c.suspicions, m)
 	} else {
-		heap.Fix(&c.suspects, m.heap)
+		heap.Fix(&c.suspicions, m.heapIndex)
 	}
 }
 
-func (c *Core) clear(m *member) {
-	if m.dead = nil; m.heap >= 0 {
-		heap.Remove(&c.suspects, m.heap)
+func (c *Core) endSuspicion(m *member) {
+	if m.reportedDead = nil; m.heapIndex >= 0 {
+		heap.Remove(&c.suspicions, m.heapIndex)
 	}
 }
 
 // confirm adds accusers to a suspicion, and has that told where one was new.
-func (c *Core) confirm(now int64, m *member, by []string) bool {
+func (c *Core) addAccusers(now int64, m *member, by []string) bool {
 	added := false
 	for _, name := range by {
-		if len(m.Accusers) > confirms {
+		if len(m.Accusers) > confirmations {
 			break
 		}
 		if !contains(m.Accusers, name) {
@@ -335,10 +335,10 @@
 		}
 	}
 	if added {
-		m.end = max(m.began+c.patience(len(m.Accusers)), now)
-		m.due = max(m.stage(), now)
-		heap.Fix(&c.suspects, m.heap)
-		c.news.add(now, m, c.limit()*3/4)
+		m.suspicionEnd = max(m.suspectedAt+c.suspicionTimeout(len(m.Accusers)), now)
+		m.checkAt = max(m.nextCheck(), now)
+		heap.Fix(&c.suspicions, m.heapIndex)
+		c.broadcasts.add(now, m, c.transmitLimit()*3/4)
 	}
 	return added
 }
@@ -353,43 +353,43 @@
 }
 
 // stage is when a suspicion is looked at next: at half of its time, at three quarters, at its end.
-func (m *member) stage() int64 {
-	return m.end - (m.end-m.began)*int64(max(0, 2-m.checks))/4
+func (m *member) nextCheck() int64 {
+	return m.suspicionEnd - (m.suspicionEnd-m.suspectedAt)*int64(max(0, 2-m.checks))/4
 }
 
 // judge ends a suspicion whose time is over. Before, twice, the accused is told once more by everybody who holds it: guards against
 // holding it for dead where its word, which the others have, was lost.
-func (c *Core) judge(now int64, m *member) {
+func (c *Core) checkSuspicion(now int64, m *member) {
 	switch {
-	case m.dead != nil && m.checks == 0:
-		m.checks, m.due = 1, now+6*c.cfg.ProbePeriod
+	case m.reportedDead != nil && m.checks == 0:
+		m.checks, m.checkAt = 1, now+6*c.cfg.ProbePeriod
 		for range 2 {
-			c.packet(now, m.Address, &wire.Packet{Kind: ping}, &member{Record: *m.dead, since: now})
+			c.send(now, m.Address, &wire.Packet{Kind: packetPing}, &member{Record: *m.reportedDead, since: now})
 		}
-	case m.dead == nil && m.checks < 2:
+	case m.reportedDead == nil && m.checks < 2:
 		m.checks++
-		m.due = max(m.stage(), now+1)
+		m.checkAt = max(m.nextCheck(), now+1)
 		c.ping(now, m, 0)
-	case c.doubting(now) || c.later || c.leaving != 0:
-		m.due = now + c.cfg.ProbePeriod
-	case m.heard > m.began && !m.extended && !c.cfg.Disabled.Awareness:
+	case c.distrustsItself(now) || c.superseded || c.leavingSince != 0:
+		m.checkAt = now + c.cfg.ProbePeriod
+	case m.lastHeard > m.suspectedAt && !m.extended && !c.cfg.Disabled.Awareness:
 		m.extended = true // it was heard itself since: its answer may be on the way
-		m.checks, m.began, m.end = 0, now, now+c.patience(1)
-		m.due = m.stage()
-	case m.dead != nil:
-		c.put(now, m, *m.dead, 0)
+		m.checks, m.suspectedAt, m.suspicionEnd = 0, now, now+c.suspicionTimeout(1)
+		m.checkAt = m.nextCheck()
+	case m.reportedDead != nil:
+		c.setRecord(now, m, *m.reportedDead, 0)
 		return
 	default:
 		r := m.Record
 		r.State = Dead
-		c.put(now, m, r, 0)
+		c.setRecord(now, m, r, 0)
 		return
 	}
-	heap.Fix(&c.suspects, m.heap)
+	heap.Fix(&c.suspicions, m.heapIndex)
 }
 
 // begone drops one of those that have been gone for long, from time to time.
-func (c *Core) begone(now int64) {
+func (c *Core) forgetExpired(now int64) {
 	for range min(len(c.gone), 2) {
 		m := c.gone[c.rng.IntN(len(c.gone))]
 		keep := c.cfg.ForgetAfter
@@ -397,7 +397,7 @@
 			keep = min(keep, c.cfg.CountDeadFor)
 		}
 		if now-m.since > keep {
-			c.forgetMember(m)
+			c.removeMember(m)
 			return
 		}
 	}
--- a/internal/cluster/swim/record.go
+++ b/internal/cluster/swim/record.go
@@ -53,12 +53,12 @@
 }
 
 // over tells whether a prevails over b, a record of the same name.
-func (a Record) over(b Record) bool {
-	switch al, bl := a.State == Left, b.State == Left; {
+func (a Record) prevailsOver(b Record) bool {
+	switch aLeft, bLeft := a.State == Left, b.State == Left; {
 	case a.Start != b.Start:
 		return a.Start > b.Start
-	case al != bl:
-		return al
+	case aLeft != bLeft:
+		return aLeft
 	case a.Incarnation != b.Incarnation:
 		return a.Incarnation > b.Incarnation
 	}
@@ -80,12 +80,12 @@
 	MaxDatagram = 1400
 	MaxFrame    = 1 << 20
 
-	mostName   = 64 // bytes
-	mostBy     = 8
-	mostNews   = 64   // records in a datagram
-	mostRecord = 1024 // bytes
-	form       = 1    // version of the datagrams' and frames' form
-	headBytes  = 5    // checksum and form
+	maxNameBytes     = 64 // bytes
+	maxAccusers      = 8
+	maxGossipRecords = 64   // records in a datagram
+	maxRecordBytes   = 1024 // bytes
+	formatVersion    = 1    // version of the datagrams' and frames' form
+	headerBytes      = 5    // checksum and form
 )
 
 // Why something that came in was dropped.
@@ -104,11 +104,11 @@
 
 // seal puts a message behind its head.
 func seal(m proto.Message) []byte {
-	b, err := proto.MarshalOptions{}.MarshalAppend(make([]byte, headBytes, 256), m)
+	b, err := proto.MarshalOptions{}.MarshalAppend(make([]byte, headerBytes, 256), m)
 	if err != nil { // strings are checked where they come in
 		return nil
 	}
-	b[4] = form
+	b[4] = formatVersion
 	binary.BigEndian.PutUint32(b, checksum(b[4:]))
 	return b
 }
@@ -116,14 +116,14 @@
 // unseal reads what seal made.
 func unseal(b []byte, most int, m proto.Message) error {
 	switch {
-	case len(b) <= headBytes || len(b) > most:
+	case len(b) <= headerBytes || len(b) > most:
 		return ErrLength
 	case binary.BigEndian.Uint32(b) != checksum(b[4:]):
 		return ErrChecksum
-	case b[4] != form:
+	case b[4] != formatVersion:
 		return ErrVersion
 	}
-	if err := proto.Unmarshal(b[headBytes:], m); err != nil {
+	if err := proto.Unmarshal(b[headerBytes:], m); err != nil {
 		return ErrMalformed
 	}
 	return nil
@@ -131,8 +131,8 @@
 
 // CheckName tells what is wrong with a member's name, a zone or a version.
 func CheckName(name string) error {
-	if name == "" || len(name) > mostName {
-		return fmt.Errorf("want 1 to %d bytes, not %d", mostName, len(name))
+	if name == "" || len(name) > maxNameBytes {
+		return fmt.Errorf("want 1 to %d bytes, not %d", maxNameBytes, len(name))
 	}
 	for _, r := range name {
 		if r == utf8.RuneError || !unicode.IsPrint(r) || r == ' ' {
@@ -142,7 +142,7 @@
 	return nil
 }
 
-func words(r Record, age int64) *wire.Member {
+func toWire(r Record, age int64) *wire.Member {
 	m := &wire.Member{
 		Name: r.Name, Start: r.Start, Incarnation: r.Incarnation, Revision: r.Revision, State: uint32(r.State),
 		Address: r.Address.String(), Zone: r.Zone, Version: r.Version, Policy: r.Metadata.PolicyVersion, By: r.Accusers,
@@ -163,12 +163,12 @@
 }
 
 // read reads a record; an error says that it is none.
-func read(m *wire.Member) (r Record, err error) {
+func fromWire(m *wire.Member) (r Record, err error) {
 	r = Record{
 		Name: m.Name, Start: m.Start, Incarnation: m.Incarnation, Revision: m.Revision, State: State(min(m.State, 255)),
 		Zone: m.Zone, Version: m.Version, Metadata: Metadata{Draining: m.Flags&1 != 0, Standby: m.Flags&2 != 0, PolicyVersion: m.Policy},
 	}
-	if CheckName(r.Name) != nil || r.Start == 0 || r.State < Alive || r.State > Left || len(m.By) > mostBy {
+	if CheckName(r.Name) != nil || r.Start == 0 || r.State < Alive || r.State > Left || len(m.By) > maxAccusers {
 		return r, ErrMalformed
 	}
 	for _, text := range []string{r.Zone, r.Version} {
--- a/internal/cluster/swim/simulation/model.go
+++ b/internal/cluster/swim/simulation/model.go
@@ -69,77 +69,77 @@
 }
 
 type process struct {
-	index   int
-	core    *swim.Core
-	addr    netip.AddrPort
-	start   uint64
-	up      bool
-	stopped bool
-	ailing  bool     // it was stopped or slow
-	held    [][]byte // datagrams that wait while it is stopped
-	slow    int64
-	wakeAt  int64
-	wakeGen int
-	traffic traffic
+	index          int
+	core           *swim.Core
+	addr           netip.AddrPort
+	start          uint64
+	up             bool
+	stopped        bool
+	disturbed      bool     // it was stopped or slow
+	heldDatagrams  [][]byte // datagrams that wait while it is stopped
+	slow           int64
+	wakeAt         int64
+	wakeGeneration int
+	traffic        traffic
 }
 
-type happening struct {
-	at    int64
-	seq   int
-	kind  int
-	p     *process // whom it befalls
-	other *process // who opened a stream
-	bytes []byte
-	gen   int
-	do    func()
+type occurrence struct {
+	at             int64
+	seq            int
+	kind           int
+	target         *process // whom it befalls
+	sender         *process // who opened a stream
+	bytes          []byte
+	wakeGeneration int
+	do             func()
 }
 
 const (
-	wake = iota
-	datagram
-	frame
-	action
+	occurWake = iota
+	occurDatagram
+	occurFrame
+	occurAction
 )
 
-type agenda []happening
+type occurrenceHeap []occurrence
 
-func (a agenda) Len() int { return len(a) }
-func (a agenda) Less(i, j int) bool {
+func (a occurrenceHeap) Len() int { return len(a) }
+func (a occurrenceHeap) Less(i, j int) bool {
 	return a[i].at < a[j].at || a[i].at == a[j].at && a[i].seq < a[j].seq
 }
-func (a agenda) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
-func (a *agenda) Push(x any)   { *a = append(*a, x.(happening)) }
-func (a *agenda) Pop() any {
+func (a occurrenceHeap) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
+func (a *occurrenceHeap) Push(x any)   { *a = append(*a, x.(occurrence)) }
+func (a *occurrenceHeap) Pop() any {
 	o := *a
 	e := o[len(o)-1]
-	o[len(o)-1] = happening{}
+	o[len(o)-1] = occurrence{}
 	*a = o[:len(o)-1]
 	return e
 }
 
-type world struct {
+type simulator struct {
 	Config
-	rng    *rand.Rand
-	now    int64
-	seq    int
-	todo   agenda
-	links  faults.Links
-	latest []*process // by index
-	all    []*process // that ever were
-	byAddr map[netip.AddrPort]*process
-	killed map[uint64]int64 // by start
-	port   uint16
-	res    Result
-	end    int64
-	before int64 // bytes sent until CountFrom
-	last   int64 // when views were not all right, last
-	err    error
+	rng            *rand.Rand
+	now            int64
+	seq            int
+	pending        occurrenceHeap
+	links          faults.Links
+	latest         []*process // by index
+	processes      []*process // that ever were
+	byAddr         map[netip.AddrPort]*process
+	killed         map[uint64]int64 // by start
+	lastPort       uint16
+	result         Result
+	end            int64
+	sentBeforeRate int64 // bytes sent until CountFrom
+	lastUnsettled  int64 // when views were not all right, last
+	err            error
 }
 
 const (
-	epoch    = int64(1_000_000_000_000) // clock at the beginning
-	boxes    = 256                      // datagrams that wait at a stopped process
-	fullRest = 200 * time.Millisecond   // that a lost segment costs a stream
+	startTime        = int64(1_000_000_000_000) // clock at the beginning
+	maxHeldDatagrams = 256                      // datagrams that wait at a stopped process
+	retransmitDelay  = 200 * time.Millisecond   // that a lost segment costs a stream
 )
 
 // Run plays a run.
@@ -151,89 +151,89 @@
 	if cfg.SampleEvery == 0 {
 		cfg.SampleEvery = 50 * time.Millisecond
 	}
-	w := &world{
-		Config: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 0xf1ee7)), now: epoch, latest: make([]*process, cfg.Members),
-		byAddr: map[netip.AddrPort]*process{}, killed: map[uint64]int64{}, port: 7000, last: -1,
+	w := &simulator{
+		Config: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 0xf1ee7)), now: startTime, latest: make([]*process, cfg.Members),
+		byAddr: map[netip.AddrPort]*process{}, killed: map[uint64]int64{}, lastPort: 7000, lastUnsettled: -1,
 	}
 	for i := range cfg.Members {
 		at := int64(0)
 		if cfg.StartWithin > 0 && i >= cfg.SeedMembers {
 			at = w.rng.Int64N(cfg.StartWithin.Microseconds())
 		}
-		w.later(at, func() { w.begin(i, false) })
+		w.after(at, func() { w.startProcess(i, false) })
 	}
 	if cfg.WarmStart {
-		w.later(0, w.warm)
+		w.after(0, w.introduceAll)
 	}
 	for _, x := range cfg.Script {
-		w.later(x.At.Microseconds(), func() { w.befall(x) })
+		w.after(x.At.Microseconds(), func() { w.applyFault(x) })
 	}
-	w.later(cfg.SampleEvery.Microseconds(), w.look)
-	w.end = epoch + cfg.Duration.Microseconds()
+	w.after(cfg.SampleEvery.Microseconds(), w.sample)
+	w.end = startTime + cfg.Duration.Microseconds()
 	if cfg.RateFrom > 0 {
-		w.later(cfg.RateFrom.Microseconds(), func() { w.before = w.sent() })
+		w.after(cfg.RateFrom.Microseconds(), func() { w.sentBeforeRate = w.sentBytes() })
 	}
-	for len(w.todo) > 0 && w.todo[0].at <= w.end && w.err == nil {
-		h := heap.Pop(&w.todo).(happening)
+	for len(w.pending) > 0 && w.pending[0].at <= w.end && w.err == nil {
+		h := heap.Pop(&w.pending).(occurrence)
 		w.now = h.at
-		w.happen(h)
+		w.handle(h)
 	}
 	w.finish()
-	return w.res, w.err
+	return w.result, w.err
 }
 
-func (w *world) push(h happening) {
+func (w *simulator) schedule(h occurrence) {
 	w.seq++
 	h.seq = w.seq
-	heap.Push(&w.todo, h)
+	heap.Push(&w.pending, h)
 }
 
-func (w *world) later(after int64, do func()) {
-	w.push(happening{at: w.now + after, kind: action, do: do})
+func (w *simulator) after(after int64, do func()) {
+	w.schedule(occurrence{at: w.now + after, kind: occurAction, do: do})
 }
 
-func (w *world) happen(h happening) {
+func (w *simulator) handle(h occurrence) {
 	switch h.kind {
-	case action:
+	case occurAction:
 		h.do()
-	case wake:
-		if h.p.up && !h.p.stopped && h.gen == h.p.wakeGen {
-			h.p.wakeAt = 0
-			h.p.core.Tick(w.now)
-			w.carry(h.p)
+	case occurWake:
+		if h.target.up && !h.target.stopped && h.wakeGeneration == h.target.wakeGeneration {
+			h.target.wakeAt = 0
+			h.target.core.Tick(w.now)
+			w.perform(h.target)
 		}
-	case datagram:
-		if h.p.up {
-			w.pass(h.p, 0, len(h.bytes), true)
+	case occurDatagram:
+		if h.target.up {
+			w.countTraffic(h.target, 0, len(h.bytes), true)
 		}
 		switch {
-		case !h.p.up:
-		case h.p.stopped:
-			if len(h.p.held) < boxes {
-				h.p.held = append(h.p.held, h.bytes)
+		case !h.target.up:
+		case h.target.stopped:
+			if len(h.target.heldDatagrams) < maxHeldDatagrams {
+				h.target.heldDatagrams = append(h.target.heldDatagrams, h.bytes)
 			}
 		default:
-			h.p.core.HandleDatagram(w.now, h.bytes)
-			w.carry(h.p)
+			h.target.core.HandleDatagram(w.now, h.bytes)
+			w.perform(h.target)
 		}
-	case frame:
-		if !h.p.up || h.p.stopped || !h.other.up {
+	case occurFrame:
+		if !h.target.up || h.target.stopped || !h.sender.up {
 			return
 		}
-		w.pass(h.p, 0, len(h.bytes), false)
-		reply, err := h.p.core.HandleFrame(w.now, h.bytes)
-		w.carry(h.p)
+		w.countTraffic(h.target, 0, len(h.bytes), false)
+		reply, err := h.target.core.HandleFrame(w.now, h.bytes)
+		w.perform(h.target)
 		if err == nil && reply != nil {
-			w.stream(h.p, h.other, reply, 0)
+			w.sendFrame(h.target, h.sender, reply, 0)
 		}
 	}
 }
 
 // carry does what a core wants done, and has it woken when it wants to be.
-func (w *world) carry(p *process) {
+func (w *simulator) perform(p *process) {
 	o := p.core.TakeOutput()
 	for _, d := range o.Datagrams {
-		w.pass(p, len(d.Bytes), 0, true)
+		w.countTraffic(p, len(d.Bytes), 0, true)
 		to := w.byAddr[d.To]
 		if to == nil {
 			continue
@@ -247,29 +247,29 @@
 			if k.Cut || k.Loss > 0 && w.rng.Float64() < k.Loss || w.Loss > 0 && w.rng.Float64() < w.Loss {
 				continue
 			}
-			late := w.lag(k)
+			late := w.linkDelay(k)
 			if i > 0 {
 				late += w.rng.Int64N(3_000_000)
 			}
-			w.push(happening{at: w.now + late + to.slow, kind: datagram, p: to, bytes: d.Bytes})
+			w.schedule(occurrence{at: w.now + late + to.slow, kind: occurDatagram, target: to, bytes: d.Bytes})
 		}
 	}
 	for _, x := range o.Exchanges {
 		if to := w.byAddr[x.To]; to != nil && to.up {
-			w.stream(p, to, x.Frame, 2)
+			w.sendFrame(p, to, x.Frame, 2)
 		}
 	}
 	for _, e := range o.Events {
-		w.note(e)
+		w.recordEvent(e)
 	}
 	next := p.core.NextTick() + p.slow
 	if p.wakeAt == 0 || next < p.wakeAt {
-		p.wakeAt, p.wakeGen = next, p.wakeGen+1
-		w.push(happening{at: max(next, w.now), kind: wake, p: p, gen: p.wakeGen})
+		p.wakeAt, p.wakeGeneration = next, p.wakeGeneration+1
+		w.schedule(occurrence{at: max(next, w.now), kind: occurWake, target: p, wakeGeneration: p.wakeGeneration})
 	}
 }
 
-func (w *world) lag(k faults.Link) int64 {
+func (w *simulator) linkDelay(k faults.Link) int64 {
 	d := w.Delay.Microseconds()
 	late := d + w.rng.Int64N(d+1)
 	if k.Delay > 0 {
@@ -279,63 +279,63 @@
 }
 
 // stream moves a frame; crossings are what its connection takes before.
-func (w *world) stream(from, to *process, b []byte, crossings int) {
+func (w *simulator) sendFrame(from, to *process, b []byte, crossings int) {
 	there, back := w.links.Between(from.index, to.index), w.links.Between(to.index, from.index)
 	if there.Cut || back.Cut {
 		return
 	}
-	w.pass(from, len(b), 0, false)
+	w.countTraffic(from, len(b), 0, false)
 	late := to.slow
 	for range crossings + 1 {
-		late += w.lag(there)
+		late += w.linkDelay(there)
 	}
 	for range 5 {
 		if lost := 1 - (1-w.Loss)*(1-there.Loss); w.rng.Float64() >= lost {
 			break
 		}
-		late += fullRest.Microseconds()
+		late += retransmitDelay.Microseconds()
 	}
-	w.push(happening{at: w.now + late, kind: frame, p: to, other: from, bytes: b})
+	w.schedule(occurrence{at: w.now + late, kind: occurFrame, target: to, sender: from, bytes: b})
 }
 
-func (w *world) note(e swim.Event) {
+func (w *simulator) recordEvent(e swim.Event) {
 	switch e.Kind {
 	case swim.EventDead, swim.EventLeft, swim.EventRestarted:
-		for _, p := range w.all { // rare, and few
+		for _, p := range w.processes { // rare, and few
 			if p.core.Self().Name != e.Name {
 				continue
 			}
 			if at, dead := w.killed[p.start]; dead && (p.start == e.Start || e.Kind == swim.EventRestarted && p.start < e.Start) {
-				w.res.DetectionTimes = append(w.res.DetectionTimes, time.Duration(w.now-at)*time.Microsecond)
+				w.result.DetectionTimes = append(w.result.DetectionTimes, time.Duration(w.now-at)*time.Microsecond)
 			}
 			if e.Kind == swim.EventDead && p.up && !p.stopped && p.start == e.Start {
-				if w.res.FalseDeaths++; !p.ailing {
-					w.res.HealthyFalseDeaths++
+				if w.result.FalseDeaths++; !p.disturbed {
+					w.result.HealthyFalseDeaths++
 				}
 			}
 		}
 		if e.Kind == swim.EventRestarted {
-			w.res.Restarts++
+			w.result.Restarts++
 		}
 	case swim.EventIsolated:
-		w.res.Isolations++
+		w.result.Isolations++
 	case swim.EventStalled:
-		w.res.Stalls++
+		w.result.Stalls++
 	case swim.EventNameConflict:
-		w.res.NameConflicts++
+		w.result.NameConflicts++
 	}
 }
 
 // begin starts a process of a member; at another address where moved.
-func (w *world) begin(i int, moved bool) {
+func (w *simulator) startProcess(i int, moved bool) {
 	old := w.latest[i]
 	addr := netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 1, byte(i >> 8), byte(i)}), 7000)
 	if old != nil {
 		addr = old.addr
 	}
 	if moved {
-		w.port++
-		addr = netip.AddrPortFrom(addr.Addr(), w.port)
+		w.lastPort++
+		addr = netip.AddrPortFrom(addr.Addr(), w.lastPort)
 	}
 	cfg := w.Core
 	cfg.Fleet, cfg.Name, cfg.Address, cfg.Start = "model", MemberName(i), addr, uint64(w.now)
@@ -353,15 +353,15 @@
 	}
 	p := &process{index: i, core: core, addr: addr, start: cfg.Start, up: true}
 	w.latest[i] = p
-	w.all = append(w.all, p)
+	w.processes = append(w.processes, p)
 	w.byAddr[addr] = p
-	w.carry(p)
+	w.perform(p)
 }
 
 // Name is a member's.
 func MemberName(i int) string { return fmt.Sprintf("g%03d", i) }
 
-func (w *world) befall(x faults.Step) {
+func (w *simulator) applyFault(x faults.Step) {
 	w.links.Begin(x)
 	for i, p := range w.latest {
 		if x.A != nil && !x.A.Has(i) || p == nil {
@@ -372,66 +372,66 @@
 			w.kill(p)
 		case faults.Start, faults.Move:
 			if !p.up {
-				w.begin(i, x.Do == faults.Move)
+				w.startProcess(i, x.Do == faults.Move)
 			}
 		case faults.Twin:
-			w.begin(i, true)
+			w.startProcess(i, true)
 		case faults.Leave:
 			p.core.Leave(w.now)
-			w.carry(p)
-			w.goes(p)
+			w.perform(p)
+			w.awaitLeave(p)
 		case faults.Stop:
-			p.stopped, p.ailing = true, true
-			w.later(x.For.Microseconds(), func() { w.goOn(p) })
+			p.stopped, p.disturbed = true, true
+			w.after(x.For.Microseconds(), func() { w.resume(p) })
 		case faults.Slow:
-			p.slow, p.ailing = x.D.Microseconds(), true
+			p.slow, p.disturbed = x.D.Microseconds(), true
 			if x.For > 0 {
-				w.later(x.For.Microseconds(), func() { p.slow = 0 })
+				w.after(x.For.Microseconds(), func() { p.slow = 0 })
 			}
 		}
 	}
 	if x.For > 0 {
-		w.later(x.For.Microseconds(), func() { w.links.Expire(x.At + x.For) })
+		w.after(x.For.Microseconds(), func() { w.links.Expire(x.At + x.For) })
 	}
 }
 
-func (w *world) kill(p *process) {
+func (w *simulator) kill(p *process) {
 	if p.up {
-		w.settle(p)
+		w.closeSecond(p)
 		p.up = false
 		w.killed[p.start] = w.now
 	}
 }
 
 // goes ends a process once it has told of its leave.
-func (w *world) goes(p *process) {
+func (w *simulator) awaitLeave(p *process) {
 	if !p.core.HasLeft(w.now) {
-		w.later(10_000, func() { w.goes(p) })
+		w.after(10_000, func() { w.awaitLeave(p) })
 		return
 	}
 	w.kill(p)
 }
 
 // goOn wakes a stopped process: first it reads what came, as a driver does.
-func (w *world) goOn(p *process) {
+func (w *simulator) resume(p *process) {
 	if !p.stopped || !p.up {
 		return
 	}
 	p.stopped = false
-	held := p.held
-	p.held = nil
+	held := p.heldDatagrams
+	p.heldDatagrams = nil
 	for _, b := range held {
 		p.core.HandleDatagram(w.now, b)
 	}
 	p.core.Tick(w.now)
 	p.wakeAt = 0
-	w.carry(p)
+	w.perform(p)
 }
 
 // truth is the digest of exactly the live processes; of those under one name the latest.
-func (w *world) truth() (digest uint64, live []*process) {
+func (w *simulator) liveDigest() (digest uint64, live []*process) {
 	var records []swim.Record
-	for _, p := range w.all {
+	for _, p := range w.processes {
 		if !p.up || p.stopped || p.core.Self().State == swim.Left {
 			continue
 		}
@@ -443,10 +443,10 @@
 	return swim.DigestOf(records...), live
 }
 
-func (w *world) look() {
-	w.all = slices.DeleteFunc(w.all, func(p *process) bool { return !p.up && w.now-w.killed[p.start] > 60_000_000 })
-	want, live := w.truth()
-	s := Sample{At: time.Duration(w.now-epoch) * time.Microsecond, Live: len(live)}
+func (w *simulator) sample() {
+	w.processes = slices.DeleteFunc(w.processes, func(p *process) bool { return !p.up && w.now-w.killed[p.start] > 60_000_000 })
+	want, live := w.liveDigest()
+	s := Sample{At: time.Duration(w.now-startTime) * time.Microsecond, Live: len(live)}
 	for i, p := range live {
 		if digest, _ := p.core.Digest(); digest == want {
 			s.Correct++
@@ -458,17 +458,17 @@
 		s.MinEffectiveSize, s.MaxEffectiveSize, s.MinAlive = min(s.MinEffectiveSize, r), max(s.MaxEffectiveSize, r), min(s.MinAlive, a)
 	}
 	if s.Correct < s.Live {
-		w.last = w.now
+		w.lastUnsettled = w.now
 	}
-	if over := epoch + w.Script.End().Microseconds(); w.StopWhenSettledFor > 0 && w.now-max(w.last, over) > w.StopWhenSettledFor.Microseconds() {
+	if over := startTime + w.Script.End().Microseconds(); w.StopWhenSettledFor > 0 && w.now-max(w.lastUnsettled, over) > w.StopWhenSettledFor.Microseconds() {
 		w.end = w.now
 	}
-	w.res.Samples = append(w.res.Samples, s)
-	w.later(w.SampleEvery.Microseconds(), w.look)
+	w.result.Samples = append(w.result.Samples, s)
+	w.after(w.SampleEvery.Microseconds(), w.sample)
 }
 
 // warm has the first process hear of all others, and these hear of all from it.
-func (w *world) warm() {
+func (w *simulator) introduceAll() {
 	teacher := w.latest[0].core
 	for _, p := range w.latest[1:] {
 		if _, err := teacher.HandleFrame(w.now, p.core.OpeningFrame(w.now)); err != nil {
@@ -483,40 +483,40 @@
 		if err != nil {
 			w.err = err
 		}
-		w.carry(p)
+		w.perform(p)
 	}
 }
 
 // sent is what all have sent.
-func (w *world) sent() (bytes int64) {
-	for _, p := range w.all {
+func (w *simulator) sentBytes() (bytes int64) {
+	for _, p := range w.processes {
 		k := p.core.Counts()
 		bytes += k.SentBytes + k.FrameBytes
 	}
 	return bytes
 }
 
-func (w *world) finish() {
-	if d := w.now - epoch - w.RateFrom.Microseconds(); d > 0 {
-		w.res.BytesPerSecond = float64(w.sent()-w.before) / float64(w.Members) / (float64(d) / 1e6)
+func (w *simulator) finish() {
+	if d := w.now - startTime - w.RateFrom.Microseconds(); d > 0 {
+		w.result.BytesPerSecond = float64(w.sentBytes()-w.sentBeforeRate) / float64(w.Members) / (float64(d) / 1e6)
 	}
 	switch {
-	case w.last < 0:
-		w.res.SettledAt = 0
-	case w.now-w.last < 2*w.SampleEvery.Microseconds():
-		w.res.SettledAt = -1
+	case w.lastUnsettled < 0:
+		w.result.SettledAt = 0
+	case w.now-w.lastUnsettled < 2*w.SampleEvery.Microseconds():
+		w.result.SettledAt = -1
 	default:
-		w.res.SettledAt = time.Duration(w.last-epoch)*time.Microsecond + w.SampleEvery
+		w.result.SettledAt = time.Duration(w.lastUnsettled-startTime)*time.Microsecond + w.SampleEvery
 	}
-	for _, p := range w.all {
-		w.settle(p)
+	for _, p := range w.processes {
+		w.closeSecond(p)
 	}
-	_, live := w.truth()
+	_, live := w.liveDigest()
 	for _, p := range live {
-		w.res.Cores = append(w.res.Cores, p.core)
+		w.result.Cores = append(w.result.Cores, p.core)
 	}
-	for _, p := range w.all {
-		w.res.Counts = w.res.Counts.Plus(p.core.Counts())
+	for _, p := range w.processes {
+		w.result.Counts = w.result.Counts.Plus(p.core.Counts())
 	}
 }
 
--- a/internal/cluster/swim/simulation/traffic.go
+++ b/internal/cluster/swim/simulation/traffic.go
@@ -25,16 +25,16 @@
 }
 
 // pass counts what a process sends or receives now.
-func (w *world) pass(p *process, sent, received int, datagram bool) {
-	second := int((w.now - epoch) / 1_000_000)
-	for len(w.res.Seconds) <= second {
-		w.res.Seconds = append(w.res.Seconds, Second{})
+func (w *simulator) countTraffic(p *process, sent, received int, datagram bool) {
+	second := int((w.now - startTime) / 1_000_000)
+	for len(w.result.Seconds) <= second {
+		w.result.Seconds = append(w.result.Seconds, Second{})
 	}
 	if p.traffic.second != second {
-		w.settle(p)
+		w.closeSecond(p)
 		p.traffic = traffic{second: second}
 	}
-	s, t := &w.res.Seconds[second], &p.traffic
+	s, t := &w.result.Seconds[second], &p.traffic
 	s.Sent, s.Received = s.Sent+int64(sent), s.Received+int64(received)
 	t.sent, t.received = t.sent+int64(sent), t.received+int64(received)
 	switch {
@@ -48,9 +48,9 @@
 }
 
 // settle holds a process's last second against the most of all.
-func (w *world) settle(p *process) {
-	if t := p.traffic; t.second < len(w.res.Seconds) {
-		s := &w.res.Seconds[t.second]
+func (w *simulator) closeSecond(p *process) {
+	if t := p.traffic; t.second < len(w.result.Seconds) {
+		s := &w.result.Seconds[t.second]
 		s.MaxSent, s.MaxReceived = max(s.MaxSent, t.sent), max(s.MaxReceived, t.received)
 		s.MaxDatagrams, s.MaxArriving = max(s.MaxDatagrams, t.datagrams), max(s.MaxArriving, t.arrived)
 	}
--- a/internal/cluster/swim/view.go
+++ b/internal/cluster/swim/view.go
@@ -30,11 +30,11 @@
 }
 
 // Digest is of the members that are alive or suspected; Changed is when it changed last.
-func (c *Core) Digest() (digest uint64, changed int64) { return c.digest, c.changed }
+func (c *Core) Digest() (digest uint64, changed int64) { return c.digest, c.digestChangedAt }
 
 // Alive is how many members are alive or suspected, this one with them.
 func (c *Core) AliveCount() int {
-	if c.later || c.leaving != 0 {
+	if c.superseded || c.leavingSince != 0 {
 		return len(c.present)
 	}
 	return len(c.present) + 1
@@ -45,7 +45,7 @@
 func (c *Core) EffectiveSize(now int64) int {
 	n := c.AliveCount()
 	for _, m := range c.gone {
-		if c.reckoned(now, m) {
+		if c.countsWhileDead(now, m) {
 			n++
 		}
 	}
@@ -53,13 +53,13 @@
 }
 
 // reckoned tells whether a member that is gone has to be reckoned with.
-func (c *Core) reckoned(now int64, m *member) bool {
+func (c *Core) countsWhileDead(now int64, m *member) bool {
 	return m.State == Dead && now-m.since < c.cfg.CountDeadFor
 }
 
 // State is how a member stands in this view; ok is false of one that is unknown. since is the time of its last change of state.
 func (c *Core) Lookup(name string) (r Record, since int64, ok bool) {
-	if name == c.self.Name && !c.later {
+	if name == c.self.Name && !c.superseded {
 		return c.self.Record, c.self.since, true
 	}
 	m := c.members[name]
@@ -75,10 +75,10 @@
 // View copies all: O(members log members).
 func (c *Core) View(now int64) View {
 	v := View{
-		Digest: c.digest, DigestChanged: c.changed, AliveCount: c.AliveCount(), EffectiveSize: c.EffectiveSize(now), HealthScore: c.ill, Superseded: c.later, Isolated: c.alone,
-		NameConflict: c.twin != 0 && now-c.twin < 3*c.cfg.ExchangePeriod,
+		Digest: c.digest, DigestChanged: c.digestChangedAt, AliveCount: c.AliveCount(), EffectiveSize: c.EffectiveSize(now), HealthScore: c.healthScore, Superseded: c.superseded, Isolated: c.isolated,
+		NameConflict: c.conflictSeenAt != 0 && now-c.conflictSeenAt < 3*c.cfg.ExchangePeriod,
 	}
-	if !c.later {
+	if !c.superseded {
 		v.Members = append(v.Members, Member{c.self.Record, c.self.since, true})
 	}
 	for _, m := range c.members {
