--- /dev/null
+++ b/internal/cluster/swim/config.go
@@ -0,0 +1,78 @@
+package swim
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"net/netip"
+)
+
+// Config holds the settings of a core. Times are microseconds; 0 takes the default.
+type Config struct {
+	Fleet    string // name that all members share; what bears another is dropped
+	Name     string // of this member
+	Start    uint64 // identity of this start: Unix microseconds do
+	Address  netip.AddrPort
+	Zone     string
+	Version  string
+	Metadata Metadata
+
+	Join    []netip.AddrPort           // where others may be; its own address among them does no harm
+	Allowed func(addr netip.Addr) bool // nil: every address
+
+	ProbePeriod     int64   // of a probe; 200 ms
+	SuspicionFactor float64 // the shortest suspicion is so many periods times log10 of the fleet; 2.5
+	CountDeadFor    int64   // how long the dead are reckoned with; 300 s
+	ForgetAfter     int64   // how long they are tried and remembered; 1 h, at least Reckon
+	ExchangePeriod  int64   // between full exchanges; 25 periods
+	MaxMembers      int     // members that are kept; 4096
+
+	Disabled Disabled
+}
+
+// Disabled switches single mechanisms off, so that measurements show their effect and tests show that they notice. It is never set in service.
+type Disabled struct {
+	Awareness, Confirmation, DeadExchanges, Refutation bool
+}
+
+// New returns a core that knows itself only. now is at least 1. It fails if a name, the address or the start is not valid.
+func New(cfg Config, now int64, rng *rand.Rand) (*Core, error) {
+	if err := CheckName(cfg.Name); err != nil {
+		return nil, fmt.Errorf("fleet: name: %w", err)
+	}
+	if err := CheckName(cfg.Fleet); err != nil {
+		return nil, fmt.Errorf("fleet: name of the fleet: %w", err)
+	}
+	if !cfg.Address.IsValid() || cfg.Address.Port() == 0 || cfg.Start == 0 {
+		return nil, fmt.Errorf("fleet: address and start: want both")
+	}
+	set := func(v *int64, otherwise int64) {
+		if *v == 0 {
+			*v = otherwise
+		}
+	}
+	set(&cfg.ProbePeriod, 200_000)
+	set(&cfg.CountDeadFor, 300_000_000)
+	set(&cfg.ForgetAfter, max(cfg.CountDeadFor, 3_600_000_000))
+	set(&cfg.ExchangePeriod, 25*cfg.ProbePeriod)
+	if cfg.SuspicionFactor == 0 {
+		cfg.SuspicionFactor = 2.5
+	}
+	if cfg.MaxMembers == 0 {
+		cfg.MaxMembers = 4096
+	}
+	if cfg.Allowed == nil {
+		cfg.Allowed = func(netip.Addr) bool { return true }
+	}
+	c := &Core{
+		cfg: cfg, rng: rng, members: map[string]*member{}, relays: map[uint32]relay{}, seenRecords: map[uint64]struct{}{}, digestChangedAt: now, nextProbeAt: now + rng.Int64N(cfg.ProbePeriod),
+		nextExchangeAt: now + rng.Int64N(cfg.ExchangePeriod), nextJoinAt: now + rng.Int64N(cfg.ProbePeriod/4+1), joinBackoff: cfg.ProbePeriod,
+	}
+	c.nextGossipAt = c.nextProbeAt
+	c.self = &member{listIndex: -1, heapIndex: -1, since: now, Record: Record{
+		Name: cfg.Name, Start: cfg.Start, State: Alive, Address: cfg.Address,
+		Zone: cfg.Zone, Version: cfg.Version, Metadata: cfg.Metadata,
+	}}
+	c.toggleDigest(c.self.Record)
+	c.broadcasts.add(now, c.self, 0)
+	return c, nil
+}
--- a/internal/cluster/swim/follow.go
+++ b/internal/cluster/swim/divisor.go
@@ -1,19 +1,20 @@
 package swim
 
-// Follower turns members to reckon with into the number that a budget is divided by. It goes up at once, since that lowers what each
-// may use, and down in bounded steps: a view that loses many at a time gives what they had to those that are left slowly, and a mistake
-// can still be seen. The zero value takes the first number as it is.
+// Divisor turns the effective size into the number by which a budget is divided. It rises immediately, since that lowers what each process may use, and falls in
+// bounded steps: when a view loses many members at a time, their parts go to the others slowly, and a mistake can still be noticed. The zero value takes
+// the first size as it is. It is not safe for concurrent use.
 type Divisor struct {
 	divisor    int
 	lastStepAt int64 // of the last step down
 }
 
+// How fast a Divisor falls.
 const (
 	divisorStepEvery = 1_000_000 // microseconds between steps down
 	divisorStepPart  = 10        // of which one takes at most this part, and at least one member
 )
 
-// Follow gives the number to divide by, for so many members to reckon with. next is when to ask again though nothing has changed; 0: not.
+// Update returns the divisor for an effective size. next is the time to call again even if the size stays the same; 0 if there is no need.
 func (f *Divisor) Update(now int64, size int) (divisor int, next int64) {
 	size = max(size, 1)
 	switch {
--- a/internal/cluster/swim/exchange.go
+++ b/internal/cluster/swim/exchange.go
@@ -5,8 +5,15 @@
 	"saffronquay/internal/cluster/swim/wire"
 )
 
-// compare holds a digest against this view's. One that differs again and again is looked into by an exchange.
-func (c *Core) compareDigest(now int64, digest uint64, m *member) {
+// Kinds of frames of an exchange, in their order. The numbers are on the wire.
+const (
+	frameDigests     = 1
+	frameDifferences = 2
+	frameRest        = 3
+)
+
+// compareDigest compares a member's digest with this view's. After mismatchLimit differences in a row an exchange looks for the cause.
+func (c *Core) compareDigest(now int64, digest uint64, from netip.AddrPort) {
 	if digest == c.digest {
 		c.mismatches = 0
 		return
@@ -14,72 +21,19 @@
 	if c.mismatches++; c.mismatches >= mismatchLimit && now-c.lastExchangeAt >= c.cfg.ExchangePeriod/5 {
 		c.mismatches = 0
 		c.counts.DigestMismatches++
-		c.requestExchange(now, m.Address)
+		c.requestExchange(now, from)
 	}
 }
 
-// exchange asks for a full exchange with a member.
+// requestExchange asks the driver for an exchange with a member.
 func (c *Core) requestExchange(now int64, to netip.AddrPort) {
 	c.lastExchangeAt = now
 	c.counts.Exchanges++
 	c.output.Exchanges = append(c.output.Exchanges, Exchange{to, c.OpeningFrame(now)})
 }
 
-// Hello is the frame by which this process begins an exchange.
-func (c *Core) OpeningFrame(now int64) []byte {
-	return c.encodeFrame(now, &wire.Frame{Kind: frameDigests, Sums: c.bucketDigests[:], Dead: c.deadDigest(now), First: !c.joined}, nil)
-}
-
-// frame words a frame with this process's own record and others.
-func (c *Core) encodeFrame(now int64, f *wire.Frame, members []*member) []byte {
-	f.Fleet, f.From, f.Start, f.Address = c.cfg.Fleet, c.self.Name, c.self.Start, c.self.Address.String()
-	if !c.superseded {
-		f.Members = append(f.Members, toWire(c.self.Record, now-c.self.since))
-	}
-	for _, m := range members {
-		f.Members = append(f.Members, toWire(m.Record, now-m.since))
-	}
-	b := seal(f)
-	c.counts.FrameBytes += int64(len(b))
-	return b
-}
-
-// join tries one of the addresses to join at, rarer and rarer.
-func (c *Core) join(now int64) {
-	c.nextJoinAt = now + c.joinBackoff/2 + c.rng.Int64N(c.joinBackoff)
-	c.joinBackoff = min(2*c.joinBackoff, c.cfg.ExchangePeriod)
-	some := c.joinAddresses(indirectProbes)
-	if len(some) == 0 {
-		return
-	}
-	if c.joinAttempts++; c.joinAttempts == 4 && !c.isolated {
-		c.isolated = true
-		c.emit(EventIsolated, c.self.Record)
-	}
-	for _, to := range some {
-		c.requestExchange(now, to)
-	}
-}
-
-// joinAddresses are some of those to join at where no live member is known to be, by chance.
-func (c *Core) joinAddresses(most int) (some []netip.AddrPort) {
-	if len(c.cfg.Join) == 0 {
-		return nil
-	}
-	known := map[netip.AddrPort]bool{c.self.Address: true}
-	for _, m := range c.present {
-		known[m.Address] = true
-	}
-	for _, i := range c.rng.Perm(len(c.cfg.Join)) {
-		if a := c.cfg.Join[i]; !known[a] && len(some) < most {
-			some = append(some, a)
-		}
-	}
-	return some
-}
-
-// exchangeSome begins the regular exchanges: with a member by chance, with one held for dead and with an address to join at where nobody
-// is known, since both may be the way to the other half of a fleet that was split.
+// startExchanges starts the periodic exchanges: with a random member, with a dead one, and with a join address where no member is known. The last
+// two may reach the other part of a partitioned fleet.
 func (c *Core) startExchanges(now int64) {
 	if c.leavingSince != 0 {
 		return
@@ -87,7 +41,7 @@
 	if len(c.present) > 0 {
 		c.requestExchange(now, c.present[c.rng.IntN(len(c.present))].Address)
 	}
-	if c.superseded { // its twin should know of it
+	if c.superseded { // the process with the later start should know of this one
 		if m := c.members[c.self.Name]; m != nil {
 			c.send(now, m.Address, &wire.Packet{Kind: packetGossip}, nil)
 		}
@@ -111,19 +65,16 @@
 	}
 }
 
-// Frame takes a frame of an exchange in, from whichever side, and returns what to answer; nil: the exchange is over.
+// OpeningFrame returns the first frame of an exchange: the digests of this view.
+func (c *Core) OpeningFrame(now int64) []byte {
+	return c.encodeFrame(now, &wire.Frame{Kind: frameDigests, Sums: c.bucketDigests[:], Dead: c.deadDigest(now), First: !c.joined}, nil)
+}
+
+// HandleFrame handles a frame of an exchange, on either side, and returns the reply. A nil reply ends the exchange. The error says why a frame was dropped.
 func (c *Core) HandleFrame(now int64, b []byte) (reply []byte, err error) {
 	c.detectStall(now)
 	f := &wire.Frame{}
-	if err := unseal(b, MaxFrame, f); err != nil {
-		c.counts.Dropped++
-		return nil, err
-	}
-	if f.Fleet != c.cfg.Fleet {
-		c.counts.Dropped++
-		return nil, ErrFleet
-	}
-	from, err := c.checkSender(f.From, f.Start, f.Address, len(f.Members))
+	from, err := c.decodeFrame(b, f)
 	if err != nil {
 		c.counts.Dropped++
 		return nil, err
@@ -135,58 +86,87 @@
 		}
 	}
 	c.challengesLeft = maxChallenges
-	told := map[string]bool{} // what the other side has just as this one does
 	c.bootstrapping = f.Kind == frameDifferences && !c.joined
 	defer func() { c.bootstrapping = false }()
-	for _, x := range f.Members {
-		c.mergeWire(now, x)
-		if m := c.members[x.Name]; m != nil && m.Start == x.Start && m.Incarnation == x.Incarnation && uint32(m.State) == x.State {
-			told[x.Name] = true
-		}
-	}
+	same := c.mergeMembers(now, f.Members)
 	switch f.Kind {
 	case frameDigests:
-		d := &wire.Frame{Kind: frameDifferences}
-		differ := [digestBuckets]bool{}
-		for i := range differ {
-			if differ[i] = f.First || len(f.Sums) != digestBuckets || f.Sums[i] != c.bucketDigests[i]; differ[i] {
-				d.Differ = append(d.Differ, uint32(i))
-			}
-		}
-		d.DeadDiffer = f.Dead != c.deadDigest(now)
-		return c.encodeFrame(now, d, c.membersIn(differ, d.DeadDiffer, told)), nil
+		return c.answerDigests(now, f, same), nil
 	case frameDifferences:
-		differ := [digestBuckets]bool{}
-		for _, i := range f.Differ {
-			if i < digestBuckets {
-				differ[i] = true
-			}
+		return c.answerDifferences(now, f, same), nil
+	}
+	return nil, nil
+}
+
+// decodeFrame decodes a frame and returns the address that its sender gives.
+func (c *Core) decodeFrame(b []byte, f *wire.Frame) (from netip.AddrPort, err error) {
+	if err := unseal(b, MaxFrame, f); err != nil {
+		return from, err
+	}
+	if f.Fleet != c.cfg.Fleet {
+		return from, ErrFleet
+	}
+	return c.checkSender(f.From, f.Start, f.Address, len(f.Members))
+}
+
+// mergeMembers merges the records of a frame. It returns the names of those that both sides have in the same state, which need not be sent back.
+func (c *Core) mergeMembers(now int64, members []*wire.Member) (same map[string]bool) {
+	same = map[string]bool{}
+	for _, x := range members {
+		c.mergeWire(now, x)
+		m := c.members[x.Name]
+		if m != nil && m.Start == x.Start && m.Incarnation == x.Incarnation && uint32(m.State) == x.State {
+			same[x.Name] = true
 		}
-		if len(f.Differ) == 0 && !f.DeadDiffer {
-			return nil, nil
+	}
+	return same
+}
+
+// answerDigests answers the opening frame: with the numbers of the buckets that differ, and the records in them.
+func (c *Core) answerDigests(now int64, f *wire.Frame, same map[string]bool) []byte {
+	reply := &wire.Frame{Kind: frameDifferences}
+	differ := [digestBuckets]bool{}
+	for i := range differ {
+		differ[i] = f.First || len(f.Sums) != digestBuckets || f.Sums[i] != c.bucketDigests[i]
+		if differ[i] {
+			reply.Differ = append(reply.Differ, uint32(i))
 		}
-		return c.encodeFrame(now, &wire.Frame{Kind: frameRest}, c.membersIn(differ, f.DeadDiffer, told)), nil
 	}
-	return nil, nil
+	reply.DeadDiffer = f.Dead != c.deadDigest(now)
+	return c.encodeFrame(now, reply, c.membersIn(differ, reply.DeadDiffer, same))
+}
+
+// answerDifferences answers the second frame with this view's records in the buckets that differ. It is nil if none do.
+func (c *Core) answerDifferences(now int64, f *wire.Frame, same map[string]bool) []byte {
+	if len(f.Differ) == 0 && !f.DeadDiffer {
+		return nil
+	}
+	differ := [digestBuckets]bool{}
+	for _, i := range f.Differ {
+		if i < digestBuckets {
+			differ[i] = true
+		}
+	}
+	return c.encodeFrame(now, &wire.Frame{Kind: frameRest}, c.membersIn(differ, f.DeadDiffer, same))
 }
 
-// within are the members whose names fall into some of the sums, and all that are gone where wanted, but for some.
-func (c *Core) membersIn(differ [digestBuckets]bool, gone bool, but map[string]bool) (out []*member) {
+// membersIn returns the members in the buckets that differ, and if gone is set all that are gone, except those named in same.
+func (c *Core) membersIn(differ [digestBuckets]bool, gone bool, same map[string]bool) (out []*member) {
 	for _, m := range c.present {
-		if differ[bucketOf(m.Name)] && !but[m.Name] {
+		if differ[bucketOf(m.Name)] && !same[m.Name] {
 			out = append(out, m)
 		}
 	}
 	for _, m := range c.gone {
-		if (gone || differ[bucketOf(m.Name)]) && !but[m.Name] {
+		if (gone || differ[bucketOf(m.Name)]) && !same[m.Name] {
 			out = append(out, m)
 		}
 	}
 	return out
 }
 
-// deadDigest is a digest of the members held for dead that are reckoned with. The digest of the view leaves the dead out, so a word that
-// one of them has left, or was forgotten, could be lost for good: exchanges compare this one too. It costs O(gone).
+// deadDigest is a digest of the dead members that count in the effective size. The digest of the view leaves the dead out, so the record that one of them
+// has left or was forgotten could be lost for good; exchanges compare this digest too. It costs O(members that are gone).
 func (c *Core) deadDigest(now int64) (digest uint64) {
 	for _, m := range c.gone {
 		if c.countsWhileDead(now, m) {
@@ -195,3 +175,17 @@
 	}
 	return digest
 }
+
+// encodeFrame encodes a frame with this process's own record, unless it is superseded, and those of members.
+func (c *Core) encodeFrame(now int64, f *wire.Frame, members []*member) []byte {
+	f.Fleet, f.From, f.Start, f.Address = c.cfg.Fleet, c.self.Name, c.self.Start, c.self.Address.String()
+	if !c.superseded {
+		f.Members = append(f.Members, toWire(c.self.Record, now-c.self.since))
+	}
+	for _, m := range members {
+		f.Members = append(f.Members, toWire(m.Record, now-m.since))
+	}
+	b := seal(f)
+	c.counts.FrameBytes += int64(len(b))
+	return b
+}
--- a/internal/cluster/swim/learn.go
+++ b/internal/cluster/swim/merge.go
@@ -9,7 +9,7 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// hear takes one record in as it was told. The same words say nothing the second time: most of what comes is known.
+// mergeEncoded merges one gossiped record. Bytes that were merged before are skipped, since most records arrive many times.
 func (c *Core) mergeEncoded(now int64, b []byte) {
 	sum := xxhash.Sum64(b)
 	if _, known := c.seenRecords[sum]; known {
@@ -21,7 +21,7 @@
 		return
 	}
 	if c.mergeWire(now, m); m.Name == c.self.Name {
-		return // what is said of this process itself is answered each time
+		return // a record about this process is answered each time
 	}
 	if len(c.seenRecords) >= maxSeenRecords {
 		clear(c.seenRecords)
@@ -29,20 +29,20 @@
 	c.seenRecords[sum] = struct{}{}
 }
 
-// learn takes one record in, and tells whether the view has changed by it.
-func (c *Core) mergeWire(now int64, x *wire.Member) bool {
+// mergeWire merges one decoded record. One that can't prevail is skipped before it is checked.
+func (c *Core) mergeWire(now int64, x *wire.Member) {
 	if m := c.members[x.Name]; m != nil && x.Start == m.Start && x.Incarnation <= m.Incarnation && m.State != Suspected && x.State <= uint32(m.State) {
-		return false
+		return
 	}
 	r, err := fromWire(x)
 	if err != nil || !c.cfg.Allowed(r.Address.Addr()) {
 		c.counts.Dropped++
-		return false
+		return
 	}
-	return c.merge(now, r, int64(x.AgeMs)*1000)
+	c.merge(now, r, int64(x.AgeMs)*1000)
 }
 
-// apply holds a record against the view. age is how long ago a death or a leave was.
+// merge compares a record with the view and accepts it if it prevails. age is the time since a death or a departure, in microseconds.
 func (c *Core) merge(now int64, r Record, age int64) bool {
 	if r.Name == c.self.Name {
 		c.mergeSelf(now, r)
@@ -63,11 +63,11 @@
 		c.setRecord(now, m, r, age)
 		return true
 	case m.reportedDead != nil && !r.prevailsOver(*m.reportedDead):
-		return false // it is looked into whether that is true
+		return false // the reported death is being checked
 	case !r.prevailsOver(m.Record) && !(m.State == Suspected && r.State == Suspected && r.Start == m.Start && r.Incarnation == m.Incarnation):
 		return false
 	case m.State == Suspected && r.present() == (r.State == Suspected) && r.State != Left && r.Start == m.Start && r.Incarnation == m.Incarnation:
-		// A death that others tell of is as good as its accusers.
+		// A reported death counts as its accusers.
 		return c.addAccusers(now, m, r.Accusers)
 	case m.State == Alive && r.State == Dead && r.Start == m.Start:
 		c.challengeDeath(now, m, r)
@@ -77,21 +77,21 @@
 	return true
 }
 
-// hearsay is a death told of a member that is alive here, as the other half of a fleet that was split tells of this one. It is not
-// passed on: the member itself is told, and refutes. Should it not, it is believed in the end.
+// challengeDeath handles a reported death of a member that is alive in this view, as the other part of a partitioned fleet reports it. The report is not passed on:
+// the member is shown it and can refute. Without a refutation it is accepted in the end.
 func (c *Core) challengeDeath(now int64, m *member, r Record) {
 	if m.heapIndex >= 0 {
-		m.reportedDead = &r // it prevails over what was told before
+		m.reportedDead = &r // it prevails over the death reported before
 		return
 	}
 	m.reportedDead, m.checks, m.checkAt = &r, 0, now
-	if c.challengesLeft--; c.challengesLeft < 0 { // not all at once
+	if c.challengesLeft--; c.challengesLeft < 0 { // spread the pings out
 		m.checkAt += c.rng.Int64N(5 * c.cfg.ProbePeriod)
 	}
 	heap.Push(&c.suspicions, m)
 }
 
-// put has a record in force.
+// setRecord replaces a member's record, and updates digest, lists, suspicion and gossip.
 func (c *Core) setRecord(now int64, m *member, r Record, age int64) {
 	old := m.Record
 	if old.present() {
@@ -119,18 +119,18 @@
 		c.endSuspicion(m)
 	}
 	switch {
-	case c.bootstrapping: // it is told what all others know
+	case c.bootstrapping: // the other members know these records already
 	case r.State == Suspected:
-		c.broadcasts.add(now, m, c.transmitLimit()/2) // what clears it goes first, and further
+		c.broadcasts.add(now, m, c.transmitLimit()/2) // a refutation goes before it, and further
 	case r.State == Dead:
-		c.broadcasts.add(now, m, c.transmitLimit()/3) // most conclude it by themselves
+		c.broadcasts.add(now, m, c.transmitLimit()/3) // most members come to it by themselves
 	default:
 		c.broadcasts.add(now, m, 0)
 	}
 	c.emitTransition(old, r)
 }
 
-// tellOf makes the event of a change.
+// emitTransition emits the event of a change from one record to another.
 func (c *Core) emitTransition(old, r Record) {
 	switch {
 	case r.State == Dead && old.State != Dead:
@@ -152,16 +152,10 @@
 	}
 }
 
-// move puts a member into the list where it belongs now, and into the round of probes at a place by chance.
-func (c *Core) moveToList(m *member, was bool) {
+// moveToList moves a member into the list where it belongs now. A member that is present is inserted into probeOrder at a random place.
+func (c *Core) moveToList(m *member, wasPresent bool) {
 	if m.listIndex >= 0 {
-		list := &c.gone
-		if was {
-			list = &c.present
-		}
-		last := (*list)[len(*list)-1]
-		(*list)[m.listIndex], last.listIndex = last, m.listIndex
-		*list = (*list)[:len(*list)-1]
+		c.unlist(m, wasPresent)
 	}
 	if !m.present() {
 		m.listIndex = len(c.gone)
@@ -179,3 +173,14 @@
 		c.isolated = false
 	}
 }
+
+// unlist removes a member from the list that it is in: from present if wasPresent is set, otherwise from gone.
+func (c *Core) unlist(m *member, wasPresent bool) {
+	list := &c.gone
+	if wasPresent {
+		list = &c.present
+	}
+	last := (*list)[len(*list)-1]
+	(*list)[m.listIndex], last.listIndex = last, m.listIndex
+	*list = (*list)[:len(*list)-1]
+}
--- /dev/null
+++ b/internal/cluster/swim/output.go
@@ -0,0 +1,95 @@
+package swim
+
+import (
+	"net/netip"
+)
+
+// Datagram is one UDP datagram to send. It may be lost.
+type Datagram struct {
+	To    netip.AddrPort
+	Bytes []byte
+}
+
+// Exchange asks the driver for a push-pull exchange: open a stream to To, send Frame, hand the frame that comes back to Core.HandleFrame and send its
+// reply. An exchange that fails needs no report; a later one replaces it.
+type Exchange struct {
+	To    netip.AddrPort
+	Frame []byte
+}
+
+// Output is the work that a core leaves to its driver, in order.
+type Output struct {
+	Datagrams []Datagram
+	Exchanges []Exchange
+	Events    []Event
+}
+
+// Event is a change that an operator or another component may want to know. Record is the record of the member concerned.
+type Event struct {
+	Kind EventKind
+	Record
+	Late int64 // Napped: how late it was
+}
+
+// EventKind is the kind of an event.
+type EventKind uint8
+
+// The kinds of events.
+const (
+	EventJoined       EventKind = iota // a member is new in this view, or alive again after it was dead
+	EventSuspected                     // a member is suspected; By has its first accuser
+	EventCleared                       // a suspected member is alive
+	EventDead                          // a member is held for dead
+	EventLeft                          // a member has left
+	EventRestarted                     // a member has a later start
+	EventUpdated                       // a member tells something else of itself
+	EventRefuted                       // this one was accused, and says otherwise
+	EventNameConflict                  // another live process bears this one's name
+	EventRejoined                      // this one has taken a new identity
+	EventStalled                       // this process did not run for a while, and doubts itself
+	EventIsolated                      // nobody of Join has answered
+	EventConnected                     // somebody has
+)
+
+// String is the name of the kind as it stands in log lines.
+func (k EventKind) String() string {
+	return [...]string{"joined", "suspected", "cleared", "dead", "left", "restarted", "changed", "refuted", "twin", "rejoined", "napped", "alone", "found"}[k]
+}
+
+// Counts are the counters of a core.
+type Counts struct {
+	Sent, SentBytes, Received, Dropped                         int64 // datagrams and what was dropped of them, and of frames
+	Probes, FailedProbes, Suspicions, Refutations, Deaths      int64
+	Exchanges, DigestMismatches, Stalls, FrameBytes, Forgotten int64
+}
+
+// Plus returns the sums of two cores' counters.
+func (c Counts) Plus(o Counts) Counts {
+	c.Sent += o.Sent
+	c.SentBytes += o.SentBytes
+	c.Received += o.Received
+	c.Dropped += o.Dropped
+	c.Probes += o.Probes
+	c.FailedProbes += o.FailedProbes
+	c.Suspicions += o.Suspicions
+	c.Refutations += o.Refutations
+	c.Deaths += o.Deaths
+	c.Exchanges += o.Exchanges
+	c.DigestMismatches += o.DigestMismatches
+	c.Stalls += o.Stalls
+	c.FrameBytes += o.FrameBytes
+	c.Forgotten += o.Forgotten
+	return c
+}
+
+// TakeOutput returns the work since the last call, and hands it over: the core keeps no reference to it.
+func (c *Core) TakeOutput() Output {
+	o := c.output
+	c.output = Output{}
+	return o
+}
+
+// emit adds an event to the output.
+func (c *Core) emit(k EventKind, r Record) {
+	c.output.Events = append(c.output.Events, Event{Kind: k, Record: r})
+}
--- a/internal/cluster/swim/self.go
+++ b/internal/cluster/swim/self.go
@@ -5,36 +5,23 @@
 	"saffronquay/internal/cluster/swim/wire"
 )
 
-// ofSelf hears what others believe of this process.
+// mergeSelf merges a record about this process that another one sent. Accusations are refuted.
 func (c *Core) mergeSelf(now int64, r Record) {
 	s := c.self
 	switch {
-	case c.leavingSince != 0: // who comes after it is no twin
-	case r.Start < s.Start: // old news: the answer is this start's record
+	case c.leavingSince != 0: // a successor of this name is no conflict
+	case r.Start < s.Start: // out of date: the record of the present start answers it
 		if !s.queued && !c.superseded {
 			c.broadcasts.add(now, s, 0)
 		}
 	case r.Start > s.Start && !r.present():
-		// A later start, by a clock that ran ahead or of a twin, is over: this process takes its place.
+		// A process of this name with a later start has ended, or the clock ran ahead then: this process takes its place.
 		c.takeNewStart(now, r.Start+1)
 	case r.Start > s.Start:
-		c.noteConflict(now, r)
-		if m := c.members[r.Name]; m == nil || r.prevailsOver(m.Record) {
-			if m == nil {
-				m = &member{listIndex: -1, heapIndex: -1, Record: Record{Name: r.Name}}
-				c.members[r.Name] = m
-			}
-			c.setRecord(now, m, r, 0)
-		}
-		if !c.superseded {
-			c.superseded = true
-			c.toggleDigest(s.Record)
-			c.digestChangedAt = now
-			c.broadcasts.drop(s)
-		}
+		c.supersede(now, r)
 	case c.superseded:
 	case r.State == Left:
-		c.takeNewStart(now, r.Start+1) // somebody took it for gone: it is there
+		c.takeNewStart(now, r.Start+1) // a member or an operator declared that it has left, but it runs
 	case r.State != Alive && r.Incarnation >= s.Incarnation || r.Incarnation > s.Incarnation:
 		if c.cfg.Disabled.Refutation {
 			return
@@ -49,7 +36,25 @@
 	}
 }
 
-// rename takes a new identity.
+// supersede records a live process of this name with a later start: that one is the member, and this process is not.
+func (c *Core) supersede(now int64, r Record) {
+	c.noteConflict(now, r)
+	if m := c.members[r.Name]; m == nil || r.prevailsOver(m.Record) {
+		if m == nil {
+			m = &member{listIndex: -1, heapIndex: -1, Record: Record{Name: r.Name}}
+			c.members[r.Name] = m
+		}
+		c.setRecord(now, m, r, 0)
+	}
+	if !c.superseded {
+		c.superseded = true
+		c.toggleDigest(c.self.Record)
+		c.digestChangedAt = now
+		c.broadcasts.drop(c.self)
+	}
+}
+
+// takeNewStart gives this process a later start, since a record about the present one can no longer be refuted.
 func (c *Core) takeNewStart(now int64, start uint64) {
 	s := c.self
 	if !c.superseded {
@@ -66,13 +71,13 @@
 	c.emit(EventRejoined, s.Record)
 }
 
-// namesake hears from a process of this one's name.
+// handleNamesake handles a message from a process that has this one's name.
 func (c *Core) handleNamesake(now int64, start uint64, from netip.AddrPort) {
 	if start == c.self.Start && from == c.self.Address {
-		return // its own words: an address of Join is its own
+		return // its own message: one of the join addresses is its own
 	}
 	if start > c.self.Start || c.leavingSince != 0 {
-		return // its record comes with others' news
+		return // the other process's record arrives by gossip
 	}
 	r := c.self.Record
 	r.Start, r.Address = start, from
@@ -80,7 +85,7 @@
 	c.send(now, from, &wire.Packet{Kind: packetGossip}, c.self)
 }
 
-// heardTwin notes that another live process bears this one's name; it is told of again after a while.
+// noteConflict records that another live process has this one's name. The event is repeated after ten exchange periods.
 func (c *Core) noteConflict(now int64, r Record) {
 	if c.conflictSeenAt = now; c.conflictReportedAt == 0 || now-c.conflictReportedAt >= 10*c.cfg.ExchangePeriod {
 		c.conflictReportedAt = now
@@ -88,7 +93,7 @@
 	}
 }
 
-// SetFacts changes what this process tells of itself.
+// SetMetadata changes the metadata of this process and announces it. It does nothing once the process leaves.
 func (c *Core) SetMetadata(now int64, f Metadata) {
 	s := c.self
 	if s.Metadata == f || c.leavingSince != 0 {
@@ -108,7 +113,7 @@
 	c.broadcasts.add(now, s, 0)
 }
 
-// Leave begins to tell that this process goes; Left says when that has been told often enough. It can't be taken back.
+// Leave starts to announce that this process leaves. HasLeft reports when the announcement is over. It can't be undone.
 func (c *Core) Leave(now int64) {
 	if c.leavingSince != 0 {
 		return
@@ -124,7 +129,7 @@
 	c.nextGossipAt = now
 }
 
-// Left tells whether a leave has been told, or nobody is there to be told.
+// HasLeft reports whether the announcement of Leave is over, or no member is present to hear it.
 func (c *Core) HasLeft(now int64) bool {
 	return c.leavingSince != 0 && (len(c.present) == 0 || now-c.leavingSince >= leaveHalfPeriods*c.cfg.ProbePeriod/2)
 }
--- a/internal/cluster/swim/view.go
+++ b/internal/cluster/swim/view.go
@@ -5,14 +5,14 @@
 	"slices"
 )
 
-// Member is one as a view shows it.
+// Member is one member in a view.
 type Member struct {
 	Record
 	Since int64 // of its state
 	Self  bool
 }
 
-// View is a copy of what a core holds.
+// View is a copy of a core's state. It shares nothing that the core changes.
 type View struct {
 	Members                   []Member // by name
 	Digest                    uint64
@@ -24,15 +24,34 @@
 	Isolated                  bool // nobody of Config.Join has answered
 }
 
-// String is the kind as logs name it.
-func (k EventKind) String() string {
-	return [...]string{"joined", "suspected", "cleared", "dead", "left", "restarted", "changed", "refuted", "twin", "rejoined", "napped", "alone", "found"}[k]
+// View copies the state of the core. Members are sorted by name. It costs O(members log members).
+func (c *Core) View(now int64) View {
+	v := View{
+		Digest: c.digest, DigestChanged: c.digestChangedAt, AliveCount: c.AliveCount(), EffectiveSize: c.EffectiveSize(now), HealthScore: c.healthScore, Superseded: c.superseded, Isolated: c.isolated,
+		NameConflict: c.conflictSeenAt != 0 && now-c.conflictSeenAt < 3*c.cfg.ExchangePeriod,
+	}
+	if !c.superseded {
+		v.Members = append(v.Members, Member{c.self.Record, c.self.since, true})
+	}
+	for _, m := range c.members {
+		v.Members = append(v.Members, Member{m.Record, m.since, false})
+	}
+	slices.SortFunc(v.Members, func(a, b Member) int { return cmp.Compare(a.Name, b.Name) })
+	return v
 }
 
-// Digest is of the members that are alive or suspected; Changed is when it changed last.
+// Digest returns the digest of the members that are alive or suspected, and when it changed last.
 func (c *Core) Digest() (digest uint64, changed int64) { return c.digest, c.digestChangedAt }
 
-// Alive is how many members are alive or suspected, this one with them.
+// DigestOf returns the digest of a view that holds exactly these records, all alive.
+func DigestOf(records ...Record) (digest uint64) {
+	for _, r := range records {
+		digest ^= r.hash()
+	}
+	return digest
+}
+
+// AliveCount is the number of members that are alive or suspected, this process included unless it leaves or is superseded.
 func (c *Core) AliveCount() int {
 	if c.superseded || c.leavingSince != 0 {
 		return len(c.present)
@@ -40,8 +59,8 @@
 	return len(c.present) + 1
 }
 
-// Reckon is how many members have to be reckoned with: those alive or suspected, and those dead for less than Config.Reckon. It costs
-// O(dead).
+// EffectiveSize is the number by which shared budgets are divided: AliveCount and the members that have been dead for less than Config.CountDeadFor. It costs
+// O(members that are gone).
 func (c *Core) EffectiveSize(now int64) int {
 	n := c.AliveCount()
 	for _, m := range c.gone {
@@ -52,12 +71,12 @@
 	return n
 }
 
-// reckoned tells whether a member that is gone has to be reckoned with.
+// countsWhileDead reports whether a member that is gone still counts in the effective size.
 func (c *Core) countsWhileDead(now int64, m *member) bool {
 	return m.State == Dead && now-m.since < c.cfg.CountDeadFor
 }
 
-// State is how a member stands in this view; ok is false of one that is unknown. since is the time of its last change of state.
+// Lookup returns a member's record and the time of its last change of state. ok is false if the name is unknown.
 func (c *Core) Lookup(name string) (r Record, since int64, ok bool) {
 	if name == c.self.Name && !c.superseded {
 		return c.self.Record, c.self.since, true
@@ -69,48 +88,5 @@
 	return m.Record, m.since, true
 }
 
-// Self is what this process tells of itself.
+// Self returns the record of this process.
 func (c *Core) Self() Record { return c.self.Record }
-
-// View copies all: O(members log members).
-func (c *Core) View(now int64) View {
-	v := View{
-		Digest: c.digest, DigestChanged: c.digestChangedAt, AliveCount: c.AliveCount(), EffectiveSize: c.EffectiveSize(now), HealthScore: c.healthScore, Superseded: c.superseded, Isolated: c.isolated,
-		NameConflict: c.conflictSeenAt != 0 && now-c.conflictSeenAt < 3*c.cfg.ExchangePeriod,
-	}
-	if !c.superseded {
-		v.Members = append(v.Members, Member{c.self.Record, c.self.since, true})
-	}
-	for _, m := range c.members {
-		v.Members = append(v.Members, Member{m.Record, m.since, false})
-	}
-	slices.SortFunc(v.Members, func(a, b Member) int { return cmp.Compare(a.Name, b.Name) })
-	return v
-}
-
-// DigestOf is the digest of a view that holds exactly these records, all alive.
-func DigestOf(records ...Record) (digest uint64) {
-	for _, r := range records {
-		digest ^= r.hash()
-	}
-	return digest
-}
-
-// Plus adds two processes' counts.
-func (c Counts) Plus(o Counts) Counts {
-	c.Sent += o.Sent
-	c.SentBytes += o.SentBytes
-	c.Received += o.Received
-	c.Dropped += o.Dropped
-	c.Probes += o.Probes
-	c.FailedProbes += o.FailedProbes
-	c.Suspicions += o.Suspicions
-	c.Refutations += o.Refutations
-	c.Deaths += o.Deaths
-	c.Exchanges += o.Exchanges
-	c.DigestMismatches += o.DigestMismatches
-	c.Stalls += o.Stalls
-	c.FrameBytes += o.FrameBytes
-	c.Forgotten += o.Forgotten
-	return c
-}
