--- a/internal/cluster/swim/broadcast.go
+++ b/internal/cluster/swim/broadcast.go
@@ -16,7 +16,7 @@
 }
 
 // recordOverhead is the number of bytes before a record: its tag and length.
-const recordOverhead = 3 // bytes before a record: its tag and length
+const recordOverhead = 3
 
 // add queues a member's record in place of an older one. A level above 0 counts as so many transmissions already made.
 func (q *broadcastQueue) add(now int64, m *member, level int) {
--- a/internal/cluster/swim/config.go
+++ b/internal/cluster/swim/config.go
@@ -8,30 +8,33 @@
 
 // Config holds the settings of a core. Times are microseconds; 0 takes the default.
 type Config struct {
-	Fleet    string // name that all members share; what bears another is dropped
+	Fleet    string // name of the fleet; messages of another one are dropped
 	Name     string // of this member
-	Start    uint64 // identity of this start: Unix microseconds do
+	Start    uint64 // identity of this start: each start of a name needs a greater one, such as Unix microseconds
 	Address  netip.AddrPort
 	Zone     string
 	Version  string
 	Metadata Metadata
 
-	Join    []netip.AddrPort           // where others may be; its own address among them does no harm
-	Allowed func(addr netip.Addr) bool // nil: every address
+	Join    []netip.AddrPort           // addresses where other members may be; its own address is ignored
+	Allowed func(addr netip.Addr) bool // addresses that members may have; nil allows all
 
-	ProbePeriod     int64   // of a probe; 200 ms
-	SuspicionFactor float64 // the shortest suspicion is so many periods times log10 of the fleet; 2.5
-	CountDeadFor    int64   // how long the dead are reckoned with; 300 s
-	ForgetAfter     int64   // how long they are tried and remembered; 1 h, at least Reckon
-	ExchangePeriod  int64   // between full exchanges; 25 periods
-	MaxMembers      int     // members that are kept; 4096
+	ProbePeriod     int64   // between probes of a healthy process; 200 ms
+	SuspicionFactor float64 // the shortest suspicion in probe periods, times log10 of the members; 2.5
+	CountDeadFor    int64   // how long a dead member counts in the effective size; 300 s
+	ForgetAfter     int64   // how long a dead member is remembered and contacted; 1 h or CountDeadFor if that is longer
+	ExchangePeriod  int64   // mean time between exchanges; 25 probe periods
+	MaxMembers      int     // bound of the members that are remembered; 4096
 
 	Disabled Disabled
 }
 
 // Disabled switches single mechanisms off, so that measurements show their effect and tests show that they notice. It is never set in service.
 type Disabled struct {
-	Awareness, Confirmation, DeadExchanges, Refutation bool
+	Awareness     bool // health score, stalls and postponed deaths
+	Confirmation  bool // longer suspicions while there are few accusers
+	DeadExchanges bool // exchanges with dead members and join addresses
+	Refutation    bool // answers to accusations
 }
 
 // New returns a core that knows itself only. now is at least 1. It fails if a name, the address or the start is not valid.
@@ -64,8 +67,11 @@
 		cfg.Allowed = func(netip.Addr) bool { return true }
 	}
 	c := &Core{
-		cfg: cfg, rng: rng, members: map[string]*member{}, relays: map[uint32]relay{}, seenRecords: map[uint64]struct{}{}, digestChangedAt: now, nextProbeAt: now + rng.Int64N(cfg.ProbePeriod),
-		nextExchangeAt: now + rng.Int64N(cfg.ExchangePeriod), nextJoinAt: now + rng.Int64N(cfg.ProbePeriod/4+1), joinBackoff: cfg.ProbePeriod,
+		cfg: cfg, rng: rng, members: map[string]*member{}, relays: map[uint32]relay{}, seenRecords: map[uint64]struct{}{}, digestChangedAt: now,
+		nextProbeAt:    now + rng.Int64N(cfg.ProbePeriod),
+		nextExchangeAt: now + rng.Int64N(cfg.ExchangePeriod),
+		nextJoinAt:     now + rng.Int64N(cfg.ProbePeriod/4+1),
+		joinBackoff:    cfg.ProbePeriod,
 	}
 	c.nextGossipAt = c.nextProbeAt
 	c.self = &member{listIndex: -1, heapIndex: -1, since: now, Record: Record{
--- a/internal/cluster/swim/core.go
+++ b/internal/cluster/swim/core.go
@@ -10,29 +10,29 @@
 	cfg             Config
 	rng             *rand.Rand
 	self            *member
-	members         map[string]*member // all but itself; under its own name a twin of a later start
+	members         map[string]*member // all other members; under its own name a process with a later start
 	present         []*member          // alive or suspected
 	gone            []*member          // dead or left
 	digest          uint64
 	bucketDigests   [digestBuckets]uint64
-	digestChangedAt int64 // when the digest changed last
+	digestChangedAt int64 // time of the last change of the digest
 
 	probeOrder    []*member
 	probeIndex    int
 	probe         *probe
-	nextProbeAt   int64 // of the next one
+	nextProbeAt   int64
 	lastSeq       uint32
 	relays        map[uint32]relay
-	relayOrder    []uint32 // in the order of their ends
-	healthScore   int      // awareness: 0 well, mostIll at worst
-	acksToTrust   int      // answers that are still wanted before it accuses
+	relayOrder    []uint32 // sequence numbers in the order of their expiry
+	healthScore   int      // 0 healthy, maxHealthScore at worst
+	acksToTrust   int      // acks that are missing before it accuses others again
 	distrustUntil int64
 
 	suspicions     suspicionHeap
 	broadcasts     broadcastQueue
-	accusedAgain   bool                // what came in last accuses this process of what it has refuted already
-	challengesLeft int                 // that may still be sent for what came in last
-	seenRecords    map[uint64]struct{} // sums of records as they were told, that are known
+	accusedAgain   bool                // the message being handled holds an accusation that is refuted already
+	challengesLeft int                 // challenges that may be sent at once for the message being handled
+	seenRecords    map[uint64]struct{} // hashes of encoded records that were merged
 	nextGossipAt   int64
 
 	nextExchangeAt, lastExchangeAt     int64
@@ -41,48 +41,48 @@
 	joinBackoff                        int64
 	joinAttempts                       int
 	isolated, joined                   bool
-	bootstrapping                      bool  // what comes in is the answer to its first words
-	leavingSince                       int64 // 0: not
-	conflictSeenAt, conflictReportedAt int64 // when another one of its name was heard of, and told of
-	superseded                         bool  // that one's start is later: this one is no member
+	bootstrapping                      bool  // the frame being handled is the answer to its first exchange
+	leavingSince                       int64 // 0: it does not leave
+	conflictSeenAt, conflictReportedAt int64 // of another process of its name: last evidence, last event
+	superseded                         bool  // that one's start is later, so this process is no member
 
 	output Output
 	counts Counts
 }
 
-// Bounds and factors of the protocol. They are the same in every process of a fleet.
+// Bounds and factors of the protocol.
 const (
-	maxSuspicionFactor = 6 // the longest suspicion, in shortest ones
-	confirmations      = 3 // accusers beside the first that make it the shortest
-	indirectProbes     = 3 // that are asked to probe
-	gossipFanout       = 3 // members that news are sent to, every half period
-	maxHealthScore     = 8 // steps of awareness
-	maxRelays          = 256
-	maxSeenRecords     = 4096 // records
-	maxChallenges      = 16   // members that are told what others say of them, for each datagram or frame that comes
-	digestBuckets      = 32
-	mismatchLimit      = 6 // contacts in a row with another digest that begin an exchange
-	acksAfterStall     = 3 // answers that end a process's doubt of itself
-	leaveHalfPeriods   = 4 // half periods in which a leave is told
+	maxSuspicionFactor = 6    // the longest suspicion, in multiples of the shortest
+	confirmations      = 3    // further accusers that make a suspicion the shortest
+	indirectProbes     = 3    // members that are asked for an indirect probe
+	gossipFanout       = 3    // members that get gossip, every half probe period
+	maxHealthScore     = 8    // steps of the health score
+	maxRelays          = 256  // indirect probes for others at a time
+	maxSeenRecords     = 4096 // hashes of merged records
+	maxChallenges      = 16   // members that are challenged at once, for each message
+	digestBuckets      = 32   // on the wire
+	mismatchLimit      = 6    // messages in a row with another digest that start an exchange
+	acksAfterStall     = 3    // acks after which a stalled process accuses others again
+	leaveHalfPeriods   = 4    // half probe periods in which a departure is announced
 )
 
 // member is what the core knows about one process.
 type member struct {
 	Record
-	since     int64 // of its state
-	lastHeard int64 // when it was heard itself
+	since     int64 // time of the last change of state
+	lastHeard int64 // when a datagram of its own arrived last
 	listIndex int   // in present or gone; -1: in neither
 
-	suspectedAt, suspicionEnd int64   // of its suspicion
-	checkAt                   int64   // when it is looked at next
-	checks                    int     // times that it was told of its suspicion to its end
-	extended                  bool    // the end was put off once, since it was heard itself
-	reportedDead              *Record // what others say of it, while it is alive here
-	heapIndex                 int     // among the suspicions; -1: none
+	suspectedAt, suspicionEnd int64   // begin and end of its suspicion
+	checkAt                   int64   // time of the next check
+	checks                    int     // checks of the suspicion so far
+	extended                  bool    // the end was postponed once, since the member was heard
+	reportedDead              *Record // its death as another member reports it, while it is alive in this view
+	heapIndex                 int     // index in suspicions; -1: in none
 
-	queued     bool
-	generation uint32
-	encoded    []byte // as it is told
+	queued     bool   // it has an entry in the broadcast queue
+	generation uint32 // of that entry
+	encoded    []byte // the record as it is gossiped
 }
 
 // Counts returns the counters since the core was made.
--- a/internal/cluster/swim/core_test.go
+++ b/internal/cluster/swim/core_test.go
@@ -1,6 +1,7 @@
 package swim
 
 import (
+	"errors"
 	"fmt"
 	"math/rand/v2"
 	"net/netip"
@@ -37,8 +38,8 @@
 	return r
 }
 
-// Whatever order records of one name come in, and however often, the one that prevails is the same; deaths that are only told are
-// believed once nobody refutes them.
+// The record that prevails is the same in whatever order, and however often, the records of one name arrive. A reported death is accepted after
+// it was not refuted.
 func TestRecordsInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var all []Record
@@ -60,7 +61,7 @@
 		for _, r := range order {
 			c.merge(now, r, 0)
 		}
-		for range 100 { // nobody answers: what is suspected or told to be dead is dead in the end
+		for range 100 { // without acks a member that is suspected or reported dead is dead in the end
 			now = max(now, c.NextTick())
 			c.Tick(now)
 		}
@@ -74,15 +75,15 @@
 	})
 }
 
-// What is said of this process itself.
-func TestOfSelf(t *testing.T) {
+// Records about this process itself.
+func TestRecordsAboutSelf(t *testing.T) {
 	for _, x := range []struct {
-		what  string
-		r     Record
-		inc   uint32
-		start uint64
-		kind  EventKind
-		told  bool
+		what    string
+		r       Record
+		inc     uint32
+		start   uint64
+		kind    EventKind
+		emitted bool
 	}{
 		{"suspected", record("me", 100, 0, Suspected), 1, 100, EventRefuted, true},
 		{"dead, with a later incarnation", record("me", 100, 7, Dead), 8, 100, EventRefuted, true},
@@ -94,15 +95,15 @@
 		c := newCore(t, "me", 0)
 		c.TakeOutput()
 		c.merge(2*second, x.r, 0)
-		told := false
+		emitted := false
 		for _, e := range c.TakeOutput().Events {
-			told = told || e.Kind == x.kind
+			emitted = emitted || e.Kind == x.kind
 		}
-		if s := c.Self(); s.Incarnation != x.inc || s.Start != x.start || told != x.told {
-			t.Errorf("%s: incarnation %d, start %d, told %t", x.what, s.Incarnation, s.Start, told)
+		if s := c.Self(); s.Incarnation != x.inc || s.Start != x.start || emitted != x.emitted {
+			t.Errorf("%s: incarnation %d, start %d, emitted %t", x.what, s.Incarnation, s.Start, emitted)
 		}
 	}
-	// One of whom a later start is known is no member, and becomes one again when that is over.
+	// A process is no member while a later start of its name is known, and rejoins after that one has left.
 	c := newCore(t, "me", 0)
 	c.merge(2*second, record("me", 200, 0, Alive), 0)
 	if v := c.View(2 * second); !v.Superseded || !v.NameConflict || v.AliveCount != 1 || len(v.Members) != 1 || v.Members[0].Start != 200 {
@@ -114,8 +115,8 @@
 	}
 }
 
-// Members alive now and members to reckon with, and what an operator may have forgotten.
-func TestReckon(t *testing.T) {
+// The number of members alive, the effective size, and which members an operator may have forgotten.
+func TestEffectiveSize(t *testing.T) {
 	c := newCore(t, "me", 0)
 	for i := range 10 {
 		c.merge(2*second, record(fmt.Sprint("m", i), 1, 0, Alive), 0)
@@ -123,16 +124,16 @@
 	c.merge(2*second, record("old", 1, 0, Dead), 400*second) // dead for longer than it counts
 	c.merge(2*second, record("lost", 1, 0, Dead), 100*second)
 	if a, r := c.AliveCount(), c.EffectiveSize(2*second); a != 11 || r != 12 {
-		t.Errorf("alive %d, reckoned with %d", a, r)
+		t.Errorf("alive %d, effective size %d", a, r)
 	}
 	if r := c.EffectiveSize(202 * second); r != 11 {
-		t.Errorf("later it is reckoned with %d", r)
+		t.Errorf("later the effective size is %d", r)
 	}
 	if err := c.Forget(2*second, "m1"); err == nil {
 		t.Error("a live one is forgotten")
 	}
 	if err := c.Forget(2*second, "lost"); err != nil || c.EffectiveSize(2*second) != 11 {
-		t.Errorf("%v, reckoned with %d", err, c.EffectiveSize(2*second))
+		t.Errorf("%v, effective size %d", err, c.EffectiveSize(2*second))
 	}
 	c.Leave(3 * second)
 	if a := c.AliveCount(); a != 10 || c.HasLeft(3*second) {
@@ -140,11 +141,11 @@
 	}
 }
 
-func TestFollower(t *testing.T) {
+func TestDivisor(t *testing.T) {
 	var f Divisor
 	for _, x := range []struct {
-		at           int64
-		reckon, want int
+		at         int64
+		size, want int
 	}{
 		{0, 300, 300},
 		{1, 310, 310},
@@ -156,13 +157,13 @@
 		{4 * second, 0, 400},
 		{5 * second, 399, 399},
 	} {
-		if n, _ := f.Update(x.at, x.reckon); n != x.want {
-			t.Errorf("at %d, of %d: %d, want %d", x.at, x.reckon, n, x.want)
+		if n, _ := f.Update(x.at, x.size); n != x.want {
+			t.Errorf("at %d, of %d: %d, want %d", x.at, x.size, n, x.want)
 		}
 	}
 }
 
-// What is not a datagram of this fleet changes nothing, and is counted.
+// A datagram that is malformed or of another fleet does not change the view, and is counted as dropped.
 func TestDropped(t *testing.T) {
 	allowed := netip.MustParsePrefix("127.0.0.0/8")
 	c, err := New(Config{Fleet: "f", Name: "me", Start: 1, Address: testAddress(0), Allowed: allowed.Contains}, second, rand.New(rand.NewPCG(1, 1)))
@@ -194,7 +195,7 @@
 		{"no name", packet("f", "", "127.0.0.5:1"), ErrMalformed},
 		{"no address", packet("f", "a", "127.0.0.5"), ErrMalformed},
 	} {
-		if err := c.HandleDatagram(second, x.b); err != x.err {
+		if err := c.HandleDatagram(second, x.b); !errors.Is(err, x.err) {
 			t.Errorf("%s: %v", x.what, err)
 		}
 	}
@@ -205,30 +206,30 @@
 		t.Errorf("%v, %d alive", err, c.AliveCount())
 	}
 	if err := c.HandleDatagram(second, packet("f", "a", "127.0.0.5:1", &wire.Member{Name: "c", Address: "10.0.0.1:1"})); err != nil || c.AliveCount() != 2 {
-		t.Errorf("a rumour points outside: %v, %d alive", err, c.AliveCount())
+		t.Errorf("a record with an address outside: %v, %d alive", err, c.AliveCount())
 	}
 }
 
-// reseal mends a datagram's checksum.
+// reseal recomputes a datagram's checksum.
 func reseal(b []byte) {
 	sum := checksum(b[4:])
 	b[0], b[1], b[2], b[3] = byte(sum>>24), byte(sum>>16), byte(sum>>8), byte(sum)
 }
 
-// Any bytes: no panic, and no member that nobody told of; with a right checksum no more than what is in them, within bounds.
+// Any bytes: no panic, and no member whose name is not in them. Without a correct checksum no member at all.
 func FuzzCore(f *testing.F) {
 	p := &wire.Packet{Fleet: "f", Kind: packetPing, From: "a", Start: 1, Address: "127.0.0.5:1", News: [][]byte{encodeRecord(record("b", 1, 2, Suspected), 0)}}
 	f.Add(seal(p), false)
 	f.Add(seal(p)[headerBytes:], true)
 	f.Add(seal(&wire.Frame{Fleet: "f", Kind: frameDigests, From: "a", Start: 1, Address: "127.0.0.5:1", Members: []*wire.Member{toWire(record("b", 1, 2, Dead), 0)}})[headerBytes:], true)
-	f.Fuzz(func(t *testing.T, b []byte, mended bool) {
+	f.Fuzz(func(t *testing.T, b []byte, resealed bool) {
 		c := newCore(t, "me", 0)
-		if mended {
+		if resealed {
 			b = append([]byte{0, 0, 0, 0, formatVersion}, b...)
 			reseal(b)
 		}
 		c.HandleDatagram(second, b)
-		if !mended && len(c.members) > 0 && checksum(b[4:]) != uint32(b[0])<<24|uint32(b[1])<<16|uint32(b[2])<<8|uint32(b[3]) {
+		if !resealed && len(c.members) > 0 && checksum(b[4:]) != uint32(b[0])<<24|uint32(b[1])<<16|uint32(b[2])<<8|uint32(b[3]) {
 			t.Fatal("a member came of bytes without a checksum")
 		}
 		c.HandleFrame(second, b)
@@ -237,7 +238,7 @@
 		}
 		for name, m := range c.members {
 			if CheckName(name) != nil || !strings.Contains(string(b), name) || !m.Address.IsValid() {
-				t.Fatalf("%q was invented", name)
+				t.Fatalf("%q is not in the bytes", name)
 			}
 		}
 	})
@@ -247,7 +248,7 @@
 	a, _ := New(Config{Fleet: "f", Name: "a", Start: 1, Address: testAddress(0)}, second, rand.New(rand.NewPCG(1, 1)))
 	b, _ := New(Config{Fleet: "f", Name: "b", Start: 1, Address: testAddress(1), Join: []netip.AddrPort{testAddress(0)}}, second, rand.New(rand.NewPCG(1, 2)))
 	b.Tick(b.NextTick())
-	for _, open := range b.TakeOutput().Exchanges { // a driver sends the frame to open.To, and brings back what is answered
+	for _, open := range b.TakeOutput().Exchanges { // a driver sends the frame to open.To, and hands back the reply
 		answer, _ := a.HandleFrame(2*second, open.Frame)
 		b.HandleFrame(2*second, answer)
 	}
@@ -255,7 +256,7 @@
 	// Output: 2 2
 }
 
-// A step with a datagram that has nothing new, with ten records that are, and a tick, in a fleet of some size.
+// The cost of a datagram without new records, of one with ten new records, and of a tick, by the size of the fleet.
 func BenchmarkStep(b *testing.B) {
 	for _, n := range []int{30, 300, 1000} {
 		c := newCore(b, "me", 0)
@@ -293,7 +294,7 @@
 				now = max(now, c.NextTick())
 				c.Tick(now)
 				c.TakeOutput()
-				for _, m := range c.present { // everybody is heard, so that nobody dies
+				for _, m := range c.present { // a member is heard, so that it does not die
 					m.lastHeard = now
 					break
 				}
--- a/internal/cluster/swim/datagram.go
+++ b/internal/cluster/swim/datagram.go
@@ -17,7 +17,7 @@
 )
 
 // HandleDatagram handles a datagram that has arrived. The error says why it was dropped: one of the Err variables of this package. A datagram that is
-// dropped has changed nothing but the counters.
+// dropped does not change the view.
 func (c *Core) HandleDatagram(now int64, b []byte) error {
 	c.detectStall(now)
 	c.counts.Received++
--- a/internal/cluster/swim/departure_test.go
+++ b/internal/cluster/swim/departure_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// trio is three live members and one that all of them hold for dead.
+// trio returns three live members that all have a fourth one as dead.
 func trio(t *testing.T) []*Core {
 	t.Helper()
 	cores := []*Core{newCore(t, "m0", 0), newCore(t, "m1", 1), newCore(t, "m2", 2)}
@@ -23,7 +23,7 @@
 	return cores
 }
 
-// play runs the cores until a time; whatever they send arrives at once.
+// play runs the cores until a time; messages arrive without delay.
 func play(cores []*Core, from, until int64) {
 	at := map[netip.AddrPort]*Core{}
 	for i, c := range cores {
@@ -55,8 +55,8 @@
 	}
 }
 
-// The word that a dead member was forgotten is told a few times by datagrams. Where all of them are lost, the next exchange brings it: nobody
-// goes on reckoning with that member.
+// The record that a dead member was forgotten is gossiped a few times. If all these datagrams are lost, the next exchange carries it: no view goes
+// on counting that member.
 func TestForgottenAlthoughEveryDatagramIsLost(t *testing.T) {
 	for _, x := range []struct {
 		name      string
@@ -68,19 +68,19 @@
 				t.Fatal(err)
 			}
 			c := cores[x.forgetter]
-			c.broadcasts.drop(c.members["gone"]) // all that is told of it is lost
+			c.broadcasts.drop(c.members["gone"]) // all gossip about it is lost
 			play(cores, 2*second, 42*second)
 			for i, c := range cores {
 				if a, r := c.AliveCount(), c.EffectiveSize(42*second); a != 3 || r != 3 {
-					t.Errorf("m%d: alive %d, reckoned with %d", i, a, r)
+					t.Errorf("m%d: alive %d, effective size %d", i, a, r)
 				}
 			}
 		})
 	}
 }
 
-// Members that hold the same ones for dead send no more than the digests.
-func TestEqualDeadAreNotTold(t *testing.T) {
+// Members with the same dead members exchange no more than the digests.
+func TestEqualDeadAreNotSent(t *testing.T) {
 	cores := trio(t)
 	answer, err := cores[1].HandleFrame(3*second, cores[0].OpeningFrame(3*second))
 	if err != nil {
--- a/internal/cluster/swim/divisor.go
+++ b/internal/cluster/swim/divisor.go
@@ -5,13 +5,13 @@
 // the first size as it is. It is not safe for concurrent use.
 type Divisor struct {
 	divisor    int
-	lastStepAt int64 // of the last step down
+	lastStepAt int64 // time of the last step down
 }
 
 // How fast a Divisor falls.
 const (
 	divisorStepEvery = 1_000_000 // microseconds between steps down
-	divisorStepPart  = 10        // of which one takes at most this part, and at least one member
+	divisorStepPart  = 10        // a step takes at most this part, and at least one member
 )
 
 // Update returns the divisor for an effective size. next is the time to call again even if the size stays the same; 0 if there is no need.
--- a/internal/cluster/swim/encoding.go
+++ b/internal/cluster/swim/encoding.go
@@ -19,16 +19,17 @@
 
 // Limits of messages.
 const (
-	// MaxDatagram bounds a datagram, MaxFrame a frame of an exchange, in bytes.
+	// MaxDatagram is the limit of a datagram in bytes, below the usual MTU.
 	MaxDatagram = 1400
-	MaxFrame    = 1 << 20
+	// MaxFrame is the limit of a frame of an exchange in bytes.
+	MaxFrame = 1 << 20
 
-	maxNameBytes     = 64 // bytes
+	maxNameBytes     = 64
 	maxAccusers      = 8
-	maxGossipRecords = 64   // records in a datagram
-	maxRecordBytes   = 1024 // bytes
-	formatVersion    = 1    // version of the datagrams' and frames' form
-	headerBytes      = 5    // checksum and form
+	maxGossipRecords = 64 // in a datagram
+	maxRecordBytes   = 1024
+	formatVersion    = 1 // on the wire
+	headerBytes      = 5 // checksum and format version
 )
 
 // Reasons why a message was dropped.
--- a/internal/cluster/swim/merge.go
+++ b/internal/cluster/swim/merge.go
@@ -43,42 +43,42 @@
 }
 
 // merge compares a record with the view and accepts it if it prevails. age is the time since a death or a departure, in microseconds.
-func (c *Core) merge(now int64, r Record, age int64) bool {
+func (c *Core) merge(now int64, r Record, age int64) {
 	if r.Name == c.self.Name {
 		c.mergeSelf(now, r)
-		return false
+		return
 	}
 	m := c.members[r.Name]
 	switch {
 	case m == nil:
 		if r.State == Left || r.State == Dead && age >= c.cfg.CountDeadFor {
-			return false
+			return
 		}
 		if len(c.members) >= c.cfg.MaxMembers && !c.evictOldest() {
 			c.counts.Dropped++
-			return false
+			return
 		}
 		m = &member{listIndex: -1, heapIndex: -1, Record: Record{Name: r.Name}}
 		c.members[r.Name] = m
 		c.setRecord(now, m, r, age)
-		return true
+		return
 	case m.reportedDead != nil && !r.prevailsOver(*m.reportedDead):
-		return false // the reported death is being checked
+		return // the reported death is being checked
 	case !r.prevailsOver(m.Record) && !(m.State == Suspected && r.State == Suspected && r.Start == m.Start && r.Incarnation == m.Incarnation):
-		return false
+		return
 	case m.State == Suspected && r.present() == (r.State == Suspected) && r.State != Left && r.Start == m.Start && r.Incarnation == m.Incarnation:
 		// A reported death counts as its accusers.
-		return c.addAccusers(now, m, r.Accusers)
+		c.addAccusers(now, m, r.Accusers)
+		return
 	case m.State == Alive && r.State == Dead && r.Start == m.Start:
 		c.challengeDeath(now, m, r)
-		return false
+		return
 	}
 	c.setRecord(now, m, r, age)
-	return true
 }
 
-// challengeDeath handles a reported death of a member that is alive in this view, as the other part of a partitioned fleet reports it. The report is not passed on:
-// the member is shown it and can refute. Without a refutation it is accepted in the end.
+// challengeDeath handles a reported death of a member that is alive in this view, as the other part of a partitioned fleet reports it. The report is not passed
+// on: the member is shown it and can refute. Without a refutation it is accepted in the end.
 func (c *Core) challengeDeath(now int64, m *member, r Record) {
 	if m.heapIndex >= 0 {
 		m.reportedDead = &r // it prevails over the death reported before
--- a/internal/cluster/swim/output.go
+++ b/internal/cluster/swim/output.go
@@ -28,7 +28,7 @@
 type Event struct {
 	Kind EventKind
 	Record
-	Late int64 // Napped: how late it was
+	Late int64 // EventStalled: how late the process ran, in microseconds
 }
 
 // EventKind is the kind of an event.
@@ -37,18 +37,18 @@
 // The kinds of events.
 const (
 	EventJoined       EventKind = iota // a member is new in this view, or alive again after it was dead
-	EventSuspected                     // a member is suspected; By has its first accuser
+	EventSuspected                     // a member is suspected; Accusers has the first one
 	EventCleared                       // a suspected member is alive
-	EventDead                          // a member is held for dead
+	EventDead                          // a member is declared dead
 	EventLeft                          // a member has left
 	EventRestarted                     // a member has a later start
-	EventUpdated                       // a member tells something else of itself
-	EventRefuted                       // this one was accused, and says otherwise
-	EventNameConflict                  // another live process bears this one's name
-	EventRejoined                      // this one has taken a new identity
-	EventStalled                       // this process did not run for a while, and doubts itself
-	EventIsolated                      // nobody of Join has answered
-	EventConnected                     // somebody has
+	EventUpdated                       // a member has changed its metadata
+	EventRefuted                       // this process was accused and has refuted that
+	EventNameConflict                  // another live process has this one's name
+	EventRejoined                      // this process has taken a later start
+	EventStalled                       // this process did not run for a while, and accuses nobody yet
+	EventIsolated                      // no join address has answered
+	EventConnected                     // the first member has answered after that
 )
 
 // String is the name of the kind as it stands in log lines.
@@ -56,9 +56,9 @@
 	return [...]string{"joined", "suspected", "cleared", "dead", "left", "restarted", "changed", "refuted", "twin", "rejoined", "napped", "alone", "found"}[k]
 }
 
-// Counts are the counters of a core.
+// Counts are the counters of a core. Dropped counts datagrams, frames and records; SentBytes are of datagrams, FrameBytes of frames.
 type Counts struct {
-	Sent, SentBytes, Received, Dropped                         int64 // datagrams and what was dropped of them, and of frames
+	Sent, SentBytes, Received, Dropped                         int64
 	Probes, FailedProbes, Suspicions, Refutations, Deaths      int64
 	Exchanges, DigestMismatches, Stalls, FrameBytes, Forgotten int64
 }
--- a/internal/cluster/swim/probe.go
+++ b/internal/cluster/swim/probe.go
@@ -7,14 +7,14 @@
 // probe is the probe that is in progress; there is one at a time.
 type probe struct {
 	target      *member
-	start       uint64 // of the member when it was probed
+	start       uint64 // the start of the target when the probe began
 	seq         uint32
 	startedAt   int64
-	nextStageAt int64 // of its next stage
-	stage       int   // 0 asked once, 1 twice, 2 through helpers
+	nextStageAt int64
+	stage       int // 0: one ping sent, 1: two, 2: indirect pings too
 	indirect    int
 	nacks       int
-	duration    int64 // its whole time
+	duration    int64
 }
 
 // startNextProbe starts a probe of the next member in probeOrder. The order is shuffled after each pass, so every member is probed once in a pass.
--- a/internal/cluster/swim/record.go
+++ b/internal/cluster/swim/record.go
@@ -21,7 +21,7 @@
 	Left
 )
 
-// String is the name of the state as it stands in log lines and status pages.
+// String returns the name of the state.
 func (s State) String() string {
 	if s < Alive || s > Left {
 		return "unknown"
@@ -32,20 +32,20 @@
 // Metadata is what a member announces about itself beside its identity and address.
 type Metadata struct {
 	Draining, Standby bool
-	PolicyVersion     uint64         // version in force there
-	PolicyAddress     netip.AddrPort // where it agrees on versions of the policy; not valid: it does not
+	PolicyVersion     uint64         // the version of the policy that the member has in force
+	PolicyAddress     netip.AddrPort // where the member takes part in the policy agreement; not valid if it does not
 }
 
 // Record is what members gossip about one member.
 type Record struct {
 	Name                  string
-	Start                 uint64 // identity of the start: of a later one it is greater
-	Incarnation, Revision uint32 // raised by the member alone: to refute, and when what it tells of itself changes
+	Start                 uint64 // identity of the start; a later start has a greater one
+	Incarnation, Revision uint32 // raised by the member only: to refute, and when its metadata changes
 	State                 State
 	Address               netip.AddrPort
 	Zone, Version         string
 	Metadata              Metadata
-	Accusers              []string // who accuses it, where it is suspected or was when it was declared dead
+	Accusers              []string // the members that accuse it, if it is suspected or was when it was declared dead
 }
 
 // prevailsOver reports whether r replaces other, a record of the same name. The order is total: the later start, then the state Left, then the higher incarnation,
--- a/internal/cluster/swim/suspicion.go
+++ b/internal/cluster/swim/suspicion.go
@@ -24,7 +24,10 @@
 
 // Push implements heap.Interface.
 func (s *suspicionHeap) Push(x any) {
-	m := x.(*member)
+	m, ok := x.(*member)
+	if !ok {
+		return // heap.Push is called with members only
+	}
 	m.heapIndex = len(*s)
 	*s = append(*s, m)
 }
@@ -69,8 +72,8 @@
 	}
 }
 
-// addAccusers adds accusers to a suspicion, which shortens it, and gossips the record if one was new. It reports whether one was.
-func (c *Core) addAccusers(now int64, m *member, accusers []string) bool {
+// addAccusers adds accusers to a suspicion, which shortens it, and gossips the record if one was new.
+func (c *Core) addAccusers(now int64, m *member, accusers []string) {
 	added := false
 	for _, name := range accusers {
 		if len(m.Accusers) > confirmations {
@@ -87,7 +90,6 @@
 		heap.Fix(&c.suspicions, m.heapIndex)
 		c.broadcasts.add(now, m, c.transmitLimit()*3/4)
 	}
-	return added
 }
 
 // nextCheck is the time of a suspicion's next check: at half of its duration, at three quarters, at its end.
--- a/internal/cluster/swim/view.go
+++ b/internal/cluster/swim/view.go
@@ -8,26 +8,27 @@
 // Member is one member in a view.
 type Member struct {
 	Record
-	Since int64 // of its state
+	Since int64 // time of the last change of state, in microseconds
 	Self  bool
 }
 
 // View is a copy of a core's state. It shares nothing that the core changes.
 type View struct {
-	Members                   []Member // by name
+	Members                   []Member // sorted by name
 	Digest                    uint64
 	DigestChanged             int64 // when the digest changed last
 	AliveCount, EffectiveSize int
-	HealthScore               int  // this process's doubt of itself, 0 to 8
-	NameConflict              bool // another live process bears its name: it was heard of lately
-	Superseded                bool // and that one's start is later, so that this one is no member
-	Isolated                  bool // nobody of Config.Join has answered
+	HealthScore               int  // of this process: 0 healthy, 8 at worst
+	NameConflict              bool // another live process of its name was noticed within three exchange periods
+	Superseded                bool // another process of its name has a later start, so this process is no member
+	Isolated                  bool // no address of Config.Join has answered
 }
 
 // View copies the state of the core. Members are sorted by name. It costs O(members log members).
 func (c *Core) View(now int64) View {
 	v := View{
-		Digest: c.digest, DigestChanged: c.digestChangedAt, AliveCount: c.AliveCount(), EffectiveSize: c.EffectiveSize(now), HealthScore: c.healthScore, Superseded: c.superseded, Isolated: c.isolated,
+		Digest: c.digest, DigestChanged: c.digestChangedAt, AliveCount: c.AliveCount(), EffectiveSize: c.EffectiveSize(now),
+		HealthScore: c.healthScore, Superseded: c.superseded, Isolated: c.isolated,
 		NameConflict: c.conflictSeenAt != 0 && now-c.conflictSeenAt < 3*c.cfg.ExchangePeriod,
 	}
 	if !c.superseded {
