--- a/answering.go
+++ b/answering.go
@@ -71,13 +71,13 @@
 
 // answer answers a query with the parts that are served. It ends the query unless a second step follows.
 func (s *Scheduler) answer(q *query) {
-	whole := q.isComplete() && (!q.inSecondStep || q.firstStepComplete)
+	complete := q.isComplete() && (!q.inSecondStep || q.firstStepComplete)
 	s.statsOf(q.class).leaveRate.add(s.now, 4*q.class.LatencyTarget, 0)
-	s.adjustAdmission(q, whole && s.now <= q.latencyTargetTime())
-	s.emit(Answer{Query: q.ID, Complete: whole})
+	s.adjustAdmission(q, complete && s.now <= q.latencyTargetTime())
+	s.emit(Answer{Query: q.ID, Complete: complete})
 	if q.class.SecondStepParts > 0 && !q.inSecondStep {
 		s.releaseParts(q)
-		q.inSecondStep, q.firstStepComplete, q.parts = true, whole, nil
+		q.inSecondStep, q.firstStepComplete, q.parts = true, complete, nil
 		return
 	}
 	s.endQuery(q)
--- a/prediction.go
+++ b/prediction.go
@@ -4,17 +4,17 @@
 
 package saffronquay
 
-// Tuning of predictions. A target is a class's latency target. Notes give the score that another value
-// cost on a recorded site.
+// Tuning of predictions. A target is a latency target: the class's for zoneChargeTargets, the shortest for the
+// others. Notes give the score that another value cost on a recorded site.
 const (
-	averageWeight     = 0.05 // weight of one sample in a slow moving average
-	sampleWeight      = 0.2  // weight of a sample in a server's latency ratio
-	zoneChargeTargets = 4.0  // targets that crossing zones costs, by price; 2: kochi -0.02, 1: -0.06
-	maxRiskTargets    = 8.0  // targets that the risk of failure costs at most
-	failureTargets    = 0.5  // targets that a failed attempt loses; 1 or 2: within noise
-	minDrainFactor    = 0.1  // of the time that reported work would take one core
-	failingAbove      = 2.0 / 3
-	answeringBelow    = 0.5 // rates of failure at which a server is logged as failing, as answering
+	averageWeight     = 0.05    // weight of one sample in a slow moving average
+	sampleWeight      = 0.2     // weight of a sample in a server's latency ratio
+	zoneChargeTargets = 4.0     // targets that crossing zones costs, by price; 2: kochi -0.02, 1: -0.06
+	maxRiskTargets    = 8.0     // targets that the risk of failure costs at most
+	failureTargets    = 0.5     // targets that a failed attempt loses; 1 or 2: within noise
+	minDrainFactor    = 0.1     // of the time that reported work would take one core
+	failingAbove      = 2.0 / 3 // failure rate above which a server is logged as failing
+	answeringBelow    = 0.5     // failure rate below which it is logged as answering again
 )
 
 // chooseReplica finds the replica with the smallest predicted latency, at random among equals, and that
--- a/slowstart.go
+++ b/slowstart.go
@@ -37,14 +37,14 @@
 	}
 	most := warmUpMargin * s.cfg.Rules.OverloadMultiple * w // times capacity
 	rate := most * (s.warmServerRate() + 1/float64(s.cfg.Aggregators))
-	share := rate * float64(s.cfg.Rules.OverloadWindow)
-	if work > share {
+	allowed := rate * float64(s.cfg.Rules.OverloadWindow)
+	if work > allowed {
 		return s.hasWarmUpCredit(p, r, rate) && s.warmUpDraw(p, r) < most
 	}
 	for _, c := range r.warmUpSends {
 		work += c.work
 	}
-	return work <= share
+	return work <= allowed
 }
 
 // hasWarmUpCredit reports whether an aggregator whose fraction of a warming server's capacity is less than a
