--- a/internal/cluster/peering/link.go
+++ b/internal/cluster/peering/link.go
@@ -162,7 +162,7 @@
 	if err != nil {
 		return err
 	}
-	l.conn, l.dialed = l.node.traffic.Of(conn), l.node.now()
+	l.conn, l.dialed = l.node.traffic.WrapConn(conn), l.node.now()
 	go func() { // the peer sends nothing on this connection; reading notices its end
 		_, _ = io.Copy(io.Discard, conn) // any error means that the connection has ended
 		conn.Close()
