--- a/internal/cluster/peering/server.go
+++ b/internal/cluster/peering/server.go
@@ -47,7 +47,7 @@
 
 // serve handles the messages of one connection: those of another gatherer, or an operator's proposals, which are answered on it.
 func (p *PolicyNode) serve(conn net.Conn) {
-	conn = p.traffic.Of(conn)
+	conn = p.traffic.WrapConn(conn)
 	served := make(chan struct{})
 	defer close(served)
 	go func() { // closes the connection when this function returns or the node ends
