--- a/prediction.go
+++ b/prediction.go
@@ -4,8 +4,8 @@
 
 package saffronquay
 
-// Tuning of predictions. A target is a latency target: the class's for zoneChargeTargets, the shortest for the
-// others. Notes give the score that another value cost on a recorded site.
+// Tuning of predictions. A target is a latency target: the class's for zoneChargeTargets, the shortest for
+// the others. Notes give the score that another value cost on a recorded site.
 const (
 	averageWeight     = 0.05    // weight of one sample in a slow moving average
 	sampleWeight      = 0.2     // weight of a sample in a server's latency ratio
