--- a/internal/scheduler/simulation/faults.go
+++ b/internal/scheduler/simulation/faults.go
@@ -14,7 +14,27 @@
 const (
 	gathererKillChance = 3
 	clockStepChance    = 4
-	faultKinds         = 14 // see injectFault
+)
+
+// faultKind is what injectFault draws. Some kinds stand twice, so that they are twice as frequent.
+type faultKind int
+
+const (
+	faultStopAll faultKind = iota
+	faultRetirement
+	faultRetirementAgain
+	faultKill
+	faultPowerLoss
+	faultDiskLoss
+	faultDiskLossAgain
+	faultFreeze
+	faultIsolation
+	faultIsolationAgain
+	faultReplacement
+	faultWrites
+	faultHalves
+	faultOverlap
+	faultKinds // their number
 )
 
 // scheduleFaults schedules the first phase.
@@ -93,14 +113,14 @@
 		w.report.ClockStep++
 		w.trace("the clock of %s steps", m.name)
 	}
-	switch kind := w.random.IntN(faultKinds); kind {
-	case 0:
+	switch kind := faultKind(w.random.IntN(int(faultKinds))); kind {
+	case faultStopAll:
 		w.stopAll()
-	case 1, 2:
+	case faultRetirement, faultRetirementAgain:
 		w.retireStore(w.oneIn(2))
-	case 12:
+	case faultHalves:
 		w.partitionHalves()
-	case 13:
+	case faultOverlap:
 		w.overlap()
 	default:
 		count := 1 + w.random.IntN(w.options.Tolerance)
@@ -112,27 +132,27 @@
 
 // failMachine has one machine fail for a while, or for good, in the way that injectFault has drawn. A machine that has already failed is left
 // as it is. After a loss of the first machine's disk the others may lose power.
-func (w *world) failMachine(m *machine, kind int, first bool) {
+func (w *world) failMachine(m *machine, kind faultKind, first bool) {
 	if !m.up || m.removed || m.frozenUntil > w.now {
 		return
 	}
 	switch kind {
-	case 3:
+	case faultKill:
 		w.report.Kills++
 		m.stopProcess(false, w.randomBetween(100, 1000))
-	case 4:
+	case faultPowerLoss:
 		w.report.Kills++
 		m.stopProcess(true, w.randomBetween(200, 4000))
-	case 5, 6:
+	case faultDiskLoss, faultDiskLossAgain:
 		w.loseDisk(m)
 		if first && w.oneIn(2) {
 			w.cutPowerExcept(m)
 		}
-	case 7:
+	case faultFreeze:
 		w.freeze(m)
-	case 8, 9:
+	case faultIsolation, faultIsolationAgain:
 		w.isolate(m)
-	case 10:
+	case faultReplacement:
 		w.replaceMachine(m)
 	default:
 		w.failWrites(m)
--- a/internal/scheduler/simulation/operators.go
+++ b/internal/scheduler/simulation/operators.go
@@ -71,7 +71,8 @@
 	if o.patch {
 		return fmt.Appendf(nil, `{"version":%d,"upsert":{"services":[{"name":%q}]}}`, o.version, o.name)
 	}
-	return fmt.Appendf(nil, `{"version":%d,"routes":[{"name":"r","host":"h","pathPrefix":"/","timeoutMs":5,"service":%q}],"services":[{"name":%q}]}`, o.version, o.name, o.name)
+	const document = `{"version":%d,"routes":[{"name":"r","host":"h","pathPrefix":"/","timeoutMs":5,"service":%q}],"services":[{"name":%q}]}`
+	return fmt.Appendf(nil, document, o.version, o.name, o.name)
 }
 
 // sendOrder sends an order until it has a definite answer, and then runs done. An order that is refused although it was acknowledged before is a
--- a/internal/scheduler/simulation/options.go
+++ b/internal/scheduler/simulation/options.go
@@ -38,7 +38,10 @@
 
 // Bugs are all that can be seeded. The command numbers them in this order.
 var Bugs = []Bug{
-	StaleFeed, LocalRefusals, ImmediateTakeover, IgnoreLease, LocalReads, ForgetAcceptedOrders, AckOnPropose, CheckVersionFirst, RetireEarly, KeepIdentity, NoRepair, CountContactOnly, SkipRestore, Unsynced,
+	StaleFeed, LocalRefusals, ImmediateTakeover, IgnoreLease, LocalReads,
+	ForgetAcceptedOrders, AckOnPropose, CheckVersionFirst,
+	RetireEarly, KeepIdentity, NoRepair,
+	CountContactOnly, SkipRestore, Unsynced,
 	KeepConnection, RetryAnyCall,
 }
 
--- a/internal/scheduler/simulation/proof_test.go
+++ b/internal/scheduler/simulation/proof_test.go
@@ -110,9 +110,9 @@
 func TestSeedsRepeat(t *testing.T) {
 	for seed := uint64(1); seed <= 3; seed++ {
 		first, err := Play(Seeded(seed, NoBug))
-		retry, errAgain := Play(Seeded(seed, NoBug))
-		if first != retry || fmt.Sprint(err) != fmt.Sprint(errAgain) {
-			t.Errorf("seed %d: %+v %v, then %+v %v", seed, first, err, retry, errAgain)
+		again, errAgain := Play(Seeded(seed, NoBug))
+		if first != again || fmt.Sprint(err) != fmt.Sprint(errAgain) {
+			t.Errorf("seed %d: %+v %v, then %+v %v", seed, first, err, again, errAgain)
 		}
 	}
 }
--- a/internal/scheduler/simulation/workers.go
+++ b/internal/scheduler/simulation/workers.go
@@ -187,11 +187,11 @@
 	previous := reply{status: http.StatusOK, id: k.previousCall, body: replyText(k.previousCall)}
 	run := func() { w.executions[id]++; k.previousCall = id }
 	switch w.random.IntN(serveKinds) {
-	case 0:
+	case 0: // rejected
 		send(w.latency(), reply{status: http.StatusServiceUnavailable, id: id, rejected: true})
-	case 1:
+	case 1: // reset before the run
 		send(w.latency(), reply{reset: true})
-	case 2:
+	case 2: // reset after the run
 		run()
 		send(w.latency(), reply{reset: true})
 	case 3: // no answer
@@ -203,7 +203,7 @@
 		run()
 		send(10, right)
 		send(20, previous)
-	case 6:
+	case 6: // the previous answer before the right one
 		run()
 		send(5, previous)
 		send(15, right)
