--- a/internal/broker/core/broker.go
+++ b/internal/broker/core/broker.go
@@ -25,7 +25,7 @@
 }
 
 // Terms are what the core itself holds to. Times are microseconds, as everywhere.
-type Terms struct {
+type Config struct {
 	Period        int64 // the least time between two steps of the module
 	Shards        int
 	MaxOpen       int   // queries and parts held at a time; 0: no bound
@@ -39,25 +39,25 @@
 }
 
 // Ask is a query as a front hands it in.
-type Ask struct {
+type Query struct {
 	Label              string // what servers are told as the query's name
 	Unique             bool   // no other open query may bear the label
 	Class, Tenant, Key string
 	Deadline           int64
-	Parts              []AskPart
+	Parts              []QueryPart
 	Text               []byte        // what every part carries
 	Plan               any           // what the dialect's session reads answers by; the core only hands it on
-	Want               []layout.Span // where parts have spans: what is asked for of them; empty: all
-	Ledger             Ledger        // of a query that must not run twice, where its parts' intents are kept; nil: they are not
+	RequestedSpans     []layout.Span // where parts have spans: what is asked for of them; empty: all
+	IntentLog          IntentLog     // of a query that must not run twice, where its parts' intents are kept; nil: they are not
 }
 
 // Ledger keeps what of one query is about to leave. Its methods may be called from any goroutine.
-type Ledger interface {
+type IntentLog interface {
 	// Intend makes it durable that parts are about to leave, and says by done, from another goroutine, when that is so or why it is
 	// not known to be. An error says at once that it is not; done is not called then.
-	Intend(parts []Intended, deadline int64, done func(error)) error
+	Record(parts []Intent, deadline int64, done func(error)) error
 	// Keeps tells that the query's end is wanted although its client has left.
-	Keeps() bool
+	WantsResult() bool
 	// Release says that nothing of the query has run, nor will.
 	Release()
 	// Abandon says that nobody will know its end.
@@ -65,14 +65,14 @@
 }
 
 // Intended is a part that is about to leave.
-type Intended struct {
+type Intent struct {
 	Shard  int
 	Span   layout.Span
 	Server sq.ServerID
 }
 
 // AskPart is one part of an Ask.
-type AskPart struct {
+type QueryPart struct {
 	Shard  int
 	Weight float64
 	Work   int64
@@ -105,18 +105,18 @@
 }
 
 // Intend asks for the intents of some parts of one query to be made durable. Intended says how that came out; until then they wait.
-type Intend struct {
-	Ledger   Ledger
+type RecordIntents struct {
+	Log      IntentLog
 	Deadline int64
-	Parts    []Intended
+	Intents  []Intent
 	Attempts []AttemptID
 }
 
 // Drop gives up an attempt; what still comes back for it is nobody's.
-type Drop struct{ Attempt AttemptID }
+type CancelAttempt struct{ Attempt AttemptID }
 
 // Recall takes an attempt back where none of it has begun to leave; it then ends as not sent. One that has begun is left alone.
-type Recall struct{ Attempt AttemptID }
+type RecallUnsent struct{ Attempt AttemptID }
 
 // CloseIdle closes the idle connections to a server.
 type CloseIdle struct{ Server sq.ServerID }
@@ -131,32 +131,32 @@
 type Refresh struct{}
 
 // Note is a line for the log.
-type Note struct{ Text string }
+type LogLine struct{ Text string }
 
 // Verdict is how a query ended.
-type Verdict int
+type QueryOutcome int
 
 // The verdicts.
 const (
-	Answered Verdict = iota
-	Refused          // repeating the query does no harm
+	Answered QueryOutcome = iota
+	Refused               // repeating the query does no harm
 	Failed
 )
 
 // Final is the one final answer of a query.
 type Final struct {
-	Query      sq.ID
-	Verdict    Verdict
-	Whole      bool
-	RetryAfter int64 // with Refused; 0: no advice
-	Overdue    bool  // ended by the deadline guard, or with its time up
-	Values     []Value
-	Share      float64       // of the parts asked for, by weight, that is in; 1 where nothing is missing
-	Missing    []merge.Piece // what is not in, where an answer is given in part
-	Shards     int           // parts asked for
-	Took       int64         // what its attempts took, those that have ended
-	Attempts   int           // that ended and had left
-	Policy     uint64        // the version of the policy that it was let in under, and one; 0: there are no versions
+	Query       sq.ID
+	Outcome     QueryOutcome
+	Complete    bool
+	RetryAfter  int64 // with Refused; 0: no advice
+	Overdue     bool  // ended by the deadline guard, or with its time up
+	Values      []Value
+	Fraction    float64       // of the parts asked for, by weight, that is in; 1 where nothing is missing
+	Missing     []merge.Piece // what is not in, where an answer is given in part
+	Shards      int           // parts asked for
+	AttemptTime int64         // what its attempts took, those that have ended
+	Attempts    int           // that ended and had left
+	Policy      uint64        // the version of the policy that it was let in under, and one; 0: there are no versions
 }
 
 // Value is what a server gave for one part.
@@ -166,20 +166,20 @@
 	Part  any
 }
 
-func (Call) isEffect()      {}
-func (Intend) isEffect()    {}
-func (Drop) isEffect()      {}
-func (Recall) isEffect()    {}
-func (CloseIdle) isEffect() {}
-func (Refresh) isEffect()   {}
-func (Watch) isEffect()     {}
-func (Fetch) isEffect()     {}
-func (Note) isEffect()      {}
-func (Final) isEffect()     {}
+func (Call) isEffect()          {}
+func (RecordIntents) isEffect() {}
+func (CancelAttempt) isEffect() {}
+func (RecallUnsent) isEffect()  {}
+func (CloseIdle) isEffect()     {}
+func (Refresh) isEffect()       {}
+func (Watch) isEffect()         {}
+func (Fetch) isEffect()         {}
+func (LogLine) isEffect()       {}
+func (Final) isEffect()         {}
 
-type query struct {
+type openQuery struct {
 	id    sq.ID
-	ask   Ask
+	ask   Query
 	class *sq.Class
 	group int64
 	parts []*part
@@ -190,8 +190,8 @@
 
 type part struct {
 	id            sq.ID
-	q             *query
-	ask           AskPart
+	q             *openQuery
+	ask           QueryPart
 	tries         int
 	out           []*attempt
 	mayRun        bool // some attempt may have run
@@ -216,19 +216,19 @@
 
 // Core holds every open query and attempt of one gatherer.
 type Core struct {
-	terms                Terms
+	terms                Config
 	module               Module
 	classes              map[string]*sq.Class
 	lastID               int64 // ids stay below 2^52, which one gatherer can't use up
-	queries              map[sq.ID]*query
+	queries              map[sq.ID]*openQuery
 	labels               map[string]int64 // of the open queries whose label must be theirs alone, with their deadlines
-	beside               Standing         // of the other process of this gatherer, while there is one
+	beside               Occupancy        // of the other process of this gatherer, while there is one
 	parts                map[sq.ID]*part
 	attempts             map[AttemptID]*attempt
-	due                  agenda[*attempt] // by their ends
-	late                 agenda[*query]   // by their deadlines and the grace
-	open                 int              // queries and parts held
-	held                 int64            // bytes of parts that are in, of open queries
+	due                  agenda[*attempt]   // by their ends
+	late                 agenda[*openQuery] // by their deadlines and the grace
+	open                 int                // queries and parts held
+	held                 int64              // bytes of parts that are in, of open queries
 	alarms               []sq.SetAlarm
 	events               []sq.Event
 	effects              []Effect
@@ -244,20 +244,20 @@
 }
 
 // New makes a core round a module.
-func New(terms Terms, module Module) *Core {
+func New(terms Config, module Module) *Core {
 	c := &Core{
-		module: module, queries: map[sq.ID]*query{},
+		module: module, queries: map[sq.ID]*openQuery{},
 		labels: map[string]int64{}, parts: map[sq.ID]*part{}, byShard: map[int]*part{}, attempts: map[AttemptID]*attempt{}, calls: map[sq.ServerID]int{}, intents: map[sq.ID]int{},
 	}
 	c.hold(terms)
 	c.due.alive = func(a *attempt) bool { return c.attempts[a.id] == a }
-	c.late.alive = func(q *query) bool { return !q.over }
+	c.late.alive = func(q *openQuery) bool { return !q.over }
 	return c
 }
 
 // hold makes terms those that are held to. Open queries keep the class they came with; tenants that stay keep what
 // their budgets have left.
-func (c *Core) hold(terms Terms) {
+func (c *Core) hold(terms Config) {
 	terms.Classes = slices.Clone(terms.Classes)
 	c.terms, c.classes = terms, map[string]*sq.Class{}
 	for i := range terms.Classes {
@@ -277,7 +277,7 @@
 
 // Reconfigure puts other terms in force, and the settings that go with them at the module, at one point in the order
 // of events.
-func (c *Core) Reconfigure(terms Terms, settings sq.Settings) {
+func (c *Core) Reconfigure(terms Config, settings sq.Settings) {
 	c.hold(terms)
 	c.events = append(c.events, sq.SettingsChanged{Settings: settings})
 }
@@ -288,28 +288,28 @@
 }
 
 // Held is the number of queries that still wait for their final answer.
-func (c *Core) Held() int { return len(c.queries) }
+func (c *Core) OpenQueries() int { return len(c.queries) }
 
 // Rotation counts the servers in the list, and those of them that the module avoids now.
 func (c *Core) Rotation() (listed, out int) { return c.module.Rotation() }
 
 // Standing is how much a process of a gatherer holds.
-type Standing struct {
+type Occupancy struct {
 	Open   int              // queries and parts
 	Labels map[string]int64 // of open queries whose label must be theirs alone, with their deadlines
 }
 
 // Standing is how much this process holds.
-func (c *Core) Standing() Standing { return Standing{Open: c.open, Labels: maps.Clone(c.labels)} }
+func (c *Core) Occupancy() Occupancy { return Occupancy{Open: c.open, Labels: maps.Clone(c.labels)} }
 
 // Beside says how much the other process of this gatherer holds: rules and limits count both.
-func (c *Core) Beside(other Standing) { c.beside = other }
+func (c *Core) SetPeer(other Occupancy) { c.beside = other }
 
 // Learned is what a process in this one's place should know.
 func (c *Core) Learned() sq.Learned { return c.module.Learned() }
 
 // Recall begins with what a process had learnt that is gone, and with what its budgets had spent.
-func (c *Core) Recall(now int64, l sq.Learned, spent map[string]Spent) {
+func (c *Core) Restore(now int64, l sq.Learned, spent map[string]Spent) {
 	for name, s := range spent {
 		if r := c.budgets[name]; r != nil {
 			r.restore(now, s)
@@ -331,7 +331,7 @@
 
 // Succeed begins with what the process before this one had learnt. It may still spend its budgets: both keep to them if
 // the free part counts as spent here for one window.
-func (c *Core) Succeed(now int64, l sq.Learned) {
+func (c *Core) TakeOver(now int64, l sq.Learned) {
 	for _, r := range c.budgets {
 		r.freeFrom = now + r.Window
 	}
@@ -342,14 +342,14 @@
 var ErrMalformed = errors.New("malformed query")
 
 // ErrTaken marks an Ask whose label an open query bears.
-var ErrTaken = errors.New("an open query has this id")
+var ErrDuplicateLabel = errors.New("an open query has this id")
 
 const (
 	weightSlack = 0.01           // by which rounded weights may miss 1
 	mostWork    = 86_400_000_000 // microseconds of one part: a day
 )
 
-func (c *Core) check(now int64, a Ask) error {
+func (c *Core) check(now int64, a Query) error {
 	if c.classes[a.Class] == nil {
 		return fmt.Errorf("%w: unknown class %q", ErrMalformed, a.Class)
 	}
@@ -381,22 +381,22 @@
 	}
 	// Guards the first query: what servers answer for one would otherwise count for the other.
 	if _, taken := c.labels[a.Label]; a.Unique && (taken || c.beside.Labels[a.Label] > now) {
-		return fmt.Errorf("%w: %q", ErrTaken, a.Label)
+		return fmt.Errorf("%w: %q", ErrDuplicateLabel, a.Label)
 	}
 	return nil
 }
 
 // Open takes a query. Its final answer comes as an effect, unless it is malformed or, with as much open as
 // may be, ended on the spot: then the Final is returned and the module never hears of it.
-func (c *Core) Open(now int64, a Ask) (sq.ID, *Final, error) {
+func (c *Core) Open(now int64, a Query) (sq.ID, *Final, error) {
 	a.Parts = c.settle(a)
 	if err := c.check(now, a); err != nil {
 		return 0, nil, err
 	}
 	if c.terms.MaxOpen > 0 && c.open+c.beside.Open >= c.terms.MaxOpen {
-		return 0, &Final{Verdict: Refused, RetryAfter: c.advice(0), Shards: len(a.Parts)}, nil
+		return 0, &Final{Outcome: Refused, RetryAfter: c.advice(0), Shards: len(a.Parts)}, nil
 	}
-	q := &query{id: sq.ID(c.nextID()), ask: a, class: c.classes[a.Class], group: c.nextID()}
+	q := &openQuery{id: sq.ID(c.nextID()), ask: a, class: c.classes[a.Class], group: c.nextID()}
 	var work int64
 	for _, p := range a.Parts {
 		work += p.Work
@@ -423,7 +423,7 @@
 }
 
 // Left says that nobody waits for a query any more.
-func (c *Core) Left(id sq.ID) {
+func (c *Core) ClientLeft(id sq.ID) {
 	if q := c.queries[id]; q != nil {
 		c.close(q)
 		c.events = append(c.events, sq.ClientLeft{Query: id})
@@ -431,16 +431,16 @@
 }
 
 // Fleet brings news of the list of servers.
-func (c *Core) Fleet(f sq.FleetChanged) { c.events = append(c.events, f) }
+func (c *Core) FleetChanged(f sq.FleetChanged) { c.events = append(c.events, f) }
 
 // Ended reports how an attempt ended. What is reported for one that has ended before, such as an answer that
 // came after its time-out, is dropped: each attempt has one outcome.
-func (c *Core) Ended(now int64, id AttemptID, o sq.Outcome, value []byte, report *sq.LoadReport) {
-	c.Came(now, Reply{Attempt: id, Outcome: o, Value: value, Report: report})
+func (c *Core) AttemptEnded(now int64, id AttemptID, o sq.Outcome, value []byte, report *sq.LoadReport) {
+	c.HandleReply(now, Reply{Attempt: id, Outcome: o, Value: value, Report: report})
 }
 
 // Came is Ended with all that a session has read.
-func (c *Core) Came(now int64, r Reply) {
+func (c *Core) HandleReply(now int64, r Reply) {
 	id, o := r.Attempt, r.Outcome
 	a := c.attempts[id]
 	if a == nil {
@@ -473,8 +473,8 @@
 		Latency: now - a.sent, Report: r.Report,
 	})
 	if full { // guards the memory against answers that nobody bounded together
-		c.do(Note{Text: "a query fails: its parts and those of others are more than may be held"})
-		c.finish(p.q, Final{Verdict: Failed})
+		c.do(LogLine{Text: "a query fails: its parts and those of others are more than may be held"})
+		c.finish(p.q, Final{Outcome: Failed})
 		c.events = append(c.events, sq.ClientLeft{Query: p.q.id})
 		return
 	}
@@ -482,7 +482,7 @@
 }
 
 // Next is when Step wants to be called next; ok is false while nothing is awaited.
-func (c *Core) Next() (at int64, ok bool) {
+func (c *Core) NextStep() (at int64, ok bool) {
 	at = math.MaxInt64
 	if len(c.effects) > 0 {
 		return c.stepped, true
@@ -541,9 +541,9 @@
 	if a.waits != nil {
 		o = sq.NotSent
 	} else {
-		c.do(Drop{Attempt: a.id})
+		c.do(CancelAttempt{Attempt: a.id})
 	}
-	c.Ended(now, a.id, o, nil, nil)
+	c.AttemptEnded(now, a.id, o, nil, nil)
 }
 
 func (c *Core) ring(now int64) {
@@ -562,8 +562,8 @@
 // lost against a module that loses sight of one; the module always comes first, by AnswerGrace.
 func (c *Core) guard(now int64) {
 	for _, q := range c.late.take(now) {
-		c.do(Note{Text: "deadline guard: the module left a query unanswered"})
-		c.finish(q, Final{Verdict: Failed, Overdue: true})
+		c.do(LogLine{Text: "deadline guard: the module left a query unanswered"})
+		c.finish(q, Final{Outcome: Failed, Overdue: true})
 		c.events = append(c.events, sq.ClientLeft{Query: q.id})
 	}
 }
@@ -586,7 +586,7 @@
 		}
 	case sq.Fail:
 		if q := c.queries[a.Query]; q != nil {
-			c.finish(q, Final{Verdict: Failed, Overdue: now >= q.ask.Deadline-2*c.terms.Period})
+			c.finish(q, Final{Outcome: Failed, Overdue: now >= q.ask.Deadline-2*c.terms.Period})
 		}
 	case sq.SetAlarm:
 		c.alarms = append(c.alarms, a)
@@ -597,7 +597,7 @@
 	case sq.Fetch:
 		c.do(Fetch{})
 	case sq.Log:
-		c.do(Note{Text: a.Text})
+		c.do(LogLine{Text: a.Text})
 	case sq.NotifyPeer: // gatherers share nothing
 	}
 }
@@ -605,7 +605,7 @@
 func (c *Core) send(now int64, s sq.Send) {
 	p := c.parts[s.Part]
 	if p == nil {
-		c.do(Note{Text: fmt.Sprintf("the module sent part %d, which is not held", s.Part)})
+		c.do(LogLine{Text: fmt.Sprintf("the module sent part %d, which is not held", s.Part)})
 		return
 	}
 	due := p.q.ask.Deadline
@@ -620,14 +620,14 @@
 	// A part that is in, or whose query is over, must not leave again; nor may one whose tenant's budget is
 	// spent. Not sent proves that it never ran.
 	if r := c.budgets[p.q.ask.Tenant]; p.in || p.q.over || due <= now || a.n > 0 && r != nil && !r.spend(now) {
-		c.Ended(now, a.id, sq.NotSent, nil, nil)
+		c.AttemptEnded(now, a.id, sq.NotSent, nil, nil)
 		return
 	}
 	out := Attempt{
 		ID: a.id, Label: p.q.ask.Label, Shard: p.ask.Shard, Epoch: a.epoch, Span: p.ask.Span, Due: due,
 		Text: p.q.ask.Text, Plan: p.q.ask.Plan,
 	}
-	if p.q.ask.Ledger != nil && !p.intended {
+	if p.q.ask.IntentLog != nil && !p.intended {
 		c.intend(a, out)
 		return
 	}
@@ -655,7 +655,7 @@
 	if q == nil {
 		return
 	}
-	f := Final{Verdict: Answered}
+	f := Final{Outcome: Answered}
 	pieces := make([]merge.Piece, 0, len(q.parts))
 	for _, p := range q.parts {
 		if p.in {
@@ -665,30 +665,30 @@
 	}
 	extent := merge.Completeness{Need: q.class.CompleteWeight, Floor: q.class.MinWeight}.Judge(pieces)
 	if !extent.Give {
-		c.finish(q, Final{Verdict: Failed})
+		c.finish(q, Final{Outcome: Failed})
 		return
 	}
-	f.Whole, f.Share, f.Missing = a.Complete && extent.Whole, extent.Share, extent.Missing
+	f.Complete, f.Fraction, f.Missing = a.Complete && extent.Whole, extent.Share, extent.Missing
 	c.finish(q, f)
 }
 
 // refuse tells the client that repeating is harmless, which for a class that must not run twice holds only
 // while no part can have run.
-func (c *Core) refuse(q *query, now, after int64) {
+func (c *Core) refuse(q *openQuery, now, after int64) {
 	overdue := now >= q.ask.Deadline-2*c.terms.Period
 	if q.class.Effect == sq.AtMostOnce {
 		for _, p := range q.parts {
 			if p.mayRun || slices.ContainsFunc(p.out, func(a *attempt) bool { return a.waits == nil }) {
-				c.finish(q, Final{Verdict: Failed, Overdue: overdue})
+				c.finish(q, Final{Outcome: Failed, Overdue: overdue})
 				return
 			}
 		}
 	}
-	c.finish(q, Final{Verdict: Refused, RetryAfter: c.advice(after), Overdue: overdue})
+	c.finish(q, Final{Outcome: Refused, RetryAfter: c.advice(after), Overdue: overdue})
 }
 
 // Advice is when a client that is refused before its query was opened should come back, as far as the settings permit to say.
-func (c *Core) Advice(after int64) int64 { return c.advice(after) }
+func (c *Core) RetryAdvice(after int64) int64 { return c.advice(after) }
 
 // advice is when a refused client should come back, as far as the settings permit to say.
 func (c *Core) advice(after int64) int64 {
@@ -701,13 +701,13 @@
 	return min(after, c.terms.MaxRetryAfter)
 }
 
-func (c *Core) finish(q *query, f Final) {
-	f.Query, f.Shards, f.Took, f.Attempts = q.id, len(q.parts), q.took, q.ends
+func (c *Core) finish(q *openQuery, f Final) {
+	f.Query, f.Shards, f.AttemptTime, f.Attempts = q.id, len(q.parts), q.took, q.ends
 	c.close(q)
 	c.do(f)
 }
 
-func (c *Core) close(q *query) {
+func (c *Core) close(q *openQuery) {
 	q.over = true
 	delete(c.queries, q.id)
 	if q.ask.Unique {
@@ -729,7 +729,7 @@
 func (c *Core) recall(p *part) {
 	for _, a := range p.out {
 		if a.waits == nil { // else it ends once its intent is kept
-			c.do(Recall{Attempt: a.id})
+			c.do(RecallUnsent{Attempt: a.id})
 		}
 	}
 }
--- a/internal/broker/core/broker_test.go
+++ b/internal/broker/core/broker_test.go
@@ -37,23 +37,23 @@
 	return strings.Join(out, " ")
 }
 
-func terms() Terms {
-	return Terms{
+func terms() Config {
+	return Config{
 		Period: 10, Shards: 4, MaxOpen: 6, PartsPerCall: 2, RetryAfter: true, MaxRetryAfter: 500, AnswerGrace: 20,
 		Classes: []sq.Class{{Name: "free", CompleteWeight: 1, MinWeight: 0.5}, {Name: "once", CompleteWeight: 1, MinWeight: 1, Effect: sq.AtMostOnce}},
 	}
 }
 
 // ask makes a query of half-weight parts; the ids that follow are 1 for the query and 3, 4 for its parts.
-func ask(class string, shards ...int) Ask {
-	a := Ask{Label: "q", Class: class, Tenant: "t", Deadline: 1000}
+func ask(class string, shards ...int) Query {
+	a := Query{Label: "q", Class: class, Tenant: "t", Deadline: 1000}
 	for _, s := range shards {
-		a.Parts = append(a.Parts, AskPart{Shard: s, Weight: 1 / float64(len(shards)), Work: 5})
+		a.Parts = append(a.Parts, QueryPart{Shard: s, Weight: 1 / float64(len(shards)), Work: 5})
 	}
 	return a
 }
 
-func begin(t *testing.T, terms Terms, class string, shards ...int) (*Core, *script) {
+func begin(t *testing.T, terms Config, class string, shards ...int) (*Core, *script) {
 	t.Helper()
 	m := &script{}
 	c := New(terms, m)
@@ -67,7 +67,7 @@
 func act[E Effect](c *Core, m *script, now int64, actions ...sq.Action) []E {
 	m.next = actions
 	if len(actions) > 0 && len(c.events) == 0 {
-		c.Fleet(sq.FleetChanged{})
+		c.FleetChanged(sq.FleetChanged{})
 	}
 	var out []E
 	for _, e := range c.Step(now) {
@@ -84,13 +84,13 @@
 	if len(calls) != 1 || calls[0].Attempts[0].Due != 1000 {
 		t.Fatalf("%v", calls)
 	}
-	c.Ended(140, calls[0].Attempts[0].ID, sq.Served, []byte("v"), nil)
+	c.AttemptEnded(140, calls[0].Attempts[0].ID, sq.Served, []byte("v"), nil)
 	got := act[Final](c, m, 150, sq.Answer{Query: 1, Complete: true}, sq.Refuse{Query: 1}, sq.Fail{Query: 1})
-	if len(got) != 1 || got[0].Verdict != Answered || !got[0].Whole || string(got[0].Values[0].Data) != "v" {
+	if len(got) != 1 || got[0].Outcome != Answered || !got[0].Complete || string(got[0].Values[0].Data) != "v" {
 		t.Errorf("%+v", got)
 	}
-	if got := act[Final](c, m, 2000, sq.Answer{Query: 1}); len(got) != 0 || c.Held() != 0 || len(c.parts) != 0 || c.open != 0 {
-		t.Errorf("%+v, %d held, %d open", got, c.Held(), c.open)
+	if got := act[Final](c, m, 2000, sq.Answer{Query: 1}); len(got) != 0 || c.OpenQueries() != 0 || len(c.parts) != 0 || c.open != 0 {
+		t.Errorf("%+v, %d held, %d open", got, c.OpenQueries(), c.open)
 	}
 }
 
@@ -101,10 +101,10 @@
 	if got := act[Final](c, m, 1019); len(got) != 0 {
 		t.Fatalf("too soon: %v", got)
 	}
-	if at, ok := c.Next(); !ok || at != 1020 && at != 1029 {
+	if at, ok := c.NextStep(); !ok || at != 1020 && at != 1029 {
 		t.Errorf("next at %d %t", at, ok)
 	}
-	if got := act[Final](c, m, 1020); len(got) != 1 || got[0].Verdict != Failed || !got[0].Overdue {
+	if got := act[Final](c, m, 1020); len(got) != 1 || got[0].Outcome != Failed || !got[0].Overdue {
 		t.Errorf("%+v", got)
 	}
 	act[Final](c, m, 1100)
@@ -122,16 +122,16 @@
 		t.Fatalf("parts to one server share a call: %v", calls)
 	}
 	a, b := calls[0].Attempts[0].ID, calls[0].Attempts[1].ID
-	if drops := act[Drop](c, m, 150); len(drops) != 1 || drops[0].Attempt != a {
+	if drops := act[CancelAttempt](c, m, 150); len(drops) != 1 || drops[0].Attempt != a {
 		t.Fatalf("%v", drops)
 	}
-	c.Ended(155, a, sq.Served, []byte("late"), nil)
-	if drops := act[Drop](c, m, 160, sq.Cancel{Part: 4, Attempt: 0}, sq.Cancel{Part: 4, Attempt: 0}); len(drops) != 1 {
+	c.AttemptEnded(155, a, sq.Served, []byte("late"), nil)
+	if drops := act[CancelAttempt](c, m, 160, sq.Cancel{Part: 4, Attempt: 0}, sq.Cancel{Part: 4, Attempt: 0}); len(drops) != 1 {
 		t.Fatalf("%v", drops)
 	}
-	c.Ended(165, b, sq.Served, []byte("late"), nil)
+	c.AttemptEnded(165, b, sq.Served, []byte("late"), nil)
 	got := act[Final](c, m, 170, sq.Answer{Query: 1})
-	if len(got) != 1 || got[0].Verdict != Failed {
+	if len(got) != 1 || got[0].Outcome != Failed {
 		t.Errorf("answered from nothing: %+v", got)
 	}
 	if o := m.outcomes(); o != "3.0=3@50 4.0=6@60" {
@@ -144,21 +144,21 @@
 
 // A query that must not run twice may be refused only while no part can have run, whatever the module says.
 func TestRefusalIsHarmless(t *testing.T) {
-	for o, want := range map[sq.Outcome]Verdict{
+	for o, want := range map[sq.Outcome]QueryOutcome{
 		sq.Rejected: Refused, sq.Unreachable: Refused, sq.Errored: Failed,
 		sq.Broken: Failed, sq.Served: Failed,
 	} {
 		c, m := begin(t, terms(), "once", 0)
 		calls := act[Call](c, m, 100, sq.Send{Part: 3, Server: "s"})
-		c.Ended(110, calls[0].Attempts[0].ID, o, nil, nil)
+		c.AttemptEnded(110, calls[0].Attempts[0].ID, o, nil, nil)
 		got := act[Final](c, m, 120, sq.Refuse{Query: 1, RetryAfter: 900})
-		if len(got) != 1 || got[0].Verdict != want || want == Refused && got[0].RetryAfter != 500 {
+		if len(got) != 1 || got[0].Outcome != want || want == Refused && got[0].RetryAfter != 500 {
 			t.Errorf("after outcome %d: %+v", o, got)
 		}
 	}
 	c, m := begin(t, terms(), "once", 0)
 	act[Call](c, m, 100, sq.Send{Part: 3, Server: "s"})
-	if got := act[Final](c, m, 120, sq.Refuse{Query: 1}); len(got) != 1 || got[0].Verdict != Failed {
+	if got := act[Final](c, m, 120, sq.Refuse{Query: 1}); len(got) != 1 || got[0].Outcome != Failed {
 		t.Errorf("while an attempt is out: %+v", got)
 	}
 }
@@ -168,10 +168,10 @@
 		c, m := begin(t, terms(), "free", 0, 1)
 		calls := act[Call](c, m, 100, sq.Send{Part: 3, Server: "s"}, sq.Send{Part: 4, Server: "s"})
 		for _, a := range calls[0].Attempts[:served] {
-			c.Ended(110, a.ID, sq.Served, []byte("v"), nil)
+			c.AttemptEnded(110, a.ID, sq.Served, []byte("v"), nil)
 		}
 		got := act[Final](c, m, 120, sq.Answer{Query: 1, Complete: true})
-		if len(got) != 1 || fmt.Sprint(int(got[0].Verdict), " ", got[0].Whole) != want {
+		if len(got) != 1 || fmt.Sprint(int(got[0].Outcome), " ", got[0].Complete) != want {
 			t.Errorf("with %d of 2 in: %+v", served, got)
 		}
 	}
@@ -183,10 +183,10 @@
 		t.Fatal("room is left")
 	}
 	_, f, err := c.Open(100, ask("free", 0))
-	if err != nil || f == nil || f.Verdict != Refused || f.RetryAfter != 500 {
+	if err != nil || f == nil || f.Outcome != Refused || f.RetryAfter != 500 {
 		t.Errorf("%+v, %v", f, err)
 	}
-	c.Left(1)
+	c.ClientLeft(1)
 	if _, f, _ := c.Open(100, ask("free", 0)); f != nil {
 		t.Error("room was made")
 	}
@@ -207,14 +207,14 @@
 	for now := int64(100); now <= 130; now++ {
 		c.Step(now)
 		if now == 103 {
-			c.Fleet(sq.FleetChanged{})
-			if at, ok := c.Next(); at != 110 || !ok {
+			c.FleetChanged(sq.FleetChanged{})
+			if at, ok := c.NextStep(); at != 110 || !ok {
 				t.Errorf("next at %d", at)
 			}
 		}
 		if now == 110 {
 			m.next = []sq.Action{sq.SetAlarm{ID: 7, At: 125}}
-			c.Fleet(sq.FleetChanged{})
+			c.FleetChanged(sq.FleetChanged{})
 		}
 	}
 	if fmt.Sprint(m.steps) != "[100 110 120 130]" {
@@ -237,7 +237,7 @@
 			t.Fatalf("send %d: %d calls, want %d", i, len(calls), want)
 		}
 		if want == 1 {
-			c.Ended(now+5, calls[0].Attempts[0].ID, sq.Errored, nil, nil)
+			c.AttemptEnded(now+5, calls[0].Attempts[0].ID, sq.Errored, nil, nil)
 		}
 		now += 10
 	}
@@ -256,7 +256,7 @@
 	negative.Parts[0].Weight = -1
 	heavy, light, long := ask("free", 0), ask("free", 0, 1), ask("free", 1)
 	heavy.Parts[0].Weight, light.Parts[0].Weight, long.Parts[0].Work = 1.5, 0.3, 1<<60
-	for _, a := range []Ask{
+	for _, a := range []Query{
 		ask("free"), ask("free", 4), ask("free", -1), ask("free", 1, 1), ask("other", 1), negative,
 		heavy, light, long,
 	} {
@@ -276,17 +276,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, f, err := c.Open(1, a); f != nil || !errors.Is(err, ErrTaken) || c.Held() != 1 {
-		t.Errorf("%v, %v, %d held", f, err, c.Held())
+	if _, f, err := c.Open(1, a); f != nil || !errors.Is(err, ErrDuplicateLabel) || c.OpenQueries() != 1 {
+		t.Errorf("%v, %v, %d held", f, err, c.OpenQueries())
 	}
-	if finals := act[Final](c, m, 20, sq.Refuse{Query: first}); len(finals) != 1 || finals[0].Verdict != Refused {
+	if finals := act[Final](c, m, 20, sq.Refuse{Query: first}); len(finals) != 1 || finals[0].Outcome != Refused {
 		t.Errorf("the first ended as %v", finals)
 	}
 	if _, f, err := c.Open(30, a); f != nil || err != nil {
 		t.Errorf("again: %v, %v", f, err)
 	}
-	c.Left(5)
-	if len(c.labels) != 0 && c.Held() == 0 {
+	c.ClientLeft(5)
+	if len(c.labels) != 0 && c.OpenQueries() == 0 {
 		t.Errorf("%d ids are kept", len(c.labels))
 	}
 }
@@ -314,7 +314,7 @@
 	}
 	// The one that is open may be refused although a part may have run: so it was when it came.
 	got := act[Final](c, m, 110, sq.Refuse{Query: 1}, sq.Send{Part: 3, Server: "s"})
-	if len(got) != 1 || got[0].Verdict != Refused {
+	if len(got) != 1 || got[0].Outcome != Refused {
 		t.Errorf("%+v", got)
 	}
 	var order []string
@@ -335,23 +335,23 @@
 	now.Tenants = map[string]Budget{"t": {Free: 1, Ratio: 1, Window: 1000}}
 	m := &script{}
 	c := New(now, m)
-	c.Succeed(100, sq.Learned{Admission: 0.5})
-	c.Beside(Standing{Open: 4, Labels: map[string]int64{"theirs": 200}})
+	c.TakeOver(100, sq.Learned{Admission: 0.5})
+	c.SetPeer(Occupancy{Open: 4, Labels: map[string]int64{"theirs": 200}})
 	a := ask("free", 0)
 	a.Label, a.Unique = "theirs", true
-	if _, _, err := c.Open(199, a); !errors.Is(err, ErrTaken) {
+	if _, _, err := c.Open(199, a); !errors.Is(err, ErrDuplicateLabel) {
 		t.Errorf("an id that is open in the other: %v", err)
 	}
 	if id, f, err := c.Open(200, a); id != 1 || f != nil || err != nil { // its deadline there has passed
 		t.Errorf("%v %v %v", id, f, err)
 	}
-	if s := c.Standing(); s.Open != 2 || s.Labels["theirs"] != 1000 {
+	if s := c.Occupancy(); s.Open != 2 || s.Labels["theirs"] != 1000 {
 		t.Errorf("%+v", s)
 	}
-	if _, f, _ := c.Open(200, ask("free", 1)); f == nil || f.Verdict != Refused {
+	if _, f, _ := c.Open(200, ask("free", 1)); f == nil || f.Outcome != Refused {
 		t.Errorf("with 6 open in both: %+v", f)
 	}
-	c.Beside(Standing{})
+	c.SetPeer(Occupancy{})
 	if _, f, err := c.Open(200, ask("free", 1)); f != nil || err != nil {
 		t.Errorf("with the other gone: %+v %v", f, err)
 	}
--- a/internal/broker/core/dialect.go
+++ b/internal/broker/core/dialect.go
@@ -7,14 +7,14 @@
 )
 
 // ErrLast says that the answer which came with it was the last on its connection; nothing was wrong with it.
-var ErrLast = errors.New("the server ends the connection")
+var ErrConnectionEnding = errors.New("the server ends the connection")
 
 // Dialect is how servers are spoken to. It knows no socket.
 type Dialect interface {
 	// Streams is how many calls one connection carries at a time.
 	Streams() int
 	// Session begins a connection to the server at an address.
-	Session(address string) Session
+	NewSession(address string) Session
 }
 
 // Session is one connection's side of a dialect, fed bytes.
@@ -23,7 +23,7 @@
 	Call(dst []byte, c Call, now int64) []byte
 	// Drop appends what tells the server that an attempt is given up; keep is false where only closing the
 	// connection can say so.
-	Drop(dst []byte, id AttemptID) (out []byte, keep bool)
+	Cancel(dst []byte, id AttemptID) (out []byte, keep bool)
 	// Unsent says that an attempt was taken back before any byte of its call left: nothing comes back for it.
 	Unsent(id AttemptID)
 	// Feed takes in bytes from the server, which it does not keep. What was good is returned beside an error;
--- a/internal/broker/core/intent_test.go
+++ b/internal/broker/core/intent_test.go
@@ -10,17 +10,17 @@
 // book is a ledger that writes down what it is told.
 type book struct{ released, abandoned int }
 
-func (*book) Intend([]Intended, int64, func(error)) error { return nil }
-func (*book) Keeps() bool                                 { return true }
-func (b *book) Release()                                  { b.released++ }
-func (b *book) Abandon()                                  { b.abandoned++ }
+func (*book) Record([]Intent, int64, func(error)) error { return nil }
+func (*book) WantsResult() bool                         { return true }
+func (b *book) Release()                                { b.released++ }
+func (b *book) Abandon()                                { b.abandoned++ }
 
 func beginOnce(t *testing.T, shards ...int) (*Core, *script) {
 	t.Helper()
 	m := &script{}
 	c := New(terms(), m)
 	a := ask("once", shards...)
-	a.Ledger = &book{}
+	a.IntentLog = &book{}
 	if _, f, err := c.Open(100, a); f != nil || err != nil {
 		t.Fatal(f, err)
 	}
@@ -28,12 +28,12 @@
 }
 
 // sendBoth has the module send both parts of a query, and returns what is to be made durable.
-func sendBoth(t *testing.T, c *Core, m *script) Intend {
+func sendBoth(t *testing.T, c *Core, m *script) RecordIntents {
 	t.Helper()
 	m.next = []sq.Action{sq.Send{Part: 3, Server: "s"}, sq.Send{Part: 4, Server: "t"}}
 	effects := c.Step(100)
-	x, ok := effects[0].(Intend)
-	if len(effects) != 1 || !ok || len(x.Parts) != 2 || x.Parts[1].Server != "t" || x.Parts[1].Shard != 1 {
+	x, ok := effects[0].(RecordIntents)
+	if len(effects) != 1 || !ok || len(x.Intents) != 2 || x.Intents[1].Server != "t" || x.Intents[1].Shard != 1 {
 		t.Fatalf("%+v", effects)
 	}
 	return x
@@ -46,15 +46,15 @@
 	if got := act[Call](c, m, 110); len(got) != 0 {
 		t.Fatalf("left before: %v", got)
 	}
-	c.Intended(150, x.Attempts, nil)
-	if at, ok := c.Next(); !ok || at > 150 {
+	c.IntentsRecorded(150, x.Attempts, nil)
+	if at, ok := c.NextStep(); !ok || at > 150 {
 		t.Errorf("next at %d, with calls to be made", at)
 	}
 	calls := act[Call](c, m, 151)
 	if len(calls) != 2 || calls[0].Server != "s" || calls[1].Attempts[0].Shard != 1 {
 		t.Fatalf("%+v", calls)
 	}
-	c.Ended(200, calls[0].Attempts[0].ID, sq.Unreachable, nil, nil)
+	c.AttemptEnded(200, calls[0].Attempts[0].ID, sq.Unreachable, nil, nil)
 	act[Call](c, m, 210)
 	if got := m.outcomes(); got != "3.0=4@50" {
 		t.Errorf("outcomes %q", got)
@@ -63,7 +63,7 @@
 	if again := act[Call](c, m, 220, sq.Send{Part: 3, Server: "u"}); len(again) != 1 || again[0].Server != "u" {
 		t.Errorf("%+v", again)
 	}
-	c.Intended(230, x.Attempts, nil) // told twice
+	c.IntentsRecorded(230, x.Attempts, nil) // told twice
 	if got := act[Call](c, m, 240); len(got) != 0 {
 		t.Errorf("left twice: %v", got)
 	}
@@ -73,10 +73,10 @@
 func TestIntentsThatFail(t *testing.T) {
 	c, m := beginOnce(t, 0, 1)
 	x := sendBoth(t, c, m)
-	c.Intended(110, x.Attempts, errors.New("disk full"))
+	c.IntentsRecorded(110, x.Attempts, errors.New("disk full"))
 	finals := act[Final](c, m, 120)
-	if len(finals) != 1 || finals[0].Verdict != Refused || finals[0].RetryAfter == 0 || c.Held() != 0 || len(c.attempts) != 0 {
-		t.Errorf("%+v, %d held", finals, c.Held())
+	if len(finals) != 1 || finals[0].Outcome != Refused || finals[0].RetryAfter == 0 || c.OpenQueries() != 0 || len(c.attempts) != 0 {
+		t.Errorf("%+v, %d held", finals, c.OpenQueries())
 	}
 	act[Final](c, m, 140)
 	if got := m.outcomes(); got != "3.0=7@10 4.0=7@10" {
@@ -89,21 +89,21 @@
 	c, m := beginOnce(t, 0, 1)
 	x := sendBoth(t, c, m)
 	for _, e := range c.Step(1000) {
-		if _, is := e.(Drop); is {
+		if _, is := e.(CancelAttempt); is {
 			t.Error("what never left is dropped")
 		}
 	}
-	c.Intended(1001, x.Attempts, nil)
+	c.IntentsRecorded(1001, x.Attempts, nil)
 	if got := act[Call](c, m, 1002); len(got) != 0 {
 		t.Errorf("left: %v", got)
 	}
-	if got := act[Final](c, m, 1015, sq.Refuse{Query: 1}); len(got) != 1 || got[0].Verdict != Refused {
+	if got := act[Final](c, m, 1015, sq.Refuse{Query: 1}); len(got) != 1 || got[0].Outcome != Refused {
 		t.Errorf("%+v", got)
 	}
 	c, m = beginOnce(t, 0, 1)
 	x = sendBoth(t, c, m)
-	c.Left(1)
-	c.Intended(120, x.Attempts, nil)
+	c.ClientLeft(1)
+	c.IntentsRecorded(120, x.Attempts, nil)
 	if got := act[Call](c, m, 130); len(got) != 0 || len(c.attempts) != 0 || len(c.parts) != 0 {
 		t.Errorf("left: %v", got)
 	}
@@ -127,7 +127,7 @@
 		t.Errorf("%+v", spent)
 	}
 	b := New(after, &script{})
-	b.Recall(960, sq.Learned{}, spent)
+	b.Restore(960, sq.Learned{}, spent)
 	if b.budgets["t"].spend(960) {
 		t.Error("what was left may have been spent")
 	}
@@ -137,5 +137,5 @@
 	if !b.budgets["t"].spend(1960) {
 		t.Error("the window is over")
 	}
-	b.Recall(960, sq.Learned{}, map[string]Spent{"gone": {}, "t": {At: 1 << 60}})
+	b.Restore(960, sq.Learned{}, map[string]Spent{"gone": {}, "t": {At: 1 << 60}})
 }
--- a/internal/broker/core/layout.go
+++ b/internal/broker/core/layout.go
@@ -10,7 +10,7 @@
 
 // Layout puts a layout in force. Parts whose shard is no longer in force are planned anew, each by itself: at once where
 // nothing of them is out, else when that has ended. The cost is that of the open parts of the shards that changed.
-func (c *Core) Layout(now int64, u layout.Update) {
+func (c *Core) LayoutChanged(now int64, u layout.Update) {
 	c.routes = u.Layout
 	c.events = append(c.events, sq.HoldersChanged{Holders: u.Layout})
 	var touched []*part
@@ -46,7 +46,7 @@
 }
 
 // hand makes a part of a query.
-func (c *Core) hand(q *query, ap AskPart) *part {
+func (c *Core) hand(q *openQuery, ap QueryPart) *part {
 	p := &part{id: sq.ID(c.nextID()), q: q, ask: ap}
 	c.parts[p.id] = p
 	if c.routes != nil {
@@ -84,20 +84,20 @@
 }
 
 // placed tells that a part's span lies within its shard, in force.
-func (c *Core) placed(p AskPart) bool {
+func (c *Core) placed(p QueryPart) bool {
 	span, ok := c.routes.InForce(p.Shard)
 	return ok && p.Span.From >= span.From && p.Span.To <= span.To
 }
 
 // pieces is what a part comes to under the layout in force: exactly its span, less what its query does not ask for.
-func (c *Core) pieces(p AskPart, want []layout.Span) []AskPart {
+func (c *Core) pieces(p QueryPart, want []layout.Span) []QueryPart {
 	cover := c.routes.Cover(nil, p.Span)
 	if len(want) > 0 {
 		cover = slices.DeleteFunc(cover, func(x layout.Piece) bool {
 			return !slices.ContainsFunc(want, func(w layout.Span) bool { return !w.Meet(x.Span).Empty() })
 		})
 	}
-	out := make([]AskPart, 0, len(cover))
+	out := make([]QueryPart, 0, len(cover))
 	for _, x := range cover {
 		n := p
 		n.Shard, n.Span = x.Shard, x.Span
@@ -108,16 +108,16 @@
 }
 
 // settle plans those parts of a new query anew that were planned under a layout which is no longer in force.
-func (c *Core) settle(a Ask) []AskPart {
-	if c.routes == nil || !slices.ContainsFunc(a.Parts, func(p AskPart) bool { return !c.placed(p) }) {
+func (c *Core) settle(a Query) []QueryPart {
+	if c.routes == nil || !slices.ContainsFunc(a.Parts, func(p QueryPart) bool { return !c.placed(p) }) {
 		return a.Parts
 	}
-	var out []AskPart
+	var out []QueryPart
 	for _, p := range a.Parts {
 		if c.placed(p) {
 			out = append(out, p)
 		} else {
-			out = append(out, c.pieces(p, a.Want)...)
+			out = append(out, c.pieces(p, a.RequestedSpans)...)
 		}
 	}
 	return out
@@ -145,7 +145,7 @@
 	}
 	var into []*part
 	var parts []sq.Part
-	for _, ap := range c.pieces(p.ask, p.q.ask.Want) {
+	for _, ap := range c.pieces(p.ask, p.q.ask.RequestedSpans) {
 		n := c.hand(p.q, ap)
 		into, parts = append(into, n), append(parts, n.event())
 	}
@@ -173,11 +173,11 @@
 	case o == sq.Misplaced && a.epoch >= c.routes.Epoch():
 		c.behind = true
 	case o == sq.Served && !c.routes.Answers(a.server, a.p.ask.Shard, a.p.ask.Span):
-		c.do(Note{Text: "an answer of " + string(a.server) + " for range " + a.p.ask.Span.String() + ", which it holds no longer"})
+		c.do(LogLine{Text: "an answer of " + string(a.server) + " for range " + a.p.ask.Span.String() + ", which it holds no longer"})
 		return sq.Errored
 	}
 	return o
 }
 
 // Replanned is how many parts were planned anew, and how many attempts found their range gone, since the start.
-func (c *Core) Replanned() (parts, misplaced int64) { return c.replanned, c.misplaced }
+func (c *Core) ReplanCounts() (parts, misplaced int64) { return c.replanned, c.misplaced }
--- a/internal/broker/core/layout_test.go
+++ b/internal/broker/core/layout_test.go
@@ -61,17 +61,17 @@
 }
 
 // placed opens a query for keys under a layout at a core that holds another one, or the same.
-func placed(t *testing.T, class string, planned, inForce *layout.Layout, want ...layout.Span) (*Core, *script, *query) {
+func placed(t *testing.T, class string, planned, inForce *layout.Layout, want ...layout.Span) (*Core, *script, *openQuery) {
 	t.Helper()
 	m := &script{}
 	set := terms()
 	set.MaxOpen = 0
 	c := New(set, m)
-	c.Layout(50, layout.Update{Layout: inForce})
-	a := Ask{Label: "q", Class: class, Deadline: 1000, Want: want}
+	c.LayoutChanged(50, layout.Update{Layout: inForce})
+	a := Query{Label: "q", Class: class, Deadline: 1000, RequestedSpans: want}
 	plan := planned.Plan(nil, want)
 	for _, p := range plan {
-		a.Parts = append(a.Parts, AskPart{Shard: p.Shard, Span: p.Span, Weight: 1 / float64(len(plan)), Work: 100})
+		a.Parts = append(a.Parts, QueryPart{Shard: p.Shard, Span: p.Span, Weight: 1 / float64(len(plan)), Work: 100})
 	}
 	id, _, err := c.Open(100, a)
 	if err != nil {
@@ -80,7 +80,7 @@
 	return c, m, c.queries[id]
 }
 
-func (q *query) places() (out []string) {
+func (q *openQuery) places() (out []string) {
 	for _, p := range q.parts {
 		out = append(out, fmt.Sprintf("%d:%s", p.ask.Shard, p.ask.Span))
 	}
@@ -109,9 +109,9 @@
 		last := c.then[len(c.then)-1]
 		_, _, before := placed(t, "free", l, last, c.want...)
 		core, m, after := placed(t, "free", l, l, c.want...)
-		core.Layout(110, update(core, last))
+		core.LayoutChanged(110, update(core, last))
 		act[Call](core, m, 120)
-		for when, q := range map[string]*query{"before": before, "after": after} {
+		for when, q := range map[string]*openQuery{"before": before, "after": after} {
 			if got := fmt.Sprint(q.places()); got != c.places {
 				t.Errorf("%s, told %s it was opened: %s, want %s", c.name, when, got, c.places)
 			}
@@ -149,11 +149,11 @@
 	} {
 		core, m, q := placed(t, c.class, l, l, span(0, 10))
 		calls := act[Call](core, m, 110, sq.Send{Part: q.parts[0].id, Server: "s0"})
-		core.Layout(120, update(core, cut))
+		core.LayoutChanged(120, update(core, cut))
 		if c.when == retired {
-			core.Layout(121, update(core, retired))
+			core.LayoutChanged(121, update(core, retired))
 		}
-		core.Ended(130, calls[0].Attempts[0].ID, c.outcome, []byte("v"), nil)
+		core.AttemptEnded(130, calls[0].Attempts[0].ID, c.outcome, []byte("v"), nil)
 		act[Call](core, m, 140)
 		if got := fmt.Sprint(q.places()); got != c.places {
 			t.Errorf("%s: %s, want %s", c.name, got, c.places)
@@ -164,9 +164,9 @@
 	}
 	core, m, q := placed(t, "free", l, l, span(0, 10)) // a silent server: its old side goes, and nothing else would end it
 	act[Call](core, m, 110, sq.Send{Part: q.parts[0].id, Server: "s0"}, sq.Send{Part: q.parts[0].id, Server: "s1"})
-	core.Layout(120, update(core, cut))
-	core.Layout(121, update(core, retired))
-	if drops := act[Drop](core, m, 130); len(drops) != 2 || fmt.Sprint(q.places()) != "[1:0-5 2:5-10]" {
+	core.LayoutChanged(120, update(core, cut))
+	core.LayoutChanged(121, update(core, retired))
+	if drops := act[CancelAttempt](core, m, 130); len(drops) != 2 || fmt.Sprint(q.places()) != "[1:0-5 2:5-10]" {
 		t.Errorf("retired under it: %v %v", drops, q.places())
 	}
 }
@@ -178,7 +178,7 @@
 	for n := range 3 {
 		now := int64(110 + 20*n)
 		calls := act[Call](core, m, now, sq.Send{Part: q.parts[0].id, Server: "s0"})
-		core.Ended(now+5, calls[0].Attempts[0].ID, sq.Misplaced, nil, nil)
+		core.AttemptEnded(now+5, calls[0].Attempts[0].ID, sq.Misplaced, nil, nil)
 		if asked := act[Refresh](core, m, now+10); len(asked) != 1 || len(q.parts) != 1 || core.replanned != 0 {
 			t.Fatalf("%d: asked %d times, %v", n, len(asked), q.places())
 		}
@@ -200,13 +200,13 @@
 			ids = append(ids, a.ID)
 		}
 	}
-	core.Came(120, Reply{Attempt: ids[0], Outcome: sq.Served, Size: 60})
-	core.Came(121, Reply{Attempt: ids[1], Outcome: sq.Served, Size: 40})
+	core.HandleReply(120, Reply{Attempt: ids[0], Outcome: sq.Served, Size: 60})
+	core.HandleReply(121, Reply{Attempt: ids[1], Outcome: sq.Served, Size: 40})
 	if core.held != 100 || len(core.queries) != 1 {
 		t.Fatalf("%d held", core.held)
 	}
-	core.Came(122, Reply{Attempt: ids[2], Outcome: sq.Served, Size: 1})
-	if got := act[Final](core, m, 130); len(got) != 1 || got[0].Verdict != Failed || core.held != 0 || len(core.parts) != 0 {
+	core.HandleReply(122, Reply{Attempt: ids[2], Outcome: sq.Served, Size: 1})
+	if got := act[Final](core, m, 130); len(got) != 1 || got[0].Outcome != Failed || core.held != 0 || len(core.parts) != 0 {
 		t.Errorf("%+v, %d held", got, core.held)
 	}
 }
@@ -220,9 +220,9 @@
 	untold   []*layout.Layout
 	coming   []arrival
 	ran      map[sq.ID][]layout.Span // of queries that must not run twice
-	asked    map[string]Ask
+	asked    map[string]Query
 	ended    map[sq.ID]bool
-	ids      map[sq.ID]Ask
+	ids      map[sq.ID]Query
 	problem  string
 	answered int
 	// careless has the driver say that what was cut after it ran never ran: a bug that the ledger has to find.
@@ -244,7 +244,7 @@
 
 // newWorld makes one. lax has the module believe that everything may be repeated: another bug that the ledger has to find.
 func newWorld(t fataler, seed uint64, lax bool) *world {
-	w := &world{rng: rand.New(rand.NewPCG(seed, 1)), ran: map[sq.ID][]layout.Span{}, ended: map[sq.ID]bool{}, ids: map[sq.ID]Ask{}}
+	w := &world{rng: rand.New(rand.NewPCG(seed, 1)), ran: map[sq.ID][]layout.Span{}, ended: map[sq.ID]bool{}, ids: map[sq.ID]Query{}}
 	classes := []sq.Class{
 		{Name: "free", LatencyTarget: 40_000, HardLimit: 60_000, Value: 1, LateValue: 0.1, CompleteWeight: 1, MinWeight: 1},
 		{Name: "once", LatencyTarget: 40_000, HardLimit: 60_000, Value: 1, LateValue: 0.1, CompleteWeight: 1, MinWeight: 1, Effect: sq.AtMostOnce},
@@ -260,14 +260,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.core = New(Terms{Period: 100, Shards: 1, PartsPerCall: 1, RetryAfter: true, MaxRetryAfter: 500, AnswerGrace: 100, Classes: classes}, module)
+	w.core = New(Config{Period: 100, Shards: 1, PartsPerCall: 1, RetryAfter: true, MaxRetryAfter: 500, AnswerGrace: 100, Classes: classes}, module)
 	var fleet []sq.Server
 	for i := range 5 {
 		fleet = append(fleet, sq.Server{ID: sq.ServerID(fmt.Sprint("s", i)), Health: sq.Ready})
 	}
-	w.core.Fleet(sq.FleetChanged{Kind: sq.FleetFull, Servers: fleet})
+	w.core.FleetChanged(sq.FleetChanged{Kind: sq.FleetFull, Servers: fleet})
 	w.truth = ranged(t, 6)
-	w.core.Layout(0, layout.Update{Layout: w.truth})
+	w.core.LayoutChanged(0, layout.Update{Layout: w.truth})
 	return w
 }
 
@@ -307,16 +307,16 @@
 	n := 1 + w.rng.IntN(len(w.untold))
 	l := w.untold[n-1]
 	w.untold = w.untold[n:]
-	w.core.Layout(w.now, update(w.core, l))
+	w.core.LayoutChanged(w.now, update(w.core, l))
 }
 
 func (w *world) ask() {
-	a := Ask{Label: fmt.Sprint("q", w.now), Class: []string{"free", "once"}[w.rng.IntN(2)], Deadline: w.now + 30_000 + w.rng.Int64N(30_000)}
+	a := Query{Label: fmt.Sprint("q", w.now), Class: []string{"free", "once"}[w.rng.IntN(2)], Deadline: w.now + 30_000 + w.rng.Int64N(30_000)}
 	from := w.rng.Int64N(55)
-	a.Want = []layout.Span{span(from, from+1+w.rng.Int64N(60-from))}
-	plan := w.core.routes.Plan(nil, a.Want)
+	a.RequestedSpans = []layout.Span{span(from, from+1+w.rng.Int64N(60-from))}
+	plan := w.core.routes.Plan(nil, a.RequestedSpans)
 	for _, p := range plan {
-		a.Parts = append(a.Parts, AskPart{Shard: p.Shard, Span: p.Span, Weight: 1 / float64(len(plan)), Work: 500})
+		a.Parts = append(a.Parts, QueryPart{Shard: p.Shard, Span: p.Span, Weight: 1 / float64(len(plan)), Work: 500})
 	}
 	id, f, err := w.core.Open(w.now, a)
 	if err != nil || f != nil {
@@ -368,10 +368,10 @@
 		w.fault("query %d ended twice or late", f.Query)
 	}
 	w.ended[f.Query] = true
-	if f.Verdict == Refused && len(w.ran[f.Query]) > 0 {
+	if f.Outcome == Refused && len(w.ran[f.Query]) > 0 {
 		w.fault("query %d was refused, and yet it ran", f.Query)
 	}
-	if f.Verdict != Answered {
+	if f.Outcome != Answered {
 		return
 	}
 	w.answered++
@@ -383,9 +383,9 @@
 			seen[k]++
 		}
 	}
-	for k := a.Want[0].From; k < a.Want[0].To; k++ {
-		if seen[k] != 1 || !f.Whole {
-			w.fault("query %d: key %d is %d times in an answer (whole %t)", f.Query, k, seen[k], f.Whole)
+	for k := a.RequestedSpans[0].From; k < a.RequestedSpans[0].To; k++ {
+		if seen[k] != 1 || !f.Complete {
+			w.fault("query %d: key %d is %d times in an answer (whole %t)", f.Query, k, seen[k], f.Complete)
 		}
 	}
 }
@@ -411,7 +411,7 @@
 			if a.at > w.now {
 				w.coming = append(w.coming, a)
 			} else {
-				w.core.Ended(w.now, a.attempt, a.outcome, a.value, nil)
+				w.core.AttemptEnded(w.now, a.attempt, a.outcome, a.value, nil)
 			}
 		}
 		for _, e := range w.core.Step(w.now) {
@@ -478,11 +478,11 @@
 	l := ranged(b, 10_000)
 	c := New(terms(), &script{})
 	c.terms.MaxOpen = 0
-	c.Layout(0, layout.Update{Layout: l})
+	c.LayoutChanged(0, layout.Update{Layout: l})
 	for i := range 250 {
-		a := Ask{Label: fmt.Sprint(i), Class: "free", Deadline: 1 << 50}
+		a := Query{Label: fmt.Sprint(i), Class: "free", Deadline: 1 << 50}
 		for j := range 8 {
-			a.Parts = append(a.Parts, AskPart{Shard: 8*i + j, Span: span(int64(80*i+10*j), int64(80*i+10*j+10)), Weight: 1.0 / 8})
+			a.Parts = append(a.Parts, QueryPart{Shard: 8*i + j, Span: span(int64(80*i+10*j), int64(80*i+10*j+10)), Weight: 1.0 / 8})
 		}
 		if _, _, err := c.Open(0, a); err != nil {
 			b.Fatal(err)
@@ -494,7 +494,7 @@
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		c.Layout(1, layout.Update{Layout: l, Changed: all})
+		c.LayoutChanged(1, layout.Update{Layout: l, Changed: all})
 		c.events = c.events[:0]
 	}
 }
@@ -520,12 +520,12 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	core := New(Terms{Period: 100, Shards: 12, PartsPerCall: 1, AnswerGrace: 100, Classes: set.Classes}, module)
+	core := New(Config{Period: 100, Shards: 12, PartsPerCall: 1, AnswerGrace: 100, Classes: set.Classes}, module)
 	fleet := sq.FleetChanged{Kind: sq.FleetFull}
 	for i := range servers {
 		fleet.Servers = append(fleet.Servers, sq.Server{ID: sq.ServerID(fmt.Sprint("s", i)), Cell: i % 12, Health: sq.Ready})
 	}
-	core.Fleet(fleet)
+	core.FleetChanged(fleet)
 	shards := 12
 	var routes *layout.Layout
 	if ranges > 0 {
@@ -540,15 +540,15 @@
 		if routes, err = layout.Make(d, nil); err != nil {
 			b.Fatal(err)
 		}
-		core.Layout(0, layout.Update{Layout: routes})
+		core.LayoutChanged(0, layout.Update{Layout: routes})
 		shards = ranges
 	}
 	now := int64(0)
 	b.ReportAllocs()
 	for n := 0; b.Loop(); n++ {
-		a := Ask{Class: "free", Deadline: now + 5_000_000}
+		a := Query{Class: "free", Deadline: now + 5_000_000}
 		for j := range 8 {
-			p := AskPart{Shard: (n*8 + j) % shards, Weight: 1.0 / 8, Work: 1000}
+			p := QueryPart{Shard: (n*8 + j) % shards, Weight: 1.0 / 8, Work: 1000}
 			if routes != nil {
 				p.Span, _ = routes.InForce(p.Shard)
 			}
@@ -562,7 +562,7 @@
 			for _, e := range core.Step(now) {
 				switch e := e.(type) {
 				case Call:
-					core.Ended(now+50, e.Attempts[0].ID, sq.Served, nil, nil)
+					core.AttemptEnded(now+50, e.Attempts[0].ID, sq.Served, nil, nil)
 				case Final:
 					ended = true
 				}
--- a/internal/broker/core/size_test.go
+++ b/internal/broker/core/size_test.go
@@ -35,20 +35,20 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			c := New(Terms{Period: period, Shards: servers, PartsPerCall: 1, AnswerGrace: period, Classes: cfg.Classes}, module)
+			c := New(Config{Period: period, Shards: servers, PartsPerCall: 1, AnswerGrace: period, Classes: cfg.Classes}, module)
 			list := sq.FleetChanged{Kind: sq.FleetCached}
 			for i := range servers {
 				list.Servers = append(list.Servers, sq.Server{ID: sq.ServerID(fmt.Sprintf("s-%08x", i)), Cell: i % cells, Health: sq.Ready})
 			}
 			now, asked := int64(1_000_000_000), 0
-			c.Fleet(list)
+			c.FleetChanged(list)
 			c.Step(now)
 			value, report := []byte("12345678"), &sq.LoadReport{Queue: 1, InFlight: -1}
 			query := func() (answered bool) {
 				now += period
-				ask := Ask{Label: fmt.Sprint(asked), Class: "q", Deadline: now + 1_000_000}
+				ask := Query{Label: fmt.Sprint(asked), Class: "q", Deadline: now + 1_000_000}
 				for i := range parts {
-					ask.Parts = append(ask.Parts, AskPart{Shard: (asked*parts + i) % servers, Weight: 1 / float64(parts), Work: 5000})
+					ask.Parts = append(ask.Parts, QueryPart{Shard: (asked*parts + i) % servers, Weight: 1 / float64(parts), Work: 5000})
 				}
 				asked++
 				if _, _, err := c.Open(now, ask); err != nil {
@@ -65,10 +65,10 @@
 				for i := range steps {
 					now += period
 					for _, id := range out[len(out)*i/steps : len(out)*(i+1)/steps] {
-						c.Ended(now, id, sq.Served, value, report)
+						c.AttemptEnded(now, id, sq.Served, value, report)
 					}
 					for _, x := range c.Step(now) {
-						if f, ok := x.(Final); ok && f.Verdict == Answered && f.Whole {
+						if f, ok := x.(Final); ok && f.Outcome == Answered && f.Complete {
 							answered = true
 						}
 					}
--- a/internal/broker/handover/handover.go
+++ b/internal/broker/handover/handover.go
@@ -33,7 +33,7 @@
 	// MaxSize bounds a state's text, and so what is read of a file that something else has written.
 	MaxSize = 256 << 10
 	// Stale is the age from which a state tells of a process that is gone or stands still.
-	Stale = 1_000_000
+	StaleAfter = 1_000_000
 	// mostSuspects are told, the latest first.
 	mostSuspects = 256
 )
@@ -134,10 +134,10 @@
 }
 
 // Fresh tells that a state was written so lately that its process lives.
-func (s State) Fresh(now int64) bool { return s.At > now-Stale && s.At < now+Stale }
+func (s State) IsFresh(now int64) bool { return s.At > now-StaleAfter && s.At < now+StaleAfter }
 
-// Youngest is the state of the process to succeed: where several run, the older ones leave already.
-func Youngest(states []State) (State, bool) {
+// Newest is the state of the process to succeed: where several run, the older ones leave already.
+func Newest(states []State) (State, bool) {
 	if len(states) == 0 {
 		return State{}, false
 	}
--- a/internal/broker/handover/handover_test.go
+++ b/internal/broker/handover/handover_test.go
@@ -38,7 +38,7 @@
 			t.Errorf("%s -> %s was taken", c[0], c[1])
 		}
 	}
-	if whole.Fresh(whole.At+Stale) || !whole.Fresh(whole.At+Stale-1) || whole.Fresh(whole.At-Stale) {
+	if whole.IsFresh(whole.At+StaleAfter) || !whole.IsFresh(whole.At+StaleAfter-1) || whole.IsFresh(whole.At-StaleAfter) {
 		t.Error("freshness")
 	}
 }
@@ -68,11 +68,11 @@
 
 // A process that still leaves writes later than the one that has replaced it; that one's word counts.
 func TestYoungest(t *testing.T) {
-	s, ok := Youngest([]State{{Since: 5, At: 30}, {Since: 20, At: 25, Standby: true}, {Since: 1, At: 31}})
+	s, ok := Newest([]State{{Since: 5, At: 30}, {Since: 20, At: 25, Standby: true}, {Since: 1, At: 31}})
 	if !ok || !s.Standby {
 		t.Errorf("%+v %t", s, ok)
 	}
-	if _, ok := Youngest(nil); ok {
+	if _, ok := Newest(nil); ok {
 		t.Error("there is none")
 	}
 }
--- a/internal/broker/http1/http1.go
+++ b/internal/broker/http1/http1.go
@@ -57,12 +57,12 @@
 type Parser struct {
 	// Response says that responses are read, not requests.
 	Response bool
-	// Stream, where set, is handed body bytes as they come; bodies are then neither kept nor bounded.
-	Stream func([]byte)
-	// Limit bounds a body; 0 stands for MaxBody.
-	Limit int
-	// Headed, where set, is called with each message whose header block is complete.
-	Headed func(*Message)
+	// OnBody, where set, is handed body bytes as they come; bodies are then neither kept nor bounded.
+	OnBody func([]byte)
+	// BodyLimit bounds a body; 0 stands for MaxBody.
+	BodyLimit int
+	// OnHeader, where set, is called with each message whose header block is complete.
+	OnHeader func(*Message)
 
 	buf      []byte
 	scanned  int // bytes of buf known to hold no end of a header block
@@ -77,7 +77,7 @@
 func (p *Parser) Idle() bool { return p.state == inHead && len(p.buf) == 0 }
 
 // Held is how many bytes of unfinished messages are kept.
-func (p *Parser) Held() int {
+func (p *Parser) Buffered() int {
 	if p.msg != nil {
 		return len(p.buf) + len(p.msg.Body)
 	}
@@ -89,7 +89,7 @@
 
 // Ended says that no more bytes come. It returns the message that ends with the connection, if there is one;
 // one cut short is an error.
-func (p *Parser) Ended() (*Message, error) {
+func (p *Parser) End() (*Message, error) {
 	switch {
 	case p.err != nil:
 		return nil, p.err
@@ -189,11 +189,11 @@
 }
 
 func (p *Parser) fits() error {
-	limit := p.Limit
+	limit := p.BodyLimit
 	if limit == 0 {
 		limit = MaxBody
 	}
-	if p.Stream == nil && len(p.msg.Body)+p.left > limit {
+	if p.OnBody == nil && len(p.msg.Body)+p.left > limit {
 		return bad(413, "body over %d bytes", limit)
 	}
 	return nil
@@ -205,8 +205,8 @@
 		n = min(n, p.left)
 	}
 	if n > 0 {
-		if p.Stream != nil {
-			p.Stream(p.buf[:n])
+		if p.OnBody != nil {
+			p.OnBody(p.buf[:n])
 		} else {
 			p.msg.Body = append(p.msg.Body, p.buf[:n]...)
 		}
@@ -309,8 +309,8 @@
 	if err := p.frame(version); err != nil {
 		return nil, false, err
 	}
-	if p.Headed != nil {
-		p.Headed(m)
+	if p.OnHeader != nil {
+		p.OnHeader(m)
 	}
 	return nil, true, nil
 }
--- a/internal/broker/http1/http1_test.go
+++ b/internal/broker/http1/http1_test.go
@@ -33,7 +33,7 @@
 		}
 	}
 	if end {
-		m, err := p.Ended()
+		m, err := p.End()
 		if m != nil {
 			note(m)
 		}
@@ -110,7 +110,7 @@
 // A stream hands bytes on as they come and is not bounded by a body's limit.
 func TestStream(t *testing.T) {
 	var got strings.Builder
-	p := Parser{Response: true, Stream: func(b []byte) { got.Write(b) }}
+	p := Parser{Response: true, OnBody: func(b []byte) { got.Write(b) }}
 	p.Feed([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"))
 	for range 2 * MaxBody / 16 {
 		p.Feed([]byte("10\r\n0123456789abcdef\r\n"))
@@ -140,11 +140,11 @@
 func TestKeepsNothing(t *testing.T) {
 	var p Parser
 	p.Feed([]byte("POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\n\r\na"))
-	if m, err := p.Next(); m != nil || err != nil || p.Held() != 1 {
-		t.Errorf("%v, %v, %d held", m, err, p.Held())
+	if m, err := p.Next(); m != nil || err != nil || p.Buffered() != 1 {
+		t.Errorf("%v, %v, %d held", m, err, p.Buffered())
 	}
 	p.Feed([]byte("bc"))
-	if m, err := p.Next(); m == nil || err != nil || p.buf != nil || p.Held() != 0 {
-		t.Errorf("%v, %v, %d held of %d", m, err, p.Held(), cap(p.buf))
+	if m, err := p.Next(); m == nil || err != nil || p.buf != nil || p.Buffered() != 0 {
+		t.Errorf("%v, %v, %d held of %d", m, err, p.Buffered(), cap(p.buf))
 	}
 }
--- a/internal/broker/idempotency/entry.go
+++ b/internal/broker/idempotency/entry.go
@@ -14,7 +14,7 @@
 // ErrEnded means that a query has ended, so no part of it may leave and no other end is recorded.
 var ErrEnded = errors.New("idempotency: the query has ended")
 
-// Entry is one query that must run at most once, from its begin to its end. It implements core.Ledger. It is safe for concurrent use. Its
+// Entry is one query that must run at most once, from its begin to its end. It implements core.IntentLog. It is safe for concurrent use. Its
 // owner ends it with one call of End, Release or Abandon.
 type Entry struct {
 	tracker      *Tracker
@@ -29,10 +29,10 @@
 	hasIntent bool // an intent was handed to the log
 }
 
-// Intend makes the intent durable to send parts until a deadline. done is called on the log's goroutine, with nil when the intent is durable,
+// Record makes the intent durable to send parts until a deadline. done is called on the log's goroutine, with nil when the intent is durable,
 // otherwise with the reason why that is not known; it is not called where Intend returns an error. No part may leave before done was called
 // with nil, and none after an error.
-func (e *Entry) Intend(parts []core.Intended, deadline int64, done func(error)) error {
+func (e *Entry) Record(parts []core.Intent, deadline int64, done func(error)) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.ended {
@@ -68,8 +68,8 @@
 	return log.Append(recordlog.Record{Kind: recordlog.AtMostOnce, Key: e.key, Value: value, ExpiresAt: log.Now() + e.tracker.cfg.Retention}, done)
 }
 
-// Keeps reports whether the query has to go on to its end after its client has left, because a retry with its key may want the answer.
-func (e *Entry) Keeps() bool { return e.hasClientKey }
+// WantsResult reports whether the query has to go on to its end after its client has left, because a retry with its key may want the answer.
+func (e *Entry) WantsResult() bool { return e.hasClientKey }
 
 // Release ends a query of which no part was sent or none has run, and makes its key Fresh again. Where the log can't take that, a retry
 // is answered InDoubt until the key's time is over.
--- a/internal/broker/idempotency/model_test.go
+++ b/internal/broker/idempotency/model_test.go
@@ -70,8 +70,8 @@
 	if err != nil {
 		w.t.Fatal(err)
 	}
-	gatherer := core.New(core.Terms{Period: ms, Shards: 2, PartsPerCall: 1, RetryAfter: true, MaxRetryAfter: 100 * ms, AnswerGrace: ms, Classes: settings.Classes}, m)
-	gatherer.Fleet(sq.FleetChanged{Kind: sq.FleetFull, Servers: []sq.Server{{ID: "s0", Zone: "a", Cell: 0, Health: sq.Ready}, {ID: "s1", Zone: "a", Cell: 1, Health: sq.Ready}}})
+	gatherer := core.New(core.Config{Period: ms, Shards: 2, PartsPerCall: 1, RetryAfter: true, MaxRetryAfter: 100 * ms, AnswerGrace: ms, Classes: settings.Classes}, m)
+	gatherer.FleetChanged(sq.FleetChanged{Kind: sq.FleetFull, Servers: []sq.Server{{ID: "s0", Zone: "a", Cell: 0, Health: sq.Ready}, {ID: "s1", Zone: "a", Cell: 1, Health: sq.Ready}}})
 	return &process{
 		world: w, store: s, tracker: idempotency.NewTracker(w.log(s), idempotency.Config{Retention: retention, MaxBody: 100}), core: gatherer, entries: map[sq.ID]*idempotency.Entry{},
 		clients: map[sq.ID]int{}, running: map[core.AttemptID]core.Attempt{},
@@ -88,9 +88,9 @@
 	if e == nil {
 		return
 	}
-	id, final, err := p.core.Open(p.world.clock.Load(), core.Ask{
-		Label: fmt.Sprint("c", client), Class: "once", Deadline: p.world.clock.Load() + hardLimit, Ledger: e,
-		Parts: []core.AskPart{{Shard: 0, Weight: 0.5, Work: 5 * ms}, {Shard: 1, Weight: 0.5, Work: 5 * ms}},
+	id, final, err := p.core.Open(p.world.clock.Load(), core.Query{
+		Label: fmt.Sprint("c", client), Class: "once", Deadline: p.world.clock.Load() + hardLimit, IntentLog: e,
+		Parts: []core.QueryPart{{Shard: 0, Weight: 0.5, Work: 5 * ms}, {Shard: 1, Weight: 0.5, Work: 5 * ms}},
 	})
 	if err != nil || final != nil {
 		e.Release()
@@ -106,14 +106,14 @@
 		x := p.effects[0]
 		p.effects = p.effects[1:]
 		switch x := x.(type) {
-		case core.Intend:
+		case core.RecordIntents:
 			got := make(chan error, 1)
-			if err := x.Ledger.Intend(x.Parts, x.Deadline, func(err error) { got <- err }); err != nil {
-				p.core.Intended(p.world.clock.Load(), x.Attempts, err)
+			if err := x.Log.Record(x.Intents, x.Deadline, func(err error) { got <- err }); err != nil {
+				p.core.IntentsRecorded(p.world.clock.Load(), x.Attempts, err)
 				continue
 			}
 			err := <-got
-			p.pendingIntents = append(p.pendingIntents, func() { p.core.Intended(p.world.clock.Load(), x.Attempts, err) })
+			p.pendingIntents = append(p.pendingIntents, func() { p.core.IntentsRecorded(p.world.clock.Load(), x.Attempts, err) })
 		case core.Call:
 			for _, a := range x.Attempts {
 				if p.running[a.ID] = a; run() {
@@ -137,11 +137,11 @@
 func (p *process) end(f core.Final) {
 	e, client := p.entries[f.Query], p.clients[f.Query]
 	delete(p.entries, f.Query)
-	if f.Verdict == core.Refused {
+	if f.Outcome == core.Refused {
 		e.Release()
 		return
 	}
-	body, kept := fmt.Sprintf("%d of client %d at %d", f.Verdict, client, p.world.clock.Load()), make(chan error, 1)
+	body, kept := fmt.Sprintf("%d of client %d at %d", f.Outcome, client, p.world.clock.Load()), make(chan error, 1)
 	e.End(idempotency.Answer{Status: 200, Body: []byte(body)}, func(err error) { kept <- err })
 	if err := <-kept; err == nil {
 		p.world.answers[client] = body
@@ -207,7 +207,7 @@
 			} else if !ran && o == sq.Served {
 				o = sq.Rejected
 			}
-			p.core.Ended(w.clock.Load(), id, o, []byte("v"), nil)
+			p.core.AttemptEnded(w.clock.Load(), id, o, []byte("v"), nil)
 			p.step(chance)
 		},
 		"crash": func(t *rapid.T) {
--- a/internal/broker/idempotency/tracker_test.go
+++ b/internal/broker/idempotency/tracker_test.go
@@ -43,7 +43,7 @@
 	}
 	intend := func(e *idempotency.Entry) error {
 		done := make(chan error, 1)
-		if err := e.Intend([]core.Intended{{Shard: 1}}, 5, func(err error) { done <- err }); err != nil {
+		if err := e.Record([]core.Intent{{Shard: 1}}, 5, func(err error) { done <- err }); err != nil {
 			return err
 		}
 		return <-done
@@ -95,7 +95,7 @@
 		t.Errorf("%+v", v)
 	}
 	begin("c", 1, idempotency.Completed)
-	if e, _ := begin("", 1, idempotency.Fresh); e.Keeps() {
+	if e, _ := begin("", 1, idempotency.Fresh); e.WantsResult() {
 		t.Error("a query without a key is kept for retries")
 	}
 	log.now = 1200
--- a/internal/broker/opensearch/front.go
+++ b/internal/broker/opensearch/front.go
@@ -61,14 +61,14 @@
 // Front speaks the search API towards clients.
 type Front struct {
 	Indices      map[string]Index
-	Tenants      map[string]bool    // those with a contract; empty: no tenants are told apart
-	TenantHeader string             // which header field names the tenant
-	Longest      map[string]int64   // by class: how long a query may take, in microseconds
-	Margin       int64              // taken off each client's time
-	Cursors      *pagination.Keeper // of points in time; nil: there are none
-	Nonce        func() uint64      // a random number that is not drawn twice
-	Layout       *layout.Current    // where the ranges of placed indices are; nil: there are none
-	Once         *Once              // keeps what must not run twice; nil: nothing does
+	Tenants      map[string]bool      // those with a contract; empty: no tenants are told apart
+	TenantHeader string               // which header field names the tenant
+	Longest      map[string]int64     // by class: how long a query may take, in microseconds
+	Margin       int64                // taken off each client's time
+	Cursors      *pagination.Registry // of points in time; nil: there are none
+	Nonce        func() uint64        // a random number that is not drawn twice
+	Layout       *layout.Current      // where the ranges of placed indices are; nil: there are none
+	Once         *Once                // keeps what must not run twice; nil: nothing does
 }
 
 func (f Front) fail(e *fault) http1.Response {
@@ -94,19 +94,19 @@
 
 // Open turns a request that arrived at now into a query, or into a response where it asks for nothing that
 // the broker has to decide.
-func (f Front) Open(m *http1.Message, now int64, ready bool) (core.Ask, func(core.Final, int64) http1.Response, *http1.Response) {
+func (f Front) Open(m *http1.Message, now int64, ready bool) (core.Query, func(core.Final, int64) http1.Response, *http1.Response) {
 	if path, _, _ := strings.Cut(m.Target, "?"); path == "/_health" {
 		r := http1.Response{Status: 200, Type: "application/json; charset=UTF-8", Body: []byte(`{"status":"green"}`)}
 		if !ready {
 			r = f.fail(&fault{503, "node_not_connected_exception", "draining"})
 		}
-		return core.Ask{}, nil, &r
+		return core.Query{}, nil, &r
 	}
 	direct, err := f.points(m, now)
 	if direct != nil {
-		return core.Ask{}, nil, direct
+		return core.Query{}, nil, direct
 	}
-	var ask core.Ask
+	var ask core.Query
 	var s search
 	if err == nil {
 		ask, s, err = f.open(m, now)
@@ -129,7 +129,7 @@
 		return ask, nil, &r
 	}
 	if len(ask.Parts) == 0 { // clauses that exclude each other: nothing can match
-		r := finish(s.respond(core.Final{Whole: true}, 0))
+		r := finish(s.respond(core.Final{Complete: true}, 0))
 		return ask, nil, &r
 	}
 	entry, resp := f.begin(m, s.index, &ask)
@@ -138,12 +138,12 @@
 		return ask, nil, &r
 	}
 	if entry != nil {
-		ask.Ledger = entry
+		ask.IntentLog = entry
 	}
 	return ask, func(final core.Final, at int64) http1.Response {
 		r := f.word(s, final, at-now)
 		if entry != nil {
-			record(entry, final.Verdict, r)
+			record(entry, final.Outcome, r)
 		}
 		return finish(r)
 	}, nil
@@ -163,7 +163,7 @@
 	name, _, ok := searched(path)
 	if path == "/_search" && f.Cursors != nil {
 		if p, err := pitOf(m.Body); err == nil && p != nil {
-			return f.Indices[f.Cursors.Peek(p.id)].Class
+			return f.Indices[f.Cursors.PeekIndex(p.id)].Class
 		}
 	}
 	if text, err := url.PathUnescape(name); ok && err == nil {
@@ -172,7 +172,7 @@
 	return ""
 }
 
-func (f Front) open(m *http1.Message, now int64) (a core.Ask, s search, err error) {
+func (f Front) open(m *http1.Message, now int64) (a core.Query, s search, err error) {
 	path, params, _ := strings.Cut(m.Target, "?")
 	name, count, ok := searched(path)
 	if !ok && !(path == "/_search" && f.Cursors != nil) {
@@ -226,7 +226,7 @@
 	if s.from > maxWindow || s.size > maxWindow || s.from+s.size > maxWindow {
 		return a, s, illegal("result window is too large: from + size must be %d at most", maxWindow)
 	}
-	a = core.Ask{Label: m.Header.Get("X-Opaque-Id"), Class: ix.Class, Tenant: tenant}
+	a = core.Query{Label: m.Header.Get("X-Opaque-Id"), Class: ix.Class, Tenant: tenant}
 	wait := f.Longest[ix.Class]
 	if us := s.timeout.Microseconds(); s.timeout > 0 && us < wait {
 		wait = us
@@ -235,11 +235,11 @@
 	held := intersect(s.want, ix.domain())
 	a.Key = fmt.Sprint(name, held)
 	if ix.Placed {
-		a.Want = held
+		a.RequestedSpans = held
 		a.Parts = placed(l.Plan(nil, held))
 	} else {
 		for _, shard := range ix.shards(held) {
-			a.Parts = append(a.Parts, core.AskPart{Shard: shard})
+			a.Parts = append(a.Parts, core.QueryPart{Shard: shard})
 		}
 	}
 	for i := range a.Parts {
@@ -263,10 +263,10 @@
 }
 
 // placed makes parts of a plan.
-func placed(plan []layout.Piece) []core.AskPart {
-	parts := make([]core.AskPart, len(plan))
+func placed(plan []layout.Piece) []core.QueryPart {
+	parts := make([]core.QueryPart, len(plan))
 	for i, x := range plan {
-		parts[i] = core.AskPart{Shard: x.Shard, Span: x.Span}
+		parts[i] = core.QueryPart{Shard: x.Shard, Span: x.Span}
 	}
 	return parts
 }
@@ -323,9 +323,9 @@
 
 func (f Front) worded(s search, final core.Final, took int64) http1.Response {
 	switch {
-	case final.Verdict == core.Answered:
+	case final.Outcome == core.Answered:
 		return s.respond(final, took)
-	case final.Verdict == core.Refused:
+	case final.Outcome == core.Refused:
 		r := f.fail(&fault{429, "rejected_execution_exception", "turned away: sending it again does no harm"})
 		if final.RetryAfter > 0 {
 			seconds := int64(math.Ceil(float64(final.RetryAfter) / 1e6))
--- a/internal/broker/opensearch/once.go
+++ b/internal/broker/opensearch/once.go
@@ -28,7 +28,7 @@
 )
 
 // begin opens a query that must not run twice. A response says that it is not to be sent, and why.
-func (f Front) begin(m *http1.Message, index string, a *core.Ask) (*idempotency.Entry, *http1.Response) {
+func (f Front) begin(m *http1.Message, index string, a *core.Query) (*idempotency.Entry, *http1.Response) {
 	if f.Once == nil || !f.Once.Classes[a.Class] {
 		return nil, nil
 	}
@@ -95,7 +95,7 @@
 }
 
 // record keeps how a query ended, before its client is told. It waits for the disk, on the client's goroutine.
-func record(e *idempotency.Entry, verdict core.Verdict, r http1.Response) {
+func record(e *idempotency.Entry, verdict core.QueryOutcome, r http1.Response) {
 	if verdict == core.Refused {
 		e.Release()
 		return
--- a/internal/broker/opensearch/opensearch_test.go
+++ b/internal/broker/opensearch/opensearch_test.go
@@ -19,7 +19,7 @@
 	}}},
 }
 
-func open(target, tenant, body string) (core.Ask, func(core.Final, int64) http1.Response, *http1.Response) {
+func open(target, tenant, body string) (core.Query, func(core.Final, int64) http1.Response, *http1.Response) {
 	var p http1.Parser
 	p.Feed(fmt.Appendf(nil, "POST %s HTTP/1.1\r\nHost: x\r\nX-Tenant: %s\r\nContent-Length: %d\r\n\r\n%s", target, tenant, len(body), body))
 	m, err := p.Next()
@@ -156,7 +156,7 @@
 }
 
 // given reads what a server gave, as the session does.
-func given(t *testing.T, ask core.Ask, shard, total int, hits ...string) core.Value {
+func given(t *testing.T, ask core.Query, shard, total int, hits ...string) core.Value {
 	t.Helper()
 	body := fmt.Appendf(nil, `{"took":1,"timed_out":false,"_shards":{"total":1,"successful":1,"failed":0},"hits":{"total":{"value":%d,"relation":"eq"},"hits":[%s]}}`,
 		total, strings.Join(hits, ","))
@@ -173,14 +173,14 @@
 		given(t, ask, 0, 7, `{"_id":"a","_score":3}`, `{"_id":"b","_score":1}`), given(t, ask, 1, 0),
 		given(t, ask, 2, 2, `{"_id":"c","_score":2}`, `{"_id":"d","_score":null}`),
 	}
-	r := word(core.Final{Verdict: core.Answered, Whole: true, Shards: 3, Share: 1, Values: values}, 42_000)
+	r := word(core.Final{Outcome: core.Answered, Complete: true, Shards: 3, Fraction: 1, Values: values}, 42_000)
 	want := `{"took":41,"timed_out":false,"_shards":{"total":3,"successful":3,"skipped":0,"failed":0},` +
 		`"hits":{"total":{"value":9,"relation":"eq"},"max_score":3,"hits":[{"_id":"c","_score":2},{"_id":"b","_score":1}]}}`
 	if string(r.Body) != want {
 		t.Errorf("got %s", r.Body)
 	}
 	r = word(core.Final{
-		Verdict: core.Answered, Shards: 3, Share: 0.75, Values: values[:2],
+		Outcome: core.Answered, Shards: 3, Fraction: 0.75, Values: values[:2],
 		Missing: []merge.Piece{{Shard: 2, From: 5, To: 9, Weight: 0.25}},
 	}, 42_000)
 	for _, want := range []string{`"timed_out":true`, `"failed":1,"failures":[{"shard":2,`, `"completeness":{"whole":false,"share":0.75,"missing":[{"shard":2,"from":5,"to":9}]}`} {
@@ -189,7 +189,7 @@
 		}
 	}
 	ask, word, _ = open("/ix/_count", "desk", `{"query":{"match_all":{}}}`)
-	if got := word(core.Final{Verdict: core.Answered, Whole: true, Shards: 2, Share: 1, Values: []core.Value{
+	if got := word(core.Final{Outcome: core.Answered, Complete: true, Shards: 2, Fraction: 1, Values: []core.Value{
 		given(t, ask, 0, 9007199254740993), given(t, ask, 1, 1),
 	}}, 0); !strings.HasPrefix(string(got.Body), `{"count":9007199254740994,"_shards"`) {
 		t.Errorf("got %s", got.Body)
@@ -216,12 +216,12 @@
 // Clients of this API repeat a 429, and many libraries a 502, 503 or 504: what may have run is none of these.
 func TestEnds(t *testing.T) {
 	_, word, _ := open("/ix/_search", "desk", "")
-	r := word(core.Final{Verdict: core.Refused, RetryAfter: 1_200_000}, 0)
+	r := word(core.Final{Outcome: core.Refused, RetryAfter: 1_200_000}, 0)
 	if r.Status != 429 || fmt.Sprint(r.Fields) != "[[Retry-After 2]]" {
 		t.Errorf("%d %v", r.Status, r.Fields)
 	}
 	for _, overdue := range []bool{false, true} {
-		if r := word(core.Final{Verdict: core.Failed, Overdue: overdue}, 0); r.Status != 500 {
+		if r := word(core.Final{Outcome: core.Failed, Overdue: overdue}, 0); r.Status != 500 {
 			t.Errorf("%d", r.Status)
 		}
 	}
@@ -230,7 +230,7 @@
 var anyHits, _ = merge.NewPlan(nil, 0, 10, nil, merge.Exact)
 
 func serverSays(text string, pieces int) string {
-	s := Servers{}.Session("h:1")
+	s := Servers{}.NewSession("h:1")
 	s.Call(nil, core.Call{Attempts: []core.Attempt{{ID: 5, Text: []byte("ix\n{}"), Plan: anyHits}}}, 0)
 	out := ""
 	for i := range pieces {
--- a/internal/broker/opensearch/pit.go
+++ b/internal/broker/opensearch/pit.go
@@ -87,7 +87,7 @@
 // pointFault words the end of a point in time.
 func pointFault(err error) error {
 	switch {
-	case errors.Is(err, pagination.ErrOver), errors.Is(err, pagination.ErrInvalid):
+	case errors.Is(err, pagination.ErrExpired), errors.Is(err, pagination.ErrInvalid):
 		return &fault{404, "search_context_missing_exception", "point in time: " + err.Error()}
 	case errors.Is(err, pagination.ErrTooMany):
 		return &fault{429, "rejected_execution_exception", "point in time: " + err.Error()}
--- a/internal/broker/opensearch/respond.go
+++ b/internal/broker/opensearch/respond.go
@@ -37,7 +37,7 @@
 	if s.count {
 		b = fmt.Appendf(b, `"count":%d,`, page.Total)
 	} else {
-		b = fmt.Appendf(b, `"took":%s,"timed_out":%t,`, took(us), !final.Whole)
+		b = fmt.Appendf(b, `"took":%s,"timed_out":%t,`, took(us), !final.Complete)
 	}
 	b = s.shards(b, final)
 	if !s.count {
@@ -66,7 +66,7 @@
 		}
 		b = fmt.Appendf(b, `{"shard":%d,"reason":{"type":"no_shard_available_action_exception","reason":"no answer in time"}}`, m.Shard)
 	}
-	b = fmt.Appendf(b, `]},"completeness":{"whole":%t,"share":%s,"missing":[`, final.Whole, strconv.FormatFloat(final.Share, 'g', -1, 64))
+	b = fmt.Appendf(b, `]},"completeness":{"whole":%t,"share":%s,"missing":[`, final.Complete, strconv.FormatFloat(final.Fraction, 'g', -1, 64))
 	for i, m := range final.Missing {
 		if i > 0 {
 			b = append(b, ',')
--- a/internal/broker/opensearch/servers.go
+++ b/internal/broker/opensearch/servers.go
@@ -36,8 +36,8 @@
 func (Servers) Streams() int { return 1 }
 
 // Session begins a connection to the server at an address.
-func (Servers) Session(address string) core.Session {
-	return &session{host: address, parser: http1.Parser{Response: true, Limit: maxAnswer}}
+func (Servers) NewSession(address string) core.Session {
+	return &session{host: address, parser: http1.Parser{Response: true, BodyLimit: maxAnswer}}
 }
 
 type session struct {
@@ -73,7 +73,7 @@
 }
 
 // Drop has no words in this dialect: only closing the connection gives a search up.
-func (s *session) Drop(dst []byte, id core.AttemptID) ([]byte, bool) { return dst, s.out != id }
+func (s *session) Cancel(dst []byte, id core.AttemptID) ([]byte, bool) { return dst, s.out != id }
 
 // Unsent forgets a search that never left; the connection can take another.
 func (s *session) Unsent(id core.AttemptID) {
@@ -102,7 +102,7 @@
 		r := s.take(m)
 		switch {
 		case m.Close:
-			return r, core.ErrLast
+			return r, core.ErrConnectionEnding
 		case !s.parser.Idle():
 			return r, errors.New("bytes behind an answer")
 		}
@@ -161,7 +161,7 @@
 
 // Closed says that the server has ended the connection, which may be what ends its answer.
 func (s *session) Closed() []core.Reply {
-	if m, err := s.parser.Ended(); err == nil && m != nil && s.out != 0 {
+	if m, err := s.parser.End(); err == nil && m != nil && s.out != 0 {
 		return s.take(m)
 	}
 	return nil
--- a/internal/broker/pagination/cursor.go
+++ b/internal/broker/pagination/cursor.go
@@ -19,18 +19,18 @@
 
 // The ends of a token.
 var (
-	ErrOver    = errors.New("the cursor is over")     // too old, closed, or of a process that is gone
-	ErrInvalid = errors.New("no cursor")              // made up, damaged, or another tenant's
-	ErrTooMany = errors.New("too many open cursors")  // of the tenant
-	ErrKeep    = errors.New("keep_alive is too long") // or not above nought
+	ErrExpired   = errors.New("the cursor is over")     // too old, closed, or of a process that is gone
+	ErrInvalid   = errors.New("no cursor")              // made up, damaged, or another tenant's
+	ErrTooMany   = errors.New("too many open cursors")  // of the tenant
+	ErrKeepAlive = errors.New("keep_alive is too long") // or not above nought
 )
 
 // Config bounds cursors. Times are microseconds.
 type Config struct {
-	Key     []byte // seals tokens
-	Most    int    // open at a time, of one tenant
-	MaxKeep int64  // the longest keep_alive
-	MaxAge  int64  // from its opening; servers must be able to answer as of so long ago
+	Key          []byte // seals tokens
+	MaxOpen      int    // open at a time, of one tenant
+	MaxKeepAlive int64  // the longest keep_alive
+	MaxAge       int64  // from its opening; servers must be able to answer as of so long ago
 }
 
 // Cursor is one point in time.
@@ -51,18 +51,18 @@
 	closedFor = 10
 )
 
-// Keeper holds which cursors are open. It is safe for concurrent use. Each call costs O(1), or O(Most) where a tenant has had
+// Registry holds which cursors are open. It is safe for concurrent use. Each call costs O(1), or O(Most) where a tenant has had
 // Most of them lately.
-type Keeper struct {
+type Registry struct {
 	cfg Config
 
 	mu      sync.Mutex
 	tenants map[string]map[uint64]entry // those with cursors that are not over
-	told    func(Mark)                  // nil: nobody
+	told    func(Record)                // nil: nobody
 }
 
 // Mark is how one cursor stands, for those who keep it beyond the process.
-type Mark struct {
+type Record struct {
 	Tenant string
 	Nonce  uint64
 	Until  int64
@@ -70,7 +70,7 @@
 }
 
 // Tell has each change told from now on, in order. tell must not block, nor call the keeper.
-func (k *Keeper) Tell(tell func(Mark)) {
+func (k *Registry) OnChange(tell func(Record)) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.told = tell
@@ -78,11 +78,11 @@
 
 // Restore takes in how a cursor stood. What is known here already stays; cursors beyond the bound are left out, and count once they
 // are used.
-func (k *Keeper) Restore(now int64, m Mark) {
+func (k *Registry) Restore(now int64, m Record) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	open := k.tenants[m.Tenant]
-	if _, known := open[m.Nonce]; known || m.Until <= now || len(open) >= closedFor*k.cfg.Most {
+	if _, known := open[m.Nonce]; known || m.Until <= now || len(open) >= closedFor*k.cfg.MaxOpen {
 		return
 	}
 	if open == nil {
@@ -92,9 +92,9 @@
 	open[m.Nonce] = entry{until: m.Until, closed: m.Closed}
 }
 
-func (k *Keeper) tell(tenant string, nonce uint64, e entry) {
+func (k *Registry) tell(tenant string, nonce uint64, e entry) {
 	if k.told != nil {
-		k.told(Mark{Tenant: tenant, Nonce: nonce, Until: e.until, Closed: e.closed})
+		k.told(Record{Tenant: tenant, Nonce: nonce, Until: e.until, Closed: e.closed})
 	}
 }
 
@@ -103,11 +103,13 @@
 	closed bool
 }
 
-// NewKeeper makes a keeper.
-func NewKeeper(cfg Config) *Keeper { return &Keeper{cfg: cfg, tenants: map[string]map[uint64]entry{}} }
+// NewRegistry makes a registry without cursors.
+func NewRegistry(cfg Config) *Registry {
+	return &Registry{cfg: cfg, tenants: map[string]map[uint64]entry{}}
+}
 
 // Open begins a cursor that shows an index as it is now. The nonce tells it from others and comes from a good random source.
-func (k *Keeper) Open(now int64, tenant, index string, keep int64, nonce uint64) (string, error) {
+func (k *Registry) Open(now int64, tenant, index string, keep int64, nonce uint64) (string, error) {
 	if err := k.judge(keep); err != nil {
 		return "", err
 	}
@@ -123,21 +125,21 @@
 	return k.seal(c), nil
 }
 
-func (k *Keeper) judge(keep int64) error {
-	if keep <= 0 || keep > k.cfg.MaxKeep {
-		return fmt.Errorf("%w: want up to %d s", ErrKeep, k.cfg.MaxKeep/1_000_000)
+func (k *Registry) judge(keep int64) error {
+	if keep <= 0 || keep > k.cfg.MaxKeepAlive {
+		return fmt.Errorf("%w: want up to %d s", ErrKeepAlive, k.cfg.MaxKeepAlive/1_000_000)
 	}
 	return nil
 }
 
 // hold counts a cursor as its tenant's. The lock is held.
-func (k *Keeper) hold(now int64, c Cursor) error {
+func (k *Registry) hold(now int64, c Cursor) error {
 	open := k.tenants[c.Tenant]
 	if open == nil {
 		open = map[uint64]entry{}
 		k.tenants[c.Tenant] = open
 	}
-	if _, known := open[c.Nonce]; !known && len(open) >= k.cfg.Most {
+	if _, known := open[c.Nonce]; !known && len(open) >= k.cfg.MaxOpen {
 		lasting := 0
 		for nonce, e := range open {
 			if e.until <= now {
@@ -146,8 +148,8 @@
 				lasting++
 			}
 		}
-		if lasting >= k.cfg.Most || len(open) >= closedFor*k.cfg.Most {
-			return fmt.Errorf("%w: %d", ErrTooMany, k.cfg.Most)
+		if lasting >= k.cfg.MaxOpen || len(open) >= closedFor*k.cfg.MaxOpen {
+			return fmt.Errorf("%w: %d", ErrTooMany, k.cfg.MaxOpen)
 		}
 	}
 	open[c.Nonce] = entry{until: c.Until}
@@ -156,7 +158,7 @@
 }
 
 // Use checks a token and, with keep above nought, has the cursor last longer: the token that comes back takes the old one's place.
-func (k *Keeper) Use(now int64, tenant, token string, keep int64) (Cursor, string, error) {
+func (k *Registry) Use(now int64, tenant, token string, keep int64) (Cursor, string, error) {
 	c, err := k.open(token)
 	switch {
 	case err != nil:
@@ -174,7 +176,7 @@
 	e, known := k.tenants[tenant][c.Nonce]
 	until := max(c.Until, e.until)
 	if until <= now || e.closed || now >= c.At+k.cfg.MaxAge {
-		return c, "", ErrOver
+		return c, "", ErrExpired
 	}
 	if keep > 0 {
 		until = max(until, min(now+keep, c.At+k.cfg.MaxAge))
@@ -188,7 +190,7 @@
 }
 
 // Close ends a cursor here; open tells that it was.
-func (k *Keeper) Close(now int64, tenant, token string) (open bool, err error) {
+func (k *Registry) Close(now int64, tenant, token string) (open bool, err error) {
 	c, err := k.open(token)
 	if err != nil || c.Tenant != tenant {
 		return false, ErrInvalid
@@ -211,7 +213,7 @@
 }
 
 // Held is how many cursors are open, or closed before their time.
-func (k *Keeper) Held(now int64) (open int) {
+func (k *Registry) CountOpen(now int64) (open int) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for tenant, cs := range k.tenants {
@@ -231,12 +233,12 @@
 }
 
 // Peek is the index that a token names, unchecked.
-func (k *Keeper) Peek(token string) string {
+func (k *Registry) PeekIndex(token string) string {
 	c, _ := k.open(token)
 	return c.Index
 }
 
-func (k *Keeper) seal(c Cursor) string {
+func (k *Registry) seal(c Cursor) string {
 	b := []byte{version, byte(len(c.Tenant))}
 	b = append(b, c.Tenant...)
 	b = append(append(b, byte(len(c.Index))), c.Index...)
@@ -246,14 +248,14 @@
 	return base64.RawURLEncoding.EncodeToString(append(b, k.mac(b)...))
 }
 
-func (k *Keeper) mac(b []byte) []byte {
+func (k *Registry) mac(b []byte) []byte {
 	m := hmac.New(sha256.New, k.cfg.Key)
 	m.Write(b)
 	return m.Sum(nil)[:sealSize]
 }
 
 // open reads a token whose seal holds.
-func (k *Keeper) open(token string) (Cursor, error) {
+func (k *Registry) open(token string) (Cursor, error) {
 	if len(token) > MaxToken {
 		return Cursor{}, ErrInvalid
 	}
@@ -262,7 +264,7 @@
 		return Cursor{}, ErrInvalid
 	}
 	if b = b[:len(b)-sealSize]; b[0] != version { // sealed here, by an older or newer program
-		return Cursor{}, ErrOver
+		return Cursor{}, ErrExpired
 	}
 	b = b[1:]
 	var c Cursor
--- a/internal/broker/pagination/cursor_test.go
+++ b/internal/broker/pagination/cursor_test.go
@@ -10,8 +10,8 @@
 
 const second = 1_000_000
 
-func keeper() *Keeper {
-	return NewKeeper(Config{Key: []byte("k"), Most: 3, MaxKeep: 60 * second, MaxAge: 100 * second})
+func keeper() *Registry {
+	return NewRegistry(Config{Key: []byte("k"), MaxOpen: 3, MaxKeepAlive: 60 * second, MaxAge: 100 * second})
 }
 
 func TestLife(t *testing.T) {
@@ -29,17 +29,17 @@
 		{"another tenant", "ferrer", token, 6 * second, 0, ErrInvalid},
 		{"made up", "lagos", "AAAA", 6 * second, 0, ErrInvalid},
 		{"damaged", "lagos", token[:len(token)-1] + "x", 6 * second, 0, ErrInvalid},
-		{"longer than may be", "lagos", token, 6 * second, 61 * second, ErrKeep},
+		{"longer than may be", "lagos", token, 6 * second, 61 * second, ErrKeepAlive},
 		{"kept alive", "lagos", token, 14 * second, 50 * second, nil},
 		{"later, by the old token", "lagos", token, 63 * second, 60 * second, nil},
-		{"over its age", "lagos", token, 105 * second, 0, ErrOver},
+		{"over its age", "lagos", token, 105 * second, 0, ErrExpired},
 	} {
 		got, _, err := k.Use(c.now, c.tenant, c.token, c.keep)
 		if !errors.Is(err, c.want) || err == nil && (got.At != 5*second || got.Index != "invoices") {
 			t.Errorf("%s: %+v %v", c.name, got, err)
 		}
 	}
-	if _, err := k.Open(0, "lagos", "i", 61*second, 1); !errors.Is(err, ErrKeep) {
+	if _, err := k.Open(0, "lagos", "i", 61*second, 1); !errors.Is(err, ErrKeepAlive) {
 		t.Error(err)
 	}
 }
@@ -64,7 +64,7 @@
 	if open, err := k.Close(second, "lagos", tokens[0]); !open || err != nil {
 		t.Error(open, err)
 	}
-	if _, _, err := k.Use(second, "lagos", tokens[0], 0); !errors.Is(err, ErrOver) {
+	if _, _, err := k.Use(second, "lagos", tokens[0], 0); !errors.Is(err, ErrExpired) {
 		t.Errorf("closed: %v", err)
 	}
 	again, err := k.Open(second, "lagos", "i", second, 11)
@@ -80,10 +80,10 @@
 	if _, err := k.Open(11*second, "lagos", "i", second, 10); err != nil {
 		t.Errorf("two are over: %v", err)
 	}
-	if n := k.Held(11 * second); n != 1 {
+	if n := k.CountOpen(11 * second); n != 1 {
 		t.Errorf("%d held", n)
 	}
-	if k.Held(200 * second); len(k.tenants) != 0 {
+	if k.CountOpen(200 * second); len(k.tenants) != 0 {
 		t.Errorf("left behind: %v", k.tenants)
 	}
 }
@@ -97,7 +97,7 @@
 	if _, _, err := keeper().Use(1, "lagos", token, 0); err != nil {
 		t.Error(err)
 	}
-	other := NewKeeper(Config{Key: []byte("other"), Most: 3, MaxKeep: second, MaxAge: second})
+	other := NewRegistry(Config{Key: []byte("other"), MaxOpen: 3, MaxKeepAlive: second, MaxAge: second})
 	if _, _, err := other.Use(1, "lagos", token, 0); !errors.Is(err, ErrInvalid) {
 		t.Error(err)
 	}
--- a/internal/broker/pagination/golden_test.go
+++ b/internal/broker/pagination/golden_test.go
@@ -11,7 +11,7 @@
 
 func TestGoldenToken(t *testing.T) {
 	is := is.New(t)
-	k := NewKeeper(Config{Key: []byte("0123456789abcdef0123456789abcdef")})
+	k := NewRegistry(Config{Key: []byte("0123456789abcdef0123456789abcdef")})
 	c := Cursor{Tenant: "team", Index: "invoices", At: 1_700_000_000_000_000, Until: 1_700_000_060_000_000, Nonce: 99}
 	is.Equal(k.seal(c), goldenToken)
 	read, err := k.open(goldenToken)
--- a/internal/broker/platform/client.go
+++ b/internal/broker/platform/client.go
@@ -31,8 +31,8 @@
 
 // Open turns a request that arrived at now into a query, or into a response where it asks for nothing that
 // the broker has to decide.
-func (f Front) Open(m *http1.Message, now int64, ready bool) (core.Ask, func(core.Final, int64) http1.Response, *http1.Response) {
-	var none core.Ask
+func (f Front) Open(m *http1.Message, now int64, ready bool) (core.Query, func(core.Final, int64) http1.Response, *http1.Response) {
+	var none core.Query
 	path, _, _ := strings.Cut(m.Target, "?")
 	if path == "/_health" {
 		if m.Method != "GET" && m.Method != "HEAD" {
@@ -75,8 +75,8 @@
 	return strings.CutPrefix(rest, "/")
 }
 
-func (f Front) ask(m *http1.Message, key string, now int64) (core.Ask, error) {
-	a := core.Ask{
+func (f Front) ask(m *http1.Message, key string, now int64) (core.Query, error) {
+	a := core.Query{
 		Label: m.Header.Get("Request-Id"), Unique: true, Class: m.Header.Get("Request-Class"),
 		Tenant: m.Header.Get("Tenant"), Key: key,
 	}
@@ -118,7 +118,7 @@
 		if err != nil {
 			return a, fmt.Errorf("segments[%d].segment: %w", i, err)
 		}
-		part := core.AskPart{
+		part := core.QueryPart{
 			Shard: shard, Weight: p.GetFloat64("boost"),
 			Work: int64(max(-1, min(p.GetFloat64("work"), math.MaxInt32*1e6))),
 		} // the core judges the range
@@ -129,9 +129,9 @@
 }
 
 func answer(f core.Final) http1.Response {
-	switch f.Verdict {
+	switch f.Outcome {
 	case core.Answered:
-		b := fmt.Appendf(nil, `{"all_in":%t,"matches":[`, f.Whole)
+		b := fmt.Appendf(nil, `{"all_in":%t,"matches":[`, f.Complete)
 		for i, v := range f.Values {
 			if i > 0 {
 				b = append(b, ',')
--- a/internal/broker/platform/frames.go
+++ b/internal/broker/platform/frames.go
@@ -28,7 +28,7 @@
 func (w Workers) Streams() int { return w.PerConn }
 
 // Session begins a connection to a worker.
-func (Workers) Session(string) core.Session {
+func (Workers) NewSession(string) core.Session {
 	return &session{names: map[core.AttemptID]string{}, out: map[string]core.AttemptID{}, dropped: map[string]int{}}
 }
 
@@ -62,7 +62,7 @@
 }
 
 // Drop writes a frame that gives an attempt up; the connection is shared and stays.
-func (s *session) Drop(dst []byte, id core.AttemptID) ([]byte, bool) {
+func (s *session) Cancel(dst []byte, id core.AttemptID) ([]byte, bool) {
 	name, ok := s.names[id]
 	if !ok {
 		return dst, true
--- a/internal/broker/platform/platform_test.go
+++ b/internal/broker/platform/platform_test.go
@@ -25,25 +25,25 @@
 }
 
 func TestCallFrame(t *testing.T) {
-	s := Workers{PerConn: 32}.Session("")
+	s := Workers{PerConn: 32}.NewSession("")
 	got := string(s.Call(nil, call(3, 4), 10_000))
 	if want := frame("R9b1f.3 3 d=240 4\nc4\n19b1f.4 4 d=240 4\nc4\n1"); got != want {
 		t.Errorf("got %q, want %q", got, want)
 	}
-	b, keep := s.Drop(nil, 3)
+	b, keep := s.Cancel(nil, 3)
 	if want := frame("A9b1f.3"); string(b) != want || !keep {
 		t.Errorf("got %q, want %q", b, want)
 	}
-	if b, keep := s.Drop(nil, 3); len(b) > 0 || !keep {
+	if b, keep := s.Cancel(nil, 3); len(b) > 0 || !keep {
 		t.Errorf("given up twice: %q", b)
 	}
 }
 
 // read feeds pieces to a session with attempts 3 and 4 out, and 5 given up, and writes down what they end.
 func read(pieces ...string) string {
-	s := Workers{PerConn: 32}.Session("")
+	s := Workers{PerConn: 32}.NewSession("")
 	s.Call(nil, call(3, 4, 5), 0)
-	s.Drop(nil, 5)
+	s.Cancel(nil, 5)
 	var out strings.Builder
 	for _, p := range pieces {
 		replies, err := s.Feed([]byte(p))
@@ -136,22 +136,22 @@
 	if resp != nil {
 		t.Fatalf("%s", resp.Body)
 	}
-	want := core.Ask{
+	want := core.Query{
 		Label: "9b1f", Unique: true, Class: "c", Tenant: "acme", Key: "k1", Deadline: 480_990, Text: []byte(`a"b`),
-		Parts: []core.AskPart{{Shard: 3, Weight: 0.5, Work: 9000, Key: "00ff"}, {Shard: 9, Weight: 0.5}},
+		Parts: []core.QueryPart{{Shard: 3, Weight: 0.5, Work: 9000, Key: "00ff"}, {Shard: 9, Weight: 0.5}},
 	}
 	if fmt.Sprint(ask) != fmt.Sprint(want) {
 		t.Errorf("got %v, want %v", ask, want)
 	}
-	r := word(core.Final{Verdict: core.Answered, Whole: true, Values: []core.Value{{Shard: 3, Data: []byte(`5b"`)}}}, 0)
+	r := word(core.Final{Outcome: core.Answered, Complete: true, Values: []core.Value{{Shard: 3, Data: []byte(`5b"`)}}}, 0)
 	if got := string(r.Body); r.Status != 200 || got != `{"all_in":true,"matches":[{"segment":3,"payload":"5b\""}]}` {
 		t.Errorf("got %d %s", r.Status, got)
 	}
-	r = word(core.Final{Verdict: core.Refused, RetryAfter: 250_100}, 0)
+	r = word(core.Final{Outcome: core.Refused, RetryAfter: 250_100}, 0)
 	if r.Status != 429 || fmt.Sprint(r.Fields) != "[[Retry-After 0.251]]" {
 		t.Errorf("got %d %v", r.Status, r.Fields)
 	}
-	for _, f := range []core.Final{{Verdict: core.Failed}, {Verdict: core.Failed, Overdue: true}} {
+	for _, f := range []core.Final{{Outcome: core.Failed}, {Outcome: core.Failed, Overdue: true}} {
 		if r := word(f, 0); r.Status == 429 || r.Status == 503 || r.Status < 500 {
 			t.Errorf("a failure must not say that a repeat is harmless: %d", r.Status)
 		}
@@ -206,10 +206,10 @@
 
 // A dropped attempt's name is remembered until its late answer, or until many others were dropped after it.
 func TestDroppedNamesAreBounded(t *testing.T) {
-	s := Workers{PerConn: 32}.Session("").(*session)
+	s := Workers{PerConn: 32}.NewSession("").(*session)
 	for id := core.AttemptID(1); id <= 3*mostDropped; id++ {
 		s.Call(nil, call(id), 0)
-		s.Drop(nil, id)
+		s.Cancel(nil, id)
 	}
 	if len(s.dropped) != mostDropped || len(s.order) != mostDropped || len(s.names)+len(s.out) > 0 {
 		t.Errorf("%d dropped, %d in order, %d names, %d out", len(s.dropped), len(s.order), len(s.names), len(s.out))
--- a/internal/broker/server/durable.go
+++ b/internal/broker/server/durable.go
@@ -39,7 +39,7 @@
 	key    []byte      // what seals cursors
 	doc    *layout.Doc // the layout that was in force last
 	memory transport.Memory
-	marks  []pagination.Mark
+	marks  []pagination.Record
 
 	stop, done chan struct{}
 	runs       bool
@@ -203,7 +203,7 @@
 	return d.store.Each(recordlog.Cursor, func(r recordlog.Record) {
 		var f form.Cursor
 		if proto.Unmarshal(r.Value, &f) == nil {
-			d.marks = append(d.marks, pagination.Mark{Tenant: f.Tenant, Nonce: f.Nonce, Until: f.Until, Closed: f.Closed})
+			d.marks = append(d.marks, pagination.Record{Tenant: f.Tenant, Nonce: f.Nonce, Until: f.Until, Closed: f.Closed})
 		}
 	})
 }
@@ -259,7 +259,7 @@
 }
 
 // follow has a keeper of cursors told what stood, and its changes kept.
-func (d *durable) follow(k *pagination.Keeper, now int64) {
+func (d *durable) follow(k *pagination.Registry, now int64) {
 	if d == nil || d.store == nil || k == nil {
 		return
 	}
@@ -267,7 +267,7 @@
 		k.Restore(now, m)
 	}
 	d.marks = nil
-	k.Tell(func(m pagination.Mark) {
+	k.OnChange(func(m pagination.Record) {
 		value, err := proto.Marshal(&form.Cursor{Tenant: m.Tenant, Nonce: m.Nonce, Until: m.Until, Closed: m.Closed})
 		if err != nil {
 			return
--- a/internal/broker/server/gatherer.go
+++ b/internal/broker/server/gatherer.go
@@ -88,7 +88,7 @@
 		cursors, clock := g.cursors, g.clock
 		g.figures.Cursors = func() int {
 			if k := cursors.Load(); k != nil {
-				return k.Held(clock.Now())
+				return k.CountOpen(clock.Now())
 			}
 			return 0 // a later file has none
 		}
@@ -405,7 +405,7 @@
 }
 
 // terms is what the core holds to, by the settings in force.
-func (g *Gatherer) terms() core.Terms {
+func (g *Gatherer) terms() core.Config {
 	set := g.settings
 	for _, c := range set.Module.Classes {
 		g.figures.Know(c.Name)
@@ -418,7 +418,7 @@
 	if g.watch == nil { // searches: their answers are of any size
 		held = int64(g.memoryMB) << 20 / 4
 	}
-	return core.Terms{
+	return core.Config{
 		MaxHeld: held, Period: set.Module.Period, Shards: set.Module.Shards, MaxOpen: set.MaxOpen,
 		PartsPerCall: g.partsPerCall, RetryAfter: set.Module.Limits.RetryAfter,
 		MaxRetryAfter: set.Module.Limits.MaxRetryAfter, AnswerGrace: set.Module.Period,
@@ -494,7 +494,7 @@
 		}
 	}, g.logger)
 	others := g.beside.Others()
-	from, ok := handover.Youngest(others)
+	from, ok := handover.Newest(others)
 	if !ok {
 		return
 	}
--- a/internal/broker/server/plan.go
+++ b/internal/broker/server/plan.go
@@ -47,19 +47,19 @@
 	passed            int                                        // descriptor of the clients' socket; 0: it is opened here
 	shared            string                                     // directory shared with a process that is replaced
 	discovery         string
-	layout            *config.Layout                     // nil: shards are where the settings say, for good
-	cursors           *atomic.Pointer[pagination.Keeper] // of points in time; nil: there are none
-	place             *layout.Current                    // what the front plans by, where there is a layout
-	adopt             func()                             // has what this plan made for itself in force; nil: nothing
-	again             func() (Plan, error)               // reads the file once more
-	durable           *durable                           // what outlasts the process; nil: nothing
-	log               config.Log                         // how lines are written
-	contracts         *admission.Config                  // nil: there are none
-	fleetFile         *config.Fleet                      // nil: it knows of no other gatherers
-	rollout           *config.Rollout                    // nil: the file alone has the policy
-	op                *config.Operator                   // the file; nil on the platform
-	held              *standing                          // what the search front holds; nil on the platform
-	output            *logging.Output                    // what they go through; nil: it can't be changed
+	layout            *config.Layout                       // nil: shards are where the settings say, for good
+	cursors           *atomic.Pointer[pagination.Registry] // of points in time; nil: there are none
+	place             *layout.Current                      // what the front plans by, where there is a layout
+	adopt             func()                               // has what this plan made for itself in force; nil: nothing
+	again             func() (Plan, error)                 // reads the file once more
+	durable           *durable                             // what outlasts the process; nil: nothing
+	log               config.Log                           // how lines are written
+	contracts         *admission.Config                    // nil: there are none
+	fleetFile         *config.Fleet                        // nil: it knows of no other gatherers
+	rollout           *config.Rollout                      // nil: the file alone has the policy
+	op                *config.Operator                     // the file; nil on the platform
+	held              *standing                            // what the search front holds; nil on the platform
+	output            *logging.Output                      // what they go through; nil: it can't be changed
 }
 
 // readStable reads a file that may be written meanwhile.
@@ -181,7 +181,7 @@
 type standing struct {
 	place   layout.Current
 	key     []byte // of cursors, where no file gave one
-	cursors atomic.Pointer[pagination.Keeper]
+	cursors atomic.Pointer[pagination.Registry]
 	by      config.Cursors
 	durable *durable // nil: nothing outlasts the process
 	policy  [][]byte // the one in force, at most; the gatherer's goroutine owns it
@@ -189,7 +189,7 @@
 
 // of is the keeper of points in time by a file's settings; one whose settings stay keeps its cursors. Nil where there are none. It
 // changes nothing that is in force: the file may yet be turned down.
-func (s *standing) of(c *config.Cursors) *pagination.Keeper {
+func (s *standing) of(c *config.Cursors) *pagination.Registry {
 	if c == nil {
 		return nil
 	}
@@ -203,7 +203,7 @@
 		if key == nil {
 			key = s.key
 		}
-		return pagination.NewKeeper(pagination.Config{Key: key, Most: c.Most, MaxKeep: c.MaxKeep.Microseconds(), MaxAge: c.MaxAge.Microseconds()})
+		return pagination.NewRegistry(pagination.Config{Key: key, MaxOpen: c.Most, MaxKeepAlive: c.MaxKeep.Microseconds(), MaxAge: c.MaxAge.Microseconds()})
 	}
 	return now
 }
--- a/internal/broker/transport/beside.go
+++ b/internal/broker/transport/beside.go
@@ -113,7 +113,7 @@
 		if err != nil {
 			continue // it was taken back just now
 		}
-		if s, err := handover.Parse(text); err == nil && s.Name == b.name && s.Fresh(b.clock.Now()) {
+		if s, err := handover.Parse(text); err == nil && s.Name == b.name && s.IsFresh(b.clock.Now()) {
 			others = append(others, s)
 		}
 	}
--- a/internal/broker/transport/beside_test.go
+++ b/internal/broker/transport/beside_test.go
@@ -18,8 +18,8 @@
 			t.Fatal(err)
 		}
 	}
-	leave("1"+besideSuffix, handover.State{Name: "n0", At: clock.Now() - handover.Stale})
-	leave("2"+besideSuffix, handover.State{Name: "n1", At: clock.Now() + handover.Stale/2})
+	leave("1"+besideSuffix, handover.State{Name: "n0", At: clock.Now() - handover.StaleAfter})
+	leave("2"+besideSuffix, handover.State{Name: "n1", At: clock.Now() + handover.StaleAfter/2})
 	leave("3"+besideSuffix+".part", handover.State{Name: "n0", At: clock.Now()})
 	leave("4"+besideSuffix, handover.State{Name: "n0", At: clock.Now()})
 	old := time.Now().Add(-2 * forgotten)
--- a/internal/broker/transport/departed_test.go
+++ b/internal/broker/transport/departed_test.go
@@ -79,13 +79,13 @@
 // slowLedger takes so long to keep an intent.
 type slowLedger time.Duration
 
-func (d slowLedger) Intend(_ []core.Intended, _ int64, done func(error)) error {
+func (d slowLedger) Record(_ []core.Intent, _ int64, done func(error)) error {
 	time.AfterFunc(time.Duration(d), func() { done(nil) })
 	return nil
 }
-func (slowLedger) Keeps() bool { return false }
-func (slowLedger) Release()    {}
-func (slowLedger) Abandon()    {}
+func (slowLedger) WantsResult() bool { return false }
+func (slowLedger) Release()          {}
+func (slowLedger) Abandon()          {}
 
 // Once its client has left, nothing more of a query begins: neither a first attempt nor a further one nor a copy, whatever it waits for, and
 // whether or not servers may be told that an attempt is given up. Guards servers against work that nobody waits for. Without the client's leaving
@@ -121,7 +121,7 @@
 						if err != nil {
 							t.Fatal(err)
 						}
-						gatherer := core.New(core.Terms{Period: cfg.Period, Shards: 1, PartsPerCall: 1, Classes: cfg.Classes}, m)
+						gatherer := core.New(core.Config{Period: cfg.Period, Shards: 1, PartsPerCall: 1, Classes: cfg.Classes}, m)
 						e := NewEngine(NewClock(), gatherer, PoolConfig{ConnectTimeout: 1_500_000, IdleClose: 60_000_000, MaxConns: 8},
 							platform.Workers{PerConn: 8}, adminapi.NewFigures(), slog.New(slog.DiscardHandler))
 						e.pool.connect = server.connect
@@ -135,12 +135,12 @@
 							time.AfterFunc(tc.permit/2, func() { e.Permit(Permit{Until: hold + 1e9}) })
 						}
 						ask := func(label string) *Ticket {
-							a := core.Ask{
+							a := core.Query{
 								Label: label, Unique: true, Class: "c", Deadline: now() + 3e6, Text: []byte("x"),
-								Parts: []core.AskPart{{Weight: 1, Work: 10_000}},
+								Parts: []core.QueryPart{{Weight: 1, Work: 10_000}},
 							}
 							if tc.ledger > 0 {
-								a.Ledger = slowLedger(tc.ledger)
+								a.IntentLog = slowLedger(tc.ledger)
 							}
 							return e.Open(a)
 						}
--- a/internal/broker/transport/endings_test.go
+++ b/internal/broker/transport/endings_test.go
@@ -104,7 +104,7 @@
 	opened *atomic.Int64
 }
 
-func (f counted) Open(m *http1.Message, now int64, ready bool) (core.Ask, func(core.Final, int64) http1.Response, *http1.Response) {
+func (f counted) Open(m *http1.Message, now int64, ready bool) (core.Query, func(core.Final, int64) http1.Response, *http1.Response) {
 	f.opened.Add(1)
 	return f.echo.Open(m, now, ready)
 }
@@ -121,7 +121,7 @@
 
 func newEnds(t *testing.T) *ends {
 	w := &ends{hooks: &hooks{}, t: t, served: make(chan error, 1)}
-	gatherer := core.New(core.Terms{Period: 1000, Shards: 1, Classes: []sq.Class{{Name: "c"}}}, module{})
+	gatherer := core.New(core.Config{Period: 1000, Shards: 1, Classes: []sq.Class{{Name: "c"}}}, module{})
 	quiet := slog.New(slog.DiscardHandler)
 	w.e = NewEngine(NewClock(), gatherer, PoolConfig{MaxConns: 1, IdleClose: 1 << 40}, platform.Workers{PerConn: 1}, adminapi.NewFigures(), quiet)
 	socket, err := net.Listen("tcp", "127.0.0.1:0")
@@ -404,14 +404,14 @@
 func TestWhatArrivesLateEndsBeforeTheProcessMay(t *testing.T) {
 	for _, tc := range []struct{ by, deadline, want int64 }{{0, 9e6, 9e6}, {3e6, 9e6, 3e6}, {3e6, 2e6, 2e6}} {
 		seen := make(chan int64, 1)
-		gatherer := core.New(core.Terms{Period: 1, Shards: 1, Classes: []sq.Class{{Name: "c"}}}, watched{seen: seen})
+		gatherer := core.New(core.Config{Period: 1, Shards: 1, Classes: []sq.Class{{Name: "c"}}}, watched{seen: seen})
 		e := NewEngine(NewClock(), gatherer, PoolConfig{}, platform.Workers{PerConn: 1}, adminapi.NewFigures(), slog.New(slog.DiscardHandler))
 		go e.Run()
 		now := e.clock.Now()
 		if tc.by > 0 {
 			e.EndBy(now + tc.by)
 		}
-		e.Open(core.Ask{Class: "c", Deadline: now + tc.deadline, Parts: []core.AskPart{{Weight: 1}}})
+		e.Open(core.Query{Class: "c", Deadline: now + tc.deadline, Parts: []core.QueryPart{{Weight: 1}}})
 		if got := <-seen - now; got != tc.want {
 			t.Errorf("%+v: it may last until %d", tc, got)
 		}
--- a/internal/broker/transport/engine.go
+++ b/internal/broker/transport/engine.go
@@ -72,7 +72,7 @@
 	}
 	e.pool = newPool(cfg, d, e.post)
 	e.pool.figures = figures
-	e.pool.ended, e.pool.over = gatherer.Came, e.stopped
+	e.pool.ended, e.pool.over = gatherer.HandleReply, e.stopped
 	e.held = map[int64]*held{}
 	return e
 }
@@ -118,13 +118,13 @@
 			e.figures.Listed.Store(int64(listed))
 			e.figures.Out.Store(int64(out))
 			if l := e.figures.Routes; l != nil {
-				replanned, misplaced := e.core.Replanned()
+				replanned, misplaced := e.core.ReplanCounts()
 				l.Replanned.Store(replanned)
 				l.Misplaced.Store(misplaced)
 			}
 		}
 		at := e.sweepAt
-		if next, ok := e.core.Next(); ok {
+		if next, ok := e.core.NextStep(); ok {
 			at = min(at, next)
 		}
 		if e.gate != nil {
@@ -150,11 +150,11 @@
 		switch x := x.(type) {
 		case core.Call:
 			e.pool.call(now, x)
-		case core.Intend:
+		case core.RecordIntents:
 			e.intend(now, x)
-		case core.Drop:
+		case core.CancelAttempt:
 			e.pool.drop(now, x.Attempt)
-		case core.Recall:
+		case core.RecallUnsent:
 			e.pool.recall(now, x.Attempt)
 		case core.CloseIdle:
 			e.pool.closeIdle(now, x.Server)
@@ -175,17 +175,17 @@
 			if e.Refresh != nil {
 				e.Refresh()
 			}
-		case core.Note:
+		case core.LogLine:
 			logging.Info(e.log, logging.Note, "text", x.Text)
 		}
 	}
 }
 
 // intend hands intents to their ledger, which must not block.
-func (e *Engine) intend(now int64, x core.Intend) {
-	done := func(err error) { e.post(func(now int64) { e.core.Intended(now, x.Attempts, err) }) }
-	if err := x.Ledger.Intend(x.Parts, x.Deadline, done); err != nil {
-		e.core.Intended(now, x.Attempts, err)
+func (e *Engine) intend(now int64, x core.RecordIntents) {
+	done := func(err error) { e.post(func(now int64) { e.core.IntentsRecorded(now, x.Attempts, err) }) }
+	if err := x.Log.Record(x.Intents, x.Deadline, done); err != nil {
+		e.core.IntentsRecorded(now, x.Attempts, err)
 	}
 }
 
@@ -200,7 +200,7 @@
 }
 
 // Open hands over a query.
-func (e *Engine) Open(a core.Ask) *Ticket {
+func (e *Engine) Open(a core.Query) *Ticket {
 	t := &Ticket{Final: make(chan core.Final, 1), Err: make(chan error, 1)}
 	e.post(func(now int64) { e.arrive(now, a, t) })
 	return t
@@ -217,7 +217,7 @@
 		t.left = true
 		if e.waiting[t.id] != nil {
 			delete(e.waiting, t.id)
-			e.core.Left(t.id)
+			e.core.ClientLeft(t.id)
 		}
 		e.leave(now, t)
 	})
@@ -228,17 +228,17 @@
 	e.post(func(now int64) {
 		// What ends at a process that is gone comes first: it says nothing of the one in its place.
 		e.pool.fleet(now, f, addresses)
-		e.core.Fleet(f)
+		e.core.FleetChanged(f)
 	})
 }
 
 // Layout puts a layout in force. Layouts are handed over in the order of their epochs.
 func (e *Engine) Layout(u layout.Update) {
-	e.post(func(now int64) { e.core.Layout(now, u) })
+	e.post(func(now int64) { e.core.LayoutChanged(now, u) })
 }
 
 // Reconfigure puts other settings in force, in core, module and pool at once.
-func (e *Engine) Reconfigure(terms core.Terms, settings sq.Settings, cfg PoolConfig, d core.Dialect) {
+func (e *Engine) Reconfigure(terms core.Config, settings sq.Settings, cfg PoolConfig, d core.Dialect) {
 	e.post(func(int64) {
 		e.core.Reconfigure(terms, settings)
 		e.pool.cfg, e.pool.dialect = cfg, d
@@ -250,7 +250,7 @@
 func (e *Engine) Standing() (s handover.State, ok bool) {
 	got := make(chan handover.State, 1)
 	go e.post(func(int64) {
-		held, learned := e.core.Standing(), e.core.Learned()
+		held, learned := e.core.Occupancy(), e.core.Learned()
 		got <- handover.State{
 			Sockets: e.pool.conns, Open: held.Open, Labels: held.Labels, Admission: learned.Admission,
 			Suspects: learned.Suspects,
@@ -269,13 +269,13 @@
 
 // Beside says how the other processes of this gatherer stand, and leaves this one so many connections to servers.
 func (e *Engine) Beside(others []handover.State, conns int) {
-	held := core.Standing{Labels: map[string]int64{}}
+	held := core.Occupancy{Labels: map[string]int64{}}
 	for _, o := range others {
 		held.Open += o.Open
 		maps.Copy(held.Labels, o.Labels)
 	}
 	e.post(func(int64) {
-		e.core.Beside(held)
+		e.core.SetPeer(held)
 		e.pool.cfg.MaxConns = conns
 	})
 }
@@ -283,7 +283,7 @@
 // Succeed begins with what the process before this one had learnt.
 func (e *Engine) Succeed(from handover.State) {
 	e.post(func(now int64) {
-		e.core.Succeed(now, sq.Learned{Admission: from.Admission, Suspects: from.Suspects})
+		e.core.TakeOver(now, sq.Learned{Admission: from.Admission, Suspects: from.Suspects})
 	})
 }
 
@@ -310,13 +310,13 @@
 
 // Recall begins with what a process knew that is gone.
 func (e *Engine) Recall(m Memory) {
-	e.post(func(now int64) { e.core.Recall(now, m.Learned, m.Spent) })
+	e.post(func(now int64) { e.core.Restore(now, m.Learned, m.Spent) })
 }
 
 // Held is the number of queries without their final answer.
 func (e *Engine) Held() int {
 	n := make(chan int, 1)
-	e.post(func(int64) { n <- e.core.Held() })
+	e.post(func(int64) { n <- e.core.OpenQueries() })
 	select {
 	case held := <-n:
 		return held
--- a/internal/broker/transport/follow.go
+++ b/internal/broker/transport/follow.go
@@ -189,14 +189,14 @@
 
 // lines takes in a watch's answer, line by line, until it ends.
 func (f *follower) lines(conn net.Conn, address string, heard bool) (bool, error) {
-	p := http1.Parser{Response: true, Limit: f.most}
+	p := http1.Parser{Response: true, BodyLimit: f.most}
 	var line []byte
 	var fault error
 	status := 0
 	by := time.Now().Add(answerPatience)
 	alive := func() { by = time.Now().Add(watchSilence) }
-	p.Headed = func(m *http1.Message) { status = m.Status; alive() }
-	p.Stream = func(b []byte) {
+	p.OnHeader = func(m *http1.Message) { status = m.Status; alive() }
+	p.OnBody = func(b []byte) {
 		line = append(line, b...)
 		for fault == nil {
 			i := bytes.IndexByte(line, '\n')
@@ -257,7 +257,7 @@
 	if err := ask(conn, f.source.wholePath(), address); err != nil {
 		return err
 	}
-	p := http1.Parser{Response: true, Limit: f.most}
+	p := http1.Parser{Response: true, BodyLimit: f.most}
 	buf := make([]byte, readChunk)
 	end := time.Now().Add(listWhole)
 	for {
@@ -273,7 +273,7 @@
 		p.Feed(buf[:n])
 		m, err := p.Next()
 		if m == nil && err == nil && errors.Is(rerr, io.EOF) {
-			m, err = p.Ended()
+			m, err = p.End()
 		}
 		switch {
 		case err != nil:
--- a/internal/broker/transport/gate.go
+++ b/internal/broker/transport/gate.go
@@ -11,7 +11,7 @@
 
 // held is a query that waits at the gate.
 type held struct {
-	ask core.Ask
+	ask core.Query
 	t   *Ticket
 }
 
@@ -55,7 +55,7 @@
 }
 
 // arrive asks the gate first, where there is one; the module hears of a query once it is let in.
-func (e *Engine) arrive(now int64, a core.Ask, t *Ticket) {
+func (e *Engine) arrive(now int64, a core.Query, t *Ticket) {
 	if e.endBy > 0 {
 		a.Deadline = min(a.Deadline, e.endBy)
 	}
@@ -81,7 +81,7 @@
 		e.flow(now)
 	case admission.RejectedBacklog, admission.RejectedQueueFull:
 		t.gate = 0
-		t.Final <- core.Final{Verdict: core.Refused, RetryAfter: e.core.Advice(after), Shards: len(a.Parts)}
+		t.Final <- core.Final{Outcome: core.Refused, RetryAfter: e.core.RetryAdvice(after), Shards: len(a.Parts)}
 	default:
 		t.gate = 0
 		t.Err <- ErrContract
@@ -89,7 +89,7 @@
 }
 
 // admit hands a query to the core.
-func (e *Engine) admit(now int64, a core.Ask, t *Ticket) {
+func (e *Engine) admit(now int64, a core.Query, t *Ticket) {
 	if !e.permitted(now, a, t) {
 		return
 	}
@@ -107,7 +107,7 @@
 			f.Policy = t.policy
 			t.Final <- f
 			if e.gate != nil && t.gate != 0 {
-				e.gate.Done(t.gate, float64(f.Took), f.Attempts)
+				e.gate.Done(t.gate, float64(f.AttemptTime), f.Attempts)
 				e.flow(e.clock.Now())
 			}
 		}
@@ -146,7 +146,7 @@
 		if h := e.held[id]; h != nil {
 			delete(e.held, id)
 			h.t.gate = 0
-			h.t.Final <- core.Final{Verdict: core.Refused, RetryAfter: e.core.Advice(after[i]), Shards: len(h.ask.Parts)}
+			h.t.Final <- core.Final{Outcome: core.Refused, RetryAfter: e.core.RetryAdvice(after[i]), Shards: len(h.ask.Parts)}
 		}
 	}
 }
--- a/internal/broker/transport/listener.go
+++ b/internal/broker/transport/listener.go
@@ -18,7 +18,7 @@
 // Front is one dialect towards clients. It knows no socket.
 type Front interface {
 	// Open turns a request into a query and the way to word its end, or into a response at once.
-	Open(m *http1.Message, now int64, ready bool) (core.Ask, func(core.Final, int64) http1.Response, *http1.Response)
+	Open(m *http1.Message, now int64, ready bool) (core.Query, func(core.Final, int64) http1.Response, *http1.Response)
 	// Class is the class of a request that the broker has to decide, as far as its head tells; empty for others.
 	Class(m *http1.Message) string
 	// Fault words the answer to a request that could not be read or decided on.
@@ -494,7 +494,7 @@
 	}()
 	var p http1.Parser
 	var head, last *http1.Message // that came in last, and whole
-	p.Headed = func(m *http1.Message) {
+	p.OnHeader = func(m *http1.Message) {
 		head = m
 		// Nothing else is being written then: clients that wait for this have no request before it open.
 		if m.Header.Get("Expect") == "100-continue" && !c.isAnswering() {
@@ -512,7 +512,7 @@
 			if n := len(batch); n > 0 {
 				last = batch[n-1]
 			}
-			now := int64(p.Held())
+			now := int64(p.Buffered())
 			if c.l.held.Add(now-held) > c.l.terms.Load().MaxHeld && perr == nil && now > 0 {
 				// What was not read to its end has not run: trying again is harmless.
 				perr = &http1.Error{Status: 503, Text: "too much is coming in at once"}
--- a/internal/broker/transport/permit.go
+++ b/internal/broker/transport/permit.go
@@ -13,7 +13,7 @@
 
 // paused is a query that waits while a change is put in force.
 type paused struct {
-	ask core.Ask
+	ask core.Query
 	t   *Ticket
 }
 
@@ -36,7 +36,7 @@
 
 // permitted tells whether a query is let in now; one that is not is held or refused, and over for the caller. It is asked where a query
 // is let in, not where it comes. It allocates nothing where it says yes.
-func (e *Engine) permitted(now int64, a core.Ask, t *Ticket) bool {
+func (e *Engine) permitted(now int64, a core.Query, t *Ticket) bool {
 	p := e.permit
 	switch {
 	case p == nil:
@@ -49,7 +49,7 @@
 		if p.Holding && now < p.HoldEnd {
 			later = p.HoldEnd - now
 		}
-		t.Final <- core.Final{Verdict: core.Refused, RetryAfter: e.core.Advice(later), Shards: len(a.Parts)}
+		t.Final <- core.Final{Outcome: core.Refused, RetryAfter: e.core.RetryAdvice(later), Shards: len(a.Parts)}
 		e.leave(now, t)
 		return false
 	}
--- a/internal/broker/transport/pool.go
+++ b/internal/broker/transport/pool.go
@@ -375,7 +375,7 @@
 		return
 	}
 	if !unsent {
-		b, keep := c.session.Drop(nil, id)
+		b, keep := c.session.Cancel(nil, id)
 		if !keep {
 			p.fail(now, c, false)
 			return
@@ -408,7 +408,7 @@
 		}
 	}
 	c := &serverConn{
-		server: s, session: p.dialect.Session(s.address), calls: map[core.AttemptID]*frame{},
+		server: s, session: p.dialect.NewSession(s.address), calls: map[core.AttemptID]*frame{},
 		sentAt: map[core.AttemptID]int64{}, done: &atomic.Int64{},
 		writes: newOutbox(4*p.dialect.Streams() + 16), usedAt: now, openedAt: now,
 	}
@@ -610,7 +610,7 @@
 // the one whose answer was spoilt; the others are given up with the connection. Either may have run. They are
 // not reported as broken: that is how queries look that bring down what serves them.
 func (p *pool) spoil(now int64, c *serverConn, err error) {
-	if !errors.Is(err, core.ErrLast) {
+	if !errors.Is(err, core.ErrConnectionEnding) {
 		p.hurt = now
 	}
 	o := sq.Errored
--- a/internal/broker/transport/serve.go
+++ b/internal/broker/transport/serve.go
@@ -13,7 +13,7 @@
 	word  func(core.Final, int64) http1.Response
 	t     *Ticket
 	resp  *http1.Response
-	once  core.Ledger // of a query that must not run twice; else nil
+	once  core.IntentLog // of a query that must not run twice; else nil
 }
 
 // ask opens what a message asks for.
@@ -22,10 +22,10 @@
 	if a.class != "" {
 		c.l.engine.figures.Open.Add(1)
 	}
-	var ask core.Ask
+	var ask core.Query
 	if ask, a.word, a.resp = front.Open(m, now, c.l.ready()); a.resp == nil {
 		c.l.last.Store(now)
-		a.t, a.once = c.l.engine.Open(ask), ask.Ledger
+		a.t, a.once = c.l.engine.Open(ask), ask.IntentLog
 	}
 	return a
 }
@@ -93,7 +93,7 @@
 		c.l.engine.Left(a.t)
 		return
 	}
-	if !a.once.Keeps() {
+	if !a.once.WantsResult() {
 		c.l.engine.Left(a.t)
 		a.once.Abandon()
 		return
@@ -145,7 +145,7 @@
 				a.once.Release()
 			}
 			status := 400
-			if errors.Is(err, core.ErrTaken) {
+			if errors.Is(err, core.ErrDuplicateLabel) {
 				status = 409
 			} else if errors.Is(err, ErrContract) {
 				status = 403
--- a/internal/broker/transport/size_test.go
+++ b/internal/broker/transport/size_test.go
@@ -41,14 +41,14 @@
 				if err != nil {
 					b.Fatal(err)
 				}
-				gatherer := core.New(core.Terms{Period: 5000, Shards: servers, PartsPerCall: 1, Classes: cfg.Classes}, module)
+				gatherer := core.New(core.Config{Period: 5000, Shards: servers, PartsPerCall: 1, Classes: cfg.Classes}, module)
 				p := newPool(PoolConfig{ConnectTimeout: 250_000, IdleClose: 15_000_000, MaxConns: 7000}, platform.Workers{PerConn: 32},
 					func(func(int64)) bool { return true })
 				now := int64(1_000_000_000)
 				w := NewWatcher("127.0.0.1:1", 0, false, func(f sq.FleetChanged, addresses map[sq.ServerID]string) {
 					now += 5000
 					p.fleet(now, f, addresses)
-					gatherer.Fleet(f)
+					gatherer.FleetChanged(f)
 					gatherer.Step(now)
 				}, quiet)
 				if err := w.whole(listOf(servers, servers, 1).Append(nil), "x"); err != nil {
--- a/internal/broker/transport/transport_test.go
+++ b/internal/broker/transport/transport_test.go
@@ -57,7 +57,7 @@
 	t.Cleanup(func() { far.Close() })
 	s := b.servers["s"]
 	c := &serverConn{
-		server: s, session: b.dialect.Session(""), net: near, up: true, calls: map[core.AttemptID]*frame{},
+		server: s, session: b.dialect.NewSession(""), net: near, up: true, calls: map[core.AttemptID]*frame{},
 		sentAt: map[core.AttemptID]int64{}, done: new(atomic.Int64), writes: newOutbox(1),
 	}
 	s.conns, b.conns = []*serverConn{c}, 1
@@ -217,11 +217,11 @@
 // echo is a front whose requests are answered at once, or, under /held, wait for ever.
 type echo struct{}
 
-func (echo) Open(m *http1.Message, now int64, _ bool) (core.Ask, func(core.Final, int64) http1.Response, *http1.Response) {
+func (echo) Open(m *http1.Message, now int64, _ bool) (core.Query, func(core.Final, int64) http1.Response, *http1.Response) {
 	if m.Target == "/held" {
-		return core.Ask{Class: "c", Deadline: now + 1<<40, Parts: []core.AskPart{{Weight: 1}}}, nil, nil
+		return core.Query{Class: "c", Deadline: now + 1<<40, Parts: []core.QueryPart{{Weight: 1}}}, nil, nil
 	}
-	return core.Ask{}, nil, &http1.Response{Status: 200, Body: []byte("ok")}
+	return core.Query{}, nil, &http1.Response{Status: 200, Body: []byte("ok")}
 }
 
 func (echo) Class(m *http1.Message) string { return strings.TrimPrefix(m.Target, "/") }
@@ -231,7 +231,7 @@
 }
 
 func serve(t *testing.T, cfg ListenerConfig) (*Listener, *Engine) {
-	gatherer := core.New(core.Terms{Period: 1000, Shards: 1, Classes: []sq.Class{{Name: "c"}}}, module{})
+	gatherer := core.New(core.Config{Period: 1000, Shards: 1, Classes: []sq.Class{{Name: "c"}}}, module{})
 	quiet := slog.New(slog.DiscardHandler)
 	e := NewEngine(NewClock(), gatherer, PoolConfig{MaxConns: 1, IdleClose: 1 << 40}, platform.Workers{PerConn: 1}, adminapi.NewFigures(), quiet)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -740,7 +740,7 @@
 	b.fleet(0, sq.Ready, 0, "127.0.0.1:1")
 	near, far := net.Pipe()
 	c := &serverConn{
-		server: b.servers["s"], session: b.dialect.Session(""), net: near, up: true,
+		server: b.servers["s"], session: b.dialect.NewSession(""), net: near, up: true,
 		calls: map[core.AttemptID]*frame{}, sentAt: map[core.AttemptID]int64{}, done: new(atomic.Int64), writes: newOutbox(4),
 	}
 	b.servers["s"].conns, b.conns = []*serverConn{c}, 1
--- a/internal/broker/transport/unsent_test.go
+++ b/internal/broker/transport/unsent_test.go
@@ -23,7 +23,7 @@
 	b.pool.fleet(0, sq.FleetChanged{Servers: []sq.Server{{ID: "s", Health: sq.Ready}}}, map[sq.ServerID]string{"s": "127.0.0.1:1"})
 	near, far := net.Pipe()
 	c := &serverConn{
-		server: b.servers["s"], session: b.dialect.Session(""), net: near, up: true, calls: map[core.AttemptID]*frame{},
+		server: b.servers["s"], session: b.dialect.NewSession(""), net: near, up: true, calls: map[core.AttemptID]*frame{},
 		sentAt: map[core.AttemptID]int64{}, done: new(atomic.Int64), writes: newOutbox(8),
 	}
 	b.servers["s"].conns, b.conns = []*serverConn{c}, 1
@@ -64,7 +64,7 @@
 	for _, id := range ids {
 		c.Attempts = append(c.Attempts, callOf(id).Attempts...)
 	}
-	return string(platform.Workers{PerConn: 1}.Session("").Call(nil, c, 0)[4:])
+	return string(platform.Workers{PerConn: 1}.NewSession("").Call(nil, c, 0)[4:])
 }
 
 // What waits behind a write that does not get on has not left: it is taken back when its query is over, its client gone, its attempt given
--- a/internal/golden/durable_test.go
+++ b/internal/golden/durable_test.go
@@ -113,9 +113,9 @@
 	entry, verdict := ledger.Begin(key, "label", 1)
 	is.Equal(verdict.State, idempotency.Fresh)
 	done := make(chan error, 1)
-	part := core.Intended{Shard: 1, Server: "s1"}
+	part := core.Intent{Shard: 1, Server: "s1"}
 	part.Span.From, part.Span.To = 10, 20
-	is.NoErr(entry.Intend([]core.Intended{part}, 6_000_000, func(err error) { done <- err }))
+	is.NoErr(entry.Record([]core.Intent{part}, 6_000_000, func(err error) { done <- err }))
 	is.NoErr(<-done)
 	answer := idempotency.Answer{Status: 200, Type: "text/plain", Fields: [][2]string{{"A", "b"}}, Body: []byte("done")}
 	switch key {
--- a/internal/scale/work/engine_test.go
+++ b/internal/scale/work/engine_test.go
@@ -41,7 +41,7 @@
 				b.Fatal(err)
 			}
 			clock := transport.NewClock()
-			gatherer := core.New(core.Terms{Period: 5000, Shards: servers, PartsPerCall: 1, AnswerGrace: 5000, Classes: settings.Classes}, module)
+			gatherer := core.New(core.Config{Period: 5000, Shards: servers, PartsPerCall: 1, AnswerGrace: 5000, Classes: settings.Classes}, module)
 			e := transport.NewEngine(clock, gatherer, transport.PoolConfig{ConnectTimeout: 1_000_000, IdleClose: 60_000_000, MaxConns: 7000},
 				platform.Workers{PerConn: 32}, adminapi.NewFigures(), slog.New(slog.NewTextHandler(io.Discard, nil)))
 			news, addresses := sq.FleetChanged{Kind: sq.FleetCached}, map[sq.ServerID]string{}
@@ -55,16 +55,16 @@
 			defer e.Stop()
 			asked := 0
 			query := func() {
-				ask := core.Ask{Label: fmt.Sprintf("%016x", asked), Unique: true, Class: "q", Deadline: clock.Now() + 30_000_000, Text: []byte("c41e77d0")}
+				ask := core.Query{Label: fmt.Sprintf("%016x", asked), Unique: true, Class: "q", Deadline: clock.Now() + 30_000_000, Text: []byte("c41e77d0")}
 				for i := range parts {
-					ask.Parts = append(ask.Parts, core.AskPart{Shard: (asked*parts + i) % servers, Weight: 1 / float64(parts)})
+					ask.Parts = append(ask.Parts, core.QueryPart{Shard: (asked*parts + i) % servers, Weight: 1 / float64(parts)})
 				}
 				asked++
 				t := e.Open(ask)
 				select {
 				case f := <-t.Final:
-					if f.Verdict != core.Answered || !f.Whole {
-						b.Fatalf("query %d: %+v", asked, f.Verdict)
+					if f.Outcome != core.Answered || !f.Complete {
+						b.Fatalf("query %d: %+v", asked, f.Outcome)
 					}
 				case err := <-t.Err:
 					b.Fatal(err)
--- a/internal/storage/recordlog/proof_test.go
+++ b/internal/storage/recordlog/proof_test.go
@@ -107,7 +107,7 @@
 		return
 	}
 	done := make(chan error, 1)
-	err := e.Intend([]core.Intended{{Shard: client, Server: "s"}}, 1, func(err error) { done <- err })
+	err := e.Record([]core.Intent{{Shard: client, Server: "s"}}, 1, func(err error) { done <- err })
 	if err == nil {
 		err = <-done
 	}
