--- a/internal/cluster/rollout/group.go
+++ b/internal/cluster/rollout/group.go
@@ -9,55 +9,56 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// group is one node's part in one agreement: its vote there, or what it takes until it has one. Every gatherer has one in its region's, or
-// the fleet's where there are no regions, and with regions one in the global agreement, where some vote.
+// group is one node's part in one agreement: its voter there, or what it needs until it has one. Every gatherer has a group for its region's
+// agreement, or the fleet's where there are no regions, and with regions one for the global agreement, where some vote.
 type group struct {
 	cfg         Config // as of this agreement: voters, lease
 	identity    uint64
 	rng         *rand.Rand
 	quotaHolder *quota.Holder
-	follower    *follower  // of a region's voters: how they stand with the global agreement; nil: none is followed
-	voter       *voter     // nil: it only follows
-	bootstrap   *bootstrap // one of the first voters, until it may vote; nil: none
-	identities  map[string]uint64
-	lastVoterID uint64 // the newest id that this disk voted by
-}
-
-// open takes up what outlasted the process: a voter's disk, or the founding of one of the first voters.
-func (g *group) restore(now int64, memory PersistentState) error {
-	g.identities = memory.VoterIdentities
-	switch disk := memory.Disk; {
-	case disk.ID != 0:
+	follower    *follower // of a region's voters: their side of the global agreement; nil: none is followed
+	voter       *voter    // nil: this node has no vote
+	bootstrap   *bootstrap
+	identities  map[string]uint64 // of the first voters' disks, on disk
+	lastVoterID uint64            // the newest id that this disk voted under
+}
+
+// restore continues from what outlasted the process: a voter's disk, or the bootstrap of one of the first voters.
+func (g *group) restore(now int64, stored PersistentState) error {
+	g.identities = stored.VoterIdentities
+	if disk := stored.Disk; disk.ID != 0 {
 		v, err := newVoter(g.cfg, now, g.rng, disk)
 		if err != nil {
 			return err
 		}
 		g.setVoter(v, disk.ID)
-	case g.cfg.isInitialVoter(g.cfg.Name):
-		g.bootstrap = newBootstrap(g.cfg, now, memory)
-		if g.cfg.Bugs.VoteByName {
-			for _, name := range g.bootstrap.peers { // nobody's disk is looked at
-				g.bootstrap.known[name], g.bootstrap.knownBy[name] = 1, true
-			}
+		return nil
+	}
+	if !g.cfg.isInitialVoter(g.cfg.Name) {
+		return nil
+	}
+	g.bootstrap = newBootstrap(g.cfg, now, stored)
+	if g.cfg.Bugs.VoteByName {
+		for _, name := range g.bootstrap.peers { // no peer's disk is checked
+			g.bootstrap.known[name], g.bootstrap.knownBy[name] = 1, true
 		}
-		return g.startVoting(now)
 	}
-	return nil
+	return g.startVoting(now)
 }
 
-// seat has a voter vote for this node.
+// setVoter makes a voter vote for this node.
 func (g *group) setVoter(v *voter, id uint64) {
 	v.quotaHolder, v.follower = g.quotaHolder, g.follower
 	g.voter, g.bootstrap, g.lastVoterID = v, nil, id
 }
 
-// vote has one of the first voters begin to vote, where it may.
+// startVoting ends the bootstrap of one of the first voters, where it is complete.
 func (g *group) startVoting(now int64) error {
-	f := g.bootstrap
-	if f == nil || !f.isComplete() {
+	b := g.bootstrap
+	if b == nil || !b.isComplete() {
 		return nil
 	}
-	disk, err := initialDisk(g.cfg, f.known)
+	disk, err := initialDisk(g.cfg, b.known)
 	if err != nil {
 		return err
 	}
@@ -66,21 +67,66 @@
 		return err
 	}
 	v.initialSave = &Save{ID: disk.ID, HardState: disk.HardState, Snapshot: disk.Snapshot}
-	g.identities = f.known
+	g.identities = b.known
 	g.setVoter(v, disk.ID)
 	return nil
 }
 
-// votes tells that this one has a vote, as far as it knows. One whose vote was taken goes on answering the others as before: those who have
-// not heard of it yet may need it to elect a leader.
+// hasVote reports that this node has a vote, as far as it knows. A voter whose vote was taken still answers the others: those that have
+// not applied the change yet may need it to elect a leader.
 func (g *group) hasVote() bool { return g.voter != nil && !g.voter.isRemoved() }
 
-// opened tells that this one leads, and has taken in all that was agreed on before.
-func (g *group) isActiveLeader() bool {
-	return g.voter != nil && g.voter.isLeader && g.voter.applied >= g.voter.termFirstIndex
+// isActiveLeader reports that this node leads, and has applied everything that was committed before its term.
+func (g *group) isActiveLeader() bool { return g.voter != nil && g.voter.isActiveLeader() }
+
+// leads reports that this node leads. It may be called on nil.
+func (g *group) leads() bool { return g != nil && g.voter != nil && g.voter.isLeader }
+
+// hasIdentityConflict reports that a first voter's peers know another disk under its name.
+func (g *group) hasIdentityConflict() bool { return g.bootstrap != nil && g.bootstrap.identityConflict }
+
+// openAttempt is the proposal that is open; 0: none, or there is no voter here. It may be called on nil.
+func (g *group) openAttempt() uint64 {
+	if g == nil || g.voter == nil {
+		return 0
+	}
+	return g.voter.state.openAttempt()
+}
+
+// decisions are those that the voter remembers. It may be called on nil.
+func (g *group) decisions() []*wire.Decision {
+	if g == nil || g.voter == nil {
+		return nil
+	}
+	return g.voter.state.History
+}
+
+// previous is the version that was in force before the current one. It may be called on nil.
+func (g *group) previous() *wire.Document {
+	if g == nil || g.voter == nil {
+		return nil
+	}
+	return g.voter.state.Previous
+}
+
+// grants are a leader's records; nil where this node does not lead. It may be called on nil.
+func (g *group) grants() []Grant {
+	if !g.leads() {
+		return nil
+	}
+	return g.voter.grants()
+}
+
+// redirect returns the answer to a request that this node can't serve: it names the leader, where that is known.
+func (g *group) redirect(request *wire.Ask) *wire.Word {
+	w := &wire.Word{Nonce: request.Nonce}
+	if g.hasVote() && !g.voter.isLeader {
+		w.Leader = g.voter.leader()
+	}
+	return w
 }
 
-// next is when tick wants to be called.
+// nextTick is when voter or bootstrap have something to do.
 func (g *group) nextTick() int64 {
 	at := int64(never)
 	if g.voter != nil {
@@ -92,42 +138,43 @@
 	return at
 }
 
-// greet is due where it gives hellos for the other first voters.
+// dueHellos returns hellos for the other first voters, when they are due.
 func (g *group) dueHellos(now int64) (all []*wire.Message) {
-	f := g.bootstrap
-	if f == nil || now < f.helloAt {
+	b := g.bootstrap
+	if b == nil || now < b.helloAt {
 		return nil
 	}
-	f.helloAt = now + f.helloInterval(g.cfg.HeartbeatInterval)
-	for _, name := range f.peers {
-		all = append(all, &wire.Message{From: g.cfg.Name, To: name, Hello: newHello(f.known)})
+	b.helloAt = now + b.helloInterval(g.cfg.HeartbeatInterval)
+	for _, name := range b.peers {
+		all = append(all, &wire.Message{From: g.cfg.Name, To: name, Hello: newHello(b.known)})
 	}
 	return all
 }
 
-// greeted takes another first voter's hello in; one that votes already tells whom it met.
+// handleHello handles another first voter's hello. One that votes already answers with the identities that it stored.
 func (g *group) handleHello(now int64, m *wire.Message) (answer *wire.Message) {
 	if g.bootstrap != nil {
 		g.bootstrap.handleHello(m.From, m.Identity, m.Hello)
-		g.startVoting(now) // its disk can't be wrong: it is made here
-	} else if len(g.identities) > 0 && !m.Hello.Answer {
-		h := newHello(g.identities)
-		h.Answer = true
-		return &wire.Message{From: g.cfg.Name, To: m.From, Hello: h}
+		_ = g.startVoting(now) // it fails on a corrupt disk only, and this disk is made here
+		return nil
 	}
-	return nil
+	if len(g.identities) == 0 || m.Hello.Answer {
+		return nil
+	}
+	h := newHello(g.identities)
+	h.Answer = true
+	return &wire.Message{From: g.cfg.Name, To: m.From, Hello: h}
 }
 
-// raft takes a voter's word in. A leader's, for this disk under an id that is newer than what it votes by, gives it a vote.
+// handleRaft handles a voter's raft message. A leader's message for this disk, under an id newer than the one it votes under, gives it a vote.
 func (g *group) handleRaft(now int64, m *wire.Message) {
 	x := &pb.Message{}
 	if m.Target != g.identity && !g.cfg.Bugs.VoteByName || proto.Unmarshal(m.Raft, x) != nil {
 		return
 	}
-	leads := x.GetType() == pb.MsgApp || x.GetType() == pb.MsgSnap || x.GetType() == pb.MsgHeartbeat
-	if to := x.GetTo(); to > g.lastVoterID && to > addedVoterBase && leads {
+	if to := x.GetTo(); to > g.lastVoterID && to > addedVoterBase && isFromLeader(x.GetType()) {
 		if g.voter != nil && g.voter.saving || g.bootstrap != nil && g.bootstrap.saving {
-			return // it is said again; an id is given only once this disk's other one is out
+			return // raft sends it again; an id is given only once this disk's other one is removed
 		}
 		v, err := newVoter(g.cfg, now, g.rng, Disk{ID: to})
 		if err != nil {
@@ -136,15 +183,20 @@
 		g.setVoter(v, to)
 	}
 	if g.voter != nil {
-		g.voter.step(now, m.From, m.Identity, x) // what raft can't use it turns down
+		_ = g.voter.step(now, m.From, m.Identity, x) // what raft can't use is dropped; it is sent again
 	}
 }
 
-// save gives what is to be saved; nil: nothing, or something is being saved.
+// isFromLeader reports that only leaders send messages of a type.
+func isFromLeader(t pb.MessageType) bool {
+	return t == pb.MsgApp || t == pb.MsgSnap || t == pb.MsgHeartbeat
+}
+
+// takeSave returns what is to be saved; nil: nothing, or something is being saved.
 func (g *group) takeSave() *Save {
-	if f := g.bootstrap; f != nil && len(f.unsaved) > 0 && !f.saving {
-		f.saving = true
-		return &Save{VoterIdentities: f.takeIdentities()}
+	if b := g.bootstrap; b != nil && len(b.unsaved) > 0 && !b.saving {
+		b.saving = true
+		return &Save{VoterIdentities: b.takeIdentities()}
 	}
 	if g.voter == nil {
 		return nil
@@ -152,10 +204,10 @@
 	return g.voter.takeSave()
 }
 
-// saved goes on once that is on disk. snapshot, where not nil, is to be saved in the place of the log up to it.
+// handleSaved goes on once that is on disk. snapshot, where not nil, is to be stored in the place of the log up to it.
 func (g *group) handleSaved(now int64) (snapshot *pb.Snapshot, err error) {
-	if f := g.bootstrap; f != nil && f.saving {
-		f.handleSaved()
+	if b := g.bootstrap; b != nil && b.saving {
+		b.handleSaved()
 		return nil, g.startVoting(now)
 	}
 	if g.voter == nil || !g.voter.saving {
--- a/internal/cluster/rollout/leave_test.go
+++ b/internal/cluster/rollout/lease_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// trio is three voters whose words the test carries; a fourth gatherer, which follows, has no process.
+// threeVoters is a fleet of three voters whose messages the test delivers. A fourth gatherer, without a vote, has no process.
 type threeVoters struct {
 	t           *testing.T
 	now         int64
@@ -15,6 +15,7 @@
 }
 
 func newThreeVoters(t *testing.T) *threeVoters {
+	t.Helper()
 	x := &threeVoters{t: t, now: 1, nodes: map[string]*Node{}}
 	members := []Member{{Name: "a", Address: "a", Voter: true}, {Name: "b", Address: "b", Voter: true}, {Name: "c", Address: "c", Voter: true}, {Name: "d", Address: "d"}}
 	for i, m := range members[:3] {
@@ -27,7 +28,7 @@
 	return x
 }
 
-// collect takes what a node wants done: all is on disk at once, and its words wait for deliver.
+// collect does what a node wants done: everything is on disk immediately, and its messages wait for deliver.
 func (x *threeVoters) collect(n *Node) {
 	for o := n.TakeOutput(); o.Save != nil || len(o.Messages) > 0; o = n.TakeOutput() {
 		x.undelivered = append(x.undelivered, o.Messages...)
@@ -39,7 +40,7 @@
 	}
 }
 
-// deliver carries all words, and those that come of them; it gives those to who has no process.
+// deliver delivers all messages, and those that they cause. It returns the ones to gatherers without a process.
 func (x *threeVoters) deliver() (others []*wire.Message) {
 	for len(x.undelivered) > 0 {
 		m := x.undelivered[0]
@@ -54,7 +55,7 @@
 	return others
 }
 
-// leader runs the three until one of them leads and gives leases.
+// awaitLeader runs the three until one of them leads and grants leases.
 func (x *threeVoters) awaitLeader() *Node {
 	for range 1000 {
 		x.now += 10_000
@@ -72,17 +73,17 @@
 			}
 		}
 	}
-	x.t.Fatal("nobody leads")
+	x.t.Fatal("no voter leads")
 	return nil
 }
 
-// Who leaves in order is not waited for, also where an ask of its came before and still waits to be answered. Guards the next change against
-// a wait for a lease that nobody uses: the ask took the leave back.
-func TestLeaveOvertakesAnAsk(t *testing.T) {
+// A gatherer that leaves in order is not awaited, also where an earlier request of its is still unanswered. Without that, answering the request would
+// take the leave back, and the next change would wait for a lease that is not in use.
+func TestLeaveOvertakesRequest(t *testing.T) {
 	x := newThreeVoters(t)
-	lead := x.awaitLeader()
-	of := func() Grant {
-		for _, g := range lead.Grants() {
+	leader := x.awaitLeader()
+	grantOfD := func() Grant {
+		for _, g := range leader.Grants() {
 			if g.Name == "d" {
 				return g
 			}
@@ -91,26 +92,26 @@
 		return Grant{}
 	}
 	send := func(a *wire.Ask) {
-		lead.Receive(x.now, &wire.Message{From: "d", To: lead.name, Identity: 9, Ask: a})
-		x.collect(lead)
+		leader.Receive(x.now, &wire.Message{From: "d", To: leader.name, Identity: 9, Ask: a})
+		x.collect(leader)
 	}
-	send(&wire.Ask{Nonce: 1}) // its round is on its way: nobody has confirmed yet that this one leads
+	send(&wire.Ask{Nonce: 1}) // no voter has confirmed yet that this one leads
 	send(&wire.Ask{Nonce: 2, Leaves: true})
 	for _, m := range x.deliver() {
 		if m.Word.GetLease() > 0 {
-			t.Errorf("a lease for one that has left: %v", m)
+			t.Errorf("a lease for a gatherer that has left: %v", m)
 		}
 	}
-	if g := of(); !g.Left || g.LeaseUntil > x.now {
+	if g := grantOfD(); !g.Left || g.LeaseUntil > x.now {
 		t.Errorf("it has left, and counts as %+v at %d", g, x.now)
 	}
-	// A new process of its name asks for itself.
+	// A new process of its name sends a request of its own.
 	send(&wire.Ask{Nonce: 3})
 	given := false
 	for _, m := range x.deliver() {
 		given = given || m.Word.GetNonce() == 3 && m.Word.Lease > 0
 	}
-	if g := of(); !given || g.Left || g.LeaseUntil <= x.now {
+	if g := grantOfD(); !given || g.Left || g.LeaseUntil <= x.now {
 		t.Errorf("back again: a lease is given: %t; %+v at %d", given, g, x.now)
 	}
 }
--- a/internal/cluster/rollout/parts.go
+++ b/internal/cluster/rollout/parts.go
@@ -5,7 +5,7 @@
 	"saffronquay/internal/cluster/rollout/wire"
 )
 
-// partition is each region's part of the budgets by its gatherers' share of a roster; it is rounded down.
+// partsByRoster is each region's part of the budgets by its gatherers' fraction of a roster, rounded down.
 func partsByRoster(members []*wire.Member, regions []string) (parts []*wire.Part) {
 	count, all := map[string]uint64{}, uint64(0)
 	for _, m := range members {
@@ -20,7 +20,7 @@
 	return parts
 }
 
-// partOf is a region's part.
+// partOf is a region's part, in millionths; 0: it has none.
 func partOf(parts []*wire.Part, region string) uint32 {
 	for _, p := range parts {
 		if p.Region == region {
@@ -30,8 +30,8 @@
 	return 0
 }
 
-// move goes from one partition towards another: who is to have less has it at once, who is to have more gets what is free already. So the
-// greater of both parts of all regions come to the whole at most.
+// moveParts moves one step from a division of the budgets towards another: a region that is to have less gets that immediately, one that is to have more
+// gets its part of what is free already. So the greater of both parts of each region, taken over all regions, add up to at most the budget.
 func moveParts(from, to []*wire.Part) (parts []*wire.Part) {
 	free, wanted := int64(quota.PPM), int64(0)
 	for _, p := range from {
@@ -50,18 +50,3 @@
 	}
 	return parts
 }
-
-// partsOf is the partition under a version; before the first, by the first roster.
-func (cfg Config) partsOf(d *wire.Document) []*wire.Part {
-	if len(d.GetParts()) > 0 {
-		return d.Parts
-	}
-	return partsByRoster(initialMembers(cfg.Members, nil), cfg.regions)
-}
-
-// divide has this gatherer go by its region's part of the budgets under the version in force.
-func (h *Holder) applyRegionPart() {
-	if h.quota != nil && h.cfg.Region != "" {
-		h.quota.SetRegion(partOf(h.cfg.partsOf(h.current), h.cfg.Region))
-	}
-}
--- a/internal/cluster/rollout/regions_test.go
+++ b/internal/cluster/rollout/regions_test.go
@@ -11,7 +11,7 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// From any partition to any other the greater parts of both come to the whole at most, and it gets there.
+// From any division of the budgets to any other, the greater parts of both add up to at most the budget, and the moves arrive there.
 func TestMove(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	draw := func() []*wire.Part {
@@ -69,14 +69,14 @@
 			t.Errorf("%v; want %s", err, want)
 		}
 	}
-	// A witness votes, and has nobody to ask for a lease.
+	// A witness votes, and its region has no voter that could give it a lease.
 	n, err := New(Config{Name: "w", Region: "w", Members: members(func(m []Member) { m[0].Global, m[2].Global = true, true })}, 1, rand.New(rand.NewPCG(1, 1)), PersistentState{Identity: 1})
 	if err != nil || n.global.bootstrap == nil || n.local.bootstrap != nil || n.Holder.nextRequest() != never {
 		t.Errorf("a witness: %v", err)
 	}
 }
 
-// A region that is made anew out of one voter's disk keeps the global agreement's numbers, and what it has promised there it has refused.
+// A region that is made anew from one voter's disk keeps the global agreement's numbers, and has refused the proposal that it had prepared.
 func TestForceNewRegion(t *testing.T) {
 	cfg := Config{Name: "a", Region: "n", Members: []Member{
 		{Name: "a", Address: "a", Region: "n", Voter: true},
@@ -108,7 +108,7 @@
 	}
 }
 
-// Where only who votes in a region is its own, everything else goes to the global agreement.
+// A region decides who votes in it; everything else goes to the global agreement.
 func TestProposeInARegion(t *testing.T) {
 	cfg := Config{Name: "b", Region: "n", Members: []Member{{Name: "a", Address: "a", Region: "n", Voter: true}, {Name: "b", Address: "b", Region: "n"}, {Name: "c", Address: "c", Region: "s", Voter: true, Global: true}}}
 	n, err := New(cfg, 1, rand.New(rand.NewPCG(1, 1)), PersistentState{Identity: 1})
--- a/internal/cluster/rollout/members.go
+++ b/internal/cluster/rollout/roster.go
@@ -8,44 +8,38 @@
 	"strings"
 )
 
-const (
-	maxVoters      = 7
-	addedVoterBase = 16 // above it are the ids of voters that were added later: this and the index of the entry that began it
-)
-
-// Member is one gatherer of the first roster.
-type Member struct {
-	Name    string
-	Address string // host:port where it agrees on the policy
-	Region  string // empty: the fleet has none
-	Voter   bool   // with regions: in its own region's agreement
-	Global  bool   // with regions: in the global agreement. Where nobody is named for it, all voters are
-}
+// maxRoster is how many gatherers a roster may have.
+const maxRoster = 4096
 
-// firstMembers are the records of the first roster; ids go by the order of names, identities are those that the voters met.
-func initialMembers(members []Member, met map[string]uint64) (all []*wire.Member) {
+// initialMembers are the records of the first roster, by name. Voters' ids go by the order of names; identities are those of their disks.
+func initialMembers(members []Member, identities map[string]uint64) (all []*wire.Member) {
 	id := uint64(0)
 	for _, m := range slices.SortedFunc(slices.Values(members), func(a, b Member) int { return cmp.Compare(a.Name, b.Name) }) {
 		x := &wire.Member{Name: m.Name, Address: m.Address, Region: m.Region, Global: m.Global}
 		if m.Voter {
 			id++
-			x.Id, x.Identity = id, met[m.Name]
+			x.Id, x.Identity = id, identities[m.Name]
 		}
 		all = append(all, x)
 	}
 	return all
 }
 
-// find is a member of a list; nil: it is not on it.
+// searchMember finds the place of a name in a list, which is sorted by name.
+func searchMember(members []*wire.Member, name string) (int, bool) {
+	return slices.BinarySearchFunc(members, name, func(m *wire.Member, name string) int { return cmp.Compare(m.Name, name) })
+}
+
+// findMember returns a member of a list; nil: it is not on it.
 func findMember(members []*wire.Member, name string) *wire.Member {
-	i, ok := slices.BinarySearchFunc(members, name, func(m *wire.Member, name string) int { return cmp.Compare(m.Name, name) })
+	i, ok := searchMember(members, name)
 	if !ok {
 		return nil
 	}
 	return members[i]
 }
 
-// votersOf are the names of those of a list who vote.
+// voterNames are the names of a list's members that vote.
 func voterNames(members []*wire.Member) (names []string) {
 	for _, m := range members {
 		if m.Id != 0 {
@@ -55,10 +49,10 @@
 	return names
 }
 
-// member is one on the roster; nil: it is not.
+// member returns a member of the roster; nil: it is not on it.
 func (s *state) member(name string) *wire.Member { return findMember(s.Members, name) }
 
-// voter is who votes, is to vote or voted last under an id; nil: nobody known.
+// voterByID returns who votes, is to vote or voted last under an id; nil: none known.
 func (s *state) voterByID(id uint64) *wire.Member {
 	for _, m := range s.Members {
 		if m.Id == id {
@@ -74,10 +68,10 @@
 	return nil
 }
 
-// put has a member on the roster, or its address changed. Lists that were given out stay as they are.
+// putMember adds or replaces a member of the roster. The list is copied, so that lists which were handed out stay as they are.
 func (s *state) putMember(m *wire.Member) {
 	s.Members = slices.Clone(s.Members)
-	i, ok := slices.BinarySearchFunc(s.Members, m.Name, func(x *wire.Member, name string) int { return cmp.Compare(x.Name, name) })
+	i, ok := searchMember(s.Members, m.Name)
 	if ok {
 		s.Members[i] = m
 	} else {
@@ -85,7 +79,7 @@
 	}
 }
 
-// roster takes a change of the roster in: all of it, or nothing with the reason.
+// applyRoster applies a change of the roster: completely, or not at all with the reason.
 func (s *state) applyRoster(index uint64, e *wire.Entry) {
 	if s.decision(e.Nonce) != nil {
 		return
@@ -94,14 +88,7 @@
 	if d.Reason = s.checkRosterChange(e); d.Reason == "" {
 		d.Committed, s.MembersIndex = true, index
 		for _, m := range e.Add {
-			x := &wire.Member{Name: m.Name, Address: m.Address, Region: m.Region, Global: m.Global}
-			if was := s.member(m.Name); was != nil {
-				x.Id, x.Identity = was.Id, was.Identity
-				if m.Region == "" {
-					x.Region, x.Global = was.Region, was.Global
-				}
-			}
-			s.putMember(x)
+			s.putMember(s.mergedMember(m))
 		}
 		for _, name := range e.Remove {
 			s.Members = slices.DeleteFunc(slices.Clone(s.Members), func(m *wire.Member) bool { return m.Name == name })
@@ -110,20 +97,23 @@
 	s.remember(d)
 }
 
-// unfit is why a change of the roster can't be made; empty: it can.
+// mergedMember is the record of a member that is added, or whose address changes. Its vote stays, and without another its region.
+func (s *state) mergedMember(m *wire.Member) *wire.Member {
+	merged := &wire.Member{Name: m.Name, Address: m.Address, Region: m.Region, Global: m.Global}
+	if was := s.member(m.Name); was != nil {
+		merged.Id, merged.Identity = was.Id, was.Identity
+		if m.Region == "" {
+			merged.Region, merged.Global = was.Region, was.Global
+		}
+	}
+	return merged
+}
+
+// checkRosterChange returns why a change of the roster can't be made; empty: it can.
 func (s *state) checkRosterChange(e *wire.Entry) string {
 	for _, m := range e.Add {
-		if m.Name == "" || m.Address == "" {
-			return "it names nobody, or no address"
-		}
-		switch was := s.member(m.Name); {
-		case len(s.Regions) == 0 && s.Region == "" && m.Region != "":
-			return m.Name + " has a region, and the fleet has none"
-		case len(s.Regions) == 0 || m.Region == "" && was != nil:
-		case was != nil && was.Region != m.Region:
-			return m.Name + " is in region " + was.Region + ": take it off the roster first"
-		case !slices.Contains(s.Regions, m.Region):
-			return fmt.Sprintf("%s: there is no region %q", m.Name, m.Region)
+		if reason := s.checkAddedMember(m); reason != "" {
+			return reason
 		}
 	}
 	if len(s.Members)+len(e.Add) > maxRoster {
@@ -142,14 +132,31 @@
 	return ""
 }
 
-// beginVoters takes the beginning of a change of who votes in; raft has a learner for it from the same entry on.
+// checkAddedMember returns why a member can't be added; empty: it can.
+func (s *state) checkAddedMember(m *wire.Member) string {
+	if m.Name == "" || m.Address == "" {
+		return "it names nobody, or no address"
+	}
+	switch was := s.member(m.Name); {
+	case len(s.Regions) == 0 && s.Region == "" && m.Region != "":
+		return m.Name + " has a region, and the fleet has none"
+	case len(s.Regions) == 0 || m.Region == "" && was != nil:
+	case was != nil && was.Region != m.Region:
+		return m.Name + " is in region " + was.Region + ": take it off the roster first"
+	case !slices.Contains(s.Regions, m.Region):
+		return fmt.Sprintf("%s: there is no region %q", m.Name, m.Region)
+	}
+	return ""
+}
+
+// beginVoterChange applies the beginning of a change of who votes. The same entry gives raft a learner for it.
 func (s *state) beginVoterChange(index uint64, e *wire.Entry) {
 	c := e.Voters
 	c.Index = index
 	s.Change = c
 }
 
-// endVoters takes its end in.
+// endVoterChange applies the end of a change of who votes.
 func (s *state) endVoterChange(index uint64, e *wire.Entry) {
 	c := e.Voters
 	s.remember(&wire.Decision{Attempt: index, Nonce: c.Nonce, By: c.By, What: describeChange(e), Committed: e.Made, Reason: e.Reason})
@@ -169,7 +176,7 @@
 	}
 }
 
-// worded tells what an entry changes, for those who read what was decided.
+// describeChange describes what an entry changes, for the list of decisions.
 func describeChange(e *wire.Entry) string {
 	var parts []string
 	for _, m := range e.Add {
--- a/internal/cluster/rollout/voters.go
+++ b/internal/cluster/rollout/voters.go
@@ -9,42 +9,52 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// proposedVoters takes an operator's change of who votes. It begins with a learner, which has no vote before it has the whole log; then
-// the old and the new voters agree jointly, so that no majority of either can be alone. One change at a time.
+const (
+	maxVoters = 7
+	// minVotersToRemove is how many voters there have to be for one to be removed without a replacement.
+	minVotersToRemove = 4
+	// addedVoterBase is below the ids of voters that were added later: an id is this and the index of the entry that began the change.
+	addedVoterBase = 16
+	// voterChangeLeases is after how many leases a change of voters is abandoned.
+	voterChangeLeases = 5
+)
+
+// proposeVoterChange handles an operator's change of who votes. It begins with a learner, which has no vote before it has the complete log; then the old
+// and the new voters agree jointly, so that no majority of either decides alone. One change is made at a time.
 func (v *voter) proposeVoterChange(now int64, p *wire.Propose, a *wire.Answer) *wire.Answer {
 	if c := v.state.Change; c != nil && c.Nonce == p.Nonce {
 		return a // under way
 	}
 	c := &wire.VoterChange{Nonce: p.Nonce, By: p.By, Remove: p.VoterRemove}
-	if a.Reason = v.checkVoterChange(now, p, c); a.Reason != "" {
-		if a.End = 2; now-v.leaderSince < v.cfg.Lease {
-			a.End, a.Reason = 0, "" // a new leader has not heard of everybody yet
+	if reason := v.checkVoterChange(now, p, c); reason != "" {
+		if now-v.leaderSince < v.cfg.Lease {
+			return a // a new leader has not heard from everyone yet
 		}
+		a.End, a.Reason = endAborted, reason
 		return a
 	}
 	last, err := v.storage.LastIndex()
 	if err != nil {
-		a.End, a.Reason = 3, err.Error()
+		a.End, a.Reason = endUnknown, err.Error()
 		return a
 	}
 	e := &wire.Entry{Kind: entryVoters, Voters: c}
 	change := &pb.ConfChangeSingle{Type: pb.ConfChangeType_ConfChangeAddLearnerNode.Enum()}
 	if c.Add != nil {
-		c.Add.Id = addedVoterBase + last + 1 // nobody had it before: entries of that index in other terms are never agreed on beside it
+		c.Add.Id = addedVoterBase + last + 1 // no voter had it before: no entry of that index in another term is ever committed beside it
 		change.NodeId = proto.Uint64(c.Add.Id)
 	} else {
 		e.Kind, e.Made = entryVotersEnd, true
 		change.Type, change.NodeId = pb.ConfChangeType_ConfChangeRemoveNode.Enum(), proto.Uint64(c.RemoveId)
 	}
 	if err := v.proposeConfChange(e, change); err != nil {
-		a.End, a.Reason = 3, err.Error()
+		a.End, a.Reason = endUnknown, err.Error()
 	}
 	return a
 }
 
-// unfitVoters is why a change of who votes can't be made; empty: it can, and c is filled in.
+// checkVoterChange returns why a change of who votes can't be made; empty: it can, and c is completed.
 func (v *voter) checkVoterChange(now int64, p *wire.Propose, c *wire.VoterChange) string {
-	voters := voterNames(v.state.Members)
 	switch {
 	case v.state.Change != nil:
 		return "a change of voters by " + v.state.Change.By + " is under way"
@@ -58,12 +68,18 @@
 		}
 		c.RemoveId = m.Id
 	}
+	voters := len(voterNames(v.state.Members))
 	if p.VoterAdd == "" {
-		if len(voters) < 4 {
-			return fmt.Sprintf("of %d voters none can be taken without another in its place", len(voters))
+		if voters < minVotersToRemove {
+			return fmt.Sprintf("of %d voters none can be taken without another in its place", voters)
 		}
 		return v.missingQuorum(now, 0, c.RemoveId)
 	}
+	return v.checkAddedVoter(now, p, c, voters)
+}
+
+// checkAddedVoter returns why a gatherer can't get a vote; empty: it can, and c names it.
+func (v *voter) checkAddedVoter(now int64, p *wire.Propose, c *wire.VoterChange, voters int) string {
 	m, g := v.leaseMember(p.VoterAdd), v.grantees[p.VoterAdd]
 	if v.cfg.isGlobal {
 		m, g = v.state.member(p.VoterAdd), v.globalPeers[p.VoterAdd]
@@ -77,40 +93,41 @@
 		return p.VoterAdd + " was not heard of lately"
 	case m.Id != 0 && g.identity == m.Identity:
 		return p.VoterAdd + " has the disk that it votes by: there is nothing to replace"
-	case p.VoterRemove == "" && len(voters) >= maxVoters:
-		return fmt.Sprintf("there are %d voters already", len(voters))
+	case p.VoterRemove == "" && voters >= maxVoters:
+		return fmt.Sprintf("there are %d voters already", voters)
 	}
 	c.Add = &wire.Member{Name: m.Name, Address: m.Address, Identity: g.identity, Region: m.Region, Global: m.Global}
 	return v.missingQuorum(now, 0, 0)
 }
 
-// alone is why those who would vote could not agree: too few of them were heard lately. With one added, and one taken; 0: none.
-func (v *voter) missingQuorum(now int64, added, taken uint64) string {
-	all, up := 0, 0
-	var silent []string
+// missingQuorum returns why the voters could not agree after one was added and one removed (0: none): too few of them were heard lately. Empty: they
+// can.
+func (v *voter) missingQuorum(now int64, added, removed uint64) string {
+	total, responsive := 0, 0
+	var unresponsive []string
 	count := func(id uint64, name string) {
-		all++
+		total++
 		if id == v.id || v.heardFrom[id] > 0 && now-v.heardFrom[id] < v.cfg.ElectionTimeout {
-			up++
+			responsive++
 		} else {
-			silent = append(silent, name)
+			unresponsive = append(unresponsive, name)
 		}
 	}
 	for _, m := range v.state.Members {
-		if m.Id != 0 && m.Id != taken {
+		if m.Id != 0 && m.Id != removed {
 			count(m.Id, m.Name)
 		}
 	}
 	if added != 0 {
 		count(added, v.state.voterByID(added).GetName())
 	}
-	if 2*up > all {
+	if 2*responsive > total {
 		return ""
 	}
-	return "no majority of those who would vote is there: " + strings.Join(silent, ", ") + " fell silent"
+	return "no majority of those who would vote is there: " + strings.Join(unresponsive, ", ") + " fell silent"
 }
 
-// reconfigure puts a change of raft's own voters into the log, with what it means for the state.
+// proposeConfChange puts a change of raft's voters into the log, together with the entry for the state.
 func (v *voter) proposeConfChange(e *wire.Entry, changes ...*pb.ConfChangeSingle) error {
 	b, err := proto.Marshal(e)
 	if err != nil {
@@ -119,7 +136,7 @@
 	return v.raftNode.ProposeConfChange(&pb.ConfChangeV2{Changes: changes, Context: b})
 }
 
-// driveVoters ends the change of voters that is under way: made, once the learner has the log; given up, where it does not get there.
+// advanceVoterChange ends the change of voters that is under way: it is made once the learner has the log, and abandoned where that takes too long.
 func (v *voter) advanceVoterChange(now int64) {
 	c := v.state.Change
 	if v.changeIndex != c.Index {
@@ -129,25 +146,28 @@
 		return
 	}
 	e := &wire.Entry{Kind: entryVotersEnd, Voters: c}
-	progress := v.raftNode.Status().Progress[c.Add.Id]
-	switch why := v.missingQuorum(now, c.Add.Id, c.RemoveId); {
-	case progress.Match >= c.Index && why == "":
-		v.changeTriedAt, e.Made = now, true
-		changes := []*pb.ConfChangeSingle{{Type: pb.ConfChangeType_ConfChangeAddNode.Enum(), NodeId: proto.Uint64(c.Add.Id)}}
+	var changes []*pb.ConfChangeSingle
+	match := v.raftNode.Status().Progress[c.Add.Id].Match
+	switch missing := v.missingQuorum(now, c.Add.Id, c.RemoveId); {
+	case match >= c.Index && missing == "":
+		e.Made = true
+		changes = append(changes, &pb.ConfChangeSingle{Type: pb.ConfChangeType_ConfChangeAddNode.Enum(), NodeId: proto.Uint64(c.Add.Id)})
 		if c.RemoveId != 0 {
 			changes = append(changes, &pb.ConfChangeSingle{Type: pb.ConfChangeType_ConfChangeRemoveNode.Enum(), NodeId: proto.Uint64(c.RemoveId)})
 		}
-		v.proposeConfChange(e, changes...) // where it is lost it is tried again
-	case now-v.changeSince > 5*v.cfg.Lease:
-		if e.Reason = why; why == "" {
+	case now-v.changeSince > voterChangeLeases*v.cfg.Lease:
+		if e.Reason = missing; missing == "" {
 			e.Reason = c.Add.Name + " did not take the log over in time"
 		}
-		v.changeTriedAt = now
-		v.proposeConfChange(e, &pb.ConfChangeSingle{Type: pb.ConfChangeType_ConfChangeRemoveNode.Enum(), NodeId: proto.Uint64(c.Add.Id)})
+		changes = append(changes, &pb.ConfChangeSingle{Type: pb.ConfChangeType_ConfChangeRemoveNode.Enum(), NodeId: proto.Uint64(c.Add.Id)})
+	default:
+		return
 	}
+	v.changeTriedAt = now
+	_ = v.proposeConfChange(e, changes...) // whether refused or lost, it is proposed again after an election timeout
 }
 
-// reshape applies an agreed change of raft's voters, and takes what it means into the state.
+// applyConfChange applies a committed change of raft's voters, and its entry to the state.
 func (v *voter) applyConfChange(entry *pb.Entry) error {
 	cc := &pb.ConfChangeV2{}
 	if err := proto.Unmarshal(entry.Data, cc); err != nil {
@@ -155,7 +175,7 @@
 	}
 	v.confState = v.raftNode.ApplyConfChange(cc)
 	if len(cc.Context) == 0 {
-		return nil // raft's own: the old voters are let go
+		return nil // raft's own: it leaves the joint configuration
 	}
 	v.announced = false
 	return v.state.apply(entry.GetIndex(), cc.Context)
