--- a/internal/cluster/peering/links_test.go
+++ b/internal/cluster/peering/links_test.go
@@ -75,8 +75,8 @@
 		}
 	})
 	for range 2 {
-		sent := p.traffic.Read().Sent
-		until(t, "said something", func() bool { return p.traffic.Read().Sent > sent })
+		sent := p.traffic.Snapshot().Sent
+		until(t, "said something", func() bool { return p.traffic.Snapshot().Sent > sent })
 		until(t, "let its link go", func() bool { return p.openLinks.Load() == 0 })
 	}
 }
--- /dev/null
+++ b/internal/scheduler/simulation/controllers.go
@@ -0,0 +1,208 @@
+package simulation
+
+import (
+	"net/http"
+	"saffronquay/internal/scheduler/batchjobs"
+	"saffronquay/internal/scheduler/controlplane"
+	"saffronquay/internal/scheduler/directory"
+	"saffronquay/internal/scheduler/registry"
+	"saffronquay/internal/scheduler/replica"
+	"saffronquay/internal/scheduler/rpc"
+
+	"google.golang.org/protobuf/proto"
+)
+
+const (
+	newLeaderDelayMS = 1200 // after its election, before which a leader does not decide on machines
+	submitTimeoutMS  = 1500 // of a command for the directory
+	forwardTimeoutMS = 850  // of a request that a controller may pass to the leader
+	forwardRetryMS   = 50   // between two attempts of it
+	watchTimeoutMS   = 1100 // of a read of the feed
+)
+
+// notDecided is the status with which a controller answers another one if it does not decide on a request.
+const notDecided = 0
+
+// replaceConfiguration handles an operator's order, and answers with an HTTP status.
+func (m *machine) replaceConfiguration(o *configurationOrder, answer func(status int)) {
+	m.decideDirectory(directory.ReplaceCommand(o.base, o.version, o.patch, o.body), func(result *rpc.DirectoryResult) {
+		if result == nil {
+			answer(http.StatusServiceUnavailable)
+			return
+		}
+		answer(controlplane.HTTPStatus(result.Status))
+	})
+}
+
+// decideDirectory has the directory decide on a command. The result is nil if that failed; the command may have taken effect then.
+func (m *machine) decideDirectory(command *rpc.DirectoryCommand, done func(*rpc.DirectoryResult)) {
+	if m.world.bug(LocalReads) && command.GetRead() != nil {
+		done(m.readLocally())
+		return
+	}
+	m.submit(directory.Shard, replica.Marshal(command), m.world.now+submitTimeoutMS, func(p replica.ProposalResult) {
+		result := &rpc.DirectoryResult{}
+		if p.Outcome != rpc.Outcome_DONE || proto.Unmarshal(p.Result, result) != nil {
+			done(nil)
+			return
+		}
+		done(result)
+	})
+}
+
+// handleRetirement handles an operator's request to empty a machine: here if this controller leads the directory, at the leader otherwise. It
+// answers with an HTTP status, until a virtual time.
+func (m *machine) handleRetirement(node string, until int64, answer func(status int)) {
+	w, incarnation := m.world, m.incarnation
+	var attempt func()
+	retry := func() { w.schedule(forwardRetryMS, attempt) }
+	attempt = func() {
+		status := m.engine.Status(directory.Shard)
+		switch {
+		case m.incarnation != incarnation:
+			return
+		case w.now >= until:
+			answer(http.StatusServiceUnavailable)
+		case m.hasLease(directory.Shard) || w.bug(LocalRefusals):
+			m.decideRetirement(node, status, answer, retry)
+		case m.knowsOtherLeader(status):
+			to := w.machine(status.LeaderAddress)
+			call(w, m.name, to, until-w.now, func(answer func(int)) { to.decideForwardedRetirement(node, answer) }, func(status int, ok bool) {
+				if !ok || status == notDecided {
+					retry()
+					return
+				}
+				answer(status)
+			})
+		default:
+			retry()
+		}
+	}
+	attempt()
+}
+
+// knowsOtherLeader reports whether another machine is known to lead a group.
+func (m *machine) knowsOtherLeader(status *replica.Status) bool {
+	return status != nil && status.LeaderAddress != "" && status.LeaderAddress != m.name
+}
+
+// decideForwardedRetirement decides on a request that another controller has passed on, if this one leads the directory.
+func (m *machine) decideForwardedRetirement(node string, answer func(status int)) {
+	if !m.hasLease(directory.Shard) {
+		answer(notDecided)
+		return
+	}
+	m.decideRetirement(node, m.engine.Status(directory.Shard), answer, func() { answer(notDecided) })
+}
+
+// decideRetirement accepts or refuses a retirement at the directory's leader. retry runs instead of answer if that is not possible now.
+func (m *machine) decideRetirement(node string, status *replica.Status, answer func(status int), retry func()) {
+	if _, begun := m.directory.Retirements()[node]; begun {
+		answer(http.StatusOK)
+		return
+	}
+	if m.world.now-status.LeaderSince < newLeaderDelayMS && !m.world.bug(LocalRefusals) {
+		retry()
+		return
+	}
+	var placements []*rpc.Placement
+	for n := range jobShards {
+		if p := m.directory.Placements()[batchjobs.ShardName(n)]; p != nil {
+			placements = append(placements, p)
+		}
+	}
+	switch controlplane.RetireRefusal(node, m.visibleMachines(storageKind), placements, m.world.groupSize()) {
+	case rpc.RetireState_RETIRE_NO_SUCH_MACHINE:
+		answer(http.StatusNotFound)
+		return
+	case rpc.RetireState_RETIRE_TOO_FEW_LEFT:
+		answer(http.StatusConflict)
+		return
+	}
+	m.propose(directory.Shard, retireCommand(node, false), func(p replica.ProposalResult) {
+		if p.Outcome != rpc.Outcome_DONE {
+			retry()
+			return
+		}
+		answer(http.StatusOK)
+	})
+}
+
+// retireCommand returns the command that begins or completes a retirement.
+func retireCommand(node string, completed bool) []byte {
+	return replica.Marshal(&rpc.DirectoryCommand{Command: &rpc.DirectoryCommand_Retire{Retire: &rpc.Retirement{Node: node, Completed: completed}}})
+}
+
+// handleHeartbeat handles a worker's heartbeat for a registry shard: here if this controller owns the shard, at the owner otherwise. It answers
+// whether the owner has acknowledged it, until a virtual time.
+func (m *machine) handleHeartbeat(shard string, r *rpc.HeartbeatRequest, until int64, answer func(acknowledged bool)) {
+	w, incarnation := m.world, m.incarnation
+	var attempt func()
+	retry := func() { w.schedule(forwardRetryMS, attempt) }
+	attempt = func() {
+		if m.incarnation != incarnation {
+			return
+		}
+		if w.now >= until {
+			answer(false)
+			return
+		}
+		m.decideHeartbeat(shard, r, func(result rpc.Outcome) {
+			status := m.engine.Status(shard)
+			switch {
+			case result == rpc.Outcome_DONE:
+				answer(true)
+			case result == rpc.Outcome_NOT_LEADER && m.knowsOtherLeader(status):
+				to := w.machine(status.LeaderAddress)
+				call(w, m.name, to, until-w.now, func(answer func(rpc.Outcome)) { to.decideHeartbeat(shard, r, answer) }, func(result rpc.Outcome, ok bool) {
+					if ok && result == rpc.Outcome_DONE {
+						answer(true)
+						return
+					}
+					retry()
+				})
+			default:
+				retry()
+			}
+		})
+	}
+	attempt()
+}
+
+// decideHeartbeat decides on a heartbeat if this controller owns the shard. What changes the registry is acknowledged when it is committed.
+func (m *machine) decideHeartbeat(shard string, r *rpc.HeartbeatRequest, answer func(rpc.Outcome)) {
+	if m.engine.Status(shard) == nil {
+		answer(rpc.Outcome_UNAVAILABLE)
+		return
+	}
+	result, command := m.heartbeatHandlers[shard].Decide(m.ownership(shard), r)
+	if result != rpc.Outcome_DONE || command == nil || m.world.bug(IgnoreLease) {
+		if command != nil {
+			m.proposeOnly(shard, replica.Marshal(command))
+		}
+		answer(result)
+		return
+	}
+	m.propose(shard, replica.Marshal(command), func(p replica.ProposalResult) { answer(p.Outcome) })
+}
+
+// ownership returns what this controller knows of its ownership of a registry shard.
+func (m *machine) ownership(shard string) registry.Ownership {
+	status := m.engine.Status(shard)
+	if status == nil {
+		return registry.Ownership{}
+	}
+	return registry.Ownership{NowMS: m.world.now, Epoch: status.Epoch, HasLease: status.HasLease(m.world.now) || m.world.bug(IgnoreLease)}
+}
+
+// feedAnswer is the answer to a read of the feed.
+type feedAnswer struct {
+	feeds []*rpc.ShardFeed
+	fresh bool // the controller is in touch with the leaders of all groups
+}
+
+// feedSince returns the events of all shards after the given offsets.
+func (m *machine) feedSince(offsets map[string]uint64) feedAnswer {
+	feeds, _ := m.feed.Since(offsets) // nothing waits for the next change
+	return feedAnswer{feeds, m.isFresh()}
+}
--- a/internal/scheduler/simulation/gatherers.go
+++ b/internal/scheduler/simulation/gatherers.go
@@ -10,171 +10,189 @@
 )
 
 const (
-	watchEach  = 150
-	pollEach   = 200
-	tellEach   = 1000
-	leaseTime  = 2400 // how long items are worked on without a word of their shard's owner
-	gathererIs = "gatherer"
+	gathererPrefix        = "gatherer"
+	watchIntervalMS       = 150
+	pollIntervalMS        = 200
+	callIntervalMS        = 70
+	leaseReportIntervalMS = 1000 // between two complete reports of the leases
+	leaseTimeoutMS        = 2400 // without an answer of the shard's owner, after which leases are dropped
+	workTimeoutMS         = 900  // of one exchange of work
+	itemsWanted           = 4    // in one exchange
+	maxLeases             = 8    // with more of them a gatherer requests none
 )
 
-// gatherer is a machine without a disk: an agent that tails the feed and a proxy that works on items and forwards calls.
+// gatherer is a machine without a disk: an agent that tails the feed, and a proxy that works on items and forwards calls.
 type gatherer struct {
-	w    *world
-	name string
-	life int
-	up   bool
-	upAt int64
-
-	feed       *feed.Table
-	tail       feed.Rotation
-	version    uint64 // of the configuration in force
-	instances  map[string]*rpc.Instance
-	freshAt    int64
-	inTouch    int64 // since when it has been up
-	apartUntil int64 // it is cut off from most machines
-
-	leaders map[string]string
-	leases  map[leaseKey]*lease
-	heardAt map[string]int64
-	toldAt  map[string]int64
-	epochs  map[string]uint64
-	pool    map[string]*connection
-	calls   int
+	world       *world
+	name        string
+	incarnation int
+	up          bool
+	restartAt   int64 // if it is not up
+
+	feed             *feed.Table
+	rotation         feed.Rotation
+	version          uint64 // of the configuration in force
+	instances        map[string]*rpc.Instance
+	startedAt        int64
+	partitionedUntil int64 // from most machines
+
+	leaders          map[string]string // by shard: the storage node that it takes for the owner
+	leases           map[leaseKey]*lease
+	ownerHeardAt     map[string]int64  // by shard: when its owner answered last
+	leasesReportedAt map[string]int64  // by shard: when all leases were reported last
+	epochs           map[string]uint64 // by shard: the owner's epoch at the last answer
+	connections      map[string]*connection
+	calls            int
 }
 
+// leaseKey identifies a lease.
 type leaseKey struct {
 	shard  string
 	number uint64
 }
 
-// lease is an item that is worked on, or whose report is on its way.
+// lease is an item that is worked on, or whose report is still to be acknowledged.
 type lease struct {
 	*rpc.Lease
-	report *rpc.Report
-	ended  bool // given up
+	report *rpc.Report // nil: the work goes on
 }
 
+// addGatherer starts a gatherer.
 func (w *world) addGatherer(n int) {
-	g := &gatherer{w: w, name: fmt.Sprintf("%s%d", gathererIs, n)}
+	g := &gatherer{world: w, name: fmt.Sprintf("%s%d", gathererPrefix, n)}
 	w.gatherers = append(w.gatherers, g)
 	g.start()
 }
 
+// start starts a new process, which knows nothing of the one before.
 func (g *gatherer) start() {
-	w := g.w
-	g.life++
-	g.up, g.feed, g.tail, g.version, g.freshAt, g.inTouch = true, feed.NewTable(), feed.Rotation{}, 0, 0, w.now
-	g.instances, g.leaders, g.leases, g.pool = map[string]*rpc.Instance{}, map[string]string{}, map[leaseKey]*lease{}, map[string]*connection{}
-	g.heardAt, g.toldAt, g.epochs = map[string]int64{}, map[string]int64{}, map[string]uint64{}
-	life := g.life
-	g.every(life, watchEach, g.watch)
-	for n := range ledgerShards {
-		g.every(life, pollEach, func() { g.poll(batchjobs.ShardName(n)) })
+	g.incarnation++
+	g.up, g.startedAt = true, g.world.now
+	g.feed, g.rotation, g.version = feed.NewTable(), feed.Rotation{}, 0
+	g.instances = map[string]*rpc.Instance{}
+	g.leaders = map[string]string{}
+	g.leases = map[leaseKey]*lease{}
+	g.connections = map[string]*connection{}
+	g.ownerHeardAt, g.leasesReportedAt = map[string]int64{}, map[string]int64{}
+	g.epochs = map[string]uint64{}
+	g.repeat(watchIntervalMS, g.watchFeed)
+	for n := range jobShards {
+		g.repeat(pollIntervalMS, func() { g.exchangeWork(batchjobs.ShardName(n)) })
 	}
-	g.every(life, 70, g.forwardCall)
+	g.repeat(callIntervalMS, g.forwardCall)
 }
 
-// every has something done over and over while this process lives.
-func (g *gatherer) every(life int, each int64, do func()) {
-	var again func()
-	again = func() {
-		if g.life == life && g.up {
-			do()
-			g.w.after(each+g.w.between(0, each/4+1), again)
+// repeat runs a function about every so many milliseconds until the present process ends.
+func (g *gatherer) repeat(intervalMS int64, run func()) {
+	w, incarnation := g.world, g.incarnation
+	var next func()
+	next = func() {
+		if g.incarnation == incarnation && g.up {
+			run()
+			w.schedule(intervalMS+w.randomBetween(0, intervalMS/4+1), next)
 		}
 	}
-	g.w.after(g.w.between(1, each), again)
+	w.schedule(w.randomBetween(1, intervalMS), next)
 }
 
+// kill ends the process; a new one starts within two seconds.
 func (g *gatherer) kill() {
-	g.up, g.upAt = false, g.w.now+g.w.between(100, 2000)
-	g.w.after(g.upAt-g.w.now, g.start)
+	g.up, g.restartAt = false, g.world.now+g.world.randomBetween(100, 2000)
+	g.world.schedule(g.restartAt-g.world.now, g.start)
 }
 
-// watch asks the source whose turn it is.
-func (g *gatherer) watch() {
-	w, life := g.w, g.life
-	var names []string
-	for _, s := range w.of(steward) {
-		names = append(names, s.name)
-	}
-	source := w.machine(g.tail.Next(names))
-	call(w, g.name, source, watchTimeout, func(answer func(watchAnswer)) { answer(source.tell(g.feed.Offsets())) }, func(told watchAnswer, ok bool) {
-		if g.life != life {
+// watchFeed reads the feed at the next controller of the rotation.
+func (g *gatherer) watchFeed() {
+	w, incarnation := g.world, g.incarnation
+	source := w.machine(g.rotation.Next(w.machineNames(controllerKind)))
+	call(w, g.name, source, watchTimeoutMS, func(answer func(feedAnswer)) { answer(source.feedSince(g.feed.Offsets())) }, func(answer feedAnswer, ok bool) {
+		if g.incarnation != incarnation {
 			return
 		}
-		if ok && told.fresh {
-			g.tail.Succeeded()
-			g.freshAt = w.now
+		if ok && answer.fresh {
+			g.rotation.Succeeded()
 		} else {
-			g.tail.Failed()
+			g.rotation.Failed()
 		}
-		g.take(told.feeds)
+		g.applyFeeds(answer.feeds)
 	})
 }
 
-func (g *gatherer) take(feeds []*rpc.ShardFeed) {
+// applyFeeds acts on new events, and checks that no state steps back.
+func (g *gatherer) applyFeeds(feeds []*rpc.ShardFeed) {
 	before := g.feed.Offsets()
 	for _, e := range g.feed.Merge(feeds) {
-		switch x := e.Event.(type) {
+		switch event := e.Event.(type) {
 		case *rpc.FeedEvent_Configuration:
-			if x.Configuration.Version < g.version {
-				g.w.fail(Back, "%s had configuration %d and was told %d", g.name, g.version, x.Configuration.Version)
+			if event.Configuration.Version < g.version {
+				g.world.reportViolation(Regressed, "%s had configuration %d and was told %d", g.name, g.version, event.Configuration.Version)
 			}
-			g.version = x.Configuration.Version
+			g.version = event.Configuration.Version
 		case *rpc.FeedEvent_Instance:
-			g.instances[x.Instance.Id] = x.Instance
+			g.instances[event.Instance.Id] = event.Instance
 		case *rpc.FeedEvent_Gone:
-			delete(g.instances, x.Gone)
+			delete(g.instances, event.Gone)
 		}
 	}
 	for shard, offset := range g.feed.Offsets() {
 		if offset < before[shard] {
-			g.w.fail(Back, "%s stepped back in %s from %d to %d", g.name, shard, before[shard], offset)
+			g.world.reportViolation(Regressed, "%s stepped back in %s from %d to %d", g.name, shard, before[shard], offset)
 		}
 	}
 }
 
-// poll reports to a shard's owner, and asks it for items.
-func (g *gatherer) poll(shard string) {
-	w, life := g.w, g.life
-	request := &rpc.WorkRequest{Shard: shard, Gatherer: g.name, Want: 4, Rooms: []*rpc.Room{{Model: "m", Version: 1 << 30, Free: 4}}}
-	var told []leaseKey
-	held := 0
-	for _, key := range g.keys(shard) {
+// exchangeWork reports to the owner of a shard, and requests items.
+func (g *gatherer) exchangeWork(shard string) {
+	w, incarnation := g.world, g.incarnation
+	request, reported := g.workRequest(shard)
+	exchange := &ownerCall{world: w, from: g.name, shard: shard, until: w.now + workTimeoutMS, leaders: g.leaders}
+	exchange.serve = func(to *machine, answer func(ownerAnswer)) { to.exchangeWork(request, answer) }
+	exchange.done = func(answer ownerAnswer, ok bool) {
+		if g.incarnation != incarnation {
+			return
+		}
+		if !ok {
+			delete(g.epochs, shard)
+			return
+		}
+		g.applyWork(shard, reported, answer.work)
+	}
+	exchange.attempt()
+}
+
+// workRequest returns the request of one exchange, and the leases whose reports it has. Leases that have timed out are dropped.
+func (g *gatherer) workRequest(shard string) (request *rpc.WorkRequest, reported []leaseKey) {
+	now := g.world.now
+	request = &rpc.WorkRequest{
+		Shard: shard, Gatherer: g.name, Want: itemsWanted,
+		Rooms: []*rpc.Room{{Model: modelName, Version: 1 << 30, Free: itemsWanted}},
+	}
+	for _, key := range g.leaseKeys(shard) {
 		l := g.leases[key]
-		if at, ok := g.heardAt[shard]; ok && w.now-at > leaseTime && l.report == nil {
+		if heardAt, ok := g.ownerHeardAt[shard]; ok && now-heardAt > leaseTimeoutMS && l.report == nil {
 			delete(g.leases, key)
 			continue
 		}
 		if l.report != nil {
 			request.Reports = append(request.Reports, l.report)
-			told = append(told, key)
+			reported = append(reported, key)
 		}
-		held++
 		request.Held = append(request.Held, &rpc.HeldLease{Job: l.Job, Item: l.Item.Id, Number: key.number})
 	}
-	if held > 8 {
+	if len(request.Held) > maxLeases {
 		request.Want = 0
 	}
-	if request.HeldTold = g.epochs[shard] == 0 || w.now-g.toldAt[shard] >= tellEach; request.HeldTold {
-		g.toldAt[shard] = w.now
+	request.HeldTold = g.epochs[shard] == 0 || now-g.leasesReportedAt[shard] >= leaseReportIntervalMS
+	if request.HeldTold {
+		g.leasesReportedAt[shard] = now
 	} else {
 		request.Held = nil
 	}
-	w.toOwner(g.name, w.now+900, g.leaders, shard, func(m *machine, answer func(ownerAnswer)) { m.work(request, answer) }, func(a ownerAnswer, ok, _ bool) {
-		if g.life != life {
-			return
-		}
-		if !ok {
-			delete(g.epochs, shard)
-			return
-		}
-		g.takeWork(shard, told, a.work)
-	})
+	return request, reported
 }
 
-func (g *gatherer) keys(shard string) []leaseKey {
+// leaseKeys returns the leases of a shard in the order of their numbers.
+func (g *gatherer) leaseKeys(shard string) []leaseKey {
 	var keys []leaseKey
 	for key := range g.leases {
 		if key.shard == shard {
@@ -185,16 +203,16 @@
 	return keys
 }
 
-func (g *gatherer) takeWork(shard string, told []leaseKey, response *rpc.WorkResponse) {
-	w, life := g.w, g.life
-	g.heardAt[shard] = w.now
+// applyWork takes the answer to an exchange. All leases are reported again after a change of the owner's epoch.
+func (g *gatherer) applyWork(shard string, reported []leaseKey, response *rpc.WorkResponse) {
+	g.ownerHeardAt[shard] = g.world.now
 	if old := g.epochs[shard]; old != 0 && old != response.Epoch {
 		delete(g.epochs, shard)
 	} else {
 		g.epochs[shard] = response.Epoch
 	}
 	if response.ReportsTaken {
-		for _, key := range told {
+		for _, key := range reported {
 			delete(g.leases, key)
 		}
 	}
@@ -203,33 +221,38 @@
 	}
 	for _, granted := range response.Leases {
 		key := leaseKey{shard, granted.Number}
-		if g.leases[key] != nil {
-			continue
+		if g.leases[key] == nil {
+			g.workOn(key, granted)
 		}
-		l := &lease{Lease: granted}
-		g.leases[key] = l
-		w.after(w.between(30, 700), func() {
-			if g.life != life || g.leases[key] != l {
-				return
-			}
-			l.report = &rpc.Report{Job: l.Job, Item: l.Item.Id, Number: granted.Number}
-			switch w.random.IntN(12) {
-			case 0:
-				l.report.Failed = true
-			case 1:
-				l.report.Released = true
-			default:
-				l.report.Result = &rpc.Result{Item: l.Item.Id, Completed: true, Text: []byte(textOf(l.Item.Id))}
-			}
-		})
 	}
 }
 
-// usable lists the workers that a request may go to.
-func (g *gatherer) usable() (list []*rpc.Instance) {
+// workOn works on a granted item for some time. The work fails or is released with a small chance.
+func (g *gatherer) workOn(key leaseKey, granted *rpc.Lease) {
+	w, incarnation := g.world, g.incarnation
+	l := &lease{Lease: granted}
+	g.leases[key] = l
+	w.schedule(w.randomBetween(30, 700), func() {
+		if g.incarnation != incarnation || g.leases[key] != l {
+			return
+		}
+		l.report = &rpc.Report{Job: l.Job, Item: l.Item.Id, Number: granted.Number}
+		switch w.random.IntN(12) {
+		case 0:
+			l.report.Failed = true
+		case 1:
+			l.report.Released = true
+		default:
+			l.report.Result = &rpc.Result{Item: l.Item.Id, Completed: true, Text: []byte(resultText(l.Item.Id))}
+		}
+	})
+}
+
+// usableWorkers returns the workers that a request may go to, in the order of their ids.
+func (g *gatherer) usableWorkers() (list []*rpc.Instance) {
 	for _, id := range slices.Sorted(maps.Keys(g.instances)) {
-		if i := g.instances[id]; !i.Draining && !i.Lost {
-			list = append(list, i)
+		if instance := g.instances[id]; !instance.Draining && !instance.Lost {
+			list = append(list, instance)
 		}
 	}
 	return list
--- a/internal/scheduler/simulation/world.go
+++ b/internal/scheduler/simulation/world.go
@@ -1,196 +1,161 @@
 package simulation
 
 import (
-	"container/heap"
 	"fmt"
 	"math/rand/v2"
+	"saffronquay/internal/scheduler/batchjobs"
+	"saffronquay/internal/scheduler/directory"
+	"saffronquay/internal/scheduler/registry"
+	"saffronquay/internal/scheduler/rpc"
 	"slices"
 )
 
 const (
-	tickMS = 10
-	// startMS is when clients begin: the machines have found each other by then.
-	startMS = 4000
-	// catchUpMS is how long a machine still counts as lost once it is back; every group has to be whole again by then.
-	catchUpMS = 4700
-	// propagationMS bounds the age of what a gatherer in touch acts on.
-	propagationMS = 2000
-	// contactMS is how long all has to have been well for machines to count as in touch.
-	contactMS = 3000
-)
-
-// event is something that happens at a time.
-type event struct {
-	at, order int64
-	do        func()
-}
+	tickMS        = 10
+	startMS       = 4000 // when clients begin: the machines have heard of each other by then
+	recoveryMS    = 4700 // how long a machine counts as failed after it is back; every group has a leader by then
+	propagationMS = 2000 // a gatherer in touch acts on nothing older
+	contactMS     = 3000 // without a fault, after which machines count as in touch
 
-type events []event
+	randomStream = 11 // second half of the seed of each history
 
-func (e events) Len() int { return len(e) }
-func (e events) Less(i, j int) bool {
-	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].order < e[j].order
-}
-func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
-func (e *events) Push(x any)   { *e = append(*e, x.(event)) }
-func (e *events) Pop() any {
-	last := (*e)[len(*e)-1]
-	*e = (*e)[:len(*e)-1]
-	return last
-}
+	gathererCount = 3
+	workerCount   = 4
+	operatorCount = 2
+)
 
-// world is one history as it is played.
+// world is one history while it is played: the machines, their clients, the links between them, and what is recorded for the checks.
 type world struct {
-	options Options
-	random  *rand.Rand
-	now     int64
-	queue   events
-	order   int64
-	failed  *Violation
-	report  Report
-
-	machines  []*machine // stewards and stores
+	options      Options
+	random       *rand.Rand
+	now          int64 // virtual milliseconds
+	queue        eventQueue
+	lastSequence int64 // of an event
+	violation    *ViolationError
+	report       Report
+
+	machines  []*machine // controllers and storage nodes, also removed ones
+	addresses int        // given out so far
 	gatherers []*gatherer
 	workers   []*worker
-	operators []*operator
-	trainers  []*trainer
-
-	cuts    map[link]int64 // one-way links that are cut, until when
-	eventAt int64          // when a trouble began or ended last
-	// troubleUntil is the end of the trouble that goes on now.
-	troubleUntil int64
-	emptying     string // the machine that is to be emptied
-	endAt        int64
-	addresses    int // given out so far
-	chosen       map[string]string
-	history      history
-	winners      map[uint64]string // by version: the order that was acknowledged
-	fences       map[string]map[uint64]string
-	jobs         map[string]*jobRecord
-	versions     map[string]uint64 // named and acknowledged, by model
-	runs         map[string]int    // of calls that may not be repeated
-}
 
-type link struct{ from, to string }
+	partitionedUntil map[link]int64
+	lastFaultAt      int64  // when a fault began or ended last
+	faultUntil       int64  // end of the present fault
+	retiring         string // name of the machine that is being retired
+	endAt            int64  // of the history; set when the last fault is over
+
+	history            history
+	appliedAt          map[string]string            // by group and index: the command that was applied there first
+	acknowledgedOrders map[uint64]string            // by version of the configuration: the acknowledged order
+	dispatchers        map[string]map[uint64]string // by registry shard and epoch: the process that sent orders
+	jobs               map[string]*jobRecord
+	versions           map[string]uint64 // by model: the newest acknowledged version
+	executions         map[string]int    // by call: how many times it ran
+}
 
-// Play plays one history and checks it.
-func Play(o Options) (Report, error) {
+// Play plays one history and checks it. The error is nil or a *ViolationError.
+func Play(options Options) (Report, error) {
 	w := &world{
-		options: o, random: rand.New(rand.NewPCG(o.Seed, 11)), cuts: map[link]int64{}, chosen: map[string]string{}, winners: map[uint64]string{},
-		fences: map[string]map[uint64]string{}, jobs: map[string]*jobRecord{}, versions: map[string]uint64{}, runs: map[string]int{},
+		options: options, random: rand.New(rand.NewPCG(options.Seed, randomStream)), partitionedUntil: map[link]int64{},
+		appliedAt: map[string]string{}, acknowledgedOrders: map[uint64]string{}, dispatchers: map[string]map[uint64]string{},
+		jobs: map[string]*jobRecord{}, versions: map[string]uint64{}, executions: map[string]int{},
 	}
-	w.build()
+	w.startMachines()
+	w.startClients()
 	w.scheduleFaults()
-	for w.failed == nil && w.now < w.end() {
+	for w.violation == nil && w.now < w.endAt {
 		w.step()
 	}
-	if w.failed == nil {
-		w.judge()
+	if w.violation == nil {
+		w.checkEnd()
 	}
 	for _, m := range w.machines {
-		w.count(m)
+		w.countSnapshots(m)
 	}
-	if w.failed != nil {
-		return w.report, w.failed
+	if w.violation != nil {
+		return w.report, w.violation
 	}
 	return w.report, nil
 }
 
-// step plays the next tick.
+// step plays one tick: due events, then each machine, then the checks.
 func (w *world) step() {
 	w.now += tickMS
-	for len(w.queue) > 0 && w.queue[0].at <= w.now && w.failed == nil {
-		heap.Pop(&w.queue).(event).do()
-	}
+	w.runDueEvents()
 	for _, m := range w.machines {
 		m.tick()
 	}
-	w.observe()
+	w.checkGatherers()
 }
 
-// after has something happen later.
-func (w *world) after(delay int64, do func()) {
-	w.order++
-	heap.Push(&w.queue, event{w.now + max(delay, 0), w.order, do})
-}
-
-// fail notes the first broken rule.
-func (w *world) fail(rule Rule, format string, values ...any) {
-	if w.failed == nil {
-		w.failed = &Violation{rule, w.now, fmt.Sprintf(format, values...)}
+// startMachines starts all machines; the first controllers are the founders of the controllers' groups.
+func (w *world) startMachines() {
+	size := w.groupSize()
+	for i := range size {
+		w.addMachine(controllerKind, i)
+	}
+	for i := range size + 1 { // one more than needed, so that a machine can be retired
+		w.addMachine(storageKind, i)
+	}
+	for _, m := range w.machines {
+		m.start()
+	}
+	founders := w.founders()
+	for _, m := range w.machinesOf(controllerKind) {
+		for _, group := range controllerGroups() {
+			m.engine.CreateGroup(group, founders)
+		}
 	}
 }
 
-func (w *world) trace(format string, values ...any) {
-	if w.options.Trace != nil {
-		w.options.Trace("%6d "+format, append([]any{w.now}, values...)...)
+// startClients starts gatherers and workers immediately, operators and the trainer at startMS.
+func (w *world) startClients() {
+	for n := range gathererCount {
+		w.addGatherer(n)
+	}
+	for n := range workerCount {
+		w.addWorker(n)
+	}
+	for n := range operatorCount {
+		o := &operator{world: w, name: fmt.Sprint("operator", n)}
+		w.schedule(startMS, o.nextOrder)
 	}
+	t := &trainer{world: w, name: "trainer", leaders: map[string]string{}}
+	w.schedule(startMS, t.nextJob)
+	w.schedule(startMS+500, t.nextVersion)
 }
 
-func (w *world) bug(b Bug) bool { return w.options.Bug == b }
-
-// chance is true once in so many times.
-func (w *world) chance(in int) bool { return w.random.IntN(in) == 0 }
-
-// between returns a number from low to below high.
-func (w *world) between(low, high int64) int64 { return low + w.random.Int64N(high-low) }
+// groupSize returns how many replicas a group has.
+func (w *world) groupSize() int { return 2*w.options.Tolerance + 1 }
 
-func (w *world) cut(from, to string) bool { return w.now < w.cuts[link{from, to}] }
-
-// isCut tells whether two ends are apart in either direction.
-func (w *world) isCut(a, b string) bool { return w.cut(a, b) || w.cut(b, a) }
-
-// latency is how long a message takes.
-func (w *world) latency() int64 {
-	if w.chance(80) {
-		return w.between(50, 600)
+// founders returns the first replicas of the controllers' groups.
+func (w *world) founders() (founders []*rpc.Replica) {
+	for _, m := range w.machinesOf(controllerKind) {
+		founders = append(founders, &rpc.Replica{Id: m.identity, Address: m.name, Node: m.name})
 	}
-	return w.between(1, 12)
+	return founders
 }
 
-// call has a machine answer a question. serve is given the means to answer, once; done is called once, with the answer or, after a reset or the
-// time-out, without. Bytes that a cut holds up are lost.
-func call[A any](w *world, from string, to *machine, timeout int64, serve func(answer func(A)), done func(answer A, ok bool)) {
-	finished := false
-	finish := func(a A, ok bool) {
-		if !finished {
-			finished = true
-			done(a, ok)
-		}
+// controllerGroups returns the groups of which controllers have replicas: the directory and the registry's shards.
+func controllerGroups() []string {
+	names := []string{directory.Shard}
+	for n := range registry.ShardCount {
+		names = append(names, registry.ShardName(n))
 	}
-	var none A
-	w.after(timeout, func() { finish(none, false) })
-	if to == nil || w.cut(from, to.name) {
-		return
-	}
-	life := 0
-	answer := func(a A) {
-		if to.life != life || w.cut(to.name, from) || w.chance(200) {
-			return
-		}
-		w.after(w.latency(), func() {
-			if !w.cut(to.name, from) {
-				finish(a, true)
-			}
-		})
-	}
-	var arrive func()
-	arrive = func() {
-		switch {
-		case w.cut(from, to.name) || to.dark():
-		case !to.up:
-			w.after(w.latency(), func() { finish(none, false) }) // a dead port resets
-		case w.now < to.frozenUntil:
-			w.after(to.frozenUntil-w.now, arrive)
-		default:
-			life = to.life
-			serve(answer)
-		}
+	return names
+}
+
+// allGroups returns the controllers' groups and the job shards.
+func allGroups() []string {
+	groups := controllerGroups()
+	for n := range jobShards {
+		groups = append(groups, batchjobs.ShardName(n))
 	}
-	w.after(w.latency(), arrive)
+	return groups
 }
 
-// machine returns the machine with a name, or with the address of its present place; nil where there is none.
+// machine returns the machine with a name, which is also its address; nil if there is none any more.
 func (w *world) machine(name string) *machine {
 	i := slices.IndexFunc(w.machines, func(m *machine) bool { return m.name == name && !m.removed })
 	if i < 0 {
@@ -199,8 +164,8 @@
 	return w.machines[i]
 }
 
-// of returns the machines of a kind that are part of the system.
-func (w *world) of(kind kind) (list []*machine) {
+// machinesOf returns the machines of a kind that are not removed.
+func (w *world) machinesOf(kind machineKind) (list []*machine) {
 	for _, m := range w.machines {
 		if m.kind == kind && !m.removed {
 			list = append(list, m)
@@ -208,3 +173,34 @@
 	}
 	return list
 }
+
+// machineNames returns the names of machinesOf.
+func (w *world) machineNames(kind machineKind) (names []string) {
+	for _, m := range w.machinesOf(kind) {
+		names = append(names, m.name)
+	}
+	return names
+}
+
+// randomMachineOf draws a machine of a kind.
+func (w *world) randomMachineOf(kind machineKind) *machine {
+	list := w.machinesOf(kind)
+	return list[w.random.IntN(len(list))]
+}
+
+// bug reports whether a bug is seeded.
+func (w *world) bug(b Bug) bool { return w.options.Bug == b }
+
+// reportViolation records the first broken rule, with which the history ends.
+func (w *world) reportViolation(rule Rule, format string, values ...any) {
+	if w.violation == nil {
+		w.violation = &ViolationError{rule, w.now, fmt.Sprintf(format, values...)}
+	}
+}
+
+// trace passes what happens, with the virtual time, to the history's observer. The texts are part of the recorded histories.
+func (w *world) trace(format string, values ...any) {
+	if w.options.Trace != nil {
+		w.options.Trace("%6d "+format, append([]any{w.now}, values...)...)
+	}
+}
