--- a/internal/cluster/peering/traffic.go
+++ b/internal/cluster/peering/traffic.go
@@ -16,12 +16,12 @@
 }
 
 func (c *trafficCounter) countSent(m *wire.Message) {
-	c.Words(1, 0)
+	c.CountMessages(1, 0)
 	c.countQuotaBytes(m)
 }
 
 func (c *trafficCounter) countReceived(m *wire.Message) {
-	c.Words(0, 1)
+	c.CountMessages(0, 1)
 	c.countQuotaBytes(m)
 }
 
@@ -31,8 +31,8 @@
 
 // Traffic returns what was sent and received for the agreement on the policy, and for dividing budgets.
 func (p *PolicyNode) Traffic() Traffic {
-	t := p.traffic.Read()
-	t.ShareBytes = p.traffic.quotaBytes.Load()
+	t := p.traffic.Snapshot()
+	t.QuotaBytes = p.traffic.quotaBytes.Load()
 	t.Links = p.openLinks.Load()
 	return t
 }
