--- a/internal/cluster/peering/view.go
+++ b/internal/cluster/peering/view.go
@@ -7,7 +7,7 @@
 	// Config configures a gatherer's part in the view.
 	Config = gossip.Config
 	// Peers is a running part in the view.
-	Peers = gossip.Peers
+	Peers = gossip.Driver
 	// Counts are the counters of the view's core and driver.
 	Counts = gossip.Counts
 )
