--- a/internal/cluster/swim/gossip/doc.go
+++ b/internal/cluster/swim/gossip/doc.go
@@ -1,7 +1,11 @@
-// Package gossip carries what the members of a fleet tell each other: datagrams and full exchanges for the view of the fleet (package
-// fleet, which decides all of it). It owns one UDP socket, one TCP listener and the goroutine that owns the core.
+// Package gossip is the driver of package swim: it runs one core over the network. It carries the datagrams and the push-pull exchanges by which the members of
+// a fleet keep their views; the core decides everything about them.
 //
-// It promises that nothing here blocks its callers, that queues are bounded and every call on a socket has a deadline, and that what
-// comes from addresses that are not allowed is dropped and counted before it is read. It must never decide who is alive, nor know
-// senders by the addresses that their datagrams come from.
+// A Driver owns one UDP socket, one TCP listener, the goroutine Run that owns the core, one goroutine for each socket, and one for each open exchange. Stop
+// waits for all of them. The goroutine of a SetMetadata ends within a second.
+//
+// Callers are blocked for a second at most. Queues are bounded, every exchange has a deadline, and what comes from an address that is not allowed is dropped
+// and counted before it is decoded. Datagrams and exchanges that fail are counted, not reported: the protocol repeats them.
+//
+// The package must not decide which members are alive, nor identify senders by the source addresses of their datagrams.
 package gossip
--- a/internal/cluster/swim/gossip/streams.go
+++ b/internal/cluster/swim/gossip/streams.go
@@ -13,36 +13,16 @@
 	"time"
 )
 
-// read takes datagrams in until the socket closes.
-func (p *Driver) readDatagrams() {
-	defer p.wg.Done()
-	buf := make([]byte, readBuffer)
-	for {
-		n, from, err := p.udp.ReadFromUDPAddrPort(buf)
-		if err != nil {
-			if errors.Is(err, net.ErrClosed) {
-				return
-			}
-			continue // a peer that is down shows as a refused datagram on loopback; the socket stays good
-		}
-		p.traffic.CountReceived(n)
-		if !p.allowed(from.Addr()) {
-			p.droppedByAddress.Add(1)
-			logging.Warn(p.log, logging.PeerDropped, "what", "datagram", "from", from, "error", swim.ErrAddress)
-			continue
-		}
-		select {
-		case p.datagrams <- append([]byte(nil), buf[:n]...):
-		default:
-			p.droppedByLimit.Add(1)
-		}
-	}
+// frameRequest is a frame that has arrived, and the channel for the reply. The channel has space for one, so the core never blocks on it.
+type frameRequest struct {
+	frame []byte
+	reply chan []byte
 }
 
-// accept takes exchanges in that others open, so many at a time.
+// acceptExchanges serves the exchanges that other processes open, maxIncoming at a time, until the listener closes.
 func (p *Driver) acceptExchanges() {
 	defer p.wg.Done()
-	places := make(chan struct{}, maxIncoming)
+	slots := make(chan struct{}, maxIncoming)
 	for {
 		conn, err := p.tcp.AcceptTCP()
 		if err != nil {
@@ -50,10 +30,10 @@
 				return
 			}
 			logging.Warn(p.log, logging.PeerDropped, "what", "accept", "error", err)
-			time.Sleep(10 * time.Millisecond) // out of descriptors: not at once again
+			time.Sleep(10 * time.Millisecond) // out of file descriptors: try again later
 			continue
 		}
-		from := conn.RemoteAddr().(*net.TCPAddr).AddrPort()
+		from := tcpAddress(conn.RemoteAddr())
 		if !p.allowed(from.Addr()) {
 			p.droppedByAddress.Add(1)
 			logging.Warn(p.log, logging.PeerDropped, "what", "connection", "from", from, "error", swim.ErrAddress)
@@ -61,11 +41,11 @@
 			continue
 		}
 		select {
-		case places <- struct{}{}:
+		case slots <- struct{}{}:
 			p.wg.Add(1)
 			go func() {
 				defer p.wg.Done()
-				defer func() { <-places }()
+				defer func() { <-slots }()
 				defer conn.Close()
 				p.serveExchange(conn)
 			}()
@@ -76,9 +56,11 @@
 	}
 }
 
-// serve answers one exchange: its first frame, and the one with what the other side had more.
+// serveExchange answers the frames of one exchange: the opening frame, and the one with the records that the other side has more.
 func (p *Driver) serveExchange(conn net.Conn) {
-	conn.SetDeadline(time.Now().Add(exchangeTimeout))
+	if conn.SetDeadline(time.Now().Add(exchangeTimeout)) != nil {
+		return // it is closed
+	}
 	conn = p.traffic.WrapConn(conn)
 	for range 2 {
 		b, err := readFrame(conn)
@@ -93,7 +75,7 @@
 	}
 }
 
-// hand gives a frame to the core.
+// handleFrame hands a frame to the core and waits for the reply; nil if there is none or the driver ends.
 func (p *Driver) handleFrame(b []byte) []byte {
 	x := frameRequest{frame: b, reply: make(chan []byte, 1)}
 	p.traffic.received.Add(1)
@@ -110,7 +92,7 @@
 	}
 }
 
-// open has one exchange that the core asked for.
+// openExchange runs one exchange that the core asked for. A failure is only counted: a later exchange replaces it.
 func (p *Driver) openExchange(x swim.Exchange) {
 	defer p.wg.Done()
 	defer func() { <-p.outgoing }()
@@ -133,7 +115,9 @@
 		return
 	}
 	defer conn.Close()
-	conn.SetDeadline(time.Now().Add(exchangeTimeout))
+	if conn.SetDeadline(time.Now().Add(exchangeTimeout)) != nil {
+		return // it is closed
+	}
 	conn = p.traffic.WrapConn(conn)
 	if writeFrame(conn, x.Frame) != nil {
 		return
@@ -154,7 +138,7 @@
 	return err
 }
 
-// readFrame reads one; a length beyond the bound is not believed.
+// readFrame reads a frame. A length of 0 or beyond swim.MaxFrame is an error.
 func readFrame(r io.Reader) ([]byte, error) {
 	var head [4]byte
 	if _, err := io.ReadFull(r, head[:]); err != nil {
@@ -164,7 +148,7 @@
 	if n == 0 || n > swim.MaxFrame {
 		return nil, fmt.Errorf("a frame of %d bytes", n)
 	}
-	// It grows as it comes: a length alone takes no memory.
+	// The buffer grows with the bytes that arrive: a length alone takes no memory.
 	b, err := io.ReadAll(io.LimitReader(r, int64(n)))
 	if err == nil && len(b) < int(n) {
 		err = io.ErrUnexpectedEOF
