--- a/internal/cluster/swim/simulation/histories_test.go
+++ b/internal/cluster/swim/simulation/histories_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// The same seed gives the run that was recorded: every look at the views, every crash that was noticed, every second's traffic. Names of
-// fields are left out, and the cores that run at the end.
+// A seed gives the recorded run: every sample, every crash that was detected, the traffic of every second. The names of fields and the cores that run at the
+// end are not compared.
 func TestRecordedHistories(t *testing.T) {
 	played := map[string]string{}
 	for seed := range uint64(6) {
--- a/internal/cluster/swim/simulation/measure_test.go
+++ b/internal/cluster/swim/simulation/measure_test.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// sizes are those of the table, 75 to 1200 for the slopes; 30, 100 and 1000 are older rows.
+// sizes are the rows of the table. Those from 75 on give the slopes.
 var sizes = []int{30, 75, 100, 150, 300, 600, 1000, 1200}
 
 func measured(t *testing.T) {
@@ -22,7 +22,7 @@
 	}
 }
 
-// sideBySide does all of it, three at a time.
+// sideBySide runs all functions, three at a time.
 func sideBySide(all []func()) {
 	turns := make(chan struct{}, 3)
 	var wg sync.WaitGroup
@@ -38,7 +38,7 @@
 	wg.Wait()
 }
 
-// What a view costs, and how soon it is right, as the fleet grows. SAFFRONQUAY_MEASURE=1.
+// The cost of a view, and the time until it is correct, by the size of the fleet. SAFFRONQUAY_MEASURE=1.
 func TestMeasure(t *testing.T) {
 	measured(t)
 	type row struct {
@@ -94,7 +94,7 @@
 	}
 }
 
-// fitted tells the line through points of 75 to 1200 members, and what the one through those up to 300 foretells of 600.
+// fitted describes the line through all points, and how well the line through those up to 300 members predicts the one of 600.
 func fitted(name string, xs, ys []float64) string {
 	a, b, worst := fit.Line(xs, ys)
 	small := 0
@@ -107,7 +107,7 @@
 		100*fit.Miss(fa+600*fb, ys[i]))
 }
 
-// kBAView is the memory of one view.
+// kBAView measures the memory of one view in KiB.
 func kBAView(t *testing.T, n int, loss float64) float64 {
 	r := play(t, Config{Members: n, Seed: 1, WarmStart: true, Loss: loss, Duration: 2 * time.Second}, "")
 	cores := r.Cores
@@ -116,13 +116,12 @@
 	runtime.GC()
 	runtime.ReadMemStats(&with)
 	runtime.KeepAlive(cores)
-	cores = nil
-	runtime.GC()
+	runtime.GC() // cores is not used any more, so they are freed
 	runtime.ReadMemStats(&without)
 	return float64(int64(with.HeapAlloc)-int64(without.HeapAlloc)) / float64(n) / 1024
 }
 
-// What events of a large fleet cost at the peak second, and how soon views are right again, with two regions 30 to 60 ms apart, one way.
+// The cost of events of a large fleet in the peak second, and the time until views are correct again, with two regions 30 to 60 ms apart, one way.
 // SAFFRONQUAY_MEASURE=1.
 func TestMeasureEvents(t *testing.T) {
 	measured(t)
@@ -136,7 +135,7 @@
 		}
 		for _, e := range []struct {
 			name, script string
-			over, length time.Duration // when the last of it happens, and the run ends
+			over, length time.Duration // time of the last step, and end of the run
 		}{
 			{"at rest", "", 0, 20 * time.Second},
 			{"1 crashes", "at 10s kill " + rack[:1].String(), 10 * time.Second, 30 * time.Second},
@@ -181,7 +180,7 @@
 	sideBySide(all)
 }
 
-// What two regions that are apart cost a view at rest, by how far they are. SAFFRONQUAY_MEASURE=1.
+// The cost of a view at rest with two regions, by the delay between them. SAFFRONQUAY_MEASURE=1.
 func TestMeasureApart(t *testing.T) {
 	measured(t)
 	var all []func()
@@ -199,6 +198,7 @@
 	sideBySide(all)
 }
 
+// span returns the numbers from a up to b, without b.
 func span(a, b int) (s []int) {
 	for ; a < b; a++ {
 		s = append(s, a)
--- a/internal/cluster/swim/simulation/proof_test.go
+++ b/internal/cluster/swim/simulation/proof_test.go
@@ -15,7 +15,7 @@
 	"time"
 )
 
-// trial is one seed's day: what happens, when the last of it is over, and whether cuts make deaths of those that run right.
+// trial returns a seed's script, when its last fault is over, and whether its partitions may make views declare healthy processes dead.
 func trial(seed uint64, n int) (script string, after time.Duration, cuts bool) {
 	rng := rand.New(rand.NewPCG(seed, 0x9f))
 	some := func(most int) (s faults.Set) {
@@ -25,7 +25,7 @@
 	}
 	span := func(a, b int) string { return fmt.Sprintf("%d-%d", a, b-1) }
 	switch seed % 8 {
-	case 0: // longer than it takes to hold the others for dead
+	case 0: // longer than it takes to declare the others dead
 		return fmt.Sprintf("at 3s for 9s cut %s %s", span(0, n/2), span(n/2, n)), 12 * time.Second, true
 	case 1:
 		pair := rng.Perm(n)
@@ -44,8 +44,8 @@
 	return s.String(), s.End(), true
 }
 
-// Over many seeds: a crash is known to all soon, views are one again after whatever happened, and no process that others could reach is
-// held for dead. SAFFRONQUAY_SEEDS plays more.
+// Over many seeds: all views detect a crash soon, agree again after any faults, and declare no reachable process dead. SAFFRONQUAY_SEEDS sets the number of
+// seeds.
 func TestProof(t *testing.T) {
 	members, seeds := 300, 200
 	if harness.Raced {
@@ -102,7 +102,7 @@
 					bytes = max(bytes, r.BytesPerSecond)
 				}
 				if took < 0 || took > soon || !cuts && r.FalseDeaths > 0 {
-					t.Errorf("seed %d, loss %g: settled after %s, %d of those that run held for dead; script:\n%s", seed, cfg.Loss, took, r.FalseDeaths, strings.TrimSpace(script))
+					t.Errorf("seed %d, loss %g: settled after %s, %d running processes declared dead; script:\n%s", seed, cfg.Loss, took, r.FalseDeaths, strings.TrimSpace(script))
 				}
 				mu.Unlock()
 			}
@@ -122,7 +122,7 @@
 		return d[len(d)*99/100].Milliseconds()
 	}
 	if p99(detect) > 3000 {
-		t.Errorf("a crash is known after %d ms (p99)", p99(detect))
+		t.Errorf("a crash is detected after %d ms (p99)", p99(detect))
 	}
 	t.Logf("proof: members=%d seeds=%d detect_p99_ms=%d settle_p99_ms=%d false_dead=%d never_settled=%d bytes_per_member_s=%.0f", members, seeds,
 		p99(detect), p99(settle), falseDead, never, bytes)
--- a/internal/cluster/swim/simulation/scenes_test.go
+++ b/internal/cluster/swim/simulation/scenes_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// play plays a script, and prints it with its seed where the test fails.
+// play runs a script, and logs it with its seed if the test fails.
 func play(t testing.TB, cfg Config, script string) Result {
 	t.Helper()
 	s, err := faults.Parse(script, cfg.Members)
@@ -34,9 +34,9 @@
 	return r
 }
 
-const soon = 10 * time.Second // in which views have to be one again
+const soon = 10 * time.Second // time within which views have to agree again
 
-// hard are the cases that the view is for. after is when the last disturbance is over.
+// hard are the difficult scenarios. after is the time when the last fault is over.
 var hard = []struct {
 	name    string
 	members int
@@ -45,14 +45,14 @@
 	seeds   int
 	script  string
 	after   time.Duration
-	deaths  bool // processes that run may be held for dead meanwhile
+	deaths  bool // running processes may be declared dead meanwhile
 	check   func(t *testing.T, r Result)
 }{
 	{name: "half killed at once", members: 60, script: "at 5s kill 0-29", after: 5 * time.Second},
 	{name: "two halves", members: 60, script: "at 5s for 12s cut 0-29 30-59", after: 17 * time.Second, deaths: true, check: func(t *testing.T, r Result) {
 		for _, s := range r.Samples {
 			if s.At > 5*time.Second && s.MinEffectiveSize < 60 {
-				t.Errorf("at %s a view reckons with %d members", s.At, s.MinEffectiveSize)
+				t.Errorf("at %s a view has the effective size %d", s.At, s.MinEffectiveSize)
 				return
 			}
 			if s.At == 16*time.Second && s.MinAlive != 30 {
@@ -69,7 +69,7 @@
 	{name: "30% lost", members: 30, loss: 0.3, script: ""},
 	{name: "stopped for 10 s", members: 30, script: "at 5s for 10s stop 4", after: 15 * time.Second, check: func(t *testing.T, r Result) {
 		if r.Stalls == 0 {
-			t.Error("it never noticed")
+			t.Error("it did not detect the stall")
 		}
 	}},
 	{name: "always late", members: 30, script: "at 3s slow 150ms 5"},
@@ -80,7 +80,7 @@
 		name: "nobody to join", members: 12, seeds: 3, script: "at 100ms kill 11\nat 5s kill 0-2\nat 8s move 11\nat 16s start 0", after: 16 * time.Second,
 		check: func(t *testing.T, r Result) {
 			if r.Isolations == 0 {
-				t.Error("it never told that nobody answers")
+				t.Error("no process reported that no join address answers")
 			}
 		},
 	},
@@ -92,7 +92,7 @@
 	}()},
 	{name: "two under one name", members: 30, script: "at 5s twin 3", after: 5 * time.Second, check: func(t *testing.T, r Result) {
 		if r.NameConflicts < 2 {
-			t.Errorf("%d of both told of the other", r.NameConflicts)
+			t.Errorf("%d reports of the name conflict by both", r.NameConflicts)
 		}
 		if r.Restarts > 35 {
 			t.Errorf("views changed %d times between the two", r.Restarts)
@@ -106,10 +106,10 @@
 	{name: "repeats, out of order by seconds", members: 30, loss: 0.05, script: "at 0s repeat 0.5\nat 5s kill 3\nat 9s start 3", after: 9 * time.Second},
 }
 
-// replacedAtOnce says that nobody had to refute: a new start is no business of what is said of the old one.
+// replacedAtOnce checks that no member had to refute: records about the old start don't concern the new one.
 func replacedAtOnce(t *testing.T, r Result) {
 	if r.Counts.Refutations > 0 || r.NameConflicts > 0 {
-		t.Errorf("it had to refute %d times, and was taken for a twin %d times", r.Counts.Refutations, r.NameConflicts)
+		t.Errorf("it had to refute %d times, and had %d name conflicts", r.Counts.Refutations, r.NameConflicts)
 	}
 }
 
@@ -128,9 +128,9 @@
 				r := play(t, Config{Members: members, Seed: seed, Loss: c.loss, StartWithin: c.spread, SeedMembers: c.seeds, Duration: c.after + 25*time.Second}, c.script)
 				switch took := r.SettledAfter(c.after); {
 				case took < 0 || took > soon:
-					t.Errorf("settled after %s: %d of %d right at the end", took, r.Samples[len(r.Samples)-1].Correct, r.Samples[len(r.Samples)-1].Live)
+					t.Errorf("settled after %s: %d of %d views correct at the end", took, r.Samples[len(r.Samples)-1].Correct, r.Samples[len(r.Samples)-1].Live)
 				case !c.deaths && r.FalseDeaths > 0:
-					t.Errorf("%d times a process that ran was held for dead", r.FalseDeaths)
+					t.Errorf("%d times a running process was declared dead", r.FalseDeaths)
 				}
 				if c.check != nil {
 					c.check(t, r)
@@ -140,7 +140,7 @@
 	}
 }
 
-// starving is a script by which some members, the last ones, are stopped for most of the time, and late in between.
+// starving returns a script that stops the last members for most of the time, and slows them in between.
 func starving(members, starved int) string {
 	var b strings.Builder
 	for i := range starved {
@@ -152,7 +152,7 @@
 	return b.String()
 }
 
-// What awareness, confirmation and trying the dead are worth, by the same days without them.
+// The effect of awareness, confirmation and exchanges with dead members, shown by the same runs without them.
 func TestBaselines(t *testing.T) {
 	script := starving(60, 15)
 	held, days := map[string]int{}, 2
@@ -174,26 +174,26 @@
 		}()
 	}
 	wg.Wait()
-	t.Logf("15 of 60 starved for 30 s, %d days: healthy ones held for dead: %v", days, held)
+	t.Logf("15 of 60 starved for 30 s, %d days: healthy ones declared dead: %v", days, held)
 	if held["all"] >= held["neither"] || held["no awareness"]+held["no confirmation"] <= 2*held["all"] {
-		t.Errorf("they are worth nothing here: %v", held)
+		t.Errorf("they have no effect here: %v", held)
 	}
 	for _, without := range []bool{false, true} {
 		r := play(t, Config{Members: 60, Duration: 60 * time.Second, Core: swim.Config{Disabled: swim.Disabled{DeadExchanges: without}}}, "at 5s for 15s cut 0-29 30-59")
 		if took := r.SettledAfter(20 * time.Second); (took < 0) != without {
-			t.Errorf("without trying the dead: %t: settled after %s", without, took)
+			t.Errorf("without exchanges with the dead: %t: settled after %s", without, took)
 		}
 	}
 }
 
-// The tests above notice what is wrong: an accused that does not refute, a restart that keeps its identity.
+// The checks above detect seeded faults: members that do not refute, and a restart that keeps its start.
 func TestSeededBugsAreCaught(t *testing.T) {
 	r := play(t, Config{Members: 30, Loss: 0.3, Duration: 40 * time.Second, Core: swim.Config{Disabled: swim.Disabled{Refutation: true}}}, "")
 	if r.SettledAfter(0) >= 0 && r.FalseDeaths == 0 {
-		t.Error("nobody refutes, and nothing comes of it")
+		t.Error("without refutations no check fails")
 	}
 	r = play(t, Config{Members: 30, SameStart: true, WarmStart: true, Duration: 20 * time.Second}, "at 5s kill 3\nat 5500ms move 3")
 	if r.Counts.Refutations == 0 && r.NameConflicts == 0 {
-		t.Error("a restart keeps its identity, and nothing comes of it")
+		t.Error("with a restart that keeps its start no check fails")
 	}
 }
--- a/internal/cluster/swim/simulation/traffic.go
+++ b/internal/cluster/swim/simulation/traffic.go
@@ -1,14 +1,14 @@
 package simulation
 
-// Second is what passed within one second, datagrams and streams together, without the headers of the network.
+// Second is the traffic of one second, datagrams and streams together, without the headers of the network.
 type Second struct {
-	Datagrams                 int64 // that all sent, streams not among them
-	Sent, Received            int64 // bytes, of all
-	MaxSent, MaxReceived      int64 // bytes, of the one process that sent, or received, the most
-	MaxDatagrams, MaxArriving int64 // datagrams, likewise
+	Datagrams                 int64 // sent by all processes; streams are not included
+	Sent, Received            int64 // bytes of all processes
+	MaxSent, MaxReceived      int64 // bytes of the process that sent, or received, the most
+	MaxDatagrams, MaxArriving int64 // datagrams sent and received, likewise
 }
 
-// Peak is the largest of each over some seconds.
+// Peak returns the largest value of each field over some seconds.
 func Peak(all []Second) (most Second) {
 	for _, s := range all {
 		most.Datagrams, most.Sent, most.Received = max(most.Datagrams, s.Datagrams), max(most.Sent, s.Sent), max(most.Received, s.Received)
@@ -18,13 +18,13 @@
 	return most
 }
 
-// traffic is one process's within the second that it passed something in last.
+// traffic is what one process sent and received in the last second in which it did.
 type traffic struct {
 	second                             int
 	sent, received, datagrams, arrived int64
 }
 
-// pass counts what a process sends or receives now.
+// countTraffic counts bytes that a process sends or receives now.
 func (w *simulator) countTraffic(p *process, sent, received int, datagram bool) {
 	second := int((w.now - startTime) / 1_000_000)
 	for len(w.result.Seconds) <= second {
@@ -47,7 +47,7 @@
 	}
 }
 
-// settle holds a process's last second against the most of all.
+// closeSecond compares a process's traffic in its last second with the greatest of all processes.
 func (w *simulator) closeSecond(p *process) {
 	if t := p.traffic; t.second < len(w.result.Seconds) {
 		s := &w.result.Seconds[t.second]
