--- a/internal/cluster/swim/core.go
+++ b/internal/cluster/swim/core.go
@@ -21,7 +21,7 @@
 	probeIndex    int
 	probe         *probe
 	nextProbeAt   int64
-	lastSeq       uint32
+	probeSeq      uint32
 	relays        map[uint32]relay
 	relayOrder    []uint32 // sequence numbers in the order of their expiry
 	healthScore   int      // 0 healthy, maxHealthScore at worst
@@ -30,7 +30,7 @@
 
 	suspicions     suspicionHeap
 	broadcasts     broadcastQueue
-	accusedAgain   bool                // the message being handled holds an accusation that is refuted already
+	accusedAgain   bool                // the message being handled contains an accusation that is refuted already
 	challengesLeft int                 // challenges that may be sent at once for the message being handled
 	seenRecords    map[uint64]struct{} // hashes of encoded records that were merged
 	nextGossipAt   int64
@@ -54,7 +54,7 @@
 const (
 	maxSuspicionFactor = 6    // the longest suspicion, in multiples of the shortest
 	confirmations      = 3    // further accusers that make a suspicion the shortest
-	indirectProbes     = 3    // members that are asked for an indirect probe
+	indirectProbes     = 3    // members that are sent an indirect probe request
 	gossipFanout       = 3    // members that get gossip, every half probe period
 	maxHealthScore     = 8    // steps of the health score
 	maxRelays          = 256  // indirect probes for others at a time
@@ -108,7 +108,7 @@
 func (c *Core) size() int { return len(c.present) + 1 }
 
 // detectStall notices that this process did not run when it should have: it was stopped or starved. All timers that would have expired meanwhile are
-// extended by that time, and the process accuses nobody until acks have arrived again.
+// extended by that time, and the process accuses no member until acks have arrived again.
 func (c *Core) detectStall(now int64) {
 	if c.cfg.Disabled.Awareness {
 		return
--- a/internal/cluster/swim/datagram.go
+++ b/internal/cluster/swim/datagram.go
@@ -64,7 +64,7 @@
 	return from, false, nil
 }
 
-// answer does what the kind of a datagram asks for.
+// answer does what a datagram of its kind requires.
 func (c *Core) answer(now int64, p *wire.Packet, to netip.AddrPort, known bool, subject *member) {
 	switch p.Kind {
 	case packetPing:
--- a/internal/cluster/swim/doc.go
+++ b/internal/cluster/swim/doc.go
@@ -8,7 +8,7 @@
 //
 // # States
 //
-// A member is suspected when another one has had no ack from it, neither directly nor through indirect probes; dead when nobody refuted that in time; left
+// A member is suspected when another one has had no ack from it, neither directly nor through indirect probes; dead when that was not refuted in time; left
 // when it announced its departure, or an operator had a dead member forgotten. Of two records of one name the later start prevails; within a start
 // leaving is final, then the higher incarnation prevails, then the worse state. The order is total, so views that have merged the same records agree,
 // whatever the order and however often the records arrived.
@@ -25,7 +25,7 @@
 // # Guarantees
 //
 // A view is never changed by bytes that fail their checksum, name another fleet, or come from or point to an address that is not allowed. In a fleet of three
-// or more no member is declared dead on the word of a single accuser before the longest suspicion is over. A process that was stopped or starved accuses nobody until it
+// or more no member is declared dead by a single accuser before the longest suspicion is over. A process that was stopped or starved accuses no member until it
 // has had acks again. Nothing grows without bound: members, gossip, relays and accusers have limits. A step costs O(records in the datagram + log
 // suspicions); only an exchange, a new pass of probes and View walk over all members.
 //
--- a/internal/cluster/swim/exchange.go
+++ b/internal/cluster/swim/exchange.go
@@ -25,7 +25,7 @@
 	}
 }
 
-// requestExchange asks the driver for an exchange with a member.
+// requestExchange requests an exchange with a member.
 func (c *Core) requestExchange(now int64, to netip.AddrPort) {
 	c.lastExchangeAt = now
 	c.counts.Exchanges++
--- a/internal/cluster/swim/output.go
+++ b/internal/cluster/swim/output.go
@@ -10,7 +10,7 @@
 	Bytes []byte
 }
 
-// Exchange asks the driver for a push-pull exchange: open a stream to To, send Frame, hand the frame that comes back to Core.HandleFrame and send its
+// Exchange is a request to the driver for a push-pull exchange: open a stream to To, send Frame, hand the frame that comes back to Core.HandleFrame and send its
 // reply. An exchange that fails needs no report; a later one replaces it.
 type Exchange struct {
 	To    netip.AddrPort
@@ -46,7 +46,7 @@
 	EventRefuted                       // this process was accused and has refuted that
 	EventNameConflict                  // another live process has this one's name
 	EventRejoined                      // this process has taken a later start
-	EventStalled                       // this process did not run for a while, and accuses nobody yet
+	EventStalled                       // this process did not run for a while, and accuses no member yet
 	EventIsolated                      // no join address has answered
 	EventConnected                     // the first member has answered after that
 )
--- a/internal/cluster/swim/probe.go
+++ b/internal/cluster/swim/probe.go
@@ -40,10 +40,10 @@
 		if c.probeIndex++; m.listIndex < 0 || !m.present() {
 			continue // it died or left meanwhile
 		}
-		c.lastSeq++
-		c.probe = &probe{target: m, start: m.Start, seq: c.lastSeq, startedAt: now, nextStageAt: now + duration/4, duration: duration}
+		c.probeSeq++
+		c.probe = &probe{target: m, start: m.Start, seq: c.probeSeq, startedAt: now, nextStageAt: now + duration/4, duration: duration}
 		c.counts.Probes++
-		c.ping(now, m, c.lastSeq)
+		c.ping(now, m, c.probeSeq)
 		return
 	}
 }
@@ -93,7 +93,7 @@
 	c.probe = nil
 	c.counts.FailedProbes++
 	if p.nacks == 0 {
-		c.adjustHealth(1) // no helper answered, or there is none: this process may be the slow one
+		c.adjustHealth(1) // no relaying member answered, or there is none: this process may be the slow one
 	}
 	if p.target.listIndex < 0 || !p.target.present() || p.target.reportedDead != nil || p.target.Start != p.start || p.target.lastHeard >= p.startedAt || c.superseded || c.leavingSince != 0 || c.distrustsItself(now) {
 		return
--- a/internal/cluster/swim/relay.go
+++ b/internal/cluster/swim/relay.go
@@ -13,7 +13,7 @@
 	until     int64
 }
 
-// handleIndirectPing pings a member on behalf of another. Its nack tells the requester that this process is there: a requester that hears from no helper
+// handleIndirectPing pings a member on behalf of another. Its nack shows the requester that this process is there: a requester that hears from no relaying member
 // lowers its own health. The oldest relays are dropped beyond maxRelays.
 func (c *Core) handleIndirectPing(now int64, p *wire.Packet, requester netip.AddrPort) {
 	for len(c.relayOrder) > 0 {
@@ -31,10 +31,10 @@
 		c.send(now, requester, &wire.Packet{Kind: packetNack, Seq: p.Seq, Target: p.Target}, m)
 		return
 	}
-	c.lastSeq++
-	c.relays[c.lastSeq] = relay{requester: requester, seq: p.Seq, target: p.Target, until: now + c.cfg.ProbePeriod*maxHealthScore}
-	c.relayOrder = append(c.relayOrder, c.lastSeq)
-	c.ping(now, m, c.lastSeq)
-	c.ping(now, m, c.lastSeq)
+	c.probeSeq++
+	c.relays[c.probeSeq] = relay{requester: requester, seq: p.Seq, target: p.Target, until: now + c.cfg.ProbePeriod*maxHealthScore}
+	c.relayOrder = append(c.relayOrder, c.probeSeq)
+	c.ping(now, m, c.probeSeq)
+	c.ping(now, m, c.probeSeq)
 	c.send(now, requester, &wire.Packet{Kind: packetNack, Seq: p.Seq, Target: p.Target}, nil)
 }
--- a/internal/cluster/swim/self.go
+++ b/internal/cluster/swim/self.go
@@ -38,7 +38,7 @@
 
 // supersede records a live process of this name with a later start: that one is the member, and this process is not.
 func (c *Core) supersede(now int64, r Record) {
-	c.noteConflict(now, r)
+	c.reportConflict(now, r)
 	if m := c.members[r.Name]; m == nil || r.prevailsOver(m.Record) {
 		if m == nil {
 			m = &member{listIndex: -1, heapIndex: -1, Record: Record{Name: r.Name}}
@@ -81,12 +81,12 @@
 	}
 	r := c.self.Record
 	r.Start, r.Address = start, from
-	c.noteConflict(now, r)
+	c.reportConflict(now, r)
 	c.send(now, from, &wire.Packet{Kind: packetGossip}, c.self)
 }
 
-// noteConflict records that another live process has this one's name. The event is repeated after ten exchange periods.
-func (c *Core) noteConflict(now int64, r Record) {
+// reportConflict records that another live process has this one's name. The event is repeated after ten exchange periods.
+func (c *Core) reportConflict(now int64, r Record) {
 	if c.conflictSeenAt = now; c.conflictReportedAt == 0 || now-c.conflictReportedAt >= 10*c.cfg.ExchangePeriod {
 		c.conflictReportedAt = now
 		c.emit(EventNameConflict, r)
