--- a/cmd/saffronquay-standin/main.go
+++ b/cmd/saffronquay-standin/main.go
@@ -51,12 +51,12 @@
 	for _, s := range op.Servers {
 		ids = append(ids, s.ID)
 	}
-	first, last := op.Layout.Whole.Ranges[0].From, op.Layout.Whole.Ranges[len(op.Layout.Whole.Ranges)-1].To
+	first, last := op.Layout.Document.Ranges[0].From, op.Layout.Document.Ranges[len(op.Layout.Document.Ranges)-1].To
 	var rows []fakebackend.Row
 	for k := first; k < min(last, first+keys); k++ {
 		rows = append(rows, fakebackend.Row{Key: k, ID: fmt.Sprint("row-", k)})
 	}
-	c, err := fakebackend.NewCluster(ids, op.Addresses, cfg, op.Layout.Whole, rows)
+	c, err := fakebackend.NewCluster(ids, op.Addresses, cfg, op.Layout.Document, rows)
 	if err != nil {
 		return err
 	}
--- a/cmd/saffronquay/cli_files.go
+++ b/cmd/saffronquay/cli_files.go
@@ -170,7 +170,7 @@
 func rosterOf(name string, op config.Operator) (routecheck.Roster, error) {
 	r := routecheck.Roster{Name: name, Settings: op.Settings.Module, Seed: op.Seed, Servers: op.Servers, Indices: map[string]routecheck.Index{}}
 	if op.Layout != nil {
-		l, err := layout.Make(op.Layout.Whole, nil)
+		l, err := layout.Make(op.Layout.Document, nil)
 		if err != nil {
 			return r, fmt.Errorf("%s: layout.whole: %w", name, err)
 		}
--- a/internal/broker/config/config.go
+++ b/internal/broker/config/config.go
@@ -1,5 +1,3 @@
-// Package config is the one place where the environment, the platform's configuration and the operator's
-// file are read, checked and given defaults. Errors name the key at fault.
 package config
 
 import (
@@ -7,27 +5,26 @@
 	"net"
 	"saffronquay/internal/broker/platform"
 	"slices"
-	"strconv"
 
 	"github.com/valyala/fastjson"
 
 	sq "saffronquay"
 )
 
-// Node is the whole configuration of one gatherer on the platform.
+// Node is the configuration of one gatherer on the platform.
 type Node struct {
 	Name, Listen, Discovery string
-	Operator                string // where operators call; empty: no door
+	Operator                string // address of the admin endpoint; empty: none
 	Seed                    uint64
 	Sockets, MemoryMB       int
-	Known                   []sq.Server // the list of workers as last held
+	Known                   []sq.Server // the workers, as discovery had them last
 	Addresses               map[sq.ServerID]string
 	Generation              int64
 	Settings                Settings
 	keys                    []string // of the file and of the objects in it
 }
 
-// Load reads the platform's configuration by the variables that an environment gives. readFile reads a file.
+// Load reads the platform's configuration by the variables of an environment. getenv and readFile are those of package os, or of a test.
 func Load(getenv func(string) string, readFile func(string) ([]byte, error)) (Node, error) {
 	path := getenv("LB_CONFIG")
 	if path == "" {
@@ -44,10 +41,10 @@
 	return n, nil
 }
 
-// Reload reads the file once more while the program runs, and judges it whole. What it says of discovery prevails then
-// over LB_DISCOVERY, which only names the address at the start: guards against a variable that pins the program to an
-// address that is being given up. The file is written by a machine: guards against one that is damaged, which lacks a key
-// that the file in force has.
+// Reload reads the file again while the program runs. An error means that nothing of it may be put in force.
+//
+// The file's key discovery now prevails over LB_DISCOVERY, which names the address at the start only: the variable would tie the program to an address that is
+// being given up. The file is written by a program; one that lacks a key of the file in force is taken to be damaged.
 func Reload(getenv func(string) string, readFile func(string) ([]byte, error), inForce Node) (Node, error) {
 	n, err := Load(func(name string) string {
 		if name == "LB_DISCOVERY" {
@@ -69,7 +66,7 @@
 	return n, nil
 }
 
-// keysOf lists the keys of an object and of the objects in it.
+// keysOf returns the full names of the keys of an object and of the objects in it.
 func keysOf(path string, o *fastjson.Object) (keys []string) {
 	o.Visit(func(key []byte, v *fastjson.Value) {
 		keys = append(keys, path+string(key))
@@ -95,7 +92,7 @@
 	n := Node{
 		Name: either("LB_NAME", "name"), Listen: either("LB_LISTEN", "listen"),
 		Discovery: either("LB_DISCOVERY", "discovery"), Operator: either("LB_OPERATOR", "operator"),
-		Sockets: r.object("limits").count("sockets", 1024), MemoryMB: r.object("limits").count("memory_mb", 192),
+		Sockets: r.object("limits").count("sockets", defaultSockets), MemoryMB: r.object("limits").count("memory_mb", defaultMemoryMB),
 	}
 	for key, addr := range map[string]string{"listen": n.Listen, "discovery": n.Discovery} {
 		if _, _, err := net.SplitHostPort(addr); err != nil {
@@ -104,9 +101,7 @@
 	}
 	r.optionalHostPort("operator", n.Operator)
 	r.limits(n.Sockets, n.MemoryMB)
-	if n.Seed, err = strconv.ParseUint(r.str("seed", "0"), 16, 64); err != nil {
-		r.fault("seed", "want hex digits, not %q", r.str("seed", ""))
-	}
+	n.Seed = r.seed()
 	if r.has("settings") {
 		n.Settings = readSettings(r.object("settings"))
 		n.Settings.checkServing(r.object("settings"))
@@ -128,11 +123,20 @@
 	return n, nil
 }
 
+// Defaults and least values of the section limits.
+const (
+	defaultSockets  = 1024
+	defaultMemoryMB = 192
+	minSockets      = 64
+	minMemoryMB     = 16
+)
+
+// limits checks the bounds on descriptors and memory.
 func (r reader) limits(sockets, memoryMB int) {
-	if sockets < 64 {
-		r.fault("limits.sockets", "want 64 or more, not %d", sockets)
+	if sockets < minSockets {
+		r.fault("limits.sockets", "want %d or more, not %d", minSockets, sockets)
 	}
-	if memoryMB < 16 {
-		r.fault("limits.memory_mb", "want 16 or more, not %d", memoryMB)
+	if memoryMB < minMemoryMB {
+		r.fault("limits.memory_mb", "want %d or more, not %d", minMemoryMB, memoryMB)
 	}
 }
--- a/internal/broker/config/config_test.go
+++ b/internal/broker/config/config_test.go
@@ -45,7 +45,7 @@
 	}
 }
 
-// A fault is told with the name of its key.
+// A fault is reported with the name of its key.
 func TestFaultsNameTheKey(t *testing.T) {
 	for _, c := range []struct{ from, to, names string }{
 		{`"127.0.0.1:8080"`, `"nowhere"`, "listen"},
@@ -166,7 +166,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if o.Layout == nil || o.Layout.Directory != "127.0.0.1:9700" || len(o.Layout.Whole.Ranges) != 4 || !o.Indices["invoices"].Placed {
+	if o.Layout == nil || o.Layout.Directory != "127.0.0.1:9700" || len(o.Layout.Document.Ranges) != 4 || !o.Indices["invoices"].Placed {
 		t.Errorf("%+v", o.Layout)
 	}
 	for _, c := range []struct{ from, to, names string }{
@@ -206,19 +206,19 @@
 	}
 }
 
-// A file that is read again is judged whole: what is damaged, lacks a key or gives a time or number that makes no sense is
-// turned down by the name of the key, and so is what can't change while the program runs.
+// A file that is read again is checked completely: one that is damaged, lacks a key, has a time or number out of range, or changes what can't change while the
+// program runs, is rejected with the name of the key.
 func TestReload(t *testing.T) {
 	whole := strings.Replace(valid, `"may_cancel":true`, `"may_cancel":true,"most_tries":4`, 1)
 	read := func(text string) (Node, error) {
-		inForce, err := Load(func(string) string { return "f" }, func(string) ([]byte, error) { return []byte(whole), nil })
-		if err == nil {
+		if _, err := Load(func(string) string { return "f" }, func(string) ([]byte, error) { return []byte(whole), nil }); err == nil {
 			t.Fatal("an address that is none was taken")
 		}
 		env := func(name string) string {
 			return map[string]string{"LB_CONFIG": "f", "LB_DISCOVERY": "127.0.0.1:1"}[name]
 		}
-		if inForce, err = Load(env, func(string) ([]byte, error) { return []byte(whole), nil }); err != nil {
+		inForce, err := Load(env, func(string) ([]byte, error) { return []byte(whole), nil })
+		if err != nil {
 			t.Fatal(err)
 		}
 		return Reload(env, func(string) ([]byte, error) { return []byte(text), nil }, inForce)
--- a/internal/broker/config/contracts.go
+++ b/internal/broker/config/contracts.go
@@ -4,7 +4,7 @@
 	"saffronquay/internal/broker/admission"
 )
 
-// contracts reads the tree of contracts. Each tenant has one; what stands above tenants in the tree has children.
+// contracts reads the tree of contracts. Each tenant has one; all others have children.
 func (o *Operator) contracts(r reader) {
 	r.require("cores", "teams")
 	c := &admission.Config{Cores: r.float("cores", 0), Gatherers: r.count("gatherers", 1), Oversubscription: r.float("over", 1.25)}
@@ -28,7 +28,7 @@
 	for _, fault := range c.Check() {
 		r.fault("", "%s", fault)
 	}
-	teams, above, tenants := map[string]bool{}, map[string]bool{}, map[string]bool{} // there may be ten thousand
+	teams, above, tenants := map[string]bool{}, map[string]bool{}, map[string]bool{} // sets, since there may be ten thousand teams
 	for _, x := range c.Teams {
 		teams[x.Name], above[x.Parent] = true, true
 	}
--- a/internal/broker/config/fleet.go
+++ b/internal/broker/config/fleet.go
@@ -8,28 +8,29 @@
 	"github.com/valyala/fastjson"
 )
 
-// Fleet sets up a view of the other gatherers.
+// Fleet configures the view of the other gatherers.
 type Fleet struct {
-	Listen    netip.AddrPort
-	Advertise netip.AddrPort // not valid: what Listen turns out to be
-	Name      string         // of the fleet
-	Join      []netip.AddrPort
-	Allow     []netip.Prefix // none: all
-	Period    time.Duration
-	Suspect   float64
-	Reckon    time.Duration
-	// Balancers and Contracts have settings.balancers and contracts.gatherers follow the members to reckon with.
+	Listen       netip.AddrPort
+	Advertise    netip.AddrPort // not valid: what Listen turns out to be
+	Name         string         // of the fleet
+	Join         []netip.AddrPort
+	Allow        []netip.Prefix // none: all
+	Period       time.Duration
+	Suspect      float64
+	CountLostFor time.Duration
+	// Balancers and Contracts make settings.balancers and contracts.gatherers follow the number of members that budgets are divided among.
 	Balancers, Contracts bool
 }
 
-const mostJoin = 64
+// maxJoin bounds the addresses to join by.
+const maxJoin = 64
 
-// fleet reads how gatherers find each other.
+// fleet reads the section that configures how gatherers find each other.
 func (o *Operator) fleet(r reader) {
 	r.require("listen")
 	f := &Fleet{
 		Name: r.str("name", "saffronquay"), Period: ms(r, "period_ms", 200, 50, 10_000), Suspect: r.float("suspect", 2.5),
-		Reckon: ms(r, "reckon_ms", 300_000, 1000, 86_400_000), Balancers: !r.has("balancers") || r.boolean("balancers"),
+		CountLostFor: ms(r, "reckon_ms", 300_000, 1000, 86_400_000), Balancers: !r.has("balancers") || r.boolean("balancers"),
 		Contracts: !r.has("contracts") || r.boolean("contracts"),
 	}
 	f.Listen = r.addrPort("listen", r.str("listen", ""))
@@ -53,8 +54,8 @@
 		}
 		f.Join = append(f.Join, a)
 	}
-	if len(f.Join) > mostJoin {
-		r.fault("join", "want %d at most, not %d", mostJoin, len(f.Join))
+	if len(f.Join) > maxJoin {
+		r.fault("join", "want %d at most, not %d", maxJoin, len(f.Join))
 	}
 	for _, text := range r.strs("allow") {
 		p, err := netip.ParsePrefix(text)
@@ -66,8 +67,8 @@
 	o.Fleet = f
 }
 
-// named says that a gatherer of a fleet bears a name of its own.
-func (o *Operator) named(r reader) {
+// checkName checks that the file names the gatherer: members of a fleet need distinct names.
+func (o *Operator) checkName(r reader) {
 	if r.get("name", fastjson.TypeString) == nil {
 		r.fault("name", "missing: each gatherer of a fleet has a name of its own")
 	} else if err := swim.CheckName(o.Name); err != nil {
@@ -75,7 +76,7 @@
 	}
 }
 
-// fixed is what of it stays for as long as the process runs.
+// fixed returns the part of the section that only a restart can change.
 func (f Fleet) fixed() Fleet {
 	f.Balancers, f.Contracts = false, false
 	return f
--- a/internal/broker/config/fleet_test.go
+++ b/internal/broker/config/fleet_test.go
@@ -8,13 +8,13 @@
 	"time"
 )
 
-// The example has a view of the fleet; each fault in it is told with its key, all at once.
+// The example configures a view of the fleet; each fault in it is reported with its key, all of them together.
 func TestOperatorFleet(t *testing.T) {
 	o, err := config.ParseOperator(deploy.Fleet)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if f := o.Fleet; f.Name != "ledger-cordoba" || len(f.Join) != 3 || len(f.Allow) != 1 || f.Period != 200*time.Millisecond || f.Reckon != 300*time.Second || !f.Balancers || !f.Contracts {
+	if f := o.Fleet; f.Name != "ledger-cordoba" || len(f.Join) != 3 || len(f.Allow) != 1 || f.Period != 200*time.Millisecond || f.CountLostFor != 300*time.Second || !f.Balancers || !f.Contracts {
 		t.Errorf("%+v", f)
 	}
 	for _, c := range []struct{ from, to, says string }{
--- a/internal/broker/config/process.go
+++ b/internal/broker/config/process.go
@@ -5,13 +5,13 @@
 	"strconv"
 )
 
-// Process is what the environment tells of this process beside its configuration.
+// Process is what the environment says of this process beside its configuration.
 type Process struct {
-	Shared       string // directory that this process shares with the one that it replaces; empty: none
-	PassedSocket int    // descriptor of the clients' listening socket, which another holds; 0: none
+	Shared       string // directory in which this process and the one it replaces exchange their states; empty: none
+	PassedSocket int    // descriptor of the clients' listening socket, which another process opened; 0: none
 }
 
-// LoadProcess reads it.
+// LoadProcess reads the variables of the environment that concern the process.
 func LoadProcess(getenv func(string) string) (p Process, err error) {
 	const variable = "LB_PASSED_SOCKET"
 	if text := getenv(variable); text != "" {
--- a/internal/broker/config/reader.go
+++ b/internal/broker/config/reader.go
@@ -5,24 +5,28 @@
 	"fmt"
 	"maps"
 	"math"
+	"net"
+	"net/netip"
 	"slices"
+	"strconv"
 
 	"github.com/valyala/fastjson"
 )
 
-// reader walks one JSON object. The document that it belongs to keeps every fault that is met, each with the full name of the key.
+// reader reads the keys of one JSON object. The document that it belongs to collects every fault, each with the full name of its key. A reader of an absent object (v is nil)
+// returns defaults.
 type reader struct {
 	v    *fastjson.Value
 	path string
 	doc  *document
-	keys map[string]bool // those that were asked for
+	keys map[string]bool // the keys that were read, or checked for
 }
 
-// document is what the readers of one file share.
+// document is common to the readers of one file.
 type document struct {
 	faults  []error
 	objects map[string]reader
-	order   []string // their paths, as they were met
+	order   []string // the paths of objects, in the order in which they were read
 }
 
 func newReader(text []byte) (reader, error) {
@@ -36,7 +40,7 @@
 	return (&document{objects: map[string]reader{}}).reader(v, ""), nil
 }
 
-// reader is the one of an object; the same one each time.
+// reader returns the reader of an object, the same one each time.
 func (d *document) reader(v *fastjson.Value, path string) reader {
 	if r, ok := d.objects[path]; ok && r.v == v {
 		return r
@@ -46,9 +50,10 @@
 	return r
 }
 
-// err joins the faults; nil where there are none.
+// err returns all faults joined; nil if there are none.
 func (r reader) err() error { return errors.Join(r.doc.faults...) }
 
+// name returns the full name of a key.
 func (r reader) name(key string) string {
 	switch {
 	case r.path == "":
@@ -59,6 +64,7 @@
 	return r.path + "." + key
 }
 
+// fault records a fault of a key. The same fault is recorded only the first time.
 func (r reader) fault(key, format string, args ...any) {
 	fault := fmt.Errorf("%s: %s", r.name(key), fmt.Sprintf(format, args...))
 	if !slices.ContainsFunc(r.doc.faults, func(o error) bool { return o.Error() == fault.Error() }) {
@@ -66,7 +72,7 @@
 	}
 }
 
-// strict has keys that nobody asked for, and keys that stand twice, be faults, in all objects that were read.
+// strict reports keys that were never read, and keys that stand twice, as faults, in all objects that were read.
 func (r reader) strict() {
 	for _, path := range r.doc.order {
 		o := r.doc.objects[path]
@@ -91,7 +97,7 @@
 	}
 }
 
-// nearest is the known key that a wrong one was most likely meant to be, or nothing.
+// nearest returns the known key that an unknown one was most likely meant to be; empty if none is near.
 func nearest(key string, known map[string]bool) string {
 	best, least := "", max(2, len(key)/3)+1
 	for _, k := range slices.Sorted(maps.Keys(known)) {
@@ -102,7 +108,7 @@
 	return best
 }
 
-// distance is how many letters have to be put in, taken out or changed (Levenshtein).
+// distance is the Levenshtein distance of two strings, in bytes.
 func distance(a, b string) int {
 	row := make([]int, len(b)+1)
 	for j := range row {
@@ -123,7 +129,7 @@
 	return row[len(b)]
 }
 
-// get is the value at a key, or nil where it is absent, null or of another type.
+// get returns the value of a key; nil if it is absent, null, or of another type, which is a fault.
 func (r reader) get(key string, want fastjson.Type) *fastjson.Value {
 	if r.keys != nil {
 		r.keys[key] = true
@@ -142,6 +148,7 @@
 	return v
 }
 
+// has reports whether a key is there and not null.
 func (r reader) has(key string) bool {
 	if r.keys != nil {
 		r.keys[key] = true
@@ -149,6 +156,7 @@
 	return r.v != nil && r.v.Get(key) != nil && r.v.Get(key).Type() != fastjson.TypeNull
 }
 
+// require reports missing keys as faults.
 func (r reader) require(keys ...string) {
 	for _, k := range keys {
 		if !r.has(k) {
@@ -157,10 +165,12 @@
 	}
 }
 
+// object returns the reader of an object in this one.
 func (r reader) object(key string) reader {
 	return r.doc.reader(r.get(key, fastjson.TypeObject), r.name(key))
 }
 
+// array returns the readers of an array of objects.
 func (r reader) array(key string) []reader {
 	v := r.get(key, fastjson.TypeArray)
 	if v == nil {
@@ -192,6 +202,7 @@
 	return otherwise
 }
 
+// integer returns a whole number, also where it is written as a fraction such as 1e3.
 func (r reader) integer(key string, otherwise int64) int64 {
 	v := r.get(key, fastjson.TypeNumber)
 	if v == nil {
@@ -210,6 +221,7 @@
 
 func (r reader) count(key string, otherwise int) int { return int(r.integer(key, int64(otherwise))) }
 
+// boolean returns true or false; false if the key is absent.
 func (r reader) boolean(key string) bool {
 	if !r.has(key) {
 		return false
@@ -221,7 +233,7 @@
 	return b
 }
 
-// floats reads a list of exactly n numbers.
+// floats returns a list of exactly n numbers, one for each class.
 func (r reader) floats(key string, n int) []float64 {
 	out := make([]float64, n)
 	v := r.get(key, fastjson.TypeArray)
@@ -239,7 +251,7 @@
 	return out
 }
 
-// strs reads a list of strings; absent, it is empty.
+// strs returns a list of strings; empty if it is absent.
 func (r reader) strs(key string) (out []string) {
 	for i, v := range r.get(key, fastjson.TypeArray).GetArray() {
 		if v.Type() != fastjson.TypeString {
@@ -250,3 +262,35 @@
 	}
 	return out
 }
+
+// addrPort parses an IPv4 address and port.
+func (r reader) addrPort(key, value string) netip.AddrPort {
+	a, err := netip.ParseAddrPort(value)
+	if err != nil || !a.Addr().Is4() {
+		r.fault(key, "%q is not an IPv4 address and port", value)
+	}
+	return a
+}
+
+// hostPort checks that a value is host:port.
+func (r reader) hostPort(key, value string) {
+	if _, _, err := net.SplitHostPort(value); err != nil {
+		r.fault(key, "%q is not host:port", value)
+	}
+}
+
+// optionalHostPort checks that a value is host:port or empty.
+func (r reader) optionalHostPort(key, value string) {
+	if value != "" {
+		r.hostPort(key, value)
+	}
+}
+
+// seed parses the key seed, hex digits.
+func (r reader) seed() uint64 {
+	seed, err := strconv.ParseUint(r.str("seed", "0"), 16, 64)
+	if err != nil {
+		r.fault("seed", "want hex digits, not %q", r.str("seed", ""))
+	}
+	return seed
+}
--- a/internal/broker/config/regions.go
+++ b/internal/broker/config/regions.go
@@ -6,14 +6,19 @@
 	"slices"
 )
 
-// mostVoters is how many may vote in one agreement.
-const mostVoters = 7
+// maxVoters is how many members may vote in one agreement.
+const maxVoters = 7
 
-// regions reads which region each member is in, and who votes in the global agreement. Either all members have a region and this gatherer
-// too, or none has.
+// regionVotes counts the voters of each region, and which regions need any.
+type regionVotes struct {
+	voters map[string]int
+	serves map[string]bool // regions with a member that serves; the others have only witnesses, which vote in the global agreement alone
+}
+
+// regions reads which region each member is in, and who votes in the global agreement. Either all members, this gatherer included, have a region, or none has.
 func (x *Rollout) regions(r reader, members []reader, self string) {
-	has := func(m reader) bool { return m.has("region") }
-	if !r.has("region") && !slices.ContainsFunc(members, has) {
+	hasRegion := func(m reader) bool { return m.has("region") }
+	if !r.has("region") && !slices.ContainsFunc(members, hasRegion) {
 		for _, m := range members {
 			if m.has("global") {
 				m.fault("global", "there are no regions")
@@ -22,23 +27,9 @@
 		return
 	}
 	x.Regions = map[string]string{}
-	voters, serves := map[string]int{}, map[string]bool{}
+	votes := regionVotes{voters: map[string]int{}, serves: map[string]bool{}}
 	for _, m := range members {
-		name, region := m.str("name", ""), m.str("region", "")
-		votes, global := m.boolean("voter"), m.boolean("global")
-		if !has(m) {
-			m.fault("region", "missing: either every member has a region, or none has")
-		} else if err := swim.CheckName(region); err != nil {
-			m.fault("region", "%v", err)
-		}
-		x.Regions[name] = region
-		if global {
-			x.Global = append(x.Global, name)
-		}
-		if votes {
-			voters[region]++
-		}
-		serves[region] = serves[region] || votes || !global
+		x.regionOfMember(m, &votes)
 	}
 	switch region, listed := x.Regions[self]; {
 	case !r.has("region"):
@@ -46,14 +37,38 @@
 	case listed && region != x.Region:
 		r.fault("region", "%q, and %q among the members", x.Region, region)
 	}
-	for _, region := range slices.Sorted(maps.Keys(serves)) {
-		if n := voters[region]; serves[region] && (n < 1 || n > mostVoters) {
-			r.fault("members", "want 1 to %d voters in region %q, not %d", mostVoters, region, n)
+	x.checkVoters(r, votes)
+}
+
+// regionOfMember reads one member's region and votes.
+func (x *Rollout) regionOfMember(m reader, counted *regionVotes) {
+	name, region := m.str("name", ""), m.str("region", "")
+	votes, global := m.boolean("voter"), m.boolean("global")
+	if !m.has("region") {
+		m.fault("region", "missing: either every member has a region, or none has")
+	} else if err := swim.CheckName(region); err != nil {
+		m.fault("region", "%v", err)
+	}
+	x.Regions[name] = region
+	if global {
+		x.Global = append(x.Global, name)
+	}
+	if votes {
+		counted.voters[region]++
+	}
+	counted.serves[region] = counted.serves[region] || votes || !global
+}
+
+// checkVoters checks the numbers of voters in the regions' agreements and in the global one.
+func (x *Rollout) checkVoters(r reader, counted regionVotes) {
+	for _, region := range slices.Sorted(maps.Keys(counted.serves)) {
+		if n := counted.voters[region]; counted.serves[region] && (n < 1 || n > maxVoters) {
+			r.fault("members", "want 1 to %d voters in region %q, not %d", maxVoters, region, n)
 		}
 	}
-	if n := len(x.Global); n > mostVoters {
-		r.fault("members", "want 1 to %d with global, not %d", mostVoters, n)
-	} else if n == 0 && len(x.Voters) > mostVoters {
-		r.fault("members", "all %d voters would vote in the global agreement: name 1 to %d with global", len(x.Voters), mostVoters)
+	if n := len(x.Global); n > maxVoters {
+		r.fault("members", "want 1 to %d with global, not %d", maxVoters, n)
+	} else if n == 0 && len(x.Voters) > maxVoters {
+		r.fault("members", "all %d voters would vote in the global agreement: name 1 to %d with global", len(x.Voters), maxVoters)
 	}
 }
--- a/internal/broker/config/regions_test.go
+++ b/internal/broker/config/regions_test.go
@@ -19,7 +19,7 @@
 		t.Fatal(err)
 	}
 	if r := o.Rollout; r.Region != "oeste" || len(r.Regions) != 6 || r.Regions["rosario-3"] != "este" || len(r.Voters) != 6 ||
-		!slices.Equal(r.Global, []string{"cordoba-1", "cordoba-2", "cordoba-3", "rosario-1", "rosario-2"}) || r.Hold != 0 {
+		!slices.Equal(r.Global, []string{"cordoba-1", "cordoba-2", "cordoba-3", "rosario-1", "rosario-2"}) || r.MaxPause != 0 {
 		t.Fatalf("%+v", r)
 	}
 	third := `{"name": "cordoba-3", "address": "127.0.0.1:9470", "region": "oeste", "voter": true, "global": true}`
--- a/internal/broker/config/rollout.go
+++ b/internal/broker/config/rollout.go
@@ -10,20 +10,20 @@
 	"time"
 )
 
-// Rollout sets up agreement on versions of the policy.
+// Rollout configures the agreement on versions of the policy.
 type Rollout struct {
-	Listen      netip.AddrPort
-	Members     map[string]netip.AddrPort // by name; this gatherer among them
-	Voters      []string                  // with regions each in its own region's agreement
-	Region      string                    // of this gatherer; empty: the fleet has none
-	Regions     map[string]string         // by name; nil: there are none
-	Global      []string                  // voters of the global agreement, where any are named; else all voters are
-	Lease, Hold time.Duration             // Hold 0: the rollout's own default
-	Drift       float64
-	Share       bool // budgets of contracts are divided by leases on parts
+	Listen          netip.AddrPort
+	Members         map[string]netip.AddrPort // by name; this gatherer among them
+	Voters          []string                  // with regions each in its own region's agreement
+	Region          string                    // of this gatherer; empty: the fleet has none
+	Regions         map[string]string         // by name; nil: there are none
+	Global          []string                  // voters of the global agreement, where any are named; else all voters are
+	Lease, MaxPause time.Duration             // MaxPause 0: the rollout's own default
+	Drift           float64
+	DivideBudgets   bool // budgets of contracts are divided by leases on parts
 }
 
-// policyKeys are the keys of the operator's file that a policy may have, and that are no business of a local file once there is one.
+// policyKeys are the keys of the operator's file that a policy may have. While a policy is in force they are not read from the file.
 var policyKeys = []string{"settings", "tenants", "contracts"}
 
 // localSettings are the keys of settings that say who this gatherer is: each file's own, whatever the policy.
@@ -32,15 +32,15 @@
 // drains is the key of a policy alone that names servers and zones to be drained: {"servers": [...], "zones": [...]}.
 const drains = "drains"
 
-// rollout reads who agrees on versions of the policy.
+// rollout reads the section that configures the agreement on versions of the policy.
 func (o *Operator) rollout(r reader) {
 	r.require("listen", "members")
 	x := &Rollout{
 		Listen: r.addrPort("listen", r.str("listen", "")), Members: map[string]netip.AddrPort{}, Lease: ms(r, "lease_ms", 2000, 200, 60_000),
-		Drift: r.float("drift", 0.01), Share: r.boolean("share"), Region: r.str("region", ""),
+		Drift: r.float("drift", 0.01), DivideBudgets: r.boolean("share"), Region: r.str("region", ""),
 	}
 	if r.has("hold_ms") {
-		x.Hold = ms(r, "hold_ms", 200, 20, 5000)
+		x.MaxPause = ms(r, "hold_ms", 200, 20, 5000)
 	}
 	members := r.array("members")
 	for _, m := range members {
@@ -64,7 +64,7 @@
 	if !(x.Drift > 0 && x.Drift <= 0.1) {
 		r.fault("drift", "want above 0 to 0.1, not %g", x.Drift)
 	}
-	if x.Share && o.Fleet != nil && o.Fleet.Contracts {
+	if x.DivideBudgets && o.Fleet != nil && o.Fleet.Contracts {
 		r.fault("share", "fleet.contracts divides the contracts already: want one of the two")
 	}
 	if o.Store == nil {
@@ -134,7 +134,7 @@
 			return nil, fmt.Errorf("%s: a policy has the keys %s, %s only", key, strings.Join(policyKeys, ", "), drains)
 		}
 	}
-	if err := settle(file, p); err != nil {
+	if err := keepLocalSettings(file, p); err != nil {
 		return nil, err
 	}
 	for _, key := range policyKeys {
@@ -151,18 +151,18 @@
 	return json.Marshal(file)
 }
 
-// settle gives a policy's settings what is this gatherer's own.
-func settle(file, p map[string]json.RawMessage) error {
+// keepLocalSettings replaces, in a policy's settings, what each gatherer's own file says.
+func keepLocalSettings(file, p map[string]json.RawMessage) error {
 	text, ok := p["settings"]
 	if !ok {
 		return nil
 	}
-	settings, err := objectOf(text)
-	if err != nil {
-		return nil // the reader tells it
+	settings, malformed := objectOf(text)
+	if malformed != nil {
+		return nil //nolint:nilerr // the reader reports it, with its key
 	}
-	own, err := objectOf(file["settings"])
-	if err != nil {
+	own, malformed := objectOf(file["settings"])
+	if malformed != nil {
 		own = nil
 	}
 	for _, key := range localSettings {
@@ -173,11 +173,12 @@
 			settings[key] = v
 		}
 	}
-	p["settings"], err = json.Marshal(settings)
+	merged, err := json.Marshal(settings)
+	p["settings"] = merged
 	return err
 }
 
-// drained marks the servers that a policy has drained, by their ids or zones. One that is not in this file is no fault: rosters differ.
+// drained marks the servers that a policy drains, by their ids or zones. A server that this file lacks is no fault: files differ.
 func drained(servers, text json.RawMessage) (json.RawMessage, error) {
 	var d struct{ Servers, Zones []string }
 	decoder := json.NewDecoder(bytes.NewReader(text))
@@ -186,8 +187,8 @@
 		return nil, fmt.Errorf("%s: want lists of servers and zones: %w", drains, err)
 	}
 	var all []map[string]json.RawMessage
-	if err := json.Unmarshal(servers, &all); err != nil {
-		return servers, nil // the reader tells it
+	if malformed := json.Unmarshal(servers, &all); malformed != nil {
+		return servers, nil //nolint:nilerr // the reader reports it, with its key
 	}
 	for _, s := range all {
 		var id, zone string
@@ -209,16 +210,22 @@
 		return ""
 	}
 	for _, key := range policyKeys {
-		var x, y bytes.Buffer
 		was, is := a[key], b[key]
 		if key == "settings" {
 			was, is = without(was, localSettings), without(is, localSettings)
 		}
-		json.Compact(&x, was)
-		json.Compact(&y, is)
-		if !bytes.Equal(x.Bytes(), y.Bytes()) {
+		if !bytes.Equal(compact(was), compact(is)) {
 			return key
 		}
 	}
 	return ""
 }
+
+// compact removes insignificant spaces from JSON text; of what is no JSON it returns nothing.
+func compact(text json.RawMessage) []byte {
+	var b bytes.Buffer
+	if err := json.Compact(&b, text); err != nil {
+		return nil
+	}
+	return b.Bytes()
+}
--- a/internal/broker/config/settings.go
+++ b/internal/broker/config/settings.go
@@ -6,10 +6,10 @@
 	sq "saffronquay"
 )
 
-// Settings is what one aggregator is told: what the module needs, and what only the program round it needs.
+// Settings is the settings object of one gatherer: the decision module's part, and the part that only the program needs.
 type Settings struct {
 	Module         sq.Settings
-	MaxOpen        int   // queries and parts held at a time; 0: no bound
+	MaxOpen        int   // queries and parts open at a time; 0: no limit
 	ConnectTimeout int64 // microseconds, as all times here
 	IdleClose      int64 // an idle connection is closed by the worker's machine at the latest then
 	StreamsPerConn int
@@ -18,7 +18,7 @@
 var effects = map[string]sq.Effect{"free": sq.Idempotent, "guarded": sq.Deduplicated, "single_shot": sq.AtMostOnce}
 
 // ParseSettings reads the settings object, in the form that the simulator's first message and a gatherer's
-// configuration share. What the figures mean is judged by saffronquay.New; form is judged here.
+// configuration have in common. What the figures mean is judged by saffronquay.New; form is judged here.
 func ParseSettings(text []byte) (Settings, error) {
 	r, err := newReader(text)
 	if err != nil {
@@ -30,7 +30,7 @@
 
 func readSettings(r reader) Settings {
 	r.require("family_info", "classes")
-	r.has("areas") // the platform lists all zones there; the servers' own are what counts
+	r.has("areas") // the platform lists all zones there; the servers' own zones are used
 	fam, perm, rules := r.object("family_info"), r.object("permissions"), r.object("rules")
 	classes := r.array("classes")
 	n := len(classes)
@@ -89,7 +89,7 @@
 	return s
 }
 
-// checkServing refuses what the program, unlike the simulator's adapter, can't do, and what makes no sense.
+// checkServing reports settings that the program, unlike the simulator's adapter, can't serve, and settings that are out of range.
 func (s Settings) checkServing(r reader) {
 	above := func(key string, v int64) {
 		if v <= 0 {
@@ -116,14 +116,14 @@
 		r.fault("permissions.max_open", "want nought or more, not %d", s.MaxOpen)
 	}
 	if len(r.doc.faults) > 0 {
-		return // what is wrong already would be told again in other words
+		return // Validate would report the same faults in other words
 	}
 	if err := s.Module.Validate(); err != nil {
 		r.fault("", "%v", err)
 	}
 }
 
-// checkLayout refuses what can't change while the program runs: where the shards are.
+// checkLayout returns why other settings need a restart: where the shards are can't change while the program runs.
 func (s Settings) checkLayout(now Settings) error {
 	a, b := s.Module, now.Module
 	switch {
--- a/internal/broker/config/stable.go
+++ b/internal/broker/config/stable.go
@@ -5,11 +5,11 @@
 	"fmt"
 )
 
-// stableReads bounds how often a file that changes is read.
+// stableReads is how often a changing file is read at most.
 const stableReads = 5
 
-// ReadStable reads a file until two readings agree. Guards against judging one half of a file that is being written, with what was
-// there before as its other half.
+// ReadStable reads a file until two readings agree. It protects against a file that is being
+// written, whose second half is still the old one.
 func ReadStable(path string, readFile func(string) ([]byte, error)) ([]byte, error) {
 	last, err := readFile(path)
 	if err != nil {
--- a/internal/broker/config/store.go
+++ b/internal/broker/config/store.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// readStore reads where the durable store lies and what bounds it.
+// readStore reads where the durable store is, and its limits.
 func readStore(r reader) *Store {
 	r.require("directory")
 	s := &Store{
@@ -34,7 +34,7 @@
 	return s
 }
 
-// ms reads a time in milliseconds within bounds.
+// ms returns a time in milliseconds within bounds.
 func ms(r reader, key string, otherwise, least, most int64) time.Duration {
 	n := r.integer(key, otherwise)
 	if n < least || n > most {
--- a/internal/broker/server/gatherer.go
+++ b/internal/broker/server/gatherer.go
@@ -318,7 +318,7 @@
 	}
 	if g.layout != nil {
 		cfg := transport.RoutesConfig{Directory: g.layout.Directory, Stall: g.layout.Stall}
-		g.routes, err = transport.NewRoutes(cfg, g.durable.latest(g.layout.Whole, g.serverIDs()), g.serverIDs(), g.clock, g.place, g.engine.Layout,
+		g.routes, err = transport.NewRoutes(cfg, g.durable.latest(g.layout.Document, g.serverIDs()), g.serverIDs(), g.clock, g.place, g.engine.Layout,
 			g.figures.Routes, g.logger)
 		if err != nil {
 			return fmt.Errorf("configuration: %w", err)
@@ -588,7 +588,7 @@
 // enforce puts another plan in force, whole; after an error nothing has changed.
 func (g *Gatherer) enforce(now Plan) error {
 	if g.routes != nil {
-		if err := g.routes.File(now.layout.Whole, now.serverIDs(), false); err != nil {
+		if err := g.routes.File(now.layout.Document, now.serverIDs(), false); err != nil {
 			return err
 		}
 	}
@@ -628,7 +628,7 @@
 func (g *Gatherer) settle() {
 	if g.routes != nil {
 		g.engine.Fleet(sq.FleetChanged{Kind: sq.FleetDelta, Servers: g.fleet.Servers}, g.addresses)
-		if err := g.routes.File(g.layout.Whole, g.serverIDs(), true); err != nil { // the directory has just said otherwise
+		if err := g.routes.File(g.layout.Document, g.serverIDs(), true); err != nil { // the directory has just said otherwise
 			logging.Error(g.logger, logging.Reload, "layout", "kept", "error", err)
 		}
 		if g.layout.Directory != "" {
--- a/internal/broker/server/members.go
+++ b/internal/broker/server/members.go
@@ -61,7 +61,7 @@
 	cfg := peering.Config{Listen: f.Listen, Allow: f.Allow, Seed: g.seed, Core: swim.Config{
 		Fleet: f.Name, Name: g.name, Start: uint64(time.Now().UnixMicro()),
 		Address: f.Advertise, Zone: g.settings.Module.Zone, Version: programVersion(), Join: f.Join, ProbePeriod: f.Period.Microseconds(),
-		SuspicionFactor: f.Suspect, CountDeadFor: f.Reckon.Microseconds(),
+		SuspicionFactor: f.Suspect, CountDeadFor: f.CountLostFor.Microseconds(),
 	}, OnView: g.sees}
 	seed(&cfg.Core, nil)
 	open := func() (err error) {
--- a/internal/broker/server/policy.go
+++ b/internal/broker/server/policy.go
@@ -73,7 +73,7 @@
 	}
 	cfg := peering.PolicyConfig{Listen: r.Listen, Seed: g.seed, Memory: memory, Node: rollout.Config{
 		Name:   g.name,
-		Region: r.Region, Lease: r.Lease.Microseconds(), MaxPause: r.Hold.Microseconds(), Drift: r.Drift,
+		Region: r.Region, Lease: r.Lease.Microseconds(), MaxPause: r.MaxPause.Microseconds(), Drift: r.Drift,
 	}}
 	for name, at := range r.Members {
 		cfg.Node.Members = append(cfg.Node.Members, rollout.Member{
@@ -85,7 +85,7 @@
 		cfg.Global = h
 	}
 	g.number.Store(memory.Current.GetNumber())
-	if r.Share {
+	if r.DivideBudgets {
 		cfg.Node.DivideBudgets, cfg.Node.Slots = true, h.Slots()
 		g.parts = newParts(cfg.Node.Slots, regionPart(r, memory.Current))
 		g.engine.Contracts(g.shares())
--- a/internal/scale/hollow.go
+++ b/internal/scale/hollow.go
@@ -103,11 +103,11 @@
 func (h *hollow) start() error {
 	op := h.op.Load()
 	r, f := op.Rollout, op.Fleet
-	node := rollout.Config{Name: h.Name, Lease: r.Lease.Microseconds(), MaxPause: r.Hold.Microseconds(), Drift: r.Drift, DivideBudgets: r.Share}
+	node := rollout.Config{Name: h.Name, Lease: r.Lease.Microseconds(), MaxPause: r.MaxPause.Microseconds(), Drift: r.Drift, DivideBudgets: r.DivideBudgets}
 	for name, at := range r.Members {
 		node.Members = append(node.Members, rollout.Member{Name: name, Address: at.String(), Voter: slices.Contains(r.Voters, name)})
 	}
-	if r.Share {
+	if r.DivideBudgets {
 		node.Slots = h.Slots()
 	}
 	memory := h.disk.memory()
@@ -118,7 +118,7 @@
 	}
 	core := swim.Config{
 		Fleet: f.Name, Name: h.Name, Start: uint64(time.Now().UnixMicro()), Address: f.Advertise, Zone: op.Settings.Module.Zone, Version: h.version,
-		Join: f.Join, ProbePeriod: f.Period.Microseconds(), SuspicionFactor: f.Suspect, CountDeadFor: f.Reckon.Microseconds(),
+		Join: f.Join, ProbePeriod: f.Period.Microseconds(), SuspicionFactor: f.Suspect, CountDeadFor: f.CountLostFor.Microseconds(),
 	}
 	if h.view, err = peering.Open(peering.Config{Listen: f.Listen, Allow: f.Allow, Seed: h.Seed, Core: core, OnView: h.sees}, h.clock.Now, h.heard, h.log); err != nil {
 		go h.policy.Run()
@@ -130,7 +130,7 @@
 	h.view.SetMetadata(h.facts)
 	go h.policy.Run()
 	h.over = make(chan struct{})
-	if r.Share {
+	if r.DivideBudgets {
 		h.wg.Add(1)
 		go h.divide(h.policy, h.over)
 	}
