--- a/cmd/saffronquay/cli_try.go
+++ b/cmd/saffronquay/cli_try.go
@@ -125,14 +125,14 @@
 			return failed(err)
 		}
 	}
-	c.greet(team.all[0].Listen(), team.all[0].Door())
+	c.greet(team.all[0].ClientAddress(), team.all[0].AdminAddress())
 	if t.gatherers > 1 {
-		fmt.Fprintf(c.out, "  saffronquay fleet --watch --door %s\n\n", team.all[0].Door())
+		fmt.Fprintf(c.out, "  saffronquay fleet --watch --door %s\n\n", team.all[0].AdminAddress())
 	}
 	ctx, stop := interrupted(t.length)
 	defer stop()
 	go t.faults(ctx, c.out, cl, team)
-	t.load(ctx, c.out, "http://"+team.all[0].Listen(), func() {
+	t.load(ctx, c.out, "http://"+team.all[0].ClientAddress(), func() {
 		if t.gatherers > 1 {
 			team.tellViews(c.out)
 		}
--- a/cmd/saffronquay/cli_try_team.go
+++ b/cmd/saffronquay/cli_try_team.go
@@ -132,7 +132,7 @@
 	if err != nil {
 		return err
 	}
-	plan, err := server.Search(op, m.log)
+	plan, err := server.SearchPlan(op, m.log)
 	if err != nil {
 		return err
 	}
@@ -141,7 +141,7 @@
 		return err
 	}
 	if m.first == "" && m.gatherers > 1 {
-		m.first = g.Peers()
+		m.first = g.FleetAddress()
 	}
 	if i < len(m.all) {
 		m.all[i] = g
@@ -193,7 +193,7 @@
 			words = append(words, fmt.Sprintf("try-%d is away", i+1))
 			continue
 		}
-		alive, reckon := g.Members()
+		alive, reckon := g.MemberCounts()
 		words = append(words, fmt.Sprintf("try-%d sees %d and reckons with %d", i+1, alive, reckon))
 	}
 	fmt.Fprintf(out, "       %s\n", strings.Join(words, ", "))
--- a/cmd/saffronquay/main.go
+++ b/cmd/saffronquay/main.go
@@ -32,7 +32,7 @@
 }
 
 func serve(logger *slog.Logger, out *logging.Output, term, hup <-chan os.Signal) error {
-	plan, err := server.Load(logger)
+	plan, err := server.LoadPlan(logger)
 	if err != nil {
 		return fmt.Errorf("configuration: %w", err)
 	}
@@ -43,7 +43,7 @@
 	for {
 		select {
 		case <-hup:
-			g.Retune()
+			g.Reload()
 		case <-term:
 			g.Stop()
 		case <-g.Done():
--- a/internal/broker/adminapi/call.go
+++ b/internal/broker/adminapi/call.go
@@ -9,7 +9,7 @@
 )
 
 // Desk is what the door's calls reach. Its methods answer at once, under any load.
-type Desk interface {
+type Program interface {
 	// Status tells whether this process takes clients, and in a word how it stands.
 	Status() (takes bool, word string)
 	// Standby drains the program, Active puts it back to work; an error says why not.
@@ -31,7 +31,7 @@
 	// the one before it with previous.
 	PolicyText(dst []byte, previous bool) []byte
 	// Log changes what is logged: debug, info, warn or error, and what is above it.
-	Log(level string) error
+	SetLogLevel(level string) error
 }
 
 // MaxCall bounds a call's line, without its end.
@@ -45,7 +45,7 @@
 
 // Feed takes in bytes and returns the answer once the call is whole or can't become one; what follows the line
 // is of no interest.
-func (c *Call) Feed(b []byte, d Desk) (answer []byte, done bool) {
+func (c *Call) Feed(b []byte, d Program) (answer []byte, done bool) {
 	if c.done {
 		return nil, true
 	}
@@ -55,31 +55,31 @@
 	}
 	if len(c.line)+len(b) > MaxCall+1 { // one more for a carriage return
 		c.done = true
-		return no("a call has %d bytes at most", MaxCall), true
+		return refuse("a call has %d bytes at most", MaxCall), true
 	}
 	c.line = append(c.line, b...)
 	if i < 0 {
 		return nil, false
 	}
 	c.done = true
-	return perform(string(bytes.TrimSuffix(c.line, []byte{'\r'})), d), true
+	return execute(string(bytes.TrimSuffix(c.line, []byte{'\r'})), d), true
 }
 
 // Ended says that no more bytes come. A line without its end is not carried out: it may be half a call.
-func (c *Call) Ended() []byte {
+func (c *Call) End() []byte {
 	if c.done {
 		return nil
 	}
 	c.done = true
-	return no("the call has no end")
+	return refuse("the call has no end")
 }
 
-func perform(call string, d Desk) []byte {
+func execute(call string, d Program) []byte {
 	switch call {
 	case "status":
 		takes, word := d.Status()
 		if !takes {
-			return no("%s", word)
+			return refuse("%s", word)
 		}
 		return []byte("YES " + word + "\n")
 	case "stats":
@@ -87,19 +87,19 @@
 	case "layout":
 		text := d.Layout(nil)
 		if text == nil {
-			return no("no layout is set up")
+			return refuse("no layout is set up")
 		}
 		return append(text, "END\n"...)
 	case "contracts":
 		text := d.Contracts(nil)
 		if text == nil {
-			return no("no contracts are set up, or nobody has asked for anything")
+			return refuse("no contracts are set up, or nobody has asked for anything")
 		}
 		return append(text, "END\n"...)
 	case "fleet":
 		text := d.Fleet(nil)
 		if text == nil {
-			return no("no view of a fleet is set up")
+			return refuse("no view of a fleet is set up")
 		}
 		return append(text, "END\n"...)
 	case "policy", "policy text", "policy previous":
@@ -112,30 +112,30 @@
 		if b != nil {
 			return append(b, "END\n"...)
 		}
-		return no("no rollout is set up")
+		return refuse("no rollout is set up")
 	case "fleet leave":
-		return did(d.LeaveFleet(), call)
+		return acknowledge(d.LeaveFleet(), call)
 	case "standby":
-		return did(d.Standby(), call)
+		return acknowledge(d.Standby(), call)
 	case "active":
-		return did(d.Active(), call)
+		return acknowledge(d.Active(), call)
 	case "":
-		return no("empty call; there are status, stats, layout, contracts, fleet, policy, standby, active and log LEVEL")
+		return refuse("empty call; there are status, stats, layout, contracts, fleet, policy, standby, active and log LEVEL")
 	}
 	if name, is := strings.CutPrefix(call, "fleet forget "); is {
-		return did(d.Forget(name), call)
+		return acknowledge(d.Forget(name), call)
 	}
 	if level, is := strings.CutPrefix(call, "log "); is {
-		return did(d.Log(level), call)
+		return acknowledge(d.SetLogLevel(level), call)
 	}
-	return no("unknown call %q; there are status, stats, layout, contracts, fleet, policy, standby, active and log LEVEL", call)
+	return refuse("unknown call %q; there are status, stats, layout, contracts, fleet, policy, standby, active and log LEVEL", call)
 }
 
-func did(err error, call string) []byte {
+func acknowledge(err error, call string) []byte {
 	if err != nil {
-		return no("%v", err)
+		return refuse("%v", err)
 	}
 	return []byte("YES " + call + "\n")
 }
 
-func no(format string, args ...any) []byte { return fmt.Appendf(nil, "NO "+format+"\n", args...) }
+func refuse(format string, args ...any) []byte { return fmt.Appendf(nil, "NO "+format+"\n", args...) }
--- a/internal/broker/adminapi/call_test.go
+++ b/internal/broker/adminapi/call_test.go
@@ -9,38 +9,40 @@
 )
 
 // desk is a program that has only its duty and figures.
-type desk struct {
-	*Duty
-	*Figures
+type testProgram struct {
+	*Lifecycle
+	*Metrics
 }
 
-func (desk) Layout(dst []byte) []byte { return nil }
+func (testProgram) Layout(dst []byte) []byte { return nil }
 
-func (desk) Contracts(dst []byte) []byte { return nil }
+func (testProgram) Contracts(dst []byte) []byte { return nil }
 
-func (desk) Fleet(dst []byte) []byte { return nil }
+func (testProgram) Fleet(dst []byte) []byte { return nil }
 
-func (desk) Policy(dst []byte) []byte { return nil }
+func (testProgram) Policy(dst []byte) []byte { return nil }
 
-func (desk) PolicyText(dst []byte, previous bool) []byte { return append(dst, "{}\n"...) }
+func (testProgram) PolicyText(dst []byte, previous bool) []byte { return append(dst, "{}\n"...) }
 
-func (desk) LeaveFleet() error { return nil }
+func (testProgram) LeaveFleet() error { return nil }
 
-func (desk) Forget(name string) error {
+func (testProgram) Forget(name string) error {
 	if name != "gone" {
 		return errors.New("it is not dead")
 	}
 	return nil
 }
 
-func (desk) Log(level string) error {
+func (testProgram) SetLogLevel(level string) error {
 	if level != "debug" {
 		return errors.New("no such level")
 	}
 	return nil
 }
 
-func newDesk(apply func(bool)) desk { return desk{NewDuty(apply), NewFigures()} }
+func newTestProgram(apply func(bool)) testProgram {
+	return testProgram{NewLifecycle(apply), NewMetrics()}
+}
 
 var calls = []struct{ line, answer string }{
 	{"status\n", "YES active\n"},
@@ -63,15 +65,15 @@
 }
 
 func feed(pieces ...string) []byte {
-	d := newDesk(func(bool) {})
-	d.Begin()
+	d := newTestProgram(func(bool) {})
+	d.MarkStarted()
 	var c Call
 	for _, p := range pieces {
 		if answer, done := c.Feed([]byte(p), d); done {
 			return answer
 		}
 	}
-	return c.Ended()
+	return c.End()
 }
 
 // A call is the same however its bytes come in: guards against callers that write in pieces.
@@ -99,7 +101,7 @@
 	}
 	f.Add([]byte("stats\n0"), 9)
 	f.Fuzz(func(t *testing.T, b []byte, size int) {
-		d := newDesk(func(bool) {})
+		d := newTestProgram(func(bool) {})
 		var c Call
 		var answer []byte
 		for done := false; len(b) > 0 && !done; {
@@ -111,7 +113,7 @@
 			}
 		}
 		if answer == nil {
-			answer = c.Ended()
+			answer = c.End()
 		}
 		text := string(answer)
 		if strings.HasSuffix(text, "\nEND\n") {
@@ -126,7 +128,7 @@
 // Repeats change nothing, and what SIGTERM has begun no operator ends.
 func TestDuty(t *testing.T) {
 	var turns []bool
-	d := newDesk(func(standby bool) { turns = append(turns, standby) })
+	d := newTestProgram(func(standby bool) { turns = append(turns, standby) })
 	ask := func(line, want string) {
 		t.Helper()
 		var c Call
@@ -135,7 +137,7 @@
 		}
 	}
 	ask("status", "NO starting")
-	d.Begin()
+	d.MarkStarted()
 	for range 2 {
 		ask("standby", "YES")
 		ask("status", "YES standby")
@@ -145,11 +147,11 @@
 		ask("status", "YES active")
 	}
 	ask("standby", "YES")
-	d.Leave(false)
+	d.MarkLeaving(false)
 	ask("status", "YES leaving")
 	ask("active", "NO leaving")
 	ask("standby", "YES")
-	d.Leave(true)
+	d.MarkLeaving(true)
 	ask("status", "NO leaving")
 	if !slices.Equal(turns, []bool{true, false, true}) {
 		t.Errorf("turns %v", turns)
@@ -158,18 +160,18 @@
 
 // Counts show from the start, stay when their class vanishes, and made-up classes take no room.
 func TestFigures(t *testing.T) {
-	d := newDesk(func(bool) {})
-	d.Know("b|1", "a")
+	d := newTestProgram(func(bool) {})
+	d.RegisterClasses("b|1", "a")
 	for _, status := range []int{200, 200, 429, 503, 400, 502, 504} {
-		d.Ended("a", status)
+		d.CountAnswer("a", status)
 	}
-	d.Know("c")
-	d.Ended("nobody", 200)
+	d.RegisterClasses("c")
+	d.CountAnswer("nobody", 200)
 	d.Relayed.Add(5)
-	d.Open.Add(2)
-	d.Listed.Store(9)
-	d.Out.Store(1)
-	d.CfgTaken.Add(1)
+	d.OpenRequests.Add(2)
+	d.KnownServers.Store(9)
+	d.EjectedServers.Store(1)
+	d.ConfigAccepted.Add(1)
 	var c Call
 	got, _ := c.Feed([]byte("stats\n"), d)
 	want := `svc.operations.a.fulfilled:2|c
@@ -196,13 +198,13 @@
 
 // Where there are regions the figures tell how this one stands; where there are none they say nothing of it.
 func TestFiguresOfARegion(t *testing.T) {
-	f := NewFigures()
-	var r RolloutFigures
-	f.Rollout = func() RolloutFigures { return r }
+	f := NewMetrics()
+	var r RolloutMetrics
+	f.Rollout = func() RolloutMetrics { return r }
 	if got := string(f.Stats(nil)); !strings.Contains(got, "svc.rollout.number:0|g") || strings.Contains(got, "apart") || strings.Contains(got, "behind") {
 		t.Errorf("without regions: %s", got)
 	}
-	r.Region = &RegionFigures{Behind: 2, ApartMs: 1500, Leads: 1}
+	r.Region = &RegionMetrics{Behind: 2, IsolatedMs: 1500, Leads: 1}
 	if got := string(f.Stats(nil)); !strings.Contains(got, "svc.rollout.behind:2|g\nsvc.rollout.apart_ms:1500|g\nsvc.rollout.leads_global:1|g\n") {
 		t.Errorf("%s", got)
 	}
--- a/internal/broker/adminapi/duty.go
+++ b/internal/broker/adminapi/lifecycle.go
@@ -7,12 +7,12 @@
 
 // Duty is how the program stands: whether it has begun, is on standby by an operator's word, or leaves by
 // SIGTERM. Goroutines may share it.
-type Duty struct {
-	mu      sync.Mutex
-	begun   bool
-	standby bool
-	leaving bool
-	left    bool // accepts no more
+type Lifecycle struct {
+	mu         sync.Mutex
+	started    bool
+	standby    bool
+	leaving    bool
+	handedOver bool // accepts no more
 	// apply carries a change of standby out, in the order of the calls; it must not block.
 	apply func(standby bool)
 }
@@ -21,30 +21,30 @@
 var ErrLeaving = errors.New("leaving after SIGTERM")
 
 // NewDuty makes a duty that has not begun.
-func NewDuty(apply func(standby bool)) *Duty { return &Duty{apply: apply} }
+func NewLifecycle(apply func(standby bool)) *Lifecycle { return &Lifecycle{apply: apply} }
 
 // Begin says that clients are taken from now on.
-func (d *Duty) Begin() {
+func (d *Lifecycle) MarkStarted() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.begun = true
+	d.started = true
 }
 
 // Leave says that SIGTERM has come; with passed, a successor takes the clients.
-func (d *Duty) Leave(passed bool) {
+func (d *Lifecycle) MarkLeaving(passed bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.leaving, d.left = true, passed
+	d.leaving, d.handedOver = true, passed
 }
 
 // Status tells whether clients are taken. On standby those that come still are.
-func (d *Duty) Status() (takes bool, word string) {
+func (d *Lifecycle) Status() (takes bool, word string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	switch {
 	case d.leaving:
-		return !d.left, "leaving"
-	case !d.begun:
+		return !d.handedOver, "leaving"
+	case !d.started:
 		return false, "starting"
 	case d.standby:
 		return true, "standby"
@@ -53,12 +53,12 @@
 }
 
 // Standby drains; where that is so already, or the program leaves, nothing changes.
-func (d *Duty) Standby() error { return d.turn(true) }
+func (d *Lifecycle) Standby() error { return d.setStandby(true) }
 
 // Active ends a standby. A program that leaves does not come back.
-func (d *Duty) Active() error { return d.turn(false) }
+func (d *Lifecycle) Active() error { return d.setStandby(false) }
 
-func (d *Duty) turn(standby bool) error {
+func (d *Lifecycle) setStandby(standby bool) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.leaving {
--- a/internal/broker/adminapi/figures_test.go
+++ b/internal/broker/adminapi/metrics_test.go
@@ -9,14 +9,14 @@
 // Figures are asked of parts that may wait, until they answer, for somebody who counts: a policy is put in force by a goroutine that makes
 // classes known while the policy's own waits for it. Nobody waits for the lock of figures meanwhile.
 func TestStatsWaitForNobodyWhoCounts(t *testing.T) {
-	f := NewFigures()
-	f.Know("search")
+	f := NewMetrics()
+	f.RegisterClasses("search")
 	var late []string
 	asks := func(what string) {
 		done := make(chan struct{})
 		go func() {
-			f.Know("files")
-			f.Ended("search", 200)
+			f.RegisterClasses("files")
+			f.CountAnswer("search", 200)
 			close(done)
 		}()
 		select {
@@ -26,9 +26,9 @@
 		}
 	}
 	f.Cursors = func() int { asks("cursors"); return 1 }
-	f.Store = func() StoreFigures { asks("store"); return StoreFigures{} }
-	f.Fleet = func() FleetFigures { asks("fleet"); return FleetFigures{} }
-	f.Rollout = func() RolloutFigures { asks("rollout"); return RolloutFigures{} }
+	f.Store = func() StoreMetrics { asks("store"); return StoreMetrics{} }
+	f.Fleet = func() FleetMetrics { asks("fleet"); return FleetMetrics{} }
+	f.Rollout = func() RolloutMetrics { asks("rollout"); return RolloutMetrics{} }
 	if text := string(f.Stats(nil)); !strings.Contains(text, "svc.rollout.number:0|g") || len(late) > 0 {
 		t.Errorf("who counts waits while these are asked: %v; %s", late, text)
 	}
--- a/internal/broker/server/standing.go
+++ b/internal/broker/server/admin_policy.go
@@ -8,30 +8,30 @@
 	"strconv"
 )
 
-func (g *Gatherer) rolloutFigures() (f adminapi.RolloutFigures) {
-	p := g.policy.Load()
+func (g *Gatherer) rolloutMetrics() (f adminapi.RolloutMetrics) {
+	p := g.policyNode.Load()
 	if p == nil {
 		return f // not yet
 	}
 	yes := map[bool]int64{true: 1}
-	got := make(chan adminapi.RolloutFigures, 1)
+	got := make(chan adminapi.RolloutMetrics, 1)
 	if p.Inspect(func(n *rollout.Node, now int64) {
 		v, _, _ := n.Admit(now)
-		f := adminapi.RolloutFigures{Number: int64(n.Number()), Admits: yes[v == rollout.Admitted], Holding: yes[n.IsPaused()], LeaseMs: max(0, n.LeaseUntil()-now) / 1000, Leads: yes[n.IsLeader()]}
+		f := adminapi.RolloutMetrics{Number: int64(n.Number()), Admits: yes[v == rollout.Admitted], Paused: yes[n.IsPaused()], LeaseMs: max(0, n.LeaseUntil()-now) / 1000, Leads: yes[n.IsLeader()]}
 		if r, are := n.Region(now); are {
-			f.Region = &adminapi.RegionFigures{Behind: int64(r.Newest - r.Number), ApartMs: r.IsolatedFor / 1000, Leads: yes[n.IsGlobalLeader()]}
+			f.Region = &adminapi.RegionMetrics{Behind: int64(r.Newest - r.Number), IsolatedMs: r.IsolatedFor / 1000, Leads: yes[n.IsGlobalLeader()]}
 		}
 		got <- f
 	}) == nil {
 		f = <-got
 	}
-	f.Traffic = trafficFigures(p.Traffic())
+	f.Traffic = trafficMetrics(p.Traffic())
 	return f // nought where it is late
 }
 
 // Policy appends how the policy stands: a line of this gatherer, what was decided, and on the leader a line for each gatherer.
-func (d desk) Policy(dst []byte) []byte {
-	p := d.policy()
+func (d adminProgram) Policy(dst []byte) []byte {
+	p := d.policyNode()
 	if p == nil {
 		return nil
 	}
@@ -48,7 +48,7 @@
 			max(number, n.Number()), hash, v, max(0, n.LeaseUntil()-now)/1000, n.AdmitsWithoutLease(), n.IsPaused(), n.Leader(), n.IsLeader(), ready, refused, strconv.Quote(reason), n.OpenAttempt(), n.IsBootstrapping(), n.HasIdentityConflict())
 		r, are := n.Region(now)
 		if are {
-			dst = regionLine(dst, n, r, now)
+			dst = appendRegion(dst, n, r, now)
 		}
 		for _, m := range n.Members() {
 			dst = fmt.Appendf(dst, "member name=%s address=%s voter=%t id=%d", m.Name, m.Address, m.Id != 0, m.Id)
@@ -57,13 +57,13 @@
 			}
 			dst = append(dst, '\n')
 		}
-		dst = decisionLines(dst, n, r, are)
+		dst = appendDecisions(dst, n, r, are)
 		for _, x := range n.Grants() {
-			dst = fmt.Appendf(dst, "holder name=%s number=%d lease_ms=%d seen_ms=%d ready=%d held=%d refused=%d voter=%t lost_disk=%t left=%t reason=%s\n", x.Name, x.Number, max(0, x.LeaseUntil-now)/1000, seen(x, now),
+			dst = fmt.Appendf(dst, "holder name=%s number=%d lease_ms=%d seen_ms=%d ready=%d held=%d refused=%d voter=%t lost_disk=%t left=%t reason=%s\n", x.Name, x.Number, max(0, x.LeaseUntil-now)/1000, millisecondsSinceSeen(x, now),
 				x.Ready, x.Paused, x.Refused, x.Voter, x.DiskReplaced, x.Left, strconv.Quote(x.Reason))
 		}
 		for _, x := range n.GlobalGrants() {
-			dst = fmt.Appendf(dst, "region_holder name=%s number=%d lease_ms=%d seen_ms=%d ready=%d held=%d refused=%d reason=%s\n", x.Name, x.Number, max(0, x.LeaseUntil-now)/1000, seen(x, now),
+			dst = fmt.Appendf(dst, "region_holder name=%s number=%d lease_ms=%d seen_ms=%d ready=%d held=%d refused=%d reason=%s\n", x.Name, x.Number, max(0, x.LeaseUntil-now)/1000, millisecondsSinceSeen(x, now),
 				x.Ready, x.Paused, x.Refused, strconv.Quote(x.Reason))
 		}
 		got <- dst
@@ -75,7 +75,7 @@
 }
 
 // regionLine tells how this gatherer's region stands with the others. What was decided beyond a cut is not known: behind is at least so much.
-func regionLine(dst []byte, n *rollout.Node, r rollout.RegionStatus, now int64) []byte {
+func appendRegion(dst []byte, n *rollout.Node, r rollout.RegionStatus, now int64) []byte {
 	asked := int64(-1)
 	if r.StatusAge >= 0 {
 		asked = r.StatusAge / 1000
@@ -90,7 +90,7 @@
 
 // decisionLines tell what was decided: without regions all that a voter knows; with them what the global agreement has decided where this
 // gatherer votes in it, else what its region has, and in both cases changes of who votes in the region.
-func decisionLines(dst []byte, n *rollout.Node, r rollout.RegionStatus, are bool) []byte {
+func appendDecisions(dst []byte, n *rollout.Node, r rollout.RegionStatus, are bool) []byte {
 	tell := func(all []*wire.Decision, region string, such func(*wire.Decision) bool) {
 		for _, x := range all {
 			if !such(x) {
@@ -113,7 +113,7 @@
 }
 
 // seen is for how long somebody has not asked, in milliseconds; -1: not under this leader.
-func seen(x rollout.Grant, now int64) int64 {
+func millisecondsSinceSeen(x rollout.Grant, now int64) int64 {
 	if x.LastSeen == 0 {
 		return -1
 	}
@@ -121,8 +121,8 @@
 }
 
 // PolicyText is the document in force, for operators, or the one before it, which voters know; empty where there is none.
-func (d desk) PolicyText(dst []byte, previous bool) []byte {
-	p := d.policy()
+func (d adminProgram) PolicyText(dst []byte, previous bool) []byte {
+	p := d.policyNode()
 	if p == nil {
 		return nil
 	}
--- a/internal/broker/server/bugs.go
+++ b/internal/broker/server/bugs.go
@@ -8,4 +8,4 @@
 )
 
 // seed puts seeded faults in: none, in any build but one with the tag 'seeded', which is made to see that campaigns catch them.
-func seed(*swim.Config, *rollout.Config) {}
+func seedBugs(*swim.Config, *rollout.Config) {}
--- a/internal/broker/server/bugs_seeded.go
+++ b/internal/broker/server/bugs_seeded.go
@@ -9,8 +9,8 @@
 	"strings"
 )
 
-// seed puts the seeded faults in that SAFFRONQUAY_SEEDED_BUG names, with commas between.
-func seed(f *swim.Config, r *rollout.Config) {
+// seedBugs puts the seeded faults in that SAFFRONQUAY_SEEDED_BUG names, with commas between.
+func seedBugs(f *swim.Config, r *rollout.Config) {
 	for _, name := range strings.Split(os.Getenv("SAFFRONQUAY_SEEDED_BUG"), ",") {
 		switch {
 		case f != nil && name == "fleet:dead-tries":
--- a/internal/broker/server/durable.go
+++ b/internal/broker/server/durable.go
@@ -29,40 +29,40 @@
 )
 
 // durable is what of this gatherer outlasts the process: the store, and who keeps what in it.
-type durable struct {
-	cfg    config.Store
-	name   string // of the gatherer
-	log    *slog.Logger
-	dirs   [2]recordlog.Dir
-	store  *recordlog.Store // nil: it could not be opened, and the file allows to start without
-	ledger *idempotency.Tracker
-	key    []byte      // what seals cursors
-	doc    *layout.Doc // the layout that was in force last
-	memory transport.Memory
-	marks  []pagination.Record
+type durableState struct {
+	cfg         config.Store
+	name        string // of the gatherer
+	log         *slog.Logger
+	dirs        [2]recordlog.Dir
+	store       *recordlog.Store // nil: it could not be opened, and the file allows to start without
+	idempotency *idempotency.Tracker
+	cursorKey   []byte      // what seals cursors
+	lastLayout  *layout.Doc // the layout that was in force last
+	memory      transport.Memory
+	cursorMarks []pagination.Record
 
-	stop, done chan struct{}
-	runs       bool
-	ending     sync.Once
-	mu         sync.Mutex
-	tender     *layout.Layout // the layout that is kept already
-	failed     bool
+	stop, done   chan struct{}
+	started      bool
+	closeOnce    sync.Once
+	mu           sync.Mutex
+	storedLayout *layout.Layout // the layout that is kept already
+	failing      bool
 }
 
 const (
-	wanted     = "wanted" // a file that tells the owner that another process waits
-	lookEvery  = 50 * time.Millisecond
-	rememberIn = time.Second      // how often what was learnt is kept
-	yieldWait  = 10 * time.Second // that open queries have to end once another process waits
-	forgetIn   = 24 * time.Hour   // how long what was learnt is kept
-	scrubEvery = 10 * time.Second // how often one segment's copies are compared
-	meantIn    = 10 * lookEvery   // a process that waits asks again within that
-	ownerFile  = "owner"          // has the gatherer's name
+	takeoverFile          = "wanted" // a file that tells the owner that another process waits
+	takeoverCheckInterval = 50 * time.Millisecond
+	saveInterval          = time.Second                // how often what was learnt is kept
+	yieldTimeout          = 10 * time.Second           // that open queries have to end once another process waits
+	learnedRetention      = 24 * time.Hour             // how long what was learnt is kept
+	scrubInterval         = 10 * time.Second           // how often one segment's copies are compared
+	takeoverRepeatTimeout = 10 * takeoverCheckInterval // a process that waits asks again within that
+	ownerFile             = "owner"                    // has the gatherer's name
 )
 
 // openDurable opens the store, and waits for the process that has it. Nothing is served before.
-func openDurable(cfg config.Store, name string, logger *slog.Logger) (*durable, error) {
-	d := &durable{cfg: cfg, name: name, log: logger, stop: make(chan struct{}), done: make(chan struct{})}
+func openDurable(cfg config.Store, name string, logger *slog.Logger) (*durableState, error) {
+	d := &durableState{cfg: cfg, name: name, log: logger, stop: make(chan struct{}), done: make(chan struct{})}
 	began := time.Now()
 	err := d.open()
 	if err != nil {
@@ -77,7 +77,7 @@
 		logging.Error(logger, logging.StoreOff, "classes", "those that must not run twice are turned away", "error", err)
 		return d, nil
 	}
-	d.ledger = idempotency.NewTracker(d.store, idempotency.Config{Retention: cfg.Keep.Microseconds(), MaxBody: cfg.MaxAnswer, Nonce: nonce()})
+	d.idempotency = idempotency.NewTracker(d.store, idempotency.Config{Retention: cfg.Keep.Microseconds(), MaxBody: cfg.MaxAnswer, Nonce: randomID()})
 	if err := d.recall(); err != nil {
 		d.store.Close()
 		return nil, fmt.Errorf("store: %w", err)
@@ -87,13 +87,13 @@
 	return d, nil
 }
 
-func (d *durable) open() (err error) {
+func (d *durableState) open() (err error) {
 	for i, path := range d.cfg.Directories {
 		if d.dirs[i], err = recordlog.Directory(path); err != nil {
 			return err
 		}
 	}
-	if err := d.isOurs(); err != nil {
+	if err := d.claimDirectories(); err != nil {
 		return err
 	}
 	began, batch := time.Now(), 0
@@ -101,8 +101,8 @@
 		batch = 1
 	}
 	opt := recordlog.Options{
-		ID: nonce(), Now: func() int64 { return time.Since(began).Microseconds() }, MaxRetention: d.cfg.Keep.Microseconds(),
-		SegmentSize: d.cfg.SegmentSize, MaxBatch: batch, CleanEvery: time.Second, ScrubEvery: scrubEvery, Log: d.log,
+		ID: randomID(), Now: func() int64 { return time.Since(began).Microseconds() }, MaxRetention: d.cfg.Keep.Microseconds(),
+		SegmentSize: d.cfg.SegmentSize, MaxBatch: batch, CleanEvery: time.Second, ScrubEvery: scrubInterval, Log: d.log,
 	}
 	for told := false; ; {
 		late := time.Since(began) > d.cfg.Takeover
@@ -111,7 +111,7 @@
 			if err == nil && late {
 				logging.Warn(d.log, logging.StoreTakenOver, "waited", d.cfg.Takeover)
 			}
-			d.dirs[0].Remove(wanted)
+			d.dirs[0].Remove(takeoverFile)
 			return err
 		}
 		if late {
@@ -121,16 +121,16 @@
 			told = true
 			logging.Info(d.log, logging.StoreWaits, "longest", d.cfg.Takeover)
 		}
-		if f, err := d.dirs[0].Create(wanted); err == nil {
+		if f, err := d.dirs[0].Create(takeoverFile); err == nil {
 			f.Close()
 		}
-		time.Sleep(lookEvery)
+		time.Sleep(takeoverCheckInterval)
 	}
 }
 
 // isOurs tells that the store belongs to this gatherer, and marks a new one. Guards the store of one gatherer against another that
 // is set up with its directories by mistake, and would take it over.
-func (d *durable) isOurs() error {
+func (d *durableState) claimDirectories() error {
 	var other string
 	ours := false
 	for i, path := range d.cfg.Directories {
@@ -157,15 +157,15 @@
 }
 
 // meant tells that a process waits for the store now: it asks again after it was heard once. One that has died does not.
-func (d *durable) meant() bool {
-	if ok, err := d.dirs[0].Exists(wanted); err != nil || !ok {
+func (d *durableState) takeoverRequested() bool {
+	if ok, err := d.dirs[0].Exists(takeoverFile); err != nil || !ok {
 		return false
 	}
-	if d.dirs[0].Remove(wanted) != nil {
+	if d.dirs[0].Remove(takeoverFile) != nil {
 		return false
 	}
-	for end := time.Now().Add(meantIn); time.Now().Before(end); time.Sleep(lookEvery / 5) {
-		if ok, err := d.dirs[0].Exists(wanted); err == nil && ok {
+	for end := time.Now().Add(takeoverRepeatTimeout); time.Now().Before(end); time.Sleep(takeoverCheckInterval / 5) {
+		if ok, err := d.dirs[0].Exists(takeoverFile); err == nil && ok {
 			return true
 		}
 	}
@@ -173,15 +173,15 @@
 }
 
 // recall reads what outlasted the process before.
-func (d *durable) recall() error {
+func (d *durableState) recall() error {
 	if r, ok, err := d.store.Get(recordlog.CursorKey, ""); err != nil {
 		return err
 	} else if ok {
-		d.key = r.Value
+		d.cursorKey = r.Value
 	} else {
-		d.key = make([]byte, 32)
-		rand.Read(d.key) // it never fails
-		if err := d.store.Append(recordlog.Record{Kind: recordlog.CursorKey, Value: d.key}, nil); err != nil {
+		d.cursorKey = make([]byte, 32)
+		rand.Read(d.cursorKey) // it never fails
+		if err := d.store.Append(recordlog.Record{Kind: recordlog.CursorKey, Value: d.cursorKey}, nil); err != nil {
 			return err
 		}
 	}
@@ -191,28 +191,28 @@
 		var f form.Layout
 		if err := proto.Unmarshal(r.Value, &f); err == nil {
 			if doc, err := layout.ParseDoc(f.Doc); err == nil {
-				d.doc = &doc
+				d.lastLayout = &doc
 			}
 		}
 	}
 	if r, ok, err := d.store.Get(recordlog.Learned, ""); err != nil {
 		return err
 	} else if ok {
-		d.memory = remembered(r.Value)
+		d.memory = parseLearned(r.Value)
 	}
 	return d.store.Each(recordlog.Cursor, func(r recordlog.Record) {
 		var f form.Cursor
 		if proto.Unmarshal(r.Value, &f) == nil {
-			d.marks = append(d.marks, pagination.Record{Tenant: f.Tenant, Nonce: f.Nonce, Until: f.Until, Closed: f.Closed})
+			d.cursorMarks = append(d.cursorMarks, pagination.Record{Tenant: f.Tenant, Nonce: f.Nonce, Until: f.Until, Closed: f.Closed})
 		}
 	})
 }
 
 // Learned is what a store's record of that kind says was learnt of servers; one that can't be read says nothing.
-func Learned(value []byte) sq.Learned { return remembered(value).Learned }
+func Learned(value []byte) sq.Learned { return parseLearned(value).Learned }
 
 // remembered reads what was learnt; what can't be read is as what was never known.
-func remembered(value []byte) (m transport.Memory) {
+func parseLearned(value []byte) (m transport.Memory) {
 	var f form.Learned
 	if proto.Unmarshal(value, &f) != nil {
 		return m
@@ -231,7 +231,7 @@
 	return m
 }
 
-func worded(m transport.Memory) ([]byte, error) {
+func marshalLearned(m transport.Memory) ([]byte, error) {
 	f := &form.Learned{Admission: m.Learned.Admission, Suspects: m.Learned.Suspects}
 	for _, s := range m.Learned.Servers {
 		f.Servers = append(f.Servers, &form.Server{Id: string(s.Server), Pace: s.LatencyRatio, PaceAt: s.LatencyRatioAt, Fails: s.Failures, Tries: s.Attempts, At: s.CountedAt})
@@ -243,30 +243,30 @@
 }
 
 // latest is the layout to begin with: the file's, or the one that was in force last where that is a later one of the same history.
-func (d *durable) latest(file layout.Doc, servers []sq.ServerID) layout.Doc {
-	if d == nil || d.doc == nil || d.doc.History != file.History || d.doc.Epoch <= file.Epoch {
+func (d *durableState) newestLayout(file layout.Doc, servers []sq.ServerID) layout.Doc {
+	if d == nil || d.lastLayout == nil || d.lastLayout.History != file.History || d.lastLayout.Epoch <= file.Epoch {
 		return file
 	}
 	listed := map[sq.ServerID]bool{}
 	for _, id := range servers {
 		listed[id] = true
 	}
-	if _, err := layout.Make(*d.doc, func(id sq.ServerID) bool { return listed[id] }); err != nil {
+	if _, err := layout.Make(*d.lastLayout, func(id sq.ServerID) bool { return listed[id] }); err != nil {
 		logging.Warn(d.log, logging.StoreLayout, "kept", "file", "error", err)
 		return file
 	}
-	return *d.doc
+	return *d.lastLayout
 }
 
 // follow has a keeper of cursors told what stood, and its changes kept.
-func (d *durable) follow(k *pagination.Registry, now int64) {
+func (d *durableState) trackCursors(k *pagination.Registry, now int64) {
 	if d == nil || d.store == nil || k == nil {
 		return
 	}
-	for _, m := range d.marks {
+	for _, m := range d.cursorMarks {
 		k.Restore(now, m)
 	}
-	d.marks = nil
+	d.cursorMarks = nil
 	k.OnChange(func(m pagination.Record) {
 		value, err := proto.Marshal(&form.Cursor{Tenant: m.Tenant, Nonce: m.Nonce, Until: m.Until, Closed: m.Closed})
 		if err != nil {
@@ -274,88 +274,88 @@
 		}
 		key := binary.BigEndian.AppendUint64([]byte(m.Tenant+"\x00"), m.Nonce)
 		// Until is Unix time, the store's clock is not: a record lasts as long as the cursor does.
-		d.keep(recordlog.Record{Kind: recordlog.Cursor, Key: string(key), Value: value, ExpiresAt: d.store.Now() + max(1, m.Until-time.Now().UnixMicro())})
+		d.appendRecord(recordlog.Record{Kind: recordlog.Cursor, Key: string(key), Value: value, ExpiresAt: d.store.Now() + max(1, m.Until-time.Now().UnixMicro())})
 	})
 }
 
 // keep has a record written; nobody waits for it.
-func (d *durable) keep(r recordlog.Record) bool {
-	err := d.store.Append(r, d.note)
+func (d *durableState) appendRecord(r recordlog.Record) bool {
+	err := d.store.Append(r, d.recordFailure)
 	if err != nil {
-		d.note(err)
+		d.recordFailure(err)
 	}
 	return err == nil
 }
 
 // note logs that something could not be kept, once until it can be again.
-func (d *durable) note(err error) {
+func (d *durableState) recordFailure(err error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if err != nil && !d.failed {
+	if err != nil && !d.failing {
 		logging.Warn(d.log, logging.StoreMisses, "error", err)
 	}
-	d.failed = err != nil
+	d.failing = err != nil
 }
 
 // start begins to keep what is learnt.
-func (d *durable) start(engine *transport.Engine, place *layout.Current) {
-	d.runs = true
+func (d *durableState) start(engine *transport.Engine, place *layout.Current) {
+	d.started = true
 	go d.run(engine, place)
 }
 
 // run keeps what is learnt, and yields the store to a process that waits for it, until close.
-func (d *durable) run(engine *transport.Engine, place *layout.Current) {
+func (d *durableState) run(engine *transport.Engine, place *layout.Current) {
 	defer close(d.done)
-	look := time.NewTicker(lookEvery)
+	look := time.NewTicker(takeoverCheckInterval)
 	defer look.Stop()
 	kept := time.Now()
 	for {
 		select {
 		case <-d.stop:
-			d.remember(engine, place)
+			d.saveLearned(engine, place)
 			return
 		case <-look.C:
 		}
-		if d.meant() {
-			d.remember(engine, place)
+		if d.takeoverRequested() {
+			d.saveLearned(engine, place)
 			d.yield()
 			return
 		}
-		if time.Since(kept) >= rememberIn {
+		if time.Since(kept) >= saveInterval {
 			kept = time.Now()
-			d.remember(engine, place)
+			d.saveLearned(engine, place)
 		}
 	}
 }
 
 // remember keeps what is known now.
-func (d *durable) remember(engine *transport.Engine, place *layout.Current) {
+func (d *durableState) saveLearned(engine *transport.Engine, place *layout.Current) {
 	if m, ok := engine.Remember(); ok {
-		if value, err := worded(m); err == nil {
-			d.keep(recordlog.Record{Kind: recordlog.Learned, Value: value, ExpiresAt: d.store.Now() + forgetIn.Microseconds()})
+		if value, err := marshalLearned(m); err == nil {
+			d.appendRecord(recordlog.Record{Kind: recordlog.Learned, Value: value, ExpiresAt: d.store.Now() + learnedRetention.Microseconds()})
 		}
 	}
 	l := place.Load()
-	if l == nil || l == d.tender {
+	if l == nil || l == d.storedLayout {
 		return
 	}
 	doc, err := json.Marshal(l.Doc())
 	if err != nil {
 		return
 	}
-	if value, err := proto.Marshal(&form.Layout{Doc: doc}); err == nil && d.keep(recordlog.Record{Kind: recordlog.Layout, Value: value}) {
-		d.tender = l
+	if value, err := proto.Marshal(&form.Layout{Doc: doc}); err == nil && d.appendRecord(recordlog.Record{Kind: recordlog.Layout, Value: value}) {
+		d.storedLayout = l
 	}
 }
 
 // yield lets the store go once the open queries that need it have ended. From here on queries of those classes are turned away.
-func (d *durable) yield() {
-	d.ledger.StopAccepting()
-	end := time.NewTimer(yieldWait)
+func (d *durableState) yield() {
+	d.idempotency.StopAccepting()
+	end := time.NewTimer(yieldTimeout)
 	defer end.Stop()
-	look := time.NewTicker(lookEvery / 5)
+	look := time.NewTicker(takeoverCheckInterval / 5)
 	defer look.Stop()
-	for d.ledger.OpenQueries() > 0 {
+	for d.idempotency.OpenQueries() > 0 {
 		select {
 		case <-look.C:
 			continue
@@ -365,16 +365,16 @@
 		break
 	}
 	d.store.Close()
-	logging.Info(d.log, logging.StoreYielded, "open", d.ledger.OpenQueries())
+	logging.Info(d.log, logging.StoreYielded, "open", d.idempotency.OpenQueries())
 }
 
 // close lets the store go, where it is still held.
-func (d *durable) close() {
+func (d *durableState) close() {
 	if d == nil || d.store == nil {
 		return
 	}
-	d.ending.Do(func() {
-		if close(d.stop); d.runs {
+	d.closeOnce.Do(func() {
+		if close(d.stop); d.started {
 			<-d.done
 		}
 		d.store.Close()
@@ -382,12 +382,12 @@
 }
 
 // figures are the store's, for the operators' door.
-func (d *durable) figures() adminapi.StoreFigures {
+func (d *durableState) metrics() adminapi.StoreMetrics {
 	bytes, keys := d.store.Size()
 	f := d.store.Metrics()
-	s := adminapi.StoreFigures{
-		Bytes: bytes, Keys: int64(keys), Open: int64(d.ledger.OpenQueries()), Unknown: int64(len(d.store.LostSpans())),
-		Appends: f.Appends.Load(), Syncs: f.Syncs.Load(), Failed: f.Failed.Load(), Cleaned: f.Cleaned.Load(),
+	s := adminapi.StoreMetrics{
+		Bytes: bytes, Keys: int64(keys), OpenQueries: int64(d.idempotency.OpenQueries()), LostSpans: int64(len(d.store.LostSpans())),
+		Appends: f.Appends.Load(), Syncs: f.Syncs.Load(), Failed: f.Failed.Load(), CleanedSegments: f.Cleaned.Load(),
 	}
 	if d.store.Health() != nil {
 		s.Failing = 1
--- a/internal/broker/server/members.go
+++ b/internal/broker/server/fleet_view.go
@@ -19,18 +19,18 @@
 
 // members is this gatherer's view of its fleet, and the number that budgets are divided by. The view is told of on the driver's
 // goroutine; the number belongs to the gatherer's own.
-type members struct {
-	peers    *peering.Peers
-	told     chan count // the newest
-	follower swim.Divisor
-	reckon   int          // 0: nobody was met yet, and the file's numbers hold
-	divide   atomic.Int64 // 0: the file's
-	again    *time.Timer
+type fleetView struct {
+	peers           *peering.Peers
+	counts          chan memberCount // the newest
+	divisorFollower swim.Divisor
+	effectiveSize   int          // 0: nobody was met yet, and the file's numbers hold
+	currentDivisor  atomic.Int64 // 0: the file's
+	stepTimer       *time.Timer
 }
 
-type count struct {
-	reckon int
-	joined bool
+type memberCount struct {
+	effectiveSize int
+	joined        bool
 }
 
 var errNoFleet = errors.New("no view of a fleet is set up")
@@ -51,39 +51,39 @@
 
 // meet opens the view, and begins to take part. A process that takes another one's place serves meanwhile, and takes part once that one
 // has let the address go.
-func (g *Gatherer) meet() error {
+func (g *Gatherer) joinFleet() error {
 	f := g.fleetFile
 	if f == nil {
 		return nil
 	}
-	m := &members{told: make(chan count, 1), again: time.NewTimer(time.Hour)}
-	m.again.Stop()
+	m := &fleetView{counts: make(chan memberCount, 1), stepTimer: time.NewTimer(time.Hour)}
+	m.stepTimer.Stop()
 	cfg := peering.Config{Listen: f.Listen, Allow: f.Allow, Seed: g.seed, Core: swim.Config{
 		Fleet: f.Name, Name: g.name, Start: uint64(time.Now().UnixMicro()),
 		Address: f.Advertise, Zone: g.settings.Module.Zone, Version: programVersion(), Join: f.Join, ProbePeriod: f.Period.Microseconds(),
 		SuspicionFactor: f.Suspect, CountDeadFor: f.Reckon.Microseconds(),
-	}, OnView: g.sees}
-	seed(&cfg.Core, nil)
+	}, OnView: g.updatePolicyPeers}
+	seedBugs(&cfg.Core, nil)
 	open := func() (err error) {
-		m.peers, err = peering.Open(cfg, g.clock.Now, m.hear, g.logger)
+		m.peers, err = peering.Open(cfg, g.clock.Now, m.receive, g.logger)
 		return err
 	}
 	err := open()
 	if err == nil {
-		g.takePart(m)
+		g.startFleetView(m)
 		return nil
 	}
-	if g.passed == 0 || !errors.Is(err, syscall.EADDRINUSE) {
+	if g.passedSocket == 0 || !errors.Is(err, syscall.EADDRINUSE) {
 		return err
 	}
 	logging.Warn(g.logger, logging.Peers, "listen", f.Listen, "error", err)
 	go func() {
-		tick := time.NewTicker(listenAgain)
+		tick := time.NewTicker(listenRetryInterval)
 		defer tick.Stop()
 		for {
 			select {
 			case <-tick.C:
-			case <-g.over:
+			case <-g.ended:
 				return
 			}
 			if open() == nil {
@@ -91,8 +91,8 @@
 			}
 		}
 		select {
-		case g.late <- m:
-		case <-g.over:
+		case g.lateFleetView <- m:
+		case <-g.ended:
 			m.peers.Close()
 		}
 	}()
@@ -100,79 +100,79 @@
 }
 
 // takePart has the view run, on the gatherer's goroutine or before it runs.
-func (g *Gatherer) takePart(m *members) {
+func (g *Gatherer) startFleetView(m *fleetView) {
 	g.fleetView = m
-	g.view.Store(m)
+	g.publishedFleetView.Store(m)
 	go m.peers.Run()
-	m.peers.SetMetadata(g.facts)
+	m.peers.SetMetadata(g.fleetMetadata)
 }
 
 // facts are what this gatherer tells of itself now.
-func (g *Gatherer) facts(f swim.Metadata) swim.Metadata {
-	_, word := g.duty.Status()
-	f.Draining, f.Standby = word == "leaving", word == "standby" || g.standsBy()
-	f.PolicyVersion = g.number.Load()
-	if op := g.inForce.Load(); op != nil && op.Rollout != nil {
+func (g *Gatherer) fleetMetadata(f swim.Metadata) swim.Metadata {
+	_, word := g.lifecycle.Status()
+	f.Draining, f.Standby = word == "leaving", word == "standby" || g.isStandby()
+	f.PolicyVersion = g.policyNumber.Load()
+	if op := g.currentFile.Load(); op != nil && op.Rollout != nil {
 		f.PolicyAddress = op.Rollout.Members[op.Name]
 	}
 	return f
 }
 
 // hear keeps the newest word for the gatherer's goroutine.
-func (m *members) hear(_, reckon int, joined bool) {
+func (m *fleetView) receive(_, reckon int, joined bool) {
 	select {
-	case <-m.told:
+	case <-m.counts:
 	default:
 	}
-	m.told <- count{reckon, joined}
+	m.counts <- memberCount{reckon, joined}
 }
 
 // news is where the view's word comes; nil where there is no view.
-func (m *members) news() <-chan count {
+func (m *fleetView) updates() <-chan memberCount {
 	if m == nil {
 		return nil
 	}
-	return m.told
+	return m.counts
 }
 
 // step is when the number may go on towards the view's; nil where there is no view.
-func (m *members) step() <-chan time.Time {
+func (m *fleetView) divisorDue() <-chan time.Time {
 	if m == nil {
 		return nil
 	}
-	return m.again.C
+	return m.stepTimer.C
 }
 
 // reckoned takes the view's word in. Until anybody was met the file's numbers hold: a gatherer that begins alone must not take
 // everything for its own.
-func (g *Gatherer) reckoned(c count) {
+func (g *Gatherer) applyMemberCount(c memberCount) {
 	if c.joined {
-		g.fleetView.reckon = c.reckon
-		g.redivide()
+		g.fleetView.effectiveSize = c.effectiveSize
+		g.updateDivisor()
 	}
 }
 
 // redivide moves the number that budgets are divided by towards the members to reckon with, and puts it in force.
-func (g *Gatherer) redivide() {
+func (g *Gatherer) updateDivisor() {
 	m := g.fleetView
-	n, next := m.follower.Update(g.clock.Now(), m.reckon)
+	n, next := m.divisorFollower.Update(g.clock.Now(), m.effectiveSize)
 	if next > 0 {
-		m.again.Reset(time.Duration(max(0, next-g.clock.Now())) * time.Microsecond)
+		m.stepTimer.Reset(time.Duration(max(0, next-g.clock.Now())) * time.Microsecond)
 	}
 	if n == m.divisor() {
 		return
 	}
-	m.divide.Store(int64(n))
-	logging.Info(g.logger, logging.PeersReckon, "members", m.reckon, "divide", n)
-	g.engine.Reconfigure(g.terms(), g.module(), g.pool(), g.dialect)
-	g.engine.Contracts(g.shares())
+	m.currentDivisor.Store(int64(n))
+	logging.Info(g.logger, logging.PeersReckon, "members", m.effectiveSize, "divide", n)
+	g.engine.Reconfigure(g.coreTerms(), g.moduleSettings(), g.poolConfig(), g.dialect)
+	g.engine.Contracts(g.dividedContracts())
 }
 
 // module is the module's settings, with the view's number where it is followed.
-func (g *Gatherer) module() sq.Settings {
+func (g *Gatherer) moduleSettings() sq.Settings {
 	s := g.settings.Module
-	if g.parts != nil && g.contracts != nil {
-		s.Aggregators = g.parts.aggregators(g.contracts)
+	if g.quotas != nil && g.contracts != nil {
+		s.Aggregators = g.quotas.aggregators(g.contracts)
 		s.Self = min(s.Self, s.Aggregators-1)
 		return s
 	}
@@ -184,9 +184,9 @@
 }
 
 // shares is the contracts, with the view's number where it is followed.
-func (g *Gatherer) shares() *admission.Config {
-	if g.parts != nil {
-		return g.parts.divided(g.contracts)
+func (g *Gatherer) dividedContracts() *admission.Config {
+	if g.quotas != nil {
+		return g.quotas.divideContracts(g.contracts)
 	}
 	if f := g.fleetFile; f != nil && f.Contracts && g.contracts != nil && g.fleetView.divisor() > 0 {
 		c := *g.contracts
@@ -196,24 +196,24 @@
 	return g.contracts
 }
 
-func (m *members) divisor() int {
+func (m *fleetView) divisor() int {
 	if m == nil {
 		return 0
 	}
-	return int(m.divide.Load())
+	return int(m.currentDivisor.Load())
 }
 
 // Peers is where others reach this gatherer's view of the fleet; empty where there is none.
-func (g *Gatherer) Peers() string {
-	if m := g.view.Load(); m != nil {
+func (g *Gatherer) FleetAddress() string {
+	if m := g.publishedFleetView.Load(); m != nil {
 		return m.peers.Address().String()
 	}
 	return ""
 }
 
 // Members are how many this gatherer sees alive, and how many it reckons with; nought where it keeps no view, or the view is late.
-func (g *Gatherer) Members() (alive, reckon int) {
-	if m := g.view.Load(); m != nil {
+func (g *Gatherer) MemberCounts() (alive, reckon int) {
+	if m := g.publishedFleetView.Load(); m != nil {
 		k := m.peers.Counts()
 		return k.AliveCount, k.EffectiveSize
 	}
@@ -221,39 +221,39 @@
 }
 
 // part leaves the fleet; it is told before this returns.
-func (m *members) part() {
+func (m *fleetView) leave() {
 	if m != nil {
 		m.peers.Stop()
 	}
 }
 
 // change has what this gatherer tells of itself looked at again.
-func (m *members) change(facts func(swim.Metadata) swim.Metadata) {
+func (m *fleetView) updateMetadata(facts func(swim.Metadata) swim.Metadata) {
 	if m != nil {
 		m.peers.SetMetadata(facts)
 	}
 }
 
-func trafficFigures(t peering.Traffic) adminapi.TrafficFigures {
-	return adminapi.TrafficFigures{Sent: t.Sent, Received: t.Received, SentBytes: t.SentBytes, ReceivedBytes: t.ReceivedBytes, ShareBytes: t.QuotaBytes, Links: t.Links}
+func trafficMetrics(t peering.Traffic) adminapi.TrafficMetrics {
+	return adminapi.TrafficMetrics{Sent: t.Sent, Received: t.Received, SentBytes: t.SentBytes, ReceivedBytes: t.ReceivedBytes, QuotaBytes: t.QuotaBytes, Links: t.Links}
 }
 
-func (m *members) figures() adminapi.FleetFigures {
+func (m *fleetView) metrics() adminapi.FleetMetrics {
 	if m == nil {
-		return adminapi.FleetFigures{} // not yet
+		return adminapi.FleetMetrics{} // not yet
 	}
 	k := m.peers.Counts()
-	return adminapi.FleetFigures{
-		Alive: int64(k.AliveCount), Reckon: int64(k.EffectiveSize), Suspected: int64(k.Suspected), Dead: int64(k.Dead), Ill: int64(k.HealthScore), Twin: int64(k.NameConflict),
-		Sent: k.Sent, Received: k.Received, Dropped: k.Dropped + k.DroppedByAddress, Bytes: k.SentBytes + k.FrameBytes, Exchanges: k.Exchanges, Failed: k.FailedProbes,
-		Accused: k.Counts.Suspicions, Refuted: k.Refutations, Died: k.Deaths, Naps: k.Stalls, Full: k.DroppedByLimit,
-		Traffic: trafficFigures(k.Traffic),
+	return adminapi.FleetMetrics{
+		Alive: int64(k.AliveCount), EffectiveSize: int64(k.EffectiveSize), Suspected: int64(k.Suspected), Dead: int64(k.Dead), HealthScore: int64(k.HealthScore), NameConflict: int64(k.NameConflict),
+		Sent: k.Sent, Received: k.Received, Dropped: k.Dropped + k.DroppedByAddress, Bytes: k.SentBytes + k.FrameBytes, Exchanges: k.Exchanges, FailedProbes: k.FailedProbes,
+		Suspicions: k.Counts.Suspicions, Refutations: k.Refutations, Deaths: k.Deaths, Stalls: k.Stalls, DroppedByLimit: k.DroppedByLimit,
+		Traffic: trafficMetrics(k.Traffic),
 	}
 }
 
 // Fleet appends the view of the fleet: a line of its own, then one for each member.
-func (d desk) Fleet(dst []byte) []byte {
-	m := d.members()
+func (d adminProgram) Fleet(dst []byte) []byte {
+	m := d.fleetView()
 	if m == nil {
 		return nil
 	}
@@ -271,16 +271,16 @@
 }
 
 // Forget has a dead member taken for one that has left.
-func (d desk) Forget(name string) error {
-	if m := d.members(); m != nil {
+func (d adminProgram) Forget(name string) error {
+	if m := d.fleetView(); m != nil {
 		return m.peers.Forget(name)
 	}
 	return errNoFleet
 }
 
 // LeaveFleet has this gatherer leave its fleet, until it is started again.
-func (d desk) LeaveFleet() error {
-	if m := d.members(); m != nil {
+func (d adminProgram) LeaveFleet() error {
+	if m := d.fleetView(); m != nil {
 		return m.peers.Leave()
 	}
 	return errNoFleet
--- a/internal/broker/server/force.go
+++ b/internal/broker/server/force.go
@@ -31,7 +31,7 @@
 	if err != nil {
 		return given, fmt.Errorf("rollout: %w", err)
 	}
-	identity := nonce() | 1
+	identity := randomID() | 1
 	disk, given, err := rollout.ForceNewFleet(memory.Disk, memory.Current, op.Name, identity)
 	if err != nil || !do {
 		return given, err
@@ -47,7 +47,7 @@
 	if err := h.Roster(&wire.State{Members: s.Members, MembersIndex: s.MembersIndex}); err != nil {
 		return given, fmt.Errorf("rollout: %w", err)
 	}
-	if err := write(d.store, recordlog.Record{Kind: recordlog.Rollout, Key: keyIdentity, Value: binary.BigEndian.AppendUint64(nil, identity)}); err != nil {
+	if err := writeRecords(d.store, recordlog.Record{Kind: recordlog.Rollout, Key: keyIdentity, Value: binary.BigEndian.AppendUint64(nil, identity)}); err != nil {
 		return given, errors.Join(errors.New("rollout: the new identity is not on disk: do it again"), err)
 	}
 	// A vote in the global agreement was by the old identity: from here on it is as one whose disk is lost. Not before: a vote that is forgotten
--- a/internal/broker/server/gatherer.go
+++ b/internal/broker/server/gatherer.go
@@ -27,37 +27,37 @@
 // Gatherer is a running one: the program's parts, joined. One goroutine of its own owns what has no owner of its own below.
 type Gatherer struct {
 	Plan
-	logger    *slog.Logger
-	clock     transport.Clock
-	engine    *transport.Engine
-	watcher   *transport.Watcher // nil: the list of servers is fixed
-	routes    *transport.Routes  // nil: no layout
-	virtual   *service           // nil: no virtual address
-	door      *transport.Door    // nil: off
-	duty      *adminapi.Duty
-	figures   *adminapi.Figures
-	view      atomic.Pointer[members]            // the same as fleetView, for operators' calls
-	policy    atomic.Pointer[peering.PolicyNode] // the part in agreeing on the policy; nil: there is none
-	parts     *parts                             // of the budgets; nil: they are divided evenly
-	number    atomic.Uint64                      // of the policy in force here
-	inForce   atomic.Pointer[config.Operator]    // the file, with the policy in force
-	installs  chan install                       // policies to be put in force
-	beside    *transport.Beside                  // nil: no socket is passed, so nobody replaces this process or is replaced by it
-	met       chan []handover.State              // what other processes of this gatherer told
-	waits     bool                               // it could not take part in VRRP's election
-	others    int                                // descriptors that they hold
-	fleetView *members                           // nil: no view of a fleet
-	late      chan *members                      // a view whose address was still held by the process that this one replaces
-	served    chan error                         // the listener's end
-	turn      chan struct{}                      // the duty has changed
-
-	clients, operators string        // where they call
-	hup                chan struct{} // the file is to be read again
-	term               chan struct{} // closed: it is to end
-	ending             sync.Once
-	over               chan struct{} // closed: it has ended
-	deaf               chan struct{} // closed: its goroutine takes nothing in any more, since it ends
-	failure            error         // why it ended by itself; set before over is closed
+	logger             *slog.Logger
+	clock              transport.Clock
+	engine             *transport.Engine
+	watcher            *transport.Watcher // nil: the list of servers is fixed
+	routes             *transport.Routes  // nil: no layout
+	virtual            *virtualService    // nil: no virtual address
+	admin              *transport.Door    // nil: off
+	lifecycle          *adminapi.Lifecycle
+	metrics            *adminapi.Metrics
+	publishedFleetView atomic.Pointer[fleetView]          // the same as fleetView, for operators' calls
+	policyNode         atomic.Pointer[peering.PolicyNode] // the part in agreeing on the policy; nil: there is none
+	quotas             *budgetQuotas                      // of the budgets; nil: they are divided evenly
+	policyNumber       atomic.Uint64                      // of the policy in force here
+	currentFile        atomic.Pointer[config.Operator]    // the file, with the policy in force
+	installs           chan installRequest                // policies to be put in force
+	siblings           *transport.Beside                  // nil: no socket is passed, so nobody replaces this process or is replaced by it
+	siblingStates      chan []handover.State              // what other processes of this gatherer told
+	electionPending    bool                               // it could not take part in VRRP's election
+	siblingSockets     int                                // descriptors that they hold
+	fleetView          *fleetView                         // nil: no view of a fleet
+	lateFleetView      chan *fleetView                    // a view whose address was still held by the process that this one replaces
+	listenerEnded      chan error                         // the listener's end
+	standbyChanged     chan struct{}                      // the duty has changed
+
+	clientAddress, adminAddress string        // where they call
+	reloadRequested             chan struct{} // the file is to be read again
+	stopRequested               chan struct{} // closed: it is to end
+	stopOnce                    sync.Once
+	ended                       chan struct{} // closed: it has ended
+	loopStopped                 chan struct{} // closed: its goroutine takes nothing in any more, since it ends
+	failure                     error         // why it ended by itself; set before over is closed
 
 	mu        sync.Mutex // of the two that a standby touches
 	listener  *transport.Listener
@@ -67,26 +67,26 @@
 // Start starts a gatherer by a plan, and returns once it serves. output, where given, is what logger writes through: the plan's format
 // and level are put in force there.
 func Start(p Plan, logger *slog.Logger, output *logging.Output) (*Gatherer, error) {
-	p.output = output
+	p.logOutput = output
 	if err := p.applyLog(); err != nil {
 		return nil, fmt.Errorf("configuration: log: %w", err)
 	}
 	debug.SetMemoryLimit(int64(p.memoryMB) << 20 * 3 / 4)
 	g := &Gatherer{
-		Plan: p, logger: logger, clock: transport.NewClock(), served: make(chan error, 1),
-		turn: make(chan struct{}, 1), met: make(chan []handover.State, 1), hup: make(chan struct{}, 1), term: make(chan struct{}),
-		over: make(chan struct{}), deaf: make(chan struct{}), late: make(chan *members), installs: make(chan install),
+		Plan: p, logger: logger, clock: transport.NewClock(), listenerEnded: make(chan error, 1),
+		standbyChanged: make(chan struct{}, 1), siblingStates: make(chan []handover.State, 1), reloadRequested: make(chan struct{}, 1), stopRequested: make(chan struct{}),
+		ended: make(chan struct{}), loopStopped: make(chan struct{}), lateFleetView: make(chan *fleetView), installs: make(chan installRequest),
 	}
-	g.duty, g.figures = adminapi.NewDuty(g.stand), adminapi.NewFigures()
+	g.lifecycle, g.metrics = adminapi.NewLifecycle(g.applyStandby), adminapi.NewMetrics()
 	if g.layout != nil {
-		g.figures.Routes = &adminapi.LayoutFigures{}
+		g.metrics.LayoutCounts = &adminapi.LayoutMetrics{}
 	}
 	if g.adopt != nil {
 		g.adopt()
 	}
 	if g.cursors != nil && g.cursors.Load() != nil {
 		cursors, clock := g.cursors, g.clock
-		g.figures.Cursors = func() int {
+		g.metrics.Cursors = func() int {
 			if k := cursors.Load(); k != nil {
 				return k.CountOpen(clock.Now())
 			}
@@ -94,196 +94,196 @@
 		}
 	}
 	if d := g.durable; d != nil && d.store != nil {
-		g.figures.Store = d.figures
+		g.metrics.Store = d.metrics
 	}
 	if g.fleetFile != nil {
-		g.figures.Fleet = func() adminapi.FleetFigures { return g.view.Load().figures() }
+		g.metrics.Fleet = func() adminapi.FleetMetrics { return g.publishedFleetView.Load().metrics() }
 	}
 	if g.rollout != nil {
-		g.figures.Rollout = g.rolloutFigures
+		g.metrics.Rollout = g.rolloutMetrics
 	}
-	if err := g.begin(); err != nil {
+	if err := g.startComponents(); err != nil {
 		g.durable.close()
 		return nil, err
 	}
 	go g.run()
-	if p := g.policy.Load(); p != nil {
+	if p := g.policyNode.Load(); p != nil {
 		go p.Run()
 	}
 	return g, nil
 }
 
 // Listen is where clients connect, Door where operators call ("off": nowhere).
-func (g *Gatherer) Listen() string { return g.clients }
+func (g *Gatherer) ClientAddress() string { return g.clientAddress }
 
 // Door is where operators call; "off" where there is no door.
-func (g *Gatherer) Door() string { return g.operators }
+func (g *Gatherer) AdminAddress() string { return g.adminAddress }
 
 // Retune has the file read once more, soon; it does not wait. Also while the gatherer ends.
-func (g *Gatherer) Retune() {
+func (g *Gatherer) Reload() {
 	select {
-	case g.hup <- struct{}{}:
+	case g.reloadRequested <- struct{}{}:
 	default: // one is due anyway
 	}
 }
 
 // Stop begins the end: the gatherer goes on until nothing is held and nothing comes in. Wait tells when.
-func (g *Gatherer) Stop() { g.ending.Do(func() { close(g.term) }) }
+func (g *Gatherer) Stop() { g.stopOnce.Do(func() { close(g.stopRequested) }) }
 
 // Done is closed once the gatherer has ended.
-func (g *Gatherer) Done() <-chan struct{} { return g.over }
+func (g *Gatherer) Done() <-chan struct{} { return g.ended }
 
 // Wait waits for the end, and gives the reason where it was not Stop's.
 func (g *Gatherer) Wait() error {
-	<-g.over
+	<-g.ended
 	return g.failure
 }
 
 // run looks after what turns up, until Stop.
 func (g *Gatherer) run() {
-	defer close(g.over)
+	defer close(g.ended)
 	defer g.durable.close()
-	if g.parts != nil {
-		defer g.parts.tick.Stop()
+	if g.quotas != nil {
+		defer g.quotas.tick.Stop()
 	}
 	for {
-		switch turn, err := g.attend(nil, nil); turn {
-		case acceptEnded:
+		switch turn, err := g.handleNext(nil, nil); turn {
+		case eventListenerEnded:
 			g.failure = fmt.Errorf("accept: %w", err)
 			return
-		case toldToEnd:
-			g.end()
+		case eventStop:
+			g.shutDown()
 			return
 		}
 	}
 }
 
 // turn is what has come up for the gatherer's goroutine that is not settled on the spot.
-type turn int
+type event int
 
 const (
-	settled turn = iota
-	acceptEnded
-	toldToEnd
-	looked   // it is time to look whether the end has come
-	lastCome // what comes from now on has no time to itself
+	eventHandled event = iota
+	eventListenerEnded
+	eventStop
+	eventCheck     // it is time to look whether the end has come
+	eventGraceOver // what comes from now on has no time to itself
 )
 
 // attend waits for what comes up next, and settles what has to be settled whether or not the gatherer is ending: then look and last are
 // given, and what would begin something is left alone. Guards leases and numbers that go on changing while queries are still held.
-func (g *Gatherer) attend(look, last <-chan time.Time) (turn, error) {
+func (g *Gatherer) handleNext(look, last <-chan time.Time) (event, error) {
 	ending := look != nil
-	duty, late, term := g.turn, g.late, g.term
+	duty, late, term := g.standbyChanged, g.lateFleetView, g.stopRequested
 	if ending {
 		duty, late, term = nil, nil, nil
 	}
 	select {
-	case err := <-g.served:
-		return acceptEnded, err
-	case <-g.hup: // it may still move the watch: what is held has to end well
-		g.retune()
-	case others := <-g.met:
-		if g.share(others); g.waits && !ending {
-			g.compete()
+	case err := <-g.listenerEnded:
+		return eventListenerEnded, err
+	case <-g.reloadRequested: // it may still move the watch: what is held has to end well
+		g.reloadFile()
+	case others := <-g.siblingStates:
+		if g.adjustToSiblings(others); g.electionPending && !ending {
+			g.competeForAddress()
 		}
 	case <-duty:
-		g.compete()
-		g.fleetView.change(g.facts)
+		g.competeForAddress()
+		g.fleetView.updateMetadata(g.fleetMetadata)
 	case x := <-g.installs:
 		g.install(x)
 	case m := <-late:
-		g.takePart(m)
-	case c := <-g.fleetView.news():
-		g.reckoned(c)
-	case <-g.fleetView.step():
-		g.redivide()
-	case <-g.parts.divides():
-		g.lookAtParts()
-	case d := <-g.parts.answers():
-		g.redivideParts(d)
+		g.startFleetView(m)
+	case c := <-g.fleetView.updates():
+		g.applyMemberCount(c)
+	case <-g.fleetView.divisorDue():
+		g.updateDivisor()
+	case <-g.quotas.due():
+		g.requestQuotas()
+	case d := <-g.quotas.results():
+		g.applyQuotas(d)
 	case <-term:
-		return toldToEnd, nil
+		return eventStop, nil
 	case <-look:
-		return looked, nil
+		return eventCheck, nil
 	case <-last:
-		return lastCome, nil
+		return eventGraceOver, nil
 	}
-	return settled, nil
+	return eventHandled, nil
 }
 
-func (g *Gatherer) begin() error {
-	if err := g.compose(); err != nil {
+func (g *Gatherer) startComponents() error {
+	if err := g.buildEngine(); err != nil {
 		return err
 	}
 	door := "off"
-	if g.operator != "" {
-		l, err := net.Listen("tcp", g.operator)
+	if g.adminListen != "" {
+		l, err := net.Listen("tcp", g.adminListen)
 		if err != nil {
 			return fmt.Errorf("operator: %w", err)
 		}
-		g.door = transport.NewDoor(l, desk{g.duty, g.figures, g.routes, g.output, g.engine, g.view.Load, g.policy.Load}, g.logger)
-		go g.door.Serve()
+		g.admin = transport.NewDoor(l, adminProgram{g.lifecycle, g.metrics, g.routes, g.logOutput, g.engine, g.publishedFleetView.Load, g.policyNode.Load}, g.logger)
+		go g.admin.Serve()
 		door = l.Addr().String()
 	}
-	socket, err := g.socket()
+	socket, err := g.clientSocket()
 	if err != nil {
 		return fmt.Errorf("listen: %w", err)
 	}
 	if d := g.durable; d != nil && d.store != nil {
 		g.engine.Recall(d.memory)
 	}
-	g.succeed()
-	bounds := g.bounds()
+	g.takeOver()
+	bounds := g.listenerConfig()
 	g.mu.Lock()
 	g.listener = transport.NewListener(socket, bounds, g.engine, g.front, g.logger)
 	g.listener.Standby(g.onStandby)
 	g.mu.Unlock()
 	go g.engine.Run()
-	g.inForce.Store(g.op)
-	if err := g.agree(); err != nil {
+	g.currentFile.Store(g.file)
+	if err := g.openPolicyNode(); err != nil {
 		return err
 	}
-	if g.beside != nil {
-		go g.beside.Run()
+	if g.siblings != nil {
+		go g.siblings.Run()
 	}
 	if d := g.durable; d != nil && d.store != nil {
-		d.start(g.engine, g.place)
+		d.start(g.engine, g.currentLayout)
 	}
-	g.follow()
-	g.followLayout()
+	g.startWatcher()
+	g.startRoutes()
 	if g.vrrp != nil {
-		g.virtual = &service{clock: g.clock, config: *g.vrrp, engine: g.engine, log: g.logger}
+		g.virtual = &virtualService{clock: g.clock, config: *g.vrrp, engine: g.engine, log: g.logger}
 		g.virtual.reconfigure(bounds, g.front)
-		if err := g.compete(); err != nil && g.others == 0 {
+		if err := g.competeForAddress(); err != nil && g.siblingSockets == 0 {
 			return err
 		}
 	}
-	go func() { g.served <- g.listener.Serve() }()
-	if err := g.meet(); err != nil {
+	go func() { g.listenerEnded <- g.listener.Serve() }()
+	if err := g.joinFleet(); err != nil {
 		return err
 	}
-	g.duty.Begin()
-	g.clients, g.operators = socket.Addr().String(), door
+	g.lifecycle.MarkStarted()
+	g.clientAddress, g.adminAddress = socket.Addr().String(), door
 	logging.Info(g.logger, logging.Start, "name", g.name, "listen", socket.Addr(), "operator", door, "servers", len(g.fleet.Servers))
 	return nil
 }
 
 // compete takes part in VRRP's election, or on standby does not. Guards a successor against ending because the process
 // that it replaces still holds the router's address: it tries again whenever it hears of that one, or of its end.
-func (g *Gatherer) compete() error {
+func (g *Gatherer) competeForAddress() error {
 	if g.virtual == nil {
 		return nil
 	}
-	err := g.virtual.compete(!g.standsBy())
-	if err != nil && !g.waits {
+	err := g.virtual.compete(!g.isStandby())
+	if err != nil && !g.electionPending {
 		logging.Error(g.logger, logging.Vrrp, "error", err)
 	}
-	g.waits = err != nil
+	g.electionPending = err != nil
 	return err
 }
 
 // stand carries an operator's word out; the main goroutine looks after the virtual address.
-func (g *Gatherer) stand(standby bool) {
+func (g *Gatherer) applyStandby(standby bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.onStandby = standby
@@ -292,34 +292,34 @@
 	}
 	logging.Info(g.logger, logging.Duty, "standby", standby)
 	select {
-	case g.turn <- struct{}{}:
+	case g.standbyChanged <- struct{}{}:
 	default:
 	}
 }
 
-func (g *Gatherer) standsBy() bool {
+func (g *Gatherer) isStandby() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.onStandby
 }
 
 // compose makes the module, the core round it and their engine.
-func (g *Gatherer) compose() error {
+func (g *Gatherer) buildEngine() error {
 	module, err := sq.New(g.settings.Module, g.seed)
 	if err != nil {
 		return fmt.Errorf("configuration: settings: %w", err)
 	}
-	g.engine = transport.NewEngine(g.clock, core.New(g.terms(), module), g.pool(), g.dialect, g.figures, g.logger)
+	g.engine = transport.NewEngine(g.clock, core.New(g.coreTerms(), module), g.poolConfig(), g.dialect, g.metrics, g.logger)
 	g.engine.Contracts(g.contracts)
 	g.engine.Fleet(g.fleet, g.addresses)
-	if g.watch != nil {
-		g.watcher = g.watch(g.engine)
+	if g.newWatcher != nil {
+		g.watcher = g.newWatcher(g.engine)
 		g.engine.Watch, g.engine.Fetch = g.watcher.Begin, g.watcher.Begin
 	}
 	if g.layout != nil {
 		cfg := transport.RoutesConfig{Directory: g.layout.Directory, Stall: g.layout.Stall}
-		g.routes, err = transport.NewRoutes(cfg, g.durable.latest(g.layout.Whole, g.serverIDs()), g.serverIDs(), g.clock, g.place, g.engine.Layout,
-			g.figures.Routes, g.logger)
+		g.routes, err = transport.NewRoutes(cfg, g.durable.newestLayout(g.layout.Whole, g.serverIDs()), g.serverIDs(), g.clock, g.currentLayout, g.engine.Layout,
+			g.metrics.LayoutCounts, g.logger)
 		if err != nil {
 			return fmt.Errorf("configuration: %w", err)
 		}
@@ -329,20 +329,20 @@
 }
 
 // desk is what the operators' door reaches.
-type desk struct {
-	*adminapi.Duty
-	*adminapi.Figures
+type adminProgram struct {
+	*adminapi.Lifecycle
+	*adminapi.Metrics
 	routes *transport.Routes
 	output *logging.Output
 	engine *transport.Engine
 	// members is the view of the fleet; nil before it is opened, or where there is none.
-	members func() *members
-	policy  func() *peering.PolicyNode // nil where there is none
+	fleetView  func() *fleetView
+	policyNode func() *peering.PolicyNode // nil where there is none
 }
 
 // Contracts appends how each team stands, a line each; nil where there are no contracts.
-func (d desk) Contracts(dst []byte) []byte {
-	for _, a := range d.engine.Accounts(mostAccounts) {
+func (d adminProgram) Contracts(dst []byte) []byte {
+	for _, a := range d.engine.Accounts(maxListedTeams) {
 		dst = fmt.Appendf(dst, "team %s share=%.4f queued=%d out=%d asked=%d started=%d waited=%d ahead=%d full=%d class=%d expired=%d predicted_us=%.0f took_us=%.0f lent_us=%.0f attempts=%d budget=%.2f limit=%d ratio=%.3f\n",
 			a.Team, a.Fraction, a.Queued, a.Out, a.Requested, a.Started, a.Queued, a.RejectedBacklog, a.RejectedQueueFull, a.RejectedClass, a.Expired, a.Predicted, a.Consumed, a.Borrowed, a.Attempts, a.Budget, a.Limit, a.Ratio)
 	}
@@ -350,10 +350,10 @@
 }
 
 // mostAccounts bounds the teams that are told of.
-const mostAccounts = 1000
+const maxListedTeams = 1000
 
 // Log changes what is logged.
-func (d desk) Log(level string) error {
+func (d adminProgram) SetLogLevel(level string) error {
 	if d.output == nil {
 		return errors.New("this program's log can't be changed")
 	}
@@ -361,7 +361,7 @@
 }
 
 // Layout appends how the layout stands; nil where there is none.
-func (d desk) Layout(dst []byte) []byte {
+func (d adminProgram) Layout(dst []byte) []byte {
 	if d.routes == nil {
 		return nil
 	}
@@ -370,11 +370,11 @@
 
 // applyLog has the log written as the file says.
 func (p Plan) applyLog() error {
-	if p.output == nil {
+	if p.logOutput == nil {
 		return nil
 	}
-	p.output.Format(cmp.Or(p.log.Format, "text"))
-	return p.output.Level(cmp.Or(p.log.Level, "info"))
+	p.logOutput.Format(cmp.Or(p.logConfig.Format, "text"))
+	return p.logOutput.Level(cmp.Or(p.logConfig.Level, "info"))
 }
 
 func (p Plan) serverIDs() []sq.ServerID {
@@ -387,7 +387,7 @@
 
 // followLayout begins to follow the layout. The directory's own word is waited for, a second at most: until it is in, the file's
 // layout may be old, and servers turn away what it misplaces.
-func (g *Gatherer) followLayout() {
+func (g *Gatherer) startRoutes() {
 	if g.routes == nil {
 		return
 	}
@@ -395,27 +395,27 @@
 	if g.layout.Directory == "" {
 		return
 	}
-	t := time.NewTimer(firstList)
+	t := time.NewTimer(firstListTimeout)
 	defer t.Stop()
 	select {
 	case <-g.routes.Heard():
 	case <-t.C:
-		logging.Warn(g.logger, logging.Start, "layout", "given", "waited", firstList)
+		logging.Warn(g.logger, logging.Start, "layout", "given", "waited", firstListTimeout)
 	}
 }
 
 // terms is what the core holds to, by the settings in force.
-func (g *Gatherer) terms() core.Config {
+func (g *Gatherer) coreTerms() core.Config {
 	set := g.settings
 	for _, c := range set.Module.Classes {
-		g.figures.Know(c.Name)
+		g.metrics.RegisterClasses(c.Name)
 	}
 	budgets := g.budgets
-	if g.parts != nil && g.contracts != nil {
-		budgets = g.parts.budgets(g.clock.Now(), budgets, g.contracts)
+	if g.quotas != nil && g.contracts != nil {
+		budgets = g.quotas.divideBudgets(g.clock.Now(), budgets, g.contracts)
 	}
 	held := int64(0)
-	if g.watch == nil { // searches: their answers are of any size
+	if g.newWatcher == nil { // searches: their answers are of any size
 		held = int64(g.memoryMB) << 20 / 4
 	}
 	return core.Config{
@@ -426,35 +426,37 @@
 	}
 }
 
-func (g *Gatherer) pool() transport.PoolConfig {
+func (g *Gatherer) poolConfig() transport.PoolConfig {
 	return transport.PoolConfig{
 		ConnectTimeout: g.settings.ConnectTimeout, IdleClose: g.settings.IdleClose,
-		MaxConns: g.serverConns(),
+		MaxConns: g.maxServerConns(),
 	}
 }
 
 // sockets is how many descriptors this process may hold: what the other one of this gatherer holds is missing here.
-func (g *Gatherer) sockets() int { return max(g.Plan.sockets-g.others, 3*ownSockets) }
+func (g *Gatherer) availableSockets() int {
+	return max(g.Plan.maxSockets-g.siblingSockets, 3*reservedSockets)
+}
 
 // smallSockets is the most descriptors of a machine by whose size the shares below were found: more than that is for servers, since what a
 // gatherer needs for clients grows with its traffic and not with the fleet.
-const smallSockets = 1024
+const smallMachineSockets = 1024
 
 // serverConns is how many of them connections to servers may hold. Guards a gatherer before thousands of servers against a query that asks
 // more of them than it may reach at a time: what finds no connection is refused, so that such a query is never whole.
-func (g *Gatherer) serverConns() int {
-	return min(192, g.sockets()/3) + max(0, g.sockets()-smallSockets)
+func (g *Gatherer) maxServerConns() int {
+	return min(192, g.availableSockets()/3) + max(0, g.availableSockets()-smallMachineSockets)
 }
 
 // bounds is what one listener may hold. Clients must never take the descriptors that servers, discovery and
 // operators need.
-func (g *Gatherer) bounds() transport.ListenerConfig {
+func (g *Gatherer) listenerConfig() transport.ListenerConfig {
 	b := transport.ListenerConfig{
-		MaxConns: g.sockets() - g.serverConns() - ownSockets, Enough: min(g.sockets(), smallSockets) / 4,
+		MaxConns: g.availableSockets() - g.maxServerConns() - reservedSockets, Enough: min(g.availableSockets(), smallMachineSockets) / 4,
 		Idle: 15 * time.Second, First: 2500 * time.Millisecond, Slow: 2500 * time.Millisecond,
 		MaxHeld: int64(g.memoryMB) << 20 / 8,
 	}
-	if g.operator != "" {
+	if g.adminListen != "" {
 		b.MaxConns -= transport.DoorSockets
 	}
 	if l := g.settings.Module.Limits; l.RetryAfter {
@@ -468,11 +470,11 @@
 }
 
 // socket is the clients' listening socket: the one that was passed, of which this process has a copy, or a new one.
-func (g *Gatherer) socket() (net.Listener, error) {
-	if g.passed > 0 {
-		file := os.NewFile(uintptr(g.passed), "clients")
+func (g *Gatherer) clientSocket() (net.Listener, error) {
+	if g.passedSocket > 0 {
+		file := os.NewFile(uintptr(g.passedSocket), "clients")
 		if file == nil {
-			return nil, fmt.Errorf("descriptor %d is not open", g.passed)
+			return nil, fmt.Errorf("descriptor %d is not open", g.passedSocket)
 		}
 		defer file.Close() // FileListener has made a copy of its own
 		return net.FileListener(file)
@@ -483,17 +485,17 @@
 }
 
 // succeed takes over what the process that this one replaces has told, where there is one, and tells in turn.
-func (g *Gatherer) succeed() {
-	if g.passed == 0 || g.shared == "" {
+func (g *Gatherer) takeOver() {
+	if g.passedSocket == 0 || g.sharedDirectory == "" {
 		return
 	}
-	g.beside = transport.NewBeside(g.shared, g.name, g.clock, g.standing, func(others []handover.State) {
+	g.siblings = transport.NewBeside(g.sharedDirectory, g.name, g.clock, g.handoverState, func(others []handover.State) {
 		select {
-		case g.met <- others:
+		case g.siblingStates <- others:
 		default: // the main goroutine has not got to the last ones; there is word again soon
 		}
 	}, g.logger)
-	others := g.beside.Others()
+	others := g.siblings.Others()
 	from, ok := handover.Newest(others)
 	if !ok {
 		return
@@ -502,9 +504,9 @@
 	if list, err := platform.ParseList(from.List); err == nil && g.watcher != nil && from.Discovery == g.discovery {
 		g.engine.Fleet(sq.FleetChanged{Kind: sq.FleetCached, Servers: list.Servers}, list.Addresses)
 	}
-	g.share(others)
+	g.adjustToSiblings(others)
 	if from.Standby {
-		if err := g.duty.Standby(); err != nil {
+		if err := g.lifecycle.Standby(); err != nil {
 			logging.Error(g.logger, logging.Duty, "error", err)
 		}
 	}
@@ -512,7 +514,7 @@
 }
 
 // standing is how this process stands.
-func (g *Gatherer) standing() (handover.State, bool) {
+func (g *Gatherer) handoverState() (handover.State, bool) {
 	s, ok := g.engine.Standing()
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -520,7 +522,7 @@
 		return s, false
 	}
 	s.Standby = g.onStandby
-	s.Sockets += g.listener.Conns() + ownSockets + transport.DoorSockets
+	s.Sockets += g.listener.Conns() + reservedSockets + transport.DoorSockets
 	if g.watcher != nil {
 		s.List, s.Generation, s.Discovery = g.watcher.Held()
 	}
@@ -528,104 +530,104 @@
 }
 
 // share has rules and limits count what the other processes of this gatherer hold.
-func (g *Gatherer) share(others []handover.State) {
+func (g *Gatherer) adjustToSiblings(others []handover.State) {
 	held := 0
 	for _, o := range others {
 		held += o.Sockets
 	}
-	if held == 0 && g.others == 0 {
+	if held == 0 && g.siblingSockets == 0 {
 		return
 	}
-	g.others = held
+	g.siblingSockets = held
 	limit := int64(g.memoryMB) << 20 * 3 / 4
 	if held > 0 {
 		limit /= 2
 	}
 	debug.SetMemoryLimit(limit)
-	g.engine.Beside(others, g.serverConns())
+	g.engine.Beside(others, g.maxServerConns())
 	if g.listener != nil {
-		g.listener.Reconfigure(g.bounds(), g.front)
+		g.listener.Reconfigure(g.listenerConfig(), g.front)
 	}
 }
 
 // follow begins to follow discovery. A successor first has the whole list, or has waited for it: until then the
 // process that it replaces serves, with a list that is up to date.
-func (g *Gatherer) follow() {
+func (g *Gatherer) startWatcher() {
 	if g.watcher == nil {
 		return
 	}
-	if g.passed == 0 {
+	if g.passedSocket == 0 {
 		go g.watcher.Run()
 		return
 	}
 	g.watcher.Afresh()
 	go g.watcher.Run()
-	t := time.NewTimer(firstList)
+	t := time.NewTimer(firstListTimeout)
 	defer t.Stop()
 	select {
 	case <-g.watcher.Heard():
 	case <-t.C:
-		logging.Warn(g.logger, logging.Start, "list", "given", "waited", firstList)
+		logging.Warn(g.logger, logging.Start, "list", "given", "waited", firstListTimeout)
 	}
 }
 
 // retune reads the file once more and, where all of it can be used, puts it in force. Addresses to listen at, the name
 // and VRRP stay as they were at the start.
-func (g *Gatherer) retune() {
-	now, err := g.again()
+func (g *Gatherer) reloadFile() {
+	now, err := g.rereadFile()
 	if err == nil {
-		err = g.enforce(now)
+		err = g.apply(now)
 	}
 	if err != nil {
-		g.figures.CfgFaulty.Add(1)
+		g.metrics.ConfigRejected.Add(1)
 		logging.Error(g.logger, logging.Reload, "kept", "old", "error", err)
 		return
 	}
-	g.figures.CfgTaken.Add(1)
+	g.metrics.ConfigAccepted.Add(1)
 	logging.Info(g.logger, logging.Reload, "classes", len(g.settings.Module.Classes), "discovery", g.discovery, "servers", len(g.fleet.Servers))
 }
 
 // enforce puts another plan in force, whole; after an error nothing has changed.
-func (g *Gatherer) enforce(now Plan) error {
+func (g *Gatherer) apply(now Plan) error {
 	if g.routes != nil {
 		if err := g.routes.File(now.layout.Whole, now.serverIDs(), false); err != nil {
 			return err
 		}
 	}
-	if now.listen != g.listen || now.operator != g.operator {
+	if now.listen != g.listen || now.adminListen != g.adminListen {
 		logging.Warn(g.logger, logging.Reload, "note", "listen and operator take a restart")
 	}
 	if now.adopt != nil {
 		now.adopt()
 	}
-	now.name, now.listen, now.operator, now.vrrp, now.passed, now.shared, now.seed = g.name, g.listen, g.operator, g.vrrp,
-		g.passed, g.shared, g.seed
-	now.output = g.output
-	if now.log != g.Plan.log { // what an operator set at the door stays otherwise
+	now.name, now.listen, now.adminListen, now.vrrp, now.passedSocket, now.sharedDirectory, now.seed = g.name, g.listen, g.adminListen, g.vrrp,
+		g.passedSocket, g.sharedDirectory, g.seed
+	now.logOutput = g.logOutput
+	if now.logConfig != g.Plan.logConfig { // what an operator set at the door stays otherwise
 		if err := now.applyLog(); err != nil {
 			logging.Error(g.logger, logging.Reload, "error", err)
 		}
 	}
 	g.Plan = now
 	debug.SetMemoryLimit(int64(g.memoryMB) << 20 * 3 / 4)
-	g.engine.Reconfigure(g.terms(), g.module(), g.pool(), g.dialect)
-	g.engine.Contracts(g.shares())
-	g.listener.Reconfigure(g.bounds(), g.front)
+	g.engine.Reconfigure(g.coreTerms(), g.moduleSettings(), g.poolConfig(), g.dialect)
+	g.engine.Contracts(g.dividedContracts())
+	g.listener.Reconfigure(g.listenerConfig(), g.front)
 	if g.virtual != nil {
-		g.virtual.reconfigure(g.bounds(), g.front)
+		g.virtual.reconfigure(g.listenerConfig(), g.front)
 	}
 	if g.watcher != nil {
 		g.watcher.Move(g.discovery)
 	} else {
-		g.settle()
+		g.applyFileServers()
 	}
-	g.inForce.Store(g.op)
+	g.currentFile.Store(g.file)
 	return nil
 }
 
 // settle has the file's servers and layout in force. New servers come before the layout that names them, and those that are
 // gone leave after the one that no longer does, so that no range is without holders in between.
-func (g *Gatherer) settle() {
+func (g *Gatherer) applyFileServers() {
 	if g.routes != nil {
 		g.engine.Fleet(sq.FleetChanged{Kind: sq.FleetDelta, Servers: g.fleet.Servers}, g.addresses)
 		if err := g.routes.File(g.layout.Whole, g.serverIDs(), true); err != nil { // the directory has just said otherwise
@@ -640,14 +642,14 @@
 
 // end leaves: it goes on serving until nothing comes in any more, takes in what waits to be accepted, and ends once the last
 // connection has. With a passed socket it accepts nothing more from the beginning.
-func (g *Gatherer) end() {
-	g.duty.Leave(g.passed > 0)
-	g.fleetView.change(g.facts)
+func (g *Gatherer) shutDown() {
+	g.lifecycle.MarkLeaving(g.passedSocket > 0)
+	g.fleetView.updateMetadata(g.fleetMetadata)
 	if g.virtual != nil {
 		g.virtual.leave()
 	}
-	if g.passed > 0 {
-		g.listener.HandOver(g.others > 0)
+	if g.passedSocket > 0 {
+		g.listener.HandOver(g.siblingSockets > 0)
 	} else {
 		g.listener.Leave()
 	}
@@ -655,25 +657,25 @@
 	empty := func() bool { return g.listener.Conns() == 0 && (g.virtual == nil || g.virtual.conns() == 0) }
 	logging.Info(g.logger, logging.Leaving, "held", g.engine.Held())
 	since := g.clock.Now()
-	killed := since + g.lifeAfterTerm()
-	lastEntry := time.NewTimer(fullTime)
+	killed := since + g.answerTimeAfterStop()
+	lastEntry := time.NewTimer(fullTimeAfterStop)
 	defer lastEntry.Stop()
 	tick := time.NewTicker(50 * time.Millisecond)
 	defer tick.Stop()
 	for served, closing := false, false; ; {
-		switch turn, _ := g.attend(tick.C, lastEntry.C); turn {
-		case lastCome:
+		switch turn, _ := g.handleNext(tick.C, lastEntry.C); turn {
+		case eventGraceOver:
 			g.engine.EndBy(killed)
 			continue
-		case acceptEnded: // what it accepted last is among the connections now
+		case eventListenerEnded: // what it accepted last is among the connections now
 			served = true
 			continue
-		case settled:
+		case eventHandled:
 			continue
 		}
 		now := g.clock.Now()
 		switch {
-		case !served && !closing && g.passed == 0 && now-since >= quiet && still(now-quiet):
+		case !served && !closing && g.passedSocket == 0 && now-since >= quietPeriod && still(now-quietPeriod):
 			g.listener.LastCalls()
 			closing = true
 			continue
@@ -682,9 +684,9 @@
 		}
 		break
 	}
-	g.fleetView.part()
-	if g.beside != nil {
-		g.beside.Stop()
+	g.fleetView.leave()
+	if g.siblings != nil {
+		g.siblings.Stop()
 	}
 	g.listener.Close()
 	if g.virtual != nil {
@@ -696,32 +698,32 @@
 	if g.routes != nil {
 		g.routes.Stop()
 	}
-	close(g.deaf) // before it waits for who may be waiting for this goroutine
-	if p := g.policy.Load(); p != nil {
+	close(g.loopStopped) // before it waits for who may be waiting for this goroutine
+	if p := g.policyNode.Load(); p != nil {
 		p.Stop()
 	}
 	g.durable.close()
 	g.engine.Stop()
-	if g.door != nil {
-		g.door.Close()
+	if g.admin != nil {
+		g.admin.Close()
 	}
 	logging.Info(g.logger, logging.Stopped)
 }
 
 const (
 	// fullTime is how long after SIGTERM a query still gets all of its time, in which the platform lets it end.
-	fullTime = 600 * time.Millisecond
+	fullTimeAfterStop = 600 * time.Millisecond
 	// The platform kills a process so long after SIGTERM, and the longest deadline, as far as that is not over mostAwaited, later.
-	killedAfter = 700_000
-	mostAwaited = 3_000_000
-	killMargin  = 250_000 // an answer takes this long at most from its decision to its last byte
+	killDelay          = 700_000
+	maxDeadlineAwaited = 3_000_000
+	killMargin         = 250_000 // an answer takes this long at most from its decision to its last byte
 )
 
 // lifeAfterTerm is how long after SIGTERM answers still leave for certain, in microseconds.
-func (g *Gatherer) lifeAfterTerm() int64 {
+func (g *Gatherer) answerTimeAfterStop() int64 {
 	longest := int64(0)
 	for _, c := range g.settings.Module.Classes {
 		longest = max(longest, c.HardLimit)
 	}
-	return min(longest, mostAwaited) + killedAfter - killMargin
+	return min(longest, maxDeadlineAwaited) + killDelay - killMargin
 }
--- a/internal/broker/server/golden_test.go
+++ b/internal/broker/server/golden_test.go
@@ -43,7 +43,7 @@
 	want, err := os.ReadFile(path)
 	is.NoErr(err)
 	is.Equal(got, string(want))
-	is.Equal(host.own.void, []string{"hard/3"}) // a vote by another id
+	is.Equal(host.regional.obsolete, []string{"hard/3"}) // a vote by another id
 }
 
 func openGoldenStore(t *testing.T, folder string) *recordlog.Store {
@@ -66,7 +66,7 @@
 	s := openGoldenStore(t, folder)
 	defer s.Close()
 	host := newPolicyHost(nil, s)
-	is.NoErr(write(s, recordlog.Record{Kind: recordlog.Rollout, Key: keyIdentity, Value: []byte{0, 0, 0, 0, 0, 0, 1, 1}}))
+	is.NoErr(writeRecords(s, recordlog.Record{Kind: recordlog.Rollout, Key: keyIdentity, Value: []byte{0, 0, 0, 0, 0, 0, 1, 1}}))
 	member := &wire.Member{Name: "g1", Address: "10.0.0.1:7100", Id: 4, Identity: 257, Region: "west", Global: true}
 	document := &wire.Document{Number: 2, Hash: []byte{1, 2, 3}, Text: []byte(`{"settings":{}}`), Keep: true, Parts: []*wire.Part{{Region: "west", Ppm: 600_000}}}
 	is.NoErr(host.Roster(&wire.State{Members: []*wire.Member{member}, MembersIndex: 6}))
@@ -87,7 +87,7 @@
 			Metadata: &pb.SnapshotMetadata{Index: proto.Uint64(2), Term: proto.Uint64(1), ConfState: &pb.ConfState{Voters: []uint64{4, 6}}},
 		}}))
 	}
-	is.NoErr(keep(s, keyHard+"/3", hard(1, 3, 0)))
+	is.NoErr(writeMessage(s, keyHard+"/3", hard(1, 3, 0)))
 }
 
 func hard(term, vote, commit uint64) *pb.HardState {
--- a/internal/broker/server/sockets_test.go
+++ b/internal/broker/server/limits_test.go
@@ -12,9 +12,9 @@
 		{4096, 3264, 800, 256},
 		{8192, 7360, 800, 256},
 	} {
-		g := &Gatherer{Plan: Plan{sockets: c.sockets}}
-		b := g.bounds()
-		if got := g.serverConns(); got != c.servers || b.MaxConns != c.clients || b.Enough != c.enough {
+		g := &Gatherer{Plan: Plan{maxSockets: c.sockets}}
+		b := g.listenerConfig()
+		if got := g.maxServerConns(); got != c.servers || b.MaxConns != c.clients || b.Enough != c.enough {
 			t.Errorf("%d descriptors: %d for servers, %d for clients, who keep %d; want %d, %d, %d", c.sockets, got, b.MaxConns, b.Enough, c.servers,
 				c.clients, c.enough)
 		}
--- a/internal/broker/server/plan.go
+++ b/internal/broker/server/plan.go
@@ -23,56 +23,56 @@
 )
 
 const (
-	margin     = 10_000      // microseconds taken off a client's time, which counts from its send
-	ownSockets = 32          // descriptors kept for discovery, VRRP, listeners and the process itself; the door has its own
-	quiet      = 1_000_000   // arrivals must have ceased for so long before an exit, in microseconds
-	firstList  = time.Second // that a successor waits for the whole list of servers
+	clientMargin     = 10_000      // microseconds taken off a client's time, which counts from its send
+	reservedSockets  = 32          // descriptors kept for discovery, VRRP, listeners and the process itself; the door has its own
+	quietPeriod      = 1_000_000   // arrivals must have ceased for so long before an exit, in microseconds
+	firstListTimeout = time.Second // that a successor waits for the whole list of servers
 )
 
 // Plan is what the two ways of setting the program up come down to.
 type Plan struct {
-	name, listen      string
-	seed              uint64
-	sockets, memoryMB int
-	settings          config.Settings
-	budgets           map[string]core.Budget
-	front             transport.Front
-	dialect           core.Dialect
-	partsPerCall      int
-	fleet             sq.FleetChanged
-	addresses         map[sq.ServerID]string
-	watch             func(*transport.Engine) *transport.Watcher // nil: the list of servers is fixed
-	vrrp              *config.VRRP                               // nil: off
-	operator          string                                     // where operators call; empty: no door
-	passed            int                                        // descriptor of the clients' socket; 0: it is opened here
-	shared            string                                     // directory shared with a process that is replaced
-	discovery         string
-	layout            *config.Layout                       // nil: shards are where the settings say, for good
-	cursors           *atomic.Pointer[pagination.Registry] // of points in time; nil: there are none
-	place             *layout.Current                      // what the front plans by, where there is a layout
-	adopt             func()                               // has what this plan made for itself in force; nil: nothing
-	again             func() (Plan, error)                 // reads the file once more
-	durable           *durable                             // what outlasts the process; nil: nothing
-	log               config.Log                           // how lines are written
-	contracts         *admission.Config                    // nil: there are none
-	fleetFile         *config.Fleet                        // nil: it knows of no other gatherers
-	rollout           *config.Rollout                      // nil: the file alone has the policy
-	op                *config.Operator                     // the file; nil on the platform
-	held              *standing                            // what the search front holds; nil on the platform
-	output            *logging.Output                      // what they go through; nil: it can't be changed
+	name, listen         string
+	seed                 uint64
+	maxSockets, memoryMB int
+	settings             config.Settings
+	budgets              map[string]core.Budget
+	front                transport.Front
+	dialect              core.Dialect
+	partsPerCall         int
+	fleet                sq.FleetChanged
+	addresses            map[sq.ServerID]string
+	newWatcher           func(*transport.Engine) *transport.Watcher // nil: the list of servers is fixed
+	vrrp                 *config.VRRP                               // nil: off
+	adminListen          string                                     // where operators call; empty: no door
+	passedSocket         int                                        // descriptor of the clients' socket; 0: it is opened here
+	sharedDirectory      string                                     // directory shared with a process that is replaced
+	discovery            string
+	layout               *config.Layout                       // nil: shards are where the settings say, for good
+	cursors              *atomic.Pointer[pagination.Registry] // of points in time; nil: there are none
+	currentLayout        *layout.Current                      // what the front plans by, where there is a layout
+	adopt                func()                               // has what this plan made for itself in force; nil: nothing
+	rereadFile           func() (Plan, error)                 // reads the file once more
+	durable              *durableState                        // what outlasts the process; nil: nothing
+	logConfig            config.Log                           // how lines are written
+	contracts            *admission.Config                    // nil: there are none
+	fleetFile            *config.Fleet                        // nil: it knows of no other gatherers
+	rollout              *config.Rollout                      // nil: the file alone has the policy
+	file                 *config.Operator                     // the file; nil on the platform
+	search               *searchState                         // what the search front holds; nil on the platform
+	logOutput            *logging.Output                      // what they go through; nil: it can't be changed
 }
 
 // readStable reads a file that may be written meanwhile.
 func readStable(path string) ([]byte, error) { return config.ReadStable(path, os.ReadFile) }
 
 // Load reads what the environment names: the process's own settings, and the platform's file or the operator's.
-func Load(logger *slog.Logger) (Plan, error) {
+func LoadPlan(logger *slog.Logger) (Plan, error) {
 	process, err := config.LoadProcess(os.Getenv)
 	if err != nil {
 		return Plan{}, err
 	}
 	p, err := loadFile(logger)
-	p.passed, p.shared = process.PassedSocket, process.Shared
+	p.passedSocket, p.sharedDirectory = process.PassedSocket, process.Shared
 	return p, err
 }
 
@@ -82,73 +82,73 @@
 		return Plan{}, err
 	}
 	if ok {
-		p, err := Search(op, logger)
+		p, err := SearchPlan(op, logger)
 		if err != nil {
 			return Plan{}, err
 		}
-		held := p.held
-		if text := held.durable.stored(); op.Rollout != nil && text != nil {
-			held.policy = [][]byte{text}
-			if op, _, err = config.LoadOperator(os.Getenv, readStable, held.policy...); err != nil {
+		held := p.search
+		if text := held.durable.storedPolicy(); op.Rollout != nil && text != nil {
+			held.policyTexts = [][]byte{text}
+			if op, _, err = config.LoadOperator(os.Getenv, readStable, held.policyTexts...); err != nil {
 				held.durable.close()
 				return Plan{}, fmt.Errorf("with the policy that was in force last: %w", err)
 			}
 		}
-		return searching(op, held, logger), nil
+		return buildSearchPlan(op, held, logger), nil
 	}
 	node, err := config.Load(os.Getenv, os.ReadFile)
 	if err != nil {
 		return Plan{}, err
 	}
-	return gathering(node, logger), nil
+	return platformPlan(node, logger), nil
 }
 
-func gathering(node config.Node, logger *slog.Logger) Plan {
+func platformPlan(node config.Node, logger *slog.Logger) Plan {
 	return Plan{
-		name: node.Name, listen: node.Listen, operator: node.Operator, seed: node.Seed, sockets: node.Sockets,
-		memoryMB: node.MemoryMB, settings: node.Settings, front: platform.Front{Margin: margin},
+		name: node.Name, listen: node.Listen, adminListen: node.Operator, seed: node.Seed, maxSockets: node.Sockets,
+		memoryMB: node.MemoryMB, settings: node.Settings, front: platform.Front{Margin: clientMargin},
 		dialect:      platform.Workers{PerConn: node.Settings.StreamsPerConn},
 		partsPerCall: max(1, node.Settings.Module.PartsPerCall), discovery: node.Discovery,
 		fleet: sq.FleetChanged{Kind: sq.FleetCached, Servers: node.Known}, addresses: node.Addresses,
-		watch: func(e *transport.Engine) *transport.Watcher {
+		newWatcher: func(e *transport.Engine) *transport.Watcher {
 			w := transport.NewWatcher(node.Discovery, node.Generation, node.Settings.Module.WatchMembership, e.Fleet, logger)
 			w.Spread(node.Seed)
 			return w
 		},
-		again: func() (Plan, error) {
+		rereadFile: func() (Plan, error) {
 			now, err := config.Reload(os.Getenv, os.ReadFile, node)
-			return gathering(now, logger), err
+			return platformPlan(now, logger), err
 		},
 	}
 }
 
 // Search is the plan of an operator's file that the caller has read; the file is not read again.
-func Search(op config.Operator, logger *slog.Logger) (Plan, error) {
-	held := &standing{}
+func SearchPlan(op config.Operator, logger *slog.Logger) (Plan, error) {
+	held := &searchState{}
 	if op.Store != nil {
 		var err error
 		if held.durable, err = openDurable(*op.Store, op.Name, logger); err != nil {
 			return Plan{}, err
 		}
-		held.key = held.durable.key
+		held.cursorKey = held.durable.cursorKey
 	}
-	return searching(op, held, logger), nil
+	return buildSearchPlan(op, held, logger), nil
 }
 
-func searching(op config.Operator, held *standing, logger *slog.Logger) Plan {
-	keeper := held.of(op.Cursors)
+func buildSearchPlan(op config.Operator, held *searchState, logger *slog.Logger) Plan {
+	keeper := held.cursorKeeper(op.Cursors)
 	adopt := func() {
 		if keeper != held.cursors.Load() {
-			held.durable.follow(keeper, time.Now().UnixMicro())
+			held.durable.trackCursors(keeper, time.Now().UnixMicro())
 		}
 		if held.cursors.Store(keeper); op.Cursors != nil {
-			held.by = *op.Cursors
+			held.cursorConfig = *op.Cursors
 		}
 	}
 	front := opensearch.Front{
 		Indices: op.Indices, TenantHeader: op.TenantHeader, Tenants: map[string]bool{},
-		Longest: map[string]int64{}, Margin: margin, Layout: &held.place,
-		Cursors: keeper, Nonce: nonce,
+		Longest: map[string]int64{}, Margin: clientMargin, Layout: &held.layout,
+		Cursors: keeper, Nonce: randomID,
 	}
 	for _, t := range op.Settings.Module.Tenants {
 		front.Tenants[t.Name] = true
@@ -157,51 +157,51 @@
 		front.Longest[c.Name] = c.HardLimit
 	}
 	if d := held.durable; d != nil {
-		front.Once = &opensearch.Once{Ledger: d.ledger, Header: op.Store.KeyHeader, Classes: map[string]bool{}, Without: d.store == nil}
+		front.Once = &opensearch.Once{Ledger: d.idempotency, Header: op.Store.KeyHeader, Classes: map[string]bool{}, Without: d.store == nil}
 		for _, c := range op.Settings.Module.Classes {
 			front.Once.Classes[c.Name] = c.Effect == sq.AtMostOnce
 		}
 	}
 	return Plan{
-		name: op.Name, listen: op.Listen, operator: op.Operator, seed: op.Seed, sockets: op.Sockets, memoryMB: op.MemoryMB,
+		name: op.Name, listen: op.Listen, adminListen: op.Operator, seed: op.Seed, maxSockets: op.Sockets, memoryMB: op.MemoryMB,
 		settings: op.Settings, budgets: op.Budgets, front: front, dialect: opensearch.Servers{}, partsPerCall: 1,
-		fleet: sq.FleetChanged{Kind: sq.FleetFull, Servers: op.Servers}, addresses: op.Addresses, vrrp: op.VRRP, layout: op.Layout, place: &held.place, cursors: &held.cursors, adopt: adopt,
-		durable: held.durable, log: op.Log, contracts: op.Contracts, fleetFile: op.Fleet, rollout: op.Rollout, op: &op, held: held,
-		again: func() (Plan, error) {
-			now, err := config.ReloadOperator(os.Getenv, readStable, op, held.policy...)
+		fleet: sq.FleetChanged{Kind: sq.FleetFull, Servers: op.Servers}, addresses: op.Addresses, vrrp: op.VRRP, layout: op.Layout, currentLayout: &held.layout, cursors: &held.cursors, adopt: adopt,
+		durable: held.durable, logConfig: op.Log, contracts: op.Contracts, fleetFile: op.Fleet, rollout: op.Rollout, file: &op, search: held,
+		rereadFile: func() (Plan, error) {
+			now, err := config.ReloadOperator(os.Getenv, readStable, op, held.policyTexts...)
 			if err != nil {
 				return Plan{}, err // of a file that can't be used nothing is made
 			}
-			return searching(now, held, logger), nil
+			return buildSearchPlan(now, held, logger), nil
 		},
 	}
 }
 
 // standing is what the search front holds for as long as the process runs, whatever file is in force.
-type standing struct {
-	place   layout.Current
-	key     []byte // of cursors, where no file gave one
-	cursors atomic.Pointer[pagination.Registry]
-	by      config.Cursors
-	durable *durable // nil: nothing outlasts the process
-	policy  [][]byte // the one in force, at most; the gatherer's goroutine owns it
+type searchState struct {
+	layout       layout.Current
+	cursorKey    []byte // of cursors, where no file gave one
+	cursors      atomic.Pointer[pagination.Registry]
+	cursorConfig config.Cursors
+	durable      *durableState // nil: nothing outlasts the process
+	policyTexts  [][]byte      // the one in force, at most; the gatherer's goroutine owns it
 }
 
 // of is the keeper of points in time by a file's settings; one whose settings stay keeps its cursors. Nil where there are none. It
 // changes nothing that is in force: the file may yet be turned down.
-func (s *standing) of(c *config.Cursors) *pagination.Registry {
+func (s *searchState) cursorKeeper(c *config.Cursors) *pagination.Registry {
 	if c == nil {
 		return nil
 	}
-	if s.key == nil {
-		s.key = make([]byte, 32)
-		rand.Read(s.key) // it never fails
+	if s.cursorKey == nil {
+		s.cursorKey = make([]byte, 32)
+		rand.Read(s.cursorKey) // it never fails
 	}
 	now := s.cursors.Load()
-	if now == nil || s.by.Most != c.Most || s.by.MaxKeep != c.MaxKeep || s.by.MaxAge != c.MaxAge || !bytes.Equal(s.by.Key, c.Key) {
+	if now == nil || s.cursorConfig.Most != c.Most || s.cursorConfig.MaxKeep != c.MaxKeep || s.cursorConfig.MaxAge != c.MaxAge || !bytes.Equal(s.cursorConfig.Key, c.Key) {
 		key := c.Key
 		if key == nil {
-			key = s.key
+			key = s.cursorKey
 		}
 		return pagination.NewRegistry(pagination.Config{Key: key, MaxOpen: c.Most, MaxKeepAlive: c.MaxKeep.Microseconds(), MaxAge: c.MaxAge.Microseconds()})
 	}
@@ -209,7 +209,7 @@
 }
 
 // nonce tells cursors apart.
-func nonce() uint64 {
+func randomID() uint64 {
 	var b [8]byte
 	rand.Read(b[:]) // it never fails
 	return binary.BigEndian.Uint64(b[:])
--- a/internal/broker/server/policy.go
+++ b/internal/broker/server/policy.go
@@ -20,42 +20,42 @@
 
 // policyHost is what the gatherer does for its part: it judges and puts in force as at SIGHUP, and keeps in the store what has to last.
 type policyHost struct {
-	g      *Gatherer
-	store  *recordlog.Store // the plan that holds it is the gatherer's goroutine's
-	own    *voterLog        // in the region's agreement, or the fleet's
-	global *voterLog        // in the global agreement, where there are regions
+	gatherer *Gatherer
+	store    *recordlog.Store // the plan that holds it is the gatherer's goroutine's
+	regional *voterLog        // in the region's agreement, or the fleet's
+	global   *voterLog        // in the global agreement, where there are regions
 
 	mu     sync.Mutex
-	judged judged
+	judged judgedDocument
 }
 
 func newPolicyHost(g *Gatherer, s *recordlog.Store) *policyHost {
-	return &policyHost{g: g, store: s, own: &voterLog{store: s}, global: &voterLog{store: s, prefix: ofGlobal}}
+	return &policyHost{gatherer: g, store: s, regional: &voterLog{store: s}, global: &voterLog{store: s, prefix: globalPrefix}}
 }
 
 // judged is what a document came to, so that it is not read once more while queries are held for it.
-type judged struct {
+type judgedDocument struct {
 	policy, local []byte
-	op            config.Operator
+	file          config.Operator
 }
 
 // install is a document to be put in force on the gatherer's goroutine.
-type install struct {
+type installRequest struct {
 	doc    *wire.Document
-	judged judged
+	judged judgedDocument
 	done   chan error
 }
 
 var errNoRollout = errors.New("no rollout is set up")
 
 // agree opens this gatherer's part in agreeing on versions of the policy. From here on queries are let in by its lease only.
-func (g *Gatherer) agree() error {
+func (g *Gatherer) openPolicyNode() error {
 	r := g.rollout
 	if r == nil {
 		return nil
 	}
 	switch {
-	case g.passed > 0:
+	case g.passedSocket > 0:
 		return errors.New("rollout: with a passed socket two processes would hold one lease: that is not supported yet")
 	case g.durable == nil || g.durable.store == nil:
 		return errors.New("rollout: the store is not open")
@@ -68,7 +68,7 @@
 	if err != nil {
 		return fmt.Errorf("rollout: %w", err)
 	}
-	if err := sameRegion(r, g.name, memory); err != nil {
+	if err := checkRegion(r, g.name, memory); err != nil {
 		return err
 	}
 	cfg := peering.PolicyConfig{Listen: r.Listen, Seed: g.seed, Memory: memory, Node: rollout.Config{
@@ -84,26 +84,26 @@
 	if r.Region != "" {
 		cfg.Global = h
 	}
-	g.number.Store(memory.Current.GetNumber())
+	g.policyNumber.Store(memory.Current.GetNumber())
 	if r.Share {
 		cfg.Node.DivideBudgets, cfg.Node.Slots = true, h.Slots()
-		g.parts = newParts(cfg.Node.Slots, regionPart(r, memory.Current))
-		g.engine.Contracts(g.shares())
+		g.quotas = newBudgetQuotas(cfg.Node.Slots, regionQuota(r, memory.Current))
+		g.engine.Contracts(g.dividedContracts())
 	}
-	seed(nil, &cfg.Node)
+	seedBugs(nil, &cfg.Node)
 	p, err := peering.OpenPolicyNode(cfg, g.clock.Now, h, g.logger)
 	if err != nil {
 		return err
 	}
-	g.policy.Store(p)
+	g.policyNode.Store(p)
 	return nil
 }
 
 // Save keeps a voter's log and vote.
-func (h *policyHost) Save(s *rollout.Save) error { return h.own.save(s) }
+func (h *policyHost) Save(s *rollout.Save) error { return h.regional.save(s) }
 
 // Snapshot keeps a snapshot of a voter's own.
-func (h *policyHost) Snapshot(d rollout.Disk) error { return h.own.snapshot(d) }
+func (h *policyHost) Snapshot(d rollout.Disk) error { return h.regional.snapshot(d) }
 
 // SaveGlobal keeps a voter's log and vote of the global agreement.
 func (h *policyHost) SaveGlobal(s *rollout.Save) error { return h.global.save(s) }
@@ -112,29 +112,29 @@
 func (h *policyHost) SnapshotGlobal(d rollout.Disk) error { return h.global.snapshot(d) }
 
 // Roster keeps who is there.
-func (h *policyHost) Roster(s *wire.State) error { return keep(h.store, keyRoster, s) }
+func (h *policyHost) Roster(s *wire.State) error { return writeMessage(h.store, keyRoster, s) }
 
 // Stage keeps a document that was judged good.
-func (h *policyHost) Stage(p *wire.Proposal) error { return keep(h.store, keyStaged, p) }
+func (h *policyHost) Stage(p *wire.Proposal) error { return writeMessage(h.store, keyStaged, p) }
 
 // Keep keeps the document in force.
-func (h *policyHost) Keep(d *wire.Document) error { return keep(h.store, keyCurrent, d) }
+func (h *policyHost) Keep(d *wire.Document) error { return writeMessage(h.store, keyCurrent, d) }
 
 // Judge tells what is wrong with a document in the place of the policy in force.
 func (h *policyHost) Judge(text []byte) error {
-	op := h.g.inForce.Load()
+	op := h.gatherer.currentFile.Load()
 	now, err := config.ParseOperator(op.Text, text)
 	if err != nil {
 		return err
 	}
 	h.mu.Lock()
-	h.judged = judged{text, op.Text, now}
+	h.judged = judgedDocument{text, op.Text, now}
 	h.mu.Unlock()
 	if err := op.Fits(now); err != nil {
 		return err
 	}
 	// What is open keeps its terms, but no bound may be under what it holds already.
-	if held, ok := h.g.engine.Standing(); ok && now.Settings.MaxOpen > 0 && now.Settings.MaxOpen < op.Settings.MaxOpen && int(held.Open) > now.Settings.MaxOpen {
+	if held, ok := h.gatherer.engine.Standing(); ok && now.Settings.MaxOpen > 0 && now.Settings.MaxOpen < op.Settings.MaxOpen && int(held.Open) > now.Settings.MaxOpen {
 		return fmt.Errorf("settings.permissions.max_open: %d, and %d are open here", now.Settings.MaxOpen, held.Open)
 	}
 	return nil
@@ -142,62 +142,62 @@
 
 // Install puts a document in force on the gatherer's goroutine.
 func (h *policyHost) Install(d *wire.Document) error {
-	x := install{doc: d, done: make(chan error, 1)}
+	x := installRequest{doc: d, done: make(chan error, 1)}
 	h.mu.Lock()
-	x.judged, h.judged = h.judged, judged{}
+	x.judged, h.judged = h.judged, judgedDocument{}
 	h.mu.Unlock()
 	select {
-	case h.g.installs <- x:
-	case <-h.g.deaf:
+	case h.gatherer.installs <- x:
+	case <-h.gatherer.loopStopped:
 		return peering.ErrClosed
-	case <-h.g.over:
+	case <-h.gatherer.ended:
 		return peering.ErrClosed
 	}
 	select {
 	case err := <-x.done:
 		return err
-	case <-h.g.deaf:
+	case <-h.gatherer.loopStopped:
 		return peering.ErrClosed
-	case <-h.g.over:
+	case <-h.gatherer.ended:
 		return peering.ErrClosed
 	}
 }
 
 // Slots is among how many budgets are divided, by the policy in force.
 func (h *policyHost) Slots() uint64 {
-	if c := h.g.inForce.Load().Contracts; c != nil {
+	if c := h.gatherer.currentFile.Load().Contracts; c != nil {
 		return uint64(c.Gatherers)
 	}
 	return 1
 }
 
 // Permit has the engine let in by a permit.
-func (h *policyHost) Permit(p transport.Permit) { h.g.engine.Permit(p) }
+func (h *policyHost) Permit(p transport.Permit) { h.gatherer.engine.Permit(p) }
 
 // install puts a document in force, as SIGHUP does a file.
-func (g *Gatherer) install(x install) {
+func (g *Gatherer) install(x installRequest) {
 	var err error
-	op, local := x.judged.op, g.inForce.Load().Text
+	op, local := x.judged.file, g.currentFile.Load().Text
 	if !bytes.Equal(x.judged.policy, x.doc.Text) || !bytes.Equal(x.judged.local, local) {
 		op, err = config.ParseOperator(local, x.doc.Text)
 	}
 	parted := false
 	if err == nil {
-		parted = g.parts.region(regionPart(op.Rollout, x.doc))
-		err = g.enforce(searching(op, g.held, g.logger))
+		parted = g.quotas.setRegion(regionQuota(op.Rollout, x.doc))
+		err = g.apply(buildSearchPlan(op, g.search, g.logger))
 	}
 	if err == nil {
-		g.held.policy = [][]byte{x.doc.Text}
-		g.number.Store(x.doc.Number)
-		g.fleetView.change(g.facts)
+		g.search.policyTexts = [][]byte{x.doc.Text}
+		g.policyNumber.Store(x.doc.Number)
+		g.fleetView.updateMetadata(g.fleetMetadata)
 	}
 	if x.done <- err; parted {
-		g.lookAtParts() // until it is answered this gatherer has its floor
+		g.requestQuotas() // until it is answered this gatherer has its floor
 	}
 }
 
 // stored is the policy that was in force last, by the store; nil: none.
-func (d *durable) stored() []byte {
+func (d *durableState) storedPolicy() []byte {
 	if d == nil || d.store == nil {
 		return nil
 	}
@@ -211,15 +211,15 @@
 
 // PolicyAddress is where this gatherer agrees on the policy; not valid where it does not.
 func (g *Gatherer) PolicyAddress() netip.AddrPort {
-	if p := g.policy.Load(); p != nil {
+	if p := g.policyNode.Load(); p != nil {
 		return p.Address()
 	}
 	return netip.AddrPort{}
 }
 
 // sees has the view of the fleet say who is not there, and where the others are. It only saves time: nothing is decided by it.
-func (g *Gatherer) sees(v swim.View) {
-	p := g.policy.Load()
+func (g *Gatherer) updatePolicyPeers(v swim.View) {
+	p := g.policyNode.Load()
 	if p == nil {
 		return
 	}
--- a/internal/broker/server/policy_test.go
+++ b/internal/broker/server/policy_test.go
@@ -18,7 +18,7 @@
 )
 
 // kept opens a store in directories, and what a part in agreeing on the policy has there.
-func kept(t *testing.T, dirs [2]string) (*recordlog.Store, *policyHost, rollout.PersistentState) {
+func openPolicyStore(t *testing.T, dirs [2]string) (*recordlog.Store, *policyHost, rollout.PersistentState) {
 	t.Helper()
 	var at [2]recordlog.Dir
 	for i, path := range dirs {
@@ -30,7 +30,7 @@
 	}
 	began := time.Now()
 	s, err := recordlog.Open(at, recordlog.Options{
-		ID: nonce(), Now: func() int64 { return time.Since(began).Microseconds() }, MaxRetention: 900_000_000, SegmentSize: 8 << 20,
+		ID: randomID(), Now: func() int64 { return time.Since(began).Microseconds() }, MaxRetention: 900_000_000, SegmentSize: 8 << 20,
 		CleanEvery: time.Second, ScrubEvery: time.Hour, Log: slog.New(slog.DiscardHandler),
 	}, true)
 	if err != nil {
@@ -50,7 +50,7 @@
 // A log of 10,000 changes that nothing has cut is read again in a moment, and comes to the same; what lies there of another id is void.
 func TestRecall(t *testing.T) {
 	dirs := [2]string{t.TempDir(), t.TempDir()}
-	s, h, m := kept(t, dirs)
+	s, h, m := openPolicyStore(t, dirs)
 	if m.Identity == 0 || m.Disk.ID != 0 {
 		t.Fatalf("a new disk: %+v", m)
 	}
@@ -91,7 +91,7 @@
 	}
 	s.Close()
 	began := time.Now()
-	s, h, m = kept(t, dirs)
+	s, h, m = openPolicyStore(t, dirs)
 	if n, err = rollout.New(cfg, 1, rand.New(rand.NewPCG(1, 1)), m); err != nil {
 		t.Fatal(err)
 	}
@@ -110,7 +110,7 @@
 		t.Fatal(err)
 	}
 	s.Close()
-	s, _, again := kept(t, dirs)
+	s, _, again := openPolicyStore(t, dirs)
 	defer s.Close()
 	if d := again.Disk; d.ID != 99 || d.Snapshot != nil || len(d.Entries) != 0 || d.HardState.GetTerm() != 7 || again.Identity != m.Identity {
 		t.Errorf("id %d, snapshot %v, %d entries, identity %x and %x", d.ID, d.Snapshot != nil, len(d.Entries), again.Identity, m.Identity)
@@ -119,10 +119,10 @@
 
 // A document that comes while the gatherer ends is not waited for: the gatherer waits for who would.
 func TestInstallAtTheEnd(t *testing.T) {
-	g := &Gatherer{installs: make(chan install), over: make(chan struct{}), deaf: make(chan struct{})}
-	close(g.deaf)
+	g := &Gatherer{installs: make(chan installRequest), ended: make(chan struct{}), loopStopped: make(chan struct{})}
+	close(g.loopStopped)
 	ended := make(chan error, 1)
-	go func() { ended <- (&policyHost{g: g}).Install(rollout.NewDocument(1, nil)) }()
+	go func() { ended <- (&policyHost{gatherer: g}).Install(rollout.NewDocument(1, nil)) }()
 	select {
 	case err := <-ended:
 		if !errors.Is(err, peering.ErrClosed) {
@@ -138,29 +138,29 @@
 func TestAnEndingGathererAttends(t *testing.T) {
 	for _, ending := range []bool{false, true} {
 		g := &Gatherer{
-			parts: newParts(3, quota.PPM), turn: make(chan struct{}, 1), late: make(chan *members, 1), term: make(chan struct{}),
-			hup: make(chan struct{}, 1),
+			quotas: newBudgetQuotas(3, quota.PPM), standbyChanged: make(chan struct{}, 1), lateFleetView: make(chan *fleetView, 1), stopRequested: make(chan struct{}),
+			reloadRequested: make(chan struct{}, 1),
 		}
-		defer g.parts.tick.Stop()
-		g.parts.asks = true
-		g.parts.told <- division{}
+		defer g.quotas.tick.Stop()
+		g.quotas.updating = true
+		g.quotas.updates <- quotaUpdate{}
 		var look chan time.Time
 		if ending {
 			look = make(chan time.Time, 1)
-			close(g.term)
-			g.turn <- struct{}{} // would have it compete again
+			close(g.stopRequested)
+			g.standbyChanged <- struct{}{} // would have it compete again
 		}
-		for end := time.Now().Add(time.Minute); g.parts.asks; {
-			if what, err := g.attend(look, nil); what != settled || err != nil || time.Now().After(end) {
+		for end := time.Now().Add(time.Minute); g.quotas.updating; {
+			if what, err := g.handleNext(look, nil); what != eventHandled || err != nil || time.Now().After(end) {
 				t.Fatalf("ending %t: turn %d, %v", ending, what, err)
 			}
 		}
 		if ending {
 			look <- time.Time{}
-			if what, _ := g.attend(look, nil); what != looked && what != settled {
+			if what, _ := g.handleNext(look, nil); what != eventCheck && what != eventHandled {
 				t.Errorf("turn %d", what)
 			}
-			if len(g.turn) != 1 {
+			if len(g.standbyChanged) != 1 {
 				t.Error("it competes although it is ending")
 			}
 		}
--- a/internal/broker/server/parts_test.go
+++ b/internal/broker/server/quotas_test.go
@@ -18,8 +18,8 @@
 
 // Over random divisions the bounds on cold servers of all gatherers come to one at most; with even parts each has its even one.
 func TestColdServersAreDivided(t *testing.T) {
-	even := newParts(4, quota.PPM)
-	even.others = quota.EvenQuota(4)
+	even := newBudgetQuotas(4, quota.PPM)
+	even.otherQuota = quota.EvenQuota(4)
 	if n := even.aggregators(tree); n != 4 {
 		t.Errorf("even parts: among %d", n)
 	}
@@ -28,11 +28,11 @@
 		left := map[string]uint32{"a": quota.PPM, "b": quota.PPM, "c": quota.PPM}
 		sum := 0.0
 		for range 4 {
-			p := newParts(4, quota.PPM)
-			p.named, p.others = map[string]uint32{}, quota.EvenQuota(4)
+			p := newBudgetQuotas(4, quota.PPM)
+			p.teamQuotas, p.otherQuota = map[string]uint32{}, quota.EvenQuota(4)
 			for team, l := range left {
 				part := uint32(rng.Float64() * float64(l))
-				p.named[team], left[team] = part, l-part
+				p.teamQuotas[team], left[team] = part, l-part
 			}
 			sum += 1 / float64(p.aggregators(tree))
 		}
@@ -48,7 +48,7 @@
 	all := map[string]core.Budget{"a": {Free: 12, Window: window}}
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 2))
-		two := []*parts{newParts(4, quota.PPM), newParts(4, quota.PPM)}
+		two := []*budgetQuotas{newBudgetQuotas(4, quota.PPM), newBudgetQuotas(4, quota.PPM)}
 		extras := [2][]float64{} // when each spent one
 		to, next := 0, int64(0)
 		for now := int64(1); now < 120_000_000; now += 250_000 {
@@ -56,11 +56,11 @@
 				to, next = 1-to, now+rng.Int64N(25_000_000)
 			}
 			for i, p := range two {
-				p.named = map[string]uint32{"a": 100_000}
+				p.teamQuotas = map[string]uint32{"a": 100_000}
 				if i == to {
-					p.named["a"] = 900_000
+					p.teamQuotas["a"] = 900_000
 				}
-				free := p.budgets(now, all, tree)["a"].Free
+				free := p.divideBudgets(now, all, tree)["a"].Free
 				recent := 0
 				for _, at := range extras[i] {
 					if at > float64(now-window) {
@@ -90,8 +90,8 @@
 }
 
 func TestDemands(t *testing.T) {
-	p := newParts(4, quota.PPM)
-	p.others = quota.EvenQuota(4)
+	p := newBudgetQuotas(4, quota.PPM)
+	p.otherQuota = quota.EvenQuota(4)
 	got := p.demands([]admission.TeamStatus{{Team: "idle", Budget: 10}, {Team: "works", Budget: 10, Out: 2}, {Team: "waits", Budget: 10, Out: 2, Queued: 3}}, 4)
 	if len(got) != 2 || got[0] != (quota.Demand{Team: "works", Want: 200_000, Used: 200_000}) || got[1].Want != 500_000 || math.Abs(float64(got[1].Used)-200_000) > 1 {
 		t.Errorf("%+v", got)
--- a/internal/broker/server/regions.go
+++ b/internal/broker/server/region_quota.go
@@ -10,7 +10,7 @@
 
 // regionPart is what this gatherer's region has of every budget under a version, in millionths: as the version says or, before any says it,
 // by its gatherers' share of the first roster among the regions that serve. All of it where there are no regions.
-func regionPart(r *config.Rollout, d *wire.Document) uint32 {
+func regionQuota(r *config.Rollout, d *wire.Document) uint32 {
 	if r == nil || r.Region == "" {
 		return quota.PPM
 	}
@@ -39,7 +39,7 @@
 }
 
 // sameRegion guards against a store that was made in another region, or without one: what it has was agreed on by others.
-func sameRegion(r *config.Rollout, name string, m rollout.PersistentState) error {
+func checkRegion(r *config.Rollout, name string, m rollout.PersistentState) error {
 	for _, x := range m.Members {
 		if x.Name == name && x.Region != r.Region {
 			return fmt.Errorf("rollout.region: %q, and the store has this gatherer in region %q: with another one it wants an empty store", r.Region, x.Region)
--- a/internal/broker/server/regions_test.go
+++ b/internal/broker/server/regions_test.go
@@ -17,7 +17,7 @@
 // snapshot, and taken away, without the other.
 func TestTwoVotesAreKeptApart(t *testing.T) {
 	dirs := [2]string{t.TempDir(), t.TempDir()}
-	s, h, _ := kept(t, dirs)
+	s, h, _ := openPolicyStore(t, dirs)
 	entry := func(i uint64, data string) *pb.Entry {
 		return &pb.Entry{Index: proto.Uint64(i), Term: proto.Uint64(1), Data: []byte(data)}
 	}
@@ -40,7 +40,7 @@
 		t.Helper()
 		s.Close()
 		var m rollout.PersistentState
-		s, h, m = kept(t, dirs)
+		s, h, m = openPolicyStore(t, dirs)
 		return m
 	}
 	m := again()
@@ -66,11 +66,11 @@
 	s.Close()
 	// A store of another region, or of none, is not taken up.
 	r := &config.Rollout{Region: "oeste"}
-	if err := sameRegion(r, "a", m); err != nil {
+	if err := checkRegion(r, "a", m); err != nil {
 		t.Error(err)
 	}
 	for _, r.Region = range []string{"este", ""} {
-		if err := sameRegion(r, "a", m); err == nil || !strings.Contains(err.Error(), "empty store") {
+		if err := checkRegion(r, "a", m); err == nil || !strings.Contains(err.Error(), "empty store") {
 			t.Errorf("%q: %v", r.Region, err)
 		}
 	}
@@ -85,11 +85,11 @@
 		doc    *wire.Document
 		want   uint32
 	}{{"este", nil, 250_000}, {"oeste", nil, 750_000}, {"norte", nil, 0}, {"este", parts, 100_000}, {"norte", parts, 0}, {"", parts, quota.PPM}} {
-		if r.Region = c.region; regionPart(r, c.doc) != c.want {
-			t.Errorf("%q: %d, want %d", c.region, regionPart(r, c.doc), c.want)
+		if r.Region = c.region; regionQuota(r, c.doc) != c.want {
+			t.Errorf("%q: %d, want %d", c.region, regionQuota(r, c.doc), c.want)
 		}
 	}
-	if regionPart(nil, nil) != quota.PPM {
+	if regionQuota(nil, nil) != quota.PPM {
 		t.Error("without a rollout")
 	}
 }
@@ -104,12 +104,12 @@
 		for _, ppm := range []uint32{west, quota.PPM - west} {
 			left := map[string]uint32{"a": ppm, "b": ppm, "c": ppm}
 			for range 4 * ppm / quota.PPM {
-				p := newParts(4, ppm)
-				floors += p.floor(4)
-				p.named, p.others = map[string]uint32{}, quota.EvenQuota(4)
+				p := newBudgetQuotas(4, ppm)
+				floors += p.floorQuota(4)
+				p.teamQuotas, p.otherQuota = map[string]uint32{}, quota.EvenQuota(4)
 				for team, l := range left {
 					part := uint32(rng.Float64() * float64(l))
-					p.named[team], left[team] = part, l-part
+					p.teamQuotas[team], left[team] = part, l-part
 				}
 				sum += 1 / float64(p.aggregators(tree))
 			}
@@ -122,22 +122,22 @@
 
 // Where a region's part changes, what its gatherers were given before is void at once, also where it is told only then.
 func TestRegionPartChanges(t *testing.T) {
-	g := &Gatherer{parts: newParts(4, 500_000)}
-	defer g.parts.tick.Stop()
+	g := &Gatherer{quotas: newBudgetQuotas(4, 500_000)}
+	defer g.quotas.tick.Stop()
 	g.contracts = tree
-	p := g.parts
-	p.named, p.others = map[string]uint32{"a": 400_000}, 100_000
-	if p.region(500_000) || p.of(4)("a") != 0.4 {
-		t.Errorf("nothing has changed: %v", p.of(4)("a"))
+	p := g.quotas
+	p.teamQuotas, p.otherQuota = map[string]uint32{"a": 400_000}, 100_000
+	if p.setRegion(500_000) || p.quotaOf(4)("a") != 0.4 {
+		t.Errorf("nothing has changed: %v", p.quotaOf(4)("a"))
 	}
-	if !p.region(250_000) || p.of(4)("a") != float64(p.floor(4))/quota.PPM || p.floor(4) > quota.FloorQuota(4) {
-		t.Errorf("half as much: %v", p.of(4)("a"))
+	if !p.setRegion(250_000) || p.quotaOf(4)("a") != float64(p.floorQuota(4))/quota.PPM || p.floorQuota(4) > quota.FloorQuota(4) {
+		t.Errorf("half as much: %v", p.quotaOf(4)("a"))
 	}
-	g.redivideParts(division{slots: 4, ppm: 500_000, named: map[string]uint32{"a": 400_000}, others: 100_000, ok: true})
-	if p.named != nil || p.asks {
-		t.Errorf("what was asked before is in force: %v", p.named)
+	g.applyQuotas(quotaUpdate{slots: 4, regionPPM: 500_000, teamQuotas: map[string]uint32{"a": 400_000}, otherQuota: 100_000, ok: true})
+	if p.teamQuotas != nil || p.updating {
+		t.Errorf("what was asked before is in force: %v", p.teamQuotas)
 	}
-	if (*parts)(nil).region(1) {
+	if (*budgetQuotas)(nil).setRegion(1) {
 		t.Error("budgets that are not divided have changed")
 	}
 }
--- a/internal/broker/server/service.go
+++ b/internal/broker/server/virtual_service.go
@@ -13,7 +13,7 @@
 )
 
 // service listens at the virtual address while this gatherer is the Active router.
-type service struct {
+type virtualService struct {
 	clock  transport.Clock
 	config config.VRRP
 	engine *transport.Engine
@@ -21,19 +21,19 @@
 	router *transport.Redundancy // nil: on standby, or leaving; the main goroutine owns it
 	stop   chan struct{}         // ends the present time as Active; the router's goroutine owns it
 
-	mu        sync.Mutex
-	bounds    transport.ListenerConfig
-	front     transport.Front
-	listeners []*transport.Listener // the present one, and drained ones that may still have answers to give
+	mu             sync.Mutex
+	listenerConfig transport.ListenerConfig
+	front          transport.Front
+	listeners      []*transport.Listener // the present one, and drained ones that may still have answers to give
 }
 
 const (
-	listenAgain = 100 * time.Millisecond
-	mostDrained = 4 // then the oldest is closed
+	listenRetryInterval = 100 * time.Millisecond
+	maxDrainedListeners = 4 // then the oldest is closed
 )
 
 // compete takes part in the election, or gives the virtual address up and takes no part.
-func (s *service) compete(on bool) error {
+func (s *virtualService) compete(on bool) error {
 	if on == (s.router != nil) {
 		return nil
 	}
@@ -45,13 +45,13 @@
 	if err != nil {
 		return fmt.Errorf("vrrp: listen: %w", err)
 	}
-	s.router = transport.NewRedundancy(s.clock, s.config.Router, conn, s.config.Peers, s.become, s.log)
+	s.router = transport.NewRedundancy(s.clock, s.config.Router, conn, s.config.Peers, s.onStateChange, s.log)
 	go s.router.Run()
 	return nil
 }
 
 // become follows the router's state.
-func (s *service) become(state vrrp.State) {
+func (s *virtualService) onStateChange(state vrrp.State) {
 	if s.stop != nil {
 		close(s.stop)
 		s.stop = nil
@@ -63,7 +63,7 @@
 }
 
 // serve listens until stop. The address may still be held for a moment by the router that was Active before.
-func (s *service) serve(stop <-chan struct{}) {
+func (s *virtualService) serve(stop <-chan struct{}) {
 	for {
 		socket, err := net.Listen("tcp", s.config.Service)
 		if err == nil {
@@ -71,7 +71,7 @@
 			return
 		}
 		logging.Warn(s.log, logging.VrrpService, "address", s.config.Service, "error", err)
-		t := time.NewTimer(listenAgain)
+		t := time.NewTimer(listenRetryInterval)
 		select {
 		case <-t.C:
 		case <-stop:
@@ -81,11 +81,11 @@
 	}
 }
 
-func (s *service) run(socket net.Listener, stop <-chan struct{}) {
+func (s *virtualService) run(socket net.Listener, stop <-chan struct{}) {
 	s.mu.Lock()
-	l := transport.NewListener(socket, s.bounds, s.engine, s.front, s.log)
+	l := transport.NewListener(socket, s.listenerConfig, s.engine, s.front, s.log)
 	s.listeners = append(s.listeners, l)
-	if len(s.listeners) > mostDrained {
+	if len(s.listeners) > maxDrainedListeners {
 		s.listeners[0].Close()
 		s.listeners = s.listeners[1:]
 	}
@@ -101,17 +101,17 @@
 }
 
 // reconfigure puts other bounds and another front in force.
-func (s *service) reconfigure(bounds transport.ListenerConfig, front transport.Front) {
+func (s *virtualService) reconfigure(bounds transport.ListenerConfig, front transport.Front) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.bounds, s.front = bounds, front
+	s.listenerConfig, s.front = bounds, front
 	for _, l := range s.listeners {
 		l.Reconfigure(bounds, front)
 	}
 }
 
 // quiet tells that no listener has a request in hand, nor has had one since a time.
-func (s *service) quiet(since int64) bool {
+func (s *virtualService) quiet(since int64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, l := range s.listeners {
@@ -123,7 +123,7 @@
 }
 
 // conns is how many clients' connections are open.
-func (s *service) conns() int {
+func (s *virtualService) conns() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	n := 0
@@ -134,17 +134,17 @@
 }
 
 // leave gives the virtual address up, first of all: a peer takes over while this one still answers.
-func (s *service) leave() {
+func (s *virtualService) leave() {
 	if s.router == nil {
 		return
 	}
 	s.router.Stop()
 	s.router = nil
-	s.become(vrrp.Initialize)
+	s.onStateChange(vrrp.Initialize)
 }
 
 // close ends what is left.
-func (s *service) close() {
+func (s *virtualService) close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, l := range s.listeners {
--- a/internal/broker/server/voterlog.go
+++ b/internal/broker/server/voterlog.go
@@ -28,7 +28,7 @@
 	keySnapshot = "snapshot"
 	keyEntry    = "entry"
 
-	ofGlobal = "global-" // before met, voter and all below it: those of the vote in the global agreement
+	globalPrefix = "global-" // before met, voter and all below it: those of the vote in the global agreement
 )
 
 // voterLog is where the store has a gatherer's vote in one agreement, and the log of it. The two agreements of a gatherer in a region are
@@ -37,12 +37,12 @@
 	store  *recordlog.Store
 	prefix string // of its keys
 
-	mu    sync.Mutex
-	id    uint64   // of the voter whose entries they are
-	named bool     // that id is on disk
-	void  []string // keys of other ids
-	last  uint64   // of the entries in the store
-	low   uint64   // the first of them
+	mu       sync.Mutex
+	id       uint64   // of the voter whose entries they are
+	idStored bool     // that id is on disk
+	obsolete []string // keys of other ids
+	last     uint64   // of the entries in the store
+	first    uint64   // the first of them
 }
 
 // identify draws the identity of this disk, once, and has it there before anybody hears of it.
@@ -50,31 +50,31 @@
 	if _, known, err := h.store.Get(recordlog.Rollout, keyIdentity); known || err != nil {
 		return err
 	}
-	return write(h.store, recordlog.Record{Kind: recordlog.Rollout, Key: keyIdentity, Value: binary.BigEndian.AppendUint64(nil, nonce()|1)})
+	return writeRecords(h.store, recordlog.Record{Kind: recordlog.Rollout, Key: keyIdentity, Value: binary.BigEndian.AppendUint64(nil, randomID()|1)})
 }
 
 // recall reads what outlasted the process before.
 func (h *policyHost) recall() (m rollout.PersistentState, err error) {
-	if m.Identity, err = numberAt(h.store, keyIdentity); err != nil {
+	if m.Identity, err = readUint64(h.store, keyIdentity); err != nil {
 		return m, err
 	}
-	if m.VoterIdentities, m.Disk, err = h.own.recall(); err != nil {
+	if m.VoterIdentities, m.Disk, err = h.regional.recall(); err != nil {
 		return m, err
 	}
 	if m.Global.VoterIdentities, m.Global.Disk, err = h.global.recall(); err != nil {
 		return m, err
 	}
 	roster, current, staged := &wire.State{}, &wire.Document{}, &wire.Proposal{}
-	if _, err = load(h.store, keyRoster, roster); err != nil {
+	if _, err = readMessage(h.store, keyRoster, roster); err != nil {
 		return m, err
 	}
 	m.Members, m.MembersIndex = roster.Members, roster.MembersIndex
-	if known, err := load(h.store, keyCurrent, current); err != nil {
+	if known, err := readMessage(h.store, keyCurrent, current); err != nil {
 		return m, err
 	} else if known {
 		m.Current = current
 	}
-	if known, err := load(h.store, keyStaged, staged); err != nil {
+	if known, err := readMessage(h.store, keyStaged, staged); err != nil {
 		return m, err
 	} else if known {
 		m.Staged = staged
@@ -84,25 +84,25 @@
 
 // recall reads a vote and its log; what lies there of another id is void.
 func (l *voterLog) recall() (met map[string]uint64, disk rollout.Disk, err error) {
-	if disk.ID, err = numberAt(l.store, l.prefix+keyVoter); err != nil {
+	if disk.ID, err = readUint64(l.store, l.prefix+keyVoter); err != nil {
 		return nil, disk, err
 	}
-	l.id, l.named, l.void = disk.ID, disk.ID != 0, nil
+	l.id, l.idStored, l.obsolete = disk.ID, disk.ID != 0, nil
 	entries := map[uint64]*pb.Entry{}
 	read := func(r recordlog.Record, to proto.Message) {
-		if e := unmarshal(r, to); e != nil && err == nil {
+		if e := unmarshalRecord(r, to); e != nil && err == nil {
 			err = e
 		}
 	}
 	if e := l.store.Each(recordlog.Rollout, func(r recordlog.Record) {
 		key, ours := strings.CutPrefix(r.Key, l.prefix)
-		if !ours || l.prefix == "" && strings.HasPrefix(key, ofGlobal) {
+		if !ours || l.prefix == "" && strings.HasPrefix(key, globalPrefix) {
 			return
 		}
 		kind, rest, of := strings.Cut(key, "/")
 		id, index, _ := strings.Cut(rest, "/")
 		if of && id != strconv.FormatUint(l.id, 10) {
-			l.void = append(l.void, r.Key)
+			l.obsolete = append(l.obsolete, r.Key)
 			return
 		}
 		switch kind {
@@ -135,7 +135,7 @@
 	if disk.Snapshot != nil {
 		from = disk.Snapshot.Metadata.GetIndex()
 	}
-	l.low, l.last = from+1, from
+	l.first, l.last = from+1, from
 	for entries[l.last+1] != nil {
 		l.last++
 		disk.Entries = append(disk.Entries, entries[l.last])
@@ -147,11 +147,11 @@
 }
 
 // of is a key of this voter's.
-func (l *voterLog) of(key string) string {
+func (l *voterLog) key(key string) string {
 	return l.prefix + key + "/" + strconv.FormatUint(l.id, 10)
 }
 
-func (l *voterLog) entry(i uint64) string { return fmt.Sprintf("%s/%020d", l.of(keyEntry), i) }
+func (l *voterLog) entryKey(i uint64) string { return fmt.Sprintf("%s/%020d", l.key(keyEntry), i) }
 
 // save keeps a voter's log and vote, or whom one of the first voters has met. What a new entry makes void is taken back with it.
 func (l *voterLog) save(s *rollout.Save) error {
@@ -162,60 +162,60 @@
 		for _, name := range slices.Sorted(maps.Keys(s.VoterIdentities)) {
 			x.Met = append(x.Met, &wire.Met{Name: name, Identity: s.VoterIdentities[name]})
 		}
-		return keep(l.store, l.prefix+keyMet, x)
+		return writeMessage(l.store, l.prefix+keyMet, x)
 	}
 	var all []recordlog.Record
 	gone := func(key string) {
 		all = append(all, recordlog.Record{Kind: recordlog.Rollout, Key: key, Deleted: true})
 	}
 	if s.ID != l.id { // a vote of its own: what is there of another one is void once the id is written, which is last
-		for i := l.low; i <= l.last; i++ {
-			l.void = append(l.void, l.entry(i))
+		for i := l.first; i <= l.last; i++ {
+			l.obsolete = append(l.obsolete, l.entryKey(i))
 		}
 		if l.id != 0 {
-			l.void = append(l.void, l.of(keyHard), l.of(keySnapshot))
+			l.obsolete = append(l.obsolete, l.key(keyHard), l.key(keySnapshot))
 		}
-		l.id, l.low, l.last, l.named = s.ID, 1, 0, false
+		l.id, l.first, l.last, l.idStored = s.ID, 1, 0, false
 	}
 	add := func(key string, m proto.Message) error {
-		r, err := record(key, m)
+		r, err := messageRecord(key, m)
 		all = append(all, r)
 		return err
 	}
-	last, low := l.last, l.low
+	last, low := l.last, l.first
 	if s.Snapshot != nil {
-		if err := add(l.of(keySnapshot), s.Snapshot); err != nil {
+		if err := add(l.key(keySnapshot), s.Snapshot); err != nil {
 			return err
 		}
 		for i := low; i <= last; i++ {
-			gone(l.entry(i))
+			gone(l.entryKey(i))
 		}
 		last = s.Snapshot.Metadata.GetIndex()
 		low = last + 1
 	}
 	if s.HardState != nil {
-		if err := add(l.of(keyHard), s.HardState); err != nil {
+		if err := add(l.key(keyHard), s.HardState); err != nil {
 			return err
 		}
 	}
 	if n := len(s.Entries); n > 0 {
 		for i := s.Entries[n-1].GetIndex() + 1; i <= last; i++ {
-			gone(l.entry(i))
+			gone(l.entryKey(i))
 		}
 		for _, e := range s.Entries {
-			if err := add(l.entry(e.GetIndex()), e); err != nil {
+			if err := add(l.entryKey(e.GetIndex()), e); err != nil {
 				return err
 			}
 		}
 		last = s.Entries[n-1].GetIndex()
 	}
-	if !l.named {
+	if !l.idStored {
 		all = append(all, recordlog.Record{Kind: recordlog.Rollout, Key: l.prefix + keyVoter, Value: binary.BigEndian.AppendUint64(nil, l.id)})
 	}
-	if err := write(l.store, all...); err != nil {
+	if err := writeRecords(l.store, all...); err != nil {
 		return err
 	}
-	l.last, l.low, l.named = last, low, true
+	l.last, l.first, l.idStored = last, low, true
 	return nil
 }
 
@@ -226,22 +226,22 @@
 	if d.ID != l.id {
 		return nil // it votes by another one now
 	}
-	r, err := record(l.of(keySnapshot), d.Snapshot)
+	r, err := messageRecord(l.key(keySnapshot), d.Snapshot)
 	if err != nil {
 		return err
 	}
 	all := []recordlog.Record{r}
 	upTo := min(d.Snapshot.Metadata.GetIndex(), l.last)
-	for i := l.low; i <= upTo; i++ {
-		all = append(all, recordlog.Record{Kind: recordlog.Rollout, Key: l.entry(i), Deleted: true})
+	for i := l.first; i <= upTo; i++ {
+		all = append(all, recordlog.Record{Kind: recordlog.Rollout, Key: l.entryKey(i), Deleted: true})
 	}
-	for _, key := range l.void {
+	for _, key := range l.obsolete {
 		all = append(all, recordlog.Record{Kind: recordlog.Rollout, Key: key, Deleted: true})
 	}
-	if err := write(l.store, all...); err != nil {
+	if err := writeRecords(l.store, all...); err != nil {
 		return err
 	}
-	l.low, l.void = max(l.low, upTo+1), nil
+	l.first, l.obsolete = max(l.first, upTo+1), nil
 	return nil
 }
 
@@ -255,11 +255,11 @@
 	}); err != nil {
 		return err
 	}
-	return write(l.store, all...)
+	return writeRecords(l.store, all...)
 }
 
 // write has records on disk, in their order, and returns when all are.
-func write(s *recordlog.Store, records ...recordlog.Record) error {
+func writeRecords(s *recordlog.Store, records ...recordlog.Record) error {
 	ends := make(chan error, len(records))
 	var first error
 	sent := 0
@@ -278,22 +278,22 @@
 	return first
 }
 
-func record(key string, m proto.Message) (recordlog.Record, error) {
+func messageRecord(key string, m proto.Message) (recordlog.Record, error) {
 	b, err := proto.Marshal(m)
 	return recordlog.Record{Kind: recordlog.Rollout, Key: key, Value: b}, err
 }
 
 // keep has one record on disk.
-func keep(s *recordlog.Store, key string, m proto.Message) error {
-	r, err := record(key, m)
+func writeMessage(s *recordlog.Store, key string, m proto.Message) error {
+	r, err := messageRecord(key, m)
 	if err != nil {
 		return err
 	}
-	return write(s, r)
+	return writeRecords(s, r)
 }
 
 // load reads one record; false: it is not there.
-func load(s *recordlog.Store, key string, to proto.Message) (known bool, err error) {
+func readMessage(s *recordlog.Store, key string, to proto.Message) (known bool, err error) {
 	r, known, err := s.Get(recordlog.Rollout, key)
 	if err != nil {
 		return false, fmt.Errorf("record %q: %w", key, err)
@@ -301,10 +301,10 @@
 	if !known {
 		return false, nil
 	}
-	return true, unmarshal(r, to)
+	return true, unmarshalRecord(r, to)
 }
 
-func unmarshal(r recordlog.Record, to proto.Message) error {
+func unmarshalRecord(r recordlog.Record, to proto.Message) error {
 	if err := proto.Unmarshal(r.Value, to); err != nil {
 		return fmt.Errorf("record %q: %w", r.Key, err)
 	}
@@ -312,7 +312,7 @@
 }
 
 // numberAt is a number of eight bytes; 0: it is not there.
-func numberAt(s *recordlog.Store, key string) (uint64, error) {
+func readUint64(s *recordlog.Store, key string) (uint64, error) {
 	r, known, err := s.Get(recordlog.Rollout, key)
 	switch {
 	case err != nil:
--- a/internal/broker/transport/departed_test.go
+++ b/internal/broker/transport/departed_test.go
@@ -123,7 +123,7 @@
 						}
 						gatherer := core.New(core.Config{Period: cfg.Period, Shards: 1, PartsPerCall: 1, Classes: cfg.Classes}, m)
 						e := NewEngine(NewClock(), gatherer, PoolConfig{ConnectTimeout: 1_500_000, IdleClose: 60_000_000, MaxConns: 8},
-							platform.Workers{PerConn: 8}, adminapi.NewFigures(), slog.New(slog.DiscardHandler))
+							platform.Workers{PerConn: 8}, adminapi.NewMetrics(), slog.New(slog.DiscardHandler))
 						e.pool.connect = server.connect
 						go e.Run()
 						e.Fleet(sq.FleetChanged{Kind: sq.FleetFull, Servers: []sq.Server{{ID: "a", Health: sq.Ready}, {ID: "b", Health: sq.Ready}}},
--- a/internal/broker/transport/door.go
+++ b/internal/broker/transport/door.go
@@ -21,7 +21,7 @@
 // Door answers operators' calls on a listener of its own.
 type Door struct {
 	net  net.Listener
-	desk adminapi.Desk
+	desk adminapi.Program
 	log  *slog.Logger
 	wg   sync.WaitGroup
 
@@ -34,7 +34,7 @@
 type callers []net.Conn
 
 // NewDoor makes a door on an open listener; Serve runs it.
-func NewDoor(l net.Listener, d adminapi.Desk, logger *slog.Logger) *Door {
+func NewDoor(l net.Listener, d adminapi.Program, logger *slog.Logger) *Door {
 	return &Door{net: l, desk: d, log: logger}
 }
 
@@ -82,7 +82,7 @@
 		n, err := conn.Read(buf)
 		answer, done := call.Feed(buf[:n], d.desk)
 		if !done && err != nil {
-			answer, done = call.Ended(), true
+			answer, done = call.End(), true
 		}
 		if done {
 			d.answer(conn, answer)
--- a/internal/broker/transport/endings_test.go
+++ b/internal/broker/transport/endings_test.go
@@ -123,7 +123,7 @@
 	w := &ends{hooks: &hooks{}, t: t, served: make(chan error, 1)}
 	gatherer := core.New(core.Config{Period: 1000, Shards: 1, Classes: []sq.Class{{Name: "c"}}}, module{})
 	quiet := slog.New(slog.DiscardHandler)
-	w.e = NewEngine(NewClock(), gatherer, PoolConfig{MaxConns: 1, IdleClose: 1 << 40}, platform.Workers{PerConn: 1}, adminapi.NewFigures(), quiet)
+	w.e = NewEngine(NewClock(), gatherer, PoolConfig{MaxConns: 1, IdleClose: 1 << 40}, platform.Workers{PerConn: 1}, adminapi.NewMetrics(), quiet)
 	socket, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -405,7 +405,7 @@
 	for _, tc := range []struct{ by, deadline, want int64 }{{0, 9e6, 9e6}, {3e6, 9e6, 3e6}, {3e6, 2e6, 2e6}} {
 		seen := make(chan int64, 1)
 		gatherer := core.New(core.Config{Period: 1, Shards: 1, Classes: []sq.Class{{Name: "c"}}}, watched{seen: seen})
-		e := NewEngine(NewClock(), gatherer, PoolConfig{}, platform.Workers{PerConn: 1}, adminapi.NewFigures(), slog.New(slog.DiscardHandler))
+		e := NewEngine(NewClock(), gatherer, PoolConfig{}, platform.Workers{PerConn: 1}, adminapi.NewMetrics(), slog.New(slog.DiscardHandler))
 		go e.Run()
 		now := e.clock.Now()
 		if tc.by > 0 {
--- a/internal/broker/transport/engine.go
+++ b/internal/broker/transport/engine.go
@@ -42,7 +42,7 @@
 	waiting map[sq.ID]func(core.Final)
 	log     *slog.Logger
 	sweepAt int64
-	figures *adminapi.Figures
+	figures *adminapi.Metrics
 	gate    *admission.Gate // nil: there are no contracts
 	held    map[int64]*held // queries that wait at the gate
 	gateID  int64
@@ -63,7 +63,7 @@
 )
 
 // NewEngine makes an engine; Run starts it.
-func NewEngine(clock Clock, gatherer *core.Core, cfg PoolConfig, d core.Dialect, figures *adminapi.Figures,
+func NewEngine(clock Clock, gatherer *core.Core, cfg PoolConfig, d core.Dialect, figures *adminapi.Metrics,
 	logger *slog.Logger,
 ) *Engine {
 	e := &Engine{
@@ -115,9 +115,9 @@
 			e.sweepAt = now + sweepEvery
 			e.pool.sweep(now)
 			listed, out := e.core.Rotation()
-			e.figures.Listed.Store(int64(listed))
-			e.figures.Out.Store(int64(out))
-			if l := e.figures.Routes; l != nil {
+			e.figures.KnownServers.Store(int64(listed))
+			e.figures.EjectedServers.Store(int64(out))
+			if l := e.figures.LayoutCounts; l != nil {
 				replanned, misplaced := e.core.ReplanCounts()
 				l.Replanned.Store(replanned)
 				l.Misplaced.Store(misplaced)
--- a/internal/broker/transport/listener.go
+++ b/internal/broker/transport/listener.go
@@ -559,7 +559,7 @@
 	e := &http1.Error{Status: 400}
 	errors.As(fault, &e)
 	for _, m := range ms {
-		c.l.engine.figures.Ended(c.l.terms.Load().front.Class(m), e.Status)
+		c.l.engine.figures.CountAnswer(c.l.terms.Load().front.Class(m), e.Status)
 	}
 }
 
--- a/internal/broker/transport/pool.go
+++ b/internal/broker/transport/pool.go
@@ -37,7 +37,7 @@
 	after   func(time.Duration, func()) *time.Timer
 	servers map[sq.ServerID]*server
 	out     map[core.AttemptID]*serverConn
-	figures *adminapi.Figures
+	figures *adminapi.Metrics
 	over    <-chan struct{} // closed when nothing that is posted runs any more
 	conns   int
 	hurt    int64   // when a connection was last lost with calls out on it; 0: never
@@ -85,7 +85,7 @@
 	}
 	return &pool{
 		cfg: cfg, dialect: d, post: post, connect: connect, after: time.AfterFunc, servers: map[sq.ServerID]*server{},
-		out: map[core.AttemptID]*serverConn{}, figures: adminapi.NewFigures(),
+		out: map[core.AttemptID]*serverConn{}, figures: adminapi.NewMetrics(),
 	}
 }
 
--- a/internal/broker/transport/routes.go
+++ b/internal/broker/transport/routes.go
@@ -36,7 +36,7 @@
 	cfg     RoutesConfig
 	clock   Clock
 	tell    func(layout.Update)
-	figures *adminapi.LayoutFigures
+	figures *adminapi.LayoutMetrics
 	wanted  chan struct{} // a server has a newer layout
 	heard   chan struct{} // closed with the directory's first word that agrees with what is in force
 	over    sync.WaitGroup
@@ -52,7 +52,7 @@
 
 // NewRoutes makes the owner of a layout, with the one that is known at the start and the servers that may hold ranges.
 func NewRoutes(cfg RoutesConfig, first layout.Doc, servers []sq.ServerID, clock Clock, current *layout.Current,
-	tell func(layout.Update), figures *adminapi.LayoutFigures, logger *slog.Logger,
+	tell func(layout.Update), figures *adminapi.LayoutMetrics, logger *slog.Logger,
 ) (*Routes, error) {
 	r := &Routes{cfg: cfg, clock: clock, current: current, tell: tell, figures: figures, wanted: make(chan struct{}, 1), heard: make(chan struct{})}
 	r.follower = newFollower(cfg.Directory, maxLayout, r, logger)
@@ -178,7 +178,7 @@
 	r.figures.Epoch.Store(u.Layout.Epoch())
 	r.figures.Ranges.Store(int64(u.Layout.Len()))
 	r.figures.Changes.Store(int64(len(u.Layout.Changes())))
-	r.figures.Taken.Add(1)
+	r.figures.Accepted.Add(1)
 	logging.Info(r.log, logging.Layout, "epoch", u.Layout.Epoch(), "ranges", u.Layout.Len(), "changed", len(u.Changed), "changes", len(u.Layout.Changes()), "from", from)
 }
 
@@ -260,7 +260,7 @@
 	defer r.held.Unlock()
 	reason := reasonOf(err)
 	if reason != unreachable {
-		r.figures.Refused.Add(1)
+		r.figures.Rejected.Add(1)
 	}
 	if text := err.Error(); text != r.fault || time.Since(r.faultAt) > repeatAfter {
 		r.fault, r.faultAt = text, time.Now()
--- a/internal/broker/transport/serve.go
+++ b/internal/broker/transport/serve.go
@@ -20,7 +20,7 @@
 func (c *clientConn) ask(front Front, m *http1.Message, now int64) *asked {
 	a := &asked{class: front.Class(m)}
 	if a.class != "" {
-		c.l.engine.figures.Open.Add(1)
+		c.l.engine.figures.OpenRequests.Add(1)
 	}
 	var ask core.Query
 	if ask, a.word, a.resp = front.Open(m, now, c.l.ready()); a.resp == nil {
@@ -56,7 +56,7 @@
 	for i, a := range all {
 		r, end := c.await(front, a, &w)
 		if a.class != "" {
-			c.l.engine.figures.Open.Add(-1)
+			c.l.engine.figures.OpenRequests.Add(-1)
 		}
 		if end != goesOn {
 			c.abandon(all[i+1:])
@@ -65,7 +65,7 @@
 			}
 			return end == left, end == broke
 		}
-		c.l.engine.figures.Ended(a.class, r.Status)
+		c.l.engine.figures.CountAnswer(a.class, r.Status)
 		rs[i] = r
 	}
 	if join == nil {
@@ -81,7 +81,7 @@
 			c.leave(a)
 		}
 		if a.class != "" {
-			c.l.engine.figures.Open.Add(-1)
+			c.l.engine.figures.OpenRequests.Add(-1)
 		}
 	}
 }
--- a/internal/broker/transport/transport_test.go
+++ b/internal/broker/transport/transport_test.go
@@ -233,7 +233,7 @@
 func serve(t *testing.T, cfg ListenerConfig) (*Listener, *Engine) {
 	gatherer := core.New(core.Config{Period: 1000, Shards: 1, Classes: []sq.Class{{Name: "c"}}}, module{})
 	quiet := slog.New(slog.DiscardHandler)
-	e := NewEngine(NewClock(), gatherer, PoolConfig{MaxConns: 1, IdleClose: 1 << 40}, platform.Workers{PerConn: 1}, adminapi.NewFigures(), quiet)
+	e := NewEngine(NewClock(), gatherer, PoolConfig{MaxConns: 1, IdleClose: 1 << 40}, platform.Workers{PerConn: 1}, adminapi.NewMetrics(), quiet)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/golden/metrics_test.go
+++ b/internal/golden/metrics_test.go
@@ -134,45 +134,45 @@
 
 // The figures of the broker's program, each with a value of its own.
 func TestFiguresOfTheBroker(t *testing.T) {
-	f := adminapi.NewFigures()
-	f.Routes = &adminapi.LayoutFigures{}
+	f := adminapi.NewMetrics()
+	f.LayoutCounts = &adminapi.LayoutMetrics{}
 	f.Cursors = func() int { return 11 }
-	f.Store = func() adminapi.StoreFigures {
-		return adminapi.StoreFigures{Bytes: 21, Keys: 22, Open: 23, Unknown: 24, Failing: 25, Appends: 26, Syncs: 27, Failed: 28, Cleaned: 29}
+	f.Store = func() adminapi.StoreMetrics {
+		return adminapi.StoreMetrics{Bytes: 21, Keys: 22, OpenQueries: 23, LostSpans: 24, Failing: 25, Appends: 26, Syncs: 27, Failed: 28, CleanedSegments: 29}
 	}
-	f.Fleet = func() adminapi.FleetFigures {
-		return adminapi.FleetFigures{
-			Alive: 31, Reckon: 32, Suspected: 33, Dead: 34, Ill: 35, Twin: 36, Sent: 37, Received: 38, Dropped: 39, Bytes: 40, Exchanges: 41,
-			Failed: 42, Accused: 43, Refuted: 44, Died: 45, Naps: 46, Full: 47, Traffic: traffic(50),
+	f.Fleet = func() adminapi.FleetMetrics {
+		return adminapi.FleetMetrics{
+			Alive: 31, EffectiveSize: 32, Suspected: 33, Dead: 34, HealthScore: 35, NameConflict: 36, Sent: 37, Received: 38, Dropped: 39, Bytes: 40, Exchanges: 41,
+			FailedProbes: 42, Suspicions: 43, Refutations: 44, Deaths: 45, Stalls: 46, DroppedByLimit: 47, Traffic: traffic(50),
 		}
 	}
-	f.Rollout = func() adminapi.RolloutFigures {
-		return adminapi.RolloutFigures{
-			Number: 61, Admits: 62, Holding: 63, LeaseMs: 64, Leads: 65,
-			Region: &adminapi.RegionFigures{Behind: 66, ApartMs: 67, Leads: 68}, Traffic: traffic(70),
+	f.Rollout = func() adminapi.RolloutMetrics {
+		return adminapi.RolloutMetrics{
+			Number: 61, Admits: 62, Paused: 63, LeaseMs: 64, Leads: 65,
+			Region: &adminapi.RegionMetrics{Behind: 66, IsolatedMs: 67, Leads: 68}, Traffic: traffic(70),
 		}
 	}
 	f.Relayed.Store(1)
-	f.Open.Store(2)
-	f.Listed.Store(3)
-	f.Out.Store(4)
-	f.CfgTaken.Store(5)
-	f.CfgFaulty.Store(6)
-	f.Routes.Epoch.Store(81)
-	f.Routes.Ranges.Store(82)
-	f.Routes.Changes.Store(83)
-	f.Routes.Stalled.Store(84)
-	f.Routes.Taken.Store(85)
-	f.Routes.Refused.Store(86)
-	f.Routes.Replanned.Store(87)
-	f.Routes.Misplaced.Store(88)
-	f.Know("known")
+	f.OpenRequests.Store(2)
+	f.KnownServers.Store(3)
+	f.EjectedServers.Store(4)
+	f.ConfigAccepted.Store(5)
+	f.ConfigRejected.Store(6)
+	f.LayoutCounts.Epoch.Store(81)
+	f.LayoutCounts.Ranges.Store(82)
+	f.LayoutCounts.Changes.Store(83)
+	f.LayoutCounts.Stalled.Store(84)
+	f.LayoutCounts.Accepted.Store(85)
+	f.LayoutCounts.Rejected.Store(86)
+	f.LayoutCounts.Replanned.Store(87)
+	f.LayoutCounts.Misplaced.Store(88)
+	f.RegisterClasses("known")
 	for _, status := range []int{200, 400, 404, 408, 429, 499, 500, 503, 504} {
-		f.Ended("known", status)
+		f.CountAnswer("known", status)
 	}
 	compare(t, "figures.txt", string(f.Stats(nil)))
 }
 
-func traffic(from int64) adminapi.TrafficFigures {
-	return adminapi.TrafficFigures{Sent: from, Received: from + 1, SentBytes: from + 2, ReceivedBytes: from + 3, ShareBytes: from + 4, Links: from + 5}
+func traffic(from int64) adminapi.TrafficMetrics {
+	return adminapi.TrafficMetrics{Sent: from, Received: from + 1, SentBytes: from + 2, ReceivedBytes: from + 3, QuotaBytes: from + 4, Links: from + 5}
 }
--- a/internal/scale/work/engine_test.go
+++ b/internal/scale/work/engine_test.go
@@ -43,7 +43,7 @@
 			clock := transport.NewClock()
 			gatherer := core.New(core.Config{Period: 5000, Shards: servers, PartsPerCall: 1, AnswerGrace: 5000, Classes: settings.Classes}, module)
 			e := transport.NewEngine(clock, gatherer, transport.PoolConfig{ConnectTimeout: 1_000_000, IdleClose: 60_000_000, MaxConns: 7000},
-				platform.Workers{PerConn: 32}, adminapi.NewFigures(), slog.New(slog.NewTextHandler(io.Discard, nil)))
+				platform.Workers{PerConn: 32}, adminapi.NewMetrics(), slog.New(slog.NewTextHandler(io.Discard, nil)))
 			news, addresses := sq.FleetChanged{Kind: sq.FleetCached}, map[sq.ServerID]string{}
 			for i := range servers {
 				id := sq.ServerID(Name(i))
