--- a/cmd/saffronquay/cli_door.go
+++ b/cmd/saffronquay/admin_client.go
@@ -15,21 +15,21 @@
 	"github.com/spf13/cobra"
 )
 
-const mostTold = 16 << 20
+const maxReplyBytes = 16 << 20
 
 // doorAddress is where operators call.
-func (c *cli) doorAddress() (string, error) {
+func (c *cli) findAdminAddress() (string, error) {
 	switch {
-	case c.door != "":
-		return c.door, nil
+	case c.adminAddress != "":
+		return c.adminAddress, nil
 	case c.node != "":
-		n, err := c.readNode()
+		n, err := c.readNodeConfig()
 		if err != nil {
 			return "", err
 		}
-		c.door = n.Operator
+		c.adminAddress = n.Operator
 	default:
-		text, err := c.read(c.file, "the gatherer's door with --door, or its file with --file")
+		text, err := c.readFile(c.file, "the gatherer's door with --door, or its file with --file")
 		if err != nil {
 			return "", err
 		}
@@ -37,39 +37,39 @@
 		if err != nil {
 			return "", failed(err)
 		}
-		c.door = op.Operator
+		c.adminAddress = op.Operator
 	}
-	if c.door == "" {
+	if c.adminAddress == "" {
 		return "", failed(errors.New("the file sets up no door (operator)"))
 	}
-	return c.door, nil
+	return c.adminAddress, nil
 }
 
 // call makes one call at the door.
-func (c *cli) call(words string) (string, error) {
-	address, err := c.doorAddress()
+func (c *cli) callAdmin(words string) (string, error) {
+	address, err := c.findAdminAddress()
 	if err != nil {
 		return "", err
 	}
 	conn, err := net.DialTimeout("tcp", address, c.timeout)
 	if err != nil {
-		return "", unreached(err)
+		return "", unreachable(err)
 	}
 	defer conn.Close()
 	conn.SetDeadline(time.Now().Add(c.timeout))
 	if _, err := fmt.Fprintln(conn, words); err != nil {
-		return "", unreached(err)
+		return "", unreachable(err)
 	}
-	b, err := io.ReadAll(io.LimitReader(conn, mostTold))
+	b, err := io.ReadAll(io.LimitReader(conn, maxReplyBytes))
 	if err != nil {
-		return "", unreached(fmt.Errorf("the door at %s: %w", address, err))
+		return "", unreachable(fmt.Errorf("the door at %s: %w", address, err))
 	}
 	text := string(b)
 	if no, is := strings.CutPrefix(text, "NO "); is {
 		return strings.TrimSpace(no), failed(errors.New(strings.TrimSpace(no)))
 	}
 	if text == "" {
-		return "", unreached(fmt.Errorf("the door at %s closed without a word", address))
+		return "", unreachable(fmt.Errorf("the door at %s closed without a word", address))
 	}
 	return strings.TrimSuffix(text, "END\n"), nil
 }
@@ -79,22 +79,22 @@
 		return &cobra.Command{
 			Use: name, Short: short, Args: cobra.NoArgs, Example: "  saffronquay " + name + " --door 127.0.0.1:9600",
 			RunE: func(*cobra.Command, []string) error {
-				text, err := c.call(words)
+				text, err := c.callAdmin(words)
 				if err != nil {
 					return err
 				}
-				return c.tell(map[string]any{"ok": true, "word": strings.TrimSpace(strings.TrimPrefix(text, "YES "))}, func(w io.Writer) { io.WriteString(w, text) })
+				return c.print(map[string]any{"ok": true, "word": strings.TrimSpace(strings.TrimPrefix(text, "YES "))}, func(w io.Writer) { io.WriteString(w, text) })
 			},
 		}
 	}
 	stats := &cobra.Command{
 		Use: "stats", Short: "Print the figures", Args: cobra.NoArgs, Example: "  saffronquay stats --door 127.0.0.1:9600 -o json",
 		RunE: func(*cobra.Command, []string) error {
-			text, err := c.call("stats")
+			text, err := c.callAdmin("stats")
 			if err != nil {
 				return err
 			}
-			return c.tell(figuresOf(text), func(w io.Writer) { io.WriteString(w, text) })
+			return c.print(parseStats(text), func(w io.Writer) { io.WriteString(w, text) })
 		},
 	}
 	return []*cobra.Command{
@@ -105,7 +105,7 @@
 }
 
 // figuresOf reads lines such as svc.relayed:12|c.
-func figuresOf(text string) map[string]int64 {
+func parseStats(text string) map[string]int64 {
 	out := map[string]int64{}
 	for line := range strings.Lines(text) {
 		if name, rest, ok := strings.Cut(strings.TrimSpace(line), ":"); ok {
@@ -124,16 +124,16 @@
 		Use: "drain", Short: "Put a gatherer on standby and wait until no request is open", Args: cobra.NoArgs,
 		Example: "  saffronquay drain --wait 30s --door 127.0.0.1:9600",
 		RunE: func(*cobra.Command, []string) error {
-			if _, err := c.call("standby"); err != nil {
+			if _, err := c.callAdmin("standby"); err != nil {
 				return err
 			}
 			began, open := time.Now(), int64(-1)
 			for wait > 0 && open != 0 {
-				text, err := c.call("stats")
+				text, err := c.callAdmin("stats")
 				if err != nil {
 					return err
 				}
-				open = figuresOf(text)["svc.open_requests"]
+				open = parseStats(text)["svc.open_requests"]
 				if time.Since(began) > time.Second {
 					c.progress("%d open after %s", open, time.Since(began).Round(time.Second))
 				}
@@ -146,7 +146,7 @@
 				}
 			}
 			c.progress("")
-			return c.tell(map[string]any{"ok": true, "open": open}, func(w io.Writer) { fmt.Fprintln(w, "drained") })
+			return c.print(map[string]any{"ok": true, "open": open}, func(w io.Writer) { fmt.Fprintln(w, "drained") })
 		},
 	}
 	cmd.Flags().DurationVar(&wait, "wait", 0, "how long to wait for open requests; 0: not at all")
@@ -158,7 +158,7 @@
 		Use: "contracts", Short: "Tell how each team stands: asked, started, refused and why, work, attempts", Args: cobra.NoArgs,
 		Example: "  saffronquay contracts --door 127.0.0.1:9600 -o json",
 		RunE: func(*cobra.Command, []string) error {
-			text, err := c.call("contracts")
+			text, err := c.callAdmin("contracts")
 			if err != nil {
 				return err
 			}
@@ -174,7 +174,7 @@
 				}
 				teams = append(teams, team)
 			}
-			return c.tell(teams, func(w io.Writer) { io.WriteString(w, text) })
+			return c.print(teams, func(w io.Writer) { io.WriteString(w, text) })
 		},
 	}
 }
@@ -184,11 +184,11 @@
 		Use: "log LEVEL", Short: "Change what a running gatherer logs: debug, info, warn or error", Args: cobra.ExactArgs(1),
 		Example: "  saffronquay log debug --door 127.0.0.1:9600",
 		RunE: func(_ *cobra.Command, words []string) error {
-			text, err := c.call("log " + words[0])
+			text, err := c.callAdmin("log " + words[0])
 			if err != nil {
 				return err
 			}
-			return c.tell(map[string]any{"ok": true}, func(w io.Writer) { io.WriteString(w, text) })
+			return c.print(map[string]any{"ok": true}, func(w io.Writer) { io.WriteString(w, text) })
 		},
 	}
 }
@@ -200,16 +200,16 @@
 	parent.AddCommand(&cobra.Command{
 		Use: "show", Short: "Show how the layout stands at a gatherer", Args: cobra.NoArgs, Example: "  saffronquay layout show --file deploy/layout.json",
 		RunE: func(*cobra.Command, []string) error {
-			text, err := c.call("layout")
+			text, err := c.callAdmin("layout")
 			if err != nil {
 				return err
 			}
-			return c.tell(map[string]any{"lines": strings.Split(strings.TrimSpace(text), "\n")}, func(w io.Writer) { io.WriteString(w, text) })
+			return c.print(map[string]any{"lines": strings.Split(strings.TrimSpace(text), "\n")}, func(w io.Writer) { io.WriteString(w, text) })
 		},
 	})
 	send := func(body []byte) error {
 		if directory == "" {
-			text, err := c.read(c.file, "the directory with --directory, or the operator's file with --file")
+			text, err := c.readFile(c.file, "the directory with --directory, or the operator's file with --file")
 			if err != nil {
 				return err
 			}
@@ -224,12 +224,12 @@
 		}
 		resp, err := (&http.Client{Timeout: c.timeout}).Post("http://"+directory+"/layout", "application/json", bytes.NewReader(body))
 		if err != nil {
-			return unreached(err)
+			return unreachable(err)
 		}
 		defer resp.Body.Close()
-		text, err := io.ReadAll(io.LimitReader(resp.Body, mostTold))
+		text, err := io.ReadAll(io.LimitReader(resp.Body, maxReplyBytes))
 		if err != nil {
-			return unreached(err)
+			return unreachable(err)
 		}
 		if resp.StatusCode >= 300 {
 			return failed(fmt.Errorf("the directory turns it down: %s", strings.TrimSpace(string(text))))
@@ -241,9 +241,9 @@
 		Use: "announce FILE", Short: "Announce a change, from a file or - for standard input", Args: cobra.ExactArgs(1),
 		Example: "  saffronquay layout announce split.json --directory 127.0.0.1:9700",
 		RunE: func(_ *cobra.Command, words []string) error {
-			read := func() ([]byte, error) { return c.read(words[0], "the change") }
+			read := func() ([]byte, error) { return c.readFile(words[0], "the change") }
 			if words[0] == "-" {
-				read = func() ([]byte, error) { return io.ReadAll(io.LimitReader(c.in, mostTold)) }
+				read = func() ([]byte, error) { return io.ReadAll(io.LimitReader(c.in, maxReplyBytes)) }
 			}
 			body, err := read()
 			if err != nil {
--- a/cmd/saffronquay/cli_campaign.go
+++ b/cmd/saffronquay/campaign.go
@@ -51,7 +51,7 @@
 				if err != nil {
 					return failed(err)
 				}
-				if err := c.tell(map[string]any{"seed": cfg.Seed, "broken": r.Broken, "report": path, "verdict": r.Verdict(cfg)}, func(w io.Writer) {
+				if err := c.print(map[string]any{"seed": cfg.Seed, "broken": r.Broken, "report": path, "verdict": r.Verdict(cfg)}, func(w io.Writer) {
 					for _, b := range r.Broken {
 						fmt.Fprintln(w, "broken:", b)
 					}
@@ -62,7 +62,7 @@
 				cfg.Seed++
 			}
 			if broken > 0 {
-				return &ended{code: bad}
+				return &exitError{code: exitFailed}
 			}
 			return nil
 		},
--- a/cmd/saffronquay/cli_files.go
+++ b/cmd/saffronquay/check.go
@@ -22,7 +22,7 @@
 )
 
 // lines of a joined error.
-func faults(err error) []string {
+func splitFaults(err error) []string {
 	if err == nil {
 		return nil
 	}
@@ -54,20 +54,20 @@
 			var all []string
 			if c.node != "" && len(words) == 0 {
 				path = c.node
-				_, err := c.readNode()
-				var end *ended
+				_, err := c.readNodeConfig()
+				var end *exitError
 				if errors.As(err, &end) {
 					return err
 				}
-				all = faults(err)
+				all = splitFaults(err)
 			} else {
-				text, err := c.read(path, "the operator's file")
+				text, err := c.readFile(path, "the operator's file")
 				if err != nil {
 					return err
 				}
-				all = judgeOperator(text)
+				all = operatorFaults(text)
 			}
-			err := c.tell(map[string]any{"file": path, "ok": len(all) == 0, "faults": all}, func(w io.Writer) {
+			err := c.print(map[string]any{"file": path, "ok": len(all) == 0, "faults": all}, func(w io.Writer) {
 				for _, f := range all {
 					fmt.Fprintln(w, f)
 				}
@@ -76,7 +76,7 @@
 				}
 			})
 			if err == nil && len(all) > 0 {
-				return &ended{code: bad}
+				return &exitError{code: exitFailed}
 			}
 			return err
 		},
@@ -86,10 +86,10 @@
 }
 
 // judgeOperator gives the faults of an operator's file by the checks that need meaning, and those of its form that they do not name.
-func judgeOperator(text []byte) []string {
+func operatorFaults(text []byte) []string {
 	_, err := config.ParseOperator(text)
-	all := faults(err)
-	for _, f := range faults(schema.Judge(schema.Operator, text)) {
+	all := splitFaults(err)
+	for _, f := range splitFaults(schema.Judge(schema.Operator, text)) {
 		path, _, _ := strings.Cut(f, ": ")
 		if !slices.ContainsFunc(all, func(o string) bool { return strings.HasPrefix(o, path) }) {
 			all = append(all, f)
@@ -99,19 +99,19 @@
 }
 
 // read reads a file that may be written meanwhile.
-func (c *cli) read(path, what string) ([]byte, error) {
+func (c *cli) readFile(path, what string) ([]byte, error) {
 	if path == "" {
 		return nil, fmt.Errorf("which file? Name %s", what)
 	}
 	text, err := config.ReadStable(path, os.ReadFile)
 	if err != nil {
-		return nil, unreached(err)
+		return nil, unreachable(err)
 	}
 	return text, nil
 }
 
-func (c *cli) readNode() (config.Node, error) {
-	text, err := c.read(c.node, "the platform's file")
+func (c *cli) readNodeConfig() (config.Node, error) {
+	text, err := c.readFile(c.node, "the platform's file")
 	if err != nil {
 		return config.Node{}, err
 	}
@@ -124,9 +124,9 @@
 }
 
 // roster is what the files say of who holds what; list, where it is set, is discovery's recorded list.
-func (c *cli) roster(path, list string) (r routecheck.Roster, err error) {
+func (c *cli) loadRoster(path, list string) (r routecheck.Roster, err error) {
 	if path == "" && c.node != "" {
-		n, err := c.readNode()
+		n, err := c.readNodeConfig()
 		if err != nil {
 			return r, failed(err)
 		}
@@ -140,7 +140,7 @@
 		if path == "" {
 			path = c.file
 		}
-		text, err := c.read(path, "the operator's file with --file")
+		text, err := c.readFile(path, "the operator's file with --file")
 		if err != nil {
 			return r, err
 		}
@@ -148,12 +148,12 @@
 		if err != nil {
 			return r, failed(fmt.Errorf("%s: %w", path, err))
 		}
-		if r, err = rosterOf(path, op); err != nil {
+		if r, err = operatorRoster(path, op); err != nil {
 			return r, failed(err)
 		}
 	}
 	if list != "" {
-		text, err := c.read(list, "a recorded list")
+		text, err := c.readFile(list, "a recorded list")
 		if err != nil {
 			return r, err
 		}
@@ -167,7 +167,7 @@
 }
 
 // rosterOf is what an operator's file says.
-func rosterOf(name string, op config.Operator) (routecheck.Roster, error) {
+func operatorRoster(name string, op config.Operator) (routecheck.Roster, error) {
 	r := routecheck.Roster{Name: name, Settings: op.Settings.Module, Seed: op.Seed, Servers: op.Servers, Indices: map[string]routecheck.Index{}}
 	if op.Layout != nil {
 		l, err := layout.Make(op.Layout.Document, nil)
@@ -200,7 +200,7 @@
 		Example: "  saffronquay test deploy/routing.json --file deploy/layout.json\n" +
 			"  saffronquay test deploy/routing.json --file proposed.json --compare now=deploy/layout.json\n  saffronquay test shards.json --node config.json --roster recorded-list.json",
 		Args: cobra.ExactArgs(1), RunE: func(_ *cobra.Command, words []string) error {
-			text, err := c.read(words[0], "the expectations")
+			text, err := c.readFile(words[0], "the expectations")
 			if err != nil {
 				return err
 			}
@@ -211,7 +211,7 @@
 			if err := schema.Judge(schema.Routing, text); err != nil {
 				return failed(fmt.Errorf("%s: %w", words[0], err))
 			}
-			r, err := c.roster("", list)
+			r, err := c.loadRoster("", list)
 			if err != nil {
 				return err
 			}
@@ -221,7 +221,7 @@
 				if !ok {
 					return fmt.Errorf("--compare: want NAME=FILE, not %q", pair)
 				}
-				if others[name], err = c.roster(path, ""); err != nil {
+				if others[name], err = c.loadRoster(path, ""); err != nil {
 					return err
 				}
 			}
@@ -246,7 +246,7 @@
 			broken++
 		}
 	}
-	err := c.tell(map[string]any{"ok": broken == 0, "expectations": len(results), "broken": broken, "results": results}, func(w io.Writer) {
+	err := c.print(map[string]any{"ok": broken == 0, "expectations": len(results), "broken": broken, "results": results}, func(w io.Writer) {
 		for _, r := range results {
 			if r.OK {
 				fmt.Fprintln(w, "ok  ", r.Name)
@@ -270,12 +270,12 @@
 		fmt.Fprintf(w, "%d expectations, %d broken\n", len(results), broken)
 	})
 	if err == nil && broken > 0 {
-		return &ended{code: bad}
+		return &exitError{code: exitFailed}
 	}
 	return err
 }
 
-var outcomes = map[string]sq.Outcome{"unreachable": sq.Unreachable, "rejected": sq.Rejected, "errored": sq.Errored, "timedout": sq.TimedOut, "broken": sq.Broken}
+var outcomesByName = map[string]sq.Outcome{"unreachable": sq.Unreachable, "rejected": sq.Rejected, "errored": sq.Errored, "timedout": sq.TimedOut, "broken": sq.Broken}
 
 func (c *cli) explain() *cobra.Command {
 	var index, failing, list, learned string
@@ -285,7 +285,7 @@
 		Long:    "explain plans one query and tells, for each part, who holds it, what the module would predict and pick, and what it would do next if\neach attempt failed. With --learned it begins with what a gatherer has kept in its store.",
 		Example: "  saffronquay explain --file deploy/layout.json --index invoices --key 30500",
 		Args:    cobra.NoArgs, RunE: func(cmd *cobra.Command, _ []string) error {
-			o, ok := outcomes[failing]
+			o, ok := outcomesByName[failing]
 			if !ok {
 				return fmt.Errorf("--failing: want unreachable, rejected, errored, timedout or broken, not %q", failing)
 			}
@@ -295,20 +295,20 @@
 			} else if want.Empty() {
 				return errors.New("which keys? Give --key, or --from and --to")
 			}
-			r, err := c.roster("", list)
+			r, err := c.loadRoster("", list)
 			if err != nil {
 				return err
 			}
 			if learned != "" {
-				if r.Learned, err = learnedIn(learned); err != nil {
-					return unreached(err)
+				if r.Learned, err = readLearned(learned); err != nil {
+					return unreachable(err)
 				}
 			}
 			parts, err := routecheck.Explain(r, index, []layout.Span{want}, o)
 			if err != nil {
 				return failed(err)
 			}
-			return c.tell(parts, func(w io.Writer) { tellParts(w, parts, failing) })
+			return c.print(parts, func(w io.Writer) { printParts(w, parts, failing) })
 		},
 	}
 	f := cmd.Flags()
@@ -322,7 +322,7 @@
 	return cmd
 }
 
-func tellParts(w io.Writer, parts []routecheck.Part, failing string) {
+func printParts(w io.Writer, parts []routecheck.Part, failing string) {
 	for _, p := range parts {
 		fmt.Fprintf(w, "part: shard %d, keys %s, held by %v\n", p.Shard, p.Range, p.Holders)
 		for i, s := range p.Steps {
@@ -345,7 +345,7 @@
 }
 
 // learnedIn is what was learnt, as a store has it.
-func learnedIn(dir string) (*sq.Learned, error) {
+func readLearned(dir string) (*sq.Learned, error) {
 	v, err := recordlog.OpenReadOnly([2]recordlog.Dir{recordlog.ExistingDirectory(dir), recordlog.ExistingDirectory(filepath.Join(dir, "copy"))})
 	if err != nil {
 		return nil, err
--- a/cmd/saffronquay/cli.go
+++ b/cmd/saffronquay/cli.go
@@ -18,38 +18,38 @@
 
 // The ends of a command, as its exit code.
 const (
-	good     = 0
-	bad      = 1 // a check failed, or what was asked for could not be done
-	wrongUse = 2
-	noReach  = 3 // what it is about can't be read or reached
-	partly   = 4 // done, but not everywhere
+	exitOK          = 0
+	exitFailed      = 1 // a check failed, or what was asked for could not be done
+	exitUsage       = 2
+	exitUnreachable = 3 // what it is about can't be read or reached
+	exitPartial     = 4 // done, but not everywhere
 )
 
-// ended is an end that is not good.
-type ended struct {
+// exitError ends a command with an exit code other than exitOK.
+type exitError struct {
 	code int
-	err  error // nil: it has been told already
+	err  error // nil: the command has printed the reason already
 }
 
-func (e *ended) Error() string {
+func (e *exitError) Error() string {
 	if e.err == nil {
 		return ""
 	}
 	return e.err.Error()
 }
 
-func unreached(err error) error { return &ended{noReach, err} }
-func failed(err error) error    { return &ended{bad, err} }
+func unreachable(err error) error { return &exitError{exitUnreachable, err} }
+func failed(err error) error      { return &exitError{exitFailed, err} }
 
 // cli is what the commands share.
 type cli struct {
-	in        io.Reader
-	out, errs io.Writer
-	output    string // text or json
-	file      string // the operator's
-	node      string // the platform's
-	door      string
-	timeout   time.Duration // of one call at a door or a directory
+	in           io.Reader
+	out, errs    io.Writer
+	output       string // text or json
+	file         string // the operator's
+	node         string // the platform's
+	adminAddress string
+	timeout      time.Duration // of one call at a door or a directory
 }
 
 // execute carries out a command line and returns the exit code.
@@ -61,13 +61,13 @@
 	root.SetOut(out)
 	root.SetErr(errs)
 	err := root.Execute()
-	var end *ended
+	var end *exitError
 	switch {
 	case err == nil:
-		return good
+		return exitOK
 	case !errors.As(err, &end):
 		fmt.Fprintf(errs, "saffronquay: %v; --help tells more\n", err)
-		return wrongUse
+		return exitUsage
 	case end.err != nil:
 		fmt.Fprintf(errs, "saffronquay: %v\n", end.err)
 	}
@@ -87,7 +87,7 @@
 	flags.StringVarP(&c.output, "output", "o", "text", "text or json")
 	flags.StringVar(&c.file, "file", os.Getenv("SAFFRONQUAY_OPERATOR_FILE"), "the operator's file")
 	flags.StringVar(&c.node, "node", "", "the platform's file, in the place of the operator's")
-	flags.StringVar(&c.door, "door", "", "host:port of the operators' door (default: what the file says)")
+	flags.StringVar(&c.adminAddress, "door", "", "host:port of the operators' door (default: what the file says)")
 	flags.DurationVar(&c.timeout, "timeout", 5*time.Second, "how long a door or a directory may take to answer")
 	root.PersistentPreRunE = func(*cobra.Command, []string) error {
 		if c.output != "text" && c.output != "json" {
@@ -125,7 +125,7 @@
 	return &cobra.Command{
 		Use: "version", Short: "Tell which build this is", Example: "  saffronquay version -o json", Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
-			return c.tell(map[string]string{"version": version()}, func(w io.Writer) { fmt.Fprintln(w, "saffronquay", version()) })
+			return c.print(map[string]string{"version": version()}, func(w io.Writer) { fmt.Fprintln(w, "saffronquay", version()) })
 		},
 	}
 }
@@ -135,20 +135,20 @@
 		Use: "man DIR", Short: "Write a manual page for each command into a directory", Example: "  saffronquay man /tmp/man && man /tmp/man/saffronquay-test.1",
 		Args: cobra.ExactArgs(1), RunE: func(cmd *cobra.Command, words []string) error {
 			if err := os.MkdirAll(words[0], 0o755); err != nil {
-				return unreached(err)
+				return unreachable(err)
 			}
 			root := cmd.Root()
 			root.DisableAutoGenTag = true
 			if err := doc.GenManTree(root, &doc.GenManHeader{Title: "SAFFRONQUAY", Section: "1", Source: "saffronquay"}, words[0]); err != nil {
-				return unreached(err)
+				return unreachable(err)
 			}
 			return nil
 		},
 	}
 }
 
-// tell writes what a command found: as JSON where a script reads it, else as text in lines no wider than the terminal.
-func (c *cli) tell(v any, text func(io.Writer)) error {
+// print writes what a command found: as JSON where a script reads it, else as text in lines no wider than the terminal.
+func (c *cli) print(v any, text func(io.Writer)) error {
 	if c.output == "json" {
 		b, err := json.MarshalIndent(v, "", "  ")
 		if err != nil {
--- a/cmd/saffronquay/cli_scale.go
+++ b/cmd/saffronquay/cli_scale.go
@@ -48,11 +48,11 @@
 			if err != nil {
 				return failed(err)
 			}
-			if err := c.tell(rec, func(w io.Writer) { io.WriteString(w, rec.Markdown()) }); err != nil {
+			if err := c.print(rec, func(w io.Writer) { io.WriteString(w, rec.Markdown()) }); err != nil {
 				return err
 			}
 			if len(rec.Faults) > 0 {
-				return &ended{code: bad}
+				return &exitError{code: exitFailed}
 			}
 			return nil
 		},
--- a/cmd/saffronquay/cli_scale_events.go
+++ b/cmd/saffronquay/cli_scale_events.go
@@ -50,7 +50,7 @@
 			if err != nil {
 				return failed(err)
 			}
-			return c.tell(res, func(w io.Writer) { tellEvents(w, res) })
+			return c.print(res, func(w io.Writer) { tellEvents(w, res) })
 		},
 	}
 	f := cmd.Flags()
--- a/cmd/saffronquay/cli_scale_place.go
+++ b/cmd/saffronquay/cli_scale_place.go
@@ -25,7 +25,7 @@
 			}
 			if detail > 0 {
 				p := all[detail-1]
-				return c.tell(f.Weigh(p), func(w io.Writer) {
+				return c.print(f.Weigh(p), func(w io.Writer) {
 					fmt.Fprintf(w, "%s\n\n", strings.ToUpper(p.Name[:1])+p.Name[1:])
 					place.Detail(w, f, p)
 				})
@@ -34,7 +34,7 @@
 			for _, p := range all {
 				sums = append(sums, f.Weigh(p))
 			}
-			return c.tell(sums, func(w io.Writer) {
+			return c.print(sums, func(w io.Writer) {
 				place.Table(w, f, all)
 				fmt.Fprintf(w, "\nassumed of one of a kind, times a year and minutes each:")
 				for k := place.Machine; k <= place.Gatherer; k++ {
--- a/cmd/saffronquay/cli_scale_workers.go
+++ b/cmd/saffronquay/cli_scale_workers.go
@@ -81,7 +81,7 @@
 			if err != nil {
 				return failed(err)
 			}
-			return c.tell(table, func(out io.Writer) { table.Write(out) })
+			return c.print(table, func(out io.Writer) { table.Write(out) })
 		},
 	}
 	f := cmd.Flags()
--- a/cmd/saffronquay/cli_fleet.go
+++ b/cmd/saffronquay/fleet.go
@@ -34,9 +34,9 @@
 	return v
 }
 
-func (v fleetView) tell(w io.Writer) {
+func (v fleetView) print(w io.Writer) {
 	fmt.Fprintf(w, "alive %s, reckoned with %s, budgets divided by %s; digest %s, unchanged for %s; doubt of itself %s\n", v.View["alive"], v.View["reckon"],
-		v.View["divide"], v.View["digest"], since(v.View["changed_ms"]), v.View["ill"])
+		v.View["divide"], v.View["digest"], formatSince(v.View["changed_ms"]), v.View["ill"])
 	for _, x := range []struct{ key, bad, text string }{
 		{"alone", "true", "nobody answers at the addresses of join: it goes on trying, and serves"},
 		{"twin", "true", "ANOTHER LIVE GATHERER BEARS THIS ONE'S NAME"},
@@ -60,12 +60,12 @@
 		if m["policy"] != "0" {
 			notes = append(notes, "policy "+m["policy"])
 		}
-		fmt.Fprintf(w, "%-24s %-10s %10s  %-21s %-10s %s\n", m["name"], m["state"], since(m["since_ms"]), m["address"], m["zone"], strings.Join(notes, ", "))
+		fmt.Fprintf(w, "%-24s %-10s %10s  %-21s %-10s %s\n", m["name"], m["state"], formatSince(m["since_ms"]), m["address"], m["zone"], strings.Join(notes, ", "))
 	}
 }
 
 // since words milliseconds.
-func since(ms string) string {
+func formatSince(ms string) string {
 	d, err := time.ParseDuration(ms + "ms")
 	if err != nil {
 		return "?"
@@ -80,12 +80,12 @@
 	var watch bool
 	var every time.Duration
 	show := func() error {
-		text, err := c.call("fleet")
+		text, err := c.callAdmin("fleet")
 		if err != nil {
 			return err
 		}
 		v := readView(text)
-		return c.tell(v, v.tell)
+		return c.print(v, v.print)
 	}
 	cmd := &cobra.Command{
 		Use: "fleet", Short: "Show a gatherer's view of its fleet: members, states, since when, who accuses whom", Args: cobra.NoArgs,
@@ -118,11 +118,11 @@
 	cmd.Flags().BoolVar(&watch, "watch", false, "again and again, until Ctrl-C")
 	cmd.Flags().DurationVar(&every, "every", time.Second, "how often with --watch")
 	say := func(words string) error {
-		text, err := c.call(words)
+		text, err := c.callAdmin(words)
 		if err != nil {
 			return err
 		}
-		return c.tell(map[string]any{"ok": true}, func(w io.Writer) { io.WriteString(w, text) })
+		return c.print(map[string]any{"ok": true}, func(w io.Writer) { io.WriteString(w, text) })
 	}
 	cmd.AddCommand(&cobra.Command{
 		Use: "leave", Short: "Have a gatherer leave its fleet, until it is started again; it goes on serving", Args: cobra.NoArgs,
--- a/cmd/saffronquay/main.go
+++ b/cmd/saffronquay/main.go
@@ -26,7 +26,7 @@
 	logger, out := newLog(c.errs, "text", slog.LevelInfo)
 	if err := serve(logger, out, term, hup); err != nil {
 		logging.Error(logger, logging.Exit, "error", err)
-		return &ended{code: bad}
+		return &exitError{code: exitFailed}
 	}
 	return nil
 }
--- a/cmd/saffronquay/cli_model.go
+++ b/cmd/saffronquay/model.go
@@ -12,7 +12,7 @@
 )
 
 // days are those that the model knows by name.
-var days = map[string]func(seed uint64, gatherers, servers int) simulation.Day{
+var simulatedDays = map[string]func(seed uint64, gatherers, servers int) simulation.Day{
 	"calm": simulation.Fleet, "burst": simulation.Burst,
 	"zone": simulation.ZoneLost, "herd": simulation.Herd, "join": simulation.Join,
 }
@@ -21,7 +21,7 @@
 func (c *cli) model() *cobra.Command {
 	var seed uint64
 	var gatherers, servers int
-	names := strings.Join(slices.Sorted(maps.Keys(days)), ", ")
+	names := strings.Join(slices.Sorted(maps.Keys(simulatedDays)), ", ")
 	cmd := &cobra.Command{
 		Use: "model DAY", Short: "Play a day of a large fleet in virtual time: " + names,
 		Long: "Plays one day with a decision module for each gatherer, over servers with queues, warmth and late reports. Nothing is opened.\n" +
@@ -29,7 +29,7 @@
 			"attempts; work that the servers did, and the part of it that came to answers in time, in seconds.",
 		Example: "  saffronquay model zone --gatherers 80 --servers 60 --seed 3", Args: cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, words []string) error {
-			day := days[words[0]]
+			day := simulatedDays[words[0]]
 			switch {
 			case day == nil:
 				return fmt.Errorf("there is no day %q; there are %s", words[0], names)
@@ -40,7 +40,7 @@
 			if err != nil {
 				return err
 			}
-			if err := c.tell(r, func(w io.Writer) { tellDay(w, r) }); err != nil {
+			if err := c.print(r, func(w io.Writer) { printDay(w, r) }); err != nil {
 				return err
 			}
 			if r.RunTwice > 0 {
@@ -56,7 +56,7 @@
 	return cmd
 }
 
-func tellDay(w io.Writer, r simulation.Result) {
+func printDay(w io.Writer, r simulation.Result) {
 	fmt.Fprintf(w, "%6s %8s %8s %6s %8s %8s %8s %8s\n", "second", "asked", "in time", "tries", "refused", "attempts", "work s", "useful s")
 	for i, x := range r.Windows {
 		if x.Requested > 0 {
--- a/cmd/saffronquay/cli_model_fleet.go
+++ b/cmd/saffronquay/model_fleet.go
@@ -44,7 +44,7 @@
 			if file != "" {
 				b, err := os.ReadFile(file)
 				if err != nil {
-					return unreached(err)
+					return unreachable(err)
 				}
 				text += string(b)
 			}
@@ -59,10 +59,10 @@
 			}
 			if plot != "" {
 				if err := drawViews(plot, cfg, r); err != nil {
-					return unreached(err)
+					return unreachable(err)
 				}
 			}
-			if err := c.tell(verdictOf(cfg, r), func(w io.Writer) { tellViews(w, cfg, r, time.Since(began)) }); err != nil {
+			if err := c.print(summarizeViews(cfg, r), func(w io.Writer) { printViews(w, cfg, r, time.Since(began)) }); err != nil {
 				return err
 			}
 			if r.SettledAt < 0 {
@@ -86,7 +86,7 @@
 }
 
 // viewsVerdict is what a run came to, for scripts.
-type viewsVerdict struct {
+type viewsSummary struct {
 	SettledAfterS float64 `json:"settled_after_s"` // from the end of the last fault; -1: not
 	DetectP50Ms   int64   `json:"detect_p50_ms"`
 	DetectP99Ms   int64   `json:"detect_p99_ms"`
@@ -94,8 +94,8 @@
 	BytesS        float64 `json:"bytes_per_member_s"`
 }
 
-func verdictOf(cfg views.Config, r views.Result) viewsVerdict {
-	v := viewsVerdict{SettledAfterS: -1, FalseDead: r.FalseDeaths, BytesS: r.BytesPerSecond}
+func summarizeViews(cfg views.Config, r views.Result) viewsSummary {
+	v := viewsSummary{SettledAfterS: -1, FalseDead: r.FalseDeaths, BytesS: r.BytesPerSecond}
 	if took := r.SettledAfter(cfg.Script.End()); took >= 0 {
 		v.SettledAfterS = took.Seconds()
 	}
@@ -105,7 +105,7 @@
 	return v
 }
 
-func tellViews(w io.Writer, cfg views.Config, r views.Result, took time.Duration) {
+func printViews(w io.Writer, cfg views.Config, r views.Result, took time.Duration) {
 	fmt.Fprint(w, strings.TrimSuffix(cfg.Script.String(), "\n"), "\n")
 	fmt.Fprintf(w, "%8s %6s %6s %14s %8s\n", "second", "live", "right", "reckoned with", "fewest")
 	var last views.Sample
@@ -115,7 +115,7 @@
 			last = s
 		}
 	}
-	v := verdictOf(cfg, r)
+	v := summarizeViews(cfg, r)
 	fmt.Fprintf(w, "settled_after_s=%.2f detect_p50_ms=%d detect_p99_ms=%d false_dead=%d bytes_per_member_s=%.0f (%s of real time)\n", v.SettledAfterS, v.DetectP50Ms,
 		v.DetectP99Ms, v.FalseDead, v.BytesS, took.Round(10*time.Millisecond))
 }
--- a/cmd/saffronquay/cli_model_policy.go
+++ b/cmd/saffronquay/model_policy.go
@@ -39,7 +39,7 @@
 				"changes": r.Changes, "in_force": r.InForce, "aborted": r.Aborted, "mixed": r.Mixed, "lost": r.Lost, "resurrected": r.Resurrected, "stuck": r.Stuck,
 				"hold_p99_ms": hold / 1000, "took_p99_ms": took / 1000, "reasons": r.AbortReasons,
 			}
-			if err := c.tell(v, func(w io.Writer) {
+			if err := c.print(v, func(w io.Writer) {
 				for _, reason := range slices.Sorted(maps.Keys(r.AbortReasons)) {
 					fmt.Fprintf(w, "%4d not in force: %s\n", r.AbortReasons[reason], reason)
 				}
--- a/cmd/saffronquay/cli_policy.go
+++ b/cmd/saffronquay/policy.go
@@ -46,16 +46,16 @@
 	parent.AddCommand(&cobra.Command{
 		Use: "status", Short: "Show the version in force, what was decided and, at the leader, how each gatherer stands", Args: cobra.NoArgs,
 		Example: "  saffronquay policy status --door 127.0.0.1:9401", RunE: func(*cobra.Command, []string) error {
-			text, err := c.call("policy")
+			text, err := c.callAdmin("policy")
 			if err != nil {
 				return err
 			}
-			return c.tell(policyLines(text), func(w io.Writer) { io.WriteString(w, text) })
+			return c.print(parseAdminLines(text), func(w io.Writer) { io.WriteString(w, text) })
 		},
 	}, &cobra.Command{
 		Use: "show", Short: "Print the document in force", Args: cobra.NoArgs, Example: "  saffronquay policy show --door 127.0.0.1:9401",
 		RunE: func(*cobra.Command, []string) error {
-			text, err := c.call("policy text")
+			text, err := c.callAdmin("policy text")
 			if err != nil {
 				return err
 			}
@@ -68,7 +68,7 @@
 		Use: "propose FILE", Short: "Propose a policy, and wait for its end", Args: cobra.ExactArgs(1),
 		Example: "  saffronquay policy propose new.json --door 127.0.0.1:9401 --file deploy/rollout.json",
 		RunE: func(_ *cobra.Command, words []string) error {
-			text, err := c.read(words[0], "the policy")
+			text, err := c.readFile(words[0], "the policy")
 			if err != nil {
 				return err
 			}
@@ -79,7 +79,7 @@
 		Use: "adopt FILE", Short: "Propose the policy of an operator's file as the first version", Args: cobra.ExactArgs(1),
 		Example: "  saffronquay policy adopt deploy/rollout.json --file deploy/rollout.json",
 		RunE: func(_ *cobra.Command, words []string) error {
-			file, err := c.read(words[0], "the operator's file")
+			file, err := c.readFile(words[0], "the operator's file")
 			if err != nil {
 				return err
 			}
@@ -100,7 +100,7 @@
 	revert := &cobra.Command{
 		Use: "revert", Short: "Propose the version before the one in force, from a voter's door", Args: cobra.NoArgs,
 		Example: "  saffronquay policy revert --door 127.0.0.1:9401 --file deploy/rollout.json", RunE: func(*cobra.Command, []string) error {
-			text, err := c.call("policy previous")
+			text, err := c.callAdmin("policy previous")
 			if err != nil {
 				return err
 			}
@@ -125,17 +125,17 @@
 	parent.AddCommand(revert, abort, &cobra.Command{
 		Use: "history", Short: "Show what was decided lately, from a voter's door", Args: cobra.NoArgs,
 		Example: "  saffronquay policy history --door 127.0.0.1:9401", RunE: func(*cobra.Command, []string) error {
-			text, err := c.call("policy")
+			text, err := c.callAdmin("policy")
 			if err != nil {
 				return err
 			}
 			var all []map[string]string
-			for _, of := range policyLines(text) {
+			for _, of := range parseAdminLines(text) {
 				if of["kind"] == "decision" {
 					all = append(all, of)
 				}
 			}
-			return c.tell(all, func(w io.Writer) {
+			return c.print(all, func(w io.Writer) {
 				for _, of := range all {
 					end := "in force"
 					if of["in_force"] != "true" {
@@ -154,11 +154,11 @@
 	}, &cobra.Command{
 		Use: "diff FILE", Short: "Show where a policy differs from the one in force; 1 where it does", Args: cobra.ExactArgs(1),
 		Example: "  saffronquay policy diff new.json --door 127.0.0.1:9401", RunE: func(_ *cobra.Command, words []string) error {
-			file, err := c.read(words[0], "the policy")
+			file, err := c.readFile(words[0], "the policy")
 			if err != nil {
 				return err
 			}
-			text, err := c.call("policy text")
+			text, err := c.callAdmin("policy text")
 			if err != nil {
 				return err
 			}
@@ -171,15 +171,15 @@
 					return failed(fmt.Errorf("the one in force: %w", err))
 				}
 			}
-			lines := differences(nil, "", now, then)
-			if err := c.tell(lines, func(w io.Writer) {
+			lines := diffValues(nil, "", now, then)
+			if err := c.print(lines, func(w io.Writer) {
 				for _, l := range lines {
 					fmt.Fprintln(w, l)
 				}
 			}); err != nil || len(lines) == 0 {
 				return err
 			}
-			return &ended{code: bad}
+			return &exitError{code: exitFailed}
 		},
 	})
 	revert.Flags().StringSliceVar(&p.at, "at", nil, "where voters agree on the policy (default: what the file says)")
@@ -193,13 +193,13 @@
 }
 
 // differences lists the keys in which two documents differ, with what stands there.
-func differences(dst []string, path string, a, b any) []string {
+func diffValues(dst []string, path string, a, b any) []string {
 	if x, ok := a.(map[string]any); ok {
 		if y, ok := b.(map[string]any); ok {
 			keys := maps.Clone(x)
 			maps.Copy(keys, y)
 			for _, k := range slices.Sorted(maps.Keys(keys)) {
-				dst = differences(dst, strings.TrimPrefix(path+"."+k, "."), x[k], y[k])
+				dst = diffValues(dst, strings.TrimPrefix(path+"."+k, "."), x[k], y[k])
 			}
 			return dst
 		}
@@ -207,7 +207,7 @@
 	if x, ok := a.([]any); ok {
 		if y, ok := b.([]any); ok && len(x) == len(y) {
 			for i := range x {
-				dst = differences(dst, fmt.Sprintf("%s[%d]", path, i), x[i], y[i])
+				dst = diffValues(dst, fmt.Sprintf("%s[%d]", path, i), x[i], y[i])
 			}
 			return dst
 		}
@@ -226,7 +226,7 @@
 }
 
 // policyLines reads the door's lines: a kind, then names and values, of which the last may be quoted.
-func policyLines(text string) (all []map[string]string) {
+func parseAdminLines(text string) (all []map[string]string) {
 	for line := range strings.Lines(text) {
 		kind, rest, _ := strings.Cut(strings.TrimSpace(line), " ")
 		of := map[string]string{"kind": kind}
@@ -248,7 +248,7 @@
 }
 
 // voters are where a proposal may be sent.
-func (c *cli) voters(p proposal) (all []netip.AddrPort, err error) {
+func (c *cli) findVoters(p proposal) (all []netip.AddrPort, err error) {
 	for _, text := range p.at {
 		a, err := netip.ParseAddrPort(text)
 		if err != nil {
@@ -259,7 +259,7 @@
 	if len(all) > 0 {
 		return all, nil
 	}
-	text, err := c.read(c.file, "where voters are with --at, or the operator's file with --file")
+	text, err := c.readFile(c.file, "where voters are with --at, or the operator's file with --file")
 	if err != nil {
 		return nil, err
 	}
@@ -286,10 +286,10 @@
 }
 
 // settlesIn is for how long a version is told to be in force in some regions before that counts as the end.
-const settlesIn = time.Second
+const partialSettleTime = time.Second
 
 // inForce tells that a version is in force: where there are no regions, or all have said so, everywhere; else in which.
-func (c *cli) inForce(a *wire.Answer) error {
+func (c *cli) reportInForce(a *wire.Answer) error {
 	v, line := map[string]any{"in_force": true, "number": a.Number}, fmt.Sprintf("version %d is in force", a.Number)
 	of := len(a.InForce) + len(a.Apart)
 	if of > 0 {
@@ -299,27 +299,27 @@
 	if len(a.Apart) > 0 {
 		line += "; not in " + strings.Join(a.Apart, ", ") + ", as far as is known: it takes hold there when they are joined again"
 	}
-	if err := c.tell(v, func(w io.Writer) { fmt.Fprintln(w, line) }); err != nil || len(a.Apart) == 0 {
+	if err := c.print(v, func(w io.Writer) { fmt.Fprintln(w, line) }); err != nil || len(a.Apart) == 0 {
 		return err
 	}
-	return &ended{code: partly}
+	return &exitError{code: exitPartial}
 }
 
 // propose sends a proposal to one voter after the other until one that leads takes it, and waits for its end.
 func (c *cli) propose(p proposal, text []byte) error {
-	voters, err := c.voters(p)
+	voters, err := c.findVoters(p)
 	if err != nil {
 		return err
 	}
 	if p.base < 0 {
-		status, err := c.call("policy")
+		status, err := c.callAdmin("policy")
 		if err != nil {
 			return err
 		}
-		for _, of := range policyLines(status) {
+		for _, of := range parseAdminLines(status) {
 			if of["kind"] == "policy" {
 				if p.base, err = strconv.ParseInt(of["number"], 10, 64); err != nil {
-					return unreached(err)
+					return unreachable(err)
 				}
 			}
 		}
@@ -350,24 +350,24 @@
 			sent = true
 		case 1:
 			if p.abort {
-				return c.tell(map[string]any{"ok": true}, func(w io.Writer) { fmt.Fprintln(w, "given up") })
+				return c.print(map[string]any{"ok": true}, func(w io.Writer) { fmt.Fprintln(w, "given up") })
 			}
 			if p.what != "" {
-				return c.tell(map[string]any{"ok": true, "what": p.what}, func(w io.Writer) { fmt.Fprintln(w, p.what) })
+				return c.print(map[string]any{"ok": true, "what": p.what}, func(w io.Writer) { fmt.Fprintln(w, p.what) })
 			}
 			if len(answer.Apart) > 0 {
 				if partial == nil {
 					since = time.Now()
 				}
 				// A leader that was elected just now has not heard of all regions yet.
-				if partial = answer; len(answer.InForce) == 0 || time.Since(since) < settlesIn {
+				if partial = answer; len(answer.InForce) == 0 || time.Since(since) < partialSettleTime {
 					continue
 				}
 			}
-			return c.inForce(answer)
+			return c.reportInForce(answer)
 		case 2:
 			if p.dry && strings.HasPrefix(answer.Reason, "dry: ") {
-				return c.tell(map[string]any{"good": true}, func(w io.Writer) { fmt.Fprintln(w, "good:", strings.TrimPrefix(answer.Reason, "dry: ")) })
+				return c.print(map[string]any{"good": true}, func(w io.Writer) { fmt.Fprintln(w, "good:", strings.TrimPrefix(answer.Reason, "dry: ")) })
 			}
 			return failed(fmt.Errorf("refused: %s", answer.Reason))
 		default:
@@ -375,13 +375,13 @@
 		}
 	}
 	if partial != nil {
-		return c.inForce(partial)
+		return c.reportInForce(partial)
 	}
 	if !sent {
-		return unreached(errors.New("no voter leads: nothing was proposed"))
+		return unreachable(errors.New("no voter leads: nothing was proposed"))
 	}
 	if last != nil {
-		return unreached(fmt.Errorf("in doubt: %w; 'policy status' tells what became of it", last))
+		return unreachable(fmt.Errorf("in doubt: %w; 'policy status' tells what became of it", last))
 	}
-	return unreached(errors.New("in doubt: it is not decided yet; 'policy status' tells what becomes of it"))
+	return unreachable(errors.New("in doubt: it is not decided yet; 'policy status' tells what becomes of it"))
 }
--- a/cmd/saffronquay/cli_voters.go
+++ b/cmd/saffronquay/policy_voters.go
@@ -36,14 +36,14 @@
 			"propose: 0 made, 1 refused, 3 in doubt.",
 		Example: "  saffronquay policy voters --door 127.0.0.1:9401\n  saffronquay policy voters replace cordoba-2 cordoba-4 --file deploy/rollout.json",
 		RunE: func(*cobra.Command, []string) error {
-			text, err := c.call("policy")
+			text, err := c.callAdmin("policy")
 			if err != nil {
 				return err
 			}
 			lost := map[string]bool{}
 			var all []map[string]string
 			here := ""
-			for _, of := range policyLines(text) {
+			for _, of := range parseAdminLines(text) {
 				switch of["kind"] {
 				case "member":
 					all = append(all, of)
@@ -55,7 +55,7 @@
 			for _, of := range all {
 				of["lost_disk"] = fmt.Sprint(lost[of["name"]])
 			}
-			return c.tell(all, func(w io.Writer) {
+			return c.print(all, func(w io.Writer) {
 				for _, of := range all {
 					word := "follows"
 					switch {
@@ -148,7 +148,7 @@
 			"on is gone, and none of them may be started again with its store.",
 		Example: "  saffronquay policy recover --file deploy/rollout.json\n  saffronquay policy recover --file deploy/rollout.json --force-new-fleet",
 		RunE: func(*cobra.Command, []string) error {
-			text, err := c.read(c.file, "the operator's file with --file")
+			text, err := c.readFile(c.file, "the operator's file with --file")
 			if err != nil {
 				return err
 			}
@@ -163,7 +163,7 @@
 			if err != nil {
 				return failed(err)
 			}
-			return c.tell(map[string]any{"made": force, "version": g.Version, "term": g.Term, "index": g.Index, "uncertain": g.Uncertain, "open": g.Open, "voters": g.Voters},
+			return c.print(map[string]any{"made": force, "version": g.Version, "term": g.Term, "index": g.Index, "uncertain": g.Uncertain, "open": g.Open, "voters": g.Voters},
 				func(w io.Writer) {
 					fmt.Fprintf(w, "this store knows the log up to term %d, index %d: of several take the one with the highest term, then index\n", g.Term, g.Index)
 					fmt.Fprintf(w, "%d entries may never have been agreed on, and count from then on\n", g.Uncertain)
--- a/cmd/saffronquay/script_test.go
+++ b/cmd/saffronquay/script_test.go
@@ -155,7 +155,7 @@
 					return
 				}
 				taken++
-				r, err := rosterOf("damaged", op)
+				r, err := operatorRoster("damaged", op)
 				if err != nil {
 					return
 				}
@@ -189,7 +189,7 @@
 	} {
 		changed := strings.Replace(string(text), c.from, c.to, 1)
 		for name, err := range map[string]error{"schema": schema.Judge(schema.Operator, []byte(changed)), "program": parse(changed)} {
-			if err == nil || !slices.ContainsFunc(faults(err), func(f string) bool { return strings.HasPrefix(f, c.path) }) {
+			if err == nil || !slices.ContainsFunc(splitFaults(err), func(f string) bool { return strings.HasPrefix(f, c.path) }) {
 				t.Errorf("%s to %s, by the %s: %v", c.from, c.to, name, err)
 			}
 		}
--- a/cmd/saffronquay/cli_store.go
+++ b/cmd/saffronquay/store.go
@@ -22,7 +22,7 @@
 		}
 		v, err := recordlog.OpenReadOnly([2]recordlog.Dir{recordlog.ExistingDirectory(words[0]), recordlog.ExistingDirectory(second)})
 		if err != nil {
-			return nil, unreached(err)
+			return nil, unreachable(err)
 		}
 		return v, nil
 	}
@@ -35,11 +35,11 @@
 				return err
 			}
 			r := v.Check()
-			if err := c.tell(r, func(w io.Writer) { tellCheck(w, r) }); err != nil {
+			if err := c.print(r, func(w io.Writer) { printStoreCheck(w, r) }); err != nil {
 				return err
 			}
 			if len(r.Damaged)+len(r.LostSpans) > 0 {
-				return &ended{code: bad}
+				return &exitError{code: exitFailed}
 			}
 			return nil
 		},
@@ -58,7 +58,7 @@
 	return parent
 }
 
-func tellCheck(w io.Writer, r recordlog.CheckReport) {
+func printStoreCheck(w io.Writer, r recordlog.CheckReport) {
 	for _, d := range r.Damaged {
 		fmt.Fprintln(w, "damaged", d)
 	}
@@ -72,7 +72,7 @@
 		r.Records, len(r.Damaged), len(r.LostSpans), len(r.UnreferencedFiles), r.Took)
 }
 
-var kinds = map[recordlog.Kind]struct {
+var recordKinds = map[recordlog.Kind]struct {
 	name  string
 	value func() proto.Message
 }{
@@ -90,7 +90,7 @@
 		if broken != nil {
 			return // nobody reads any more
 		}
-		k := kinds[r.Kind]
+		k := recordKinds[r.Kind]
 		text := []byte("null")
 		if k.value != nil && !r.Deleted {
 			m := k.value()
@@ -110,7 +110,7 @@
 		fmt.Fprintf(c.errs, "unknown between records %d and %d\n", u.After, u.Before)
 	}
 	if len(unknown) > 0 {
-		return &ended{code: bad}
+		return &exitError{code: exitFailed}
 	}
 	return nil
 }
--- a/cmd/saffronquay/cli_try.go
+++ b/cmd/saffronquay/try.go
@@ -114,30 +114,30 @@
 	}
 	cl, file, err := t.cluster()
 	if err != nil {
-		return unreached(err)
+		return unreachable(err)
 	}
 	defer cl.Close()
 	log, _ := newLog(c.errs, "text", slog.LevelWarn)
 	team := &team{trial: t, file: file, log: log}
-	defer team.end()
+	defer team.stopAll()
 	for range max(t.gatherers, 1) {
-		if err := team.start(len(team.all)); err != nil {
+		if err := team.start(len(team.running)); err != nil {
 			return failed(err)
 		}
 	}
-	c.greet(team.all[0].ClientAddress(), team.all[0].AdminAddress())
+	c.greet(team.running[0].ClientAddress(), team.running[0].AdminAddress())
 	if t.gatherers > 1 {
-		fmt.Fprintf(c.out, "  saffronquay fleet --watch --door %s\n\n", team.all[0].AdminAddress())
+		fmt.Fprintf(c.out, "  saffronquay fleet --watch --door %s\n\n", team.running[0].AdminAddress())
 	}
 	ctx, stop := interrupted(t.length)
 	defer stop()
 	go t.faults(ctx, c.out, cl, team)
-	t.load(ctx, c.out, "http://"+team.all[0].ClientAddress(), func() {
+	t.load(ctx, c.out, "http://"+team.running[0].ClientAddress(), func() {
 		if t.gatherers > 1 {
-			team.tellViews(c.out)
+			team.printViews(c.out)
 		}
 	})
-	err = team.end()
+	err = team.stopAll()
 	runs, twice, astray := cl.Ledger.Counts()
 	fmt.Fprintf(c.out, "the servers' ledger: %d parts run, %d filings run twice, %d run where they were not held; %d filings without X-Opaque-Id can't be judged\n",
 		runs, twice, astray, cl.Ledger.Unjudged())
@@ -174,7 +174,7 @@
 		return
 	}
 	if t.policy {
-		team.change(say, 1)
+		team.proposePolicy(say, 1)
 	}
 	if (t.kill || t.policy) && t.gatherers > 1 {
 		say("gatherer try-%d leaves", t.gatherers)
@@ -182,7 +182,7 @@
 			say("%v", err)
 		}
 		if t.policy {
-			team.change(say, 2)
+			team.proposePolicy(say, 2)
 		}
 		if !pause(2 * time.Second) {
 			return
--- a/cmd/saffronquay/cli_try_team.go
+++ b/cmd/saffronquay/try_team.go
@@ -29,16 +29,16 @@
 	file map[string]any
 	log  *slog.Logger
 
-	mu    sync.Mutex
-	all   []*server.Gatherer // nil: it has been stopped
-	first string             // where the first one's view is reached
-	ended bool
-	dir   string   // for stores, where they agree on the policy
-	at    []string // where each agrees
+	mu      sync.Mutex
+	running []*server.Gatherer // nil: it has been stopped
+	first   string             // where the first one's view is reached
+	stopped bool
+	dir     string   // for stores, where they agree on the policy
+	at      []string // where each agrees
 }
 
 // agree sets a rollout up in a gatherer's file, with all of the team as voters and a store in a directory that end removes.
-func (m *team) agree(i int, file map[string]any) error {
+func (m *team) addRollout(i int, file map[string]any) error {
 	if m.dir == "" {
 		var err error
 		if m.dir, err = os.MkdirTemp("", "saffronquay-try-"); err != nil {
@@ -63,7 +63,7 @@
 }
 
 // change proposes a policy that differs in one figure, and tells what became of it.
-func (m *team) change(say func(string, ...any), n int) {
+func (m *team) proposePolicy(say func(string, ...any), n int) {
 	file, err := json.Marshal(m.file)
 	if err == nil {
 		file, err = config.PolicyOf(file)
@@ -100,7 +100,7 @@
 func (m *team) start(i int) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.ended {
+	if m.stopped {
 		return nil
 	}
 	file := maps.Clone(m.file)
@@ -120,7 +120,7 @@
 		}
 	}
 	if m.policy {
-		if err := m.agree(i, file); err != nil {
+		if err := m.addRollout(i, file); err != nil {
 			return err
 		}
 	}
@@ -143,10 +143,10 @@
 	if m.first == "" && m.gatherers > 1 {
 		m.first = g.FleetAddress()
 	}
-	if i < len(m.all) {
-		m.all[i] = g
+	if i < len(m.running) {
+		m.running[i] = g
 	} else {
-		m.all = append(m.all, g)
+		m.running = append(m.running, g)
 	}
 	return nil
 }
@@ -154,8 +154,8 @@
 // stop stops one.
 func (m *team) stop(i int) error {
 	m.mu.Lock()
-	g := m.all[i]
-	m.all[i] = nil
+	g := m.running[i]
+	m.running[i] = nil
 	m.mu.Unlock()
 	if g == nil {
 		return nil
@@ -165,10 +165,10 @@
 }
 
 // end stops all; a second call does nothing.
-func (m *team) end() (err error) {
+func (m *team) stopAll() (err error) {
 	m.mu.Lock()
-	n := len(m.all)
-	m.ended = true
+	n := len(m.running)
+	m.stopped = true
 	m.mu.Unlock()
 	var wg sync.WaitGroup
 	errs := make([]error, n)
@@ -184,11 +184,11 @@
 }
 
 // tellViews writes how many each one sees, a line.
-func (m *team) tellViews(out io.Writer) {
+func (m *team) printViews(out io.Writer) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	var words []string
-	for i, g := range m.all {
+	for i, g := range m.running {
 		if g == nil {
 			words = append(words, fmt.Sprintf("try-%d is away", i+1))
 			continue
