--- a/internal/broker/core/broker_test.go
+++ b/internal/broker/core/core_test.go
@@ -9,25 +9,25 @@
 	sq "saffronquay"
 )
 
-// script is a module that does what the test says and writes down what it is told.
-type script struct {
+// scriptedModule returns the actions that the test sets, and records the events and step times that it sees.
+type scriptedModule struct {
 	next  []sq.Action
 	seen  []sq.Event
 	steps []int64
 }
 
-func (s *script) Step(now int64, events []sq.Event) []sq.Action {
+func (s *scriptedModule) Step(now int64, events []sq.Event) []sq.Action {
 	s.seen, s.steps = append(s.seen, events...), append(s.steps, now)
 	a := s.next
 	s.next = nil
 	return a
 }
 
-func (*script) Rotation() (listed, out int) { return 0, 0 }
+func (*scriptedModule) Rotation() (listed, out int) { return 0, 0 }
 
-func (*script) Learned() sq.Learned { return sq.Learned{Admission: 0.5} }
+func (*scriptedModule) Learned() sq.Learned { return sq.Learned{Admission: 0.5} }
 
-func (s *script) outcomes() string {
+func (s *scriptedModule) outcomes() string {
 	var out []string
 	for _, e := range s.seen {
 		if e, ok := e.(sq.AttemptEnded); ok {
@@ -37,15 +37,15 @@
 	return strings.Join(out, " ")
 }
 
-func terms() Config {
+func testConfig() Config {
 	return Config{
 		Period: 10, Shards: 4, MaxOpen: 6, PartsPerCall: 2, RetryAfter: true, MaxRetryAfter: 500, AnswerGrace: 20,
 		Classes: []sq.Class{{Name: "free", CompleteWeight: 1, MinWeight: 0.5}, {Name: "once", CompleteWeight: 1, MinWeight: 1, Effect: sq.AtMostOnce}},
 	}
 }
 
-// ask makes a query of half-weight parts; the ids that follow are 1 for the query and 3, 4 for its parts.
-func ask(class string, shards ...int) Query {
+// testQuery returns a query of parts of equal weight. As the first query of a core it gets id 1, and its parts get 3, 4 and so on.
+func testQuery(class string, shards ...int) Query {
 	a := Query{Label: "q", Class: class, Tenant: "t", Deadline: 1000}
 	for _, s := range shards {
 		a.Parts = append(a.Parts, QueryPart{Shard: s, Weight: 1 / float64(len(shards)), Work: 5})
@@ -53,18 +53,18 @@
 	return a
 }
 
-func begin(t *testing.T, terms Config, class string, shards ...int) (*Core, *script) {
+func begin(t *testing.T, terms Config, class string, shards ...int) (*Core, *scriptedModule) {
 	t.Helper()
-	m := &script{}
+	m := &scriptedModule{}
 	c := New(terms, m)
-	if id, f, err := c.Open(100, ask(class, shards...)); id != 1 || f != nil || err != nil {
+	if id, f, err := c.Open(100, testQuery(class, shards...)); id != 1 || f != nil || err != nil {
 		t.Fatal(id, f, err)
 	}
 	return c, m
 }
 
-// act steps the core at a time with what the module is to do, and returns the effects of one kind.
-func act[E Effect](c *Core, m *script, now int64, actions ...sq.Action) []E {
+// act steps the core at a time, with the actions that the module returns, and returns the effects of one type.
+func act[E Effect](c *Core, m *scriptedModule, now int64, actions ...sq.Action) []E {
 	m.next = actions
 	if len(actions) > 0 && len(c.events) == 0 {
 		c.FleetChanged(sq.FleetChanged{})
@@ -79,7 +79,7 @@
 }
 
 func TestOneFinalAnswer(t *testing.T) {
-	c, m := begin(t, terms(), "free", 0)
+	c, m := begin(t, testConfig(), "free", 0)
 	calls := act[Call](c, m, 100, sq.Send{Part: 3, Server: "s"})
 	if len(calls) != 1 || calls[0].Attempts[0].Due != 1000 {
 		t.Fatalf("%v", calls)
@@ -94,9 +94,9 @@
 	}
 }
 
-// A module that loses sight of a query must not lose it for the client.
+// A query that the module never ends still gets its Final.
 func TestDeadlineGuard(t *testing.T) {
-	c, m := begin(t, terms(), "once", 0)
+	c, m := begin(t, testConfig(), "once", 0)
 	act[Call](c, m, 100, sq.Send{Part: 3, Server: "s"})
 	if got := act[Final](c, m, 1019); len(got) != 0 {
 		t.Fatalf("too soon: %v", got)
@@ -113,10 +113,9 @@
 	}
 }
 
-// Each attempt has one outcome: what comes after its time-out or cancel is dropped, and nothing is answered
-// from it.
+// Each attempt has one outcome: a reply after its timeout or cancellation is dropped, and no answer is made from it.
 func TestOneOutcome(t *testing.T) {
-	c, m := begin(t, terms(), "free", 0, 1)
+	c, m := begin(t, testConfig(), "free", 0, 1)
 	calls := act[Call](c, m, 100, sq.Send{Part: 3, Server: "s", Timeout: 50}, sq.Send{Part: 4, Server: "s"})
 	if len(calls) != 1 || len(calls[0].Attempts) != 2 {
 		t.Fatalf("parts to one server share a call: %v", calls)
@@ -148,7 +147,7 @@
 		sq.Rejected: Refused, sq.Unreachable: Refused, sq.Errored: Failed,
 		sq.Broken: Failed, sq.Served: Failed,
 	} {
-		c, m := begin(t, terms(), "once", 0)
+		c, m := begin(t, testConfig(), "once", 0)
 		calls := act[Call](c, m, 100, sq.Send{Part: 3, Server: "s"})
 		c.AttemptEnded(110, calls[0].Attempts[0].ID, o, nil, nil)
 		got := act[Final](c, m, 120, sq.Refuse{Query: 1, RetryAfter: 900})
@@ -156,7 +155,7 @@
 			t.Errorf("after outcome %d: %+v", o, got)
 		}
 	}
-	c, m := begin(t, terms(), "once", 0)
+	c, m := begin(t, testConfig(), "once", 0)
 	act[Call](c, m, 100, sq.Send{Part: 3, Server: "s"})
 	if got := act[Final](c, m, 120, sq.Refuse{Query: 1}); len(got) != 1 || got[0].Outcome != Failed {
 		t.Errorf("while an attempt is out: %+v", got)
@@ -165,7 +164,7 @@
 
 func TestHonestAnswers(t *testing.T) {
 	for served, want := range map[int]string{0: "2 false", 1: "0 false", 2: "0 true"} {
-		c, m := begin(t, terms(), "free", 0, 1)
+		c, m := begin(t, testConfig(), "free", 0, 1)
 		calls := act[Call](c, m, 100, sq.Send{Part: 3, Server: "s"}, sq.Send{Part: 4, Server: "s"})
 		for _, a := range calls[0].Attempts[:served] {
 			c.AttemptEnded(110, a.ID, sq.Served, []byte("v"), nil)
@@ -178,16 +177,16 @@
 }
 
 func TestMaxOpen(t *testing.T) {
-	c, m := begin(t, terms(), "free", 0, 1, 2)
-	if id, f, err := c.Open(100, ask("free", 0)); id == 0 || f != nil || err != nil {
+	c, m := begin(t, testConfig(), "free", 0, 1, 2)
+	if id, f, err := c.Open(100, testQuery("free", 0)); id == 0 || f != nil || err != nil {
 		t.Fatal("room is left")
 	}
-	_, f, err := c.Open(100, ask("free", 0))
+	_, f, err := c.Open(100, testQuery("free", 0))
 	if err != nil || f == nil || f.Outcome != Refused || f.RetryAfter != 500 {
 		t.Errorf("%+v, %v", f, err)
 	}
 	c.ClientLeft(1)
-	if _, f, _ := c.Open(100, ask("free", 0)); f != nil {
+	if _, f, _ := c.Open(100, testQuery("free", 0)); f != nil {
 		t.Error("room was made")
 	}
 	act[Final](c, m, 100)
@@ -203,7 +202,7 @@
 }
 
 func TestPeriod(t *testing.T) {
-	c, m := begin(t, terms(), "free", 0)
+	c, m := begin(t, testConfig(), "free", 0)
 	for now := int64(100); now <= 130; now++ {
 		c.Step(now)
 		if now == 103 {
@@ -225,9 +224,9 @@
 	}
 }
 
-// A tenant's budget holds over any window; what it forbids is told as not sent.
+// A tenant's retry budget holds over any window. An attempt that it forbids is reported as not sent.
 func TestTenantBudget(t *testing.T) {
-	x := terms()
+	x := testConfig()
 	x.Tenants = map[string]Budget{"t": {Free: 1, Ratio: 0, Window: 100}}
 	c, m := begin(t, x, "free", 0)
 	now := int64(100)
@@ -251,13 +250,13 @@
 }
 
 func TestMalformed(t *testing.T) {
-	c := New(terms(), &script{})
-	negative := ask("free", 0)
+	c := New(testConfig(), &scriptedModule{})
+	negative := testQuery("free", 0)
 	negative.Parts[0].Weight = -1
-	heavy, light, long := ask("free", 0), ask("free", 0, 1), ask("free", 1)
+	heavy, light, long := testQuery("free", 0), testQuery("free", 0, 1), testQuery("free", 1)
 	heavy.Parts[0].Weight, light.Parts[0].Weight, long.Parts[0].Work = 1.5, 0.3, 1<<60
 	for _, a := range []Query{
-		ask("free"), ask("free", 4), ask("free", -1), ask("free", 1, 1), ask("other", 1), negative,
+		testQuery("free"), testQuery("free", 4), testQuery("free", -1), testQuery("free", 1, 1), testQuery("other", 1), negative,
 		heavy, light, long,
 	} {
 		if _, f, err := c.Open(0, a); f != nil || !errors.Is(err, ErrMalformed) {
@@ -266,11 +265,11 @@
 	}
 }
 
-// An id that is open is not taken again, and the first query goes on; once that has ended it may come again.
+// A label that an open query has is refused, and the first query goes on. After its end the label may be used again.
 func TestIDIsOpen(t *testing.T) {
-	m := &script{}
-	c := New(terms(), m)
-	a := ask("free", 1)
+	m := &scriptedModule{}
+	c := New(testConfig(), m)
+	a := testQuery("free", 1)
 	a.Unique = true
 	first, _, err := c.Open(0, a)
 	if err != nil {
@@ -291,28 +290,27 @@
 	}
 }
 
-// Settings change for what comes afterwards, at one point in the module's events; what is open keeps its class, and
-// budgets keep what they have spent.
+// A new configuration applies to later queries, from one point in the module's events on. Open queries keep their class, and budgets keep what they have spent.
 func TestReconfigure(t *testing.T) {
-	old := terms()
+	old := testConfig()
 	old.Tenants = map[string]Budget{"t": {Free: 1, Window: 1000}, "gone": {Free: 1, Window: 1000}}
 	c, m := begin(t, old, "free", 0)
 	act[Call](c, m, 100, sq.Send{Part: 3, Server: "s"}, sq.Send{Part: 3, Server: "s"})
-	now := terms()
+	now := testConfig()
 	now.Classes = []sq.Class{{Name: "free", CompleteWeight: 1, MinWeight: 1, Effect: sq.AtMostOnce}}
 	now.MaxOpen = 2
 	now.Tenants = map[string]Budget{"t": {Free: 2, Window: 1000}}
-	if _, f, err := c.Open(105, ask("once", 1)); f != nil || err != nil {
+	if _, f, err := c.Open(105, testQuery("once", 1)); f != nil || err != nil {
 		t.Fatal(f, err)
 	}
 	c.Reconfigure(now, sq.Settings{Period: 7})
-	if _, _, err := c.Open(106, ask("once", 2)); !errors.Is(err, ErrMalformed) {
+	if _, _, err := c.Open(106, testQuery("once", 2)); !errors.Is(err, ErrMalformed) {
 		t.Errorf("a query of a class that is gone: %v", err)
 	}
-	if _, f, err := c.Open(106, ask("free", 2)); f == nil || err != nil {
+	if _, f, err := c.Open(106, testQuery("free", 2)); f == nil || err != nil {
 		t.Errorf("with as much open as may be now: %v %v", f, err)
 	}
-	// The one that is open may be refused although a part may have run: so it was when it came.
+	// The open query may be refused although a part may have run: its class was idempotent when it came.
 	got := act[Final](c, m, 110, sq.Refuse{Query: 1}, sq.Send{Part: 3, Server: "s"})
 	if len(got) != 1 || got[0].Outcome != Refused {
 		t.Errorf("%+v", got)
@@ -324,20 +322,20 @@
 	if got := strings.Join(order[len(order)-3:], " "); got != "saffronquay.Query saffronquay.Part saffronquay.SettingsChanged" {
 		t.Errorf("the module saw %s", got)
 	}
-	if r := c.budgets["t"]; len(c.budgets) != 1 || len(r.extras) != 1 || r.Free != 2 {
+	if r := c.budgets["t"]; len(c.budgets) != 1 || len(r.retries) != 1 || r.Free != 2 {
 		t.Errorf("budgets %+v", c.budgets)
 	}
 }
 
-// Two processes of one gatherer are one to ids, to what may be open, and to budgets.
-func TestBeside(t *testing.T) {
-	now := terms()
+// Unique labels, Config.MaxOpen and retry budgets count both processes of a gatherer.
+func TestPeerProcess(t *testing.T) {
+	now := testConfig()
 	now.Tenants = map[string]Budget{"t": {Free: 1, Ratio: 1, Window: 1000}}
-	m := &script{}
+	m := &scriptedModule{}
 	c := New(now, m)
 	c.TakeOver(100, sq.Learned{Admission: 0.5})
 	c.SetPeer(Occupancy{Open: 4, Labels: map[string]int64{"theirs": 200}})
-	a := ask("free", 0)
+	a := testQuery("free", 0)
 	a.Label, a.Unique = "theirs", true
 	if _, _, err := c.Open(199, a); !errors.Is(err, ErrDuplicateLabel) {
 		t.Errorf("an id that is open in the other: %v", err)
@@ -348,15 +346,14 @@
 	if s := c.Occupancy(); s.Open != 2 || s.Labels["theirs"] != 1000 {
 		t.Errorf("%+v", s)
 	}
-	if _, f, _ := c.Open(200, ask("free", 1)); f == nil || f.Outcome != Refused {
+	if _, f, _ := c.Open(200, testQuery("free", 1)); f == nil || f.Outcome != Refused {
 		t.Errorf("with 6 open in both: %+v", f)
 	}
 	c.SetPeer(Occupancy{})
-	if _, f, err := c.Open(200, ask("free", 1)); f != nil || err != nil {
+	if _, f, err := c.Open(200, testQuery("free", 1)); f != nil || err != nil {
 		t.Errorf("with the other gone: %+v %v", f, err)
 	}
-	// Two parts were taken, so two further attempts may leave, and with the free one three; that one may be spent by the
-	// other process until the window is over.
+	// Two parts allow two retries. The free retry may be spent by the other process until the window is over.
 	act[Call](c, m, 210, sq.Send{Part: 3, Server: "s"}, sq.Send{Part: 3, Server: "s"}, sq.Send{Part: 3, Server: "s"})
 	if got := len(act[Call](c, m, 300, sq.Send{Part: 3, Server: "s"})); got != 0 {
 		t.Errorf("%d calls beyond what both may spend", got)
@@ -365,8 +362,8 @@
 		t.Errorf("the module first saw %#v", m.seen[0])
 	}
 	r := c.budgets["t"]
-	r.taken, r.extras = nil, nil
-	if r.spend(1099) || !r.spend(1100) {
+	r.parts, r.retries = nil, nil
+	if r.trySpend(1099) || !r.trySpend(1100) {
 		t.Error("the free part may be spent from the window's end on, and not before")
 	}
 }
--- a/internal/broker/core/dialect.go
+++ b/internal/broker/core/dialect.go
@@ -6,32 +6,31 @@
 	sq "saffronquay"
 )
 
-// ErrLast says that the answer which came with it was the last on its connection; nothing was wrong with it.
+// ErrConnectionEnding is returned by Session.Feed beside the last answer on a connection that the server ends in order. It is not a fault of the server.
 var ErrConnectionEnding = errors.New("the server ends the connection")
 
-// Dialect is how servers are spoken to. It knows no socket.
+// Dialect is the protocol that servers are called by. It opens no connection itself.
 type Dialect interface {
-	// Streams is how many calls one connection carries at a time.
+	// Streams returns how many calls one connection carries at a time.
 	Streams() int
-	// Session begins a connection to the server at an address.
+	// NewSession returns the state of a new connection to the server at an address.
 	NewSession(address string) Session
 }
 
-// Session is one connection's side of a dialect, fed bytes.
+// Session is the state of one connection in a Dialect. It does no input or output: it is fed the bytes that came and appends those to be sent.
 type Session interface {
-	// Call appends the bytes of a call that leaves at now.
+	// Call appends the bytes of a call that is sent at now.
 	Call(dst []byte, c Call, now int64) []byte
-	// Drop appends what tells the server that an attempt is given up; keep is false where only closing the
-	// connection can say so.
+	// Cancel appends the bytes that tell the server that an attempt is given up. keep is false where only closing the connection can tell it.
 	Cancel(dst []byte, id AttemptID) (out []byte, keep bool)
-	// Unsent says that an attempt was taken back before any byte of its call left: nothing comes back for it.
+	// Unsent reports that an attempt was taken back before any byte of its call was sent: no reply to it comes.
 	Unsent(id AttemptID)
-	// Feed takes in bytes from the server, which it does not keep. What was good is returned beside an error;
-	// after that the connection is of no use, and what is still out on it may have run.
+	// Feed takes bytes from the server; it does not keep b. Beside an error it returns the replies that were good. After an error the connection is of no use, and
+	// the attempts that still run on it may have run.
 	Feed(b []byte) ([]Reply, error)
-	// Partial tells that bytes of an unfinished answer are held.
+	// Partial reports whether bytes of an unfinished answer are held.
 	Partial() bool
-	// Closed says that the server has ended the connection in order, and returns what that completes. A reset completes nothing.
+	// Closed reports that the server has ended the connection in order, and returns the replies which that completes. It is not called after a reset.
 	Closed() []Reply
 }
 
@@ -40,10 +39,10 @@
 	Attempt AttemptID
 	Outcome sq.Outcome
 	Value   []byte
-	// Read, where set, reads and judges the answer, and gives the reply that counts. It may take long and touches nothing of
-	// its session's: the pool runs it off the engine's goroutine.
+	// Read, if not nil, decodes and judges the answer and returns the reply that counts. It may take long and touches nothing of its session: the pool runs it off the
+	// engine's goroutine.
 	Read   func() Reply
 	Size   int // bytes that Value and Part keep
-	Part   any // the same, as the session has read it for the query's front; nil where it reads nothing
+	Part   any // the answer as the session has decoded it for the query's protocol; nil where it decodes nothing
 	Report *sq.LoadReport
 }
--- a/internal/broker/core/intent.go
+++ b/internal/broker/core/intent.go
@@ -1,44 +1,74 @@
 package core
 
-import sq "saffronquay"
+import (
+	sq "saffronquay"
+	"saffronquay/internal/broker/layout"
+)
 
-// intend holds an attempt back until it is durable that it is about to leave. Guards a part that must not run twice against a crash
-// after which nobody knows that it left.
-func (c *Core) intend(a *attempt, out Attempt) {
-	a.waits = &out
-	q := a.p.q
-	part := Intent{Shard: out.Shard, Span: out.Span, Server: a.server}
-	if i, ok := c.intents[q.id]; ok {
-		x := c.effects[i].(RecordIntents)
-		x.Intents, x.Attempts = append(x.Intents, part), append(x.Attempts, a.id)
-		c.effects[i] = x
-		return
+// IntentLog keeps which parts of one at-most-once query are about to be sent. Its methods may be called from any goroutine.
+type IntentLog interface {
+	// Record makes it durable that parts are about to be sent. It calls done from another goroutine, with nil once that is durable, else with why it is not known to
+	// be. If Record returns an error, the intents are not durable and done is not called.
+	Record(parts []Intent, deadline int64, done func(error)) error
+	// WantsResult reports whether the query has to go on to its end although its client has left.
+	WantsResult() bool
+	// Release reports that no part of the query has run or will run.
+	Release()
+	// Abandon reports that the end of the query will not be known.
+	Abandon()
+}
+
+// Intent is a part that is about to be sent.
+type Intent struct {
+	Shard  int
+	Span   layout.Span
+	Server sq.ServerID
+}
+
+// recordIntent holds an attempt back until the intent to send it is durable. Otherwise an at-most-once part could run, and after a crash nothing would tell.
+func (c *Core) recordIntent(a *attempt, out Attempt) {
+	a.pending = &out
+	q := a.part.query
+	intent := Intent{Shard: out.Shard, Span: out.Span, Server: a.server}
+	if i, ok := c.openIntents[q.id]; ok {
+		if record, isRecord := c.effects[i].(RecordIntents); isRecord {
+			record.Intents = append(record.Intents, intent)
+			record.Attempts = append(record.Attempts, a.id)
+			c.effects[i] = record
+			return
+		}
 	}
-	c.intents[q.id] = len(c.effects)
-	c.do(RecordIntents{Log: q.ask.IntentLog, Deadline: q.ask.Deadline, Intents: []Intent{part}, Attempts: []AttemptID{a.id}})
+	c.openIntents[q.id] = len(c.effects)
+	c.emit(RecordIntents{
+		Log: q.spec.IntentLog, Deadline: q.spec.Deadline, Intents: []Intent{intent}, Attempts: []AttemptID{a.id},
+	})
 }
 
-// Intended says whether it is durable that some attempts are about to leave. Those that still wait leave now. Where it is not, they
-// never do, and their query ends: as refused, unless another part of it may have run.
+// IntentsRecorded reports the result of a RecordIntents. With a nil error the attempts that still wait are sent. Otherwise they are never sent and their query ends:
+// refused, or failed where another part of it may have run.
 func (c *Core) IntentsRecorded(now int64, ids []AttemptID, err error) {
 	for _, id := range ids {
 		a := c.attempts[id]
-		if a == nil || a.waits == nil { // it was given up meanwhile
+		if a == nil || a.pending == nil { // it has ended, or this is reported twice
 			continue
 		}
-		q := a.p.q
-		if err != nil || q.over || a.p.in {
-			c.AttemptEnded(now, id, sq.NotSent, nil, nil)
-			if err != nil && !q.over {
-				c.do(LogLine{Text: "a query ends, since its intent could not be kept: " + err.Error()})
-				c.refuse(q, now, 0)
-				c.events = append(c.events, sq.ClientLeft{Query: q.id})
-			}
+		q := a.part.query
+		if err == nil && !q.ended && !a.part.received {
+			c.sendPending(now, a)
 			continue
 		}
-		out := *a.waits
-		// The server is not to be judged by how long the disk took.
-		a.waits, a.sent, a.p.intended = nil, now, true
-		c.call(a.server, out)
+		c.AttemptEnded(now, id, sq.NotSent, nil, nil)
+		if err != nil && !q.ended {
+			c.emit(LogLine{Text: "a query ends, since its intent could not be recorded: " + err.Error()})
+			c.refuse(q, now, 0)
+			c.events = append(c.events, sq.ClientLeft{Query: q.id})
+		}
 	}
 }
+
+// sendPending sends an attempt whose intent is durable. Its latency counts from now, so that the server is not judged by the time of the disk.
+func (c *Core) sendPending(now int64, a *attempt) {
+	out := *a.pending
+	a.pending, a.sentAt, a.part.hasIntent = nil, now, true
+	c.addToCall(a.server, out)
+}
--- a/internal/broker/core/intent_test.go
+++ b/internal/broker/core/intent_test.go
@@ -7,28 +7,28 @@
 	sq "saffronquay"
 )
 
-// book is a ledger that writes down what it is told.
-type book struct{ released, abandoned int }
+// countingIntentLog counts the calls of Release and Abandon.
+type countingIntentLog struct{ released, abandoned int }
 
-func (*book) Record([]Intent, int64, func(error)) error { return nil }
-func (*book) WantsResult() bool                         { return true }
-func (b *book) Release()                                { b.released++ }
-func (b *book) Abandon()                                { b.abandoned++ }
+func (*countingIntentLog) Record([]Intent, int64, func(error)) error { return nil }
+func (*countingIntentLog) WantsResult() bool                         { return true }
+func (b *countingIntentLog) Release()                                { b.released++ }
+func (b *countingIntentLog) Abandon()                                { b.abandoned++ }
 
-func beginOnce(t *testing.T, shards ...int) (*Core, *script) {
+func beginOnce(t *testing.T, shards ...int) (*Core, *scriptedModule) {
 	t.Helper()
-	m := &script{}
-	c := New(terms(), m)
-	a := ask("once", shards...)
-	a.IntentLog = &book{}
+	m := &scriptedModule{}
+	c := New(testConfig(), m)
+	a := testQuery("once", shards...)
+	a.IntentLog = &countingIntentLog{}
 	if _, f, err := c.Open(100, a); f != nil || err != nil {
 		t.Fatal(f, err)
 	}
 	return c, m
 }
 
-// sendBoth has the module send both parts of a query, and returns what is to be made durable.
-func sendBoth(t *testing.T, c *Core, m *script) RecordIntents {
+// sendBoth has the module send both parts of a query, and returns the intents that are to be recorded.
+func sendBoth(t *testing.T, c *Core, m *scriptedModule) RecordIntents {
 	t.Helper()
 	m.next = []sq.Action{sq.Send{Part: 3, Server: "s"}, sq.Send{Part: 4, Server: "t"}}
 	effects := c.Step(100)
@@ -39,7 +39,7 @@
 	return x
 }
 
-// No part leaves before its intent is durable; then it does at once, and its server is not judged by the disk's time.
+// No part is sent before its intent is durable. Then it is sent at once, and its latency is without the time of the disk.
 func TestPartsWaitForTheirIntents(t *testing.T) {
 	c, m := beginOnce(t, 0, 1)
 	x := sendBoth(t, c, m)
@@ -59,7 +59,7 @@
 	if got := m.outcomes(); got != "3.0=4@50" {
 		t.Errorf("outcomes %q", got)
 	}
-	// It never ran, and its intent stands already.
+	// It never ran, and its intent is durable already.
 	if again := act[Call](c, m, 220, sq.Send{Part: 3, Server: "u"}); len(again) != 1 || again[0].Server != "u" {
 		t.Errorf("%+v", again)
 	}
@@ -69,7 +69,7 @@
 	}
 }
 
-// Where the intent can't be kept nothing leaves, and the query is refused: repeating it does no harm.
+// If the intent can't be recorded, nothing is sent and the query is refused, since a retry does no harm.
 func TestIntentsThatFail(t *testing.T) {
 	c, m := beginOnce(t, 0, 1)
 	x := sendBoth(t, c, m)
@@ -84,7 +84,7 @@
 	}
 }
 
-// What waits for its intent when its time is up, or its client leaves, never leaves and never ran.
+// An attempt that waits for its intent at its timeout, or when its client leaves, is never sent.
 func TestGivenUpBeforeTheIntent(t *testing.T) {
 	c, m := beginOnce(t, 0, 1)
 	x := sendBoth(t, c, m)
@@ -109,16 +109,16 @@
 	}
 }
 
-// What a budget had spent before a crash counts after it, and what was left then counts as spent since.
+// What a budget had spent before a crash counts after it, and so does what was left at that time.
 func TestBudgetsOutlastACrash(t *testing.T) {
 	budget := map[string]Budget{"t": {Free: 4, Ratio: 0.5, Window: 1000}}
-	before, after := terms(), terms()
+	before, after := testConfig(), testConfig()
 	before.Tenants, after.Tenants = budget, budget
-	a := New(before, &script{})
+	a := New(before, &scriptedModule{})
 	r := a.budgets["t"]
-	r.take(0, 10)
+	r.addParts(0, 10)
 	for _, at := range []int64{10, 500, 900} {
-		if !r.spend(at) {
+		if !r.trySpend(at) {
 			t.Fatal("the budget is spent")
 		}
 	}
@@ -126,15 +126,15 @@
 	if s := spent["t"]; s.Taken[9] != 10 || s.Extras[0] != 1 || s.Extras[4] != 1 || s.Extras[9] != 1 {
 		t.Errorf("%+v", spent)
 	}
-	b := New(after, &script{})
+	b := New(after, &scriptedModule{})
 	b.Restore(960, sq.Learned{}, spent)
-	if b.budgets["t"].spend(960) {
+	if b.budgets["t"].trySpend(960) {
 		t.Error("what was left may have been spent")
 	}
-	if b.budgets["t"].spend(1940) {
+	if b.budgets["t"].trySpend(1940) {
 		t.Error("within the window of what may have been spent")
 	}
-	if !b.budgets["t"].spend(1960) {
+	if !b.budgets["t"].trySpend(1960) {
 		t.Error("the window is over")
 	}
 	b.Restore(960, sq.Learned{}, map[string]Spent{"gone": {}, "t": {At: 1 << 60}})
--- a/internal/broker/core/size_test.go
+++ b/internal/broker/core/size_test.go
@@ -10,10 +10,10 @@
 	sq "saffronquay"
 )
 
-// BenchmarkQueryBySize is a whole query of the core with the real module, its parts served over four steps, against its parts before 2,600
+// BenchmarkQueryBySize measures a complete query of the core with the real module, its parts served over four steps, against its parts before 2,600
 // servers; processor time is the whole process's.
 //
-//	go test -run '^$' -bench QueryBySize -benchtime 1s ./internal/broker
+//	go test -run '^$' -bench QueryBySize -benchtime 1s ./internal/broker/core
 func BenchmarkQueryBySize(b *testing.B) {
 	used := func() time.Duration {
 		var u syscall.Rusage
--- a/internal/broker/idempotency/entry.go
+++ b/internal/broker/idempotency/entry.go
@@ -30,7 +30,7 @@
 }
 
 // Record makes the intent durable to send parts until a deadline. done is called on the log's goroutine, with nil when the intent is durable,
-// otherwise with the reason why that is not known; it is not called where Intend returns an error. No part may leave before done was called
+// otherwise with the reason why that is not known; it is not called where Record returns an error. No part may leave before done was called
 // with nil, and none after an error.
 func (e *Entry) Record(parts []core.Intent, deadline int64, done func(error)) error {
 	e.mu.Lock()
--- a/internal/broker/server/gatherer.go
+++ b/internal/broker/server/gatherer.go
@@ -419,7 +419,7 @@
 		held = int64(g.memoryMB) << 20 / 4
 	}
 	return core.Config{
-		MaxHeld: held, Period: set.Module.Period, Shards: set.Module.Shards, MaxOpen: set.MaxOpen,
+		MaxValueBytes: held, Period: set.Module.Period, Shards: set.Module.Shards, MaxOpen: set.MaxOpen,
 		PartsPerCall: g.partsPerCall, RetryAfter: set.Module.Limits.RetryAfter,
 		MaxRetryAfter: set.Module.Limits.MaxRetryAfter, AnswerGrace: set.Module.Period,
 		Classes: set.Module.Classes, Tenants: budgets,
