--- a/internal/broker/server/admin_policy.go
+++ b/internal/broker/server/admin_policy.go
@@ -8,6 +8,7 @@
 	"strconv"
 )
 
+// rolloutMetrics are the metrics of the agreement on the policy; zero before the policy node is open, and where it does not answer.
 func (g *Gatherer) rolloutMetrics() (f adminapi.RolloutMetrics) {
 	p := g.policyNode.Load()
 	if p == nil {
@@ -29,7 +30,7 @@
 	return f // nought where it is late
 }
 
-// Policy appends how the policy stands: a line of this gatherer, what was decided, and on the leader a line for each gatherer.
+// Policy appends the policy's state: a line for this gatherer, the members, the decisions, and on the leader a line for each lease it has granted.
 func (d adminProgram) Policy(dst []byte) []byte {
 	p := d.policyNode()
 	if p == nil {
@@ -74,7 +75,7 @@
 	return append(dst, <-got...)
 }
 
-// regionLine tells how this gatherer's region stands with the others. What was decided beyond a cut is not known: behind is at least so much.
+// appendRegion appends how this gatherer's region stands with the others. Decisions beyond a partition are not known: behind is at least so much.
 func appendRegion(dst []byte, n *rollout.Node, r rollout.RegionStatus, now int64) []byte {
 	asked := int64(-1)
 	if r.StatusAge >= 0 {
@@ -88,8 +89,8 @@
 		r.Name, r.Number, r.Newest, r.Newest-r.Number, r.IsolatedFor > 0, r.IsolatedFor/1000, max(0, r.LeaseUntil-now)/1000, asked, r.Leader, n.IsGlobalLeader(), n.HasGlobalVote(), n.GlobalOpenAttempt(), strconv.Quote(reason))
 }
 
-// decisionLines tell what was decided: without regions all that a voter knows; with them what the global agreement has decided where this
-// gatherer votes in it, else what its region has, and in both cases changes of who votes in the region.
+// appendDecisions appends the decisions: without regions all that a voter knows; with them those of the global agreement where this gatherer votes in
+// it, else those of its region, and in both cases changes of the region's voters.
 func appendDecisions(dst []byte, n *rollout.Node, r rollout.RegionStatus, are bool) []byte {
 	tell := func(all []*wire.Decision, region string, such func(*wire.Decision) bool) {
 		for _, x := range all {
@@ -112,7 +113,7 @@
 	return dst
 }
 
-// seen is for how long somebody has not asked, in milliseconds; -1: not under this leader.
+// millisecondsSinceSeen is how long ago a lease holder last asked this leader; -1: never.
 func millisecondsSinceSeen(x rollout.Grant, now int64) int64 {
 	if x.LastSeen == 0 {
 		return -1
@@ -120,7 +121,7 @@
 	return (now - x.LastSeen) / 1000
 }
 
-// PolicyText is the document in force, for operators, or the one before it, which voters know; empty where there is none.
+// PolicyText appends the document in force, or the one before it, which voters know; empty where there is none, nil where there is no policy node.
 func (d adminProgram) PolicyText(dst []byte, previous bool) []byte {
 	p := d.policyNode()
 	if p == nil {
--- /dev/null
+++ b/internal/broker/server/admin_program.go
@@ -0,0 +1,86 @@
+package server
+
+import (
+	"errors"
+	"fmt"
+	"saffronquay/internal/broker/adminapi"
+	"saffronquay/internal/broker/logging"
+	"saffronquay/internal/broker/transport"
+	"saffronquay/internal/cluster/peering"
+	"strings"
+)
+
+// adminProgram is what the admin endpoint's calls act on; it implements adminapi.Program.
+type adminProgram struct {
+	*adminapi.Lifecycle
+	*adminapi.Metrics
+	routes *transport.Routes
+	output *logging.Output
+	engine *transport.Engine
+	// members is the view of the fleet; nil before it is opened, or where there is none.
+	fleetView  func() *fleetView
+	policyNode func() *peering.PolicyNode // nil where there is none
+}
+
+// maxListedTeams bounds the teams that the call contracts lists.
+const maxListedTeams = 1000
+
+// Contracts appends each team's state, a line each; nil where there are no contracts.
+func (d adminProgram) Contracts(dst []byte) []byte {
+	for _, a := range d.engine.Accounts(maxListedTeams) {
+		dst = fmt.Appendf(dst, "team %s share=%.4f queued=%d out=%d asked=%d started=%d waited=%d ahead=%d full=%d class=%d expired=%d predicted_us=%.0f took_us=%.0f lent_us=%.0f attempts=%d budget=%.2f limit=%d ratio=%.3f\n",
+			a.Team, a.Fraction, a.Queued, a.Out, a.Requested, a.Started, a.Queued, a.RejectedBacklog, a.RejectedQueueFull, a.RejectedClass, a.Expired, a.Predicted, a.Consumed, a.Borrowed, a.Attempts, a.Budget, a.Limit, a.Ratio)
+	}
+	return dst
+}
+
+// SetLogLevel changes the lowest level that is logged.
+func (d adminProgram) SetLogLevel(level string) error {
+	if d.output == nil {
+		return errors.New("this program's log can't be changed")
+	}
+	return d.output.Level(level)
+}
+
+// Layout appends the state of the layout; nil where there is none.
+func (d adminProgram) Layout(dst []byte) []byte {
+	if d.routes == nil {
+		return nil
+	}
+	return d.routes.Layout(dst)
+}
+
+// Fleet appends the view of the fleet: a line of its own, then one for each member. Nil where there is none.
+func (d adminProgram) Fleet(dst []byte) []byte {
+	m := d.fleetView()
+	if m == nil {
+		return nil
+	}
+	v, now, err := m.peers.View()
+	if err != nil {
+		return nil
+	}
+	dst = fmt.Appendf(dst, "view digest=%016x changed_ms=%d alive=%d reckon=%d divide=%d ill=%d alone=%t twin=%t member=%t\n", v.Digest, (now-v.DigestChanged)/1000, v.AliveCount, v.EffectiveSize,
+		m.divisor(), v.HealthScore, v.Isolated, v.NameConflict, !v.Superseded)
+	for _, x := range v.Members {
+		dst = fmt.Appendf(dst, "member name=%s state=%s since_ms=%d address=%s zone=%s start=%d incarnation=%d version=%s draining=%t standby=%t policy=%d self=%t by=%s\n",
+			x.Name, x.State, (now-x.Since)/1000, x.Address, x.Zone, x.Start, x.Incarnation, x.Version, x.Metadata.Draining, x.Metadata.Standby, x.Metadata.PolicyVersion, x.Self, strings.Join(x.Accusers, ","))
+	}
+	return dst
+}
+
+// Forget treats a failed member as one that has left.
+func (d adminProgram) Forget(name string) error {
+	if m := d.fleetView(); m != nil {
+		return m.peers.Forget(name)
+	}
+	return errNoFleet
+}
+
+// LeaveFleet has this gatherer leave its fleet until it is started again.
+func (d adminProgram) LeaveFleet() error {
+	if m := d.fleetView(); m != nil {
+		return m.peers.Leave()
+	}
+	return errNoFleet
+}
--- a/internal/broker/server/durable.go
+++ b/internal/broker/server/durable.go
@@ -1,8 +1,6 @@
 package server
 
 import (
-	"crypto/rand"
-	"encoding/binary"
 	"encoding/json"
 	"errors"
 	"fmt"
@@ -12,7 +10,6 @@
 	"path/filepath"
 	"saffronquay/internal/broker/adminapi"
 	"saffronquay/internal/broker/config"
-	"saffronquay/internal/broker/core"
 	"saffronquay/internal/broker/idempotency"
 	"saffronquay/internal/broker/layout"
 	"saffronquay/internal/broker/logging"
@@ -24,17 +21,16 @@
 	"time"
 
 	"google.golang.org/protobuf/proto"
-
-	sq "saffronquay"
 )
 
-// durable is what of this gatherer outlasts the process: the store, and who keeps what in it.
+// durableState is what outlasts the process: the store, and what the gatherer keeps there. Its run goroutine saves what was learnt and owns storedLayout;
+// the mutex guards failing. It is nil where no store is set up.
 type durableState struct {
 	cfg         config.Store
-	name        string // of the gatherer
+	name        string // the gatherer's
 	log         *slog.Logger
 	dirs        [2]recordlog.Dir
-	store       *recordlog.Store // nil: it could not be opened, and the file allows to start without
+	store       *recordlog.Store // nil: it could not be opened, and the file allows that
 	idempotency *idempotency.Tracker
 	cursorKey   []byte      // what seals cursors
 	lastLayout  *layout.Doc // the layout that was in force last
@@ -45,22 +41,23 @@
 	started      bool
 	closeOnce    sync.Once
 	mu           sync.Mutex
-	storedLayout *layout.Layout // the layout that is kept already
+	storedLayout *layout.Layout // the layout that is in the store
 	failing      bool
 }
 
 const (
-	takeoverFile          = "wanted" // a file that tells the owner that another process waits
+	takeoverFile          = "wanted" // a file that requests the store from its owner
 	takeoverCheckInterval = 50 * time.Millisecond
-	saveInterval          = time.Second                // how often what was learnt is kept
-	yieldTimeout          = 10 * time.Second           // that open queries have to end once another process waits
-	learnedRetention      = 24 * time.Hour             // how long what was learnt is kept
+	saveInterval          = time.Second                // how often what was learnt is saved
+	yieldTimeout          = 10 * time.Second           // that open queries have to end before the store is closed
+	learnedRetention      = 24 * time.Hour             // how long a record of what was learnt is valid
 	scrubInterval         = 10 * time.Second           // how often one segment's copies are compared
-	takeoverRepeatTimeout = 10 * takeoverCheckInterval // a process that waits asks again within that
-	ownerFile             = "owner"                    // has the gatherer's name
+	takeoverRepeatTimeout = 10 * takeoverCheckInterval // within which a waiting process repeats its request
+	ownerFile             = "owner"                    // has the name of the gatherer that the store belongs to
 )
 
-// openDurable opens the store, and waits for the process that has it. Nothing is served before.
+// openDurable opens the store. It waits for the process that has it, cfg.Takeover at most, and then takes it over. Nothing is served before. Where the
+// store cannot be opened and the file allows to start without it, the result has no store.
 func openDurable(cfg config.Store, name string, logger *slog.Logger) (*durableState, error) {
 	d := &durableState{cfg: cfg, name: name, log: logger, stop: make(chan struct{}), done: make(chan struct{})}
 	began := time.Now()
@@ -87,6 +84,7 @@
 	return d, nil
 }
 
+// open opens the store's directories and the store, and asks a process that has it to yield.
 func (d *durableState) open() (err error) {
 	for i, path := range d.cfg.Directories {
 		if d.dirs[i], err = recordlog.Directory(path); err != nil {
@@ -104,21 +102,21 @@
 		ID: randomID(), Now: func() int64 { return time.Since(began).Microseconds() }, MaxRetention: d.cfg.Keep.Microseconds(),
 		SegmentSize: d.cfg.SegmentSize, MaxBatch: batch, CleanEvery: time.Second, ScrubEvery: scrubInterval, Log: d.log,
 	}
-	for told := false; ; {
+	for logged := false; ; {
 		late := time.Since(began) > d.cfg.Takeover
 		d.store, err = recordlog.Open(d.dirs, opt, late)
 		if !errors.Is(err, recordlog.ErrOwned) {
 			if err == nil && late {
 				logging.Warn(d.log, logging.StoreTakenOver, "waited", d.cfg.Takeover)
 			}
-			d.dirs[0].Remove(takeoverFile)
+			_ = d.dirs[0].Remove(takeoverFile) // usually it is not there; one that stays is not repeated, and so is no request
 			return err
 		}
 		if late {
-			return err // another one has taken it over in the same moment
+			return err // another process has taken it over at the same moment
 		}
-		if !told {
-			told = true
+		if !logged {
+			logged = true
 			logging.Info(d.log, logging.StoreWaits, "longest", d.cfg.Takeover)
 		}
 		if f, err := d.dirs[0].Create(takeoverFile); err == nil {
@@ -128,8 +126,8 @@
 	}
 }
 
-// isOurs tells that the store belongs to this gatherer, and marks a new one. Guards the store of one gatherer against another that
-// is set up with its directories by mistake, and would take it over.
+// claimDirectories checks that the store belongs to this gatherer, and marks a new one. It guards one gatherer's store against another one that is set
+// up with its directories by mistake and would take it over.
 func (d *durableState) claimDirectories() error {
 	var other string
 	ours := false
@@ -143,7 +141,7 @@
 			other = fmt.Sprintf("%s names gatherer %q, and this is %q", file, name, d.name)
 		case !errors.Is(err, fs.ErrNotExist):
 			return fmt.Errorf("store: %w", err)
-		case i == 1 && !ours && other != "": // the copy of another one's
+		case i == 1 && !ours && other != "": // a copy of another gatherer's store
 		default:
 			if err := os.WriteFile(file, []byte(d.name), 0o600); err != nil {
 				return fmt.Errorf("store: %w", err)
@@ -156,7 +154,8 @@
 	return nil
 }
 
-// meant tells that a process waits for the store now: it asks again after it was heard once. One that has died does not.
+// takeoverRequested reports whether a process waits for the store now: such a process makes the file again after it was removed. One that has ended does
+// not.
 func (d *durableState) takeoverRequested() bool {
 	if ok, err := d.dirs[0].Exists(takeoverFile); err != nil || !ok {
 		return false
@@ -172,138 +171,13 @@
 	return false
 }
 
-// recall reads what outlasted the process before.
-func (d *durableState) recall() error {
-	if r, ok, err := d.store.Get(recordlog.CursorKey, ""); err != nil {
-		return err
-	} else if ok {
-		d.cursorKey = r.Value
-	} else {
-		d.cursorKey = make([]byte, 32)
-		rand.Read(d.cursorKey) // it never fails
-		if err := d.store.Append(recordlog.Record{Kind: recordlog.CursorKey, Value: d.cursorKey}, nil); err != nil {
-			return err
-		}
-	}
-	if r, ok, err := d.store.Get(recordlog.Layout, ""); err != nil {
-		return err
-	} else if ok {
-		var f form.Layout
-		if err := proto.Unmarshal(r.Value, &f); err == nil {
-			if doc, err := layout.ParseDoc(f.Doc); err == nil {
-				d.lastLayout = &doc
-			}
-		}
-	}
-	if r, ok, err := d.store.Get(recordlog.Learned, ""); err != nil {
-		return err
-	} else if ok {
-		d.memory = parseLearned(r.Value)
-	}
-	return d.store.Each(recordlog.Cursor, func(r recordlog.Record) {
-		var f form.Cursor
-		if proto.Unmarshal(r.Value, &f) == nil {
-			d.cursorMarks = append(d.cursorMarks, pagination.Record{Tenant: f.Tenant, Nonce: f.Nonce, Until: f.Until, Closed: f.Closed})
-		}
-	})
-}
-
-// Learned is what a store's record of that kind says was learnt of servers; one that can't be read says nothing.
-func Learned(value []byte) sq.Learned { return parseLearned(value).Learned }
-
-// remembered reads what was learnt; what can't be read is as what was never known.
-func parseLearned(value []byte) (m transport.Memory) {
-	var f form.Learned
-	if proto.Unmarshal(value, &f) != nil {
-		return m
-	}
-	m.Learned = sq.Learned{Admission: min(max(f.Admission, 0), 1), Suspects: f.Suspects}
-	for _, s := range f.Servers {
-		m.Learned.Servers = append(m.Learned.Servers, sq.LearnedServer{Server: sq.ServerID(s.Id), LatencyRatio: s.Pace, LatencyRatioAt: s.PaceAt, Failures: s.Fails, Attempts: s.Tries, CountedAt: s.At})
-	}
-	m.Spent = map[string]core.Spent{}
-	for _, r := range f.Rations {
-		s := core.Spent{At: r.At}
-		copy(s.Taken[:], r.Taken)
-		copy(s.Extras[:], r.Extras)
-		m.Spent[r.Tenant] = s
-	}
-	return m
-}
-
-func marshalLearned(m transport.Memory) ([]byte, error) {
-	f := &form.Learned{Admission: m.Learned.Admission, Suspects: m.Learned.Suspects}
-	for _, s := range m.Learned.Servers {
-		f.Servers = append(f.Servers, &form.Server{Id: string(s.Server), Pace: s.LatencyRatio, PaceAt: s.LatencyRatioAt, Fails: s.Failures, Tries: s.Attempts, At: s.CountedAt})
-	}
-	for tenant, s := range m.Spent {
-		f.Rations = append(f.Rations, &form.Ration{Tenant: tenant, At: s.At, Taken: s.Taken[:], Extras: s.Extras[:]})
-	}
-	return proto.Marshal(f)
-}
-
-// latest is the layout to begin with: the file's, or the one that was in force last where that is a later one of the same history.
-func (d *durableState) newestLayout(file layout.Doc, servers []sq.ServerID) layout.Doc {
-	if d == nil || d.lastLayout == nil || d.lastLayout.History != file.History || d.lastLayout.Epoch <= file.Epoch {
-		return file
-	}
-	listed := map[sq.ServerID]bool{}
-	for _, id := range servers {
-		listed[id] = true
-	}
-	if _, err := layout.Make(*d.lastLayout, func(id sq.ServerID) bool { return listed[id] }); err != nil {
-		logging.Warn(d.log, logging.StoreLayout, "kept", "file", "error", err)
-		return file
-	}
-	return *d.lastLayout
-}
-
-// follow has a keeper of cursors told what stood, and its changes kept.
-func (d *durableState) trackCursors(k *pagination.Registry, now int64) {
-	if d == nil || d.store == nil || k == nil {
-		return
-	}
-	for _, m := range d.cursorMarks {
-		k.Restore(now, m)
-	}
-	d.cursorMarks = nil
-	k.OnChange(func(m pagination.Record) {
-		value, err := proto.Marshal(&form.Cursor{Tenant: m.Tenant, Nonce: m.Nonce, Until: m.Until, Closed: m.Closed})
-		if err != nil {
-			return
-		}
-		key := binary.BigEndian.AppendUint64([]byte(m.Tenant+"\x00"), m.Nonce)
-		// Until is Unix time, the store's clock is not: a record lasts as long as the cursor does.
-		d.appendRecord(recordlog.Record{Kind: recordlog.Cursor, Key: string(key), Value: value, ExpiresAt: d.store.Now() + max(1, m.Until-time.Now().UnixMicro())})
-	})
-}
-
-// keep has a record written; nobody waits for it.
-func (d *durableState) appendRecord(r recordlog.Record) bool {
-	err := d.store.Append(r, d.recordFailure)
-	if err != nil {
-		d.recordFailure(err)
-	}
-	return err == nil
-}
-
-// note logs that something could not be kept, once until it can be again.
-func (d *durableState) recordFailure(err error) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if err != nil && !d.failing {
-		logging.Warn(d.log, logging.StoreMisses, "error", err)
-	}
-	d.failing = err != nil
-}
-
-// start begins to keep what is learnt.
+// start begins to save what is learnt.
 func (d *durableState) start(engine *transport.Engine, place *layout.Current) {
 	d.started = true
 	go d.run(engine, place)
 }
 
-// run keeps what is learnt, and yields the store to a process that waits for it, until close.
+// run saves what is learnt, and yields the store to a process that waits for it, until close.
 func (d *durableState) run(engine *transport.Engine, place *layout.Current) {
 	defer close(d.done)
 	look := time.NewTicker(takeoverCheckInterval)
@@ -328,7 +202,7 @@
 	}
 }
 
-// remember keeps what is known now.
+// saveLearned saves what is known of servers and tenants now, and the layout where it has changed.
 func (d *durableState) saveLearned(engine *transport.Engine, place *layout.Current) {
 	if m, ok := engine.Remember(); ok {
 		if value, err := marshalLearned(m); err == nil {
@@ -348,7 +222,7 @@
 	}
 }
 
-// yield lets the store go once the open queries that need it have ended. From here on queries of those classes are turned away.
+// yield closes the store when the open queries that need it have ended, or after yieldTimeout. From here on queries that must not run twice are rejected.
 func (d *durableState) yield() {
 	d.idempotency.StopAccepting()
 	end := time.NewTimer(yieldTimeout)
@@ -368,7 +242,7 @@
 	logging.Info(d.log, logging.StoreYielded, "open", d.idempotency.OpenQueries())
 }
 
-// close lets the store go, where it is still held.
+// close stops run, which saves a last time, and closes the store. It may be called more than once, and on nil.
 func (d *durableState) close() {
 	if d == nil || d.store == nil {
 		return
@@ -381,7 +255,7 @@
 	})
 }
 
-// figures are the store's, for the operators' door.
+// metrics are the store's metrics.
 func (d *durableState) metrics() adminapi.StoreMetrics {
 	bytes, keys := d.store.Size()
 	f := d.store.Metrics()
--- a/internal/broker/server/fleet_view.go
+++ b/internal/broker/server/fleet_view.go
@@ -2,10 +2,8 @@
 
 import (
 	"errors"
-	"fmt"
 	"runtime/debug"
 	"saffronquay/internal/broker/adminapi"
-	"saffronquay/internal/broker/admission"
 	"saffronquay/internal/broker/logging"
 	"saffronquay/internal/cluster/peering"
 	"saffronquay/internal/cluster/swim"
@@ -13,29 +11,28 @@
 	"sync/atomic"
 	"syscall"
 	"time"
-
-	sq "saffronquay"
 )
 
-// members is this gatherer's view of its fleet, and the number that budgets are divided by. The view is told of on the driver's
-// goroutine; the number belongs to the gatherer's own.
+var errNoFleet = errors.New("no view of a fleet is set up")
+
+// fleetView is this gatherer's view of its fleet, and the number that budgets are divided by. Updates of the view arrive on the peering goroutine and go
+// through counts; currentDivisor may be read anywhere; the other fields belong to the gatherer's goroutine.
 type fleetView struct {
 	peers           *peering.Peers
 	counts          chan memberCount // the newest
 	divisorFollower swim.Divisor
-	effectiveSize   int          // 0: nobody was met yet, and the file's numbers hold
-	currentDivisor  atomic.Int64 // 0: the file's
+	effectiveSize   int          // 0: no other member was met yet, and the file's number holds
+	currentDivisor  atomic.Int64 // 0: the file's number holds
 	stepTimer       *time.Timer
 }
 
+// memberCount is the newest size of the fleet. joined is false until another member was met.
 type memberCount struct {
 	effectiveSize int
 	joined        bool
 }
 
-var errNoFleet = errors.New("no view of a fleet is set up")
-
-// programVersion is what members tell each other of their builds.
+// programVersion is the build that members report to each other.
 func programVersion() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
@@ -49,8 +46,8 @@
 	return strings.Trim(info.Main.Version, "()")
 }
 
-// meet opens the view, and begins to take part. A process that takes another one's place serves meanwhile, and takes part once that one
-// has let the address go.
+// joinFleet opens the view and begins to take part. Where the process that this one replaces still has the address, it tries again in the background
+// while the gatherer serves, and hands the view to the gatherer's goroutine when the address is free.
 func (g *Gatherer) joinFleet() error {
 	f := g.fleetFile
 	if f == nil {
@@ -99,7 +96,7 @@
 	return nil
 }
 
-// takePart has the view run, on the gatherer's goroutine or before it runs.
+// startFleetView has the view run. The gatherer's goroutine calls it, or Start before that goroutine runs.
 func (g *Gatherer) startFleetView(m *fleetView) {
 	g.fleetView = m
 	g.publishedFleetView.Store(m)
@@ -107,7 +104,7 @@
 	m.peers.SetMetadata(g.fleetMetadata)
 }
 
-// facts are what this gatherer tells of itself now.
+// fleetMetadata updates what this gatherer publishes of itself in the view.
 func (g *Gatherer) fleetMetadata(f swim.Metadata) swim.Metadata {
 	_, word := g.lifecycle.Status()
 	f.Draining, f.Standby = word == "leaving", word == "standby" || g.isStandby()
@@ -118,7 +115,7 @@
 	return f
 }
 
-// hear keeps the newest word for the gatherer's goroutine.
+// receive keeps the newest count for the gatherer's goroutine. It does not block.
 func (m *fleetView) receive(_, reckon int, joined bool) {
 	select {
 	case <-m.counts:
@@ -127,7 +124,7 @@
 	m.counts <- memberCount{reckon, joined}
 }
 
-// news is where the view's word comes; nil where there is no view.
+// updates is where counts arrive; nil where there is no view.
 func (m *fleetView) updates() <-chan memberCount {
 	if m == nil {
 		return nil
@@ -135,7 +132,7 @@
 	return m.counts
 }
 
-// step is when the number may go on towards the view's; nil where there is no view.
+// divisorDue fires when the divisor may take its next step; nil where there is no view.
 func (m *fleetView) divisorDue() <-chan time.Time {
 	if m == nil {
 		return nil
@@ -143,8 +140,8 @@
 	return m.stepTimer.C
 }
 
-// reckoned takes the view's word in. Until anybody was met the file's numbers hold: a gatherer that begins alone must not take
-// everything for its own.
+// applyMemberCount takes a new count in. Until another member was met the file's numbers hold: a gatherer that starts alone must not take every budget
+// for its own.
 func (g *Gatherer) applyMemberCount(c memberCount) {
 	if c.joined {
 		g.fleetView.effectiveSize = c.effectiveSize
@@ -152,7 +149,7 @@
 	}
 }
 
-// redivide moves the number that budgets are divided by towards the members to reckon with, and puts it in force.
+// updateDivisor moves the divisor towards the size of the fleet, and puts it in force.
 func (g *Gatherer) updateDivisor() {
 	m := g.fleetView
 	n, next := m.divisorFollower.Update(g.clock.Now(), m.effectiveSize)
@@ -168,34 +165,7 @@
 	g.engine.Contracts(g.dividedContracts())
 }
 
-// module is the module's settings, with the view's number where it is followed.
-func (g *Gatherer) moduleSettings() sq.Settings {
-	s := g.settings.Module
-	if g.quotas != nil && g.contracts != nil {
-		s.Aggregators = g.quotas.aggregators(g.contracts)
-		s.Self = min(s.Self, s.Aggregators-1)
-		return s
-	}
-	if f := g.fleetFile; f != nil && f.Balancers && g.fleetView.divisor() > 0 {
-		s.Aggregators = g.fleetView.divisor()
-		s.Self = min(s.Self, s.Aggregators-1)
-	}
-	return s
-}
-
-// shares is the contracts, with the view's number where it is followed.
-func (g *Gatherer) dividedContracts() *admission.Config {
-	if g.quotas != nil {
-		return g.quotas.divideContracts(g.contracts)
-	}
-	if f := g.fleetFile; f != nil && f.Contracts && g.contracts != nil && g.fleetView.divisor() > 0 {
-		c := *g.contracts
-		c.Gatherers = g.fleetView.divisor()
-		return &c
-	}
-	return g.contracts
-}
-
+// divisor is the number that budgets are divided by; 0: the file's number holds.
 func (m *fleetView) divisor() int {
 	if m == nil {
 		return 0
@@ -203,41 +173,26 @@
 	return int(m.currentDivisor.Load())
 }
 
-// Peers is where others reach this gatherer's view of the fleet; empty where there is none.
-func (g *Gatherer) FleetAddress() string {
-	if m := g.publishedFleetView.Load(); m != nil {
-		return m.peers.Address().String()
-	}
-	return ""
-}
-
-// Members are how many this gatherer sees alive, and how many it reckons with; nought where it keeps no view, or the view is late.
-func (g *Gatherer) MemberCounts() (alive, reckon int) {
-	if m := g.publishedFleetView.Load(); m != nil {
-		k := m.peers.Counts()
-		return k.AliveCount, k.EffectiveSize
-	}
-	return 0, 0
-}
-
-// part leaves the fleet; it is told before this returns.
+// leave leaves the fleet; the other members are notified before it returns.
 func (m *fleetView) leave() {
 	if m != nil {
 		m.peers.Stop()
 	}
 }
 
-// change has what this gatherer tells of itself looked at again.
+// updateMetadata publishes this gatherer's metadata again.
 func (m *fleetView) updateMetadata(facts func(swim.Metadata) swim.Metadata) {
 	if m != nil {
 		m.peers.SetMetadata(facts)
 	}
 }
 
+// trafficMetrics are the metrics of one part of the control traffic.
 func trafficMetrics(t peering.Traffic) adminapi.TrafficMetrics {
 	return adminapi.TrafficMetrics{Sent: t.Sent, Received: t.Received, SentBytes: t.SentBytes, ReceivedBytes: t.ReceivedBytes, QuotaBytes: t.QuotaBytes, Links: t.Links}
 }
 
+// metrics are the view's metrics; zero before it is open.
 func (m *fleetView) metrics() adminapi.FleetMetrics {
 	if m == nil {
 		return adminapi.FleetMetrics{} // not yet
@@ -250,38 +205,3 @@
 		Traffic: trafficMetrics(k.Traffic),
 	}
 }
-
-// Fleet appends the view of the fleet: a line of its own, then one for each member.
-func (d adminProgram) Fleet(dst []byte) []byte {
-	m := d.fleetView()
-	if m == nil {
-		return nil
-	}
-	v, now, err := m.peers.View()
-	if err != nil {
-		return nil
-	}
-	dst = fmt.Appendf(dst, "view digest=%016x changed_ms=%d alive=%d reckon=%d divide=%d ill=%d alone=%t twin=%t member=%t\n", v.Digest, (now-v.DigestChanged)/1000, v.AliveCount, v.EffectiveSize,
-		m.divisor(), v.HealthScore, v.Isolated, v.NameConflict, !v.Superseded)
-	for _, x := range v.Members {
-		dst = fmt.Appendf(dst, "member name=%s state=%s since_ms=%d address=%s zone=%s start=%d incarnation=%d version=%s draining=%t standby=%t policy=%d self=%t by=%s\n",
-			x.Name, x.State, (now-x.Since)/1000, x.Address, x.Zone, x.Start, x.Incarnation, x.Version, x.Metadata.Draining, x.Metadata.Standby, x.Metadata.PolicyVersion, x.Self, strings.Join(x.Accusers, ","))
-	}
-	return dst
-}
-
-// Forget has a dead member taken for one that has left.
-func (d adminProgram) Forget(name string) error {
-	if m := d.fleetView(); m != nil {
-		return m.peers.Forget(name)
-	}
-	return errNoFleet
-}
-
-// LeaveFleet has this gatherer leave its fleet, until it is started again.
-func (d adminProgram) LeaveFleet() error {
-	if m := d.fleetView(); m != nil {
-		return m.peers.Leave()
-	}
-	return errNoFleet
-}
--- a/internal/broker/server/force.go
+++ b/internal/broker/server/force.go
@@ -13,8 +13,8 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// ForceNewFleet makes the fleet that agrees on the policy anew out of one voter's store, while that gatherer does not run; or with do
-// false only tells what would be given up. See rollout.ForceNewFleet.
+// ForceNewFleet makes the fleet that agrees on the policy anew out of one voter's store, while that gatherer does not run. With do false it changes
+// nothing and only reports what would be given up. See rollout.ForceNewFleet.
 func ForceNewFleet(op config.Operator, do bool, log *slog.Logger) (given rollout.ForceReport, err error) {
 	if op.Rollout == nil || op.Store == nil {
 		return given, errNoRollout
--- a/internal/broker/server/plan.go
+++ b/internal/broker/server/plan.go
@@ -22,14 +22,7 @@
 	sq "saffronquay"
 )
 
-const (
-	clientMargin     = 10_000      // microseconds taken off a client's time, which counts from its send
-	reservedSockets  = 32          // descriptors kept for discovery, VRRP, listeners and the process itself; the door has its own
-	quietPeriod      = 1_000_000   // arrivals must have ceased for so long before an exit, in microseconds
-	firstListTimeout = time.Second // that a successor waits for the whole list of servers
-)
-
-// Plan is what the two ways of setting the program up come down to.
+// Plan is what both ways of setting the program up result in: the platform's file and the operator's file. LoadPlan or SearchPlan makes it; Start uses it.
 type Plan struct {
 	name, listen         string
 	seed                 uint64
@@ -43,29 +36,29 @@
 	addresses            map[sq.ServerID]string
 	newWatcher           func(*transport.Engine) *transport.Watcher // nil: the list of servers is fixed
 	vrrp                 *config.VRRP                               // nil: off
-	adminListen          string                                     // where operators call; empty: no door
-	passedSocket         int                                        // descriptor of the clients' socket; 0: it is opened here
-	sharedDirectory      string                                     // directory shared with a process that is replaced
+	adminListen          string                                     // of the admin endpoint; empty: there is none
+	passedSocket         int                                        // descriptor of the clients' socket; 0: the gatherer opens it
+	sharedDirectory      string                                     // through which the processes of one gatherer exchange their state
 	discovery            string
-	layout               *config.Layout                       // nil: shards are where the settings say, for good
+	layout               *config.Layout                       // nil: the settings fix where shards are
 	cursors              *atomic.Pointer[pagination.Registry] // of points in time; nil: there are none
-	currentLayout        *layout.Current                      // what the front plans by, where there is a layout
-	adopt                func()                               // has what this plan made for itself in force; nil: nothing
-	rereadFile           func() (Plan, error)                 // reads the file once more
-	durable              *durableState                        // what outlasts the process; nil: nothing
-	logConfig            config.Log                           // how lines are written
+	currentLayout        *layout.Current                      // by which the front plans, where there is a layout
+	adopt                func()                               // puts what the plan has made in force; nil: nothing
+	rereadFile           func() (Plan, error)                 // makes the plan of the file as it is now
+	durable              *durableState                        // nil: nothing outlasts the process
+	logConfig            config.Log                           // format and level of the log
 	contracts            *admission.Config                    // nil: there are none
-	fleetFile            *config.Fleet                        // nil: it knows of no other gatherers
+	fleetFile            *config.Fleet                        // nil: the gatherer has no view of its fleet
 	rollout              *config.Rollout                      // nil: the file alone has the policy
-	file                 *config.Operator                     // the file; nil on the platform
-	search               *searchState                         // what the search front holds; nil on the platform
-	logOutput            *logging.Output                      // what they go through; nil: it can't be changed
+	file                 *config.Operator                     // nil on the platform
+	search               *searchState                         // nil on the platform
+	logOutput            *logging.Output                      // what log lines go through; nil: its format and level cannot be changed
 }
 
 // readStable reads a file that may be written meanwhile.
 func readStable(path string) ([]byte, error) { return config.ReadStable(path, os.ReadFile) }
 
-// Load reads what the environment names: the process's own settings, and the platform's file or the operator's.
+// LoadPlan reads what the environment names: the process's own settings, and the platform's file or the operator's. It opens the store where the file has one.
 func LoadPlan(logger *slog.Logger) (Plan, error) {
 	process, err := config.LoadProcess(os.Getenv)
 	if err != nil {
@@ -76,6 +69,7 @@
 	return p, err
 }
 
+// loadFile makes the plan of the operator's file where the environment names one, with the policy that was in force last, else of the platform's.
 func loadFile(logger *slog.Logger) (Plan, error) {
 	op, ok, err := config.LoadOperator(os.Getenv, readStable)
 	if err != nil {
@@ -103,6 +97,7 @@
 	return platformPlan(node, logger), nil
 }
 
+// platformPlan is the plan of the platform's settings.
 func platformPlan(node config.Node, logger *slog.Logger) Plan {
 	return Plan{
 		name: node.Name, listen: node.Listen, adminListen: node.Operator, seed: node.Seed, maxSockets: node.Sockets,
@@ -122,7 +117,7 @@
 	}
 }
 
-// Search is the plan of an operator's file that the caller has read; the file is not read again.
+// SearchPlan makes the plan of an operator's file that the caller has read; the file is not read again. It opens the store where the file has one.
 func SearchPlan(op config.Operator, logger *slog.Logger) (Plan, error) {
 	held := &searchState{}
 	if op.Store != nil {
@@ -135,6 +130,7 @@
 	return buildSearchPlan(op, held, logger), nil
 }
 
+// buildSearchPlan is the plan of an operator's file over what the search front keeps. It changes nothing that is in force before the plan's adopt runs.
 func buildSearchPlan(op config.Operator, held *searchState, logger *slog.Logger) Plan {
 	keeper := held.cursorKeeper(op.Cursors)
 	adopt := func() {
@@ -177,7 +173,7 @@
 	}
 }
 
-// standing is what the search front holds for as long as the process runs, whatever file is in force.
+// searchState is what the search front keeps as long as the process runs, whatever file is in force.
 type searchState struct {
 	layout       layout.Current
 	cursorKey    []byte // of cursors, where no file gave one
@@ -187,8 +183,8 @@
 	policyTexts  [][]byte      // the one in force, at most; the gatherer's goroutine owns it
 }
 
-// of is the keeper of points in time by a file's settings; one whose settings stay keeps its cursors. Nil where there are none. It
-// changes nothing that is in force: the file may yet be turned down.
+// cursorKeeper is the keeper of points in time by a file's settings; nil where there are none. Unchanged settings keep the present keeper, and so its
+// cursors. It changes nothing that is in force, since the file may yet be rejected.
 func (s *searchState) cursorKeeper(c *config.Cursors) *pagination.Registry {
 	if c == nil {
 		return nil
@@ -208,7 +204,7 @@
 	return now
 }
 
-// nonce tells cursors apart.
+// randomID draws an id that no other cursor, process or disk has.
 func randomID() uint64 {
 	var b [8]byte
 	rand.Read(b[:]) // it never fails
--- a/internal/broker/server/policy.go
+++ b/internal/broker/server/policy.go
@@ -4,7 +4,6 @@
 	"bytes"
 	"errors"
 	"fmt"
-	"net/netip"
 	"saffronquay/internal/broker/config"
 	"saffronquay/internal/broker/transport"
 	"saffronquay/internal/cluster/peering"
@@ -14,11 +13,10 @@
 	"saffronquay/internal/storage/recordlog"
 	"slices"
 	"sync"
-
-	"google.golang.org/protobuf/proto"
 )
 
-// policyHost is what the gatherer does for its part: it judges and puts in force as at SIGHUP, and keeps in the store what has to last.
+// policyHost is what a peering.PolicyNode calls in the gatherer: it validates documents and puts them in force as a reload does, and saves in the store
+// what must outlast the process.
 type policyHost struct {
 	gatherer *Gatherer
 	store    *recordlog.Store // the plan that holds it is the gatherer's goroutine's
@@ -29,17 +27,18 @@
 	judged judgedDocument
 }
 
+// newPolicyHost makes the host over a store; the gatherer may be nil where only the records are used.
 func newPolicyHost(g *Gatherer, s *recordlog.Store) *policyHost {
 	return &policyHost{gatherer: g, store: s, regional: &voterLog{store: s}, global: &voterLog{store: s, prefix: globalPrefix}}
 }
 
-// judged is what a document came to, so that it is not read once more while queries are held for it.
+// judgedDocument is the result of validating a document, so that it is not parsed once more while queries are paused for it.
 type judgedDocument struct {
 	policy, local []byte
 	file          config.Operator
 }
 
-// install is a document to be put in force on the gatherer's goroutine.
+// installRequest is a document to be put in force on the gatherer's goroutine.
 type installRequest struct {
 	doc    *wire.Document
 	judged judgedDocument
@@ -48,7 +47,7 @@
 
 var errNoRollout = errors.New("no rollout is set up")
 
-// agree opens this gatherer's part in agreeing on versions of the policy. From here on queries are let in by its lease only.
+// openPolicyNode opens this gatherer's part in the agreement on versions of the policy. From here on queries are admitted by its lease only.
 func (g *Gatherer) openPolicyNode() error {
 	r := g.rollout
 	if r == nil {
@@ -99,28 +98,28 @@
 	return nil
 }
 
-// Save keeps a voter's log and vote.
+// Save stores a voter's log and vote.
 func (h *policyHost) Save(s *rollout.Save) error { return h.regional.save(s) }
 
-// Snapshot keeps a snapshot of a voter's own.
+// Snapshot stores a snapshot that this voter has made.
 func (h *policyHost) Snapshot(d rollout.Disk) error { return h.regional.snapshot(d) }
 
-// SaveGlobal keeps a voter's log and vote of the global agreement.
+// SaveGlobal stores a voter's log and vote of the global agreement.
 func (h *policyHost) SaveGlobal(s *rollout.Save) error { return h.global.save(s) }
 
-// SnapshotGlobal keeps a snapshot of a global voter's own.
+// SnapshotGlobal stores a snapshot that this voter has made of the global agreement.
 func (h *policyHost) SnapshotGlobal(d rollout.Disk) error { return h.global.snapshot(d) }
 
-// Roster keeps who is there.
+// Roster stores the members.
 func (h *policyHost) Roster(s *wire.State) error { return writeMessage(h.store, keyRoster, s) }
 
-// Stage keeps a document that was judged good.
+// Stage stores a document that was validated.
 func (h *policyHost) Stage(p *wire.Proposal) error { return writeMessage(h.store, keyStaged, p) }
 
-// Keep keeps the document in force.
+// Keep stores the document in force.
 func (h *policyHost) Keep(d *wire.Document) error { return writeMessage(h.store, keyCurrent, d) }
 
-// Judge tells what is wrong with a document in the place of the policy in force.
+// Judge validates a document as the next policy; the error says what is wrong with it. It changes nothing that is in force.
 func (h *policyHost) Judge(text []byte) error {
 	op := h.gatherer.currentFile.Load()
 	now, err := config.ParseOperator(op.Text, text)
@@ -140,7 +139,7 @@
 	return nil
 }
 
-// Install puts a document in force on the gatherer's goroutine.
+// Install puts a document in force on the gatherer's goroutine, and waits for that. It returns peering.ErrClosed when the gatherer ends.
 func (h *policyHost) Install(d *wire.Document) error {
 	x := installRequest{doc: d, done: make(chan error, 1)}
 	h.mu.Lock()
@@ -163,7 +162,7 @@
 	}
 }
 
-// Slots is among how many budgets are divided, by the policy in force.
+// Slots is the number of gatherers among which the policy in force divides budgets.
 func (h *policyHost) Slots() uint64 {
 	if c := h.gatherer.currentFile.Load().Contracts; c != nil {
 		return uint64(c.Gatherers)
@@ -171,10 +170,10 @@
 	return 1
 }
 
-// Permit has the engine let in by a permit.
+// Permit has the engine admit queries by a permit.
 func (h *policyHost) Permit(p transport.Permit) { h.gatherer.engine.Permit(p) }
 
-// install puts a document in force, as SIGHUP does a file.
+// install puts a document in force, as a reload does a file.
 func (g *Gatherer) install(x installRequest) {
 	var err error
 	op, local := x.judged.file, g.currentFile.Load().Text
@@ -196,28 +195,8 @@
 	}
 }
 
-// stored is the policy that was in force last, by the store; nil: none.
-func (d *durableState) storedPolicy() []byte {
-	if d == nil || d.store == nil {
-		return nil
-	}
-	r, ok, err := d.store.Get(recordlog.Rollout, keyCurrent)
-	var doc wire.Document
-	if err != nil || !ok || proto.Unmarshal(r.Value, &doc) != nil {
-		return nil
-	}
-	return doc.Text
-}
-
-// PolicyAddress is where this gatherer agrees on the policy; not valid where it does not.
-func (g *Gatherer) PolicyAddress() netip.AddrPort {
-	if p := g.policyNode.Load(); p != nil {
-		return p.Address()
-	}
-	return netip.AddrPort{}
-}
-
-// sees has the view of the fleet say who is not there, and where the others are. It only saves time: nothing is decided by it.
+// updatePolicyPeers passes what the view of the fleet shows to the policy node: who is absent, and the addresses of the others. It only saves time;
+// nothing is decided by it.
 func (g *Gatherer) updatePolicyPeers(v swim.View) {
 	p := g.policyNode.Load()
 	if p == nil {
--- a/internal/broker/server/quotas.go
+++ b/internal/broker/server/quotas.go
@@ -9,24 +9,25 @@
 	"time"
 )
 
-// parts is what this gatherer may use of each team's budget, where budgets are divided by leases on parts. The gatherer's goroutine owns it.
+// budgetQuotas is what this gatherer may use of each team's budget, where budgets are divided by leases on quotas. The gatherer's goroutine owns it, but
+// for demands, which runs beside it while updating is set. Quotas are in millionths of the whole (quota.PPM).
 type budgetQuotas struct {
 	tick               *time.Ticker
 	slots              uint64
-	regionPPM          uint32 // what this gatherer's region has of everything; share.PPM where there are no regions
+	regionPPM          uint32 // the region's fraction of everything; quota.PPM where there are no regions
 	teamQuotas         map[string]uint32
 	otherQuota         uint32
 	minimums           map[string]minimumQuota
 	currentBudgets     map[string]core.Budget // in force
 	currentAggregators int                    // among how many the bound on cold servers is divided
-	rejectedBefore     map[string]int64       // by team, as counted at the last look
-	teamFractions      map[string]float64     // of all, by team, of these contracts:
+	rejectedBefore     map[string]int64       // by team, as counted at the last request
+	teamFractions      map[string]float64     // of everything by team, of the contracts fractionsOf
 	fractionsOf        *admission.Config
-	updating           bool             // a look is under way
-	updates            chan quotaUpdate // what came of it
+	updating           bool             // a request for quotas is under way
+	updates            chan quotaUpdate // the answer to the request
 }
 
-// division is what this gatherer may use, as it was told.
+// quotaUpdate is what this gatherer may use, as the policy node answered.
 type quotaUpdate struct {
 	slots      uint64
 	regionPPM  uint32
@@ -35,13 +36,14 @@
 	ok         bool
 }
 
+// newBudgetQuotas begins with the floor: no quota is leased yet.
 func newBudgetQuotas(slots uint64, ppm uint32) *budgetQuotas {
 	p := &budgetQuotas{tick: time.NewTicker(quotaInterval), slots: slots, regionPPM: ppm, updates: make(chan quotaUpdate, 1)}
 	p.otherQuota = p.floorQuota(slots)
 	return p
 }
 
-// floor is the part without a lease, among so many: the one that the keeper of the books in this gatherer's region reckons with.
+// floorQuota is the quota without a lease, among so many slots: the one that the region's leader assumes of each gatherer.
 func (p *budgetQuotas) floorQuota(slots uint64) uint32 {
 	h := quota.NewHolder(slots, quota.Bugs{})
 	h.SetRegion(p.regionPPM)
@@ -49,8 +51,8 @@
 	return floor
 }
 
-// region says what this gatherer's region has of everything from now on. What was given for another part of it is void: the region's keeper
-// may give it to others at once, and the other regions get theirs when this one has a version by which it has less.
+// setRegion sets the region's fraction of every budget. Quotas that were granted under another fraction are void: the region's leader may grant them to
+// others at once, and the other regions get theirs when this one has a version by which it has less.
 func (p *budgetQuotas) setRegion(ppm uint32) (changed bool) {
 	if p == nil || ppm == p.regionPPM {
 		return false
@@ -60,7 +62,7 @@
 	return true
 }
 
-// answers is where what came of a look is told; nil where budgets are not divided.
+// results is where answers to a request for quotas arrive; nil where budgets are not divided.
 func (p *budgetQuotas) results() <-chan quotaUpdate {
 	if p == nil {
 		return nil
@@ -70,11 +72,11 @@
 
 const (
 	quotaInterval     = 250 * time.Millisecond
-	leaseSafetyMargin = 300_000 // microseconds by which a lease is taken to end earlier: between two looks nobody looks
-	demandFactor      = 2       // who waits or is refused wants so many times what it has
+	leaseSafetyMargin = 300_000 // microseconds by which a lease counts as ended earlier, since it is checked only every quotaInterval
+	demandFactor      = 2       // a team whose queries are queued or rejected wants so many times what it has
 )
 
-// divides is when to look at the parts; nil where they are not divided.
+// due fires when quotas are to be requested again; nil where budgets are not divided.
 func (p *budgetQuotas) due() <-chan time.Time {
 	if p == nil {
 		return nil
@@ -82,7 +84,7 @@
 	return p.tick.C
 }
 
-// of is the part of one team, for contracts that are divided among so many. What was given for another number is void.
+// quotaOf returns the quota of a team, for contracts that are divided among so many slots. What was granted for another number of slots is void.
 func (p *budgetQuotas) quotaOf(slots uint64) func(team string) float64 {
 	named, others := p.teamQuotas, p.otherQuota
 	if slots != p.slots {
@@ -96,7 +98,7 @@
 	}
 }
 
-// divided is the contracts with this gatherer's parts, where they are divided.
+// divideContracts returns the contracts with this gatherer's quotas; the same ones where there is nothing to divide.
 func (p *budgetQuotas) divideContracts(c *admission.Config) *admission.Config {
 	if p == nil || c == nil {
 		return c
@@ -106,7 +108,7 @@
 	return &d
 }
 
-// ofAll is this gatherer's part of everything: what its teams' parts come to together. O(named teams), but for new contracts.
+// fractionOfAll is this gatherer's fraction of everything, summed over its teams' quotas. It costs O(named teams), and O(teams) for new contracts.
 func (p *budgetQuotas) fractionOfAll(c *admission.Config) float64 {
 	if p.fractionsOf != c {
 		p.teamFractions, p.fractionsOf = c.TeamFractions(), c
@@ -122,20 +124,20 @@
 	return max(all, 1e-6)
 }
 
-// aggregators is among how many the bound on cold servers is divided here: rounded up, so that all together stay within it. Parts are of the
-// whole also where there are regions, so the bound is the whole fleet's, and not a region's.
+// aggregators is the number among which the bound on cold servers is divided here, rounded up, so that all gatherers together stay within the bound.
+// Quotas are fractions of the whole fleet also where there are regions.
 func (p *budgetQuotas) aggregators(c *admission.Config) int {
 	return int(math.Ceil(1/p.fractionOfAll(c) - 1e-9))
 }
 
-// low is the least part that this gatherer had of a team's budget for a window at least, and two at most.
+// minimumQuota is the least quota that this gatherer had of a team's budget during the present and the previous window.
 type minimumQuota struct {
 	previous, current float64
 	since             int64 // of now
 }
 
-// budgets are the free further attempts of each team, by the least part of its contract that this gatherer had for a window: whoever had it
-// before may have spent it, and what was spent counts for so long. What comes with its parts comes where they go.
+// divideBudgets are the free attempts of each team by the least quota that this gatherer had for a window: the gatherer that had the quota before may
+// have spent them, and what was spent counts for a window.
 func (p *budgetQuotas) divideBudgets(now int64, all map[string]core.Budget, c *admission.Config) map[string]core.Budget {
 	of := p.quotaOf(uint64(c.Gatherers))
 	out := make(map[string]core.Budget, len(all))
@@ -144,7 +146,7 @@
 		part := of(team)
 		l, known := p.minimums[team]
 		switch {
-		case !known: // a process that has just begun: others may have it
+		case !known: // the process has just started: another gatherer may have had the quota
 			l = minimumQuota{0, part, now}
 		case now-l.since >= b.Window:
 			l = minimumQuota{l.current, part, now}
@@ -157,8 +159,8 @@
 	return out
 }
 
-// demands is what this gatherer could use of each team's budget: what it has out, and more where somebody waits or was turned away. It
-// costs O(teams that have asked).
+// demands is what this gatherer could use of each team's budget: what it has out, and more where queries are queued or were rejected. It costs O(teams
+// that have sent anything).
 func (p *budgetQuotas) demands(all []admission.TeamStatus, slots uint64) []quota.Demand {
 	var out []quota.Demand
 	part := p.quotaOf(slots)
@@ -180,10 +182,11 @@
 	return out
 }
 
+// toPPM returns a fraction in millionths, within 0 and 1.
 func toPPM(x float64) uint32 { return uint32(min(max(x, 0), 1) * quota.PPM) }
 
-// lookAtParts tells what this gatherer could use, and asks what it may. It waits for nobody: whoever puts a policy in force may be waiting
-// for this goroutine.
+// requestQuotas reports the demand and asks for quotas, in a goroutine of its own that delivers to results: what puts a policy in force may wait for the
+// gatherer's goroutine, so that this one must not wait for the policy. One request is under way at a time.
 func (g *Gatherer) requestQuotas() {
 	policy, op, p := g.policyNode.Load(), g.currentFile.Load(), g.quotas
 	if policy == nil || g.contracts == nil || p.updating {
@@ -198,11 +201,12 @@
 	}()
 }
 
-// redivideParts puts in force what this gatherer may use. No query waits for it.
+// applyQuotas puts the quotas that were answered in force. No query waits for it. An answer from before a change of the region's fraction is dropped;
+// the next request has the new one.
 func (g *Gatherer) applyQuotas(d quotaUpdate) {
 	p := g.quotas
 	p.updating = false
-	if g.contracts == nil || !d.ok || d.regionPPM != p.regionPPM { // asked before the region's part changed: the next look tells
+	if g.contracts == nil || !d.ok || d.regionPPM != p.regionPPM { // requested before the region's fraction changed
 		return
 	}
 	same := p.slots == d.slots && p.otherQuota == d.otherQuota && maps.Equal(p.teamQuotas, d.teamQuotas)
--- a/internal/broker/server/region_quota.go
+++ b/internal/broker/server/region_quota.go
@@ -8,8 +8,8 @@
 	"saffronquay/internal/cluster/rollout/wire"
 )
 
-// regionPart is what this gatherer's region has of every budget under a version, in millionths: as the version says or, before any says it,
-// by its gatherers' share of the first roster among the regions that serve. All of it where there are no regions.
+// regionQuota is the region's fraction of every budget under a version, in millionths: as the version says or, before any version does, by the region's
+// gatherers among those of the regions that have voters in the first roster. All of it where there are no regions.
 func regionQuota(r *config.Rollout, d *wire.Document) uint32 {
 	if r == nil || r.Region == "" {
 		return quota.PPM
@@ -38,7 +38,7 @@
 	return uint32(quota.PPM * here / max(all, 1))
 }
 
-// sameRegion guards against a store that was made in another region, or without one: what it has was agreed on by others.
+// checkRegion guards against a store that was made in another region, or without regions: what it has was agreed on by others.
 func checkRegion(r *config.Rollout, name string, m rollout.PersistentState) error {
 	for _, x := range m.Members {
 		if x.Name == name && x.Region != r.Region {
--- /dev/null
+++ b/internal/broker/server/reload.go
@@ -0,0 +1,95 @@
+package server
+
+import (
+	"cmp"
+	"runtime/debug"
+	"saffronquay/internal/broker/logging"
+
+	sq "saffronquay"
+)
+
+// reloadFile reads the file again and applies it where all of it is valid. Addresses to listen at, the name and VRRP stay as at the start.
+func (g *Gatherer) reloadFile() {
+	now, err := g.rereadFile()
+	if err == nil {
+		err = g.apply(now)
+	}
+	if err != nil {
+		g.metrics.ConfigRejected.Add(1)
+		logging.Error(g.logger, logging.Reload, "kept", "old", "error", err)
+		return
+	}
+	g.metrics.ConfigAccepted.Add(1)
+	logging.Info(g.logger, logging.Reload, "classes", len(g.settings.Module.Classes), "discovery", g.discovery, "servers", len(g.fleet.Servers))
+}
+
+// apply puts another plan in force, completely; after an error nothing has changed. The gatherer's goroutine calls it.
+func (g *Gatherer) apply(now Plan) error {
+	if g.routes != nil {
+		if err := g.routes.File(now.layout.Whole, now.serverIDs(), false); err != nil {
+			return err
+		}
+	}
+	if now.listen != g.listen || now.adminListen != g.adminListen {
+		logging.Warn(g.logger, logging.Reload, "note", "listen and operator take a restart")
+	}
+	if now.adopt != nil {
+		now.adopt()
+	}
+	now.name, now.listen, now.adminListen, now.vrrp, now.passedSocket, now.sharedDirectory, now.seed = g.name, g.listen, g.adminListen, g.vrrp,
+		g.passedSocket, g.sharedDirectory, g.seed
+	now.logOutput = g.logOutput
+	if now.logConfig != g.Plan.logConfig { // what an operator set at the door stays otherwise
+		if err := now.applyLog(); err != nil {
+			logging.Error(g.logger, logging.Reload, "error", err)
+		}
+	}
+	g.Plan = now
+	debug.SetMemoryLimit(int64(g.memoryMB) << 20 * 3 / 4)
+	g.engine.Reconfigure(g.coreTerms(), g.moduleSettings(), g.poolConfig(), g.dialect)
+	g.engine.Contracts(g.dividedContracts())
+	g.listener.Reconfigure(g.listenerConfig(), g.front)
+	if g.virtual != nil {
+		g.virtual.reconfigure(g.listenerConfig(), g.front)
+	}
+	if g.watcher != nil {
+		g.watcher.Move(g.discovery)
+	} else {
+		g.applyFileServers()
+	}
+	g.currentFile.Store(g.file)
+	return nil
+}
+
+// applyFileServers puts the file's servers and layout in force. New servers come before the layout that names them, and removed ones leave after the
+// layout that no longer does, so that no range is without replicas in between.
+func (g *Gatherer) applyFileServers() {
+	if g.routes != nil {
+		g.engine.Fleet(sq.FleetChanged{Kind: sq.FleetDelta, Servers: g.fleet.Servers}, g.addresses)
+		if err := g.routes.File(g.layout.Whole, g.serverIDs(), true); err != nil { // the directory has just said otherwise
+			logging.Error(g.logger, logging.Reload, "layout", "kept", "error", err)
+		}
+		if g.layout.Directory != "" {
+			g.routes.Move(g.layout.Directory)
+		}
+	}
+	g.engine.Fleet(g.fleet, g.addresses)
+}
+
+// applyLog sets the log's format and level by the file.
+func (p Plan) applyLog() error {
+	if p.logOutput == nil {
+		return nil
+	}
+	p.logOutput.Format(cmp.Or(p.logConfig.Format, "text"))
+	return p.logOutput.Level(cmp.Or(p.logConfig.Level, "info"))
+}
+
+// serverIDs are the ids of the plan's servers.
+func (p Plan) serverIDs() []sq.ServerID {
+	ids := make([]sq.ServerID, len(p.fleet.Servers))
+	for i, s := range p.fleet.Servers {
+		ids[i] = s.ID
+	}
+	return ids
+}
--- /dev/null
+++ b/internal/broker/server/siblings.go
@@ -0,0 +1,77 @@
+package server
+
+import (
+	"runtime/debug"
+	"saffronquay/internal/broker/handover"
+	"saffronquay/internal/broker/logging"
+	"saffronquay/internal/broker/platform"
+	"saffronquay/internal/broker/transport"
+
+	sq "saffronquay"
+)
+
+// takeOver exchanges state with the process that this one replaces, where a socket was passed, and adopts its counts, list of servers and standby.
+func (g *Gatherer) takeOver() {
+	if g.passedSocket == 0 || g.sharedDirectory == "" {
+		return
+	}
+	g.siblings = transport.NewBeside(g.sharedDirectory, g.name, g.clock, g.handoverState, func(others []handover.State) {
+		select {
+		case g.siblingStates <- others:
+		default: // the main goroutine has not got to the last ones; there is word again soon
+		}
+	}, g.logger)
+	others := g.siblings.Others()
+	from, ok := handover.Newest(others)
+	if !ok {
+		return
+	}
+	g.engine.Succeed(from)
+	if list, err := platform.ParseList(from.List); err == nil && g.watcher != nil && from.Discovery == g.discovery {
+		g.engine.Fleet(sq.FleetChanged{Kind: sq.FleetCached, Servers: list.Servers}, list.Addresses)
+	}
+	g.adjustToSiblings(others)
+	if from.Standby {
+		if err := g.lifecycle.Standby(); err != nil {
+			logging.Error(g.logger, logging.Duty, "error", err)
+		}
+	}
+	logging.Info(g.logger, logging.Succeeds, "standby", from.Standby, "open", from.Open, "sockets", from.Sockets, "generation", from.Generation)
+}
+
+// handoverState is the state that this process reports to the other processes of the gatherer; false before it is complete.
+func (g *Gatherer) handoverState() (handover.State, bool) {
+	s, ok := g.engine.Standing()
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	if !ok || g.listener == nil {
+		return s, false
+	}
+	s.Standby = g.onStandby
+	s.Sockets += g.listener.Conns() + reservedSockets + transport.DoorSockets
+	if g.watcher != nil {
+		s.List, s.Generation, s.Discovery = g.watcher.Held()
+	}
+	return s, true
+}
+
+// adjustToSiblings subtracts what the other processes of this gatherer use from the limits on memory and descriptors.
+func (g *Gatherer) adjustToSiblings(others []handover.State) {
+	held := 0
+	for _, o := range others {
+		held += o.Sockets
+	}
+	if held == 0 && g.siblingSockets == 0 {
+		return
+	}
+	g.siblingSockets = held
+	limit := int64(g.memoryMB) << 20 * 3 / 4
+	if held > 0 {
+		limit /= 2
+	}
+	debug.SetMemoryLimit(limit)
+	g.engine.Beside(others, g.maxServerConns())
+	if g.listener != nil {
+		g.listener.Reconfigure(g.listenerConfig(), g.front)
+	}
+}
--- a/internal/broker/server/virtual_service.go
+++ b/internal/broker/server/virtual_service.go
@@ -1,6 +1,7 @@
 package server
 
 import (
+	"context"
 	"fmt"
 	"log/slog"
 	"net"
@@ -12,27 +13,27 @@
 	"time"
 )
 
-// service listens at the virtual address while this gatherer is the Active router.
+const (
+	listenRetryInterval = 100 * time.Millisecond
+	maxDrainedListeners = 4 // beyond it the oldest is closed
+)
+
+// virtualService listens at the virtual address while this gatherer is the Active router of VRRP.
 type virtualService struct {
 	clock  transport.Clock
 	config config.VRRP
 	engine *transport.Engine
 	log    *slog.Logger
-	router *transport.Redundancy // nil: on standby, or leaving; the main goroutine owns it
-	stop   chan struct{}         // ends the present time as Active; the router's goroutine owns it
+	router *transport.Redundancy // nil: on standby, or leaving; the gatherer's goroutine owns it
+	stop   chan struct{}         // ends serving as Active; the router's goroutine owns it
 
 	mu             sync.Mutex
 	listenerConfig transport.ListenerConfig
 	front          transport.Front
-	listeners      []*transport.Listener // the present one, and drained ones that may still have answers to give
+	listeners      []*transport.Listener // the present one, and draining ones that may still have answers to send
 }
 
-const (
-	listenRetryInterval = 100 * time.Millisecond
-	maxDrainedListeners = 4 // then the oldest is closed
-)
-
-// compete takes part in the election, or gives the virtual address up and takes no part.
+// compete takes part in the election, or withdraws and gives the virtual address up. The gatherer's goroutine calls it.
 func (s *virtualService) compete(on bool) error {
 	if on == (s.router != nil) {
 		return nil
@@ -50,7 +51,8 @@
 	return nil
 }
 
-// become follows the router's state.
+// onStateChange follows the router's state: it starts to serve as Active, and drains otherwise. The router's goroutine calls it, and leave after that one
+// has ended.
 func (s *virtualService) onStateChange(state vrrp.State) {
 	if s.stop != nil {
 		close(s.stop)
@@ -62,10 +64,10 @@
 	}
 }
 
-// serve listens until stop. The address may still be held for a moment by the router that was Active before.
+// serve opens the socket at the virtual address and serves until stop. It tries again while the router that was Active before still has the address.
 func (s *virtualService) serve(stop <-chan struct{}) {
 	for {
-		socket, err := net.Listen("tcp", s.config.Service)
+		socket, err := (&net.ListenConfig{}).Listen(context.Background(), "tcp", s.config.Service)
 		if err == nil {
 			s.run(socket, stop)
 			return
@@ -81,6 +83,7 @@
 	}
 }
 
+// run serves the socket; after stop its listener drains.
 func (s *virtualService) run(socket net.Listener, stop <-chan struct{}) {
 	s.mu.Lock()
 	l := transport.NewListener(socket, s.listenerConfig, s.engine, s.front, s.log)
@@ -100,7 +103,7 @@
 	}
 }
 
-// reconfigure puts other bounds and another front in force.
+// reconfigure sets other bounds and another front, for the listeners that run too.
 func (s *virtualService) reconfigure(bounds transport.ListenerConfig, front transport.Front) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -110,7 +113,7 @@
 	}
 }
 
-// quiet tells that no listener has a request in hand, nor has had one since a time.
+// quiet reports whether no listener has a request in flight, nor has had one since the given time.
 func (s *virtualService) quiet(since int64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -122,7 +125,7 @@
 	return true
 }
 
-// conns is how many clients' connections are open.
+// conns is how many client connections are open.
 func (s *virtualService) conns() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -133,7 +136,7 @@
 	return n
 }
 
-// leave gives the virtual address up, first of all: a peer takes over while this one still answers.
+// leave gives the virtual address up. It comes first in a shutdown: a peer takes over while this one still answers.
 func (s *virtualService) leave() {
 	if s.router == nil {
 		return
@@ -143,7 +146,7 @@
 	s.onStateChange(vrrp.Initialize)
 }
 
-// close ends what is left.
+// close closes all listeners.
 func (s *virtualService) close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
