--- a/internal/broker/server/durable.go
+++ b/internal/broker/server/durable.go
@@ -330,7 +330,7 @@
 
 // remember keeps what is known now.
 func (d *durable) remember(engine *transport.Engine, place *layout.Current) {
-	if m, ok := engine.Remember(); ok {
+	if m, ok := engine.ExportMemory(); ok {
 		if value, err := worded(m); err == nil {
 			d.keep(recordlog.Record{Kind: recordlog.Learned, Value: value, ExpiresAt: d.store.Now() + forgetIn.Microseconds()})
 		}
--- a/internal/broker/server/gatherer.go
+++ b/internal/broker/server/gatherer.go
@@ -30,10 +30,10 @@
 	logger    *slog.Logger
 	clock     transport.Clock
 	engine    *transport.Engine
-	watcher   *transport.Watcher // nil: the list of servers is fixed
-	routes    *transport.Routes  // nil: no layout
-	virtual   *service           // nil: no virtual address
-	door      *transport.Door    // nil: off
+	watcher   *transport.Watcher       // nil: the list of servers is fixed
+	routes    *transport.Routes        // nil: no layout
+	virtual   *service                 // nil: no virtual address
+	door      *transport.AdminListener // nil: off
 	duty      *adminapi.Duty
 	figures   *adminapi.Figures
 	view      atomic.Pointer[members]            // the same as fleetView, for operators' calls
@@ -42,7 +42,7 @@
 	number    atomic.Uint64                      // of the policy in force here
 	inForce   atomic.Pointer[config.Operator]    // the file, with the policy in force
 	installs  chan install                       // policies to be put in force
-	beside    *transport.Beside                  // nil: no socket is passed, so nobody replaces this process or is replaced by it
+	beside    *transport.StateExchange           // nil: no socket is passed, so nobody replaces this process or is replaced by it
 	met       chan []handover.State              // what other processes of this gatherer told
 	waits     bool                               // it could not take part in VRRP's election
 	others    int                                // descriptors that they hold
@@ -221,7 +221,7 @@
 		if err != nil {
 			return fmt.Errorf("operator: %w", err)
 		}
-		g.door = transport.NewDoor(l, desk{g.duty, g.figures, g.routes, g.output, g.engine, g.view.Load, g.policy.Load}, g.logger)
+		g.door = transport.NewAdminListener(l, desk{g.duty, g.figures, g.routes, g.output, g.engine, g.view.Load, g.policy.Load}, g.logger)
 		go g.door.Serve()
 		door = l.Addr().String()
 	}
@@ -230,7 +230,7 @@
 		return fmt.Errorf("listen: %w", err)
 	}
 	if d := g.durable; d != nil && d.store != nil {
-		g.engine.Recall(d.memory)
+		g.engine.RestoreMemory(d.memory)
 	}
 	g.succeed()
 	bounds := g.bounds()
@@ -310,20 +310,20 @@
 		return fmt.Errorf("configuration: settings: %w", err)
 	}
 	g.engine = transport.NewEngine(g.clock, core.New(g.terms(), module), g.pool(), g.dialect, g.figures, g.logger)
-	g.engine.Contracts(g.contracts)
-	g.engine.Fleet(g.fleet, g.addresses)
+	g.engine.SetContracts(g.contracts)
+	g.engine.UpdateFleet(g.fleet, g.addresses)
 	if g.watch != nil {
 		g.watcher = g.watch(g.engine)
-		g.engine.Watch, g.engine.Fetch = g.watcher.Begin, g.watcher.Begin
+		g.engine.Watch, g.engine.Fetch = g.watcher.RequestWatch, g.watcher.RequestWatch
 	}
 	if g.layout != nil {
 		cfg := transport.RoutesConfig{Directory: g.layout.Directory, Stall: g.layout.Stall}
-		g.routes, err = transport.NewRoutes(cfg, g.durable.latest(g.layout.Whole, g.serverIDs()), g.serverIDs(), g.clock, g.place, g.engine.Layout,
+		g.routes, err = transport.NewRoutes(cfg, g.durable.latest(g.layout.Whole, g.serverIDs()), g.serverIDs(), g.clock, g.place, g.engine.UpdateLayout,
 			g.figures.Routes, g.logger)
 		if err != nil {
 			return fmt.Errorf("configuration: %w", err)
 		}
-		g.engine.Refresh = g.routes.Refresh
+		g.engine.RefreshLayout = g.routes.Refresh
 	}
 	return nil
 }
@@ -365,7 +365,7 @@
 	if d.routes == nil {
 		return nil
 	}
-	return d.routes.Layout(dst)
+	return d.routes.AppendStatus(dst)
 }
 
 // applyLog has the log written as the file says.
@@ -398,7 +398,7 @@
 	t := time.NewTimer(firstList)
 	defer t.Stop()
 	select {
-	case <-g.routes.Heard():
+	case <-g.routes.Synced():
 	case <-t.C:
 		logging.Warn(g.logger, logging.Start, "layout", "given", "waited", firstList)
 	}
@@ -450,19 +450,19 @@
 // operators need.
 func (g *Gatherer) bounds() transport.ListenerConfig {
 	b := transport.ListenerConfig{
-		MaxConns: g.sockets() - g.serverConns() - ownSockets, Enough: min(g.sockets(), smallSockets) / 4,
-		Idle: 15 * time.Second, First: 2500 * time.Millisecond, Slow: 2500 * time.Millisecond,
-		MaxHeld: int64(g.memoryMB) << 20 / 8,
+		MaxConns: g.sockets() - g.serverConns() - ownSockets, MaxKeepAlive: min(g.sockets(), smallSockets) / 4,
+		IdleTimeout: 15 * time.Second, FirstRequestTimeout: 2500 * time.Millisecond, RequestTimeout: 2500 * time.Millisecond,
+		MaxPartialBytes: int64(g.memoryMB) << 20 / 8,
 	}
 	if g.operator != "" {
-		b.MaxConns -= transport.DoorSockets
+		b.MaxConns -= transport.AdminSockets
 	}
 	if l := g.settings.Module.Limits; l.RetryAfter {
 		b.RetryAfter = time.Duration(l.MaxRetryAfter) * time.Microsecond
 	}
 	if g.vrrp != nil {
 		b.MaxConns /= 2 // the virtual address has a listener of its own
-		b.Enough /= 2
+		b.MaxKeepAlive /= 2
 	}
 	return b
 }
@@ -487,20 +487,20 @@
 	if g.passed == 0 || g.shared == "" {
 		return
 	}
-	g.beside = transport.NewBeside(g.shared, g.name, g.clock, g.standing, func(others []handover.State) {
+	g.beside = transport.NewStateExchange(g.shared, g.name, g.clock, g.standing, func(others []handover.State) {
 		select {
 		case g.met <- others:
 		default: // the main goroutine has not got to the last ones; there is word again soon
 		}
 	}, g.logger)
-	others := g.beside.Others()
+	others := g.beside.PeerStates()
 	from, ok := handover.Youngest(others)
 	if !ok {
 		return
 	}
-	g.engine.Succeed(from)
+	g.engine.InheritLearned(from)
 	if list, err := platform.ParseList(from.List); err == nil && g.watcher != nil && from.Discovery == g.discovery {
-		g.engine.Fleet(sq.FleetChanged{Kind: sq.FleetCached, Servers: list.Servers}, list.Addresses)
+		g.engine.UpdateFleet(sq.FleetChanged{Kind: sq.FleetCached, Servers: list.Servers}, list.Addresses)
 	}
 	g.share(others)
 	if from.Standby {
@@ -513,16 +513,16 @@
 
 // standing is how this process stands.
 func (g *Gatherer) standing() (handover.State, bool) {
-	s, ok := g.engine.Standing()
+	s, ok := g.engine.HandoverState()
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if !ok || g.listener == nil {
 		return s, false
 	}
 	s.Standby = g.onStandby
-	s.Sockets += g.listener.Conns() + ownSockets + transport.DoorSockets
+	s.Sockets += g.listener.Conns() + ownSockets + transport.AdminSockets
 	if g.watcher != nil {
-		s.List, s.Generation, s.Discovery = g.watcher.Held()
+		s.List, s.Generation, s.Discovery = g.watcher.List()
 	}
 	return s, true
 }
@@ -542,7 +542,7 @@
 		limit /= 2
 	}
 	debug.SetMemoryLimit(limit)
-	g.engine.Beside(others, g.serverConns())
+	g.engine.SetPeers(others, g.serverConns())
 	if g.listener != nil {
 		g.listener.Reconfigure(g.bounds(), g.front)
 	}
@@ -558,12 +558,12 @@
 		go g.watcher.Run()
 		return
 	}
-	g.watcher.Afresh()
+	g.watcher.RequestFullList()
 	go g.watcher.Run()
 	t := time.NewTimer(firstList)
 	defer t.Stop()
 	select {
-	case <-g.watcher.Heard():
+	case <-g.watcher.Synced():
 	case <-t.C:
 		logging.Warn(g.logger, logging.Start, "list", "given", "waited", firstList)
 	}
@@ -588,7 +588,7 @@
 // enforce puts another plan in force, whole; after an error nothing has changed.
 func (g *Gatherer) enforce(now Plan) error {
 	if g.routes != nil {
-		if err := g.routes.File(now.layout.Whole, now.serverIDs(), false); err != nil {
+		if err := g.routes.ApplyFile(now.layout.Whole, now.serverIDs(), false); err != nil {
 			return err
 		}
 	}
@@ -609,13 +609,13 @@
 	g.Plan = now
 	debug.SetMemoryLimit(int64(g.memoryMB) << 20 * 3 / 4)
 	g.engine.Reconfigure(g.terms(), g.module(), g.pool(), g.dialect)
-	g.engine.Contracts(g.shares())
+	g.engine.SetContracts(g.shares())
 	g.listener.Reconfigure(g.bounds(), g.front)
 	if g.virtual != nil {
 		g.virtual.reconfigure(g.bounds(), g.front)
 	}
 	if g.watcher != nil {
-		g.watcher.Move(g.discovery)
+		g.watcher.SetAddress(g.discovery)
 	} else {
 		g.settle()
 	}
@@ -627,15 +627,15 @@
 // gone leave after the one that no longer does, so that no range is without holders in between.
 func (g *Gatherer) settle() {
 	if g.routes != nil {
-		g.engine.Fleet(sq.FleetChanged{Kind: sq.FleetDelta, Servers: g.fleet.Servers}, g.addresses)
-		if err := g.routes.File(g.layout.Whole, g.serverIDs(), true); err != nil { // the directory has just said otherwise
+		g.engine.UpdateFleet(sq.FleetChanged{Kind: sq.FleetDelta, Servers: g.fleet.Servers}, g.addresses)
+		if err := g.routes.ApplyFile(g.layout.Whole, g.serverIDs(), true); err != nil { // the directory has just said otherwise
 			logging.Error(g.logger, logging.Reload, "layout", "kept", "error", err)
 		}
 		if g.layout.Directory != "" {
-			g.routes.Move(g.layout.Directory)
+			g.routes.SetAddress(g.layout.Directory)
 		}
 	}
-	g.engine.Fleet(g.fleet, g.addresses)
+	g.engine.UpdateFleet(g.fleet, g.addresses)
 }
 
 // end leaves: it goes on serving until nothing comes in any more, takes in what waits to be accepted, and ends once the last
@@ -653,7 +653,7 @@
 	}
 	still := func(since int64) bool { return g.listener.Quiet(since) && (g.virtual == nil || g.virtual.quiet(since)) }
 	empty := func() bool { return g.listener.Conns() == 0 && (g.virtual == nil || g.virtual.conns() == 0) }
-	logging.Info(g.logger, logging.Leaving, "held", g.engine.Held())
+	logging.Info(g.logger, logging.Leaving, "held", g.engine.OpenQueries())
 	since := g.clock.Now()
 	killed := since + g.lifeAfterTerm()
 	lastEntry := time.NewTimer(fullTime)
@@ -663,7 +663,7 @@
 	for served, closing := false, false; ; {
 		switch turn, _ := g.attend(tick.C, lastEntry.C); turn {
 		case lastCome:
-			g.engine.EndBy(killed)
+			g.engine.SetKillDeadline(killed)
 			continue
 		case acceptEnded: // what it accepted last is among the connections now
 			served = true
@@ -674,10 +674,10 @@
 		now := g.clock.Now()
 		switch {
 		case !served && !closing && g.passed == 0 && now-since >= quiet && still(now-quiet):
-			g.listener.LastCalls()
+			g.listener.CloseSocket()
 			closing = true
 			continue
-		case !served || !empty() || g.engine.Held() > 0:
+		case !served || !empty() || g.engine.OpenQueries() > 0:
 			continue
 		}
 		break
--- a/internal/broker/server/members.go
+++ b/internal/broker/server/members.go
@@ -165,7 +165,7 @@
 	m.divide.Store(int64(n))
 	logging.Info(g.logger, logging.PeersReckon, "members", m.reckon, "divide", n)
 	g.engine.Reconfigure(g.terms(), g.module(), g.pool(), g.dialect)
-	g.engine.Contracts(g.shares())
+	g.engine.SetContracts(g.shares())
 }
 
 // module is the module's settings, with the view's number where it is followed.
--- a/internal/broker/server/parts.go
+++ b/internal/broker/server/parts.go
@@ -205,7 +205,7 @@
 	}
 	same := p.slots == d.slots && p.others == d.others && maps.Equal(p.named, d.named)
 	if p.slots, p.named, p.others = d.slots, d.named, d.others; !same {
-		g.engine.Contracts(g.shares())
+		g.engine.SetContracts(g.shares())
 	}
 	n, free := p.aggregators(g.contracts), p.budgets(g.clock.Now(), g.budgets, g.contracts)
 	if n != p.inForce || !maps.Equal(free, p.free) {
--- a/internal/broker/server/plan.go
+++ b/internal/broker/server/plan.go
@@ -111,8 +111,8 @@
 		partsPerCall: max(1, node.Settings.Module.PartsPerCall), discovery: node.Discovery,
 		fleet: sq.FleetChanged{Kind: sq.FleetCached, Servers: node.Known}, addresses: node.Addresses,
 		watch: func(e *transport.Engine) *transport.Watcher {
-			w := transport.NewWatcher(node.Discovery, node.Generation, node.Settings.Module.WatchMembership, e.Fleet, logger)
-			w.Spread(node.Seed)
+			w := transport.NewWatcher(node.Discovery, node.Generation, node.Settings.Module.WatchMembership, e.UpdateFleet, logger)
+			w.SetJitterSeed(node.Seed)
 			return w
 		},
 		again: func() (Plan, error) {
--- a/internal/broker/server/policy.go
+++ b/internal/broker/server/policy.go
@@ -88,7 +88,7 @@
 	if r.Share {
 		cfg.Node.Share, cfg.Node.Slots = true, h.Slots()
 		g.parts = newParts(cfg.Node.Slots, regionPart(r, memory.Current))
-		g.engine.Contracts(g.shares())
+		g.engine.SetContracts(g.shares())
 	}
 	seed(nil, &cfg.Node)
 	p, err := peering.OpenPolicyNode(cfg, g.clock.Now, h, g.logger)
@@ -134,7 +134,7 @@
 		return err
 	}
 	// What is open keeps its terms, but no bound may be under what it holds already.
-	if held, ok := h.g.engine.Standing(); ok && now.Settings.MaxOpen > 0 && now.Settings.MaxOpen < op.Settings.MaxOpen && int(held.Open) > now.Settings.MaxOpen {
+	if held, ok := h.g.engine.HandoverState(); ok && now.Settings.MaxOpen > 0 && now.Settings.MaxOpen < op.Settings.MaxOpen && int(held.Open) > now.Settings.MaxOpen {
 		return fmt.Errorf("settings.permissions.max_open: %d, and %d are open here", now.Settings.MaxOpen, held.Open)
 	}
 	return nil
@@ -172,7 +172,7 @@
 }
 
 // Permit has the engine let in by a permit.
-func (h *policyHost) Permit(p transport.Permit) { h.g.engine.Permit(p) }
+func (h *policyHost) Permit(p transport.Permit) { h.g.engine.SetPermit(p) }
 
 // install puts a document in force, as SIGHUP does a file.
 func (g *Gatherer) install(x install) {
--- a/internal/broker/server/sockets_test.go
+++ b/internal/broker/server/sockets_test.go
@@ -14,8 +14,8 @@
 	} {
 		g := &Gatherer{Plan: Plan{sockets: c.sockets}}
 		b := g.bounds()
-		if got := g.serverConns(); got != c.servers || b.MaxConns != c.clients || b.Enough != c.enough {
-			t.Errorf("%d descriptors: %d for servers, %d for clients, who keep %d; want %d, %d, %d", c.sockets, got, b.MaxConns, b.Enough, c.servers,
+		if got := g.serverConns(); got != c.servers || b.MaxConns != c.clients || b.MaxKeepAlive != c.enough {
+			t.Errorf("%d descriptors: %d for servers, %d for clients, who keep %d; want %d, %d, %d", c.sockets, got, b.MaxConns, b.MaxKeepAlive, c.servers,
 				c.clients, c.enough)
 		}
 	}
--- a/internal/broker/transport/door.go
+++ b/internal/broker/transport/admin.go
@@ -12,34 +12,31 @@
 
 const (
 	// DoorSockets is how many descriptors the operators' door needs at most, its listener included.
-	DoorSockets = 16
-	doorTime    = 3 * time.Second        // for a call to come in
-	doorLinger  = 500 * time.Millisecond // read on after the answer: a reset would destroy it
-	doorBytes   = 4 << 10                // of what is read on
+	AdminSockets     = 16
+	adminCallTimeout = 3 * time.Second        // for a call to come in
+	adminLinger      = 500 * time.Millisecond // read on after the answer: a reset would destroy it
+	adminLingerBytes = 4 << 10                // of what is read on
 )
 
 // Door answers operators' calls on a listener of its own.
-type Door struct {
-	net  net.Listener
-	desk adminapi.Desk
-	log  *slog.Logger
-	wg   sync.WaitGroup
+type AdminListener struct {
+	net     net.Listener
+	handler adminapi.Desk
+	log     *slog.Logger
+	wg      sync.WaitGroup
 
 	mu     sync.Mutex
 	closed bool
-	callers
+	calls  []net.Conn // open connections, the oldest first
 }
 
-// callers are the open connections, the oldest first.
-type callers []net.Conn
-
 // NewDoor makes a door on an open listener; Serve runs it.
-func NewDoor(l net.Listener, d adminapi.Desk, logger *slog.Logger) *Door {
-	return &Door{net: l, desk: d, log: logger}
+func NewAdminListener(l net.Listener, d adminapi.Desk, logger *slog.Logger) *AdminListener {
+	return &AdminListener{net: l, handler: d, log: logger}
 }
 
 // Serve accepts callers until Close.
-func (d *Door) Serve() {
+func (d *AdminListener) Serve() {
 	for {
 		conn, err := d.net.Accept()
 		if errors.Is(err, net.ErrClosed) {
@@ -56,31 +53,31 @@
 
 // admit makes room where it has to. Guards against callers who say nothing and stay: the oldest goes, and one who
 // means to call has long been answered by then.
-func (d *Door) admit(conn net.Conn) {
+func (d *AdminListener) admit(conn net.Conn) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.closed {
 		conn.Close()
 		return
 	}
-	if len(d.callers) >= DoorSockets-1 {
-		d.callers[0].Close()
-		d.callers = d.callers[1:]
+	if len(d.calls) >= AdminSockets-1 {
+		d.calls[0].Close()
+		d.calls = d.calls[1:]
 	}
-	d.callers = append(d.callers, conn)
+	d.calls = append(d.calls, conn)
 	d.wg.Add(1)
 	go d.serve(conn)
 }
 
-func (d *Door) serve(conn net.Conn) {
+func (d *AdminListener) serve(conn net.Conn) {
 	defer d.wg.Done()
 	defer d.forget(conn)
-	conn.SetDeadline(time.Now().Add(doorTime))
+	conn.SetDeadline(time.Now().Add(adminCallTimeout))
 	var call adminapi.Call
 	buf := make([]byte, 2*adminapi.MaxCall)
 	for {
 		n, err := conn.Read(buf)
-		answer, done := call.Feed(buf[:n], d.desk)
+		answer, done := call.Feed(buf[:n], d.handler)
 		if !done && err != nil {
 			answer, done = call.Ended(), true
 		}
@@ -91,7 +88,7 @@
 	}
 }
 
-func (d *Door) answer(conn net.Conn, answer []byte) {
+func (d *AdminListener) answer(conn net.Conn, answer []byte) {
 	conn.SetDeadline(time.Now().Add(writeTimeout))
 	if _, err := conn.Write(answer); err != nil {
 		return // nobody reads it
@@ -99,9 +96,9 @@
 	if half, ok := conn.(interface{ CloseWrite() error }); !ok || half.CloseWrite() != nil {
 		return
 	}
-	conn.SetReadDeadline(time.Now().Add(doorLinger))
+	conn.SetReadDeadline(time.Now().Add(adminLinger))
 	buf := make([]byte, 512)
-	for left := doorBytes; left > 0; {
+	for left := adminLingerBytes; left > 0; {
 		n, err := conn.Read(buf)
 		if err != nil {
 			return
@@ -110,24 +107,24 @@
 	}
 }
 
-func (d *Door) forget(conn net.Conn) {
+func (d *AdminListener) forget(conn net.Conn) {
 	conn.Close()
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for i, c := range d.callers {
+	for i, c := range d.calls {
 		if c == conn {
-			d.callers = append(d.callers[:i:i], d.callers[i+1:]...)
+			d.calls = append(d.calls[:i:i], d.calls[i+1:]...)
 			return
 		}
 	}
 }
 
 // Close ends the door and its callers.
-func (d *Door) Close() {
+func (d *AdminListener) Close() {
 	d.net.Close()
 	d.mu.Lock()
 	d.closed = true
-	for _, c := range d.callers {
+	for _, c := range d.calls {
 		c.Close()
 	}
 	d.mu.Unlock()
--- a/internal/broker/transport/departed_test.go
+++ b/internal/broker/transport/departed_test.go
@@ -126,13 +126,13 @@
 							platform.Workers{PerConn: 8}, adminapi.NewFigures(), slog.New(slog.DiscardHandler))
 						e.pool.connect = server.connect
 						go e.Run()
-						e.Fleet(sq.FleetChanged{Kind: sq.FleetFull, Servers: []sq.Server{{ID: "a", Health: sq.Ready}, {ID: "b", Health: sq.Ready}}},
+						e.UpdateFleet(sq.FleetChanged{Kind: sq.FleetFull, Servers: []sq.Server{{ID: "a", Health: sq.Ready}, {ID: "b", Health: sq.Ready}}},
 							map[sq.ServerID]string{"a": "a:1", "b": "b:1"})
 						now := func() int64 { return e.clock.Now() }
 						if tc.permit > 0 {
 							hold := now() + tc.permit.Microseconds()
-							e.Permit(Permit{Holding: true, HoldEnd: hold, Until: hold + 1e9})
-							time.AfterFunc(tc.permit/2, func() { e.Permit(Permit{Until: hold + 1e9}) })
+							e.SetPermit(Permit{Suspended: true, SuspendedUntil: hold, Expires: hold + 1e9})
+							time.AfterFunc(tc.permit/2, func() { e.SetPermit(Permit{Expires: hold + 1e9}) })
 						}
 						ask := func(label string) *Ticket {
 							a := core.Ask{
@@ -153,7 +153,7 @@
 						time.Sleep(40 * time.Millisecond)
 						left := time.Now()
 						if leaves {
-							e.Left(asked)
+							e.ClientLeft(asked)
 						}
 						time.Sleep(5 * time.Second)
 						server.mu.Lock()
@@ -173,8 +173,8 @@
 						if !leaves && late == 0 {
 							t.Error("nothing was to be prevented")
 						}
-						if !tc.copies && len(server.begun["o1"]) == 0 || !tc.copies && len(server.begun["o2"]) == 0 || e.Held() != 0 {
-							t.Errorf("others: begun %v, %d held", server.begun, e.Held())
+						if !tc.copies && len(server.begun["o1"]) == 0 || !tc.copies && len(server.begun["o2"]) == 0 || e.OpenQueries() != 0 {
+							t.Errorf("others: begun %v, %d held", server.begun, e.OpenQueries())
 						}
 						e.Stop()
 						for _, s := range e.pool.servers {
--- a/internal/broker/transport/endings_test.go
+++ b/internal/broker/transport/endings_test.go
@@ -53,7 +53,7 @@
 	t.Helper()
 	select {
 	case <-x.reached:
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("the crossing was never reached")
 	}
 }
@@ -128,9 +128,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	cfg := ListenerConfig{MaxConns: 8, Enough: 8, Idle: patience, First: patience, Slow: patience, MaxHeld: 1 << 20}
+	cfg := ListenerConfig{MaxConns: 8, MaxKeepAlive: 8, IdleTimeout: testTimeout, FirstRequestTimeout: testTimeout, RequestTimeout: testTimeout, MaxPartialBytes: 1 << 20}
 	w.l = NewListener(hookedListener{socket.(*net.TCPListener), w.hooks}, cfg, w.e, counted{opened: &w.opened}, quiet)
-	w.l.grace = time.Hour
+	w.l.faultGrace = time.Hour
 	go w.e.Run()
 	go func() { w.served <- w.l.Serve() }()
 	t.Cleanup(func() { w.l.Close(); w.e.Stop() })
@@ -144,7 +144,7 @@
 		w.t.Fatal(err)
 	}
 	w.t.Cleanup(func() { conn.Close() })
-	conn.SetDeadline(time.Now().Add(patience))
+	conn.SetDeadline(time.Now().Add(testTimeout))
 	return conn
 }
 
@@ -156,7 +156,7 @@
 	conn := w.dial()
 	fmt.Fprint(conn, get)
 	w.answer(conn)
-	w.until("it rests", func(c *clientConn) bool { return c.spoke && !c.answering })
+	w.until("it rests", func(c *clientConn) bool { return c.hasRequested && !c.answering })
 	return conn
 }
 
@@ -178,7 +178,7 @@
 // until waits for a state of the one connection.
 func (w *ends) until(what string, is func(*clientConn) bool) {
 	w.t.Helper()
-	for end := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
 		w.l.mu.Lock()
 		ok := false
 		for c := range w.l.conns {
@@ -217,7 +217,7 @@
 					end(w)
 					w.afterTime.wait(t)
 					fmt.Fprint(conn, get)
-					w.until("they lie in the socket", func(c *clientConn) bool { return unread(c.net) })
+					w.until("they lie in the socket", func(c *clientConn) bool { return hasUnread(c.conn) })
 					close(w.afterTime.release)
 				}
 				if m := w.answer(conn); m.Status != 200 || !m.Close {
@@ -235,7 +235,7 @@
 }
 
 // endIdle ends what is idle, as if it had been for long.
-func (w *ends) endIdle() { w.l.endIdle(time.Now().Add(time.Hour), true) }
+func (w *ends) endIdle() { w.l.closeIdle(time.Now().Add(time.Hour), true) }
 
 // An idle connection that nothing comes in on just ends, in order.
 func TestAnEndThatMeetsNothing(t *testing.T) {
@@ -262,7 +262,7 @@
 	fmt.Fprint(conn, "\r\n")
 	w.afterRead.wait(t) // so that what comes next lies unread
 	fmt.Fprint(conn, strings.Repeat("more ", 100))
-	w.until("it lies in the socket", func(c *clientConn) bool { return unread(c.net) })
+	w.until("it lies in the socket", func(c *clientConn) bool { return hasUnread(c.conn) })
 	close(w.beforeWrite.release)
 	w.until("its last answer has left", func(c *clientConn) bool { return !c.answering })
 	close(w.afterRead.release)
@@ -280,7 +280,7 @@
 	w.beforeWrite.wait(t)
 	w.until("both have come in", func(c *clientConn) bool { return len(c.queue) == 1 })
 	conn.Close()
-	w.until("its reader has ended", func(c *clientConn) bool { return c.ended })
+	w.until("its reader has ended", func(c *clientConn) bool { return c.readEnded })
 	close(w.beforeWrite.release)
 	w.until2(func() bool { return w.l.Conns() == 0 })
 	if n := w.opened.Load(); n != 1 {
@@ -290,7 +290,7 @@
 
 func (w *ends) until2(is func() bool) {
 	w.t.Helper()
-	for end := time.Now().Add(patience); !is(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !is(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			w.t.Fatal("never")
 		}
@@ -311,7 +311,7 @@
 			conn.(*net.TCPConn).SetLinger(0)
 		}
 		conn.Close()
-		w.until("its end is there", func(c *clientConn) bool { _, gone := peek(c.net); return gone })
+		w.until("its end is there", func(c *clientConn) bool { _, gone := peek(c.conn); return gone })
 		close(w.afterRead.release)
 		ended := make(chan struct{})
 		go func() {
@@ -332,7 +332,7 @@
 }
 
 // A request that is arriving as a listener begins to leave is read to its end and answered, and its connection ends with that.
-func TestWhatArrivesInPiecesAsAListenerLeaves(t *testing.T) {
+func TestRequestSplitInTransitAsAListenerLeaves(t *testing.T) {
 	w := newEnds(t)
 	conn := w.dial()
 	fmt.Fprint(conn, get[:10])
@@ -356,11 +356,11 @@
 	go func() {
 		conn.Write(make([]byte, 2*lingerBytes)) // fails once the connection is closed
 	}()
-	w.until2(func() bool { return w.e.Held() == 0 && w.l.Conns() == 0 })
+	w.until2(func() bool { return w.e.OpenQueries() == 0 && w.l.Conns() == 0 })
 }
 
 // When a listener closes its socket, who has connected already is served. Without that a connection which waits to be accepted is reset.
-func TestLastCalls(t *testing.T) {
+func TestCloseSocketServesBacklog(t *testing.T) {
 	w := newEnds(t)
 	first := w.rests()
 	w.beforeAccept.arm()
@@ -374,7 +374,7 @@
 		waiting = append(waiting, conn)
 	}
 	w.l.Leave()
-	w.l.LastCalls()
+	w.l.CloseSocket()
 	close(w.beforeAccept.release)
 	for _, conn := range waiting {
 		if m := w.answer(conn); m.Status != 200 {
@@ -386,7 +386,7 @@
 		if err != nil {
 			t.Error(err)
 		}
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("it goes on accepting")
 	}
 	if _, err := first.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
@@ -409,7 +409,7 @@
 		go e.Run()
 		now := e.clock.Now()
 		if tc.by > 0 {
-			e.EndBy(now + tc.by)
+			e.SetKillDeadline(now + tc.by)
 		}
 		e.Open(core.Ask{Class: "c", Deadline: now + tc.deadline, Parts: []core.AskPart{{Weight: 1}}})
 		if got := <-seen - now; got != tc.want {
--- a/internal/broker/transport/engine.go
+++ b/internal/broker/transport/engine.go
@@ -33,47 +33,47 @@
 // Engine is the one goroutine that owns the core, the module behind it and the pool. Everything else hands it
 // functions to run.
 type Engine struct {
-	clock   Clock
-	core    *core.Core
-	pool    *pool
-	inbox   chan func(now int64)
-	stop    chan struct{}
-	stopped chan struct{}
-	waiting map[sq.ID]func(core.Final)
-	log     *slog.Logger
-	sweepAt int64
-	figures *adminapi.Figures
-	gate    *admission.Gate // nil: there are no contracts
-	held    map[int64]*held // queries that wait at the gate
-	gateID  int64
-	permit  *Permit  // nil: everything is let in
-	paused  []paused // queries that wait while a change is put in force
-	endBy   int64    // when this process may be killed: what arrives is answered before; 0: not known
+	clock        Clock
+	core         *core.Core
+	pool         *pool
+	inbox        chan func(now int64)
+	stop         chan struct{}
+	stopped      chan struct{}
+	waiting      map[sq.ID]func(core.Final)
+	log          *slog.Logger
+	sweepAt      int64
+	metrics      *adminapi.Figures
+	gate         *admission.Gate        // nil: there are no contracts
+	queued       map[int64]*queuedQuery // queries that wait at the gate
+	lastGateID   int64
+	permit       *Permit          // nil: everything is let in
+	suspended    []suspendedQuery // queries that wait while a change is put in force
+	killDeadline int64            // when this process may be killed: what arrives is answered before; 0: not known
 	// Watch and Fetch, where set, carry out what the module asks of discovery; they must not block.
 	Watch, Fetch func()
 	// Refresh, where set, has the whole layout asked for; it must not block.
-	Refresh func()
+	RefreshLayout func()
 }
 
 const (
 	inboxSize  = 1024
 	sweepEvery = 50_000 // microseconds
 	// standingWait bounds how long the engine's word on its state is waited for.
-	standingWait = 500 * time.Millisecond
+	stateTimeout = 500 * time.Millisecond
 )
 
 // NewEngine makes an engine; Run starts it.
-func NewEngine(clock Clock, gatherer *core.Core, cfg PoolConfig, d core.Dialect, figures *adminapi.Figures,
+func NewEngine(clock Clock, gatherer *core.Core, cfg PoolConfig, d core.Dialect, metrics *adminapi.Figures,
 	logger *slog.Logger,
 ) *Engine {
 	e := &Engine{
 		clock: clock, core: gatherer, inbox: make(chan func(int64), inboxSize), stop: make(chan struct{}),
-		stopped: make(chan struct{}), waiting: map[sq.ID]func(core.Final){}, figures: figures, log: logger,
+		stopped: make(chan struct{}), waiting: map[sq.ID]func(core.Final){}, metrics: metrics, log: logger,
 	}
 	e.pool = newPool(cfg, d, e.post)
-	e.pool.figures = figures
-	e.pool.ended, e.pool.over = gatherer.Came, e.stopped
-	e.held = map[int64]*held{}
+	e.pool.metrics = metrics
+	e.pool.onReply, e.pool.stopped = gatherer.Came, e.stopped
+	e.queued = map[int64]*queuedQuery{}
 	return e
 }
 
@@ -108,16 +108,16 @@
 			return
 		}
 		now := e.clock.Now()
-		e.expire(now)
-		e.release(now)
+		e.refuseExpired(now)
+		e.admitSuspended(now)
 		e.carryOut(now, e.core.Step(now))
 		if now >= e.sweepAt {
 			e.sweepAt = now + sweepEvery
 			e.pool.sweep(now)
 			listed, out := e.core.Rotation()
-			e.figures.Listed.Store(int64(listed))
-			e.figures.Out.Store(int64(out))
-			if l := e.figures.Routes; l != nil {
+			e.metrics.Listed.Store(int64(listed))
+			e.metrics.Out.Store(int64(out))
+			if l := e.metrics.Routes; l != nil {
 				replanned, misplaced := e.core.Replanned()
 				l.Replanned.Store(replanned)
 				l.Misplaced.Store(misplaced)
@@ -132,8 +132,8 @@
 				at = min(at, next)
 			}
 		}
-		if len(e.paused) > 0 {
-			at = min(at, e.permit.HoldEnd)
+		if len(e.suspended) > 0 {
+			at = min(at, e.permit.SuspendedUntil)
 		}
 		timer.Reset(time.Duration(max(0, at-e.clock.Now())) * time.Microsecond)
 	}
@@ -151,7 +151,7 @@
 		case core.Call:
 			e.pool.call(now, x)
 		case core.Intend:
-			e.intend(now, x)
+			e.recordIntents(now, x)
 		case core.Drop:
 			e.pool.drop(now, x.Attempt)
 		case core.Recall:
@@ -172,8 +172,8 @@
 				e.Fetch()
 			}
 		case core.Refresh:
-			if e.Refresh != nil {
-				e.Refresh()
+			if e.RefreshLayout != nil {
+				e.RefreshLayout()
 			}
 		case core.Note:
 			logging.Info(e.log, logging.Note, "text", x.Text)
@@ -182,7 +182,7 @@
 }
 
 // intend hands intents to their ledger, which must not block.
-func (e *Engine) intend(now int64, x core.Intend) {
+func (e *Engine) recordIntents(now int64, x core.Intend) {
 	done := func(err error) { e.post(func(now int64) { e.core.Intended(now, x.Attempts, err) }) }
 	if err := x.Ledger.Intend(x.Parts, x.Deadline, done); err != nil {
 		e.core.Intended(now, x.Attempts, err)
@@ -207,33 +207,33 @@
 }
 
 // EndBy says when this process may be killed: queries that arrive from now on have their end before, whatever time their clients give.
-func (e *Engine) EndBy(at int64) {
-	e.post(func(int64) { e.endBy = at })
+func (e *Engine) SetKillDeadline(at int64) {
+	e.post(func(int64) { e.killDeadline = at })
 }
 
 // Left says that the client of a query is gone.
-func (e *Engine) Left(t *Ticket) {
+func (e *Engine) ClientLeft(t *Ticket) {
 	e.post(func(now int64) {
 		t.left = true
 		if e.waiting[t.id] != nil {
 			delete(e.waiting, t.id)
 			e.core.Left(t.id)
 		}
-		e.leave(now, t)
+		e.releaseGate(now, t)
 	})
 }
 
 // Fleet brings news of the list of servers.
-func (e *Engine) Fleet(f sq.FleetChanged, addresses map[sq.ServerID]string) {
+func (e *Engine) UpdateFleet(f sq.FleetChanged, addresses map[sq.ServerID]string) {
 	e.post(func(now int64) {
 		// What ends at a process that is gone comes first: it says nothing of the one in its place.
-		e.pool.fleet(now, f, addresses)
+		e.pool.updateFleet(now, f, addresses)
 		e.core.Fleet(f)
 	})
 }
 
 // Layout puts a layout in force. Layouts are handed over in the order of their epochs.
-func (e *Engine) Layout(u layout.Update) {
+func (e *Engine) UpdateLayout(u layout.Update) {
 	e.post(func(now int64) { e.core.Layout(now, u) })
 }
 
@@ -247,7 +247,7 @@
 
 // Standing is how this process stands, for the one that takes its place; ok is false where the engine has ended, or is so
 // late that nobody should go by its word.
-func (e *Engine) Standing() (s handover.State, ok bool) {
+func (e *Engine) HandoverState() (s handover.State, ok bool) {
 	got := make(chan handover.State, 1)
 	go e.post(func(int64) {
 		held, learned := e.core.Standing(), e.core.Learned()
@@ -256,7 +256,7 @@
 			Suspects: learned.Suspects,
 		}
 	})
-	t := time.NewTimer(standingWait)
+	t := time.NewTimer(stateTimeout)
 	defer t.Stop()
 	select {
 	case s = <-got:
@@ -268,7 +268,7 @@
 }
 
 // Beside says how the other processes of this gatherer stand, and leaves this one so many connections to servers.
-func (e *Engine) Beside(others []handover.State, conns int) {
+func (e *Engine) SetPeers(others []handover.State, conns int) {
 	held := core.Standing{Labels: map[string]int64{}}
 	for _, o := range others {
 		held.Open += o.Open
@@ -281,7 +281,7 @@
 }
 
 // Succeed begins with what the process before this one had learnt.
-func (e *Engine) Succeed(from handover.State) {
+func (e *Engine) InheritLearned(from handover.State) {
 	e.post(func(now int64) {
 		e.core.Succeed(now, sq.Learned{Admission: from.Admission, Suspects: from.Suspects})
 	})
@@ -294,10 +294,10 @@
 }
 
 // Remember is what is known now; ok is false where the engine has ended, or is late.
-func (e *Engine) Remember() (m Memory, ok bool) {
+func (e *Engine) ExportMemory() (m Memory, ok bool) {
 	got := make(chan Memory, 1)
 	go e.post(func(now int64) { got <- Memory{e.core.Learned(), e.core.Spent(now)} })
-	t := time.NewTimer(standingWait)
+	t := time.NewTimer(stateTimeout)
 	defer t.Stop()
 	select {
 	case m = <-got:
@@ -309,12 +309,12 @@
 }
 
 // Recall begins with what a process knew that is gone.
-func (e *Engine) Recall(m Memory) {
+func (e *Engine) RestoreMemory(m Memory) {
 	e.post(func(now int64) { e.core.Recall(now, m.Learned, m.Spent) })
 }
 
 // Held is the number of queries without their final answer.
-func (e *Engine) Held() int {
+func (e *Engine) OpenQueries() int {
 	n := make(chan int, 1)
 	e.post(func(int64) { n <- e.core.Held() })
 	select {
--- a/internal/broker/transport/beside.go
+++ b/internal/broker/transport/exchange.go
@@ -13,39 +13,39 @@
 )
 
 const (
-	besideAlone  = 250 * time.Millisecond // between two writings
-	besideEvery  = 100 * time.Millisecond // the same, while there is another process
-	besidePrefix = "saffronquay-"
-	besideSuffix = ".handover"
-	forgotten    = time.Minute // then what a process left behind is removed
-	mostBeside   = 8           // states that are read at a time
+	exchangeInterval      = 250 * time.Millisecond // between two writings
+	exchangeIntervalPeers = 100 * time.Millisecond // the same, while there is another process
+	stateFilePrefix       = "saffronquay-"
+	stateFileSuffix       = ".handover"
+	staleFileAge          = time.Minute // then what a process left behind is removed
+	maxPeerStates         = 8           // states that are read at a time
 )
 
 // Beside tells the other process of this gatherer, where there is one, how this one stands, and learns how that one does:
 // by a file of each in a directory of theirs, written whole and renamed.
-type Beside struct {
+type StateExchange struct {
 	dir, name, path string
 	clock           Clock
 	snapshot        func() (handover.State, bool)
-	met             func([]handover.State)
+	peersRead       func([]handover.State)
 	log             *slog.Logger
 	stop, done      chan struct{}
 }
 
 // NewBeside makes one in a directory that outlives a process. snapshot gives this process's state, where it has one; met
 // is handed what the others told last, again and again. Run runs it.
-func NewBeside(dir, name string, clock Clock, snapshot func() (handover.State, bool), met func([]handover.State),
+func NewStateExchange(dir, name string, clock Clock, snapshot func() (handover.State, bool), met func([]handover.State),
 	logger *slog.Logger,
-) *Beside {
-	own := fmt.Sprintf("%s%d-%d%s", besidePrefix, os.Getpid(), time.Now().UnixNano(), besideSuffix)
-	return &Beside{
-		dir: dir, name: name, path: filepath.Join(dir, own), clock: clock, snapshot: snapshot, met: met,
+) *StateExchange {
+	own := fmt.Sprintf("%s%d-%d%s", stateFilePrefix, os.Getpid(), time.Now().UnixNano(), stateFileSuffix)
+	return &StateExchange{
+		dir: dir, name: name, path: filepath.Join(dir, own), clock: clock, snapshot: snapshot, peersRead: met,
 		log: logger, stop: make(chan struct{}), done: make(chan struct{}),
 	}
 }
 
 // Run goes on until Stop.
-func (b *Beside) Run() {
+func (b *StateExchange) Run() {
 	defer close(b.done)
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -64,21 +64,21 @@
 			}
 			failed = err != nil
 		}
-		others := b.Others()
-		b.met(others)
-		if timer.Reset(besideAlone); len(others) > 0 {
-			timer.Reset(besideEvery)
+		others := b.PeerStates()
+		b.peersRead(others)
+		if timer.Reset(exchangeInterval); len(others) > 0 {
+			timer.Reset(exchangeIntervalPeers)
 		}
 	}
 }
 
 // Stop ends Run and takes this process's state back.
-func (b *Beside) Stop() {
+func (b *StateExchange) Stop() {
 	close(b.stop)
 	<-b.done
 }
 
-func (b *Beside) write(s handover.State) error {
+func (b *StateExchange) write(s handover.State) error {
 	s.Name, s.Since, s.At = b.name, b.clock.start.UnixMicro(), b.clock.Now()
 	part := b.path + ".part"
 	if err := os.WriteFile(part, s.Append(nil), 0o600); err != nil {
@@ -92,24 +92,24 @@
 
 // Others is what the other processes of this gatherer told last. What is broken, of another version or too old counts
 // for nothing.
-func (b *Beside) Others() []handover.State {
-	paths, err := filepath.Glob(filepath.Join(b.dir, besidePrefix+"*"))
+func (b *StateExchange) PeerStates() []handover.State {
+	paths, err := filepath.Glob(filepath.Join(b.dir, stateFilePrefix+"*"))
 	if err != nil {
 		return nil
 	}
 	var others []handover.State
 	for _, path := range paths {
-		if path == b.path || len(others) == mostBeside {
+		if path == b.path || len(others) == maxPeerStates {
 			continue
 		}
-		if info, err := os.Stat(path); err != nil || time.Since(info.ModTime()) > forgotten {
+		if info, err := os.Stat(path); err != nil || time.Since(info.ModTime()) > staleFileAge {
 			os.Remove(path)
 			continue
 		}
-		if !strings.HasSuffix(path, besideSuffix) {
+		if !strings.HasSuffix(path, stateFileSuffix) {
 			continue
 		}
-		text, err := read(path)
+		text, err := readStateFile(path)
 		if err != nil {
 			continue // it was taken back just now
 		}
@@ -120,7 +120,7 @@
 	return others
 }
 
-func read(path string) ([]byte, error) {
+func readStateFile(path string) ([]byte, error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return nil, err
--- a/internal/broker/transport/beside_test.go
+++ b/internal/broker/transport/exchange_test.go
@@ -11,31 +11,31 @@
 
 // Two processes hear of each other while both run, and of nothing else: guards a start against what a process that is
 // gone, another gatherer or another version has left behind.
-func TestBesideEachOther(t *testing.T) {
+func TestStateExchange(t *testing.T) {
 	dir, clock, quiet := t.TempDir(), NewClock(), slog.New(slog.DiscardHandler)
 	leave := func(name string, s handover.State) {
-		if err := os.WriteFile(filepath.Join(dir, besidePrefix+name), s.Append(nil), 0o600); err != nil {
+		if err := os.WriteFile(filepath.Join(dir, stateFilePrefix+name), s.Append(nil), 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
-	leave("1"+besideSuffix, handover.State{Name: "n0", At: clock.Now() - handover.Stale})
-	leave("2"+besideSuffix, handover.State{Name: "n1", At: clock.Now() + handover.Stale/2})
-	leave("3"+besideSuffix+".part", handover.State{Name: "n0", At: clock.Now()})
-	leave("4"+besideSuffix, handover.State{Name: "n0", At: clock.Now()})
-	old := time.Now().Add(-2 * forgotten)
-	if err := os.Chtimes(filepath.Join(dir, besidePrefix+"4"+besideSuffix), old, old); err != nil {
+	leave("1"+stateFileSuffix, handover.State{Name: "n0", At: clock.Now() - handover.Stale})
+	leave("2"+stateFileSuffix, handover.State{Name: "n1", At: clock.Now() + handover.Stale/2})
+	leave("3"+stateFileSuffix+".part", handover.State{Name: "n0", At: clock.Now()})
+	leave("4"+stateFileSuffix, handover.State{Name: "n0", At: clock.Now()})
+	old := time.Now().Add(-2 * staleFileAge)
+	if err := os.Chtimes(filepath.Join(dir, stateFilePrefix+"4"+stateFileSuffix), old, old); err != nil {
 		t.Fatal(err)
 	}
-	begin := func(open int) (*Beside, chan []handover.State) {
+	begin := func(open int) (*StateExchange, chan []handover.State) {
 		met := make(chan []handover.State, 1000)
-		b := NewBeside(dir, "n0", clock, func() (handover.State, bool) { return handover.State{Open: open}, true },
+		b := NewStateExchange(dir, "n0", clock, func() (handover.State, bool) { return handover.State{Open: open}, true },
 			func(others []handover.State) { met <- others }, quiet)
 		go b.Run()
 		return b, met
 	}
 	until := func(met chan []handover.State, want int) {
 		t.Helper()
-		for end := time.After(patience); ; {
+		for end := time.After(testTimeout); ; {
 			select {
 			case others := <-met:
 				if want < 0 && len(others) == 0 || len(others) == 1 && others[0].Open == want {
@@ -61,17 +61,17 @@
 }
 
 // Followers that lose their directory at the same moment come back at moments of their own, and each within its bounds.
-func TestFollowersComeBackSpread(t *testing.T) {
+func TestFollowersReconnectWithJitter(t *testing.T) {
 	seen := map[time.Duration]int{}
 	for seed := range uint64(300) {
 		f := newFollower("", 1, nil, nil)
-		f.Spread(seed)
-		for _, pause := range []time.Duration{watchPauseMin, watchPauseMax} {
-			d := f.spread(pause)
+		f.SetJitterSeed(seed)
+		for _, pause := range []time.Duration{watchBackoffMin, watchBackoffMax} {
+			d := f.jitter(pause)
 			if d < pause/2 || d > pause*3/2+1 {
 				t.Fatalf("a pause of %v for %v", d, pause)
 			}
-			if pause == watchPauseMax {
+			if pause == watchBackoffMax {
 				seen[d/(100*time.Millisecond)]++
 			}
 		}
@@ -81,7 +81,7 @@
 			t.Errorf("%d of 300 come back within a tenth of a second, at %d", n, at)
 		}
 	}
-	if f := newFollower("", 1, nil, nil); f.spread(time.Second) != time.Second {
+	if f := newFollower("", 1, nil, nil); f.jitter(time.Second) != time.Second {
 		t.Error("without a seed a pause is spread")
 	}
 }
--- a/internal/broker/transport/follow.go
+++ b/internal/broker/transport/follower.go
@@ -20,24 +20,24 @@
 // answered as late as discovery answers any: 1 + 2.25 + 1 s for a watch, 1 + 3 + 1 s for a list, 4.25 + 0.7 s for a watch that has
 // fallen silent. Calls of one follower come a second apart at least while nothing answers.
 const (
-	dialPatience   = time.Second             // the agent is on this machine: it answers at once or not at all
-	answerPatience = 2250 * time.Millisecond // until a call is answered: it may wait for two seconds in discovery's queue
-	listPatience   = time.Second             // for a whole list, between two of its pieces
-	listWhole      = 3 * time.Second         // for all of it: a peer that trickles is no better than a silent one
-	watchSilence   = 4250 * time.Millisecond // between two whole lines: an empty one comes every 2 s. Then the watch is taken for broken
-	watchPauseMin  = 100 * time.Millisecond
-	watchPauseMax  = time.Second
+	dialTimeout     = time.Second             // the agent is on this machine: it answers at once or not at all
+	answerTimeout   = 2250 * time.Millisecond // until a call is answered: it may wait for two seconds in discovery's queue
+	listReadTimeout = time.Second             // for a whole list, between two of its pieces
+	listTimeout     = 3 * time.Second         // for all of it: a peer that trickles is no better than a silent one
+	watchTimeout    = 4250 * time.Millisecond // between two whole lines: an empty one comes every 2 s. Then the watch is taken for broken
+	watchBackoffMin = 100 * time.Millisecond
+	watchBackoffMax = time.Second
 )
 
 // source is what a follower follows: a whole list, and a watch of what changes in it, a line each.
 type source interface {
-	wholePath() string
+	fullPath() string
 	watchPath() string
 	// whole and line take in what an address has told; after an error the connection is of no use.
-	whole(body []byte, from string) error
-	line(text []byte, from string) error
+	applyFull(body []byte, from string) error
+	applyLine(text []byte, from string) error
 	// ended is told how a watch ended.
-	ended(error)
+	watchEnded(error)
 }
 
 // statusError is an answer that is not the list that was asked for.
@@ -48,16 +48,16 @@
 // follower keeps a watch open at one address at a time, whole lists first where they are wanted. It owns the connection;
 // what is told goes to its source, on Run's goroutine.
 type follower struct {
-	source source
-	log    *slog.Logger
-	most   int           // bytes of a whole list or a line
-	rng    *rand.Rand    // of the pauses; nil: they are not spread. Run's goroutine owns it
-	fresh  bool          // the whole list comes first; Run's goroutine owns it
-	asked  bool          // failures end it until begin: the module asks for the watch
-	begin  chan struct{} // where asked
-	dial   func(ctx context.Context, address string) (net.Conn, error)
-	stop   chan struct{}
-	done   chan struct{}
+	source        source
+	log           *slog.Logger
+	maxBytes      int           // bytes of a whole list or a line
+	rng           *rand.Rand    // of the pauses; nil: they are not spread. Run's goroutine owns it
+	needsFull     bool          // the whole list comes first; Run's goroutine owns it
+	onRequest     bool          // failures end it until begin: the module asks for the watch
+	watchRequests chan struct{} // where asked
+	dial          func(ctx context.Context, address string) (net.Conn, error)
+	stop          chan struct{}
+	done          chan struct{}
 
 	mu      sync.Mutex
 	address string
@@ -66,13 +66,13 @@
 
 func newFollower(address string, most int, s source, logger *slog.Logger) follower {
 	return follower{
-		source: s, log: logger, most: most, address: address, dial: dialPeer, begin: make(chan struct{}, 1),
+		source: s, log: logger, maxBytes: most, address: address, dial: dialPeer, watchRequests: make(chan struct{}, 1),
 		stop: make(chan struct{}), done: make(chan struct{}), moved: make(chan struct{}),
 	}
 }
 
 // Move goes over to another address at once; what is held stays until that one has told its own.
-func (f *follower) Move(address string) {
+func (f *follower) SetAddress(address string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if address == f.address {
@@ -93,21 +93,21 @@
 // Run follows until Stop.
 func (f *follower) Run() {
 	defer close(f.done)
-	pause := watchPauseMin
+	backoff := watchBackoffMin
 	last, _ := f.target()
-	for waits := f.asked; ; {
+	for waits := f.onRequest; ; {
 		if waits {
 			select {
-			case <-f.begin:
+			case <-f.watchRequests:
 			case <-f.stop:
 				return
 			}
 		}
 		address, moved := f.target()
 		if address != last {
-			last, f.fresh, pause = address, true, watchPauseMin
+			last, f.needsFull, backoff = address, true, watchBackoffMin
 		}
-		heard, err := f.watch(address, moved)
+		received, err := f.watch(address, moved)
 		select {
 		case <-f.stop:
 			return
@@ -117,14 +117,14 @@
 			continue
 		default:
 		}
-		f.source.ended(err)
-		if waits = f.asked; waits {
+		f.source.watchEnded(err)
+		if waits = f.onRequest; waits {
 			continue
 		}
-		if heard {
-			pause = watchPauseMin
+		if received {
+			backoff = watchBackoffMin
 		}
-		t := time.NewTimer(f.spread(pause))
+		t := time.NewTimer(f.jitter(backoff))
 		select {
 		case <-t.C:
 		case <-moved:
@@ -133,20 +133,20 @@
 			t.Stop()
 			return
 		}
-		pause = min(2*pause, watchPauseMax)
+		backoff = min(2*backoff, watchBackoffMax)
 	}
 }
 
 // Spread has pauses before a new connection drawn from a seed. Call it before Run. Guards a directory that many followers lost at the
 // same moment against their coming back together, again and again.
-func (f *follower) Spread(seed uint64) { f.rng = rand.New(rand.NewPCG(seed, 0x5eed)) }
+func (f *follower) SetJitterSeed(seed uint64) { f.rng = rand.New(rand.NewPCG(seed, 0x5eed)) }
 
 // spread is a pause drawn from half to one and a half times the one that is due.
-func (f *follower) spread(pause time.Duration) time.Duration {
+func (f *follower) jitter(backoff time.Duration) time.Duration {
 	if f.rng == nil {
-		return pause
+		return backoff
 	}
-	return pause/2 + time.Duration(f.rng.Int64N(int64(pause)+1))
+	return backoff/2 + time.Duration(f.rng.Int64N(int64(backoff)+1))
 }
 
 // Stop ends Run and waits for its end.
@@ -156,7 +156,7 @@
 }
 
 // watch holds one watch open until it ends, falls silent or has to move; heard tells that something came.
-func (f *follower) watch(address string, moved <-chan struct{}) (heard bool, err error) {
+func (f *follower) watch(address string, moved <-chan struct{}) (received bool, err error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go func() {
@@ -175,26 +175,26 @@
 	defer context.AfterFunc(ctx, func() { conn.Close() })()
 	// Versions of another address need not continue those heard before: guards against changes that are
 	// counted from a list which was never told. The whole list comes first there.
-	if f.fresh {
-		if err := f.whole(conn, address); err != nil {
+	if f.needsFull {
+		if err := f.fetchFull(conn, address); err != nil {
 			return false, err
 		}
-		f.fresh, heard = false, true
+		f.needsFull, received = false, true
 	}
-	if err := ask(conn, f.source.watchPath(), address); err != nil {
-		return heard, err
+	if err := sendRequest(conn, f.source.watchPath(), address); err != nil {
+		return received, err
 	}
-	return f.lines(conn, address, heard)
+	return f.readLines(conn, address, received)
 }
 
 // lines takes in a watch's answer, line by line, until it ends.
-func (f *follower) lines(conn net.Conn, address string, heard bool) (bool, error) {
-	p := http1.Parser{Response: true, Limit: f.most}
+func (f *follower) readLines(conn net.Conn, address string, received bool) (bool, error) {
+	p := http1.Parser{Response: true, Limit: f.maxBytes}
 	var line []byte
 	var fault error
 	status := 0
-	by := time.Now().Add(answerPatience)
-	alive := func() { by = time.Now().Add(watchSilence) }
+	by := time.Now().Add(answerTimeout)
+	alive := func() { by = time.Now().Add(watchTimeout) }
 	p.Headed = func(m *http1.Message) { status = m.Status; alive() }
 	p.Stream = func(b []byte) {
 		line = append(line, b...)
@@ -204,16 +204,16 @@
 				break
 			}
 			if text := bytes.TrimSpace(line[:i]); len(text) > 0 && status == 200 { // an empty one is a sign of life
-				fault = f.source.line(text, address)
+				fault = f.source.applyLine(text, address)
 			}
 			line = line[i+1:]
 			alive() // by whole lines: one that trickles keeps no watch alive
 		}
-		if len(line) > f.most {
-			fault = fmt.Errorf("an object over %d bytes", f.most)
+		if len(line) > f.maxBytes {
+			fault = fmt.Errorf("an object over %d bytes", f.maxBytes)
 		}
 	}
-	buf := make([]byte, readChunk)
+	buf := make([]byte, readSize)
 	for {
 		conn.SetReadDeadline(by)
 		n, rerr := conn.Read(buf)
@@ -221,22 +221,22 @@
 		m, perr := p.Next()
 		switch {
 		case perr != nil:
-			return heard, perr
+			return received, perr
 		case status != 0 && status != 200:
-			return heard, statusError(status)
+			return received, statusError(status)
 		case fault != nil:
-			return heard, fault
+			return received, fault
 		case m != nil:
 			return true, fmt.Errorf("the watch was ended")
 		case rerr != nil:
-			return heard, fmt.Errorf("read: %w", rerr)
+			return received, fmt.Errorf("read: %w", rerr)
 		}
-		heard = true
+		received = true
 	}
 }
 
 func dialPeer(ctx context.Context, address string) (net.Conn, error) {
-	dialer := net.Dialer{Timeout: dialPatience}
+	dialer := net.Dialer{Timeout: dialTimeout}
 	conn, err := dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return nil, fmt.Errorf("connect: %w", err)
@@ -244,7 +244,7 @@
 	return conn, nil
 }
 
-func ask(conn net.Conn, target, host string) error {
+func sendRequest(conn net.Conn, target, host string) error {
 	conn.SetWriteDeadline(time.Now().Add(writeTimeout))
 	if _, err := conn.Write(http1.AppendRequest(nil, "GET", target, host, nil, nil)); err != nil {
 		return fmt.Errorf("ask: %w", err)
@@ -253,17 +253,17 @@
 }
 
 // whole asks for the whole list and takes it in. One without a length ends with its connection; a reset is no end.
-func (f *follower) whole(conn net.Conn, address string) error {
-	if err := ask(conn, f.source.wholePath(), address); err != nil {
+func (f *follower) fetchFull(conn net.Conn, address string) error {
+	if err := sendRequest(conn, f.source.fullPath(), address); err != nil {
 		return err
 	}
-	p := http1.Parser{Response: true, Limit: f.most}
-	buf := make([]byte, readChunk)
-	end := time.Now().Add(listWhole)
+	p := http1.Parser{Response: true, Limit: f.maxBytes}
+	buf := make([]byte, readSize)
+	end := time.Now().Add(listTimeout)
 	for {
-		by := time.Now().Add(listPatience)
+		by := time.Now().Add(listReadTimeout)
 		if p.Idle() { // it waits in discovery's queue
-			by = time.Now().Add(answerPatience)
+			by = time.Now().Add(answerTimeout)
 		}
 		if by.After(end) {
 			by = end
@@ -281,7 +281,7 @@
 		case m != nil && m.Status != 200:
 			return fmt.Errorf("whole list: %w", statusError(m.Status))
 		case m != nil:
-			return f.source.whole(m.Body, address)
+			return f.source.applyFull(m.Body, address)
 		case rerr != nil:
 			return fmt.Errorf("whole list: %w", rerr)
 		}
--- a/internal/broker/transport/gate.go
+++ b/internal/broker/transport/gate.go
@@ -7,32 +7,32 @@
 )
 
 // ErrContract marks a query that its team's contract does not have.
-var ErrContract = errors.New("the contract does not have it")
+var ErrNoContract = errors.New("the contract does not have it")
 
 // held is a query that waits at the gate.
-type held struct {
-	ask core.Ask
-	t   *Ticket
+type queuedQuery struct {
+	query  core.Ask
+	ticket *Ticket
 }
 
 // Contracts puts contracts in force; nil: none. What waits is let in where there are none any more.
-func (e *Engine) Contracts(cfg *admission.Config) {
+func (e *Engine) SetContracts(cfg *admission.Config) {
 	e.post(func(now int64) {
 		switch {
 		case cfg == nil && e.gate != nil:
 			e.gate = nil
-			for _, id := range sortedKeys(e.held) {
-				h := e.held[id]
-				delete(e.held, id)
-				h.t.gate = 0
-				e.admit(now, h.ask, h.t)
+			for _, id := range sortedKeys(e.queued) {
+				h := e.queued[id]
+				delete(e.queued, id)
+				h.ticket.gate = 0
+				e.admit(now, h.query, h.ticket)
 			}
 		case cfg == nil:
 		case e.gate == nil:
 			e.gate = admission.New(*cfg)
 		default:
 			e.gate.Reconfigure(*cfg)
-			e.flow(now)
+			e.admitStarted(now)
 		}
 	})
 }
@@ -56,8 +56,8 @@
 
 // arrive asks the gate first, where there is one; the module hears of a query once it is let in.
 func (e *Engine) arrive(now int64, a core.Ask, t *Ticket) {
-	if e.endBy > 0 {
-		a.Deadline = min(a.Deadline, e.endBy)
+	if e.killDeadline > 0 {
+		a.Deadline = min(a.Deadline, e.killDeadline)
 	}
 	if e.gate == nil {
 		e.admit(now, a, t)
@@ -70,37 +70,37 @@
 	for _, p := range a.Parts {
 		work += p.Work
 	}
-	e.gateID++
-	t.gate = e.gateID
+	e.lastGateID++
+	t.gate = e.lastGateID
 	v, after := e.gate.Arrive(now, admission.Ask{ID: t.gate, Team: a.Tenant, Class: a.Class, Parts: len(a.Parts), Work: float64(work), Deadline: a.Deadline})
 	switch v {
 	case admission.Start:
 		e.admit(now, a, t)
 	case admission.Wait:
-		e.held[t.gate] = &held{a, t}
-		e.flow(now)
+		e.queued[t.gate] = &queuedQuery{a, t}
+		e.admitStarted(now)
 	case admission.Ahead, admission.Full:
 		t.gate = 0
 		t.Final <- core.Final{Verdict: core.Refused, RetryAfter: e.core.Advice(after), Shards: len(a.Parts)}
 	default:
 		t.gate = 0
-		t.Err <- ErrContract
+		t.Err <- ErrNoContract
 	}
 }
 
 // admit hands a query to the core.
 func (e *Engine) admit(now int64, a core.Ask, t *Ticket) {
-	if !e.permitted(now, a, t) {
+	if !e.checkPermit(now, a, t) {
 		return
 	}
 	id, final, err := e.core.Open(now, a)
 	switch {
 	case err != nil:
 		t.Err <- err
-		e.leave(now, t)
+		e.releaseGate(now, t)
 	case final != nil:
 		t.Final <- *final
-		e.leave(now, t)
+		e.releaseGate(now, t)
 	default:
 		t.id = id
 		e.waiting[id] = func(f core.Final) {
@@ -108,28 +108,28 @@
 			t.Final <- f
 			if e.gate != nil && t.gate != 0 {
 				e.gate.Done(t.gate, float64(f.Took), f.Attempts)
-				e.flow(e.clock.Now())
+				e.admitStarted(e.clock.Now())
 			}
 		}
 	}
 }
 
 // leave says that a query is over without a final answer of the core's.
-func (e *Engine) leave(now int64, t *Ticket) {
+func (e *Engine) releaseGate(now int64, t *Ticket) {
 	if e.gate == nil || t.gate == 0 {
 		return
 	}
-	delete(e.held, t.gate)
+	delete(e.queued, t.gate)
 	e.gate.Done(t.gate, 0, 0)
-	e.flow(now)
+	e.admitStarted(now)
 }
 
 // flow lets in what may go now.
-func (e *Engine) flow(now int64) {
+func (e *Engine) admitStarted(now int64) {
 	for _, id := range e.gate.Started() {
-		if h := e.held[id]; h != nil {
-			delete(e.held, id)
-			e.admit(now, h.ask, h.t)
+		if h := e.queued[id]; h != nil {
+			delete(e.queued, id)
+			e.admit(now, h.query, h.ticket)
 		} else {
 			e.gate.Done(id, 0, 0)
 		}
@@ -137,16 +137,16 @@
 }
 
 // expire refuses what has waited for long enough.
-func (e *Engine) expire(now int64) {
+func (e *Engine) refuseExpired(now int64) {
 	if e.gate == nil {
 		return
 	}
 	ids, after := e.gate.Expired(now)
 	for i, id := range ids {
-		if h := e.held[id]; h != nil {
-			delete(e.held, id)
-			h.t.gate = 0
-			h.t.Final <- core.Final{Verdict: core.Refused, RetryAfter: e.core.Advice(after[i]), Shards: len(h.ask.Parts)}
+		if h := e.queued[id]; h != nil {
+			delete(e.queued, id)
+			h.ticket.gate = 0
+			h.ticket.Final <- core.Final{Verdict: core.Refused, RetryAfter: e.core.Advice(after[i]), Shards: len(h.query.Parts)}
 		}
 	}
 }
--- a/internal/broker/transport/outbox.go
+++ b/internal/broker/transport/outbox.go
@@ -16,20 +16,20 @@
 // outbox holds what waits to be written on one connection, in order. What the writer has not taken out can be taken back: a frame
 // waits here as long as the far end does not read.
 type outbox struct {
-	most  int
+	limit int
 	added chan struct{} // has a token after each put
 
 	mu     sync.Mutex
 	frames []*frame
 }
 
-func newOutbox(most int) *outbox { return &outbox{most: most, added: make(chan struct{}, 1)} }
+func newOutbox(most int) *outbox { return &outbox{limit: most, added: make(chan struct{}, 1)} }
 
 // put adds a frame; false where there is no room.
 func (o *outbox) put(f *frame) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if len(o.frames) >= o.most {
+	if len(o.frames) >= o.limit {
 		return false
 	}
 	o.frames = append(o.frames, f)
--- a/internal/broker/transport/pool.go
+++ b/internal/broker/transport/pool.go
@@ -21,7 +21,7 @@
 
 const (
 	writeTimeout = 2 * time.Second
-	readChunk    = 16 << 10
+	readSize     = 16 << 10
 )
 
 var errStalled = errors.New("an answer that stands still")
@@ -29,54 +29,54 @@
 // pool is the set of connections to servers. The engine's goroutine owns it; connections report to that
 // goroutine through post and touch nothing of the pool themselves.
 type pool struct {
-	cfg     PoolConfig
-	dialect core.Dialect
-	post    func(func(now int64)) bool // false: nobody runs it any more
-	ended   func(now int64, r core.Reply)
-	connect func(address string, timeout time.Duration) (net.Conn, error)
-	after   func(time.Duration, func()) *time.Timer
-	servers map[sq.ServerID]*server
-	out     map[core.AttemptID]*serverConn
-	figures *adminapi.Figures
-	over    <-chan struct{} // closed when nothing that is posted runs any more
-	conns   int
-	hurt    int64   // when a connection was last lost with calls out on it; 0: never
-	typical float64 // slow moving average of how long a call takes to be served, in microseconds
-	dialled float64 // the same of how long a connection takes to come up
-	lates   float64 // the share of connections that were late
+	cfg            PoolConfig
+	dialect        core.Dialect
+	post           func(func(now int64)) bool // false: nobody runs it any more
+	onReply        func(now int64, r core.Reply)
+	connect        func(address string, timeout time.Duration) (net.Conn, error)
+	afterFunc      func(time.Duration, func()) *time.Timer
+	servers        map[sq.ServerID]*server
+	byAttempt      map[core.AttemptID]*serverConn
+	metrics        *adminapi.Figures
+	stopped        <-chan struct{} // closed when nothing that is posted runs any more
+	conns          int
+	lastLossAt     int64   // when a connection was last lost with calls out on it; 0: never
+	typicalLatency float64 // slow moving average of how long a call takes to be served, in microseconds
+	typicalDial    float64 // the same of how long a connection takes to come up
+	lateShare      float64 // the share of connections that were late
 }
 
 type server struct {
-	id      sq.ServerID
-	address string
-	conns   []*serverConn
-	started int64
-	closed  bool // draining or gone: nothing new
+	id        sq.ServerID
+	address   string
+	conns     []*serverConn
+	startedAt int64
+	draining  bool // draining or gone: nothing new
 }
 
 type serverConn struct {
-	server   *server
-	session  core.Session
-	net      net.Conn // nil until it is up
-	up       bool
-	retired  bool // takes no further calls and closes once it is empty
-	dead     bool
-	backlog  []core.Call               // waiting for the connection to come up
-	calls    map[core.AttemptID]*frame // out, with the write that carries each; nil: in the backlog
-	wrote    int64                     // writes handed over
-	done     *atomic.Int64             // number of the last write that was completed
-	writes   *outbox
-	usedAt   int64
-	heardAt  int64
-	openedAt int64
-	upAt     int64
-	spare    bool        // opened since another is late
-	spared   bool        // has one, or is one: there is no further
-	late     *time.Timer // until it is, itself
-	passed   int         // calls that left after it fell silent and were answered elsewhere
-	sentAt   map[core.AttemptID]int64
-	stalled  int64 // when the last bytes of an unfinished answer came; 0: there is none
-	unended  int64 // when its first bytes came
+	server         *server
+	session        core.Session
+	net            net.Conn // nil until it is up
+	up             bool
+	retired        bool // takes no further calls and closes once it is empty
+	closed         bool
+	backlog        []core.Call               // waiting for the connection to come up
+	calls          map[core.AttemptID]*frame // out, with the write that carries each; nil: in the backlog
+	lastWrite      int64                     // writes handed over
+	written        *atomic.Int64             // number of the last write that was completed
+	writes         *outbox
+	usedAt         int64
+	heardAt        int64
+	openedAt       int64
+	upAt           int64
+	isSpare        bool        // opened since another is late
+	hasSpare       bool        // has one, or is one: there is no further
+	lateTimer      *time.Timer // until it is, itself
+	overtakenBy    int         // calls that left after it fell silent and were answered elsewhere
+	sentAt         map[core.AttemptID]int64
+	partialHeardAt int64 // when the last bytes of an unfinished answer came; 0: there is none
+	partialSince   int64 // when its first bytes came
 }
 
 func newPool(cfg PoolConfig, d core.Dialect, post func(func(int64)) bool) *pool {
@@ -84,8 +84,8 @@
 		return net.DialTimeout("tcp", address, timeout)
 	}
 	return &pool{
-		cfg: cfg, dialect: d, post: post, connect: connect, after: time.AfterFunc, servers: map[sq.ServerID]*server{},
-		out: map[core.AttemptID]*serverConn{}, figures: adminapi.NewFigures(),
+		cfg: cfg, dialect: d, post: post, connect: connect, afterFunc: time.AfterFunc, servers: map[sq.ServerID]*server{},
+		byAttempt: map[core.AttemptID]*serverConn{}, metrics: adminapi.NewFigures(),
 	}
 }
 
@@ -99,7 +99,7 @@
 }
 
 // fleet takes in news of the list of servers.
-func (p *pool) fleet(now int64, f sq.FleetChanged, addresses map[sq.ServerID]string) {
+func (p *pool) updateFleet(now int64, f sq.FleetChanged, addresses map[sq.ServerID]string) {
 	listed := map[sq.ServerID]bool{}
 	for _, v := range f.Servers {
 		s := p.serverOf(v.ID)
@@ -108,17 +108,17 @@
 			s.address = a
 		}
 		listed[v.ID] = true
-		if v.StartedAt > s.started {
-			s.started = v.StartedAt
-			p.outlived(now, s)
+		if v.StartedAt > s.startedAt {
+			s.startedAt = v.StartedAt
+			p.closeOutlived(now, s)
 		}
-		s.closed = v.Health != sq.Ready
+		s.draining = v.Health != sq.Ready
 	}
 	for id, s := range p.servers {
 		if f.Kind != sq.FleetDelta && f.Kind != sq.FleetFailed && !listed[id] {
-			s.closed = true
+			s.draining = true
 		}
-		if !s.closed {
+		if !s.draining {
 			continue
 		}
 		// Guards the drain rule: what still waits, for a connection or behind other writes, must not leave after the news.
@@ -134,27 +134,27 @@
 
 // outlived closes connections to a process that has since been replaced: nothing comes back on them, and a
 // machine that vanished may leave them silent instead of resetting them.
-func (p *pool) outlived(now int64, s *server) {
+func (p *pool) closeOutlived(now int64, s *server) {
 	for _, c := range append([]*serverConn(nil), s.conns...) {
-		if c.up && c.openedAt < s.started {
-			p.fail(now, c, false)
+		if c.up && c.openedAt < s.startedAt {
+			p.closeConn(now, c, false)
 		}
 	}
 }
 
 func (p *pool) withdraw(now int64, c *serverConn) {
 	for _, id := range sortedKeys(c.calls) {
-		if p.unsend(now, c, id) {
-			p.end(now, c, core.Reply{Attempt: id, Outcome: sq.Unreachable})
+		if p.takeBack(now, c, id) {
+			p.endAttempt(now, c, core.Reply{Attempt: id, Outcome: sq.Unreachable})
 		}
 	}
 }
 
 // unsend takes an attempt back where no byte of its call has begun to leave, and tells whether it did. Others that travel with it
 // stay where they are.
-func (p *pool) unsend(now int64, c *serverConn, id core.AttemptID) bool {
+func (p *pool) takeBack(now int64, c *serverConn, id core.AttemptID) bool {
 	f, out := c.calls[id]
-	if !out || c.dead {
+	if !out || c.closed {
 		return false
 	}
 	without := func(all []core.Attempt) []core.Attempt {
@@ -184,8 +184,8 @@
 
 // recall takes back what nobody waits for, as far as it has not begun to leave.
 func (p *pool) recall(now int64, id core.AttemptID) {
-	if c := p.out[id]; c != nil && p.unsend(now, c, id) {
-		p.end(now, c, core.Reply{Attempt: id, Outcome: sq.NotSent})
+	if c := p.byAttempt[id]; c != nil && p.takeBack(now, c, id) {
+		p.endAttempt(now, c, core.Reply{Attempt: id, Outcome: sq.NotSent})
 		p.closeIfEmpty(now, c)
 	}
 }
@@ -202,42 +202,42 @@
 	if s := p.servers[id]; s != nil {
 		for _, c := range append([]*serverConn(nil), s.conns...) {
 			if c.up && len(c.calls) == 0 {
-				p.fail(now, c, false)
+				p.closeConn(now, c, false)
 			}
 		}
 	}
 }
 
 func (p *pool) closeIfEmpty(now int64, c *serverConn) {
-	if c.retired && len(c.calls) == 0 && len(c.backlog) == 0 && !c.dead {
-		p.fail(now, c, false)
+	if c.retired && len(c.calls) == 0 && len(c.backlog) == 0 && !c.closed {
+		p.closeConn(now, c, false)
 	}
 }
 
 const (
 	// wary is how long calls travel alone after a connection was lost under one, in microseconds: it takes what
 	// else is out on it along, and parts that must not run twice are then lost.
-	wary      = 10_000_000
-	mostAlone = 8 // connections to one server meanwhile
+	isolationPeriod   = 10_000_000
+	maxConnsPerServer = 8 // connections to one server meanwhile
 	// stall is how long an unfinished answer may stand still, in microseconds: it is written in one go.
-	stall = 250_000
+	maxAnswerPause = 250_000
 	// unendedMost is how long it may take in all, however it comes: what is behind it on the connection waits for it.
-	unendedMost = 4 * stall
+	maxAnswerTime = 4 * maxAnswerPause
 )
 
 // hush is how long a connection with calls out may say nothing before further calls take another one, in
 // microseconds. It goes by what calls usually take: days differ in scale, and servers stand still for a while.
-func (p *pool) hush() int64 { return p.times(8, 30_000) }
+func (p *pool) quietLimit() int64 { return p.scaledTimeout(8, 30_000) }
 
-func (p *pool) times(n float64, least int64) int64 {
-	if p.typical == 0 {
-		return silence
+func (p *pool) scaledTimeout(n float64, least int64) int64 {
+	if p.typicalLatency == 0 {
+		return unresponsiveAfter
 	}
-	return min(max(int64(n*p.typical), least), silence)
+	return min(max(int64(n*p.typicalLatency), least), unresponsiveAfter)
 }
 
 // waits is since when a connection owes an answer and has said nothing; 0 where it owes none.
-func (c *serverConn) waits() int64 {
+func (c *serverConn) unansweredSince() int64 {
 	oldest := int64(0)
 	for _, at := range c.sentAt {
 		if oldest == 0 || at < oldest {
@@ -252,13 +252,13 @@
 
 // overtaken is how many calls have to overtake a silent connection before it is given up: one may be served by
 // another core while a long one is in work.
-const overtaken = 3
+const overtakenLimit = 3
 
 // overtakes takes note that a server has answered a call which left at a time.
-func (p *pool) overtakes(s *server, sent int64) {
+func (p *pool) noteOvertaken(s *server, sent int64) {
 	for _, c := range s.conns {
-		if since := c.waits(); since > 0 && sent > since+p.hush() {
-			c.passed++
+		if since := c.unansweredSince(); since > 0 && sent > since+p.quietLimit() {
+			c.overtakenBy++
 		}
 	}
 }
@@ -267,14 +267,14 @@
 // calls that left well after this one fell silent. Guards against links that are cut without a word, on which
 // calls would wait until their time is up. What was out there may have run, and says nothing of the server. Where
 // one connection carries one call, a long call looks the same, so nothing is concluded.
-func (p *pool) strand(now int64, c *serverConn) {
-	if p.dialect.Streams() < 2 || c.passed < overtaken {
+func (p *pool) closeIfOvertaken(now int64, c *serverConn) {
+	if p.dialect.Streams() < 2 || c.overtakenBy < overtakenLimit {
 		return
 	}
 	for _, id := range sortedKeys(c.calls) {
-		p.end(now, c, core.Reply{Attempt: id, Outcome: sq.Stranded})
+		p.endAttempt(now, c, core.Reply{Attempt: id, Outcome: sq.Stranded})
 	}
-	p.fail(now, c, false)
+	p.closeConn(now, c, false)
 }
 
 // call sends a call over the fullest connection with room, over one that is coming up, or over a new one.
@@ -282,24 +282,24 @@
 // then the emptiest.
 func (p *pool) call(now int64, call core.Call) {
 	s := p.servers[call.Server]
-	if s == nil || s.address == "" || s.closed {
+	if s == nil || s.address == "" || s.draining {
 		p.refuse(now, call)
 		return
 	}
-	alone := p.hurt > 0 && now-p.hurt < wary
-	room := len(s.conns) < mostAlone && p.conns < p.cfg.MaxConns*3/4
+	alone := p.lastLossAt > 0 && now-p.lastLossAt < isolationPeriod
+	room := len(s.conns) < maxConnsPerServer && p.conns < p.cfg.MaxConns*3/4
 	var best *serverConn
 	for _, c := range s.conns {
-		if c.dead || c.retired || len(c.calls)+len(call.Attempts) > max(p.dialect.Streams(), len(call.Attempts)) {
+		if c.closed || c.retired || len(c.calls)+len(call.Attempts) > max(p.dialect.Streams(), len(call.Attempts)) {
 			continue
 		}
-		if !c.up && c.spared && !c.spare {
+		if !c.up && c.hasSpare && !c.isSpare {
 			continue // it may never come up; its spare may
 		}
-		if alone && room && len(c.calls) > 0 || c.stalled > 0 && len(c.calls) == 0 {
+		if alone && room && len(c.calls) > 0 || c.partialHeardAt > 0 && len(c.calls) == 0 {
 			continue
 		}
-		if since := c.waits(); since > 0 && now-since > p.hush() && len(s.conns) < mostAlone {
+		if since := c.unansweredSince(); since > 0 && now-since > p.quietLimit() && len(s.conns) < maxConnsPerServer {
 			continue // it may have fallen silent
 		}
 		if c.up && now-c.usedAt > p.cfg.IdleClose*2/3 && len(c.calls) == 0 {
@@ -317,12 +317,12 @@
 	}
 	for _, a := range call.Attempts {
 		best.calls[a.ID], best.sentAt[a.ID] = nil, now
-		p.out[a.ID] = best
+		p.byAttempt[a.ID] = best
 	}
 	if !best.up {
 		best.backlog = append(best.backlog, call)
 		if now-best.openedAt > p.lateAfter() {
-			p.isLate(now, best)
+			p.openSpare(now, best)
 		}
 		return
 	}
@@ -345,17 +345,17 @@
 
 func (p *pool) refuse(now int64, call core.Call) {
 	for _, a := range call.Attempts {
-		p.ended(now, core.Reply{Attempt: a.ID, Outcome: sq.Unreachable})
+		p.onReply(now, core.Reply{Attempt: a.ID, Outcome: sq.Unreachable})
 	}
 }
 
 func (p *pool) write(now int64, c *serverConn, call core.Call) {
-	f := &frame{bytes: c.session.Call(nil, call, now), call: call, number: c.wrote + 1}
+	f := &frame{bytes: c.session.Call(nil, call, now), call: call, number: c.lastWrite + 1}
 	if !c.writes.put(f) { // the far end takes nothing any more
-		p.fail(now, c, false)
+		p.closeConn(now, c, false)
 		return
 	}
-	c.wrote++
+	c.lastWrite++
 	c.usedAt = now
 	for _, a := range call.Attempts {
 		c.calls[a.ID] = f
@@ -364,28 +364,28 @@
 
 // drop gives an attempt up. One that has not begun to leave is taken back, and the server never hears of it.
 func (p *pool) drop(now int64, id core.AttemptID) {
-	c := p.out[id]
+	c := p.byAttempt[id]
 	if c == nil {
 		return
 	}
-	silent := c.heardAt < c.sentAt[id] && now-c.sentAt[id] > silence
-	unsent := p.unsend(now, c, id)
-	p.gone(c, id)
+	silent := c.heardAt < c.sentAt[id] && now-c.sentAt[id] > unresponsiveAfter
+	unsent := p.takeBack(now, c, id)
+	p.forget(c, id)
 	if !c.up {
 		return
 	}
 	if !unsent {
 		b, keep := c.session.Drop(nil, id)
 		if !keep {
-			p.fail(now, c, false)
+			p.closeConn(now, c, false)
 			return
 		}
 		if len(b) > 0 {
-			if !c.writes.put(&frame{bytes: b, number: c.wrote + 1}) {
-				p.fail(now, c, false)
+			if !c.writes.put(&frame{bytes: b, number: c.lastWrite + 1}) {
+				p.closeConn(now, c, false)
 				return
 			}
-			c.wrote++
+			c.lastWrite++
 		}
 	}
 	// Guards against machines that vanish without a word: a connection on which nothing at all has come back
@@ -398,38 +398,38 @@
 
 // silence is how long a connection with a call out may say nothing before it takes no further calls, in
 // microseconds. Servers stand still for less.
-const silence = 1_500_000
+const unresponsiveAfter = 1_500_000
 
 func (p *pool) dial(now int64, s *server) *serverConn {
 	if p.conns >= p.cfg.MaxConns {
-		p.shed(now)
+		p.closeLongestIdle(now)
 		if p.conns >= p.cfg.MaxConns {
 			return nil
 		}
 	}
 	c := &serverConn{
 		server: s, session: p.dialect.Session(s.address), calls: map[core.AttemptID]*frame{},
-		sentAt: map[core.AttemptID]int64{}, done: &atomic.Int64{},
+		sentAt: map[core.AttemptID]int64{}, written: &atomic.Int64{},
 		writes: newOutbox(4*p.dialect.Streams() + 16), usedAt: now, openedAt: now,
 	}
 	s.conns = append(s.conns, c)
 	p.conns++
 	address, timeout := s.address, time.Duration(p.cfg.ConnectTimeout)*time.Microsecond
-	c.late = p.after(time.Duration(p.lateAfter())*time.Microsecond, func() {
+	c.lateTimer = p.afterFunc(time.Duration(p.lateAfter())*time.Microsecond, func() {
 		p.post(func(now int64) {
-			if !c.up && !c.dead {
-				p.lates += (1 - p.lates) / 16
+			if !c.up && !c.closed {
+				p.lateShare += (1 - p.lateShare) / 16
 			}
-			p.isLate(now, c)
+			p.openSpare(now, c)
 		})
 	})
 	go func() {
 		conn, err := p.connect(address, timeout)
 		if err != nil {
-			p.post(func(now int64) { p.fail(now, c, false) })
+			p.post(func(now int64) { p.closeConn(now, c, false) })
 			return
 		}
-		p.post(func(now int64) { p.isUp(now, c, conn) })
+		p.post(func(now int64) { p.connected(now, c, conn) })
 	}()
 	return c
 }
@@ -438,37 +438,37 @@
 // take, and well below what is waited for one at most. Where none has come up yet nothing is known of that.
 func (p *pool) lateAfter() int64 {
 	most := max(p.cfg.ConnectTimeout/4, 1000)
-	if p.dialled == 0 {
+	if p.typicalDial == 0 {
 		return most
 	}
-	return min(max(int64(8*p.dialled), 20_000), most)
+	return min(max(int64(8*p.typicalDial), 20_000), most)
 }
 
 // oftenLate is the share of late connections from which all are: then servers have more handshakes to do than they can, and a second one for
 // each would add to that. Guards a fleet that has just been restarted.
-const oftenLate = 0.5
+const lateShareLimit = 0.5
 
 // isLate opens another connection beside one that is late to come up while calls wait for it; whichever is up first takes them. Guards
 // calls against a handshake that is lost, and their servers against being taken for slow or gone because of it. Harm: to a machine that is
 // gone two connections are tried for one.
-func (p *pool) isLate(now int64, c *serverConn) {
-	if c.up || c.dead || c.spared || c.server.closed || len(c.calls) == 0 || p.lates > oftenLate || len(c.server.conns) >= mostAlone {
+func (p *pool) openSpare(now int64, c *serverConn) {
+	if c.up || c.closed || c.hasSpare || c.server.draining || len(c.calls) == 0 || p.lateShare > lateShareLimit || len(c.server.conns) >= maxConnsPerServer {
 		return
 	}
 	if o := p.dial(now, c.server); o != nil {
-		c.spared, o.spared, o.spare = true, true, true
+		c.hasSpare, o.hasSpare, o.isSpare = true, true, true
 	}
 }
 
 // takeOver has a connection that has come up take the calls that wait for others of its server, as far as it has room.
-func (p *pool) takeOver(c *serverConn) {
+func (p *pool) adoptBacklog(c *serverConn) {
 	for _, o := range c.server.conns {
 		for !o.up && len(o.backlog) > 0 && len(c.calls)+len(o.backlog[0].Attempts) <= p.dialect.Streams() {
 			call := o.backlog[0]
 			o.backlog = o.backlog[1:]
 			for _, a := range call.Attempts {
 				c.calls[a.ID], c.sentAt[a.ID] = nil, o.sentAt[a.ID]
-				p.out[a.ID] = c
+				p.byAttempt[a.ID] = c
 				delete(o.calls, a.ID)
 				delete(o.sentAt, a.ID)
 			}
@@ -478,7 +478,7 @@
 }
 
 // shed closes the connection that has been idle for longest, so that there is room for a new one.
-func (p *pool) shed(now int64) {
+func (p *pool) closeLongestIdle(now int64) {
 	var oldest *serverConn
 	for _, s := range p.servers {
 		for _, c := range s.conns {
@@ -488,48 +488,48 @@
 		}
 	}
 	if oldest != nil {
-		p.fail(now, oldest, false)
+		p.closeConn(now, oldest, false)
 	}
 }
 
-func (p *pool) isUp(now int64, c *serverConn, conn net.Conn) {
-	if c.dead {
+func (p *pool) connected(now int64, c *serverConn, conn net.Conn) {
+	if c.closed {
 		conn.Close()
 		return
 	}
 	// heardAt stays unset: that a connection came up is no sign that its far end still lives.
 	c.net, c.up, c.usedAt, c.upAt = conn, true, now, now
-	c.late.Stop()
+	c.lateTimer.Stop()
 	took := float64(now - c.openedAt)
 	if took <= float64(p.lateAfter()) {
-		p.lates -= p.lates / 16
+		p.lateShare -= p.lateShare / 16
 	}
-	if p.dialled == 0 {
-		p.dialled = took
+	if p.typicalDial == 0 {
+		p.typicalDial = took
 	}
-	p.dialled += (min(took, 2*p.dialled) - p.dialled) / 16 // a few late ones say little of what is usual
-	go p.serve(c, conn)
+	p.typicalDial += (min(took, 2*p.typicalDial) - p.typicalDial) / 16 // a few late ones say little of what is usual
+	go p.runConn(c, conn)
 	if !c.retired {
-		p.takeOver(c)
+		p.adoptBacklog(c)
 	}
 	waiting := c.backlog
 	c.backlog = nil
 	for _, call := range waiting {
-		if len(call.Attempts) > 0 && !c.dead {
+		if len(call.Attempts) > 0 && !c.closed {
 			p.write(now, c, call)
 		} else {
 			for _, a := range call.Attempts {
-				p.end(now, c, core.Reply{Attempt: a.ID, Outcome: sq.Unreachable})
+				p.endAttempt(now, c, core.Reply{Attempt: a.ID, Outcome: sq.Unreachable})
 			}
 		}
 	}
-	if !c.dead {
+	if !c.closed {
 		p.closeIfEmpty(now, c)
 	}
 }
 
 // serve reads and writes one connection until it ends.
-func (p *pool) serve(c *serverConn, conn net.Conn) {
+func (p *pool) runConn(c *serverConn, conn net.Conn) {
 	stop, written := make(chan struct{}), make(chan struct{})
 	go func() {
 		defer close(written)
@@ -543,11 +543,11 @@
 				conn.Close()
 				return
 			}
-			p.figures.Relayed.Add(int64(len(f.call.Attempts)))
-			c.done.Store(f.number)
+			p.metrics.Relayed.Add(int64(len(f.call.Attempts)))
+			c.written.Store(f.number)
 		}
 	}()
-	buf := make([]byte, readChunk)
+	buf := make([]byte, readSize)
 	taken := make(chan struct{}, 1)
 	ended := false // in order: a reset is no end, and completes nothing
 	for {
@@ -555,12 +555,12 @@
 		if n > 0 {
 			// Nothing more is read until this is taken in: guards against a server that sends without end, whose
 			// bytes would pile up in the engine's inbox.
-			if !p.post(func(now int64) { p.heard(now, c, buf[:n]); taken <- struct{}{} }) {
+			if !p.post(func(now int64) { p.received(now, c, buf[:n]); taken <- struct{}{} }) {
 				break
 			}
 			select {
 			case <-taken:
-			case <-p.over:
+			case <-p.stopped:
 			}
 		}
 		if err != nil {
@@ -572,36 +572,36 @@
 	close(stop)
 	<-written
 	p.post(func(now int64) {
-		if c.dead {
+		if c.closed {
 			return
 		}
 		if ended {
 			for _, r := range c.session.Closed() {
-				p.take(now, c, r)
+				p.deliver(now, c, r)
 			}
 		}
-		p.fail(now, c, true)
+		p.closeConn(now, c, true)
 	})
 }
 
-func (p *pool) heard(now int64, c *serverConn, b []byte) {
-	if c.dead {
+func (p *pool) received(now int64, c *serverConn, b []byte) {
+	if c.closed {
 		return
 	}
-	c.heardAt, c.passed = now, 0
+	c.heardAt, c.overtakenBy = now, 0
 	replies, err := c.session.Feed(b)
 	for _, r := range replies {
 		c.usedAt = now
-		p.take(now, c, r)
+		p.deliver(now, c, r)
 	}
 	if err != nil {
-		p.spoil(now, c, err)
+		p.closeMalformed(now, c, err)
 		return
 	}
 	if !c.session.Partial() {
-		c.stalled, c.unended = 0, 0
-	} else if c.stalled = now; c.unended == 0 || len(replies) > 0 {
-		c.unended = now
+		c.partialHeardAt, c.partialSince = 0, 0
+	} else if c.partialHeardAt = now; c.partialSince == 0 || len(replies) > 0 {
+		c.partialSince = now
 	}
 	p.closeIfEmpty(now, c)
 }
@@ -609,57 +609,57 @@
 // spoil ends a connection whose bytes are of no use. The attempt that has been out for longest is taken to be
 // the one whose answer was spoilt; the others are given up with the connection. Either may have run. They are
 // not reported as broken: that is how queries look that bring down what serves them.
-func (p *pool) spoil(now int64, c *serverConn, err error) {
+func (p *pool) closeMalformed(now int64, c *serverConn, err error) {
 	if !errors.Is(err, core.ErrLast) {
-		p.hurt = now
+		p.lastLossAt = now
 	}
 	o := sq.Errored
 	for _, id := range sortedKeys(c.calls) {
-		p.end(now, c, core.Reply{Attempt: id, Outcome: o})
+		p.endAttempt(now, c, core.Reply{Attempt: id, Outcome: o})
 		o = sq.Stranded
 	}
-	p.fail(now, c, false)
+	p.closeConn(now, c, false)
 }
 
 // take takes an answer in. One that is yet to be read is read beside the engine, which others wait for, and ends its attempt
 // when that is done; whatever becomes of its connection meanwhile, it has come in.
-func (p *pool) take(now int64, c *serverConn, r core.Reply) {
+func (p *pool) deliver(now int64, c *serverConn, r core.Reply) {
 	if _, out := c.calls[r.Attempt]; !out || r.Read == nil {
-		p.end(now, c, r)
+		p.endAttempt(now, c, r)
 		return
 	}
 	sent := c.sentAt[r.Attempt]
-	p.gone(c, r.Attempt)
+	p.forget(c, r.Attempt)
 	go func() {
 		read := r.Read()
-		p.post(func(now int64) { p.count(now, c, read, sent); p.ended(now, read) })
+		p.post(func(now int64) { p.learn(now, c, read, sent); p.onReply(now, read) })
 	}()
 }
 
 // gone takes an attempt off its connection.
-func (p *pool) gone(c *serverConn, id core.AttemptID) {
+func (p *pool) forget(c *serverConn, id core.AttemptID) {
 	delete(c.calls, id)
 	delete(c.sentAt, id)
-	delete(p.out, id)
+	delete(p.byAttempt, id)
 }
 
-func (p *pool) end(now int64, c *serverConn, r core.Reply) {
+func (p *pool) endAttempt(now int64, c *serverConn, r core.Reply) {
 	if _, out := c.calls[r.Attempt]; !out {
 		return
 	}
-	p.count(now, c, r, c.sentAt[r.Attempt])
-	p.gone(c, r.Attempt)
-	p.ended(now, r)
+	p.learn(now, c, r, c.sentAt[r.Attempt])
+	p.forget(c, r.Attempt)
+	p.onReply(now, r)
 }
 
 // count learns from how long a call took.
-func (p *pool) count(now int64, c *serverConn, r core.Reply, sent int64) {
+func (p *pool) learn(now int64, c *serverConn, r core.Reply, sent int64) {
 	if r.Outcome == sq.Served {
-		p.overtakes(c.server, sent)
-		if took := float64(now - sent); p.typical == 0 {
-			p.typical = took
+		p.noteOvertaken(c.server, sent)
+		if took := float64(now - sent); p.typicalLatency == 0 {
+			p.typicalLatency = took
 		} else {
-			p.typical += (took - p.typical) / 32
+			p.typicalLatency += (took - p.typicalLatency) / 32
 		}
 	}
 }
@@ -667,13 +667,13 @@
 // fail ends a connection. What was not written whole has never run; the rest may have. Only once the writer
 // has ended (settled) is it known how much it wrote: before, all that was handed to it may have left. Guards
 // against a part that must not run twice being sent again while its first frame is on its way.
-func (p *pool) fail(now int64, c *serverConn, settled bool) {
-	if c.dead {
+func (p *pool) closeConn(now int64, c *serverConn, settled bool) {
+	if c.closed {
 		return
 	}
-	c.dead = true
-	if c.late != nil { // it was not dialled, as in tests
-		c.late.Stop()
+	c.closed = true
+	if c.lateTimer != nil { // it was not dialled, as in tests
+		c.lateTimer.Stop()
 	}
 	p.conns--
 	if c.net != nil {
@@ -686,7 +686,7 @@
 			break
 		}
 	}
-	done := c.done.Load()
+	done := c.written.Load()
 	ran := sq.Broken
 	for _, id := range sortedKeys(c.calls) {
 		o := sq.Unreachable
@@ -694,11 +694,11 @@
 			// One break is one piece of evidence, however many calls were out: guards servers, and the keys of
 			// queries, against being blamed for what else was lost with the connection.
 			o, ran = ran, sq.Stranded
-			p.hurt = now
+			p.lastLossAt = now
 		}
-		p.end(now, c, core.Reply{Attempt: id, Outcome: o})
+		p.endAttempt(now, c, core.Reply{Attempt: id, Outcome: o})
 	}
-	if s.closed && len(s.conns) == 0 && p.servers[s.id] == s {
+	if s.draining && len(s.conns) == 0 && p.servers[s.id] == s {
 		delete(p.servers, s.id)
 	}
 }
@@ -709,12 +709,12 @@
 	for _, s := range p.servers {
 		for _, c := range append([]*serverConn(nil), s.conns...) {
 			switch {
-			case c.stalled > 0 && (now-c.stalled > stall || now-c.unended > unendedMost):
-				p.spoil(now, c, errStalled)
+			case c.partialHeardAt > 0 && (now-c.partialHeardAt > maxAnswerPause || now-c.partialSince > maxAnswerTime):
+				p.closeMalformed(now, c, errStalled)
 			case len(c.calls) > 0:
-				p.strand(now, c)
+				p.closeIfOvertaken(now, c)
 			case c.up && len(c.calls) == 0 && now-c.usedAt > p.cfg.IdleClose*2/3:
-				p.fail(now, c, false)
+				p.closeConn(now, c, false)
 			}
 		}
 	}
--- /dev/null
+++ b/internal/broker/transport/request.go
@@ -0,0 +1,184 @@
+package transport
+
+import (
+	"errors"
+	"saffronquay/internal/broker/core"
+	"saffronquay/internal/broker/http1"
+	"time"
+)
+
+// asked is one query of a request, or the response that ends it at once.
+type openQuery struct {
+	class    string
+	respond  func(core.Final, int64) http1.Response
+	ticket   *Ticket
+	response *http1.Response
+	ledger   core.Ledger // of a query that must not run twice; else nil
+}
+
+// ask opens what a message asks for.
+func (c *clientConn) openQuery(front Front, m *http1.Message, now int64) *openQuery {
+	a := &openQuery{class: front.Class(m)}
+	if a.class != "" {
+		c.listener.engine.metrics.Open.Add(1)
+	}
+	var ask core.Ask
+	if ask, a.respond, a.response = front.Open(m, now, c.listener.isReady()); a.response == nil {
+		c.listener.lastQuery.Store(now)
+		a.ticket, a.ledger = c.listener.engine.Open(ask), ask.Ledger
+	}
+	return a
+}
+
+// serve answers one request; ok is false where the client is gone. A request of several queries has them all opened at once, and
+// each ends by itself.
+func (c *clientConn) serveRequest(m *http1.Message) (last, ok bool) {
+	now := c.listener.engine.clock.Now()
+	front := c.listener.settings.Load().front
+	parts := []*http1.Message{m}
+	var join func([]http1.Response, int64) http1.Response
+	if many, is := front.(Splitter); is {
+		several, j, resp := many.Split(m)
+		if resp != nil {
+			return c.reply(m, *resp)
+		}
+		if j != nil {
+			parts, join = several, j
+		}
+	}
+	var all []*openQuery
+	for _, p := range parts {
+		all = append(all, c.openQuery(front, p, now))
+	}
+	w := waitSignals{malformed: c.malformed}
+	defer w.stop()
+	rs := make([]http1.Response, len(all))
+	for i, a := range all {
+		r, end := c.await(front, a, &w)
+		if a.class != "" {
+			c.listener.engine.metrics.Open.Add(-1)
+		}
+		if end != answered {
+			c.abandonQueries(all[i+1:])
+			if end == brokeRules {
+				c.countFailed(&http1.Error{Status: 400}, m)
+			}
+			return end == clientLeft, end == brokeRules
+		}
+		c.listener.engine.metrics.Ended(a.class, r.Status)
+		rs[i] = r
+	}
+	if join == nil {
+		return c.reply(m, rs[0])
+	}
+	return c.reply(m, join(rs, c.listener.engine.clock.Now()-now))
+}
+
+// abandon gives up the queries that nobody waits for any more.
+func (c *clientConn) abandonQueries(rest []*openQuery) {
+	for _, a := range rest {
+		if a.ticket != nil {
+			c.leaveQuery(a)
+		}
+		if a.class != "" {
+			c.listener.engine.metrics.Open.Add(-1)
+		}
+	}
+}
+
+// leave says that the client waits no longer. A query whose end a retry will ask for goes on, and its end is recorded; its time is
+// bounded by its deadline.
+func (c *clientConn) leaveQuery(a *openQuery) {
+	if a.ledger == nil {
+		c.listener.engine.ClientLeft(a.ticket)
+		return
+	}
+	if !a.ledger.Keeps() {
+		c.listener.engine.ClientLeft(a.ticket)
+		a.ledger.Abandon()
+		return
+	}
+	c.listener.wg.Add(1)
+	go func() {
+		defer c.listener.wg.Done()
+		select {
+		case f := <-a.ticket.Final:
+			a.respond(f, c.listener.engine.clock.Now())
+		case <-a.ticket.Err:
+			a.ledger.Release()
+		case <-c.listener.engine.stopped:
+			a.ledger.Abandon()
+		}
+	}()
+}
+
+// waits is what else a waiting request listens to.
+type waitSignals struct {
+	malformed <-chan struct{} // the client has broken the rules
+	graceOver <-chan time.Time
+	timer     *time.Timer
+}
+
+func (w *waitSignals) stop() {
+	if w.timer != nil {
+		w.timer.Stop()
+	}
+}
+
+// ending is why a request is waited for no longer.
+type ending int
+
+const (
+	answered   ending = iota // it has its answer
+	brokeRules               // the client broke the rules while it waited, and is owed an answer to that
+	clientLeft               // the client, or the engine, is gone
+)
+
+// await waits for the end of one query.
+func (c *clientConn) await(front Front, a *openQuery, w *waitSignals) (http1.Response, ending) {
+	for a.response == nil {
+		select {
+		case f := <-a.ticket.Final:
+			return a.respond(f, c.listener.engine.clock.Now()), answered
+		case err := <-a.ticket.Err:
+			if a.ledger != nil {
+				a.ledger.Release()
+			}
+			status := 400
+			if errors.Is(err, core.ErrTaken) {
+				status = 409
+			} else if errors.Is(err, ErrNoContract) {
+				status = 403
+			}
+			return front.Fault(status, err.Error()), answered
+		case <-w.malformed:
+			w.malformed = nil
+			w.timer = time.NewTimer(c.listener.faultGrace)
+			w.graceOver = w.timer.C
+		case <-w.graceOver:
+			c.leaveQuery(a)
+			return http1.Response{}, brokeRules
+		case <-c.flooded:
+			c.leaveQuery(a)
+			return http1.Response{}, brokeRules
+		case <-c.clientGone:
+			c.leaveQuery(a)
+			return http1.Response{}, clientLeft
+		case <-c.listener.engine.stopped:
+			if a.ledger != nil {
+				a.ledger.Abandon()
+			}
+			return http1.Response{}, clientLeft
+		}
+	}
+	return *a.response, answered
+}
+
+// reply writes the answer to a request.
+func (c *clientConn) reply(m *http1.Message, r http1.Response) (last, ok bool) {
+	last = m.Close || !c.listener.keepsAlive() || c.listener.endsAfterAnswer(c)
+	if m.Method == "HEAD" {
+		r.Body = nil
+	}
+	return last, c.write(r, last)
+}
--- a/internal/broker/transport/routes.go
+++ b/internal/broker/transport/routes.go
@@ -17,10 +17,10 @@
 )
 
 const (
-	maxLayout    = 8 << 20 // bytes of a whole layout: some 50,000 ranges
-	refreshPause = 250 * time.Millisecond
-	stallLook    = time.Second // between two looks for changes that stall
-	repeatAfter  = time.Minute // then the same fault of a directory is logged again
+	maxLayoutBytes = 8 << 20 // bytes of a whole layout: some 50,000 ranges
+	refreshPause   = 250 * time.Millisecond
+	stallInterval  = time.Second // between two looks for changes that stall
+	repeatAfter    = time.Minute // then the same fault of a directory is logged again
 )
 
 // RoutesConfig is where layouts come from.
@@ -33,54 +33,54 @@
 // to the engine and to the fronts, in one order. Times are the clock's.
 type Routes struct {
 	follower
-	cfg     RoutesConfig
-	clock   Clock
-	tell    func(layout.Update)
-	figures *adminapi.LayoutFigures
-	wanted  chan struct{} // a server has a newer layout
-	heard   chan struct{} // closed with the directory's first word that agrees with what is in force
-	over    sync.WaitGroup
+	cfg             RoutesConfig
+	clock           Clock
+	notify          func(layout.Update)
+	metrics         *adminapi.LayoutFigures
+	refreshRequests chan struct{} // a server has a newer layout
+	synced          chan struct{} // closed with the directory's first word that agrees with what is in force
+	refresher       sync.WaitGroup
 
 	current *layout.Current // what fronts plan by
 
-	held    sync.Mutex // of what follows
-	keeper  layout.Keeper
-	told    bool
-	fault   string // of the directory, as it was logged last
-	faultAt time.Time
+	layoutMu  sync.Mutex // of what follows
+	keeper    layout.Keeper
+	isSynced  bool
+	lastFault string // of the directory, as it was logged last
+	faultAt   time.Time
 }
 
 // NewRoutes makes the owner of a layout, with the one that is known at the start and the servers that may hold ranges.
 func NewRoutes(cfg RoutesConfig, first layout.Doc, servers []sq.ServerID, clock Clock, current *layout.Current,
-	tell func(layout.Update), figures *adminapi.LayoutFigures, logger *slog.Logger,
+	notify func(layout.Update), metrics *adminapi.LayoutFigures, logger *slog.Logger,
 ) (*Routes, error) {
-	r := &Routes{cfg: cfg, clock: clock, current: current, tell: tell, figures: figures, wanted: make(chan struct{}, 1), heard: make(chan struct{})}
-	r.follower = newFollower(cfg.Directory, maxLayout, r, logger)
-	r.fresh = true
+	r := &Routes{cfg: cfg, clock: clock, current: current, notify: notify, metrics: metrics, refreshRequests: make(chan struct{}, 1), synced: make(chan struct{})}
+	r.follower = newFollower(cfg.Directory, maxLayoutBytes, r, logger)
+	r.needsFull = true
 	if err := r.keeper.Servers(servers); err != nil {
 		return nil, err
 	}
-	return r, r.File(first, servers, true)
+	return r, r.ApplyFile(first, servers, true)
 }
 
 // Run follows the directory, where there is one, and looks for changes that stall, until Stop.
 func (r *Routes) Run() {
 	if r.cfg.Directory != "" {
-		r.over.Add(1)
+		r.refresher.Add(1)
 		go func() {
-			defer r.over.Done()
-			r.refreshing()
+			defer r.refresher.Done()
+			r.runRefresher()
 		}()
 		go r.follower.Run()
 	} else {
 		close(r.done)
 	}
-	t := time.NewTicker(stallLook)
+	t := time.NewTicker(stallInterval)
 	defer t.Stop()
 	for {
 		select {
 		case <-t.C:
-			r.look()
+			r.reportStalled()
 		case <-r.stop:
 			return
 		}
@@ -90,30 +90,30 @@
 // Stop ends Run.
 func (r *Routes) Stop() {
 	r.follower.Stop()
-	r.over.Wait()
+	r.refresher.Wait()
 }
 
 // Heard is closed once the directory has told a layout that can be followed.
-func (r *Routes) Heard() <-chan struct{} { return r.heard }
+func (r *Routes) Synced() <-chan struct{} { return r.synced }
 
 // Refresh has the whole layout asked for at once. It never blocks.
 func (r *Routes) Refresh() {
 	select {
-	case r.wanted <- struct{}{}:
+	case r.refreshRequests <- struct{}{}:
 	default:
 	}
 }
 
 // refreshing asks for whole layouts beside the watch, which may be late.
-func (r *Routes) refreshing() {
+func (r *Routes) runRefresher() {
 	for {
 		select {
-		case <-r.wanted:
+		case <-r.refreshRequests:
 		case <-r.stop:
 			return
 		}
 		if err := r.refresh(); err != nil {
-			r.fails("refresh", err)
+			r.reportFault("refresh", err)
 		}
 		t := time.NewTimer(refreshPause)
 		select {
@@ -142,14 +142,14 @@
 	}
 	defer conn.Close()
 	defer context.AfterFunc(ctx, func() { conn.Close() })()
-	return r.follower.whole(conn, address)
+	return r.follower.fetchFull(conn, address)
 }
 
 // File takes in what the operator's file says, whole or not at all: the servers that may hold ranges, and a layout. What a
 // directory has told prevails over an older layout in the file.
-func (r *Routes) File(d layout.Doc, servers []sq.ServerID, commit bool) error {
-	r.held.Lock()
-	defer r.held.Unlock()
+func (r *Routes) ApplyFile(d layout.Doc, servers []sq.ServerID, commit bool) error {
+	r.layoutMu.Lock()
+	defer r.layoutMu.Unlock()
 	trial := r.keeper
 	if err := trial.Servers(servers); err != nil {
 		return fmt.Errorf("layout: %w", err)
@@ -163,80 +163,80 @@
 	}
 	if commit {
 		r.keeper = trial
-		r.put(u, "file")
+		r.apply(u, "file")
 	}
 	return nil
 }
 
 // put has an update in force. The lock is held, so updates come in one order everywhere.
-func (r *Routes) put(u *layout.Update, from string) {
+func (r *Routes) apply(u *layout.Update, from string) {
 	if u == nil {
 		return
 	}
-	r.tell(*u)
+	r.notify(*u)
 	r.current.Store(u.Layout)
-	r.figures.Epoch.Store(u.Layout.Epoch())
-	r.figures.Ranges.Store(int64(u.Layout.Len()))
-	r.figures.Changes.Store(int64(len(u.Layout.Changes())))
-	r.figures.Taken.Add(1)
+	r.metrics.Epoch.Store(u.Layout.Epoch())
+	r.metrics.Ranges.Store(int64(u.Layout.Len()))
+	r.metrics.Changes.Store(int64(len(u.Layout.Changes())))
+	r.metrics.Taken.Add(1)
 	logging.Info(r.log, logging.Layout, "epoch", u.Layout.Epoch(), "ranges", u.Layout.Len(), "changed", len(u.Changed), "changes", len(u.Layout.Changes()), "from", from)
 }
 
-func (r *Routes) wholePath() string { return "/layout" }
+func (r *Routes) fullPath() string { return "/layout" }
 
 func (r *Routes) watchPath() string {
 	l := r.current.Load()
 	return fmt.Sprintf("/layout?watch=1&history=%s&from=%d", url.QueryEscape(l.History()), l.Epoch())
 }
 
-func (r *Routes) whole(body []byte, from string) error {
+func (r *Routes) applyFull(body []byte, from string) error {
 	d, err := layout.ParseDoc(body)
 	if err != nil {
 		return err
 	}
-	r.held.Lock()
-	defer r.held.Unlock()
+	r.layoutMu.Lock()
+	defer r.layoutMu.Unlock()
 	u, err := r.keeper.Whole(d, r.clock.Now())
 	if err != nil {
 		return err
 	}
-	r.agrees()
-	r.put(u, from)
+	r.markSynced()
+	r.apply(u, from)
 	return nil
 }
 
 // line takes in a step. One that does not follow what is in force has the whole list asked for: something was missed.
-func (r *Routes) line(text []byte, from string) error {
+func (r *Routes) applyLine(text []byte, from string) error {
 	s, err := layout.ParseStep(text)
 	if err != nil {
 		return err
 	}
-	r.held.Lock()
-	defer r.held.Unlock()
+	r.layoutMu.Lock()
+	defer r.layoutMu.Unlock()
 	u, err := r.keeper.Step(s, r.clock.Now())
 	if err != nil {
 		return err
 	}
-	r.put(u, from)
+	r.apply(u, from)
 	return nil
 }
 
-func (r *Routes) agrees() {
-	r.fault = ""
-	if !r.told {
-		r.told = true
-		close(r.heard)
+func (r *Routes) markSynced() {
+	r.lastFault = ""
+	if !r.isSynced {
+		r.isSynced = true
+		close(r.synced)
 	}
 }
 
 // ended is told how a watch ended. One that was lost goes on from the epoch in force; one that said what does not follow, or can't
 // go on from there, begins with the whole list.
-func (r *Routes) ended(err error) {
+func (r *Routes) watchEnded(err error) {
 	var status statusError
 	if errors.As(err, &status) || reasonOf(err) != unreachable {
-		r.fresh = true
+		r.needsFull = true
 	}
-	r.fails("watch", err)
+	r.reportFault("watch", err)
 }
 
 const unreachable = "unreachable"
@@ -255,35 +255,35 @@
 }
 
 // fails reports a fault of the directory; what is in force stays. The same one is not told again and again.
-func (r *Routes) fails(what string, err error) {
-	r.held.Lock()
-	defer r.held.Unlock()
+func (r *Routes) reportFault(what string, err error) {
+	r.layoutMu.Lock()
+	defer r.layoutMu.Unlock()
 	reason := reasonOf(err)
 	if reason != unreachable {
-		r.figures.Refused.Add(1)
+		r.metrics.Refused.Add(1)
 	}
-	if text := err.Error(); text != r.fault || time.Since(r.faultAt) > repeatAfter {
-		r.fault, r.faultAt = text, time.Now()
+	if text := err.Error(); text != r.lastFault || time.Since(r.faultAt) > repeatAfter {
+		r.lastFault, r.faultAt = text, time.Now()
 		logging.Warn(r.log, logging.LayoutKept, "epoch", r.current.Load().Epoch(), "while", what, "reason", reason, "error", text)
 	}
 }
 
 // look reports changes that stall; queries never wait for them.
-func (r *Routes) look() {
-	r.held.Lock()
-	defer r.held.Unlock()
+func (r *Routes) reportStalled() {
+	r.layoutMu.Lock()
+	defer r.layoutMu.Unlock()
 	now := r.clock.Now()
 	all, fresh := r.keeper.Stalled(now, r.cfg.Stall.Microseconds())
-	r.figures.Stalled.Store(int64(len(all)))
+	r.metrics.Stalled.Store(int64(len(all)))
 	for _, s := range fresh {
 		logging.Warn(r.log, logging.LayoutStalled, "change", s.ID, "kind", s.Kind, "state", s.State, "for", time.Duration(now-s.Since)*time.Microsecond)
 	}
 }
 
 // Layout appends how the layout stands, for operators.
-func (r *Routes) Layout(dst []byte) []byte {
-	r.held.Lock()
-	defer r.held.Unlock()
+func (r *Routes) AppendStatus(dst []byte) []byte {
+	r.layoutMu.Lock()
+	defer r.layoutMu.Unlock()
 	l := r.keeper.Current()
 	dst = fmt.Appendf(dst, "history %s epoch %d ranges %d\n", l.History(), l.Epoch(), l.Len())
 	all, _ := r.keeper.Stalled(r.clock.Now(), r.cfg.Stall.Microseconds())
@@ -295,8 +295,8 @@
 		dst = fmt.Appendf(dst, "change %s %s %s %s%s\n", c.ID, c.Kind, layout.Span{From: c.From[0].From, To: c.From[len(c.From)-1].To},
 			c.State, stalled)
 	}
-	if r.fault != "" {
-		dst = fmt.Appendf(dst, "directory %q\n", r.fault)
+	if r.lastFault != "" {
+		dst = fmt.Appendf(dst, "directory %q\n", r.lastFault)
 	}
 	return dst
 }
--- a/internal/broker/transport/size_test.go
+++ b/internal/broker/transport/size_test.go
@@ -47,11 +47,11 @@
 				now := int64(1_000_000_000)
 				w := NewWatcher("127.0.0.1:1", 0, false, func(f sq.FleetChanged, addresses map[sq.ServerID]string) {
 					now += 5000
-					p.fleet(now, f, addresses)
+					p.updateFleet(now, f, addresses)
 					gatherer.Fleet(f)
 					gatherer.Step(now)
 				}, quiet)
-				if err := w.whole(listOf(servers, servers, 1).Append(nil), "x"); err != nil {
+				if err := w.applyFull(listOf(servers, servers, 1).Append(nil), "x"); err != nil {
 					b.Fatal(err)
 				}
 				first := servers
@@ -68,9 +68,9 @@
 				runtime.ReadMemStats(&before)
 				for b.Loop() {
 					if change {
-						err = w.line(bytes, "x")
+						err = w.applyLine(bytes, "x")
 					} else {
-						err = w.whole(bytes, "x")
+						err = w.applyFull(bytes, "x")
 					}
 					if err != nil {
 						b.Fatal(err)
@@ -98,7 +98,7 @@
 		list := listOf(servers, servers, 1)
 		module.Step(1_000_000_000, []sq.Event{sq.FleetChanged{Kind: sq.FleetFull, Servers: list.Servers}})
 		p := newPool(PoolConfig{IdleClose: 1 << 60, MaxConns: 7000}, platform.Workers{PerConn: 32}, func(func(int64)) bool { return true })
-		p.fleet(0, sq.FleetChanged{Kind: sq.FleetFull, Servers: list.Servers}, list.Addresses)
+		p.updateFleet(0, sq.FleetChanged{Kind: sq.FleetFull, Servers: list.Servers}, list.Addresses)
 		for _, s := range p.servers {
 			s.conns = append(s.conns, &serverConn{server: s, up: true, calls: map[core.AttemptID]*frame{}})
 		}
--- a/internal/broker/transport/transport_test.go
+++ b/internal/broker/transport/transport_test.go
@@ -17,7 +17,7 @@
 	sq "saffronquay"
 )
 
-const patience = 20 * time.Second
+const testTimeout = 20 * time.Second
 
 // bench is a pool whose posts the test runs itself, and what became of its attempts.
 type bench struct {
@@ -30,13 +30,13 @@
 	b := &bench{posted: make(chan func(int64), 64), ends: map[core.AttemptID]sq.Outcome{}}
 	b.pool = newPool(PoolConfig{ConnectTimeout: 1_000_000, IdleClose: 9_000_000, MaxConns: 4}, platform.Workers{PerConn: 2},
 		func(f func(int64)) bool { b.posted <- f; return true })
-	b.ended = func(_ int64, r core.Reply) { b.ends[r.Attempt] = r.Outcome }
-	b.after = func(time.Duration, func()) *time.Timer { return time.NewTimer(0) } // a test says itself when a connection is late
+	b.onReply = func(_ int64, r core.Reply) { b.ends[r.Attempt] = r.Outcome }
+	b.afterFunc = func(time.Duration, func()) *time.Timer { return time.NewTimer(0) } // a test says itself when a connection is late
 	return b
 }
 
 func (b *bench) fleet(now int64, health sq.Health, started int64, address string) {
-	b.pool.fleet(now, sq.FleetChanged{Servers: []sq.Server{{ID: "s", Health: health, StartedAt: started}}},
+	b.pool.updateFleet(now, sq.FleetChanged{Servers: []sq.Server{{ID: "s", Health: health, StartedAt: started}}},
 		map[sq.ServerID]string{"s": address})
 }
 
@@ -46,7 +46,7 @@
 	select {
 	case f := <-b.posted:
 		f(now)
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("nothing was posted")
 	}
 }
@@ -58,7 +58,7 @@
 	s := b.servers["s"]
 	c := &serverConn{
 		server: s, session: b.dialect.Session(""), net: near, up: true, calls: map[core.AttemptID]*frame{},
-		sentAt: map[core.AttemptID]int64{}, done: new(atomic.Int64), writes: newOutbox(1),
+		sentAt: map[core.AttemptID]int64{}, written: new(atomic.Int64), writes: newOutbox(1),
 	}
 	s.conns, b.conns = []*serverConn{c}, 1
 	return c
@@ -96,7 +96,7 @@
 		b.fleet(0, sq.Ready, 0, "127.0.0.1:1")
 		c := b.stalled(t)
 		b.call(0, callOf(1))
-		b.fail(0, c, settled)
+		b.closeConn(0, c, settled)
 		if got, ok := b.ends[1]; !ok || got != want {
 			t.Errorf("settled %t: outcome %d %t, want %d", settled, got, ok, want)
 		}
@@ -158,7 +158,7 @@
 }
 
 // A connection that stayed silent past a time-out takes no further calls, and closes once it is empty.
-func TestSilentConnectionRetires(t *testing.T) {
+func TestUnresponsiveConnectionRetires(t *testing.T) {
 	address, conns := acceptor(t)
 	b := newBench()
 	b.fleet(0, sq.Ready, 0, address)
@@ -167,13 +167,13 @@
 	b.call(110, callOf(2))
 	far := <-conns
 	defer far.Close()
-	b.drop(silence/2, 2)
+	b.drop(unresponsiveAfter/2, 2)
 	old := b.servers["s"].conns[0]
 	if old.retired {
 		t.Error("retired too soon")
 	}
-	b.drop(2*silence, 1)
-	if !old.dead {
+	b.drop(2*unresponsiveAfter, 1)
+	if !old.closed {
 		t.Error("a silent connection is kept")
 	}
 }
@@ -195,7 +195,7 @@
 	b.drop(2, 1)
 	b.drop(2, 2)
 	b.fleet(3, sq.Ready, 0, address)
-	b.pool.fleet(3, sq.FleetChanged{Servers: []sq.Server{{ID: "u", Health: sq.Ready}}}, map[sq.ServerID]string{"u": address})
+	b.pool.updateFleet(3, sq.FleetChanged{Servers: []sq.Server{{ID: "u", Health: sq.Ready}}}, map[sq.ServerID]string{"u": address})
 	b.call(4, core.Call{Server: "u", Attempts: []core.Attempt{{ID: 10, Label: "q"}}})
 	if _, ended := b.ends[10]; ended || b.conns != 4 || len(b.servers["s"].conns) != 3 {
 		t.Errorf("%d connections, %v", b.conns, b.ends)
@@ -248,7 +248,7 @@
 // Clients that go away with requests queued, held or half sent leave nothing on the listener's count: a
 // gatherer that is told to end must come to rest.
 func TestComesToRest(t *testing.T) {
-	l, e := serve(t, ListenerConfig{MaxConns: 8, Enough: 8, Idle: patience, First: patience, Slow: patience, MaxHeld: 1 << 20})
+	l, e := serve(t, ListenerConfig{MaxConns: 8, MaxKeepAlive: 8, IdleTimeout: testTimeout, FirstRequestTimeout: testTimeout, RequestTimeout: testTimeout, MaxPartialBytes: 1 << 20})
 	request := func(target string) string { return "GET " + target + " HTTP/1.1\r\nHost: x\r\n\r\n" }
 	for i := range 60 {
 		conn, err := net.Dial("tcp", l.net.Addr().String())
@@ -259,40 +259,40 @@
 		for range i % 5 { // no more than are queued: each is read while the first is held
 			text += request("/held")
 		}
-		conn.SetDeadline(time.Now().Add(patience))
+		conn.SetDeadline(time.Now().Add(testTimeout))
 		fmt.Fprint(conn, text+"GET /half"[:i%10])
 		if i%2 == 0 { // some are gone before, some after the first answer
 			io.ReadFull(conn, make([]byte, 12))
 		}
 		conn.Close()
 	}
-	end := time.Now().Add(patience)
-	for !l.Quiet(e.clock.Now()+1) || e.Held() > 0 {
+	end := time.Now().Add(testTimeout)
+	for !l.Quiet(e.clock.Now()+1) || e.OpenQueries() > 0 {
 		if time.Now().After(end) {
-			t.Fatalf("busy %d, held %d", l.busy.Load(), e.Held())
+			t.Fatalf("busy %d, held %d", l.busyConns.Load(), e.OpenQueries())
 		}
 	}
 }
 
 // More requests than are queued are not waited for: the client's going would not be seen meanwhile.
 func TestTooFarAhead(t *testing.T) {
-	l, e := serve(t, ListenerConfig{MaxConns: 8, Enough: 8, Idle: patience, First: patience, Slow: patience, MaxHeld: 1 << 20})
+	l, e := serve(t, ListenerConfig{MaxConns: 8, MaxKeepAlive: 8, IdleTimeout: testTimeout, FirstRequestTimeout: testTimeout, RequestTimeout: testTimeout, MaxPartialBytes: 1 << 20})
 	conn, err := net.Dial("tcp", l.net.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	conn.SetDeadline(time.Now().Add(patience))
+	conn.SetDeadline(time.Now().Add(testTimeout))
 	for range 50 {
 		fmt.Fprint(conn, "GET /soon HTTP/1.1\r\nHost: x\r\n\r\n")
 	}
 	if got, err := io.ReadAll(conn); err != nil && len(got) == 0 {
 		t.Errorf("nothing was answered: %v", err)
 	}
-	end := time.Now().Add(patience)
-	for !l.Quiet(e.clock.Now()+1) || e.Held() > 0 {
+	end := time.Now().Add(testTimeout)
+	for !l.Quiet(e.clock.Now()+1) || e.OpenQueries() > 0 {
 		if time.Now().After(end) {
-			t.Fatalf("busy %d, held %d", l.busy.Load(), e.Held())
+			t.Fatalf("busy %d, held %d", l.busyConns.Load(), e.OpenQueries())
 		}
 	}
 }
@@ -300,8 +300,8 @@
 // A request that does not come in whole in its time is answered 408 and its connection closed.
 func TestSlowRequest(t *testing.T) {
 	l, _ := serve(t, ListenerConfig{
-		MaxConns: 8, Enough: 8, Idle: patience, First: 50 * time.Millisecond, Slow: 50 * time.Millisecond,
-		MaxHeld: 1 << 20,
+		MaxConns: 8, MaxKeepAlive: 8, IdleTimeout: testTimeout, FirstRequestTimeout: 50 * time.Millisecond, RequestTimeout: 50 * time.Millisecond,
+		MaxPartialBytes: 1 << 20,
 	})
 	conn, err := net.Dial("tcp", l.net.Addr().String())
 	if err != nil {
@@ -309,7 +309,7 @@
 	}
 	defer conn.Close()
 	fmt.Fprint(conn, "GET / HT")
-	conn.SetReadDeadline(time.Now().Add(patience))
+	conn.SetReadDeadline(time.Now().Add(testTimeout))
 	got, err := io.ReadAll(conn)
 	if err != nil || len(got) < 12 || string(got[9:12]) != "408" {
 		t.Errorf("%q, %v", got, err)
@@ -318,10 +318,10 @@
 
 // Of what is out on a connection whose bytes are spoilt the oldest has failed and the rest is given up; while
 // such bytes are seen, calls travel alone, so that one spoilt answer takes no other part along.
-func TestSpoiltBytes(t *testing.T) {
+func TestMalformedBytes(t *testing.T) {
 	address, conns := acceptor(t)
 	b := newBench()
-	b.lates = 1 // beside one that is late to come up no other is opened here
+	b.lateShare = 1 // beside one that is late to come up no other is opened here
 	b.fleet(0, sq.Ready, 0, address)
 	b.call(1, callOf(1))
 	b.next(t, 1)
@@ -341,8 +341,8 @@
 	if n := len(b.servers["s"].conns); n != 2 {
 		t.Errorf("%d connections for two calls, while servers send spoilt bytes", n)
 	}
-	b.drop(4+wary, 3)
-	b.call(4+wary, callOf(5))
+	b.drop(4+isolationPeriod, 3)
+	b.call(4+isolationPeriod, callOf(5))
 	if n := len(b.servers["s"].conns); n != 2 {
 		t.Errorf("%d connections after that", n)
 	}
@@ -359,18 +359,18 @@
 	defer far.Close()
 	fmt.Fprint(far, "\x00\x00\x00\x20Yq.1 OK")
 	b.next(t, 2)
-	b.sweep(2 + stall)
+	b.sweep(2 + maxAnswerPause)
 	if len(b.ends) != 0 {
 		t.Fatalf("ended too soon: %v", b.ends)
 	}
-	b.drop(3+stall, 1)
-	b.call(3+stall, callOf(2))
+	b.drop(3+maxAnswerPause, 1)
+	b.call(3+maxAnswerPause, callOf(2))
 	if n := len(b.servers["s"].conns); n != 2 {
 		t.Errorf("%d connections: a call follows an unfinished answer", n)
 	}
-	b.sweep(3 + stall)
-	if n := len(b.servers["s"].conns); n != 1 || b.hurt == 0 {
-		t.Errorf("%d connections, hurt at %d", n, b.hurt)
+	b.sweep(3 + maxAnswerPause)
+	if n := len(b.servers["s"].conns); n != 1 || b.lastLossAt == 0 {
+		t.Errorf("%d connections, hurt at %d", n, b.lastLossAt)
 	}
 }
 
@@ -399,12 +399,12 @@
 			fmt.Fprint(far, text)
 			b.next(t, now)
 			b.sweep(now)
-			if now += stall * 2 / 3; c.dead {
+			if now += maxAnswerPause * 2 / 3; c.closed {
 				break
 			}
 		}
-		if _, one := b.ends[1]; c.dead == others || !others && b.ends[1] != sq.Errored || others && (!one || b.ends[1] != sq.Served) {
-			t.Errorf("others=%t: ended %t, %v", others, c.dead, b.ends)
+		if _, one := b.ends[1]; c.closed == others || !others && b.ends[1] != sq.Errored || others && (!one || b.ends[1] != sq.Served) {
+			t.Errorf("others=%t: ended %t, %v", others, c.closed, b.ends)
 		}
 	}
 }
@@ -426,14 +426,14 @@
 }
 
 // Clients that say nothing are let go, and so is one whose first request does not come in whole.
-func TestSilentClient(t *testing.T) {
-	l, _ := serve(t, ListenerConfig{MaxConns: 8, Enough: 8, Idle: patience, First: 50 * time.Millisecond, Slow: patience, MaxHeld: 1 << 20})
+func TestUnresponsiveClient(t *testing.T) {
+	l, _ := serve(t, ListenerConfig{MaxConns: 8, MaxKeepAlive: 8, IdleTimeout: testTimeout, FirstRequestTimeout: 50 * time.Millisecond, RequestTimeout: testTimeout, MaxPartialBytes: 1 << 20})
 	conn, err := net.Dial("tcp", l.net.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	conn.SetReadDeadline(time.Now().Add(patience))
+	conn.SetReadDeadline(time.Now().Add(testTimeout))
 	if got, err := io.ReadAll(conn); err != nil || len(got) > 0 {
 		t.Errorf("%q, %v", got, err)
 	}
@@ -442,26 +442,26 @@
 // What can't be read behind an open query is answered soon, and the query is given up: a client that breaks the
 // rules must not wait for the query's own end.
 func TestFaultBehindAnOpenQuery(t *testing.T) {
-	l, e := serve(t, ListenerConfig{MaxConns: 8, Enough: 8, Idle: patience, First: patience, Slow: patience, MaxHeld: 1 << 20})
+	l, e := serve(t, ListenerConfig{MaxConns: 8, MaxKeepAlive: 8, IdleTimeout: testTimeout, FirstRequestTimeout: testTimeout, RequestTimeout: testTimeout, MaxPartialBytes: 1 << 20})
 	conn, err := net.Dial("tcp", l.net.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	conn.SetDeadline(time.Now().Add(patience))
+	conn.SetDeadline(time.Now().Add(testTimeout))
 	fmt.Fprint(conn, "GET /held HTTP/1.1\r\nHost: x\r\n\r\nwhat now?\r\n\r\n")
 	if got, err := io.ReadAll(conn); err != nil || len(got) < 12 || string(got[9:12]) != "400" {
 		t.Errorf("%q, %v", got, err)
 	}
-	if n := e.Held(); n != 0 {
+	if n := e.OpenQueries(); n != 0 {
 		t.Errorf("%d queries are held", n)
 	}
 }
 
 // Unfinished requests hold so many bytes in all; one more is told that it may try again.
-func TestHeldBytesAreBounded(t *testing.T) {
+func TestPartialBytesAreBounded(t *testing.T) {
 	l, _ := serve(t, ListenerConfig{
-		MaxConns: 8, Enough: 8, Idle: patience, First: patience, Slow: patience, MaxHeld: 10_000,
+		MaxConns: 8, MaxKeepAlive: 8, IdleTimeout: testTimeout, FirstRequestTimeout: testTimeout, RequestTimeout: testTimeout, MaxPartialBytes: 10_000,
 		RetryAfter: 500 * time.Millisecond,
 	})
 	half := "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 60000\r\n\r\n" + string(make([]byte, 6000))
@@ -472,12 +472,12 @@
 			t.Fatal(err)
 		}
 		defer conn.Close()
-		conn.SetDeadline(time.Now().Add(patience))
+		conn.SetDeadline(time.Now().Add(testTimeout))
 		conns = append(conns, conn)
 		fmt.Fprint(conn, half)
-		for end := time.Now().Add(patience); l.held.Load() < 6000; {
+		for end := time.Now().Add(testTimeout); l.partialBytes.Load() < 6000; {
 			if time.Now().After(end) {
-				t.Fatalf("%d bytes held", l.held.Load())
+				t.Fatalf("%d bytes held", l.partialBytes.Load())
 			}
 		}
 	}
@@ -486,9 +486,9 @@
 		t.Errorf("%q, %v", got, err)
 	}
 	conns[0].Close()
-	for end := time.Now().Add(patience); l.held.Load() != 0; {
+	for end := time.Now().Add(testTimeout); l.partialBytes.Load() != 0; {
 		if time.Now().After(end) {
-			t.Fatalf("%d bytes still held", l.held.Load())
+			t.Fatalf("%d bytes still held", l.partialBytes.Load())
 		}
 	}
 }
@@ -501,17 +501,17 @@
 		conn clientConn
 		want int
 	}{
-		"has had its error":       {clientConn{fault: &http1.Error{}, since: now}, 3},
-		"never said anything":     {clientConn{since: ago(time.Second)}, 2},
-		"has just connected":      {clientConn{since: now}, -1},
-		"long idle":               {clientConn{spoke: true, since: ago(3 * time.Second)}, 1},
-		"idle for a moment":       {clientConn{spoke: true, since: ago(time.Second)}, 0},
-		"waits for an answer":     {clientConn{spoke: true, answering: true, since: ago(time.Hour)}, -1},
-		"waits, and broke a rule": {clientConn{fault: &http1.Error{}, answering: true, since: ago(time.Hour)}, -1},
-		"is sending":              {clientConn{spoke: true, partial: true, since: ago(time.Hour)}, -1},
-		"is being closed":         {clientConn{evicted: true, since: ago(time.Hour)}, -1},
+		"has had its error":       {clientConn{fault: &http1.Error{}, idleSince: now}, 3},
+		"never said anything":     {clientConn{idleSince: ago(time.Second)}, 2},
+		"has just connected":      {clientConn{idleSince: now}, -1},
+		"long idle":               {clientConn{hasRequested: true, idleSince: ago(3 * time.Second)}, 1},
+		"idle for a moment":       {clientConn{hasRequested: true, idleSince: ago(time.Second)}, 0},
+		"waits for an answer":     {clientConn{hasRequested: true, answering: true, idleSince: ago(time.Hour)}, -1},
+		"waits, and broke a rule": {clientConn{fault: &http1.Error{}, answering: true, idleSince: ago(time.Hour)}, -1},
+		"is sending":              {clientConn{hasRequested: true, partial: true, idleSince: ago(time.Hour)}, -1},
+		"is being closed":         {clientConn{evicted: true, idleSince: ago(time.Hour)}, -1},
 	} {
-		if got := c.conn.spare(now); got != c.want {
+		if got := c.conn.evictionRank(now); got != c.want {
 			t.Errorf("%s: %d, want %d", name, got, c.want)
 		}
 	}
@@ -519,16 +519,16 @@
 
 // A connection that has fallen silent while its server goes on answering takes no further calls after a hush,
 // and is given up once enough of them were answered elsewhere; a server that is silent altogether is not concluded from.
-func TestConnectionThatFellSilent(t *testing.T) {
+func TestConnectionThatBecameUnresponsive(t *testing.T) {
 	address, conns := acceptor(t)
 	b := newBench()
 	b.fleet(0, sq.Ready, 0, address)
-	b.typical = 10_000
+	b.typicalLatency = 10_000
 	b.call(1, callOf(1))
 	b.next(t, 1)
 	far := <-conns
 	defer far.Close()
-	late := 1 + b.hush() + 1
+	late := 1 + b.quietLimit() + 1
 	b.call(late, callOf(2))
 	b.next(t, late) // it is up
 	second := <-conns
@@ -536,7 +536,7 @@
 	if n := len(b.servers["s"].conns); n != 2 {
 		t.Fatalf("%d connections after the hush", n)
 	}
-	b.sweep(late + silence)
+	b.sweep(late + unresponsiveAfter)
 	if len(b.ends) != 0 {
 		t.Fatalf("nothing was answered, and yet %v", b.ends)
 	}
@@ -544,7 +544,7 @@
 		fmt.Fprintf(second, "\x00\x00\x00\x0cYq.%d OK 7 -\n", id)
 		b.next(t, late)
 		b.sweep(late)
-		if id == 1+overtaken {
+		if id == 1+overtakenLimit {
 			break
 		}
 		if len(b.ends) != int(id)-1 || b.ends[id] != sq.Served {
@@ -597,14 +597,14 @@
 // Clients that ask once and keep their connections are told that these end, once they keep enough; what is kept
 // beyond gives way when the table is full, however young it is.
 func TestClientsThatKeepTheirConnections(t *testing.T) {
-	l, _ := serve(t, ListenerConfig{MaxConns: 4, Enough: 2, Idle: patience, First: patience, Slow: patience, MaxHeld: 1 << 20})
+	l, _ := serve(t, ListenerConfig{MaxConns: 4, MaxKeepAlive: 2, IdleTimeout: testTimeout, FirstRequestTimeout: testTimeout, RequestTimeout: testTimeout, MaxPartialBytes: 1 << 20})
 	ask := func() (conn net.Conn, closing bool) {
 		conn, err := net.Dial("tcp", l.net.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { conn.Close() })
-		conn.SetDeadline(time.Now().Add(patience))
+		conn.SetDeadline(time.Now().Add(testTimeout))
 		fmt.Fprint(conn, "GET / HTTP/1.1\r\nHost: x\r\n\r\n")
 		p := http1.Parser{Response: true}
 		for buf := make([]byte, 1); ; {
@@ -632,13 +632,13 @@
 
 // A connection is not ended over a request that has come in already.
 func TestScarceAnswersWhatHasComeIn(t *testing.T) {
-	l, _ := serve(t, ListenerConfig{MaxConns: 4, Idle: patience, First: patience, Slow: patience, MaxHeld: 1 << 20})
+	l, _ := serve(t, ListenerConfig{MaxConns: 4, IdleTimeout: testTimeout, FirstRequestTimeout: testTimeout, RequestTimeout: testTimeout, MaxPartialBytes: 1 << 20})
 	conn, err := net.Dial("tcp", l.net.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	conn.SetDeadline(time.Now().Add(patience))
+	conn.SetDeadline(time.Now().Add(testTimeout))
 	fmt.Fprint(conn, strings.Repeat("GET / HTTP/1.1\r\nHost: x\r\n\r\n", 3))
 	got, err := io.ReadAll(conn)
 	if n := strings.Count(string(got), "HTTP/1.1 200"); err != nil || n != 3 {
@@ -649,7 +649,7 @@
 // A listener that is handed over lets a request finish that is arriving, and ends what is idle; the socket itself
 // stays open for the other process that holds it. Guards clients against resets while the program is replaced.
 func TestHandOver(t *testing.T) {
-	l, _ := serve(t, ListenerConfig{MaxConns: 8, Enough: 8, Idle: patience, First: patience, Slow: patience, MaxHeld: 1 << 20})
+	l, _ := serve(t, ListenerConfig{MaxConns: 8, MaxKeepAlive: 8, IdleTimeout: testTimeout, FirstRequestTimeout: testTimeout, RequestTimeout: testTimeout, MaxPartialBytes: 1 << 20})
 	file, err := l.net.(*net.TCPListener).File()
 	if err != nil {
 		t.Fatal(err)
@@ -666,7 +666,7 @@
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { conn.Close() })
-		conn.SetDeadline(time.Now().Add(patience))
+		conn.SetDeadline(time.Now().Add(testTimeout))
 		fmt.Fprint(conn, text)
 		return conn
 	}
@@ -679,7 +679,7 @@
 		time.Sleep(time.Millisecond)
 	}
 	l.HandOver(true)
-	if !l.ready() || l.stays() {
+	if !l.isReady() || l.keepsAlive() {
 		t.Error("a successor takes the clients, so they are welcome")
 	}
 	if n, err := idle.Read(answer); err != io.EOF {
@@ -702,12 +702,12 @@
 
 // What ends idle connections on standby ends with it, and begins anew with the next.
 func TestStandbyIsUndone(t *testing.T) {
-	l, _ := serve(t, ListenerConfig{MaxConns: 8, Enough: 8, Idle: patience, First: patience, Slow: patience, MaxHeld: 1 << 20})
+	l, _ := serve(t, ListenerConfig{MaxConns: 8, MaxKeepAlive: 8, IdleTimeout: testTimeout, FirstRequestTimeout: testTimeout, RequestTimeout: testTimeout, MaxPartialBytes: 1 << 20})
 	for range 2 {
 		l.Standby(true)
 		l.Standby(true)
-		rest := l.rest
-		if rest == nil || l.ready() {
+		rest := l.idleCloser
+		if rest == nil || l.isReady() {
 			t.Fatal("it does not drain")
 		}
 		l.Standby(false)
@@ -716,7 +716,7 @@
 		default:
 			t.Error("connections are still being ended")
 		}
-		if !l.ready() {
+		if !l.isReady() {
 			t.Error("it is not ready again")
 		}
 	}
@@ -735,17 +735,17 @@
 }
 
 // An attempt counts as relayed once its call's last byte has left, and not where the server goes before that.
-func TestRelayedWhole(t *testing.T) {
+func TestRelayedWhenWritten(t *testing.T) {
 	b := newBench()
 	b.fleet(0, sq.Ready, 0, "127.0.0.1:1")
 	near, far := net.Pipe()
 	c := &serverConn{
 		server: b.servers["s"], session: b.dialect.Session(""), net: near, up: true,
-		calls: map[core.AttemptID]*frame{}, sentAt: map[core.AttemptID]int64{}, done: new(atomic.Int64), writes: newOutbox(4),
+		calls: map[core.AttemptID]*frame{}, sentAt: map[core.AttemptID]int64{}, written: new(atomic.Int64), writes: newOutbox(4),
 	}
 	b.servers["s"].conns, b.conns = []*serverConn{c}, 1
 	ended := make(chan struct{})
-	go func() { b.serve(c, near); close(ended) }()
+	go func() { b.runConn(c, near); close(ended) }()
 	b.call(0, callOf(1))
 	head := make([]byte, 4)
 	io.ReadFull(far, head)
@@ -755,14 +755,14 @@
 	far.Close()
 	b.next(t, 1)
 	<-ended
-	if n := b.figures.Relayed.Load(); n != 1 || b.ends[1] != sq.Broken && b.ends[1] != sq.Stranded || b.ends[2] != sq.Unreachable {
+	if n := b.metrics.Relayed.Load(); n != 1 || b.ends[1] != sq.Broken && b.ends[1] != sq.Stranded || b.ends[2] != sq.Unreachable {
 		t.Errorf("relayed %d, ends %v", n, b.ends)
 	}
 }
 
 // On standby a connection that has just come in has time for its first request, however late it comes.
 func TestStandbyServesWhatComes(t *testing.T) {
-	l, _ := serve(t, ListenerConfig{MaxConns: 8, Enough: 8, Idle: patience, First: patience, Slow: patience, MaxHeld: 1 << 20})
+	l, _ := serve(t, ListenerConfig{MaxConns: 8, MaxKeepAlive: 8, IdleTimeout: testTimeout, FirstRequestTimeout: testTimeout, RequestTimeout: testTimeout, MaxPartialBytes: 1 << 20})
 	l.Standby(true)
 	conn, err := net.Dial("tcp", l.net.Addr().String())
 	if err != nil {
@@ -774,10 +774,10 @@
 	}
 	now := time.Now()
 	for range 2 {
-		l.endIdle(now, true)
+		l.closeIdle(now, true)
 	}
 	fmt.Fprint(conn, "GET / HTTP/1.1\r\nHost: x\r\n\r\n")
-	conn.SetDeadline(time.Now().Add(patience))
+	conn.SetDeadline(time.Now().Add(testTimeout))
 	if got, err := io.ReadAll(conn); err != nil || !strings.Contains(string(got), "200 OK") || !strings.Contains(string(got), "Connection: close") {
 		t.Errorf("%q %v", got, err)
 	}
--- a/internal/broker/transport/unsent_test.go
+++ b/internal/broker/transport/unsent_test.go
@@ -20,15 +20,15 @@
 func heldWrite(t *testing.T, b *bench) (far net.Conn) {
 	t.Helper()
 	b.dialect = platform.Workers{PerConn: 8}
-	b.pool.fleet(0, sq.FleetChanged{Servers: []sq.Server{{ID: "s", Health: sq.Ready}}}, map[sq.ServerID]string{"s": "127.0.0.1:1"})
+	b.pool.updateFleet(0, sq.FleetChanged{Servers: []sq.Server{{ID: "s", Health: sq.Ready}}}, map[sq.ServerID]string{"s": "127.0.0.1:1"})
 	near, far := net.Pipe()
 	c := &serverConn{
 		server: b.servers["s"], session: b.dialect.Session(""), net: near, up: true, calls: map[core.AttemptID]*frame{},
-		sentAt: map[core.AttemptID]int64{}, done: new(atomic.Int64), writes: newOutbox(8),
+		sentAt: map[core.AttemptID]int64{}, written: new(atomic.Int64), writes: newOutbox(8),
 	}
 	b.servers["s"].conns, b.conns = []*serverConn{c}, 1
 	ended := make(chan struct{})
-	go func() { b.serve(c, near); close(ended) }()
+	go func() { b.runConn(c, near); close(ended) }()
 	t.Cleanup(func() { far.Close(); <-ended })
 	b.call(0, callOf(1))
 	if _, err := io.ReadFull(far, make([]byte, 1)); err != nil {
@@ -40,7 +40,7 @@
 // rest reads frames from the far end up to one that holds a call of that number, and returns how many calls each held.
 func rest(t *testing.T, far net.Conn, upTo string) (labels []string) {
 	t.Helper()
-	far.SetReadDeadline(time.Now().Add(patience))
+	far.SetReadDeadline(time.Now().Add(testTimeout))
 	missing := 1 // a byte of the first frame's length has been taken
 	for {
 		head := make([]byte, 4)
@@ -148,8 +148,8 @@
 	b.recall(1, 2)
 	b.next(t, 2) // it comes up
 	c := b.servers["s"].conns[0]
-	if b.ends[2] != sq.NotSent || c.wrote != 0 || len(c.calls) != 0 {
-		t.Errorf("ended %v, %d writes", b.ends, c.wrote)
+	if b.ends[2] != sq.NotSent || c.lastWrite != 0 || len(c.calls) != 0 {
+		t.Errorf("ended %v, %d writes", b.ends, c.lastWrite)
 	}
 }
 
@@ -188,10 +188,10 @@
 			b.call(0, callOf(1))
 			first := <-ups
 			c := b.servers["s"].conns[0]
-			b.isLate(20_000, c)
+			b.openSpare(20_000, c)
 			spare := <-ups
-			b.isLate(40_000, c) // a timer that rings again, and that of the spare
-			b.isLate(40_000, b.servers["s"].conns[1])
+			b.openSpare(40_000, c) // a timer that rings again, and that of the spare
+			b.openSpare(40_000, b.servers["s"].conns[1])
 			if n := len(b.servers["s"].conns); n != 2 {
 				t.Fatalf("%d connections", n)
 			}
@@ -205,7 +205,7 @@
 				if !strings.HasPrefix(f, "Rq.1 1 ") {
 					t.Errorf("the first up got %q", f)
 				}
-			case <-time.After(patience):
+			case <-time.After(testTimeout):
 				t.Error("the first up got nothing")
 			}
 			b.call(50_000, callOf(2)) // the fullest takes it
@@ -220,17 +220,17 @@
 	b.call(0, callOf(1))
 	c := b.servers["s"].conns[0]
 	b.recall(1, 1)
-	if b.isLate(20_000, c); b.conns != 1 {
+	if b.openSpare(20_000, c); b.conns != 1 {
 		t.Error("a spare where nothing waits")
 	}
 	b.call(2, callOf(2))
-	b.lates = oftenLate + 0.01
-	if b.isLate(20_000, c); b.conns != 1 {
+	b.lateShare = lateShareLimit + 0.01
+	if b.openSpare(20_000, c); b.conns != 1 {
 		t.Error("a spare where most are late: servers have too many handshakes to do already")
 	}
-	b.lates = 0
+	b.lateShare = 0
 	b.fleet(3, sq.Draining, 0, "")
-	if b.isLate(20_000, c); b.conns > 1 {
+	if b.openSpare(20_000, c); b.conns > 1 {
 		t.Error("a spare to a server that drains")
 	}
 }
@@ -250,7 +250,7 @@
 			b.next(t, 1)
 			far := <-conns
 			defer far.Close()
-			far.SetDeadline(time.Now().Add(patience))
+			far.SetDeadline(time.Now().Add(testTimeout))
 			if _, err := far.Read(make([]byte, 4096)); err != nil {
 				t.Fatal(err)
 			}
--- a/internal/broker/transport/told_test.go
+++ b/internal/broker/transport/watch_test.go
@@ -93,7 +93,7 @@
 	for _, x := range a.m.Step(now, []sq.Event{e}) {
 		switch x := x.(type) {
 		case sq.Watch:
-			a.w.Begin()
+			a.w.RequestWatch()
 		case sq.SetAlarm:
 			time.AfterFunc(time.Duration(x.At-now)*time.Microsecond, func() { a.step(sq.AlarmRang{ID: x.ID}) })
 		}
@@ -103,7 +103,7 @@
 // Whatever came of the calls before, a change is acted on within six seconds of discovery having it and being reachable: after calls that
 // were refused, reset, answered with an error, never answered, answered byte by byte or in part, after a watch that fell silent or kept
 // sending what is no line; where lists are pushed and where they are asked for; and whichever moment of its calls the return meets.
-func TestToldWithinSixSeconds(t *testing.T) {
+func TestUpdateWithinSixSeconds(t *testing.T) {
 	refuse := errors.New("connection refused")
 	for name, down := range map[string]struct {
 		dial  func(ctx context.Context) error
@@ -111,7 +111,7 @@
 	}{
 		"refused": {dial: func(context.Context) error { return refuse }},
 		"a dial that never comes up": {dial: func(ctx context.Context) error {
-			t := time.NewTimer(dialPatience) // as the dialer's own time-out
+			t := time.NewTimer(dialTimeout) // as the dialer's own time-out
 			defer t.Stop()
 			select {
 			case <-ctx.Done():
@@ -231,7 +231,7 @@
 	go w.Run()
 	time.Sleep(down / 2)
 	if moved { // as by SIGHUP, in the middle of the outage
-		w.Move("b")
+		w.SetAddress("b")
 	}
 	time.Sleep(down / 2)
 	close(back)
--- a/internal/cluster/peering/execute.go
+++ b/internal/cluster/peering/execute.go
@@ -71,8 +71,8 @@
 
 // install puts documents in force and stores them. Meanwhile nothing is admitted under the old one.
 func (p *PolicyNode) install(documents []*wire.Document) {
-	if len(documents) > 0 && !p.permit.Holding {
-		p.permit.Until = 0
+	if len(documents) > 0 && !p.permit.Suspended {
+		p.permit.Expires = 0
 		p.host.Permit(p.permit)
 	}
 	for _, document := range documents {
@@ -106,15 +106,15 @@
 // updatePermit gives the engine the node's present permit where it differs from the last one.
 func (p *PolicyNode) updatePermit() {
 	n := p.node
-	permit := transport.Permit{Number: n.Number(), Until: n.Until(), Holding: n.Holding(), HoldEnd: n.HoldEnd(), Later: p.cfg.Node.Lease / 2}
+	permit := transport.Permit{Version: n.Number(), Expires: n.Until(), Suspended: n.Holding(), SuspendedUntil: n.HoldEnd(), RetryAfter: p.cfg.Node.Lease / 2}
 	if p.failed != nil {
-		permit.Until, permit.Holding = 0, false
+		permit.Expires, permit.Suspended = 0, false
 	}
 	if permit == p.permit {
 		return
 	}
-	if permit.Holding != p.permit.Holding {
-		logging.Debug(p.log, logging.RolloutHolds, "on", permit.Holding, "number", permit.Number)
+	if permit.Suspended != p.permit.Suspended {
+		logging.Debug(p.log, logging.RolloutHolds, "on", permit.Suspended, "number", permit.Version)
 	}
 	p.permit = permit
 	p.host.Permit(permit)
--- a/internal/cluster/peering/node.go
+++ b/internal/cluster/peering/node.go
@@ -116,7 +116,7 @@
 		return nil, err
 	}
 	// No query is admitted before there is a lease.
-	p.permit = transport.Permit{Number: p.node.Number(), Later: cfg.Node.Lease / 2}
+	p.permit = transport.Permit{Version: p.node.Number(), RetryAfter: cfg.Node.Lease / 2}
 	host.Permit(p.permit)
 	return p, nil
 }
--- a/internal/scale/hollow.go
+++ b/internal/scale/hollow.go
@@ -284,7 +284,7 @@
 // admits tells whether a query would be let in now.
 func (h *hollow) admits() bool {
 	p := h.permit.Load()
-	return p != nil && !p.Holding && h.clock.Now() < p.Until
+	return p != nil && !p.Suspended && h.clock.Now() < p.Expires
 }
 
 // stand is how it stands.
--- a/internal/scale/work/engine_test.go
+++ b/internal/scale/work/engine_test.go
@@ -50,7 +50,7 @@
 				news.Servers = append(news.Servers, sq.Server{ID: id, Zone: fmt.Sprint("z", i%zones), Cell: i % cells, Health: sq.Ready})
 				addresses[id] = w.Address(i)
 			}
-			e.Fleet(news, addresses)
+			e.UpdateFleet(news, addresses)
 			go e.Run()
 			defer e.Stop()
 			asked := 0
--- a/internal/scale/work/measured.go
+++ b/internal/scale/work/measured.go
@@ -204,7 +204,7 @@
 	var wg sync.WaitGroup
 	for i := range all {
 		w := transport.NewWatcher(h.Address, 0, false, func(sq.FleetChanged, map[sq.ServerID]string) { heard.Add(1) }, quiet)
-		w.Afresh()
+		w.RequestFullList()
 		all[i] = w
 		wg.Add(1)
 		go func() { defer wg.Done(); w.Run() }()
