--- a/internal/broker/simulation/split_test.go
+++ b/internal/broker/simulation/split_test.go
@@ -18,25 +18,25 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r, err := views.Run(views.Config{Members: n, Seed: 3, Warm: true, Delay: time.Millisecond, Length: 30 * time.Second, Script: s})
+	r, err := views.Run(views.Config{Members: n, Seed: 3, WarmStart: true, Delay: time.Millisecond, Duration: 30 * time.Second, Script: s})
 	if err != nil {
 		t.Fatal(err)
 	}
-	// The lowest number of any view at a time, as the program follows it, and the same of those alive.
+	// The lowest number of any view at a time, as the program follows it, and the same of the members alive.
 	by := func(of func(views.Sample) int) func(at int64) int {
-		var f swim.Follower
+		var f swim.Divisor
 		return func(at int64) int {
 			i := min(int(at*int64(len(r.Samples))/(30*second)), len(r.Samples)-1)
-			n, _ := f.Follow(at+1, of(r.Samples[max(0, i)]))
+			n, _ := f.Update(at+1, of(r.Samples[max(0, i)]))
 			return n
 		}
 	}
-	reckon, alive := by(func(x views.Sample) int { return x.Least }), by(func(x views.Sample) int { return x.Fewest })
-	if last := r.Samples[len(r.Samples)-1]; last.Least != n || last.Fewest != n/2 {
-		t.Fatalf("at the end views reckon with %d and see %d", last.Least, last.Fewest)
+	estimate, alive := by(func(x views.Sample) int { return x.MinEffectiveSize }), by(func(x views.Sample) int { return x.MinAlive })
+	if last := r.Samples[len(r.Samples)-1]; last.MinEffectiveSize != n || last.MinAlive != n/2 {
+		t.Fatalf("at the end views estimate %d and see %d", last.MinEffectiveSize, last.MinAlive)
 	}
 	worst := map[string]float64{}
-	for name, divide := range map[string]func(int64) int{"file": nil, "reckon": reckon, "alive": alive} {
+	for name, divide := range map[string]func(int64) int{"file": nil, "estimate": estimate, "alive": alive} {
 		d := Join(3, n, n)
 		d.Length, d.FleetSize, d.MembershipDelay = 14*second, divide, 1*second
 		for i := range d.Events { // the list shows each before it is back
@@ -47,30 +47,30 @@
 			t.Fatal(err)
 		}
 		worst[name] = out.WorstLoad
-		if name == "reckon" && out.Overloaded > 0 || out.RunTwice > 0 {
+		if name == "estimate" && out.Overloaded > 0 || out.RunTwice > 0 {
 			t.Errorf("by %s: %d warming servers got too much, the worst %.2f of it; %d run twice", name, out.Overloaded, out.WorstLoad, out.RunTwice)
 		}
 	}
 	t.Logf("the most that a warming server got, of what it may get: %v", worst)
-	// A contract: what all gates together let in, each with more asked for than it may.
+	// A contract: what all gates together admit, each with more requests than it may admit.
 	out := func(divide int) (sum int) {
 		for range n {
-			g := admission.New(admission.Config{Cores: 240, Over: 1, Gatherers: divide, Teams: []admission.Team{{Name: "a", Weight: 1}}})
+			g := admission.New(admission.Config{Cores: 240, Oversubscription: 1, Gatherers: divide, Teams: []admission.Team{{Name: "a", Weight: 1}}})
 			for id := range int64(1000) {
-				g.Arrive(1, admission.Ask{ID: id, Team: "a", Parts: 1, Work: 1000, Deadline: second})
+				g.Arrive(1, admission.Request{ID: id, Team: "a", Parts: 1, Work: 1000, Deadline: second})
 			}
-			parts, _ := g.Out()
+			parts, _ := g.PartsOut()
 			sum += parts
 		}
 		return sum
 	}
 	at := 29 * second
-	byReckon, byAlive := out(reckon(at)), out(alive(at))
+	byEstimate, byAlive := out(estimate(at)), out(alive(at))
 	for range 20 { // it goes down in steps
 		at += second
 		byAlive = out(alive(at))
 	}
-	if byReckon > 240 || byAlive < 400 {
-		t.Errorf("of 240 parts at a time both halves have %d by the members to reckon with, and %d by those alive", byReckon, byAlive)
+	if byEstimate > 240 || byAlive < 400 {
+		t.Errorf("of 240 parts at a time both halves have %d by the estimated members, and %d by those alive", byEstimate, byAlive)
 	}
 }
