--- a/internal/broker/transport/exchange_test.go
+++ b/internal/broker/transport/exchange_test.go
@@ -18,8 +18,8 @@
 			t.Fatal(err)
 		}
 	}
-	leave("1"+stateFileSuffix, handover.State{Name: "n0", At: clock.Now() - handover.Stale})
-	leave("2"+stateFileSuffix, handover.State{Name: "n1", At: clock.Now() + handover.Stale/2})
+	leave("1"+stateFileSuffix, handover.State{Name: "n0", At: clock.Now() - handover.StaleAfter})
+	leave("2"+stateFileSuffix, handover.State{Name: "n1", At: clock.Now() + handover.StaleAfter/2})
 	leave("3"+stateFileSuffix+".part", handover.State{Name: "n0", At: clock.Now()})
 	leave("4"+stateFileSuffix, handover.State{Name: "n0", At: clock.Now()})
 	old := time.Now().Add(-2 * staleFileAge)
--- a/internal/broker/transport/follower.go
+++ b/internal/broker/transport/follower.go
@@ -189,14 +189,14 @@
 
 // lines takes in a watch's answer, line by line, until it ends.
 func (f *follower) readLines(conn net.Conn, address string, received bool) (bool, error) {
-	p := http1.Parser{Response: true, Limit: f.maxBytes}
+	p := http1.Parser{Response: true, BodyLimit: f.maxBytes}
 	var line []byte
 	var fault error
 	status := 0
 	by := time.Now().Add(answerTimeout)
 	alive := func() { by = time.Now().Add(watchTimeout) }
-	p.Headed = func(m *http1.Message) { status = m.Status; alive() }
-	p.Stream = func(b []byte) {
+	p.OnHeader = func(m *http1.Message) { status = m.Status; alive() }
+	p.OnBody = func(b []byte) {
 		line = append(line, b...)
 		for fault == nil {
 			i := bytes.IndexByte(line, '\n')
@@ -257,7 +257,7 @@
 	if err := sendRequest(conn, f.source.fullPath(), address); err != nil {
 		return err
 	}
-	p := http1.Parser{Response: true, Limit: f.maxBytes}
+	p := http1.Parser{Response: true, BodyLimit: f.maxBytes}
 	buf := make([]byte, readSize)
 	end := time.Now().Add(listTimeout)
 	for {
@@ -273,7 +273,7 @@
 		p.Feed(buf[:n])
 		m, err := p.Next()
 		if m == nil && err == nil && errors.Is(rerr, io.EOF) {
-			m, err = p.Ended()
+			m, err = p.End()
 		}
 		switch {
 		case err != nil:
--- a/internal/broker/transport/listener.go
+++ b/internal/broker/transport/listener.go
@@ -18,7 +18,7 @@
 // Front is one dialect towards clients. It knows no socket.
 type Front interface {
 	// Open turns a request into a query and the way to word its end, or into a response at once.
-	Open(m *http1.Message, now int64, ready bool) (core.Ask, func(core.Final, int64) http1.Response, *http1.Response)
+	Open(m *http1.Message, now int64, ready bool) (core.Query, func(core.Final, int64) http1.Response, *http1.Response)
 	// Class is the class of a request that the broker has to decide, as far as its head tells; empty for others.
 	Class(m *http1.Message) string
 	// Fault words the answer to a request that could not be read or decided on.
@@ -416,8 +416,7 @@
 
 // stays tells that connections may go on after an answer, ready that new clients are welcome.
 func (l *Listener) keepsAlive() bool { return !l.leaving.Load() && !l.standby.Load() }
-
-func (l *Listener) isReady() bool { return l.keepsAlive() || l.succeeded.Load() && !l.standby.Load() }
+func (l *Listener) isReady() bool    { return l.keepsAlive() || l.succeeded.Load() && !l.standby.Load() }
 
 // Quiet tells that no request is in hand and that none has come in since a time, in microseconds.
 func (l *Listener) Quiet(since int64) bool {
@@ -499,7 +498,7 @@
 	}()
 	var p http1.Parser
 	var head, last *http1.Message // that came in last, and whole
-	p.Headed = func(m *http1.Message) {
+	p.OnHeader = func(m *http1.Message) {
 		head = m
 		// Nothing else is being written then: clients that wait for this have no request before it open.
 		if m.Header.Get("Expect") == "100-continue" && !c.isAnswering() {
@@ -517,7 +516,7 @@
 			if n := len(batch); n > 0 {
 				last = batch[n-1]
 			}
-			now := int64(p.Held())
+			now := int64(p.Buffered())
 			if c.listener.partialBytes.Add(now-held) > c.listener.settings.Load().MaxPartialBytes && perr == nil && now > 0 {
 				// What was not read to its end has not run: trying again is harmless.
 				perr = &http1.Error{Status: 503, Text: "too much is coming in at once"}
--- a/internal/broker/transport/request.go
+++ b/internal/broker/transport/request.go
@@ -13,7 +13,7 @@
 	respond  func(core.Final, int64) http1.Response
 	ticket   *Ticket
 	response *http1.Response
-	ledger   core.Ledger // of a query that must not run twice; else nil
+	ledger   core.IntentLog // of a query that must not run twice; else nil
 }
 
 // ask opens what a message asks for.
@@ -22,10 +22,10 @@
 	if a.class != "" {
 		c.listener.engine.metrics.Open.Add(1)
 	}
-	var ask core.Ask
+	var ask core.Query
 	if ask, a.respond, a.response = front.Open(m, now, c.listener.isReady()); a.response == nil {
 		c.listener.lastQuery.Store(now)
-		a.ticket, a.ledger = c.listener.engine.Open(ask), ask.Ledger
+		a.ticket, a.ledger = c.listener.engine.Open(ask), ask.IntentLog
 	}
 	return a
 }
@@ -93,7 +93,7 @@
 		c.listener.engine.ClientLeft(a.ticket)
 		return
 	}
-	if !a.ledger.Keeps() {
+	if !a.ledger.WantsResult() {
 		c.listener.engine.ClientLeft(a.ticket)
 		a.ledger.Abandon()
 		return
@@ -145,7 +145,7 @@
 				a.ledger.Release()
 			}
 			status := 400
-			if errors.Is(err, core.ErrTaken) {
+			if errors.Is(err, core.ErrDuplicateLabel) {
 				status = 409
 			} else if errors.Is(err, ErrNoContract) {
 				status = 403
