--- a/internal/broker/transport/admin.go
+++ b/internal/broker/transport/admin.go
@@ -21,7 +21,7 @@
 // Door answers operators' calls on a listener of its own.
 type AdminListener struct {
 	net     net.Listener
-	handler adminapi.Desk
+	handler adminapi.Program
 	log     *slog.Logger
 	wg      sync.WaitGroup
 
@@ -31,7 +31,7 @@
 }
 
 // NewDoor makes a door on an open listener; Serve runs it.
-func NewAdminListener(l net.Listener, d adminapi.Desk, logger *slog.Logger) *AdminListener {
+func NewAdminListener(l net.Listener, d adminapi.Program, logger *slog.Logger) *AdminListener {
 	return &AdminListener{net: l, handler: d, log: logger}
 }
 
@@ -79,7 +79,7 @@
 		n, err := conn.Read(buf)
 		answer, done := call.Feed(buf[:n], d.handler)
 		if !done && err != nil {
-			answer, done = call.Ended(), true
+			answer, done = call.End(), true
 		}
 		if done {
 			d.answer(conn, answer)
--- a/internal/broker/transport/engine.go
+++ b/internal/broker/transport/engine.go
@@ -42,7 +42,7 @@
 	waiting      map[sq.ID]func(core.Final)
 	log          *slog.Logger
 	sweepAt      int64
-	metrics      *adminapi.Figures
+	metrics      *adminapi.Metrics
 	gate         *admission.Gate        // nil: there are no contracts
 	queued       map[int64]*queuedQuery // queries that wait at the gate
 	lastGateID   int64
@@ -63,7 +63,7 @@
 )
 
 // NewEngine makes an engine; Run starts it.
-func NewEngine(clock Clock, gatherer *core.Core, cfg PoolConfig, d core.Dialect, metrics *adminapi.Figures,
+func NewEngine(clock Clock, gatherer *core.Core, cfg PoolConfig, d core.Dialect, metrics *adminapi.Metrics,
 	logger *slog.Logger,
 ) *Engine {
 	e := &Engine{
@@ -115,9 +115,9 @@
 			e.sweepAt = now + sweepEvery
 			e.pool.sweep(now)
 			listed, out := e.core.Rotation()
-			e.metrics.Listed.Store(int64(listed))
-			e.metrics.Out.Store(int64(out))
-			if l := e.metrics.Routes; l != nil {
+			e.metrics.KnownServers.Store(int64(listed))
+			e.metrics.EjectedServers.Store(int64(out))
+			if l := e.metrics.LayoutCounts; l != nil {
 				replanned, misplaced := e.core.ReplanCounts()
 				l.Replanned.Store(replanned)
 				l.Misplaced.Store(misplaced)
--- a/internal/broker/transport/listener.go
+++ b/internal/broker/transport/listener.go
@@ -563,7 +563,7 @@
 	e := &http1.Error{Status: 400}
 	errors.As(fault, &e)
 	for _, m := range ms {
-		c.listener.engine.metrics.Ended(c.listener.settings.Load().front.Class(m), e.Status)
+		c.listener.engine.metrics.CountAnswer(c.listener.settings.Load().front.Class(m), e.Status)
 	}
 }
 
--- a/internal/broker/transport/pool.go
+++ b/internal/broker/transport/pool.go
@@ -37,7 +37,7 @@
 	afterFunc      func(time.Duration, func()) *time.Timer
 	servers        map[sq.ServerID]*server
 	byAttempt      map[core.AttemptID]*serverConn
-	metrics        *adminapi.Figures
+	metrics        *adminapi.Metrics
 	stopped        <-chan struct{} // closed when nothing that is posted runs any more
 	conns          int
 	lastLossAt     int64   // when a connection was last lost with calls out on it; 0: never
@@ -85,7 +85,7 @@
 	}
 	return &pool{
 		cfg: cfg, dialect: d, post: post, connect: connect, afterFunc: time.AfterFunc, servers: map[sq.ServerID]*server{},
-		byAttempt: map[core.AttemptID]*serverConn{}, metrics: adminapi.NewFigures(),
+		byAttempt: map[core.AttemptID]*serverConn{}, metrics: adminapi.NewMetrics(),
 	}
 }
 
--- a/internal/broker/transport/request.go
+++ b/internal/broker/transport/request.go
@@ -20,7 +20,7 @@
 func (c *clientConn) openQuery(front Front, m *http1.Message, now int64) *openQuery {
 	a := &openQuery{class: front.Class(m)}
 	if a.class != "" {
-		c.listener.engine.metrics.Open.Add(1)
+		c.listener.engine.metrics.OpenRequests.Add(1)
 	}
 	var ask core.Query
 	if ask, a.respond, a.response = front.Open(m, now, c.listener.isReady()); a.response == nil {
@@ -56,7 +56,7 @@
 	for i, a := range all {
 		r, end := c.await(front, a, &w)
 		if a.class != "" {
-			c.listener.engine.metrics.Open.Add(-1)
+			c.listener.engine.metrics.OpenRequests.Add(-1)
 		}
 		if end != answered {
 			c.abandonQueries(all[i+1:])
@@ -65,7 +65,7 @@
 			}
 			return end == clientLeft, end == brokeRules
 		}
-		c.listener.engine.metrics.Ended(a.class, r.Status)
+		c.listener.engine.metrics.CountAnswer(a.class, r.Status)
 		rs[i] = r
 	}
 	if join == nil {
@@ -81,7 +81,7 @@
 			c.leaveQuery(a)
 		}
 		if a.class != "" {
-			c.listener.engine.metrics.Open.Add(-1)
+			c.listener.engine.metrics.OpenRequests.Add(-1)
 		}
 	}
 }
--- a/internal/broker/transport/routes.go
+++ b/internal/broker/transport/routes.go
@@ -36,7 +36,7 @@
 	cfg             RoutesConfig
 	clock           Clock
 	notify          func(layout.Update)
-	metrics         *adminapi.LayoutFigures
+	metrics         *adminapi.LayoutMetrics
 	refreshRequests chan struct{} // a server has a newer layout
 	synced          chan struct{} // closed with the directory's first word that agrees with what is in force
 	refresher       sync.WaitGroup
@@ -52,7 +52,7 @@
 
 // NewRoutes makes the owner of a layout, with the one that is known at the start and the servers that may hold ranges.
 func NewRoutes(cfg RoutesConfig, first layout.Doc, servers []sq.ServerID, clock Clock, current *layout.Current,
-	notify func(layout.Update), metrics *adminapi.LayoutFigures, logger *slog.Logger,
+	notify func(layout.Update), metrics *adminapi.LayoutMetrics, logger *slog.Logger,
 ) (*Routes, error) {
 	r := &Routes{cfg: cfg, clock: clock, current: current, notify: notify, metrics: metrics, refreshRequests: make(chan struct{}, 1), synced: make(chan struct{})}
 	r.follower = newFollower(cfg.Directory, maxLayoutBytes, r, logger)
@@ -178,7 +178,7 @@
 	r.metrics.Epoch.Store(u.Layout.Epoch())
 	r.metrics.Ranges.Store(int64(u.Layout.Len()))
 	r.metrics.Changes.Store(int64(len(u.Layout.Changes())))
-	r.metrics.Taken.Add(1)
+	r.metrics.Accepted.Add(1)
 	logging.Info(r.log, logging.Layout, "epoch", u.Layout.Epoch(), "ranges", u.Layout.Len(), "changed", len(u.Changed), "changes", len(u.Layout.Changes()), "from", from)
 }
 
@@ -260,7 +260,7 @@
 	defer r.layoutMu.Unlock()
 	reason := reasonOf(err)
 	if reason != unreachable {
-		r.metrics.Refused.Add(1)
+		r.metrics.Rejected.Add(1)
 	}
 	if text := err.Error(); text != r.lastFault || time.Since(r.faultAt) > repeatAfter {
 		r.lastFault, r.faultAt = text, time.Now()
