--- a/internal/broker/server/admin_program.go
+++ b/internal/broker/server/admin_program.go
@@ -47,7 +47,7 @@
 	if d.routes == nil {
 		return nil
 	}
-	return d.routes.Layout(dst)
+	return d.routes.AppendStatus(dst)
 }
 
 // Fleet appends the view of the fleet: a line of its own, then one for each member. Nil where there is none.
--- a/internal/broker/server/durable.go
+++ b/internal/broker/server/durable.go
@@ -204,7 +204,7 @@
 
 // saveLearned saves what is known of servers and tenants now, and the layout where it has changed.
 func (d *durableState) saveLearned(engine *transport.Engine, place *layout.Current) {
-	if m, ok := engine.Remember(); ok {
+	if m, ok := engine.ExportMemory(); ok {
 		if value, err := marshalLearned(m); err == nil {
 			d.appendRecord(recordlog.Record{Kind: recordlog.Learned, Value: value, ExpiresAt: d.store.Now() + learnedRetention.Microseconds()})
 		}
--- a/internal/broker/server/fleet_view.go
+++ b/internal/broker/server/fleet_view.go
@@ -58,7 +58,7 @@
 	cfg := peering.Config{Listen: f.Listen, Allow: f.Allow, Seed: g.seed, Core: swim.Config{
 		Fleet: f.Name, Name: g.name, Start: uint64(time.Now().UnixMicro()),
 		Address: f.Advertise, Zone: g.settings.Module.Zone, Version: programVersion(), Join: f.Join, ProbePeriod: f.Period.Microseconds(),
-		SuspicionFactor: f.Suspect, CountDeadFor: f.Reckon.Microseconds(),
+		SuspicionFactor: f.Suspect, CountDeadFor: f.CountLostFor.Microseconds(),
 	}, OnView: g.updatePolicyPeers}
 	seedBugs(&cfg.Core, nil)
 	open := func() (err error) {
@@ -162,7 +162,7 @@
 	m.currentDivisor.Store(int64(n))
 	logging.Info(g.logger, logging.PeersReckon, "members", m.effectiveSize, "divide", n)
 	g.engine.Reconfigure(g.coreTerms(), g.moduleSettings(), g.poolConfig(), g.dialect)
-	g.engine.Contracts(g.dividedContracts())
+	g.engine.SetContracts(g.dividedContracts())
 }
 
 // divisor is the number that budgets are divided by; 0: the file's number holds.
--- a/internal/broker/server/gatherer.go
+++ b/internal/broker/server/gatherer.go
@@ -23,10 +23,10 @@
 	logger             *slog.Logger
 	clock              transport.Clock
 	engine             *transport.Engine
-	watcher            *transport.Watcher // nil: the list of servers is fixed
-	routes             *transport.Routes  // nil: no layout
-	virtual            *virtualService    // nil: no virtual address
-	admin              *transport.Door    // the admin endpoint; nil: off
+	watcher            *transport.Watcher       // nil: the list of servers is fixed
+	routes             *transport.Routes        // nil: no layout
+	virtual            *virtualService          // nil: no virtual address
+	admin              *transport.AdminListener // the admin endpoint; nil: off
 	lifecycle          *adminapi.Lifecycle
 	metrics            *adminapi.Metrics
 	publishedFleetView atomic.Pointer[fleetView]          // the same as fleetView, for other goroutines
@@ -35,7 +35,7 @@
 	policyNumber       atomic.Uint64                      // of the policy in force here
 	currentFile        atomic.Pointer[config.Operator]    // the file, with the policy in force
 	installs           chan installRequest                // documents to be put in force
-	siblings           *transport.Beside                  // the other processes of this gatherer; nil: no socket is passed, so there are none
+	siblings           *transport.StateExchange           // the other processes of this gatherer; nil: no socket is passed, so there are none
 	siblingStates      chan []handover.State              // what the siblings report
 	electionPending    bool                               // taking part in the VRRP election has failed
 	siblingSockets     int                                // descriptors that the siblings use
--- a/internal/broker/server/limits.go
+++ b/internal/broker/server/limits.go
@@ -34,19 +34,19 @@
 // listenerConfig bounds what one listener may use. Clients must never take the descriptors that servers, discovery and operators need.
 func (g *Gatherer) listenerConfig() transport.ListenerConfig {
 	b := transport.ListenerConfig{
-		MaxConns: g.availableSockets() - g.maxServerConns() - reservedSockets, Enough: min(g.availableSockets(), smallMachineSockets) / 4,
-		Idle: 15 * time.Second, First: 2500 * time.Millisecond, Slow: 2500 * time.Millisecond,
-		MaxHeld: int64(g.memoryMB) << 20 / 8,
+		MaxConns: g.availableSockets() - g.maxServerConns() - reservedSockets, MaxKeepAlive: min(g.availableSockets(), smallMachineSockets) / 4,
+		IdleTimeout: 15 * time.Second, FirstRequestTimeout: 2500 * time.Millisecond, RequestTimeout: 2500 * time.Millisecond,
+		MaxPartialBytes: int64(g.memoryMB) << 20 / 8,
 	}
 	if g.adminListen != "" {
-		b.MaxConns -= transport.DoorSockets
+		b.MaxConns -= transport.AdminSockets
 	}
 	if l := g.settings.Module.Limits; l.RetryAfter {
 		b.RetryAfter = time.Duration(l.MaxRetryAfter) * time.Microsecond
 	}
 	if g.vrrp != nil {
 		b.MaxConns /= 2 // the virtual address has a listener of its own
-		b.Enough /= 2
+		b.MaxKeepAlive /= 2
 	}
 	return b
 }
--- a/internal/broker/server/quotas.go
+++ b/internal/broker/server/quotas.go
@@ -211,7 +211,7 @@
 	}
 	same := p.slots == d.slots && p.otherQuota == d.otherQuota && maps.Equal(p.teamQuotas, d.teamQuotas)
 	if p.slots, p.teamQuotas, p.otherQuota = d.slots, d.teamQuotas, d.otherQuota; !same {
-		g.engine.Contracts(g.dividedContracts())
+		g.engine.SetContracts(g.dividedContracts())
 	}
 	n, free := p.aggregators(g.contracts), p.divideBudgets(g.clock.Now(), g.budgets, g.contracts)
 	if n != p.currentAggregators || !maps.Equal(free, p.currentBudgets) {
--- a/internal/broker/server/reload.go
+++ b/internal/broker/server/reload.go
@@ -26,7 +26,7 @@
 // apply puts another plan in force, completely; after an error nothing has changed. The gatherer's goroutine calls it.
 func (g *Gatherer) apply(now Plan) error {
 	if g.routes != nil {
-		if err := g.routes.File(now.layout.Whole, now.serverIDs(), false); err != nil {
+		if err := g.routes.ApplyFile(now.layout.Document, now.serverIDs(), false); err != nil {
 			return err
 		}
 	}
@@ -47,13 +47,13 @@
 	g.Plan = now
 	debug.SetMemoryLimit(int64(g.memoryMB) << 20 * 3 / 4)
 	g.engine.Reconfigure(g.coreTerms(), g.moduleSettings(), g.poolConfig(), g.dialect)
-	g.engine.Contracts(g.dividedContracts())
+	g.engine.SetContracts(g.dividedContracts())
 	g.listener.Reconfigure(g.listenerConfig(), g.front)
 	if g.virtual != nil {
 		g.virtual.reconfigure(g.listenerConfig(), g.front)
 	}
 	if g.watcher != nil {
-		g.watcher.Move(g.discovery)
+		g.watcher.SetAddress(g.discovery)
 	} else {
 		g.applyFileServers()
 	}
@@ -65,15 +65,15 @@
 // layout that no longer does, so that no range is without replicas in between.
 func (g *Gatherer) applyFileServers() {
 	if g.routes != nil {
-		g.engine.Fleet(sq.FleetChanged{Kind: sq.FleetDelta, Servers: g.fleet.Servers}, g.addresses)
-		if err := g.routes.File(g.layout.Whole, g.serverIDs(), true); err != nil { // the directory has just said otherwise
+		g.engine.UpdateFleet(sq.FleetChanged{Kind: sq.FleetDelta, Servers: g.fleet.Servers}, g.addresses)
+		if err := g.routes.ApplyFile(g.layout.Document, g.serverIDs(), true); err != nil { // the directory has just said otherwise
 			logging.Error(g.logger, logging.Reload, "layout", "kept", "error", err)
 		}
 		if g.layout.Directory != "" {
-			g.routes.Move(g.layout.Directory)
+			g.routes.SetAddress(g.layout.Directory)
 		}
 	}
-	g.engine.Fleet(g.fleet, g.addresses)
+	g.engine.UpdateFleet(g.fleet, g.addresses)
 }
 
 // applyLog sets the log's format and level by the file.
--- a/internal/broker/server/shutdown.go
+++ b/internal/broker/server/shutdown.go
@@ -29,14 +29,14 @@
 	} else {
 		g.listener.Leave()
 	}
-	logging.Info(g.logger, logging.Leaving, "held", g.engine.Held())
+	logging.Info(g.logger, logging.Leaving, "held", g.engine.OpenQueries())
 	g.awaitIdle()
 	g.stopComponents()
 	logging.Info(g.logger, logging.Stopped)
 }
 
-// awaitIdle handles events until the listeners have ended, and no connection and no query is left. Where this process has the only copy of the
-// clients' socket, the listener's last accept begins when no request has arrived for quietPeriod.
+// awaitIdle handles events until the listeners have ended, and no connection and no query is left. Where no socket
+// was passed, it accepts what is queued at the socket and closes it when no request has arrived for quietPeriod.
 func (g *Gatherer) awaitIdle() {
 	since := g.clock.Now()
 	answersUntil := since + g.answerTimeAfterStop()
@@ -44,11 +44,11 @@
 	defer graceOver.Stop()
 	check := time.NewTicker(idleCheckInterval)
 	defer check.Stop()
-	listenerEnded, lastAccept := false, false
+	listenerEnded, socketClosed := false, false
 	for {
 		switch met, _ := g.handleNext(check.C, graceOver.C); met {
 		case eventGraceOver:
-			g.engine.EndBy(answersUntil)
+			g.engine.SetKillDeadline(answersUntil)
 			continue
 		case eventListenerEnded: // what it accepted last is among the connections now
 			listenerEnded = true
@@ -58,10 +58,10 @@
 		}
 		now := g.clock.Now()
 		switch {
-		case !listenerEnded && !lastAccept && g.passedSocket == 0 && now-since >= quietPeriod && g.isQuietSince(now-quietPeriod):
-			g.listener.LastCalls()
-			lastAccept = true
-		case listenerEnded && !g.hasConnections() && g.engine.Held() == 0:
+		case !listenerEnded && !socketClosed && g.passedSocket == 0 && now-since >= quietPeriod && g.isQuietSince(now-quietPeriod):
+			g.listener.CloseSocket()
+			socketClosed = true
+		case listenerEnded && !g.hasConnections() && g.engine.OpenQueries() == 0:
 			return
 		}
 	}
--- a/internal/broker/server/siblings.go
+++ b/internal/broker/server/siblings.go
@@ -15,20 +15,20 @@
 	if g.passedSocket == 0 || g.sharedDirectory == "" {
 		return
 	}
-	g.siblings = transport.NewBeside(g.sharedDirectory, g.name, g.clock, g.handoverState, func(others []handover.State) {
+	g.siblings = transport.NewStateExchange(g.sharedDirectory, g.name, g.clock, g.handoverState, func(others []handover.State) {
 		select {
 		case g.siblingStates <- others:
 		default: // the main goroutine has not got to the last ones; there is word again soon
 		}
 	}, g.logger)
-	others := g.siblings.Others()
+	others := g.siblings.PeerStates()
 	from, ok := handover.Newest(others)
 	if !ok {
 		return
 	}
-	g.engine.Succeed(from)
+	g.engine.InheritLearned(from)
 	if list, err := platform.ParseList(from.List); err == nil && g.watcher != nil && from.Discovery == g.discovery {
-		g.engine.Fleet(sq.FleetChanged{Kind: sq.FleetCached, Servers: list.Servers}, list.Addresses)
+		g.engine.UpdateFleet(sq.FleetChanged{Kind: sq.FleetCached, Servers: list.Servers}, list.Addresses)
 	}
 	g.adjustToSiblings(others)
 	if from.Standby {
@@ -41,16 +41,16 @@
 
 // handoverState is the state that this process reports to the other processes of the gatherer; false before it is complete.
 func (g *Gatherer) handoverState() (handover.State, bool) {
-	s, ok := g.engine.Standing()
+	s, ok := g.engine.HandoverState()
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if !ok || g.listener == nil {
 		return s, false
 	}
 	s.Standby = g.onStandby
-	s.Sockets += g.listener.Conns() + reservedSockets + transport.DoorSockets
+	s.Sockets += g.listener.Conns() + reservedSockets + transport.AdminSockets
 	if g.watcher != nil {
-		s.List, s.Generation, s.Discovery = g.watcher.Held()
+		s.List, s.Generation, s.Discovery = g.watcher.List()
 	}
 	return s, true
 }
@@ -70,7 +70,7 @@
 		limit /= 2
 	}
 	debug.SetMemoryLimit(limit)
-	g.engine.Beside(others, g.maxServerConns())
+	g.engine.SetPeers(others, g.maxServerConns())
 	if g.listener != nil {
 		g.listener.Reconfigure(g.listenerConfig(), g.front)
 	}
--- a/internal/broker/server/start.go
+++ b/internal/broker/server/start.go
@@ -28,7 +28,7 @@
 		return fmt.Errorf("listen: %w", err)
 	}
 	if d := g.durable; d != nil && d.store != nil {
-		g.engine.Recall(d.memory)
+		g.engine.RestoreMemory(d.memory)
 	}
 	g.takeOver()
 	bounds := g.listenerConfig()
@@ -79,7 +79,7 @@
 		Lifecycle: g.lifecycle, Metrics: g.metrics, routes: g.routes, output: g.logOutput, engine: g.engine,
 		fleetView: g.publishedFleetView.Load, policyNode: g.policyNode.Load,
 	}
-	g.admin = transport.NewDoor(l, program, g.logger)
+	g.admin = transport.NewAdminListener(l, program, g.logger)
 	go g.admin.Serve()
 	return l.Addr().String(), nil
 }
@@ -91,20 +91,20 @@
 		return fmt.Errorf("configuration: settings: %w", err)
 	}
 	g.engine = transport.NewEngine(g.clock, core.New(g.coreTerms(), module), g.poolConfig(), g.dialect, g.metrics, g.logger)
-	g.engine.Contracts(g.contracts)
-	g.engine.Fleet(g.fleet, g.addresses)
+	g.engine.SetContracts(g.contracts)
+	g.engine.UpdateFleet(g.fleet, g.addresses)
 	if g.newWatcher != nil {
 		g.watcher = g.newWatcher(g.engine)
-		g.engine.Watch, g.engine.Fetch = g.watcher.Begin, g.watcher.Begin
+		g.engine.Watch, g.engine.Fetch = g.watcher.RequestWatch, g.watcher.RequestWatch
 	}
 	if g.layout != nil {
 		cfg := transport.RoutesConfig{Directory: g.layout.Directory, Stall: g.layout.Stall}
-		g.routes, err = transport.NewRoutes(cfg, g.durable.newestLayout(g.layout.Whole, g.serverIDs()), g.serverIDs(), g.clock, g.currentLayout, g.engine.Layout,
+		g.routes, err = transport.NewRoutes(cfg, g.durable.newestLayout(g.layout.Document, g.serverIDs()), g.serverIDs(), g.clock, g.currentLayout, g.engine.UpdateLayout,
 			g.metrics.LayoutCounts, g.logger)
 		if err != nil {
 			return fmt.Errorf("configuration: %w", err)
 		}
-		g.engine.Refresh = g.routes.Refresh
+		g.engine.RefreshLayout = g.routes.Refresh
 	}
 	return nil
 }
@@ -122,7 +122,7 @@
 	t := time.NewTimer(firstListTimeout)
 	defer t.Stop()
 	select {
-	case <-g.routes.Heard():
+	case <-g.routes.Synced():
 	case <-t.C:
 		logging.Warn(g.logger, logging.Start, "layout", "given", "waited", firstListTimeout)
 	}
@@ -138,12 +138,12 @@
 		go g.watcher.Run()
 		return
 	}
-	g.watcher.Afresh()
+	g.watcher.RequestFullList()
 	go g.watcher.Run()
 	t := time.NewTimer(firstListTimeout)
 	defer t.Stop()
 	select {
-	case <-g.watcher.Heard():
+	case <-g.watcher.Synced():
 	case <-t.C:
 		logging.Warn(g.logger, logging.Start, "list", "given", "waited", firstListTimeout)
 	}
