--- /dev/null
+++ b/internal/cluster/rollout/simulation/schedule.go
@@ -0,0 +1,83 @@
+package simulation
+
+import "container/heap"
+
+// task is something that happens at a time: a function, or the wake-up of a node.
+type task struct {
+	at         int64
+	seq        int // of two at one time the one that was scheduled first
+	run        func()
+	generation int // a wake-up of an earlier generation than the node's is void
+	wake       *node
+}
+
+// taskQueue is a heap of tasks, the next one first.
+type taskQueue []task
+
+func (q taskQueue) Len() int { return len(q) }
+
+func (q taskQueue) Less(i, j int) bool {
+	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].seq < q[j].seq
+}
+
+func (q taskQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+
+// Push adds a task; the heap calls it.
+func (q *taskQueue) Push(x any) {
+	if t, ok := x.(task); ok {
+		*q = append(*q, t)
+	}
+}
+
+// Pop removes the last task; the heap calls it.
+func (q *taskQueue) Pop() any {
+	old := *q
+	last := old[len(old)-1]
+	*q = old[:len(old)-1]
+	return last
+}
+
+// schedule runs something after a time.
+func (w *world) schedule(after int64, run func()) {
+	w.taskSeq++
+	heap.Push(&w.tasks, task{at: w.now + max(after, 0), seq: w.taskSeq, run: run})
+}
+
+// scheduleWake wakes a node when its next tick is due, unless an earlier wake-up is scheduled.
+func (w *world) scheduleWake(x *node) {
+	next := w.worldTime(x, x.core.NextTick())
+	if x.wakeAt != 0 && next >= x.wakeAt {
+		return
+	}
+	x.wakeAt, x.wakeGeneration = next, x.wakeGeneration+1
+	w.taskSeq++
+	heap.Push(&w.tasks, task{at: max(next, w.now+1), seq: w.taskSeq, wake: x, generation: x.wakeGeneration})
+}
+
+// play runs all tasks until an end.
+func (w *world) play(end int64) {
+	for len(w.tasks) > 0 && w.tasks[0].at <= end {
+		t, ok := heap.Pop(&w.tasks).(task)
+		if !ok {
+			return
+		}
+		w.now = t.at
+		if x := t.wake; x == nil {
+			t.run()
+		} else if x.runs() && t.generation == x.wakeGeneration {
+			x.wakeAt = 0
+			x.core.Tick(w.localTime(x))
+			w.perform(x)
+		}
+	}
+}
+
+// localTime is the time by a node's own clock.
+func (w *world) localTime(x *node) int64 {
+	return x.clockOffset + int64(float64(w.now-epoch)*x.clockRate) + second
+}
+
+// worldTime is the virtual time at which a node's own clock shows a time.
+func (w *world) worldTime(x *node, at int64) int64 {
+	return epoch + int64(float64(at-second-x.clockOffset)/x.clockRate) + 1
+}
