--- a/internal/cluster/rollout/simulation/histories_test.go
+++ b/internal/cluster/rollout/simulation/histories_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// The same seed gives the history that was recorded: in one region, and in two that are cut from each other. A history is all that came of a
-// run, each change and wait included, without the names of fields.
+// The same seed gives the history that was recorded: in a fleet without regions, and in two regions that are partitioned. A history is the complete
+// result of a run, each change and pause included, without the names of fields.
 func TestRecordedHistories(t *testing.T) {
 	played := map[string]string{}
 	play := func(name string, cfg Config) {
--- a/internal/cluster/rollout/simulation/measure_test.go
+++ b/internal/cluster/rollout/simulation/measure_test.go
@@ -14,7 +14,7 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// What a change costs while nothing is wrong, and while some are down, in virtual time.
+// The cost of a change in virtual time, without faults and while some gatherers are down.
 func TestPrice(t *testing.T) {
 	p99 := func(d []int64) time.Duration {
 		if len(d) == 0 {
@@ -40,7 +40,7 @@
 	}
 }
 
-// The register of versions is linearizable: what proposers were told, and what queries were let in under.
+// The register of versions is linearizable: what proposers were answered, and the versions that queries were admitted under.
 func TestRegister(t *testing.T) {
 	type input struct {
 		write      bool
@@ -71,7 +71,7 @@
 	}
 }
 
-// What the rollout adds to a query while nothing changes.
+// The cost of the admission of a query while nothing changes.
 func BenchmarkAdmit(b *testing.B) {
 	n, err := rollout.New(rollout.Config{Name: "a", Members: []rollout.Member{{Name: "a", Address: "a", Voter: true}}}, 1, rand.New(rand.NewPCG(1, 1)), rollout.PersistentState{Identity: 1})
 	if err != nil {
@@ -83,7 +83,7 @@
 	}
 }
 
-// What an ask of one of 300 gatherers costs a leader, with the answer; of which there are some 500 a second, and how many bytes both have.
+// The cost of a lease request of one of 300 gatherers for the leader, with the answer, and the bytes of both. There are some 500 a second.
 func BenchmarkLeader(b *testing.B) {
 	cfg := rollout.Config{Name: "n000"}
 	for i := range 300 {
--- a/internal/cluster/rollout/simulation/proof_test.go
+++ b/internal/cluster/rollout/simulation/proof_test.go
@@ -13,7 +13,7 @@
 	"testing"
 )
 
-// usual is a run of five voters and twenty others under faults at any step.
+// standardRun is a run of five voters and twenty others, with faults at any step.
 func standardRun(seed uint64) Config {
 	return Config{
 		Seed: seed, Voters: 5, Others: 20, Faults: 10, FaultsEnd: 12 * second, Length: 20 * second, ProposeInterval: 900 * ms, QueryInterval: 20 * ms, RejectSome: true, Loss: []float64{0, 0.02, 0.3}[seed%3],
@@ -21,12 +21,12 @@
 	}
 }
 
-// large is one of 300 gatherers.
+// largeRun is a run of 300 gatherers.
 func largeRun(seed uint64) Config {
 	return Config{Seed: seed, Voters: 5, Others: 295, Faults: 12, FaultsEnd: 8 * second, Length: 16 * second, ProposeInterval: 1500 * ms, QueryInterval: 50 * ms, Loss: 0.01}
 }
 
-// play plays runs side by side, and hands each result over, one at a time.
+// playAll plays runs concurrently, and hands over their results one at a time.
 func playAll(t *testing.T, seeds int, of func(uint64) Config, take func(seed uint64, r Result)) {
 	t.Helper()
 	var mu sync.Mutex
@@ -50,9 +50,9 @@
 	wg.Wait()
 }
 
-// Over many seeds, with faults at every step: nothing is let in under a version once anything was under a later one, nothing that was
-// told to be in force is lost, nothing is decided in two ways, and what is open is resolved once a majority is whole again.
-// SAFFRONQUAY_SEEDS plays more.
+// Over many seeds, with faults at every step: no query is admitted under a version after one was admitted under a later one, nothing that was
+// reported in force is lost, nothing is decided in two ways, and what is open is resolved when a majority is back. SAFFRONQUAY_SEEDS sets how many
+// seeds are played.
 func TestProof(t *testing.T) {
 	seeds, many := 1000, 20
 	if harness.Raced {
@@ -85,11 +85,11 @@
 		sum.Changes, sum.InForce, sum.Aborted, sum.Mixed, sum.Lost, sum.Resurrected, sum.Stuck, p99, sum.VoterChanges, sum.RosterChanges, sum.DisksLost, many)
 }
 
-// Each seeded bug is caught by the same judges, within the seeds that the proof plays.
+// Each seeded fault is caught by the same checks, within 1000 seeds.
 func TestSeededBugsAreCaught(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		from uint64 // the rarer ones are looked for where they are known to show
+		from uint64 // the rarer ones are searched where they are known to show
 		bugs rollout.Bugs
 	}{
 		{"a new leader does not wait", 0, rollout.Bugs{SkipLeaseWait: true}},
@@ -113,12 +113,12 @@
 					return
 				}
 			}
-			t.Error("1000 seeds, and nothing came of it")
+			t.Error("1000 seeds, and no violation")
 		})
 	}
 }
 
-// caught plays a run; that raft itself gives up over what a bug did is a catch as well.
+// runRecovering plays a run. A panic of raft over a seeded fault is returned as an error.
 func runRecovering(cfg Config) (r Result, err error) {
 	defer func() {
 		if x := recover(); x != nil {
@@ -128,16 +128,16 @@
 	return Run(cfg)
 }
 
-// Of three voters one was cut off when a version was put in force, and one of the two that agreed on it loses its disk: it and the one that
-// knows nothing make no majority. Once operators have given it a vote of its own, changes go on.
+// One of three voters is isolated while a version is put in force, and one of the two that committed it loses its disk: it and the isolated one make no
+// majority. When an operator has given it a vote of its own, changes go on.
 func TestLostDiskHasNoVote(t *testing.T) {
 	for _, bug := range []bool{false, true} {
 		cfg := Config{Seed: 5, Voters: 3, Others: 3, FaultsEnd: 16 * second, Length: 26 * second, QueryInterval: 20 * ms, Bugs: rollout.Bugs{VoteByName: bug}}
 		cfg.script = func(w *world) {
-			apart := func(of int, over int64) {
+			isolate := func(node int, duration int64) {
 				for i := range w.nodes {
-					w.cutLink(of, i, over)
-					w.cutLink(i, of, over)
+					w.cutLink(node, i, duration)
+					w.cutLink(i, node, duration)
 				}
 			}
 			change := func(at int64, base uint64, to int) {
@@ -147,10 +147,10 @@
 					w.submit(&proposal{request: &wire.Propose{Nonce: w.lastNonce, Base: base, Text: []byte{byte(w.lastNonce)}, By: "operator"}, proposedAt: w.now, target: to})
 				})
 			}
-			w.schedule(3*second, func() { apart(2, 6*second) })
+			w.schedule(3*second, func() { isolate(2, 6*second) })
 			change(3500*ms, 0, 0)
-			w.schedule(8900*ms, func() { w.loseDisk(w.nodes[1], 50*ms); apart(0, 5*second) })
-			change(10*second, 0, 2) // with the bug, who knows nothing puts another version 1 in force
+			w.schedule(8900*ms, func() { w.loseDisk(w.nodes[1], 50*ms); isolate(0, 5*second) })
+			change(10*second, 0, 2) // with the fault, the voters that know of no version put another version 1 in force
 			w.schedule(15*second, func() { w.restoreVote(w.nodes[1]) })
 			change(18*second, 1, 0)
 		}
@@ -161,7 +161,7 @@
 	}
 }
 
-// A leader that is cut off does not keep an operator waiting: it says that it can't tell, and the operator goes on to the others.
+// An isolated leader does not keep an operator waiting: it answers that the outcome is unknown, and the operator turns to the others.
 func TestCutOffLeaderSendsOn(t *testing.T) {
 	cfg := Config{Seed: 9, Voters: 3, Others: 1, FaultsEnd: 9 * second, Length: 14 * second, QueryInterval: 20 * ms}
 	var answers [4]int
--- a/internal/cluster/rollout/simulation/regions_cases_test.go
+++ b/internal/cluster/rollout/simulation/regions_cases_test.go
@@ -16,7 +16,7 @@
 	}
 }
 
-// few is how many seeds a case has; under the race detector one, since there are many cases.
+// seedCount is how many seeds a case has; under the race detector one, since there are many cases.
 func seedCount(n uint64) uint64 {
 	if harness.Raced {
 		return 1
@@ -24,11 +24,11 @@
 	return n
 }
 
-// when does something at the first moment, from a time on.
-func (w *world) whenever(from int64, moment func() bool, do func()) {
+// whenever does something as soon as a condition holds, from a time on.
+func (w *world) whenever(from int64, condition func() bool, do func()) {
 	var look func()
 	look = func() {
-		if moment() {
+		if condition() {
 			do()
 			return
 		}
@@ -46,7 +46,7 @@
 	return nil
 }
 
-// holds tells that somebody holds queries in a region.
+// regionPauses reports that a node of a region pauses queries.
 func (w *world) regionPauses(region int) bool {
 	for _, x := range w.nodes {
 		if x.running && x.region == region && x.core.IsPaused() {
@@ -56,7 +56,7 @@
 	return false
 }
 
-// leads is who leads a region.
+// regionLeader is a region's leader; nil: none is known.
 func (w *world) regionLeader(region int) *node {
 	for _, x := range w.nodes {
 		if x.running && x.region == region && x.core.IsLeader() {
@@ -66,7 +66,7 @@
 	return nil
 }
 
-// grants looks at how the regions stand with the global leader, while a proposal is open or none is.
+// regionGrantsMatch reports that all of the global leader's records of regions match, while a proposal is open, or while none is.
 func (w *world) regionGrantsMatch(open bool, such func(attempt uint64, g rollout.Grant) bool) bool {
 	x := w.globalLeader()
 	if x == nil || open != (x.core.GlobalOpenAttempt() != 0) {
@@ -80,46 +80,46 @@
 	return true
 }
 
-// fine judges a run whose regions were apart: both let in as before, and one version is in force soon afterwards.
+// checkPartitionedRun checks a run with a partition: both regions admit as before, and one version is in force soon afterwards.
 func checkPartitionedRun(t *testing.T, what string, cfg Config) Result {
 	t.Helper()
 	r, err := Run(cfg)
 	x := r.Regions
 	if err != nil || r.HasViolations() || x.ServedLeast[1] < 0.99*x.ServedLeast[0] || len(x.RejoinTimes) == 0 || x.RejoinTimes[len(x.RejoinTimes)-1] > 7*second {
-		t.Errorf("%s, seed %d: %v %s; let in %.4f, and %.4f while apart; joined again after %v us; %d everywhere, %d in some regions; %v", what, cfg.Seed, err, r.FirstViolation, x.ServedLeast[0], x.ServedLeast[1], x.RejoinTimes,
+		t.Errorf("%s, seed %d: %v %s; admitted %.4f, and %.4f while partitioned; joined again after %v us; %d everywhere, %d in some regions; %v", what, cfg.Seed, err, r.FirstViolation, x.ServedLeast[0], x.ServedLeast[1], x.RejoinTimes,
 			x.InForceEverywhere, x.InForcePartly, r.AbortReasons)
 	}
 	return r
 }
 
-// The regions are cut from each other in the middle of a judgement, of a hold, and of a commit, both ways or one way. The one without the
-// global majority stands still, as long as it hears nothing, and its gatherers tell so; the other one goes on changing.
+// The regions are partitioned in the middle of a validation, of a pause, and of a commit, both ways or one way. The region without the global majority
+// keeps its version as long as it receives nothing, and its gatherers report that; the other one goes on changing.
 func TestCutInTheMiddle(t *testing.T) {
 	moments := map[string]func(w *world) bool{
-		"judge": func(w *world) bool {
+		"validating": func(w *world) bool {
 			return w.regionGrantsMatch(true, func(attempt uint64, g rollout.Grant) bool { return g.Ready != attempt })
 		},
 		"ready": func(w *world) bool {
 			return w.regionGrantsMatch(true, func(attempt uint64, g rollout.Grant) bool { return g.Ready == attempt })
 		},
-		"hold": func(w *world) bool { return w.regionPauses(0) && !w.regionPauses(1) },
-		"held": func(w *world) bool { return w.regionPauses(0) && w.regionPauses(1) },
+		"pausing": func(w *world) bool { return w.regionPauses(0) && !w.regionPauses(1) },
+		"paused":  func(w *world) bool { return w.regionPauses(0) && w.regionPauses(1) },
 		"commit": func(w *world) bool {
 			return w.regionGrantsMatch(true, func(attempt uint64, g rollout.Grant) bool { return g.Paused == attempt })
 		},
-		"told": func(w *world) bool {
+		"committed": func(w *world) bool {
 			return w.regionPauses(1) && w.regionGrantsMatch(false, func(uint64, rollout.Grant) bool { return true })
 		},
 	}
 	for name, moment := range moments {
-		if harness.Raced && name != "hold" && name != "told" {
+		if harness.Raced && name != "pausing" && name != "committed" {
 			continue // the others are played without the race detector
 		}
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			for seed := range seedCount(6) {
 				oneWay := int(seed % 3)
-				var still, told bool
+				var unchanged, reported bool
 				cfg := twoRegions(seed, func(w *world) {
 					w.whenever(14*second, func() bool { return moment(w) }, func() {
 						w.partitionRegions(Partition{Duration: 16 * second, OneWay: oneWay})
@@ -128,13 +128,13 @@
 							w.schedule(11*second, func() {
 								x := w.nodes[w.Voters+1]
 								s, _ := x.core.Region(w.localTime(x))
-								still, told = x.core.Number() == was && w.nodes[0].core.Number() > was, s.IsolatedFor > 12*second && s.IsolatedFor < 16*second && s.Number == was
+								unchanged, reported = x.core.Number() == was && w.nodes[0].core.Number() > was, s.IsolatedFor > 12*second && s.IsolatedFor < 16*second && s.Number == was
 							})
 						})
 					})
 				})
-				if r := checkPartitionedRun(t, name, cfg); oneWay != 2 && (!still || !told) || r.Regions.InForcePartly == 0 {
-					t.Errorf("seed %d: it stood still: %t, told so: %t; %d changes in one region", seed, still, told, r.Regions.InForcePartly)
+				if r := checkPartitionedRun(t, name, cfg); oneWay != 2 && (!unchanged || !reported) || r.Regions.InForcePartly == 0 {
+					t.Errorf("seed %d: the version is unchanged: %t, reported: %t; %d changes in one region", seed, unchanged, reported, r.Regions.InForcePartly)
 				}
 			}
 		})
@@ -148,12 +148,12 @@
 			w.schedule(14*second, func() { w.partitionRegions(Partition{Duration: 20 * second, FlapPeriod: second}) })
 		}))
 		if r.Regions.InForceEverywhere == 0 {
-			t.Errorf("seed %d: nothing took hold", seed)
+			t.Errorf("seed %d: no change is in force everywhere", seed)
 		}
 	}
 }
 
-// While the regions are apart the leader of each dies, and so does the next one.
+// While the regions are partitioned the leader of each dies, and so does the next one.
 func TestLeaderDiesWhileCutOff(t *testing.T) {
 	for seed := range seedCount(4) {
 		checkPartitionedRun(t, "a leader dies", twoRegions(seed, func(w *world) {
@@ -171,8 +171,8 @@
 	}
 }
 
-// The leader of a region dies while the region is prepared: the one after it knows what was promised, and the region is not let go before the
-// global agreement's end of it is known, or the lease of the one before is over.
+// The leader of a region dies while the region is prepared: the next one finds that in the log, and does not release the region before the global
+// agreement's decision is known, or the lease of the leader before is over.
 func TestLeaderDiesPrepared(t *testing.T) {
 	for seed := range seedCount(6) {
 		r, err := Run(twoRegions(seed, func(w *world) {
@@ -208,35 +208,35 @@
 	}
 }
 
-// A gatherer and a voter of the region that is cut off are started again: their region's leader lets them in again, under its version.
+// A gatherer and a voter of the isolated region are started again: they get a lease of their region's leader, and admit under its version.
 func TestRestartWhileCutOff(t *testing.T) {
 	for seed := range seedCount(4) {
-		lets := 0
+		admitting := 0
 		checkPartitionedRun(t, "restarts", twoRegions(seed, func(w *world) {
 			w.schedule(14*second, func() { w.partitionRegions(Partition{Duration: 16 * second}) })
 			for _, x := range []*node{w.nodes[w.Voters+1], w.nodes[7]} {
 				w.schedule(19*second, func() { w.kill(x, 500*ms) })
 				w.schedule(21*second, func() {
 					if v, n, _ := x.core.Admit(w.localTime(x)); v == rollout.Admitted && n == w.nodes[1].core.Number() {
-						lets++
+						admitting++
 					}
 				})
 			}
 		}))
-		if lets != 2 {
-			t.Errorf("seed %d: %d of two let in again", seed, lets)
+		if admitting != 2 {
+			t.Errorf("seed %d: %d of two admit again", seed, admitting)
 		}
 	}
 }
 
-// The roster changes while the regions are apart: at once in the one with the majority, in the other one when they are joined. What of the
-// budgets the one gives up the other one has only a version later.
+// The roster changes while the regions are partitioned: immediately in the one with the majority, in the other one when they are joined. What one region
+// gives up of the budgets the other one gets only a version later.
 func TestRosterChangesWhileCutOff(t *testing.T) {
 	for seed := range seedCount(4) {
 		var meanwhile, after [3]bool
 		var parts string
 		checkPartitionedRun(t, "roster", twoRegions(seed, func(w *world) {
-			lets := func() (all [3]bool) {
+			admit := func() (all [3]bool) {
 				for i, at := range []int{24, 25, 11} { // two spares, and one that is taken off
 					v, _, _ := w.nodes[at].core.Admit(w.localTime(w.nodes[at]))
 					all[i] = v == rollout.Admitted
@@ -253,19 +253,19 @@
 				change(&wire.Propose{Add: []*wire.Member{{Name: "n024", Address: "n024", Region: "r0"}, {Name: "n025", Address: "n025", Region: "r1"}}})
 				change(&wire.Propose{Remove: []string{"n011", "n013"}})
 			})
-			w.schedule(28*second, func() { meanwhile = lets() })
+			w.schedule(28*second, func() { meanwhile = admit() })
 			w.schedule(47*second, func() {
-				after = lets()
+				after = admit()
 				parts = fmt.Sprint(w.partTexts[w.nodes[0].core.Number()])
 			})
 		}))
 		if meanwhile != [3]bool{true, false, true} || after != [3]bool{true, true, false} || parts != "parts r0=541666 r1=458333" {
-			t.Errorf("seed %d: let in while apart %v, and joined %v; %s", seed, meanwhile, after, parts)
+			t.Errorf("seed %d: admitted while partitioned %v, and joined %v; %s", seed, meanwhile, after, parts)
 		}
 	}
 }
 
-// A contract is halved, and the regions are cut right then: the one that is cut off goes on with its part of the whole one.
+// A contract is halved, and the regions are partitioned right then: the isolated one goes on with its part of the full contract.
 func TestCutRightAfterAContractWasHalved(t *testing.T) {
 	for seed := range seedCount(4) {
 		r := checkPartitionedRun(t, "halved", twoRegions(seed, func(w *world) {
@@ -279,7 +279,7 @@
 	}
 }
 
-// A third place has nothing but one global voter: whichever region it still reaches goes on changing, and it never lets anything in.
+// A third place has one global voter and nothing else: whichever region it still reaches goes on changing, and it never admits a query.
 func TestWitness(t *testing.T) {
 	cfg := twoRegions(1, func(w *world) {
 		w.schedule(14*second, func() { w.partitionRegions(Partition{Duration: 16 * second}) })
@@ -287,6 +287,6 @@
 	cfg.Witness = true
 	r := checkPartitionedRun(t, "witness", cfg)
 	if r.Regions.InForcePartly == 0 {
-		t.Errorf("no change took hold while the regions were apart: %v", r.AbortReasons)
+		t.Errorf("no change is in force while the regions are partitioned: %v", r.AbortReasons)
 	}
 }
--- a/internal/cluster/rollout/simulation/regions_proof_test.go
+++ b/internal/cluster/rollout/simulation/regions_proof_test.go
@@ -10,7 +10,7 @@
 	"testing"
 )
 
-// apart is a run of 600 gatherers in two regions, 30 to 60 ms from each other, nine of them down, whose regions are cut from each other.
+// partitionedRun is a run of 600 gatherers in two regions, 30 to 60 ms from each other, nine of them down, whose regions are partitioned.
 func partitionedRun(seed uint64) Config {
 	cfg := Config{
 		Seed: seed, Regions: 2, Voters: 10, Others: 590, GlobalVoters: 5, RegionDelay: 60 * ms, Down: 9, StartAt: 3 * second, FaultsEnd: 39 * second, Length: 44 * second, ProposeInterval: 2 * second,
@@ -28,12 +28,12 @@
 	return cfg
 }
 
-// busy has everybody want much of one team's budget, and some more than others.
+// busyDemand has every node want much of one team's budget, and some more than others.
 func busyDemand(_ int64, node int) []quota.Demand {
 	return []quota.Demand{{Team: "busy", Want: uint32(20_000 * (node % 5))}}
 }
 
-// between is a run of 24 gatherers in two regions under faults of all kinds at any step, and cuts between the regions.
+// regionFaultRun is a run of 24 gatherers in two regions, with faults of all kinds at any step and partitions between the regions.
 func regionFaultRun(seed uint64) Config {
 	return Config{
 		Seed: seed, Regions: 2, Voters: 10, Others: 14, GlobalVoters: 5, RegionDelay: 60 * ms, FaultsEnd: 14 * second, Length: 26 * second, ProposeInterval: 900 * ms, QueryInterval: 20 * ms, Faults: 10, RejectSome: true,
@@ -42,7 +42,7 @@
 	}
 }
 
-// p99 is of microseconds, in milliseconds.
+// p99 is the 99th percentile of microseconds, in milliseconds.
 func p99(d []int64) int64 {
 	if len(d) == 0 {
 		return 0
@@ -51,11 +51,11 @@
 	return d[len(d)*99/100] / ms
 }
 
-// Over seeds at 600 gatherers in two regions that are cut from each other, both ways, one way and every second, and over seeds of small fleets
-// with all other faults besides: gatherers of both regions go on letting in, within a region nothing is let in under a version after anything
-// was under a later one, over the regions neither as long as they have their lease, a number stands for one document, budgets are kept, proposers
-// are told of no region where a version is not in force, and joined again there is one version soon. Beside it today's agreement. Under the
-// race detector there are fewer seeds. SAFFRONQUAY_SEEDS plays more of the small ones.
+// Over seeds of 600 gatherers in two partitioned regions, both ways, one way and flapping, and over seeds of small fleets with all other faults besides:
+// gatherers of both regions go on admitting; within a region no query is admitted under a version after one was under a later one, and neither across
+// regions while they have their lease; a number stands for one document; budgets are kept; no answer names a region where the version is not in
+// force; and after a partition there is one version soon. The last run is the baseline, an agreement that ignores regions. Under the race detector
+// there are fewer seeds. SAFFRONQUAY_SEEDS sets how many of the small ones are played.
 func TestProofRegions(t *testing.T) {
 	many, small, joined, found := 6, 60, 2, []uint64{142, 621, 817} // these have found faults
 	if harness.Raced {
@@ -84,7 +84,7 @@
 		x := r.Regions
 		now := x.ServedLeast[1] / x.ServedLeast[0]
 		if served = min(served, now); now < 0.99 || x.InForceEverywhere == 0 || x.ReportedIsolated == 0 || x.InForcePartly == 0 && seed%6 != 5 {
-			t.Errorf("seed %d: of what was let in before %.4f was while they were apart; %d changes everywhere, %d in some, told behind %d times", seed, now, x.InForceEverywhere, x.InForcePartly, x.ReportedIsolated)
+			t.Errorf("seed %d: of what was admitted before %.4f was while partitioned; %d changes everywhere, %d in some regions, reported isolated %d times", seed, now, x.InForceEverywhere, x.InForcePartly, x.ReportedIsolated)
 		}
 		rejoined = append(rejoined, x.RejoinTimes...)
 	}))
@@ -128,13 +128,13 @@
 		sum.Regions.MixedInRegion, sum.Regions.AmbiguousVersions, sum.Regions.OverBudget, p99(rejoined), sum.Stuck)
 }
 
-// Both seeded bugs are caught by the same judges, within the seeds that the proof plays.
+// Both seeded faults are caught by the same checks, within 1000 seeds.
 func TestSeededBugsOfRegionsAreCaught(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		from uint64 // the rarer one is looked for where it is known to show
+		from uint64 // the rarer one is searched where it is known to show
 		bugs rollout.Bugs
-	}{{"held is told before the region's log has it", 20, rollout.Bugs{PausedBeforeLogged: true}}, {"everywhere is told before the regions have said so", 0, rollout.Bugs{ReportedEverywhere: true}}} {
+	}{{"a pause is reported before the region's log has it", 20, rollout.Bugs{PausedBeforeLogged: true}}, {"everywhere is answered before the regions have reported it", 0, rollout.Bugs{ReportedEverywhere: true}}} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			for seed := c.from; seed < c.from+1000; seed++ {
@@ -145,7 +145,7 @@
 					return
 				}
 			}
-			t.Error("1000 seeds, and nothing came of it")
+			t.Error("1000 seeds, and no violation")
 		})
 	}
 }
