--- a/internal/cluster/swim/core_test.go
+++ b/internal/cluster/swim/core_test.go
@@ -1,6 +1,7 @@
 package swim
 
 import (
+	"errors"
 	"fmt"
 	"math/rand/v2"
 	"net/netip"
@@ -16,13 +17,13 @@
 
 const second = int64(1_000_000)
 
-func addr(i int) netip.AddrPort {
+func testAddress(i int) netip.AddrPort {
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, byte(i + 1)}), 7000)
 }
 
 func newCore(t testing.TB, name string, i int, join ...netip.AddrPort) *Core {
 	t.Helper()
-	c, err := New(Config{Fleet: "f", Name: name, Start: 100, Address: addr(i), Join: join}, second, rand.New(rand.NewPCG(1, uint64(i))))
+	c, err := New(Config{Fleet: "f", Name: name, Start: 100, Address: testAddress(i), Join: join}, second, rand.New(rand.NewPCG(1, uint64(i))))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -30,15 +31,15 @@
 }
 
 func record(name string, start uint64, inc uint32, s State) Record {
-	r := Record{Name: name, Start: start, Incarnation: inc, State: s, Address: addr(9)}
+	r := Record{Name: name, Start: start, Incarnation: inc, State: s, Address: testAddress(9)}
 	if s == Suspected {
 		r.Accusers = []string{"x"}
 	}
 	return r
 }
 
-// Whatever order records of one name come in, and however often, the one that prevails is the same; deaths that are only told are
-// believed once nobody refutes them.
+// The record that prevails is the same in whatever order, and however often, the records of one name arrive. A reported death is accepted after
+// it was not refuted.
 func TestRecordsInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var all []Record
@@ -47,20 +48,20 @@
 		}
 		best := all[0]
 		for _, r := range all[1:] {
-			if r.over(best) {
+			if r.prevailsOver(best) {
 				best = r
 			}
 		}
-		c, err := New(Config{Fleet: "f", Name: "me", Start: 100, Address: addr(0)}, second, rand.New(rand.NewPCG(1, 1)))
+		c, err := New(Config{Fleet: "f", Name: "me", Start: 100, Address: testAddress(0)}, second, rand.New(rand.NewPCG(1, 1)))
 		if err != nil {
 			t.Fatal(err)
 		}
 		order := rapid.Permutation(append(slices.Clone(all), all...)).Draw(t, "order")
 		now := second
 		for _, r := range order {
-			c.apply(now, r, 0)
+			c.merge(now, r, 0)
 		}
-		for range 100 { // nobody answers: what is suspected or told to be dead is dead in the end
+		for range 100 { // without acks a member that is suspected or reported dead is dead in the end
 			now = max(now, c.NextTick())
 			c.Tick(now)
 		}
@@ -74,15 +75,15 @@
 	})
 }
 
-// What is said of this process itself.
-func TestOfSelf(t *testing.T) {
+// Records about this process itself.
+func TestRecordsAboutSelf(t *testing.T) {
 	for _, x := range []struct {
-		what  string
-		r     Record
-		inc   uint32
-		start uint64
-		kind  EventKind
-		told  bool
+		what    string
+		r       Record
+		inc     uint32
+		start   uint64
+		kind    EventKind
+		emitted bool
 	}{
 		{"suspected", record("me", 100, 0, Suspected), 1, 100, EventRefuted, true},
 		{"dead, with a later incarnation", record("me", 100, 7, Dead), 8, 100, EventRefuted, true},
@@ -93,46 +94,46 @@
 	} {
 		c := newCore(t, "me", 0)
 		c.TakeOutput()
-		c.apply(2*second, x.r, 0)
-		told := false
+		c.merge(2*second, x.r, 0)
+		emitted := false
 		for _, e := range c.TakeOutput().Events {
-			told = told || e.Kind == x.kind
+			emitted = emitted || e.Kind == x.kind
 		}
-		if s := c.Self(); s.Incarnation != x.inc || s.Start != x.start || told != x.told {
-			t.Errorf("%s: incarnation %d, start %d, told %t", x.what, s.Incarnation, s.Start, told)
+		if s := c.Self(); s.Incarnation != x.inc || s.Start != x.start || emitted != x.emitted {
+			t.Errorf("%s: incarnation %d, start %d, emitted %t", x.what, s.Incarnation, s.Start, emitted)
 		}
 	}
-	// One of whom a later start is known is no member, and becomes one again when that is over.
+	// A process is no member while a later start of its name is known, and rejoins after that one has left.
 	c := newCore(t, "me", 0)
-	c.apply(2*second, record("me", 200, 0, Alive), 0)
+	c.merge(2*second, record("me", 200, 0, Alive), 0)
 	if v := c.View(2 * second); !v.Superseded || !v.NameConflict || v.AliveCount != 1 || len(v.Members) != 1 || v.Members[0].Start != 200 {
 		t.Errorf("%+v", v)
 	}
-	c.apply(3*second, record("me", 200, 0, Left), 0)
+	c.merge(3*second, record("me", 200, 0, Left), 0)
 	if v := c.View(3 * second); v.Superseded || v.AliveCount != 1 || !v.Members[0].Self || v.Members[0].Start <= 200 {
 		t.Errorf("%+v", v)
 	}
 }
 
-// Members alive now and members to reckon with, and what an operator may have forgotten.
-func TestReckon(t *testing.T) {
+// The number of members alive, the effective size, and which members an operator may have forgotten.
+func TestEffectiveSize(t *testing.T) {
 	c := newCore(t, "me", 0)
 	for i := range 10 {
-		c.apply(2*second, record(fmt.Sprint("m", i), 1, 0, Alive), 0)
+		c.merge(2*second, record(fmt.Sprint("m", i), 1, 0, Alive), 0)
 	}
-	c.apply(2*second, record("old", 1, 0, Dead), 400*second) // dead for longer than it counts
-	c.apply(2*second, record("lost", 1, 0, Dead), 100*second)
+	c.merge(2*second, record("old", 1, 0, Dead), 400*second) // dead for longer than it counts
+	c.merge(2*second, record("lost", 1, 0, Dead), 100*second)
 	if a, r := c.AliveCount(), c.EffectiveSize(2*second); a != 11 || r != 12 {
-		t.Errorf("alive %d, reckoned with %d", a, r)
+		t.Errorf("alive %d, effective size %d", a, r)
 	}
 	if r := c.EffectiveSize(202 * second); r != 11 {
-		t.Errorf("later it is reckoned with %d", r)
+		t.Errorf("later the effective size is %d", r)
 	}
 	if err := c.Forget(2*second, "m1"); err == nil {
 		t.Error("a live one is forgotten")
 	}
 	if err := c.Forget(2*second, "lost"); err != nil || c.EffectiveSize(2*second) != 11 {
-		t.Errorf("%v, reckoned with %d", err, c.EffectiveSize(2*second))
+		t.Errorf("%v, effective size %d", err, c.EffectiveSize(2*second))
 	}
 	c.Leave(3 * second)
 	if a := c.AliveCount(); a != 10 || c.HasLeft(3*second) {
@@ -140,11 +141,11 @@
 	}
 }
 
-func TestFollower(t *testing.T) {
+func TestDivisor(t *testing.T) {
 	var f Divisor
 	for _, x := range []struct {
-		at           int64
-		reckon, want int
+		at         int64
+		size, want int
 	}{
 		{0, 300, 300},
 		{1, 310, 310},
@@ -156,23 +157,23 @@
 		{4 * second, 0, 400},
 		{5 * second, 399, 399},
 	} {
-		if n, _ := f.Update(x.at, x.reckon); n != x.want {
-			t.Errorf("at %d, of %d: %d, want %d", x.at, x.reckon, n, x.want)
+		if n, _ := f.Update(x.at, x.size); n != x.want {
+			t.Errorf("at %d, of %d: %d, want %d", x.at, x.size, n, x.want)
 		}
 	}
 }
 
-// What is not a datagram of this fleet changes nothing, and is counted.
+// A datagram that is malformed or of another fleet does not change the view, and is counted as dropped.
 func TestDropped(t *testing.T) {
 	allowed := netip.MustParsePrefix("127.0.0.0/8")
-	c, err := New(Config{Fleet: "f", Name: "me", Start: 1, Address: addr(0), Allowed: allowed.Contains}, second, rand.New(rand.NewPCG(1, 1)))
+	c, err := New(Config{Fleet: "f", Name: "me", Start: 1, Address: testAddress(0), Allowed: allowed.Contains}, second, rand.New(rand.NewPCG(1, 1)))
 	if err != nil {
 		t.Fatal(err)
 	}
 	packet := func(fleet, from, address string, news ...*wire.Member) []byte {
-		p := &wire.Packet{Fleet: fleet, Kind: ping, From: from, Start: 1, Address: address}
+		p := &wire.Packet{Fleet: fleet, Kind: packetPing, From: from, Start: 1, Address: address}
 		for _, m := range news {
-			p.News = append(p.News, encoded(Record{Name: m.Name, Start: 1, State: Alive, Address: netip.MustParseAddrPort(m.Address)}, 0))
+			p.News = append(p.News, encodeRecord(Record{Name: m.Name, Start: 1, State: Alive, Address: netip.MustParseAddrPort(m.Address)}, 0))
 		}
 		return seal(p)
 	}
@@ -194,7 +195,7 @@
 		{"no name", packet("f", "", "127.0.0.5:1"), ErrMalformed},
 		{"no address", packet("f", "a", "127.0.0.5"), ErrMalformed},
 	} {
-		if err := c.HandleDatagram(second, x.b); err != x.err {
+		if err := c.HandleDatagram(second, x.b); !errors.Is(err, x.err) {
 			t.Errorf("%s: %v", x.what, err)
 		}
 	}
@@ -205,30 +206,30 @@
 		t.Errorf("%v, %d alive", err, c.AliveCount())
 	}
 	if err := c.HandleDatagram(second, packet("f", "a", "127.0.0.5:1", &wire.Member{Name: "c", Address: "10.0.0.1:1"})); err != nil || c.AliveCount() != 2 {
-		t.Errorf("a rumour points outside: %v, %d alive", err, c.AliveCount())
+		t.Errorf("a record with an address outside: %v, %d alive", err, c.AliveCount())
 	}
 }
 
-// reseal mends a datagram's checksum.
+// reseal recomputes a datagram's checksum.
 func reseal(b []byte) {
 	sum := checksum(b[4:])
 	b[0], b[1], b[2], b[3] = byte(sum>>24), byte(sum>>16), byte(sum>>8), byte(sum)
 }
 
-// Any bytes: no panic, and no member that nobody told of; with a right checksum no more than what is in them, within bounds.
+// Any bytes: no panic, and no member whose name is not in them. Without a correct checksum no member at all.
 func FuzzCore(f *testing.F) {
-	p := &wire.Packet{Fleet: "f", Kind: ping, From: "a", Start: 1, Address: "127.0.0.5:1", News: [][]byte{encoded(record("b", 1, 2, Suspected), 0)}}
+	p := &wire.Packet{Fleet: "f", Kind: packetPing, From: "a", Start: 1, Address: "127.0.0.5:1", News: [][]byte{encodeRecord(record("b", 1, 2, Suspected), 0)}}
 	f.Add(seal(p), false)
-	f.Add(seal(p)[headBytes:], true)
-	f.Add(seal(&wire.Frame{Fleet: "f", Kind: sums, From: "a", Start: 1, Address: "127.0.0.5:1", Members: []*wire.Member{words(record("b", 1, 2, Dead), 0)}})[headBytes:], true)
-	f.Fuzz(func(t *testing.T, b []byte, mended bool) {
+	f.Add(seal(p)[headerBytes:], true)
+	f.Add(seal(&wire.Frame{Fleet: "f", Kind: frameDigests, From: "a", Start: 1, Address: "127.0.0.5:1", Members: []*wire.Member{toWire(record("b", 1, 2, Dead), 0)}})[headerBytes:], true)
+	f.Fuzz(func(t *testing.T, b []byte, resealed bool) {
 		c := newCore(t, "me", 0)
-		if mended {
-			b = append([]byte{0, 0, 0, 0, form}, b...)
+		if resealed {
+			b = append([]byte{0, 0, 0, 0, formatVersion}, b...)
 			reseal(b)
 		}
 		c.HandleDatagram(second, b)
-		if !mended && len(c.members) > 0 && checksum(b[4:]) != uint32(b[0])<<24|uint32(b[1])<<16|uint32(b[2])<<8|uint32(b[3]) {
+		if !resealed && len(c.members) > 0 && checksum(b[4:]) != uint32(b[0])<<24|uint32(b[1])<<16|uint32(b[2])<<8|uint32(b[3]) {
 			t.Fatal("a member came of bytes without a checksum")
 		}
 		c.HandleFrame(second, b)
@@ -237,17 +238,17 @@
 		}
 		for name, m := range c.members {
 			if CheckName(name) != nil || !strings.Contains(string(b), name) || !m.Address.IsValid() {
-				t.Fatalf("%q was invented", name)
+				t.Fatalf("%q is not in the bytes", name)
 			}
 		}
 	})
 }
 
 func ExampleCore() {
-	a, _ := New(Config{Fleet: "f", Name: "a", Start: 1, Address: addr(0)}, second, rand.New(rand.NewPCG(1, 1)))
-	b, _ := New(Config{Fleet: "f", Name: "b", Start: 1, Address: addr(1), Join: []netip.AddrPort{addr(0)}}, second, rand.New(rand.NewPCG(1, 2)))
+	a, _ := New(Config{Fleet: "f", Name: "a", Start: 1, Address: testAddress(0)}, second, rand.New(rand.NewPCG(1, 1)))
+	b, _ := New(Config{Fleet: "f", Name: "b", Start: 1, Address: testAddress(1), Join: []netip.AddrPort{testAddress(0)}}, second, rand.New(rand.NewPCG(1, 2)))
 	b.Tick(b.NextTick())
-	for _, open := range b.TakeOutput().Exchanges { // a driver sends the frame to open.To, and brings back what is answered
+	for _, open := range b.TakeOutput().Exchanges { // a driver sends the frame to open.To, and hands back the reply
 		answer, _ := a.HandleFrame(2*second, open.Frame)
 		b.HandleFrame(2*second, answer)
 	}
@@ -255,16 +256,16 @@
 	// Output: 2 2
 }
 
-// A step with a datagram that has nothing new, with ten records that are, and a tick, in a fleet of some size.
+// The cost of a datagram without new records, of one with ten new records, and of a tick, by the size of the fleet.
 func BenchmarkStep(b *testing.B) {
 	for _, n := range []int{30, 300, 1000} {
 		c := newCore(b, "me", 0)
 		for i := range n {
 			r := record(fmt.Sprintf("m%04d", i), 1, 0, Alive)
-			c.apply(second, r, 0)
+			c.merge(second, r, 0)
 		}
-		c.news = news{}
-		quiet := seal(&wire.Packet{Fleet: "f", Kind: ping, From: "m0001", Start: 1, Address: addr(9).String(), Digest: c.digest})
+		c.broadcasts = broadcastQueue{}
+		quiet := seal(&wire.Packet{Fleet: "f", Kind: packetPing, From: "m0001", Start: 1, Address: testAddress(9).String(), Digest: c.digest})
 		b.Run(fmt.Sprintf("quiet/%d", n), func(b *testing.B) {
 			b.ReportAllocs()
 			for range b.N {
@@ -276,9 +277,9 @@
 			b.ReportAllocs()
 			for i := range b.N {
 				b.StopTimer()
-				p := &wire.Packet{Fleet: "f", Kind: ping, From: "m0001", Start: 1, Address: addr(9).String(), Digest: c.digest}
+				p := &wire.Packet{Fleet: "f", Kind: packetPing, From: "m0001", Start: 1, Address: testAddress(9).String(), Digest: c.digest}
 				for j := range 10 {
-					p.News = append(p.News, encoded(record(fmt.Sprintf("m%04d", (i*10+j)%n), 1, uint32(1+i), Alive), 0))
+					p.News = append(p.News, encodeRecord(record(fmt.Sprintf("m%04d", (i*10+j)%n), 1, uint32(1+i), Alive), 0))
 				}
 				x := seal(p)
 				b.StartTimer()
@@ -293,8 +294,8 @@
 				now = max(now, c.NextTick())
 				c.Tick(now)
 				c.TakeOutput()
-				for _, m := range c.present { // everybody is heard, so that nobody dies
-					m.heard = now
+				for _, m := range c.present { // a member is heard, so that it does not die
+					m.lastHeard = now
 					break
 				}
 				c.probe = nil
