--- a/internal/broker/server/fleet_view.go
+++ b/internal/broker/server/fleet_view.go
@@ -165,7 +165,7 @@
 	m.currentDivisor.Store(int64(n))
 	logging.Info(g.logger, logging.PeersReckon, "members", m.effectiveSize, "divide", n)
 	g.engine.Reconfigure(g.coreTerms(), g.moduleSettings(), g.poolConfig(), g.dialect)
-	g.engine.Contracts(g.dividedContracts())
+	g.engine.SetContracts(g.dividedContracts())
 }
 
 // module is the module's settings, with the view's number where it is followed.
--- a/internal/broker/server/gatherer.go
+++ b/internal/broker/server/gatherer.go
@@ -30,10 +30,10 @@
 	logger             *slog.Logger
 	clock              transport.Clock
 	engine             *transport.Engine
-	watcher            *transport.Watcher // nil: the list of servers is fixed
-	routes             *transport.Routes  // nil: no layout
-	virtual            *virtualService    // nil: no virtual address
-	admin              *transport.Door    // nil: off
+	watcher            *transport.Watcher       // nil: the list of servers is fixed
+	routes             *transport.Routes        // nil: no layout
+	virtual            *virtualService          // nil: no virtual address
+	admin              *transport.AdminListener // nil: off
 	lifecycle          *adminapi.Lifecycle
 	metrics            *adminapi.Metrics
 	publishedFleetView atomic.Pointer[fleetView]          // the same as fleetView, for operators' calls
@@ -42,7 +42,7 @@
 	policyNumber       atomic.Uint64                      // of the policy in force here
 	currentFile        atomic.Pointer[config.Operator]    // the file, with the policy in force
 	installs           chan installRequest                // policies to be put in force
-	siblings           *transport.Beside                  // nil: no socket is passed, so nobody replaces this process or is replaced by it
+	siblings           *transport.StateExchange           // nil: no socket is passed, so nobody replaces this process or is replaced by it
 	siblingStates      chan []handover.State              // what other processes of this gatherer told
 	electionPending    bool                               // it could not take part in VRRP's election
 	siblingSockets     int                                // descriptors that they hold
@@ -221,7 +221,7 @@
 		if err != nil {
 			return fmt.Errorf("operator: %w", err)
 		}
-		g.admin = transport.NewDoor(l, adminProgram{g.lifecycle, g.metrics, g.routes, g.logOutput, g.engine, g.publishedFleetView.Load, g.policyNode.Load}, g.logger)
+		g.admin = transport.NewAdminListener(l, adminProgram{g.lifecycle, g.metrics, g.routes, g.logOutput, g.engine, g.publishedFleetView.Load, g.policyNode.Load}, g.logger)
 		go g.admin.Serve()
 		door = l.Addr().String()
 	}
@@ -230,7 +230,7 @@
 		return fmt.Errorf("listen: %w", err)
 	}
 	if d := g.durable; d != nil && d.store != nil {
-		g.engine.Recall(d.memory)
+		g.engine.RestoreMemory(d.memory)
 	}
 	g.takeOver()
 	bounds := g.listenerConfig()
@@ -310,20 +310,20 @@
 		return fmt.Errorf("configuration: settings: %w", err)
 	}
 	g.engine = transport.NewEngine(g.clock, core.New(g.coreTerms(), module), g.poolConfig(), g.dialect, g.metrics, g.logger)
-	g.engine.Contracts(g.contracts)
-	g.engine.Fleet(g.fleet, g.addresses)
+	g.engine.SetContracts(g.contracts)
+	g.engine.UpdateFleet(g.fleet, g.addresses)
 	if g.newWatcher != nil {
 		g.watcher = g.newWatcher(g.engine)
-		g.engine.Watch, g.engine.Fetch = g.watcher.Begin, g.watcher.Begin
+		g.engine.Watch, g.engine.Fetch = g.watcher.RequestWatch, g.watcher.RequestWatch
 	}
 	if g.layout != nil {
 		cfg := transport.RoutesConfig{Directory: g.layout.Directory, Stall: g.layout.Stall}
-		g.routes, err = transport.NewRoutes(cfg, g.durable.newestLayout(g.layout.Document, g.serverIDs()), g.serverIDs(), g.clock, g.currentLayout, g.engine.Layout,
+		g.routes, err = transport.NewRoutes(cfg, g.durable.newestLayout(g.layout.Document, g.serverIDs()), g.serverIDs(), g.clock, g.currentLayout, g.engine.UpdateLayout,
 			g.metrics.LayoutCounts, g.logger)
 		if err != nil {
 			return fmt.Errorf("configuration: %w", err)
 		}
-		g.engine.Refresh = g.routes.Refresh
+		g.engine.RefreshLayout = g.routes.Refresh
 	}
 	return nil
 }
@@ -365,7 +365,7 @@
 	if d.routes == nil {
 		return nil
 	}
-	return d.routes.Layout(dst)
+	return d.routes.AppendStatus(dst)
 }
 
 // applyLog has the log written as the file says.
@@ -398,7 +398,7 @@
 	t := time.NewTimer(firstListTimeout)
 	defer t.Stop()
 	select {
-	case <-g.routes.Heard():
+	case <-g.routes.Synced():
 	case <-t.C:
 		logging.Warn(g.logger, logging.Start, "layout", "given", "waited", firstListTimeout)
 	}
@@ -452,19 +452,19 @@
 // operators need.
 func (g *Gatherer) listenerConfig() transport.ListenerConfig {
 	b := transport.ListenerConfig{
-		MaxConns: g.availableSockets() - g.maxServerConns() - reservedSockets, Enough: min(g.availableSockets(), smallMachineSockets) / 4,
-		Idle: 15 * time.Second, First: 2500 * time.Millisecond, Slow: 2500 * time.Millisecond,
-		MaxHeld: int64(g.memoryMB) << 20 / 8,
+		MaxConns: g.availableSockets() - g.maxServerConns() - reservedSockets, MaxKeepAlive: min(g.availableSockets(), smallMachineSockets) / 4,
+		IdleTimeout: 15 * time.Second, FirstRequestTimeout: 2500 * time.Millisecond, RequestTimeout: 2500 * time.Millisecond,
+		MaxPartialBytes: int64(g.memoryMB) << 20 / 8,
 	}
 	if g.adminListen != "" {
-		b.MaxConns -= transport.DoorSockets
+		b.MaxConns -= transport.AdminSockets
 	}
 	if l := g.settings.Module.Limits; l.RetryAfter {
 		b.RetryAfter = time.Duration(l.MaxRetryAfter) * time.Microsecond
 	}
 	if g.vrrp != nil {
 		b.MaxConns /= 2 // the virtual address has a listener of its own
-		b.Enough /= 2
+		b.MaxKeepAlive /= 2
 	}
 	return b
 }
@@ -489,20 +489,20 @@
 	if g.passedSocket == 0 || g.sharedDirectory == "" {
 		return
 	}
-	g.siblings = transport.NewBeside(g.sharedDirectory, g.name, g.clock, g.handoverState, func(others []handover.State) {
+	g.siblings = transport.NewStateExchange(g.sharedDirectory, g.name, g.clock, g.handoverState, func(others []handover.State) {
 		select {
 		case g.siblingStates <- others:
 		default: // the main goroutine has not got to the last ones; there is word again soon
 		}
 	}, g.logger)
-	others := g.siblings.Others()
+	others := g.siblings.PeerStates()
 	from, ok := handover.Newest(others)
 	if !ok {
 		return
 	}
-	g.engine.Succeed(from)
+	g.engine.InheritLearned(from)
 	if list, err := platform.ParseList(from.List); err == nil && g.watcher != nil && from.Discovery == g.discovery {
-		g.engine.Fleet(sq.FleetChanged{Kind: sq.FleetCached, Servers: list.Servers}, list.Addresses)
+		g.engine.UpdateFleet(sq.FleetChanged{Kind: sq.FleetCached, Servers: list.Servers}, list.Addresses)
 	}
 	g.adjustToSiblings(others)
 	if from.Standby {
@@ -515,16 +515,16 @@
 
 // standing is how this process stands.
 func (g *Gatherer) handoverState() (handover.State, bool) {
-	s, ok := g.engine.Standing()
+	s, ok := g.engine.HandoverState()
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if !ok || g.listener == nil {
 		return s, false
 	}
 	s.Standby = g.onStandby
-	s.Sockets += g.listener.Conns() + reservedSockets + transport.DoorSockets
+	s.Sockets += g.listener.Conns() + reservedSockets + transport.AdminSockets
 	if g.watcher != nil {
-		s.List, s.Generation, s.Discovery = g.watcher.Held()
+		s.List, s.Generation, s.Discovery = g.watcher.List()
 	}
 	return s, true
 }
@@ -544,7 +544,7 @@
 		limit /= 2
 	}
 	debug.SetMemoryLimit(limit)
-	g.engine.Beside(others, g.maxServerConns())
+	g.engine.SetPeers(others, g.maxServerConns())
 	if g.listener != nil {
 		g.listener.Reconfigure(g.listenerConfig(), g.front)
 	}
@@ -560,12 +560,12 @@
 		go g.watcher.Run()
 		return
 	}
-	g.watcher.Afresh()
+	g.watcher.RequestFullList()
 	go g.watcher.Run()
 	t := time.NewTimer(firstListTimeout)
 	defer t.Stop()
 	select {
-	case <-g.watcher.Heard():
+	case <-g.watcher.Synced():
 	case <-t.C:
 		logging.Warn(g.logger, logging.Start, "list", "given", "waited", firstListTimeout)
 	}
@@ -590,7 +590,7 @@
 // enforce puts another plan in force, whole; after an error nothing has changed.
 func (g *Gatherer) apply(now Plan) error {
 	if g.routes != nil {
-		if err := g.routes.File(now.layout.Document, now.serverIDs(), false); err != nil {
+		if err := g.routes.ApplyFile(now.layout.Document, now.serverIDs(), false); err != nil {
 			return err
 		}
 	}
@@ -611,13 +611,13 @@
 	g.Plan = now
 	debug.SetMemoryLimit(int64(g.memoryMB) << 20 * 3 / 4)
 	g.engine.Reconfigure(g.coreTerms(), g.moduleSettings(), g.poolConfig(), g.dialect)
-	g.engine.Contracts(g.dividedContracts())
+	g.engine.SetContracts(g.dividedContracts())
 	g.listener.Reconfigure(g.listenerConfig(), g.front)
 	if g.virtual != nil {
 		g.virtual.reconfigure(g.listenerConfig(), g.front)
 	}
 	if g.watcher != nil {
-		g.watcher.Move(g.discovery)
+		g.watcher.SetAddress(g.discovery)
 	} else {
 		g.applyFileServers()
 	}
@@ -629,15 +629,15 @@
 // gone leave after the one that no longer does, so that no range is without holders in between.
 func (g *Gatherer) applyFileServers() {
 	if g.routes != nil {
-		g.engine.Fleet(sq.FleetChanged{Kind: sq.FleetDelta, Servers: g.fleet.Servers}, g.addresses)
-		if err := g.routes.File(g.layout.Document, g.serverIDs(), true); err != nil { // the directory has just said otherwise
+		g.engine.UpdateFleet(sq.FleetChanged{Kind: sq.FleetDelta, Servers: g.fleet.Servers}, g.addresses)
+		if err := g.routes.ApplyFile(g.layout.Document, g.serverIDs(), true); err != nil { // the directory has just said otherwise
 			logging.Error(g.logger, logging.Reload, "layout", "kept", "error", err)
 		}
 		if g.layout.Directory != "" {
-			g.routes.Move(g.layout.Directory)
+			g.routes.SetAddress(g.layout.Directory)
 		}
 	}
-	g.engine.Fleet(g.fleet, g.addresses)
+	g.engine.UpdateFleet(g.fleet, g.addresses)
 }
 
 // end leaves: it goes on serving until nothing comes in any more, takes in what waits to be accepted, and ends once the last
@@ -655,7 +655,7 @@
 	}
 	still := func(since int64) bool { return g.listener.Quiet(since) && (g.virtual == nil || g.virtual.quiet(since)) }
 	empty := func() bool { return g.listener.Conns() == 0 && (g.virtual == nil || g.virtual.conns() == 0) }
-	logging.Info(g.logger, logging.Leaving, "held", g.engine.Held())
+	logging.Info(g.logger, logging.Leaving, "held", g.engine.OpenQueries())
 	since := g.clock.Now()
 	killed := since + g.answerTimeAfterStop()
 	lastEntry := time.NewTimer(fullTimeAfterStop)
@@ -665,7 +665,7 @@
 	for served, closing := false, false; ; {
 		switch turn, _ := g.handleNext(tick.C, lastEntry.C); turn {
 		case eventGraceOver:
-			g.engine.EndBy(killed)
+			g.engine.SetKillDeadline(killed)
 			continue
 		case eventListenerEnded: // what it accepted last is among the connections now
 			served = true
@@ -676,10 +676,10 @@
 		now := g.clock.Now()
 		switch {
 		case !served && !closing && g.passedSocket == 0 && now-since >= quietPeriod && still(now-quietPeriod):
-			g.listener.LastCalls()
+			g.listener.CloseSocket()
 			closing = true
 			continue
-		case !served || !empty() || g.engine.Held() > 0:
+		case !served || !empty() || g.engine.OpenQueries() > 0:
 			continue
 		}
 		break
