--- /dev/null
+++ b/internal/broker/server/virtual_service.go
@@ -0,0 +1,156 @@
+package server
+
+import (
+	"context"
+	"fmt"
+	"log/slog"
+	"net"
+	"saffronquay/internal/broker/config"
+	"saffronquay/internal/broker/logging"
+	"saffronquay/internal/broker/transport"
+	"saffronquay/internal/broker/vrrp"
+	"sync"
+	"time"
+)
+
+const (
+	listenRetryInterval = 100 * time.Millisecond
+	maxDrainedListeners = 4 // beyond it the oldest is closed
+)
+
+// virtualService listens at the virtual address while this gatherer is the Active router of VRRP.
+type virtualService struct {
+	clock  transport.Clock
+	config config.VRRP
+	engine *transport.Engine
+	log    *slog.Logger
+	router *transport.Redundancy // nil: on standby, or leaving; the gatherer's goroutine owns it
+	stop   chan struct{}         // ends serving as Active; the router's goroutine owns it
+
+	mu             sync.Mutex
+	listenerConfig transport.ListenerConfig
+	front          transport.Front
+	listeners      []*transport.Listener // the present one, and draining ones that may still have answers to send
+}
+
+// compete takes part in the election, or withdraws and gives the virtual address up. The gatherer's goroutine calls it.
+func (s *virtualService) compete(on bool) error {
+	if on == (s.router != nil) {
+		return nil
+	}
+	if !on {
+		s.leave()
+		return nil
+	}
+	conn, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(s.config.Listen))
+	if err != nil {
+		return fmt.Errorf("vrrp: listen: %w", err)
+	}
+	s.router = transport.NewRedundancy(s.clock, s.config.Router, conn, s.config.Peers, s.onStateChange, s.log)
+	go s.router.Run()
+	return nil
+}
+
+// onStateChange follows the router's state: it starts to serve as Active, and drains otherwise. The router's goroutine calls it, and leave after that one
+// has ended.
+func (s *virtualService) onStateChange(state vrrp.State) {
+	if s.stop != nil {
+		close(s.stop)
+		s.stop = nil
+	}
+	if state == vrrp.Active {
+		s.stop = make(chan struct{})
+		go s.serve(s.stop)
+	}
+}
+
+// serve opens the socket at the virtual address and serves until stop. It tries again while the router that was Active before still has the address.
+func (s *virtualService) serve(stop <-chan struct{}) {
+	for {
+		socket, err := (&net.ListenConfig{}).Listen(context.Background(), "tcp", s.config.Service)
+		if err == nil {
+			s.run(socket, stop)
+			return
+		}
+		logging.Warn(s.log, logging.VrrpService, "address", s.config.Service, "error", err)
+		t := time.NewTimer(listenRetryInterval)
+		select {
+		case <-t.C:
+		case <-stop:
+			t.Stop()
+			return
+		}
+	}
+}
+
+// run serves the socket; after stop its listener drains.
+func (s *virtualService) run(socket net.Listener, stop <-chan struct{}) {
+	s.mu.Lock()
+	l := transport.NewListener(socket, s.listenerConfig, s.engine, s.front, s.log)
+	s.listeners = append(s.listeners, l)
+	if len(s.listeners) > maxDrainedListeners {
+		s.listeners[0].Close()
+		s.listeners = s.listeners[1:]
+	}
+	s.mu.Unlock()
+	logging.Info(s.log, logging.VrrpService, "address", s.config.Service)
+	go func() {
+		<-stop
+		l.HandOver(false)
+	}()
+	if err := l.Serve(); err != nil {
+		logging.Error(s.log, logging.VrrpService, "error", err)
+	}
+}
+
+// reconfigure sets other bounds and another front, for the listeners that run too.
+func (s *virtualService) reconfigure(bounds transport.ListenerConfig, front transport.Front) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.listenerConfig, s.front = bounds, front
+	for _, l := range s.listeners {
+		l.Reconfigure(bounds, front)
+	}
+}
+
+// quiet reports whether no listener has a request in flight, nor has had one since the given time.
+func (s *virtualService) quiet(since int64) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for _, l := range s.listeners {
+		if !l.Quiet(since) {
+			return false
+		}
+	}
+	return true
+}
+
+// conns is how many client connections are open.
+func (s *virtualService) conns() int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	n := 0
+	for _, l := range s.listeners {
+		n += l.Conns()
+	}
+	return n
+}
+
+// leave gives the virtual address up. It comes first in a shutdown: a peer takes over while this one still answers.
+func (s *virtualService) leave() {
+	if s.router == nil {
+		return
+	}
+	s.router.Stop()
+	s.router = nil
+	s.onStateChange(vrrp.Initialize)
+}
+
+// close closes all listeners.
+func (s *virtualService) close() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for _, l := range s.listeners {
+		l.Close()
+	}
+}
