--- a/cmd/saffronquay/campaign.go
+++ b/cmd/saffronquay/campaign.go
@@ -11,8 +11,8 @@
 	"github.com/spf13/cobra"
 )
 
-// campaign plays fleets of processes under faults, for long.
-func (c *cli) campaign() *cobra.Command {
+// campaignCommand plays fleets of processes under load and faults for long.
+func (c *cli) campaignCommand() *cobra.Command {
 	var cfg soak.Config
 	var seeds, shrink int
 	cmd := &cobra.Command{
--- a/cmd/saffronquay/cli.go
+++ b/cmd/saffronquay/cli.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"context"
 	"encoding/json"
 	"errors"
 	"fmt"
@@ -60,7 +61,7 @@
 	root.SetIn(in)
 	root.SetOut(out)
 	root.SetErr(errs)
-	err := root.Execute()
+	err := root.ExecuteContext(context.Background())
 	var end *exitError
 	switch {
 	case err == nil:
@@ -100,8 +101,9 @@
 		Example: "  SAFFRONQUAY_OPERATOR_FILE=deploy/layout.json saffronquay serve",
 		RunE:    func(*cobra.Command, []string) error { return c.serve() },
 	},
-		c.try(), c.check(), c.test(), c.explain(), c.layout(), c.store(), c.model(), c.fleet(), c.policy(), c.campaign(), c.scale(), c.versionCommand(), c.man())
-	root.AddCommand(c.doorCommands()...)
+		c.tryCommand(), c.checkCommand(), c.testCommand(), c.explainCommand(), c.layoutCommand(), c.storeCommand(), c.modelCommand(), c.fleetCommand(),
+		c.policyCommand(), c.campaignCommand(), c.scale(), c.versionCommand(), c.manCommand())
+	root.AddCommand(c.adminCommands()...)
 	root.InitDefaultCompletionCmd()
 	return root
 }
@@ -130,7 +132,8 @@
 	}
 }
 
-func (c *cli) man() *cobra.Command {
+// manCommand writes the manual pages.
+func (c *cli) manCommand() *cobra.Command {
 	return &cobra.Command{
 		Use: "man DIR", Short: "Write a manual page for each command into a directory", Example: "  saffronquay man /tmp/man && man /tmp/man/saffronquay-test.1",
 		Args: cobra.ExactArgs(1), RunE: func(cmd *cobra.Command, words []string) error {
@@ -163,6 +166,11 @@
 	return err
 }
 
+// plainText returns a text form for print that is the text itself.
+func plainText(text string) func(io.Writer) {
+	return func(w io.Writer) { fmt.Fprint(w, text) }
+}
+
 // width is how wide a line may be; 0: there is no terminal, and no bound.
 func (c *cli) width() int {
 	f, ok := c.out.(*os.File)
--- a/cmd/saffronquay/cli_scale.go
+++ b/cmd/saffronquay/cli_scale.go
@@ -28,7 +28,7 @@
 			"Bounds: 1600 gatherers, 200 processes, 12 GB, loopback only, --limit of time; each wait ends after 90 s; it ends with all that it started.\n" +
 			"Where --out has a record already, this run is added to it, and the tables are made anew.",
 		Example: "  saffronquay scale --sizes 50,100,200,300,400,600 --runs 3 --out /tmp/scale\n  saffronquay scale --gatherers 600 --events 'nine down,zone of 100' --out /tmp/scale",
-		RunE: func(*cobra.Command, []string) error {
+		RunE: func(cmd *cobra.Command, _ []string) error {
 			for _, s := range p.Scenes {
 				if !slices.Contains(names, s) {
 					return fmt.Errorf("--events: there is no %q; there are %s", s, strings.Join(names, ", "))
@@ -42,13 +42,13 @@
 				return failed(err)
 			}
 			p.Fleet.Say = func(format string, args ...any) { fmt.Fprintf(c.errs, format+"\n", args...) }
-			ctx, stop := interrupted(0)
+			ctx, stop := interrupted(cmd.Context(), 0)
 			defer stop()
 			rec, err := scale.Run(ctx, p)
 			if err != nil {
 				return failed(err)
 			}
-			if err := c.print(rec, func(w io.Writer) { io.WriteString(w, rec.Markdown()) }); err != nil {
+			if err := c.print(rec, func(w io.Writer) { fmt.Fprint(w, rec.Markdown()) }); err != nil {
 				return err
 			}
 			if len(rec.Faults) > 0 {
--- a/cmd/saffronquay/cli_scale_workers.go
+++ b/cmd/saffronquay/cli_scale_workers.go
@@ -23,7 +23,7 @@
 			"and for discovery, which gives the list of them and pushes its changes. The first line tells where. GET /counts at discovery tells what was\n" +
 			"seen, POST /change?entries=N has so many workers start anew. Ends with Ctrl-C or SIGTERM.",
 		Example: "  saffronquay scale workers --workers 2600 --cells 1300",
-		RunE: func(*cobra.Command, []string) error {
+		RunE: func(cmd *cobra.Command, _ []string) error {
 			w, err := work.Listen(cfg)
 			if err != nil {
 				return failed(err)
@@ -39,7 +39,7 @@
 				return failed(err)
 			}
 			fmt.Fprintln(c.out, string(b))
-			ctx, stop := interrupted(length)
+			ctx, stop := interrupted(cmd.Context(), length)
 			defer stop()
 			<-ctx.Done()
 			return nil
@@ -75,7 +75,7 @@
 			path := strings.Fields(cmd.CommandPath()) // the other command stands beside this one
 			cfg.Program.Hollow = append(path[1:len(path)-1:len(path)-1], "workers")
 			cfg.Say = func(format string, args ...any) { fmt.Fprintf(c.errs, format+"\n", args...) }
-			ctx, stop := interrupted(10 * time.Minute)
+			ctx, stop := interrupted(cmd.Context(), 10*time.Minute)
 			defer stop()
 			table, err := work.Measure(ctx, words[0], cfg)
 			if err != nil {
--- a/cmd/saffronquay/main.go
+++ b/cmd/saffronquay/main.go
@@ -58,9 +58,9 @@
 	return o.Logger(), o
 }
 
-// interrupted is over with Ctrl-C or SIGTERM or, with a length above nought, after so long.
-func interrupted(length time.Duration) (context.Context, context.CancelFunc) {
-	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
+// interrupted returns a context that ends with parent, with Ctrl-C or SIGTERM or, with a length above nought, after that time.
+func interrupted(parent context.Context, length time.Duration) (context.Context, context.CancelFunc) {
+	ctx, stop := signal.NotifyContext(parent, os.Interrupt, syscall.SIGTERM)
 	if length <= 0 {
 		return ctx, stop
 	}
--- a/cmd/saffronquay/model.go
+++ b/cmd/saffronquay/model.go
@@ -17,8 +17,8 @@
 	"zone": simulation.ZoneLost, "herd": simulation.Herd, "join": simulation.Join,
 }
 
-// model plays a day at size in virtual time.
-func (c *cli) model() *cobra.Command {
+// modelCommand plays a day of a large fleet in virtual time.
+func (c *cli) modelCommand() *cobra.Command {
 	var seed uint64
 	var gatherers, servers int
 	names := strings.Join(slices.Sorted(maps.Keys(simulatedDays)), ", ")
@@ -49,7 +49,7 @@
 			return nil
 		},
 	}
-	cmd.AddCommand(modelFleet(c), modelPolicy(c))
+	cmd.AddCommand(c.modelFleetCommand(), c.modelPolicyCommand())
 	cmd.Flags().Uint64Var(&seed, "seed", 1, "the same seed gives the same day")
 	cmd.Flags().IntVar(&gatherers, "gatherers", 80, "how many gatherers")
 	cmd.Flags().IntVar(&servers, "servers", 60, "how many servers, and ranges")
--- a/cmd/saffronquay/model_fleet.go
+++ b/cmd/saffronquay/model_fleet.go
@@ -14,8 +14,8 @@
 	script "saffronquay/internal/testing/faults"
 )
 
-// modelFleet plays views of a fleet in virtual time.
-func modelFleet(c *cli) *cobra.Command {
+// modelFleetCommand plays the views of a fleet in virtual time.
+func (c *cli) modelFleetCommand() *cobra.Command {
 	cfg := views.Config{SeedMembers: 3, StartWithin: time.Second}
 	var cut, stop time.Duration
 	var kill int
--- a/cmd/saffronquay/model_policy.go
+++ b/cmd/saffronquay/model_policy.go
@@ -13,8 +13,8 @@
 	changes "saffronquay/internal/cluster/rollout/simulation"
 )
 
-// modelPolicy plays changes of policy in virtual time.
-func modelPolicy(c *cli) *cobra.Command {
+// modelPolicyCommand plays changes of the policy in virtual time.
+func (c *cli) modelPolicyCommand() *cobra.Command {
 	var cfg changes.Config
 	var length time.Duration
 	cmd := &cobra.Command{
--- a/cmd/saffronquay/store.go
+++ b/cmd/saffronquay/store.go
@@ -13,7 +13,8 @@
 	"google.golang.org/protobuf/proto"
 )
 
-func (c *cli) store() *cobra.Command {
+// storeCommand is the parent of the commands that look at a durable store.
+func (c *cli) storeCommand() *cobra.Command {
 	parent := &cobra.Command{Use: "store", Short: "Look at a durable store, without touching it", Example: "  saffronquay store check /var/lib/saffronquay/a /var/lib/saffronquay/b"}
 	read := func(words []string) (*recordlog.ReadOnlyStore, error) {
 		second := filepath.Join(words[0], "copy")
--- a/cmd/saffronquay/try.go
+++ b/cmd/saffronquay/try.go
@@ -29,13 +29,15 @@
 	gatherers                 int
 }
 
-func (c *cli) try() *cobra.Command {
+// tryCommand serves on loopback in front of fake backends.
+func (c *cli) tryCommand() *cobra.Command {
 	t := trial{}
 	cmd := &cobra.Command{
 		Use: "try", Short: "Serve on loopback with stand-in search servers, seeded data and, on command, faults", Args: cobra.NoArgs,
 		Long: "try starts five stand-in servers with 1,000 invoices each in four ranges of two copies, a gatherer before them, and a small load.\n" +
 			"It prints where to ask and a line a second of what came of the load. With --kill, --slow and --split it causes faults from the third second on.",
-		Example: "  saffronquay try\n  saffronquay try --kill --split --for 20s", RunE: func(*cobra.Command, []string) error { return c.runTrial(t) },
+		Example: "  saffronquay try\n  saffronquay try --kill --split --for 20s",
+		RunE:    func(cmd *cobra.Command, _ []string) error { return c.runTrial(cmd.Context(), t) },
 	}
 	f := cmd.Flags()
 	f.BoolVar(&t.kill, "kill", false, "kill a server, and start it again 5 s later")
@@ -105,7 +107,7 @@
 	}, nil
 }
 
-func (c *cli) runTrial(t trial) error {
+func (c *cli) runTrial(ctx context.Context, t trial) error {
 	if t.rate < 0 || t.rate > 1000 || t.length < 0 || t.gatherers < 1 || t.gatherers > 9 {
 		return fmt.Errorf("--rate: want 0 to 1000; --for: want nought or more; --gatherers: want 1 to 9")
 	}
@@ -129,7 +131,7 @@
 	if t.gatherers > 1 {
 		fmt.Fprintf(c.out, "  saffronquay fleet --watch --door %s\n\n", team.running[0].AdminAddress())
 	}
-	ctx, stop := interrupted(t.length)
+	ctx, stop := interrupted(ctx, t.length)
 	defer stop()
 	go t.faults(ctx, c.out, cl, team)
 	t.load(ctx, c.out, "http://"+team.running[0].ClientAddress(), func() {
