--- a/internal/broker/logging/names.go
+++ b/internal/broker/logging/event.go
@@ -1,9 +1,9 @@
 package logging
 
-// Name is an event's.
+// Name is the name of an event.
 type Name string
 
-// The events. Their names, and those of their fields, are what operators' searches and alarms go by: they are not renamed.
+// The events. Operators' searches and alerts use their names and those of their fields: they are never renamed.
 const (
 	Accept           Name = "accept"
 	DoorAccept       Name = "door_accept"
@@ -56,7 +56,7 @@
 	WatchMoved       Name = "watch_moved"
 )
 
-// Fields are those that each event may have. Values of clients' data (queries, keys, documents) are in none of them.
+// Fields lists the fields that each event may have. None holds clients' data (queries, keys, documents).
 var Fields = map[Name][]string{
 	Accept:           {"error"},
 	DoorAccept:       {"error"},
@@ -110,7 +110,7 @@
 }
 
 // often are the events that may come by the thousand: of each, so many a second are written, and then how many were not.
-var often = map[Name]int{
+var maxPerSecond = map[Name]int{
 	VrrpDiscard: 5, VrrpRead: 5, VrrpSend: 5, Accept: 5, DoorAccept: 5, Note: 20, StoreFails: 5,
 	Peer: 100, PeerDropped: 5, PeerNap: 2, RolloutApart: 2, RolloutJoined: 2,
 }
--- a/internal/broker/logging/events.go
+++ b/internal/broker/logging/logging.go
@@ -1,5 +1,3 @@
-// Package logging is the one place that names what the program logs: events and their fields, how lines are written, and how many. It
-// rides on log/slog. It must never be handed values of clients' data.
 package logging
 
 import (
@@ -12,66 +10,67 @@
 	"time"
 )
 
-// Debug, Info, Warn and Error log an event with its fields, as names and values in turn.
+// Debug logs what helps to find a fault. Fields are names and values in turn.
 func Debug(l *slog.Logger, e Name, fields ...any) { write(l, slog.LevelDebug, e, fields) }
 
-// Info logs what is as it should be, and rare.
+// Info logs rare events of normal operation.
 func Info(l *slog.Logger, e Name, fields ...any) { write(l, slog.LevelInfo, e, fields) }
 
-// Warn logs what the program makes up for by itself.
+// Warn logs faults from which the program recovers by itself.
 func Warn(l *slog.Logger, e Name, fields ...any) { write(l, slog.LevelWarn, e, fields) }
 
-// Error logs what somebody has to look at.
+// Error logs faults that need an operator.
 func Error(l *slog.Logger, e Name, fields ...any) { write(l, slog.LevelError, e, fields) }
 
 func write(l *slog.Logger, level slog.Level, e Name, fields []any) {
 	l.Log(context.Background(), level, string(e), fields...)
 }
 
-// Output is a program's log: its format and its level may be changed while it runs.
+// Output is a program's log. Its format and its level may be changed while it runs. It is safe for concurrent use.
 type Output struct {
 	level slog.LevelVar
 
 	mu      sync.Mutex
-	counts  map[Name]*count
+	counts  map[Name]*rate
 	format  string
 	handler slog.Handler
 	w       io.Writer
 }
 
-// count is how much of an event was written within a second, and how much was not.
-type count struct {
-	since          time.Time
-	written, spare int
+// rate counts the lines of one event within a second.
+type rate struct {
+	since      time.Time
+	written    int
+	suppressed int // since the last line that was written
 }
 
-// New makes a log that writes to w. format is text (key=value) or json.
+// New returns a log that writes to w. format is text (key=value) or json.
 func New(w io.Writer, format string, level slog.Level) *Output {
-	o := &Output{w: w, counts: map[Name]*count{}}
+	o := &Output{w: w, counts: map[Name]*rate{}}
 	o.level.Set(level)
-	o.Format(format)
+	o.SetFormat(format)
 	return o
 }
 
-// Logger is what packages log with.
+// Logger returns the logger that packages log with.
 func (o *Output) Logger() *slog.Logger { return slog.New(sampler{o: o}) }
 
-// Format changes how lines are written: text or json.
-func (o *Output) Format(format string) {
+// SetFormat sets the form of lines: text or json.
+func (o *Output) SetFormat(format string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if format == o.format {
 		return
 	}
 	o.format = format
-	opts := &slog.HandlerOptions{Level: &o.level, ReplaceAttr: replace}
+	opts := &slog.HandlerOptions{Level: &o.level, ReplaceAttr: renameKeys}
 	if o.handler = slog.Handler(slog.NewTextHandler(o.w, opts)); format == "json" {
 		o.handler = slog.NewJSONHandler(o.w, opts)
 	}
 }
 
-// Level changes what is written: debug, info, warn or error and what is above it.
-func (o *Output) Level(name string) error {
+// SetLevel sets the lowest level that is written: debug, info, warn or error.
+func (o *Output) SetLevel(name string) error {
 	var l slog.Level
 	switch name {
 	case "debug", "info", "warn", "error":
@@ -85,8 +84,8 @@
 	return nil
 }
 
-// replace words the keys that every line has.
-func replace(groups []string, a slog.Attr) slog.Attr {
+// renameKeys sets the names of the keys that every line has.
+func renameKeys(groups []string, a slog.Attr) slog.Attr {
 	if len(groups) > 0 {
 		return a
 	}
@@ -99,41 +98,43 @@
 	return a
 }
 
-// take tells whether an event is written now, and how many of it were not since the last one that was.
-func (o *Output) take(e Name, now time.Time) (h slog.Handler, missed int, ok bool) {
+// admit reports whether an event is written now, and how many of its lines were suppressed since the last one that was written.
+func (o *Output) admit(e Name, now time.Time) (h slog.Handler, missed int, ok bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	most, bounded := often[e]
+	most, bounded := maxPerSecond[e]
 	if !bounded {
 		return o.handler, 0, true
 	}
 	c := o.counts[e]
 	if c == nil {
-		c = &count{since: now}
+		c = &rate{since: now}
 		o.counts[e] = c
 	}
 	if now.Sub(c.since) >= time.Second {
 		c.since, c.written = now, 0
 	}
 	if c.written >= most {
-		c.spare++
+		c.suppressed++
 		return nil, 0, false
 	}
 	c.written++
-	missed, c.spare = c.spare, 0
+	missed, c.suppressed = c.suppressed, 0
 	return o.handler, missed, true
 }
 
-// sampler is the handler that packages write to. It keeps attributes of its own, since the handler behind it may change.
+// sampler is the handler of Output.Logger. It keeps attributes itself, since the handler behind it may change.
 type sampler struct {
 	o     *Output
 	attrs []slog.Attr
 }
 
+// Enabled implements slog.Handler.
 func (s sampler) Enabled(_ context.Context, l slog.Level) bool { return l >= s.o.level.Level() }
 
+// Handle implements slog.Handler. It drops lines of events that are too frequent.
 func (s sampler) Handle(ctx context.Context, r slog.Record) error {
-	h, missed, ok := s.o.take(Name(r.Message), r.Time)
+	h, missed, ok := s.o.admit(Name(r.Message), r.Time)
 	if !ok {
 		return nil
 	}
@@ -144,10 +145,11 @@
 	return h.Handle(ctx, r)
 }
 
+// WithAttrs implements slog.Handler.
 func (s sampler) WithAttrs(attrs []slog.Attr) slog.Handler {
 	s.attrs = append(s.attrs[:len(s.attrs):len(s.attrs)], attrs...)
 	return s
 }
 
-// WithGroup is not used: fields have flat names.
+// WithGroup implements slog.Handler. Groups are ignored: fields have flat names.
 func (s sampler) WithGroup(string) slog.Handler { return s }
--- a/internal/broker/logging/events_test.go
+++ b/internal/broker/logging/logging_test.go
@@ -28,8 +28,8 @@
 		t.Errorf("%q", got)
 	}
 	b.Reset()
-	o.Format("json")
-	if err := o.Level("warn"); err != nil {
+	o.SetFormat("json")
+	if err := o.SetLevel("warn"); err != nil {
 		t.Fatal(err)
 	}
 	logging.Info(l, logging.Start)
@@ -37,7 +37,7 @@
 	if got := b.String(); !strings.Contains(got, `"level":"warn","event":"layout_kept","error":"EOF","gatherer":"g"`) || strings.Count(got, "\n") != 1 {
 		t.Errorf("%q", got)
 	}
-	if o.Level("loud") == nil {
+	if o.SetLevel("loud") == nil {
 		t.Error("a level that is none")
 	}
 }
@@ -175,6 +175,6 @@
 func ExampleNew() {
 	o := logging.New(writer{}, "text", slog.LevelInfo)
 	logging.Info(o.Logger(), logging.Stopped)
-	fmt.Println(o.Level("debug"), o.Level("loud"))
+	fmt.Println(o.SetLevel("debug"), o.SetLevel("loud"))
 	// Output: <nil> want debug, info, warn or error, not "loud"
 }
--- a/internal/broker/server/gatherer.go
+++ b/internal/broker/server/gatherer.go
@@ -357,7 +357,7 @@
 	if d.output == nil {
 		return errors.New("this program's log can't be changed")
 	}
-	return d.output.Level(level)
+	return d.output.SetLevel(level)
 }
 
 // Layout appends how the layout stands; nil where there is none.
@@ -373,8 +373,8 @@
 	if p.logOutput == nil {
 		return nil
 	}
-	p.logOutput.Format(cmp.Or(p.logConfig.Format, "text"))
-	return p.logOutput.Level(cmp.Or(p.logConfig.Level, "info"))
+	p.logOutput.SetFormat(cmp.Or(p.logConfig.Format, "text"))
+	return p.logOutput.SetLevel(cmp.Or(p.logConfig.Level, "info"))
 }
 
 func (p Plan) serverIDs() []sq.ServerID {
