--- a/internal/broker/server/admin_program.go
+++ b/internal/broker/server/admin_program.go
@@ -39,7 +39,7 @@
 	if d.output == nil {
 		return errors.New("this program's log can't be changed")
 	}
-	return d.output.Level(level)
+	return d.output.SetLevel(level)
 }
 
 // Layout appends the state of the layout; nil where there is none.
