--- a/internal/broker/transport/admin.go
+++ b/internal/broker/transport/admin.go
@@ -20,7 +20,7 @@
 
 // Door answers operators' calls on a listener of its own.
 type AdminListener struct {
-	net     net.Listener
+	socket  net.Listener
 	handler adminapi.Program
 	log     *slog.Logger
 	wg      sync.WaitGroup
@@ -32,13 +32,13 @@
 
 // NewDoor makes a door on an open listener; Serve runs it.
 func NewAdminListener(l net.Listener, d adminapi.Program, logger *slog.Logger) *AdminListener {
-	return &AdminListener{net: l, handler: d, log: logger}
+	return &AdminListener{socket: l, handler: d, log: logger}
 }
 
 // Serve accepts callers until Close.
 func (d *AdminListener) Serve() {
 	for {
-		conn, err := d.net.Accept()
+		conn, err := d.socket.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
@@ -121,7 +121,7 @@
 
 // Close ends the door and its callers.
 func (d *AdminListener) Close() {
-	d.net.Close()
+	d.socket.Close()
 	d.mu.Lock()
 	d.closed = true
 	for _, c := range d.calls {
--- a/internal/broker/transport/departed_test.go
+++ b/internal/broker/transport/departed_test.go
@@ -179,8 +179,8 @@
 						e.Stop()
 						for _, s := range e.pool.servers {
 							for _, c := range s.conns {
-								if c.net != nil {
-									c.net.Close()
+								if c.conn != nil {
+									c.conn.Close()
 								}
 							}
 						}
--- /dev/null
+++ b/internal/broker/transport/dispatch.go
@@ -0,0 +1,174 @@
+package transport
+
+import (
+	"saffronquay/internal/broker/core"
+
+	sq "saffronquay"
+)
+
+func (p *pool) withdraw(now int64, c *serverConn) {
+	for _, id := range sortedKeys(c.calls) {
+		if p.takeBack(now, c, id) {
+			p.endAttempt(now, c, core.Reply{Attempt: id, Outcome: sq.Unreachable})
+		}
+	}
+}
+
+// unsend takes an attempt back where no byte of its call has begun to leave, and tells whether it did. Others that travel with it
+// stay where they are.
+func (p *pool) takeBack(now int64, c *serverConn, id core.AttemptID) bool {
+	f, out := c.calls[id]
+	if !out || c.closed {
+		return false
+	}
+	without := func(all []core.Attempt) []core.Attempt {
+		kept := make([]core.Attempt, 0, len(all))
+		for _, a := range all {
+			if a.ID != id {
+				kept = append(kept, a)
+			}
+		}
+		return kept
+	}
+	if f == nil {
+		for i := range c.backlog {
+			c.backlog[i].Attempts = without(c.backlog[i].Attempts)
+		}
+		return true
+	}
+	taken := c.writes.amend(f, func() {
+		c.session.Unsent(id)
+		f.call.Attempts = without(f.call.Attempts)
+		if f.bytes = nil; len(f.call.Attempts) > 0 {
+			f.bytes = c.session.Call(nil, f.call, now)
+		}
+	})
+	return taken
+}
+
+// recall takes back what nobody waits for, as far as it has not begun to leave.
+func (p *pool) recall(now int64, id core.AttemptID) {
+	if c := p.byAttempt[id]; c != nil && p.takeBack(now, c, id) {
+		p.endAttempt(now, c, core.Reply{Attempt: id, Outcome: sq.NotSent})
+		p.closeIfEmpty(now, c)
+	}
+}
+
+// call sends a call over the fullest connection with room, over one that is coming up, or over a new one.
+// While connections are being lost it takes the idle one used last, or a new one, as far as there is room, and
+// then the emptiest.
+func (p *pool) call(now int64, call core.Call) {
+	s := p.servers[call.Server]
+	if s == nil || s.address == "" || s.draining {
+		p.refuse(now, call)
+		return
+	}
+	alone := p.lastLossAt > 0 && now-p.lastLossAt < isolationPeriod
+	room := len(s.conns) < maxConnsPerServer && p.conns < p.cfg.MaxConns*3/4
+	var best *serverConn
+	for _, c := range s.conns {
+		if c.closed || c.retired || len(c.calls)+len(call.Attempts) > max(p.dialect.Streams(), len(call.Attempts)) {
+			continue
+		}
+		if !c.up && c.hasSpare && !c.isSpare {
+			continue // it may never come up; its spare may
+		}
+		if alone && room && len(c.calls) > 0 || c.partialHeardAt > 0 && len(c.calls) == 0 {
+			continue
+		}
+		if since := c.unansweredSince(); since > 0 && now-since > p.quietLimit() && len(s.conns) < maxConnsPerServer {
+			continue // it may have fallen silent
+		}
+		if c.up && now-c.usedAt > p.cfg.IdleClose*2/3 && len(c.calls) == 0 {
+			continue // may be closing at the far end just now
+		}
+		if best == nil || c.better(best, alone) {
+			best = c
+		}
+	}
+	if best == nil {
+		if best = p.dial(now, s); best == nil {
+			p.refuse(now, call)
+			return
+		}
+	}
+	for _, a := range call.Attempts {
+		best.calls[a.ID], best.sentAt[a.ID] = nil, now
+		p.byAttempt[a.ID] = best
+	}
+	if !best.up {
+		best.backlog = append(best.backlog, call)
+		if now-best.openedAt > p.lateAfter() {
+			p.openSpare(now, best)
+		}
+		return
+	}
+	p.write(now, best, call)
+}
+
+// better tells which of two connections a call takes.
+func (c *serverConn) better(than *serverConn, alone bool) bool {
+	n, m := len(c.calls), len(than.calls)
+	switch {
+	case alone && n != m:
+		return n < m
+	case c.up != than.up:
+		return c.up
+	case alone:
+		return c.usedAt > than.usedAt
+	}
+	return n > m
+}
+
+func (p *pool) refuse(now int64, call core.Call) {
+	for _, a := range call.Attempts {
+		p.onReply(now, core.Reply{Attempt: a.ID, Outcome: sq.Unreachable})
+	}
+}
+
+func (p *pool) write(now int64, c *serverConn, call core.Call) {
+	f := &frame{bytes: c.session.Call(nil, call, now), call: call, number: c.lastWrite + 1}
+	if !c.writes.put(f) { // the far end takes nothing any more
+		p.closeConn(now, c, false)
+		return
+	}
+	c.lastWrite++
+	c.usedAt = now
+	for _, a := range call.Attempts {
+		c.calls[a.ID] = f
+	}
+}
+
+// drop gives an attempt up. One that has not begun to leave is taken back, and the server never hears of it.
+func (p *pool) drop(now int64, id core.AttemptID) {
+	c := p.byAttempt[id]
+	if c == nil {
+		return
+	}
+	silent := c.heardAt < c.sentAt[id] && now-c.sentAt[id] > unresponsiveAfter
+	unsent := p.takeBack(now, c, id)
+	p.forget(c, id)
+	if !c.up {
+		return
+	}
+	if !unsent {
+		b, keep := c.session.Cancel(nil, id)
+		if !keep {
+			p.closeConn(now, c, false)
+			return
+		}
+		if len(b) > 0 {
+			if !c.writes.put(&frame{bytes: b, number: c.lastWrite + 1}) {
+				p.closeConn(now, c, false)
+				return
+			}
+			c.lastWrite++
+		}
+	}
+	// Guards against machines that vanish without a word: a connection on which nothing at all has come back
+	// for so long may be open at this end only.
+	if silent {
+		c.retired = true
+	}
+	p.closeIfEmpty(now, c)
+}
--- a/internal/broker/transport/endings_test.go
+++ b/internal/broker/transport/endings_test.go
@@ -139,7 +139,7 @@
 
 func (w *ends) dial() net.Conn {
 	w.t.Helper()
-	conn, err := net.Dial("tcp", w.l.net.Addr().String())
+	conn, err := net.Dial("tcp", w.l.socket.Addr().String())
 	if err != nil {
 		w.t.Fatal(err)
 	}
@@ -392,7 +392,7 @@
 	if _, err := first.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
 		t.Errorf("the one that rested: %v", err)
 	}
-	if conn, err := net.Dial("tcp", w.l.net.Addr().String()); !errors.Is(err, syscall.ECONNREFUSED) {
+	if conn, err := net.Dial("tcp", w.l.socket.Addr().String()); !errors.Is(err, syscall.ECONNREFUSED) {
 		if err == nil {
 			conn.Close()
 		}
--- a/internal/broker/transport/transport_test.go
+++ b/internal/broker/transport/transport_test.go
@@ -57,7 +57,7 @@
 	t.Cleanup(func() { far.Close() })
 	s := b.servers["s"]
 	c := &serverConn{
-		server: s, session: b.dialect.NewSession(""), net: near, up: true, calls: map[core.AttemptID]*frame{},
+		server: s, session: b.dialect.NewSession(""), conn: near, up: true, calls: map[core.AttemptID]*frame{},
 		sentAt: map[core.AttemptID]int64{}, written: new(atomic.Int64), writes: newOutbox(1),
 	}
 	s.conns, b.conns = []*serverConn{c}, 1
@@ -251,7 +251,7 @@
 	l, e := serve(t, ListenerConfig{MaxConns: 8, MaxKeepAlive: 8, IdleTimeout: testTimeout, FirstRequestTimeout: testTimeout, RequestTimeout: testTimeout, MaxPartialBytes: 1 << 20})
 	request := func(target string) string { return "GET " + target + " HTTP/1.1\r\nHost: x\r\n\r\n" }
 	for i := range 60 {
-		conn, err := net.Dial("tcp", l.net.Addr().String())
+		conn, err := net.Dial("tcp", l.socket.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -277,7 +277,7 @@
 // More requests than are queued are not waited for: the client's going would not be seen meanwhile.
 func TestTooFarAhead(t *testing.T) {
 	l, e := serve(t, ListenerConfig{MaxConns: 8, MaxKeepAlive: 8, IdleTimeout: testTimeout, FirstRequestTimeout: testTimeout, RequestTimeout: testTimeout, MaxPartialBytes: 1 << 20})
-	conn, err := net.Dial("tcp", l.net.Addr().String())
+	conn, err := net.Dial("tcp", l.socket.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -303,7 +303,7 @@
 		MaxConns: 8, MaxKeepAlive: 8, IdleTimeout: testTimeout, FirstRequestTimeout: 50 * time.Millisecond, RequestTimeout: 50 * time.Millisecond,
 		MaxPartialBytes: 1 << 20,
 	})
-	conn, err := net.Dial("tcp", l.net.Addr().String())
+	conn, err := net.Dial("tcp", l.socket.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -428,7 +428,7 @@
 // Clients that say nothing are let go, and so is one whose first request does not come in whole.
 func TestUnresponsiveClient(t *testing.T) {
 	l, _ := serve(t, ListenerConfig{MaxConns: 8, MaxKeepAlive: 8, IdleTimeout: testTimeout, FirstRequestTimeout: 50 * time.Millisecond, RequestTimeout: testTimeout, MaxPartialBytes: 1 << 20})
-	conn, err := net.Dial("tcp", l.net.Addr().String())
+	conn, err := net.Dial("tcp", l.socket.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -443,7 +443,7 @@
 // rules must not wait for the query's own end.
 func TestFaultBehindAnOpenQuery(t *testing.T) {
 	l, e := serve(t, ListenerConfig{MaxConns: 8, MaxKeepAlive: 8, IdleTimeout: testTimeout, FirstRequestTimeout: testTimeout, RequestTimeout: testTimeout, MaxPartialBytes: 1 << 20})
-	conn, err := net.Dial("tcp", l.net.Addr().String())
+	conn, err := net.Dial("tcp", l.socket.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -467,7 +467,7 @@
 	half := "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 60000\r\n\r\n" + string(make([]byte, 6000))
 	var conns []net.Conn
 	for range 2 {
-		conn, err := net.Dial("tcp", l.net.Addr().String())
+		conn, err := net.Dial("tcp", l.socket.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -599,7 +599,7 @@
 func TestClientsThatKeepTheirConnections(t *testing.T) {
 	l, _ := serve(t, ListenerConfig{MaxConns: 4, MaxKeepAlive: 2, IdleTimeout: testTimeout, FirstRequestTimeout: testTimeout, RequestTimeout: testTimeout, MaxPartialBytes: 1 << 20})
 	ask := func() (conn net.Conn, closing bool) {
-		conn, err := net.Dial("tcp", l.net.Addr().String())
+		conn, err := net.Dial("tcp", l.socket.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -633,7 +633,7 @@
 // A connection is not ended over a request that has come in already.
 func TestScarceAnswersWhatHasComeIn(t *testing.T) {
 	l, _ := serve(t, ListenerConfig{MaxConns: 4, IdleTimeout: testTimeout, FirstRequestTimeout: testTimeout, RequestTimeout: testTimeout, MaxPartialBytes: 1 << 20})
-	conn, err := net.Dial("tcp", l.net.Addr().String())
+	conn, err := net.Dial("tcp", l.socket.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -650,7 +650,7 @@
 // stays open for the other process that holds it. Guards clients against resets while the program is replaced.
 func TestHandOver(t *testing.T) {
 	l, _ := serve(t, ListenerConfig{MaxConns: 8, MaxKeepAlive: 8, IdleTimeout: testTimeout, FirstRequestTimeout: testTimeout, RequestTimeout: testTimeout, MaxPartialBytes: 1 << 20})
-	file, err := l.net.(*net.TCPListener).File()
+	file, err := l.socket.(*net.TCPListener).File()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -661,7 +661,7 @@
 	}
 	defer other.Close()
 	dial := func(text string) net.Conn {
-		conn, err := net.Dial("tcp", l.net.Addr().String())
+		conn, err := net.Dial("tcp", l.socket.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -740,7 +740,7 @@
 	b.fleet(0, sq.Ready, 0, "127.0.0.1:1")
 	near, far := net.Pipe()
 	c := &serverConn{
-		server: b.servers["s"], session: b.dialect.NewSession(""), net: near, up: true,
+		server: b.servers["s"], session: b.dialect.NewSession(""), conn: near, up: true,
 		calls: map[core.AttemptID]*frame{}, sentAt: map[core.AttemptID]int64{}, written: new(atomic.Int64), writes: newOutbox(4),
 	}
 	b.servers["s"].conns, b.conns = []*serverConn{c}, 1
@@ -764,7 +764,7 @@
 func TestStandbyServesWhatComes(t *testing.T) {
 	l, _ := serve(t, ListenerConfig{MaxConns: 8, MaxKeepAlive: 8, IdleTimeout: testTimeout, FirstRequestTimeout: testTimeout, RequestTimeout: testTimeout, MaxPartialBytes: 1 << 20})
 	l.Standby(true)
-	conn, err := net.Dial("tcp", l.net.Addr().String())
+	conn, err := net.Dial("tcp", l.socket.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/broker/transport/unsent_test.go
+++ b/internal/broker/transport/unsent_test.go
@@ -23,7 +23,7 @@
 	b.pool.updateFleet(0, sq.FleetChanged{Servers: []sq.Server{{ID: "s", Health: sq.Ready}}}, map[sq.ServerID]string{"s": "127.0.0.1:1"})
 	near, far := net.Pipe()
 	c := &serverConn{
-		server: b.servers["s"], session: b.dialect.NewSession(""), net: near, up: true, calls: map[core.AttemptID]*frame{},
+		server: b.servers["s"], session: b.dialect.NewSession(""), conn: near, up: true, calls: map[core.AttemptID]*frame{},
 		sentAt: map[core.AttemptID]int64{}, written: new(atomic.Int64), writes: newOutbox(8),
 	}
 	b.servers["s"].conns, b.conns = []*serverConn{c}, 1
