--- a/internal/broker/transport/admin.go
+++ b/internal/broker/transport/admin.go
@@ -11,14 +11,14 @@
 )
 
 const (
-	// DoorSockets is how many descriptors the operators' door needs at most, its listener included.
+	// AdminSockets is how many descriptors the admin endpoint needs at most, its listener included.
 	AdminSockets     = 16
 	adminCallTimeout = 3 * time.Second        // for a call to come in
 	adminLinger      = 500 * time.Millisecond // read on after the answer: a reset would destroy it
 	adminLingerBytes = 4 << 10                // of what is read on
 )
 
-// Door answers operators' calls on a listener of its own.
+// AdminListener serves the admin endpoint on a listener of its own. Its methods may be called from any goroutine.
 type AdminListener struct {
 	socket  net.Listener
 	handler adminapi.Program
@@ -30,7 +30,7 @@
 	calls  []net.Conn // open connections, the oldest first
 }
 
-// NewDoor makes a door on an open listener; Serve runs it.
+// NewAdminListener makes an admin listener on an open socket; Serve runs it, Close ends it and closes the socket.
 func NewAdminListener(l net.Listener, d adminapi.Program, logger *slog.Logger) *AdminListener {
 	return &AdminListener{socket: l, handler: d, log: logger}
 }
@@ -51,8 +51,8 @@
 	}
 }
 
-// admit makes room where it has to. Guards against callers who say nothing and stay: the oldest goes, and one who
-// means to call has long been answered by then.
+// admit serves a connection. Where all descriptors are in use the oldest connection is closed first: guards against callers that
+// connect, send nothing and stay.
 func (d *AdminListener) admit(conn net.Conn) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -72,7 +72,7 @@
 func (d *AdminListener) serve(conn net.Conn) {
 	defer d.wg.Done()
 	defer d.forget(conn)
-	conn.SetDeadline(time.Now().Add(adminCallTimeout))
+	setDeadline(conn, time.Now().Add(adminCallTimeout))
 	var call adminapi.Call
 	buf := make([]byte, 2*adminapi.MaxCall)
 	for {
@@ -89,14 +89,14 @@
 }
 
 func (d *AdminListener) answer(conn net.Conn, answer []byte) {
-	conn.SetDeadline(time.Now().Add(writeTimeout))
+	setDeadline(conn, time.Now().Add(writeTimeout))
 	if _, err := conn.Write(answer); err != nil {
 		return // nobody reads it
 	}
 	if half, ok := conn.(interface{ CloseWrite() error }); !ok || half.CloseWrite() != nil {
 		return
 	}
-	conn.SetReadDeadline(time.Now().Add(adminLinger))
+	setReadDeadline(conn, time.Now().Add(adminLinger))
 	buf := make([]byte, 512)
 	for left := adminLingerBytes; left > 0; {
 		n, err := conn.Read(buf)
@@ -119,7 +119,7 @@
 	}
 }
 
-// Close ends the door and its callers.
+// Close closes the socket and all open calls, and waits until they have ended.
 func (d *AdminListener) Close() {
 	d.socket.Close()
 	d.mu.Lock()
--- a/internal/broker/transport/client_conn.go
+++ b/internal/broker/transport/client_conn.go
@@ -9,24 +9,24 @@
 	"time"
 )
 
-// clientConn is one client's connection. One goroutine reads, and so sees the client leave; while requests
-// wait another answers them, one at a time and in order.
+// clientConn is one client's connection. One goroutine reads, and so notices when the client leaves. While requests are open another
+// goroutine answers them, one at a time and in order.
 type clientConn struct {
 	listener       *Listener
 	conn           net.Conn
 	accepted       time.Time
 	clientGone     chan struct{} // closed when the client has left
 	malformed      chan struct{} // closed when it has sent what can't be read
-	flooded        chan struct{} // closed when it goes on sending behind that without end
-	lastAnswerDone chan struct{} // closed when that has been answered, or can't be any more
+	flooded        chan struct{} // closed when it has sent lingerBytes after that
+	lastAnswerDone chan struct{} // closed after the last answer, sent or not
 
-	// Under l.mu:
+	// The listener's mu guards what follows.
 	queue        []*http1.Message
-	fault        *http1.Error // what it sent that can't be read; nothing after it is passed on
+	fault        *http1.Error // why its bytes can't be read; requests behind it are not answered
 	faultAt      time.Time
 	answering    bool
 	partial      bool // a request has begun to come in
-	hasRequested bool // a whole request has come in
+	hasRequested bool // a complete request has come in
 	evicted      bool // it is to end, unless a request comes in first
 	endsNext     bool // the next answer is the last
 	readEnded    bool // the reader has ended
@@ -34,7 +34,8 @@
 	idleSince    time.Time // when it last became idle
 }
 
-// change alters the state under the listener's lock and keeps the count of busy connections.
+// update changes the state under the listener's lock, counts the connection as busy or not and, once it is idle, sets its idle
+// deadline.
 func (c *clientConn) update(f func()) {
 	c.listener.mu.Lock()
 	defer c.listener.mu.Unlock()
@@ -51,149 +52,70 @@
 		c.idleSince = time.Now()
 	}
 	if !busy && c.fault == nil {
-		c.conn.SetReadDeadline(c.idleSince.Add(c.listener.settings.Load().IdleTimeout))
+		setReadDeadline(c.conn, c.idleSince.Add(c.listener.settings.Load().IdleTimeout))
 	}
 }
 
-func (c *clientConn) read() {
-	defer c.listener.wg.Done()
-	var held int64
-	defer func() {
-		c.listener.partialBytes.Add(-held)
-		close(c.clientGone)
-		over := false
-		c.update(func() { c.readEnded, over = true, !c.answering })
-		if over {
-			c.close()
-		}
-	}()
-	var p http1.Parser
-	var head, last *http1.Message // that came in last, and whole
-	p.OnHeader = func(m *http1.Message) {
-		head = m
-		// Nothing else is being written then: clients that wait for this have no request before it open.
-		if m.Header.Get("Expect") == "100-continue" && !c.isAnswering() {
-			c.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
-			c.conn.Write([]byte("HTTP/1.1 100 Continue\r\n\r\n")) // a failure shows at the next read
-		}
-	}
-	buf := make([]byte, clientReadSize)
-	c.conn.SetReadDeadline(c.accepted.Add(c.listener.settings.Load().FirstRequestTimeout))
-	for {
-		n, err := c.conn.Read(buf)
-		if n > 0 {
-			p.Feed(buf[:n])
-			batch, perr := parseComplete(&p)
-			if n := len(batch); n > 0 {
-				last = batch[n-1]
-			}
-			now := int64(p.Buffered())
-			if c.listener.partialBytes.Add(now-held) > c.listener.settings.Load().MaxPartialBytes && perr == nil && now > 0 {
-				// What was not read to its end has not run: trying again is harmless.
-				perr = &http1.Error{Status: 503, Text: "too much is coming in at once"}
-			}
-			held = now
-			if head != last {
-				c.countFailed(perr, head)
-			}
-			// Guards servers against requests whose client left before they were read, as where it waited to be accepted.
-			if len(batch) > 0 && perr == nil {
-				if _, gone := peek(c.conn); gone {
-					return
-				}
-			}
-			if c.enqueue(batch, perr, !p.Idle()) {
-				c.discardUntilClosed()
-				return
-			}
-		}
-		if err != nil {
-			var timeout net.Error
-			late := errors.As(err, &timeout) && timeout.Timeout()
-			if late && p.Idle() && c.continueIfUnread() {
-				continue
-			}
-			if late && !p.Idle() {
-				slow := &http1.Error{Status: 408, Text: "the request took too long to come in"}
-				if head != last {
-					c.countFailed(slow, head)
-				}
-				c.enqueue(nil, slow, false)
-				c.discardUntilClosed()
-			}
-			return
-		}
-	}
+// enqueue queues requests to be answered, and behind them the fault that makes the rest unreadable. It returns true where nothing more
+// is read after it. It never waits: a reader that waited for a place in the queue would not notice that its client leaves.
+func (c *clientConn) enqueue(batch []*http1.Message, fault error, partial bool) (last bool) {
+	c.update(func() { last = c.enqueueLocked(batch, fault, partial) })
+	return last
 }
 
-// lost counts requests that end with a fault instead of an answer of their own.
-func (c *clientConn) countFailed(fault error, ms ...*http1.Message) {
-	if fault == nil {
-		return
+// enqueueLocked is enqueue under the listener's lock.
+func (c *clientConn) enqueueLocked(batch []*http1.Message, fault error, partial bool) bool {
+	if c.fault != nil { // its last answer has left
+		return true
+	}
+	if fault == nil && len(c.queue)+len(batch) > maxPipelined {
+		fault = &http1.Error{Status: statusBadRequest, Text: "too many requests ahead of their answers"}
+		c.countFailed(fault, batch...)
+		batch = nil
+	}
+	if c.evicted { // these bytes were on their way from the socket to here
+		c.cancelEviction()
 	}
-	e := &http1.Error{Status: 400}
-	errors.As(fault, &e)
-	for _, m := range ms {
-		c.listener.engine.metrics.CountAnswer(c.listener.settings.Load().front.Class(m), e.Status)
+	now := time.Now()
+	if partial && (!c.partial || len(batch) > 0) && c.hasRequested {
+		setReadDeadline(c.conn, now.Add(c.listener.settings.Load().RequestTimeout))
 	}
+	c.partial = partial
+	c.queue = append(c.queue, batch...)
+	c.hasRequested = c.hasRequested || len(batch) > 0
+	if fault != nil {
+		c.setFault(fault, now)
+	}
+	if len(c.queue) > 0 || fault != nil {
+		c.startAnswering()
+	}
+	if c.answering && !partial && fault == nil {
+		setReadDeadline(c.conn, time.Time{}) // an open query is no idle connection
+	}
+	return fault != nil
 }
 
-// whole returns the messages that are complete.
-func parseComplete(p *http1.Parser) (batch []*http1.Message, err error) {
-	for {
-		m, err := p.Next()
-		if m == nil || err != nil {
-			return batch, err
-		}
-		batch = append(batch, m)
-	}
+// setFault records what ends the connection; the listener's lock is taken.
+func (c *clientConn) setFault(fault error, now time.Time) {
+	c.fault, c.faultAt, c.partial = &http1.Error{Status: statusBadRequest, Text: fault.Error()}, now, false
+	errors.As(fault, &c.fault)
+	close(c.malformed)
 }
 
-// take hands requests over to be answered, and what can't be read behind them. It never waits: guards against a
-// client that fills the queue and leaves, whose going would not be seen while its reader waited for room.
-func (c *clientConn) enqueue(batch []*http1.Message, fault error, partial bool) (bad bool) {
-	c.update(func() {
-		if c.fault != nil { // its last answer has left
-			bad = true
-			return
-		}
-		if fault == nil && len(c.queue)+len(batch) > maxPipelined {
-			fault = &http1.Error{Status: 400, Text: "too many requests ahead of their answers"}
-			c.countFailed(fault, batch...)
-			batch = nil
-		}
-		if c.evicted { // these bytes were on their way from the socket to here
-			c.cancelEviction()
-		}
-		now := time.Now()
-		if partial && (!c.partial || len(batch) > 0) && c.hasRequested {
-			c.conn.SetReadDeadline(now.Add(c.listener.settings.Load().RequestTimeout))
-		}
-		c.partial = partial
-		c.queue = append(c.queue, batch...)
-		c.hasRequested = c.hasRequested || len(batch) > 0
-		if fault != nil {
-			c.fault, c.faultAt, c.partial = &http1.Error{Status: 400, Text: fault.Error()}, now, false
-			errors.As(fault, &c.fault)
-			close(c.malformed)
-		}
-		if !c.answering && (len(c.queue) > 0 || fault != nil) {
-			c.answering = true
-			c.listener.wg.Add(1)
-			go c.answer()
-		}
-		if c.answering && !partial && fault == nil {
-			c.conn.SetReadDeadline(time.Time{}) // an open query is no idle connection
-		}
-		bad = fault != nil
-	})
-	return bad
+// startAnswering starts the goroutine that answers, unless it runs; the listener's lock is taken.
+func (c *clientConn) startAnswering() {
+	if c.answering {
+		return
+	}
+	c.answering = true
+	c.listener.wg.Add(1)
+	go c.answer()
 }
 
-// pass reads on past what can't be read, within bounds, so that the client's going is seen and the error
-// reaches it. Beyond them its going can't be seen: what it still waits for is given up.
+// discardUntilClosed reads on after unreadable bytes, within bounds, so that the client's leaving is noticed and the error answer
+// reaches it. Beyond lingerBytes it stops: the connection counts as flooded, and its open query is given up.
 func (c *clientConn) discardUntilClosed() {
-	c.conn.SetReadDeadline(time.Now().Add(faultGrace + linger))
+	setReadDeadline(c.conn, time.Now().Add(faultGrace+linger))
 	if n, err := io.CopyN(io.Discard, c.conn, lingerBytes); err == nil && n == lingerBytes {
 		close(c.flooded)
 		<-c.lastAnswerDone
@@ -206,11 +128,11 @@
 	return c.answering
 }
 
-// next is the request to answer next, or the fault to end with; neither where the connection is idle again.
+// next returns the request to answer next, or the fault to end with; neither where the connection is idle again.
 func (c *clientConn) next() (m *http1.Message, fault *http1.Error) {
 	c.update(func() {
 		switch {
-		case c.readEnded && c.fault == nil: // nobody waits: what is queued is not begun
+		case c.readEnded && c.fault == nil: // the client has left: queued requests are not begun
 			c.queue, c.answering = nil, false
 		case len(c.queue) > 0 && !c.readEnded && (c.fault == nil || time.Since(c.faultAt) < c.listener.faultGrace):
 			m, c.queue = c.queue[0], c.queue[1:]
@@ -225,6 +147,7 @@
 	return m, fault
 }
 
+// answer answers the queued requests in order until none is left or the connection ends.
 func (c *clientConn) answer() {
 	defer c.listener.wg.Done()
 	for {
@@ -232,7 +155,7 @@
 		switch {
 		case fault != nil:
 			r := c.listener.settings.Load().front.Fault(fault.Status, fault.Text)
-			if after := c.listener.settings.Load().RetryAfter; fault.Status == 503 && after > 0 {
+			if after := c.listener.settings.Load().RetryAfter; fault.Status == statusUnavailable && after > 0 {
 				seconds := int64((after + time.Second - 1) / time.Second)
 				r.Fields = append(r.Fields, [2]string{"Retry-After", strconv.FormatInt(seconds, 10)})
 			}
@@ -250,15 +173,15 @@
 	}
 }
 
-// finish ends the connection after its last answer: at once where nobody reads it, else once the client has
-// ended it too or the time to linger is over.
+// finish ends the connection after its last answer: immediately where the client does not read or nothing of it is unread, else once
+// the client has closed it or linger is over.
 func (c *clientConn) finish(reads bool) {
 	over := false
 	c.update(func() {
 		c.queue = nil
 		c.answering, over = false, c.readEnded
 		if c.fault == nil {
-			// One who was told that the connection ends sends nothing more. Closing over what it has sent already would reset the
+			// A client sends nothing after an answer that ends the connection. A close over what it has sent already would reset the
 			// connection, and the answer with it.
 			c.fault, over = &http1.Error{}, over || !hasUnread(c.conn)
 		}
@@ -269,11 +192,11 @@
 	case over || !reads || !ok || half.CloseWrite() != nil:
 		c.close()
 	default:
-		c.conn.SetReadDeadline(time.Now().Add(linger))
+		setReadDeadline(c.conn, time.Now().Add(linger))
 	}
 }
 
-// endIfOver closes the connection where its reader has ended meanwhile.
+// closeIfReadEnded closes the connection where its reader has ended meanwhile.
 func (c *clientConn) closeIfReadEnded() {
 	c.listener.mu.Lock()
 	over := c.readEnded && !c.answering
@@ -283,14 +206,14 @@
 	}
 }
 
-// close may be called more than once.
+// close closes and removes the connection. It may be called more than once.
 func (c *clientConn) close() {
 	c.conn.Close()
 	c.listener.removeConn(c)
 }
 
 func (c *clientConn) write(r http1.Response, last bool) bool {
-	c.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
+	setWriteDeadline(c.conn, time.Now().Add(writeTimeout))
 	_, err := c.conn.Write(r.Append(nil, last))
 	return err == nil
 }
--- a/internal/broker/transport/conn_end.go
+++ b/internal/broker/transport/conn_end.go
@@ -18,16 +18,19 @@
 	}
 }
 
+// closeIfEmpty closes a retired connection that has no call left.
 func (p *pool) closeIfEmpty(now int64, c *serverConn) {
 	if c.retired && len(c.calls) == 0 && len(c.backlog) == 0 && !c.closed {
 		p.closeConn(now, c, false)
 	}
 }
 
-// hush is how long a connection with calls out may say nothing before further calls take another one, in
-// microseconds. It goes by what calls usually take: days differ in scale, and servers stand still for a while.
+// quietLimit is how long a connection with open calls may deliver nothing before further calls take another one, in microseconds. It
+// scales with the typical latency of calls, within bounds: load differs from day to day, and servers pause for a while.
 func (p *pool) quietLimit() int64 { return p.scaledTimeout(8, 30_000) }
 
+// scaledTimeout is n typical latencies, at least least and at most unresponsiveAfter; unresponsiveAfter while no latency is known. In
+// microseconds.
 func (p *pool) scaledTimeout(n float64, least int64) int64 {
 	if p.typicalLatency == 0 {
 		return unresponsiveAfter
@@ -35,7 +38,7 @@
 	return min(max(int64(n*p.typicalLatency), least), unresponsiveAfter)
 }
 
-// waits is since when a connection owes an answer and has said nothing; 0 where it owes none.
+// unansweredSince is since when a connection has an open call and has delivered nothing; 0 where it has none.
 func (c *serverConn) unansweredSince() int64 {
 	oldest := int64(0)
 	for _, at := range c.sentAt {
@@ -49,11 +52,11 @@
 	return max(oldest, c.heardAt, c.upAt)
 }
 
-// overtaken is how many calls have to overtake a silent connection before it is given up: one may be served by
-// another core while a long one is in work.
+// overtakenLimit is how many calls on other connections have to overtake a quiet connection before it is closed: another core of the
+// server may answer one while a long call runs.
 const overtakenLimit = 3
 
-// overtakes takes note that a server has answered a call which left at a time.
+// noteOvertaken counts, for the quiet connections of a server, that it has answered a call which left later, at sent.
 func (p *pool) noteOvertaken(s *server, sent int64) {
 	for _, c := range s.conns {
 		if since := c.unansweredSince(); since > 0 && sent > since+p.quietLimit() {
@@ -62,10 +65,10 @@
 	}
 }
 
-// strand ends a connection that has fallen silent while its server goes on answering: on others it has answered
-// calls that left well after this one fell silent. Guards against links that are cut without a word, on which
-// calls would wait until their time is up. What was out there may have run, and says nothing of the server. Where
-// one connection carries one call, a long call looks the same, so nothing is concluded.
+// closeIfOvertaken closes a connection that has become quiet while its server answers on others, even calls that left well after this
+// one became quiet. Guards against links that fail without a reset, on which calls would wait until their deadline. The attempts on it
+// may have run; they end as Stranded, which says nothing about the server. Where a connection carries one call at a time a long call
+// looks the same, so nothing is concluded.
 func (p *pool) closeIfOvertaken(now int64, c *serverConn) {
 	if p.dialect.Streams() < 2 || c.overtakenBy < overtakenLimit {
 		return
@@ -76,11 +79,11 @@
 	p.closeConn(now, c, false)
 }
 
-// silence is how long a connection with a call out may say nothing before it takes no further calls, in
-// microseconds. Servers stand still for less.
+// unresponsiveAfter is how long a connection with an open call may deliver nothing before it takes no further calls, in microseconds.
+// Servers pause for less.
 const unresponsiveAfter = 1_500_000
 
-// shed closes the connection that has been idle for longest, so that there is room for a new one.
+// closeLongestIdle closes the connection that has been idle for longest, to make room for a new one.
 func (p *pool) closeLongestIdle(now int64) {
 	var oldest *serverConn
 	for _, s := range p.servers {
@@ -95,9 +98,9 @@
 	}
 }
 
-// spoil ends a connection whose bytes are of no use. The attempt that has been out for longest is taken to be
-// the one whose answer was spoilt; the others are given up with the connection. Either may have run. They are
-// not reported as broken: that is how queries look that bring down what serves them.
+// closeMalformed closes a connection that delivered malformed bytes. The attempt that has been open for longest is taken for the one
+// with the malformed answer and ends as Errored; the others end as Stranded. Any of them may have run. They don't end as Broken, which
+// counts against queries that bring servers down.
 func (p *pool) closeMalformed(now int64, c *serverConn, err error) {
 	if !errors.Is(err, core.ErrConnectionEnding) {
 		p.lastLossAt = now
@@ -110,9 +113,9 @@
 	p.closeConn(now, c, false)
 }
 
-// fail ends a connection. What was not written whole has never run; the rest may have. Only once the writer
-// has ended (settled) is it known how much it wrote: before, all that was handed to it may have left. Guards
-// against a part that must not run twice being sent again while its first frame is on its way.
+// closeConn ends a connection and the attempts on it. What was not written completely has never run; the rest may have. Only once the
+// writer has ended (settled) is it known how much it wrote; before, all that was queued may have left. Guards against sending an
+// attempt that must not run twice again while its first frame is on its way.
 func (p *pool) closeConn(now int64, c *serverConn, settled bool) {
 	if c.closed {
 		return
@@ -149,8 +152,7 @@
 	}
 }
 
-// sweep closes idle connections before the server's machine does, those on which an answer stands still, and
-// those that have fallen silent.
+// sweep closes idle connections before the server's machine does, connections whose answer has stopped, and unresponsive ones.
 func (p *pool) sweep(now int64) {
 	for _, s := range p.servers {
 		for _, c := range append([]*serverConn(nil), s.conns...) {
--- a/internal/broker/transport/dispatch.go
+++ b/internal/broker/transport/dispatch.go
@@ -6,6 +6,7 @@
 	sq "saffronquay"
 )
 
+// withdraw ends the attempts on a connection whose calls have not begun to leave, as unreachable.
 func (p *pool) withdraw(now int64, c *serverConn) {
 	for _, id := range sortedKeys(c.calls) {
 		if p.takeBack(now, c, id) {
@@ -14,8 +15,8 @@
 	}
 }
 
-// unsend takes an attempt back where no byte of its call has begun to leave, and tells whether it did. Others that travel with it
-// stay where they are.
+// takeBack removes an attempt from its connection where no byte of its call has begun to leave, and reports whether it did. Other
+// attempts of the same call stay.
 func (p *pool) takeBack(now int64, c *serverConn, id core.AttemptID) bool {
 	f, out := c.calls[id]
 	if !out || c.closed {
@@ -46,7 +47,7 @@
 	return taken
 }
 
-// recall takes back what nobody waits for, as far as it has not begun to leave.
+// recall takes back an attempt whose answer is no longer needed, where it has not begun to leave. It ends as not sent.
 func (p *pool) recall(now int64, id core.AttemptID) {
 	if c := p.byAttempt[id]; c != nil && p.takeBack(now, c, id) {
 		p.endAttempt(now, c, core.Reply{Attempt: id, Outcome: sq.NotSent})
@@ -54,38 +55,16 @@
 	}
 }
 
-// call sends a call over the fullest connection with room, over one that is coming up, or over a new one.
-// While connections are being lost it takes the idle one used last, or a new one, as far as there is room, and
-// then the emptiest.
+// call sends a call over the fullest connection with capacity, over one that is coming up, or over a new one. For isolationPeriod
+// after a connection was lost under a call it takes the idle one used last, or a new one as far as the limits allow, and then the
+// emptiest.
 func (p *pool) call(now int64, call core.Call) {
 	s := p.servers[call.Server]
 	if s == nil || s.address == "" || s.draining {
 		p.refuse(now, call)
 		return
 	}
-	alone := p.lastLossAt > 0 && now-p.lastLossAt < isolationPeriod
-	room := len(s.conns) < maxConnsPerServer && p.conns < p.cfg.MaxConns*3/4
-	var best *serverConn
-	for _, c := range s.conns {
-		if c.closed || c.retired || len(c.calls)+len(call.Attempts) > max(p.dialect.Streams(), len(call.Attempts)) {
-			continue
-		}
-		if !c.up && c.hasSpare && !c.isSpare {
-			continue // it may never come up; its spare may
-		}
-		if alone && room && len(c.calls) > 0 || c.partialHeardAt > 0 && len(c.calls) == 0 {
-			continue
-		}
-		if since := c.unansweredSince(); since > 0 && now-since > p.quietLimit() && len(s.conns) < maxConnsPerServer {
-			continue // it may have fallen silent
-		}
-		if c.up && now-c.usedAt > p.cfg.IdleClose*2/3 && len(c.calls) == 0 {
-			continue // may be closing at the far end just now
-		}
-		if best == nil || c.better(best, alone) {
-			best = c
-		}
-	}
+	best := p.chooseConn(now, s, call)
 	if best == nil {
 		if best = p.dial(now, s); best == nil {
 			p.refuse(now, call)
@@ -106,7 +85,43 @@
 	p.write(now, best, call)
 }
 
-// better tells which of two connections a call takes.
+// chooseConn returns the connection that a call takes, or nil where it needs a new one.
+func (p *pool) chooseConn(now int64, s *server, call core.Call) *serverConn {
+	isolated := p.lastLossAt > 0 && now-p.lastLossAt < isolationPeriod
+	canDial := len(s.conns) < maxConnsPerServer && p.conns < p.cfg.MaxConns*3/4
+	var best *serverConn
+	for _, c := range s.conns {
+		if !p.canTake(now, c, call) || isolated && canDial && len(c.calls) > 0 {
+			continue
+		}
+		if best == nil || c.better(best, isolated) {
+			best = c
+		}
+	}
+	return best
+}
+
+// canTake reports whether a connection has capacity for a call and no sign of trouble.
+func (p *pool) canTake(now int64, c *serverConn, call core.Call) bool {
+	if c.closed || c.retired || len(c.calls)+len(call.Attempts) > max(p.dialect.Streams(), len(call.Attempts)) {
+		return false
+	}
+	if !c.up && c.hasSpare && !c.isSpare {
+		return false // it may never come up; its spare may
+	}
+	if c.partialHeardAt > 0 && len(c.calls) == 0 {
+		return false // the rest of an answer that nobody waits for is still to come
+	}
+	if since := c.unansweredSince(); since > 0 && now-since > p.quietLimit() && len(c.server.conns) < maxConnsPerServer {
+		return false // it may be unresponsive
+	}
+	if c.up && now-c.usedAt > p.cfg.IdleClose*2/3 && len(c.calls) == 0 {
+		return false // the far end may be closing it just now
+	}
+	return true
+}
+
+// better reports whether a call takes this connection rather than another.
 func (c *serverConn) better(than *serverConn, alone bool) bool {
 	n, m := len(c.calls), len(than.calls)
 	switch {
@@ -120,12 +135,14 @@
 	return n > m
 }
 
+// refuse ends a call that finds no connection, as unreachable.
 func (p *pool) refuse(now int64, call core.Call) {
 	for _, a := range call.Attempts {
 		p.onReply(now, core.Reply{Attempt: a.ID, Outcome: sq.Unreachable})
 	}
 }
 
+// write queues a call for its connection's writer. A full queue means that the far end reads nothing, and ends the connection.
 func (p *pool) write(now int64, c *serverConn, call core.Call) {
 	f := &frame{bytes: c.session.Call(nil, call, now), call: call, number: c.lastWrite + 1}
 	if !c.writes.put(f) { // the far end takes nothing any more
@@ -139,7 +156,7 @@
 	}
 }
 
-// drop gives an attempt up. One that has not begun to leave is taken back, and the server never hears of it.
+// drop cancels an attempt. One whose call has not begun to leave is taken back, so that the server never receives it.
 func (p *pool) drop(now int64, id core.AttemptID) {
 	c := p.byAttempt[id]
 	if c == nil {
--- a/internal/broker/transport/engine.go
+++ b/internal/broker/transport/engine.go
@@ -1,5 +1,3 @@
-// Package transport holds the thin drivers over package net: the listener and its connections, the pool of
-// connections to servers, the watch on discovery, and the goroutine that owns the core.
 package transport
 
 import (
@@ -30,8 +28,8 @@
 // Now is the present time.
 func (c Clock) Now() int64 { return c.start.UnixMicro() + time.Since(c.start).Microseconds() }
 
-// Engine is the one goroutine that owns the core, the module behind it and the pool. Everything else hands it
-// functions to run.
+// Engine is the one goroutine that owns the core, the module behind it and the pool. Others post functions to it; its methods may be
+// called from any goroutine. It blocks on nothing but its inbox.
 type Engine struct {
 	clock        Clock
 	core         *core.Core
@@ -46,19 +44,19 @@
 	gate         *admission.Gate        // nil: there are no contracts
 	queued       map[int64]*queuedQuery // queries that wait at the gate
 	lastGateID   int64
-	permit       *Permit          // nil: everything is let in
+	permit       *Permit          // nil: every query is admitted
 	suspended    []suspendedQuery // queries that wait while a change is put in force
-	killDeadline int64            // when this process may be killed: what arrives is answered before; 0: not known
-	// Watch and Fetch, where set, carry out what the module asks of discovery; they must not block.
+	killDeadline int64            // when this process may be killed: queries end before; 0: not known
+	// Watch and Fetch, where set, execute the module's requests to discovery. They must not block. Set them before Run.
 	Watch, Fetch func()
-	// Refresh, where set, has the whole layout asked for; it must not block.
+	// RefreshLayout, where set, has the full layout fetched. It must not block. Set it before Run.
 	RefreshLayout func()
 }
 
 const (
 	inboxSize  = 1024
 	sweepEvery = 50_000 // microseconds
-	// standingWait bounds how long the engine's word on its state is waited for.
+	// stateTimeout bounds the wait for the engine's state.
 	stateTimeout = 500 * time.Millisecond
 )
 
@@ -77,6 +75,7 @@
 	return e
 }
 
+// post hands a function to the engine's goroutine. It waits while the inbox is full, and returns false where the engine has ended.
 func (e *Engine) post(f func(now int64)) bool {
 	select {
 	case e.inbox <- f:
@@ -95,14 +94,7 @@
 		select {
 		case f := <-e.inbox:
 			f(e.clock.Now())
-			for more := true; more; { // what has come in meanwhile belongs to the same step
-				select {
-				case f := <-e.inbox:
-					f(e.clock.Now())
-				default:
-					more = false
-				}
-			}
+			e.runPosted()
 		case <-timer.C:
 		case <-e.stop:
 			return
@@ -114,29 +106,51 @@
 		if now >= e.sweepAt {
 			e.sweepAt = now + sweepEvery
 			e.pool.sweep(now)
-			listed, out := e.core.Rotation()
-			e.metrics.KnownServers.Store(int64(listed))
-			e.metrics.EjectedServers.Store(int64(out))
-			if l := e.metrics.LayoutCounts; l != nil {
-				replanned, misplaced := e.core.ReplanCounts()
-				l.Replanned.Store(replanned)
-				l.Misplaced.Store(misplaced)
-			}
-		}
-		at := e.sweepAt
-		if next, ok := e.core.NextStep(); ok {
-			at = min(at, next)
+			e.publishMetrics()
 		}
-		if e.gate != nil {
-			if next, ok := e.gate.NextExpiry(); ok {
-				at = min(at, next)
-			}
+		timer.Reset(time.Duration(max(0, e.nextStep()-e.clock.Now())) * time.Microsecond)
+	}
+}
+
+// runPosted runs what was posted meanwhile: it belongs to the same step of the core.
+func (e *Engine) runPosted() {
+	for {
+		select {
+		case f := <-e.inbox:
+			f(e.clock.Now())
+		default:
+			return
 		}
-		if len(e.suspended) > 0 {
-			at = min(at, e.permit.SuspendedUntil)
+	}
+}
+
+// publishMetrics copies the core's state into the gauges.
+func (e *Engine) publishMetrics() {
+	listed, out := e.core.Rotation()
+	e.metrics.KnownServers.Store(int64(listed))
+	e.metrics.EjectedServers.Store(int64(out))
+	if l := e.metrics.LayoutCounts; l != nil {
+		replanned, misplaced := e.core.ReplanCounts()
+		l.Replanned.Store(replanned)
+		l.Misplaced.Store(misplaced)
+	}
+}
+
+// nextStep is when the engine has to run again although nothing is posted, in Unix microseconds.
+func (e *Engine) nextStep() int64 {
+	at := e.sweepAt
+	if next, ok := e.core.NextStep(); ok {
+		at = min(at, next)
+	}
+	if e.gate != nil {
+		if next, ok := e.gate.NextExpiry(); ok {
+			at = min(at, next)
 		}
-		timer.Reset(time.Duration(max(0, at-e.clock.Now())) * time.Microsecond)
 	}
+	if len(e.suspended) > 0 {
+		at = min(at, e.permit.SuspendedUntil)
+	}
+	return at
 }
 
 // Stop ends Run.
@@ -145,6 +159,7 @@
 	<-e.stopped
 }
 
+// carryOut executes the core's effects in their order.
 func (e *Engine) carryOut(now int64, effects []core.Effect) {
 	for _, x := range effects {
 		switch x := x.(type) {
@@ -181,7 +196,7 @@
 	}
 }
 
-// intend hands intents to their ledger, which must not block.
+// recordIntents passes intents to their ledger, which must not block, and its result to the core.
 func (e *Engine) recordIntents(now int64, x core.RecordIntents) {
 	done := func(err error) { e.post(func(now int64) { e.core.IntentsRecorded(now, x.Attempts, err) }) }
 	if err := x.Log.Record(x.Intents, x.Deadline, done); err != nil {
@@ -189,7 +204,7 @@
 	}
 }
 
-// Ticket is a query that was handed to the engine.
+// Ticket is a query that was handed to the engine. Callers wait on Final, Err and the end of the engine.
 type Ticket struct {
 	Final  chan core.Final // gets the one final answer
 	Err    chan error      // gets an error instead where the query is malformed
@@ -199,19 +214,20 @@
 	policy uint64 // the version that it was let in under, and one; 0: there are none. The engine's
 }
 
-// Open hands over a query.
+// Open hands over a query. The ticket gets either a final answer or an error, unless ClientLeft is called or the engine ends before.
 func (e *Engine) Open(a core.Query) *Ticket {
 	t := &Ticket{Final: make(chan core.Final, 1), Err: make(chan error, 1)}
 	e.post(func(now int64) { e.arrive(now, a, t) })
 	return t
 }
 
-// EndBy says when this process may be killed: queries that arrive from now on have their end before, whatever time their clients give.
+// SetKillDeadline sets the time, in Unix microseconds, at which this process may be killed. Queries that arrive from now on get no
+// later deadline, whatever time their clients give.
 func (e *Engine) SetKillDeadline(at int64) {
 	e.post(func(int64) { e.killDeadline = at })
 }
 
-// Left says that the client of a query is gone.
+// ClientLeft gives a query up whose client is gone. No attempt of it begins afterwards.
 func (e *Engine) ClientLeft(t *Ticket) {
 	e.post(func(now int64) {
 		t.left = true
@@ -223,7 +239,7 @@
 	})
 }
 
-// Fleet brings news of the list of servers.
+// UpdateFleet passes a change of the list of servers to the pool and to the core.
 func (e *Engine) UpdateFleet(f sq.FleetChanged, addresses map[sq.ServerID]string) {
 	e.post(func(now int64) {
 		// What ends at a process that is gone comes first: it says nothing of the one in its place.
@@ -232,12 +248,12 @@
 	})
 }
 
-// Layout puts a layout in force. Layouts are handed over in the order of their epochs.
+// UpdateLayout puts a layout in force. Callers pass layouts in the order of their epochs.
 func (e *Engine) UpdateLayout(u layout.Update) {
 	e.post(func(now int64) { e.core.LayoutChanged(now, u) })
 }
 
-// Reconfigure puts other settings in force, in core, module and pool at once.
+// Reconfigure puts other settings in force in core, module and pool, in one step of the engine.
 func (e *Engine) Reconfigure(terms core.Config, settings sq.Settings, cfg PoolConfig, d core.Dialect) {
 	e.post(func(int64) {
 		e.core.Reconfigure(terms, settings)
@@ -245,8 +261,8 @@
 	})
 }
 
-// Standing is how this process stands, for the one that takes its place; ok is false where the engine has ended, or is so
-// late that nobody should go by its word.
+// HandoverState returns the state of this process for the one that takes its place. ok is false where the engine has ended or does not
+// answer within stateTimeout.
 func (e *Engine) HandoverState() (s handover.State, ok bool) {
 	got := make(chan handover.State, 1)
 	go e.post(func(int64) {
@@ -267,7 +283,8 @@
 	return s, false
 }
 
-// Beside says how the other processes of this gatherer stand, and leaves this one so many connections to servers.
+// SetPeers passes the states of the other processes of this gatherer to the core, and limits this process's connections to servers to
+// conns.
 func (e *Engine) SetPeers(others []handover.State, conns int) {
 	held := core.Occupancy{Labels: map[string]int64{}}
 	for _, o := range others {
@@ -280,7 +297,7 @@
 	})
 }
 
-// Succeed begins with what the process before this one had learnt.
+// InheritLearned starts from what the process before this one has learned.
 func (e *Engine) InheritLearned(from handover.State) {
 	e.post(func(now int64) {
 		e.core.TakeOver(now, sq.Learned{Admission: from.Admission, Suspects: from.Suspects})
@@ -293,7 +310,8 @@
 	Spent   map[string]core.Spent
 }
 
-// Remember is what is known now; ok is false where the engine has ended, or is late.
+// ExportMemory returns what a later process should know. ok is false where the engine has ended or does not answer within
+// stateTimeout.
 func (e *Engine) ExportMemory() (m Memory, ok bool) {
 	got := make(chan Memory, 1)
 	go e.post(func(now int64) { got <- Memory{e.core.Learned(), e.core.Spent(now)} })
@@ -308,12 +326,12 @@
 	return m, false
 }
 
-// Recall begins with what a process knew that is gone.
+// RestoreMemory starts from the memory of a process that has ended.
 func (e *Engine) RestoreMemory(m Memory) {
 	e.post(func(now int64) { e.core.Restore(now, m.Learned, m.Spent) })
 }
 
-// Held is the number of queries without their final answer.
+// OpenQueries returns the number of queries without a final answer; 0 once the engine has ended.
 func (e *Engine) OpenQueries() int {
 	n := make(chan int, 1)
 	e.post(func(int64) { n <- e.core.OpenQueries() })
--- a/internal/broker/transport/exchange.go
+++ b/internal/broker/transport/exchange.go
@@ -21,8 +21,8 @@
 	maxPeerStates         = 8           // states that are read at a time
 )
 
-// Beside tells the other process of this gatherer, where there is one, how this one stands, and learns how that one does:
-// by a file of each in a directory of theirs, written whole and renamed.
+// StateExchange exchanges state with the other processes of this gatherer through files in a shared directory. Each process replaces
+// its own file by a rename, so that a reader never sees a part of one.
 type StateExchange struct {
 	dir, name, path string
 	clock           Clock
@@ -32,8 +32,8 @@
 	stop, done      chan struct{}
 }
 
-// NewBeside makes one in a directory that outlives a process. snapshot gives this process's state, where it has one; met
-// is handed what the others told last, again and again. Run runs it.
+// NewStateExchange makes an exchange in a directory that outlives a process. snapshot returns this process's state, if it has one.
+// peersRead gets the latest states of the others after each reading, on Run's goroutine.
 func NewStateExchange(dir, name string, clock Clock, snapshot func() (handover.State, bool), met func([]handover.State),
 	logger *slog.Logger,
 ) *StateExchange {
@@ -44,7 +44,7 @@
 	}
 }
 
-// Run goes on until Stop.
+// Run writes and reads states until Stop.
 func (b *StateExchange) Run() {
 	defer close(b.done)
 	timer := time.NewTimer(0)
@@ -72,7 +72,7 @@
 	}
 }
 
-// Stop ends Run and takes this process's state back.
+// Stop ends Run, waits for it and removes this process's file.
 func (b *StateExchange) Stop() {
 	close(b.stop)
 	<-b.done
@@ -90,8 +90,8 @@
 	return nil
 }
 
-// Others is what the other processes of this gatherer told last. What is broken, of another version or too old counts
-// for nothing.
+// PeerStates returns the latest states of the other processes of this gatherer. A file that is malformed, of another version or too
+// old is ignored; one older than staleFileAge is removed.
 func (b *StateExchange) PeerStates() []handover.State {
 	paths, err := filepath.Glob(filepath.Join(b.dir, stateFilePrefix+"*"))
 	if err != nil {
--- a/internal/broker/transport/follower.go
+++ b/internal/broker/transport/follower.go
@@ -15,46 +15,47 @@
 	"time"
 )
 
-// A change counts as told 6 s after discovery had it and could be reached, whatever call failed, was refused or was given up just before.
-// So the longest that one call may go on in vain and the longest pause after it come to less than that, with room for a call that is
-// answered as late as discovery answers any: 1 + 2.25 + 1 s for a watch, 1 + 3 + 1 s for a list, 4.25 + 0.7 s for a watch that has
-// fallen silent. Calls of one follower come a second apart at least while nothing answers.
+// A change has to be known 6 s after discovery had it and could be reached, whichever call failed, was refused or was given up just before.
+// So the longest duration of a failing call and the longest backoff after it sum up to less, with time left for a call that is
+// answered as late as discovery answers any: 1 + 2.25 + 1 s for a watch, 1 + 3 + 1 s for a list, 4.25 + 0.7 s for a watch that
+// times out. While nothing answers, a follower's calls come at intervals of a second at least.
 const (
-	dialTimeout     = time.Second             // the agent is on this machine: it answers at once or not at all
+	dialTimeout     = time.Second             // the agent is on this machine: it answers immediately or not at all
 	answerTimeout   = 2250 * time.Millisecond // until a call is answered: it may wait for two seconds in discovery's queue
-	listReadTimeout = time.Second             // for a whole list, between two of its pieces
-	listTimeout     = 3 * time.Second         // for all of it: a peer that trickles is no better than a silent one
-	watchTimeout    = 4250 * time.Millisecond // between two whole lines: an empty one comes every 2 s. Then the watch is taken for broken
+	listReadTimeout = time.Second             // between two reads of a full list
+	listTimeout     = 3 * time.Second         // for a full list: a peer that trickles is no better than an unresponsive one
+	watchTimeout    = 4250 * time.Millisecond // between two complete lines: an empty one comes every 2 s. Then the watch counts as broken
 	watchBackoffMin = 100 * time.Millisecond
 	watchBackoffMax = time.Second
 )
 
-// source is what a follower follows: a whole list, and a watch of what changes in it, a line each.
+// source is what a follower follows: a full list, and a watch that delivers changes of it, one a line. All methods run on Run's
+// goroutine.
 type source interface {
 	fullPath() string
 	watchPath() string
-	// whole and line take in what an address has told; after an error the connection is of no use.
+	// applyFull and applyLine apply what an address has sent; after an error the connection is closed.
 	applyFull(body []byte, from string) error
 	applyLine(text []byte, from string) error
-	// ended is told how a watch ended.
+	// watchEnded gets the error that ended a watch.
 	watchEnded(error)
 }
 
-// statusError is an answer that is not the list that was asked for.
+// statusError is an HTTP status other than the expected 200.
 type statusError int
 
 func (s statusError) Error() string { return fmt.Sprintf("status %d", int(s)) }
 
-// follower keeps a watch open at one address at a time, whole lists first where they are wanted. It owns the connection;
-// what is told goes to its source, on Run's goroutine.
+// follower keeps a watch open at one address at a time, and fetches the full list first where that is needed. It owns the connection
+// and passes what it receives to its source, on Run's goroutine.
 type follower struct {
 	source        source
 	log           *slog.Logger
-	maxBytes      int           // bytes of a whole list or a line
-	rng           *rand.Rand    // of the pauses; nil: they are not spread. Run's goroutine owns it
-	needsFull     bool          // the whole list comes first; Run's goroutine owns it
-	onRequest     bool          // failures end it until begin: the module asks for the watch
-	watchRequests chan struct{} // where asked
+	maxBytes      int           // of a full list or a line
+	rng           *rand.Rand    // draws the jitter; nil: none. Run's goroutine owns it
+	needsFull     bool          // the full list comes first; Run's goroutine owns it
+	onRequest     bool          // each watch needs a request of the module
+	watchRequests chan struct{} // with onRequest
 	dial          func(ctx context.Context, address string) (net.Conn, error)
 	stop          chan struct{}
 	done          chan struct{}
@@ -71,7 +72,7 @@
 	}
 }
 
-// Move goes over to another address at once; what is held stays until that one has told its own.
+// SetAddress switches to another address immediately. What is known stays in force until the new address has delivered its full list.
 func (f *follower) SetAddress(address string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -83,14 +84,15 @@
 	f.moved = make(chan struct{})
 }
 
-// target is where to watch, and what is closed when that no longer holds.
+// target returns the address to watch, and a channel that is closed once it has changed.
 func (f *follower) target() (string, <-chan struct{}) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.address, f.moved
 }
 
-// Run follows until Stop.
+// Run follows until Stop. After a failure it waits a backoff that grows from watchBackoffMin to watchBackoffMax, or for the next
+// request where watches are requested.
 func (f *follower) Run() {
 	defer close(f.done)
 	backoff := watchBackoffMin
@@ -111,7 +113,7 @@
 		select {
 		case <-f.stop:
 			return
-		case <-moved: // not a failure: the next address is asked at once
+		case <-moved: // no failure: the next address follows immediately
 			waits = false
 			logging.Info(f.log, logging.WatchMoved, "from", address)
 			continue
@@ -137,11 +139,11 @@
 	}
 }
 
-// Spread has pauses before a new connection drawn from a seed. Call it before Run. Guards a directory that many followers lost at the
-// same moment against their coming back together, again and again.
+// SetJitterSeed has backoffs spread by random draws from a seed. Call it before Run. Guards a directory that many followers lost at
+// the same moment against their reconnecting together.
 func (f *follower) SetJitterSeed(seed uint64) { f.rng = rand.New(rand.NewPCG(seed, 0x5eed)) }
 
-// spread is a pause drawn from half to one and a half times the one that is due.
+// jitter draws a wait from half to one and a half times the backoff.
 func (f *follower) jitter(backoff time.Duration) time.Duration {
 	if f.rng == nil {
 		return backoff
@@ -155,7 +157,7 @@
 	<-f.done
 }
 
-// watch holds one watch open until it ends, falls silent or has to move; heard tells that something came.
+// watch keeps one watch open until it ends, times out or has to move. received reports that something was received.
 func (f *follower) watch(address string, moved <-chan struct{}) (received bool, err error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -187,7 +189,7 @@
 	return f.readLines(conn, address, received)
 }
 
-// lines takes in a watch's answer, line by line, until it ends.
+// readLines passes a watch's answer to the source, line by line, until it ends.
 func (f *follower) readLines(conn net.Conn, address string, received bool) (bool, error) {
 	p := http1.Parser{Response: true, BodyLimit: f.maxBytes}
 	var line []byte
@@ -203,11 +205,11 @@
 			if i < 0 {
 				break
 			}
-			if text := bytes.TrimSpace(line[:i]); len(text) > 0 && status == 200 { // an empty one is a sign of life
+			if text := bytes.TrimSpace(line[:i]); len(text) > 0 && status == 200 { // an empty one shows that the peer lives
 				fault = f.source.applyLine(text, address)
 			}
 			line = line[i+1:]
-			alive() // by whole lines: one that trickles keeps no watch alive
+			alive() // by complete lines: a peer that trickles keeps no watch alive
 		}
 		if len(line) > f.maxBytes {
 			fault = fmt.Errorf("an object over %d bytes", f.maxBytes)
@@ -215,7 +217,7 @@
 	}
 	buf := make([]byte, readSize)
 	for {
-		conn.SetReadDeadline(by)
+		setReadDeadline(conn, by)
 		n, rerr := conn.Read(buf)
 		p.Feed(buf[:n])
 		m, perr := p.Next()
@@ -235,6 +237,7 @@
 	}
 }
 
+// dialPeer connects to an address within dialTimeout.
 func dialPeer(ctx context.Context, address string) (net.Conn, error) {
 	dialer := net.Dialer{Timeout: dialTimeout}
 	conn, err := dialer.DialContext(ctx, "tcp", address)
@@ -244,15 +247,17 @@
 	return conn, nil
 }
 
+// sendRequest sends a GET request.
 func sendRequest(conn net.Conn, target, host string) error {
-	conn.SetWriteDeadline(time.Now().Add(writeTimeout))
+	setWriteDeadline(conn, time.Now().Add(writeTimeout))
 	if _, err := conn.Write(http1.AppendRequest(nil, "GET", target, host, nil, nil)); err != nil {
 		return fmt.Errorf("ask: %w", err)
 	}
 	return nil
 }
 
-// whole asks for the whole list and takes it in. One without a length ends with its connection; a reset is no end.
+// fetchFull requests the full list and passes it to the source. A list without a length ends with its connection; a reset does not
+// complete it.
 func (f *follower) fetchFull(conn net.Conn, address string) error {
 	if err := sendRequest(conn, f.source.fullPath(), address); err != nil {
 		return err
@@ -268,7 +273,7 @@
 		if by.After(end) {
 			by = end
 		}
-		conn.SetReadDeadline(by)
+		setReadDeadline(conn, by)
 		n, rerr := conn.Read(buf)
 		p.Feed(buf[:n])
 		m, err := p.Next()
--- a/internal/broker/transport/gate.go
+++ b/internal/broker/transport/gate.go
@@ -6,16 +6,16 @@
 	"saffronquay/internal/broker/core"
 )
 
-// ErrContract marks a query that its team's contract does not have.
+// ErrNoContract is the error of a query for which its team's contract has no entry.
 var ErrNoContract = errors.New("the contract does not have it")
 
-// held is a query that waits at the gate.
+// queuedQuery is a query that waits at the admission gate.
 type queuedQuery struct {
 	query  core.Query
 	ticket *Ticket
 }
 
-// Contracts puts contracts in force; nil: none. What waits is let in where there are none any more.
+// SetContracts puts admission contracts in force; with nil there are none, and the queries that wait at the gate are admitted.
 func (e *Engine) SetContracts(cfg *admission.Config) {
 	e.post(func(now int64) {
 		switch {
@@ -37,7 +37,7 @@
 	})
 }
 
-// Accounts lists how teams stand, the busiest first; they are put in order on the caller's goroutine.
+// Accounts lists the teams' accounts, the busiest first, at most so many. They are sorted on the caller's goroutine.
 func (e *Engine) Accounts(most int) (out []admission.TeamStatus) {
 	got := make(chan []admission.TeamStatus, 1)
 	e.post(func(int64) {
@@ -54,7 +54,7 @@
 	return admission.TopTeams(out, most)
 }
 
-// arrive asks the gate first, where there is one; the module hears of a query once it is let in.
+// arrive passes a query to the gate, where there is one. The core receives it once the gate admits it.
 func (e *Engine) arrive(now int64, a core.Query, t *Ticket) {
 	if e.killDeadline > 0 {
 		a.Deadline = min(a.Deadline, e.killDeadline)
@@ -88,7 +88,7 @@
 	}
 }
 
-// admit hands a query to the core.
+// admit opens a query in the core, if the permit allows it.
 func (e *Engine) admit(now int64, a core.Query, t *Ticket) {
 	if !e.checkPermit(now, a, t) {
 		return
@@ -114,7 +114,7 @@
 	}
 }
 
-// leave says that a query is over without a final answer of the core's.
+// releaseGate returns a query's admission to the gate where the core gives no final answer for it.
 func (e *Engine) releaseGate(now int64, t *Ticket) {
 	if e.gate == nil || t.gate == 0 {
 		return
@@ -124,7 +124,7 @@
 	e.admitStarted(now)
 }
 
-// flow lets in what may go now.
+// admitStarted admits the queued queries that the gate has started.
 func (e *Engine) admitStarted(now int64) {
 	for _, id := range e.gate.StartQueued() {
 		if h := e.queued[id]; h != nil {
@@ -136,7 +136,7 @@
 	}
 }
 
-// expire refuses what has waited for long enough.
+// refuseExpired refuses queries that have waited too long at the gate.
 func (e *Engine) refuseExpired(now int64) {
 	if e.gate == nil {
 		return
--- a/internal/broker/transport/idle.go
+++ b/internal/broker/transport/idle.go
@@ -7,24 +7,25 @@
 	"time"
 )
 
-// crowded tells that room is wanted: before the table is full, or each new client would wait for it.
+// isCrowded reports whether idle connections should be closed: at three quarters of the table, so that new clients need not wait, or
+// where clients keep as many connections as they may.
 func (l *Listener) isCrowded() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.conns) >= l.settings.Load().MaxConns*3/4 || l.keptAlive() >= l.settings.Load().MaxKeepAlive
 }
 
-// ends tells that a connection is to end with the answer that is due: it was to end anyway, or clients keep as many
-// connections as they may. Guards against clients that ask once and keep their connection: what they hold is missing to
-// those who have yet to ask. Saying so in the answer, unlike closing later, can't cross a request; one that has come in
-// already is answered first.
+// endsAfterAnswer reports whether a connection ends with the present answer: it was to be closed anyway, or clients keep more
+// connections than MaxKeepAlive. Guards against clients that ask one thing and keep their connection, which others then lack. The
+// answer announces the end, so that no request crosses it, unlike a later close. Requests that have come in already are answered
+// first.
 func (l *Listener) endsAfterAnswer(c *clientConn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(c.queue) == 0 && (c.endsNext || l.keptAlive() > l.settings.Load().MaxKeepAlive)
 }
 
-// kept counts the connections that have asked and may ask again.
+// keptAlive counts the connections that have had a request and may send another. The lock is held.
 func (l *Listener) keptAlive() int {
 	n := 0
 	for c := range l.conns {
@@ -35,9 +36,8 @@
 	return n
 }
 
-// evict closes the client connection that is missed least, so that neither old connections nor bad clients
-// keep new ones out: first one that has had its error, then one that has never said anything, then one that has
-// been idle for longest. With least 1 it has to have been idle for long enough.
+// evict closes the connection with the highest evictionRank, and of equal ones the one that has been idle for longest, so that neither
+// old connections nor faulty clients keep new ones out. Ranks below least stay.
 func (l *Listener) evict(least int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -53,19 +53,19 @@
 	}
 }
 
-// evict has an idle connection end, under the listener's lock. Its reader ends it, who alone knows that no request has come in: closing
-// it from here could cross one that has been read, and that would be sent on without anybody to answer to.
+// evict ends an idle connection; the lock is held. The connection's reader closes it, as only that goroutine knows that no request has
+// been read: a close from here could cross a request that is then executed without a client to answer to.
 func (c *clientConn) evict() {
 	c.evicted = true
 	if c.fault != nil { // it has had its last answer, and is only read on
 		c.conn.Close()
 		return
 	}
-	c.conn.SetReadDeadline(time.Unix(1, 0))
+	setReadDeadline(c.conn, time.Unix(1, 0))
 }
 
-// spared tells a reader whose time is up that the connection goes on all the same: bytes have come. Where it was to be evicted, it
-// ends with the answer to them.
+// continueIfUnread reports whether a connection goes on although its read deadline is over, since bytes wait in the socket. If it was
+// to be evicted it ends with the answer to them.
 func (c *clientConn) continueIfUnread() bool {
 	if !hasUnread(c.conn) {
 		return false
@@ -76,14 +76,15 @@
 	return true
 }
 
-// reprieve lets a connection go on until the next answer, under the listener's lock.
+// cancelEviction lets a connection go on until its next answer; the lock is held.
 func (c *clientConn) cancelEviction() {
 	c.endsNext = c.endsNext || c.evicted
 	c.evicted = false
-	c.conn.SetReadDeadline(time.Now().Add(c.listener.settings.Load().RequestTimeout))
+	setReadDeadline(c.conn, time.Now().Add(c.listener.settings.Load().RequestTimeout))
 }
 
-// spare is how little a connection is missed; below nought where it must stay.
+// evictionRank orders connections for evict: 3 has had its error answer, 2 has sent no request for a while, 1 is long idle, 0 is idle,
+// -1 must stay. The lock is held.
 func (c *clientConn) evictionRank(now time.Time) int {
 	age := now.Sub(c.idleSince)
 	switch {
@@ -101,8 +102,8 @@
 	return -1
 }
 
-// wind begins to end idle connections: after a while those that have been idle for long enough, at last all. One that has begun goes on
-// as it is, unless the end is to come sooner.
+// startIdleCloser starts to close idle connections: from after on those that have been idle for idleCloseMin, from last on all. One
+// that runs goes on as it is unless the new one begins sooner. The lock is held.
 func (l *Listener) startIdleCloser(after, last time.Duration) {
 	if l.closed || l.idleCloser != nil && after >= l.idleCloserDelay {
 		return
@@ -115,6 +116,7 @@
 	go l.runIdleCloser(l.idleCloser, after, last)
 }
 
+// runIdleCloser runs closeIdle at every tick until it is stopped or the listener closes.
 func (l *Listener) runIdleCloser(stop <-chan struct{}, after, last time.Duration) {
 	defer l.wg.Done()
 	began := time.Now()
@@ -134,9 +136,8 @@
 	}
 }
 
-// endIdle ends connections without a request arriving or in hand. Guards requests that have come in and that the
-// reader has not got to: closing over them would reset the connection under its client; and new connections, whose first
-// request is on its way.
+// closeIdle evicts connections without an open request. Bytes that wait in the socket keep a connection, since a close over them would
+// reset it, and so does a new connection's pending first request for idleCloseMin.
 func (l *Listener) closeIdle(now time.Time, all bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -149,13 +150,13 @@
 	}
 }
 
-// unread tells that bytes wait on a connection.
+// hasUnread reports whether bytes wait in a connection's socket.
 func hasUnread(conn net.Conn) bool {
 	waits, _ := peek(conn)
 	return waits
 }
 
-// peek looks at what waits on a connection without reading it: bytes, or its far end's end.
+// peek looks at a connection's socket without reading: waits reports that bytes wait, gone that the far end has closed or reset it.
 func peek(conn net.Conn) (waits, gone bool) {
 	raw, ok := conn.(syscall.Conn)
 	if !ok {
--- a/internal/broker/transport/listener.go
+++ b/internal/broker/transport/listener.go
@@ -12,17 +12,17 @@
 	"time"
 )
 
-// Front is one dialect towards clients. It knows no socket.
+// Front translates between one client protocol and the broker's queries. It has no sockets. Calls come from many goroutines at a time.
 type Front interface {
-	// Open turns a request into a query and the way to word its end, or into a response at once.
+	// Open turns a request into a query and the function that turns its end into a response, or into a response without a query.
 	Open(m *http1.Message, now int64, ready bool) (core.Query, func(core.Final, int64) http1.Response, *http1.Response)
-	// Class is the class of a request that the broker has to decide, as far as its head tells; empty for others.
+	// Class is the class of a request that the broker has to decide, as far as its header shows; empty for others.
 	Class(m *http1.Message) string
-	// Fault words the answer to a request that could not be read or decided on.
+	// Fault makes the answer to a request that could not be read or decided on.
 	Fault(status int, text string) http1.Response
 }
 
-// Many is a Front some of whose requests are several.
+// Splitter is a Front that can split a request into several.
 type Splitter interface {
 	// Split makes a request of each part, and a way to join their answers; or a response where it can't; or neither.
 	Split(m *http1.Message) (parts []*http1.Message, join func([]http1.Response, int64) http1.Response, resp *http1.Response)
@@ -31,42 +31,43 @@
 // ListenerConfig bounds a listener.
 type ListenerConfig struct {
 	MaxConns int
-	// Enough is how many connections clients may keep between requests; with more, answers end their connection.
+	// MaxKeepAlive is how many connections clients may keep between requests; with more, answers end their connection.
 	MaxKeepAlive int
-	// Idle bounds the wait for a further request. First bounds the time from connecting until the first request
-	// is whole, Slow the time that a later one may take to come in.
+	// IdleTimeout bounds the wait for a further request, FirstRequestTimeout the time from the accept until the first
+	// request is complete, RequestTimeout the time from the first to the last byte of a later one.
 	IdleTimeout, FirstRequestTimeout, RequestTimeout time.Duration
-	// MaxHeld bounds the bytes of unfinished requests, over all connections.
+	// MaxPartialBytes bounds the bytes of unfinished requests, over all connections.
 	MaxPartialBytes int64
-	// RetryAfter is when one who is turned away for that may come back; 0: clients are not told.
+	// RetryAfter is the Retry-After of an answer to a request beyond MaxPartialBytes; 0: the answer has none.
 	RetryAfter time.Duration
 }
 
 const (
 	clientReadSize = 4 << 10
 	maxPipelined   = 4 // requests that may wait behind the one in work
-	// faultGrace is how long what came in before unreadable bytes may still take, linger how long is read on
-	// after their answer, and lingerBytes how much: closing over unread bytes resets the connection, which may
+	// faultGrace is how long requests before unreadable bytes may still take. linger is how long a connection is read
+	// on after its last answer, and lingerBytes how much: a close over unread bytes resets the connection, which may
 	// destroy an answer on its way.
 	faultGrace     = 1500 * time.Millisecond
 	linger         = time.Second
 	lingerBytes    = 1 << 20
-	idleEvictAfter = 2 * time.Second // then a connection may be closed where room is wanted
-	// Once its connections are to go, a listener first lets answers end them. From restAfter on it closes those that
-	// have been idle for restIdle, from restLast on all that are idle.
+	idleEvictAfter = 2 * time.Second // from then on a connection may be closed to make place for others
+	// A listener that ends its connections first lets answers end them. After idleCloseDelay it closes those that
+	// have been idle for idleCloseMin, after idleCloseAll all that are idle.
 	idleCloseDelay = time.Second
 	idleCloseMin   = 500 * time.Millisecond
 	idleCloseAll   = 1500 * time.Millisecond
 	idleCloseTick  = 50 * time.Millisecond
-	// Where nobody else takes the clients, new ones stay away 0.4 s after a listener has begun to leave, and what comes later than 0.7 s may
-	// find no time for its answer: then all that is idle goes at once.
+	// Where no other process accepts the clients, new ones stay away 0.4 s after a listener has begun to leave, and a request later than
+	// 0.7 s may find no time for its answer: after leaveCloseDelay all idle connections are closed.
 	leaveCloseDelay = 450 * time.Millisecond
-	// lastCalls is how long what waits to be accepted is still taken in when a listener closes its socket.
+	// backlogTimeout is how long a listener that closes its socket still accepts what waits in the backlog.
 	backlogTimeout = 20 * time.Millisecond
-	noRequestAfter = 300 * time.Millisecond // clients that mean to ask do so at once
+	noRequestAfter = 300 * time.Millisecond // a client that has not begun a request by then may be evicted
 )
 
-// Listener accepts clients' connections and answers their requests.
+// Listener accepts clients' connections and answers their requests. Each connection has one goroutine that reads and, while requests
+// are open, one that answers. mu guards the listener's fields below it and the state of all its connections.
 type Listener struct {
 	settings      atomic.Pointer[listenerSettings]
 	engine        *Engine
@@ -74,13 +75,13 @@
 	socket        net.Listener
 	leaving       atomic.Bool
 	standby       atomic.Bool
-	closingSocket atomic.Bool  // it closes its socket once what waits there is accepted
+	closingSocket atomic.Bool  // CloseSocket was called
 	succeeded     atomic.Bool  // another process takes the clients
 	lastQuery     atomic.Int64 // when a query last came in
 	busyConns     atomic.Int64 // connections with a request being read, decided or answered
 	partialBytes  atomic.Int64 // bytes of unfinished requests
 	connRemoved   chan struct{}
-	faultGrace    time.Duration // faultGrace, but in tests
+	faultGrace    time.Duration // the constant, except in tests
 	wg            sync.WaitGroup
 
 	done chan struct{} // closed by Close
@@ -92,7 +93,7 @@
 	idleCloserDelay time.Duration // with rest: how long after its beginning they end
 }
 
-// NewListener makes a listener on an open socket; Serve runs it.
+// NewListener makes a listener on an open socket; Serve runs it, Close ends it and closes the socket.
 func NewListener(l net.Listener, cfg ListenerConfig, e *Engine, f Front, logger *slog.Logger) *Listener {
 	listener := &Listener{
 		engine: e, log: logger, socket: l, faultGrace: faultGrace, connRemoved: make(chan struct{}, 1),
@@ -102,18 +103,19 @@
 	return listener
 }
 
-// terms are what a listener works by.
+// listenerSettings are the settings in force, replaced as a whole.
 type listenerSettings struct {
 	ListenerConfig
 	front Front
 }
 
-// Reconfigure puts other bounds and another front in force, for requests that are taken from now on.
+// Reconfigure puts other bounds and another front in force for requests that are read from now on.
 func (l *Listener) Reconfigure(cfg ListenerConfig, f Front) {
 	l.settings.Store(&listenerSettings{cfg, f})
 }
 
-// Serve accepts connections until Close. Errors of accept, such as a full table of descriptors, back off.
+// Serve accepts connections until Close, HandOver or CloseSocket and then returns nil. After a failed accept, as with a full
+// descriptor table, it closes an idle connection and backs off.
 func (l *Listener) Serve() error {
 	const most = time.Second
 	wait := 5 * time.Millisecond
@@ -149,7 +151,7 @@
 	}
 }
 
-// pause waits until a connection is freed, for so long at most.
+// waitForRemoval waits until a connection is removed, for d at most.
 func (l *Listener) waitForRemoval(d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -159,6 +161,7 @@
 	}
 }
 
+// addConn starts to serve a connection. It returns false where the table of connections is full.
 func (l *Listener) addConn(conn net.Conn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -189,7 +192,7 @@
 	}
 }
 
-// Leave makes the listener not ready; it goes on accepting and answering, and soon ends what is idle.
+// Leave makes the listener not ready. It goes on accepting and answering; idle connections are closed after leaveCloseDelay.
 func (l *Listener) Leave() {
 	l.leaving.Store(true)
 	l.mu.Lock()
@@ -197,7 +200,7 @@
 	l.startIdleCloser(leaveCloseDelay, leaveCloseDelay)
 }
 
-// LastCalls takes in what waits to be accepted and closes the socket. Serve ends then.
+// CloseSocket accepts what waits in the socket's backlog and closes the socket. Serve returns then.
 func (l *Listener) CloseSocket() {
 	l.closingSocket.Store(true)
 	if !l.acceptUntil(time.Unix(1, 0)) { // wakes Serve, which looks at what waits itself: its own time for that begins then
@@ -205,15 +208,14 @@
 	}
 }
 
-// acceptUntil bounds the wait for a further connection, where the socket can do so.
+// acceptUntil sets the deadline of Accept; false where the socket has none.
 func (l *Listener) acceptUntil(by time.Time) bool {
 	s, ok := l.socket.(interface{ SetDeadline(time.Time) error })
 	return ok && s.SetDeadline(by) == nil
 }
 
-// HandOver stops accepting and ends each connection with its answer, or once it has been idle for a while. The
-// socket may be another process's too: closing it here is all that happens to it. With relief that process takes
-// clients, so that this is no time to tell them to stay away.
+// HandOver stops accepting. Each connection ends with its answer, or once it has been idle for a while. Another process may share the
+// socket; it stays open there. relief says that this process accepts clients, so that answers need not keep them away.
 func (l *Listener) HandOver(relief bool) {
 	l.succeeded.Store(relief)
 	l.leaving.Store(true)
@@ -223,15 +225,15 @@
 	l.startIdleCloser(idleCloseDelay, idleCloseAll)
 }
 
-// Conns is how many clients' connections are open.
+// Conns returns the number of open client connections.
 func (l *Listener) Conns() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.conns)
 }
 
-// Standby drains, or ends the drain: it goes on accepting and answering, but is not ready, and connections end with
-// their answer or once they have been idle for a while.
+// Standby begins or ends a drain. During a drain the listener accepts and answers, but is not ready, and connections end with their
+// answer or once they have been idle for a while.
 func (l *Listener) Standby(on bool) {
 	l.standby.Store(on)
 	l.mu.Lock()
@@ -244,17 +246,18 @@
 	}
 }
 
-// stays tells that connections may go on after an answer, ready that new clients are welcome.
+// keepsAlive reports whether connections stay open after an answer.
 func (l *Listener) keepsAlive() bool { return !l.leaving.Load() && !l.standby.Load() }
 
+// isReady reports whether new clients are welcome, here or at the process that shares the socket.
 func (l *Listener) isReady() bool { return l.keepsAlive() || l.succeeded.Load() && !l.standby.Load() }
 
-// Quiet tells that no request is in hand and that none has come in since a time, in microseconds.
+// Quiet reports whether no request is open and no query has come in since a time in Unix microseconds.
 func (l *Listener) Quiet(since int64) bool {
 	return l.busyConns.Load() == 0 && l.lastQuery.Load() < since
 }
 
-// Close ends the listener and all its connections.
+// Close closes the socket and all connections, and waits for their goroutines.
 func (l *Listener) Close() {
 	l.socket.Close()
 	l.mu.Lock()
--- a/internal/broker/transport/outbox.go
+++ b/internal/broker/transport/outbox.go
@@ -6,15 +6,15 @@
 	"sync"
 )
 
-// frame is bytes that leave in one go, and the call that they carry, if they do.
+// frame is bytes that are written at once, and the call that they carry, if any.
 type frame struct {
 	bytes  []byte
 	call   core.Call
 	number int64 // of the write, on its connection
 }
 
-// outbox holds what waits to be written on one connection, in order. What the writer has not taken out can be taken back: a frame
-// waits here as long as the far end does not read.
+// outbox is the queue of writes of one connection, in order. A frame that its writer has not taken yet can be taken back; it waits
+// here as long as the far end does not read. Safe for concurrent use.
 type outbox struct {
 	limit int
 	added chan struct{} // has a token after each put
@@ -25,7 +25,7 @@
 
 func newOutbox(most int) *outbox { return &outbox{limit: most, added: make(chan struct{}, 1)} }
 
-// put adds a frame; false where there is no room.
+// put adds a frame; false where the queue is full.
 func (o *outbox) put(f *frame) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -40,7 +40,7 @@
 	return true
 }
 
-// next takes the next frame out, and waits for one; nil once stop is closed.
+// next removes and returns the next frame. It waits for one; nil once stop is closed.
 func (o *outbox) next(stop <-chan struct{}) *frame {
 	for {
 		if f := o.take(); f != nil {
@@ -68,7 +68,7 @@
 	return f
 }
 
-// amend changes a frame that still waits, and drops it where nothing of it is left; false where the writer has it.
+// amend changes a frame that still waits, and removes it where change leaves no bytes. It returns false where the writer has taken it.
 func (o *outbox) amend(f *frame, change func()) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/broker/transport/permit.go
+++ b/internal/broker/transport/permit.go
@@ -2,23 +2,23 @@
 
 import "saffronquay/internal/broker/core"
 
-// Permit is whether queries may be let in, and under which version of the policy. Times are by the engine's clock.
+// Permit says whether queries are admitted, and under which version of the policy. Times are Unix microseconds of the engine's clock.
 type Permit struct {
 	Version        uint64
-	Expires        int64 // of the lease: from then on nothing is let in
+	Expires        int64 // end of the lease: from then on no query is admitted
 	Suspended      bool  // a change is being put in force: queries wait until HoldEnd, then they are refused in doubt
 	SuspendedUntil int64
-	RetryAfter     int64 // when it may be worth to come again after a refusal, microseconds
+	RetryAfter     int64 // wait before a retry after a refusal, microseconds
 }
 
-// paused is a query that waits while a change is put in force.
+// suspendedQuery is a query that waits while a change of the policy is put in force.
 type suspendedQuery struct {
 	query  core.Query
 	ticket *Ticket
 }
 
-// Permit has a permit in force, and returns once it is: no query is let in by the one before afterwards. Without any call everything is
-// let in.
+// SetPermit puts a permit in force and returns once it is: afterwards no query is admitted by an earlier one. As long as it was never
+// called every query is admitted.
 func (e *Engine) SetPermit(p Permit) {
 	over := make(chan struct{})
 	if !e.post(func(now int64) {
@@ -34,8 +34,8 @@
 	}
 }
 
-// permitted tells whether a query is let in now; one that is not is held or refused, and over for the caller. It is asked where a query
-// is let in, not where it comes. It allocates nothing where it says yes.
+// checkPermit reports whether a query may be admitted now. One that may not is suspended or refused, and the caller is done with it.
+// It is called at the admission of a query, not at its arrival, and allocates nothing where it returns true.
 func (e *Engine) checkPermit(now int64, a core.Query, t *Ticket) bool {
 	p := e.permit
 	switch {
@@ -59,7 +59,7 @@
 
 const maxSuspended = 4096
 
-// release looks at the queries that wait once more: after a new permit, and when their time is over.
+// admitSuspended checks the suspended queries again once the suspension is over: after a new permit, or at its end.
 func (e *Engine) admitSuspended(now int64) {
 	if len(e.suspended) == 0 || e.permit.Suspended && now < e.permit.SuspendedUntil {
 		return
--- a/internal/broker/transport/pool.go
+++ b/internal/broker/transport/pool.go
@@ -1,6 +1,7 @@
 package transport
 
 import (
+	"context"
 	"net"
 	"saffronquay/internal/broker/adminapi"
 	"saffronquay/internal/broker/core"
@@ -21,19 +22,19 @@
 	readSize     = 16 << 10
 )
 
-// pool is the set of connections to servers. The engine's goroutine owns it; connections report to that
-// goroutine through post and touch nothing of the pool themselves.
+// pool is the set of connections to servers. The engine's goroutine owns it; the goroutines of connections report to that goroutine
+// through post and touch nothing of the pool themselves. Times are Unix microseconds of the engine's clock.
 type pool struct {
 	cfg            PoolConfig
 	dialect        core.Dialect
-	post           func(func(now int64)) bool // false: nobody runs it any more
+	post           func(func(now int64)) bool // false: the engine has ended
 	onReply        func(now int64, r core.Reply)
 	connect        func(address string, timeout time.Duration) (net.Conn, error)
 	afterFunc      func(time.Duration, func()) *time.Timer
 	servers        map[sq.ServerID]*server
 	byAttempt      map[core.AttemptID]*serverConn
 	metrics        *adminapi.Metrics
-	stopped        <-chan struct{} // closed when nothing that is posted runs any more
+	stopped        <-chan struct{} // closed when the engine has ended
 	conns          int
 	lastLossAt     int64   // when a connection was last lost with calls out on it; 0: never
 	typicalLatency float64 // slow moving average of how long a call takes to be served, in microseconds
@@ -41,6 +42,7 @@
 	lateShare      float64 // the share of connections that were late
 }
 
+// server is one shard server and the connections to it.
 type server struct {
 	id        sq.ServerID
 	address   string
@@ -51,7 +53,8 @@
 
 func newPool(cfg PoolConfig, d core.Dialect, post func(func(int64)) bool) *pool {
 	connect := func(address string, timeout time.Duration) (net.Conn, error) {
-		return net.DialTimeout("tcp", address, timeout)
+		dialer := net.Dialer{Timeout: timeout}
+		return dialer.DialContext(context.Background(), "tcp", address)
 	}
 	return &pool{
 		cfg: cfg, dialect: d, post: post, connect: connect, afterFunc: time.AfterFunc, servers: map[sq.ServerID]*server{},
@@ -68,7 +71,7 @@
 	return s
 }
 
-// fleet takes in news of the list of servers.
+// updateFleet applies a change of the list of servers: new addresses, replaced processes and servers that drain or are gone.
 func (p *pool) updateFleet(now int64, f sq.FleetChanged, addresses map[sq.ServerID]string) {
 	listed := map[sq.ServerID]bool{}
 	for _, v := range f.Servers {
@@ -91,7 +94,7 @@
 		if !s.draining {
 			continue
 		}
-		// Guards the drain rule: what still waits, for a connection or behind other writes, must not leave after the news.
+		// Guards the drain rule: calls that wait for a connection or behind other writes must not leave after this change.
 		for _, c := range append([]*serverConn(nil), s.conns...) {
 			p.withdraw(now, c)
 		}
@@ -102,8 +105,8 @@
 	}
 }
 
-// outlived closes connections to a process that has since been replaced: nothing comes back on them, and a
-// machine that vanished may leave them silent instead of resetting them.
+// closeOutlived closes connections to a process that has since been replaced: nothing comes back on them, and a machine that vanished
+// may leave them open without a reset.
 func (p *pool) closeOutlived(now int64, s *server) {
 	for _, c := range append([]*serverConn(nil), s.conns...) {
 		if c.up && c.openedAt < s.startedAt {
@@ -112,6 +115,7 @@
 	}
 }
 
+// retire has a server's connections take no further calls and close once they are empty.
 func (p *pool) retire(now int64, s *server) {
 	for _, c := range append([]*serverConn(nil), s.conns...) {
 		c.retired = true
@@ -120,23 +124,24 @@
 }
 
 const (
-	// wary is how long calls travel alone after a connection was lost under one, in microseconds: it takes what
-	// else is out on it along, and parts that must not run twice are then lost.
+	// isolationPeriod is how long calls travel alone after a connection was lost under one, in microseconds: the loss
+	// also ends the other calls on it, and parts that must not run twice are then lost.
 	isolationPeriod   = 10_000_000
 	maxConnsPerServer = 8 // connections to one server meanwhile
-	// stall is how long an unfinished answer may stand still, in microseconds: it is written in one go.
+	// maxAnswerPause is how long an unfinished answer may deliver nothing, in microseconds: it is written in one go.
 	maxAnswerPause = 250_000
-	// unendedMost is how long it may take in all, however it comes: what is behind it on the connection waits for it.
+	// maxAnswerTime is how long an unfinished answer may take in all: answers behind it on the connection wait for it.
 	maxAnswerTime = 4 * maxAnswerPause
 )
 
-// gone takes an attempt off its connection.
+// forget removes an attempt from its connection.
 func (p *pool) forget(c *serverConn, id core.AttemptID) {
 	delete(c.calls, id)
 	delete(c.sentAt, id)
 	delete(p.byAttempt, id)
 }
 
+// endAttempt reports an attempt's outcome to the core, unless it has ended already.
 func (p *pool) endAttempt(now int64, c *serverConn, r core.Reply) {
 	if _, out := c.calls[r.Attempt]; !out {
 		return
@@ -146,7 +151,7 @@
 	p.onReply(now, r)
 }
 
-// count learns from how long a call took.
+// learn updates the typical latency from a call that was served.
 func (p *pool) learn(now int64, c *serverConn, r core.Reply, sent int64) {
 	if r.Outcome == sq.Served {
 		p.noteOvertaken(c.server, sent)
--- a/internal/broker/transport/request.go
+++ b/internal/broker/transport/request.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// asked is one query of a request, or the response that ends it at once.
+// openQuery is one query of a request, or the response that answers it without a query.
 type openQuery struct {
 	class    string
 	respond  func(core.Final, int64) http1.Response
@@ -16,7 +16,7 @@
 	ledger   core.IntentLog // of a query that must not run twice; else nil
 }
 
-// ask opens what a message asks for.
+// openQuery hands the query of a message to the engine.
 func (c *clientConn) openQuery(front Front, m *http1.Message, now int64) *openQuery {
 	a := &openQuery{class: front.Class(m)}
 	if a.class != "" {
@@ -30,8 +30,8 @@
 	return a
 }
 
-// serve answers one request; ok is false where the client is gone. A request of several queries has them all opened at once, and
-// each ends by itself.
+// serveRequest answers one request. last reports that the answer announced the connection's end, ok is false where the client is gone.
+// The queries of a split request are all opened before the first is waited for, and each ends by itself.
 func (c *clientConn) serveRequest(m *http1.Message) (last, ok bool) {
 	now := c.listener.engine.clock.Now()
 	front := c.listener.settings.Load().front
@@ -61,7 +61,7 @@
 		if end != answered {
 			c.abandonQueries(all[i+1:])
 			if end == brokeRules {
-				c.countFailed(&http1.Error{Status: 400}, m)
+				c.countFailed(&http1.Error{Status: statusBadRequest}, m)
 			}
 			return end == clientLeft, end == brokeRules
 		}
@@ -74,7 +74,7 @@
 	return c.reply(m, join(rs, c.listener.engine.clock.Now()-now))
 }
 
-// abandon gives up the queries that nobody waits for any more.
+// abandonQueries gives up queries whose client no longer waits.
 func (c *clientConn) abandonQueries(rest []*openQuery) {
 	for _, a := range rest {
 		if a.ticket != nil {
@@ -86,8 +86,8 @@
 	}
 }
 
-// leave says that the client waits no longer. A query whose end a retry will ask for goes on, and its end is recorded; its time is
-// bounded by its deadline.
+// leaveQuery says that the client no longer waits for a query. A query whose result a retry may ask for goes on until its deadline,
+// and its end is recorded in its ledger.
 func (c *clientConn) leaveQuery(a *openQuery) {
 	if a.ledger == nil {
 		c.listener.engine.ClientLeft(a.ticket)
@@ -103,8 +103,8 @@
 		defer c.listener.wg.Done()
 		select {
 		case f := <-a.ticket.Final:
-			a.respond(f, c.listener.engine.clock.Now())
-		case <-a.ticket.Err:
+			_ = a.respond(f, c.listener.engine.clock.Now()) // records the end; nobody reads the response
+		case <-a.ticket.Err: //nolint:errcheck // the client that waited for it has left
 			a.ledger.Release()
 		case <-c.listener.engine.stopped:
 			a.ledger.Abandon()
@@ -112,7 +112,7 @@
 	}()
 }
 
-// waits is what else a waiting request listens to.
+// waitSignals are the further events that end the wait for a query.
 type waitSignals struct {
 	malformed <-chan struct{} // the client has broken the rules
 	graceOver <-chan time.Time
@@ -125,7 +125,16 @@
 	}
 }
 
-// ending is why a request is waited for no longer.
+// HTTP statuses of the answers that the transport gives itself.
+const (
+	statusBadRequest     = 400
+	statusForbidden      = 403
+	statusRequestTimeout = 408
+	statusConflict       = 409
+	statusUnavailable    = 503
+)
+
+// ending is why the wait for a query is over.
 type ending int
 
 const (
@@ -144,11 +153,11 @@
 			if a.ledger != nil {
 				a.ledger.Release()
 			}
-			status := 400
+			status := statusBadRequest
 			if errors.Is(err, core.ErrDuplicateLabel) {
-				status = 409
+				status = statusConflict
 			} else if errors.Is(err, ErrNoContract) {
-				status = 403
+				status = statusForbidden
 			}
 			return front.Fault(status, err.Error()), answered
 		case <-w.malformed:
@@ -174,7 +183,7 @@
 	return *a.response, answered
 }
 
-// reply writes the answer to a request.
+// reply writes the answer to a request, and announces the connection's end where it is to end.
 func (c *clientConn) reply(m *http1.Message, r http1.Response) (last, ok bool) {
 	last = m.Close || !c.listener.keepsAlive() || c.listener.endsAfterAnswer(c)
 	if m.Method == "HEAD" {
--- a/internal/broker/transport/routes.go
+++ b/internal/broker/transport/routes.go
@@ -17,9 +17,9 @@
 )
 
 const (
-	maxLayoutBytes = 8 << 20 // bytes of a whole layout: some 50,000 ranges
+	maxLayoutBytes = 8 << 20 // bytes of a full layout: some 50,000 ranges
 	refreshPause   = 250 * time.Millisecond
-	stallInterval  = time.Second // between two looks for changes that stall
+	stallInterval  = time.Second // between two checks for stalled changes
 	repeatAfter    = time.Minute // then the same fault of a directory is logged again
 )
 
@@ -29,8 +29,8 @@
 	Stall     time.Duration // a change that stays in one state for longer is reported
 }
 
-// Routes owns the layout in force: it takes in what file and directory say, judged by its keeper, and hands each new layout
-// to the engine and to the fronts, in one order. Times are the clock's.
+// Routes owns the layout in force. Its keeper judges what the operator's file and the directory deliver; each new layout goes to the
+// engine and to the fronts, in one order. Times are the clock's.
 type Routes struct {
 	follower
 	cfg             RoutesConfig
@@ -38,19 +38,20 @@
 	notify          func(layout.Update)
 	metrics         *adminapi.LayoutMetrics
 	refreshRequests chan struct{} // a server has a newer layout
-	synced          chan struct{} // closed with the directory's first word that agrees with what is in force
+	synced          chan struct{} // closed once the directory agrees with the layout in force
 	refresher       sync.WaitGroup
 
 	current *layout.Current // what fronts plan by
 
-	layoutMu  sync.Mutex // of what follows
+	layoutMu  sync.Mutex // guards what follows
 	keeper    layout.Keeper
 	isSynced  bool
 	lastFault string // of the directory, as it was logged last
 	faultAt   time.Time
 }
 
-// NewRoutes makes the owner of a layout, with the one that is known at the start and the servers that may hold ranges.
+// NewRoutes makes the owner of a layout, with the layout that is known at the start and the servers that may hold ranges. It fails
+// where that layout is invalid.
 func NewRoutes(cfg RoutesConfig, first layout.Doc, servers []sq.ServerID, clock Clock, current *layout.Current,
 	notify func(layout.Update), metrics *adminapi.LayoutMetrics, logger *slog.Logger,
 ) (*Routes, error) {
@@ -63,7 +64,7 @@
 	return r, r.ApplyFile(first, servers, true)
 }
 
-// Run follows the directory, where there is one, and looks for changes that stall, until Stop.
+// Run follows the directory, where there is one, and reports stalled changes, until Stop.
 func (r *Routes) Run() {
 	if r.cfg.Directory != "" {
 		r.refresher.Add(1)
@@ -87,16 +88,16 @@
 	}
 }
 
-// Stop ends Run.
+// Stop ends Run and waits for its goroutines.
 func (r *Routes) Stop() {
 	r.follower.Stop()
 	r.refresher.Wait()
 }
 
-// Heard is closed once the directory has told a layout that can be followed.
+// Synced is closed once the directory has delivered a layout that agrees with the one in force.
 func (r *Routes) Synced() <-chan struct{} { return r.synced }
 
-// Refresh has the whole layout asked for at once. It never blocks.
+// Refresh has the full layout fetched soon. It never blocks.
 func (r *Routes) Refresh() {
 	select {
 	case r.refreshRequests <- struct{}{}:
@@ -104,7 +105,7 @@
 	}
 }
 
-// refreshing asks for whole layouts beside the watch, which may be late.
+// runRefresher fetches full layouts on request, in addition to the watch, which may lag.
 func (r *Routes) runRefresher() {
 	for {
 		select {
@@ -125,6 +126,7 @@
 	}
 }
 
+// refresh fetches the full layout over a connection of its own.
 func (r *Routes) refresh() error {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -145,8 +147,8 @@
 	return r.follower.fetchFull(conn, address)
 }
 
-// File takes in what the operator's file says, whole or not at all: the servers that may hold ranges, and a layout. What a
-// directory has told prevails over an older layout in the file.
+// ApplyFile applies the operator's file completely or not at all: the servers that may hold ranges, and a layout. Without commit it
+// only validates. What a directory has delivered prevails over an older layout in the file.
 func (r *Routes) ApplyFile(d layout.Doc, servers []sq.ServerID, commit bool) error {
 	r.layoutMu.Lock()
 	defer r.layoutMu.Unlock()
@@ -168,7 +170,7 @@
 	return nil
 }
 
-// put has an update in force. The lock is held, so updates come in one order everywhere.
+// apply puts an update in force. layoutMu is held, so that updates come in one order everywhere.
 func (r *Routes) apply(u *layout.Update, from string) {
 	if u == nil {
 		return
@@ -205,7 +207,8 @@
 	return nil
 }
 
-// line takes in a step. One that does not follow what is in force has the whole list asked for: something was missed.
+// applyLine applies a step. One that does not follow the layout in force is an error: a step was missed, and watchEnded has the full
+// layout fetched.
 func (r *Routes) applyLine(text []byte, from string) error {
 	s, err := layout.ParseStep(text)
 	if err != nil {
@@ -221,6 +224,7 @@
 	return nil
 }
 
+// markSynced notes that the directory agrees with the layout in force.
 func (r *Routes) markSynced() {
 	r.lastFault = ""
 	if !r.isSynced {
@@ -229,8 +233,8 @@
 	}
 }
 
-// ended is told how a watch ended. One that was lost goes on from the epoch in force; one that said what does not follow, or can't
-// go on from there, begins with the whole list.
+// watchEnded handles the end of a watch. After a lost connection the next watch continues from the epoch in force; after an error
+// status or a step that does not follow it begins with the full layout.
 func (r *Routes) watchEnded(err error) {
 	var status statusError
 	if errors.As(err, &status) || reasonOf(err) != unreachable {
@@ -241,7 +245,7 @@
 
 const unreachable = "unreachable"
 
-// reasonOf names the kind of a directory's fault.
+// reasonOf names the kind of a directory's fault, for logs.
 func reasonOf(err error) string {
 	for _, k := range []struct {
 		kind error
@@ -254,7 +258,7 @@
 	return unreachable
 }
 
-// fails reports a fault of the directory; what is in force stays. The same one is not told again and again.
+// reportFault logs a fault of the directory; the layout in force stays. The same fault is logged again only after repeatAfter.
 func (r *Routes) reportFault(what string, err error) {
 	r.layoutMu.Lock()
 	defer r.layoutMu.Unlock()
@@ -268,7 +272,7 @@
 	}
 }
 
-// look reports changes that stall; queries never wait for them.
+// reportStalled reports stalled changes; queries never wait for them.
 func (r *Routes) reportStalled() {
 	r.layoutMu.Lock()
 	defer r.layoutMu.Unlock()
@@ -280,7 +284,7 @@
 	}
 }
 
-// Layout appends how the layout stands, for operators.
+// AppendStatus appends the state of the layout in the form of the admin endpoint.
 func (r *Routes) AppendStatus(dst []byte) []byte {
 	r.layoutMu.Lock()
 	defer r.layoutMu.Unlock()
--- a/internal/broker/transport/server_conn.go
+++ b/internal/broker/transport/server_conn.go
@@ -13,6 +13,8 @@
 
 var errStalled = errors.New("an answer that stands still")
 
+// serverConn is one connection to a server, from its dial to its end. The engine's goroutine owns it, except conn, written and writes,
+// which its own goroutines use too.
 type serverConn struct {
 	server         *server
 	session        core.Session
@@ -21,23 +23,24 @@
 	retired        bool // takes no further calls and closes once it is empty
 	closed         bool
 	backlog        []core.Call               // waiting for the connection to come up
-	calls          map[core.AttemptID]*frame // out, with the write that carries each; nil: in the backlog
-	lastWrite      int64                     // writes handed over
+	calls          map[core.AttemptID]*frame // open calls, with the write that carries each; nil: in the backlog
+	lastWrite      int64                     // number of the last write that was queued
 	written        *atomic.Int64             // number of the last write that was completed
 	writes         *outbox
 	usedAt         int64
 	heardAt        int64
 	openedAt       int64
 	upAt           int64
-	isSpare        bool        // opened since another is late
-	hasSpare       bool        // has one, or is one: there is no further
-	lateTimer      *time.Timer // until it is, itself
-	overtakenBy    int         // calls that left after it fell silent and were answered elsewhere
+	isSpare        bool        // opened because another one is late
+	hasSpare       bool        // has a spare or is one: no further one is opened
+	lateTimer      *time.Timer // runs when this connection is late
+	overtakenBy    int         // answered calls on other connections that left after this one became quiet
 	sentAt         map[core.AttemptID]int64
 	partialHeardAt int64 // when the last bytes of an unfinished answer came; 0: there is none
 	partialSince   int64 // when its first bytes came
 }
 
+// dial opens a connection; nil where the limit on connections is reached and none of them is idle.
 func (p *pool) dial(now int64, s *server) *serverConn {
 	if p.conns >= p.cfg.MaxConns {
 		p.closeLongestIdle(now)
@@ -72,8 +75,8 @@
 	return c
 }
 
-// lateAfter is how long a connection may take to come up before another is opened beside it, in microseconds: well above what they usually
-// take, and well below what is waited for one at most. Where none has come up yet nothing is known of that.
+// lateAfter is how long a connection may take to come up before another one is opened, in microseconds: well above what connections
+// usually take, and well below the connect timeout. A quarter of that while none has come up yet.
 func (p *pool) lateAfter() int64 {
 	most := max(p.cfg.ConnectTimeout/4, 1000)
 	if p.typicalDial == 0 {
@@ -82,13 +85,13 @@
 	return min(max(int64(8*p.typicalDial), 20_000), most)
 }
 
-// oftenLate is the share of late connections from which all are: then servers have more handshakes to do than they can, and a second one for
-// each would add to that. Guards a fleet that has just been restarted.
+// lateShareLimit is the share of late connections above which no spare is opened: servers then have more handshakes than they can do,
+// and spares would add to them. Guards a fleet that has just been restarted.
 const lateShareLimit = 0.5
 
-// isLate opens another connection beside one that is late to come up while calls wait for it; whichever is up first takes them. Guards
-// calls against a handshake that is lost, and their servers against being taken for slow or gone because of it. Harm: to a machine that is
-// gone two connections are tried for one.
+// openSpare opens a second connection where one is late to come up and calls wait for it; the first that is up takes them. Guards
+// calls against a lost handshake, and servers against being taken for slow because of it. The cost: two connections are tried to a
+// machine that is gone.
 func (p *pool) openSpare(now int64, c *serverConn) {
 	if c.up || c.closed || c.hasSpare || c.server.draining || len(c.calls) == 0 || p.lateShare > lateShareLimit || len(c.server.conns) >= maxConnsPerServer {
 		return
@@ -98,7 +101,7 @@
 	}
 }
 
-// takeOver has a connection that has come up take the calls that wait for others of its server, as far as it has room.
+// adoptBacklog moves calls that wait for other connections of the same server to one that has come up, as far as it has capacity.
 func (p *pool) adoptBacklog(c *serverConn) {
 	for _, o := range c.server.conns {
 		for !o.up && len(o.backlog) > 0 && len(c.calls)+len(o.backlog[0].Attempts) <= p.dialect.Streams() {
@@ -115,6 +118,7 @@
 	}
 }
 
+// connected starts the goroutines of a connection that has come up, and writes the calls that waited for it.
 func (p *pool) connected(now int64, c *serverConn, conn net.Conn) {
 	if c.closed {
 		conn.Close()
@@ -151,35 +155,59 @@
 	}
 }
 
-// serve reads and writes one connection until it ends.
+// runConn reads and writes one connection until it ends, and then reports its end to the pool. It waits for its writer.
 func (p *pool) runConn(c *serverConn, conn net.Conn) {
 	stop, written := make(chan struct{}), make(chan struct{})
 	go func() {
 		defer close(written)
-		for {
-			f := c.writes.next(stop)
-			if f == nil {
-				return
-			}
-			conn.SetWriteDeadline(time.Now().Add(writeTimeout))
-			if _, err := conn.Write(f.bytes); err != nil {
-				conn.Close()
-				return
+		p.writeFrames(c, conn, stop)
+	}()
+	ended := p.readAnswers(c, conn)
+	conn.Close()
+	close(stop)
+	<-written
+	p.post(func(now int64) {
+		if c.closed {
+			return
+		}
+		if ended {
+			for _, r := range c.session.Closed() {
+				p.deliver(now, c, r)
 			}
-			p.metrics.Relayed.Add(int64(len(f.call.Attempts)))
-			c.written.Store(f.number)
 		}
-	}()
+		p.closeConn(now, c, true)
+	})
+}
+
+// writeFrames writes a connection's outbox until stop is closed or a write fails. An attempt counts as relayed once its frame is written.
+func (p *pool) writeFrames(c *serverConn, conn net.Conn, stop <-chan struct{}) {
+	for {
+		f := c.writes.next(stop)
+		if f == nil {
+			return
+		}
+		setWriteDeadline(conn, time.Now().Add(writeTimeout))
+		if _, err := conn.Write(f.bytes); err != nil {
+			conn.Close()
+			return
+		}
+		p.metrics.Relayed.Add(int64(len(f.call.Attempts)))
+		c.written.Store(f.number)
+	}
+}
+
+// readAnswers passes what a connection delivers to the engine until reading fails; the pool closes it when it is idle or quiet for too
+// long. It returns true where the far end closed it in order: a reset completes no answer.
+func (p *pool) readAnswers(c *serverConn, conn net.Conn) bool {
 	buf := make([]byte, readSize)
 	taken := make(chan struct{}, 1)
-	ended := false // in order: a reset is no end, and completes nothing
 	for {
-		n, err := conn.Read(buf) // the pool closes it when idle or silent for too long, so this ends
+		n, err := conn.Read(buf)
 		if n > 0 {
-			// Nothing more is read until this is taken in: guards against a server that sends without end, whose
+			// The next read waits until this is processed: guards against a server that sends without end, whose
 			// bytes would pile up in the engine's inbox.
 			if !p.post(func(now int64) { p.received(now, c, buf[:n]); taken <- struct{}{} }) {
-				break
+				return false
 			}
 			select {
 			case <-taken:
@@ -187,26 +215,12 @@
 			}
 		}
 		if err != nil {
-			ended = errors.Is(err, io.EOF)
-			break
+			return errors.Is(err, io.EOF)
 		}
 	}
-	conn.Close()
-	close(stop)
-	<-written
-	p.post(func(now int64) {
-		if c.closed {
-			return
-		}
-		if ended {
-			for _, r := range c.session.Closed() {
-				p.deliver(now, c, r)
-			}
-		}
-		p.closeConn(now, c, true)
-	})
 }
 
+// received passes bytes to the connection's session and ends the attempts that they answer.
 func (p *pool) received(now int64, c *serverConn, b []byte) {
 	if c.closed {
 		return
@@ -229,8 +243,8 @@
 	p.closeIfEmpty(now, c)
 }
 
-// take takes an answer in. One that is yet to be read is read beside the engine, which others wait for, and ends its attempt
-// when that is done; whatever becomes of its connection meanwhile, it has come in.
+// deliver ends the attempt of a reply. A reply that is yet to be parsed is parsed on a goroutine of its own, so that the engine does
+// not wait; it counts as received even if its connection ends meanwhile.
 func (p *pool) deliver(now int64, c *serverConn, r core.Reply) {
 	if _, out := c.calls[r.Attempt]; !out || r.Read == nil {
 		p.endAttempt(now, c, r)
--- a/internal/broker/transport/transport_test.go
+++ b/internal/broker/transport/transport_test.go
@@ -623,7 +623,7 @@
 			t.Fatalf("client %d: told that its connection ends: %t", i, closing)
 		}
 		if closing {
-			if _, err := conn.Read(make([]byte, 1)); err != io.EOF {
+			if _, err := conn.Read(make([]byte, 1)); err != io.EOF { //nolint:errorlint // io.EOF itself is wanted
 				t.Fatalf("client %d: %v", i, err)
 			}
 		}
@@ -682,7 +682,7 @@
 	if !l.isReady() || l.keepsAlive() {
 		t.Error("a successor takes the clients, so they are welcome")
 	}
-	if n, err := idle.Read(answer); err != io.EOF {
+	if n, err := idle.Read(answer); err != io.EOF { //nolint:errorlint // io.EOF itself is wanted
 		t.Errorf("the idle one got %q %v, want its end", answer[:n], err)
 	}
 	fmt.Fprint(half, "Host: x\r\n\r\n")
--- a/internal/broker/transport/vrrp.go
+++ b/internal/broker/transport/vrrp.go
@@ -1,6 +1,7 @@
 package transport
 
 import (
+	"errors"
 	"log/slog"
 	"net"
 	"net/netip"
@@ -9,7 +10,7 @@
 	"time"
 )
 
-// Redundancy carries a virtual router's advertisements over UDP, from this router to each of its peers.
+// Redundancy sends and receives a virtual router's VRRP advertisements over UDP, from this router to each of its peers.
 type Redundancy struct {
 	clock   Clock
 	machine *vrrp.Machine
@@ -21,7 +22,7 @@
 	done    chan struct{}
 }
 
-// NewRedundancy makes a virtual router on an open socket; Run runs it.
+// NewRedundancy makes a virtual router on an open socket; Run runs it. changed gets each new state, on Run's goroutine.
 func NewRedundancy(clock Clock, cfg vrrp.Config, conn *net.UDPConn, peers []netip.AddrPort,
 	changed func(vrrp.State), logger *slog.Logger,
 ) *Redundancy {
@@ -36,7 +37,7 @@
 	from netip.Addr
 }
 
-// Run takes part until Stop.
+// Run takes part in the election until Stop, and closes the socket.
 func (r *Redundancy) Run() {
 	defer close(r.done)
 	in := make(chan received, 64)
@@ -67,13 +68,13 @@
 	}
 }
 
-// Stop gives the addresses up and ends Run.
+// Stop gives the virtual address up, ends Run and waits for it.
 func (r *Redundancy) Stop() {
 	close(r.stop)
 	<-r.done
 }
 
-// read takes in what peers send until the socket closes. What others send is not for this router.
+// read passes the peers' advertisements on until the socket closes. Datagrams of others are discarded.
 func (r *Redundancy) read(in chan<- received) {
 	buf := make([]byte, 2048)
 	for {
@@ -88,7 +89,8 @@
 			}
 			// A peer that is down shows as a refused datagram on loopback; the socket stays good.
 			logging.Warn(r.log, logging.VrrpRead, "error", err)
-			if _, ok := err.(net.Error); !ok {
+			var netErr net.Error
+			if !errors.As(err, &netErr) {
 				return
 			}
 			continue
@@ -120,7 +122,7 @@
 		return
 	}
 	for _, p := range r.peers {
-		r.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
+		setWriteDeadline(r.conn, time.Now().Add(writeTimeout))
 		if _, err := r.conn.WriteToUDPAddrPort(b, p); err != nil {
 			logging.Warn(r.log, logging.VrrpSend, "to", p, "error", err)
 		}
--- a/internal/broker/transport/watcher.go
+++ b/internal/broker/transport/watcher.go
@@ -10,23 +10,23 @@
 	sq "saffronquay"
 )
 
-// Watcher follows discovery: it keeps a watch open and begins again from the last version it saw.
+// Watcher follows discovery's list of servers. After a failure it continues from the last version that it received.
 type Watcher struct {
 	follower
 	generation int64 // Run's goroutine owns it
 	notify     func(sq.FleetChanged, map[sq.ServerID]string)
 	synced     chan struct{} // closed with the first list
-	isSynced   bool          // it is; Run's goroutine owns it
+	isSynced   bool          // synced is closed; Run's goroutine owns it
 
-	listMu   sync.Mutex    // of the two below
-	list     platform.List // as it was told last, and by whom
+	listMu   sync.Mutex    // guards the two below
+	list     platform.List // as last received, and from which address
 	listFrom string
 }
 
-const maxListBytes = 1 << 20 // bytes of a whole list, or of one object of a watch
+const maxListBytes = 1 << 20 // bytes of a full list, or of one object of a watch
 
-// NewWatcher makes a watcher of the list from a version on; Run runs it. With asked, it begins only at
-// Begin, and tells of failures instead of beginning again by itself.
+// NewWatcher makes a watcher that starts from a version of the list; Run runs it. With onRequest it watches only after RequestWatch,
+// and passes failures to notify instead of retrying. notify runs on Run's goroutine.
 func NewWatcher(address string, generation int64, onRequest bool, notify func(sq.FleetChanged, map[sq.ServerID]string),
 	logger *slog.Logger,
 ) *Watcher {
@@ -36,10 +36,11 @@
 	return w
 }
 
-// Afresh has the whole list asked for first, as at a new address. Call it before Run.
+// RequestFullList has the next watch begin with the full list, as at a new address. Call it before Run.
 func (w *Watcher) RequestFullList() { w.needsFull = true }
 
-// Held is the whole list as it was told last, in discovery's form, and by which address; nil where none was.
+// List returns the full list as last received, in discovery's form, its version, and the address that delivered it; nil before the
+// first one.
 func (w *Watcher) List() (list []byte, generation int64, by string) {
 	w.listMu.Lock()
 	defer w.listMu.Unlock()
@@ -49,10 +50,10 @@
 	return w.list.Append(nil), w.list.Generation, w.listFrom
 }
 
-// Heard is closed once a list has been told.
+// Synced is closed once a list has been received.
 func (w *Watcher) Synced() <-chan struct{} { return w.synced }
 
-// Begin asks for the watch, where it waits to be asked.
+// RequestWatch starts a watch, where watches wait for a request. It never blocks.
 func (w *Watcher) RequestWatch() {
 	select {
 	case w.watchRequests <- struct{}{}:
