--- a/internal/cluster/rollout/lease.go
+++ b/internal/cluster/rollout/lease.go
@@ -37,16 +37,16 @@
 }
 
 // handleConfirmed answers the requests that came before a leadership check which a majority has confirmed.
-func (v *voter) handleConfirmed(now int64, round uint64) {
+func (v *voter) handleConfirmed(now int64, check uint64) {
 	if !v.isLeader {
 		return
 	}
 	v.leaderHeardAt = now
-	for r, batch := range v.readBatches {
-		if r > round {
+	for c, batch := range v.readBatches {
+		if c > check {
 			continue
 		}
-		delete(v.readBatches, r)
+		delete(v.readBatches, c)
 		for _, request := range batch {
 			if request.request == nil {
 				v.sendGlobalRequest(now, request.receivedAt)
--- a/internal/cluster/rollout/lease_test.go
+++ b/internal/cluster/rollout/lease_test.go
@@ -17,7 +17,12 @@
 func newThreeVoters(t *testing.T) *threeVoters {
 	t.Helper()
 	x := &threeVoters{t: t, now: 1, nodes: map[string]*Node{}}
-	members := []Member{{Name: "a", Address: "a", Voter: true}, {Name: "b", Address: "b", Voter: true}, {Name: "c", Address: "c", Voter: true}, {Name: "d", Address: "d"}}
+	members := []Member{
+		{Name: "a", Address: "a", Voter: true},
+		{Name: "b", Address: "b", Voter: true},
+		{Name: "c", Address: "c", Voter: true},
+		{Name: "d", Address: "d"},
+	}
 	for i, m := range members[:3] {
 		n, err := New(Config{Name: m.Name, Members: members}, x.now, rand.New(rand.NewPCG(uint64(i), 1)), PersistentState{Identity: uint64(i) + 1})
 		if err != nil {
--- a/internal/cluster/rollout/regions_test.go
+++ b/internal/cluster/rollout/regions_test.go
@@ -52,21 +52,28 @@
 		change(all)
 		return all
 	}
-	for want, c := range map[string]Config{
-		"":                                           {Name: "b", Region: "n", Members: members(func(m []Member) { m[0].Global, m[2].Global = true, true })},
-		"members have regions, and b has none":       {Name: "b", Members: members(func([]Member) {})},
-		"c has no region":                            {Name: "b", Region: "n", Members: members(func(m []Member) { m[2].Region = "" })},
-		"b is in region s, and in n among":           {Name: "b", Region: "s", Members: members(func([]Member) {})},
-		"want one to seven global voters, not 0":     {Name: "b", Region: "n", Members: members(func(m []Member) { m[0].Voter, m[2].Voter, m[3].Global = false, false, false })},
-		"a name, an identity and one to seven voter": {Name: "b", Region: "n", Members: members(func(m []Member) { m[0].Voter = false })},
+	for _, c := range []struct {
+		name, wantError string
+		cfg             Config
+	}{
+		{"valid", "", Config{Name: "b", Region: "n", Members: members(func(m []Member) { m[0].Global, m[2].Global = true, true })}},
+		{"no region of its own", "members have regions, and b has none", Config{Name: "b", Members: members(func([]Member) {})}},
+		{"a member without region", "c has no region", Config{Name: "b", Region: "n", Members: members(func(m []Member) { m[2].Region = "" })}},
+		{"two regions of one member", "b is in region s, and in n among", Config{Name: "b", Region: "s", Members: members(func([]Member) {})}},
+		{"no global voters", "want one to seven global voters, not 0", Config{Name: "b", Region: "n", Members: members(func(m []Member) {
+			m[0].Voter, m[2].Voter, m[3].Global = false, false, false
+		})}},
+		{"no voters in the region", "a name, an identity and one to seven voter", Config{Name: "b", Region: "n", Members: members(func(m []Member) {
+			m[0].Voter = false
+		})}},
 	} {
-		n, err := New(c, 1, rand.New(rand.NewPCG(1, 1)), PersistentState{Identity: 1})
-		if want == "" {
+		n, err := New(c.cfg, 1, rand.New(rand.NewPCG(1, 1)), PersistentState{Identity: 1})
+		if c.wantError == "" {
 			if err != nil || n.global == nil || len(n.local.cfg.regions) != 2 {
-				t.Errorf("%v", err)
+				t.Errorf("%s: %v", c.name, err)
 			}
-		} else if err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%v; want %s", err, want)
+		} else if err == nil || !strings.Contains(err.Error(), c.wantError) {
+			t.Errorf("%s: %v; want %s", c.name, err, c.wantError)
 		}
 	}
 	// A witness votes, and its region has no voter that could give it a lease.
@@ -98,19 +105,23 @@
 		}
 		disk.Entries = append(disk.Entries, &pb.Entry{Index: proto.Uint64(uint64(2 + i)), Term: proto.Uint64(1), Data: data})
 	}
-	anew, given, err := ForceNewFleet(disk, NewDocument(6, []byte("w")), "a", 9)
+	forced, report, err := ForceNewFleet(disk, NewDocument(6, []byte("w")), "a", 9)
 	var s state
 	if err == nil {
-		err = proto.Unmarshal(anew.Snapshot.Data, &s.State)
+		err = proto.Unmarshal(forced.Snapshot.Data, &s.State)
 	}
-	if err != nil || given.Version != 6 || given.Open != 7 || s.GlobalRefused != 40 || s.Region != "n" || s.member("c").Region != "s" || !s.member("c").Global {
-		t.Errorf("%v: %+v; %v", err, given, &s.State)
+	if err != nil || report.Version != 6 || report.Open != 7 || s.GlobalRefused != 40 || s.Region != "n" || s.member("c").Region != "s" || !s.member("c").Global {
+		t.Errorf("%v: %+v; %v", err, report, &s.State)
 	}
 }
 
 // A region decides who votes in it; everything else goes to the global agreement.
 func TestProposeInARegion(t *testing.T) {
-	cfg := Config{Name: "b", Region: "n", Members: []Member{{Name: "a", Address: "a", Region: "n", Voter: true}, {Name: "b", Address: "b", Region: "n"}, {Name: "c", Address: "c", Region: "s", Voter: true, Global: true}}}
+	cfg := Config{Name: "b", Region: "n", Members: []Member{
+		{Name: "a", Address: "a", Region: "n", Voter: true},
+		{Name: "b", Address: "b", Region: "n"},
+		{Name: "c", Address: "c", Region: "s", Voter: true, Global: true},
+	}}
 	n, err := New(cfg, 1, rand.New(rand.NewPCG(1, 1)), PersistentState{Identity: 1})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/cluster/rollout/simulation/measure_test.go
+++ b/internal/cluster/rollout/simulation/measure_test.go
@@ -26,8 +26,16 @@
 	for _, c := range []struct {
 		voters, others, down int
 		most                 time.Duration // that a change takes
-	}{{5, 4, 0, 200 * time.Millisecond}, {5, 4, 1, 3 * time.Second}, {5, 4, 2, 3 * time.Second}, {5, 295, 0, 300 * time.Millisecond}} {
-		r, err := Run(Config{Seed: 1, Voters: c.voters, Others: c.others, Down: c.down, FaultsEnd: 30 * second, Length: 36 * second, ProposeInterval: 3 * second, QueryInterval: 20 * ms, StartAt: 6 * second})
+	}{
+		{5, 4, 0, 200 * time.Millisecond},
+		{5, 4, 1, 3 * time.Second},
+		{5, 4, 2, 3 * time.Second},
+		{5, 295, 0, 300 * time.Millisecond},
+	} {
+		r, err := Run(Config{
+			Seed: 1, Voters: c.voters, Others: c.others, Down: c.down, FaultsEnd: 30 * second, Length: 36 * second, ProposeInterval: 3 * second,
+			QueryInterval: 20 * ms, StartAt: 6 * second,
+		})
 		if err != nil || c.down == 0 && r.HasViolations() {
 			t.Errorf("%v %s", err, r.FirstViolation)
 		}
--- a/internal/cluster/rollout/simulation/proof_test.go
+++ b/internal/cluster/rollout/simulation/proof_test.go
@@ -16,14 +16,17 @@
 // standardRun is a run of five voters and twenty others, with faults at any step.
 func standardRun(seed uint64) Config {
 	return Config{
-		Seed: seed, Voters: 5, Others: 20, Faults: 10, FaultsEnd: 12 * second, Length: 20 * second, ProposeInterval: 900 * ms, QueryInterval: 20 * ms, RejectSome: true, Loss: []float64{0, 0.02, 0.3}[seed%3],
+		Seed: seed, Voters: 5, Others: 20, Faults: 10, FaultsEnd: 12 * second, Length: 20 * second, ProposeInterval: 900 * ms, QueryInterval: 20 * ms,
+		RejectSome: true, Loss: []float64{0, 0.02, 0.3}[seed%3],
 		CompactAfter: []uint64{0, 4, 12, 30}[seed%4], Spares: 2, OperatorInterval: []int64{0, 700 * ms, 1500 * ms}[seed%5%3], KeepSome: seed%7 == 0,
 	}
 }
 
 // largeRun is a run of 300 gatherers.
 func largeRun(seed uint64) Config {
-	return Config{Seed: seed, Voters: 5, Others: 295, Faults: 12, FaultsEnd: 8 * second, Length: 16 * second, ProposeInterval: 1500 * ms, QueryInterval: 50 * ms, Loss: 0.01}
+	return Config{
+		Seed: seed, Voters: 5, Others: 295, Faults: 12, FaultsEnd: 8 * second, Length: 16 * second, ProposeInterval: 1500 * ms, QueryInterval: 50 * ms, Loss: 0.01,
+	}
 }
 
 // playAll plays runs concurrently, and hands over their results one at a time.
@@ -81,7 +84,8 @@
 	if sum.InForce < seeds/2 || sum.Aborted == 0 || sum.VoterChanges < seeds/4 || sum.RosterChanges < seeds/4 || sum.DisksLost < seeds/50 {
 		t.Errorf("%d changes took hold, and %d did not: the runs show nothing", sum.InForce, sum.Aborted)
 	}
-	t.Logf("proof: seeds=%d gatherers=25 changes=%d in_force=%d aborted=%d mixed=%d lost=%d resurrected=%d stuck=%d hold_p99_ms=%d (voters_changed=%d rosters_changed=%d voters_disks_lost=%d, %d seeds of 300 gatherers)", seeds+many,
+	t.Logf("proof: seeds=%d gatherers=25 changes=%d in_force=%d aborted=%d mixed=%d lost=%d resurrected=%d stuck=%d hold_p99_ms=%d "+
+		"(voters_changed=%d rosters_changed=%d voters_disks_lost=%d, %d seeds of 300 gatherers)", seeds+many,
 		sum.Changes, sum.InForce, sum.Aborted, sum.Mixed, sum.Lost, sum.Resurrected, sum.Stuck, p99, sum.VoterChanges, sum.RosterChanges, sum.DisksLost, many)
 }
 
--- a/internal/cluster/rollout/simulation/regions_cases_test.go
+++ b/internal/cluster/rollout/simulation/regions_cases_test.go
@@ -11,7 +11,8 @@
 // twoRegions is a run of 24 gatherers in two regions with no faults but those of a script; most global voters are in the first one.
 func twoRegions(seed uint64, script func(*world)) Config {
 	return Config{
-		Seed: seed, Regions: 2, Voters: 10, Others: 14, GlobalVoters: 5, RegionDelay: 60 * ms, FaultsEnd: 42 * second, Length: 48 * second, ProposeInterval: 2 * second, QueryInterval: 20 * ms, DivideBudgets: true, Demand: busyDemand,
+		Seed: seed, Regions: 2, Voters: 10, Others: 14, GlobalVoters: 5, RegionDelay: 60 * ms, FaultsEnd: 42 * second, Length: 48 * second,
+		ProposeInterval: 2 * second, QueryInterval: 20 * ms, DivideBudgets: true, Demand: busyDemand,
 		Spares: 2, Slots: 30, script: script,
 	}
 }
--- a/internal/cluster/rollout/simulation/regions_proof_test.go
+++ b/internal/cluster/rollout/simulation/regions_proof_test.go
@@ -13,8 +13,8 @@
 // partitionedRun is a run of 600 gatherers in two regions, 30 to 60 ms from each other, nine of them down, whose regions are partitioned.
 func partitionedRun(seed uint64) Config {
 	cfg := Config{
-		Seed: seed, Regions: 2, Voters: 10, Others: 590, GlobalVoters: 5, RegionDelay: 60 * ms, Down: 9, StartAt: 3 * second, FaultsEnd: 39 * second, Length: 44 * second, ProposeInterval: 2 * second,
-		QueryInterval: 100 * ms, DivideBudgets: seed%4 == 0, Demand: busyDemand,
+		Seed: seed, Regions: 2, Voters: 10, Others: 590, GlobalVoters: 5, RegionDelay: 60 * ms, Down: 9, StartAt: 3 * second,
+		FaultsEnd: 39 * second, Length: 44 * second, ProposeInterval: 2 * second, QueryInterval: 100 * ms, DivideBudgets: seed%4 == 0, Demand: busyDemand,
 	}
 	cfg.Partitions = []Partition{{At: 14*second + int64(seed)*137*ms%(2*second), Duration: 14 * second}}
 	switch seed % 6 {
@@ -36,9 +36,16 @@
 // regionFaultRun is a run of 24 gatherers in two regions, with faults of all kinds at any step and partitions between the regions.
 func regionFaultRun(seed uint64) Config {
 	return Config{
-		Seed: seed, Regions: 2, Voters: 10, Others: 14, GlobalVoters: 5, RegionDelay: 60 * ms, FaultsEnd: 14 * second, Length: 26 * second, ProposeInterval: 900 * ms, QueryInterval: 20 * ms, Faults: 10, RejectSome: true,
-		Loss: []float64{0, 0.02, 0.3}[seed%3], CompactAfter: []uint64{0, 4, 12, 30}[seed%4], Spares: 2, OperatorInterval: []int64{0, 700 * ms, 1500 * ms}[seed%5%3], DivideBudgets: seed%2 == 0, Slots: 30, Demand: busyDemand,
-		Partitions: [][]Partition{nil, {{At: 4 * second, Duration: 4 * second}}, {{At: 4 * second, Duration: 6 * second, FlapPeriod: second}}, {{At: 4 * second, Duration: 4 * second, OneWay: 1 + int(seed/4%2)}}}[seed%4],
+		Seed: seed, Regions: 2, Voters: 10, Others: 14, GlobalVoters: 5, RegionDelay: 60 * ms, FaultsEnd: 14 * second, Length: 26 * second,
+		ProposeInterval: 900 * ms, QueryInterval: 20 * ms, Faults: 10, RejectSome: true, Loss: []float64{0, 0.02, 0.3}[seed%3],
+		CompactAfter: []uint64{0, 4, 12, 30}[seed%4], Spares: 2, OperatorInterval: []int64{0, 700 * ms, 1500 * ms}[seed%5%3],
+		DivideBudgets: seed%2 == 0, Slots: 30, Demand: busyDemand,
+		Partitions: [][]Partition{
+			nil,
+			{{At: 4 * second, Duration: 4 * second}},
+			{{At: 4 * second, Duration: 6 * second, FlapPeriod: second}},
+			{{At: 4 * second, Duration: 4 * second, OneWay: 1 + int(seed/4%2)}},
+		}[seed%4],
 	}
 }
 
@@ -70,13 +77,21 @@
 		return func(seed uint64, r Result) {
 			x, s := r.Regions, &sum.Regions
 			if r.HasViolations() {
-				t.Errorf("%s, seed %d: mixed in region %d, joined %d, two texts %d, told wrong %d, over contract %d, lost %d, resurrected %d, stuck %d, unstaged %d, unlisted %d; %s", name, seed,
+				t.Errorf("%s, seed %d: mixed in region %d, joined %d, two texts %d, wrong answers %d, over budget %d, "+
+					"lost %d, resurrected %d, stuck %d, not stored %d, unlisted %d; %s", name, seed,
 					x.MixedInRegion, x.MixedJoined, x.AmbiguousVersions, x.WrongAnswers, x.OverBudget, r.Lost, r.Resurrected, r.Stuck, r.ReadyNotStored, r.Unlisted, r.FirstViolation)
 			}
-			s.MixedInRegion, s.MixedJoined, s.AmbiguousVersions = s.MixedInRegion+x.MixedInRegion, s.MixedJoined+x.MixedJoined, s.AmbiguousVersions+x.AmbiguousVersions+r.Resurrected
-			s.OverBudget, s.WrongAnswers, sum.Stuck = s.OverBudget+x.OverBudget, s.WrongAnswers+x.WrongAnswers, sum.Stuck+r.Stuck
-			sum.Changes, sum.InForce = sum.Changes+r.Changes, sum.InForce+r.InForce
-			s.InForceEverywhere, s.InForcePartly, s.ReportedIsolated = s.InForceEverywhere+x.InForceEverywhere, s.InForcePartly+x.InForcePartly, s.ReportedIsolated+x.ReportedIsolated
+			s.MixedInRegion += x.MixedInRegion
+			s.MixedJoined += x.MixedJoined
+			s.AmbiguousVersions += x.AmbiguousVersions + r.Resurrected
+			s.OverBudget += x.OverBudget
+			s.WrongAnswers += x.WrongAnswers
+			s.InForceEverywhere += x.InForceEverywhere
+			s.InForcePartly += x.InForcePartly
+			s.ReportedIsolated += x.ReportedIsolated
+			sum.Stuck += r.Stuck
+			sum.Changes += r.Changes
+			sum.InForce += r.InForce
 			judge(seed, r)
 		}
 	}
@@ -84,7 +99,8 @@
 		x := r.Regions
 		now := x.ServedLeast[1] / x.ServedLeast[0]
 		if served = min(served, now); now < 0.99 || x.InForceEverywhere == 0 || x.ReportedIsolated == 0 || x.InForcePartly == 0 && seed%6 != 5 {
-			t.Errorf("seed %d: of what was admitted before %.4f was while partitioned; %d changes everywhere, %d in some regions, reported isolated %d times", seed, now, x.InForceEverywhere, x.InForcePartly, x.ReportedIsolated)
+			t.Errorf("seed %d: of what was admitted before %.4f was while partitioned; %d changes everywhere, %d in some regions, reported isolated %d times",
+				seed, now, x.InForceEverywhere, x.InForcePartly, x.ReportedIsolated)
 		}
 		rejoined = append(rejoined, x.RejoinTimes...)
 	}))
@@ -94,7 +110,7 @@
 		return cfg
 	}, take("600 joined", func(seed uint64, r Result) {
 		if r.Regions.InForcePartly > 0 {
-			t.Errorf("seed %d: %d changes in some regions only, and nothing was cut", seed, r.Regions.InForcePartly)
+			t.Errorf("seed %d: %d changes in some regions only, and there was no partition", seed, r.Regions.InForcePartly)
 		}
 		took, holds = append(took, r.ChangeTimes...), append(holds, r.Pauses...)
 	}))
@@ -105,7 +121,7 @@
 		return regionFaultRun(seed)
 	}, take("24 with faults", func(uint64, Result) {}))
 	if most := slices.Max(append(rejoined, 0)); most > 7*second {
-		t.Errorf("after a cut it took %d ms until all were under one version", most/ms)
+		t.Errorf("after a partition it took %d ms until all were under one version", most/ms)
 	}
 	if p99(took) > 7000 {
 		t.Errorf("joined, a change takes %d ms", p99(took))
@@ -114,18 +130,20 @@
 		t.Errorf("%d changes took hold everywhere and %d in some regions: the runs show nothing", sum.Regions.InForceEverywhere, sum.Regions.InForcePartly)
 	}
 	before, _ := Run(Config{
-		Seed: 1, Regions: 2, IgnoreRegions: true, Voters: 5, Others: 55, RegionDelay: 60 * ms, FaultsEnd: 100 * second, Length: 104 * second, ProposeInterval: 2 * second, QueryInterval: 100 * ms,
+		Seed: 1, Regions: 2, IgnoreRegions: true, Voters: 5, Others: 55, RegionDelay: 60 * ms, FaultsEnd: 100 * second, Length: 104 * second,
+		ProposeInterval: 2 * second, QueryInterval: 100 * ms,
 		Partitions: []Partition{{At: 20 * second, Duration: 60 * second}},
 	})
 	b := before.Regions
-	t.Logf("baseline: today's agreement, gatherers=60 voters=5 cut_s=60 served_of_all=%.3f cut_served=%.3f in_force=%d aborted=%d", b.ServedAll[1]/b.ServedAll[0], b.ServedLeast[1]/b.ServedLeast[0], before.InForce, before.Aborted)
+	t.Logf("baseline: today's agreement, gatherers=60 voters=5 cut_s=60 served_of_all=%.3f cut_served=%.3f in_force=%d aborted=%d",
+		b.ServedAll[1]/b.ServedAll[0], b.ServedLeast[1]/b.ServedLeast[0], before.InForce, before.Aborted)
 	if b.ServedAll[1] > 0.9 {
-		t.Errorf("today's agreement lets in %.3f of all queries while halves are apart", b.ServedAll[1])
+		t.Errorf("today's agreement lets in %.3f of all queries while its halves are partitioned", b.ServedAll[1])
 	}
-	t.Logf("changes=%d in_force=%d (everywhere=%d partly=%d) told_wrong=%d mixed_joined=%d joined: took_p99_ms=%d hold_p99_ms=%d; rejoined_most_ms=%d", sum.Changes, sum.InForce, sum.Regions.InForceEverywhere, sum.Regions.InForcePartly,
-		sum.Regions.WrongAnswers, sum.Regions.MixedJoined, p99(took), p99(holds), slices.Max(append(rejoined, 0))/ms)
-	t.Logf("proof: seeds=%d gatherers=600/24 regions=2 cut_served=%.4f mixed_in_region=%d two_texts=%d over_contract=%d rejoined_p99_ms=%d stuck=%d", many+joined+small+len(found), served,
-		sum.Regions.MixedInRegion, sum.Regions.AmbiguousVersions, sum.Regions.OverBudget, p99(rejoined), sum.Stuck)
+	t.Logf("changes=%d in_force=%d (everywhere=%d partly=%d) told_wrong=%d mixed_joined=%d joined: took_p99_ms=%d hold_p99_ms=%d; rejoined_most_ms=%d",
+		sum.Changes, sum.InForce, sum.Regions.InForceEverywhere, sum.Regions.InForcePartly, sum.Regions.WrongAnswers, sum.Regions.MixedJoined, p99(took), p99(holds), slices.Max(append(rejoined, 0))/ms)
+	t.Logf("proof: seeds=%d gatherers=600/24 regions=2 cut_served=%.4f mixed_in_region=%d two_texts=%d over_contract=%d rejoined_p99_ms=%d stuck=%d",
+		many+joined+small+len(found), served, sum.Regions.MixedInRegion, sum.Regions.AmbiguousVersions, sum.Regions.OverBudget, p99(rejoined), sum.Stuck)
 }
 
 // Both seeded faults are caught by the same checks, within 1000 seeds.
@@ -134,7 +152,10 @@
 		name string
 		from uint64 // the rarer one is searched where it is known to show
 		bugs rollout.Bugs
-	}{{"a pause is reported before the region's log has it", 20, rollout.Bugs{PausedBeforeLogged: true}}, {"everywhere is answered before the regions have reported it", 0, rollout.Bugs{ReportedEverywhere: true}}} {
+	}{
+		{"a pause is reported before the region's log has it", 20, rollout.Bugs{PausedBeforeLogged: true}},
+		{"everywhere is answered before the regions have reported it", 0, rollout.Bugs{ReportedEverywhere: true}},
+	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			for seed := c.from; seed < c.from+1000; seed++ {
--- a/internal/cluster/rollout/voter.go
+++ b/internal/cluster/rollout/voter.go
@@ -62,15 +62,15 @@
 
 // leadership is what a voter keeps while it leads.
 type leadership struct {
-	isLeader       bool
-	term           uint64
-	leaderSince    int64
-	termFirstIndex uint64 // of this term's first entry; leases are given once it is applied
-	grantees       map[string]*grantee
-	globalPeers    map[string]*grantee // of the global agreement: the voters of regions that made themselves known, by name
-	unconfirmed    []leaseRequest      // requests that no leadership check covers yet
-	readRound      uint64              // of the newest leadership check
-	readBatches    map[uint64][]leaseRequest
+	isLeader        bool
+	term            uint64
+	leaderSince     int64
+	termFirstIndex  uint64 // of this term's first entry; leases are given once it is applied
+	grantees        map[string]*grantee
+	globalPeers     map[string]*grantee       // of the global agreement: the voters of regions that made themselves known, by name
+	unconfirmed     []leaseRequest            // requests that no leadership check covers yet
+	leadershipCheck uint64                    // the number of the newest leadership check
+	readBatches     map[uint64][]leaseRequest // requests by the leadership check that covers them
 
 	phase         phase
 	attempt       uint64          // the open proposal
--- a/internal/cluster/rollout/voter_raft.go
+++ b/internal/cluster/rollout/voter_raft.go
@@ -96,10 +96,10 @@
 	if !v.isActiveLeader() {
 		return
 	}
-	v.readRound++
-	v.readBatches[v.readRound] = v.unconfirmed
+	v.leadershipCheck++
+	v.readBatches[v.leadershipCheck] = v.unconfirmed
 	v.unconfirmed = nil
-	v.raftNode.ReadIndex(binary.BigEndian.AppendUint64(nil, v.readRound))
+	v.raftNode.ReadIndex(binary.BigEndian.AppendUint64(nil, v.leadershipCheck))
 	if len(v.readBatches) > maxUnansweredBatches {
 		delete(v.readBatches, slices.Min(slices.Collect(maps.Keys(v.readBatches)))) // its senders repeat their requests
 	}
