--- a/internal/broker/adminapi/call.go
+++ b/internal/broker/adminapi/call.go
@@ -1,5 +1,3 @@
-// Package adminapi is the operators' door as a state machine that is fed bytes, how the program stands. It opens
-// no socket.
 package adminapi
 
 import (
@@ -8,44 +6,45 @@
 	"strings"
 )
 
-// Desk is what the door's calls reach. Its methods answer at once, under any load.
+// Program is what calls act on. Its methods are called from the connections' goroutines and answer immediately, under any load.
 type Program interface {
-	// Status tells whether this process takes clients, and in a word how it stands.
-	Status() (takes bool, word string)
-	// Standby drains the program, Active puts it back to work; an error says why not.
+	// Status reports whether this process accepts clients, and its state in one word.
+	Status() (accepts bool, state string)
+	// Standby drains the program; Active puts it back in service. An error says why that is not possible.
 	Standby() error
 	Active() error
-	// Stats appends the figures, a line each.
+	// Stats appends the metrics, a line each.
 	Stats(dst []byte) []byte
-	// Layout appends how the layout of ranges stands, a line each; nil where there is none.
+	// Layout appends the state of the layout of ranges, a line each; nil where there is none.
 	Layout(dst []byte) []byte
-	// Contracts appends how each team stands, a line each; nil where there are no contracts, or nobody has asked for anything.
+	// Contracts appends the state of each team, a line each; nil where there are no contracts, or no team has sent a query.
 	Contracts(dst []byte) []byte
 	// Fleet appends the view of the fleet, a line each; nil where there is none.
 	Fleet(dst []byte) []byte
-	// Forget has a dead member of the fleet taken for one that has left, and LeaveFleet this gatherer leave it.
+	// Forget treats a failed member of the fleet as one that has left.
 	Forget(name string) error
+	// LeaveFleet has this gatherer leave the fleet.
 	LeaveFleet() error
-	// Policy appends how the versions of the policy stand, a line each; PolicyText the document in force, or
+	// Policy appends the state of the policy's versions, a line each; nil where no rollout is set up.
 	Policy(dst []byte) []byte
-	// the one before it with previous.
+	// PolicyText appends the document in force, or with previous the one before it; nil where no rollout is set up.
 	PolicyText(dst []byte, previous bool) []byte
-	// Log changes what is logged: debug, info, warn or error, and what is above it.
+	// SetLogLevel sets the lowest level that is logged: debug, info, warn or error.
 	SetLogLevel(level string) error
 }
 
-// MaxCall bounds a call's line, without its end.
+// MaxCall is the most bytes of a call's line, without its end.
 const MaxCall = 128
 
-// Call is one connection's one call.
+// Call is the one call of one connection. The zero value is ready; it belongs to one goroutine.
 type Call struct {
 	line []byte
 	done bool
 }
 
-// Feed takes in bytes and returns the answer once the call is whole or can't become one; what follows the line
-// is of no interest.
-func (c *Call) Feed(b []byte, d Program) (answer []byte, done bool) {
+// Feed takes bytes in as they arrive, executes the call when its line is complete, and returns the answer. done is true when the connection is finished,
+// also for a line that is too long; bytes after the line are ignored.
+func (c *Call) Feed(b []byte, p Program) (answer []byte, done bool) {
 	if c.done {
 		return nil, true
 	}
@@ -62,10 +61,10 @@
 		return nil, false
 	}
 	c.done = true
-	return execute(string(bytes.TrimSuffix(c.line, []byte{'\r'})), d), true
+	return execute(string(bytes.TrimSuffix(c.line, []byte{'\r'})), p), true
 }
 
-// Ended says that no more bytes come. A line without its end is not carried out: it may be half a call.
+// End reports that no more bytes come, and returns the answer where there was none. A line without its end is not executed: it may be half a call.
 func (c *Call) End() []byte {
 	if c.done {
 		return nil
@@ -74,63 +73,62 @@
 	return refuse("the call has no end")
 }
 
-func execute(call string, d Program) []byte {
+// execute executes a complete line.
+func execute(call string, p Program) []byte {
 	switch call {
 	case "status":
-		takes, word := d.Status()
-		if !takes {
-			return refuse("%s", word)
+		accepts, state := p.Status()
+		if !accepts {
+			return refuse("%s", state)
 		}
-		return []byte("YES " + word + "\n")
+		return []byte("YES " + state + "\n")
 	case "stats":
-		return append(d.Stats(nil), "END\n"...)
+		return append(p.Stats(nil), end...)
 	case "layout":
-		text := d.Layout(nil)
-		if text == nil {
-			return refuse("no layout is set up")
-		}
-		return append(text, "END\n"...)
+		return textOr(p.Layout(nil), "no layout is set up")
 	case "contracts":
-		text := d.Contracts(nil)
-		if text == nil {
-			return refuse("no contracts are set up, or nobody has asked for anything")
-		}
-		return append(text, "END\n"...)
+		return textOr(p.Contracts(nil), "no contracts are set up, or nobody has asked for anything")
 	case "fleet":
-		text := d.Fleet(nil)
-		if text == nil {
-			return refuse("no view of a fleet is set up")
-		}
-		return append(text, "END\n"...)
-	case "policy", "policy text", "policy previous":
-		b := []byte(nil)
-		if call == "policy" {
-			b = d.Policy(nil)
-		} else {
-			b = d.PolicyText(nil, call == "policy previous")
-		}
-		if b != nil {
-			return append(b, "END\n"...)
-		}
-		return refuse("no rollout is set up")
+		return textOr(p.Fleet(nil), "no view of a fleet is set up")
+	case "policy":
+		return textOr(p.Policy(nil), noRollout)
+	case "policy text":
+		return textOr(p.PolicyText(nil, false), noRollout)
+	case "policy previous":
+		return textOr(p.PolicyText(nil, true), noRollout)
 	case "fleet leave":
-		return acknowledge(d.LeaveFleet(), call)
+		return acknowledge(p.LeaveFleet(), call)
 	case "standby":
-		return acknowledge(d.Standby(), call)
+		return acknowledge(p.Standby(), call)
 	case "active":
-		return acknowledge(d.Active(), call)
+		return acknowledge(p.Active(), call)
 	case "":
-		return refuse("empty call; there are status, stats, layout, contracts, fleet, policy, standby, active and log LEVEL")
+		return refuse("empty call; there are %s", callNames)
 	}
-	if name, is := strings.CutPrefix(call, "fleet forget "); is {
-		return acknowledge(d.Forget(name), call)
+	if name, ok := strings.CutPrefix(call, "fleet forget "); ok {
+		return acknowledge(p.Forget(name), call)
 	}
-	if level, is := strings.CutPrefix(call, "log "); is {
-		return acknowledge(d.SetLogLevel(level), call)
+	if level, ok := strings.CutPrefix(call, "log "); ok {
+		return acknowledge(p.SetLogLevel(level), call)
+	}
+	return refuse("unknown call %q; there are %s", call, callNames)
+}
+
+const (
+	callNames = "status, stats, layout, contracts, fleet, policy, standby, active and log LEVEL"
+	noRollout = "no rollout is set up"
+	end       = "END\n" // ends an answer of several lines
+)
+
+// textOr is the answer to a call for text: the text, or a refusal with the reason where there is none.
+func textOr(text []byte, reason string) []byte {
+	if text == nil {
+		return refuse("%s", reason)
 	}
-	return refuse("unknown call %q; there are status, stats, layout, contracts, fleet, policy, standby, active and log LEVEL", call)
+	return append(text, end...)
 }
 
+// acknowledge is the answer to a call that changes something.
 func acknowledge(err error, call string) []byte {
 	if err != nil {
 		return refuse("%v", err)
@@ -138,4 +136,5 @@
 	return []byte("YES " + call + "\n")
 }
 
+// refuse is the answer to a call that was not executed.
 func refuse(format string, args ...any) []byte { return fmt.Appendf(nil, "NO "+format+"\n", args...) }
--- a/internal/broker/adminapi/call_test.go
+++ b/internal/broker/adminapi/call_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// desk is a program that has only its duty and figures.
+// testProgram is a Program that has only a lifecycle and metrics.
 type testProgram struct {
 	*Lifecycle
 	*Metrics
@@ -66,7 +66,7 @@
 
 func feed(pieces ...string) []byte {
 	d := newTestProgram(func(bool) {})
-	d.MarkStarted()
+	d.SetStarted()
 	var c Call
 	for _, p := range pieces {
 		if answer, done := c.Feed([]byte(p), d); done {
@@ -76,7 +76,7 @@
 	return c.End()
 }
 
-// A call is the same however its bytes come in: guards against callers that write in pieces.
+// The answer to a call does not depend on how its bytes are split.
 func TestEverySplit(t *testing.T) {
 	for _, c := range calls {
 		whole := feed(c.line)
@@ -94,7 +94,7 @@
 	}
 }
 
-// Whatever is sent, the answer is one line that says yes or no, or the figures, and nothing is kept beyond a call's length.
+// Whatever is sent, the answer is one line that says yes or no, or the metrics, and no more than a call's length is kept.
 func FuzzCall(f *testing.F) {
 	for _, c := range calls {
 		f.Add([]byte(c.line), 1)
@@ -117,7 +117,7 @@
 		}
 		text := string(answer)
 		if strings.HasSuffix(text, "\nEND\n") {
-			return // the figures
+			return // the metrics
 		}
 		if !strings.HasPrefix(text, "YES ") && !strings.HasPrefix(text, "NO ") || strings.Count(text, "\n") != 1 {
 			t.Errorf("%q", text)
@@ -125,8 +125,8 @@
 	})
 }
 
-// Repeats change nothing, and what SIGTERM has begun no operator ends.
-func TestDuty(t *testing.T) {
+// Repeated calls change nothing, and no operator ends what SIGTERM has begun.
+func TestLifecycle(t *testing.T) {
 	var turns []bool
 	d := newTestProgram(func(standby bool) { turns = append(turns, standby) })
 	ask := func(line, want string) {
@@ -137,7 +137,7 @@
 		}
 	}
 	ask("status", "NO starting")
-	d.MarkStarted()
+	d.SetStarted()
 	for range 2 {
 		ask("standby", "YES")
 		ask("status", "YES standby")
@@ -147,19 +147,19 @@
 		ask("status", "YES active")
 	}
 	ask("standby", "YES")
-	d.MarkLeaving(false)
+	d.SetLeaving(false)
 	ask("status", "YES leaving")
 	ask("active", "NO leaving")
 	ask("standby", "YES")
-	d.MarkLeaving(true)
+	d.SetLeaving(true)
 	ask("status", "NO leaving")
 	if !slices.Equal(turns, []bool{true, false, true}) {
 		t.Errorf("turns %v", turns)
 	}
 }
 
-// Counts show from the start, stay when their class vanishes, and made-up classes take no room.
-func TestFigures(t *testing.T) {
+// Counts are shown from the start and stay when their class is removed; unknown classes are not counted.
+func TestMetrics(t *testing.T) {
 	d := newTestProgram(func(bool) {})
 	d.RegisterClasses("b|1", "a")
 	for _, status := range []int{200, 200, 429, 503, 400, 502, 504} {
@@ -196,8 +196,8 @@
 	}
 }
 
-// Where there are regions the figures tell how this one stands; where there are none they say nothing of it.
-func TestFiguresOfARegion(t *testing.T) {
+// The metrics have the region's state where there are regions, and only there.
+func TestMetricsOfARegion(t *testing.T) {
 	f := NewMetrics()
 	var r RolloutMetrics
 	f.Rollout = func() RolloutMetrics { return r }
--- a/internal/broker/adminapi/lifecycle.go
+++ b/internal/broker/adminapi/lifecycle.go
@@ -5,71 +5,70 @@
 	"sync"
 )
 
-// Duty is how the program stands: whether it has begun, is on standby by an operator's word, or leaves by
-// SIGTERM. Goroutines may share it.
+// Lifecycle is the state of the process: starting, active, on standby by an operator's call, or leaving after SIGTERM. It is safe for concurrent use.
 type Lifecycle struct {
 	mu         sync.Mutex
 	started    bool
 	standby    bool
 	leaving    bool
-	handedOver bool // accepts no more
-	// apply carries a change of standby out, in the order of the calls; it must not block.
+	handedOver bool // another process accepts the clients
+	// apply applies a change of standby. It is called under mu, so in the order of the calls, and must not block.
 	apply func(standby bool)
 }
 
-// ErrLeaving is the answer to active after SIGTERM.
+// ErrLeaving is what Active returns after SIGTERM.
 var ErrLeaving = errors.New("leaving after SIGTERM")
 
-// NewDuty makes a duty that has not begun.
+// NewLifecycle makes the state of a process that is starting. apply is called, one call at a time, when standby begins or ends; it must not block.
 func NewLifecycle(apply func(standby bool)) *Lifecycle { return &Lifecycle{apply: apply} }
 
-// Begin says that clients are taken from now on.
-func (d *Lifecycle) MarkStarted() {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.started = true
+// SetStarted records that clients are accepted from now on.
+func (l *Lifecycle) SetStarted() {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.started = true
 }
 
-// Leave says that SIGTERM has come; with passed, a successor takes the clients.
-func (d *Lifecycle) MarkLeaving(passed bool) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.leaving, d.handedOver = true, passed
+// SetLeaving records that SIGTERM has come. With handedOver another process accepts the clients already.
+func (l *Lifecycle) SetLeaving(handedOver bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.leaving, l.handedOver = true, handedOver
 }
 
-// Status tells whether clients are taken. On standby those that come still are.
-func (d *Lifecycle) Status() (takes bool, word string) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
+// Status reports whether clients are accepted, and the state in one word: starting, active, standby or leaving. On standby clients that come are accepted.
+func (l *Lifecycle) Status() (accepts bool, state string) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	switch {
-	case d.leaving:
-		return !d.handedOver, "leaving"
-	case !d.started:
+	case l.leaving:
+		return !l.handedOver, "leaving"
+	case !l.started:
 		return false, "starting"
-	case d.standby:
+	case l.standby:
 		return true, "standby"
 	}
 	return true, "active"
 }
 
-// Standby drains; where that is so already, or the program leaves, nothing changes.
-func (d *Lifecycle) Standby() error { return d.setStandby(true) }
+// Standby begins a standby; on standby, and after SIGTERM, it changes nothing.
+func (l *Lifecycle) Standby() error { return l.setStandby(true) }
 
-// Active ends a standby. A program that leaves does not come back.
-func (d *Lifecycle) Active() error { return d.setStandby(false) }
+// Active ends a standby. It returns ErrLeaving after SIGTERM.
+func (l *Lifecycle) Active() error { return l.setStandby(false) }
 
-func (d *Lifecycle) setStandby(standby bool) error {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if d.leaving {
+func (l *Lifecycle) setStandby(standby bool) error {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.leaving {
 		if standby {
-			return nil // it drains
+			return nil // it drains already
 		}
 		return ErrLeaving
 	}
-	if d.standby != standby {
-		d.standby = standby
-		d.apply(standby)
+	if l.standby != standby {
+		l.standby = standby
+		l.apply(standby)
 	}
 	return nil
 }
--- a/internal/broker/adminapi/metrics_test.go
+++ b/internal/broker/adminapi/metrics_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// Figures are asked of parts that may wait, until they answer, for somebody who counts: a policy is put in force by a goroutine that makes
-// classes known while the policy's own waits for it. Nobody waits for the lock of figures meanwhile.
-func TestStatsWaitForNobodyWhoCounts(t *testing.T) {
+// The functions in Metrics may wait for a goroutine that counts: a policy is put in force by a goroutine that registers classes, while the policy node
+// waits for it. No goroutine waits for the lock of Metrics meanwhile.
+func TestStatsCallProvidersWithoutTheLock(t *testing.T) {
 	f := NewMetrics()
 	f.RegisterClasses("search")
 	var late []string
--- a/internal/broker/server/shutdown.go
+++ b/internal/broker/server/shutdown.go
@@ -19,7 +19,7 @@
 // shutDown serves until nothing comes in, accepts what is queued at the socket, and ends after the last connection. With a passed socket it accepts
 // nothing from the beginning, since the other process does.
 func (g *Gatherer) shutDown() {
-	g.lifecycle.MarkLeaving(g.passedSocket > 0)
+	g.lifecycle.SetLeaving(g.passedSocket > 0)
 	g.fleetView.updateMetadata(g.fleetMetadata)
 	if g.virtual != nil {
 		g.virtual.leave()
--- a/internal/broker/server/start.go
+++ b/internal/broker/server/start.go
@@ -60,7 +60,7 @@
 	if err := g.joinFleet(); err != nil {
 		return err
 	}
-	g.lifecycle.MarkStarted()
+	g.lifecycle.SetStarted()
 	g.clientAddress, g.adminAddress = socket.Addr().String(), adminAddress
 	logging.Info(g.logger, logging.Start, "name", g.name, "listen", socket.Addr(), "operator", adminAddress, "servers", len(g.fleet.Servers))
 	return nil
