--- /dev/null
+++ b/internal/broker/transport/client_conn.go
@@ -0,0 +1,219 @@
+package transport
+
+import (
+	"errors"
+	"io"
+	"net"
+	"saffronquay/internal/broker/http1"
+	"strconv"
+	"time"
+)
+
+// clientConn is one client's connection. One goroutine reads, and so notices when the client leaves. While requests are open another
+// goroutine answers them, one at a time and in order.
+type clientConn struct {
+	listener       *Listener
+	conn           net.Conn
+	accepted       time.Time
+	clientGone     chan struct{} // closed when the client has left
+	malformed      chan struct{} // closed when it has sent what can't be read
+	flooded        chan struct{} // closed when it has sent lingerBytes after that
+	lastAnswerDone chan struct{} // closed after the last answer, sent or not
+
+	// The listener's mu guards what follows.
+	queue        []*http1.Message
+	fault        *http1.Error // why its bytes can't be read; requests behind it are not answered
+	faultAt      time.Time
+	answering    bool
+	partial      bool // a request has begun to come in
+	hasRequested bool // a complete request has come in
+	evicted      bool // it is to end, unless a request comes in first
+	endsNext     bool // the next answer is the last
+	readEnded    bool // the reader has ended
+	busy         bool
+	idleSince    time.Time // when it last became idle
+}
+
+// update changes the state under the listener's lock, counts the connection as busy or not and, once it is idle, sets its idle
+// deadline.
+func (c *clientConn) update(f func()) {
+	c.listener.mu.Lock()
+	defer c.listener.mu.Unlock()
+	f()
+	busy := c.answering || c.partial && !c.readEnded
+	if busy == c.busy {
+		return
+	}
+	c.busy = busy
+	if busy {
+		c.listener.busyConns.Add(1)
+	} else {
+		c.listener.busyConns.Add(-1)
+		c.idleSince = time.Now()
+	}
+	if !busy && c.fault == nil {
+		setReadDeadline(c.conn, c.idleSince.Add(c.listener.settings.Load().IdleTimeout))
+	}
+}
+
+// enqueue queues requests to be answered, and behind them the fault that makes the rest unreadable. It returns true where nothing more
+// is read after it. It never waits: a reader that waited for a place in the queue would not notice that its client leaves.
+func (c *clientConn) enqueue(batch []*http1.Message, fault error, partial bool) (last bool) {
+	c.update(func() { last = c.enqueueLocked(batch, fault, partial) })
+	return last
+}
+
+// enqueueLocked is enqueue under the listener's lock.
+func (c *clientConn) enqueueLocked(batch []*http1.Message, fault error, partial bool) bool {
+	if c.fault != nil { // its last answer has left
+		return true
+	}
+	if fault == nil && len(c.queue)+len(batch) > maxPipelined {
+		fault = &http1.Error{Status: statusBadRequest, Text: "too many requests ahead of their answers"}
+		c.countFailed(fault, batch...)
+		batch = nil
+	}
+	if c.evicted { // these bytes were on their way from the socket to here
+		c.cancelEviction()
+	}
+	now := time.Now()
+	if partial && (!c.partial || len(batch) > 0) && c.hasRequested {
+		setReadDeadline(c.conn, now.Add(c.listener.settings.Load().RequestTimeout))
+	}
+	c.partial = partial
+	c.queue = append(c.queue, batch...)
+	c.hasRequested = c.hasRequested || len(batch) > 0
+	if fault != nil {
+		c.setFault(fault, now)
+	}
+	if len(c.queue) > 0 || fault != nil {
+		c.startAnswering()
+	}
+	if c.answering && !partial && fault == nil {
+		setReadDeadline(c.conn, time.Time{}) // an open query is no idle connection
+	}
+	return fault != nil
+}
+
+// setFault records what ends the connection; the listener's lock is taken.
+func (c *clientConn) setFault(fault error, now time.Time) {
+	c.fault, c.faultAt, c.partial = &http1.Error{Status: statusBadRequest, Text: fault.Error()}, now, false
+	errors.As(fault, &c.fault)
+	close(c.malformed)
+}
+
+// startAnswering starts the goroutine that answers, unless it runs; the listener's lock is taken.
+func (c *clientConn) startAnswering() {
+	if c.answering {
+		return
+	}
+	c.answering = true
+	c.listener.wg.Add(1)
+	go c.answer()
+}
+
+// discardUntilClosed reads on after unreadable bytes, within bounds, so that the client's leaving is noticed and the error answer
+// reaches it. Beyond lingerBytes it stops: the connection counts as flooded, and its open query is given up.
+func (c *clientConn) discardUntilClosed() {
+	setReadDeadline(c.conn, time.Now().Add(faultGrace+linger))
+	if n, err := io.CopyN(io.Discard, c.conn, lingerBytes); err == nil && n == lingerBytes {
+		close(c.flooded)
+		<-c.lastAnswerDone
+	}
+}
+
+func (c *clientConn) isAnswering() bool {
+	c.listener.mu.Lock()
+	defer c.listener.mu.Unlock()
+	return c.answering
+}
+
+// next returns the request to answer next, or the fault to end with; neither where the connection is idle again.
+func (c *clientConn) next() (m *http1.Message, fault *http1.Error) {
+	c.update(func() {
+		switch {
+		case c.readEnded && c.fault == nil: // the client has left: queued requests are not begun
+			c.queue, c.answering = nil, false
+		case len(c.queue) > 0 && !c.readEnded && (c.fault == nil || time.Since(c.faultAt) < c.listener.faultGrace):
+			m, c.queue = c.queue[0], c.queue[1:]
+		case c.fault != nil:
+			fault = c.fault
+			c.countFailed(fault, c.queue...)
+			c.queue = nil
+		default:
+			c.queue, c.answering = nil, false
+		}
+	})
+	return m, fault
+}
+
+// answer answers the queued requests in order until none is left or the connection ends.
+func (c *clientConn) answer() {
+	defer c.listener.wg.Done()
+	for {
+		m, fault := c.next()
+		switch {
+		case fault != nil:
+			r := c.listener.settings.Load().front.Fault(fault.Status, fault.Text)
+			if after := c.listener.settings.Load().RetryAfter; fault.Status == statusUnavailable && after > 0 {
+				seconds := int64((after + time.Second - 1) / time.Second)
+				r.Fields = append(r.Fields, [2]string{"Retry-After", strconv.FormatInt(seconds, 10)})
+			}
+			c.write(r, true)
+			c.finish(true)
+			return
+		case m == nil:
+			c.closeIfReadEnded()
+			return
+		}
+		if last, ok := c.serveRequest(m); last || !ok {
+			c.finish(ok)
+			return
+		}
+	}
+}
+
+// finish ends the connection after its last answer: immediately where the client does not read or nothing of it is unread, else once
+// the client has closed it or linger is over.
+func (c *clientConn) finish(reads bool) {
+	over := false
+	c.update(func() {
+		c.queue = nil
+		c.answering, over = false, c.readEnded
+		if c.fault == nil {
+			// A client sends nothing after an answer that ends the connection. A close over what it has sent already would reset the
+			// connection, and the answer with it.
+			c.fault, over = &http1.Error{}, over || !hasUnread(c.conn)
+		}
+	})
+	close(c.lastAnswerDone)
+	half, ok := c.conn.(interface{ CloseWrite() error })
+	switch {
+	case over || !reads || !ok || half.CloseWrite() != nil:
+		c.close()
+	default:
+		setReadDeadline(c.conn, time.Now().Add(linger))
+	}
+}
+
+// closeIfReadEnded closes the connection where its reader has ended meanwhile.
+func (c *clientConn) closeIfReadEnded() {
+	c.listener.mu.Lock()
+	over := c.readEnded && !c.answering
+	c.listener.mu.Unlock()
+	if over {
+		c.close()
+	}
+}
+
+// close closes and removes the connection. It may be called more than once.
+func (c *clientConn) close() {
+	c.conn.Close()
+	c.listener.removeConn(c)
+}
+
+func (c *clientConn) write(r http1.Response, last bool) bool {
+	setWriteDeadline(c.conn, time.Now().Add(writeTimeout))
+	_, err := c.conn.Write(r.Append(nil, last))
+	return err == nil
+}
