--- a/cmd/saffronquay/cli_campaign.go
+++ b/cmd/saffronquay/campaign.go
@@ -11,8 +11,8 @@
 	"github.com/spf13/cobra"
 )
 
-// campaign plays fleets of processes under faults, for long.
-func (c *cli) campaign() *cobra.Command {
+// campaignCommand plays fleets of processes under load and faults for long.
+func (c *cli) campaignCommand() *cobra.Command {
 	var cfg soak.Config
 	var seeds, shrink int
 	cmd := &cobra.Command{
@@ -51,7 +51,7 @@
 				if err != nil {
 					return failed(err)
 				}
-				if err := c.tell(map[string]any{"seed": cfg.Seed, "broken": r.Broken, "report": path, "verdict": r.Verdict(cfg)}, func(w io.Writer) {
+				if err := c.print(map[string]any{"seed": cfg.Seed, "broken": r.Broken, "report": path, "verdict": r.Verdict(cfg)}, func(w io.Writer) {
 					for _, b := range r.Broken {
 						fmt.Fprintln(w, "broken:", b)
 					}
@@ -62,7 +62,7 @@
 				cfg.Seed++
 			}
 			if broken > 0 {
-				return &ended{code: bad}
+				return &exitError{code: exitFailed}
 			}
 			return nil
 		},
--- a/cmd/saffronquay/cli_try.go
+++ b/cmd/saffronquay/try.go
@@ -29,13 +29,15 @@
 	gatherers                 int
 }
 
-func (c *cli) try() *cobra.Command {
+// tryCommand serves on loopback in front of fake backends.
+func (c *cli) tryCommand() *cobra.Command {
 	t := trial{}
 	cmd := &cobra.Command{
 		Use: "try", Short: "Serve on loopback with stand-in search servers, seeded data and, on command, faults", Args: cobra.NoArgs,
 		Long: "try starts five stand-in servers with 1,000 invoices each in four ranges of two copies, a gatherer before them, and a small load.\n" +
 			"It prints where to ask and a line a second of what came of the load. With --kill, --slow and --split it causes faults from the third second on.",
-		Example: "  saffronquay try\n  saffronquay try --kill --split --for 20s", RunE: func(*cobra.Command, []string) error { return c.runTrial(t) },
+		Example: "  saffronquay try\n  saffronquay try --kill --split --for 20s",
+		RunE:    func(cmd *cobra.Command, _ []string) error { return c.runTrial(cmd.Context(), t) },
 	}
 	f := cmd.Flags()
 	f.BoolVar(&t.kill, "kill", false, "kill a server, and start it again 5 s later")
@@ -105,7 +107,7 @@
 	}, nil
 }
 
-func (c *cli) runTrial(t trial) error {
+func (c *cli) runTrial(ctx context.Context, t trial) error {
 	if t.rate < 0 || t.rate > 1000 || t.length < 0 || t.gatherers < 1 || t.gatherers > 9 {
 		return fmt.Errorf("--rate: want 0 to 1000; --for: want nought or more; --gatherers: want 1 to 9")
 	}
@@ -114,30 +116,30 @@
 	}
 	cl, file, err := t.cluster()
 	if err != nil {
-		return unreached(err)
+		return unreachable(err)
 	}
 	defer cl.Close()
 	log, _ := newLog(c.errs, "text", slog.LevelWarn)
 	team := &team{trial: t, file: file, log: log}
-	defer team.end()
+	defer team.stopAll()
 	for range max(t.gatherers, 1) {
-		if err := team.start(len(team.all)); err != nil {
+		if err := team.start(len(team.running)); err != nil {
 			return failed(err)
 		}
 	}
-	c.greet(team.all[0].Listen(), team.all[0].Door())
+	c.greet(team.running[0].ClientAddress(), team.running[0].AdminAddress())
 	if t.gatherers > 1 {
-		fmt.Fprintf(c.out, "  saffronquay fleet --watch --door %s\n\n", team.all[0].Door())
+		fmt.Fprintf(c.out, "  saffronquay fleet --watch --door %s\n\n", team.running[0].AdminAddress())
 	}
-	ctx, stop := interrupted(t.length)
+	ctx, stop := interrupted(ctx, t.length)
 	defer stop()
 	go t.faults(ctx, c.out, cl, team)
-	t.load(ctx, c.out, "http://"+team.all[0].Listen(), func() {
+	t.load(ctx, c.out, "http://"+team.running[0].ClientAddress(), func() {
 		if t.gatherers > 1 {
-			team.tellViews(c.out)
+			team.printViews(c.out)
 		}
 	})
-	err = team.end()
+	err = team.stopAll()
 	runs, twice, astray := cl.Ledger.Counts()
 	fmt.Fprintf(c.out, "the servers' ledger: %d parts run, %d filings run twice, %d run where they were not held; %d filings without X-Opaque-Id can't be judged\n",
 		runs, twice, astray, cl.Ledger.Unjudged())
@@ -174,7 +176,7 @@
 		return
 	}
 	if t.policy {
-		team.change(say, 1)
+		team.proposePolicy(say, 1)
 	}
 	if (t.kill || t.policy) && t.gatherers > 1 {
 		say("gatherer try-%d leaves", t.gatherers)
@@ -182,7 +184,7 @@
 			say("%v", err)
 		}
 		if t.policy {
-			team.change(say, 2)
+			team.proposePolicy(say, 2)
 		}
 		if !pause(2 * time.Second) {
 			return
--- a/internal/broker/transport/engine.go
+++ b/internal/broker/transport/engine.go
@@ -1,5 +1,3 @@
-// Package transport holds the thin drivers over package net: the listener and its connections, the pool of
-// connections to servers, the watch on discovery, and the goroutine that owns the core.
 package transport
 
 import (
@@ -30,53 +28,54 @@
 // Now is the present time.
 func (c Clock) Now() int64 { return c.start.UnixMicro() + time.Since(c.start).Microseconds() }
 
-// Engine is the one goroutine that owns the core, the module behind it and the pool. Everything else hands it
-// functions to run.
+// Engine is the one goroutine that owns the core, the module behind it and the pool. Others post functions to it; its methods may be
+// called from any goroutine. It blocks on nothing but its inbox.
 type Engine struct {
-	clock   Clock
-	core    *core.Core
-	pool    *pool
-	inbox   chan func(now int64)
-	stop    chan struct{}
-	stopped chan struct{}
-	waiting map[sq.ID]func(core.Final)
-	log     *slog.Logger
-	sweepAt int64
-	figures *adminapi.Figures
-	gate    *admission.Gate // nil: there are no contracts
-	held    map[int64]*held // queries that wait at the gate
-	gateID  int64
-	permit  *Permit  // nil: everything is let in
-	paused  []paused // queries that wait while a change is put in force
-	endBy   int64    // when this process may be killed: what arrives is answered before; 0: not known
-	// Watch and Fetch, where set, carry out what the module asks of discovery; they must not block.
+	clock        Clock
+	core         *core.Core
+	pool         *pool
+	inbox        chan func(now int64)
+	stop         chan struct{}
+	stopped      chan struct{}
+	waiting      map[sq.ID]func(core.Final)
+	log          *slog.Logger
+	sweepAt      int64
+	metrics      *adminapi.Metrics
+	gate         *admission.Gate        // nil: there are no contracts
+	queued       map[int64]*queuedQuery // queries that wait at the gate
+	lastGateID   int64
+	permit       *Permit          // nil: every query is admitted
+	suspended    []suspendedQuery // queries that wait while a change is put in force
+	killDeadline int64            // when this process may be killed: queries end before; 0: not known
+	// Watch and Fetch, where set, execute the module's requests to discovery. They must not block. Set them before Run.
 	Watch, Fetch func()
-	// Refresh, where set, has the whole layout asked for; it must not block.
-	Refresh func()
+	// RefreshLayout, where set, has the full layout fetched. It must not block. Set it before Run.
+	RefreshLayout func()
 }
 
 const (
 	inboxSize  = 1024
 	sweepEvery = 50_000 // microseconds
-	// standingWait bounds how long the engine's word on its state is waited for.
-	standingWait = 500 * time.Millisecond
+	// stateTimeout bounds the wait for the engine's state.
+	stateTimeout = 500 * time.Millisecond
 )
 
 // NewEngine makes an engine; Run starts it.
-func NewEngine(clock Clock, gatherer *core.Core, cfg PoolConfig, d core.Dialect, figures *adminapi.Figures,
+func NewEngine(clock Clock, gatherer *core.Core, cfg PoolConfig, d core.Dialect, metrics *adminapi.Metrics,
 	logger *slog.Logger,
 ) *Engine {
 	e := &Engine{
 		clock: clock, core: gatherer, inbox: make(chan func(int64), inboxSize), stop: make(chan struct{}),
-		stopped: make(chan struct{}), waiting: map[sq.ID]func(core.Final){}, figures: figures, log: logger,
+		stopped: make(chan struct{}), waiting: map[sq.ID]func(core.Final){}, metrics: metrics, log: logger,
 	}
 	e.pool = newPool(cfg, d, e.post)
-	e.pool.figures = figures
-	e.pool.ended, e.pool.over = gatherer.HandleReply, e.stopped
-	e.held = map[int64]*held{}
+	e.pool.metrics = metrics
+	e.pool.onReply, e.pool.stopped = gatherer.HandleReply, e.stopped
+	e.queued = map[int64]*queuedQuery{}
 	return e
 }
 
+// post hands a function to the engine's goroutine. It waits while the inbox is full, and returns false where the engine has ended.
 func (e *Engine) post(f func(now int64)) bool {
 	select {
 	case e.inbox <- f:
@@ -95,48 +94,63 @@
 		select {
 		case f := <-e.inbox:
 			f(e.clock.Now())
-			for more := true; more; { // what has come in meanwhile belongs to the same step
-				select {
-				case f := <-e.inbox:
-					f(e.clock.Now())
-				default:
-					more = false
-				}
-			}
+			e.runPosted()
 		case <-timer.C:
 		case <-e.stop:
 			return
 		}
 		now := e.clock.Now()
-		e.expire(now)
-		e.release(now)
+		e.refuseExpired(now)
+		e.admitSuspended(now)
 		e.carryOut(now, e.core.Step(now))
 		if now >= e.sweepAt {
 			e.sweepAt = now + sweepEvery
 			e.pool.sweep(now)
-			listed, out := e.core.Rotation()
-			e.figures.Listed.Store(int64(listed))
-			e.figures.Out.Store(int64(out))
-			if l := e.figures.Routes; l != nil {
-				replanned, misplaced := e.core.ReplanCounts()
-				l.Replanned.Store(replanned)
-				l.Misplaced.Store(misplaced)
-			}
-		}
-		at := e.sweepAt
-		if next, ok := e.core.NextStep(); ok {
-			at = min(at, next)
+			e.publishMetrics()
 		}
-		if e.gate != nil {
-			if next, ok := e.gate.NextExpiry(); ok {
-				at = min(at, next)
-			}
+		timer.Reset(time.Duration(max(0, e.nextStep()-e.clock.Now())) * time.Microsecond)
+	}
+}
+
+// runPosted runs what was posted meanwhile: it belongs to the same step of the core.
+func (e *Engine) runPosted() {
+	for {
+		select {
+		case f := <-e.inbox:
+			f(e.clock.Now())
+		default:
+			return
 		}
-		if len(e.paused) > 0 {
-			at = min(at, e.permit.HoldEnd)
+	}
+}
+
+// publishMetrics copies the core's state into the gauges.
+func (e *Engine) publishMetrics() {
+	listed, out := e.core.Rotation()
+	e.metrics.KnownServers.Store(int64(listed))
+	e.metrics.EjectedServers.Store(int64(out))
+	if l := e.metrics.LayoutCounts; l != nil {
+		replanned, misplaced := e.core.ReplanCounts()
+		l.Replanned.Store(replanned)
+		l.Misplaced.Store(misplaced)
+	}
+}
+
+// nextStep is when the engine has to run again although nothing is posted, in Unix microseconds.
+func (e *Engine) nextStep() int64 {
+	at := e.sweepAt
+	if next, ok := e.core.NextStep(); ok {
+		at = min(at, next)
+	}
+	if e.gate != nil {
+		if next, ok := e.gate.NextExpiry(); ok {
+			at = min(at, next)
 		}
-		timer.Reset(time.Duration(max(0, at-e.clock.Now())) * time.Microsecond)
 	}
+	if len(e.suspended) > 0 {
+		at = min(at, e.permit.SuspendedUntil)
+	}
+	return at
 }
 
 // Stop ends Run.
@@ -145,13 +159,14 @@
 	<-e.stopped
 }
 
+// carryOut executes the core's effects in their order.
 func (e *Engine) carryOut(now int64, effects []core.Effect) {
 	for _, x := range effects {
 		switch x := x.(type) {
 		case core.Call:
 			e.pool.call(now, x)
 		case core.RecordIntents:
-			e.intend(now, x)
+			e.recordIntents(now, x)
 		case core.CancelAttempt:
 			e.pool.drop(now, x.Attempt)
 		case core.RecallUnsent:
@@ -172,8 +187,8 @@
 				e.Fetch()
 			}
 		case core.Refresh:
-			if e.Refresh != nil {
-				e.Refresh()
+			if e.RefreshLayout != nil {
+				e.RefreshLayout()
 			}
 		case core.LogLine:
 			logging.Info(e.log, logging.Note, "text", x.Text)
@@ -181,15 +196,15 @@
 	}
 }
 
-// intend hands intents to their ledger, which must not block.
-func (e *Engine) intend(now int64, x core.RecordIntents) {
+// recordIntents passes intents to their ledger, which must not block, and its result to the core.
+func (e *Engine) recordIntents(now int64, x core.RecordIntents) {
 	done := func(err error) { e.post(func(now int64) { e.core.IntentsRecorded(now, x.Attempts, err) }) }
 	if err := x.Log.Record(x.Intents, x.Deadline, done); err != nil {
 		e.core.IntentsRecorded(now, x.Attempts, err)
 	}
 }
 
-// Ticket is a query that was handed to the engine.
+// Ticket is a query that was handed to the engine. Callers wait on Final, Err and the end of the engine.
 type Ticket struct {
 	Final  chan core.Final // gets the one final answer
 	Err    chan error      // gets an error instead where the query is malformed
@@ -199,45 +214,46 @@
 	policy uint64 // the version that it was let in under, and one; 0: there are none. The engine's
 }
 
-// Open hands over a query.
+// Open hands over a query. The ticket gets either a final answer or an error, unless ClientLeft is called or the engine ends before.
 func (e *Engine) Open(a core.Query) *Ticket {
 	t := &Ticket{Final: make(chan core.Final, 1), Err: make(chan error, 1)}
 	e.post(func(now int64) { e.arrive(now, a, t) })
 	return t
 }
 
-// EndBy says when this process may be killed: queries that arrive from now on have their end before, whatever time their clients give.
-func (e *Engine) EndBy(at int64) {
-	e.post(func(int64) { e.endBy = at })
+// SetKillDeadline sets the time, in Unix microseconds, at which this process may be killed. Queries that arrive from now on get no
+// later deadline, whatever time their clients give.
+func (e *Engine) SetKillDeadline(at int64) {
+	e.post(func(int64) { e.killDeadline = at })
 }
 
-// Left says that the client of a query is gone.
-func (e *Engine) Left(t *Ticket) {
+// ClientLeft gives a query up whose client is gone. No attempt of it begins afterwards.
+func (e *Engine) ClientLeft(t *Ticket) {
 	e.post(func(now int64) {
 		t.left = true
 		if e.waiting[t.id] != nil {
 			delete(e.waiting, t.id)
 			e.core.ClientLeft(t.id)
 		}
-		e.leave(now, t)
+		e.releaseGate(now, t)
 	})
 }
 
-// Fleet brings news of the list of servers.
-func (e *Engine) Fleet(f sq.FleetChanged, addresses map[sq.ServerID]string) {
+// UpdateFleet passes a change of the list of servers to the pool and to the core.
+func (e *Engine) UpdateFleet(f sq.FleetChanged, addresses map[sq.ServerID]string) {
 	e.post(func(now int64) {
 		// What ends at a process that is gone comes first: it says nothing of the one in its place.
-		e.pool.fleet(now, f, addresses)
+		e.pool.updateFleet(now, f, addresses)
 		e.core.FleetChanged(f)
 	})
 }
 
-// Layout puts a layout in force. Layouts are handed over in the order of their epochs.
-func (e *Engine) Layout(u layout.Update) {
+// UpdateLayout puts a layout in force. Callers pass layouts in the order of their epochs.
+func (e *Engine) UpdateLayout(u layout.Update) {
 	e.post(func(now int64) { e.core.LayoutChanged(now, u) })
 }
 
-// Reconfigure puts other settings in force, in core, module and pool at once.
+// Reconfigure puts other settings in force in core, module and pool, in one step of the engine.
 func (e *Engine) Reconfigure(terms core.Config, settings sq.Settings, cfg PoolConfig, d core.Dialect) {
 	e.post(func(int64) {
 		e.core.Reconfigure(terms, settings)
@@ -245,9 +261,9 @@
 	})
 }
 
-// Standing is how this process stands, for the one that takes its place; ok is false where the engine has ended, or is so
-// late that nobody should go by its word.
-func (e *Engine) Standing() (s handover.State, ok bool) {
+// HandoverState returns the state of this process for the one that takes its place. ok is false where the engine has ended or does not
+// answer within stateTimeout.
+func (e *Engine) HandoverState() (s handover.State, ok bool) {
 	got := make(chan handover.State, 1)
 	go e.post(func(int64) {
 		held, learned := e.core.Occupancy(), e.core.Learned()
@@ -256,7 +272,7 @@
 			Suspects: learned.Suspects,
 		}
 	})
-	t := time.NewTimer(standingWait)
+	t := time.NewTimer(stateTimeout)
 	defer t.Stop()
 	select {
 	case s = <-got:
@@ -267,8 +283,9 @@
 	return s, false
 }
 
-// Beside says how the other processes of this gatherer stand, and leaves this one so many connections to servers.
-func (e *Engine) Beside(others []handover.State, conns int) {
+// SetPeers passes the states of the other processes of this gatherer to the core, and limits this process's connections to servers to
+// conns.
+func (e *Engine) SetPeers(others []handover.State, conns int) {
 	held := core.Occupancy{Labels: map[string]int64{}}
 	for _, o := range others {
 		held.Open += o.Open
@@ -280,8 +297,8 @@
 	})
 }
 
-// Succeed begins with what the process before this one had learnt.
-func (e *Engine) Succeed(from handover.State) {
+// InheritLearned starts from what the process before this one has learned.
+func (e *Engine) InheritLearned(from handover.State) {
 	e.post(func(now int64) {
 		e.core.TakeOver(now, sq.Learned{Admission: from.Admission, Suspects: from.Suspects})
 	})
@@ -293,11 +310,12 @@
 	Spent   map[string]core.Spent
 }
 
-// Remember is what is known now; ok is false where the engine has ended, or is late.
-func (e *Engine) Remember() (m Memory, ok bool) {
+// ExportMemory returns what a later process should know. ok is false where the engine has ended or does not answer within
+// stateTimeout.
+func (e *Engine) ExportMemory() (m Memory, ok bool) {
 	got := make(chan Memory, 1)
 	go e.post(func(now int64) { got <- Memory{e.core.Learned(), e.core.Spent(now)} })
-	t := time.NewTimer(standingWait)
+	t := time.NewTimer(stateTimeout)
 	defer t.Stop()
 	select {
 	case m = <-got:
@@ -308,13 +326,13 @@
 	return m, false
 }
 
-// Recall begins with what a process knew that is gone.
-func (e *Engine) Recall(m Memory) {
+// RestoreMemory starts from the memory of a process that has ended.
+func (e *Engine) RestoreMemory(m Memory) {
 	e.post(func(now int64) { e.core.Restore(now, m.Learned, m.Spent) })
 }
 
-// Held is the number of queries without their final answer.
-func (e *Engine) Held() int {
+// OpenQueries returns the number of queries without a final answer; 0 once the engine has ended.
+func (e *Engine) OpenQueries() int {
 	n := make(chan int, 1)
 	e.post(func(int64) { n <- e.core.OpenQueries() })
 	select {
--- /dev/null
+++ b/internal/broker/transport/watcher.go
@@ -0,0 +1,113 @@
+package transport
+
+import (
+	"fmt"
+	"log/slog"
+	"saffronquay/internal/broker/logging"
+	"saffronquay/internal/broker/platform"
+	"sync"
+
+	sq "saffronquay"
+)
+
+// Watcher follows discovery's list of servers. After a failure it continues from the last version that it received.
+type Watcher struct {
+	follower
+	generation int64 // Run's goroutine owns it
+	notify     func(sq.FleetChanged, map[sq.ServerID]string)
+	synced     chan struct{} // closed with the first list
+	isSynced   bool          // synced is closed; Run's goroutine owns it
+
+	listMu   sync.Mutex    // guards the two below
+	list     platform.List // as last received, and from which address
+	listFrom string
+}
+
+const maxListBytes = 1 << 20 // bytes of a full list, or of one object of a watch
+
+// NewWatcher makes a watcher that starts from a version of the list; Run runs it. With onRequest it watches only after RequestWatch,
+// and passes failures to notify instead of retrying. notify runs on Run's goroutine.
+func NewWatcher(address string, generation int64, onRequest bool, notify func(sq.FleetChanged, map[sq.ServerID]string),
+	logger *slog.Logger,
+) *Watcher {
+	w := &Watcher{generation: generation, notify: notify, synced: make(chan struct{})}
+	w.follower = newFollower(address, maxListBytes, w, logger)
+	w.onRequest = onRequest
+	return w
+}
+
+// RequestFullList has the next watch begin with the full list, as at a new address. Call it before Run.
+func (w *Watcher) RequestFullList() { w.needsFull = true }
+
+// List returns the full list as last received, in discovery's form, its version, and the address that delivered it; nil before the
+// first one.
+func (w *Watcher) List() (list []byte, generation int64, by string) {
+	w.listMu.Lock()
+	defer w.listMu.Unlock()
+	if !w.list.Whole {
+		return nil, 0, ""
+	}
+	return w.list.Append(nil), w.list.Generation, w.listFrom
+}
+
+// Synced is closed once a list has been received.
+func (w *Watcher) Synced() <-chan struct{} { return w.synced }
+
+// RequestWatch starts a watch, where watches wait for a request. It never blocks.
+func (w *Watcher) RequestWatch() {
+	select {
+	case w.watchRequests <- struct{}{}:
+	default:
+	}
+}
+
+func (w *Watcher) fullPath() string { return "/catalog/members" }
+
+func (w *Watcher) watchPath() string {
+	return fmt.Sprintf("/catalog/members?watch=1&from=%d", w.generation)
+}
+
+func (w *Watcher) watchEnded(err error) {
+	logging.Warn(w.log, logging.WatchEnded, "generation", w.generation, "error", err)
+	if w.onRequest {
+		w.notify(sq.FleetChanged{Kind: sq.FleetFailed}, nil)
+	}
+}
+
+func (w *Watcher) applyFull(body []byte, from string) error {
+	l, err := platform.ParseList(body)
+	if err != nil {
+		return err
+	}
+	l.Whole = true // by what was asked for
+	w.apply(l, from)
+	return nil
+}
+
+func (w *Watcher) applyLine(text []byte, from string) error {
+	l, err := platform.ParseList(text)
+	if err != nil {
+		return err
+	}
+	w.apply(l, from)
+	return nil
+}
+
+func (w *Watcher) apply(l platform.List, from string) {
+	w.generation = l.Generation
+	w.listMu.Lock()
+	if w.listFrom = from; l.Whole || w.list.Whole {
+		w.list.Merge(l)
+	}
+	w.listMu.Unlock()
+	kind := sq.FleetDelta
+	if l.Whole {
+		kind = sq.FleetFull
+	}
+	w.notify(sq.FleetChanged{Kind: kind, Servers: l.Servers}, l.Addresses)
+	if !w.isSynced {
+		w.isSynced = true
+		close(w.synced)
+	}
+	logging.Info(w.log, logging.Fleet, "generation", l.Generation, "whole", l.Whole, "entries", len(l.Servers))
+}
