--- a/internal/broker/transport/admin.go
+++ b/internal/broker/transport/admin.go
@@ -91,7 +91,7 @@
 func (d *AdminListener) answer(conn net.Conn, answer []byte) {
 	setDeadline(conn, time.Now().Add(writeTimeout))
 	if _, err := conn.Write(answer); err != nil {
-		return // nobody reads it
+		return // the caller has left
 	}
 	if half, ok := conn.(interface{ CloseWrite() error }); !ok || half.CloseWrite() != nil {
 		return
--- a/internal/broker/transport/conn_end.go
+++ b/internal/broker/transport/conn_end.go
@@ -56,8 +56,8 @@
 // server may answer one while a long call runs.
 const overtakenLimit = 3
 
-// noteOvertaken counts, for the quiet connections of a server, that it has answered a call which left later, at sent.
-func (p *pool) noteOvertaken(s *server, sent int64) {
+// countOvertaken counts, for the quiet connections of a server, that it has answered a call which left later, at sent.
+func (p *pool) countOvertaken(s *server, sent int64) {
 	for _, c := range s.conns {
 		if since := c.unansweredSince(); since > 0 && sent > since+p.quietLimit() {
 			c.overtakenBy++
@@ -114,9 +114,9 @@
 }
 
 // closeConn ends a connection and the attempts on it. What was not written completely has never run; the rest may have. Only once the
-// writer has ended (settled) is it known how much it wrote; before, all that was queued may have left. Guards against sending an
+// writer has ended (writerEnded) is it known how much it wrote; before, all that was queued may have left. Guards against sending an
 // attempt that must not run twice again while its first frame is on its way.
-func (p *pool) closeConn(now int64, c *serverConn, settled bool) {
+func (p *pool) closeConn(now int64, c *serverConn, writerEnded bool) {
 	if c.closed {
 		return
 	}
@@ -139,8 +139,8 @@
 	ran := sq.Broken
 	for _, id := range sortedKeys(c.calls) {
 		o := sq.Unreachable
-		if f := c.calls[id]; f != nil && (f.number <= done || !settled) {
-			// One break is one piece of evidence, however many calls were out: guards servers, and the keys of
+		if f := c.calls[id]; f != nil && (f.number <= done || !writerEnded) {
+			// One lost connection is one sign of a fault, however many calls were open: guards servers, and the keys of
 			// queries, against being blamed for what else was lost with the connection.
 			o, ran = ran, sq.Stranded
 			p.lastLossAt = now
--- a/internal/broker/transport/departed_test.go
+++ b/internal/broker/transport/departed_test.go
@@ -87,7 +87,7 @@
 func (slowLedger) Release()          {}
 func (slowLedger) Abandon()          {}
 
-// Once its client has left, nothing more of a query begins: neither a first attempt nor a further one nor a copy, whatever it waits for, and
+// Once its client has left, nothing more of a query begins: neither a first attempt nor a retry nor a hedged request, whatever it waits for, and
 // whether or not servers may be told that an attempt is given up. Guards servers against work that nobody waits for. Without the client's leaving
 // each case does begin an attempt later, so that there is something to prevent.
 func TestNothingBeginsForAClientThatHasLeft(t *testing.T) {
--- a/internal/broker/transport/dispatch.go
+++ b/internal/broker/transport/dispatch.go
@@ -101,7 +101,7 @@
 	return best
 }
 
-// canTake reports whether a connection has capacity for a call and no sign of trouble.
+// canTake reports whether a connection has capacity for a call and no sign of a fault.
 func (p *pool) canTake(now int64, c *serverConn, call core.Call) bool {
 	if c.closed || c.retired || len(c.calls)+len(call.Attempts) > max(p.dialect.Streams(), len(call.Attempts)) {
 		return false
@@ -110,7 +110,7 @@
 		return false // it may never come up; its spare may
 	}
 	if c.partialHeardAt > 0 && len(c.calls) == 0 {
-		return false // the rest of an answer that nobody waits for is still to come
+		return false // the rest of an answer without a call is still to come
 	}
 	if since := c.unansweredSince(); since > 0 && now-since > p.quietLimit() && len(c.server.conns) < maxConnsPerServer {
 		return false // it may be unresponsive
@@ -162,7 +162,7 @@
 	if c == nil {
 		return
 	}
-	silent := c.heardAt < c.sentAt[id] && now-c.sentAt[id] > unresponsiveAfter
+	unresponsive := c.heardAt < c.sentAt[id] && now-c.sentAt[id] > unresponsiveAfter
 	unsent := p.takeBack(now, c, id)
 	p.forget(c, id)
 	if !c.up {
@@ -182,9 +182,9 @@
 			c.lastWrite++
 		}
 	}
-	// Guards against machines that vanish without a word: a connection on which nothing at all has come back
+	// Guards against machines that vanish without a reset: a connection that has delivered nothing
 	// for so long may be open at this end only.
-	if silent {
+	if unresponsive {
 		c.retired = true
 	}
 	p.closeIfEmpty(now, c)
--- a/internal/broker/transport/doc.go
+++ b/internal/broker/transport/doc.go
@@ -1,4 +1,4 @@
-// Package transport holds the broker's drivers over package net. It owns the sockets and the goroutines around the pure core, and decides
+// Package transport contains the broker's drivers over package net. It owns the sockets and the goroutines around the pure core, and decides
 // nothing about queries itself:
 //
 //   - Engine: the one goroutine that owns core.Core, the admission gate and the pool of server connections. Everything else posts functions
--- a/internal/broker/transport/endings_test.go
+++ b/internal/broker/transport/endings_test.go
@@ -20,7 +20,7 @@
 	sq "saffronquay"
 )
 
-// These tests force the moments in which an end meets what is owed: the listener's connections are real sockets whose reads and writes
+// These tests force the moments in which an end meets an open request: the listener's connections are real sockets whose reads and writes
 // stop at a hook.
 
 // crossing is a point at which one goroutine waits for the test. Only once it is armed.
@@ -320,7 +320,7 @@
 		}()
 		select {
 		case <-ended:
-		case <-w.beforeRead.reached: // it has come round, and is not told of the end before the request is begun, or not
+		case <-w.beforeRead.reached: // it has come round, and does not learn of the end before the request is begun, or not
 			w.until2(func() bool { return w.opened.Load() > 1 })
 		}
 		close(w.beforeRead.release)
@@ -419,7 +419,7 @@
 	}
 }
 
-// watched is a module that tells the deadlines of queries.
+// watched is a module that records the deadlines of queries.
 type watched struct {
 	module
 	seen chan int64
--- a/internal/broker/transport/follower.go
+++ b/internal/broker/transport/follower.go
@@ -176,7 +176,7 @@
 	defer conn.Close()
 	defer context.AfterFunc(ctx, func() { conn.Close() })()
 	// Versions of another address need not continue those heard before: guards against changes that are
-	// counted from a list which was never told. The whole list comes first there.
+	// counted from a list that was never received. The full list comes first there.
 	if f.needsFull {
 		if err := f.fetchFull(conn, address); err != nil {
 			return false, err
@@ -251,7 +251,7 @@
 func sendRequest(conn net.Conn, target, host string) error {
 	setWriteDeadline(conn, time.Now().Add(writeTimeout))
 	if _, err := conn.Write(http1.AppendRequest(nil, "GET", target, host, nil, nil)); err != nil {
-		return fmt.Errorf("ask: %w", err)
+		return fmt.Errorf("request: %w", err)
 	}
 	return nil
 }
@@ -282,13 +282,13 @@
 		}
 		switch {
 		case err != nil:
-			return fmt.Errorf("whole list: %w", err)
+			return fmt.Errorf("full list: %w", err)
 		case m != nil && m.Status != 200:
-			return fmt.Errorf("whole list: %w", statusError(m.Status))
+			return fmt.Errorf("full list: %w", statusError(m.Status))
 		case m != nil:
 			return f.source.applyFull(m.Body, address)
 		case rerr != nil:
-			return fmt.Errorf("whole list: %w", rerr)
+			return fmt.Errorf("full list: %w", rerr)
 		}
 	}
 }
--- a/internal/broker/transport/pool.go
+++ b/internal/broker/transport/pool.go
@@ -154,7 +154,7 @@
 // learn updates the typical latency from a call that was served.
 func (p *pool) learn(now int64, c *serverConn, r core.Reply, sent int64) {
 	if r.Outcome == sq.Served {
-		p.noteOvertaken(c.server, sent)
+		p.countOvertaken(c.server, sent)
 		if took := float64(now - sent); p.typicalLatency == 0 {
 			p.typicalLatency = took
 		} else {
--- a/internal/broker/transport/request.go
+++ b/internal/broker/transport/request.go
@@ -22,10 +22,10 @@
 	if a.class != "" {
 		c.listener.engine.metrics.OpenRequests.Add(1)
 	}
-	var ask core.Query
-	if ask, a.respond, a.response = front.Open(m, now, c.listener.isReady()); a.response == nil {
+	var query core.Query
+	if query, a.respond, a.response = front.Open(m, now, c.listener.isReady()); a.response == nil {
 		c.listener.lastQuery.Store(now)
-		a.ticket, a.ledger = c.listener.engine.Open(ask), ask.IntentLog
+		a.ticket, a.ledger = c.listener.engine.Open(query), query.IntentLog
 	}
 	return a
 }
--- a/internal/broker/transport/size_test.go
+++ b/internal/broker/transport/size_test.go
@@ -61,7 +61,7 @@
 				text := listOf(servers, first, 2)
 				text.Whole = !change
 				bytes := text.Append(nil)
-				if change { // as written, it would say that it is whole
+				if change { // as written, it would say that it is complete
 					bytes = append([]byte(`{"generation":2,"reset":false,`), bytes[len(`{"generation":2,"reset":true,`):]...)
 				}
 				var before, after runtime.MemStats
--- a/internal/broker/transport/transport_test.go
+++ b/internal/broker/transport/transport_test.go
@@ -103,7 +103,7 @@
 	}
 }
 
-// A full queue of writes means that the far end takes nothing: what finds no room was never handed over.
+// A full queue of writes means that the far end takes nothing: a call beyond it was never handed over.
 func TestFullQueueNeverRan(t *testing.T) {
 	b := newBench()
 	b.fleet(0, sq.Ready, 0, "127.0.0.1:1")
@@ -135,7 +135,7 @@
 	}
 }
 
-// A machine that vanished leaves its connections open and silent: word of a newer start ends them.
+// A machine that vanished leaves its connections open and unresponsive: a newer start time ends them.
 func TestReplacedProcess(t *testing.T) {
 	address, conns := acceptor(t)
 	b := newBench()
@@ -157,7 +157,7 @@
 	}
 }
 
-// A connection that stayed silent past a time-out takes no further calls, and closes once it is empty.
+// A connection that stayed unresponsive past a timeout takes no further calls, and closes once it is empty.
 func TestUnresponsiveConnectionRetires(t *testing.T) {
 	address, conns := acceptor(t)
 	b := newBench()
@@ -214,7 +214,7 @@
 
 func (module) Rotation() (listed, out int) { return 3, 1 }
 
-// echo is a front whose requests are answered at once, or, under /held, wait for ever.
+// echo is a front whose requests are answered immediately or, under /held, never.
 type echo struct{}
 
 func (echo) Open(m *http1.Message, now int64, _ bool) (core.Query, func(core.Final, int64) http1.Response, *http1.Response) {
@@ -245,8 +245,8 @@
 	return s, e
 }
 
-// Clients that go away with requests queued, held or half sent leave nothing on the listener's count: a
-// gatherer that is told to end must come to rest.
+// Clients that go away with requests queued, open or half sent leave nothing on the listener's count: a
+// gatherer that is to end must come to rest.
 func TestComesToRest(t *testing.T) {
 	l, e := serve(t, ListenerConfig{MaxConns: 8, MaxKeepAlive: 8, IdleTimeout: testTimeout, FirstRequestTimeout: testTimeout, RequestTimeout: testTimeout, MaxPartialBytes: 1 << 20})
 	request := func(target string) string { return "GET " + target + " HTTP/1.1\r\nHost: x\r\n\r\n" }
@@ -256,7 +256,7 @@
 			t.Fatal(err)
 		}
 		text := request("/")
-		for range i % 5 { // no more than are queued: each is read while the first is held
+		for range i % 5 { // no more than are queued: each is read while the first is open
 			text += request("/held")
 		}
 		conn.SetDeadline(time.Now().Add(testTimeout))
@@ -297,7 +297,7 @@
 	}
 }
 
-// A request that does not come in whole in its time is answered 408 and its connection closed.
+// A request that is not complete in its time is answered 408 and its connection closed.
 func TestSlowRequest(t *testing.T) {
 	l, _ := serve(t, ListenerConfig{
 		MaxConns: 8, MaxKeepAlive: 8, IdleTimeout: testTimeout, FirstRequestTimeout: 50 * time.Millisecond, RequestTimeout: 50 * time.Millisecond,
@@ -316,8 +316,8 @@
 	}
 }
 
-// Of what is out on a connection whose bytes are spoilt the oldest has failed and the rest is given up; while
-// such bytes are seen, calls travel alone, so that one spoilt answer takes no other part along.
+// Of what is out on a connection with malformed bytes the oldest has failed and the rest is given up; while
+// such bytes are seen, calls travel alone, so that one malformed answer takes no other part along.
 func TestMalformedBytes(t *testing.T) {
 	address, conns := acceptor(t)
 	b := newBench()
@@ -329,7 +329,7 @@
 	far := <-conns
 	defer far.Close()
 	if len(b.servers["s"].conns) != 1 {
-		t.Fatalf("%d connections before anything was spoilt", len(b.servers["s"].conns))
+		t.Fatalf("%d connections before anything was malformed", len(b.servers["s"].conns))
 	}
 	fmt.Fprint(far, "\xff\xff\xff\xff")
 	b.next(t, 3)
@@ -339,7 +339,7 @@
 	b.call(4, callOf(3))
 	b.call(4, callOf(4))
 	if n := len(b.servers["s"].conns); n != 2 {
-		t.Errorf("%d connections for two calls, while servers send spoilt bytes", n)
+		t.Errorf("%d connections for two calls, while servers send malformed bytes", n)
 	}
 	b.drop(4+isolationPeriod, 3)
 	b.call(4+isolationPeriod, callOf(5))
@@ -425,7 +425,7 @@
 	}
 }
 
-// Clients that say nothing are let go, and so is one whose first request does not come in whole.
+// Clients that send nothing are disconnected, and so is one whose first request is not completed.
 func TestUnresponsiveClient(t *testing.T) {
 	l, _ := serve(t, ListenerConfig{MaxConns: 8, MaxKeepAlive: 8, IdleTimeout: testTimeout, FirstRequestTimeout: 50 * time.Millisecond, RequestTimeout: testTimeout, MaxPartialBytes: 1 << 20})
 	conn, err := net.Dial("tcp", l.socket.Addr().String())
@@ -458,7 +458,7 @@
 	}
 }
 
-// Unfinished requests hold so many bytes in all; one more is told that it may try again.
+// Unfinished requests hold so many bytes in all; one more gets a Retry-After.
 func TestPartialBytesAreBounded(t *testing.T) {
 	l, _ := serve(t, ListenerConfig{
 		MaxConns: 8, MaxKeepAlive: 8, IdleTimeout: testTimeout, FirstRequestTimeout: testTimeout, RequestTimeout: testTimeout, MaxPartialBytes: 10_000,
@@ -493,7 +493,7 @@
 	}
 }
 
-// Which connection has to go when room is wanted.
+// Which connection is closed to make place for another.
 func TestSpareConnections(t *testing.T) {
 	now := time.Now()
 	ago := func(d time.Duration) time.Time { return now.Add(-d) }
@@ -517,8 +517,8 @@
 	}
 }
 
-// A connection that has fallen silent while its server goes on answering takes no further calls after a hush,
-// and is given up once enough of them were answered elsewhere; a server that is silent altogether is not concluded from.
+// A connection that is unresponsive while its server goes on answering takes no further calls after quietLimit,
+// and is given up once enough of them were answered elsewhere; nothing is concluded from a server that is unresponsive altogether.
 func TestConnectionThatBecameUnresponsive(t *testing.T) {
 	address, conns := acceptor(t)
 	b := newBench()
@@ -534,7 +534,7 @@
 	second := <-conns
 	defer second.Close()
 	if n := len(b.servers["s"].conns); n != 2 {
-		t.Fatalf("%d connections after the hush", n)
+		t.Fatalf("%d connections after quietLimit", n)
 	}
 	b.sweep(late + unresponsiveAfter)
 	if len(b.ends) != 0 {
@@ -557,7 +557,7 @@
 	}
 }
 
-// A connection that breaks is one piece of evidence: one of its calls is broken, the others are stranded with it.
+// A connection that breaks is one sign of a fault: one of its calls is broken, the others are stranded with it.
 // Calls then travel alone, over the idle connection used last.
 func TestBrokenConnection(t *testing.T) {
 	address, conns := acceptor(t)
@@ -594,7 +594,7 @@
 	}
 }
 
-// Clients that ask once and keep their connections are told that these end, once they keep enough; what is kept
+// Clients that send one request and keep their connections get answers that end these, beyond MaxKeepAlive; what is kept
 // beyond gives way when the table is full, however young it is.
 func TestClientsThatKeepTheirConnections(t *testing.T) {
 	l, _ := serve(t, ListenerConfig{MaxConns: 4, MaxKeepAlive: 2, IdleTimeout: testTimeout, FirstRequestTimeout: testTimeout, RequestTimeout: testTimeout, MaxPartialBytes: 1 << 20})
@@ -722,7 +722,7 @@
 	}
 }
 
-// partial tells that so many connections have a request arriving.
+// partial reports whether so many connections have a request arriving.
 func (l *Listener) partial(n int) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/broker/transport/unsent_test.go
+++ b/internal/broker/transport/unsent_test.go
@@ -17,7 +17,7 @@
 )
 
 // heldWrite gives the server a connection whose writer has begun call 1 and gets no further: the far end has taken one byte.
-func heldWrite(t *testing.T, b *bench) (far net.Conn) {
+func blockedWrite(t *testing.T, b *bench) (far net.Conn) {
 	t.Helper()
 	b.dialect = platform.Workers{PerConn: 8}
 	b.pool.updateFleet(0, sq.FleetChanged{Servers: []sq.Server{{ID: "s", Health: sq.Ready}}}, map[sq.ServerID]string{"s": "127.0.0.1:1"})
@@ -96,7 +96,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := newBench()
-			far := heldWrite(t, b)
+			far := blockedWrite(t, b)
 			b.call(0, both)
 			tc.do(b)
 			b.call(2, callOf(9))
@@ -118,7 +118,7 @@
 	}
 	t.Run("drains", func(t *testing.T) {
 		b := newBench()
-		far := heldWrite(t, b)
+		far := blockedWrite(t, b)
 		b.call(0, both)
 		b.fleet(1, sq.Draining, 0, "")
 		if len(b.ends) != 2 || b.ends[2] != sq.Unreachable || b.ends[3] != sq.Unreachable {
--- a/internal/broker/transport/watch_test.go
+++ b/internal/broker/transport/watch_test.go
@@ -18,8 +18,8 @@
 	sq "saffronquay"
 )
 
-// toldWithin is how long after discovery had a change, and could be reached, it counts as told.
-const toldWithin = 6 * time.Second
+// updateBound is how long after discovery had a change, and could be reached, the change has to be applied.
+const updateBound = 6 * time.Second
 
 // list is a stand-in for discovery, on pipes and a fake clock: as it fares, so it treats its calls.
 type list struct {
@@ -78,15 +78,15 @@
 	}
 }
 
-// asker has the module ask, as the engine does where the list has to be asked for.
-type asker struct {
+// watchRequester passes the module's requests for a watch on, as the engine does where they are needed.
+type watchRequester struct {
 	w *Watcher
 
 	mu sync.Mutex // of the module
 	m  *sq.Scheduler
 }
 
-func (a *asker) step(e sq.Event) {
+func (a *watchRequester) step(e sq.Event) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := time.Now().UnixMicro()
@@ -158,7 +158,7 @@
 						for ms := int64(10_000); ms < 16_000; ms += 371 { // the moment of its return, among its calls
 							synctest.Test(t, func(t *testing.T) {
 								took, calls := returns(t, down.dial, down.fares, asked, moved, time.Duration(ms)*time.Millisecond, wait)
-								if took > toldWithin {
+								if took > updateBound {
 									t.Errorf("back after %d ms: the change was told %v later", ms, took)
 								}
 								if most := int64(20); int64(calls) > ms/1000*2+most {
@@ -173,14 +173,14 @@
 	}
 }
 
-// returns has discovery down for so long, and tells how long after its return its change was told, and how many calls it had before.
+// returns has discovery down for so long, and returns how long after its return its change was applied, and how many calls it had before.
 func returns(t *testing.T, dial func(context.Context) error, fares func(net.Conn, string) bool, asked, moved bool, down,
 	wait time.Duration,
 ) (took time.Duration, calls int) {
 	l := &list{}
 	back := make(chan struct{})
 	told := make(chan struct{})
-	var a *asker
+	var a *watchRequester
 	w := NewWatcher("a", 41, asked, func(f sq.FleetChanged, _ map[sq.ServerID]string) {
 		if a != nil {
 			a.step(f)
@@ -225,7 +225,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		a = &asker{w: w, m: m}
+		a = &watchRequester{w: w, m: m}
 		a.step(sq.FleetChanged{Kind: sq.FleetCached})
 	}
 	go w.Run()
