--- a/cmd/saffronquay/fleet.go
+++ b/cmd/saffronquay/fleet.go
@@ -11,7 +11,7 @@
 	"github.com/spf13/cobra"
 )
 
-// minWatchInterval bounds how often --watch asks.
+// minWatchInterval bounds how often --watch calls the admin endpoint.
 const minWatchInterval = 100 * time.Millisecond
 
 // fleetCommand shows a gatherer's view of its fleet, and is the parent of the commands that change it.
@@ -135,9 +135,9 @@
 // memberNotes returns what stands in the last column for a member.
 func memberNotes(member map[string]string) []string {
 	var notes []string
-	for _, x := range []struct{ key, note string }{{"self", "this one"}, {"draining", "draining"}, {"standby", "standby"}} {
+	for _, x := range []struct{ key, text string }{{"self", "this one"}, {"draining", "draining"}, {"standby", "standby"}} {
 		if member[x.key] == "true" {
-			notes = append(notes, x.note)
+			notes = append(notes, x.text)
 		}
 	}
 	if member["by"] != "" {
--- a/cmd/saffronquay/model.go
+++ b/cmd/saffronquay/model.go
@@ -11,56 +11,67 @@
 	"github.com/spf13/cobra"
 )
 
-// days are those that the model knows by name.
+// simulatedDays are the days that the command model knows, by name.
 var simulatedDays = map[string]func(seed uint64, gatherers, servers int) simulation.Day{
 	"calm": simulation.Fleet, "burst": simulation.Burst,
 	"zone": simulation.ZoneLost, "herd": simulation.Herd, "join": simulation.Join,
 }
 
+// simulatedDayNames returns the names of the days for texts.
+func simulatedDayNames() string { return strings.Join(slices.Sorted(maps.Keys(simulatedDays)), ", ") }
+
+// modelFlags are the flags of the command model.
+type modelFlags struct {
+	seed               uint64
+	gatherers, servers int
+}
+
 // modelCommand plays a day of a large fleet in virtual time.
 func (c *cli) modelCommand() *cobra.Command {
-	var seed uint64
-	var gatherers, servers int
-	names := strings.Join(slices.Sorted(maps.Keys(simulatedDays)), ", ")
+	var flags modelFlags
 	cmd := &cobra.Command{
-		Use: "model DAY", Short: "Play a day of a large fleet in virtual time: " + names,
+		Use: "model DAY", Short: "Play a day of a large fleet in virtual time: " + simulatedDayNames(),
 		Long: "Plays one day with a decision module for each gatherer, over servers with queues, warmth and late reports. Nothing is opened.\n" +
 			"Each line tells of the queries first asked within a second: worth asked and its share that came in time; tries, refusals and\n" +
 			"attempts; work that the servers did, and the part of it that came to answers in time, in seconds.",
 		Example: "  saffronquay model zone --gatherers 80 --servers 60 --seed 3", Args: cobra.ExactArgs(1),
-		RunE: func(_ *cobra.Command, words []string) error {
-			day := simulatedDays[words[0]]
-			switch {
-			case day == nil:
-				return fmt.Errorf("there is no day %q; there are %s", words[0], names)
-			case gatherers < 1 || gatherers > 1000 || servers < 8 || servers > 1000:
-				return fmt.Errorf("want 1 to 1000 gatherers and 8 to 1000 servers, not %d and %d", gatherers, servers)
-			}
-			r, err := simulation.Play(day(seed, gatherers, servers))
-			if err != nil {
-				return err
-			}
-			if err := c.print(r, func(w io.Writer) { printDay(w, r) }); err != nil {
-				return err
-			}
-			if r.RunTwice > 0 {
-				return failed(fmt.Errorf("%d parts that must not run twice were sent again", r.RunTwice))
-			}
-			return nil
-		},
+		RunE: func(_ *cobra.Command, args []string) error { return c.runModel(args[0], flags) },
 	}
 	cmd.AddCommand(c.modelFleetCommand(), c.modelPolicyCommand())
-	cmd.Flags().Uint64Var(&seed, "seed", 1, "the same seed gives the same day")
-	cmd.Flags().IntVar(&gatherers, "gatherers", 80, "how many gatherers")
-	cmd.Flags().IntVar(&servers, "servers", 60, "how many servers, and ranges")
+	cmd.Flags().Uint64Var(&flags.seed, "seed", 1, "the same seed gives the same day")
+	cmd.Flags().IntVar(&flags.gatherers, "gatherers", 80, "how many gatherers")
+	cmd.Flags().IntVar(&flags.servers, "servers", 60, "how many servers, and ranges")
 	return cmd
 }
 
+// runModel plays a day and prints it. It ends with exitFailed where a part that must not run twice was sent again.
+func (c *cli) runModel(name string, flags modelFlags) error {
+	day := simulatedDays[name]
+	switch {
+	case day == nil:
+		return fmt.Errorf("there is no day %q; there are %s", name, simulatedDayNames())
+	case flags.gatherers < 1 || flags.gatherers > 1000 || flags.servers < 8 || flags.servers > 1000:
+		return fmt.Errorf("want 1 to 1000 gatherers and 8 to 1000 servers, not %d and %d", flags.gatherers, flags.servers)
+	}
+	result, err := simulation.Play(day(flags.seed, flags.gatherers, flags.servers))
+	if err != nil {
+		return err
+	}
+	if err := c.print(result, func(w io.Writer) { printDay(w, result) }); err != nil {
+		return err
+	}
+	if result.RunTwice > 0 {
+		return failed(fmt.Errorf("%d parts that must not run twice were sent again", result.RunTwice))
+	}
+	return nil
+}
+
+// printDay prints a line for each second in which queries were asked, and a summary.
 func printDay(w io.Writer, r simulation.Result) {
 	fmt.Fprintf(w, "%6s %8s %8s %6s %8s %8s %8s %8s\n", "second", "asked", "in time", "tries", "refused", "attempts", "work s", "useful s")
-	for i, x := range r.Windows {
+	for second, x := range r.Windows {
 		if x.Requested > 0 {
-			fmt.Fprintf(w, "%6d %8.0f %8.3f %6d %8d %8d %8.1f %8.1f\n", i, x.Requested, x.InTime/x.Requested, x.ClientAttempts, x.Refused, x.Sends,
+			fmt.Fprintf(w, "%6d %8.0f %8.3f %6d %8d %8d %8.1f %8.1f\n", second, x.Requested, x.InTime/x.Requested, x.ClientAttempts, x.Refused, x.Sends,
 				float64(x.Work)/1e6, x.UsefulWork/1e6)
 		}
 	}
--- a/cmd/saffronquay/model_fleet.go
+++ b/cmd/saffronquay/model_fleet.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"errors"
 	"fmt"
 	"io"
 	"os"
@@ -14,90 +15,116 @@
 	script "saffronquay/internal/testing/faults"
 )
 
+// modelFleetFlags are the flags of the command model fleet.
+type modelFleetFlags struct {
+	views.Config
+	cut, stop time.Duration // how long two halves are partitioned, and one member is stopped; 0: not at all
+	kill      int           // members that are killed
+	file      string        // path of a script of faults, or ""
+	plot      string        // path of a drawing, or ""
+}
+
 // modelFleetCommand plays the views of a fleet in virtual time.
 func (c *cli) modelFleetCommand() *cobra.Command {
-	cfg := views.Config{SeedMembers: 3, StartWithin: time.Second}
-	var cut, stop time.Duration
-	var kill int
-	var file, plot string
+	flags := modelFleetFlags{Config: views.Config{SeedMembers: 3, StartWithin: time.Second}}
 	cmd := &cobra.Command{
 		Use: "fleet", Short: "Play the views of a fleet in virtual time, under faults", Args: cobra.NoArgs,
 		Long: "Plays the core that keeps a gatherer's view of its fleet, many times over, in virtual time: how many views are right, how many members\n" +
 			"they reckon with. All are started within a second; --kill, --cut and --stop do their work at second 5; --script FILE has any faults\n" +
 			"(internal/testing/faults has the form, which the harness of the tests reads as well). Ends with 1 where views are not one again.",
 		Example: "  saffronquay model fleet --members 300 --loss 0.1 --cut 12s --plot split.svg",
-		RunE: func(*cobra.Command, []string) error {
-			n := cfg.Members
-			if n < 2 || n > 1000 || cfg.Loss < 0 || cfg.Loss >= 1 || kill < 0 || kill >= n || cut < 0 || stop < 0 || cfg.Delay < 0 || cfg.Duration <= 0 {
-				return fmt.Errorf("want 2 to 1000 members, a loss of 0 to under 1, fewer killed than there are, and times of nought or more")
-			}
-			text := ""
-			if kill > 0 {
-				text += fmt.Sprintf("at 5s kill %d-%d\n", n-kill, n-1)
-			}
-			if cut > 0 {
-				text += fmt.Sprintf("at 5s for %s cut 0-%d %d-%d\n", cut, n/2-1, n/2, n-1)
-			}
-			if stop > 0 {
-				text += fmt.Sprintf("at 5s for %s stop %d\n", stop, n-1)
-			}
-			if file != "" {
-				b, err := os.ReadFile(file)
-				if err != nil {
-					return unreachable(err)
-				}
-				text += string(b)
-			}
-			var err error
-			if cfg.Script, err = script.Parse(text, n); err != nil {
-				return failed(err)
-			}
-			began := time.Now()
-			r, err := views.Run(cfg)
-			if err != nil {
-				return failed(err)
-			}
-			if plot != "" {
-				if err := drawViews(plot, cfg, r); err != nil {
-					return unreachable(err)
-				}
-			}
-			if err := c.print(summarizeViews(cfg, r), func(w io.Writer) { printViews(w, cfg, r, time.Since(began)) }); err != nil {
-				return err
-			}
-			if r.SettledAt < 0 {
-				return failed(fmt.Errorf("views are not one at the end"))
-			}
-			return nil
-		},
+		RunE:    func(*cobra.Command, []string) error { return c.runModelFleet(flags) },
 	}
 	f := cmd.Flags()
-	f.IntVar(&cfg.Members, "members", 300, "how many members")
-	f.Float64Var(&cfg.Loss, "loss", 0, "share of datagrams that are lost")
-	f.DurationVar(&cfg.Delay, "delay", 500*time.Microsecond, "of a datagram one way, and as much again by chance")
-	f.DurationVar(&cut, "cut", 0, "two halves are cut from each other for so long")
-	f.IntVar(&kill, "kill", 0, "so many are killed at once")
-	f.DurationVar(&stop, "stop", 0, "one is stopped for so long, and goes on")
-	f.StringVar(&file, "script", "", "a file of faults")
-	f.Uint64Var(&cfg.Seed, "seed", 1, "the same seed gives the same run")
-	f.DurationVar(&cfg.Duration, "length", 40*time.Second, "how long, in virtual time")
-	f.StringVar(&plot, "plot", "", "a file for a drawing: .svg or .png")
+	f.IntVar(&flags.Members, "members", 300, "how many members")
+	f.Float64Var(&flags.Loss, "loss", 0, "share of datagrams that are lost")
+	f.DurationVar(&flags.Delay, "delay", 500*time.Microsecond, "of a datagram one way, and as much again by chance")
+	f.DurationVar(&flags.cut, "cut", 0, "two halves are cut from each other for so long")
+	f.IntVar(&flags.kill, "kill", 0, "so many are killed at once")
+	f.DurationVar(&flags.stop, "stop", 0, "one is stopped for so long, and goes on")
+	f.StringVar(&flags.file, "script", "", "a file of faults")
+	f.Uint64Var(&flags.Seed, "seed", 1, "the same seed gives the same run")
+	f.DurationVar(&flags.Duration, "length", 40*time.Second, "how long, in virtual time")
+	f.StringVar(&flags.plot, "plot", "", "a file for a drawing: .svg or .png")
 	return cmd
 }
 
-// viewsVerdict is what a run came to, for scripts.
+func (f modelFleetFlags) validate() error {
+	badMembers := f.Members < 2 || f.Members > 1000
+	badLoss := f.Loss < 0 || f.Loss >= 1
+	badKill := f.kill < 0 || f.kill >= f.Members
+	badTimes := f.cut < 0 || f.stop < 0 || f.Delay < 0 || f.Duration <= 0
+	if badMembers || badLoss || badKill || badTimes {
+		return errors.New("want 2 to 1000 members, a loss of 0 to under 1, fewer killed than there are, and times of nought or more")
+	}
+	return nil
+}
+
+// faultScript returns the faults that the flags ask for, in the form that package faults parses.
+func (f modelFleetFlags) faultScript() (string, error) {
+	n, text := f.Members, ""
+	if f.kill > 0 {
+		text += fmt.Sprintf("at 5s kill %d-%d\n", n-f.kill, n-1)
+	}
+	if f.cut > 0 {
+		text += fmt.Sprintf("at 5s for %s cut 0-%d %d-%d\n", f.cut, n/2-1, n/2, n-1)
+	}
+	if f.stop > 0 {
+		text += fmt.Sprintf("at 5s for %s stop %d\n", f.stop, n-1)
+	}
+	if f.file == "" {
+		return text, nil
+	}
+	more, err := os.ReadFile(f.file)
+	return text + string(more), err
+}
+
+// runModelFleet ends with exitFailed where the views of the members differ at the end.
+func (c *cli) runModelFleet(flags modelFleetFlags) error {
+	if err := flags.validate(); err != nil {
+		return err
+	}
+	text, err := flags.faultScript()
+	if err != nil {
+		return unreachable(err)
+	}
+	cfg := flags.Config
+	if cfg.Script, err = script.Parse(text, cfg.Members); err != nil {
+		return failed(err)
+	}
+	began := time.Now()
+	result, err := views.Run(cfg)
+	if err != nil {
+		return failed(err)
+	}
+	if flags.plot != "" {
+		if err := drawViews(flags.plot, cfg, result); err != nil {
+			return unreachable(err)
+		}
+	}
+	err = c.print(summarizeViews(cfg, result), func(w io.Writer) { printViews(w, cfg, result, time.Since(began)) })
+	if err != nil {
+		return err
+	}
+	if result.SettledAt < 0 {
+		return failed(errors.New("views are not one at the end"))
+	}
+	return nil
+}
+
+// viewsSummary is the result of a run as JSON.
 type viewsSummary struct {
-	SettledAfterS float64 `json:"settled_after_s"` // from the end of the last fault; -1: not
-	DetectP50Ms   int64   `json:"detect_p50_ms"`
-	DetectP99Ms   int64   `json:"detect_p99_ms"`
-	FalseDead     int     `json:"false_dead"`
-	BytesS        float64 `json:"bytes_per_member_s"`
+	ConvergedAfterS float64 `json:"settled_after_s"` // from the end of the last fault; -1: not
+	DetectP50Ms     int64   `json:"detect_p50_ms"`
+	DetectP99Ms     int64   `json:"detect_p99_ms"`
+	FalseDead       int     `json:"false_dead"`
+	BytesS          float64 `json:"bytes_per_member_s"`
 }
 
 func summarizeViews(cfg views.Config, r views.Result) viewsSummary {
-	v := viewsSummary{SettledAfterS: -1, FalseDead: r.FalseDeaths, BytesS: r.BytesPerSecond}
+	v := viewsSummary{ConvergedAfterS: -1, FalseDead: r.FalseDeaths, BytesS: r.BytesPerSecond}
 	if took := r.SettledAfter(cfg.Script.End()); took >= 0 {
-		v.SettledAfterS = took.Seconds()
+		v.ConvergedAfterS = took.Seconds()
 	}
 	if d := r.DetectionTimes; len(d) > 0 {
 		v.DetectP50Ms, v.DetectP99Ms = views.Quantile(d, 0.5).Milliseconds(), views.Quantile(d, 0.99).Milliseconds()
@@ -116,7 +143,7 @@
 		}
 	}
 	v := summarizeViews(cfg, r)
-	fmt.Fprintf(w, "settled_after_s=%.2f detect_p50_ms=%d detect_p99_ms=%d false_dead=%d bytes_per_member_s=%.0f (%s of real time)\n", v.SettledAfterS, v.DetectP50Ms,
+	fmt.Fprintf(w, "settled_after_s=%.2f detect_p50_ms=%d detect_p99_ms=%d false_dead=%d bytes_per_member_s=%.0f (%s of real time)\n", v.ConvergedAfterS, v.DetectP50Ms,
 		v.DetectP99Ms, v.FalseDead, v.BytesS, took.Round(10*time.Millisecond))
 }
 
--- a/cmd/saffronquay/model_policy.go
+++ b/cmd/saffronquay/model_policy.go
@@ -13,6 +13,13 @@
 	changes "saffronquay/internal/cluster/rollout/simulation"
 )
 
+// Intervals of a simulated run of policy changes, in microseconds.
+const (
+	simulatedStart           = 1_000_000 // when the first change may be proposed
+	simulatedProposeInterval = 1_000_000
+	simulatedQueryInterval   = 20_000
+)
+
 // modelPolicyCommand plays changes of the policy in virtual time.
 func (c *cli) modelPolicyCommand() *cobra.Command {
 	var cfg changes.Config
@@ -22,37 +29,7 @@
 		Long: "Plays the core that agrees on versions of the policy, with disks, clocks and faults, and judges every query that is let in. Faults are over\n" +
 			"at six tenths of the length. Ends with 1 where two versions were mixed, or anything was lost, resurrected or stuck.",
 		Example: "  saffronquay model policy --voters 5 --others 20 --faults 10 --seed 7",
-		RunE: func(*cobra.Command, []string) error {
-			total := cfg.Voters + cfg.Others
-			if cfg.Voters < 1 || cfg.Voters > 7 || cfg.Others < 0 || total > 1000 || cfg.Down < 0 || cfg.Down >= total || cfg.Loss < 0 || cfg.Loss >= 1 ||
-				cfg.Faults < 0 || length < 5*time.Second || length > time.Hour {
-				return errors.New("want 1 to 7 voters, up to 1000 gatherers, fewer down than there are, a loss of 0 to under 1, and a length of 5 s to 1 h")
-			}
-			cfg.Length = length.Microseconds()
-			cfg.FaultsEnd, cfg.ProposeInterval, cfg.QueryInterval, cfg.StartAt = cfg.Length*6/10, 1_000_000, 20_000, 1_000_000
-			r, err := changes.Run(cfg)
-			if err != nil {
-				return failed(err)
-			}
-			hold, took := quantile(r.Pauses, 0.99), quantile(r.ChangeTimes, 0.99)
-			v := map[string]any{
-				"changes": r.Changes, "in_force": r.InForce, "aborted": r.Aborted, "mixed": r.Mixed, "lost": r.Lost, "resurrected": r.Resurrected, "stuck": r.Stuck,
-				"hold_p99_ms": hold / 1000, "took_p99_ms": took / 1000, "reasons": r.AbortReasons,
-			}
-			if err := c.print(v, func(w io.Writer) {
-				for _, reason := range slices.Sorted(maps.Keys(r.AbortReasons)) {
-					fmt.Fprintf(w, "%4d not in force: %s\n", r.AbortReasons[reason], reason)
-				}
-				fmt.Fprintf(w, "changes=%d in_force=%d aborted=%d mixed=%d lost=%d resurrected=%d stuck=%d hold_p99_ms=%d took_p99_ms=%d\n", r.Changes, r.InForce, r.Aborted,
-					r.Mixed, r.Lost, r.Resurrected, r.Stuck, hold/1000, took/1000)
-			}); err != nil {
-				return err
-			}
-			if r.HasViolations() && cfg.Down == 0 {
-				return failed(errors.New(r.FirstViolation))
-			}
-			return nil
-		},
+		RunE:    func(*cobra.Command, []string) error { return c.runModelPolicy(cfg, length) },
 	}
 	f := cmd.Flags()
 	f.IntVar(&cfg.Voters, "voters", 5, "how many vote")
@@ -65,11 +42,59 @@
 	return cmd
 }
 
-// quantile is the value that so much of a list is at or under; 0 of an empty one.
-func quantile(d []int64, q float64) int64 {
-	if len(d) == 0 {
+func validateModelPolicy(cfg changes.Config, length time.Duration) error {
+	total := cfg.Voters + cfg.Others
+	badMembers := cfg.Voters < 1 || cfg.Voters > 7 || cfg.Others < 0 || total > 1000
+	badDown := cfg.Down < 0 || cfg.Down >= total
+	badLoss := cfg.Loss < 0 || cfg.Loss >= 1
+	badLength := length < 5*time.Second || length > time.Hour
+	if badMembers || badDown || badLoss || badLength || cfg.Faults < 0 {
+		return errors.New("want 1 to 7 voters, up to 1000 gatherers, fewer down than there are, a loss of 0 to under 1, and a length of 5 s to 1 h")
+	}
+	return nil
+}
+
+// runModelPolicy ends with exitFailed where a run without members that are down breaks a guarantee.
+func (c *cli) runModelPolicy(cfg changes.Config, length time.Duration) error {
+	if err := validateModelPolicy(cfg, length); err != nil {
+		return err
+	}
+	cfg.Length = length.Microseconds()
+	cfg.FaultsEnd = cfg.Length * 6 / 10
+	cfg.ProposeInterval, cfg.QueryInterval, cfg.StartAt = simulatedProposeInterval, simulatedQueryInterval, simulatedStart
+	result, err := changes.Run(cfg)
+	if err != nil {
+		return failed(err)
+	}
+	if err := c.printModelPolicy(result); err != nil {
+		return err
+	}
+	if result.HasViolations() && cfg.Down == 0 {
+		return failed(errors.New(result.FirstViolation))
+	}
+	return nil
+}
+
+func (c *cli) printModelPolicy(r changes.Result) error {
+	pauseMs, changeMs := quantile(r.Pauses, 0.99)/1000, quantile(r.ChangeTimes, 0.99)/1000
+	summary := map[string]any{
+		"changes": r.Changes, "in_force": r.InForce, "aborted": r.Aborted, "mixed": r.Mixed, "lost": r.Lost, "resurrected": r.Resurrected, "stuck": r.Stuck,
+		"hold_p99_ms": pauseMs, "took_p99_ms": changeMs, "reasons": r.AbortReasons,
+	}
+	return c.print(summary, func(w io.Writer) {
+		for _, reason := range slices.Sorted(maps.Keys(r.AbortReasons)) {
+			fmt.Fprintf(w, "%4d not in force: %s\n", r.AbortReasons[reason], reason)
+		}
+		fmt.Fprintf(w, "changes=%d in_force=%d aborted=%d mixed=%d lost=%d resurrected=%d stuck=%d hold_p99_ms=%d took_p99_ms=%d\n", r.Changes, r.InForce, r.Aborted,
+			r.Mixed, r.Lost, r.Resurrected, r.Stuck, pauseMs, changeMs)
+	})
+}
+
+// quantile returns the value at rank q, from 0 to 1, of the sorted values; 0 where there are none.
+func quantile(values []int64, q float64) int64 {
+	if len(values) == 0 {
 		return 0
 	}
-	d = slices.Sorted(slices.Values(d))
-	return d[min(int(q*float64(len(d))), len(d)-1)]
+	values = slices.Sorted(slices.Values(values))
+	return values[min(int(q*float64(len(values))), len(values)-1)]
 }
--- a/cmd/saffronquay/policy_propose.go
+++ b/cmd/saffronquay/policy_propose.go
@@ -17,18 +17,19 @@
 	"time"
 )
 
-// The values of wire.Answer.End. With any other the voter does not lead, and does not know the outcome.
+// The values of wire.Answer.End.
 const (
 	answerPending = 0 // the leader has the proposal, and it is not decided yet
 	answerMade    = 1 // it is in force
 	answerRefused = 2 // it never comes into force, for the answer's reason
+	answerUnknown = 3 // the voter does not lead, or does not know the outcome
 )
 
 const (
 	// proposeInterval is the pause between two attempts to learn the outcome of a proposal.
 	proposeInterval = 50 * time.Millisecond
-	// partialSettleTime is how long a version has to be reported as in force in some regions only before that counts as the outcome.
-	partialSettleTime = time.Second
+	// partialStableTime is how long a version has to be reported as in force in some regions only before that counts as the outcome.
+	partialStableTime = time.Second
 )
 
 // submission is one proposal on its way. It belongs to one goroutine.
@@ -36,10 +37,9 @@
 	cli      *cli
 	proposal proposal
 	request  *wire.Propose // the same, with one nonce, in every attempt: voters accept it once
-	voters   []netip.AddrPort
-	next     int   // counts the voters that were passed over; the next attempt goes to voters[next%len(voters)]
-	sent     bool  // a voter has the proposal, or may have it
-	lastErr  error // of the last attempt that got no answer
+	next     int           // counts the voters that were passed over; the next attempt goes to the voter of that number, counted round
+	sent     bool          // a voter has the proposal, or may have it
+	lastErr  error         // of the last attempt that got no answer
 
 	partial      *wire.Answer // the latest answer by which the version is not in force in all regions
 	partialSince time.Time    // when the first such answer came
@@ -58,9 +58,14 @@
 			return err
 		}
 	}
-	s := &submission{cli: c, proposal: p, request: newProposeRequest(p, text), voters: voters}
+	s := &submission{cli: c, proposal: p, request: newProposeRequest(p, text)}
 	for began := time.Now(); time.Since(began) < p.wait; time.Sleep(proposeInterval) {
-		if ended, err := s.attempt(); ended {
+		answer, err := peering.CallPolicyNode(voters[s.next%len(voters)], s.request, c.timeout)
+		if err != nil {
+			s.passOver(err)
+			continue
+		}
+		if ended, err := s.handle(answer); ended {
 			return err
 		}
 	}
@@ -82,15 +87,15 @@
 	return request
 }
 
-// attempt sends the proposal to one voter. It reports whether the command ends with that, and how.
-func (s *submission) attempt() (ended bool, err error) {
-	answer, err := peering.CallPolicyNode(s.voters[s.next%len(s.voters)], s.request, s.cli.timeout)
-	if err != nil {
-		s.lastErr = err
-		s.sent = true // the voter may have received it
-		s.next++
-		return false, nil
-	}
+// passOver records that a voter gave no answer. The next attempt goes to the next one.
+func (s *submission) passOver(err error) {
+	s.lastErr = err
+	s.sent = true // the voter may have received it
+	s.next++
+}
+
+// handle takes an answer in. It reports whether the command ends with that, and how.
+func (s *submission) handle(answer *wire.Answer) (ended bool, err error) {
 	switch answer.End {
 	case answerPending:
 		s.sent = true
@@ -99,13 +104,13 @@
 		return s.made(answer)
 	case answerRefused:
 		return true, s.refused(answer)
-	default:
+	default: // answerUnknown
 		s.next++
 		return false, nil
 	}
 }
 
-// made reports a change that is in force. A version that is not in force in all regions ends the command only after partialSettleTime:
+// made reports a change that is in force. A version that is not in force in all regions ends the command only after partialStableTime:
 // a leader that was elected just now has not heard of all regions yet.
 func (s *submission) made(answer *wire.Answer) (ended bool, err error) {
 	if s.proposal.abort {
@@ -119,7 +124,7 @@
 			s.partialSince = time.Now()
 		}
 		s.partial = answer
-		if len(answer.InForce) == 0 || time.Since(s.partialSince) < partialSettleTime {
+		if len(answer.InForce) == 0 || time.Since(s.partialSince) < partialStableTime {
 			return false, nil
 		}
 	}
--- a/cmd/saffronquay/store.go
+++ b/cmd/saffronquay/store.go
@@ -16,63 +16,62 @@
 // storeCommand is the parent of the commands that look at a durable store.
 func (c *cli) storeCommand() *cobra.Command {
 	parent := &cobra.Command{Use: "store", Short: "Look at a durable store, without touching it", Example: "  saffronquay store check /var/lib/saffronquay/a /var/lib/saffronquay/b"}
-	read := func(words []string) (*recordlog.ReadOnlyStore, error) {
-		second := filepath.Join(words[0], "copy")
-		if len(words) == 2 {
-			second = words[1]
-		}
-		v, err := recordlog.OpenReadOnly([2]recordlog.Dir{recordlog.ExistingDirectory(words[0]), recordlog.ExistingDirectory(second)})
-		if err != nil {
-			return nil, unreachable(err)
-		}
-		return v, nil
-	}
 	parent.AddCommand(&cobra.Command{
 		Use: "check DIR [COPY]", Short: "Read every byte of both copies; 1 where something is damaged or lost", Args: cobra.RangeArgs(1, 2),
 		Example: "  saffronquay store check /var/lib/saffronquay/a /var/lib/saffronquay/b",
-		RunE: func(_ *cobra.Command, words []string) error {
-			v, err := read(words)
-			if err != nil {
-				return err
-			}
-			r := v.Check()
-			if err := c.print(r, func(w io.Writer) { printStoreCheck(w, r) }); err != nil {
-				return err
-			}
-			if len(r.Damaged)+len(r.LostSpans) > 0 {
-				return &exitError{code: exitFailed}
-			}
-			return nil
-		},
-	},
-		&cobra.Command{
-			Use: "dump DIR [COPY]", Short: "Print every record that can be read, a JSON object a line", Args: cobra.RangeArgs(1, 2),
-			Example: "  saffronquay store dump /var/lib/saffronquay/a /var/lib/saffronquay/b | head",
-			RunE: func(_ *cobra.Command, words []string) error {
-				v, err := read(words)
-				if err != nil {
-					return err
-				}
-				return c.dump(v)
-			},
-		})
+		RunE:    func(_ *cobra.Command, args []string) error { return c.runStoreCheck(args) },
+	}, &cobra.Command{
+		Use: "dump DIR [COPY]", Short: "Print every record that can be read, a JSON object a line", Args: cobra.RangeArgs(1, 2),
+		Example: "  saffronquay store dump /var/lib/saffronquay/a /var/lib/saffronquay/b | head",
+		RunE:    func(_ *cobra.Command, args []string) error { return c.runStoreDump(args) },
+	})
 	return parent
 }
 
+// openStore opens the store whose copies are in the directories of args, to read it only. Without a second one the copy is in "copy" of the first.
+func openStore(args []string) (*recordlog.ReadOnlyStore, error) {
+	second := filepath.Join(args[0], "copy")
+	if len(args) == 2 {
+		second = args[1]
+	}
+	store, err := recordlog.OpenReadOnly([2]recordlog.Dir{recordlog.ExistingDirectory(args[0]), recordlog.ExistingDirectory(second)})
+	if err != nil {
+		return nil, unreachable(err)
+	}
+	return store, nil
+}
+
+// runStoreCheck prints the report on a store. It ends with exitFailed where records are damaged or lost.
+func (c *cli) runStoreCheck(args []string) error {
+	store, err := openStore(args)
+	if err != nil {
+		return err
+	}
+	report := store.Check()
+	if err := c.print(report, func(w io.Writer) { printStoreCheck(w, report) }); err != nil {
+		return err
+	}
+	if len(report.Damaged)+len(report.LostSpans) > 0 {
+		return &exitError{code: exitFailed}
+	}
+	return nil
+}
+
 func printStoreCheck(w io.Writer, r recordlog.CheckReport) {
-	for _, d := range r.Damaged {
-		fmt.Fprintln(w, "damaged", d)
+	for _, record := range r.Damaged {
+		fmt.Fprintln(w, "damaged", record)
 	}
-	for _, u := range r.LostSpans {
-		fmt.Fprintf(w, "unknown between records %d and %d\n", u.After, u.Before)
+	for _, span := range r.LostSpans {
+		fmt.Fprintf(w, "unknown between records %d and %d\n", span.After, span.Before)
 	}
-	for _, s := range r.UnreferencedFiles {
-		fmt.Fprintln(w, "stray", s)
+	for _, file := range r.UnreferencedFiles {
+		fmt.Fprintln(w, "stray", file)
 	}
 	fmt.Fprintf(w, "epoch=%d segments=%d bytes=%d records=%d damaged=%d unknown=%d stray=%d took=%s\n", r.Epoch, r.Segments, r.Bytes,
 		r.Records, len(r.Damaged), len(r.LostSpans), len(r.UnreferencedFiles), r.Took)
 }
 
+// recordKinds gives each kind of record its name and, where its value is printed, the message that the value holds.
 var recordKinds = map[recordlog.Kind]struct {
 	name  string
 	value func() proto.Message
@@ -85,33 +84,52 @@
 	recordlog.Rollout:    {"rollout", nil}, // of several forms
 }
 
-func (c *cli) dump(v *recordlog.ReadOnlyStore) error {
-	var broken error
-	unknown := v.Dump(func(r recordlog.Record) {
-		if broken != nil {
-			return // nobody reads any more
-		}
-		k := recordKinds[r.Kind]
-		text := []byte("null")
-		if k.value != nil && !r.Deleted {
-			m := k.value()
-			if err := proto.Unmarshal(r.Value, m); err == nil {
-				if b, err := protojson.Marshal(m); err == nil {
-					text = b
-				}
-			}
-		}
-		key, err := json.Marshal(r.Key)
-		if err != nil { // a string always has a form
-			key = []byte("null")
+// runStoreDump prints the records of a store. It ends with exitFailed where some can't be read. It stops printing at the first failed write, such
+// as to a closed pipe, which is no failure of the command.
+func (c *cli) runStoreDump(args []string) error {
+	store, err := openStore(args)
+	if err != nil {
+		return err
+	}
+	var writeErr error
+	lost := store.Dump(func(r recordlog.Record) {
+		if writeErr == nil {
+			writeErr = c.printRecord(r)
 		}
-		_, broken = fmt.Fprintf(c.out, `{"seq":%d,"at":%d,"until":%d,"kind":%q,"key":%s,"gone":%t,"value":%s}`+"\n", r.Seq, r.At, r.ExpiresAt, k.name, key, r.Deleted, text)
 	})
-	for _, u := range unknown {
-		fmt.Fprintf(c.errs, "unknown between records %d and %d\n", u.After, u.Before)
+	for _, span := range lost {
+		fmt.Fprintf(c.errs, "unknown between records %d and %d\n", span.After, span.Before)
 	}
-	if len(unknown) > 0 {
+	if len(lost) > 0 {
 		return &exitError{code: exitFailed}
 	}
 	return nil
 }
+
+func (c *cli) printRecord(r recordlog.Record) error {
+	key, err := json.Marshal(r.Key)
+	if err != nil { // does not happen: a string always has a form
+		key = []byte("null")
+	}
+	_, err = fmt.Fprintf(c.out, `{"seq":%d,"at":%d,"until":%d,"kind":%q,"key":%s,"gone":%t,"value":%s}`+"\n", r.Seq, r.At, r.ExpiresAt,
+		recordKinds[r.Kind].name, key, r.Deleted, formatRecordValue(r))
+	return err
+}
+
+// formatRecordValue returns a record's value as JSON. It is null for a deleted record, a kind whose value is not printed, and a malformed value.
+func formatRecordValue(r recordlog.Record) []byte {
+	null := []byte("null")
+	kind := recordKinds[r.Kind]
+	if kind.value == nil || r.Deleted {
+		return null
+	}
+	message := kind.value()
+	if proto.Unmarshal(r.Value, message) != nil {
+		return null
+	}
+	text, err := protojson.Marshal(message)
+	if err != nil {
+		return null
+	}
+	return text
+}
--- /dev/null
+++ b/cmd/saffronquay/try_faults.go
@@ -0,0 +1,132 @@
+package main
+
+import (
+	"context"
+	"fmt"
+	"io"
+	"saffronquay/internal/broker/layout"
+	"saffronquay/internal/testing/fakebackend"
+	"time"
+
+	sq "saffronquay"
+)
+
+const (
+	faultsAfter       = 3 * time.Second // from the start to the first fault
+	gathererAwayFor   = 2 * time.Second
+	backendFaultyFor  = 5 * time.Second
+	layoutStepLasting = time.Second
+)
+
+// trialFaults causes the faults of a trial. It is used by one goroutine.
+type trialFaults struct {
+	trial
+	out      io.Writer
+	backends *fakebackend.Cluster
+	fleet    *trialFleet
+}
+
+// run causes the faults that the flags ask for, one after the other, until ctx ends.
+func (f *trialFaults) run(ctx context.Context) {
+	if !sleep(ctx, faultsAfter) {
+		return
+	}
+	if f.policy {
+		f.fleet.proposePolicy(f.say, 1)
+	}
+	if (f.kill || f.policy) && f.gatherers > 1 && !f.restartGatherer(ctx) {
+		return
+	}
+	if f.kill && !f.restartBackend(ctx) {
+		return
+	}
+	if f.slow && !f.stallBackend(ctx) {
+		return
+	}
+	if f.split {
+		f.splitRange(ctx)
+	}
+}
+
+func (f *trialFaults) say(format string, args ...any) {
+	fmt.Fprintf(f.out, "  >> "+format+"\n", args...)
+}
+
+// sleep waits, and reports whether ctx is still open after that time.
+func sleep(ctx context.Context, d time.Duration) bool {
+	select {
+	case <-ctx.Done():
+		return false
+	case <-time.After(d):
+		return true
+	}
+}
+
+// restartGatherer stops the last gatherer for a while. With --policy the policy is changed meanwhile. It reports whether ctx is still open.
+func (f *trialFaults) restartGatherer(ctx context.Context) bool {
+	last := f.gatherers - 1
+	f.say("gatherer try-%d leaves", f.gatherers)
+	if err := f.fleet.stop(last); err != nil {
+		f.say("%v", err)
+	}
+	if f.policy {
+		f.fleet.proposePolicy(f.say, 2)
+	}
+	if !sleep(ctx, gathererAwayFor) {
+		return false
+	}
+	if err := f.fleet.start(ctx, last); err != nil {
+		f.say("%v", err)
+	}
+	f.say("gatherer try-%d is back", f.gatherers)
+	return true
+}
+
+// restartBackend kills a backend and starts it again. It reports whether ctx is still open.
+func (f *trialFaults) restartBackend(ctx context.Context) bool {
+	f.say("ledger-1 is killed")
+	f.backends.Servers[1].Kill()
+	if !sleep(ctx, backendFaultyFor) {
+		return false
+	}
+	if err := f.backends.Servers[1].Start(); err == nil {
+		f.say("ledger-1 is back")
+	}
+	return true
+}
+
+// stallBackend has a backend answer nothing for a while. It reports whether ctx is still open.
+func (f *trialFaults) stallBackend(ctx context.Context) bool {
+	f.say("ledger-2 says nothing")
+	f.backends.Servers[2].Set(fakebackend.Silent)
+	if !sleep(ctx, backendFaultyFor) {
+		return false
+	}
+	f.backends.Servers[2].Set(fakebackend.None)
+	f.say("ledger-2 answers again")
+	return true
+}
+
+// splitRange takes the split of the first range through all its steps, until ctx ends.
+func (f *trialFaults) splitRange(ctx context.Context) {
+	steps := []layout.Step{
+		{Change: "try", Do: layout.Announce, Kind: layout.Split, From: []int{0}, To: []layout.Range{
+			{Span: layout.Span{From: 0, To: 500}, Shard: trialRanges, Holders: []sq.ServerID{"ledger-0", "ledger-1"}},
+			{Span: layout.Span{From: 500, To: 1000}, Shard: trialRanges + 1, Holders: []sq.ServerID{"ledger-3", "ledger-4"}},
+		}},
+		{Change: "try", Do: layout.Copy},
+		{Change: "try", Do: layout.BothUp},
+		{Change: "try", Do: layout.Cut},
+		{Change: "try", Do: layout.Retire},
+	}
+	for _, step := range steps {
+		if err := f.backends.Do(step); err != nil {
+			f.say("split: %v", err)
+			return
+		}
+		f.say("keys 0 to 1000 are split in two: %s", step.Do)
+		if !sleep(ctx, layoutStepLasting) {
+			return
+		}
+	}
+}
--- /dev/null
+++ b/cmd/saffronquay/try_fleet.go
@@ -0,0 +1,244 @@
+package main
+
+import (
+	"bytes"
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"log/slog"
+	"maps"
+	"net"
+	"net/netip"
+	"os"
+	"path/filepath"
+	"saffronquay/deploy"
+	"saffronquay/internal/broker/config"
+	"saffronquay/internal/broker/server"
+	"saffronquay/internal/cluster/peering"
+	"saffronquay/internal/cluster/rollout/wire"
+	"strings"
+	"sync"
+	"time"
+)
+
+const (
+	trialPolicyWait     = 8 * time.Second       // until a change of the policy counts as in doubt
+	trialPolicyInterval = 10 * time.Millisecond // between two attempts to learn its outcome
+	trialPolicyTimeout  = time.Second           // of one attempt
+	trialMaxOpen        = 500                   // max_open of the first policy, as startCluster has it; each change raises it
+)
+
+// trialFleet is the gatherers of a trial. With more than one, each has the view of the fleet that deploy/fleet.json sets up, and joins at the
+// first. It may be used concurrently.
+type trialFleet struct {
+	trial
+	file map[string]any // the operator's file of the first gatherer
+	log  *slog.Logger
+
+	mu               sync.Mutex
+	running          []*server.Gatherer // nil: it has been stopped
+	joinAddress      string             // where the first one's view is reached
+	stopped          bool               // stopAll has begun: none is started any more
+	storeDir         string             // of the durable stores, where they agree on the policy; "" before the first start
+	rolloutAddresses []string           // where each agrees on the policy
+}
+
+// start starts the i-th gatherer, the next one or one that was stopped. After stopAll it does nothing.
+func (f *trialFleet) start(ctx context.Context, i int) error {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if f.stopped {
+		return nil
+	}
+	text, err := f.operatorFile(ctx, i)
+	if err != nil {
+		return err
+	}
+	operator, err := config.ParseOperator(text)
+	if err != nil {
+		return err
+	}
+	plan, err := server.SearchPlan(operator, f.log) //nolint:contextcheck // ctx bounds a call; the plan's log belongs to the gatherer
+	if err != nil {
+		return err
+	}
+	g, err := server.Start(plan, f.log, nil) //nolint:contextcheck // as above
+	if err != nil {
+		return err
+	}
+	if f.joinAddress == "" && f.gatherers > 1 {
+		f.joinAddress = g.FleetAddress()
+	}
+	if i < len(f.running) {
+		f.running[i] = g
+	} else {
+		f.running = append(f.running, g)
+	}
+	return nil
+}
+
+// operatorFile returns the operator's file of the i-th gatherer.
+func (f *trialFleet) operatorFile(ctx context.Context, i int) ([]byte, error) {
+	file := maps.Clone(f.file)
+	if f.gatherers > 1 {
+		if err := f.addFleet(i, file); err != nil {
+			return nil, err
+		}
+	}
+	if f.policy {
+		if err := f.addRollout(ctx, i, file); err != nil {
+			return nil, err
+		}
+	}
+	return json.Marshal(file)
+}
+
+// addFleet sets up the view of the fleet in the file of the i-th gatherer, which joins at the first where that runs already.
+func (f *trialFleet) addFleet(i int, file map[string]any) error {
+	var example struct{ Fleet map[string]any }
+	if err := json.Unmarshal(deploy.Fleet, &example); err != nil {
+		return fmt.Errorf("deploy/fleet.json: %w", err)
+	}
+	fleet := example.Fleet
+	delete(fleet, "join")
+	fleet["listen"] = "127.0.0.1:0"
+	if f.joinAddress != "" {
+		fleet["join"] = []string{f.joinAddress}
+	}
+	file["fleet"], file["name"] = fleet, trialName(i)
+	if i > 0 {
+		file["listen"] = "127.0.0.1:0"
+	}
+	return nil
+}
+
+// trialName returns the name of the i-th gatherer.
+func trialName(i int) string { return fmt.Sprint("try-", i+1) }
+
+// addRollout sets up a rollout in the file of the i-th gatherer, with all of the trial as voters and a store in a directory that stopAll removes.
+func (f *trialFleet) addRollout(ctx context.Context, i int, file map[string]any) error {
+	if f.storeDir == "" {
+		if err := f.reserveRollout(ctx); err != nil {
+			return err
+		}
+	}
+	var members []any
+	for j, address := range f.rolloutAddresses {
+		members = append(members, map[string]any{"name": trialName(j), "address": address, "voter": true})
+	}
+	file["rollout"] = map[string]any{"listen": f.rolloutAddresses[i], "members": members, "lease_ms": 1000}
+	file["store"] = map[string]any{"directory": filepath.Join(f.storeDir, fmt.Sprint(i+1))}
+	return nil
+}
+
+// reserveRollout makes the directory of the stores, and finds an address with a free port for each gatherer.
+func (f *trialFleet) reserveRollout(ctx context.Context) error {
+	var err error
+	if f.storeDir, err = os.MkdirTemp("", "saffronquay-try-"); err != nil {
+		return err
+	}
+	for range f.gatherers {
+		var listen net.ListenConfig
+		listener, err := listen.Listen(ctx, "tcp", "127.0.0.1:0")
+		if err != nil {
+			return err
+		}
+		defer listener.Close() // only when all are found, so that none is found twice
+		f.rolloutAddresses = append(f.rolloutAddresses, listener.Addr().String())
+	}
+	return nil
+}
+
+// proposePolicy proposes the n-th change of the policy, counted from 1, which differs in one number, and says what its outcome is.
+func (f *trialFleet) proposePolicy(say func(string, ...any), n int) {
+	text, err := f.policyText(n)
+	if err != nil {
+		say("policy: %v", err)
+		return
+	}
+	began := time.Now()
+	request := &wire.Propose{Nonce: uint64(began.UnixNano()), Base: uint64(n - 1), Text: text, By: "try"}
+	next := 0 // counts the gatherers that were passed over
+	for ; time.Since(began) < trialPolicyWait; time.Sleep(trialPolicyInterval) {
+		address, err := netip.ParseAddrPort(f.rolloutAddresses[next%len(f.rolloutAddresses)])
+		if err != nil {
+			say("policy: %v", err)
+			return
+		}
+		answer, err := peering.CallPolicyNode(address, request, trialPolicyTimeout)
+		switch {
+		case err != nil || answer.End == answerUnknown:
+			next++
+		case answer.End == answerMade:
+			say("version %d of the policy is in force everywhere, %s after it was proposed", answer.Number, time.Since(began).Round(time.Millisecond))
+			return
+		case answer.End == answerRefused:
+			say("the policy is refused: %s", answer.Reason)
+			return
+		}
+	}
+	say("the policy is in doubt")
+}
+
+// policyText returns the policy of the n-th change.
+func (f *trialFleet) policyText(n int) ([]byte, error) {
+	file, err := json.Marshal(f.file)
+	if err != nil {
+		return nil, err
+	}
+	text, err := config.PolicyOf(file)
+	if err != nil {
+		return nil, err
+	}
+	before, after := fmt.Appendf(nil, `"max_open":%d`, trialMaxOpen), fmt.Appendf(nil, `"max_open":%d`, trialMaxOpen+n)
+	return bytes.Replace(text, before, after, 1), nil
+}
+
+// stop stops the i-th gatherer and waits for its end. It does nothing where that does not run.
+func (f *trialFleet) stop(i int) error {
+	f.mu.Lock()
+	g := f.running[i]
+	f.running[i] = nil
+	f.mu.Unlock()
+	if g == nil {
+		return nil
+	}
+	g.Stop()
+	return g.Wait()
+}
+
+// stopAll stops all gatherers at the same time, waits for them and removes their stores. A second call does nothing.
+func (f *trialFleet) stopAll() error {
+	f.mu.Lock()
+	n := len(f.running)
+	f.stopped = true
+	f.mu.Unlock()
+	errs := make([]error, n)
+	var wg sync.WaitGroup
+	for i := range n {
+		wg.Go(func() { errs[i] = f.stop(i) })
+	}
+	wg.Wait()
+	if f.storeDir != "" {
+		errs = append(errs, os.RemoveAll(f.storeDir))
+	}
+	return errors.Join(errs...)
+}
+
+// printViews prints in one line how many members each gatherer sees.
+func (f *trialFleet) printViews(out io.Writer) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	var views []string
+	for i, g := range f.running {
+		if g == nil {
+			views = append(views, fmt.Sprintf("try-%d is away", i+1))
+			continue
+		}
+		alive, effective := g.MemberCounts()
+		views = append(views, fmt.Sprintf("try-%d sees %d and reckons with %d", i+1, alive, effective))
+	}
+	fmt.Fprintf(out, "       %s\n", strings.Join(views, ", "))
+}
