--- a/internal/broker/server/admin_policy.go
+++ b/internal/broker/server/admin_policy.go
@@ -12,14 +12,14 @@
 func (g *Gatherer) rolloutMetrics() (f adminapi.RolloutMetrics) {
 	p := g.policyNode.Load()
 	if p == nil {
-		return f // not yet
+		return f // it is not open yet
 	}
 	yes := map[bool]int64{true: 1}
 	got := make(chan adminapi.RolloutMetrics, 1)
 	if p.Inspect(func(n *rollout.Node, now int64) {
 		v, _, _ := n.Admit(now)
 		f := adminapi.RolloutMetrics{Number: int64(n.Number()), Admits: yes[v == rollout.Admitted], Paused: yes[n.IsPaused()], LeaseMs: max(0, n.LeaseUntil()-now) / 1000, Leads: yes[n.IsLeader()]}
-		if r, are := n.Region(now); are {
+		if r, hasRegions := n.Region(now); hasRegions {
 			f.Region = &adminapi.RegionMetrics{Behind: int64(r.Newest - r.Number), IsolatedMs: r.IsolatedFor / 1000, Leads: yes[n.IsGlobalLeader()]}
 		}
 		got <- f
@@ -27,7 +27,7 @@
 		f = <-got
 	}
 	f.Traffic = trafficMetrics(p.Traffic())
-	return f // nought where it is late
+	return f // 0 where the node did not answer
 }
 
 // Policy appends the policy's state: a line for this gatherer, the members, the decisions, and on the leader a line for each lease it has granted.
@@ -47,18 +47,18 @@
 		}
 		dst = fmt.Appendf(dst, "policy number=%d hash=%s admits=%s lease_ms=%d keeps=%t holding=%t leader=%s leads=%t ready=%d refused=%d reason=%s open=%d founding=%t lost_disk=%t\n",
 			max(number, n.Number()), hash, v, max(0, n.LeaseUntil()-now)/1000, n.AdmitsWithoutLease(), n.IsPaused(), n.Leader(), n.IsLeader(), ready, refused, strconv.Quote(reason), n.OpenAttempt(), n.IsBootstrapping(), n.HasIdentityConflict())
-		r, are := n.Region(now)
-		if are {
-			dst = appendRegion(dst, n, r, now)
+		region, hasRegions := n.Region(now)
+		if hasRegions {
+			dst = appendRegion(dst, n, region, now)
 		}
 		for _, m := range n.Members() {
 			dst = fmt.Appendf(dst, "member name=%s address=%s voter=%t id=%d", m.Name, m.Address, m.Id != 0, m.Id)
-			if are {
+			if hasRegions {
 				dst = fmt.Appendf(dst, " region=%s global=%t", m.Region, m.Global)
 			}
 			dst = append(dst, '\n')
 		}
-		dst = appendDecisions(dst, n, r, are)
+		dst = appendDecisions(dst, n, region, hasRegions)
 		for _, x := range n.Grants() {
 			dst = fmt.Appendf(dst, "holder name=%s number=%d lease_ms=%d seen_ms=%d ready=%d held=%d refused=%d voter=%t lost_disk=%t left=%t reason=%s\n", x.Name, x.Number, max(0, x.LeaseUntil-now)/1000, millisecondsSinceSeen(x, now),
 				x.Ready, x.Paused, x.Refused, x.Voter, x.DiskReplaced, x.Left, strconv.Quote(x.Reason))
@@ -77,24 +77,24 @@
 
 // appendRegion appends how this gatherer's region stands with the others. Decisions beyond a partition are not known: behind is at least so much.
 func appendRegion(dst []byte, n *rollout.Node, r rollout.RegionStatus, now int64) []byte {
-	asked := int64(-1)
+	statusAge := int64(-1)
 	if r.StatusAge >= 0 {
-		asked = r.StatusAge / 1000
+		statusAge = r.StatusAge / 1000
 	}
 	reason := r.Reason
 	if r.IsolatedFor > 0 && reason == "" {
 		reason = "no lease: the voters of the global agreement are not reached, or not a majority of them"
 	}
 	return fmt.Appendf(dst, "region name=%s number=%d newest=%d behind=%d apart=%t apart_ms=%d lease_ms=%d asked_ms=%d global_leader=%s global_leads=%t global_votes=%t global_open=%d reason=%s\n",
-		r.Name, r.Number, r.Newest, r.Newest-r.Number, r.IsolatedFor > 0, r.IsolatedFor/1000, max(0, r.LeaseUntil-now)/1000, asked, r.Leader, n.IsGlobalLeader(), n.HasGlobalVote(), n.GlobalOpenAttempt(), strconv.Quote(reason))
+		r.Name, r.Number, r.Newest, r.Newest-r.Number, r.IsolatedFor > 0, r.IsolatedFor/1000, max(0, r.LeaseUntil-now)/1000, statusAge, r.Leader, n.IsGlobalLeader(), n.HasGlobalVote(), n.GlobalOpenAttempt(), strconv.Quote(reason))
 }
 
 // appendDecisions appends the decisions: without regions all that a voter knows; with them those of the global agreement where this gatherer votes in
 // it, else those of its region, and in both cases changes of the region's voters.
-func appendDecisions(dst []byte, n *rollout.Node, r rollout.RegionStatus, are bool) []byte {
-	tell := func(all []*wire.Decision, region string, such func(*wire.Decision) bool) {
+func appendDecisions(dst []byte, n *rollout.Node, r rollout.RegionStatus, hasRegions bool) []byte {
+	appendAll := func(all []*wire.Decision, region string, include func(*wire.Decision) bool) {
 		for _, x := range all {
-			if !such(x) {
+			if !include(x) {
 				continue
 			}
 			dst = fmt.Appendf(dst, "decision number=%d in_force=%t by=%s hash=%x what=%s reason=%s", x.Number, x.Committed, x.By, x.Hash, strconv.Quote(x.What), strconv.Quote(x.Reason))
@@ -105,11 +105,11 @@
 		}
 	}
 	global := n.HasGlobalVote()
-	tell(n.GlobalDecisions(), "", func(*wire.Decision) bool { return global })
-	if !are {
+	appendAll(n.GlobalDecisions(), "", func(*wire.Decision) bool { return global })
+	if !hasRegions {
 		r.Name = ""
 	}
-	tell(n.Decisions(), r.Name, func(x *wire.Decision) bool { return !global || x.What != "" })
+	appendAll(n.Decisions(), r.Name, func(x *wire.Decision) bool { return !global || x.What != "" })
 	return dst
 }
 
--- a/internal/broker/server/bugs.go
+++ b/internal/broker/server/bugs.go
@@ -7,5 +7,5 @@
 	"saffronquay/internal/cluster/swim"
 )
 
-// seed puts seeded faults in: none, in any build but one with the tag 'seeded', which is made to see that campaigns catch them.
+// seedBugs does nothing in a normal build. With the build tag seeded it injects faults, to show that soak tests find them.
 func seedBugs(*swim.Config, *rollout.Config) {}
--- a/internal/broker/server/bugs_seeded.go
+++ b/internal/broker/server/bugs_seeded.go
@@ -9,7 +9,7 @@
 	"strings"
 )
 
-// seedBugs puts the seeded faults in that SAFFRONQUAY_SEEDED_BUG names, with commas between.
+// seedBugs injects the faults that SAFFRONQUAY_SEEDED_BUG names, separated by commas. Either configuration may be nil.
 func seedBugs(f *swim.Config, r *rollout.Config) {
 	for _, name := range strings.Split(os.Getenv("SAFFRONQUAY_SEEDED_BUG"), ",") {
 		switch {
--- a/internal/broker/server/durable.go
+++ b/internal/broker/server/durable.go
@@ -180,23 +180,23 @@
 // run saves what is learnt, and yields the store to a process that waits for it, until close.
 func (d *durableState) run(engine *transport.Engine, place *layout.Current) {
 	defer close(d.done)
-	look := time.NewTicker(takeoverCheckInterval)
-	defer look.Stop()
-	kept := time.Now()
+	ticker := time.NewTicker(takeoverCheckInterval)
+	defer ticker.Stop()
+	lastSaved := time.Now()
 	for {
 		select {
 		case <-d.stop:
 			d.saveLearned(engine, place)
 			return
-		case <-look.C:
+		case <-ticker.C:
 		}
 		if d.takeoverRequested() {
 			d.saveLearned(engine, place)
 			d.yield()
 			return
 		}
-		if time.Since(kept) >= saveInterval {
-			kept = time.Now()
+		if time.Since(lastSaved) >= saveInterval {
+			lastSaved = time.Now()
 			d.saveLearned(engine, place)
 		}
 	}
@@ -225,15 +225,15 @@
 // yield closes the store when the open queries that need it have ended, or after yieldTimeout. From here on queries that must not run twice are rejected.
 func (d *durableState) yield() {
 	d.idempotency.StopAccepting()
-	end := time.NewTimer(yieldTimeout)
-	defer end.Stop()
-	look := time.NewTicker(takeoverCheckInterval / 5)
-	defer look.Stop()
+	timeout := time.NewTimer(yieldTimeout)
+	defer timeout.Stop()
+	check := time.NewTicker(takeoverCheckInterval / 5)
+	defer check.Stop()
 	for d.idempotency.OpenQueries() > 0 {
 		select {
-		case <-look.C:
+		case <-check.C:
 			continue
-		case <-end.C:
+		case <-timeout.C:
 		case <-d.stop:
 		}
 		break
--- a/internal/broker/server/fleet_view.go
+++ b/internal/broker/server/fleet_view.go
@@ -106,8 +106,8 @@
 
 // fleetMetadata updates what this gatherer publishes of itself in the view.
 func (g *Gatherer) fleetMetadata(f swim.Metadata) swim.Metadata {
-	_, word := g.lifecycle.Status()
-	f.Draining, f.Standby = word == "leaving", word == "standby" || g.isStandby()
+	_, state := g.lifecycle.Status()
+	f.Draining, f.Standby = state == "leaving", state == "standby" || g.isStandby()
 	f.PolicyVersion = g.policyNumber.Load()
 	if op := g.currentFile.Load(); op != nil && op.Rollout != nil {
 		f.PolicyAddress = op.Rollout.Members[op.Name]
@@ -116,12 +116,12 @@
 }
 
 // receive keeps the newest count for the gatherer's goroutine. It does not block.
-func (m *fleetView) receive(_, reckon int, joined bool) {
+func (m *fleetView) receive(_, effectiveSize int, joined bool) {
 	select {
 	case <-m.counts:
 	default:
 	}
-	m.counts <- memberCount{reckon, joined}
+	m.counts <- memberCount{effectiveSize, joined}
 }
 
 // updates is where counts arrive; nil where there is no view.
@@ -195,7 +195,7 @@
 // metrics are the view's metrics; zero before it is open.
 func (m *fleetView) metrics() adminapi.FleetMetrics {
 	if m == nil {
-		return adminapi.FleetMetrics{} // not yet
+		return adminapi.FleetMetrics{} // it is not open yet
 	}
 	k := m.peers.Counts()
 	return adminapi.FleetMetrics{
--- a/internal/broker/server/gatherer.go
+++ b/internal/broker/server/gatherer.go
@@ -64,10 +64,11 @@
 	if err := p.applyLog(); err != nil {
 		return nil, fmt.Errorf("configuration: log: %w", err)
 	}
-	debug.SetMemoryLimit(int64(p.memoryMB) << 20 * 3 / 4)
+	debug.SetMemoryLimit(p.memoryLimit())
 	g := &Gatherer{
 		Plan: p, logger: logger, clock: transport.NewClock(), listenerEnded: make(chan error, 1),
-		standbyChanged: make(chan struct{}, 1), siblingStates: make(chan []handover.State, 1), reloadRequested: make(chan struct{}, 1), stopRequested: make(chan struct{}),
+		standbyChanged: make(chan struct{}, 1), siblingStates: make(chan []handover.State, 1),
+		reloadRequested: make(chan struct{}, 1), stopRequested: make(chan struct{}),
 		ended: make(chan struct{}), loopStopped: make(chan struct{}), lateFleetView: make(chan *fleetView), installs: make(chan installRequest),
 	}
 	g.lifecycle, g.metrics = adminapi.NewLifecycle(g.applyStandby), adminapi.NewMetrics()
@@ -83,7 +84,7 @@
 			if k := cursors.Load(); k != nil {
 				return k.CountOpen(clock.Now())
 			}
-			return 0 // a later file has none
+			return 0 // a later file has no cursors
 		}
 	}
 	if d := g.durable; d != nil && d.store != nil {
--- a/internal/broker/server/golden_test.go
+++ b/internal/broker/server/golden_test.go
@@ -18,7 +18,7 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// A gatherer of an earlier build leaves its part in agreeing on the policy, region's and global; this build recalls it from a copy.
+// An earlier build has stored its state of the agreement on the policy, the region's and the global one; this build recalls it from a copy.
 // SAFFRONQUAY_GOLDEN=write in the environment writes the directories and what is recalled anew.
 func TestGoldenPolicyLog(t *testing.T) {
 	is := is.New(t)
--- a/internal/broker/server/limits.go
+++ b/internal/broker/server/limits.go
@@ -70,7 +70,7 @@
 		budgets = g.quotas.divideBudgets(g.clock.Now(), budgets, g.contracts)
 	}
 	held := int64(0)
-	if g.newWatcher == nil { // searches: their answers are of any size
+	if g.newWatcher == nil { // a search front: the size of its answers is not known
 		held = int64(g.memoryMB) << 20 / 4
 	}
 	return core.Config{
@@ -108,3 +108,6 @@
 	}
 	return g.contracts
 }
+
+// memoryLimit is the soft limit of the Go runtime in bytes: three quarters of the process's memory.
+func (p Plan) memoryLimit() int64 { return int64(p.memoryMB) << 20 * 3 / 4 }
--- a/internal/broker/server/plan.go
+++ b/internal/broker/server/plan.go
@@ -80,15 +80,15 @@
 		if err != nil {
 			return Plan{}, err
 		}
-		held := p.search
-		if text := held.durable.storedPolicy(); op.Rollout != nil && text != nil {
-			held.policyTexts = [][]byte{text}
-			if op, _, err = config.LoadOperator(os.Getenv, readStable, held.policyTexts...); err != nil {
-				held.durable.close()
+		state := p.search
+		if text := state.durable.storedPolicy(); op.Rollout != nil && text != nil {
+			state.policyTexts = [][]byte{text}
+			if op, _, err = config.LoadOperator(os.Getenv, readStable, state.policyTexts...); err != nil {
+				state.durable.close()
 				return Plan{}, fmt.Errorf("with the policy that was in force last: %w", err)
 			}
 		}
-		return buildSearchPlan(op, held, logger), nil
+		return buildSearchPlan(op, state, logger), nil
 	}
 	node, err := config.Load(os.Getenv, os.ReadFile)
 	if err != nil {
@@ -119,31 +119,31 @@
 
 // SearchPlan makes the plan of an operator's file that the caller has read; the file is not read again. It opens the store where the file has one.
 func SearchPlan(op config.Operator, logger *slog.Logger) (Plan, error) {
-	held := &searchState{}
+	state := &searchState{}
 	if op.Store != nil {
 		var err error
-		if held.durable, err = openDurable(*op.Store, op.Name, logger); err != nil {
+		if state.durable, err = openDurable(*op.Store, op.Name, logger); err != nil {
 			return Plan{}, err
 		}
-		held.cursorKey = held.durable.cursorKey
+		state.cursorKey = state.durable.cursorKey
 	}
-	return buildSearchPlan(op, held, logger), nil
+	return buildSearchPlan(op, state, logger), nil
 }
 
 // buildSearchPlan is the plan of an operator's file over what the search front keeps. It changes nothing that is in force before the plan's adopt runs.
-func buildSearchPlan(op config.Operator, held *searchState, logger *slog.Logger) Plan {
-	keeper := held.cursorKeeper(op.Cursors)
+func buildSearchPlan(op config.Operator, state *searchState, logger *slog.Logger) Plan {
+	keeper := state.cursorKeeper(op.Cursors)
 	adopt := func() {
-		if keeper != held.cursors.Load() {
-			held.durable.trackCursors(keeper, time.Now().UnixMicro())
+		if keeper != state.cursors.Load() {
+			state.durable.trackCursors(keeper, time.Now().UnixMicro())
 		}
-		if held.cursors.Store(keeper); op.Cursors != nil {
-			held.cursorConfig = *op.Cursors
+		if state.cursors.Store(keeper); op.Cursors != nil {
+			state.cursorConfig = *op.Cursors
 		}
 	}
 	front := opensearch.Front{
 		Indices: op.Indices, TenantHeader: op.TenantHeader, Tenants: map[string]bool{},
-		Longest: map[string]int64{}, Margin: clientMargin, Layout: &held.layout,
+		Longest: map[string]int64{}, Margin: clientMargin, Layout: &state.layout,
 		Cursors: keeper, Nonce: randomID,
 	}
 	for _, t := range op.Settings.Module.Tenants {
@@ -152,7 +152,7 @@
 	for _, c := range op.Settings.Module.Classes {
 		front.Longest[c.Name] = c.HardLimit
 	}
-	if d := held.durable; d != nil {
+	if d := state.durable; d != nil {
 		front.Once = &opensearch.Once{Ledger: d.idempotency, Header: op.Store.KeyHeader, Classes: map[string]bool{}, Without: d.store == nil}
 		for _, c := range op.Settings.Module.Classes {
 			front.Once.Classes[c.Name] = c.Effect == sq.AtMostOnce
@@ -161,14 +161,15 @@
 	return Plan{
 		name: op.Name, listen: op.Listen, adminListen: op.Operator, seed: op.Seed, maxSockets: op.Sockets, memoryMB: op.MemoryMB,
 		settings: op.Settings, budgets: op.Budgets, front: front, dialect: opensearch.Servers{}, partsPerCall: 1,
-		fleet: sq.FleetChanged{Kind: sq.FleetFull, Servers: op.Servers}, addresses: op.Addresses, vrrp: op.VRRP, layout: op.Layout, currentLayout: &held.layout, cursors: &held.cursors, adopt: adopt,
-		durable: held.durable, logConfig: op.Log, contracts: op.Contracts, fleetFile: op.Fleet, rollout: op.Rollout, file: &op, search: held,
+		fleet: sq.FleetChanged{Kind: sq.FleetFull, Servers: op.Servers}, addresses: op.Addresses, vrrp: op.VRRP,
+		layout: op.Layout, currentLayout: &state.layout, cursors: &state.cursors, adopt: adopt,
+		durable: state.durable, logConfig: op.Log, contracts: op.Contracts, fleetFile: op.Fleet, rollout: op.Rollout, file: &op, search: state,
 		rereadFile: func() (Plan, error) {
-			now, err := config.ReloadOperator(os.Getenv, readStable, op, held.policyTexts...)
+			now, err := config.ReloadOperator(os.Getenv, readStable, op, state.policyTexts...)
 			if err != nil {
-				return Plan{}, err // of a file that can't be used nothing is made
+				return Plan{}, err // nothing is made of an invalid file
 			}
-			return buildSearchPlan(now, held, logger), nil
+			return buildSearchPlan(now, state, logger), nil
 		},
 	}
 }
@@ -176,11 +177,11 @@
 // searchState is what the search front keeps as long as the process runs, whatever file is in force.
 type searchState struct {
 	layout       layout.Current
-	cursorKey    []byte // of cursors, where no file gave one
+	cursorKey    []byte // seals cursors where the file has no key
 	cursors      atomic.Pointer[pagination.Registry]
 	cursorConfig config.Cursors
 	durable      *durableState // nil: nothing outlasts the process
-	policyTexts  [][]byte      // the one in force, at most; the gatherer's goroutine owns it
+	policyTexts  [][]byte      // none, or the one in force; the gatherer's goroutine owns it
 }
 
 // cursorKeeper is the keeper of points in time by a file's settings; nil where there are none. Unchanged settings keep the present keeper, and so its
--- a/internal/broker/server/policy.go
+++ b/internal/broker/server/policy.go
@@ -19,9 +19,9 @@
 // what must outlast the process.
 type policyHost struct {
 	gatherer *Gatherer
-	store    *recordlog.Store // the plan that holds it is the gatherer's goroutine's
-	regional *voterLog        // in the region's agreement, or the fleet's
-	global   *voterLog        // in the global agreement, where there are regions
+	store    *recordlog.Store // not read from the gatherer's plan, which belongs to its goroutine
+	regional *voterLog        // the vote in the region's agreement, or the fleet's
+	global   *voterLog        // the vote in the global agreement, where there are regions
 
 	mu     sync.Mutex
 	judged judgedDocument
@@ -132,9 +132,9 @@
 	if err := op.Fits(now); err != nil {
 		return err
 	}
-	// What is open keeps its terms, but no bound may be under what it holds already.
-	if held, ok := h.gatherer.engine.HandoverState(); ok && now.Settings.MaxOpen > 0 && now.Settings.MaxOpen < op.Settings.MaxOpen && int(held.Open) > now.Settings.MaxOpen {
-		return fmt.Errorf("settings.permissions.max_open: %d, and %d are open here", now.Settings.MaxOpen, held.Open)
+	// Open queries keep the terms that they began with, but the new bound must not be below their number.
+	if state, ok := h.gatherer.engine.HandoverState(); ok && now.Settings.MaxOpen > 0 && now.Settings.MaxOpen < op.Settings.MaxOpen && int(state.Open) > now.Settings.MaxOpen {
+		return fmt.Errorf("settings.permissions.max_open: %d, and %d are open here", now.Settings.MaxOpen, state.Open)
 	}
 	return nil
 }
@@ -180,9 +180,9 @@
 	if !bytes.Equal(x.judged.policy, x.doc.Text) || !bytes.Equal(x.judged.local, local) {
 		op, err = config.ParseOperator(local, x.doc.Text)
 	}
-	parted := false
+	regionChanged := false
 	if err == nil {
-		parted = g.quotas.setRegion(regionQuota(op.Rollout, x.doc))
+		regionChanged = g.quotas.setRegion(regionQuota(op.Rollout, x.doc))
 		err = g.apply(buildSearchPlan(op, g.search, g.logger))
 	}
 	if err == nil {
@@ -190,8 +190,9 @@
 		g.policyNumber.Store(x.doc.Number)
 		g.fleetView.updateMetadata(g.fleetMetadata)
 	}
-	if x.done <- err; parted {
-		g.requestQuotas() // until it is answered this gatherer has its floor
+	x.done <- err
+	if regionChanged {
+		g.requestQuotas() // until the answer this gatherer has the floor quota
 	}
 }
 
--- a/internal/broker/server/policy_test.go
+++ b/internal/broker/server/policy_test.go
@@ -17,7 +17,7 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// kept opens a store in directories, and what a part in agreeing on the policy has there.
+// openPolicyStore opens a store in directories, and recalls what it has of the agreement on the policy.
 func openPolicyStore(t *testing.T, dirs [2]string) (*recordlog.Store, *policyHost, rollout.PersistentState) {
 	t.Helper()
 	var at [2]recordlog.Dir
@@ -47,7 +47,7 @@
 	return s, h, m
 }
 
-// A log of 10,000 changes that nothing has cut is read again in a moment, and comes to the same; what lies there of another id is void.
+// A log of 10,000 changes that nothing has cut is recalled within the bound, with the same result; records of another id are obsolete.
 func TestRecall(t *testing.T) {
 	dirs := [2]string{t.TempDir(), t.TempDir()}
 	s, h, m := openPolicyStore(t, dirs)
@@ -105,7 +105,7 @@
 		t.Errorf("version %d after %s", n.Number(), took)
 	}
 	t.Logf("a log of %d changes is in force again after %s", changes, took.Round(time.Millisecond))
-	// The same disk votes by another id: nothing of the first one is left to go by.
+	// The same disk votes by another id: nothing of the first one is recalled.
 	if err := h.Save(&rollout.Save{ID: 99, HardState: &pb.HardState{Term: proto.Uint64(7), Vote: proto.Uint64(0), Commit: proto.Uint64(0)}}); err != nil {
 		t.Fatal(err)
 	}
@@ -117,7 +117,7 @@
 	}
 }
 
-// A document that comes while the gatherer ends is not waited for: the gatherer waits for who would.
+// Installing a document while the gatherer ends returns at once: the gatherer waits for the policy node by then.
 func TestInstallAtTheEnd(t *testing.T) {
 	g := &Gatherer{installs: make(chan installRequest), ended: make(chan struct{}), loopStopped: make(chan struct{})}
 	close(g.loopStopped)
@@ -133,8 +133,8 @@
 	}
 }
 
-// A gatherer that is ending goes on looking at its parts of budgets, at the numbers of its fleet and at its file, since it still holds queries; it
-// begins nothing: neither VRRP's election nor a part in a view. Guards sums that others reckon with against one that lets go late.
+// A gatherer that is ending goes on handling its quotas, the size of its fleet and its file, since it still has queries in flight; it begins nothing:
+// neither the VRRP election nor a view of the fleet. Otherwise its quotas would stay in use when others have them already.
 func TestAnEndingGathererAttends(t *testing.T) {
 	for _, ending := range []bool{false, true} {
 		g := &Gatherer{
--- a/internal/broker/server/quotas.go
+++ b/internal/broker/server/quotas.go
@@ -133,29 +133,29 @@
 // minimumQuota is the least quota that this gatherer had of a team's budget during the present and the previous window.
 type minimumQuota struct {
 	previous, current float64
-	since             int64 // of now
+	since             int64 // when the present window began, in microseconds
 }
 
 // divideBudgets are the free attempts of each team by the least quota that this gatherer had for a window: the gatherer that had the quota before may
 // have spent them, and what was spent counts for a window.
 func (p *budgetQuotas) divideBudgets(now int64, all map[string]core.Budget, c *admission.Config) map[string]core.Budget {
-	of := p.quotaOf(uint64(c.Gatherers))
+	quotaOf := p.quotaOf(uint64(c.Gatherers))
 	out := make(map[string]core.Budget, len(all))
-	lows := make(map[string]minimumQuota, len(all))
+	minimums := make(map[string]minimumQuota, len(all))
 	for team, b := range all {
-		part := of(team)
-		l, known := p.minimums[team]
+		present := quotaOf(team)
+		minimum, known := p.minimums[team]
 		switch {
 		case !known: // the process has just started: another gatherer may have had the quota
-			l = minimumQuota{0, part, now}
-		case now-l.since >= b.Window:
-			l = minimumQuota{l.current, part, now}
+			minimum = minimumQuota{0, present, now}
+		case now-minimum.since >= b.Window:
+			minimum = minimumQuota{minimum.current, present, now}
 		}
-		l.current = min(l.current, part)
-		b.Free *= min(l.previous, l.current)
-		lows[team], out[team] = l, b
+		minimum.current = min(minimum.current, present)
+		b.Free *= min(minimum.previous, minimum.current)
+		minimums[team], out[team] = minimum, b
 	}
-	p.minimums = lows
+	p.minimums = minimums
 	return out
 }
 
@@ -163,22 +163,22 @@
 // that have sent anything).
 func (p *budgetQuotas) demands(all []admission.TeamStatus, slots uint64) []quota.Demand {
 	var out []quota.Demand
-	part := p.quotaOf(slots)
-	refused := map[string]int64{}
+	quotaOf := p.quotaOf(slots)
+	rejectedNow := map[string]int64{}
 	for _, a := range all {
-		turned := a.RejectedBacklog + a.RejectedQueueFull + a.Expired
-		refused[a.Team] = turned
-		if a.Budget <= 0 || a.Queued == 0 && a.Out == 0 && turned == p.rejectedBefore[a.Team] {
+		rejected := a.RejectedBacklog + a.RejectedQueueFull + a.Expired
+		rejectedNow[a.Team] = rejected
+		if a.Budget <= 0 || a.Queued == 0 && a.Out == 0 && rejected == p.rejectedBefore[a.Team] {
 			continue
 		}
 		used := float64(a.Out) / a.Budget
 		want := used
-		if a.Queued > 0 || turned > p.rejectedBefore[a.Team] {
-			want = demandFactor * max(used, part(a.Team))
+		if a.Queued > 0 || rejected > p.rejectedBefore[a.Team] {
+			want = demandFactor * max(used, quotaOf(a.Team))
 		}
 		out = append(out, quota.Demand{Team: a.Team, Want: toPPM(want), Used: toPPM(used)})
 	}
-	p.rejectedBefore = refused
+	p.rejectedBefore = rejectedNow
 	return out
 }
 
--- a/internal/broker/server/quotas_test.go
+++ b/internal/broker/server/quotas_test.go
@@ -16,7 +16,7 @@
 	{Name: "c", Weight: 1},
 }}
 
-// Over random divisions the bounds on cold servers of all gatherers come to one at most; with even parts each has its even one.
+// Over random divisions the bounds on cold servers of all gatherers sum to 1 at most; with even quotas each has its even one.
 func TestColdServersAreDivided(t *testing.T) {
 	even := newBudgetQuotas(4, quota.PPM)
 	even.otherQuota = quota.EvenQuota(4)
@@ -42,7 +42,7 @@
 	}
 }
 
-// Two gatherers between which a team's part goes to and fro never spend more free attempts in a window than the contract has.
+// Two gatherers between which a team's quota moves never spend more free attempts in a window than the contract has.
 func TestAttemptsWithinAWindow(t *testing.T) {
 	const window = 10_000_000
 	all := map[string]core.Budget{"a": {Free: 12, Window: window}}
--- a/internal/broker/server/regions_test.go
+++ b/internal/broker/server/regions_test.go
@@ -13,8 +13,8 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// The votes of one gatherer in its region's agreement and in the global one are kept apart, under the same ids and indexes; each is cut to a
-// snapshot, and taken away, without the other.
+// The votes of one gatherer in its region's agreement and in the global one are separate, also under the same ids and indexes: each is compacted, and
+// dropped, without the other.
 func TestTwoVotesAreKeptApart(t *testing.T) {
 	dirs := [2]string{t.TempDir(), t.TempDir()}
 	s, h, _ := openPolicyStore(t, dirs)
@@ -76,8 +76,8 @@
 	}
 }
 
-// A region has what the version says, and before any says it its share of the first roster, as the core reckons.
-func TestRegionPart(t *testing.T) {
+// A region has the fraction that the version says, and before any version its fraction of the first roster, as package rollout computes it.
+func TestRegionQuota(t *testing.T) {
 	r := &config.Rollout{Region: "este", Voters: []string{"a", "d"}, Regions: map[string]string{"a": "oeste", "b": "oeste", "c": "oeste", "d": "este", "w": "norte"}}
 	parts := &wire.Document{Parts: []*wire.Part{{Region: "oeste", Ppm: 600_000}, {Region: "este", Ppm: 100_000}}}
 	for _, c := range []struct {
@@ -94,8 +94,8 @@
 	}
 }
 
-// Over random parts of two regions, and random parts within them, the bounds on cold servers of all gatherers come to one at most, and so do
-// their floors to what is kept back for them.
+// Over random fractions of two regions, and random quotas within them, the bounds on cold servers of all gatherers sum to 1 at most, and their floors to
+// the reserve at most.
 func TestColdServersOverRegions(t *testing.T) {
 	for seed := range uint64(300) {
 		rng := rand.New(rand.NewPCG(seed, 3))
@@ -120,8 +120,8 @@
 	}
 }
 
-// Where a region's part changes, what its gatherers were given before is void at once, also where it is told only then.
-func TestRegionPartChanges(t *testing.T) {
+// When a region's fraction changes, quotas granted before are void immediately, also those that are answered only then.
+func TestRegionQuotaChanges(t *testing.T) {
 	g := &Gatherer{quotas: newBudgetQuotas(4, 500_000)}
 	defer g.quotas.tick.Stop()
 	g.contracts = tree
--- a/internal/broker/server/reload.go
+++ b/internal/broker/server/reload.go
@@ -36,16 +36,17 @@
 	if now.adopt != nil {
 		now.adopt()
 	}
-	now.name, now.listen, now.adminListen, now.vrrp, now.passedSocket, now.sharedDirectory, now.seed = g.name, g.listen, g.adminListen, g.vrrp,
-		g.passedSocket, g.sharedDirectory, g.seed
+	now.name, now.seed, now.vrrp = g.name, g.seed, g.vrrp
+	now.listen, now.adminListen = g.listen, g.adminListen
+	now.passedSocket, now.sharedDirectory = g.passedSocket, g.sharedDirectory
 	now.logOutput = g.logOutput
-	if now.logConfig != g.Plan.logConfig { // what an operator set at the door stays otherwise
+	if now.logConfig != g.Plan.logConfig { // otherwise a level that an operator has set stays
 		if err := now.applyLog(); err != nil {
 			logging.Error(g.logger, logging.Reload, "error", err)
 		}
 	}
 	g.Plan = now
-	debug.SetMemoryLimit(int64(g.memoryMB) << 20 * 3 / 4)
+	debug.SetMemoryLimit(g.memoryLimit())
 	g.engine.Reconfigure(g.coreTerms(), g.moduleSettings(), g.poolConfig(), g.dialect)
 	g.engine.SetContracts(g.dividedContracts())
 	g.listener.Reconfigure(g.listenerConfig(), g.front)
@@ -66,7 +67,7 @@
 func (g *Gatherer) applyFileServers() {
 	if g.routes != nil {
 		g.engine.UpdateFleet(sq.FleetChanged{Kind: sq.FleetDelta, Servers: g.fleet.Servers}, g.addresses)
-		if err := g.routes.ApplyFile(g.layout.Document, g.serverIDs(), true); err != nil { // the directory has just said otherwise
+		if err := g.routes.ApplyFile(g.layout.Document, g.serverIDs(), true); err != nil { // the directory has sent a newer layout meanwhile
 			logging.Error(g.logger, logging.Reload, "layout", "kept", "error", err)
 		}
 		if g.layout.Directory != "" {
--- a/internal/broker/server/siblings.go
+++ b/internal/broker/server/siblings.go
@@ -18,7 +18,7 @@
 	g.siblings = transport.NewStateExchange(g.sharedDirectory, g.name, g.clock, g.handoverState, func(others []handover.State) {
 		select {
 		case g.siblingStates <- others:
-		default: // the main goroutine has not got to the last ones; there is word again soon
+		default: // the gatherer's goroutine has not handled the states before; the next exchange comes soon
 		}
 	}, g.logger)
 	others := g.siblings.PeerStates()
@@ -57,16 +57,16 @@
 
 // adjustToSiblings subtracts what the other processes of this gatherer use from the limits on memory and descriptors.
 func (g *Gatherer) adjustToSiblings(others []handover.State) {
-	held := 0
+	sockets := 0
 	for _, o := range others {
-		held += o.Sockets
+		sockets += o.Sockets
 	}
-	if held == 0 && g.siblingSockets == 0 {
+	if sockets == 0 && g.siblingSockets == 0 {
 		return
 	}
-	g.siblingSockets = held
-	limit := int64(g.memoryMB) << 20 * 3 / 4
-	if held > 0 {
+	g.siblingSockets = sockets
+	limit := g.memoryLimit()
+	if sockets > 0 {
 		limit /= 2
 	}
 	debug.SetMemoryLimit(limit)
