--- a/internal/broker/server/admin_policy.go
+++ b/internal/broker/server/admin_policy.go
@@ -113,7 +113,7 @@
 	return dst
 }
 
-// millisecondsSinceSeen is how long ago a lease holder last asked this leader; -1: never.
+// millisecondsSinceSeen is how long ago a lease holder last requested something of this leader; -1: never.
 func millisecondsSinceSeen(x rollout.Grant, now int64) int64 {
 	if x.LastSeen == 0 {
 		return -1
--- a/internal/broker/server/durable.go
+++ b/internal/broker/server/durable.go
@@ -84,7 +84,7 @@
 	return d, nil
 }
 
-// open opens the store's directories and the store, and asks a process that has it to yield.
+// open opens the store's directories and the store, and requests that a process that has it yields.
 func (d *durableState) open() (err error) {
 	for i, path := range d.cfg.Directories {
 		if d.dirs[i], err = recordlog.Directory(path); err != nil {
--- a/internal/broker/server/durable_records.go
+++ b/internal/broker/server/durable_records.go
@@ -105,7 +105,7 @@
 	return *d.lastLayout
 }
 
-// trackCursors restores the saved cursors into a keeper, and saves its changes from now on.
+// trackCursors restores the saved cursors into a registry, and saves its changes from now on.
 func (d *durableState) trackCursors(k *pagination.Registry, now int64) {
 	if d == nil || d.store == nil || k == nil {
 		return
--- a/internal/broker/server/fleet_view.go
+++ b/internal/broker/server/fleet_view.go
@@ -21,8 +21,8 @@
 	peers           *peering.Peers
 	counts          chan memberCount // the newest
 	divisorFollower swim.Divisor
-	effectiveSize   int          // 0: no other member was met yet, and the file's number holds
-	currentDivisor  atomic.Int64 // 0: the file's number holds
+	effectiveSize   int          // 0: no other member was met yet, and the file's number applies
+	currentDivisor  atomic.Int64 // 0: the file's number applies
 	stepTimer       *time.Timer
 }
 
@@ -140,7 +140,7 @@
 	return m.stepTimer.C
 }
 
-// applyMemberCount takes a new count in. Until another member was met the file's numbers hold: a gatherer that starts alone must not take every budget
+// applyMemberCount takes a new count in. Until another member was met the file's numbers apply: a gatherer that starts alone must not take every budget
 // for its own.
 func (g *Gatherer) applyMemberCount(c memberCount) {
 	if c.joined {
@@ -165,7 +165,7 @@
 	g.engine.SetContracts(g.dividedContracts())
 }
 
-// divisor is the number that budgets are divided by; 0: the file's number holds.
+// divisor is the number that budgets are divided by; 0: the file's number applies.
 func (m *fleetView) divisor() int {
 	if m == nil {
 		return 0
--- a/internal/broker/server/gatherer.go
+++ b/internal/broker/server/gatherer.go
@@ -131,7 +131,7 @@
 
 // MemberCounts returns how many members this gatherer sees alive, and the fleet size that it counts with. Both are 0 where it keeps no view, or the view
 // is not yet open.
-func (g *Gatherer) MemberCounts() (alive, reckon int) {
+func (g *Gatherer) MemberCounts() (alive, effectiveSize int) {
 	if m := g.publishedFleetView.Load(); m != nil {
 		k := m.peers.Counts()
 		return k.AliveCount, k.EffectiveSize
--- a/internal/broker/server/plan.go
+++ b/internal/broker/server/plan.go
@@ -132,19 +132,19 @@
 
 // buildSearchPlan is the plan of an operator's file over what the search front keeps. It changes nothing that is in force before the plan's adopt runs.
 func buildSearchPlan(op config.Operator, state *searchState, logger *slog.Logger) Plan {
-	keeper := state.cursorKeeper(op.Cursors)
+	registry := state.cursorRegistry(op.Cursors)
 	adopt := func() {
-		if keeper != state.cursors.Load() {
-			state.durable.trackCursors(keeper, time.Now().UnixMicro())
+		if registry != state.cursors.Load() {
+			state.durable.trackCursors(registry, time.Now().UnixMicro())
 		}
-		if state.cursors.Store(keeper); op.Cursors != nil {
+		if state.cursors.Store(registry); op.Cursors != nil {
 			state.cursorConfig = *op.Cursors
 		}
 	}
 	front := opensearch.Front{
 		Indices: op.Indices, TenantHeader: op.TenantHeader, Tenants: map[string]bool{},
 		Longest: map[string]int64{}, Margin: clientMargin, Layout: &state.layout,
-		Cursors: keeper, Nonce: randomID,
+		Cursors: registry, Nonce: randomID,
 	}
 	for _, t := range op.Settings.Module.Tenants {
 		front.Tenants[t.Name] = true
@@ -184,9 +184,9 @@
 	policyTexts  [][]byte      // none, or the one in force; the gatherer's goroutine owns it
 }
 
-// cursorKeeper is the keeper of points in time by a file's settings; nil where there are none. Unchanged settings keep the present keeper, and so its
+// cursorRegistry is the registry of points in time by a file's settings; nil where there are none. Unchanged settings keep the present registry, and so its
 // cursors. It changes nothing that is in force, since the file may yet be rejected.
-func (s *searchState) cursorKeeper(c *config.Cursors) *pagination.Registry {
+func (s *searchState) cursorRegistry(c *config.Cursors) *pagination.Registry {
 	if c == nil {
 		return nil
 	}
--- a/internal/broker/server/policy_test.go
+++ b/internal/broker/server/policy_test.go
@@ -101,7 +101,7 @@
 		save()
 	}
 	took := time.Since(began)
-	if n.Number() != changes || took > 20*time.Second { // 2 s is the aim; this only says that it does not grow wildly
+	if n.Number() != changes || took > 20*time.Second { // 2 s is the target; the bound only catches a gross increase
 		t.Errorf("version %d after %s", n.Number(), took)
 	}
 	t.Logf("a log of %d changes is in force again after %s", changes, took.Round(time.Millisecond))
--- a/internal/broker/server/quotas.go
+++ b/internal/broker/server/quotas.go
@@ -19,7 +19,7 @@
 	otherQuota         uint32
 	minimums           map[string]minimumQuota
 	currentBudgets     map[string]core.Budget // in force
-	currentAggregators int                    // among how many the bound on cold servers is divided
+	currentAggregators int                    // among how many the bound on servers that warm up is divided
 	rejectedBefore     map[string]int64       // by team, as counted at the last request
 	teamFractions      map[string]float64     // of everything by team, of the contracts fractionsOf
 	fractionsOf        *admission.Config
@@ -124,7 +124,7 @@
 	return max(all, 1e-6)
 }
 
-// aggregators is the number among which the bound on cold servers is divided here, rounded up, so that all gatherers together stay within the bound.
+// aggregators is the number among which the bound on servers that warm up is divided here, rounded up, so that all gatherers together stay within the bound.
 // Quotas are fractions of the whole fleet also where there are regions.
 func (p *budgetQuotas) aggregators(c *admission.Config) int {
 	return int(math.Ceil(1/p.fractionOfAll(c) - 1e-9))
@@ -185,7 +185,7 @@
 // toPPM returns a fraction in millionths, within 0 and 1.
 func toPPM(x float64) uint32 { return uint32(min(max(x, 0), 1) * quota.PPM) }
 
-// requestQuotas reports the demand and asks for quotas, in a goroutine of its own that delivers to results: what puts a policy in force may wait for the
+// requestQuotas reports the demand and requests quotas, in a goroutine of its own that delivers to results: what puts a policy in force may wait for the
 // gatherer's goroutine, so that this one must not wait for the policy. One request is under way at a time.
 func (g *Gatherer) requestQuotas() {
 	policy, op, p := g.policyNode.Load(), g.currentFile.Load(), g.quotas
--- a/internal/broker/server/quotas_test.go
+++ b/internal/broker/server/quotas_test.go
@@ -16,8 +16,8 @@
 	{Name: "c", Weight: 1},
 }}
 
-// Over random divisions the bounds on cold servers of all gatherers sum to 1 at most; with even quotas each has its even one.
-func TestColdServersAreDivided(t *testing.T) {
+// Over random divisions the bounds on servers that warm up of all gatherers sum to 1 at most; with even quotas each has its even one.
+func TestWarmUpBoundIsDivided(t *testing.T) {
 	even := newBudgetQuotas(4, quota.PPM)
 	even.otherQuota = quota.EvenQuota(4)
 	if n := even.aggregators(tree); n != 4 {
--- a/internal/broker/server/regions_test.go
+++ b/internal/broker/server/regions_test.go
@@ -15,7 +15,7 @@
 
 // The votes of one gatherer in its region's agreement and in the global one are separate, also under the same ids and indexes: each is compacted, and
 // dropped, without the other.
-func TestTwoVotesAreKeptApart(t *testing.T) {
+func TestTwoVotesAreSeparate(t *testing.T) {
 	dirs := [2]string{t.TempDir(), t.TempDir()}
 	s, h, _ := openPolicyStore(t, dirs)
 	entry := func(i uint64, data string) *pb.Entry {
@@ -94,9 +94,9 @@
 	}
 }
 
-// Over random fractions of two regions, and random quotas within them, the bounds on cold servers of all gatherers sum to 1 at most, and their floors to
+// Over random fractions of two regions, and random quotas within them, the bounds on servers that warm up of all gatherers sum to 1 at most, and their floors to
 // the reserve at most.
-func TestColdServersOverRegions(t *testing.T) {
+func TestWarmUpBoundOverRegions(t *testing.T) {
 	for seed := range uint64(300) {
 		rng := rand.New(rand.NewPCG(seed, 3))
 		west := uint32(250_000 * (1 + rng.IntN(3)))
