--- a/internal/broker/handover/handover_test.go
+++ b/internal/broker/handover/handover_test.go
@@ -7,17 +7,17 @@
 	"testing"
 )
 
-var whole = State{
+var completeState = State{
 	Name: "n0", Since: 1_780_000_000_000_000, At: 1_790_000_000_123_456, Standby: true, Sockets: 120, Open: 14, Labels: map[string]int64{"a\"b": 1_790_000_001_000_000},
 	Admission: 0.75, Suspects: map[string]int64{"k1": 1_790_000_000_000_000}, Discovery: "127.0.0.1:8500", Generation: 43,
 	List: []byte(`{"generation":43,"instances":[]}`),
 }
 
-// What one process writes the other reads, whole or not at all.
+// Parse returns what Append wrote, and an error for any damaged text.
 func TestThereAndBack(t *testing.T) {
-	text := whole.Append(nil)
+	text := completeState.Append(nil)
 	got, err := Parse(text)
-	if err != nil || !reflect.DeepEqual(got, whole) {
+	if err != nil || !reflect.DeepEqual(got, completeState) {
 		t.Fatalf("%+v %v", got, err)
 	}
 	for i := range text {
@@ -38,26 +38,26 @@
 			t.Errorf("%s -> %s was taken", c[0], c[1])
 		}
 	}
-	if whole.IsFresh(whole.At+StaleAfter) || !whole.IsFresh(whole.At+StaleAfter-1) || whole.IsFresh(whole.At-StaleAfter) {
+	if completeState.IsFresh(completeState.At+StaleAfter) || !completeState.IsFresh(completeState.At+StaleAfter-1) || completeState.IsFresh(completeState.At-StaleAfter) {
 		t.Error("freshness")
 	}
 }
 
-// However many keys are suspected, a state stays small, and the latest are told.
+// With any number of suspected keys a state stays small, and the latest keys are written.
 func TestStaysSmall(t *testing.T) {
 	s := State{Suspects: map[string]int64{}}
 	for i := range 10_000 {
 		s.Suspects[fmt.Sprint("key", i)] = int64(i)
 	}
 	got, err := Parse(s.Append(nil))
-	if err != nil || len(got.Suspects) != mostSuspects || got.Suspects["key9999"] != 9999 {
+	if err != nil || len(got.Suspects) != maxSuspects || got.Suspects["key9999"] != 9999 {
 		t.Errorf("%d suspects, %v", len(got.Suspects), err)
 	}
 }
 
-// Whatever lies in the directory, reading it does no harm.
+// Parse reads any bytes without a panic, and returns values in range.
 func FuzzParse(f *testing.F) {
-	f.Add(whole.Append(nil))
+	f.Add(completeState.Append(nil))
 	f.Add([]byte(`{"v":1,"labels":{"a":[]},"suspects":{"b":null}}`))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		if s, err := Parse(b); err == nil && (s.Open < 0 || s.Sockets < 0 || s.Admission < 0 || s.Admission > 1) {
@@ -66,8 +66,8 @@
 	})
 }
 
-// A process that still leaves writes later than the one that has replaced it; that one's word counts.
-func TestYoungest(t *testing.T) {
+// An old process that shuts down may write later than its successor; the successor's state is the newest.
+func TestNewest(t *testing.T) {
 	s, ok := Newest([]State{{Since: 5, At: 30}, {Since: 20, At: 25, Standby: true}, {Since: 1, At: 31}})
 	if !ok || !s.Standby {
 		t.Errorf("%+v %t", s, ok)
--- a/internal/broker/http1/http1_test.go
+++ b/internal/broker/http1/parser_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// read feeds pieces and writes down what comes out, faults included.
+// read feeds pieces to a parser and returns the messages and errors as text.
 func read(response bool, end bool, pieces ...string) string {
 	p := Parser{Response: response}
 	var out strings.Builder
@@ -74,7 +74,7 @@
 	{"bad header", "GET / HTTP/1.1\r\nHost: x\r\nno colon\r\n\r\n", "status 400\n", false, false},
 }
 
-// Every message reads the same however its bytes are split.
+// A message is parsed in the same way however its bytes are split.
 func TestEverySplit(t *testing.T) {
 	for _, c := range messages {
 		t.Run(c.name, func(t *testing.T) {
@@ -93,7 +93,7 @@
 	}
 }
 
-// A header block has to end within its bound, whether or not its end is there.
+// A header block over MaxHead is an error, whether or not its end has come.
 func TestHeadBound(t *testing.T) {
 	long := "GET / HTTP/1.1\r\nHost: x\r\nX: " + strings.Repeat("y", MaxHead)
 	for _, text := range []string{long, long + "\r\n\r\n"} {
@@ -107,7 +107,7 @@
 	}
 }
 
-// A stream hands bytes on as they come and is not bounded by a body's limit.
+// OnBody gets bytes as they come, without the limit of a body.
 func TestStream(t *testing.T) {
 	var got strings.Builder
 	p := Parser{Response: true, OnBody: func(b []byte) { got.Write(b) }}
@@ -136,7 +136,7 @@
 	})
 }
 
-// A connection that only waits keeps no bytes, however much has passed.
+// An idle parser keeps no buffer, however many bytes it has parsed.
 func TestKeepsNothing(t *testing.T) {
 	var p Parser
 	p.Feed([]byte("POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\n\r\na"))
--- a/internal/broker/pagination/golden_test.go
+++ b/internal/broker/pagination/golden_test.go
@@ -14,7 +14,7 @@
 	k := NewRegistry(Config{Key: []byte("0123456789abcdef0123456789abcdef")})
 	c := Cursor{Tenant: "team", Index: "invoices", At: 1_700_000_000_000_000, Until: 1_700_000_060_000_000, Nonce: 99}
 	is.Equal(k.seal(c), goldenToken)
-	read, err := k.open(goldenToken)
+	read, err := k.parse(goldenToken)
 	is.NoErr(err)
 	is.Equal(read, c)
 }
--- a/internal/broker/pagination/cursor_test.go
+++ b/internal/broker/pagination/registry_test.go
@@ -10,12 +10,12 @@
 
 const second = 1_000_000
 
-func keeper() *Registry {
+func newTestRegistry() *Registry {
 	return NewRegistry(Config{Key: []byte("k"), MaxOpen: 3, MaxKeepAlive: 60 * second, MaxAge: 100 * second})
 }
 
-func TestLife(t *testing.T) {
-	k := keeper()
+func TestCursorLifetime(t *testing.T) {
+	k := newTestRegistry()
 	token, err := k.Open(5*second, "lagos", "invoices", 10*second, 1)
 	if err != nil {
 		t.Fatal(err)
@@ -44,9 +44,9 @@
 	}
 }
 
-// A tenant has so many and no more; those that are over make room, those that are closed too once their time is over.
+// A tenant has at most MaxOpen open cursors. Expired and closed cursors make room; a closed one keeps its entry until it expires.
 func TestBounds(t *testing.T) {
-	k := keeper()
+	k := newTestRegistry()
 	var tokens []string
 	for n := range uint64(3) {
 		token, err := k.Open(0, "lagos", "i", 10*second, n)
@@ -88,13 +88,13 @@
 	}
 }
 
-// A process with the same key knows the token of another, one with another key does not.
+// A process with the same key accepts the token of another; one with another key does not.
 func TestOtherProcess(t *testing.T) {
-	token, err := keeper().Open(0, "lagos", "i", second, 1)
+	token, err := newTestRegistry().Open(0, "lagos", "i", second, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, _, err := keeper().Use(1, "lagos", token, 0); err != nil {
+	if _, _, err := newTestRegistry().Use(1, "lagos", token, 0); err != nil {
 		t.Error(err)
 	}
 	other := NewRegistry(Config{Key: []byte("other"), MaxOpen: 3, MaxKeepAlive: second, MaxAge: second})
@@ -103,9 +103,9 @@
 	}
 }
 
-// No token that differs in any byte is taken.
+// A token that differs in any byte is not accepted.
 func TestForgery(t *testing.T) {
-	k := keeper()
+	k := newTestRegistry()
 	token, err := k.Open(0, "lagos", "invoices", 10*second, 1)
 	if err != nil {
 		t.Fatal(err)
@@ -124,7 +124,7 @@
 }
 
 func FuzzUse(f *testing.F) {
-	k := keeper()
+	k := newTestRegistry()
 	token, _ := k.Open(0, "lagos", "invoices", 10*second, 1)
 	f.Add(token)
 	f.Fuzz(func(t *testing.T, text string) {
--- a/internal/broker/vrrp/packet.go
+++ b/internal/broker/vrrp/packet.go
@@ -1,5 +1,3 @@
-// Package vrrp is the Virtual Router Redundancy Protocol, version 3 (RFC 9568): its state machine and its
-// advertisements, without sockets or clocks. A driver carries the advertisements.
 package vrrp
 
 import (
@@ -9,7 +7,7 @@
 	"net/netip"
 )
 
-// Advertisement is the one message of the protocol.
+// Advertisement is the only message of the protocol.
 type Advertisement struct {
 	VRID      byte
 	Priority  byte  // 0: the sender gives up being Active
@@ -18,14 +16,17 @@
 }
 
 const (
-	versionType = 3<<4 | 1
-	headLen     = 8
-	maxInterval = 1<<12 - 1
+	versionType  = 3<<4 | 1 // version 3, type ADVERTISEMENT
+	headLen      = 8
+	addressLen   = 4
+	checksumAt   = 6
+	maxInterval  = 1<<12 - 1
+	maxAddresses = 255
 )
 
-// Append writes an advertisement of IPv4 addresses.
+// Append appends an advertisement of IPv4 addresses with its checksum. With an error it appends nothing.
 func (a Advertisement) Append(dst []byte) ([]byte, error) {
-	if a.Interval < 1 || a.Interval > maxInterval || len(a.Addresses) == 0 || len(a.Addresses) > 255 {
+	if a.Interval < 1 || a.Interval > maxInterval || len(a.Addresses) == 0 || len(a.Addresses) > maxAddresses {
 		return dst, fmt.Errorf("vrrp: interval %d or %d addresses can't be written", a.Interval, len(a.Addresses))
 	}
 	start := len(dst)
@@ -39,11 +40,11 @@
 		four := ip.As4()
 		dst = append(dst, four[:]...)
 	}
-	binary.BigEndian.PutUint16(dst[start+6:], ^sum(dst[start:]))
+	binary.BigEndian.PutUint16(dst[start+checksumAt:], ^sum(dst[start:]))
 	return dst, nil
 }
 
-// sum is the one's complement sum of 16-bit words; over a message with its right checksum it is all ones.
+// sum returns the one's complement sum of 16-bit words. Over a message with a correct checksum it is all ones.
 func sum(b []byte) uint16 {
 	var s uint32
 	for i := 0; i+1 < len(b); i += 2 {
@@ -55,7 +56,7 @@
 	return uint16(s)
 }
 
-// Parse reads an advertisement; what section 7.1 tells to discard is an error.
+// Parse reads an advertisement. It returns an error for one of another version or type, of the wrong length or checksum, or without a router id or interval.
 func Parse(b []byte) (Advertisement, error) {
 	if len(b) < headLen {
 		return Advertisement{}, errors.New("vrrp: too short")
@@ -64,7 +65,7 @@
 		return Advertisement{}, fmt.Errorf("vrrp: version and type %#x", b[0])
 	}
 	n := int(b[3])
-	if n == 0 || len(b) != headLen+4*n {
+	if n == 0 || len(b) != headLen+addressLen*n {
 		return Advertisement{}, fmt.Errorf("vrrp: %d addresses in %d bytes", n, len(b))
 	}
 	if sum(b) != 0xffff {
@@ -75,7 +76,7 @@
 		return Advertisement{}, errors.New("vrrp: no router id or no interval")
 	}
 	for i := range n {
-		a.Addresses = append(a.Addresses, netip.AddrFrom4([4]byte(b[headLen+4*i:])))
+		a.Addresses = append(a.Addresses, netip.AddrFrom4([addressLen]byte(b[headLen+addressLen*i:])))
 	}
 	return a, nil
 }
--- a/internal/broker/vrrp/vrrp_test.go
+++ b/internal/broker/vrrp/vrrp_test.go
@@ -8,14 +8,14 @@
 
 var virtual = []netip.Addr{netip.MustParseAddr("192.0.2.1")}
 
-func router(priority byte, preempt bool) *Machine {
+func newRouter(priority byte, preempt bool) *Machine {
 	return New(Config{
 		VRID: 7, Priority: priority, Interval: 100, Preempt: preempt, Addresses: virtual,
 		Primary: netip.MustParseAddr("192.0.2.20"),
 	})
 }
 
-func heard(priority byte, interval int64) Advertisement {
+func advertisement(priority byte, interval int64) Advertisement {
 	return Advertisement{VRID: 7, Priority: priority, Interval: interval, Addresses: virtual}
 }
 
@@ -23,8 +23,8 @@
 
 var low, high = netip.MustParseAddr("192.0.2.10"), netip.MustParseAddr("192.0.2.30")
 
-// want checks a machine's state, its timer and the priority of what it sent; -1 for nothing.
-func want(t *testing.T, step string, m *Machine, sent *Advertisement, state State, timer int64, priority int) {
+// expect checks a machine's state, its timer and the priority of what it sent; -1: nothing.
+func expect(t *testing.T, step string, m *Machine, sent *Advertisement, state State, timer int64, priority int) {
 	t.Helper()
 	got := -1
 	if sent != nil {
@@ -37,47 +37,47 @@
 }
 
 func TestElection(t *testing.T) {
-	m := router(100, true)
-	want(t, "new", m, nil, Initialize, 0, -1)
+	m := newRouter(100, true)
+	expect(t, "new", m, nil, Initialize, 0, -1)
 	skew := int64(156 * second / 256)
-	want(t, "start", m, m.Start(0), Backup, 3*second+skew, -1)
-	want(t, "a higher one", m, m.Receive(second, heard(200, 100), low), Backup, 4*second+skew, -1)
-	want(t, "a lower one is not listened to", m, m.Receive(2*second, heard(50, 100), high), Backup, 4*second+skew, -1)
-	want(t, "before the timer", m, m.Tick(4*second), Backup, 4*second+skew, -1)
-	want(t, "silence", m, m.Tick(4*second+skew), Active, 5*second+skew, 100)
-	want(t, "each interval", m, m.Tick(5*second+skew), Active, 6*second+skew, 100)
-	want(t, "a lower one is told at once", m, m.Receive(5*second+skew, heard(50, 100), high), Active, 6*second+skew, 100)
-	want(t, "an equal one with a lower address", m, m.Receive(5*second+skew, heard(100, 100), low), Active, 6*second+skew, 100)
-	want(t, "another router id", m, m.Receive(6*second, Advertisement{VRID: 8, Priority: 255, Interval: 1}, high), Active, 6*second+skew, -1)
+	expect(t, "start", m, m.Start(0), Backup, 3*second+skew, -1)
+	expect(t, "a higher one", m, m.Receive(second, advertisement(200, 100), low), Backup, 4*second+skew, -1)
+	expect(t, "a lower one is not listened to", m, m.Receive(2*second, advertisement(50, 100), high), Backup, 4*second+skew, -1)
+	expect(t, "before the timer", m, m.Tick(4*second), Backup, 4*second+skew, -1)
+	expect(t, "silence", m, m.Tick(4*second+skew), Active, 5*second+skew, 100)
+	expect(t, "each interval", m, m.Tick(5*second+skew), Active, 6*second+skew, 100)
+	expect(t, "a lower one is told at once", m, m.Receive(5*second+skew, advertisement(50, 100), high), Active, 6*second+skew, 100)
+	expect(t, "an equal one with a lower address", m, m.Receive(5*second+skew, advertisement(100, 100), low), Active, 6*second+skew, 100)
+	expect(t, "another router id", m, m.Receive(6*second, Advertisement{VRID: 8, Priority: 255, Interval: 1}, high), Active, 6*second+skew, -1)
 	// From here on the interval is that of the Active router, and the skew follows it.
-	want(t, "an equal one with a higher address", m, m.Receive(6*second, heard(100, 200), high), Backup, 12*second+2*skew, -1)
-	want(t, "it gives up", m, m.Receive(7*second, heard(0, 200), high), Backup, 7*second+2*skew, -1)
-	want(t, "after the skew", m, m.Tick(7*second+2*skew), Active, 8*second+2*skew, 100)
-	want(t, "another gives up", m, m.Receive(8*second, heard(0, 100), high), Active, 9*second, 100)
-	want(t, "shutdown", m, m.Stop(), Initialize, 0, 0)
-	want(t, "nothing in Initialize", m, m.Receive(9*second, heard(50, 100), high), Initialize, 0, -1)
+	expect(t, "an equal one with a higher address", m, m.Receive(6*second, advertisement(100, 200), high), Backup, 12*second+2*skew, -1)
+	expect(t, "it gives up", m, m.Receive(7*second, advertisement(0, 200), high), Backup, 7*second+2*skew, -1)
+	expect(t, "after the skew", m, m.Tick(7*second+2*skew), Active, 8*second+2*skew, 100)
+	expect(t, "another gives up", m, m.Receive(8*second, advertisement(0, 100), high), Active, 9*second, 100)
+	expect(t, "shutdown", m, m.Stop(), Initialize, 0, 0)
+	expect(t, "nothing in Initialize", m, m.Receive(9*second, advertisement(50, 100), high), Initialize, 0, -1)
 }
 
 func TestOwnerAndNoPreemption(t *testing.T) {
-	m := router(Owner, true)
-	want(t, "the owner starts as Active", m, m.Start(0), Active, second, Owner)
-	m = router(200, false)
+	m := newRouter(Owner, true)
+	expect(t, "the owner starts as Active", m, m.Start(0), Active, second, Owner)
+	m = newRouter(200, false)
 	skew := int64(56 * second / 256)
 	m.Start(0)
-	want(t, "a lower one stays", m, m.Receive(second, heard(50, 100), low), Backup, 4*second+skew, -1)
-	want(t, "a Backup goes in silence", m, m.Stop(), Initialize, 0, -1)
+	expect(t, "a lower one stays", m, m.Receive(second, advertisement(50, 100), low), Backup, 4*second+skew, -1)
+	expect(t, "a Backup goes in silence", m, m.Stop(), Initialize, 0, -1)
 }
 
 func TestPacket(t *testing.T) {
-	b, err := heard(100, 300).Append(nil)
+	b, err := advertisement(100, 300).Append(nil)
 	if want := "3107640101 2c"; err != nil || fmt.Sprintf("%x %x", b[:5], b[5]) != want {
 		t.Fatalf("%x, %v", b, err)
 	}
 	a, err := Parse(b)
-	if err != nil || fmt.Sprint(a) != fmt.Sprint(heard(100, 300)) {
+	if err != nil || fmt.Sprint(a) != fmt.Sprint(advertisement(100, 300)) {
 		t.Errorf("%v, %v", a, err)
 	}
-	for i := range b { // no byte can change unseen
+	for i := range b { // a change of any byte is an error
 		c := append([]byte(nil), b...)
 		c[i] ^= 0x11
 		if got, err := Parse(c); err == nil {
@@ -89,13 +89,13 @@
 			t.Errorf("cut at %d", i)
 		}
 	}
-	if _, err := heard(1, 4096).Append(nil); err == nil {
+	if _, err := advertisement(1, 4096).Append(nil); err == nil {
 		t.Error("the interval has 12 bits")
 	}
 }
 
 func FuzzParse(f *testing.F) {
-	b, _ := heard(100, 300).Append(nil)
+	b, _ := advertisement(100, 300).Append(nil)
 	f.Add(b)
 	f.Fuzz(func(t *testing.T, b []byte) {
 		a, err := Parse(b)
