--- a/internal/broker/server/reload.go
+++ b/internal/broker/server/reload.go
@@ -81,8 +81,8 @@
 	if p.logOutput == nil {
 		return nil
 	}
-	p.logOutput.Format(cmp.Or(p.logConfig.Format, "text"))
-	return p.logOutput.Level(cmp.Or(p.logConfig.Level, "info"))
+	p.logOutput.SetFormat(cmp.Or(p.logConfig.Format, "text"))
+	return p.logOutput.SetLevel(cmp.Or(p.logConfig.Level, "info"))
 }
 
 // serverIDs are the ids of the plan's servers.
