--- a/internal/broker/transport/pool_test.go
+++ b/internal/broker/transport/pool_test.go
@@ -46,6 +46,17 @@
 	}
 }
 
+// awaitPosted waits until something waits for the engine, and leaves it there.
+func (b *bench) awaitPosted(t *testing.T) {
+	t.Helper()
+	select {
+	case f := <-b.posted:
+		b.posted <- f
+	case <-time.After(testTimeout):
+		t.Fatal("nothing was posted")
+	}
+}
+
 // stalled gives the server a connection that is up and whose writer does not get to its queue of one.
 func (b *bench) stalled(t *testing.T) *serverConn {
 	near, far := net.Pipe()
@@ -303,6 +314,10 @@
 	b.next(t, 1)
 	far := <-conns
 	defer far.Close()
+	if _, err := far.Write([]byte("x")); err != nil {
+		t.Fatal(err)
+	}
+	b.awaitPosted(t) // a busy machine may take longer than the writes below
 	far.SetWriteDeadline(time.Now().Add(100 * time.Millisecond))
 	far.Write(make([]byte, 1<<22)) // as much as the sockets hold
 	if n := len(b.posted); n != 1 {
