--- a/internal/scheduler/batchjobs/openjob.go
+++ b/internal/scheduler/batchjobs/openjob.go
@@ -44,7 +44,7 @@
 	item     *rpc.Item
 	stage    stage
 	failures uint32
-	lease    *lease // nil where no gatherer works on the item; a lease may outlast the result of an earlier one until that is committed
+	lease    *lease // nil if no gatherer works on the item. It may still run while a result of an earlier lease is being committed
 }
 
 // newOpenJob returns a job that was sent and first seen at these times, with the items in done committed.
--- a/internal/scheduler/batchjobs/reports.go
+++ b/internal/scheduler/batchjobs/reports.go
@@ -3,8 +3,8 @@
 import "saffronquay/internal/scheduler/rpc"
 
 // HandleReport takes a gatherer's report on a lease. It returns the result that has to be committed, nil where there is none; the caller then
-// commits it and calls ItemsCommitted or ItemsReopened. A result counts also when its lease was dropped meanwhile; a later
-// lease of the item then goes on until the result is committed.
+// commits it and calls ItemsCommitted or ItemsReopened. A result counts also if its lease was dropped meanwhile. A later lease
+// of the same item then continues until the result is committed, and is cancelled.
 func (s *Scheduler) HandleReport(now int64, r *rpc.Report) *rpc.Result {
 	j := s.jobs[r.Job]
 	if j == nil {
--- a/internal/scheduler/batchjobs/scheduler.go
+++ b/internal/scheduler/batchjobs/scheduler.go
@@ -26,7 +26,8 @@
 }
 
 const (
-	// gathererTimeoutMS is how long a gatherer may send no request before its items are granted to others: two and a half polls.
+	// gathererTimeoutMS is how long a gatherer may send no request before its items are granted to others: two and a half times the
+	// longest wait of a gatherer's poll (package batchrunner).
 	gathererTimeoutMS = 1000
 	// adoptionWaitMS is how long a new owner waits for gatherers to report their leases before it grants anything.
 	adoptionWaitMS = 500
--- a/internal/scheduler/batchrunner/item.go
+++ b/internal/scheduler/batchrunner/item.go
@@ -74,8 +74,8 @@
 	r.mu.Unlock()
 }
 
-// waitForWorker reserves a slot at a worker that can execute the item; nil where none was free within placementTimeout, or ctx has ended. A
-// text that only its own version may continue is discarded where no worker has that version, and the wait begins again.
+// waitForWorker reserves a slot at a worker that can execute the item; nil where none was free within placementTimeout, or ctx has ended. If only the text's own version may
+// continue it and no worker has that version, the text is discarded and the wait begins again for any version.
 func (r *itemRun) waitForWorker(ctx context.Context, route *configuration.Route) *routing.Reservation {
 	query := r.workerQuery(route)
 	table := r.Forwarder.Table
--- a/internal/scheduler/batchrunner/owner.go
+++ b/internal/scheduler/batchrunner/owner.go
@@ -12,8 +12,8 @@
 	// callBackoff is the wait after a call that failed.
 	callBackoff = 50 * time.Millisecond
 	callTimeout = 3 * time.Second
-	// notifyInterval is how often an owner gets the list of this gatherer's leases.
-	notifyInterval = 1 * time.Second
+	// leaseListInterval is how often an owner gets the list of this gatherer's leases.
+	leaseListInterval = 1 * time.Second
 )
 
 // pollOwner requests items from a shard's owner whenever there is capacity, until ctx ends.
@@ -108,12 +108,12 @@
 	delete(r.notifiedEpochs, shard)
 }
 
-// leasesToNotify returns the leases of a shard where its owner may not know them, and every notifyInterval in any case: a grant or a
+// leasesToNotify returns the leases of a shard where its owner may not know them, and every leaseListInterval in any case: a grant or a
 // cancellation may have been lost. listed is false where the list is not due; the owner then keeps what it knows.
 func (r *Runner) leasesToNotify(shard string) (leases []*rpc.HeldLease, listed bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.notifiedEpochs[shard] != 0 && time.Since(r.notifiedAt[shard]) < notifyInterval {
+	if r.notifiedEpochs[shard] != 0 && time.Since(r.notifiedAt[shard]) < leaseListInterval {
 		return nil, false
 	}
 	r.notifiedAt[shard] = time.Now()
--- a/internal/scheduler/batchrunner/runner.go
+++ b/internal/scheduler/batchrunner/runner.go
@@ -71,7 +71,7 @@
 // rest and hands them back to the owners. The hand-back takes up to leaveTimeout a shard.
 func (r *Runner) Run(ctx context.Context, finish time.Duration) {
 	r.initialize()
-	// The leases, and the calls that keep them alive, outlast ctx: an owner would take a gatherer that stops calling for failed.
+	// The leases, and the calls that keep them alive, outlast ctx: an owner considers a gatherer that stops calling failed.
 	work, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
 	known := map[string]bool{}
--- a/internal/scheduler/batchrunner/score.go
+++ b/internal/scheduler/batchrunner/score.go
@@ -15,7 +15,7 @@
 	maxScoreAttempts = 8
 	// minScoreAttemptMS is the least time of one reward call, in milliseconds; otherwise it has the timeout of its route.
 	minScoreAttemptMS = 500
-	// scoreBudgetTimeouts is the time for all reward calls of a text, in timeouts of one call. Workers get the end of this time as their
+	// scoreBudgetTimeouts is the time for all reward calls of a text, as a multiple of the timeout of one call. Workers get the end of this time as their
 	// deadline with each call: a repeated call must not be given more time than the first.
 	scoreBudgetTimeouts = 3
 )
--- a/internal/scheduler/consensus/membership.go
+++ b/internal/scheduler/consensus/membership.go
@@ -44,8 +44,8 @@
 // if there is none to make now.
 //
 // A replica becomes a learner first, and a voter after it has caught up. A reachable voter stays until its successor is admitted, so that the number
-// of replicas never falls on the way. An unreachable one is removed just before that: with it and its successor both, the group would need
-// more live voters than it does without.
+// of replicas never falls on the way. An unreachable one is removed immediately before: a group with both, the unreachable voter and its
+// successor, would need more live voters for a majority than one without the unreachable voter.
 //
 // revision is that of the placement which wants these voters. A leader that lags behind may hold an older placement than the one that the
 // membership was last changed for. That one changes nothing: it would undo a repair, or bring back a replica whose disk was emptied.
--- a/internal/scheduler/consensus/replication.go
+++ b/internal/scheduler/consensus/replication.go
@@ -155,8 +155,8 @@
 	}
 }
 
-// advanceCommit commits the newest entry that a majority has persisted, if it is of the leader's own epoch: a majority that holds an entry
-// of an earlier epoch does not keep a later leader from replacing it. A leader that is no longer a voter steps down as soon as that is
+// advanceCommit commits the newest entry that a majority has persisted, if it is of the leader's own epoch: an entry of an
+// earlier epoch can still be replaced by a later leader although a majority has it. A leader that is no longer a voter steps down as soon as that is
 // committed.
 func (c *Core) advanceCommit() {
 	index := reachedByMajority(c, c.persistedIndex(), func(peer *progress) uint64 { return peer.match })
--- a/internal/scheduler/controlplane/operator_api.go
+++ b/internal/scheduler/controlplane/operator_api.go
@@ -91,7 +91,7 @@
 	}
 }
 
-// HTTPStatus returns how the operator is answered what the directory has decided. A change that may have been taken long ago is answered 503:
+// HTTPStatus returns the status that the operator gets for a decision of the directory. A change that may have been taken long ago is answered 503:
 // a refusal could be wrong.
 func HTTPStatus(decided rpc.DirectoryStatus) int {
 	switch decided {
--- a/internal/scheduler/controlplane/server.go
+++ b/internal/scheduler/controlplane/server.go
@@ -150,7 +150,7 @@
 // newDispatcher returns the sender of the orders of one registry shard.
 func (s *Server) newDispatcher(sh *shard) *weights.Dispatcher {
 	return &weights.Dispatcher{
-		Node: s.settings.NodeName, TakeOverDelay: settings.Milliseconds(s.settings.Bounds.LeaseMS),
+		Node: s.settings.NodeName, TakeOverDelay: settings.Milliseconds(s.settings.Bounds.TakeOverDelayMS),
 		Fenced: s.settings.Bounds.Fencing, Shard: sh, Wanted: s.directory.NamedVersions,
 		Rules: weights.Rules{SingleVersion: s.singleVersion, MaxConcurrent: weights.ConcurrentLoads, Slots: s.slots}, Log: s.log,
 	}
--- a/internal/scheduler/controlplane/worker_api.go
+++ b/internal/scheduler/controlplane/worker_api.go
@@ -51,7 +51,7 @@
 }
 
 // deregister answers a worker that leaves. The call names no service, and this controller may not know the worker yet, so every shard has to
-// commit the leave: one that is acknowledged but committed at the wrong shard would leave requests going to the worker.
+// commit the leave: if only the wrong shard committed it, gatherers would continue to send requests to the worker after the acknowledgement.
 func (s *Server) deregister(ctx context.Context, request *fasthttp.RequestCtx) {
 	id := pathValue(request, "id")
 	ctx, cancel := context.WithTimeout(ctx, forwardTimeout)
--- a/internal/scheduler/feed/doc.go
+++ b/internal/scheduler/feed/doc.go
@@ -6,7 +6,7 @@
 // a table. A Client keeps a table up to date from one source at a time and passes each new event on.
 //
 // A watcher names the offset that it has of each shard. It is sent the changes after that offset or, if these are no longer retained or it has
-// none, a snapshot: the newest event of every subject, where all that is missing no longer exists. The offset of a replicated shard is an index
+// none, a snapshot: the newest event of every subject. A subject that is not in it no longer exists. The offset of a replicated shard is an index
 // of its log and means the same at every replica. So a watcher that changes to another source misses no change and never steps back: Merge
 // ignores whatever does not lead past the offset that the table has.
 //
--- a/internal/scheduler/forward/forward.go
+++ b/internal/scheduler/forward/forward.go
@@ -83,7 +83,7 @@
 	}
 }
 
-// run makes attempts until one brings an answer to pass on, no further one is allowed, no worker fits, or the context ends. Where answered is
+// makeAttempts makes attempts until one brings an answer to pass on, no further one is allowed, no worker fits, or the context ends. Where answered is
 // false the result is the failure so far.
 func (d *delivery) makeAttempts(ctx context.Context) (result Result, answered bool) {
 	for ctx.Err() == nil {
--- a/internal/scheduler/outcome/doc.go
+++ b/internal/scheduler/outcome/doc.go
@@ -19,10 +19,14 @@
 //
 //	            Route.Idempotent                     other routes
 //	NotRun      until 4 attempts were not run        until 4 attempts were not run
-//	MayHaveRun  until maxAttempts workers may have   never
-//	Ran         run the request                      never
-//
-// Idempotent are the routes of the types idempotent and deployment, and resumable streams.
+//	MayHaveRun  until maxAttempts attempts may       never
+//	            have run
+//	Ran         until maxAttempts attempts may       never
+//	            have run
+//
+// Idempotent are the routes of the types idempotent and deployment, and resumable streams. Two paths have rules of their own: a stream that
+// breaks off after its head (package proxy, stream.go), and items of batch jobs, which go to another worker after everything but a worker's 500 and 422
+// (package batchrunner, item.go).
 //
 // # Which status the client gets
 //
--- a/internal/scheduler/proxy/doc.go
+++ b/internal/scheduler/proxy/doc.go
@@ -7,7 +7,7 @@
 //
 // # Which status a client gets
 //
-// The text of the answer identifies the place in the code. A 503 of the proxy always has Retry-After and promises that the request has not run
+// The text of the answer identifies the place in the code. A 503 of the proxy's handlers, readiness excepted, always has Retry-After and promises that the request has not run
 // and will not run because of this call; 502 and 504 promise nothing. A read is harmless, so that every failed one gets 503.
 //
 //	status  text                                       cause                                                         decided in
@@ -52,7 +52,9 @@
 //
 // For "no worker takes the request now" look at the metrics of the proxy that answered: refusals_total has the rejections by worker and cause
 // (not_executed: full, loading weights, or out of time in its queue), tries_total with verdict="not run" the attempts that no worker ran. If
-// neither has grown, routing had no worker to choose: those of the route's services that are registered all drain, or lack the model.
+// neither has grown, routing had no worker to choose: those of the route's services that are registered all drain, or lack the model. A request
+// whose Deadline-Ms is not above answerMargin gets this 503 too and is counted in neither metric. A 503 with a text that the table lacks is of the
+// HTTP server, or of a steward (package controlplane).
 //
 // # Concurrency
 //
--- a/internal/scheduler/proxy/handler.go
+++ b/internal/scheduler/proxy/handler.go
@@ -14,7 +14,7 @@
 	itemsPath = "/api/items/"
 	// maxConfigurationWait is how long a request may wait for the first configuration.
 	maxConfigurationWait = 600 * time.Millisecond
-	// clientWaitDivisor: a client waits for a third of the time that remains to it before it sends a request again, at most.
+	// clientWaitDivisor: before a client sends a request again, it waits for at most this part of its remaining time, one in so many.
 	clientWaitDivisor = 3
 )
 
@@ -51,7 +51,7 @@
 }
 
 // awaitConfiguration returns the configuration in force; nil where none is known. Right after the start it waits for the first one, for half
-// of the client's time at most. With the feature gate quickRefusal it doesn't wait where the client has the time to come back later, which
+// of the client's time at most. With the feature gate ImmediateRejection (quickRefusal in the settings) it doesn't wait where the client has the time to come back later, which
 // scores higher (docs/EXPERIMENTS.md).
 func (p *Proxy) awaitConfiguration(ctx *fasthttp.RequestCtx) *configuration.Table {
 	table := p.config.Load()
--- a/internal/scheduler/registry/doc.go
+++ b/internal/scheduler/registry/doc.go
@@ -3,7 +3,7 @@
 // # What it owns
 //
 // Registry is the replicated state of one shard: its workers, the ids of workers that have left, and the holder of the right to send orders to
-// the workers. Only changes go through the shard's log: a worker that is new, drains, reports other weights, another address or another
+// the workers. Only changes go through the shard's log: a worker that is new, drains, reports other weights, another service, address or
 // capacity, is lost or has left. Each change is published to a feed.Table with the log's index as its offset.
 //
 // HeartbeatHandler decides on heartbeats at the process that leads the shard's group, the owner. LivenessTracker follows the times of the
--- a/internal/scheduler/registry/registry.go
+++ b/internal/scheduler/registry/registry.go
@@ -174,8 +174,8 @@
 	return list
 }
 
-// Holder returns the machine that may send orders to the shard's workers, with the epoch in which it took over. It is nil as long as there was
-// none. The holder is shared and must not be changed.
+// Holder returns the machine that took over the orders to the shard's workers last, with the epoch in which it did; nil if there was none. It records the
+// past: the permission to send is the leader lease (weights.Dispatcher). The holder is shared and must not be changed.
 func (r *Registry) Holder() *rpc.Holder {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
--- a/internal/scheduler/replica/doc.go
+++ b/internal/scheduler/replica/doc.go
@@ -15,7 +15,8 @@
 //
 // A message leaves, and a command is applied, only after everything that it depends on is on disk. A proposal that ends with DONE is committed
 // and applied here, and survives the loss of any minority of the group's disks. One that ends with OUTCOME_UNKNOWN may or may not take effect,
-// also later. Any other outcome means that it has no effect.
+// also later. Any other outcome means that it has no effect. Submit makes several proposals: its
+// outcome is that of the last one, and an earlier one may have taken effect.
 //
 // # Concurrency
 //
--- a/internal/scheduler/replica/identity.go
+++ b/internal/scheduler/replica/identity.go
@@ -16,7 +16,8 @@
 
 // LoadOrCreateIdentity returns the identity of a process's replicas. Their id is bound to the disk. An empty disk gets a new random id, under
 // which no other replica has received a vote or an acknowledgement. Only with the setting bootstrap, at the very first start of the system,
-// does a seed take the id that the other founders know it by.
+// does a seed take the id that the other founders know it by. Nothing here checks that it is the first start: the operator must have set
+// bootstrap to false by the time a seed starts with an empty disk again.
 func LoadOrCreateIdentity(identities *IdentityStore, s *settings.Settings) (Identity, error) {
 	id, err := identities.Identity()
 	if err != nil {
--- a/internal/scheduler/replica/submit.go
+++ b/internal/scheduler/replica/submit.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// retryInterval is the wait between two attempts to have a command committed. A forwarded attempt looks as often whether the leader has
-// changed.
+// retryInterval is the wait between two attempts to have a command committed. While a
+// forwarded attempt waits for its answer, it is checked at the same interval whether the leader has changed.
 const retryInterval = 60 * time.Millisecond
 
 // Submit has the leader of a group, wherever it is, commit and apply a command. It repeats the command until one attempt is DONE or ctx
--- a/internal/scheduler/routing/avoidance.go
+++ b/internal/scheduler/routing/avoidance.go
@@ -8,7 +8,7 @@
 	minRejectionBackoffMS  = 100
 	maxRejectionBackoffMS  = 400
 	rejectionBackoffFactor = 2
-	// repeatedRejectionMS plus the length of a rejection backoff is the time after its end in which another rejection counts as repeated.
+	// repeatedRejectionMS: a rejection counts as repeated if it comes within this time plus the length of the last backoff, counted from that backoff's end.
 	repeatedRejectionMS = 100
 )
 
@@ -43,7 +43,8 @@
 }
 
 // RecordRejection notes at the time now that a worker has rejected a request for a model; the model is empty where the request names none. This
-// gatherer's requests for that model avoid the worker for a while. A rejection during that while is counted only: its request was in flight before.
+// gatherer's requests for that model avoid the worker for a while. A rejection during the backoff is only counted, since its request was sent
+// before the backoff began.
 func (t *Table) RecordRejection(now int64, w *Worker, model string, cause RejectionCause) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/scheduler/routing/doc.go
+++ b/internal/scheduler/routing/doc.go
@@ -4,11 +4,13 @@
 //
 // Table.Pick goes through these steps, each in a file of its own:
 //
+//   - package forward draws the service by the route's weights (drawServices) before Pick is called;
 //   - filter.go: which workers the request may go to at all;
 //   - avoidance.go: which of these have failed or rejected requests lately, so that all others go first;
 //   - subset.go and slots.go: which workers of a service this gatherer prefers, and how many items it may have at each;
 //   - estimate.go: what the request costs, in milliseconds;
-//   - pick.go: the worker with the least predicted backlog is taken, ties at random;
+//   - pick.go: the worker with the least predicted backlog is taken, ties at random; one that is not preferred counts as if this request's cost were in
+//     its backlog already;
 //   - reservation.go: the cost is added to the worker's backlog until the reservation is released.
 //
 // table.go and worker.go hold the state, free_slots.go sums up what batch jobs may still begin, prompts.go and metrics.go only count.
--- a/internal/scheduler/routing/pick.go
+++ b/internal/scheduler/routing/pick.go
@@ -86,7 +86,7 @@
 	return allowed
 }
 
-// score returns what the policy wants least of. A worker that this gatherer does not prefer counts as if one more such request were in flight there.
+// score returns the number by which the policy compares workers; the least is chosen. A worker that this gatherer does not prefer counts as if one more such request were in flight there.
 func (t *Table) score(w *Worker, s *subset, costMS float64) float64 {
 	switch t.gates.Policy {
 	case featuregate.Predicted:
--- a/internal/scheduler/routing/slots.go
+++ b/internal/scheduler/routing/slots.go
@@ -7,7 +7,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// queueDivisor is how many of a worker's items run for each one that may wait there, rounded up, so that it is not idle between two items.
+// queueDivisor sets how many items may wait at a worker: one for each queueDivisor that run, rounded up, so that the worker is not idle between two
+// items.
 const queueDivisor = 8
 
 // slots returns the number of items that all gatherers together may have in flight at the worker.
--- a/internal/scheduler/settings/check.go
+++ b/internal/scheduler/settings/check.go
@@ -70,7 +70,7 @@
 	positive := map[string]float64{
 		"heartbeatMs":    float64(s.HeartbeatMS),
 		"bounds.graceS":  s.Bounds.GraceS,
-		"bounds.leaseMs": s.Bounds.LeaseMS,
+		"bounds.leaseMs": s.Bounds.TakeOverDelayMS,
 	}
 	for _, key := range slices.Sorted(maps.Keys(positive)) {
 		if value := positive[key]; value <= 0 {
--- a/internal/scheduler/weights/dispatcher.go
+++ b/internal/scheduler/weights/dispatcher.go
@@ -33,7 +33,7 @@
 // Dispatcher sends the orders of one shard. Its exported fields are set before Run and stay.
 type Dispatcher struct {
 	Node          string                   // name of this machine, which the workers see as the holder
-	TakeOverDelay time.Duration            // how long another holder's last order must be past before this one may send
+	TakeOverDelay time.Duration            // bounds.leaseMs of the settings, not the leader lease: how long this machine owns the shard before it sends where another one was the holder
 	Fenced        bool                     // workers check fencing tokens, so that no late order of an ended holder takes effect
 	Shard         Shard                    // whose workers get the orders
 	Wanted        func() map[string]uint64 // newest named version by model
@@ -62,11 +62,11 @@
 	unreachableLimit = 3 * time.Second
 )
 
-// MayTakeOver reports whether a machine may send orders that has owned their shard for a while. Another machine's last order must be a lease
-// ago; it need not be where that machine's process has ended and workers check fences, so that nothing of it takes effect that is still on its
-// way. It is pure.
-func MayTakeOver(node, last string, ended, fenced bool, owned, lease time.Duration) bool {
-	return last == "" || last == node || owned >= lease || fenced && ended
+// MayTakeOver reports whether a machine that has owned a shard for some time may send its orders. If another machine was the last holder, this one
+// must have owned the shard for takeOverDelay: the other's last order is then that long ago. It need not wait if the other's process has ended and
+// workers check fencing tokens: a late order is then rejected. The function is pure.
+func MayTakeOver(node, last string, ended, fenced bool, owned, takeOverDelay time.Duration) bool {
+	return last == "" || last == node || owned >= takeOverDelay || fenced && ended
 }
 
 // Run sends orders until ctx ends, whenever this process owns the shard. It returns when the orders in flight have ended, which takes no longer
--- a/internal/scheduler/weights/plan.go
+++ b/internal/scheduler/weights/plan.go
@@ -19,8 +19,8 @@
 	Slots         func(model string) float64 // how many requests of a model its open jobs need to run concurrently; 0 where that isn't known
 }
 
-// Plan returns the orders to send now. wanted has the newest named version by model. busy has the model that a worker loads by the id of the
-// worker, for each order in flight. Lost and draining workers, and those in flight, get no order; no worker gets two. Plan is pure; the
+// Plan returns the orders to send now. wanted maps models to their newest named version. busy maps the ids of workers with an order in
+// flight to the models that they load. Lost and draining workers, and those in flight, get no order; no worker gets two. Plan is pure; the
 // services come in no fixed order.
 func Plan(instances []*rpc.Instance, wanted map[string]uint64, busy map[string]string, rules *Rules) []Order {
 	services := map[string][]*rpc.Instance{}
@@ -43,8 +43,8 @@
 	progress float64 // fraction of the model's workers that have the wanted version
 }
 
-// planService plans the orders of one service. The models go first of whose workers the smallest fraction has the version, and of these the
-// workers that are furthest behind.
+// planService plans the orders of one service. Models are ordered by the fraction of their workers that have the wanted version, the smallest first;
+// the workers of a model by how many versions they are behind, the most first.
 func planService(workers []*rpc.Instance, wanted map[string]uint64, busy map[string]string, rules *Rules) (orders []Order) {
 	candidates := candidatesOf(workers, wanted, busy, rules)
 	slices.SortStableFunc(candidates, func(a, b candidate) int {
