--- a/cmd/saffronquay/help_test.go
+++ b/cmd/saffronquay/help_test.go
@@ -11,7 +11,7 @@
 	"github.com/spf13/cobra"
 )
 
-// The help of each command is as the golden file has it. SAFFRONQUAY_GOLDEN=write in the environment writes that anew.
+// The help of each command is as in the golden file. SAFFRONQUAY_GOLDEN=write in the environment writes that file anew.
 func TestGoldenHelp(t *testing.T) {
 	is := is.New(t)
 	t.Setenv("SAFFRONQUAY_OPERATOR_FILE", "")
--- a/cmd/saffronquay/policy_test.go
+++ b/cmd/saffronquay/policy_test.go
@@ -10,15 +10,15 @@
 
 // A version that is in force in some regions is never reported as one that is everywhere, and ends the command with a code of its own.
 func TestInForceIsReportedByRegions(t *testing.T) {
-	for _, c := range []struct {
+	for name, c := range map[string]struct {
 		answer     *wire.Answer
 		code       int
 		text, json string
 	}{
-		{&wire.Answer{Number: 3}, exitOK, "version 3 is in force\n", `"in_force": true`},
-		{&wire.Answer{Number: 3, InForce: []string{"este", "oeste"}}, exitOK, "version 3 is in force in 2 of 2 regions: este, oeste\n", `"apart": []`},
-		{&wire.Answer{Number: 3, InForce: []string{"oeste"}, Apart: []string{"este"}}, exitPartial, "version 3 is in force in 1 of 2 regions: oeste; not in este,", `"este"`},
-		{&wire.Answer{Number: 3, Apart: []string{"este", "oeste"}}, exitPartial, "version 3 is in force in 0 of 2 regions; not in este, oeste,", `"regions": []`},
+		"without regions":    {&wire.Answer{Number: 3}, exitOK, "version 3 is in force\n", `"in_force": true`},
+		"all regions":        {&wire.Answer{Number: 3, InForce: []string{"este", "oeste"}}, exitOK, "version 3 is in force in 2 of 2 regions: este, oeste\n", `"apart": []`},
+		"one of two regions": {&wire.Answer{Number: 3, InForce: []string{"oeste"}, Apart: []string{"este"}}, exitPartial, "version 3 is in force in 1 of 2 regions: oeste; not in este,", `"este"`},
+		"no region":          {&wire.Answer{Number: 3, Apart: []string{"este", "oeste"}}, exitPartial, "version 3 is in force in 0 of 2 regions; not in este, oeste,", `"regions": []`},
 	} {
 		for output, want := range map[string]string{"text": c.text, "json": c.json} {
 			var out bytes.Buffer
@@ -27,10 +27,10 @@
 			if end := (*exitError)(nil); errors.As(err, &end) {
 				code = end.code
 			} else if err != nil {
-				t.Error(err)
+				t.Errorf("%s: %v", name, err)
 			}
 			if code != c.code || !strings.Contains(out.String(), want) || strings.Contains(out.String(), "everywhere") {
-				t.Errorf("%v: %d, %s", c.answer, code, out.String())
+				t.Errorf("%s: %d, %s", name, code, out.String())
 			}
 		}
 	}
--- a/cmd/saffronquay/script_test.go
+++ b/cmd/saffronquay/script_test.go
@@ -20,7 +20,7 @@
 	testscript.Main(m, map[string]func(){"saffronquay": main})
 }
 
-// Each command as a user types it, from the scripts in testdata/script.
+// The scripts in testdata/script run the commands as a user types them.
 func TestScripts(t *testing.T) {
 	testscript.Run(t, testscript.Params{Dir: "testdata/script", Setup: func(e *testscript.Env) error {
 		e.Setenv("SAFFRONQUAY_OPERATOR_FILE", "")
@@ -38,7 +38,7 @@
 		}
 		return nil
 	}, Cmds: map[string]func(*testscript.TestScript, bool, []string){
-		// narrow FILE N: no line is wider.
+		// narrow FILE: no line is wider than 40 columns.
 		"narrow": func(ts *testscript.TestScript, _ bool, words []string) {
 			for line := range strings.Lines(ts.ReadFile(words[0])) {
 				if len(strings.TrimSuffix(line, "\n")) > 40 {
@@ -49,7 +49,7 @@
 	}})
 }
 
-// readme's first command block is what a newcomer types: it has to be played by a script.
+// The commands of the README are what a newcomer types: a script has to run each of them.
 func TestReadmeIsPlayed(t *testing.T) {
 	readme, err := os.ReadFile("../../README.md")
 	if err != nil {
@@ -76,46 +76,46 @@
 	}
 }
 
-// odd are values that a file may hold by mistake.
-var odd = []any{nil, true, "", "x", "127.0.0.1:1", 0, -1, 1.5, 1e30, []any{}, map[string]any{}, map[string]any{"odd": 1}, []any{map[string]any{}}}
+// oddValues are values that may stand in a file by mistake.
+var oddValues = []any{nil, true, "", "x", "127.0.0.1:1", 0, -1, 1.5, 1e30, []any{}, map[string]any{}, map[string]any{"odd": 1}, []any{map[string]any{}}}
 
-// damages gives every copy of a JSON value with one thing wrong: a key gone, misspelt or said twice in other words, any value an odd
-// one, an entry too few or too many.
-func damages(v any, give func(any)) {
-	for _, o := range odd {
-		give(o)
+// forEachDamage calls use with every copy of a JSON value that has one thing wrong: a key that is missing or misspelt, an odd value in the place of
+// any other, an entry too few or too many.
+func forEachDamage(v any, use func(any)) {
+	for _, o := range oddValues {
+		use(o)
 	}
 	switch x := v.(type) {
 	case map[string]any:
 		for _, k := range slices.Sorted(maps.Keys(x)) {
 			less := maps.Clone(x)
 			delete(less, k)
-			give(less)
+			use(less)
 			less[k+"x"] = x[k]
-			give(less)
-			damages(x[k], func(o any) {
+			use(less)
+			forEachDamage(x[k], func(o any) {
 				other := maps.Clone(x)
 				other[k] = o
-				give(other)
+				use(other)
 			})
 		}
 	case []any:
-		give(append(slices.Clone(x), "x"))
+		use(append(slices.Clone(x), "x"))
 		if len(x) == 0 {
 			return
 		}
-		give(slices.Delete(slices.Clone(x), 0, 1))
-		give(append(slices.Clone(x), x[0]))
-		damages(x[0], func(o any) { // the others are as the first
+		use(slices.Delete(slices.Clone(x), 0, 1))
+		use(append(slices.Clone(x), x[0]))
+		forEachDamage(x[0], func(o any) { // the others are as the first
 			other := slices.Clone(x)
 			other[0] = o
-			give(other)
+			use(other)
 		})
 	}
 }
 
-// A damaged file is turned down or harmless, and never a panic; what the schema turns down, the program does too, by its own checks.
-// Every single damage is tried, so that the verdict is always the same.
+// A damaged file is rejected or harmless, and never causes a panic. What the schema rejects, the program rejects too, by its own checks.
+// Every single damage is tested, so that the outcome is always the same.
 func TestDamagedFiles(t *testing.T) {
 	expectations, err := os.ReadFile("../../deploy/routing.json")
 	if err != nil {
@@ -136,25 +136,25 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			var whole any
-			if err := json.Unmarshal(file, &whole); err != nil {
+			var document any
+			if err := json.Unmarshal(file, &document); err != nil {
 				t.Fatal(err)
 			}
-			taken, turned := 0, 0
-			damages(whole, func(v any) {
+			accepted, rejected := 0, 0
+			forEachDamage(document, func(v any) {
 				text, err := json.Marshal(v)
 				if err != nil {
 					t.Fatal(err)
 				}
 				op, perr := config.ParseOperator(text)
 				if serr := form.Judge(text); serr != nil && perr == nil {
-					t.Errorf("the schema turns down what the program takes: %v\n%s", serr, text)
+					t.Errorf("the schema rejects what the program accepts: %v\n%s", serr, text)
 				}
 				if perr != nil {
-					turned++
+					rejected++
 					return
 				}
-				taken++
+				accepted++
 				r, err := operatorRoster("damaged", op)
 				if err != nil {
 					return
@@ -163,15 +163,15 @@
 					t.Errorf("%v", err)
 				}
 			})
-			if taken == 0 || turned == 0 {
-				t.Errorf("%d taken, %d turned down", taken, turned)
+			if accepted == 0 || rejected == 0 {
+				t.Errorf("%d accepted, %d rejected", accepted, rejected)
 			}
-			t.Logf("%d taken, %d turned down", taken, turned)
+			t.Logf("%d accepted, %d rejected", accepted, rejected)
 		})
 	}
 }
 
-// What is wrong in form is named by both, at the same place.
+// Schema and program name a fault of form by the same path.
 func TestSchemaAndProgramAgree(t *testing.T) {
 	text, err := os.ReadFile("../../deploy/durable.json")
 	if err != nil {
@@ -194,7 +194,7 @@
 			}
 		}
 	}
-	// All at once, with the nearest known key.
+	// All faults of a file are named together, an unknown key with the nearest known one.
 	changed := strings.NewReplacer(`"listen"`, `"listn"`, `"zone": "villa-maria"`, `"zoone": "villa-maria"`, `"keep_ms": 900000`, `"keep_ms": 1`, `"most": 100,`, `"most": 100, "most": 200,`).Replace(string(text))
 	for _, want := range []string{"listen: missing", `listn: unknown key; is it "listen"?`, `servers[2].zoone: unknown key; is it "zone"?`, "store.keep_ms: want", "cursors.most: it is there twice"} {
 		if err := parse(changed); err == nil || !strings.Contains(err.Error(), want) {
@@ -208,7 +208,7 @@
 	return err
 }
 
-// A file that is written while it is read is read again, and one that never stands still is no file.
+// A file that is written while it is read is read again; one that changes with every read is an error.
 func TestFileChangesWhileItIsRead(t *testing.T) {
 	texts := []string{"{", "{}", "{}"}
 	n := 0
