--- a/internal/scheduler/settings/settings.go
+++ b/internal/scheduler/settings/settings.go
@@ -82,7 +82,7 @@
 	StatusIntervalS float64 `toml:"statusIntervalS"` // how long a batch job's results stay after its end, at least
 	CancelMS        float64 `toml:"cancelMs"`        // not read
 	Fencing         bool    `toml:"fencing"`         // workers check fencing tokens
-	TakeOverDelayMS         float64 `toml:"leaseMs"`         // wait of a new owner of a registry shard
+	TakeOverDelayMS float64 `toml:"leaseMs"`         // wait of a new owner of a registry shard
 }
 
 // defaults are the settings of an empty file.
@@ -97,7 +97,7 @@
 			PropagationMS:   2000,
 			StatusIntervalS: 120,
 			CancelMS:        3000,
-			TakeOverDelayMS:         3000,
+			TakeOverDelayMS: 3000,
 		},
 		FeatureGates: featuregate.All(),
 	}
