--- a/internal/broker/idempotency/contracts_test.go
+++ b/internal/broker/idempotency/contracts_test.go
@@ -62,7 +62,7 @@
 	if refused.Load() == 0 || served.Load() == 0 {
 		t.Errorf("loud: %d refused, %d served", refused.Load(), served.Load())
 	}
-	out, code := harness.Run(t, "contracts", "--door", p.Door)
+	out, code := harness.Run(t, "contracts", "--door", p.AdminAddress)
 	if code != 0 || !strings.Contains(out, fmt.Sprintf("team loud share=0.5000 queued=0 out=0 asked=%d ", refused.Load()+served.Load())) || !strings.Contains(out, "class=1") {
 		t.Errorf("%d %s", code, out)
 	}
--- a/internal/broker/idempotency/kill_test.go
+++ b/internal/broker/idempotency/kill_test.go
@@ -25,7 +25,7 @@
 func TestKilledGatherers(t *testing.T) {
 	c := newCluster(t, time.Millisecond)
 	var gs []*gatherer
-	var ps []*harness.Life
+	var ps []*harness.Process
 	for range 5 {
 		g := newGatherer(t, c, "")
 		gs, ps = append(gs, g), append(ps, g.start())
@@ -141,8 +141,8 @@
 	if _, twice, _ := c.Ledger.Counts(); twice != 0 {
 		t.Errorf("%d parts ran twice", twice)
 	}
-	if n := strings.Count(g.Said(), "event=store_yielded"); n != 3 {
-		t.Errorf("the store was yielded %d times: %s", n, g.Said())
+	if n := strings.Count(g.Output(), "event=store_yielded"); n != 3 {
+		t.Errorf("the store was yielded %d times: %s", n, g.Output())
 	}
 	if !strings.Contains(old.Call("stats"), "svc.store.failing:0|g") {
 		t.Error("no metrics of the store")
@@ -170,7 +170,7 @@
 	old.Signal(syscall.SIGSTOP)
 	began := time.Now()
 	next := g.start()
-	g.Says(0, "event=store_taken_over")
+	g.WaitForLine(0, "event=store_taken_over")
 	time.Sleep(max(0, stall-time.Since(began)))
 	old.Signal(syscall.SIGCONT)
 	old.Signal(syscall.SIGTERM)
@@ -217,7 +217,7 @@
 			t.Fatal(err)
 		}
 	}
-	g.Says(0, "event=layout epoch=3")
+	g.WaitForLine(0, "event=layout epoch=3")
 	for end := time.Now().Add(timeout); ; time.Sleep(10 * time.Millisecond) { // it is written every second
 		if out := dumpStore(t, g); strings.Contains(out, `"kind":"layout"`) && strings.Count(out, `"kind":"cursor"`) > 2 && strings.Contains(out, `"paceAt"`) || time.Now().After(end) {
 			break
@@ -285,12 +285,12 @@
 	if g.launch().Up() {
 		t.Error("it started")
 	}
-	if said := g.Said(); !strings.Contains(said, dir) || !strings.Contains(said, "store check") {
+	if said := g.Output(); !strings.Contains(said, dir) || !strings.Contains(said, "store check") {
 		t.Errorf("it said: %s", said)
 	}
 	g.cfg["store"].(map[string]any)["without"] = true
 	g.start()
-	g.Says(0, "event=store_off")
+	g.WaitForLine(0, "event=store_off")
 	if a := g.send("POST", "/filings/_search", "y", "y", `{}`); a.status != 503 {
 		t.Errorf("a filing: %+v", a)
 	}
@@ -311,8 +311,8 @@
 	other := newGatherer(t, c, "")
 	other.cfg["name"] = "other"
 	other.cfg["store"].(map[string]any)["directory"] = filepath.Join(g.Dir, "store")
-	if other.launch().Up() || !strings.Contains(other.Said(), `names gatherer`) {
-		t.Errorf("it said: %s", other.Said())
+	if other.launch().Up() || !strings.Contains(other.Output(), `names gatherer`) {
+		t.Errorf("it said: %s", other.Output())
 	}
 	for end := time.Now().Add(timeout); ; time.Sleep(10 * time.Millisecond) {
 		if _, err := os.Stat(filepath.Join(g.Dir, "store", "wanted")); err != nil {
@@ -322,7 +322,7 @@
 		}
 	}
 	time.Sleep(700 * time.Millisecond)
-	if a := g.send("POST", "/filings/_search", "k", "k", `{}`); a.status != 200 || strings.Contains(g.Said(), "store_yielded") {
+	if a := g.send("POST", "/filings/_search", "k", "k", `{}`); a.status != 200 || strings.Contains(g.Output(), "store_yielded") {
 		t.Errorf("%+v, %s", a, p.Call("stats"))
 	}
 }
@@ -418,12 +418,12 @@
 		{"standby", "YES standby", 0},
 		{"log info", "YES", 0},
 	} {
-		if out, code := harness.Run(t, append(strings.Fields(x.words), "--door", p.Door)...); code != x.code || !strings.Contains(out, x.want) {
+		if out, code := harness.Run(t, append(strings.Fields(x.words), "--door", p.AdminAddress)...); code != x.code || !strings.Contains(out, x.want) {
 			t.Errorf("%s: %d %s", x.words, code, out)
 		}
 	}
-	if n := strings.Count(g.Said(), "event=duty"); n != 2 { // the third came while only errors were logged
-		t.Errorf("%d changes of duty are logged: %s", n, g.Said())
+	if n := strings.Count(g.Output(), "event=duty"); n != 2 { // the third came while only errors were logged
+		t.Errorf("%d changes of duty are logged: %s", n, g.Output())
 	}
 	// An admin endpoint that accepts calls and does not answer.
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -438,5 +438,5 @@
 	p.Kill()
 	g.cfg["log"] = map[string]any{"format": "json", "level": "info"}
 	g.launch()
-	g.Says(0, `"level":"info","event":"start","name":"g"`)
+	g.WaitForLine(0, `"level":"info","event":"start","name":"g"`)
 }
--- a/internal/broker/idempotency/program_test.go
+++ b/internal/broker/idempotency/program_test.go
@@ -16,7 +16,7 @@
 	sq "saffronquay"
 )
 
-const timeout = harness.Patience
+const timeout = harness.WaitTimeout
 
 func TestMain(m *testing.M) { harness.Main(m) }
 
@@ -54,7 +54,7 @@
 func newGatherer(t *testing.T, c *fakebackend.Cluster, directory string) *gatherer {
 	t.Helper()
 	g := &gatherer{Place: harness.NewPlace(t), t: t}
-	g.addr = g.Passed()
+	g.addr = g.PassSocket()
 	var servers []any
 	for _, s := range c.Servers {
 		servers = append(servers, map[string]any{"id": s.ID(), "address": s.Address(), "zone": "a"})
@@ -82,7 +82,7 @@
 }
 
 // launch starts the program with the configuration as it is now.
-func (g *gatherer) launch() *harness.Life {
+func (g *gatherer) launch() *harness.Process {
 	g.t.Helper()
 	text, err := json.Marshal(g.cfg)
 	if err != nil {
@@ -92,11 +92,11 @@
 	return g.Begin()
 }
 
-func (g *gatherer) start() *harness.Life {
+func (g *gatherer) start() *harness.Process {
 	g.t.Helper()
 	l := g.launch()
 	if !l.Up() {
-		g.t.Fatalf("the program ended at its start: %s", g.Said())
+		g.t.Fatalf("the program ended at its start: %s", g.Output())
 	}
 	return l
 }
--- a/internal/broker/layout/program_test.go
+++ b/internal/broker/layout/program_test.go
@@ -17,9 +17,9 @@
 	sq "saffronquay"
 )
 
-const patience = harness.Patience
+const patience = harness.WaitTimeout
 
-var raced = harness.Raced
+var raced = harness.RaceEnabled
 
 func TestMain(m *testing.M) { harness.Main(m) }
 
@@ -28,7 +28,7 @@
 	*harness.Place
 	t     *testing.T
 	agent *fakebackend.Agent
-	life  *harness.Life
+	life  *harness.Process
 }
 
 // newCluster makes n servers and ranges of equal width over the keys from 0, a row each, held by reach servers.
@@ -114,7 +114,7 @@
 func (g *gatherer) run() { g.life = g.Start() }
 
 // at waits until the gatherer has an epoch in force.
-func (g *gatherer) at(epoch int64) { g.Says(0, "event=layout ", fmt.Sprintf("epoch=%d ", epoch)) }
+func (g *gatherer) at(epoch int64) { g.WaitForLine(0, "event=layout ", fmt.Sprintf("epoch=%d ", epoch)) }
 
 // outcome is a query's one final answer.
 type outcome struct {
--- a/internal/broker/layout/scenes_test.go
+++ b/internal/broker/layout/scenes_test.go
@@ -272,7 +272,7 @@
 	if o := <-file; o.status != 500 { // it may have run, and nobody can say with what end
 		t.Errorf("filing: %d %.200s", o.status, o.text)
 	}
-	s.gs[0].Says(0, "event=note", "an answer of s00 for range 0-100, which it holds no longer")
+	s.gs[0].WaitForLine(0, "event=note", "an answer of s00 for range 0-100, which it holds no longer")
 	s.right("the zombie is passed by")
 	s.clean(2)
 }
@@ -343,7 +343,7 @@
 		s.announce(change, layout.Move, []int{0}, part(0, 100, 0, []sq.ServerID{"s04", "s00"}[i%2]))
 		s.do(change+" copy", change+" ready", change+" cutover", change+" retire")
 		if c.says != "" {
-			g.Says(before, "event=layout_kept", c.says)
+			g.WaitForLine(before, "event=layout_kept", c.says)
 		}
 		g.agent.Set(fakebackend.Well, 0)
 		s.right(string(c.ill) + ", perhaps not yet told")
@@ -369,7 +369,7 @@
 	}
 	defer agent.Close()
 	g := &gatherer{Place: harness.NewPlace(t), t: t, agent: agent}
-	g.Passed()
+	g.PassSocket()
 	first := s.c.Directory.Now().Doc()
 	file := config(t, s.c, first, agent.Address())
 	g.Write(file)
@@ -379,11 +379,11 @@
 	s.do("m copy", "m ready")
 	s.told()
 	g.life.Signal(syscall.SIGHUP) // the file's own layout is older by now
-	g.Says(0, "event=reload classes=")
+	g.WaitForLine(0, "event=reload classes=")
 	s.right("reloaded")
 	g.Write([]byte(strings.Replace(string(file), `"id":"s00"`, `"id":"other"`, 1)))
 	g.life.Signal(syscall.SIGHUP)
-	g.Says(0, "event=reload kept=old", "range 0-100", `\"s00\" is not in the list`)
+	g.WaitForLine(0, "event=reload kept=old", "range 0-100", `\"s00\" is not in the list`)
 	g.Write(file)
 	s.do("m cutover")
 	old := g.life
@@ -425,7 +425,7 @@
 	}{{doc, "epoch 1: it goes back"}, {other, "it says something else"}, {gap, "it covers less"}} {
 		g.Write(config(t, c, bad.doc, ""))
 		g.life.Signal(syscall.SIGHUP)
-		g.Says(0, "event=reload kept=old", bad.says)
+		g.WaitForLine(0, "event=reload kept=old", bad.says)
 	}
 	s.right("kept")
 }
@@ -451,7 +451,7 @@
 	}
 	g.Write(config(t, c, doc, ""))
 	g.life.Signal(syscall.SIGHUP)
-	g.Says(0, "event=reload classes=")
+	g.WaitForLine(0, "event=reload classes=")
 	if o := g.ask("filings", "h", keys(100, 200)); !o.equals(c, keys(100, 200)) {
 		t.Errorf("back: %d %.200s", o.status, o.text)
 	}
@@ -462,7 +462,7 @@
 	s := newScene(t, 1)
 	s.announce("m", layout.Move, []int{0}, part(0, 100, 0, "s04"))
 	s.do("m copy")
-	s.gs[0].Says(0, "event=layout_stalled", "change=m", "state=copying")
+	s.gs[0].WaitForLine(0, "event=layout_stalled", "change=m", "state=copying")
 	s.right("stalled")
 	if got := s.gs[0].life.Call("stats"); !strings.Contains(got, "svc.layout.stalled:1|g") || !strings.Contains(got, "svc.layout.changes:1|g") {
 		t.Errorf("stats: %s", got)
--- a/internal/broker/layout/search_test.go
+++ b/internal/broker/layout/search_test.go
@@ -137,7 +137,7 @@
 				layout.Range{Span: layout.Span{From: 30, To: 100}, Shard: 5, Holders: []sq.ServerID{"s04", "s02"}})
 			s.do("x copy", "x ready", "x cutover")
 			g.life.Signal(syscall.SIGHUP) // cursors stay
-			g.Says(0, "event=reload classes=")
+			g.WaitForLine(0, "event=reload classes=")
 		},
 		func() { s.c.Server("s01").Kill(); s.do("x retire") },
 		func() {
--- a/internal/broker/simulation/slowstart_test.go
+++ b/internal/broker/simulation/slowstart_test.go
@@ -36,7 +36,7 @@
 // work, that are about right in the mean; clocks that agree on a start to within the window; and gatherers whose list shows the start.
 func TestTheSumToAWarmingServer(t *testing.T) {
 	seeds, fleets, after := uint64(6), []int{2, 20, 30}, []bool{false, true}
-	if harness.Raced { // the rest is played without the race detector, which makes a day ten times as long
+	if harness.RaceEnabled { // the rest is played without the race detector, which makes a day ten times as long
 		seeds, fleets, after = 1, []int{2, 30}, []bool{true}
 	}
 	for _, n := range fleets {
--- a/internal/cluster/peering/policy_test.go
+++ b/internal/cluster/peering/policy_test.go
@@ -66,17 +66,17 @@
 		file["servers"], file["layout"] = servers, map[string]any{"whole": doc}
 		file["indices"] = []any{map[string]any{"name": "invoices", "class": "search", "field": "taxpayer", "part_work_us": 1000}}
 	})
-	g.Agree(voters, map[string]any{"lease_ms": 1000})
+	g.EnableRollout(voters, map[string]any{"lease_ms": 1000})
 	return g
 }
 
 // stands is the line of a member's own in what its door tells of the policy.
 func stands(m *harness.Member) map[string]string {
 	of := map[string]string{}
-	if m.Life == nil || m.Halted {
+	if m.Process == nil || m.Halted {
 		return of
 	}
-	for line := range strings.Lines(m.Life.Call("policy")) {
+	for line := range strings.Lines(m.Process.Call("policy")) {
 		if rest, is := strings.CutPrefix(line, "policy "); is {
 			for _, word := range strings.Fields(rest) {
 				name, value, _ := strings.Cut(word, "=")
@@ -94,7 +94,7 @@
 		ok = true
 		numbers := map[string]bool{}
 		for _, m := range g.Members {
-			if m.Life == nil || m.Halted {
+			if m.Process == nil || m.Halted {
 				continue
 			}
 			of := stands(m)
@@ -222,10 +222,10 @@
 						acked.Store(int64(a.Number))
 						told.Add(1)
 						base = a.Number
-						g.Note("version %d is in force", a.Number)
+						g.Record("version %d is in force", a.Number)
 					case 2:
 						refused.Add(1)
-						g.Note("refused: %s", a.Reason)
+						g.Record("refused: %s", a.Reason)
 						if m := g.Members[rng.IntN(voters)]; m != nil {
 							if i, err := strconv.ParseUint(g.Policy(m), 10, 64); err == nil {
 								base = max(base, i)
@@ -326,7 +326,7 @@
 	dir string
 }
 
-func (o *operator) door(i int) string { return o.g.Members[i].Life.Door }
+func (o *operator) door(i int) string { return o.g.Members[i].Process.AdminAddress }
 
 func (o *operator) write(name string, text []byte) string {
 	o.t.Helper()
@@ -382,7 +382,7 @@
 	run(0, "version 2 by", "history", "--door", door(1))
 	run(1, "no proposal of version 9", append([]string{"abort", "9"}, flags()...)...)
 	run(0, `"max_open":1007`, "show", "--door", door(3))
-	if text := g.Members[4].Life.Call("stats"); !strings.Contains(text, "svc.rollout.number:2|g") || !strings.Contains(text, "svc.rollout.admits:1|g") {
+	if text := g.Members[4].Process.Call("stats"); !strings.Contains(text, "svc.rollout.number:2|g") || !strings.Contains(text, "svc.rollout.admits:1|g") {
 		t.Errorf("figures: %s", text)
 	}
 	run(0, "holder name=g04 number=2", "status", "--door", door(g.Leader()))
@@ -390,8 +390,8 @@
 	g.Members[3].Edit(func(file map[string]any) {
 		file["settings"].(map[string]any)["permissions"].(map[string]any)["max_open"] = 9
 	})
-	g.Members[3].Life.Signal(1)
-	g.Members[3].Says(0, "event=reload kept=old", "settings: with a rollout on it is changed by")
+	g.Members[3].Process.Signal(1)
+	g.Members[3].WaitForLine(0, "event=reload kept=old", "settings: with a rollout on it is changed by")
 	// One is down, comes back with the old version, and lets nothing in under it.
 	g.Kill(4)
 	run(0, "version 3 is in force", append([]string{"propose", write("three.json", policy(t, g, 9)), "--base", "2"}, flags()...)...)
@@ -406,7 +406,7 @@
 		of := stands(g.Members[3])
 		return fmt.Sprint(of), of["admits"] == "lapse"
 	})
-	resp, err := http.Post("http://"+g.Members[3].Life.Listen+"/invoices/_search", "application/json", strings.NewReader(`{}`))
+	resp, err := http.Post("http://"+g.Members[3].Process.Listen+"/invoices/_search", "application/json", strings.NewReader(`{}`))
 	if err != nil || resp.StatusCode != 429 || resp.Header.Get("Retry-After") == "" {
 		t.Errorf("%v %v", resp, err)
 	}
--- a/internal/cluster/peering/price_test.go
+++ b/internal/cluster/peering/price_test.go
@@ -90,7 +90,7 @@
 	}
 	// One to four down, one leader or voter among them, never a majority of the voters.
 	for down, who := range []int{g.Leader(), 8, (g.Leader() + 1) % 5, 7} {
-		if g.Members[who].Life == nil {
+		if g.Members[who].Process == nil {
 			who = 6
 		}
 		g.Kill(who)
--- a/internal/cluster/peering/program_test.go
+++ b/internal/cluster/peering/program_test.go
@@ -33,7 +33,7 @@
 // nobodyDied says that no member held another one for dead.
 func nobodyDied(t *testing.T, g *harness.Group) {
 	t.Helper()
-	if n := g.Said("event=peer ", "what=dead"); n > 0 {
+	if n := g.CountLines("event=peer ", "what=dead"); n > 0 {
 		t.Errorf("%d times a member was held for dead", n)
 	}
 }
@@ -54,7 +54,7 @@
 			for i := 4; i < 8; i++ {
 				g.Kill(i)
 			}
-			g.Settled()
+			g.WaitConverged()
 			if v, _ := g.Members[0].View(); v.Of["alive"] != "4" || v.Of["reckon"] != "8" || v.Of["divide"] != "8" {
 				t.Errorf("alive %s, reckoned with %s, divided by %s", v.Of["alive"], v.Of["reckon"], v.Of["divide"])
 			}
@@ -71,51 +71,51 @@
 				}
 			}
 			g.Net.Expire(cut.At + cut.For)
-			g.Settled()
+			g.WaitConverged()
 		}},
 		{"one way", 6, calm, func(t *testing.T, g *harness.Group) {
 			g.Play(script(t, "at 0s for 6s half 1 4", 6))
 			nobodyDied(t, g)
-			g.Settled()
+			g.WaitConverged()
 		}},
 		{"a pair cut", 6, calm, func(t *testing.T, g *harness.Group) {
 			g.Play(script(t, "at 0s for 6s cut 1 4", 6))
 			nobodyDied(t, g)
-			g.Settled()
+			g.WaitConverged()
 		}},
 		{"30% lost", 6, calm, func(t *testing.T, g *harness.Group) {
 			g.Play(script(t, "at 0s for 6s loss 0.3", 6))
 			nobodyDied(t, g)
-			g.Settled()
+			g.WaitConverged()
 		}},
 		{"repeats and disorder", 6, calm, func(t *testing.T, g *harness.Group) {
 			g.Play(script(t, "at 0s for 6s repeat 0.5\nat 0s for 6s delay 20ms * *", 6))
 			nobodyDied(t, g)
 			g.Kill(2)
-			g.Settled()
+			g.WaitConverged()
 			g.Start(2)
-			g.Settled()
+			g.WaitConverged()
 		}},
 		{"stopped, and goes on", 6, quick, func(t *testing.T, g *harness.Group) {
 			g.Halt(2)
-			g.Settled() // without it
+			g.WaitConverged() // without it
 			time.Sleep(2500 * time.Millisecond * long)
-			before := g.Said("event=peer ", "what=dead")
+			before := g.CountLines("event=peer ", "what=dead")
 			g.Continue(2)
-			g.Settled()
-			g.Members[2].Says(0, "event=peer_nap")
-			if after := g.Said("event=peer ", "what=dead"); after > before {
+			g.WaitConverged()
+			g.Members[2].WaitForLine(0, "event=peer_nap")
+			if after := g.CountLines("event=peer ", "what=dead"); after > before {
 				t.Errorf("it had %d members held for dead", after-before)
 			}
 		}},
 		{"restart within the suspicion", 6, calm, func(t *testing.T, g *harness.Group) {
 			g.Kill(2)
 			g.Start(2)
-			g.Settled()
+			g.WaitConverged()
 			g.Kill(3)
 			g.Move(3)
 			g.Start(3)
-			g.Settled()
+			g.WaitConverged()
 			nobodyDied(t, g)
 			v, _ := g.Members[0].View()
 			text, err := os.ReadFile(g.Members[3].File)
@@ -127,41 +127,41 @@
 			twin := g.Twin(2, calm)
 			old := g.Members[2]
 			for _, m := range []*harness.Member{old, twin} {
-				m.Says(0, "event=peer_twin")
+				m.WaitForLine(0, "event=peer_twin")
 				g.Until("both show it", func() (string, bool) { v, ok := m.View(); return fmt.Sprint(v.Of), ok && v.Of["twin"] == "true" })
 			}
 			nobodyDied(t, g)
 			for _, i := range []int{0, 1, 3, 4} {
-				if n := strings.Count(g.Members[i].Said(), "what=restarted"); n > 1 {
+				if n := strings.Count(g.Members[i].Output(), "what=restarted"); n > 1 {
 					t.Errorf("%d changed %d times between the two", i, n)
 				}
 			}
 			if v, ok := old.View(); !ok || v.Of["member"] != "false" {
 				t.Errorf("the earlier one takes itself for a member: %v", v.Of)
 			}
-			twin.Life.Kill()
+			twin.Process.Kill()
 			g.Until("the earlier one is back", func() (string, bool) { v, ok := old.View(); return fmt.Sprint(v.Of), ok && v.Of["member"] == "true" })
-			g.Settled()
+			g.WaitConverged()
 		}},
 		{"leave, standby, forget", 5, quick, func(t *testing.T, g *harness.Group) {
 			g.Leave(4)
-			g.Settled()
+			g.WaitConverged()
 			v, _ := g.Members[0].View()
 			if v.Members["g04"]["state"] != "left" || v.Of["reckon"] != "4" {
 				t.Errorf("after a leave: %v", v)
 			}
 			nobodyDied(t, g)
-			if got := g.Members[1].Life.Call("standby"); !strings.HasPrefix(got, "YES") {
+			if got := g.Members[1].Process.Call("standby"); !strings.HasPrefix(got, "YES") {
 				t.Error(got)
 			}
 			g.Until("known as standby", func() (string, bool) {
 				v, _ := g.Members[0].View()
 				return fmt.Sprint(v.Members["g01"]), v.Members["g01"]["standby"] == "true" && v.Members["g01"]["state"] == "alive"
 			})
-			g.Settled()
+			g.WaitConverged()
 			g.Kill(3)
-			g.Settled()
-			door := g.Members[0].Life.Door
+			g.WaitConverged()
+			door := g.Members[0].Process.AdminAddress
 			if out, code := harness.Run(t, "fleet", "forget", "g02", "--door", door); code != 1 || !strings.Contains(out, "not a dead member") {
 				t.Errorf("a live one: %d %s", code, out)
 			}
@@ -180,28 +180,28 @@
 			if out, code := harness.Run(t, "stats", "--door", door); code != 0 || !strings.Contains(out, "svc.fleet.alive:3|g") || !strings.Contains(out, "svc.fleet.died:1|c") {
 				t.Errorf("%d %s", code, out)
 			}
-			if out, code := harness.Run(t, "fleet", "leave", "--door", g.Members[2].Life.Door); code != 0 {
+			if out, code := harness.Run(t, "fleet", "leave", "--door", g.Members[2].Process.AdminAddress); code != 0 {
 				t.Errorf("%d %s", code, out)
 			}
 			g.Until("left, and serving", func() (string, bool) {
 				v, _ := g.Members[0].View()
-				return fmt.Sprint(v.Members["g02"]), v.Members["g02"]["state"] == "left" && strings.HasPrefix(g.Members[2].Life.Call("status"), "YES")
+				return fmt.Sprint(v.Members["g02"]), v.Members["g02"]["state"] == "left" && strings.HasPrefix(g.Members[2].Process.Call("status"), "YES")
 			})
 		}},
 		{"replaced with a passed socket", 3, quick, func(t *testing.T, g *harness.Group) {
 			m := g.Members[1]
-			m.Passed()
+			m.PassSocket()
 			g.Leave(1)
-			m.Listen() // on a port of its own, as an operator's file has it
+			m.FixListenPort() // on a port of its own, as an operator's file has it
 			g.Start(1)
-			g.Settled()
-			before, old := len(m.Lines()), m.Life
-			m.Life = m.Start()
-			m.Says(before, "event=peers listen=", "error=")
-			m.Says(before, "event=start ")
+			g.WaitConverged()
+			before, old := len(m.Lines()), m.Process
+			m.Process = m.Start()
+			m.WaitForLine(before, "event=peers listen=", "error=")
+			m.WaitForLine(before, "event=start ")
 			old.Leave()
-			m.Says(before, "event=peers listen=", "advertise=")
-			g.Settled()
+			m.WaitForLine(before, "event=peers listen=", "advertise=")
+			g.WaitConverged()
 			nobodyDied(t, g)
 		}},
 		{"nobody to join", 5, quick, func(t *testing.T, g *harness.Group) {
@@ -209,22 +209,22 @@
 				g.Kill(i)
 			}
 			g.Start(4)
-			g.Members[4].Says(0, "event=peers_alone", "level=error")
-			if got := g.Members[4].Life.Call("status"); !strings.HasPrefix(got, "YES") {
+			g.Members[4].WaitForLine(0, "event=peers_alone", "level=error")
+			if got := g.Members[4].Process.Call("status"); !strings.HasPrefix(got, "YES") {
 				t.Errorf("it does not serve: %s", got)
 			}
 			if v, _ := g.Members[4].View(); v.Of["alive"] != "1" || v.Of["divide"] != "0" {
 				t.Errorf("alone it divides by %s", v.Of["divide"])
 			}
 			g.Start(0)
-			g.Settled()
+			g.WaitConverged()
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			g := harness.NewGroup(t, 1, c.members, c.edit)
 			g.StartAll()
-			g.Settled()
+			g.WaitConverged()
 			c.play(t, g)
 		})
 	}
@@ -248,11 +248,11 @@
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			g := harness.NewGroup(t, seed, members, nil)
 			g.StartAll()
-			g.Settled()
+			g.WaitConverged()
 			s := faults.Random(seed, members, count, length)
 			g.Play(s)
 			began := time.Now()
-			g.Settled()
+			g.WaitConverged()
 			passed, lost := g.Net.Counts()
 			t.Logf("seed %d: %d faults, %d datagrams passed, %d lost, settled %s after the last", seed, len(s), passed, lost, time.Since(began).Round(10*time.Millisecond))
 		})
@@ -268,11 +268,11 @@
 	})
 	g.StartAll()
 	g.Until("the other fleet's words are dropped", func() (string, bool) {
-		text := g.Members[0].Life.Call("stats")
+		text := g.Members[0].Process.Call("stats")
 		return text, !strings.Contains(text, "svc.fleet.dropped:0|c") && strings.Contains(text, "svc.fleet.alive:1|g")
 	})
-	g.Members[0].Life.Signal(syscall.SIGHUP) // the file as it is
-	g.Members[0].Says(0, "event=reload classes=")
+	g.Members[0].Process.Signal(syscall.SIGHUP) // the file as it is
+	g.Members[0].WaitForLine(0, "event=reload classes=")
 	if v, ok := g.Members[0].View(); !ok || !slices.Equal(v.Present(), []string{"g00"}) {
 		t.Errorf("%v", v.Present())
 	}
--- a/internal/cluster/peering/regions_cases_test.go
+++ b/internal/cluster/peering/regions_cases_test.go
@@ -132,7 +132,7 @@
 		g.Start(c.gone...)
 		admits(before+2, 0, 1, 2, 3)
 	}
-	if end := ask(g.Members[4].Life.Listen, "any"); !strings.HasPrefix(end, "429") || stands(g.Members[4])["admits"] != "lapse" {
+	if end := ask(g.Members[4].Process.Listen, "any"); !strings.HasPrefix(end, "429") || stands(g.Members[4])["admits"] != "lapse" {
 		t.Errorf("the witness: %q, %v", end, stands(g.Members[4]))
 	}
 	change(0, "version 6 is in force in 2 of 2 regions: este, oeste", 6)
--- a/internal/cluster/peering/regions_test.go
+++ b/internal/cluster/peering/regions_test.go
@@ -44,10 +44,10 @@
 // regionOf is the line of a member's region in what its door tells of the policy.
 func regionOf(m *harness.Member) map[string]string {
 	of := map[string]string{}
-	if m.Life == nil || m.Halted {
+	if m.Process == nil || m.Halted {
 		return of
 	}
-	for line := range strings.Lines(m.Life.Call("policy")) {
+	for line := range strings.Lines(m.Process.Call("policy")) {
 		if rest, is := strings.CutPrefix(line, "region "); is {
 			for _, word := range strings.Fields(rest) {
 				name, value, _ := strings.Cut(word, "=")
@@ -65,10 +65,10 @@
 		ok = true
 		for _, i := range halves[region] {
 			m := g.Members[i]
-			if m.Life == nil {
+			if m.Process == nil {
 				continue
 			}
-			end, of := ask(m.Life.Listen, "any"), stands(m)
+			end, of := ask(m.Process.Listen, "any"), stands(m)
 			how += fmt.Sprintf("%s: %s, %v; ", m.Name, end, of)
 			ok = ok && end == fmt.Sprintf("200 %d", number) && of["number"] == strconv.FormatInt(number, 10)
 		}
@@ -82,7 +82,7 @@
 	g.Until(fmt.Sprintf("%s: apart is %t", region, is), func() (how string, ok bool) {
 		ok = true
 		for _, i := range halves[region] {
-			if m := g.Members[i]; m.Life != nil {
+			if m := g.Members[i]; m.Process != nil {
 				of := regionOf(m)
 				how, ok = how+fmt.Sprintf("%s: %v; ", m.Name, of), ok && of["name"] == region && of["apart"] == fmt.Sprint(is)
 			}
@@ -143,8 +143,8 @@
 	// What the region that stands still tells.
 	for _, i := range halves["este"] {
 		m := g.Members[i]
-		m.Says(0, "event=rollout_apart", "region=este", "number=1")
-		if text := m.Life.Call("stats"); strings.Contains(text, "svc.rollout.apart_ms:0|g") || !strings.Contains(text, "svc.rollout.behind:0|g") {
+		m.WaitForLine(0, "event=rollout_apart", "region=este", "number=1")
+		if text := m.Process.Call("stats"); strings.Contains(text, "svc.rollout.apart_ms:0|g") || !strings.Contains(text, "svc.rollout.behind:0|g") {
 			t.Errorf("%s: %s", m.Name, text)
 		}
 	}
@@ -164,7 +164,7 @@
 	g.Start(6)
 	serves(g, "este", 1)
 	for _, i := range halves["este"] {
-		if strings.Contains(g.Members[i].Life.Call("policy"), " leads=true") {
+		if strings.Contains(g.Members[i].Process.Call("policy"), " leads=true") {
 			g.Kill(i)
 			serves(g, "este", 1)
 			g.Start(i)
@@ -183,7 +183,7 @@
 	serves(g, "este", 3)
 	apart(g, "este", false)
 	g.Until("somebody logs that it is joined", func() (string, bool) {
-		return "", g.Said("event=rollout_joined", "region=este", "number=3") > 0
+		return "", g.CountLines("event=rollout_joined", "region=este", "number=3") > 0
 	})
 	// As far from each other as regions are: 30 to 60 ms each way.
 	g.Net.Begin(script(t, "at 0s for 1h delay 30ms 0-3 4-6", 7)[0])
--- a/internal/cluster/peering/shares_test.go
+++ b/internal/cluster/peering/shares_test.go
@@ -26,10 +26,10 @@
 func reading(g *harness.Group) map[string]int {
 	at := map[string]int{}
 	for _, m := range g.Members {
-		if m.Life == nil || m.Halted {
+		if m.Process == nil || m.Halted {
 			continue
 		}
-		_, rest, ok := strings.Cut(m.Life.Call("contracts"), "limit=")
+		_, rest, ok := strings.Cut(m.Process.Call("contracts"), "limit=")
 		word, _, _ := strings.Cut(rest, " ")
 		if n, err := strconv.Atoi(word); ok && err == nil {
 			at[m.Name] = n
--- a/internal/cluster/peering/steps_test.go
+++ b/internal/cluster/peering/steps_test.go
@@ -44,7 +44,7 @@
 		return "it is open", a != nil
 	})
 	n := uint64(admit(c.t, c.g))
-	c.g.Note("%s: told %v, version %d", what, a, n)
+	c.g.Record("%s: told %v, version %d", what, a, n)
 	if a.End == 1 && n < a.Number || a.End == 2 && n != c.number {
 		c.t.Fatalf("%s: told %v after version %d, and version %d is in force", what, a, c.number, n)
 	}
@@ -136,7 +136,7 @@
 	c.number = uint64(admit(t, g))
 
 	// One-way links, a third lost, repeats, disorder, while it is changed.
-	for _, x := range []faults.Step{{Do: faults.Loss, P: 0.3}, {Do: faults.Repeat, P: 0.3}, {Do: faults.Delay, D: 20 * time.Millisecond}, {Do: faults.Half, A: faults.Set{3}, B: faults.Set{g.Leader()}}} {
+	for _, x := range []faults.Step{{Do: faults.Loss, Fraction: 0.3}, {Do: faults.Repeat, Fraction: 0.3}, {Do: faults.Delay, Delay: 20 * time.Millisecond}, {Do: faults.Half, A: faults.Set{3}, B: faults.Set{g.Leader()}}} {
 		g.Net.Begin(x)
 	}
 	_, end = c.begin()
@@ -184,7 +184,7 @@
 		nonce++
 		return propose(g, 3, &wire.Propose{Nonce: nonce, Base: c.number, Text: large, By: "test"}, over)
 	}
-	for tries := 0; !strings.Contains(g.Members[3].Said(), `event=rollout_refused error="store: `) && !strings.Contains(g.Members[3].Said(), "event=rollout_fails"); tries++ {
+	for tries := 0; !strings.Contains(g.Members[3].Output(), `event=rollout_refused error="store: `) && !strings.Contains(g.Members[3].Output(), "event=rollout_fails"); tries++ {
 		if a := big(); a.End == 1 { // its segment had room for one more
 			c.number = a.Number
 		}
--- a/internal/cluster/peering/terms_test.go
+++ b/internal/cluster/peering/terms_test.go
@@ -43,12 +43,12 @@
 	change(1, document("quiet", "loud"))
 	ends := make(chan string, 30)
 	for i := range 30 {
-		go func() { ends <- ask(g.Members[i%3].Life.Listen, "loud") }()
+		go func() { ends <- ask(g.Members[i%3].Process.Listen, "loud") }()
 	}
 	g.Until("some are in everywhere", func() (how string, ok bool) {
 		ok = true
 		for _, m := range g.Members {
-			_, rest, _ := strings.Cut(m.Life.Call("stats"), "svc.open_requests:")
+			_, rest, _ := strings.Cut(m.Process.Call("stats"), "svc.open_requests:")
 			open, _, _ := strings.Cut(rest, "|")
 			how, ok = how+" "+open, ok && open != "0"
 		}
@@ -69,10 +69,10 @@
 	t.Logf("%d of 30 were in, and kept their terms", kept)
 	admit(t, g)
 	for i := range 3 {
-		if end := ask(g.Members[i].Life.Listen, "loud"); strings.HasPrefix(end, "200") {
+		if end := ask(g.Members[i].Process.Listen, "loud"); strings.HasPrefix(end, "200") {
 			t.Errorf("the team that was shut out: %q", end)
 		}
-		if end := ask(g.Members[i].Life.Listen, "quiet"); end != "200 2" {
+		if end := ask(g.Members[i].Process.Listen, "quiet"); end != "200 2" {
 			t.Errorf("the other team: %q", end)
 		}
 	}
@@ -99,7 +99,7 @@
 	g := prepared(t, 22, 5, 3)
 	for _, m := range g.Members {
 		m.Edit(func(file map[string]any) { delete(file, "rollout") })
-		m.Agrees(false)
+		m.SetRollout(false)
 	}
 	g.StartAll()
 	began := time.Now()
@@ -111,12 +111,12 @@
 			}
 		})
 		from := len(m.Lines())
-		m.Life.Signal(1)
-		m.Says(from, "event=reload")
+		m.Process.Signal(1)
+		m.WaitForLine(from, "event=reload")
 	}
 	mixed := 0
 	for _, m := range g.Members {
-		if strings.Contains(m.Said(), "kept=old") {
+		if strings.Contains(m.Output(), "kept=old") {
 			mixed++
 		}
 	}
--- a/internal/cluster/peering/voters_test.go
+++ b/internal/cluster/peering/voters_test.go
@@ -13,7 +13,7 @@
 func until(g *harness.Group, i int, words ...string) {
 	g.T.Helper()
 	g.Until(strings.Join(words, " "), func() (string, bool) {
-		text := g.Members[i].Life.Call("policy")
+		text := g.Members[i].Process.Call("policy")
 		for _, w := range words {
 			if !strings.Contains(text, w) {
 				return text, false
@@ -29,7 +29,7 @@
 	if err := os.RemoveAll(filepath.Join(g.Members[i].Dir, "store")); err != nil {
 		t.Fatal(err)
 	}
-	g.Note("%s lost its disk", g.Members[i].Name)
+	g.Record("%s lost its disk", g.Members[i].Name)
 }
 
 // Roster and voters change while the fleet runs: one joins, a voter loses its disk, one is replaced while it is down, one leaves; a version
--- a/internal/cluster/quota/simulation/measure_test.go
+++ b/internal/cluster/quota/simulation/measure_test.go
@@ -11,7 +11,7 @@
 // What dividing costs on the way: it adds no message, and so many bytes for each gatherer and second.
 func TestMeasure(t *testing.T) {
 	sizes := []int{30, 300}
-	if harness.Raced {
+	if harness.RaceEnabled {
 		sizes = sizes[:1]
 	}
 	for _, n := range sizes {
--- a/internal/cluster/quota/simulation/proof_test.go
+++ b/internal/cluster/quota/simulation/proof_test.go
@@ -41,7 +41,7 @@
 // gatherer gets nine tenths there within 3 s, and after a crash the part is in use elsewhere within a lease and a second.
 func TestProof(t *testing.T) {
 	seeds := 200
-	if harness.Raced {
+	if harness.RaceEnabled {
 		seeds = 4
 	}
 	over, starved, skewed, crash, equal := 0, 0, 1.0, int64(0), 0.0
--- a/internal/cluster/rollout/simulation/proof_test.go
+++ b/internal/cluster/rollout/simulation/proof_test.go
@@ -58,7 +58,7 @@
 // seeds are played.
 func TestProof(t *testing.T) {
 	seeds, many := 1000, 20
-	if harness.Raced {
+	if harness.RaceEnabled {
 		seeds, many = 12, 0
 	}
 	if n := os.Getenv("SAFFRONQUAY_SEEDS"); n != "" {
--- a/internal/cluster/rollout/simulation/regions_cases_test.go
+++ b/internal/cluster/rollout/simulation/regions_cases_test.go
@@ -19,7 +19,7 @@
 
 // seedCount is how many seeds a case has; under the race detector one, since there are many cases.
 func seedCount(n uint64) uint64 {
-	if harness.Raced {
+	if harness.RaceEnabled {
 		return 1
 	}
 	return n
@@ -113,7 +113,7 @@
 		},
 	}
 	for name, moment := range moments {
-		if harness.Raced && name != "pausing" && name != "committed" {
+		if harness.RaceEnabled && name != "pausing" && name != "committed" {
 			continue // the others are played without the race detector
 		}
 		t.Run(name, func(t *testing.T) {
--- a/internal/cluster/rollout/simulation/regions_proof_test.go
+++ b/internal/cluster/rollout/simulation/regions_proof_test.go
@@ -65,7 +65,7 @@
 // there are fewer seeds. SAFFRONQUAY_SEEDS sets how many of the small ones are played.
 func TestProofRegions(t *testing.T) {
 	many, small, joined, found := 6, 60, 2, []uint64{142, 621, 817} // these have found faults
-	if harness.Raced {
+	if harness.RaceEnabled {
 		many, small, joined = 0, 6, 0
 	}
 	if n := os.Getenv("SAFFRONQUAY_SEEDS"); n != "" {
--- a/internal/cluster/swim/simulation/faults.go
+++ b/internal/cluster/swim/simulation/faults.go
@@ -28,7 +28,7 @@
 			p.stopped, p.disturbed = true, true
 			w.after(x.For.Microseconds(), func() { w.resume(p) })
 		case faults.Slow:
-			p.slow, p.disturbed = x.D.Microseconds(), true
+			p.slow, p.disturbed = x.Delay.Microseconds(), true
 			if x.For > 0 {
 				w.after(x.For.Microseconds(), func() { p.slow = 0 })
 			}
--- a/internal/cluster/swim/simulation/proof_test.go
+++ b/internal/cluster/swim/simulation/proof_test.go
@@ -48,7 +48,7 @@
 // seeds.
 func TestProof(t *testing.T) {
 	members, seeds := 300, 200
-	if harness.Raced {
+	if harness.RaceEnabled {
 		members, seeds = 40, 16
 	}
 	if n := os.Getenv("SAFFRONQUAY_SEEDS"); n != "" {
--- a/internal/cluster/swim/simulation/scenes_test.go
+++ b/internal/cluster/swim/simulation/scenes_test.go
@@ -118,7 +118,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			members, seeds := c.members, uint64(5)
-			if harness.Raced {
+			if harness.RaceEnabled {
 				seeds = 1
 				if members == 300 {
 					members = 80
@@ -156,7 +156,7 @@
 func TestBaselines(t *testing.T) {
 	script := starving(60, 15)
 	held, days := map[string]int{}, 2
-	if harness.Raced {
+	if harness.RaceEnabled {
 		days = 1
 	}
 	var mu sync.Mutex
--- a/internal/scale/change.go
+++ b/internal/scale/change.go
@@ -96,7 +96,7 @@
 			}
 		}
 		for i, m := range r.g.Members {
-			if m.Life == nil {
+			if m.Process == nil {
 				continue
 			}
 			at := r.inForce(i, c.Number)
--- a/internal/scale/children.go
+++ b/internal/scale/children.go
@@ -205,13 +205,13 @@
 
 // readReal reads a real process by its door and the system's word.
 func (r *Rig) readReal(i int) (x Real) {
-	door, name, pid := r.g.DoorOf(i)
+	door, name, pid := r.g.AdminAddressOf(i)
 	x = Real{Name: name, Votes: i < r.cfg.Voters}
 	if door == "" {
 		return x
 	}
 	at := map[string]int64{}
-	for line := range strings.Lines((&harness.Life{Door: door}).Call("stats")) {
+	for line := range strings.Lines((&harness.Process{AdminAddress: door}).Call("stats")) {
 		name, rest, ok := strings.Cut(strings.TrimSpace(line), ":")
 		value, _, _ := strings.Cut(rest, "|")
 		if n, err := strconv.ParseInt(value, 10, 64); ok && err == nil {
--- a/internal/scale/event.go
+++ b/internal/scale/event.go
@@ -123,7 +123,7 @@
 // Delay has all words between the regions come so much later, and up to as much again.
 func (r *Rig) Delay(d time.Duration) {
 	a, b := r.regions()
-	r.g.Net.Begin(faults.Step{Do: faults.Delay, D: d, A: a, B: b})
+	r.g.Net.Begin(faults.Step{Do: faults.Delay, Delay: d, A: a, B: b})
 }
 
 // Play plays one event, at a fleet that is at rest.
@@ -159,7 +159,7 @@
 		defer changes.Done()
 		defer func() { // a change that never ends is told of, and the watch goes on
 			if x := recover(); x != nil {
-				e.Fault = harness.Never(x)
+				e.Fault = harness.FatalReason(x)
 			}
 		}()
 		for range scene.Changes {
@@ -276,7 +276,7 @@
 	for _, x := range s {
 		todo = append(todo, due{x.At, func() {
 			if x.Do.Lasting() {
-				r.g.Note("%s", x)
+				r.g.Record("%s", x)
 				r.g.Net.Begin(x)
 				return
 			}
--- a/internal/scale/proof_test.go
+++ b/internal/scale/proof_test.go
@@ -17,7 +17,7 @@
 func TestProof(t *testing.T) {
 	strict, sizes := os.Getenv("SAFFRONQUAY_LONG") != "", []int{50, 100, 200, 400}
 	e := Effort{Rest: 8 * time.Second, Changes: 2, Calm: 30 * time.Second}
-	if harness.Raced {
+	if harness.RaceEnabled {
 		sizes, e = []int{20, 30, 40, 60}, Effort{Rest: 6 * time.Second, Changes: 2, Calm: 30 * time.Second}
 	}
 	if strict {
--- a/internal/scale/rig.go
+++ b/internal/scale/rig.go
@@ -133,7 +133,7 @@
 	if cfg.Hold > 0 {
 		terms["hold_ms"] = cfg.Hold.Milliseconds()
 	}
-	r.g.Agree(cfg.Voters, terms)
+	r.g.EnableRollout(cfg.Voters, terms)
 	r.hollow(first)
 	r.files()
 	return r, nil
@@ -193,11 +193,11 @@
 			agrees := x.Policy
 			if r.cfg.Relayed {
 				view, policy := r.g.Relay(r.real+j, at), r.g.Relay(r.real+j, at)
-				view.Aim(x.View)
-				policy.Aim(x.Policy)
+				view.SetTarget(x.View)
+				policy.SetTarget(x.Policy)
 				x.Advertise, agrees = view.Address(), policy.Address()
 			} else {
-				r.g.Net.Know(at, r.real+j)
+				r.g.Net.AddSender(at, r.real+j)
 			}
 			p.places, p.agrees = append(p.places, x), append(p.agrees, agrees)
 			j++
@@ -270,7 +270,7 @@
 			held += resident(p.pid())
 		}
 		for i := range r.real {
-			_, _, pid := r.g.DoorOf(i)
+			_, _, pid := r.g.AdminAddressOf(i)
 			held += resident(pid)
 		}
 		if held >>= 20; held > r.held.Load() {
@@ -319,11 +319,11 @@
 			}
 		}
 		for _, m := range r.g.Members {
-			if m.Life == nil {
+			if m.Process == nil {
 				continue
 			}
 			ran++
-			if text := m.Life.Call("stats"); !strings.Contains(text, fmt.Sprintf("svc.fleet.alive:%d|", alive)) || !strings.Contains(text, "svc.rollout.admits:1|") {
+			if text := m.Process.Call("stats"); !strings.Contains(text, fmt.Sprintf("svc.fleet.alive:%d|", alive)) || !strings.Contains(text, "svc.rollout.admits:1|") {
 				wrong++
 				example = m.Name + " sees another number, or lets nothing in"
 			}
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -151,7 +151,7 @@
 	}()
 	defer t.Close()
 	defer func() {
-		if never := harness.Never(recover()); never != "" {
+		if never := harness.FatalReason(recover()); never != "" {
 			fault = never
 		} else {
 			fault = strings.Join(t.Errors(), "; ")
--- a/internal/scale/work/gatherer.go
+++ b/internal/scale/work/gatherer.go
@@ -54,7 +54,7 @@
 
 // Gatherer is a real gatherer process in front of a hollow fleet.
 type Gatherer struct {
-	*harness.Life
+	*harness.Process
 	place *harness.Place
 }
 
--- a/internal/scale/work/measured.go
+++ b/internal/scale/work/measured.go
@@ -216,7 +216,7 @@
 		}
 	}()
 	until := func(n int64) {
-		for end := time.Now().Add(harness.Patience); heard.Load() < n; time.Sleep(time.Millisecond) {
+		for end := time.Now().Add(harness.WaitTimeout); heard.Load() < n; time.Sleep(time.Millisecond) {
 			if time.Now().After(end) {
 				s.t.Fatalf("%d of %d were told", heard.Load(), n)
 			}
--- a/internal/scale/work/scene.go
+++ b/internal/scale/work/scene.go
@@ -62,7 +62,7 @@
 			t.Fatal("the hollow fleet ended at its start: is the limit on descriptors too low for so many workers?")
 		}
 		return h
-	case <-time.After(harness.Patience):
+	case <-time.After(harness.WaitTimeout):
 		t.Fatal("the hollow fleet neither started nor ended")
 	}
 	return Hollow{}
--- a/internal/scale/work/slopes.go
+++ b/internal/scale/work/slopes.go
@@ -133,7 +133,7 @@
 	}
 	defer r.Close()
 	defer func() {
-		if never := harness.Never(recover()); never != "" {
+		if never := harness.FatalReason(recover()); never != "" {
 			err = errors.New(never)
 		} else if all := r.Errors(); len(all) > 0 {
 			err = errors.New(strings.Join(all, "; "))
--- a/internal/scale/work/workers_test.go
+++ b/internal/scale/work/workers_test.go
@@ -53,7 +53,7 @@
 		t.Errorf("%d servers in the gatherer's list, want 40", n)
 	}
 	d.Change(3)
-	g.place.Says(0, "event=fleet", "generation=42", "entries=3")
+	g.place.WaitForLine(0, "event=fleet", "generation=42", "entries=3")
 	if told := d.Told(); told.Watches != 1 || told.Generation != 42 || told.ListBytes == 0 {
 		t.Errorf("%+v: want one watch at version 42", told)
 	}
--- a/internal/testing/faults/faults.go
+++ b/internal/testing/faults/faults.go
@@ -50,7 +50,7 @@
 )
 
 // shape is what follows a kind's name: p a share, d a time, a and b sets.
-var shape = map[Kind]string{
+var operands = map[Kind]string{
 	Loss: "p", Cut: "ab", Half: "ab", Delay: "dab", Repeat: "p", Kill: "a", Start: "a", Move: "a", Stop: "a",
 	Slow: "da", Leave: "a", Twin: "a",
 }
@@ -75,8 +75,8 @@
 	At, For time.Duration // For 0: for good
 	Do      Kind
 	A, B    Set // nil: all
-	P       float64
-	D       time.Duration
+	Fraction       float64
+	Delay       time.Duration
 }
 
 // Script is steps in the order of their times.
@@ -93,7 +93,7 @@
 		if len(words) == 0 {
 			continue
 		}
-		step, err := parse(words, members)
+		step, err := parseStep(words, members)
 		if err != nil {
 			return nil, fmt.Errorf("line %d: %w", n, err)
 		}
@@ -103,7 +103,7 @@
 	return s, nil
 }
 
-func parse(words []string, members int) (x Step, err error) {
+func parseStep(words []string, members int) (x Step, err error) {
 	take := func() string {
 		if len(words) == 0 {
 			return ""
@@ -115,18 +115,18 @@
 	if take() != "at" {
 		return x, fmt.Errorf("want 'at TIME'")
 	}
-	if x.At, err = length(take()); err != nil {
+	if x.At, err = parseDuration(take()); err != nil {
 		return x, err
 	}
 	word := take()
 	if word == "for" {
-		if x.For, err = length(take()); err != nil {
+		if x.For, err = parseDuration(take()); err != nil {
 			return x, err
 		}
 		word = take()
 	}
 	x.Do = Kind(word)
-	form, ok := shape[x.Do]
+	form, ok := operands[x.Do]
 	if !ok {
 		return x, fmt.Errorf("there is no fault %q", word)
 	}
@@ -140,15 +140,15 @@
 		w := take()
 		switch c {
 		case 'p':
-			if x.P, err = strconv.ParseFloat(w, 64); err == nil && !(x.P >= 0 && x.P <= 1) {
+			if x.Fraction, err = strconv.ParseFloat(w, 64); err == nil && !(x.Fraction >= 0 && x.Fraction <= 1) {
 				err = fmt.Errorf("want a share of 0 to 1, not %s", w)
 			}
 		case 'd':
-			x.D, err = length(w)
+			x.Delay, err = parseDuration(w)
 		case 'a':
-			x.A, err = set(w, members)
+			x.A, err = parseSet(w, members)
 		case 'b':
-			x.B, err = set(w, members)
+			x.B, err = parseSet(w, members)
 		}
 		if err != nil {
 			return x, err
@@ -160,7 +160,7 @@
 	return x, nil
 }
 
-func length(w string) (time.Duration, error) {
+func parseDuration(w string) (time.Duration, error) {
 	d, err := time.ParseDuration(w)
 	if err != nil || d < 0 || d > 24*time.Hour {
 		return 0, fmt.Errorf("want a time such as 500ms, not %q", w)
@@ -168,7 +168,7 @@
 	return d, nil
 }
 
-func set(w string, members int) (Set, error) {
+func parseSet(w string, members int) (Set, error) {
 	if w == "*" {
 		return nil, nil
 	}
@@ -216,12 +216,12 @@
 		text += " for " + x.For.String()
 	}
 	text += " " + string(x.Do)
-	for _, c := range shape[x.Do] {
+	for _, c := range operands[x.Do] {
 		switch c {
 		case 'p':
-			text += " " + strconv.FormatFloat(x.P, 'g', -1, 64)
+			text += " " + strconv.FormatFloat(x.Fraction, 'g', -1, 64)
 		case 'd':
-			text += " " + x.D.String()
+			text += " " + x.Delay.String()
 		case 'a':
 			text += " " + x.A.String()
 		case 'b':
@@ -266,7 +266,7 @@
 		x := Step{At: at, For: last}
 		switch rng.IntN(9) {
 		case 0:
-			x.Do, x.P = Loss, 0.05+0.25*rng.Float64()
+			x.Do, x.Fraction = Loss, 0.05+0.25*rng.Float64()
 		case 1:
 			x.Do, x.A = Cut, some(members/2)
 			x.B = Set{}
@@ -280,9 +280,9 @@
 		case 3:
 			x.Do, x.A, x.B = Half, some(2), some(members)
 		case 4:
-			x.Do, x.D, x.A = Delay, time.Duration(1+rng.Int64N(150))*time.Millisecond, some(members/3)
+			x.Do, x.Delay, x.A = Delay, time.Duration(1+rng.Int64N(150))*time.Millisecond, some(members/3)
 		case 5:
-			x.Do, x.P = Repeat, 0.5*rng.Float64()
+			x.Do, x.Fraction = Repeat, 0.5*rng.Float64()
 		default:
 			who := some(max(1, members/4))
 			who = slices.DeleteFunc(who, func(i int) bool { return free[i] > 0 })
@@ -341,13 +341,13 @@
 		either := x.A.Has(from) && x.B.Has(to) || x.A.Has(to) && x.B.Has(from)
 		switch {
 		case x.Do == Loss:
-			k.Loss = 1 - (1-k.Loss)*(1-x.P)
+			k.Loss = 1 - (1-k.Loss)*(1-x.Fraction)
 		case x.Do == Repeat:
-			k.Repeat = max(k.Repeat, x.P)
+			k.Repeat = max(k.Repeat, x.Fraction)
 		case x.Do == Cut && either, x.Do == Half && x.A.Has(from) && x.B.Has(to):
 			k.Cut = true
 		case x.Do == Delay && either:
-			k.Delay += x.D
+			k.Delay += x.Delay
 		}
 	}
 	return k
--- a/internal/testing/harness/group.go
+++ b/internal/testing/harness/group.go
@@ -31,22 +31,22 @@
 
 	mu      sync.Mutex
 	history []string
-	at      map[int]places // by member
+	addresses      map[int]memberAddresses // by member
 }
 
 // Member is one place of a group, and the life that runs in it.
 type Member struct {
 	*Place
 	Name   string
-	Life   *Life // nil: none runs
+	Process   *Process // nil: none runs
 	Halted bool  // stopped by SIGSTOP
 	group  *Group
 	index  int
 	local  netip.Addr
 	relay  *relay
-	policy *relay         // where it agrees on the policy
-	seen   int            // lines of the log at the life's beginning
-	agrees bool           // its file sets up a rollout
+	policyRelay *relay         // where it agrees on the policy
+	firstLine   int            // lines of the log at the life's beginning
+	hasRollout bool           // its file sets up a rollout
 	Policy netip.AddrPort // where this life agrees on the policy, past the relay
 	twin   *Member        // a second process under its name
 }
@@ -57,26 +57,26 @@
 // joins at the first three.
 func NewGroup(t T, seed uint64, members int, edit func(i int, file, fleet map[string]any)) *Group {
 	t.Helper()
-	g := &Group{T: t, Net: NewNet(seed), Seed: seed, at: map[int]places{}, began: time.Now(), octets: [2]byte{byte(1 + os.Getpid()%120), byte(groups.Add(1))}}
-	t.Cleanup(g.leaveBehind)
+	g := &Group{T: t, Net: NewNet(seed), Seed: seed, addresses: map[int]memberAddresses{}, began: time.Now(), octets: [2]byte{byte(1 + os.Getpid()%120), byte(groups.Add(1))}}
+	t.Cleanup(g.keepArtifacts)
 	for i := range members {
-		g.Members = append(g.Members, g.place(i, 1+i))
+		g.Members = append(g.Members, g.newMember(i, 1+i))
 	}
 	for i := range g.Members {
-		g.write(i, g.Members[i], edit)
+		g.writeFile(i, g.Members[i], edit)
 	}
 	return g
 }
 
-func (g *Group) place(i, host int) *Member {
+func (g *Group) newMember(i, host int) *Member {
 	m := &Member{Place: NewPlace(g.T), Name: fmt.Sprintf("g%02d", i), group: g, index: i, local: netip.AddrFrom4([4]byte{127, g.octets[0], g.octets[1], byte(host)})}
 	m.relay = newRelay(g.T, g.Net, i, netip.AddrFrom4([4]byte{127, 128 + g.octets[0], g.octets[1], byte(host)}))
-	m.policy = newRelay(g.T, g.Net, i, netip.AddrFrom4([4]byte{127, 128 + g.octets[0], g.octets[1], byte(host)}))
-	g.Net.Know(m.local, i)
+	m.policyRelay = newRelay(g.T, g.Net, i, netip.AddrFrom4([4]byte{127, 128 + g.octets[0], g.octets[1], byte(host)}))
+	g.Net.AddSender(m.local, i)
 	return m
 }
 
-func (g *Group) write(i int, m *Member, edit func(i int, file, fleet map[string]any)) {
+func (g *Group) writeFile(i int, m *Member, edit func(i int, file, fleet map[string]any)) {
 	g.T.Helper()
 	var file map[string]any
 	if err := json.Unmarshal(deploy.Fleet, &file); err != nil {
@@ -104,14 +104,14 @@
 func (g *Group) Began() time.Time { return g.began }
 
 // Note keeps a line of history.
-func (g *Group) Note(format string, args ...any) {
+func (g *Group) Record(format string, args ...any) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.history = append(g.history, fmt.Sprintf("%9.3f ", time.Since(g.began).Seconds())+fmt.Sprintf(format, args...))
 }
 
 // leaveBehind keeps the history and all logs of a test that failed, and says where and with which seed.
-func (g *Group) leaveBehind() {
+func (g *Group) keepArtifacts() {
 	if !g.T.Failed() {
 		return
 	}
@@ -124,21 +124,21 @@
 	defer g.mu.Unlock()
 	os.WriteFile(filepath.Join(dir, "history"), []byte(fmt.Sprintf("seed %d\n%s\n", g.Seed, strings.Join(g.history, "\n"))), 0o644)
 	for _, m := range g.Members {
-		os.WriteFile(filepath.Join(dir, m.Name+".log"), []byte(m.Said()), 0o644)
+		os.WriteFile(filepath.Join(dir, m.Name+".log"), []byte(m.Output()), 0o644)
 	}
 	g.T.Logf("seed %d; history and logs are in %s", g.Seed, dir)
 }
 
-var listens = regexp.MustCompile(`event=peers listen=(\S+)`)
+var peersListen = regexp.MustCompile(`event=peers listen=(\S+)`)
 
 // Start starts members, and waits until they serve; they need not know each other yet.
 func (g *Group) Start(which ...int) {
 	g.T.Helper()
 	for _, i := range which {
-		g.Members[i].begin()
+		g.Members[i].launch()
 	}
 	for _, i := range which {
-		g.Members[i].up()
+		g.Members[i].waitUp()
 	}
 }
 
@@ -152,50 +152,50 @@
 	g.Start(all...)
 }
 
-func (m *Member) begin() {
+func (m *Member) launch() {
 	m.group.T.Helper()
-	m.group.Note("start %s", m.Name)
-	m.seen = len(m.Lines())
-	m.Life, m.Halted = m.Begin(), false
+	m.group.Record("start %s", m.Name)
+	m.firstLine = len(m.Lines())
+	m.Process, m.Halted = m.Begin(), false
 }
 
-func (m *Member) up() {
+func (m *Member) waitUp() {
 	m.group.T.Helper()
-	if !m.Life.Up() {
-		m.group.T.Fatalf("%s ended at its start: %s", m.Name, m.Said())
+	if !m.Process.Up() {
+		m.group.T.Fatalf("%s ended at its start: %s", m.Name, m.Output())
 	}
-	n := m.Says(m.seen, "event=peers listen=")
-	at, err := netip.ParseAddrPort(listens.FindStringSubmatch(m.Lines()[n])[1])
+	n := m.WaitForLine(m.firstLine, "event=peers listen=")
+	at, err := netip.ParseAddrPort(peersListen.FindStringSubmatch(m.Lines()[n])[1])
 	if err != nil {
 		m.group.T.Fatal(err)
 	}
-	m.relay.aim(at)
-	if m.agrees {
-		n := m.Says(m.seen, "event=rollout listen=")
+	m.relay.setTarget(at)
+	if m.hasRollout {
+		n := m.WaitForLine(m.firstLine, "event=rollout listen=")
 		if m.Policy, err = netip.ParseAddrPort(policyListens.FindStringSubmatch(m.Lines()[n])[1]); err != nil {
 			m.group.T.Fatal(err)
 		}
-		m.policy.aim(m.Policy)
+		m.policyRelay.setTarget(m.Policy)
 	}
 	m.group.mu.Lock()
 	defer m.group.mu.Unlock()
-	m.group.at[m.index] = places{m.Policy, m.Life.Listen, m.Life.Door, m.Life.PID()}
+	m.group.addresses[m.index] = memberAddresses{m.Policy, m.Process.Listen, m.Process.AdminAddress, m.Process.PID()}
 }
 
 // Agrees says whether the member's file sets up a rollout.
-func (m *Member) Agrees(does bool) { m.agrees = does }
+func (m *Member) SetRollout(does bool) { m.hasRollout = does }
 
 var policyListens = regexp.MustCompile(`event=rollout listen=(\S+)`)
 
 // Agree has all members' files set up a rollout in which the first so many vote, with a store each.
-func (g *Group) Agree(voters int, more map[string]any) {
+func (g *Group) EnableRollout(voters int, more map[string]any) {
 	g.T.Helper()
 	var members []any
 	for i, m := range g.Members {
-		members = append(members, map[string]any{"name": m.Name, "address": m.policy.address().String(), "voter": i < voters})
+		members = append(members, map[string]any{"name": m.Name, "address": m.policyRelay.address().String(), "voter": i < voters})
 	}
 	for _, m := range g.Members {
-		m.agrees = true
+		m.hasRollout = true
 		m.Edit(func(file map[string]any) {
 			r := map[string]any{"listen": m.local.String() + ":0", "members": members}
 			maps.Copy(r, more)
@@ -209,24 +209,24 @@
 func (g *Group) PolicyAt(i int) netip.AddrPort {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.at[i].policy
+	return g.addresses[i].policy
 }
 
 // PolicyRelay is where the others reach a member to agree on the policy, through its relay.
-func (g *Group) PolicyRelay(i int) netip.AddrPort { return g.Members[i].policy.address() }
+func (g *Group) PolicyRelay(i int) netip.AddrPort { return g.Members[i].policyRelay.address() }
 
 // ListensAt is where a member serves clients; empty where it does not run.
 func (g *Group) ListensAt(i int) (address, name string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.at[i].listen, g.Members[i].Name
+	return g.addresses[i].listen, g.Members[i].Name
 }
 
 // DoorOf is where operators call a member, its name and its process; empty where it does not run.
-func (g *Group) DoorOf(i int) (address, name string, pid int) {
+func (g *Group) AdminAddressOf(i int) (address, name string, pid int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.at[i].door, g.Members[i].Name, g.at[i].pid
+	return g.addresses[i].door, g.Members[i].Name, g.addresses[i].pid
 }
 
 // History is what has happened, a line each.
@@ -239,12 +239,12 @@
 // Policy is the number of the version in force at a member, by its door; empty where it does not answer.
 func (g *Group) Policy(m *Member) string {
 	g.mu.Lock()
-	door := g.at[m.index].door
+	door := g.addresses[m.index].door
 	g.mu.Unlock()
 	if door == "" {
 		return ""
 	}
-	text := (&Life{Door: door}).Call("policy")
+	text := (&Process{AdminAddress: door}).Call("policy")
 	_, rest, _ := strings.Cut(text, "number=")
 	number, _, _ := strings.Cut(rest, " ")
 	return number
@@ -255,7 +255,7 @@
 	g.T.Helper()
 	g.Until("a leader", func() (string, bool) {
 		for i, m := range g.Members {
-			if m.Life != nil && !m.Halted && strings.Contains(m.Life.Call("policy"), "leads=true") {
+			if m.Process != nil && !m.Halted && strings.Contains(m.Process.Call("policy"), "leads=true") {
 				leader = i
 				return "", true
 			}
@@ -266,7 +266,7 @@
 }
 
 // places is where a member is reached now.
-type places struct {
+type memberAddresses struct {
 	policy       netip.AddrPort
 	listen, door string
 	pid          int
@@ -278,39 +278,39 @@
 	m := g.Members[i]
 	m.relay.close()
 	m.relay = newRelay(g.T, g.Net, i, m.relay.address().Addr())
-	m.change("advertise", m.relay.address().String())
-	g.Note("move %s to %s", m.Name, m.relay.address())
+	m.setFleet("advertise", m.relay.address().String())
+	g.Record("move %s to %s", m.Name, m.relay.address())
 }
 
 // MovePolicy has a member, which does not run, reached at another address to agree on the policy; only its own file says so.
 func (g *Group) MovePolicy(i int) {
 	g.T.Helper()
 	m := g.Members[i]
-	m.policy.close()
-	m.policy = newRelay(g.T, g.Net, i, m.policy.address().Addr())
+	m.policyRelay.close()
+	m.policyRelay = newRelay(g.T, g.Net, i, m.policyRelay.address().Addr())
 	m.Edit(func(file map[string]any) {
 		for _, x := range file["rollout"].(map[string]any)["members"].([]any) {
 			if x := x.(map[string]any); x["name"] == m.Name {
-				x["address"] = m.policy.address().String()
+				x["address"] = m.policyRelay.address().String()
 			}
 		}
 	})
-	g.Note("%s agrees on the policy at %s", m.Name, m.policy.address())
+	g.Record("%s agrees on the policy at %s", m.Name, m.policyRelay.address())
 }
 
 // Listen has a member's file name a fixed port for its view, one that is free now.
-func (m *Member) Listen() {
+func (m *Member) FixListenPort() {
 	m.T.Helper()
 	l, err := net.Listen("tcp", m.local.String()+":0")
 	if err != nil {
 		m.T.Fatal(err)
 	}
 	l.Close()
-	m.change("listen", l.Addr().String())
+	m.setFleet("listen", l.Addr().String())
 }
 
 // change changes one key of the member's fleet in its file.
-func (m *Member) change(key, value string) {
+func (m *Member) setFleet(key, value string) {
 	m.T.Helper()
 	m.Edit(func(file map[string]any) { file["fleet"].(map[string]any)[key] = value })
 }
@@ -336,70 +336,70 @@
 // Twin starts a second process under a member's name, at addresses of its own.
 func (g *Group) Twin(i int, edit func(i int, file, fleet map[string]any)) *Member {
 	g.T.Helper()
-	m := g.place(i, 101+i)
-	g.write(i, m, edit)
-	g.Note("twin of %s", m.Name)
-	m.begin()
-	m.up()
+	m := g.newMember(i, 101+i)
+	g.writeFile(i, m, edit)
+	g.Record("twin of %s", m.Name)
+	m.launch()
+	m.waitUp()
 	g.Members[i].twin = m
 	return m
 }
 
 // Kill kills a member where it runs.
 func (g *Group) Kill(i int) {
-	if m := g.Members[i]; m.Life != nil {
-		g.Note("kill %s", m.Name)
-		m.relay.aim(netip.AddrPort{})
-		m.policy.aim(netip.AddrPort{})
-		g.away(i)
-		m.Life.Kill()
-		m.Life, m.Halted = nil, false
+	if m := g.Members[i]; m.Process != nil {
+		g.Record("kill %s", m.Name)
+		m.relay.setTarget(netip.AddrPort{})
+		m.policyRelay.setTarget(netip.AddrPort{})
+		g.removeAddresses(i)
+		m.Process.Kill()
+		m.Process, m.Halted = nil, false
 	}
 }
 
 // Halt stops a member's process, Continue lets it go on.
 func (g *Group) Halt(i int) {
-	if m := g.Members[i]; m.Life != nil {
-		g.Note("stop %s", m.Name)
+	if m := g.Members[i]; m.Process != nil {
+		g.Record("stop %s", m.Name)
 		m.Halted = true
-		m.Life.Signal(syscall.SIGSTOP)
+		m.Process.Signal(syscall.SIGSTOP)
 	}
 }
 
 // Continue lets a stopped process go on.
 func (g *Group) Continue(i int) {
-	if m := g.Members[i]; m.Life != nil && m.Halted {
-		g.Note("continue %s", m.Name)
+	if m := g.Members[i]; m.Process != nil && m.Halted {
+		g.Record("continue %s", m.Name)
 		m.Halted = false
-		m.Life.Signal(syscall.SIGCONT)
+		m.Process.Signal(syscall.SIGCONT)
 	}
 }
 
 // Leave ends a member by SIGTERM.
 func (g *Group) Leave(i int) {
 	g.T.Helper()
-	if m := g.Members[i]; m.Life != nil {
+	if m := g.Members[i]; m.Process != nil {
 		g.Continue(i) // one that stands still hears nothing
-		g.Note("leave %s", m.Name)
-		g.away(i) // the program goes on for as long as clients come
-		m.Life.Leave()
-		m.relay.aim(netip.AddrPort{})
-		m.policy.aim(netip.AddrPort{})
-		m.Life = nil
+		g.Record("leave %s", m.Name)
+		g.removeAddresses(i) // the program goes on for as long as clients come
+		m.Process.Leave()
+		m.relay.setTarget(netip.AddrPort{})
+		m.policyRelay.setTarget(netip.AddrPort{})
+		m.Process = nil
 	}
 }
 
 // away says that a member is nowhere now.
-func (g *Group) away(i int) {
+func (g *Group) removeAddresses(i int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	delete(g.at, i)
+	delete(g.addresses, i)
 }
 
 // Play plays a script to its end, by the machine's clock. Slow members are played as delayed links.
 func (g *Group) Play(s faults.Script) {
 	g.T.Helper()
-	g.Note("script of seed %d:\n%s", g.Seed, s)
+	g.Record("script of seed %d:\n%s", g.Seed, s)
 	type due struct {
 		at time.Duration
 		do func()
@@ -409,7 +409,7 @@
 		if x.Do == faults.Slow {
 			x.Do, x.B = faults.Delay, nil
 		}
-		todo = append(todo, due{x.At, func() { g.befall(x) }})
+		todo = append(todo, due{x.At, func() { g.apply(x) }})
 		if x.For > 0 {
 			todo = append(todo, due{x.At + x.For, func() {
 				g.Net.Expire(x.At + x.For)
@@ -431,9 +431,9 @@
 	}
 }
 
-func (g *Group) befall(x faults.Step) {
+func (g *Group) apply(x faults.Step) {
 	g.T.Helper()
-	g.Note("%s", x)
+	g.Record("%s", x)
 	g.Net.Begin(x)
 	var start []int
 	for i, m := range g.Members {
@@ -448,12 +448,12 @@
 		case faults.Stop:
 			g.Halt(i)
 		case faults.Move:
-			if m.Life == nil {
+			if m.Process == nil {
 				g.Move(i)
 				start = append(start, i)
 			}
 		case faults.Start:
-			if m.Life == nil {
+			if m.Process == nil {
 				start = append(start, i)
 			}
 		}
@@ -480,11 +480,11 @@
 
 // View asks a member's door.
 func (m *Member) View() (v View, ok bool) {
-	if m.Life == nil || m.Halted {
+	if m.Process == nil || m.Halted {
 		return v, false
 	}
 	v = View{Of: map[string]string{}, Members: map[string]map[string]string{}}
-	for line := range strings.Lines(m.Life.Call("fleet")) {
+	for line := range strings.Lines(m.Process.Call("fleet")) {
 		kind, rest, _ := strings.Cut(strings.TrimSpace(line), " ")
 		of := map[string]string{}
 		for _, word := range strings.Fields(rest) {
@@ -504,7 +504,7 @@
 // Live are the names of the members that run, in order.
 func (g *Group) Live() (names []string) {
 	for _, m := range g.Members {
-		if m.Life != nil && !m.Halted {
+		if m.Process != nil && !m.Halted {
 			names = append(names, m.Name)
 		}
 	}
@@ -512,13 +512,13 @@
 }
 
 // Settled waits until every live member has the same digest and sees exactly the live ones.
-func (g *Group) Settled() {
+func (g *Group) WaitConverged() {
 	g.T.Helper()
 	began := time.Now()
 	g.Until("settled", func() (string, bool) {
 		want, digest, wrong := g.Live(), "", ""
 		for _, m := range g.Members {
-			if m.Life == nil || m.Halted {
+			if m.Process == nil || m.Halted {
 				continue
 			}
 			v, ok := m.View()
@@ -534,13 +534,13 @@
 		}
 		return fmt.Sprintf("want %v with one digest: %s", want, wrong), wrong == ""
 	})
-	g.Note("settled, %s after it was asked for", time.Since(began).Round(time.Millisecond))
+	g.Record("settled, %s after it was asked for", time.Since(began).Round(time.Millisecond))
 }
 
 // Until waits for a state; what tells how it stands where it never comes.
 func (g *Group) Until(what string, state func() (how string, ok bool)) {
 	g.T.Helper()
-	end := time.Now().Add(Patience)
+	end := time.Now().Add(WaitTimeout)
 	for {
 		how, ok := state()
 		if ok {
@@ -554,7 +554,7 @@
 }
 
 // Said counts the lines of all members, from their lives' beginnings, that hold all of some words.
-func (g *Group) Said(words ...string) (n int) {
+func (g *Group) CountLines(words ...string) (n int) {
 	for _, m := range g.Members {
 		for _, line := range m.Lines() {
 			if !slices.ContainsFunc(words, func(w string) bool { return !strings.Contains(line, w) }) {
--- a/internal/testing/harness/net.go
+++ b/internal/testing/harness/net.go
@@ -17,7 +17,7 @@
 	mu    sync.Mutex
 	links faults.Links
 	rng   *rand.Rand
-	from  map[netip.Addr]int // sender by address
+	senders  map[netip.Addr]int // sender by address
 
 	// Passed, Lost count datagrams.
 	passed, lost int
@@ -25,14 +25,14 @@
 
 // NewNet makes one whose chance is seeded.
 func NewNet(seed uint64) *Net {
-	return &Net{rng: rand.New(rand.NewPCG(seed, 0x7e1a)), from: map[netip.Addr]int{}}
+	return &Net{rng: rand.New(rand.NewPCG(seed, 0x7e1a)), senders: map[netip.Addr]int{}}
 }
 
 // Know says which member sends from an address.
-func (n *Net) Know(a netip.Addr, member int) {
+func (n *Net) AddSender(a netip.Addr, member int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.from[a] = member
+	n.senders[a] = member
 }
 
 // Begin has a fault hold; Expire ends those that are over.
@@ -64,10 +64,10 @@
 }
 
 // fate is what becomes of one datagram: when each copy arrives.
-func (n *Net) fate(src netip.Addr, to int) (after []time.Duration) {
+func (n *Net) copyDelays(src netip.Addr, to int) (after []time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	from, known := n.from[src.Unmap()]
+	from, known := n.senders[src.Unmap()]
 	if !known {
 		n.lost++
 		return nil
@@ -78,14 +78,14 @@
 		return nil
 	}
 	n.passed++
-	after = append(after, n.late(k))
+	after = append(after, n.randomDelay(k))
 	if k.Repeat > 0 && n.rng.Float64() < k.Repeat {
-		after = append(after, n.late(k)+time.Duration(n.rng.Int64N(int64(3*time.Second))))
+		after = append(after, n.randomDelay(k)+time.Duration(n.rng.Int64N(int64(3*time.Second))))
 	}
 	return after
 }
 
-func (n *Net) late(k faults.Link) time.Duration {
+func (n *Net) randomDelay(k faults.Link) time.Duration {
 	if k.Delay == 0 {
 		return 0
 	}
@@ -93,10 +93,10 @@
 }
 
 // stream tells whether a stream between two goes on, and how late a piece of it is.
-func (n *Net) stream(src netip.Addr, to int) (late time.Duration, ok bool) {
+func (n *Net) streamDelay(src netip.Addr, to int) (late time.Duration, ok bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	from, known := n.from[src.Unmap()]
+	from, known := n.senders[src.Unmap()]
 	if !known {
 		return 0, false
 	}
@@ -104,7 +104,7 @@
 	if there.Cut || back.Cut {
 		return 0, false
 	}
-	late = n.late(there)
+	late = n.randomDelay(there)
 	for range 5 {
 		if there.Loss == 0 || n.rng.Float64() >= there.Loss {
 			break
@@ -117,7 +117,7 @@
 // relay is where one member is reached.
 type relay struct {
 	net *Net
-	to  int
+	member  int
 	udp *net.UDPConn
 	tcp net.Listener
 
@@ -140,9 +140,9 @@
 			tcp.Close()
 			continue
 		}
-		r := &relay{net: n, to: to, udp: udp, tcp: tcp, conns: map[net.Conn]bool{}}
-		go r.datagrams()
-		go r.streams()
+		r := &relay{net: n, member: to, udp: udp, tcp: tcp, conns: map[net.Conn]bool{}}
+		go r.forwardDatagrams()
+		go r.acceptStreams()
 		t.Cleanup(r.close)
 		return r
 	}
@@ -153,13 +153,13 @@
 func (r *relay) address() netip.AddrPort { return r.udp.LocalAddr().(*net.UDPAddr).AddrPort() }
 
 // aim says where the member is now.
-func (r *relay) aim(at netip.AddrPort) {
+func (r *relay) setTarget(at netip.AddrPort) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.target = at
 }
 
-func (r *relay) at() netip.AddrPort {
+func (r *relay) currentTarget() netip.AddrPort {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.target
@@ -176,7 +176,7 @@
 	}
 }
 
-func (r *relay) datagrams() {
+func (r *relay) forwardDatagrams() {
 	buf := make([]byte, 64<<10)
 	for {
 		size, src, err := r.udp.ReadFromUDPAddrPort(buf)
@@ -187,9 +187,9 @@
 			continue
 		}
 		b := append([]byte(nil), buf[:size]...)
-		for _, late := range r.net.fate(src.Addr(), r.to) {
+		for _, late := range r.net.copyDelays(src.Addr(), r.member) {
 			send := func() {
-				if to := r.at(); to.IsValid() {
+				if to := r.currentTarget(); to.IsValid() {
 					r.udp.WriteToUDPAddrPort(b, to)
 				}
 			}
@@ -202,21 +202,21 @@
 	}
 }
 
-func (r *relay) streams() {
+func (r *relay) acceptStreams() {
 	for {
 		conn, err := r.tcp.Accept()
 		if err != nil {
 			return
 		}
-		go r.stream(conn)
+		go r.forwardStream(conn)
 	}
 }
 
-func (r *relay) stream(in net.Conn) {
+func (r *relay) forwardStream(in net.Conn) {
 	defer in.Close()
 	src := in.RemoteAddr().(*net.TCPAddr).AddrPort().Addr()
-	to := r.at()
-	if _, ok := r.net.stream(src, r.to); !ok || !to.IsValid() {
+	to := r.currentTarget()
+	if _, ok := r.net.streamDelay(src, r.member); !ok || !to.IsValid() {
 		return
 	}
 	out, err := net.DialTimeout("tcp", to.String(), time.Second)
@@ -233,13 +233,13 @@
 	r.mu.Unlock()
 	over := make(chan struct{})
 	go func() {
-		if r.pump(src, in, out) { // cut: neither side waits for the other
+		if r.copyDirection(src, in, out) { // cut: neither side waits for the other
 			in.Close()
 			out.Close()
 		}
 		close(over)
 	}()
-	r.pump(src, out, in)
+	r.copyDirection(src, out, in)
 	in.Close()
 	out.Close()
 	<-over
@@ -250,12 +250,12 @@
 }
 
 // pump moves one direction of a stream, for as long as its link holds; it tells whether that was cut.
-func (r *relay) pump(src netip.Addr, from, to net.Conn) (cut bool) {
+func (r *relay) copyDirection(src netip.Addr, from, to net.Conn) (cut bool) {
 	buf := make([]byte, 16<<10)
 	for {
 		n, err := from.Read(buf)
 		if n > 0 {
-			late, ok := r.net.stream(src, r.to)
+			late, ok := r.net.streamDelay(src, r.member)
 			if !ok {
 				return true
 			}
@@ -279,7 +279,7 @@
 // Relay opens one to a number of the script's that no member has, at an address; what it sends comes from there.
 func (g *Group) Relay(i int, at netip.Addr) *Relay {
 	g.T.Helper()
-	g.Net.Know(at, i)
+	g.Net.AddSender(at, i)
 	return &Relay{newRelay(g.T, g.Net, i, at)}
 }
 
@@ -287,4 +287,4 @@
 func (r *Relay) Address() netip.AddrPort { return r.r.address() }
 
 // Aim says where it is itself; not valid: nowhere.
-func (r *Relay) Aim(at netip.AddrPort) { r.r.aim(at) }
+func (r *Relay) SetTarget(at netip.AddrPort) { r.r.setTarget(at) }
--- a/internal/testing/harness/place.go
+++ b/internal/testing/harness/place.go
@@ -18,10 +18,10 @@
 )
 
 // Patience is for what has to happen; no verdict hangs on how soon it does.
-const Patience = 90 * time.Second
+const WaitTimeout = 90 * time.Second
 
 // Raced tells that the race detector is on: the program is then built with it too.
-var Raced = func() bool {
+var RaceEnabled = func() bool {
 	info, ok := debug.ReadBuildInfo()
 	return ok && slices.Contains(info.Settings, debug.BuildSetting{Key: "-race", Value: "true"})
 }()
@@ -34,7 +34,7 @@
 	}
 	path := filepath.Join(dir, "saffronquay")
 	build := []string{"build", "-o", path}
-	if Raced {
+	if RaceEnabled {
 		build = append(build, "-race")
 	}
 	if out, err := exec.Command("go", append(build, "saffronquay/cmd/saffronquay")...).CombinedOutput(); err != nil {
@@ -64,19 +64,19 @@
 
 	mu   sync.Mutex
 	log  []string
-	at   []time.Time
-	news chan struct{} // closed, and replaced, with each line
+	times   []time.Time
+	changed chan struct{} // closed, and replaced, with each line
 }
 
 // NewPlace makes a place with a directory that the test removes.
 func NewPlace(t T) *Place {
-	p := &Place{T: t, Dir: t.TempDir(), news: make(chan struct{})}
+	p := &Place{T: t, Dir: t.TempDir(), changed: make(chan struct{})}
 	p.File = filepath.Join(p.Dir, "operator.json")
 	return p
 }
 
 // Passed opens a listening socket that each life of the program gets passed, and returns its address.
-func (p *Place) Passed() string {
+func (p *Place) PassSocket() string {
 	p.T.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -100,8 +100,8 @@
 }
 
 // Life is one process of the program.
-type Life struct {
-	Listen, Door string        // once it is up
+type Process struct {
+	Listen, AdminAddress string        // once it is up
 	Exited       chan struct{} // closed at its end
 
 	place *Place
@@ -112,7 +112,7 @@
 var started = regexp.MustCompile(`event=start .*listen=(\S+) operator=(\S+)`)
 
 // Begin starts the program.
-func (p *Place) Begin() *Life {
+func (p *Place) Begin() *Process {
 	p.T.Helper()
 	path, err := p.Program, error(nil)
 	if path == "" {
@@ -121,7 +121,7 @@
 	if err != nil {
 		p.T.Fatal(err)
 	}
-	l := &Life{place: p, cmd: exec.Command(path), Exited: make(chan struct{}), up: make(chan struct{})}
+	l := &Process{place: p, cmd: exec.Command(path), Exited: make(chan struct{}), up: make(chan struct{})}
 	l.cmd.Env = append(append(os.Environ(), "SAFFRONQUAY_OPERATOR_FILE="+p.File, "LB_OPERATOR=", "LB_PASSED_SOCKET=", "TMPDIR="+p.Dir), p.Env...)
 	if p.Socket != nil {
 		l.cmd.ExtraFiles = []*os.File{p.Socket}
@@ -138,7 +138,7 @@
 	return l
 }
 
-func (l *Life) read(errs io.Reader) {
+func (l *Process) read(errs io.Reader) {
 	defer close(l.Exited)
 	serves := false
 	for lines := bufio.NewScanner(errs); lines.Scan(); {
@@ -146,32 +146,32 @@
 		if !l.place.Quiet && (strings.Contains(text, "panic") || strings.Contains(text, "DATA RACE") || strings.Contains(text, "deadline guard")) {
 			l.place.T.Errorf("the program said: %s", text)
 		}
-		l.place.hear(text)
+		l.place.appendLine(text)
 		if m := started.FindStringSubmatch(text); m != nil && !serves {
 			serves = true
-			l.Listen, l.Door = m[1], m[2]
+			l.Listen, l.AdminAddress = m[1], m[2]
 			close(l.up)
 		}
 	}
 	l.cmd.Wait()
 }
 
-func (p *Place) hear(line string) {
+func (p *Place) appendLine(line string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.log, p.at = append(p.log, line), append(p.at, time.Now())
-	close(p.news)
-	p.news = make(chan struct{})
+	p.log, p.times = append(p.log, line), append(p.times, time.Now())
+	close(p.changed)
+	p.changed = make(chan struct{})
 }
 
 // Up waits until the process serves; false where it ended instead.
-func (l *Life) Up() bool {
+func (l *Process) Up() bool {
 	l.place.T.Helper()
 	select {
 	case <-l.up:
 		return true
 	case <-l.Exited:
-	case <-time.After(Patience):
+	case <-time.After(WaitTimeout):
 		l.place.T.Fatal("the program neither started nor ended")
 	}
 	select {
@@ -183,17 +183,17 @@
 }
 
 // Start starts the program and waits until it serves.
-func (p *Place) Start() *Life {
+func (p *Place) Start() *Process {
 	p.T.Helper()
 	l := p.Begin()
 	if !l.Up() {
-		p.T.Fatalf("the program ended at its start: %s", p.Said())
+		p.T.Fatalf("the program ended at its start: %s", p.Output())
 	}
 	return l
 }
 
 // Said is all that the program has said here.
-func (p *Place) Said() string { return strings.Join(p.Lines(), "\n") }
+func (p *Place) Output() string { return strings.Join(p.Lines(), "\n") }
 
 // Lines are all lines that the program has said here.
 func (p *Place) Lines() []string {
@@ -203,12 +203,12 @@
 }
 
 // Says waits until a line, from the given number on, holds all of some words, and returns its number.
-func (p *Place) Says(from int, words ...string) int {
+func (p *Place) WaitForLine(from int, words ...string) int {
 	p.T.Helper()
-	end := time.After(Patience)
+	end := time.After(WaitTimeout)
 	for {
 		p.mu.Lock()
-		log, news := p.log, p.news
+		log, news := p.log, p.changed
 		p.mu.Unlock()
 		for i := from; i < len(log); i++ {
 			if !slices.ContainsFunc(words, func(w string) bool { return !strings.Contains(log[i], w) }) {
@@ -224,36 +224,36 @@
 }
 
 // PID is the process's id.
-func (l *Life) PID() int { return l.cmd.Process.Pid }
+func (l *Process) PID() int { return l.cmd.Process.Pid }
 
 // Signal sends it a signal.
-func (l *Life) Signal(s syscall.Signal) { l.cmd.Process.Signal(s) }
+func (l *Process) Signal(s syscall.Signal) { l.cmd.Process.Signal(s) }
 
 // Kill kills it, and waits for its end.
-func (l *Life) Kill() {
+func (l *Process) Kill() {
 	l.cmd.Process.Kill()
 	<-l.Exited
 }
 
 // Leave has it end by SIGTERM, and waits for that.
-func (l *Life) Leave() {
+func (l *Process) Leave() {
 	l.place.T.Helper()
 	l.Signal(syscall.SIGTERM)
 	select {
 	case <-l.Exited:
-	case <-time.After(Patience):
+	case <-time.After(WaitTimeout):
 		l.place.T.Fatal("the program never ended")
 	}
 }
 
 // Call makes a call at its door; empty where it can't be reached.
-func (l *Life) Call(words string) string {
-	conn, err := net.DialTimeout("tcp", l.Door, Patience)
+func (l *Process) Call(words string) string {
+	conn, err := net.DialTimeout("tcp", l.AdminAddress, WaitTimeout)
 	if err != nil {
 		return ""
 	}
 	defer conn.Close()
-	conn.SetDeadline(time.Now().Add(Patience))
+	conn.SetDeadline(time.Now().Add(WaitTimeout))
 	fmt.Fprintln(conn, words)
 	answer, err := io.ReadAll(conn)
 	if err != nil {
--- a/internal/testing/harness/runner.go
+++ b/internal/testing/harness/runner.go
@@ -32,7 +32,7 @@
 
 // Never is why a run ended early, from what was recovered: a state that never came, or a fault of the harness. Empty: nothing was. What is
 // no such end panics on.
-func Never(recovered any) string {
+func FatalReason(recovered any) string {
 	switch x := recovered.(type) {
 	case nil:
 		return ""
--- a/internal/testing/soak/campaign.go
+++ b/internal/testing/soak/campaign.go
@@ -79,7 +79,7 @@
 	}
 	defer r.Close()
 	defer func() {
-		if never := harness.Never(recover()); never != "" { // a state that never came
+		if never := harness.FatalReason(recover()); never != "" { // a state that never came
 			res.Unended++
 			res.Broken = append(res.Broken, never)
 		}
@@ -140,7 +140,7 @@
 		family := settings["family_info"].(map[string]any)
 		family["class_fetch"], family["class_partial"], family["floor_by_class"], family["whole_at"] = []any{0, 0}, []any{0.9, 1}, []any{1, 1}, []any{1, 1}
 	})
-	d.g.Agree(d.cfg.Voters, map[string]any{"lease_ms": 1000, "share": true})
+	d.g.EnableRollout(d.cfg.Voters, map[string]any{"lease_ms": 1000, "share": true})
 	for _, m := range d.g.Members {
 		m.Program = d.cfg.Program
 	}
@@ -188,14 +188,14 @@
 	var down []int
 	for i, m := range g.Members {
 		g.Continue(i)
-		if m.Life == nil {
+		if m.Process == nil {
 			down = append(down, i)
 		}
 	}
 	g.Net.Clear()
 	g.Start(down...)
 	number := d.admits()
-	g.Settled()
+	g.WaitConverged()
 	close(d.over)
 	d.wg.Wait()
 	d.judge(began, number)
@@ -207,7 +207,7 @@
 		ok = true
 		numbers := map[string]bool{}
 		for _, m := range d.g.Members {
-			text := m.Life.Call("policy")
+			text := m.Process.Call("policy")
 			ok = ok && strings.Contains(text, "admits=let")
 			_, rest, _ := strings.Cut(text, "number=")
 			word, _, _ := strings.Cut(rest, " ")
@@ -255,13 +255,13 @@
 		case errors.Is(err, errCalm):
 			return
 		case a.End == 1:
-			d.g.Note("version %d is in force", a.Number)
+			d.g.Record("version %d is in force", a.Number)
 			d.mu.Lock()
 			d.acked = a.Number
 			d.res.Changes++
 			d.mu.Unlock()
 		default:
-			d.g.Note("refused: %s", a.Reason)
+			d.g.Record("refused: %s", a.Reason)
 			d.mu.Lock()
 			d.res.Refused++
 			if _, rest, ok := strings.Cut(a.Reason, "and version "); ok {
--- a/internal/testing/soak/load.go
+++ b/internal/testing/soak/load.go
@@ -93,7 +93,7 @@
 		}
 		var wg sync.WaitGroup
 		for k := range d.g.Members {
-			door, name, pid := d.g.DoorOf(k)
+			door, name, pid := d.g.AdminAddressOf(k)
 			if door == "" {
 				continue
 			}
