--- a/internal/broker/layout/program_test.go
+++ b/internal/broker/layout/program_test.go
@@ -114,7 +114,9 @@
 func (g *gatherer) run() { g.life = g.Start() }
 
 // at waits until the gatherer has an epoch in force.
-func (g *gatherer) at(epoch int64) { g.WaitForLine(0, "event=layout ", fmt.Sprintf("epoch=%d ", epoch)) }
+func (g *gatherer) at(epoch int64) {
+	g.WaitForLine(0, "event=layout ", fmt.Sprintf("epoch=%d ", epoch))
+}
 
 // outcome is a query's one final answer.
 type outcome struct {
--- a/internal/testing/faults/faults.go
+++ b/internal/testing/faults/faults.go
@@ -72,11 +72,11 @@
 
 // Step is one line.
 type Step struct {
-	At, For time.Duration // For 0: for good
-	Do      Kind
-	A, B    Set // nil: all
-	Fraction       float64
-	Delay       time.Duration
+	At, For  time.Duration // For 0: for good
+	Do       Kind
+	A, B     Set // nil: all
+	Fraction float64
+	Delay    time.Duration
 }
 
 // Script is steps in the order of their times.
--- a/internal/testing/harness/group.go
+++ b/internal/testing/harness/group.go
@@ -29,26 +29,26 @@
 	began   time.Time
 	octets  [2]byte
 
-	mu      sync.Mutex
-	history []string
-	addresses      map[int]memberAddresses // by member
+	mu        sync.Mutex
+	history   []string
+	addresses map[int]memberAddresses // by member
 }
 
 // Member is one place of a group, and the life that runs in it.
 type Member struct {
 	*Place
-	Name   string
-	Process   *Process // nil: none runs
-	Halted bool  // stopped by SIGSTOP
-	group  *Group
-	index  int
-	local  netip.Addr
-	relay  *relay
+	Name        string
+	Process     *Process // nil: none runs
+	Halted      bool     // stopped by SIGSTOP
+	group       *Group
+	index       int
+	local       netip.Addr
+	relay       *relay
 	policyRelay *relay         // where it agrees on the policy
 	firstLine   int            // lines of the log at the life's beginning
-	hasRollout bool           // its file sets up a rollout
-	Policy netip.AddrPort // where this life agrees on the policy, past the relay
-	twin   *Member        // a second process under its name
+	hasRollout  bool           // its file sets up a rollout
+	Policy      netip.AddrPort // where this life agrees on the policy, past the relay
+	twin        *Member        // a second process under its name
 }
 
 var groups atomic.Uint32
--- a/internal/testing/harness/net.go
+++ b/internal/testing/harness/net.go
@@ -14,10 +14,10 @@
 // Net stands between the processes of a group: each is reached by the others through a relay of its own, which knows senders by the
 // loopback addresses that they send from, and treats what passes as the faults that hold say.
 type Net struct {
-	mu    sync.Mutex
-	links faults.Links
-	rng   *rand.Rand
-	senders  map[netip.Addr]int // sender by address
+	mu      sync.Mutex
+	links   faults.Links
+	rng     *rand.Rand
+	senders map[netip.Addr]int // sender by address
 
 	// Passed, Lost count datagrams.
 	passed, lost int
@@ -116,10 +116,10 @@
 
 // relay is where one member is reached.
 type relay struct {
-	net *Net
-	member  int
-	udp *net.UDPConn
-	tcp net.Listener
+	net    *Net
+	member int
+	udp    *net.UDPConn
+	tcp    net.Listener
 
 	mu     sync.Mutex
 	target netip.AddrPort // not valid: nobody is there
--- a/internal/testing/harness/place.go
+++ b/internal/testing/harness/place.go
@@ -62,8 +62,8 @@
 	Program string   // the program's file; empty: it is built
 	Quiet   bool     // cries of the program are not errors: the test expects them
 
-	mu   sync.Mutex
-	log  []string
+	mu      sync.Mutex
+	log     []string
 	times   []time.Time
 	changed chan struct{} // closed, and replaced, with each line
 }
@@ -102,7 +102,7 @@
 // Life is one process of the program.
 type Process struct {
 	Listen, AdminAddress string        // once it is up
-	Exited       chan struct{} // closed at its end
+	Exited               chan struct{} // closed at its end
 
 	place *Place
 	cmd   *exec.Cmd
