--- a/cmd/saffronquay/admin_client.go
+++ b/cmd/saffronquay/admin_client.go
@@ -6,7 +6,6 @@
 	"fmt"
 	"io"
 	"net"
-	"saffronquay/internal/broker/config"
 	"strconv"
 	"strings"
 	"time"
@@ -28,14 +27,10 @@
 		}
 		c.adminAddress = node.Operator
 	default:
-		text, err := c.readFile(c.file, "the gatherer's door with --door, or its file with --file")
+		operator, err := c.readOperator("the gatherer's door with --door, or its file with --file")
 		if err != nil {
 			return "", err
 		}
-		operator, err := config.ParseOperator(text)
-		if err != nil {
-			return "", failed(err)
-		}
 		c.adminAddress = operator.Operator
 	}
 	if c.adminAddress == "" {
--- a/cmd/saffronquay/files.go
+++ b/cmd/saffronquay/files.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"errors"
 	"fmt"
 	"os"
 	"saffronquay/internal/broker/config"
@@ -22,6 +23,28 @@
 	return text, nil
 }
 
+// readOperator reads and parses the operator's file of --file. what says in an error what the user has to name.
+func (c *cli) readOperator(what string) (config.Operator, error) {
+	text, err := c.readFile(c.file, what)
+	if err != nil {
+		return config.Operator{}, err
+	}
+	operator, err := config.ParseOperator(text)
+	if err != nil {
+		return operator, failed(err)
+	}
+	return operator, nil
+}
+
+// readRolloutOperator is readOperator for a file that has to set up a rollout: Rollout of the result is not nil.
+func (c *cli) readRolloutOperator(what string) (config.Operator, error) {
+	operator, err := c.readOperator(what)
+	if err == nil && operator.Rollout == nil {
+		err = failed(errors.New("the file sets up no rollout"))
+	}
+	return operator, err
+}
+
 // readNodeConfig reads the platform's file, with the variables of the environment that belong to it.
 func (c *cli) readNodeConfig() (config.Node, error) {
 	text, err := c.readFile(c.node, "the platform's file")
--- a/cmd/saffronquay/layout.go
+++ b/cmd/saffronquay/layout.go
@@ -7,7 +7,6 @@
 	"fmt"
 	"io"
 	"net/http"
-	"saffronquay/internal/broker/config"
 	"strings"
 
 	"github.com/spf13/cobra"
@@ -106,14 +105,10 @@
 
 // readDirectoryAddress returns the address of the layout directory that the operator's file names.
 func (c *cli) readDirectoryAddress() (string, error) {
-	text, err := c.readFile(c.file, "the directory with --directory, or the operator's file with --file")
+	operator, err := c.readOperator("the directory with --directory, or the operator's file with --file")
 	if err != nil {
 		return "", err
 	}
-	operator, err := config.ParseOperator(text)
-	if err != nil {
-		return "", failed(err)
-	}
 	if operator.Layout == nil || operator.Layout.Directory == "" {
 		return "", failed(errors.New("the file names no layout directory"))
 	}
--- a/cmd/saffronquay/policy_propose.go
+++ b/cmd/saffronquay/policy_propose.go
@@ -9,7 +9,6 @@
 	"io"
 	"net/netip"
 	"os/user"
-	"saffronquay/internal/broker/config"
 	"saffronquay/internal/cluster/peering"
 	"saffronquay/internal/cluster/rollout/wire"
 	"slices"
@@ -191,11 +190,7 @@
 // readVoters returns the addresses of a region's voters by the operator's file. Without a region they are the voters of the global agreement
 // where there is one, else all voters.
 func (c *cli) readVoters(region string) ([]netip.AddrPort, error) {
-	text, err := c.readFile(c.file, "where voters are with --at, or the operator's file with --file")
-	if err != nil {
-		return nil, err
-	}
-	operator, err := parseRolloutFile(text)
+	operator, err := c.readRolloutOperator("where voters are with --at, or the operator's file with --file")
 	if err != nil {
 		return nil, err
 	}
@@ -215,15 +210,3 @@
 	}
 	return addresses, nil
 }
-
-// parseRolloutFile parses an operator's file that has to set up a rollout: Rollout of the result is not nil.
-func parseRolloutFile(text []byte) (config.Operator, error) {
-	operator, err := config.ParseOperator(text)
-	if err != nil {
-		return operator, failed(err)
-	}
-	if operator.Rollout == nil {
-		return operator, failed(errors.New("the file sets up no rollout"))
-	}
-	return operator, nil
-}
--- a/cmd/saffronquay/policy_recover.go
+++ b/cmd/saffronquay/policy_recover.go
@@ -27,11 +27,7 @@
 
 // runPolicyRecover prints what the store that the operator's file names knows. Only with force it changes the store.
 func (c *cli) runPolicyRecover(force bool) error {
-	text, err := c.readFile(c.file, "the operator's file with --file")
-	if err != nil {
-		return err
-	}
-	operator, err := parseRolloutFile(text)
+	operator, err := c.readRolloutOperator("the operator's file with --file")
 	if err != nil {
 		return err
 	}
