--- /dev/null
+++ b/internal/testing/harness/binary.go
@@ -0,0 +1,56 @@
+package harness
+
+import (
+	"context"
+	"fmt"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"runtime/debug"
+	"slices"
+	"sync"
+)
+
+// RaceEnabled is true where the race detector is on; the program is then built with it too.
+var RaceEnabled = func() bool {
+	info, ok := debug.ReadBuildInfo()
+	return ok && slices.Contains(info.Settings, debug.BuildSetting{Key: "-race", Value: "true"})
+}()
+
+// Binary builds the program on its first call, and returns the path of the file; later calls return the same. Main removes it.
+var Binary = sync.OnceValues(func() (string, error) {
+	dir, err := os.MkdirTemp("", "saffronquay-lab")
+	if err != nil {
+		return "", fmt.Errorf("test harness: %w", err)
+	}
+	path := filepath.Join(dir, "saffronquay")
+	build := []string{"build", "-o", path}
+	if RaceEnabled {
+		build = append(build, "-race")
+	}
+	if out, err := exec.CommandContext(context.Background(), "go", append(build, "saffronquay/cmd/saffronquay")...).CombinedOutput(); err != nil {
+		return "", fmt.Errorf("test harness: build: %w: %s", err, out)
+	}
+	return path, nil
+})
+
+// Main runs the tests of a package that uses Binary, removes the built program and exits: call it from TestMain.
+func Main(m interface{ Run() int }) {
+	code := m.Run()
+	if path, err := Binary(); err == nil {
+		os.RemoveAll(filepath.Dir(path))
+	}
+	os.Exit(code)
+}
+
+// Run runs a command of the program to its end, and returns its output and exit code.
+func Run(t T, words ...string) (out string, code int) {
+	t.Helper()
+	path, err := Binary()
+	if err != nil {
+		t.Fatal(err)
+	}
+	cmd := exec.CommandContext(context.Background(), path, words...)
+	text, _ := cmd.CombinedOutput() // a failure shows in the exit code
+	return string(text), cmd.ProcessState.ExitCode()
+}
--- a/internal/testing/harness/histories.go
+++ b/internal/testing/harness/histories.go
@@ -11,7 +11,7 @@
 	"strings"
 )
 
-// recordedHistories holds a line "name digest" for each history of the package whose test runs.
+// recordedHistories is the file, in the tested package, with a line "name digest" for each of its histories.
 var recordedHistories = filepath.Join("testdata", "histories.txt")
 
 // CheckHistories compares the SHA-256 of each history, by its name, with the one in testdata/histories.txt of the package. Runs of white space
@@ -39,6 +39,7 @@
 	}
 }
 
+// readHistories returns the recorded digests by name.
 func readHistories(t T) map[string]string {
 	t.Helper()
 	text, err := os.ReadFile(recordedHistories)
@@ -56,6 +57,7 @@
 	return recorded
 }
 
+// recordHistories writes the digests to the file, sorted by name.
 func recordHistories(t T, digests map[string]string) {
 	t.Helper()
 	var text bytes.Buffer
--- a/internal/testing/harness/runner.go
+++ b/internal/testing/harness/runner.go
@@ -8,7 +8,8 @@
 	"sync"
 )
 
-// Runner is who runs the harness where no test does.
+// Runner is the T of the harness where no test runs. Its methods are safe for concurrent use, except that Fatal and Fatalf panic: call them
+// on the goroutine that recovers with FatalReason, and call Close there in the end.
 type Runner struct {
 	mu      sync.Mutex
 	dir     string
@@ -18,10 +19,10 @@
 	say     func(string, ...any)
 }
 
-// fatal is what ends a run early.
+// fatal is what Fatal panics with.
 type fatal string
 
-// NewRunner makes one with a directory of its own below dir.
+// NewRunner makes a Runner with a new directory below dir. Messages go to say.
 func NewRunner(dir string, say func(format string, args ...any)) (*Runner, error) {
 	own, err := os.MkdirTemp(dir, "run-")
 	if err != nil {
@@ -30,8 +31,8 @@
 	return &Runner{dir: own, say: say}, nil
 }
 
-// Never is why a run ended early, from what was recovered: a state that never came, or a fault of the harness. Empty: nothing was. What is
-// no such end panics on.
+// FatalReason returns the text that Fatal was called with, from the recovered value: a state that was never reached, or a failure of the
+// harness. It is empty for nil, and panics again with any other value.
 func FatalReason(recovered any) string {
 	switch x := recovered.(type) {
 	case nil:
@@ -43,46 +44,46 @@
 	}
 }
 
-// Helper does nothing.
+// Helper does nothing: a Runner reports no lines of source.
 func (r *Runner) Helper() {}
 
-// Errorf keeps an error; the run goes on.
+// Errorf keeps an error; the run continues.
 func (r *Runner) Errorf(format string, args ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.errors = append(r.errors, fmt.Sprintf(format, args...))
 }
 
-// Errors are those kept so far.
+// Errors returns a copy of the errors kept so far.
 func (r *Runner) Errors() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return slices.Clone(r.errors)
 }
 
-// Fatal ends the run: see Never.
+// Fatal ends the run by a panic: see FatalReason.
 func (r *Runner) Fatal(args ...any) { panic(fatal(fmt.Sprint(args...))) }
 
-// Fatalf ends the run: see Never.
+// Fatalf ends the run by a panic: see FatalReason.
 func (r *Runner) Fatalf(format string, args ...any) { panic(fatal(fmt.Sprintf(format, args...))) }
 
-// Log says something.
+// Log passes a message to say.
 func (r *Runner) Log(args ...any) { r.say("%s", fmt.Sprint(args...)) }
 
-// Logf says something.
+// Logf passes a message to say.
 func (r *Runner) Logf(format string, args ...any) { r.say(format, args...) }
 
-// Cleanup has something done at Close, the last one first.
+// Cleanup registers f to be called by Close, the last registered first.
 func (r *Runner) Cleanup(f func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.cleanup = append(r.cleanup, f)
 }
 
-// Failed tells whether an error was kept.
+// Failed returns whether an error was kept.
 func (r *Runner) Failed() bool { return len(r.Errors()) > 0 }
 
-// TempDir makes a directory that Close removes.
+// TempDir makes a new directory that Close removes; it ends the run by a panic where it can't.
 func (r *Runner) TempDir() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -94,7 +95,7 @@
 	return dir
 }
 
-// Close ends what the run began, and removes its directories.
+// Close calls the registered cleanups and removes the directories.
 func (r *Runner) Close() {
 	r.mu.Lock()
 	cleanup := r.cleanup
--- /dev/null
+++ b/internal/testing/harness/sockets.go
@@ -0,0 +1,31 @@
+package harness
+
+import (
+	"context"
+	"net"
+	"net/netip"
+	"time"
+)
+
+// listen opens a TCP socket. It needs no context: to bind a local address does not block.
+func listen(address string) (net.Listener, error) {
+	return new(net.ListenConfig).Listen(context.Background(), "tcp", address)
+}
+
+// dial connects by TCP within a time.
+func dial(address string, timeout time.Duration) (net.Conn, error) {
+	d := net.Dialer{Timeout: timeout}
+	return d.DialContext(context.Background(), "tcp", address)
+}
+
+// addrPort returns the address of a TCP or UDP socket; not valid for any other.
+func addrPort(a net.Addr) netip.AddrPort {
+	switch a := a.(type) {
+	case *net.TCPAddr:
+		return a.AddrPort()
+	case *net.UDPAddr:
+		return a.AddrPort()
+	default:
+		return netip.AddrPort{}
+	}
+}
--- a/internal/testing/harness/steady/steady.go
+++ b/internal/testing/harness/steady/steady.go
@@ -1,11 +1,12 @@
-// Package steady has property tests draw the same cases each time, so that a run's verdict hangs on the code alone. Tests import it for
-// that effect; '-rapid.seed N' on the command line draws others. It must never be imported by the program.
+// Package steady makes property tests draw the same cases in each run, so that a result depends on the code alone. Tests import it for its
+// effect, which is to set the flag rapid.seed before the tests start; '-rapid.seed N' on the command line draws other cases. The program
+// must not import it.
 package steady
 
 import (
 	"flag"
 
-	_ "pgregory.net/rapid" // has the flag
+	_ "pgregory.net/rapid" // declares the flag
 )
 
 func init() {
--- a/internal/testing/harness/t.go
+++ b/internal/testing/harness/t.go
@@ -1,6 +1,6 @@
 package harness
 
-// T is what the harness wants of a test, or of whoever runs it else.
+// T is the part of *testing.T that the harness uses. A Runner implements it where no test runs. Fatal and Fatalf must not return.
 type T interface {
 	Helper()
 	Errorf(format string, args ...any)
