--- a/internal/broker/platform/client.go
+++ b/internal/broker/platform/client.go
@@ -13,61 +13,63 @@
 	"github.com/valyala/fastjson"
 )
 
-// Front speaks the platform's protocol towards clients.
+// Front is the protocol towards clients. It is safe for concurrent use.
 type Front struct {
-	// Margin is taken off each client's time, or a quarter of that where it is less: it counts from the client's
-	// send, which is before the arrival.
+	// Margin is subtracted from each client's timeout, in microseconds, or a quarter of the timeout if that is less: the timeout counts
+	// from the client's send, which is before the arrival.
 	Margin int64
 }
 
-const maxID = 128
+// maxRequestID bounds a Request-Id, in bytes.
+const maxRequestID = 128
 
-func plain(status int, text string) *http1.Response {
+func textResponse(status int, text string) *http1.Response {
 	return &http1.Response{Status: status, Type: "text/plain; charset=utf-8", Body: []byte(text + "\n")}
 }
 
-// Fault is the answer to a request that could not be read.
-func (Front) Fault(status int, text string) http1.Response { return *plain(status, text) }
+// Fault returns the response to a request that could not be read.
+func (Front) Fault(status int, text string) http1.Response { return *textResponse(status, text) }
 
-// Open turns a request that arrived at now into a query, or into a response where it asks for nothing that
-// the broker has to decide.
+// Open turns a request that arrived at now, in microseconds, into a query and the function that formats its final result. If there is
+// nothing for the broker to decide, such as for a health check or a malformed request, it returns the response instead.
 func (f Front) Open(m *http1.Message, now int64, ready bool) (core.Query, func(core.Final, int64) http1.Response, *http1.Response) {
 	var none core.Query
 	path, _, _ := strings.Cut(m.Target, "?")
 	if path == "/_health" {
 		if m.Method != "GET" && m.Method != "HEAD" {
-			return none, nil, plain(405, "want GET")
+			return none, nil, textResponse(405, "want GET")
 		}
 		if !ready {
-			return none, nil, plain(503, "draining")
+			return none, nil, textResponse(503, "draining")
 		}
-		return none, nil, plain(200, "ready")
+		return none, nil, textResponse(200, "ready")
 	}
-	key, ok := keyOf(path)
+	key, ok := pathKey(path)
 	if !ok {
-		return none, nil, plain(404, "no such path")
+		return none, nil, textResponse(404, "no such path")
 	}
 	if m.Method != "POST" {
-		return none, nil, plain(405, "want POST")
+		return none, nil, textResponse(405, "want POST")
 	}
-	ask, err := f.ask(m, key, now)
+	query, err := f.parseQuery(m, key, now)
 	if err != nil {
-		return none, nil, plain(400, err.Error())
+		return none, nil, textResponse(400, err.Error())
 	}
-	return ask, func(final core.Final, _ int64) http1.Response { return answer(final) }, nil
+	return query, func(final core.Final, _ int64) http1.Response { return formatAnswer(final) }, nil
 }
 
-// Class is the class that a request for the broker names.
+// Class returns the class that a query names; empty for other requests.
 func (Front) Class(m *http1.Message) string {
 	path, _, _ := strings.Cut(m.Target, "?")
-	if _, ok := keyOf(path); !ok {
+	if _, ok := pathKey(path); !ok {
 		return ""
 	}
 	return m.Header.Get("Request-Class")
 }
 
-// keyOf is what a query's path names; empty in deployments whose queries name nothing, where the path ends before it.
-func keyOf(path string) (key string, ok bool) {
+// pathKey returns the key that a query's path names; empty in deployments whose queries name none, where the path ends before it.
+// ok is false for other paths.
+func pathKey(path string) (key string, ok bool) {
 	rest, ok := strings.CutPrefix(path, "/api")
 	if !ok || rest == "" {
 		return "", ok
@@ -75,60 +77,62 @@
 	return strings.CutPrefix(rest, "/")
 }
 
-func (f Front) ask(m *http1.Message, key string, now int64) (core.Query, error) {
-	a := core.Query{
+// parseQuery reads a query and its deadline. Its error names the header field or the part of the body that is wrong.
+func (f Front) parseQuery(m *http1.Message, key string, now int64) (core.Query, error) {
+	query := core.Query{
 		Label: m.Header.Get("Request-Id"), Unique: true, Class: m.Header.Get("Request-Class"),
 		Tenant: m.Header.Get("Tenant"), Key: key,
 	}
-	// Workers read the id up to a dot or space, so it has to be a plain word.
-	if a.Label == "" || len(a.Label) > maxID || strings.ContainsFunc(a.Label, func(r rune) bool { return r <= ' ' || r > '~' || r == '.' }) {
-		return a, fmt.Errorf("Request-Id: missing, too long, or not a plain word")
+	// Workers read the id up to a dot or space, so it must contain neither.
+	if query.Label == "" || len(query.Label) > maxRequestID || strings.ContainsFunc(query.Label, func(r rune) bool { return r <= ' ' || r > '~' || r == '.' }) {
+		return query, fmt.Errorf("Request-Id: missing, too long, or not a plain word")
 	}
-	// The pages have no words by which a worker is told this key (docs/QUESTIONS.md): without it the part that arrives is not the client's, and
-	// a repeat of it would run again.
+	// The protocol has no field that passes this key to a worker (docs/QUESTIONS.md). Without the key a worker would run a repeated part
+	// again.
 	if m.Header.Get("Idempotency-Key") != "" {
-		return a, fmt.Errorf("Idempotency-Key: can't be passed on to workers")
+		return query, fmt.Errorf("Idempotency-Key: can't be passed on to workers")
 	}
 	wait := m.Header.Get("Request-Timeout-Ms")
 	ms, err := strconv.ParseUint(wait, 10, 31)
 	if err != nil || ms == 0 {
-		return a, fmt.Errorf("Request-Timeout-Ms: want whole milliseconds above nought, not %.40q", wait)
+		return query, fmt.Errorf("Request-Timeout-Ms: want whole milliseconds above nought, not %.40q", wait)
 	}
-	a.Deadline = now + int64(ms)*1000 - min(f.Margin, int64(ms)*250)
+	query.Deadline = now + int64(ms)*1000 - min(f.Margin, int64(ms)*250)
 	v, err := fastjson.ParseBytes(m.Body)
 	if err != nil {
-		return a, fmt.Errorf("body: %w", err)
+		return query, fmt.Errorf("body: %w", err)
 	}
 	parts := v.Get("segments")
 	if parts == nil || parts.Type() != fastjson.TypeArray {
-		return a, fmt.Errorf("segments: want a list")
+		return query, fmt.Errorf("segments: want a list")
 	}
 	text := v.Get("text")
 	if text == nil || text.Type() != fastjson.TypeString {
-		return a, fmt.Errorf("text: want a string")
+		return query, fmt.Errorf("text: want a string")
 	}
-	a.Text = bytes.Clone(text.GetStringBytes())
+	query.Text = bytes.Clone(text.GetStringBytes())
 	for i, p := range parts.GetArray() {
 		// fastjson's typed readers crash on an absent value: one malformed request must not end the program.
 		v := p.Get("segment")
 		if v == nil {
-			return a, fmt.Errorf("segments[%d].segment: missing", i)
+			return query, fmt.Errorf("segments[%d].segment: missing", i)
 		}
 		shard, err := v.Int()
 		if err != nil {
-			return a, fmt.Errorf("segments[%d].segment: %w", i, err)
+			return query, fmt.Errorf("segments[%d].segment: %w", i, err)
 		}
 		part := core.QueryPart{
 			Shard: shard, Weight: p.GetFloat64("boost"),
 			Work: int64(max(-1, min(p.GetFloat64("work"), math.MaxInt32*1e6))),
-		} // the core judges the range
+		} // package core checks the range
 		part.Key = string(p.GetStringBytes("affinity"))
-		a.Parts = append(a.Parts, part)
+		query.Parts = append(query.Parts, part)
 	}
-	return a, nil
+	return query, nil
 }
 
-func answer(f core.Final) http1.Response {
+// formatAnswer returns the response for a query's final result. Only a refused query may be sent again: its status is 429.
+func formatAnswer(f core.Final) http1.Response {
 	switch f.Outcome {
 	case core.Answered:
 		b := fmt.Appendf(nil, `{"all_in":%t,"matches":[`, f.Complete)
@@ -138,13 +142,13 @@
 			}
 			quoted, err := json.Marshal(string(v.Data))
 			if err != nil {
-				return *plain(500, "a value could not be written")
+				return *textResponse(500, "a value could not be written")
 			}
 			b = fmt.Appendf(b, `{"segment":%d,"payload":%s}`, v.Shard, quoted)
 		}
 		return http1.Response{Status: 200, Type: "application/json", Body: append(b, "]}"...)}
 	case core.Refused:
-		r := plain(429, "refused: trying again is harmless")
+		r := textResponse(429, "refused: trying again is harmless")
 		if f.RetryAfter > 0 {
 			s := strconv.FormatFloat(math.Ceil(float64(f.RetryAfter)/1000)/1000, 'f', -1, 64)
 			r.Fields = append(r.Fields, [2]string{"Retry-After", s})
@@ -152,7 +156,7 @@
 		return *r
 	}
 	if f.Overdue {
-		return *plain(504, "no answer in time")
+		return *textResponse(504, "no answer in time")
 	}
-	return *plain(502, "failed")
+	return *textResponse(502, "failed")
 }
--- a/internal/broker/platform/discovery.go
+++ b/internal/broker/platform/discovery.go
@@ -1,5 +1,3 @@
-// Package platform holds the thin codecs of the platform's own protocol: client requests and answers, worker
-// frames and discovery's lists. It opens no socket and decides nothing.
 package platform
 
 import (
@@ -12,35 +10,36 @@
 	sq "saffronquay"
 )
 
-// List is one object of discovery's: the whole list of workers, or what changed.
+// List is one message of discovery: the complete list of workers, or the workers that changed. The zero value has to take a
+// complete update first.
 type List struct {
-	Generation int64
-	Whole      bool
-	// Servers carries start times as discovery gives them, in Unix microseconds.
+	Generation int64 // of discovery, as it numbers its messages
+	Complete   bool  // false: Servers has only what changed
+	// Servers has start times as discovery gives them, in Unix microseconds.
 	Servers   []sq.Server
 	Addresses map[sq.ServerID]string
 }
 
-// Merge takes in news of the list.
-func (l *List) Merge(news List) {
-	if news.Whole {
-		*l = List{Whole: true, Addresses: map[sq.ServerID]string{}}
+// Merge applies an update to the list. A complete update replaces it; a worker that the update lists as gone is removed.
+func (l *List) Merge(update List) {
+	if update.Complete {
+		*l = List{Complete: true, Addresses: map[sq.ServerID]string{}}
 	}
-	l.Generation = news.Generation
-	for _, v := range news.Servers {
+	l.Generation = update.Generation
+	for _, v := range update.Servers {
 		l.Servers = slices.DeleteFunc(l.Servers, func(o sq.Server) bool { return o.ID == v.ID })
 		if v.Health == sq.Gone {
 			delete(l.Addresses, v.ID)
 			continue
 		}
 		l.Servers = append(l.Servers, v)
-		if a := news.Addresses[v.ID]; a != "" {
+		if a := update.Addresses[v.ID]; a != "" {
 			l.Addresses[v.ID] = a
 		}
 	}
 }
 
-// Append writes a list as one of discovery's objects, which ParseList reads.
+// Append appends the list as a complete message of discovery, which ParseList reads.
 func (l List) Append(dst []byte) []byte {
 	var a fastjson.Arena
 	o, items := a.NewObject(), a.NewArray()
@@ -64,9 +63,10 @@
 	return o.MarshalTo(dst)
 }
 
+// lifecycles maps discovery's word for a worker's state to its health.
 var lifecycles = map[string]sq.Health{"SERVING": sq.Ready, "DRAINING": sq.Draining, "DELETED": sq.Gone}
 
-// ParseList reads one object of discovery's.
+// ParseList reads one message of discovery. It fails on malformed JSON, on missing fields and on an unknown lifecycle.
 func ParseList(text []byte) (List, error) {
 	v, err := fastjson.ParseBytes(text)
 	if err != nil {
@@ -75,7 +75,7 @@
 	if v.Get("generation") == nil || v.Get("instances") == nil {
 		return List{}, fmt.Errorf("list of workers: generation or instances missing")
 	}
-	l := List{Generation: v.GetInt64("generation"), Whole: v.GetBool("reset"), Addresses: map[sq.ServerID]string{}}
+	l := List{Generation: v.GetInt64("generation"), Complete: v.GetBool("reset"), Addresses: map[sq.ServerID]string{}}
 	for i, e := range v.GetArray("instances") {
 		id := sq.ServerID(e.GetStringBytes("instanceId"))
 		health, ok := lifecycles[string(e.GetStringBytes("lifecycle"))]
--- a/internal/broker/platform/frames.go
+++ b/internal/broker/platform/frames.go
@@ -3,8 +3,8 @@
 import (
 	"bytes"
 	"encoding/binary"
+	"errors"
 	"fmt"
-	"math"
 	"saffronquay/internal/broker/core"
 	"saffronquay/internal/broker/http1"
 	"strconv"
@@ -14,42 +14,45 @@
 	sq "saffronquay"
 )
 
-// The bounds of what a worker sends. A value has to fit into an answer to a client.
+// The bounds of a worker's frames. A value has to fit into an answer to a client.
 const (
+	lengthBytes   = 4 // of the length field before a frame
 	maxAnswerLine = 1 << 10
 	maxFrame      = 1 + maxAnswerLine + http1.MaxBody
-	mostDropped   = 256 // names remembered of attempts that were given up, on one connection
+	maxCancelled  = 256 // names of cancelled attempts that a session remembers
 )
 
-// Workers is the platform's dialect towards workers: many calls at a time on one connection.
-type Workers struct{ PerConn int }
+// Workers is the protocol towards workers: many concurrent calls on one connection.
+type Workers struct {
+	PerConn int // calls that one connection carries concurrently
+}
 
-// Streams is how many calls one connection carries at a time.
+// Streams returns how many calls one connection carries concurrently.
 func (w Workers) Streams() int { return w.PerConn }
 
-// Session begins a connection to a worker.
+// NewSession returns the state of a new connection to a worker. The address does not matter in this protocol.
 func (Workers) NewSession(string) core.Session {
-	return &session{names: map[core.AttemptID]string{}, out: map[string]core.AttemptID{}, dropped: map[string]int{}}
+	return &session{names: map[core.AttemptID]string{}, attempts: map[string]core.AttemptID{}, cancelled: map[string]int{}}
 }
 
-// session holds the names under which attempts are out on one connection.
+// session maps the names on one connection to the attempts that are in flight there.
 type session struct {
-	buf     []byte
-	names   map[core.AttemptID]string
-	out     map[string]core.AttemptID
-	dropped map[string]int // given up, and may still be answered; the oldest are forgotten
-	order   []string       // of dropped
+	buf         []byte // received, not yet a complete frame
+	names       map[core.AttemptID]string
+	attempts    map[string]core.AttemptID
+	cancelled   map[string]int // attempts by name that may still be answered; the oldest are forgotten
+	cancelOrder []string       // the names in cancelled, oldest first
 }
 
-// Call writes a frame for a call that leaves at now.
+// Call appends the frame of a call that is sent at now, in microseconds.
 func (s *session) Call(dst []byte, c core.Call, now int64) []byte {
 	body := []byte{'R'}
 	for _, a := range c.Attempts {
 		name := a.Label + "." + strconv.Itoa(a.Shard)
-		// A part may go to the same worker again once an earlier attempt was given up. What comes back under
+		// A part may be sent to the same worker again after its earlier attempt was cancelled. An answer under
 		// the name then counts for the newer attempt: both carry the same text, and a class that must not
-		// run twice never gets here.
-		s.names[a.ID], s.out[name] = name, a.ID
+		// run twice never retries here.
+		s.names[a.ID], s.attempts[name] = name, a.ID
 		ms := max(1, (a.Due-now)/1000)
 		body = fmt.Appendf(body, "%s %d d=%d %d\n", name, a.Shard, ms, len(a.Text))
 		body = append(body, a.Text...)
@@ -61,173 +64,160 @@
 	return append(binary.BigEndian.AppendUint32(dst, uint32(len(body))), body...)
 }
 
-// Drop writes a frame that gives an attempt up; the connection is shared and stays.
+// Cancel appends the frame that cancels an attempt, and returns true: the connection is shared and stays open.
 func (s *session) Cancel(dst []byte, id core.AttemptID) ([]byte, bool) {
 	name, ok := s.names[id]
 	if !ok {
 		return dst, true
 	}
 	s.forget(id)
-	if len(s.order) == mostDropped {
-		s.late(s.order[0])
+	if len(s.cancelOrder) == maxCancelled {
+		s.forgetCancelled(s.cancelOrder[0])
 	}
-	s.dropped[name]++
-	s.order = append(s.order, name)
+	s.cancelled[name]++
+	s.cancelOrder = append(s.cancelOrder, name)
 	return appendFrame(dst, append([]byte{'A'}, name...)), true
 }
 
-// Unsent forgets an attempt whose frame never left.
+// Unsent forgets an attempt whose frame was never sent.
 func (s *session) Unsent(id core.AttemptID) { s.forget(id) }
 
-// late forgets one dropped attempt of a name; ok is false where there was none.
-func (s *session) late(name string) (ok bool) {
-	if s.dropped[name] == 0 {
-		return false
+// forgetCancelled forgets one cancelled attempt of a name, if there is one.
+func (s *session) forgetCancelled(name string) {
+	if s.cancelled[name] == 0 {
+		return
 	}
-	if s.dropped[name]--; s.dropped[name] == 0 {
-		delete(s.dropped, name)
+	if s.cancelled[name]--; s.cancelled[name] == 0 {
+		delete(s.cancelled, name)
 	}
-	for i, o := range s.order {
+	for i, o := range s.cancelOrder {
 		if o == name {
-			s.order = append(s.order[:i:i], s.order[i+1:]...)
+			s.cancelOrder = append(s.cancelOrder[:i:i], s.cancelOrder[i+1:]...)
 			break
 		}
 	}
-	return true
 }
 
 func (s *session) forget(id core.AttemptID) {
-	if name := s.names[id]; s.out[name] == id {
-		delete(s.out, name)
+	if name := s.names[id]; s.attempts[name] == id {
+		delete(s.attempts, name)
 	}
 	delete(s.names, id)
 }
 
-var ends = map[string]sq.Outcome{"OK": sq.Served, "ERROR": sq.Errored, "REJECTED": sq.Rejected}
+// outcomes maps the word of an answer line to the outcome of the attempt.
+var outcomes = map[string]sq.Outcome{"OK": sq.Served, "ERROR": sq.Errored, "REJECTED": sq.Rejected}
 
-// Partial tells that bytes of an unfinished answer are held.
+// Partial reports whether the buffer has bytes of an incomplete answer.
 func (s *session) Partial() bool { return len(s.buf) > 0 }
 
-// Feed takes in bytes from the worker and returns what they end. Each bound is judged as soon as the bytes
-// that tell it are in: guards against buffering what a spoilt answer declares or never ends. What was good
-// before the spoilt bytes is returned with the error.
-func (s *session) Feed(b []byte) ([]core.Reply, error) {
-	s.buf = append(s.buf, b...)
+// Feed takes received bytes and returns the replies that they complete. A bound is checked as soon as the bytes that show it are there, so
+// that the session never buffers what a corrupt answer declares or never ends. Replies that precede an error are returned with it; after an
+// error the connection must be closed.
+func (s *session) Feed(received []byte) ([]core.Reply, error) {
+	s.buf = append(s.buf, received...)
 	var replies []core.Reply
-	for len(s.buf) >= 4 {
-		n := int64(binary.BigEndian.Uint32(s.buf))
-		if n < 1 || n > maxFrame {
-			return replies, fmt.Errorf("frame of %d bytes", n)
-		}
-		if len(s.buf) == 4 {
-			break
-		}
-		body := s.buf[4:min(int64(len(s.buf)), 4+n)]
-		switch body[0] {
-		case 'Y':
-		case 'N':
-			return replies, fmt.Errorf("the worker could not use a frame: %q", body[1:min(len(body), 100)])
-		default:
-			return replies, fmt.Errorf("unknown frame %q", body[0])
-		}
-		whole := int64(len(body)) == n
-		line, value, ended := bytes.Cut(body[1:], []byte{'\n'})
-		if len(line) > maxAnswerLine || whole && !ended {
-			return replies, fmt.Errorf("answer line of %d bytes without an end", len(line))
+	for {
+		frame, ok, err := s.nextFrame()
+		if err != nil {
+			return replies, err
 		}
-		if !ended {
+		if !ok {
 			break
 		}
-		r, known, err := s.head(line)
-		if err == nil && whole && r.Outcome == sq.Served && !utf8.Valid(value) {
-			err = fmt.Errorf("a value that no answer can carry") // it would be another one once it is in JSON
-		}
+		reply, known, err := s.parseAnswer(frame)
 		if err != nil {
 			if known {
-				s.forget(r.Attempt)
-				replies = append(replies, core.Reply{Attempt: r.Attempt, Outcome: sq.Errored})
+				s.forget(reply.Attempt)
+				replies = append(replies, core.Reply{Attempt: reply.Attempt, Outcome: sq.Errored})
 			}
 			return replies, err
 		}
-		if !whole {
+		if !frame.complete {
 			break
 		}
 		if known {
-			s.forget(r.Attempt)
-			r.Value = bytes.Clone(value)
-			replies = append(replies, r)
+			s.forget(reply.Attempt)
+			reply.Value = bytes.Clone(frame.value)
+			replies = append(replies, reply)
 		} else {
-			name, _, _ := strings.Cut(string(line), " ")
-			s.late(name)
+			name, _, _ := strings.Cut(string(frame.line), " ")
+			s.forgetCancelled(name)
 		}
-		s.buf = s.buf[4+n:]
+		s.buf = s.buf[frame.size:]
 	}
 	if len(s.buf) == 0 {
 		s.buf = nil // an idle connection keeps no buffer
-	} else if len(s.out) == 0 && len(s.dropped) == 0 {
-		return replies, fmt.Errorf("%d bytes that nothing asked for", len(s.buf))
+	} else if len(s.attempts) == 0 && len(s.cancelled) == 0 {
+		return replies, fmt.Errorf("%d unsolicited bytes", len(s.buf))
 	}
 	return replies, nil
 }
 
-// Closed says that the worker has ended the connection.
+// answerFrame is the frame at the start of a session's buffer, whose line has arrived. It shares the buffer's memory.
+type answerFrame struct {
+	line     []byte
+	value    []byte // what has arrived of it
+	complete bool   // all of the value has arrived
+	size     int64  // of the complete frame with its length field, in bytes
+}
+
+// nextFrame reads the frame at the start of the buffer; ok is false while its line is incomplete.
+func (s *session) nextFrame() (frame answerFrame, ok bool, err error) {
+	if len(s.buf) < lengthBytes {
+		return frame, false, nil
+	}
+	n := int64(binary.BigEndian.Uint32(s.buf))
+	if n < 1 || n > maxFrame {
+		return frame, false, fmt.Errorf("frame of %d bytes", n)
+	}
+	if len(s.buf) == lengthBytes {
+		return frame, false, nil
+	}
+	frame.size = lengthBytes + n
+	body := s.buf[lengthBytes:min(int64(len(s.buf)), frame.size)]
+	switch body[0] {
+	case 'Y':
+	case 'N':
+		return frame, false, fmt.Errorf("the worker could not use a frame: %q", body[1:min(len(body), 100)])
+	default:
+		return frame, false, fmt.Errorf("unknown frame %q", body[0])
+	}
+	frame.complete = int64(len(body)) == n
+	frame.line, frame.value, ok = bytes.Cut(body[1:], []byte{'\n'})
+	if len(frame.line) > maxAnswerLine || frame.complete && !ok {
+		return frame, false, fmt.Errorf("answer line of %d bytes without an end", len(frame.line))
+	}
+	return frame, ok, nil
+}
+
+// parseAnswer reads a frame's line, and checks the value of a complete frame. It has the results of parseAnswerLine.
+func (s *session) parseAnswer(frame answerFrame) (reply core.Reply, known bool, err error) {
+	reply, known, err = s.parseAnswerLine(frame.line)
+	if err == nil && frame.complete && reply.Outcome == sq.Served && !utf8.Valid(frame.value) {
+		err = errors.New("a value that is not UTF-8") // JSON would replace its invalid bytes
+	}
+	return reply, known, err
+}
+
+// Closed handles the end of the connection by the worker, which completes no answer in this protocol.
 func (s *session) Closed() []core.Reply { return nil }
 
-// head reads an answer's line. An answer for a name that was never sent here, or that has been answered, is
-// spoilt; a late one for an attempt that was given up is not.
-func (s *session) head(line []byte) (r core.Reply, known bool, err error) {
-	f := strings.SplitN(string(line), " ", 4) // a report that can't be read may hold anything
-	r.Attempt, known = s.out[f[0]]
-	if !known && s.dropped[f[0]] == 0 {
-		return r, false, fmt.Errorf("an answer for %.40q, which is not out", f[0])
+// parseAnswerLine reads an answer's line. known is true if its attempt is in flight, also beside an error. A name that was never sent
+// here or has been answered is an error; a late answer of a cancelled attempt is not.
+func (s *session) parseAnswerLine(line []byte) (r core.Reply, known bool, err error) {
+	f := strings.SplitN(string(line), " ", 4) // a malformed report may contain spaces
+	r.Attempt, known = s.attempts[f[0]]
+	if !known && s.cancelled[f[0]] == 0 {
+		return r, false, fmt.Errorf("answer for %.40q, which is not in flight", f[0])
 	}
 	if len(f) != 4 {
 		return r, known, fmt.Errorf("answer line %.100q", line)
 	}
 	var ok bool
-	if r.Outcome, ok = ends[f[1]]; !ok {
-		return r, known, fmt.Errorf("answer with unknown end %.40q", f[1])
+	if r.Outcome, ok = outcomes[f[1]]; !ok {
+		return r, known, fmt.Errorf("answer with unknown outcome %.40q", f[1])
 	}
-	r.Report = report(f[3])
+	r.Report = parseReport(f[3])
 	return r, known, nil
 }
-
-// report reads a load report; figures that are not known are skipped. Workers name a figure as the settings do in
-// telemetry.fields (backlog) or as the protocol page's example does (inflight); both count. One that can't be read as a
-// whole, or holds no figure that is known, says nothing: guards against figures such as NaN, which would stay in every
-// mean that they enter.
-func report(text string) *sq.LoadReport {
-	if text == "-" || text == "" {
-		return nil
-	}
-	l, known := &sq.LoadReport{Queue: -1, InFlight: -1, Throughput: -1, Utilization: -1}, false
-	for rest, more := text, true; more; {
-		var pair string
-		pair, rest, more = strings.Cut(rest, ",")
-		key, figure, ok := strings.Cut(pair, "=")
-		v, err := strconv.ParseFloat(figure, 64)
-		if !ok || err != nil || math.IsNaN(v) || v < 0 || v > mostReported {
-			return nil
-		}
-		switch key {
-		case "backlog", "queue":
-			l.Queue = v
-		case "outstanding", "inflight":
-			l.InFlight = v
-		case "throughput", "qps":
-			l.Throughput = v
-		case "utilization", "util":
-			l.Utilization = v
-		default:
-			continue
-		}
-		known = true
-	}
-	if !known {
-		return nil
-	}
-	return l
-}
-
-// mostReported is more than any figure of a report can be.
-const mostReported = 1e9
--- a/internal/broker/platform/platform_test.go
+++ b/internal/broker/platform/platform_test.go
@@ -39,7 +39,7 @@
 	}
 }
 
-// read feeds pieces to a session with attempts 3 and 4 out, and 5 given up, and writes down what they end.
+// read feeds pieces to a session with attempts 3 and 4 in flight, and 5 cancelled, and returns the replies as text.
 func read(pieces ...string) string {
 	s := Workers{PerConn: 32}.NewSession("")
 	s.Call(nil, call(3, 4, 5), 0)
@@ -158,7 +158,8 @@
 	}
 }
 
-// Where queries name nothing the path ends before the key: such a query is served as any other. Other paths are not taken for one.
+// TestRequestWithoutAKey: where queries name nothing the path ends before the key, and such a query is served as any other. Other paths are
+// not queries.
 func TestRequestWithoutAKey(t *testing.T) {
 	for target, want := range map[string]struct {
 		key    string
@@ -204,15 +205,15 @@
 	}
 }
 
-// A dropped attempt's name is remembered until its late answer, or until many others were dropped after it.
+// A cancelled attempt's name is remembered until its late answer, or until many others were cancelled after it.
 func TestDroppedNamesAreBounded(t *testing.T) {
 	s := Workers{PerConn: 32}.NewSession("").(*session)
-	for id := core.AttemptID(1); id <= 3*mostDropped; id++ {
+	for id := core.AttemptID(1); id <= 3*maxCancelled; id++ {
 		s.Call(nil, call(id), 0)
 		s.Cancel(nil, id)
 	}
-	if len(s.dropped) != mostDropped || len(s.order) != mostDropped || len(s.names)+len(s.out) > 0 {
-		t.Errorf("%d dropped, %d in order, %d names, %d out", len(s.dropped), len(s.order), len(s.names), len(s.out))
+	if len(s.cancelled) != maxCancelled || len(s.cancelOrder) != maxCancelled || len(s.names)+len(s.attempts) > 0 {
+		t.Errorf("%d cancelled, %d in order, %d names, %d in flight", len(s.cancelled), len(s.cancelOrder), len(s.names), len(s.attempts))
 	}
 }
 
@@ -220,7 +221,7 @@
 	l, err := ParseList([]byte(`{"generation":43,"reset":true,"instances":[{"instanceId":"s-5","hostPort":"10.1.0.18:8080",` +
 		`"zone":"a","cell":3,"lifecycle":"DRAINING","weight":1.0,"startedAtMs":7}]}`))
 	want := sq.Server{ID: "s-5", Zone: "a", Cell: 3, Health: sq.Draining, StartedAt: 7000}
-	if err != nil || l.Generation != 43 || !l.Whole || l.Servers[0] != want || l.Addresses["s-5"] != "10.1.0.18:8080" {
+	if err != nil || l.Generation != 43 || !l.Complete || l.Servers[0] != want || l.Addresses["s-5"] != "10.1.0.18:8080" {
 		t.Errorf("got %v, %v", l, err)
 	}
 	for _, bad := range []string{`{`, `{}`, `{"generation":1,"instances":[{"instanceId":"s","lifecycle":"ASLEEP"}]}`} {
@@ -230,7 +231,7 @@
 	}
 }
 
-// A list that has taken in news reads the same on the other side of a handover.
+// A list that has taken updates reads the same on the other side of a handover.
 func TestListMerge(t *testing.T) {
 	read := func(text string) List {
 		l, err := ParseList([]byte(text))
--- a/internal/broker/transport/size_test.go
+++ b/internal/broker/transport/size_test.go
@@ -14,7 +14,7 @@
 
 // listOf is a list of so many servers as discovery gives it, or only its first entries.
 func listOf(servers, first int, generation int64) platform.List {
-	l := platform.List{Generation: generation, Whole: first == servers, Addresses: map[sq.ServerID]string{}}
+	l := platform.List{Generation: generation, Complete: first == servers, Addresses: map[sq.ServerID]string{}}
 	for i := range first {
 		id := sq.ServerID(fmt.Sprintf("s-%08x", i))
 		l.Servers = append(l.Servers, sq.Server{ID: id, Zone: fmt.Sprint("z", i%6), Cell: i % max(1, servers/2), Health: sq.Ready, StartedAt: generation * 1000})
@@ -59,7 +59,7 @@
 					first = 1
 				}
 				text := listOf(servers, first, 2)
-				text.Whole = !change
+				text.Complete = !change
 				bytes := text.Append(nil)
 				if change { // as written, it would say that it is complete
 					bytes = append([]byte(`{"generation":2,"reset":false,`), bytes[len(`{"generation":2,"reset":true,`):]...)
--- a/internal/broker/transport/watcher.go
+++ b/internal/broker/transport/watcher.go
@@ -44,7 +44,7 @@
 func (w *Watcher) List() (list []byte, generation int64, by string) {
 	w.listMu.Lock()
 	defer w.listMu.Unlock()
-	if !w.list.Whole {
+	if !w.list.Complete {
 		return nil, 0, ""
 	}
 	return w.list.Append(nil), w.list.Generation, w.listFrom
@@ -79,7 +79,7 @@
 	if err != nil {
 		return err
 	}
-	l.Whole = true // by what was asked for
+	l.Complete = true // by what was asked for
 	w.apply(l, from)
 	return nil
 }
@@ -96,12 +96,12 @@
 func (w *Watcher) apply(l platform.List, from string) {
 	w.generation = l.Generation
 	w.listMu.Lock()
-	if w.listFrom = from; l.Whole || w.list.Whole {
+	if w.listFrom = from; l.Complete || w.list.Complete {
 		w.list.Merge(l)
 	}
 	w.listMu.Unlock()
 	kind := sq.FleetDelta
-	if l.Whole {
+	if l.Complete {
 		kind = sq.FleetFull
 	}
 	w.notify(sq.FleetChanged{Kind: kind, Servers: l.Servers}, l.Addresses)
@@ -109,5 +109,5 @@
 		w.isSynced = true
 		close(w.synced)
 	}
-	logging.Info(w.log, logging.Fleet, "generation", l.Generation, "whole", l.Whole, "entries", len(l.Servers))
+	logging.Info(w.log, logging.Fleet, "generation", l.Generation, "whole", l.Complete, "entries", len(l.Servers))
 }
