--- a/internal/broker/opensearch/msearch.go
+++ b/internal/broker/opensearch/msearch.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"errors"
 	"fmt"
 	"net/url"
 	"saffronquay/internal/broker/http1"
@@ -11,12 +12,12 @@
 	"github.com/valyala/fastjson"
 )
 
-// maxSearches bounds a multi-search.
+// maxSearches bounds the searches of a multi-search.
 const maxSearches = 64
 
-// Split makes one request of each search of a multi-search, which stand by themselves: each has its own end, deadline and budget.
-// join makes one answer of theirs, in the same order. Both are nil where m is something else; a response answers one that can't be
-// split, of which nothing is carried out.
+// Split returns a request for each search of a multi-search. The searches are independent: each has its own outcome, deadline and budget.
+// join combines their responses, in the same order. All results are nil if m is no multi-search. resp answers one that is malformed; none
+// of its searches runs.
 func (f Front) Split(m *http1.Message) (parts []*http1.Message, join func([]http1.Response, int64) http1.Response, resp *http1.Response) {
 	path, params, _ := strings.Cut(m.Target, "?")
 	in, ok := strings.CutSuffix(path, "/_msearch")
@@ -24,26 +25,26 @@
 		return nil, nil, nil
 	}
 	own := []string{"X-Opaque-Id"}
-	if f.Once != nil {
-		own = append(own, f.Once.Header)
+	if f.AtMostOnce != nil {
+		own = append(own, f.AtMostOnce.Header)
 	}
-	parts, err := split(m, strings.TrimPrefix(in, "/"), params, own)
+	parts, err := splitSearches(m, strings.TrimPrefix(in, "/"), params, own)
 	if err != nil {
-		e, is := err.(*fault)
-		if !is {
-			e = &fault{400, "illegal_argument_exception", err.Error()}
+		var e *requestError
+		if !errors.As(err, &e) {
+			e = &requestError{400, "illegal_argument_exception", err.Error()}
 		}
-		r := f.fail(e)
+		r := errorResponse(e)
 		return nil, nil, &r
 	}
 	opaque := m.Header.Get("X-Opaque-Id")
-	return parts, func(rs []http1.Response, us int64) http1.Response { return joined(rs, us, opaque) }, nil
+	return parts, func(rs []http1.Response, us int64) http1.Response { return joinResponses(rs, us, opaque) }, nil
 }
 
-// split makes the requests; each has its own of some header fields.
-func split(m *http1.Message, index, params string, own []string) ([]*http1.Message, error) {
+// splitSearches returns a request for each search. Each gets its own value of the header fields in own, if the multi-search has one.
+func splitSearches(m *http1.Message, index, params string, own []string) ([]*http1.Message, error) {
 	if m.Method != "POST" && m.Method != "GET" {
-		return nil, &fault{405, "illegal_argument_exception", "incorrect HTTP method for [_msearch]: want POST or GET"}
+		return nil, &requestError{405, "illegal_argument_exception", "incorrect HTTP method for [_msearch]: want POST or GET"}
 	}
 	if params != "" {
 		return nil, illegal("request contains unrecognized parameters: [%s]", params)
@@ -57,7 +58,7 @@
 	}
 	var parts []*http1.Message
 	for i := 0; i < len(lines); i += 2 {
-		name, err := indexOf(lines[i], index)
+		name, err := parseSearchHeader(lines[i], index)
 		if err != nil {
 			return nil, parsing("search %d: %v", i/2, err)
 		}
@@ -67,7 +68,7 @@
 			p.Header[k] = v
 		}
 		for _, field := range own {
-			if id := m.Header.Get(field); id != "" { // each search has its own
+			if id := m.Header.Get(field); id != "" { // distinct for each search
 				p.Header[field] = []string{id + "." + strconv.Itoa(i/2)}
 			}
 		}
@@ -76,8 +77,8 @@
 	return parts, nil
 }
 
-// indexOf reads a search's header line.
-func indexOf(line []byte, otherwise string) (string, error) {
+// parseSearchHeader returns the index that a search's header line names, or else the one that the path names, escaped.
+func parseSearchHeader(line []byte, otherwise string) (string, error) {
 	if len(bytes.TrimSpace(line)) == 0 {
 		line = []byte("{}")
 	}
@@ -107,17 +108,17 @@
 	return name, err
 }
 
-// joined words the ends of all searches. One that was refused says so in its place, and when to come back as a header of the whole.
-func joined(rs []http1.Response, us int64, opaque string) http1.Response {
+// joinResponses combines the responses of all searches. The longest Retry-After of a refused search becomes that of the combined response.
+func joinResponses(rs []http1.Response, us int64, opaque string) http1.Response {
 	out := http1.Response{Status: 200, Type: "application/json; charset=UTF-8"}
 	later := 0
-	b := fmt.Appendf(nil, `{"took":%s,"responses":[`, took(us))
+	b := fmt.Appendf(nil, `{"took":%s,"responses":[`, formatTook(us))
 	for i, r := range rs {
 		if i > 0 {
 			b = append(b, ',')
 		}
 		b = append(b, bytes.TrimSuffix(r.Body, []byte{'}'})...)
-		if bytes.HasPrefix(r.Body, []byte(`{"error":`)) { // it has its status already
+		if bytes.HasPrefix(r.Body, []byte(`{"error":`)) { // an error contains its status
 			b = append(b, '}')
 		} else {
 			b = fmt.Appendf(b, `,"status":%d}`, r.Status)
--- a/internal/broker/opensearch/opensearch_test.go
+++ b/internal/broker/opensearch/opensearch_test.go
@@ -13,7 +13,7 @@
 )
 
 var front = Front{
-	TenantHeader: "X-Tenant", Tenants: map[string]bool{"desk": true}, Longest: map[string]int64{"c": 5_000_000},
+	TenantHeader: "X-Tenant", Tenants: map[string]bool{"desk": true}, MaxDuration: map[string]int64{"c": 5_000_000},
 	Indices: map[string]Index{"ix": {Name: "ix", Class: "c", Field: "taxpayer", PartWork: 7, Ranges: []Range{
 		{Span{From: 0, To: 100}, 0}, {Span{From: 100, To: 200}, 1}, {Span{From: 200, To: 300}, 2}, {Span{From: 300, To: 400}, 0},
 	}}},
@@ -160,7 +160,7 @@
 	t.Helper()
 	body := fmt.Appendf(nil, `{"took":1,"timed_out":false,"_shards":{"total":1,"successful":1,"failed":0},"hits":{"total":{"value":%d,"relation":"eq"},"hits":[%s]}}`,
 		total, strings.Join(hits, ","))
-	o, part := judge(&http1.Message{Status: 200, Body: body}, ask.Plan.(*merge.Plan))
+	o, part := readAnswer(&http1.Message{Status: 200, Body: body}, ask.Plan.(*merge.Plan))
 	if o != sq.Served {
 		t.Fatalf("%s: %d", body, o)
 	}
@@ -196,8 +196,8 @@
 	}
 }
 
-// Servers are asked for the whole order, with its tie-break, and for as many hits as the page may need.
-func TestAsked(t *testing.T) {
+// TestServerRequest: requests to servers have the complete order, with its tie-break, and as many hits as the page may need.
+func TestServerRequest(t *testing.T) {
 	for body, want := range map[string]string{
 		``: `{"from":0,"size":10,"track_total_hits":true,"sort":[{"_score":{"order":"desc"}},{"_id":{"order":"asc"}}],"track_scores":true}`,
 		`{"size":5,"sort":[{"due":{"order":"desc","missing":"_first","unmapped_type":"long"}},"_id"],"search_after":[9007199254740993,"x"],"track_total_hits":false}`: `{"from":0,"size":5,"track_total_hits":false,` +
--- a/internal/broker/opensearch/pit.go
+++ b/internal/broker/opensearch/pit.go
@@ -15,8 +15,8 @@
 
 const pitPath = "/_search/point_in_time"
 
-// points answers what opens and closes points in time; nil where m is something else.
-func (f Front) points(m *http1.Message, now int64) (*http1.Response, error) {
+// handlePointInTime answers a request to open or close points in time; both results are nil for other requests.
+func (f Front) handlePointInTime(m *http1.Message, now int64) (*http1.Response, error) {
 	path, params, _ := strings.Cut(m.Target, "?")
 	index, ok := strings.CutSuffix(path, pitPath)
 	if !ok || f.Cursors == nil {
@@ -32,28 +32,29 @@
 	case m.Method == "DELETE" && index == "" && params == "":
 		return f.closePoints(m.Body, tenant, now)
 	}
-	return nil, &fault{405, "illegal_argument_exception", "incorrect HTTP method for [" + path + "]: want POST of an index's, or DELETE"}
+	return nil, &requestError{405, "illegal_argument_exception", "incorrect HTTP method for [" + path + "]: want POST of an index's, or DELETE"}
 }
 
+// openPoint opens a point in time of an index, whose name is escaped.
 func (f Front) openPoint(index, tenant, params string, now int64) (*http1.Response, error) {
 	name, err := url.PathUnescape(index)
 	if err != nil {
 		return nil, illegal("the path can't be read: %v", err)
 	}
 	if _, ok := f.Indices[name]; !ok {
-		return nil, &fault{404, "index_not_found_exception", "no such index [" + name + "]"}
+		return nil, &requestError{404, "index_not_found_exception", "no such index [" + name + "]"}
 	}
 	values, err := url.ParseQuery(params)
 	if err != nil || len(values) != 1 || !values.Has("keep_alive") {
 		return nil, illegal("a point in time wants [keep_alive] and nothing else")
 	}
 	var keep time.Duration
-	if err := duration(values.Get("keep_alive"), &keep); err != nil {
+	if err := parseDuration(values.Get("keep_alive"), &keep); err != nil {
 		return nil, err
 	}
 	token, err := f.Cursors.Open(now, tenant, name, keep.Microseconds(), f.Nonce())
 	if err != nil {
-		return nil, pointFault(err)
+		return nil, pointInTimeError(err)
 	}
 	return &http1.Response{
 		Status: 200, Type: "application/json; charset=UTF-8",
@@ -61,14 +62,15 @@
 	}, nil
 }
 
+// closePoints closes the points in time that a body names, and reports for each whether it was open.
 func (f Front) closePoints(body []byte, tenant string, now int64) (*http1.Response, error) {
-	var ask struct {
+	var request struct {
 		ID json.RawMessage `json:"pit_id"`
 	}
 	var ids []string
-	if err := json.Unmarshal(body, &ask); err != nil || json.Unmarshal(ask.ID, &ids) != nil {
+	if err := json.Unmarshal(body, &request); err != nil || json.Unmarshal(request.ID, &ids) != nil {
 		var id string
-		if err != nil || json.Unmarshal(ask.ID, &id) != nil {
+		if err != nil || json.Unmarshal(request.ID, &id) != nil {
 			return nil, parsing("want [pit_id], one or a list")
 		}
 		ids = []string{id}
@@ -84,41 +86,42 @@
 	return &http1.Response{Status: 200, Type: "application/json; charset=UTF-8", Body: append(b, "]}"...)}, nil
 }
 
-// pointFault words the end of a point in time.
-func pointFault(err error) error {
+// pointInTimeError translates an error of package pagination.
+func pointInTimeError(err error) error {
 	switch {
 	case errors.Is(err, pagination.ErrExpired), errors.Is(err, pagination.ErrInvalid):
-		return &fault{404, "search_context_missing_exception", "point in time: " + err.Error()}
+		return &requestError{404, "search_context_missing_exception", "point in time: " + err.Error()}
 	case errors.Is(err, pagination.ErrTooMany):
-		return &fault{429, "rejected_execution_exception", "point in time: " + err.Error()}
+		return &requestError{429, "rejected_execution_exception", "point in time: " + err.Error()}
 	}
 	return illegal("point in time: %v", err)
 }
 
-// pit is what a search says of its point in time.
-type pit struct {
+// pointInTime is the clause [pit] of a search.
+type pointInTime struct {
 	id   string
 	keep time.Duration
 }
 
-// pitOf reads the clause [pit] of a search that names no index; nil where there is none.
-func pitOf(body []byte) (*pit, error) {
-	v, err := fastjson.ParseBytes(body)
-	if err != nil || !v.Exists("pit") {
-		return nil, nil // the path, or the body, is told to be wrong elsewhere
+// parsePointInTime reads the clause [pit] of a search that names no index; nil if there is none. A malformed
+// body counts as one without the clause: its error is reported where the search is parsed.
+func parsePointInTime(body []byte) (*pointInTime, error) {
+	clause := clauseOf(body, "pit")
+	if clause == nil {
+		return nil, nil
 	}
-	o, err := v.Get("pit").Object()
+	o, err := clause.Object()
 	if err != nil {
 		return nil, parsing("[pit] wants an object")
 	}
-	p := &pit{}
+	p := &pointInTime{}
 	err = visit(o, func(key string, v *fastjson.Value) error {
 		switch key {
 		case "id":
 			p.id = string(v.GetStringBytes())
 			return nil
 		case "keep_alive":
-			return duration(string(v.GetStringBytes()), &p.keep)
+			return parseDuration(string(v.GetStringBytes()), &p.keep)
 		}
 		return parsing("unsupported [%s] in [pit]", key)
 	})
@@ -127,3 +130,12 @@
 	}
 	return p, err
 }
+
+// clauseOf returns a clause of a search; nil if the body has none or is not JSON.
+func clauseOf(body []byte, name string) *fastjson.Value {
+	v, err := fastjson.ParseBytes(body)
+	if err != nil {
+		return nil
+	}
+	return v.Get(name)
+}
--- a/internal/broker/opensearch/ranges.go
+++ b/internal/broker/opensearch/ranges.go
@@ -7,15 +7,17 @@
 	"slices"
 )
 
-// Span is a run of whole numbers, From up to but without To.
+// Span is a range of integers, from From up to but without To.
 type Span = layout.Span
 
-// spans is a set of whole numbers as disjoint spans in order: whatever order, overlap or repetition a search
-// names its ranges in, the same set comes out.
+// spans is a set of integers as disjoint spans in order. Equal sets are equal spans, whatever the order, overlap or repetition of a search's
+// ranges.
 type spans []Span
 
+// everything is the set of all values.
 var everything = spans{{From: math.MinInt64, To: math.MaxInt64}}
 
+// union returns the union of sets.
 func union(sets ...spans) spans {
 	var all spans
 	for _, s := range sets {
@@ -33,7 +35,7 @@
 	return out
 }
 
-// intersect goes through both sets once, in order.
+// intersect returns the intersection of two sets, in linear time.
 func intersect(a, b spans) spans {
 	var out spans
 	for i, j := 0, 0; i < len(a) && j < len(b); {
--- a/internal/broker/opensearch/respond.go
+++ b/internal/broker/opensearch/respond.go
@@ -4,22 +4,23 @@
 	"bytes"
 	"errors"
 	"fmt"
+	"math"
 	"saffronquay/internal/broker/core"
 	"saffronquay/internal/broker/http1"
 	"saffronquay/internal/broker/merge"
 	"strconv"
 )
 
-// respond makes the answer of what the parts gave.
+// respond merges the answers of the parts into the response.
 func (s search) respond(final core.Final, us int64) http1.Response {
 	state := merge.NewState(s.plan)
 	for _, v := range final.Values {
 		part, ok := v.Part.(*merge.Part)
-		if !ok { // a session reads every answer that it hands on
-			return Front{}.fail(&fault{500, "search_phase_execution_exception", "a part was not read"})
+		if !ok { // a session parses every answer that it delivers
+			return errorResponse(&requestError{500, "search_phase_execution_exception", "a part was not read"})
 		}
 		if part.Gone() {
-			return Front{}.fail(&fault{404, "search_context_missing_exception", "point in time: a server no longer holds what stood then"})
+			return errorResponse(&requestError{404, "search_context_missing_exception", "point in time: a server no longer holds what stood then"})
 		}
 		state.Add(part)
 	}
@@ -27,21 +28,21 @@
 	var mixed *merge.MixedError
 	switch {
 	case errors.As(err, &mixed):
-		return Front{}.fail(&fault{400, "illegal_argument_exception", mixed.Error()})
+		return errorResponse(&requestError{400, "illegal_argument_exception", mixed.Error()})
 	case errors.Is(err, merge.ErrBuckets):
-		return Front{}.fail(&fault{400, "too_many_buckets_exception", err.Error()})
+		return errorResponse(&requestError{400, "too_many_buckets_exception", err.Error()})
 	case err != nil:
-		return Front{}.fail(&fault{500, "search_phase_execution_exception", err.Error()})
+		return errorResponse(&requestError{500, "search_phase_execution_exception", err.Error()})
 	}
 	b := []byte{'{'}
 	if s.count {
 		b = fmt.Appendf(b, `"count":%d,`, page.Total)
 	} else {
-		b = fmt.Appendf(b, `"took":%s,"timed_out":%t,`, took(us), !final.Complete)
+		b = fmt.Appendf(b, `"took":%s,"timed_out":%t,`, formatTook(us), !final.Complete)
 	}
-	b = s.shards(b, final)
+	b = s.appendShards(b, final)
 	if !s.count {
-		b = s.hits(b, page)
+		b = s.appendHits(b, page)
 	}
 	if s.token != "" {
 		b = append(append(b, `,"pit_id":`...), quote(s.token)...)
@@ -52,8 +53,8 @@
 	return http1.Response{Status: 200, Type: "application/json; charset=UTF-8", Body: append(b, '}')}
 }
 
-// shards states what is in. An answer in part names its exact share and what is missing.
-func (s search) shards(b []byte, final core.Final) []byte {
+// appendShards writes how many parts have answered. A partial answer has its exact fraction and what is missing.
+func (s search) appendShards(b []byte, final core.Final) []byte {
 	in := len(final.Values)
 	b = fmt.Appendf(b, `"_shards":{"total":%d,"successful":%d,"skipped":0,"failed":%d`, final.Shards, in, final.Shards-in)
 	if len(final.Missing) == 0 {
@@ -79,7 +80,8 @@
 	return append(b, "]}"...)
 }
 
-func (s search) hits(b []byte, page merge.Page) []byte {
+// appendHits writes the clause [hits].
+func (s search) appendHits(b []byte, page merge.Page) []byte {
 	b = append(b, `,"hits":{`...)
 	if page.Known {
 		relation := "eq"
@@ -101,3 +103,34 @@
 	}
 	return append(b, "]}"...)
 }
+
+// formatFinal formats a query's final result. The status of a failed query is 500: client libraries of this API retry a 502, 503 or 504 on
+// their own, and parts of the query may have run.
+func formatFinal(s search, final core.Final, took int64) http1.Response {
+	r := formatOutcome(s, final, took)
+	if final.Policy > 0 {
+		r.Fields = append(r.Fields, [2]string{PolicyField, strconv.FormatUint(final.Policy-1, 10)})
+	}
+	return r
+}
+
+// PolicyField is the header field with the version of the policy under which a query was admitted.
+const PolicyField = "X-Policy-Version"
+
+// formatOutcome formats a final result without the version of the policy.
+func formatOutcome(s search, final core.Final, took int64) http1.Response {
+	switch {
+	case final.Outcome == core.Answered:
+		return s.respond(final, took)
+	case final.Outcome == core.Refused:
+		r := errorResponse(&requestError{429, "rejected_execution_exception", "turned away: sending it again does no harm"})
+		if final.RetryAfter > 0 {
+			seconds := int64(math.Ceil(float64(final.RetryAfter) / 1e6))
+			r.Fields = append(r.Fields, [2]string{"Retry-After", strconv.FormatInt(seconds, 10)})
+		}
+		return r
+	case final.Overdue:
+		return errorResponse(&requestError{500, "timeout_exception", "no answer in time; parts of it may have run"})
+	}
+	return errorResponse(&requestError{500, "search_phase_execution_exception", "shards failed; parts of it may have run"})
+}
--- a/internal/broker/opensearch/search.go
+++ b/internal/broker/opensearch/search.go
@@ -12,37 +12,39 @@
 	"github.com/valyala/fastjson"
 )
 
-// fault is a search that is refused before the broker hears of it.
-type fault struct {
+// requestError is the error of a request that is answered before it becomes a query.
+type requestError struct {
 	status int
 	kind   string // the error's type, as OpenSearch names it
 	reason string
 }
 
-func (f *fault) Error() string { return f.reason }
+func (f *requestError) Error() string { return f.reason }
 
+// parsing returns the error of a body that is malformed or has an unsupported clause.
 func parsing(format string, args ...any) error {
-	return &fault{400, "parsing_exception", fmt.Sprintf(format, args...)}
+	return &requestError{400, "parsing_exception", fmt.Sprintf(format, args...)}
 }
 
+// illegal returns the error of a value that is not allowed.
 func illegal(format string, args ...any) error {
-	return &fault{400, "illegal_argument_exception", fmt.Sprintf(format, args...)}
+	return &requestError{400, "illegal_argument_exception", fmt.Sprintf(format, args...)}
 }
 
 // maxWindow is the most that from and size may reach, as index.max_result_window is by default.
 const maxWindow = 10_000
 
-// search is what one request asks for.
+// search is a parsed search.
 type search struct {
 	query      *fastjson.Value // nil: all
 	source     *fastjson.Value
 	from, size int
-	timeout    time.Duration // 0: the class's
-	want       spans
-	count      bool   // hits are only counted
-	asOf       int64  // Unix microseconds; 0: as things are
-	token      string // of the point in time, from now on
-	binary     bool   // partial answers may come in the binary form
+	timeout    time.Duration // 0: the class's limit
+	want       spans         // values of the range field that the query can match
+	count      bool          // hits are only counted
+	asOf       int64         // Unix microseconds; 0: the current state
+	token      string        // of the point in time, after its renewal
+	binary     bool          // partial answers may come in the binary form
 	keys       []sortKey
 	after      []merge.Value
 	limit      int64 // of the total
@@ -51,8 +53,8 @@
 	index      string
 }
 
-// parseSearch reads a search's body. Clauses that are not supported are refused by name, never passed over:
-// an answer to another question than was asked looks like a right one.
+// parseSearch reads a search's body. A clause that is not supported is an error that names it: if it were ignored, the client would not
+// notice that the answer is wrong.
 func parseSearch(body []byte, ix Index, count, inPoint bool) (search, error) {
 	s := search{size: 10, want: everything, count: count, limit: merge.Exact}
 	if count {
@@ -73,51 +75,56 @@
 		if count && key != "query" {
 			return parsing("unsupported clause [%s] in a count", key)
 		}
-		switch key {
-		case "query":
-			s.query = v
-			s.want, err = ix.restrict(v)
-			return err
-		case "size":
-			return whole(v, key, &s.size)
-		case "from":
-			return whole(v, key, &s.from)
-		case "timeout":
-			return duration(string(v.GetStringBytes()), &s.timeout)
-		case "_source":
-			s.source = v
-			return nil
-		case "track_total_hits":
-			return s.track(v)
-		case "sort":
-			s.keys, err = sortKeys(v, ix)
-			return err
-		case "pit":
-			if inPoint {
-				return nil // it was read before
-			}
-			return parsing("[pit] goes with a search that names no index")
-		case "aggs", "aggregations":
-			if s.aggs != nil {
-				return parsing("both [aggs] and [aggregations]")
-			}
-			if s.aggs, err = merge.ParseAggs(v); err != nil {
-				return parsing("%v", err)
-			}
-			return nil
-		case "search_after":
-			s.after, err = merge.ParseValues(v)
-			if err != nil {
-				return parsing("[search_after]: %v", err)
-			}
-			return nil
-		}
-		return parsing("unsupported clause [%s] in the search", key)
+		return s.parseClause(key, v, ix, inPoint)
 	})
 	return s, err
 }
 
-// visit goes through an object's keys in order, up to the first error; a key that is named twice is refused.
+// parseClause reads one clause of a search's body.
+func (s *search) parseClause(key string, v *fastjson.Value, ix Index, inPoint bool) (err error) {
+	switch key {
+	case "query":
+		s.query = v
+		s.want, err = ix.querySpans(v)
+		return err
+	case "size":
+		return parseCount(v, key, &s.size)
+	case "from":
+		return parseCount(v, key, &s.from)
+	case "timeout":
+		return parseDuration(string(v.GetStringBytes()), &s.timeout)
+	case "_source":
+		s.source = v
+		return nil
+	case "track_total_hits":
+		return s.parseTrackTotalHits(v)
+	case "sort":
+		s.keys, err = parseSortKeys(v)
+		return err
+	case "pit":
+		if inPoint {
+			return nil // parsePointInTime has read it
+		}
+		return parsing("[pit] goes with a search that names no index")
+	case "aggs", "aggregations":
+		if s.aggs != nil {
+			return parsing("both [aggs] and [aggregations]")
+		}
+		if s.aggs, err = merge.ParseAggs(v); err != nil {
+			return parsing("%v", err)
+		}
+		return nil
+	case "search_after":
+		s.after, err = merge.ParseValues(v)
+		if err != nil {
+			return parsing("[search_after]: %v", err)
+		}
+		return nil
+	}
+	return parsing("unsupported clause [%s] in the search", key)
+}
+
+// visit calls f for an object's keys in order, up to the first error. A duplicate key is an error.
 func visit(o *fastjson.Object, f func(key string, v *fastjson.Value) error) error {
 	var err error
 	seen := map[string]bool{}
@@ -134,7 +141,8 @@
 	return err
 }
 
-func whole(v *fastjson.Value, name string, into *int) error {
+// parseCount reads a number of hits.
+func parseCount(v *fastjson.Value, name string, into *int) error {
 	n, err := v.Int()
 	if err != nil || n < 0 {
 		return illegal("[%s] wants a whole number from nought, not [%s]", name, v)
@@ -143,6 +151,7 @@
 	return nil
 }
 
+// units are the suffixes of a time value. The first match counts, so that ms comes before s.
 var units = []struct {
 	name string
 	size time.Duration
@@ -156,8 +165,8 @@
 	{"d", 24 * time.Hour},
 }
 
-// duration reads a time value, such as 500ms or 2s.
-func duration(text string, into *time.Duration) error {
+// parseDuration reads a time value, such as 500ms or 2s.
+func parseDuration(text string, into *time.Duration) error {
 	for _, u := range units {
 		digits, ok := strings.CutSuffix(text, u.name)
 		if !ok {
@@ -173,9 +182,9 @@
 	return illegal("failed to parse setting [timeout] with value [%s] as a time value", text)
 }
 
-// restrict is the set of range-field values that a query can match. Leaves on other fields match anywhere:
-// the servers judge them.
-func (ix Index) restrict(v *fastjson.Value) (spans, error) {
+// querySpans returns the values of the range field that a query can match. Clauses on other fields do not restrict them: the servers
+// evaluate those.
+func (ix Index) querySpans(v *fastjson.Value) (spans, error) {
 	o, err := v.Object()
 	if err != nil || o.Len() != 1 {
 		return nil, parsing("a query wants an object with one clause")
@@ -187,16 +196,16 @@
 		case "match_all":
 			out = everything
 		case "range":
-			out, err = ix.rangeOf(v)
+			out, err = ix.rangeSpans(v)
 		case "term", "terms":
-			out, err = ix.terms(name, v)
+			out, err = ix.termSpans(name, v)
 		case "match", "match_phrase", "exists", "prefix":
 			out, err = everything, nil
 			if v.Get(ix.Field) != nil {
 				err = parsing("unsupported clause [%s] on the range field [%s]", name, ix.Field)
 			}
 		case "bool":
-			out, err = ix.boolean(v)
+			out, err = ix.boolSpans(v)
 		default:
 			err = parsing("unsupported clause [%s]", name)
 		}
@@ -205,7 +214,8 @@
 	return out, err
 }
 
-func (ix Index) boolean(v *fastjson.Value) (spans, error) {
+// boolSpans returns the values that a clause [bool] can match.
+func (ix Index) boolSpans(v *fastjson.Value) (spans, error) {
 	o, err := v.Object()
 	if err != nil {
 		return nil, parsing("[bool] wants an object")
@@ -224,14 +234,12 @@
 		default:
 			return parsing("unsupported clause [%s] in [bool]", name)
 		}
-		clauses := v.GetArray()
-		if v.Type() == fastjson.TypeObject {
-			clauses = []*fastjson.Value{v}
-		} else if v.Type() != fastjson.TypeArray {
-			return parsing("[%s] wants a query or a list of them", name)
+		clauses, err := boolClauses(name, v)
+		if err != nil {
+			return err
 		}
 		for _, clause := range clauses {
-			set, err := ix.restrict(clause)
+			set, err := ix.querySpans(clause)
 			if err != nil {
 				return err
 			}
@@ -249,8 +257,20 @@
 	return out, err
 }
 
-// number reads a bound: a whole number, or one in a string.
-func number(v *fastjson.Value) (int64, error) {
+// boolClauses returns the queries of one kind of clause of [bool]: a query or a list of them.
+func boolClauses(name string, v *fastjson.Value) ([]*fastjson.Value, error) {
+	switch v.Type() {
+	case fastjson.TypeObject:
+		return []*fastjson.Value{v}, nil
+	case fastjson.TypeArray:
+		return v.GetArray(), nil
+	default:
+		return nil, parsing("[%s] wants a query or a list of them", name)
+	}
+}
+
+// parseBound reads a bound: an integer, or a string with one.
+func parseBound(v *fastjson.Value) (int64, error) {
 	text := v.String()
 	if v.Type() == fastjson.TypeString {
 		text = string(v.GetStringBytes())
@@ -262,7 +282,8 @@
 	return n, nil
 }
 
-func (ix Index) rangeOf(v *fastjson.Value) (spans, error) {
+// rangeSpans returns the values that a clause [range] matches.
+func (ix Index) rangeSpans(v *fastjson.Value) (spans, error) {
 	o, err := v.Object()
 	if err != nil || o.Len() != 1 {
 		return nil, parsing("[range] wants one field")
@@ -280,7 +301,7 @@
 			if !slices.Contains([]string{"gte", "gt", "lte", "lt"}, name) {
 				return parsing("[range] query does not support [%s]", name)
 			}
-			n, err := number(v)
+			n, err := parseBound(v)
 			switch name {
 			case "gte":
 				s.From = max(s.From, n)
@@ -306,7 +327,8 @@
 	return spans{s}, nil
 }
 
-func (ix Index) terms(name string, v *fastjson.Value) (spans, error) {
+// termSpans returns the values that a clause [term] or [terms] matches.
+func (ix Index) termSpans(name string, v *fastjson.Value) (spans, error) {
 	values := v.Get(ix.Field)
 	if values == nil {
 		return everything, nil
@@ -323,7 +345,7 @@
 		if x == nil {
 			return nil, parsing("[%s] on [%s] has no value", name, ix.Field)
 		}
-		n, err := number(x)
+		n, err := parseBound(x)
 		if err != nil {
 			return nil, err
 		}
--- a/internal/broker/opensearch/servers.go
+++ b/internal/broker/opensearch/servers.go
@@ -16,39 +16,40 @@
 	sq "saffronquay"
 )
 
-// maxAnswer bounds a server's answer.
+// maxAnswer bounds a server's answer, in bytes.
 const maxAnswer = 1 << 20
 
-// asOfField has the time whose state a part asks for, and its answer shows, in Unix microseconds; gone is the status of a server that
-// holds that state no longer.
+// asOfField is the header field of a part and of its answer with the time of the searched state, in Unix microseconds. statusGone is the
+// status of a server that no longer has that state.
 const (
-	asOfField = "X-As-Of"
-	gone      = 410
+	asOfField  = "X-As-Of"
+	statusGone = 410
 )
 
-// misdirected is the status by which a server says that it does not hold what it was asked for (RFC 9110, 15.5.20).
-const misdirected = 421
+// statusMisdirected is the status of a server that does not have the requested span (RFC 9110, 15.5.20).
+const statusMisdirected = 421
 
-// Servers is the search API towards servers: one search at a time on a connection.
+// Servers is the search API towards servers: a connection carries one search, and then the next.
 type Servers struct{}
 
-// Streams is how many calls one connection carries at a time.
+// Streams returns how many calls one connection carries concurrently.
 func (Servers) Streams() int { return 1 }
 
-// Session begins a connection to the server at an address.
+// NewSession returns the state of a new connection to the server at an address.
 func (Servers) NewSession(address string) core.Session {
 	return &session{host: address, parser: http1.Parser{Response: true, BodyLimit: maxAnswer}}
 }
 
+// session is the state of one connection. It is not safe for concurrent use.
 type session struct {
 	host   string
 	parser http1.Parser
-	out    core.AttemptID // 0: none
-	plan   *merge.Plan    // by which its answer is read
-	place  layout.Place   // what it asks for, under a layout; else its epoch is 0
+	out    core.AttemptID // in flight; 0: none
+	plan   *merge.Plan    // by which the answer is parsed
+	place  layout.Place   // the requested place under a layout; without one its epoch is 0
 }
 
-// Call writes the search for one part, kept to its shard.
+// Call appends the search for one part, restricted to its shard, that is sent at now, in microseconds.
 func (s *session) Call(dst []byte, c core.Call, now int64) []byte {
 	a := c.Attempts[0]
 	s.plan, _ = a.Plan.(*merge.Plan)
@@ -72,17 +73,19 @@
 	return http1.AppendRequest(dst, "POST", target, s.host, fields, body)
 }
 
-// Drop has no words in this dialect: only closing the connection gives a search up.
+// Cancel appends nothing: this API has no request that cancels a search. It returns false if the connection has to be closed.
 func (s *session) Cancel(dst []byte, id core.AttemptID) ([]byte, bool) { return dst, s.out != id }
 
-// Unsent forgets a search that never left; the connection can take another.
+// Unsent forgets a search that was never sent; the connection can carry another.
 func (s *session) Unsent(id core.AttemptID) {
 	if s.out == id {
 		s.out = 0
 	}
 }
 
-// Feed takes in bytes from the server and returns what they end.
+// Feed takes received bytes and returns the reply that they complete. The reply's Read parses the body, so that the caller chooses the
+// goroutine. After an error the connection must be closed; core.ErrConnectionEnding means that the server closes it after this
+// answer.
 func (s *session) Feed(b []byte) ([]core.Reply, error) {
 	s.parser.Feed(b)
 	for {
@@ -97,32 +100,33 @@
 			continue
 		}
 		if s.out == 0 {
-			return nil, errors.New("an answer that nothing asked for")
+			return nil, errors.New("unsolicited answer")
 		}
 		r := s.take(m)
 		switch {
 		case m.Close:
 			return r, core.ErrConnectionEnding
 		case !s.parser.Idle():
-			return r, errors.New("bytes behind an answer")
+			return r, errors.New("unsolicited bytes after an answer")
 		}
 		return r, nil
 	}
 }
 
+// take returns the reply to the search in flight, not yet parsed.
 func (s *session) take(m *http1.Message) []core.Reply {
 	r := core.Reply{Attempt: s.out, Size: len(m.Body)}
 	s.out = 0
 	plan, place := s.plan, s.place
-	r.Read = func() core.Reply { return reading(r, m, plan, place) }
+	r.Read = func() core.Reply { return readReply(r, m, plan, place) }
 	return []core.Reply{r}
 }
 
-// reading judges an answer to a part.
-func reading(r core.Reply, m *http1.Message, plan *merge.Plan, place layout.Place) core.Reply {
+// readReply parses the answer to a part and decides its outcome.
+func readReply(r core.Reply, m *http1.Message, plan *merge.Plan, place layout.Place) core.Reply {
 	r.Read = nil
-	if r.Outcome, r.Part = judge(m, plan); place.Epoch > 0 {
-		if r.Outcome = placedAt(place, m, r.Outcome); r.Outcome != sq.Served {
+	if r.Outcome, r.Part = readAnswer(m, plan); place.Epoch > 0 {
+		if r.Outcome = checkPlace(place, m, r.Outcome); r.Outcome != sq.Served {
 			r.Part = nil
 		}
 	}
@@ -132,11 +136,11 @@
 	return r
 }
 
-// placedAt judges an answer to a part that asked for a place. Guards against a server that has lost it or never held it: a 421
-// proves that nothing ran, and says by its epoch which side is late; any other answer counts only where it names the same
-// shard and span again.
-func placedAt(place layout.Place, m *http1.Message, o sq.Outcome) sq.Outcome {
-	if m.Status == misdirected {
+// checkPlace returns the outcome of a part that names a place, given the outcome by the answer's body. It protects against a server that
+// does not have the place: a 421 proves that nothing ran, and its epoch shows whether the broker's layout is older. Any other answer counts
+// only if it names the same shard and span.
+func checkPlace(place layout.Place, m *http1.Message, o sq.Outcome) sq.Outcome {
+	if m.Status == statusMisdirected {
 		epoch, err := strconv.ParseInt(m.Header.Get(layout.EpochField), 10, 64)
 		switch {
 		case err != nil:
@@ -156,10 +160,10 @@
 	return o
 }
 
-// Partial tells that bytes of an unfinished answer are held.
+// Partial reports whether the session has bytes of an incomplete answer.
 func (s *session) Partial() bool { return !s.parser.Idle() }
 
-// Closed says that the server has ended the connection, which may be what ends its answer.
+// Closed handles the end of the connection by the server. It completes an answer whose length is not declared.
 func (s *session) Closed() []core.Reply {
 	if m, err := s.parser.End(); err == nil && m != nil && s.out != 0 {
 		return s.take(m)
@@ -167,18 +171,18 @@
 	return nil
 }
 
-// judge tells how a search came out. A success status proves nothing: guards against errors, time-outs and
-// failed shards inside a well-formed 200, and against hits that are not as asked, none of which may pass for a served part.
-func judge(m *http1.Message, plan *merge.Plan) (sq.Outcome, any) {
-	if plan != nil && plan.AsOf > 0 { // guards a page against a server that knows nothing of points in time
+// readAnswer returns the outcome of a search and its parsed part. A success status proves nothing: errors, timeouts and failed shards inside
+// a well-formed 200, and hits that do not fit the plan, must not pass for a served part.
+func readAnswer(m *http1.Message, plan *merge.Plan) (sq.Outcome, any) {
+	if plan != nil && plan.AsOf > 0 { // a server without points in time would ignore the field
 		if m.Header.Get(asOfField) != strconv.FormatInt(plan.AsOf, 10) {
 			return sq.Errored, nil
 		}
-		if m.Status == gone {
+		if m.Status == statusGone {
 			return sq.Served, merge.GonePart()
 		}
 	}
-	if plan != nil && plan.Binary && m.Status == 200 && binary(m.Header.Get("Content-Type")) {
+	if plan != nil && plan.Binary && m.Status == 200 && isBinary(m.Header.Get("Content-Type")) {
 		part, err := plan.ReadBinary(m.Body)
 		if err != nil {
 			return sq.Errored, nil
@@ -192,7 +196,7 @@
 		return sq.Errored, nil
 	}
 	if m.Status == 429 && strings.HasSuffix(string(v.GetStringBytes("error", "type")), "rejected_execution_exception") {
-		return sq.Rejected, nil // turned away from a full queue: it never ran
+		return sq.Rejected, nil // rejected by a full queue: it did not run
 	}
 	hits := v.Get("hits")
 	shards := v.Get("_shards")
@@ -204,7 +208,7 @@
 		return sq.Errored, nil
 	}
 	if plan == nil {
-		return sq.Errored, nil // nobody could merge it
+		return sq.Errored, nil // without a plan it cannot be merged
 	}
 	part, err := plan.Read(v, m.Body)
 	if err != nil {
@@ -213,12 +217,12 @@
 	return sq.Served, part
 }
 
-// binary tells the binary form by its media type.
-func binary(mediaType string) bool {
+// isBinary reports whether a media type is that of the binary form.
+func isBinary(mediaType string) bool {
 	name, _, _ := strings.Cut(merge.BinaryType, ";")
 	is, _, _ := strings.Cut(mediaType, ";")
 	return strings.TrimSpace(is) == name
 }
 
-// parsers are shared, since a parsed answer is dropped before the next one is read.
+// parsers has reusable parsers. A parsed answer must not be used after its parser is put back.
 var parsers fastjson.ParserPool
--- a/internal/broker/opensearch/sort.go
+++ b/internal/broker/opensearch/sort.go
@@ -19,8 +19,8 @@
 // maxKeys bounds the keys of an order.
 const maxKeys = 16
 
-// sortKeys reads [sort]: a key or a list of them, each a field or an object of one field. What is not supported is refused by name.
-func sortKeys(v *fastjson.Value, ix Index) ([]sortKey, error) {
+// parseSortKeys reads [sort]: a key or a list of them, each a field or an object of one field. What is not supported is refused by name.
+func parseSortKeys(v *fastjson.Value) ([]sortKey, error) {
 	list := []*fastjson.Value{v}
 	if v.Type() == fastjson.TypeArray {
 		list = v.GetArray()
@@ -30,7 +30,7 @@
 	}
 	var keys []sortKey
 	for _, x := range list {
-		k, err := sortKeyOf(x)
+		k, err := parseSortKey(x)
 		if err != nil {
 			return nil, err
 		}
@@ -44,13 +44,14 @@
 	return keys, nil
 }
 
-func sortKeyOf(x *fastjson.Value) (sortKey, error) {
+// parseSortKey reads one key of [sort].
+func parseSortKey(x *fastjson.Value) (sortKey, error) {
 	var k sortKey
 	field := func(name string) error {
 		if k.Field = name; name == "" || name == "_doc" || name == "_shard_doc" || name == "_script" || name == "_geo_distance" {
 			return parsing("unsupported sort on [%s]", name)
 		}
-		k.Desc = name == merge.Score // as OpenSearch has it
+		k.Desc = name == merge.Score // the default of OpenSearch
 		return nil
 	}
 	if x.Type() == fastjson.TypeString {
@@ -88,6 +89,7 @@
 	return k, err
 }
 
+// order reads the direction of a key.
 func (k *sortKey) order(v *fastjson.Value) error {
 	switch text := string(v.GetStringBytes()); text {
 	case "asc", "desc":
@@ -98,8 +100,8 @@
 	}
 }
 
-// track reads [track_total_hits].
-func (s *search) track(v *fastjson.Value) error {
+// parseTrackTotalHits reads [track_total_hits].
+func (s *search) parseTrackTotalHits(v *fastjson.Value) error {
 	switch v.Type() {
 	case fastjson.TypeTrue:
 		s.limit = merge.Exact
@@ -115,8 +117,8 @@
 	return nil
 }
 
-// settle makes the plan of the merge, once body and parameters are read.
-func (s *search) settle() error {
+// planMerge makes the plan of the merge. Body and parameters must have been parsed.
+func (s *search) planMerge() error {
 	var keys []merge.Key
 	for _, k := range s.keys {
 		keys = append(keys, k.Key)
@@ -131,8 +133,9 @@
 	return nil
 }
 
-// upstream is the body that goes to servers: each gives, in the whole order with its tie-break, as many hits as the page may need.
-func (s search) upstream() []byte {
+// serverBody returns the body of the requests to servers: each returns as many hits as the page may need, in the complete order with its
+// tie-break.
+func (s search) serverBody() []byte {
 	b := fmt.Appendf(nil, `{"from":0,"size":%d`, s.plan.Window())
 	switch s.limit {
 	case merge.Exact:
@@ -143,7 +146,7 @@
 		b = fmt.Appendf(b, `,"track_total_hits":%d`, s.limit)
 	}
 	if s.plan.Window() > 0 {
-		b = s.order(b)
+		b = s.appendSort(b)
 	}
 	if s.query != nil {
 		b = s.query.MarshalTo(append(b, `,"query":`...))
@@ -157,8 +160,8 @@
 	return append(b, '}')
 }
 
-// order writes the sort clause.
-func (s search) order(b []byte) []byte {
+// appendSort writes the clauses [sort], [track_scores] and [search_after].
+func (s search) appendSort(b []byte) []byte {
 	b = append(b, `,"sort":[`...)
 	scored := false
 	for i, k := range s.plan.Keys {
@@ -189,5 +192,5 @@
 	return b
 }
 
-// took is in whole milliseconds, as the API has it.
-func took(us int64) string { return strconv.FormatInt(us/1000, 10) }
+// formatTook returns a duration in microseconds as the milliseconds of [took], rounded down.
+func formatTook(us int64) string { return strconv.FormatInt(us/1000, 10) }
--- a/internal/broker/platform/discovery.go
+++ b/internal/broker/platform/discovery.go
@@ -63,7 +63,7 @@
 	return o.MarshalTo(dst)
 }
 
-// lifecycles maps discovery's word for a worker's state to its health.
+// lifecycles maps a worker's lifecycle, as discovery names it, to its health.
 var lifecycles = map[string]sq.Health{"SERVING": sq.Ready, "DRAINING": sq.Draining, "DELETED": sq.Gone}
 
 // ParseList reads one message of discovery. It fails on malformed JSON, on missing fields and on an unknown lifecycle.
--- a/internal/broker/platform/frames.go
+++ b/internal/broker/platform/frames.go
@@ -105,7 +105,7 @@
 	delete(s.names, id)
 }
 
-// outcomes maps the word of an answer line to the outcome of the attempt.
+// outcomes maps the status of an answer line to the outcome of the attempt.
 var outcomes = map[string]sq.Outcome{"OK": sq.Served, "ERROR": sq.Errored, "REJECTED": sq.Rejected}
 
 // Partial reports whether the buffer has bytes of an incomplete answer.
@@ -154,7 +154,8 @@
 	return replies, nil
 }
 
-// answerFrame is the frame at the start of a session's buffer, whose line has arrived. It shares the buffer's memory.
+// answerFrame is the frame at the start of a session's buffer, whose line has arrived. Its slices are parts of the
+// buffer.
 type answerFrame struct {
 	line     []byte
 	value    []byte // what has arrived of it
--- a/internal/broker/server/plan.go
+++ b/internal/broker/server/plan.go
@@ -143,19 +143,19 @@
 	}
 	front := opensearch.Front{
 		Indices: op.Indices, TenantHeader: op.TenantHeader, Tenants: map[string]bool{},
-		Longest: map[string]int64{}, Margin: clientMargin, Layout: &state.layout,
+		MaxDuration: map[string]int64{}, Margin: clientMargin, Layout: &state.layout,
 		Cursors: registry, Nonce: randomID,
 	}
 	for _, t := range op.Settings.Module.Tenants {
 		front.Tenants[t.Name] = true
 	}
 	for _, c := range op.Settings.Module.Classes {
-		front.Longest[c.Name] = c.HardLimit
+		front.MaxDuration[c.Name] = c.HardLimit
 	}
 	if d := state.durable; d != nil {
-		front.Once = &opensearch.Once{Ledger: d.idempotency, Header: op.Store.KeyHeader, Classes: map[string]bool{}, Without: d.store == nil}
+		front.AtMostOnce = &opensearch.AtMostOnce{Tracker: d.idempotency, Header: op.Store.KeyHeader, Classes: map[string]bool{}, Unavailable: d.store == nil}
 		for _, c := range op.Settings.Module.Classes {
-			front.Once.Classes[c.Name] = c.Effect == sq.AtMostOnce
+			front.AtMostOnce.Classes[c.Name] = c.Effect == sq.AtMostOnce
 		}
 	}
 	return Plan{
