--- a/internal/broker/core/answer.go
+++ b/internal/broker/core/answer.go
@@ -13,22 +13,22 @@
 		return
 	}
 	f := Final{Outcome: Answered}
-	pieces := make([]merge.Piece, 0, len(q.parts))
+	pieces := make([]merge.PartCoverage, 0, len(q.parts))
 	for _, p := range q.parts {
 		if p.received {
 			f.Values = append(f.Values, Value{Shard: p.spec.Shard, Data: p.value, Part: p.decoded})
 		}
-		pieces = append(pieces, merge.Piece{
-			Weight: p.spec.Weight, Shard: p.spec.Shard, From: p.spec.Span.From, To: p.spec.Span.To, In: p.received,
+		pieces = append(pieces, merge.PartCoverage{
+			Weight: p.spec.Weight, Shard: p.spec.Shard, From: p.spec.Span.From, To: p.spec.Span.To, Received: p.received,
 		})
 	}
-	extent := merge.Completeness{Need: q.class.CompleteWeight, Floor: q.class.MinWeight}.Judge(pieces)
-	if !extent.Give {
+	extent := merge.CompletenessPolicy{CompleteWeight: q.class.CompleteWeight, MinWeight: q.class.MinWeight}.Evaluate(pieces)
+	if !extent.Answerable {
 		c.finish(q, Final{Outcome: Failed})
 		return
 	}
-	f.Complete = action.Complete && extent.Whole
-	f.Fraction, f.Missing = extent.Share, extent.Missing
+	f.Complete = action.Complete && extent.Complete
+	f.Fraction, f.Missing = extent.Fraction, extent.Missing
 	c.finish(q, f)
 }
 
--- a/internal/broker/core/effects.go
+++ b/internal/broker/core/effects.go
@@ -78,12 +78,12 @@
 	RetryAfter  int64 // with Refused: microseconds; 0: no advice
 	Overdue     bool  // ended by the core at its deadline, or within two periods of it
 	Values      []Value
-	Fraction    float64       // of the parts asked for, by weight, that was received; 1 where nothing is missing
-	Missing     []merge.Piece // with a partial answer: what was not received
-	Shards      int           // parts asked for
-	AttemptTime int64         // microseconds that the ended attempts took, without those that surely did not run
-	Attempts    int           // that were sent and have ended
-	Policy      uint64        // set by the owner: 1 plus the version of the policy under which the query was admitted; 0: there are no versions
+	Fraction    float64              // of the parts asked for, by weight, that was received; 1 where nothing is missing
+	Missing     []merge.PartCoverage // with a partial answer: what was not received
+	Shards      int                  // parts asked for
+	AttemptTime int64                // microseconds that the ended attempts took, without those that surely did not run
+	Attempts    int                  // that were sent and have ended
+	Policy      uint64               // set by the owner: 1 plus the version of the policy under which the query was admitted; 0: there are no versions
 }
 
 // Value is what a server answered for one part.
--- /dev/null
+++ b/internal/broker/merge/aggregation_merge.go
@@ -0,0 +1,107 @@
+package merge
+
+import (
+	"errors"
+	"fmt"
+	"math"
+
+	"github.com/axiomhq/hyperloglog"
+)
+
+// sketchWeight is how many buckets one sketch counts for in the bound of an answer.
+const sketchWeight = 4
+
+// ErrBuckets says that an answer would have more than MaxBuckets buckets and sketches.
+var ErrBuckets = errors.New("too many buckets")
+
+// node is the state of one aggregation: what one part gave, or what is merged so far.
+type node struct {
+	count             int64
+	sum, sumOfSquares exactSum
+	min, max          float64 // only valid with a count above 0
+	sketch            *hyperloglog.Sketch
+	centroids         []centroid
+	buckets           map[string]*bucket
+	otherDocs         int64 // documents in buckets that the parts left out
+	errorBound        int64 // the most by which the count of a bucket may be too low
+}
+
+// centroid is one point of a t-digest.
+type centroid struct{ mean, weight float64 }
+
+// bucket is one bucket of an aggregation, with the states of its sub-aggregations.
+type bucket struct {
+	key   []Value
+	count int64
+	subs  []*node
+}
+
+// mergeNodes merges one part's aggregations into dst. It copies what it keeps: src is not changed and shares nothing mutable with dst.
+func mergeNodes(aggs []*Agg, dst, src []*node, heldBuckets *int) error {
+	for i, a := range aggs {
+		if err := mergeNode(a, dst[i], src[i], heldBuckets); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// newNodes returns empty states, one for each aggregation.
+func newNodes(aggs []*Agg) []*node {
+	out := make([]*node, len(aggs))
+	for i := range aggs {
+		out[i] = &node{min: math.Inf(1), max: math.Inf(-1), buckets: map[string]*bucket{}}
+	}
+	return out
+}
+
+// mergeNode merges one part's aggregation into dst. It counts new buckets and sketches in heldBuckets.
+func mergeNode(a *Agg, dst, src *node, heldBuckets *int) error {
+	dst.count += src.count
+	for _, x := range src.sum {
+		dst.sum.add(x)
+	}
+	for _, x := range src.sumOfSquares {
+		dst.sumOfSquares.add(x)
+	}
+	dst.min, dst.max = min(dst.min, src.min), max(dst.max, src.max)
+	dst.otherDocs += src.otherDocs
+	dst.errorBound += src.errorBound
+	if err := mergeSketch(a, dst, src, heldBuckets); err != nil {
+		return err
+	}
+	dst.centroids = append(dst.centroids, src.centroids...)
+	for name, b := range src.buckets {
+		have := dst.buckets[name]
+		if have == nil {
+			*heldBuckets++
+			if *heldBuckets > MaxBuckets {
+				return fmt.Errorf("%w: [%s] has more than %d", ErrBuckets, a.Name, MaxBuckets)
+			}
+			have = &bucket{key: b.key, subs: newNodes(a.Subs)}
+			dst.buckets[name] = have
+		}
+		have.count += b.count
+		if err := mergeNodes(a.Subs, have.subs, b.subs, heldBuckets); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+func mergeSketch(a *Agg, dst, src *node, heldBuckets *int) error {
+	if src.sketch == nil {
+		return nil
+	}
+	if dst.sketch == nil {
+		*heldBuckets += sketchWeight
+		if *heldBuckets > MaxBuckets {
+			return ErrBuckets
+		}
+		dst.sketch = hyperloglog.New14()
+	}
+	if err := dst.sketch.Merge(src.sketch); err != nil {
+		return malformedf("[%s] sketch: %v", a.Name, err)
+	}
+	return nil
+}
--- a/internal/broker/merge/agg_ask.go
+++ b/internal/broker/merge/aggregation_request.go
@@ -2,7 +2,7 @@
 
 import "strconv"
 
-// AppendAggs writes the clause that servers get: what can't be merged as it stands is asked for in a form that can.
+// AppendAggs appends the clause that servers get. It requests a form that can be merged: avg becomes stats, terms have the shard size.
 func AppendAggs(dst []byte, aggs []*Agg) []byte {
 	dst = append(dst, '{')
 	for i, a := range aggs {
@@ -10,7 +10,7 @@
 			dst = append(dst, ',')
 		}
 		dst = append(appendString(dst, a.Name), ":{"...)
-		dst = a.ask(dst)
+		dst = a.appendRequest(dst)
 		if len(a.Subs) > 0 {
 			dst = AppendAggs(append(dst, `,"aggs":`...), a.Subs)
 		}
@@ -19,7 +19,7 @@
 	return append(dst, '}')
 }
 
-func (a *Agg) ask(dst []byte) []byte {
+func (a *Agg) appendRequest(dst []byte) []byte {
 	kind := a.Kind
 	if kind == "avg" {
 		kind = "stats" // a mean without its count can't be merged
@@ -36,7 +36,7 @@
 	case "terms":
 		dst = strconv.AppendInt(append(dst, `,"size":`...), int64(a.shardSize), 10)
 		if a.byKey {
-			dst = append(appendString(append(dst, `,"order":{"_key":`...), direction(a.desc)), '}')
+			dst = append(appendString(append(dst, `,"order":{"_key":`...), direction(a.descending)), '}')
 		}
 	case "histogram":
 		dst = appendFloat(append(dst, `,"min_doc_count":1,"interval":`...), a.interval)
@@ -48,7 +48,7 @@
 			dst = appendString(append(dst, `,"fixed_interval":`...), strconv.FormatInt(int64(a.interval), 10)+"ms")
 		}
 	case "range":
-		dst = a.askRanges(dst)
+		dst = a.appendRanges(dst)
 	case "filters":
 		dst = append(dst, `"filters":{`...)
 		for i, f := range a.filters {
@@ -59,7 +59,7 @@
 		}
 		dst = append(dst, '}')
 	case "composite":
-		dst = a.askSources(dst)
+		dst = a.appendSources(dst)
 	}
 	return append(dst, '}')
 }
@@ -71,7 +71,7 @@
 	return "asc"
 }
 
-func (a *Agg) askRanges(dst []byte) []byte {
+func (a *Agg) appendRanges(dst []byte) []byte {
 	dst = append(dst, `,"ranges":[`...)
 	for i, r := range a.ranges {
 		if i > 0 {
@@ -89,7 +89,7 @@
 	return append(dst, ']')
 }
 
-func (a *Agg) askSources(dst []byte) []byte {
+func (a *Agg) appendSources(dst []byte) []byte {
 	dst = strconv.AppendInt(append(dst, `"size":`...), int64(a.size), 10)
 	dst = append(dst, `,"sources":[`...)
 	for i, s := range a.sources {
@@ -108,10 +108,10 @@
 	if a.after == nil {
 		return dst
 	}
-	return append(a.appendKey(append(dst, `,"after":`...), a.after), []byte{}...)
+	return a.appendKey(append(dst, `,"after":`...), a.after)
 }
 
-// appendKey writes a composite bucket's key.
+// appendKey appends the key of a composite bucket as an object.
 func (a *Agg) appendKey(dst []byte, key []Value) []byte {
 	dst = append(dst, '{')
 	for i, v := range key {
--- a/internal/broker/merge/agg_test.go
+++ b/internal/broker/merge/aggregation_test.go
@@ -211,13 +211,13 @@
 func TestExact(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		xs := rapid.SliceOfN(rapid.Float64Range(-1e200, 1e200), 0, 40).Draw(t, "xs")
-		var a exact
+		var a exactSum
 		rows := []fakebackend.Row{}
 		for i, x := range xs {
 			a.add(x)
 			rows = append(rows, fakebackend.Row{Key: int64(i), Fields: map[string]any{"x": x}})
 		}
-		var b exact
+		var b exactSum
 		for _, i := range rapid.Permutation(xs).Draw(t, "order") {
 			b.add(i)
 		}
@@ -249,7 +249,7 @@
 		{`"a":{"terms":{"field":"x"},"aggs":{"b":{"sum":{"field":"y"}}}}`, `{"a":{"buckets":[{"key":1,"doc_count":1}],"sum_other_doc_count":0}}`, "no aggregation [b]"},
 	} {
 		p := aggPlan(t, c.clause)
-		if _, err := read(p, `{"hits":{"total":0,"hits":[]},"aggregations":`+c.aggs+`}`); !errors.Is(err, ErrPart) || !strings.Contains(err.Error(), c.want) {
+		if _, err := read(p, `{"hits":{"total":0,"hits":[]},"aggregations":`+c.aggs+`}`); !errors.Is(err, ErrMalformedPart) || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s: %v, want %q", c.aggs, err, c.want)
 		}
 	}
@@ -258,7 +258,7 @@
 		fmt.Fprintf(&many, `,{"key":%d,"doc_count":1}`, i)
 	}
 	p := aggPlan(t, `"a":{"histogram":{"field":"x","interval":1,"min_doc_count":1}}`)
-	if _, err := read(p, `{"hits":{"total":0,"hits":[]},"aggregations":{"a":{"buckets":[`+many.String()[1:]+`]}}}`); !errors.Is(err, ErrPart) || !strings.Contains(err.Error(), "more than 65535 buckets") {
+	if _, err := read(p, `{"hits":{"total":0,"hits":[]},"aggregations":{"a":{"buckets":[`+many.String()[1:]+`]}}}`); !errors.Is(err, ErrMalformedPart) || !strings.Contains(err.Error(), "more than 65535 buckets") {
 		t.Errorf("too many: %v", err)
 	}
 	for _, c := range []struct{ clause, a, b, want string }{
--- a/internal/broker/merge/arena.go
+++ b/internal/broker/merge/arena.go
@@ -2,10 +2,11 @@
 
 import "unsafe"
 
-// arena makes strings of bytes that will change, a chunk at a time: one allocation for many. A chunk lives as long as any of its
-// strings. The zero value is empty.
+// arena copies bytes into strings, many strings to one allocation. A chunk stays in memory as long as any of its strings. The zero
+// value is ready for use. It is not safe for concurrent use.
 type arena struct{ chunk []byte }
 
+// chunkSize is the least size of an allocation, in bytes.
 const chunkSize = 2048
 
 func (a *arena) string(b []byte) string {
--- a/internal/broker/merge/doc.go
+++ b/internal/broker/merge/doc.go
@@ -1,7 +1,14 @@
-// Package merge makes one answer of the parts of a query: it owns the order of hits, the bounds of a page, totals, and what a
-// query's completeness is. It is fed each part as it comes in, in any order, and the result never depends on that order.
+// Package merge makes one answer of the parts of a query.
 //
-// It does no input or output, reads no clock and asks no server for anything; which parts are wanted, and whether an answer in
-// part may be given, is the decision module's word. Memory is bounded by the parts' own bytes: of a part it keeps its text and
-// the sort values of as many hits as were asked for. docs/SEARCH.md has the reasons.
+// A Plan says what a query requests: the keys of the order, the page, how far hits are counted, and the aggregations. Plan.Read and
+// Plan.ReadBinary validate the answer of one server against the plan and give a Part; an answer that does not match fails with
+// ErrMalformedPart and is a failed attempt. A State merges parts. The result does not depend on the order in which parts are added.
+// CompletenessPolicy tells from the weights of the received parts whether an answer may be given and whether it is complete.
+//
+// The package does no input or output, reads no clock and contacts no server. It does not decide which parts a query has or when a
+// query ends: that is the decision module's task. Memory is bounded by the bytes of the parts: a Part keeps its text, its sort values
+// and its aggregations (Part.Size estimates them); an answer has at most MaxBuckets buckets.
+//
+// Plan.Read and Plan.ReadBinary do not change the plan and may run concurrently. A State has one owner. Errors are sentinels (ErrPlan,
+// ErrAggregation, ErrMalformedPart, ErrDuplicateDocument, ErrTotalOverflow, ErrBuckets) or a *MixedError. docs/SEARCH.md has the reasons.
 package merge
--- a/internal/broker/merge/exact.go
+++ b/internal/broker/merge/exact_sum.go
@@ -2,12 +2,12 @@
 
 import "math"
 
-// exact is a sum of float64s that loses nothing: parts that don't overlap, the smallest first (Shewchuk, "Adaptive Precision
+// exactSum is a sum of float64s without rounding error: terms that do not overlap, the smallest first (Shewchuk, "Adaptive Precision
 // Floating-Point Arithmetic", 1997). Its value is the true sum rounded once, so neither the order nor the split of what was added
-// matters. The zero value is nought.
-type exact []float64
+// matters. The zero value is 0.
+type exactSum []float64
 
-func (e *exact) add(x float64) {
+func (e *exactSum) add(x float64) {
 	parts, n := *e, 0
 	for _, y := range parts {
 		if math.Abs(x) < math.Abs(y) {
@@ -24,7 +24,7 @@
 }
 
 // value rounds half to even over all parts.
-func (e exact) value() float64 {
+func (e exactSum) value() float64 {
 	n := len(e)
 	if n == 0 {
 		return 0
--- /dev/null
+++ b/internal/broker/merge/part_binary.go
@@ -0,0 +1,189 @@
+package merge
+
+import (
+	"bytes"
+	"math"
+	"saffronquay/internal/broker/merge/partial"
+	"slices"
+
+	"google.golang.org/protobuf/proto"
+)
+
+// BinaryType is the media type of the binary form of a part, in the version that ReadBinary reads.
+const BinaryType = "application/x-saffronquay-partial; version=1"
+
+const binaryVersion = 1
+
+// ReadBinary is Read for the binary form. It keeps body. Every error wraps ErrMalformedPart.
+func (p *Plan) ReadBinary(body []byte) (*Part, error) {
+	var m partial.Answer
+	if err := proto.Unmarshal(body, &m); err != nil {
+		return nil, malformedf("%v", err)
+	}
+	switch {
+	case m.Version != binaryVersion:
+		return nil, malformedf("version %d, where %d is known", m.Version, binaryVersion)
+	case m.TimedOut || m.Failed > 0:
+		return nil, malformedf("not whole")
+	case len(m.Hits) > p.Window():
+		return nil, malformedf("%d hits, where %d were asked for", len(m.Hits), p.Window())
+	}
+	part := p.newPart(body, len(m.Hits))
+	part.texts = make([][]byte, len(m.Hits))
+	if p.Limit != Uncounted {
+		if m.Total == nil {
+			return nil, malformedf("no total")
+		}
+		if err := p.setTotal(part, m.Total.Value, m.Total.AtLeast, len(m.Hits)); err != nil {
+			return nil, err
+		}
+	}
+	for i, h := range m.Hits {
+		if err := p.addBinaryHit(part, i, h); err != nil {
+			return nil, err
+		}
+	}
+	var err error
+	part.aggs, err = part.reader.readAllBinary(p.Aggs, m.Aggregations)
+	return part, err
+}
+
+// addBinaryHit validates hit i and appends its sort values to the part.
+func (p *Plan) addBinaryHit(part *Part, i int, h *partial.Hit) error {
+	values, err := valuesFromBinary(h.Sort)
+	if err != nil || len(values) != len(p.Keys) {
+		return malformedf("hit %d has sort values that were not asked for", i)
+	}
+	part.texts[i] = bytes.TrimSpace(h.Json)
+	if len(h.Json) < 2 || part.texts[i][0] != '{' {
+		return malformedf("hit %d is no object", i)
+	}
+	if h.Score != nil {
+		if !isFinite(*h.Score) {
+			return malformedf("hit %d has a score that is no number", i)
+		}
+		part.maxScore, part.hasScore = max(part.maxScore, *h.Score), true
+	}
+	part.values = append(part.values, values...)
+	return p.validateHit(part, i)
+}
+
+func isFinite(f float64) bool { return !math.IsNaN(f) && !math.IsInf(f, 0) }
+
+// valuesFromBinary converts sort values or the key of a bucket; numbers must be finite.
+func valuesFromBinary(list []*partial.Value) ([]Value, error) {
+	out := make([]Value, len(list))
+	for i, v := range list {
+		switch k := v.Kind.(type) {
+		case *partial.Value_Missing:
+		case *partial.Value_Whole:
+			out[i] = Int(k.Whole)
+		case *partial.Value_Number:
+			if !isFinite(k.Number) {
+				return nil, errInvalidValue
+			}
+			out[i] = Float(k.Number)
+		case *partial.Value_Text:
+			out[i] = String(k.Text)
+		case *partial.Value_Flag:
+			if out[i] = (Value{Kind: Flag}); k.Flag {
+				out[i].integer = 1
+			}
+		default:
+			return nil, errInvalidValue
+		}
+	}
+	return out, nil
+}
+
+func (r *reader) readAllBinary(aggs []*Agg, list []*partial.Aggregation) ([]*node, error) {
+	if len(list) != len(aggs) {
+		return nil, malformedf("%d aggregations, where %d were asked for", len(list), len(aggs))
+	}
+	out := make([]*node, len(aggs))
+	for i, a := range aggs {
+		if list[i].GetName() != a.Name {
+			return nil, malformedf("no aggregation [%s]", a.Name)
+		}
+		var err error
+		if out[i], err = r.readNodeBinary(a, list[i]); err != nil {
+			return nil, err
+		}
+	}
+	return out, nil
+}
+
+func (r *reader) readNodeBinary(a *Agg, m *partial.Aggregation) (*node, error) {
+	if err := a.validateBinary(m); err != nil {
+		return nil, err
+	}
+	n := &node{count: m.Count, min: math.Inf(1), max: math.Inf(-1), otherDocs: m.Other, buckets: map[string]*bucket{}}
+	if m.Min != nil {
+		n.min = *m.Min
+	}
+	if m.Max != nil {
+		n.max = *m.Max
+	}
+	for _, x := range m.Sum {
+		n.sum.add(x)
+	}
+	for _, x := range m.Squares {
+		n.sumOfSquares.add(x)
+	}
+	for i, w := range m.Weights {
+		if !(w > 0) {
+			return nil, malformedf("[%s] has a centroid out of range", a.Name)
+		}
+		n.centroids = append(n.centroids, centroid{m.Means[i], w})
+		r.centroids++
+	}
+	if a.Kind == "cardinality" {
+		if err := r.readSketch(a, n, m.Sketch); err != nil {
+			return nil, err
+		}
+	}
+	for _, b := range m.Buckets {
+		if err := r.readBucketBinary(a, n, b); err != nil {
+			return nil, err
+		}
+	}
+	return n, a.applyListBounds(n)
+}
+
+// validateBinary checks the numbers of an aggregation: all are finite, none is out of range, and lists have their bounds.
+func (a *Agg) validateBinary(m *partial.Aggregation) error {
+	for _, list := range [][]float64{m.Sum, m.Squares, m.Means, m.Weights, {m.GetMin(), m.GetMax()}} {
+		for _, f := range list {
+			if !isFinite(f) {
+				return malformedf("[%s] holds what is no number", a.Name)
+			}
+		}
+	}
+	wantsExtremes := m.Count > 0 && slices.Contains([]string{"min", "max", "stats", "extended_stats", "avg"}, a.Kind)
+	switch {
+	case m.Count < 0, m.Other < 0,
+		len(m.Sum) > maxSumTerms, len(m.Squares) > maxSumTerms,
+		len(m.Means) != len(m.Weights), len(m.Means) > maxCentroids,
+		wantsExtremes && (m.Min == nil || m.Max == nil):
+		return malformedf("[%s] is out of range", a.Name)
+	}
+	return nil
+}
+
+func (r *reader) readBucketBinary(a *Agg, n *node, m *partial.Bucket) error {
+	key, err := valuesFromBinary(m.Key)
+	if err != nil {
+		return malformedf("[%s] has a key that is no value", a.Name)
+	}
+	if err := a.validateKey(key); err != nil {
+		return err
+	}
+	if m.Count < 0 {
+		return malformedf("[%s] has a count below nought", a.Name)
+	}
+	subs, err := r.readAllBinary(a.Subs, m.Aggregations)
+	if err != nil {
+		return err
+	}
+	return r.addBucket(a, n, &bucket{key: key, count: m.Count, subs: subs})
+}
--- a/internal/broker/merge/plan.go
+++ b/internal/broker/merge/plan.go
@@ -5,11 +5,11 @@
 	"fmt"
 )
 
-// Key is one key of the order.
+// Key is one key of the sort order.
 type Key struct {
 	Field        string
 	Desc         bool
-	MissingFirst bool // where documents without the field go
+	MissingFirst bool // documents without the field come first, whatever the direction
 }
 
 // Fields that every hit has.
@@ -18,32 +18,32 @@
 	ID    = "_id"
 )
 
-// Exact asks for the number of all hits, Uncounted for none; any other limit above nought for the number up to it.
+// Values of Plan.Limit: Exact counts all hits, Uncounted none. A limit above 0 counts up to it.
 const (
 	Exact     = int64(-1)
 	Uncounted = int64(0)
 )
 
-// Plan is what a query asks of the merge. Make one with NewPlan.
+// Plan is what a query requests of the merge. Make it with NewPlan.
 type Plan struct {
-	Keys       []Key // the last one is the tie-break, by _id
-	From, Size int
-	After      []Value // of the last hit of the page before; nil: the first page
-	Limit      int64   // Exact, Uncounted, or how far hits are counted
-	Aggs       []*Agg
-	AsOf       int64 // the time whose state is asked for, in Unix microseconds; 0: as things are
-	Binary     bool  // servers may answer in the binary form
-	Asked      int   // keys that the client gave; 0: by score, and hits show no sort values
-	loose      bool  // After names no tie-break: all hits that tie with it stand before it
+	Keys           []Key // the last one is the tie-break, by _id
+	From, Size     int
+	After          []Value // sort values of the last hit of the previous page; nil: the first page
+	Limit          int64   // Exact, Uncounted, or how far hits are counted
+	Aggs           []*Agg
+	AsOf           int64 // the time whose state is searched, in Unix microseconds; 0: the present
+	Binary         bool  // servers may answer in the binary form
+	ClientKeys     int   // how many keys the client gave; 0: by score, and hits have no sort values
+	afterWithoutID bool  // After has no _id: all hits that tie with it belong to previous pages
 }
 
-// ErrPlan marks a plan that makes no sense.
+// ErrPlan marks a plan whose page is invalid.
 var ErrPlan = errors.New("invalid page")
 
-// NewPlan makes a plan by the client's keys (none: by score), with the tie-break that makes the order total: no two documents of an
-// index have the same _id, so neither holders nor the order of arrival decide.
+// NewPlan returns a plan with the client's keys (none: by score), and with _id as the last key unless it is one. No two documents of an
+// index have the same _id, so the order is total and depends neither on replicas nor on the order of arrival. Errors wrap ErrPlan.
 func NewPlan(keys []Key, from, size int, after []Value, limit int64) (*Plan, error) {
-	p := &Plan{Keys: append([]Key(nil), keys...), From: from, Size: size, After: after, Limit: limit, Asked: len(keys)}
+	p := &Plan{Keys: append([]Key(nil), keys...), From: from, Size: size, After: after, Limit: limit, ClientKeys: len(keys)}
 	if len(keys) == 0 {
 		p.Keys = []Key{{Field: Score, Desc: true}}
 	}
@@ -65,7 +65,7 @@
 		return nil, fmt.Errorf("%w: `from` parameter must be set to 0 when `search_after` is used", ErrPlan)
 	case len(after) == len(p.Keys):
 	case len(after) == len(keys) && len(keys) > 0:
-		p.loose = true
+		p.afterWithoutID = true
 	default:
 		return nil, fmt.Errorf("%w: search_after has %d value(s) but sort has %d", ErrPlan, len(after), len(p.Keys))
 	}
@@ -98,8 +98,8 @@
 	return 0
 }
 
-// kinds takes the kinds of one hit's values into those seen; it names the key at which they are mixed.
-func (p *Plan) kinds(seen []Kind, values []Value) error {
+// mergeKinds merges the kinds of one hit's values into those seen. Two kinds under one key give a MixedError.
+func (p *Plan) mergeKinds(seen []Kind, values []Value) error {
 	for i, v := range values {
 		switch {
 		case v.Kind == Missing, v.Kind == seen[i]:
@@ -112,7 +112,7 @@
 	return nil
 }
 
-// MixedError says that a field has values that can't be ordered among each other.
+// MixedError says that a field has values of two kinds, which have no common order. Field is the name of the aggregation for buckets.
 type MixedError struct {
 	Field string
 	A, B  Kind
--- a/internal/broker/merge/proof_test.go
+++ b/internal/broker/merge/state_test.go
@@ -123,10 +123,10 @@
 
 // text is a page in a form that can be compared.
 func (p Page) text() string {
-	if !p.Known {
+	if !p.HasTotal {
 		p.Total = 0
 	}
-	return fmt.Sprintf("%d %t %t %g %t %s", p.Total, p.Gte, p.Known, p.Top, p.Scored, bytes.Join(p.Hits, []byte("\n")))
+	return fmt.Sprintf("%d %t %t %g %t %s", p.Total, p.TotalIsLowerBound, p.HasTotal, p.MaxScore, p.HasScore, bytes.Join(p.Hits, []byte("\n")))
 }
 
 // single is what one store gives, read as it stands: its own order and its own total.
@@ -135,25 +135,25 @@
 	text := fakebackend.Search("key", body(&whole), rows, layout.Span{From: 0, To: 1 << 40})
 	v := fastjson.MustParse(text)
 	hits := v.GetArray("hits", "hits")
-	page := Page{Known: p.Limit != Uncounted, Total: v.GetInt64("hits", "total", "value"), Gte: string(v.GetStringBytes("hits", "total", "relation")) == "gte"}
+	page := Page{HasTotal: p.Limit != Uncounted, Total: v.GetInt64("hits", "total", "value"), TotalIsLowerBound: string(v.GetStringBytes("hits", "total", "relation")) == "gte"}
 	for _, h := range hits[min(p.From, len(hits)):] {
-		if p.Asked == 0 {
+		if p.ClientKeys == 0 {
 			h.Del("sort")
 		}
 		page.Hits = append(page.Hits, h.MarshalTo(nil))
 	}
-	return fmt.Sprintf("%d %t %t %s", page.Total, page.Gte, page.Known, bytes.Join(page.Hits, []byte("\n")))
+	return fmt.Sprintf("%d %t %t %s", page.Total, page.TotalIsLowerBound, page.HasTotal, bytes.Join(page.Hits, []byte("\n")))
 }
 
 func (p Page) beside() string {
-	if !p.Known {
+	if !p.HasTotal {
 		p.Total = 0
 	}
-	return fmt.Sprintf("%d %t %t %s", p.Total, p.Gte, p.Known, bytes.Join(p.Hits, []byte("\n")))
+	return fmt.Sprintf("%d %t %t %s", p.Total, p.TotalIsLowerBound, p.HasTotal, bytes.Join(p.Hits, []byte("\n")))
 }
 
 // sums are what TestProof counts.
-type sums struct{ queries, orders, pages, mismatches, falseWhole int }
+type proofCounts struct{ queries, orders, pages, mismatches, falseWhole int }
 
 // TestProof compares pages with a single store, for random data, splits, queries and orders of arrival; every next page is split
 // anew, as if ranges had moved meanwhile.
@@ -163,14 +163,14 @@
 	if info, ok := debug.ReadBuildInfo(); ok && slices.Contains(info.Settings, debug.BuildSetting{Key: "-race", Value: "true"}) {
 		queries = 400 // the race detector has nothing to find in a pure package
 	}
-	got := make(chan sums)
+	got := make(chan proofCounts)
 	for w := range workers {
 		go func() { got <- prove(t, uint64(w), workers, queries/workers) }()
 	}
-	var all sums
+	var all proofCounts
 	for range workers {
 		s := <-got
-		all = sums{all.queries + s.queries, all.orders + s.orders, all.pages + s.pages, all.mismatches + s.mismatches, all.falseWhole + s.falseWhole}
+		all = proofCounts{all.queries + s.queries, all.orders + s.orders, all.pages + s.pages, all.mismatches + s.mismatches, all.falseWhole + s.falseWhole}
 	}
 	fmt.Printf("proof: queries=%d orders=%d pages=%d mismatches=%d false_whole=%d\n", all.queries, all.orders, all.pages, all.mismatches, all.falseWhole)
 	if all.mismatches+all.falseWhole > 0 {
@@ -178,7 +178,7 @@
 	}
 }
 
-func prove(t *testing.T, first, step uint64, most int) sums {
+func prove(t *testing.T, first, step uint64, most int) proofCounts {
 	var queries, orders, pages, mismatches, falseWhole int
 	for seed := first; queries < most && !t.Failed(); seed += step {
 		rng := rand.New(rand.NewPCG(seed, 7))
@@ -208,15 +208,15 @@
 			}
 			pages++
 			for i := range in { // each part left out in turn
-				pieces := make([]Piece, len(in))
+				pieces := make([]PartCoverage, len(in))
 				for j := range pieces {
-					pieces[j] = Piece{Weight: 1 / float64(len(in)), Shard: j, In: j != i}
+					pieces[j] = PartCoverage{Weight: 1 / float64(len(in)), Shard: j, Received: j != i}
 				}
-				if (Completeness{Need: 1, Floor: 1}).Judge(pieces).Give {
+				if (CompletenessPolicy{CompleteWeight: 1, MinWeight: 1}).Evaluate(pieces).Answerable {
 					falseWhole++
 				}
-				e := Completeness{Need: 1, Floor: 0.1}.Judge(pieces)
-				if e.Whole || len(e.Missing) != 1 || e.Missing[0].Shard != i {
+				e := CompletenessPolicy{CompleteWeight: 1, MinWeight: 0.1}.Evaluate(pieces)
+				if e.Complete || len(e.Missing) != 1 || e.Missing[0].Shard != i {
 					falseWhole++
 				}
 			}
@@ -249,7 +249,7 @@
 			}
 			last := in[slices.IndexFunc(in, func(x *Part) bool { return bytes.Contains(x.body, []byte(`"`+falls[len(falls)-1]+`"`)) })]
 			for i := range last.hits {
-				if v := last.at(i, len(p.Keys)); v[len(v)-1].s == falls[len(falls)-1] {
+				if v := last.sortValuesAt(i, len(p.Keys)); v[len(v)-1].text == falls[len(falls)-1] {
 					after = v
 				}
 			}
@@ -260,7 +260,7 @@
 			t.Errorf("seed %d: %d hits over all pages, of %d rows", seed, len(falls), len(rows))
 		}
 	}
-	return sums{queries, orders, pages, mismatches, falseWhole}
+	return proofCounts{queries, orders, pages, mismatches, falseWhole}
 }
 
 func part(total string, hits ...string) string {
@@ -298,7 +298,7 @@
 		`{"hits":{"hits":{}}}`: "no list of hits",
 	} {
 		got, err := read(p, text)
-		if want == "" && (err != nil || got == nil) || want != "" && (!errors.Is(err, ErrPart) || !strings.Contains(err.Error(), want)) {
+		if want == "" && (err != nil || got == nil) || want != "" && (!errors.Is(err, ErrMalformedPart) || !strings.Contains(err.Error(), want)) {
 			t.Errorf("%s: %v, want %q", text, err, want)
 		}
 	}
--- a/internal/broker/merge/value.go
+++ b/internal/broker/merge/value.go
@@ -13,48 +13,48 @@
 	"github.com/valyala/fastjson"
 )
 
-// Kind is the type of a sort value.
+// Kind is the type of a sort value or of a bucket's key.
 type Kind uint8
 
 // The kinds of sort values.
 const (
-	Missing Kind = iota // the document has none
-	Number              // whole or not; dates are numbers too
+	Missing Kind = iota // the document has no value
+	Number              // an integer or not; dates are numbers too
 	Text
 	Flag
 )
 
 func (k Kind) String() string { return [...]string{"nothing", "number", "keyword", "boolean"}[k] }
 
-// Value is one sort value. Whole numbers are exact over the whole of int64.
+// Value is one sort value. Integers are exact over the full range of int64.
 type Value struct {
-	Kind  Kind
-	whole bool
-	i     int64
-	f     float64
-	s     string
+	Kind      Kind
+	isInteger bool
+	integer   int64
+	real      float64
+	text      string
 }
 
-// Int, Float and String make values.
-func Int(i int64) Value { return Value{Kind: Number, whole: true, i: i} }
+// Int returns an integer.
+func Int(i int64) Value { return Value{Kind: Number, isInteger: true, integer: i} }
 
-// Float makes a number; -0 is 0.
+// Float returns a number. -0 becomes 0, and integers below 2^53 equal those that Int returns.
 func Float(f float64) Value {
 	if f == math.Trunc(f) && math.Abs(f) < 1<<53 {
 		return Int(int64(f))
 	}
-	return Value{Kind: Number, f: f}
+	return Value{Kind: Number, real: f}
 }
 
-// String makes a keyword.
-func String(s string) Value { return Value{Kind: Text, s: s} }
+// String returns a keyword.
+func String(s string) Value { return Value{Kind: Text, text: s} }
 
-var errValue = errors.New("want a number, a string, true, false or null")
+var errInvalidValue = errors.New("want a number, a string, true, false or null")
 
-// parseValue reads a sort value. Numbers that no float64 holds as they stand, and are not whole, are rounded as JSON's readers do.
+// parseValue reads a sort value. Numbers that are no int64 are rounded to the nearest float64.
 func parseValue(v *fastjson.Value) (Value, error) { return readValue(v, nil) }
 
-// readValue is parseValue with a place for keywords; nil: each has its own.
+// readValue is parseValue with an arena for keywords; with nil each keyword is allocated by itself.
 func readValue(v *fastjson.Value, a *arena) (Value, error) {
 	switch v.Type() {
 	case fastjson.TypeNull:
@@ -65,42 +65,42 @@
 		}
 		return String(string(v.GetStringBytes())), nil
 	case fastjson.TypeTrue:
-		return Value{Kind: Flag, i: 1}, nil
+		return Value{Kind: Flag, integer: 1}, nil
 	case fastjson.TypeFalse:
 		return Value{Kind: Flag}, nil
 	case fastjson.TypeNumber:
 		return readNumber(v)
 	}
-	return Value{}, fmt.Errorf("%w, not %s", errValue, v.Type())
+	return Value{}, fmt.Errorf("%w, not %s", errInvalidValue, v.Type())
 }
 
-// parseFloat reads a number to the nearest float64, which fastjson's own reading misses by a bit now and then.
+// parseFloat reads a number to the nearest float64. The parser of fastjson is sometimes off by one bit.
 func parseFloat(v *fastjson.Value) (float64, error) {
 	if v == nil || v.Type() != fastjson.TypeNumber {
-		return 0, errValue
+		return 0, errInvalidValue
 	}
 	var buf [40]byte
-	return floatOf(v.MarshalTo(buf[:0]))
+	return parseFloatText(v.MarshalTo(buf[:0]))
 }
 
-func floatOf(text []byte) (float64, error) {
+func parseFloatText(text []byte) (float64, error) {
 	f, err := strconv.ParseFloat(unsafe.String(unsafe.SliceData(text), len(text)), 64)
 	if err != nil || math.IsNaN(f) || math.IsInf(f, 0) { // fastjson lets NaN and Inf pass for numbers
-		return 0, fmt.Errorf("%w, not %.40s", errValue, bytes.Clone(text))
+		return 0, fmt.Errorf("%w, not %.40s", errInvalidValue, bytes.Clone(text))
 	}
 	return f, nil
 }
 
-// readNumber keeps whole numbers exact.
+// readNumber reads a number; integers are exact.
 func readNumber(v *fastjson.Value) (Value, error) {
 	var buf [40]byte
 	text := v.MarshalTo(buf[:0])
-	if bytes.IndexAny(text, ".eE") < 0 {
+	if !bytes.ContainsAny(text, ".eE") {
 		if i, err := strconv.ParseInt(unsafe.String(unsafe.SliceData(text), len(text)), 10, 64); err == nil {
 			return Int(i), nil
 		}
 	}
-	f, err := floatOf(text)
+	f, err := parseFloatText(text)
 	return Float(f), err
 }
 
@@ -108,18 +108,18 @@
 func (a Value) compare(b Value) int {
 	switch {
 	case a.Kind == Text:
-		return cmp.Compare(a.s, b.s)
-	case a.Kind == Flag, a.whole && b.whole:
-		return cmp.Compare(a.i, b.i)
-	case !a.whole && !b.whole:
-		return cmp.Compare(a.f, b.f)
-	case a.whole:
-		return -compareMixed(b.f, a.i)
+		return cmp.Compare(a.text, b.text)
+	case a.Kind == Flag, a.isInteger && b.isInteger:
+		return cmp.Compare(a.integer, b.integer)
+	case !a.isInteger && !b.isInteger:
+		return cmp.Compare(a.real, b.real)
+	case a.isInteger:
+		return -compareMixed(b.real, a.integer)
 	}
-	return compareMixed(a.f, b.i)
+	return compareMixed(a.real, b.integer)
 }
 
-// compareMixed is exact where a float64 can't hold the whole number.
+// compareMixed compares a float64 with an integer exactly, also where no float64 equals the integer.
 func compareMixed(f float64, i int64) int {
 	if math.Abs(f) >= 1<<63 {
 		return cmp.Compare(f, 0)
@@ -128,25 +128,25 @@
 }
 
 func (a Value) float() float64 {
-	if a.whole {
-		return float64(a.i)
+	if a.isInteger {
+		return float64(a.integer)
 	}
-	return a.f
+	return a.real
 }
 
-// append writes a value as JSON.
+// append appends the value as JSON.
 func (a Value) append(dst []byte) []byte {
 	switch {
 	case a.Kind == Missing:
 		return append(dst, "null"...)
 	case a.Kind == Text:
-		return appendString(dst, a.s)
+		return appendString(dst, a.text)
 	case a.Kind == Flag:
-		return strconv.AppendBool(dst, a.i == 1)
-	case a.whole:
-		return strconv.AppendInt(dst, a.i, 10)
+		return strconv.AppendBool(dst, a.integer == 1)
+	case a.isInteger:
+		return strconv.AppendInt(dst, a.integer, 10)
 	}
-	return strconv.AppendFloat(dst, a.f, 'g', -1, 64)
+	return strconv.AppendFloat(dst, a.real, 'g', -1, 64)
 }
 
 func appendString(dst []byte, s string) []byte {
@@ -154,7 +154,7 @@
 	return a.NewString(s).MarshalTo(dst)
 }
 
-// ParseValues reads a list of sort values.
+// ParseValues reads a JSON list of sort values that is not empty.
 func ParseValues(v *fastjson.Value) ([]Value, error) {
 	if v.Type() != fastjson.TypeArray || len(v.GetArray()) == 0 {
 		return nil, errors.New("want a list of values")
@@ -170,7 +170,7 @@
 	return out, nil
 }
 
-// AppendValues writes a list of sort values.
+// AppendValues appends a JSON list of sort values.
 func AppendValues(dst []byte, values []Value) []byte {
 	dst = append(dst, '[')
 	for i, v := range values {
--- a/internal/broker/opensearch/opensearch_test.go
+++ b/internal/broker/opensearch/opensearch_test.go
@@ -181,7 +181,7 @@
 	}
 	r = word(core.Final{
 		Outcome: core.Answered, Shards: 3, Fraction: 0.75, Values: values[:2],
-		Missing: []merge.Piece{{Shard: 2, From: 5, To: 9, Weight: 0.25}},
+		Missing: []merge.PartCoverage{{Shard: 2, From: 5, To: 9, Weight: 0.25}},
 	}, 42_000)
 	for _, want := range []string{`"timed_out":true`, `"failed":1,"failures":[{"shard":2,`, `"completeness":{"whole":false,"share":0.75,"missing":[{"shard":2,"from":5,"to":9}]}`} {
 		if !strings.Contains(string(r.Body), want) {
--- a/internal/broker/opensearch/respond.go
+++ b/internal/broker/opensearch/respond.go
@@ -18,7 +18,7 @@
 		if !ok { // a session reads every answer that it hands on
 			return Front{}.fail(&fault{500, "search_phase_execution_exception", "a part was not read"})
 		}
-		if part.Gone() {
+		if part.Expired() {
 			return Front{}.fail(&fault{404, "search_context_missing_exception", "point in time: a server no longer holds what stood then"})
 		}
 		state.Add(part)
@@ -81,16 +81,16 @@
 
 func (s search) hits(b []byte, page merge.Page) []byte {
 	b = append(b, `,"hits":{`...)
-	if page.Known {
+	if page.HasTotal {
 		relation := "eq"
-		if page.Gte {
+		if page.TotalIsLowerBound {
 			relation = "gte"
 		}
 		b = fmt.Appendf(b, `"total":{"value":%d,"relation":"%s"},`, page.Total, relation)
 	}
 	best := []byte("null")
-	if page.Scored {
-		best = strconv.AppendFloat(nil, page.Top, 'g', -1, 64)
+	if page.HasScore {
+		best = strconv.AppendFloat(nil, page.MaxScore, 'g', -1, 64)
 	}
 	b = fmt.Appendf(b, `"max_score":%s,"hits":[`, best)
 	for i, h := range page.Hits {
--- a/internal/broker/opensearch/servers.go
+++ b/internal/broker/opensearch/servers.go
@@ -175,7 +175,7 @@
 			return sq.Errored, nil
 		}
 		if m.Status == gone {
-			return sq.Served, merge.GonePart()
+			return sq.Served, merge.ExpiredPart()
 		}
 	}
 	if plan != nil && plan.Binary && m.Status == 200 && binary(m.Header.Get("Content-Type")) {
