--- a/internal/scheduler/outcome/doc.go
+++ b/internal/scheduler/outcome/doc.go
@@ -7,7 +7,7 @@
 // Package worker sets the outcome of failures of the connection, package forward that of answers it can't pass on:
 //
 //	NotRun      no connection could be opened within the dial timeout
-//	NotRun      writing failed before the first byte of a request was written
+//	NotRun      writing failed before the first byte of a request of up to 16 KiB was written (a longer one: MayHaveRun)
 //	NotRun      the worker answered 421, or any status with the header Not-Executed
 //	MayHaveRun  a write failed after some bytes, or the answer did not arrive or broke off
 //	MayHaveRun  the attempt's timeout or the request's deadline passed after the connection was there
@@ -26,7 +26,7 @@
 //
 // Idempotent are the routes of the types idempotent and deployment, and resumable streams. Two paths have rules of their own: a stream that
 // breaks off after its head (package proxy, stream.go), and items of batch jobs, which go to another worker after everything but a worker's 500 and 422
-// (package batchrunner, item.go).
+// (package batchrunner, attempt.go and item.go).
 //
 // # Which status the client gets
 //
--- a/internal/scheduler/proxy/doc.go
+++ b/internal/scheduler/proxy/doc.go
@@ -53,7 +53,7 @@
 // For "no worker takes the request now" look at the metrics of the proxy that answered: refusals_total has the rejections by worker and cause
 // (not_executed: full, loading weights, or out of time in its queue), tries_total with verdict="not run" the attempts that no worker ran. If
 // neither has grown, routing had no worker to choose: those of the route's services that are registered all drain, or lack the model. A request
-// whose Deadline-Ms is not above answerMargin gets this 503 too and is counted in neither metric. A 503 with a text that the table lacks is of the
+// whose Deadline-Ms is above 0 but not above answerMargin gets this 503 too and is counted in neither metric. A 503 with a text that the table lacks is of the
 // HTTP server, or of a steward (package controlplane).
 //
 // # Concurrency
--- a/internal/scheduler/routing/doc.go
+++ b/internal/scheduler/routing/doc.go
@@ -4,10 +4,13 @@
 //
 // Table.Pick goes through these steps, each in a file of its own:
 //
-//   - package forward draws the service by the route's weights (drawServices) before Pick is called;
-//   - filter.go: which workers the request may go to at all;
+//   - package forward draws the service by the route's weights (drawServices) before Pick is called; if that one has no worker, the other services
+//     with a weight follow in the route's order. If all that fit were tried, forward waits 8 ms and allows the tried ones again; if the first Pick
+//     finds none, the request fails at once;
+//   - filter.go: not draining, not tried, has the model (a worker that names no model fits every request; a lost one is only avoided);
 //   - avoidance.go: which of these have failed or rejected requests lately, so that all others go first;
-//   - subset.go and slots.go: which workers of a service this gatherer prefers, and how many items it may have at each;
+//   - subset.go: preferred are the workers of the gatherer's zone, or all if the zone has less than half of the average capacity for each gatherer;
+//   - slots.go: how many items the gatherer may have at each worker;
 //   - estimate.go: what the request costs, in milliseconds;
 //   - pick.go: the worker with the least predicted backlog is taken, ties at random; one that is not preferred counts as if this request's cost were in
 //     its backlog already;
