--- a/internal/broker/opensearch/servers.go
+++ b/internal/broker/opensearch/servers.go
@@ -179,7 +179,7 @@
 			return sq.Errored, nil
 		}
 		if m.Status == statusGone {
-			return sq.Served, merge.GonePart()
+			return sq.Served, merge.ExpiredPart()
 		}
 	}
 	if plan != nil && plan.Binary && m.Status == 200 && isBinary(m.Header.Get("Content-Type")) {
