--- a/cmd/saffronquay/check.go
+++ b/cmd/saffronquay/check.go
@@ -84,7 +84,7 @@
 func operatorFaults(text []byte) []string {
 	_, err := config.ParseOperator(text)
 	faults := splitFaults(err)
-	for _, fault := range splitFaults(schema.Judge(schema.Operator, text)) {
+	for _, fault := range splitFaults(schema.Validate(schema.Operator, text)) {
 		path, _, _ := strings.Cut(fault, ": ")
 		if !slices.ContainsFunc(faults, func(other string) bool { return strings.HasPrefix(other, path) }) {
 			faults = append(faults, fault)
--- a/cmd/saffronquay/files.go
+++ b/cmd/saffronquay/files.go
@@ -85,7 +85,7 @@
 	settings := node.Settings.Module
 	shards := routecheck.Index{Class: settings.Classes[0].Name}
 	for shard := range settings.Shards {
-		shards.Ranges = append(shards.Ranges, layout.Piece{Shard: shard, Span: layout.Span{From: int64(shard), To: int64(shard) + 1}})
+		shards.Ranges = append(shards.Ranges, layout.Part{Shard: shard, Span: layout.Span{From: int64(shard), To: int64(shard) + 1}})
 	}
 	return routecheck.Roster{
 		Name: name, Settings: settings, Seed: node.Seed, Servers: node.Known, Indices: map[string]routecheck.Index{"shards": shards},
@@ -98,7 +98,7 @@
 		Name: name, Settings: operator.Settings.Module, Seed: operator.Seed, Servers: operator.Servers, Indices: map[string]routecheck.Index{},
 	}
 	if operator.Layout != nil {
-		made, err := layout.Make(operator.Layout.Document, nil)
+		made, err := layout.New(operator.Layout.Document, nil)
 		if err != nil {
 			return roster, fmt.Errorf("%s: layout.whole: %w", name, err)
 		}
@@ -110,9 +110,9 @@
 			index.Ranges = routecheck.Placed(roster.Layout)
 		}
 		for _, r := range from.Ranges {
-			index.Ranges = append(index.Ranges, layout.Piece{Shard: r.Shard, Span: r.Span})
+			index.Ranges = append(index.Ranges, layout.Part{Shard: r.Shard, Span: r.Span})
 		}
-		slices.SortStableFunc(index.Ranges, func(a, b layout.Piece) int { return int(min(max(a.From-b.From, -1), 1)) })
+		slices.SortStableFunc(index.Ranges, func(a, b layout.Part) int { return int(min(max(a.From-b.From, -1), 1)) })
 		roster.Indices[indexName] = index
 	}
 	return roster, nil
--- a/cmd/saffronquay/script_test.go
+++ b/cmd/saffronquay/script_test.go
@@ -147,7 +147,7 @@
 					t.Fatal(err)
 				}
 				op, perr := config.ParseOperator(text)
-				if serr := form.Judge(text); serr != nil && perr == nil {
+				if serr := form.Validate(text); serr != nil && perr == nil {
 					t.Errorf("the schema rejects what the program accepts: %v\n%s", serr, text)
 				}
 				if perr != nil {
@@ -159,7 +159,7 @@
 				if err != nil {
 					return
 				}
-				if _, err := routecheck.Judge(r, nil, es); err != nil && !strings.Contains(err.Error(), "settings") {
+				if _, err := routecheck.Evaluate(r, nil, es); err != nil && !strings.Contains(err.Error(), "settings") {
 					t.Errorf("%v", err)
 				}
 			})
@@ -188,7 +188,7 @@
 		{`"partials": "protobuf"`, `"partials": "xml"`, "indices[0].partials"},
 	} {
 		changed := strings.Replace(string(text), c.from, c.to, 1)
-		for name, err := range map[string]error{"schema": schema.Judge(schema.Operator, []byte(changed)), "program": parse(changed)} {
+		for name, err := range map[string]error{"schema": schema.Validate(schema.Operator, []byte(changed)), "program": parse(changed)} {
 			if err == nil || !slices.ContainsFunc(splitFaults(err), func(f string) bool { return strings.HasPrefix(f, c.path) }) {
 				t.Errorf("%s to %s, by the %s: %v", c.from, c.to, name, err)
 			}
--- a/cmd/saffronquay/test.go
+++ b/cmd/saffronquay/test.go
@@ -47,7 +47,7 @@
 		return err
 	}
 	c.progress("judging %d expectations", len(expectations))
-	results, err := routecheck.Judge(roster, others, expectations)
+	results, err := routecheck.Evaluate(roster, others, expectations)
 	c.progress("")
 	if err != nil {
 		return failed(err)
@@ -65,7 +65,7 @@
 	if err != nil {
 		return nil, failed(fmt.Errorf("%s: %w", path, err))
 	}
-	if err := schema.Judge(schema.Routing, text); err != nil {
+	if err := schema.Validate(schema.Routing, text); err != nil {
 		return nil, failed(fmt.Errorf("%s: %w", path, err))
 	}
 	return expectations, nil
--- a/cmd/saffronquay/try_faults.go
+++ b/cmd/saffronquay/try_faults.go
@@ -115,7 +115,7 @@
 			{Span: layout.Span{From: 500, To: 1000}, Shard: trialRanges + 1, Holders: []sq.ServerID{"ledger-3", "ledger-4"}},
 		}},
 		{Change: "try", Do: layout.Copy},
-		{Change: "try", Do: layout.BothUp},
+		{Change: "try", Do: layout.MarkReady},
 		{Change: "try", Do: layout.Cut},
 		{Change: "try", Do: layout.Retire},
 	}
--- a/internal/broker/config/operator_parse.go
+++ b/internal/broker/config/operator_parse.go
@@ -165,7 +165,7 @@
 	}
 	var err error
 	if o.Layout.Document, err = layout.ParseDoc(r.v.Get("whole").MarshalTo(nil)); err == nil {
-		_, err = layout.Make(o.Layout.Document, func(id sq.ServerID) bool { return o.Addresses[id] != "" })
+		_, err = layout.New(o.Layout.Document, func(id sq.ServerID) bool { return o.Addresses[id] != "" })
 	}
 	if err != nil {
 		r.fault("whole", "%v", err)
--- a/internal/broker/config/schema/schema.go
+++ b/internal/broker/config/schema/schema.go
@@ -1,5 +1,3 @@
-// Package schema holds the published JSON Schemas of what operators write, and judges files by them. It owns form only: what needs
-// meaning is package config's and package routing's.
 package schema
 
 import (
@@ -7,6 +5,7 @@
 	_ "embed"
 	"errors"
 	"fmt"
+	"slices"
 	"strings"
 
 	"github.com/santhosh-tekuri/jsonschema/v6"
@@ -15,26 +14,30 @@
 	"golang.org/x/text/message"
 )
 
-// Operator is the schema of the operator's file, Routing that of expectations.
+// The published schemas, as JSON text. Callers must not change them.
 var (
+	// Operator is the schema of the operator's file.
+	//
 	//go:embed operator.schema.json
 	Operator []byte
+	// Routing is the schema of a file of routing expectations.
+	//
 	//go:embed routing.schema.json
 	Routing []byte
 )
 
-// Fault is one place that is not as the schema wants it.
-type Fault struct {
-	Path string // such as indices[1].ranges[3].to
-	Text string
+// ValidationError is one place of a file that does not match its schema.
+type ValidationError struct {
+	Path string // of the faulty value, such as indices[1].ranges[3].to; empty for the file itself
+	Text string // what is wrong, in English
 }
 
-func (f Fault) Error() string { return f.Path + ": " + f.Text }
+func (f ValidationError) Error() string { return f.Path + ": " + f.Text }
 
-// Schema is a compiled schema.
-type Schema struct{ of *jsonschema.Schema }
+// Schema is a compiled schema. It never changes.
+type Schema struct{ compiled *jsonschema.Schema }
 
-// Compile reads a schema, for those who hold many files against it.
+// Compile compiles a JSON Schema, for callers that validate several files with it.
 func Compile(schema []byte) (*Schema, error) {
 	c := jsonschema.NewCompiler()
 	doc, err := jsonschema.UnmarshalJSON(bytes.NewReader(schema))
@@ -51,53 +54,56 @@
 	return &Schema{s}, nil
 }
 
-// Judge holds a file against a schema, and gives all its faults joined.
-func Judge(schema, file []byte) error {
+// Validate compiles a schema and validates a file with it. Its errors are those of Compile and Schema.Validate.
+func Validate(schema, file []byte) error {
 	s, err := Compile(schema)
 	if err != nil {
 		return err
 	}
-	return s.Judge(file)
+	return s.Validate(file)
 }
 
-// Judge holds a file against the schema, and gives all its faults joined.
-func (s *Schema) Judge(file []byte) error {
+// Validate validates the text of a file. Where it is JSON, the error joins a ValidationError for each fault.
+func (s *Schema) Validate(file []byte) error {
 	value, err := jsonschema.UnmarshalJSON(bytes.NewReader(file))
 	if err != nil {
 		return fmt.Errorf("not JSON: %w", err)
 	}
 	var invalid *jsonschema.ValidationError
-	if err := s.of.Validate(value); errors.As(err, &invalid) {
-		return errors.Join(leaves(nil, invalid)...)
+	if err := s.compiled.Validate(value); errors.As(err, &invalid) {
+		return errors.Join(appendErrors(nil, invalid)...)
 	}
 	return err
 }
 
-// leaves are the faults themselves, without those that only say that something inside is wrong.
-func leaves(dst []error, e *jsonschema.ValidationError) []error {
+// appendErrors appends the innermost causes of a validation error. The enclosing errors only say that a part is invalid.
+func appendErrors(dst []error, e *jsonschema.ValidationError) []error {
 	if len(e.Causes) > 0 {
 		for _, c := range e.Causes {
-			dst = leaves(dst, c)
+			dst = appendErrors(dst, c)
 		}
 		return dst
 	}
 	switch k := e.ErrorKind.(type) {
 	case *kind.AdditionalProperties:
-		for _, key := range k.Properties {
-			dst = append(dst, Fault{path(append(e.InstanceLocation[:len(e.InstanceLocation):len(e.InstanceLocation)], key)), "unknown key"})
-		}
-		return dst
+		return appendKeyErrors(dst, e.InstanceLocation, k.Properties, "unknown key")
 	case *kind.Required:
-		for _, key := range k.Missing {
-			dst = append(dst, Fault{path(append(e.InstanceLocation[:len(e.InstanceLocation):len(e.InstanceLocation)], key)), "missing"})
-		}
-		return dst
+		return appendKeyErrors(dst, e.InstanceLocation, k.Missing, "missing")
+	}
+	return append(dst, ValidationError{formatPath(e.InstanceLocation), e.ErrorKind.LocalizedString(message.NewPrinter(language.English))})
+}
+
+// appendKeyErrors appends the same fault for each of some keys of the object at a location.
+func appendKeyErrors(dst []error, location, keys []string, text string) []error {
+	for _, key := range keys {
+		path := append(slices.Clip(location), key)
+		dst = append(dst, ValidationError{formatPath(path), text})
 	}
-	return append(dst, Fault{path(e.InstanceLocation), e.ErrorKind.LocalizedString(message.NewPrinter(language.English))})
+	return dst
 }
 
-// path words a place as the program's own errors do.
-func path(steps []string) string {
+// formatPath formats the location of a value in the same form as package config's errors.
+func formatPath(steps []string) string {
 	var b strings.Builder
 	for _, s := range steps {
 		switch {
--- a/internal/broker/core/layout.go
+++ b/internal/broker/core/layout.go
@@ -60,7 +60,7 @@
 func (c *Core) splitPart(p QueryPart, requested []layout.Span) []QueryPart {
 	cover := c.routes.Cover(nil, p.Span)
 	if len(requested) > 0 {
-		cover = slices.DeleteFunc(cover, func(piece layout.Piece) bool {
+		cover = slices.DeleteFunc(cover, func(piece layout.Part) bool {
 			return !slices.ContainsFunc(requested, func(r layout.Span) bool { return !r.Meet(piece.Span).Empty() })
 		})
 	}
--- a/internal/broker/core/layout_bench_test.go
+++ b/internal/broker/core/layout_bench_test.go
@@ -73,7 +73,7 @@
 			}
 			d.Ranges = append(d.Ranges, r)
 		}
-		if routes, err = layout.Make(d, nil); err != nil {
+		if routes, err = layout.New(d, nil); err != nil {
 			b.Fatal(err)
 		}
 		core.LayoutChanged(0, layout.Update{Layout: routes})
--- a/internal/broker/core/layout_simulation_test.go
+++ b/internal/broker/core/layout_simulation_test.go
@@ -82,7 +82,7 @@
 	if len(d.Changes) > 0 && w.rng.IntN(3) > 0 {
 		c := d.Changes[w.rng.IntN(len(d.Changes))]
 		s.Change, s.From = c.ID, nil
-		s.Do = map[layout.State]layout.Deed{layout.Announced: layout.Copy, layout.Copying: layout.BothUp, layout.Ready: layout.Cut, layout.CutOver: layout.Retire}[c.State]
+		s.Do = map[layout.State]layout.Action{layout.Announced: layout.Copy, layout.Copying: layout.MarkReady, layout.Ready: layout.Cut, layout.CutOver: layout.Retire}[c.State]
 		if w.rng.IntN(6) == 0 {
 			s.Do = layout.Abort
 		}
--- a/internal/broker/core/layout_test.go
+++ b/internal/broker/core/layout_test.go
@@ -21,7 +21,7 @@
 	for i := range n {
 		d.Ranges = append(d.Ranges, layout.Range{Span: span(int64(10*i), int64(10*i+10)), Shard: i, Holders: []sq.ServerID{"s0", "s1"}})
 	}
-	l, err := layout.Make(d, nil)
+	l, err := layout.New(d, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -29,7 +29,7 @@
 }
 
 // stepLayout takes a shard through a split at its middle, a merge with the next range or a move, up to a step, and returns the layouts in order.
-func stepLayout(t testing.TB, l *layout.Layout, kind layout.Kind, shard int, until layout.Deed, holders ...sq.ServerID) []*layout.Layout {
+func stepLayout(t testing.TB, l *layout.Layout, kind layout.Kind, shard int, until layout.Action, holders ...sq.ServerID) []*layout.Layout {
 	d := l.Doc()
 	i := slices.IndexFunc(d.Ranges, func(r layout.Range) bool { return r.Shard == shard })
 	r := d.Ranges[i]
@@ -44,7 +44,7 @@
 		s.To = []layout.Range{{Span: span(r.From, d.Ranges[i+1].To), Shard: d.NextShard, Holders: holders}}
 	}
 	var out []*layout.Layout
-	for _, do := range []layout.Deed{layout.Announce, layout.Copy, layout.BothUp, layout.Cut, layout.Retire} {
+	for _, do := range []layout.Action{layout.Announce, layout.Copy, layout.MarkReady, layout.Cut, layout.Retire} {
 		s.Do, s.Epoch = do, l.Epoch()+1
 		next, err := l.Step(s, nil)
 		if err != nil {
--- a/internal/broker/idempotency/kill_test.go
+++ b/internal/broker/idempotency/kill_test.go
@@ -207,7 +207,7 @@
 	if a := g.send("DELETE", "/_search/point_in_time", "", "", fmt.Sprintf(`{"pit_id":%q}`, pits[1].ID)); !strings.Contains(a.body, `"successful":true`) {
 		t.Fatalf("%+v", a)
 	}
-	for i, do := range []layout.Deed{layout.Announce, layout.Copy} {
+	for i, do := range []layout.Action{layout.Announce, layout.Copy} {
 		s := layout.Step{Change: "m", Do: do}
 		if i == 0 {
 			s.Kind, s.From = layout.Move, []int{0}
--- a/internal/broker/layout/doc.go
+++ b/internal/broker/layout/doc.go
@@ -1,10 +1,14 @@
-// Package layout owns where the ranges of the key are: which shard is which span, which servers hold it, and which
-// changes (splits, merges, moves) are under way. It judges what is new, steps the changes' state machine and plans which
-// parts a query needs.
+// Package layout owns the ranges of the key: which shard has which span, which servers hold it, and which changes (splits, merges,
+// moves) are under way. It validates documents and steps, applies the state machine of changes, and plans the parts of a query.
 //
-// It does no input or output, reads no clock and never picks a server: who among the holders gets a part is the decision
-// module's word. A Layout never changes once it is made, so any goroutine may read it; a Keeper belongs to one owner.
+// The package does no input or output, reads no clock and never chooses a server: which holder gets a part is the decision module's
+// task. Times are microseconds that the caller gives.
 //
-// Spans are runs of whole numbers, From up to but without To. Epochs are whole numbers from 1 on. A shard id names one
-// span for as long as its history lasts and is never handed out again. docs/LAYOUT.md has the reasons.
+// A Layout is immutable, so any goroutine may read it. Current publishes it to readers. A Tracker is not safe for concurrent use.
+//
+// Spans are half-open: From belongs to them, To does not. Epochs start at 1 and each step raises the epoch by one. A shard id has
+// one span for as long as its history lasts and is never assigned again.
+//
+// New, Layout.Step and the Tracker return ValidationErrors, joined where there are several; a rejected document or step changes
+// nothing. docs/LAYOUT.md has the reasons for the design.
 package layout
--- a/internal/broker/layout/layout.go
+++ b/internal/broker/layout/layout.go
@@ -8,7 +8,7 @@
 	sq "saffronquay"
 )
 
-// Span is a run of keys, From up to but without To.
+// Span is the half-open interval of keys [From, To).
 type Span struct {
 	From int64 `json:"from"`
 	To   int64 `json:"to"`
@@ -16,13 +16,13 @@
 
 func (s Span) String() string { return fmt.Sprintf("%d-%d", s.From, s.To) }
 
-// Empty tells that no key lies in the span.
+// Empty reports whether the span contains no key.
 func (s Span) Empty() bool { return s.From >= s.To }
 
-// Meet is what two spans share; it may be empty.
+// Meet returns the intersection of two spans. Without a common key the result is Empty, and its To may be below its From.
 func (s Span) Meet(o Span) Span { return Span{max(s.From, o.From), min(s.To, o.To)} }
 
-// Range is one shard: its span and who holds it.
+// Range is one shard: its span and the servers that hold a replica of it.
 type Range struct {
 	Span
 	Shard   int           `json:"shard"`
@@ -33,7 +33,7 @@
 	return r.Span == o.Span && r.Shard == o.Shard && slices.Equal(r.Holders, o.Holders)
 }
 
-// Kind is what a change does.
+// Kind is the kind of a change.
 type Kind string
 
 // The kinds of changes.
@@ -43,15 +43,15 @@
 	Move  Kind = "move"  // one range gets other holders
 )
 
-// State is how far a change is.
+// State is the progress of a change.
 type State string
 
-// The states of a change. One that is retired or aborted is no longer in the layout.
+// The states of a change, in their order. A retired or aborted change is no longer in the layout.
 const (
 	Announced State = "announced"
 	Copying   State = "copying"
-	Ready     State = "ready"   // both sides can answer; queries still go to the old one
-	CutOver   State = "cutover" // the new side is in force; the old one may still answer what it was sent
+	Ready     State = "ready"   // both sides can answer; queries still go to the old side
+	CutOver   State = "cutover" // the new side is in force; the old side may still answer the parts that it was sent
 )
 
 // Change is a split, merge or move under way.
@@ -59,11 +59,11 @@
 	ID    string  `json:"id"`
 	Kind  Kind    `json:"kind"`
 	State State   `json:"state"`
-	From  []Range `json:"from"` // the old side, in order of the key
-	To    []Range `json:"to"`   // the new side, in order of the key
+	From  []Range `json:"from"` // the old side, in key order
+	To    []Range `json:"to"`   // the new side, in key order
 }
 
-// Doc is a whole layout as it is written down.
+// Doc is the serialized form of a complete layout. It may be invalid: New validates it.
 type Doc struct {
 	History   string   `json:"history"`
 	Epoch     int64    `json:"epoch"`
@@ -72,16 +72,16 @@
 	Changes   []Change `json:"changes,omitempty"`
 }
 
-// Layout is a judged layout. It never changes.
+// Layout is a validated layout with its indexes. It is immutable, so any goroutine may read it without a lock.
 type Layout struct {
 	doc   Doc
-	ends  []int64        // of the ranges in force, for searching
-	at    map[int]int    // place of a shard in force among the ranges
-	since map[int]int64  // the epoch from which a shard's holders are as they are; absent: since before the first layout
-	old   map[int]*Range // old sides that are not yet retired, by shard; a move's is the set of servers it leaves
+	ends  []int64        // To of each range in force, for the binary search
+	at    map[int]int    // index in doc.Ranges of each shard in force
+	since map[int]int64  // epoch in which a shard got its present span and holders; absent: unchanged since the first layout
+	old   map[int]*Range // old sides of changes that are cut over and not yet retired, by shard; for a move, the holders that it leaves
 }
 
-// build indexes a document that has been judged.
+// build indexes a document that has been validated.
 func build(d Doc, since map[int]int64) *Layout {
 	l := &Layout{doc: d, since: since, at: make(map[int]int, len(d.Ranges)), old: map[int]*Range{}}
 	l.ends = make([]int64, len(d.Ranges))
@@ -98,24 +98,24 @@
 	return l
 }
 
-// Doc is the layout written down. The caller must not change what it holds.
+// Doc returns the layout's serialized form. It shares memory with the layout: the caller must not change its slices.
 func (l *Layout) Doc() Doc { return l.doc }
 
-// Epoch is the layout's epoch.
+// Epoch returns the layout's epoch, 1 or more.
 func (l *Layout) Epoch() int64 { return l.doc.Epoch }
 
-// History names the line of epochs.
+// History returns the name of the history that the epochs belong to. Epochs of different histories can't be compared.
 func (l *Layout) History() string { return l.doc.History }
 
-// Len is the number of ranges in force.
+// Len returns the number of ranges in force.
 func (l *Layout) Len() int { return len(l.doc.Ranges) }
 
-// Domain is the span that the ranges cover.
+// Domain returns the span that the ranges in force cover together, without a gap.
 func (l *Layout) Domain() Span {
 	return Span{l.doc.Ranges[0].From, l.doc.Ranges[len(l.doc.Ranges)-1].To}
 }
 
-// InForce is the span of a shard; ok is false where the shard is not in force.
+// InForce returns the span of a shard, or false if the shard is not in force.
 func (l *Layout) InForce(shard int) (Span, bool) {
 	i, ok := l.at[shard]
 	if !ok {
@@ -124,8 +124,8 @@
 	return l.doc.Ranges[i].Span, true
 }
 
-// Of lists the servers that hold a shard: those in force, or those of an old side that is not yet retired. It is what the
-// decision module asks. The caller must not change the list.
+// Of returns the servers that hold a shard: the holders in force, or those of an old side that is not yet retired; nil for an
+// unknown shard. The decision module reads the holders through it. The caller must not change the list.
 func (l *Layout) Of(shard int) []sq.ServerID {
 	if i, ok := l.at[shard]; ok {
 		return l.doc.Ranges[i].Holders
@@ -136,11 +136,13 @@
 	return nil
 }
 
-// Since is the epoch from which a shard's holders are as they are, as far as it was heard.
+// Since returns the epoch in which a shard got its present span and holders, or 0 if they are those of the first layout received.
+// Where epochs were skipped it is the first received epoch with them.
 func (l *Layout) Since(shard int) int64 { return l.since[shard] }
 
-// Answers tells whether what a server gives for a span of a shard counts now: it holds it, or it is an old side that is
-// not yet retired. Guards against a holder that has missed its own loss.
+// Answers reports whether an answer of a server for a span of a shard is valid now: the server holds the shard in force, or on an
+// old side that is not yet retired, and the span lies within the shard's. It guards against a server that has not yet learned
+// that it lost the shard.
 func (l *Layout) Answers(server sq.ServerID, shard int, span Span) bool {
 	holds := func(r *Range) bool {
 		return span.From >= r.From && span.To <= r.To && slices.Contains(r.Holders, server)
@@ -152,15 +154,15 @@
 	return r != nil && holds(r)
 }
 
-// Piece is one part of a plan: a span within one shard's.
-type Piece struct {
+// Part is one shard request of a plan: a span within the shard's.
+type Part struct {
 	Shard int
 	Span
 }
 
-// first is the place of the first range, from a place on, that ends behind a key. It looks in steps that double, so what lies near
-// is found soon.
-func (l *Layout) first(key int64, from int) int {
+// searchRange returns the index, at or after from, of the first range that ends after a key. It searches in steps that double
+// (galloping search), so that a near range is found in few steps.
+func (l *Layout) searchRange(key int64, from int) int {
 	lo, hi := from, from
 	for n := 1; hi < len(l.ends) && l.ends[hi] <= key; n *= 2 {
 		lo, hi = hi+1, min(hi+n, len(l.ends))
@@ -175,37 +177,38 @@
 	return lo
 }
 
-// Plan appends one piece, its whole span, for each range that holds some of a set, once each and in order of the key. The
-// set's spans are disjoint and in order. It costs O(s log n + k) for s spans and k pieces.
-func (l *Layout) Plan(dst []Piece, want []Span) []Piece {
-	next := 0 // ranges before this one are in the plan already
+// Plan appends one part for each range that intersects one of the wanted spans. A part has its range's full span, no range comes
+// twice, and parts are in key order. The wanted spans must be disjoint and in key order. It costs O(s log n + k) for s spans and k
+// parts.
+func (l *Layout) Plan(dst []Part, want []Span) []Part {
+	next := 0 // ranges before this one are planned or not wanted
 	for _, w := range want {
-		for i := l.first(w.From, next); i < len(l.doc.Ranges) && l.doc.Ranges[i].From < w.To && !w.Empty(); i++ {
+		for i := l.searchRange(w.From, next); i < len(l.doc.Ranges) && l.doc.Ranges[i].From < w.To && !w.Empty(); i++ {
 			r := &l.doc.Ranges[i]
-			dst = append(dst, Piece{r.Shard, r.Span})
+			dst = append(dst, Part{r.Shard, r.Span})
 			next = i + 1
 		}
 	}
 	return dst
 }
 
-// Cover appends the pieces whose spans make up a span exactly, as far as it lies in the domain.
-func (l *Layout) Cover(dst []Piece, span Span) []Piece {
-	for i := l.first(span.From, 0); i < len(l.doc.Ranges) && l.doc.Ranges[i].From < span.To && !span.Empty(); i++ {
+// Cover appends parts, in key order, whose spans together are exactly the given span, as far as it lies in the domain.
+func (l *Layout) Cover(dst []Part, span Span) []Part {
+	for i := l.searchRange(span.From, 0); i < len(l.doc.Ranges) && l.doc.Ranges[i].From < span.To && !span.Empty(); i++ {
 		r := &l.doc.Ranges[i]
-		dst = append(dst, Piece{r.Shard, r.Span.Meet(span)})
+		dst = append(dst, Part{r.Shard, r.Span.Meet(span)})
 	}
 	return dst
 }
 
-// Changes lists the changes under way, in order of their ids. The caller must not change the list.
+// Changes returns the changes under way, sorted by id. The caller must not change the list.
 func (l *Layout) Changes() []Change { return l.doc.Changes }
 
 func (l *Layout) change(id string) (int, bool) {
 	return slices.BinarySearchFunc(l.doc.Changes, id, func(c Change, id string) int { return cmp.Compare(c.ID, id) })
 }
 
-// Diff lists the shards whose span or holders are not the same in two layouts, in order.
+// Diff returns, in order, the shards whose span or holders differ between layouts a and b, and the old sides that b has retired.
 func Diff(a, b *Layout) []int {
 	var out []int
 	for shard, i := range b.at {
@@ -218,7 +221,7 @@
 			out = append(out, shard)
 		}
 	}
-	for shard := range a.old { // retired: what it still has out counts no more
+	for shard := range a.old { // retired: answers still in flight are no longer valid
 		if _, ok := b.old[shard]; !ok && b.Of(shard) == nil {
 			out = append(out, shard)
 		}
--- a/internal/broker/layout/layout_test.go
+++ b/internal/broker/layout/layout_test.go
@@ -27,8 +27,8 @@
 	return Doc{History: "h", Epoch: 5, NextShard: 9, Ranges: []Range{rng(0, 100, 0, "a", "b"), rng(100, 200, 3, "b", "c"), rng(200, 300, 8, "c")}}
 }
 
-// What makes no sense is turned down by the name of range and epoch, all of it at once.
-func TestJudged(t *testing.T) {
+// An invalid document is rejected with all of its faults, each with its range and epoch.
+func TestRejectsInvalidDocuments(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		spoil func(*Doc)
@@ -56,9 +56,9 @@
 	} {
 		d := doc()
 		c.spoil(&d)
-		l, err := Make(d, known)
+		l, err := New(d, known)
 		if err == nil || l != nil {
-			t.Errorf("%s: was taken", c.name)
+			t.Errorf("%s: was accepted", c.name)
 			continue
 		}
 		for _, n := range c.names {
@@ -69,7 +69,7 @@
 	}
 }
 
-func step(epoch int64, change string, do Deed) Step {
+func step(epoch int64, change string, do Action) Step {
 	return Step{History: "h", Epoch: epoch, Change: change, Do: do}
 }
 
@@ -77,10 +77,10 @@
 	return Step{"h", epoch, change, Announce, Split, []int{shard}, to}
 }
 
-// Steps that don't follow, or contradict what is in force, change nothing.
+// Steps that do not follow the layout in force, or contradict it, are rejected and change nothing.
 func TestSteps(t *testing.T) {
 	halves := []Range{rng(0, 50, 9, "a"), rng(50, 100, 10, "d")}
-	whole, err := Make(doc(), known)
+	whole, err := New(doc(), known)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -90,13 +90,13 @@
 		kind  error
 		says  string // of the last one; empty: all are sound
 	}{
-		{"a split goes through", []Step{split(6, "x", 0, halves...), step(7, "x", Copy), step(8, "x", BothUp), step(9, "x", Cut), step(10, "x", Retire)}, nil, ""},
+		{"a split goes through", []Step{split(6, "x", 0, halves...), step(7, "x", Copy), step(8, "x", MarkReady), step(9, "x", Cut), step(10, "x", Retire)}, nil, ""},
 		{"back", []Step{split(5, "x", 0, halves...)}, ErrEpoch, "6 comes next"},
 		{"skips", []Step{split(7, "x", 0, halves...)}, ErrEpoch, "6 comes next"},
 		{"other history", []Step{{History: "g", Epoch: 6}}, ErrHistory, `"h" is in force`},
 		{"skips a state", []Step{split(6, "x", 0, halves...), step(7, "x", Cut)}, ErrState, `"cutover" does not follow "announced"`},
 		{"retired too soon", []Step{split(6, "x", 0, halves...), step(7, "x", Retire)}, ErrState, "does not follow"},
-		{"unknown deed", []Step{split(6, "x", 0, halves...), step(7, "x", "melt")}, ErrState, `"melt"`},
+		{"unknown action", []Step{split(6, "x", 0, halves...), step(7, "x", "melt")}, ErrState, `"melt"`},
 		{"unknown change", []Step{step(6, "y", Copy)}, ErrState, "not under way"},
 		{"a change of a range that has one", []Step{split(6, "x", 0, halves...), split(7, "y", 0, rng(0, 1, 11, "a"), rng(1, 100, 12, "a"))}, ErrState, `change "x" is under way there`},
 		{"not the same span", []Step{split(6, "x", 0, rng(0, 50, 9, "a"), rng(50, 90, 10, "a"))}, ErrInvalid, "its new side covers 0-90"},
@@ -105,18 +105,18 @@
 		{"an unlisted target", []Step{split(6, "x", 0, rng(0, 50, 9, "z"), rng(50, 100, 10, "a"))}, ErrInvalid, `"z" is not in the list`},
 		{"a merge of neighbours with other holders", []Step{
 			{"h", 6, "x", Announce, Merge, []int{8, 3}, []Range{rng(100, 300, 9, "a")}},
-			step(7, "x", Copy), step(8, "x", BothUp), step(9, "x", Cut),
+			step(7, "x", Copy), step(8, "x", MarkReady), step(9, "x", Cut),
 		}, nil, ""},
 		{"a merge over a gap", []Step{{"h", 6, "x", Announce, Merge, []int{0, 8}, []Range{rng(0, 300, 9, "a")}}}, ErrInvalid, "gap before it"},
 		{"a split of a split before the first is retired", []Step{
-			split(6, "x", 0, halves...), step(7, "x", Copy), step(8, "x", BothUp), step(9, "x", Cut),
-			split(10, "y", 9, rng(0, 20, 11, "b"), rng(20, 50, 12, "c")), step(11, "y", Copy), step(12, "y", BothUp), step(13, "y", Cut), step(14, "x", Retire), step(15, "y", Retire),
+			split(6, "x", 0, halves...), step(7, "x", Copy), step(8, "x", MarkReady), step(9, "x", Cut),
+			split(10, "y", 9, rng(0, 20, 11, "b"), rng(20, 50, 12, "c")), step(11, "y", Copy), step(12, "y", MarkReady), step(13, "y", Cut), step(14, "x", Retire), step(15, "y", Retire),
 		}, nil, ""},
 		{"an abort on which another change has built", []Step{
-			split(6, "x", 0, halves...), step(7, "x", Copy), step(8, "x", BothUp), step(9, "x", Cut),
+			split(6, "x", 0, halves...), step(7, "x", Copy), step(8, "x", MarkReady), step(9, "x", Cut),
 			split(10, "y", 9, rng(0, 20, 11, "b"), rng(20, 50, 12, "c")), step(11, "x", Abort),
 		}, ErrState, "a later change has built on it"},
-		{"an abort that crosses the cut over", []Step{split(6, "x", 0, halves...), step(7, "x", Copy), step(8, "x", BothUp), step(9, "x", Cut), step(10, "x", Abort)}, nil, ""},
+		{"an abort that crosses the cut over", []Step{split(6, "x", 0, halves...), step(7, "x", Copy), step(8, "x", MarkReady), step(9, "x", Cut), step(10, "x", Abort)}, nil, ""},
 		{"a move that changes nothing", []Step{{"h", 6, "x", Announce, Move, []int{8}, []Range{rng(200, 300, 8, "c")}}}, ErrInvalid, "changes its holders"},
 	} {
 		l, err := whole, error(nil)
@@ -129,7 +129,7 @@
 				t.Errorf("%s: step %d: %v", c.name, i, err)
 			}
 			if err != nil && !reflect.DeepEqual(before, l.Doc()) {
-				t.Errorf("%s: a step that was turned down changed the layout", c.name)
+				t.Errorf("%s: a rejected step changed the layout", c.name)
 			}
 		}
 		if c.says == "" && err != nil || c.says != "" && (!errors.Is(err, c.kind) || !strings.Contains(err.Error(), c.says)) {
@@ -138,19 +138,19 @@
 	}
 }
 
-// What comes back after an absence is followed only where it goes on with what is in force.
-func TestKeeper(t *testing.T) {
-	var k Keeper
-	if err := k.Servers(servers); err != nil {
+// A full layout after a lost connection is accepted only if it continues the layout in force.
+func TestTracker(t *testing.T) {
+	var k Tracker
+	if err := k.SetServers(servers); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := k.Step(step(6, "x", Copy), 0); !errors.Is(err, ErrEpoch) {
 		t.Errorf("a step before any layout: %v", err)
 	}
-	if u, err := k.Whole(doc(), 0); u == nil || err != nil {
+	if u, err := k.Replace(doc(), 0); u == nil || err != nil {
 		t.Fatal(u, err)
 	}
-	if u, err := k.Whole(doc(), 0); u != nil || err != nil {
+	if u, err := k.Replace(doc(), 0); u != nil || err != nil {
 		t.Errorf("the same again: %v %v", u, err)
 	}
 	for _, c := range []struct {
@@ -168,11 +168,11 @@
 	} {
 		d := doc()
 		c.spoil(&d)
-		if u, err := k.Whole(d, 0); u != nil || !errors.Is(err, c.kind) || k.Current().Epoch() != 5 {
+		if u, err := k.Replace(d, 0); u != nil || !errors.Is(err, c.kind) || k.Current().Epoch() != 5 {
 			t.Errorf("%s: %v %v", c.name, u, err)
 		}
 	}
-	if err := k.Servers([]sq.ServerID{"a", "b"}); err == nil || !strings.Contains(err.Error(), "range 200-300") {
+	if err := k.SetServers([]sq.ServerID{"a", "b"}); err == nil || !strings.Contains(err.Error(), "range 200-300") {
 		t.Errorf("servers that leave a range without a listed holder: %v", err)
 	}
 	u, err := k.Step(split(6, "x", 0, rng(0, 50, 9, "a"), rng(50, 100, 10, "d")), 1_000)
@@ -180,10 +180,10 @@
 		t.Fatal(u, err)
 	}
 	if u, err := k.Step(split(6, "x", 0), 0); u != nil || err != nil {
-		t.Errorf("a step told again: %v %v", u, err)
+		t.Errorf("a repeated step: %v %v", u, err)
 	}
 	if all, _ := k.Stalled(1_500, 500); len(all) != 0 {
-		t.Errorf("stalled at once: %v", all)
+		t.Errorf("stalled too early: %v", all)
 	}
 	if all, fresh := k.Stalled(1_501, 500); len(all) != 1 || len(fresh) != 1 || all[0].ID != "x" || all[0].State != Announced {
 		t.Errorf("stalled: %v %v", all, fresh)
@@ -193,7 +193,7 @@
 	}
 }
 
-// history draws a layout and steps that follow one another, sound and unsound mixed, and gives every layout on the way.
+// history draws a layout and a sequence of valid and invalid steps. It returns every layout on the way and the steps that were accepted.
 func history(t *rapid.T) (layouts []*Layout, steps []Step) {
 	n := rapid.IntRange(1, 6).Draw(t, "ranges")
 	d := Doc{History: "h", Epoch: 1}
@@ -203,7 +203,7 @@
 		d.Ranges = append(d.Ranges, rng(at, to, i, servers[i%4]))
 		at = to
 	}
-	l, err := Make(d, known)
+	l, err := New(d, known)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -225,7 +225,7 @@
 	s := Step{History: "h", Epoch: d.Epoch + 1 + int64(rapid.SampledFrom([]int{0, 0, 0, 0, 0, 0, 0, 1, -1}).Draw(t, "skew"))}
 	if cs := d.Changes; len(cs) > 0 && rapid.Bool().Draw(t, "advance") {
 		s.Change = rapid.SampledFrom(cs).Draw(t, "change").ID
-		s.Do = rapid.SampledFrom([]Deed{Copy, BothUp, Cut, Retire, Copy, BothUp, Cut, Retire, Abort}).Draw(t, "deed")
+		s.Do = rapid.SampledFrom([]Action{Copy, MarkReady, Cut, Retire, Copy, MarkReady, Cut, Retire, Abort}).Draw(t, "deed")
 		return s
 	}
 	s.Change, s.Do = fmt.Sprint("c", i), Announce
@@ -260,10 +260,10 @@
 	return out
 }
 
-// times counts, for each key of the domain, how many pieces hold it.
-func times(pieces []Piece, domain Span) map[int64]int {
+// times counts, for each key, how many parts contain it.
+func times(parts []Part, domain Span) map[int64]int {
 	n := map[int64]int{}
-	for _, p := range pieces {
+	for _, p := range parts {
 		for k := p.From; k < p.To; k++ {
 			n[k]++
 		}
@@ -271,14 +271,14 @@
 	return n
 }
 
-// Whatever the history: a layout on the way is sound by itself, a plan covers each asked key exactly once and a part planned
-// anew exactly what it covered; and a whole list equals the changes that led to it.
+// In every history each layout is valid by itself, a plan contains each wanted key exactly once, and a part that is planned again
+// covers exactly its span; and a full document leads to the same layout as the steps to it.
 func TestAnyHistory(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		layouts, steps := history(t)
 		used := map[int]Span{}
 		for _, l := range layouts {
-			if _, err := Make(l.Doc(), known); err != nil || !sound(l.Doc()) {
+			if _, err := New(l.Doc(), known); err != nil || !sound(l.Doc()) {
 				t.Fatalf("a layout that came by steps is not sound: %v %+v", err, l.Doc())
 			}
 			for _, r := range l.Doc().Ranges {
@@ -293,7 +293,7 @@
 			for _, w := range want {
 				for k := max(w.From, l.Domain().From); k < min(w.To, l.Domain().To); k++ {
 					if seen[k] != 1 {
-						t.Fatalf("key %d stands in %d pieces of %v", k, seen[k], plan)
+						t.Fatalf("key %d is in %d parts of %v", k, seen[k], plan)
 					}
 				}
 			}
@@ -301,7 +301,7 @@
 			for _, p := range plan {
 				for k, n := range times(last.Cover(nil, p.Span), p.Span) {
 					if n != 1 || k < p.From || k >= p.To {
-						t.Fatalf("planned anew, key %d stands in %d pieces", k, n)
+						t.Fatalf("planned again, key %d is in %d parts", k, n)
 					}
 				}
 				if got := len(times(last.Cover(nil, p.Span), p.Span)); got != int(p.To-p.From) {
@@ -309,9 +309,9 @@
 				}
 			}
 		}
-		var stepped, jumped Keeper
-		stepped.Whole(layouts[0].Doc(), 0)
-		jumped.Whole(layouts[0].Doc(), 0)
+		var stepped, jumped Tracker
+		stepped.Replace(layouts[0].Doc(), 0)
+		jumped.Replace(layouts[0].Doc(), 0)
 		for _, s := range steps {
 			if u, err := stepped.Step(s, 0); u == nil || err != nil {
 				t.Fatalf("%+v: %v", s, err)
@@ -325,10 +325,10 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, err := jumped.Whole(whole, 0); err != nil {
-			t.Fatalf("the whole list is turned down after a gap: %v", err)
+		if _, err := jumped.Replace(whole, 0); err != nil {
+			t.Fatalf("the full document is rejected after a gap: %v", err)
 		}
-		if !same(stepped.Current().Doc(), jumped.Current().Doc()) || jumped.Current().Doc().NextShard != stepped.Current().Doc().NextShard {
+		if !equalDocs(stepped.Current().Doc(), jumped.Current().Doc()) || jumped.Current().Doc().NextShard != stepped.Current().Doc().NextShard {
 			t.Fatalf("%+v\n%+v", stepped.Current().Doc(), jumped.Current().Doc())
 		}
 		if d := Diff(stepped.Current(), jumped.Current()); len(d) != 0 {
@@ -337,7 +337,7 @@
 	})
 }
 
-// sound says by brute force what judging has to find: each key in one range, each range with listed holders and a shard of its own.
+// sound validates by brute force: each key lies in one range, each range has listed holders and a shard of its own.
 func sound(d Doc) bool {
 	if len(d.Ranges) == 0 {
 		return false
@@ -366,8 +366,8 @@
 	return true
 }
 
-// Judging takes what is sound and nothing else.
-func TestJudgingAnything(t *testing.T) {
+// New accepts valid documents and rejects all others.
+func TestValidatesAnyDocument(t *testing.T) {
 	took := 0
 	rapid.Check(t, func(t *rapid.T) {
 		d := Doc{History: "h", Epoch: 1}
@@ -384,9 +384,9 @@
 			d.Ranges, at = append(d.Ranges, r), r.To
 		}
 		d.Ranges = rapid.Permutation(d.Ranges).Draw(t, "order")
-		_, err := Make(d, known)
+		_, err := New(d, known)
 		if (err == nil) != sound(d) {
-			t.Fatalf("%+v: sound %t, judged %v", d, sound(d), err)
+			t.Fatalf("%+v: sound %t, validated %v", d, sound(d), err)
 		}
 		if err == nil {
 			took++
@@ -401,21 +401,21 @@
 	text, _ := json.Marshal(doc())
 	f.Add(text)
 	f.Add([]byte(`{"history":"h","epoch":6,"change":"x","do":"announce","kind":"split","from":[0],"to":[{"from":0,"to":9,"shard":9,"holders":["a"]}]}`))
-	l, err := Make(doc(), known)
+	l, err := New(doc(), known)
 	if err != nil {
 		f.Fatal(err)
 	}
 	f.Fuzz(func(t *testing.T, text []byte) {
 		if d, err := ParseDoc(text); err == nil {
-			if l, err := Make(d, nil); err == nil {
-				if _, err := Make(l.Doc(), nil); err != nil {
+			if l, err := New(d, nil); err == nil {
+				if _, err := New(l.Doc(), nil); err != nil {
 					t.Errorf("sound, and then not: %v", err)
 				}
 			}
 		}
 		if s, err := ParseStep(text); err == nil {
 			if next, err := l.Step(s, known); err == nil {
-				if _, err := Make(next.Doc(), known); err != nil {
+				if _, err := New(next.Doc(), known); err != nil {
 					t.Errorf("a step led to %v", err)
 				}
 			}
@@ -436,7 +436,7 @@
 		}
 		d.Ranges = append(d.Ranges, rng(int64(i)*100, int64(i+1)*100, i, hs...))
 	}
-	l, err := Make(d, nil)
+	l, err := New(d, nil)
 	if err != nil {
 		panic(err)
 	}
@@ -449,7 +449,7 @@
 	for i := range 200 {
 		want = append(want, Span{int64(i) * 5000, int64(i)*5000 + 10})
 	}
-	plan := make([]Piece, 0, 200)
+	plan := make([]Part, 0, 200)
 	b.ReportAllocs()
 	for b.Loop() {
 		if plan = l.Plan(plan[:0], want); len(plan) != 200 {
@@ -460,7 +460,7 @@
 
 func BenchmarkCutOverOf10000(b *testing.B) {
 	l := big(10_000)
-	for i, s := range []Step{split(2, "x", 7, rng(700, 720, 10_000, "s1"), rng(720, 800, 10_001, "s2")), step(3, "x", Copy), step(4, "x", BothUp)} {
+	for i, s := range []Step{split(2, "x", 7, rng(700, 720, 10_000, "s1"), rng(720, 800, 10_001, "s2")), step(3, "x", Copy), step(4, "x", MarkReady)} {
 		next, err := l.Step(s, nil)
 		if err != nil {
 			b.Fatal(i, err)
--- a/internal/broker/layout/measure_test.go
+++ b/internal/broker/layout/measure_test.go
@@ -104,7 +104,7 @@
 				to = append(to, layout.Range{Span: layout.Span{From: int64(25 * i), To: int64(25 * (i + 1))}, Shard: 6 + i, Holders: hs})
 			}
 			step := layout.Step{Change: "hot", Do: layout.Announce, Kind: layout.Split, From: []int{0}, To: to}
-			for _, do := range []layout.Deed{layout.Announce, layout.Copy, layout.BothUp, layout.Cut, layout.Retire} {
+			for _, do := range []layout.Action{layout.Announce, layout.Copy, layout.MarkReady, layout.Cut, layout.Retire} {
 				if step.Do = do; do != layout.Announce {
 					step = layout.Step{Change: "hot", Do: do}
 				}
--- a/internal/broker/layout/place.go
+++ b/internal/broker/layout/place.go
@@ -6,26 +6,28 @@
 	"sync/atomic"
 )
 
-// The header fields by which a part and its server speak of places.
+// Header fields between the broker and shard servers.
 const (
-	PlaceField = "X-Layout-Part"  // of a part, and again of its answer
-	EpochField = "X-Layout-Epoch" // of a 421: the server's own
+	PlaceField = "X-Layout-Part"  // of a part's request and of its answer: a Place
+	EpochField = "X-Layout-Epoch" // of a 421 answer: the server's epoch
 )
 
-// Place is exactly what a part asks of a shard, and under which epoch; an answer names it again, with its server's epoch.
+// Place is the shard and span that a part requests, and the epoch that it was planned in. The answer repeats shard and span, with
+// the server's epoch.
 type Place struct {
 	Shard int
 	Span
 	Epoch int64
 }
 
+// String formats the place as it is on the wire.
 func (p Place) String() string {
 	return fmt.Sprintf("shard=%d;from=%d;to=%d;epoch=%d", p.Shard, p.From, p.To, p.Epoch)
 }
 
 var errPlace = errors.New("want shard=S;from=F;to=T;epoch=E")
 
-// ParsePlace reads what String writes, and nothing else.
+// ParsePlace parses the output of String exactly; any other text is an error.
 func ParsePlace(text string) (p Place, err error) {
 	if _, err := fmt.Sscanf(text, "shard=%d;from=%d;to=%d;epoch=%d", &p.Shard, &p.From, &p.To, &p.Epoch); err != nil || p.String() != text {
 		return Place{}, errPlace
@@ -33,11 +35,11 @@
 	return p, nil
 }
 
-// Current is the layout in force, for readers on any goroutine. The zero value has none.
+// Current publishes the layout in force to readers. It is safe for concurrent use. The zero value has no layout.
 type Current struct{ p atomic.Pointer[Layout] }
 
-// Load is the layout in force, or nil.
+// Load returns the layout in force, or nil before the first Store.
 func (c *Current) Load() *Layout { return c.p.Load() }
 
-// Store puts one in force.
+// Store replaces the layout in force.
 func (c *Current) Store(l *Layout) { c.p.Store(l) }
--- a/internal/broker/layout/proof_test.go
+++ b/internal/broker/layout/proof_test.go
@@ -13,8 +13,8 @@
 	"time"
 )
 
-// tally counts what queries came to.
-type tally struct{ queries, whole, refused, failed, wrong, broke atomic.Int64 }
+// tally counts the outcomes of queries.
+type tally struct{ queries, whole, refused, failed, wrong atomic.Int64 }
 
 const clients = 24
 
@@ -83,17 +83,17 @@
 				if !ok || c.Do(step) != nil { // another changer was first
 					continue
 				}
-				last := []layout.Deed{layout.Copy, layout.BothUp, layout.Cut, layout.Retire}
+				last := []layout.Action{layout.Copy, layout.MarkReady, layout.Cut, layout.Retire}
 				if rng.IntN(4) == 0 {
 					last = append(last[:1+rng.IntN(3)], layout.Abort)
 				}
-				for _, deed := range last {
+				for _, action := range last {
 					if !rest() {
 						return
 					}
-					if err := c.Do(layout.Step{Change: step.Change, Do: deed}); err != nil {
-						if deed != layout.Abort {
-							t.Errorf("%s %s: %v", step.Change, deed, err)
+					if err := c.Do(layout.Step{Change: step.Change, Do: action}); err != nil {
+						if action != layout.Abort {
+							t.Errorf("%s %s: %v", step.Change, action, err)
 						} else if err := c.Do(layout.Step{Change: step.Change, Do: layout.Retire}); err != nil {
 							t.Errorf("%s can't be aborted, and not be retired: %v", step.Change, err)
 						}
--- a/internal/broker/layout/scenes_test.go
+++ b/internal/broker/layout/scenes_test.go
@@ -37,12 +37,12 @@
 	return layout.Range{Span: layout.Span{From: from, To: to}, Shard: shard, Holders: []sq.ServerID{holder}}
 }
 
-// do takes steps, each written "CHANGE DEED".
+// do takes steps, each written "CHANGE ACTION".
 func (s *scene) do(steps ...string) {
 	s.t.Helper()
 	for _, text := range steps {
-		change, deed, _ := strings.Cut(text, " ")
-		if err := s.c.Do(layout.Step{Change: change, Do: layout.Deed(deed)}); err != nil {
+		change, action, _ := strings.Cut(text, " ")
+		if err := s.c.Do(layout.Step{Change: change, Do: layout.Action(action)}); err != nil {
 			s.t.Fatalf("%s: %v", text, err)
 		}
 	}
--- a/internal/broker/opensearch/front.go
+++ b/internal/broker/opensearch/front.go
@@ -263,7 +263,7 @@
 }
 
 // placed makes parts of a plan.
-func placed(plan []layout.Piece) []core.QueryPart {
+func placed(plan []layout.Part) []core.QueryPart {
 	parts := make([]core.QueryPart, len(plan))
 	for i, x := range plan {
 		parts[i] = core.QueryPart{Shard: x.Shard, Span: x.Span}
--- a/internal/broker/routecheck/doc.go
+++ b/internal/broker/routecheck/doc.go
@@ -1,6 +1,10 @@
-// Package routecheck judges where queries would go, without any: expectations that operators keep beside their configuration, and what
-// would become of one query. It does no input or output and reads no clock.
+// Package routecheck evaluates expectations of where queries go, without sending any. Operators keep the expectations beside their
+// configuration. It also explains how the parts of one query would be sent.
 //
-// It owns what an expectation means. It must never plan or pick by itself: ranges come from the layout's planner or the search
-// front's, holders and sends from the module that serves (saffronquay.Scheduler), with the settings that it serves by.
+// The package owns what an expectation means. It never plans or picks by itself: ranges come from the layout's planner or the search
+// front's, holders and sends from the decision module (saffronquay.Scheduler) with the settings that the broker serves with.
+//
+// It does no input or output and reads no clock: modules run in virtual time. The package keeps no state between
+// calls and starts no goroutine.
+// An expectation that does not hold is a Failure in its Result; an error means that nothing could be evaluated.
 package routecheck
--- a/internal/broker/routecheck/expect.go
+++ b/internal/broker/routecheck/expect.go
@@ -8,12 +8,12 @@
 	"io"
 )
 
-// Expectation is one thing that has to hold of where queries go. Exactly one of the kinds is set.
+// Expectation is one condition on where queries go. Exactly one of its kinds, LeastHolders to NoChange, is set. Parse checks that.
 type Expectation struct {
 	Name   string `json:"name"`
 	Reason string `json:"reason"`
 	Group  string `json:"group,omitempty"`
-	Gone   *Gone  `json:"gone,omitempty"`
+	Gone   *Gone  `json:"gone,omitempty"` // nil: all servers of the roster are as it lists them
 
 	LeastHolders *LeastHolders `json:"least_holders,omitempty"`
 	LeastZones   *LeastZones   `json:"least_zones,omitempty"`
@@ -28,70 +28,80 @@
 	NoChange     *NoChange     `json:"no_change,omitempty"`
 }
 
-// Gone says what is away while an expectation is judged: one zone, one server, or each server or zone in turn.
+// Gone is the loss under which an expectation is evaluated: one zone, one server, or each server or zone in turn. Exactly one field
+// is set.
 type Gone struct {
 	Zone   string `json:"zone,omitempty"`
 	Server string `json:"server,omitempty"`
-	Any    string `json:"any,omitempty"`
+	Any    string `json:"any,omitempty"` // anyServer or anyZone
 }
 
+// The values of Gone.Any.
+const (
+	anyServer = "server"
+	anyZone   = "zone"
+)
+
 // The kinds of expectations.
 type (
-	// LeastHolders: each range has so many holders that may be sent to.
+	// LeastHolders requires for each range a number of holders that may be sent to.
 	LeastHolders struct {
 		Holders int `json:"holders"`
 	}
-	// LeastZones: those holders stand in so many zones.
+	// LeastZones requires that those holders are in a number of different zones.
 	LeastZones struct {
 		Zones int `json:"zones"`
 	}
-	// KeyZones is LeastZones of one key's ranges.
+	// KeyZones is LeastZones for the ranges that contain one key.
 	KeyZones struct {
 		Key   int64 `json:"key"`
 		Zones int   `json:"zones"`
 	}
-	// KeyGoesTo: the module sends the key's part to one of some servers.
+	// KeyGoesTo requires that the decision module sends the key's part to one of the listed servers.
 	KeyGoesTo struct {
 		Key     int64    `json:"key"`
 		Servers []string `json:"servers"`
 	}
-	// Covers: every key of a span lies in a range.
+	// Covers requires that in every index each key of the span [From, To) lies in a range.
 	Covers struct {
 		From int64 `json:"from"`
 		To   int64 `json:"to"`
 	}
-	// MostParts: a query over a span has so many parts at most, in every index.
+	// MostParts limits the parts of a query over the span [From, To), in every index.
 	MostParts struct {
 		From  int64 `json:"from"`
 		To    int64 `json:"to"`
 		Parts int   `json:"parts"`
 	}
-	// MostLoad: no server has more than so many times the mean, where each range's work is as wide as its keys and its holders share it.
+	// MostLoad limits each server's load, as a multiple of the mean. A range's load is its number of keys, divided evenly among its
+	// holders.
 	MostLoad struct {
 		TimesMean float64 `json:"times_mean"`
 	}
-	// MostMoved: of the keys of another roster at most a share gets a holder that it has not there.
+	// MostMoved limits the fraction of the keys that have a holder here which they do not have in another roster.
 	MostMoved struct {
 		FromRoster string  `json:"from_roster"`
 		Share      float64 `json:"share"`
 	}
-	// GetsNothing: the module sends a server nothing.
+	// GetsNothing requires that no range may be sent to a server, and that the decision module sends nothing to it.
 	GetsNothing struct {
 		Server string `json:"server"`
 	}
-	// ContractFits: a tenant's queries, or without one those of all together, take at most a share of what the servers can do.
+	// ContractFits limits the work that a tenant's quota allows, or the quotas of all tenants together if none is named, to a fraction
+	// of the servers' capacity.
 	ContractFits struct {
 		Tenant         string  `json:"tenant,omitempty"`
 		Index          string  `json:"index"`
-		Parts          float64 `json:"parts"` // of a query
+		Parts          float64 `json:"parts"` // of one query
 		CoresPerServer float64 `json:"cores_per_server"`
 		Share          float64 `json:"share"`
 	}
-	// NoChange: no change of the layout is under way.
+	// NoChange requires that no change of the layout is under way.
 	NoChange struct{}
 )
 
-// Parse reads a file of expectations, and gives all its faults joined, each with its place.
+// Parse decodes a file of expectations and checks each of them. Unknown keys are errors. It returns all faults joined, each with its
+// place in the file.
 func Parse(text []byte) ([]Expectation, error) {
 	var file struct {
 		Schema string        `json:"$schema,omitempty"`
@@ -102,7 +112,7 @@
 	if err := dec.Decode(&file); err != nil {
 		return nil, fmt.Errorf("expectations: %w", err)
 	}
-	if _, err := dec.Token(); err != io.EOF {
+	if _, err := dec.Token(); !errors.Is(err, io.EOF) {
 		return nil, errors.New("expectations: something follows them")
 	}
 	if len(file.Expect) == 0 {
@@ -122,7 +132,7 @@
 	return file.Expect, errors.Join(faults...)
 }
 
-// faults are what makes no sense in an expectation.
+// faults returns the texts of an expectation's faults, each of which begins with the faulty key.
 func (e Expectation) faults() (out []string) {
 	want := func(ok bool, format string, args ...any) {
 		if !ok {
@@ -172,15 +182,25 @@
 	}
 	has(e.NoChange != nil)
 	want(kinds == 1, ": want exactly one kind, not %d", kinds)
-	if g := e.Gone; g != nil {
-		set := 0
-		for _, x := range []string{g.Zone, g.Server, g.Any} {
-			if x != "" {
-				set++
-			}
+	if e.Gone != nil {
+		out = append(out, e.Gone.faults()...)
+	}
+	return out
+}
+
+// faults returns the texts of the faults of a loss.
+func (g Gone) faults() (out []string) {
+	set := 0
+	for _, field := range []string{g.Zone, g.Server, g.Any} {
+		if field != "" {
+			set++
 		}
-		want(set == 1, ".gone: want exactly one of zone, server and any")
-		want(g.Any == "" || g.Any == "server" || g.Any == "zone", ".gone.any: want server or zone, not %q", g.Any)
+	}
+	if set != 1 {
+		out = append(out, ".gone: want exactly one of zone, server and any")
+	}
+	if g.Any != "" && g.Any != anyServer && g.Any != anyZone {
+		out = append(out, fmt.Sprintf(".gone.any: want server or zone, not %q", g.Any))
 	}
 	return out
 }
--- a/internal/broker/routecheck/explain.go
+++ b/internal/broker/routecheck/explain.go
@@ -7,9 +7,9 @@
 	sq "saffronquay"
 )
 
-// Step is one attempt of a part, as the module would make it.
+// Step is one attempt of a part, as the decision module would make it.
 type Step struct {
-	Options []sq.Option `json:"options"` // how its holders stand at that time, the best first
+	Options []sq.Option `json:"options"` // the state of the shard's holders at that time, the best first
 	Pick    sq.ServerID `json:"pick,omitempty"`
 	Why     string      `json:"why"`
 }
@@ -20,10 +20,12 @@
 	Range   string        `json:"range"`
 	Holders []sq.ServerID `json:"holders"`
 	Steps   []Step        `json:"steps"` // the first attempt, and what follows if each one before it fails
-	End     string        `json:"end"`   // what the query comes to once all of them have failed
+	End     string        `json:"end"`   // the query's result after all of them have failed
 }
 
-// Explain tells what would become of one query: a class, the keys that it wants, and how its failed attempts fail. Nothing is sent.
+// Explain returns, for each part of a query over the wanted keys of an index, the attempts that would be made if every attempt ended
+// with the given outcome. Each part is played by itself. Nothing is sent. It fails if the roster has no such index, if the index has
+// no range there, or if the settings are invalid.
 func Explain(r Roster, index string, want []layout.Span, failing sq.Outcome) ([]Part, error) {
 	ix, ok := r.Indices[index]
 	if !ok {
@@ -50,8 +52,8 @@
 	return out, nil
 }
 
-// explain plays one part by itself with a module of its own, from the first attempt until the query is over.
-func explain(r Roster, ix Index, p layout.Piece, failing sq.Outcome) (Part, error) {
+// explain plays one part with a decision module of its own, from the first attempt until the query is over.
+func explain(r Roster, ix Index, p layout.Part, failing sq.Outcome) (Part, error) {
 	s, err := newSubject(r)
 	if err != nil {
 		return Part{}, err
@@ -75,7 +77,7 @@
 			switch a := a.(type) {
 			case sq.Send:
 				options := s.module.Options(2)
-				// The attempt is out by now, and bars its server: the option that was picked is told as it was.
+				// The attempt is in flight by now; Options reports its server as it was at the send.
 				out.Steps = append(out.Steps, Step{Options: options, Pick: a.Server, Why: why(options, a.Server, n)})
 				events = append(events, sq.AttemptEnded{Part: 2, Attempt: n, Server: a.Server, Outcome: failing, Latency: 1})
 				n++
@@ -95,6 +97,7 @@
 	return out, nil
 }
 
+// why returns the reason for the nth attempt's server, for the operator.
 func why(options []sq.Option, pick sq.ServerID, n int) string {
 	first := "the smallest predicted time of those that may be sent to"
 	if n > 0 {
--- a/internal/broker/routecheck/load.go
+++ b/internal/broker/routecheck/load.go
@@ -9,22 +9,29 @@
 	sq "saffronquay"
 )
 
-// load is how the keys' work falls to servers: each range counts its width, and its holders share it.
+// roundingTolerance is the factor by which a sum of floating-point numbers may exceed a limit.
+const roundingTolerance = 1 + 1e-9
+
+// microsecondsPerSecond converts the work of a part, which is in microseconds.
+const microsecondsPerSecond = 1e6
+
+// load is the load of each server. A range's load is its number of keys, divided evenly among its holders.
 type load struct {
 	of    map[sq.ServerID]float64
-	most  []sq.ServerID // those that hold something, the busiest first
-	total float64       // of ranges that somebody holds
-	count []int         // by range, how many hold it
+	most  []sq.ServerID // servers that hold a range, the most loaded first
+	total float64       // of the ranges that have a holder
+	count []int         // number of holders, by place
 }
 
-// shift is what a loss makes of a load.
+// shift is the change of a load by a loss.
 type shift struct {
-	moved   map[sq.ServerID]float64 // what servers get beside what they had
-	away    map[sq.ServerID]bool
-	total   float64
-	holders int
+	moved   map[sq.ServerID]float64 // additional load of the servers that remain
+	away    map[sq.ServerID]bool    // the lost servers
+	total   float64                 // of the ranges that still have a holder
+	holders int                     // number of servers that hold a range
 }
 
+// newLoad computes the load without a loss.
 func newLoad(s *subject) load {
 	l := load{of: map[sq.ServerID]float64{}}
 	for _, p := range s.ranges {
@@ -41,73 +48,75 @@
 	return l
 }
 
+// width returns the number of keys of a span.
 func width(s layout.Span) float64 { return float64(s.To) - float64(s.From) }
 
-// shifted is what the present loss moves, worked out once for all expectations: O(touched ranges).
-func (j *judging) shifted(touched []int, gone []sq.Server) *shift {
-	if j.shift != nil {
-		return j.shift
+// shifted returns the shift by the present loss. It is computed for the first expectation that needs it, in O(touched ranges).
+func (ev *evaluation) shifted(touched []int, gone []sq.Server) *shift {
+	if ev.shift != nil {
+		return ev.shift
 	}
-	x := &shift{moved: map[sq.ServerID]float64{}, away: map[sq.ServerID]bool{}, total: j.whole.total, holders: len(j.whole.most)}
+	x := &shift{moved: map[sq.ServerID]float64{}, away: map[sq.ServerID]bool{}, total: ev.baseline.total, holders: len(ev.baseline.most)}
 	for _, v := range gone {
 		x.away[v.ID] = true
-		if _, held := j.whole.of[v.ID]; held {
+		if _, held := ev.baseline.of[v.ID]; held {
 			x.holders--
 		}
 	}
 	for _, at := range touched {
-		w, now := width(j.s.ranges[at].Span), j.holders(at)
+		w, now := width(ev.s.ranges[at].Span), ev.holders(at)
 		for _, id := range now {
-			x.moved[id] += w/float64(len(now)) - w/float64(j.whole.count[at])
+			x.moved[id] += w/float64(len(now)) - w/float64(ev.baseline.count[at])
 		}
-		if len(now) == 0 && j.whole.count[at] > 0 {
+		if len(now) == 0 && ev.baseline.count[at] > 0 {
 			x.total -= w
 		}
 	}
-	j.shift = x
+	ev.shift = x
 	return x
 }
 
-// mostLoad goes by the whole load and by what a loss moves: O(servers that are moved something or have too much).
-func (j *judging) mostLoad(i int, e *MostLoad, touched []int, gone []sq.Server) {
-	x := j.shifted(touched, gone)
+// mostLoad checks each server's load. It visits only the servers that a loss gives more load, and the most loaded of the others up
+// to the first that is within the limit.
+func (ev *evaluation) mostLoad(i int, e *MostLoad, touched []int, gone []sq.Server) {
+	x := ev.shifted(touched, gone)
 	if x.holders <= 0 {
-		j.fail(i, -1, "nobody holds anything")
+		ev.fail(i, -1, "nobody holds anything")
 		return
 	}
 	mean := x.total / float64(x.holders)
-	judge := func(id sq.ServerID, has float64) bool {
-		over := has > mean*e.TimesMean*(1+1e-9)
+	check := func(id sq.ServerID, has float64) bool {
+		over := has > mean*e.TimesMean*roundingTolerance
 		if over {
-			j.fail(i, -1, "%s has %.2f times the mean, of %.2f at most", id, has/mean, e.TimesMean)
+			ev.fail(i, -1, "%s has %.2f times the mean, of %.2f at most", id, has/mean, e.TimesMean)
 		}
 		return over
 	}
-	for _, id := range j.whole.most {
-		if _, is := x.moved[id]; !is && !x.away[id] && !judge(id, j.whole.of[id]) {
+	for _, id := range ev.baseline.most {
+		if _, is := x.moved[id]; !is && !x.away[id] && !check(id, ev.baseline.of[id]) {
 			break
 		}
 	}
 	for _, id := range slices.Sorted(maps.Keys(x.moved)) {
-		judge(id, j.whole.of[id]+x.moved[id])
+		check(id, ev.baseline.of[id]+x.moved[id])
 	}
 }
 
-// mostMoved compares who holds each key with another roster: O(ranges of both).
-func (j *judging) mostMoved(i int, e *MostMoved) {
-	other, ok := j.others[e.FromRoster]
+// mostMoved compares the holders of each key with those in another roster, in O(ranges of both).
+func (ev *evaluation) mostMoved(i int, e *MostMoved) {
+	other, ok := ev.others[e.FromRoster]
 	if !ok {
-		j.fail(i, -1, "there is no roster %q to compare with", e.FromRoster)
+		ev.fail(i, -1, "there is no roster %q to compare with", e.FromRoster)
 		return
 	}
 	from, err := newSubject(other)
 	if err != nil {
-		j.fail(i, -1, "roster %q: %v", e.FromRoster, err)
+		ev.fail(i, -1, "roster %q: %v", e.FromRoster, err)
 		return
 	}
 	all, moved, at := 0.0, 0.0, 0
 	worst, worstAt := 0.0, -1
-	for k, p := range j.s.ranges {
+	for k, p := range ev.s.ranges {
 		all += width(p.Span)
 		for at > 0 && at < len(from.ranges) && from.ranges[at].From > p.From {
 			at--
@@ -115,47 +124,54 @@
 		for at < len(from.ranges) && from.ranges[at].To <= p.From {
 			at++
 		}
-		now, same := j.holders(k), 0.0
-		for n := at; n < len(from.ranges) && from.ranges[n].From < p.To; n++ {
-			had := from.module.Holders(from.ranges[n].Shard)
-			if !slices.ContainsFunc(now, func(id sq.ServerID) bool { return !slices.Contains(had, id) }) {
-				same += width(from.ranges[n].Meet(p.Span))
-			}
-		}
+		same := from.widthWithHolders(p.Span, at, ev.holders(k))
 		if w := width(p.Span) - min(same, width(p.Span)); w > 0 {
 			if moved += w; w > worst {
 				worst, worstAt = w, k
 			}
 		}
 	}
-	if all > 0 && moved/all > e.Share*(1+1e-9) {
-		j.fail(i, worstAt, "%.1f%% of the keys get a holder that they have not in %q, of %.1f%% at most; most of them in this range",
+	if all > 0 && moved/all > e.Share*roundingTolerance {
+		ev.fail(i, worstAt, "%.1f%% of the keys get a holder that they have not in %q, of %.1f%% at most; most of them in this range",
 			100*moved/all, e.FromRoster, 100*e.Share)
 	}
 }
 
-// contractFits compares what tenants may ask for with what the servers that are up can do.
-func (j *judging) contractFits(i int, e *ContractFits) {
-	ix, ok := j.s.Indices[e.Index]
+// widthWithHolders returns the number of keys of a span that lie in ranges which all of some servers hold. at is the place of the
+// first range that may intersect the span.
+func (s *subject) widthWithHolders(span layout.Span, at int, servers []sq.ServerID) float64 {
+	sum := 0.0
+	for n := at; n < len(s.ranges) && s.ranges[n].From < span.To; n++ {
+		holders := s.module.Holders(s.ranges[n].Shard)
+		if !slices.ContainsFunc(servers, func(id sq.ServerID) bool { return !slices.Contains(holders, id) }) {
+			sum += width(s.ranges[n].Meet(span))
+		}
+	}
+	return sum
+}
+
+// contractFits compares the parts per second that quotas allow with what the ready servers can do.
+func (ev *evaluation) contractFits(i int, e *ContractFits) {
+	ix, ok := ev.s.Indices[e.Index]
 	if !ok {
-		j.fail(i, -1, "there is no index %q", e.Index)
+		ev.fail(i, -1, "there is no index %q", e.Index)
 		return
 	}
-	up := j.s.up
-	can := float64(up) * e.CoresPerServer * 1e6 / float64(cmp.Or(ix.PartWork, 1))
-	asks, known := 0.0, e.Tenant == ""
-	for _, t := range j.s.Settings.Tenants {
+	up := ev.s.up
+	capacity := float64(up) * e.CoresPerServer * microsecondsPerSecond / float64(cmp.Or(ix.PartWork, 1))
+	demand, known := 0.0, e.Tenant == ""
+	for _, t := range ev.s.Settings.Tenants {
 		if e.Tenant == "" || t.Name == e.Tenant {
-			asks += t.Quota * e.Parts
+			demand += t.Quota * e.Parts
 			known = true
 		}
 	}
 	switch {
 	case !known:
-		j.fail(i, -1, "there is no tenant %q", e.Tenant)
+		ev.fail(i, -1, "there is no tenant %q", e.Tenant)
 	case ix.PartWork <= 0:
-		j.fail(i, -1, "index %q does not say what a part costs (part_work_us)", e.Index)
-	case asks > can*e.Share*(1+1e-9):
-		j.fail(i, -1, "%.0f parts a second, of %.0f that %d servers can do and %.0f that are meant for it", asks, can, up, can*e.Share)
+		ev.fail(i, -1, "index %q does not say what a part costs (part_work_us)", e.Index)
+	case demand > capacity*e.Share*roundingTolerance:
+		ev.fail(i, -1, "%.0f parts a second, of %.0f that %d servers can do and %.0f that are meant for it", demand, capacity, up, capacity*e.Share)
 	}
 }
--- a/internal/broker/routecheck/proof_test.go
+++ b/internal/broker/routecheck/proof_test.go
@@ -38,7 +38,7 @@
 
 // with puts a layout in a roster.
 func (r Roster) with(doc layout.Doc) Roster {
-	l, err := layout.Make(doc, nil)
+	l, err := layout.New(doc, nil)
 	if err != nil {
 		panic(err)
 	}
@@ -61,9 +61,9 @@
 }
 
 // under puts a change under way, up to a state.
-func (r Roster) under(kind layout.Kind, from []int, to []layout.Range, deeds ...layout.Deed) Roster {
+func (r Roster) under(kind layout.Kind, from []int, to []layout.Range, actions ...layout.Action) Roster {
 	l := r.Layout
-	for i, do := range append([]layout.Deed{layout.Announce}, deeds...) {
+	for i, do := range append([]layout.Action{layout.Announce}, actions...) {
 		s := layout.Step{History: l.History(), Epoch: l.Epoch() + 1, Change: "m", Do: do}
 		if i == 0 {
 			s.Kind, s.From, s.To = kind, from, to
@@ -205,7 +205,7 @@
 		})
 	}, "", "zones, any zone, villa-maria, parts"},
 	{"cut over and not retired", func(r Roster) Roster {
-		return r.under(layout.Move, []int{7}, []layout.Range{{Shard: 7, Span: span(7), Holders: []sq.ServerID{"s01", "s02", "s03"}}}, layout.Copy, layout.BothUp, layout.Cut)
+		return r.under(layout.Move, []int{7}, []layout.Range{{Shard: 7, Span: span(7), Holders: []sq.ServerID{"s01", "s02", "s03"}}}, layout.Copy, layout.MarkReady, layout.Cut)
 	}, `{"name":"quiet","reason":"r","no_change":{}}`, "quiet"},
 	{"a server that should get nothing", func(r Roster) Roster { return r }, `{"name":"idle","reason":"r","gets_nothing":{"server":"s11"}}`, "idle"},
 	{"a server that is not there", func(r Roster) Roster { return r }, `{"name":"idle","reason":"r","gets_nothing":{"server":"s12"}}`, "idle"},
@@ -248,7 +248,7 @@
 func failing(t *testing.T, r Roster, es []Expectation) (names []string, took time.Duration) {
 	t.Helper()
 	began := time.Now()
-	results, err := Judge(r, map[string]Roster{"now": good()}, es)
+	results, err := Evaluate(r, map[string]Roster{"now": good()}, es)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -319,11 +319,11 @@
 			plain := parsed(t, fmt.Sprintf(`{"expect":[{"name":"n","reason":"r",%s}]}`, kind))
 			smaller := r
 			smaller.Servers = slices.Delete(slices.Clone(r.Servers), at, at+1)
-			a, err := Judge(r, nil, under)
+			a, err := Evaluate(r, nil, under)
 			if err != nil {
 				t.Fatal(err)
 			}
-			b, err := Judge(smaller, nil, plain)
+			b, err := Evaluate(smaller, nil, plain)
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/broker/routecheck/subject.go
+++ b/internal/broker/routecheck/subject.go
@@ -11,22 +11,22 @@
 // Index is one index of a roster.
 type Index struct {
 	Class    string
-	PartWork int64          // microseconds
-	Ranges   []layout.Piece // in order of the key; of a placed index the layout's
+	PartWork int64         // predicted work of one part, in microseconds
+	Ranges   []layout.Part // in key order; those of the layout if the index is placed by it
 }
 
-// Roster is what is judged: servers, where the ranges are, and the settings that the module serves by.
+// Roster is what is evaluated: servers, ranges, and the settings of the decision module.
 type Roster struct {
 	Name     string
 	Settings sq.Settings
 	Seed     uint64
 	Servers  []sq.Server
-	Layout   *layout.Layout // nil: the settings' formula says who holds a shard
+	Layout   *layout.Layout // nil: the settings' formula gives the holders of a shard
 	Indices  map[string]Index
-	Learned  *sq.Learned // what the module begins with; nil: nothing
+	Learned  *sq.Learned // what the module has learned about servers before; nil: nothing
 }
 
-// Variants are the roster and, where changes of its layout are under way, the one that it becomes once they are all cut over.
+// Variants returns the roster and, if changes of its layout are under way, the roster after the cut over of all of them.
 func (r Roster) Variants() ([]Roster, error) {
 	out := []Roster{r}
 	if r.Layout == nil || len(r.Layout.Changes()) == 0 {
@@ -34,9 +34,9 @@
 	}
 	l := r.Layout
 	for _, c := range r.Layout.Changes() {
-		for _, do := range []layout.Deed{layout.Copy, layout.BothUp, layout.Cut} {
+		for _, do := range []layout.Action{layout.Copy, layout.MarkReady, layout.Cut} {
 			if next, err := l.Step(layout.Step{History: l.History(), Epoch: l.Epoch() + 1, Change: c.ID, Do: do}, nil); err == nil {
-				l = next // else it is past that already
+				l = next // else the change is past that state
 			}
 		}
 	}
@@ -50,31 +50,35 @@
 	return append(out, done), nil
 }
 
-// Placed are a layout's ranges, as a placed index has them.
-func Placed(l *layout.Layout) []layout.Piece { return l.Cover(nil, l.Domain()) }
+// Placed returns a layout's ranges as the ranges of an index that it places.
+func Placed(l *layout.Layout) []layout.Part { return l.Cover(nil, l.Domain()) }
 
-// subject is a roster with the module that would serve it. Servers can be taken away and put back.
+// startTime is the virtual time at which a module starts, in microseconds. Its value has no meaning.
+const startTime = 1_000_000_000_000
+
+// subject is a roster with the decision module that would serve it. It runs in virtual time.
 type subject struct {
 	Roster
-	module *sq.Scheduler
-	now    int64
-	lastID sq.ID
-	zones  map[sq.ServerID]string
-	up     int                   // servers in the list, not draining, not taken away
-	ranges []layout.Piece        // of all indices, each shard and span once, in order of the key
-	keys   map[int64][]int       // where the keys lie that were asked for
-	held   map[sq.ServerID][]int // by server, the places in ranges of what it may hold
+	module     *sq.Scheduler
+	now        int64
+	lastID     sq.ID
+	zones      map[sq.ServerID]string
+	up         int                   // number of servers that are ready and not lost
+	ranges     []layout.Part         // of all indices, without duplicates, in key order
+	keys       map[int64][]int       // cache of at, by key
+	heldPlaces map[sq.ServerID][]int // by server, the indexes in ranges of what it may hold
 }
 
+// newSubject starts a decision module and gives it the roster's servers, layout and learned state.
 func newSubject(r Roster) (*subject, error) {
 	m, err := sq.New(r.Settings, r.Seed)
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	s := &subject{Roster: r, module: m, now: 1_000_000_000_000, zones: map[sq.ServerID]string{}, keys: map[int64][]int{}, held: map[sq.ServerID][]int{}}
+	s := &subject{Roster: r, module: m, now: startTime, zones: map[sq.ServerID]string{}, keys: map[int64][]int{}, heldPlaces: map[sq.ServerID][]int{}}
 	for _, v := range r.Servers {
 		s.zones[v.ID] = v.Zone
-		s.up += ready(v)
+		s.up += readyCount(v)
 	}
 	events := []sq.Event{sq.FleetChanged{Kind: sq.FleetFull, Servers: r.Servers}}
 	if r.Layout != nil {
@@ -84,7 +88,7 @@
 		events = append(events, sq.Recalled{Learned: *r.Learned})
 	}
 	s.step(events...)
-	seen := map[layout.Piece]bool{}
+	seen := map[layout.Part]bool{}
 	for _, ix := range r.Indices {
 		for _, p := range ix.Ranges {
 			if !seen[p] {
@@ -93,7 +97,7 @@
 			}
 		}
 	}
-	slices.SortFunc(s.ranges, func(a, b layout.Piece) int {
+	slices.SortFunc(s.ranges, func(a, b layout.Part) int {
 		switch {
 		case a.From != b.From:
 			return int(min(max(a.From-b.From, -1), 1))
@@ -104,42 +108,44 @@
 	})
 	for i, p := range s.ranges {
 		for _, id := range m.Holders(p.Shard) {
-			s.held[id] = append(s.held[id], i)
+			s.heldPlaces[id] = append(s.heldPlaces[id], i)
 		}
 	}
 	return s, nil
 }
 
+// step advances the virtual time by one period and passes events to the module.
 func (s *subject) step(events ...sq.Event) []sq.Action {
 	s.now += max(s.Settings.Period, 1)
 	return s.module.Step(s.now, events)
 }
 
-// without judges with some servers away, and puts them back.
-func (s *subject) without(gone []sq.Server, judge func()) {
+// without runs evaluate while some servers are gone, and restores them.
+func (s *subject) without(gone []sq.Server, evaluate func()) {
 	away := make([]sq.Server, len(gone))
 	back := make([]sq.Server, len(gone))
 	for i, v := range gone {
 		away[i], back[i] = v, v
 		away[i].Health = sq.Gone
-		s.up -= ready(v)
+		s.up -= readyCount(v)
 	}
 	s.step(sq.FleetChanged{Kind: sq.FleetDelta, Servers: away})
-	judge()
+	evaluate()
 	for _, v := range back {
-		s.up += ready(v)
+		s.up += readyCount(v)
 	}
 	s.step(sq.FleetChanged{Kind: sq.FleetDelta, Servers: back})
 }
 
-func ready(v sq.Server) int {
+// readyCount returns 1 for a server that is ready, else 0.
+func readyCount(v sq.Server) int {
 	if v.Health == sq.Ready {
 		return 1
 	}
 	return 0
 }
 
-// at are the places in ranges where a key lies. The first question for a key costs O(ranges).
+// at returns the indexes in ranges of those that contain a key. The first call for a key costs O(ranges).
 func (s *subject) at(key int64) (places []int) {
 	if places, ok := s.keys[key]; ok {
 		return places
@@ -156,8 +162,8 @@
 	return places
 }
 
-// send has the module send one part, and takes it back; "" where it sends none.
-func (s *subject) send(p layout.Piece) sq.ServerID {
+// send returns the server to which the module sends one part, or "" if it sends none. It withdraws the query afterwards.
+func (s *subject) send(p layout.Part) sq.ServerID {
 	s.lastID += 2
 	q, part := s.lastID-1, s.lastID
 	class := s.Settings.Classes[0]
@@ -170,7 +176,7 @@
 		}
 	}
 	events := []sq.Event{sq.ClientLeft{Query: q}}
-	if to != "" { // it never left: that says nothing of its server
+	if to != "" { // nothing was sent, so the module learns nothing about the server
 		events = append(events, sq.AttemptEnded{Part: part, Server: to, Outcome: sq.NotSent})
 	}
 	s.step(events...)
--- a/internal/broker/server/durable_records.go
+++ b/internal/broker/server/durable_records.go
@@ -98,7 +98,7 @@
 	for _, id := range servers {
 		listed[id] = true
 	}
-	if _, err := layout.Make(*d.lastLayout, func(id sq.ServerID) bool { return listed[id] }); err != nil {
+	if _, err := layout.New(*d.lastLayout, func(id sq.ServerID) bool { return listed[id] }); err != nil {
 		logging.Warn(d.log, logging.StoreLayout, "kept", "file", "error", err)
 		return file
 	}
--- a/internal/broker/transport/routes.go
+++ b/internal/broker/transport/routes.go
@@ -44,7 +44,7 @@
 	current *layout.Current // what fronts plan by
 
 	layoutMu  sync.Mutex // guards what follows
-	keeper    layout.Keeper
+	keeper    layout.Tracker
 	isSynced  bool
 	lastFault string // of the directory, as it was logged last
 	faultAt   time.Time
@@ -58,7 +58,7 @@
 	r := &Routes{cfg: cfg, clock: clock, current: current, notify: notify, metrics: metrics, refreshRequests: make(chan struct{}, 1), synced: make(chan struct{})}
 	r.follower = newFollower(cfg.Directory, maxLayoutBytes, r, logger)
 	r.needsFull = true
-	if err := r.keeper.Servers(servers); err != nil {
+	if err := r.keeper.SetServers(servers); err != nil {
 		return nil, err
 	}
 	return r, r.ApplyFile(first, servers, true)
@@ -153,13 +153,13 @@
 	r.layoutMu.Lock()
 	defer r.layoutMu.Unlock()
 	trial := r.keeper
-	if err := trial.Servers(servers); err != nil {
+	if err := trial.SetServers(servers); err != nil {
 		return fmt.Errorf("layout: %w", err)
 	}
 	var u *layout.Update
 	if now := trial.Current(); now == nil || r.cfg.Directory == "" || d.History != now.History() || d.Epoch >= now.Epoch() {
 		var err error
-		if u, err = trial.Whole(d, r.clock.Now()); err != nil {
+		if u, err = trial.Replace(d, r.clock.Now()); err != nil {
 			return fmt.Errorf("layout: %w", err)
 		}
 	}
@@ -198,7 +198,7 @@
 	}
 	r.layoutMu.Lock()
 	defer r.layoutMu.Unlock()
-	u, err := r.keeper.Whole(d, r.clock.Now())
+	u, err := r.keeper.Replace(d, r.clock.Now())
 	if err != nil {
 		return err
 	}
--- a/internal/testing/fakebackend/directory.go
+++ b/internal/testing/fakebackend/directory.go
@@ -29,7 +29,7 @@
 }
 
 func newDirectory(first layout.Doc, known func(sq.ServerID) bool) (*Directory, error) {
-	l, err := layout.Make(first, known)
+	l, err := layout.New(first, known)
 	if err != nil {
 		return nil, fmt.Errorf("stand-in directory: %w", err)
 	}
