--- a/internal/broker/opensearch/query.go
+++ b/internal/broker/opensearch/query.go
@@ -145,7 +145,7 @@
 }
 
 // placedParts returns a part for each entry of a layout's plan.
-func placedParts(plan []layout.Piece) []core.QueryPart {
+func placedParts(plan []layout.Part) []core.QueryPart {
 	parts := make([]core.QueryPart, len(plan))
 	for i, x := range plan {
 		parts[i] = core.QueryPart{Shard: x.Shard, Span: x.Span}
