--- a/explain.go
+++ b/explain.go
@@ -7,14 +7,14 @@
 	"slices"
 )
 
-// Option is one server that has a shard, as a part would find it now. Times are microseconds. It is written as JSON by
-// the commands that explain routes; keys that differ from the field's name are kept for their readers.
+// Option is one server that has a shard, as a part would find it now. Times are microseconds. The commands that
+// explain routes write it as JSON; keys that differ from the field's name are kept for their readers.
 type Option struct {
 	Server     ServerID
 	Zone       string
 	Health     Health
 	Listed     bool
-	Excluded   bool    `json:"Barred"` // the part is in flight there, was rejected there, or the server lost the shard
+	Excluded   bool    `json:"Barred"` // in flight or rejected there, or the server lost the shard
 	WarmingUp  bool    `json:"Cold"`   // it has no capacity for the part while it warms up
 	Predicted  float64 // latency of the part there
 	ZoneCharge float64 `json:"Crossing"` // delay that its zone is charged as, in the comparison
@@ -69,8 +69,11 @@
 		out = append(out, o)
 	}
 	slices.SortStableFunc(out, func(a, b Option) int {
-		return cmp.Or(cmp.Compare(boolToInt(a.Excluded || a.WarmingUp), boolToInt(b.Excluded || b.WarmingUp)), cmp.Compare(a.Predicted+a.ZoneCharge, b.Predicted+b.ZoneCharge),
-			cmp.Compare(a.Server, b.Server))
+		return cmp.Or(
+			cmp.Compare(boolToInt(a.Excluded || a.WarmingUp), boolToInt(b.Excluded || b.WarmingUp)),
+			cmp.Compare(a.Predicted+a.ZoneCharge, b.Predicted+b.ZoneCharge),
+			cmp.Compare(a.Server, b.Server),
+		)
 	})
 	return out
 }
--- a/internal/broker/admission/gate.go
+++ b/internal/broker/admission/gate.go
@@ -104,7 +104,7 @@
 		team.usage.RejectedQueueFull++
 		return RejectedQueueFull, max(int64(q.work/rate), minRetryAfter)
 	}
-	team.usage.Queued++
+	team.usage.QueuedTotal++
 	g.queries[q.id] = q
 	team.insert(q)
 	g.countQueued(team, 1)
--- a/internal/broker/admission/gate_test.go
+++ b/internal/broker/admission/gate_test.go
@@ -519,3 +519,18 @@
 		t.Errorf("then %v goes", ids)
 	}
 }
+
+// A query that was queued counts in the total after it has left the queue.
+func TestQueuedTotal(t *testing.T) {
+	g := New(Config{Cores: 1, Gatherers: 1, Oversubscription: 1, Teams: []Team{{Name: "a", Weight: 1}}})
+	for id := range int64(2) {
+		g.Arrive(0, Request{ID: id, Team: "a", Parts: 1, Work: 1000, Deadline: second})
+	}
+	if status := g.TeamStatuses()[0]; status.Queued != 1 || status.QueuedTotal != 1 {
+		t.Errorf("one is queued: %+v", status)
+	}
+	g.ExpireQueued(10 * second)
+	if status := g.TeamStatuses()[0]; status.Queued != 0 || status.QueuedTotal != 1 || status.Expired != 1 {
+		t.Errorf("it has expired: %+v", status)
+	}
+}
--- a/internal/broker/admission/usage.go
+++ b/internal/broker/admission/usage.go
@@ -7,7 +7,8 @@
 
 // Usage is what a team has requested and received since the start. Work is in microseconds.
 type Usage struct {
-	Requested, Started, Queued int64
+	Requested, Started int64
+	QueuedTotal        int64 // queries that were ever queued; TeamStatus.Queued is the queue now
 
 	// Rejected queries, by reason: more is queued than the team's fraction does in time; queue full; class not in the contract; waited for too long.
 	RejectedBacklog, RejectedQueueFull, RejectedClass, Expired int64
--- a/internal/broker/server/admin_program.go
+++ b/internal/broker/server/admin_program.go
@@ -4,6 +4,7 @@
 	"errors"
 	"fmt"
 	"saffronquay/internal/broker/adminapi"
+	"saffronquay/internal/broker/admission"
 	"saffronquay/internal/broker/logging"
 	"saffronquay/internal/broker/transport"
 	"saffronquay/internal/cluster/peering"
@@ -27,13 +28,18 @@
 
 // Contracts appends each team's state, a line each; nil where there are no contracts.
 func (d adminProgram) Contracts(dst []byte) []byte {
-	for _, a := range d.engine.Accounts(maxListedTeams) {
-		dst = fmt.Appendf(dst, "team %s share=%.4f queued=%d out=%d asked=%d started=%d waited=%d ahead=%d full=%d class=%d expired=%d predicted_us=%.0f took_us=%.0f lent_us=%.0f attempts=%d budget=%.2f limit=%d ratio=%.3f\n",
-			a.Team, a.Fraction, a.Queued, a.Out, a.Requested, a.Started, a.Queued, a.RejectedBacklog, a.RejectedQueueFull, a.RejectedClass, a.Expired, a.Predicted, a.Consumed, a.Borrowed, a.Attempts, a.Budget, a.Limit, a.Ratio)
+	for _, team := range d.engine.Accounts(maxListedTeams) {
+		dst = appendTeam(dst, team)
 	}
 	return dst
 }
 
+// appendTeam appends the line of one team. Operators' tools read its names: queued is the queue now, waited how many queries were ever queued.
+func appendTeam(dst []byte, a admission.TeamStatus) []byte {
+	return fmt.Appendf(dst, "team %s share=%.4f queued=%d out=%d asked=%d started=%d waited=%d ahead=%d full=%d class=%d expired=%d predicted_us=%.0f took_us=%.0f lent_us=%.0f attempts=%d budget=%.2f limit=%d ratio=%.3f\n",
+		a.Team, a.Fraction, a.Queued, a.Out, a.Requested, a.Started, a.QueuedTotal, a.RejectedBacklog, a.RejectedQueueFull, a.RejectedClass, a.Expired, a.Predicted, a.Consumed, a.Borrowed, a.Attempts, a.Budget, a.Limit, a.Ratio)
+}
+
 // SetLogLevel changes the lowest level that is logged.
 func (d adminProgram) SetLogLevel(level string) error {
 	if d.output == nil {
--- a/readable_test.go
+++ b/readable_test.go
@@ -10,8 +10,9 @@
 	"testing"
 )
 
-// The decisions stay small enough to be read in one go: all files that deploy/balancer.toml names as the policy together, as
-// when they were one file. A new file of the module is either named there or listed here as one that decides nothing.
+// The decisions stay small enough to be read in one go: all files that deploy/balancer.toml names as the policy together. A new
+// file of the module is either named there or listed here. Functions that keep the module's state were in the same file as the
+// decisions once and are in replicas.go, queries.go and explain.go now; their lines keep the same width.
 func TestTheModuleStaysReadable(t *testing.T) {
 	decides := policyFiles(t)
 	plain := []string{
@@ -25,18 +26,12 @@
 	if want := slices.Sorted(slices.Values(slices.Concat(decides, plain))); !slices.Equal(files, want) {
 		t.Errorf("the module's files are %v, want %v", files, want)
 	}
+	for _, name := range []string{"replicas.go", "queries.go", "explain.go"} {
+		checkWidth(t, name)
+	}
 	total := 0
 	for _, name := range decides {
-		text, err := os.ReadFile(name)
-		if err != nil {
-			t.Fatal(err)
-		}
-		lines := strings.Split(string(text), "\n")
-		for i, l := range lines {
-			if n := len([]rune(strings.ReplaceAll(l, "\t", "    "))); n > 110 {
-				t.Errorf("%s: line %d has %d characters", name, i+1, n)
-			}
-		}
+		lines := checkWidth(t, name)
 		lines = slices.DeleteFunc(lines, func(l string) bool { return strings.TrimSpace(l) == "" })
 		total += len(lines)
 		if !strings.Contains(strings.Join(lines[:10], "\n"), "api.go") {
@@ -48,6 +43,22 @@
 	}
 }
 
+// checkWidth checks that no line of a file has over 110 characters, and returns the lines.
+func checkWidth(t *testing.T, name string) []string {
+	t.Helper()
+	text, err := os.ReadFile(name)
+	if err != nil {
+		t.Fatal(err)
+	}
+	lines := strings.Split(string(text), "\n")
+	for i, l := range lines {
+		if n := len([]rune(strings.ReplaceAll(l, "\t", "    "))); n > 110 {
+			t.Errorf("%s: line %d has %d characters", name, i+1, n)
+		}
+	}
+	return lines
+}
+
 // policyFiles are the files that deploy/balancer.toml names as the policy.
 func policyFiles(t *testing.T) []string {
 	t.Helper()
--- a/replicas.go
+++ b/replicas.go
@@ -31,7 +31,7 @@
 	attempts         []*attempt // in flight, oldest first
 
 	warmUpSends       []warmUpSend // work sent within the window of the overload rule
-	warmUpCredit      float64      // work saved up to send while it warms up; at most 0, below 0 it is in debt
+	warmUpCredit      float64      // work it may be sent while it warms up; at most 0, in debt below
 	warmUpCreditAt    int64        // when that was last brought up to date
 	warmUpCreditStart int64        // start time of the process that it is for
 }
