--- a/explain.go
+++ b/explain.go
@@ -7,8 +7,8 @@
 	"slices"
 )
 
-// Option is one server that has a shard, as a part would find it now. Times are microseconds. The commands that
-// explain routes write it as JSON; keys that differ from the field's name are kept for their readers.
+// Option is one server that has a shard, as a part would find it now. Times are microseconds. Commands write
+// it as JSON; keys that differ from the field's name are kept for their readers.
 type Option struct {
 	Server     ServerID
 	Zone       string
