--- /dev/null
+++ b/internal/broker/opensearch/clauses.go
@@ -0,0 +1,186 @@
+package opensearch
+
+import (
+	"math"
+	"slices"
+	"strconv"
+	"strings"
+
+	"github.com/valyala/fastjson"
+)
+
+// querySpans returns the values of the range field that a query can match. Clauses on other fields do not restrict them: the servers
+// evaluate those.
+func (ix Index) querySpans(v *fastjson.Value) (spans, error) {
+	o, err := v.Object()
+	if err != nil || o.Len() != 1 {
+		return nil, parsing("a query wants an object with one clause")
+	}
+	var out spans
+	err = visit(o, func(name string, v *fastjson.Value) error {
+		var err error
+		switch name {
+		case "match_all":
+			out = everything
+		case "range":
+			out, err = ix.rangeSpans(v)
+		case "term", "terms":
+			out, err = ix.termSpans(name, v)
+		case "match", "match_phrase", "exists", "prefix":
+			out, err = everything, nil
+			if v.Get(ix.Field) != nil {
+				err = parsing("unsupported clause [%s] on the range field [%s]", name, ix.Field)
+			}
+		case "bool":
+			out, err = ix.boolSpans(v)
+		default:
+			err = parsing("unsupported clause [%s]", name)
+		}
+		return err
+	})
+	return out, err
+}
+
+// boolSpans returns the values that a clause [bool] can match.
+func (ix Index) boolSpans(v *fastjson.Value) (spans, error) {
+	o, err := v.Object()
+	if err != nil {
+		return nil, parsing("[bool] wants an object")
+	}
+	out, any, required, least := everything, spans(nil), false, -1
+	shoulds := false
+	err = visit(o, func(name string, v *fastjson.Value) error {
+		switch name {
+		case "minimum_should_match":
+			if text := strings.Trim(v.String(), `"`); text != "1" {
+				return parsing("unsupported value [%s] for [minimum_should_match]: want 1", text)
+			}
+			least = 1
+			return nil
+		case "filter", "must", "should":
+		default:
+			return parsing("unsupported clause [%s] in [bool]", name)
+		}
+		clauses, err := boolClauses(name, v)
+		if err != nil {
+			return err
+		}
+		for _, clause := range clauses {
+			set, err := ix.querySpans(clause)
+			if err != nil {
+				return err
+			}
+			if name == "should" {
+				shoulds, any = true, union(any, set)
+			} else {
+				required, out = true, intersect(out, set)
+			}
+		}
+		return nil
+	})
+	if shoulds && (!required || least == 1) { // else it only adds to the score
+		out = intersect(out, any)
+	}
+	return out, err
+}
+
+// boolClauses returns the queries of one kind of clause of [bool]: a query or a list of them.
+func boolClauses(name string, v *fastjson.Value) ([]*fastjson.Value, error) {
+	switch v.Type() {
+	case fastjson.TypeObject:
+		return []*fastjson.Value{v}, nil
+	case fastjson.TypeArray:
+		return v.GetArray(), nil
+	default:
+		return nil, parsing("[%s] wants a query or a list of them", name)
+	}
+}
+
+// parseBound reads a bound: an integer, or a string with one.
+func parseBound(v *fastjson.Value) (int64, error) {
+	text := v.String()
+	if v.Type() == fastjson.TypeString {
+		text = string(v.GetStringBytes())
+	}
+	n, err := strconv.ParseInt(text, 10, 64)
+	if err != nil || n == math.MaxInt64 {
+		return 0, parsing("[%s] is not a whole number", text)
+	}
+	return n, nil
+}
+
+// rangeSpans returns the values that a clause [range] matches.
+func (ix Index) rangeSpans(v *fastjson.Value) (spans, error) {
+	o, err := v.Object()
+	if err != nil || o.Len() != 1 {
+		return nil, parsing("[range] wants one field")
+	}
+	s := everything[0]
+	err = visit(o, func(field string, v *fastjson.Value) error {
+		if field != ix.Field {
+			return parsing("unknown range: [%s] has no ranges on field [%s]", ix.Name, field)
+		}
+		bounds, err := v.Object()
+		if err != nil {
+			return parsing("[range] on [%s] wants bounds", field)
+		}
+		return visit(bounds, func(name string, v *fastjson.Value) error {
+			if !slices.Contains([]string{"gte", "gt", "lte", "lt"}, name) {
+				return parsing("[range] query does not support [%s]", name)
+			}
+			n, err := parseBound(v)
+			switch name {
+			case "gte":
+				s.From = max(s.From, n)
+			case "gt":
+				s.From = max(s.From, n+1)
+			case "lte":
+				s.To = min(s.To, n+1)
+			case "lt":
+				s.To = min(s.To, n)
+			}
+			return err
+		})
+	})
+	if err != nil {
+		return nil, err
+	}
+	if s.From >= s.To {
+		return nil, parsing("inverted range on [%s]: nothing lies between its bounds", ix.Field)
+	}
+	if len(intersect(spans{s}, ix.domain())) == 0 {
+		return nil, parsing("unknown range on [%s]: [%s] holds nothing there", ix.Field, ix.Name)
+	}
+	return spans{s}, nil
+}
+
+// termSpans returns the values that a clause [term] or [terms] matches.
+func (ix Index) termSpans(name string, v *fastjson.Value) (spans, error) {
+	values := v.Get(ix.Field)
+	if values == nil {
+		return everything, nil
+	}
+	list := values.GetArray()
+	if name == "term" {
+		if values.Type() == fastjson.TypeObject {
+			values = values.Get("value")
+		}
+		list = []*fastjson.Value{values}
+	}
+	var out spans
+	for _, x := range list {
+		if x == nil {
+			return nil, parsing("[%s] on [%s] has no value", name, ix.Field)
+		}
+		n, err := parseBound(x)
+		if err != nil {
+			return nil, err
+		}
+		point := spans{{From: n, To: n + 1}}
+		if len(intersect(point, ix.domain())) == 0 {
+			return nil, parsing("unknown range on [%s]: [%s] holds nothing at [%d]", ix.Field, ix.Name, n)
+		}
+		out = union(out, point)
+	}
+	return out, nil
+}
--- a/internal/broker/opensearch/opensearch_test.go
+++ b/internal/broker/opensearch/opensearch_test.go
@@ -35,7 +35,7 @@
 
 func anyOf(q ...string) string { return `{"bool":{"should":[` + strings.Join(q, ",") + `]}}` }
 
-// Ranges in any order, overlapping or repeated, give the parts that sorted ones give.
+// TestRangesToShards: ranges in any order, overlapping or repeated, give the same parts as sorted ones.
 func TestRangesToShards(t *testing.T) {
 	for _, c := range []struct{ query, shards string }{
 		{`{"match_all":{}}`, "[0 1 2]"},
@@ -56,13 +56,13 @@
 		{`{"terms":{"taxpayer":[250,50,250]}}`, "[0 2]"},
 		{`{"bool":{"filter":[` + between(100, 200) + `],"must":[{"match":{"text":"iva"}}]}}`, "[1]"},
 	} {
-		ask, _, resp := open("/ix/_search", "desk", `{"query":`+c.query+`}`)
+		query, _, resp := open("/ix/_search", "desk", `{"query":`+c.query+`}`)
 		if resp != nil {
 			t.Errorf("%s: %s", c.query, resp.Body)
 			continue
 		}
 		var got []int
-		for _, p := range ask.Parts {
+		for _, p := range query.Parts {
 			got = append(got, p.Shard)
 		}
 		if fmt.Sprint(got) != c.shards {
@@ -83,7 +83,7 @@
 	}
 }
 
-// What can't be answered is refused by name.
+// TestRefusedByName: the error of a search that is not supported names what is wrong.
 func TestRefusedByName(t *testing.T) {
 	q := func(query string) string { return `{"query":` + query + `}` }
 	for _, c := range []struct {
@@ -149,18 +149,18 @@
 		{"/ix/_search?timeout=1s", `{"timeout":"300ms"}`, 1_001_000},
 		{"/ix/_search?timeout=1h", ``, 5_001_000},
 	} {
-		if ask, _, resp := open(c.target, "desk", c.body); resp != nil || ask.Deadline != c.want {
-			t.Errorf("%s %s: deadline %d, want %d", c.target, c.body, ask.Deadline, c.want)
+		if query, _, resp := open(c.target, "desk", c.body); resp != nil || query.Deadline != c.want {
+			t.Errorf("%s %s: deadline %d, want %d", c.target, c.body, query.Deadline, c.want)
 		}
 	}
 }
 
-// given reads what a server gave, as the session does.
-func given(t *testing.T, ask core.Query, shard, total int, hits ...string) core.Value {
+// servedPart parses a server's answer, as the session does.
+func servedPart(t *testing.T, query core.Query, shard, total int, hits ...string) core.Value {
 	t.Helper()
 	body := fmt.Appendf(nil, `{"took":1,"timed_out":false,"_shards":{"total":1,"successful":1,"failed":0},"hits":{"total":{"value":%d,"relation":"eq"},"hits":[%s]}}`,
 		total, strings.Join(hits, ","))
-	o, part := readAnswer(&http1.Message{Status: 200, Body: body}, ask.Plan.(*merge.Plan))
+	o, part := readAnswer(&http1.Message{Status: 200, Body: body}, query.Plan.(*merge.Plan))
 	if o != sq.Served {
 		t.Fatalf("%s: %d", body, o)
 	}
@@ -168,18 +168,18 @@
 }
 
 func TestMerge(t *testing.T) {
-	ask, word, _ := open("/ix/_search", "desk", `{"from":1,"size":2}`)
+	query, format, _ := open("/ix/_search", "desk", `{"from":1,"size":2}`)
 	values := []core.Value{
-		given(t, ask, 0, 7, `{"_id":"a","_score":3}`, `{"_id":"b","_score":1}`), given(t, ask, 1, 0),
-		given(t, ask, 2, 2, `{"_id":"c","_score":2}`, `{"_id":"d","_score":null}`),
+		servedPart(t, query, 0, 7, `{"_id":"a","_score":3}`, `{"_id":"b","_score":1}`), servedPart(t, query, 1, 0),
+		servedPart(t, query, 2, 2, `{"_id":"c","_score":2}`, `{"_id":"d","_score":null}`),
 	}
-	r := word(core.Final{Outcome: core.Answered, Complete: true, Shards: 3, Fraction: 1, Values: values}, 42_000)
+	r := format(core.Final{Outcome: core.Answered, Complete: true, Shards: 3, Fraction: 1, Values: values}, 42_000)
 	want := `{"took":41,"timed_out":false,"_shards":{"total":3,"successful":3,"skipped":0,"failed":0},` +
 		`"hits":{"total":{"value":9,"relation":"eq"},"max_score":3,"hits":[{"_id":"c","_score":2},{"_id":"b","_score":1}]}}`
 	if string(r.Body) != want {
 		t.Errorf("got %s", r.Body)
 	}
-	r = word(core.Final{
+	r = format(core.Final{
 		Outcome: core.Answered, Shards: 3, Fraction: 0.75, Values: values[:2],
 		Missing: []merge.PartCoverage{{Shard: 2, From: 5, To: 9, Weight: 0.25}},
 	}, 42_000)
@@ -188,9 +188,9 @@
 			t.Errorf("%s is not in %s", want, r.Body)
 		}
 	}
-	ask, word, _ = open("/ix/_count", "desk", `{"query":{"match_all":{}}}`)
-	if got := word(core.Final{Outcome: core.Answered, Complete: true, Shards: 2, Fraction: 1, Values: []core.Value{
-		given(t, ask, 0, 9007199254740993), given(t, ask, 1, 1),
+	query, format, _ = open("/ix/_count", "desk", `{"query":{"match_all":{}}}`)
+	if got := format(core.Final{Outcome: core.Answered, Complete: true, Shards: 2, Fraction: 1, Values: []core.Value{
+		servedPart(t, query, 0, 9007199254740993), servedPart(t, query, 1, 1),
 	}}, 0); !strings.HasPrefix(string(got.Body), `{"count":9007199254740994,"_shards"`) {
 		t.Errorf("got %s", got.Body)
 	}
@@ -204,24 +204,24 @@
 			`"sort":[{"due":{"order":"desc","missing":"_first","unmapped_type":"long"}},{"_id":{"order":"asc"}}],"search_after":[9007199254740993,"x"]}`,
 		`{"size":0,"track_total_hits":100}`: `{"from":0,"size":0,"track_total_hits":100}`,
 	} {
-		ask, _, resp := open("/ix/_search", "desk", body)
+		query, _, resp := open("/ix/_search", "desk", body)
 		if resp != nil {
 			t.Errorf("%s: %s", body, resp.Body)
-		} else if got := strings.TrimPrefix(string(ask.Text), "ix\n"); got != want {
+		} else if got := strings.TrimPrefix(string(query.Text), "ix\n"); got != want {
 			t.Errorf("%s: got %s", body, got)
 		}
 	}
 }
 
-// Clients of this API repeat a 429, and many libraries a 502, 503 or 504: what may have run is none of these.
+// TestEnds: clients of this API retry a 429, and many libraries a 502, 503 or 504. A query that may have run has none of these statuses.
 func TestEnds(t *testing.T) {
-	_, word, _ := open("/ix/_search", "desk", "")
-	r := word(core.Final{Outcome: core.Refused, RetryAfter: 1_200_000}, 0)
+	_, format, _ := open("/ix/_search", "desk", "")
+	r := format(core.Final{Outcome: core.Refused, RetryAfter: 1_200_000}, 0)
 	if r.Status != 429 || fmt.Sprint(r.Fields) != "[[Retry-After 2]]" {
 		t.Errorf("%d %v", r.Status, r.Fields)
 	}
 	for _, overdue := range []bool{false, true} {
-		if r := word(core.Final{Outcome: core.Failed, Overdue: overdue}, 0); r.Status != 500 {
+		if r := format(core.Final{Outcome: core.Failed, Overdue: overdue}, 0); r.Status != 500 {
 			t.Errorf("%d", r.Status)
 		}
 	}
@@ -229,7 +229,7 @@
 
 var anyHits, _ = merge.NewPlan(nil, 0, 10, nil, merge.Exact)
 
-func serverSays(text string, pieces int) string {
+func readServerAnswer(text string, pieces int) string {
 	s := Servers{}.NewSession("h:1")
 	s.Call(nil, core.Call{Attempts: []core.Attempt{{ID: 5, Text: []byte("ix\n{}"), Plan: anyHits}}}, 0)
 	out := ""
@@ -250,7 +250,7 @@
 	return out
 }
 
-// A success status proves nothing.
+// TestJudge: a success status alone does not make an answer a served part.
 func TestJudge(t *testing.T) {
 	const ok = `"took":1,"timed_out":false,"_shards":{"total":1,"successful":1,"failed":0},"hits":{"total":{"value":0,"relation":"eq"},"hits":[]}`
 	for _, c := range []struct {
@@ -271,15 +271,15 @@
 	} {
 		text := fmt.Sprintf("HTTP/1.1 %d X\r\nContent-Length: %d\r\n\r\n%s", c.status, len(c.body), c.body)
 		for _, pieces := range []int{1, 2, len(text)} {
-			if got := serverSays(text, pieces); got != c.want {
+			if got := readServerAnswer(text, pieces); got != c.want {
 				t.Errorf("%d %s in %d pieces: got %q, want %q", c.status, c.body, pieces, got, c.want)
 			}
 		}
 	}
-	if got := serverSays("HTTP/1.1 200 OK\r\n\r\n{"+ok+"}", 3); got != "5:0:true at the end" {
+	if got := readServerAnswer("HTTP/1.1 200 OK\r\n\r\n{"+ok+"}", 3); got != "5:0:true at the end" {
 		t.Errorf("up to the end: %q", got)
 	}
-	if got := serverSays("HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n{", 1); got != "" {
+	if got := readServerAnswer("HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n{", 1); got != "" {
 		t.Errorf("cut short: %q", got)
 	}
 }
@@ -292,8 +292,8 @@
 		if len(body) > 4096 {
 			return
 		}
-		ask, _, resp := open("/ix/_search", "desk", body)
-		if resp == nil && len(ask.Parts) == 0 {
+		query, _, resp := open("/ix/_search", "desk", body)
+		if resp == nil && len(query.Parts) == 0 {
 			t.Errorf("a query without parts: %s", body)
 		}
 	})
--- a/internal/broker/platform/platform_test.go
+++ b/internal/broker/platform/platform_test.go
@@ -132,7 +132,7 @@
 
 func TestRequest(t *testing.T) {
 	body := `{"segments":[{"segment":3,"boost":0.5,"work":9000,"affinity":"00ff"},{"segment":9,"boost":0.5}],"text":"a\"b"}`
-	ask, word, resp := Front{Margin: 10}.Open(request(headers, body), 1000, true)
+	query, format, resp := Front{Margin: 10}.Open(request(headers, body), 1000, true)
 	if resp != nil {
 		t.Fatalf("%s", resp.Body)
 	}
@@ -140,19 +140,19 @@
 		Label: "9b1f", Unique: true, Class: "c", Tenant: "acme", Key: "k1", Deadline: 480_990, Text: []byte(`a"b`),
 		Parts: []core.QueryPart{{Shard: 3, Weight: 0.5, Work: 9000, Key: "00ff"}, {Shard: 9, Weight: 0.5}},
 	}
-	if fmt.Sprint(ask) != fmt.Sprint(want) {
-		t.Errorf("got %v, want %v", ask, want)
+	if fmt.Sprint(query) != fmt.Sprint(want) {
+		t.Errorf("got %v, want %v", query, want)
 	}
-	r := word(core.Final{Outcome: core.Answered, Complete: true, Values: []core.Value{{Shard: 3, Data: []byte(`5b"`)}}}, 0)
+	r := format(core.Final{Outcome: core.Answered, Complete: true, Values: []core.Value{{Shard: 3, Data: []byte(`5b"`)}}}, 0)
 	if got := string(r.Body); r.Status != 200 || got != `{"all_in":true,"matches":[{"segment":3,"payload":"5b\""}]}` {
 		t.Errorf("got %d %s", r.Status, got)
 	}
-	r = word(core.Final{Outcome: core.Refused, RetryAfter: 250_100}, 0)
+	r = format(core.Final{Outcome: core.Refused, RetryAfter: 250_100}, 0)
 	if r.Status != 429 || fmt.Sprint(r.Fields) != "[[Retry-After 0.251]]" {
 		t.Errorf("got %d %v", r.Status, r.Fields)
 	}
 	for _, f := range []core.Final{{Outcome: core.Failed}, {Outcome: core.Failed, Overdue: true}} {
-		if r := word(f, 0); r.Status == 429 || r.Status == 503 || r.Status < 500 {
+		if r := format(f, 0); r.Status == 429 || r.Status == 503 || r.Status < 500 {
 			t.Errorf("a failure must not say that a repeat is harmless: %d", r.Status)
 		}
 	}
