--- a/internal/broker/merge/aggregation_merge.go
+++ b/internal/broker/merge/aggregation_merge.go
@@ -36,10 +36,11 @@
 	subs  []*node
 }
 
-// mergeNodes merges one part's aggregations into dst. It copies what it keeps: src is not changed and shares nothing mutable with dst.
-func mergeNodes(aggs []*Agg, dst, src []*node, heldBuckets *int) error {
+// mergeNodes merges one part's aggregations into dst. It copies what it keeps: src is not changed, and later merges into dst do not
+// change it.
+func mergeNodes(aggs []*Agg, dst, src []*node, bucketCount *int) error {
 	for i, a := range aggs {
-		if err := mergeNode(a, dst[i], src[i], heldBuckets); err != nil {
+		if err := mergeNode(a, dst[i], src[i], bucketCount); err != nil {
 			return err
 		}
 	}
@@ -55,8 +56,8 @@
 	return out
 }
 
-// mergeNode merges one part's aggregation into dst. It counts new buckets and sketches in heldBuckets.
-func mergeNode(a *Agg, dst, src *node, heldBuckets *int) error {
+// mergeNode merges one part's aggregation into dst. It counts new buckets and sketches in bucketCount.
+func mergeNode(a *Agg, dst, src *node, bucketCount *int) error {
 	dst.count += src.count
 	for _, x := range src.sum {
 		dst.sum.add(x)
@@ -67,35 +68,35 @@
 	dst.min, dst.max = min(dst.min, src.min), max(dst.max, src.max)
 	dst.otherDocs += src.otherDocs
 	dst.errorBound += src.errorBound
-	if err := mergeSketch(a, dst, src, heldBuckets); err != nil {
+	if err := mergeSketch(a, dst, src, bucketCount); err != nil {
 		return err
 	}
 	dst.centroids = append(dst.centroids, src.centroids...)
 	for name, b := range src.buckets {
 		have := dst.buckets[name]
 		if have == nil {
-			*heldBuckets++
-			if *heldBuckets > MaxBuckets {
+			*bucketCount++
+			if *bucketCount > MaxBuckets {
 				return fmt.Errorf("%w: [%s] has more than %d", ErrBuckets, a.Name, MaxBuckets)
 			}
 			have = &bucket{key: b.key, subs: newNodes(a.Subs)}
 			dst.buckets[name] = have
 		}
 		have.count += b.count
-		if err := mergeNodes(a.Subs, have.subs, b.subs, heldBuckets); err != nil {
+		if err := mergeNodes(a.Subs, have.subs, b.subs, bucketCount); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func mergeSketch(a *Agg, dst, src *node, heldBuckets *int) error {
+func mergeSketch(a *Agg, dst, src *node, bucketCount *int) error {
 	if src.sketch == nil {
 		return nil
 	}
 	if dst.sketch == nil {
-		*heldBuckets += sketchWeight
-		if *heldBuckets > MaxBuckets {
+		*bucketCount += sketchWeight
+		if *bucketCount > MaxBuckets {
 			return ErrBuckets
 		}
 		dst.sketch = hyperloglog.New14()
--- a/internal/broker/merge/aggregation_test.go
+++ b/internal/broker/merge/aggregation_test.go
@@ -19,8 +19,8 @@
 	_ "saffronquay/internal/testing/harness/steady"
 )
 
-// clauses are aggregations of every kind; what they ask is compared with one store.
-var clauses = []string{
+// aggregationClauses have every kind of aggregation. Their merged results are compared with those of a single store.
+var aggregationClauses = []string{
 	`"a":{"sum":{"field":"due"}}`, `"a":{"min":{"field":"due"}}`, `"a":{"max":{"field":"due"}}`, `"a":{"avg":{"field":"due"}}`,
 	`"a":{"value_count":{"field":"desk"}}`, `"a":{"stats":{"field":"due"}}`, `"a":{"extended_stats":{"field":"small"}}`,
 	`"a":{"terms":{"field":"desk"}}`, `"a":{"terms":{"field":"small","order":{"_key":"desc"},"size":3}}`,
@@ -35,8 +35,9 @@
 	`"a":{"sum":{"field":"due"}},"b":{"avg":{"field":"small"}}`,
 }
 
-// fields are of aggregations: due over many magnitudes, where the order of adding matters; small; dates.
-func fields(rng *rand.Rand, rows []fakebackend.Row) {
+// addAggregationFields gives rows the fields that the clauses use: due over many magnitudes, where the order of addition matters; small
+// numbers; dates.
+func addAggregationFields(rng *rand.Rand, rows []fakebackend.Row) {
 	for _, r := range rows {
 		r.Fields["due"] = (rng.Float64() - 0.5) * math.Pow(10, float64(rng.IntN(34)-17))
 		if rng.IntN(4) > 0 {
@@ -48,7 +49,7 @@
 	}
 }
 
-func aggPlan(t fataler, clause string) *Plan {
+func aggregationPlan(t fataler, clause string) *Plan {
 	aggs, err := ParseAggs(fastjson.MustParse("{" + clause + "}"))
 	if err != nil {
 		t.Fatal(clause, err)
@@ -63,11 +64,11 @@
 
 type fataler interface{ Fatal(...any) }
 
-func aggBody(p *Plan) []byte {
+func aggregationBody(p *Plan) []byte {
 	return append(AppendAggs([]byte(`{"size":0,"track_total_hits":true,"aggs":`), p.Aggs), '}')
 }
 
-func tidy(text []byte) any {
+func decodeJSON(text []byte) any {
 	var v any
 	if err := json.Unmarshal(text, &v); err != nil {
 		return fmt.Sprintf("%v: %s", err, text)
@@ -80,21 +81,21 @@
 	queries, orders := 0, 0
 	for seed := uint64(0); seed < 60 && !t.Failed(); seed++ {
 		rng := rand.New(rand.NewPCG(seed, 3))
-		rows, cuts := store(rng)
-		fields(rng, rows)
-		for _, clause := range clauses {
+		rows, cuts := randomStore(rng)
+		addAggregationFields(rng, rows)
+		for _, clause := range aggregationClauses {
 			queries++
-			p := aggPlan(t, clause)
+			p := aggregationPlan(t, clause)
 			var in, binary []*Part
 			for i := range len(cuts) - 1 {
-				part, err := read(p, fakebackend.Search("key", aggBody(p), rows, layout.Span{From: cuts[i], To: cuts[i+1]}))
+				part, err := readAnswer(p, fakebackend.Search("key", aggregationBody(p), rows, layout.Span{From: cuts[i], To: cuts[i+1]}))
 				if err != nil {
-					t.Fatalf("%s: %v", aggBody(p), err)
+					t.Fatalf("%s: %v", aggregationBody(p), err)
 				}
 				in = append(in, part)
-				other, err := p.ReadBinary(fakebackend.Binary("key", aggBody(p), rows, layout.Span{From: cuts[i], To: cuts[i+1]}))
+				other, err := p.ReadBinary(fakebackend.Binary("key", aggregationBody(p), rows, layout.Span{From: cuts[i], To: cuts[i+1]}))
 				if err != nil {
-					t.Fatalf("%s: binary: %v", aggBody(p), err)
+					t.Fatalf("%s: binary: %v", aggregationBody(p), err)
 				}
 				binary = append(binary, other)
 			}
@@ -105,16 +106,16 @@
 			}
 			for n := range 4 {
 				orders++
-				if n == 2 { // some in one form, some in the other
+				if n == 2 { // JSON and binary parts together
 					in[0] = binary[0]
 				} else if n == 3 {
 					in = binary
 				} else {
 					rng.Shuffle(len(in), func(i, j int) { in[i], in[j], binary[i], binary[j] = in[j], in[i], binary[j], binary[i] })
 				}
-				page, err := merged(p, in)
+				page, err := mergePage(p, in)
 				got := append(append([]byte{'{'}, page.Aggs...), '}')
-				if err != nil || !reflect.DeepEqual(tidy(got), tidy(single)) {
+				if err != nil || !reflect.DeepEqual(decodeJSON(got), decodeJSON(single)) {
 					t.Errorf("seed %d %s: %v\ngot  %s\nwant %s", seed, clause, err, got, single)
 					break
 				}
@@ -124,17 +125,17 @@
 	fmt.Printf("proof of aggregations: queries=%d orders=%d\n", queries, orders)
 }
 
-// Sketches keep to their error, whatever the order of arrival.
+// TestSketches checks that estimates stay within their error and do not depend on the order of arrival.
 func TestSketches(t *testing.T) {
 	rng := rand.New(rand.NewPCG(4, 4))
-	p := aggPlan(t, `"c":{"cardinality":{"field":"key"}},"p":{"percentiles":{"field":"due","percents":[1,50,99]}}`)
+	p := aggregationPlan(t, `"c":{"cardinality":{"field":"key"}},"p":{"percentiles":{"field":"due","percents":[1,50,99]}}`)
 	var rows []fakebackend.Row
 	for i := range 20_000 {
 		rows = append(rows, fakebackend.Row{Key: int64(i), Fields: map[string]any{"due": rng.NormFloat64()}})
 	}
 	var in []*Part
 	for from := int64(0); from < 20_000; from += 500 {
-		part, err := read(p, fakebackend.Search("key", aggBody(p), rows, layout.Span{From: from, To: from + 500}))
+		part, err := readAnswer(p, fakebackend.Search("key", aggregationBody(p), rows, layout.Span{From: from, To: from + 500}))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -143,7 +144,7 @@
 	var first string
 	for range 5 {
 		rng.Shuffle(len(in), func(i, j int) { in[i], in[j] = in[j], in[i] })
-		page, err := merged(p, in)
+		page, err := mergePage(p, in)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -171,10 +172,10 @@
 	}
 }
 
-// Where lists of terms are cut short, a count is short by the stated bound at the most, and nothing is lost from the sum.
+// TestTermsBound checks truncated lists of terms: a count is too low by at most the stated bound, and the sum of all counts is right.
 func TestTermsBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		p := aggPlan(t, `"a":{"terms":{"field":"small","size":3,"shard_size":4}}`)
+		p := aggregationPlan(t, `"a":{"terms":{"field":"small","size":3,"shard_size":4}}`)
 		rows, truth := []fakebackend.Row{}, map[float64]int64{}
 		n := rapid.IntRange(1, 200).Draw(t, "rows")
 		for i := range n {
@@ -183,7 +184,7 @@
 		}
 		s := NewState(p)
 		for from := 0; from < n; from += 40 {
-			part, err := read(p, fakebackend.Search("key", aggBody(p), rows, layout.Span{From: int64(from), To: int64(from + 40)}))
+			part, err := readAnswer(p, fakebackend.Search("key", aggregationBody(p), rows, layout.Span{From: int64(from), To: int64(from + 40)}))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -207,7 +208,7 @@
 	})
 }
 
-// Whatever is added in whatever order, an exact sum is the true one rounded once.
+// TestExact checks that an exact sum is the true sum, rounded only at the end, in any order of addition.
 func TestExact(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		xs := rapid.SliceOfN(rapid.Float64Range(-1e200, 1e200), 0, 40).Draw(t, "xs")
@@ -228,7 +229,8 @@
 	})
 }
 
-// A part's aggregations that are not as asked are a failed attempt; parts that do not go together fail the answer by name.
+// TestBadAggregations checks that malformed aggregations fail the part, and that parts that cannot be merged fail the page with a
+// reason.
 func TestBadAggregations(t *testing.T) {
 	for _, c := range []struct{ clause, aggs, want string }{
 		{`"a":{"sum":{"field":"x"}}`, `{}`, "no aggregation [a]"},
@@ -248,8 +250,8 @@
 		{`"a":{"range":{"field":"x","ranges":[{"to":1}]}}`, `{"a":{"buckets":[{"key":"z","doc_count":1}]}}`, "not asked for"},
 		{`"a":{"terms":{"field":"x"},"aggs":{"b":{"sum":{"field":"y"}}}}`, `{"a":{"buckets":[{"key":1,"doc_count":1}],"sum_other_doc_count":0}}`, "no aggregation [b]"},
 	} {
-		p := aggPlan(t, c.clause)
-		if _, err := read(p, `{"hits":{"total":0,"hits":[]},"aggregations":`+c.aggs+`}`); !errors.Is(err, ErrMalformedPart) || !strings.Contains(err.Error(), c.want) {
+		p := aggregationPlan(t, c.clause)
+		if _, err := readAnswer(p, `{"hits":{"total":0,"hits":[]},"aggregations":`+c.aggs+`}`); !errors.Is(err, ErrMalformedPart) || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s: %v, want %q", c.aggs, err, c.want)
 		}
 	}
@@ -257,18 +259,18 @@
 	for i := range MaxBuckets + 1 {
 		fmt.Fprintf(&many, `,{"key":%d,"doc_count":1}`, i)
 	}
-	p := aggPlan(t, `"a":{"histogram":{"field":"x","interval":1,"min_doc_count":1}}`)
-	if _, err := read(p, `{"hits":{"total":0,"hits":[]},"aggregations":{"a":{"buckets":[`+many.String()[1:]+`]}}}`); !errors.Is(err, ErrMalformedPart) || !strings.Contains(err.Error(), "more than 65535 buckets") {
+	p := aggregationPlan(t, `"a":{"histogram":{"field":"x","interval":1,"min_doc_count":1}}`)
+	if _, err := readAnswer(p, `{"hits":{"total":0,"hits":[]},"aggregations":{"a":{"buckets":[`+many.String()[1:]+`]}}}`); !errors.Is(err, ErrMalformedPart) || !strings.Contains(err.Error(), "more than 65535 buckets") {
 		t.Errorf("too many: %v", err)
 	}
 	for _, c := range []struct{ clause, a, b, want string }{
 		{`"a":{"terms":{"field":"x"}}`, `{"buckets":[{"key":1,"doc_count":1}],"sum_other_doc_count":0}`, `{"buckets":[{"key":"x","doc_count":1}],"sum_other_doc_count":0}`, "field [a]: it has both number and keyword"},
 		{`"a":{"histogram":{"field":"x","interval":0.001}}`, `{"buckets":[{"key":0,"doc_count":1}]}`, `{"buckets":[{"key":1000000,"doc_count":1}]}`, "too many buckets"},
 	} {
-		p := aggPlan(t, c.clause)
+		p := aggregationPlan(t, c.clause)
 		s := NewState(p)
 		for _, x := range []string{c.a, c.b} {
-			part, err := read(p, `{"hits":{"total":0,"hits":[]},"aggregations":{"a":`+x+`}}`)
+			part, err := readAnswer(p, `{"hits":{"total":0,"hits":[]},"aggregations":{"a":`+x+`}}`)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -280,8 +282,9 @@
 	}
 }
 
+// FuzzAggs checks that the request made of any accepted clause is JSON.
 func FuzzAggs(f *testing.F) {
-	for _, c := range clauses {
+	for _, c := range aggregationClauses {
 		f.Add("{" + c + "}")
 	}
 	f.Fuzz(func(t *testing.T, text string) {
@@ -299,27 +302,27 @@
 	})
 }
 
-// FuzzReadAggs has every kind of aggregation read and merged from what a server may give.
+// FuzzReadAggs reads and merges every kind of aggregation from arbitrary answers.
 func FuzzReadAggs(f *testing.F) {
 	all := []string{`"c":{"cardinality":{"field":"key"}}`, `"p":{"percentiles":{"field":"due"}}`}
-	for i, c := range clauses[:len(clauses)-1] {
+	for i, c := range aggregationClauses[:len(aggregationClauses)-1] {
 		all = append(all, strings.Replace(c, `"a":`, fmt.Sprintf(`"a%d":`, i), 1))
 	}
-	p := aggPlan(f, strings.Join(all, ","))
+	p := aggregationPlan(f, strings.Join(all, ","))
 	rows := []fakebackend.Row{
 		{Key: 1, ID: "a", Fields: map[string]any{"desk": "x", "small": 1.5, "due": 0.1, "at": int64(1_700_000_000_000)}},
 		{Key: 20, ID: "b", Fields: map[string]any{"desk": "y", "small": 4.5, "due": 7e9}},
 	}
-	f.Add(fakebackend.Search("key", aggBody(p), rows, layout.Span{From: 0, To: 99}))
+	f.Add(fakebackend.Search("key", aggregationBody(p), rows, layout.Span{From: 0, To: 99}))
 	f.Fuzz(func(t *testing.T, text string) {
-		if x, err := read(p, text); err == nil {
-			wellFormed(t, p, x)
+		if x, err := readAnswer(p, text); err == nil {
+			checkMergedJSON(t, p, x)
 		}
 	})
 }
 
-// wellFormed merges a part with itself: whatever came in, what goes out is JSON, or an error.
-func wellFormed(t *testing.T, p *Plan, x *Part) {
+// checkMergedJSON merges a part with itself: the result must be JSON or an error.
+func checkMergedJSON(t *testing.T, p *Plan, x *Part) {
 	s := NewState(p)
 	s.Add(x)
 	s.Add(x)
--- a/internal/broker/merge/bench_test.go
+++ b/internal/broker/merge/bench_test.go
@@ -14,9 +14,9 @@
 	"github.com/valyala/fastjson"
 )
 
-// before is how the front merged until issue 10: each part read and written out by its session, read once more at the end, every
-// hit written out, and all sorted.
-func before(texts [][]byte, from, size int) [][]byte {
+// mergeBySorting is the merge before issue 10, for comparison: it parses and writes each part, parses it again at the end, writes every
+// hit, and sorts all.
+func mergeBySorting(texts [][]byte, from, size int) [][]byte {
 	type hit struct {
 		score float64
 		text  []byte
@@ -45,8 +45,8 @@
 	return out
 }
 
-// answers are what n servers give for a page of so many hits each, in the order asked for.
-func answers(n, hits int) (texts [][]byte) {
+// serverAnswers returns the answers of n servers, each with the given number of hits in order of falling score.
+func serverAnswers(n, hits int) (texts [][]byte) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	for i := range n {
 		scores := make([]float64, hits)
@@ -66,9 +66,9 @@
 	return texts
 }
 
-// BenchmarkFirstPage is 200 parts of 100 hits each up to the first page of 100.
+// BenchmarkFirstPage merges 200 parts of 100 hits each into a first page of 100.
 func BenchmarkFirstPage(b *testing.B) {
-	texts := answers(200, 100)
+	texts := serverAnswers(200, 100)
 	p, err := NewPlan(nil, 0, 100, nil, Exact)
 	if err != nil {
 		b.Fatal(err)
@@ -76,7 +76,7 @@
 	b.Run("before", func(b *testing.B) {
 		b.ReportAllocs()
 		for b.Loop() {
-			if got := before(texts, 0, 100); len(got) != 100 {
+			if got := mergeBySorting(texts, 0, 100); len(got) != 100 {
 				b.Fatal(len(got))
 			}
 		}
@@ -106,9 +106,9 @@
 	})
 }
 
-// BenchmarkTerms is a terms aggregation of 200 parts with 1,000 buckets each.
+// BenchmarkTerms merges a terms aggregation of 200 parts with 1,000 buckets each.
 func BenchmarkTerms(b *testing.B) {
-	p := aggPlan(b, `"a":{"terms":{"field":"x","size":1000,"shard_size":1000},"aggs":{"s":{"sum":{"field":"y"}}}}`)
+	p := aggregationPlan(b, `"a":{"terms":{"field":"x","size":1000,"shard_size":1000},"aggs":{"s":{"sum":{"field":"y"}}}}`)
 	var texts []string
 	for i := range 200 {
 		var t strings.Builder
@@ -121,7 +121,7 @@
 	for b.Loop() {
 		s := NewState(p)
 		for _, t := range texts {
-			part, err := read(p, t)
+			part, err := readAnswer(p, t)
 			if err != nil {
 				b.Fatal(err)
 			}
@@ -133,8 +133,8 @@
 	}
 }
 
-// What a part says that it keeps beside its text is near what it keeps, for hits (30 MB of them) and for buckets: the bound on held
-// parts goes by it.
+// TestMemory checks that Part.Size is within a factor of three of the memory that parts keep beside their text, for hits (30 MB of
+// them) and for buckets: the bound on the parts in memory relies on it.
 func TestMemory(t *testing.T) {
 	var b strings.Builder
 	for j := range 1000 {
@@ -152,15 +152,15 @@
 		plan  *Plan
 		texts [][]byte
 	}{
-		"hits":    {hits, answers(300, 600)},
-		"buckets": {aggPlan(t, `"a":{"terms":{"field":"x","size":1000},"aggs":{"s":{"sum":{"field":"y"}}}}`), buckets},
+		"hits":    {hits, serverAnswers(300, 600)},
+		"buckets": {aggregationPlan(t, `"a":{"terms":{"field":"x","size":1000},"aggs":{"s":{"sum":{"field":"y"}}}}`), buckets},
 	} {
 		var before, after runtime.MemStats
 		var parser fastjson.Parser
 		parser.ParseBytes(c.texts[0])
 		runtime.GC()
 		runtime.ReadMemStats(&before)
-		s, said, size := NewState(c.plan), 0, 0
+		s, estimated, size := NewState(c.plan), 0, 0
 		for _, x := range c.texts {
 			v, err := parser.ParseBytes(x)
 			if err != nil {
@@ -170,13 +170,13 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			s.parts, said, size = append(s.parts, part), said+part.Size(), size+len(x)
+			s.parts, estimated, size = append(s.parts, part), estimated+part.Size(), size+len(x)
 		}
 		runtime.GC()
 		runtime.ReadMemStats(&after)
 		kept := int(after.HeapAlloc - before.HeapAlloc)
-		if t.Logf("%s: %d KB of text, %d KB kept beside, %d KB said", name, size>>10, kept>>10, said>>10); kept > 3*said || said > 3*kept {
-			t.Errorf("%s: %d bytes kept, %d said", name, kept, said)
+		if t.Logf("%s: %d KB of text, %d KB kept beside, %d KB said", name, size>>10, kept>>10, estimated>>10); kept > 3*estimated || estimated > 3*kept {
+			t.Errorf("%s: %d bytes kept, %d said", name, kept, estimated)
 		}
 		runtime.KeepAlive(s)
 		runtime.KeepAlive(c.texts)
--- a/internal/broker/merge/state.go
+++ b/internal/broker/merge/state.go
@@ -18,7 +18,7 @@
 	totalIsLowerBound bool
 	totalOverflows    bool // the sum of totals does not fit an int64
 	aggs              []*node
-	heldBuckets       int // buckets of all aggregations; a sketch counts as sketchWeight of them
+	bucketCount       int // buckets of all aggregations; a sketch counts as sketchWeight of them
 	err               error
 }
 
@@ -34,7 +34,7 @@
 	if err := s.mergeKinds(part.kinds); err != nil && s.err == nil {
 		s.err = err
 	}
-	if err := mergeNodes(s.plan.Aggs, s.aggs, part.aggs, &s.heldBuckets); err != nil && s.err == nil {
+	if err := mergeNodes(s.plan.Aggs, s.aggs, part.aggs, &s.bucketCount); err != nil && s.err == nil {
 		s.err = err
 	}
 	s.totalIsLowerBound = s.totalIsLowerBound || part.totalIsLowerBound
