--- a/internal/broker/platform/platform_test.go
+++ b/internal/broker/platform/platform_test.go
@@ -39,7 +39,7 @@
 	}
 }
 
-// read feeds pieces to a session with attempts 3 and 4 out, and 5 given up, and writes down what they end.
+// read feeds pieces to a session with attempts 3 and 4 in flight, and 5 cancelled, and returns the replies as text.
 func read(pieces ...string) string {
 	s := Workers{PerConn: 32}.NewSession("")
 	s.Call(nil, call(3, 4, 5), 0)
@@ -132,7 +132,7 @@
 
 func TestRequest(t *testing.T) {
 	body := `{"segments":[{"segment":3,"boost":0.5,"work":9000,"affinity":"00ff"},{"segment":9,"boost":0.5}],"text":"a\"b"}`
-	ask, word, resp := Front{Margin: 10}.Open(request(headers, body), 1000, true)
+	query, format, resp := Front{Margin: 10}.Open(request(headers, body), 1000, true)
 	if resp != nil {
 		t.Fatalf("%s", resp.Body)
 	}
@@ -140,25 +140,26 @@
 		Label: "9b1f", Unique: true, Class: "c", Tenant: "acme", Key: "k1", Deadline: 480_990, Text: []byte(`a"b`),
 		Parts: []core.QueryPart{{Shard: 3, Weight: 0.5, Work: 9000, Key: "00ff"}, {Shard: 9, Weight: 0.5}},
 	}
-	if fmt.Sprint(ask) != fmt.Sprint(want) {
-		t.Errorf("got %v, want %v", ask, want)
+	if fmt.Sprint(query) != fmt.Sprint(want) {
+		t.Errorf("got %v, want %v", query, want)
 	}
-	r := word(core.Final{Outcome: core.Answered, Complete: true, Values: []core.Value{{Shard: 3, Data: []byte(`5b"`)}}}, 0)
+	r := format(core.Final{Outcome: core.Answered, Complete: true, Values: []core.Value{{Shard: 3, Data: []byte(`5b"`)}}}, 0)
 	if got := string(r.Body); r.Status != 200 || got != `{"all_in":true,"matches":[{"segment":3,"payload":"5b\""}]}` {
 		t.Errorf("got %d %s", r.Status, got)
 	}
-	r = word(core.Final{Outcome: core.Refused, RetryAfter: 250_100}, 0)
+	r = format(core.Final{Outcome: core.Refused, RetryAfter: 250_100}, 0)
 	if r.Status != 429 || fmt.Sprint(r.Fields) != "[[Retry-After 0.251]]" {
 		t.Errorf("got %d %v", r.Status, r.Fields)
 	}
 	for _, f := range []core.Final{{Outcome: core.Failed}, {Outcome: core.Failed, Overdue: true}} {
-		if r := word(f, 0); r.Status == 429 || r.Status == 503 || r.Status < 500 {
+		if r := format(f, 0); r.Status == 429 || r.Status == 503 || r.Status < 500 {
 			t.Errorf("a failure must not say that a repeat is harmless: %d", r.Status)
 		}
 	}
 }
 
-// Where queries name nothing the path ends before the key: such a query is served as any other. Other paths are not taken for one.
+// TestRequestWithoutAKey: where queries name nothing the path ends before the key, and such a query is served as any other. Other paths are
+// not queries.
 func TestRequestWithoutAKey(t *testing.T) {
 	for target, want := range map[string]struct {
 		key    string
@@ -204,15 +205,15 @@
 	}
 }
 
-// A dropped attempt's name is remembered until its late answer, or until many others were dropped after it.
+// A cancelled attempt's name is remembered until its late answer, or until many others were cancelled after it.
 func TestDroppedNamesAreBounded(t *testing.T) {
 	s := Workers{PerConn: 32}.NewSession("").(*session)
-	for id := core.AttemptID(1); id <= 3*mostDropped; id++ {
+	for id := core.AttemptID(1); id <= 3*maxCancelled; id++ {
 		s.Call(nil, call(id), 0)
 		s.Cancel(nil, id)
 	}
-	if len(s.dropped) != mostDropped || len(s.order) != mostDropped || len(s.names)+len(s.out) > 0 {
-		t.Errorf("%d dropped, %d in order, %d names, %d out", len(s.dropped), len(s.order), len(s.names), len(s.out))
+	if len(s.cancelled) != maxCancelled || len(s.cancelOrder) != maxCancelled || len(s.names)+len(s.attempts) > 0 {
+		t.Errorf("%d cancelled, %d in order, %d names, %d in flight", len(s.cancelled), len(s.cancelOrder), len(s.names), len(s.attempts))
 	}
 }
 
@@ -220,7 +221,7 @@
 	l, err := ParseList([]byte(`{"generation":43,"reset":true,"instances":[{"instanceId":"s-5","hostPort":"10.1.0.18:8080",` +
 		`"zone":"a","cell":3,"lifecycle":"DRAINING","weight":1.0,"startedAtMs":7}]}`))
 	want := sq.Server{ID: "s-5", Zone: "a", Cell: 3, Health: sq.Draining, StartedAt: 7000}
-	if err != nil || l.Generation != 43 || !l.Whole || l.Servers[0] != want || l.Addresses["s-5"] != "10.1.0.18:8080" {
+	if err != nil || l.Generation != 43 || !l.Complete || l.Servers[0] != want || l.Addresses["s-5"] != "10.1.0.18:8080" {
 		t.Errorf("got %v, %v", l, err)
 	}
 	for _, bad := range []string{`{`, `{}`, `{"generation":1,"instances":[{"instanceId":"s","lifecycle":"ASLEEP"}]}`} {
@@ -230,7 +231,7 @@
 	}
 }
 
-// A list that has taken in news reads the same on the other side of a handover.
+// A list that has taken updates reads the same on the other side of a handover.
 func TestListMerge(t *testing.T) {
 	read := func(text string) List {
 		l, err := ParseList([]byte(text))
