--- a/internal/broker/layout/histories_test.go
+++ b/internal/broker/layout/histories_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// The same draws give the layouts that were recorded, each with its plan. Names of fields are left out.
+// TestRecordedHistories checks that the same random draws give the recorded layouts and plans. Names of fields are left out.
 func TestRecordedHistories(t *testing.T) {
 	drawn := rapid.Custom(func(t *rapid.T) string {
 		var text strings.Builder
--- a/internal/broker/layout/layout_test.go
+++ b/internal/broker/layout/layout_test.go
@@ -261,7 +261,7 @@
 }
 
 // times counts, for each key, how many parts contain it.
-func times(parts []Part, domain Span) map[int64]int {
+func countParts(parts []Part, domain Span) map[int64]int {
 	n := map[int64]int{}
 	for _, p := range parts {
 		for k := p.From; k < p.To; k++ {
@@ -289,7 +289,7 @@
 			}
 			want := drawSpans(t, l)
 			plan := l.Plan(nil, want)
-			seen := times(plan, l.Domain())
+			seen := countParts(plan, l.Domain())
 			for _, w := range want {
 				for k := max(w.From, l.Domain().From); k < min(w.To, l.Domain().To); k++ {
 					if seen[k] != 1 {
@@ -299,12 +299,12 @@
 			}
 			last := layouts[len(layouts)-1]
 			for _, p := range plan {
-				for k, n := range times(last.Cover(nil, p.Span), p.Span) {
+				for k, n := range countParts(last.Cover(nil, p.Span), p.Span) {
 					if n != 1 || k < p.From || k >= p.To {
 						t.Fatalf("planned again, key %d is in %d parts", k, n)
 					}
 				}
-				if got := len(times(last.Cover(nil, p.Span), p.Span)); got != int(p.To-p.From) {
+				if got := len(countParts(last.Cover(nil, p.Span), p.Span)); got != int(p.To-p.From) {
 					t.Fatalf("%d keys of %s are covered", got, p.Span)
 				}
 			}
--- a/internal/broker/layout/measure_test.go
+++ b/internal/broker/layout/measure_test.go
@@ -16,7 +16,7 @@
 	sq "saffronquay"
 )
 
-// TestMeasure takes the figures of docs/LAYOUT.md; it judges nothing. SAFFRONQUAY_MEASURE=1 runs it.
+// TestMeasure takes the measurements of docs/LAYOUT.md; it has no limits of its own. SAFFRONQUAY_MEASURE=1 runs it.
 func TestMeasure(t *testing.T) {
 	if os.Getenv("SAFFRONQUAY_MEASURE") == "" {
 		t.Skip("SAFFRONQUAY_MEASURE is not set")
@@ -27,7 +27,7 @@
 	t.Run("rate", measureRate)
 }
 
-// measureLatency has paced clients ask the same queries twice, without changes and during them.
+// measureLatency sends the same queries at a constant rate two times: without changes, and during them.
 func measureLatency(t *testing.T) {
 	for _, changing := range []bool{false, true, false, true} {
 		c := newCluster(t, 12, 40, 3, 4000, fakebackend.ServerConfig{Cores: 4, Queue: 1000, Work: 2 * time.Millisecond})
@@ -36,7 +36,7 @@
 		stop := make(chan struct{})
 		var wg *sync.WaitGroup
 		if changing {
-			wg = churn(t, c, stop, 3, 100*time.Millisecond, &changes)
+			wg = runChanges(t, c, stop, 3, 100*time.Millisecond, &changes)
 		}
 		took, _ := paced(gs[0], 300, 10*time.Second, some)
 		close(stop)
@@ -47,7 +47,7 @@
 	}
 }
 
-// paced asks so many queries a second for so long, whatever comes back, and gives the times of those served, in order.
+// paced sends queries at a rate per second for a time, whatever the answers. It returns the sorted latencies of those served.
 func paced(g *gatherer, rate int, long time.Duration, draw func(*rand.Rand) []layout.Span) (took []time.Duration, other int) {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
@@ -60,7 +60,7 @@
 		go func() {
 			defer wg.Done()
 			at := time.Now()
-			o := g.ask("invoices", fmt.Sprint("m", n), want)
+			o := g.search("invoices", fmt.Sprint("m", n), want)
 			mu.Lock()
 			defer mu.Unlock()
 			if o.status == 200 {
@@ -75,7 +75,7 @@
 	return took, other
 }
 
-// some are one to four spans of 80 keys.
+// some draws one to four spans of 80 keys.
 func some(rng *rand.Rand) (want []layout.Span) {
 	for range 1 + rng.IntN(4) {
 		from := rng.Int64N(4000 - 80)
@@ -84,7 +84,7 @@
 	return want
 }
 
-// hot is one key, four times of five within the first range.
+// hot draws one key, four times of five within the first range.
 func hot(rng *rand.Rand) []layout.Span {
 	key := rng.Int64N(100)
 	if rng.IntN(5) == 0 {
@@ -112,7 +112,7 @@
 					t.Fatal(err)
 				}
 			}
-			g.at(c.Directory.Now().Epoch())
+			g.waitForEpoch(c.Directory.Now().Epoch())
 		}
 		busy := map[sq.ServerID]time.Duration{}
 		for _, s := range c.Servers {
@@ -129,7 +129,7 @@
 	}
 }
 
-// measureLate takes the time to the first page of 8 parts, with all servers well and with one that answers nothing.
+// measureLate measures the time to the first page of 8 parts, with all servers healthy and with one that does not answer.
 func measureLate(t *testing.T) {
 	c := newCluster(t, 8, 8, 2, 800, fakebackend.ServerConfig{Cores: 4, Queue: 100, Work: 2 * time.Millisecond})
 	g := start(t, c)
@@ -138,7 +138,7 @@
 		var took []time.Duration
 		for n := range 40 {
 			at := time.Now()
-			if o := g.ask("invoices", fmt.Sprint("l", n), keys(0, 800)); o.status == 200 {
+			if o := g.search("invoices", fmt.Sprint("l", n), keys(0, 800)); o.status == 200 {
 				took = append(took, time.Since(at))
 			}
 		}
@@ -147,7 +147,7 @@
 	}
 }
 
-// measureRate takes how many queries of 8 parts a second the program answers on one core.
+// measureRate measures how many queries of 8 parts per second the program answers on one core.
 func measureRate(t *testing.T) {
 	c := newCluster(t, 8, 8, 2, 800, fakebackend.ServerConfig{Cores: 16, Queue: 1000, Work: time.Millisecond})
 	agent, err := c.Directory.Agent("")
--- a/internal/broker/layout/program_test.go
+++ b/internal/broker/layout/program_test.go
@@ -17,21 +17,21 @@
 	sq "saffronquay"
 )
 
-const patience = harness.WaitTimeout
+const waitTimeout = harness.WaitTimeout
 
-var raced = harness.RaceEnabled
+var raceEnabled = harness.RaceEnabled
 
 func TestMain(m *testing.M) { harness.Main(m) }
 
-// gatherer is a place with an agent of the directory of its own, and the life of the program that runs in it.
+// gatherer is a directory for one gatherer's files, its own agent of the layout directory, and its running process.
 type gatherer struct {
 	*harness.Place
-	t     *testing.T
-	agent *fakebackend.Agent
-	life  *harness.Process
+	t       *testing.T
+	agent   *fakebackend.Agent
+	process *harness.Process
 }
 
-// newCluster makes n servers and ranges of equal width over the keys from 0, a row each, held by reach servers.
+// newCluster starts servers and places ranges of equal width on them, each on reach servers. Each key from 0 has one row.
 func newCluster(t *testing.T, servers, ranges, reach int, keys int64, cfg fakebackend.ServerConfig) *fakebackend.Cluster {
 	t.Helper()
 	doc := layout.Doc{History: "h1", Epoch: 1}
@@ -61,8 +61,8 @@
 	return c
 }
 
-// config is an operator's file for a cluster; without a directory the file alone tells.
-func config(t *testing.T, c *fakebackend.Cluster, whole layout.Doc, directory string, draining ...sq.ServerID) []byte {
+// config returns an operator's file for a cluster. Without a directory the layout comes from the file alone.
+func config(t *testing.T, c *fakebackend.Cluster, doc layout.Doc, directory string, draining ...sq.ServerID) []byte {
 	t.Helper()
 	var servers []any
 	for _, s := range c.Servers {
@@ -71,7 +71,7 @@
 			"draining": slices.Contains(draining, s.ID()),
 		})
 	}
-	l := map[string]any{"whole": whole, "stall_ms": 300}
+	l := map[string]any{"whole": doc, "stall_ms": 300}
 	if directory != "" {
 		l["directory"] = directory
 	}
@@ -96,7 +96,7 @@
 	return text
 }
 
-// start starts a gatherer that follows the cluster's directory by an agent of its own.
+// start starts a gatherer that follows the cluster's directory through an agent of its own.
 func start(t *testing.T, c *fakebackend.Cluster) *gatherer {
 	t.Helper()
 	agent, err := c.Directory.Agent("")
@@ -110,15 +110,15 @@
 	return g
 }
 
-// run starts the program, once more where it ran already.
-func (g *gatherer) run() { g.life = g.Start() }
+// run starts the program, also after an earlier process has ended.
+func (g *gatherer) run() { g.process = g.Start() }
 
 // at waits until the gatherer has an epoch in force.
-func (g *gatherer) at(epoch int64) {
+func (g *gatherer) waitForEpoch(epoch int64) {
 	g.WaitForLine(0, "event=layout ", fmt.Sprintf("epoch=%d ", epoch))
 }
 
-// outcome is a query's one final answer.
+// outcome is the final answer of a query.
 type outcome struct {
 	status int
 	ids    []string
@@ -129,17 +129,17 @@
 	text   string
 }
 
-var client = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256}, Timeout: patience}
+var client = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256}, Timeout: waitTimeout}
 
-// ask sends a search for the keys in any of some spans.
-func (g *gatherer) ask(index, id string, want []layout.Span) outcome {
+// search sends a search for the keys in any of some spans.
+func (g *gatherer) search(index, id string, want []layout.Span) outcome {
 	var should []string
 	for _, w := range want {
 		should = append(should, fmt.Sprintf(`{"range":{"taxpayer":{"gte":%d,"lt":%d}}}`, w.From, w.To))
 	}
 	body := fmt.Sprintf(`{"size":5000,"sort":[{"taxpayer":"desc"}],"query":{"bool":{"should":[%s]}},
  "aggs":{"sum":{"sum":{"field":"taxpayer"}},"by":{"histogram":{"field":"taxpayer","interval":50,"min_doc_count":1}}}}`, strings.Join(should, ","))
-	req, err := http.NewRequest("POST", "http://"+g.life.Listen+"/"+index+"/_search", strings.NewReader(body))
+	req, err := http.NewRequest("POST", "http://"+g.process.Listen+"/"+index+"/_search", strings.NewReader(body))
 	if err != nil {
 		g.t.Error(err)
 		return outcome{}
@@ -192,7 +192,7 @@
 	return o
 }
 
-// equals tells that an answer is what one store would give.
+// equals reports whether an answer is that of a single store with all rows.
 func (o outcome) equals(c *fakebackend.Cluster, want []layout.Span) bool {
 	ids := c.Single(want)
 	sum := 0.0
--- a/internal/broker/layout/proof_test.go
+++ b/internal/broker/layout/proof_test.go
@@ -14,12 +14,12 @@
 )
 
 // tally counts the outcomes of queries.
-type tally struct{ queries, whole, refused, failed, wrong atomic.Int64 }
+type tally struct{ queries, complete, refused, failed, wrong atomic.Int64 }
 
 const clients = 24
 
-// load has clients ask both gatherers until so many queries are through.
-func load(t *testing.T, c *fakebackend.Cluster, gs []*gatherer, name string, queries int64, seed uint64, sum *tally) {
+// runClients sends queries to the gatherers from concurrent clients until the given number is reached.
+func runClients(t *testing.T, c *fakebackend.Cluster, gs []*gatherer, name string, queries int64, seed uint64, sum *tally) {
 	var wg sync.WaitGroup
 	for i := range clients {
 		wg.Add(1)
@@ -27,7 +27,7 @@
 			defer wg.Done()
 			rng := rand.New(rand.NewPCG(seed, uint64(i)))
 			for n := sum.queries.Add(1); n <= queries; n = sum.queries.Add(1) {
-				one(t, c, gs[rng.IntN(len(gs))], fmt.Sprintf("%s-%d", name, n), rng, sum)
+				searchOnce(t, c, gs[rng.IntN(len(gs))], fmt.Sprintf("%s-%d", name, n), rng, sum)
 			}
 		}()
 	}
@@ -35,8 +35,8 @@
 	sum.queries.Store(queries)
 }
 
-// one asks once and judges the answer.
-func one(t *testing.T, c *fakebackend.Cluster, g *gatherer, id string, rng *rand.Rand, sum *tally) {
+// searchOnce sends one random search and checks the answer.
+func searchOnce(t *testing.T, c *fakebackend.Cluster, g *gatherer, id string, rng *rand.Rand, sum *tally) {
 	index, n, width := "invoices", 1+rng.IntN(4), int64(80)
 	if rng.IntN(10) < 3 {
 		index, n, width = "filings", 1+rng.IntN(2), 4
@@ -46,9 +46,9 @@
 		from := rng.Int64N(int64(len(c.All)) - width)
 		want = append(want, layout.Span{From: from, To: from + 1 + rng.Int64N(width)})
 	}
-	switch o := g.ask(index, id, want); {
+	switch o := g.search(index, id, want); {
 	case o.status == 200 && o.equals(c, want):
-		sum.whole.Add(1)
+		sum.complete.Add(1)
 	case o.status == 429 && c.Ledger.Ran(id):
 		sum.wrong.Add(1)
 		t.Errorf("%s was refused, and yet it ran", id)
@@ -62,8 +62,9 @@
 	}
 }
 
-// churn goes through changes of all kinds, some of which are aborted before or after the cut over, until stop.
-func churn(t *testing.T, c *fakebackend.Cluster, stop <-chan struct{}, seed uint64, pause time.Duration, changes *atomic.Int64) *sync.WaitGroup {
+// runChanges applies changes of all kinds until stop is closed. Some are aborted, before or after the cut over. The caller waits
+// for the returned group.
+func runChanges(t *testing.T, c *fakebackend.Cluster, stop <-chan struct{}, seed uint64, pause time.Duration, changes *atomic.Int64) *sync.WaitGroup {
 	var wg sync.WaitGroup
 	for i := range 4 {
 		wg.Add(1)
@@ -106,8 +107,9 @@
 	return &wg
 }
 
-// trouble gives servers and the directory's agents a fault each for a moment, again and again; kills too where asked.
-func trouble(c *fakebackend.Cluster, gs []*gatherer, stop <-chan struct{}, seed uint64, kills bool) {
+// injectFaults repeatedly gives one server and one agent of the directory a fault for a short time, until stop is closed. With kills
+// the server's fault is that it is killed.
+func injectFaults(c *fakebackend.Cluster, gs []*gatherer, stop <-chan struct{}, seed uint64, kills bool) {
 	rng := rand.New(rand.NewPCG(seed, 99))
 	faults := []fakebackend.Fault{fakebackend.CutUnread, fakebackend.CutHalf, fakebackend.CutRan, fakebackend.Refuses, fakebackend.Mislabels, fakebackend.Lags}
 	ills := []fakebackend.Ill{fakebackend.Down, fakebackend.Mute, fakebackend.Garbles, fakebackend.Skips, fakebackend.Backs, fakebackend.Other, fakebackend.Trickle}
@@ -141,11 +143,11 @@
 	}
 }
 
-// TestProof is the proof: queries over the real program while ranges split, merge and move under faults.
-// SAFFRONQUAY_PROOF_QUERIES sets how many.
+// TestProof sends queries to the real program while ranges split, merge and move under faults. SAFFRONQUAY_PROOF_QUERIES sets their
+// number.
 func TestProof(t *testing.T) {
 	queries, most := int64(10_000), int64(1) // per cent refused or failed
-	if raced {
+	if raceEnabled {
 		queries, most = 3_000, 10 // slower by much, while faults come by the clock
 	}
 	if text := os.Getenv("SAFFRONQUAY_PROOF_QUERIES"); text != "" {
@@ -157,11 +159,11 @@
 		var sum tally
 		var changes atomic.Int64
 		stop, calm := make(chan struct{}), make(chan struct{})
-		go func() { defer close(calm); trouble(c, gs, stop, 5, kills) }()
-		changing := churn(t, c, stop, uint64(len(name)), 15*time.Millisecond, &changes)
+		go func() { defer close(calm); injectFaults(c, gs, stop, 5, kills) }()
+		changing := runChanges(t, c, stop, uint64(len(name)), 15*time.Millisecond, &changes)
 		for {
 			before := sum.queries.Load()
-			load(t, c, gs, name, before+queries, uint64(len(name)), &sum)
+			runClients(t, c, gs, name, before+queries, uint64(len(name)), &sum)
 			if kills || changes.Load() >= 200 || t.Failed() {
 				break
 			}
@@ -173,7 +175,7 @@
 		return &sum, changes.Load()
 	}
 	killed, _ := phase("killed", queries/5, true)
-	t.Logf("with servers killed: queries=%d whole=%d refused=%d failed=%d", killed.queries.Load(), killed.whole.Load(),
+	t.Logf("with servers killed: queries=%d whole=%d refused=%d failed=%d", killed.queries.Load(), killed.complete.Load(),
 		killed.refused.Load(), killed.failed.Load())
 	sum, changes := phase("proof", queries, false)
 	runs, twice, astray := c.Ledger.Counts()
@@ -185,9 +187,9 @@
 		t.Errorf("%d of %d refused or failed", lost, sum.queries.Load())
 	}
 	for i, g := range gs {
-		t.Logf("gatherer %d: %s", i, g.life.Call("stats"))
+		t.Logf("gatherer %d: %s", i, g.process.Call("stats"))
 	}
 	t.Logf("parts run=%d at a server that did not hold them=%d", runs, astray)
 	fmt.Printf("proof: queries=%d changes=%d whole=%d refused=%d failed=%d run_twice=%d wrong=%d\n", sum.queries.Load(), changes,
-		sum.whole.Load(), sum.refused.Load(), sum.failed.Load(), twice, wrong)
+		sum.complete.Load(), sum.refused.Load(), sum.failed.Load(), twice, wrong)
 }
--- a/internal/broker/layout/scenes_test.go
+++ b/internal/broker/layout/scenes_test.go
@@ -37,7 +37,7 @@
 	return layout.Range{Span: layout.Span{From: from, To: to}, Shard: shard, Holders: []sq.ServerID{holder}}
 }
 
-// do takes steps, each written "CHANGE ACTION".
+// do applies steps, each written "CHANGE ACTION".
 func (s *scene) do(steps ...string) {
 	s.t.Helper()
 	for _, text := range steps {
@@ -55,29 +55,29 @@
 	}
 }
 
-// told waits until every gatherer has the newest epoch.
-func (s *scene) told() {
+// waitForNewestEpoch waits until every gatherer has the newest epoch in force.
+func (s *scene) waitForNewestEpoch() {
 	for _, g := range s.gs {
-		g.at(s.c.Directory.Now().Epoch())
+		g.waitForEpoch(s.c.Directory.Now().Epoch())
 	}
 }
 
-// right asks every gatherer for everything, and compares.
-func (s *scene) right(when string) {
+// checkAnswers queries every gatherer for all keys and checks the answers.
+func (s *scene) checkAnswers(when string) {
 	s.t.Helper()
 	for i, g := range s.gs {
 		for _, index := range []string{"invoices", "filings"} {
-			if o := g.ask(index, fmt.Sprint(index, i, when), keys(0, 400)); !o.equals(s.c, keys(0, 400)) {
+			if o := g.search(index, fmt.Sprint(index, i, when), keys(0, 400)); !o.equals(s.c, keys(0, 400)) {
 				s.t.Errorf("%s: gatherer %d, %s: %d, %d rows: %.200s", when, i, index, o.status, len(o.ids), o.text)
 			}
 		}
 	}
 }
 
-// later sends a query and gives its answer when it has come.
-func (s *scene) later(g *gatherer, index, id string, want []layout.Span) <-chan outcome {
+// searchAsync sends a query and returns a channel that delivers its answer.
+func (s *scene) searchAsync(g *gatherer, index, id string, want []layout.Span) <-chan outcome {
 	got := make(chan outcome, 1)
-	go func() { got <- g.ask(index, id, want) }()
+	go func() { got <- g.search(index, id, want) }()
 	return got
 }
 
@@ -88,8 +88,8 @@
 	}
 }
 
-// A filing part is out at the old holder when its range moves, and its connection is cut: before anything of it was sent it may
-// move, after that nobody can know.
+// A part of a single-shot query is in flight at the old holder when its range moves, and its connection is cut. If nothing of it was
+// sent, it may be sent to the new holder; otherwise its outcome is unknown.
 func TestFilingInFlightWhenItsRangeMoves(t *testing.T) {
 	for _, c := range []struct {
 		fault  fakebackend.Fault
@@ -103,16 +103,16 @@
 			s.do("m copy", "m ready")
 			old := s.c.Server("s00")
 			old.Set(fakebackend.Holds)
-			got := s.later(s.gs[0], "filings", "f", keys(10, 20))
+			got := s.searchAsync(s.gs[0], "filings", "f", keys(10, 20))
 			<-old.Held()
 			s.do("m cutover")
-			s.told()
+			s.waitForNewestEpoch()
 			old.Set(c.fault) // it is fenced by now: a search that was not cut is denied, and moves
 			if o := <-got; o.status != c.status || s.c.Ledger.Ran("f") != c.ran {
 				t.Errorf("%d, ran %t: %.200s", o.status, s.c.Ledger.Ran("f"), o.text)
 			}
 			old.Set(fakebackend.None)
-			s.right("after")
+			s.checkAnswers("after")
 			s.clean(0)
 		})
 	}
@@ -122,7 +122,7 @@
 		s.announce("m", layout.Move, []int{0}, part(0, 100, 0, "s04"))
 		s.do("m copy", "m ready")
 		s.c.Server("s00").Set(fakebackend.CutRan)
-		o := s.gs[0].ask("filings", "f", keys(10, 20))
+		o := s.gs[0].search("filings", "f", keys(10, 20))
 		s.do("m cutover", "m retire")
 		if o.status != 500 || !s.c.Ledger.Ran("f") {
 			t.Errorf("%d %.200s", o.status, o.text)
@@ -133,15 +133,15 @@
 		t.Parallel()
 		s := newScene(t, 1)
 		s.announce("m", layout.Move, []int{0}, part(0, 100, 0, "s04"))
-		s.do("m copy", "m ready", "m cutover") // the gatherer's own copy of the news is late
+		s.do("m copy", "m ready", "m cutover") // the gatherer receives the update late
 		s.gs[0].agent.Set(fakebackend.Down, 0)
 		s.c.Server("s00").Kill()
-		got := s.later(s.gs[0], "filings", "f", keys(10, 20))
+		got := s.searchAsync(s.gs[0], "filings", "f", keys(10, 20))
 		s.gs[0].agent.Set(fakebackend.Well, 0)
 		o := <-got
-		if o.status == 429 { // its attempts were spent before the news came: none ran, and sending it again does no harm
-			s.told()
-			o = s.gs[0].ask("filings", "f", keys(10, 20))
+		if o.status == 429 { // its attempts were used up before the update came: none ran, and a retry does no harm
+			s.waitForNewestEpoch()
+			o = s.gs[0].search("filings", "f", keys(10, 20))
 		}
 		if !o.equals(s.c, keys(10, 20)) {
 			t.Errorf("%d %.200s", o.status, o.text)
@@ -150,7 +150,7 @@
 	})
 }
 
-// Changes upon changes, with servers that die where that must not matter; answers are right after every step.
+// Changes follow changes, and servers fail where that must not matter. The answers are correct after every step.
 func TestChangesUponChanges(t *testing.T) {
 	for name, play := range map[string]func(*scene){
 		"split of a split before the first is retired": func(s *scene) {
@@ -158,43 +158,43 @@
 			s.do("x copy", "x ready", "x cutover")
 			s.announce("y", layout.Split, []int{4}, part(0, 10, 6, "s01"), part(10, 50, 7, "s02"))
 			s.do("y copy", "y ready", "y cutover")
-			s.right("both cut over")
+			s.checkAnswers("both cut over")
 			s.do("x retire", "y retire")
 		},
 		"merge of halves whose holders differ": func(s *scene) {
 			s.announce("x", layout.Merge, []int{0, 1}, part(0, 200, 4, "s04"))
 			s.do("x copy", "x ready", "x cutover")
-			s.right("cut over")
+			s.checkAnswers("cut over")
 			s.do("x retire")
 		},
 		"move whose target dies while copying": func(s *scene) {
 			s.announce("x", layout.Move, []int{0}, part(0, 100, 0, "s04"))
 			s.do("x copy")
 			s.c.Server("s04").Kill()
-			s.right("the target is dead")
+			s.checkAnswers("the target is dead")
 			s.do("x abort")
 		},
 		"move whose source dies after the cut over was told": func(s *scene) {
 			s.announce("x", layout.Move, []int{0}, part(0, 100, 0, "s04"))
 			s.do("x copy", "x ready", "x cutover")
-			s.told()
+			s.waitForNewestEpoch()
 			s.c.Server("s00").Kill()
-			s.right("the source is dead")
+			s.checkAnswers("the source is dead")
 			s.do("x retire")
 		},
 		"move whose source dies before the cut over is told": func(s *scene) {
 			s.announce("x", layout.Move, []int{0}, part(0, 100, 0, "s04"))
 			s.do("x copy", "x ready")
-			s.told()
+			s.waitForNewestEpoch()
 			s.gs[0].agent.Set(fakebackend.Down, 0)
 			s.do("x cutover")
 			s.c.Server("s00").Kill()
 			asked := map[string]<-chan outcome{}
 			for _, index := range []string{"invoices", "filings"} {
-				asked[index] = s.later(s.gs[0], index, "untold "+index, keys(10, 20))
+				asked[index] = s.searchAsync(s.gs[0], index, "untold "+index, keys(10, 20))
 			}
 			got := map[string]outcome{}
-			for index, o := range asked { // the news comes while they wait, or after their attempts are spent
+			for index, o := range asked { // the update comes while they wait, or after their attempts are used up
 				if index == "invoices" {
 					s.gs[0].agent.Set(fakebackend.Well, 0)
 				}
@@ -209,14 +209,14 @@
 					s.t.Errorf("%s before the news: %d, %d rows: %.200s", index, o.status, len(o.ids), o.text)
 				}
 			}
-			s.told()
-			s.right("the source is dead, and the news has come")
+			s.waitForNewestEpoch()
+			s.checkAnswers("the source is dead, and the news has come")
 			s.do("x retire")
 		},
 		"abort after the cut over": func(s *scene) {
 			s.announce("x", layout.Split, []int{0}, part(0, 50, 4, "s03"), part(50, 100, 5, "s04"))
 			s.do("x copy", "x ready", "x cutover")
-			s.right("cut over")
+			s.checkAnswers("cut over")
 			s.do("x abort")
 		},
 	} {
@@ -224,22 +224,22 @@
 			t.Parallel()
 			s := newScene(t, 1)
 			play(s)
-			s.right("at the end, perhaps not yet told")
-			s.told()
-			s.right("at the end")
+			s.checkAnswers("at the end, perhaps not yet told")
+			s.waitForNewestEpoch()
+			s.checkAnswers("at the end")
 			s.clean(0)
 		})
 	}
 }
 
-// Parts are out at the new side when the change is aborted: the directory's abort crosses what the gatherer has just put in force.
+// Parts are in flight at the new side when the change is aborted, just after the gatherer put the cut over in force.
 func TestAbortCrossesCutOver(t *testing.T) {
 	s := newScene(t, 1)
 	s.announce("x", layout.Split, []int{0}, part(0, 50, 4, "s03"), part(50, 100, 5, "s04"))
 	s.do("x copy", "x ready", "x cutover")
-	s.told()
+	s.waitForNewestEpoch()
 	s.c.Server("s03").Set(fakebackend.Holds)
-	read, file := s.later(s.gs[0], "invoices", "r", keys(0, 100)), s.later(s.gs[0], "filings", "f", keys(20, 30))
+	read, file := s.searchAsync(s.gs[0], "invoices", "r", keys(0, 100)), s.searchAsync(s.gs[0], "filings", "f", keys(20, 30))
 	<-s.c.Server("s03").Held()
 	<-s.c.Server("s03").Held()
 	s.do("x abort")
@@ -253,61 +253,61 @@
 	s.clean(0)
 }
 
-// A holder that has lost its range still answers for it: that is never merged. The ledger sees what ran there.
+// The answer of a server that has lost its range is never merged. The fake backend records what ran there.
 func TestHolderThatHasLostItsRange(t *testing.T) {
 	s := newScene(t, 1)
 	s.announce("m", layout.Move, []int{0}, part(0, 100, 0, "s04"))
 	s.do("m copy", "m ready")
 	old := s.c.Server("s00")
 	old.Set(fakebackend.Holds)
-	read, file := s.later(s.gs[0], "invoices", "r", keys(10, 20)), s.later(s.gs[0], "filings", "f", keys(10, 20))
+	read, file := s.searchAsync(s.gs[0], "invoices", "r", keys(10, 20)), s.searchAsync(s.gs[0], "filings", "f", keys(10, 20))
 	<-old.Held()
 	<-old.Held()
 	s.do("m cutover", "m retire")
-	s.told()
+	s.waitForNewestEpoch()
 	old.Set(fakebackend.Zombie)
 	if o := <-read; !o.equals(s.c, keys(10, 20)) { // from the new holder
 		t.Errorf("read: %d %.200s", o.status, o.text)
 	}
-	if o := <-file; o.status != 500 { // it may have run, and nobody can say with what end
+	if o := <-file; o.status != 500 { // it may have run, with an unknown outcome
 		t.Errorf("filing: %d %.200s", o.status, o.text)
 	}
 	s.gs[0].WaitForLine(0, "event=note", "an answer of s00 for range 0-100, which it holds no longer")
-	s.right("the zombie is passed by")
+	s.checkAnswers("the zombie is passed by")
 	s.clean(2)
 }
 
-// A server answers under another range than it was asked for, or denies what it holds by an old epoch: neither is merged.
+// A server answers for another range than requested, or rejects a range that it holds with an old epoch. Neither is merged.
 func TestServersThatLie(t *testing.T) {
 	s := newScene(t, 1)
 	s.c.Server("s00").Set(fakebackend.Mislabels)
-	if o := s.gs[0].ask("invoices", "r", keys(10, 20)); o.status == 200 {
+	if o := s.gs[0].search("invoices", "r", keys(10, 20)); o.status == 200 {
 		t.Errorf("merged: %.200s", o.text)
 	}
-	if o := s.gs[0].ask("filings", "f", keys(10, 20)); o.status != 500 {
+	if o := s.gs[0].search("filings", "f", keys(10, 20)); o.status != 500 {
 		t.Errorf("it may have run: %d", o.status)
 	}
 	s.c.Server("s00").Set(fakebackend.Lags)
-	if o := s.gs[0].ask("filings", "g", keys(10, 20)); o.status != 429 || s.c.Ledger.Ran("g") {
+	if o := s.gs[0].search("filings", "g", keys(10, 20)); o.status != 429 || s.c.Ledger.Ran("g") {
 		t.Errorf("it never ran: %d", o.status)
 	}
 	s.clean(0)
 }
 
-// One gatherer is told of a cut over three seconds before the other, whose queries wait for the news inside their time.
-func TestToldThreeSecondsApart(t *testing.T) {
+// One gatherer learns of a cut over three seconds before the other. The other's queries wait for the update within their deadline.
+func TestGatherersNotifiedThreeSecondsFromEachOther(t *testing.T) {
 	s := newScene(t, 2)
 	s.announce("x", layout.Split, []int{0}, part(0, 50, 4, "s03"), part(50, 100, 5, "s04"))
 	s.do("x copy", "x ready")
-	s.told()
+	s.waitForNewestEpoch()
 	const lag = 3 * time.Second
 	s.gs[1].agent.Set(fakebackend.Well, lag)
 	began := time.Now()
 	s.do("x cutover", "x retire")
-	late := []<-chan outcome{s.later(s.gs[1], "invoices", "r1", keys(0, 400)), s.later(s.gs[1], "filings", "f1", keys(30, 70))}
-	s.gs[0].at(s.c.Directory.Now().Epoch())
+	late := []<-chan outcome{s.searchAsync(s.gs[1], "invoices", "r1", keys(0, 400)), s.searchAsync(s.gs[1], "filings", "f1", keys(30, 70))}
+	s.gs[0].waitForEpoch(s.c.Directory.Now().Epoch())
 	for i, want := range [][]layout.Span{keys(0, 400), keys(30, 70)} {
-		if o := s.gs[0].ask([]string{"invoices", "filings"}[i], fmt.Sprint("g0-", i), want); !o.equals(s.c, want) {
+		if o := s.gs[0].search([]string{"invoices", "filings"}[i], fmt.Sprint("g0-", i), want); !o.equals(s.c, want) {
 			t.Errorf("the one that is told: %d %.200s", o.status, o.text)
 		}
 		if o := <-late[i]; !o.equals(s.c, want) || time.Since(began) < lag/2 {
@@ -317,7 +317,7 @@
 	s.clean(0)
 }
 
-// What the directory says that does not go on with what is in force is not followed, and reported; once it is well again the
+// Layouts of the directory that do not continue the layout in force are rejected and reported. When the directory has recovered, the
 // gatherer catches up.
 func TestDirectoryThatLeavesAndLies(t *testing.T) {
 	s := newScene(t, 1)
@@ -334,7 +334,7 @@
 		{fakebackend.Skips, "reason=epoch"},
 		{fakebackend.Trickle, ""},
 	} {
-		for end := time.Now().Add(patience); g.agent.Watches() == 0 && time.Now().Before(end); {
+		for end := time.Now().Add(waitTimeout); g.agent.Watches() == 0 && time.Now().Before(end); {
 			time.Sleep(time.Millisecond) // a line is told only to who watches
 		}
 		before := len(g.Lines())
@@ -346,21 +346,21 @@
 			g.WaitForLine(before, "event=layout_kept", c.says)
 		}
 		g.agent.Set(fakebackend.Well, 0)
-		s.right(string(c.ill) + ", perhaps not yet told")
-		s.told()
-		s.right(string(c.ill))
+		s.checkAnswers(string(c.ill) + ", perhaps not yet told")
+		s.waitForNewestEpoch()
+		s.checkAnswers(string(c.ill))
 	}
 	wholes, resumed := g.agent.Asked()
 	if t.Logf("whole layouts %d, watches resumed %d", wholes, resumed); resumed == 0 {
 		t.Error("no watch went on from its epoch")
 	}
-	if got := g.life.Call("layout"); !strings.HasPrefix(got, fmt.Sprintf("history h1 epoch %d ranges 4", s.c.Directory.Now().Epoch())) {
+	if got := g.process.Call("layout"); !strings.HasPrefix(got, fmt.Sprintf("history h1 epoch %d ranges 4", s.c.Directory.Now().Epoch())) {
 		t.Errorf("the door says %q", got)
 	}
 	s.clean(0)
 }
 
-// SIGHUP and a replaced process in the middle of a move.
+// A SIGHUP and a replaced process in the middle of a move.
 func TestReloadAndReplaceInTheMiddleOfAMove(t *testing.T) {
 	s := &scene{t: t, c: newCluster(t, 5, 4, 1, 400, fakebackend.ServerConfig{})}
 	agent, err := s.c.Directory.Agent("")
@@ -377,28 +377,28 @@
 	s.gs = []*gatherer{g}
 	s.announce("m", layout.Move, []int{0}, part(0, 100, 0, "s04"))
 	s.do("m copy", "m ready")
-	s.told()
-	g.life.Signal(syscall.SIGHUP) // the file's own layout is older by now
+	s.waitForNewestEpoch()
+	g.process.Signal(syscall.SIGHUP) // the file's own layout is older by now
 	g.WaitForLine(0, "event=reload classes=")
-	s.right("reloaded")
+	s.checkAnswers("reloaded")
 	g.Write([]byte(strings.Replace(string(file), `"id":"s00"`, `"id":"other"`, 1)))
-	g.life.Signal(syscall.SIGHUP)
+	g.process.Signal(syscall.SIGHUP)
 	g.WaitForLine(0, "event=reload kept=old", "range 0-100", `\"s00\" is not in the list`)
 	g.Write(file)
 	s.do("m cutover")
-	old := g.life
+	old := g.process
 	g.run() // the successor
-	s.right("two processes")
+	s.checkAnswers("two processes")
 	old.Signal(syscall.SIGTERM)
-	s.right("the old one leaves")
+	s.checkAnswers("the old one leaves")
 	old.Leave()
 	s.do("m retire")
-	s.told()
-	s.right("replaced")
+	s.waitForNewestEpoch()
+	s.checkAnswers("replaced")
 	s.clean(0)
 }
 
-// Without a directory the file alone says where ranges are; one that goes back, or says two things of one epoch, is turned down.
+// Without a directory the layout comes from the file alone. An older epoch, or another layout of the same epoch, is rejected.
 func TestFileAlone(t *testing.T) {
 	c := newCluster(t, 5, 4, 1, 400, fakebackend.ServerConfig{})
 	doc := c.Directory.Now().Doc()
@@ -406,14 +406,14 @@
 	g.Write(config(t, c, doc, ""))
 	g.run()
 	s := &scene{t: t, c: c, gs: []*gatherer{g}}
-	s.right("at the start")
+	s.checkAnswers("at the start")
 	s.announce("m", layout.Move, []int{0}, part(0, 100, 0, "s04"))
 	s.do("m copy", "m ready", "m cutover", "m retire")
 	moved := s.c.Directory.Now().Doc()
 	g.Write(config(t, c, moved, ""))
-	g.life.Signal(syscall.SIGHUP)
-	g.at(moved.Epoch)
-	s.right("moved")
+	g.process.Signal(syscall.SIGHUP)
+	g.waitForEpoch(moved.Epoch)
+	s.checkAnswers("moved")
 	other := moved
 	other.Ranges = slices.Clone(moved.Ranges)
 	other.Ranges[3].Holders = []sq.ServerID{"s00"}
@@ -424,13 +424,13 @@
 		says string
 	}{{doc, "epoch 1: it goes back"}, {other, "it says something else"}, {gap, "it covers less"}} {
 		g.Write(config(t, c, bad.doc, ""))
-		g.life.Signal(syscall.SIGHUP)
+		g.process.Signal(syscall.SIGHUP)
 		g.WaitForLine(0, "event=reload kept=old", bad.says)
 	}
-	s.right("kept")
+	s.checkAnswers("kept")
 }
 
-// A range all of whose holders drain: its queries are refused at once, saying when to come back; others are served.
+// All holders of a range drain: its queries are refused immediately, with Retry-After; other queries are served.
 func TestRangeAllOfWhoseHoldersDrain(t *testing.T) {
 	c := newCluster(t, 5, 4, 1, 400, fakebackend.ServerConfig{})
 	doc := c.Directory.Now().Doc()
@@ -438,7 +438,7 @@
 	g.Write(config(t, c, doc, "", "s01"))
 	g.run()
 	began := time.Now()
-	resp, err := http.Post("http://"+g.life.Listen+"/filings/_search", "application/json", strings.NewReader(`{"query":{"term":{"taxpayer":150}}}`))
+	resp, err := http.Post("http://"+g.process.Listen+"/filings/_search", "application/json", strings.NewReader(`{"query":{"term":{"taxpayer":150}}}`))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -446,28 +446,28 @@
 	if resp.StatusCode != 429 || resp.Header.Get("Retry-After") == "" || time.Since(began) > 3*time.Second {
 		t.Errorf("%d %v after %s", resp.StatusCode, resp.Header, time.Since(began))
 	}
-	if o := g.ask("filings", "f", keys(200, 300)); !o.equals(c, keys(200, 300)) {
+	if o := g.search("filings", "f", keys(200, 300)); !o.equals(c, keys(200, 300)) {
 		t.Errorf("another range: %d %.200s", o.status, o.text)
 	}
 	g.Write(config(t, c, doc, ""))
-	g.life.Signal(syscall.SIGHUP)
+	g.process.Signal(syscall.SIGHUP)
 	g.WaitForLine(0, "event=reload classes=")
-	if o := g.ask("filings", "h", keys(100, 200)); !o.equals(c, keys(100, 200)) {
+	if o := g.search("filings", "h", keys(100, 200)); !o.equals(c, keys(100, 200)) {
 		t.Errorf("back: %d %.200s", o.status, o.text)
 	}
 }
 
-// A change that stalls is reported once and waited for by nobody.
+// A stalled change is reported one time and blocks nothing.
 func TestStall(t *testing.T) {
 	s := newScene(t, 1)
 	s.announce("m", layout.Move, []int{0}, part(0, 100, 0, "s04"))
 	s.do("m copy")
 	s.gs[0].WaitForLine(0, "event=layout_stalled", "change=m", "state=copying")
-	s.right("stalled")
-	if got := s.gs[0].life.Call("stats"); !strings.Contains(got, "svc.layout.stalled:1|g") || !strings.Contains(got, "svc.layout.changes:1|g") {
+	s.checkAnswers("stalled")
+	if got := s.gs[0].process.Call("stats"); !strings.Contains(got, "svc.layout.stalled:1|g") || !strings.Contains(got, "svc.layout.changes:1|g") {
 		t.Errorf("stats: %s", got)
 	}
-	if got := s.gs[0].life.Call("layout"); !strings.Contains(got, "change m move 0-100 copying stalled") {
+	if got := s.gs[0].process.Call("layout"); !strings.Contains(got, "change m move 0-100 copying stalled") {
 		t.Errorf("the door says %q", got)
 	}
 	text, err := json.Marshal(layout.Step{Change: "m", Do: layout.Abort})
@@ -479,6 +479,6 @@
 		t.Fatal(resp, err)
 	}
 	resp.Body.Close()
-	s.told()
-	s.right("aborted")
+	s.waitForNewestEpoch()
+	s.checkAnswers("aborted")
 }
--- a/internal/broker/layout/search_test.go
+++ b/internal/broker/layout/search_test.go
@@ -22,7 +22,7 @@
 
 func (g *gatherer) post(path, body string) (int, http.Header, string) {
 	g.t.Helper()
-	resp, err := client.Post("http://"+g.life.Listen+path, "application/json", strings.NewReader(body))
+	resp, err := client.Post("http://"+g.process.Listen+path, "application/json", strings.NewReader(body))
 	if err != nil {
 		g.t.Fatal(err)
 	}
@@ -34,18 +34,18 @@
 	return resp.StatusCode, resp.Header, string(text)
 }
 
-// figure waits until a figure is shown.
-func (g *gatherer) figure(line string) {
+// waitForMetric waits until the statistics contain a line.
+func (g *gatherer) waitForMetric(line string) {
 	g.t.Helper()
-	for end := time.Now().Add(patience); !strings.Contains(g.life.Call("stats"), line); {
+	for end := time.Now().Add(waitTimeout); !strings.Contains(g.process.Call("stats"), line); {
 		if time.Now().After(end) {
-			g.t.Fatalf("never %s: %s", line, g.life.Call("stats"))
+			g.t.Fatalf("never %s: %s", line, g.process.Call("stats"))
 		}
 	}
 }
 
-// Each search of a multi-search ends by itself: one is served, one is unknown, one can't be read, one is out of time while its
-// server is silent, one is refused where all that could serve it turn it away.
+// Each search of a multi-search has its own result: one is served, one has an unknown index, one can't be parsed, one exceeds its
+// deadline because its server does not answer, and one is refused because all of its holders reject it.
 func TestMultiSearch(t *testing.T) {
 	s := newScene(t, 1)
 	s.c.Server("s01").Set(fakebackend.Silent)
@@ -94,22 +94,23 @@
 	if status, _, text := s.gs[0].post("/invoices/_count", `{"query":{"range":{"taxpayer":{"gte":5,"lt":95}}}}`); status != 200 || !strings.HasPrefix(text, `{"count":90,`) {
 		t.Errorf("count: %d %s", status, text)
 	}
-	leaving, err := net.Dial("tcp", s.gs[0].life.Listen) // one who leaves while its searches are out
+	leaving, err := net.Dial("tcp", s.gs[0].process.Listen) // one who leaves while its searches are out
 	if err != nil {
 		t.Fatal(err)
 	}
 	two := strings.Repeat("{}\n"+`{"query":{"term":{"taxpayer":150}}}`+"\n", 2)
 	fmt.Fprintf(leaving, "POST /filings/_msearch HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n%s", len(two), two)
-	s.gs[0].figure("svc.open_requests:2|g")
+	s.gs[0].waitForMetric("svc.open_requests:2|g")
 	leaving.Close()
-	s.gs[0].figure("svc.open_requests:0|g")
-	if got := s.gs[0].life.Call("stats"); !strings.Contains(got, "svc.open_requests:0|g") || !strings.Contains(got, "svc.operations.once.throttled:1|c") {
+	s.gs[0].waitForMetric("svc.open_requests:0|g")
+	if got := s.gs[0].process.Call("stats"); !strings.Contains(got, "svc.open_requests:0|g") || !strings.Contains(got, "svc.operations.once.throttled:1|c") {
 		t.Errorf("stats: %s", got)
 	}
 }
 
-// Pages of a point in time go on over writes, a split, a move, a server that dies and a gatherer that is started anew: what stood at
-// its opening comes once, and nothing else. Where a server no longer holds that state, and after its end, the answer says so.
+// The pages of a point in time continue over writes, a split, a move, a failed server and a restarted gatherer: they contain each
+// document of the time of its opening exactly one time, and no other. The answer says so if the servers no longer have that state,
+// and after the point in time is closed.
 func TestPointInTime(t *testing.T) {
 	s := &scene{t: t, c: newCluster(t, 5, 4, 2, 400, fakebackend.ServerConfig{})}
 	s.gs = []*gatherer{start(t, s.c)}
@@ -136,13 +137,13 @@
 			s.announce("x", layout.Split, []int{0}, layout.Range{Span: layout.Span{From: 0, To: 30}, Shard: 4, Holders: []sq.ServerID{"s03"}},
 				layout.Range{Span: layout.Span{From: 30, To: 100}, Shard: 5, Holders: []sq.ServerID{"s04", "s02"}})
 			s.do("x copy", "x ready", "x cutover")
-			g.life.Signal(syscall.SIGHUP) // cursors stay
+			g.process.Signal(syscall.SIGHUP) // cursors stay
 			g.WaitForLine(0, "event=reload classes=")
 		},
 		func() { s.c.Server("s01").Kill(); s.do("x retire") },
 		func() {
-			g.life.Signal(syscall.SIGTERM)
-			<-g.life.Exited
+			g.process.Signal(syscall.SIGTERM)
+			<-g.process.Exited
 			g.run()
 		},
 		func() {
@@ -187,7 +188,7 @@
 	if status, text := ask(string(id[:len(id)-2]) + "xx"); status != 404 || !strings.Contains(text, "no cursor") {
 		t.Errorf("forged: %d %s", status, text)
 	}
-	req, err := http.NewRequest("DELETE", "http://"+g.life.Listen+"/_search/point_in_time", strings.NewReader(fmt.Sprintf(`{"pit_id":[%q]}`, id)))
+	req, err := http.NewRequest("DELETE", "http://"+g.process.Listen+"/_search/point_in_time", strings.NewReader(fmt.Sprintf(`{"pit_id":[%q]}`, id)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -201,8 +202,8 @@
 	}
 }
 
-// Two holders of one range differ by a late write: as of a time after it, the one that lacks it turns the part away, and the other
-// answers.
+// Two holders of one range differ by a late write. For a point in time after it, the holder without the write rejects the part and the
+// other answers.
 func TestHoldersThatDiffer(t *testing.T) {
 	s := &scene{t: t, c: newCluster(t, 5, 4, 2, 400, fakebackend.ServerConfig{})}
 	g := start(t, s.c)
@@ -221,13 +222,13 @@
 			t.Fatalf("%d %v %.200s", status, ids, text)
 		}
 	}
-	if got := g.life.Call("stats"); !strings.Contains(got, "svc.cursors.open:1|g") {
+	if got := g.process.Call("stats"); !strings.Contains(got, "svc.cursors.open:1|g") {
 		t.Errorf("stats: %s", got)
 	}
 }
 
-// A class whose least share is under 1 is answered in part, with the exact share and what is missing, and never marked whole; a
-// class that needs all is not.
+// A class with a minimum weight under 1 gets a partial answer, with its exact share and the missing parts, and never marked as
+// complete. A class that needs all parts gets no partial answer.
 func TestAnswersInPart(t *testing.T) {
 	s := &scene{t: t, c: newCluster(t, 5, 4, 1, 400, fakebackend.ServerConfig{})}
 	g := &gatherer{Place: harness.NewPlace(t), t: t}
--- a/internal/broker/routecheck/evaluate.go
+++ b/internal/broker/routecheck/evaluate.go
@@ -145,7 +145,7 @@
 	}
 	touched := map[int]bool{}
 	for _, v := range l.servers {
-		for _, at := range ev.s.heldPlaces[v.ID] {
+		for _, at := range ev.s.placesOf[v.ID] {
 			touched[at] = true
 		}
 	}
@@ -275,7 +275,7 @@
 		ev.fail(i, -1, "the roster has no server %s", id)
 		return
 	}
-	for _, at := range intersect(ev.s.heldPlaces[id], places) {
+	for _, at := range intersect(ev.s.placesOf[id], places) {
 		if slices.Contains(ev.holders(at), id) {
 			ev.fail(i, at, "%s may be sent to", id)
 		} else if to := ev.s.send(ev.s.ranges[at]); to == id {
--- a/internal/broker/routecheck/proof_test.go
+++ b/internal/broker/routecheck/proof_test.go
@@ -13,7 +13,7 @@
 	sq "saffronquay"
 )
 
-// good makes a sound roster: twelve servers in three zones, forty ranges of a thousand keys, each held in all three.
+// good returns a valid roster: twelve servers in three zones, forty ranges of a thousand keys, each with a holder in every zone.
 func good() Roster {
 	r := Roster{Name: "good", Seed: 1, Settings: sq.Settings{
 		Aggregators: 1, Zone: "norte", Period: 1000, Shards: 1, Cells: 1, CellsPerShard: 1, PartsPerCall: 1,
@@ -36,7 +36,7 @@
 
 func id(i int) sq.ServerID { return sq.ServerID(fmt.Sprintf("s%02d", i%12)) }
 
-// with puts a layout in a roster.
+// with returns the roster with another layout.
 func (r Roster) with(doc layout.Doc) Roster {
 	l, err := layout.New(doc, nil)
 	if err != nil {
@@ -48,7 +48,7 @@
 	return r
 }
 
-// ranges changes a roster's ranges.
+// ranges returns the roster with changed ranges.
 func (r Roster) ranges(change func(rs []layout.Range) []layout.Range) Roster {
 	doc := r.Layout.Doc()
 	doc.Ranges = slices.Clone(doc.Ranges)
@@ -60,7 +60,7 @@
 	return r.with(doc)
 }
 
-// under puts a change under way, up to a state.
+// under returns the roster with a change under way, to which the given actions were applied.
 func (r Roster) under(kind layout.Kind, from []int, to []layout.Range, actions ...layout.Action) Roster {
 	l := r.Layout
 	for i, do := range append([]layout.Action{layout.Announce}, actions...) {
@@ -112,7 +112,7 @@
 
 func span(i int) layout.Span { return layout.Span{From: int64(i) * 1000, To: int64(i+1) * 1000} }
 
-// broken are rosters with one thing wrong, and the expectations that fail of it. extra is judged beside the usual ones.
+// broken are rosters with one fault each, and the expectations that fail because of it. extra is evaluated beside the usual ones.
 var broken = []struct {
 	name  string
 	make  func(Roster) Roster
@@ -214,7 +214,7 @@
 	{"a key nowhere", func(r Roster) Roster { return r }, `{"name":"far","reason":"r","key_zones":{"key":99999,"zones":1}}`, "far"},
 }
 
-// sound are changes that break nothing.
+// sound are changes that make no expectation fail.
 var sound = []struct {
 	name string
 	make func(Roster) Roster
@@ -299,7 +299,7 @@
 	fmt.Printf("proof: broken_caught=%d good_passed=%d slowest_ms=%d\n", caught, passed, slowest.Milliseconds())
 }
 
-// What is judged under a loss is what a roster without the lost servers is judged to be.
+// The results under a loss are those of a roster without the lost servers.
 func TestLossesAgreeWithSmallerRosters(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	for round := range 30 {
@@ -327,7 +327,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			// A loss tells what it touches: ranges that fail anyway are told without it.
+			// A loss reports only the ranges that it touches: ranges that fail without it are reported there.
 			if a[0].OK && !b[0].OK && kind[1:6] != "least" || !a[0].OK && b[0].OK {
 				t.Errorf("round %d, %s without %s: %v, of a roster that lacks it %v", round, kind, id(at), a[0], b[0])
 			}
@@ -335,7 +335,7 @@
 	}
 }
 
-// The size that is aimed at: SAFFRONQUAY_MEASURE=1.
+// TestMeasure measures a roster of the intended size. SAFFRONQUAY_MEASURE=1 runs it.
 func TestMeasure(t *testing.T) {
 	if os.Getenv("SAFFRONQUAY_MEASURE") == "" {
 		t.Skip("SAFFRONQUAY_MEASURE is not set")
--- a/internal/broker/routecheck/subject.go
+++ b/internal/broker/routecheck/subject.go
@@ -59,14 +59,14 @@
 // subject is a roster with the decision module that would serve it. It runs in virtual time.
 type subject struct {
 	Roster
-	module     *sq.Scheduler
-	now        int64
-	lastID     sq.ID
-	zones      map[sq.ServerID]string
-	up         int                   // number of servers that are ready and not lost
-	ranges     []layout.Part         // of all indices, without duplicates, in key order
-	keys       map[int64][]int       // cache of at, by key
-	heldPlaces map[sq.ServerID][]int // by server, the indexes in ranges of what it may hold
+	module   *sq.Scheduler
+	now      int64
+	lastID   sq.ID
+	zones    map[sq.ServerID]string
+	up       int                   // number of servers that are ready and not lost
+	ranges   []layout.Part         // of all indices, without duplicates, in key order
+	keys     map[int64][]int       // cache of at, by key
+	placesOf map[sq.ServerID][]int // by server, the indexes in ranges of what it may hold
 }
 
 // newSubject starts a decision module and gives it the roster's servers, layout and learned state.
@@ -75,7 +75,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	s := &subject{Roster: r, module: m, now: startTime, zones: map[sq.ServerID]string{}, keys: map[int64][]int{}, heldPlaces: map[sq.ServerID][]int{}}
+	s := &subject{Roster: r, module: m, now: startTime, zones: map[sq.ServerID]string{}, keys: map[int64][]int{}, placesOf: map[sq.ServerID][]int{}}
 	for _, v := range r.Servers {
 		s.zones[v.ID] = v.Zone
 		s.up += readyCount(v)
@@ -108,7 +108,7 @@
 	})
 	for i, p := range s.ranges {
 		for _, id := range m.Holders(p.Shard) {
-			s.heldPlaces[id] = append(s.heldPlaces[id], i)
+			s.placesOf[id] = append(s.placesOf[id], i)
 		}
 	}
 	return s, nil
