--- a/internal/testing/endtoend/platform_test.go
+++ b/internal/testing/endtoend/platform_test.go
@@ -237,13 +237,12 @@
 
 // workerAnswer is what a worker that behaves so sends for a part.
 func workerAnswer(does, id, value string) []byte {
-	end := "OK"
 	good := frame(fmt.Sprintf("Y%s OK 7 queue=0,util=0.1\n%s", id, value))
 	switch does {
 	case "serve":
 		return good
 	case "reject":
-		end, value = "REJECTED", ""
+		return frame(fmt.Sprintf("Y%s REJECTED 7 queue=0,util=0.1\n", id))
 	case "bad-report":
 		return frame(fmt.Sprintf("Y%s OK 7 queue=NaN;; util\n%s", id, value))
 	case "twice":
@@ -261,9 +260,8 @@
 	case "stranger":
 		return frame("Y9b1f.0 OK 7 -\n" + value)
 	default: // every way of saying that it went wrong
-		end, value = "ERROR", ""
+		return frame(fmt.Sprintf("Y%s ERROR 7 queue=0,util=0.1\n", id))
 	}
-	return frame(fmt.Sprintf("Y%s %s 7 queue=0,util=0.1\n%s", id, end, value))
 }
 
 func frame(body string) []byte {
--- a/internal/testing/endtoend/scenario_test.go
+++ b/internal/testing/endtoend/scenario_test.go
@@ -667,7 +667,7 @@
 				c := w.clients[f[1]]
 				c.conn.SetReadDeadline(time.Now().Add(patience))
 				if b, err := c.r.ReadByte(); err != io.EOF {
-					return fmt.Errorf("got %q %v", b, err)
+					return fmt.Errorf("got %q and %v, not the end", b, err) //nolint:errorlint // the error may be nil
 				}
 				return nil
 			}
