--- a/internal/broker/layout/place.go
+++ b/internal/broker/layout/place.go
@@ -3,7 +3,6 @@
 import (
 	"errors"
 	"fmt"
-	"sync/atomic"
 )
 
 // Header fields between the broker and shard servers.
@@ -34,12 +33,3 @@
 	}
 	return p, nil
 }
-
-// Current publishes the layout in force to readers. It is safe for concurrent use. The zero value has no layout.
-type Current struct{ p atomic.Pointer[Layout] }
-
-// Load returns the layout in force, or nil before the first Store.
-func (c *Current) Load() *Layout { return c.p.Load() }
-
-// Store replaces the layout in force.
-func (c *Current) Store(l *Layout) { c.p.Store(l) }
--- a/internal/broker/layout/tracker.go
+++ b/internal/broker/layout/tracker.go
@@ -28,9 +28,9 @@
 // document or step leaves the tracker as it was; the errors are those of ValidationError.
 type Tracker struct {
 	current  *Layout
-	known    map[sq.ServerID]bool
+	known    map[sq.ServerID]bool // servers that may hold ranges; nil: all
 	states   map[string]observedState
-	reported map[string]State
+	reported map[string]State // by change, the state in which Stalled returned it last time
 }
 
 // observedState is a change's state, and when the tracker first saw the change in it.
@@ -160,15 +160,15 @@
 		u.Changed = Diff(t.current, l)
 	}
 	t.current = l
-	since := map[string]observedState{}
+	states := map[string]observedState{}
 	for _, c := range l.doc.Changes {
 		h := t.states[c.ID]
 		if h.state != c.State {
 			h = observedState{c.State, at}
 		}
-		since[c.ID] = h
+		states[c.ID] = h
 	}
-	t.states = since
+	t.states = states
 	return u
 }
 
--- a/internal/broker/layout/validate.go
+++ b/internal/broker/layout/validate.go
@@ -26,14 +26,15 @@
 	Text  string
 }
 
-func (f *ValidationError) Error() string {
-	if f.Range == "" {
-		return fmt.Sprintf("epoch %d: %s", f.Epoch, f.Text)
+func (e *ValidationError) Error() string {
+	if e.Range == "" {
+		return fmt.Sprintf("epoch %d: %s", e.Epoch, e.Text)
 	}
-	return fmt.Sprintf("epoch %d: range %s: %s", f.Epoch, f.Range, f.Text)
+	return fmt.Sprintf("epoch %d: range %s: %s", e.Epoch, e.Range, e.Text)
 }
 
-func (f *ValidationError) Unwrap() error { return f.Kind }
+// Unwrap returns the Kind, for errors.Is.
+func (e *ValidationError) Unwrap() error { return e.Kind }
 
 // validator collects the faults of one document or step.
 type validator struct {
