--- a/internal/testing/soak/judge.go
+++ b/internal/testing/soak/judge.go
@@ -8,15 +8,16 @@
 	"time"
 )
 
-// Query is one that a client sent. Times count from the beginning of the history.
+// Query is one that a client sent. Times count from the beginning of the history, in which its fields are stored under their Go names.
 type Query struct {
 	Sent, Came time.Duration
-	Version    int64 // that it was let in under; -1: it was not
+	Version    int64 // that it was admitted under; -1: it was not admitted
 	At         string
 	Status     int // 0: there was no answer
 }
 
-// Mixed counts queries that were let in under a version after one was answered under a later one, and words the first.
+// Mixed counts the queries that were admitted under a version although they were sent after another was answered under a later version. first
+// describes the first of them.
 func Mixed(all []Query) (n int, first string) {
 	bySent, byCame := slices.Clone(all), slices.Clone(all)
 	slices.SortFunc(bySent, func(a, b Query) int { return cmp.Compare(a.Sent, b.Sent) })
@@ -37,7 +38,7 @@
 	return n, first
 }
 
-// Reading is what one process may have out, as its door told.
+// Reading is how many parts one process may have in flight, as its admin endpoint reported. It is stored in the history like Query.
 type Reading struct {
 	Sent, Came time.Duration
 	At         string
@@ -70,12 +71,13 @@
 	return n, most, first
 }
 
-// away is when a process was dead or stood still by a script, with a moment before and after.
+// away is a span in which a script had a process ended or suspended.
 type away struct {
 	who      int
 	from, to time.Duration
 }
 
+// aways returns the spans of a script's ended and suspended members.
 func aways(s faults.Script, members int) (all []away) {
 	for _, x := range s {
 		for i := range members {
@@ -100,7 +102,7 @@
 	return all
 }
 
-// disturbed tells whether a process was away in a span of time, give or take some.
+// disturbed returns whether a process was away in a span of time, extended by slack on both sides.
 func disturbed(all []away, who int, from, to, slack time.Duration) bool {
 	return slices.ContainsFunc(all, func(a away) bool { return a.who == who && from < a.to+slack && to > a.from-slack })
 }
--- a/internal/testing/soak/load.go
+++ b/internal/testing/soak/load.go
@@ -80,7 +80,7 @@
 	}
 }
 
-// watch reads what each process may have out, and its memory.
+// watch reads the limit and the memory of each process until the run is over.
 func (d *day) watch() {
 	defer d.wg.Done()
 	d.res.memory = map[string][]sample{}
@@ -93,15 +93,15 @@
 		}
 		var wg sync.WaitGroup
 		for k := range d.g.Members {
-			door, name, pid := d.g.AdminAddressOf(k)
-			if door == "" {
+			admin, name, pid := d.g.AdminAddressOf(k)
+			if admin == "" {
 				continue
 			}
 			wg.Add(1)
 			go func() {
 				defer wg.Done()
 				x := Reading{Sent: time.Since(d.g.Began()), At: name}
-				limit, ok := limitAt(door)
+				limit, ok := limitAt(admin)
 				x.Limit, x.Came = limit, time.Since(d.g.Began())
 				mb, known := resident(pid)
 				mu.Lock()
@@ -118,9 +118,9 @@
 	}
 }
 
-// limitAt asks a door what its process may have out.
-func limitAt(door string) (limit int, ok bool) {
-	conn, err := net.DialTimeout("tcp", door, 300*time.Millisecond)
+// limitAt requests from an admin endpoint how many parts its process may have in flight.
+func limitAt(admin string) (limit int, ok bool) {
+	conn, err := net.DialTimeout("tcp", admin, 300*time.Millisecond)
 	if err != nil {
 		return 0, false
 	}
@@ -137,7 +137,7 @@
 	return limit, err == nil
 }
 
-// resident is a process's memory in MB, as the system tells it.
+// resident returns a process's resident memory in MB, from /proc.
 func resident(pid int) (mb int, ok bool) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", pid))
 	if err != nil {
