--- a/internal/testing/harness/binary.go
+++ b/internal/testing/harness/binary.go
@@ -1,7 +1,6 @@
 package harness
 
 import (
-	"context"
 	"fmt"
 	"os"
 	"os/exec"
@@ -28,7 +27,7 @@
 	if RaceEnabled {
 		build = append(build, "-race")
 	}
-	if out, err := exec.CommandContext(context.Background(), "go", append(build, "saffronquay/cmd/saffronquay")...).CombinedOutput(); err != nil {
+	if out, err := exec.Command("go", append(build, "saffronquay/cmd/saffronquay")...).CombinedOutput(); err != nil {
 		return "", fmt.Errorf("test harness: build: %w: %s", err, out)
 	}
 	return path, nil
@@ -50,7 +49,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	cmd := exec.CommandContext(context.Background(), path, words...)
-	text, _ := cmd.CombinedOutput() // a failure shows in the exit code
+	cmd := exec.Command(path, words...) //nolint:noctx // the command runs to its end
+	text, _ := cmd.CombinedOutput()     // a failure shows in the exit code
 	return string(text), cmd.ProcessState.ExitCode()
 }
--- a/internal/testing/harness/process.go
+++ b/internal/testing/harness/process.go
@@ -2,7 +2,6 @@
 
 import (
 	"bufio"
-	"context"
 	"fmt"
 	"io"
 	"os"
@@ -36,7 +35,8 @@
 	if err != nil {
 		p.T.Fatal(err)
 	}
-	proc := &Process{place: p, cmd: exec.CommandContext(context.Background(), path), Exited: make(chan struct{}), up: make(chan struct{})}
+	command := exec.Command(path) //nolint:noctx // the process is ended by Kill or Stop, not by a context
+	proc := &Process{place: p, cmd: command, Exited: make(chan struct{}), up: make(chan struct{})}
 	usual := append(os.Environ(), "SAFFRONQUAY_OPERATOR_FILE="+p.File, "LB_OPERATOR=", "LB_PASSED_SOCKET=", "TMPDIR="+p.Dir)
 	proc.cmd.Env = append(usual, p.Env...)
 	if p.Socket != nil {
--- a/internal/testing/harness/sockets.go
+++ b/internal/testing/harness/sockets.go
@@ -1,7 +1,6 @@
 package harness
 
 import (
-	"context"
 	"net"
 	"net/netip"
 	"time"
@@ -14,8 +13,7 @@
 
 // dial connects by TCP within a time.
 func dial(address string, timeout time.Duration) (net.Conn, error) {
-	d := net.Dialer{Timeout: timeout}
-	return d.DialContext(context.Background(), "tcp", address)
+	return net.DialTimeout("tcp", address, timeout) //nolint:noctx // bounded by timeout, and by nothing else as before
 }
 
 // addrPort returns the address of a TCP or UDP socket; not valid for any other.
