--- /dev/null
+++ b/internal/layout/histories_test.go
@@ -0,0 +1,29 @@
+package layout
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+
+	"pgregory.net/rapid"
+
+	"saffronquay/internal/lab"
+)
+
+// The same draws give the layouts that were recorded, each with its plan. Names of fields are left out.
+func TestRecordedHistories(t *testing.T) {
+	drawn := rapid.Custom(func(t *rapid.T) string {
+		var text strings.Builder
+		layouts, steps := history(t)
+		for _, l := range layouts {
+			fmt.Fprintf(&text, "%v %v\n", l.Doc(), l.Plan(nil, drawSpans(t, l)))
+		}
+		fmt.Fprintf(&text, "%v\n", steps)
+		return text.String()
+	})
+	played := map[string]string{}
+	for seed := range 40 {
+		played[fmt.Sprint("seed-", seed)] = drawn.Example(seed)
+	}
+	lab.CheckHistories(t, played)
+}
--- /dev/null
+++ b/internal/model/histories_test.go
@@ -0,0 +1,20 @@
+package model
+
+import (
+	"fmt"
+	"testing"
+
+	"saffronquay/internal/lab"
+)
+
+// The same seed gives the day that was recorded. A history is all that came of a day, without the names of fields.
+func TestRecordedHistories(t *testing.T) {
+	played := map[string]string{}
+	for name, day := range map[string]func(uint64, int, int) Day{"calm": Fleet, "burst": Burst, "zone": ZoneLost, "herd": Herd, "join": Join} {
+		d := day(5, 4, 8)
+		d.Length = 7 * second
+		r, err := Play(d)
+		played[name] = fmt.Sprintf("%v %v", r, err)
+	}
+	lab.CheckHistories(t, played)
+}
--- /dev/null
+++ b/internal/rollout/model/histories_test.go
@@ -0,0 +1,24 @@
+package model
+
+import (
+	"fmt"
+	"testing"
+
+	"saffronquay/internal/lab"
+)
+
+// The same seed gives the history that was recorded: in one region, and in two that are cut from each other. A history is all that came of a
+// run, each change and wait included, without the names of fields.
+func TestRecordedHistories(t *testing.T) {
+	played := map[string]string{}
+	play := func(name string, cfg Config) {
+		cfg.History = true
+		r, err := Run(cfg)
+		played[name] = fmt.Sprintf("%v %v", r, err)
+	}
+	for seed := range uint64(2) {
+		play(fmt.Sprint("one-region/seed-", seed), usual(seed))
+		play(fmt.Sprint("two-regions/seed-", seed), between(seed))
+	}
+	lab.CheckHistories(t, played)
+}
--- /dev/null
+++ b/internal/system/model/histories_test.go
@@ -0,0 +1,29 @@
+package model
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+
+	"saffronquay/internal/lab"
+)
+
+// traced is all that happens in the history of a seed, what it came to and what went wrong. Names of fields are left out.
+func traced(seed uint64, bug Bug) string {
+	var text strings.Builder
+	options := Seeded(seed, bug)
+	options.Trace = func(format string, values ...any) { fmt.Fprintf(&text, format+"\n", values...) }
+	report, err := Play(options)
+	fmt.Fprintf(&text, "%v\n%v\n", report, err)
+	return text.String()
+}
+
+// The same seed gives the history that was recorded, with a seeded mistake too.
+func TestRecordedHistories(t *testing.T) {
+	played := map[string]string{}
+	for seed := uint64(1); seed <= 2; seed++ {
+		played[fmt.Sprint("seed-", seed)] = traced(seed, NoBug)
+		played[fmt.Sprint("mistake/seed-", seed)] = traced(seed, Bugs[(seed*3)%uint64(len(Bugs))])
+	}
+	lab.CheckHistories(t, played)
+}
