--- a/admission.go
+++ b/admission.go
@@ -1,5 +1,5 @@
-// Which queries are let in: by predicted latency, tenants' quotas, how long clients wait, and keys that bring
-// down servers. Types are in api.go.
+// Admission of queries: by predicted latency, tenants' quotas, how long clients wait, and keys whose queries
+// crash servers. Types are in api.go.
 
 package saffronquay
 
@@ -8,29 +8,30 @@
 	"slices"
 )
 
-// Tuning of admission. Notes give the score that another value cost on a recorded site.
+// Tuning of admission, from scores on recorded sites.
 const (
-	slackGain          = 1.04 // factor of the slack for a query in time; 1.02: cordoba -0.03
-	slackLoss          = 0.75 // factor for a miss: with slackGain about an eighth is late; 0.6, 1.07: same
-	minSlack           = 0.7  // least slack, in multiples of the time left
-	maxSlack           = 1.6  // most when all goes well; 1.2: gruenau -0.03, 2.0: incidents -0.02
-	overloadThreshold  = 0.05 // fraction of failed attempts from which nothing late is worked on
-	overloadStrictness = 5.0  // how much that fraction makes admission stricter; 0: cordoba's overload -0.03
-	leaveWeight        = 2.0  // half of a class's clients leaving counts as much as all
-	tenantPriorQueries = 4.0  // queries of a tenant that say little about its traffic
+	slackGain          = 1.04 // factor applied to the slack after a query that met its latency target
+	slackLoss          = 0.75 // factor after a miss; with slackGain, about one query in eight is late
+	minSlack           = 0.7  // minimum slack, as a multiple of the remaining time
+	maxSlack           = 1.6  // maximum slack; 1.2 refuses too much, 2.0 admits too much during incidents
+	overloadThreshold  = 0.05 // fraction of failed attempts above which late queries are abandoned
+	overloadStrictness = 5.0  // how strongly that fraction reduces the slack; 0 loses value under overload
+	leaveWeight        = 2.0  // factor on the leave rate: half of a class's clients leaving counts as all
+	tenantPriorQueries = 4.0  // prior weight, in queries, of the assumption that a tenant is within its quota
 )
 
-// harmfulKeyPrefix begins the message to peers that a key brings down servers.
+// harmfulKeyPrefix starts the message to peers that queries of a key crash servers.
 const harmfulKeyPrefix = "bad "
 
-// admit refuses a query at its arrival when the last part that its answer needs is not predicted in time, the
-// sooner the less it earns for its work, so that what is accepted finishes and the most valuable queries have
-// capacity. Guards against overload, of the fleet or of one shard's holders, whatever its cause. Cost:
-// predictions that are too high refuse what would have been served.
+// admit admits an arriving query, or refuses it if the last part that its answer needs is not predicted to
+// be served in time. Queries that earn little for their work are refused first, so that admitted queries
+// finish and the most valuable ones have capacity. This protects against overload of the fleet or of the
+// holders of one shard, whatever its cause. The cost is that predictions that are too high refuse queries
+// that would have been served.
 func (s *Scheduler) admit(q *query) {
 	var waits []float64
 	for _, p := range q.parts {
-		if r, t := s.chooseReplica(p); r != nil { // what failures left is no work ahead
+		if r, t := s.chooseReplica(p); r != nil { // the charge for failures is not work ahead of the part
 			waits = append(waits, t-s.failureDelay(q.class.Name, r))
 		}
 	}
@@ -48,14 +49,16 @@
 	s.refuse(q, int64(last-allowed))
 }
 
-// overload is the fraction of attempts that were lately rejected or ran out of time. It shows an excessive
-// load sooner than queries do: one of many aggregators sees one query a second, and dozens of parts.
+// overload returns the fraction of recent attempts that were rejected or timed out. It shows overload
+// earlier than the outcomes of queries do: with many aggregators, each sees about one query per second, but
+// dozens of parts.
 func (s *Scheduler) overload() float64 { return s.overloadRate.mean(s.now, s.shortestTarget, 0) }
 
-// quotaValue is the fraction of its value that a query is expected to keep, given its tenant's traffic beyond
-// its quota. The fleet's traffic is not seen, so a tenant's fraction of the queries here, with the doubt of a
-// few queries, is compared with its fraction of all quotas. Guards tenants within their quota against one
-// that is not. Cost: where all clients of a tenant come to this aggregator its queries are refused sooner.
+// quotaValue returns the fraction of its value that a query keeps, given its tenant's traffic above quota.
+// Fleet-wide traffic is not visible here, so the tenant's fraction of this aggregator's queries, smoothed
+// by tenantPriorQueries, is compared with its fraction of all quotas. This protects tenants within their
+// quota from one that exceeds it. The cost is that a tenant whose clients all use this aggregator is
+// refused earlier.
 func (s *Scheduler) quotaValue(q *query) float64 {
 	t := s.tenants[q.Tenant]
 	if t == nil {
@@ -65,15 +68,15 @@
 	return s.cfg.OverQuotaValue + (1-s.cfg.OverQuotaValue)*min(1, 1/use)
 }
 
-// currentSlack is the slack of admission. Without misses it opens by itself, since an aggregator that refuses
-// queries and accepts few has little to learn from.
+// currentSlack returns the slack of admission. Without misses it returns to openSlack over time, since an
+// aggregator that admits few queries has few outcomes to learn from.
 func (s *Scheduler) currentSlack() float64 {
 	return s.openSlack * math.Pow(s.slack/s.openSlack, decay(s.now-s.slackAt, 8*s.shortestTarget))
 }
 
-// adjustAdmission corrects the slack by how an admitted query came out. Guards against predictions that are
-// wrong for the whole fleet, either way. Cost: misses of another cause make admission stricter than needed
-// for a while.
+// adjustAdmission adjusts the slack by the outcome of an admitted query. This corrects predictions that are
+// too high or too low for the whole fleet. The cost is that misses with another cause make admission
+// stricter than needed for a while.
 func (s *Scheduler) adjustAdmission(q *query, inTime bool) {
 	if !q.admitted || q.outcomeCounted {
 		return
@@ -94,10 +97,11 @@
 	}
 }
 
-// recordClientLeft learns from a client that left before its time was up how long clients of its class wait;
-// without further evidence that returns to the latency target. Guards against answers that no client waits
-// for, and the retries that follow: what is not expected in time is refused, what is delayed is answered in
-// part sooner. Cost: a few clients that leave early make admission stricter for all for a while.
+// recordClientLeft updates the expected wait of a class's clients after one left before its deadline;
+// without further evidence the expectation returns to the latency target. This avoids answers that no
+// client waits for, and the retries that follow: queries not expected in time are refused, and partial
+// answers are given earlier. The cost is that a few clients that leave early make admission stricter for
+// all clients for a while.
 func (s *Scheduler) recordClientLeft(q *query) {
 	if s.now >= q.Deadline-2*s.cfg.Period {
 		return
@@ -106,14 +110,14 @@
 	w := s.expectedClientWait(q.class)
 	next := w + sampleWeight*(float64(s.now-q.arrivedAt)-w)
 	if target := float64(q.class.LatencyTarget); w >= target/2 && next < target/2 {
-		s.emit(Log{Text: "clients of class " + q.class.Name + " leave early"})
+		s.emit(Log{Text: "clients of class " + q.class.Name + " leave before half the latency target"})
 	}
 	k.clientWait, k.clientLeftAt = next, s.now
 	k.leaveRate.add(s.now, 4*q.class.LatencyTarget, 1)
 	s.adjustAdmission(q, false)
 }
 
-// expectedClientWait is how long clients of a class are expected to wait: the latency target at most.
+// expectedClientWait returns how long clients of a class are expected to wait, at most the latency target.
 func (s *Scheduler) expectedClientWait(c *Class) float64 {
 	k, target := s.statsOf(c), float64(c.LatencyTarget)
 	if k.clientLeftAt == 0 {
@@ -124,37 +128,37 @@
 	return min(target, target+(k.clientWait-target)*counts)
 }
 
-// suspectKey looks at a query one of whose attempts broke. If connections broke on two servers independently
-// and no part was ever served, its key is blocked, not the servers, and peers are notified. Guards against
-// queries that crash what serves them, and keys whose answers cannot be sent; other queries in flight break
-// on one server and have parts served, or on several servers of a lost zone. Cost: a key that met two crashes
-// by chance is refused for the warm-up time.
-func (s *Scheduler) suspectKey(q *query) {
+// checkHarmfulKey checks the key of a query after one of its attempts broke. If connections to two servers
+// broke independently and no part of the query was served, the key is blocked, the servers are not blamed,
+// and peers are notified. This protects against queries that crash servers, and against keys whose answers
+// cannot be sent. Other queries in flight are not blocked: they break on one server and have parts served,
+// or break on several servers of a lost zone. The cost is that a key involved in two unrelated crashes is
+// refused for the warm-up time.
+func (s *Scheduler) checkHarmfulKey(q *query) {
 	if q.Key == "" || q.inSecondStep || q.servedWeight() > 0 || s.isBlocked(q) || !q.brokeIndependently() {
 		return
 	}
 	s.blockKey(q.Key)
-	s.emit(Log{Text: "queries of key " + keyTag(q.Key) + " bring down servers: turned away"})
+	s.emit(Log{Text: "queries of key " + keyTag(q.Key) + " crash servers; refusing them"})
 	if s.cfg.Limits.PeerMessages {
 		s.emit(NotifyPeer{Peer: -1, Text: harmfulKeyPrefix + q.Key})
 	}
 }
 
-// blockKey refuses a key's queries until servers that it brought down can be warm again: for the warm-up
-// time.
+// blockKey blocks a key for the warm-up time, after which the servers that it crashed can be warm again.
 func (s *Scheduler) blockKey(key string) {
 	s.keys[key] = keyRecord{harmful: true, at: s.now}
 	s.harmfulKeyAt = s.now
 }
 
-// isBlocked reports whether a query's key is refused now.
+// isBlocked reports whether queries with this query's key are refused.
 func (s *Scheduler) isBlocked(q *query) bool {
 	k := s.keys[q.Key]
 	return k.harmful && s.isRecent(k.at)
 }
 
-// sendsOnePartFirst reports whether one part of a query goes first and the others wait until it is served:
-// while some key brings down servers, any other may, unless it was seen served since.
+// sendsOnePartFirst reports whether only one part of a query is sent until that part is served. While any
+// key is blocked, this applies to every key that has not been served since.
 func (s *Scheduler) sendsOnePartFirst(q *query) bool {
 	k := s.keys[q.Key]
 	unproven := k.at == 0 || k.harmful
--- a/answering.go
+++ b/answering.go
@@ -1,4 +1,4 @@
-// When a query ends, and how: answered, refused or failed. Types are in api.go.
+// When a query ends, and whether it is answered, refused or failed. Types are in api.go.
 
 package saffronquay
 
@@ -6,32 +6,33 @@
 	"slices"
 )
 
-// reviewQueries ends every query that can be answered, that earns nothing any more, or whose time is up, and
-// admits or refuses the new ones.
+// reviewQueries ends every query that can be answered, that cannot earn any more value, or whose deadline
+// has come, and admits or refuses new queries.
 func (s *Scheduler) reviewQueries() {
 	for _, q := range slices.Clone(s.openQueries) {
 		switch {
 		case q.isComplete():
 			s.answer(q)
 		case s.isBlocked(q):
-			q.outcomeCounted = true // it says nothing about the load
-			s.giveUp(q)
-		case s.now >= q.Deadline-s.cfg.Period || s.hopeless(q):
-			s.giveUp(q)
+			q.outcomeCounted = true // no evidence about the load
+			s.abandon(q)
+		case s.now >= q.Deadline-s.cfg.Period || s.cannotReachMinWeight(q):
+			s.abandon(q)
 		case s.now >= s.answerBy(q)-3*s.cfg.Period && s.answerable(q):
-			// Nothing later earns more: a partial answer now against the late value.
+			// A partial answer now is compared with a complete answer after the latency target.
 			if q.class.PartialValue*q.servedWeight()/max(q.class.CompleteWeight, 0.01) >= q.class.LateValue {
 				s.answer(q)
 			}
 		case s.now >= s.valuableUntil(q):
-			s.giveUp(q)
+			s.abandon(q)
 		case !q.admitted:
 			s.admit(q)
 		}
 	}
 }
 
-// answerBy is the time to answer by: the latency target, or before it as long as clients are seen to wait.
+// answerBy returns the time by which to answer: the latency target, or earlier if clients of the class
+// leave earlier.
 func (s *Scheduler) answerBy(q *query) int64 {
 	by := min(q.latencyTargetTime(), q.Deadline-s.cfg.Period)
 	if w := s.expectedClientWait(q.class); w < float64(q.class.LatencyTarget) {
@@ -40,10 +41,10 @@
 	return by
 }
 
-// valuableUntil is the time after which an answer earns nothing, or under overload little: what is worked on
-// then makes others late too. Guards against a load under which all is answered, and all a little too late.
-// What must not run twice is waited for: its client cannot retry it. Cost: an answer that was to come soon is
-// not given.
+// valuableUntil returns the time after which an answer earns nothing or, under overload, little: late work
+// would make other queries late too. This protects against a load under which every query is answered
+// slightly too late. At-most-once queries are waited for, because their clients cannot retry them. The cost
+// is that an answer that was due soon is not given.
 func (s *Scheduler) valuableUntil(q *query) int64 {
 	c := q.class
 	if c.LateValue == 0 || c.LateValue < 0.5 && c.Effect != AtMostOnce && s.overload() > overloadThreshold {
@@ -58,8 +59,8 @@
 	return w > 0 && w >= q.class.MinWeight && (q.inSecondStep || q.class.SecondStepParts == 0)
 }
 
-// hopeless reports that the least weight for an answer can no longer be served.
-func (s *Scheduler) hopeless(q *query) bool {
+// cannotReachMinWeight reports whether the query can no longer reach the minimum weight for an answer.
+func (s *Scheduler) cannotReachMinWeight(q *query) bool {
 	if len(q.parts) == 0 {
 		return !q.inSecondStep
 	}
@@ -69,7 +70,8 @@
 	return w < min(q.class.MinWeight, q.class.CompleteWeight)-0.0001
 }
 
-// answer answers a query with the parts that are served. It ends the query unless a second step follows.
+// answer answers a query from the parts that have been served. It ends the query unless a second step
+// follows.
 func (s *Scheduler) answer(q *query) {
 	complete := q.isComplete() && (!q.inSecondStep || q.firstStepComplete)
 	s.statsOf(q.class).leaveRate.add(s.now, 4*q.class.LatencyTarget, 0)
@@ -83,8 +85,9 @@
 	s.endQuery(q)
 }
 
-// giveUp ends a query that earns nothing any more, with what is served if that may be answered.
-func (s *Scheduler) giveUp(q *query) {
+// abandon ends a query that cannot earn any more value: with a partial answer where that is allowed, else
+// with a refusal.
+func (s *Scheduler) abandon(q *query) {
 	if s.answerable(q) {
 		s.answer(q)
 		return
@@ -93,7 +96,8 @@
 	s.refuse(q, s.cfg.Limits.MaxRetryAfter)
 }
 
-// refuse ends a query unserved and says when to retry, where that is permitted.
+// refuse ends a query without an answer. It advises the client when to retry, where Limits.RetryAfter
+// permits.
 func (s *Scheduler) refuse(q *query, after int64) {
 	if !s.cfg.Limits.RetryAfter {
 		after = 0
@@ -109,7 +113,7 @@
 	s.endQuery(q)
 }
 
-// mayRefuse reports whether a client may be promised that a retry does no harm.
+// mayRefuse reports whether the client may be told that a retry is safe.
 func (s *Scheduler) mayRefuse(q *query) bool {
 	if q.class.Effect != AtMostOnce {
 		return true
--- a/attempts.go
+++ b/attempts.go
@@ -1,4 +1,4 @@
-// The start and the end of an attempt, and what its outcome shows. Types are in api.go.
+// The start and the end of attempts, and the statistics updated by their outcomes. Types are in api.go.
 
 package saffronquay
 
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// send starts an attempt of a part at a replica and accounts for its work there.
+// send starts an attempt of a part at a replica and adds its work to the replica's.
 func (s *Scheduler) send(p *part, r *replica) {
 	a := &attempt{
 		number: len(p.attempts), hedge: p.openAttempts() > 0, replica: r,
@@ -41,9 +41,10 @@
 	s.emit(Send{Part: p.ID, Server: r.ID, Timeout: max(0, s.valuableUntil(p.query)-s.now)})
 }
 
-// closeStaleConnections closes idle connections that may be broken before one is used. Guards against
-// connections cut unseen while idle: the first parts after a pause break immediately, server after server,
-// and spend the budget. Cost: a handshake for each pause, until the evidence is old.
+// closeStaleConnections closes the idle connections to a server before one that may be broken is used. This
+// protects against connections that were cut silently while idle: after a pause in traffic, the first parts
+// would fail on server after server and spend the retry budget. The cost is a new handshake after each
+// pause, until the evidence has expired.
 func (s *Scheduler) closeStaleConnections(r *replica, a *attempt) {
 	if s.isRecent(s.brokenIdleAt) && a.connectionIdle > s.brokenIdle/2 {
 		a.connectionIdle = 0
@@ -51,8 +52,8 @@
 	}
 }
 
-// brokeWhileIdle reports whether an attempt broke immediately on a connection idle for longer than any lately
-// seen to work, which says nothing about its server.
+// brokeWhileIdle reports whether an attempt broke immediately on a connection that had been idle for longer
+// than any that recently worked. Such a break is no evidence against the server.
 func (s *Scheduler) brokeWhileIdle(a *attempt, o Outcome) bool {
 	sound := s.now < s.soundIdleAt+2*s.shortestTarget && a.connectionIdle <= s.soundIdle
 	if o != Broken || sound || a.connectionIdle < s.shortestTarget/8 || s.now-a.sentAt > s.shortestTarget/16 {
@@ -60,13 +61,13 @@
 	}
 	if !s.isRecent(s.brokenIdleAt) {
 		s.brokenIdle = a.connectionIdle
-		s.emit(Log{Text: "connections break when idle: closing them before use"})
+		s.emit(Log{Text: "connections break while idle; closing idle connections before use"})
 	}
 	s.brokenIdle, s.brokenIdleAt = min(s.brokenIdle, a.connectionIdle), s.now
 	return true
 }
 
-// attemptEnded takes the outcome of an attempt. A second outcome of the same attempt is ignored.
+// attemptEnded applies the outcome of an attempt. A second outcome of the same attempt is ignored.
 func (s *Scheduler) attemptEnded(e AttemptEnded) {
 	p := s.parts[e.Part]
 	if p == nil || e.Attempt < 0 || e.Attempt >= len(p.attempts) || p.attempts[e.Attempt].ended {
@@ -91,11 +92,11 @@
 		a.misplaced = true
 	case s.brokeWhileIdle(a, e.Outcome), e.Outcome == Stranded:
 	case e.Outcome == Broken && !p.query.done:
-		if s.zones[r.Zone].mean(s.now, 4*s.shortestTarget, 0) <= 0.5 { // else the path is to blame
+		if s.zones[r.Zone].mean(s.now, 4*s.shortestTarget, 0) <= 0.5 { // else the path to the zone is faulty
 			a.brokeAt = s.now
 		}
 		s.recordOutcome(p, r, 1)
-		s.suspectKey(p.query)
+		s.checkHarmfulKey(p.query)
 	case e.Outcome != Cancelled && e.Outcome != NotSent || late:
 		s.recordOutcome(p, r, 1)
 	}
@@ -113,11 +114,12 @@
 	}
 	s.applyReport(r, e.Report)
 	if p.openAttempts() == 0 && (p.query.done || !slices.Contains(p.query.parts, p)) {
-		delete(s.parts, p.ID) // its query or its step is over
+		delete(s.parts, p.ID) // its query or its step has ended
 	}
 }
 
-// partServed takes a part's answer and what it shows of its server. Other attempts of the part are cancelled.
+// partServed marks a part as served, updates the statistics of its server and cancels the part's other
+// attempts.
 func (s *Scheduler) partServed(p *part, a *attempt, latency float64) {
 	r := a.replica
 	r.latestServedSend = max(r.latestServedSend, a.sentAt)
--- a/dispatch.go
+++ b/dispatch.go
@@ -8,16 +8,15 @@
 	"slices"
 )
 
-// Tuning of attempts. A target is the shortest latency target. Notes give the score that another value
-// cost on a recorded site.
+// Tuning of attempts, from scores on recorded sites. A target is the shortest latency target.
 const (
-	rejectionPause      = 0.06 // targets before a part returns to a server that rejected it, by attempt
-	nearlyCompleteParts = 8    // one in so many parts may be missing of a nearly complete query
-	urgentPredictions   = 3.0  // predictions left that make an attempt urgent; 2: lowell -0.02
+	rejectionPause      = 0.06 // delay before a part returns to a server that rejected it, in targets/attempt
+	nearlyCompleteParts = 8    // a query is nearly complete if at most one in this many parts is missing
+	urgentPredictions   = 3.0  // an attempt is urgent with less than this many predicted latencies left
 )
 
-// dispatch sends every selected part that waits, the heavy ones first, and then hedges or restarts what is
-// overdue.
+// dispatch sends every selected part that is not in flight, the heaviest first, and then hedges or restarts
+// overdue parts.
 func (s *Scheduler) dispatch() {
 	var ready, late []*part
 	for _, q := range s.openQueries {
@@ -33,18 +32,18 @@
 		}
 	}
 	slices.SortStableFunc(ready, func(a, b *part) int { return cmp.Compare(s.partWork(b), s.partWork(a)) })
-	var doubtful []*part
+	var predictedLate []*part
 	for _, p := range ready {
 		r, t := s.chooseReplica(p)
 		switch {
-		case r == nil: // nor will there be one in this step
+		case r == nil: // no replica becomes available within a step
 		case s.isPredictedInTime(p, r, t):
 			s.sendWithinBudget(p, r)
 		default:
-			doubtful = append(doubtful, p)
+			predictedLate = append(predictedLate, p)
 		}
 	}
-	for _, p := range doubtful {
+	for _, p := range predictedLate {
 		q := p.query
 		needed := q.class.MinWeight >= q.class.CompleteWeight || q.inSecondStep
 		if needed || q.expectedWeight() < q.class.MinWeight {
@@ -52,7 +51,7 @@
 			s.sendWithinBudget(p, r)
 		}
 	}
-	// The budget goes to the queries with the most value for each part missing.
+	// The budget is spent on the queries with the highest value per missing part first.
 	slices.SortStableFunc(late, func(a, b *part) int {
 		return cmp.Compare(b.query.valuePerMissingPart(), a.query.valuePerMissingPart())
 	})
@@ -61,9 +60,9 @@
 	}
 }
 
-// selectParts settles which parts of a query are wanted and reports whether others are spare: as many as make
-// a complete answer, the cheapest first, and one more for each overdue or failed, which is no further
-// attempt.
+// selectParts selects the parts of a query that are to be sent and reports whether unselected parts remain.
+// It selects as many as make a complete answer, the cheapest first, and one more for each that is overdue
+// or has failed. Sending such a substitute does not count as a further attempt.
 func (s *Scheduler) selectParts(q *query) bool {
 	covered := 0.0
 	var spare []*part
@@ -100,24 +99,24 @@
 	return n < len(spare)
 }
 
-// isPredictedInTime reports whether a part sent to a replica is predicted before its query is to be answered.
-// Parts that are not are sent only as far as the answer needs them: the rest would be served for nothing at
-// the busiest servers. Guards against overload of the fleet or of a few shards' holders, where partial
-// answers are allowed. Cost: an answer lacks parts whose prediction was too high.
+// isPredictedInTime reports whether a part sent to a replica is predicted to be served before its query is
+// to be answered. Parts that are not are sent only as far as the answer needs them: otherwise the busiest
+// servers would do work that is not used. This protects against overload of the fleet or of a few shards'
+// holders, where partial answers are allowed. The cost is that an answer lacks parts whose prediction was
+// too high.
 func (s *Scheduler) isPredictedInTime(p *part, r *replica, predicted float64) bool {
 	return predicted-s.failureDelay(p.query.class.Name, r) <= float64(s.answerBy(p.query)-s.now)
 }
 
-// sendWithinBudget sends a part, where a replica has capacity for it and, beyond its first attempt, there is
-// budget.
+// sendWithinBudget sends a part if there is a replica for it and, for a further attempt, budget.
 func (s *Scheduler) sendWithinBudget(p *part, r *replica) {
 	if r != nil && (len(p.attempts) == 0 || s.extraAttemptBudget() >= 1) {
 		s.send(p, r)
 	}
 }
 
-// mayAttempt reports whether the rules allow one more attempt of a part while none, or with hedging one, is
-// in flight.
+// mayAttempt reports whether the rules allow one more attempt of a part: with no attempt in flight or, with
+// hedging, one.
 func (s *Scheduler) mayAttempt(p *part) bool {
 	if p.served || p.query.done || p.countedAttempts() >= max(1, s.cfg.Limits.MaxAttempts) {
 		return false
@@ -138,8 +137,8 @@
 	return true
 }
 
-// extraAttemptBudget is how many further attempts may leave now. It forgets what has left the budget's
-// window.
+// extraAttemptBudget returns how many further attempts may be sent now. It drops records older than the
+// budget's window.
 func (s *Scheduler) extraAttemptBudget() float64 {
 	r := s.cfg.Rules
 	if !r.Budgeted {
@@ -160,16 +159,17 @@
 	return earned - float64(len(s.extraAttemptTimes))
 }
 
-// isOverdue reports whether a part's latest attempt has taken longer than predicted and its query's time is
-// near: an answer before the latency target earns no more, so what may still come is waited for. Guards the
-// fleet from hedges that are not needed. Cost: a further attempt that fails too leaves no time for another.
+// isOverdue reports whether a part's latest attempt has taken longer than predicted and its query is close
+// to its time to answer. An earlier answer would earn no more, so the attempt is given that time. This
+// protects the fleet from unnecessary hedges. The cost is that no time is left for another attempt if the
+// further one fails too.
 func (s *Scheduler) isOverdue(p *part) bool {
 	a := p.attempts[len(p.attempts)-1]
 	by, usual := s.answerBy(p.query), a.predicted
 	if p.query.class.SecondStepParts > 0 && !p.query.inSecondStep {
 		by -= (by - p.query.arrivedAt) / 3
 	}
-	if p.query.nearlyComplete() { // what counts is how long it takes elsewhere
+	if p.query.nearlyComplete() { // the latency that matters is that of another server
 		work := s.meanForeignWork.mean(s.now, s.shortestTarget, 0) + s.partWork(p)
 		usual = max(usual, work*s.medianLatencyRatio())
 	}
@@ -177,8 +177,8 @@
 	return late && float64(by-s.now) < urgentPredictions*usual
 }
 
-// restartPenalty weighs what a further attempt discards: twice as much must be gained where the first has to
-// be cancelled, since its work and its place in the queue are lost.
+// restartPenalty returns the factor by which a further attempt must be faster than the first. It is 2 where
+// the first must be cancelled, since the work done and the place in the queue are lost.
 func (s *Scheduler) restartPenalty() float64 {
 	if s.cfg.Limits.Hedging {
 		return 1
@@ -186,11 +186,12 @@
 	return 2
 }
 
-// attemptElsewhere hedges an overdue part, or where that is not allowed cancels its attempt, so that it is
-// sent again, if another replica should answer before the first, which is taken to need as long again. The
-// last few of many parts are hedged wherever it should be in time: all the work of the others depends on
-// them. Guards against unresponsive and slow servers. Cost: work done twice when all servers are slow, which
-// the comparison with the other replica's own prediction keeps rare.
+// attemptElsewhere hedges an overdue part or, without hedging, cancels its attempt so that the part is sent
+// again. It does so if another replica is predicted to answer before the first, whose remaining time is
+// assumed to equal its elapsed time. The last few of many parts are hedged to any replica that is predicted
+// in time, since the work of all other parts depends on them. This protects against unresponsive and slow
+// servers. The cost is duplicate work when all servers are slow, which the comparison with the other
+// replica's prediction limits.
 func (s *Scheduler) attemptElsewhere(p *part) {
 	a := p.attempts[len(p.attempts)-1]
 	r, t := s.chooseReplica(p)
@@ -212,10 +213,11 @@
 	s.emit(Cancel{Part: p.ID, Attempt: a.number})
 }
 
-// hedgePenalty is what the prediction for a further attempt is multiplied by: as much as answers usually
-// exceed their prediction and, where no budget limits hedges, by the hedges sent for each that was served.
-// Guards against hedges that add to a load which makes everything late; needed most where servers finish what
-// is cancelled. Cost: after many servers were unresponsive together hedges are limited for a while.
+// hedgePenalty returns the factor applied to the predicted latency of a further attempt: the mean ratio of
+// observed to predicted latency and, where no budget limits hedges, the number of hedges sent for each that
+// was served. This protects against hedges that add to an overload, above all where servers complete
+// cancelled work. The cost is that hedges stay limited for a while after many servers were unresponsive at
+// once.
 func (s *Scheduler) hedgePenalty() float64 {
 	d := max(1, s.meanPredictionRatio)
 	if !s.cfg.Rules.Budgeted {
@@ -224,7 +226,8 @@
 	return d
 }
 
-// valuePerMissingPart is the value that waits for each missing part of the query, by its work.
+// valuePerMissingPart returns the query's value, weighted by its work, divided by the number of parts that
+// are missing.
 func (q *query) valuePerMissingPart() float64 {
 	missing := 0
 	for _, p := range q.parts {
--- a/evidence_test.go
+++ b/evidence_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// fleetOf lists servers by zone. Each has every shard in a deployment of one cell.
+// fleetOf returns a server list from zones by server. In a deployment of one cell, each server has
+// every shard.
 func fleetOf(zones map[ServerID]string) FleetChanged {
 	f := FleetChanged{Kind: FleetCached}
 	for _, id := range []ServerID{"a1", "a2", "a3", "b1", "b2", "b3"} {
@@ -23,10 +24,10 @@
 	return cfg
 }
 
-func TestFailuresOfAZoneKeepPartsFromServersNotYetTried(t *testing.T) {
+func TestFailureRisk_ZonePriorForUntriedServers(t *testing.T) {
 	sc := newScript(t, oneCell())
 	sc.step(0, fleetOf(map[ServerID]string{"a1": "a", "a2": "a", "b1": "b", "b2": "b"}))
-	for id := ID(100); id < 140; id += 2 { // zone b answers, zone a cannot be reached, from here alone
+	for id := ID(100); id < 140; id += 2 { // zone b answers, zone a is unreachable from this aggregator
 		events := sc.request(id, 10*ms)
 		s := of[Send](sc.step(100*ms, events...))[0]
 		for n := 0; ; n++ {
@@ -41,14 +42,14 @@
 			s = again[0]
 		}
 	}
-	// A server of each zone that was never tried joins: the one in the sound zone gets the part.
+	// An untried server joins in each zone: the one in the reachable zone gets the part.
 	sc.step(0, fleetOf(map[ServerID]string{"a3": "a", "b3": "b"}))
 	if s := of[Send](sc.step(ms, sc.request(900, 10*ms)...)); len(s) != 1 || s[0].Server != "b3" {
 		t.Fatalf("want b3, got %v", s)
 	}
 }
 
-func TestAServerThatFailsOneClassServesTheOthers(t *testing.T) {
+func TestFailureRisk_PerClass(t *testing.T) {
 	cfg := oneCell()
 	other := cfg.Classes[0]
 	other.Name = "other"
@@ -68,16 +69,16 @@
 	}
 	r := sc.s.servers["a1"]
 	if bad, good := sc.s.failureRisk("q", r), sc.s.failureRisk("other", r); bad < 0.5 || good > 0.35 {
-		t.Errorf("risk %v for the class that fails, %v for the other", bad, good)
+		t.Errorf("failure risk %v for the failing class, %v for the other, want >= 0.5 and <= 0.35", bad, good)
 	}
 }
 
-func TestOneSuccessDoesNotClearARateOfFailure(t *testing.T) {
+func TestFailureRisk_PersistsUntilRestart(t *testing.T) {
 	sc := newScript(t, oneCell())
 	sc.step(0, fleetOf(map[ServerID]string{"a1": "a"}))
 	r := sc.s.servers["a1"]
 	p := &part{query: &query{class: &sc.s.cfg.Classes[0]}}
-	for i := range 15 { // a fifth of the answers is lost
+	for i := range 15 { // one attempt in five fails
 		failed := 0.0
 		if i%5 == 0 {
 			failed = 1
@@ -85,15 +86,15 @@
 		sc.s.recordOutcome(p, r, failed)
 	}
 	if got := sc.s.failureRisk("q", r); got < 0.08 || got > 0.4 {
-		t.Errorf("risk %v of a server that loses a fifth", got)
+		t.Errorf("failure risk %v of a server that fails one attempt in five, want 0.08 to 0.4", got)
 	}
 	sc.step(ms, FleetChanged{Kind: FleetDelta, Servers: []Server{{ID: "a1", Zone: "a", Health: Ready, StartedAt: sc.now}}})
 	if got := r.failureRate.count; got != 0 {
-		t.Errorf("a new process is judged by %v attempts of the old one", got)
+		t.Errorf("%v attempts of the former process count for the new one, want 0", got)
 	}
 }
 
-func TestEvidenceLastsLongerWhereAttemptsAreRare(t *testing.T) {
+func TestEvidenceSpan_GrowsWithSendInterval(t *testing.T) {
 	for _, tc := range []struct {
 		every  int64
 		longer bool
@@ -106,13 +107,13 @@
 				sc.step(10*ms, served(s, 0, 10*ms))
 			}
 			if got := sc.s.evidenceSpan > 2*sc.s.shortestTarget; got != tc.longer {
-				t.Errorf("evidence lasts %d us where an attempt leaves every %d us", sc.s.evidenceSpan, tc.every)
+				t.Errorf("evidence span is %d us with an attempt every %d us", sc.s.evidenceSpan, tc.every)
 			}
 		})
 	}
 }
 
-func TestAFurtherAttemptWaitsUntilTheLatencyTargetIsNear(t *testing.T) {
+func TestRestart_DeferredUntilNearLatencyTarget(t *testing.T) {
 	sc := newScript(t, plain(), "a", "b")
 	sc.step(0, sc.request(100, 100*ms)...)
 	if c := of[Cancel](sc.run(600 * ms)); len(c) > 0 {
@@ -123,23 +124,23 @@
 	}
 }
 
-// This aggregator stalls for longer than the latency target and then gets all events of that time together. Its servers
-// answered in time, so none counts as failing and nothing is sent twice.
-func TestAStallOfThisAggregatorDoesNotMakeServersUnresponsive(t *testing.T) {
+// If this aggregator stalls for longer than the latency target, it gets all events of that time at
+// once. Servers that answered in time must not count as failing, and no part may be sent twice.
+func TestStep_OwnStallDoesNotBlameServers(t *testing.T) {
 	sc := newScript(t, plain(), "a", "b")
 	a := of[Send](sc.step(0, sc.request(100, 50*ms, 50*ms)...))
 	got := sc.step(1500*ms, served(a[0], 0, 60*ms), served(a[1], 0, 60*ms))
 	if n := len(of[Send](got)) + len(of[Cancel](got)); n > 0 {
-		t.Errorf("copies after a stall: %v", got)
+		t.Errorf("parts were sent or cancelled after a stall: %v", got)
 	}
 	for id, r := range sc.s.servers {
 		if r.failureRate.sum > 0 || r.mostlyFailing {
-			t.Errorf("server %s is blamed for the stall", id)
+			t.Errorf("server %s has failures recorded after the stall", id)
 		}
 	}
 }
 
-func TestABreakWithinSoundIdleTimesCountsAgainstTheServer(t *testing.T) {
+func TestIdleConnections_BreakWithinSoundIdleTimeIsFailure(t *testing.T) {
 	sc := newScript(t, plain(), "a", "b")
 	for id := ID(100); id < 140; id += 2 {
 		s := of[Send](sc.step(700*ms, sc.request(id, 10*ms)...))[0]
@@ -148,7 +149,7 @@
 	s := of[Send](sc.step(400*ms, sc.request(900, 10*ms)...))[0]
 	sc.step(ms, broken(s, 0))
 	if r := sc.s.servers[s.Server]; r.failureRate.sum == 0 {
-		t.Error("the break was taken for an idle connection though longer idle ones work")
+		t.Error("break attributed to the idle connection, although connections idle for longer work")
 	}
 }
 
@@ -168,7 +169,7 @@
 			}
 			now, id := int64(1_000_000), ID(1)
 			s.Step(now, []Event{f})
-			for range 20 { // two hundred parts open
+			for range 20 { // 200 open parts
 				es := []Event{Query{ID: id, Group: int64(id), Class: "q", Deadline: now + 3e9}}
 				for i := range 10 {
 					es = append(es, Part{ID: id + ID(i) + 1, Group: int64(id), Shard: int(id) % servers, Weight: 0.1, Work: 100 * ms})
@@ -185,8 +186,8 @@
 	}
 }
 
-// Where one client in ten leaves soon, the others are served as before.
-func TestAFewClientsThatLeaveCauseNoRefusals(t *testing.T) {
+// If one client in ten leaves early, the other clients' queries must not be refused.
+func TestClientWait_ToleratesFewEarlyLeavers(t *testing.T) {
 	sc := newScript(t, oneCell())
 	sc.step(0, fleetOf(map[ServerID]string{"a1": "a"}))
 	for i := range ID(40) {
@@ -202,12 +203,13 @@
 		}
 	}
 	if w := sc.s.expectedClientWait(&sc.s.cfg.Classes[0]); w < 800*ms {
-		t.Errorf("clients are thought to wait %v ms of 1000", w/ms)
+		t.Errorf("clients are expected to wait %v ms, want at least 800", w/ms)
 	}
 }
 
-// Attempts stranded with their connection say nothing about the server. They may have run all the same.
-func TestStrandedAttemptsAreNotTheServers(t *testing.T) {
+// Attempts stranded with their connection are no evidence against the server, but they may have
+// run.
+func TestStrandedAttempts_NoServerFailureRecorded(t *testing.T) {
 	cfg := oneCell()
 	cfg.Classes[0].Effect = AtMostOnce
 	sc := newScript(t, cfg)
@@ -216,16 +218,16 @@
 		s := of[Send](sc.step(ms, sc.request(id, 10*ms)...))[0]
 		got := sc.step(500*ms, AttemptEnded{Part: s.Part, Server: s.Server, Outcome: Stranded, Latency: 500 * ms})
 		if len(of[Fail](got)) != 1 || len(of[Send](got)) != 0 {
-			t.Fatalf("want one failure, got %v", got)
+			t.Fatalf("want one Fail and no Send, got %v", got)
 		}
 	}
 	if p := sc.s.failureRisk("q", sc.s.servers["a1"]); p > 0.01 {
-		t.Errorf("risk %v", p)
+		t.Errorf("failure risk %v, want at most 0.01", p)
 	}
 }
 
-// A new process in a server's place is judged by its own attempts only.
-func TestAReplacedProcessStartsClean(t *testing.T) {
+// The statistics of a server's former process must not apply to the process that replaces it.
+func TestFleetChanged_RestartResetsServerStatistics(t *testing.T) {
 	sc := newScript(t, oneCell())
 	list := FleetChanged{Kind: FleetFull, Servers: []Server{{ID: "a1", Health: Ready}}}
 	sc.step(0, list)
@@ -238,12 +240,13 @@
 	sc.step(ms, list)
 	r := sc.s.servers["a1"]
 	if r.latencyRatio != 0 || r.foreignWork != 0 || r.lastUsedAt != 0 || sc.s.warmUpFraction(r) > 0.5 {
-		t.Errorf("pace %v, foreign %v, used %d, warmth %v", r.latencyRatio, r.foreignWork, r.lastUsedAt, sc.s.warmUpFraction(r))
+		t.Errorf("latency ratio %v, foreign work %v, last used %d, warm-up fraction %v", r.latencyRatio, r.foreignWork, r.lastUsedAt, sc.s.warmUpFraction(r))
 	}
 }
 
-// Keys that were seen served while some key brought down servers are forgotten although nothing is refused.
-func TestKeysAreForgottenWithoutRefusals(t *testing.T) {
+// Keys that were served while some key was blocked are dropped after they expire, even if no query
+// is refused.
+func TestSweep_DropsExpiredKeysWithoutRefusals(t *testing.T) {
 	sc := newScript(t, oneCell())
 	sc.step(0, fleetOf(map[ServerID]string{"a1": "a"}))
 	sc.s.blockKey("bad")
@@ -253,13 +256,14 @@
 	}
 	sc.run(20_000 * ms)
 	if n := len(sc.s.keys); n > 0 {
-		t.Errorf("%d keys are kept", n)
+		t.Errorf("%d keys remain, want 0", n)
 	}
 }
 
-// A part that is never answered makes its server look unresponsive only until a part sent after it was due is served.
-// Guards servers against being avoided for what was lost on one connection.
-func TestALostPartDoesNotMakeItsServerUnresponsive(t *testing.T) {
+// An attempt that is never answered makes its server look unresponsive only until an attempt sent
+// after its due time is served. Otherwise a server would be avoided because of one broken
+// connection.
+func TestUnresponsiveFor_IgnoresLostAttemptAfterLaterSuccess(t *testing.T) {
 	sc := newScript(t, oneCell())
 	sc.step(0, fleetOf(map[ServerID]string{"a1": "a"}))
 	r := sc.s.servers["a1"]
@@ -269,18 +273,19 @@
 	}
 	sc.step(200 * ms)
 	if w := sc.s.predictWait(r); w < 200*ms {
-		t.Errorf("an overdue part, and yet a wait of %v", w)
+		t.Errorf("predicted wait %v with an overdue part, want at least 200 ms", w)
 	}
 	s := of[Send](sc.step(ms, sc.request(200, 10*ms)...))
 	sc.step(10*ms, served(s[0], 0, 10*ms))
 	if w := sc.s.predictWait(r); w > 100*ms {
-		t.Errorf("a later part was served, and yet a wait of %v", w)
+		t.Errorf("predicted wait %v after a later part was served, want at most 100 ms", w)
 	}
 }
 
-// Settings change while queries are open. Guards open queries against rules of a class they did not come with, what was
-// learnt against classes that change places, and the memory against classes that are added and removed.
-func TestSettingsChange(t *testing.T) {
+// Settings change while queries are open. Guards against applying the rules of a changed class to
+// open queries, against losing the statistics of classes that change their order, and against
+// keeping those of removed classes.
+func TestSettingsChanged_OpenQueriesAndClassStatistics(t *testing.T) {
 	cfg := plain()
 	cfg.Limits.MaxAttempts = 3
 	other := cfg.Classes[0]
@@ -297,52 +302,52 @@
 	now.Classes = []Class{{Name: "new", LatencyTarget: 500 * ms, HardLimit: 9000 * ms, Value: 1, CompleteWeight: 1, MinWeight: 1}, other, strict}
 	sc.step(ms, SettingsChanged{Settings: now})
 	if k := sc.s.statsOf(&other); k.clientLeftAt == 0 || sc.s.servers["a"].classFailureRates["other"].count == 0 {
-		t.Error("what was learnt of a class that stays is gone")
+		t.Error("statistics of a remaining class were dropped")
 	}
-	// The open one may be repeated as when it came, but no more often than now.
+	// The open query keeps its effect, so its part may be repeated, but the new MaxAttempts applies.
 	fail := func(s Send, n int) []Action {
 		return sc.step(ms, AttemptEnded{Part: s.Part, Attempt: n, Server: s.Server, Outcome: Errored, Latency: ms})
 	}
 	again := of[Send](fail(open, 0))
 	if len(again) != 1 {
-		t.Fatalf("want one more attempt of the open one, got %v", sc.got)
+		t.Fatalf("want one more attempt of the open query, got %v", sc.got)
 	}
 	if got := fail(again[0], 1); len(of[Send](got)) != 0 || len(of[Refuse](got)) != 1 {
 		t.Errorf("want a refusal after two attempts, got %v", got)
 	}
-	// One that comes now is under the stricter effect.
+	// A new query has the stricter effect.
 	if got := fail(of[Send](sc.step(ms, sc.request(200, 10*ms)...))[0], 0); len(of[Send](got)) != 0 || len(of[Fail](got)) != 1 {
 		t.Errorf("want a failure after one attempt, got %v", got)
 	}
-	// A removed class is forgotten after its last query has ended.
+	// The statistics of a removed class are dropped after its last query has ended.
 	sc.step(ms, append(sc.request(300, 10*ms), SettingsChanged{Settings: Settings{
 		Aggregators: 1, Period: 5 * ms, Shards: 2, Cells: 2,
 		CellsPerShard: 2, Classes: []Class{other}, Limits: now.Limits, Rules: now.Rules,
 	}})...)
 	sc.s.sweptAt = 0
 	if sc.step(ms); sc.s.statsByClass["q"] == nil {
-		t.Error("a class with an open query was forgotten")
+		t.Error("statistics of a class with an open query were dropped")
 	}
 	sc.step(ms, ClientLeft{Query: 300})
 	sc.s.sweptAt = 0
 	sc.step(ms)
 	if len(sc.s.statsByClass) != 1 || len(sc.s.servers["a"].classFailureRates)+len(sc.s.servers["b"].classFailureRates) > 2 {
-		t.Errorf("kept: %v", sc.s.statsByClass)
+		t.Errorf("statistics of removed classes remain: %v", sc.s.statsByClass)
 	}
 	for _, r := range sc.s.servers {
 		if r.classFailureRates["q"] != nil {
-			t.Error("a server keeps what was learnt of a class that is gone")
+			t.Error("a server has statistics of a removed class")
 		}
 	}
 }
 
-// Rotation reports the length of the list and how many of its servers are avoided.
-func TestRotation(t *testing.T) {
+// Rotation returns the length of the server list and the number of servers that are avoided.
+func TestScheduler_RotationCounts(t *testing.T) {
 	sc := newScript(t, plain(), "fine", "drains", "unresponsive", "gone")
 	want := func(listed, out int) {
 		t.Helper()
 		if l, o := sc.s.Rotation(); l != listed || o != out {
-			t.Errorf("%d listed, %d avoided; want %d, %d", l, o, listed, out)
+			t.Errorf("%d servers listed, %d avoided; want %d, %d", l, o, listed, out)
 		}
 	}
 	want(4, 0)
@@ -361,9 +366,9 @@
 	want(3, 2)
 }
 
-// What a process hands over: keys that bring down servers stay blocked, admission stays as strict, and the free part of the
-// budget is not spent twice.
-func TestRecalled(t *testing.T) {
+// After a handover, blocked keys stay blocked, admission stays as strict as before, and the free
+// part of the budget is not spent twice.
+func TestRecalled_KeysAdmissionAndBudget(t *testing.T) {
 	before := newScript(t, plain(), "a")
 	before.s.blockKey("bad")
 	before.s.adjustAdmission(&query{class: &before.s.cfg.Classes[0], admitted: true}, false)
@@ -377,30 +382,30 @@
 	sc := newScript(t, cfg, "a")
 	sc.step(ms, Recalled{l})
 	if got := sc.s.currentSlack() / sc.s.openSlack; got < 0.7 || got > 0.8 {
-		t.Errorf("admission %v", got)
+		t.Errorf("admission %v, want 0.7 to 0.8", got)
 	}
 	es := sc.request(100, 10*ms)
 	q := es[0].(Query)
 	q.Key = "bad"
 	es[0] = q
 	if got := of[Refuse](sc.step(ms, es...)); len(got) != 1 {
-		t.Errorf("a condemned key's query: %v", sc.got)
+		t.Errorf("want the query of a blocked key refused, got %v", sc.got)
 	}
 	if len(sc.s.keys) != 1 {
-		t.Errorf("keys %v", sc.s.keys)
+		t.Errorf("want one key, got %v", sc.s.keys)
 	}
 	if sc.s.extraAttemptBudget() != 0 {
-		t.Errorf("budget %v within the first window", sc.s.extraAttemptBudget())
+		t.Errorf("budget %v within the first window, want 0", sc.s.extraAttemptBudget())
 	}
 	sc.step(200 * ms)
 	if sc.s.extraAttemptBudget() != 5 {
-		t.Errorf("budget %v after it", sc.s.extraAttemptBudget())
+		t.Errorf("budget %v after the first window, want 5", sc.s.extraAttemptBudget())
 	}
 }
 
-// What was learnt of servers is known again, as old as it is, unless they have started since. A clock that went back makes
-// nothing newer than now, and values that make no sense are ignored.
-func TestServersRecalled(t *testing.T) {
+// After a handover, the statistics of servers keep their age and are dropped for servers that have
+// restarted since. Times in the future count as now, and implausible values are ignored.
+func TestRecalled_ServerStatistics(t *testing.T) {
 	before := newScript(t, plain(), "slow", "bad", "new")
 	r := before.s.servers["slow"]
 	r.latencyRatio, r.latencyRatioAt = 3, before.now
@@ -419,16 +424,16 @@
 	}
 	young, old := at(ms), at(100*before.s.evidenceSpan)
 	if got := young.s.latencyRatioOf(young.s.servers["slow"]); got < 2.5 {
-		t.Errorf("pace %v", got)
+		t.Errorf("latency ratio %v, want at least 2.5", got)
 	}
 	if got := old.s.latencyRatioOf(old.s.servers["slow"]); got > 1.5 {
-		t.Errorf("pace %v after a long time", got)
+		t.Errorf("latency ratio %v after 100 evidence spans, want at most 1.5", got)
 	}
 	rate := func(sc *script, id ServerID) float64 {
 		return sc.s.servers[id].failureRate.mean(sc.now, sc.s.evidenceSpan, 0)
 	}
 	if rate(young, "bad") < 0.7 || rate(old, "bad") > 0.1 || rate(young, "new") != 0 {
-		t.Errorf("failing %v, %v after a long time, %v of one that has started since", rate(young, "bad"), rate(old, "bad"), rate(young, "new"))
+		t.Errorf("failure rate %v, %v after 100 evidence spans, %v of a restarted server", rate(young, "bad"), rate(old, "bad"), rate(young, "new"))
 	}
 	sc := newScript(t, plain(), "a", "b")
 	sc.step(ms, Recalled{Learned{Admission: 1, Servers: []LearnedServer{
--- a/explain.go
+++ b/explain.go
@@ -1,4 +1,4 @@
-// What a Scheduler would do, reported without doing it. Nothing in this file decides.
+// Reports on the decisions that a Scheduler would make. This file makes no decisions.
 
 package saffronquay
 
@@ -7,21 +7,22 @@
 	"slices"
 )
 
-// Option is one server that has a shard, as a part would find it now. Times are microseconds. Commands write
-// it as JSON; keys that differ from the field's name are kept for their readers.
+// Option is a candidate replica of an open part: one holder of its shard, with its current prediction.
+// Times are microseconds. Commands write it as JSON, so keys that differ from the field names stay for
+// compatibility.
 type Option struct {
 	Server     ServerID
 	Zone       string
 	Health     Health
 	Listed     bool
-	Excluded   bool    `json:"Barred"` // in flight or rejected there, or the server lost the shard
-	WarmingUp  bool    `json:"Cold"`   // it has no capacity for the part while it warms up
-	Predicted  float64 // latency of the part there
-	ZoneCharge float64 `json:"Crossing"` // delay that its zone is charged as, in the comparison
+	Excluded   bool    `json:"Barred"` // the part is in flight or was rejected there, or the shard has moved
+	WarmingUp  bool    `json:"Cold"`   // the server warms up and has no capacity for the part
+	Predicted  float64 // predicted latency of the part
+	ZoneCharge float64 `json:"Crossing"` // delay added in the comparison for a server in another zone
 }
 
-// Rotation reports how many servers are in the list, and how many of those are avoided now: not ready,
-// failing most of the time, or unresponsive for longer than the shortest latency target.
+// Rotation returns the number of servers in the list, and how many of those are avoided at present: not
+// ready, mostly failing, or unresponsive for longer than the shortest latency target.
 func (s *Scheduler) Rotation() (listed, out int) {
 	for _, r := range s.servers {
 		if !r.listed {
@@ -35,7 +36,8 @@
 	return listed, out
 }
 
-// Holders lists the servers that hold a shard and may be sent to now. It is what chooseReplica chooses from.
+// Holders returns the servers that hold a shard and may be sent to, which are the candidates of
+// chooseReplica.
 func (s *Scheduler) Holders(shard int) []ServerID {
 	rs := s.holders(shard)
 	ids := make([]ServerID, len(rs))
@@ -45,8 +47,8 @@
 	return ids
 }
 
-// Options reports how each server that holds an open part's shard stands, the best first; nil when the part
-// is not open. A server where the part is in flight is reported as it was at the send.
+// Options returns the holders of an open part's shard, the best candidate first. It returns nil if the part
+// is not open. A server where the part is in flight is reported as of the send.
 func (s *Scheduler) Options(part ID) []Option {
 	p := s.parts[part]
 	if p == nil {
--- a/fleet_test.go
+++ b/fleet_test.go
@@ -6,26 +6,28 @@
 	"testing"
 )
 
-// Tests of many aggregators side by side, each with a fraction of the traffic. They assert the sum of what all do.
+// Tests of many aggregators that each have a fraction of the traffic. They check the sum of their
+// actions.
 
-// team is a fleet of aggregators over servers of one cell each, as many as there are shards. Four servers have each shard.
-type team struct {
+// aggregatorFleet is a set of aggregators that share a fleet of servers. There are as many cells as
+// servers and as many shards; four servers have each shard.
+type aggregatorFleet struct {
 	t         *testing.T
 	cfg       Settings
 	all       []*Scheduler
 	now       int64
 	id        ID
 	sends     map[ServerID][]warmUpSend
-	warmingUp map[ServerID]bool // those without a queue
-	idle      bool              // none is
+	warmingUp map[ServerID]bool // servers that report an empty queue
+	idle      bool              // all servers report an empty queue
 }
 
-func newTeam(t *testing.T, aggregators, servers int, zones ...string) *team {
+func newAggregatorFleet(t *testing.T, aggregators, servers int, zones ...string) *aggregatorFleet {
 	cfg := plain()
 	cfg.Aggregators, cfg.Shards, cfg.Cells, cfg.CellsPerShard, cfg.Period = aggregators, servers, servers, 4, ms
 	cfg.Limits.MaxAttempts = 4
 	cfg.Rules.SlowStartFraction, cfg.Rules.OverloadMultiple, cfg.Rules.OverloadWindow, cfg.Rules.WarmUp = 0.2, 2.5, 1500*ms, 14_000*ms
-	f := &team{t: t, cfg: cfg, now: 1_000_000_000, sends: map[ServerID][]warmUpSend{}, warmingUp: map[ServerID]bool{}}
+	f := &aggregatorFleet{t: t, cfg: cfg, now: 1_000_000_000, sends: map[ServerID][]warmUpSend{}, warmingUp: map[ServerID]bool{}}
 	var list []Server
 	for i := range servers {
 		v := Server{ID: ServerID(fmt.Sprint("s", i)), Cell: i, Health: Ready}
@@ -46,8 +48,8 @@
 	return f
 }
 
-// request gives one aggregator a query of one part, and serves whatever it sends after a while.
-func (f *team) request(self, shard int, work int64) {
+// request gives one aggregator a query of one part, and serves what it sends.
+func (f *aggregatorFleet) request(self, shard int, work int64) {
 	f.id += 10
 	s := f.all[self]
 	as := s.Step(f.now, []Event{
@@ -70,8 +72,9 @@
 	}
 }
 
-// worst is the most work that reached a server within one window, over what the rule allows one of a core that started then.
-func (f *team) worst(id ServerID, started int64) float64 {
+// peakLoad returns the maximum work sent to a server within one window, divided by what the rule
+// allows for a server of one core that started at the given time.
+func (f *aggregatorFleet) peakLoad(id ServerID, started int64) float64 {
 	worst, r := 0.0, f.cfg.Rules
 	for i, from := range f.sends[id] {
 		sum := 0.0
@@ -86,26 +89,27 @@
 	return worst
 }
 
-// A server restarts in a fleet whose aggregators each send it little. It gets a good part of what it can do, and never more than
-// the rule allows: with steady traffic, with a surge that all see together after each has saved credit, and where all servers
-// of a shard are warming up and much more is requested than they can do.
-func TestAFleetKeepsAWarmingServerWithinItsCapacity(t *testing.T) {
+// A server restarts in a fleet in which each aggregator sends it little work. It must get a
+// substantial fraction of its capacity, and never more than the overload rule allows: with steady
+// traffic, with a surge seen by all aggregators at once after each has accumulated credit, and
+// under heavy load while all servers of a shard are warming up.
+func TestSlowStart_FleetStaysWithinOverloadRule(t *testing.T) {
 	const aggregators, servers, work = 120, 12, 20 * ms
 	for name, tc := range map[string]struct {
-		cold  int     // servers that start anew
-		asked float64 // parts a second for each server, in the fleet
-		surge bool    // it is not needed in the first four seconds, then much is requested in one tick
-		least float64 // of the warming server's fraction of what is requested, that it gets
+		restarts       int     // servers that restart
+		partsPerSecond float64 // parts per second and server, over the fleet
+		surge          bool    // no load in the first four seconds, then a burst in one tick
+		minFraction    float64 // minimum fraction of the warming server's expected parts that it gets
 	}{
 		"steady":             {1, 30, false, 0.15},
 		"surge":              {1, 30, true, 0},
 		"all are warming up": {12, 200, false, 0},
 	} {
-		f := newTeam(t, aggregators, servers)
+		f := newAggregatorFleet(t, aggregators, servers)
 		rng := f.all[0].rng
 		tick, started := int64(50*ms), f.now+5000*ms
 		var warmingUp []Server
-		for i := range tc.cold {
+		for i := range tc.restarts {
 			v := Server{ID: ServerID(fmt.Sprint("s", i)), Cell: i, Health: Ready, StartedAt: started}
 			warmingUp, f.warmingUp[v.ID] = append(warmingUp, v), true
 		}
@@ -118,10 +122,10 @@
 				}
 			}
 			since := f.now - started
-			n, from, shards := tc.asked*servers*float64(tick)/1e6, 0, servers
-			if f.idle = tc.surge && since < 3000*ms; tc.surge && since >= 3000*ms { // the shards that s0 does not have, then those that it has
+			n, from, shards := tc.partsPerSecond*servers*float64(tick)/1e6, 0, servers
+			if f.idle = tc.surge && since < 3000*ms; tc.surge && since >= 3000*ms { // first the shards that s0 does not have, then the others
 				if from, shards = 1, 8; since == 4000*ms {
-					n, from, shards = 4*tc.asked*servers, 9, 4
+					n, from, shards = 4*tc.partsPerSecond*servers, 9, 4
 				}
 			}
 			for range int(n) {
@@ -134,19 +138,19 @@
 			f.now += tick
 		}
 		for _, v := range warmingUp {
-			if over := f.worst(v.ID, started); over > 1 {
-				t.Errorf("%s: %s was sent %.2f times what the rule allows", name, v.ID, over)
+			if over := f.peakLoad(v.ID, started); over > 1 {
+				t.Errorf("%s: %s was sent %.2f times the work that the rule allows", name, v.ID, over)
 			}
 		}
-		if got := float64(len(f.sends["s0"])); got < tc.least*requested {
-			t.Errorf("%s: the warming server got %v parts, its fraction is %.0f", name, got, requested)
+		if got := float64(len(f.sends["s0"])); got < tc.minFraction*requested {
+			t.Errorf("%s: the warming server got %v parts, its fraction of the requested ones is %.0f", name, got, requested)
 		}
 	}
 }
 
-// Connections that break at the same moment in one zone are the zone's fault, not the key's; those that break in two zones, or one
-// after the other, are the key's.
-func TestALostZoneCondemnsNoKey(t *testing.T) {
+// Connections that break at the same time in one zone are attributed to the zone. Breaks in two
+// zones, or one after the other, are attributed to the key.
+func TestBrokeIndependently(t *testing.T) {
 	for name, tc := range map[string]struct {
 		zones [2]string
 		later bool // the second attempt leaves after the first has broken
@@ -164,24 +168,24 @@
 		}
 		q := &query{parts: []*part{{attempts: []*attempt{a}}, {attempts: []*attempt{b}}}}
 		if got := q.brokeIndependently(); got != tc.want {
-			t.Errorf("%s: condemned %v", name, got)
+			t.Errorf("%s: brokeIndependently returned %v", name, got)
 		}
 	}
 	if math.Abs(hashFraction(1, 2, 3)-hashFraction(1, 2, 3)) > 0 || hashFraction(1) == hashFraction(2) {
-		t.Error("hashFraction does not depend on its words alone")
+		t.Error("hashFraction is not a function of its words")
 	}
 }
 
-// Where parts are rejected or run out of time, a query is ended at its latency target, although a late answer would earn a little:
-// but not one that must not run twice, nor where there is no overload.
-func TestUnderOverloadNothingLateIsWorkedOn(t *testing.T) {
+// Under overload, a query is ended at its latency target although a late answer would earn a
+// little. At-most-once queries and queries without overload are not.
+func TestValuableUntil_OverloadEndsLateQueries(t *testing.T) {
 	for name, tc := range map[string]struct {
-		strained bool
-		effect   Effect
-		late     float64 // value
-		want     bool    // it ends by 1.1 latency targets
+		overloaded bool
+		effect     Effect
+		late       float64 // value
+		want       bool    // it ends by 1.1 latency targets
 	}{
-		"strained": {true, Idempotent, 0.1, true}, "calm": {false, Idempotent, 0.1, false}, "at most once": {true, AtMostOnce, 0.1, false},
+		"overload": {true, Idempotent, 0.1, true}, "no overload": {false, Idempotent, 0.1, false}, "at most once": {true, AtMostOnce, 0.1, false},
 		"late value": {true, Idempotent, 0.9, false},
 	} {
 		cfg := plain()
@@ -193,7 +197,7 @@
 			sc.step(90 * ms)
 			for _, a := range of[Send](sc.step(ms, sc.request(id, 10*ms)...)) {
 				end := served(a, 0, ms)
-				if tc.strained && id%20 == 0 {
+				if tc.overloaded && id%20 == 0 {
 					end.Outcome = Rejected
 				}
 				sc.step(ms, end)
@@ -209,14 +213,15 @@
 			}
 		}
 		if ended := !done; ended != tc.want {
-			t.Errorf("%s: given up %v", name, ended)
+			t.Errorf("%s: query ended within 1.1 latency targets: %v", name, ended)
 		}
 	}
 }
 
-// The last of many parts is hedged as soon as it is overdue and another server should be in time. The last of few is not hedged
-// before another server should be sooner than the first is late.
-func TestTheLastOfManyPartsGetsACopy(t *testing.T) {
+// The last of many parts is hedged as soon as it is overdue and another server is predicted to be
+// in time. The last of few parts is hedged only if another server is predicted to be faster than
+// the first is late.
+func TestHedging_LastOfManyParts(t *testing.T) {
 	for parts, want := range map[int]int{16: 1, 4: 0} {
 		cfg := plain()
 		cfg.Shards, cfg.Cells, cfg.CellsPerShard, cfg.Limits.Hedging = 16, 16, 2, true
@@ -233,26 +238,27 @@
 		var back []Event
 		for _, a := range sent[1:] {
 			end := served(a, 0, 120*ms)
-			end.Report = &LoadReport{Queue: 3, Utilization: 1} // what is sent elsewhere waits
+			end.Report = &LoadReport{Queue: 3, Utilization: 1} // a hedge would be queued
 			back = append(back, end)
 		}
 		sc.step(120*ms, back...)
-		copies := 0
+		hedges := 0
 		for range 20 {
 			for _, a := range of[Send](sc.step(10 * ms)) {
 				if a.Part == sent[0].Part {
-					copies++
+					hedges++
 				}
 			}
 		}
-		if copies != want {
-			t.Errorf("of %d parts the last got %d copies, want %d", parts, copies, want)
+		if hedges != want {
+			t.Errorf("%d parts: the last was hedged %d times, want %d", parts, hedges, want)
 		}
 	}
 }
 
-// A server that was busy in each of its reports is taken to be busy between two reports, and others are not.
-func TestABacklogRestsAtTheServersOwnMean(t *testing.T) {
+// A server that was busy in each of its reports is assumed to be busy between reports; other
+// servers are not.
+func TestBacklog_DecaysToServerMean(t *testing.T) {
 	sc := newScript(t, oneCell(), "busy", "idle")
 	for id := ID(100); id < 300; id += 10 {
 		for _, a := range of[Send](sc.step(50*ms, sc.request(id, 20*ms)...)) {
@@ -268,14 +274,15 @@
 	}
 	sc.step(5000 * ms)
 	if b, i := sc.s.backlog(sc.s.servers["busy"]), sc.s.backlog(sc.s.servers["idle"]); b < 1.5*i || b < 50*ms {
-		t.Errorf("five latency targets after the last reports the busy one is predicted %v of backlog, the idle one %v", b, i)
+		t.Errorf("five latency targets after the last report: predicted backlog %v of the busy server, %v of the idle one", b, i)
 	}
 }
 
-// A part does not return immediately to a full server that rejected it: its attempts are few, and where no other holder is left, they
-// are spread. Those of many aggregators do not return together.
-func TestAFullServerIsNotRetriedImmediately(t *testing.T) {
-	f := newTeam(t, 40, 4)
+// A part does not return immediately to a full server that rejected it: the number of attempts is
+// limited and, if there is no other holder, they are spread over time. Attempts of many aggregators
+// must not be synchronized.
+func TestRejection_RetryIsDelayedWithJitter(t *testing.T) {
+	f := newAggregatorFleet(t, 40, 4)
 	last := map[int64]int{}
 	for _, s := range f.all {
 		s.Step(f.now, []Event{FleetChanged{Kind: FleetFull, Servers: []Server{{ID: "s0", Health: Ready}}}})
@@ -295,19 +302,19 @@
 			as = s.Step(now, events)
 		}
 		if len(times) != 4 || times[1] < 25*ms || times[3] < 150*ms || times[3] > 700*ms {
-			t.Fatalf("attempts at %v us, want four over some hundred milliseconds", times)
+			t.Fatalf("attempts at %v us, want four, the last after 150 to 700 ms", times)
 		}
 		last[times[3]/(20*ms)]++
 	}
 	for at, n := range last {
 		if n > 12 {
-			t.Errorf("%d of 40 aggregators come back for the last time within 20 ms, after %d", n, at*20)
+			t.Errorf("%d of 40 aggregators make their last attempt within the same 20 ms, after %d ms", n, at*20)
 		}
 	}
 }
 
-// BenchmarkStepBySize is one step of a module that a query of eight parts comes to and whose parts are served, at 200 and 1,000 servers; idle
-// is a step in which nothing happened but an alarm.
+// BenchmarkStepBySize measures a step that opens a query of eight parts and the step in which these
+// are served, with 200 and 1,000 servers. The idle case is a step with an alarm only.
 func BenchmarkStepBySize(b *testing.B) {
 	for _, servers := range []int{200, 1000} {
 		for _, busy := range []bool{false, true} {
@@ -324,7 +331,7 @@
 					list = append(list, Server{ID: ServerID(fmt.Sprint("s", i)), Cell: i, Health: Ready})
 				}
 				s.Step(now, []Event{FleetChanged{Kind: FleetCached, Servers: list}})
-				ask := func() []Event {
+				newQuery := func() []Event {
 					id += 10
 					events := []Event{Query{ID: id, Group: int64(id), Class: "q", Deadline: now + 3000*ms, Work: 80 * ms}}
 					for i := range 8 {
@@ -332,10 +339,10 @@
 					}
 					return events
 				}
-				for range 2000 { // every server is known
+				for range 2000 { // until every server has samples
 					now += 2 * ms
 					var back []Event
-					for _, a := range of[Send](s.Step(now, ask())) {
+					for _, a := range of[Send](s.Step(now, newQuery())) {
 						back = append(back, served(a, 0, 10*ms))
 					}
 					now += 2 * ms
@@ -349,7 +356,7 @@
 						continue
 					}
 					var back []Event
-					for _, a := range of[Send](s.Step(now, ask())) {
+					for _, a := range of[Send](s.Step(now, newQuery())) {
 						back = append(back, served(a, 0, 10*ms))
 					}
 					now += ms
@@ -360,16 +367,16 @@
 	}
 }
 
-// No report says how many cores work on its queue. The wait that is predicted for a part is about what answers showed, whatever the
-// cores; a new aggregator assumes two.
-func TestHowFastAQueueDrainsIsLearnt(t *testing.T) {
+// Load reports do not say how many cores process the queue. The predicted wait must approach the
+// observed one for any number of cores; a new aggregator assumes two.
+func TestDrainFactor_LearnsServerCores(t *testing.T) {
 	for _, cores := range []float64{1, 2, 8} {
 		sc := newScript(t, oneCell(), "a", "b")
 		sc.queryWithReports(100, 20, 0, 10*ms, 100*ms)
 		waits := 10 * 100 * ms / cores
 		sc.queryWithReports(1000, 60, 10, 10*ms, 100*ms+int64(waits))
 		if w := sc.s.predictWait(sc.s.servers["a"]); w < 0.5*waits || w > 1.6*waits {
-			t.Errorf("%v cores: a wait of %.0f us is predicted, it was %.0f", cores, w, waits)
+			t.Errorf("%v cores: predicted wait %.0f us, observed %.0f us", cores, w, waits)
 		}
 	}
 }
--- a/handover.go
+++ b/handover.go
@@ -1,4 +1,4 @@
-// What one process hands to the next. Nothing in this file decides.
+// The learned state that a process hands over to its successor. This file makes no decisions.
 
 package saffronquay
 
@@ -8,7 +8,7 @@
 	"slices"
 )
 
-// Learned is what the process that takes this one's place should know. It is a copy.
+// Learned returns a copy of the learned state, for the process that replaces this one.
 func (s *Scheduler) Learned() Learned {
 	l := Learned{Admission: s.currentSlack() / s.openSlack, Suspects: map[string]int64{}}
 	for key, k := range s.keys {
@@ -29,11 +29,11 @@
 	return l
 }
 
-// recall applies what the process before this one had learnt.
-func (s *Scheduler) recall(l Learned) {
-	s.medianLatencyRatio() // of what was known before the change
+// restore restores the learned state of the previous process.
+func (s *Scheduler) restore(l Learned) {
+	s.medianLatencyRatio() // computed from the state before the change
 	for _, k := range l.Servers {
-		s.recallServer(k)
+		s.restoreServer(k)
 	}
 	s.slack, s.slackAt = min(max(l.Admission*s.openSlack, minSlack), s.openSlack), s.now
 	for key, at := range l.Suspects {
@@ -45,9 +45,10 @@
 	s.freeExtrasFrom = s.now + s.cfg.Rules.ExtraAttemptWindow
 }
 
-// recallServer takes what was learnt of a server, unless something was learnt here already. A time that lies
-// ahead, as after a clock was set back, counts as now; values that make no sense are ignored.
-func (s *Scheduler) recallServer(k LearnedServer) {
+// restoreServer restores the learned state of a server, unless this process has its own
+// observations. A time in the future, as after a clock was set back, counts as now; implausible
+// values are ignored.
+func (s *Scheduler) restoreServer(k LearnedServer) {
 	r := s.servers[k.Server]
 	plausible := k.Failures >= 0 && k.Attempts >= k.Failures && !math.IsInf(k.Attempts, 0)
 	if r == nil || r.StartedAt > max(k.LatencyRatioAt, k.CountedAt) || !plausible {
--- a/invariants_test.go
+++ b/invariants_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// A seeded stream of random events with a strict observer beside it, which checks the rules at every action.
+// A seeded stream of random events, with an observer that checks the invariants at every action.
 
 type sentAttempt struct {
 	part   ID
@@ -54,8 +54,8 @@
 	out              []*sentAttempt
 	cancels          map[*sentAttempt]bool
 	alarms           map[int64]int64
-	marks            []int64
-	taken            []int64
+	alarmIDs         []int64
+	requests         []int64
 	extras           []int64
 	trace            []string
 	warmUpSends      map[ServerID][]warmUpSend
@@ -78,7 +78,7 @@
 	if kind%3 == 2 {
 		c.Tenants, c.OverQuotaValue = []Tenant{{Name: "t0", Quota: 3}, {Name: "t1", Quota: 1}}, 0.05
 	}
-	if kind%4 < 2 { // each with and without second copies
+	if kind%4 < 2 { // both with and without hedging
 		c.Rules.Budgeted, c.Rules.FreeExtraAttempts, c.Rules.ExtraAttemptRatio, c.Rules.ExtraAttemptWindow = true, 4, 0.05, 5000*ms
 	}
 	return c
@@ -137,16 +137,16 @@
 			Work: int64(20+o.rng.IntN(80)) * ms,
 		})
 		o.nextID++
-		o.taken = append(o.taken, o.now)
+		o.requests = append(o.requests, o.now)
 	}
 	return es
 }
 
-// events draws what happens next.
+// events draws the events of the next step.
 func (o *observer) events() []Event {
 	var es []Event
 	if o.rng.IntN(12) == 0 {
-		o.taken = append(o.taken, o.now)
+		o.requests = append(o.requests, o.now)
 		es = append(es, o.newQuery()...)
 	}
 	keep := o.out[:0]
@@ -194,14 +194,14 @@
 		}
 	}
 	var left []int64
-	for _, m := range o.marks {
+	for _, m := range o.alarmIDs {
 		if o.alarms[m] <= o.now {
 			es = append(es, AlarmRang{ID: m})
 		} else {
 			left = append(left, m)
 		}
 	}
-	o.marks = left
+	o.alarmIDs = left
 	return es
 }
 
@@ -213,7 +213,7 @@
 	}
 	for _, id := range o.order {
 		if q := o.queries[id]; q.finals == 0 && o.now > q.deadline+o.cfg.Rules.AnswerGrace {
-			o.t.Fatalf("query %d has no final answer in time", id)
+			o.t.Fatalf("query %d has no final answer within its deadline and grace", id)
 		}
 	}
 }
@@ -221,7 +221,7 @@
 func (o *observer) final(id ID) *seenQuery {
 	q := o.queries[id]
 	if q == nil || q.finals > 0 {
-		o.t.Fatalf("a final answer for query %d, which is not open", id)
+		o.t.Fatalf("final answer for query %d, which is not open", id)
 	}
 	q.finals++
 	return q
@@ -243,14 +243,14 @@
 			}
 		}
 		if w < q.class.MinWeight-0.0001 {
-			o.t.Fatalf("answered from %v, floor %v", w, q.class.MinWeight)
+			o.t.Fatalf("answered with weight %v, minimum is %v", w, q.class.MinWeight)
 		}
 		if a.Complete && (w < q.class.CompleteWeight-0.0001 || q.step == 1 && (!all || !q.firstStepComplete)) {
-			o.t.Fatalf("marked complete from %v of %v", w, q.class.CompleteWeight)
+			o.t.Fatalf("answer marked complete with weight %v, complete weight is %v", w, q.class.CompleteWeight)
 		}
 		if q.class.SecondStepParts > 0 && q.step == 0 {
 			if q.finals > 0 {
-				o.t.Fatalf("answered a query that has ended")
+				o.t.Fatalf("answer for a query that has ended")
 			}
 			q.step, q.firstStepComplete, q.fetchAt, q.parts = 1, a.Complete, o.now, nil
 			return
@@ -262,7 +262,7 @@
 			for _, p := range o.parts {
 				for _, at := range p.attempts {
 					if p.query == a.Query && (at.open || at.ran) {
-						o.t.Fatalf("refused a query whose part may have run")
+						o.t.Fatalf("refused an at-most-once query of which a part may have run")
 					}
 				}
 			}
@@ -273,7 +273,7 @@
 		o.cancels[o.parts[a.Part].attempts[a.Attempt]] = true
 	case SetAlarm:
 		o.alarms[a.ID] = a.At
-		o.marks = append(o.marks, a.ID)
+		o.alarmIDs = append(o.alarmIDs, a.ID)
 	}
 }
 
@@ -282,13 +282,13 @@
 	p := o.parts[a.Part]
 	q, v := o.queries[p.query], o.servers[a.Server]
 	if q.finals > 0 {
-		o.t.Fatalf("part %d left after its query ended", a.Part)
+		o.t.Fatalf("part %d was sent after its query ended", a.Part)
 	}
 	if (v.Cell-p.shard%o.cfg.Cells+o.cfg.Cells)%o.cfg.Cells >= o.cfg.CellsPerShard {
 		o.t.Fatalf("server %s does not have shard %d", a.Server, p.shard)
 	}
 	if at, ok := o.unavailableSince[a.Server]; ok && o.now > at+o.cfg.Rules.DrainGrace {
-		o.t.Fatalf("sent to %s, which drains or is gone", a.Server)
+		o.t.Fatalf("sent to %s, which is draining or removed", a.Server)
 	}
 	open := 0
 	for _, at := range p.attempts {
@@ -297,7 +297,7 @@
 		}
 		if mayHave := at.open || at.ran; mayHave && q.class.Effect == AtMostOnce ||
 			mayHave && q.class.Effect == Deduplicated && o.now > at.at+q.class.DedupWindow {
-			o.t.Fatalf("a part of class %s that may have run was sent again", q.class.Name)
+			o.t.Fatalf("part of class %s was sent again although it may have run", q.class.Name)
 		}
 	}
 	if open > 0 && !o.cfg.Limits.Hedging || open > 1 || len(p.attempts) >= o.cfg.Limits.MaxAttempts {
@@ -313,8 +313,8 @@
 			}
 			return n
 		}
-		if x, most := float64(n(o.extras)), o.cfg.Rules.FreeExtraAttempts+o.cfg.Rules.ExtraAttemptRatio*float64(n(o.taken)); x > most {
-			o.t.Fatalf("%v further attempts, %v allowed", x, most)
+		if x, most := float64(n(o.extras)), o.cfg.Rules.FreeExtraAttempts+o.cfg.Rules.ExtraAttemptRatio*float64(n(o.requests)); x > most {
+			o.t.Fatalf("%v further attempts, at most %v are allowed", x, most)
 		}
 	}
 	o.checkWarmUp(v)
@@ -323,7 +323,8 @@
 	o.out = append(o.out, at)
 }
 
-// checkWarmUp checks that this aggregator keeps to its fraction of what a warming server of four cores may be sent.
+// checkWarmUp checks that the work sent to a warming server of four cores stays within this
+// aggregator's fraction.
 func (o *observer) checkWarmUp(v *Server) {
 	age := o.now - v.StartedAt
 	if v.StartedAt == 0 || age >= o.cfg.Rules.WarmUp {
@@ -339,7 +340,7 @@
 	}
 	share := o.cfg.Rules.SlowStartFraction + (1-o.cfg.Rules.SlowStartFraction)*float64(age)/float64(o.cfg.Rules.WarmUp)
 	if most := o.cfg.Rules.OverloadMultiple * share * 4 * float64(o.cfg.Rules.OverloadWindow) / float64(o.cfg.Aggregators); sum > most {
-		o.t.Fatalf("%v of work to %s, which warms up; %v is allowed", sum, v.ID, most)
+		o.t.Fatalf("%v us of work sent to warming server %s, at most %v is allowed", sum, v.ID, most)
 	}
 }
 
@@ -352,7 +353,7 @@
 	}
 }
 
-func TestRulesAreKeptOnRandomEvents(t *testing.T) {
+func TestInvariants_RandomEvents(t *testing.T) {
 	sends := 0
 	for kind := range 8 {
 		o := newObserver(t, kind, uint64(kind)*1000+1)
@@ -362,17 +363,17 @@
 		}
 	}
 	if sends < 5000 {
-		t.Errorf("the stream exercised only %d sends", sends)
+		t.Errorf("only %d sends in all runs, want at least 5000", sends)
 	}
 }
 
-func TestSameEventsSameActions(t *testing.T) {
+func TestStep_DeterministicActions(t *testing.T) {
 	for kind := range 4 {
 		a, b := newObserver(t, kind, 5), newObserver(t, kind, 5)
 		a.runFor(3000)
 		b.runFor(3000)
 		if !reflect.DeepEqual(a.trace, b.trace) {
-			t.Fatalf("kind %d: two runs of the same events differ", kind)
+			t.Fatalf("kind %d: two runs with the same events return different actions", kind)
 		}
 	}
 }
--- a/median_test.go
+++ b/median_test.go
@@ -11,8 +11,9 @@
 	"pgregory.net/rapid"
 )
 
-// A step in which nothing is decided scans no server. One in which parts are sent scans each server once at most.
-func TestAnIdleStepLooksAtNoServer(t *testing.T) {
+// A step without decisions reads no latency ratio. A step that sends parts reads each server's at
+// most once.
+func TestMedianLatencyRatio_NotComputedInIdleSteps(t *testing.T) {
 	const servers = 400
 	c := newBusyModule(t, large(servers, 2))
 	c.now += 5 * ms
@@ -20,28 +21,28 @@
 	if len(out) != 100 {
 		t.Fatalf("%d sends, want 100", len(out))
 	}
-	looked := c.s.replicasScanned
-	for range 50 { // a query is open, its parts are out, and nothing happens
+	scanned := c.s.replicasScanned
+	for range 50 { // a query is open with its parts in flight, and only alarms occur
 		c.now += 100
 		if got := c.s.Step(c.now, []Event{AlarmRang{}}); len(of[Send](got)) > 0 {
-			t.Fatal("the steps are not idle")
+			t.Fatal("a part was sent in a step with an alarm only")
 		}
 	}
-	if n := c.s.replicasScanned - looked; n != 0 {
-		t.Errorf("50 idle steps scanned %d servers", n)
+	if n := c.s.replicasScanned - scanned; n != 0 {
+		t.Errorf("50 idle steps scanned %d servers, want 0", n)
 	}
 	for i, a := range out[:40] {
 		before := c.s.replicasScanned
 		c.now += 100
 		c.s.Step(c.now, []Event{served(a, 0, 4*ms)})
 		if n := c.s.replicasScanned - before; n > 2*servers || i > 0 && n > servers {
-			t.Fatalf("a step with an answer scanned %d servers of %d", n, servers)
+			t.Fatalf("a step with a served part scanned %d servers of %d", n, servers)
 		}
 	}
 }
 
-// eager is the median as computed in each step: of all latency ratios, sorted.
-func eager(s *Scheduler) float64 {
+// sortedMedian computes the median of all latency ratios by sorting.
+func sortedMedian(s *Scheduler) float64 {
 	var ps []float64
 	for _, r := range s.servers {
 		if r.Health == Ready && r.latencyRatio > 0 {
@@ -55,18 +56,19 @@
 	return ps[len(ps)/2]
 }
 
-// Two modules get the same events, with servers that come, go, drain and restart, changed settings and recalled state. Of one the
-// median is computed after each step. Both decide the same, and the median is that of all ratios, sorted.
-func TestAMedianWorkedOutLateChangesNothing(t *testing.T) {
+// Two modules get the same events: servers are added, removed, drained and restarted, settings
+// change and state is recalled. One of them also computes the median after each step. Both must
+// return the same actions, and the median must be that of all sorted ratios.
+func TestMedianLatencyRatio_LazyEqualsEager(t *testing.T) {
 	for seed := range uint64(12) {
 		rng := rand.New(rand.NewPCG(seed, 9))
 		cfg := large(60, 3)
 		cfg.Classes[0].CompleteWeight, cfg.Classes[0].MinWeight, cfg.Limits.Hedging = 0.9, 0.5, seed%2 == 0
-		late, err := New(cfg, seed)
+		lazy, err := New(cfg, seed)
 		if err != nil {
 			t.Fatal(err)
 		}
-		early, err := New(cfg, seed)
+		eager, err := New(cfg, seed)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -87,28 +89,28 @@
 		tries := map[ID]int{}
 		var out []flight
 		for step := range 1500 {
-			a, b := late.Step(now, events), early.Step(now, slices.Clone(events))
+			a, b := lazy.Step(now, events), eager.Step(now, slices.Clone(events))
 			if !reflect.DeepEqual(a, b) {
-				t.Fatalf("seed %d, step %d: %v, and where the median was computed each step %v", seed, step, a, b)
+				t.Fatalf("seed %d, step %d: actions %v, with the median computed in each step %v", seed, step, a, b)
 			}
-			if got, want := early.medianLatencyRatio(), eager(early); math.Float64bits(got) != math.Float64bits(want) {
-				t.Fatalf("seed %d, step %d: a median of %v, want %v", seed, step, got, want)
+			if got, want := eager.medianLatencyRatio(), sortedMedian(eager); math.Float64bits(got) != math.Float64bits(want) {
+				t.Fatalf("seed %d, step %d: median %v, want %v", seed, step, got, want)
 			}
 			ready := 0
-			for _, r := range late.servers {
+			for _, r := range lazy.servers {
 				if r.Health == Ready {
 					ready++
 				}
 			}
-			if late.readyCount != ready {
-				t.Fatalf("seed %d, step %d: %d servers are counted as ready, of %d", seed, step, late.readyCount, ready)
+			if lazy.readyCount != ready {
+				t.Fatalf("seed %d, step %d: readyCount is %d, want %d", seed, step, lazy.readyCount, ready)
 			}
 			for _, x := range of[Send](a) {
 				out = append(out, flight{x, tries[x.Part], now})
 				tries[x.Part]++
 			}
 			now += int64(1+rng.IntN(8)) * ms
-			events = []Event{AlarmRang{ID: late.alarmID}}
+			events = []Event{AlarmRang{ID: lazy.alarmID}}
 			kept := out[:0]
 			for _, f := range out {
 				switch {
@@ -141,12 +143,12 @@
 				events = append(events, SettingsChanged{Settings: other})
 			case 2:
 				l := Learned{Admission: rng.Float64()}
-				for i := range 130 { // of those that have served nothing since they started
+				for i := range 130 { // applied to servers without samples
 					l.Servers = append(l.Servers, LearnedServer{Server: ServerID(fmt.Sprint("s", i)), LatencyRatio: 9 * rng.Float64(), LatencyRatioAt: now, Attempts: 2, CountedAt: now})
 				}
 				events = slices.Insert(events, rng.IntN(2), Event(Recalled{l}))
 			}
-			if rng.IntN(2) == 0 { // the order of what happens is any
+			if rng.IntN(2) == 0 { // events in random order
 				rng.Shuffle(len(events)-1, func(i, j int) {
 					if _, ok := events[i+1].(Part); !ok {
 						if _, ok := events[j+1].(Part); !ok {
@@ -156,14 +158,14 @@
 				})
 			}
 		}
-		if late.replicasScanned >= early.replicasScanned {
-			t.Errorf("seed %d: %d servers scanned, no fewer than the %d where the median is computed after each step", seed, late.replicasScanned, early.replicasScanned)
+		if lazy.replicasScanned >= eager.replicasScanned {
+			t.Errorf("seed %d: %d servers scanned, want fewer than the %d with the median computed after each step", seed, lazy.replicasScanned, eager.replicasScanned)
 		}
 	}
 }
 
-// What a former process knew of servers changes the median from the next step on only, as when it was computed in each step.
-func TestWhatIsRecalledCountsFromTheNextStep(t *testing.T) {
+// State recalled from an earlier process changes the median only from the next step on.
+func TestMedianLatencyRatio_RecalledStateAppliesNextStep(t *testing.T) {
 	sc := newScript(t, plain(), "a", "b", "c", "d", "e")
 	sc.s.servers["a"].latencyRatio, sc.s.servers["a"].latencyRatioAt = 3, sc.now
 	sc.step(10 * ms)
@@ -171,26 +173,26 @@
 	for _, id := range []ServerID{"b", "c", "d"} {
 		l.Servers = append(l.Servers, LearnedServer{Server: id, LatencyRatio: 9, LatencyRatioAt: sc.now, CountedAt: sc.now})
 	}
-	want := eager(sc.s)
-	sc.s.recall(l)
+	want := sortedMedian(sc.s)
+	sc.s.restore(l)
 	if got := sc.s.medianLatencyRatio(); got != want || got < 2 || got > 3 {
-		t.Errorf("a median of %v, want the %v of the step before", got, want)
+		t.Errorf("median %v, want %v as of the previous step", got, want)
 	}
 	if sc.step(10 * ms); sc.s.medianLatencyRatio() < 8 {
-		t.Errorf("a median of %v after three of four are known to take nine times as long", sc.s.medianLatencyRatio())
+		t.Errorf("median %v with a ratio of 9 at three of four servers, want at least 8", sc.s.medianLatencyRatio())
 	}
 }
 
-func TestNthIsWhatSortingPutsThere(t *testing.T) {
+func TestSelectNth_MatchesSorting(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		v := rapid.SliceOfN(rapid.OneOf(rapid.Float64(), rapid.SampledFrom([]float64{0, 1, 1, 2, math.NaN(), math.Inf(1), math.Inf(-1)})), 1, 200).Draw(t, "v")
 		k := rapid.IntRange(0, len(v)-1).Draw(t, "k")
 		sorted := slices.Sorted(slices.Values(v))
 		if got := selectNth(v, k); math.Float64bits(got) != math.Float64bits(sorted[k]) && !(got != got && sorted[k] != sorted[k]) && got != sorted[k] {
-			t.Fatalf("%v at %d, want %v", got, k, sorted[k])
+			t.Fatalf("value %v at index %d, want %v", got, k, sorted[k])
 		}
 	})
-	for _, n := range []int{1, 2, 3, 1000, 4096} { // orders that are easy to get wrong
+	for _, n := range []int{1, 2, 3, 1000, 4096} { // ascending, descending and equal values
 		up, same := make([]float64, n), make([]float64, n)
 		for i := range up {
 			up[i] = float64(i)
@@ -200,7 +202,7 @@
 		for _, v := range [][]float64{up, down, same} {
 			want := slices.Sorted(slices.Values(v))[n/2]
 			if got := selectNth(v, n/2); got != want {
-				t.Errorf("%d values: %v, want %v", n, got, want)
+				t.Errorf("%d values: median %v, want %v", n, got, want)
 			}
 		}
 	}
--- a/queries.go
+++ b/queries.go
@@ -1,4 +1,4 @@
-// Open queries, their parts and the attempts of those. Nothing in this file decides.
+// Open queries, their parts and the attempts of the parts. This file makes no decisions.
 
 package saffronquay
 
@@ -7,53 +7,54 @@
 	"slices"
 )
 
-// partsPerQueryWeight is how many parts a query counts for in means of parts: those of one query are alike.
+// partsPerQueryWeight is the number of parts for which a query counts in means over parts, since parts of
+// one query are similar.
 const partsPerQueryWeight = 4.0
 
-// query is one open query. It is in Scheduler.openQueries until its final answer has gone.
+// query is an open query. It is in Scheduler.openQueries until its final answer has been emitted.
 type query struct {
 	Query
 	class             *Class
-	firstArrivedAt    int64   // of its first arrival, where this one is known to be a client's retry
+	firstArrivedAt    int64   // of the first arrival, if this is known to be a client's retry
 	arrivedAt         int64   // of this arrival
 	parts             []*part // of the current step
-	inSecondStep      bool    // the first step's answer has gone
+	inSecondStep      bool    // the answer of the first step has been emitted
 	firstStepComplete bool    // that answer was complete
-	admitted          bool    // it has passed admission
-	outcomeCounted    bool    // admission has been adjusted by it, or must not be
-	done              bool    // its final answer has gone
+	admitted          bool    // the query has passed admission
+	outcomeCounted    bool    // the outcome has adjusted admission, or must not
+	done              bool    // the final answer has been emitted
 }
 
-// part is one part of a query's current step, or of one that is over with attempts in flight.
+// part is a part of a query's current step, or of an earlier step with attempts still in flight.
 type part struct {
 	Part
 	query    *query
 	attempts []*attempt // in the order of their sends
-	selected bool       // wanted for the answer; others are spare
+	selected bool       // to be sent for the answer; parts that are not selected are spare
 	served   bool
 }
 
 // attempt is one send of a part to one replica.
 type attempt struct {
-	number           int  // its index in part.attempts
-	hedge            bool // sent while another was in flight
+	number           int  // index in part.attempts
+	hedge            bool // sent while another attempt of the part was in flight
 	replica          *replica
 	sentAt           int64
-	work             float64 // predicted work, its call's overhead included
-	predictedBacklog float64 // work at the replica at the send, this included
-	reportedWork     float64 // the part of it that is expected from reports
+	work             float64 // predicted work, including the call overhead
+	predictedBacklog float64 // predicted work at the replica at the send, including this attempt
+	reportedWork     float64 // the portion of predictedBacklog that comes from load reports
 	predicted        float64 // latency predicted at the send
 	connectionIdle   int64   // how long the connection had been idle at the send
 	ended            bool
-	mayHaveRun       bool  // its outcome does not prove that it never ran
-	brokeAt          int64 // when its connection broke while it was in flight; 0: it did not
-	retryAt          int64 // the part does not return to the replica before, since it rejected it
-	holdersSince     int64 // version of the shard's holders at the send, by the table
-	misplaced        bool  // the replica was found without the shard
+	mayHaveRun       bool  // the outcome does not prove that the attempt did not run
+	brokeAt          int64 // time at which the connection broke during the attempt; 0: it did not
+	retryAt          int64 // the part is not sent to this replica before, since the replica rejected it
+	holdersSince     int64 // version of the shard's holders at the send, under a table
+	misplaced        bool  // the replica did not have the shard
 }
 
-// addQuery opens a query. One of an unknown class is treated as of the first class. The latency target of a
-// client's retry runs from its first arrival.
+// addQuery opens a query. A query of an unknown class is treated as one of the first class. The latency
+// target of a client's retry counts from its first arrival.
 func (s *Scheduler) addQuery(e Query) {
 	class := s.classes[e.Class]
 	if class == nil {
@@ -71,8 +72,8 @@
 	s.openQueries = append(s.openQueries, q)
 }
 
-// addPart adds a part to its open query. A part of no open query, or of a shard that does not exist, is
-// ignored.
+// addPart adds a part to its open query. A part without an open query, or of a shard that does not exist,
+// is ignored.
 func (s *Scheduler) addPart(e Part) {
 	q := s.groups[e.Group]
 	if q == nil || q.done || s.table == nil && (e.Shard < 0 || e.Shard >= s.cfg.Shards) {
@@ -104,7 +105,7 @@
 	}
 }
 
-// endQuery forgets a query and cancels what is still in flight for it.
+// endQuery removes a query and cancels its attempts in flight.
 func (s *Scheduler) endQuery(q *query) {
 	s.releaseParts(q)
 	q.done = true
@@ -113,8 +114,8 @@
 	s.openQueries = slices.DeleteFunc(s.openQueries, func(o *query) bool { return o == q })
 }
 
-// releaseParts cancels the attempts of a query's parts, where that is allowed, and forgets parts with none in
-// flight.
+// releaseParts cancels the attempts of a query's parts, if cancelling is allowed, and removes parts without
+// attempts in flight.
 func (s *Scheduler) releaseParts(q *query) {
 	for _, p := range q.parts {
 		if s.cfg.Limits.MayCancel {
@@ -135,7 +136,7 @@
 	}
 }
 
-// weight is the weight of the current step's parts that match.
+// weight returns the total weight of the current step's parts that match.
 func (q *query) weight(of func(*part) bool) float64 {
 	w := 0.0
 	for _, p := range q.parts {
@@ -146,20 +147,20 @@
 	return w
 }
 
-// servedWeight is the weight of the parts that are served.
+// servedWeight returns the weight of the parts that have been served.
 func (q *query) servedWeight() float64 { return q.weight(func(p *part) bool { return p.served }) }
 
-// expectedWeight is the weight of the parts that are served or in flight.
+// expectedWeight returns the weight of the parts that have been served or are in flight.
 func (q *query) expectedWeight() float64 {
 	return q.weight(func(p *part) bool { return p.served || p.openAttempts() > 0 })
 }
 
-// allServed reports whether every part of the current step is served.
+// allServed reports whether every part of the current step has been served.
 func (q *query) allServed() bool {
 	return !slices.ContainsFunc(q.parts, func(p *part) bool { return !p.served })
 }
 
-// isComplete reports whether the parts that are served make a complete answer of the current step.
+// isComplete reports whether the served parts make a complete answer of the current step.
 func (q *query) isComplete() bool {
 	if len(q.parts) == 0 {
 		return false
@@ -170,7 +171,7 @@
 	return q.allServed() || q.servedWeight() >= q.class.CompleteWeight
 }
 
-// nearlyComplete reports whether all but a few of a query's many parts are served.
+// nearlyComplete reports whether at most one in nearlyCompleteParts of a query's parts is missing.
 func (q *query) nearlyComplete() bool {
 	missing := 0
 	for _, p := range q.parts {
@@ -181,8 +182,8 @@
 	return missing*nearlyCompleteParts <= len(q.parts)
 }
 
-// brokeIndependently reports whether attempts of a query's parts broke on two servers in a way that one event
-// does not explain: in two zones, where zones are known, or one sent after the other broke.
+// brokeIndependently reports whether attempts of a query's parts broke on two servers in a way that no
+// single event explains: in two zones, where zones are known, or one sent after the other broke.
 func (q *query) brokeIndependently() bool {
 	var broke []*attempt
 	for _, p := range q.parts {
@@ -200,16 +201,16 @@
 	})
 }
 
-// latencyTargetTime is the time by which an answer earns its full value.
+// latencyTargetTime returns the time by which an answer earns the full value.
 func (q *query) latencyTargetTime() int64 {
 	target := float64(q.class.LatencyTarget) + q.class.LatencyTargetStretch*float64(q.Work)
 	return min(q.firstArrivedAt+int64(target), q.Deadline)
 }
 
-// signature identifies a client's retry of a query, where the client does not mark it.
+// signature identifies a client's retry of a query that carries no explicit mark of a retry.
 func (q *query) signature() string { return fmt.Sprint(q.Class, " ", q.Key, " ", q.Work) }
 
-// openAttempts counts the attempts in flight.
+// openAttempts returns the number of attempts in flight.
 func (p *part) openAttempts() int {
 	n := 0
 	for _, a := range p.attempts {
@@ -220,8 +221,8 @@
 	return n
 }
 
-// countedAttempts counts the attempts that count against the limit. One that found its server without the
-// shard did not ask it for anything, and goes to each holder at most once.
+// countedAttempts returns the number of attempts that count against Limits.MaxAttempts. Misplaced attempts
+// do not: they cost the server no work, and there is at most one per holder.
 func (p *part) countedAttempts() int {
 	n := 0
 	for _, a := range p.attempts {
--- a/readable_test.go
+++ b/readable_test.go
@@ -10,10 +10,11 @@
 	"testing"
 )
 
-// The decisions stay small enough to be read in one go: all files that deploy/balancer.toml names as the policy together. A new
-// file of the module is either named there or listed here. Functions that keep the module's state were in the same file as the
-// decisions once and are in replicas.go, queries.go and explain.go now; their lines keep the same width.
-func TestTheModuleStaysReadable(t *testing.T) {
+// The files that deploy/balancer.toml lists as the policy stay small enough to be read in one
+// sitting. Every file of the module is either listed there or listed here. The state functions in
+// replicas.go, queries.go and explain.go were once part of the policy files, so the same line width
+// applies to them.
+func TestPolicyFiles_SizeAndWidth(t *testing.T) {
 	decides := policyFiles(t)
 	plain := []string{
 		"api.go", "doc.go", "explain.go", "handover.go", "queries.go", "replicas.go", "state.go", "statistics.go", "validate.go",
@@ -39,11 +40,11 @@
 		}
 	}
 	if total > 1000 {
-		t.Errorf("%d lines that are not blank; 1000 at most", total)
+		t.Errorf("policy files have %d non-blank lines, want at most 1000", total)
 	}
 }
 
-// checkWidth checks that no line of a file has over 110 characters, and returns the lines.
+// checkWidth checks that no line of a file is longer than 110 characters, and returns the lines.
 func checkWidth(t *testing.T, name string) []string {
 	t.Helper()
 	text, err := os.ReadFile(name)
@@ -53,13 +54,13 @@
 	lines := strings.Split(string(text), "\n")
 	for i, l := range lines {
 		if n := len([]rune(strings.ReplaceAll(l, "\t", "    "))); n > 110 {
-			t.Errorf("%s: line %d has %d characters", name, i+1, n)
+			t.Errorf("%s: line %d has %d characters, want at most 110", name, i+1, n)
 		}
 	}
 	return lines
 }
 
-// policyFiles are the files that deploy/balancer.toml names as the policy.
+// policyFiles returns the files that deploy/balancer.toml lists as the policy.
 func policyFiles(t *testing.T) []string {
 	t.Helper()
 	text, err := os.ReadFile("deploy/balancer.toml")
@@ -68,13 +69,13 @@
 	}
 	line := regexp.MustCompile(`(?m)^policy = \[(.*)\]$`).FindSubmatch(text)
 	if line == nil {
-		t.Fatal("deploy/balancer.toml has no line policy")
+		t.Fatal("deploy/balancer.toml: no line with the key policy")
 	}
 	var names []string
 	for _, item := range strings.Split(string(line[1]), ",") {
 		name, err := strconv.Unquote(strings.TrimSpace(item))
 		if err != nil {
-			t.Fatalf("policy: %s: %v", item, err)
+			t.Fatalf("deploy/balancer.toml: policy: %s: %v", item, err)
 		}
 		names = append(names, name)
 	}
--- a/replicas.go
+++ b/replicas.go
@@ -1,4 +1,4 @@
-// The list of servers and what is known of each. Nothing in this file decides.
+// The server list and the state of each server. This file makes no decisions.
 
 package saffronquay
 
@@ -7,33 +7,33 @@
 	"slices"
 )
 
-// replica is what a Scheduler knows of one server, listed or not.
+// replica is the state of one server, listed or not.
 type replica struct {
 	Server
 	listed bool
 
-	ownWork         float64      // predicted work of this aggregator's parts in flight there
-	foreignWork     float64      // work of others, as the latest report showed
-	foreignWorkAt   int64        // when it did
-	meanForeignWork decayingMean // mean of foreignWork over its reports
+	ownWork         float64      // predicted work of this aggregator's parts in flight at the server
+	foreignWork     float64      // work of other aggregators according to the latest report
+	foreignWorkAt   int64        // time of the latest report
+	meanForeignWork decayingMean // mean of foreignWork over the server's reports
 
-	latencyRatio   float64 // observed latency over predicted; 0 before the first sample
-	latencyRatioAt int64   // when it was last observed
+	latencyRatio   float64 // observed latency divided by predicted latency; 0: no sample
+	latencyRatioAt int64   // time of the latest sample
 
-	failureRate       decayingMean             // of its attempts
-	classFailureRates map[string]*decayingMean // the same, by class
-	mostlyFailing     bool                     // as last logged
+	failureRate       decayingMean             // of all attempts
+	classFailureRates map[string]*decayingMean // of the attempts of each class
+	mostlyFailing     bool                     // the server was last logged as failing
 
-	latestServedSend int64      // send time of the latest attempt that it has served
-	lastUsedAt       int64      // when anything last came back over its connections
-	lastCallAt       int64      // when a call last left for it
-	lastCallParts    int        // parts that left then
+	latestServedSend int64      // latest send time of an attempt that was served
+	lastUsedAt       int64      // time at which an attempt last ended
+	lastCallAt       int64      // time of the latest call
+	lastCallParts    int        // number of parts sent at lastCallAt
 	attempts         []*attempt // in flight, oldest first
 
 	warmUpSends       []warmUpSend // work sent within the window of the overload rule
-	warmUpCredit      float64      // work it may be sent while it warms up; at most 0, in debt below
-	warmUpCreditAt    int64        // when that was last brought up to date
-	warmUpCreditStart int64        // start time of the process that it is for
+	warmUpCredit      float64      // at most 0; a part may be sent when it is 0, see hasWarmUpCredit
+	warmUpCreditAt    int64        // time of the latest update of warmUpCredit
+	warmUpCreditStart int64        // start time of the server process that the credit belongs to
 }
 
 // warmUpSend is work that was sent to a warming server.
@@ -42,7 +42,7 @@
 	work float64
 }
 
-// updateFleet applies a change of the list of servers. Servers of a cell that the settings do not have are
+// updateFleet applies a change of the server list. Servers of a cell that the settings do not have are
 // ignored.
 func (s *Scheduler) updateFleet(e FleetChanged) {
 	if e.Kind == FleetFailed {
@@ -50,7 +50,7 @@
 		return
 	}
 	s.watchAt = 0
-	s.medianLatencyRatio() // of the list before the change
+	s.medianLatencyRatio() // computed from the list before the change
 	for _, r := range s.servers {
 		r.listed = r.listed && e.Kind == FleetDelta
 	}
@@ -83,8 +83,8 @@
 	s.countReady()
 }
 
-// holders lists the servers that hold a shard, by the table where there is one, and may be sent to. Their
-// order is that of the table, or by cell and id: chooseReplica's random choice among equals depends on it.
+// holders returns the servers that hold a shard and may be sent to, in the order of the table or, without
+// one, by cell and ID. The random choice among equals in chooseReplica depends on the order.
 func (s *Scheduler) holders(shard int) []*replica {
 	var hs []*replica
 	if s.table != nil {
@@ -105,9 +105,9 @@
 	return hs
 }
 
-// hasHolder reports whether a table names a holder of a part's shard that may be sent to. Guards a shard all
-// of whose holders drain against queries that wait for nothing. Without a table it is true: the list may be
-// late.
+// hasHolder reports whether the table names a holder of a part's shard that may be sent to. Otherwise
+// queries would wait in vain for a shard whose holders are all draining. Without a table it returns true,
+// since the list may be incomplete.
 func (s *Scheduler) hasHolder(p *part) bool {
 	return s.table == nil || slices.ContainsFunc(s.table.Of(p.Shard), func(id ServerID) bool {
 		r := s.servers[id]
@@ -115,8 +115,8 @@
 	})
 }
 
-// isExcluded reports whether a part is in flight at a server, was rejected there a moment ago, or was found
-// not to be there under the table in force.
+// isExcluded reports whether a part may not be sent to a server: it is in flight there, it was rejected
+// there recently, or the server did not have its shard under the table in force.
 func (s *Scheduler) isExcluded(p *part, r *replica) bool {
 	return slices.ContainsFunc(p.attempts, func(a *attempt) bool {
 		if a.replica != r {
@@ -127,13 +127,13 @@
 	})
 }
 
-// addToCell adds a server to its cell, which stays in the order of ids.
+// addToCell adds a server to its cell, which is ordered by ID.
 func (s *Scheduler) addToCell(r *replica) {
 	s.cells[r.Cell] = append(s.cells[r.Cell], r)
 	slices.SortFunc(s.cells[r.Cell], func(a, b *replica) int { return cmp.Compare(a.ID, b.ID) })
 }
 
-// countReady counts the servers that may be sent to, after the list has changed.
+// countReady counts the Ready servers after a change of the list.
 func (s *Scheduler) countReady() {
 	s.readyCount = 0
 	for _, cell := range s.cells {
@@ -145,9 +145,9 @@
 	}
 }
 
-// forgetReplica marks a server that has left the list as gone. It reports whether it dropped it, which it
-// does when nothing is in flight there and it was not sent to within the warm-up time: releases under new
-// names must not fill the memory.
+// forgetReplica marks an unlisted server as Gone and removes it if no attempt is in flight there and it was
+// not sent to within the warm-up time, so that repeated releases under new names do not fill the memory. It
+// reports whether the server was removed.
 func (s *Scheduler) forgetReplica(r *replica) bool {
 	if r.listed {
 		return false
@@ -160,8 +160,8 @@
 	return true
 }
 
-// resetIfRestarted forgets what a server's former process showed, where one has started since: none of it is
-// evidence of the new one.
+// resetIfRestarted clears the statistics of a server whose process has been replaced: they are no evidence
+// about the new process.
 func (r *replica) resetIfRestarted(started int64) {
 	if started <= r.StartedAt {
 		return
@@ -172,7 +172,7 @@
 	r.lastUsedAt, r.latestServedSend = 0, 0
 }
 
-// classFailureRate is the failure rate of a class at the server; it is made when missing.
+// classFailureRate returns the failure rate of a class at the server, which it creates if missing.
 func (r *replica) classFailureRate(c *Class) *decayingMean {
 	e := r.classFailureRates[c.Name]
 	if e == nil {
@@ -182,14 +182,15 @@
 	return e
 }
 
-// decayedRatio is a server's latency ratio as last observed, on its way back to another value since.
+// decayedRatio returns a server's latency ratio, decayed from the latest sample towards a resting value.
 func (r *replica) decayedRatio(now, span int64, rest float64) float64 {
 	return rest + (r.latencyRatio-rest)*decay(now-r.latencyRatioAt, span)
 }
 
-// medianLatencyRatio is the median of the ready servers' latency ratios as of the last step, each on its way
-// back to 1 since it was observed; 1 when none was observed. It is computed on first use in a step, and
-// before anything that it depends on changes: most steps need none, and it costs O(servers).
+// medianLatencyRatio returns the median of the ready servers' latency ratios as of the last step, each
+// decayed towards 1 since its latest sample; 1 without samples. It is computed on first use in a step, and
+// before a change of anything that it depends on, because most steps do not need it and it takes
+// O(servers).
 func (s *Scheduler) medianLatencyRatio() float64 {
 	if !s.medianDue {
 		return s.medianRatio
--- a/scheduler.go
+++ b/scheduler.go
@@ -1,17 +1,19 @@
 // The event loop of the decision module: Step applies the events of one moment, reviews the open queries,
-// sends what waits and sets the next alarm. The interface is in api.go, the contract in doc.go. Decisions are
-// in this file, admission.go, answering.go, prediction.go, slowstart.go, dispatch.go and attempts.go; what is
-// remembered is declared in state.go, replicas.go, queries.go and statistics.go.
+// sends waiting parts and sets the next alarm. The interface is in api.go, the contract in doc.go. Decisions
+// are in this file, admission.go, answering.go, prediction.go, slowstart.go, dispatch.go and attempts.go; the
+// state is declared in state.go, replicas.go, queries.go and statistics.go.
 
 package saffronquay
 
 import "strings"
 
-// maxWatchInterval is the longest time between two requests for the list, in microseconds: sites allow 6 s.
+// maxWatchInterval is the maximum time between two requests for the server list, in microseconds. Sites
+// allow 6 s.
 const maxWatchInterval = 39e5
 
-// Step takes what happened at the time now, in order, and returns what to do, in order. now must not be less
-// than in the step before, and events must not be empty. The returned slice is the caller's.
+// Step applies the events observed until now, in order, and returns the actions to carry out, in order. now
+// must not be less than in the previous step, and events must not be empty. The caller owns the returned
+// slice.
 func (s *Scheduler) Step(now int64, events []Event) []Action {
 	s.now, s.actions = now, nil
 	if s.started < 0 {
@@ -20,7 +22,7 @@
 	for _, e := range events {
 		s.handle(e)
 	}
-	s.extraAttemptBudget() // also forgets what has left its window
+	s.extraAttemptBudget() // called to drop records older than its window
 	s.sweep()
 	s.scheduleMedian()
 	s.reviewQueries()
@@ -29,7 +31,7 @@
 	return s.actions
 }
 
-// start runs within the first step, before its events.
+// start runs in the first step, before its events.
 func (s *Scheduler) start() {
 	s.started, s.servedWorkAt, s.unseenShardLatency = s.now, s.now, float64(s.cfg.Classes[0].LatencyTarget)
 	if s.cfg.WatchMembership {
@@ -37,8 +39,8 @@
 	}
 }
 
-// handle applies one event to the state. It starts no attempt and answers no query: that is decided after the
-// last event of a step, so that a notice of a drain counts for a query that came before it in the same step.
+// handle applies one event to the state. It starts no attempt and answers no query: that is decided after
+// the last event of a step, so that a drain notice applies to a query that came before it in the same step.
 func (s *Scheduler) handle(e Event) {
 	switch e := e.(type) {
 	case Query:
@@ -67,7 +69,7 @@
 	case SettingsChanged:
 		s.applySettings(e.Settings)
 	case Recalled:
-		s.recall(e.Learned)
+		s.restore(e.Learned)
 	case HoldersChanged:
 		s.table = e.Holders
 	case Replanned:
@@ -79,18 +81,19 @@
 	}
 }
 
-// retryMembership schedules the next request for the list of servers after one failed: soon, but spread out,
-// since its service may be in trouble. A request that took long has used up its pause.
+// retryMembership schedules the next request for the server list after one failed: soon, but with jitter,
+// since the membership service may be overloaded. The time that a slow request took counts towards the
+// pause.
 func (s *Scheduler) retryMembership() {
 	within := s.cfg.Rules.MembershipWithin
 	pause := within/8 + s.rng.Int64N(within/8+1)
-	s.emit(Log{Text: "the fleet's list could not be had; asking again"})
+	s.emit(Log{Text: "request for the server list failed; retrying"})
 	latest := s.watchedAt + maxWatchInterval
 	soon := s.now + maxWatchInterval/20 + s.rng.Int64N(maxWatchInterval/8)
 	s.watchAt = min(s.now+pause, max(latest, soon))
 }
 
-// armAlarm asks to be called again while a query is open or the list of servers is wanted.
+// armAlarm requests the next step while a query is open or the server list is to be requested.
 func (s *Scheduler) armAlarm() {
 	if s.watchAt > 0 && s.now >= s.watchAt {
 		s.watchAt = 0
--- a/scheduler_test.go
+++ b/scheduler_test.go
@@ -6,28 +6,28 @@
 	"testing"
 )
 
-func TestEachPartGoesToTheSmallestBacklog(t *testing.T) {
+func TestChooseReplica_SmallestBacklog(t *testing.T) {
 	sc := newScript(t, plain(), "a", "b")
 	first := of[Send](sc.step(0, sc.request(100, 300*ms)...))
 	if len(first) != 1 {
 		t.Fatalf("want one send, got %v", sc.got)
 	}
-	// A light part goes to the other server, and so does the next: two light ones are less than one heavy.
+	// Two light parts go to the other server, since together they are less work than the heavy one.
 	for id := ID(200); id <= 300; id += 100 {
 		next := of[Send](sc.step(ms, sc.request(id, 50*ms)...))
 		if len(next) != 1 || next[0].Server == first[0].Server {
-			t.Fatalf("query %d: %v should avoid %s", id, next, first[0].Server)
+			t.Fatalf("query %d: sent as %v, want another server than %s", id, next, first[0].Server)
 		}
 	}
 	// After the heavy part is served, its server has the smaller backlog.
 	sc.step(ms, served(first[0], 0, 300*ms))
 	next := of[Send](sc.step(ms, sc.request(400, 50*ms)...))
 	if len(next) != 1 || next[0].Server != first[0].Server {
-		t.Fatalf("%v should go back to %s", next, first[0].Server)
+		t.Fatalf("sent as %v, want server %s", next, first[0].Server)
 	}
 }
 
-func TestALoadReportResetsTheBacklog(t *testing.T) {
+func TestChooseReplica_AvoidsReportedQueue(t *testing.T) {
 	sc := newScript(t, plain(), "a", "b")
 	first := of[Send](sc.step(0, sc.request(100, 100*ms)...))[0]
 	done := served(first, 0, 100*ms)
@@ -35,12 +35,12 @@
 	sc.step(100*ms, done)
 	for id := ID(200); id <= 300; id += 100 {
 		if next := of[Send](sc.step(ms, sc.request(id, 50*ms)...)); next[0].Server == first.Server {
-			t.Fatalf("a server that reports a long queue was chosen: %v", next)
+			t.Fatalf("server with a long reported queue was chosen: %v", next)
 		}
 	}
 }
 
-func TestACompleteAnswerEndsTheQuery(t *testing.T) {
+func TestAnswer_CompleteEndsQuery(t *testing.T) {
 	sc := newScript(t, plain(), "a", "b")
 	sends := of[Send](sc.step(0, sc.request(100, 50*ms, 60*ms)...))
 	if got := sc.step(50*ms, served(sends[0], 0, 50*ms)); len(of[Answer](got)) != 0 {
@@ -51,11 +51,11 @@
 		t.Fatalf("want one complete answer, got %v", got)
 	}
 	if got := sc.run(4000 * ms); len(of[Fail](got))+len(of[Refuse](got))+len(of[Answer](got)) != 0 {
-		t.Fatalf("a second final answer: %v", got)
+		t.Fatalf("query has a second final answer: %v", got)
 	}
 }
 
-func TestIdleConnectionsThatBreakAreClosedBeforeUse(t *testing.T) {
+func TestIdleConnections_ClosedBeforeUseAfterBreak(t *testing.T) {
 	sc := newScript(t, plain(), "a")
 	first := of[Send](sc.step(0, sc.request(100, 50*ms)...))[0]
 	sc.step(50*ms, served(first, 0, 50*ms))
@@ -63,18 +63,18 @@
 	broke := AttemptEnded{Part: second.Part, Server: "a", Outcome: Broken, Latency: ms}
 	again := of[Send](sc.step(5*ms, broke))
 	if len(again) != 1 || again[0].Server != "a" {
-		t.Fatalf("a break on an idle connection should not count against its server: %v", sc.got)
+		t.Fatalf("want the part sent to the same server after a break on an idle connection, got %v", sc.got)
 	}
 	sc.step(50*ms, served(again[0], 1, 50*ms))
 	if got := sc.step(900*ms, sc.request(300, 50*ms)...); len(of[CloseIdle](got)) != 1 {
-		t.Fatalf("want the idle connection closed before the send, got %v", got)
+		t.Fatalf("want the idle connections closed before the send, got %v", got)
 	}
 	if got := sc.step(5*ms, sc.request(400, 50*ms)...); len(of[CloseIdle](got)) != 0 {
-		t.Fatalf("a busy connection was closed: %v", got)
+		t.Fatalf("connections in use were closed: %v", got)
 	}
 }
 
-func TestImpatienceIsLearnedAndUnlearned(t *testing.T) {
+func TestClientWait_LearnsAndDecays(t *testing.T) {
 	sc := newScript(t, plain(), "a", "b")
 	id := ID(100)
 	for range 20 { // clients leave after 150 ms
@@ -86,15 +86,15 @@
 	}
 	slow := sc.request(id, 400*ms)
 	if got := of[Refuse](sc.step(10*ms, slow...)); len(got) != 1 {
-		t.Fatalf("a query that no client will wait for was accepted: %v", sc.got)
+		t.Fatalf("query that takes longer than clients wait was admitted: %v", sc.got)
 	}
-	sc.now += 30_000 * ms // no client has left for long
+	sc.now += 30_000 * ms // no client left early during this time
 	if got := of[Send](sc.step(10*ms, sc.request(id+100, 400*ms)...)); len(got) != 1 {
-		t.Fatalf("impatience was not unlearned: %v", sc.got)
+		t.Fatalf("want the query admitted after the evidence expired, got %v", sc.got)
 	}
 }
 
-func TestOverloadRefusesWhatCannotMeetItsLatencyTarget(t *testing.T) {
+func TestAdmit_RefusesUnderOverload(t *testing.T) {
 	sc := newScript(t, plain(), "a", "b")
 	id, refused, sent := ID(100), 0, 0
 	for range 40 {
@@ -103,11 +103,11 @@
 		id += 100
 	}
 	if sent == 0 || refused == 0 {
-		t.Fatalf("%d sends, %d refusals: some should be served and the rest refused", sent, refused)
+		t.Fatalf("%d sends, %d refusals: want at least one of each", sent, refused)
 	}
 }
 
-func TestUnresponsiveServersAreAvoidedAndPartsSentElsewhere(t *testing.T) {
+func TestUnresponsiveServer_PartRestartedElsewhere(t *testing.T) {
 	sc := newScript(t, plain(), "a", "b")
 	first := of[Send](sc.step(0, sc.request(100, 100*ms)...))[0]
 	var again []Send
@@ -122,27 +122,27 @@
 		again = of[Send](got)
 	}
 	if len(again) != 1 || again[0].Server == first.Server {
-		t.Fatalf("the unresponsive part was not sent elsewhere: %v", again)
+		t.Fatalf("overdue part was not sent to the other server: %v", again)
 	}
 	next := of[Send](sc.step(10*ms, sc.request(200, 10*ms)...))
 	if len(next) != 1 || next[0].Server == first.Server {
-		t.Fatalf("the unresponsive server was chosen again: %v", next)
+		t.Fatalf("unresponsive server was chosen again: %v", next)
 	}
 }
 
-func TestQuickErrorsDoNotMakeAServerLookIdle(t *testing.T) {
+func TestErrors_QuickFailuresDoNotAttractParts(t *testing.T) {
 	sc := newScript(t, plain(), "a", "b")
 	first := of[Send](sc.step(0, sc.request(100, 100*ms)...))[0]
 	again := of[Send](sc.step(ms, AttemptEnded{Part: first.Part, Server: first.Server, Outcome: Errored, Latency: ms}))
 	if len(again) != 1 || again[0].Server == first.Server {
-		t.Fatalf("the part was not sent elsewhere: %v", sc.got)
+		t.Fatalf("failed part was not sent to the other server: %v", sc.got)
 	}
 	if next := of[Send](sc.step(ms, sc.request(200, 10*ms)...)); len(next) != 1 || next[0].Server == first.Server {
-		t.Fatalf("the server that erred draws the next part: %v", next)
+		t.Fatalf("want the next part sent to the other server, got %v", next)
 	}
 }
 
-func TestAPartialAnswerGoesOutAtTheLatencyTarget(t *testing.T) {
+func TestAnswer_PartialAtLatencyTarget(t *testing.T) {
 	cfg := plain()
 	cfg.Classes[0].MinWeight, cfg.Classes[0].LateValue = 0.5, 0.1
 	sc := newScript(t, cfg, "a", "b")
@@ -152,36 +152,36 @@
 	for sc.now < start+2000*ms {
 		if got := of[Answer](sc.step(10 * ms)); len(got) > 0 {
 			if got[0].Complete || sc.now > start+945*ms {
-				t.Fatalf("%v after %d us", got, sc.now-start)
+				t.Fatalf("answer %v after %d us, want a partial one within 945 ms", got, sc.now-start)
 			}
 			return
 		}
 	}
-	t.Fatal("no answer in part")
+	t.Fatal("no partial answer within 2 s")
 }
 
-func TestOnlyTheSufficientPartsAreSent(t *testing.T) {
+func TestSelectParts_SendsOnlyCompleteWeight(t *testing.T) {
 	cfg := plain()
 	cfg.Classes[0].CompleteWeight, cfg.Classes[0].MinWeight = 0.6, 0.6
 	sc := newScript(t, cfg, "a", "b")
 	if got := of[Send](sc.step(0, sc.request(100, 50*ms, 50*ms, 50*ms, 50*ms, 50*ms)...)); len(got) != 3 {
-		t.Fatalf("want three of five parts, got %v", got)
+		t.Fatalf("want three of five parts sent, got %v", got)
 	}
 }
 
-func TestNothingGoesToADrainingServer(t *testing.T) {
+func TestDraining_ServerGetsNoParts(t *testing.T) {
 	sc := newScript(t, plain(), "a", "b")
 	sc.step(ms, FleetChanged{Kind: FleetDelta, Servers: []Server{{ID: "a", Cell: 0, Health: Draining}}})
 	for id := ID(100); id < 600; id += 100 {
 		for _, s := range of[Send](sc.step(ms, sc.request(id, 50*ms)...)) {
 			if s.Server == "a" {
-				t.Fatal("a part left for a draining server")
+				t.Fatal("a part was sent to a draining server")
 			}
 		}
 	}
 }
 
-func TestANoticeOfADrainCountsInItsOwnStep(t *testing.T) {
+func TestDraining_AppliesWithinSameStep(t *testing.T) {
 	sc := newScript(t, plain(), "a", "b")
 	first := of[Send](sc.step(ms, sc.request(100, 50*ms)...))[0]
 	cells := map[ServerID]int{"a": 0, "b": 1}
@@ -194,21 +194,21 @@
 	}
 	for _, s := range got {
 		if s.Server == first.Server {
-			t.Errorf("%v left for the server that drains", s)
+			t.Errorf("%v was sent to the draining server", s)
 		}
 	}
 }
 
-func TestAShardWithoutHoldersEndsHonestly(t *testing.T) {
+func TestShardWithoutHolders_QueryEndsUnanswered(t *testing.T) {
 	sc := newScript(t, plain())
 	sc.step(0, sc.request(100, 50*ms)...)
 	got := append(sc.got, sc.run(3100*ms)...)
 	if n := len(of[Refuse](got)) + len(of[Fail](got)); n != 1 || len(of[Answer](got)) != 0 {
-		t.Fatalf("want one honest end, got %v", got)
+		t.Fatalf("want one Refuse or Fail and no Answer, got %v", got)
 	}
 }
 
-func TestPartsOfOneStepTravelInOneCall(t *testing.T) {
+func TestCallCost_SharedByPartsOfOneCall(t *testing.T) {
 	cfg := plain()
 	cfg.CallOverhead, cfg.PartsPerCall = 200*ms, 2
 	sc := newScript(t, cfg, "a", "b")
@@ -222,11 +222,11 @@
 		sum += r.ownWork
 	}
 	if len(sends) != 4 || sum != float64(len(calls))*200*ms+180*ms {
-		t.Fatalf("%d calls of %v are charged %v", len(calls), sends, sum)
+		t.Fatalf("%d calls for the sends %v: own work is %v", len(calls), sends, sum)
 	}
 }
 
-func TestNothingIsRememberedForGood(t *testing.T) {
+func TestMemory_EndedQueriesAreReleased(t *testing.T) {
 	sc := newScript(t, plain(), "a")
 	for id := ID(100); id < 400_000; id += 100 {
 		es := withKey(sc.request(id, 400*ms), fmt.Sprint("key", id))
@@ -237,84 +237,84 @@
 	sc.run(4000 * ms)
 	s := sc.s
 	if len(s.endedUnserved) > 500 || len(s.requestTimes) > 500 || len(s.extraAttemptTimes) > 500 || len(s.queries) > 0 || len(s.groups) > 0 {
-		t.Errorf("kept: %d ended, %d taken, %d extras, %d queries, %d groups", len(s.endedUnserved), len(s.requestTimes),
+		t.Errorf("remaining: %d ended queries, %d request times, %d extra attempt times, %d queries, %d groups", len(s.endedUnserved), len(s.requestTimes),
 			len(s.extraAttemptTimes), len(s.queries), len(s.groups))
 	}
 }
 
-func TestSettingsThatMakeNoSense(t *testing.T) {
-	for name, spoil := range map[string]func(*Settings){
+func TestSettingsValidate_RejectsInvalid(t *testing.T) {
+	for name, invalidate := range map[string]func(*Settings){
 		"no shards":               func(s *Settings) { s.Shards = 0 },
 		"no cells":                func(s *Settings) { s.Cells = 0 },
 		"no classes":              func(s *Settings) { s.Classes = nil },
 		"negative latency target": func(s *Settings) { s.Classes[0].LatencyTarget = -1 },
-		"need above one":          func(s *Settings) { s.Classes[0].CompleteWeight = 1.5 },
+		"complete weight above 1": func(s *Settings) { s.Classes[0].CompleteWeight = 1.5 },
 		"negative rule":           func(s *Settings) { s.Rules.OverloadWindow = -1 },
-		"tenant below 0":          func(s *Settings) { s.Tenants = []Tenant{{Name: "t", Quota: -1}} },
-		"over quota":              func(s *Settings) { s.OverQuotaValue = -0.1 },
-		"a window below 0, though no part is repeated": func(s *Settings) {
+		"negative quota":          func(s *Settings) { s.Tenants = []Tenant{{Name: "t", Quota: -1}} },
+		"negative over-quota":     func(s *Settings) { s.OverQuotaValue = -0.1 },
+		"negative dedup window of an at-most-once class": func(s *Settings) {
 			s.Classes[0].Effect, s.Classes[0].DedupWindow = AtMostOnce, -1
 		},
-		"self too large": func(s *Settings) { s.Self = 1 },
+		"self out of range": func(s *Settings) { s.Self = 1 },
 	} {
 		cfg := plain()
-		spoil(&cfg)
+		invalidate(&cfg)
 		if s, err := New(cfg, 1); err == nil || s != nil {
 			t.Errorf("%s: no error", name)
 		}
 	}
 }
 
-func TestAKeyThatBringsDownServersIsTurnedAway(t *testing.T) {
+func TestHarmfulKey_BlockedAfterIndependentBreaks(t *testing.T) {
 	cfg := plain()
 	cfg.Limits.PeerMessages = true
 	sc := newScript(t, cfg, "a", "b")
-	for id := ID(10); id < 20; id += 2 { // the path is sound
+	for id := ID(10); id < 20; id += 2 { // the zone has no failures
 		a := of[Send](sc.step(ms, sc.request(id, 10*ms)...))[0]
 		sc.step(10*ms, served(a, 0, 10*ms))
 	}
 	sent := of[Send](sc.step(0, withKey(sc.request(100, 100*ms, 100*ms), "k")...))
-	bystander := of[Send](sc.step(0, withKey(sc.request(200, 10*ms), "other")...))[0]
-	if got := of[Refuse](sc.step(20*ms, broken(sent[0], 0), broken(bystander, 0))); len(got) > 0 {
-		t.Fatalf("one break is no evidence against a key: %v", got)
+	unrelated := of[Send](sc.step(0, withKey(sc.request(200, 10*ms), "other")...))[0]
+	if got := of[Refuse](sc.step(20*ms, broken(sent[0], 0), broken(unrelated, 0))); len(got) > 0 {
+		t.Fatalf("query refused after breaks on one server: %v", got)
 	}
 	again := of[Send](sc.got)
 	sc.step(20*ms, broken(sent[1], 0))
 	if r := of[Refuse](sc.got); len(r) != 1 || r[0].Query != 100 {
-		t.Fatalf("want query 100 ended, got %v", sc.got)
+		t.Fatalf("want query 100 refused, got %v", sc.got)
 	}
-	if tell := of[NotifyPeer](sc.got); len(tell) != 1 || tell[0].Text != "bad k" {
-		t.Errorf("want the peers notified, got %v", tell)
+	if notices := of[NotifyPeer](sc.got); len(notices) != 1 || notices[0].Text != "bad k" {
+		t.Errorf("want the peers notified, got %v", notices)
 	}
-	if !slices.ContainsFunc(again, func(s Send) bool { return s.Part == bystander.Part }) {
-		t.Errorf("the bystander was not sent again: %v", again)
+	if !slices.ContainsFunc(again, func(s Send) bool { return s.Part == unrelated.Part }) {
+		t.Errorf("part of the unrelated query was not sent again: %v", again)
 	}
 	if r := of[Refuse](sc.step(ms, withKey(sc.request(300, 100*ms), "k")...)); len(r) != 1 {
-		t.Errorf("its next query was not refused: %v", sc.got)
+		t.Errorf("next query of the blocked key was not refused: %v", sc.got)
 	}
-	// Of another key one part goes first, the rest after that is served.
+	// For another key, one part is sent first, and the rest after it has been served.
 	one := of[Send](sc.step(ms, withKey(sc.request(400, 100*ms, 100*ms), "new")...))
 	if len(one) != 1 {
-		t.Fatalf("want one part first, got %v", one)
+		t.Fatalf("want one part sent first, got %v", one)
 	}
 	if rest := of[Send](sc.step(100*ms, served(one[0], 0, 100*ms))); len(rest) != 1 {
-		t.Errorf("want the rest, got %v", rest)
+		t.Errorf("want the remaining part sent, got %v", rest)
 	}
 }
 
-func TestAPeerMessageBlocksAKey(t *testing.T) {
+func TestHarmfulKey_BlockedByPeerMessage(t *testing.T) {
 	sc := newScript(t, plain(), "a", "b")
 	sc.step(0, PeerMessage{Peer: 1, Text: "bad k"}, PeerMessage{Peer: 1, Text: "something else"})
 	if r := of[Refuse](sc.step(ms, withKey(sc.request(100, 100*ms), "k")...)); len(r) != 1 {
-		t.Fatalf("not refused: %v", sc.got)
+		t.Fatalf("want the query of the blocked key refused, got %v", sc.got)
 	}
 	sc.step(plain().Rules.WarmUp + ms)
 	if got := of[Send](sc.step(ms, withKey(sc.request(200, 100*ms, 100*ms), "k")...)); len(got) == 0 {
-		t.Errorf("still refused after the warm-up time: %v", sc.got)
+		t.Errorf("query refused after the warm-up time: %v", sc.got)
 	}
 }
 
-func TestAdmissionOpensByItself(t *testing.T) {
+func TestCurrentSlack_RecoversWithoutMisses(t *testing.T) {
 	sc := newScript(t, plain(), "a", "b")
 	for range 30 {
 		sc.s.adjustAdmission(&query{class: &sc.s.cfg.Classes[0], admitted: true}, false)
@@ -326,34 +326,35 @@
 	sc.now += 60 * plain().Classes[0].LatencyTarget
 	sc.s.now = sc.now
 	if open := sc.s.currentSlack(); open < 0.95*sc.s.openSlack {
-		t.Errorf("slack %v long after the last miss, want about %v", open, sc.s.openSlack)
+		t.Errorf("slack %v 60 latency targets after the last miss, want at least 0.95 of %v", open, sc.s.openSlack)
 	}
 }
 
-func TestAdmissionLooksAtTheLastPartNeeded(t *testing.T) {
+func TestAdmit_DecidedByLastNeededPart(t *testing.T) {
 	for _, tc := range []struct {
-		name   string
-		floor  float64
-		refuse bool
+		name      string
+		minWeight float64
+		refuse    bool
 	}{
-		{"all parts needed, one far too late", 1, true},
-		{"half the parts may do", 0.5, false},
+		{"all parts needed, one too late", 1, true},
+		{"half of the parts suffice", 0.5, false},
 	} {
-		sc := behindABusyHolder(t, tc.floor, 1550*ms)
+		sc := newScriptWithBusyHolder(t, tc.minWeight, 1550*ms)
 		got := of[Refuse](sc.step(ms, sc.request(200, 100*ms, 100*ms)...))
 		var refused bool
 		for _, r := range got {
 			refused = refused || r.Query == 200
 		}
 		if refused != tc.refuse {
-			t.Errorf("%s: refused %v", tc.name, refused)
+			t.Errorf("%s: query refused: %v", tc.name, refused)
 		}
 	}
 }
 
-// Forty aggregators with little traffic each: the fraction of a warming server's capacity that each may use is less than a part,
-// yet the server gets work, and the sum keeps the rule for a server of one core.
-func TestManyAggregatorsTakeTurnsAtAWarmingServer(t *testing.T) {
+// Forty aggregators have little traffic each, so that each one's fraction of a warming server's
+// capacity is less than one part. The server must still get work, and the sum must stay within the
+// overload rule for a server of one core.
+func TestSlowStart_ManyAggregatorsAccumulateCredit(t *testing.T) {
 	cfg := plain()
 	cfg.Aggregators, cfg.Shards, cfg.Cells, cfg.CellsPerShard = 40, 1, 1, 1
 	start := int64(1_000_000_000)
@@ -385,7 +386,7 @@
 		}
 	}
 	if len(all) < 8 {
-		t.Fatalf("the warming server got only %d parts in eight seconds", len(all))
+		t.Fatalf("the warming server got %d parts in eight seconds, want at least 8", len(all))
 	}
 	for _, from := range all {
 		var sum int64
@@ -396,23 +397,23 @@
 		}
 		warm := cfg.Rules.SlowStartFraction + (1-cfg.Rules.SlowStartFraction)*float64(from.at-start)/float64(cfg.Rules.WarmUp)
 		if most := cfg.Rules.OverloadMultiple * warm * float64(cfg.Rules.OverloadWindow); float64(sum) > most {
-			t.Fatalf("%d of work within a window from %d, the rule allows %v", sum, from.at-start, most)
+			t.Fatalf("%d us of work in the window from %d, the rule allows %v", sum, from.at-start, most)
 		}
 	}
 }
 
-func TestServersThatLeftAreForgotten(t *testing.T) {
+func TestMemory_DepartedServersAreRemoved(t *testing.T) {
 	sc := newScript(t, oneCell())
-	for i := range 3000 { // a release under new names, again and again
+	for i := range 3000 { // repeated releases under new server names
 		id := ServerID(fmt.Sprint("s", i))
 		sc.step(1000*ms, FleetChanged{Kind: FleetFull, Servers: []Server{{ID: id, Health: Ready}}})
 		s := of[Send](sc.step(ms, sc.request(ID(10*i+10), 10*ms)...))
 		if len(s) != 1 || s[0].Server != id {
-			t.Fatalf("want a part at %s, got %v", id, s)
+			t.Fatalf("want one part sent to %s, got %v", id, s)
 		}
 		sc.step(ms, served(s[0], 0, 10*ms))
 	}
 	if n, most := len(sc.s.servers), 20; n > most || len(sc.s.cells[0]) != n {
-		t.Errorf("%d servers remembered, %d in the cell, want at most %d", n, len(sc.s.cells[0]), most)
+		t.Errorf("%d servers known, %d in the cell, want equal numbers of at most %d", n, len(sc.s.cells[0]), most)
 	}
 }
--- a/script_test.go
+++ b/script_test.go
@@ -6,7 +6,7 @@
 
 const ms = 1000
 
-// plain is a small deployment of one class; tests change what they need.
+// plain returns the settings of a small deployment with one class; tests change what they need.
 func plain() Settings {
 	return Settings{
 		Aggregators: 1, Period: 5 * ms, Shards: 2, Cells: 2, CellsPerShard: 2, PartsPerCall: 1,
@@ -45,7 +45,8 @@
 	return sc
 }
 
-// step lets so many microseconds pass and steps with the events, or without any with an alarm.
+// step advances the time by a number of microseconds and steps with the events or, without events,
+// with an alarm.
 func (sc *script) step(after int64, events ...Event) []Action {
 	sc.now += after
 	if len(events) == 0 {
@@ -55,7 +56,7 @@
 	return sc.got
 }
 
-// run lets time pass in small steps and returns all actions.
+// run advances the time in steps of 10 ms and returns all actions.
 func (sc *script) run(total int64) []Action {
 	var all []Action
 	for end := sc.now + total; sc.now < end; {
@@ -74,7 +75,7 @@
 	return out
 }
 
-// request makes the events of a query with one part for each given cost, on shards 0, 1, ...
+// request returns the events of a query with one part for each given work, on shards 0, 1, ...
 func (sc *script) request(id ID, costs ...int64) []Event {
 	var sum int64
 	for _, c := range costs {
@@ -94,12 +95,12 @@
 	return AttemptEnded{Part: a.Part, Attempt: n, Server: a.Server, Outcome: Served, Latency: latency}
 }
 
-// withKey gives the query among some events a key.
+// withKey sets the key of the query that is the first of some events.
 func withKey(es []Event, key string) []Event {
 	return withQuery(es, func(q *Query) { q.Key = key })
 }
 
-// withQuery changes the query among some events.
+// withQuery changes the query that is the first of some events.
 func withQuery(es []Event, change func(*Query)) []Event {
 	q := es[0].(Query)
 	change(&q)
@@ -111,12 +112,13 @@
 	return AttemptEnded{Part: a.Part, Attempt: n, Server: a.Server, Outcome: Broken}
 }
 
-// behindABusyHolder is a script in which the only server of shard 0 has so much work, and that of shard 1 none.
-func behindABusyHolder(t *testing.T, floor float64, work int64) *script {
+// newScriptWithBusyHolder returns a script in which the only server of shard 0 has the given work in
+// flight, and that of shard 1 none.
+func newScriptWithBusyHolder(t *testing.T, minWeight float64, work int64) *script {
 	t.Helper()
 	cfg := plain()
 	cfg.CellsPerShard = 1
-	cfg.Classes[0].MinWeight = floor
+	cfg.Classes[0].MinWeight = minWeight
 	sc := newScript(t, cfg, "a", "b")
 	sc.step(0, sc.request(100, work)...)
 	return sc
--- a/size_test.go
+++ b/size_test.go
@@ -8,12 +8,13 @@
 	"time"
 )
 
-// Benchmarks of the module at the size of many servers and many parts a query. One command gives all slopes; cpu is processor time of the whole
-// process, the collector's included, and says the same on busy cores:
+// Benchmarks of the module with many servers and many parts per query. The command below runs all of
+// them. The cpu metrics are processor time of the process, including garbage collection, and are
+// comparable on a busy machine:
 //
 //	go test -run '^$' -bench 'BySize$' -benchtime 1s .
 
-// processorTime is what this process has used so far.
+// processorTime returns the processor time that this process has used.
 func processorTime() time.Duration {
 	var u syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &u) != nil {
@@ -22,7 +23,8 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// large is a deployment of so many servers, each shard on reach of them, in six zones.
+// large returns the settings of a deployment with a number of servers in six zones, and reach
+// holders per shard.
 func large(servers, reach int) Settings {
 	cfg := plain()
 	cfg.Aggregators, cfg.Shards, cfg.Cells, cfg.CellsPerShard, cfg.Zone = 600, servers, servers, reach, "z0"
@@ -31,7 +33,7 @@
 	return cfg
 }
 
-// busyModule is a module whose servers have all served, and what drives it.
+// busyModule is a module with statistics of nearly all of its servers, and its driver.
 type busyModule struct {
 	s       *Scheduler
 	now     int64
@@ -66,7 +68,7 @@
 	return c
 }
 
-// request is a query of so many parts, each of another shard.
+// request returns the events of a query with a number of parts, each of another shard.
 func (c *busyModule) request(parts int) []Event {
 	c.id += ID(parts) + 1
 	events := make([]Event, 0, parts+1)
@@ -77,7 +79,8 @@
 	return events
 }
 
-// query opens a query and has its parts served over so many further steps; it reports whether it was answered, and how many parts left.
+// query opens a query and serves its parts over a number of further steps. It reports whether the
+// query was answered, and how many parts were sent.
 func (c *busyModule) query(parts, steps int) (answered bool, sent int) {
 	c.now += 5 * ms
 	out := of[Send](c.s.Step(c.now, c.request(parts)))
@@ -100,7 +103,7 @@
 	return answered, sent
 }
 
-// BenchmarkIdleStepBySize is a step in which nothing happened but an alarm, against the servers in the list.
+// BenchmarkIdleStepBySize measures a step with an alarm only, by number of servers in the list.
 func BenchmarkIdleStepBySize(b *testing.B) {
 	for _, servers := range []int{325, 650, 1300, 2600} {
 		b.Run(fmt.Sprintf("servers=%d", servers), func(b *testing.B) {
@@ -116,8 +119,8 @@
 	}
 }
 
-// BenchmarkQueryBySize is a query whose parts are served over so many steps, against its parts, against the servers, against the
-// holders of a shard and against the steps that it is open.
+// BenchmarkQueryBySize measures a query, by number of its parts, of servers, of holders per shard
+// and of steps over which its parts are served.
 func BenchmarkQueryBySize(b *testing.B) {
 	type size struct{ servers, parts, reach, steps int }
 	var sizes []size
@@ -164,7 +167,8 @@
 	return float64(m.HeapAlloc)
 }
 
-// BenchmarkStateBySize is not about time: it reports the memory of a server and of an open part.
+// BenchmarkStateBySize reports the memory of a server and of an open part. Its times are
+// meaningless.
 func BenchmarkStateBySize(b *testing.B) {
 	for _, servers := range []int{325, 650, 1300, 2600} {
 		b.Run(fmt.Sprintf("servers=%d", servers), func(b *testing.B) {
--- a/slowstart.go
+++ b/slowstart.go
@@ -1,4 +1,4 @@
-// How much work a replica gets while it warms up. Types are in api.go.
+// Slow start: how much work a replica is sent while it warms up. Types are in api.go.
 
 package saffronquay
 
@@ -6,11 +6,11 @@
 	"math"
 )
 
-// warmUpMargin is the part of a warming server's permitted load that is used: see hasWarmUpCapacity.
+// warmUpMargin is the fraction of a warming server's permitted load that is used: see hasWarmUpCapacity.
 const warmUpMargin = 0.5
 
-// warmUpFraction is the least fraction of its capacity that a server can be counted on to have; 1 when it is
-// warm.
+// warmUpFraction returns the minimum fraction of its capacity that a server has while it warms up; 1 if it
+// is warm.
 func (s *Scheduler) warmUpFraction(r *replica) float64 {
 	age := s.now - r.StartedAt
 	if r.StartedAt <= 0 || age >= s.cfg.Rules.WarmUp {
@@ -20,13 +20,13 @@
 	return c + (1-c)*float64(max(age, 0))/float64(s.cfg.Rules.WarmUp)
 }
 
-// hasWarmUpCapacity reports whether a server that may be warming up can take a part. It keeps the rule that
-// such a server is not overloaded, without agreement among aggregators: each counts on what the warm servers
-// are seen to carry for it plus one core over the number of aggregators. Summed over all, however uneven
-// their traffic, that is what a warm server carries and one core, so at most twice the capacity of any server
-// of a core or more: hence warmUpMargin. Where the result is less than one part it is saved up for: see
-// hasWarmUpCredit. Cost: a clock that differs from the others' shifts the capacity that a server is taken to
-// have.
+// hasWarmUpCapacity reports whether a server that may be warming up can be sent a part. It enforces the
+// overload rule without coordination among aggregators: each assumes that the server can do for it what a
+// warm server does for it, plus one core divided by the number of aggregators. Summed over all aggregators,
+// however uneven their traffic, that is the load of a warm server plus one core, which is at most twice the
+// capacity of any server with one core or more: hence warmUpMargin. Where the result is less than one part,
+// credit accumulates: see hasWarmUpCredit. The cost is that a clock that is skewed against the others
+// shifts the capacity that a server is assumed to have.
 func (s *Scheduler) hasWarmUpCapacity(p *part, r *replica) bool {
 	w, work := s.warmUpFraction(r), s.warmUpWork(p)
 	if w >= 1 || s.cfg.Rules.OverloadMultiple <= 0 {
@@ -47,9 +47,10 @@
 	return work <= allowed
 }
 
-// hasWarmUpCredit reports whether an aggregator whose fraction of a warming server's capacity is less than a
-// part has saved enough since the last part that it sent there. So their sum keeps the rule however much is
-// requested; each begins at its own point, by its number, so that they do not all begin together.
+// hasWarmUpCredit reports whether an aggregator whose fraction of a warming server's capacity is less than
+// one part has accumulated credit for another part. The sum over all aggregators thus stays within the rule
+// at any load. The phase at which an aggregator starts depends on its number, so that aggregators do not
+// all start at the same time.
 func (s *Scheduler) hasWarmUpCredit(p *part, r *replica, rate float64) bool {
 	if r.warmUpCreditStart != r.StartedAt {
 		_, phase := math.Modf(float64(s.cfg.Self)*math.Phi + hashFraction(uint64(hash32(string(r.ID)))))
@@ -59,17 +60,17 @@
 	return r.warmUpCredit >= 0
 }
 
-// warmUpDraw draws a number for a part and a warming server, once a window, times the shard's holders, so
-// that of the parts that could go there its fair fraction passes. Guards against many aggregators spending
-// their credit at the same moment, when something happens that all of them see. It draws from a hash, not
-// from rng.
+// warmUpDraw returns a pseudo-random number for a part and a warming server, redrawn in each window,
+// multiplied by the number of the shard's holders, so that the server's fair fraction of the eligible parts
+// passes. This protects against many aggregators spending their credit at the same moment after an event
+// that all of them see. The number comes from a hash, so that it does not consume values of rng.
 func (s *Scheduler) warmUpDraw(p *part, r *replica) float64 {
 	holders := max(s.cfg.CellsPerShard, len(s.holders(p.Shard)))
 	window := uint64(s.now / max(s.cfg.Rules.OverloadWindow, 1))
 	return hashFraction(s.seed, uint64(p.ID), uint64(hash32(string(r.ID))), window) * float64(holders)
 }
 
-// warmUpWork is what a part counts under the overload rule: not less than its class's mean.
+// warmUpWork returns the work of a part under the overload rule: at least the mean of its class.
 func (s *Scheduler) warmUpWork(p *part) float64 {
 	return max(s.partWork(p), s.statsOf(p.query.class).meanPartWork) + float64(s.cfg.CallOverhead)
 }
--- a/state.go
+++ b/state.go
@@ -1,4 +1,4 @@
-// What a Scheduler remembers. Nothing in this file decides.
+// The state of a Scheduler. This file makes no decisions.
 
 package saffronquay
 
@@ -9,92 +9,93 @@
 	"slices"
 )
 
-// Scheduler makes the decisions of one aggregator. It is not safe for concurrent use: its owner calls every
-// method from one goroutine at a time. It starts no goroutine, reads no clock and does no input or output.
+// Scheduler makes the decisions of one aggregator. It is not safe for concurrent use: its owner
+// must not call its methods concurrently. It starts no goroutine, reads no clock and does no input
+// or output.
 type Scheduler struct {
 	cfg     Settings
 	classes map[string]*Class
-	tenants map[string]*tenant // those with a quota, by name
+	tenants map[string]*tenant // tenants with a quota, by name
 	rng     *rand.Rand
 	seed    uint64
-	now     int64 // of the current step
-	started int64 // of the first step; -1 before it
+	now     int64 // time of the current step
+	started int64 // time of the first step; -1 before it
 	actions []Action
 
 	// The list of servers.
 	servers    map[ServerID]*replica
-	cells      [][]*replica             // by cell, in the order of their ids
-	zones      map[string]*decayingMean // rate of failed attempts, by the server's zone
-	readyCount int                      // listed servers that may be sent to
-	table      Holders                  // who holds which shard; nil: by the settings' formula
-	watchAt    int64                    // when to ask for the list again; 0: not wanted
-	watchedAt  int64                    // when it was last asked for
+	cells      [][]*replica             // by cell, ordered by ID
+	zones      map[string]*decayingMean // rate of failed attempts, by zone of the server
+	readyCount int                      // listed servers that are Ready
+	table      Holders                  // holders of each shard; nil: assigned by Settings.CellsPerShard
+	watchAt    int64                    // time of the next request for the list; 0: none is scheduled
+	watchedAt  int64                    // time of the latest request for the list
 
 	// Queries and parts.
 	queries       map[ID]*query
 	groups        map[int64]*query
 	openQueries   []*query // in order of arrival
 	parts         map[ID]*part
-	endedUnserved map[string]int64 // first arrival of queries that ended unserved, by signature
-	sweptAt       int64            // when what no longer counts was last forgotten
-	longestWait   int64            // the longest that a client of any class waits
-	alarmAt       int64            // when the latest alarm is due; 0: none is set
-	alarmID       int64            // of the latest alarm
+	endedUnserved map[string]int64 // first arrival of queries that ended without an answer, by signature
+	sweptAt       int64            // time of the latest sweep
+	longestWait   int64            // the longest HardLimit of a class
+	alarmAt       int64            // time of the latest alarm; 0: none is set
+	alarmID       int64            // ID of the latest alarm
 
-	// The budget of further attempts.
-	requestTimes      []int64 // arrivals of queries and parts within the budget's window
-	extraAttemptTimes []int64 // sends of further attempts within it
-	freeExtrasFrom    int64   // when the budget's free part may be spent
+	// Budget of further attempts.
+	requestTimes      []int64 // arrivals of queries and parts within the window
+	extraAttemptTimes []int64 // sends of further attempts within the window
+	freeExtrasFrom    int64   // time from which the free part of the budget may be spent
 
-	// Keys that bring down servers.
-	keys         map[string]keyRecord // those, and keys seen served meanwhile
-	harmfulKeyAt int64                // when a key was last found to do so
+	// Keys whose queries crash servers.
+	keys         map[string]keyRecord // blocked keys, and keys that were served since one was blocked
+	harmfulKeyAt int64                // time at which a key was last blocked
 
 	// Admission.
-	openSlack    float64                // the slack at which every class is let in as far as its target allows
-	slack        float64                // a query is let in when predicted within this multiple of the time left
-	slackAt      int64                  // when it last changed
-	highestValue float64                // the highest value of a class
-	loggedStrict bool                   // admission was last logged to be strict
-	overloadRate decayingMean           // attempts that were rejected or ran out of time
+	openSlack    float64                // slack at which a class is limited only by its target
+	slack        float64                // a query must be predicted within this multiple of the time left
+	slackAt      int64                  // time of the latest change of slack
+	highestValue float64                // the highest Value of a class
+	loggedStrict bool                   // admission was last logged as strict
+	overloadRate decayingMean           // rate of attempts that were rejected or timed out
 	queryCount   float64                // decaying count of queries
-	queryCountAt int64                  // when one was last counted
-	statsByClass map[string]*classStats // of classes, and of removed ones that still have queries
+	queryCountAt int64                  // time of the latest update of queryCount
+	statsByClass map[string]*classStats // of current classes, and of removed ones with open queries
 
 	// Predictions.
-	shortestTarget      int64           // shortest latency target of a class: the scale of time here
-	evidenceSpan        int64           // time in which the weight of a server's attempts halves
+	shortestTarget      int64           // shortest latency target of a class; the time scale of the module
+	evidenceSpan        int64           // half-life of the weight of a server's attempts
 	sendCount           float64         // decaying count of sends
-	sendCountAt         int64           // when one was last counted
-	medianRatio         float64         // median of the servers' latency ratios, unless medianDue
-	medianDue           bool            // it has yet to be computed
-	medianAt            int64           // the time that it is for
-	medianSpan          int64           // time in which a server's ratio then halves its distance from 1
-	ratioBuffer         []float64       // memory for the median
-	replicasScanned     int64           // ratios that went into a median since the start
-	shardLatencies      map[int]float64 // mean served latency by shard, of those seen
-	unseenShardLatency  float64         // stands in for the others
-	meanPredictionRatio float64         // mean of served latency over that predicted at the send
-	hedgeWaste          decayingMean    // hedges that were not served: another answer was first, or none came
-	drainFactor         float64         // time that reported work takes, over that of one core; learnt
+	sendCountAt         int64           // time of the latest update of sendCount
+	medianRatio         float64         // median of the servers' latency ratios, valid unless medianDue
+	medianDue           bool            // medianRatio is to be computed
+	medianAt            int64           // time for which the median is computed
+	medianSpan          int64           // half-life with which a server's ratio then returns to 1
+	ratioBuffer         []float64       // buffer for computing the median, reused
+	replicasScanned     int64           // ratios read for medians since the start
+	shardLatencies      map[int]float64 // mean served latency by shard, of shards with samples
+	unseenShardLatency  float64         // value for shards without samples
+	meanPredictionRatio float64         // mean ratio of served latency to the latency predicted at the send
+	hedgeWaste          decayingMean    // rate of hedges that were not served
+	drainFactor         float64         // learned time to drain reported work, over that of one core
 	meanPartWork        float64         // mean predicted work of a part
-	meanForeignWork     decayingMean    // mean of what reports showed beyond own work, over all servers
+	meanForeignWork     decayingMean    // mean of the reported work of other aggregators, over all servers
 
-	// What a warm server carries for this aggregator.
+	// Work that warm servers do for this aggregator.
 	servedWork   float64 // decaying sum of work served by warm servers
-	servedWorkAt int64   // when it was last brought up to date
-	warmRate     float64 // result of warmServerRate in step warmRateAt
+	servedWorkAt int64   // time of the latest update of servedWork
+	warmRate     float64 // result of warmServerRate at warmRateAt
 	warmRateAt   int64
 
 	// Connections that break when idle.
 	brokenIdle   int64 // shortest idle time after which a connection was found broken
-	brokenIdleAt int64 // when that was last seen
-	soundIdle    int64 // longest idle time after which a connection was lately seen to work
-	soundIdleAt  int64 // when that was last seen
+	brokenIdleAt int64 // time of the latest such break
+	soundIdle    int64 // longest idle time after which a connection recently worked
+	soundIdleAt  int64 // time of that observation
 }
 
-// New makes the scheduler of one aggregator from its settings and the seed of its random choices. It fails if
-// the settings are not valid.
+// New returns the scheduler of one aggregator for the given settings and the seed of its random
+// choices. It returns an error if the settings are invalid.
 func New(cfg Settings, seed uint64) (*Scheduler, error) {
 	if err := cfg.Validate(); err != nil {
 		return nil, err
@@ -111,8 +112,8 @@
 	return s, nil
 }
 
-// applySettings puts settings in force. What was learnt of classes and tenants that stay is kept, and
-// admission stays as far open as it was.
+// applySettings puts settings in force. The statistics of classes and tenants that remain are kept,
+// and so is the ratio of the slack to openSlack.
 func (s *Scheduler) applySettings(cfg Settings) {
 	open := 1.0
 	if s.openSlack > 0 {
@@ -147,10 +148,10 @@
 	}
 }
 
-// emit adds an action to those of the step.
+// emit appends an action to the result of the step.
 func (s *Scheduler) emit(a Action) { s.actions = append(s.actions, a) }
 
-// watch subscribes to changes of the list of servers.
+// watch subscribes to changes of the server list.
 func (s *Scheduler) watch() {
 	s.watchedAt = s.now
 	s.emit(Watch{})
@@ -163,8 +164,8 @@
 	}
 }
 
-// sweep forgets, at most once in the longest client wait, the keys and ended queries that no longer count,
-// whether or not anything is refused: keys are new all day long.
+// sweep drops expired keys and ended queries, at most once per longestWait. It does not depend on
+// refusals, since most keys are seen only once.
 func (s *Scheduler) sweep() {
 	if s.now < s.sweptAt+s.longestWait {
 		return
@@ -178,7 +179,7 @@
 	}
 }
 
-// forgetClasses drops what was learnt of removed classes after their last query has ended.
+// forgetClasses drops the statistics of removed classes without open queries.
 func (s *Scheduler) forgetClasses() {
 	gone := func(name string) bool {
 		return s.classes[name] == nil &&
@@ -190,5 +191,5 @@
 	}
 }
 
-// isRecent reports whether something happened within the warm-up time.
+// isRecent reports whether a time is within the last warm-up time.
 func (s *Scheduler) isRecent(at int64) bool { return at > 0 && s.now < at+s.cfg.Rules.WarmUp }
--- a/statistics.go
+++ b/statistics.go
@@ -1,4 +1,4 @@
-// Decaying means, counts and hashes. Nothing in this file decides.
+// Decaying means, counts and hashes. This file makes no decisions.
 
 package saffronquay
 
@@ -14,36 +14,39 @@
 // Without samples it is the prior that is passed to mean. A nil *decayingMean has no samples.
 type decayingMean struct {
 	sum, count float64
-	at         int64 // when the latest sample was added
+	at         int64 // time of the latest sample
 }
 
-// classStats is what is known of the queries of one class. It is kept by name: a class's definition may change.
+// classStats has the statistics of the queries of one class. It is kept by name, since the
+// definition of a class may change.
 type classStats struct {
-	clientWait   float64      // how long clients were seen to wait
-	clientLeftAt int64        // when one was last seen to leave early; 0: never
-	leaveRate    decayingMean // fraction of clients that do
-	meanPartWork float64      // mean hint of a part's work
+	clientWait   float64      // how long clients that left had waited, as a moving average
+	clientLeftAt int64        // time at which a client last left early; 0: never
+	leaveRate    decayingMean // fraction of clients that leave early
+	meanPartWork float64      // mean hinted work of a part
 }
 
-// tenant is what is known of one tenant's traffic here.
+// tenant has the statistics of one tenant's traffic at this aggregator.
 type tenant struct {
-	quotaFraction float64 // its quota over the sum of all quotas
+	quotaFraction float64 // its quota divided by the sum of all quotas
 	queries       float64 // decaying count of its queries
 }
 
-// keyRecord is what is known of a query's key while some key brings down servers.
+// keyRecord is the state of a query key while some key is blocked.
 type keyRecord struct {
-	harmful bool // it brings down servers; otherwise its query was served
+	harmful bool // its queries crash servers; otherwise its query was served
 	at      int64
 }
 
-// add adds one sample; old ones decay by half every span and a little with each newer one.
+// add adds a sample. The weight of older samples halves every span, and decreases a little with
+// each newer sample.
 func (m *decayingMean) add(now, span int64, sample float64) {
 	kept := decay(now-m.at, span) * (1 - sampleWeight/2)
 	m.sum, m.count, m.at = m.sum*kept+sample, m.count*kept+1, now
 }
 
-// mean is the mean of the samples, where the prior counts as one sample; without samples it is the prior.
+// mean returns the mean of the samples. The prior counts as one sample; without samples mean
+// returns the prior.
 func (m *decayingMean) mean(now, span int64, prior float64) float64 {
 	if m == nil {
 		return prior
@@ -52,7 +55,8 @@
 	return (m.sum*kept + prior) / (m.count*kept + 1)
 }
 
-// movingAverage moves a mean towards a sample by the sample's weight. A mean of 0 has no samples yet.
+// movingAverage returns the mean moved towards a sample by the sample's weight. A mean of 0 has no
+// samples yet.
 func movingAverage(mean, sample, weight float64) float64 {
 	if mean == 0 {
 		return sample
@@ -60,11 +64,11 @@
 	return mean + weight*(sample-mean)
 }
 
-// decay is what is left of 1 after so long, halved every span.
+// decay returns the weight that remains of 1 after a time with the half-life span.
 func decay(since, span int64) float64 { return math.Exp2(-float64(since) / float64(max(span, 1))) }
 
-// selectNth is the value that sorting would put at index k; it reorders v. It takes O(len(v)) but for
-// adversarial orders, which fall back to sorting.
+// selectNth returns the value that sorting would put at index k; it reorders v. It takes O(len(v)),
+// except for adversarial orders, for which it falls back to sorting.
 func selectNth(v []float64, k int) float64 {
 	for lo, hi, rounds := 0, len(v)-1, 0; lo < hi; rounds++ {
 		if rounds > 64 {
@@ -98,7 +102,7 @@
 	return v[k]
 }
 
-// statsOf is the record of a class; it is made when missing.
+// statsOf returns the statistics of a class, which it creates if missing.
 func (s *Scheduler) statsOf(c *Class) *classStats {
 	k := s.statsByClass[c.Name]
 	if k == nil {
@@ -108,7 +112,7 @@
 	return k
 }
 
-// countQuery counts a query, of a tenant or of none. Counts halve every warm-up time.
+// countQuery counts a query, with or without a tenant. Counts halve every warm-up time.
 func (s *Scheduler) countQuery(tenant string) {
 	kept := decay(s.now-s.queryCountAt, s.cfg.Rules.WarmUp)
 	for _, t := range s.tenants {
@@ -120,7 +124,7 @@
 	s.queryCount, s.queryCountAt = s.queryCount*kept+1, s.now
 }
 
-// shardLatency is the mean served latency of a shard, or what stands in for one not seen.
+// shardLatency returns the mean served latency of a shard, or unseenShardLatency without samples.
 func (s *Scheduler) shardLatency(shard int) float64 {
 	if a, ok := s.shardLatencies[shard]; ok {
 		return a
@@ -128,14 +132,15 @@
 	return s.unseenShardLatency
 }
 
-// sendRate is how many parts this aggregator sends in a microsecond.
+// sendRate returns how many parts per microsecond this aggregator sends.
 func (s *Scheduler) sendRate() float64 {
 	span := 4 * s.shortestTarget
 	return s.sendCount * decay(s.now-s.sendCountAt, span) * math.Ln2 / float64(span)
 }
 
-// warmServerRate is the work in a microsecond that one warm server serves for this aggregator, in cores. It
-// is computed at most once a step, after the first: O(servers).
+// warmServerRate returns the work per microsecond that one warm server serves for this aggregator,
+// in cores. Except in the first step it is computed at most once per step, since it takes
+// O(servers).
 func (s *Scheduler) warmServerRate() float64 {
 	if s.warmRateAt != s.now || s.now == s.started {
 		s.warmRate, s.warmRateAt = s.computeWarmServerRate(), s.now
@@ -143,7 +148,8 @@
 	return s.warmRate
 }
 
-// computeWarmServerRate is warmServerRate without its memory; 0 when no server is warm.
+// computeWarmServerRate computes warmServerRate without the cache. It returns 0 if no server is
+// warm.
 func (s *Scheduler) computeWarmServerRate() float64 {
 	s.decayServedWork()
 	warm := 0
@@ -159,7 +165,7 @@
 	return s.servedWork / float64(warm) / (tau * (1 - math.Exp(-float64(s.now-s.started)/tau)))
 }
 
-// decayServedWork brings servedWork up to the current step.
+// decayServedWork decays servedWork to the time of the current step.
 func (s *Scheduler) decayServedWork() {
 	if s.now > s.servedWorkAt {
 		s.servedWork *= math.Exp(-float64(s.now-s.servedWorkAt) / max(1, float64(s.cfg.Rules.WarmUp)))
@@ -167,17 +173,17 @@
 	}
 }
 
-// keyTag stands for a key in the log: keys are clients' data.
+// keyTag returns a hash that identifies a key in the log, since keys are client data.
 func keyTag(key string) string { return fmt.Sprintf("#%08x", hash32(key)) }
 
-// hash32 is the FNV-1a hash of a key.
+// hash32 returns the FNV-1a hash of a key.
 func hash32(key string) uint32 {
 	h := fnv.New32a()
 	h.Write([]byte(key))
 	return h.Sum32()
 }
 
-// hashFraction is a number from 0 up to 1 that the same words always give.
+// hashFraction returns a number in [0, 1) that depends on the words alone.
 func hashFraction(words ...uint64) float64 {
 	h := uint64(0)
 	for _, w := range words {
