--- a/internal/broker/core/answer.go
+++ b/internal/broker/core/answer.go
@@ -5,8 +5,8 @@
 	"saffronquay/internal/broker/merge"
 )
 
-// answer gives the client what was received. Whatever the module says, it never gives less than the class's minimum weight, and never marks an answer complete
-// that is not.
+// answer ends a query with the received parts. Whatever the module decides, the core fails a query
+// below the class's minimum weight, and does not mark an incomplete answer as complete.
 func (c *Core) answer(action sq.Answer) {
 	q := c.queries[action.Query]
 	if q == nil {
@@ -32,12 +32,13 @@
 	c.finish(q, f)
 }
 
-// refuse ends a query as one that the client may safely repeat. A query of an at-most-once class of which a part may have run fails instead.
+// refuse ends a query as one that the client may safely retry. A query of an at-most-once class
+// fails instead if one of its parts may have run.
 func (c *Core) refuse(q *openQuery, now, retryAfter int64) {
 	overdue := c.isOverdue(q, now)
 	if q.class.Effect == sq.AtMostOnce {
 		for _, p := range q.parts {
-			if p.mayRun || p.hasSentAttempt() {
+			if p.mayHaveRun || p.hasSentAttempt() {
 				c.finish(q, Final{Outcome: Failed, Overdue: overdue})
 				return
 			}
@@ -46,8 +47,8 @@
 	c.finish(q, Final{Outcome: Refused, RetryAfter: c.RetryAdvice(retryAfter), Overdue: overdue})
 }
 
-// RetryAdvice returns how long a refused client should wait, in microseconds, for the module's advice (0: none), within Config.MaxRetryAfter. 0 means that the client
-// gets no advice.
+// RetryAdvice returns how long a refused client should wait, in microseconds, given the module's
+// advice (0: none) and Config.MaxRetryAfter. It returns 0 if the client is not to be advised.
 func (c *Core) RetryAdvice(retryAfter int64) int64 {
 	if !c.config.RetryAfter {
 		return 0
@@ -58,31 +59,34 @@
 	return min(retryAfter, c.config.MaxRetryAfter)
 }
 
-// overduePeriods is how many periods before its deadline a query that ends counts as overdue.
+// overduePeriods is the number of periods before its deadline from which an ending query counts as
+// overdue.
 const overduePeriods = 2
 
 func (c *Core) isOverdue(q *openQuery, now int64) bool {
 	return now >= q.spec.Deadline-overduePeriods*c.config.Period
 }
 
-// failOverdueQueries fails the queries that are past their deadline and AnswerGrace without a decision of the module. So a fault of the module can't lose a
-// query; the grace gives the module the first word.
+// failOverdueQueries fails the queries that are past their deadline plus AnswerGrace without a
+// decision of the module, so that a fault of the module cannot lose a query. AnswerGrace leaves the
+// module time to end the query itself.
 func (c *Core) failOverdueQueries(now int64) {
 	for _, q := range c.deadlines.takeDue(now) {
-		c.emit(LogLine{Text: "deadline guard: the module left a query unanswered"})
+		c.emit(LogLine{Text: "deadline guard: query failed, the module did not end it within deadline and grace"})
 		c.finish(q, Final{Outcome: Failed, Overdue: true})
 		c.events = append(c.events, sq.ClientLeft{Query: q.id})
 	}
 }
 
-// finish closes a query and gives its Final.
+// finish closes a query and emits its Final.
 func (c *Core) finish(q *openQuery, f Final) {
 	f.Query, f.Shards, f.AttemptTime, f.Attempts = q.id, len(q.parts), q.attemptTime, q.endedAttempts
 	c.close(q)
 	c.emit(f)
 }
 
-// close ends a query: it releases what the query has open and takes back its unsent attempts. Attempts that were sent run on until they end.
+// close ends a query: it releases the query's resources and recalls its unsent attempts. Sent
+// attempts run until they end.
 func (c *Core) close(q *openQuery) {
 	q.ended = true
 	delete(c.queries, q.id)
--- a/internal/broker/core/attempt.go
+++ b/internal/broker/core/attempt.go
@@ -11,16 +11,17 @@
 type attempt struct {
 	id      AttemptID
 	part    *part
-	number  int // among the attempts of the part, from 0
+	number  int // index among the attempts of the part, from 0
 	server  sq.ServerID
-	epoch   int64 // of the layout when it was made
+	epoch   int64 // epoch of the layout when the attempt was created
 	sentAt  int64
-	due     int64
-	pending *Attempt // what is sent once its intent is durable; nil: it was sent
+	due     int64    // time of the timeout
+	pending *Attempt // sent once its intent is durable; nil: it has been sent
 }
 
-// send carries out the module's decision to send a part to a server. It ends the attempt at once as not sent, which proves that it did not run, where the part must
-// not be sent any more or its tenant's retry budget is spent.
+// send carries out the module's decision to send a part to a server. If the part is no longer to be
+// sent or its tenant's retry budget is exhausted, the attempt ends immediately as sq.NotSent, which
+// proves that it did not run.
 func (c *Core) send(now int64, s sq.Send) {
 	p := c.parts[s.Part]
 	if p == nil {
@@ -54,13 +55,15 @@
 	c.addToCall(s.Server, out)
 }
 
-// mayRetry reports whether the tenant's budget allows an attempt, and spends it. The first attempt of a part is free.
+// mayRetry reports whether the tenant's budget permits an attempt, and charges it. The first
+// attempt of a part is free.
 func (c *Core) mayRetry(now int64, a *attempt) bool {
 	b := c.budgets[a.part.query.spec.Tenant]
 	return a.number == 0 || b == nil || b.trySpend(now)
 }
 
-// addToCall sends an attempt, in the same call as others of this step to the server as far as Config.PartsPerCall allows.
+// addToCall sends an attempt, batched into one call with other attempts of this step to the same
+// server, up to Config.PartsPerCall.
 func (c *Core) addToCall(server sq.ServerID, out Attempt) {
 	if i, ok := c.openCalls[server]; ok {
 		if call, isCall := c.effects[i].(Call); isCall && len(call.Attempts) < c.config.PartsPerCall {
@@ -73,12 +76,14 @@
 	c.emit(Call{Server: server, Attempts: []Attempt{out}})
 }
 
-// AttemptEnded is HandleReply for a reply that no session has read further: how an attempt ended, the value where it was served, and the server's load report, if any.
+// AttemptEnded is HandleReply for a reply without a decoded value: the outcome of an attempt, the
+// value if it was served, and the server's load report, if any.
 func (c *Core) AttemptEnded(now int64, id AttemptID, o sq.Outcome, value []byte, report *sq.LoadReport) {
 	c.HandleReply(now, Reply{Attempt: id, Outcome: o, Value: value, Report: report})
 }
 
-// HandleReply reports how an attempt ended. Each attempt has one outcome: a reply for one that has ended before, such as an answer after its timeout, is dropped.
+// HandleReply reports the outcome of an attempt. Each attempt has one outcome: a reply for an
+// attempt that has already ended, such as an answer after its timeout, is dropped.
 func (c *Core) HandleReply(now int64, r Reply) {
 	a := c.attempts[r.Attempt]
 	if a == nil {
@@ -89,13 +94,13 @@
 	p.running = slices.DeleteFunc(p.running, func(other *attempt) bool { return other == a })
 	outcome := c.judgeOutcome(a, r.Outcome)
 	if mayHaveRun(outcome) {
-		p.mayRun = true
+		p.mayHaveRun = true
 		p.query.attemptTime += now - a.sentAt
 	}
 	if outcome != sq.NotSent {
 		p.query.endedAttempts++
 	}
-	isFull := outcome == sq.Served && !p.received && !p.query.ended && !c.keepValue(p, r)
+	exceedsLimit := outcome == sq.Served && !p.received && !p.query.ended && !c.keepValue(p, r)
 	if len(p.running) == 0 && p.query.ended {
 		c.removePart(p)
 	}
@@ -103,8 +108,8 @@
 		Part: p.id, Attempt: a.number, Server: a.server, Outcome: outcome,
 		Latency: now - a.sentAt, Report: r.Report,
 	})
-	if isFull {
-		c.emit(LogLine{Text: "a query fails: the received parts of all open queries exceed the memory limit"})
+	if exceedsLimit {
+		c.emit(LogLine{Text: "query failed: received values of open queries exceed the memory limit"})
 		c.finish(p.query, Final{Outcome: Failed})
 		c.events = append(c.events, sq.ClientLeft{Query: p.query.id})
 		return
@@ -112,12 +117,13 @@
 	c.replanIfMoved(now, p)
 }
 
-// mayHaveRun reports whether a server may have run an attempt that ended so.
+// mayHaveRun reports whether a server may have run an attempt with this outcome.
 func mayHaveRun(o sq.Outcome) bool {
 	return o != sq.Rejected && o != sq.Unreachable && o != sq.NotSent && o != sq.Misplaced
 }
 
-// keepValue stores a part's answer and takes back its other attempts. It returns false, and stores nothing, where Config.MaxValueBytes would be exceeded.
+// keepValue stores a part's answer and recalls its other attempts. It returns false and stores
+// nothing if Config.MaxValueBytes would be exceeded.
 func (c *Core) keepValue(p *part, r Reply) bool {
 	size := int64(r.Size)
 	if c.config.MaxValueBytes > 0 && c.valueBytes+size > c.config.MaxValueBytes {
@@ -129,7 +135,7 @@
 	return true
 }
 
-// cancel carries out the module's decision to give up an attempt.
+// cancel carries out the module's decision to cancel an attempt.
 func (c *Core) cancel(now int64, action sq.Cancel) {
 	p := c.parts[action.Part]
 	if p == nil {
@@ -147,7 +153,8 @@
 	}
 }
 
-// abandonAttempt ends an attempt that is no longer wanted. One that waits for its intent was never sent, and ends as sq.NotSent.
+// abandonAttempt ends an attempt whose result is not needed. An attempt that waits for its intent
+// was not sent, and ends as sq.NotSent.
 func (c *Core) abandonAttempt(now int64, a *attempt, o sq.Outcome) {
 	if a.pending != nil {
 		o = sq.NotSent
@@ -157,8 +164,9 @@
 	c.AttemptEnded(now, a.id, o, nil, nil)
 }
 
-// recallUnsent takes back the attempts of a part of which no byte has left, because they are no longer wanted. It protects servers from work that waited for a
-// connection while its query ended, above all where a sent attempt can't be cancelled.
+// recallUnsent recalls the attempts of a part of which no byte has been sent, because they are not
+// needed. This protects servers from requests that waited for a connection while their query ended,
+// above all where a sent attempt cannot be cancelled.
 func (c *Core) recallUnsent(p *part) {
 	for _, a := range p.running {
 		if a.pending == nil { // one that waits for its intent ends in IntentsRecorded
--- a/internal/broker/core/core.go
+++ b/internal/broker/core/core.go
@@ -9,66 +9,68 @@
 	sq "saffronquay"
 )
 
-// Module is the decision module, as the core drives it.
+// Module is the decision module as used by the core.
 type Module interface {
-	// Step reports events to the module and returns its actions, in the order in which they are to be carried out.
+	// Step reports events to the module and returns its actions, in the order in which they are to
+	// be carried out.
 	Step(now int64, events []sq.Event) []sq.Action
-	// Rotation counts the servers in the list, and those of them that are avoided now.
+	// Rotation returns the number of servers in the list, and how many of them are avoided at
+	// present.
 	Rotation() (listed, out int)
-	// Learned returns what a process that replaces this one should know.
+	// Learned returns the state to hand over to a process that replaces this one.
 	Learned() sq.Learned
 }
 
 // Config has the limits that the core itself enforces. Times are microseconds.
 type Config struct {
-	Period        int64 // the least time between two steps of the module
+	Period        int64 // minimum time between two steps of the module
 	Shards        int
-	MaxOpen       int   // queries and parts that are open at a time; 0: no limit
-	MaxValueBytes int64 // bytes of received values of open queries; 0: no limit
+	MaxOpen       int   // maximum number of open queries and parts; 0: unlimited
+	MaxValueBytes int64 // maximum bytes of received values of open queries; 0: unlimited
 	PartsPerCall  int
-	RetryAfter    bool // refusals may tell the client when to come back
+	RetryAfter    bool // refusals may carry a Retry-After time
 	MaxRetryAfter int64
-	AnswerGrace   int64 // how long past its deadline a query may wait for the module's decision
+	AnswerGrace   int64 // how long after its deadline a query may wait for the module's decision
 	Classes       []sq.Class
-	Tenants       map[string]Budget // retry budgets by tenant; a tenant without one is not limited
+	Tenants       map[string]Budget // retry budgets by tenant; a tenant without one is unlimited
 }
 
-// Core has every open query, part and attempt of one gatherer. It is not safe for concurrent use.
+// Core holds every open query, part and attempt of one gatherer. It is not safe for concurrent use.
 type Core struct {
 	config  Config
 	module  Module
 	classes map[string]*sq.Class
-	lastID  int64 // ids stay below 2^52, which one gatherer can't use up
+	lastID  int64 // IDs stay below 2^52, which one gatherer does not exhaust
 
 	queries  map[sq.ID]*openQuery
-	labels   map[string]int64 // labels of the open queries with Unique set, with their deadlines
+	labels   map[string]int64 // deadlines of the open queries with Unique set, by label
 	parts    map[sq.ID]*part
 	attempts map[AttemptID]*attempt
 	budgets  map[string]*retryBudget
 
-	open       int       // queries and parts that are open
-	valueBytes int64     // of received values, of open queries
-	peer       Occupancy // of the other process of this gatherer, while there is one
+	open       int       // open queries and parts
+	valueBytes int64     // size of the received values of open queries
+	peer       Occupancy // occupancy of the other process of this gatherer during a handover
 
-	timeouts  schedule[*attempt]   // attempts by the time at which they time out
-	deadlines schedule[*openQuery] // queries by their deadline plus Config.AnswerGrace
+	timeouts  schedule[*attempt]   // attempts by timeout
+	deadlines schedule[*openQuery] // queries by deadline plus Config.AnswerGrace
 	alarms    []sq.SetAlarm
 
 	events     []sq.Event // not yet reported to the module
-	lastStep   int64      // when the module was last stepped
+	lastStep   int64      // time of the module's latest step
 	hasStepped bool
 
 	effects     []Effect            // not yet returned by Step
-	openCalls   map[sq.ServerID]int // index, among the effects, of the call that still takes parts
-	openIntents map[sq.ID]int       // index, among the effects, of the RecordIntents of a query
+	openCalls   map[sq.ServerID]int // index in effects of the call to a server that more parts may join
+	openIntents map[sq.ID]int       // index in effects of the RecordIntents of a query
 
-	routes               *layout.Layout // nil: Config.Shards says which shards there are
-	byShard              map[int]*part  // under a layout: the head of the list of a shard's parts
-	isLayoutStale        bool           // a server has a newer layout
+	routes               *layout.Layout // nil: shards are numbered by Config.Shards
+	byShard              map[int]*part  // with a layout: the head of a shard's list of parts
+	isLayoutStale        bool           // a server has reported a newer layout
 	replanned, misplaced int64          // since the start
 }
 
-// New returns a Core that is driven by a module, without queries.
+// New returns a Core without queries that is driven by a module.
 func New(config Config, module Module) *Core {
 	c := &Core{
 		module:      module,
@@ -86,14 +88,16 @@
 	return c
 }
 
-// Reconfigure puts a configuration in force, and the settings that belong to it at the module, at one point in the order of events. Open queries keep the class
-// that they came with. Tenants that stay keep what they have spent of their budgets.
+// Reconfigure puts a configuration in force, together with the module's settings, at one point in
+// the order of events. Open queries keep the class under which they arrived. Tenants that remain
+// keep what they have spent of their budgets.
 func (c *Core) Reconfigure(config Config, settings sq.Settings) {
 	c.applyConfig(config)
 	c.events = append(c.events, sq.SettingsChanged{Settings: settings})
 }
 
-// applyConfig puts a configuration in force. Open queries keep the class that they came with; tenants that stay keep what they have spent.
+// applyConfig puts a configuration in force. Open queries keep the class under which they arrived;
+// tenants that remain keep what they have spent.
 func (c *Core) applyConfig(config Config) {
 	config.Classes = slices.Clone(config.Classes)
 	c.config, c.classes = config, map[string]*sq.Class{}
@@ -117,28 +121,31 @@
 	return c.lastID
 }
 
-// OpenQueries returns the number of queries that still wait for their Final.
+// OpenQueries returns the number of queries without a Final.
 func (c *Core) OpenQueries() int { return len(c.queries) }
 
-// Rotation counts the servers in the list, and those of them that the module avoids now.
+// Rotation returns the number of servers in the list, and how many of them the module avoids at
+// present.
 func (c *Core) Rotation() (listed, out int) { return c.module.Rotation() }
 
-// Occupancy is how much one process of a gatherer has open.
+// Occupancy is the number and the labels of the queries that one process of a gatherer has open.
 type Occupancy struct {
-	Open   int              // queries and parts
-	Labels map[string]int64 // labels of the open queries with Unique set, with their deadlines
+	Open   int              // open queries and parts
+	Labels map[string]int64 // deadlines of the open queries with Unique set, by label
 }
 
-// Occupancy returns how much this process has open. The caller owns the result.
+// Occupancy returns the occupancy of this process. The caller owns the result.
 func (c *Core) Occupancy() Occupancy { return Occupancy{Open: c.open, Labels: maps.Clone(c.labels)} }
 
-// SetPeer reports how much the other process of this gatherer has open, during a handover. Unique labels and Config.MaxOpen count both processes.
+// SetPeer reports the occupancy of the other process of this gatherer during a handover. Unique
+// labels and Config.MaxOpen apply to both processes together.
 func (c *Core) SetPeer(other Occupancy) { c.peer = other }
 
-// Learned returns what a process that replaces this one should know.
+// Learned returns the state to hand over to a process that replaces this one.
 func (c *Core) Learned() sq.Learned { return c.module.Learned() }
 
-// Restore starts from what an earlier process, which no longer runs, had learned, and from what its budgets had spent.
+// Restore starts from the learned state and the spent budgets of an earlier process that no longer
+// runs.
 func (c *Core) Restore(now int64, l sq.Learned, spent map[string]Spent) {
 	for name, s := range spent {
 		if b := c.budgets[name]; b != nil {
@@ -148,8 +155,9 @@
 	c.events = append(c.events, sq.Recalled{Learned: l})
 }
 
-// TakeOver starts from what the process that this one replaces has learned. That process still runs and may spend its budgets: the free part of each budget
-// counts as spent here for one window, so that both together stay within it.
+// TakeOver starts from the learned state of the process that this one replaces. That process still
+// runs and may spend its budgets: the free part of each budget counts as spent here for one window,
+// so that both processes together stay within it.
 func (c *Core) TakeOver(now int64, l sq.Learned) {
 	for _, b := range c.budgets {
 		b.freeFrom = now + b.Window
@@ -157,10 +165,11 @@
 	c.events = append(c.events, sq.Recalled{Learned: l})
 }
 
-// FleetChanged reports a change of the list of servers.
+// FleetChanged reports a change of the server list.
 func (c *Core) FleetChanged(f sq.FleetChanged) { c.events = append(c.events, f) }
 
-// NextStep returns when Step is to be called next. ok is false while nothing is awaited.
+// NextStep returns the time at which Step is to be called next. ok is false while nothing is
+// pending.
 func (c *Core) NextStep() (at int64, ok bool) {
 	at = math.MaxInt64
 	if len(c.effects) > 0 {
@@ -181,8 +190,9 @@
 	return at, at != math.MaxInt64 || !c.hasStepped
 }
 
-// Step lets time pass and returns what is to be done, in order. It times attempts out, steps the module where there are events and Config.Period allows it, and
-// fails queries that are past their deadline and AnswerGrace.
+// Step advances the time and returns the effects to carry out, in order. It ends attempts that time
+// out, steps the module if there are events and Config.Period permits it, and fails queries that
+// are past their deadline plus AnswerGrace.
 func (c *Core) Step(now int64) []Effect {
 	c.timeOutAttempts(now)
 	c.stepModule(now)
@@ -198,7 +208,8 @@
 	return effects
 }
 
-// stepModule reports the pending events and alarms to the module and carries out its actions, unless its last step is less than a period ago.
+// stepModule reports the pending events and alarms to the module and applies its actions, unless
+// its last step was less than a period ago.
 func (c *Core) stepModule(now int64) {
 	if now < c.lastStep+c.config.Period {
 		return
@@ -214,7 +225,7 @@
 	}
 }
 
-// fireAlarms turns the alarms that are due into events.
+// fireAlarms appends an event for each alarm that is due.
 func (c *Core) fireAlarms(now int64) {
 	pending := c.alarms[:0]
 	for _, a := range c.alarms {
@@ -227,7 +238,8 @@
 	c.alarms = pending
 }
 
-// apply carries out one action of the module. An action for a query, part or attempt that has ended does nothing.
+// apply carries out one action of the module. An action for a query, part or attempt that has ended
+// has no effect.
 func (c *Core) apply(now int64, action sq.Action) {
 	switch action := action.(type) {
 	case sq.Send:
@@ -254,7 +266,7 @@
 		c.emit(Fetch{})
 	case sq.Log:
 		c.emit(LogLine{Text: action.Text})
-	case sq.NotifyPeer: // this core has no link to other gatherers
+	case sq.NotifyPeer: // ignored: the core has no connection to other gatherers
 	}
 }
 
--- a/internal/broker/core/effects.go
+++ b/internal/broker/core/effects.go
@@ -6,13 +6,14 @@
 	"saffronquay/internal/broker/merge"
 )
 
-// Effect is something that the owner of a Core has to do, in the order in which Step returns it.
+// Effect is an operation for the owner of a Core. Effects are carried out in the order in which
+// Step returns them.
 type Effect interface{ isEffect() }
 
-// AttemptID names one attempt between the core and the protocol drivers.
+// AttemptID identifies an attempt between the core and the protocol drivers.
 type AttemptID int64
 
-// Call sends parts to a server, as one call.
+// Call sends parts to a server in one call.
 type Call struct {
 	Server   sq.ServerID
 	Attempts []Attempt
@@ -23,15 +24,15 @@
 	ID    AttemptID
 	Label string
 	Shard int
-	Epoch int64       // of the layout by which the server was chosen; 0: there is none
-	Span  layout.Span // exactly what is asked for of the shard, under a layout
-	Due   int64       // when the attempt times out
+	Epoch int64       // epoch of the layout by which the server was chosen; 0: no layout
+	Span  layout.Span // the requested keys of the shard, with a layout
+	Due   int64       // time of the timeout
 	Text  []byte
 	Plan  any
 }
 
-// RecordIntents asks for the intents of some parts of one query to be made durable. The owner reports the result by Core.IntentsRecorded; until then the
-// attempts are not sent.
+// RecordIntents requests that the intents of some parts of one query be made durable. The owner
+// reports the result by Core.IntentsRecorded; the attempts are not sent before.
 type RecordIntents struct {
 	Log      IntentLog
 	Deadline int64
@@ -39,58 +40,59 @@
 	Attempts []AttemptID // by index of Intents
 }
 
-// CancelAttempt gives up an attempt that was sent. A reply to it that still comes counts for nothing.
+// CancelAttempt cancels an attempt that was sent. A later reply to it is ignored.
 type CancelAttempt struct{ Attempt AttemptID }
 
-// RecallUnsent takes an attempt back if no byte of its call has left; the owner then reports it as sq.NotSent. If bytes have left, nothing happens.
+// RecallUnsent withdraws an attempt if no byte of its call has been sent; the owner then reports it
+// as sq.NotSent. Otherwise it has no effect.
 type RecallUnsent struct{ Attempt AttemptID }
 
 // CloseIdle closes the idle connections to a server.
 type CloseIdle struct{ Server sq.ServerID }
 
-// Watch asks for changes of the list of servers.
+// Watch subscribes to changes of the server list.
 type Watch struct{}
 
-// Fetch asks for the complete list of servers, one time.
+// Fetch requests the complete server list once.
 type Fetch struct{}
 
-// Refresh asks for the complete layout: a server has a newer one.
+// Refresh requests the complete layout, because a server has reported a newer one.
 type Refresh struct{}
 
 // LogLine is a line for the log.
 type LogLine struct{ Text string }
 
-// QueryOutcome is how a query ended.
+// QueryOutcome is the result of a query.
 type QueryOutcome int
 
 // The outcomes of a query.
 const (
 	Answered QueryOutcome = iota
-	Refused               // a retry by the client does no harm
+	Refused               // a retry by the client is safe
 	Failed
 )
 
-// Final is the one final answer of a query.
+// Final is the only final answer of a query.
 type Final struct {
 	Query       sq.ID
 	Outcome     QueryOutcome
-	Complete    bool  // with Answered: the module calls it complete, and the received weight reaches the class's CompleteWeight
+	Complete    bool  // with Answered: complete for the module, and the weight reaches CompleteWeight
 	RetryAfter  int64 // with Refused: microseconds; 0: no advice
-	Overdue     bool  // ended by the core at its deadline, or within two periods of it
+	Overdue     bool  // ended by the core after its deadline, or less than two periods before it
 	Values      []Value
-	Fraction    float64              // of the parts asked for, by weight, that was received; 1 where nothing is missing
-	Missing     []merge.PartCoverage // with a partial answer: what was not received
-	Shards      int                  // parts asked for
-	AttemptTime int64                // microseconds that the ended attempts took, without those that surely did not run
-	Attempts    int                  // that were sent and have ended
-	Policy      uint64               // set by the owner: 1 plus the version of the policy under which the query was admitted; 0: there are no versions
+	Fraction    float64              // received fraction of the requested parts, by weight; 1: nothing is missing
+	Missing     []merge.PartCoverage // with a partial answer: the parts that were not received
+	Shards      int                  // number of requested parts
+	AttemptTime int64                // total duration of the ended attempts that may have run, in microseconds
+	Attempts    int                  // number of attempts that were sent and have ended
+	Policy      uint64               // set by the owner: 1 plus the policy version at admission; 0: no versions
 }
 
-// Value is what a server answered for one part.
+// Value is a server's answer for one part.
 type Value struct {
 	Shard int
 	Data  []byte
-	Part  any // the answer as the session has read it
+	Part  any // the answer as decoded by the session
 }
 
 func (Call) isEffect()          {}
--- a/internal/broker/core/intent.go
+++ b/internal/broker/core/intent.go
@@ -5,16 +5,18 @@
 	"saffronquay/internal/broker/layout"
 )
 
-// IntentLog keeps which parts of one at-most-once query are about to be sent. Its methods may be called from any goroutine.
+// IntentLog records which parts of one at-most-once query are about to be sent. Its methods may be
+// called from any goroutine.
 type IntentLog interface {
-	// Record makes it durable that parts are about to be sent. It calls done from another goroutine, with nil once that is durable, else with why it is not known to
-	// be. If Record returns an error, the intents are not durable and done is not called.
+	// Record starts making the intents to send parts durable. It calls done from another goroutine:
+	// with nil once the intents are durable, else with the reason why they may not be. If Record
+	// returns an error, the intents are not durable and done is not called.
 	Record(parts []Intent, deadline int64, done func(error)) error
-	// WantsResult reports whether the query has to go on to its end although its client has left.
+	// WantsResult reports whether the query must run to its end although its client has left.
 	WantsResult() bool
 	// Release reports that no part of the query has run or will run.
 	Release()
-	// Abandon reports that the end of the query will not be known.
+	// Abandon reports that the outcome of the query will remain unknown.
 	Abandon()
 }
 
@@ -25,7 +27,8 @@
 	Server sq.ServerID
 }
 
-// recordIntent holds an attempt back until the intent to send it is durable. Otherwise an at-most-once part could run, and after a crash nothing would tell.
+// recordIntent delays an attempt until the intent to send it is durable. Otherwise an at-most-once
+// part could run without a record of it after a crash.
 func (c *Core) recordIntent(a *attempt, out Attempt) {
 	a.pending = &out
 	q := a.part.query
@@ -44,12 +47,13 @@
 	})
 }
 
-// IntentsRecorded reports the result of a RecordIntents. With a nil error the attempts that still wait are sent. Otherwise they are never sent and their query ends:
-// refused, or failed where another part of it may have run.
+// IntentsRecorded reports the result of a RecordIntents. If err is nil, the pending attempts are
+// sent. Otherwise they are never sent and their query ends: refused, or failed if another part of
+// it may have run.
 func (c *Core) IntentsRecorded(now int64, ids []AttemptID, err error) {
 	for _, id := range ids {
 		a := c.attempts[id]
-		if a == nil || a.pending == nil { // it has ended, or this is reported twice
+		if a == nil || a.pending == nil { // the attempt has ended, or the result is a duplicate
 			continue
 		}
 		q := a.part.query
@@ -59,14 +63,15 @@
 		}
 		c.AttemptEnded(now, id, sq.NotSent, nil, nil)
 		if err != nil && !q.ended {
-			c.emit(LogLine{Text: "a query ends, since its intent could not be recorded: " + err.Error()})
+			c.emit(LogLine{Text: "query ended: recording an intent failed: " + err.Error()})
 			c.refuse(q, now, 0)
 			c.events = append(c.events, sq.ClientLeft{Query: q.id})
 		}
 	}
 }
 
-// sendPending sends an attempt whose intent is durable. Its latency counts from now, so that the server is not judged by the time of the disk.
+// sendPending sends an attempt whose intent is durable. Its latency counts from now, so that the
+// time of the disk is not attributed to the server.
 func (c *Core) sendPending(now int64, a *attempt) {
 	out := *a.pending
 	a.pending, a.sentAt, a.part.hasIntent = nil, now, true
--- a/internal/broker/core/intent_test.go
+++ b/internal/broker/core/intent_test.go
@@ -15,7 +15,7 @@
 func (b *countingIntentLog) Release()                                { b.released++ }
 func (b *countingIntentLog) Abandon()                                { b.abandoned++ }
 
-func beginOnce(t *testing.T, shards ...int) (*Core, *scriptedModule) {
+func newCoreWithIntents(t *testing.T, shards ...int) (*Core, *scriptedModule) {
 	t.Helper()
 	m := &scriptedModule{}
 	c := New(testConfig(), m)
@@ -27,7 +27,7 @@
 	return c, m
 }
 
-// sendBoth has the module send both parts of a query, and returns the intents that are to be recorded.
+// sendBoth has the module send both parts of a query, and returns the intents to be recorded.
 func sendBoth(t *testing.T, c *Core, m *scriptedModule) RecordIntents {
 	t.Helper()
 	m.next = []sq.Action{sq.Send{Part: 3, Server: "s"}, sq.Send{Part: 4, Server: "t"}}
@@ -39,78 +39,81 @@
 	return x
 }
 
-// No part is sent before its intent is durable. Then it is sent at once, and its latency is without the time of the disk.
-func TestPartsWaitForTheirIntents(t *testing.T) {
-	c, m := beginOnce(t, 0, 1)
+// No part is sent before its intent is durable. Then it is sent immediately, and its latency does
+// not include the time of the disk.
+func TestIntent_DelaysSendUntilDurable(t *testing.T) {
+	c, m := newCoreWithIntents(t, 0, 1)
 	x := sendBoth(t, c, m)
-	if got := act[Call](c, m, 110); len(got) != 0 {
-		t.Fatalf("left before: %v", got)
+	if got := stepEffects[Call](c, m, 110); len(got) != 0 {
+		t.Fatalf("sent before the intents are durable: %v", got)
 	}
 	c.IntentsRecorded(150, x.Attempts, nil)
 	if at, ok := c.NextStep(); !ok || at > 150 {
-		t.Errorf("next at %d, with calls to be made", at)
+		t.Errorf("next step at %d with pending calls, want at most 150", at)
 	}
-	calls := act[Call](c, m, 151)
+	calls := stepEffects[Call](c, m, 151)
 	if len(calls) != 2 || calls[0].Server != "s" || calls[1].Attempts[0].Shard != 1 {
 		t.Fatalf("%+v", calls)
 	}
 	c.AttemptEnded(200, calls[0].Attempts[0].ID, sq.Unreachable, nil, nil)
-	act[Call](c, m, 210)
+	stepEffects[Call](c, m, 210)
 	if got := m.outcomes(); got != "3.0=4@50" {
 		t.Errorf("outcomes %q", got)
 	}
-	// It never ran, and its intent is durable already.
-	if again := act[Call](c, m, 220, sq.Send{Part: 3, Server: "u"}); len(again) != 1 || again[0].Server != "u" {
+	// The part has not run, and its intent is already durable.
+	if again := stepEffects[Call](c, m, 220, sq.Send{Part: 3, Server: "u"}); len(again) != 1 || again[0].Server != "u" {
 		t.Errorf("%+v", again)
 	}
-	c.IntentsRecorded(230, x.Attempts, nil) // told twice
-	if got := act[Call](c, m, 240); len(got) != 0 {
-		t.Errorf("left twice: %v", got)
+	c.IntentsRecorded(230, x.Attempts, nil) // duplicate
+	if got := stepEffects[Call](c, m, 240); len(got) != 0 {
+		t.Errorf("sent again after a duplicate IntentsRecorded: %v", got)
 	}
 }
 
-// If the intent can't be recorded, nothing is sent and the query is refused, since a retry does no harm.
-func TestIntentsThatFail(t *testing.T) {
-	c, m := beginOnce(t, 0, 1)
+// If the intents cannot be recorded, nothing is sent and the query is refused, since a retry is
+// safe.
+func TestIntent_RecordFailureRefusesQuery(t *testing.T) {
+	c, m := newCoreWithIntents(t, 0, 1)
 	x := sendBoth(t, c, m)
 	c.IntentsRecorded(110, x.Attempts, errors.New("disk full"))
-	finals := act[Final](c, m, 120)
+	finals := stepEffects[Final](c, m, 120)
 	if len(finals) != 1 || finals[0].Outcome != Refused || finals[0].RetryAfter == 0 || c.OpenQueries() != 0 || len(c.attempts) != 0 {
-		t.Errorf("%+v, %d held", finals, c.OpenQueries())
+		t.Errorf("want one refusal with retry advice, got %+v, %d open queries", finals, c.OpenQueries())
 	}
-	act[Final](c, m, 140)
+	stepEffects[Final](c, m, 140)
 	if got := m.outcomes(); got != "3.0=7@10 4.0=7@10" {
 		t.Errorf("outcomes %q", got)
 	}
 }
 
-// An attempt that waits for its intent at its timeout, or when its client leaves, is never sent.
-func TestGivenUpBeforeTheIntent(t *testing.T) {
-	c, m := beginOnce(t, 0, 1)
+// An attempt whose intent is still pending when it times out or its client leaves is never sent.
+func TestIntent_AttemptAbandonedBeforeDurable(t *testing.T) {
+	c, m := newCoreWithIntents(t, 0, 1)
 	x := sendBoth(t, c, m)
 	for _, e := range c.Step(1000) {
 		if _, is := e.(CancelAttempt); is {
-			t.Error("what never left is dropped")
+			t.Error("CancelAttempt for an attempt that was not sent")
 		}
 	}
 	c.IntentsRecorded(1001, x.Attempts, nil)
-	if got := act[Call](c, m, 1002); len(got) != 0 {
-		t.Errorf("left: %v", got)
+	if got := stepEffects[Call](c, m, 1002); len(got) != 0 {
+		t.Errorf("sent after its timeout: %v", got)
 	}
-	if got := act[Final](c, m, 1015, sq.Refuse{Query: 1}); len(got) != 1 || got[0].Outcome != Refused {
+	if got := stepEffects[Final](c, m, 1015, sq.Refuse{Query: 1}); len(got) != 1 || got[0].Outcome != Refused {
 		t.Errorf("%+v", got)
 	}
-	c, m = beginOnce(t, 0, 1)
+	c, m = newCoreWithIntents(t, 0, 1)
 	x = sendBoth(t, c, m)
 	c.ClientLeft(1)
 	c.IntentsRecorded(120, x.Attempts, nil)
-	if got := act[Call](c, m, 130); len(got) != 0 || len(c.attempts) != 0 || len(c.parts) != 0 {
-		t.Errorf("left: %v", got)
+	if got := stepEffects[Call](c, m, 130); len(got) != 0 || len(c.attempts) != 0 || len(c.parts) != 0 {
+		t.Errorf("sent after the client left: %v", got)
 	}
 }
 
-// What a budget had spent before a crash counts after it, and so does what was left at that time.
-func TestBudgetsOutlastACrash(t *testing.T) {
+// What a budget had spent before a crash counts after it, and the rest at that time counts as
+// spent.
+func TestRetryBudget_RestoredAfterCrash(t *testing.T) {
 	budget := map[string]Budget{"t": {Free: 4, Ratio: 0.5, Window: 1000}}
 	before, after := testConfig(), testConfig()
 	before.Tenants, after.Tenants = budget, budget
@@ -119,7 +122,7 @@
 	r.addParts(0, 10)
 	for _, at := range []int64{10, 500, 900} {
 		if !r.trySpend(at) {
-			t.Fatal("the budget is spent")
+			t.Fatal("retry exceeds the budget")
 		}
 	}
 	spent := a.Spent(950)
@@ -129,13 +132,13 @@
 	b := New(after, &scriptedModule{})
 	b.Restore(960, sq.Learned{}, spent)
 	if b.budgets["t"].trySpend(960) {
-		t.Error("what was left may have been spent")
+		t.Error("retry permitted immediately after the crash")
 	}
 	if b.budgets["t"].trySpend(1940) {
-		t.Error("within the window of what may have been spent")
+		t.Error("retry permitted within the window after the crash")
 	}
 	if !b.budgets["t"].trySpend(1960) {
-		t.Error("the window is over")
+		t.Error("retry not permitted after the end of the window")
 	}
 	b.Restore(960, sq.Learned{}, map[string]Spent{"gone": {}, "t": {At: 1 << 60}})
 }
--- a/internal/broker/core/layout.go
+++ b/internal/broker/core/layout.go
@@ -8,8 +8,9 @@
 	sq "saffronquay"
 )
 
-// LayoutChanged puts a layout in force. Parts whose shard is no longer in force are replanned, each by itself: at once where no attempt of the part runs, else when
-// the last of them has ended. The cost is that of the open parts of the changed shards.
+// LayoutChanged puts a layout in force. Each part whose shard is no longer in force is replanned:
+// immediately if no attempt of the part is in flight, else when the last one has ended. The cost is
+// proportional to the number of open parts of the changed shards.
 func (c *Core) LayoutChanged(now int64, u layout.Update) {
 	c.routes = u.Layout
 	c.events = append(c.events, sq.HoldersChanged{Holders: u.Layout})
@@ -18,7 +19,8 @@
 	}
 }
 
-// partsOf returns the open parts of shards, by id. With more shards than have open parts it returns all parts: the others are not moved.
+// partsOf returns the open parts of the given shards, ordered by ID. If more shards are given than
+// have open parts, it returns all open parts: replanIfMoved ignores the others.
 func (c *Core) partsOf(shards []int) []*part {
 	var parts []*part
 	if len(shards) <= len(c.byShard) {
@@ -34,7 +36,7 @@
 	return parts
 }
 
-// appendChain appends a part and those after it in its shard's list. The part may be nil.
+// appendChain appends a part and its successors in its shard's list. The part may be nil.
 func (p *part) appendChain(dst []*part) []*part {
 	for ; p != nil; p = p.next {
 		dst = append(dst, p)
@@ -42,7 +44,7 @@
 	return dst
 }
 
-// epoch returns the epoch of the layout in force; 0: there is none.
+// epoch returns the epoch of the layout in force; 0: no layout.
 func (c *Core) epoch() int64 {
 	if c.routes == nil {
 		return 0
@@ -50,13 +52,14 @@
 	return c.routes.Epoch()
 }
 
-// isInForce reports whether a part's span lies within its shard, and the shard is in force.
+// isInForce reports whether a part's shard is in force and contains its span.
 func (c *Core) isInForce(p QueryPart) bool {
 	span, ok := c.routes.InForce(p.Shard)
 	return ok && p.Span.From >= span.From && p.Span.To <= span.To
 }
 
-// splitPart returns the parts that cover a part's span under the layout in force, without those that the query does not ask for.
+// splitPart returns the parts that cover a part's span under the layout in force, without those
+// outside the requested spans.
 func (c *Core) splitPart(p QueryPart, requested []layout.Span) []QueryPart {
 	cover := c.routes.Cover(nil, p.Span)
 	if len(requested) > 0 {
@@ -74,7 +77,8 @@
 	return parts
 }
 
-// planParts returns the parts of a new query, with those replanned that were planned under a layout which is no longer in force.
+// planParts returns the parts of a new query. Parts that were planned under a layout that is no
+// longer in force are replanned.
 func (c *Core) planParts(q Query) []QueryPart {
 	if c.routes == nil || !slices.ContainsFunc(q.Parts, func(p QueryPart) bool { return !c.isInForce(p) }) {
 		return q.Parts
@@ -90,11 +94,12 @@
 	return parts
 }
 
-// replanIfMoved replans a part whose shard is no longer in force. It keeps three rules:
+// replanIfMoved replans a part whose shard is no longer in force. It maintains three invariants:
 //
-//   - What was received stays.
-//   - What may have run is never sent elsewhere for an at-most-once class.
-//   - The new parts are in force. So only a later epoch, and no server's reply, can have them replanned.
+//   - A received part is not replanned.
+//   - An at-most-once part that may have run is not sent elsewhere.
+//   - The new parts are in force, so they are replanned only for a later epoch, never because of a
+//     server's reply.
 func (c *Core) replanIfMoved(now int64, p *part) {
 	if c.routes == nil || p.received || p.query.ended || c.parts[p.id] != p || c.isInForce(p.spec) {
 		return
@@ -102,20 +107,20 @@
 	atMostOnce := p.query.class.Effect == sq.AtMostOnce
 	if len(p.running) > 0 {
 		if atMostOnce || c.routes.Of(p.spec.Shard) != nil {
-			return // the old holders may still answer; an at-most-once part may not go elsewhere
+			return // the old holders may still answer; an at-most-once part must not be sent elsewhere
 		}
 		for len(p.running) > 0 { // the end of the last attempt calls replanIfMoved again
 			c.abandonAttempt(now, p.running[0], sq.Cancelled)
 		}
 		return
 	}
-	if atMostOnce && p.mayRun {
+	if atMostOnce && p.mayHaveRun {
 		return
 	}
 	c.replan(p)
 }
 
-// replan puts the parts that cover a part's span under the layout in force in its place.
+// replan replaces a part by the parts that cover its span under the layout in force.
 func (c *Core) replan(p *part) {
 	var into []*part
 	var events []sq.Part
@@ -131,8 +136,9 @@
 	c.replanned++
 }
 
-// judgeOutcome returns an attempt's outcome under the layout in force. An answer for a span that the server no longer holds counts as a failure that may have run.
-// If a server has a newer layout, the core asks for it.
+// judgeOutcome returns the outcome of an attempt under the layout in force. An answer for a span
+// that the server no longer holds counts as a failure that may have run. If a server has a newer
+// layout, the core requests it.
 func (c *Core) judgeOutcome(a *attempt, o sq.Outcome) sq.Outcome {
 	if o == sq.Misplaced {
 		c.misplaced++
@@ -148,5 +154,6 @@
 	return o
 }
 
-// ReplanCounts returns how many parts were replanned, and how many attempts reached a server that does not hold their range, since the start.
+// ReplanCounts returns the number of replanned parts and of misplaced attempts, which reached a
+// server that does not hold their range, since the start.
 func (c *Core) ReplanCounts() (parts, misplaced int64) { return c.replanned, c.misplaced }
--- a/internal/broker/core/layout_bench_test.go
+++ b/internal/broker/core/layout_bench_test.go
@@ -8,8 +8,8 @@
 	sq "saffronquay"
 )
 
-// BenchmarkInForceOf10000 puts a layout of 10,000 ranges in force, all of them changed, with 2,000 parts open, as one step of
-// the engine does.
+// BenchmarkInForceOf10000 measures putting a layout of 10,000 ranges in force, all of them changed,
+// with 2,000 parts open, as in one step of the engine.
 func BenchmarkInForceOf10000(b *testing.B) {
 	l := newRangedLayout(b, 10_000)
 	c := New(testConfig(), &scriptedModule{})
@@ -35,8 +35,8 @@
 	}
 }
 
-// BenchmarkQuery is one query of 8 parts through core and module, of 10,000 ranges on 1,000 servers by a layout, or of 12 shards
-// on 12 servers by the formula.
+// BenchmarkQuery measures one query of 8 parts through core and module: of 10,000 ranges on 1,000
+// servers with a layout, or of 12 shards on 12 servers with the formula.
 func BenchmarkQuery(b *testing.B) {
 	for _, c := range []struct {
 		name            string
--- a/internal/broker/core/layout_simulation_test.go
+++ b/internal/broker/core/layout_simulation_test.go
@@ -12,21 +12,23 @@
 	sq "saffronquay"
 )
 
-// simulatedServers drives the module and the core in virtual time against servers whose layout may be newer than the gatherer's.
+// simulatedServers drives the module and the core in virtual time against servers whose layout may
+// be newer than the gatherer's.
 type simulatedServers struct {
-	rng      *rand.Rand
-	core     *Core
-	now      int64
-	layout   *layout.Layout
-	pending  []*layout.Layout
-	arrivals []arrival
-	ran      map[sq.ID][]layout.Span // of at-most-once queries
-	ended    map[sq.ID]bool
-	queries  map[sq.ID]Query
-	problem  string
-	answered int
-	// misreportsCut has the driver report attempts that were cut after they ran as not run: a seeded bug that the checks have to find.
-	misreportsCut bool
+	rng       *rand.Rand
+	core      *Core
+	now       int64
+	layout    *layout.Layout
+	pending   []*layout.Layout
+	arrivals  []arrival
+	ran       map[sq.ID][]layout.Span // of at-most-once queries
+	ended     map[sq.ID]bool
+	queries   map[sq.ID]Query
+	violation string
+	answered  int
+	// reportsBrokenAsUnreachable seeds a bug that the checks must find: the driver reports attempts
+	// whose connection broke after they ran as not run.
+	reportsBrokenAsUnreachable bool
 }
 
 type arrival struct {
@@ -36,14 +38,15 @@
 	value   []byte
 }
 
-func (w *simulatedServers) fault(format string, args ...any) {
-	if w.problem == "" {
-		w.problem = fmt.Sprintf("at %d: ", w.now) + fmt.Sprintf(format, args...)
+func (w *simulatedServers) violate(format string, args ...any) {
+	if w.violation == "" {
+		w.violation = fmt.Sprintf("at %d: ", w.now) + fmt.Sprintf(format, args...)
 	}
 }
 
-// newSimulatedServers returns a simulation. repeatsEverything has the module take every class for idempotent: a seeded bug that the checks have to find.
-func newSimulatedServers(t fataler, seed uint64, repeatsEverything bool) *simulatedServers {
+// newSimulatedServers returns a simulation. ignoresEffects seeds a bug that the checks must
+// find: the module treats every class as idempotent.
+func newSimulatedServers(t fataler, seed uint64, ignoresEffects bool) *simulatedServers {
 	w := &simulatedServers{rng: rand.New(rand.NewPCG(seed, 1)), ran: map[sq.ID][]layout.Span{}, ended: map[sq.ID]bool{}, queries: map[sq.ID]Query{}}
 	classes := []sq.Class{
 		{Name: "free", LatencyTarget: 40_000, HardLimit: 60_000, Value: 1, LateValue: 0.1, CompleteWeight: 1, MinWeight: 1},
@@ -53,7 +56,7 @@
 		Aggregators: 1, Period: 100, Classes: slices.Clone(classes), Shards: 1, Cells: 1, CellsPerShard: 1,
 		Limits: sq.Limits{MaxAttempts: 4, Hedging: true, MayCancel: true, RetryAfter: true, MaxRetryAfter: 500},
 	}
-	if repeatsEverything {
+	if ignoresEffects {
 		set.Classes[1].Effect = sq.Idempotent
 	}
 	module, err := sq.New(set, seed)
@@ -71,7 +74,8 @@
 	return w
 }
 
-// changeLayout takes one step of a change at the servers; reportLayout reports it to the gatherer later.
+// changeLayout makes one step of a layout change at the servers; reportLayout reports it to the
+// gatherer later.
 func (w *simulatedServers) changeLayout(n int) {
 	d := w.layout.Doc()
 	s := layout.Step{History: "h", Epoch: d.Epoch + 1, Change: fmt.Sprint("c", n), Do: layout.Announce}
@@ -99,7 +103,7 @@
 	}
 }
 
-// reportLayout reports some of the pending epochs to the gatherer, perhaps several as one update.
+// reportLayout reports some of the pending epochs to the gatherer, several of them as one update.
 func (w *simulatedServers) reportLayout() {
 	if len(w.pending) == 0 {
 		return
@@ -120,13 +124,14 @@
 	}
 	id, f, err := w.core.Open(w.now, a)
 	if err != nil || f != nil {
-		w.fault("%v %v", f, err)
+		w.violate("%v %v", f, err)
 		return
 	}
 	w.queries[id] = a
 }
 
-// serve plays a server with the latest layout: it runs what it holds, and its reply may be lost or late.
+// serve simulates a server with the latest layout: it runs the part if it holds the range, and its
+// reply may be lost or late.
 func (w *simulatedServers) serve(server sq.ServerID, a Attempt) {
 	p := w.core.attempts[a.ID].part
 	at := w.now + 100 + w.rng.Int64N(6_000)
@@ -143,20 +148,20 @@
 		if p.query.class.Effect == sq.AtMostOnce {
 			for _, other := range w.ran[p.query.id] {
 				if !other.Meet(a.Span).Empty() {
-					w.fault("query %d ran %s after %s", p.query.id, a.Span, other)
+					w.violate("query %d ran %s after %s", p.query.id, a.Span, other)
 				}
 			}
 			w.ran[p.query.id] = append(w.ran[p.query.id], a.Span)
 		}
 		switch w.rng.IntN(12) {
 		case 0:
-			if got.outcome = sq.Broken; w.misreportsCut {
+			if got.outcome = sq.Broken; w.reportsBrokenAsUnreachable {
 				got.outcome = sq.Unreachable
 			}
 		case 1:
 			got.outcome = sq.Errored
 		case 2:
-			return // silence
+			return // no reply
 		}
 	}
 	w.arrivals = append(w.arrivals, got)
@@ -165,11 +170,11 @@
 func (w *simulatedServers) end(f Final) {
 	a := w.queries[f.Query]
 	if w.ended[f.Query] || w.now > a.Deadline+200 {
-		w.fault("query %d ended twice or late", f.Query)
+		w.violate("query %d ended twice or after its deadline", f.Query)
 	}
 	w.ended[f.Query] = true
 	if f.Outcome == Refused && len(w.ran[f.Query]) > 0 {
-		w.fault("query %d was refused, and yet it ran", f.Query)
+		w.violate("query %d was refused although it ran", f.Query)
 	}
 	if f.Outcome != Answered {
 		return
@@ -185,13 +190,14 @@
 	}
 	for k := a.RequestedSpans[0].From; k < a.RequestedSpans[0].To; k++ {
 		if seen[k] != 1 || !f.Complete {
-			w.fault("query %d: key %d is %d times in an answer (whole %t)", f.Query, k, seen[k], f.Complete)
+			w.violate("query %d: answer contains key %d %d times (complete %t)", f.Query, k, seen[k], f.Complete)
 		}
 	}
 }
 
-// play lets time pass until every query has ended, and returns the first fault; empty: none.
-func (w *simulatedServers) play() string {
+// run runs the simulation until every query has ended, and returns the first violation; empty:
+// none.
+func (w *simulatedServers) run() string {
 	for n := range 1100 {
 		w.now += 100
 		if n < 400 {
@@ -229,47 +235,49 @@
 	}
 	for id := range w.queries {
 		if !w.ended[id] {
-			w.fault("query %d has no end", id)
+			w.violate("query %d did not end", id)
 		}
 	}
 	if c := w.core; len(c.queries)+len(c.parts)+len(c.attempts)+len(c.byShard)+c.open > 0 {
-		w.fault("something is left: %d queries, %d parts, %d attempts, %d shards, %d open", len(c.queries), len(c.parts), len(c.attempts), len(c.byShard), c.open)
+		w.violate("state remains: %d queries, %d parts, %d attempts, %d shards, %d open", len(c.queries), len(c.parts), len(c.attempts), len(c.byShard), c.open)
 	}
-	return w.problem
+	return w.violation
 }
 
-// For any history of layout changes, delays and losses: each query ends one time and in time, an answer has each key one time, no at-most-once part runs twice, no
-// refused query ran, and nothing stays open.
-func TestAnyChangesUnderQueries(t *testing.T) {
-	asked, answered := 0, 0
+// For any history of layout changes, delays and losses: each query ends once and in time, an answer
+// contains each key once, no at-most-once part runs twice, no refused query has run, and no state
+// remains.
+func TestLayoutSimulation_Invariants(t *testing.T) {
+	opened, answered := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
 		w := newSimulatedServers(t, rapid.Uint64().Draw(t, "seed"), false)
-		if p := w.play(); p != "" {
+		if p := w.run(); p != "" {
 			t.Fatal(p)
 		}
-		asked, answered = asked+len(w.queries), answered+w.answered
+		opened, answered = opened+len(w.queries), answered+w.answered
 	})
-	if t.Logf("%d of %d queries answered", answered, asked); answered*3 < asked {
-		t.Errorf("%d of %d queries answered: the property says little", answered, asked)
+	if t.Logf("%d of %d queries answered", answered, opened); answered*3 < opened {
+		t.Errorf("%d of %d queries answered, want at least a third", answered, opened)
 	}
 }
 
-// The simulation's checks find both seeded bugs: a driver that reports what ran as not run, and a module that repeats everything.
-func TestSeededBugsAreFound(t *testing.T) {
+// The simulation's checks must find both seeded bugs: a driver that reports attempts that ran as
+// not run, and a module that repeats at-most-once parts.
+func TestLayoutSimulation_FindsSeededBugs(t *testing.T) {
 	for name, bug := range map[string]func(seed uint64) *simulatedServers{
-		"careless driver": func(seed uint64) *simulatedServers {
+		"driver reports broken as unreachable": func(seed uint64) *simulatedServers {
 			w := newSimulatedServers(t, seed, false)
-			w.misreportsCut = true
+			w.reportsBrokenAsUnreachable = true
 			return w
 		},
-		"lax module": func(seed uint64) *simulatedServers { return newSimulatedServers(t, seed, true) },
+		"module ignores effects": func(seed uint64) *simulatedServers { return newSimulatedServers(t, seed, true) },
 	} {
 		found := ""
 		for seed := uint64(0); seed < 20 && found == ""; seed++ {
-			found = bug(seed).play()
+			found = bug(seed).run()
 		}
 		if found == "" {
-			t.Errorf("%s: not found", name)
+			t.Errorf("%s: no violation found in 20 seeds", name)
 		} else {
 			t.Logf("%s: %s", name, found)
 		}
--- a/internal/broker/core/layout_test.go
+++ b/internal/broker/core/layout_test.go
@@ -28,7 +28,8 @@
 	return l
 }
 
-// stepLayout takes a shard through a split at its middle, a merge with the next range or a move, up to a step, and returns the layouts in order.
+// stepLayout applies the steps of a change up to a given step, and returns the layouts in order.
+// The change is a split of a shard at its middle, its merge with the next range, or its move.
 func stepLayout(t testing.TB, l *layout.Layout, kind layout.Kind, shard int, until layout.Action, holders ...sq.ServerID) []*layout.Layout {
 	d := l.Doc()
 	i := slices.IndexFunc(d.Ranges, func(r layout.Range) bool { return r.Shard == shard })
@@ -57,7 +58,8 @@
 	return out
 }
 
-// openPlanned opens a query that was planned under one layout at a core with another layout in force, or the same.
+// openPlanned opens a query that was planned under one layout at a core that may have another
+// layout in force.
 func openPlanned(t *testing.T, class string, planned, inForce *layout.Layout, want ...layout.Span) (*Core, *scriptedModule, *openQuery) {
 	t.Helper()
 	m := &scriptedModule{}
@@ -77,7 +79,7 @@
 	return c, m, c.queries[id]
 }
 
-func (q *openQuery) places() (out []string) {
+func (q *openQuery) partSpans() (out []string) {
 	for _, p := range q.parts {
 		out = append(out, fmt.Sprintf("%d:%s", p.spec.Shard, p.spec.Span))
 	}
@@ -88,8 +90,9 @@
 	return layout.Update{Layout: l, Changed: layout.Diff(c.routes, l)}
 }
 
-// A range may split or merge between the planning of a query and its arrival at the core, or later.
-func TestPartsAreReplanned(t *testing.T) {
+// A range may be split or merged between the planning of a query and its arrival at the core, or
+// later.
+func TestReplan_SplitAndMerge(t *testing.T) {
 	l := newRangedLayout(t, 3)
 	split, merged := stepLayout(t, l, layout.Split, 1, layout.Cut, "s2"), stepLayout(t, l, layout.Merge, 0, layout.Cut, "s2")
 	for _, c := range []struct {
@@ -99,7 +102,7 @@
 		places string
 	}{
 		{"split", split, []layout.Span{span(5, 25)}, "[0:0-10 3:10-15 4:15-20 2:20-30]"},
-		{"split, only one half asked for", split, []layout.Span{span(16, 18)}, "[4:15-20]"},
+		{"split, only one half requested", split, []layout.Span{span(16, 18)}, "[4:15-20]"},
 		{"merge", merged, []layout.Span{span(5, 25)}, "[3:0-10 3:10-20 2:20-30]"},
 		{"copying only", split[:2], []layout.Span{span(5, 25)}, "[0:0-10 1:10-20 2:20-30]"},
 	} {
@@ -107,10 +110,10 @@
 		_, _, before := openPlanned(t, "free", l, last, c.want...)
 		core, m, after := openPlanned(t, "free", l, l, c.want...)
 		core.LayoutChanged(110, update(core, last))
-		act[Call](core, m, 120)
+		stepEffects[Call](core, m, 120)
 		for when, q := range map[string]*openQuery{"before": before, "after": after} {
-			if got := fmt.Sprint(q.places()); got != c.places {
-				t.Errorf("%s, told %s it was opened: %s, want %s", c.name, when, got, c.places)
+			if got := fmt.Sprint(q.partSpans()); got != c.places {
+				t.Errorf("%s, layout reported %s the query was opened: %s, want %s", c.name, when, got, c.places)
 			}
 			weight := 0.0
 			for _, p := range q.parts {
@@ -123,8 +126,9 @@
 	}
 }
 
-// What was received stays. An attempt at an old holder may be answered until that holder is retired. What may have run of an at-most-once class is sent nowhere else.
-func TestOutWhenItsRangeSplits(t *testing.T) {
+// A received part stays. An attempt at an old holder may be answered until that holder is retired.
+// A part of an at-most-once class that may have run is not sent elsewhere.
+func TestReplan_AttemptInFlight(t *testing.T) {
 	l := newRangedLayout(t, 1)
 	steps := stepLayout(t, l, layout.Split, 0, layout.Retire, "s2")
 	cut, retired := steps[3], steps[4]
@@ -134,55 +138,58 @@
 		when        *layout.Layout // in force when the outcome comes
 		places      string
 	}{
-		{"an answer of the old side", "free", sq.Served, cut, "[0:0-10]"},
+		{"answer of an old holder", "free", sq.Served, cut, "[0:0-10]"},
 		{"misplaced", "free", sq.Misplaced, cut, "[1:0-5 2:5-10]"},
-		{"misplaced once", "once", sq.Misplaced, cut, "[1:0-5 2:5-10]"},
-		{"cut before its frame", "once", sq.Unreachable, cut, "[1:0-5 2:5-10]"},
-		{"cut after its frame", "once", sq.Broken, cut, "[0:0-10]"},
-		{"timed out", "once", sq.TimedOut, retired, "[0:0-10]"},
-		{"cut after its frame, may be repeated", "free", sq.Broken, cut, "[1:0-5 2:5-10]"},
-		{"served by one that holds it no longer", "once", sq.Served, retired, "[0:0-10]"},
+		{"misplaced, at most once", "once", sq.Misplaced, cut, "[1:0-5 2:5-10]"},
+		{"unreachable, at most once", "once", sq.Unreachable, cut, "[1:0-5 2:5-10]"},
+		{"broken, at most once", "once", sq.Broken, cut, "[0:0-10]"},
+		{"timed out, at most once", "once", sq.TimedOut, retired, "[0:0-10]"},
+		{"broken, idempotent", "free", sq.Broken, cut, "[1:0-5 2:5-10]"},
+		{"served by a retired holder", "once", sq.Served, retired, "[0:0-10]"},
 	} {
 		core, m, q := openPlanned(t, c.class, l, l, span(0, 10))
-		calls := act[Call](core, m, 110, sq.Send{Part: q.parts[0].id, Server: "s0"})
+		calls := stepEffects[Call](core, m, 110, sq.Send{Part: q.parts[0].id, Server: "s0"})
 		core.LayoutChanged(120, update(core, cut))
 		if c.when == retired {
 			core.LayoutChanged(121, update(core, retired))
 		}
 		core.AttemptEnded(130, calls[0].Attempts[0].ID, c.outcome, []byte("v"), nil)
-		act[Call](core, m, 140)
-		if got := fmt.Sprint(q.places()); got != c.places {
+		stepEffects[Call](core, m, 140)
+		if got := fmt.Sprint(q.partSpans()); got != c.places {
 			t.Errorf("%s: %s, want %s", c.name, got, c.places)
 		}
 		if in := q.parts[0].received; in != (c.outcome == sq.Served && c.when == cut) {
-			t.Errorf("%s: in %t", c.name, in)
+			t.Errorf("%s: received is %t", c.name, in)
 		}
 	}
-	core, m, q := openPlanned(t, "free", l, l, span(0, 10)) // a silent server: its old side goes, and nothing else would end it
-	act[Call](core, m, 110, sq.Send{Part: q.parts[0].id, Server: "s0"}, sq.Send{Part: q.parts[0].id, Server: "s1"})
+	// The servers do not reply: when the old holders are retired, the attempts must be cancelled.
+	core, m, q := openPlanned(t, "free", l, l, span(0, 10))
+	stepEffects[Call](core, m, 110, sq.Send{Part: q.parts[0].id, Server: "s0"}, sq.Send{Part: q.parts[0].id, Server: "s1"})
 	core.LayoutChanged(120, update(core, cut))
 	core.LayoutChanged(121, update(core, retired))
-	if drops := act[CancelAttempt](core, m, 130); len(drops) != 2 || fmt.Sprint(q.places()) != "[1:0-5 2:5-10]" {
-		t.Errorf("retired under it: %v %v", drops, q.places())
+	if cancels := stepEffects[CancelAttempt](core, m, 130); len(cancels) != 2 || fmt.Sprint(q.partSpans()) != "[1:0-5 2:5-10]" {
+		t.Errorf("holders retired with attempts in flight: cancelled %v, parts %v", cancels, q.partSpans())
 	}
 }
 
-// A part that a server calls misplaced is not replanned without a later epoch; the layout is fetched instead.
-func TestMisplacedAndNothingNew(t *testing.T) {
+// A part that a server reports as misplaced is not replanned without a later epoch; the layout is
+// requested instead.
+func TestMisplaced_RequestsLayoutWithoutReplan(t *testing.T) {
 	l := newRangedLayout(t, 1)
 	core, m, q := openPlanned(t, "free", l, l, span(0, 10))
 	for n := range 3 {
 		now := int64(110 + 20*n)
-		calls := act[Call](core, m, now, sq.Send{Part: q.parts[0].id, Server: "s0"})
+		calls := stepEffects[Call](core, m, now, sq.Send{Part: q.parts[0].id, Server: "s0"})
 		core.AttemptEnded(now+5, calls[0].Attempts[0].ID, sq.Misplaced, nil, nil)
-		if asked := act[Refresh](core, m, now+10); len(asked) != 1 || len(q.parts) != 1 || core.replanned != 0 {
-			t.Fatalf("%d: asked %d times, %v", n, len(asked), q.places())
+		if requests := stepEffects[Refresh](core, m, now+10); len(requests) != 1 || len(q.parts) != 1 || core.replanned != 0 {
+			t.Fatalf("misplaced reply %d: %d layout requests, want 1; parts %v", n, len(requests), q.partSpans())
 		}
 	}
 }
 
-// A value beyond Config.MaxValueBytes fails its query at once, and the query's bytes are released.
-func TestMaxValueBytes(t *testing.T) {
+// A value that exceeds Config.MaxValueBytes fails its query immediately, and the query's memory is
+// released.
+func TestHandleReply_MaxValueBytes(t *testing.T) {
 	l := newRangedLayout(t, 3)
 	core, m, q := openPlanned(t, "free", l, l, span(0, 30))
 	core.config.MaxValueBytes = 100
@@ -191,7 +198,7 @@
 		sends = append(sends, sq.Send{Part: p.id, Server: "s0"})
 	}
 	var ids []AttemptID
-	for _, call := range act[Call](core, m, 110, sends...) {
+	for _, call := range stepEffects[Call](core, m, 110, sends...) {
 		for _, a := range call.Attempts {
 			ids = append(ids, a.ID)
 		}
@@ -199,10 +206,10 @@
 	core.HandleReply(120, Reply{Attempt: ids[0], Outcome: sq.Served, Size: 60})
 	core.HandleReply(121, Reply{Attempt: ids[1], Outcome: sq.Served, Size: 40})
 	if core.valueBytes != 100 || len(core.queries) != 1 {
-		t.Fatalf("%d held", core.valueBytes)
+		t.Fatalf("%d bytes of values at the limit, want 100", core.valueBytes)
 	}
 	core.HandleReply(122, Reply{Attempt: ids[2], Outcome: sq.Served, Size: 1})
-	if got := act[Final](core, m, 130); len(got) != 1 || got[0].Outcome != Failed || core.valueBytes != 0 || len(core.parts) != 0 {
-		t.Errorf("%+v, %d held", got, core.valueBytes)
+	if got := stepEffects[Final](core, m, 130); len(got) != 1 || got[0].Outcome != Failed || core.valueBytes != 0 || len(core.parts) != 0 {
+		t.Errorf("want one failed query and no bytes, got %+v, %d bytes", got, core.valueBytes)
 	}
 }
--- a/internal/broker/core/query.go
+++ b/internal/broker/core/query.go
@@ -10,69 +10,73 @@
 	sq "saffronquay"
 )
 
-// ErrMalformed marks a Query that no module could decide on.
+// ErrMalformed is wrapped by the error for a Query that is invalid under the configuration in
+// force. Its text is part of replies to clients, so it has no package prefix.
 var ErrMalformed = errors.New("malformed query")
 
-// ErrDuplicateLabel marks a Query with Unique set whose label an open query has.
+// ErrDuplicateLabel is wrapped by the error for a Query with Unique set whose label belongs to an
+// open query. Its text is part of replies to clients, so it has no package prefix.
 var ErrDuplicateLabel = errors.New("an open query has this id")
 
 const (
-	weightTolerance = 0.01           // by which the sum of rounded weights may miss 1
-	maxPartWork     = 86_400_000_000 // microseconds: a day
+	weightTolerance = 0.01           // permitted rounding error of the sum of weights
+	maxPartWork     = 86_400_000_000 // one day, in microseconds
 )
 
-// Query is a query as a client's protocol hands it in. Its weights add up to 1.
+// Query is a query as submitted by a client's protocol. The weights of its parts add up to 1.
 type Query struct {
-	Label              string // the query's name at the servers
-	Unique             bool   // no other open query may have the label
+	Label              string // name of the query at the servers
+	Unique             bool   // no other open query may have the same label
 	Class, Tenant, Key string
 	Deadline           int64
 	Parts              []QueryPart
-	Text               []byte        // the request, the same for every part
-	Plan               any           // by which the dialect's session reads answers; the core only passes it on
-	RequestedSpans     []layout.Span // where parts have spans: the keys that are asked for; empty: all
-	IntentLog          IntentLog     // keeps the intents to send parts of an at-most-once query; nil: none are kept
+	Text               []byte        // the request, identical for every part
+	Plan               any           // for decoding answers in the dialect's session; opaque to the core
+	RequestedSpans     []layout.Span // with a layout: the requested keys; empty: all
+	IntentLog          IntentLog     // log of the intents of an at-most-once query; nil: intents are not recorded
 }
 
 // QueryPart is one part of a Query.
 type QueryPart struct {
 	Shard  int
-	Weight float64 // of the query's answer, 0 to 1
-	Work   int64   // predicted, microseconds
+	Weight float64 // fraction of the query's answer, 0 to 1
+	Work   int64   // predicted work, in microseconds
 	Key    string
-	Span   layout.Span // of the shard, under a layout; else empty
+	Span   layout.Span // requested keys of the shard, with a layout; else empty
 }
 
-// openQuery is a query from Open until it has ended and no attempt of it runs.
+// openQuery is a query from Open until it has ended and none of its attempts is in flight.
 type openQuery struct {
 	id            sq.ID
 	spec          Query
-	class         *sq.Class // the class as it was when the query came
+	class         *sq.Class // the class definition when the query arrived
 	group         int64
 	parts         []*part
-	ended         bool  // its Final is given or its client has left
-	attemptTime   int64 // of its attempts that have ended and may have run
-	endedAttempts int   // that were sent
+	ended         bool  // its Final has been emitted or its client has left
+	attemptTime   int64 // total duration of its ended attempts that may have run
+	endedAttempts int   // number of sent attempts that have ended
 }
 
-// part is one part of an openQuery. It stays in Core.parts until its query has ended and none of its attempts runs.
+// part is one part of an openQuery. It stays in Core.parts until its query has ended and none of
+// its attempts is in flight.
 type part struct {
 	id             sq.ID
 	query          *openQuery
 	spec           QueryPart
 	attemptCount   int
 	running        []*attempt
-	mayRun         bool // an attempt that has ended may have run
+	mayHaveRun     bool // an ended attempt may have run
 	hasIntent      bool // the intent to send it is durable
 	received       bool
-	value          []byte // the answer, once it is received
-	decoded        any    // the same, as the session has read it
-	size           int64  // that it adds to Core.valueBytes
-	previous, next *part  // in the list of the same shard's parts, under a layout
+	value          []byte // the answer, once received
+	decoded        any    // the answer as decoded by the session
+	size           int64  // contribution to Core.valueBytes
+	previous, next *part  // list of the parts of the same shard, with a layout
 }
 
-// Open takes a query. Its Final comes as an effect of a later Step. Two cases end here, and the module never sees the query: an error, where the query is malformed
-// or its label is not unique, and a returned Final, where Config.MaxOpen is reached.
+// Open accepts a query. Its Final is an effect of a later Step. In two cases the query is not
+// accepted and the module does not see it: Open returns an error if the query is malformed or its
+// label is not unique, and a Final if Config.MaxOpen is reached.
 func (c *Core) Open(now int64, spec Query) (sq.ID, *Final, error) {
 	spec.Parts = c.planParts(spec)
 	if err := c.validate(now, spec); err != nil {
@@ -107,18 +111,19 @@
 	return q.id, nil, nil
 }
 
-// validate returns what is wrong with a query, as an error that wraps ErrMalformed or ErrDuplicateLabel.
+// validate returns an error that wraps ErrMalformed or ErrDuplicateLabel if a query is not
+// acceptable.
 func (c *Core) validate(now int64, spec Query) error {
 	if c.classes[spec.Class] == nil {
 		return fmt.Errorf("%w: unknown class %q", ErrMalformed, spec.Class)
 	}
 	if len(spec.Parts) == 0 {
-		return fmt.Errorf("%w: it has no parts", ErrMalformed)
+		return fmt.Errorf("%w: no parts", ErrMalformed)
 	}
 	if err := c.validateParts(spec.Parts); err != nil {
 		return err
 	}
-	// What servers answer for one of two open queries with the same label would otherwise count for the other.
+	// With equal labels, a server's answer to one open query would be taken for the other's.
 	if _, taken := c.labels[spec.Label]; spec.Unique && (taken || c.peer.Labels[spec.Label] > now) {
 		return fmt.Errorf("%w: %q", ErrDuplicateLabel, spec.Label)
 	}
@@ -135,24 +140,25 @@
 		at := position{p.Shard, p.Span.From}
 		switch {
 		case c.routes == nil && (p.Shard < 0 || p.Shard >= c.config.Shards):
-			return fmt.Errorf("%w: there is no shard %d", ErrMalformed, p.Shard)
+			return fmt.Errorf("%w: shard %d does not exist", ErrMalformed, p.Shard)
 		case seen[at]:
 			return fmt.Errorf("%w: shard %d is named twice", ErrMalformed, p.Shard)
 		case !(p.Weight >= 0 && p.Weight <= 1): // also refuses NaN
-			return fmt.Errorf("%w: shard %d has a weight out of range", ErrMalformed, p.Shard)
+			return fmt.Errorf("%w: shard %d: weight is not between 0 and 1", ErrMalformed, p.Shard)
 		case p.Work < 0 || p.Work > maxPartWork:
-			return fmt.Errorf("%w: shard %d has work out of range", ErrMalformed, p.Shard)
+			return fmt.Errorf("%w: shard %d: work is negative or exceeds one day", ErrMalformed, p.Shard)
 		}
 		seen[at] = true
 		sum += p.Weight
 	}
 	if math.Abs(sum-1) > weightTolerance {
-		return fmt.Errorf("%w: its weights add up to %g", ErrMalformed, sum)
+		return fmt.Errorf("%w: weights of parts add up to %g, want 1", ErrMalformed, sum)
 	}
 	return nil
 }
 
-// ClientLeft reports that the client no longer waits for a query. The query ends without a Final. Nothing happens if it has ended before.
+// ClientLeft reports that the client no longer waits for a query. The query ends without a Final.
+// It has no effect if the query has already ended.
 func (c *Core) ClientLeft(id sq.ID) {
 	if q := c.queries[id]; q != nil {
 		c.close(q)
@@ -160,7 +166,7 @@
 	}
 }
 
-// addPart makes a part of a query and puts it at the head of its shard's list.
+// addPart creates a part of a query and inserts it at the head of its shard's list.
 func (c *Core) addPart(q *openQuery, spec QueryPart) *part {
 	p := &part{id: sq.ID(c.nextID()), query: q, spec: spec}
 	c.parts[p.id] = p
@@ -173,7 +179,7 @@
 	return p
 }
 
-// removePart forgets a part that has no running attempt.
+// removePart removes a part that has no attempt in flight.
 func (c *Core) removePart(p *part) {
 	if c.parts[p.id] != p {
 		return
@@ -185,7 +191,7 @@
 	switch {
 	case p.previous != nil:
 		p.previous.next = p.next
-	case c.byShard[p.spec.Shard] != p: // it came before there was a layout
+	case c.byShard[p.spec.Shard] != p: // the part was added before there was a layout
 	case p.next != nil:
 		c.byShard[p.spec.Shard] = p.next
 	default:
@@ -194,12 +200,13 @@
 	p.previous, p.next = nil, nil
 }
 
-// event returns the part as the module sees it.
+// event returns the part as reported to the module.
 func (p *part) event() sq.Part {
 	return sq.Part{ID: p.id, Group: p.query.group, Shard: p.spec.Shard, Weight: p.spec.Weight, Work: p.spec.Work, Key: p.spec.Key}
 }
 
-// hasSentAttempt reports whether an attempt that was sent still runs. One that waits for its intent was not sent.
+// hasSentAttempt reports whether a sent attempt is in flight. An attempt that waits for its intent
+// has not been sent.
 func (p *part) hasSentAttempt() bool {
 	return slices.ContainsFunc(p.running, func(a *attempt) bool { return a.pending == nil })
 }
--- a/internal/broker/core/retrybudget.go
+++ b/internal/broker/core/retrybudget.go
@@ -2,29 +2,32 @@
 
 import "slices"
 
-// Budget limits the retries of one tenant: within any Window (microseconds) at most Free plus Ratio times the parts of its queries.
+// Budget limits the retries of one tenant: within any Window (microseconds) to Free plus Ratio
+// times the number of parts of its queries.
 type Budget struct {
 	Free, Ratio float64
 	Window      int64
 }
 
-// spentBuckets is into how many equal buckets Spent divides a window.
+// spentBuckets is the number of equal buckets into which Spent divides a window.
 const spentBuckets = 10
 
-// maxRestoredPerBucket limits what restore accepts of one bucket, since a damaged record may have any number.
+// maxRestoredPerBucket limits the count that restore accepts for one bucket, since a damaged record
+// may contain any number.
 const maxRestoredPerBucket = 100_000
 
-// Spent is what a tenant has used of its budget within the window before At, by tenths of the window, the latest first.
+// Spent is a tenant's use of its budget within the window before At, in buckets of a tenth of the
+// window, the latest first.
 type Spent struct {
 	At            int64
-	Taken, Extras [spentBuckets]uint32 // parts of queries, and retries
+	Taken, Extras [spentBuckets]uint32 // numbers of parts and of retries
 }
 
 // retryBudget counts the parts and retries of one tenant within the window.
 type retryBudget struct {
 	Budget
-	parts, retries []int64 // their times
-	freeFrom       int64   // when Free may be spent
+	parts, retries []int64 // times of parts and of retries
+	freeFrom       int64   // time from which Free may be spent
 }
 
 func (b *retryBudget) addParts(now int64, count int) {
@@ -33,7 +36,7 @@
 	}
 }
 
-// trySpend counts a retry and reports whether the budget allows it.
+// trySpend reports whether the budget permits a retry, and counts the retry if so.
 func (b *retryBudget) trySpend(now int64) bool {
 	isPast := func(at int64) bool { return at <= now-b.Window }
 	b.parts = slices.DeleteFunc(b.parts, isPast)
@@ -49,7 +52,8 @@
 	return true
 }
 
-// spent returns what was used within the window. ok is false where that is nothing. It costs O(parts and retries kept).
+// spent returns the use of the budget within the window. ok is false if there was none. It takes
+// O(parts and retries recorded).
 func (b *retryBudget) spent(now int64) (s Spent, ok bool) {
 	s.At = now
 	parts := b.countBuckets(now, b.parts, &s.Taken)
@@ -57,7 +61,8 @@
 	return s, parts || retries
 }
 
-// countBuckets counts times by their age. It reports whether any lies within the window.
+// countBuckets counts times into buckets by age. It reports whether any of them is within the
+// window.
 func (b *retryBudget) countBuckets(now int64, times []int64, buckets *[spentBuckets]uint32) (found bool) {
 	for _, at := range times {
 		if age := now - at; age >= 0 && age < b.Window {
@@ -68,8 +73,9 @@
 	return found
 }
 
-// restore counts what was spent before a crash. It never allows more than the budget: what was left at that time counts as spent, and of each bucket the parts
-// count as its oldest and the retries as its latest.
+// restore counts the use of the budget before a crash. To keep within the budget, it counts the
+// unspent rest at that time as spent, and places the parts of each bucket at the bucket's oldest
+// time and the retries at its latest.
 func (b *retryBudget) restore(now int64, s Spent) {
 	at := min(s.At, now)
 	width := b.Window / spentBuckets
@@ -87,7 +93,8 @@
 	}
 }
 
-// Spent returns what each tenant has spent of its budget within the window. Tenants that have spent nothing are missing.
+// Spent returns each tenant's use of its budget within the window, without tenants that have used
+// nothing.
 func (c *Core) Spent(now int64) map[string]Spent {
 	out := map[string]Spent{}
 	for name, b := range c.budgets {
--- a/internal/broker/core/schedule.go
+++ b/internal/broker/core/schedule.go
@@ -2,17 +2,18 @@
 
 import "container/heap"
 
-// maxDeadEntries is how many entries that are no longer live a schedule keeps in any case.
+// maxDeadEntries is the number of dead entries that a schedule always tolerates.
 const maxDeadEntries = 64
 
-// schedule orders values by the time at which they are due. A value that is no longer live stays in it until it comes to the top or less than half of the entries are
-// live. So adding and taking cost O(log n), and ending a value costs nothing. The zero value needs isLive.
+// schedule orders values by due time. A value that is no longer live stays in the schedule until it
+// reaches the top or less than half of the entries are live, so that adding and taking cost O(log
+// n) and ending a value costs nothing. The zero value needs isLive.
 type schedule[T any] struct {
 	isLive  func(T) bool
 	entries entryHeap[T]
 }
 
-// entry is ordered by time, then by id, so that equal histories give equal orders.
+// entry is ordered by time, then by ID, so that the order is deterministic.
 type entry[T any] struct {
 	at, id int64
 	value  T
@@ -40,7 +41,7 @@
 	return last
 }
 
-// add puts in a value that is due at a time. live is how many values are live, with this one.
+// add inserts a value that is due at a time. live is the number of live values, including this one.
 func (s *schedule[T]) add(at, id int64, value T, live int) {
 	if len(s.entries) > 2*live+maxDeadEntries {
 		s.removeDead()
@@ -60,7 +61,7 @@
 	heap.Init(&s.entries)
 }
 
-// next returns when the first live value is due. ok is false where there is none.
+// next returns the due time of the first live value. ok is false if there is none.
 func (s *schedule[T]) next() (at int64, ok bool) {
 	for len(s.entries) > 0 && !s.isLive(s.entries[0].value) {
 		heap.Pop(&s.entries)
--- a/internal/broker/core/size_test.go
+++ b/internal/broker/core/size_test.go
@@ -10,8 +10,8 @@
 	sq "saffronquay"
 )
 
-// BenchmarkQueryBySize measures a complete query of the core with the real module, its parts served over four steps, against its parts before 2,600
-// servers; processor time is the whole process's.
+// BenchmarkQueryBySize measures a query through the core with the real module, by number of parts,
+// with 2,600 servers and parts served over four steps. Processor time is that of the whole process.
 //
 //	go test -run '^$' -bench QueryBySize -benchtime 1s ./internal/broker/core
 func BenchmarkQueryBySize(b *testing.B) {
@@ -40,18 +40,18 @@
 			for i := range servers {
 				list.Servers = append(list.Servers, sq.Server{ID: sq.ServerID(fmt.Sprintf("s-%08x", i)), Cell: i % cells, Health: sq.Ready})
 			}
-			now, asked := int64(1_000_000_000), 0
+			now, opened := int64(1_000_000_000), 0
 			c.FleetChanged(list)
 			c.Step(now)
 			value, report := []byte("12345678"), &sq.LoadReport{Queue: 1, InFlight: -1}
 			query := func() (answered bool) {
 				now += period
-				ask := Query{Label: fmt.Sprint(asked), Class: "q", Deadline: now + 1_000_000}
+				spec := Query{Label: fmt.Sprint(opened), Class: "q", Deadline: now + 1_000_000}
 				for i := range parts {
-					ask.Parts = append(ask.Parts, QueryPart{Shard: (asked*parts + i) % servers, Weight: 1 / float64(parts), Work: 5000})
+					spec.Parts = append(spec.Parts, QueryPart{Shard: (opened*parts + i) % servers, Weight: 1 / float64(parts), Work: 5000})
 				}
-				asked++
-				if _, _, err := c.Open(now, ask); err != nil {
+				opened++
+				if _, _, err := c.Open(now, spec); err != nil {
 					b.Fatal(err)
 				}
 				var out []AttemptID
