--- a/internal/broker/admission/configure.go
+++ b/internal/broker/admission/configure.go
@@ -6,16 +6,17 @@
 )
 
 const (
-	// minWeight keeps the weight of a removed team above nought while its queries run out.
+	// minWeight keeps the weight of a removed team positive until its queries have ended.
 	minWeight = 1e-6
-	// minQuota keeps the weight of a team without quota above nought.
+	// minQuota keeps the weight of a team without quota positive.
 	minQuota = 1e-9
-	// roundingSlack is added before parts are rounded down.
+	// roundingSlack is added before a number of parts is rounded down.
 	roundingSlack = 1e-6
 )
 
-// Reconfigure puts other contracts in force. Queries that are queued or out keep their terms. What remaining teams have queued, out and used carries over.
-// A team that is removed gets nothing new, and the next ExpireQueued rejects what it has queued.
+// Reconfigure puts new contracts in force. Queries that are queued or in flight keep their terms.
+// The queue, the parts in flight and the usage of remaining teams carry over. A removed team starts
+// no further queries, and the next ExpireQueued rejects its queued ones.
 func (g *Gate) Reconfigure(cfg Config) {
 	g.cfg = cfg
 	g.cores = cfg.Cores / float64(cfg.Gatherers)
@@ -23,10 +24,10 @@
 	old := g.teams
 	g.resetTeams(old)
 	g.removeTeams(old)
-	out := map[*node]int{}
+	partsInFlight := map[*node]int{}
 	for _, q := range g.queries {
 		if q.started {
-			out[q.team] += q.parts
+			partsInFlight[q.team] += q.parts
 		}
 	}
 	g.linkTeams()
@@ -37,14 +38,15 @@
 		g.applyQuotas()
 	}
 	for _, t := range cfg.Teams {
-		g.applyLimits(g.teams[t.Name], out)
+		g.applyLimits(g.teams[t.Name], partsInFlight)
 	}
 	for _, t := range cfg.Teams {
 		g.teams[t.Name].updateTree()
 	}
 }
 
-// resetTeams makes the nodes of the contracts in force, which keep the queue, ratio and usage of a team that was there before.
+// resetTeams creates the nodes of the contracts in force. A node keeps the queue, ratio and usage
+// of a team that already existed.
 func (g *Gate) resetTeams(old map[string]*node) {
 	g.teams, g.reserved = map[string]*node{}, nil
 	for _, t := range g.cfg.Teams {
@@ -53,14 +55,15 @@
 			n = &node{ratio: 1}
 		}
 		*n = node{
-			Team: t, heapIndex: -1, startTag: 0, queue: n.queue, queued: len(n.queue), out: n.out, ratio: n.ratio,
+			Team: t, heapIndex: -1, startTag: 0, queue: n.queue, queued: len(n.queue), inFlight: n.inFlight, ratio: n.ratio,
 			contractFraction: n.contractFraction, usage: n.usage,
 		}
 		g.teams[t.Name] = n
 	}
 }
 
-// removeTeams detaches the nodes of contracts that are no longer in force. Their queries that are out are accounted for to the end.
+// removeTeams detaches the nodes of contracts that are no longer in force. Their queries in flight
+// are accounted for until they end.
 func (g *Gate) removeTeams(old map[string]*node) {
 	for name, n := range old {
 		if g.teams[name] != nil {
@@ -85,12 +88,13 @@
 			n.parent = g.teams[t.Parent]
 		}
 		n.parent.childWeights += t.Weight
-		n.out = 0
+		n.inFlight = 0
 	}
 }
 
-// applyQuotas makes each team's weight what this gatherer may use of the team's budget, and their sum the limit of what is out. The limit is rounded down, so
-// that all gatherers together stay within the budget, but for the one part that each may have out at least. It costs O(teams).
+// applyQuotas sets each team's weight to what this gatherer may use of the team's budget, and the
+// limit of parts in flight to their sum. The limit is rounded down, so that all gatherers together
+// stay within the budget, except that each may have at least one part in flight. It takes O(teams).
 func (g *Gate) applyQuotas() {
 	weights := map[*node]float64{}
 	total := 0.0
@@ -115,8 +119,9 @@
 	g.limit = max(1, int(g.cores*g.cfg.Oversubscription+roundingSlack))
 }
 
-// applyLimits sets a team's limit and reserve in parts, and adds what it has queued and out to its ancestors.
-func (g *Gate) applyLimits(team *node, out map[*node]int) {
+// applyLimits sets a team's limit and reserve in parts, and adds its queued queries and parts in
+// flight to the counts of its ancestors.
+func (g *Gate) applyLimits(team *node, partsInFlight map[*node]int) {
 	if team.MaxFraction > 0 {
 		team.maxParts = max(1, int(team.MaxFraction*float64(g.limit)))
 	}
@@ -128,6 +133,6 @@
 		if ancestor != team {
 			ancestor.queued += len(team.queue)
 		}
-		ancestor.out += out[team]
+		ancestor.inFlight += partsInFlight[team]
 	}
 }
--- a/internal/broker/admission/gate.go
+++ b/internal/broker/admission/gate.go
@@ -11,55 +11,57 @@
 	Team     string
 	Class    string
 	Parts    int
-	Work     float64 // predicted, of all parts
+	Work     float64 // predicted work of all parts
 	Deadline int64
 }
 
-// Decision is the outcome of a query's arrival.
+// Decision is the result of a query's arrival.
 type Decision int
 
 // The decisions.
 const (
-	Admitted          Decision = iota // it goes to the decision module immediately
-	Queued                            // StartQueued or ExpireQueued names it later
-	RejectedBacklog                   // more of its team is queued than the team's fraction does in time
-	RejectedQueueFull                 // its team's queue is full
-	RejectedClass                     // for good: its contract does not have the class
-	RejectedTeam                      // for good: there is no such contract
+	Admitted          Decision = iota // passed on to the decision module immediately
+	Queued                            // returned later by StartQueued or ExpireQueued
+	RejectedBacklog                   // the team's backlog exceeds what its fraction processes in time
+	RejectedQueueFull                 // the team's queue is full
+	RejectedClass                     // permanent: the contract does not include the class
+	RejectedTeam                      // permanent: there is no such contract
 )
 
 const (
 	maxQueuedPerTeam = 256
-	maxQueued        = 4096 // of all teams together
+	maxQueued        = 4096 // over all teams
 	defaultMaxWait   = 1e6  // microseconds
-	ratioWeight      = 0.1  // of the newest query in the moving average of what queries take over what was predicted
-	maxRatio         = 1e3  // a prediction may be wrong by this factor in either direction
-	minPartWork      = 100  // microseconds: a prediction of nought must not be free
+	ratioWeight      = 0.1  // weight of a query in the average of actual over predicted work
+	maxRatio         = 1e3  // bound of that average, in either direction
+	minPartWork      = 100  // microseconds; a predicted work of 0 must not be free
 	minRetryAfter    = 1000 // microseconds
 )
 
-// Gate decides on the queries of one gatherer. Arrive and Done cost O(depth log siblings + the team's queue, which is bounded).
+// Gate decides on the queries of one gatherer. Arrive and Done take O(depth log siblings + the
+// length of the team's queue, which is bounded).
 type Gate struct {
 	cfg      Config
-	limit    int     // of parts out
-	cores    float64 // that this gatherer may keep busy
+	limit    int     // maximum number of parts in flight
+	cores    float64 // number of cores that this gatherer may keep busy
 	root     *node
 	teams    map[string]*node
-	reserved []*node // teams whose fraction is not lent
+	reserved []*node // teams with Team.Reserved
 	queries  map[int64]*query
 	expiries expiryHeap
-	arrivals int64 // queries so far
+	arrivals int64 // number of queries so far
 	queued   int
 }
 
-// New returns a gate for contracts in which Check finds no fault.
+// New returns a gate for contracts without faults according to Check.
 func New(cfg Config) *Gate {
 	g := &Gate{queries: map[int64]*query{}, teams: map[string]*node{}, root: &node{}}
 	g.Reconfigure(cfg)
 	return g
 }
 
-// Budget returns a team's budget: parts out at all gatherers together, by the weights of the contracts; 0 if there is no such team.
+// Budget returns a team's budget: parts in flight at all gatherers together, by the weights of the
+// contracts; 0 if there is no such team.
 func (g *Gate) Budget(team string) float64 {
 	n := g.teams[team]
 	if n == nil {
@@ -68,7 +70,7 @@
 	return n.contractFraction * g.cfg.Cores * g.cfg.Oversubscription
 }
 
-// MaxDeadline returns the longest deadline that a team's query may have; 0: its class's.
+// MaxDeadline returns the longest deadline that a team's query may have; 0: that of its class.
 func (g *Gate) MaxDeadline(team string) int64 {
 	if n := g.teams[team]; n != nil {
 		return n.MaxDeadline
@@ -76,11 +78,12 @@
 	return 0
 }
 
-// Arrive decides on a query. An admitted query is out from now on. retryAfter is set for RejectedBacklog and RejectedQueueFull: the time, in microseconds, in which the team's
-// fraction has worked off enough of its queue, as far as can be predicted.
+// Arrive decides on a query. An admitted query counts as in flight from now on. retryAfter is set
+// for RejectedBacklog and RejectedQueueFull: the predicted time, in microseconds, until the team's
+// fraction of the servers has processed enough of its queue.
 func (g *Gate) Arrive(now int64, r Request) (decision Decision, retryAfter int64) {
 	team := g.teams[r.Team]
-	if team == nil || team.childWeights > 0 { // a team with children sends nothing itself
+	if team == nil || team.childWeights > 0 { // only teams without children may send queries
 		return RejectedTeam, 0
 	}
 	team.usage.Requested++
@@ -112,7 +115,7 @@
 	return Queued, 0
 }
 
-// newQuery predicts the work of a query and how long it may wait.
+// newQuery returns a query with its predicted work and the end of its wait.
 func (g *Gate) newQuery(now int64, team *node, r Request) *query {
 	g.arrivals++
 	parts := max(r.Parts, 1)
@@ -130,7 +133,7 @@
 	return q
 }
 
-// workRate returns the work a team does in a microsecond, with what other teams lend it while they are idle.
+// workRate returns the work that a team does per microsecond, including what idle teams lend it.
 func (g *Gate) workRate(team *node) float64 {
 	rate := team.fraction(true) * g.cores
 	if team.maxParts > 0 {
@@ -139,7 +142,8 @@
 	return rate
 }
 
-// countQueued adds queries to, or takes them off, the counts of a team and its ancestors.
+// countQueued adds a positive or negative number of queries to the counts of a team and its
+// ancestors.
 func (g *Gate) countQueued(team *node, by int) {
 	g.queued += by
 	for ancestor := team; ancestor != nil; ancestor = ancestor.parent {
@@ -148,39 +152,40 @@
 	team.updateTree()
 }
 
-// hasCapacity reports whether a team may have more parts out: the limit is not reached, with what is reserved for others set aside, and neither are the limits of the
-// team and its ancestors.
+// hasCapacity reports whether a team may have more parts in flight: within the gate's limit less
+// the unused reserves of other teams, and within the limits of the team and its ancestors.
 func (g *Gate) hasCapacity(team *node) bool {
 	setAside := 0
 	for _, other := range g.reserved {
 		if other != team {
-			setAside += max(0, other.reservedParts-other.out)
+			setAside += max(0, other.reservedParts-other.inFlight)
 		}
 	}
 	for ancestor := team; ancestor.parent != nil; ancestor = ancestor.parent {
-		if ancestor.maxParts > 0 && ancestor.out >= ancestor.maxParts {
+		if ancestor.maxParts > 0 && ancestor.inFlight >= ancestor.maxParts {
 			return false
 		}
 	}
-	return g.root.out+setAside < g.limit
+	return g.root.inFlight+setAside < g.limit
 }
 
-// start accounts for a query as out.
+// start accounts for a query as in flight.
 func (g *Gate) start(q *query) {
 	q.started = true
 	team := q.team
 	team.usage.Started++
-	if float64(team.out+q.parts) > team.fraction(false)*float64(g.limit) {
+	if float64(team.inFlight+q.parts) > team.fraction(false)*float64(g.limit) {
 		team.usage.Borrowed += q.work
 	}
 	team.charge(q.work, true)
 	for ancestor := team; ancestor != nil; ancestor = ancestor.parent {
-		ancestor.out += q.parts
+		ancestor.inFlight += q.parts
 	}
 	team.updateTree()
 }
 
-// StartQueued starts the queued queries that may go to the decision module now, and returns their ids in order.
+// StartQueued starts the queued queries that may be passed on to the decision module now, and
+// returns their IDs in order.
 func (g *Gate) StartQueued() (ids []int64) {
 	for g.queued > 0 {
 		team := g.nextTeam()
@@ -196,8 +201,9 @@
 	return ids
 }
 
-// nextTeam returns the team whose query starts next; nil if none may. It is the one that is furthest behind its fraction at each level of the tree; if that has no
-// capacity, a team that has not used its reserve.
+// nextTeam returns the team whose query starts next, or nil if none may start. It is the team with
+// the smallest start tag at each level of the tree or, if that team has no capacity, a team with an
+// unused reserve.
 func (g *Gate) nextTeam() *node {
 	if n := g.root; len(n.children) > 0 {
 		for len(n.children) > 0 {
@@ -208,15 +214,15 @@
 		}
 	}
 	for _, team := range g.reserved {
-		if len(team.queue) > 0 && team.out < team.reservedParts && g.hasCapacity(team) {
+		if len(team.queue) > 0 && team.inFlight < team.reservedParts && g.hasCapacity(team) {
 			return team
 		}
 	}
 	return nil
 }
 
-// ExpireQueued removes the queued queries that have waited too long, or whose team was removed. It returns their ids, and for each the time in microseconds after which to
-// retry.
+// ExpireQueued removes the queued queries that have waited too long or whose team was removed. It
+// returns their IDs and, for each, the time in microseconds after which to retry.
 func (g *Gate) ExpireQueued(now int64) (ids, retryAfter []int64) {
 	for len(g.expiries) > 0 && (g.expiries[0].started || g.expiries[0].expiresAt <= now) {
 		q := g.popExpiry()
@@ -232,7 +238,8 @@
 	return ids, retryAfter
 }
 
-// NextExpiry returns when ExpireQueued has something to do; ok is false while nothing is queued.
+// NextExpiry returns the time at which ExpireQueued has a query to remove; ok is false while
+// nothing is queued.
 func (g *Gate) NextExpiry() (at int64, ok bool) {
 	for len(g.expiries) > 0 && (g.expiries[0].started || g.queries[g.expiries[0].id] != g.expiries[0]) {
 		g.popExpiry()
@@ -243,14 +250,14 @@
 	return g.expiries[0].expiresAt, true
 }
 
-// popExpiry removes the query whose wait ends first.
+// popExpiry removes and returns the query whose wait ends first.
 func (g *Gate) popExpiry() *query {
 	q := g.expiries[0]
 	heap.Pop(&g.expiries)
 	return q
 }
 
-// dropQueued forgets a queued query.
+// dropQueued removes a queued query.
 func (g *Gate) dropQueued(q *query) {
 	delete(g.queries, q.id)
 	i := slices.Index(q.team.queue, q)
@@ -265,8 +272,9 @@
 	}
 }
 
-// Done reports the end of a query, started or not: the work that its attempts took, in microseconds, and their number. What it took beyond the prediction is charged to its
-// team and corrects later predictions. An unknown id is ignored.
+// Done reports the end of a query, started or not, with the work of its attempts, in microseconds,
+// and their number. The difference from the predicted work is charged to the team and corrects
+// later predictions. An unknown ID is ignored.
 func (g *Gate) Done(id int64, took float64, attempts int) {
 	q := g.queries[id]
 	if q == nil {
@@ -289,13 +297,14 @@
 	}
 	team.charge(took-q.work, false)
 	for ancestor := team; ancestor != nil; ancestor = ancestor.parent {
-		ancestor.out -= q.parts
+		ancestor.inFlight -= q.parts
 	}
 	team.updateTree()
 }
 
-// Queued returns how many queries are queued.
+// Queued returns the number of queued queries.
 func (g *Gate) Queued() int { return g.queued }
 
-// PartsOut returns the number of parts out, and its limit; one query may exceed it by its parts.
-func (g *Gate) PartsOut() (parts, limit int) { return g.root.out, g.limit }
+// PartsOut returns the number of parts in flight and its limit. One query may exceed the limit, by
+// its number of parts.
+func (g *Gate) PartsOut() (parts, limit int) { return g.root.inFlight, g.limit }
--- a/internal/broker/admission/gate_test.go
+++ b/internal/broker/admission/gate_test.go
@@ -8,27 +8,28 @@
 	"testing"
 )
 
-// world is a gate before servers with a number of cores that serve first come first served, in virtual time.
-type world struct {
-	t        testing.TB
-	g        *Gate
-	cores    int
-	now      int64
-	events   timeline
-	lastID   int64
-	busy     int
-	line     []job
-	left     map[int64]int // parts to come, by query
-	took     map[int64]float64
-	requests map[int64]Request
-	lies     map[string]float64 // what a team's parts take, over what it says
-	served   map[string]float64 // work done, by team
-	worked   float64            // of all
-	idle     float64            // core time idle while something was queued
-	since    int64
-	ended    func(id int64)
-	start    map[int64]int64
-	wakes    int64 // when the gate is looked at next; 0: nothing is planned
+// simulation is a gate with servers that have a number of cores and a shared FIFO queue, in virtual
+// time.
+type simulation struct {
+	t           testing.TB
+	g           *Gate
+	cores       int
+	now         int64
+	events      eventQueue
+	lastID      int64
+	busy        int
+	fifo        []job
+	remaining   map[int64]int // parts that have not been served, by query
+	took        map[int64]float64
+	requests    map[int64]Request
+	workFactors map[string]float64 // actual work of a team's parts divided by the requested work
+	served      map[string]float64 // work done, by team
+	worked      float64            // busy core time
+	idle        float64            // idle core time while queries were queued
+	since       int64
+	ended       func(id int64)
+	start       map[int64]int64
+	nextExpiry  int64 // time of the next scheduled expiry; 0: none
 }
 
 type job struct {
@@ -36,34 +37,34 @@
 	work int64
 }
 
-type moment struct {
+type event struct {
 	at int64
 	do func()
 }
 
-type timeline []moment
+type eventQueue []event
 
-func (t timeline) Len() int           { return len(t) }
-func (t timeline) Less(i, j int) bool { return t[i].at < t[j].at }
-func (t timeline) Swap(i, j int)      { t[i], t[j] = t[j], t[i] }
-func (t *timeline) Push(x any)        { *t = append(*t, x.(moment)) }
-func (t *timeline) Pop() any {
+func (t eventQueue) Len() int           { return len(t) }
+func (t eventQueue) Less(i, j int) bool { return t[i].at < t[j].at }
+func (t eventQueue) Swap(i, j int)      { t[i], t[j] = t[j], t[i] }
+func (t *eventQueue) Push(x any)        { *t = append(*t, x.(event)) }
+func (t *eventQueue) Pop() any {
 	x := (*t)[len(*t)-1]
 	*t = (*t)[:len(*t)-1]
 	return x
 }
 
-func newWorld(t testing.TB, cfg Config) *world {
-	return &world{
-		t: t, g: New(cfg), cores: int(cfg.Cores), left: map[int64]int{}, took: map[int64]float64{}, requests: map[int64]Request{},
-		lies: map[string]float64{}, served: map[string]float64{}, start: map[int64]int64{}, ended: func(int64) {},
+func newSimulation(t testing.TB, cfg Config) *simulation {
+	return &simulation{
+		t: t, g: New(cfg), cores: int(cfg.Cores), remaining: map[int64]int{}, took: map[int64]float64{}, requests: map[int64]Request{},
+		workFactors: map[string]float64{}, served: map[string]float64{}, start: map[int64]int64{}, ended: func(int64) {},
 	}
 }
 
-func (w *world) at(t int64, do func()) { heap.Push(&w.events, moment{t, do}) }
+func (w *simulation) at(t int64, do func()) { heap.Push(&w.events, event{t, do}) }
 
-// pass lets time pass up to the next thing that happens, and counts idle cores.
-func (w *world) pass(to int64) {
+// advance advances the time and counts idle cores.
+func (w *simulation) advance(to int64) {
 	if w.g.Queued() > 0 {
 		w.idle += float64(w.cores-w.busy) * float64(to-w.since)
 	}
@@ -71,17 +72,17 @@
 	w.now, w.since = to, to
 }
 
-func (w *world) run(until int64) {
+func (w *simulation) run(until int64) {
 	for len(w.events) > 0 && w.events[0].at <= until {
-		m := heap.Pop(&w.events).(moment)
-		w.pass(max(w.now, m.at))
+		m := heap.Pop(&w.events).(event)
+		w.advance(max(w.now, m.at))
 		m.do()
-		w.flow()
+		w.dispatch()
 	}
-	w.pass(until)
+	w.advance(until)
 }
 
-func (w *world) flow() {
+func (w *simulation) dispatch() {
 	ids, _ := w.g.ExpireQueued(w.now)
 	for _, id := range ids {
 		delete(w.requests, id)
@@ -90,41 +91,41 @@
 	for _, id := range w.g.StartQueued() {
 		w.serve(id)
 	}
-	if at, ok := w.g.NextExpiry(); ok && (w.wakes == 0 || at < w.wakes) {
-		w.wakes = max(at, w.now)
-		w.at(w.wakes, func() { w.wakes = 0 })
+	if at, ok := w.g.NextExpiry(); ok && (w.nextExpiry == 0 || at < w.nextExpiry) {
+		w.nextExpiry = max(at, w.now)
+		w.at(w.nextExpiry, func() { w.nextExpiry = 0 })
 	}
 	if out, most := w.g.PartsOut(); out > most+200 {
-		w.t.Fatalf("%d parts are out, of %d", out, most)
+		w.t.Fatalf("%d parts in flight, limit %d", out, most)
 	}
 }
 
-func (w *world) serve(id int64) {
+func (w *simulation) serve(id int64) {
 	a := w.requests[id]
-	w.left[id], w.start[id] = a.Parts, w.now
-	lie := w.lies[a.Team]
-	if lie == 0 {
-		lie = 1
+	w.remaining[id], w.start[id] = a.Parts, w.now
+	factor := w.workFactors[a.Team]
+	if factor == 0 {
+		factor = 1
 	}
 	for range a.Parts {
-		w.line = append(w.line, job{id, int64(a.Work * lie / float64(a.Parts))})
+		w.fifo = append(w.fifo, job{id, int64(a.Work * factor / float64(a.Parts))})
 	}
 	w.work()
 }
 
-func (w *world) work() {
-	for w.busy < w.cores && len(w.line) > 0 {
-		j := w.line[0]
-		w.line = w.line[1:]
+func (w *simulation) work() {
+	for w.busy < w.cores && len(w.fifo) > 0 {
+		j := w.fifo[0]
+		w.fifo = w.fifo[1:]
 		w.busy++
 		w.at(w.now+j.work, func() {
 			w.busy--
 			a := w.requests[j.id]
 			w.served[a.Team] += float64(j.work)
 			w.took[j.id] += float64(j.work)
-			if w.left[j.id]--; w.left[j.id] == 0 {
+			if w.remaining[j.id]--; w.remaining[j.id] == 0 {
 				w.g.Done(j.id, w.took[j.id], a.Parts)
-				delete(w.left, j.id)
+				delete(w.remaining, j.id)
 				delete(w.requests, j.id)
 				w.ended(j.id)
 			}
@@ -133,8 +134,8 @@
 	}
 }
 
-// send has a team send one query.
-func (w *world) send(team string, parts int, work float64, timeout int64) (Decision, int64, int64) {
+// send sends one query of a team.
+func (w *simulation) send(team string, parts int, work float64, timeout int64) (Decision, int64, int64) {
 	w.lastID++
 	a := Request{ID: w.lastID, Team: team, Class: "c", Parts: parts, Work: work, Deadline: w.now + timeout}
 	w.requests[a.ID] = a
@@ -143,15 +144,15 @@
 	case Admitted:
 		w.serve(a.ID)
 	case Queued:
-		w.flow()
+		w.dispatch()
 	default:
 		delete(w.requests, a.ID)
 	}
 	return v, after, a.ID
 }
 
-// stream has a team send queries at a rate, without end.
-func (w *world) stream(team string, every int64, parts int, work float64, timeout, until int64) {
+// stream sends queries of a team at a constant rate until a time.
+func (w *simulation) stream(team string, every int64, parts int, work float64, timeout, until int64) {
 	var next func()
 	next = func() {
 		w.send(team, parts, work, timeout)
@@ -162,7 +163,7 @@
 	w.at(w.now, next)
 }
 
-func flat(names ...string) (teams []Team) {
+func equalTeams(names ...string) (teams []Team) {
 	for _, n := range names {
 		teams = append(teams, Team{Name: n, Weight: 1, MaxWait: 1e6})
 	}
@@ -171,9 +172,9 @@
 
 const second = int64(1e6)
 
-// On random trees under random traffic: who has work queued all the time gets its fraction by its contract, whatever others ask for, and
-// cores are seldom idle while anything is queued.
-func TestFractionsAreGiven(t *testing.T) {
+// With random trees of contracts and random traffic, a team that always has work queued gets its
+// contractual fraction whatever others request, and cores are rarely idle while queries are queued.
+func TestGate_FractionsUnderLoad(t *testing.T) {
 	worst := 0.0
 	for seed := range uint64(30) {
 		rt := t
@@ -192,23 +193,23 @@
 		if faults := cfg.Check(); len(faults) > 0 {
 			rt.Fatal(faults)
 		}
-		w := newWorld(t, cfg)
+		w := newSimulation(t, cfg)
 		length := 8 * second
 		busy := map[string]bool{}
 		for i, leaf := range leaves {
 			parts := 1 + rng.IntN(8)
 			work := float64(parts) * 5000 * (0.5 + rng.Float64())
-			if i == 0 || rng.IntN(2) == 0 { // it requests three times the capacity
+			if i == 0 || rng.IntN(2) == 0 { // three times the capacity
 				busy[leaf] = true
 				w.stream(leaf, max(1, int64(work/cfg.Cores/3)), parts, work, 3*second, length)
-			} else if rng.IntN(2) == 0 { // for a little
+			} else if rng.IntN(2) == 0 { // a low rate
 				w.stream(leaf, int64(work), parts, work, 3*second, length)
 			}
-			if rng.IntN(4) == 0 { // one whose hints are too high requests less than it seems
-				w.lies[leaf] = map[bool]float64{true: 10, false: 0.1}[busy[leaf]]
+			if rng.IntN(4) == 0 { // predictions that are wrong by a factor of ten
+				w.workFactors[leaf] = map[bool]float64{true: 10, false: 0.1}[busy[leaf]]
 			}
 		}
-		w.run(2 * second) // hints are learnt, queues fill
+		w.run(2 * second) // until prediction ratios are learned and queues are full
 		from, idle := map[string]float64{}, w.idle
 		for leaf := range w.served {
 			from[leaf] = w.served[leaf]
@@ -218,60 +219,62 @@
 		for leaf := range busy {
 			got := (w.served[leaf] - from[leaf]) / all
 			if want := w.g.teams[leaf].fraction(false); got < 0.75*want {
-				rt.Fatalf("%s got %.3f of all, by its contract it has %.3f", leaf, got, want)
+				rt.Fatalf("%s got fraction %.3f of the work, contractual fraction %.3f", leaf, got, want)
 			}
 		}
 		worst = max(worst, (w.idle-idle)/all)
 	}
-	t.Logf("at most %.3f idle while something was queued", worst)
-	if worst > 0.15 { // a query's parts count as out until its last one is in
-		t.Errorf("%.3f idle while something was queued", worst)
+	t.Logf("at most %.3f of core time idle while queries were queued", worst)
+	if worst > 0.15 { // all parts of a query count as in flight until the last has been served
+		t.Errorf("%.3f of core time idle while queries were queued, want at most 0.15", worst)
 	}
 }
 
-// A thousand idle teams cost two busy ones nothing; what they leave is lent, and given back as soon as they send something.
-func TestIdleTeamsLend(t *testing.T) {
-	cfg := Config{Cores: 10, Gatherers: 1, Oversubscription: 1.2, Teams: flat("a", "b")}
+// A thousand idle teams must not reduce the throughput of two busy ones: their capacity is lent,
+// and returned as soon as they send a query.
+func TestGate_IdleTeamsLendCapacity(t *testing.T) {
+	cfg := Config{Cores: 10, Gatherers: 1, Oversubscription: 1.2, Teams: equalTeams("a", "b")}
 	for i := range 1000 {
 		cfg.Teams = append(cfg.Teams, Team{Name: fmt.Sprint("idle", i), Weight: 1})
 	}
-	w := newWorld(t, cfg)
+	w := newSimulation(t, cfg)
 	w.stream("a", 500, 2, 20_000, 3*second, 12*second)
 	w.stream("b", 500, 2, 20_000, 3*second, 12*second)
 	w.run(10 * second)
 	if all := w.served["a"] + w.served["b"]; all < 0.97*10*10*1e6 || math.Abs(w.served["a"]/all-0.5) > 0.02 {
-		t.Errorf("a %.0f and b %.0f of %.0f", w.served["a"], w.served["b"], 10*10*1e6)
+		t.Errorf("served work: a %.0f, b %.0f, want equal shares of %.0f", w.served["a"], w.served["b"], 10*10*1e6)
 	}
 	v, _, id := w.send("idle7", 1, 10_000, 3*second)
-	asked := w.now
-	over := int64(0)
+	arrivedAt := w.now
+	endedAt := int64(0)
 	w.ended = func(ended int64) {
 		if ended == id {
-			over = w.now
+			endedAt = w.now
 		}
 	}
 	w.run(12 * second)
-	if v > Queued || over == 0 || over-asked > 60_000 { // what is out ends, some 10 to 20 ms, and its own work
-		t.Errorf("decision %d, after %d us", v, over-asked)
+	if v > Queued || endedAt == 0 || endedAt-arrivedAt > 60_000 { // parts in flight end after 10 to 20 ms, then its own work
+		t.Errorf("query of an idle team: decision %d, ended after %d us, want at most 60 ms", v, endedAt-arrivedAt)
 	}
 }
 
-// Sending ten times its fraction, with hints that are wrong tenfold, with one part or two hundred: the quiet team's times stay.
-func TestQuietTeamStaysQuick(t *testing.T) {
-	p99 := func(loud func(w *world)) float64 {
-		w := newWorld(t, Config{Cores: 8, Gatherers: 1, Oversubscription: 1.25, Teams: flat("quiet", "loud")})
+// A team that exceeds its fraction tenfold, with queries of one part or of two hundred, or with
+// predictions that are too low by a factor of ten, must not slow down the queries of another team.
+func TestGate_LatencyIsolation(t *testing.T) {
+	slowest := func(loud func(w *simulation)) float64 {
+		w := newSimulation(t, Config{Cores: 8, Gatherers: 1, Oversubscription: 1.25, Teams: equalTeams("quiet", "loud")})
 		var times []float64
-		asked := map[int64]int64{}
+		arrivals := map[int64]int64{}
 		var next func()
 		next = func() {
 			_, _, id := w.send("quiet", 4, 40_000, 3*second)
-			asked[id] = w.now
+			arrivals[id] = w.now
 			if w.now < 9*second {
 				w.at(w.now+40_000, next)
 			}
 		}
 		w.ended = func(id int64) {
-			if at, is := asked[id]; is && at > 2*second {
+			if at, is := arrivals[id]; is && at > 2*second {
 				times = append(times, float64(w.now-at))
 			}
 		}
@@ -281,7 +284,7 @@
 		}
 		w.run(11 * second)
 		if len(times) < 170 {
-			t.Errorf("%d of 175 quiet queries ended", len(times))
+			t.Errorf("%d of 175 queries of the quiet team ended, want at least 170", len(times))
 		}
 		most := 0.0
 		for _, x := range times {
@@ -289,37 +292,38 @@
 		}
 		return most
 	}
-	solo := p99(nil)
+	baseline := slowest(nil)
 	for name, c := range map[string]struct {
 		most float64
-		do   func(w *world)
+		do   func(w *simulation)
 	}{
-		"ten times":    {3, func(w *world) { w.stream("loud", 500, 4, 40_000, 3*second, 10*second) }},
-		"single parts": {3, func(w *world) { w.stream("loud", 125, 1, 10_000, 3*second, 10*second) }},
-		"lies":         {3, func(w *world) { w.lies["loud"] = 10; w.stream("loud", 500, 4, 4_000, 3*second, 10*second) }},
-		"two hundred":  {30, func(w *world) { w.stream("loud", 25_000, 200, 2_000_000, 3*second, 10*second) }},
+		"ten times":    {3, func(w *simulation) { w.stream("loud", 500, 4, 40_000, 3*second, 10*second) }},
+		"single parts": {3, func(w *simulation) { w.stream("loud", 125, 1, 10_000, 3*second, 10*second) }},
+		"predictions":  {3, func(w *simulation) { w.workFactors["loud"] = 10; w.stream("loud", 500, 4, 4_000, 3*second, 10*second) }},
+		"two hundred":  {30, func(w *simulation) { w.stream("loud", 25_000, 200, 2_000_000, 3*second, 10*second) }},
 	} {
-		if got := p99(c.do); got > c.most*solo {
-			t.Errorf("%s: the slowest took %.1f ms, alone %.1f", name, got/1000, solo/1000)
+		if got := slowest(c.do); got > c.most*baseline {
+			t.Errorf("%s: slowest query took %.1f ms, without load %.1f", name, got/1000, baseline/1000)
 		}
 	}
 }
 
-// The retry time of a rejected query is when it would be queued, within 20%.
-func TestRetryAfterIsTrue(t *testing.T) {
-	for _, share := range []float64{1, 0.5} {
-		cfg := Config{Cores: 10, Gatherers: 1, Oversubscription: 1.2, Teams: []Team{{Name: "a", Weight: share, MaxWait: second / 2}, {Name: "b", Weight: 1, MaxWait: second / 2}}}
-		w := newWorld(t, cfg)
-		w.stream("b", 500, 2, 20_000, 3*second, 20*second) // keeps its fraction busy
+// The retry time of a rejected query must predict, within 20%, when the query would be queued.
+func TestArrive_RetryAfterAccuracy(t *testing.T) {
+	for _, weight := range []float64{1, 0.5} {
+		cfg := Config{Cores: 10, Gatherers: 1, Oversubscription: 1.2, Teams: []Team{{Name: "a", Weight: weight, MaxWait: second / 2}, {Name: "b", Weight: 1, MaxWait: second / 2}}}
+		w := newSimulation(t, cfg)
+		w.stream("b", 500, 2, 20_000, 3*second, 20*second) // uses its full fraction
 		w.run(second)
-		for i := 0; ; i++ { // a's queue fills up
+		for i := 0; ; i++ { // until the queue of a is full
 			if v, _, _ := w.send("a", 1, 10_000, 3*second); v == RejectedBacklog {
 				break
 			} else if i > 10_000 {
-				t.Fatal("its queue never fills up")
+				t.Fatal("no query rejected for backlog after 10000 queries")
 			}
 		}
-		// One whose time ends before all others' would go first; this one comes behind a queue that is twice as long as may be.
+		// Queries are queued by deadline. The next query has the latest one, behind a queue that is
+		// lengthened to half as much again.
 		n := w.g.teams["a"]
 		for range len(n.queue) / 2 {
 			w.lastID++
@@ -332,44 +336,44 @@
 		}
 		v, after, _ := w.send("a", 1, 10_000, 3*second)
 		if v != RejectedBacklog || after < 50_000 {
-			t.Fatalf("decision %d, after %d", v, after)
+			t.Fatalf("decision %d, retry after %d us, want RejectedBacklog and at least 50 ms", v, after)
 		}
-		told := w.now + after
-		let := int64(0)
-		for at := w.now; let == 0 && at < told+10*second; at += 2000 {
+		predictedAt := w.now + after
+		queuedAt := int64(0)
+		for at := w.now; queuedAt == 0 && at < predictedAt+10*second; at += 2000 {
 			w.run(at)
-			// Would it be queued now? By the formula that decides, without queueing it.
+			// Applies the condition of Arrive without queueing the query.
 			probe := &query{team: n, deadline: w.now + 3*second, arrival: math.MaxInt64}
 			if n.workAhead(probe)/(n.fraction(true)*10) <= 0.5*1e6 {
-				let = w.now
+				queuedAt = w.now
 			}
 		}
-		if off := math.Abs(float64(let-told)) / float64(after); off > 0.2 {
-			t.Errorf("weight %v: retry time %d us, queued after %d", share, after, let-told+after)
+		if off := math.Abs(float64(queuedAt-predictedAt)) / float64(after); off > 0.2 {
+			t.Errorf("weight %v: retry time %d us, would be queued after %d us", weight, after, queuedAt-predictedAt+after)
 		}
 	}
 }
 
-// Contracts change while queries are queued and out.
-func TestContractsChangeInFlight(t *testing.T) {
-	cfg := Config{Cores: 8, Gatherers: 1, Oversubscription: 1.25, Teams: append(flat("a", "b", "c"), Team{Name: "top", Weight: 1}, Team{Name: "d", Parent: "top", Weight: 1})}
-	w := newWorld(t, cfg)
+// Contracts change while queries are queued and in flight.
+func TestReconfigure_QueriesInFlight(t *testing.T) {
+	cfg := Config{Cores: 8, Gatherers: 1, Oversubscription: 1.25, Teams: append(equalTeams("a", "b", "c"), Team{Name: "top", Weight: 1}, Team{Name: "d", Parent: "top", Weight: 1})}
+	w := newSimulation(t, cfg)
 	ended := map[int64]bool{}
-	asked := map[int64]string{}
+	arrivals := map[int64]string{}
 	w.ended = func(id int64) { ended[id] = true }
-	ask := func(team string) {
+	sendQuery := func(team string) {
 		if v, _, id := w.send(team, 2, 20_000, 3*second); v <= Queued {
-			asked[id] = team
+			arrivals[id] = team
 		}
 	}
 	for i := range 40 {
-		ask([]string{"a", "b", "c", "d"}[i%4])
+		sendQuery([]string{"a", "b", "c", "d"}[i%4])
 	}
 	for step, change := range []func(*Config){
 		func(c *Config) { c.Teams[0].Weight = 0.5 },
 		func(c *Config) { c.Teams[0].Weight = 2; c.Cores = 4 },
 		func(c *Config) { c.Teams[1].Classes = []string{"other"} },
-		func(c *Config) { c.Teams = append(c.Teams[:2:2], c.Teams[3:]...) }, // c vanishes
+		func(c *Config) { c.Teams = append(c.Teams[:2:2], c.Teams[3:]...) }, // c is removed
 		func(c *Config) {
 			c.Teams = append(c.Teams, Team{Name: "e", Parent: "top", Weight: 1})
 			c.Teams[1].Parent = "top"
@@ -384,43 +388,43 @@
 		}
 		w.g.Reconfigure(cfg)
 		w.run(w.now + 20_000)
-		w.flow()
-		ask("a")
+		w.dispatch()
+		sendQuery("a")
 		if v, _, _ := w.send("b", 1, 10_000, second); v != RejectedClass && step >= 2 {
-			t.Errorf("step %d: b's class is taken away, and it gets %d", step, v)
+			t.Errorf("step %d: query of a class removed from b: decision %d, want RejectedClass", step, v)
 		}
 		if v, _, _ := w.send("c", 1, 10_000, second); v != RejectedTeam && step >= 3 {
-			t.Errorf("step %d: c has vanished, and gets %d", step, v)
+			t.Errorf("step %d: query of the removed team c: decision %d, want RejectedTeam", step, v)
 		}
 	}
 	w.run(w.now + 10*second)
-	for id, team := range asked {
+	for id, team := range arrivals {
 		if !ended[id] {
-			t.Errorf("query %d of %s has no end", id, team)
+			t.Errorf("query %d of %s did not end", id, team)
 		}
 	}
 	if out, _ := w.g.PartsOut(); out != 0 || w.g.Queued() != 0 || len(w.g.queries) != 0 {
-		t.Errorf("%d parts out, %d queued, %d known", out, w.g.Queued(), len(w.g.queries))
+		t.Errorf("remaining: %d parts in flight, %d queued, %d queries; want 0", out, w.g.Queued(), len(w.g.queries))
 	}
 }
 
-// A team's limit applies while others are idle too; what is reserved for a team is available immediately.
-func TestCeilingsAndKeeps(t *testing.T) {
-	teams := flat("capped", "kept", "other")
+// A team's limit also applies while others are idle; a team's reserve is available immediately.
+func TestGate_LimitsAndReserves(t *testing.T) {
+	teams := equalTeams("capped", "kept", "other")
 	teams[0].MaxFraction, teams[1].Reserved = 0.25, true
-	w := newWorld(t, Config{Cores: 12, Gatherers: 1, Oversubscription: 1, Teams: teams})
+	w := newSimulation(t, Config{Cores: 12, Gatherers: 1, Oversubscription: 1, Teams: teams})
 	w.stream("capped", 500, 1, 10_000, second, 5*second)
 	w.run(2 * second)
-	if n := w.g.teams["capped"]; n.out > 3 {
-		t.Errorf("%d out with a limit of 3", n.out)
+	if n := w.g.teams["capped"]; n.inFlight > 3 {
+		t.Errorf("%d parts in flight, limit 3", n.inFlight)
 	}
 	w.stream("other", 500, 1, 10_000, second, 5*second)
 	w.run(3 * second)
 	if out, most := w.g.PartsOut(); out > most-4 {
-		t.Errorf("%d of %d out, where 4 are kept", out, most)
+		t.Errorf("%d of %d parts in flight, with 4 reserved", out, most)
 	}
 	if v, _, _ := w.send("kept", 1, 10_000, second); v != Admitted {
-		t.Errorf("what is kept is not there: %d", v)
+		t.Errorf("query of the team with a reserve: decision %d, want Admitted", v)
 	}
 }
 
@@ -458,9 +462,9 @@
 	}
 }
 
-// Gatherers whose parts of each team's budget come to the whole at most may together have out what the contract says, and one part each more;
-// a team with a greater part here goes before others here; new parts let what is out go on.
-func TestParts(t *testing.T) {
+// If the quotas of all gatherers add up to at most a team's budget, their limits add up to at most
+// the contracts' total plus one part per gatherer. New quotas do not affect queries in flight.
+func TestReconfigure_QuotasWithinBudget(t *testing.T) {
 	teams := []Team{{Name: "north", Weight: 3}, {Name: "a", Parent: "north", Weight: 1}, {Name: "b", Parent: "north", Weight: 2}, {Name: "c", Weight: 1, MaxFraction: 0.5}}
 	budgets := map[string]float64{"a": 0.25, "b": 0.5, "c": 0.25}
 	for seed := range uint64(200) {
@@ -486,51 +490,51 @@
 			g.Reconfigure(c)
 			_, most := g.PartsOut()
 			sum += most
-			for team, share := range budgets {
-				if got := g.Budget(team); math.Abs(got-share*cfg.Cores*cfg.Oversubscription) > 1e-6 {
-					t.Fatalf("seed %d: the budget of %s is %g", seed, team, got)
+			for team, fraction := range budgets {
+				if got := g.Budget(team); math.Abs(got-fraction*cfg.Cores*cfg.Oversubscription) > 1e-6 {
+					t.Fatalf("seed %d: budget of %s is %g", seed, team, got)
 				}
 			}
 		}
-		if whole := int(cfg.Cores * cfg.Oversubscription); sum > whole+n {
-			t.Errorf("seed %d: %d gatherers may have %d out, and the contract has %d", seed, n, sum, whole)
+		if total := int(cfg.Cores * cfg.Oversubscription); sum > total+n {
+			t.Errorf("seed %d: limits of %d gatherers add up to %d, the contracts' total is %d", seed, n, sum, total)
 		}
 	}
-	// Of what is out nothing is lost when the part falls, and nothing more goes out.
+	// A lower quota does not affect parts in flight, and no further query starts.
 	cfg := Config{Cores: 40, Gatherers: 4, Oversubscription: 1, Teams: teams}
 	g := New(cfg)
 	for id := range int64(8) {
 		if v, _ := g.Arrive(1, Request{ID: id, Team: "a", Parts: 1, Work: 1000, Deadline: 1e9}); v != Admitted {
-			t.Fatalf("query %d: %v", id, v)
+			t.Fatalf("query %d: decision %v, want Admitted", id, v)
 		}
 	}
 	cfg.Quota = func(string) float64 { return 0.1 }
 	g.Reconfigure(cfg)
 	if out, most := g.PartsOut(); out != 8 || most != 4 {
-		t.Errorf("%d out, %d at most", out, most)
+		t.Errorf("%d parts in flight, limit %d; want 8 and 4", out, most)
 	}
 	if v, _ := g.Arrive(2, Request{ID: 9, Team: "b", Parts: 1, Work: 1000, Deadline: 1e9}); v != Queued {
-		t.Errorf("with more out than its part, the next query: %v", v)
+		t.Errorf("query above the limit: decision %v, want Queued", v)
 	}
 	for id := range int64(8) {
 		g.Done(id, 1000, 1)
 	}
 	if ids := g.StartQueued(); len(ids) != 1 || ids[0] != 9 {
-		t.Errorf("then %v goes", ids)
+		t.Errorf("started %v after all queries ended, want query 9", ids)
 	}
 }
 
-// A query that was queued counts in the total after it has left the queue.
-func TestQueuedTotal(t *testing.T) {
+// A queued query stays counted in QueuedTotal after it has left the queue.
+func TestUsage_QueuedTotal(t *testing.T) {
 	g := New(Config{Cores: 1, Gatherers: 1, Oversubscription: 1, Teams: []Team{{Name: "a", Weight: 1}}})
 	for id := range int64(2) {
 		g.Arrive(0, Request{ID: id, Team: "a", Parts: 1, Work: 1000, Deadline: second})
 	}
 	if status := g.TeamStatuses()[0]; status.Queued != 1 || status.QueuedTotal != 1 {
-		t.Errorf("one is queued: %+v", status)
+		t.Errorf("with one query queued: %+v", status)
 	}
 	g.ExpireQueued(10 * second)
 	if status := g.TeamStatuses()[0]; status.Queued != 0 || status.QueuedTotal != 1 || status.Expired != 1 {
-		t.Errorf("it has expired: %+v", status)
+		t.Errorf("after the query expired: %+v", status)
 	}
 }
--- a/internal/broker/admission/node.go
+++ b/internal/broker/admission/node.go
@@ -5,34 +5,36 @@
 	"slices"
 )
 
-// epsilonWeight is below what a sum of weights counts as nought, for rounding.
+// epsilonWeight is the sum of weights below which a sum counts as zero, because of rounding errors.
 const epsilonWeight = 1e-9
 
 // node is a team in the tree of contracts, or the root.
 //
-// Each inner node schedules its children by start-time fair queueing: a child's start tag is the virtual time at which its next query may start.
+// Each inner node schedules its children by start-time fair queueing: a child's start tag is the
+// virtual time at which its next query may start.
 type node struct {
 	Team
 	parent           *node
 	children         startHeap
-	childWeights     float64 // of all children
-	activeWeights    float64 // of children that have queries queued or out
-	virtualTime      float64 // the start tag of the child that started last
-	startTag         float64 // among its siblings
-	heapIndex        int     // in the parent's heap; -1: it has nothing to start, or is at its limit
-	active           bool    // it counts in the parent's activeWeights
+	childWeights     float64 // sum over all children
+	activeWeights    float64 // sum over children with queries that are queued or in flight
+	virtualTime      float64 // start tag of the child that started last
+	startTag         float64 // in the virtual time of the parent
+	heapIndex        int     // in the parent's heap; -1: nothing to start, or at its limit
+	active           bool    // counted in the parent's activeWeights
 	queue            []*query
-	queued           int     // queries, of its descendants too
-	out              int     // parts, of its descendants too
-	maxParts         int     // that it may have out; 0: no limit of its own
-	reservedParts    int     // of the gatherer's limit
-	ratio            float64 // what its queries took, over what was predicted of them
-	removed          bool    // its contract is no longer in force
-	contractFraction float64 // of everything by the contract, at all gatherers together
+	queued           int     // number of queued queries, including those of descendants
+	inFlight         int     // number of parts in flight, including those of descendants
+	maxParts         int     // maximum number of parts in flight; 0: no limit of its own
+	reservedParts    int     // portion of the gate's limit that is reserved for the team
+	ratio            float64 // moving average of actual work divided by predicted work
+	removed          bool    // the contract is no longer in force
+	contractFraction float64 // contractual fraction at all gatherers together
 	usage            Usage
 }
 
-// startHeap is a heap (container/heap) of the children that have something to start, by start tag and name.
+// startHeap is a heap (container/heap) of the children that may start a query, by start tag and
+// name.
 type startHeap []*node
 
 func (h startHeap) Len() int { return len(h) }
@@ -66,7 +68,8 @@
 	n.queue = slices.Insert(n.queue, i, q)
 }
 
-// workAhead returns the work of the team's queries that are queued before q. It costs O(queue), which is bounded.
+// workAhead returns the work of the team's queries that are queued before q. It takes O(length of
+// the queue), which is bounded.
 func (n *node) workAhead(q *query) (work float64) {
 	for _, other := range n.queue {
 		if compareQueries(other, q) >= 0 {
@@ -77,8 +80,8 @@
 	return work
 }
 
-// updateTree brings the heaps and active weights of a node and its ancestors up to date with what they have queued and out. It costs
-// O(depth log siblings).
+// updateTree updates the heaps and active weights of a node and its ancestors after a change of
+// their queued queries or parts in flight. It takes O(depth log siblings).
 func (n *node) updateTree() {
 	for ; n.parent != nil; n = n.parent {
 		n.updateHeap()
@@ -87,7 +90,7 @@
 }
 
 func (n *node) updateHeap() {
-	canStart := n.queued > 0 && (n.maxParts == 0 || n.out < n.maxParts)
+	canStart := n.queued > 0 && (n.maxParts == 0 || n.inFlight < n.maxParts)
 	switch {
 	case canStart && n.heapIndex < 0:
 		n.startTag = max(n.startTag, n.parent.virtualTime)
@@ -98,7 +101,7 @@
 }
 
 func (n *node) updateActive() {
-	active := n.queued > 0 || n.out > 0
+	active := n.queued > 0 || n.inFlight > 0
 	if active == n.active {
 		return
 	}
@@ -113,7 +116,8 @@
 	}
 }
 
-// charge adds work to the start tags of a node and its ancestors. Started work moves the virtual time on, a later correction does not.
+// charge adds work to the start tags of a node and its ancestors. Work that starts advances the
+// virtual time, a later correction does not.
 func (n *node) charge(work float64, started bool) {
 	for ; n.parent != nil; n = n.parent {
 		if started {
@@ -126,7 +130,8 @@
 	}
 }
 
-// fraction returns the node's fraction of everything by its contract; with borrowing, the fraction while idle teams lend theirs.
+// fraction returns the node's fraction of all work by its contract; with borrowing, the fraction
+// including what idle teams lend.
 func (n *node) fraction(borrowing bool) float64 {
 	fraction := 1.0
 	for ; n.parent != nil; n = n.parent {
--- a/internal/broker/admission/query.go
+++ b/internal/broker/admission/query.go
@@ -2,16 +2,16 @@
 
 import "cmp"
 
-// query is a query that is queued or out.
+// query is a query that is queued or in flight.
 type query struct {
 	id         int64
 	team       *node
 	parts      int
-	hintedWork float64 // microseconds, as the request predicts it
-	work       float64 // corrected by what the team's queries have taken
+	hintedWork float64 // work predicted by the request, in microseconds
+	work       float64 // hintedWork corrected by the team's ratio
 	deadline   int64
-	expiresAt  int64 // when it has waited for its team's limit
-	arrival    int64 // its number in the order of arrivals
+	expiresAt  int64 // time at which the query is removed from the queue
+	arrival    int64 // sequence number
 	started    bool
 }
 
@@ -20,7 +20,8 @@
 	return cmp.Or(cmp.Compare(a.deadline, b.deadline), cmp.Compare(a.arrival, b.arrival))
 }
 
-// expiryHeap is a heap (container/heap) of queued queries by the end of their waits. Started queries are dropped as they come up.
+// expiryHeap is a heap (container/heap) of queued queries by the end of their wait. Started queries
+// are dropped when they reach the top.
 type expiryHeap []*query
 
 func (h expiryHeap) Len() int           { return len(h) }
