--- a/doc.go
+++ b/doc.go
@@ -1,7 +1,7 @@
 // Package saffronquay is the decision module of the query broker. It makes the decisions of one
-// aggregator, which splits each query into parts, one for each shard that the query reads: which
-// replica serves a part, when a part is retried or hedged, when the query is answered, and which
-// queries are refused.
+// aggregator (called a gatherer in the broker's packages), which splits each query into parts, one
+// for each shard that the query reads: which replica serves a part, when a part is retried or
+// hedged, when the query is answered, and which queries are refused.
 //
 // # Contract
 //
--- a/evidence_test.go
+++ b/evidence_test.go
@@ -374,7 +374,7 @@
 	before.s.adjustAdmission(&query{class: &before.s.cfg.Classes[0], admitted: true}, false)
 	l := before.s.Learned()
 	if l.Admission < 0.7 || l.Admission > 0.8 || l.Suspects["bad"] != before.now {
-		t.Fatalf("%+v", l)
+		t.Fatalf("handed-over state %+v, want admission 0.7 to 0.8 and the blocked key", l)
 	}
 	l.Suspects["old"], l.Suspects["ahead"] = before.now-1e9, before.now+1e9
 	cfg := plain()
@@ -413,7 +413,7 @@
 	before.s.servers["new"].failureRate = decayingMean{sum: 8, count: 9, at: before.now}
 	l := before.s.Learned()
 	if len(l.Servers) != 3 || l.Servers[2].Server != "slow" || l.Servers[2].LatencyRatio != 3 {
-		t.Fatalf("%+v", l.Servers)
+		t.Fatalf("handed-over servers %+v, want three with a latency ratio of 3 for the slow one", l.Servers)
 	}
 	at := func(age int64) *script {
 		sc := newScript(t, plain(), "slow", "bad", "new")
@@ -443,6 +443,6 @@
 	}}})
 	a, b := sc.s.servers["a"], sc.s.servers["b"]
 	if a.latencyRatioAt > sc.now || a.failureRate.at > sc.now || b.latencyRatio != 0 || b.failureRate.count != 0 {
-		t.Errorf("%+v, %+v", a, b)
+		t.Errorf("restored statistics %+v, %+v, want no time in the future and no implausible value", a, b)
 	}
 }
--- a/internal/broker/core/core_test.go
+++ b/internal/broker/core/core_test.go
@@ -84,12 +84,12 @@
 	c, m := newCoreWithQuery(t, testConfig(), "free", 0)
 	calls := stepEffects[Call](c, m, 100, sq.Send{Part: 3, Server: "s"})
 	if len(calls) != 1 || calls[0].Attempts[0].Due != 1000 {
-		t.Fatalf("%v", calls)
+		t.Fatalf("calls %v, want one that is due at the deadline", calls)
 	}
 	c.AttemptEnded(140, calls[0].Attempts[0].ID, sq.Served, []byte("v"), nil)
 	got := stepEffects[Final](c, m, 150, sq.Answer{Query: 1, Complete: true}, sq.Refuse{Query: 1}, sq.Fail{Query: 1})
 	if len(got) != 1 || got[0].Outcome != Answered || !got[0].Complete || string(got[0].Values[0].Data) != "v" {
-		t.Errorf("%+v", got)
+		t.Errorf("final answers %+v, want one complete answer with the value", got)
 	}
 	if got := stepEffects[Final](c, m, 2000, sq.Answer{Query: 1}); len(got) != 0 || c.OpenQueries() != 0 || len(c.parts) != 0 || c.open != 0 {
 		t.Errorf("after the final answer: %+v, %d open queries, %d open queries and parts", got, c.OpenQueries(), c.open)
@@ -107,7 +107,7 @@
 		t.Errorf("next step at %d %t, want 1020 or 1029", at, ok)
 	}
 	if got := stepEffects[Final](c, m, 1020); len(got) != 1 || got[0].Outcome != Failed || !got[0].Overdue {
-		t.Errorf("%+v", got)
+		t.Errorf("final answers %+v, want one overdue failure", got)
 	}
 	stepEffects[Final](c, m, 1100)
 	if last := m.seen[len(m.seen)-1]; last != (sq.ClientLeft{Query: 1}) {
@@ -125,11 +125,11 @@
 	}
 	a, b := calls[0].Attempts[0].ID, calls[0].Attempts[1].ID
 	if cancels := stepEffects[CancelAttempt](c, m, 150); len(cancels) != 1 || cancels[0].Attempt != a {
-		t.Fatalf("%v", cancels)
+		t.Fatalf("cancelled %v, want the attempt that timed out", cancels)
 	}
 	c.AttemptEnded(155, a, sq.Served, []byte("late"), nil)
 	if cancels := stepEffects[CancelAttempt](c, m, 160, sq.Cancel{Part: 4, Attempt: 0}, sq.Cancel{Part: 4, Attempt: 0}); len(cancels) != 1 {
-		t.Fatalf("%v", cancels)
+		t.Fatalf("cancelled %v, want one attempt", cancels)
 	}
 	c.AttemptEnded(165, b, sq.Served, []byte("late"), nil)
 	got := stepEffects[Final](c, m, 170, sq.Answer{Query: 1})
@@ -137,7 +137,7 @@
 		t.Errorf("want a failed query without received parts, got %+v", got)
 	}
 	if o := m.outcomes(); o != "3.0=3@50 4.0=6@60" {
-		t.Errorf("outcomes %s", o)
+		t.Errorf("outcomes %s, want one per attempt", o)
 	}
 	if len(c.parts) != 0 || len(c.attempts) != 0 {
 		t.Errorf("%d parts and %d attempts remain, want 0", len(c.parts), len(c.attempts))
@@ -187,7 +187,7 @@
 	}
 	_, f, err := c.Open(100, testQuery("free", 0))
 	if err != nil || f == nil || f.Outcome != Refused || f.RetryAfter != 500 {
-		t.Errorf("%+v, %v", f, err)
+		t.Errorf("query above MaxOpen: %+v, %v, want a refusal with retry advice", f, err)
 	}
 	c.ClientLeft(1)
 	if _, f, _ := c.Open(100, testQuery("free", 0)); f != nil {
@@ -221,7 +221,7 @@
 		}
 	}
 	if fmt.Sprint(m.steps) != "[100 110 120 130]" {
-		t.Errorf("steps at %v", m.steps)
+		t.Errorf("steps at %v, want one per period", m.steps)
 	}
 	if last := m.seen[len(m.seen)-1]; last != (sq.AlarmRang{ID: 7}) {
 		t.Errorf("last event is %v, want AlarmRang", last)
@@ -247,7 +247,7 @@
 	}
 	stepEffects[Call](c, m, now)
 	if o := m.outcomes(); o != "3.0=1@5 3.1=1@5 3.2=7@0 3.3=7@0" {
-		t.Errorf("outcomes %s", o)
+		t.Errorf("outcomes %s, want two attempts and two not sent", o)
 	}
 	if calls := stepEffects[Call](c, m, 211, sq.Send{Part: 3, Server: "s"}); len(calls) != 1 {
 		t.Error("retry after the end of the window was not sent")
@@ -321,7 +321,7 @@
 	// came.
 	got := stepEffects[Final](c, m, 110, sq.Refuse{Query: 1}, sq.Send{Part: 3, Server: "s"})
 	if len(got) != 1 || got[0].Outcome != Refused {
-		t.Errorf("%+v", got)
+		t.Errorf("final answers %+v, want one refusal", got)
 	}
 	var order []string
 	for _, e := range m.seen {
@@ -331,7 +331,7 @@
 		t.Errorf("the module saw %s", got)
 	}
 	if r := c.budgets["t"]; len(c.budgets) != 1 || len(r.retries) != 1 || r.Free != 2 {
-		t.Errorf("budgets %+v", c.budgets)
+		t.Errorf("budgets %+v, want the new limit and one spent retry", c.budgets)
 	}
 }
 
@@ -349,10 +349,10 @@
 		t.Errorf("label that is open in the other process: %v, want ErrDuplicateLabel", err)
 	}
 	if id, f, err := c.Open(200, a); id != 1 || f != nil || err != nil { // the deadline in the other process has passed
-		t.Errorf("%v %v %v", id, f, err)
+		t.Errorf("query after the deadline in the other process: %v %v %v", id, f, err)
 	}
 	if s := c.Occupancy(); s.Open != 2 || s.Labels["theirs"] != 1000 {
-		t.Errorf("%+v", s)
+		t.Errorf("occupancy %+v, want 2 open and the label", s)
 	}
 	if _, f, _ := c.Open(200, testQuery("free", 1)); f == nil || f.Outcome != Refused {
 		t.Errorf("with 6 open in both processes: %+v, want a refusal", f)
--- a/internal/broker/core/intent_test.go
+++ b/internal/broker/core/intent_test.go
@@ -34,7 +34,7 @@
 	effects := c.Step(100)
 	x, ok := effects[0].(RecordIntents)
 	if len(effects) != 1 || !ok || len(x.Intents) != 2 || x.Intents[1].Server != "t" || x.Intents[1].Shard != 1 {
-		t.Fatalf("%+v", effects)
+		t.Fatalf("effects %+v, want one RecordIntents for both parts", effects)
 	}
 	return x
 }
@@ -53,16 +53,16 @@
 	}
 	calls := stepEffects[Call](c, m, 151)
 	if len(calls) != 2 || calls[0].Server != "s" || calls[1].Attempts[0].Shard != 1 {
-		t.Fatalf("%+v", calls)
+		t.Fatalf("calls %+v, want one per server", calls)
 	}
 	c.AttemptEnded(200, calls[0].Attempts[0].ID, sq.Unreachable, nil, nil)
 	stepEffects[Call](c, m, 210)
 	if got := m.outcomes(); got != "3.0=4@50" {
-		t.Errorf("outcomes %q", got)
+		t.Errorf("outcomes %q, want a latency without the time of the disk", got)
 	}
 	// The part has not run, and its intent is already durable.
 	if again := stepEffects[Call](c, m, 220, sq.Send{Part: 3, Server: "u"}); len(again) != 1 || again[0].Server != "u" {
-		t.Errorf("%+v", again)
+		t.Errorf("calls %+v, want one without a new intent", again)
 	}
 	c.IntentsRecorded(230, x.Attempts, nil) // duplicate
 	if got := stepEffects[Call](c, m, 240); len(got) != 0 {
@@ -82,7 +82,7 @@
 	}
 	stepEffects[Final](c, m, 140)
 	if got := m.outcomes(); got != "3.0=7@10 4.0=7@10" {
-		t.Errorf("outcomes %q", got)
+		t.Errorf("outcomes %q, want both attempts not sent", got)
 	}
 }
 
@@ -100,7 +100,7 @@
 		t.Errorf("sent after its timeout: %v", got)
 	}
 	if got := stepEffects[Final](c, m, 1015, sq.Refuse{Query: 1}); len(got) != 1 || got[0].Outcome != Refused {
-		t.Errorf("%+v", got)
+		t.Errorf("final answers %+v, want one refusal", got)
 	}
 	c, m = newCoreWithIntents(t, 0, 1)
 	x = sendBoth(t, c, m)
@@ -127,7 +127,7 @@
 	}
 	spent := a.Spent(950)
 	if s := spent["t"]; s.Taken[9] != 10 || s.Extras[0] != 1 || s.Extras[4] != 1 || s.Extras[9] != 1 {
-		t.Errorf("%+v", spent)
+		t.Errorf("spent %+v, want 10 parts and 3 retries", spent)
 	}
 	b := New(after, &scriptedModule{})
 	b.Restore(960, sq.Learned{}, spent)
