--- a/internal/scheduler/routing/avoidance.go
+++ b/internal/scheduler/routing/avoidance.go
@@ -1,39 +1,45 @@
 package routing
 
 const (
-	// A worker that has failed is avoided for minAvoidanceMS, twice as long after each further failure in a row, maxAvoidanceMS at most.
+	// A worker is avoided for minAvoidanceMS after a failure. The time doubles with each
+	// consecutive failure, up to maxAvoidanceMS.
 	minAvoidanceMS         = 150
 	maxAvoidanceMS         = 2000
-	maxAvoidanceDoublings  = 10 // keeps the shift in range; maxAvoidanceMS is reached before
+	maxAvoidanceDoublings  = 10 // keeps the shift in range; maxAvoidanceMS is reached earlier
 	minRejectionBackoffMS  = 100
 	maxRejectionBackoffMS  = 400
 	rejectionBackoffFactor = 2
-	// repeatedRejectionMS: a rejection counts as repeated if it comes within this time plus the length of the last backoff, counted from that backoff's end.
+	// A rejection counts as repeated if it arrives less than repeatedRejectionMS plus the length of
+	// the previous backoff after the end of that backoff.
 	repeatedRejectionMS = 100
 )
 
-// rejectionBackoff is the time in which requests for one model avoid a worker that has rejected one. A repeated rejection makes the next one
-// rejectionBackoffFactor times as long, from minRejectionBackoffMS up to maxRejectionBackoffMS.
+// rejectionBackoff is the period in which requests for one model avoid a worker that rejected such
+// a request. A repeated rejection makes the next backoff rejectionBackoffFactor times as long, from
+// minRejectionBackoffMS up to maxRejectionBackoffMS.
 type rejectionBackoff struct {
-	until    int64
+	until    int64 // end of the backoff, in the table's milliseconds
 	lengthMS int64
 }
 
-// RejectionCause is why a worker has rejected a request. Its text is the label of the metric refusals_total.
+// RejectionCause is the reason why a worker rejected a request. Its text is the value of the label
+// "cause" of the metric refusals_total.
 type RejectionCause string
 
 // The causes.
 const (
-	// RejectedNotExecuted says that the worker is full, loads weights, or that the request's time was over in its queue.
+	// RejectedNotExecuted means that the worker is at capacity or is loading weights, or that the
+	// request's deadline passed in the worker's queue.
 	RejectedNotExecuted RejectionCause = "not_executed"
-	// RejectedMisdirected says that another process has the worker's address, or that it has another weight version.
+	// RejectedMisdirected means that another process now serves at the worker's address, or that
+	// the worker has a different weight version.
 	RejectedMisdirected RejectionCause = "misdirected"
-	// RejectedStatus says that the answer had any other status that is no success.
+	// RejectedStatus means that the answer had any other status that is not a success.
 	RejectedStatus RejectionCause = "status"
 )
 
-// RecordFailure notes at the time now that a worker could not be reached or gave no usable answer. All of this gatherer's requests avoid it for a
-// while.
+// RecordFailure records at the time now that a worker could not be reached or gave no usable
+// answer. All requests of this gatherer avoid the worker for minAvoidanceMS to maxAvoidanceMS.
 func (t *Table) RecordFailure(now int64, w *Worker) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -42,9 +48,10 @@
 	w.avoidedUntil = now + int64(min(minAvoidanceMS<<doublings, maxAvoidanceMS))
 }
 
-// RecordRejection notes at the time now that a worker has rejected a request for a model; the model is empty where the request names none. This
-// gatherer's requests for that model avoid the worker for a while. A rejection during the backoff is only counted, since its request was sent
-// before the backoff began.
+// RecordRejection records at the time now that a worker rejected a request for a model; model is
+// empty if the request names none. This gatherer's requests for that model avoid the worker for the
+// length of a rejectionBackoff. A rejection during a backoff does not extend it, since its request
+// was sent before the backoff began; only its counter grows.
 func (t *Table) RecordRejection(now int64, w *Worker, model string, cause RejectionCause) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -61,14 +68,16 @@
 	w.rejections[model] = rejectionBackoff{until: now + length, lengthMS: length}
 }
 
-// RecordSuccess notes that a worker has given a usable answer: it is no longer avoided for its failures. Rejections stay.
+// RecordSuccess records that a worker gave a usable answer: it is no longer avoided for earlier
+// failures. Backoffs after rejections remain.
 func (t *Table) RecordSuccess(w *Worker) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	w.failures, w.avoidedUntil = 0, 0
 }
 
-// avoided reports whether a request for a model goes to other workers first: the worker is lost, has failed, or has rejected such a request.
+// avoided reports whether a request for a model should prefer other workers: this one is lost, has
+// failed recently, or has rejected a request for that model recently.
 func (w *Worker) avoided(now int64, model string) bool {
 	return w.lost || now < w.avoidedUntil || now < w.rejections[model].until
 }
--- a/internal/scheduler/routing/avoidance_test.go
+++ b/internal/scheduler/routing/avoidance_test.go
@@ -7,9 +7,10 @@
 	"github.com/matryer/is"
 )
 
-// A rejection right after a backoff makes the next backoff twice as long, up to a bound. Rejections of requests that were in flight at the first one
-// don't count, nor does one that comes much later; requests for another model go to the worker.
-func TestRejectionsInARow(t *testing.T) {
+// A rejection soon after a backoff doubles the next backoff, up to a maximum. Rejections during a
+// backoff, of requests that were already in flight, don't extend it, and a much later one starts
+// again with the minimum. Requests for another model do not avoid the worker.
+func TestRejectionBackoffGrowth(t *testing.T) {
 	is := is.New(t)
 	table := newFleet(featuregate.All(), 1, 1, 1, 6)[0]
 	w := table.byID["w00"]
@@ -27,8 +28,8 @@
 	is.True(!w.avoided(9010, "another"))
 }
 
-// Without the gate every backoff is as long as the first.
-func TestRejectionBackoffSwitchedOff(t *testing.T) {
+// With the gate off, every backoff has the minimum length.
+func TestRejectionBackoffDisabled(t *testing.T) {
 	is := is.New(t)
 	gates := featuregate.All()
 	gates.RejectionBackoff = false
--- a/internal/scheduler/routing/estimate.go
+++ b/internal/scheduler/routing/estimate.go
@@ -1,28 +1,31 @@
 package routing
 
-// smoothing is the weight of a new value in the moving averages.
+// smoothing is the weight of a new value in the exponential moving averages.
 const smoothing = 0.08
 
-// promptTokenWeight is the weight of a prompt token beside a generated one: prompts are read much faster than tokens are made.
+// promptTokenWeight is the cost of a prompt token relative to a generated one: prompts are
+// processed much faster than tokens are generated.
 const promptTokenWeight = 0.01
 
-// Usage is what a request states of its size, in tokens. Zero: it states nothing.
+// Usage is the size of a request as its client states it, in tokens. Zero means that it is not
+// stated.
 type Usage struct {
 	Prompt int // tokens of the prompt
-	Output int // the most tokens that are generated
+	Output int // maximum number of generated tokens
 }
 
 // size returns the weighted number of tokens.
 func (u Usage) size() float64 { return promptTokenWeight*float64(u.Prompt) + float64(u.Output) }
 
-// latencyEstimate is what is learnt of the latency of a route's requests.
+// latencyEstimate contains the moving averages of the latency and the size of a route's requests.
 type latencyEstimate struct {
 	averageMS   float64 // moving average of served requests; the latency target until the first one
 	averageSize float64 // moving average of the sizes of requests that state one; 0: none has
-	measured    bool    // averageMS is from a request
+	measured    bool    // averageMS is based on at least one request
 }
 
-// estimate returns the estimate of a route, which begins at its latency target, at least 1 ms. t.mu must be locked.
+// estimate returns the estimate of a route. Its initial value is the latency target, but at least 1
+// ms. t.mu must be held.
 func (t *Table) estimate(route string, targetMS float64) *latencyEstimate {
 	e := t.estimates[route]
 	if e == nil {
@@ -32,8 +35,9 @@
 	return e
 }
 
-// EstimateCost returns the predicted time of a route's request, in milliseconds: the route's average latency, in proportion to the request's size
-// where it states one and earlier ones have. targetMS is the route's latency target.
+// EstimateCost returns the predicted latency of a request, in milliseconds: the average latency of
+// its route, scaled by the request's size relative to the average size if both are known. targetMS
+// is the route's latency target.
 func (t *Table) EstimateCost(route string, targetMS float64, u Usage) float64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -44,7 +48,8 @@
 	return e.averageMS
 }
 
-// AverageLatency returns the moving average of a route's latency, in milliseconds; its latency target until a request was served.
+// AverageLatency returns the moving average of a route's latency, in milliseconds, or its latency
+// target until the first request was served.
 func (t *Table) AverageLatency(route string, targetMS float64) float64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/scheduler/routing/free_slots.go
+++ b/internal/scheduler/routing/free_slots.go
@@ -2,9 +2,11 @@
 
 import "saffronquay/internal/scheduler/rpc"
 
-// FreeSlots returns how many items this gatherer could begin at the time now, by model and weight version, and in all. services are those of batch
-// jobs' routes. A slot of a worker with several models is in several rooms, but counts one time in total. The rooms come in no particular order.
-func (t *Table) FreeSlots(now int64, services []string) (rooms []*rpc.Room, total int) {
+// FreeSlots returns how many items this gatherer could start at the time now, by model and weight
+// version, and in total. services are those of the routes of batch jobs. A slot of a worker with
+// several models counts for each of its models, but only once in total. The order of the result is
+// unspecified.
+func (t *Table) FreeSlots(now int64, services []string) (byModel []*rpc.Room, total int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	type weights struct {
@@ -19,20 +21,20 @@
 			if !w.usable() || now < w.avoidedUntil || slots <= 0 {
 				continue
 			}
-			open := false // for any model
+			available := false // for at least one model
 			for model, version := range w.versions {
 				if now >= w.rejections[model].until {
 					free[weights{model, version}] += uint32(slots)
-					open = true
+					available = true
 				}
 			}
-			if open {
+			if available {
 				total += slots
 			}
 		}
 	}
 	for key, count := range free {
-		rooms = append(rooms, &rpc.Room{Model: key.model, Version: key.version, Free: count})
+		byModel = append(byModel, &rpc.Room{Model: key.model, Version: key.version, Free: count})
 	}
-	return rooms, total
+	return byModel, total
 }
--- a/internal/scheduler/routing/gatherers.go
+++ b/internal/scheduler/routing/gatherers.go
@@ -2,13 +2,14 @@
 
 import "slices"
 
-// gatherers holds the names of the gatherers that are alive, sorted. All gatherers that know the same ones divide slots in the same way.
+// gatherers contains the sorted names of the live gatherers. Gatherers with the same set compute
+// the same division of slots.
 type gatherers struct {
 	byZone map[string][]string
 	all    []string
 }
 
-// put adds a gatherer. One that is known in another zone moves to this one.
+// put adds a gatherer. If it is already known in another zone, it is moved.
 func (g *gatherers) put(x Gatherer) {
 	for zone, names := range g.byZone {
 		if zone != x.Zone {
@@ -26,7 +27,8 @@
 	g.all = removeName(g.all, name)
 }
 
-// serving returns the gatherers that send items to the workers of a zone: those of the zone, so that texts cross no zones; all where it has none.
+// serving returns the gatherers that send items to the workers of a zone: those of the same zone,
+// to avoid traffic between zones, or all gatherers if the zone has none.
 func (g *gatherers) serving(zone string) []string {
 	if names := g.byZone[zone]; len(names) > 0 {
 		return names
@@ -34,7 +36,7 @@
 	return g.all
 }
 
-// insertName adds a name to a sorted list that may have it already.
+// insertName adds a name to a sorted list unless the list already contains it.
 func insertName(names []string, name string) []string {
 	i, found := slices.BinarySearch(names, name)
 	if found {
@@ -43,7 +45,7 @@
 	return slices.Insert(names, i, name)
 }
 
-// removeName takes a name out of a sorted list that may not have it.
+// removeName removes a name from a sorted list if the list contains it.
 func removeName(names []string, name string) []string {
 	i, found := slices.BinarySearch(names, name)
 	if !found {
--- a/internal/scheduler/routing/metrics.go
+++ b/internal/scheduler/routing/metrics.go
@@ -6,13 +6,13 @@
 	victoria "github.com/VictoriaMetrics/metrics"
 )
 
-// pickReason is why a worker was picked.
+// pickReason is the reason why a worker was picked.
 type pickReason string
 
 const (
-	pickLeast   pickReason = "least"   // it alone had the least score
+	pickLeast   pickReason = "least"   // it was the only one with the least score
 	pickTie     pickReason = "tie"     // it was drawn from several with the least score
-	pickAvoided pickReason = "avoided" // only avoided workers were left
+	pickAvoided pickReason = "avoided" // all candidates were avoided workers
 )
 
 // requestPicks and itemPicks count picks by reason.
@@ -44,8 +44,8 @@
 	}
 }
 
-// rejectionCounters count what one worker has rejected. They are unregistered with the worker, since each start of a worker has an ID, and so series,
-// of its own.
+// rejectionCounters count the requests that one worker has rejected. They are unregistered when the
+// worker is removed: each start of a worker has a new ID, and therefore new time series.
 type rejectionCounters map[rejectionLabels]*victoria.Counter
 
 // rejectionLabels are the labels that differ between the counters of one worker.
@@ -54,7 +54,7 @@
 	cause RejectionCause
 }
 
-// add counts a rejection; it does nothing after the worker was removed.
+// add counts a rejection. It does nothing after the worker was removed.
 func (c rejectionCounters) add(w *Worker, model string, cause RejectionCause) {
 	if c == nil {
 		return
@@ -68,7 +68,7 @@
 	counter.Inc()
 }
 
-// unregister ends the counters of a worker that is removed.
+// unregister removes the counters of a worker from the exported metrics.
 func (c rejectionCounters) unregister(w *Worker) {
 	for labels := range c {
 		metrics.Unregister("refusals_total", labels.of(w)...)
@@ -86,20 +86,21 @@
 	}
 }
 
-// The counters of requests with a shared prompt, by whether this gatherer has sent that prompt to the worker lately.
+// Counters of requests with a shared prompt, by whether this gatherer has recently sent the same
+// prompt to the picked worker.
 var (
-	sharedPromptsMet    = newSharedPromptCounter("met")
-	sharedPromptsMissed = newSharedPromptCounter("missed")
+	sharedPromptHits   = newSharedPromptCounter("met")
+	sharedPromptMisses = newSharedPromptCounter("missed")
 )
 
 func newSharedPromptCounter(outcome string) *victoria.Counter {
 	return metrics.Counter("shared_prompts_total", metrics.Label{Name: "outcome", Value: outcome})
 }
 
-func countSharedPrompt(met bool) {
-	if met {
-		sharedPromptsMet.Inc()
+func countSharedPrompt(hit bool) {
+	if hit {
+		sharedPromptHits.Inc()
 	} else {
-		sharedPromptsMissed.Inc()
+		sharedPromptMisses.Inc()
 	}
 }
--- a/internal/scheduler/routing/metrics_test.go
+++ b/internal/scheduler/routing/metrics_test.go
@@ -12,7 +12,7 @@
 )
 
 // A worker's rejections are exported until the worker is removed.
-func TestRejectionsAreCountedByWorker(t *testing.T) {
+func TestRejectionCountersByWorker(t *testing.T) {
 	is := is.New(t)
 	table := NewTable(Gatherer{Name: "g"}, featuregate.All(), rand.New(rand.NewPCG(1, 1)))
 	table.PutWorker(&rpc.Instance{Id: "counted", Service: "s", Capacity: 1})
--- a/internal/scheduler/routing/pick.go
+++ b/internal/scheduler/routing/pick.go
@@ -2,18 +2,19 @@
 
 import "saffronquay/internal/scheduler/featuregate"
 
-// scoreTolerance is the difference, in milliseconds, up to which two predicted backlogs count as equal.
+// scoreTolerance is the difference up to which two scores count as equal; for predicted backlogs it
+// is in milliseconds.
 const scoreTolerance = 1e-6
 
-// candidate is a worker that a request may go to.
+// candidate is a worker that a request may be sent to.
 type candidate struct {
 	worker  *Worker
 	avoided bool
-	score   float64 // the policy takes the least
+	score   float64 // lower is better
 }
 
-// compare returns -1 where c is the better candidate, 1 where other is, and 0 where they are equal. Any candidate that is not avoided is better than
-// any that is; then the score decides.
+// compare returns -1 if c is the better candidate, 1 if other is, and 0 if they are equal. A
+// candidate that is not avoided is better than one that is; otherwise the lower score is better.
 func (c candidate) compare(other candidate) int {
 	switch {
 	case c.avoided != other.avoided:
@@ -29,9 +30,11 @@
 	return 0
 }
 
-// Pick reserves the best worker that the query allows at the time now, and returns nil where there is none. With the policy Predicted that is the
-// one with the least predicted backlog; equal ones are drawn at random. An avoided worker is taken only where no other is left, and never for an item.
-// costMS, from EstimateCost, is added to the worker's backlog until the reservation is released, which the caller must do.
+// Pick reserves the best worker that the query allows at the time now, and returns nil if there is
+// none. With the policy Predicted that is the worker with the least predicted backlog; ties are
+// broken at random. An avoided worker is picked only if no other is available, and never for an
+// item. costMS, from EstimateCost, is added to the worker's backlog until the caller releases the
+// reservation.
 func (t *Table) Pick(now int64, query *Query, costMS float64) *Reservation {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -43,7 +46,7 @@
 			best, ties = c, 1
 		case order == 0:
 			ties++
-			if t.random.IntN(ties) == 0 { // of n equal candidates each is left with the probability 1/n
+			if t.random.IntN(ties) == 0 { // each of n ties is chosen with probability 1/n
 				best = c
 			}
 		}
@@ -58,7 +61,8 @@
 	return t.reserve(best.worker, costMS, query.Item)
 }
 
-// candidates returns the workers that a request may go to with their scores, narrowed down as the policies TwoChoices and RoundRobin want it.
+// candidates returns the workers that a request may be sent to, with their scores. The policies
+// TwoChoices and RoundRobin reduce them to two and one.
 func (t *Table) candidates(now int64, query *Query, costMS float64) []candidate {
 	var allowed []candidate
 	for _, service := range query.Services {
@@ -86,7 +90,9 @@
 	return allowed
 }
 
-// score returns the number by which the policy compares workers; the least is chosen. A worker that this gatherer does not prefer counts as if one more such request were in flight there.
+// score returns the number by which the policy compares workers; lower is better. With the policy
+// Predicted and the gate NearbyWorkers, the cost of one more such request is added for a worker
+// that this gatherer does not prefer.
 func (t *Table) score(w *Worker, s *subset, costMS float64) float64 {
 	switch t.gates.Policy {
 	case featuregate.Predicted:
--- a/internal/scheduler/routing/prompts.go
+++ b/internal/scheduler/routing/prompts.go
@@ -1,19 +1,22 @@
 package routing
 
-// maxRecentPrompts is how many shared prompts are remembered for each worker. They are only counted; no decision depends on them.
+// maxRecentPrompts is the number of shared prompts remembered per worker. They only feed a metric;
+// no decision depends on them.
 const maxRecentPrompts = 16
 
-// recentPrompts is a ring of the hashes of the shared prompts that this gatherer has sent to a worker last.
+// recentPrompts is a ring buffer of the hashes of the shared prompts that this gatherer has sent to
+// a worker most recently.
 type recentPrompts struct {
 	hashes [maxRecentPrompts]uint64
-	next   int // the oldest one, which is overwritten next
+	next   int // index of the oldest hash, which is overwritten next
 }
 
-// add remembers a shared prompt, and reports whether it was remembered before. One that was keeps its age.
+// add records a shared prompt and reports whether it was already recorded. A prompt that is
+// recorded again keeps its position in the ring.
 func (r *recentPrompts) add(prompt string) (known bool) {
 	sum := hash(prompt)
-	for _, kept := range r.hashes {
-		if kept == sum {
+	for _, recent := range r.hashes {
+		if recent == sum {
 			return true
 		}
 	}
--- a/internal/scheduler/routing/prompts_test.go
+++ b/internal/scheduler/routing/prompts_test.go
@@ -7,7 +7,7 @@
 	"github.com/matryer/is"
 )
 
-// A shared prompt is known until maxRecentPrompts others have followed it.
+// A shared prompt is remembered until maxRecentPrompts others have been added after it.
 func TestRecentPrompts(t *testing.T) {
 	is := is.New(t)
 	var r recentPrompts
--- a/internal/scheduler/routing/reservation.go
+++ b/internal/scheduler/routing/reservation.go
@@ -1,6 +1,7 @@
 package routing
 
-// Reservation counts a request in its worker's backlog. It must be released when the request has ended, whatever its outcome.
+// Reservation accounts for a request in its worker's backlog. It must be released when the request
+// has ended, whatever the outcome.
 type Reservation struct {
 	Worker *Worker
 
@@ -10,7 +11,7 @@
 	released bool
 }
 
-// reserve adds a request to a worker's backlog. t.mu must be locked.
+// reserve adds a request to a worker's backlog. t.mu must be held.
 func (t *Table) reserve(w *Worker, costMS float64, item bool) *Reservation {
 	w.backlogMS += costMS
 	w.inFlight++
@@ -20,7 +21,8 @@
 	return &Reservation{Worker: w, table: t, costMS: costMS, item: item}
 }
 
-// Release takes the request off its worker's backlog and closes the channel of Table.Changed. Later calls do nothing.
+// Release removes the request from its worker's backlog and closes the channel of Table.Changed.
+// Later calls do nothing.
 func (r *Reservation) Release() {
 	t := r.table
 	t.mu.Lock()
@@ -36,7 +38,7 @@
 	}
 	w.backlogMS = max(0, w.backlogMS-r.costMS)
 	if w.inFlight == 0 {
-		w.backlogMS = 0 // rounding and RecordLoad leave a rest
+		w.backlogMS = 0 // rounding and RecordLoad may leave a remainder
 	}
 	t.signalChange()
 }
--- a/internal/scheduler/routing/slots.go
+++ b/internal/scheduler/routing/slots.go
@@ -7,15 +7,17 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// queueDivisor sets how many items may wait at a worker: one for each queueDivisor that run, rounded up, so that the worker is not idle between two
-// items.
+// queueDivisor sets how many items may be queued at a worker: one per queueDivisor of its capacity,
+// rounded up, so that the worker is not idle between two items.
 const queueDivisor = 8
 
-// slots returns the number of items that all gatherers together may have in flight at the worker.
+// slots returns the number of items that all gatherers together may have in flight at the worker:
+// those that run and those that are queued.
 func (w *Worker) slots() int { return w.Capacity + (w.Capacity+queueDivisor-1)/queueDivisor }
 
-// divideSlots returns this gatherer's slots at each worker, by id. The workers of a zone are divided among the gatherers that serve it. Every gatherer
-// that knows the same workers and gatherers computes the same division, without messages. t.mu must be locked.
+// divideSlots returns this gatherer's slots at each worker, by id. The slots of a zone's workers
+// are divided among the gatherers that serve the zone. Gatherers that know the same workers and
+// gatherers compute the same division without communication. t.mu must be held.
 func (t *Table) divideSlots(workers []*Worker) map[string]int {
 	byZone := map[string][]*Worker{}
 	for _, w := range workers {
@@ -37,9 +39,11 @@
 	return own
 }
 
-// divideCompactly adds the slots of the gatherer with a rank among names to own. Each gatherer gets the same number of slots, differing by one at
-// most, at as few workers as possible: few gatherers use the same worker, and each of them knows most of its load. A worker's slots go to the gatherers
-// in the order of their rendezvous hashes with it until each has its number, so that a change of workers or gatherers moves few slots.
+// divideCompactly adds the slots of the gatherer names[rank] to own. The numbers of slots of the
+// gatherers differ by at most one, and each gatherer's slots are at as few workers as possible: few
+// gatherers then use the same worker, and each of them knows most of its load. A worker's slots are
+// assigned to the gatherers in the order of their rendezvous hashes with it until each gatherer has
+// its number, so that a change of workers or gatherers moves few slots.
 func divideCompactly(workers []*Worker, names []string, rank int, own map[string]int) {
 	sorted := slices.Clone(workers)
 	slices.SortFunc(sorted, func(a, b *Worker) int { return cmp.Or(cmp.Compare(hash(a.ID), hash(b.ID)), cmp.Compare(a.ID, b.ID)) })
@@ -60,7 +64,8 @@
 	}
 }
 
-// evenSlotCounts divides the number of all workers' slots into count parts that differ by one at most.
+// evenSlotCounts divides the total number of the workers' slots into count parts that differ by at
+// most one.
 func evenSlotCounts(workers []*Worker, count int) []int {
 	total := 0
 	for _, w := range workers {
@@ -73,7 +78,8 @@
 	return counts
 }
 
-// rendezvousOrder returns the indexes of names in the order of their hashes with a worker.
+// rendezvousOrder returns the indexes of names, sorted by the hash of each name with the worker's
+// ID.
 func rendezvousOrder(workerID string, names []string) []int {
 	hashes := make([]uint64, len(names))
 	order := make([]int, len(names))
@@ -84,8 +90,9 @@
 	return order
 }
 
-// divideEvenly adds the slots of the gatherer with a rank among count ones to own. The slots of each worker are divided among all gatherers. The
-// parts differ by one at most; the worker's hash decides which gatherers get one more.
+// divideEvenly adds the slots of the gatherer with a rank among count gatherers to own. The slots
+// of each worker are divided among all gatherers. The parts differ by at most one; the worker's
+// hash decides which gatherers get one more.
 func divideEvenly(workers []*Worker, rank, count int, own map[string]int) {
 	for _, w := range workers {
 		slots := w.slots()
--- a/internal/scheduler/routing/slots_test.go
+++ b/internal/scheduler/routing/slots_test.go
@@ -10,7 +10,7 @@
 	"github.com/matryer/is"
 )
 
-// fleet has a table for each of several gatherers, which all know the same workers and gatherers.
+// fleet contains one table per gatherer. All tables have the same workers and gatherers.
 type fleet []*Table
 
 func newFleet(gates featuregate.Gates, gatherers, workers, zones, capacity int) fleet {
@@ -50,7 +50,7 @@
 	return total
 }
 
-func sharers(numbers []int) (count int) {
+func countPositive(numbers []int) (count int) {
 	for _, n := range numbers {
 		if n > 0 {
 			count++
@@ -59,9 +59,9 @@
 	return count
 }
 
-// Both divisions give each slot of each worker to exactly one gatherer of its zone. The compact one gives the same number to each gatherer of a zone,
-// differing by one at most.
-func TestPlacesAreDividedWholly(t *testing.T) {
+// Both divisions assign each slot of each worker to exactly one gatherer of its zone. With the
+// compact one, the numbers of slots of the gatherers of a zone differ by at most one.
+func TestDivideSlotsAssignsAll(t *testing.T) {
 	for _, compact := range []bool{true, false} {
 		for _, c := range []struct {
 			name                                string
@@ -103,22 +103,22 @@
 	}
 }
 
-// The compact division has at most half as many pairs of gatherer and worker as the even one.
-func TestPlacesAreCompact(t *testing.T) {
+// The compact division uses at most half as many pairs of gatherer and worker as the even one.
+func TestDivideSlotsCompactPairs(t *testing.T) {
 	is := is.New(t)
 	shared := func(compact bool) (count int) {
 		gates := featuregate.All()
 		gates.CompactSlots = compact
 		for _, list := range newFleet(gates, 60, 48, 4, 6).slots() {
-			count += sharers(list)
+			count += countPositive(list)
 		}
 		return count
 	}
 	is.True(shared(true) <= shared(false)/2)
 }
 
-// After a worker or a gatherer has left, the others get few new slots.
-func TestChangesMoveFewPlaces(t *testing.T) {
+// The removal of a worker or a gatherer moves less than a third of the slots.
+func TestDivideSlotsStability(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(featuregate.All(), 16, 12, 1, 6)
 	before := f.slots()
@@ -136,19 +136,19 @@
 	}
 	is.True(moved() < total/3)
 	before = f.slots()
-	gone := f[5].self.Name
+	removed := f[5].self.Name
 	f = append(f[:5:5], f[6:]...)
 	for id, list := range before {
 		before[id] = append(list[:5:5], list[6:]...)
 	}
 	for _, t := range f {
-		t.RemoveGatherer(gone)
+		t.RemoveGatherer(removed)
 	}
 	is.True(moved() < total/3)
 }
 
-// The workers of a zone without gatherers are divided among all gatherers.
-func TestZoneWithoutGatherers(t *testing.T) {
+// The slots of workers in a zone without gatherers are divided among all gatherers.
+func TestDivideSlotsZoneWithoutGatherers(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(featuregate.All(), 4, 2, 1, 6)
 	for _, t := range f {
--- a/internal/scheduler/routing/subset.go
+++ b/internal/scheduler/routing/subset.go
@@ -2,17 +2,19 @@
 
 import "slices"
 
-// minZoneCapacityRatio is the least capacity for each gatherer in its own zone, as a fraction of the capacity for each gatherer in all zones, with
-// which requests prefer their zone. With less, the zone's workers would be loaded more than twice as much as the others.
+// minZoneCapacityRatio is the minimum capacity per gatherer of a zone, as a fraction of the
+// capacity per gatherer of all zones, with which requests prefer their zone. Below it, the zone's
+// workers would get more than twice the load of the others.
 const minZoneCapacityRatio = 0.5
 
-// subset is this gatherer's part of a service. It is never changed, only replaced.
+// subset is this gatherer's share of a service's workers. It is immutable.
 type subset struct {
-	slots     map[string]int  // items that it may have in flight, by worker id
-	preferred map[string]bool // ids of the workers that its requests prefer
+	slots     map[string]int  // items that the gatherer may have in flight, by worker id
+	preferred map[string]bool // ids of the workers that the gatherer's requests prefer
 }
 
-// subset returns this gatherer's part of a service, and computes it where a change of workers or gatherers has deleted it. t.mu must be locked.
+// subset returns this gatherer's share of a service's workers. It is computed again after a change
+// of workers or gatherers. t.mu must be held.
 func (t *Table) subset(service string) *subset {
 	if s := t.subsets[service]; s != nil {
 		return s
@@ -27,8 +29,9 @@
 	return s
 }
 
-// preferredWorkers returns the ids of the workers that a gatherer's requests prefer: those of its zone, so that fewer connections are opened and
-// fewer bytes cross zones; all where its zone has too little capacity for its gatherers.
+// preferredWorkers returns the ids of the workers that a gatherer's requests prefer: those of its
+// zone, to reduce the number of connections and the traffic between zones, or all workers if its
+// zone has too little capacity for its gatherers.
 func preferredWorkers(self Gatherer, gatherers *gatherers, workers []*Worker) map[string]bool {
 	zoneCapacity, capacity := 0, 0
 	preferred := map[string]bool{}
--- a/internal/scheduler/routing/table.go
+++ b/internal/scheduler/routing/table.go
@@ -8,8 +8,8 @@
 	"sync"
 )
 
-// Table holds the workers and gatherers that the registry lists, and what this gatherer has learnt of the workers. Its lock also guards the fields of
-// all its workers and reservations.
+// Table contains the workers and gatherers that the registry lists, and what this gatherer has
+// observed of the workers. Its lock also guards the fields of all its workers and reservations.
 type Table struct {
 	self  Gatherer
 	gates featuregate.Gates
@@ -17,18 +17,18 @@
 	mu             sync.Mutex
 	random         *rand.Rand
 	byID           map[string]*Worker
-	byService      map[string][]*Worker // in the order in which they were put
+	byService      map[string][]*Worker // in the order of insertion
 	estimates      map[string]*latencyEstimate
 	gatherers      gatherers
-	subsets        map[string]*subset // by service; computed when needed, deleted when outdated
+	subsets        map[string]*subset // by service; computed on demand, deleted when outdated
 	roundRobinTurn int
 	changed        chan struct{} // closed and replaced by signalChange
 }
 
-// Gatherer names a gatherer and its zone.
+// Gatherer identifies a gatherer and its zone.
 type Gatherer struct{ Name, Zone string }
 
-// NewTable returns an empty table for the gatherer self. The table uses random from now on alone.
+// NewTable returns an empty table for the gatherer self. The caller must not use random afterwards.
 func NewTable(self Gatherer, gates featuregate.Gates, random *rand.Rand) *Table {
 	return &Table{
 		self:      self,
@@ -43,21 +43,23 @@
 	}
 }
 
-// Changed returns a channel that is closed at the next change that may let a worker take more: a worker or gatherer that was put, a gatherer that
-// was removed, a reservation that was released, a new weight version. Call it before the look at the table that the wait depends on.
+// Changed returns a channel that is closed at the next change that may free capacity: a worker or
+// gatherer was put, a gatherer was removed, a reservation was released, or a weight version
+// changed. To miss no change, call it before reading the state that the wait depends on.
 func (t *Table) Changed() <-chan struct{} {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.changed
 }
 
-// signalChange closes the channel of Changed. t.mu must be locked.
+// signalChange closes the channel of Changed. t.mu must be held.
 func (t *Table) signalChange() {
 	close(t.changed)
 	t.changed = make(chan struct{})
 }
 
-// PutWorker adds a worker, or replaces what the registry has said of it. What this gatherer has learnt of the worker stays.
+// PutWorker adds a worker or updates its registration. What this gatherer has observed of the
+// worker is kept.
 func (t *Table) PutWorker(i *rpc.Instance) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -74,7 +76,8 @@
 	t.signalChange()
 }
 
-// RemoveWorker forgets a worker and unregisters its counters. Reservations of it may still be released.
+// RemoveWorker removes a worker and unregisters its counters. Reservations of it may still be
+// released.
 func (t *Table) RemoveWorker(id string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -90,7 +93,7 @@
 	t.byService[w.Service] = slices.DeleteFunc(t.byService[w.Service], func(x *Worker) bool { return x == w })
 }
 
-// PutGatherer adds a gatherer that is alive, or moves one that is known to another zone.
+// PutGatherer adds a live gatherer, or moves a known one to another zone.
 func (t *Table) PutGatherer(g Gatherer) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -99,7 +102,7 @@
 	t.signalChange()
 }
 
-// RemoveGatherer forgets a gatherer that has failed or left.
+// RemoveGatherer removes a gatherer that has failed or left.
 func (t *Table) RemoveGatherer(name string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -108,7 +111,8 @@
 	t.signalChange()
 }
 
-// RecordVersion sets the weight version of a model that a worker's answer has named. Unlike PutWorker it may set an earlier one.
+// RecordVersion sets the weight version of a model that a worker's answer has reported. Unlike
+// PutWorker, it may lower the version.
 func (t *Table) RecordVersion(w *Worker, model string, version uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -118,7 +122,8 @@
 	}
 }
 
-// RecordLoad sets a worker's backlog to the load that its answer states: the requests that run and wait there, each taken for averageMS.
+// RecordLoad sets a worker's backlog to the load that its answer reports: the number of requests
+// that run and wait there, times averageMS.
 func (t *Table) RecordLoad(w *Worker, running, waiting int, averageMS float64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/scheduler/routing/table_test.go
+++ b/internal/scheduler/routing/table_test.go
@@ -21,27 +21,28 @@
 	return &rpc.Instance{Id: id, Service: "s", Address: id, Capacity: 4, Models: []*rpc.ModelWeights{{Name: "m", Version: version}}}
 }
 
-var anywhere = &Query{Services: []string{"s"}}
+var anyWorker = &Query{Services: []string{"s"}}
 
-// The worker with the least predicted backlog is picked, not the one with the fewest requests; a release takes off what the reservation has added.
-func TestLeastPredictedBacklog(t *testing.T) {
+// Pick chooses the worker with the least predicted backlog, not the one with the fewest requests.
+// Release subtracts the cost that the reservation has added.
+func TestPickLeastPredictedBacklog(t *testing.T) {
 	is := is.New(t)
 	table := newTestTable(newInstance("a", 1), newInstance("b", 1))
-	long := table.Pick(0, anywhere, 100)
+	long := table.Pick(0, anyWorker, 100)
 	for range 3 {
-		is.True(table.Pick(0, anywhere, 10).Worker != long.Worker)
+		is.True(table.Pick(0, anyWorker, 10).Worker != long.Worker)
 	}
 	long.Release()
-	long.Release() // without effect
-	is.Equal(table.Pick(0, anywhere, 10).Worker, long.Worker)
+	long.Release() // no effect
+	is.Equal(table.Pick(0, anyWorker, 10).Worker, long.Worker)
 }
 
-func TestTiesAreBrokenAtRandom(t *testing.T) {
+func TestPickBreaksTiesAtRandom(t *testing.T) {
 	is := is.New(t)
 	table := newTestTable(newInstance("a", 1), newInstance("b", 1), newInstance("c", 1))
 	count := map[string]int{}
 	for range 3000 {
-		reservation := table.Pick(0, anywhere, 1)
+		reservation := table.Pick(0, anyWorker, 1)
 		count[reservation.Worker.ID]++
 		reservation.Release()
 	}
@@ -50,8 +51,9 @@
 	}
 }
 
-// A request goes only to workers of its services that are not draining, have fitting weights and are not excluded.
-func TestFilter(t *testing.T) {
+// A request is sent only to workers of its services that are not draining, have matching weights
+// and are not excluded.
+func TestPickFilter(t *testing.T) {
 	is := is.New(t)
 	draining := newInstance("d", 9)
 	draining.Draining = true
@@ -68,14 +70,15 @@
 	is.True(table.Pick(0, &Query{Services: []string{"s"}, Model: "m", MinVersion: 3}, 1) == nil)
 }
 
-// A worker that has failed is avoided, but taken for a request where there is no other, until it serves one.
-func TestAvoidance(t *testing.T) {
+// A failed worker is avoided until it serves a request, but is picked for a request, not for an
+// item, if there is no other.
+func TestPickAvoidsFailedWorker(t *testing.T) {
 	is := is.New(t)
 	table := newTestTable(newInstance("a", 1), newInstance("b", 1))
 	a := table.byID["a"]
 	table.RecordFailure(1000, a)
 	for range 20 {
-		is.Equal(table.Pick(1001, anywhere, 1).Worker.ID, "b")
+		is.Equal(table.Pick(1001, anyWorker, 1).Worker.ID, "b")
 	}
 	is.Equal(table.Pick(1001, &Query{Services: []string{"s"}, Exclude: map[string]bool{"b": true}}, 1).Worker.ID, "a")
 	is.True(table.Pick(1001, &Query{Services: []string{"s"}, Exclude: map[string]bool{"b": true}, Item: true}, 1) == nil)
@@ -83,8 +86,9 @@
 	is.True(a.avoidedUntil == 0)
 }
 
-// Estimates follow the route's latency and the tokens of the request; a reported load replaces the backlog.
-func TestCosts(t *testing.T) {
+// The estimated cost depends on the route's latency and on the tokens of the request; a reported
+// load replaces the backlog.
+func TestEstimateCost(t *testing.T) {
 	is := is.New(t)
 	table := newTestTable(newInstance("a", 1))
 	is.Equal(table.EstimateCost("r", 150, Usage{}), 150.0)
@@ -94,7 +98,8 @@
 	is.Equal(table.byID["a"].backlogMS, 200.0)
 }
 
-// A gatherer that is alone has all slots of each worker of capacity four: these four and one that waits.
+// A single gatherer has all five slots of each worker of capacity four: four to run and one to
+// queue.
 func TestFreeSlots(t *testing.T) {
 	is := is.New(t)
 	table := newTestTable(newInstance("a", 1), newInstance("b", 2))
@@ -108,11 +113,12 @@
 	is.Equal(total, 5)
 }
 
-// A worker may be announced again, at another address, while requests to it begin: its address is read without the table's lock.
-func TestAddressIsReadWhileAWorkerIsAnnounced(t *testing.T) {
+// A worker may be announced at a new address while requests to it start: its address is read
+// without the table's lock.
+func TestWorkerAddressConcurrentUpdate(t *testing.T) {
 	is := is.New(t)
 	table := newTestTable(newInstance("a", 1))
-	reservation := table.Pick(0, anywhere, 1)
+	reservation := table.Pick(0, anyWorker, 1)
 	announced := make(chan struct{})
 	go func() {
 		defer close(announced)
@@ -130,17 +136,18 @@
 	is.Equal(reservation.Worker.Address(), "b")
 }
 
-// A gatherer that comes back in another zone divides the slots of that zone's workers, and no longer those of the old one's.
-func TestGathererMovesToAnotherZone(t *testing.T) {
+// A gatherer that rejoins in another zone shares the slots of the workers there, and no longer
+// those of its former zone.
+func TestGatherersPutMovesZone(t *testing.T) {
 	is := is.New(t)
-	var known gatherers
-	known.byZone = map[string][]string{}
-	known.put(Gatherer{Name: "a", Zone: "x"})
-	known.put(Gatherer{Name: "b", Zone: "x"})
-	known.put(Gatherer{Name: "a", Zone: "y"})
-	is.Equal(known.serving("x"), []string{"b"})
-	is.Equal(known.serving("y"), []string{"a"})
-	is.Equal(known.all, []string{"a", "b"})
-	known.put(Gatherer{Name: "b", Zone: "y"})
-	is.Equal(known.serving("x"), []string{"a", "b"}) // the zone has none any more
+	var live gatherers
+	live.byZone = map[string][]string{}
+	live.put(Gatherer{Name: "a", Zone: "x"})
+	live.put(Gatherer{Name: "b", Zone: "x"})
+	live.put(Gatherer{Name: "a", Zone: "y"})
+	is.Equal(live.serving("x"), []string{"b"})
+	is.Equal(live.serving("y"), []string{"a"})
+	is.Equal(live.all, []string{"a", "b"})
+	live.put(Gatherer{Name: "b", Zone: "y"})
+	is.Equal(live.serving("x"), []string{"a", "b"}) // zone x has no gatherers left
 }
--- a/internal/scheduler/routing/worker.go
+++ b/internal/scheduler/routing/worker.go
@@ -5,22 +5,23 @@
 	"sync/atomic"
 )
 
-// Worker is one incarnation of a worker as this gatherer sees it: each start of a worker has an ID of its own. ID and Service never change and
-// Address may be called by any goroutine; the table's lock guards the other fields.
+// Worker is this gatherer's view of one incarnation of a worker: each start of a worker has a new
+// ID. ID and Service are immutable and Address is safe for concurrent use; the table's lock guards
+// the other fields.
 type Worker struct {
 	ID, Service string
 	Zone        string
-	Capacity    int // items and requests that it runs at a time
+	Capacity    int // items and requests that it runs concurrently
 
 	address        atomic.Pointer[string]
-	draining, lost bool              // as the registry says
-	versions       map[string]uint64 // weight version by model; empty: it hasn't named any
+	draining, lost bool              // according to the registry
+	versions       map[string]uint64 // weight version by model; empty: the worker has reported none
 	backlogMS      float64           // predicted time of this gatherer's requests in flight
 	inFlight       int               // this gatherer's requests, items included
 	itemsInFlight  int               // of these, items of batch jobs
 
-	failures          int                         // in a row
-	avoidedUntil      int64                       // since the last failure
+	failures          int                         // consecutive ones
+	avoidedUntil      int64                       // set by the last failure; 0 after a success
 	rejections        map[string]rejectionBackoff // by model
 	rejectionCounters rejectionCounters           // nil after the worker was removed
 	recentPrompts     recentPrompts
@@ -36,8 +37,9 @@
 	}
 }
 
-// update takes over what the registry says, and reports whether the subsets of its service have to be computed again. The version of a model only
-// grows here: an answer may have named a later one already.
+// update applies the registry's state and reports whether the subsets of the service have to be
+// recomputed. It never lowers the version of a model, since an answer may already have reported a
+// later one.
 func (w *Worker) update(i *rpc.Instance) (subsetsChange bool) {
 	subsetsChange = w.Zone != i.Zone || w.Capacity != int(i.Capacity) || w.draining != i.Draining || w.lost != i.Lost
 	w.address.Store(&i.Address)
@@ -48,7 +50,7 @@
 	return subsetsChange
 }
 
-// Address returns where the worker was announced last.
+// Address returns the address at which the worker was last announced.
 func (w *Worker) Address() string {
 	if address := w.address.Load(); address != nil {
 		return *address
@@ -56,5 +58,6 @@
 	return ""
 }
 
-// usable reports whether the worker counts in subsets. It depends only on what the registry says, so that all gatherers agree on it.
+// usable reports whether the worker is included in subsets. It depends only on the registry's
+// state, so that all gatherers agree on it.
 func (w *Worker) usable() bool { return !w.draining && !w.lost }
