--- a/internal/scheduler/forward/answer.go
+++ b/internal/scheduler/forward/answer.go
@@ -11,49 +11,51 @@
 	"github.com/valyala/fasthttp"
 )
 
-// errWrongAnswer says that an answer belongs to another request, or does not come from a worker.
-var errWrongAnswer = errors.New("not this request's answer")
+// errWrongAnswer means that an answer belongs to another request or was not sent by a worker.
+var errWrongAnswer = errors.New("forward: answer does not belong to the request")
 
-// rejectionError says that a worker did not run a request and never will.
+// rejectionError means that a worker has not run a request and will not run it.
 type rejectionError struct{ cause routing.RejectionCause }
 
-func (e *rejectionError) Error() string { return "rejected: " + string(e.cause) }
+func (e *rejectionError) Error() string { return "worker rejected the request: " + string(e.cause) }
 
 func isRejection(err error) bool {
 	var rejection *rejectionError
 	return errors.As(err, &rejection)
 }
 
-// checkAnswer returns an error where an answer can't be passed on. After an answer to another request the kept connections to the worker's address
-// are closed as well.
+// checkAnswer returns an error if an answer must not be passed on to the client. After an answer to
+// another request, the idle connections to the worker's address are closed as well.
 func (d *delivery) checkAnswer(w *routing.Worker, answer *worker.Answer) error {
 	switch {
 	case !answer.IsFor(d.request.ID):
 		d.Pool.CloseIdle(w.Address())
-		return outcome.Errorf(outcome.Failed, outcome.MayHaveRun, errWrongAnswer, "worker %s", w.ID)
+		return outcome.Errorf(outcome.Failed, outcome.MayHaveRun, errWrongAnswer, "check the answer of worker %s", w.ID)
 	case answer.Status == fasthttp.StatusMisdirectedRequest:
 		return reject(w, answer, routing.RejectedMisdirected)
 	case len(answer.Header.Peek("Not-Executed")) > 0:
 		return reject(w, answer, routing.RejectedNotExecuted)
 	case answer.IsSuccess() && len(answer.Header.Peek("Response-Stamp")) == 0:
-		return outcome.Errorf(outcome.Failed, outcome.MayHaveRun, errWrongAnswer, "worker %s: no stamp", w.ID)
+		return outcome.Errorf(outcome.Failed, outcome.MayHaveRun, errWrongAnswer, "worker %s answered without a Response-Stamp header", w.ID)
 	case impliesNotRun(answer.Status):
-		return outcome.Errorf(outcome.Failed, outcome.MayHaveRun, nil, "worker %s answered %d", w.ID, answer.Status)
+		return outcome.Errorf(outcome.Failed, outcome.MayHaveRun, nil, "worker %s answered with status %d without a Not-Executed header", w.ID, answer.Status)
 	}
 	return nil
 }
 
-// impliesNotRun reports whether a client may conclude from a status that its request has not run. A worker that guarantees this sends
-// Not-Executed; without that header the status must not be passed on.
+// impliesNotRun reports whether a client may conclude from a status that its request has not run. A
+// worker that guarantees this sends the header Not-Executed; without it, the status must not be
+// passed on.
 func impliesNotRun(status int) bool {
 	return status == fasthttp.StatusServiceUnavailable || status == fasthttp.StatusTooManyRequests || status == fasthttp.StatusRequestTimeout
 }
 
 func reject(w *routing.Worker, answer *worker.Answer, cause routing.RejectionCause) error {
-	return outcome.Errorf(outcome.Failed, outcome.NotRun, &rejectionError{cause}, "worker %s answered %d", w.ID, answer.Status)
+	return outcome.Errorf(outcome.Failed, outcome.NotRun, &rejectionError{cause}, "worker %s answered with status %d", w.ID, answer.Status)
 }
 
-// parseLoad reads the value of an Instance-Load header: how many requests run and how many wait at a worker. Fields behind these are ignored.
+// parseLoad parses the value of an Instance-Load header: the numbers of running and of waiting
+// requests of a worker. Further fields are ignored.
 func parseLoad(value string) (running, waiting int, ok bool) {
 	first, rest, found := strings.Cut(value, ",")
 	if !found {
--- a/internal/scheduler/forward/attempt.go
+++ b/internal/scheduler/forward/attempt.go
@@ -10,16 +10,17 @@
 )
 
 const (
-	// dialTimeout bounds the time in which a connection to a worker is opened.
+	// dialTimeout bounds how long opening a connection to a worker may take.
 	dialTimeout = 300 * time.Millisecond
-	// attemptTimeoutFactor times the route's average latency is the timeout of an attempt, but at least minAttemptTimeoutFactor times the
-	// route's latency target.
+	// The timeout of an attempt is attemptTimeoutFactor times the route's average latency, but at
+	// least minAttemptTimeoutFactor times the route's latency target.
 	attemptTimeoutFactor    = 5
 	minAttemptTimeoutFactor = 0.6
 )
 
-// attempt sends the request to the worker of a reservation. The result's Err is set where there is no answer to pass on. The reservation is
-// released here, or with the result where the caller reads the body.
+// attempt sends the request to the worker of a reservation. The result's Err is set if there is no
+// answer to pass on. The reservation is released before attempt returns, or with the result if the
+// caller reads the body.
 func (d *delivery) attempt(ctx context.Context, reservation *routing.Reservation) Result {
 	start := time.Now()
 	attemptCtx, cancel := context.WithCancel(ctx)
@@ -45,7 +46,7 @@
 	return result
 }
 
-// hasAttemptTimeout reports whether an attempt that takes long is ended in favour of another one.
+// hasAttemptTimeout reports whether a slow attempt is cancelled in favour of another one.
 func (d *delivery) hasAttemptTimeout() bool {
 	return d.mode == readBody && d.request.Route.Idempotent() && !d.attempts.IsLast()
 }
@@ -57,7 +58,8 @@
 	return time.Duration(timeoutMS * float64(time.Millisecond))
 }
 
-// exchange sends the request and reads the answer; its body only in the mode readBody. After an error the answer is closed.
+// exchange sends the request and reads the answer, including the body in the mode readBody. If it
+// returns an error, the answer is already closed.
 func (d *delivery) exchange(ctx context.Context, w *routing.Worker) (*worker.Answer, []byte, error) {
 	r := d.request
 	answer, err := d.Pool.Do(ctx, &worker.Call{
@@ -69,7 +71,7 @@
 	}
 	if err := d.checkAnswer(w, answer); err != nil {
 		if isRejection(err) {
-			answer.Close() // the answer is this request's: the connection may be used again
+			answer.Close() // the answer belongs to this request: the connection may be reused
 		} else {
 			answer.Discard()
 		}
@@ -81,13 +83,14 @@
 	body, err := answer.ReadAll()
 	if err != nil {
 		answer.Discard()
-		return nil, nil, outcome.Errorf(outcome.Failed, outcome.MayHaveRun, err, "read the answer of %s", w.ID)
+		return nil, nil, outcome.Errorf(outcome.Failed, outcome.MayHaveRun, err, "read the body of the answer of worker %s", w.ID)
 	}
 	return answer, body, nil
 }
 
-// recordError records an attempt without an answer in the routing table, and returns the attempt's result. After the end of the request's own context
-// only a worker that could not be reached is recorded: any other error may be caused by that end.
+// recordError records an attempt without an answer in the routing table, and returns the attempt's
+// result. After the end of the request's own context only a worker that could not be reached is
+// recorded: any other error may be caused by the end of the context.
 func (d *delivery) recordError(ctx context.Context, w *routing.Worker, err error) Result {
 	o := outcome.Of(err)
 	countAttempt(o.String())
@@ -103,7 +106,8 @@
 	return Result{Err: err, Outcome: o}
 }
 
-// recordLoad records the latency of a successful answer in the routing table, and the worker's load where the answer states it.
+// recordLoad records the latency of a successful answer in the routing table, and the worker's load
+// if the answer reports it.
 func (d *delivery) recordLoad(w *routing.Worker, answer *worker.Answer, latency time.Duration) {
 	route := d.request.Route
 	if answer.IsSuccess() {
--- a/internal/scheduler/forward/attempts_test.go
+++ b/internal/scheduler/forward/attempts_test.go
@@ -8,7 +8,8 @@
 	"github.com/matryer/is"
 )
 
-// How many attempts each kind of request may have, by the outcomes of the attempts.
+// The number of attempts allowed depends on the kind of the request and on the outcomes of its
+// attempts.
 func TestAttempts(t *testing.T) {
 	notRun, mayHaveRun, ran := outcome.NotRun, outcome.MayHaveRun, outcome.Ran
 	for _, c := range []struct {
@@ -16,7 +17,7 @@
 		idempotent bool
 		maxRuns    int
 		outcomes   []outcome.Outcome
-		attempts   int // allowed while the outcomes are these
+		attempts   int // number of attempts allowed with these outcomes
 	}{
 		{"idempotent, may have run", true, 3, []outcome.Outcome{mayHaveRun, mayHaveRun, mayHaveRun, mayHaveRun}, 3},
 		{"idempotent, ran", true, 2, []outcome.Outcome{ran, ran, ran}, 2},
--- a/internal/scheduler/forward/forward.go
+++ b/internal/scheduler/forward/forward.go
@@ -13,35 +13,38 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Forwarder sends requests to the workers of a routing table. It is safe for concurrent use if Clock is.
+// Forwarder sends requests to the workers of a routing table. It is safe for concurrent use if
+// Clock is.
 type Forwarder struct {
 	Table *routing.Table
 	Pool  *worker.Pool
-	Clock func() int64 // milliseconds, as the table's other callers use
+	Clock func() int64 // milliseconds, the same clock as for all other uses of Table
 }
 
-// ErrNoWorker says that the routing table had no worker for the request. No worker has run it.
-var ErrNoWorker = errors.New("forward: no worker may take the request")
+// ErrNoWorker means that the routing table had no worker for the request. No worker has run it.
+var ErrNoWorker = errors.New("forward: no worker available for the request")
 
-// errServerError says that a worker answered 500 and no other worker gave an answer after it.
-var errServerError = errors.New("forward: the worker failed")
+// errServerError means that a worker answered with status 500 and no later attempt gave an answer.
+var errServerError = errors.New("forward: worker answered with status 500")
 
-// allAttemptedBackoff is the wait before a second attempt at the same worker, after every worker that fits has had one.
+// allAttemptedBackoff is the wait before a worker gets a second attempt, after every matching
+// worker has had one.
 const allAttemptedBackoff = 8 * time.Millisecond
 
-// bodyMode says who reads the body of the answer.
+// bodyMode selects who reads the body of the answer.
 type bodyMode uint8
 
 const (
-	readBody  bodyMode = iota // the attempt does: an answer that breaks off is a failed attempt
-	leaveBody                 // the caller does: the attempt ends with the head of the answer
+	readBody  bodyMode = iota // the attempt: a truncated answer is a failed attempt
+	leaveBody                 // the caller: the attempt ends with the head of the answer
 )
 
-// Do sends a request and reads the complete answer. An attempt whose body breaks off counts as failed.
+// Do sends a request and reads the complete answer. An attempt with a truncated body counts as
+// failed.
 func (f *Forwarder) Do(ctx context.Context, r *Request) Result { return f.run(ctx, r, readBody) }
 
-// Open sends a request and returns with the head of the answer. The caller reads the body until ctx or the request's deadline ends; an attempt
-// has no timeout of its own.
+// Open sends a request and returns after the head of the answer. The caller reads the body, which
+// fails after the end of ctx or the request's deadline; an attempt has no timeout of its own.
 func (f *Forwarder) Open(ctx context.Context, r *Request) Result { return f.run(ctx, r, leaveBody) }
 
 func (f *Forwarder) run(ctx context.Context, r *Request, mode bodyMode) Result {
@@ -51,24 +54,24 @@
 		result.cancelRequest = cancel
 		return result
 	}
-	cancel() // after the deadline it leaves ctx.Err as it is
+	cancel() // does not change ctx.Err after the deadline
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
-		result.Err = outcome.Errorf(outcome.TimedOut, result.Outcome, ctx.Err(), "out of time")
+		result.Err = outcome.Errorf(outcome.TimedOut, result.Outcome, ctx.Err(), "no attempt succeeded before the deadline")
 	}
 	return result
 }
 
-// delivery is the state of one request while attempts are made.
+// delivery is the state of one request during its attempts.
 type delivery struct {
 	*Forwarder
 	request      *Request
 	mode         bodyMode
-	services     []string        // in the order in which they are used
-	attempted    map[string]bool // ids of workers that had an attempt; emptied when no other fits
+	services     []string        // in the order of preference
+	attempted    map[string]bool // ids of workers that had an attempt; cleared when no other matches
 	attempts     *Attempts
-	reserved     bool // a worker was found for the first attempt
-	serverErrors int  // answers of status 500
-	failure      Result
+	reserved     bool   // a worker was found for the first attempt
+	serverErrors int    // answers with status 500
+	failure      Result // returned if no attempt succeeds
 }
 
 func (f *Forwarder) newDelivery(r *Request, mode bodyMode) *delivery {
@@ -83,8 +86,9 @@
 	}
 }
 
-// makeAttempts makes attempts until one brings an answer to pass on, no further one is allowed, no worker fits, or the context ends. Where answered is
-// false the result is the failure so far.
+// makeAttempts makes attempts until one returns an answer to pass on, no further one is allowed, no
+// worker matches, or the context ends. If answered is false, the result is the failure over all
+// attempts, with the error of the last one.
 func (d *delivery) makeAttempts(ctx context.Context) (result Result, answered bool) {
 	for ctx.Err() == nil {
 		reservation := d.nextWorker(ctx)
@@ -109,8 +113,9 @@
 	return d.failure, false
 }
 
-// nextWorker reserves a worker that has had no attempt yet. Where none is left, it reserves any that fits after a backoff. It returns nil where no
-// worker fits or the context ends.
+// nextWorker reserves a worker that has had no attempt yet. If there is none, it waits for a
+// backoff and then reserves any matching worker. It returns nil if no worker matches or the context
+// ends.
 func (d *delivery) nextWorker(ctx context.Context) *routing.Reservation {
 	reservation := d.pick()
 	if reservation != nil || len(d.attempted) == 0 {
@@ -136,8 +141,8 @@
 	return nil
 }
 
-// recordFailure adds an attempt without an answer to the failure, and reports whether another attempt is allowed. The failure's outcome stays
-// NotRun only while every attempt's is.
+// recordFailure adds an attempt without an answer to the failure, and reports whether another
+// attempt is allowed. The failure's outcome is NotRun only as long as that of every attempt is.
 func (d *delivery) recordFailure(attempt *Result) (retry bool) {
 	d.failure.Err, d.failure.ServerErrors = attempt.Err, d.serverErrors
 	if attempt.Outcome != outcome.NotRun {
@@ -146,8 +151,9 @@
 	return d.attempts.Record(attempt.Outcome)
 }
 
-// retryServerError reports whether an answer is dropped in favour of another attempt: it has status 500, another attempt is allowed and the
-// context has not ended. The dropped answer is released and becomes the failure.
+// retryServerError reports whether an answer is dropped in favour of another attempt: it has status
+// 500, another attempt is allowed and the context has not ended. A dropped answer is released and
+// recorded as the failure.
 func (d *delivery) retryServerError(ctx context.Context, answered *Result) bool {
 	if answered.Status != fasthttp.StatusInternalServerError {
 		return false
@@ -161,7 +167,7 @@
 	return true
 }
 
-// waitBackoff waits; it reports false where the context ends before.
+// waitBackoff waits for the backoff. It returns false if the context ends earlier.
 func waitBackoff(ctx context.Context, backoff time.Duration) bool {
 	select {
 	case <-time.After(backoff):
@@ -171,8 +177,8 @@
 	}
 }
 
-// drawServices returns the services of a route that have a weight: first one that is drawn by the weights, then the others as the route lists
-// them.
+// drawServices returns the services of a route with a positive weight: first one that is drawn at
+// random by weight, then the others in the order of the route.
 func drawServices(route *configuration.Route) []string {
 	targets := route.Targets()
 	sum := 0.0
--- a/internal/scheduler/forward/forward_test.go
+++ b/internal/scheduler/forward/forward_test.go
@@ -23,13 +23,14 @@
 	"github.com/matryer/is"
 )
 
-// workerBehaviours are what a faulty worker may do with a request. Each is drawn with the same probability.
+// workerBehaviours are the possible reactions of a faulty worker to a request. Each entry has the
+// same probability.
 var workerBehaviours = []string{
 	"serve", "serve", "serve", "reject", "reset unread", "run and reset", "run and never answer", "surplus answer", "late surplus", "another's answer first",
 	"another's empty answer first", "no stamp", "no id", "cut short", "serve and close",
 }
 
-// runLog records which worker ran which request.
+// runLog records which workers ran each request.
 type runLog struct {
 	mu   sync.Mutex
 	runs map[string][]string
@@ -58,7 +59,7 @@
 	return "HTTP/1.1 503 Full\r\nRequest-Id: " + id + "\r\nNot-Executed: 1\r\nContent-Length: 0\r\n\r\n"
 }
 
-// readRequest reads a request without a body and returns its id.
+// readRequest reads a request without a body and returns its ID.
 func readRequest(reader *textproto.Reader) (id string, err error) {
 	if _, err := reader.ReadLine(); err != nil {
 		return "", err
@@ -70,7 +71,8 @@
 	return head.Get("Request-Id"), nil
 }
 
-// startFaultyWorker starts a worker that draws its behaviour for each request, and returns its address.
+// startFaultyWorker starts a worker that draws a behaviour for each request, and returns its
+// address.
 func startFaultyWorker(t *testing.T, name string, seed uint64, l *runLog) string {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -114,7 +116,7 @@
 			conn.SetLinger(0)
 			return
 		case "run and never answer":
-			io.Copy(io.Discard, conn) // until the caller gives up
+			io.Copy(io.Discard, conn) // until the caller closes the connection
 			return
 		case "surplus answer":
 			send(completeAnswer(id) + completeAnswer(previous))
@@ -141,9 +143,10 @@
 	}
 }
 
-// Under every behaviour of the workers an answer goes to the call that it is for, a request that is not idempotent runs at most once, one whose
-// outcome is "not run" has not run and never does, and no request runs at more workers than its route allows.
-func TestAnswersAndRuns(t *testing.T) {
+// With faulty workers, a call gets only the answer to its own request, a request that is not
+// idempotent runs at most once, one with the outcome NotRun never runs, and no request has more
+// runs than its route allows.
+func TestForwarderFaultyWorkers(t *testing.T) {
 	is := is.New(t)
 	l := &runLog{runs: map[string][]string{}}
 	table := routing.NewTable(routing.Gatherer{Name: "g"}, featuregate.All(), rand.New(rand.NewPCG(1, 1)))
@@ -171,13 +174,13 @@
 				case result.Err == nil:
 					served.Add(1)
 					if string(result.Body) != bodyFor(id) || string(result.Answer.Header.Peek("Response-Stamp")) != "stamp-"+id {
-						t.Errorf("%s got %q", id, result.Body)
+						t.Errorf("request %s got the wrong body or stamp: body %q", id, result.Body)
 					}
 				case result.Outcome == outcome.NotRun:
 					notRun.Add(1)
-					defer func() { // nor after all calls
+					defer func() { // checked again after this caller's last call
 						if runs := l.workersOf(id); len(runs) > 0 {
-							t.Errorf("%s has the outcome not run and ran at %v", id, runs)
+							t.Errorf("request %s has the outcome NotRun but was run by workers %v", id, runs)
 						}
 					}()
 				default:
@@ -185,7 +188,7 @@
 				}
 				result.Release()
 				if runs := l.workersOf(id); len(runs) > attempts || len(runs) > 1 && !route.Idempotent() {
-					t.Errorf("%s (%s) ran at %v", id, route.Type, runs)
+					t.Errorf("request %s of type %s was run too often, by workers %v", id, route.Type, runs)
 				}
 			}
 		}()
@@ -195,8 +198,9 @@
 	is.True(served.Load() > 0 && mayHaveRun.Load() > 0)
 }
 
-// A worker that rejects a request gets the next attempt over the same connection, and does not count as failed.
-func TestDecliningWorkerKeepsItsConnection(t *testing.T) {
+// The connection of a rejected request is reused for the next attempt, and the rejection does not
+// count as a failure of the worker.
+func TestRejectionReusesConnection(t *testing.T) {
 	is := is.New(t)
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	is.NoErr(err)
@@ -236,7 +240,7 @@
 	is.True(isRejection(result.Err))
 }
 
-func TestSharedPrompt(t *testing.T) {
+func TestParseSharedPrompt(t *testing.T) {
 	is := is.New(t)
 	is.Equal(ParseSharedPrompt("9c2e41:300,5d07b8:240"), "9c2e41")
 	is.Equal(ParseSharedPrompt(" 9c2e41:300"), "9c2e41")
@@ -253,9 +257,9 @@
 	}
 }
 
-// Workers get the time until the later of the two deadlines: a call that is sent again with the same WorkerDeadline gets no more time than the
-// first.
-func TestWorkerDeadline(t *testing.T) {
+// The header Deadline-Ms contains the time until the later of the two deadlines, so that a call
+// that is sent again with the same WorkerDeadline gets no more time than the first.
+func TestRequestWorkerDeadline(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
 	value := func(r *Request) (ms int) {
--- a/internal/scheduler/forward/metrics.go
+++ b/internal/scheduler/forward/metrics.go
@@ -8,10 +8,11 @@
 	victoria "github.com/VictoriaMetrics/metrics"
 )
 
-// served is the label of attempts that brought an answer; the others have their outcome's text.
+// served is the label value of attempts with an answer to pass on. The others are labelled with the
+// text of their outcome.
 const served = "served"
 
-// attemptCounters count attempts by label.
+// attemptCounters count attempts by label value.
 var attemptCounters = newAttemptCounters()
 
 func newAttemptCounters() map[string]*victoria.Counter {
@@ -24,10 +25,11 @@
 
 func countAttempt(label string) { attemptCounters[label].Inc() }
 
-// requestWaits are the times from a request's arrival to the reservation of its first worker.
+// requestWaits measures the time from a request's arrival to the reservation of its first worker.
 var requestWaits = metrics.DurationHistogram("request_wait_seconds")
 
-// countWait adds the request's wait to requestWaits before its first attempt. Requests that no client waits for don't count.
+// countWait adds the request's wait to requestWaits before its first attempt. Requests without a
+// waiting client are not counted.
 func (d *delivery) countWait() {
 	if !d.reserved && !d.request.Arrived.IsZero() {
 		requestWaits.Update(time.Since(d.request.Arrived).Seconds())
--- a/internal/scheduler/forward/request.go
+++ b/internal/scheduler/forward/request.go
@@ -9,21 +9,22 @@
 	"time"
 )
 
-// Request is a request for a worker. All attempts send the same ID, by which workers and answers are matched.
+// Request is a request to be sent to a worker. All attempts have the same ID, by which an answer is
+// matched to its request.
 type Request struct {
 	ID, Method, URI, Host string
 	Headers               []worker.Header
 	Body                  []byte
 	Route                 *configuration.Route
-	Deadline              time.Time     // all attempts end then
-	WorkerDeadline        time.Time     // the workers' deadline where it is later than Deadline
+	Deadline              time.Time     // of all attempts
+	WorkerDeadline        time.Time     // sent to the workers if it is later than Deadline
 	Usage                 routing.Usage // for the estimate of its cost
 	Model                 string
 	SharedPrompt          string    // see ParseSharedPrompt; empty: none
-	Arrived               time.Time // when the client's request arrived; zero: no client waits for it, so that its wait is not counted
+	Arrived               time.Time // arrival of the client's request; zero: no client waits, and the wait is not counted
 }
 
-// headers returns the request's header fields and those that are added for a worker.
+// headers returns the request's header fields and those added for a worker.
 func (r *Request) headers(workerID string) []worker.Header {
 	deadline := r.Deadline
 	if r.WorkerDeadline.After(deadline) {
@@ -40,16 +41,18 @@
 	return append(headers, added...)
 }
 
-// ParseSharedPrompt returns the hash of the first shared part of a prompt from the value of a Prefix-Hash header, such as
-// "9c2e41:300,5d07b8:240". It is empty where the header is.
+// ParseSharedPrompt returns the hash of the first shared prefix of a prompt from the value of a
+// Prefix-Hash header, such as "9c2e41:300,5d07b8:240". It returns the empty string for an empty
+// header.
 func ParseSharedPrompt(value string) string {
 	first, _, _ := strings.Cut(value, ",")
 	name, _, _ := strings.Cut(first, ":")
 	return strings.TrimSpace(name)
 }
 
-// ParseUsage reads the value of a Token-Usage header: the prompt's tokens, and the most that are generated. A number that can't be
-// parsed counts as 0, one that is out of range as the limit of int: the header only serves the estimate.
+// ParseUsage parses the value of a Token-Usage header: the number of prompt tokens and the maximum
+// number of generated tokens. A number that can't be parsed counts as 0, one that is out of range
+// as the limit of int: the header is only used for the cost estimate.
 func ParseUsage(value string) (u routing.Usage) {
 	prompt, output, _ := strings.Cut(value, ",")
 	u.Prompt, _ = strconv.Atoi(strings.TrimSpace(prompt))
--- a/internal/scheduler/forward/result.go
+++ b/internal/scheduler/forward/result.go
@@ -7,21 +7,22 @@
 	"saffronquay/internal/scheduler/worker"
 )
 
-// Result is how a request has ended: with an answer to pass on, or with an error. Release must be called in both cases.
+// Result is the result of a request: an answer to pass on, or an error. The caller must call
+// Release in both cases.
 type Result struct {
 	Answer       *worker.Answer  // nil after an error
 	Status       int             // of the answer
-	Body         []byte          // the complete body, from Do only; after Open the caller reads Answer
+	Body         []byte          // the complete body, only from Do; after Open the caller reads Answer
 	Outcome      outcome.Outcome // after an error: whether any worker may have run the request
-	Err          error           // nil: there is an answer
-	ServerErrors int             // how many answers of status 500 there were, the one that is passed on included
+	Err          error           // nil if there is an answer
+	ServerErrors int             // number of answers with status 500, including one that is passed on
 
-	reservation   *routing.Reservation // released with the result where the caller reads the body
+	reservation   *routing.Reservation // released with the result if the caller reads the body
 	cancelRequest context.CancelFunc
 	cancelAttempt context.CancelFunc
 }
 
-// Release closes the answer, frees the worker's reservation and ends the request's contexts.
+// Release closes the answer, releases the worker's reservation and cancels the request's contexts.
 func (r *Result) Release() {
 	if r.Answer != nil {
 		r.Answer.Close()
