--- a/internal/scheduler/worker/answer.go
+++ b/internal/scheduler/worker/answer.go
@@ -14,17 +14,22 @@
 )
 
 const (
-	// maxDirectSend is the longest request that is sent before its answer is looked for. A worker may answer a longer one before it has read it.
+	// maxDirectSend is the largest request, in bytes, that is sent completely before its answer is
+	// read. A larger one is sent concurrently, since a worker may answer it before it has read all
+	// of it.
 	maxDirectSend = 16 << 10
-	// defaultIdleTimeout is how long a connection is kept where the worker's answer has no Keep-Alive timeout. Else it is kept until
-	// idleTimeoutMargin before that timeout, so that no request meets the worker's close.
+	// defaultIdleTimeout is how long an idle connection is kept if the worker's answer has no
+	// Keep-Alive timeout. Otherwise it is kept until idleTimeoutMargin before that timeout, so that
+	// no request races with the worker's close.
 	defaultIdleTimeout = 4 * time.Second
 	idleTimeoutMargin  = 500 * time.Millisecond
-	// maxPreallocated is the longest body whose stated length is trusted for an allocation.
+	// maxPreallocated bounds, in bytes, the Content-Length for which a buffer is allocated in
+	// advance.
 	maxPreallocated = 1 << 24
 )
 
-// Answer is a worker's answer whose body has not been read yet. It must be closed or discarded; its fields stay readable after that.
+// Answer is a worker's answer whose head has been read and whose body has not. The caller must call
+// Close or Discard; Status and Header stay readable afterwards.
 type Answer struct {
 	Status int
 	Header fasthttp.ResponseHeader
@@ -35,11 +40,12 @@
 	body      io.Reader
 	complete  bool         // the body was read to its end
 	stop      func() bool  // detaches the connection from the context; false: the context has ended
-	fullySent *atomic.Bool // the request was sent to its end; nil: it was before the answer was read
+	fullySent *atomic.Bool // the concurrent send has completed; nil: the request was sent before
 }
 
-// send sends an encoded request. A long one is only begun here. After an error it returns the outcome: a request of which no byte was written has not
-// run.
+// send sends an encoded request. A request larger than maxDirectSend is sent concurrently and may
+// be incomplete when send returns. The outcome is valid if there is an error: a request of which no
+// byte was written has not run.
 func (a *Answer) send(encoded []byte) (outcome.Outcome, error) {
 	if len(encoded) > maxDirectSend {
 		a.sendConcurrently(encoded)
@@ -52,7 +58,8 @@
 	return outcome.MayHaveRun, err
 }
 
-// sendConcurrently sends a request while its answer is read. The write ends with the connection, which Close closes unless the request was sent.
+// sendConcurrently sends a request while its answer is read. The goroutine ends when the connection
+// is closed at the latest: Close closes it unless the request was sent completely.
 func (a *Answer) sendConcurrently(encoded []byte) {
 	a.fullySent = &atomic.Bool{}
 	conn, fullySent := a.conn, a.fullySent
@@ -63,7 +70,7 @@
 	}()
 }
 
-// readHead reads the head of the answer and passes over informational ones, whose status is below 200.
+// readHead reads the head of the answer. It skips informational answers, whose status is below 200.
 func (a *Answer) readHead() error {
 	for {
 		a.Header.Reset()
@@ -77,7 +84,8 @@
 	}
 }
 
-// fail closes the connection of a call without an answer and returns its error. Where ctx has ended that is the cause.
+// fail closes the connection of a call without an answer and returns the call's error. If ctx has
+// ended, ctx.Err() replaces err as the cause.
 func (a *Answer) fail(ctx context.Context, o outcome.Outcome, err error, action string) error {
 	a.stop()
 	a.conn.Close()
@@ -87,7 +95,7 @@
 	return outcome.Errorf(outcome.Failed, o, err, "%s %s", action, a.address)
 }
 
-// bodyReader returns the reader for the framing that the head states.
+// bodyReader returns the reader for the body's framing according to the head.
 func (a *Answer) bodyReader(method string) io.Reader {
 	length := a.Header.ContentLength()
 	switch {
@@ -97,17 +105,18 @@
 	case length >= 0:
 		a.complete = length == 0
 		return &fixedReader{a, int64(length)}
-	case length == -1: // as fasthttp has chunks
+	case length == -1: // fasthttp's value for chunked encoding
 		return &chunkedReader{answer: a}
 	default:
 		return &closingReader{a}
 	}
 }
 
-// Read reads on in the body. It returns io.EOF only where the body is complete.
+// Read reads from the body. It returns io.EOF only if the body is complete.
 func (a *Answer) Read(b []byte) (int, error) { return a.body.Read(b) }
 
-// ReadAll reads the complete body, of which nothing may have been read yet. After an error the bytes are of no use.
+// ReadAll reads the complete body. It must not be called after Read. After an error the returned
+// bytes must not be used.
 func (a *Answer) ReadAll() ([]byte, error) {
 	if n := a.Header.ContentLength(); n > 0 && n < maxPreallocated {
 		b := make([]byte, n)
@@ -117,15 +126,15 @@
 	return io.ReadAll(a.body)
 }
 
-// Close ends the answer. The connection is kept where the body was read to its end and nothing speaks against it; see the package's comment. Later calls
-// do nothing.
+// Close ends the answer. The connection is kept for reuse under the conditions in the package
+// documentation, and closed otherwise. Later calls do nothing.
 func (a *Answer) Close() {
 	if a.conn == nil {
 		return
 	}
 	conn := a.conn
 	a.conn = nil
-	unsent := a.fullySent != nil && !a.fullySent.Load() // the worker would take the next request for the rest of this one
+	unsent := a.fullySent != nil && !a.fullySent.Load() // the worker would read the next request as the rest of this one
 	if !a.stop() || !a.complete || unsent || a.Header.ConnectionClose() || conn.reader.Buffered() > 0 {
 		conn.Close()
 		return
@@ -134,7 +143,8 @@
 	a.pool.put(a.address, conn)
 }
 
-// Discard ends an answer that belongs to another call or can't be trusted, and its connection with it: the right answer may still arrive there.
+// Discard ends an answer that belongs to another call or can't be trusted, and closes its
+// connection: the call's own answer may still arrive there.
 func (a *Answer) Discard() {
 	a.complete = false
 	a.Close()
@@ -143,18 +153,18 @@
 // IsSuccess reports whether the status is below 300.
 func (a *Answer) IsSuccess() bool { return a.Status < fasthttp.StatusMultipleChoices }
 
-// IsFor reports whether the answer belongs to the request with an id; see IsAnswerFor.
+// IsFor reports whether the answer belongs to the request with the given ID; see IsAnswerFor.
 func (a *Answer) IsFor(id string) bool {
 	return IsAnswerFor(a.Status, string(a.Header.Peek("Request-Id")), id)
 }
 
-// IsAnswerFor reports whether an answer with a status and a Request-Id belongs to the request with an id. A success must name the request; other
-// answers may name none.
+// IsAnswerFor reports whether an answer with the given status and Request-Id belongs to the request
+// with the given ID. A success must have the request's ID; other answers may have none.
 func IsAnswerFor(status int, answered, id string) bool {
 	return answered == id || answered == "" && status >= fasthttp.StatusMultipleChoices
 }
 
-// idleTimeout returns how long the connection may be kept.
+// idleTimeout returns how long the connection may be kept idle.
 func (a *Answer) idleTimeout() time.Duration {
 	for _, part := range strings.Split(string(a.Header.Peek("Keep-Alive")), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
--- a/internal/scheduler/worker/body.go
+++ b/internal/scheduler/worker/body.go
@@ -8,7 +8,7 @@
 	"strconv"
 )
 
-// fixedReader reads a body whose length the head states.
+// fixedReader reads a body with a Content-Length.
 type fixedReader struct {
 	answer    *Answer
 	remaining int64
@@ -31,20 +31,21 @@
 	return n, asUnexpectedEOF(err)
 }
 
-// closingReader reads a body that has no length and ends when the worker closes the connection. A reset is an error. The connection is never kept:
-// the answer does not become complete.
+// closingReader reads a body without a length, which ends when the worker closes the connection. A
+// reset is an error. The answer never becomes complete, so that the connection is not kept.
 type closingReader struct{ answer *Answer }
 
 func (r *closingReader) Read(b []byte) (int, error) { return r.answer.conn.reader.Read(b) }
 
-// errMalformedChunk says that a chunk's head is no hexadecimal number, or that a chunk has no line end behind it.
-var errMalformedChunk = errors.New("worker: broken chunk")
+// errMalformedChunk means that the size of a chunk is not a hexadecimal number, or that the data of
+// a chunk is not followed by a line end.
+var errMalformedChunk = errors.New("worker: malformed chunk in the body of an answer")
 
-// chunkedReader reads a body in chunks.
+// chunkedReader reads a body in chunked transfer encoding.
 type chunkedReader struct {
 	answer     *Answer
-	remaining  int64 // of the current chunk
-	insideBody bool  // a chunk was read, whose line end is due
+	remaining  int64 // bytes of the current chunk
+	insideBody bool  // a chunk was read; its line end comes next
 	done       bool
 }
 
@@ -65,7 +66,8 @@
 	return n, asUnexpectedEOF(err)
 }
 
-// nextChunk reads the head of the next chunk. It returns io.EOF behind the last chunk and its trailers.
+// nextChunk reads the head of the next chunk. It returns io.EOF after the last chunk and the
+// trailers.
 func (r *chunkedReader) nextChunk() error {
 	if r.insideBody {
 		line, err := r.readLine()
@@ -96,7 +98,7 @@
 	return io.EOF
 }
 
-// skipTrailers reads up to the empty line that ends the body.
+// skipTrailers reads to the empty line that ends the body.
 func (r *chunkedReader) skipTrailers() error {
 	for {
 		line, err := r.readLine()
@@ -109,7 +111,7 @@
 	}
 }
 
-// readLine returns the next line without its end. It is valid until the next read.
+// readLine returns the next line without its line end. It is valid until the next read.
 func (r *chunkedReader) readLine() ([]byte, error) {
 	line, err := r.answer.conn.reader.ReadSlice('\n')
 	if err != nil {
@@ -118,10 +120,11 @@
 	return bytes.TrimRight(line, "\r\n"), nil
 }
 
-// asUnexpectedEOF turns io.EOF into an error that wraps io.ErrUnexpectedEOF, and returns any other error as it is.
+// asUnexpectedEOF turns io.EOF into an error that wraps io.ErrUnexpectedEOF, and returns any other
+// error unchanged.
 func asUnexpectedEOF(err error) error {
 	if errors.Is(err, io.EOF) {
-		return fmt.Errorf("worker: the answer breaks off: %w", io.ErrUnexpectedEOF)
+		return fmt.Errorf("worker: read the body of an answer: connection closed before its end: %w", io.ErrUnexpectedEOF)
 	}
 	return err
 }
--- a/internal/scheduler/worker/call.go
+++ b/internal/scheduler/worker/call.go
@@ -14,7 +14,7 @@
 	Method      string
 	URI         string // path and query, as the client sent them
 	Host        string
-	Headers     []Header // all but Host and Content-Length
+	Headers     []Header // without Host and Content-Length, which encode adds
 	Body        []byte
 	DialTimeout time.Duration // for a new connection; 0: transport.DialTimeout
 }
@@ -22,10 +22,10 @@
 // Header is one header field.
 type Header struct{ Name, Value string }
 
-// headSizeEstimate is the size of a usual head.
+// headSizeEstimate is the size of a typical head, in bytes.
 const headSizeEstimate = 512
 
-// encode returns the request as it goes over the connection.
+// encode returns the request in HTTP/1.1 wire format.
 func (c *Call) encode() []byte {
 	var b bytes.Buffer
 	b.Grow(headSizeEstimate + len(c.Body))
--- a/internal/scheduler/worker/doc.go
+++ b/internal/scheduler/worker/doc.go
@@ -1,22 +1,28 @@
-// Package worker speaks HTTP/1.1 with workers: it sends a request over a kept or new connection and reads the answer, complete or event by event.
-// It sends every request exactly one time; whether another attempt follows is package forward's decision.
+// Package worker is an HTTP/1.1 client for workers: it sends a request over an idle or new
+// connection and reads the answer, at once or event by event. It sends every request exactly once;
+// package forward decides on further attempts.
 //
-//   - call.go: what is sent; pool.go: kept connections; answer.go: the answer and what becomes of its connection;
+//   - call.go: the request; pool.go: idle connections; answer.go: the answer, and whether its
+//     connection is kept;
 //   - body.go: the framings of a body; events.go: the events of a stream.
 //
-// # Which connections are kept
+// # Connection reuse
 //
-// A connection serves one call at a time. It is kept for the next one only if the answer's body was read to its end, no bytes follow it, the request
-// was sent completely, the context has not ended, and the worker did not ask to close it. A call that is given up gives up its connection, so that a
-// late answer never meets another call. A kept connection on which anything has arrived is closed, not used.
+// A connection serves one call at a time. It is kept for the next call only if the answer's body
+// was read to its end, no bytes follow it, the request was sent completely, the context has not
+// ended, and the worker did not announce to close it. The connection of a cancelled call is closed,
+// so that a late answer never reaches another call. An idle connection on which bytes have arrived
+// is closed, not used.
 //
 // # Errors
 //
-// Every error of Pool.Do is an *outcome.Error that says whether the request may have run. Errors while the body is read are plain: the request may
-// have run. A body that breaks off never ends in io.EOF; of a body without a length, the close of the connection is the end.
+// Every error of Pool.Do is an *outcome.Error that reports whether the request may have run. Errors
+// from reading the body are not: the request may have run. A truncated body never ends in io.EOF; a
+// body without a length ends when the connection is closed.
 //
 // # Concurrency
 //
-// A Pool is safe for concurrent use. An Answer belongs to one goroutine, which must call Close or Discard. The end of the context of Do also ends the
-// reading of the body. A long request is written by a goroutine of its own, which ends at the latest when the connection is closed.
+// A Pool is safe for concurrent use. An Answer belongs to one goroutine, which must call Close or
+// Discard. The end of the context of Do also makes reads of the body fail. A large request is
+// written by a separate goroutine, which ends when the connection is closed at the latest.
 package worker
--- a/internal/scheduler/worker/events.go
+++ b/internal/scheduler/worker/events.go
@@ -11,26 +11,27 @@
 
 // Event is one event of a stream, in the format of server-sent events.
 type Event struct {
-	ID            int64  // -1: it has none
-	Data          []byte // its data lines, joined by line ends; nil: it has none
-	WeightVersion uint64 // the version of the weights from here on; 0: it stays as it is
+	ID            int64  // -1: none
+	Data          []byte // data lines, joined by newlines; nil: none
+	WeightVersion uint64 // weight version from this event on; 0: unchanged
 }
 
-// EventReader reads the events of a body. It belongs to one goroutine.
+// EventReader reads the events of a body. It is not safe for concurrent use.
 type EventReader struct {
 	reader *bufio.Reader
 }
 
-// ErrMalformedEvent says that a field of an event could not be parsed.
-var ErrMalformedEvent = errors.New("worker: not an event")
+// ErrMalformedEvent means that a field of an event could not be parsed.
+var ErrMalformedEvent = errors.New("worker: malformed event")
 
-// NewEventReader returns a reader of a body, from which it may read ahead.
+// NewEventReader returns a reader of the events of a body. It may read ahead.
 func NewEventReader(body io.Reader) *EventReader {
 	return &EventReader{bufio.NewReaderSize(body, readBufferSize)}
 }
 
-// Next returns the next event. It returns io.EOF where the stream has ended behind an event, io.ErrUnexpectedEOF where it breaks off within one, and
-// an error that wraps ErrMalformedEvent for an id or a version that is no number.
+// Next returns the next event. It returns io.EOF if the stream ended after a complete event,
+// io.ErrUnexpectedEOF if it ended within one, and an error that wraps ErrMalformedEvent if an id or
+// a version is not a number.
 func (r *EventReader) Next() (Event, error) {
 	event := Event{ID: -1}
 	begun := false
@@ -58,7 +59,8 @@
 	}
 }
 
-// setField adds a line to the event. Unknown fields, and comments, whose name is empty, are ignored.
+// setField adds a line to the event. Unknown fields are ignored, and so are comments, whose name is
+// empty.
 func (e *Event) setField(name string, value []byte) (err error) {
 	switch name {
 	case "id":
--- a/internal/scheduler/worker/fuzz_test.go
+++ b/internal/scheduler/worker/fuzz_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// FuzzEvents reads streams of arbitrary bytes to their end.
+// FuzzEvents checks that a stream of arbitrary bytes ends after at most as many events as it has
+// bytes.
 func FuzzEvents(f *testing.F) {
 	f.Add([]byte("id: 1\nweight-versions: 3\ndata: a\ndata: b\n\nid: 2\ndata:\n\n"))
 	f.Add([]byte(": comment\r\n\r\nid: x"))
@@ -16,6 +17,6 @@
 				return
 			}
 		}
-		t.Error("more events than bytes")
+		t.Error("EventReader.Next returned more events than the body has bytes")
 	})
 }
--- a/internal/scheduler/worker/metrics.go
+++ b/internal/scheduler/worker/metrics.go
@@ -6,12 +6,12 @@
 	victoria "github.com/VictoriaMetrics/metrics"
 )
 
-// openCause is why a new connection is opened.
+// openCause is the reason why a new connection is opened.
 type openCause string
 
 const (
-	openedNoneIdle openCause = "none_idle" // no connection to the worker is kept
-	openedClosed   openCause = "closed"    // all that were kept have expired, or the worker has closed them
+	openedNoneIdle openCause = "none_idle" // there was no idle connection to the worker
+	openedClosed   openCause = "closed"    // all idle connections had expired or were closed by the worker
 )
 
 // openedCounters count new connections by cause.
--- a/internal/scheduler/worker/pool.go
+++ b/internal/scheduler/worker/pool.go
@@ -12,15 +12,16 @@
 )
 
 const (
-	// readBufferSize is also the largest head of an answer, and the longest line of a chunk's head.
+	// readBufferSize, in bytes, also bounds the head of an answer and the head of a chunk.
 	readBufferSize    = 8 << 10
 	maxIdlePerAddress = 64
 )
 
-// Pool keeps connections to workers. It has no goroutine: CloseExpired has to be called now and then.
+// Pool keeps idle connections to workers. It has no goroutine: the owner must call CloseExpired
+// periodically.
 type Pool struct {
 	mu   sync.Mutex
-	idle map[string][]*connection // by address, the last used one last
+	idle map[string][]*connection // by address, the most recently used last
 }
 
 // NewPool returns a pool without connections.
@@ -32,13 +33,14 @@
 	expires time.Time // while it is idle
 }
 
-// abort makes every read and write fail, also those under way.
+// abort makes all reads and writes fail, including those in progress.
 func (c *connection) abort() {
-	_ = c.SetDeadline(time.Unix(1, 0)) // it fails only where the connection is closed already
+	_ = c.SetDeadline(time.Unix(1, 0)) // fails only if the connection is already closed
 }
 
-// Do sends a request and reads the head of its answer. When ctx ends, also later while the body is read, the connection's reads and writes fail. After
-// an error nothing has to be closed; outcome.Of says whether the request may have run.
+// Do sends a request and reads the head of its answer. When ctx ends, even while the body is read
+// later, the connection's reads and writes fail. After an error there is nothing to close;
+// outcome.Of returns whether the request may have run.
 func (p *Pool) Do(ctx context.Context, call *Call) (*Answer, error) {
 	conn, err := p.connect(call)
 	if err != nil {
@@ -55,7 +57,8 @@
 	return answer, nil
 }
 
-// connect takes a kept connection that is still good, or opens one. It closes the kept ones that are not.
+// connect returns an idle connection that is still usable, or opens a new one. It closes the
+// unusable ones that it finds.
 func (p *Pool) connect(call *Call) (*connection, error) {
 	now := time.Now()
 	cause := openedNoneIdle
@@ -82,7 +85,7 @@
 	return &connection{Conn: opened, reader: bufio.NewReaderSize(opened, readBufferSize)}, nil
 }
 
-// take removes the connection that was used last from the pool; nil where there is none.
+// take removes the most recently used connection from the pool. It returns nil if there is none.
 func (p *Pool) take(address string) *connection {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -95,7 +98,8 @@
 	return conn
 }
 
-// put keeps a connection, or closes it where enough are kept.
+// put adds an idle connection to the pool, or closes it if the pool already has maxIdlePerAddress
+// connections to the address.
 func (p *Pool) put(address string, conn *connection) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -106,7 +110,8 @@
 	conn.Close()
 }
 
-// isIdle reports whether a connection is open and nothing has arrived on it. It looks at the socket without waiting and takes nothing from it.
+// isIdle reports whether a connection is open and no bytes have arrived on it. It peeks at the
+// socket without blocking.
 func isIdle(conn net.Conn) bool {
 	socket, ok := conn.(syscall.Conn)
 	if !ok {
@@ -126,7 +131,7 @@
 	return err == nil && idle
 }
 
-// CloseIdle closes the kept connections to an address. Those in use are not touched.
+// CloseIdle closes the idle connections to an address. Connections in use are not affected.
 func (p *Pool) CloseIdle(address string) {
 	p.mu.Lock()
 	list := p.idle[address]
@@ -137,7 +142,7 @@
 	}
 }
 
-// CloseExpired closes the kept connections whose idle timeout is over at the time now.
+// CloseExpired closes the idle connections whose idle timeout has passed at the time now.
 func (p *Pool) CloseExpired(now time.Time) {
 	for _, conn := range p.takeExpired(now) {
 		conn.Close()
--- a/internal/scheduler/worker/worker_test.go
+++ b/internal/scheduler/worker/worker_test.go
@@ -14,8 +14,8 @@
 	"github.com/matryer/is"
 )
 
-// serve starts a worker that answers each request on each connection with the next text, and returns its address. An empty text closes the
-// connection.
+// serve starts a worker that answers each request, on any connection, with the next text, and
+// returns its address. An empty text closes the connection.
 func serve(t *testing.T, answers ...string) string {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -65,7 +65,7 @@
 
 func call(address string) *Call { return &Call{Address: address, Method: "GET", URI: "/x", Host: "h"} }
 
-func TestFramings(t *testing.T) {
+func TestAnswerFramings(t *testing.T) {
 	is := is.New(t)
 	address := serve(t, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2;x=y\r\nde\r\n0\r\nT: v\r\n\r\n",
 		"HTTP/1.1 103 Early\r\n\r\nHTTP/1.1 204 No Content\r\n\r\n")
@@ -77,12 +77,12 @@
 		is.NoErr(err)
 		is.Equal(string(body), want)
 		a.Close()
-		is.Equal(len(pool.idle[address]), 1) // one connection serves them all
+		is.Equal(len(pool.idle[address]), 1) // all calls share one connection
 	}
 }
 
-// An answer that breaks off is an error, and its connection is not kept.
-func TestBrokenAnswers(t *testing.T) {
+// A truncated or malformed answer is an error, and its connection is not kept.
+func TestAnswerTruncated(t *testing.T) {
 	is := is.New(t)
 	for _, text := range []string{
 		"HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nhello<close>", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n<close>",
@@ -99,8 +99,8 @@
 	}
 }
 
-// Bytes behind a complete answer belong to no request: the connection isn't used again.
-func TestSurplusBytes(t *testing.T) {
+// Bytes after a complete answer belong to no request: the connection is not reused.
+func TestAnswerSurplusBytes(t *testing.T) {
 	is := is.New(t)
 	address := serve(t, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nokHTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nbad", "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ngood")
 	pool := NewPool()
@@ -114,8 +114,8 @@
 	}
 }
 
-// The outcome is NotRun only where nothing was sent.
-func TestOutcomes(t *testing.T) {
+// The outcome of a failed call is NotRun only if nothing was sent.
+func TestPoolDoOutcomes(t *testing.T) {
 	is := is.New(t)
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	is.NoErr(err)
@@ -132,8 +132,8 @@
 	is.True(outcome.IsTimeout(err))
 }
 
-// Events end with an empty line; fields that are no numbers and an end within an event are errors.
-func TestEvents(t *testing.T) {
+// An empty line ends an event. Malformed numbers and a stream that ends within an event are errors.
+func TestEventReader(t *testing.T) {
 	is := is.New(t)
 	events := NewEventReader(strings.NewReader("id: 1\ndata: a\n\nweight-versions: 7\nid: 2\ndata: b\ndata: c\n\n: note\nid:3\ndata:\n\nid: 4\nda"))
 	first, err := events.Next()
@@ -147,16 +147,17 @@
 	is.NoErr(err)
 	is.Equal(third.ID, int64(3))
 	_, err = events.Next()
-	is.Equal(err, io.ErrUnexpectedEOF) // an event that breaks off is not returned
+	is.Equal(err, io.ErrUnexpectedEOF) // a truncated event is not returned
 	_, err = NewEventReader(strings.NewReader("id: x\n\n")).Next()
 	is.True(errors.Is(err, ErrMalformedEvent))
 	_, err = NewEventReader(strings.NewReader("")).Next()
 	is.Equal(err, io.EOF)
 }
 
-// A worker may answer a long request before it has read it. The answer is taken immediately, and the connection is not used again: the worker would
-// take the next request for the rest of that one.
-func TestAnswerBeforeTheRequestIsRead(t *testing.T) {
+// A worker may answer a large request before it has read all of it. The answer is returned
+// immediately, and the connection is not reused: the worker would read the next request as the rest
+// of the first.
+func TestAnswerBeforeRequestSent(t *testing.T) {
 	is := is.New(t)
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	is.NoErr(err)
@@ -175,7 +176,7 @@
 	defer cancel()
 	pool := NewPool()
 	c := call(listener.Addr().String())
-	c.Method, c.Body = "POST", make([]byte, 32<<20) // more than the buffers of both ends take
+	c.Method, c.Body = "POST", make([]byte, 32<<20) // exceeds the socket buffers of both ends
 	a, err := pool.Do(ctx, c)
 	is.NoErr(err)
 	is.Equal(a.Status, 503)
@@ -184,8 +185,9 @@
 	(<-accepted).Close()
 }
 
-// The connection of an answer that belongs to another request is closed, also where its body is empty and so read to its end.
-func TestDiscardedAnswer(t *testing.T) {
+// Discard closes the connection of an answer to another request, even if its body is empty and
+// therefore completely read.
+func TestAnswerDiscard(t *testing.T) {
 	is := is.New(t)
 	address := serve(t, "HTTP/1.1 500 Oh\r\nRequest-Id: other\r\nContent-Length: 0\r\n\r\n", "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 	pool := NewPool()
@@ -196,5 +198,5 @@
 	is.Equal(len(pool.idle[address]), 0)
 	a, err = pool.Do(context.Background(), call(address))
 	is.NoErr(err)
-	is.True(!a.IsFor("mine")) // a success that names no request
+	is.True(!a.IsFor("mine")) // a success without a Request-Id
 }
