--- a/internal/scheduler/outcome/outcome_test.go
+++ b/internal/scheduler/outcome/outcome_test.go
@@ -12,8 +12,8 @@
 
 func (typed) Error() string { return "typed" }
 
-// errors.As finds a cause of a type behind any number of wraps of either kind, with its value.
-func TestCauseIsFoundBehindWraps(t *testing.T) {
+// errors.As finds a typed cause, with its value, through any nesting of Error and of fmt.Errorf.
+func TestErrorUnwrap(t *testing.T) {
 	is := is.New(t)
 	cause := fmt.Errorf("with: %w", typed{7})
 	wrapped := Errorf(Failed, NotRun, cause, "worker %s", "w1")
@@ -30,8 +30,9 @@
 	is.Equal(Of(wrappedTwice), NotRun)
 }
 
-// The texts are those that log lines have had; the outermost error decides on outcome and timeout.
-func TestErrors(t *testing.T) {
+// The texts must stay stable because they appear in log lines. The outermost Error determines the
+// outcome and whether it is a timeout.
+func TestErrorText(t *testing.T) {
 	timedOut := Errorf(TimedOut, MayHaveRun, errors.New("deadline"), "read from %s", "w1")
 	for _, c := range []struct {
 		name    string
