--- a/internal/scheduler/featuregate/doc.go
+++ b/internal/scheduler/featuregate/doc.go
@@ -1,7 +1,9 @@
-// Package featuregate names the single mechanisms by which the scheduler decides, each with a gate that switches it off. All gates are on unless the
-// section `decisions` of the settings file or the command line (--without, --policy) says otherwise. To switch one off shows in a measurement what its
-// mechanism gains.
+// Package featuregate defines the feature gates of the scheduler's decisions: each gate switches
+// one mechanism off. All gates are on unless the section `decisions` of the settings file or the
+// command line (--without, --policy) switches them off. Measurements with a gate switched off show
+// the benefit of its mechanism.
 //
-// The package holds values only: the mechanisms themselves are in the packages that read a gate. It imports nothing of the project. Gates are plain data
-// without a lock. Errors name what is not known and list what is; they are for an operator to read.
+// The package contains only values: the mechanisms themselves are in the packages that read a gate.
+// It imports no other package of the project. Gates are plain data without a lock. Errors name the
+// unknown value and list the allowed ones; they are meant for operators.
 package featuregate
--- a/internal/scheduler/featuregate/featuregate_test.go
+++ b/internal/scheduler/featuregate/featuregate_test.go
@@ -7,8 +7,9 @@
 	"github.com/matryer/is"
 )
 
-// Every gate is on by default and can be switched off by its name; the settings file and the command line use the same names.
-func TestEachSwitchHasItsName(t *testing.T) {
+// Every gate is on by default and can be switched off by the name in its toml tag, which is also
+// its name on the command line.
+func TestGatesDisableByName(t *testing.T) {
 	is := is.New(t)
 	all := All()
 	is.NoErr(all.Check())
@@ -28,11 +29,11 @@
 	is.Equal(len(Names()), gates)
 }
 
-// A gate or policy that is not known is an error.
-func TestUnknownNames(t *testing.T) {
+// An unknown gate or policy is an error.
+func TestGatesUnknownName(t *testing.T) {
 	is := is.New(t)
-	s := All()
-	is.True(s.Disable("nothing") != nil)
-	s.Policy = "luck"
-	is.True(s.Check() != nil)
+	gates := All()
+	is.True(gates.Disable("nothing") != nil)
+	gates.Policy = "luck"
+	is.True(gates.Check() != nil)
 }
