--- a/internal/scheduler/proxy/answer.go
+++ b/internal/scheduler/proxy/answer.go
@@ -10,8 +10,9 @@
 )
 
 const (
-	retryAfter = "0.25" // seconds, of Retry-After
-	// startRetryAfter is the Retry-After of a process that has just started: most know a configuration after this time.
+	retryAfter = "0.25" // value of the Retry-After header, in seconds
+	// startRetryAfter is the Retry-After of a process without a configuration: most processes have
+	// received one this long after their start.
 	startRetryAfter = 600 * time.Millisecond
 )
 
@@ -22,19 +23,20 @@
 	ctx.SetBodyString(message + "\n")
 }
 
-// reject answers 503 with Retry-After: the request has not run, and will not run because of this call.
+// reject answers 503 with Retry-After, which guarantees that the request has not run and will not
+// run because of this call.
 func reject(ctx *fasthttp.RequestCtx, message string) { rejectWithRetryAfter(ctx, retryAfter, message) }
 
-// rejectWithRetryAfter is reject with another number of seconds, in the form that formatSeconds returns.
+// rejectWithRetryAfter is reject with a given value of Retry-After, as returned by formatSeconds.
 func rejectWithRetryAfter(ctx *fasthttp.RequestCtx, seconds, message string) {
 	ctx.Response.Header.Set("Retry-After", seconds)
 	answer(ctx, fasthttp.StatusServiceUnavailable, message)
 }
 
-// formatSeconds returns a time in the form that Retry-After has.
+// formatSeconds formats a duration for the header Retry-After.
 func formatSeconds(d time.Duration) string { return strconv.FormatFloat(d.Seconds(), 'f', -1, 64) }
 
-// answerFailure sends the answer to a request that got none from a worker.
+// answerFailure answers a request for which there is no worker's answer to pass on.
 func answerFailure(ctx *fasthttp.RequestCtx, result *forward.Result) {
 	status, message := failureStatus(result)
 	if status == fasthttp.StatusServiceUnavailable {
@@ -44,16 +46,17 @@
 	answer(ctx, status, message)
 }
 
-// failureStatus returns status and text for a request that got no answer from a worker. The outcome decides first: 503 promises that the
-// request has not run, so that only outcome.NotRun leads to it, also where the request ran out of time. Otherwise a worker may have run it,
-// and the client gets 504 where the last error is a timeout, otherwise 502.
+// failureStatus returns the status and text for a request without a worker's answer to pass on.
+// Since 503 guarantees that the request has not run, it is returned only for outcome.NotRun, even
+// if the request timed out. Otherwise a worker may have run the request, and the status is 504 if
+// the last error is a timeout and 502 for any other error.
 func failureStatus(result *forward.Result) (status int, message string) {
 	switch {
 	case result.Outcome == outcome.NotRun:
-		return fasthttp.StatusServiceUnavailable, "no worker takes the request now"
+		return fasthttp.StatusServiceUnavailable, "no worker available for the request"
 	case outcome.IsTimeout(result.Err):
-		return fasthttp.StatusGatewayTimeout, "the time of the request is over"
+		return fasthttp.StatusGatewayTimeout, "request timed out; it may have run"
 	default:
-		return fasthttp.StatusBadGateway, "no worker has answered the request whole"
+		return fasthttp.StatusBadGateway, "no complete answer from a worker; the request may have run"
 	}
 }
--- a/internal/scheduler/proxy/answer_test.go
+++ b/internal/scheduler/proxy/answer_test.go
@@ -23,9 +23,9 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Only a request that no worker has run gets 503, also where its time is over.
+// Only a request that no worker has run gets 503, even if it timed out.
 func TestFailureStatus(t *testing.T) {
-	timeout := outcome.Errorf(outcome.TimedOut, outcome.MayHaveRun, context.DeadlineExceeded, "out of time")
+	timeout := outcome.Errorf(outcome.TimedOut, outcome.MayHaveRun, context.DeadlineExceeded, "deadline passed")
 	other := errors.New("reset")
 	for _, test := range []struct {
 		name    string
@@ -34,11 +34,11 @@
 		status  int
 	}{
 		{"not run", outcome.NotRun, other, fasthttp.StatusServiceUnavailable},
-		{"not run, out of time", outcome.NotRun, timeout, fasthttp.StatusServiceUnavailable},
+		{"not run, timed out", outcome.NotRun, timeout, fasthttp.StatusServiceUnavailable},
 		{"may have run", outcome.MayHaveRun, other, fasthttp.StatusBadGateway},
-		{"may have run, out of time", outcome.MayHaveRun, timeout, fasthttp.StatusGatewayTimeout},
+		{"may have run, timed out", outcome.MayHaveRun, timeout, fasthttp.StatusGatewayTimeout},
 		{"ran", outcome.Ran, other, fasthttp.StatusBadGateway},
-		{"ran, out of time", outcome.Ran, timeout, fasthttp.StatusGatewayTimeout},
+		{"ran, timed out", outcome.Ran, timeout, fasthttp.StatusGatewayTimeout},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			status, _ := failureStatus(&forward.Result{Outcome: test.outcome, Err: test.err})
@@ -47,7 +47,7 @@
 	}
 }
 
-// startStatusWorker starts a worker whose answer follows from the path of the request.
+// startStatusWorker starts a worker whose answer depends on the path of the request.
 func startStatusWorker(t *testing.T) (address string) {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -77,7 +77,8 @@
 	return listener.Addr().String()
 }
 
-// newStatusProxy returns a proxy with routes of each type. The service of host "worker" has one worker, that of the other hosts none.
+// newStatusProxy returns a proxy with routes of several types. The service of host "worker" has one
+// worker, that of the other hosts has none.
 func newStatusProxy(t *testing.T) *Proxy {
 	t.Helper()
 	document, err := configuration.Parse([]byte(`{"version":1,"routes":[
@@ -97,14 +98,14 @@
 	return p
 }
 
-// Each cause leads to the status and the text that the package's documentation lists.
-func TestStatusByCause(t *testing.T) {
+// Each cause leads to the status and the text that the package documentation lists.
+func TestDispatchStatus(t *testing.T) {
 	placed := newStatusProxy(t)
 	placed.jobOwners.UpdatePlacement(&rpc.Placement{Group: batchjobs.ShardName(0)})
 	addresses := map[bool]string{false: serveProxy(t, newStatusProxy(t)), true: serveProxy(t, placed)}
 	for _, test := range []struct {
 		name      string
-		placed    bool // the shards of batch jobs are placed
+		placed    bool // the placement of the batch job shards is known
 		method    string
 		host      string
 		path      string
@@ -115,22 +116,22 @@
 		retriable bool
 	}{
 		{name: "no route", host: "unknown", path: "/x", status: 404, text: "no such route"},
-		{name: "no id", host: "worker", path: "/x", noID: true, status: 400, text: "Request-Id: is missing"},
-		{name: "no worker", host: "empty", path: "/x", status: 503, text: "no worker takes the request now", retriable: true},
-		{name: "no worker for a stream", host: "stream", path: "/x", status: 503, text: "no worker takes the request now", retriable: true},
-		{name: "stream can't be continued", host: "stream", path: "/x", header: "Last-Event-Id: 1", status: 400, text: "Last-Event-Id: "},
+		{name: "no id", host: "worker", path: "/x", noID: true, status: 400, text: "missing Request-Id header"},
+		{name: "no worker", host: "empty", path: "/x", status: 503, text: "no worker available for the request", retriable: true},
+		{name: "no worker for a stream", host: "stream", path: "/x", status: 503, text: "no worker available for the request", retriable: true},
+		{name: "stream not resumable", host: "stream", path: "/x", header: "Last-Event-Id: 1", status: 400, text: "Last-Event-Id header not allowed: "},
 		{name: "served", host: "worker", path: "/x", status: 200},
-		{name: "all workers reject", host: "worker", path: "/rejected", status: 503, text: "no worker takes the request now", retriable: true},
-		{name: "all workers are others", host: "worker", path: "/misdirected", status: 503, text: "no worker takes the request now", retriable: true},
-		{name: "worker's 503 promises nothing", host: "worker", path: "/unavailable", status: 502, text: "no worker has answered the request whole"},
-		{name: "answer to another request", host: "worker", path: "/other", status: 502, text: "no worker has answered the request whole"},
+		{name: "all workers reject", host: "worker", path: "/rejected", status: 503, text: "no worker available for the request", retriable: true},
+		{name: "all workers misdirected", host: "worker", path: "/misdirected", status: 503, text: "no worker available for the request", retriable: true},
+		{name: "worker's 503 without Not-Executed", host: "worker", path: "/unavailable", status: 502, text: "no complete answer from a worker; the request may have run"},
+		{name: "answer to another request", host: "worker", path: "/other", status: 502, text: "no complete answer from a worker; the request may have run"},
 		{name: "worker's 500", host: "worker", path: "/error", status: 500},
-		{name: "batch job with GET", host: "deployment", path: "/x", status: 400, text: "a batch job is a POST with a Request-Id"},
+		{name: "batch job with GET", host: "deployment", path: "/x", status: 400, text: "batch job must be a POST request with a UTF-8 Request-Id header"},
 		{name: "malformed batch job", method: "POST", host: "deployment", path: "/x", status: 400},
-		{name: "job before placement", host: "deployment", path: "/api/lots/j", status: 503, text: "batch jobs can't be read yet", retriable: true},
-		{name: "item before placement", host: "deployment", path: "/api/items/j?id=i", status: 503, text: "items can't be read yet", retriable: true},
-		{name: "method of a job", placed: true, method: "POST", host: "deployment", path: "/api/lots/j", status: 405, text: "want GET or DELETE"},
-		{name: "method of an item", placed: true, method: "POST", host: "deployment", path: "/api/items/j", status: 405, text: "want GET"},
+		{name: "job before placement", host: "deployment", path: "/api/lots/j", status: 503, text: "batch job not available: shard placement not known yet", retriable: true},
+		{name: "item before placement", host: "deployment", path: "/api/items/j?id=i", status: 503, text: "item not read: shard placement not known yet", retriable: true},
+		{name: "method of a job", placed: true, method: "POST", host: "deployment", path: "/api/lots/j", status: 405, text: "method not allowed: want GET or DELETE"},
+		{name: "method of an item", placed: true, method: "POST", host: "deployment", path: "/api/items/j", status: 405, text: "method not allowed: want GET"},
 		{name: "job of an unknown host", host: "unknown", path: "/api/lots/j", status: 404, text: "no such route"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/scheduler/proxy/disconnect.go
+++ b/internal/scheduler/proxy/disconnect.go
@@ -10,21 +10,24 @@
 	"github.com/valyala/fasthttp"
 )
 
-// disconnectWatchDelay is how long a request lasts before its client's connection is watched: most requests end before.
+// disconnectWatchDelay is the time after which the client's connection of a request is watched.
+// Most requests end earlier and need no watch.
 const disconnectWatchDelay = 80 * time.Millisecond
 
-// expired is a deadline in the past: it ends reads that wait.
-var expired = time.Unix(1, 0)
+// pastDeadline is a read deadline in the past, which makes blocked reads return.
+var pastDeadline = time.Unix(1, 0)
 
-// disconnectWatch watches the connection of a client while a handler runs, which the HTTP server doesn't.
+// disconnectWatch watches the connection of a client while a handler runs, because the HTTP server
+// doesn't.
 type disconnectWatch struct {
 	conn  net.Conn
 	timer *time.Timer
-	done  chan struct{} // closed when the watch has ended; never where the timer was stopped before
+	done  chan struct{} // closed when the watch has ended; stays open if the timer was stopped first
 }
 
-// watchClient returns a context that ends when the client of a request disconnects, so that no worker goes on with the request. The watch
-// begins after delay. The handler has to call stop before it answers; stop ends the context too.
+// watchClient returns a context that is cancelled when the client of a request disconnects, so that
+// the worker's call is cancelled as well. The watch starts after delay. The handler must call stop
+// before it answers; stop also cancels the context.
 func watchClient(ctx *fasthttp.RequestCtx, delay time.Duration) (client context.Context, stop func()) {
 	client, cancel := context.WithCancel(context.Background())
 	conn, ok := ctx.Conn().(syscall.Conn)
@@ -44,19 +47,20 @@
 	}
 }
 
-// stop ends the watch and waits for its goroutine. It leaves the connection without a read deadline: the server sets one before it reads.
-// The connection may be closed already; setting a deadline fails then, and the watch has ended by itself.
+// stop ends the watch and waits for its goroutine. It leaves the connection without a read
+// deadline: the server sets one before it reads. If the connection is already closed, setting a
+// deadline fails and the watch has already ended.
 func (d *disconnectWatch) stop() {
 	if d.timer.Stop() {
 		return
 	}
-	_ = d.conn.SetReadDeadline(expired)
+	_ = d.conn.SetReadDeadline(pastDeadline)
 	<-d.done
 	_ = d.conn.SetReadDeadline(time.Time{})
 }
 
-// waitForClose waits until the peer has closed a connection, bytes have arrived on it, or its read deadline has passed. It reports whether the
-// peer has closed or reset it. It reads no bytes.
+// waitForClose waits until the peer closes the connection, bytes arrive on it, or its read deadline
+// passes. It reports whether the peer has closed or reset it. It consumes no bytes.
 func waitForClose(conn syscall.Conn) (closed bool) {
 	raw, err := conn.SyscallConn()
 	if err != nil {
@@ -71,5 +75,5 @@
 		closed = err != nil || n == 0
 		return true
 	})
-	return err == nil && closed // the error is the read deadline that stop has set
+	return err == nil && closed // an error means that stop has set the read deadline
 }
--- a/internal/scheduler/proxy/disconnect_test.go
+++ b/internal/scheduler/proxy/disconnect_test.go
@@ -11,38 +11,39 @@
 	"github.com/valyala/fasthttp"
 )
 
-// serveUntilDisconnect starts a server whose handler answers a request after a receive from finish, or sends to left where its client has
-// disconnected. It sends to watching when the watch has begun.
-func serveUntilDisconnect(t *testing.T) (address string, watching chan struct{}, finish chan struct{}, left chan struct{}) {
+// serveUntilDisconnect starts a server whose handler answers a request after a receive from finish,
+// or sends to disconnected if its client has disconnected. It sends to watching when the watch has
+// started.
+func serveUntilDisconnect(t *testing.T) (address string, watching chan struct{}, finish chan struct{}, disconnected chan struct{}) {
 	t.Helper()
-	watching, finish, left = make(chan struct{}, 8), make(chan struct{}), make(chan struct{}, 8)
+	watching, finish, disconnected = make(chan struct{}, 8), make(chan struct{}), make(chan struct{}, 8)
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	server := &fasthttp.Server{IdleTimeout: time.Minute, ReadTimeout: time.Minute, Handler: func(ctx *fasthttp.RequestCtx) {
-		within, stop := watchClient(ctx, 0)
+		client, stop := watchClient(ctx, 0)
 		defer stop()
 		watching <- struct{}{}
 		select {
-		case <-within.Done():
-			left <- struct{}{}
+		case <-client.Done():
+			disconnected <- struct{}{}
 		case <-finish:
 		}
 	}}
 	go server.Serve(listener)
 	t.Cleanup(func() { listener.Close() })
-	return listener.Addr().String(), watching, finish, left
+	return listener.Addr().String(), watching, finish, disconnected
 }
 
 const plainRequest = "GET /x HTTP/1.1\r\nHost: h\r\n\r\n"
 
 // A client that closes or resets its connection ends the context of its request.
-func TestClientLeaves(t *testing.T) {
+func TestWatchClientDisconnect(t *testing.T) {
 	for _, how := range []string{"closes", "resets"} {
 		t.Run(how, func(t *testing.T) {
 			is := is.New(t)
-			address, watching, _, left := serveUntilDisconnect(t)
+			address, watching, _, disconnected := serveUntilDisconnect(t)
 			conn, err := net.Dial("tcp4", address)
 			is.NoErr(err)
 			_, err = io.WriteString(conn, plainRequest)
@@ -53,18 +54,19 @@
 			}
 			conn.Close()
 			select {
-			case <-left:
+			case <-disconnected:
 			case <-time.After(20 * time.Second):
-				t.Fatal("the disconnect was not noticed")
+				t.Fatal("watchClient did not end the context within 20 s of the client's disconnect")
 			}
 		})
 	}
 }
 
-// A client that stays connected gets all its answers on one connection, also where its next request has arrived already.
-func TestWatchedConnectionServesOn(t *testing.T) {
+// A watched connection remains usable: the client gets all answers on it, even if its next request
+// arrives during the watch.
+func TestWatchClientConnectionReuse(t *testing.T) {
 	is := is.New(t)
-	address, watching, finish, left := serveUntilDisconnect(t)
+	address, watching, finish, disconnected := serveUntilDisconnect(t)
 	conn, err := net.Dial("tcp4", address)
 	is.NoErr(err)
 	defer conn.Close()
@@ -75,7 +77,7 @@
 		is.NoErr(response.Read(reader))
 		is.Equal(response.StatusCode(), fasthttp.StatusOK)
 	}
-	for range 200 { // often enough that the watch ends at any of its steps
+	for range 200 { // often enough that stop hits every stage of the watch
 		_, err = io.WriteString(conn, plainRequest)
 		is.NoErr(err)
 		<-watching
@@ -90,5 +92,5 @@
 		answered()
 		answered()
 	}
-	is.Equal(len(left), 0)
+	is.Equal(len(disconnected), 0)
 }
--- a/internal/scheduler/proxy/eventbuffer.go
+++ b/internal/scheduler/proxy/eventbuffer.go
@@ -2,11 +2,12 @@
 
 import "bytes"
 
-// eventBuffer splits a stream into complete events, so that the stream can be continued after the last one that the client has.
+// eventBuffer splits a stream into complete events, so that the stream can be resumed after the
+// last event that was passed on.
 type eventBuffer struct {
 	buffer   []byte
-	complete int    // length of the complete events at the start of buffer
-	lastID   string // of the last complete event that has an id
+	complete int    // length in bytes of the complete events at the start of buffer
+	lastID   string // id of the last complete event that has one
 	hasID    bool   // a complete event had an id
 }
 
@@ -23,10 +24,10 @@
 	}
 }
 
-// eventEnd ends an event: an empty line.
+// eventEnd is the empty line that terminates an event.
 var eventEnd = []byte("\n\n")
 
-// recordID stores the id of an event, if it has one.
+// recordID stores the id of an event if it has one.
 func (c *eventBuffer) recordID(event []byte) {
 	for line := range bytes.SplitSeq(event, []byte("\n")) {
 		if id, ok := bytes.CutPrefix(line, []byte("id:")); ok {
@@ -35,7 +36,7 @@
 	}
 }
 
-// readComplete moves bytes of complete events to b and returns how many.
+// readComplete moves bytes of complete events to b and returns their number.
 func (c *eventBuffer) readComplete(b []byte) int {
 	n := copy(b, c.buffer[:c.complete])
 	c.buffer = c.buffer[n:]
@@ -43,12 +44,13 @@
 	return n
 }
 
-// readRemainder moves bytes to b that follow the last complete event. It is for the end of a complete stream.
+// readRemainder moves buffered bytes to b and returns their number, including those after the last
+// complete event. It is used at the end of a complete stream.
 func (c *eventBuffer) readRemainder(b []byte) int {
 	n := copy(b, c.buffer)
 	c.buffer = c.buffer[n:]
 	return n
 }
 
-// discardPartial discards the event that broke off.
+// discardPartial discards the incomplete event at the end of the buffer.
 func (c *eventBuffer) discardPartial() { c.buffer = c.buffer[:c.complete] }
--- a/internal/scheduler/proxy/eventbuffer_test.go
+++ b/internal/scheduler/proxy/eventbuffer_test.go
@@ -6,7 +6,7 @@
 	"github.com/matryer/is"
 )
 
-// Only complete events reach the client, so that a stream can be continued after the last one.
+// Only complete events are passed on, so that a stream can be resumed after the last one.
 func TestEventBuffer(t *testing.T) {
 	is := is.New(t)
 	var c eventBuffer
@@ -17,7 +17,7 @@
 	n := c.readComplete(b)
 	is.Equal(string(b[:n]), "id: 1\ndata: x\n\n")
 	is.Equal(c.lastID, "1")
-	c.discardPartial() // the worker broke off; another one continues after event 1
+	c.discardPartial() // the worker failed; another one resumes after event 1
 	c.write([]byte("id: 2\ndata: y\n\n"))
 	n = c.readComplete(b)
 	is.Equal(string(b[:n]), "id: 2\ndata: y\n\n")
--- a/internal/scheduler/proxy/feed.go
+++ b/internal/scheduler/proxy/feed.go
@@ -9,7 +9,7 @@
 	"saffronquay/internal/scheduler/settings"
 )
 
-// applyEvents applies the control plane's events in their order. The feed's goroutine calls it.
+// applyEvents applies the control plane's events in order. It is called by the feed's goroutine.
 func (p *Proxy) applyEvents(events []*rpc.FeedEvent) {
 	for _, e := range events {
 		switch x := e.Event.(type) {
@@ -33,7 +33,7 @@
 	}
 }
 
-// applyMember records another gatherer, or the zone of a storage node.
+// applyMember records a gatherer, or the zone of a storage node.
 func (p *Proxy) applyMember(member *rpc.Member) {
 	switch member.Kind {
 	case settings.ServesEdge:
@@ -43,25 +43,25 @@
 	}
 }
 
-// applyConfiguration puts a configuration in force, unless it is older than the one in force or unreadable. The first one lets the requests
-// go on that wait in awaitConfiguration.
+// applyConfiguration replaces the configuration in force, unless the new one is not newer or can't
+// be decoded. The first configuration unblocks the requests that wait in awaitConfiguration.
 func (p *Proxy) applyConfiguration(e *rpc.ConfigurationEvent) {
 	if old := p.config.Load(); old != nil && old.Version >= e.Version {
 		return
 	}
 	text, err := compression.Documents.Decompress(e.Body)
 	if err != nil {
-		p.log.Error("configuration can't be used", "version", e.Version, "error", err)
+		p.log.Error("configuration not applied: decompression failed", "version", e.Version, "error", err)
 		return
 	}
 	document, err := configuration.ParseTrusted(text)
 	if err != nil {
-		p.log.Error("configuration can't be used", "version", e.Version, "error", err)
+		p.log.Error("configuration not applied: parsing failed", "version", e.Version, "error", err)
 		return
 	}
 	if p.config.Swap(configuration.NewTable(document)) == nil {
 		close(p.configured)
 		metrics.RecordStartPhase("configuration")
 	}
-	p.log.Info("configuration", "version", e.Version, "routes", len(document.Routes))
+	p.log.Info("configuration applied", "version", e.Version, "routes", len(document.Routes))
 }
--- a/internal/scheduler/proxy/forward.go
+++ b/internal/scheduler/proxy/forward.go
@@ -8,14 +8,15 @@
 	"github.com/valyala/fasthttp"
 )
 
-// answerMargin is left between the deadline that workers get and the client's: the answer has to reach the client in time.
+// answerMargin is how long before the client's deadline the deadline of the workers ends, so that
+// the answer can reach the client in time.
 const answerMargin = 4 * time.Millisecond
 
-// forwardRequest forwards a request to a worker and its answer to the client.
+// forwardRequest forwards a request to a worker and the worker's answer to the client.
 func (p *Proxy) forwardRequest(ctx *fasthttp.RequestCtx, route *configuration.Route, host, path string) {
 	id := string(ctx.Request.Header.Peek("Request-Id"))
 	if id == "" {
-		answer(ctx, fasthttp.StatusBadRequest, "Request-Id: is missing")
+		answer(ctx, fasthttp.StatusBadRequest, "missing Request-Id header")
 		return
 	}
 	request := newForwardRequest(ctx, route, host, path, id)
@@ -26,7 +27,7 @@
 	}
 	defer stop()
 	result := p.forwarder.Do(client, request)
-	defer result.Release() // before stop: the end of its context would take the worker's connection with it
+	defer result.Release() // must run before stop: cancelling the context would close the worker's connection
 	if result.Err != nil {
 		answerFailure(ctx, &result)
 		return
@@ -52,11 +53,12 @@
 	}
 }
 
-// deadline returns when a request has to be answered: the client's deadline or the route's timeout, whichever is earlier, less answerMargin.
+// deadline returns the time by which workers must answer a request: the client's deadline or the
+// route's timeout, whichever is earlier, minus answerMargin.
 func deadline(ctx *fasthttp.RequestCtx, route *configuration.Route) time.Time {
 	limit := time.Duration(route.TimeoutMS * float64(time.Millisecond))
-	if left, ok := clientTime(ctx); ok {
-		limit = min(limit, left)
+	if timeout, ok := clientTimeout(ctx); ok {
+		limit = min(limit, timeout)
 	}
 	return ctx.Time().Add(limit - answerMargin)
 }
--- a/internal/scheduler/proxy/forward_test.go
+++ b/internal/scheduler/proxy/forward_test.go
@@ -21,7 +21,8 @@
 	"github.com/valyala/fasthttp"
 )
 
-// startFakeWorker starts a worker that answers requests, but for those to /silent. It sends to opened and closed for each connection.
+// startFakeWorker starts a worker that answers all requests except those to /silent. It sends to
+// opened and closed for each connection.
 func startFakeWorker(t *testing.T) (address string, opened, closed chan struct{}) {
 	t.Helper()
 	opened, closed = make(chan struct{}, 16), make(chan struct{}, 16)
@@ -90,8 +91,9 @@
 	return "GET " + path + " HTTP/1.1\r\nHost: h\r\nRequest-Id: " + id + "\r\nDeadline-Ms: 60000\r\n\r\n"
 }
 
-// The connection to a worker is kept for the next request: it outlasts the watch of the first request's client.
-func TestWorkersConnectionIsKept(t *testing.T) {
+// The connection to a worker is reused by the next request, since it outlives the watch of the
+// first request's client.
+func TestForwardRequestReusesConnection(t *testing.T) {
 	is := is.New(t)
 	workerAddress, opened, _ := startFakeWorker(t)
 	address := startProxy(t, workerAddress)
@@ -108,8 +110,8 @@
 	is.Equal(len(opened), 1)
 }
 
-// The connection to a worker is closed when the client of its request has disconnected.
-func TestWorkerIsLetGoWhenTheClientLeaves(t *testing.T) {
+// The connection to a worker is closed when the client of its request disconnects.
+func TestForwardRequestClientDisconnect(t *testing.T) {
 	is := is.New(t)
 	workerAddress, opened, closed := startFakeWorker(t)
 	conn, err := net.Dial("tcp4", startProxy(t, workerAddress))
@@ -121,6 +123,6 @@
 	select {
 	case <-closed:
 	case <-time.After(20 * time.Second):
-		t.Fatal("the connection to the worker is still open")
+		t.Fatal("the connection to the worker is still open 20 s after the client's disconnect")
 	}
 }
--- a/internal/scheduler/proxy/handler.go
+++ b/internal/scheduler/proxy/handler.go
@@ -16,17 +16,19 @@
 	itemsPath = "/api/items/"
 	// maxConfigurationWait is how long a request may wait for the first configuration.
 	maxConfigurationWait = 600 * time.Millisecond
-	// clientWaitDivisor: before a client sends a request again, it waits for at most this part of its remaining time, one in so many.
+	// A client waits for at most its remaining time divided by clientWaitDivisor before it sends a
+	// request again.
 	clientWaitDivisor = 3
 )
 
-// handle answers one request of a client. A panic is answered 502: a worker may have run the request.
+// handle answers one request of a client. After a panic the answer is 502, since a worker may have
+// run the request.
 func (p *Proxy) handle(ctx *fasthttp.RequestCtx) {
 	p.active.Add(1)
 	defer p.active.Add(-1)
 	defer panicguard.Contain(func(panicked *panicguard.PanicError) {
 		metrics.CountPanic("request")
-		p.log.Error("panic", "request", string(ctx.Request.Header.Peek("Request-Id")), "error", panicked, "stack", string(panicked.Stack))
+		p.log.Error("panic in request handler", "request", string(ctx.Request.Header.Peek("Request-Id")), "error", panicked, "stack", string(panicked.Stack))
 		ctx.Response.Reset()
 		ctx.SetConnectionClose()
 		answer(ctx, fasthttp.StatusBadGateway, "internal error")
@@ -34,7 +36,8 @@
 	p.dispatch(ctx)
 }
 
-// dispatch answers a request by its path and by the type of its route; the package's documentation lists the statuses.
+// dispatch answers a request according to its path and the type of its route. The package
+// documentation lists the statuses.
 func (p *Proxy) dispatch(ctx *fasthttp.RequestCtx) {
 	if p.stopping.Load() {
 		ctx.SetConnectionClose()
@@ -64,20 +67,21 @@
 	}
 }
 
-// awaitConfiguration returns the configuration in force; nil where none is known. Right after the start it waits for the first one, for half
-// of the client's time at most. With the feature gate ImmediateRejection (quickRefusal in the settings) it doesn't wait where the client has the time to come back later, which
-// scores higher (docs/EXPERIMENTS.md).
+// awaitConfiguration returns the configuration in force, or nil if there is none. Before the first
+// one has been received it waits for it, for up to maxConfigurationWait and half of the client's
+// timeout. With the feature gate ImmediateRejection (quickRefusal in the settings) it doesn't wait
+// if the client has enough time to retry, which scores higher (docs/EXPERIMENTS.md).
 func (p *Proxy) awaitConfiguration(ctx *fasthttp.RequestCtx) *configuration.Table {
 	table := p.config.Load()
 	if table != nil {
 		return table
 	}
 	wait := maxConfigurationWait
-	if left, ok := clientTime(ctx); ok {
-		if p.settings.FeatureGates.ImmediateRejection && retryFitsDeadline(left) {
+	if timeout, ok := clientTimeout(ctx); ok {
+		if p.settings.FeatureGates.ImmediateRejection && retryFitsDeadline(timeout) {
 			return nil
 		}
-		wait = min(wait, left/2)
+		wait = min(wait, timeout/2)
 	}
 	select {
 	case <-p.configured:
@@ -86,11 +90,13 @@
 	return p.config.Load()
 }
 
-// retryFitsDeadline reports whether a client with so much time left waits long enough for a process to get its first configuration.
-func retryFitsDeadline(left time.Duration) bool { return left/clientWaitDivisor >= startRetryAfter }
+// retryFitsDeadline reports whether a client that waits up to limit for an answer has time for a
+// retry after startRetryAfter, when a process usually has its first configuration.
+func retryFitsDeadline(limit time.Duration) bool { return limit/clientWaitDivisor >= startRetryAfter }
 
-// clientTime returns the time that a client gives its request with Deadline-Ms; ok is false without a positive number there.
-func clientTime(ctx *fasthttp.RequestCtx) (left time.Duration, ok bool) {
+// clientTimeout returns the timeout in the request's header Deadline-Ms. ok is false if the header
+// is not a positive number.
+func clientTimeout(ctx *fasthttp.RequestCtx) (timeout time.Duration, ok bool) {
 	ms, err := strconv.ParseFloat(string(ctx.Request.Header.Peek("Deadline-Ms")), 64)
 	if err == nil && ms > 0 {
 		return time.Duration(ms * float64(time.Millisecond)), true
--- a/internal/scheduler/proxy/headers.go
+++ b/internal/scheduler/proxy/headers.go
@@ -7,7 +7,7 @@
 	"github.com/valyala/fasthttp"
 )
 
-// forwardedHeaders returns the header fields of a request that are forwarded to the worker.
+// forwardedHeaders returns the header fields of a request that are passed on to the worker.
 func forwardedHeaders(ctx *fasthttp.RequestCtx) (headers []worker.Header) {
 	for name, value := range ctx.Request.Header.All() {
 		if !isReplacedInRequest(string(name)) {
@@ -17,7 +17,8 @@
 	return headers
 }
 
-// isReplacedInRequest reports whether a field of a request concerns the client's connection only (hop by hop), or is set by package forward.
+// isReplacedInRequest reports whether a header field of a request is not passed on: hop-by-hop
+// fields, and fields that packages forward and worker set.
 func isReplacedInRequest(name string) bool {
 	switch strings.ToLower(name) {
 	case "connection", "keep-alive", "proxy-connection", "proxy-authenticate", "proxy-authorization", "te", "trailer", "transfer-encoding", "upgrade",
@@ -27,7 +28,8 @@
 	return false
 }
 
-// copyResponseHead copies a worker's status and its header fields, but for those that concern the worker's connection only.
+// copyResponseHead copies a worker's status and header fields, except hop-by-hop fields and those
+// that the HTTP server sets.
 func copyResponseHead(ctx *fasthttp.RequestCtx, from *worker.Answer) {
 	ctx.SetStatusCode(from.Status)
 	for name, value := range from.Header.All() {
--- a/internal/scheduler/proxy/jobs.go
+++ b/internal/scheduler/proxy/jobs.go
@@ -14,20 +14,22 @@
 )
 
 const (
-	jobReadTimeout = 1500 * time.Millisecond // of a read, beyond the time that the client lets it wait
-	maxReadWait    = 2 * time.Second         // that a client may let a read wait for new results
-	// nearbyReadMargin is the time of a read from a replica of this zone, beyond the client's wait.
+	jobReadTimeout = 1500 * time.Millisecond // of a read from the owner, in addition to the client's Wait-Ms
+	maxReadWait    = 2 * time.Second         // upper bound of Wait-Ms, the time a read waits for new results
+	// nearbyReadMargin is the timeout of a read from a replica in this zone, in addition to the
+	// client's Wait-Ms.
 	nearbyReadMargin = 300 * time.Millisecond
 )
 
-// ownerResponse is a response of a shard's owner, or of a replica that isn't the owner.
+// ownerResponse is a response from a shard's owner, or from a replica that isn't the owner.
 type ownerResponse interface {
 	GetOutcome() rpc.Outcome
 	GetLeaderAddress() string
 }
 
-// callOwner calls the owner of a shard until it has answered, or timeout and ownerWait have passed. ownerWait is how long the owner may let the
-// call wait. The errors are those of batchclient.Client.Call; the call may be repeated.
+// callOwner calls the owner of a shard, with retries, until it has answered or timeout plus
+// ownerWait has passed. ownerWait is how long the owner may wait before it answers. The call must
+// be idempotent, since it may be repeated. The errors are those of batchclient.Client.Call.
 func callOwner[R ownerResponse](p *Proxy, shard string, timeout, ownerWait time.Duration, call func(context.Context, rpc.Ledger) (R, error)) (R, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout+ownerWait)
 	defer cancel()
@@ -48,34 +50,34 @@
 	shard := p.jobOwners.ShardOfHost(host)
 	switch {
 	case shard == "":
-		reject(ctx, "batch jobs can't be read yet")
+		reject(ctx, "batch job not available: shard placement not known yet")
 	case ctx.IsGet():
 		p.readJob(ctx, shard, id)
 	case ctx.IsDelete():
 		p.cancelJob(ctx, shard, id)
 	default:
-		answer(ctx, fasthttp.StatusMethodNotAllowed, "want GET or DELETE")
+		answer(ctx, fasthttp.StatusMethodNotAllowed, "method not allowed: want GET or DELETE")
 	}
 }
 
-// readJob answers with the results of a job after the position that the query names. Where there is none yet, the read waits as long as the
-// header Wait-Ms says, maxReadWait at most.
+// readJob answers with the results of a job after the position in the query parameter "after". If
+// there are none yet, it waits for the duration in the header Wait-Ms, up to maxReadWait.
 func (p *Proxy) readJob(ctx *fasthttp.RequestCtx, shard, id string) {
 	after := ctx.QueryArgs().GetUintOrZero("after")
-	begun := time.Now()
+	start := time.Now()
 	wait := readWait(ctx)
 	page := p.readFromNearbyReplica(shard, id, after, wait)
 	if page != nil {
 		writePage(ctx, page, after)
 		return
 	}
-	wait = max(0, wait-time.Since(begun).Truncate(time.Millisecond))
+	wait = max(0, wait-time.Since(start).Truncate(time.Millisecond))
 	page, err := callOwner(p, shard, jobReadTimeout, wait, func(ctx context.Context, owner rpc.Ledger) (*rpc.ReadResponse, error) {
 		return owner.Read(ctx, &rpc.ReadRequest{Shard: shard, Job: id, After: uint32(after), WaitMs: uint32(wait.Milliseconds())})
 	})
 	switch {
 	case err != nil:
-		reject(ctx, "the batch job can't be read now")
+		reject(ctx, "batch job not read: no answer from the shard owner")
 	case !page.Found:
 		answer(ctx, fasthttp.StatusNotFound, "no such batch job")
 	default:
@@ -83,7 +85,8 @@
 	}
 }
 
-// readWait returns how long a client lets a read wait for new results, rounded down to milliseconds.
+// readWait returns how long a read may wait for new results, from the header Wait-Ms, up to
+// maxReadWait.
 func readWait(ctx *fasthttp.RequestCtx) time.Duration {
 	ms, err := strconv.Atoi(string(ctx.Request.Header.Peek("Wait-Ms")))
 	if err != nil || ms < 0 {
@@ -92,8 +95,9 @@
 	return time.Duration(min(ms, int(maxReadWait.Milliseconds()))) * time.Millisecond
 }
 
-// readFromNearbyReplica reads from a replica of this zone, so that the results don't cross zones; nil where there is none, or where it doesn't
-// answer, has not caught up or doesn't know the job. The caller reads from the owner then.
+// readFromNearbyReplica reads from a replica in this zone, to avoid traffic between zones. It
+// returns nil if there is no such replica, or if it doesn't answer, has not caught up or doesn't
+// know the job; the caller must then read from the owner.
 func (p *Proxy) readFromNearbyReplica(shard, id string, after int, wait time.Duration) *rpc.ReadResponse {
 	address := p.jobOwners.NearbyReplica(shard)
 	if address == "" {
@@ -125,31 +129,31 @@
 	ctx.SetBody(text)
 }
 
-// cancelJob ends a batch job before its items are complete. Without a clear answer it answers 504, and 503 where no call had an effect. The
-// trainer may repeat the cancellation in any case.
+// cancelJob cancels a batch job. It answers 503 if the cancellation has had no effect, and 504 if
+// its outcome is unknown. The trainer may repeat the cancellation in any case.
 func (p *Proxy) cancelJob(ctx *fasthttp.RequestCtx, shard, id string) {
 	response, err := callOwner(p, shard, submitTimeout, 0, func(ctx context.Context, owner rpc.Ledger) (*rpc.EndResponse, error) {
 		return owner.End(ctx, &rpc.EndRequest{Shard: shard, Job: id})
 	})
 	switch {
 	case errors.Is(err, batchclient.ErrUnavailable):
-		reject(ctx, "the batch job can't be ended now")
+		reject(ctx, "batch job not cancelled: shard owner unavailable")
 	case err != nil:
-		answer(ctx, fasthttp.StatusGatewayTimeout, "the end of the batch job is not certain")
+		answer(ctx, fasthttp.StatusGatewayTimeout, "cancellation not confirmed by the shard owner; the batch job may have been cancelled")
 	case !response.Found:
 		answer(ctx, fasthttp.StatusNotFound, "no such batch job")
 	}
 }
 
-// readItemBody answers with the body of an item, which the query names.
+// readItemBody answers with the body of the item in the query parameter "id".
 func (p *Proxy) readItemBody(ctx *fasthttp.RequestCtx, host, id string) {
 	if !ctx.IsGet() {
-		answer(ctx, fasthttp.StatusMethodNotAllowed, "want GET")
+		answer(ctx, fasthttp.StatusMethodNotAllowed, "method not allowed: want GET")
 		return
 	}
 	shard := p.jobOwners.ShardOfHost(host)
 	if shard == "" {
-		reject(ctx, "items can't be read yet")
+		reject(ctx, "item not read: shard placement not known yet")
 		return
 	}
 	item := string(ctx.QueryArgs().Peek("id"))
@@ -158,7 +162,7 @@
 	})
 	switch {
 	case err != nil:
-		reject(ctx, "the item can't be read now")
+		reject(ctx, "item not read: no answer from the shard owner")
 	case !body.Found:
 		answer(ctx, fasthttp.StatusNotFound, "no such item")
 	default:
--- a/internal/scheduler/proxy/jobs_test.go
+++ b/internal/scheduler/proxy/jobs_test.go
@@ -18,7 +18,7 @@
 	outcome rpc.Outcome
 	found   bool
 	absent  bool // its shard has no replicas, so that it is never called
-	refuses bool // nobody listens at its address
+	refuses bool // its address refuses connections
 }
 
 func (o fakeOwner) Submit(context.Context, *rpc.SubmitRequest) (*rpc.SubmitResponse, error) {
@@ -58,9 +58,9 @@
 	return serveProxy(t, p)
 }
 
-// A call that has no effect, or whose effect is not known, leads to the status that the package's documentation lists. Rejections promise that
-// nothing was stored, so that only a submission without effect and reads get one.
-func TestStatusByOutcomeOfTheOwner(t *testing.T) {
+// Each outcome of a call to the owner leads to the status that the package documentation lists.
+// Since 503 guarantees that nothing was stored, only reads and calls without effect get it.
+func TestJobStatusByOwnerOutcome(t *testing.T) {
 	const (
 		job        = "/api/lots/j"
 		item       = "/api/items/j?id=i"
@@ -79,26 +79,26 @@
 		text   string
 	}{
 		{"submitted", done, "POST", "/x", submission, 202, ""},
-		{"not submitted", absent, "POST", "/x", submission, 503, "batch jobs can't be kept now"},
-		{"not submitted: connection refused", refusing, "POST", "/x", submission, 503, "batch jobs can't be kept now"},
-		{"submission that is no UTF-8", done, "POST", "/x", "{\"requests\":[{\"id\":\"a\xff\",\"path\":\"/x\"}]}", 400, "batch job: the text is not UTF-8"},
-		{"perhaps submitted", unknown, "POST", "/x", submission, 504, "the batch job may have been taken"},
+		{"not submitted", absent, "POST", "/x", submission, 503, "batch job not stored: shard owner unavailable"},
+		{"not submitted: connection refused", refusing, "POST", "/x", submission, 503, "batch job not stored: shard owner unavailable"},
+		{"submission with invalid UTF-8", done, "POST", "/x", "{\"requests\":[{\"id\":\"a\xff\",\"path\":\"/x\"}]}", 400, "batch job: the text is not UTF-8"},
+		{"submission outcome unknown", unknown, "POST", "/x", submission, 504, "submission not confirmed by the shard owner; the batch job may have been stored"},
 		{"read", done, "GET", job, "", 200, `{"total":3`},
-		{"read of no job", missing, "GET", job, "", 404, "no such batch job"},
-		{"not read", unavailable, "GET", job, "", 503, "the batch job can't be read now"},
-		{"read without a clear answer", unknown, "GET", job, "", 503, "the batch job can't be read now"},
+		{"read of an unknown job", missing, "GET", job, "", 404, "no such batch job"},
+		{"not read", unavailable, "GET", job, "", 503, "batch job not read: no answer from the shard owner"},
+		{"read outcome unknown", unknown, "GET", job, "", 503, "batch job not read: no answer from the shard owner"},
 		{"cancelled", done, "DELETE", job, "", 200, ""},
-		{"cancellation of no job", missing, "DELETE", job, "", 404, "no such batch job"},
-		{"not cancelled", unavailable, "DELETE", job, "", 503, "the batch job can't be ended now"},
-		{"not cancelled: connection refused", refusing, "DELETE", job, "", 503, "the batch job can't be ended now"},
-		{"perhaps cancelled", unknown, "DELETE", job, "", 504, "the end of the batch job is not certain"},
+		{"cancellation of an unknown job", missing, "DELETE", job, "", 404, "no such batch job"},
+		{"not cancelled", unavailable, "DELETE", job, "", 503, "batch job not cancelled: shard owner unavailable"},
+		{"not cancelled: connection refused", refusing, "DELETE", job, "", 503, "batch job not cancelled: shard owner unavailable"},
+		{"cancellation outcome unknown", unknown, "DELETE", job, "", 504, "cancellation not confirmed by the shard owner; the batch job may have been cancelled"},
 		{"item", done, "GET", item, "", 200, "body"},
-		{"no item", missing, "GET", item, "", 404, "no such item"},
-		{"another method for an item", done, "POST", item, "", 405, "want GET"},
-		{"item not read", unavailable, "GET", item, "", 503, "the item can't be read now"},
+		{"unknown item", missing, "GET", item, "", 404, "no such item"},
+		{"another method for an item", done, "POST", item, "", 405, "method not allowed: want GET"},
+		{"item not read", unavailable, "GET", item, "", 503, "item not read: no answer from the shard owner"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			t.Parallel() // the failures take seconds
+			t.Parallel() // the failure cases take seconds
 			is := is.New(t)
 			var request fasthttp.Request
 			var response fasthttp.Response
--- a/internal/scheduler/proxy/proxy.go
+++ b/internal/scheduler/proxy/proxy.go
@@ -26,16 +26,17 @@
 )
 
 const (
-	sweepInterval   = 2 * time.Second // between two searches for idle connections to workers
+	sweepInterval   = 2 * time.Second // between two sweeps for expired connections to workers
 	readBufferBytes = 64 << 10        // bounds the head of a request
 	maxBodyBytes    = 64 << 20
 	readTimeout     = 15 * time.Second
 	idleTimeout     = 90 * time.Second
-	// shutdownTimeout bounds the closing of connections after the drain. What is open then ends with the process.
+	// shutdownTimeout bounds the shutdown of the HTTP server after the drain. Connections that are
+	// still open end with the process.
 	shutdownTimeout = 300 * time.Millisecond
 )
 
-// Proxy is a running process of this role.
+// Proxy is the state of a proxy process.
 type Proxy struct {
 	settings   *settings.Settings
 	log        *slog.Logger
@@ -43,26 +44,27 @@
 	forwarder  *forward.Forwarder
 	jobOwners  *batchclient.Client
 	config     atomic.Pointer[configuration.Table] // nil until the first configuration
-	configured chan struct{}                       // closed with the first configuration
-	stopping   atomic.Bool                         // the process drains
-	active     atomic.Int64                        // handlers and streams under way
+	configured chan struct{}                       // closed after the first configuration was applied
+	stopping   atomic.Bool                         // the process is draining
+	active     atomic.Int64                        // handlers and streams in progress
 
 	mu          sync.Mutex      // guards the fields below
-	policies    map[string]bool // by model: whether the directory knows that its texts must come from one version
-	policyCalls map[string]bool // models with a call to the directory under way
+	policies    map[string]bool // by model: whether its texts must come from one weight version, as the directory reports
+	policyCalls map[string]bool // models with a call to the directory in flight
 }
 
-// processStart is the zero of clock, but for its offset.
+// processStart is the reference time of clock.
 var processStart = time.Now()
 
-// clockOffsetMS keeps the clock away from 0, which stands for "never" in the tables.
+// clockOffsetMS keeps the clock away from 0, which means "never" in the tables.
 const clockOffsetMS = 1_000_000
 
-// clock returns milliseconds that never step back.
+// clock returns a monotonic time in milliseconds.
 func clock() int64 { return time.Since(processStart).Milliseconds() + clockOffsetMS }
 
-// Run serves until ctx ends, then drains: readiness fails at once, requests are served on for a while, leased items are finished or handed
-// back. It returns an error only where an address can't be listened on. Settings that change later have no effect.
+// Run serves until ctx ends and then drains: readiness fails immediately, requests are still served
+// for a while, and leased items are finished or handed back. It returns an error only if it can't
+// listen on an address. Later changes of the settings have no effect.
 func Run(ctx context.Context, source *settings.Source, log *slog.Logger) error {
 	s := source.Current()
 	p := newProxy(s, log)
@@ -74,7 +76,7 @@
 	if err != nil {
 		return err
 	}
-	// The feed outlasts ctx: requests are routed during the drain.
+	// The feed outlives ctx, since requests are still routed during the drain.
 	serving, stopServing := context.WithCancel(context.WithoutCancel(ctx))
 	defer stopServing()
 	go p.newFeed().Run(serving)
@@ -93,7 +95,7 @@
 	p.drain(grace, runnerDone)
 	shutdown, cancel := context.WithTimeout(context.WithoutCancel(ctx), shutdownTimeout)
 	defer cancel()
-	_ = server.ShutdownWithContext(shutdown) // an error says that connections are still open; they end with the process
+	_ = server.ShutdownWithContext(shutdown) // an error means that connections are still open; they end with the process
 	return nil
 }
 
@@ -113,7 +115,8 @@
 	}
 }
 
-// newFeed returns the client that keeps this process up to date from the agent of its machine.
+// newFeed returns the client that receives the control plane's events from the agent of this
+// machine.
 func (p *Proxy) newFeed() *feed.Client {
 	return &feed.Client{
 		Wait:     feed.LoopbackWait,
@@ -157,13 +160,14 @@
 	}
 }
 
-// gathererName returns a name for this run of the gatherer, so that owners of batch jobs take back the leases of an earlier run.
+// gathererName returns a name that is unique to this run of the gatherer, so that owners of batch
+// jobs can revoke the leases of an earlier run.
 func gathererName(node string) string {
 	const base = 36
 	return node + batchjobs.IncarnationSeparator + strconv.FormatUint(rand.Uint64(), base)
 }
 
-// sweepConnections closes idle connections to workers until ctx ends.
+// sweepConnections periodically closes expired idle connections to workers until ctx ends.
 func (p *Proxy) sweepConnections(ctx context.Context) {
 	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
--- a/internal/scheduler/proxy/stream.go
+++ b/internal/scheduler/proxy/stream.go
@@ -13,12 +13,13 @@
 	"github.com/valyala/fasthttp"
 )
 
-// forwardStream forwards a request and relays the events of its answer. client ends when the client disconnects before the head of the answer
-// has come; afterwards a failing write ends the stream. stop ends the watch of the client.
+// forwardStream forwards a request and relays the events of its answer. The context client ends if
+// the client disconnects before the head of the answer has arrived; after that, a failed write ends
+// the stream. stop ends the watch of the client.
 func (p *Proxy) forwardStream(client context.Context, stop func(), ctx *fasthttp.RequestCtx, request *forward.Request) {
 	if last := ctx.Request.Header.Peek("Last-Event-Id"); len(last) > 0 && !request.Route.Resumable {
 		stop()
-		answer(ctx, fasthttp.StatusBadRequest, "Last-Event-Id: streams of this route can't be taken up again")
+		answer(ctx, fasthttp.StatusBadRequest, "Last-Event-Id header not allowed: streams of this route are not resumable")
 		return
 	}
 	result := p.openStream(client, stop, request)
@@ -38,19 +39,20 @@
 	ctx.Response.SetBodyStream(&streamRelay{proxy: p, request: request, result: result}, -1)
 }
 
-// copyErrorBody copies the body of an error answer, so that the client gets it complete or not at all.
+// copyErrorBody copies the body of an error answer. The client gets it completely or not at all.
 func copyErrorBody(ctx *fasthttp.RequestCtx, result *forward.Result) {
 	body, err := result.Answer.ReadAll()
 	if err != nil {
 		ctx.Response.Reset()
-		answer(ctx, fasthttp.StatusBadGateway, "the worker's answer broke off")
+		answer(ctx, fasthttp.StatusBadGateway, "incomplete error answer from the worker")
 		return
 	}
 	ctx.Response.SetBodyRaw(body)
 }
 
-// openStream sends a stream's request and returns with the head of the answer. The stream's context ends with client only until then: the
-// stream itself outlasts the watch, which stop ends.
+// openStream sends a stream's request and returns after the head of the answer. Until then the end
+// of the context client cancels the stream's context; the stream itself outlives the watch of the
+// client, which openStream ends by calling stop.
 func (p *Proxy) openStream(client context.Context, stop func(), request *forward.Request) forward.Result {
 	streamCtx, cancel := context.WithCancel(context.WithoutCancel(client))
 	unlink := context.AfterFunc(client, cancel)
@@ -63,32 +65,35 @@
 	return result
 }
 
-// streamRelay is the body of a stream's answer: the events of a worker, continued by another one where the route allows that. The HTTP server
-// reads and closes it from one goroutine.
+// streamRelay is the body of a stream's answer: the events of a worker, resumed at another worker
+// if the route allows it. The HTTP server reads and closes it from one goroutine.
 type streamRelay struct {
 	proxy   *Proxy
 	request *forward.Request
-	result  forward.Result // of the worker that sends now
+	result  forward.Result // of the worker that currently sends the events
 	closed  bool
 	events  eventBuffer
 }
 
-// errPanicked ends a stream on which the program itself failed.
-var errPanicked = errors.New("proxy: internal error")
+// errPanicked is the error of a stream after a panic.
+var errPanicked = errors.New("proxy: internal error: panic while relaying a stream")
 
-// Read implements io.Reader. It returns complete events only, but for what follows the last event of a complete stream. On an error other than
-// io.EOF the server closes the client's connection without the end of the body, so that the client sees that the stream is incomplete. So does a
-// panic: the server calls Read outside of the request's handler.
+// Read implements io.Reader. It returns only complete events, except at the end of a complete
+// stream, where it also returns the remaining bytes. After an error other than io.EOF the server
+// closes the client's connection without terminating the body, so that the client detects the
+// incomplete stream. A panic is recovered here and has the same effect, since the server calls Read
+// outside of the request's handler.
 func (r *streamRelay) Read(b []byte) (n int, err error) {
 	defer panicguard.Contain(func(p *panicguard.PanicError) {
 		metrics.CountPanic("stream")
-		r.proxy.log.Error("panic", "request", r.request.ID, "error", p, "stack", string(p.Stack))
+		r.proxy.log.Error("panic while relaying a stream", "request", r.request.ID, "error", p, "stack", string(p.Stack))
 		n, err = 0, errPanicked
 	})
 	return r.relay(b)
 }
 
-// relay reads on in the stream, at another worker where that is necessary and possible.
+// relay reads from the stream. If the worker fails, it resumes the stream at another one if
+// possible.
 func (r *streamRelay) relay(b []byte) (int, error) {
 	for {
 		if n := r.events.readComplete(b); n > 0 {
@@ -111,15 +116,17 @@
 	}
 }
 
-// resume has another worker continue the stream after the last complete event. It returns false where the route doesn't allow that, no event
-// with an id has come, the time is over, or no worker continues.
+// resume opens the stream at another worker, after the last complete event. It returns false if the
+// route is not resumable, no event with an id has arrived, the deadline has passed, or no worker
+// accepts the request.
 func (r *streamRelay) resume() bool {
 	if !r.request.Route.Resumable || !r.events.hasID || time.Until(r.request.Deadline) <= 0 {
 		return false
 	}
 	r.result.Release()
 	r.result.Answer = nil
-	// The deadline of the request bounds the call. The client's disconnect is noticed with the next write.
+	// The call is bounded by the request's deadline. A disconnect of the client is detected at the
+	// next write.
 	result := r.proxy.forwarder.Open(context.Background(), resumeRequest(r.request, r.events.lastID))
 	if result.Err != nil || result.Status >= fasthttp.StatusMultipleChoices {
 		result.Release()
@@ -130,8 +137,8 @@
 	return true
 }
 
-// resumeRequest returns the request for what follows an event of a stream. It has no time of arrival, so that the time since the client sent
-// the first request doesn't count as waiting for a worker.
+// resumeRequest returns the request for the part of a stream that follows lastEvent. It has no time
+// of arrival, so that the time since the client's request is not counted as a wait for a worker.
 func resumeRequest(request *forward.Request, lastEvent string) *forward.Request {
 	next := *request
 	next.Headers = append(next.Headers[:len(next.Headers):len(next.Headers)], worker.Header{Name: "Last-Event-Id", Value: lastEvent})
@@ -139,7 +146,7 @@
 	return &next
 }
 
-// Close ends the stream. Further calls have no effect.
+// Close ends the stream. Later calls do nothing.
 func (r *streamRelay) Close() error {
 	if !r.closed {
 		r.closed = true
--- a/internal/scheduler/proxy/stream_test.go
+++ b/internal/scheduler/proxy/stream_test.go
@@ -10,8 +10,9 @@
 	"github.com/matryer/is"
 )
 
-// The request that continues a stream names the last event, leaves the first request as it was, and has no time of arrival.
-func TestContinuedRequest(t *testing.T) {
+// The request that resumes a stream contains the ID of the last event, does not modify the first
+// request, and has no time of arrival.
+func TestResumeRequest(t *testing.T) {
 	is := is.New(t)
 	headers := append(make([]worker.Header, 0, 4), worker.Header{Name: "Model", Value: "m"})
 	first := &forward.Request{ID: "r1", URI: "/x", Headers: headers, Arrived: time.Unix(1, 0)}
@@ -25,8 +26,8 @@
 	is.Equal(first.Arrived, time.Unix(1, 0))
 }
 
-// A panic while a stream is relayed ends that stream as incomplete, not the process.
-func TestPanicOfAStream(t *testing.T) {
+// A panic while a stream is relayed ends the stream with an error and does not end the process.
+func TestStreamRelayPanic(t *testing.T) {
 	is := is.New(t)
 	relay := &streamRelay{proxy: &Proxy{log: slog.New(slog.DiscardHandler)}, request: &forward.Request{ID: "r"}} // it has no answer to read
 	_, err := relay.Read(make([]byte, 9))
--- a/internal/scheduler/proxy/submit.go
+++ b/internal/scheduler/proxy/submit.go
@@ -19,12 +19,13 @@
 	policyCallTimeout = 2 * time.Second
 )
 
-// submitJob stores a batch job at the owner of its host's shard. 202 says that a majority has it. The trainer may repeat the same submission
-// after 503 and 504: the job is identified by its Request-Id.
+// submitJob stores a batch job at the owner of its host's shard. Status 202 means that a majority
+// of the replicas has stored it. The trainer may repeat the submission after 503 and 504, since the
+// job is identified by its Request-Id.
 func (p *Proxy) submitJob(ctx *fasthttp.RequestCtx, route *configuration.Route, host string) {
 	id := string(ctx.Request.Header.Peek("Request-Id"))
 	if id == "" || !utf8.ValidString(id) || !ctx.IsPost() {
-		answer(ctx, fasthttp.StatusBadRequest, "a batch job is a POST with a Request-Id")
+		answer(ctx, fasthttp.StatusBadRequest, "batch job must be a POST request with a UTF-8 Request-Id header")
 		return
 	}
 	job, err := batchjobs.ParseSubmission(ctx.PostBody())
@@ -33,7 +34,7 @@
 		return
 	}
 	if !utf8.ValidString(host) || !utf8.Valid(ctx.Path()) {
-		answer(ctx, fasthttp.StatusBadRequest, "a batch job's host and path are UTF-8")
+		answer(ctx, fasthttp.StatusBadRequest, "host and path of a batch job must be UTF-8")
 		return
 	}
 	job.Id, job.Host, job.Path, job.SentUnixMs = id, host, string(ctx.Path()), time.Now().UnixMilli()
@@ -41,7 +42,7 @@
 	p.reportPolicy(job.Model, route.OnPolicy)
 	shard := p.jobOwners.ShardOfHost(host)
 	if shard == "" {
-		reject(ctx, "batch jobs can't be kept yet")
+		reject(ctx, "batch job not stored: shard placement not known yet")
 		return
 	}
 	_, err = callOwner(p, shard, submitTimeout, 0, func(ctx context.Context, owner rpc.Ledger) (*rpc.SubmitResponse, error) {
@@ -51,13 +52,13 @@
 	case err == nil:
 		ctx.SetStatusCode(fasthttp.StatusAccepted)
 	case errors.Is(err, batchclient.ErrUnavailable):
-		reject(ctx, "batch jobs can't be kept now")
+		reject(ctx, "batch job not stored: shard owner unavailable")
 	default:
-		answer(ctx, fasthttp.StatusGatewayTimeout, "the batch job may have been taken")
+		answer(ctx, fasthttp.StatusGatewayTimeout, "submission not confirmed by the shard owner; the batch job may have been stored")
 	}
 }
 
-// setLimits copies the limits of a route to a job.
+// setLimits copies a route's limits to a job.
 func setLimits(job *rpc.CreateJob, route *configuration.Route) {
 	const msPerSecond = 1000
 	job.DeadlineMs, job.MaxQueueMs = uint32(route.DeadlineMS), uint32(route.MaxQueueS*msPerSecond)
@@ -65,8 +66,9 @@
 	job.MaxAttempts, job.SingleVersion, job.Priority = uint32(max(route.MaxAttempts, 1)), route.OnPolicy, uint32(max(route.Priority, 0))
 }
 
-// reportPolicy reports to the directory whether the texts of a model must come from one version of the weights, unless the directory knows it
-// or a call is under way. A known policy changes only from false to true. The call runs in the background.
+// reportPolicy reports to the directory whether the texts of a model must come from one version of
+// the weights. It does nothing if the directory already knows the policy or a call is in flight. A
+// known policy changes only from false to true. The call runs in the background.
 func (p *Proxy) reportPolicy(model string, singleVersion bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -78,12 +80,13 @@
 	go p.callPolicy(model, singleVersion)
 }
 
-// callPolicy makes the call of reportPolicy. The directory's answer comes through the feed.
+// callPolicy makes the call for reportPolicy. The directory confirms the policy through the feed.
 func (p *Proxy) callPolicy(model string, singleVersion bool) {
 	ctx, cancel := context.WithTimeout(context.Background(), policyCallTimeout)
 	defer cancel()
 	control := rpc.NewControlProtobufClient("http://"+agent.Address(p.settings), p.client)
-	// An error is no loss: the next submission calls again as long as the feed has not confirmed the policy.
+	// An error is ignored: the next submission repeats the call unless the feed has confirmed the
+	// policy by then.
 	_, _ = control.NotePolicy(ctx, &rpc.ModelPolicy{Model: model, SingleVersion: singleVersion})
 	p.mu.Lock()
 	defer p.mu.Unlock()
