--- a/internal/scheduler/batchrunner/attempt.go
+++ b/internal/scheduler/batchrunner/attempt.go
@@ -14,18 +14,20 @@
 )
 
 const (
-	// deadlineSlack is added to what is left until the job's deadline: a result has some value after the deadline, and the owner cancels items
-	// that have none.
+	// deadlineSlack is added to the time until the job's deadline: a result still has some value
+	// after the deadline, and the owner cancels items whose result has none.
 	deadlineSlack = 10 * time.Second
-	// minDeadline is the least that a worker is given, also long after the job's deadline.
+	// minDeadline is the minimum deadline sent to a worker, even long after the job's deadline.
 	minDeadline = 5 * time.Second
-	// addedHeaders is the most header fields that requestHeaders adds to those of the item.
+	// addedHeaders is the maximum number of header fields that requestHeaders adds to those of the
+	// item.
 	addedHeaders = 5
 )
 
-// attempt sends the item to one worker and reads its events. The caller has reserved a slot at the worker.
+// attempt sends the item to one worker and reads the events of its answer. The caller must have
+// reserved a slot at the worker.
 func (r *itemRun) attempt(ctx context.Context, route *configuration.Route, w *routing.Worker) attemptOutcome {
-	begun := time.Now()
+	start := time.Now()
 	resumed := r.text.events > 0
 	attemptCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -48,7 +50,7 @@
 		r.Forwarder.Pool.CloseIdle(w.Address())
 		return attemptRetry
 	}
-	r.Log.Debug("answer", "item", r.lease.Item.Id, "worker", w.ID, "status", answer.Status, "weights", answer.Header.Peek("Weight-Versions"),
+	r.Log.Debug("worker answered", "item", r.lease.Item.Id, "worker", w.ID, "status", answer.Status, "weights", answer.Header.Peek("Weight-Versions"),
 		"not", answer.Header.Peek("Not-Executed"))
 	if outcome, ended := r.classifyHead(w, answer); ended {
 		return outcome
@@ -61,23 +63,24 @@
 		return attemptRetry
 	}
 	r.Forwarder.Table.RecordSuccess(w)
-	if !resumed { // a part of a text says nothing about the time of a complete one
-		r.Forwarder.Table.RecordLatency(route.Name, route.TargetLatencyMS, float64(time.Since(begun).Microseconds())/1000, usage(r.lease.Item))
+	if !resumed { // the latency of a partial text is not representative
+		r.Forwarder.Table.RecordLatency(route.Name, route.TargetLatencyMS, float64(time.Since(start).Microseconds())/1000, usage(r.lease.Item))
 	}
 	return attemptComplete
 }
 
-// recordBrokenStream records a failure of the worker, unless the lease was cancelled or the worker has only changed its weights.
+// recordBrokenStream records an interrupted stream as a failure of the worker, unless the lease was
+// cancelled or the worker only changed its weights.
 func (r *itemRun) recordBrokenStream(ctx context.Context, w *routing.Worker, err error) {
 	if ctx.Err() != nil || errors.Is(err, errVersionChanged) {
 		return
 	}
-	r.Log.Debug("stream broke off", "item", r.lease.Item.Id, "worker", w.ID, "events", r.text.events, "error", err)
+	r.Log.Debug("event stream interrupted", "item", r.lease.Item.Id, "worker", w.ID, "events", r.text.events, "error", err)
 	r.Forwarder.Table.RecordFailure(r.Forwarder.Clock(), w)
 }
 
-// classifyHead returns the outcome of an attempt that ends with the head of its answer. ended is false where events follow that are to be
-// read.
+// classifyHead returns the outcome of an attempt that ends with the head of its answer. ended is
+// false if the head is followed by events.
 func (r *itemRun) classifyHead(w *routing.Worker, answer *worker.Answer) (outcome attemptOutcome, ended bool) {
 	rejected := func(cause routing.RejectionCause) (attemptOutcome, bool) {
 		r.Forwarder.Table.RecordRejection(r.Forwarder.Clock(), w, r.lease.Model, cause)
@@ -99,7 +102,8 @@
 	return attemptRetry, false
 }
 
-// recordVersion updates the routing table with the weight version that an answer names, and returns it; 0 where it names none.
+// recordVersion records the weight version that an answer reports in the routing table and returns
+// it; 0 if it reports none.
 func (r *itemRun) recordVersion(w *routing.Worker, answer *worker.Answer) uint64 {
 	version, err := strconv.ParseUint(string(answer.Header.Peek("Weight-Versions")), 10, 64)
 	if err == nil {
@@ -108,10 +112,11 @@
 	return version
 }
 
-// requestHeaders returns the header fields of the item and those that the worker protocol adds. A text that is continued names its last event
-// and, where all of it has to come from one version of the weights, that version.
+// requestHeaders returns the header fields of the item and those of the worker protocol. For a text
+// that is continued these include its last event and, if the lease requires a single weight
+// version, the text's version.
 func requestHeaders(lease *rpc.Lease, instance string, text *generatedText) []worker.Header {
-	left := max(time.Duration(lease.DueInMs)*time.Millisecond+deadlineSlack, minDeadline)
+	deadline := max(time.Duration(lease.DueInMs)*time.Millisecond+deadlineSlack, minDeadline)
 	headers := make([]worker.Header, 0, len(lease.Item.Headers)+addedHeaders)
 	for _, h := range lease.Item.Headers {
 		headers = append(headers, worker.Header{Name: h.Name, Value: h.Value})
@@ -119,7 +124,7 @@
 	headers = append(headers,
 		worker.Header{Name: "Request-Id", Value: lease.Item.Id},
 		worker.Header{Name: "Expect-Instance", Value: instance},
-		worker.Header{Name: "Deadline-Ms", Value: strconv.FormatInt(left.Milliseconds(), 10)})
+		worker.Header{Name: "Deadline-Ms", Value: strconv.FormatInt(deadline.Milliseconds(), 10)})
 	if text.events == 0 {
 		return headers
 	}
--- a/internal/scheduler/batchrunner/item.go
+++ b/internal/scheduler/batchrunner/item.go
@@ -10,22 +10,23 @@
 )
 
 const (
-	// placementTimeout is how long an item waits for a worker before it is handed back to the owner.
+	// placementTimeout is how long an item waits for a worker before it is handed back to the
+	// owner.
 	placementTimeout = 700 * time.Millisecond
-	// maxAttempts bounds the workers that an item is sent to under one lease.
+	// maxAttempts bounds the attempts of an item under one lease.
 	maxAttempts  = 12
 	retryBackoff = 20 * time.Millisecond
 )
 
-// itemRun is the execution of one lease. One goroutine uses it.
+// itemRun is the execution of one lease. It is not safe for concurrent use.
 type itemRun struct {
 	*Runner
 	lease  *rpc.Lease
 	text   generatedText
-	placed bool // a worker was picked, or none will be
+	placed bool // the lease no longer counts as unplaced
 }
 
-// runItem executes a lease and returns its report; nil where ctx was cancelled.
+// runItem executes a lease and returns its report, or nil if ctx was cancelled.
 func (r *Runner) runItem(ctx context.Context, lease *rpc.Lease) *rpc.Report {
 	run := &itemRun{Runner: r, lease: lease, text: newText()}
 	defer run.setPlaced()
@@ -56,19 +57,21 @@
 	return releaseReport()
 }
 
-// attemptAt makes an attempt at a reserved worker and releases the reservation, also where the attempt panics.
+// attemptAt makes an attempt at a reserved worker and releases the reservation, even if the attempt
+// panics.
 func (r *itemRun) attemptAt(ctx context.Context, route *configuration.Route, reservation *routing.Reservation) attemptOutcome {
 	defer reservation.Release()
 	return r.attempt(ctx, route, reservation.Worker)
 }
 
-// incompleteReport ends an item for good, without a text: no attempt can complete it.
+// incompleteReport ends an item permanently without a text, because no attempt can complete it.
 func incompleteReport() *rpc.Report { return &rpc.Report{Result: &rpc.Result{}} }
 
 // releaseReport hands an item back to the owner, which may lease it again.
 func releaseReport() *rpc.Report { return &rpc.Report{Released: true} }
 
-// setPlaced takes the lease out of the count of those that wait for a worker. Only the first call has an effect.
+// setPlaced removes the lease from the count of leases that wait for a worker. Only the first call
+// has an effect.
 func (r *itemRun) setPlaced() {
 	if r.placed {
 		return
@@ -79,14 +82,16 @@
 	r.mu.Unlock()
 }
 
-// waitForWorker reserves a slot at a worker that can execute the item; nil where none was free within placementTimeout, or ctx has ended. If only the text's own version may
-// continue it and no worker has that version, the text is discarded and the wait begins again for any version.
+// waitForWorker reserves a slot at a worker that can execute the item. It returns nil if none was
+// free within placementTimeout or ctx has ended. If the text may only be continued by a worker with
+// the text's weight version and none is free, the text is discarded and the wait starts again for
+// any version.
 func (r *itemRun) waitForWorker(ctx context.Context, route *configuration.Route) *routing.Reservation {
 	query := r.workerQuery(route)
 	table := r.Forwarder.Table
 	cost := table.EstimateCost(route.Name, route.TargetLatencyMS, usage(r.lease.Item))
-	begun := time.Now()
-	defer func() { placementWaits.UpdateDuration(begun) }()
+	start := time.Now()
+	defer func() { placementWaits.UpdateDuration(start) }()
 	deadline := time.NewTimer(placementTimeout)
 	defer deadline.Stop()
 	for {
@@ -110,7 +115,7 @@
 	}
 }
 
-// workerQuery describes the workers that can execute the item.
+// workerQuery returns the query for workers that can execute the item.
 func (r *itemRun) workerQuery(route *configuration.Route) *routing.Query {
 	query := &routing.Query{
 		Model:        r.lease.Model,
@@ -129,10 +134,11 @@
 	return query
 }
 
-// usage returns the tokens that an item declares.
+// usage returns the token usage that an item declares.
 func usage(item *rpc.Item) routing.Usage { return forward.ParseUsage(headerValue(item, "Token-Usage")) }
 
-// headerValue returns the value of an item's header field; empty where it has none. Names are compared case-sensitively.
+// headerValue returns the value of an item's header field, or the empty string if it has none.
+// Names are compared case-sensitively.
 func headerValue(item *rpc.Item, name string) string {
 	for _, h := range item.Headers {
 		if h.Name == name {
--- a/internal/scheduler/batchrunner/item_test.go
+++ b/internal/scheduler/batchrunner/item_test.go
@@ -21,7 +21,8 @@
 	"github.com/matryer/is"
 )
 
-// startFakeWorker starts a worker that sends one answer on each connection and then closes it, or with hang sends nothing more.
+// startFakeWorker starts a worker that sends one answer on each connection and then closes it, or
+// with hang keeps it open without sending anything.
 func startFakeWorker(t *testing.T, heads chan<- textproto.MIMEHeader, answer string, hang bool) string {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -86,8 +87,9 @@
 	return &rpc.Lease{Job: "j", Number: 1, Host: "h", Model: "m", MinVersion: min, DueInMs: 9000, Item: &rpc.Item{Id: "item", Path: "/x", Body: []byte("b")}}
 }
 
-// A worker sends nothing more in the middle of a text: another one continues the text after its last event.
-func TestUnresponsiveWorker(t *testing.T) {
+// If a worker stops sending in the middle of a text, another one continues the text after its last
+// event.
+func TestRunItemUnresponsiveWorker(t *testing.T) {
 	is := is.New(t)
 	heads := make(chan textproto.MIMEHeader, 8)
 	unresponsive := startFakeWorker(t, heads, firstPart, true)
@@ -108,8 +110,9 @@
 	is.Equal((<-heads).Get("Last-Event-Id"), "1")
 }
 
-// Tokens of weights that are too old are not used, although the routing table has a newer version for the worker.
-func TestOldWeights(t *testing.T) {
+// Text generated with a weight version below the minimum is not used, although the routing table
+// has a newer version for the worker.
+func TestRunItemOldWeights(t *testing.T) {
 	is := is.New(t)
 	heads := make(chan textproto.MIMEHeader, 8)
 	old := startFakeWorker(t, heads, lastPart, false)
@@ -121,19 +124,19 @@
 }
 
 // A 500 is reported as a failure of the lease; a 422 ends the item without a result.
-func TestFailures(t *testing.T) {
+func TestRunItemWorkerErrors(t *testing.T) {
 	is := is.New(t)
 	heads := make(chan textproto.MIMEHeader, 8)
 	failing := startFakeWorker(t, heads, "HTTP/1.1 500 Oh\r\nRequest-Id: item\r\nContent-Length: 0\r\n\r\n", false)
 	is.True(newRunner(t, failing).runItem(context.Background(), newLease(0)).Failed)
-	never := startFakeWorker(t, heads, "HTTP/1.1 422 No\r\nRequest-Id: item\r\nContent-Length: 0\r\n\r\n", false)
-	report := newRunner(t, never).runItem(context.Background(), newLease(0))
+	impossible := startFakeWorker(t, heads, "HTTP/1.1 422 No\r\nRequest-Id: item\r\nContent-Length: 0\r\n\r\n", false)
+	report := newRunner(t, impossible).runItem(context.Background(), newLease(0))
 	is.True(report.Result != nil && !report.Result.Completed)
 }
 
-// Each shard's owner numbers its leases by itself. Leases of two shards under one number are two leases, and a cancellation of the one
-// leaves the other alone.
-func TestEqualNumbersOfTwoShards(t *testing.T) {
+// Each shard numbers its leases independently. Leases of two shards with the same number are
+// different leases, and the cancellation of one does not affect the other.
+func TestLeasesEqualNumbersInTwoShards(t *testing.T) {
 	is := is.New(t)
 	heads := make(chan textproto.MIMEHeader, 8)
 	r := newRunner(t, startFakeWorker(t, heads, firstPart, true))
@@ -158,8 +161,9 @@
 	is.Equal(len(r.leases), 0)
 }
 
-// A lease is listed until the owner has acknowledged its report, so that the owner doesn't lease the item again in between.
-func TestLeasedUntilReported(t *testing.T) {
+// A lease is listed until the owner has acknowledged its report, so that the owner doesn't lease
+// the item again in between.
+func TestLeaseListedUntilAcknowledged(t *testing.T) {
 	is := is.New(t)
 	heads := make(chan textproto.MIMEHeader, 8)
 	r := newRunner(t, startFakeWorker(t, heads, "HTTP/1.1 500 Oh\r\nRequest-Id: item\r\nContent-Length: 0\r\n\r\n", false))
--- a/internal/scheduler/batchrunner/metrics.go
+++ b/internal/scheduler/batchrunner/metrics.go
@@ -6,22 +6,22 @@
 	victoria "github.com/VictoriaMetrics/metrics"
 )
 
-// attemptOutcome is the end of one attempt at one worker.
+// attemptOutcome is the result of one attempt at one worker.
 type attemptOutcome uint8
 
 const (
-	attemptRetry      attemptOutcome = iota // another worker may continue
+	attemptRetry      attemptOutcome = iota // another worker may continue the text
 	attemptComplete                         // the text is complete
 	attemptFailed                           // the worker answered 500
 	attemptImpossible                       // the worker answered 422: no worker can execute the item
 )
 
-// String returns the value of the metric's label.
+// String returns the outcome as the value of the label "verdict" of the metric tries_total.
 func (o attemptOutcome) String() string {
 	return [...]string{"again", "whole", "failed", "impossible"}[o]
 }
 
-// placementWaits has the times that leased items waited for a worker.
+// placementWaits measures how long leased items waited for a worker.
 var placementWaits = metrics.DurationHistogram("item_place_wait_seconds")
 
 // attemptCounters count attempts by outcome.
--- a/internal/scheduler/batchrunner/owner.go
+++ b/internal/scheduler/batchrunner/owner.go
@@ -7,12 +7,13 @@
 )
 
 const (
-	// longPollWait is how long an owner without items may wait for one before it answers, and how often it is called while no worker is free.
+	// longPollWait is how long an owner without items may wait for one before it answers. It is
+	// also the interval of the calls that renew the leases while no worker is free.
 	longPollWait = 400 * time.Millisecond
-	// callBackoff is the wait after a call that failed.
+	// callBackoff is the wait after a failed call.
 	callBackoff = 50 * time.Millisecond
 	callTimeout = 3 * time.Second
-	// leaseListInterval is how often an owner gets the list of this gatherer's leases.
+	// leaseListInterval is how often the list of this gatherer's leases is sent to an owner.
 	leaseListInterval = 1 * time.Second
 )
 
@@ -25,7 +26,7 @@
 			select {
 			case <-changed:
 			case <-time.After(longPollWait):
-				r.requestWork(ctx, shard, &rpc.WorkRequest{}, 0) // keeps the leases alive
+				r.requestWork(ctx, shard, &rpc.WorkRequest{}, 0) // renews the leases
 			case <-ctx.Done():
 			}
 			continue
@@ -37,9 +38,10 @@
 	}
 }
 
-// freeCapacity returns how many items may be requested from a shard now, and the free slots by model. Leases that wait for a worker, and items
-// that other calls to the same shard have requested, are subtracted. Calls to other shards are not: most of them bring no item, and a surplus
-// item waits for a worker for a moment.
+// freeCapacity returns how many items may be requested from a shard now, and the free slots by
+// model. Leases that wait for a worker and items requested by other calls to the same shard are
+// subtracted. Items requested from other shards are not: most of these calls return no item, and a
+// surplus item only waits briefly for a worker.
 func (r *Runner) freeCapacity(shard string) (want int, slots []*rpc.Room) {
 	slots, want = r.Forwarder.Table.FreeSlots(r.Forwarder.Clock(), r.deploymentServices())
 	r.mu.Lock()
@@ -50,7 +52,7 @@
 	return max(0, want-r.unplaced-r.requested[shard]), slots
 }
 
-// deploymentServices returns the services that routes of batch jobs lead to.
+// deploymentServices returns the services of the routes of batch jobs.
 func (r *Runner) deploymentServices() []string {
 	table := r.Configuration()
 	if table == nil {
@@ -59,7 +61,8 @@
 	return table.DeploymentServices()
 }
 
-// requestWork calls a shard's owner for up to want items and starts those that it grants. It returns nil where the call failed.
+// requestWork requests up to want items from a shard's owner and starts those that it grants. It
+// returns nil if the call failed.
 func (r *Runner) requestWork(ctx context.Context, shard string, request *rpc.WorkRequest, want int) *rpc.WorkResponse {
 	request.Want = uint32(want)
 	r.mu.Lock()
@@ -75,8 +78,9 @@
 	return response
 }
 
-// callOwner sends a request to a shard's owner, wherever it is; nil where none has answered within callTimeout. The request carries the list
-// of this gatherer's leases where leasesToNotify returns one.
+// callOwner sends a request to the current owner of a shard. It returns nil if no owner has
+// answered within callTimeout. The request contains the list of this gatherer's leases if
+// leasesToNotify returns one.
 func (r *Runner) callOwner(ctx context.Context, shard string, request *rpc.WorkRequest) *rpc.WorkResponse {
 	request.Shard, request.Gatherer = shard, r.Name
 	var response *rpc.WorkResponse
@@ -101,15 +105,16 @@
 	return response
 }
 
-// forgetEpoch has the next call to a shard's owner carry the list of leases.
+// forgetEpoch makes the next call to a shard's owner include the list of leases.
 func (r *Runner) forgetEpoch(shard string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	delete(r.notifiedEpochs, shard)
 }
 
-// leasesToNotify returns the leases of a shard where its owner may not know them, and every leaseListInterval in any case: a grant or a
-// cancellation may have been lost. listed is false where the list is not due; the owner then keeps what it knows.
+// leasesToNotify returns the leases of a shard if its owner may not know them, and every
+// leaseListInterval in any case, since a grant or a cancellation may have been lost. listed is
+// false if the list is not due; the owner then keeps the previous list.
 func (r *Runner) leasesToNotify(shard string) (leases []*rpc.HeldLease, listed bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -125,7 +130,8 @@
 	return leases, true
 }
 
-// applyResponse cancels the leases that an owner has taken back, and starts those that it has granted. The items run under ctx.
+// applyResponse cancels the leases that an owner has revoked, and starts those that it has granted.
+// The items run under ctx.
 func (r *Runner) applyResponse(ctx context.Context, shard string, response *rpc.WorkResponse) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/scheduler/batchrunner/report.go
+++ b/internal/scheduler/batchrunner/report.go
@@ -8,19 +8,21 @@
 )
 
 const (
-	// reportQueueSize bounds the reports that wait for a shard's owner. Beyond it leases end without a report, and the owner notices that the
-	// next list of leases lacks them.
+	// reportQueueSize bounds the reports queued for a shard's owner. If the queue is full, leases
+	// end without a report; the owner detects this when they are missing in the next list of
+	// leases.
 	reportQueueSize = 4096
 	maxReportBatch  = 64
 )
 
-// pendingReport is a report that the owner of the lease's shard has not acknowledged.
+// pendingReport is a report that the shard's owner has not acknowledged yet.
 type pendingReport struct {
 	key    leaseKey
 	report *rpc.Report
 }
 
-// runLease executes the item of a lease and queues its report. A lease that was cancelled ends without a report, unless it has a result.
+// runLease executes the item of a lease and queues its report. A cancelled lease ends without a
+// report unless it has a result.
 func (r *Runner) runLease(ctx context.Context, shard string, lease *rpc.Lease) {
 	key := leaseKey{shard, lease.Number}
 	report := r.runItemContained(ctx, lease)
@@ -39,22 +41,23 @@
 	select {
 	case queue <- pendingReport{key, report}:
 	default:
-		r.Log.Warn("report dropped: queue is full", "shard", shard)
+		r.Log.Warn("report dropped: queue of the shard owner is full", "shard", shard)
 		r.release(key)
 	}
 }
 
-// runItemContained is runItem, but that after a panic it hands the item back: another gatherer may run it.
+// runItemContained is runItem with panics recovered: after a panic it hands the item back, so that
+// another gatherer may run it.
 func (r *Runner) runItemContained(ctx context.Context, lease *rpc.Lease) (report *rpc.Report) {
 	defer panicguard.Contain(func(p *panicguard.PanicError) {
 		metrics.CountPanic("item")
-		r.Log.Error("panic", "job", lease.Job, "item", lease.Item.GetId(), "error", p, "stack", string(p.Stack))
+		r.Log.Error("panic while running a batch item", "job", lease.Job, "item", lease.Item.GetId(), "error", p, "stack", string(p.Stack))
 		report = releaseReport()
 	})
 	return r.runItem(ctx, lease)
 }
 
-// release ends a lease: it is not listed to the owner any more.
+// release ends a lease: it is no longer listed to the owner.
 func (r *Runner) release(key leaseKey) {
 	r.mu.Lock()
 	if l := r.leases[key]; l != nil {
@@ -77,7 +80,8 @@
 	}
 }
 
-// collectBatch returns first and what else is queued at the moment, maxReportBatch at most.
+// collectBatch returns first and the reports that are currently queued, up to maxReportBatch in
+// total.
 func collectBatch(first pendingReport, queue <-chan pendingReport) []pendingReport {
 	batch := []pendingReport{first}
 	for len(batch) < maxReportBatch {
@@ -91,7 +95,8 @@
 	return batch
 }
 
-// deliver sends reports until the owner acknowledges them or ctx ends, and requests new items with the same call.
+// deliver sends reports until the owner acknowledges them or ctx ends. The same calls also request
+// new items.
 func (r *Runner) deliver(ctx context.Context, shard string, batch []pendingReport) {
 	reports := make([]*rpc.Report, 0, len(batch))
 	for _, pending := range batch {
--- a/internal/scheduler/batchrunner/runner.go
+++ b/internal/scheduler/batchrunner/runner.go
@@ -11,16 +11,19 @@
 	"time"
 )
 
-// Runner executes items of batch jobs at one gatherer. Its exported fields are set before Run and not changed afterwards. Run must not be called twice.
+// Runner executes items of batch jobs at one gatherer. The exported fields must be set before Run
+// and not changed afterwards. Run must not be called twice.
 type Runner struct {
-	// Name identifies this run of the gatherer to the owners: machine, batchjobs.IncarnationSeparator, and a text that differs with each start. An
-	// owner takes back the leases of an earlier run when it sees the new name.
+	// Name identifies this run of the gatherer to the owners: the machine,
+	// batchjobs.IncarnationSeparator, and a text that differs for each start. An owner revokes the
+	// leases of an earlier run when it sees the new name.
 	Name string
-	// Forwarder sends reward calls; its Table, Pool and Clock serve the items too.
+	// Forwarder sends reward calls; its Table, Pool and Clock are also used for items.
 	Forwarder *forward.Forwarder
 	// JobOwners calls the owners of the batch job shards.
 	JobOwners *batchclient.Client
-	// Configuration returns the configuration in force; nil as long as none is known. No item is leased before.
+	// Configuration returns the configuration in force, or nil until there is one. No items are
+	// leased before that.
 	Configuration func() *configuration.Table
 	Timeouts      Timeouts
 	Log           *slog.Logger
@@ -30,15 +33,16 @@
 	notifiedEpochs map[string]uint64             // by shard: epoch of the owner that has the list of this gatherer's leases
 	answeredAt     map[string]time.Time          // by shard: when the owner last answered
 	notifiedAt     map[string]time.Time          // by shard: when the list of leases was last sent
-	requested      map[string]int                // by shard: items requested by calls under way
+	requested      map[string]int                // by shard: items requested by calls in flight
 	unplaced       int                           // leases that wait for a worker
 	reportQueues   map[string]chan pendingReport // by shard
 	stopping       bool                          // no new items are requested
 
-	active sync.WaitGroup // leases that run, or whose reports the owner has not acknowledged
+	active sync.WaitGroup // leases that are running or whose reports the owner has not acknowledged
 }
 
-// leaseKey identifies a lease. Each owner numbers the leases of its shard from its own counter, so that a number alone is ambiguous.
+// leaseKey identifies a lease. Each shard has its own counter for lease numbers, so that a number
+// alone is ambiguous.
 type leaseKey struct {
 	shard  string
 	number uint64
@@ -51,27 +55,29 @@
 }
 
 const (
-	// shardCheckInterval is how often Run looks for new shards and for unresponsive owners.
+	// shardCheckInterval is how often Run checks for new shards and unresponsive owners.
 	shardCheckInterval = 200 * time.Millisecond
-	// ownerTimeout is how long items run on while the owner of their shard doesn't answer. Other gatherers may have them by then, or their job
-	// may have ended.
+	// ownerTimeout is how long items continue to run while the owner of their shard doesn't answer.
+	// After that other gatherers may have leased them, or their job may have ended.
 	ownerTimeout = 2400 * time.Millisecond
 	// leaveTimeout bounds the call that hands the leases of one shard back.
 	leaveTimeout = 500 * time.Millisecond
 )
 
-// initialize creates the empty state.
+// initialize allocates the state of the Runner. Run calls it; tests that don't call Run do too.
 func (r *Runner) initialize() {
 	r.leases, r.notifiedEpochs, r.requested = map[leaseKey]*activeLease{}, map[string]uint64{}, map[string]int{}
 	r.answeredAt, r.notifiedAt = map[string]time.Time{}, map[string]time.Time{}
 	r.reportQueues = map[string]chan pendingReport{}
 }
 
-// Run leases and executes items until ctx ends. Then it requests no more items, waits up to finish for the leases that it has, cancels the
-// rest and hands them back to the owners. The hand-back takes up to leaveTimeout a shard.
+// Run leases and executes items until ctx ends. Then it requests no more items, waits up to finish
+// for its active leases, cancels the remaining ones and hands them back to the owners, which takes
+// up to leaveTimeout per shard.
 func (r *Runner) Run(ctx context.Context, finish time.Duration) {
 	r.initialize()
-	// The leases, and the calls that keep them alive, outlast ctx: an owner considers a gatherer that stops calling failed.
+	// The leases, and the calls that renew them, outlive ctx: an owner considers a gatherer failed
+	// if it stops calling.
 	work, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
 	known := map[string]bool{}
@@ -110,7 +116,8 @@
 	go r.deliverReports(ctx, shard, queue)
 }
 
-// leave hands the leases of a shard back. The owner notices a lost call when the gatherer stops calling.
+// leave hands the leases of a shard back. If the call is lost, the owner revokes them later because
+// the gatherer no longer calls.
 func (r *Runner) leave(ctx context.Context, shard string) {
 	leaveCtx, cancel := context.WithTimeout(ctx, leaveTimeout)
 	defer cancel()
--- a/internal/scheduler/batchrunner/score.go
+++ b/internal/scheduler/batchrunner/score.go
@@ -13,15 +13,19 @@
 const (
 	// maxScoreAttempts bounds the reward calls for one text.
 	maxScoreAttempts = 8
-	// minScoreAttemptMS is the least time of one reward call, in milliseconds; otherwise it has the timeout of its route.
+	// minScoreAttemptMS is the minimum timeout of one reward call, in milliseconds. Otherwise the
+	// timeout is that of its route.
 	minScoreAttemptMS = 500
-	// scoreBudgetTimeouts is the time for all reward calls of a text, as a multiple of the timeout of one call. Workers get the end of this time as their
-	// deadline with each call: a repeated call must not be given more time than the first.
+	// scoreBudgetTimeouts is the time budget for all reward calls of a text, as a multiple of the
+	// timeout of one call. The end of the budget is the workers' deadline for each call, since a
+	// repeated call must not be given more time than the first.
 	scoreBudgetTimeouts = 3
 )
 
-// score sends a complete text's reward call where the item names one, and returns the report; nil where ctx was cancelled. The item ends
-// without a result where workers answered 500 as often as the route allows. It is handed back where the time or the calls are used up.
+// score makes the reward call for a complete text if the item specifies one, and returns the
+// report, or nil if ctx was cancelled. The item ends without a result if workers answered 500 as
+// often as the route allows. It is handed back if the time budget or the number of attempts is
+// exhausted.
 func (r *itemRun) score(ctx context.Context) *rpc.Report {
 	result := &rpc.Result{Completed: true, Text: compression.Texts.Compress(r.text.data), WeightVersions: r.text.versions}
 	scorer := r.lease.Item.Scorer
@@ -52,7 +56,7 @@
 			return &rpc.Report{Result: result}
 		}
 		answer.Release()
-		r.Log.Debug("reward call", "item", r.lease.Item.Id, "status", answer.Status, "error", answer.Err, "errors", answer.ServerErrors)
+		r.Log.Debug("reward call failed", "item", r.lease.Item.Id, "status", answer.Status, "error", answer.Err, "errors", answer.ServerErrors)
 		if ctx.Err() != nil {
 			return nil
 		}
--- a/internal/scheduler/batchrunner/text.go
+++ b/internal/scheduler/batchrunner/text.go
@@ -10,22 +10,23 @@
 	"time"
 )
 
-// generatedText is what the workers have generated for an item so far.
+// generatedText is the text that workers have generated for an item so far.
 type generatedText struct {
-	data           []byte // of all events, separated by line feeds
+	data           []byte // of all events, separated by newlines
 	events         int
 	lastID         int64    // of the last event
-	versions       []uint64 // of the weights, in the order of their first event
-	currentVersion uint64   // of the weights, of the events that come now
+	versions       []uint64 // weight versions, in the order of their first event
+	currentVersion uint64   // weight version of the next events
 }
 
 func newText() generatedText { return generatedText{lastID: -1} }
 
-// reset discards the text, so that the next worker begins it anew.
+// reset discards the text, so that the next worker starts from the beginning.
 func (t *generatedText) reset() { *t = newText() }
 
-// acceptVersion reports whether a worker with this version of the weights may continue the text, and makes the version the current one. Where
-// the lease wants one version only and the worker has another, the text is reset.
+// acceptVersion reports whether a worker with the given weight version may continue the text, and
+// makes it the current version if so. If the lease requires a single version and the worker has a
+// different one, the text is reset.
 func (t *generatedText) acceptVersion(lease *rpc.Lease, version uint64) bool {
 	if version < lease.MinVersion {
 		return false
@@ -53,11 +54,12 @@
 
 var (
 	errVersionChanged = errors.New("batchrunner: weight version changed within a text")
-	errEventOrder     = errors.New("batchrunner: event is missing or repeated")
+	errEventOrder     = errors.New("batchrunner: event repeated or out of order")
 )
 
-// readEvents appends an answer's events to the text; without an error the text is complete. Each event starts the timeout again. After
-// errVersionChanged and errEventOrder the text is reset, after other errors another worker may continue it.
+// readEvents appends the events of an answer to the text. If it returns nil, the text is complete.
+// Each event restarts the timeout. After errVersionChanged and errEventOrder the text is reset;
+// after other errors another worker may continue it.
 func (r *itemRun) readEvents(answer *worker.Answer, w *routing.Worker, timeout *time.Timer) error {
 	events := worker.NewEventReader(answer)
 	text := &r.text
