--- a/internal/scheduler/batchclient/client.go
+++ b/internal/scheduler/batchclient/client.go
@@ -13,17 +13,19 @@
 // The errors of Call.
 var (
 	// ErrOutcomeUnknown means that the call may have taken effect, or may still do so.
-	ErrOutcomeUnknown = errors.New("batch jobs: no clear answer from the shard's owner")
+	ErrOutcomeUnknown = errors.New("batchclient: call not confirmed by the shard owner; it may have taken effect")
 	// ErrUnavailable means that the call has had no effect and won't have any.
-	ErrUnavailable = errors.New("batch jobs: no owner of the shard answers")
+	ErrUnavailable = errors.New("batchclient: shard owner unavailable; the call had no effect")
 )
 
 const (
-	// attemptTimeout bounds one attempt, without the time that the owner may wait before it answers.
+	// attemptTimeout bounds one attempt, in addition to the time that the owner may wait before it
+	// answers.
 	attemptTimeout = 900 * time.Millisecond
-	// minAttemptTime is the time below which no further attempt is begun: cut off by the deadline, it would only make a clear outcome an unknown one.
+	// minAttemptTime is the minimum time before the deadline for another attempt: one that the
+	// deadline interrupts would only turn a known outcome into an unknown one.
 	minAttemptTime = 60 * time.Millisecond
-	// retryBackoff is the wait before the next attempt, unless a replica named another leader.
+	// retryBackoff is the wait before the next attempt, unless a replica has named another leader.
 	retryBackoff = 40 * time.Millisecond
 )
 
@@ -34,17 +36,19 @@
 
 	mu         sync.Mutex
 	placements map[string]*rpc.Placement // by group
-	leaders    map[string]string         // address of the replica that owned a shard last, by shard
+	leaders    map[string]string         // by shard: address of its last known owner
 	zones      map[string]string         // of replicas, by address
-	nextTarget int                       // counts attempts without a known leader
+	nextTarget int                       // round-robin counter for attempts without a known leader
 }
 
-// New returns a client of a process in a zone. It knows no shards until UpdatePlacement is called.
+// New returns a client for a process in the given zone. It knows no shards until UpdatePlacement is
+// called.
 func New(http *transport.Client, zone string) *Client {
 	return &Client{http: http, zone: zone, zones: map[string]string{}, placements: map[string]*rpc.Placement{}, leaders: map[string]string{}}
 }
 
-// UpdatePlacement records the replicas of a group in place of earlier ones. Groups other than shards are harmless.
+// UpdatePlacement replaces the replicas of a group. Groups that are not shards are allowed and have
+// no effect.
 func (c *Client) UpdatePlacement(p *rpc.Placement) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -58,7 +62,8 @@
 	c.zones[address] = zone
 }
 
-// NearbyReplica returns the address of a replica in this process's zone that is not known to lead the shard; empty where there is none.
+// NearbyReplica returns the address of a replica in this process's zone that is not known to lead
+// the shard, or the empty string if there is none.
 func (c *Client) NearbyReplica(shard string) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -70,7 +75,7 @@
 	return ""
 }
 
-// ShardNames returns the names of all shards; none until all of them are placed.
+// ShardNames returns the names of all shards, or none until all shards are placed.
 func (c *Client) ShardNames() (names []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -81,7 +86,8 @@
 	return names
 }
 
-// ShardOfHost returns the shard that keeps a host's jobs; empty until all shards are placed.
+// ShardOfHost returns the shard that stores a host's jobs, or the empty string until all shards are
+// placed.
 func (c *Client) ShardOfHost(host string) string {
 	if n := len(c.ShardNames()); n > 0 {
 		return batchjobs.ShardOfHost(host, n)
@@ -89,14 +95,16 @@
 	return ""
 }
 
-// Attempt makes one call to the replica that should own a shard. It returns the call's outcome and the leader that the replica named, empty
-// where it named none.
+// Attempt makes one call to the replica that is expected to own a shard. It returns the call's
+// outcome and the address of the leader that the replica named; empty if it named none.
 type Attempt func(ctx context.Context, owner rpc.Ledger) (outcome rpc.Outcome, leader string, err error)
 
-// Call makes attempts until one has the outcome DONE or the context ends. ownerWait is how long the owner may wait before it answers, which
-// is added to the timeout of each attempt. Call may repeat an attempt that took effect, so attempts must be idempotent.
+// Call makes attempts until one has the outcome DONE or the context ends. ownerWait is how long the
+// owner may wait before it answers; it is added to the timeout of each attempt. Call may repeat an
+// attempt that took effect, so attempts must be idempotent.
 //
-// Call returns nil, ErrUnavailable or ErrOutcomeUnknown. Without a deadline in the context it doesn't return before an attempt succeeds.
+// Call returns nil, ErrUnavailable or ErrOutcomeUnknown. If the context never ends, it doesn't
+// return until an attempt succeeds.
 func (c *Client) Call(ctx context.Context, shard string, ownerWait time.Duration, attempt Attempt) error {
 	failure := ErrUnavailable
 	for {
@@ -133,7 +141,8 @@
 	}
 }
 
-// target returns the address to call: the leader where it is known, otherwise each replica in turn; empty where the shard is not placed.
+// target returns the address to call: the leader if it is known, otherwise each replica in turn, or
+// the empty string if the shard is not placed.
 func (c *Client) target(shard string) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -148,7 +157,7 @@
 	return replicas[c.nextTarget%len(replicas)].Address
 }
 
-// setLeader records who owns a shard; empty where that is not known.
+// setLeader records the address of a shard's owner; empty if it is not known.
 func (c *Client) setLeader(shard, address string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
