--- a/internal/scheduler/weights/assignment.go
+++ b/internal/scheduler/weights/assignment.go
@@ -9,20 +9,22 @@
 )
 
 const (
-	// spareWorkers is the number of workers that serve a model beyond those that its open jobs need.
+	// spareWorkers is the number of workers per model in addition to those that its open jobs need.
 	spareWorkers = 1
-	// headroom is the factor on what the open jobs need: items differ in length, and workers slow down when they are full.
+	// headroom is the factor applied to the demand of the open jobs: items differ in length, and
+	// workers slow down at full capacity.
 	headroom = 1.25
 )
 
-// assign chooses the workers that each model of a service is kept up to date on, as ids by model: as many as its open jobs need and a few
-// more, but at least an even fraction of them, so that a new version interrupts as few requests as it can. Each worker serves about as many
-// models as any other.
+// assign chooses the workers on which each model of a service is kept up to date, and returns their
+// ids by model. A model gets as many workers as its open jobs need plus a reserve, but at least an
+// even share, and no more, so that a new version interrupts as few requests as possible. The models
+// are spread evenly over the workers.
 func assign(workers []*rpc.Instance, rules *Rules) map[string]map[string]bool {
 	usable := slices.DeleteFunc(slices.Clone(workers), func(w *rpc.Instance) bool { return w.Draining })
 	models := modelsOf(usable)
 	assigned := map[string]map[string]bool{}
-	load := map[string]int{} // models by worker
+	load := map[string]int{} // number of models by worker
 	for i, model := range models {
 		order := slices.Clone(usable)
 		slices.SortFunc(order, func(a, b *rpc.Instance) int {
@@ -37,7 +39,8 @@
 	return assigned
 }
 
-// workersFor returns how many workers a model gets that is one of so many in its service.
+// workersFor returns the number of workers assigned to a model, given the number of models in its
+// service.
 func workersFor(model string, models int, workers []*rpc.Instance, rules *Rules) int {
 	if models <= 1 || len(workers) == 0 {
 		return len(workers)
@@ -52,7 +55,7 @@
 	return min(max(evenShare, needed), len(workers))
 }
 
-// modelsOf returns the names of the models that workers serve, sorted.
+// modelsOf returns the sorted names of the models that the workers serve.
 func modelsOf(workers []*rpc.Instance) (models []string) {
 	for _, w := range workers {
 		for _, m := range w.Models {
@@ -65,7 +68,8 @@
 	return models
 }
 
-// rank orders workers for the model with a number. A worker keeps its rank.
+// rank returns a hash by which workers are ordered for the model with the given index. It depends
+// only on the worker's ID and the index.
 func rank(w *rpc.Instance, model int) uint32 {
 	h := fnv.New32a()
 	h.Write([]byte{byte(model)})
--- a/internal/scheduler/weights/demand.go
+++ b/internal/scheduler/weights/demand.go
@@ -2,9 +2,10 @@
 
 import "sync"
 
-// Demand keeps how many concurrent requests the models' open jobs need, as reported by the owners of the batch job shards. It keeps the peak
-// of the last while, since each step of a trainer needs about as much as the one before. The zero value is ready for use, by any goroutine.
-// Times are milliseconds of one clock that doesn't step back.
+// Demand tracks how many concurrent requests the open jobs of each model need, as reported by the
+// owners of the batch job shards. It keeps the recent peak, since each step of a trainer needs
+// about as much as the previous one. The zero value is ready to use and safe for concurrent use.
+// Times are milliseconds of one monotonic clock.
 type Demand struct {
 	mu    sync.Mutex
 	peaks map[demandKey]peak
@@ -12,20 +13,21 @@
 
 type demandKey struct{ shard, model string }
 
-// peak is the highest demand of a window, and when it was reported.
+// peak is the highest demand in a window, and the time at which it was reported.
 type peak struct {
 	slots float64
 	at    int64
 }
 
 const (
-	// peakWindowMS is how long a lower demand doesn't replace a peak.
+	// peakWindowMS is how long a peak is kept although lower demands are reported.
 	peakWindowMS = 15_000
-	// expiryMS is how long a demand counts that isn't reported again.
+	// expiryMS is how long a demand is valid without another report.
 	expiryMS = 2 * peakWindowMS
 )
 
-// Update takes the report of a shard: the requests that its jobs need to run concurrently, by model.
+// Update records a report from a shard: the number of concurrent requests that its jobs need, by
+// model.
 func (d *Demand) Update(now int64, shard string, slots map[string]float64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -40,7 +42,8 @@
 	}
 }
 
-// Slots returns what a model needs over all shards; 0 where none has reported it lately.
+// Slots returns the demand for a model over all shards, or 0 if no shard has reported it within
+// expiryMS.
 func (d *Demand) Slots(now int64, model string) (slots float64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/scheduler/weights/demand_test.go
+++ b/internal/scheduler/weights/demand_test.go
@@ -6,7 +6,7 @@
 	"github.com/matryer/is"
 )
 
-func TestDemandKeepsThePeak(t *testing.T) {
+func TestDemandPeak(t *testing.T) {
 	is := is.New(t)
 	var d Demand
 	d.Update(1000, "x", map[string]float64{"a": 30})
--- a/internal/scheduler/weights/dispatcher.go
+++ b/internal/scheduler/weights/dispatcher.go
@@ -15,64 +15,74 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Shard is what a Dispatcher needs of the registry shard whose workers it sends orders to. Its methods are called by several goroutines.
+// Shard is a Dispatcher's view of the registry shard to whose workers it sends orders. The methods
+// must be safe for concurrent use.
 type Shard interface {
-	// Lease reports whether this process owns the shard now, and under which epoch. While it does, no other process owns it.
+	// Lease reports whether this process currently owns the shard, and under which epoch. While it
+	// does, no other process owns it.
 	Lease() (epoch uint64, owned bool)
-	// OwnedFor returns for how long this process has owned the shard.
+	// OwnedFor returns how long this process has owned the shard.
 	OwnedFor() time.Duration
-	// LastHolder returns the machine that sent orders last, empty where none did, and whether the process that sent them has ended since.
+	// LastHolder returns the machine that sent the last orders, or the empty string if there is
+	// none, and whether the process that sent them has ended since.
 	LastHolder() (node string, ended bool)
-	// RecordHolder commits this machine as the holder under an epoch. It returns false where that isn't known to be committed.
+	// RecordHolder commits this machine as the holder under an epoch. It returns false if the
+	// commit is not confirmed.
 	RecordHolder(ctx context.Context, epoch uint64) bool
-	// Instances returns the workers that orders may be sent to. The caller must not change them.
+	// Instances returns the workers to which orders may be sent. The caller must not modify them.
 	Instances() []*rpc.Instance
-	// RecordVersion commits that a worker has a version of a model, where the group decides in time.
+	// RecordVersion commits that a worker has loaded a version of a model. The commit may fail
+	// without notice.
 	RecordVersion(ctx context.Context, instance, model string, version uint64)
 }
 
-// Dispatcher sends the orders of one shard. Its exported fields are set before Run and stay.
+// Dispatcher sends the orders of one shard. The exported fields must be set before Run and not
+// changed afterwards.
 type Dispatcher struct {
-	Node          string                   // name of this machine, which the workers see as the holder
-	TakeOverDelay time.Duration            // bounds.leaseMs of the settings, not the leader lease: how long this machine owns the shard before it sends where another one was the holder
-	Fenced        bool                     // workers check fencing tokens, so that no late order of an ended holder takes effect
-	Shard         Shard                    // whose workers get the orders
+	Node string // name of this machine, sent to the workers as the holder
+	// TakeOverDelay is how long this machine must have owned the shard before it sends orders if
+	// another machine was the holder. It is the setting bounds.leaseMs, not the leader lease.
+	TakeOverDelay time.Duration
+	Fenced        bool                     // workers check fencing tokens, so that a late order of an ended holder has no effect
+	Shard         Shard                    // the shard whose workers get the orders
 	Wanted        func() map[string]uint64 // newest named version by model
 	Rules         Rules
 	Log           *slog.Logger
 
 	client        *workerClient
-	loadTimes     map[Mode]*loadTime // by mode: with Wait, requests end before the load
-	recordedEpoch uint64             // epoch under which this machine is recorded as the holder; of Run's goroutine alone
-	orders        sync.WaitGroup     // the goroutines of the orders in flight
+	loadTimes     map[Mode]*loadTime // by mode, since with Wait the requests end before the load
+	recordedEpoch uint64             // epoch under which this machine is recorded as the holder; only used by Run's goroutine
+	orders        sync.WaitGroup     // goroutines of the orders in flight
 
 	mu          sync.Mutex
 	inFlight    map[string]string // models of the orders in flight, by worker
-	fencedEpoch uint64            // epoch under which a worker has rejected an order because it knew of a later one; 0: none
+	fencedEpoch uint64            // latest epoch that a worker has rejected because it has seen a later one; 0: none
 }
 
 const (
 	planInterval = 50 * time.Millisecond
-	// retryDelay is how long a worker that rejected an order, or didn't answer, gets no other one.
+	// retryDelay is how long a worker gets no other order after it rejected one or didn't answer.
 	retryDelay = 200 * time.Millisecond
-	// queryInterval is the time between two queries whether a worker has loaded.
+	// queryInterval is the time between two queries of whether a worker has loaded the weights.
 	queryInterval = 100 * time.Millisecond
-	// maxOrderTime, idleLimit and unreachableLimit bound how long a worker is waited for, from the order on: in any case, while it reports that
-	// it isn't busy, and while it doesn't report.
+	// maxOrderTime, idleLimit and unreachableLimit bound the wait for a worker, counted from the
+	// order: in any case, while it reports that it isn't busy, and while its reports fail.
 	maxOrderTime     = 8 * time.Second
 	idleLimit        = 2 * time.Second
 	unreachableLimit = 3 * time.Second
 )
 
-// MayTakeOver reports whether a machine that has owned a shard for some time may send its orders. If another machine was the last holder, this one
-// must have owned the shard for takeOverDelay: the other's last order is then that long ago. It need not wait if the other's process has ended and
-// workers check fencing tokens: a late order is then rejected. The function is pure.
+// MayTakeOver reports whether the machine node, which has owned a shard for the duration owned, may
+// send the shard's orders. If another machine was the last holder, node must have owned the shard
+// for takeOverDelay, so that the other's last order is at least that old. It need not wait if the
+// other's process has ended and workers check fencing tokens, because they then reject a late
+// order. The function is pure.
 func MayTakeOver(node, last string, ended, fenced bool, owned, takeOverDelay time.Duration) bool {
 	return last == "" || last == node || owned >= takeOverDelay || fenced && ended
 }
 
-// Run sends orders until ctx ends, whenever this process owns the shard. It returns when the orders in flight have ended, which takes no longer
-// than one request to a worker and one query.
+// Run sends orders while this process owns the shard, until ctx ends. It returns after the orders
+// in flight have ended, which takes at most one request to a worker and one query.
 func (d *Dispatcher) Run(ctx context.Context) {
 	d.inFlight, d.loadTimes = map[string]string{}, map[Mode]*loadTime{Wait: {}, Retain: {}}
 	d.client = newWorkerClient()
@@ -89,7 +99,7 @@
 	}
 }
 
-// dispatch starts the orders that are due now.
+// dispatch plans and starts the orders that are due.
 func (d *Dispatcher) dispatch(ctx context.Context) {
 	wanted := d.Wanted()
 	if len(wanted) == 0 {
@@ -114,7 +124,8 @@
 	}
 }
 
-// becomeHolder records this machine as the holder, where it may take over. It returns false where orders must not be sent.
+// becomeHolder records this machine as the holder if it may take over. It returns false if orders
+// must not be sent.
 func (d *Dispatcher) becomeHolder(ctx context.Context, epoch uint64) bool {
 	if d.recordedEpoch == epoch {
 		return true
@@ -131,7 +142,8 @@
 	return d.recordedEpoch == epoch
 }
 
-// execute sends an order and waits until the worker has the weights. The worker gets no other order meanwhile.
+// execute sends an order and waits until the worker has loaded the weights. The worker gets no
+// other order in the meantime.
 func (d *Dispatcher) execute(ctx context.Context, order Order, epoch uint64) {
 	defer func() {
 		d.mu.Lock()
@@ -140,7 +152,7 @@
 	}()
 	defer panicguard.Contain(func(p *panicguard.PanicError) {
 		metrics.CountPanic("order")
-		d.Log.Error("panic", "instance", order.Instance.Id, "error", p, "stack", string(p.Stack))
+		d.Log.Error("panic while executing an order", "instance", order.Instance.Id, "error", p, "stack", string(p.Stack))
 	})
 	if now, owned := d.Shard.Lease(); !owned || now != epoch || d.isFenced(epoch) {
 		return
@@ -153,25 +165,26 @@
 	defer func() { log.Info("order ended", "took", time.Since(sentAt)) }()
 	switch {
 	case err != nil:
-		log.Warn("order not answered", "error", err)
-		lifecycle.Sleep(ctx, retryDelay) // the worker may load all the same
+		log.Warn("order not answered by the worker", "error", err)
+		lifecycle.Sleep(ctx, retryDelay) // the worker may load nevertheless
 	case status == fasthttp.StatusOK:
 		d.recordVersion(ctx, order)
 		return
 	case status == fasthttp.StatusPreconditionFailed:
-		log.Error("order fenced off: another process has sent orders under a later epoch")
+		log.Error("order rejected by the fencing check: another process has sent orders under a later epoch")
 		d.setFenced(epoch)
 		return
 	case status != fasthttp.StatusAccepted && status != fasthttp.StatusConflict:
-		log.Warn("order rejected", "status", status)
+		log.Warn("order rejected by the worker", "status", status)
 		lifecycle.Sleep(ctx, retryDelay)
 		return
 	}
 	d.awaitLoad(ctx, order, sentAt)
 }
 
-// isFenced reports whether a worker has rejected this epoch: another process has sent orders under a later one, so that this one must send none any
-// more, also where it still seems to own the shard.
+// isFenced reports whether a worker has rejected this epoch. Another process has then sent orders
+// under a later one, so that this process must not send any more under this epoch, even if it still
+// appears to own the shard.
 func (d *Dispatcher) isFenced(epoch uint64) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -184,14 +197,15 @@
 	d.fencedEpoch = max(d.fencedEpoch, epoch)
 }
 
-// awaitLoad queries a worker until it has the ordered version, and records that. Where it gives up, a later turn orders again.
+// awaitLoad queries a worker until it has loaded the ordered version, and records the version. If
+// it gives up, a later call of dispatch sends another order.
 func (d *Dispatcher) awaitLoad(ctx context.Context, order Order, sentAt time.Time) {
-	usual := d.loadTimes[order.Mode]
-	lifecycle.Sleep(ctx, usual.estimate())
+	estimator := d.loadTimes[order.Mode]
+	lifecycle.Sleep(ctx, estimator.estimate())
 	for queries := 1; time.Since(sentAt) < maxOrderTime; queries++ {
 		report, err := d.client.report(order.Instance, order.Model)
 		if err == nil && report.version >= order.Version {
-			usual.observe(time.Since(sentAt), queries)
+			estimator.observe(time.Since(sentAt), queries)
 			d.recordVersion(ctx, order)
 			return
 		}
@@ -208,7 +222,8 @@
 	d.Shard.RecordVersion(ctx, order.Instance.Id, order.Model, order.Version)
 }
 
-// countOrder counts orders by model, cause, mode, and by the status that the worker answered; 0 where it didn't answer.
+// countOrder counts orders by model, cause, mode and the worker's status, which is 0 if it didn't
+// answer.
 func countOrder(order Order, status int) {
 	metrics.Counter(
 		"orders_total",
--- a/internal/scheduler/weights/dispatcher_test.go
+++ b/internal/scheduler/weights/dispatcher_test.go
@@ -25,10 +25,10 @@
 		"first holder":                       {last: "", want: true},
 		"same machine":                       {last: "a", want: true},
 		"another machine, a lease ago":       {last: "b", owned: lease, want: true},
-		"another machine, lately":            {last: "b", owned: lease - 1, want: false},
-		"another machine, lately and ended":  {last: "b", ended: true, owned: lease - 1, want: false},
-		"the same, and workers check fences": {last: "b", ended: true, fenced: true, want: true},
-		"fences, but it may still run":       {last: "b", fenced: true, owned: lease - 1, want: false},
+		"another machine, recently":          {last: "b", owned: lease - 1, want: false},
+		"another machine, recent but ended":  {last: "b", ended: true, owned: lease - 1, want: false},
+		"another machine, ended and fenced":  {last: "b", ended: true, fenced: true, want: true},
+		"another machine, fenced, not ended": {last: "b", fenced: true, owned: lease - 1, want: false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -37,7 +37,7 @@
 	}
 }
 
-// fakeShard is a shard with one worker, owned under epoch 7 and never held before.
+// fakeShard is a shard with one worker, owned under epoch 7 and without an earlier holder.
 type fakeShard struct {
 	worker *rpc.Instance
 
@@ -63,7 +63,8 @@
 	s.recorded <- version
 }
 
-// startWorker serves a worker that accepts orders, and reports the ordered version from its second report on.
+// startWorker starts a worker that accepts orders, and reports the ordered version from its second
+// report on.
 func startWorker(t *testing.T, orders chan<- orderBody) (address string) {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -109,8 +110,9 @@
 	return listener.Addr().String()
 }
 
-// A dispatcher records itself as the holder, sends an order under its epoch, queries the worker until it has loaded, and records that.
-func TestDispatcherRollsAVersionOut(t *testing.T) {
+// A dispatcher records itself as the holder, sends an order under its epoch, queries the worker
+// until it has loaded the version, and records the version.
+func TestDispatcherRollout(t *testing.T) {
 	is := is.New(t)
 	orders := make(chan orderBody, 100)
 	shard := &fakeShard{recorded: make(chan uint64, 100)}
@@ -132,7 +134,7 @@
 	case version := <-shard.recorded:
 		is.Equal(version, uint64(2))
 	case <-ctx.Done():
-		t.Fatal("the version was not recorded")
+		t.Fatal("the dispatcher did not record the version within 20 s")
 	}
 	is.Equal(<-orders, orderBody{Operation: "version", Model: "m", Version: 2, Mode: Retain, Holder: "a", Epoch: 7})
 	is.Equal(shard.holderEpoch(), uint64(7))
@@ -143,8 +145,9 @@
 	is.Equal(len(d.inFlight), 0) // Run waits for the orders
 }
 
-// A worker that has seen a later epoch rejects an order: no further one is sent under that epoch, to any worker.
-func TestFencedOffDispatcherSendsNoMoreOrders(t *testing.T) {
+// After a worker that has seen a later epoch has rejected an order, no further order is sent under
+// the rejected epoch, to any worker.
+func TestDispatcherFenced(t *testing.T) {
 	is := is.New(t)
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	is.NoErr(err)
--- a/internal/scheduler/weights/load_time.go
+++ b/internal/scheduler/weights/load_time.go
@@ -5,20 +5,23 @@
 	"time"
 )
 
-// loadTime estimates how long workers take to load weights, so that a worker is queried when it has just done so: an earlier query costs one
-// more, a later one leaves the new weights unused for that long. The zero value begins with initialLoadTime and may be used by any goroutine.
+// loadTime estimates how long workers take to load weights, so that a worker is queried right after
+// the load: an earlier query has to be repeated, and a later one leaves the new weights unused in
+// the meantime. The estimate of the zero value is initialLoadTime. A loadTime is safe for
+// concurrent use.
 type loadTime struct {
 	mu       sync.Mutex
-	duration time.Duration // 0 while nothing was observed
+	duration time.Duration // 0 until the first observation
 }
 
 const (
 	initialLoadTime = 400 * time.Millisecond
 	minLoadTime     = 100 * time.Millisecond
 	maxLoadTime     = 2 * time.Second
-	// shortening is the factor on the estimate for each load that was over at the first query. Each load that was not moves the estimate towards
-	// what it took, by the interval of queries at most, so that a single long load doesn't delay the ones after it.
-	shortening = 0.98
+	// decayFactor is the factor applied to the estimate after each load that was complete at the
+	// first query. Any other load moves the estimate towards its duration, by at most
+	// queryInterval, so that a single long load doesn't delay the following ones.
+	decayFactor = 0.98
 )
 
 func (l *loadTime) estimate() time.Duration {
@@ -30,7 +33,8 @@
 	return l.duration
 }
 
-// observe learns from a load that took at most so long, and was found to be over at the query of this number, from 1.
+// observe updates the estimate after a load. took is an upper bound of its duration, and queries
+// the number of queries until the load was found complete.
 func (l *loadTime) observe(took time.Duration, queries int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -38,7 +42,7 @@
 		l.duration = initialLoadTime
 	}
 	if queries == 1 {
-		l.duration = time.Duration(shortening * float64(l.duration))
+		l.duration = time.Duration(decayFactor * float64(l.duration))
 	} else {
 		l.duration += min(took-l.duration, queryInterval)
 	}
--- a/internal/scheduler/weights/load_time_test.go
+++ b/internal/scheduler/weights/load_time_test.go
@@ -7,8 +7,8 @@
 	"github.com/matryer/is"
 )
 
-// The estimate settles near the time that loads take, whatever that is, and a load is seldom queried twice.
-func TestLoadTimeIsLearned(t *testing.T) {
+// The estimate converges to about the actual load time, and few loads need more than one query.
+func TestLoadTimeConvergence(t *testing.T) {
 	for _, real := range []time.Duration{150 * time.Millisecond, 350 * time.Millisecond, 900 * time.Millisecond} {
 		is := is.New(t)
 		var l loadTime
@@ -27,8 +27,9 @@
 	}
 }
 
-// One load that takes very long, where requests had to end first, hardly delays the next ones.
-func TestOneLongLoad(t *testing.T) {
+// A single very long load, such as one that waits for running requests, hardly increases the
+// estimate.
+func TestLoadTimeOutlier(t *testing.T) {
 	is := is.New(t)
 	var l loadTime
 	l.observe(initialLoadTime, 2)
--- a/internal/scheduler/weights/order.go
+++ b/internal/scheduler/weights/order.go
@@ -2,7 +2,7 @@
 
 import "saffronquay/internal/scheduler/rpc"
 
-// Order is a command to one worker to load a version of a model's weights.
+// Order is a command for one worker to load a version of a model's weights.
 type Order struct {
 	Instance *rpc.Instance
 	Model    string
@@ -11,31 +11,33 @@
 	Cause    Cause
 }
 
-// Mode says what a worker does with the requests that run when it loads. Its values are part of the workers' interface.
+// Mode determines what a worker does with running requests when it loads weights. Its values are
+// part of the worker protocol.
 type Mode string
 
 // The modes.
 const (
-	Wait   Mode = "wait"   // the requests end before the load
+	Wait   Mode = "wait"   // the load starts after the requests have ended
 	Retain Mode = "retain" // the requests continue with the new version
 )
 
-// Cause is why an order is sent. Its values are labels of the metric orders_total.
+// Cause is the reason for an order. Its values are label values of the metric orders_total.
 type Cause string
 
 // The causes.
 const (
-	NextVersion     Cause = "next_version" // the worker has the version before
-	SkippedVersions Cause = "skips"        // the worker has an earlier one: the versions between were never loaded there
-	NoVersion       Cause = "empty"        // the worker has none
+	NextVersion     Cause = "next_version" // the worker has the previous version
+	SkippedVersions Cause = "skips"        // the worker has an older version and never loaded those in between
+	NoVersion       Cause = "empty"        // the worker has no version
 )
 
-// causeOf returns why a worker is ordered to load a version above the one that it has.
-func causeOf(has, ordered uint64) Cause {
+// causeOf returns the cause of an order for a worker with the version current, which is older than
+// ordered.
+func causeOf(current, ordered uint64) Cause {
 	switch {
-	case has == 0:
+	case current == 0:
 		return NoVersion
-	case ordered-has > 1:
+	case ordered-current > 1:
 		return SkippedVersions
 	}
 	return NextVersion
--- a/internal/scheduler/weights/plan_test.go
+++ b/internal/scheduler/weights/plan_test.go
@@ -8,7 +8,7 @@
 	"github.com/matryer/is"
 )
 
-// workers returns n workers of one service that have version 1 of the models.
+// workers returns n workers of one service with version 1 of each model.
 func workers(n int, models ...string) (list []*rpc.Instance) {
 	for i := range n {
 		w := &rpc.Instance{Id: fmt.Sprintf("i%d", i), Service: "s", Capacity: 10}
@@ -20,13 +20,14 @@
 	return list
 }
 
-// rules allow several versions and know of no demand.
+// rules returns Rules that allow mixed versions and have no demand.
 func rules() *Rules {
 	return &Rules{SingleVersion: func(string) bool { return false }, MaxConcurrent: ConcurrentLoads, Slots: func(string) float64 { return 0 }}
 }
 
-// A version reaches its model's part of the workers a few at a time, and the plan ends.
-func TestRollOut(t *testing.T) {
+// A version is rolled out to the workers assigned to its model, a few at a time. Then no more
+// orders are planned.
+func TestPlanRollout(t *testing.T) {
 	is := is.New(t)
 	list := workers(9, "a", "b", "c")
 	wanted := map[string]uint64{"a": 2}
@@ -43,8 +44,9 @@
 	is.Equal(loads, 3)
 }
 
-// More demand brings more workers, up to all; a worker with an order in flight gets no second one.
-func TestDemandAssignsMoreWorkers(t *testing.T) {
+// The number of assigned workers grows with the demand, up to all workers. A worker with an order
+// in flight gets no second one.
+func TestAssignByDemand(t *testing.T) {
 	is := is.New(t)
 	for slots, want := range map[float64]int{0: 3, 20: 4, 40: 6, 1000: 9} {
 		r := rules()
@@ -63,8 +65,9 @@
 	is.Equal(len(Plan(workers(9, "a"), map[string]uint64{"a": 2}, busy, rules())), 0)
 }
 
-// Texts of one version are not mixed: their model's workers end what runs before they load. A lost worker gets no order.
-func TestModes(t *testing.T) {
+// Workers of a model with a single version per text finish running requests before they load. A
+// lost worker gets no order.
+func TestPlanModes(t *testing.T) {
 	is := is.New(t)
 	single := rules()
 	single.SingleVersion = func(string) bool { return true }
@@ -75,8 +78,8 @@
 	is.Equal(len(Plan(lost, map[string]uint64{"a": 2}, nil, rules())), 0)
 }
 
-// Orders carry the cause for which they are sent.
-func TestOrdersCarryTheirCause(t *testing.T) {
+// The cause of an order depends on the version that the worker has.
+func TestPlanCause(t *testing.T) {
 	is := is.New(t)
 	for has, want := range map[uint64]Cause{0: NoVersion, 4: NextVersion, 3: SkippedVersions} {
 		w := workers(1, "a")
@@ -87,8 +90,9 @@
 	}
 }
 
-// The bound on concurrent loads is one for each model: loads of one model do not wait for those of another, at other workers.
-func TestModelsLoadBesideEachOther(t *testing.T) {
+// The bound on concurrent loads applies to each model separately: loads of one model do not delay
+// those of another at other workers.
+func TestPlanConcurrentModels(t *testing.T) {
 	is := is.New(t)
 	list := workers(9, "a", "b")
 	busy := map[string]string{"i0": "a", "i1": "a"}
@@ -97,9 +101,9 @@
 	at := map[string]bool{}
 	for _, o := range orders {
 		count[o.Model]++
-		is.True(!at[o.Instance.Id] && busy[o.Instance.Id] == "") // one order at a time for each worker
+		is.True(!at[o.Instance.Id] && busy[o.Instance.Id] == "") // one order at a time per worker
 		at[o.Instance.Id] = true
 	}
-	is.Equal(count["a"], 1) // two are in flight
+	is.Equal(count["a"], 1) // two more are in flight
 	is.Equal(count["b"], 3)
 }
--- a/internal/scheduler/weights/worker_client.go
+++ b/internal/scheduler/weights/worker_client.go
@@ -11,14 +11,15 @@
 )
 
 const (
-	// maxIdleConnection is how long a connection to a worker is kept for the next order: versions follow each other within seconds. It is
-	// shorter than workers keep theirs.
+	// maxIdleConnection is how long an idle connection to a worker is kept for the next order: new
+	// versions arrive within seconds. It is shorter than the workers' idle timeout.
 	maxIdleConnection = 9 * time.Second
 	orderTimeout      = 800 * time.Millisecond
 	reportTimeout     = 500 * time.Millisecond
 )
 
-// expectInstance is the header that names the worker that a request is for. Another one at its address rejects the request.
+// expectInstance is the header with the ID of the worker that a request is for. A different worker
+// at the address rejects the request.
 const expectInstance = "Expect-Instance"
 
 // workerClient sends orders and queries to workers, without retries.
@@ -46,7 +47,8 @@
 // loadVersion is the operation of an order to load weights.
 const loadVersion = "version"
 
-// order sends an order and returns the status of the answer. After an error the worker may load all the same.
+// order sends an order and returns the status of the answer. After an error the worker may
+// nevertheless have received the order.
 func (c *workerClient) order(order Order, holder string, epoch uint64) (status int, err error) {
 	body, err := json.Marshal(orderBody{
 		Operation: loadVersion, Model: order.Model, Version: order.Version, Mode: order.Mode, Holder: holder, Epoch: epoch,
@@ -68,13 +70,13 @@
 	return response.StatusCode(), nil
 }
 
-// workerReport is what a worker answers to a query.
+// workerReport is a worker's answer to a query.
 type workerReport struct {
-	version uint64 // of the model queried; 0 where the worker has none
-	busy    bool   // as the field utilization of the report says
+	version uint64 // of the queried model; 0: none
+	busy    bool   // field utilization of the report
 }
 
-// report queries a worker for the version of a model that it has.
+// report queries a worker for its version of a model.
 func (c *workerClient) report(instance *rpc.Instance, model string) (workerReport, error) {
 	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(request)
@@ -85,7 +87,7 @@
 		return workerReport{}, err
 	}
 	if response.StatusCode() != fasthttp.StatusOK {
-		return workerReport{}, fmt.Errorf("weights: report: status %d", response.StatusCode())
+		return workerReport{}, fmt.Errorf("weights: query the worker's report: got status %d, want 200", response.StatusCode())
 	}
 	var body struct {
 		Models []struct {
