--- a/internal/scheduler/placement/placement.go
+++ b/internal/scheduler/placement/placement.go
@@ -6,32 +6,34 @@
 	"slices"
 )
 
-// Machine is a machine on which a replica can be placed, as the caller sees it.
+// Machine is the caller's view of a machine on which a replica can be placed.
 type Machine struct {
 	Node     string // name of the machine
-	Identity string // of its disk; empty while it is unknown
-	Address  string // of the peer service
+	Identity string // identity of its disk; empty if unknown
+	Address  string // address of the peer service
 	Zone     string
 	Alive    bool
 	DeadMS   int64 // milliseconds since it was declared failed
-	Retiring bool  // the operator has asked to empty it
+	Retiring bool  // an operator has requested to move its replicas away
 }
 
-// ReplaceAfterMS is how long, in milliseconds, a failed machine keeps its replica although another machine is free: long enough for a restart.
+// ReplaceAfterMS is how long, in milliseconds, a failed machine keeps its replica although another
+// machine is free. It allows for a restart.
 const ReplaceAfterMS = 2500
 
 // Plan returns the replicas that a group should have.
 //
-// current is the previous plan, size the number of replicas that the deployment's tolerance requires, and load the number of replicas that each
-// machine has already, by its name. A replica whose machine reports another disk is dropped: the old identity never returns. A replica on a
-// retiring machine, or on one that failed ReplaceAfterMS ago, is replaced where a free machine exists and kept otherwise, so that the plan
-// never becomes smaller for lack of machines.
+// current is the previous plan, size the number of replicas that the deployment's fault tolerance
+// requires, and load the number of replicas on each machine, by its name. A replica whose machine
+// reports another disk is dropped, since the old identity never returns. A replica on a retiring
+// machine, or on one that failed at least ReplaceAfterMS ago, is replaced if there is a free
+// machine and kept otherwise, so that the plan never shrinks for lack of machines.
 func Plan(current []*rpc.Replica, machines []Machine, size int, load map[string]int) []*rpc.Replica {
 	byNode := map[string]Machine{}
 	for _, machine := range machines {
 		byNode[machine.Node] = machine
 	}
-	kept, replaceable := divide(current, byNode)
+	kept, replaceable := splitReplicas(current, byNode)
 	zones := map[string]int{}
 	for _, replica := range kept {
 		zones[byNode[replica.Node].Zone]++
@@ -51,8 +53,9 @@
 	return kept
 }
 
-// divide splits the current replicas into those that stay and those that give way to a free machine. Replicas of lost disks are in neither.
-func divide(current []*rpc.Replica, byNode map[string]Machine) (kept, replaceable []*rpc.Replica) {
+// splitReplicas splits the current replicas into those to keep and those to replace if a machine is
+// free. Replicas of lost disks are in neither.
+func splitReplicas(current []*rpc.Replica, byNode map[string]Machine) (kept, replaceable []*rpc.Replica) {
 	for _, replica := range current {
 		machine, known := byNode[replica.Node]
 		switch {
@@ -69,9 +72,10 @@
 	return kept, replaceable
 }
 
-// WithForgotten adds the machines of replicas that are missing from the membership view: machines that failed so long ago that the protocol
-// has forgotten them, or before this process began to listen. They count as failed for listenedMS, the time in milliseconds that the
-// caller has listened. The argument machines is not modified.
+// WithForgotten returns machines and, in addition, the machines of replicas that are missing from
+// the membership view. These failed so long ago that the membership protocol no longer lists them,
+// or before this process joined it. They count as failed for listenedMS, the time in milliseconds
+// for which the caller has participated in the protocol. The argument machines is not modified.
 func WithForgotten(machines []Machine, replicas []*rpc.Replica, listenedMS int64) []Machine {
 	machines = slices.Clone(machines)
 	for _, replica := range replicas {
@@ -83,13 +87,13 @@
 	return machines
 }
 
-// leastLoaded returns the free machine with the fewest replicas of this group in its zone, then the fewest replicas of any group, then the
-// least name; nil if no machine is free.
+// leastLoaded returns the free machine with the fewest replicas of this group in its zone, or nil
+// if no machine is free. Ties are broken by the fewest replicas of any group and then by name.
 func leastLoaded(machines []Machine, kept []*rpc.Replica, zones, load map[string]int) *Machine {
 	var free []Machine
 	for _, machine := range machines {
-		taken := slices.ContainsFunc(kept, func(r *rpc.Replica) bool { return r.Node == machine.Node })
-		if machine.Alive && !machine.Retiring && machine.Identity != "" && !taken {
+		used := slices.ContainsFunc(kept, func(r *rpc.Replica) bool { return r.Node == machine.Node })
+		if machine.Alive && !machine.Retiring && machine.Identity != "" && !used {
 			free = append(free, machine)
 		}
 	}
@@ -102,7 +106,7 @@
 	return &best
 }
 
-// Same reports whether two plans name the same replicas at the same addresses, in any order.
+// Same reports whether two plans contain the same replicas at the same addresses, in any order.
 func Same(a, b []*rpc.Replica) bool {
 	if len(a) != len(b) {
 		return false
--- a/internal/scheduler/placement/placement_test.go
+++ b/internal/scheduler/placement/placement_test.go
@@ -8,7 +8,7 @@
 	"github.com/matryer/is"
 )
 
-// machines returns n live machines with a disk each, spread over the zones in turn.
+// machines returns n live machines with one disk each, assigned to the zones in turn.
 func machines(n, zones int) (list []Machine) {
 	for i := range n {
 		name := fmt.Sprintf("m%d", i)
@@ -26,7 +26,7 @@
 	return m
 }
 
-func TestZonesFirst(t *testing.T) {
+func TestPlanSpreadsOverZones(t *testing.T) {
 	is := is.New(t)
 	plan := Plan(nil, machines(9, 3), 3, map[string]int{"m0": 1, "m1": 1, "m2": 1})
 	is.Equal(len(plan), 3)
@@ -37,9 +37,10 @@
 	is.Equal(len(zones), 3)
 }
 
-// A machine that lost its disk is placed under its new identity. A machine that failed long ago, or is retiring, is replaced by a spare
-// machine, and keeps its replica without one.
-func TestReplacements(t *testing.T) {
+// A machine that lost its disk is placed under its new identity. A machine that failed
+// ReplaceAfterMS ago or is retiring is replaced by a spare machine, and keeps its replica if there
+// is none.
+func TestPlanReplacements(t *testing.T) {
 	is := is.New(t)
 	all := machines(4, 4)
 	current := Plan(nil, all[:3], 3, nil)
@@ -63,8 +64,9 @@
 	is.True(plan["m0"] == "" && plan["m3"] != "")
 }
 
-// A machine that is missing from the membership view is replaced once the caller has listened for ReplaceAfterMS.
-func TestForgottenMachine(t *testing.T) {
+// A machine that is missing from the membership view is replaced after the caller has participated
+// in the protocol for ReplaceAfterMS.
+func TestWithForgotten(t *testing.T) {
 	is := is.New(t)
 	current := []*rpc.Replica{{Id: "a1", Address: "a", Node: "a"}, {Id: "b1", Address: "b", Node: "b"}, {Id: "x1", Address: "x", Node: "x"}}
 	machines := []Machine{{Node: "a", Identity: "a1", Address: "a", Alive: true}, {Node: "b", Identity: "b1", Address: "b", Alive: true}, {Node: "c", Identity: "c1", Address: "c", Alive: true}}
