--- a/internal/scheduler/transport/client.go
+++ b/internal/scheduler/transport/client.go
@@ -16,21 +16,21 @@
 const (
 	// defaultTimeout bounds calls whose context has no deadline.
 	defaultTimeout = 2 * time.Second
-	// clientIdleTimeout is how long a connection is kept without a call.
+	// clientIdleTimeout is how long an idle connection is kept.
 	clientIdleTimeout = 30 * time.Second
-	// maxConnectionsPerAddress bounds the calls to an address at a time. Further ones fail.
+	// maxConnectionsPerAddress bounds the concurrent calls to an address. Further calls fail.
 	maxConnectionsPerAddress = 64
-	// maxBody is the length in bytes of the longest body of a request or response.
+	// maxBody is the maximum length of the body of a request or response, in bytes.
 	maxBody = 128 << 20
 )
 
-// Client sends calls of the internal protocol. It implements the HTTPClient of the code that twirp generates. Connections are kept for later
-// calls.
+// Client sends calls of the internal protocol. It implements the interface HTTPClient of the
+// generated twirp code and reuses connections. It is safe for concurrent use.
 type Client struct {
 	http fasthttp.Client
 }
 
-// NewClient returns a client without connections. A process needs only one.
+// NewClient returns a client without connections. One client per process is sufficient.
 func NewClient() *Client {
 	return &Client{http: fasthttp.Client{
 		Dial:                      dial,
@@ -43,15 +43,18 @@
 	}}
 }
 
-// ErrNotSent says that no byte of a call was sent: there was no connection to the server, and none free. The server has not executed the call
-// and will not.
-var ErrNotSent = errors.New("transport: the call was not sent")
+// ErrNotSent means that no byte of a call was sent, because its context had ended, no connection
+// could be opened, or all connections were in use. The server has not executed the call and will
+// not.
+var ErrNotSent = errors.New("transport: call not sent")
 
-// Do sends a request once and waits for its response until the request's context ends, or for 2 s if that has no deadline. Of the headers only
-// Content-Type is sent and returned. The response is complete in memory, so its body needs no Close. After an error that is not ErrNotSent the
-// server may or may not have executed the call.
+// Do sends a request once and waits for its response until the request's context ends, or for
+// defaultTimeout if the context has no deadline. Content-Type is the only header that is sent and
+// returned. The response is complete in memory, so its body needs no Close. After an error that
+// does not wrap ErrNotSent, the server may have executed the call.
 //
-// The exchange itself can't be interrupted: after a cancellation its goroutine and its connection are in use until the deadline at the latest.
+// The exchange itself can't be interrupted: after a cancellation its goroutine and its connection
+// remain in use until the deadline at the latest.
 func (c *Client) Do(r *http.Request) (*http.Response, error) {
 	ctx := r.Context()
 	if ctx.Err() != nil {
@@ -76,13 +79,14 @@
 	}
 }
 
-// exchange is the end of one call: a response, or an error.
+// exchange is the result of one call: a response or an error.
 type exchange struct {
 	response *http.Response
 	err      error
 }
 
-// exchange sends a request, waits for its response until a deadline, and counts the call by its path. It releases the request.
+// exchange sends a request, waits for its response until the deadline, and counts the call by its
+// path. It releases the request.
 func (c *Client) exchange(request *fasthttp.Request, path string, deadline time.Time) exchange {
 	response := fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(request)
@@ -99,7 +103,7 @@
 	return exchange{response: copyResponse(response)} //nolint:bodyclose // it is complete in memory
 }
 
-// dial is Dial for the client. Its errors wrap ErrNotSent.
+// dial is Dial with errors that wrap ErrNotSent.
 func dial(address string) (net.Conn, error) {
 	conn, err := Dial(address)
 	if err != nil {
@@ -108,7 +112,8 @@
 	return conn, nil
 }
 
-// copyRequest sets a fasthttp request to what a net/http request says.
+// copyRequest copies the method, URL, content type and body of a net/http request to a fasthttp
+// request.
 func copyRequest(request *fasthttp.Request, r *http.Request) error {
 	request.Header.SetMethod(r.Method)
 	request.SetRequestURI(r.URL.String())
@@ -124,7 +129,8 @@
 	return nil
 }
 
-// copyResponse returns a response that stays valid after the fasthttp one is released.
+// copyResponse returns a copy of the response that remains valid after the fasthttp response is
+// released.
 func copyResponse(response *fasthttp.Response) *http.Response {
 	header := http.Header{}
 	header.Set("Content-Type", string(response.Header.ContentType()))
@@ -137,7 +143,8 @@
 	}
 }
 
-// countCall counts calls of the internal protocol and the bytes of their bodies, by method.
+// countCall counts calls of the internal protocol by method and outcome, and the bytes of their
+// bodies by method.
 func countCall(method, outcome string, sent, received int) {
 	call := metrics.Label{Name: "call", Value: method}
 	metrics.Counter("calls_total", call, metrics.Label{Name: "outcome", Value: outcome}).Inc()
--- a/internal/scheduler/transport/dial.go
+++ b/internal/scheduler/transport/dial.go
@@ -10,28 +10,32 @@
 )
 
 const (
-	// DialTimeout bounds the time that Dial takes to establish a connection.
+	// DialTimeout bounds how long Dial takes to establish a connection.
 	DialTimeout = 400 * time.Millisecond
-	// userTimeout bounds how long sent bytes may stay unacknowledged before the system closes the connection.
+	// userTimeout bounds how long sent bytes may remain unacknowledged before the kernel closes the
+	// connection.
 	userTimeout = 1500 * time.Millisecond
-	// tcpUserTimeout is Linux's option TCP_USER_TIMEOUT, which package syscall doesn't name.
+	// tcpUserTimeout is the Linux socket option TCP_USER_TIMEOUT, which package syscall doesn't
+	// define.
 	tcpUserTimeout = 0x12
-	// listenAttempts and listenRetryInterval say how long ListenTCP waits for an address that is in use: 2 s.
+	// ListenTCP makes listenAttempts attempts, listenRetryInterval apart, if an address is in use:
+	// it waits for 2 s in total.
 	listenAttempts      = 40
 	listenRetryInterval = 50 * time.Millisecond
 )
 
-// Dial opens a connection over IPv4. It fails after DialTimeout. The connection breaks when its peer does not acknowledge what was sent for
-// 1.5 s; a connection without traffic is not checked.
+// Dial opens a connection over IPv4, within DialTimeout. The connection fails if its peer does not
+// acknowledge sent bytes for 1.5 s; an idle connection is not probed.
 func Dial(address string) (net.Conn, error) { return DialWithin(address, DialTimeout) }
 
-// DialWithin is Dial with another bound on the time that it takes to establish the connection.
+// DialWithin is Dial with the given timeout instead of DialTimeout.
 func DialWithin(address string, timeout time.Duration) (net.Conn, error) {
 	dialer := net.Dialer{Timeout: timeout, KeepAlive: -1, Control: setUserTimeout}
 	return dialer.Dial("tcp4", address)
 }
 
-// setUserTimeout sets the TCP user timeout of a new socket. A system that does not know the option is no error.
+// setUserTimeout sets the TCP user timeout of a new socket. It returns nil if the system doesn't
+// support the option.
 func setUserTimeout(_, _ string, raw syscall.RawConn) error {
 	var optionErr error
 	err := raw.Control(func(descriptor uintptr) {
@@ -43,8 +47,9 @@
 	return err
 }
 
-// ListenTCP opens a listening socket over IPv4. If the address is in use, as an earlier process of the machine may still have it, it tries again
-// for up to 2 s. Any other error is returned at once. ctx is used while a name in the address is resolved; its end does not close the socket.
+// ListenTCP opens a listening socket over IPv4. If the address is in use, possibly by an earlier
+// process on this machine, it retries for up to 2 s. Any other error is returned immediately. ctx
+// is only used to resolve a name in the address; its end does not close the socket.
 func ListenTCP(ctx context.Context, address string) (net.Listener, error) {
 	var config net.ListenConfig
 	var err error
--- a/internal/scheduler/transport/doc.go
+++ b/internal/scheduler/transport/doc.go
@@ -1,9 +1,10 @@
-// Package transport carries the internal protocol (package rpc, over twirp) between the processes of the scheduler: one Client and one Server
-// for each process, over HTTP/1.1 of fasthttp. It also opens the sockets that other parts of the scheduler need.
+// Package transport carries the internal protocol (package rpc, over twirp) between the processes
+// of the scheduler: each process has one Client and one Server, over HTTP/1.1 with fasthttp. It
+// also opens sockets for other parts of the scheduler.
 //
-// The package knows nothing of the calls' meaning, and repeats none: a call is sent at most once, so that the caller may decide whether a
-// repetition is harmless.
+// The package is independent of the meaning of calls and never retries: a call is sent at most
+// once, so that the caller can decide whether a retry is safe.
 //
-// Client, Server and the functions may be used by any goroutine. An error of Client.Do says nothing of whether the call was executed,
-// unless it is ErrNotSent.
+// Client, Server and the functions are safe for concurrent use. After an error of Client.Do the
+// call may or may not have been executed, unless the error wraps ErrNotSent.
 package transport
--- a/internal/scheduler/transport/server.go
+++ b/internal/scheduler/transport/server.go
@@ -13,8 +13,9 @@
 	"github.com/valyala/fasthttp/fasthttpadaptor"
 )
 
-// serverIdleTimeout is how long the server keeps a connection without a call. It is longer than the client's, so that usually the
-// client closes first: a call on a connection that the server is closing fails.
+// serverIdleTimeout is how long the server keeps an idle connection. It is longer than
+// clientIdleTimeout, so that usually the client closes first: a call on a connection that the
+// server is closing fails.
 const serverIdleTimeout = 2 * clientIdleTimeout
 
 // Server answers calls of the internal protocol.
@@ -23,8 +24,9 @@
 	listener net.Listener
 }
 
-// Listen opens a server. services has the handlers of the services by the prefixes of their paths, of which none may begin with another. Other
-// paths are answered 404. The caller has to run Serve, and Close to end it; the end of ctx does not.
+// Listen returns a server that listens on an address. services contains the handlers by the
+// prefixes of their paths; no prefix may start with another. Other paths are answered 404. The
+// caller must call Serve, and Close to stop the server; the end of ctx does not stop it.
 func Listen(ctx context.Context, address string, services map[string]http.Handler) (*Server, error) {
 	handlers := map[string]fasthttp.RequestHandler{}
 	for prefix, service := range services {
@@ -46,8 +48,8 @@
 	return s, nil
 }
 
-// byPrefix returns a handler that passes a request to the one whose prefix its path has. A panic there is answered 500: the call may have been
-// executed.
+// byPrefix returns a handler that passes a request to the handler with the prefix of its path. A
+// panic of that handler is answered 500: the call may have been executed.
 func byPrefix(handlers map[string]fasthttp.RequestHandler) fasthttp.RequestHandler {
 	return func(ctx *fasthttp.RequestCtx) {
 		path := string(ctx.Path())
@@ -55,7 +57,7 @@
 			if strings.HasPrefix(path, prefix) {
 				defer panicguard.Contain(func(p *panicguard.PanicError) {
 					metrics.CountPanic("call")
-					slog.Error("panic", "call", path, "error", p, "stack", string(p.Stack))
+					slog.Error("panic while serving a call", "call", path, "error", p, "stack", string(p.Stack))
 					ctx.Error("internal error", fasthttp.StatusInternalServerError)
 				})
 				handler(ctx)
@@ -66,8 +68,8 @@
 	}
 }
 
-// Serve answers calls until Close; it returns nil then.
+// Serve answers calls until Close is called, after which it returns nil.
 func (s *Server) Serve() error { return s.http.Serve(s.listener) }
 
-// Close stops accepting connections and waits until the calls under way are answered, or until ctx ends.
+// Close stops accepting connections and waits until the calls in flight are answered or ctx ends.
 func (s *Server) Close(ctx context.Context) error { return s.http.ShutdownWithContext(ctx) }
--- a/internal/scheduler/transport/transport_test.go
+++ b/internal/scheduler/transport/transport_test.go
@@ -18,7 +18,7 @@
 	"github.com/matryer/is"
 )
 
-// post makes a call with a body and returns the body of its response.
+// post makes a call with the given body and returns the body of its response.
 func post(t *testing.T, c *Client, address, body string, timeout time.Duration) (string, error) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
@@ -50,8 +50,9 @@
 	return server.listener.Addr().String()
 }
 
-// Buffers are used again for other calls. A response keeps its body, however many calls follow, also concurrent ones.
-func TestAnswersOutliveTheBuffers(t *testing.T) {
+// A response keeps its body although the buffers of its call are reused by later and concurrent
+// calls.
+func TestClientResponseOutlivesBuffers(t *testing.T) {
 	is := is.New(t)
 	address, client := echo(t), NewClient()
 	var wait sync.WaitGroup
@@ -74,7 +75,7 @@
 			}
 			for body, response := range kept {
 				if text, _ := io.ReadAll(response.Body); !bytes.Equal(text, []byte(body)) {
-					t.Errorf("a call was answered %q, but its body became %q", body, text)
+					t.Errorf("body of a kept response changed: want %q, got %q", body, text)
 				}
 			}
 		}()
@@ -83,8 +84,9 @@
 	is.True(!t.Failed())
 }
 
-// A call is sent once, whatever its outcome: also over a kept connection that the server resets or closes, and if no answer comes.
-func TestCallsAreSentOnce(t *testing.T) {
+// A call is sent once, whatever its outcome: even on a reused connection that the server resets or
+// closes, and if there is no answer.
+func TestClientSendsOnce(t *testing.T) {
 	is := is.New(t)
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	is.NoErr(err)
@@ -94,7 +96,7 @@
 	client, address := NewClient(), listener.Addr().String()
 	sent := 0
 	for _, how := range []string{"reset", "close", "no answer"} {
-		_, err := post(t, client, address, "good before "+how, 20*time.Second) // so that a connection is kept
+		_, err := post(t, client, address, "good before "+how, 20*time.Second) // so that there is an idle connection
 		is.NoErr(err)
 		_, err = post(t, client, address, how, 100*time.Millisecond)
 		is.True(err != nil)
@@ -117,8 +119,9 @@
 	}
 }
 
-// followScript reports the bodies of the requests on a connection. A body says what happens to its request: the connection is reset or closed,
-// or there is no answer; any other request is answered.
+// followScript sends the bodies of the requests on a connection to received. The body selects the
+// reaction to its request: the connection is reset or closed, or there is no answer. Any other
+// request is answered.
 func followScript(conn net.Conn, received chan<- string) {
 	defer conn.Close()
 	reader := bufio.NewReader(conn)
@@ -143,12 +146,13 @@
 	}
 }
 
-// A call ends with its context, also before the deadline; the server may still be at work on it.
-func TestCallsEndWithTheirContext(t *testing.T) {
+// A call ends when its context is cancelled before the deadline, although the server may still be
+// executing it.
+func TestClientContextCancelled(t *testing.T) {
 	is := is.New(t)
-	begun, release := make(chan struct{}), make(chan struct{})
+	started, release := make(chan struct{}), make(chan struct{})
 	server, err := Listen(context.Background(), "127.0.0.1:0", map[string]http.Handler{"/echo": http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
-		close(begun)
+		close(started)
 		<-release
 	})})
 	is.NoErr(err)
@@ -157,14 +161,14 @@
 	ctx, cancel := context.WithTimeout(context.Background(), time.Hour)
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+server.listener.Addr().String()+"/echo", strings.NewReader("x"))
 	is.NoErr(err)
-	go func() { <-begun; cancel() }()
+	go func() { <-started; cancel() }()
 	_, err = NewClient().Do(request)
 	is.True(errors.Is(err, context.Canceled))
 	is.True(!errors.Is(err, ErrNotSent))
 }
 
-// Calls of which nothing was sent say so, also through the client that twirp generates.
-func TestCallsThatWereNotSent(t *testing.T) {
+// The error of a call that was not sent wraps ErrNotSent, also through the generated twirp client.
+func TestClientErrNotSent(t *testing.T) {
 	is := is.New(t)
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	is.NoErr(err)
@@ -182,13 +186,13 @@
 	is.True(errors.Is(err, ErrNotSent) && errors.Is(err, context.Canceled))
 }
 
-// A panic of one call's handler is answered 500; the server goes on.
-func TestPanicOfOneCall(t *testing.T) {
+// A panic in a handler is answered 500, and the server continues to answer calls.
+func TestServerHandlerPanic(t *testing.T) {
 	is := is.New(t)
 	server, err := Listen(context.Background(), "127.0.0.1:0", map[string]http.Handler{"/echo": http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
 		if string(body) == "panic" {
-			panic("a fault of the handler")
+			panic("injected handler panic")
 		}
 		w.Write(body)
 	})})
