--- a/internal/scheduler/forward/forward_test.go
+++ b/internal/scheduler/forward/forward_test.go
@@ -26,8 +26,8 @@
 // workerBehaviours are the possible reactions of a faulty worker to a request. Each entry has the
 // same probability.
 var workerBehaviours = []string{
-	"serve", "serve", "serve", "reject", "reset unread", "run and reset", "run and never answer", "surplus answer", "late surplus", "another's answer first",
-	"another's empty answer first", "no stamp", "no id", "cut short", "serve and close",
+	"serve", "serve", "serve", "reject", "reset unread", "run and reset", "run and never answer", "surplus answer", "late surplus", "stale answer first",
+	"stale empty answer first", "no response stamp", "no request ID", "truncated answer", "serve and close",
 }
 
 // runLog records which workers ran each request.
@@ -123,15 +123,15 @@
 		case "late surplus":
 			send(completeAnswer(id))
 			send(completeAnswer(previous))
-		case "another's answer first":
+		case "stale answer first":
 			send(completeAnswer(previous) + completeAnswer(id))
-		case "another's empty answer first":
+		case "stale empty answer first":
 			send("HTTP/1.1 500 Oh\r\nRequest-Id: " + previous + "\r\nContent-Length: 0\r\n\r\n" + completeAnswer(id))
-		case "no stamp":
+		case "no response stamp":
 			send("HTTP/1.1 200 OK\r\nRequest-Id: " + id + "\r\nContent-Length: 2\r\n\r\nno")
-		case "no id":
+		case "no request ID":
 			send("HTTP/1.1 200 OK\r\nResponse-Stamp: s\r\nContent-Length: 2\r\n\r\nno")
-		case "cut short":
+		case "truncated answer":
 			text := completeAnswer(id)
 			send(text[:len(text)-1-random.IntN(len(text)-1)])
 			return
--- a/internal/scheduler/proxy/doc.go
+++ b/internal/scheduler/proxy/doc.go
@@ -17,7 +17,7 @@
 //
 // 503 with Retry-After:
 //
-//   - "no configuration is known yet" (awaitConfiguration): the process has just started, or
+//   - "no configuration is known yet" (dispatch): the process has just started, or
 //     can't reach its agent.
 //   - "no worker available for the request" (failureStatus): no worker of the route's services is
 //     eligible, or all workers that were attempted rejected the request or could not be reached,
--- a/internal/scheduler/proxy/headers.go
+++ b/internal/scheduler/proxy/headers.go
@@ -18,7 +18,7 @@
 }
 
 // isReplacedInRequest reports whether a header field of a request is not passed on: hop-by-hop
-// fields, and fields that packages forward and worker set.
+// fields, and fields that only the scheduler may send to workers.
 func isReplacedInRequest(name string) bool {
 	switch strings.ToLower(name) {
 	case "connection", "keep-alive", "proxy-connection", "proxy-authenticate", "proxy-authorization", "te", "trailer", "transfer-encoding", "upgrade",
--- a/internal/scheduler/proxy/jobs.go
+++ b/internal/scheduler/proxy/jobs.go
@@ -61,7 +61,8 @@
 }
 
 // readJob answers with the results of a job after the position in the query parameter "after". If
-// there are none yet, it waits for the duration in the header Wait-Ms, up to maxReadWait.
+// there are none yet, it waits for up to the duration in the header Wait-Ms, but at most
+// maxReadWait.
 func (p *Proxy) readJob(ctx *fasthttp.RequestCtx, shard, id string) {
 	after := ctx.QueryArgs().GetUintOrZero("after")
 	start := time.Now()
--- a/internal/scheduler/weights/assignment.go
+++ b/internal/scheduler/weights/assignment.go
@@ -18,8 +18,8 @@
 
 // assign chooses the workers on which each model of a service is kept up to date, and returns their
 // ids by model. A model gets as many workers as its open jobs need plus a reserve, but at least an
-// even share, and no more, so that a new version interrupts as few requests as possible. The models
-// are spread evenly over the workers.
+// even share. The other workers do not load it, so that a new version interrupts as few requests as
+// possible. The models are spread evenly over the workers.
 func assign(workers []*rpc.Instance, rules *Rules) map[string]map[string]bool {
 	usable := slices.DeleteFunc(slices.Clone(workers), func(w *rpc.Instance) bool { return w.Draining })
 	models := modelsOf(usable)
--- a/internal/scheduler/weights/dispatcher.go
+++ b/internal/scheduler/weights/dispatcher.go
@@ -31,8 +31,8 @@
 	RecordHolder(ctx context.Context, epoch uint64) bool
 	// Instances returns the workers to which orders may be sent. The caller must not modify them.
 	Instances() []*rpc.Instance
-	// RecordVersion commits that a worker has loaded a version of a model. The commit may fail
-	// without notice.
+	// RecordVersion commits that a worker has loaded a version of a model. The commit is lost
+	// without notice if the group does not decide in time.
 	RecordVersion(ctx context.Context, instance, model string, version uint64)
 }
 
--- a/internal/scheduler/worker/doc.go
+++ b/internal/scheduler/worker/doc.go
@@ -17,8 +17,8 @@
 // # Errors
 //
 // Every error of Pool.Do is an *outcome.Error that reports whether the request may have run. Errors
-// from reading the body are not: the request may have run. A truncated body never ends in io.EOF; a
-// body without a length ends when the connection is closed.
+// from reading the body are not of that type; the request may have run then. A truncated body never
+// ends in io.EOF; a body without a length ends when the connection is closed.
 //
 // # Concurrency
 //
