--- a/internal/scheduler/configuration/configuration_test.go
+++ b/internal/scheduler/configuration/configuration_test.go
@@ -7,14 +7,15 @@
 	"github.com/matryer/is"
 )
 
-// documentText is a consistent document with two routes, one below the path of the other.
+// documentText is a valid document with two routes, the path prefix of one below that of the other.
 const documentText = `{"version":7,"routes":[
  {"name":"r1","host":"h.example","pathPrefix":"/a/","type":"idempotent","timeoutMs":800,"service":"s1","maxAttempts":2},
  {"name":"r2","host":"h.example","pathPrefix":"/a/b/","type":"deployment","timeoutMs":800,"trafficSplit":[{"service":"s1","weight":90},{"service":"s2","weight":0}]}],
  "services":[{"name":"s1","engine":{"models":[{"name":"m"}]}},{"name":"s2"}],"limits":{"maxBodyBytes":100},"extra":{"kept":true}}`
 
-// A path takes the longest matching prefix of its host. Services come from targets with a weight.
-func TestLongestPrefixWins(t *testing.T) {
+// A path is routed by the longest matching prefix of its host. Only targets with a weight above 0
+// count as services of a deployment.
+func TestTable_FindLongestPrefix(t *testing.T) {
 	is := is.New(t)
 	d, err := Parse([]byte(documentText))
 	is.NoErr(err)
@@ -29,16 +30,16 @@
 }
 
 // Inconsistent and malformed documents are rejected.
-func TestInvalidConfigurations(t *testing.T) {
+func TestParseConfiguration_Invalid(t *testing.T) {
 	for name, text := range map[string]string{
-		"cut short":            documentText[:len(documentText)-20],
+		"truncated document":   documentText[:len(documentText)-20],
 		"unknown service":      strings.Replace(documentText, `"service":"s1","maxAttempts"`, `"service":"s9","maxAttempts"`, 1),
 		"same host and prefix": strings.Replace(documentText, `/a/b/`, `/a/`, 1),
 		"no weight":            strings.Replace(documentText, `"weight":90`, `"weight":0`, 1),
 		"no timeout":           strings.Replace(documentText, `"timeoutMs":800`, `"timeoutMs":0`, 1),
 		"no version":           strings.Replace(documentText, `"version":7`, `"version":0`, 1),
 		"trailing text":        documentText + "{}",
-		"a wrong type":         strings.Replace(documentText, `"version":7`, `"version":"7"`, 1),
+		"wrong type":           strings.Replace(documentText, `"version":7`, `"version":"7"`, 1),
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -48,8 +49,8 @@
 	}
 }
 
-// A change replaces, adds and removes items by name, and leaves all else as it is.
-func TestChangesOfNamedItems(t *testing.T) {
+// A patch replaces, adds and removes items by name, and keeps everything else.
+func TestApplyPatch_NamedItems(t *testing.T) {
 	is := is.New(t)
 	body, err := ApplyPatch([]byte(documentText), []byte(`{"version":9,"upsert":{"routes":[{"name":"r3","host":"h.example","pathPrefix":"/c/","timeoutMs":1,"service":"s1"},
  {"name":"r1","host":"h.example","pathPrefix":"/a/","timeoutMs":5,"service":"s2"}]},"remove":{"routes":["r2","never"]}}`))
@@ -60,13 +61,13 @@
 	is.Equal(len(d.Routes), 2)
 	is.Equal(d.Routes[0].Service, "s2")
 	is.Equal(d.Routes[1].Name, "r3")
-	is.True(strings.Contains(string(body), `"kept":true`)) // keys that Document does not have stay
+	is.True(strings.Contains(string(body), `"kept":true`)) // unknown keys are kept
 	_, err = ApplyPatch([]byte(documentText), []byte(`{"version":9,"upsert":{"routes":[{"host":"x"}]}}`))
 	is.True(err != nil)
 }
 
-// The text of a configuration may be in a buffer that is used again: nothing that was parsed may refer to it.
-func TestConfigurationOutlivesItsBuffer(t *testing.T) {
+// The buffer of a configuration's text may be reused, so a parsed document must not refer to it.
+func TestParseConfiguration_DoesNotReferToInput(t *testing.T) {
 	is := is.New(t)
 	text := `{"version":3,"routes":[{"name":"r","host":"h.example","pathPrefix":"/p/","timeoutMs":5,"service":"s"}],"services":[{"name":"s","healthPath":"/healthz"}]}`
 	buffer := []byte(text)
--- a/internal/scheduler/configuration/patch.go
+++ b/internal/scheduler/configuration/patch.go
@@ -6,29 +6,32 @@
 	"fmt"
 )
 
-// patch is an operator's change of named items, by the document's key that lists them.
+// patch is an operator's change of named items. The keys of Upsert and Remove are the document's keys
+// of the lists that have the items.
 type patch struct {
 	Version uint64                       `json:"version"`
-	Upsert  map[string][]json.RawMessage `json:"upsert"` // items that replace those of the same name, or are added
-	Remove  map[string][]string          `json:"remove"` // names of items; unknown ones are ignored
-	Limits  json.RawMessage              `json:"limits"` // replaces all limits, if present
-	// Other is never read or filled. The recorded list of tags (internal/golden) has its tag.
+	Upsert  map[string][]json.RawMessage `json:"upsert"` // items to add, or to replace if an item has the same name
+	Remove  map[string][]string          `json:"remove"` // names of items; unknown names are ignored
+	Limits  json.RawMessage              `json:"limits"` // replaces all limits if present
+	// Other is not used. It is kept because the recorded list of struct tags (internal/golden) has
+	// its tag.
 	Other map[string]map[string]json.RawMessage `json:"-"`
 }
 
-// ApplyPatch returns a document's text with a change of named items made to it. Items are removed first, then replaced or added. What the change
-// does not name stays as it is, keys that Document does not have too. The result is not checked; pass it to Parse.
+// ApplyPatch returns the text of a document after a patch of named items: items are removed first, then
+// replaced or added. Everything else is kept, including keys that Document does not have. The result is
+// not validated; the caller must pass it to Parse.
 func ApplyPatch(body, change []byte) ([]byte, error) {
 	var p patch
 	if err := json.Unmarshal(change, &p); err != nil {
-		return nil, fmt.Errorf("configuration: change: %w", err)
+		return nil, fmt.Errorf("configuration: decode patch: %w", err)
 	}
 	var document map[string]json.RawMessage
 	if err := json.Unmarshal(body, &document); err != nil {
-		return nil, fmt.Errorf("configuration: %w", err)
+		return nil, fmt.Errorf("configuration: decode document: %w", err)
 	}
 	if document == nil { // the text is null
-		return nil, errors.New("configuration: is no object")
+		return nil, errors.New("configuration: document is null, want an object")
 	}
 	document["version"] = json.RawMessage(fmt.Sprint(p.Version))
 	if len(p.Limits) > 0 {
@@ -69,7 +72,8 @@
 	return writeList(document, key, kept)
 }
 
-// upsertItems replaces the items of a list of the document that have the same names, and adds the others at its end.
+// upsertItems replaces the items of a list of the document that have the same names, and appends the
+// others.
 func upsertItems(document map[string]json.RawMessage, key string, items []json.RawMessage) error {
 	list, err := readList(document, key)
 	if err != nil {
@@ -79,7 +83,7 @@
 	for _, item := range items {
 		name := itemName(item)
 		if name == "" {
-			return fmt.Errorf("configuration: upsert.%s: an item has no name", key)
+			return fmt.Errorf("configuration: upsert.%s: item without a name", key)
 		}
 		if i, ok := indexes[name]; ok {
 			list[i] = item
@@ -91,7 +95,8 @@
 	return writeList(document, key, list)
 }
 
-// readList returns a list of the document, an empty one if the document does not have it. It is never nil, so that it is written as a list.
+// readList returns a list of the document, or an empty one if the document does not have it. The list
+// is never nil, so that it is encoded as a list.
 func readList(document map[string]json.RawMessage, key string) ([]json.RawMessage, error) {
 	list := []json.RawMessage{}
 	raw, ok := document[key]
@@ -101,7 +106,7 @@
 	if err := json.Unmarshal(raw, &list); err != nil {
 		return nil, fmt.Errorf("configuration: %s: %w", key, err)
 	}
-	if list == nil { // the document has null
+	if list == nil { // the value is null
 		return []json.RawMessage{}, nil
 	}
 	return list, nil
@@ -116,7 +121,8 @@
 	return nil
 }
 
-// indexByName returns the index of each named item; of several with the same name, that of the last.
+// indexByName returns the index of each item by name. If several items have the same name, the last
+// one counts.
 func indexByName(list []json.RawMessage) map[string]int {
 	indexes := make(map[string]int, len(list))
 	for i, item := range list {
@@ -125,7 +131,7 @@
 	return indexes
 }
 
-// itemName returns an item's name, the empty string if it has none or is not an object.
+// itemName returns the name of an item, or "" if it has none or is not an object.
 func itemName(item json.RawMessage) string {
 	var named struct {
 		Name string `json:"name"`
--- a/internal/scheduler/configuration/table.go
+++ b/internal/scheduler/configuration/table.go
@@ -5,18 +5,18 @@
 	"strings"
 )
 
-// Table answers lookups in one document. It never changes and may be used from any goroutine. The routes and services that it returns are those
-// of the document and must not be changed.
+// Table is an index of the routes and services of one document. It is immutable and safe for concurrent
+// use. The routes and services that it returns are those of the document and must not be modified.
 type Table struct {
-	Version uint64 // of the document; 0 if there was none yet
+	Version uint64 // of the document; 0 for a table without a document
 	Limits  Limits
 
-	routesByHost       map[string][]*Route // the longest prefix first
+	routesByHost       map[string][]*Route // longest prefix first
 	services           map[string]*Service // by name
 	deploymentServices []string
 }
 
-// NewTable returns the table of a document. The document must not be changed afterwards.
+// NewTable returns the table of a document, which must not be modified afterwards.
 func NewTable(d *Document) *Table {
 	t := &Table{Version: d.Version, Limits: d.Limits, routesByHost: map[string][]*Route{}, services: map[string]*Service{}}
 	for i := range d.Routes {
@@ -40,8 +40,9 @@
 	return t
 }
 
-// Find returns the route with the longest prefix of a path that a host has, or nil if there is none. Query and fragment of the path are ignored. A
-// host with a port that has no routes of its own has those of the host without the port.
+// Find returns the route of host with the longest prefix of path, or nil if there is none. It ignores
+// the query and the fragment of path. If a host with a port has no routes, those of the host without
+// the port are used.
 func (t *Table) Find(host, path string) *Route {
 	if end := strings.IndexAny(path, "?#"); end >= 0 {
 		path = path[:end]
@@ -60,20 +61,20 @@
 	return nil
 }
 
-// Service returns the service with a name, or nil if there is none.
+// Service returns the service with the given name, or nil if there is none.
 func (t *Table) Service(name string) *Service { return t.services[name] }
 
-// DeploymentServices returns the names of the services that routes of batch jobs go to with a weight above 0, in the order of the routes. The
-// slice is shared and must not be changed.
+// DeploymentServices returns the names of the services that routes of batch jobs target with a weight
+// above 0, in the order of the routes. The slice is shared and must not be modified.
 func (t *Table) DeploymentServices() []string { return t.deploymentServices }
 
-// HasHost returns whether any route has the host, with or without its port.
+// HasHost reports whether any route has the host, with or without its port.
 func (t *Table) HasHost(host string) bool {
 	name, _, _ := strings.Cut(host, ":")
 	return len(t.routesByHost[host]) > 0 || len(t.routesByHost[name]) > 0
 }
 
-// ServicesWithModel returns the names, sorted, of the services whose workers have a model.
+// ServicesWithModel returns the sorted names of the services whose workers have a model.
 func (t *Table) ServicesWithModel(model string) (names []string) {
 	for name, service := range t.services {
 		if service.Engine == nil {
@@ -87,7 +88,8 @@
 	return names
 }
 
-// Targets returns the services that the route's requests may go to, with their weights. The slice may be that of the route and must not be changed.
+// Targets returns the target services of the route with their weights. The slice may be that of the
+// route and must not be modified.
 func (r *Route) Targets() []Target {
 	if len(r.TrafficSplit) == 0 {
 		return []Target{{Service: r.Service, Weight: 1}}
@@ -95,12 +97,13 @@
 	return r.TrafficSplit
 }
 
-// Allows returns whether the route's requests may go to a service: it is a target with a weight above 0.
+// Allows reports whether a service is a target of the route with a weight above 0.
 func (r *Route) Allows(service string) bool {
 	return slices.ContainsFunc(r.Targets(), func(t Target) bool { return t.Service == service && t.Weight > 0 })
 }
 
-// Idempotent returns whether a request of this route may run several times: by the route's type, or because a broken stream is resumable.
+// Idempotent reports whether a request of this route may run more than once, either because of the
+// route's type or because its streams are resumable.
 func (r *Route) Idempotent() bool {
 	switch r.Type {
 	case TypeIdempotent, TypeDeployment:
--- a/internal/scheduler/settings/check.go
+++ b/internal/scheduler/settings/check.go
@@ -11,14 +11,14 @@
 // maxPort is the highest port of TCP and UDP.
 const maxPort = 65535
 
-// faults collects what is wrong with a file, each entry with its key.
+// faults collects the problems of a settings file, each with its key.
 type faults []error
 
 func (f *faults) add(key, format string, values ...any) {
 	*f = append(*f, fmt.Errorf("%s: %s", key, fmt.Sprintf(format, values...)))
 }
 
-// check returns all faults, joined.
+// check returns all problems of the settings, joined by errors.Join.
 func (s *Settings) check() error {
 	var f faults
 	if s.NodeName == "" {
@@ -34,14 +34,14 @@
 
 func (s *Settings) checkAddresses(f *faults) {
 	if _, err := netip.ParseAddr(s.IP); err != nil {
-		f.add("ip", "%q is no address", s.IP)
+		f.add("ip", "%q is not an IP address", s.IP)
 	}
 	if !s.hasValidPortRange() {
-		f.add("portRange", "want the first and the last of %d ports or more, not %v", reservedPorts, s.PortRange)
+		f.add("portRange", "must be the first and the last of at least %d ports, got %v", reservedPorts, s.PortRange)
 	}
 	for i, seed := range s.Seeds {
 		if _, err := netip.ParseAddrPort(seed); err != nil {
-			f.add(fmt.Sprintf("seeds[%d]", i), "%q is no address with a port", seed)
+			f.add(fmt.Sprintf("seeds[%d]", i), "%q is not an IP address with a port", seed)
 		}
 	}
 	listen := map[string]string{
@@ -52,12 +52,12 @@
 	for _, key := range slices.Sorted(maps.Keys(listen)) {
 		address := listen[key]
 		if _, err := netip.ParseAddrPort(address); address != "" && err != nil {
-			f.add(key, "%q is no address with a port", address)
+			f.add(key, "%q is not an IP address with a port", address)
 		}
 	}
 }
 
-// hasValidPortRange returns whether the range consists of two ports and contains the reserved ones.
+// hasValidPortRange reports whether the range has two ports and is large enough for the reserved ones.
 func (s *Settings) hasValidPortRange() bool {
 	if len(s.PortRange) != 2 {
 		return false
@@ -74,10 +74,10 @@
 	}
 	for _, key := range slices.Sorted(maps.Keys(positive)) {
 		if value := positive[key]; value <= 0 {
-			f.add(key, "want more than 0, not %v", value)
+			f.add(key, "must be above 0, got %v", value)
 		}
 	}
 	if s.Tolerance.Machines < 0 {
-		f.add("faultTolerance.machines", "want 0 or more, not %d", s.Tolerance.Machines)
+		f.add("faultTolerance.machines", "must be 0 or more, got %d", s.Tolerance.Machines)
 	}
 }
--- a/internal/scheduler/settings/fuzz_test.go
+++ b/internal/scheduler/settings/fuzz_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// FuzzParse parses settings of arbitrary bytes: an error, or settings whose addresses can be asked for.
+// FuzzParse parses settings of arbitrary bytes. If there is no error, the addresses of the settings
+// must be valid.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(validFile))
 	f.Add([]byte("portRange = []\n[decisions]\nnearbyWorkers = 3"))
--- a/internal/scheduler/settings/settings.go
+++ b/internal/scheduler/settings/settings.go
@@ -14,16 +14,16 @@
 // EnvironmentVariable is the name of the environment variable with the path of the settings file.
 const EnvironmentVariable = "SAFFRONQUAY_SETTINGS"
 
-// The values of Settings.Serves.
+// Values of Settings.Serves.
 const (
 	ServesEdge         = "edge"          // clients' requests
 	ServesControlPlane = "control_plane" // replicas of the directory and the registry
 	ServesStorage      = "storage"       // replicas of the batch job shards
 )
 
-// Settings is the content of a settings file. Fields marked as not read have no effect in the scheduler.
+// Settings is the content of a settings file. Fields marked "not read" have no effect in the scheduler.
 type Settings struct {
-	NodeName        string            `toml:"nodeName"`        // of the machine; no other one has it
+	NodeName        string            `toml:"nodeName"`        // of the machine; must be unique
 	Role            string            `toml:"role"`            // not read
 	MachineClass    string            `toml:"machineClass"`    // not read
 	Serves          []string          `toml:"serves"`          // the Serves constants
@@ -31,10 +31,10 @@
 	Zone            string            `toml:"zone"`            // of the machine
 	Region          string            `toml:"region"`          // not read
 	PortRange       []int             `toml:"portRange"`       // the first and the last port that the process may use
-	Seeds           []string          `toml:"seeds"`           // addresses of the control plane's machines, with a port
-	Bootstrap       bool              `toml:"bootstrap"`       // the machines in Seeds found the replica groups at their first start
+	Seeds           []string          `toml:"seeds"`           // addresses with port of the control plane's machines
+	Bootstrap       bool              `toml:"bootstrap"`       // the machines in Seeds bootstrap the replica groups at their first start
 	CountsForQuorum bool              `toml:"countsForQuorum"` // not read
-	DataDir         string            `toml:"dataDir"`         // of the log, the snapshots and the identity
+	DataDir         string            `toml:"dataDir"`         // directory of the log, the snapshots and the identity
 	HeartbeatMS     int64             `toml:"heartbeatMs"`     // interval of workers' heartbeats
 	Contracts       []string          `toml:"contracts"`       // not read
 	Zones           map[string]string `toml:"zones"`           // not read
@@ -42,50 +42,53 @@
 	Limits          Limits            `toml:"limits"`
 	Tolerance       Tolerance         `toml:"faultTolerance"`
 	Bounds          Bounds            `toml:"bounds"`
-	FeatureGates    featuregate.Gates `toml:"decisions"` // the mechanisms that are in use
+	FeatureGates    featuregate.Gates `toml:"decisions"` // the enabled mechanisms
 }
 
-// Listen has the addresses with port of the interfaces that a process offers outside the scheduler. An empty one passes the check.
+// Listen has the addresses with port at which a process accepts requests from outside the scheduler.
+// The addresses may be empty.
 type Listen struct {
 	Frontend     string `toml:"frontend"`     // clients' requests
 	Readiness    string `toml:"readiness"`    // readiness checks
 	ControlPlane string `toml:"controlPlane"` // workers' heartbeats and the operator
 }
 
-// Limits are what the machine grants the process. 0 means that no limit is set.
+// Limits are the resource limits of the process on its machine. 0 means no limit.
 type Limits struct {
 	CPUShare float64 `toml:"cpuShare"` // not read
 	Cores    int     `toml:"cores"`    // not read
-	MemoryMB int64   `toml:"memoryMb"` // the memory limit of the Go runtime is a part of it
+	MemoryMB int64   `toml:"memoryMb"` // the memory limit of the Go runtime is a fraction of it
 	MaxFDs   int     `toml:"maxFds"`   // not read
 	LinkMbps float64 `toml:"linkMbps"` // not read
-	DiskMB   int64   `toml:"diskMb"`   // the log of a shard of batch jobs is compacted when it takes a part of it
+	DiskMB   int64   `toml:"diskMb"`   // the log of a batch job shard is compacted at a fraction of it
 }
 
-// Tolerance is what the deployment must bear to lose at the same time.
+// Tolerance is the number of simultaneous failures that the deployment must tolerate.
 type Tolerance struct {
-	Machines int `toml:"machines"` // decides the size of the replica groups
+	Machines int `toml:"machines"` // determines the size of the replica groups
 	Zones    int `toml:"zones"`    // not read
 	Regions  int `toml:"regions"`  // not read
 }
 
-// Bounds are the deployment's times, and whether workers check fencing tokens. Names ending in S are seconds, in MS milliseconds.
+// Bounds are the time bounds of the deployment, and whether workers check fencing tokens. Names ending
+// in S are seconds, names ending in MS milliseconds.
 //
-// A process that takes over a registry shard sends no order to its workers until it has owned the shard for LeaseMS. It need not wait if no other
-// machine was the last sender, or if Fencing is set and the process of the last sender has ended: then a late order has no effect.
+// A process that takes over a registry shard sends no orders to its workers until it has owned the
+// shard for TakeOverDelayMS. It does not wait if no other machine was the last sender, or if Fencing is
+// set and the process of the last sender has ended, because a late order then has no effect.
 type Bounds struct {
 	ContactMS       float64 `toml:"contactMs"`       // not read
 	CatchUpS        float64 `toml:"catchUpS"`        // not read
 	DrainMS         float64 `toml:"drainMs"`         // not read
-	GraceS          float64 `toml:"graceS"`          // from SIGTERM to the end of a proxy
+	GraceS          float64 `toml:"graceS"`          // from SIGTERM to the exit of a proxy
 	PropagationMS   float64 `toml:"propagationMs"`   // not read
-	StatusIntervalS float64 `toml:"statusIntervalS"` // how long a batch job's results stay after its end, at least
+	StatusIntervalS float64 `toml:"statusIntervalS"` // minimum retention of a batch job's results after its end
 	CancelMS        float64 `toml:"cancelMs"`        // not read
 	Fencing         bool    `toml:"fencing"`         // workers check fencing tokens
-	TakeOverDelayMS float64 `toml:"leaseMs"`         // wait of a new owner of a registry shard
+	TakeOverDelayMS float64 `toml:"leaseMs"`         // how long a new owner of a registry shard sends no orders
 }
 
-// defaults are the settings of an empty file.
+// defaults returns the settings of an empty file.
 func defaults() *Settings {
 	return &Settings{
 		HeartbeatMS: 1000,
@@ -103,7 +106,7 @@
 	}
 }
 
-// Load reads and checks the file at a path. The error names the path, and all faults with their keys.
+// Load reads and validates the file at path. The error has the path, and all problems with their keys.
 func Load(path string) (*Settings, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -116,8 +119,9 @@
 	return s, nil
 }
 
-// Parse reads and checks the text of a file. Text that is not TOML or has a value of a wrong type is reported with its position; otherwise the
-// error joins all faults, each with its key, and the settings are returned with it.
+// Parse decodes and validates the text of a file. The error for text that is not valid TOML, or has a
+// value of the wrong type, has the position; otherwise the error joins all problems, each with its
+// key, and the settings are returned with it.
 func Parse(text []byte) (*Settings, error) {
 	s := defaults()
 	if err := toml.Unmarshal(text, s); err != nil {
@@ -131,11 +135,12 @@
 	return s, s.check()
 }
 
-// GroupSize returns the number of replicas of a group that keeps a majority after the loss of Tolerance.Machines machines, at least 3.
+// GroupSize returns the number of replicas that a group needs to keep a quorum after the loss of
+// Tolerance.Machines machines, at least 3.
 func (s *Settings) GroupSize() int { return 2*max(s.Tolerance.Machines, 1) + 1 }
 
-// Milliseconds returns a bound in milliseconds as a duration.
+// Milliseconds converts milliseconds to a duration.
 func Milliseconds(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
-// Seconds returns a bound in seconds as a duration.
+// Seconds converts seconds to a duration.
 func Seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/internal/scheduler/settings/settings_test.go
+++ b/internal/scheduler/settings/settings_test.go
@@ -8,7 +8,7 @@
 	"github.com/matryer/is"
 )
 
-// validFile is a file with the keys that have no default, and one that the package does not have.
+// validFile has the required keys and an unknown one.
 const validFile = `
 nodeName = "edge-a-1"
 ip = "10.1.0.38"
@@ -24,8 +24,8 @@
 fencing = true
 `
 
-// Addresses, the group's size and the feature gates of a valid file.
-func TestParse(t *testing.T) {
+// Addresses, group size and feature gates of a valid file.
+func TestParseSettings(t *testing.T) {
 	is := is.New(t)
 	s, err := Parse([]byte(validFile))
 	is.NoErr(err)
@@ -37,7 +37,7 @@
 }
 
 // A key of the section decisions disables one feature gate and leaves the others as they are.
-func TestFeatureGatesAreDisabledOneByOne(t *testing.T) {
+func TestParseSettings_DisablesOneFeatureGate(t *testing.T) {
 	is := is.New(t)
 	s, err := Parse([]byte(validFile + "[decisions]\nnearbyWorkers = false\n"))
 	is.NoErr(err)
@@ -46,8 +46,8 @@
 	is.Equal(s.FeatureGates, want)
 }
 
-// All faults are reported together, each with its key. A value of a wrong type is reported with its key.
-func TestFaultsNameTheirKeys(t *testing.T) {
+// All problems are reported together, each with its key, and a value of the wrong type with its key.
+func TestParseSettings_ErrorsNameKeys(t *testing.T) {
 	is := is.New(t)
 	_, err := Parse([]byte(`
 nodeName = ""
--- a/internal/scheduler/settings/source.go
+++ b/internal/scheduler/settings/source.go
@@ -6,24 +6,27 @@
 	"time"
 )
 
-// checkInterval is the least time between two checks whether the file was changed.
+// checkInterval is the minimum interval between two checks of the file's modification time.
 const checkInterval = time.Second
 
-// Override changes settings after they were read from the file, as the command line says. It is called for each version of the file.
+// Override applies the command line's overrides to settings that were read from the file. It is called
+// after each load of the file.
 type Override func(*Settings)
 
-// Source has the settings that are in force. It reads the file again after it was changed, which takes no signal.
+// Source provides the current settings. It reloads the file after a change, without a signal. It is
+// safe for concurrent use.
 type Source struct {
 	path     string
 	override Override
 
 	mu         sync.Mutex
 	current    *Settings
-	modifiedAt time.Time // modification time of the file as it was last read by Current
+	modifiedAt time.Time // modification time of the file when Current last read it
 	checkedAt  time.Time
 }
 
-// NewSource reads the file at a path and applies override, which must not be nil. The error is that of Load.
+// NewSource loads the file at path and applies override, which must not be nil. It returns the errors
+// of Load.
 func NewSource(path string, override Override) (*Source, error) {
 	s, err := Load(path)
 	if err != nil {
@@ -33,9 +36,9 @@
 	return &Source{path: path, override: override, current: s, checkedAt: time.Now()}, nil
 }
 
-// Current returns the newest settings that could be read. At most every checkInterval it checks the file's modification time, and reads the
-// file if that is new. A file that cannot be read or has faults is ignored until its modification time is another one. The settings are shared
-// and must not be changed.
+// Current returns the latest valid settings. It checks the file's modification time at most once per
+// checkInterval, and reloads the file if it has changed. An invalid or unreadable file is ignored until
+// its modification time changes again. The settings are shared and must not be modified.
 func (s *Source) Current() *Settings {
 	s.mu.Lock()
 	defer s.mu.Unlock()
