--- a/internal/scheduler/compression/codec.go
+++ b/internal/scheduler/compression/codec.go
@@ -8,32 +8,36 @@
 	"sync"
 )
 
-// Codec compresses and decompresses data of one kind. It keeps its buffers for later calls.
+// Codec compresses and decompresses data of one kind. It pools its readers and writers. It is safe for
+// concurrent use.
 type Codec struct {
 	level   int
 	writers sync.Pool // of *flate.Writer
 	readers sync.Pool // of inflater
 }
 
-// inflater is a reader of flate that can be used again.
+// inflater is a flate reader that can be reset.
 type inflater interface {
 	io.Reader
 	flate.Resetter
 }
 
 var (
-	// Texts compresses what models generate. It has few repetitions, so the codec uses Huffman codes only, which take little time and memory.
+	// Texts compresses texts that models generate. They have few repetitions, so the codec uses
+	// Huffman codes only, which need little time and memory.
 	Texts = newCodec(flate.HuffmanOnly)
-	// Documents compresses configurations, which consist of repetitions: their routes differ in a few characters.
+	// Documents compresses configurations, which are highly repetitive: their routes differ in a few
+	// characters.
 	Documents = newCodec(flate.BestSpeed)
 )
 
-// compressedBufferBytes is added to half the length of the data as the first size of the buffer.
+// compressedBufferBytes is the initial size of the buffer, in addition to half the length of the data.
 const compressedBufferBytes = 64
 
 func newCodec(level int) *Codec { return &Codec{level: level} }
 
-// Compress returns the compressed data, nil for no data. The result does not share memory with text.
+// Compress returns the compressed data, or nil for empty data. The result does not share memory with
+// text.
 func (c *Codec) Compress(text []byte) []byte {
 	if len(text) == 0 {
 		return nil
@@ -43,29 +47,30 @@
 	w := c.writer()
 	defer c.writers.Put(w)
 	w.Reset(&compressed)
-	_, _ = w.Write(text) // a bytes.Buffer takes every write
+	_, _ = w.Write(text) // writes to a bytes.Buffer do not fail
 	w.Close()
 	return bytes.Clone(compressed.Bytes())
 }
 
-// Decompress returns the data that Compress was given, nil for no data. It fails if compressed is not complete DEFLATE data.
+// Decompress returns the data that was passed to Compress, or nil for empty data. It returns an error
+// if compressed is not complete DEFLATE data.
 func (c *Codec) Decompress(compressed []byte) ([]byte, error) {
 	if len(compressed) == 0 {
 		return nil, nil
 	}
 	r, err := c.reader(compressed)
 	if err != nil {
-		return nil, fmt.Errorf("compression: %w", err)
+		return nil, fmt.Errorf("compression: reset reader: %w", err)
 	}
 	defer c.readers.Put(r)
 	text, err := io.ReadAll(r)
 	if err != nil {
-		return nil, fmt.Errorf("compression: %w", err)
+		return nil, fmt.Errorf("compression: decompress: %w", err)
 	}
 	return text, nil
 }
 
-// writer returns a kept writer, or a new one.
+// writer returns a writer from the pool, or a new one.
 func (c *Codec) writer() *flate.Writer {
 	if w, ok := c.writers.Get().(*flate.Writer); ok {
 		return w
@@ -77,7 +82,7 @@
 	return w
 }
 
-// reader returns a kept reader, or a new one, that decompresses data.
+// reader returns a reader from the pool, or a new one, that decompresses data.
 func (c *Codec) reader(compressed []byte) (io.Reader, error) {
 	source := bytes.NewReader(compressed)
 	kept, ok := c.readers.Get().(inflater)
--- a/internal/scheduler/compression/codec_test.go
+++ b/internal/scheduler/compression/codec_test.go
@@ -8,12 +8,13 @@
 	"github.com/matryer/is"
 )
 
-// Decompress returns what Compress was given, also with buffers that were used before, and after an error.
-func TestDecompressReturnsWhatWasCompressed(t *testing.T) {
+// Decompress returns the data that was passed to Compress, also with pooled readers and writers, and
+// after an error.
+func TestCodec_RoundTrip(t *testing.T) {
 	is := is.New(t)
 	for _, codec := range []*Codec{Texts, Documents} {
 		for _, text := range [][]byte{nil, []byte("a"), bytes.Repeat([]byte("asiento 0123 "), 10_000)} {
-			for range 2 { // writers and readers are used again
+			for range 2 { // the second pass uses pooled readers and writers
 				back, err := codec.Decompress(codec.Compress(text))
 				is.NoErr(err)
 				is.True(bytes.Equal(back, text))
@@ -27,8 +28,8 @@
 	}
 }
 
-// A configuration of many routes is compressed to less than a quarter.
-func TestRoutesRepeatThemselves(t *testing.T) {
+// A configuration with many routes is compressed to less than a quarter of its size.
+func TestCodec_CompressesConfigurations(t *testing.T) {
 	is := is.New(t)
 	var b bytes.Buffer
 	for i := range 500 {
--- a/internal/scheduler/compression/doc.go
+++ b/internal/scheduler/compression/doc.go
@@ -1,9 +1,10 @@
-// Package compression compresses data that is kept in logs and carried between zones: the texts of batch items, which are most of the bytes,
-// and configurations, which go to every gatherer. The format is DEFLATE without a header.
+// Package compression compresses data that is stored in logs and sent between zones: the texts of batch
+// items, which are most of the bytes, and configurations, which are sent to every gatherer. The format
+// is raw DEFLATE, without a header.
 //
-// There is one Codec for each kind of data. Data that one codec has compressed can be decompressed by any. The package knows nothing of what
-// the data means.
+// There is one Codec for each kind of data; any codec can decompress the data of another one. The
+// package does not interpret the data.
 //
-// A Codec may be used by any goroutine. Only data that was not compressed, or is damaged, gives an error. Damage that leaves valid DEFLATE data
-// is not detected: there is no checksum.
+// A Codec is safe for concurrent use. Decompress returns an error only for data that is not valid
+// DEFLATE data. Other corruption is not detected, because there is no checksum.
 package compression
--- a/internal/scheduler/dayreport/doc.go
+++ b/internal/scheduler/dayreport/doc.go
@@ -1,6 +1,7 @@
-// Package dayreport breaks down the score of a played day: what was lost by requests, what was charged, and beside each loss the bound below
-// which no decision can bring it. It is for whoever tunes the scheduler for a new deployment.
+// Package dayreport breaks down the score of a day on the test bench: the losses by requests, the
+// charges, and for each loss the lower bound that no scheduling decision can reduce. It is meant for
+// tuning the scheduler for a new deployment.
 //
-// The package reads the JSON reports of the test bench and writes tables. It knows nothing of the scheduler's processes. All its functions
-// are pure but for Write, and may be called concurrently.
+// The package reads the JSON reports of the test bench and writes tables. It does not depend on the
+// scheduler's processes. All functions except Write are pure; all are safe for concurrent use.
 package dayreport
--- a/internal/scheduler/dayreport/loss.go
+++ b/internal/scheduler/dayreport/loss.go
@@ -6,18 +6,19 @@
 	"slices"
 )
 
-// Loss is one cause for which a day lost value.
+// Loss is the reduction of a day's score by one component or charge.
 type Loss struct {
 	Name   string
 	Amount float64 // fraction that was not earned, or amount that was charged
 	Cost   float64 // in units of the score
-	Bound  float64 // part of Cost that no decision can avoid; NaN where that is not known
+	Bound  float64 // part of Cost that no decision can avoid; NaN if unknown
 }
 
-// minReportedCost is the cost below which a loss is left out.
+// minReportedCost is the cost below which a loss is omitted.
 const minReportedCost = 0.0002
 
-// The charges whose bounds follow from a report, and the class of the machines that carry traffic, as reports name them.
+// Names in reports: the charges whose bounds can be derived from a report, and the class of the
+// machines that carry traffic.
 const (
 	chargeMachineSeconds = "machine-seconds"
 	chargeLoads          = "loads of weights"
@@ -25,8 +26,8 @@
 	frontClass           = "front"
 )
 
-// Losses returns the losses of a day, the greatest first. tolerance is how many machines with a disk may fail at the same time: it decides how
-// many machines are necessary.
+// Losses returns the losses of a day, sorted by descending cost. tolerance is the number of machines
+// with a disk that may fail at the same time; it determines how many machines are needed.
 func (r *Report) Losses(tolerance int) []Loss {
 	var losses []Loss
 	for _, c := range r.Components {
@@ -40,7 +41,7 @@
 	return losses
 }
 
-// lowerBound returns the part of a charge that no decision can avoid; NaN where that is not known.
+// lowerBound returns the part of a charge that no decision can avoid, or NaN if it is unknown.
 func (r *Report) lowerBound(c Charge, tolerance int) float64 {
 	switch c.Name {
 	case chargeMachineSeconds:
@@ -54,7 +55,7 @@
 	return math.NaN()
 }
 
-// chargedAmount returns the amount of a charge; 0 where the report has none of that name.
+// chargedAmount returns the amount of a charge, or 0 if the report has no charge of that name.
 func (r *Report) chargedAmount(name string) float64 {
 	for _, c := range r.Charges {
 		if c.Name == name {
@@ -64,8 +65,9 @@
 	return 0
 }
 
-// countMachines returns how many machines were used, and how many of them are necessary: those that carry traffic, and of each other class as
-// many as a replica group has that survives the loss of tolerance machines.
+// countMachines returns the number of machines that were used, and the number that is needed: all that
+// carry traffic, and of each other class the size of a replica group that tolerates the loss of
+// tolerance machines.
 func (r *Report) countMachines(tolerance int) (used, needed int) {
 	byClass := map[string]int{} // a machine may run several roles
 	for _, role := range r.Roles {
--- a/internal/scheduler/dayreport/report.go
+++ b/internal/scheduler/dayreport/report.go
@@ -6,32 +6,33 @@
 	"fmt"
 )
 
-// Report is the part of a day's report that the breakdown needs. Other fields are ignored.
+// Report has the fields of a day's report that the breakdown needs. Other fields are ignored.
 type Report struct {
 	Value      float64         `json:"G"` // score of the day
 	Components []Component     `json:"parts"`
 	Charges    []Charge        `json:"prices"`
 	Roles      []RoleUsage     `json:"nodes"`
 	Classes    []RequestCounts `json:"classes"`
-	Windows    []RequestCounts `json:"windows"` // named by the second in which each begins
+	Windows    []RequestCounts `json:"windows"` // named after their first second
 	Services   []ServiceLoad   `json:"services"`
 }
 
-// Component is a component of the score. It earns Weight times Earned; a report has it as a list of three values.
+// Component is a component of the score, which adds Weight times Earned. It is encoded as a list of
+// three values.
 type Component struct {
 	Name   string
 	Weight float64
 	Earned float64 // fraction, 0 to 1
 }
 
-// Charge is something that reduces the score by Cost; a report has it as a list of three values.
+// Charge reduces the score by Cost. It is encoded as a list of three values.
 type Charge struct {
 	Name   string
-	Amount float64 // in the unit that Name states
+	Amount float64 // in the unit given by Name
 	Cost   float64
 }
 
-// RoleUsage is the usage of the machines that run a role.
+// RoleUsage is the resource usage of the machines that run a role.
 type RoleUsage struct {
 	Name     string  `json:"role"`
 	Class    string  `json:"class"` // of the machines
@@ -40,14 +41,14 @@
 	MemoryMB float64 `json:"mem_peak_mb"`
 }
 
-// RequestCounts counts the requests of a class, or of a time window, by how they ended.
+// RequestCounts counts the requests of a class or of a time window by outcome.
 type RequestCounts struct {
 	Name     string  `json:"name"`
 	Requests int     `json:"n"`
 	Late     int     `json:"late"`
 	Refused  int     `json:"refused"`
 	Failed   int     `json:"failed"`
-	Value    float64 `json:"worth"` // that the requests earned, as a fraction
+	Value    float64 `json:"worth"` // earned by the requests, as a fraction
 }
 
 // ServiceLoad is the load of the workers of a service.
@@ -58,14 +59,14 @@
 	BusiestToMean float64 `json:"busiest_x"` // load of the busiest worker, as a multiple of the mean
 }
 
-// errNoComponents is returned for a JSON document that is no report.
-var errNoComponents = errors.New("account: no parts of a score in the report")
+// errNoComponents is returned for a JSON document that is not a report.
+var errNoComponents = errors.New("dayreport: report has no score components (field parts)")
 
-// Parse parses a report. It returns an error where the text is no JSON, or has no components of a score.
+// Parse decodes a report. It returns an error if the text is not valid JSON or has no score components.
 func Parse(text []byte) (*Report, error) {
 	r := &Report{}
 	if err := json.Unmarshal(text, r); err != nil {
-		return nil, fmt.Errorf("account: %w", err)
+		return nil, fmt.Errorf("dayreport: decode report: %w", err)
 	}
 	if len(r.Components) == 0 {
 		return nil, errNoComponents
@@ -91,7 +92,7 @@
 	}
 	targets := []any{name, first, second}
 	if len(row) != len(targets) {
-		return fmt.Errorf("want %d values, not %d", len(targets), len(row))
+		return fmt.Errorf("want a list of %d values, got %d", len(targets), len(row))
 	}
 	for i, target := range targets {
 		if err := json.Unmarshal(row[i], target); err != nil {
--- a/internal/scheduler/dayreport/report_test.go
+++ b/internal/scheduler/dayreport/report_test.go
@@ -13,8 +13,8 @@
 "nodes":[{"role":"agent","class":"front","n":60,"cpu_mean":0.003},{"role":"proxy","class":"front","n":60},{"role":"steward","class":"core","n":5},{"role":"store","class":"store","n":11}],
 "classes":[{"name":"a","n":10,"late":2,"refused":0,"failed":1,"worth":0.95},{"name":"b","n":5,"worth":1}],"services":[{"name":"pool","arrivals":9,"not_run":1}]}`
 
-// Losses are sorted by cost, those without cost are left out, and bounds follow from the rest of the report.
-func TestLosses(t *testing.T) {
+// Losses are sorted by cost, those without cost are omitted, and bounds are derived from the report.
+func TestReport_Losses(t *testing.T) {
 	is := is.New(t)
 	r, err := Parse([]byte(report))
 	is.NoErr(err)
@@ -30,13 +30,13 @@
 		case "orders":
 			is.True(math.Abs(l.Bound-0.0006) < 1e-9)
 		case "duties missed":
-			t.Error("a charge without cost is listed")
+			t.Error("Losses has a charge without cost")
 		}
 	}
 }
 
 // Only classes with requests that were not served in time get a row.
-func TestWrite(t *testing.T) {
+func TestReport_WriteOmitsServedClasses(t *testing.T) {
 	is := is.New(t)
 	r, err := Parse([]byte(report))
 	is.NoErr(err)
@@ -46,8 +46,8 @@
 	is.True(!strings.Contains(b.String(), "class b"))
 }
 
-// A text that is no JSON, or has no or malformed components, is an error.
-func TestWhatIsNoReport(t *testing.T) {
+// Text that is not JSON, or has no or malformed score components, is an error.
+func TestParseReport_Invalid(t *testing.T) {
 	is := is.New(t)
 	for _, text := range []string{"", "{}", `{"parts":[["x",1]]}`, `{"parts":[[1,1,1]]}`} {
 		_, err := Parse([]byte(text))
--- a/internal/scheduler/lifecycle/doc.go
+++ b/internal/scheduler/lifecycle/doc.go
@@ -1,3 +1,3 @@
-// Package lifecycle owns the goroutines of a role: it starts them, logs servers that end by an error, and waits for all of them when the
-// role stops, for a bounded time. It must not know what they do.
+// Package lifecycle manages the goroutines of a role: it starts them, logs servers that fail, and waits
+// for all of them, for a bounded time, when the role stops. It must not know what they do.
 package lifecycle
--- a/internal/scheduler/lifecycle/tasks.go
+++ b/internal/scheduler/lifecycle/tasks.go
@@ -7,23 +7,26 @@
 	"time"
 )
 
-// ShutdownTimeout bounds how long a role takes to close its servers and to wait for its goroutines. A role that has not ended by then ends
-// all the same: what it acknowledged is on disk.
+// ShutdownTimeout bounds the time in which a role closes its servers and waits for its goroutines. The
+// role then exits in any case, which is safe because all acknowledged data is on disk.
 const ShutdownTimeout = time.Second
 
-// HandOverTimeout bounds how long a role takes before that to hand the leadership of its groups to other processes.
+// HandOverTimeout bounds the transfer of the leadership of a role's groups to other processes, which
+// precedes the shutdown.
 const HandOverTimeout = 400 * time.Millisecond
 
-// Tasks are the goroutines of a role. The zero value is ready for use. Go and Serve must not be called after Wait.
+// Tasks are the goroutines of a role. The zero value is ready to use. Go and Serve must not be called
+// after Wait.
 type Tasks struct {
 	running sync.WaitGroup
 }
 
-// Go runs a task on a goroutine of its own. The task ends by itself, when the context ends that its owner gave it.
+// Go runs a task in a new goroutine. The task must return when the context that its owner passed to it
+// is done.
 func (t *Tasks) Go(task func()) { t.running.Go(task) }
 
-// Serve runs a server on a goroutine of its own until its owner closes it. An error that ends it is logged: the process goes on without
-// that server.
+// Serve runs a server in a new goroutine until its owner closes it. If serve returns an error, Serve
+// logs it, and the process continues without that server.
 func (t *Tasks) Serve(log *slog.Logger, server string, serve func() error) {
 	t.Go(func() {
 		if err := serve(); err != nil {
@@ -32,7 +35,7 @@
 	})
 }
 
-// Wait returns when all tasks have ended, or when the context ends. It reports whether all have ended.
+// Wait waits until all tasks have returned or ctx is done. It reports whether all tasks have returned.
 func (t *Tasks) Wait(ctx context.Context) bool {
 	ended := make(chan struct{})
 	go func() {
@@ -47,7 +50,7 @@
 	}
 }
 
-// Sleep waits. It returns false where ctx ends first.
+// Sleep waits for d. It returns false if ctx is done first.
 func Sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-time.After(d):
--- a/internal/scheduler/lifecycle/tasks_test.go
+++ b/internal/scheduler/lifecycle/tasks_test.go
@@ -12,7 +12,7 @@
 	"github.com/matryer/is"
 )
 
-func TestWaitEndsWithTheTasks(t *testing.T) {
+func TestTasks_WaitForAll(t *testing.T) {
 	is := is.New(t)
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
@@ -27,7 +27,7 @@
 	is.True(ended)
 }
 
-func TestWaitIsBounded(t *testing.T) {
+func TestTasks_WaitIsBounded(t *testing.T) {
 	is := is.New(t)
 	ctx, cancel := context.WithCancel(context.Background())
 	var tasks Tasks
@@ -38,7 +38,7 @@
 	is.True(!tasks.Wait(ctx))
 }
 
-func TestServeLogsOnlyFailures(t *testing.T) {
+func TestTasks_ServeLogsFailures(t *testing.T) {
 	for name, test := range map[string]struct {
 		err  error
 		want string
@@ -58,7 +58,7 @@
 	}
 }
 
-func TestSleepEndsWithTheContext(t *testing.T) {
+func TestSleep_EndsWithContext(t *testing.T) {
 	is := is.New(t)
 	ctx, cancel := context.WithCancel(context.Background())
 	is.True(Sleep(ctx, time.Millisecond))
--- a/internal/scheduler/metrics/endpoint.go
+++ b/internal/scheduler/metrics/endpoint.go
@@ -25,18 +25,20 @@
 	Path string // begins with a slash
 }
 
-// ParseEndpoint parses the form PORT/PATH that the command line has. The error quotes the text.
+// ParseEndpoint parses an endpoint of the form PORT/PATH, as given on the command line. The error
+// quotes the text.
 func ParseEndpoint(text string) (Endpoint, error) {
 	portText, path, found := strings.Cut(text, "/")
 	port, err := strconv.Atoi(portText)
 	if err != nil || !found || path == "" || port < 1 || port > maxPort {
-		return Endpoint{}, fmt.Errorf("metrics: want PORT/PATH, not %q", text)
+		return Endpoint{}, fmt.Errorf("metrics: invalid endpoint %q, want PORT/PATH", text)
 	}
 	return Endpoint{Port: port, Path: "/" + path}, nil
 }
 
-// Start begins to export the metrics at an address of this machine and returns. The export goes on until the process ends; ctx bounds only the
-// start. It returns an error where the address can't be listened on. onError is called from another goroutine if the export fails later.
+// Start begins to export the metrics on a local IP address and returns. The export runs until the
+// process ends; ctx bounds only the start. Start returns an error if it cannot listen on the address.
+// onError is called from another goroutine if the export fails later.
 func (e Endpoint) Start(ctx context.Context, ip string, onError func(error)) error {
 	var config net.ListenConfig
 	listener, err := config.Listen(ctx, "tcp4", net.JoinHostPort(ip, strconv.Itoa(e.Port)))
@@ -48,13 +50,13 @@
 	}
 	go func() {
 		if err := server.Serve(listener); err != nil {
-			onError(fmt.Errorf("metrics: %w", err))
+			onError(fmt.Errorf("metrics: server failed: %w", err))
 		}
 	}()
 	return nil
 }
 
-// handle answers a request: 404 for another path.
+// handle serves a request: the metrics, or status 404 for a path other than the endpoint's.
 func (e Endpoint) handle(ctx *fasthttp.RequestCtx) {
 	if string(ctx.Path()) != e.Path {
 		ctx.SetStatusCode(fasthttp.StatusNotFound)
--- a/internal/scheduler/metrics/metrics.go
+++ b/internal/scheduler/metrics/metrics.go
@@ -8,10 +8,10 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// prefix begins all names.
+// prefix is the prefix of all metric names.
 const prefix = "saffronquay_"
 
-// Label is a dimension of a metric.
+// Label is a label of a metric.
 type Label struct{ Name, Value string }
 
 // series returns the full name of a metric, with its labels.
@@ -26,35 +26,38 @@
 	return prefix + name + "{" + strings.Join(parts, ",") + "}"
 }
 
-// Counter returns the counter of a name and labels. Equal arguments in the same order return the same counter.
+// Counter returns the counter with a name and labels. The same arguments in the same order return the
+// same counter.
 func Counter(name string, labels ...Label) *metrics.Counter {
 	return metrics.GetOrCreateCounter(series(name, labels))
 }
 
-// CountPanic counts a panic that was contained to the call, request, item or order that where names. Each is a fault of the program.
+// CountPanic counts a panic that was recovered; where names the call, request, item or order that
+// panicked. Each panic is a programming error.
 func CountPanic(where string) { Counter("panics_total", Label{"where", where}).Inc() }
 
-// Unregister removes the metric of a name and labels from the export. A counter that a caller has kept counts on unseen.
+// Unregister removes the metric with a name and labels from the export. A counter that a caller has
+// kept still works but is no longer exported.
 func Unregister(name string, labels ...Label) {
 	metrics.UnregisterMetric(series(name, labels))
 }
 
-// DurationHistogram returns the histogram of a name and labels, whose values are seconds. Equal arguments in the same order return the same
-// histogram.
+// DurationHistogram returns the histogram with a name and labels, whose values are seconds. The same
+// arguments in the same order return the same histogram.
 func DurationHistogram(name string, labels ...Label) *metrics.Histogram {
 	return metrics.GetOrCreateHistogram(series(name, labels))
 }
 
-// GaugeFunc registers a gauge whose value is computed with each export. value has to be safe for concurrent use. A second call for the same
-// name and labels has no effect.
+// GaugeFunc registers a gauge whose value is computed at each export. value must be safe for concurrent
+// use. A second call with the same name and labels has no effect.
 func GaugeFunc(name string, value func() float64, labels ...Label) {
 	metrics.GetOrCreateGauge(series(name, labels), value)
 }
 
 var processStart = time.Now()
 
-// RecordStartPhase sets the gauge phase_seconds of a phase of the process's start to the seconds since the process began. Only the first call
-// for a phase has an effect.
+// RecordStartPhase sets the gauge phase_seconds of a phase of the process's startup to the seconds
+// since the process started. Only the first call for a phase has an effect.
 func RecordStartPhase(name string) {
 	gauge := metrics.GetOrCreateGauge(series("phase_seconds", []Label{{"phase", name}}), nil)
 	if gauge.Get() == 0 {
@@ -62,7 +65,8 @@
 	}
 }
 
-// Text returns all metrics in Prometheus' text format, but for those of the Go runtime and the operating system. It is for logs.
+// Text returns all metrics in the Prometheus text format, except those of the Go runtime and the
+// operating system. It is meant for logs.
 func Text() string {
 	var b strings.Builder
 	metrics.WritePrometheus(&b, false)
--- a/internal/scheduler/metrics/metrics_test.go
+++ b/internal/scheduler/metrics/metrics_test.go
@@ -8,10 +8,10 @@
 	"github.com/valyala/fasthttp"
 )
 
-func TestMetricsAreExposed(t *testing.T) {
+func TestEndpoint_ExportsMetrics(t *testing.T) {
 	is := is.New(t)
 	cause := Label{"cause", `a "quoted" one`}
-	t.Cleanup(func() { Unregister("test_total", cause) }) // the next run in the process begins at 0
+	t.Cleanup(func() { Unregister("test_total", cause) }) // so that a repeated run of the test starts at 0
 	Counter("test_total", cause).Inc()
 	Counter("test_total", cause).Inc()
 	e, err := ParseEndpoint("9464/metrics")
@@ -25,8 +25,8 @@
 	is.Equal(ctx.Response.StatusCode(), fasthttp.StatusNotFound)
 }
 
-// Only the first call for a phase counts: what happens again later is no part of the start.
-func TestStartPhaseIsRecordedOnce(t *testing.T) {
+// Only the first call for a phase counts, because later ones are not part of the startup.
+func TestRecordStartPhase_FirstCallCounts(t *testing.T) {
 	is := is.New(t)
 	RecordStartPhase("test")
 	first := Text()
@@ -35,7 +35,7 @@
 	is.True(strings.Contains(first, `saffronquay_phase_seconds{phase="test"}`))
 }
 
-func TestEndpointsThatAreNone(t *testing.T) {
+func TestParseEndpoint_Invalid(t *testing.T) {
 	is := is.New(t)
 	for _, text := range []string{"", "9464", "x/metrics", "0/metrics", "70000/m", "9464/"} {
 		_, err := ParseEndpoint(text)
@@ -43,7 +43,7 @@
 	}
 }
 
-// BenchmarkCounters measures a counter that the caller keeps, one that is looked up by its labels, and the export.
+// BenchmarkCounters measures a counter that the caller keeps, a lookup by labels, and the export.
 func BenchmarkCounters(b *testing.B) {
 	kept := Counter("bench_total")
 	b.Run("kept", func(b *testing.B) {
