--- a/internal/scheduler/dependencies_test.go
+++ b/internal/scheduler/dependencies_test.go
@@ -1,4 +1,4 @@
-// Package scheduler holds tests that concern the whole of the system's program.
+// Package scheduler has tests of the complete program saffronquay-system.
 package scheduler
 
 import (
@@ -7,8 +7,9 @@
 	"testing"
 )
 
-// Clustering, discovery, membership, agreement, replication and proxying are the project's own: no library for them may be in the program.
-func TestNoLibraryAgreesOrProxies(t *testing.T) {
+// The project implements clustering, discovery, membership, consensus, replication and proxying itself:
+// the program must not depend on libraries for them.
+func TestDependencies_NoConsensusOrProxyLibraries(t *testing.T) {
 	out, err := exec.Command("go", "list", "-deps", "saffronquay/cmd/saffronquay-system").CombinedOutput()
 	if err != nil {
 		t.Fatalf("%v: %s", err, out)
@@ -19,7 +20,7 @@
 			"saffronquay/internal/cluster/rollout", "saffronquay/internal/cluster/peering",
 		} {
 			if strings.Contains(name, word) {
-				t.Errorf("the system's program is made with %s", name)
+				t.Errorf("saffronquay-system depends on %s", name)
 			}
 		}
 	}
--- a/internal/scheduler/rpc/fuzz_test.go
+++ b/internal/scheduler/rpc/fuzz_test.go
@@ -6,7 +6,8 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// FuzzMessages decodes arbitrary bytes as each kind of message that a process receives: what is decoded can be encoded, and means the same again.
+// FuzzMessages decodes arbitrary bytes as each kind of message that a process receives. A decoded
+// message must be equal after encoding and decoding it again.
 func FuzzMessages(f *testing.F) {
 	kinds := []proto.Message{
 		&StepRequest{}, &ProposeRequest{}, &StatusRequest{}, &WatchRequest{}, &WatchResponse{}, &HeartbeatRequest{}, &SubmitRequest{}, &WorkRequest{},
@@ -25,7 +26,7 @@
 		}
 		copied := message.ProtoReflect().New().Interface()
 		if err := proto.Unmarshal(again, copied); err != nil || !proto.Equal(message, copied) {
-			t.Errorf("%v became %v, %v", message, copied, err)
+			t.Errorf("message %v decoded as %v after encoding it, error %v", message, copied, err)
 		}
 	})
 }
--- a/internal/scheduler/storage/doc.go
+++ b/internal/scheduler/storage/doc.go
@@ -1,11 +1,14 @@
-// Package storage is the role `store` of the rollout scheduler: a storage node, which keeps batch jobs.
+// Package storage implements the role `store` of the rollout scheduler: a storage node, which stores
+// batch jobs.
 //
-// It owns this machine's replicas of the batch job shards, answers gatherers for the shards whose owner it is, follows the placements that
-// the control plane delivers, and reports to all controllers what the open jobs of its shards need. It must not know how jobs are
-// scheduled (package batchjobs) nor how replicas agree (package replica).
+// It runs this machine's replicas of the batch job shards, serves gatherers for the shards that it
+// owns, applies the placements of the control plane, and reports the demand of the open jobs of its
+// shards to all controllers. It must not know how jobs are scheduled (package batchjobs) or how
+// replicas reach consensus (package replica).
 //
-// Concurrency: calls run on goroutines of the server; the replicas, the maintenance of the jobs and the tail of the feed have one each. Run
-// waits for them for a bounded time, but for the tail.
+// Concurrency: calls run on goroutines of the server; the replicas, the maintenance of the jobs and the
+// client of the feed have one each. Run waits for them for a bounded time when it stops.
 //
-// Errors: the role ends by an error only where it can't start, or where its disk fails. What it acknowledged to a gatherer is committed.
+// Errors: Run returns an error only if the role cannot start or its disk fails. Results that were
+// acknowledged to a gatherer are committed.
 package storage
--- a/internal/scheduler/storage/placements.go
+++ b/internal/scheduler/storage/placements.go
@@ -5,8 +5,9 @@
 	"slices"
 )
 
-// followPlacements acts on new placements of batch job groups: this machine creates a group whose founder it is, and passes the placement to
-// the group's replica here, which acts on it where it leads.
+// followPlacements applies new placements of batch job groups: it creates a group if this machine is
+// one of its initial members, and passes the placement to the local replica, which changes the
+// membership if it is the leader.
 func (s *Server) followPlacements(events []*rpc.FeedEvent) {
 	for _, e := range events {
 		p := e.GetPlacement()
--- a/internal/scheduler/storage/server.go
+++ b/internal/scheduler/storage/server.go
@@ -17,20 +17,20 @@
 	"time"
 )
 
-// errDiskFailed ends the role: the state of its replicas could not be read.
+// errDiskFailed is returned by Run if the replicas stopped because of a disk failure.
 var errDiskFailed = errors.New("storage: disk failed, replicas stopped")
 
 const (
 	// demandTimeout bounds a call that reports the demand to a controller.
 	demandTimeout = 400 * time.Millisecond
-	// logsPerDisk is how many logs of the largest length fit on the disk: one shard's log may take so large a part of it before it is replaced
-	// by a snapshot.
+	// logsPerDisk limits the size of a shard's log: the log is compacted to a snapshot when it
+	// exceeds the disk limit divided by logsPerDisk.
 	logsPerDisk = 4
-	// resultSlackS is added to the seconds for which results have to be kept.
+	// resultSlackS is a safety margin that is added to the required retention of results.
 	resultSlackS = 30
 )
 
-// Server is a running process of this role. Its fields are set before it serves and stay.
+// Server is a process of the role. Its fields are set before it serves and do not change.
 type Server struct {
 	source     *settings.Source
 	log        *slog.Logger
@@ -42,8 +42,9 @@
 	tasks      lifecycle.Tasks
 }
 
-// Run serves until ctx ends, then closes what is open. It returns an error where the process can't start or its disk fails. Other members
-// are not notified: they detect the end.
+// Run serves until ctx is done, then transfers leaderships, shuts down and closes the stores. It
+// returns an error if the process cannot start or its disk fails. It does not announce its exit to the
+// other members; their failure detector notices it.
 func Run(ctx context.Context, source *settings.Source, options replica.Options, log *slog.Logger) error {
 	current := source.Current()
 	identities, err := replica.OpenIdentityStore(current.DataDir)
@@ -66,7 +67,7 @@
 	return s.serve(ctx)
 }
 
-// open prepares the state machines and the host of the replicas.
+// open creates the state machines and the host of the replicas.
 func (s *Server) open(store *replica.Store, options replica.Options) (err error) {
 	current := s.source.Current()
 	s.service = &batchjobs.Service{
@@ -81,7 +82,7 @@
 	return err
 }
 
-// serve runs the server and the loops until ctx ends or the disk fails.
+// serve runs the server and the background loops until ctx is done or the disk fails.
 func (s *Server) serve(ctx context.Context) error {
 	current := s.source.Current()
 	server, err := transport.Listen(ctx, current.PeerAddress(), map[string]http.Handler{
@@ -100,7 +101,7 @@
 	}
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
-	go s.host.Run() // shutdown waits for it
+	go s.host.Run() // shutdown stops it and waits for it
 	s.tasks.Serve(s.log, "peer", server.Serve)
 	s.tasks.Go(func() { s.service.Run(ctx) })
 	s.tasks.Go(func() { tail.Run(ctx) })
@@ -114,7 +115,8 @@
 	return s.shutdown(context.WithoutCancel(ctx), server)
 }
 
-// handOver hands the leadership of all groups to other processes, so that none of them waits for an election. Calls are answered meanwhile.
+// handOver transfers the leadership of all groups to other processes, so that none of the groups has to
+// wait for an election. Calls are served meanwhile.
 func (s *Server) handOver(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), lifecycle.HandOverTimeout)
 	defer cancel()
@@ -126,7 +128,7 @@
 	ctx, cancel := context.WithTimeout(ctx, lifecycle.ShutdownTimeout)
 	defer cancel()
 	if err := server.Close(ctx); err != nil {
-		s.log.Info("server not closed in time", "error", err)
+		s.log.Info("closing the server did not complete in time", "error", err)
 	}
 	s.tasks.Wait(ctx)
 	if s.host.Failed() {
@@ -136,8 +138,9 @@
 	return nil
 }
 
-// reportDemand sends all live controllers how many requests the open jobs of a shard need to run concurrently, by model, so that enough
-// workers have the models' newest weights. It doesn't block. A report that is lost is made up by the next one.
+// reportDemand sends the demand of a shard to all live controllers, so that enough workers have the
+// newest weights of its models: by model, the number of requests that the open jobs have to run
+// concurrently. It does not block. A lost report is superseded by the next one.
 func (s *Server) reportDemand(shard string, slots map[string]float64) {
 	demand := &rpc.Demand{Shard: shard, Slots: slots}
 	for _, m := range s.membership.View().Alive(settings.ServesControlPlane) {
@@ -145,13 +148,13 @@
 			ctx, cancel := context.WithTimeout(context.Background(), demandTimeout)
 			defer cancel()
 			if _, err := rpc.NewControlProtobufClient("http://"+m.Address, s.client).NoteDemand(ctx, demand); err != nil {
-				s.log.Debug("demand not delivered", "shard", shard, "controller", m.Name, "error", err)
+				s.log.Debug("reporting demand failed", "shard", shard, "controller", m.Name, "error", err)
 			}
 		})
 	}
 }
 
-// controllers returns the addresses of the feed's sources.
+// controllers returns the addresses of the controllers that serve the feed.
 func (s *Server) controllers() []string {
 	return membership.ControlPlaneAddresses(s.membership.View().Alive(settings.ServesControlPlane), s.source.Current())
 }
