--- a/cmd/saffronquay-system/account.go
+++ b/cmd/saffronquay-system/account.go
@@ -11,14 +11,15 @@
 	"github.com/urfave/cli/v3"
 )
 
-// accountCommand returns the command that breaks down the scores of played days (package dayreport).
+// accountCommand returns the command that breaks down the scores of days on the test bench (package
+// dayreport).
 func accountCommand() *cli.Command {
 	return &cli.Command{
-		Name: "account", Usage: "tell where the worth of played days went, from their reports", ArgsUsage: "REPORT...",
-		Flags: []cli.Flag{&cli.IntFlag{Name: "tolerance", Value: 1, Usage: "machines with a disk that may be lost at once"}},
+		Name: "account", Usage: "break down the scores of days on the test bench, from their reports", ArgsUsage: "REPORT...",
+		Flags: []cli.Flag{&cli.IntFlag{Name: "tolerance", Value: 1, Usage: "number of machines with a disk that may fail at the same time"}},
 		Action: func(_ context.Context, c *cli.Command) error {
 			if c.Args().Len() == 0 {
-				return errors.New("account: want the paths of reports")
+				return errors.New("account: no reports: give the path of at least one report")
 			}
 			for _, path := range c.Args().Slice() {
 				if err := writeBreakdown(c.Root().Writer, path, c.Int("tolerance")); err != nil {
@@ -30,7 +31,7 @@
 	}
 }
 
-// writeBreakdown writes the breakdown of one report, titled with the name of its file.
+// writeBreakdown writes the breakdown of one report, with its file name as the title.
 func writeBreakdown(out io.Writer, path string, tolerance int) error {
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/cmd/saffronquay-system/help_test.go
+++ b/cmd/saffronquay-system/help_test.go
@@ -12,7 +12,8 @@
 	"github.com/urfave/cli/v3"
 )
 
-// The help of each command equals the golden file. SAFFRONQUAY_GOLDEN=write in the environment writes the file anew.
+// The help of each command equals the golden file. With SAFFRONQUAY_GOLDEN=write in the environment,
+// the test writes the golden file first.
 func TestGoldenHelp(t *testing.T) {
 	is := is.New(t)
 	t.Setenv(settings.EnvironmentVariable, "")
@@ -28,7 +29,8 @@
 	is.Equal(help.String(), string(want))
 }
 
-// writeHelp writes the help of a command and of all its subcommands; names are the command line that leads to it.
+// writeHelp writes the help of a command and of all its subcommands. names is the path of subcommands
+// to the command.
 func writeHelp(t *testing.T, c *cli.Command, names []string, help *bytes.Buffer) {
 	t.Helper()
 	fresh := command() // a command that has run must not run again
--- a/cmd/saffronquay-system/main.go
+++ b/cmd/saffronquay-system/main.go
@@ -1,9 +1,10 @@
-// Command saffronquay-system runs the processes of the rollout scheduler: proxy and agent on edge machines, steward on core machines,
-// store on storage machines. Further commands check a settings file, play the control plane in virtual time, and break down the score of a
-// played day.
+// Command saffronquay-system runs the processes of the rollout scheduler: proxy and agent on edge
+// machines, steward on core machines, store on storage machines. Further commands check a settings
+// file, simulate the control plane in virtual time, and break down the score of a day on the test
+// bench.
 //
-// The exit code is 0 where the process ended as asked, and 1 otherwise, with the error on standard error. docs/SCHEDULER.md describes commands,
-// settings, metrics and procedures.
+// The exit code is 0 on success or an orderly shutdown, and 1 after an error, which is written to
+// standard error. docs/SCHEDULER.md describes commands, settings, metrics and procedures.
 package main
 
 import (
@@ -28,7 +29,7 @@
 	}
 }
 
-// command returns the command line. A command that has run must not run again.
+// command returns the root command. A command must not be run more than once.
 func command() *cli.Command {
 	return &cli.Command{
 		Name:  "saffronquay-system",
@@ -37,15 +38,15 @@
 			&cli.StringFlag{Name: "settings", Usage: "path of the settings file (TOML)", Sources: cli.EnvVars(settings.EnvironmentVariable)},
 			&cli.StringFlag{Name: "log-level", Value: "warn", Usage: "debug, info, warn or error"},
 			&cli.StringFlag{Name: "log-format", Value: "text", Usage: "text or json"},
-			&cli.StringFlag{Name: "metrics", Usage: "PORT/PATH where the role tells its figures in Prometheus' text format; empty: nowhere"},
-			&cli.StringFlag{Name: "policy", Usage: "how workers are chosen, for measurements; overrules decisions.policy of the settings file"},
-			&cli.StringSliceFlag{Name: "without", Usage: "switch a mechanism off, for measurements: " + strings.Join(featuregate.Names(), ", ")},
+			&cli.StringFlag{Name: "metrics", Usage: "PORT/PATH at which the role exports metrics in the Prometheus text format; empty: no export"},
+			&cli.StringFlag{Name: "policy", Usage: "policy for selecting workers, for measurements; overrides decisions.policy of the settings file"},
+			&cli.StringSliceFlag{Name: "without", Usage: "disable a mechanism, for measurements: " + strings.Join(featuregate.Names(), ", ")},
 		},
 		Commands: []*cli.Command{
-			roleCommand("proxy", "carry the traffic of an edge machine", proxy.Run),
-			roleCommand("agent", "link the proxy of an edge machine to the control plane", agent.Run),
-			replicaCommand("steward", "serve control on a core machine", controlplane.Run),
-			replicaCommand("store", "keep batch jobs on a storage machine", storage.Run),
+			roleCommand("proxy", "serve the traffic of an edge machine", proxy.Run),
+			roleCommand("agent", "connect the proxy of an edge machine to the control plane", agent.Run),
+			replicaCommand("steward", "run the control plane on a core machine", controlplane.Run),
+			replicaCommand("store", "store batch jobs on a storage machine", storage.Run),
 			modelCommand(),
 			accountCommand(),
 			checkCommand(),
--- a/cmd/saffronquay-system/memory.go
+++ b/cmd/saffronquay-system/memory.go
@@ -12,18 +12,21 @@
 )
 
 const (
-	// memoryFraction is the part of the machine's memory that the runtime tries to stay below.
+	// memoryFraction is the fraction of the memory limit of the settings that is set as the memory
+	// limit of the Go runtime.
 	memoryFraction = 0.7
-	// storageGCPercent is the garbage that a storage node may have before a collection, in percent of the live memory: it has much live memory,
-	// and collections cost it little.
+	// storageGCPercent is the GC percentage of a storage node, which has a large live heap and for
+	// which collections are cheap.
 	storageGCPercent = 25
-	// edgeGCPercent is the same for the processes of an edge machine, which have little live memory.
+	// edgeGCPercent is the GC percentage of the processes of an edge machine, which have a small live
+	// heap.
 	edgeGCPercent = 40
-	// memoryReportInterval is the time between two reports in the log, at level debug.
+	// memoryReportInterval is the interval of the memory reports in the log, at level debug.
 	memoryReportInterval = 2 * time.Second
 )
 
-// limitMemory sets the garbage collector for the role and the memory limit of the settings. A steward keeps Go's default percentage.
+// limitMemory sets the GC percentage for the role, and the runtime's memory limit from the settings. A
+// steward uses Go's default GC percentage.
 func limitMemory(s *settings.Settings) {
 	switch {
 	case slices.Contains(s.Serves, settings.ServesStorage):
@@ -36,7 +39,7 @@
 	}
 }
 
-// reportMemory logs the runtime's memory and all metrics until ctx ends.
+// reportMemory periodically logs the runtime's memory statistics and all metrics until ctx is done.
 func reportMemory(ctx context.Context, log *slog.Logger) {
 	ticker := time.NewTicker(memoryReportInterval)
 	defer ticker.Stop()
--- a/cmd/saffronquay-system/model.go
+++ b/cmd/saffronquay-system/model.go
@@ -10,25 +10,26 @@
 	"github.com/urfave/cli/v3"
 )
 
-// modelCommand returns the command that plays the control plane in virtual time (package simulation).
+// modelCommand returns the command that simulates the control plane in virtual time (package
+// simulation).
 func modelCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "model",
-		Usage: "play the control side under faults in virtual time, and check what happened",
-		Description: "Each seed is one history, which is the same each time it is played. A history that breaks a rule is printed with its seed;\n" +
-			"--first with that seed, --seeds 1 and --trace show what led to it. --fault seeds a mistake, to see that it is noticed:\n" + faultNames(),
+		Usage: "simulate the control plane under faults in virtual time, and check its guarantees",
+		Description: "Each seed determines one history. A history that violates a guarantee is printed with its seed; to trace it, pass that\n" +
+			"seed with --first, --seeds 1 and --trace. --fault seeds a bug, to verify that the checks detect it:\n" + bugNames(),
 		Flags: []cli.Flag{
-			&cli.Uint64Flag{Name: "seeds", Value: 100, Usage: "histories to play"},
+			&cli.Uint64Flag{Name: "seeds", Value: 100, Usage: "number of histories to simulate"},
 			&cli.Uint64Flag{Name: "first", Value: 1, Usage: "seed of the first history"},
-			&cli.StringFlag{Name: "fault", Usage: "number or text of a mistake to be seeded"},
-			&cli.BoolFlag{Name: "trace", Usage: "print what happens"},
+			&cli.StringFlag{Name: "fault", Usage: "number or text of the bug to seed"},
+			&cli.BoolFlag{Name: "trace", Usage: "print the events of the history"},
 		},
-		Action: playModel,
+		Action: runModel,
 	}
 }
 
-// faultNames lists the mistakes that can be seeded, with their numbers, for the help.
-func faultNames() string {
+// bugNames lists the bugs that can be seeded, with their numbers, for the help.
+func bugNames() string {
 	var names strings.Builder
 	for i, bug := range simulation.Bugs {
 		fmt.Fprintf(&names, "  %2d  %s\n", i+1, bug)
@@ -36,8 +37,9 @@
 	return names.String()
 }
 
-// seededFault returns the mistake that the flag --fault names, by its number or its text; NoBug where it is empty.
-func seededFault(name string) (simulation.Bug, error) {
+// seededBug returns the bug that the flag --fault names by its number or text, or NoBug if name is
+// empty.
+func seededBug(name string) (simulation.Bug, error) {
 	if name == "" {
 		return simulation.NoBug, nil
 	}
@@ -46,13 +48,13 @@
 			return bug, nil
 		}
 	}
-	return simulation.NoBug, fmt.Errorf("--fault: want a number from 1 to %d or the text of a mistake, not %q", len(simulation.Bugs), name)
+	return simulation.NoBug, fmt.Errorf("--fault: must be a number from 1 to %d or the text of a bug, got %q", len(simulation.Bugs), name)
 }
 
-// playModel plays histories in virtual time: one with its trace, or many with a sum of their reports. It returns an error where a history breaks
-// a rule.
-func playModel(_ context.Context, c *cli.Command) error {
-	bug, err := seededFault(c.String("fault"))
+// runModel simulates histories in virtual time: one with its trace, or many with the sum of their
+// reports. It returns an error if a history violates a guarantee.
+func runModel(_ context.Context, c *cli.Command) error {
+	bug, err := seededBug(c.String("fault"))
 	if err != nil {
 		return err
 	}
@@ -63,7 +65,7 @@
 	return scanHistories(out, first, c.Uint64("seeds"), bug)
 }
 
-// traceHistory plays the history of a seed and prints what happens in it.
+// traceHistory simulates the history of a seed and prints its trace and report.
 func traceHistory(out io.Writer, seed uint64, bug simulation.Bug) error {
 	options := simulation.Seeded(seed, bug)
 	options.Trace = func(format string, values ...any) { fmt.Fprintf(out, format+"\n", values...) }
@@ -72,7 +74,8 @@
 	return err
 }
 
-// scanHistories plays the histories of consecutive seeds and prints those that break a rule, and the sum of all reports.
+// scanHistories simulates the histories of consecutive seeds, and prints those that violate a guarantee
+// and the sum of all reports.
 func scanHistories(out io.Writer, first, seeds uint64, bug simulation.Bug) error {
 	var total simulation.Report
 	broken := 0
@@ -86,7 +89,7 @@
 	})
 	fmt.Fprintf(out, "%+v\nseeds %d, broken %d\n", total, seeds, broken)
 	if broken > 0 {
-		return fmt.Errorf("%d histories broke a rule", broken)
+		return fmt.Errorf("%d histories violated a guarantee", broken)
 	}
 	return nil
 }
--- a/cmd/saffronquay-system/role.go
+++ b/cmd/saffronquay-system/role.go
@@ -12,10 +12,10 @@
 	"github.com/urfave/cli/v3"
 )
 
-// role runs a process of a role until its context ends.
+// role runs a process of a role until its context is done.
 type role func(context.Context, *settings.Source, *slog.Logger) error
 
-// replicaRole is a role that holds replicas.
+// replicaRole is a role with replicas.
 type replicaRole func(context.Context, *settings.Source, replica.Options, *slog.Logger) error
 
 // roleCommand returns the command that runs a role.
@@ -23,14 +23,14 @@
 	return &cli.Command{Name: name, Usage: usage, Action: roleAction(func(*cli.Command) role { return run })}
 }
 
-// replicaCommand returns the command that runs a role with replicas. Its flags set when a group's log is replaced by a
-// snapshot; 0 stands for the default.
+// replicaCommand returns the command that runs a role with replicas. Its flags set the log size at
+// which a snapshot replaces a group's log; 0 means the default.
 func replicaCommand(name, usage string, run replicaRole) *cli.Command {
 	return &cli.Command{
 		Name: name, Usage: usage,
 		Flags: []cli.Flag{
-			&cli.IntFlag{Name: "snapshot-entries", Usage: "entries from which on a group's log is replaced by a snapshot; 0: the usual"},
-			&cli.Int64Flag{Name: "snapshot-bytes", Usage: "bytes from which on a group's log is replaced by a snapshot; 0: the usual"},
+			&cli.IntFlag{Name: "snapshot-entries", Usage: "log entries of a group after which a snapshot replaces its log; 0: default"},
+			&cli.Int64Flag{Name: "snapshot-bytes", Usage: "log bytes of a group after which a snapshot replaces its log; 0: default"},
 		},
 		Action: roleAction(func(c *cli.Command) role {
 			options := replica.Options{SnapshotEntries: c.Int("snapshot-entries"), SnapshotBytes: c.Int64("snapshot-bytes")}
@@ -41,8 +41,8 @@
 	}
 }
 
-// roleAction returns the action that runs a role with the settings, log and metrics that the command line names. SIGTERM and SIGINT end the
-// role's context; SIGHUP and SIGPIPE are ignored.
+// roleAction returns the action that runs a role with the settings, logger and metrics endpoint of the
+// command line. SIGTERM and SIGINT cancel the role's context; SIGHUP and SIGPIPE are ignored.
 func roleAction(newRole func(*cli.Command) role) cli.ActionFunc {
 	return func(ctx context.Context, c *cli.Command) error {
 		source, err := openSettings(c)
@@ -59,7 +59,7 @@
 		}
 		ctx, stop := signal.NotifyContext(ctx, syscall.SIGTERM, syscall.SIGINT)
 		defer stop()
-		signal.Ignore(syscall.SIGHUP, syscall.SIGPIPE) // a changed settings file is noticed without a signal
+		signal.Ignore(syscall.SIGHUP, syscall.SIGPIPE) // the settings file is reloaded without a signal
 		log.Info("starting", "command", c.Name)
 		if log.Enabled(ctx, slog.LevelDebug) {
 			go reportMemory(ctx, log)
@@ -68,8 +68,9 @@
 	}
 }
 
-// startMetrics exports the process's metrics where the command line names an endpoint. A malformed endpoint is an error. A port that is taken
-// only leads to a warning, since the process can serve without metrics.
+// startMetrics exports the process's metrics if the command line names an endpoint. A malformed
+// endpoint is an error. If the port cannot be listened on, it only logs a warning, because the
+// process can serve without metrics.
 func startMetrics(ctx context.Context, c *cli.Command, s *settings.Settings, log *slog.Logger) error {
 	if c.String("metrics") == "" {
 		return nil
@@ -78,7 +79,7 @@
 	if err != nil {
 		return err
 	}
-	warn := func(err error) { log.Warn("metrics are not exported", "error", err) }
+	warn := func(err error) { log.Warn("exporting metrics failed", "error", err) }
 	if err := endpoint.Start(ctx, s.IP, warn); err != nil {
 		warn(err)
 	}
--- a/cmd/saffronquay-system/settings.go
+++ b/cmd/saffronquay-system/settings.go
@@ -11,18 +11,19 @@
 	"github.com/urfave/cli/v3"
 )
 
-// checkCommand returns the command that checks a settings file and names all its faults.
+// checkCommand returns the command that validates a settings file and reports all its problems.
 func checkCommand() *cli.Command {
 	return &cli.Command{Name: "check", Usage: "check a settings file", Action: func(_ context.Context, c *cli.Command) error {
 		source, err := openSettings(c)
 		if err == nil {
-			fmt.Fprintf(c.Root().Writer, "%s: good\n", source.Current().NodeName)
+			fmt.Fprintf(c.Root().Writer, "%s: settings are valid\n", source.Current().NodeName)
 		}
 		return err
 	}}
 }
 
-// openSettings reads the settings file that the command line or the environment names, with the overrides of the command line.
+// openSettings loads the settings file named by the command line or the environment, and applies the
+// overrides of the command line.
 func openSettings(c *cli.Command) (*settings.Source, error) {
 	path := c.String("settings")
 	if path == "" {
@@ -35,8 +36,8 @@
 	return settings.NewSource(path, override)
 }
 
-// featureGateOverride returns a function that sets the feature gates of the command line in settings, each time they are read. The error says
-// that the command line names an unknown policy or feature gate.
+// featureGateOverride returns a function that applies the feature gates of the command line to settings
+// after each load. It returns an error if the command line names an unknown policy or feature gate.
 func featureGateOverride(c *cli.Command) (settings.Override, error) {
 	policy, disabled := featuregate.Policy(c.String("policy")), c.StringSlice("without")
 	apply := func(gates *featuregate.Gates) error {
@@ -51,13 +52,13 @@
 		return gates.Check()
 	}
 	override := func(s *settings.Settings) {
-		_ = apply(&s.FeatureGates) // the names were checked below; the policy of the file is checked where the file is read
+		_ = apply(&s.FeatureGates) // the command line was validated below, the policy of the file by settings.Load
 	}
 	probe := featuregate.All()
 	return override, apply(&probe)
 }
 
-// newLogger returns the process's logger, which writes to standard error.
+// newLogger returns the logger of the process, which writes to standard error.
 func newLogger(c *cli.Command, s *settings.Settings) (*slog.Logger, error) {
 	var level slog.Level
 	if err := level.UnmarshalText([]byte(c.String("log-level"))); err != nil {
@@ -70,6 +71,6 @@
 	case "json":
 		return slog.New(slog.NewJSONHandler(os.Stderr, options)).With("node", s.NodeName), nil
 	default:
-		return nil, fmt.Errorf("--log-format: want text or json, not %q", format)
+		return nil, fmt.Errorf("--log-format: must be text or json, got %q", format)
 	}
 }
