--- a/internal/scheduler/simulation/calls.go
+++ b/internal/scheduler/simulation/calls.go
@@ -10,35 +10,35 @@
 )
 
 const (
-	attemptTimeoutMS  = 300  // after which a gatherer gives an attempt up
-	retryDelayMS      = 5    // between two attempts of a call
-	maxRuns           = 3    // of an idempotent call
-	rejectionCheckMS  = 2000 // after which a call that was reported as not run must not have run
-	executionsCheckMS = 5000 // after a call's begin, when its runs are counted; all have ended by then
+	attemptTimeoutMS  = 300  // timeout of an attempt at a gatherer
+	retryDelayMS      = 5    // delay between two attempts of a call
+	maxRuns           = 3    // maximum number of runs of an idempotent call
+	rejectionCheckMS  = 2000 // delay until it is checked that a call reported as not run has not run
+	executionsCheckMS = 5000 // time from a call's start until its runs are counted; all have ended by then
 )
 
-// Whether a connection may carry further requests after a call.
+// Values of the parameter open of attempt.finish: whether the connection may be reused.
 const (
 	keepOpen        = true
 	closeConnection = false
 )
 
-// connection is a connection of a gatherer to a worker. One request at a time is in flight on it.
+// connection is a connection of a gatherer to a worker, with at most one request in flight.
 type connection struct {
-	deliver func(reply reply) // takes what arrives; nil: no call waits
+	deliver func(reply reply) // handles a received reply; nil if no request is in flight
 	open    bool
 }
 
-// reply is what arrives on a connection.
+// reply is a response on a connection, or its reset.
 type reply struct {
 	status   int
-	id       string // of the request that it claims to answer
+	id       string // id of the request that the reply claims to answer
 	body     string
 	rejected bool // the worker did not run the request
-	reset    bool // no answer: the connection was reset
+	reset    bool // the connection was reset without a response
 }
 
-// replyText is the body of the answer to a call.
+// replyText returns the body of the correct reply to a call.
 func replyText(id string) string { return "answer for " + id }
 
 // clientCall is a client's request that a gatherer forwards to workers.
@@ -47,10 +47,10 @@
 	id         string
 	idempotent bool
 	attempts   *forward.Attempts
-	mayHaveRun bool // at least one attempt
+	mayHaveRun bool // whether at least one attempt may have run
 }
 
-// forwardCall begins a client's request. Every other one is idempotent.
+// forwardCall starts a client's request. Every second one is idempotent.
 func (g *gatherer) forwardCall() {
 	w := g.world
 	g.calls++
@@ -64,7 +64,7 @@
 	w.schedule(executionsCheckMS, c.checkExecutions)
 }
 
-// attempt sends the request to a random worker, if the gatherer knows one.
+// attempt sends the request to a random usable worker, if there is one.
 func (c *clientCall) attempt() {
 	workers := c.gatherer.usableWorkers()
 	if len(workers) == 0 {
@@ -74,7 +74,8 @@
 	c.gatherer.sendRequest(to, c.id, c.finishAttempt)
 }
 
-// finishAttempt checks an answer. After a failed attempt the next one follows where the rules of package forward allow it.
+// finishAttempt checks the reply of an attempt. After a failed attempt it schedules the next one if
+// package forward permits a retry.
 func (c *clientCall) finishAttempt(answer reply, result outcome.Outcome) {
 	w := c.gatherer.world
 	if result == outcome.Ran {
@@ -98,14 +99,14 @@
 	}
 }
 
-// checkNotRun checks a call that was reported to its client as not run.
+// checkNotRun checks that a call that was reported to its client as not run has not run.
 func (c *clientCall) checkNotRun() {
 	if w := c.gatherer.world; w.executions[c.id] > 0 {
 		w.reportViolation(Duplicated, "call %s was refused as not run, and ran", c.id)
 	}
 }
 
-// checkExecutions checks that a call that is not idempotent ran one time at most.
+// checkExecutions checks that a call that is not idempotent ran at most once.
 func (c *clientCall) checkExecutions() {
 	w := c.gatherer.world
 	if !c.idempotent && w.executions[c.id] > 1 {
@@ -120,10 +121,10 @@
 	connection *connection
 	id         string // of the call
 	finished   bool
-	done       func(reply, outcome.Outcome) // runs one time; the reply counts only with outcome.Ran
+	done       func(reply, outcome.Outcome) // called exactly once; the reply is valid only with outcome.Ran
 }
 
-// sendRequest sends a request over a kept connection, or a new one. done runs one time.
+// sendRequest sends a request on a pooled or new connection. It calls done exactly once.
 func (g *gatherer) sendRequest(to *rpc.Instance, id string, done func(reply, outcome.Outcome)) {
 	w := g.world
 	a := &attempt{world: w, connection: g.connectionTo(to.Id), id: id, done: done}
@@ -137,7 +138,8 @@
 	w.schedule(w.latency(), func() { target.serve(a.connection, id) })
 }
 
-// connectionTo returns the kept connection to a worker, or a new one if that is closed or in use. A new one is kept if no open one is.
+// connectionTo returns the pooled connection to a worker, or a new one if the pooled one is closed
+// or in use. A new connection is pooled if there is no open one in the pool.
 func (g *gatherer) connectionTo(worker string) *connection {
 	kept := g.connections[worker]
 	if kept != nil && kept.open && kept.deliver == nil {
@@ -150,13 +152,13 @@
 	return created
 }
 
-// receive takes what arrives on the connection while the attempt waits.
+// receive handles a reply that arrives on the connection while the attempt is in flight.
 func (a *attempt) receive(answer reply) {
 	switch {
 	case answer.reset:
 		a.finish(answer, outcome.MayHaveRun, closeConnection)
 	case !workerpool.IsAnswerFor(answer.status, answer.id, a.id) && !a.world.bug(KeepConnection):
-		a.finish(answer, outcome.MayHaveRun, closeConnection) // the right answer may still come on this connection
+		a.finish(answer, outcome.MayHaveRun, closeConnection) // the expected reply may still arrive on this connection
 	case answer.rejected:
 		a.finish(answer, outcome.NotRun, keepOpen)
 	default:
@@ -164,7 +166,7 @@
 	}
 }
 
-// finish ends the attempt; only the first outcome counts.
+// finish ends the attempt. Only the first call has an effect.
 func (a *attempt) finish(answer reply, result outcome.Outcome, open bool) {
 	if a.finished {
 		return
--- a/internal/scheduler/simulation/checks.go
+++ b/internal/scheduler/simulation/checks.go
@@ -11,11 +11,12 @@
 
 const (
 	checkIntervalMS = 200
-	maxLagEntries   = 40   // by which a follower may lag behind in a group without faults
-	jobVisibleMS    = 1000 // after which a read must show what was acknowledged or read before
+	maxLagEntries   = 40   // maximum lag of a follower in a group without faults
+	jobVisibleMS    = 1000 // time after which reads must return what was acknowledged or read before
 )
 
-// checkGatherers checks during the history that gatherers in touch act on nothing that is older than propagationMS.
+// checkGatherers checks that the state of gatherers in touch is at most propagationMS old. It is called
+// at every tick and checks every checkIntervalMS.
 func (w *world) checkGatherers() {
 	if w.now%checkIntervalMS != 0 || w.now < firstFaultMS || w.now-w.lastFaultAt <= contactMS {
 		return
@@ -36,7 +37,7 @@
 	}
 }
 
-// leader returns the machine that leads a group and has its lease; nil if there is none.
+// leader returns the machine that leads a group with a valid lease, or nil if there is none.
 func (w *world) leader(group string) *machine {
 	for _, m := range w.machines {
 		if !m.removed && m.isRunning() && m.engine.Status(group) != nil && m.hasLease(group) {
@@ -46,7 +47,7 @@
 	return nil
 }
 
-// checkLeaders checks that each group has a leader, recoveryMS after a fault.
+// checkLeaders checks that each group has a leader. It runs recoveryMS after each fault and at the end.
 func (w *world) checkLeaders() {
 	for _, group := range allGroups() {
 		if w.leader(group) == nil {
@@ -55,7 +56,7 @@
 	}
 }
 
-// checkReplicaGroups checks that each group has the members of its placement, and that none of them lags behind.
+// checkReplicaGroups checks that the members of each group match its placement and have caught up.
 func (w *world) checkReplicaGroups() {
 	w.checkLeaders()
 	if w.violation != nil {
@@ -78,7 +79,8 @@
 	}
 }
 
-// hasCaughtUp reports whether a replica is on its machine and lags at most maxLagEntries behind the leader's applied index.
+// hasCaughtUp reports whether a replica exists on its machine and lags at most maxLagEntries behind the
+// leader's applied index.
 func (w *world) hasCaughtUp(group string, r *rpc.Replica, leaderApplied uint64) bool {
 	m := w.machine(r.Node)
 	if m == nil || m.identity != r.Id {
@@ -88,7 +90,7 @@
 	return status != nil && status.Applied+maxLagEntries >= leaderApplied
 }
 
-// describe returns the status of each replica of a group, for the text of a violation.
+// describe returns the status of each replica of a group for the text of a violation.
 func (w *world) describe(group string) (text string) {
 	for _, m := range w.machines {
 		if m.removed || m.engine == nil {
@@ -101,8 +103,8 @@
 	return text
 }
 
-// checkEnd checks a history at its end, when there have been no faults for a while: the configuration is linearizable, and the leaders have all
-// that was acknowledged.
+// checkEnd checks a history at its end, after a period without faults: the configuration is
+// linearizable, and the leaders have all acknowledged changes.
 func (w *world) checkEnd() {
 	if err := w.history.check(); err != nil {
 		w.reportViolation(TwoWinners, "%v", err)
@@ -132,7 +134,8 @@
 	}
 }
 
-// checkJob checks a batch job at its shard's leader: it agrees with all that was read of it, and each item has a result.
+// checkJob checks a batch job at the leader of its shard: it agrees with all reads, and each item has a
+// result.
 func (w *world) checkJob(j *jobRecord) {
 	if j.acknowledgedAt == 0 {
 		return
@@ -145,7 +148,7 @@
 	}
 }
 
-// countSnapshots adds the snapshots of a machine's process to the report.
+// countSnapshots adds the snapshot counts of a machine's process to the report.
 func (w *world) countSnapshots(m *machine) {
 	if m.engine == nil {
 		return
@@ -155,7 +158,8 @@
 	w.report.SnapshotsReceived += c.SnapshotsReceived
 }
 
-// checkJobRead checks what was read of a job from a position on against what was read before, and records new positions.
+// checkJobRead compares a read of a job, starting at position after, with the previous reads, and
+// records the results at new positions.
 func (w *world) checkJobRead(j *jobRecord, after int, a *readAnswer) {
 	if !a.found {
 		if j.acknowledgedAt > 0 && a.at-j.acknowledgedAt > jobVisibleMS {
@@ -184,7 +188,7 @@
 	}
 }
 
-// checkNewResult checks a result that was read at a new position of a job.
+// checkNewResult checks a result that was read at a new position.
 func (w *world) checkNewResult(j *jobRecord, r *rpc.Result) {
 	if slices.ContainsFunc(j.results, func(s *rpc.Result) bool { return s.Item == r.Item }) {
 		w.reportViolation(Duplicated, "job %s: item %s stands at two positions", j.create.Id, r.Item)
@@ -195,7 +199,8 @@
 	}
 }
 
-// recordFailuresTaken records the failed runs whose reports an owner has acknowledged. Each run counts once.
+// recordFailuresTaken records the failed runs whose reports an owner has acknowledged. Each run counts
+// once, by the number of its lease.
 func (w *world) recordFailuresTaken(reports []*rpc.Report) {
 	for _, r := range reports {
 		if !r.Failed {
@@ -208,7 +213,7 @@
 	}
 }
 
-// checkGrants checks that no item is granted that has failed as often as its job allows.
+// checkGrants checks that no item is granted that has used up the attempts that its job allows.
 func (w *world) checkGrants(leases []*rpc.Lease) {
 	for _, l := range leases {
 		if failures := len(w.failuresTaken[l.Item.Id]); failures >= maxItemAttempts {
@@ -217,7 +222,8 @@
 	}
 }
 
-// checkAbandoned checks that a result without a text is of an item that has failed as often as its job allows.
+// checkAbandoned checks that an item with a result without text has used up the attempts that its job
+// allows.
 func (w *world) checkAbandoned(r *rpc.Result) {
 	if failures := w.failuresMade[r.Item]; !r.Completed && failures < maxItemAttempts {
 		w.reportViolation(OverBudget, "%s was abandoned after %d failures", r.Item, failures)
--- a/internal/scheduler/simulation/clock.go
+++ b/internal/scheduler/simulation/clock.go
@@ -9,7 +9,8 @@
 	run      func()
 }
 
-// eventQueue is a heap of events (container/heap): the earliest is first, of those of one time the one that was scheduled first.
+// eventQueue is a heap of events (container/heap), ordered by time and then by the order in which they
+// were scheduled.
 type eventQueue struct{ events []event }
 
 func (q *eventQueue) Len() int { return len(q.events) }
@@ -28,21 +29,23 @@
 	}
 }
 
-// Pop removes the last event, which package heap has put there.
+// Pop removes the last event, as heap.Interface requires.
 func (q *eventQueue) Pop() any {
 	last := q.events[len(q.events)-1]
 	q.events = q.events[:len(q.events)-1]
 	return last
 }
 
-// schedule has a function run after a delay in virtual milliseconds, a negative one counting as 0. Functions run between the ticks of the
-// machines, one at a time.
+// schedule schedules a function to run after a delay in virtual milliseconds; a negative delay
+// counts as
+// 0. Functions run one at a time, between the ticks of the machines.
 func (w *world) schedule(delay int64, run func()) {
 	w.lastSequence++
 	heap.Push(&w.queue, event{w.now + max(delay, 0), w.lastSequence, run})
 }
 
-// runDueEvents runs the events up to the present time, also those that are added meanwhile. It ends at the first violation.
+// runDueEvents runs the events that are due, including those that are added meanwhile. It stops at the
+// first violation.
 func (w *world) runDueEvents() {
 	for w.queue.Len() > 0 && w.queue.events[0].at <= w.now && w.violation == nil {
 		run := w.queue.events[0].run
@@ -51,8 +54,8 @@
 	}
 }
 
-// oneIn draws a random number; it is true with a chance of 1 to n.
+// oneIn returns true with probability 1/n.
 func (w *world) oneIn(n int) bool { return w.random.IntN(n) == 0 }
 
-// randomBetween draws a random number from low up to, but not including, high.
+// randomBetween returns a random number in [low, high).
 func (w *world) randomBetween(low, high int64) int64 { return low + w.random.Int64N(high-low) }
--- a/internal/scheduler/simulation/control.go
+++ b/internal/scheduler/simulation/control.go
@@ -15,12 +15,13 @@
 )
 
 const (
-	forgetWorkerMS  = 120_000 // after which an unresponsive worker is forgotten
-	dispatchLeaseMS = 3000    // of the machine that sends orders to the workers of a shard
-	workerSlots     = 100     // of each worker
+	forgetWorkerMS  = 120_000 // time after which an unresponsive worker is removed
+	dispatchLeaseMS = 3000    // lease of the machine that sends orders to the workers of a shard
+	workerSlots     = 100     // slots of each worker
 )
 
-// runControlLoop does what the control loops of the roles do, for the groups that this machine leads.
+// runControlLoop runs one iteration of the role's control loops, for the groups that this machine
+// leads.
 func (m *machine) runControlLoop() {
 	if m.kind == storageKind {
 		m.watchFeed()
@@ -46,7 +47,8 @@
 	}
 }
 
-// updatePlacements keeps the placement of each group on machines that are alive. It runs at the directory's leader.
+// updatePlacements updates the placement of each group so that its members are on live machines. It
+// runs at the directory's leader.
 func (m *machine) updatePlacements(status *replica.Status) {
 	listenedMS := m.world.now - status.LeaderSince
 	placements := m.directory.Placements()
@@ -66,7 +68,8 @@
 	}
 }
 
-// updatePlacement proposes another placement of a group if the machines require one. A group is founded only when there are enough machines.
+// updatePlacement proposes a new placement of a group if the state of the machines requires one. A
+// group is created only when there are enough machines.
 func (m *machine) updatePlacement(current *rpc.Placement, machines []placement.Machine) {
 	size := m.world.groupSize()
 	if current.Founding && len(machines) < size {
@@ -84,7 +87,7 @@
 	m.proposeOnly(directory.Shard, encode(&rpc.DirectoryCommand{Command: &rpc.DirectoryCommand_Place{Place: wanted}}))
 }
 
-// completeRetirements records which machines are emptied.
+// completeRetirements records the completed retirements in the directory.
 func (m *machine) completeRetirements() {
 	retirements := m.directory.Retirements()
 	for _, node := range slices.Sorted(maps.Keys(retirements)) {
@@ -94,7 +97,8 @@
 	}
 }
 
-// isEmptied reports whether no job shard is placed on a machine, and all placements are complete.
+// isEmptied reports whether a machine has no replica of a job shard: none is placed on it, and all
+// placements are complete.
 func (m *machine) isEmptied(node string) bool {
 	placements := m.directory.Placements()
 	for n := range jobShards {
@@ -112,7 +116,8 @@
 	return true
 }
 
-// isPlacementComplete reports whether a group's leader can be reached and says that the group is placed as wanted.
+// isPlacementComplete reports whether a reachable leader of the group confirms that the group matches
+// its placement.
 func (m *machine) isPlacementComplete(wanted *rpc.Placement) bool {
 	return slices.ContainsFunc(wanted.Replicas, func(r *rpc.Replica) bool {
 		holder := m.world.machine(r.Address)
@@ -129,7 +134,7 @@
 	})
 }
 
-// watchFeed has a storage node read the feed for placements, one read at a time.
+// watchFeed reads the feed for placements at a storage node, one read at a time.
 func (m *machine) watchFeed() {
 	w, incarnation := m.world, m.incarnation
 	if m.watching {
@@ -153,7 +158,8 @@
 	})
 }
 
-// followPlacement founds a group if this machine is one of its founders, and passes the wanted members on to the engine.
+// followPlacement creates a group if this machine is one of its initial members, and passes the wanted
+// members to the engine.
 func (m *machine) followPlacement(wanted *rpc.Placement) {
 	if m.stateMachineOf(wanted.Group) == nil {
 		return
@@ -167,8 +173,8 @@
 	m.nextTickAt = 0
 }
 
-// dispatchOrders sends the orders of a registry shard that this machine owns, as weights.Dispatcher does. Before the first order of an epoch it
-// has itself recorded as the holder.
+// dispatchOrders sends the orders of a registry shard that this machine owns, like weights.Dispatcher.
+// Before the first order of an epoch, it commits itself as the holder of the shard.
 func (m *machine) dispatchOrders(shard string) {
 	w := m.world
 	status := m.engine.Status(shard)
@@ -190,7 +196,8 @@
 	}
 }
 
-// plannedOrders returns the orders that are due in a shard, by worker. All workers may load at the same time.
+// plannedOrders returns the orders that are due in a shard, sorted by worker. All workers may load
+// weights at the same time.
 func (m *machine) plannedOrders(shard string) []weights.Order {
 	present := m.heartbeatHandlers[shard].ResponsiveInstances(m.world.now)
 	slices.SortFunc(present, func(a, b *rpc.Instance) int { return cmp.Compare(a.Id, b.Id) })
@@ -203,7 +210,8 @@
 	return orders
 }
 
-// takeOverDispatch has this machine recorded as the holder of a shard, if the last holder cannot send orders any more.
+// takeOverDispatch commits this machine as the holder of a shard if the last holder can no longer send
+// orders.
 func (m *machine) takeOverDispatch(shard string, status *replica.Status) {
 	w := m.world
 	last := m.registries[shard].Holder()
--- a/internal/scheduler/simulation/controllers.go
+++ b/internal/scheduler/simulation/controllers.go
@@ -13,17 +13,18 @@
 )
 
 const (
-	newLeaderDelayMS = 1200 // after its election, before which a leader does not decide on machines
-	submitTimeoutMS  = 1500 // of a command for the directory
-	forwardTimeoutMS = 850  // of a request that a controller may pass to the leader
-	forwardRetryMS   = 50   // between two attempts of it
-	watchTimeoutMS   = 1100 // of a read of the feed
+	newLeaderDelayMS = 1200 // time after its election in which a leader makes no decisions about machines
+	submitTimeoutMS  = 1500 // timeout of a command for the directory
+	forwardTimeoutMS = 850  // timeout of a request that a controller may forward to the leader
+	forwardRetryMS   = 50   // delay between two attempts of such a request
+	watchTimeoutMS   = 1100 // timeout of a read of the feed
 )
 
-// notDecided is the status with which a controller answers another one if it does not decide on a request.
+// notDecided is the status that a controller returns for a forwarded request that it cannot decide.
 const notDecided = 0
 
-// replaceConfiguration handles an operator's order, and answers with an HTTP status.
+// replaceConfiguration handles an operator's order for a new configuration. The answer is an HTTP
+// status.
 func (m *machine) replaceConfiguration(o *configurationOrder, answer func(status int)) {
 	m.decideDirectory(directory.ReplaceCommand(o.base, o.version, o.patch, o.body), func(result *rpc.DirectoryResult) {
 		if result == nil {
@@ -34,7 +35,8 @@
 	})
 }
 
-// decideDirectory has the directory decide on a command. The result is nil if that failed; the command may have taken effect then.
+// decideDirectory submits a command to the directory and passes its result to done. The result is nil
+// after a failure, in which case the command may have taken effect.
 func (m *machine) decideDirectory(command *rpc.DirectoryCommand, done func(*rpc.DirectoryResult)) {
 	if m.world.bug(LocalReads) && command.GetRead() != nil {
 		done(m.readLocally())
@@ -50,8 +52,9 @@
 	})
 }
 
-// handleRetirement handles an operator's request to empty a machine: here if this controller leads the directory, at the leader otherwise. It
-// answers with an HTTP status, until a virtual time.
+// handleRetirement handles an operator's request to retire a machine. It forwards the request to the
+// leader if this controller does not lead the directory. The answer is an HTTP status; it is 503 if
+// there is no decision until the given virtual time.
 func (m *machine) handleRetirement(node string, until int64, answer func(status int)) {
 	w, incarnation := m.world, m.incarnation
 	var attempt func()
@@ -81,12 +84,13 @@
 	attempt()
 }
 
-// knowsOtherLeader reports whether another machine is known to lead a group.
+// knowsOtherLeader reports whether status names another machine as the leader.
 func (m *machine) knowsOtherLeader(status *replica.Status) bool {
 	return status != nil && status.LeaderAddress != "" && status.LeaderAddress != m.name
 }
 
-// decideForwardedRetirement decides on a request that another controller has passed on, if this one leads the directory.
+// decideForwardedRetirement decides a request that another controller has forwarded, if this one leads
+// the directory.
 func (m *machine) decideForwardedRetirement(node string, answer func(status int)) {
 	if !m.hasLease(directory.Shard) {
 		answer(notDecided)
@@ -95,7 +99,8 @@
 	m.decideRetirement(node, m.engine.Status(directory.Shard), answer, func() { answer(notDecided) })
 }
 
-// decideRetirement accepts or refuses a retirement at the directory's leader. retry runs instead of answer if that is not possible now.
+// decideRetirement accepts or refuses a retirement at the directory's leader. It calls retry instead of
+// answer if no decision is possible yet.
 func (m *machine) decideRetirement(node string, status *replica.Status, answer func(status int), retry func()) {
 	if _, begun := m.directory.Retirements()[node]; begun {
 		answer(http.StatusOK)
@@ -128,13 +133,14 @@
 	})
 }
 
-// retireCommand returns the command that begins or completes a retirement.
+// retireCommand returns the command that starts or completes a retirement.
 func retireCommand(node string, completed bool) []byte {
 	return encode(&rpc.DirectoryCommand{Command: &rpc.DirectoryCommand_Retire{Retire: &rpc.Retirement{Node: node, Completed: completed}}})
 }
 
-// handleHeartbeat handles a worker's heartbeat for a registry shard: here if this controller owns the shard, at the owner otherwise. It answers
-// whether the owner has acknowledged it, until a virtual time.
+// handleHeartbeat handles a worker's heartbeat for a registry shard. It forwards the heartbeat to the
+// owner if this controller does not own the shard. The answer is whether the owner has acknowledged the
+// heartbeat by the given virtual time.
 func (m *machine) handleHeartbeat(shard string, r *rpc.HeartbeatRequest, until int64, answer func(acknowledged bool)) {
 	w, incarnation := m.world, m.incarnation
 	var attempt func()
@@ -169,7 +175,8 @@
 	attempt()
 }
 
-// decideHeartbeat decides on a heartbeat if this controller owns the shard. What changes the registry is acknowledged when it is committed.
+// decideHeartbeat handles a heartbeat if this controller owns the shard. A heartbeat that changes the
+// registry is acknowledged when the change is committed.
 func (m *machine) decideHeartbeat(shard string, r *rpc.HeartbeatRequest, answer func(rpc.Outcome)) {
 	if m.engine.Status(shard) == nil {
 		answer(rpc.Outcome_UNAVAILABLE)
@@ -186,7 +193,7 @@
 	m.propose(shard, encode(command), func(p replica.ProposalResult) { answer(p.Outcome) })
 }
 
-// ownership returns what this controller knows of its ownership of a registry shard.
+// ownership returns this controller's ownership of a registry shard.
 func (m *machine) ownership(shard string) registry.Ownership {
 	status := m.engine.Status(shard)
 	if status == nil {
@@ -198,11 +205,11 @@
 // feedAnswer is the answer to a read of the feed.
 type feedAnswer struct {
 	feeds []*rpc.ShardFeed
-	fresh bool // the controller is in touch with the leaders of all groups
+	fresh bool // whether the controller is in touch with the leaders of all its groups
 }
 
 // feedSince returns the events of all shards after the given offsets.
 func (m *machine) feedSince(offsets map[string]uint64) feedAnswer {
-	feeds, _ := m.feed.Since(offsets) // nothing waits for the next change
+	feeds, _ := m.feed.Since(offsets) // reads do not wait for the next change
 	return feedAnswer{feeds, m.isFresh()}
 }
--- a/internal/scheduler/simulation/encode.go
+++ b/internal/scheduler/simulation/encode.go
@@ -6,7 +6,7 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// encode encodes a command. It panics if that fails: the simulation makes all commands itself.
+// encode encodes a command. It panics on an error, because the simulation creates all commands itself.
 func encode(command proto.Message) []byte {
 	encoded, err := replica.Marshal(command)
 	if err != nil {
--- a/internal/scheduler/simulation/faults.go
+++ b/internal/scheduler/simulation/faults.go
@@ -1,23 +1,24 @@
 package simulation
 
 const (
-	firstFaultMS   = startMS + 4000 // all groups are placed by then
-	quietMS        = 7000           // at the end of a history, in which there are no faults
-	replaceDelayMS = 1000           // after which a new machine takes the place of a removed one
-	overlapMS      = 1500           // in which the faults of an overlap begin
+	firstFaultMS   = startMS + 4000 // time of the first fault; all groups are placed by then
+	quietMS        = 7000           // period without faults at the end of a history
+	replaceDelayMS = 1000           // delay until a new machine replaces a removed one
+	overlapMS      = 1500           // period in which the faults of an overlap begin
 	maxClockStepMS = 7_200_000
-	handOverMS     = 200 // within which a process that stops in order has ended
+	handOverMS     = 200 // maximum duration of a graceful shutdown
 
-	endUnknown = 1 << 60 // endAt before the last fault is over
+	endUnknown = 1 << 60 // value of endAt until the last fault is over
 )
 
-// Chances of a fault are 1 to these numbers.
+// Each fault has probability 1/chance.
 const (
 	gathererKillChance = 3
 	clockStepChance    = 4
 )
 
-// faultKind is what injectFault draws. Some kinds stand twice, so that they are twice as frequent.
+// faultKind is the kind of a phase's fault. Some kinds have two values, so that injectFault draws them
+// twice as often.
 type faultKind int
 
 const (
@@ -35,7 +36,7 @@
 	faultWrites
 	faultHalves
 	faultOverlap
-	faultKinds // their number
+	faultKinds // number of kinds
 )
 
 // scheduleFaults schedules the first phase.
@@ -44,7 +45,8 @@
 	w.schedule(firstFaultMS, func() { w.beginPhase(0) })
 }
 
-// beginPhase injects the fault of a phase. After the last phase it schedules the end of the history and the check of the replica groups.
+// beginPhase injects the fault of a phase. After the last phase it schedules the end of the history and
+// the check of the replica groups.
 func (w *world) beginPhase(n int) {
 	if n >= w.options.Phases {
 		w.endAt = w.now + 2*quietMS
@@ -57,7 +59,8 @@
 	w.schedule(w.faultUntil-w.now+tickMS, func() { w.endPhase(n) })
 }
 
-// endPhase waits until the fault and all that belongs to it are over. The next phase begins when the failed machines have recovered.
+// endPhase waits until the fault and a retirement in progress are over. It schedules the next phase for
+// the time when the failed machines have recovered.
 func (w *world) endPhase(n int) {
 	if w.now < w.faultUntil || w.retiring != "" {
 		w.schedule(max(w.faultUntil-w.now, 10*tickMS), func() { w.endPhase(n) })
@@ -68,13 +71,13 @@
 	w.schedule(recoveryMS+w.randomBetween(0, 1500), func() { w.beginPhase(n + 1) })
 }
 
-// extendFault records that the present fault lasts until a time at least.
+// extendFault records that the current fault lasts at least until a time.
 func (w *world) extendFault(until int64) { w.faultUntil = max(w.faultUntil, until) }
 
-// recordFault records a fault now: no machine counts as in touch for a while.
+// recordFault records a fault at the current time: no machine counts as in touch for contactMS.
 func (w *world) recordFault() { w.lastFaultAt = w.now }
 
-// pickMachine draws a machine, half of the time among those that lead a group.
+// pickMachine returns a random machine, with probability 1/2 one that leads a group.
 func (w *world) pickMachine() *machine {
 	var list, leaders []*machine
 	for _, m := range w.machines {
@@ -92,7 +95,7 @@
 	return list[w.random.IntN(len(list))]
 }
 
-// leadsAnyGroup reports whether the machine has the lease of a group.
+// leadsAnyGroup reports whether the machine has the leader lease of any group.
 func (m *machine) leadsAnyGroup() bool {
 	for _, group := range m.engine.Groups() {
 		if m.hasLease(group) {
@@ -102,8 +105,9 @@
 	return false
 }
 
-// injectFault injects the fault of a phase, within the tolerance or without loss of disks. Gatherers have no disk, so any number may fail; a
-// step of a clock is tolerated at any time.
+// injectFault injects the fault of a phase. The fault is within the tolerance or loses no disks. In
+// addition a gatherer may fail, of which any number is tolerated because they have no disks, and a
+// clock may step, which is tolerated at any time.
 func (w *world) injectFault() {
 	if w.oneIn(gathererKillChance) {
 		w.gatherers[w.random.IntN(len(w.gatherers))].kill()
@@ -131,8 +135,9 @@
 	}
 }
 
-// failMachine has one machine fail for a while, or for good, in the way that injectFault has drawn. A machine that has already failed is left
-// as it is. After a loss of the first machine's disk the others may lose power.
+// failMachine makes a machine fail, temporarily or permanently, with the kind of fault that injectFault
+// has drawn. It has no effect on a machine that has already failed. After the disk loss of the first
+// machine the other machines may lose power.
 func (w *world) failMachine(m *machine, kind faultKind, first bool) {
 	if !m.up || m.removed || m.frozenUntil > w.now {
 		return
@@ -141,7 +146,7 @@
 	case faultKill:
 		w.report.Kills++
 		if w.oneIn(2) {
-			w.stopInOrder(m)
+			w.stopGracefully(m)
 			return
 		}
 		m.stopProcess(false, w.randomBetween(100, 1000))
@@ -164,7 +169,7 @@
 	}
 }
 
-// loseDisk ends a machine's process and replaces its disk by an empty one.
+// loseDisk stops a machine's process and replaces its disk by an empty one.
 func (w *world) loseDisk(m *machine) {
 	w.report.Wipes++
 	m.stopProcess(true, w.randomBetween(300, 3000))
@@ -172,7 +177,7 @@
 	w.trace("%s loses its disk", m.name)
 }
 
-// cutPowerExcept has all machines but one lose power.
+// cutPowerExcept makes all machines except m lose power.
 func (w *world) cutPowerExcept(m *machine) {
 	for _, other := range w.machines {
 		if other != m && !other.removed && other.up {
@@ -181,14 +186,14 @@
 	}
 }
 
-// freeze stops a machine's process for a time. Virtual time goes on.
+// freeze suspends a machine's process for a random time.
 func (w *world) freeze(m *machine) {
 	m.frozenUntil = w.now + w.randomBetween(300, 5000)
 	w.extendFault(m.frozenUntil)
 	w.trace("%s stands still until %d", m.name, m.frozenUntil)
 }
 
-// failWrites has a machine's disk refuse writes for a time.
+// failWrites makes the writes of a machine's disk fail for a random time.
 func (w *world) failWrites(m *machine) {
 	m.disk.Faults().SetWriteBudget(-1)
 	until := w.now + w.randomBetween(500, 4000)
@@ -197,8 +202,9 @@
 	w.schedule(until-w.now, func() { m.disk.Faults().SetWriteBudget(0) })
 }
 
-// stopInOrder has a machine hand its leaderships over before its process ends, as at a SIGTERM. The transfers may be cut off by the end.
-func (w *world) stopInOrder(m *machine) {
+// stopGracefully makes a machine transfer its leaderships before its process ends, as after a SIGTERM.
+// The process may end before the transfers are complete.
+func (w *world) stopGracefully(m *machine) {
 	if m.engine.HandOver() > 0 {
 		w.report.HandOvers++
 	}
@@ -211,7 +217,7 @@
 	})
 }
 
-// stopAll ends the processes of all machines, half of the time by a loss of power. Their disks stay.
+// stopAll stops the processes of all machines, with probability 1/2 by a power loss. No disks are lost.
 func (w *world) stopAll() {
 	powerLoss := w.oneIn(2)
 	for _, m := range w.machines {
@@ -222,8 +228,8 @@
 	}
 }
 
-// overlap has more machines lose power than the tolerance allows, at random times of which the downtimes may overlap. No more disks are lost
-// than the tolerance allows.
+// overlap makes more machines lose power than the tolerance allows, at random times, so that their
+// downtimes may overlap. It loses at most as many disks as the tolerance allows.
 func (w *world) overlap() {
 	w.report.Overlaps++
 	disks := w.random.IntN(w.options.Tolerance + 1)
@@ -245,7 +251,8 @@
 	w.extendFault(w.now + overlapMS)
 }
 
-// replaceMachine removes a machine for good. An empty one of its kind comes at another address.
+// replaceMachine removes a machine permanently and schedules the start of an empty one of the same kind
+// at another address.
 func (w *world) replaceMachine(m *machine) {
 	w.report.Replacements++
 	m.up, m.removed = false, true
@@ -254,7 +261,8 @@
 	w.extendFault(w.now + replaceDelayMS)
 }
 
-// addMachineLater starts a new machine of a kind, in a random zone, after replaceDelayMS.
+// addMachineLater schedules the start of a new machine of a kind, in a random zone, after
+// replaceDelayMS.
 func (w *world) addMachineLater(kind machineKind) {
 	w.schedule(replaceDelayMS, func() { w.addMachine(kind, w.random.IntN(zones)).start() })
 }
--- a/internal/scheduler/simulation/gatherers.go
+++ b/internal/scheduler/simulation/gatherers.go
@@ -14,33 +14,34 @@
 	watchIntervalMS       = 150
 	pollIntervalMS        = 200
 	callIntervalMS        = 70
-	leaseReportIntervalMS = 1000 // between two complete reports of the leases
-	leaseTimeoutMS        = 2400 // without an answer of the shard's owner, after which leases are dropped
-	workTimeoutMS         = 900  // of one exchange of work
-	itemsWanted           = 4    // in one exchange
-	maxLeases             = 8    // with more of them a gatherer requests none
+	leaseReportIntervalMS = 1000 // interval of complete reports of the leases
+	leaseTimeoutMS        = 2400 // time without a response of the shard's owner after which leases are dropped
+	workTimeoutMS         = 900  // timeout of one work exchange
+	itemsWanted           = 4    // items requested in one exchange
+	maxLeases             = 8    // number of leases above which a gatherer requests no items
 )
 
-// gatherer is a machine without a disk: an agent that tails the feed, and a proxy that works on items and forwards calls.
+// gatherer is a machine without a disk. It combines an agent, which tails the feed, and a proxy, which
+// works on items and forwards calls.
 type gatherer struct {
 	world       *world
 	name        string
 	incarnation int
 	up          bool
-	restartAt   int64 // if it is not up
+	restartAt   int64 // set while it is down
 
 	feed             *feed.Table
 	rotation         feed.Rotation
 	version          uint64 // of the configuration in force
 	instances        map[string]*rpc.Instance
 	startedAt        int64
-	partitionedUntil int64 // from most machines
+	partitionedUntil int64 // end of a partition from most machines
 
-	leaders          map[string]string // by shard: the storage node that it takes for the owner
+	leaders          map[string]string // by shard: the storage node that is believed to be the owner
 	leases           map[leaseKey]*lease
-	ownerHeardAt     map[string]int64  // by shard: when its owner answered last
-	leasesReportedAt map[string]int64  // by shard: when all leases were reported last
-	epochs           map[string]uint64 // by shard: the owner's epoch at the last answer
+	ownerHeardAt     map[string]int64  // by shard: time of the last response of its owner
+	leasesReportedAt map[string]int64  // by shard: time of the last complete report of the leases
+	epochs           map[string]uint64 // by shard: the owner's epoch in the last response
 	connections      map[string]*connection
 	calls            int
 }
@@ -51,10 +52,10 @@
 	number uint64
 }
 
-// lease is an item that is worked on, or whose report is still to be acknowledged.
+// lease is a granted item that is in progress, or whose report is not acknowledged yet.
 type lease struct {
 	*rpc.Lease
-	report *rpc.Report // nil: the work goes on
+	report *rpc.Report // nil while the item is in progress
 }
 
 // addGatherer starts a gatherer.
@@ -64,7 +65,7 @@
 	g.start()
 }
 
-// start starts a new process, which knows nothing of the one before.
+// start starts a new process, without any state of the previous one.
 func (g *gatherer) start() {
 	g.incarnation++
 	g.up, g.startedAt = true, g.world.now
@@ -82,7 +83,7 @@
 	g.repeat(callIntervalMS, g.forwardCall)
 }
 
-// repeat runs a function about every so many milliseconds until the present process ends.
+// repeat runs a function about every intervalMS milliseconds until the current process ends.
 func (g *gatherer) repeat(intervalMS int64, run func()) {
 	w, incarnation := g.world, g.incarnation
 	var next func()
@@ -95,13 +96,13 @@
 	w.schedule(w.randomBetween(1, intervalMS), next)
 }
 
-// kill ends the process; a new one starts within two seconds.
+// kill stops the process. A new one starts within two seconds.
 func (g *gatherer) kill() {
 	g.up, g.restartAt = false, g.world.now+g.world.randomBetween(100, 2000)
 	g.world.schedule(g.restartAt-g.world.now, g.start)
 }
 
-// watchFeed reads the feed at the next controller of the rotation.
+// watchFeed reads the feed from the next controller of the rotation.
 func (g *gatherer) watchFeed() {
 	w, incarnation := g.world, g.incarnation
 	source := w.machine(g.rotation.Next(w.machineNames(controllerKind)))
@@ -118,7 +119,7 @@
 	})
 }
 
-// applyFeeds acts on new events, and checks that no state steps back.
+// applyFeeds applies new events, and checks that no state regresses.
 func (g *gatherer) applyFeeds(feeds []*rpc.ShardFeed) {
 	before := g.feed.Offsets()
 	for _, e := range g.feed.Merge(feeds) {
@@ -141,7 +142,7 @@
 	}
 }
 
-// exchangeWork reports to the owner of a shard, and requests items.
+// exchangeWork sends reports to the owner of a shard, and requests items.
 func (g *gatherer) exchangeWork(shard string) {
 	w, incarnation := g.world, g.incarnation
 	request, reported := g.workRequest(shard)
@@ -160,7 +161,8 @@
 	exchange.attempt()
 }
 
-// workRequest returns the request of one exchange, and the leases whose reports it has. Leases that have timed out are dropped.
+// workRequest drops leases that have timed out, and returns the request of one exchange and the leases
+// whose reports it contains.
 func (g *gatherer) workRequest(shard string) (request *rpc.WorkRequest, reported []leaseKey) {
 	now := g.world.now
 	request = &rpc.WorkRequest{
@@ -191,7 +193,7 @@
 	return request, reported
 }
 
-// leaseKeys returns the leases of a shard in the order of their numbers.
+// leaseKeys returns the keys of the leases of a shard, sorted by number.
 func (g *gatherer) leaseKeys(shard string) []leaseKey {
 	var keys []leaseKey
 	for key := range g.leases {
@@ -203,7 +205,8 @@
 	return keys
 }
 
-// applyWork takes the answer to an exchange. All leases are reported again after a change of the owner's epoch.
+// applyWork handles the response of an exchange. After a change of the owner's epoch, all leases are
+// reported again.
 func (g *gatherer) applyWork(shard string, reported []leaseKey, response *rpc.WorkResponse) {
 	g.ownerHeardAt[shard] = g.world.now
 	if old := g.epochs[shard]; old != 0 && old != response.Epoch {
@@ -227,7 +230,8 @@
 	}
 }
 
-// workOn works on a granted item for some time. The work fails or is released with a small chance.
+// workOn works on a granted item for a random time. With a small probability the run fails or is
+// released.
 func (g *gatherer) workOn(key leaseKey, granted *rpc.Lease) {
 	w, incarnation := g.world, g.incarnation
 	l := &lease{Lease: granted}
@@ -249,7 +253,7 @@
 	})
 }
 
-// usableWorkers returns the workers that a request may go to, in the order of their ids.
+// usableWorkers returns the workers that requests may be sent to, sorted by id.
 func (g *gatherer) usableWorkers() (list []*rpc.Instance) {
 	for _, id := range slices.Sorted(maps.Keys(g.instances)) {
 		if instance := g.instances[id]; !instance.Draining && !instance.Lost {
--- a/internal/scheduler/simulation/histories_test.go
+++ b/internal/scheduler/simulation/histories_test.go
@@ -7,8 +7,9 @@
 	"testing"
 )
 
-// traced returns the trace of a seed's history, its report without the names of the fields, and its violation.
-func traced(seed uint64, bug Bug) string {
+// runTraced returns the trace of a seed's history, its report without the names of the fields, and its
+// violation.
+func runTraced(seed uint64, bug Bug) string {
 	var text strings.Builder
 	options := Seeded(seed, bug)
 	options.Trace = func(format string, values ...any) { fmt.Fprintf(&text, format+"\n", values...) }
@@ -17,12 +18,12 @@
 	return text.String()
 }
 
-// TestRecordedHistories compares histories with the recorded ones, with and without a seeded bug.
+// TestRecordedHistories compares histories with and without a seeded bug with the recorded ones.
 func TestRecordedHistories(t *testing.T) {
 	played := map[string]string{}
 	for seed := uint64(1); seed <= 2; seed++ {
-		played[fmt.Sprint("seed-", seed)] = traced(seed, NoBug)
-		played[fmt.Sprint("mistake/seed-", seed)] = traced(seed, Bugs[(seed*3)%uint64(len(Bugs))])
+		played[fmt.Sprint("seed-", seed)] = runTraced(seed, NoBug)
+		played[fmt.Sprint("mistake/seed-", seed)] = runTraced(seed, Bugs[(seed*3)%uint64(len(Bugs))])
 	}
 	harness.CheckHistories(t, played)
 }
--- a/internal/scheduler/simulation/history.go
+++ b/internal/scheduler/simulation/history.go
@@ -9,28 +9,28 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// history records what operators have seen of the configuration, for the check of linearizability.
+// history records the operators' operations on the configuration for the linearizability check.
 type history struct {
 	operations   []*operation
 	byName       map[string]*operation
 	acknowledged []acknowledgedVersion
 }
 
-// acknowledgedVersion is a version of the configuration, and when it was acknowledged.
+// acknowledgedVersion is an acknowledged version of the configuration.
 type acknowledgedVersion struct {
 	version uint64
-	at      int64
+	at      int64 // time of the acknowledgement in virtual milliseconds
 }
 
-// operation is an order with all its repetitions, or a read.
+// operation is an order with all its retries, or a read.
 type operation struct {
-	order    *configurationOrder // nil: a read
-	from, to int64               // virtual milliseconds; to is the maximum while there is no definite answer
+	order    *configurationOrder // nil for a read
+	from, to int64               // virtual milliseconds; to is math.MaxInt64 until there is a definite answer
 	outcome  operationOutcome
-	read     string // the configuration
+	read     string // configuration that a read returned
 }
 
-// operationOutcome is what an operator knows of an operation.
+// operationOutcome is the outcome of an operation as its operator knows it.
 type operationOutcome uint8
 
 const (
@@ -39,7 +39,7 @@
 	refused
 )
 
-// begin records the begin of an operation, an order or with nil a read.
+// begin records the start of an order, or of a read if order is nil.
 func (h *history) begin(name string, now int64, order *configurationOrder) {
 	if h.byName == nil {
 		h.byName = map[string]*operation{}
@@ -58,7 +58,7 @@
 	o.to, o.outcome = now, outcome
 }
 
-// read records the end of a read, and returns the version of the configuration; 0 if there is none.
+// read records the end of a read, and returns the version of the configuration, or 0 if there is none.
 func (h *history) read(name string, now int64, body []byte) uint64 {
 	o := h.byName[name]
 	o.to, o.outcome, o.read = now, accepted, string(body)
@@ -77,7 +77,8 @@
 	h.acknowledged = append(h.acknowledged, acknowledgedVersion{version, now})
 }
 
-// newestAcknowledged returns the newest version that had been acknowledged at a time; 0 if there was none.
+// newestAcknowledged returns the newest version that was acknowledged by a time, or 0 if there was
+// none.
 func (h *history) newestAcknowledged(at int64) (version uint64) {
 	for _, a := range h.acknowledged {
 		if a.at <= at {
@@ -87,7 +88,7 @@
 	return version
 }
 
-// configurationState is a state of the configuration as operators see it.
+// configurationState is a state of the sequential model.
 type configurationState struct {
 	version uint64
 	body    string
@@ -101,14 +102,14 @@
 		from, isState := state.(configurationState)
 		o, isOperation := input.(*operation)
 		if !isState || !isOperation {
-			return nil // check passes nothing else
+			return nil // not reached: check passes these types only
 		}
 		return o.nextStates(from)
 	},
 }
 
-// nextStates returns the states that may follow after an operation; none if it cannot have had its outcome in this state. An order without a
-// definite answer may have taken effect or not.
+// nextStates returns the possible states after an operation, or none if its outcome is not possible in
+// this state. An order without a definite answer may or may not have taken effect.
 func (o *operation) nextStates(from configurationState) (next []any) {
 	if o.order == nil {
 		if o.outcome == unknown || o.read == from.body {
@@ -125,7 +126,8 @@
 	return next
 }
 
-// apply returns the state after an order; ok is false if the order does not build on this state.
+// apply returns the state after an order. ok is false if the order's base is not the version of this
+// state or its patch does not apply.
 func (s configurationState) apply(o *configurationOrder) (configurationState, bool) {
 	if s.version != o.base {
 		return s, false
@@ -141,7 +143,7 @@
 	return configurationState{o.version, string(body)}, true
 }
 
-// checkTimeout is the real time that the check of linearizability may take; a longer one counts as a violation.
+// checkTimeout bounds the real time of the linearizability check. A timeout counts as a violation.
 const checkTimeout = 20 * time.Second
 
 // check returns an error unless the operations are linearizable.
--- a/internal/scheduler/simulation/machine.go
+++ b/internal/scheduler/simulation/machine.go
@@ -12,7 +12,7 @@
 	"saffronquay/internal/storage/simdisk"
 )
 
-// machineKind is the role that a machine has. Names of machines and traces begin with it.
+// machineKind is the role of a machine. It is the prefix of the machine's name, also in traces.
 type machineKind string
 
 const (
@@ -21,15 +21,15 @@
 )
 
 const (
-	snapshotEntries     = 30       // length of a log from which a snapshot is made: short, so that snapshots are frequent
-	rewriteBytes        = 24 << 10 // size of the store's file from which it is rewritten
+	snapshotEntries     = 30       // log entries after which a snapshot is created; small, so that snapshots are frequent
+	rewriteBytes        = 24 << 10 // size of the store's file above which it is rewritten
 	controlIntervalMS   = 150
 	announceIntervalMS  = 300
-	failureTimeoutMS    = 1500 // after which a machine that was not heard of counts as failed
+	failureTimeoutMS    = 1500 // time without an announcement after which a machine counts as failed
 	heartbeatIntervalMS = 1200
 	feedFreshMS         = 700 // see isFresh
 
-	epochStartMS = 1_700_000_000_000 // the time of day at virtual time 0, in Unix milliseconds
+	epochStartMS = 1_700_000_000_000 // wall clock at virtual time 0, in Unix milliseconds
 	zones        = 3
 )
 
@@ -37,20 +37,20 @@
 type machine struct {
 	world       *world
 	kind        machineKind
-	name        string // also its address; a replacement has another one
+	name        string // also its address; a replacement has a different one
 	zone        string
-	identity    string // bound to the disk
+	identity    string // identity of the disk
 	disksUsed   int
 	incarnation int // number of the process, from 1
 
 	disk           *simdisk.Disk
 	up             bool
 	starting       bool  // the process reads its disk
-	restartAt      int64 // if it is not up
-	powerlessUntil int64 // it neither answers nor resets connections until then
-	frozenUntil    int64 // the process does not run until then
-	removed        bool  // for good
-	clockOffset    int64 // of its time of day, in milliseconds
+	restartAt      int64 // set while it is down
+	powerlessUntil int64 // until then it neither answers calls nor resets connections
+	frozenUntil    int64 // until then the process does not run
+	removed        bool  // permanently
+	clockOffset    int64 // offset of its wall clock in milliseconds
 
 	engine       *replica.Engine
 	nextTickAt   int64 // of the engine
@@ -66,20 +66,20 @@
 	jobStates         map[string]*batchjobs.State
 	schedulers        map[string]*batchjobs.Scheduler // of the job shards that it owns
 	rotation          feed.Rotation
-	watching          bool // a watch of the feed is in flight
-	takingOver        bool // a proposal to record it as a shard's holder is in flight
+	watching          bool // a read of the feed is in flight
+	takingOver        bool // a proposal to make it a shard's holder is in flight
 }
 
-// isPowerless reports whether the machine has no power now.
+// isPowerless reports whether the machine is without power.
 func (m *machine) isPowerless() bool { return m.world.now < m.powerlessUntil }
 
 // isRunning reports whether the machine's process is up and not frozen.
 func (m *machine) isRunning() bool { return m.up && m.world.now >= m.frozenUntil }
 
-// wallClock returns the machine's time of day in Unix milliseconds.
+// wallClock returns the machine's wall clock in Unix milliseconds.
 func (m *machine) wallClock() int64 { return epochStartMS + m.world.now + m.clockOffset }
 
-// addMachine adds a machine with an empty disk under a new name. Its process is not started.
+// addMachine adds a machine with an empty disk and a new name. It does not start the process.
 func (w *world) addMachine(kind machineKind, zone int) *machine {
 	w.addresses++
 	m := &machine{world: w, kind: kind, name: fmt.Sprintf("%s%d", kind, w.addresses), zone: fmt.Sprintf("z%d", zone%zones)}
@@ -88,7 +88,7 @@
 	return m
 }
 
-// replaceDisk gives the machine an empty disk, and so a new identity.
+// replaceDisk gives the machine an empty disk and, except with KeepIdentity, a new identity.
 func (m *machine) replaceDisk() {
 	m.disk = simdisk.New(m.name, &simdisk.FaultPlan{})
 	m.disksUsed++
@@ -97,10 +97,10 @@
 	}
 }
 
-// start starts a process from the disk. A store that cannot be opened is a violation.
+// start starts a process from the disk. It reports a violation if the store cannot be opened.
 func (m *machine) start() {
 	w := m.world
-	w.countSnapshots(m) // of the process before
+	w.countSnapshots(m) // of the previous process
 	m.incarnation++
 	m.starting = true
 	defer func() { m.starting = false }()
@@ -128,12 +128,12 @@
 	w.trace("start %s as %s", m.name, m.identity)
 }
 
-// newRandom returns a generator whose seed is drawn from the history's.
+// newRandom returns a generator that is seeded from the history's generator.
 func (w *world) newRandom() *rand.Rand {
 	return rand.New(rand.NewPCG(w.options.Seed, uint64(w.random.Uint32())))
 }
 
-// resetState empties the memory of a process.
+// resetState resets the in-memory state of the process.
 func (m *machine) resetState() {
 	now := func() int64 { return m.world.now }
 	m.heardAt, m.announcedAt, m.rotation = map[string]int64{}, 0, feed.Rotation{}
@@ -154,7 +154,8 @@
 	}
 }
 
-// stopProcess ends the machine's process for so many milliseconds. A loss of power also takes what the disk has not synced.
+// stopProcess stops the machine's process for downMS milliseconds. A power loss also loses the data
+// that the disk has not synced.
 func (m *machine) stopProcess(powerLoss bool, downMS int64) {
 	w := m.world
 	m.up, m.restartAt = false, w.now+downMS
@@ -168,7 +169,8 @@
 	w.trace("%s is down until %d (power %v)", m.name, m.restartAt, powerLoss)
 }
 
-// tick runs the machine for one tick: it restarts a process whose time has come, and runs engine and control loop when they are due.
+// tick advances the machine by one tick: it restarts the process, and runs the engine and the control
+// loop, when they are due.
 func (m *machine) tick() {
 	w := m.world
 	switch {
--- a/internal/scheduler/simulation/network.go
+++ b/internal/scheduler/simulation/network.go
@@ -2,7 +2,7 @@
 
 import "saffronquay/internal/scheduler/rpc"
 
-// Chances of an event are 1 to these numbers.
+// Each event has probability 1/chance.
 const (
 	slowChance        = 80  // a message is slow
 	answerLossChance  = 200 // an answer is lost
@@ -11,24 +11,24 @@
 )
 
 const (
-	ownerAttemptTimeoutMS = 900 // of one attempt of an ownerCall
-	ownerRetryMS          = 40  // between two of them
+	ownerAttemptTimeoutMS = 900 // timeout of one attempt of an ownerCall
+	ownerRetryMS          = 40  // delay between two attempts of an ownerCall
 )
 
-// link is the direction from one end to another, by their names.
+// link is one direction between two endpoints, which are given by their names.
 type link struct{ from, to string }
 
-// isPartitionedOneWay reports whether messages from one end do not reach the other.
+// isPartitionedOneWay reports whether messages from one endpoint do not reach the other.
 func (w *world) isPartitionedOneWay(from, to string) bool {
 	return w.now < w.partitionedUntil[link{from, to}]
 }
 
-// isPartitioned reports whether a link is partitioned in either direction.
+// isPartitioned reports whether two endpoints are partitioned in either direction.
 func (w *world) isPartitioned(a, b string) bool {
 	return w.isPartitionedOneWay(a, b) || w.isPartitionedOneWay(b, a)
 }
 
-// latency draws how long a message takes, in milliseconds.
+// latency returns a random message latency in milliseconds.
 func (w *world) latency() int64 {
 	if w.oneIn(slowChance) {
 		return w.randomBetween(50, 600)
@@ -36,9 +36,10 @@
 	return w.randomBetween(1, 12)
 }
 
-// call sends a request to a machine. serve runs there, if the request arrives, and gets the function that sends the answer. done runs one time:
-// with the answer, or with ok false after a reset or the timeout in milliseconds. A request that reaches a frozen machine waits until that
-// machine goes on. An answer is lost if the process that got the request has ended, or if the link is partitioned.
+// call sends a request to a machine. If the request arrives, serve runs there with the function that
+// sends the answer. done runs exactly once: with the answer, or with ok false after a reset or the
+// timeout in milliseconds. A request that reaches a frozen machine waits until the machine resumes. The
+// answer is lost if the process that received the request has ended or the link is partitioned.
 func call[A any](w *world, from string, to *machine, timeout int64, serve func(answer func(A)), done func(answer A, ok bool)) {
 	finished := false
 	finish := func(answer A, ok bool) {
@@ -68,7 +69,7 @@
 		switch {
 		case w.isPartitionedOneWay(from, to.name) || to.isPowerless(): // lost
 		case !to.up:
-			w.schedule(w.latency(), func() { finish(none, false) }) // the machine resets the connection
+			w.schedule(w.latency(), func() { finish(none, false) }) // connection reset by the machine
 		case w.now < to.frozenUntil:
 			w.schedule(to.frozenUntil-w.now, arrive)
 		default:
@@ -79,19 +80,20 @@
 	w.schedule(w.latency(), arrive)
 }
 
-// ownerCall is a request of a client to the owner of a job shard. It is repeated at other storage nodes until the owner has answered or the time
-// is over, as package ledgerclient does.
+// ownerCall is a client's request to the owner of a job shard. It is retried at other storage nodes
+// until the owner answers or the time is over, like package batchclient.
 type ownerCall struct {
 	world   *world
 	from    string // name of the client
 	shard   string
 	until   int64             // virtual milliseconds
-	leaders map[string]string // of the client, by shard: the storage node that it takes for the owner; attempts keep it up to date
+	leaders map[string]string // by shard: the storage node that the client believes to be the owner; attempts update it
 	serve   func(to *machine, answer func(ownerAnswer))
-	done    func(answer ownerAnswer, ok bool) // runs one time
+	done    func(answer ownerAnswer, ok bool) // called exactly once
 }
 
-// attempt sends the request to the supposed owner, or to a random storage node if none is known.
+// attempt sends the request to the node that is believed to be the owner, or to a random storage
+// node if none is known.
 func (c *ownerCall) attempt() {
 	w := c.world
 	if w.now >= c.until {
@@ -116,7 +118,7 @@
 	})
 }
 
-// send sends messages to the replica at an address. They may be lost, or arrive twice.
+// send sends messages to the replica at an address. They may be lost or duplicated.
 func (m *machine) send(address string, messages []*rpc.Message) {
 	w := m.world
 	to := w.machine(address)
@@ -137,7 +139,7 @@
 	}
 }
 
-// announce informs the machines that can be reached that this one is alive, in place of the membership protocol.
+// announce notifies the reachable machines that this one is alive. It replaces the membership protocol.
 func (m *machine) announce() {
 	w := m.world
 	if w.now-m.announcedAt < announceIntervalMS {
--- a/internal/scheduler/simulation/operators.go
+++ b/internal/scheduler/simulation/operators.go
@@ -8,37 +8,39 @@
 )
 
 const (
-	operatorTimeoutMS = 1000 // after which an operator calls another controller
-	orderIntervalMS   = 350  // between two orders of an operator, on average
+	operatorTimeoutMS = 1000 // timeout after which an operator calls another controller
+	orderIntervalMS   = 350  // mean interval between two orders of an operator
 	readRetryMS       = 100
-	maxVersionStep    = 3 // between the versions of two orders
+	maxVersionStep    = 3 // maximum difference between the versions of two orders
 
-	// Chances of an event are 1 to these numbers.
+	// Each event has probability 1/chance.
 	repeatOrderChance        = 6 // an acknowledged order is sent again
 	readChance               = 5
 	patchChance              = 3
 	operatorAnswerLossChance = 6
 )
 
-// operator sends orders for the configuration and reads it, one request at a time, each until it has a definite answer.
+// operator sends orders for new configurations and reads the configuration, one request at a time. It
+// retries each request until it has a definite answer.
 type operator struct {
 	world        *world
 	name         string
-	knownVersion uint64                // that it takes for the current one
-	count        int                   // of its requests
+	knownVersion uint64                // version that it believes to be the current one
+	count        int                   // number of its requests
 	acknowledged []*configurationOrder // some of them are sent again
 }
 
-// configurationOrder is an order for another configuration, with all its repetitions.
+// configurationOrder is an order for a new configuration, with all its retries.
 type configurationOrder struct {
 	name          string
-	base, version uint64 // it takes the configuration from base to version
+	base, version uint64 // the order replaces version base by version
 	body          []byte // the complete document, or a patch
 	patch         bool
 	acknowledged  bool
 }
 
-// nextOrder sends a new order, sends an acknowledged one again as if its answer had been lost, or reads the configuration.
+// nextOrder sends a new order, sends an acknowledged one again as if its answer had been lost, or reads
+// the configuration.
 func (o *operator) nextOrder() {
 	w := o.world
 	if w.now > w.endAt-quietMS {
@@ -66,7 +68,8 @@
 	o.world.schedule(o.world.randomBetween(20, 2*orderIntervalMS), o.nextOrder)
 }
 
-// orderBody returns a configuration with one service that has the order's name, or a patch that adds such a service.
+// orderBody returns a configuration with one service that is named after the order, or a patch that
+// adds such a service.
 func orderBody(o *configurationOrder) []byte {
 	if o.patch {
 		return fmt.Appendf(nil, `{"version":%d,"upsert":{"services":[{"name":%q}]}}`, o.version, o.name)
@@ -75,12 +78,12 @@
 	return fmt.Appendf(nil, document, o.version, o.name, o.name)
 }
 
-// sendOrder sends an order until it has a definite answer, and then runs done. An order that is refused although it was acknowledged before is a
-// violation.
+// sendOrder sends an order until it has a definite answer, and then calls done. The refusal of an order
+// that was acknowledged before is a violation.
 func (o *operator) sendOrder(order *configurationOrder, attempts int, done func()) {
 	w := o.world
 	if w.now > w.endAt-quietMS/2 {
-		return // it stays without a definite answer
+		return // the order has no definite answer
 	}
 	to := w.randomMachineOf(controllerKind)
 	call(w, o.name, to, operatorTimeoutMS, func(answer func(int)) { to.replaceConfiguration(order, answer) }, func(status int, ok bool) {
@@ -98,14 +101,15 @@
 		default:
 			w.report.Refused++
 			w.history.end(order.name, w.now, refused)
-			o.read(done) // learns which version is current
+			o.read(done) // updates knownVersion
 			return
 		}
 		done()
 	})
 }
 
-// recordAcknowledged records the first acknowledgement of an order, and checks that no other order has its version.
+// recordAcknowledged records the first acknowledgement of an order, and checks that no other order was
+// acknowledged for the same version.
 func (o *operator) recordAcknowledged(order *configurationOrder) {
 	w := o.world
 	if order.acknowledged {
@@ -123,7 +127,7 @@
 	o.knownVersion = max(o.knownVersion, order.version)
 }
 
-// read reads the configuration, and then runs done.
+// read reads the configuration, and then calls done.
 func (o *operator) read(done func()) {
 	w := o.world
 	o.count++
@@ -148,7 +152,7 @@
 		w.report.Reads++
 		body, err := compression.Documents.Decompress(result.Configuration)
 		if err != nil {
-			panic(err) // the directory has compressed it itself
+			panic(err) // cannot fail: the directory has compressed the data
 		}
 		o.knownVersion = max(o.knownVersion, w.history.read(name, w.now, body))
 		done()
--- a/internal/scheduler/simulation/options.go
+++ b/internal/scheduler/simulation/options.go
@@ -2,10 +2,11 @@
 
 import "fmt"
 
-// Bug is a mistake that the control plane could make. The text is the argument of the command's flag --fault.
+// Bug is a bug that can be seeded in the control plane. Its text is a value of the flag --fault of the
+// command saffronquay-system model.
 type Bug string
 
-// The bugs that can be seeded, grouped by the situations that show them.
+// The bugs that can be seeded, grouped by the situations that trigger them.
 const (
 	NoBug Bug = ""
 
@@ -16,7 +17,7 @@
 	IgnoreLease       Bug = "a steward that was cut off acknowledges what workers say"
 	LocalReads        Bug = "any steward answers reads of the configuration by what it has itself"
 
-	// Operators send orders at the same time, and again.
+	// Operators send orders concurrently and retry them.
 	ForgetAcceptedOrders Bug = "a restored directory does not know which orders were taken"
 	AckOnPropose         Bug = "an order is acknowledged once the leader has it"
 	CheckVersionFirst    Bug = "an order that is sent again is held against the present version first"
@@ -26,7 +27,7 @@
 	KeepIdentity Bug = "a machine that lost its disk keeps its identity"
 	NoRepair     Bug = "replicas on lost disks are not replaced"
 
-	// Owners of batch jobs change.
+	// The owner of a batch job shard changes.
 	ForgetFailures Bug = "a new owner counts the failed runs of an item from nought"
 
 	// Machines restart after many changes.
@@ -39,7 +40,7 @@
 	RetryAnyCall   Bug = "a call that may not be repeated is sent again after silence or a reset"
 )
 
-// Bugs are all that can be seeded. The command numbers them in this order.
+// Bugs has all bugs that can be seeded, in the order of their numbers in the command.
 var Bugs = []Bug{
 	StaleFeed, LocalRefusals, ImmediateTakeover, IgnoreLease, LocalReads,
 	ForgetAcceptedOrders, AckOnPropose, CheckVersionFirst,
@@ -49,17 +50,17 @@
 	ForgetFailures,
 }
 
-// Options say what is played.
+// Options configure a history.
 type Options struct {
 	Seed      uint64
-	Tolerance int  // how many machines may be failed at the same time
-	Fencing   bool // workers refuse orders with an older epoch
+	Tolerance int  // maximum number of machines that fail at the same time
+	Fencing   bool // workers reject orders with an older epoch
 	Phases    int  // number of faults, each followed by a recovery
 	Bug       Bug
-	Trace     func(format string, values ...any) // is called for each event; nil: none
+	Trace     func(format string, values ...any) // called for each event; may be nil
 }
 
-// Seeded returns the options of a seed: tolerance and fencing vary with it.
+// Seeded returns the options of the history of a seed. Tolerance and Fencing depend on the seed.
 func Seeded(seed uint64, bug Bug) Options {
 	o := Options{Seed: seed, Tolerance: 1, Fencing: seed%2 == 0, Phases: 5, Bug: bug}
 	if seed%6 == 0 {
@@ -68,25 +69,25 @@
 	return o
 }
 
-// Report counts what happened in a history. The command prints the names of the fields, in their order.
+// Report has the statistics of a history. The command prints the names of the fields, in their order.
 type Report struct {
-	Orders            int // for another configuration, acknowledged
-	Refused           int // orders
+	Orders            int // acknowledged orders for a new configuration
+	Refused           int // refused orders
 	Repeated          int // orders that were sent again after their acknowledgement
-	Reads             int // of the configuration and of batch jobs
-	Jobs              int // accepted
-	Results           int // of items, read for the first time
-	Heartbeats        int // acknowledged
-	Calls             int // that clients have begun
-	Kills             int // of processes, also by a loss of power
-	Wipes             int // losses of a disk
+	Reads             int // reads of the configuration and of batch jobs
+	Jobs              int // accepted batch jobs
+	Results           int // results of items, counted when they are first read
+	Heartbeats        int // acknowledged heartbeats
+	Calls             int // calls that clients have started
+	Kills             int // kills of processes, including power losses
+	Wipes             int // disk losses
 	Cuts              int // isolated machines
 	Halves            int // partitions into two halves
-	Overlaps          int // losses of power beyond the tolerance
-	Replacements      int // of machines
-	Retirements       int // of storage nodes, begun
-	HandOvers         int // of leaderships, by processes that stop in order
-	ClockStep         int // steps of a machine's time of day
+	Overlaps          int // overlapping power losses beyond the tolerance
+	Replacements      int // replaced machines
+	Retirements       int // started retirements of storage nodes
+	HandOvers         int // leadership transfers by processes that shut down gracefully
+	ClockStep         int // steps of a machine's wall clock
 	SnapshotsMade     int
 	SnapshotsReceived int
 }
@@ -114,23 +115,23 @@
 	r.SnapshotsReceived += o.SnapshotsReceived
 }
 
-// Rule is a guarantee that a history is checked against.
+// Rule is a guarantee that a history is checked for.
 type Rule string
 
-// The rules.
+// The rules, each with its violations.
 const (
-	Lost        Rule = "lost"         // what was acknowledged is gone, or replicas differ
+	Lost        Rule = "lost"         // an acknowledged change is lost, or replicas differ
 	Refused     Rule = "refused"      // an order that was acknowledged, or must be accepted, is refused
 	TwoWinners  Rule = "two_winners"  // two orders were acknowledged for one version, or the history is not linearizable
-	TwoHolders  Rule = "two_holders"  // two processes sent orders under one epoch, or without a lease between them
-	Regressed   Rule = "back"         // an older state followed a newer one, or a gatherer in touch acts on an old one
-	WrongCaller Rule = "wrong_caller" // a call got the answer to another one
-	Duplicated  Rule = "twice"        // a call that is not idempotent ran twice, or an item is at two positions
-	OverBudget  Rule = "over_budget"  // an item is granted again after as many failures as its job allows, or abandoned after fewer
-	Stuck       Rule = "stuck"        // a group has no leader or lacks members too long after a fault, or a job or retirement does not end
+	TwoHolders  Rule = "two_holders"  // two processes sent orders under one epoch, or less than a lease apart
+	Regressed   Rule = "back"         // an older state followed a newer one, or a gatherer in touch acts on an outdated one
+	WrongCaller Rule = "wrong_caller" // a call got the answer to another call
+	Duplicated  Rule = "twice"        // a call that is not idempotent ran twice, or an item has two positions
+	OverBudget  Rule = "over_budget"  // an item is granted after its last allowed failure, or abandoned before it
+	Stuck       Rule = "stuck"        // a group is without leader or members, or a job or retirement unfinished, for too long after a fault
 )
 
-// ViolationError says which rule was broken, and how.
+// ViolationError reports the violation of a rule.
 type ViolationError struct {
 	Rule   Rule
 	At     int64 // virtual milliseconds
--- a/internal/scheduler/simulation/partitions.go
+++ b/internal/scheduler/simulation/partitions.go
@@ -1,32 +1,33 @@
 package simulation
 
-// The directions in which isolate partitions a machine from the others.
+// Directions of a partition, as seen by the isolated machine.
 const (
-	incomingOnly = iota // what others send does not arrive
+	incomingOnly = iota // messages of the others do not arrive
 	outgoingOnly
 	bothDirections
-	directions // their number
+	directions // number of directions
 )
 
-// Whom isolate partitions besides the machine from the other machines.
+// Endpoints that isolate partitions in addition to the machine from the other machines.
 const (
 	machinesOnly     = iota
 	withGatherers    // also the machine from all gatherers
-	withOneGatherer  // also one gatherer from all other machines: it reaches only the isolated one
-	isolationReaches // their number
+	withOneGatherer  // also one gatherer from all other machines, so that it reaches only the isolated one
+	isolationReaches // number of the values above
 )
 
 const (
 	longIsolationMS = 20_000
 
-	// Chances are 1 to these numbers.
+	// Each event has probability 1/chance.
 	longIsolationChance      = 4
 	isolatedRestartChance    = 3
 	isolatedRetirementChance = 2
 )
 
-// isolate partitions a machine from the others for a time. Sometimes its process restarts, so that it knows only what its disk and the machines
-// within reach hold. While a controller is isolated an operator may have a storage node retired.
+// isolate partitions a machine from the others for a random time. Sometimes its process restarts, so
+// that it only has the state of its disk and of the machines that it reaches. While a controller is
+// isolated, an operator may retire a storage node.
 func (w *world) isolate(m *machine) {
 	w.report.Cuts++
 	until := w.now + w.randomBetween(800, 6000)
@@ -39,17 +40,17 @@
 			w.partition(m.name, other.name, direction, until)
 		}
 	}
-	misled := w.gatherers[w.random.IntN(len(w.gatherers))]
+	isolatedGatherer := w.gatherers[w.random.IntN(len(w.gatherers))]
 	switch reach {
 	case withGatherers:
 		for _, g := range w.gatherers {
 			w.partition(m.name, g.name, direction, until)
 		}
 	case withOneGatherer:
-		misled.partitionedUntil = until
+		isolatedGatherer.partitionedUntil = until
 		for _, other := range w.machines {
 			if other != m {
-				w.partition(misled.name, other.name, bothDirections, until)
+				w.partition(isolatedGatherer.name, other.name, bothDirections, until)
 			}
 		}
 	}
@@ -63,7 +64,7 @@
 	}
 }
 
-// partition partitions an end from another until a time, in the directions as the first end sees them.
+// partition partitions two endpoints until a time. direction is as seen by end.
 func (w *world) partition(end, other string, direction int, until int64) {
 	if direction != incomingOnly {
 		w.partitionedUntil[link{end, other}] = until
@@ -73,7 +74,8 @@
 	}
 }
 
-// partitionHalves partitions the machines into two random halves, which is more than the tolerance allows. Clients reach both.
+// partitionHalves partitions the machines into two random halves, which exceeds the tolerance. Clients
+// reach both halves.
 func (w *world) partitionHalves() {
 	w.report.Halves++
 	until := w.now + w.randomBetween(800, 7000)
--- a/internal/scheduler/simulation/proof_test.go
+++ b/internal/scheduler/simulation/proof_test.go
@@ -12,7 +12,7 @@
 	consensusmodel "saffronquay/internal/scheduler/consensus/simulation"
 )
 
-// seeds returns how many histories TestProof plays.
+// seeds returns the number of histories that TestProof runs without a bug.
 func seeds() uint64 {
 	if os.Getenv("SAFFRONQUAY_LONG") != "" {
 		return 5000
@@ -20,14 +20,15 @@
 	return 120
 }
 
-// mostSeeds is how many histories a seeded bug is looked for in.
-const mostSeeds = 3000
+// maxSeeds is the number of histories after which the search for a violation by a seeded bug fails.
+const maxSeeds = 3000
 
-// firstSeeds are shortly before the first histories that show a bug: the search begins there to save time.
+// firstSeeds has seeds shortly before the first history that detects a bug. The search starts there to
+// save time.
 var firstSeeds = map[Bug]uint64{CountContactOnly: 115, LocalRefusals: 30}
 
-// TestProof plays the control plane under faults: no rule is broken, and the checks detect each seeded bug, also those of the simulation of the
-// replica groups.
+// TestProof runs histories of the control plane under faults. No rule may be violated, and the checks
+// must detect each seeded bug, including those of the simulation of the replica groups.
 func TestProof(t *testing.T) {
 	is := is.New(t)
 	var total Report
@@ -41,34 +42,34 @@
 		}
 		return true
 	})
-	caught := 0
+	detected := 0
 	for _, bug := range Bugs {
-		if r, ok := noticed(bug); ok {
-			caught++
+		if r, ok := detectBug(bug); ok {
+			detected++
 			t.Logf("%s: seed %d: %v", bug, r.Seed, r.Err)
 		} else {
-			t.Errorf("not noticed: %s", bug)
+			t.Errorf("seeded bug not detected: %s", bug)
 		}
 	}
 	for _, bug := range consensusmodel.Bugs {
 		if seed, err := consensusmodel.DetectBug(bug); err != nil {
-			caught++
+			detected++
 			t.Logf("%s: seed %d: %v", bug, seed, err)
 		} else {
-			t.Errorf("not noticed: %s", bug)
+			t.Errorf("seeded bug not detected: %s", bug)
 		}
 	}
 	t.Logf("%+v", total)
 	t.Logf("proof: seeds=%d lost=%d refused=%d twice=%d two_winners=%d two_holders=%d back=%d wrong_caller=%d over_budget=%d stuck=%d snapshots=%d installed=%d bugs_caught=%d/%d", seeds(),
 		broken[Lost], broken[Refused], broken[Duplicated], broken[TwoWinners], broken[TwoHolders], broken[Regressed], broken[WrongCaller], broken[OverBudget], broken[Stuck],
-		total.SnapshotsMade, total.SnapshotsReceived, caught, len(Bugs)+len(consensusmodel.Bugs))
+		total.SnapshotsMade, total.SnapshotsReceived, detected, len(Bugs)+len(consensusmodel.Bugs))
 	is.True(total.Orders > 0 && total.Repeated > 0 && total.Jobs > 0 && total.Calls > 0 && total.SnapshotsReceived > 0)
 	is.True(total.Wipes > 0 && total.Cuts > 0 && total.Halves > 0 && total.Overlaps > 0 && total.Replacements > 0 && total.Retirements > 0 && total.ClockStep > 0)
 }
 
-// noticed looks for a history in which the checks detect a seeded bug.
-func noticed(bug Bug) (first Result, ok bool) {
-	Scan(max(firstSeeds[bug], 1), mostSeeds, bug, func(r Result) bool {
+// detectBug searches for a history in which the checks detect a seeded bug.
+func detectBug(bug Bug) (first Result, ok bool) {
+	Scan(max(firstSeeds[bug], 1), maxSeeds, bug, func(r Result) bool {
 		if r.Err != nil {
 			first, ok = r, true
 		}
@@ -77,7 +78,8 @@
 	return first, ok
 }
 
-// TestTrace prints what happens in one history: SAFFRONQUAY_SEED says which, SAFFRONQUAY_BUG which bug is seeded.
+// TestTrace prints the trace of the history of the seed SAFFRONQUAY_SEED, with the seeded bug
+// SAFFRONQUAY_BUG.
 func TestTrace(t *testing.T) {
 	seed, err := strconv.ParseUint(os.Getenv("SAFFRONQUAY_SEED"), 10, 64)
 	if err != nil {
@@ -89,7 +91,7 @@
 	t.Logf("%+v %v", report, err)
 }
 
-// TestScan plays many histories and prints those that break a rule: SAFFRONQUAY_SCAN says how many.
+// TestScan runs SAFFRONQUAY_SCAN histories and reports those that violate a rule.
 func TestScan(t *testing.T) {
 	count, err := strconv.ParseUint(os.Getenv("SAFFRONQUAY_SCAN"), 10, 64)
 	if err != nil {
@@ -106,8 +108,8 @@
 	t.Logf("%+v", total)
 }
 
-// TestSeedsRepeat plays histories twice: the same seed gives the same history.
-func TestSeedsRepeat(t *testing.T) {
+// TestPlay_Deterministic runs histories twice: the same seed must give the same history.
+func TestPlay_Deterministic(t *testing.T) {
 	for seed := uint64(1); seed <= 3; seed++ {
 		first, err := Play(Seeded(seed, NoBug))
 		again, errAgain := Play(Seeded(seed, NoBug))
@@ -117,7 +119,8 @@
 	}
 }
 
-// TestHuntBugs prints the first history in which each seeded bug is detected: SAFFRONQUAY_HUNT says among how many seeds.
+// TestHuntBugs logs, for each seeded bug, the first history that detects it among SAFFRONQUAY_HUNT
+// seeds.
 func TestHuntBugs(t *testing.T) {
 	count, err := strconv.ParseUint(os.Getenv("SAFFRONQUAY_HUNT"), 10, 64)
 	if err != nil {
@@ -134,7 +137,7 @@
 			}
 			var violation *ViolationError
 			if !errors.As(r.Err, &violation) {
-				t.Errorf("%q: seed %d: %v is no violation", bug, r.Seed, r.Err)
+				t.Errorf("%q: seed %d: error %v is not a *ViolationError", bug, r.Seed, r.Err)
 				return false
 			}
 			found[violation.Rule]++
--- a/internal/scheduler/simulation/replication.go
+++ b/internal/scheduler/simulation/replication.go
@@ -9,11 +9,12 @@
 )
 
 const (
-	proposeTimeoutMS = 2000 // of a command that is sent to the leader
-	submitRetryMS    = 60   // between two attempts of a submission
+	proposeTimeoutMS = 2000 // timeout of a command that is sent to the leader
+	submitRetryMS    = 60   // delay between two attempts of a submission
 )
 
-// stateMachineOf returns the state machine of a replica group; nil if machines of this kind have no replica of it.
+// stateMachineOf returns the state machine of a replica group, or nil if machines of this kind have no
+// replicas of the group.
 func (m *machine) stateMachineOf(group string) replica.StateMachine {
 	if m.kind == storageKind {
 		if state := m.jobStates[group]; state != nil {
@@ -30,7 +31,8 @@
 	return nil
 }
 
-// visibleMachines returns the machines of a kind that this one has heard of since its start, and whether it takes them for alive.
+// visibleMachines returns the machines of a kind that have announced themselves to this one since its
+// start, and whether they count as alive.
 func (m *machine) visibleMachines(kind machineKind) (list []placement.Machine) {
 	w := m.world
 	for _, other := range w.machinesOf(kind) {
@@ -51,18 +53,19 @@
 	return list
 }
 
-// submission is a command that a machine has committed by whoever leads a group, as replica.Submit does.
+// submission is a command that a machine submits to the leader of a group, like replica.Submit.
 type submission struct {
 	machine     *machine
-	incarnation int // of the machine's process; another one gives up
+	incarnation int // of the machine's process; the submission ends with the process
 	group       string
 	command     []byte
 	until       int64 // virtual milliseconds
 	last        replica.ProposalResult
-	done        func(replica.ProposalResult) // runs one time, with the last result
+	done        func(replica.ProposalResult) // called exactly once, with the last result
 }
 
-// submit has a command committed until a virtual time, and passes on the result; the last one if none was successful.
+// submit submits a command until it is committed or the given virtual time has passed. It passes the
+// result to done, or the last one if none was successful.
 func (m *machine) submit(group string, command []byte, until int64, done func(replica.ProposalResult)) {
 	s := &submission{
 		machine: m, incarnation: m.incarnation, group: group, command: command, until: until,
@@ -71,7 +74,7 @@
 	s.attempt()
 }
 
-// attempt proposes the command here if this machine leads the group, and sends it to the leader otherwise.
+// attempt proposes the command if this machine leads the group, and otherwise sends it to the leader.
 func (s *submission) attempt() {
 	m := s.machine
 	if m.incarnation != s.incarnation || m.world.now >= s.until {
@@ -89,7 +92,7 @@
 	}
 }
 
-// finishAttempt ends the submission after a success; otherwise the next attempt follows.
+// finishAttempt ends the submission after a success, and otherwise schedules the next attempt.
 func (s *submission) finishAttempt(result replica.ProposalResult) {
 	s.last = result
 	if result.Outcome == rpc.Outcome_DONE {
@@ -99,8 +102,8 @@
 	s.machine.world.schedule(submitRetryMS, s.attempt)
 }
 
-// forward sends the command to the leader at an address. The outcome is unknown if there is no answer, or if the group gets another leader
-// meanwhile.
+// forward sends the command to the leader at an address. The outcome is unknown if there is no
+// response, or if the leader changes meanwhile.
 func (s *submission) forward(address string) {
 	m, w := s.machine, s.machine.world
 	unknown := replica.ProposalResult{Outcome: rpc.Outcome_OUTCOME_UNKNOWN}
@@ -130,7 +133,8 @@
 		})
 }
 
-// propose has a command committed by a group that this machine leads. done gets the result; it may never run if the process ends before.
+// propose proposes a command to a group that this machine leads. done receives the result; it may never
+// be called if the process ends first.
 func (m *machine) propose(group string, command []byte, done func(replica.ProposalResult)) {
 	if self, _ := m.engine.Status(group).NextHop(); m.world.bug(AckOnPropose) && self && group == directory.Shard && isReplace(command) {
 		m.proposeOnly(group, command)
@@ -141,19 +145,22 @@
 	m.nextTickAt = 0
 }
 
-// proposeOnly proposes a command without waiting for the result: the control loop proposes it again if it is still due.
+// proposeOnly proposes a command without waiting for the result. The control loop proposes it again if
+// it is still due.
 func (m *machine) proposeOnly(group string, command []byte) {
 	m.engine.Propose(group, command, func(replica.ProposalResult) {})
 	m.nextTickAt = 0
 }
 
-// hasLease reports whether this machine leads a group and no other replica can be elected by now.
+// hasLease reports whether this machine leads a group with a valid lease, so that no other replica can
+// have been elected.
 func (m *machine) hasLease(group string) bool {
 	status := m.engine.Status(group)
 	return status != nil && status.HasLease(m.world.now)
 }
 
-// isInTouch reports whether this machine had all committed entries of a group within so many milliseconds.
+// isInTouch reports whether this machine had all committed entries of a group within the last withinMS
+// milliseconds.
 func (m *machine) isInTouch(group string, withinMS int64) bool {
 	status := m.engine.Status(group)
 	if status == nil {
@@ -165,7 +172,8 @@
 	return status.InTouch(m.world.now, withinMS)
 }
 
-// isFresh reports whether this controller is in touch with the leaders of all its groups, so that gatherers may rely on its feed.
+// isFresh reports whether this controller is in touch with the leaders of all its groups, so that
+// gatherers can rely on its feed.
 func (m *machine) isFresh() bool {
 	if m.world.bug(StaleFeed) {
 		return true
--- a/internal/scheduler/simulation/retirements.go
+++ b/internal/scheduler/simulation/retirements.go
@@ -7,14 +7,15 @@
 )
 
 const (
-	maxRetirementMS    = 12_000 // in which a machine is emptied when there are no faults
+	maxRetirementMS    = 12_000 // time in which a machine must be emptied if there are no faults
 	retirementRetryMS  = 150
 	retirementPollMS   = 100
-	retirementOperator = "operator0" // name of the client that has machines retired
+	retirementOperator = "operator0" // name of the client that retires machines
 )
 
-// retireStore has an operator retire a storage node, if there are more than a group needs and no other is being retired. When it is emptied it is
-// removed with its disk; with loseAnother another storage node loses its disk at that moment.
+// retireStore retires a storage node by an operator's request, if there are more than a group needs
+// and no other one is being retired. The emptied machine is removed with its disk; with
+// loseAnother, another storage node loses its disk at that moment.
 func (w *world) retireStore(loseAnother bool) {
 	stores := w.machinesOf(storageKind)
 	if len(stores) <= w.groupSize() || w.retiring != "" {
@@ -27,7 +28,8 @@
 	w.requestRetirement(m.name, loseAnother)
 }
 
-// requestRetirement sends the operator's request until it is accepted. No other answer is right, since retireStore has checked the numbers.
+// requestRetirement sends the operator's request until it is accepted. A refusal is a violation,
+// because retireStore has checked that there are enough storage nodes.
 func (w *world) requestRetirement(node string, loseAnother bool) {
 	to := w.randomMachineOf(controllerKind)
 	call(w, retirementOperator, to, operatorTimeoutMS, func(answer func(int)) { to.handleRetirement(node, w.now+forwardTimeoutMS, answer) }, func(status int, ok bool) {
@@ -42,8 +44,8 @@
 	})
 }
 
-// awaitRetirement removes a machine when the directory's leader says that it is emptied. It checks that this takes no longer than
-// maxRetirementMS after since or the last fault.
+// awaitRetirement removes a machine when its retirement is complete at the directory's leader. It
+// checks that this takes at most maxRetirementMS, from since or the end of the last fault.
 func (w *world) awaitRetirement(node string, since int64, loseAnother bool) {
 	if w.isRetired(node) {
 		w.removeRetired(node, loseAnother)
@@ -55,7 +57,7 @@
 	w.schedule(retirementPollMS, func() { w.awaitRetirement(node, since, loseAnother) })
 }
 
-// isRetired reports whether the directory's leader has a machine as emptied.
+// isRetired reports whether a machine's retirement is complete at the directory's leader.
 func (w *world) isRetired(node string) bool {
 	for _, m := range w.machinesOf(controllerKind) {
 		if m.up && m.hasLease(directory.Shard) && m.directory.Retirements()[node] {
@@ -65,7 +67,8 @@
 	return false
 }
 
-// removeRetired removes an emptied machine with its disk. An empty one comes at another address.
+// removeRetired removes an emptied machine with its disk, and schedules the start of an empty one at
+// another address.
 func (w *world) removeRetired(node string, loseAnother bool) {
 	retired := w.machine(node)
 	retired.up, retired.removed = false, true
@@ -79,7 +82,8 @@
 	w.extendFault(w.now + replaceDelayMS)
 }
 
-// describeJobGroups describes the replicas of all batch job shards.
+// describeJobGroups returns the status of the replicas of all batch job shards for the text of a
+// violation.
 func (w *world) describeJobGroups() (text string) {
 	for n := range jobShards {
 		name := batchjobs.ShardName(n)
--- a/internal/scheduler/simulation/scan.go
+++ b/internal/scheduler/simulation/scan.go
@@ -6,16 +6,16 @@
 	"sync/atomic"
 )
 
-// Result is the result of one seed.
+// Result is the result of the history of one seed.
 type Result struct {
 	Seed   uint64
 	Report Report
 	Err    error // a *ViolationError, or nil
 }
 
-// Scan plays the histories of consecutive seeds, as many at a time as there are processors, and passes each result to visit, in no certain
-// order. visit is called by one goroutine at a time; after it has returned false it is not called again, and no further seed is begun. Scan
-// returns when all histories that have begun are over.
+// Scan runs the histories of consecutive seeds, GOMAXPROCS at a time, and passes each result to visit,
+// in no particular order. visit is not called concurrently. After visit has returned false it is not
+// called again, and no further history is started. Scan returns when all started histories have ended.
 func Scan(first, count uint64, bug Bug, visit func(Result) bool) {
 	var next atomic.Uint64
 	var mu sync.Mutex
--- a/internal/scheduler/simulation/seededbugs.go
+++ b/internal/scheduler/simulation/seededbugs.go
@@ -12,8 +12,8 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// checkedMachine is a state machine that checks that all replicas of its group apply the same command at an index. It also makes the seeded bugs
-// of state machines.
+// checkedMachine wraps a state machine. It checks that all replicas of its group apply the same command
+// at an index, and implements the seeded bugs of state machines.
 type checkedMachine struct {
 	replica.StateMachine
 	machine *machine
@@ -39,7 +39,7 @@
 	return s.StateMachine.Apply(index, command)
 }
 
-// readLocally answers a read of the configuration from this controller's own state, for LocalReads.
+// readLocally returns the configuration of this controller's own state, for LocalReads.
 func (m *machine) readLocally() *rpc.DirectoryResult {
 	record, ok := m.directory.Snapshot()().(*rpc.DirectorySnapshot)
 	if !ok {
@@ -48,7 +48,8 @@
 	return &rpc.DirectoryResult{Configuration: record.Configuration}
 }
 
-// hideLostDisks has machines appear with the identities of the present replicas, for NoRepair.
+// hideLostDisks sets the identities of machines to those of the current replicas, so that lost
+// disks are not detected, for NoRepair.
 func hideLostDisks(machines []placement.Machine, current []*rpc.Replica) {
 	for i := range machines {
 		for _, r := range current {
@@ -59,13 +60,14 @@
 	}
 }
 
-// isReplace reports whether a command is an order for another configuration.
+// isReplace reports whether a command is an order for a new configuration.
 func isReplace(command []byte) bool {
 	c := &rpc.DirectoryCommand{}
 	return proto.Unmarshal(command, c) == nil && c.GetReplace() != nil
 }
 
-// changeDigest returns a command whose order the directory does not recognise when it is sent again. Other commands stay as they are.
+// changeDigest changes the digest of an order, so that the directory does not recognize the order when
+// it is sent again. It returns other commands unchanged.
 func changeDigest(command []byte, place string) []byte {
 	c := &rpc.DirectoryCommand{}
 	if proto.Unmarshal(command, c) != nil || c.GetReplace() == nil {
@@ -75,7 +77,8 @@
 	return encode(c)
 }
 
-// Snapshot returns the state machine's snapshot; under ForgetAcceptedOrders without the orders that were accepted.
+// Snapshot returns the state machine's snapshot; with ForgetAcceptedOrders it lacks the accepted
+// orders.
 func (s *checkedMachine) Snapshot() func() proto.Message {
 	next := s.StateMachine.Snapshot()
 	if !s.machine.world.bug(ForgetAcceptedOrders) {
@@ -90,7 +93,7 @@
 	}
 }
 
-// Restore sets the state to a snapshot; under SkipRestore not to a received one.
+// Restore restores the state from a snapshot; with SkipRestore it ignores received snapshots.
 func (s *checkedMachine) Restore(index uint64, state *bufio.Reader) error {
 	if s.machine.world.bug(SkipRestore) && !s.machine.starting {
 		return nil
@@ -107,13 +110,13 @@
 // Sync does nothing.
 func (unsyncedFile) Sync() error { return nil }
 
-// Open opens a file of which Sync does nothing.
+// Open opens a file whose Sync does nothing.
 func (d unsyncedDisk) Open(name string) (replica.File, error) {
 	file, err := d.RandomAccess.Open(name)
 	return unsyncedFile{file}, err
 }
 
-// replicaDisk returns the disk as the replicas' store sees it.
+// replicaDisk returns the disk of the replicas' store, which ignores Sync with Unsynced.
 func (m *machine) replicaDisk() replica.Disk {
 	if m.world.bug(Unsynced) {
 		return unsyncedDisk{simdisk.RandomAccess{Disk: m.disk}}
--- a/internal/scheduler/simulation/storage.go
+++ b/internal/scheduler/simulation/storage.go
@@ -9,11 +9,12 @@
 )
 
 const (
-	jobShards   = 2   // that the batch jobs are divided into
-	localReadMS = 400 // within which a follower has been in touch to answer reads
+	jobShards   = 2   // number of batch job shards
+	localReadMS = 400 // time within which a follower must have been in touch to serve reads
 )
 
-// jobsChanged returns the function that passes changes of a job shard's state on to its scheduler, if this machine has one.
+// jobsChanged returns the function that applies changes of a job shard's state to the shard's
+// scheduler, if this machine has one.
 func (m *machine) jobsChanged(shard string) func(batchjobs.Change) {
 	return func(c batchjobs.Change) {
 		s := m.schedulers[shard]
@@ -35,7 +36,8 @@
 	}
 }
 
-// ownedScheduler returns the scheduler of a job shard; nil if this machine does not own the shard. Each epoch begins with a new one.
+// ownedScheduler returns the scheduler of a job shard, or nil if this machine does not own the
+// shard. It creates a new scheduler for each epoch.
 func (m *machine) ownedScheduler(shard string) *batchjobs.Scheduler {
 	status := m.engine.Status(shard)
 	if status == nil || !status.HasLease(m.world.now) {
@@ -57,7 +59,7 @@
 	return m.schedulers[shard]
 }
 
-// expireItems commits empty results of the items that the schedulers have given up.
+// expireItems commits empty results for the items that the schedulers abandon.
 func (m *machine) expireItems() {
 	for n := range jobShards {
 		shard := batchjobs.ShardName(n)
@@ -76,7 +78,8 @@
 	}
 }
 
-// commitResults commits results of a job. If that fails their items are open again. done gets whether it succeeded.
+// commitResults commits results of a job, and reopens their items if that fails. done receives whether
+// it succeeded.
 func (m *machine) commitResults(shard, job string, results []*rpc.Result, done func(bool)) {
 	command := &rpc.LedgerCommand{Command: &rpc.LedgerCommand_Append{Append: &rpc.AppendResults{Job: job, Results: results}}}
 	m.propose(shard, encode(command), func(p replica.ProposalResult) {
@@ -95,23 +98,24 @@
 	})
 }
 
-// ownerAnswer is the answer of a storage node to an ownerCall.
+// ownerAnswer is the response of a storage node to an ownerCall.
 type ownerAnswer struct {
 	outcome rpc.Outcome
-	leader  string // address of the owner, if the outcome is NOT_LEADER and it is known
+	leader  string // address of the owner if the outcome is NOT_LEADER and the owner is known
 	read    *readAnswer
 	work    *rpc.WorkResponse
 }
 
-// readAnswer is what was read of a batch job.
+// readAnswer is the result of a read of a batch job.
 type readAnswer struct {
 	at      int64 // virtual milliseconds
 	found   bool
 	total   int           // number of items
-	results []*rpc.Result // from the requested position on
+	results []*rpc.Result // starting at the requested position
 }
 
-// refuseUnlessOwner returns the answer of a storage node that does not own a shard; ok is true if it does.
+// refuseUnlessOwner returns ok true if this machine owns a shard, and otherwise the response to
+// refuse a call with.
 func (m *machine) refuseUnlessOwner(shard string) (a ownerAnswer, ok bool) {
 	status := m.engine.Status(shard)
 	switch {
@@ -133,7 +137,8 @@
 	m.propose(shard, encode(command), func(p replica.ProposalResult) { answer(ownerAnswer{outcome: p.Outcome}) })
 }
 
-// readJob reads a batch job from a position on. With anyReplica a follower that is in touch also answers.
+// readJob reads a batch job starting at position after. With anyReplica, a follower that is in touch
+// serves the read as well.
 func (m *machine) readJob(shard, job string, after int, anyReplica bool, answer func(ownerAnswer)) {
 	a, ok := m.refuseUnlessOwner(shard)
 	if !ok && anyReplica {
@@ -147,7 +152,8 @@
 	answer(ownerAnswer{outcome: rpc.Outcome_DONE, read: &readAnswer{m.world.now, found, total, results}})
 }
 
-// exchangeWork handles a gatherer's reports and grants it new leases. It answers when the reported results are committed, or have failed to be.
+// exchangeWork handles a gatherer's reports and grants it new leases. It answers when the commits
+// of the reported results and failures have succeeded or failed.
 func (m *machine) exchangeWork(r *rpc.WorkRequest, answer func(ownerAnswer)) {
 	if a, ok := m.refuseUnlessOwner(r.Shard); !ok {
 		answer(a)
@@ -199,7 +205,7 @@
 	}
 }
 
-// commitFailures has failed runs of a job's items counted. done gets whether that succeeded.
+// commitFailures commits failed runs of a job's items. done receives whether that succeeded.
 func (m *machine) commitFailures(shard, job string, failures []*rpc.ItemFailure, done func(bool)) {
 	command := &rpc.LedgerCommand{Command: &rpc.LedgerCommand_Failed{Failed: &rpc.RecordFailures{Job: job, Failures: failures}}}
 	m.propose(shard, encode(command), func(p replica.ProposalResult) {
--- a/internal/scheduler/simulation/trainers.go
+++ b/internal/scheduler/simulation/trainers.go
@@ -7,30 +7,31 @@
 )
 
 const (
-	modelName       = "m"  // of the only model
-	jobIntervalMS   = 1500 // between two batch jobs, on average
+	modelName       = "m"  // name of the only model
+	jobIntervalMS   = 1500 // mean interval between two batch jobs
 	itemsInJob      = 5
 	itemBytes       = 200
-	trainerRetryMS  = 200  // between two attempts of a trainer's request
+	trainerRetryMS  = 200  // delay between two attempts of a trainer's request
 	submitJobMS     = 2500 // timeout of a submission
 	readJobMS       = 1500 // timeout of a read at the owner
 	readReplicaMS   = 900  // timeout of a read at any storage node
 	jobDeadlineMS   = 9000
 	jobGiveUpMS     = 60_000
-	maxItemAttempts = 4 // failed runs of an item before it is abandoned
-	failingJobs     = 3 // one job in so many has an item that fails at each run
+	maxItemAttempts = 4 // number of failed runs after which an item is abandoned
+	failingJobs     = 3 // one job in failingJobs has an item that always fails
 )
 
-// trainer names versions of weights, and submits and reads batch jobs.
+// trainer publishes versions of weights, and submits and reads batch jobs.
 type trainer struct {
 	world   *world
 	name    string
 	version uint64
-	jobs    int               // submitted so far
-	leaders map[string]string // by shard: the storage node that it takes for the owner
+	jobs    int               // number of submitted jobs
+	leaders map[string]string // by shard: the storage node that is believed to be the owner
 }
 
-// nextVersion names the next version of the weights. The one after follows when this one is acknowledged.
+// nextVersion publishes the next version of the weights. The one after that is scheduled when this one
+// is acknowledged.
 func (t *trainer) nextVersion() {
 	w := t.world
 	if w.now > w.endAt-quietMS {
@@ -40,7 +41,7 @@
 	t.nameVersion(t.version+1, func() { w.schedule(w.randomBetween(1500, 4000), t.nextVersion) })
 }
 
-// nameVersion names a version until that is acknowledged, and then runs done.
+// nameVersion publishes a version, retries until that is acknowledged, and then calls done.
 func (t *trainer) nameVersion(version uint64, done func()) {
 	w := t.world
 	to := w.randomMachineOf(controllerKind)
@@ -82,7 +83,7 @@
 	w.schedule(w.randomBetween(300, 2*jobIntervalMS), t.nextJob)
 }
 
-// submit submits a job until that is acknowledged, and then begins to read it.
+// submit submits a job, retries until that is acknowledged, and then starts to read it.
 func (t *trainer) submit(j *jobRecord) {
 	w := t.world
 	submission := &ownerCall{world: w, from: t.name, shard: j.shard, until: w.now + submitJobMS, leaders: t.leaders}
@@ -99,7 +100,8 @@
 	submission.attempt()
 }
 
-// readRepeatedly reads a job from a random position until the history ends, at random storage nodes or at the owner, and checks what was read.
+// readRepeatedly reads a job from random positions, at random storage nodes or at the owner, until the
+// history ends, and checks the results.
 func (t *trainer) readRepeatedly(j *jobRecord) {
 	w := t.world
 	if w.now > w.endAt {
@@ -131,16 +133,16 @@
 	read.attempt()
 }
 
-// jobRecord is what the trainer has learned of a batch job.
+// jobRecord is the trainer's record of a batch job.
 type jobRecord struct {
 	create         *rpc.CreateJob
 	shard          string
-	acknowledgedAt int64         // 0: not yet
-	results        []*rpc.Result // by position: as read first
-	newestReadAt   int64         // when the newest position was read first
+	acknowledgedAt int64         // 0 until the submission is acknowledged
+	results        []*rpc.Result // by position, as first read
+	newestReadAt   int64         // when the newest position was first read
 }
 
-// alwaysFails reports whether an item fails at each run: the first one of some jobs.
+// alwaysFails reports whether all runs of an item fail. The first item of some jobs is such an item.
 func (w *world) alwaysFails(item *rpc.Item) bool { return w.failingItems[item.Id] }
 
 // resultText returns the text of an item's result.
--- a/internal/scheduler/simulation/workers.go
+++ b/internal/scheduler/simulation/workers.go
@@ -8,19 +8,19 @@
 )
 
 const (
-	firstLeaveMS       = startMS + 4000 // before which no worker leaves
-	drainMS            = 6000           // for which a worker goes on after it has begun to leave
-	restartDelayMS     = 100            // after which a new worker takes its place
-	heartbeatTimeoutMS = 1000           // of one attempt to report a heartbeat
+	firstLeaveMS       = startMS + 4000 // time before which no worker leaves
+	drainMS            = 6000           // time for which a leaving worker still serves
+	restartDelayMS     = 100            // delay until a new worker replaces one that has left
+	heartbeatTimeoutMS = 1000           // timeout of one attempt to send a heartbeat
 	heartbeatRetries   = 3
 	leaveRetries       = 12
-	clockToleranceMS   = 300 // by which an order may come before the last holder's lease has ended
+	clockToleranceMS   = 300 // tolerance for an order that arrives before the end of the last holder's lease
 
-	// Chances of an event are 1 to these numbers.
+	// Each event has probability 1/chance.
 	leaveChance         = 14
 	slowHeartbeatChance = 12
 
-	serveKinds = 14 // see serve
+	serveKinds = 14 // number of equally likely cases in serve
 )
 
 // worker is a model worker.
@@ -28,27 +28,27 @@
 	world        *world
 	id           string
 	service      string
-	starts       int // of workers in this place before
+	starts       int // number of workers that this one has replaced
 	up           bool
 	sequence     uint64   // of the newest heartbeat
-	controller   *machine // that acknowledged the last heartbeat; nil if none did
+	controller   *machine // the controller that acknowledged the last heartbeat; nil if none did
 	version      uint64   // of the weights
 	draining     bool
 	leftAt       int64 // when its leave was acknowledged
 	previousCall string
 	orderedBy    string // name of the machine that sent the last order
 	orderedAt    int64
-	epoch        uint64 // of the last order: the fencing token
+	epoch        uint64 // of the last order; serves as the fencing token
 }
 
-// addWorker adds a worker that is up and about to send its first heartbeat.
+// addWorker adds a running worker and schedules its first heartbeat.
 func (w *world) addWorker(n int) {
 	k := &worker{world: w, id: fmt.Sprintf("worker%d", n), service: fmt.Sprint("s", n%2), up: true, version: 1}
 	w.workers = append(w.workers, k)
 	w.schedule(w.randomBetween(500, 1500), k.sendHeartbeat)
 }
 
-// worker returns the worker with an id; nil if there is none.
+// worker returns the worker with an id, or nil if there is none.
 func (w *world) worker(id string) *worker {
 	for _, k := range w.workers {
 		if k.id == id {
@@ -58,7 +58,8 @@
 	return nil
 }
 
-// sendHeartbeat sends a heartbeat and schedules the next one. With some chance it is delayed by seconds, or the worker leaves instead.
+// sendHeartbeat sends a heartbeat and schedules the next one. At random it delays the heartbeat by
+// up to five seconds, or the worker leaves instead.
 func (k *worker) sendHeartbeat() {
 	w := k.world
 	if !k.up || k.draining {
@@ -81,8 +82,8 @@
 	w.schedule(heartbeatIntervalMS+w.randomBetween(-50, 50), k.sendHeartbeat)
 }
 
-// reportHeartbeat sends a heartbeat to the last controller that acknowledged one, or a random one, and retries at others. acknowledged runs
-// after a success, if it is not nil.
+// reportHeartbeat sends a heartbeat to the controller that acknowledged the last one, or to a random
+// one, and retries at others. acknowledged, if not nil, is called after a success.
 func (k *worker) reportHeartbeat(r *rpc.HeartbeatRequest, retries int, acknowledged func()) {
 	w := k.world
 	to := k.controller
@@ -104,7 +105,8 @@
 	})
 }
 
-// handleWorkerReport passes a heartbeat to the owner of its shard, a leave to the owners of all shards. It answers whether all have acknowledged.
+// handleWorkerReport forwards a heartbeat to the owner of its shard, or a leave to the owners of all
+// shards. The answer is whether all of them have acknowledged it.
 func (m *machine) handleWorkerReport(r *rpc.HeartbeatRequest, answer func(acknowledged bool)) {
 	until := m.world.now + forwardTimeoutMS
 	if !r.Leaving {
@@ -122,7 +124,8 @@
 	}
 }
 
-// leave begins a graceful shutdown: the worker goes on for drainMS, then another one under a new id takes its place.
+// leave starts a graceful shutdown: the worker still serves for drainMS, then a worker with a new id
+// replaces it.
 func (k *worker) leave() {
 	w := k.world
 	k.draining = true
@@ -136,8 +139,9 @@
 	})
 }
 
-// receiveOrder takes an order to load weights, some time after it was sent. It checks that one process sends a shard's orders under an epoch,
-// and, without fencing, that the holders follow each other with a lease between them.
+// receiveOrder handles an order to load weights after the latency of a message. It checks that only one
+// process sends a shard's orders under an epoch and, without fencing, that orders of different holders
+// are at least a lease apart.
 func (k *worker) receiveOrder(from *machine, shard string, epoch, version uint64) {
 	w := k.world
 	holder := fmt.Sprint(from.name, "#", from.incarnation)
@@ -161,7 +165,8 @@
 	})
 }
 
-// checkDispatcher checks that no other process has sent orders of a shard under the same epoch, and records this one.
+// checkDispatcher checks that no other process has sent orders of a shard under the same epoch, and
+// records this process.
 func (w *world) checkDispatcher(shard string, epoch uint64, holder string) {
 	if w.dispatchers[shard] == nil {
 		w.dispatchers[shard] = map[uint64]string{}
@@ -172,8 +177,9 @@
 	w.dispatchers[shard][epoch] = holder
 }
 
-// serve handles a request that has arrived on a connection. By chance it answers, rejects the request, resets the connection before or after the
-// run, does not answer, answers late, or sends the answer to the previous request as well.
+// serve handles a request that has arrived on a connection. At random it answers, rejects the
+// request, resets the connection before or after the run, does not answer, answers late, or also
+// sends the answer to the previous request.
 func (k *worker) serve(c *connection, id string) {
 	w := k.world
 	send := func(delay int64, answer reply) {
@@ -196,14 +202,14 @@
 		send(w.latency(), reply{reset: true})
 	case 3: // no answer
 		run()
-	case 4: // too late: the gatherer has given the attempt up
+	case 4: // answer after the timeout of the attempt
 		run()
 		send(attemptTimeoutMS+w.randomBetween(1, 200), right)
-	case 5: // a second answer, when the next request may wait for its own
+	case 5: // a second answer, which may arrive while the next request is in flight
 		run()
 		send(10, right)
 		send(20, previous)
-	case 6: // the previous answer before the right one
+	case 6: // the previous answer before the expected one
 		run()
 		send(5, previous)
 		send(15, right)
--- a/internal/scheduler/simulation/world.go
+++ b/internal/scheduler/simulation/world.go
@@ -12,19 +12,20 @@
 
 const (
 	tickMS        = 10
-	startMS       = 4000 // when clients begin: the machines have heard of each other by then
-	recoveryMS    = 4700 // how long a machine counts as failed after it is back; every group has a leader by then
-	propagationMS = 2000 // a gatherer in touch acts on nothing older
-	contactMS     = 3000 // without a fault, after which machines count as in touch
+	startMS       = 4000 // start of the clients, when the machines have discovered each other
+	recoveryMS    = 4700 // time after a restart in which a machine counts as failed; every group must have a leader then
+	propagationMS = 2000 // maximum staleness of a gatherer in touch
+	contactMS     = 3000 // time without a fault after which machines count as in touch
 
-	randomStream = 11 // second half of the seed of each history
+	randomStream = 11 // second seed of the random generator of each history
 
 	gathererCount = 3
 	workerCount   = 4
 	operatorCount = 2
 )
 
-// world is one history while it is played: the machines, their clients, the links between them, and what is recorded for the checks.
+// world is the state of one history: the machines, their clients, the links between them, and the
+// records for the checks.
 type world struct {
 	options      Options
 	random       *rand.Rand
@@ -34,30 +35,30 @@
 	violation    *ViolationError
 	report       Report
 
-	machines  []*machine // controllers and storage nodes, also removed ones
-	addresses int        // given out so far
+	machines  []*machine // controllers and storage nodes, including removed ones
+	addresses int        // number of assigned addresses
 	gatherers []*gatherer
 	workers   []*worker
 
 	partitionedUntil map[link]int64
-	lastFaultAt      int64  // when a fault began or ended last
-	faultUntil       int64  // end of the present fault
+	lastFaultAt      int64  // when a fault last began or ended
+	faultUntil       int64  // end of the current fault
 	retiring         string // name of the machine that is being retired
-	endAt            int64  // of the history; set when the last fault is over
+	endAt            int64  // end of the history; set after the last fault
 
 	history            history
-	appliedAt          map[string]string            // by group and index: the command that was applied there first
+	appliedAt          map[string]string            // by group and index: the command that was first applied there
 	acknowledgedOrders map[uint64]string            // by version of the configuration: the acknowledged order
 	dispatchers        map[string]map[uint64]string // by registry shard and epoch: the process that sent orders
 	jobs               map[string]*jobRecord
 	versions           map[string]uint64          // by model: the newest acknowledged version
-	executions         map[string]int             // by call: how many times it ran
-	failingItems       map[string]bool            // ids of the items that fail at each run
-	failuresMade       map[string]int             // by item: runs that failed
+	executions         map[string]int             // by call: the number of its runs
+	failingItems       map[string]bool            // ids of the items that always fail
+	failuresMade       map[string]int             // by item: the number of failed runs
 	failuresTaken      map[string]map[uint64]bool // by item: leases of the failed runs that an owner has acknowledged
 }
 
-// Play plays one history and checks it. The error is nil or a *ViolationError.
+// Play runs and checks one history. The error is nil or a *ViolationError.
 func Play(options Options) (Report, error) {
 	w := &world{
 		options: options, random: rand.New(rand.NewPCG(options.Seed, randomStream)), partitionedUntil: map[link]int64{},
@@ -83,7 +84,7 @@
 	return w.report, nil
 }
 
-// step plays one tick: due events, then each machine, then the checks.
+// step advances the history by one tick: it runs due events, then each machine, then the checks.
 func (w *world) step() {
 	w.now += tickMS
 	w.runDueEvents()
@@ -93,27 +94,28 @@
 	w.checkGatherers()
 }
 
-// startMachines starts all machines; the first controllers are the founders of the controllers' groups.
+// startMachines starts all machines and bootstraps the controllers' groups on the first controllers.
 func (w *world) startMachines() {
 	size := w.groupSize()
 	for i := range size {
 		w.addMachine(controllerKind, i)
 	}
-	for i := range size + 1 { // one more than needed, so that a machine can be retired
+	for i := range size + 1 { // a spare one, so that a machine can be retired
 		w.addMachine(storageKind, i)
 	}
 	for _, m := range w.machines {
 		m.start()
 	}
-	founders := w.founders()
+	members := w.initialMembers()
 	for _, m := range w.machinesOf(controllerKind) {
 		for _, group := range controllerGroups() {
-			m.engine.CreateGroup(group, founders)
+			m.engine.CreateGroup(group, members)
 		}
 	}
 }
 
-// startClients starts gatherers and workers immediately, operators and the trainer at startMS.
+// startClients starts the gatherers and workers immediately, and the operators and the trainer at
+// startMS.
 func (w *world) startClients() {
 	for n := range gathererCount {
 		w.addGatherer(n)
@@ -130,18 +132,19 @@
 	w.schedule(startMS+500, t.nextVersion)
 }
 
-// groupSize returns how many replicas a group has.
+// groupSize returns the number of replicas of a group.
 func (w *world) groupSize() int { return 2*w.options.Tolerance + 1 }
 
-// founders returns the first replicas of the controllers' groups.
-func (w *world) founders() (founders []*rpc.Replica) {
+// initialMembers returns the initial replicas of the controllers' groups.
+func (w *world) initialMembers() (members []*rpc.Replica) {
 	for _, m := range w.machinesOf(controllerKind) {
-		founders = append(founders, &rpc.Replica{Id: m.identity, Address: m.name, Node: m.name})
+		members = append(members, &rpc.Replica{Id: m.identity, Address: m.name, Node: m.name})
 	}
-	return founders
+	return members
 }
 
-// controllerGroups returns the groups of which controllers have replicas: the directory and the registry's shards.
+// controllerGroups returns the groups with replicas on controllers: the directory and the registry
+// shards.
 func controllerGroups() []string {
 	names := []string{directory.Shard}
 	for n := range registry.ShardCount {
@@ -159,7 +162,8 @@
 	return groups
 }
 
-// machine returns the machine with a name, which is also its address; nil if there is none any more.
+// machine returns the machine with a name, which is also its address, or nil if it was removed or never
+// existed.
 func (w *world) machine(name string) *machine {
 	i := slices.IndexFunc(w.machines, func(m *machine) bool { return m.name == name && !m.removed })
 	if i < 0 {
@@ -178,7 +182,7 @@
 	return list
 }
 
-// machineNames returns the names of machinesOf.
+// machineNames returns the names of the machines of a kind that are not removed.
 func (w *world) machineNames(kind machineKind) (names []string) {
 	for _, m := range w.machinesOf(kind) {
 		names = append(names, m.name)
@@ -186,23 +190,24 @@
 	return names
 }
 
-// randomMachineOf draws a machine of a kind.
+// randomMachineOf returns a random machine of a kind.
 func (w *world) randomMachineOf(kind machineKind) *machine {
 	list := w.machinesOf(kind)
 	return list[w.random.IntN(len(list))]
 }
 
-// bug reports whether a bug is seeded.
+// bug reports whether b is the seeded bug.
 func (w *world) bug(b Bug) bool { return w.options.Bug == b }
 
-// reportViolation records the first broken rule, with which the history ends.
+// reportViolation records a violation, which ends the history. Only the first one is recorded.
 func (w *world) reportViolation(rule Rule, format string, values ...any) {
 	if w.violation == nil {
 		w.violation = &ViolationError{rule, w.now, fmt.Sprintf(format, values...)}
 	}
 }
 
-// trace passes what happens, with the virtual time, to the history's observer. The texts are part of the recorded histories.
+// trace passes an event with its virtual time to Options.Trace. The texts must not change: they are
+// part of the recorded histories.
 func (w *world) trace(format string, values ...any) {
 	if w.options.Trace != nil {
 		w.options.Trace("%6d "+format, append([]any{w.now}, values...)...)
