--- a/internal/scheduler/settings/settings.go
+++ b/internal/scheduler/settings/settings.go
@@ -32,7 +32,7 @@
 	Region          string            `toml:"region"`          // not read
 	PortRange       []int             `toml:"portRange"`       // the first and the last port that the process may use
 	Seeds           []string          `toml:"seeds"`           // addresses with port of the control plane's machines
-	Bootstrap       bool              `toml:"bootstrap"`       // the machines in Seeds bootstrap the replica groups at their first start
+	Bootstrap       bool              `toml:"bootstrap"`       // at their first start, the machines in Seeds create the replica groups
 	CountsForQuorum bool              `toml:"countsForQuorum"` // not read
 	DataDir         string            `toml:"dataDir"`         // directory of the log, the snapshots and the identity
 	HeartbeatMS     int64             `toml:"heartbeatMs"`     // interval of workers' heartbeats
--- a/internal/scheduler/simulation/options.go
+++ b/internal/scheduler/simulation/options.go
@@ -128,7 +128,7 @@
 	WrongCaller Rule = "wrong_caller" // a call got the answer to another call
 	Duplicated  Rule = "twice"        // a call that is not idempotent ran twice, or an item has two positions
 	OverBudget  Rule = "over_budget"  // an item is granted after its last allowed failure, or abandoned before it
-	Stuck       Rule = "stuck"        // a group is without leader or members, or a job or retirement unfinished, for too long after a fault
+	Stuck       Rule = "stuck"        // no leader, missing members, or an unfinished job or retirement too long after a fault
 )
 
 // ViolationError reports the violation of a rule.
--- a/internal/scheduler/simulation/world.go
+++ b/internal/scheduler/simulation/world.go
@@ -13,7 +13,7 @@
 const (
 	tickMS        = 10
 	startMS       = 4000 // start of the clients, when the machines have discovered each other
-	recoveryMS    = 4700 // time after a restart in which a machine counts as failed; every group must have a leader then
+	recoveryMS    = 4700 // time for which a restarted machine counts as failed; all groups have a leader afterwards
 	propagationMS = 2000 // maximum staleness of a gatherer in touch
 	contactMS     = 3000 // time without a fault after which machines count as in touch
 
