--- a/internal/scheduler/consensus/core.go
+++ b/internal/scheduler/consensus/core.go
@@ -10,16 +10,17 @@
 type Config struct {
 	Group   string
 	ID      string // of this replica; bound to its disk
-	Address string // of this replica's peer service, which its messages carry
-	// ElectionTimeoutMS is the shortest time without a message of the leader after which a replica starts an election; the longest is
-	// twice that. All replicas of a group must use the same value, since the leader's lease depends on it.
+	Address string // of this replica's peer service; included in its messages
+	// ElectionTimeoutMS is the minimum time without a message from the leader after which a replica
+	// starts an election; the maximum is twice that. All replicas of a group must use the same
+	// value, since the leader's lease depends on it.
 	ElectionTimeoutMS   int64
 	HeartbeatIntervalMS int64
-	Random              *rand.Rand // draws the election timeouts; not shared with other goroutines
+	Random              *rand.Rand // for election timeouts; not shared with other goroutines
 }
 
-// Stored is what a replica finds on its disk when it starts. Entries follow the snapshot without a gap. Core keeps the slices and
-// messages; the caller must not change them afterwards.
+// Stored is the persisted state with which a replica starts. Entries follow the snapshot without a
+// gap. Core retains the slices and messages; the caller must not modify them afterwards.
 type Stored struct {
 	HardState *rpc.HardState
 	Snapshot  *rpc.Snapshot
@@ -35,58 +36,60 @@
 	leader
 )
 
-// foundingEpoch is the epoch of a group that has not had a leader yet.
-const foundingEpoch = 1
+// initialEpoch is the epoch of a group that has not elected a leader yet.
+const initialEpoch = 1
 
-// Core is one replica's state. It is for one goroutine. The package comment has the contract with its driver.
+// Core is the protocol state of one replica. It is not safe for concurrent use. The package
+// documentation describes the contract with its driver.
 type Core struct {
 	config Config
-	now    int64 // the latest time that Tick or Step was given
+	now    int64 // the latest time passed to Tick or Step
 	role   role
 
 	// Persisted as the hard state.
 	epoch            uint64
-	vote             string // the replica that it voted for in epoch; empty: none
+	vote             string // the replica voted for in epoch; empty: none
 	commit           uint64
-	hardStateChanged bool // by a new epoch or vote that Ready has not returned yet
+	hardStateChanged bool // epoch or vote changed since the last Ready
 
-	log             entryLog
-	deliveredIndex  uint64 // Ready has returned committed entries, or a snapshot to restore, up to here
-	firstUnstable   uint64 // first index that Ready has not returned to be persisted; 0: none
-	messages        []*rpc.Message
-	unstableChunks  []*rpc.SnapshotPiece
-	receivedToStore *rpc.Snapshot // a snapshot that is complete and has to be persisted
-	receivedToApply *rpc.Snapshot // the same, for the state machine
+	log               entryLog
+	deliveredIndex    uint64 // last index returned by Ready as committed or covered by a snapshot to restore
+	firstUnstable     uint64 // first index not yet returned by Ready for persisting; 0: none
+	messages          []*rpc.Message
+	unstableChunks    []*rpc.SnapshotPiece
+	snapshotToPersist *rpc.Snapshot // a completely received snapshot to persist
+	snapshotToRestore *rpc.Snapshot // the same, to restore the state machine from
 
-	membership         *rpc.Membership // the newest in the log, committed or not
-	membershipIndex    uint64          // of the entry that holds membership, or of the snapshot
-	snapshotMembership *rpc.Membership // at the index of the snapshot that the log begins after
+	membership         *rpc.Membership // the latest one in the log, committed or not
+	membershipIndex    uint64          // of the entry or snapshot that contains membership
+	snapshotMembership *rpc.Membership // at the index of the snapshot that precedes the log
 
-	// Of a replica that does not lead.
+	// State of a follower or candidate.
 	leaderID        string // empty: no known leader
 	leaderAddress   string
 	leaderContactAt int64
-	currentAt       int64           // see CurrentAt
-	electionAt      int64           // when it starts an election unless it hears of a leader before
-	noVoteUntil     int64           // until then the lease of a leader that it followed before its restart may last
-	votes           map[string]bool // by voter: granted or rejected, in the election that it runs
-	afterTransfer   bool            // the election that it starts follows a transfer of the leadership
+	caughtUpAt      int64           // see CaughtUpAt
+	electionAt      int64           // when it starts an election unless a leader contacts it before
+	noVoteUntil     int64           // a leader followed before the restart may have its lease until then
+	votes           map[string]bool // by voter: whether granted, in the current election
+	afterTransfer   bool            // the election being started follows a leadership transfer
 
-	// Of a leader.
+	// State of a leader.
 	peers           map[string]*progress // each other member
 	heartbeatAt     int64                // when the next heartbeat is due
-	heartbeatRound  uint64               // number of the newest heartbeat
-	heartbeatSentAt map[uint64]int64     // by round, for the newest heartbeatRoundsKept
-	epochStartIndex uint64               // of the first entry of its own epoch
+	heartbeatRound  uint64               // number of the latest heartbeat
+	heartbeatSentAt map[uint64]int64     // by round, for the latest maxHeartbeatRounds
+	epochStartIndex uint64               // index of the first entry of its own epoch
 	leaderSince     int64
-	transfer        *transfer // nil: the leadership is not being handed over
+	transfer        *transfer // nil: no leadership transfer in progress
 
-	latestSnapshot *rpc.Snapshot     // what a leader sends to replicas that need entries from before the log
-	incoming       *incomingSnapshot // nil: no snapshot is being received
+	latestSnapshot *rpc.Snapshot     // sent to replicas that need entries no longer in the log
+	incoming       *incomingSnapshot // nil: no snapshot transfer in progress
 }
 
-// New starts a replica from what is on its disk, at a time. A replica that founds a group has a snapshot at index 1 with the founders as voters;
-// one that joins later has an empty snapshot and waits for the leader.
+// New returns a replica that starts at time now from its persisted state. An initial member of a
+// group has a snapshot at index 1 whose voters are the initial members; a replica that joins later
+// has an empty snapshot and waits for the leader.
 func New(config Config, stored Stored, now int64) *Core {
 	c := &Core{
 		config: config, now: now,
@@ -114,31 +117,35 @@
 // ID returns the replica's own id.
 func (c *Core) ID() string { return c.config.ID }
 
-// IsLeader reports whether this replica leads, whether or not others still follow. HasLease says more.
+// IsLeader reports whether this replica is in the leader role. It may have lost its followers;
+// HasLease also checks that.
 func (c *Core) IsLeader() bool { return c.role == leader }
 
-// Epoch returns the newest epoch that the replica knows of.
+// Epoch returns the newest epoch known to the replica.
 func (c *Core) Epoch() uint64 { return c.epoch }
 
-// Commit returns the newest index that is known to be committed. It never decreases.
+// Commit returns the highest index known to be committed. It never decreases.
 func (c *Core) Commit() uint64 { return c.commit }
 
-// Leader names the leader that the replica follows, itself included; both are empty if it knows none.
+// Leader returns the id and address of the leader that the replica follows, which may be the
+// replica itself; both are empty if no leader is known.
 func (c *Core) Leader() (id, address string) { return c.leaderID, c.leaderAddress }
 
 // LogLength returns the number of entries after the last snapshot.
 func (c *Core) LogLength() int { return len(c.log.entries) }
 
-// LeaderContactAt returns when the replica last received a message of the leader that it follows.
+// LeaderContactAt returns when the replica last received a message from the leader that it follows.
 func (c *Core) LeaderContactAt() int64 { return c.leaderContactAt }
 
-// CurrentAt returns when a leader's message last arrived while this replica had all that was committed by then; 0 if never. A replica whose
-// replies are lost still receives heartbeats but no entries: LeaderContactAt advances, CurrentAt does not. Neither advances while the replica
-// leads; Leadership has the time to use then.
-func (c *Core) CurrentAt() int64 { return c.currentAt }
+// CaughtUpAt returns when the last message of a leader arrived while this replica had every entry
+// committed by then; 0 if never. A replica whose replies are lost still receives heartbeats but no
+// entries: LeaderContactAt advances, CaughtUpAt does not. Neither advances while the replica leads;
+// Leadership returns the time to use then.
+func (c *Core) CaughtUpAt() int64 { return c.caughtUpAt }
 
-// Tick advances the core's time: it starts elections, sends heartbeats, and makes a leader without a majority step down. It is due at NextTickAt.
-// A time before one that was given earlier counts as that earlier one.
+// Tick advances the core's time: it starts elections, sends heartbeats, and makes a leader that
+// lost its quorum step down. It is due at NextTickAt. A time earlier than the latest one given
+// counts as that latest one.
 func (c *Core) Tick(now int64) {
 	c.now = max(c.now, now)
 	if c.role == leader {
@@ -160,8 +167,8 @@
 // Never is a time that no clock reaches.
 const Never = math.MaxInt64
 
-// NextTickAt returns when Tick is due if no message arrives before; Never for a replica that is no voter, where Tick does nothing. After a call of
-// Tick it is in the future.
+// NextTickAt returns when Tick is due if no message arrives before; Never for a replica that is not
+// a voter, for which Tick does nothing. After a call of Tick it is in the future.
 func (c *Core) NextTickAt() int64 {
 	switch {
 	case c.role == leader:
@@ -172,13 +179,15 @@
 	return c.electionAt
 }
 
-// Step processes a message that arrived at a time. It ignores messages of other groups and for other replicas.
+// Step processes a message received at time now. It ignores messages of other groups and for other
+// replicas.
 func (c *Core) Step(now int64, message *rpc.Message) {
 	c.now = max(c.now, now)
 	if message.To != c.config.ID || message.Group != c.config.Group {
 		return
 	}
-	// Requests of an election and pre-votes compare epochs in their own way: a pre-vote bears an epoch that has not begun.
+	// Vote requests and pre-votes have their own epoch checks: a pre-vote carries an epoch that has
+	// not started.
 	switch message.Kind {
 	case rpc.MessageKind_PRE_VOTE:
 		c.handlePreVote(message)
@@ -208,7 +217,7 @@
 	}
 }
 
-// handleReply processes a reply of this epoch or a newer one.
+// handleReply processes a reply of the current epoch or a newer one.
 func (c *Core) handleReply(message *rpc.Message) {
 	if message.Epoch > c.epoch {
 		c.becomeFollower(message.Epoch, "", "")
@@ -224,7 +233,8 @@
 	}
 }
 
-// rejectDeposedLeader sends a leader of an earlier epoch the present one, so that it steps down. Other old messages are dropped.
+// rejectDeposedLeader replies to a leader of an earlier epoch with the current one, so that it
+// steps down. Other messages of earlier epochs are dropped.
 func (c *Core) rejectDeposedLeader(message *rpc.Message) {
 	if message.Kind == rpc.MessageKind_APPEND || message.Kind == rpc.MessageKind_SNAPSHOT {
 		c.send(&rpc.Message{Kind: rpc.MessageKind_APPEND_REPLY, To: message.From, Epoch: c.epoch, Reject: true, Round: message.Round})
--- a/internal/scheduler/consensus/election.go
+++ b/internal/scheduler/consensus/election.go
@@ -2,24 +2,26 @@
 
 import "saffronquay/internal/scheduler/rpc"
 
-// scheduleFirstElection sets the first election timeout after a start.
+// scheduleFirstElection sets the election timeout after a start.
 func (c *Core) scheduleFirstElection() {
 	timeout := c.config.ElectionTimeoutMS
-	// Shorter than later ones: if all replicas start together, there is no leader to wait for.
+	// Shorter than later timeouts: if all replicas start together, there is no leader to wait for.
 	c.electionAt = c.now + timeout/4 + c.config.Random.Int64N(timeout/2)
-	if c.epoch > foundingEpoch {
-		// It may have replied to a leader just before it stopped, and that leader counts on the reply until its lease ends.
+	if c.epoch > initialEpoch {
+		// The replica may have replied to a leader just before it stopped, and that leader relies
+		// on the reply until its lease expires.
 		c.noVoteUntil = c.now + LeaseMS(timeout)
 		c.electionAt = c.noVoteUntil + c.config.Random.Int64N(timeout/4)
 	}
 }
 
-// resetElectionTimer postpones the next election by one to two election timeouts.
+// resetElectionTimer postpones the next election by a random time of one to two election timeouts.
 func (c *Core) resetElectionTimer() {
 	c.electionAt = c.now + c.config.ElectionTimeoutMS + c.config.Random.Int64N(c.config.ElectionTimeoutMS)
 }
 
-// becomeFollower makes the replica a follower in an epoch, of a leader if it is known.
+// becomeFollower makes the replica a follower in an epoch. leaderID is empty if the leader is
+// unknown.
 func (c *Core) becomeFollower(epoch uint64, leaderID, address string) {
 	if epoch > c.epoch {
 		c.epoch, c.vote, c.hardStateChanged = epoch, "", true
@@ -31,14 +33,15 @@
 	c.resetElectionTimer()
 }
 
-// campaign requests votes. A pre-candidate does so without raising the epoch, so that a replica that cannot win disturbs no leader.
+// campaign requests votes. A pre-candidate does so without incrementing the epoch, so that a
+// replica that cannot win does not disrupt the leader.
 func (c *Core) campaign(as role) {
 	c.role, c.leaderID, c.leaderAddress = as, "", ""
 	c.votes = map[string]bool{c.config.ID: true}
 	c.resetElectionTimer()
 	kind, epoch := rpc.MessageKind_PRE_VOTE, c.epoch+1
 	if as == preCandidate {
-		// A pre-vote is repeated sooner: it raises no epoch.
+		// A pre-vote does not increment the epoch, so it is retried sooner.
 		c.electionAt = c.now + c.config.ElectionTimeoutMS/2 + c.config.Random.Int64N(c.config.ElectionTimeoutMS/2)
 	} else {
 		c.epoch++
@@ -53,18 +56,18 @@
 	c.countVotes()
 }
 
-// recordVote records a reply to a request of the election that this replica runs. Only voters count.
+// recordVote records a reply in the current election. Only replies of voters count.
 func (c *Core) recordVote(reply *rpc.Message) {
 	c.votes[reply.From] = !reply.Reject
 	c.countVotes()
 }
 
-// countVotes goes on with the election that this replica runs, if it is decided. It takes a majority of each electorate to win it, and of one to
-// lose it.
+// countVotes proceeds with the current election once it is decided. Winning takes a majority of
+// each electorate; the rejections of a majority of one electorate lose it.
 func (c *Core) countVotes() {
 	won, lost := true, false
 	for _, voters := range electorates(c.membership) {
-		granted, rejected := c.votesOf(voters)
+		granted, rejected := c.tallyVotes(voters)
 		quorum := len(voters)/2 + 1
 		won = won && granted >= quorum
 		lost = lost || rejected >= quorum
@@ -79,8 +82,8 @@
 	}
 }
 
-// votesOf counts the votes of an electorate.
-func (c *Core) votesOf(voters []*rpc.Replica) (granted, rejected int) {
+// tallyVotes counts the votes of an electorate.
+func (c *Core) tallyVotes(voters []*rpc.Replica) (granted, rejected int) {
 	for _, voter := range voters {
 		grantedByVoter, replied := c.votes[voter.Id]
 		switch {
@@ -94,7 +97,8 @@
 	return granted, rejected
 }
 
-// becomeLeader begins the leadership with an entry of the new epoch: entries of earlier epochs are committed only together with one of its own.
+// becomeLeader starts the leadership with an entry of the new epoch: entries of earlier epochs are
+// committed only together with an entry of the leader's own epoch.
 func (c *Core) becomeLeader() {
 	c.role, c.leaderID, c.leaderAddress, c.leaderSince = leader, c.config.ID, c.config.Address, c.now
 	c.peers, c.heartbeatSentAt = map[string]*progress{}, map[uint64]int64{}
@@ -104,12 +108,13 @@
 	c.sendHeartbeats()
 }
 
-// handlePreVote says whether this replica would vote for the sender. It changes nothing here.
+// handlePreVote replies whether this replica would vote for the sender. It does not change any
+// state.
 //
-// A replica grants votes and pre-votes without knowing that it is a voter: the entry that says so may have reached only the others. The candidate
-// decides whose replies count.
+// A replica grants votes and pre-votes without checking that it is a voter itself: the entry that
+// makes it one may not have reached it yet. The candidate decides which replies count.
 func (c *Core) handlePreVote(message *rpc.Message) {
-	if c.mayHaveLeader() || message.Epoch <= c.epoch || !c.logIsCurrent(message) {
+	if c.mayHaveLeader() || message.Epoch <= c.epoch || !c.logIsUpToDate(message) {
 		c.rejectVote(message, rpc.MessageKind_PRE_VOTE_REPLY)
 		return
 	}
@@ -125,10 +130,11 @@
 	}
 }
 
-// handleVote votes for the sender unless this replica may have a live leader that has not given its lease up, has voted for another one in the
-// epoch, or has a newer log. The vote is part of the hard state, which is persisted before the reply is sent.
+// handleVote grants the vote unless this replica may have a live leader that has not given up its
+// lease, has voted for another candidate in the epoch, or has a more up-to-date log. The vote is
+// part of the hard state, which is persisted before the reply is sent.
 func (c *Core) handleVote(message *rpc.Message) {
-	if c.mayHaveLeader() && !c.leaderGaveUp(message) || message.Epoch < c.epoch {
+	if c.mayHaveLeader() && !c.followsTransfer(message) || message.Epoch < c.epoch {
 		c.rejectVote(message, rpc.MessageKind_VOTE_REPLY)
 		return
 	}
@@ -136,7 +142,7 @@
 		c.becomeFollower(message.Epoch, "", "")
 	}
 	votedForOther := c.vote != "" && c.vote != message.From
-	if !c.logIsCurrent(message) || c.role == leader || votedForOther {
+	if !c.logIsUpToDate(message) || c.role == leader || votedForOther {
 		c.rejectVote(message, rpc.MessageKind_VOTE_REPLY)
 		return
 	}
@@ -149,16 +155,17 @@
 	c.send(&rpc.Message{Kind: kind, To: request.From, Epoch: c.epoch, Reject: true})
 }
 
-// logIsCurrent reports whether the log of the sender of a vote request ends where this replica's log ends, or later.
-func (c *Core) logIsCurrent(request *rpc.Message) bool {
+// logIsUpToDate reports whether the log of the sender of a vote request is at least as up to date
+// as this replica's log.
+func (c *Core) logIsUpToDate(request *rpc.Message) bool {
 	if request.LogEpoch != c.log.lastEpoch() {
 		return request.LogEpoch > c.log.lastEpoch()
 	}
 	return request.LogIndex >= c.log.lastIndex()
 }
 
-// mayHaveLeader reports whether a live leader may count on this replica, itself included. The leader's lease depends on the replica granting
-// no votes meanwhile.
+// mayHaveLeader reports whether a live leader, possibly this replica, may rely on this replica for
+// its lease. The replica grants no votes meanwhile.
 func (c *Core) mayHaveLeader() bool {
 	if c.now < c.noVoteUntil {
 		return true
--- a/internal/scheduler/consensus/election_test.go
+++ b/internal/scheduler/consensus/election_test.go
@@ -8,9 +8,10 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// A replica that has just started may have replied to a leader a moment ago. Until that leader's lease is over it grants no votes and starts no
-// election; a group that was just founded has no leader to wait for.
-func TestNoVoteDuringALeaseThatMayStillRun(t *testing.T) {
+// A replica that has just started may have replied to a leader immediately before. Until that
+// leader's lease must have expired, it grants no votes and starts no election. A newly created
+// group has had no leader to wait for.
+func TestVote_RejectedWhileFormerLeaseMayBeValid(t *testing.T) {
 	lease := LeaseMS(electionTimeoutTestMS)
 	cases := []struct {
 		name    string
@@ -18,9 +19,9 @@
 		now     int64
 		granted bool
 	}{
-		{"the lease may run", &rpc.HardState{Epoch: 5, Vote: "a"}, lease - 1, false},
-		{"the lease is over", &rpc.HardState{Epoch: 5, Vote: "a"}, lease, true},
-		{"the group was just founded", &rpc.HardState{Epoch: foundingEpoch}, 0, true},
+		{"the lease may be valid", &rpc.HardState{Epoch: 5, Vote: "a"}, lease - 1, false},
+		{"the lease has expired", &rpc.HardState{Epoch: 5, Vote: "a"}, lease, true},
+		{"the group was just created", &rpc.HardState{Epoch: initialEpoch}, 0, true},
 	}
 	for _, kind := range []rpc.MessageKind{rpc.MessageKind_PRE_VOTE, rpc.MessageKind_VOTE} {
 		for _, test := range cases {
@@ -32,14 +33,15 @@
 			})
 		}
 	}
-	t.Run("no election before the lease is over", func(t *testing.T) {
+	t.Run("no election before the lease has expired", func(t *testing.T) {
 		is := is.New(t)
 		is.True(startReplica(t, "b", newVoters("a", "b", "c"), &rpc.HardState{Epoch: 5}).NextTickAt() >= lease)
 	})
 }
 
-// Tick is never due at a replica that is no voter, so that its process doesn't wake for it; it is due again once the replica is a voter.
-func TestNoTickIsDueWithoutAVote(t *testing.T) {
+// Tick is never due for a non-voter, so that its process is not woken for it; it is due again once
+// the replica is a voter.
+func TestNextTickAt_NonVoter(t *testing.T) {
 	is := is.New(t)
 	c := startReplica(t, "d", newVoters("a", "b", "c"), &rpc.HardState{Epoch: 5})
 	c.Tick(100 * electionTimeoutTestMS)
--- a/internal/scheduler/consensus/fuzz_test.go
+++ b/internal/scheduler/consensus/fuzz_test.go
@@ -7,7 +7,8 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// FuzzStep gives replicas in each role a message of arbitrary bytes: none ends in a panic, leaves a gap in the log or lowers the commit index.
+// FuzzStep passes a message of arbitrary bytes to replicas in each role: none panics, leaves a gap
+// in the log or decreases the commit index.
 func FuzzStep(f *testing.F) {
 	for _, m := range []*rpc.Message{
 		{Kind: rpc.MessageKind_APPEND, From: "a", Epoch: 5, LogIndex: 3, LogEpoch: 4, Commit: 3, Entries: []*rpc.Entry{newCommand(4, 5)}},
@@ -45,11 +46,11 @@
 			c.Tick(100_000)
 			c.Ready()
 			if c.Commit() < commit {
-				t.Errorf("the commit index fell from %d to %d", commit, c.Commit())
+				t.Errorf("commit index decreased from %d to %d", commit, c.Commit())
 			}
 			for i, entry := range c.log.entries {
 				if entry.Index != c.log.snapshotIndex+1+uint64(i) {
-					t.Fatalf("entry %d of the log has index %d", i, entry.Index)
+					t.Fatalf("log entry %d has index %d", i, entry.Index)
 				}
 			}
 		}
--- a/internal/scheduler/consensus/helpers_test.go
+++ b/internal/scheduler/consensus/helpers_test.go
@@ -11,7 +11,8 @@
 	heartbeatIntervalTestMS = 110
 )
 
-// newVoters returns a membership whose voters are on machines with these names, and have the names as ids.
+// newVoters returns a membership with one voter on each of the named machines. The names are also
+// the ids.
 func newVoters(names ...string) *rpc.Membership {
 	membership := &rpc.Membership{}
 	for _, name := range names {
@@ -20,8 +21,8 @@
 	return membership
 }
 
-// startReplica returns a replica that has started at time 0, in a group of the voters, with a hard state and entries after index 1 on its
-// disk.
+// startReplica returns a replica started at time 0 in a group with these voters, from a hard state
+// and entries that follow a snapshot at index 1.
 func startReplica(t *testing.T, id string, voters *rpc.Membership, hard *rpc.HardState, entries ...*rpc.Entry) *Core {
 	t.Helper()
 	config := Config{
@@ -36,7 +37,7 @@
 	return &rpc.Entry{Index: index, Epoch: epoch, Kind: rpc.EntryKind_ENTRY_COMMAND, Data: []byte("x")}
 }
 
-// step gives a replica a message and returns the messages that it sends.
+// step passes a message to a replica and returns the messages that it sends.
 func step(t *testing.T, c *Core, now int64, message *rpc.Message) []*rpc.Message {
 	t.Helper()
 	message.Group, message.To = "g", c.ID()
--- a/internal/scheduler/consensus/joint.go
+++ b/internal/scheduler/consensus/joint.go
@@ -5,17 +5,20 @@
 	"slices"
 )
 
-// A gone voter is replaced by its successor in one change, with a joint membership in between: while it lasts, elections and commits take a majority
-// of the new voters and one of the old ones (outgoing), so that no two leaders can be elected by sets of voters that share none. A group of three
-// so never has two voters, of which a single loss would leave no majority. The leader ends the joint membership as soon as it is committed.
+// A failed voter is replaced in one change, through a joint membership: while it is in effect,
+// elections and commits need a majority of the new voters and one of the old ones (outgoing), so
+// that two disjoint sets of voters cannot elect two leaders. A group of three thus never has just
+// two voters, which could not tolerate a failure. The leader leaves the joint membership as soon as
+// it is committed.
 //
-// A replica of an earlier build would count the new voters only. A leader therefore uses a joint membership only if each member that replies has
-// said that it counts them (Message.joint); otherwise it removes the gone voter first, as earlier builds do.
+// A replica of an earlier build counts the new voters only. A leader therefore uses a joint
+// membership only if each reachable member has reported support for it (Message.joint); otherwise
+// it removes the failed voter first, as earlier builds do.
 
 // isJoint reports whether a membership has outgoing voters.
 func isJoint(membership *rpc.Membership) bool { return len(membership.Outgoing) > 0 }
 
-// membersOf returns all members: voters, learners, and outgoing voters that are no voters any more.
+// membersOf returns all members: voters, learners, and outgoing voters that are no longer voters.
 func membersOf(membership *rpc.Membership) []*rpc.Replica {
 	members := slices.Concat(membership.Voters, membership.Learners)
 	for _, replica := range membership.Outgoing {
@@ -26,7 +29,8 @@
 	return members
 }
 
-// electorates returns the sets of voters of which a majority each is needed: one, or two while the membership is joint.
+// electorates returns the sets of voters that each have to provide a majority: one, or two while
+// the membership is joint.
 func electorates(membership *rpc.Membership) [][]*rpc.Replica {
 	if isJoint(membership) {
 		return [][]*rpc.Replica{membership.Voters, membership.Outgoing}
@@ -34,15 +38,16 @@
 	return [][]*rpc.Replica{membership.Voters}
 }
 
-// swapVoter returns the joint membership that replaces a gone voter by a learner. It changes the membership that it is given.
-func swapVoter(membership *rpc.Membership, gone string, successor *rpc.Replica) {
+// swapVoter makes membership a joint one in which successor, a learner, replaces the voter with id
+// removed.
+func swapVoter(membership *rpc.Membership, removed string, successor *rpc.Replica) {
 	membership.Outgoing = membership.Voters
-	membership.Voters = append(withoutReplica(membership.Voters, gone), successor)
+	membership.Voters = append(withoutReplica(membership.Voters, removed), successor)
 	membership.Learners = withoutReplica(membership.Learners, successor.Id)
 }
 
-// countJointMemberships reports whether all members that reply count joint memberships.
-func (c *Core) countJointMemberships() bool {
+// membersSupportJoint reports whether all reachable members support joint memberships.
+func (c *Core) membersSupportJoint() bool {
 	for _, member := range membersOf(c.membership) {
 		peer := c.peers[member.Id]
 		if member.Id != c.config.ID && c.isReachable(peer) && !peer.joint {
--- a/internal/scheduler/consensus/joint_test.go
+++ b/internal/scheduler/consensus/joint_test.go
@@ -8,35 +8,36 @@
 	"github.com/matryer/is"
 )
 
-// joint returns a membership with these voters and outgoing voters.
+// joint returns a joint membership with these voters and outgoing voters.
 func joint(voters, outgoing *rpc.Membership) *rpc.Membership {
 	return &rpc.Membership{Voters: voters.Voters, Outgoing: outgoing.Voters}
 }
 
-// While a membership is joint an election takes a majority of both electorates, and is lost by a majority of one.
-func TestElectionsOfAJointMembership(t *testing.T) {
+// In a joint membership an election needs a majority of both electorates, and the rejection of a
+// majority of either one loses it.
+func TestJointMembership_Election(t *testing.T) {
 	members := joint(newVoters("a", "b", "d"), newVoters("a", "b", "c"))
 	for _, test := range []struct {
 		name  string
 		votes map[string]bool // of the others
 		want  role
 	}{
-		{"a voter of both", map[string]bool{"b": true}, leader},
+		{"a voter of both electorates", map[string]bool{"b": true}, leader},
 		{"a new voter only", map[string]bool{"d": true}, candidate},
 		{"an old voter only", map[string]bool{"c": true}, candidate},
-		{"one of each", map[string]bool{"c": true, "d": true}, leader},
-		{"the old ones reject", map[string]bool{"b": false, "c": false}, follower},
+		{"one voter of each", map[string]bool{"c": true, "d": true}, leader},
+		{"the old voters reject", map[string]bool{"b": false, "c": false}, follower},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			is := is.New(t)
 			c := startReplica(t, "a", members, &rpc.HardState{Epoch: 1})
 			c.campaign(candidate)
-			asked := []string{}
+			requested := []string{}
 			for _, m := range c.Ready().Messages {
-				asked = append(asked, m.To)
+				requested = append(requested, m.To)
 			}
-			is.Equal(asked, []string{"b", "d", "c"})
-			for _, voter := range slices.Sorted(slices.Values(asked)) {
+			is.Equal(requested, []string{"b", "d", "c"})
+			for _, voter := range slices.Sorted(slices.Values(requested)) {
 				if granted, replied := test.votes[voter]; replied {
 					step(t, c, 10, &rpc.Message{Kind: rpc.MessageKind_VOTE_REPLY, From: voter, Epoch: c.Epoch(), Reject: !granted})
 				}
@@ -46,8 +47,9 @@
 	}
 }
 
-// An entry is committed when a majority of both electorates has it, and the lease counts both.
-func TestCommitsOfAJointMembership(t *testing.T) {
+// In a joint membership an entry is committed when a majority of both electorates has persisted it,
+// and the lease also needs both.
+func TestJointMembership_Commit(t *testing.T) {
 	is := is.New(t)
 	c := startReplica(t, "a", joint(newVoters("a", "b", "d"), newVoters("a", "b", "c")), &rpc.HardState{Epoch: 1})
 	c.epoch = 2
@@ -64,22 +66,23 @@
 	is.True(c.HasLease(10))
 }
 
-// A gone voter is replaced without a moment in which the group has less than three voters, and the joint membership ends. Where a member is of a build
-// that does not count joint memberships, the gone one is removed first.
-func TestReplacementNeverLeavesTwoVoters(t *testing.T) {
+// A failed voter is replaced without the group ever having fewer than three voters, and the joint
+// membership is left afterwards. If a member's build does not support joint memberships, the failed
+// voter is removed first.
+func TestVoterReplacement_KeepsThreeVoters(t *testing.T) {
 	for _, earlierBuild := range []bool{false, true} {
 		is := is.New(t)
 		g := newTestGroup(t, "a", "b", "c")
 		leader, _ := g.awaitLeader(t)
 		others := slices.DeleteFunc([]string{"a", "b", "c"}, func(name string) bool { return name == leader.ID() })
-		gone := others[0]
-		delete(g.replicas, gone)
+		failed := others[0]
+		delete(g.replicas, failed)
 		g.replicas["d"] = startReplica(t, "d", &rpc.Membership{}, nil)
 		g.drops = func(m *rpc.Message) bool {
 			m.Joint = m.Joint && !(earlierBuild && m.From == others[1])
 			return false
 		}
-		for range 2 * electionTimeoutTestMS { // until it counts as unreachable
+		for range 2 * electionTimeoutTestMS { // until the failed voter counts as unreachable
 			g.step()
 		}
 		wanted := newVoters(leader.ID(), others[1], "d").Voters
@@ -97,13 +100,13 @@
 		is.Equal(least == 3, !earlierBuild)
 		is.True(!isJoint(leader.Membership()))
 		is.Equal(len(leader.Membership().Voters), 3)
-		is.True(leader.isVoter("d") && !leader.isVoter(gone))
+		is.True(leader.isVoter("d") && !leader.isVoter(failed))
 		is.True(leader.FullyReplicated())
 	}
 }
 
-// A joint membership is ended first, whatever placement is known, also none.
-func TestJointMembershipIsEndedFirst(t *testing.T) {
+// A joint membership is left first, also if the known placement is older or missing.
+func TestNextMembership_LeavesJointFirst(t *testing.T) {
 	is := is.New(t)
 	members := joint(newVoters("a"), newVoters("a"))
 	members.Revision = 9
--- a/internal/scheduler/consensus/log.go
+++ b/internal/scheduler/consensus/log.go
@@ -5,7 +5,8 @@
 	"slices"
 )
 
-// entryLog is the part of a group's log that is kept in memory: all entries after the last snapshot. Its zero value is an empty log.
+// entryLog is the in-memory part of a group's log: all entries after the last snapshot. Its zero
+// value is an empty log.
 type entryLog struct {
 	snapshotIndex uint64
 	snapshotEpoch uint64
@@ -19,10 +20,11 @@
 	return epoch
 }
 
-// entry returns the entry at an index that the log must hold.
+// entry returns the entry at an index, which must be in the log.
 func (l *entryLog) entry(index uint64) *rpc.Entry { return l.entries[index-l.snapshotIndex-1] }
 
-// epochAt returns the epoch of the entry at an index, or of the snapshot there; ok is false if the log holds neither.
+// epochAt returns the epoch of the entry or snapshot at an index; ok is false if the log has
+// neither.
 func (l *entryLog) epochAt(index uint64) (epoch uint64, ok bool) {
 	switch {
 	case index == l.snapshotIndex:
@@ -33,8 +35,9 @@
 	return l.entry(index).Epoch, true
 }
 
-// from returns the entries at and after an index, up to a number of bytes but at least one entry. It is nil if the log does not hold the
-// first. Released data counts with its size on disk, since the driver fills it in.
+// from returns the entries starting at an index, limited to maxBytes but at least one entry. It
+// returns nil if the log does not have the first one. Released data counts with its size on disk,
+// since the driver loads it again.
 func (l *entryLog) from(index uint64, maxBytes int) []*rpc.Entry {
 	if index <= l.snapshotIndex || index > l.lastIndex() {
 		return nil
@@ -51,8 +54,8 @@
 	return slices.Clone(rest[:count]) // releaseData may replace entries of the log while these are in use
 }
 
-// truncateAfter drops the entries after an index. The dropped ones may still be in use elsewhere: a later append must not overwrite
-// them, so the capacity is cut too.
+// truncateAfter drops the entries after an index. Messages may still refer to the dropped entries:
+// a later append must not overwrite them, so the capacity is cut too.
 func (l *entryLog) truncateAfter(index uint64) {
 	kept := l.entries[:index-l.snapshotIndex]
 	l.entries = kept[:len(kept):len(kept)]
@@ -71,8 +74,8 @@
 	l.snapshotIndex, l.snapshotEpoch = index, epoch
 }
 
-// releaseData drops the data of a command from memory and keeps its size. The entry itself may be part of a message, so another one takes
-// its place in the log.
+// releaseData drops the data of a command from memory and keeps its size. Messages may still refer
+// to the entry, so it is replaced by a copy.
 func (l *entryLog) releaseData(index uint64) {
 	if index <= l.snapshotIndex || index > l.lastIndex() {
 		return
--- a/internal/scheduler/consensus/membership.go
+++ b/internal/scheduler/consensus/membership.go
@@ -7,28 +7,29 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// minVotersForRemoval is the least number of voters from which an unreachable one is removed before its successor is admitted: of two, the
-// remaining one would be alone.
+// minVotersForRemoval is the minimum number of voters from which an unreachable one is removed
+// before its replacement is promoted: with two, the remaining one would be alone.
 const minVotersForRemoval = 3
 
-// Membership returns the newest membership in the log, committed or not. It is the one that elections and commits use. It must not be changed.
+// Membership returns the latest membership in the log, committed or not. Elections and commits use
+// it. The caller must not modify it.
 func (c *Core) Membership() *rpc.Membership { return c.membership }
 
-// MembershipCommitted reports whether the newest membership is committed.
+// MembershipCommitted reports whether the latest membership is committed.
 func (c *Core) MembershipCommitted() bool { return c.membershipIndex <= c.commit }
 
-// isVoter reports whether a replica votes; outgoing voters do.
+// isVoter reports whether a replica votes; outgoing voters still do.
 func (c *Core) isVoter(id string) bool {
 	return hasReplica(c.membership.Voters, id) || hasReplica(c.membership.Outgoing, id)
 }
 
-// refreshMembership takes the newest membership in the log, or that of the snapshot.
+// refreshMembership sets membership to the latest one in the log, or to that of the snapshot.
 func (c *Core) refreshMembership() {
 	c.membership, c.membershipIndex = c.membershipAt(c.log.lastIndex())
 }
 
-// membershipAt returns the membership after an index that the log holds, and the index of the entry or snapshot that it is from. An entry that cannot
-// be decoded changes nothing.
+// membershipAt returns the membership as of an index in the log, and the index of the entry or
+// snapshot that contains it. Entries that cannot be decoded are ignored.
 func (c *Core) membershipAt(index uint64) (membership *rpc.Membership, since uint64) {
 	for ; index > c.log.snapshotIndex; index-- {
 		entry := c.log.entry(index)
@@ -43,21 +44,23 @@
 	return c.snapshotMembership, c.log.snapshotIndex
 }
 
-// NextMembership returns the next change of one replica that leads from the current members to the wanted voters, for ProposeMembership. It is nil
-// if there is none to make now.
+// NextMembership returns the next single-replica change from the current members towards the wanted
+// voters, for ProposeMembership. It returns nil if there is none to make now.
 //
-// A replica becomes a learner first, and a voter after it has caught up. A reachable voter stays until its successor is admitted, so that the number
-// of replicas never falls on the way. An unreachable one is replaced by its successor in one change (joint.go): a group with both would need more live
-// voters for a majority, and one with neither could bear no loss. Where a member does not count joint memberships the unreachable voter is removed
-// immediately before.
+// A replica becomes a learner first, and a voter after it has caught up. A reachable voter stays
+// until its replacement is promoted, so that the number of replicas never decreases in between. An
+// unreachable voter is replaced in one change (joint.go): a group with both would need more live
+// voters for a majority, and one with neither could not tolerate a failure. If a member does not
+// support joint memberships, the unreachable voter is removed immediately before the promotion.
 //
-// revision is that of the placement which wants these voters. A leader that lags behind may hold an older placement than the one that the
-// membership was last changed for. That one changes nothing: it would undo a repair, or bring back a replica whose disk was emptied.
+// revision is that of the placement that lists the wanted voters. A lagging leader may have an
+// older placement than the one that the membership was last changed for. It is ignored: it would
+// undo a repair, or bring back a replica whose disk was emptied.
 func (c *Core) NextMembership(wanted []*rpc.Replica, revision uint64) *rpc.Membership {
-	if c.role != leader || !c.hasCommittedOwnEntry() || !c.MembershipCommitted() {
+	if c.role != leader || !c.hasCommittedInEpoch() || !c.MembershipCommitted() {
 		return nil
 	}
-	if isJoint(c.membership) { // whatever is wanted, the joint membership is ended first
+	if isJoint(c.membership) { // leave the joint membership first, whatever is wanted
 		next := proto.CloneOf(c.membership)
 		next.Outgoing = nil
 		return next
@@ -70,7 +73,7 @@
 	if removeUnwantedLearner(next, wanted) {
 		return next
 	}
-	changed, awaitsLearner := c.advanceAdmission(next, wanted)
+	changed, awaitsLearner := c.advancePromotion(next, wanted)
 	switch {
 	case changed:
 		return next
@@ -82,7 +85,8 @@
 	return nil
 }
 
-// removeUnwantedLearner removes the first learner that is not wanted, and reports whether there was one.
+// removeUnwantedLearner removes the first learner that is not wanted, and reports whether there was
+// one.
 func removeUnwantedLearner(membership *rpc.Membership, wanted []*rpc.Replica) bool {
 	for _, learner := range membership.Learners {
 		if !hasReplica(wanted, learner.Id) {
@@ -93,9 +97,10 @@
 	return false
 }
 
-// advanceAdmission makes the next step towards the voters that are wanted: it adds one as a learner, or makes a learner that is caught up a voter, or
-// replaces an unreachable voter by it. awaitsLearner reports that there is nothing to do before a learner is caught up.
-func (c *Core) advanceAdmission(membership *rpc.Membership, wanted []*rpc.Replica) (changed, awaitsLearner bool) {
+// advancePromotion makes the next step towards the wanted voters: it adds one as a learner, or
+// promotes a learner that has caught up to voter, possibly in place of an unreachable voter.
+// awaitsLearner reports that it has to wait for a learner to catch up.
+func (c *Core) advancePromotion(membership *rpc.Membership, wanted []*rpc.Replica) (changed, awaitsLearner bool) {
 	for _, replica := range wanted {
 		switch {
 		case hasReplica(membership.Voters, replica.Id):
@@ -104,7 +109,7 @@
 			return true, false
 		case c.isCaughtUp(replica.Id):
 			if unreachable := c.unreachableVoter(membership, wanted); unreachable != "" {
-				if c.countJointMemberships() {
+				if c.membersSupportJoint() {
 					swapVoter(membership, unreachable, replica)
 				} else {
 					membership.Voters = withoutReplica(membership.Voters, unreachable)
@@ -121,7 +126,8 @@
 	return false, awaitsLearner
 }
 
-// removeUnwantedVoter removes the first voter that is not wanted, the leader last, and reports whether there was one.
+// removeUnwantedVoter removes the first voter that is not wanted, the leader last, and reports
+// whether there was one.
 func (c *Core) removeUnwantedVoter(membership *rpc.Membership, wanted []*rpc.Replica) bool {
 	removesLeader := false
 	for _, voter := range membership.Voters {
@@ -140,7 +146,8 @@
 	return removesLeader
 }
 
-// unreachableVoter returns the id of a voter that is not wanted and does not reply; empty if there is none, or if too few would be left.
+// unreachableVoter returns the id of an unwanted voter that does not reply; empty if there is none,
+// or if too few voters would remain.
 func (c *Core) unreachableVoter(membership *rpc.Membership, wanted []*rpc.Replica) string {
 	if len(membership.Voters) < minVotersForRemoval {
 		return ""
--- a/internal/scheduler/consensus/membership_test.go
+++ b/internal/scheduler/consensus/membership_test.go
@@ -7,8 +7,9 @@
 	"github.com/matryer/is"
 )
 
-// A leader that has received an older placement than the one that its group was changed for leaves the members as they are.
-func TestAnOlderPlacementChangesNothing(t *testing.T) {
+// A leader that receives a placement older than the one that its group was last changed for leaves
+// the members unchanged.
+func TestNextMembership_IgnoresStalePlacement(t *testing.T) {
 	is := is.New(t)
 	c := startReplica(t, "a", newVoters("a"), &rpc.HardState{Epoch: 1})
 	for now := int64(0); now < 3000 && !c.IsLeader(); now += 10 {
--- a/internal/scheduler/consensus/progress.go
+++ b/internal/scheduler/consensus/progress.go
@@ -2,28 +2,29 @@
 
 import "saffronquay/internal/scheduler/rpc"
 
-// progress is what a leader knows of another replica.
+// progress is a leader's view of another replica.
 type progress struct {
-	match       uint64 // the replica has persisted the leader's log up to here
-	next        uint64 // the next entry to send; always after match
-	inFlight    int    // appends without a reply
-	probing     bool   // where its log agrees with the leader's is unknown: one append at a time, until one is accepted
-	confirmedAt int64  // when the newest heartbeat was sent that the replica has answered
+	match       uint64 // last index that the replica is known to have persisted
+	next        uint64 // index of the next entry to send; greater than match
+	inFlight    int    // appends not replied to yet
+	probing     bool   // the matching index is unknown: one append at a time until one is accepted
+	confirmedAt int64  // send time of the latest heartbeat that the replica replied to
 	lastReplyAt int64
-	joint       bool // the replica counts joint memberships
+	joint       bool // the replica supports joint memberships
 
-	snapshotIndex      uint64 // of the snapshot that is being sent
+	snapshotIndex      uint64 // of the snapshot being sent
 	chunksAcknowledged uint32 // of that snapshot
 	chunkSentAt        int64  // when the last chunk was sent; 0: none
 }
 
-// caughtUpEntries is how many entries a replica may lack and still count as caught up.
+// caughtUpEntries is the number of entries that a replica may lack and still count as caught up.
 const caughtUpEntries = 8
 
-// caughtUpHeartbeats is within how many heartbeat intervals a replica that counts as caught up has replied.
+// caughtUpHeartbeats is the number of heartbeat intervals within which a replica must have replied
+// to count as caught up.
 const caughtUpHeartbeats = 3
 
-// trackPeers keeps the progress of each other member, and only of those.
+// trackPeers adds the progress of new members and drops that of former ones.
 func (c *Core) trackPeers() {
 	members := map[string]bool{}
 	for _, replica := range membersOf(c.membership) {
@@ -39,7 +40,8 @@
 	}
 }
 
-// forEachPeer visits the other members in the membership's order, so that the same input gives the same messages.
+// forEachPeer visits the other members in the order of the membership, so that the same input gives
+// the same messages.
 func (c *Core) forEachPeer(visit func(id string, peer *progress)) {
 	for _, replica := range membersOf(c.membership) {
 		if peer := c.peers[replica.Id]; peer != nil {
@@ -48,7 +50,7 @@
 	}
 }
 
-// recordReply records that a replica has answered a message of a heartbeat round.
+// recordReply records that a replica has replied to a message of a heartbeat round.
 func (c *Core) recordReply(peer *progress, reply *rpc.Message) {
 	peer.lastReplyAt = c.now
 	peer.joint = reply.Joint
@@ -57,17 +59,19 @@
 	}
 }
 
-// isReachable reports whether a replica has replied to this leader within an election timeout. peer may be nil.
+// isReachable reports whether a replica has replied to this leader within an election timeout. peer
+// may be nil.
 func (c *Core) isReachable(peer *progress) bool {
 	return peer != nil && c.now-peer.lastReplyAt < c.config.ElectionTimeoutMS
 }
 
-// isUnresponsive reports whether a replica gets only heartbeats until it replies again.
+// isUnresponsive reports whether a replica is sent heartbeats only, until it replies again.
 func (c *Core) isUnresponsive(peer *progress) bool {
 	return c.now-peer.lastReplyAt > 2*c.config.HeartbeatIntervalMS+c.config.ElectionTimeoutMS/4
 }
 
-// isCaughtUp reports whether a replica replies and lacks few entries of the leader's log, and none up to the last change of the membership.
+// isCaughtUp reports whether a replica replies and lacks at most caughtUpEntries entries of the
+// leader's log, and none up to the latest membership change.
 func (c *Core) isCaughtUp(id string) bool {
 	peer := c.peers[id]
 	if peer == nil || c.now-peer.lastReplyAt >= caughtUpHeartbeats*c.config.HeartbeatIntervalMS {
@@ -77,9 +81,9 @@
 	return hasSnapshot && peer.match >= c.membershipIndex && peer.match+caughtUpEntries >= c.log.lastIndex()
 }
 
-// FullyReplicated reports whether each voter is known to have persisted all entries up to the last change of the membership, which is committed and
-// not joint.
-// Only a leader knows; it is false on others.
+// FullyReplicated reports whether each voter is known to have persisted all entries up to the
+// latest membership change, and that change is committed and not joint. Only a leader knows; on
+// other replicas it is false.
 func (c *Core) FullyReplicated() bool {
 	if c.role != leader || !c.MembershipCommitted() || isJoint(c.membership) {
 		return false
@@ -93,8 +97,8 @@
 	return true
 }
 
-// HasLaggingReplica reports whether this replica leads and another one, which replies, lacks entries up to an index. If the log is compacted
-// there, that replica needs the snapshot.
+// HasLaggingReplica reports whether this replica leads and another reachable one lacks entries up
+// to an index. If the log is compacted there, that replica needs the snapshot.
 func (c *Core) HasLaggingReplica(index uint64) bool {
 	if c.role != leader {
 		return false
--- a/internal/scheduler/consensus/repair_test.go
+++ b/internal/scheduler/consensus/repair_test.go
@@ -8,7 +8,8 @@
 	"testing"
 )
 
-// cluster is a replica group in virtual time whose messages arrive in the next tick, with machines that can fail at any moment.
+// cluster is a replica group in virtual time on machines that can fail at any time. Messages arrive
+// in the next tick.
 type cluster struct {
 	t                 *testing.T
 	size              int
@@ -20,7 +21,8 @@
 	acknowledged      map[string]bool
 	commands          int // proposed
 	membershipChanges int // proposed
-	// onMembershipChange is called after each proposed change of the membership, before anything of it is sent.
+	// onMembershipChange is called after each proposed membership change, before any message about
+	// it is sent.
 	onMembershipChange func(change int)
 }
 
@@ -37,21 +39,21 @@
 
 func newCluster(t *testing.T, size, spares int) *cluster {
 	c := &cluster{t: t, size: size, random: rand.New(rand.NewPCG(uint64(size), 1)), nodes: map[string]*node{}, acknowledged: map[string]bool{}}
-	var founders []*rpc.Replica
+	var initialVoters []*rpc.Replica
 	for i := range size + spares {
 		name := fmt.Sprint("m", i)
 		c.names = append(c.names, name)
 		c.nodes[name] = &node{id: name + "/1"}
 		if i < size {
-			founders = append(founders, &rpc.Replica{Id: name + "/1", Address: name, Node: name})
+			initialVoters = append(initialVoters, &rpc.Replica{Id: name + "/1", Address: name, Node: name})
 		}
 	}
 	for i, name := range c.names {
 		stored := Stored{HardState: &rpc.HardState{}, Snapshot: &rpc.Snapshot{Membership: &rpc.Membership{}}}
 		if i < size {
 			stored = Stored{
-				HardState: &rpc.HardState{Epoch: foundingEpoch},
-				Snapshot:  &rpc.Snapshot{Index: 1, Epoch: 1, Membership: &rpc.Membership{Voters: founders}},
+				HardState: &rpc.HardState{Epoch: initialEpoch},
+				Snapshot:  &rpc.Snapshot{Index: 1, Epoch: 1, Membership: &rpc.Membership{Voters: initialVoters}},
 			}
 		}
 		c.start(name, stored)
@@ -59,7 +61,7 @@
 	return c
 }
 
-// start starts a replica on a machine with what is on its disk.
+// start starts a replica on a machine from its persisted state.
 func (c *cluster) start(name string, stored Stored) {
 	n := c.nodes[name]
 	n.stored, n.up, n.applied = stored, true, nil
@@ -71,7 +73,8 @@
 		Stored{HardState: stored.HardState, Snapshot: stored.Snapshot, Entries: slices.Clone(stored.Entries)}, c.now)
 }
 
-// fail stops a machine. If it is wiped, its disk is lost too, and the machine is another replica when it restarts.
+// fail stops a machine. With wiped, its disk is lost too, and the machine has a new replica id when
+// it restarts.
 func (c *cluster) fail(name string, wiped bool) {
 	n := c.nodes[name]
 	n.up = false
@@ -81,10 +84,10 @@
 	}
 }
 
-// restart starts a machine on what its disk holds.
+// restart starts a machine from its persisted state.
 func (c *cluster) restart(name string) { c.start(name, c.nodes[name].stored) }
 
-// wantedReplicas returns the replicas that the group should have: those on live machines first, in order.
+// wantedReplicas returns the replicas that the group should have, preferring live machines.
 func (c *cluster) wantedReplicas() (list []*rpc.Replica) {
 	for _, live := range []bool{true, false} {
 		for _, name := range c.names {
@@ -96,7 +99,7 @@
 	return list
 }
 
-// run plays until a time. Each leader proposes a command every 50 ms.
+// run advances the cluster until a time. Each leader proposes a command every 50 ms.
 func (c *cluster) run(until int64) {
 	for ; c.now < until; c.now += testTick {
 		arriving := c.inFlight
@@ -116,7 +119,7 @@
 	}
 }
 
-// runDriver is one round of a machine's driver.
+// runDriver runs one iteration of a machine's driver.
 func (c *cluster) runDriver(n *node) {
 	n.core.Tick(c.now)
 	if n.core.IsLeader() {
@@ -136,12 +139,12 @@
 		if r.Empty() {
 			return
 		}
-		c.carryOut(n, &r)
+		c.process(n, &r)
 	}
 }
 
-// carryOut persists, sends and applies what Ready returned.
-func (c *cluster) carryOut(n *node, r *Ready) {
+// process persists, sends and applies what Ready returned.
+func (c *cluster) process(n *node, r *Ready) {
 	if r.HardState != nil {
 		n.stored.HardState = r.HardState
 	}
@@ -164,7 +167,7 @@
 	}
 }
 
-// checkHealthy checks that a leader has the lease and all that was acknowledged.
+// checkHealthy checks that some leader has the lease and every acknowledged command.
 func (c *cluster) checkHealthy(what string) {
 	c.t.Helper()
 	for _, name := range c.names {
@@ -174,32 +177,32 @@
 		}
 		for command := range c.acknowledged {
 			if !slices.Contains(n.applied, command) {
-				c.t.Errorf("%s: %s was acknowledged and is gone", what, command)
+				c.t.Errorf("%s: acknowledged command %s is missing", what, command)
 			}
 		}
 		return
 	}
-	c.t.Errorf("%s: no majority is left", what)
+	c.t.Errorf("%s: no leader with a lease", what)
 }
 
 const (
-	foundingMS = 3000 // within which a group is founded
-	repairMS   = 4500 // within which a repair has to be complete
+	bootstrapMS = 3000 // within which a new group has its members
+	repairMS    = 4500 // within which a repair must be complete
 )
 
-// Groups of three tolerate one failure. A second one as soon as the first one is repaired, of each machine, with its disk and without, leaves a
-// majority with everything that was acknowledged.
-func TestSecondLossAfterARepair(t *testing.T) {
+// Groups of three tolerate one failure. A second failure of any machine right after the repair of
+// the first one, with or without its disk, leaves a majority that has every acknowledged command.
+func TestRepair_SecondFailureAfterwards(t *testing.T) {
 	for first := range 3 {
 		for second := range 4 {
-			for how := range 4 {
-				what := fmt.Sprintf("m%d (wiped %v), then m%d (wiped %v)", first, how&1 == 1, second, how&2 == 2)
+			for wipes := range 4 {
+				what := fmt.Sprintf("m%d (wiped %v), then m%d (wiped %v)", first, wipes&1 == 1, second, wipes&2 == 2)
 				c := newCluster(t, 3, 1)
-				c.run(foundingMS)
-				c.fail(c.names[first], how&1 == 1)
-				c.run(c.now + repairMS) // the spare machine takes its place
-				c.checkHealthy(what + ": after the first loss")
-				c.fail(c.names[second], how&2 == 2)
+				c.run(bootstrapMS)
+				c.fail(c.names[first], wipes&1 == 1)
+				c.run(c.now + repairMS) // the spare machine replaces it
+				c.checkHealthy(what + ": after the first failure")
+				c.fail(c.names[second], wipes&2 == 2)
 				c.run(c.now + repairMS)
 				c.checkHealthy(what)
 			}
@@ -207,54 +210,55 @@
 	}
 }
 
-// Groups of five tolerate two failures: the second one comes at each change of the membership that the repair of the first one makes.
-func TestSecondLossAtEachStepOfARepair(t *testing.T) {
+// Groups of five tolerate two failures. The second one happens at each membership change of the
+// repair of the first one.
+func TestRepair_SecondFailureAtEachStep(t *testing.T) {
 	steps := 0
 	for first := range 5 {
 		for second := range 6 {
 			if second == first {
 				continue
 			}
-			for how := range 4 {
+			for wipes := range 4 {
 				for step := 1; step <= 4; step++ {
-					what := fmt.Sprintf("m%d (wiped %v), then m%d (wiped %v) at step %d", first, how&1 == 1, second, how&2 == 2, step)
+					what := fmt.Sprintf("m%d (wiped %v), then m%d (wiped %v) at step %d", first, wipes&1 == 1, second, wipes&2 == 2, step)
 					c := newCluster(t, 5, 1)
-					c.run(foundingMS)
-					founded := c.membershipChanges
+					c.run(bootstrapMS)
+					initialChanges := c.membershipChanges
 					c.onMembershipChange = func(change int) {
-						if change-founded == step {
+						if change-initialChanges == step {
 							steps++
-							c.fail(c.names[second], how&2 == 2)
+							c.fail(c.names[second], wipes&2 == 2)
 						}
 					}
-					c.fail(c.names[first], how&1 == 1)
+					c.fail(c.names[first], wipes&1 == 1)
 					c.run(c.now + repairMS)
 					c.checkHealthy(what)
 					c.restart(c.names[first])
 					c.run(c.now + repairMS)
-					c.checkHealthy(what + ": the first one is back")
+					c.checkHealthy(what + ": after the restart of the first machine")
 				}
 			}
 		}
 	}
 	if steps < 100 {
-		t.Errorf("only %d losses met a change of the membership", steps)
+		t.Errorf("only %d second failures during a membership change, want at least 100", steps)
 	}
-	t.Logf("%d second losses at a change of the membership", steps)
+	t.Logf("%d second failures during a membership change", steps)
 }
 
-// A learner that loses its disk just before it is admitted, again and again, only costs time.
-func TestLearnerLosesItsDiskBeforeItsAdmission(t *testing.T) {
+// A learner that repeatedly loses its disk just before its promotion only delays the repair.
+func TestRepair_LearnerLosesDiskBeforePromotion(t *testing.T) {
 	c := newCluster(t, 5, 1)
-	c.run(foundingMS)
-	founded := c.membershipChanges
+	c.run(bootstrapMS)
+	initialChanges := c.membershipChanges
 	c.onMembershipChange = func(change int) {
-		if n := change - founded; n >= 1 && n <= 6 {
-			c.fail("m5", true) // the spare machine, which is to take the place of the lost one
+		if n := change - initialChanges; n >= 1 && n <= 6 {
+			c.fail("m5", true) // the spare machine, which replaces the failed one
 			c.restart("m5")
 		}
 	}
 	c.fail("m0", true)
 	c.run(c.now + 3*repairMS)
-	c.checkHealthy("m0 is lost, and its successor's disk again and again")
+	c.checkHealthy("m0 failed, and its replacement lost its disk repeatedly")
 }
--- a/internal/scheduler/consensus/replication.go
+++ b/internal/scheduler/consensus/replication.go
@@ -3,17 +3,20 @@
 import "saffronquay/internal/scheduler/rpc"
 
 const (
-	maxAppendBytes    = 256 << 10 // of entries in one append, unless its first entry alone is larger
-	maxAppendsPending = 8         // appends to one replica without a reply
+	maxAppendBytes    = 256 << 10 // of entries in one append; a single larger entry is sent alone
+	maxAppendsPending = 8         // in-flight appends to one replica
 
-	// heartbeatRoundsKept is how many heartbeats a reply may lag behind and still count for the lease.
-	heartbeatRoundsKept = 64
+	// maxHeartbeatRounds is the number of heartbeat rounds by which a reply may lag and still count
+	// for the lease.
+	maxHeartbeatRounds = 64
 
-	// commitNoticeMS is how soon followers receive a new commit index if no further entry carries it.
-	commitNoticeMS = 5
+	// commitNotifyDelayMS is the delay after which followers are sent a new commit index if no
+	// further entry carries it.
+	commitNotifyDelayMS = 5
 )
 
-// appendMode says what replicate sends to a replica that lacks nothing, or that cannot be sent entries now.
+// appendMode selects what replicate sends to a replica that is up to date, or that cannot be sent
+// entries now.
 type appendMode uint8
 
 const (
@@ -21,16 +24,18 @@
 	withHeartbeat                   // an append without entries
 )
 
-// sendHeartbeats begins a heartbeat round. Heartbeats fall on multiples of the interval, so that those of all groups of a machine leave together.
+// sendHeartbeats starts a heartbeat round. Heartbeats are aligned to multiples of the interval, so
+// that those of all groups of a process are sent together.
 func (c *Core) sendHeartbeats() {
 	c.heartbeatAt = (c.now/c.config.HeartbeatIntervalMS + 1) * c.config.HeartbeatIntervalMS
 	c.heartbeatRound++
 	c.heartbeatSentAt[c.heartbeatRound] = c.now
-	delete(c.heartbeatSentAt, c.heartbeatRound-heartbeatRoundsKept)
+	delete(c.heartbeatSentAt, c.heartbeatRound-maxHeartbeatRounds)
 	c.forEachPeer(func(id string, peer *progress) { c.replicate(id, peer, withHeartbeat) })
 }
 
-// replicate sends a replica what it lacks: entries, or a chunk of the snapshot if the log begins after what it needs.
+// replicate sends a replica what it lacks: entries, or a chunk of the snapshot if the log starts
+// after the next entry needed.
 func (c *Core) replicate(id string, peer *progress, mode appendMode) {
 	unresponsive := c.isUnresponsive(peer)
 	if unresponsive && peer.inFlight > 0 {
@@ -55,7 +60,7 @@
 		sent = true
 		peer.inFlight++
 		if peer.probing {
-			break // it may be rejected: next stays
+			break // the probe may be rejected: next is not advanced
 		}
 		peer.next += uint64(len(entries))
 	}
@@ -69,7 +74,7 @@
 	return p.inFlight == 0 || !p.probing && p.inFlight < maxAppendsPending
 }
 
-// sendAppend sends entries that follow the entry at an index.
+// sendAppend sends entries that follow the entry at previousIndex.
 func (c *Core) sendAppend(id string, previousIndex uint64, entries []*rpc.Entry) {
 	previousEpoch, _ := c.log.epochAt(previousIndex)
 	c.send(&rpc.Message{
@@ -78,7 +83,8 @@
 	})
 }
 
-// handleAppend takes over the leader's entries if they follow an entry that both logs hold, and replies how far the logs agree.
+// handleAppend appends the leader's entries if they follow an entry that both logs have, and
+// replies with the last matching index.
 func (c *Core) handleAppend(message *rpc.Message) {
 	if !areConsecutive(message) {
 		return
@@ -86,7 +92,7 @@
 	reply := &rpc.Message{Kind: rpc.MessageKind_APPEND_REPLY, To: message.From, Epoch: c.epoch, Round: message.Round}
 	entries, previousIndex, previousEpoch := message.Entries, message.LogIndex, message.LogEpoch
 	if previousIndex < c.log.snapshotIndex {
-		// What the snapshot covers is committed and needs no comparison.
+		// Entries that the snapshot covers are committed and need no comparison.
 		skipped := min(c.log.snapshotIndex-previousIndex, uint64(len(entries)))
 		entries = entries[skipped:]
 		previousIndex += skipped
@@ -107,15 +113,17 @@
 	c.mergeEntries(entries)
 	lastIndex := previousIndex + uint64(len(entries))
 	c.commit = max(c.commit, min(message.Commit, lastIndex))
-	// A leader that was just elected knows all that is committed only after an entry of its own epoch is.
+	// A newly elected leader's commit index is complete only after an entry of its own epoch is
+	// committed.
 	if epoch, ok := c.log.epochAt(message.Commit); ok && epoch == message.Epoch && c.commit >= message.Commit {
-		c.currentAt = c.now
+		c.caughtUpAt = c.now
 	}
 	reply.LogIndex = lastIndex
 	c.send(reply)
 }
 
-// areConsecutive reports whether the entries of an append follow its previous index without a gap, and none is of a later epoch than the leader's.
+// areConsecutive reports whether the entries of an append follow its previous index without a gap,
+// and none is of a later epoch than the leader's.
 func areConsecutive(message *rpc.Message) bool {
 	for i, entry := range message.Entries {
 		if entry.GetIndex() != message.LogIndex+1+uint64(i) || entry.GetEpoch() > message.Epoch {
@@ -125,8 +133,9 @@
 	return true
 }
 
-// mergeEntries adds the leader's entries to the log. From the first one that differs on, they replace what the log holds. Entries that agree are
-// left alone: an append that arrives late must not drop those after it.
+// mergeEntries adds the leader's entries to the log. Starting at the first conflicting one, they
+// replace the entries in the log. Matching entries are left unchanged: an append that arrives late
+// must not drop the entries after it.
 func (c *Core) mergeEntries(entries []*rpc.Entry) {
 	for i, entry := range entries {
 		if epoch, ok := c.log.epochAt(entry.Index); ok && epoch == entry.Epoch {
@@ -142,7 +151,7 @@
 	}
 }
 
-// handleAppendReply records how far a replica's log agrees, and sends it what it lacks.
+// handleAppendReply updates the progress of a replica, and sends it what it lacks.
 func (c *Core) handleAppendReply(message *rpc.Message) {
 	peer := c.peers[message.From]
 	if peer == nil {
@@ -151,7 +160,8 @@
 	c.recordReply(peer, message)
 	peer.inFlight = max(0, peer.inFlight-1)
 	if message.Reject {
-		// Of several appends in flight, all after a lost one are rejected. Only the first rejection, or that of the newest probe, counts.
+		// All appends in flight after a lost one are rejected. Only the first rejection, or that of
+		// the latest probe, counts.
 		if message.Refused == peer.next-1 || !peer.probing && message.Refused < peer.next {
 			peer.next = max(min(message.LogIndex, peer.next-1), peer.match) + 1
 			peer.probing, peer.inFlight = true, 0
@@ -169,18 +179,18 @@
 	c.completeTransfer()
 }
 
-// advanceCommit commits the newest entry that a majority has persisted, if it is of the leader's own epoch: an entry of an
-// earlier epoch can still be replaced by a later leader although a majority has it. A leader that is no longer a voter steps down as soon as that is
-// committed.
+// advanceCommit commits the latest entry that a majority has persisted, if it is of the leader's
+// own epoch: a later leader may still replace an entry of an earlier epoch although a majority has
+// it. A leader that is no longer a voter steps down as soon as its removal is committed.
 func (c *Core) advanceCommit() {
 	index := reachedByMajority(c, c.persistedIndex(), func(peer *progress) uint64 { return peer.match })
 	if epoch, ok := c.log.epochAt(index); index <= c.commit || !ok || epoch != c.epoch {
 		return
 	}
 	c.commit = index
-	c.heartbeatAt = min(c.heartbeatAt, c.now+commitNoticeMS)
-	if c.MembershipCommitted() && !c.isVoter(c.config.ID) { // an outgoing voter leads until the joint membership has ended
-		c.sendHeartbeats() // with the commit index, before this replica leaves
+	c.heartbeatAt = min(c.heartbeatAt, c.now+commitNotifyDelayMS)
+	if c.MembershipCommitted() && !c.isVoter(c.config.ID) { // an outgoing voter leads until the joint membership is left
+		c.sendHeartbeats() // sends the commit index before this replica leaves
 		c.becomeFollower(c.epoch, "", "")
 	}
 }
--- a/internal/scheduler/consensus/snapshot.go
+++ b/internal/scheduler/consensus/snapshot.go
@@ -7,10 +7,11 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// A snapshot is sent chunk by chunk. The leader sends the next chunk after the one before is acknowledged, so that both sides have at most one
-// chunk in memory. The receiver's driver persists each chunk; the snapshot counts after all have arrived and their checksum is right.
+// A snapshot is sent in chunks. The leader sends each chunk after the previous one is acknowledged,
+// so that both sides have at most one chunk in memory. The receiver's driver persists each chunk;
+// the snapshot is installed after all have arrived and their checksum matches.
 
-// chunkRetryMS is after what time without an acknowledgement a chunk is sent again.
+// chunkRetryMS is the time without an acknowledgement after which a chunk is sent again.
 const chunkRetryMS = 400
 
 // incomingSnapshot is a snapshot that is being received.
@@ -24,13 +25,13 @@
 	return &incomingSnapshot{snapshot: snapshot, digest: xxhash.New()}
 }
 
-// matches reports whether the chunks received so far belong to a snapshot. The receiver may be nil.
+// matches reports whether the chunks received so far belong to other. The receiver may be nil.
 func (s *incomingSnapshot) matches(other *rpc.Snapshot) bool {
 	return s != nil && s.snapshot.Index == other.Index && s.snapshot.Epoch == other.Epoch &&
 		s.snapshot.Pieces == other.Pieces && s.snapshot.Checksum == other.Checksum
 }
 
-// add takes the next chunk and reports whether it was the next one. Others are ignored.
+// add accepts chunk if it is the next one, and reports whether it was. Other chunks are ignored.
 func (s *incomingSnapshot) add(chunk *rpc.SnapshotPiece) bool {
 	if chunk == nil || chunk.Number != s.chunks || s.chunks >= s.snapshot.Pieces {
 		return false
@@ -40,7 +41,8 @@
 	return true
 }
 
-// chunkIsDue reports whether a replica that needs the snapshot has to be sent a chunk, other than in reply to the acknowledgement of the one before.
+// chunkIsDue reports whether a replica that needs the snapshot has to be sent a chunk for another
+// reason than the acknowledgement of the previous one.
 func (c *Core) chunkIsDue(peer *progress, unresponsive bool) bool {
 	if peer.chunkSentAt == 0 || peer.snapshotIndex != c.latestSnapshot.Index {
 		return true
@@ -48,7 +50,8 @@
 	return !unresponsive && c.now-peer.chunkSentAt >= chunkRetryMS
 }
 
-// sendChunk sends a replica the next chunk of the newest snapshot, or the end of it after the last chunk. The driver fills in the data.
+// sendChunk sends a replica the next chunk of the latest snapshot, or the end marker after the last
+// chunk. The driver loads the data.
 func (c *Core) sendChunk(id string, peer *progress) {
 	if peer.snapshotIndex != c.latestSnapshot.Index {
 		peer.snapshotIndex, peer.chunksAcknowledged = c.latestSnapshot.Index, 0
@@ -61,7 +64,7 @@
 	c.send(message)
 }
 
-// handleSnapshotReply sends the next chunk.
+// handleSnapshotReply sends the next chunk to the replica that acknowledged the previous one.
 func (c *Core) handleSnapshotReply(message *rpc.Message) {
 	peer := c.peers[message.From]
 	if peer == nil {
@@ -76,7 +79,8 @@
 	c.sendChunk(message.From, peer)
 }
 
-// handleSnapshot takes a chunk of a snapshot. It acknowledges the chunk, or, when nothing more is needed, the log up to the commit index.
+// handleSnapshot processes a chunk of a snapshot. It acknowledges the chunk or, when no more chunks
+// are needed, the log up to the commit index.
 func (c *Core) handleSnapshot(message *rpc.Message) {
 	snapshot := message.Snapshot
 	if !isInstallable(snapshot) {
@@ -86,8 +90,8 @@
 	switch {
 	case snapshot.Index <= c.commit:
 	case known && epoch == snapshot.Epoch:
-		// The log leads up to the same entry, so it has all that the snapshot covers. Entries after it may have been acknowledged already and
-		// must stay.
+		// The log has the last entry that the snapshot covers, so it has all of them. Entries after
+		// it may have been acknowledged already and must be kept.
 		c.commit = snapshot.Index
 	case !c.receiveChunk(snapshot, message.Piece):
 		c.send(&rpc.Message{
@@ -102,8 +106,9 @@
 	c.send(&rpc.Message{Kind: rpc.MessageKind_APPEND_REPLY, To: message.From, Epoch: c.epoch, LogIndex: c.commit, Round: message.Round})
 }
 
-// isInstallable reports whether a received snapshot may replace the log: it needs voters, each with an id of its own. Without them the replica
-// would not know whose votes count, and with one twice it would count that vote twice.
+// isInstallable reports whether a received snapshot may replace the log: it needs voters with
+// unique ids. Without voters the replica would not know whose votes count, and it would count the
+// vote of a duplicate voter twice.
 func isInstallable(snapshot *rpc.Snapshot) bool {
 	if snapshot.GetIndex() == 0 || len(snapshot.GetMembership().GetVoters()) == 0 {
 		return false
@@ -118,8 +123,9 @@
 	return true
 }
 
-// receiveChunk takes the next chunk of a snapshot, and reports whether the snapshot is complete and its checksum right. With a wrong
-// checksum it begins again. A chunk of another snapshot than before discards those before.
+// receiveChunk processes the next chunk of a snapshot, and reports whether the snapshot is complete
+// with a matching checksum. After a checksum mismatch the transfer starts over. A chunk of a
+// different snapshot discards the chunks received before.
 func (c *Core) receiveChunk(snapshot *rpc.Snapshot, chunk *rpc.SnapshotPiece) (complete bool) {
 	if !c.incoming.matches(snapshot) {
 		c.incoming = newIncomingSnapshot(snapshot)
@@ -137,20 +143,20 @@
 	return true
 }
 
-// installSnapshot replaces all of the log by a snapshot.
+// installSnapshot replaces the entire log by a snapshot.
 func (c *Core) installSnapshot(snapshot *rpc.Snapshot) {
 	c.log = entryLog{snapshotIndex: snapshot.Index, snapshotEpoch: snapshot.Epoch}
 	c.commit, c.deliveredIndex, c.firstUnstable = snapshot.Index, snapshot.Index, 0
-	c.latestSnapshot, c.receivedToStore, c.receivedToApply = snapshot, snapshot, snapshot
+	c.latestSnapshot, c.snapshotToPersist, c.snapshotToRestore = snapshot, snapshot, snapshot
 	c.snapshotMembership = snapshot.Membership
 	c.refreshMembership()
 }
 
-// ReceivingSnapshot reports whether chunks of a snapshot have arrived, and more are needed.
+// ReceivingSnapshot reports whether chunks of a snapshot have arrived and more are expected.
 func (c *Core) ReceivingSnapshot() bool { return c.incoming != nil && c.incoming.chunks > 0 }
 
-// SendingSnapshot reports whether this leader is sending a snapshot to a replica that replies. The log should not be compacted meanwhile: the
-// replica would have to begin again with the new snapshot.
+// SendingSnapshot reports whether this leader is sending a snapshot to a reachable replica. The log
+// should not be compacted meanwhile: the replica would have to start over with the new snapshot.
 func (c *Core) SendingSnapshot() bool {
 	if c.role != leader {
 		return false
@@ -163,9 +169,9 @@
 	return false
 }
 
-// PrepareSnapshot returns a snapshot of the state after an index, without its chunks: the driver makes them, sets their number and
-// checksum, and persists all before it calls Compact. It returns nil if the log does not hold the index any more, or if Ready has not returned it as
-// committed.
+// PrepareSnapshot returns a snapshot of the state after an index, without its chunks: the driver
+// writes them, sets their number and checksum, and persists all before it calls Compact. It returns
+// nil if the index is no longer in the log, or if Ready has not returned it as committed.
 func (c *Core) PrepareSnapshot(index uint64) *rpc.Snapshot {
 	epoch, ok := c.log.epochAt(index)
 	if !ok || index > c.deliveredIndex || index <= c.log.snapshotIndex {
@@ -175,14 +181,14 @@
 	return &rpc.Snapshot{Index: index, Epoch: epoch, Membership: membership}
 }
 
-// SupersedesSnapshot reports whether a snapshot that the driver has made covers more than the one that the log begins after. A newer one may have
-// been received while the driver made it.
+// SupersedesSnapshot reports whether a snapshot written by the driver covers more than the one that
+// precedes the log. A newer one may have been received meanwhile.
 func (c *Core) SupersedesSnapshot(snapshot *rpc.Snapshot) bool {
 	return snapshot.Index > c.log.snapshotIndex
 }
 
-// Compact drops the entries that a snapshot covers. The driver has made the snapshot and has persisted it with all its chunks. It does nothing
-// if the snapshot does not supersede the present one.
+// Compact drops the entries that a snapshot covers. The driver must have persisted the snapshot
+// with all its chunks. Compact does nothing if the snapshot does not supersede the current one.
 func (c *Core) Compact(snapshot *rpc.Snapshot) {
 	if !c.SupersedesSnapshot(snapshot) {
 		return
--- a/internal/scheduler/consensus/snapshot_test.go
+++ b/internal/scheduler/consensus/snapshot_test.go
@@ -8,7 +8,7 @@
 	"github.com/matryer/is"
 )
 
-// newSnapshot returns a snapshot whose state is these chunks.
+// newSnapshot returns a snapshot whose state consists of these chunks.
 func newSnapshot(t *testing.T, index, epoch uint64, chunks ...string) *rpc.Snapshot {
 	t.Helper()
 	is := is.New(t)
@@ -20,7 +20,7 @@
 	return &rpc.Snapshot{Index: index, Epoch: epoch, Membership: newVoters("a", "b", "c"), Pieces: uint32(len(chunks)), Checksum: digest.Sum64()}
 }
 
-// newChunkMessage returns the message with which a leader "a" of epoch 5 sends a chunk.
+// newChunkMessage returns the message with which the leader "a" of epoch 5 sends a chunk.
 func newChunkMessage(snapshot *rpc.Snapshot, number uint32, data string) *rpc.Message {
 	return &rpc.Message{
 		Kind: rpc.MessageKind_SNAPSHOT, From: "a", Epoch: 5, Snapshot: snapshot,
@@ -28,8 +28,9 @@
 	}
 }
 
-// A snapshot that arrives although the log leads up to its end already leaves the entries after it, which may have been acknowledged.
-func TestSnapshotKeepsAcknowledgedEntries(t *testing.T) {
+// A snapshot that ends at an entry of the log leaves the entries after it, which may have been
+// acknowledged.
+func TestSnapshot_KeepsAcknowledgedEntries(t *testing.T) {
 	is := is.New(t)
 	c := startReplica(t, "b", newVoters("a", "b", "c"), &rpc.HardState{Epoch: 5, Commit: 2}, newCommand(2, 5), newCommand(3, 5), newCommand(4, 5), newCommand(5, 5))
 	replies := step(t, c, 10, newChunkMessage(newSnapshot(t, 3, 5, "state"), 0, "state"))
@@ -38,8 +39,8 @@
 	is.Equal(c.Commit(), uint64(3))
 }
 
-// Entries that an earlier leader left behind and that do not lead up to the snapshot are dropped with the log.
-func TestSnapshotReplacesAnotherHistory(t *testing.T) {
+// Entries of an earlier leader that conflict with the snapshot are dropped together with the log.
+func TestSnapshot_ReplacesConflictingLog(t *testing.T) {
 	is := is.New(t)
 	c := startReplica(t, "b", newVoters("a", "b", "c"), &rpc.HardState{Epoch: 5, Commit: 1}, newCommand(2, 2), newCommand(3, 2), newCommand(4, 2))
 	message := newChunkMessage(newSnapshot(t, 3, 4, "state"), 0, "state")
@@ -53,8 +54,9 @@
 	is.Equal(c.log.lastEpoch(), uint64(4))
 }
 
-// Chunks that are lost, repeated, late or corrupt only cost time: the snapshot counts after all have arrived in order and their checksum is right.
-func TestChunksInAnyOrder(t *testing.T) {
+// Lost, duplicated, late or corrupt chunks only delay the transfer: the snapshot is installed after
+// all chunks have arrived in order and their checksum matches.
+func TestSnapshotChunks_LostDuplicatedOrCorrupt(t *testing.T) {
 	is := is.New(t)
 	parts := []string{"one", "two", "three"}
 	snapshot := newSnapshot(t, 9, 4, parts...)
@@ -69,14 +71,14 @@
 		data   string
 		chunks uint32
 	}{
-		{"the first one is lost", 1, "two", 0},
-		{"the first one", 0, "one", 1},
-		{"repeated", 0, "one", 1},
-		{"the second one is lost", 2, "three", 1},
+		{"the first chunk is lost", 1, "two", 0},
+		{"the first chunk", 0, "one", 1},
+		{"duplicated", 0, "one", 1},
+		{"the second chunk is lost", 2, "three", 1},
 		{"corrupt", 1, "TWO", 2},
-		{"the last one: the checksum is wrong", 2, "three", 0},
-		{"the first one again", 0, "one", 1},
-		{"the second one", 1, "two", 2},
+		{"the last chunk: checksum mismatch", 2, "three", 0},
+		{"the first chunk again", 0, "one", 1},
+		{"the second chunk", 1, "two", 2},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			is := is.New(t)
@@ -85,7 +87,7 @@
 			is.True(!complete)
 		})
 	}
-	// After a chunk of another snapshot, the first one begins again.
+	// After a chunk of another snapshot, the transfer of the first snapshot starts over.
 	other := newSnapshot(t, 8, 4, "x", "y")
 	replies := step(t, c, 10, newChunkMessage(other, 0, "x"))
 	is.Equal(replies[0].PiecesHeld, uint32(1))
@@ -98,8 +100,8 @@
 	is.Equal(c.Commit(), uint64(9))
 }
 
-// A snapshot whose members can't be a group's is ignored: the replica keeps its log and what it knows of the members.
-func TestSnapshotWithoutAMembershipIsIgnored(t *testing.T) {
+// A snapshot with an invalid membership is ignored: the replica keeps its log and its membership.
+func TestSnapshot_IgnoresInvalidMembership(t *testing.T) {
 	for _, test := range []struct {
 		name       string
 		membership *rpc.Membership
@@ -107,8 +109,8 @@
 		{"none", nil},
 		{"no voters", &rpc.Membership{Learners: newVoters("a").Voters}},
 		{"a voter without an id", newVoters("a", "", "c")},
-		{"a voter that stands twice", newVoters("a", "b", "a")},
-		{"a voter that is a learner too", &rpc.Membership{Voters: newVoters("a", "b").Voters, Learners: newVoters("b").Voters}},
+		{"a duplicate voter", newVoters("a", "b", "a")},
+		{"a voter that is also a learner", &rpc.Membership{Voters: newVoters("a", "b").Voters, Learners: newVoters("b").Voters}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			is := is.New(t)
--- a/internal/scheduler/consensus/transfer.go
+++ b/internal/scheduler/consensus/transfer.go
@@ -6,29 +6,34 @@
 	"slices"
 )
 
-// A leader that is about to leave hands its leadership to the most advanced voter, so that the group has no election timeout to wait for.
+// A leader that is about to stop transfers its leadership to the most up-to-date voter, so that the
+// group does not wait for an election timeout.
 //
-// It first takes no more proposals until all of its log is committed and the successor has all of it. Then it gives its lease up for good: it
-// becomes a follower before the message leaves that tells the successor to start an election at once. That is why voters may vote in this election
-// although they have heard of a live leader. A message that arrives late does no harm: the successor starts an election for the epoch directly after
-// the one that was given up, and a voter that knows of a later epoch does not vote.
+// It first rejects proposals until its log is committed and the successor has all of it. Then it
+// gives up its lease irrevocably: it becomes a follower before it sends the message that makes the
+// successor start an election. That is why voters may vote in this election although they have
+// recently heard from the leader. A message that arrives late is harmless: the successor starts an
+// election for the epoch directly after the one that ended, and a voter that has seen a later epoch
+// does not vote.
 
-// ErrNoSuccessor says that no other voter can take the leadership over: none is eligible that replies and is caught up.
-var ErrNoSuccessor = errors.New("consensus: no voter can take the leadership over")
+// ErrNoSuccessor is returned if no other voter is eligible, reachable and caught up.
+var ErrNoSuccessor = errors.New("consensus: no eligible voter to transfer leadership to")
 
-// transferTimeoutDivisor: a leader waits for its successor to catch up for one part in so many of the election timeout. It goes on leading after
-// that: nothing was given up.
+// transferTimeoutDivisor is the divisor of the election timeout that gives the time that a leader
+// waits for its successor to catch up. After that it aborts the transfer and remains leader: it has
+// given up nothing.
 const transferTimeoutDivisor = 2
 
-// transfer is a leadership that is being handed over.
+// transfer is a leadership transfer in progress.
 type transfer struct {
 	successor string
-	until     int64 // when the leader gives the attempt up
+	until     int64 // when the leader aborts the transfer
 }
 
-// TransferLeadership hands the leadership to the most advanced voter that is caught up, among those for which eligible returns true. It begins, and the
-// core completes it when the successor has the complete log; until then proposals are rejected with ErrNotLeader. It returns ErrNotLeader, or
-// ErrNoSuccessor. Calls while a transfer is under way change nothing.
+// TransferLeadership starts a transfer of the leadership to the most up-to-date voter for which
+// eligible returns true and which is caught up. The transfer completes when the successor has the
+// complete log; until then proposals are rejected with ErrNotLeader. The error is ErrNotLeader or
+// ErrNoSuccessor. Calls during a transfer have no effect.
 func (c *Core) TransferLeadership(eligible func(id string) bool) error {
 	if c.role != leader {
 		return ErrNotLeader
@@ -36,7 +41,7 @@
 	if c.transfer != nil {
 		return nil
 	}
-	successor := c.mostAdvancedVoter(eligible)
+	successor := c.mostUpToDateVoter(eligible)
 	if successor == "" {
 		return ErrNoSuccessor
 	}
@@ -45,9 +50,9 @@
 	return nil
 }
 
-// mostAdvancedVoter returns the other voter that is caught up, is eligible, and has the most of the log; the first of several; empty if there is
-// none.
-func (c *Core) mostAdvancedVoter(eligible func(id string) bool) (id string) {
+// mostUpToDateVoter returns the id of the other voter that is eligible, caught up and has the
+// longest log, the first one on a tie; empty if there is none.
+func (c *Core) mostUpToDateVoter(eligible func(id string) bool) (id string) {
 	for _, voter := range c.membership.Voters {
 		peer := c.peers[voter.Id]
 		if peer == nil || !eligible(voter.Id) || !c.isCaughtUp(voter.Id) {
@@ -60,7 +65,7 @@
 	return id
 }
 
-// completeTransfer gives the leadership up once the successor has everything.
+// completeTransfer gives up the leadership once the successor has the complete log.
 func (c *Core) completeTransfer() {
 	if c.transfer == nil || c.role != leader {
 		return
@@ -74,19 +79,20 @@
 		return
 	}
 	successor, epoch := c.transfer.successor, c.epoch
-	c.sendHeartbeats() // with the commit index, so that the others apply what was committed
+	c.sendHeartbeats() // sends the commit index, so that the others apply what was committed
 	c.becomeFollower(c.epoch, "", "")
 	c.send(&rpc.Message{Kind: rpc.MessageKind_TIMEOUT_NOW, To: successor, Epoch: epoch})
 }
 
-// expireTransfer gives a transfer up whose successor has not caught up in time.
+// expireTransfer aborts a transfer whose successor has not caught up in time.
 func (c *Core) expireTransfer() {
 	if c.transfer != nil && c.now >= c.transfer.until {
 		c.transfer = nil
 	}
 }
 
-// handleTimeoutNow starts an election at once, because the leader of this epoch has given its leadership up.
+// handleTimeoutNow starts an election immediately, because the leader of this epoch has given up
+// its leadership.
 func (c *Core) handleTimeoutNow(message *rpc.Message) {
 	if message.Epoch != c.epoch || c.role != follower || !c.isVoter(c.config.ID) {
 		return
@@ -96,15 +102,16 @@
 	c.afterTransfer = false
 }
 
-// leaderGaveUp reports whether a request for a vote is one of the election that follows a transfer: the leader of the epoch before has given its
-// lease up, and any earlier leader's lease had ended before that one was elected.
-func (c *Core) leaderGaveUp(request *rpc.Message) bool {
+// followsTransfer reports whether a vote request is one of an election after a leadership transfer:
+// the leader of the previous epoch has given up its lease, and the leases of earlier leaders had
+// expired before it was elected.
+func (c *Core) followsTransfer(request *rpc.Message) bool {
 	return request.AfterTransfer && request.Epoch > c.epoch
 }
 
-// MustHandOver reports whether this replica leads, is not among the wanted voters, and has nothing else to change before it leaves: all wanted ones are
-// voters.
-func (c *Core) MustHandOver(wanted []*rpc.Replica) bool {
+// ShouldTransferLeadership reports whether this replica leads, is not among the wanted voters, and
+// has no other membership change to make before it is removed: all wanted replicas are voters.
+func (c *Core) ShouldTransferLeadership(wanted []*rpc.Replica) bool {
 	if c.role != leader || isJoint(c.membership) || hasReplica(wanted, c.config.ID) || len(wanted) == 0 || !c.isVoter(c.config.ID) {
 		return false
 	}
--- a/internal/scheduler/consensus/transfer_test.go
+++ b/internal/scheduler/consensus/transfer_test.go
@@ -12,11 +12,11 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// testGroup is a group whose messages take a millisecond. Its disks are immediate.
+// testGroup is a group in which messages take one millisecond and disk writes no time.
 type testGroup struct {
 	now      int64
 	replicas map[string]*Core
-	onTheWay []*rpc.Message
+	inFlight []*rpc.Message
 	drops    func(*rpc.Message) bool // nil: nothing is lost
 }
 
@@ -25,18 +25,18 @@
 	g := &testGroup{replicas: map[string]*Core{}}
 	for i, name := range names {
 		c := startReplica(t, name, newVoters(names...), &rpc.HardState{Epoch: 1})
-		c.config.Random = rand.New(rand.NewPCG(uint64(i), 1)) // timeouts of its own
+		c.config.Random = rand.New(rand.NewPCG(uint64(i), 1)) // different timeouts for each replica
 		c.scheduleFirstElection()
 		g.replicas[name] = c
 	}
 	return g
 }
 
-// step advances time by a millisecond.
+// step advances time by one millisecond.
 func (g *testGroup) step() {
 	g.now++
-	arriving := g.onTheWay
-	g.onTheWay = nil
+	arriving := g.inFlight
+	g.inFlight = nil
 	for _, message := range arriving {
 		if c := g.replicas[message.To]; c != nil && (g.drops == nil || !g.drops(message)) {
 			c.Step(g.now, proto.CloneOf(message))
@@ -46,12 +46,12 @@
 		c := g.replicas[name]
 		c.Tick(g.now)
 		for ready := c.Ready(); !ready.Empty(); ready = c.Ready() {
-			g.onTheWay = append(g.onTheWay, ready.Messages...)
+			g.inFlight = append(g.inFlight, ready.Messages...)
 		}
 	}
 }
 
-// leader returns the replica that has the lease; nil if none has.
+// leader returns the replica that has the lease; nil if there is none.
 func (g *testGroup) leader() *Core {
 	for _, c := range g.replicas {
 		if c.HasLease(g.now) {
@@ -61,7 +61,7 @@
 	return nil
 }
 
-// awaitLeader returns the leader and the milliseconds until it has its lease.
+// awaitLeader returns the leader, and how many milliseconds passed until it had its lease.
 func (g *testGroup) awaitLeader(t *testing.T) (leader *Core, waited int64) {
 	t.Helper()
 	for begun := g.now; g.now-begun < 20*electionTimeoutTestMS; g.step() {
@@ -69,14 +69,15 @@
 			return c, g.now - begun
 		}
 	}
-	t.Fatal("no replica leads")
+	t.Fatal("no leader elected")
 	return nil, 0
 }
 
 func anyVoter(string) bool { return true }
 
-// A transfer takes a few round trips, where an election takes a timeout; the old leader gives its lease up before the message leaves.
-func TestTransferTakesNoElectionTimeout(t *testing.T) {
+// A transfer takes a few round trips instead of an election timeout, and the old leader gives up
+// its lease before it sends the message that starts the election.
+func TestTransfer_TakesNoElectionTimeout(t *testing.T) {
 	is := is.New(t)
 	g := newTestGroup(t, "a", "b", "c")
 	old, _ := g.awaitLeader(t)
@@ -94,11 +95,12 @@
 	for range 3 * heartbeatIntervalTestMS {
 		g.step()
 	}
-	is.Equal(g.leader().ID(), next.ID()) // the others follow it
+	is.Equal(g.leader().ID(), next.ID()) // the other replicas follow the new leader
 }
 
-// While a transfer waits for the successor nothing is proposed; what was proposed before is committed under the old leader.
-func TestTransferWaitsForTheLog(t *testing.T) {
+// While a transfer waits for the successor, proposals are rejected; earlier proposals are committed
+// by the old leader.
+func TestTransfer_WaitsForSuccessorLog(t *testing.T) {
 	is := is.New(t)
 	g := newTestGroup(t, "a", "b", "c")
 	old, _ := g.awaitLeader(t)
@@ -121,8 +123,8 @@
 	is.True(old.Commit() >= index)
 }
 
-// A leader whose successor falls silent goes on leading: nothing was given up.
-func TestTransferExpires(t *testing.T) {
+// A leader whose successor stops replying remains leader: it has given up nothing.
+func TestTransfer_Expires(t *testing.T) {
 	is := is.New(t)
 	g := newTestGroup(t, "a", "b", "c")
 	old, _ := g.awaitLeader(t)
@@ -143,9 +145,10 @@
 	is.True(errors.Is(old.TransferLeadership(func(id string) bool { return id == successor }), ErrNoSuccessor))
 }
 
-// A message that tells a replica to start an election counts for the epoch that was given up only, and a vote in that election only for the epoch
-// directly after it. Any other request for a vote is rejected while a leader is alive.
-func TestTransferBindsOneEpoch(t *testing.T) {
+// A TIMEOUT_NOW message is valid only for the epoch that the leader gave up, and a vote request
+// after a transfer only for the next epoch. Any other vote request is rejected while a leader is
+// alive.
+func TestTransfer_ValidForOneEpoch(t *testing.T) {
 	for _, test := range []struct {
 		name    string
 		message *rpc.Message
@@ -155,9 +158,9 @@
 		{"of this epoch", &rpc.Message{Kind: rpc.MessageKind_TIMEOUT_NOW, From: "a", Epoch: 5}, 6, false},
 		{"of an earlier epoch", &rpc.Message{Kind: rpc.MessageKind_TIMEOUT_NOW, From: "c", Epoch: 4}, 5, false},
 		{"of a later epoch", &rpc.Message{Kind: rpc.MessageKind_TIMEOUT_NOW, From: "c", Epoch: 6}, 5, false},
-		{"a vote after the transfer", &rpc.Message{Kind: rpc.MessageKind_VOTE, From: "c", Epoch: 6, LogIndex: 1, LogEpoch: 1, AfterTransfer: true}, 6, true},
-		{"a vote after an earlier transfer", &rpc.Message{Kind: rpc.MessageKind_VOTE, From: "c", Epoch: 5, LogIndex: 1, LogEpoch: 1, AfterTransfer: true}, 5, false},
-		{"a vote beside a live leader", &rpc.Message{Kind: rpc.MessageKind_VOTE, From: "c", Epoch: 6, LogIndex: 1, LogEpoch: 1}, 5, false},
+		{"a vote request after the transfer", &rpc.Message{Kind: rpc.MessageKind_VOTE, From: "c", Epoch: 6, LogIndex: 1, LogEpoch: 1, AfterTransfer: true}, 6, true},
+		{"a vote request after an earlier transfer", &rpc.Message{Kind: rpc.MessageKind_VOTE, From: "c", Epoch: 5, LogIndex: 1, LogEpoch: 1, AfterTransfer: true}, 5, false},
+		{"a vote request while a leader is alive", &rpc.Message{Kind: rpc.MessageKind_VOTE, From: "c", Epoch: 6, LogIndex: 1, LogEpoch: 1}, 5, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			is := is.New(t)
@@ -171,16 +174,17 @@
 	}
 }
 
-// A leader that is not wanted any more hands over when all wanted ones are voters, and its successor removes it.
-func TestUnwantedLeaderHandsOver(t *testing.T) {
+// A leader that is no longer wanted transfers its leadership when all wanted replicas are voters.
+// Its successor removes it.
+func TestShouldTransferLeadership(t *testing.T) {
 	is := is.New(t)
 	c := startReplica(t, "a", newVoters("a", "b", "c"), &rpc.HardState{Epoch: 4})
 	wanted := newVoters("b", "c").Voters
-	is.True(!c.MustHandOver(wanted)) // it doesn't lead
+	is.True(!c.ShouldTransferLeadership(wanted)) // it is not leader yet
 	c.epoch = 5
 	c.becomeLeader()
-	is.True(c.MustHandOver(wanted))
-	is.True(!c.MustHandOver(newVoters("b", "c", "d").Voters)) // d has to be admitted first
-	is.True(!c.MustHandOver(newVoters("a", "b").Voters))
-	is.True(!c.MustHandOver(nil))
+	is.True(c.ShouldTransferLeadership(wanted))
+	is.True(!c.ShouldTransferLeadership(newVoters("b", "c", "d").Voters)) // d has to be promoted first
+	is.True(!c.ShouldTransferLeadership(newVoters("a", "b").Voters))
+	is.True(!c.ShouldTransferLeadership(nil))
 }
--- a/internal/scheduler/replica/apply.go
+++ b/internal/scheduler/replica/apply.go
@@ -8,8 +8,8 @@
 	"slices"
 )
 
-// apply gives the state machine of a group a received snapshot and committed entries, and answers the proposals that are decided by them. It
-// ends the engine if their data can't be read.
+// apply passes a received snapshot and committed entries to a group's state machine, and completes
+// the proposals decided by them. It stops the engine if their data cannot be read.
 func (e *Engine) apply(g *group, ready *consensus.Ready) {
 	if ready.Restore != nil && !e.restore(g, ready.Restore) {
 		return
@@ -25,8 +25,8 @@
 	g.releaseData()
 }
 
-// restore sets a group's state machine to the snapshot that its store has. Proposals at the indexes that it covers are abandoned: whether
-// the snapshot includes them is not known.
+// restore sets a group's state machine to the snapshot in its store. Proposals at indexes covered
+// by the snapshot are abandoned: whether the snapshot includes them is unknown.
 func (e *Engine) restore(g *group, snapshot *rpc.Snapshot) bool {
 	if !e.stopOnError(g.machine.Restore(snapshot.Index, e.cfg.Store.SnapshotState(g.name))) {
 		return false
@@ -37,7 +37,7 @@
 	return true
 }
 
-// applyEntry applies a committed entry, and answers the proposal that waits at its index.
+// applyEntry applies a committed entry and completes the proposal waiting at its index.
 func (e *Engine) applyEntry(g *group, entry *rpc.Entry) bool {
 	var result []byte
 	if entry.Kind == rpc.EntryKind_ENTRY_COMMAND {
@@ -56,13 +56,13 @@
 	if w.epoch == entry.Epoch {
 		w.done(ProposalResult{Outcome: rpc.Outcome_DONE, Result: result})
 	} else {
-		w.done(ProposalResult{Outcome: rpc.Outcome_NOT_LEADER}) // another leader's entry was committed in its place
+		w.done(ProposalResult{Outcome: rpc.Outcome_NOT_LEADER}) // another leader's entry was committed at the index
 	}
 	return true
 }
 
-// abandonWaiters answers the proposals up to an index that this replica will not learn the outcome of. It does so in the order of their
-// indexes, so that simulations repeat.
+// abandonWaiters completes the proposals up to index last, whose outcome this replica will not
+// learn, with OUTCOME_UNKNOWN. It does so in index order, so that simulations are deterministic.
 func (g *group) abandonWaiters(last uint64) {
 	for _, index := range slices.Sorted(maps.Keys(g.waiters)) {
 		if index <= last {
@@ -72,7 +72,8 @@
 	}
 }
 
-// releaseData drops the data of applied entries from memory, except for the newest cachedEntries to 2*cachedEntries of them.
+// releaseData drops the data of applied entries from memory, except for the latest cachedEntries to
+// 2*cachedEntries of them.
 func (g *group) releaseData() {
 	if g.applied > g.released+2*cachedEntries {
 		last := g.applied - cachedEntries
--- a/internal/scheduler/replica/apply_test.go
+++ b/internal/scheduler/replica/apply_test.go
@@ -8,8 +8,9 @@
 	"github.com/matryer/is"
 )
 
-// Proposals whose outcome stays unknown are answered in the order of their indexes, up to the given one, so that simulations repeat.
-func TestWaitersAreAbandonedInOrder(t *testing.T) {
+// Proposals with unknown outcome are completed in index order up to the given index, so that
+// simulations are deterministic.
+func TestAbandonWaiters_IndexOrder(t *testing.T) {
 	for _, c := range []struct {
 		name      string
 		last      uint64
--- a/internal/scheduler/replica/disk.go
+++ b/internal/scheduler/replica/disk.go
@@ -6,16 +6,17 @@
 	"path/filepath"
 )
 
-// Disk is a folder for the files of a store. After a loss of power a file has what its last sync covered and any part of what was written
-// later, and a name that was made or changed since the last Sync of the folder may be there or not.
+// Disk is a directory with the files of a store. After a power failure a file has the contents
+// covered by its last sync and any part of later writes, and a name created or changed since the
+// last Sync of the directory may or may not exist.
 type Disk interface {
-	// Open opens a file for reading and writing, and makes it if there is none of the name.
+	// Open opens a file for reading and writing, and creates it if it does not exist.
 	Open(name string) (File, error)
-	// Rename gives a file another name, and replaces the file that has that name.
+	// Rename renames a file, replacing any file with the new name.
 	Rename(from, to string) error
-	// Remove removes a name.
+	// Remove removes a file.
 	Remove(name string) error
-	// Sync makes the names durable.
+	// Sync makes created, renamed and removed names durable.
 	Sync() error
 }
 
@@ -26,11 +27,11 @@
 	io.Closer
 	Truncate(size int64) error
 	Size() (int64, error)
-	// Sync makes what is written, and the size, durable.
+	// Sync makes the contents and the size durable.
 	Sync() error
 }
 
-// folder is a Disk of the operating system.
+// folder is a Disk backed by an operating system directory.
 type folder string
 
 func (f folder) path(name string) string { return filepath.Join(string(f), name) }
@@ -56,7 +57,7 @@
 	return open.Sync()
 }
 
-// diskFile is a File of the operating system.
+// diskFile is a File backed by an operating system file.
 type diskFile struct{ *os.File }
 
 func (f diskFile) Size() (int64, error) {
--- a/internal/scheduler/replica/doc.go
+++ b/internal/scheduler/replica/doc.go
@@ -1,31 +1,39 @@
-// Package replica runs the replicas of one process. It drives the pure cores of package consensus: it persists what they have to remember,
-// carries their messages, applies committed commands to state machines, and replaces long logs by snapshots.
+// Package replica runs the replicas of one process. It drives the state machines of package
+// consensus: it persists their state, transmits their messages, applies committed commands to state
+// machines, and replaces long logs by snapshots.
 //
-// # Parts
+// # Components
 //
-//   - Engine drives the cores of all groups of the process. It has no clock, starts no goroutines and sends through a function that it is
-//     given, so that a simulation can run it in virtual time.
-//   - Host runs an Engine on a goroutine of its own, by the clock of the machine.
-//   - Store is the write-ahead log on disk that all groups of a process share. IdentityStore is the identity that is bound to that disk.
-//   - Sender and Service carry messages between processes. Submit finds the leader of a group and has it decide on a command.
+//   - Engine drives the cores of all groups of the process. It has no clock, starts no goroutines
+//     and sends through an injected function, so that a simulation can run it in virtual time.
+//   - Host runs an Engine on its own goroutine with the system's monotonic clock.
+//   - Store is the write-ahead log on disk, shared by all groups of a process. IdentityStore stores
+//     the identity that is bound to that disk.
+//   - Sender and Service transmit messages between processes. Submit finds the leader of a group
+//     and has it commit a command.
 //
-// The package knows nothing of what the commands mean: a StateMachine is all that it sees of the directory, the registry and the batch jobs.
+// The package does not interpret commands: it accesses the directory, the registry and the batch
+// jobs only as a StateMachine.
 //
 // # Guarantees
 //
-// A message leaves, and a command is applied, only after everything that it depends on is on disk. A proposal that ends with DONE is committed
-// and applied here, and survives the loss of any minority of the group's disks. One that ends with OUTCOME_UNKNOWN may or may not take effect,
-// also later. Any other outcome means that it has no effect. Submit makes several proposals: its
-// outcome is that of the last one, and an earlier one may have taken effect.
+// A message is sent, and a command is applied, only after everything that it depends on is durable.
+// A proposal with outcome DONE is committed and applied here, and survives the loss of any minority
+// of the group's disks. One with outcome OUTCOME_UNKNOWN may or may not take effect, also later.
+// With any other outcome it has no effect. Submit makes several proposals: its result is that of
+// the last one, and where that is not DONE, its outcome is OUTCOME_UNKNOWN if an earlier one may
+// have taken effect.
 //
 // # Concurrency
 //
-// An Engine and its Storage are for one goroutine, except that Engine.Status and Engine.Groups may be called by any. All methods of Host,
-// Sender and Service may be called by any goroutine. State machines are called by the engine's goroutine only.
+// An Engine and its Storage are not safe for concurrent use, except for Engine.Status and
+// Engine.Groups. All methods of Host, Sender and Service are safe for concurrent use. State
+// machines are called from the engine's goroutine only.
 //
 // # Errors
 //
-// If the disk does not take a write, the engine stalls: it neither sends nor applies, drops the messages that arrive, and repeats the write
-// until it succeeds. Leases run out meanwhile, and another replica takes over. If stored state can't be read, the engine ends for good
-// (Engine.Err, Host.Failed), because a replica that has forgotten its votes must not take part. The process then has to end.
+// If a disk write fails, the engine stalls: it neither sends nor applies, drops incoming messages,
+// and retries the write until it succeeds. Its leases expire meanwhile, and another replica takes
+// over. If stored state cannot be read, the engine stops for good (Engine.Err, Host.Failed),
+// because a replica that has lost its votes must not take part. The process must exit then.
 package replica
--- a/internal/scheduler/replica/engine.go
+++ b/internal/scheduler/replica/engine.go
@@ -10,58 +10,61 @@
 	"github.com/puzpuzpuz/xsync/v4"
 )
 
-// Engine runs the replicas of one process. It gives the cores the time and the messages, and carries out what they return: it persists, sends
-// and applies. It blocks on nothing but the disk, and has no clock: times are milliseconds that the caller gives, of a clock that never runs
-// backwards. It is for one goroutine, except for Status and Groups.
+// Engine runs the replicas of one process. It passes time and messages to the cores and processes
+// the results: it persists, sends and applies. It blocks on nothing but the disk, and has no clock:
+// the caller passes times in milliseconds of a monotonic clock. It is not safe for concurrent use,
+// except for Status and Groups.
 type Engine struct {
 	cfg       Config
 	groups    map[string]*group
-	names     []string                  // of the groups, in order: they are visited in this order, so that simulations repeat
-	addresses map[string]string         // of replicas, by id
+	names     []string                  // of the groups, sorted: the iteration order, so that simulations are deterministic
+	addresses map[string]string         // of replicas by id
 	contacts  map[string]bool           // founders whose first contact is recorded
-	creations []groupCreation           // in the order of CreateGroup
-	wanted    map[string]*rpc.Placement // the newest placement of each group, also of those that this process does not have
+	creations []groupCreation           // requested by CreateGroup, in order
+	wanted    map[string]*rpc.Placement // the latest placement of each group, including groups without a replica here
 	pending   *readyBatch               // not persisted yet, so neither sent nor applied; nil: none
 	err       error
 	counts    Counts
-	// statuses can be read by any goroutine.
+	// statuses may be read from any goroutine.
 	statuses *xsync.Map[string, *atomic.Pointer[Status]]
 }
 
-// Counts are the numbers of snapshots that an Engine has made itself, and has received from leaders, since it was started.
+// Counts are the numbers of snapshots that an Engine has created, and received from leaders, since
+// it was started.
 type Counts struct {
 	SnapshotsMade, SnapshotsReceived int
 }
 
 // group is this process's replica of one group.
 type group struct {
-	name             string
-	core             *consensus.Core
-	machine          StateMachine
-	waiters          map[uint64]waiter // by the index of their proposals
-	applied          uint64            // index up to which the state machine has the log
-	released         uint64            // index up to which the data of entries is on disk only
-	logBytes         int64             // length of the log's data after the newest snapshot
-	snapshotInMaking *snapshotWriter   // nil: none
-	status           *atomic.Pointer[Status]
-	dirty            bool // the core may have something Ready, or the status may have changed
-	joined           bool // it has been in contact with its group since the process started
+	name            string
+	core            *consensus.Core
+	machine         StateMachine
+	waiters         map[uint64]waiter // by proposal index
+	applied         uint64            // last index applied to the state machine
+	released        uint64            // last index whose entry data is on disk only
+	logBytes        int64             // size of the log's data after the latest snapshot
+	pendingSnapshot *snapshotWriter   // nil: none
+	status          *atomic.Pointer[Status]
+	dirty           bool // the core may have a non-empty Ready, or the status may have changed
+	joined          bool // it has had contact with its group since the process started
 }
 
-// waiter waits for the result of a proposal that was made in an epoch.
+// waiter waits for the result of a proposal made in an epoch.
 type waiter struct {
 	epoch uint64
 	done  func(ProposalResult)
 }
 
-// ProposalResult is the outcome of a proposal. Result is what the state machine returned, set if Outcome is DONE.
+// ProposalResult is the outcome of a proposal. Result is the value returned by the state machine,
+// set if Outcome is DONE.
 type ProposalResult struct {
 	Outcome rpc.Outcome
 	Result  []byte
 }
 
-// NewEngine returns an engine with the groups that its store has, their state machines restored from their snapshots. It fails if stored
-// state can't be read.
+// NewEngine returns an engine with the groups in its store, their state machines restored from
+// their snapshots. It returns an error if stored state cannot be read.
 func NewEngine(cfg Config, now int64) (*Engine, error) {
 	if cfg.Random == nil {
 		cfg.Random = rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
@@ -88,7 +91,7 @@
 	return e, nil
 }
 
-// openGroup starts the replica of a group from what is stored of it.
+// openGroup starts the replica of a group from its stored state.
 func (e *Engine) openGroup(now int64, name string, machine StateMachine, stored consensus.Stored) error {
 	g := &group{name: name, machine: machine, waiters: map[uint64]waiter{}, status: &atomic.Pointer[Status]{}}
 	if stored.Snapshot != nil {
@@ -118,18 +121,19 @@
 	return nil
 }
 
-// Counts returns how many snapshots were made and received so far.
+// Counts returns how many snapshots have been created and received so far.
 func (e *Engine) Counts() Counts { return e.counts }
 
-// Err returns why the engine has ended; nil while it works. An engine that has ended does nothing any more: without its state it would break
-// the promises that it has given to other replicas.
+// Err returns the error that stopped the engine; nil while it runs. A stopped engine does nothing:
+// without its state it would break the promises made to other replicas.
 func (e *Engine) Err() error { return e.err }
 
-// Stalled reports whether the disk has not taken yet what the cores have promised. Until it has, messages that arrive are dropped, proposals
-// are UNAVAILABLE, and leases run out.
+// Stalled reports whether a write of core state to the disk is pending after a failure. Until it
+// succeeds, incoming messages are dropped, proposals are UNAVAILABLE, and leases expire.
 func (e *Engine) Stalled() bool { return e.pending != nil }
 
-// Step gives the cores messages of other replicas. It drops those that are not for this replica.
+// Step passes messages of other replicas to the cores. It drops those that are not for this
+// replica.
 func (e *Engine) Step(now int64, messages []*rpc.Message) {
 	for _, m := range messages {
 		if m.To != e.cfg.Identity.ID || e.Stalled() || e.err != nil {
@@ -151,22 +155,22 @@
 	}
 }
 
-// recordContact has the first contact with a founder recorded before any of its votes and acknowledgements counts here. It returns false where the
-// disk did not take that: the message counts as lost.
+// recordContact records the first contact with a founder before any of its votes and
+// acknowledgements takes effect here. It returns false if that failed: the message counts as lost.
 func (e *Engine) recordContact(from string) bool {
 	if e.cfg.FirstContact == nil || !IsFounder(from) || e.contacts[from] {
 		return true
 	}
 	if err := e.cfg.FirstContact(from); err != nil {
-		e.cfg.Log.Error("write to disk failed", "error", err)
+		e.cfg.Log.Error("failed to record first contact with founder", "error", err)
 		return false
 	}
 	e.contacts[from] = true
 	return true
 }
 
-// Propose has a group that this replica leads commit and apply a command. It calls done exactly once, from this call or from a later one of
-// Tick; never, if the engine ends before.
+// Propose makes a group that this replica leads commit and apply a command. It calls done exactly
+// once, from this call or from a later call of Tick; never, if the engine stops before.
 func (e *Engine) Propose(name string, command []byte, done func(ProposalResult)) {
 	g := e.groups[name]
 	if g == nil || e.Stalled() || e.err != nil {
@@ -182,9 +186,9 @@
 	g.dirty = true
 }
 
-// Tick does everything that is due: it repeats a write that the disk did not take, creates groups, gives the cores the time, and carries out
-// what they return. It returns when it has to be called next. It should be called earlier, after calls of Step, Propose, CreateGroup or
-// SetWanted.
+// Tick performs all due work: it retries a failed write, creates groups, passes the time to the
+// cores, and processes their results. It returns when it is due again. The caller should call it
+// earlier after calls of Step, Propose, CreateGroup or SetWanted.
 func (e *Engine) Tick(now int64) (next int64) {
 	if e.err != nil {
 		return now + maxTickIntervalMS
@@ -203,7 +207,8 @@
 	return e.nextTick(now)
 }
 
-// tickCores gives the time to the cores for which something is due, and has leaders change the membership of their groups.
+// tickCores passes the time to the cores with due work, and makes leaders change the membership of
+// their groups.
 func (e *Engine) tickCores(now int64) {
 	for _, name := range e.names {
 		g := e.groups[name]
@@ -217,19 +222,20 @@
 	}
 }
 
-// nextTick returns when Tick has to be called next.
+// nextTick returns when Tick is due again.
 func (e *Engine) nextTick(now int64) int64 {
 	next := now + maxTickIntervalMS
 	for _, g := range e.groups {
 		next = min(next, g.core.NextTickAt())
-		if g.snapshotInMaking != nil {
+		if g.pendingSnapshot != nil {
 			next = now + 1
 		}
 	}
 	return max(next, now+1)
 }
 
-// stopOnError ends the engine if state can't be read. It reports whether there was no error.
+// stopOnError stops the engine if err is not nil, because state cannot be read. It reports whether
+// err is nil.
 func (e *Engine) stopOnError(err error) bool {
 	if err != nil && e.err == nil {
 		e.cfg.Log.Error("replica state can't be read", "error", err)
--- a/internal/scheduler/replica/fuzz_test.go
+++ b/internal/scheduler/replica/fuzz_test.go
@@ -16,7 +16,7 @@
 	"google.golang.org/protobuf/encoding/protodelim"
 )
 
-// allocatedBy returns how many bytes a call allocates.
+// allocatedBy returns the number of bytes that a call allocates.
 func allocatedBy(call func()) uint64 {
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
@@ -25,24 +25,25 @@
 	return after.TotalAlloc - before.TotalAlloc
 }
 
-// A torn or corrupt length takes no memory: a machine has less than what it may state.
-func TestStatedLengthsTakeNoMemory(t *testing.T) {
+// A torn or corrupt length prefix does not allocate memory: it may exceed the memory of the
+// machine.
+func TestLengthPrefix_AllocatesNoMemory(t *testing.T) {
 	is := is.New(t)
-	const much = 8 << 20
+	const limit = 8 << 20
 	var err error
 	is.True(allocatedBy(func() {
 		err = replica.ReadRecord(bufio.NewReader(bytes.NewReader(binary.AppendUvarint(nil, 500<<20))), &rpc.StoredJob{})
-	}) < much)
+	}) < limit)
 	is.True(errors.Is(err, io.ErrUnexpectedEOF))
 	is.True(errors.Is(replica.ReadRecord(bufio.NewReader(bytes.NewReader(binary.AppendUvarint(nil, 1<<63))), &rpc.StoredJob{}), replica.ErrRecordTooLong))
 	disk := simdisk.New("d", &simdisk.FaultPlan{})
-	disk.SetFileContent("replicas.log", []byte{0x1d, 0xcd, 0x65, 0, 1, 2, 3, 4, 5}) // states 500 MB
+	disk.SetFileContent("replicas.log", []byte{0x1d, 0xcd, 0x65, 0, 1, 2, 3, 4, 5}) // length prefix of 500 MB
 	is.True(allocatedBy(func() {
 		var store *replica.Store
 		if store, err = replica.OpenStoreOn(simdisk.RandomAccess{Disk: disk}, 2000); err == nil {
 			err = store.Close()
 		}
-	}) < much)
+	}) < limit)
 	is.NoErr(err)
 }
 
@@ -63,12 +64,12 @@
 				return
 			}
 		}
-		t.Error("more records than bytes")
+		t.Error("read more records than the state has bytes")
 	})
 }
 
-// FuzzOpenStore opens a disk with arbitrary bytes in its log: an error, or a store whose groups can be loaded or are corrupt, and that takes writes
-// which are there when it is opened again.
+// FuzzOpenStore opens a store whose log has arbitrary bytes: either opening fails, or its groups
+// can be loaded or are corrupt, and a new write is there when the store is opened again.
 func FuzzOpenStore(f *testing.F) {
 	disk := simdisk.New("d", &simdisk.FaultPlan{})
 	store, err := replica.OpenStoreOn(simdisk.RandomAccess{Disk: disk}, 2000)
@@ -93,7 +94,7 @@
 			return
 		}
 		for _, group := range store.Groups() {
-			_, _ = store.Load(group) // an error is an answer; a panic is not
+			_, _ = store.Load(group) // an error is allowed, a panic is not
 		}
 		if store.Persist([]replica.GroupWrite{{Group: "new", HardState: &rpc.HardState{Epoch: 7}}}) != nil {
 			return
@@ -103,7 +104,7 @@
 			t.Fatal(err)
 		}
 		if stored, err := again.Load("new"); err != nil || stored.HardState.GetEpoch() != 7 {
-			t.Errorf("what was persisted is %v, %v", stored.HardState, err)
+			t.Errorf("persisted hard state is %v, error %v", stored.HardState, err)
 		}
 	})
 }
--- a/internal/scheduler/replica/groups.go
+++ b/internal/scheduler/replica/groups.go
@@ -6,26 +6,29 @@
 	"slices"
 )
 
-// groupCreation is a group that is to be created at the next Tick.
+// groupCreation is a request to create a group at the next Tick.
 type groupCreation struct {
-	name     string
-	founders []*rpc.Replica
+	name          string
+	initialVoters []*rpc.Replica
 }
 
-// CreateGroup has the next Tick create a group. founders are its first voters, this replica among them; all of them must be given the same
-// list. It does nothing if this process has the group already.
-func (e *Engine) CreateGroup(name string, founders []*rpc.Replica) {
-	e.creations = append(e.creations, groupCreation{name, founders})
+// CreateGroup makes the next Tick create a group. initialVoters are its first voters and include
+// this replica; all of them must be given the same list. It does nothing if this process already
+// has the group.
+func (e *Engine) CreateGroup(name string, initialVoters []*rpc.Replica) {
+	e.creations = append(e.creations, groupCreation{name, initialVoters})
 }
 
-// createGroups creates the requested groups. If the disk does not take one, that one and the rest wait for the next Tick.
+// createGroups creates the requested groups. If a write fails, that group and the following ones
+// are retried at the next Tick.
 func (e *Engine) createGroups(now int64) {
 	for len(e.creations) > 0 {
 		creation := e.creations[0]
 		machine := e.cfg.Machine(creation.name)
 		if e.groups[creation.name] == nil && machine != nil {
-			// The founders are in a snapshot, so that it is sent to every replica that joins later.
-			snapshot := &rpc.Snapshot{Index: 1, Epoch: 1, Membership: &rpc.Membership{Voters: creation.founders}}
+			// The initial voters are stored in a snapshot, so that every replica that joins later
+			// receives them.
+			snapshot := &rpc.Snapshot{Index: 1, Epoch: 1, Membership: &rpc.Membership{Voters: creation.initialVoters}}
 			hard := &rpc.HardState{Epoch: 1}
 			if !e.persist([]GroupWrite{{Group: creation.name, Snapshot: snapshot, HardState: hard}}) {
 				return
@@ -36,8 +39,9 @@
 	}
 }
 
-// joinGroup starts an empty replica of a group whose leader sends it a message. It returns nil if the message is not of a leader, if this
-// process keeps no replica of the group, or if the disk did not take the empty replica: the leader sends its message again.
+// joinGroup starts an empty replica of a group whose leader sent it a message. It returns nil if
+// the message is not from a leader, if this process has no replica of the group, or if the empty
+// replica could not be persisted: the leader retransmits its message.
 func (e *Engine) joinGroup(now int64, m *rpc.Message) *group {
 	if m.Kind != rpc.MessageKind_APPEND && m.Kind != rpc.MessageKind_SNAPSHOT {
 		return nil
@@ -54,9 +58,10 @@
 	return e.groups[m.Group]
 }
 
-// SetWanted sets the voters that a group should have. Its leader changes the membership to them, one replica at a time. A placement older than
-// the newest one set is ignored. One of a group that this process does not have is kept until it joins the group: it may come to lead it, and the
-// placement is announced once.
+// SetWanted sets the voters that a group should have. Its leader changes the membership
+// accordingly, one replica at a time. A placement older than the latest one set is ignored. A
+// placement of a group that this process does not have is retained until the process joins the
+// group: it may become the leader, and the placement is announced only once.
 func (e *Engine) SetWanted(wanted *rpc.Placement) {
 	if known := e.wanted[wanted.Group]; known != nil && wanted.Revision < known.Revision {
 		return
@@ -67,29 +72,30 @@
 	}
 }
 
-// changeMembership proposes the next step towards the wanted membership, if there is one and this replica may propose it.
+// changeMembership proposes the next step towards the wanted membership, if there is one and this
+// replica may propose it.
 func (e *Engine) changeMembership(g *group) {
 	wanted := e.wanted[g.name]
 	if wanted == nil {
-		wanted = &rpc.Placement{} // only a joint membership is to be ended
+		wanted = &rpc.Placement{} // only leaves a joint membership
 	}
-	if g.core.MustHandOver(wanted.Replicas) && e.handOver(g, wanted.Replicas) {
-		return // its successor removes it
+	if g.core.ShouldTransferLeadership(wanted.Replicas) && e.transferLeadership(g, wanted.Replicas) {
+		return // the successor removes this replica
 	}
 	next := g.core.NextMembership(wanted.Replicas, wanted.Revision)
 	if next == nil {
 		return
 	}
 	if err := g.core.ProposeMembership(next); err != nil {
-		return // it does not lead any more, or another change is under way: a later Tick proposes again
+		return // no longer leader, or another change is in progress: retried by a later Tick
 	}
 	e.cfg.Log.Info("membership change", "group", g.name, "epoch", g.core.Epoch(), "voters", nodeNames(next.Voters), "learners", nodeNames(next.Learners),
 		"outgoing", nodeNames(next.Outgoing))
 }
 
-// handOver hands the leadership of a group to one of the replicas, if this one leads and one of them can take it. It reports whether a transfer is
-// under way or done.
-func (e *Engine) handOver(g *group, to []*rpc.Replica) bool {
+// transferLeadership transfers the leadership of a group to one of the replicas, if this one leads
+// and one of them is eligible. It reports whether a transfer is in progress or done.
+func (e *Engine) transferLeadership(g *group, to []*rpc.Replica) bool {
 	eligible := func(id string) bool {
 		return slices.ContainsFunc(to, func(replica *rpc.Replica) bool { return replica.Id == id })
 	}
@@ -100,15 +106,16 @@
 	return true
 }
 
-// HandOver hands the leadership of all groups that this replica leads to other voters, because its process is about to end. It reports how many it
-// still leads; a later call goes on. Of a group whose other voters don't reply it stays the leader.
+// HandOver transfers the leadership of all groups that this replica leads to other voters, because
+// its process is shutting down. It returns the number of groups that it still leads; the caller
+// repeats the call until that is 0. A group whose other voters do not reply keeps this leader.
 func (e *Engine) HandOver() (leading int) {
 	if e.Stalled() || e.err != nil {
-		return 0 // its leases run out
+		return 0 // the leases expire
 	}
 	for _, name := range e.names {
 		g := e.groups[name]
-		if g.core.IsLeader() && e.handOver(g, g.core.Membership().Voters) {
+		if g.core.IsLeader() && e.transferLeadership(g, g.core.Membership().Voters) {
 			leading++
 		}
 	}
--- a/internal/scheduler/replica/host.go
+++ b/internal/scheduler/replica/host.go
@@ -12,21 +12,25 @@
 )
 
 const (
-	// inputQueueLength bounds the calls and messages that wait for the engine.
+	// inputQueueLength is the maximum number of calls and messages waiting for the engine.
 	inputQueueLength = 4096
-	// handOverInterval is the wait before HandOver looks again whether a transfer is done.
+	// handOverInterval is the polling interval at which HandOver checks whether a transfer is
+	// complete.
 	handOverInterval = 5 * time.Millisecond
 	// clockStartMS is the first value of a host's clock.
 	clockStartMS = 1_000_000
-	// batchWindow is how long a host with Options.BatchCalls collects calls and messages. It is small beside the time that a message takes
-	// between zones, the time that an item takes, and the interval of heartbeats.
+	// batchWindow is how long a host with Options.BatchCalls collects calls and messages. It is
+	// small compared to the latency between zones, the duration of an item, and the heartbeat
+	// interval.
 	batchWindow = 3 * time.Millisecond
-	// maxBatchedCalls bounds the calls and messages that are executed before the next Tick of the engine.
+	// maxBatchedCalls is the maximum number of calls and messages executed before the next Tick of
+	// the engine.
 	maxBatchedCalls = 256
 )
 
-// Host runs an Engine on a goroutine of its own, by the clock of the machine. Its methods may be called by any goroutine; they queue calls for
-// the engine, and block while the queue is full unless they say otherwise.
+// Host runs an Engine on its own goroutine with the system's monotonic clock. Its methods are safe
+// for concurrent use; they queue calls for the engine, and block while the queue is full unless
+// documented otherwise.
 type Host struct {
 	engine *Engine
 	cfg    Config
@@ -37,8 +41,8 @@
 	failed atomic.Bool
 }
 
-// NewHost returns a host with the groups that its store has. It fails if stored state can't be read. The caller has to start Run on a
-// goroutine, and to call Stop before it closes the store.
+// NewHost returns a host with the groups in its store. It returns an error if stored state cannot
+// be read. The caller must start Run on a goroutine, and call Stop before it closes the store.
 func NewHost(cfg Config) (*Host, error) {
 	h := &Host{
 		cfg:   cfg,
@@ -55,28 +59,32 @@
 	return h, nil
 }
 
-// Now returns the time of the host's clock in milliseconds. The clock never runs backwards. It starts far above 0, so that the age of a time
-// that was never set is longer than any bound.
+// Now returns the time of the host's monotonic clock in milliseconds. The clock starts far above 0,
+// so that the age of a time that was never set exceeds any limit.
 func (h *Host) Now() int64 { return time.Since(h.start).Milliseconds() + clockStartMS }
 
-// Status returns this replica's view of a group; nil if the process does not have it. It does not block.
+// Status returns this replica's view of a group; nil if the process does not have it. It does not
+// block.
 func (h *Host) Status(name string) *Status { return h.engine.Status(name) }
 
-// Groups returns the names of the groups of this process, in no order. It does not block.
+// Groups returns the names of the groups of this process, unsorted. It does not block.
 func (h *Host) Groups() []string { return h.engine.Groups() }
 
-// CreateGroup creates a group. founders are its first voters, this replica among them; all of them must be given the same list. It does
-// nothing if this process has the group already, and returns before the group exists.
-func (h *Host) CreateGroup(name string, founders []*rpc.Replica) {
-	h.enqueue(func(int64) { h.engine.CreateGroup(name, founders) })
+// CreateGroup creates a group. initialVoters are its first voters and include this replica; all of
+// them must be given the same list. It does nothing if this process already has the group, and
+// returns before the group exists.
+func (h *Host) CreateGroup(name string, initialVoters []*rpc.Replica) {
+	h.enqueue(func(int64) { h.engine.CreateGroup(name, initialVoters) })
 }
 
-// SetWanted sets the voters that a group should have. Its leader changes the membership to them, one replica at a time.
+// SetWanted sets the voters that a group should have. Its leader changes the membership
+// accordingly, one replica at a time.
 func (h *Host) SetWanted(wanted *rpc.Placement) {
 	h.enqueue(func(int64) { h.engine.SetWanted(wanted) })
 }
 
-// Step gives the engine messages of other replicas. It does not block: if the queue is full the messages are dropped, as a network may do.
+// Step passes messages of other replicas to the engine. It does not block: if the queue is full the
+// messages are dropped, as a network may do.
 func (h *Host) Step(messages []*rpc.Message) {
 	select {
 	case h.input <- func(now int64) { h.engine.Step(now, messages) }:
@@ -84,8 +92,9 @@
 	}
 }
 
-// Propose has a group that this replica leads commit and apply a command, and waits for the result. The outcome is UNAVAILABLE, without effect,
-// if ctx or the host ends before the command has a place in the queue, and OUTCOME_UNKNOWN if one of them ends after that.
+// Propose makes a group that this replica leads commit and apply a command, and waits for the
+// result. The outcome is UNAVAILABLE, without effect, if ctx or the host ends before the command is
+// queued, and OUTCOME_UNKNOWN if one of them ends after that.
 func (h *Host) Propose(ctx context.Context, name string, command []byte) ProposalResult {
 	done := make(chan ProposalResult, 1)
 	propose := func(int64) { h.engine.Propose(name, command, func(p ProposalResult) { done <- p }) }
@@ -105,7 +114,8 @@
 	return ProposalResult{Outcome: rpc.Outcome_OUTCOME_UNKNOWN}
 }
 
-// enqueue queues a call for the engine. If the host has ended the call may be dropped, and is never executed.
+// enqueue queues a call for the engine. If the host has stopped, the call may be dropped and is
+// never executed.
 func (h *Host) enqueue(call func(now int64)) {
 	select {
 	case h.input <- call:
@@ -113,7 +123,7 @@
 	}
 }
 
-// Run drives the engine until Stop is called or the engine ends. It must be called once.
+// Run drives the engine until Stop is called or the engine stops. It must be called once.
 func (h *Host) Run() {
 	defer close(h.done)
 	timer := time.NewTimer(0)
@@ -140,8 +150,8 @@
 	}
 }
 
-// runQueued executes the calls that wait, so that one sync of the disk serves them all. With BatchCalls it also waits for those that come
-// within batchWindow.
+// runQueued executes the queued calls, so that they share one disk sync. With BatchCalls it also
+// waits for calls that arrive within batchWindow.
 func (h *Host) runQueued() {
 	var windowEnd <-chan time.Time
 	if h.cfg.Options.BatchCalls {
@@ -168,8 +178,9 @@
 	}
 }
 
-// HandOver hands the leadership of all groups that this process leads to others, because the process is about to end. It returns when it leads none
-// that another one can take, or when ctx ends. The host has to run.
+// HandOver transfers the leadership of all groups that this process leads to other processes,
+// because it is shutting down. It returns when no transferable leadership remains, or when ctx
+// ends. The host must be running.
 func (h *Host) HandOver(ctx context.Context) {
 	for ctx.Err() == nil {
 		leading := make(chan int, 1)
@@ -191,20 +202,23 @@
 	}
 }
 
-// Failed reports whether the host has ended because state could not be read. The process has to end then.
+// Failed reports whether the host has stopped because state could not be read. The process must
+// exit then.
 func (h *Host) Failed() bool { return h.failed.Load() }
 
 // Done returns a channel that is closed when Run has returned.
 func (h *Host) Done() <-chan struct{} { return h.done }
 
-// Stop ends Run and waits for it. It must be called at most once, and only if Run was started: it would wait for ever otherwise.
+// Stop stops Run and waits for it to return. It must be called at most once, and only if Run was
+// started: it would block forever otherwise.
 func (h *Host) Stop() {
 	close(h.stop)
 	<-h.done
 }
 
-// ErrNotEncodable marks a command that can't be encoded, as with a string that is not UTF-8. It has had no effect.
-var ErrNotEncodable = errors.New("replica: command can't be encoded")
+// ErrNotEncodable is returned for a command that cannot be encoded, such as one with a string that
+// is not valid UTF-8. The command has no effect.
+var ErrNotEncodable = errors.New("replica: cannot encode command")
 
 // Marshal encodes a command for Propose or Submit. The error wraps ErrNotEncodable.
 func Marshal(m proto.Message) ([]byte, error) {
@@ -215,11 +229,12 @@
 	return b, nil
 }
 
-// ProposeMessage is Propose for a command that is not encoded yet. One that can't be encoded is UNAVAILABLE: it has had no effect.
+// ProposeMessage encodes a command and calls Propose. If the command cannot be encoded, the outcome
+// is UNAVAILABLE: it has no effect.
 func (h *Host) ProposeMessage(ctx context.Context, name string, command proto.Message) ProposalResult {
 	encoded, err := Marshal(command)
 	if err != nil {
-		h.cfg.Log.Error("proposal", "group", name, "error", err)
+		h.cfg.Log.Error("failed to encode proposal", "group", name, "error", err)
 		return ProposalResult{Outcome: rpc.Outcome_UNAVAILABLE}
 	}
 	return h.Propose(ctx, name, encoded)
--- a/internal/scheduler/replica/host_test.go
+++ b/internal/scheduler/replica/host_test.go
@@ -21,16 +21,17 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// journal is a state machine that keeps its commands. wake receives a value when the state has changed.
-type journal struct {
+// recorder is a state machine that records its commands. wake receives a value when the state has
+// changed.
+type recorder struct {
 	mu       sync.Mutex
 	commands []string
 	wake     chan struct{}
 }
 
-func newJournal() *journal { return &journal{wake: make(chan struct{}, 1)} }
+func newRecorder() *recorder { return &recorder{wake: make(chan struct{}, 1)} }
 
-func (j *journal) Apply(_ uint64, command []byte) []byte {
+func (j *recorder) Apply(_ uint64, command []byte) []byte {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.commands = append(j.commands, string(command))
@@ -41,7 +42,7 @@
 	return command
 }
 
-func (j *journal) Snapshot() func() proto.Message {
+func (j *recorder) Snapshot() func() proto.Message {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	commands := j.commands
@@ -55,7 +56,7 @@
 	}
 }
 
-func (j *journal) Restore(_ uint64, state *bufio.Reader) error {
+func (j *recorder) Restore(_ uint64, state *bufio.Reader) error {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.commands = nil
@@ -77,9 +78,9 @@
 	return nil
 }
 
-// distinct returns the commands without repetitions. A command whose outcome was unknown, as where a disk was slow, is proposed again, and may then
-// be applied twice.
-func (j *journal) distinct() (commands []string) {
+// distinct returns the commands without duplicates. A command with unknown outcome, for example
+// after a slow disk write, is proposed again, and may then be applied twice.
+func (j *recorder) distinct() (commands []string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	seen := map[string]bool{}
@@ -92,11 +93,11 @@
 	return commands
 }
 
-// network carries messages between the hosts of a test, by their addresses.
+// network delivers messages between the hosts of a test by address.
 type network struct {
 	mu      sync.Mutex
 	hosts   map[string]*Host
-	observe func(messages []*rpc.Message) // called with what is sent; nil: not called
+	observe func(messages []*rpc.Message) // called with the messages sent; nil: not called
 }
 
 func (n *network) send(address string, messages []*rpc.Message) {
@@ -111,7 +112,7 @@
 	}
 }
 
-func (n *network) start(t *testing.T, name string, machine *journal, options Options) *Host {
+func (n *network) start(t *testing.T, name string, machine *recorder, options Options) *Host {
 	t.Helper()
 	store, err := OpenStore(t.TempDir())
 	if err != nil {
@@ -132,26 +133,27 @@
 	return host
 }
 
-// A replica that starts late receives everything, also entries whose data the leader has on disk only, and takes the place of another. With
-// short logs it receives a snapshot in many chunks.
-func TestHostsAgreeAndCatchUp(t *testing.T) {
-	t.Run("by the log", func(t *testing.T) { agreeAndCatchUp(t, Options{}) })
-	t.Run("by snapshots", func(t *testing.T) { agreeAndCatchUp(t, Options{SnapshotEntries: 20}) })
+// A replica that joins late receives every command, including entries whose data the leader has on
+// disk only, and replaces another replica. With short logs it receives a snapshot in several
+// chunks.
+func TestHost_LateReplicaCatchesUp(t *testing.T) {
+	t.Run("by the log", func(t *testing.T) { testCatchUp(t, Options{}) })
+	t.Run("by snapshots", func(t *testing.T) { testCatchUp(t, Options{SnapshotEntries: 20}) })
 }
 
-func agreeAndCatchUp(t *testing.T, options Options) {
+func testCatchUp(t *testing.T, options Options) {
 	t.Helper()
 	is := is.New(t)
 	n := &network{hosts: map[string]*Host{}}
-	machines := map[string]*journal{}
-	var founders []*rpc.Replica
+	machines := map[string]*recorder{}
+	var initialVoters []*rpc.Replica
 	for _, name := range []string{"a", "b", "c", "d"} {
-		machines[name] = newJournal()
-		founders = append(founders, &rpc.Replica{Id: name, Address: name, Node: name})
+		machines[name] = newRecorder()
+		initialVoters = append(initialVoters, &rpc.Replica{Id: name, Address: name, Node: name})
 	}
 	hosts := []*Host{n.start(t, "a", machines["a"], options), n.start(t, "b", machines["b"], options)}
 	for _, host := range hosts {
-		host.CreateGroup("g", founders[:3])
+		host.CreateGroup("g", initialVoters[:3])
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 60*time.Second)
 	defer cancel()
@@ -160,9 +162,9 @@
 		command := fmt.Appendf(nil, "command %d", i)
 		is.Equal(string(proposeAtLeader(ctx, hosts, command)), string(command))
 	}
-	n.start(t, "d", machines["d"], options) // takes c's place
+	n.start(t, "d", machines["d"], options) // replaces c
 	for _, host := range hosts {
-		host.SetWanted(&rpc.Placement{Group: "g", Replicas: []*rpc.Replica{founders[0], founders[1], founders[3]}, Revision: 1})
+		host.SetWanted(&rpc.Placement{Group: "g", Replicas: []*rpc.Replica{initialVoters[0], initialVoters[1], initialVoters[3]}, Revision: 1})
 	}
 	for len(machines["d"].distinct()) < commands {
 		select {
@@ -176,7 +178,8 @@
 	}
 }
 
-// proposeAtLeader proposes a command to one host after the other until one has committed it, and returns its result; nil if ctx ends before.
+// proposeAtLeader proposes a command to one host after another until one has committed it, and
+// returns its result; nil if ctx ends before.
 func proposeAtLeader(ctx context.Context, hosts []*Host, command []byte) []byte {
 	for ctx.Err() == nil {
 		for _, host := range hosts {
@@ -188,10 +191,11 @@
 	return nil
 }
 
-// A context bounds the wait for a place in the queue too. What had no place has had no effect.
-func TestProposeBoundsTheWaitForAPlace(t *testing.T) {
+// A context also limits the time that Propose waits for the queue. A command that was not queued
+// has no effect.
+func TestHostPropose_QueueFull(t *testing.T) {
 	is := is.New(t)
-	host := &Host{input: make(chan func(int64)), stop: make(chan struct{}), done: make(chan struct{})} // its queue is full, and nobody empties it
+	host := &Host{input: make(chan func(int64)), stop: make(chan struct{}), done: make(chan struct{})} // unbuffered queue without a reader
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Millisecond)
 	defer cancel()
 	is.Equal(host.Propose(ctx, "g", nil).Outcome, rpc.Outcome_UNAVAILABLE)
@@ -199,8 +203,8 @@
 	is.Equal(host.Propose(context.Background(), "g", nil).Outcome, rpc.Outcome_UNAVAILABLE)
 }
 
-// A command that can't be encoded is an error of its caller, and has no effect.
-func TestMarshalOfNoUTF8(t *testing.T) {
+// A command that cannot be encoded is an error of its caller, and has no effect.
+func TestMarshal_InvalidUTF8(t *testing.T) {
 	is := is.New(t)
 	_, err := Marshal(&rpc.Instance{Id: "\xff"})
 	is.True(errors.Is(err, ErrNotEncodable))
@@ -208,14 +212,14 @@
 	is.Equal(host.ProposeMessage(context.Background(), "g", &rpc.Instance{Id: "\xff"}).Outcome, rpc.Outcome_UNAVAILABLE)
 }
 
-// A later attempt without effect doesn't hide that an earlier one may have had an effect.
-func TestSubmitKeepsAnUnknownOutcome(t *testing.T) {
+// A later attempt without effect does not hide that an earlier one may have taken effect.
+func TestSubmit_UnknownOutcome(t *testing.T) {
 	for _, test := range []struct {
 		name     string
 		outcomes []rpc.Outcome // of the attempts; the submission ends after the last one
 		want     rpc.Outcome
 	}{
-		{"never an effect", []rpc.Outcome{rpc.Outcome_NOT_LEADER, rpc.Outcome_UNAVAILABLE}, rpc.Outcome_UNAVAILABLE},
+		{"no effect", []rpc.Outcome{rpc.Outcome_NOT_LEADER, rpc.Outcome_UNAVAILABLE}, rpc.Outcome_UNAVAILABLE},
 		{"unknown, then no effect", []rpc.Outcome{rpc.Outcome_OUTCOME_UNKNOWN, rpc.Outcome_UNAVAILABLE}, rpc.Outcome_OUTCOME_UNKNOWN},
 		{"unknown, then committed", []rpc.Outcome{rpc.Outcome_OUTCOME_UNKNOWN, rpc.Outcome_DONE}, rpc.Outcome_DONE},
 	} {
@@ -236,14 +240,15 @@
 	}
 }
 
-// A command goes to the leader that is known; without one, and where nobody listens at its address, it has no effect.
-func TestAttemptGoesToTheLeader(t *testing.T) {
+// A command is sent to the known leader; without one, and if its address refuses connections, the
+// command has no effect.
+func TestSubmit_AttemptAtKnownLeader(t *testing.T) {
 	is := is.New(t)
 	server := httptest.NewServer(rpc.NewReplicationServer(leaderStub{}))
 	defer server.Close()
 	address := strings.TrimPrefix(server.URL, "http://")
 	attempt := func(leader string) rpc.Outcome {
-		s := submission{host: hostThatFollows(leader), client: transport.NewClient(), group: "g"}
+		s := submission{host: newFollowerHost(leader), client: transport.NewClient(), group: "g"}
 		return s.attempt(context.Background()).Outcome
 	}
 	is.Equal(attempt(address), rpc.Outcome_DONE)
@@ -259,8 +264,9 @@
 	return &rpc.ProposeResponse{Outcome: rpc.Outcome_DONE}, nil
 }
 
-// hostThatFollows returns a host that isn't run, with a group "g" that another process leads; an empty address says that none is known.
-func hostThatFollows(leader string) *Host {
+// newFollowerHost returns a host that is not running, with a group "g" led by another process; an
+// empty address means that no leader is known.
+func newFollowerHost(leader string) *Host {
 	statuses := xsync.NewMap[string, *atomic.Pointer[Status]]()
 	status := &atomic.Pointer[Status]{}
 	status.Store(&Status{LeaderAddress: leader})
@@ -268,16 +274,16 @@
 	return &Host{engine: &Engine{statuses: statuses}, done: make(chan struct{})}
 }
 
-// A process that is about to end hands the leadership over. When the message leaves that has its successor elected, readers of its status see no lease
-// any more.
-func TestHandOver(t *testing.T) {
+// A process that is shutting down transfers its leadership. Before it sends the message that starts
+// the election, readers of its status no longer see the lease.
+func TestHost_HandOver(t *testing.T) {
 	is := is.New(t)
 	n := &network{hosts: map[string]*Host{}}
-	var founders []*rpc.Replica
+	var initialVoters []*rpc.Replica
 	for _, name := range []string{"a", "b", "c"} {
-		founders = append(founders, &rpc.Replica{Id: name, Address: name, Node: name})
+		initialVoters = append(initialVoters, &rpc.Replica{Id: name, Address: name, Node: name})
 	}
-	leases := make(chan bool, 16) // whether the sender seemed to have its lease when it had its successor elected
+	leases := make(chan bool, 16) // whether the sender's status had the lease when it sent TIMEOUT_NOW
 	n.observe = func(messages []*rpc.Message) {
 		for _, m := range messages {
 			if m.Kind == rpc.MessageKind_TIMEOUT_NOW {
@@ -288,16 +294,16 @@
 	}
 	var hosts []*Host
 	for _, name := range []string{"a", "b", "c"} {
-		hosts = append(hosts, n.start(t, name, newJournal(), Options{}))
+		hosts = append(hosts, n.start(t, name, newRecorder(), Options{}))
 	}
 	for _, host := range hosts {
-		host.CreateGroup("g", founders)
+		host.CreateGroup("g", initialVoters)
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 60*time.Second)
 	defer cancel()
 	is.True(proposeAtLeader(ctx, hosts, []byte("before")) != nil)
-	handedOver := false
-	for !handedOver && ctx.Err() == nil { // others may not have caught up yet
+	transferred := false
+	for !transferred && ctx.Err() == nil { // the others may not have caught up yet
 		for _, host := range hosts {
 			if !host.Status("g").Leader {
 				continue
@@ -306,29 +312,30 @@
 			select {
 			case hadLease := <-leases:
 				is.True(!hadLease)
-				handedOver = true
+				transferred = true
 			default:
 			}
 		}
 	}
-	is.True(handedOver)
+	is.True(transferred)
 	is.True(proposeAtLeader(ctx, hosts, []byte("after")) != nil)
 }
 
-// A placement that is announced before its group is joined is acted on when the replica leads: it is announced once.
-func TestPlacementBeforeTheGroupIsKnown(t *testing.T) {
+// A placement announced before its group is joined takes effect when the replica becomes leader: it
+// is announced only once.
+func TestSetWanted_BeforeGroupIsJoined(t *testing.T) {
 	is := is.New(t)
 	store, err := OpenStore(t.TempDir())
 	is.NoErr(err)
 	defer store.Close()
 	engine, err := NewEngine(Config{
 		Identity: Identity{ID: "d", Address: "d"}, Store: store, Send: func(string, []*rpc.Message) {}, Log: slog.New(slog.DiscardHandler),
-		Machine: func(string) StateMachine { return newJournal() },
+		Machine: func(string) StateMachine { return newRecorder() },
 	}, 0)
 	is.NoErr(err)
 	own, next := &rpc.Replica{Id: "d", Address: "d"}, &rpc.Replica{Id: "e", Address: "e"}
 	engine.SetWanted(&rpc.Placement{Group: "g", Replicas: []*rpc.Replica{own, next}, Revision: 7})
-	engine.SetWanted(&rpc.Placement{Group: "g", Replicas: []*rpc.Replica{own}, Revision: 6}) // late
+	engine.SetWanted(&rpc.Placement{Group: "g", Replicas: []*rpc.Replica{own}, Revision: 6}) // out of order
 	engine.Step(10, []*rpc.Message{{
 		Kind: rpc.MessageKind_SNAPSHOT, Group: "g", From: "a", FromAddress: "a", To: "d", Epoch: 5,
 		Snapshot: &rpc.Snapshot{Index: 3, Epoch: 4, Membership: &rpc.Membership{Voters: []*rpc.Replica{own}}},
--- a/internal/scheduler/replica/identity_store.go
+++ b/internal/scheduler/replica/identity_store.go
@@ -12,14 +12,15 @@
 const (
 	identityFileName = "facts.db"
 	identityKey      = "identity"
-	metPrefix        = "met:" // before the id of a founder that has sent a message
+	contactKeyPrefix = "met:" // key prefix of the ids of founders that have sent a message
 )
 
-// IdentityStore keeps the id that is bound to a disk. It is separate from the Store, so that the id is known before any group is. Its methods may
-// be called by any goroutine.
+// IdentityStore stores the id that is bound to a disk. It is separate from the Store, so that the
+// id is known before any group is. It is safe for concurrent use.
 type IdentityStore struct{ db *buntdb.DB }
 
-// OpenIdentityStore opens the identity store in a folder, and makes the folder if there is none. The caller has to close it.
+// OpenIdentityStore opens the identity store in a directory, which it creates if necessary. The
+// caller must close the store.
 func OpenIdentityStore(path string) (*IdentityStore, error) {
 	if err := os.MkdirAll(path, 0o755); err != nil {
 		return nil, err
@@ -38,10 +39,10 @@
 	return &IdentityStore{db}, nil
 }
 
-// Close closes the file.
+// Close closes the database file.
 func (s *IdentityStore) Close() error { return s.db.Close() }
 
-// Identity returns the id that is bound to this disk; empty if none is yet.
+// Identity returns the id that is bound to this disk; empty if there is none yet.
 func (s *IdentityStore) Identity() (id string, err error) {
 	err = s.db.View(func(tx *buntdb.Tx) error {
 		id, err = tx.Get(identityKey)
@@ -53,32 +54,33 @@
 	return id, err
 }
 
-// RecordContact records that a message of a founder has arrived. It is durable when RecordContact returns without an error. What is recorded already
-// takes no write.
+// RecordContact records that a message of a founder has arrived. The record is durable when
+// RecordContact returns without an error. A known founder causes no write.
 func (s *IdentityStore) RecordContact(founder string) error {
-	if met, err := s.HasContact(founder); met || err != nil {
+	if contacted, err := s.HasContact(founder); contacted || err != nil {
 		return err
 	}
 	return s.db.Update(func(tx *buntdb.Tx) error {
-		_, _, err := tx.Set(metPrefix+founder, "1", nil)
+		_, _, err := tx.Set(contactKeyPrefix+founder, "1", nil)
 		return err
 	})
 }
 
-// HasContact reports whether a message of a founder was recorded.
-func (s *IdentityStore) HasContact(founder string) (met bool, err error) {
+// HasContact reports whether a message of a founder has been recorded.
+func (s *IdentityStore) HasContact(founder string) (contacted bool, err error) {
 	err = s.db.View(func(tx *buntdb.Tx) error {
-		_, err := tx.Get(metPrefix + founder)
+		_, err := tx.Get(contactKeyPrefix + founder)
 		if errors.Is(err, buntdb.ErrNotFound) {
 			return nil
 		}
-		met = err == nil
+		contacted = err == nil
 		return err
 	})
-	return met, err
+	return contacted, err
 }
 
-// SetIdentity binds an id to this disk. The id is durable when it returns without an error.
+// SetIdentity binds an id to this disk. The id is durable when SetIdentity returns without an
+// error.
 func (s *IdentityStore) SetIdentity(id string) error {
 	return s.db.Update(func(tx *buntdb.Tx) error {
 		_, _, err := tx.Set(identityKey, id, nil)
--- a/internal/scheduler/replica/ready.go
+++ b/internal/scheduler/replica/ready.go
@@ -7,20 +7,21 @@
 	"slices"
 )
 
-// readyBatch is what the cores of several groups returned from Ready. It is persisted with one sync, then sent and applied.
+// readyBatch is the Ready results of the cores of several groups. It is persisted with one sync,
+// then sent and applied.
 type readyBatch struct {
 	writes []GroupWrite
 	tasks  []readyTask
 }
 
-// readyTask is what has to be sent and applied for one group.
+// readyTask is a Ready result of one group to send and apply.
 type readyTask struct {
 	group *group
 	ready consensus.Ready
 }
 
-// processReady carries out what the cores of all dirty groups return from Ready. It reports whether there may be more to do, which is not so
-// if the disk did not take it.
+// processReady processes the Ready results of the cores of all dirty groups. It reports whether
+// there may be more to process, which is not the case if a write failed.
 func (e *Engine) processReady() (more bool) {
 	batch := &readyBatch{}
 	for _, name := range e.names {
@@ -46,7 +47,8 @@
 	return e.flush()
 }
 
-// groupWrite returns what has to be persisted of what a core returned, and counts it.
+// groupWrite returns the part of a Ready result that has to be persisted, and updates the
+// statistics.
 func (e *Engine) groupWrite(g *group, ready *consensus.Ready) GroupWrite {
 	if ready.Snapshot != nil {
 		g.logBytes = 0
@@ -65,8 +67,8 @@
 	}
 }
 
-// flush persists the pending batch, if there is one, and then sends and applies it. It returns false if the disk did not take it or the
-// engine has ended.
+// flush persists the pending batch, if there is one, and then sends and applies it. It returns
+// false if the write failed or the engine has stopped.
 func (e *Engine) flush() bool {
 	batch := e.pending
 	if batch == nil {
@@ -86,9 +88,10 @@
 	return e.err == nil
 }
 
-// withdrawLeadership tells readers that this replica no longer leads groups whose leadership it has given up, before the messages leave that have
-// another one elected: until then its lease would seem to last. It is not for replicas that follow another leader, whose status must not be newer
-// than what they have applied.
+// withdrawLeadership publishes the end of this replica's leadership of groups that it has
+// transferred, before it sends the messages that start the elections: until then readers would rely
+// on its lease. It skips replicas that follow another leader, whose status must not be newer than
+// what they have applied.
 func (e *Engine) withdrawLeadership(batch *readyBatch) {
 	for _, task := range batch.tasks {
 		g := task.group
@@ -98,25 +101,25 @@
 	}
 }
 
-// persist stores writes durably. It returns false if the disk did not take them, so that the caller has to repeat them, or if the engine
-// has ended.
+// persist stores writes durably. It returns false if the write failed, so that the caller has to
+// retry it, or if the engine has stopped.
 func (e *Engine) persist(writes []GroupWrite) bool {
 	err := e.cfg.Store.Persist(writes)
 	if errors.Is(err, ErrCorrupt) {
 		return e.stopOnError(err)
 	}
 	if err != nil {
-		e.cfg.Log.Error("write to disk failed", "error", err)
+		e.cfg.Log.Error("failed to persist replica state", "error", err)
 	}
 	return err == nil
 }
 
-// send passes the messages of a batch on, in one call for each address.
+// send sends the messages of a batch, with one call for each address.
 func (e *Engine) send(batch *readyBatch) {
 	outgoing := map[string][]*rpc.Message{}
-	var addresses []string // the keys of outgoing, in the order of their first messages
+	var addresses []string // the keys of outgoing, in order of their first message
 	for _, task := range batch.tasks {
-		e.learnAddresses(task.group.core.Membership())
+		e.recordAddresses(task.group.core.Membership())
 		for _, m := range task.ready.Messages {
 			address := e.addresses[m.To]
 			if address == "" || !e.loadData(task.group, m) {
@@ -133,20 +136,20 @@
 	}
 }
 
-// learnAddresses notes the addresses of a group's members.
-func (e *Engine) learnAddresses(membership *rpc.Membership) {
+// recordAddresses records the addresses of a group's members.
+func (e *Engine) recordAddresses(membership *rpc.Membership) {
 	for _, replica := range slices.Concat(membership.GetVoters(), membership.GetLearners(), membership.GetOutgoing()) {
 		e.addresses[replica.Id] = replica.Address
 	}
 }
 
-// loadData fills the data in that a message's entries and chunk have on disk only. It returns false if that can't be read: the message is
-// not sent then.
+// loadData loads the data of a message's entries and chunk that is on disk only. It returns false
+// if the data cannot be read: the message is not sent then.
 func (e *Engine) loadData(g *group, m *rpc.Message) bool {
 	for i, entry := range m.Entries {
 		loaded, err := e.loadEntry(g, entry)
 		if err != nil {
-			e.cfg.Log.Error("entry can't be read", "group", g.name, "index", entry.Index, "error", err)
+			e.cfg.Log.Error("failed to read log entry", "group", g.name, "index", entry.Index, "error", err)
 			return false
 		}
 		m.Entries[i] = loaded
@@ -154,7 +157,7 @@
 	if m.Piece != nil {
 		chunk, err := e.cfg.Store.Chunk(g.name, m.Piece.Number)
 		if err != nil {
-			e.cfg.Log.Error("snapshot chunk can't be read", "group", g.name, "chunk", m.Piece.Number, "error", err)
+			e.cfg.Log.Error("failed to read snapshot chunk", "group", g.name, "chunk", m.Piece.Number, "error", err)
 			return false
 		}
 		m.Piece = chunk
--- a/internal/scheduler/replica/sender.go
+++ b/internal/scheduler/replica/sender.go
@@ -9,18 +9,20 @@
 )
 
 const (
-	// sendTimeout bounds one call to another replica's process.
+	// sendTimeout is the timeout of one call to another replica's process.
 	sendTimeout = 500 * time.Millisecond
-	// queueBatches bounds the batches of messages that wait for an address.
-	queueBatches = 256
-	// maxMessagesPerCall is the number of messages from which on no further batch is added to a call.
+	// maxQueuedBatches is the maximum number of message batches queued for an address.
+	maxQueuedBatches = 256
+	// maxMessagesPerCall is the number of messages from which no further batch is added to a call.
 	maxMessagesPerCall = 128
 )
 
-// Sender carries messages to other replicas. Each address has a queue and a goroutine of its own, so that an unresponsive process delays no
-// other. Messages that find the queue full, or whose call fails, are lost: the consensus protocol repeats them.
+// Sender sends messages to other replicas. Each address has its own queue and goroutine, so that an
+// unresponsive process does not delay others. Messages are dropped if the queue is full or the call
+// fails: the consensus protocol retransmits them.
 //
-// The goroutines run until the process ends, one for every address that was ever sent to. A process has one Sender.
+// The goroutines run until the process exits, one for every address ever used. A process has one
+// Sender.
 type Sender struct {
 	client *transport.Client
 	mu     sync.Mutex // guards queues
@@ -32,7 +34,8 @@
 	return &Sender{client: client, queues: map[string]chan []*rpc.Message{}}
 }
 
-// Send queues messages for an address. It does not block. The slice and its messages must not be changed afterwards.
+// Send queues messages for an address. It does not block. The slice and its messages must not be
+// modified afterwards.
 func (s *Sender) Send(address string, messages []*rpc.Message) {
 	select {
 	case s.queue(address) <- messages:
@@ -40,20 +43,20 @@
 	}
 }
 
-// queue returns the queue of an address, and starts its goroutine at the first use.
+// queue returns the queue of an address, and starts its goroutine on first use.
 func (s *Sender) queue(address string) chan<- []*rpc.Message {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	queue := s.queues[address]
 	if queue == nil {
-		queue = make(chan []*rpc.Message, queueBatches)
+		queue = make(chan []*rpc.Message, maxQueuedBatches)
 		s.queues[address] = queue
 		go s.run(address, queue)
 	}
 	return queue
 }
 
-// run sends what is queued for an address, one call after the other.
+// run sends the queued messages of an address, one call at a time.
 func (s *Sender) run(address string, queue <-chan []*rpc.Message) {
 	client := rpc.NewReplicationProtobufClient("http://"+address, s.client)
 	for messages := range queue {
@@ -61,7 +64,7 @@
 	}
 }
 
-// addQueued adds to messages those that wait in a queue, until there are enough for a call.
+// addQueued appends queued messages until there are enough for a call.
 func addQueued(messages []*rpc.Message, queue <-chan []*rpc.Message) []*rpc.Message {
 	for len(messages) < maxMessagesPerCall {
 		select {
@@ -74,9 +77,9 @@
 	return messages
 }
 
-// step makes one call.
+// step sends messages in one call.
 func step(client rpc.Replication, messages []*rpc.Message) {
 	ctx, cancel := context.WithTimeout(context.Background(), sendTimeout)
 	defer cancel()
-	_, _ = client.Step(ctx, &rpc.StepRequest{Messages: messages}) // the protocol repeats messages that are lost
+	_, _ = client.Step(ctx, &rpc.StepRequest{Messages: messages}) // the protocol retransmits lost messages
 }
--- a/internal/scheduler/replica/service.go
+++ b/internal/scheduler/replica/service.go
@@ -6,24 +6,27 @@
 	"time"
 )
 
-// proposeTimeout bounds how long a process waits for the result of a proposal that another one has forwarded to it.
+// proposeTimeout is the maximum time that a process waits for the result of a proposal forwarded to
+// it.
 const proposeTimeout = 2 * time.Second
 
-// Service answers the replication calls of other processes. It implements rpc.Replication; its methods never return an error.
+// Service serves the replication calls of other processes. It implements rpc.Replication; its
+// methods never return an error.
 type Service struct {
 	Host *Host
-	// HasContact reports whether a message of a founder has arrived here once; nil: no such record is kept.
+	// HasContact reports whether a message of a founder has ever arrived here; nil: contacts are
+	// not recorded.
 	HasContact func(founder string) bool
 }
 
-// Step gives messages to the host. It returns before they are processed.
+// Step passes messages to the host. It returns before they are processed.
 func (s *Service) Step(_ context.Context, r *rpc.StepRequest) (*rpc.StepResponse, error) {
 	s.Host.Step(r.Messages)
 	return &rpc.StepResponse{}, nil
 }
 
-// Propose has a group that this process leads commit and apply a command. The response names the leader, as this process knows it, whatever
-// the outcome.
+// Propose makes a group that this process leads commit and apply a command. The response has the
+// address of the leader known to this process, whatever the outcome.
 func (s *Service) Propose(ctx context.Context, r *rpc.ProposeRequest) (*rpc.ProposeResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
 	defer cancel()
@@ -35,7 +38,7 @@
 	return response, nil
 }
 
-// Status returns this process's view of all its groups, in no order.
+// Status returns this process's view of all its groups, unsorted.
 func (s *Service) Status(_ context.Context, r *rpc.StatusRequest) (*rpc.StatusResponse, error) {
 	response := &rpc.StatusResponse{Node: s.Host.cfg.Identity.Node}
 	if r.Founder != "" && s.HasContact != nil {
@@ -49,7 +52,7 @@
 	return response, nil
 }
 
-// groupStatus returns a status as it is sent to other processes.
+// groupStatus returns a status in its wire format.
 func (s *Service) groupStatus(name string, status *Status) *rpc.GroupStatus {
 	return &rpc.GroupStatus{
 		Group:         name,
--- a/internal/scheduler/replica/snapshots.go
+++ b/internal/scheduler/replica/snapshots.go
@@ -10,24 +10,27 @@
 )
 
 const (
-	// chunkBytes is the length of every chunk of a snapshot but the last.
+	// chunkBytes is the size of every chunk of a snapshot but the last.
 	chunkBytes = 256 << 10
-	// chunksPerTick bounds the chunks of a group that are made in one Tick, so that heartbeats go on in between.
+	// chunksPerTick is the maximum number of chunks written for a group in one Tick, so that
+	// heartbeats are sent in between.
 	chunksPerTick = 2
-	// byteSlackDivisor and entrySlackFactor say how far a log may outgrow its bounds while a snapshot would cut off a replica that is
-	// catching up: by one part in byteSlackDivisor of the bytes, and to entrySlackFactor times the entries, which take next to no memory.
+	// byteSlackDivisor and entrySlackFactor limit how far a log may exceed its maximum size while a
+	// snapshot would cut off a replica that is catching up: by 1/byteSlackDivisor of the bytes, and
+	// to entrySlackFactor times the entries, which need little memory.
 	byteSlackDivisor = 4
 	entrySlackFactor = 3
 )
 
-// snapshotWriter makes a snapshot of a group's state, some chunks at each Tick, while further commands are applied.
+// snapshotWriter creates a snapshot of a group's state, some chunks at each Tick, while further
+// commands are applied.
 type snapshotWriter struct {
 	snapshot   *rpc.Snapshot
 	nextRecord func() proto.Message
-	buffer     bytes.Buffer // records that are not in a chunk yet
+	buffer     bytes.Buffer // records not written to a chunk yet
 	digest     *xxhash.Digest
 	exhausted  bool  // nextRecord has returned the last record
-	logBytes   int64 // length of the group's log when the snapshot was begun
+	logBytes   int64 // size of the group's log when the snapshot was started
 }
 
 // nextChunk returns the next chunk; nil after the last one.
@@ -39,7 +42,7 @@
 		return nil, nil
 	}
 	data := bytes.Clone(w.buffer.Next(chunkBytes))
-	_, _ = w.digest.Write(data) // a digest takes every write
+	_, _ = w.digest.Write(data) // never fails
 	chunk := &rpc.SnapshotPiece{Number: w.snapshot.Pieces, Data: data}
 	w.snapshot.Pieces++
 	return chunk, nil
@@ -60,21 +63,23 @@
 	return nil
 }
 
-// advanceSnapshots begins snapshots of the groups whose logs have grown long, and goes on with those that are begun.
+// advanceSnapshots starts snapshots of groups with long logs, and writes the next chunks of those
+// in progress.
 func (e *Engine) advanceSnapshots() {
 	for _, name := range e.names {
 		g := e.groups[name]
-		if g.snapshotInMaking == nil && e.snapshotDue(g) {
+		if g.pendingSnapshot == nil && e.snapshotDue(g) {
 			g.beginSnapshot()
 		}
-		if g.snapshotInMaking != nil {
+		if g.pendingSnapshot != nil {
 			e.writeChunks(g)
 		}
 	}
 }
 
-// snapshotDue reports whether a group's log should be replaced by a snapshot. A leader waits a while for replicas that are about to catch up
-// from the log, or that a snapshot is being sent to: they would have to begin again with the new one.
+// snapshotDue reports whether a group's log should be replaced by a snapshot. A leader defers it,
+// up to a limit, for replicas that are catching up from the log or receiving a snapshot: they would
+// have to start over with the new one.
 func (e *Engine) snapshotDue(g *group) bool {
 	maxBytes := cmp.Or(e.cfg.Options.SnapshotBytes, defaultSnapshotBytes)
 	maxEntries := cmp.Or(e.cfg.Options.SnapshotEntries, defaultSnapshotEntries)
@@ -90,13 +95,13 @@
 	return !g.core.SendingSnapshot() && !g.core.HasLaggingReplica(g.applied)
 }
 
-// beginSnapshot begins a snapshot of all that is applied, unless the core has no use for it.
+// beginSnapshot starts a snapshot of the applied state, unless the core does not need one.
 func (g *group) beginSnapshot() {
 	snapshot := g.core.PrepareSnapshot(g.applied)
 	if snapshot == nil {
 		return
 	}
-	g.snapshotInMaking = &snapshotWriter{
+	g.pendingSnapshot = &snapshotWriter{
 		snapshot:   snapshot,
 		nextRecord: g.machine.Snapshot(),
 		digest:     xxhash.New(),
@@ -104,12 +109,12 @@
 	}
 }
 
-// writeChunks writes the next chunks of a snapshot. After the last one the snapshot takes the place of the log. A snapshot that the disk does
-// not take is given up, and begun again by a later Tick.
+// writeChunks writes the next chunks of a snapshot. After the last one the snapshot replaces the
+// log. If a write fails, the snapshot is abandoned, and a later Tick starts a new one.
 func (e *Engine) writeChunks(g *group) {
-	writer := g.snapshotInMaking
+	writer := g.pendingSnapshot
 	if g.core.ReceivingSnapshot() {
-		g.snapshotInMaking = nil // the one that is being received is newer
+		g.pendingSnapshot = nil // the incoming snapshot is newer
 		return
 	}
 	for range chunksPerTick {
@@ -123,17 +128,17 @@
 			return
 		}
 		if err := e.cfg.Store.StageChunk(g.name, chunk); err != nil {
-			e.cfg.Log.Error("snapshot can't be written", "group", g.name, "error", err)
-			g.snapshotInMaking = nil
+			e.cfg.Log.Error("failed to write snapshot chunk", "group", g.name, "error", err)
+			g.pendingSnapshot = nil
 			return
 		}
 	}
 }
 
-// finishSnapshot persists a snapshot whose chunks are all written, and drops the log that it covers.
+// finishSnapshot persists a snapshot whose chunks are all written, and compacts the log.
 func (e *Engine) finishSnapshot(g *group) {
-	writer := g.snapshotInMaking
-	g.snapshotInMaking = nil
+	writer := g.pendingSnapshot
+	g.pendingSnapshot = nil
 	snapshot := writer.snapshot
 	snapshot.Checksum = writer.digest.Sum64()
 	if !g.core.SupersedesSnapshot(snapshot) || !e.persist([]GroupWrite{{Group: g.name, Snapshot: snapshot}}) {
@@ -142,5 +147,5 @@
 	g.core.Compact(snapshot)
 	g.logBytes = max(0, g.logBytes-writer.logBytes)
 	e.counts.SnapshotsMade++
-	e.cfg.Log.Info("snapshot", "group", g.name, "index", snapshot.Index, "chunks", snapshot.Pieces)
+	e.cfg.Log.Info("snapshot created", "group", g.name, "index", snapshot.Index, "chunks", snapshot.Pieces)
 }
--- a/internal/scheduler/replica/status.go
+++ b/internal/scheduler/replica/status.go
@@ -8,42 +8,43 @@
 	"sync/atomic"
 )
 
-// Status is a replica's view of its group when something last changed. It is not altered after it was published, so any goroutine may read
-// it. Times are those of Host.Now.
+// Status is a replica's view of its group at its latest change. It is immutable once published, so
+// it may be read from any goroutine. Times are those of Host.Now.
 type Status struct {
-	Leader              bool   // this replica leads; whether others still follow says HasLease
-	Ready               bool   // it leads, and knows everything that earlier leaders acknowledged
-	QuorumContactAt     int64  // of a leader: when a majority was last known to follow it
+	Leader              bool   // this replica is in the leader role; HasLease also checks for followers
+	Ready               bool   // it leads and has every entry that earlier leaders acknowledged
+	QuorumContactAt     int64  // leader only: when a majority was last known to follow it
 	LeaderID            string // empty: no known leader
 	LeaderAddress       string // of the leader's peer service
 	Epoch               uint64
 	Commit              uint64
 	Applied             uint64
 	LeaderContactAt     int64 // when a message of the leader last arrived
-	CurrentAt           int64 // when a message of the leader last arrived while this replica had all that was committed
+	CaughtUpAt          int64 // when a message of the leader last arrived while this replica had every committed entry
 	LeaderSince         int64 // when this replica last became leader
 	Membership          *rpc.Membership
 	MembershipCommitted bool // Membership is committed
-	FullyReplicated     bool // each voter has on its disk what was in the log when the membership last changed
+	FullyReplicated     bool // each voter has persisted the log up to the latest membership change
 }
 
-// leaseMS is how long after its last contact with a majority a leader has its lease.
+// leaseMS is the duration of a leader's lease after its last quorum contact.
 var leaseMS = consensus.LeaseMS(electionTimeoutMS)
 
-// HasLease reports whether this replica leads and no other can have been elected yet, so that what it has applied is up to date. now must be
-// read after the status was.
+// HasLease reports whether this replica leads and no other can have been elected yet, so that its
+// applied state is up to date. now must be read after the status was.
 func (s *Status) HasLease(now int64) bool {
 	return s.Leader && s.Ready && now-s.QuorumContactAt < leaseMS
 }
 
-// InTouch reports whether this replica had everything that was committed, as its leader said, within a time, or leads itself and has its
-// lease.
+// InTouch reports whether this replica leads under its lease, or had every entry committed
+// according to its leader within the given time.
 func (s *Status) InTouch(now, within int64) bool {
-	return s.HasLease(now) || !s.Leader && s.LeaderID != "" && now-s.CurrentAt < within
+	return s.HasLease(now) || !s.Leader && s.LeaderID != "" && now-s.CaughtUpAt < within
 }
 
-// NextHop returns where a command for the group has to go: to this process if self is set, else to the leader's address. With neither, no
-// leader is known. A nil Status, of a group that this process does not have, knows none.
+// NextHop returns where to send a command for the group: to this process if self is set, otherwise
+// to the leader's address. If neither is set, no leader is known. A nil Status, of a group that
+// this process does not have, knows none.
 func (s *Status) NextHop() (self bool, address string) {
 	switch {
 	case s == nil:
@@ -54,13 +55,14 @@
 	return false, s.LeaderAddress
 }
 
-// String describes the status for logs.
+// String formats the status for logs.
 func (s *Status) String() string {
 	return fmt.Sprintf("leader %v (%s) epoch %d commit %d applied %d members %v settled %v",
 		s.Leader, s.LeaderID, s.Epoch, s.Commit, s.Applied, s.Membership, s.MembershipCommitted)
 }
 
-// Status returns this replica's view of a group; nil if the process does not have it. It may be called by any goroutine and does not block.
+// Status returns this replica's view of a group; nil if the process does not have it. It is safe
+// for concurrent use and does not block.
 func (e *Engine) Status(name string) *Status {
 	if status, ok := e.statuses.Load(name); ok {
 		return status.Load()
@@ -68,7 +70,7 @@
 	return nil
 }
 
-// Groups returns the names of the groups of this process, in no order. It may be called by any goroutine.
+// Groups returns the names of the groups of this process, unsorted. It is safe for concurrent use.
 func (e *Engine) Groups() (names []string) {
 	e.statuses.Range(func(name string, _ *atomic.Pointer[Status]) bool {
 		names = append(names, name)
@@ -77,7 +79,7 @@
 	return names
 }
 
-// publishStatus gives readers the present status of a group, and logs and reports what has changed.
+// publishStatus publishes the current status of a group, and logs and reports changes.
 func (e *Engine) publishStatus(g *group) {
 	status := g.currentStatus()
 	if !g.joined && status.hasContact() {
@@ -88,14 +90,14 @@
 	e.statuses.Store(g.name, g.status)
 	leaderChanged := old != nil && (old.Leader != status.Leader || old.LeaderID != status.LeaderID)
 	if leaderChanged {
-		e.cfg.Log.Info("leader", "group", g.name, "epoch", status.Epoch, "leader", status.LeaderID, "self", status.Leader)
+		e.cfg.Log.Info("leader changed", "group", g.name, "epoch", status.Epoch, "leader", status.LeaderID, "self", status.Leader)
 	}
 	if e.cfg.Changed != nil && (old == nil || leaderChanged || old.Applied != status.Applied) {
 		e.cfg.Changed(g.name)
 	}
 }
 
-// currentStatus returns what the core says now.
+// currentStatus returns the status according to the core.
 func (g *group) currentStatus() *Status {
 	leaderID, leaderAddress := g.core.Leader()
 	ready, quorumContactAt := g.core.Leadership()
@@ -109,7 +111,7 @@
 		Commit:              g.core.Commit(),
 		Applied:             g.applied,
 		LeaderContactAt:     g.core.LeaderContactAt(),
-		CurrentAt:           g.core.CurrentAt(),
+		CaughtUpAt:          g.core.CaughtUpAt(),
 		LeaderSince:         g.core.LeaderSince(),
 		Membership:          g.core.Membership(),
 		MembershipCommitted: g.core.MembershipCommitted(),
@@ -117,7 +119,8 @@
 	}
 }
 
-// hasContact reports whether the replica has taken part in its group: it leads with all that was committed, or has had all of it from a leader.
+// hasContact reports whether the replica has taken part in its group: it leads with all committed
+// entries, or has received all of them from a leader.
 func (s *Status) hasContact() bool {
-	return s.Ready || s.LeaderID != "" && !s.Leader && s.CurrentAt > 0
+	return s.Ready || s.LeaderID != "" && !s.Leader && s.CaughtUpAt > 0
 }
--- a/internal/scheduler/replica/store.go
+++ b/internal/scheduler/replica/store.go
@@ -12,26 +12,28 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Store is the Storage of a process on its disk: the logs, snapshots and hard states of all its groups, in one write-ahead log. It keeps in
-// memory only where the records are. It is for one goroutine.
+// Store is the on-disk Storage of a process: the logs, snapshots and hard states of all its groups,
+// in one write-ahead log. Only the positions of the records are kept in memory. It is not safe for
+// concurrent use.
 type Store struct {
-	log         *writeAheadLog
-	groups      map[string]*groupIndex
-	rewriteFrom int64 // size in bytes from which on the log is rewritten if more than half of it is obsolete
-	// nextRewriteCheck is the size of the log at which that is checked next.
+	log             *writeAheadLog
+	groups          map[string]*groupIndex
+	minRewriteBytes int64 // minimum size in bytes at which the log is rewritten if more than half of it is obsolete
+	// nextRewriteCheck is the size of the log at which the next such check is due.
 	nextRewriteCheck int64
 }
 
-// ErrCorrupt says that a stored record is missing or is not what was written. What depends on it is lost on this disk.
-var ErrCorrupt = errors.New("replica: a stored record is damaged")
+// ErrCorrupt is returned if a stored record is missing or differs from what was written. The state
+// that depends on it is lost on this disk.
+var ErrCorrupt = errors.New("replica: stored record missing or corrupt")
 
-// defaultRewriteFrom is Store.rewriteFrom of a store that OpenStore opens.
-const defaultRewriteFrom = 32 << 20
+// defaultMinRewriteBytes is the minimum size for a log rewrite of stores opened by OpenStore.
+const defaultMinRewriteBytes = 32 << 20
 
-// OpenStore opens the store in a folder of the operating system, which must exist. An empty folder gives an empty store. The caller has to
-// close the store, after the engine that uses it has ended.
+// OpenStore opens the store in an existing directory of the operating system. An empty directory
+// yields an empty store. The caller must close the store after the engine that uses it has stopped.
 func OpenStore(path string) (*Store, error) {
-	store, err := OpenStoreOn(folder(path), defaultRewriteFrom)
+	store, err := OpenStoreOn(folder(path), defaultMinRewriteBytes)
 	if err != nil {
 		return nil, err
 	}
@@ -41,25 +43,27 @@
 	return store, nil
 }
 
-// OpenStoreOn opens the store on a disk. Its log is rewritten from a size in bytes on. The caller has to sync the disk before anything that the
-// store persists counts, since the log's name may be new.
-func OpenStoreOn(disk Disk, rewriteFrom int64) (*Store, error) {
-	s := &Store{groups: map[string]*groupIndex{}, rewriteFrom: rewriteFrom, nextRewriteCheck: rewriteFrom}
+// OpenStoreOn opens the store on a disk. minRewriteBytes is the minimum size in bytes at which its
+// log is rewritten. The caller must sync the disk before it relies on anything that the store
+// persists, since the log's name may be new.
+func OpenStoreOn(disk Disk, minRewriteBytes int64) (*Store, error) {
+	s := &Store{groups: map[string]*groupIndex{}, minRewriteBytes: minRewriteBytes, nextRewriteCheck: minRewriteBytes}
 	log, err := openLog(disk, s.replay)
 	if err != nil {
 		return nil, err
 	}
 	s.log = log
-	for _, g := range s.groups { // snapshots that were not complete begin anew
+	for _, g := range s.groups { // incomplete snapshots are started over
 		g.stagedLocal, g.stagedReceived = nil, nil
 	}
 	return s, nil
 }
 
-// Close closes the file.
+// Close closes the log file.
 func (s *Store) Close() error { return s.log.close() }
 
-// Groups returns the names of the groups that have a snapshot, in order. A group has one from its beginning.
+// Groups returns the sorted names of the groups that have a snapshot. A group has one from its
+// creation.
 func (s *Store) Groups() (names []string) {
 	for name, g := range s.groups {
 		if g.snapshot.length > 0 {
@@ -70,7 +74,8 @@
 	return names
 }
 
-// Load returns what is stored of a group. Commands stay on disk: their entries come without data, and Stored says how long it is.
+// Load returns the stored state of a group. Commands stay on disk: their entries are returned
+// without data, and Stored has its length.
 func (s *Store) Load(name string) (stored consensus.Stored, err error) {
 	g := s.group(name)
 	stored.HardState, stored.Snapshot = &rpc.HardState{}, &rpc.Snapshot{}
@@ -99,11 +104,12 @@
 	return stored, nil
 }
 
-// Entry returns one entry of a group's log with its data. It fails if the log does not have the index.
+// Entry returns one entry of a group's log with its data. It returns an error if the index is not
+// in the log.
 func (s *Store) Entry(name string, index uint64) (*rpc.Entry, error) {
 	g := s.group(name)
 	if index < g.first || index >= g.nextIndex() {
-		return nil, fmt.Errorf("replica: group %s has no entry %d", name, index)
+		return nil, fmt.Errorf("replica: group %s: no log entry at index %d", name, index)
 	}
 	r, err := s.readRecord(g.entries[index-g.first].span)
 	if err == nil && r.Entry == nil {
@@ -115,11 +121,12 @@
 	return r.Entry, nil
 }
 
-// Chunk returns one chunk of a group's snapshot. It fails if the snapshot does not have the number.
+// Chunk returns one chunk of a group's snapshot. It returns an error if the snapshot does not have
+// the chunk.
 func (s *Store) Chunk(name string, number uint32) (*rpc.SnapshotPiece, error) {
 	g := s.group(name)
 	if int(number) >= len(g.chunks) {
-		return nil, fmt.Errorf("replica: the snapshot of group %s has no chunk %d", name, number)
+		return nil, fmt.Errorf("replica: group %s: snapshot has no chunk %d", name, number)
 	}
 	r, err := s.readRecord(g.chunks[number])
 	if err == nil && r.Piece == nil {
@@ -131,17 +138,18 @@
 	return r.Piece, nil
 }
 
-// SnapshotState returns the state in a group's snapshot. It is read chunk by chunk, and must be read before the store is written to again.
+// SnapshotState returns the state in a group's snapshot. It is read chunk by chunk, and must be
+// read before the next write to the store.
 func (s *Store) SnapshotState(name string) *bufio.Reader {
 	return bufio.NewReader(&chunkReader{store: s, group: name})
 }
 
-// chunkReader reads the data of a snapshot's chunks one after the other.
+// chunkReader reads the concatenated data of a snapshot's chunks.
 type chunkReader struct {
 	store *Store
 	group string
 	next  uint32 // number of the next chunk
-	rest  []byte // of the chunk before
+	rest  []byte // unread data of the previous chunk
 }
 
 func (r *chunkReader) Read(b []byte) (int, error) {
@@ -161,7 +169,7 @@
 	return n, nil
 }
 
-// readRecord reads one record; an empty one if the span is empty.
+// readRecord reads one record; it returns an empty one if the span is empty.
 func (s *Store) readRecord(at span) (*rpc.StoredRecord, error) {
 	r := &rpc.StoredRecord{}
 	if at.length == 0 {
@@ -174,14 +182,14 @@
 	return r, proto.Unmarshal(payload, r)
 }
 
-// GroupWrite is what has to be stored of one group. Its parts are stored in the order of the fields.
+// GroupWrite is the state to store for one group. Its parts are stored in the order of the fields.
 type GroupWrite struct {
 	Group     string
 	HardState *rpc.HardState
-	Chunks    []*rpc.SnapshotPiece // of a snapshot that is being received; number 0 begins a new one
-	Snapshot  *rpc.Snapshot        // all its chunks are stored, or are among Chunks; it takes the place of the one in force
-	Received  bool                 // Snapshot comes from the leader and replaces all of the log, not only the entries that it covers
-	Entries   []*rpc.Entry         // they replace all entries at and after the index of the first one
+	Chunks    []*rpc.SnapshotPiece // of an incoming snapshot; number 0 starts a new one
+	Snapshot  *rpc.Snapshot        // replaces the active one; all its chunks are stored or among Chunks
+	Received  bool                 // Snapshot comes from the leader and replaces the entire log, not only the entries that it covers
+	Entries   []*rpc.Entry         // replace all entries from the index of the first one on
 }
 
 // records returns the records of a write, in the order in which they have to be replayed.
@@ -201,8 +209,9 @@
 	return records
 }
 
-// Persist stores all writes durably, with one sync. After an error nothing of them counts and they may be repeated, unless the error is
-// ErrCorrupt: chunks of a snapshot are missing then, and the store must not be used any more.
+// Persist stores all writes durably, with one sync. After an error none of them takes effect and
+// they may be retried, unless the error is ErrCorrupt: chunks of a snapshot are missing then, and
+// the store must not be used any more.
 func (s *Store) Persist(writes []GroupWrite) error {
 	var records []*rpc.StoredRecord
 	for i := range writes {
@@ -211,17 +220,18 @@
 	if err := s.append(records, durable); err != nil {
 		return err
 	}
-	s.rewriteIfWasteful()
+	s.maybeRewrite()
 	return nil
 }
 
-// StageChunk writes a chunk of a snapshot that this replica makes; number 0 begins a new one. It is not synced: it counts only when a later
-// Persist stores the snapshot, and the sync of that makes it durable.
+// StageChunk writes a chunk of a snapshot that this replica creates; number 0 starts a new one. It
+// is not synced: it takes effect only when a later Persist stores the snapshot, whose sync makes it
+// durable.
 func (s *Store) StageChunk(group string, chunk *rpc.SnapshotPiece) error {
 	return s.append([]*rpc.StoredRecord{{Group: group, Piece: chunk}}, notSynced)
 }
 
-// append appends records to the log and notes where they are.
+// append appends records to the log and indexes them.
 func (s *Store) append(records []*rpc.StoredRecord, durability durability) error {
 	spans, err := s.log.append(records, durability)
 	if err != nil {
@@ -235,14 +245,15 @@
 	return nil
 }
 
-// rewriteIfWasteful rewrites the log without its obsolete records if they are more than half of it. If that fails, the old file stays in use,
-// and it is tried again when that has grown by an eighth.
-func (s *Store) rewriteIfWasteful() {
+// maybeRewrite rewrites the log without its obsolete records if they are more than half of it. If
+// that fails, the old file stays in use, and the rewrite is retried when the file has grown by an
+// eighth.
+func (s *Store) maybeRewrite() {
 	if s.log.size <= s.nextRewriteCheck {
 		return
 	}
 	if s.log.size > 2*s.liveBytes() {
-		_ = s.log.rewrite(s.liveSpans()) // optional, and repeated later: see above
+		_ = s.log.rewrite(s.liveSpans()) // best effort, retried later: see above
 	}
-	s.nextRewriteCheck = max(s.rewriteFrom, s.log.size+s.log.size/8)
+	s.nextRewriteCheck = max(s.minRewriteBytes, s.log.size+s.log.size/8)
 }
--- a/internal/scheduler/replica/store_index.go
+++ b/internal/scheduler/replica/store_index.go
@@ -9,18 +9,20 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// groupIndex says where in the log the records of a group are that are not obsolete. An empty span stands for a record that does not exist.
+// groupIndex has the positions in the log of a group's live records. An empty span represents a
+// record that does not exist.
 type groupIndex struct {
 	hardState      span
 	snapshot       span
 	chunks         []span          // of the snapshot
-	stagedLocal    []span          // chunks of a snapshot that this replica makes
-	stagedReceived []span          // chunks of a snapshot that is being received
+	stagedLocal    []span          // chunks of a snapshot that this replica creates
+	stagedReceived []span          // chunks of an incoming snapshot
 	first          uint64          // index of entries[0]
 	entries        []entryLocation // without gaps
 }
 
-// entryLocation says where an entry is, and what is known of it without reading it.
+// entryLocation is the position of an entry, with the metadata that is available without reading
+// it.
 type entryLocation struct {
 	span
 	epoch uint64
@@ -31,7 +33,7 @@
 // nextIndex returns the index after the last entry.
 func (g *groupIndex) nextIndex() uint64 { return g.first + uint64(len(g.entries)) }
 
-// group returns the index of a group, which it creates if there is none.
+// group returns the index of a group, and creates it if necessary.
 func (s *Store) group(name string) *groupIndex {
 	g := s.groups[name]
 	if g == nil {
@@ -41,7 +43,7 @@
 	return g
 }
 
-// replay indexes a record that was read from the log when it was opened.
+// replay indexes a record read from the log on opening.
 func (s *Store) replay(payload []byte, at span) error {
 	r := &rpc.StoredRecord{}
 	if err := proto.Unmarshal(payload, r); err != nil {
@@ -50,8 +52,8 @@
 	return s.index(r, at)
 }
 
-// index notes where a record is. Records must come in the order of the log, as later ones make earlier ones obsolete. Chunks and entries that
-// would leave a gap are ignored.
+// index records the position of a record. Records must be indexed in log order, as later ones make
+// earlier ones obsolete. Chunks and entries that would leave a gap are ignored.
 func (s *Store) index(r *rpc.StoredRecord, at span) error {
 	g := s.group(r.Group)
 	switch {
@@ -70,7 +72,7 @@
 	return nil
 }
 
-// staged returns the chunks of a snapshot that is being received, or made by this replica.
+// staged returns the chunks of the incoming snapshot, or of the one that this replica creates.
 func (g *groupIndex) staged(received bool) *[]span {
 	if received {
 		return &g.stagedReceived
@@ -78,13 +80,14 @@
 	return &g.stagedLocal
 }
 
-// activateSnapshot puts a snapshot in force; ErrCorrupt if chunks of it are missing. One that this replica has made replaces the entries that
-// it covers. A received one replaces all of the log: entries after its index may have been given up by the leader, and with them the
+// activateSnapshot makes a snapshot the active one; it returns ErrCorrupt if chunks of it are
+// missing. A snapshot created by this replica replaces the entries that it covers. A received one
+// replaces the entire log: the leader may have discarded entries after its index, and with them the
 // replica would vote for candidates that lack entries that the snapshot covers.
 func (g *groupIndex) activateSnapshot(r *rpc.StoredRecord, at span) error {
 	staged := g.staged(r.Received)
 	if len(*staged) < int(r.Snapshot.Pieces) {
-		return fmt.Errorf("%w: snapshot of group %s at %d: %d of %d chunks", ErrCorrupt, r.Group, r.Snapshot.Index, len(*staged), r.Snapshot.Pieces)
+		return fmt.Errorf("%w: snapshot of group %s at index %d has %d of %d chunks", ErrCorrupt, r.Group, r.Snapshot.Index, len(*staged), r.Snapshot.Pieces)
 	}
 	g.snapshot, g.chunks = at, (*staged)[:r.Snapshot.Pieces]
 	g.stagedLocal, g.stagedReceived = nil, nil
@@ -99,8 +102,8 @@
 	return nil
 }
 
-// liveSpans returns where all records are that are not obsolete, in an order in which they can be replayed. The groups come in the order of
-// their names, so that simulations repeat.
+// liveSpans returns the positions of all live records, in an order in which they can be replayed.
+// Groups are sorted by name, so that simulations are deterministic.
 func (s *Store) liveSpans() (live []*span) {
 	for _, name := range slices.Sorted(maps.Keys(s.groups)) {
 		live = s.groups[name].appendLiveSpans(live)
@@ -108,7 +111,8 @@
 	return live
 }
 
-// appendLiveSpans adds a group's spans: chunks before the snapshot that they belong to, and entries after it.
+// appendLiveSpans appends a group's spans: chunks before the snapshot that they belong to, and
+// entries after it.
 func (g *groupIndex) appendLiveSpans(live []*span) []*span {
 	if g.hardState.length > 0 {
 		live = append(live, &g.hardState)
@@ -131,7 +135,7 @@
 	return pointers
 }
 
-// liveBytes returns how long the log would be without its obsolete records.
+// liveBytes returns the size of the log without its obsolete records.
 func (s *Store) liveBytes() (bytes int64) {
 	for _, at := range s.liveSpans() {
 		bytes += recordHeaderBytes + at.length
--- a/internal/scheduler/replica/store_test.go
+++ b/internal/scheduler/replica/store_test.go
@@ -17,7 +17,7 @@
 	return &rpc.Entry{Index: index, Epoch: epoch, Kind: rpc.EntryKind_ENTRY_COMMAND, Data: []byte(data)}
 }
 
-func founded(group string) GroupWrite {
+func initialWrite(group string) GroupWrite {
 	return GroupWrite{Group: group, Snapshot: &rpc.Snapshot{Index: 1, Epoch: 1}, HardState: &rpc.HardState{Epoch: 1}}
 }
 
@@ -31,12 +31,12 @@
 	return s
 }
 
-// Everything persisted is there after a restart. Later entries replace those at and after their index.
-func TestStoreKeepsTheLog(t *testing.T) {
+// Everything persisted is there after a restart. Later entries replace those from their index on.
+func TestStore_RestartRetainsLog(t *testing.T) {
 	is := is.New(t)
 	folder := t.TempDir()
 	s := openStore(t, folder)
-	is.NoErr(s.Persist([]GroupWrite{founded("a"), founded("b")}))
+	is.NoErr(s.Persist([]GroupWrite{initialWrite("a"), initialWrite("b")}))
 	is.NoErr(s.Persist([]GroupWrite{{Group: "a", Entries: []*rpc.Entry{entry(2, 1, "x"), entry(3, 1, "y"), entry(4, 1, "z")}}}))
 	is.NoErr(s.Persist([]GroupWrite{{Group: "a", HardState: &rpc.HardState{Epoch: 2, Vote: "v"}, Entries: []*rpc.Entry{entry(3, 2, "w")}}}))
 	is.NoErr(s.Close())
@@ -52,8 +52,9 @@
 	is.Equal(string(one.Data), "w")
 }
 
-// A loss of power may tear the last append anywhere: what was synced before stays, and new entries are appended after it.
-func TestStoreWithATornTail(t *testing.T) {
+// A power failure may tear the last append at any byte: what was synced before is retained, and new
+// entries are appended after it.
+func TestStore_TornTail(t *testing.T) {
 	folder := t.TempDir()
 	s := openStore(t, folder)
 	must := func(err error) {
@@ -62,16 +63,16 @@
 			t.Fatal(err)
 		}
 	}
-	must(s.Persist([]GroupWrite{founded("a")}))
+	must(s.Persist([]GroupWrite{initialWrite("a")}))
 	must(s.Persist([]GroupWrite{{Group: "a", Entries: []*rpc.Entry{entry(2, 1, "kept")}}}))
 	synced := s.log.size
 	must(s.Persist([]GroupWrite{{Group: "a", Entries: []*rpc.Entry{entry(3, 1, "torn one"), entry(4, 1, "torn two")}}}))
 	must(s.Close())
-	whole, err := os.ReadFile(filepath.Join(folder, logName))
+	complete, err := os.ReadFile(filepath.Join(folder, logName))
 	must(err)
-	for cut := synced; cut < int64(len(whole)); cut++ {
+	for cut := synced; cut < int64(len(complete)); cut++ {
 		for _, damage := range []string{"missing", "zeros", "flipped"} {
-			torn := append([]byte(nil), whole...)
+			torn := append([]byte(nil), complete...)
 			switch damage {
 			case "missing":
 				torn = torn[:cut]
@@ -88,7 +89,7 @@
 			kept, err := s.Entry("a", 2)
 			must(err)
 			if len(stored.Entries) == 0 || string(kept.Data) != "kept" || len(stored.Entries) > 3 {
-				t.Fatalf("%s at %d: %d entries", damage, cut, len(stored.Entries))
+				t.Fatalf("tail %s from byte %d: store has %d entries", damage, cut, len(stored.Entries))
 			}
 			must(s.Persist([]GroupWrite{{Group: "a", Entries: []*rpc.Entry{entry(uint64(len(stored.Entries))+2, 1, "on")}}}))
 			s.Close()
@@ -96,12 +97,12 @@
 	}
 }
 
-// A rewritten log has all records that are not obsolete, and replaces the old one by a complete file.
-func TestStoreRewrites(t *testing.T) {
+// A rewritten log has all live records, and replaces the old one by a complete file.
+func TestStore_RewriteKeepsLiveRecords(t *testing.T) {
 	is := is.New(t)
 	folder := t.TempDir()
 	s := openStore(t, folder)
-	is.NoErr(s.Persist([]GroupWrite{founded("a")}))
+	is.NoErr(s.Persist([]GroupWrite{initialWrite("a")}))
 	for i := uint64(2); i < 50; i++ {
 		is.NoErr(s.Persist([]GroupWrite{{Group: "a", Entries: []*rpc.Entry{entry(i, 1, "some data of an entry")}}}))
 	}
@@ -126,12 +127,12 @@
 	is.Equal(string(newest.Data), "new")
 }
 
-// After a failed write the log is as it was before, and the write can be repeated.
-func TestStoreAfterAFailedWrite(t *testing.T) {
+// After a failed write the log is unchanged, and the write can be retried.
+func TestStore_RetryAfterFailedWrite(t *testing.T) {
 	is := is.New(t)
 	folder := t.TempDir()
 	s := openStore(t, folder)
-	is.NoErr(s.Persist([]GroupWrite{founded("a")}))
+	is.NoErr(s.Persist([]GroupWrite{initialWrite("a")}))
 	good := s.log.file
 	readOnly, err := os.Open(filepath.Join(folder, logName))
 	is.NoErr(err)
@@ -145,8 +146,8 @@
 	is.Equal(len(stored.Entries), 1)
 }
 
-// The identity is bound to the folder.
-func TestIdentityStays(t *testing.T) {
+// The identity is bound to the directory.
+func TestIdentityStore_Reopen(t *testing.T) {
 	is := is.New(t)
 	folder := t.TempDir()
 	identities, err := OpenIdentityStore(folder)
@@ -161,13 +162,14 @@
 	is.Equal(id, "me")
 }
 
-// A received snapshot replaces all of the log. If entries after it were kept, which the leader has given up, a restarted replica would compare
-// candidates with the epoch of those, and vote for some that lack entries that the snapshot covers.
-func TestReceivedSnapshotReplacesTheLog(t *testing.T) {
+// A received snapshot replaces the entire log. If later entries, which the leader has discarded,
+// were retained, a restarted replica would compare candidates with the epoch of those, and vote for
+// some that lack entries covered by the snapshot.
+func TestStore_ReceivedSnapshotReplacesLog(t *testing.T) {
 	is := is.New(t)
 	folder := t.TempDir()
 	s := openStore(t, folder)
-	is.NoErr(s.Persist([]GroupWrite{founded("a")}))
+	is.NoErr(s.Persist([]GroupWrite{initialWrite("a")}))
 	var entries []*rpc.Entry
 	for i := uint64(2); i <= 30; i++ {
 		entries = append(entries, entry(i, 1, "given up"))
@@ -182,12 +184,12 @@
 	is.Equal(len(stored.Entries), 0)
 }
 
-// Chunks of a snapshot that was not complete are ignored after a restart.
-func TestUnfinishedSnapshot(t *testing.T) {
+// Chunks of an incomplete snapshot are ignored after a restart.
+func TestStore_IncompleteSnapshot(t *testing.T) {
 	is := is.New(t)
 	folder := t.TempDir()
 	s := openStore(t, folder)
-	is.NoErr(s.Persist([]GroupWrite{founded("a")}))
+	is.NoErr(s.Persist([]GroupWrite{initialWrite("a")}))
 	is.NoErr(s.Persist([]GroupWrite{{Group: "a", Entries: []*rpc.Entry{entry(2, 1, "x")}, Chunks: []*rpc.SnapshotPiece{{Data: []byte("old")}}}}))
 	is.NoErr(s.Close())
 	s = openStore(t, folder)
@@ -199,13 +201,14 @@
 	is.True(errors.Is(err, ErrCorrupt)) // its chunks are missing
 }
 
-// A rewritten log has the groups in the order of their names, so that a simulation that loses a part of it repeats.
-func TestRewrittenLogHasGroupsInOrder(t *testing.T) {
+// A rewritten log has its groups sorted by name, so that a simulation that loses a part of it is
+// deterministic.
+func TestLogRewrite_SortsGroups(t *testing.T) {
 	is := is.New(t)
 	folderPath := t.TempDir()
 	s := openStore(t, folderPath)
 	for _, group := range []string{"d", "b", "e", "a", "c"} {
-		is.NoErr(s.Persist([]GroupWrite{founded(group)}))
+		is.NoErr(s.Persist([]GroupWrite{initialWrite(group)}))
 	}
 	is.NoErr(s.log.rewrite(s.liveSpans()))
 	is.NoErr(s.Close())
