--- a/internal/scheduler/replica/submit.go
+++ b/internal/scheduler/replica/submit.go
@@ -8,19 +8,21 @@
 	"time"
 )
 
-// retryInterval is the wait between two attempts to have a command committed. While a
-// forwarded attempt waits for its answer, it is checked at the same interval whether the leader has changed.
+// retryInterval is the delay between two attempts to have a command committed. While a forwarded
+// attempt waits for its reply, the same interval is used to check whether the leader has changed.
 const retryInterval = 60 * time.Millisecond
 
-// Submit has the leader of a group, wherever it is, commit and apply a command. It repeats the command until one attempt is DONE or ctx
-// ends, so the command must do no harm if it is applied twice. Where no attempt is DONE, the outcome is OUTCOME_UNKNOWN if any of them may have
-// taken effect, whatever the later ones say; otherwise it is that of the last attempt, and the command has had no effect.
+// Submit makes the leader of a group, in any process, commit and apply a command. It retries the
+// command until one attempt is DONE or ctx ends, so the command must be idempotent. If no attempt
+// is DONE, the outcome is OUTCOME_UNKNOWN if any of them may have taken effect, whatever the
+// outcome of later ones; otherwise it is that of the last attempt, and the command has no effect.
 func Submit(ctx context.Context, h *Host, client *transport.Client, group string, command []byte) ProposalResult {
 	s := submission{host: h, client: client, group: group, command: command}
 	return untilDone(ctx, s.attempt)
 }
 
-// untilDone makes attempts until one is DONE or ctx ends, and returns the outcome of all of them together; see Submit.
+// untilDone makes attempts until one is DONE or ctx ends, and returns their combined outcome; see
+// Submit.
 func untilDone(ctx context.Context, attempt func(context.Context) ProposalResult) ProposalResult {
 	uncertain := false // an attempt may have taken effect
 	for {
@@ -40,7 +42,7 @@
 	}
 }
 
-// submission is a command that is submitted to a group.
+// submission is a command to submit to a group.
 type submission struct {
 	host    *Host
 	client  *transport.Client
@@ -48,7 +50,8 @@
 	command []byte
 }
 
-// attempt has the leader decide once, wherever it is. Without a known leader the outcome is UNAVAILABLE.
+// attempt makes one attempt to have the leader commit the command. Without a known leader the
+// outcome is UNAVAILABLE.
 func (s *submission) attempt(ctx context.Context) ProposalResult {
 	self, address := s.host.Status(s.group).NextHop()
 	switch {
@@ -60,8 +63,9 @@
 	return ProposalResult{Outcome: rpc.Outcome_UNAVAILABLE}
 }
 
-// forward has the leader at an address decide, and waits for its answer for at most proposeTimeout. It stops waiting when this replica learns of
-// another leader, or loses its leader: the old one may be without power, and would delay the command until the call times out.
+// forward sends the command to the leader at an address, and waits for its reply for at most
+// proposeTimeout. It stops waiting when this replica learns of another leader, or loses its leader:
+// the old one may have lost power, and would delay the command until the call times out.
 func (s *submission) forward(ctx context.Context, address string) ProposalResult {
 	ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
 	defer cancel()
@@ -81,7 +85,7 @@
 	}
 }
 
-// call makes the call to a leader. ctx bounds it.
+// call makes the call to a leader. It is bounded by ctx.
 func (s *submission) call(ctx context.Context, address string) ProposalResult {
 	client := rpc.NewReplicationProtobufClient("http://"+address, s.client)
 	response, err := client.Propose(ctx, &rpc.ProposeRequest{Group: s.group, Command: s.command})
--- a/internal/scheduler/replica/wal.go
+++ b/internal/scheduler/replica/wal.go
@@ -12,25 +12,25 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// writeAheadLog is a file of records. Each record is a header and a payload: the payload's length and its CRC-32 (IEEE), both as 32 bits in
-// big-endian order, and an encoded rpc.StoredRecord.
+// writeAheadLog is a file of records. Each record is a header and a payload: the payload's length
+// and its CRC-32 (IEEE), both as 32-bit big-endian integers, and an encoded rpc.StoredRecord.
 //
-// Everything that counts is synced before it counts. So a loss of power can tear only what was written after the last sync, and the file is
-// cut at the first record that is not complete.
+// Every write is synced before the replica relies on it. A power failure can therefore tear only
+// what was written after the last sync, and the file is truncated at the first incomplete record.
 type writeAheadLog struct {
 	disk   Disk
 	file   File
 	size   int64 // of the complete records
 	buffer []byte
-	// renamed says that the file has replaced an older one and that its name may not be durable yet. Nothing may be appended before it is: a
-	// loss of power could bring the older file back.
+	// renamed is set if the file has replaced an older one and its name may not be durable yet.
+	// Nothing may be appended before it is: a power failure could bring back the older file.
 	renamed bool
 }
 
-// span is where a record's payload is in the file.
+// span is the position of a record's payload in the file.
 type span struct{ offset, length int64 }
 
-// durability says whether an append has to be on disk when it returns.
+// durability specifies whether an append has to be durable when it returns.
 type durability bool
 
 const (
@@ -45,13 +45,14 @@
 	recordHeaderBytes  = 8
 	checksumOffset     = 4 // in the header
 	maxRecordBytes     = 512 << 20
-	maxKeptBufferBytes = 1 << 20 // a longer buffer is not kept for the next append
+	maxKeptBufferBytes = 1 << 20 // a larger buffer is not reused for the next append
 	ioBufferBytes      = 256 << 10
 )
 
-// openLog opens the log on a disk and calls visit with its records in order. payload is valid only during the call. An error of visit ends it.
+// openLog opens the log on a disk and calls visit with its records in order. payload is valid only
+// during the call. An error of visit stops it.
 func openLog(disk Disk, visit func(payload []byte, at span) error) (*writeAheadLog, error) {
-	_ = disk.Remove(rewriteName) // of a rewrite that was interrupted; mostly there is none
+	_ = disk.Remove(rewriteName) // left over from an interrupted rewrite; usually does not exist
 	file, err := disk.Open(logName)
 	if err != nil {
 		return nil, fmt.Errorf("replica: open log: %w", err)
@@ -64,7 +65,7 @@
 	return l, nil
 }
 
-// scan visits the complete records and cuts off what comes after them.
+// scan visits the complete records and truncates the file after them.
 func (l *writeAheadLog) scan(visit func(payload []byte, at span) error) error {
 	size, err := l.file.Size()
 	if err != nil {
@@ -85,9 +86,10 @@
 	}
 }
 
-// readFrame reads the next record and returns its payload, in buffer if that is long enough. rest is how long a payload can be that is complete in
-// the file: a torn header may state any length, for which no memory is taken. It returns io.EOF or io.ErrUnexpectedEOF if there is no complete
-// record.
+// readFrame reads the next record and returns its payload, in buffer if that is large enough. rest
+// is the maximum length of a payload that is complete in the file: a torn header may contain any
+// length, for which no memory is allocated. It returns io.EOF or io.ErrUnexpectedEOF if there is no
+// complete record.
 func readFrame(reader io.Reader, buffer []byte, rest int64) (payload []byte, err error) {
 	var header [recordHeaderBytes]byte
 	if _, err := io.ReadFull(reader, header[:]); err != nil {
@@ -110,7 +112,8 @@
 	return payload, nil
 }
 
-// truncateTail cuts the file after the last complete record. It returns the error that ended the scan if that is not an end of the file.
+// truncateTail truncates the file after the last complete record. It returns err, which ended the
+// scan, if it is not an end of file.
 func (l *writeAheadLog) truncateTail(size int64, err error) error {
 	if !errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF) {
 		return fmt.Errorf("replica: read log: %w", err)
@@ -124,7 +127,7 @@
 	return l.file.Sync()
 }
 
-// append writes records after the others and returns where they are. After an error the log is as it was before.
+// append appends records and returns their positions. After an error the log is unchanged.
 func (l *writeAheadLog) append(records []*rpc.StoredRecord, durability durability) (spans []span, err error) {
 	if err := l.syncName(); err != nil {
 		return nil, err
@@ -143,7 +146,8 @@
 	return spans, nil
 }
 
-// encode returns records as they are appended, and where they will be. The buffer is valid until the next call.
+// encode returns the encoded records to append, and their future positions. The buffer is valid
+// until the next call.
 func (l *writeAheadLog) encode(records []*rpc.StoredRecord) (buffer []byte, spans []span, err error) {
 	buffer = l.buffer[:0]
 	for _, r := range records {
@@ -169,7 +173,7 @@
 		return nil
 	}
 	if err := l.disk.Sync(); err != nil {
-		return fmt.Errorf("replica: sync folder: %w", err)
+		return fmt.Errorf("replica: sync log directory: %w", err)
 	}
 	l.renamed = false
 	return nil
@@ -184,10 +188,10 @@
 	return payload, nil
 }
 
-// rewrite replaces the file by one that has only some of its records, in the order of live, and sets their spans to where they are in it. After
-// an error everything is as it was before.
+// rewrite replaces the file by one that has only the live records, in the order of live, and
+// updates their spans. After an error the log is unchanged.
 func (l *writeAheadLog) rewrite(live []*span) error {
-	_ = l.disk.Remove(rewriteName) // of a rewrite that failed; mostly there is none
+	_ = l.disk.Remove(rewriteName) // left over from a failed rewrite; usually does not exist
 	file, err := l.disk.Open(rewriteName)
 	if err != nil {
 		return fmt.Errorf("replica: rewrite log: %w", err)
@@ -201,7 +205,7 @@
 	}
 	if err != nil {
 		file.Close()
-		_ = l.disk.Remove(rewriteName) // it is removed before the next rewrite, or at the next start, if not now
+		_ = l.disk.Remove(rewriteName) // otherwise removed before the next rewrite or at the next start
 		return fmt.Errorf("replica: rewrite log: %w", err)
 	}
 	l.file.Close()
@@ -214,7 +218,7 @@
 	return nil
 }
 
-// offsetWriter writes to a file from its beginning on.
+// offsetWriter writes sequentially to a file, starting at its beginning.
 type offsetWriter struct {
 	file   File
 	offset int64
