--- a/internal/scheduler/controlplane/api.go
+++ b/internal/scheduler/controlplane/api.go
@@ -13,16 +13,19 @@
 )
 
 const (
-	// forwardTimeout bounds a call that another controller may have to decide on. Workers give a call up after a second.
+	// forwardTimeout is the timeout of a call that may have to be forwarded to another controller.
+	// Workers time out after one second.
 	forwardTimeout = 850 * time.Millisecond
 	forwardBackoff = 50 * time.Millisecond
 )
 
-// handler answers one call of the endpoint. request belongs to the server again when the handler has returned: nothing may keep parts of it.
+// handler handles one request of the endpoint. The server reuses request after the handler has
+// returned: no part of it may be retained.
 type handler func(ctx context.Context, request *fasthttp.RequestCtx)
 
-// routes returns the handler of the endpoint of the operator, the trainers and the workers. The calls' contexts descend from ctx. Calls under
-// way are not bound to the end of the process: ctx must not end with it.
+// routes returns the handler of the endpoint for the operator, the trainers and the workers. The
+// contexts of requests are derived from ctx, which must not be cancelled at shutdown: requests in
+// progress are completed.
 func (s *Server) routes(ctx context.Context) fasthttp.RequestHandler {
 	bind := func(handle handler) fasthttp.RequestHandler {
 		return func(request *fasthttp.RequestCtx) {
@@ -32,7 +35,7 @@
 				fail(request, fasthttp.StatusInternalServerError, "internal error")
 			})
 			if !utf8.ValidString(pathValue(request, "id")) || !utf8.ValidString(pathValue(request, "node")) {
-				fail(request, fasthttp.StatusBadRequest, "the path is not UTF-8")
+				fail(request, fasthttp.StatusBadRequest, "request path is not valid UTF-8")
 				return
 			}
 			handle(ctx, request)
@@ -51,10 +54,10 @@
 	return r.Handler
 }
 
-// emptyBody is the body of an answer that says no more than its status.
+// emptyBody is the response body of a request that succeeded without a result.
 type emptyBody struct{}
 
-// errorBody is the body of an answer that names a fault.
+// errorBody is the response body of a failed request.
 type errorBody struct {
 	Error string `json:"error,omitempty"`
 }
@@ -73,8 +76,8 @@
 	reply(request, status, errorBody{message})
 }
 
-// pathValue returns a variable part of the request's path.
+// pathValue returns a path parameter of the request.
 func pathValue(request *fasthttp.RequestCtx, name string) string {
-	value, _ := request.UserValue(name).(string) // the router sets strings only
+	value, _ := request.UserValue(name).(string) // the router sets only strings
 	return value
 }
--- a/internal/scheduler/controlplane/control_loop.go
+++ b/internal/scheduler/controlplane/control_loop.go
@@ -8,12 +8,14 @@
 
 const (
 	controlInterval = 150 * time.Millisecond
-	// controlTimeout bounds one command or question of the control loop.
+	// controlTimeout is the timeout of one command or query of the control loop.
 	controlTimeout = 800 * time.Millisecond
 )
 
-// controlLoop carries out the work of the groups' leaders until ctx ends: it leads groups to their placements, declares workers lost,
-// decides on placements and completes retirements. Each step checks whether this process leads; a turn that fails is made up by the next.
+// controlLoop does the periodic work of group leaders until ctx ends: it changes the members of
+// groups according to their placements, declares workers lost, decides on placements and completes
+// retirements. Each step checks whether this process leads; work that fails is retried in the next
+// iteration.
 func (s *Server) controlLoop(ctx context.Context) {
 	ticker := time.NewTicker(controlInterval)
 	defer ticker.Stop()
--- a/internal/scheduler/controlplane/founding.go
+++ b/internal/scheduler/controlplane/founding.go
@@ -11,51 +11,54 @@
 )
 
 const (
-	// foundingTimeout bounds how long a founder asks the others whether it has taken part before. One that gets no answer from some of them founds
-	// the groups all the same: at the first start a machine may be missing.
-	foundingTimeout     = 2 * time.Second
-	foundingCallTimeout = 300 * time.Millisecond
-	foundingBackoff     = 50 * time.Millisecond
+	// bootstrapTimeout is how long a founder queries the others whether it has taken part before.
+	// If some of them do not reply, it still creates the groups: at the first start a machine may
+	// be missing.
+	bootstrapTimeout     = 2 * time.Second
+	bootstrapCallTimeout = 300 * time.Millisecond
+	bootstrapBackoff     = 50 * time.Millisecond
 )
 
-// unfoundedReplicas answers the replication calls of other founders while this one asks them. It has no replicas, and has met no founder: its disk
-// is empty.
-type unfoundedReplicas struct{ node string }
+// bootstrapReplication serves the replication calls of other founders while this one queries them.
+// It has no replicas, and has had no contact with founders: its disk is empty.
+type bootstrapReplication struct{ node string }
 
-var _ rpc.Replication = unfoundedReplicas{}
+var _ rpc.Replication = bootstrapReplication{}
 
-// Step implements rpc.Replication. The messages count as lost.
-func (unfoundedReplicas) Step(context.Context, *rpc.StepRequest) (*rpc.StepResponse, error) {
+// Step implements rpc.Replication. The messages are dropped.
+func (bootstrapReplication) Step(context.Context, *rpc.StepRequest) (*rpc.StepResponse, error) {
 	return &rpc.StepResponse{}, nil
 }
 
 // Propose implements rpc.Replication.
-func (unfoundedReplicas) Propose(context.Context, *rpc.ProposeRequest) (*rpc.ProposeResponse, error) {
+func (bootstrapReplication) Propose(context.Context, *rpc.ProposeRequest) (*rpc.ProposeResponse, error) {
 	return &rpc.ProposeResponse{Outcome: rpc.Outcome_UNAVAILABLE}, nil
 }
 
 // Status implements rpc.Replication.
-func (u unfoundedReplicas) Status(context.Context, *rpc.StatusRequest) (*rpc.StatusResponse, error) {
+func (u bootstrapReplication) Status(context.Context, *rpc.StatusRequest) (*rpc.StatusResponse, error) {
 	return &rpc.StatusResponse{Node: u.node}, nil
 }
 
-// tookPart reports whether another founder has met this one before, so that this one, whose disk is empty, has lost its disk and must not take its
-// founder's id again, whatever the setting bootstrap says. It answers the others' calls meanwhile: at the first start all founders ask at once.
-func (s *Server) tookPart(ctx context.Context, founder string) bool {
-	ctx, cancel := context.WithTimeout(ctx, foundingTimeout)
+// participatedBefore reports whether another founder has had contact with this one before. In that
+// case this founder, whose disk is empty, has lost its disk and must not use its founder id again,
+// whatever the setting bootstrap is. It serves the calls of the other founders meanwhile: at the
+// first start all founders query each other at the same time.
+func (s *Server) participatedBefore(ctx context.Context, founder string) bool {
+	ctx, cancel := context.WithTimeout(ctx, bootstrapTimeout)
 	defer cancel()
 	server, err := transport.Listen(ctx, s.settings.PeerAddress(), map[string]http.Handler{
-		rpc.ReplicationPathPrefix: rpc.NewReplicationServer(unfoundedReplicas{s.settings.NodeName}),
+		rpc.ReplicationPathPrefix: rpc.NewReplicationServer(bootstrapReplication{s.settings.NodeName}),
 	})
 	if err != nil {
-		s.log.Error("other founders can't be answered", "error", err)
+		s.log.Error("failed to listen for calls of other founders", "error", err)
 	} else {
 		var tasks lifecycle.Tasks
 		tasks.Serve(s.log, "founding", server.Serve)
 		defer func() {
-			closing, cancel := context.WithTimeout(context.WithoutCancel(ctx), foundingCallTimeout)
+			closing, cancel := context.WithTimeout(context.WithoutCancel(ctx), bootstrapCallTimeout)
 			defer cancel()
-			_ = server.Close(closing) // connections that stay open end with the process; the port is free
+			_ = server.Close(closing) // remaining connections are closed when the process exits; the port is released
 			tasks.Wait(closing)
 		}()
 	}
@@ -65,32 +68,33 @@
 			others = append(others, s.settings.PeerAddressOf(seed))
 		}
 	}
-	met := askFounders(ctx, others, func(ctx context.Context, address string) (bool, error) {
+	contacted := queryFounders(ctx, others, func(ctx context.Context, address string) (bool, error) {
 		response, err := rpc.NewReplicationProtobufClient("http://"+address, s.client).Status(ctx, &rpc.StatusRequest{Founder: founder})
 		return response.GetFounderMet(), err
 	})
-	if met {
-		s.log.Warn("the groups exist: this disk was lost, and gets a new identity", "founder", founder)
+	if contacted {
+		s.log.Warn("groups already exist and this disk is empty; using a new identity", "founder", founder)
 	}
-	return met
+	return contacted
 }
 
-// askFounders asks each address until it has answered or ctx ends, and reports whether one of them has met the founder that asks.
-func askFounders(ctx context.Context, addresses []string, ask func(ctx context.Context, address string) (met bool, err error)) bool {
+// queryFounders queries each address until it has replied or ctx ends, and reports whether one of
+// them has had contact with the querying founder.
+func queryFounders(ctx context.Context, addresses []string, query func(ctx context.Context, address string) (contacted bool, err error)) bool {
 	for len(addresses) > 0 {
-		var silent []string
+		var unanswered []string
 		for _, address := range addresses {
-			callCtx, cancel := context.WithTimeout(ctx, foundingCallTimeout)
-			met, err := ask(callCtx, address)
+			callCtx, cancel := context.WithTimeout(ctx, bootstrapCallTimeout)
+			contacted, err := query(callCtx, address)
 			cancel()
 			switch {
 			case err != nil:
-				silent = append(silent, address)
-			case met:
+				unanswered = append(unanswered, address)
+			case contacted:
 				return true
 			}
 		}
-		if addresses = silent; len(addresses) > 0 && !lifecycle.Sleep(ctx, foundingBackoff) {
+		if addresses = unanswered; len(addresses) > 0 && !lifecycle.Sleep(ctx, bootstrapBackoff) {
 			return false
 		}
 	}
--- a/internal/scheduler/controlplane/founding_test.go
+++ b/internal/scheduler/controlplane/founding_test.go
@@ -15,21 +15,22 @@
 	"github.com/matryer/is"
 )
 
-// A founder is asked until it answers; one that has met the asking founder decides.
-func TestAskFounders(t *testing.T) {
-	silent := errors.New("connection refused")
+// A founder is queried until it replies; a single one that has had contact with the querying
+// founder decides.
+func TestQueryFounders(t *testing.T) {
+	refused := errors.New("connection refused")
 	for _, test := range []struct {
-		name    string
-		answers map[string][]any // by address, in order: an error, or whether it has met the founder
-		met     bool
+		name      string
+		answers   map[string][]any // by address, in order: an error, or whether it has had contact with the founder
+		contacted bool
 	}{
-		{"first start", map[string][]any{"b": {silent, false}, "c": {silent, silent, false}}, false},
-		{"one has met it", map[string][]any{"b": {false}, "c": {silent, true}}, true},
-		{"both have", map[string][]any{"b": {true}, "c": {true}}, true},
+		{"first start", map[string][]any{"b": {refused, false}, "c": {refused, refused, false}}, false},
+		{"one has had contact", map[string][]any{"b": {false}, "c": {refused, true}}, true},
+		{"both have had contact", map[string][]any{"b": {true}, "c": {true}}, true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			is := is.New(t)
-			met := askFounders(context.Background(), []string{"b", "c"}, func(_ context.Context, address string) (bool, error) {
+			contacted := queryFounders(context.Background(), []string{"b", "c"}, func(_ context.Context, address string) (bool, error) {
 				answer := test.answers[address][0]
 				test.answers[address] = test.answers[address][1:]
 				if err, failed := answer.(error); failed {
@@ -37,18 +38,19 @@
 				}
 				return answer == true, nil
 			})
-			is.Equal(met, test.met)
+			is.Equal(contacted, test.contacted)
 		})
 	}
 	is := is.New(t)
 	ended, cancel := context.WithCancel(context.Background())
 	cancel()
-	is.True(!askFounders(ended, []string{"b"}, func(context.Context, string) (bool, error) { return false, silent })) // it founds without that one
+	is.True(!queryFounders(ended, []string{"b"}, func(context.Context, string) (bool, error) { return false, refused })) // the groups are created without that founder
 }
 
-// A founder whose disk is empty gets its founder's id at the first start, and another one once its messages have arrived at another founder,
-// although the setting bootstrap is still true. The record outlasts a restart of that other one.
-func TestLostDiskOfAFounderIsANewIdentity(t *testing.T) {
+// A founder with an empty disk uses its founder id at the first start, and another id once one of
+// its messages has arrived at another founder, although the setting bootstrap is still true. The
+// record survives a restart of the other founder.
+func TestFounderIdentity_ChangesAfterDiskLoss(t *testing.T) {
 	is := is.New(t)
 	const self, other = "127.0.0.1:8144", "127.0.0.2:8144"
 	s := &settings.Settings{IP: "127.0.0.1", PortRange: []int{7380, 7395}, Bootstrap: true, Seeds: []string{self, other}, Listen: settings.Listen{ControlPlane: self}}
@@ -61,9 +63,9 @@
 		is.NoErr(err)
 		defer own.Close()
 		service := &replica.Service{Host: newTestHost(t, record), HasContact: func(founder string) bool {
-			met, err := record.HasContact(founder)
+			contacted, err := record.HasContact(founder)
 			is.NoErr(err)
-			return met
+			return contacted
 		}}
 		identity, err := replica.LoadOrCreateIdentity(own, s, func(founder string) bool {
 			response, err := service.Status(context.Background(), &rpc.StatusRequest{Founder: founder})
@@ -71,13 +73,13 @@
 			return response.FounderMet
 		})
 		is.NoErr(err)
-		// The new process takes part: it sends a message.
-		proposed := make(chan struct{})
-		go func() { defer close(proposed); service.Host.Run() }()
+		// The new process sends a message to the other founder.
+		stopped := make(chan struct{})
+		go func() { defer close(stopped); service.Host.Run() }()
 		service.Host.Step([]*rpc.Message{{Kind: rpc.MessageKind_PRE_VOTE, Group: "g", From: identity.ID, To: "other", Epoch: 2}})
-		service.Host.Propose(context.Background(), "g", nil) // returns after the message was processed
+		service.Host.Propose(context.Background(), "g", nil) // returns after the message has been processed
 		service.Host.Stop()
-		<-proposed
+		<-stopped
 		return identity
 	}
 	is.Equal(start().ID, replica.FounderID(self))
@@ -86,7 +88,7 @@
 	is.True(start().ID != again)
 }
 
-// newTestHost returns a host without groups that records contacts. The caller runs it.
+// newTestHost returns a host without groups that records contacts. The caller must call Run.
 func newTestHost(t *testing.T, record *replica.IdentityStore) *replica.Host {
 	t.Helper()
 	store, err := replica.OpenStore(t.TempDir())
@@ -104,8 +106,9 @@
 	return host
 }
 
-// At the first start all founders ask at once, and answer each other although none has a replica yet.
-func TestFoundersThatAskAnswer(t *testing.T) {
+// At the first start all founders query each other at the same time, and reply although none has a
+// replica yet.
+func TestParticipatedBefore_ConcurrentFounders(t *testing.T) {
 	is := is.New(t)
 	probe, err := net.Listen("tcp4", "127.0.0.1:0")
 	is.NoErr(err)
@@ -123,11 +126,11 @@
 			log: slog.New(slog.DiscardHandler), client: transport.NewClient(),
 		}
 	}
-	answers := make(chan bool, 2)
+	results := make(chan bool, 2)
 	for _, ip := range []string{"127.0.0.1", "127.0.0.2"} {
 		founder := newFounder(ip)
-		go func() { answers <- founder.tookPart(context.Background(), replica.FounderID(ip+":8144")) }()
+		go func() { results <- founder.participatedBefore(context.Background(), replica.FounderID(ip+":8144")) }()
 	}
-	is.True(!<-answers)
-	is.True(!<-answers)
+	is.True(!<-results)
+	is.True(!<-results)
 }
--- a/internal/scheduler/controlplane/groups.go
+++ b/internal/scheduler/controlplane/groups.go
@@ -9,7 +9,7 @@
 	"saffronquay/internal/scheduler/settings"
 )
 
-// controlGroups names the replica groups that controllers run.
+// controlGroups returns the names of the replica groups run by controllers.
 func controlGroups() []string {
 	names := []string{directory.Shard}
 	for n := range registry.ShardCount {
@@ -18,8 +18,8 @@
 	return names
 }
 
-// jobGroups names the replica groups that storage machines run. Shard 0 comes last: when it is placed, all are, and the number of shards is
-// fixed.
+// jobGroups returns the names of the replica groups run by storage machines. Shard 0 is last: once
+// it is placed, all shards are, and their number is fixed.
 func (s *Server) jobGroups() (names []string) {
 	placements := s.directory.Placements()
 	shards := batchjobs.PlacedShardCount(func(group string) bool { return placements[group] != nil })
@@ -32,7 +32,7 @@
 	return names
 }
 
-// stateMachine returns the state of a group that this role runs; nil for any other group.
+// stateMachine returns the state machine of a group run by this role; nil for any other group.
 func (s *Server) stateMachine(group string) replica.StateMachine {
 	if group == directory.Shard {
 		return s.directory
@@ -43,9 +43,10 @@
 	return nil
 }
 
-// foundGroups starts the groups at the first start of the system, where the settings say so and the seeds name this machine: the
-// machines that the seeds name are the founders. A group that is on this disk already stays as it is.
-func (s *Server) foundGroups() {
+// createInitialGroups creates the groups at the first start of the system, if the settings enable
+// it and the seeds include this machine: the machines listed as seeds are the founders. A group
+// that already exists on this disk is unchanged.
+func (s *Server) createInitialGroups() {
 	if !s.settings.Bootstrap {
 		return
 	}
--- a/internal/scheduler/controlplane/operator_api.go
+++ b/internal/scheduler/controlplane/operator_api.go
@@ -16,7 +16,8 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// decide has the directory decide on a command. Where it can't in time, decide answers the request itself and returns nil.
+// decide has the directory commit a command and returns its result. If that fails, decide sends the
+// error response itself and returns nil.
 func (s *Server) decide(ctx context.Context, request *fasthttp.RequestCtx, command *rpc.DirectoryCommand) *rpc.DirectoryResult {
 	ctx, cancel := context.WithTimeout(ctx, submitTimeout)
 	defer cancel()
@@ -27,7 +28,7 @@
 	}
 	proposed := s.submit(ctx, directory.Shard, encoded)
 	if proposed.Outcome != rpc.Outcome_DONE {
-		fail(request, fasthttp.StatusServiceUnavailable, "no majority of the stewards answers")
+		fail(request, fasthttp.StatusServiceUnavailable, "directory command was not committed in time: no majority of the stewards replied")
 		return nil
 	}
 	result := &rpc.DirectoryResult{}
@@ -38,7 +39,7 @@
 	return result
 }
 
-// replaceConfiguration answers the operator's request to take a complete configuration.
+// replaceConfiguration handles the operator's request to replace the complete configuration.
 func (s *Server) replaceConfiguration(ctx context.Context, request *fasthttp.RequestCtx) {
 	change, ok := readChange(request)
 	if !ok {
@@ -51,7 +52,8 @@
 	s.changeConfiguration(ctx, request, directory.ReplaceCommand(change.base, change.version, false, change.body))
 }
 
-// patchConfiguration answers the operator's request to change named items. Only the directory can check it: the other items are there.
+// patchConfiguration handles the operator's request to change named items. Only the directory can
+// validate it, because it has the other items.
 func (s *Server) patchConfiguration(ctx context.Context, request *fasthttp.RequestCtx) {
 	change, ok := readChange(request)
 	if !ok {
@@ -60,23 +62,23 @@
 	s.changeConfiguration(ctx, request, directory.ReplaceCommand(change.base, change.version, true, change.body))
 }
 
-// configurationChange is a request for another configuration.
+// configurationChange is a request to change the configuration.
 type configurationChange struct {
-	base    uint64 // the version that it builds on
-	version uint64 // the version that it makes
+	base    uint64 // the version that it is based on
+	version uint64 // the version that it creates
 	body    []byte
 }
 
-// readChange reads a request. Where it is malformed, readChange answers it.
+// readChange parses a request. If the request is malformed, readChange sends the error response.
 func readChange(request *fasthttp.RequestCtx) (change configurationChange, ok bool) {
 	base, err := strconv.ParseUint(string(request.Request.Header.Peek("Base-Version")), 10, 64)
 	if err != nil {
-		fail(request, fasthttp.StatusBadRequest, "Base-Version: want a whole number")
+		fail(request, fasthttp.StatusBadRequest, "Base-Version: must be an unsigned integer")
 		return change, false
 	}
 	body := bytes.Clone(request.PostBody())
 	if !utf8.Valid(body) {
-		fail(request, fasthttp.StatusBadRequest, "configuration: the text is not UTF-8")
+		fail(request, fasthttp.StatusBadRequest, "configuration: body is not valid UTF-8")
 		return change, false
 	}
 	var head struct {
@@ -101,10 +103,10 @@
 	}
 }
 
-// HTTPStatus returns the status that the operator gets for a decision of the directory. A change that may have been taken long ago is answered 503:
-// a refusal could be wrong.
-func HTTPStatus(decided rpc.DirectoryStatus) int {
-	switch decided {
+// HTTPStatus returns the HTTP status for a decision of the directory. A change that may have been
+// accepted long ago yields 503: a rejection could be wrong.
+func HTTPStatus(status rpc.DirectoryStatus) int {
+	switch status {
 	case rpc.DirectoryStatus_DIRECTORY_OK:
 		return fasthttp.StatusOK
 	case rpc.DirectoryStatus_DIRECTORY_CONFLICT:
@@ -115,15 +117,15 @@
 	return fasthttp.StatusBadRequest
 }
 
-// readConfiguration answers the newest configuration as the operator sent it. The read is a command of the directory's log, so that no
-// older configuration is answered.
+// readConfiguration returns the latest configuration as the operator sent it. The read is a command
+// in the directory's log, so that no stale configuration is returned.
 func (s *Server) readConfiguration(ctx context.Context, request *fasthttp.RequestCtx) {
 	result := s.decide(ctx, request, &rpc.DirectoryCommand{Command: &rpc.DirectoryCommand_Read{Read: &rpc.Read{}}})
 	if result == nil {
 		return
 	}
 	if len(result.Configuration) == 0 {
-		fail(request, fasthttp.StatusNotFound, "no configuration has been taken yet")
+		fail(request, fasthttp.StatusNotFound, "no configuration has been accepted yet")
 		return
 	}
 	text, err := compression.Documents.Decompress(result.Configuration)
@@ -135,14 +137,15 @@
 	request.SetBody(text)
 }
 
-// nameVersion answers a trainer's request to roll a weight version out. A version that isn't above the model's newest one changes nothing.
+// nameVersion handles a trainer's request to roll out a weight version. A version that is not above
+// the model's latest one has no effect.
 func (s *Server) nameVersion(ctx context.Context, request *fasthttp.RequestCtx) {
 	var named struct {
 		Model   string `json:"model"`
 		Version uint64 `json:"version"`
 	}
 	if err := json.Unmarshal(request.PostBody(), &named); err != nil || named.Model == "" || named.Version == 0 {
-		fail(request, fasthttp.StatusBadRequest, "want a model and a version above 0")
+		fail(request, fasthttp.StatusBadRequest, "model must not be empty and version must be above 0")
 		return
 	}
 	version := &rpc.NameVersion{Model: named.Model, Version: named.Version}
--- a/internal/scheduler/controlplane/placements.go
+++ b/internal/scheduler/controlplane/placements.go
@@ -10,19 +10,20 @@
 )
 
 const (
-	// minLeadTime is how long a process must have led the directory before it decides on machines: members that it has only just heard of
-	// again would count as failed.
+	// minLeadTime is how long a process must have led the directory before it decides on machines:
+	// before that, members whose state it has not received yet would count as failed.
 	minLeadTime = 1200 * time.Millisecond
-	// firstPlacementDelay is how long enough storage machines are waited for before the first placement: all of them start at about the same
-	// time, and more of them allow a better choice.
+	// firstPlacementDelay is the delay before the first placement if enough storage machines are
+	// alive: all of them start at about the same time, and more of them allow a better choice.
 	firstPlacementDelay = 2500 * time.Millisecond
-	// maxFirstPlacementDelay is how long enough of them are waited for. After it, fewer do.
+	// maxFirstPlacementDelay is the delay after which the first placement uses fewer machines than
+	// the group size.
 	maxFirstPlacementDelay = 6 * time.Second
 )
 
 const microsecondsPerMS = 1000
 
-// machines lists the machines of a kind that the membership knows, failed ones too.
+// machines returns the machines of a kind known to the membership, including failed ones.
 func (s *Server) machines(kind string) (list []placement.Machine) {
 	view := s.membership.View()
 	retirements := s.directory.Retirements()
@@ -40,8 +41,8 @@
 	return list
 }
 
-// updatePlacements decides where each group's replicas belong, by the machines that are alive. Only the directory's leader calls it; it does
-// nothing until that one has led for minLeadTime.
+// updatePlacements decides on the placement of each group's replicas, based on the live machines.
+// Only the directory's leader calls it; it does nothing until that has led for minLeadTime.
 func (s *Server) updatePlacements(ctx context.Context) {
 	status := s.host.Status(directory.Shard)
 	if status == nil {
@@ -56,25 +57,26 @@
 	s.placeJobGroups(ctx, placements, ledMS)
 }
 
-// placeControlGroups decides on the groups that controllers run. founders are the voters of the directory: a group without a placement has
-// the same ones.
-func (s *Server) placeControlGroups(ctx context.Context, placements map[string]*rpc.Placement, founders []*rpc.Replica, ledMS int64) {
+// placeControlGroups decides on the groups run by controllers. directoryVoters are the voters of
+// the directory: a group without a placement has the same ones.
+func (s *Server) placeControlGroups(ctx context.Context, placements map[string]*rpc.Placement, directoryVoters []*rpc.Replica, ledMS int64) {
 	machines := s.machines(settings.ServesControlPlane)
 	for _, name := range controlGroups() {
 		current := placements[name].GetReplicas()
 		if current == nil {
-			current = withNodeNames(founders, machines)
+			current = withNodeNames(directoryVoters, machines)
 		}
 		plan := placement.Plan(current, placement.WithForgotten(machines, current, ledMS), s.settings.GroupSize(), nil)
 		s.proposePlacement(ctx, name, current, plan)
 	}
 }
 
-// placeJobGroups decides on the groups that storage machines run. New groups go to the machines that have the fewest replicas.
+// placeJobGroups decides on the groups run by storage machines. New groups are placed on the
+// machines with the fewest replicas.
 func (s *Server) placeJobGroups(ctx context.Context, placements map[string]*rpc.Placement, ledMS int64) {
 	machines := s.machines(settings.ServesStorage)
 	size := s.settings.GroupSize()
-	load := map[string]int{} // replicas by node
+	load := map[string]int{} // number of replicas by node
 	for _, name := range s.jobGroups() {
 		countReplicas(load, placements[name].GetReplicas())
 	}
@@ -97,7 +99,8 @@
 	}
 }
 
-// mayPlaceFirst reports whether enough storage machines are known to place a group for the first time.
+// mayPlaceFirst reports whether enough storage machines are known for the first placement of a
+// group.
 func (s *Server) mayPlaceFirst(machines []placement.Machine, size int) bool {
 	alive := 0
 	for _, m := range machines {
@@ -109,10 +112,10 @@
 	return alive >= size && age > firstPlacementDelay || alive > 0 && age > maxFirstPlacementDelay
 }
 
-// withNodeNames returns founders with their machines' names; founders know only each other's addresses. One whose machine isn't known is named
-// by its identity.
-func withNodeNames(founders []*rpc.Replica, machines []placement.Machine) (named []*rpc.Replica) {
-	for _, r := range founders {
+// withNodeNames returns the replicas with the names of their machines; founders know only each
+// other's addresses. A replica whose machine is unknown is named by its id.
+func withNodeNames(replicas []*rpc.Replica, machines []placement.Machine) (named []*rpc.Replica) {
+	for _, r := range replicas {
 		x := &rpc.Replica{Id: r.Id, Address: r.Address, Node: r.Node}
 		for _, m := range machines {
 			if m.Identity == r.Id {
@@ -127,7 +130,8 @@
 	return named
 }
 
-// proposePlacement commits a plan that differs from the placement in force. Without a decision in time, a later turn proposes again.
+// proposePlacement commits a plan that differs from the current placement. If it is not committed
+// in time, a later iteration proposes it again.
 func (s *Server) proposePlacement(ctx context.Context, group string, current, plan []*rpc.Replica) {
 	if len(plan) == 0 || placement.Same(current, plan) && s.directory.Placements()[group] != nil {
 		return
@@ -138,7 +142,7 @@
 		Group: group, Replicas: plan, Founding: current == nil,
 	}}}
 	if s.host.ProposeMessage(ctx, directory.Shard, command).Outcome == rpc.Outcome_DONE {
-		s.log.Info("placement", "group", group, "replicas", nodeNames(plan))
+		s.log.Info("placement changed", "group", group, "replicas", nodeNames(plan))
 	}
 }
 
--- a/internal/scheduler/controlplane/retirements.go
+++ b/internal/scheduler/controlplane/retirements.go
@@ -12,21 +12,23 @@
 	"github.com/valyala/fasthttp"
 )
 
-// A storage machine is emptied by the directory's leader: placements no longer name it, and its retirement is completed when the groups have
-// left it. Only that leader accepts or refuses a request for it: any other controller may be partitioned, and know neither the machines nor
-// the requests that were accepted.
+// The directory's leader drains a storage machine: placements no longer include it, and its
+// retirement is completed when the groups have moved away from it. Only that leader accepts or
+// rejects a request for it: any other controller may be partitioned, and know neither the machines
+// nor the accepted requests.
 
-// countsAsStayingMS is for how long a failed machine still counts as staying when a request is judged: most of them come back.
+// countsAsStayingMS is how long a failed machine still counts as available when a request is
+// checked: most failed machines recover.
 const countsAsStayingMS = 30_000
 
-// startRetirement answers the operator's request to empty a storage machine.
+// startRetirement handles the operator's request to drain a storage machine.
 func (s *Server) startRetirement(ctx context.Context, request *fasthttp.RequestCtx) {
 	response := s.requestRetirement(ctx, &rpc.RetireRequest{Node: pathValue(request, "node"), Start: true})
 	switch {
 	case response == nil:
-		fail(request, fasthttp.StatusServiceUnavailable, "the directory's leader doesn't answer")
+		fail(request, fasthttp.StatusServiceUnavailable, "directory leader did not reply in time")
 	case response.State == rpc.RetireState_RETIRE_NO_SUCH_MACHINE:
-		fail(request, fasthttp.StatusNotFound, "no such storage machine")
+		fail(request, fasthttp.StatusNotFound, "unknown storage machine")
 	case response.State == rpc.RetireState_RETIRE_TOO_FEW_LEFT:
 		fail(request, fasthttp.StatusConflict, "too few storage machines would be left")
 	default:
@@ -34,16 +36,16 @@
 	}
 }
 
-// readRetirement answers how far the emptying of a storage machine is.
+// readRetirement returns the state of a storage machine's retirement.
 func (s *Server) readRetirement(ctx context.Context, request *fasthttp.RequestCtx) {
 	response := s.requestRetirement(ctx, &rpc.RetireRequest{Node: pathValue(request, "node")})
 	state := "active"
 	switch {
 	case response == nil:
-		fail(request, fasthttp.StatusServiceUnavailable, "the directory's leader doesn't answer")
+		fail(request, fasthttp.StatusServiceUnavailable, "directory leader did not reply in time")
 		return
 	case response.State == rpc.RetireState_RETIRE_NOT_ASKED:
-		fail(request, fasthttp.StatusNotFound, "this machine is not being emptied")
+		fail(request, fasthttp.StatusNotFound, "no retirement was requested for this machine")
 		return
 	case response.State == rpc.RetireState_RETIRE_COMPLETED:
 		state = "completed"
@@ -53,7 +55,8 @@
 	}{state})
 }
 
-// requestRetirement has the directory's leader answer, wherever that is. It retries for forwardTimeout, and returns nil then.
+// requestRetirement forwards a request to the directory's leader, which may be this process. It
+// retries for forwardTimeout, and returns nil then.
 func (s *Server) requestRetirement(ctx context.Context, r *rpc.RetireRequest) *rpc.RetireResponse {
 	ctx, cancel := context.WithTimeout(ctx, forwardTimeout)
 	defer cancel()
@@ -74,7 +77,8 @@
 	}
 }
 
-// Retire implements rpc.Control. It answers for the directory's leader only; it never forwards.
+// Retire implements rpc.Control. It handles requests only for the directory's leader, and never
+// forwards them.
 func (s *Server) Retire(ctx context.Context, r *rpc.RetireRequest) (*rpc.RetireResponse, error) {
 	return s.retire(ctx, r), nil
 }
@@ -96,7 +100,7 @@
 	case !r.Start:
 		return &rpc.RetireResponse{Outcome: rpc.Outcome_DONE}
 	case s.host.Now()-status.LeaderSince < minLeadTime.Milliseconds():
-		return &rpc.RetireResponse{Outcome: rpc.Outcome_UNAVAILABLE} // machines that were not heard of yet would seem to be missing
+		return &rpc.RetireResponse{Outcome: rpc.Outcome_UNAVAILABLE} // machines whose state has not been received yet would count as missing
 	}
 	refusal := RetireRefusal(r.Node, s.machines(settings.ServesStorage), s.jobPlacements(), s.settings.GroupSize())
 	if refusal != rpc.RetireState_RETIRE_NOT_ASKED {
@@ -113,8 +117,9 @@
 	return s.host.ProposeMessage(ctx, directory.Shard, command).Outcome
 }
 
-// RetireRefusal returns why a storage machine must not be emptied: it is unknown, or fewer machines than a group has replicas (size) would
-// stay. It returns RETIRE_NOT_ASKED where the request may be accepted. It is pure.
+// RetireRefusal returns the reason why a storage machine must not be drained: it is unknown, or
+// fewer machines than the group size would remain. It returns RETIRE_NOT_ASKED if the request may
+// be accepted. It has no side effects.
 func RetireRefusal(node string, machines []placement.Machine, placements []*rpc.Placement, size int) rpc.RetireState {
 	known, staying := false, 0
 	for _, m := range machines {
@@ -138,7 +143,7 @@
 	return slices.ContainsFunc(p.Replicas, func(r *rpc.Replica) bool { return r.Node == node })
 }
 
-// jobPlacements returns the placements of the groups that storage machines run.
+// jobPlacements returns the placements of the groups run by storage machines.
 func (s *Server) jobPlacements() (list []*rpc.Placement) {
 	for name, p := range s.directory.Placements() {
 		if s.stateMachine(name) == nil {
@@ -148,18 +153,20 @@
 	return list
 }
 
-// completeRetirements commits the end of retirements whose machines no group needs any more. Only the directory's leader calls it.
+// completeRetirements commits the completion of retirements whose machines are no longer needed by
+// any group. Only the directory's leader calls it.
 func (s *Server) completeRetirements(ctx context.Context) {
 	for node, completed := range s.directory.Retirements() {
-		if completed || !s.isEmptied(ctx, node) {
+		if completed || !s.isDrained(ctx, node) {
 			continue
 		}
-		s.proposeRetirement(ctx, &rpc.Retirement{Node: node, Completed: true}) // without a decision in time, a later turn proposes it again
+		s.proposeRetirement(ctx, &rpc.Retirement{Node: node, Completed: true}) // if it is not committed in time, a later iteration proposes it again
 	}
 }
 
-// isEmptied reports whether no group needs a machine, by the placements and by what the groups' leaders say.
-func (s *Server) isEmptied(ctx context.Context, node string) bool {
+// isDrained reports whether no group needs a machine, according to the placements and to the
+// groups' leaders.
+func (s *Server) isDrained(ctx context.Context, node string) bool {
 	placements := s.directory.Placements()
 	for _, name := range s.jobGroups() {
 		wanted := placements[name]
@@ -173,14 +180,15 @@
 	return true
 }
 
-// isInForce reports whether a group's leader says that its members are those of the placement and have everything.
+// isInForce reports whether a group's leader confirms that the members are those of the placement
+// and have the complete state.
 func (s *Server) isInForce(ctx context.Context, wanted *rpc.Placement) bool {
 	ctx, cancel := context.WithTimeout(ctx, controlTimeout)
 	defer cancel()
 	for _, r := range wanted.Replicas {
 		response, err := rpc.NewReplicationProtobufClient("http://"+r.Address, s.client).Status(ctx, &rpc.StatusRequest{})
 		if err != nil {
-			continue // a replica that doesn't answer isn't the leader, or is queried again in a later turn
+			continue // a replica that does not reply is not the leader, or is queried again in a later iteration
 		}
 		for _, g := range response.Groups {
 			if g.Group == wanted.Group && MatchesPlacement(g, wanted) {
@@ -191,9 +199,9 @@
 	return false
 }
 
-// MatchesPlacement reports whether a status is reported by a leader with its lease, its members are those of the placement, this membership is
-// committed, and each member has on its disk all that was there before. A machine that isn't among them then has nothing that they lack.
-// It is pure.
+// MatchesPlacement reports whether a status is reported by a leader with its lease, its members are
+// those of the placement, this membership is committed, and each member has persisted the complete
+// log up to it. Any other machine then has no data that they lack. It has no side effects.
 func MatchesPlacement(g *rpc.GroupStatus, wanted *rpc.Placement) bool {
 	return g.Leads && g.Settled && g.HeldByAll && len(g.Membership.GetLearners()) == 0 && len(g.Membership.GetOutgoing()) == 0 && placement.Same(g.Membership.GetVoters(), wanted.Replicas)
 }
--- a/internal/scheduler/controlplane/retirements_test.go
+++ b/internal/scheduler/controlplane/retirements_test.go
@@ -16,21 +16,21 @@
 	return list
 }
 
-// A request to empty a machine is refused where it is unknown or too few would be left. Machines that are down for a moment count as staying:
-// the refusal would be final.
-func TestRefusedRetirements(t *testing.T) {
+// A request to drain a machine is rejected if the machine is unknown or too few machines would
+// remain. Machines that are briefly down count as available: the rejection would be final.
+func TestRetireRefusal(t *testing.T) {
 	failedFor := func(ms int64) placement.Machine { return placement.Machine{Node: "c", DeadMS: ms} }
 	for name, test := range map[string]struct {
 		node       string
-		third      placement.Machine // beside a, b and d, which are alive
+		third      placement.Machine // in addition to a, b and d, which are alive
 		placements []*rpc.Placement
 		want       rpc.RetireState
 	}{
 		"accepted while one has just failed": {"d", failedFor(5000), nil, rpc.RetireState_RETIRE_NOT_ASKED},
 		"unknown":                            {"x", failedFor(5000), nil, rpc.RetireState_RETIRE_NO_SUCH_MACHINE},
 		"known by a placement only":          {"x", failedFor(5000), []*rpc.Placement{{Replicas: replicas("x")}}, rpc.RetireState_RETIRE_NOT_ASKED},
-		"one has failed for long":            {"d", failedFor(countsAsStayingMS), nil, rpc.RetireState_RETIRE_TOO_FEW_LEFT},
-		"another one retires": {
+		"one has failed long ago":            {"d", failedFor(countsAsStayingMS), nil, rpc.RetireState_RETIRE_TOO_FEW_LEFT},
+		"another one is retiring": {
 			"d", placement.Machine{Node: "c", Alive: true, Retiring: true}, nil, rpc.RetireState_RETIRE_TOO_FEW_LEFT,
 		},
 	} {
@@ -42,8 +42,8 @@
 	}
 }
 
-// A machine counts as emptied only where the leader itself, under its lease, says that the members of the placement are in force and have
-// everything.
+// A machine counts as drained only if the leader itself, under its lease, reports that the members
+// of the placement are in force and have the complete state.
 func TestMatchesPlacement(t *testing.T) {
 	wanted := &rpc.Placement{Group: "g", Replicas: replicas("a", "b", "d"), Revision: 7}
 	for name, test := range map[string]struct {
--- a/internal/scheduler/controlplane/server.go
+++ b/internal/scheduler/controlplane/server.go
@@ -23,16 +23,17 @@
 	"github.com/valyala/fasthttp"
 )
 
-// errDiskFailed ends the role: the state of its replicas could not be read.
+// errDiskFailed stops the role: the state of its replicas could not be read.
 var errDiskFailed = errors.New("controlplane: disk failed, replicas stopped")
 
 const (
-	maxBody     = 64 << 20 // bytes of a request
+	maxBody     = 64 << 20 // maximum size of a request body in bytes
 	idleTimeout = time.Minute
 	readTimeout = 20 * time.Second
 )
 
-// Server is a running process of this role. Its fields are set before it serves and stay; what they point to may be used concurrently.
+// Server is a running process of this role. Its fields are set before it serves and do not change;
+// the objects they refer to are safe for concurrent use.
 type Server struct {
 	settings *settings.Settings
 	log      *slog.Logger
@@ -51,8 +52,8 @@
 	demand    weights.Demand
 }
 
-// Run serves until ctx ends, then closes what is open. It returns an error where the process can't start or its disk fails. Other members
-// are not notified: they detect the end.
+// Run serves until ctx ends, then shuts down. It returns an error if the process cannot start or
+// its disk fails. It does not announce its departure to other members: they detect it.
 func Run(ctx context.Context, source *settings.Source, options replica.Options, log *slog.Logger) error {
 	s := &Server{
 		settings: source.Current(), log: log, client: transport.NewClient(), started: time.Now(),
@@ -73,10 +74,10 @@
 	return s.serve(ctx)
 }
 
-// open decides on the identity, and prepares the state machines and the host of the replicas.
+// open determines the identity, and prepares the state machines and the host of the replicas.
 func (s *Server) open(ctx context.Context, options replica.Options) (err error) {
-	tookPart := func(founder string) bool { return s.tookPart(ctx, founder) }
-	if s.identity, err = replica.LoadOrCreateIdentity(s.identities, s.settings, tookPart); err != nil {
+	participatedBefore := func(founder string) bool { return s.participatedBefore(ctx, founder) }
+	if s.identity, err = replica.LoadOrCreateIdentity(s.identities, s.settings, participatedBefore); err != nil {
 		return err
 	}
 	s.directory = directory.New(s.feed)
@@ -93,11 +94,12 @@
 	return err
 }
 
-// hasContact reports whether a message of a founder has arrived here once. It is assumed where the disk can't be read: a founder that is taken for one
-// that lost its disk takes another id, which does no harm.
+// hasContact reports whether a message of a founder has ever arrived here. It returns true if the
+// disk cannot be read: a founder that is wrongly assumed to have lost its disk uses another id,
+// which is harmless.
 func (s *Server) hasContact(founder string) bool {
-	met, err := s.identities.HasContact(founder)
-	return met || err != nil
+	contacted, err := s.identities.HasContact(founder)
+	return contacted || err != nil
 }
 
 // serve runs the servers and loops until ctx ends or the disk fails.
@@ -121,7 +123,7 @@
 	var tasks lifecycle.Tasks
 	go s.host.Run() // shutdown waits for it
 	tasks.Serve(s.log, "peer", peer.Serve)
-	s.foundGroups()
+	s.createInitialGroups()
 	api := &fasthttp.Server{
 		Handler: s.routes(context.WithoutCancel(ctx)), MaxRequestBodySize: maxBody, NoDefaultServerHeader: true, NoDefaultDate: true,
 		IdleTimeout: idleTimeout, ReadTimeout: readTimeout, CloseOnShutdown: true,
@@ -136,13 +138,14 @@
 	case <-s.host.Done():
 	}
 	s.log.Info("stopping")
-	s.handOver(ctx)
+	s.transferLeadership(ctx)
 	stop()
 	return s.shutdown(context.WithoutCancel(ctx), &tasks, api.ShutdownWithContext, peer.Close)
 }
 
-// handOver hands the leadership of all groups to other processes, so that none of them waits for an election. Calls are answered meanwhile.
-func (s *Server) handOver(ctx context.Context) {
+// transferLeadership transfers the leadership of all groups to other processes, so that the groups
+// do not wait for an election timeout. Requests are served meanwhile.
+func (s *Server) transferLeadership(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), lifecycle.HandOverTimeout)
 	defer cancel()
 	s.host.HandOver(ctx)
@@ -154,7 +157,7 @@
 	defer cancel()
 	for _, closeServer := range closers {
 		if err := closeServer(ctx); err != nil {
-			s.log.Info("server not closed in time", "error", err)
+			s.log.Info("server did not close in time", "error", err)
 		}
 	}
 	tasks.Wait(ctx)
@@ -165,7 +168,7 @@
 	return nil
 }
 
-// newDispatcher returns the sender of the orders of one registry shard.
+// newDispatcher returns the dispatcher of orders for one registry shard.
 func (s *Server) newDispatcher(sh *shard) *weights.Dispatcher {
 	return &weights.Dispatcher{
 		Node: s.settings.NodeName, TakeOverDelay: settings.Milliseconds(s.settings.Bounds.TakeOverDelayMS),
@@ -174,27 +177,28 @@
 	}
 }
 
-// singleVersion reports whether a model's texts must be made by one version of its weights. It is assumed while no trainer has said so.
+// singleVersion reports whether all texts of a model must be generated by one version of its
+// weights. It is true while no policy has been set.
 func (s *Server) singleVersion(model string) bool {
 	single, known := s.directory.SingleVersionPolicy(model)
 	return single || !known
 }
 
-// slots is the number of requests of a model that its open batch jobs need to run concurrently.
+// slots returns the number of concurrent requests that a model's open batch jobs need.
 func (s *Server) slots(model string) float64 { return s.demand.Slots(s.host.Now(), model) }
 
-// submit has a group decide on a command, at its leader, wherever that is. It retries until ctx ends.
+// submit has the leader of a group, in any process, commit a command. It retries until ctx ends.
 func (s *Server) submit(ctx context.Context, group string, command []byte) replica.ProposalResult {
 	return replica.Submit(ctx, s.host, s.client, group, command)
 }
 
-// controlClient returns a client of the control service at another process.
+// controlClient returns a client of the control service of another process.
 func (s *Server) controlClient(address string) rpc.Control {
 	return rpc.NewControlProtobufClient("http://"+address, s.client)
 }
 
-// controlAddress is where the controller with a peer address answers workers and the operator; empty where an address can't be read.
-// All controllers listen for them on the same port.
+// controlAddress returns the address at which the controller with a peer address serves workers and
+// the operator; empty if an address cannot be parsed. All controllers use the same port.
 func (s *Server) controlAddress(peer string) string {
 	host, _, err := net.SplitHostPort(peer)
 	if err != nil {
--- a/internal/scheduler/controlplane/shard.go
+++ b/internal/scheduler/controlplane/shard.go
@@ -12,9 +12,10 @@
 )
 
 const (
-	// heartbeatTimeout bounds how long a heartbeat's command waits for the group's decision.
+	// heartbeatTimeout is the maximum time that a heartbeat's command waits to be committed by the
+	// group.
 	heartbeatTimeout = 700 * time.Millisecond
-	// forgetAfterMS is how long a lost worker is kept in the registry.
+	// forgetAfterMS is how long a lost worker is retained in the registry.
 	forgetAfterMS = 120_000
 )
 
@@ -28,17 +29,17 @@
 
 var _ weights.Shard = (*shard)(nil)
 
-// status returns how the shard's group stands here; nil where this process has no replica of it.
+// status returns the status of the shard's group; nil if this process has no replica of it.
 func (sh *shard) status() *replica.Status { return sh.server.host.Status(sh.name) }
 
-// ownership says under which epoch this process decides for the shard, and whether it may.
+// ownership returns the epoch in which this process decides for the shard, and whether it may.
 func (sh *shard) ownership(status *replica.Status) registry.Ownership {
 	now := sh.server.host.Now()
 	return registry.Ownership{NowMS: now, Epoch: status.Epoch, HasLease: status.HasLease(now)}
 }
 
-// heartbeat decides on a heartbeat, or a leave, where this process owns the shard; elsewhere it names the owner. DONE says that what the
-// heartbeat changes is committed.
+// heartbeat handles a heartbeat or a deregistration if this process owns the shard; otherwise the
+// response has the owner's address. With outcome DONE the resulting change is committed.
 func (sh *shard) heartbeat(ctx context.Context, r *rpc.HeartbeatRequest) *rpc.HeartbeatResponse {
 	status := sh.status()
 	if status == nil {
@@ -56,13 +57,13 @@
 	return &rpc.HeartbeatResponse{Outcome: sh.propose(ctx, command)}
 }
 
-// propose has the shard's group, which this process leads, decide on a command.
+// propose has the shard's group, which this process leads, commit a command.
 func (sh *shard) propose(ctx context.Context, command *rpc.RegistryCommand) rpc.Outcome {
 	return sh.server.host.ProposeMessage(ctx, sh.name, command).Outcome
 }
 
-// removeOverdue declares workers lost whose heartbeats have ceased, and removes those that were lost long ago. It does nothing where this
-// process doesn't own the shard.
+// removeOverdue declares workers lost whose heartbeats have ceased, and removes those that were
+// lost long ago. It does nothing if this process does not own the shard.
 func (sh *shard) removeOverdue(ctx context.Context) {
 	status := sh.status()
 	if status == nil {
@@ -72,7 +73,7 @@
 	defer cancel()
 	for _, command := range sh.heartbeats.OverdueCommands(sh.ownership(status), forgetAfterMS) {
 		sh.server.log.Info("worker overdue", "shard", sh.name, "command", command)
-		sh.propose(ctx, command) // without a decision in time, a later turn proposes it again
+		sh.propose(ctx, command) // if it is not committed in time, a later iteration proposes it again
 	}
 }
 
@@ -94,7 +95,8 @@
 	return time.Duration(sh.server.host.Now()-status.LeaderSince) * time.Millisecond
 }
 
-// LastHolder implements weights.Shard. A process has ended where its machine is failed or runs another one.
+// LastHolder implements weights.Shard. A process has ended if its machine has failed or runs
+// another process.
 func (sh *shard) LastHolder() (node string, ended bool) {
 	holder := sh.registry.Holder()
 	return holder.GetNode(), sh.server.membership.View().Incarnation(holder.GetNode()) != holder.GetStart()
@@ -107,12 +109,14 @@
 	return sh.propose(ctx, &rpc.RegistryCommand{Command: &rpc.RegistryCommand_Hold{Hold: holder}}) == rpc.Outcome_DONE
 }
 
-// Instances implements weights.Shard. Workers that have missed a heartbeat are left out: an order to them would only wait.
+// Instances implements weights.Shard. Workers that have missed a heartbeat are excluded: an order
+// to them would block.
 func (sh *shard) Instances() []*rpc.Instance {
 	return sh.heartbeats.ResponsiveInstances(sh.server.host.Now())
 }
 
-// RecordVersion implements weights.Shard. Without a decision in time nothing is lost: the worker's next heartbeat says the same.
+// RecordVersion implements weights.Shard. If the command is not committed in time nothing is lost:
+// the worker's next heartbeat reports the same version.
 func (sh *shard) RecordVersion(ctx context.Context, id, model string, version uint64) {
 	known := sh.registry.Instance(id)
 	if known == nil {
--- a/internal/scheduler/controlplane/worker_api.go
+++ b/internal/scheduler/controlplane/worker_api.go
@@ -25,15 +25,17 @@
 	} `json:"models"`
 }
 
-// stateDraining is the state, in any case of its letters, of a worker that takes no new requests.
+// stateDraining is the case-insensitive state of a worker that accepts no new requests.
 const stateDraining = "draining"
 
-// heartbeatAnswer names the controller that owns the worker's shard, so that later heartbeats go there directly.
-type heartbeatAnswer struct {
+// heartbeatResponse has the address of the controller that owns the worker's shard, so that the
+// worker sends later heartbeats to it directly.
+type heartbeatResponse struct {
 	Endpoint string `json:"heartbeatEndpoint,omitempty"`
 }
 
-// receiveHeartbeat answers a worker's heartbeat, when the owner of its service's shard has decided on it.
+// receiveHeartbeat handles a worker's heartbeat. It replies when the owner of its service's shard
+// has processed it.
 func (s *Server) receiveHeartbeat(ctx context.Context, request *fasthttp.RequestCtx) {
 	instance, err := readHeartbeat(pathValue(request, "id"), request.PostBody())
 	if err != nil {
@@ -44,35 +46,36 @@
 	defer cancel()
 	owner, ok := s.forwardHeartbeat(ctx, registry.ShardOf(instance.Service), &rpc.HeartbeatRequest{Instance: instance})
 	if !ok {
-		fail(request, fasthttp.StatusServiceUnavailable, "the owner of the service's shard doesn't answer")
+		fail(request, fasthttp.StatusServiceUnavailable, "owner of the service's registry shard did not reply in time")
 		return
 	}
-	reply(request, fasthttp.StatusOK, heartbeatAnswer{s.controlAddress(owner)})
+	reply(request, fasthttp.StatusOK, heartbeatResponse{s.controlAddress(owner)})
 }
 
-// deregister answers a worker that leaves. The call names no service, and this controller may not know the worker yet, so every shard has to
-// commit the leave: if only the wrong shard committed it, gatherers would continue to send requests to the worker after the acknowledgement.
+// deregister handles the deregistration of a worker. The request does not contain the service, and
+// this controller may not know the worker yet, so every shard has to commit it: if only the wrong
+// shard did, gatherers would continue to send requests to the worker after the acknowledgement.
 func (s *Server) deregister(ctx context.Context, request *fasthttp.RequestCtx) {
 	id := pathValue(request, "id")
 	ctx, cancel := context.WithTimeout(ctx, forwardTimeout)
 	defer cancel()
 	committed := make(chan bool, len(s.shards))
 	for name := range s.shards {
-		go func() { // ends with ctx at the latest; the channel is large enough for all answers
+		go func() { // ends with ctx at the latest; the channel is buffered for all results
 			_, ok := s.forwardHeartbeat(ctx, name, &rpc.HeartbeatRequest{Shard: name, Instance: &rpc.Instance{Id: id}, Leaving: true})
 			committed <- ok
 		}()
 	}
 	for range s.shards {
 		if !<-committed {
-			fail(request, fasthttp.StatusServiceUnavailable, "not all owners of shards answer")
+			fail(request, fasthttp.StatusServiceUnavailable, "not all owners of registry shards replied in time")
 			return
 		}
 	}
 	reply(request, fasthttp.StatusOK, emptyBody{})
 }
 
-// readHeartbeat reads the body of a heartbeat. What it returns has no part of the body's buffer.
+// readHeartbeat parses the body of a heartbeat. The result does not refer to the body's buffer.
 func readHeartbeat(id string, text []byte) (*rpc.Instance, error) {
 	var b heartbeatBody
 	if err := json.Unmarshal(text, &b); err != nil {
@@ -88,8 +91,8 @@
 	return instance, nil
 }
 
-// forwardHeartbeat has the owner of a shard decide on a heartbeat or a leave. It retries until ctx ends. It returns the peer address of the
-// owner, and whether that one decided.
+// forwardHeartbeat has the owner of a shard process a heartbeat or a deregistration. It retries
+// until ctx ends. It returns the peer address of the owner, and whether the owner processed it.
 func (s *Server) forwardHeartbeat(ctx context.Context, name string, r *rpc.HeartbeatRequest) (owner string, ok bool) {
 	sh := s.shards[name]
 	for {
--- a/internal/scheduler/controlplane/worker_api_test.go
+++ b/internal/scheduler/controlplane/worker_api_test.go
@@ -6,8 +6,8 @@
 	"github.com/matryer/is"
 )
 
-// The buffer of a heartbeat is reused: nothing that is kept may point into it.
-func TestHeartbeatOutlivesItsBuffer(t *testing.T) {
+// The buffer of a heartbeat is reused: the parsed heartbeat must not refer to it.
+func TestReadHeartbeat_CopiesBuffer(t *testing.T) {
 	is := is.New(t)
 	buffer := []byte(`{"service":"s1","address":"10.0.0.1:80","zone":"z","capacity":12,"state":"draining","models":[{"name":"m","version":3}],"sequence":4}`)
 	instance, err := readHeartbeat("i-1", buffer)
