--- a/internal/scheduler/directory/directory_test.go
+++ b/internal/scheduler/directory/directory_test.go
@@ -14,7 +14,8 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// harness applies commands to a directory at consecutive indexes, as the replica does with the log of a group.
+// harness applies commands to a directory at consecutive indexes, as the replica does with the log
+// of a group.
 type harness struct {
 	*Directory
 	index uint64
@@ -24,7 +25,8 @@
 	return &harness{Directory: New(feed.NewTable())}
 }
 
-// text returns a configuration with one route, to the named service. The only known service is "s".
+// text returns a configuration with one route, to the named service. The only existing service is
+// "s".
 func text(version uint64, service string) []byte {
 	return fmt.Appendf(nil, `{"version":%d,"routes":[{"name":"r","host":"h","pathPrefix":"/","timeoutMs":5,"service":%q}],"services":[{"name":"s"}]}`, version, service)
 }
@@ -42,34 +44,35 @@
 	return h.apply(ReplaceCommand(base, version, false, body)).Status
 }
 
-// Of two updates on top of one version the first is accepted. An accepted one is acknowledged again however often it is sent, also after others.
-func TestRacesAndRepetitions(t *testing.T) {
+// Of two updates based on the same version the first one is accepted. An accepted update is
+// acknowledged again whenever it is resent, also after other updates.
+func TestReplace_ConflictsAndResends(t *testing.T) {
 	is := is.New(t)
 	h := newHarness()
 	is.Equal(h.replace(0, 3, text(3, "s")), rpc.DirectoryStatus_DIRECTORY_OK)
 	is.Equal(h.replace(0, 4, text(4, "s")), rpc.DirectoryStatus_DIRECTORY_CONFLICT)
 	is.Equal(h.replace(0, 3, text(3, "s")), rpc.DirectoryStatus_DIRECTORY_OK)
-	is.Equal(h.replace(3, 3, text(3, "s")), rpc.DirectoryStatus_DIRECTORY_INVALID) // not above the current one
+	is.Equal(h.replace(3, 3, text(3, "s")), rpc.DirectoryStatus_DIRECTORY_INVALID) // version not above the current one
 	is.Equal(h.replace(3, 5, text(5, "unknown")), rpc.DirectoryStatus_DIRECTORY_INVALID)
 	is.Equal(h.replace(3, 6, text(6, "s")), rpc.DirectoryStatus_DIRECTORY_OK)
 	is.Equal(h.replace(0, 3, text(3, "s")), rpc.DirectoryStatus_DIRECTORY_OK)
 	is.Equal(h.Table().Version, uint64(6))
 	read := h.apply(&rpc.DirectoryCommand{Command: &rpc.DirectoryCommand_Read{Read: &rpc.Read{}}})
-	back, err := compression.Documents.Decompress(read.Configuration)
+	body, err := compression.Documents.Decompress(read.Configuration)
 	is.NoErr(err)
-	is.Equal(string(back), string(text(6, "s")))
+	is.Equal(string(body), string(text(6, "s")))
 }
 
-// A directory that is restored from a snapshot has the same state.
-func TestSnapshot(t *testing.T) {
+// A directory restored from a snapshot has the same state.
+func TestDirectory_SnapshotRestore(t *testing.T) {
 	is := is.New(t)
 	h := newHarness()
 	is.Equal(h.replace(0, 3, text(3, "s")), rpc.DirectoryStatus_DIRECTORY_OK)
 	h.apply(&rpc.DirectoryCommand{Command: &rpc.DirectoryCommand_NameVersion{NameVersion: &rpc.NameVersion{Model: "m", Version: 4}}})
-	h.apply(&rpc.DirectoryCommand{Command: &rpc.DirectoryCommand_NameVersion{NameVersion: &rpc.NameVersion{Model: "m", Version: 2}}}) // late: no step back
+	h.apply(&rpc.DirectoryCommand{Command: &rpc.DirectoryCommand_NameVersion{NameVersion: &rpc.NameVersion{Model: "m", Version: 2}}}) // late: must not decrease the version
 	h.apply(&rpc.DirectoryCommand{Command: &rpc.DirectoryCommand_Place{Place: &rpc.Placement{Group: "g", Replicas: []*rpc.Replica{{Id: "a"}}}}})
 	h.apply(&rpc.DirectoryCommand{Command: &rpc.DirectoryCommand_Retire{Retire: &rpc.Retirement{Node: "n", Completed: true}}})
-	h.apply(&rpc.DirectoryCommand{Command: &rpc.DirectoryCommand_Retire{Retire: &rpc.Retirement{Node: "n"}}}) // sent again
+	h.apply(&rpc.DirectoryCommand{Command: &rpc.DirectoryCommand_Retire{Retire: &rpc.Retirement{Node: "n"}}}) // resent
 	h.apply(&rpc.DirectoryCommand{Command: &rpc.DirectoryCommand_Policy{Policy: &rpc.ModelPolicy{Model: "m", SingleVersion: true}}})
 	state, err := replica.EncodeState(h.Snapshot())
 	is.NoErr(err)
@@ -83,12 +86,12 @@
 	is.Equal(restored.replace(0, 3, text(3, "s")), rpc.DirectoryStatus_DIRECTORY_OK)
 }
 
-// An update that was accepted so long ago that it is forgotten is neither acknowledged nor refused. One that is still remembered is
-// acknowledged, also after a restore.
-func TestForgottenUpdates(t *testing.T) {
+// An update that was accepted so long ago that it is no longer recorded is neither acknowledged nor
+// rejected. A recorded one is acknowledged, also after a restore.
+func TestReplace_DroppedRecords(t *testing.T) {
 	is := is.New(t)
 	h := newHarness()
-	for version := uint64(1); version <= maxRemembered+1; version++ {
+	for version := uint64(1); version <= maxAcceptedRecords+1; version++ {
 		is.Equal(h.replace(version-1, version, text(version, "s")), rpc.DirectoryStatus_DIRECTORY_OK)
 	}
 	state, err := replica.EncodeState(h.Snapshot())
@@ -96,16 +99,16 @@
 	restored := newHarness()
 	is.NoErr(restored.Restore(h.index, state))
 	for _, d := range []*harness{h, restored} {
-		is.Equal(len(d.accepted), maxRemembered/2)
-		is.Equal(len(d.acceptedDigests), maxRemembered/2)
+		is.Equal(len(d.accepted), maxAcceptedRecords/2)
+		is.Equal(len(d.acceptedDigests), maxAcceptedRecords/2)
 		is.Equal(d.replace(0, 1, text(1, "s")), rpc.DirectoryStatus_DIRECTORY_UNCERTAIN)
-		is.Equal(d.replace(maxRemembered, maxRemembered+1, text(maxRemembered+1, "s")), rpc.DirectoryStatus_DIRECTORY_OK)
-		is.Equal(d.replace(maxRemembered, maxRemembered+2, text(maxRemembered+2, "s")), rpc.DirectoryStatus_DIRECTORY_CONFLICT)
+		is.Equal(d.replace(maxAcceptedRecords, maxAcceptedRecords+1, text(maxAcceptedRecords+1, "s")), rpc.DirectoryStatus_DIRECTORY_OK)
+		is.Equal(d.replace(maxAcceptedRecords, maxAcceptedRecords+2, text(maxAcceptedRecords+2, "s")), rpc.DirectoryStatus_DIRECTORY_CONFLICT)
 	}
 }
 
-// A replica that joins may be sent the snapshot with which the group began, whose state is empty.
-func TestRestoreOfTheFoundingSnapshot(t *testing.T) {
+// A joining replica may be sent the group's initial snapshot, whose state is empty.
+func TestDirectoryRestore_InitialSnapshot(t *testing.T) {
 	is := is.New(t)
 	h := newHarness()
 	is.NoErr(h.Restore(1, bufio.NewReader(bytes.NewReader(nil))))
@@ -115,7 +118,7 @@
 	is.Equal(h.Table().Version, uint64(0))
 }
 
-// encode encodes a command, which the test has made so that it can be.
+// encode encodes a valid command.
 func encode(command proto.Message) []byte {
 	encoded, err := replica.Marshal(command)
 	if err != nil {
--- a/internal/scheduler/directory/doc.go
+++ b/internal/scheduler/directory/doc.go
@@ -1,27 +1,33 @@
-// Package directory is the state machine of the shard that stores the operator's configuration. Beside the configuration, the shard's log
-// decides the newest named version of each model's weights, the placement of every replica group, the machines that are to be emptied, and
-// for which models all tokens of a text must come from one version of the weights.
+// Package directory is the state machine of the shard that stores the operator's configuration. In
+// addition, the shard's log determines the latest named version of each model's weights, the
+// placement of every replica group, the machines to drain, and for which models one version of the
+// weights must generate all tokens of a text.
 //
-// # What it owns
+// # Responsibilities
 //
-// Directory is a replica.StateMachine: it applies the commands of the log in order and depends on nothing but them, so all replicas reach the
-// same state. Each change that other processes act on is published to a feed.Table as an event with the log's index as its offset.
+// Directory is a replica.StateMachine: it applies the commands of the log in order and depends on
+// nothing else, so all replicas reach the same state. Each change that other processes use is
+// published to a feed.Table as an event with the log index as its offset.
 //
-// # What it must not know
+// # Dependencies
 //
-// The package knows neither the replica group's leader nor any clock, socket or file. Who may propose a command, and how its result reaches
-// the operator, is the business of package controlplane. What a configuration means is the business of package configuration.
+// The package does not know the replica group's leader, has no clock, and opens no sockets or
+// files. Package controlplane decides who may propose a command and how its result is returned to
+// the operator. Package configuration interprets configurations.
 //
 // # Configuration updates
 //
-// An operator's update names the version that it builds on. Of two updates on top of one version, the first in the log is accepted and the
-// second is answered with DIRECTORY_CONFLICT. An update may be sent again after a lost answer: Directory remembers the digests of the updates
-// that it accepted, and acknowledges a known one without a second effect. It remembers a bounded number. An update whose version is not
-// above the newest forgotten one is answered with DIRECTORY_UNCERTAIN, because the directory no longer knows whether it was accepted.
+// An operator's update contains the version that it is based on. Of two updates based on the same
+// version, the first one in the log is accepted and the second one is rejected with
+// DIRECTORY_CONFLICT. An update may be resent after a lost response: Directory records the digests
+// of accepted updates, and acknowledges a known one without applying it again. The number of
+// records is bounded. An update whose version is not above the highest dropped one is answered with
+// DIRECTORY_UNCERTAIN, because the directory no longer knows whether it was accepted.
 //
 // # Concurrency and errors
 //
-// Apply, Snapshot and Restore belong to the goroutine of the replica. The queries may be called from any goroutine; they show what this
-// replica has applied, which may be behind the leader. A command that cannot be decoded or carried out changes nothing, and its result says
-// why. Only Restore returns an error: the snapshot cannot be read, and the state before it stays.
+// Apply, Snapshot and Restore are called from the replica's goroutine. The queries are safe for
+// concurrent use; they reflect what this replica has applied, which may lag behind the leader. A
+// command that cannot be decoded or executed has no effect, and its result contains the reason.
+// Only Restore returns an error: if the snapshot cannot be read, the previous state is retained.
 package directory
--- a/internal/scheduler/directory/events.go
+++ b/internal/scheduler/directory/events.go
@@ -2,8 +2,8 @@
 
 import "saffronquay/internal/scheduler/rpc"
 
-// stateEvents returns the events that bring a watcher without any state up to date. Retirements are not among them: only this shard's
-// replicas act on them.
+// stateEvents returns the events that bring a watcher without any state up to date. Retirements are
+// not included: only this shard's replicas use them.
 func (d *Directory) stateEvents() (events []*rpc.FeedEvent) {
 	if d.version > 0 {
 		events = append(events, configurationEvent(d.version, d.configuration))
--- a/internal/scheduler/directory/fuzz_test.go
+++ b/internal/scheduler/directory/fuzz_test.go
@@ -8,7 +8,8 @@
 	"testing"
 )
 
-// FuzzRestore restores a state from arbitrary bytes: an error, or a state whose own snapshot can be restored.
+// FuzzRestore restores a state from arbitrary bytes: either an error, or a state whose own snapshot
+// can be restored.
 func FuzzRestore(f *testing.F) {
 	directory := New(feed.NewTable())
 	directory.Apply(2, encode(ReplaceCommand(0, 3, false, text(3, "s"))))
@@ -31,12 +32,13 @@
 			t.Fatal(err)
 		}
 		if err := New(feed.NewTable()).Restore(2, own); err != nil {
-			t.Errorf("its own snapshot can't be restored: %v", err)
+			t.Errorf("restore own snapshot: %v", err)
 		}
 	})
 }
 
-// FuzzApply applies a command of arbitrary bytes. A command that was committed is applied by every replica, whatever it is.
+// FuzzApply applies a command of arbitrary bytes. Every replica applies a committed command,
+// whatever its contents.
 func FuzzApply(f *testing.F) {
 	f.Add([]byte{})
 	f.Fuzz(func(t *testing.T, command []byte) {
--- a/internal/scheduler/directory/snapshot.go
+++ b/internal/scheduler/directory/snapshot.go
@@ -16,8 +16,9 @@
 // acceptedPerRecord is the number of accepted updates in one record of a snapshot.
 const acceptedPerRecord = 1024
 
-// Snapshot implements replica.StateMachine. The first record has everything but the accepted updates, which follow in records of their own.
-// The records show the state at the time of this call, also if commands are applied while they are read.
+// Snapshot implements replica.StateMachine. The first record contains everything but the accepted
+// updates, which follow in separate records. The records reflect the state at the time of this
+// call, even if commands are applied while they are read.
 func (d *Directory) Snapshot() (next func() proto.Message) {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
@@ -25,7 +26,7 @@
 		Version:       d.version,
 		Configuration: d.configuration,
 		Models:        maps.Clone(d.namedVersions),
-		Forgotten:     d.forgottenVersion,
+		Forgotten:     d.maxDroppedVersion,
 	}
 	for _, p := range d.placements {
 		first.Placements = append(first.Placements, p)
@@ -36,7 +37,7 @@
 	for model, single := range d.singleVersionByModel {
 		first.Policies = append(first.Policies, &rpc.ModelPolicy{Model: model, SingleVersion: single})
 	}
-	accepted := d.accepted // the directory only appends to it, or replaces it
+	accepted := d.accepted // only appended to or replaced
 	return func() proto.Message {
 		if first != nil {
 			record := first
@@ -52,8 +53,9 @@
 	}
 }
 
-// Restore implements replica.StateMachine. It replaces the state and the shard's table in the feed. An empty snapshot, with which a group
-// begins, restores an empty directory. After an error the directory is unchanged.
+// Restore implements replica.StateMachine. It replaces the state and the shard in the feed. An
+// empty snapshot, which is the initial one of a group, restores an empty directory. After an error
+// the directory is unchanged.
 func (d *Directory) Restore(index uint64, state *bufio.Reader) error {
 	snapshot, err := readSnapshot(state)
 	if err != nil {
@@ -77,7 +79,7 @@
 	return nil
 }
 
-// readSnapshot joins the records of a snapshot, which may have none.
+// readSnapshot merges the records of a snapshot, which may have none.
 func readSnapshot(state *bufio.Reader) (*rpc.DirectorySnapshot, error) {
 	snapshot := &rpc.DirectorySnapshot{}
 	for first := true; ; first = false {
@@ -102,7 +104,7 @@
 	d.configuration = s.Configuration
 	d.table = configuration.NewTable(document)
 	d.accepted = s.Taken
-	d.forgottenVersion = s.Forgotten
+	d.maxDroppedVersion = s.Forgotten
 	d.acceptedDigests = make(map[string]bool, len(s.Taken))
 	for _, update := range s.Taken {
 		d.acceptedDigests[string(update.Digest)] = true
--- a/internal/scheduler/feed/client.go
+++ b/internal/scheduler/feed/client.go
@@ -12,36 +12,41 @@
 )
 
 const (
-	// DefaultWait is the Wait of a client whose sources are other machines: an unresponsive one is left after DefaultWait and watchTimeoutMargin.
+	// DefaultWait is the Wait of a client whose sources are on other machines: an unresponsive
+	// source is abandoned after DefaultWait plus watchTimeoutMargin.
 	DefaultWait = 600 * time.Millisecond
-	// LoopbackWait is the Wait of a client whose source is on the same machine. Such a source breaks its connections when it ends, and stands
-	// still only together with its client, so the wait may be long.
+	// LoopbackWait is the Wait of a client whose source is on the same machine. Such a source
+	// closes its connections when it stops, and hangs only together with its client, so the wait
+	// may be long.
 	LoopbackWait = 5 * time.Second
-	// watchTimeoutMargin is how much longer than Wait a client waits for the answer to a watch.
+	// watchTimeoutMargin is how much longer than Wait a client waits for the response to a watch.
 	watchTimeoutMargin = 500 * time.Millisecond
 )
 
-// Client keeps a table up to date from one source at a time: a controller, or the agent of its machine. It goes to the next source if one does
-// not answer in time, fails, or says that it is not fresh. The exported fields are set before Run and not changed afterwards; all are needed.
+// Client keeps a table up to date from one source at a time: a controller, or the agent of its
+// machine. It switches to the next source if one does not reply in time, fails, or reports that it
+// is not fresh. The exported fields must be set before Run and not changed afterwards; all are
+// required.
 type Client struct {
-	Table    *Table                        // where the state is merged; others may only change shards in it that the sources do not have
-	HTTP     *transport.Client             // carries the requests
+	Table    *Table                        // destination; others may only modify shards in it that the sources do not have
+	HTTP     *transport.Client             // used for requests
 	Node     string                        // name of this process's machine, sent with each watch
-	Sources  func() []string               // addresses of the sources, the best first; called before each watch
-	OnEvents func(events []*rpc.FeedEvent) // called by Run with each batch of new events, after Table has them; the next watch waits for its return
-	Wait     time.Duration                 // how long a source may wait for a change before it answers
+	Sources  func() []string               // returns the addresses of the sources in order of preference; called before each watch
+	OnEvents func(events []*rpc.FeedEvent) // called by Run with each batch of new events after they are merged; blocks the next watch
+	Wait     time.Duration                 // how long a source may wait for a change before it replies
 	Log      *slog.Logger
 
-	freshAt atomic.Int64 // Unix time in nanoseconds of the last fresh answer; 0 before the first
+	freshAt atomic.Int64 // Unix time in nanoseconds of the last fresh response; 0 before the first
 }
 
-// Fresh returns whether the last answer of a source that was fresh itself is not older than within. It may be called from any goroutine.
+// Fresh reports whether the last response of a fresh source is not older than within. It is safe
+// for concurrent use.
 func (c *Client) Fresh(within time.Duration) bool {
 	at := c.freshAt.Load()
 	return at != 0 && time.Now().UnixNano()-at < int64(within)
 }
 
-// Run watches the sources until the context ends.
+// Run watches the sources until ctx ends.
 func (c *Client) Run(ctx context.Context) {
 	rotation := Rotation{Random: rand.Float64}
 	for ctx.Err() == nil {
@@ -58,7 +63,7 @@
 	}
 }
 
-// watch sends one watch, merges the answer, and returns whether the source is fresh.
+// watch sends one watch, merges the response, and reports whether the source is fresh.
 func (c *Client) watch(ctx context.Context, source string) bool {
 	ctx, cancel := context.WithTimeout(ctx, c.Wait+watchTimeoutMargin)
 	defer cancel()
@@ -80,7 +85,7 @@
 	return response.Fresh
 }
 
-// sleep waits for a duration or until the context ends.
+// sleep waits for a duration or until ctx ends.
 func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-time.After(d):
--- a/internal/scheduler/feed/events.go
+++ b/internal/scheduler/feed/events.go
@@ -2,7 +2,8 @@
 
 import "saffronquay/internal/scheduler/rpc"
 
-// eventKey returns the subject of an event. A later event of the shard with the same key replaces it.
+// eventKey returns the subject of an event. A later event of the shard with the same key replaces
+// it.
 func eventKey(e *rpc.FeedEvent) string {
 	switch x := e.Event.(type) {
 	case *rpc.FeedEvent_Configuration:
@@ -25,7 +26,7 @@
 	return ""
 }
 
-// isRemoval returns whether an event says that its subject no longer exists.
+// isRemoval reports whether an event removes its subject.
 func isRemoval(e *rpc.FeedEvent) bool {
 	switch e.Event.(type) {
 	case *rpc.FeedEvent_Gone, *rpc.FeedEvent_Left:
@@ -34,7 +35,8 @@
 	return false
 }
 
-// removalOf returns the event that says that the subject of e no longer exists, or nil if subjects of its kind are never removed.
+// removalOf returns the event that removes the subject of e, or nil if subjects of its kind are
+// never removed.
 func removalOf(e *rpc.FeedEvent, offset uint64) *rpc.FeedEvent {
 	switch x := e.Event.(type) {
 	case *rpc.FeedEvent_Instance:
--- a/internal/scheduler/feed/fuzz_test.go
+++ b/internal/scheduler/feed/fuzz_test.go
@@ -7,7 +7,8 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// FuzzMerge merges answers of arbitrary bytes into a table: no offset steps back, and watchers of the table can be answered.
+// FuzzMerge merges responses of arbitrary bytes into a table: no offset decreases, and watchers of
+// the table can be served.
 func FuzzMerge(f *testing.F) {
 	source := NewTable()
 	source.Publish("s", 3, &rpc.FeedEvent{Event: &rpc.FeedEvent_Gone{Gone: "i"}}, &rpc.FeedEvent{Event: &rpc.FeedEvent_Instance{Instance: &rpc.Instance{Id: "j"}}})
@@ -27,7 +28,7 @@
 		before := table.Offset("s")
 		table.Merge(response.Feeds)
 		if table.Offset("s") < before {
-			t.Errorf("the offset fell from %d to %d", before, table.Offset("s"))
+			t.Errorf("offset decreased from %d to %d", before, table.Offset("s"))
 		}
 		table.Since(nil)
 		table.Since(map[string]uint64{"s": before})
--- a/internal/scheduler/feed/rotation_test.go
+++ b/internal/scheduler/feed/rotation_test.go
@@ -9,7 +9,8 @@
 	"github.com/matryer/is"
 )
 
-// Sources are used in turn while they fail, with a longer delay after all have failed; one that succeeds is used restarted.
+// Sources are used in turn while they fail, with a longer delay after all have failed; a source
+// that succeeds is used again.
 func TestRotation(t *testing.T) {
 	is := is.New(t)
 	var r Rotation
@@ -30,8 +31,8 @@
 	is.Equal(r.Next(sources), "a") // back to the first
 }
 
-// Rounds in which all sources fail are followed by longer and longer delays, up to a bound; a success begins anew.
-func TestDelaysBetweenRounds(t *testing.T) {
+// The delay doubles after each round in which all sources fail, up to a limit; a success resets it.
+func TestRotation_RoundDelay(t *testing.T) {
 	is := is.New(t)
 	var r Rotation
 	r.Next([]string{"a"})
@@ -48,48 +49,51 @@
 	}
 }
 
-// cutOff is what 300 clients do while all sources but one are cut off, which is not fresh: the greatest number of calls that it gets in a second once
-// the clients have gone round for five seconds, and how long after the cut has healed the last client has heard a fresh source.
-func cutOff(clients, sources int, rotation func(random *rand.Rand) Rotation) (callsPerSecond int, freshAfter time.Duration) {
+// simulatePartition simulates clients while all sources but one are partitioned from them, and the
+// reachable one is not fresh. It returns the maximum number of calls per second to the reachable
+// source after five seconds, and how long after the end of the partition the last client has
+// reached a fresh source.
+func simulatePartition(clients, sources int, rotation func(random *rand.Rand) Rotation) (callsPerSecond int, freshAfter time.Duration) {
 	const (
-		dialTimeout = 400 * time.Millisecond // of a call to a source that is cut off
-		answerTime  = 2 * time.Millisecond
-		healsAt     = 30 * time.Second
-		steadyFrom  = 5 * time.Second
+		dialTimeout  = 400 * time.Millisecond // of a call to a partitioned source
+		answerTime   = 2 * time.Millisecond
+		partitionEnd = 30 * time.Second
+		steadyFrom   = 5 * time.Second
 	)
 	names := make([]string, sources)
 	for i := range names {
 		names[i] = string(rune('a' + i))
 	}
-	perSecond := make([]int, healsAt/time.Second)
+	perSecond := make([]int, partitionEnd/time.Second)
 	for n := range clients {
 		random := rand.New(rand.NewPCG(uint64(n), 1))
 		r := rotation(random)
 		now := time.Duration(random.Int64N(int64(time.Second)))
 		for {
 			source := r.Next(names)
-			if now >= healsAt {
-				freshAfter = max(freshAfter, now+answerTime-healsAt)
+			if now >= partitionEnd {
+				freshAfter = max(freshAfter, now+answerTime-partitionEnd)
 				break
 			}
-			took := dialTimeout
+			callTime := dialTimeout
 			if source == names[0] {
 				perSecond[now/time.Second]++
-				took = answerTime
+				callTime = answerTime
 			}
-			now += took + r.Failed()
+			now += callTime + r.Failed()
 		}
 	}
 	return slices.Max(perSecond[steadyFrom/time.Second:]), freshAfter
 }
 
-// Where all sources but one are cut off, 300 clients call the remaining one at a bounded rate, and have a fresh one soon after.
-func TestAllSourcesButOneCutOff(t *testing.T) {
+// If all sources but one are partitioned, 300 clients call the reachable one at a limited rate, and
+// reach a fresh source soon after the partition ends.
+func TestRotation_PartitionedSources(t *testing.T) {
 	is := is.New(t)
-	for sources, most := range map[int]int{1: 700, 3: 300, 5: 300} {
-		calls, freshAfter := cutOff(300, sources, func(random *rand.Rand) Rotation { return Rotation{Random: random.Float64} })
-		t.Logf("%d sources: %d calls in a second at the one that is left, fresh everywhere %v after", sources, calls, freshAfter)
-		is.True(calls <= most)
-		is.True(freshAfter <= 1500*time.Millisecond) // the longest delay and calls to those that were cut off
+	for sources, maxCalls := range map[int]int{1: 700, 3: 300, 5: 300} {
+		calls, freshAfter := simulatePartition(300, sources, func(random *rand.Rand) Rotation { return Rotation{Random: random.Float64} })
+		t.Logf("%d sources: %d calls per second to the reachable one, all clients fresh %v after the partition", sources, calls, freshAfter)
+		is.True(calls <= maxCalls)
+		is.True(freshAfter <= 1500*time.Millisecond) // the longest delay plus calls to partitioned sources
 	}
 }
--- a/internal/scheduler/feed/shard.go
+++ b/internal/scheduler/feed/shard.go
@@ -6,15 +6,16 @@
 	"slices"
 )
 
-// shard is a table's state of one shard. The table's lock guards it.
+// shard is a table's state of one shard, guarded by the table's lock.
 type shard struct {
-	offset uint64                    // up to which the changes are here
-	floor  uint64                    // changes at and below it are not retained; at most offset
-	events []*rpc.FeedEvent          // the retained changes, the oldest first
-	newest map[string]*rpc.FeedEvent // by eventKey; removed subjects have none
+	offset uint64                    // of the latest change
+	floor  uint64                    // changes up to here are not retained; at most offset
+	events []*rpc.FeedEvent          // retained changes, oldest first
+	newest map[string]*rpc.FeedEvent // by eventKey; without removed subjects
 }
 
-// put records a change and retains between one and two times retained of the latest ones; with 0 it retains none.
+// put records a change and retains between retained and 2*retained of the latest ones; if retained
+// is 0 it retains none.
 func (s *shard) put(e *rpc.FeedEvent, retained int) {
 	if isRemoval(e) {
 		delete(s.newest, eventKey(e))
@@ -32,7 +33,8 @@
 	}
 }
 
-// replace sets the shard to a snapshot and returns the removals of the subjects that it lacks. No changes are retained.
+// replace sets the shard to a snapshot and returns removal events for the subjects that the
+// snapshot lacks. No changes are retained.
 func (s *shard) replace(offset uint64, events []*rpc.FeedEvent) (removed []*rpc.FeedEvent) {
 	old := s.newest
 	s.newest = map[string]*rpc.FeedEvent{}
@@ -51,7 +53,8 @@
 	return removed
 }
 
-// since returns what a watcher at an offset lacks: the changes after it or, if they are not all retained, a snapshot sorted by subject.
+// since returns what a watcher at an offset lacks: the changes after it or, if they are not all
+// retained, a snapshot sorted by subject.
 func (s *shard) since(name string, have uint64) *rpc.ShardFeed {
 	f := &rpc.ShardFeed{Shard: name, Offset: s.offset}
 	if have == 0 || have < s.floor {
--- a/internal/scheduler/feed/source.go
+++ b/internal/scheduler/feed/source.go
@@ -7,24 +7,29 @@
 )
 
 const (
-	// maxWait bounds how long a watch waits for a change, whatever the watcher allows.
+	// maxWait is the maximum time that a watch waits for a change, even if the watcher allows more.
 	maxWait = 10 * time.Second
-	// freshnessCheckInterval is how often a waiting watch checks whether this process is still fresh.
+	// freshnessCheckInterval is the interval at which a waiting watch checks whether this process
+	// is still fresh.
 	freshnessCheckInterval = 150 * time.Millisecond
 )
 
-// Source answers watchers from a table. Its fields are set before its first use and not changed afterwards.
+// Source serves watchers from a table. Its fields must be set before its first use and not changed
+// afterwards.
 type Source struct {
 	Table *Table
-	// Fresh returns whether this process is in touch with the leaders of the shards. It is called from the goroutine of each watch. Nil means that
-	// the watchers have no other source: then every answer counts as fresh.
+	// Fresh reports whether this process is in touch with the leaders of the shards. It is called
+	// from the goroutine of each watch. Nil means that the watchers have no other source: every
+	// response then counts as fresh.
 	Fresh func() bool
-	// CoalesceDelay is how long a change is delayed so that others are sent with it. Snapshots are sent without it.
+	// CoalesceDelay is how long a change is delayed so that others are sent together with it.
+	// Snapshots are sent without delay.
 	CoalesceDelay time.Duration
 }
 
-// Watch returns as soon as the table has something that is new to the watcher. Otherwise it returns without feeds when the wait that the
-// request allows is over, when the context ends, or when this process is not fresh: then the watcher should go to another source.
+// Watch returns as soon as the table has changes that are new to the watcher. Otherwise it returns
+// without feeds after the wait that the request allows, when ctx ends, or when this process is not
+// fresh: the watcher should switch to another source then.
 func (s *Source) Watch(ctx context.Context, r *rpc.WatchRequest) *rpc.WatchResponse {
 	ctx, cancel := context.WithTimeout(ctx, min(time.Duration(r.WaitMs)*time.Millisecond, maxWait))
 	defer cancel()
@@ -54,8 +59,9 @@
 
 func (s *Source) isFresh() bool { return s.Fresh == nil || s.Fresh() }
 
-// coalesce waits CoalesceDelay, or until the context ends, and returns the feeds with the changes that came meanwhile. It returns the given
-// feeds at once if one of them is a snapshot or there is no delay.
+// coalesce waits for CoalesceDelay, or until ctx ends, and returns the feeds including the changes
+// that arrived meanwhile. It returns the given feeds immediately if one of them is a snapshot or
+// there is no delay.
 func (s *Source) coalesce(ctx context.Context, r *rpc.WatchRequest, feeds []*rpc.ShardFeed) []*rpc.ShardFeed {
 	for _, f := range feeds {
 		if f.Snapshot {
--- a/internal/scheduler/feed/source_test.go
+++ b/internal/scheduler/feed/source_test.go
@@ -9,8 +9,9 @@
 	"github.com/matryer/is"
 )
 
-// A source that is not fresh answers at once, also if it ceases to be fresh while a watch waits.
-func TestWatchOfAStaleSource(t *testing.T) {
+// A source that is not fresh replies immediately, also if it becomes stale while a watch is
+// waiting.
+func TestSourceWatch_StaleSource(t *testing.T) {
 	is := is.New(t)
 	table := NewTable()
 	table.Publish("s", 3, instance("a", 1))
@@ -25,8 +26,9 @@
 	is.Equal(checks, 3)
 }
 
-// Watches at a source whose watchers have no other one wait although it is in touch with no leader.
-func TestWatchOfTheOnlySource(t *testing.T) {
+// A watch of a source without alternatives waits even if the source is not in touch with any
+// leader.
+func TestSourceWatch_OnlySource(t *testing.T) {
 	is := is.New(t)
 	table := NewTable()
 	table.Publish("s", 3, instance("a", 1))
@@ -36,8 +38,8 @@
 	is.Equal(len(response.Feeds), 0)
 }
 
-// Changes that follow each other within the delay are sent together; a snapshot is sent without delay.
-func TestChangesAreCoalesced(t *testing.T) {
+// Changes within the coalescing delay are sent together; a snapshot is sent without delay.
+func TestSourceWatch_CoalescesChanges(t *testing.T) {
 	is := is.New(t)
 	table := NewTable()
 	table.Publish("s", 3, instance("a", 1))
--- a/internal/scheduler/feed/table.go
+++ b/internal/scheduler/feed/table.go
@@ -7,17 +7,19 @@
 	"sync"
 )
 
-// defaultRetainedEvents is the least number of latest changes that a table retains of each shard. Before that many have come, it retains all.
+// defaultRetainedEvents is the minimum number of recent changes that a table retains of each shard,
+// once there are that many.
 const defaultRetainedEvents = 2048
 
-// Table has the newest event about each subject, by shard, and the latest changes. A process that decides on control state publishes to a
-// table; one that follows merges what its source sends. All methods may be called from any goroutine, but calls of Publish, Replace and Merge for
-// one shard must not overlap: Merge checks a shard's offset and changes it in two steps.
+// Table has the latest event for each subject, by shard, and the recent changes. A process that
+// decides on control state publishes to a table; a process that follows it merges the responses of
+// its source. All methods are safe for concurrent use, but calls of Publish, Replace and Merge for
+// the same shard must not overlap: Merge checks a shard's offset and changes it in two steps.
 type Table struct {
 	mu             sync.Mutex
 	shards         map[string]*shard
 	changed        chan struct{} // closed and replaced at each change
-	retainedEvents int           // of each shard; a watcher that is further behind is sent a snapshot
+	retainedEvents int           // per shard; a watcher that is further behind is sent a snapshot
 }
 
 // NewTable returns an empty table.
@@ -25,22 +27,24 @@
 	return &Table{shards: map[string]*shard{}, changed: make(chan struct{}), retainedEvents: defaultRetainedEvents}
 }
 
-// NewTableWithoutHistory returns an empty table that retains no changes. It is for a process that follows a source and has no watchers.
+// NewTableWithoutHistory returns an empty table that does not retain changes. It is for a process
+// that follows a source and has no watchers.
 func NewTableWithoutHistory() *Table {
 	t := NewTable()
 	t.retainedEvents = 0
 	return t
 }
 
-// Publish records the changes that the entry at an index of the shard's log has made, also if there are none: the shard's offset becomes index,
-// and watchers are woken. The table sets the offsets of the events and keeps them; the caller must not change them afterwards.
+// Publish records the changes made by the log entry at an index, which may be none: it sets the
+// shard's offset to index and wakes the watchers. The table sets the offsets of the events and
+// retains them; the caller must not modify them afterwards.
 func (t *Table) Publish(name string, index uint64, events ...*rpc.FeedEvent) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.publish(name, index, events)
 }
 
-// publish records changes and sets a shard's offset. The caller has locked mu.
+// publish records changes and sets a shard's offset. The caller must hold mu.
 func (t *Table) publish(name string, index uint64, events []*rpc.FeedEvent) {
 	s := t.shard(name)
 	for _, e := range events {
@@ -51,16 +55,18 @@
 	t.notifyWatchers()
 }
 
-// PublishAfter is Publish for a shard whose offsets are not indexes of a log: the offset becomes least, or the one after the shard's offset where
-// that is higher, so that it never steps back, whatever AdvancePast does meanwhile.
+// PublishAfter is Publish for a shard whose offsets are not log indexes: the offset becomes least,
+// or the current offset plus one if that is higher, so that it never decreases, even if AdvancePast
+// is called in between.
 func (t *Table) PublishAfter(name string, least uint64, events ...*rpc.FeedEvent) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.publish(name, max(least, t.shard(name).offset+1), events)
 }
 
-// Replace sets a shard to a snapshot, whatever its offset was, and wakes the watchers. It returns the removals of workers and members that the
-// snapshot lacks. The table keeps the events; the caller must not change them afterwards.
+// Replace sets a shard to a snapshot, whatever its offset was, and wakes the watchers. It returns
+// removal events for the workers and members that the snapshot lacks. The table retains the events;
+// the caller must not modify them afterwards.
 func (t *Table) Replace(name string, index uint64, events []*rpc.FeedEvent) (removed []*rpc.FeedEvent) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -69,8 +75,9 @@
 	return removed
 }
 
-// AdvancePast raises a shard's offset above another one, unless it is above already, so that a watcher at that offset is sent a snapshot. It is
-// for shards whose offsets are not indexes of a log: a process that was restarted may count from a lower offset than its watchers have seen.
+// AdvancePast raises a shard's offset above another one, unless it is already higher, so that a
+// watcher at that offset is sent a snapshot. It is for shards whose offsets are not log indexes: a
+// restarted process may count from a lower offset than its watchers have seen.
 func (t *Table) AdvancePast(name string, offset uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -82,14 +89,14 @@
 	t.notifyWatchers()
 }
 
-// Offset returns the offset up to which the table has a shard's changes, 0 for an unknown shard.
+// Offset returns the offset of a shard's latest change in the table, 0 for an unknown shard.
 func (t *Table) Offset(name string) uint64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.shard(name).offset
 }
 
-// Offsets returns the offset of every shard by name. The map is the caller's.
+// Offsets returns the offset of every shard by name. The caller owns the map.
 func (t *Table) Offsets() map[string]uint64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -100,8 +107,9 @@
 	return offsets
 }
 
-// Since returns what is new to a watcher with these offsets, sorted by shard, and a channel that is closed at the next change of any shard. A
-// shard that is not in offsets, or at 0, is sent as a snapshot. The events are shared and must not be changed.
+// Since returns what is new to a watcher with these offsets, sorted by shard, and a channel that is
+// closed at the next change of any shard. A shard that is missing from offsets, or has offset 0, is
+// returned as a snapshot. The events are shared and must not be modified.
 func (t *Table) Since(offsets map[string]uint64) (feeds []*rpc.ShardFeed, changed <-chan struct{}) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -114,9 +122,10 @@
 	return feeds, t.changed
 }
 
-// Merge records what another table's Since returned. It returns the events that are new here, in the order in which they have to be acted on,
-// with removals for what a snapshot lacks. A feed that does not lead past the shard's offset is ignored: an older state never replaces a newer
-// one.
+// Merge records the result of another table's Since. It returns the events that are new to this
+// table, in the order in which they must be processed, including removals of subjects that a
+// snapshot lacks. A feed that does not advance the shard's offset is ignored: an older state never
+// replaces a newer one.
 func (t *Table) Merge(feeds []*rpc.ShardFeed) (updates []*rpc.FeedEvent) {
 	for _, f := range feeds {
 		if f.Offset <= t.Offset(f.Shard) {
@@ -148,7 +157,7 @@
 	return updates
 }
 
-// shard returns the state of a shard, an empty one if it was unknown. The caller has locked mu.
+// shard returns the state of a shard, which it creates if necessary. The caller must hold mu.
 func (t *Table) shard(name string) *shard {
 	s := t.shards[name]
 	if s == nil {
@@ -158,7 +167,7 @@
 	return s
 }
 
-// notifyWatchers closes the channel that Since returned. The caller has locked mu.
+// notifyWatchers closes the channel that Since returned. The caller must hold mu.
 func (t *Table) notifyWatchers() {
 	close(t.changed)
 	t.changed = make(chan struct{})
--- a/internal/scheduler/feed/table_test.go
+++ b/internal/scheduler/feed/table_test.go
@@ -9,15 +9,15 @@
 	"github.com/matryer/is"
 )
 
-// instance returns the event that reports a worker.
+// instance returns the event of a worker's heartbeat.
 func instance(id string, sequence uint64) *rpc.FeedEvent {
 	return &rpc.FeedEvent{Event: &rpc.FeedEvent_Instance{Instance: &rpc.Instance{Id: id, Sequence: sequence}}}
 }
 
-// gone returns the event that a worker has left.
-func gone(id string) *rpc.FeedEvent { return &rpc.FeedEvent{Event: &rpc.FeedEvent_Gone{Gone: id}} }
+// removed returns the event that a worker has left.
+func removed(id string) *rpc.FeedEvent { return &rpc.FeedEvent{Event: &rpc.FeedEvent_Gone{Gone: id}} }
 
-// view is the state that a watcher derives from the events: the sequence of each worker.
+// view is the state that a watcher derives from the events: the sequence number of each worker.
 type view map[string]uint64
 
 func (v view) apply(events []*rpc.FeedEvent) {
@@ -31,8 +31,9 @@
 	}
 }
 
-// A watcher that follows two sources in turn, one of them behind, sees all changes and never steps back.
-func TestWatchersFollowTheSourceThatIsAhead(t *testing.T) {
+// A watcher that alternates between two sources, one of which lags behind, sees all changes and
+// never goes back.
+func TestTableMerge_AlternatingSources(t *testing.T) {
 	is := is.New(t)
 	random := rand.New(rand.NewPCG(1, 1))
 	sources := []*Table{NewTable(), NewTable()}
@@ -44,7 +45,7 @@
 		id := fmt.Sprint(random.IntN(40))
 		events := []*rpc.FeedEvent{instance(id, uint64(i+1))}
 		if random.IntN(4) == 0 {
-			events = []*rpc.FeedEvent{gone(id)}
+			events = []*rpc.FeedEvent{removed(id)}
 		}
 		published.apply(events)
 		history = append(history, events)
@@ -67,8 +68,9 @@
 	is.Equal(seen, published)
 }
 
-// A waiting watcher is woken by the next change, and does not wait if something is new already.
-func TestSinceReturnsChanges(t *testing.T) {
+// A waiting watcher is woken by the next change, and does not wait if there is already a new
+// change.
+func TestTableSince(t *testing.T) {
 	is := is.New(t)
 	table := NewTable()
 	feeds, changed := table.Since(nil)
@@ -83,8 +85,9 @@
 	is.Equal(len(feeds), 0)
 }
 
-// A source that was restarted and counts from a lower offset than a watcher has seen advances past it: the watcher is sent a snapshot.
-func TestAdvancePast(t *testing.T) {
+// A restarted source that counts from a lower offset than a watcher has seen advances past it: the
+// watcher is sent a snapshot.
+func TestTableAdvancePast(t *testing.T) {
 	is := is.New(t)
 	source, own, seen := NewTable(), NewTable(), view{}
 	source.Publish("members", 1000, instance("a", 1), instance("b", 1))
@@ -98,7 +101,7 @@
 	feeds, _ = restarted.Since(own.Offsets())
 	seen.apply(own.Merge(feeds))
 	is.Equal(seen, view{"b": 2})
-	restarted.AdvancePast("members", 7) // it is ahead already
+	restarted.AdvancePast("members", 7) // already ahead
 	is.Equal(restarted.Offset("members"), uint64(1001))
 	restarted.Publish("members", 1002, instance("c", 1))
 	feeds, _ = restarted.Since(own.Offsets())
@@ -106,8 +109,8 @@
 	is.Equal(seen, view{"b": 2, "c": 1})
 }
 
-// A table without history keeps the newest event of each subject, and no changes.
-func TestTableWithoutHistoryRetainsNoChanges(t *testing.T) {
+// A table without history has the latest event of each subject, and no changes.
+func TestTableWithoutHistory(t *testing.T) {
 	is := is.New(t)
 	source, own, seen := NewTable(), NewTableWithoutHistory(), view{}
 	for version := range uint64(9) {
@@ -119,13 +122,14 @@
 	is.Equal(len(own.shards["s"].events), 0)
 }
 
-// Offsets that are times never step back, whatever a watch advances the shard to between two publications.
-func TestPublishAfterNeverStepsBack(t *testing.T) {
+// Offsets that are times never decrease, even if a watch advances the shard between two
+// publications.
+func TestTablePublishAfter_NeverDecreases(t *testing.T) {
 	is := is.New(t)
 	table := NewTable()
 	table.PublishAfter("members", 100)
 	is.Equal(table.Offset("members"), uint64(100))
-	table.AdvancePast("members", 5000) // a watcher has seen that from an earlier process, whose clock was ahead
+	table.AdvancePast("members", 5000) // offset seen by a watcher from an earlier process whose clock was ahead
 	table.PublishAfter("members", 101)
 	is.Equal(table.Offset("members"), uint64(5002))
 	table.PublishAfter("members", 9000)
--- a/internal/scheduler/registry/heartbeat_handler.go
+++ b/internal/scheduler/registry/heartbeat_handler.go
@@ -5,30 +5,33 @@
 	"sync"
 )
 
-// HeartbeatHandler decides on the heartbeats of a shard's workers at a process with a replica of the shard. It only returns decisions: the
-// caller proposes the commands to the shard's log. All methods may be called from any goroutine.
+// HeartbeatHandler decides on the heartbeats of a shard's workers in a process with a replica of
+// the shard. It only returns decisions: the caller proposes the commands to the shard's log. It is
+// safe for concurrent use.
 type HeartbeatHandler struct {
 	registry *Registry
 
 	mu       sync.Mutex
 	liveness *LivenessTracker
-	epoch    uint64 // the one in which liveness was last reset
+	epoch    uint64 // epoch in which liveness was last reset
 }
 
-// NewHeartbeatHandler returns the handler of a shard. HeartbeatMS is the interval at which workers send heartbeats.
+// NewHeartbeatHandler returns the handler of a shard. heartbeatMS is the interval at which workers
+// send heartbeats.
 func NewHeartbeatHandler(registry *Registry, heartbeatMS int64) *HeartbeatHandler {
 	return &HeartbeatHandler{registry: registry, liveness: NewLivenessTracker(heartbeatMS)}
 }
 
-// Ownership is a process's relation to a shard at one moment.
+// Ownership is a process's relation to a shard at a point in time.
 type Ownership struct {
-	NowMS    int64  // the time, of a clock that never runs backwards
-	Epoch    uint64 // the shard's epoch as far as this process knows
-	HasLease bool   // the process leads the shard's group, and no other can have been elected yet
+	NowMS    int64  // current time of a monotonic clock
+	Epoch    uint64 // the shard's epoch known to this process
+	HasLease bool   // the process leads the shard's group, and no other one can have been elected yet
 }
 
-// Decide handles a heartbeat, or the message with which a worker leaves. A returned command must be committed before the worker is answered.
-// DONE without a command means that the shard knows all of it already. Without the lease the outcome is NOT_LEADER, and nothing is recorded.
+// Decide handles a heartbeat or deregistration. A returned command must be committed before the
+// caller replies to the worker. DONE without a command means that the shard already has the
+// reported state. Without the lease the outcome is NOT_LEADER, and nothing is recorded.
 func (h *HeartbeatHandler) Decide(o Ownership, r *rpc.HeartbeatRequest) (rpc.Outcome, *rpc.RegistryCommand) {
 	id := r.Instance.Id
 	switch {
@@ -56,8 +59,10 @@
 	}
 }
 
-// OverdueCommands returns the commands that declare workers without heartbeats lost, and that remove those lost for longer than forgetAfterMS.
-// Without the lease there are none. The caller calls it periodically and proposes the commands; one that is not committed is returned again.
+// OverdueCommands returns the commands that declare workers without heartbeats lost, and that
+// remove those lost for longer than forgetAfterMS. Without the lease there are none. The caller
+// calls it periodically and proposes the commands; a command that is not committed is returned
+// again.
 func (h *HeartbeatHandler) OverdueCommands(o Ownership, forgetAfterMS int64) (commands []*rpc.RegistryCommand) {
 	if !o.HasLease {
 		return nil
@@ -75,8 +80,9 @@
 	return commands
 }
 
-// ResponsiveInstances returns the known workers whose next heartbeat is not late by a margin. It is meaningful only at the owner, where the
-// heartbeats arrive: elsewhere the times are old or missing, and a worker without a time is included.
+// ResponsiveInstances returns the known workers that have not missed their latest heartbeat by a
+// margin. It is meaningful only at the owner, which receives the heartbeats: in other processes the
+// times are stale or missing, and a worker without a time is included.
 func (h *HeartbeatHandler) ResponsiveInstances(nowMS int64) []*rpc.Instance {
 	known := h.registry.Instances()
 	h.mu.Lock()
--- a/internal/scheduler/registry/liveness.go
+++ b/internal/scheduler/registry/liveness.go
@@ -6,26 +6,31 @@
 )
 
 const (
-	// lostAfterIntervals is the number of heartbeat intervals without a heartbeat after which a worker is lost.
+	// lostAfterIntervals is the number of heartbeat intervals without a heartbeat after which a
+	// worker is lost.
 	lostAfterIntervals = 3
-	// missedAfterPercent is the part of a heartbeat interval, in percent, after which the next heartbeat counts as missed.
+	// missedAfterPercent is the percentage of a heartbeat interval after which the next heartbeat
+	// counts as missed.
 	missedAfterPercent = 150
 )
 
-// LivenessTracker follows the heartbeats of a shard's workers at the process that owns the shard. It is a pure state machine: all times are
-// milliseconds of one clock of the caller that never runs backwards. It has no lock; its caller makes one call at a time.
+// LivenessTracker tracks the heartbeats of a shard's workers in the process that owns the shard. It
+// is a deterministic state machine: all times are milliseconds of a monotonic clock of the caller.
+// It is not safe for concurrent use.
 type LivenessTracker struct {
 	heartbeatMS     int64
-	lastHeartbeatMS map[string]int64  // when the newest heartbeat of each worker arrived
-	sequences       map[string]uint64 // of the newest heartbeat of each worker
+	lastHeartbeatMS map[string]int64  // arrival time of each worker's latest heartbeat
+	sequences       map[string]uint64 // sequence number of each worker's latest heartbeat
 }
 
-// NewLivenessTracker returns a tracker without any worker. HeartbeatMS is the interval at which workers send heartbeats.
+// NewLivenessTracker returns a tracker without workers. heartbeatMS is the interval at which
+// workers send heartbeats.
 func NewLivenessTracker(heartbeatMS int64) *LivenessTracker {
 	return &LivenessTracker{heartbeatMS: heartbeatMS, lastHeartbeatMS: map[string]int64{}, sequences: map[string]uint64{}}
 }
 
-// Reset starts anew when the process becomes the owner: every known worker counts as heard from now.
+// Reset clears the tracker when the process becomes the owner: every known worker counts as seen
+// now.
 func (t *LivenessTracker) Reset(nowMS int64, known []*rpc.Instance) {
 	clear(t.lastHeartbeatMS)
 	clear(t.sequences)
@@ -35,8 +40,9 @@
 	}
 }
 
-// Observe records a heartbeat and returns whether it changes what the shard knows of the worker; known is nil for a new one. A heartbeat that
-// arrives after a newer one is ignored: it proves neither the worker's state nor that it is alive.
+// Observe records a heartbeat and reports whether it changes the shard's state of the worker; known
+// is nil for a new worker. A heartbeat that arrives after a newer one is ignored: it proves neither
+// the worker's state nor that it is alive.
 func (t *LivenessTracker) Observe(nowMS int64, known, reported *rpc.Instance) (changes bool) {
 	if reported.Sequence < t.sequences[reported.Id] {
 		return false
@@ -46,7 +52,7 @@
 	return known == nil || known.Lost || changesState(known, reported)
 }
 
-// changesState returns whether a heartbeat reports something that has to be agreed on.
+// changesState reports whether a heartbeat contains a change that must be committed.
 func changesState(known, reported *rpc.Instance) bool {
 	startsDraining := reported.Draining && !known.Draining
 	return startsDraining ||
@@ -57,15 +63,16 @@
 		hasNewerWeights(known.Models, reported.Models)
 }
 
-// hasNewerWeights returns whether a model is reported that is not known at its version or a later one.
+// hasNewerWeights reports whether a model is reported that is not known with the same or a later
+// version.
 func hasNewerWeights(known, reported []*rpc.ModelWeights) bool {
 	return slices.ContainsFunc(reported, func(weights *rpc.ModelWeights) bool {
 		return !slices.ContainsFunc(known, func(k *rpc.ModelWeights) bool { return k.Name == weights.Name && k.Version >= weights.Version })
 	})
 }
 
-// NewlyLost returns the ids, sorted, of the known workers without a heartbeat for lostAfterIntervals that are not declared lost yet. A worker
-// that the tracker has not seen before counts as heard from now.
+// NewlyLost returns the sorted ids of the known workers without a heartbeat for lostAfterIntervals
+// that are not declared lost yet. A worker that the tracker has not seen before counts as seen now.
 func (t *LivenessTracker) NewlyLost(nowMS int64, known []*rpc.Instance) (ids []string) {
 	for _, i := range known {
 		last, seen := t.lastHeartbeatMS[i.Id]
@@ -81,13 +88,15 @@
 	return ids
 }
 
-// MissedHeartbeat returns whether a worker's next heartbeat is late by a margin. It is false for a worker that the tracker has not seen.
+// MissedHeartbeat reports whether a worker's next heartbeat is late by a margin. It is false for a
+// worker that the tracker has not seen.
 func (t *LivenessTracker) MissedHeartbeat(nowMS int64, id string) bool {
 	last, seen := t.lastHeartbeatMS[id]
 	return seen && nowMS-last > t.heartbeatMS*missedAfterPercent/100
 }
 
-// Expired returns the ids of lost workers without a heartbeat for longer than afterMS, in the order of known. The shard need not remember them.
+// Expired returns the ids of lost workers without a heartbeat for longer than afterMS, in the order
+// of known. The shard may remove them.
 func (t *LivenessTracker) Expired(nowMS int64, known []*rpc.Instance, afterMS int64) (ids []string) {
 	for _, i := range known {
 		if last, seen := t.lastHeartbeatMS[i.Id]; seen && i.Lost && nowMS-last > afterMS {
--- a/internal/scheduler/registry/registry.go
+++ b/internal/scheduler/registry/registry.go
@@ -8,21 +8,22 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// maxRememberedLeft is the number of workers that are remembered as having left. The id of one that has left is never registered again while
-// it is remembered, so a late heartbeat does not bring the worker back.
-const maxRememberedLeft = 4096
+// maxLeftRecords is the number of workers recorded as having left. While its id is recorded, a
+// worker is not registered again, so that a late heartbeat does not bring it back.
+const maxLeftRecords = 4096
 
-// Registry is one replica's state of one shard. Apply, Snapshot and Restore are for the replica's goroutine, one call at a time. All other
-// methods may be called from any goroutine; they show what this replica has applied.
+// Registry is one replica's state of one shard. Apply, Snapshot and Restore are called from the
+// replica's goroutine, one call at a time. All other methods are safe for concurrent use; they
+// reflect what this replica has applied.
 type Registry struct {
 	shard string
 	feed  *feed.Table
 
-	// mu guards the fields below. It is never locked while the feed is written to.
+	// mu guards the fields below. It is not held while the feed is written to.
 	mu        sync.RWMutex
-	instances map[string]*rpc.Instance // by id; an instance is replaced, never changed
+	instances map[string]*rpc.Instance // by id; instances are replaced, never modified
 	left      map[string]bool          // ids of workers that have left
-	leftOrder []string                 // the ids in left, the first to leave first
+	leftOrder []string                 // the ids in left, oldest first
 	holder    *rpc.Holder
 }
 
@@ -31,8 +32,8 @@
 	return &Registry{shard: shard, feed: table, instances: map[string]*rpc.Instance{}, left: map[string]bool{}}
 }
 
-// Apply implements replica.StateMachine. It carries out an encoded rpc.RegistryCommand; a proposer gets no result beyond its being committed.
-// The feed's offset reaches index even if the command changes nothing.
+// Apply implements replica.StateMachine. It executes an encoded rpc.RegistryCommand and returns no
+// result. The feed's offset advances to index even if the command has no effect.
 func (r *Registry) Apply(index uint64, command []byte) []byte {
 	c := &rpc.RegistryCommand{}
 	var events []*rpc.FeedEvent
@@ -45,7 +46,7 @@
 	return nil
 }
 
-// apply carries out a decoded command and returns the events to publish.
+// apply executes a decoded command and returns the events to publish.
 func (r *Registry) apply(c *rpc.RegistryCommand) []*rpc.FeedEvent {
 	switch x := c.Command.(type) {
 	case *rpc.RegistryCommand_Put:
@@ -60,7 +61,7 @@
 	return nil
 }
 
-// put records what a heartbeat reports.
+// put records the state reported by a heartbeat.
 func (r *Registry) put(reported *rpc.Instance) []*rpc.FeedEvent {
 	merged := r.merge(reported)
 	if merged == nil {
@@ -70,8 +71,9 @@
 	return []*rpc.FeedEvent{instanceEvent(merged)}
 }
 
-// merge joins a reported instance with the known one. It returns nil if nothing changes: the worker has left, or a newer heartbeat is known.
-// Draining never ends, and the version of a model's weights never steps back.
+// merge combines a reported instance with the known one. It returns nil if the report is ignored:
+// the worker has left, or a newer heartbeat is known. Draining is never reset, and the version of a
+// model's weights never decreases.
 func (r *Registry) merge(reported *rpc.Instance) *rpc.Instance {
 	if r.left[reported.Id] {
 		return nil
@@ -91,7 +93,7 @@
 	return merged
 }
 
-// raiseVersion raises the version of a model that the instance has to at least that of weights.
+// raiseVersion raises the version of one of the instance's models to at least that of weights.
 func raiseVersion(instance *rpc.Instance, weights *rpc.ModelWeights) {
 	for _, own := range instance.Models {
 		if own.Name == weights.Name {
@@ -101,9 +103,9 @@
 	}
 }
 
-// remove forgets a worker and remembers that it has left.
+// remove deletes a worker and records that it has left.
 func (r *Registry) remove(id string) []*rpc.FeedEvent {
-	r.rememberLeft(id)
+	r.recordLeft(id)
 	if r.instances[id] == nil {
 		return nil
 	}
@@ -111,20 +113,21 @@
 	return []*rpc.FeedEvent{{Event: &rpc.FeedEvent_Gone{Gone: id}}}
 }
 
-// rememberLeft records that a worker has left. The one that left first is forgotten when there are more than maxRememberedLeft.
-func (r *Registry) rememberLeft(id string) {
+// recordLeft records that a worker has left. The oldest record is dropped if there are more than
+// maxLeftRecords.
+func (r *Registry) recordLeft(id string) {
 	if r.left[id] {
 		return
 	}
 	r.left[id] = true
 	r.leftOrder = append(r.leftOrder, id)
-	if len(r.leftOrder) > maxRememberedLeft {
+	if len(r.leftOrder) > maxLeftRecords {
 		delete(r.left, r.leftOrder[0])
 		r.leftOrder = r.leftOrder[1:]
 	}
 }
 
-// declareLost declares workers lost. The next heartbeat that is recorded says otherwise.
+// declareLost declares workers lost. The next heartbeat that is recorded reverts it.
 func (r *Registry) declareLost(ids []string) (events []*rpc.FeedEvent) {
 	for _, id := range ids {
 		known := r.instances[id]
@@ -139,7 +142,8 @@
 	return events
 }
 
-// setHolder records the holder of the right to send orders. A holder of an earlier epoch changes nothing.
+// setHolder records the holder of the right to send orders. A holder of an earlier epoch is
+// ignored.
 func (r *Registry) setHolder(holder *rpc.Holder) {
 	if r.holder == nil || holder.Epoch >= r.holder.Epoch {
 		r.holder = holder
@@ -150,22 +154,23 @@
 	return &rpc.FeedEvent{Event: &rpc.FeedEvent_Instance{Instance: i}}
 }
 
-// Instance returns a worker, or nil if the shard does not know it. The instance is shared and must not be changed.
+// Instance returns a worker, or nil if the shard does not know it. The instance is shared and must
+// not be modified.
 func (r *Registry) Instance(id string) *rpc.Instance {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
 	return r.instances[id]
 }
 
-// Instances returns all known workers, lost ones too, in no particular order. The slice is the caller's; the instances are shared and must not
-// be changed.
+// Instances returns all known workers, including lost ones, unsorted. The caller owns the slice;
+// the instances are shared and must not be modified.
 func (r *Registry) Instances() []*rpc.Instance {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
 	return r.listInstances()
 }
 
-// listInstances returns the workers; the caller has locked mu.
+// listInstances returns the workers. The caller must hold mu.
 func (r *Registry) listInstances() []*rpc.Instance {
 	list := make([]*rpc.Instance, 0, len(r.instances))
 	for _, i := range r.instances {
@@ -174,15 +179,17 @@
 	return list
 }
 
-// Holder returns the machine that took over the orders to the shard's workers last, with the epoch in which it did; nil if there was none. It records the
-// past: the permission to send is the leader lease (weights.Dispatcher). The holder is shared and must not be changed.
+// Holder returns the machine that most recently took over the orders to the shard's workers, and
+// the epoch in which it did; nil if there was none. It is a historical record: the permission to
+// send orders is the leader lease (weights.Dispatcher). The holder is shared and must not be
+// modified.
 func (r *Registry) Holder() *rpc.Holder {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
 	return r.holder
 }
 
-// HasLeft returns whether a worker is remembered as having left.
+// HasLeft reports whether a worker is recorded as having left.
 func (r *Registry) HasLeft(id string) bool {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
--- a/internal/scheduler/registry/registry_test.go
+++ b/internal/scheduler/registry/registry_test.go
@@ -12,18 +12,19 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// put applies a heartbeat's command.
+// put applies the command of a heartbeat.
 func put(r *Registry, index uint64, i *rpc.Instance) {
 	r.Apply(index, encode(&rpc.RegistryCommand{Command: &rpc.RegistryCommand_Put{Put: i}}))
 }
 
-// worker returns the heartbeat of one worker that has one model.
+// worker returns the heartbeat of a worker with one model.
 func worker(sequence, version uint64, draining bool) *rpc.Instance {
 	return &rpc.Instance{Id: "i", Service: "s", Address: "1.1.1.1:1", Sequence: sequence, Draining: draining, Models: []*rpc.ModelWeights{{Name: "m", Version: version}}}
 }
 
-// A late heartbeat changes nothing, draining never ends, weights do not step back, and a worker that has left does not come back.
-func TestLateHeartbeats(t *testing.T) {
+// A late heartbeat is ignored, draining is never reset, weight versions never decrease, and a
+// worker that has left is not registered again.
+func TestRegistry_LateHeartbeat(t *testing.T) {
 	is := is.New(t)
 	r := New("registry-0", feed.NewTable())
 	put(r, 1, worker(5, 3, true))
@@ -43,7 +44,8 @@
 	is.True(restored.Instance("i") == nil)
 }
 
-// Only changes are proposed. A worker is lost after three intervals without a heartbeat, and never because the owner is new.
+// Only changes are proposed. A worker is lost after three intervals without a heartbeat, but not
+// because of a new owner.
 func TestLivenessTracker(t *testing.T) {
 	is := is.New(t)
 	tracker := NewLivenessTracker(1000)
@@ -61,8 +63,8 @@
 	is.Equal(len(tracker.NewlyLost(200_500, known)), 0)
 }
 
-// A replica that joins may be sent the snapshot with which the group began, whose state is empty.
-func TestRestoreOfTheFoundingSnapshot(t *testing.T) {
+// A joining replica may be sent the group's initial snapshot, whose state is empty.
+func TestRegistryRestore_InitialSnapshot(t *testing.T) {
 	is := is.New(t)
 	r := New("registry-0", feed.NewTable())
 	put(r, 1, worker(5, 3, false))
@@ -70,14 +72,14 @@
 	is.Equal(len(r.Instances()), 0)
 }
 
-// A heartbeat that arrives after a newer one does not keep a worker alive, nor bring it back.
-func TestLateHeartbeatDoesNotProveLiveness(t *testing.T) {
+// A heartbeat that arrives after a newer one neither keeps a worker alive nor reverts its loss.
+func TestLivenessTracker_LateHeartbeat(t *testing.T) {
 	is := is.New(t)
 	tracker := NewLivenessTracker(1000)
 	known := []*rpc.Instance{worker(5, 1, false)}
 	tracker.Reset(100_000, known)
 	is.True(!tracker.Observe(100_500, known[0], worker(8, 1, false)))
-	is.True(!tracker.Observe(103_000, known[0], worker(7, 2, false))) // delayed on its way
+	is.True(!tracker.Observe(103_000, known[0], worker(7, 2, false))) // delayed in the network
 	is.Equal(tracker.NewlyLost(103_501, known), []string{"i"})
 	lost := worker(5, 1, false)
 	lost.Lost = true
@@ -85,7 +87,8 @@
 	is.True(tracker.Observe(104_100, lost, worker(9, 1, false)))
 }
 
-// A process that does not own the shard decides nothing. A worker leaves by one command, and late heartbeats after it change nothing.
+// A process that does not own the shard decides nothing. A worker leaves by one command, and later
+// heartbeats have no effect.
 func TestHeartbeatHandler(t *testing.T) {
 	is := is.New(t)
 	r := New("registry-0", feed.NewTable())
@@ -110,7 +113,7 @@
 	is.True(outcome == rpc.Outcome_DONE && command == nil)
 }
 
-// encode encodes a command, which the test has made so that it can be.
+// encode encodes a valid command.
 func encode(command proto.Message) []byte {
 	encoded, err := replica.Marshal(command)
 	if err != nil {
@@ -119,8 +122,8 @@
 	return encoded
 }
 
-// A worker that reports another zone only is recorded: gatherers prefer workers of their zone.
-func TestAnotherZoneIsAChange(t *testing.T) {
+// A change of only the zone is recorded: gatherers prefer workers of their own zone.
+func TestLivenessTracker_ZoneChange(t *testing.T) {
 	is := is.New(t)
 	tracker := NewLivenessTracker(1000)
 	moved := worker(2, 1, false)
--- a/internal/scheduler/registry/snapshot.go
+++ b/internal/scheduler/registry/snapshot.go
@@ -14,13 +14,14 @@
 // instancesPerRecord is the number of workers in one record of a snapshot.
 const instancesPerRecord = 256
 
-// Snapshot implements replica.StateMachine. The last record, which may be the only one, also has the ids of workers that have left and the
-// holder. The records show the state at the time of this call, also if commands are applied while they are read.
+// Snapshot implements replica.StateMachine. The last record, which may be the only one, also
+// contains the ids of workers that have left and the holder. The records reflect the state at the
+// time of this call, even if commands are applied while they are read.
 func (r *Registry) Snapshot() (next func() proto.Message) {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
 	left, holder := slices.Clone(r.leftOrder), r.holder
-	instances := r.listInstances() // they are replaced, never changed
+	instances := r.listInstances() // instances are replaced, never modified
 	ended := false
 	return func() proto.Message {
 		if ended {
@@ -35,8 +36,9 @@
 	}
 }
 
-// Restore implements replica.StateMachine. It replaces the state and the shard's table in the feed. An empty snapshot, with which a group
-// begins, restores an empty shard. After an error the shard is unchanged.
+// Restore implements replica.StateMachine. It replaces the state and the shard in the feed. An
+// empty snapshot, which is the initial one of a group, restores an empty shard. After an error the
+// shard is unchanged.
 func (r *Registry) Restore(index uint64, state *bufio.Reader) error {
 	snapshot, err := readSnapshot(state)
 	if err != nil {
@@ -60,7 +62,7 @@
 	return nil
 }
 
-// readSnapshot joins the records of a snapshot, which may have none.
+// readSnapshot merges the records of a snapshot, which may have none.
 func readSnapshot(state *bufio.Reader) (*rpc.RegistrySnapshot, error) {
 	snapshot := &rpc.RegistrySnapshot{}
 	for {
