--- a/internal/scheduler/agent/agent.go
+++ b/internal/scheduler/agent/agent.go
@@ -16,20 +16,23 @@
 	"time"
 )
 
-// inTouchLimit is how long ago a controller that is in touch may have answered for the agent to count as in touch.
+// inTouchLimit is the maximum age of the last response of a fresh controller for the agent to count
+// as in touch.
 const inTouchLimit = 1500 * time.Millisecond
 
-// Agent is a running process of this role. Its fields are set before it serves and stay, other than published.
+// Agent is a running process of this role. Its fields are set before it serves and do not change,
+// except published.
 type Agent struct {
 	source     *settings.Source
 	client     *transport.Client
 	feed       *feed.Table
-	tail       *feed.Client
+	feedClient *feed.Client
 	membership *membership.Membership
-	published  map[string]*rpc.Member // live members that the feed has, by name; of the membership's goroutine alone
+	published  map[string]*rpc.Member // live members published to the feed, by name; accessed only by the membership's goroutine
 }
 
-// Address returns where the agent of a machine answers the proxy beside it; empty where the settings name no address for it.
+// Address returns the address at which a machine's agent serves the proxy on the same machine;
+// empty if the settings have no address for it.
 func Address(s *settings.Settings) string {
 	_, port, err := net.SplitHostPort(s.AgentAddress())
 	if err != nil {
@@ -38,8 +41,8 @@
 	return net.JoinHostPort("127.0.0.1", port)
 }
 
-// Run serves until ctx ends, then announces that it leaves, and closes its server. It returns an error where the process can't start or the
-// server can't be closed in time.
+// Run serves until ctx ends, then announces its departure and closes its server. It returns an
+// error if the process cannot start or the server cannot be closed in time.
 func Run(ctx context.Context, source *settings.Source, log *slog.Logger) error {
 	s := source.Current()
 	a := &Agent{source: source, client: transport.NewClient(), feed: feed.NewTable(), published: map[string]*rpc.Member{}}
@@ -50,14 +53,14 @@
 	if a.membership, err = membership.Start(ctx, s, settings.ServesEdge, "", log, a.publishMembers); err != nil {
 		return err
 	}
-	a.tail = &feed.Client{
+	a.feedClient = &feed.Client{
 		Wait: feed.DefaultWait, Table: a.feed, HTTP: a.client, Node: s.NodeName, Sources: a.controllers,
 		OnEvents: func([]*rpc.FeedEvent) {}, Log: log,
 	}
 	metrics.GaugeFunc("in_touch", a.inTouch)
 	var tasks lifecycle.Tasks
 	tasks.Serve(log, "agent", server.Serve)
-	tasks.Go(func() { a.tail.Run(ctx) })
+	tasks.Go(func() { a.feedClient.Run(ctx) })
 	<-ctx.Done()
 	a.membership.Stop()
 	ending, cancel := context.WithTimeout(context.WithoutCancel(ctx), lifecycle.ShutdownTimeout)
@@ -67,15 +70,16 @@
 	return err
 }
 
-// inTouch returns 1 while a controller that is in touch answers, else 0.
+// inTouch returns 1 while a controller that is in touch replies, otherwise 0.
 func (a *Agent) inTouch() float64 {
-	if a.tail.Fresh(inTouchLimit) {
+	if a.feedClient.Fresh(inTouchLimit) {
 		return 1
 	}
 	return 0
 }
 
-// controllers returns the addresses to tail, the best first: live controllers of the own zone, the other live ones, the seeds.
+// controllers returns the addresses to watch in order of preference: live controllers of the
+// agent's own zone, other live controllers, and the seeds.
 func (a *Agent) controllers() []string {
 	s := a.source.Current()
 	alive := a.membership.View().Alive(settings.ServesControlPlane)
--- a/internal/scheduler/agent/members.go
+++ b/internal/scheduler/agent/members.go
@@ -8,11 +8,13 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// membersShard is the shard of the feed that lists the live processes of the system. Only this agent publishes it: its offsets are the agent's
-// times in microseconds, so that they go on increasing over a restart.
+// membersShard is the shard of the feed with the live processes of the system. Only this agent
+// publishes it: its offsets are times in microseconds, so that they keep increasing across a
+// restart.
 const membersShard = "members"
 
-// publishMembers brings the feed to a new view: a member that appeared or differs, and a member that is no longer alive, make an event each.
+// publishMembers updates the feed to a new view: it publishes one event for each member that is
+// new, has changed, or is no longer alive.
 func (a *Agent) publishMembers(v *membership.View) {
 	var events []*rpc.FeedEvent
 	alive := map[string]*rpc.Member{}
--- a/internal/scheduler/agent/members_test.go
+++ b/internal/scheduler/agent/members_test.go
@@ -9,7 +9,7 @@
 	"github.com/matryer/is"
 )
 
-// view returns a view in which the named processes are alive, at an address each.
+// view returns a view in which the named processes are alive at the given addresses.
 func view(addresses map[string]string) *membership.View {
 	v := &membership.View{}
 	for name, address := range addresses {
@@ -18,7 +18,7 @@
 	return v
 }
 
-// Only changes are published: members that appear, differ, or are no longer alive.
+// Only changes are published: members that appear, change, or are no longer alive.
 func TestPublishMembers(t *testing.T) {
 	a := &Agent{feed: feed.NewTable(), published: map[string]*rpc.Member{}}
 	failed := view(map[string]string{"a": "1"})
@@ -32,7 +32,7 @@
 		{"two appear", view(map[string]string{"a": "1", "b": "2"}), 2, 0},
 		{"nothing changes", view(map[string]string{"a": "1", "b": "2"}), 0, 0},
 		{"one moves", view(map[string]string{"a": "1", "b": "3"}), 1, 0},
-		{"one is forgotten", view(map[string]string{"a": "1"}), 0, 1},
+		{"one is removed", view(map[string]string{"a": "1"}), 0, 1},
 		{"one fails", failed, 0, 1},
 	} {
 		t.Run(step.name, func(t *testing.T) {
--- a/internal/scheduler/membership/addresses.go
+++ b/internal/scheduler/membership/addresses.go
@@ -6,8 +6,8 @@
 	"slices"
 )
 
-// ControlPlaneAddresses returns the peer addresses where controllers may answer, the best first: those of live members, in their order, then
-// those of the seeds that are not among them. A seed may be down.
+// ControlPlaneAddresses returns the peer addresses of controllers in order of preference: those of
+// live members, in their order, then those of seeds that are not among them. A seed may be down.
 func ControlPlaneAddresses(alive []*rpc.Member, s *settings.Settings) (addresses []string) {
 	for _, m := range alive {
 		addresses = append(addresses, m.Address)
--- a/internal/scheduler/membership/addresses_test.go
+++ b/internal/scheduler/membership/addresses_test.go
@@ -8,7 +8,7 @@
 	"github.com/matryer/is"
 )
 
-// Live members come first, in their order; a seed that is one of them isn't named twice.
+// Live members come first, in their order; a seed that is a live member is not listed twice.
 func TestControlPlaneAddresses(t *testing.T) {
 	is := is.New(t)
 	s := &settings.Settings{PortRange: []int{7000, 7010}, Seeds: []string{"10.0.0.1:7000", "10.0.0.2:7000"}}
--- a/internal/scheduler/membership/membership.go
+++ b/internal/scheduler/membership/membership.go
@@ -15,7 +15,7 @@
 	"time"
 )
 
-// Parameters of the protocol; all processes of a system have to use the same.
+// Protocol parameters; all processes of a system must use the same values.
 const (
 	fleetName       = "saffronquay"
 	probePeriod     = 300 * time.Millisecond
@@ -23,21 +23,23 @@
 	exchangePeriod  = 5 * time.Second
 )
 
-// Member is another process as the protocol sees it.
+// Member is a process known to the protocol.
 type Member struct {
 	*rpc.Member
 	Alive       bool
-	Incarnation uint64 // start time of the process, in microseconds; distinguishes it from earlier ones of the machine
-	Since       int64  // when it entered its state, in microseconds of the driver's clock
+	Incarnation uint64 // start time of the process in microseconds; distinguishes it from earlier processes of the machine
+	Since       int64  // time of the last state change, in microseconds of the driver's clock
 }
 
-// View lists the known processes, this one included, at a moment. It is immutable once published.
+// View is a list of the known processes, including this one, at a point in time. It is immutable
+// once published.
 type View struct {
 	Members []Member
-	At      int64 // microseconds of the driver's clock
+	At      int64 // time of the view, in microseconds of the driver's clock
 }
 
-// Alive returns the live members of a kind (settings.ServesEdge, ServesControlPlane or ServesStorage).
+// Alive returns the live members of a kind (settings.ServesEdge, ServesControlPlane or
+// ServesStorage).
 func (v *View) Alive(kind string) (list []*rpc.Member) {
 	for _, m := range v.Members {
 		if m.Alive && m.Kind == kind {
@@ -57,7 +59,7 @@
 	return 0
 }
 
-// Membership is the participation of a process in the protocol. Stop ends it.
+// Membership is a process's participation in the protocol. Stop ends it.
 type Membership struct {
 	driver  *gossip.Driver
 	running sync.WaitGroup // of the driver's goroutine
@@ -67,9 +69,10 @@
 	peerOf  func(string) string
 }
 
-// Start joins the protocol through the seeds of the settings. kind is what the process serves; identity names its disk and is empty for processes
-// without replicas. changed, if not nil, is called with each new view, from one goroutine; it must not block. Stop ends the participation; the
-// end of ctx doesn't.
+// Start joins the protocol through the seeds of the settings. kind is what the process serves;
+// identity is the id bound to its disk and is empty for processes without replicas. changed, if not
+// nil, is called with each new view, from one goroutine; it must not block. The participation lasts
+// until Stop is called, also after ctx ends.
 func Start(ctx context.Context, s *settings.Settings, kind, identity string, log *slog.Logger, changed func(*View)) (*Membership, error) {
 	address, err := netip.ParseAddrPort(s.GossipAddress())
 	if err != nil {
@@ -94,7 +97,7 @@
 		OnView: m.publish,
 	}
 	if !log.Enabled(ctx, slog.LevelInfo) {
-		log = slog.New(slog.DiscardHandler) // else every process would log every change of every other
+		log = slog.New(slog.DiscardHandler) // otherwise every process would log every state change of every other one
 	}
 	if m.driver, err = gossip.Open(cfg, m.now, nil, log); err != nil {
 		return nil, fmt.Errorf("membership: %w", err)
@@ -103,7 +106,7 @@
 	return m, nil
 }
 
-// now is the driver's clock in microseconds; it starts above 0, so that no age is negative.
+// now returns the driver's clock in microseconds. It starts above 0, so that no age is negative.
 func (m *Membership) now() int64 { return time.Since(m.start).Microseconds() + 1_000_000 }
 
 func (m *Membership) publish(v swim.View) {
@@ -121,14 +124,14 @@
 	}
 }
 
-// View returns the newest view, stamped with the present time.
+// View returns the latest view with the current time.
 func (m *Membership) View() *View {
 	v := *m.view.Load()
 	v.At = m.now()
 	return &v
 }
 
-// Stop announces the departure to other processes and ends the driver.
+// Stop announces the departure to the other processes and stops the driver.
 func (m *Membership) Stop() {
 	m.driver.Stop()
 	m.running.Wait()
