--- a/internal/scheduler/consensus/simulation/checks.go
+++ b/internal/scheduler/consensus/simulation/checks.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// checkLeader checks what leadership and the lease guarantee: one leader an epoch, and a read under a lease sees all that was
-// acknowledged.
+// checkLeader checks the guarantees of leadership and leases: at most one leader per epoch, and a
+// read under a lease returns every acknowledged command.
 func (w *world) checkLeader(m *machine) error {
 	if w.options.Bug == KeepLease && w.now < m.keptLeaseUntil {
 		return w.checkRead(m)
@@ -33,7 +33,7 @@
 	return w.checkRead(m)
 }
 
-// checkRead checks that a read of a machine's state sees all that was acknowledged.
+// checkRead checks that a read from a machine's state returns every acknowledged command.
 func (w *world) checkRead(m *machine) error {
 	w.report.Reads++
 	for command := range w.acknowledged {
@@ -44,8 +44,8 @@
 	return nil
 }
 
-// checkEnd checks a history at its end, when there have been no faults for a while: no acknowledged command is lost. Whether a leader has
-// its lease goes into the report.
+// checkEnd checks the end of a history, after a period without faults: no acknowledged command is
+// lost. Whether a leader has its lease is reported.
 func (w *world) checkEnd() error {
 	var longest []string
 	for _, m := range w.machines {
--- a/internal/scheduler/consensus/simulation/driver.go
+++ b/internal/scheduler/consensus/simulation/driver.go
@@ -8,20 +8,20 @@
 	"slices"
 )
 
-// maxReadiesPerTick is how many Readies a driver carries out in one tick.
+// maxReadiesPerTick is the maximum number of Ready results that a driver processes in one tick.
 const maxReadiesPerTick = 4
 
-// Chances of an event are 1 to these numbers.
+// The probability of an event is the reciprocal of its constant.
 const (
-	proposeChance = 6    // in each tick, at each leader
-	crashChance   = 4000 // at each Ready
-	readChance    = 4    // in each tick, at each leader under its lease
-	handOverRatio = 400  // in each tick, at each leader: it hands its leadership over
+	proposeChance  = 6    // in each tick, at each leader
+	crashChance    = 4000 // at each Ready
+	readChance     = 4    // in each tick, at each leader with its lease
+	transferChance = 400  // leadership transfer, in each tick, at each leader
 )
 
 var errGap = errors.New("model: applied entries are not contiguous")
 
-// runDriver is one tick of a machine's driver.
+// runDriver runs one tick of a machine's driver.
 func (w *world) runDriver(m *machine) error {
 	for _, message := range m.inbox {
 		m.core.Step(w.now, message)
@@ -37,8 +37,8 @@
 			_ = m.core.ProposeMembership(next) // a rejected change is proposed again in the next tick
 		}
 		w.propose(m)
-		if w.faultsEnabled() && w.random.IntN(handOverRatio) == 0 {
-			_ = m.core.TransferLeadership(func(string) bool { return true }) // without a successor it goes on leading
+		if w.faultsEnabled() && w.random.IntN(transferChance) == 0 {
+			_ = m.core.TransferLeadership(func(string) bool { return true }) // without a successor it remains leader
 		}
 	}
 	for range maxReadiesPerTick {
@@ -46,8 +46,8 @@
 		if ready.Empty() {
 			break
 		}
-		w.noteTransfer(m, ready.Messages)
-		if running := w.carryOut(m, &ready); !running {
+		w.recordTransfer(m, ready.Messages)
+		if running := w.process(m, &ready); !running {
 			return nil
 		}
 		if err := w.apply(m, &ready); err != nil {
@@ -57,8 +57,8 @@
 	return w.checkLeader(m)
 }
 
-// noteTransfer counts a leadership that was handed over.
-func (w *world) noteTransfer(m *machine, messages []*rpc.Message) {
+// recordTransfer records completed leadership transfers.
+func (w *world) recordTransfer(m *machine, messages []*rpc.Message) {
 	for _, message := range messages {
 		if message.Kind == rpc.MessageKind_TIMEOUT_NOW {
 			w.report.Transfers++
@@ -68,7 +68,7 @@
 	}
 }
 
-// propose has a client send a command with some chance.
+// propose sends a client command with probability 1/proposeChance.
 func (w *world) propose(m *machine) {
 	if w.random.IntN(proposeChance) != 0 {
 		return
@@ -83,8 +83,9 @@
 	}
 }
 
-// carryOut persists and sends what Ready returned. The machine may crash between any two steps; running is false then.
-func (w *world) carryOut(m *machine, ready *consensus.Ready) (running bool) {
+// process persists and sends what Ready returned. The machine may crash between any two steps;
+// running is false then.
+func (w *world) process(m *machine, ready *consensus.Ready) (running bool) {
 	crashes := w.faultsEnabled() && w.mayFail(m) && w.random.IntN(crashChance) == 0
 	if w.options.Bug == SendBeforeSync {
 		m.synced = m.disk
@@ -106,8 +107,8 @@
 	return true
 }
 
-// apply applies what Ready returned to the machine's state, and acknowledges commands to clients. It checks that all replicas apply the same
-// entry at an index.
+// apply applies what Ready returned to the machine's state, and acknowledges commands to clients.
+// It checks that all replicas apply the same entry at each index.
 func (w *world) apply(m *machine, ready *consensus.Ready) error {
 	if ready.Restore != nil {
 		w.report.Snapshots++
@@ -134,7 +135,7 @@
 	return nil
 }
 
-// acknowledge has a leader acknowledge a command that it has applied.
+// acknowledge acknowledges a command applied by a leader.
 func (w *world) acknowledge(m *machine, entry *rpc.Entry) {
 	command := string(entry.Data)
 	if m.core.IsLeader() && w.proposed[command] == entry.Index && !w.acknowledged[command] {
--- a/internal/scheduler/consensus/simulation/faults.go
+++ b/internal/scheduler/consensus/simulation/faults.go
@@ -6,10 +6,10 @@
 )
 
 const (
-	// recoveryMS is how long a machine counts as failed after it has recovered.
+	// recoveryMS is how long a machine still counts as failed after it has recovered.
 	recoveryMS = 3500
 
-	faultChance = 60 // a fault is injected in one of so many ticks
+	faultChance = 60 // reciprocal of the probability of a fault in each tick
 	faultKinds  = 10 // see injectFault
 )
 
@@ -18,12 +18,12 @@
 	return w.failedMachine == m.name || w.now-w.failedUntil > recoveryMS
 }
 
-// recordFailure records which machine is failed, and until when.
+// recordFailure records which machine has failed, and until when.
 func (w *world) recordFailure(m *machine, until int64) {
 	w.failedMachine, w.failedUntil = m.name, max(w.failedUntil, until)
 }
 
-// injectFault injects a fault with some chance.
+// injectFault injects a random fault with probability 1/faultChance.
 func (w *world) injectFault() {
 	if w.random.IntN(faultChance) != 0 {
 		return
@@ -49,15 +49,15 @@
 	}
 }
 
-// randomUntil returns a time between two distances from now, the second one excluded.
+// randomUntil returns a time between leastMS (inclusive) and mostMS (exclusive) from now.
 func (w *world) randomUntil(leastMS, mostMS int) int64 {
 	return w.now + int64(leastMS+w.random.IntN(mostMS-leastMS))
 }
 
-// stop ends a machine's process.
+// stop stops a machine's process.
 func (m *machine) stop(restartAt int64) { m.up, m.restartAt = false, restartAt }
 
-// crash ends a machine's process and keeps its disk.
+// crash stops a machine's process; its disk is retained.
 func (w *world) crash(m *machine) {
 	w.report.Crashes++
 	m.stop(w.randomUntil(100, 2600))
@@ -65,7 +65,8 @@
 	w.recordFailure(m, m.restartAt)
 }
 
-// crashAll ends all processes; their disks stay, and all have to catch up before another machine may fail.
+// crashAll stops all processes; their disks are retained, and all must catch up before another
+// machine may fail.
 func (w *world) crashAll() {
 	for _, m := range w.machines {
 		if m.up {
@@ -77,18 +78,19 @@
 	w.failedMachine = ""
 }
 
-// loseDisk empties a machine's disk. With an even chance all other machines lose power at the same moment.
+// loseDisk empties a machine's disk. With probability 1/2 all other machines lose power at the same
+// time.
 func (w *world) loseDisk(m *machine) {
 	w.report.DiskLosses++
 	w.trace("wipe %s", m.id)
-	founded := m.disk.snapshot
+	oldSnapshot := m.disk.snapshot
 	m.disk, m.synced = disk{}, disk{}
 	if w.options.Bug != KeepIdentity {
 		m.id = fmt.Sprintf("%s/%d", m.name, m.starts)
 	}
-	if w.options.Bug == FoundTwice && founded != nil && founded.Membership != nil {
+	if w.options.Bug == FoundTwice && oldSnapshot != nil && oldSnapshot.Membership != nil {
 		m.id = m.name + "/0"
-		m.disk.snapshot = &rpc.Snapshot{Index: 1, Epoch: 1, Membership: founded.Membership}
+		m.disk.snapshot = &rpc.Snapshot{Index: 1, Epoch: 1, Membership: oldSnapshot.Membership}
 	}
 	w.crash(m)
 	if w.random.IntN(2) != 0 {
@@ -101,22 +103,22 @@
 	}
 }
 
-// freeze stops a machine's process for a time. Its clock goes on.
+// freeze pauses a machine's process. Its clock keeps running.
 func (w *world) freeze(m *machine) {
 	m.frozenUntil = w.randomUntil(300, 3300)
 	w.trace("freeze %s until %d", m.id, m.frozenUntil)
 	w.recordFailure(m, m.frozenUntil)
 }
 
-// The directions in which partition cuts a machine off.
+// Directions in which partition drops a machine's messages.
 const (
 	incomingOnly = iota
 	outgoingOnly
 	bothDirections
-	directions // their number
+	directions // number of directions
 )
 
-// partition cuts a machine off from the others, in one direction or both.
+// partition partitions a machine from the others, in one direction or both.
 func (w *world) partition(m *machine) {
 	until := w.randomUntil(500, 4500)
 	direction := w.random.IntN(directions)
--- a/internal/scheduler/consensus/simulation/machine.go
+++ b/internal/scheduler/consensus/simulation/machine.go
@@ -10,42 +10,42 @@
 )
 
 const (
-	compactEntries   = 40 // length of a log from which a snapshot is made
+	compactEntries   = 40 // log length above which a snapshot is created
 	commandsPerChunk = 16 // of a snapshot
 )
 
-// machine is a computer that can hold a replica.
+// machine is a computer that may have a replica.
 type machine struct {
 	name   string
 	id     string // of the replica; a machine that lost its disk gets a new one
-	starts int    // number of the process that runs, from 1
+	starts int    // number of process starts
 
 	up          bool
-	restartAt   int64 // if it is not up
-	frozenUntil int64 // the process does not run until then
+	restartAt   int64 // if not up
+	frozenUntil int64 // the process is paused until then
 
 	core  *consensus.Core
 	inbox []*rpc.Message
 	disk  disk
-	// synced is what a loss of power leaves of the disk under the bug SendBeforeSync.
+	// synced is the disk contents after a power failure with the bug SendBeforeSync.
 	synced disk
 
 	applied      []string // commands: the state
 	appliedIndex uint64
 
-	keptLeaseUntil int64 // until when it reads under the bug KeepLease
+	keptLeaseUntil int64 // end of the lease under which it reads with the bug KeepLease
 }
 
-// disk is what remains when a machine's process ends.
+// disk is the persistent state of a machine.
 type disk struct {
 	hardState *rpc.HardState
 	snapshot  *rpc.Snapshot
 	chunks    [][]byte // of the snapshot
-	received  [][]byte // chunks of a snapshot that is being received
+	received  [][]byte // chunks of an incoming snapshot
 	entries   []*rpc.Entry
 }
 
-// start starts a machine's process with what its disk holds.
+// start starts a machine's process from its disk.
 func (w *world) start(m *machine) {
 	restarted := m.starts > 0
 	if w.options.Bug == SendBeforeSync && restarted && m.synced.snapshot != nil {
@@ -96,7 +96,8 @@
 	d.entries = append(slices.Clone(d.entries[:kept]), ready.Entries...)
 }
 
-// compactIfLong replaces a long log by a snapshot, unless that would hinder a replica that is being brought up to date.
+// compactIfLong replaces a long log by a snapshot, unless that would interrupt a replica that is
+// catching up.
 func (m *machine) compactIfLong() {
 	length := m.core.LogLength()
 	if length <= compactEntries {
@@ -107,7 +108,7 @@
 	}
 }
 
-// compact replaces the log up to what is applied by a snapshot.
+// compact replaces the applied part of the log by a snapshot.
 func (m *machine) compact() {
 	snapshot := m.core.PrepareSnapshot(m.appliedIndex)
 	if snapshot == nil {
--- a/internal/scheduler/consensus/simulation/network.go
+++ b/internal/scheduler/consensus/simulation/network.go
@@ -5,24 +5,24 @@
 const (
 	maxDelayMS      = 30  // of most messages
 	maxLongDelayMS  = 900 // added for some
-	repeatDelayMS   = 200 // after which a repeated message arrives again
-	lossChance      = 40  // 1 to this number
+	repeatDelayMS   = 200 // delay of the duplicate of a message
+	lossChance      = 40  // reciprocal of the probability, like the constants below
 	longDelayChance = 60
 	repeatChance    = 80
 )
 
-// link is the direction from one machine to another, by their names.
+// link is the direction from one machine to another, by name.
 type link struct{ from, to string }
 
-// delivery is a message on its way.
+// delivery is a message in flight.
 type delivery struct {
 	at      int64
 	to      string // name of a machine
 	message *rpc.Message
 }
 
-// send sends messages of a machine. Each may be lost, delayed or repeated. Chunks of snapshots get their data from the machine's disk; one that is
-// not there any more is not sent.
+// send sends messages of a machine. Each may be lost, delayed or duplicated. Snapshot chunks are
+// sent with their data from the machine's disk; a chunk that is no longer there is not sent.
 func (w *world) send(m *machine, messages []*rpc.Message) {
 	for _, message := range messages {
 		if message.Piece != nil {
@@ -47,7 +47,7 @@
 	}
 }
 
-// machineOf returns the machine that holds a replica; nil if the replica's disk is lost.
+// machineOf returns the machine that has a replica; nil if the replica's disk is lost.
 func (w *world) machineOf(id string) *machine {
 	for _, m := range w.machines {
 		if m.id == id {
@@ -57,7 +57,8 @@
 	return nil
 }
 
-// deliver moves the messages that are due to the inboxes of machines that are up. Those to other machines are lost.
+// deliver moves due messages to the inboxes of machines that are up. Messages to other machines are
+// lost.
 func (w *world) deliver() {
 	var later []delivery
 	for _, d := range w.inFlight {
--- a/internal/scheduler/consensus/simulation/options.go
+++ b/internal/scheduler/consensus/simulation/options.go
@@ -1,9 +1,9 @@
 package simulation
 
-// Bug is a mistake that a driver could make.
+// Bug is a driver bug that can be seeded.
 type Bug string
 
-// The bugs that can be seeded.
+// Bugs that can be seeded. Their texts are printed in reports.
 const (
 	NoBug          Bug = ""
 	SendBeforeSync Bug = "messages leave before what they promise is on disk"
@@ -17,23 +17,24 @@
 	KeepLease      Bug = "a leader that has handed its leadership over goes on answering reads under its lease"
 )
 
-// SwapAtOnce is a mistake in the use of the core: a gone voter is replaced without a joint membership.
+// SwapAtOnce is an incorrect use of the core: a failed voter is replaced without a joint
+// membership.
 const SwapAtOnce Bug = "a voter is replaced by another in one change without both majorities"
 
-// Bugs are all that can be seeded.
+// Bugs lists all bugs that can be seeded.
 var Bugs = []Bug{SendBeforeSync, KeepIdentity, ForgetVote, ForgetEntries, AckOnAppend, FoundTwice, TrustLease, ApplyUnstored, KeepLease, SwapAtOnce}
 
-// Options say what is played.
+// Options configure a history.
 type Options struct {
 	Seed     uint64
-	Machines int   // that found the group
-	Spares   int   // further machines, which may replace one of them
-	LengthMS int64 // of virtual time; the history may last longer, until the last fault is over
+	Machines int   // initial members of the group
+	Spares   int   // additional machines, which may replace failed ones
+	LengthMS int64 // of virtual time; the history may be longer, until the last fault has ended
 	Bug      Bug
-	Trace    func(format string, values ...any) // is called for each event; nil: none
+	Trace    func(format string, values ...any) // called for each event; nil: not called
 }
 
-// Report counts what happened in a history.
+// Report counts the events of a history.
 type Report struct {
 	Acknowledged     int // commands
 	Elections        int
@@ -42,11 +43,11 @@
 	PlacementChanges int
 	Reads            int // under a lease
 	Snapshots        int // received and applied
-	Transfers        int // of the leadership, completed
+	Transfers        int // completed leadership transfers
 	NoLeaderAtEnd    bool
 }
 
-// ViolationError says which guarantee was broken.
+// ViolationError reports the guarantee that was violated.
 type ViolationError struct{ Rule, Detail string }
 
 func (v *ViolationError) Error() string { return v.Rule + ": " + v.Detail }
--- a/internal/scheduler/consensus/simulation/proof_test.go
+++ b/internal/scheduler/consensus/simulation/proof_test.go
@@ -9,7 +9,7 @@
 
 const proofLengthMS = 40_000 // of virtual time
 
-// lastProofSeed returns how many histories are played: many if SAFFRONQUAY_LONG is set.
+// lastProofSeed returns the number of histories, which is larger if SAFFRONQUAY_LONG is set.
 func lastProofSeed() uint64 {
 	if os.Getenv("SAFFRONQUAY_LONG") != "" {
 		return 2000
@@ -17,7 +17,8 @@
 	return 30
 }
 
-// proofOptions returns the options of a seed's history: groups of three, every fifth of five.
+// proofOptions returns the options of a seed's history: groups of three, and of five for every
+// fifth seed.
 func proofOptions(seed uint64) Options {
 	options := Options{Seed: seed, Machines: 3, Spares: int(seed % 2), LengthMS: proofLengthMS}
 	if seed%5 == 0 {
@@ -26,7 +27,8 @@
 	return options
 }
 
-// TestProof plays groups of three and five under faults: nothing that was acknowledged is lost, and each seeded bug is detected.
+// TestProof runs groups of three and five under faults: no acknowledged command is lost, and each
+// seeded bug is detected.
 func TestProof(t *testing.T) {
 	is := is.New(t)
 	var total Report
@@ -55,7 +57,7 @@
 			detected++
 			t.Logf("%s: seed %d: %v", bug, seed, err)
 		} else {
-			t.Errorf("not noticed: %s", bug)
+			t.Errorf("seeded bug not detected: %s", bug)
 		}
 	}
 	t.Logf("proof: seeds=%d acknowledged=%d elections=%d crashes=%d wipes=%d swaps=%d reads=%d snapshots_installed=%d transfers=%d lost=0 unfinished=%d bugs_caught=%d/%d", lastProofSeed(),
--- a/internal/scheduler/consensus/simulation/trace_test.go
+++ b/internal/scheduler/consensus/simulation/trace_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// TestTrace prints what happens in one history. SAFFRONQUAY_SEED selects it.
+// TestTrace prints the events of the history selected by SAFFRONQUAY_SEED.
 func TestTrace(t *testing.T) {
 	seed, err := strconv.ParseUint(os.Getenv("SAFFRONQUAY_SEED"), 10, 64)
 	if err != nil {
--- a/internal/scheduler/consensus/simulation/world.go
+++ b/internal/scheduler/consensus/simulation/world.go
@@ -11,13 +11,13 @@
 	electionTimeoutMS   = 550
 	heartbeatIntervalMS = 110
 	tickMS              = 10
-	startMS             = 1000 // when a history begins
-	quietMS             = 6000 // at the end, in which there are no faults
+	startMS             = 1000 // virtual time at which a history starts
+	quietMS             = 6000 // period without faults at the end
 
-	randomStream = 7 // second half of the seed of each history
+	randomStream = 7 // PCG stream of each history
 )
 
-// world is a replica group, the machines that hold its replicas, and the network between them.
+// world is a replica group, its machines, and the network between them.
 type world struct {
 	options  Options
 	random   *rand.Rand
@@ -29,24 +29,25 @@
 	inFlight         []delivery
 	partitionedUntil map[link]int64
 
-	appliedAt    map[uint64]string // by index: what the first replica that got there applied
-	leaders      map[uint64]string // by epoch: the id of its leader
-	proposed     map[string]uint64 // by command: its index
+	appliedAt    map[uint64]string // by index: the entry applied by the first replica
+	leaders      map[uint64]string // by epoch: the leader's id
+	proposed     map[string]uint64 // by command: its log index
 	acknowledged map[string]bool   // by command
-	commands     int               // number of the newest command
+	commands     int               // number of commands proposed so far
 
-	// One machine at a time may be failed. It counts as failed until some time after it has recovered.
+	// At most one machine may have failed at a time. It counts as failed until recoveryMS after it
+	// has recovered.
 	failedMachine string // name
 	failedUntil   int64
 }
 
-// Play plays one history and checks it. The error is nil, a *ViolationError, or errGap.
+// Play runs one history and checks it. The error is nil, a *ViolationError, or errGap.
 func Play(options Options) (Report, error) {
 	w := &world{
 		options: options, random: rand.New(rand.NewPCG(options.Seed, randomStream)), partitionedUntil: map[link]int64{},
 		appliedAt: map[uint64]string{}, leaders: map[uint64]string{}, acknowledged: map[string]bool{}, proposed: map[string]uint64{},
 	}
-	w.foundGroup()
+	w.createGroup()
 	for w.now = startMS; w.now < max(options.LengthMS, w.failedUntil+quietMS); w.now += tickMS {
 		if err := w.step(); err != nil {
 			return w.report, err
@@ -55,23 +56,24 @@
 	return w.report, w.checkEnd()
 }
 
-// foundGroup starts all machines; the first of them hold the group's founders, the spares are empty.
-func (w *world) foundGroup() {
-	var founders []*rpc.Replica
+// createGroup starts all machines; the first ones have the initial members of the group, the spares
+// are empty.
+func (w *world) createGroup() {
+	var initialVoters []*rpc.Replica
 	for i := range w.options.Machines + w.options.Spares {
 		m := &machine{name: fmt.Sprintf("m%d", i), up: true}
 		m.id = m.name + "/0"
 		w.machines = append(w.machines, m)
 		if i < w.options.Machines {
-			founders = append(founders, &rpc.Replica{Id: m.id, Address: m.name, Node: m.name})
+			initialVoters = append(initialVoters, &rpc.Replica{Id: m.id, Address: m.name, Node: m.name})
 		}
 	}
-	w.wanted = founders
+	w.wanted = initialVoters
 	for i, m := range w.machines {
 		if i < w.options.Machines {
 			m.disk = disk{
 				hardState: &rpc.HardState{Epoch: 1},
-				snapshot:  &rpc.Snapshot{Index: 1, Epoch: 1, Membership: &rpc.Membership{Voters: founders}},
+				snapshot:  &rpc.Snapshot{Index: 1, Epoch: 1, Membership: &rpc.Membership{Voters: initialVoters}},
 			}
 		}
 		w.start(m)
@@ -87,7 +89,7 @@
 // faultsEnabled reports whether new faults may be injected now.
 func (w *world) faultsEnabled() bool { return w.now < w.options.LengthMS-quietMS }
 
-// step plays one tick: faults, arriving messages, each machine's driver, and the placement.
+// step runs one tick: faults, arriving messages, each machine's driver, and the placement.
 func (w *world) step() error {
 	if w.faultsEnabled() {
 		w.injectFault()
@@ -107,7 +109,8 @@
 	return nil
 }
 
-// updatePlacement keeps the wanted replicas as the controller does. A machine that is down counts as failed immediately.
+// updatePlacement updates the wanted replicas as the controller does. A machine that is down counts
+// as failed immediately.
 func (w *world) updatePlacement() {
 	var list []placement.Machine
 	for _, m := range w.machines {
