--- a/internal/scheduler/consensus/repair_test.go
+++ b/internal/scheduler/consensus/repair_test.go
@@ -35,7 +35,7 @@
 	applied []string
 }
 
-const testTick = 10
+const testTickMS = 10
 
 func newCluster(t *testing.T, size, spares int) *cluster {
 	c := &cluster{t: t, size: size, random: rand.New(rand.NewPCG(uint64(size), 1)), nodes: map[string]*node{}, acknowledged: map[string]bool{}}
@@ -101,7 +101,7 @@
 
 // run advances the cluster until a time. Each leader proposes a command every 50 ms.
 func (c *cluster) run(until int64) {
-	for ; c.now < until; c.now += testTick {
+	for ; c.now < until; c.now += testTickMS {
 		arriving := c.inFlight
 		c.inFlight = nil
 		for _, m := range arriving {
--- a/internal/scheduler/controlplane/retirements.go
+++ b/internal/scheduler/controlplane/retirements.go
@@ -17,9 +17,9 @@
 // rejects a request for it: any other controller may be partitioned, and know neither the machines
 // nor the accepted requests.
 
-// countsAsStayingMS is how long a failed machine still counts as available when a request is
+// retirementGraceMS is how long a failed machine still counts as available when a request is
 // checked: most failed machines recover.
-const countsAsStayingMS = 30_000
+const retirementGraceMS = 30_000
 
 // startRetirement handles the operator's request to drain a storage machine.
 func (s *Server) startRetirement(ctx context.Context, request *fasthttp.RequestCtx) {
@@ -121,18 +121,18 @@
 // fewer machines than the group size would remain. It returns RETIRE_NOT_ASKED if the request may
 // be accepted. It has no side effects.
 func RetireRefusal(node string, machines []placement.Machine, placements []*rpc.Placement, size int) rpc.RetireState {
-	known, staying := false, 0
+	known, remaining := false, 0
 	for _, m := range machines {
 		known = known || m.Node == node
-		if m.Node != node && !m.Retiring && (m.Alive || m.DeadMS < countsAsStayingMS) {
-			staying++
+		if m.Node != node && !m.Retiring && (m.Alive || m.DeadMS < retirementGraceMS) {
+			remaining++
 		}
 	}
 	known = known || slices.ContainsFunc(placements, func(p *rpc.Placement) bool { return hasReplicaOn(p, node) })
 	switch {
 	case !known:
 		return rpc.RetireState_RETIRE_NO_SUCH_MACHINE
-	case staying < size:
+	case remaining < size:
 		return rpc.RetireState_RETIRE_TOO_FEW_LEFT
 	}
 	return rpc.RetireState_RETIRE_NOT_ASKED
--- a/internal/scheduler/controlplane/retirements_test.go
+++ b/internal/scheduler/controlplane/retirements_test.go
@@ -29,7 +29,7 @@
 		"accepted while one has just failed": {"d", failedFor(5000), nil, rpc.RetireState_RETIRE_NOT_ASKED},
 		"unknown":                            {"x", failedFor(5000), nil, rpc.RetireState_RETIRE_NO_SUCH_MACHINE},
 		"known by a placement only":          {"x", failedFor(5000), []*rpc.Placement{{Replicas: replicas("x")}}, rpc.RetireState_RETIRE_NOT_ASKED},
-		"one has failed long ago":            {"d", failedFor(countsAsStayingMS), nil, rpc.RetireState_RETIRE_TOO_FEW_LEFT},
+		"one has failed long ago":            {"d", failedFor(retirementGraceMS), nil, rpc.RetireState_RETIRE_TOO_FEW_LEFT},
 		"another one is retiring": {
 			"d", placement.Machine{Node: "c", Alive: true, Retiring: true}, nil, rpc.RetireState_RETIRE_TOO_FEW_LEFT,
 		},
--- a/internal/scheduler/controlplane/server.go
+++ b/internal/scheduler/controlplane/server.go
@@ -27,9 +27,9 @@
 var errDiskFailed = errors.New("controlplane: disk failed, replicas stopped")
 
 const (
-	maxBody     = 64 << 20 // maximum size of a request body in bytes
-	idleTimeout = time.Minute
-	readTimeout = 20 * time.Second
+	maxBodyBytes = 64 << 20 // of a request
+	idleTimeout  = time.Minute
+	readTimeout  = 20 * time.Second
 )
 
 // Server is a running process of this role. Its fields are set before it serves and do not change;
@@ -125,7 +125,7 @@
 	tasks.Serve(s.log, "peer", peer.Serve)
 	s.createInitialGroups()
 	api := &fasthttp.Server{
-		Handler: s.routes(context.WithoutCancel(ctx)), MaxRequestBodySize: maxBody, NoDefaultServerHeader: true, NoDefaultDate: true,
+		Handler: s.routes(context.WithoutCancel(ctx)), MaxRequestBodySize: maxBodyBytes, NoDefaultServerHeader: true, NoDefaultDate: true,
 		IdleTimeout: idleTimeout, ReadTimeout: readTimeout, CloseOnShutdown: true,
 	}
 	tasks.Serve(s.log, "api", func() error { return api.Serve(listener) })
