--- a/internal/scheduler/replica/host_test.go
+++ b/internal/scheduler/replica/host_test.go
@@ -146,14 +146,14 @@
 	is := is.New(t)
 	n := &network{hosts: map[string]*Host{}}
 	machines := map[string]*recorder{}
-	var initialVoters []*rpc.Replica
+	var replicas []*rpc.Replica
 	for _, name := range []string{"a", "b", "c", "d"} {
 		machines[name] = newRecorder()
-		initialVoters = append(initialVoters, &rpc.Replica{Id: name, Address: name, Node: name})
+		replicas = append(replicas, &rpc.Replica{Id: name, Address: name, Node: name})
 	}
 	hosts := []*Host{n.start(t, "a", machines["a"], options), n.start(t, "b", machines["b"], options)}
 	for _, host := range hosts {
-		host.CreateGroup("g", initialVoters[:3])
+		host.CreateGroup("g", replicas[:3])
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 60*time.Second)
 	defer cancel()
@@ -164,7 +164,7 @@
 	}
 	n.start(t, "d", machines["d"], options) // replaces c
 	for _, host := range hosts {
-		host.SetWanted(&rpc.Placement{Group: "g", Replicas: []*rpc.Replica{initialVoters[0], initialVoters[1], initialVoters[3]}, Revision: 1})
+		host.SetWanted(&rpc.Placement{Group: "g", Replicas: []*rpc.Replica{replicas[0], replicas[1], replicas[3]}, Revision: 1})
 	}
 	for len(machines["d"].distinct()) < commands {
 		select {
