--- a/internal/cluster/peering/policy_test.go
+++ b/internal/cluster/peering/policy_test.go
@@ -365,7 +365,7 @@
 	run(0, "version 1 is in force", append([]string{"adopt", g.Members[0].File}, flags()...)...)
 	admit(t, g)
 	good := write("good.json", policy(t, g, 7))
-	run(0, "good: everybody", append([]string{"propose", good, "--dry-run", "--door", door(4)}, flags()...)...)
+	run(0, "good: every reachable gatherer accepts it", append([]string{"propose", good, "--dry-run", "--door", door(4)}, flags()...)...)
 	began := time.Now()
 	run(0, "version 2 is in force", append([]string{"propose", good, "--door", door(4)}, flags()...)...)
 	t.Logf("a change with all five up took %s with its command", time.Since(began).Round(time.Millisecond))
@@ -433,7 +433,7 @@
 	}()
 	g.Until("it is open", func() (string, bool) { of := stands(g.Members[g.Leader()]); return fmt.Sprint(of), of["open"] != "0" })
 	out, code := harness.Run(t, append([]string{"policy", "abort", "6"}, flags()...)...)
-	if a := <-ends; code == 0 && (a.End != 2 || !strings.Contains(a.Reason, "given up")) || code != 0 && a.End != 1 {
+	if a := <-ends; code == 0 && (a.End != 2 || !strings.Contains(a.Reason, "aborted by")) || code != 0 && a.End != 1 {
 		t.Errorf("abort ended with %d, %s, and the proposal with %v", code, out, a)
 	}
 	close(over)
--- a/internal/cluster/rollout/bootstrap.go
+++ b/internal/cluster/rollout/bootstrap.go
@@ -6,23 +6,26 @@
 	"slices"
 )
 
-// bootstrap is one of the first voters before it may vote. A vote belongs to a disk, not to a name: each first voter stores the identities of all
-// others' disks, and votes under its own only when all others have reported that they stored it. So all know a process that returns under a
-// name without its disk for another one, and drop its messages until an operator gives it a vote of its own.
+// bootstrap is the state of an initial voter before it may vote. A vote belongs to a disk, not to a
+// name: each initial voter stores the identities of all other voters' disks, and votes only once
+// all others have reported that they stored its identity. A process that returns under a voter's
+// name without its disk is therefore recognized by the others, which drop its messages until an
+// operator gives it a new vote.
 type bootstrap struct {
 	name             string
 	identity         uint64
-	peers            []string          // the other first voters
-	known            map[string]uint64 // identities on disk, with this one's own
+	peers            []string          // the other initial voters
+	known            map[string]uint64 // identities on disk, including this voter's
 	unsaved          map[string]uint64 // identities that are not on disk yet
-	knownBy          map[string]bool   // the peers that have this one's identity on disk
-	identityConflict bool              // a peer knows another disk under this name
+	knownBy          map[string]bool   // peers that have stored this voter's identity
+	identityConflict bool              // a peer has stored another disk identity for this name
 	saving           bool
-	beingSaved       map[string]uint64 // on the way to the disk
+	beingSaved       map[string]uint64 // identities that are being written
 	helloAt          int64             // when the next hellos are due
 }
 
-// conflictHelloFactor is how much rarer hellos are in an identity conflict, which only an operator resolves.
+// conflictHelloFactor multiplies the interval between hellos during an identity conflict, which
+// only an operator can resolve.
 const conflictHelloFactor = 20
 
 func newBootstrap(cfg Config, now int64, stored PersistentState) *bootstrap {
@@ -40,7 +43,7 @@
 	return b
 }
 
-// newHello returns a hello with the identities that are on disk.
+// newHello returns a hello that carries the given identities, which must be on disk.
 func newHello(identities map[string]uint64) *wire.Hello {
 	h := &wire.Hello{}
 	for _, name := range slices.Sorted(maps.Keys(identities)) {
@@ -49,12 +52,13 @@
 	return h
 }
 
-// handleHello handles a peer's hello. The first identity of a name counts.
+// handleHello records a peer's identity, and whether the peer has stored this voter's. The first
+// identity received for a name is kept.
 func (b *bootstrap) handleHello(from string, identity uint64, h *wire.Hello) {
 	if !slices.Contains(b.peers, from) || identity == 0 {
 		return
 	}
-	known := b.learn(from, identity)
+	known := b.recordIdentity(from, identity)
 	for _, m := range h.Met {
 		if m.Name != b.name {
 			continue
@@ -67,8 +71,9 @@
 	}
 }
 
-// learn returns the identity that is known under a peer's name: the given one, where it is the first.
-func (b *bootstrap) learn(from string, identity uint64) uint64 {
+// recordIdentity returns the identity recorded for a peer. It records the given one if there is
+// none yet.
+func (b *bootstrap) recordIdentity(from string, identity uint64) uint64 {
 	for _, identities := range []map[string]uint64{b.known, b.beingSaved, b.unsaved} {
 		if known := identities[from]; known != 0 {
 			return known
@@ -78,7 +83,7 @@
 	return identity
 }
 
-// helloInterval is the time between two hellos.
+// helloInterval returns the time between two hellos.
 func (b *bootstrap) helloInterval(heartbeat int64) int64 {
 	if b.identityConflict {
 		return conflictHelloFactor * heartbeat
@@ -86,12 +91,13 @@
 	return heartbeat
 }
 
-// isComplete reports that this one may vote.
+// isComplete reports whether this voter may vote: it has stored the identities of all peers, and
+// they have stored its own.
 func (b *bootstrap) isComplete() bool {
 	return !slices.ContainsFunc(b.peers, func(name string) bool { return b.known[name] == 0 || !b.knownBy[name] })
 }
 
-// takeIdentities returns all identities that have to be on disk, and marks the new ones as being saved.
+// takeIdentities returns all identities to save, and marks the new ones as being saved.
 func (b *bootstrap) takeIdentities() map[string]uint64 {
 	b.beingSaved = b.unsaved
 	b.unsaved = map[string]uint64{}
@@ -100,7 +106,7 @@
 	return all
 }
 
-// handleSaved notes that they are.
+// handleSaved records that the identities returned by takeIdentities are on disk.
 func (b *bootstrap) handleSaved() {
 	maps.Copy(b.known, b.beingSaved)
 	b.beingSaved, b.saving = nil, false
--- a/internal/cluster/rollout/force.go
+++ b/internal/cluster/rollout/force.go
@@ -10,38 +10,46 @@
 )
 
 const (
-	// forcedIndexGap is how far a fleet that was made anew jumps in its log, so that no message of the old one passes for a later one.
+	// forcedIndexGap is added to the log index of a rebuilt fleet, so that no message of the old
+	// fleet counts as a later one.
 	forcedIndexGap = 1 << 20
-	// forcedVersionGap is how far the numbers of versions jump then, so that no number of the new fleet is one that only the lost voters know.
+	// forcedVersionGap is added to the version number of a rebuilt fleet, so that it reuses no
+	// number that only the lost voters know.
 	forcedVersionGap = 1000
 )
 
-// ForceReport is what operators lose, and have to know, when they make a fleet anew from one voter's disk.
+// ForceReport describes what is lost when a fleet is rebuilt from one voter's disk.
 type ForceReport struct {
-	Version   uint64   // in force from now on
-	Term      uint64   // of the last entry of this disk's log; of several survivors the one with the highest term, then index, knows most
-	Index     uint64   // of that entry
-	Uncertain int      // entries that may never have been committed; they count from now on
-	Open      uint64   // the number of a proposal that was open, and is aborted; 0: none
-	Voters    []string // who voted, and votes no more
+	Version uint64 // in force from now on
+	// Term is that of the last entry of this disk's log. Of several surviving disks, use the one
+	// with the highest term, then index.
+	Term      uint64
+	Index     uint64   // of the last entry of this disk's log
+	Uncertain int      // entries that may never have been committed; they are kept as committed
+	Open      uint64   // number of a proposal that was open, and is aborted; 0: none
+	Voters    []string // former voters, which lose their votes
 }
 
-// ForceNewFleet makes a fleet anew from the disk of one voter, where the majority is lost for good: it votes alone, under an identity that has to
-// be new, and has everyone else on the roster as a non-voter. Versions that only the lost voters committed are gone, so rule 5 does not hold over
-// it; nor does rule 2, if any of the lost voters still runs. It changes nothing itself: the returned disk has to replace the old one, with the
-// new identity, while the gatherer does not run.
-// current is the version that was in force last at this gatherer: it counts where the log does not have it yet.
+// ForceNewFleet returns a disk that rebuilds the fleet from the disk of one voter after the
+// majority was lost for good. That voter is the only one, under the given identity, which has to be
+// new; all others on the roster are non-voters. Versions that only the lost voters committed are
+// lost, so rule 5 does not hold across a rebuild; nor does rule 2 if any of the lost voters still
+// runs. current is the version that was last in force at this gatherer; it is used if the log does
+// not have it yet.
+//
+// ForceNewFleet changes nothing itself: the returned disk has to replace the old one, together with
+// the new identity, while the gatherer does not run.
 func ForceNewFleet(disk Disk, current *wire.Document, name string, identity uint64) (Disk, ForceReport, error) {
 	var s state
 	if disk.ID == 0 || disk.Snapshot == nil {
-		return Disk{}, ForceReport{}, fmt.Errorf("rollout: nobody has voted by this disk: take one of a voter's")
+		return Disk{}, ForceReport{}, fmt.Errorf("rollout: rebuild fleet: the disk has no voter state; use the disk of a voter")
 	}
 	report, err := s.replay(disk)
 	if err != nil {
 		return Disk{}, report, err
 	}
 	if s.member(name) == nil {
-		return Disk{}, report, fmt.Errorf("rollout: %s is not on the roster of this disk", name)
+		return Disk{}, report, fmt.Errorf("rollout: rebuild fleet: %s is not on the roster of this disk", name)
 	}
 	index := report.Index + forcedIndexGap
 	report.Open = s.Open.GetDocument().GetNumber()
@@ -58,7 +66,7 @@
 	s.setOnlyVoter(&wire.Member{Name: name, Id: id, Identity: identity}, index)
 	data, err := proto.Marshal(&s.State)
 	if err != nil {
-		return Disk{}, report, fmt.Errorf("rollout: state: %w", err)
+		return Disk{}, report, fmt.Errorf("rollout: encode state: %w", err)
 	}
 	term := max(disk.HardState.GetTerm(), report.Term) + 1
 	return Disk{
@@ -67,10 +75,11 @@
 	}, report, nil
 }
 
-// replay makes the state from a voter's disk, with all entries of its log, and reports the log's end.
+// replay rebuilds the state from a voter's snapshot and all entries of its log, committed or not,
+// and reports the end of the log.
 func (s *state) replay(disk Disk) (report ForceReport, err error) {
 	if err := proto.Unmarshal(disk.Snapshot.Data, &s.State); err != nil {
-		return report, fmt.Errorf("rollout: snapshot: %w", err)
+		return report, fmt.Errorf("rollout: decode snapshot: %w", err)
 	}
 	report.Index, report.Term = disk.Snapshot.Metadata.GetIndex(), disk.Snapshot.Metadata.GetTerm()
 	for _, e := range disk.Entries {
@@ -78,7 +87,7 @@
 		if e.GetType() == pb.EntryConfChangeV2 {
 			cc := &pb.ConfChangeV2{}
 			if err := proto.Unmarshal(e.Data, cc); err != nil {
-				return report, fmt.Errorf("rollout: entry %d: %w", e.GetIndex(), err)
+				return report, fmt.Errorf("rollout: decode log entry %d: %w", e.GetIndex(), err)
 			}
 			data = cc.Context
 		}
@@ -96,7 +105,8 @@
 	return report, nil
 }
 
-// abortForced aborts the open proposal, and refuses it to the global agreement where a region followed it.
+// abortForced aborts the open proposal. If the region followed the global agreement with it, the
+// region rejects that attempt.
 func (s *state) abortForced() {
 	p := s.Open
 	if p == nil {
@@ -104,13 +114,13 @@
 	}
 	s.Open = nil
 	s.Decided, s.Committed = p.Attempt, false
-	s.recordOutcome(p, false, "the fleet was made anew")
+	s.recordOutcome(p, false, "the fleet was rebuilt from one voter's disk")
 	if p.Global != 0 && !p.Decided {
-		s.GlobalRefused, s.GlobalReason = p.Global, "the region was made anew"
+		s.GlobalRefused, s.GlobalReason = p.Global, "the region was rebuilt from one voter's disk"
 	}
 }
 
-// setOnlyVoter takes all votes but one.
+// setOnlyVoter makes one member the only voter, and cancels a pending voter change.
 func (s *state) setOnlyVoter(voter *wire.Member, index uint64) {
 	s.Change, s.Retired, s.MembersIndex = nil, nil, index
 	for _, m := range slices.Clone(s.Members) {
--- a/internal/cluster/rollout/fuzz_test.go
+++ b/internal/cluster/rollout/fuzz_test.go
@@ -7,7 +7,8 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// FuzzReceive gives a leader and a follower a message of arbitrary bytes, and lets time pass.
+// FuzzReceive delivers a message decoded from arbitrary bytes to a leader and two other voters, and
+// ticks them afterwards. They must not panic.
 func FuzzReceive(f *testing.F) {
 	for _, m := range []*wire.Message{
 		{Ask: &wire.Ask{Nonce: 3, Number: 1, Ready: 1}},
--- a/internal/cluster/rollout/global_leader.go
+++ b/internal/cluster/rollout/global_leader.go
@@ -2,8 +2,8 @@
 
 import "saffronquay/internal/cluster/rollout/wire"
 
-// recordRegionRequest records a request of a region's leader, or of another voter of a region. It returns the region's record; nil: there is no such
-// region.
+// recordRegionRequest records a request of a region's leader, or a ping of another voter of a
+// region. It returns the region's record, or nil if the request names no known region.
 func (v *voter) recordRegionRequest(now int64, from string, identity uint64, request *wire.Ask) *grantee {
 	peer := v.globalPeers[from]
 	if peer == nil {
@@ -14,7 +14,7 @@
 	if v.leaseMember(request.Region) == nil {
 		status := v.status(now, request)
 		if request.Region != "" {
-			status.Refusal = "no such region"
+			status.Refusal = "unknown region"
 		}
 		v.outbox = append(v.outbox, &wire.Message{From: v.name, To: from, Word: status})
 		return nil
@@ -24,34 +24,37 @@
 	return g
 }
 
-// regionRefusal is why a region gets no lease now; empty: it gets one.
+// regionRefusal returns why a region gets no lease now, or "" if it gets one.
 func (v *voter) regionRefusal(now int64, g *grantee, request *wire.Ask) string {
 	switch {
 	case request.Number != v.state.number():
-		return "it has another version"
+		return "the region has another version in force"
 	case request.Apart:
-		return "it was cut off"
+		return "the region was isolated"
 	case v.isPausing() && (g.refused == v.attempt || g.paused != v.attempt && (g.ready != v.attempt || g.leaseUntil <= now || v.phase == closing)):
-		return "a change is being put in force" // a region takes time to pause: one that is not awaited gets no lease meanwhile
+		// Pausing a region takes time: a region that is not awaited gets no lease meanwhile.
+		return "a change is being put in force"
 	}
 	return ""
 }
 
-// regionNotReady is why a region has to be awaited while the open proposal is validated; empty: it has validated it, or goes on by itself.
+// regionNotReady returns why a region has to be awaited while the open proposal is validated, or ""
+// if the region has validated it or is isolated.
 func (v *voter) regionNotReady(now int64, g *grantee) string {
 	recent, leased := now-g.seenAt < v.cfg.Lease/2, g.leaseUntil > now
 	switch {
 	case g.ready == v.attempt && recent && (leased || g.number < v.state.number()):
 		return ""
 	case !leased && now-max(g.seenAt, v.leaderSince) > v.cfg.RegionTimeout:
-		return "" // its lease is over, and it has sent nothing; the membership view plays no part
+		return "" // its lease has expired, and it has sent nothing; the membership view is not used here
 	case g.ready == v.attempt:
 		return "was not heard of lately"
 	}
 	return "has not judged it in time"
 }
 
-// validateAtRegions waits until every region has validated the open proposal, or goes on by itself.
+// validateAtRegions waits until every region has validated the open proposal or is isolated. One
+// rejection aborts the proposal.
 func (v *voter) validateAtRegions(now int64) {
 	for _, m := range v.leaseRoster() {
 		g := v.grantee(m.Name)
@@ -69,8 +72,9 @@
 	v.startPause(now)
 }
 
-// reportRegions fills in the regions that have reported a version, or a later one, in force, and the isolated ones. While a region that holds a lease
-// has not, the answer stays open: how the change ends there is not known yet.
+// reportRegions fills in the regions that have reported the version, or a later one, in force, and
+// the isolated ones. While a region with a lease has not reported it, the answer stays open,
+// because the outcome in that region is not known yet.
 func (v *voter) reportRegions(now int64, number uint64, a *wire.Answer) {
 	for _, m := range v.leaseRoster() {
 		switch g := v.grantee(m.Name); {
@@ -85,9 +89,11 @@
 	}
 }
 
-// nextParts is each region's part of the budgets from the open proposal's commit on. The parts move towards the gatherers' share of the roster only
-// where all regions have paused and have the version in force. What one region loses the others get with the next version, when it is known to
-// have given it up. So whichever of two versions each region is under, all parts add up to at most the budget.
+// nextParts returns each region's part of the budgets after the open proposal's commit. The parts
+// move towards the regions' fractions of the roster only if all regions have paused and have the
+// current version in force. The part that one region loses is given to others with the next
+// version, when the region is known to have given it up. All parts therefore add up to at most the
+// budget, whichever of two versions each region has in force.
 func (v *voter) nextParts() []*wire.Part {
 	current := v.cfg.partsOf(v.state.Current)
 	for _, m := range v.leaseRoster() {
--- a/internal/cluster/rollout/holder.go
+++ b/internal/cluster/rollout/holder.go
@@ -7,50 +7,53 @@
 	"saffronquay/internal/cluster/rollout/wire"
 )
 
-// Holder is one gatherer's side: the version in force there, its lease, and the proposal that it validates and pauses for. It must not be used by
-// several goroutines at once.
+// Holder is a gatherer's state as a lease holder: its version in force, its lease, and the proposal
+// that it validates and pauses queries for. It is not safe for concurrent use.
 type Holder struct {
 	cfg           Config
 	name          string
 	rng           *rand.Rand
-	quota         *quota.Holder // of budgets; nil: they are not divided here
+	quota         *quota.Holder // nil: budgets are not divided
 	identity      uint64        // of this gatherer's disk
 	members       []*wire.Member
 	membersIndex  uint64 // of the roster in members
-	rosterChanged bool   // the host has not got the roster yet
+	rosterChanged bool   // the roster has not been passed to the host yet
 	voters        []string
 
-	current      *wire.Document // in force here; nil: no version was ever committed
-	statusIndex  uint64         // of the newest status that was handled
-	leaseUntil   int64          // 0: no lease
-	keepsVersion bool           // it admits without a lease: this process had one under a version with the keep flag
-	left         bool           // it admits nothing any more
+	current     *wire.Document // in force here; nil: no version was ever committed
+	statusIndex uint64         // of the newest status that was handled
+	leaseUntil  int64          // 0: no lease
+	// leaseOptional is set if this gatherer admits without a lease: this process had one under the
+	// current version, which has the keep flag.
+	leaseOptional bool
+	left          bool // has left the fleet, and admits nothing any more
 
 	lastNonce   uint64 // of the newest request
-	requestedAt int64  // when that was sent
+	requestedAt int64  // when it was sent
 	requestAt   int64  // when the next one is due
 	leader      string
-	unanswered  int // requests to that leader in a row
+	unanswered  int // consecutive unanswered requests to that leader
 
 	validating    uint64 // the attempt that the host is validating or staging; 0: none
-	ready         uint64 // the attempt that was found valid last
-	refused       uint64 // the attempt that was found invalid last
+	ready         uint64 // the last attempt that was found valid
+	refused       uint64 // the last attempt that was found invalid
 	refusalReason string
 	pausedFor     uint64 // the attempt for which queries are paused; 0: none
 	pauseEnd      int64
-	heardLeader   bool // a leader's status was handled since the start
+	heardLeader   bool // a leader's status was handled since this process started
 	needsCurrent  bool // the document in force is missing
 	needsProposed bool // the open proposal's document is missing
 
-	standing   *wire.Standing // of the region, as its leader reported it last
-	standingAt int64          // when; 0: never
+	standing   *wire.Standing // last status of the region that its leader reported
+	standingAt int64          // when it was received; 0: never
 }
 
-// maxUnanswered is after how many unanswered requests a holder turns to another voter.
+// maxUnanswered is the number of consecutive unanswered requests after which a holder sends to
+// another voter.
 const maxUnanswered = 2
 
-// Admit decides whether a query may be admitted now, and under which version. It allocates nothing. Where the query is not admitted, retry is the
-// microseconds after which another attempt may succeed.
+// Admit decides whether a query may be admitted now, and under which version. If it may not, retry
+// is the time in microseconds after which another attempt may succeed. Admit does not allocate.
 func (h *Holder) Admit(now int64) (decision Admission, number uint64, retry int64) {
 	switch {
 	case h.left:
@@ -59,67 +62,74 @@
 		return Paused, 0, h.pauseEnd - now
 	case h.pausedFor != 0 && !h.cfg.Bugs.HolderTimeout:
 		return InDoubt, 0, h.cfg.Lease / 2
-	case now >= h.leaseUntil && !h.keepsVersion && !(h.cfg.Bugs.ServeBeforeContact && !h.heardLeader):
+	case now >= h.leaseUntil && !h.leaseOptional && !(h.cfg.Bugs.ServeBeforeContact && !h.heardLeader):
 		return NoLease, 0, h.cfg.Lease / 2
 	}
 	return Admitted, h.current.GetNumber(), 0
 }
 
-// Number is the version in force here; 0: none.
+// Number returns the number of the version in force here, or 0 if there is none.
 func (h *Holder) Number() uint64 { return h.current.GetNumber() }
 
-// AdmitsUntil is until when queries may be admitted without a further answer of a leader: the end of the lease, or math.MaxInt64 under a version with
-// the keep flag. It is in the past where there is no lease.
+// AdmitsUntil returns the time until which queries may be admitted without a further answer of a
+// leader: the end of the lease, or math.MaxInt64 if this gatherer admits without a lease. Without a
+// lease it is in the past.
 func (h *Holder) AdmitsUntil() int64 {
 	switch {
 	case h.left:
 		return 0
-	case h.keepsVersion:
+	case h.leaseOptional:
 		return math.MaxInt64
 	}
 	return h.leaseUntil
 }
 
-// LeaseUntil is the end of the lease itself, also under a version with the keep flag; 0: there is none.
+// LeaseUntil returns the end of the lease, also under a version with the keep flag, or 0 if there
+// is none.
 func (h *Holder) LeaseUntil() int64 { return h.leaseUntil }
 
-// Quota holds this gatherer's quotas of the budgets; nil: they are not divided here.
+// Quota returns this gatherer's quotas of the budgets, or nil if budgets are not divided.
 func (h *Holder) Quota() *quota.Holder { return h.quota }
 
-// AdmitsWithoutLease reports that this gatherer goes on under the version in force also without a lease.
-func (h *Holder) AdmitsWithoutLease() bool { return h.keepsVersion && !h.left }
+// AdmitsWithoutLease reports whether this gatherer admits queries under the version in force even
+// without a lease.
+func (h *Holder) AdmitsWithoutLease() bool { return h.leaseOptional && !h.left }
 
-// Members is the roster as known here. It must not be changed.
+// Members returns the roster as known here. The caller must not modify it.
 func (h *Holder) Members() []*wire.Member { return h.members }
 
 // IsPaused reports whether queries are paused, or rejected in doubt.
 func (h *Holder) IsPaused() bool { return h.pausedFor != 0 }
 
-// PauseEnd is when paused queries are rejected in doubt; it counts while IsPaused.
+// PauseEnd returns the time from which paused queries are rejected as InDoubt. It is valid while
+// IsPaused.
 func (h *Holder) PauseEnd() int64 { return h.pauseEnd }
 
-// Leader is the voter that gets the requests, as far as known; it may not lead any more.
+// Leader returns the voter that this holder sends requests to, or "" if none is known. It may not
+// lead any more.
 func (h *Holder) Leader() string { return h.leader }
 
-// Validations returns the attempts that were found valid and invalid last, and the reason of the latter.
+// Validations returns the last attempt that was found valid, the last one that was found invalid,
+// and the reason for the latter.
 func (h *Holder) Validations() (ready, refused uint64, reason string) {
 	return h.ready, h.refused, h.refusalReason
 }
 
-// nextRequest is when a request is due.
+// nextRequest returns when the next request is due.
 func (h *Holder) nextRequest() int64 { return h.requestAt }
 
 // requestNow makes a request due at once.
 func (h *Holder) requestNow(now int64) { h.requestAt = now }
 
-// newLeaveRequest makes this gatherer admit nothing from now on, and returns the report of that.
+// newLeaveRequest makes this gatherer admit nothing from now on, and returns the request that
+// reports it.
 func (h *Holder) newLeaveRequest() *wire.Ask {
 	h.left, h.leaseUntil = true, 0
 	h.lastNonce = h.rng.Uint64() | 1
 	return &wire.Ask{Nonce: h.lastNonce, Number: h.current.GetNumber(), Leaves: true}
 }
 
-// newRequest returns a request for a lease, and draws when the next one is due.
+// newRequest returns a lease request and its target, and schedules the next one.
 func (h *Holder) newRequest(now int64) (to string, request *wire.Ask) {
 	if h.leader == "" || h.unanswered >= maxUnanswered {
 		h.leader = h.voters[h.rng.IntN(len(h.voters))]
@@ -139,7 +149,8 @@
 	}
 }
 
-// scheduleRequest draws when the next request is due. Without a lease, under a pause or in need of quota that is sooner.
+// scheduleRequest sets when the next request is due, with jitter: sooner without a lease, during a
+// pause, or if more quota is needed.
 func (h *Holder) scheduleRequest(now int64) {
 	h.requestAt = now + withJitter(h.rng, h.cfg.Lease/8, h.cfg.Lease/16)
 	if now < h.leaseUntil && h.unanswered < maxUnanswered && h.pausedFor == 0 {
@@ -153,7 +164,7 @@
 	}
 }
 
-// updateRoster adopts a roster that is newer than the one known.
+// updateRoster replaces the roster if the given one is newer and has voters.
 func (h *Holder) updateRoster(members []*wire.Member, index uint64) {
 	if index <= h.membersIndex || len(voterNames(members)) == 0 {
 		return
@@ -161,7 +172,7 @@
 	h.members, h.membersIndex, h.voters, h.rosterChanged = members, index, voterNames(members), true
 }
 
-// applyRegionPart makes this gatherer go by its region's part of the budgets under the version in force.
+// applyRegionPart sets the region's part of the budgets to that of the version in force.
 func (h *Holder) applyRegionPart() {
 	if h.quota != nil && h.cfg.Region != "" {
 		h.quota.SetRegion(partOf(h.cfg.partsOf(h.current), h.cfg.Region))
--- a/internal/cluster/rollout/holder_status.go
+++ b/internal/cluster/rollout/holder_status.go
@@ -2,7 +2,8 @@
 
 import "saffronquay/internal/cluster/rollout/wire"
 
-// handleStatus handles a voter's status. It returns what the host has to do: validate and stage a proposal, put a document in force.
+// handleStatus handles a voter's status. It returns a proposal for the host to validate and stage,
+// and a document for the host to put in force; either may be nil.
 func (h *Holder) handleStatus(now int64, from string, w *wire.Word) (validate *wire.Proposal, install *wire.Document) {
 	h.updateRoster(w.Members, w.MembersIndex)
 	if h.left {
@@ -13,7 +14,7 @@
 		return nil, nil
 	}
 	if w.Index < h.statusIndex {
-		return nil, nil // a newer one was handled before
+		return nil, nil // stale: a newer status was handled before
 	}
 	h.statusIndex, h.heardLeader = w.Index, true
 	if w.Standing != nil {
@@ -27,16 +28,16 @@
 			return nil, nil
 		}
 	}
-	h.forgetDecided(w)
+	h.clearDecided(w)
 	if w.Open != 0 {
-		validate = h.takeProposal(now, w)
+		validate = h.proposalToValidate(now, w)
 		h.updatePause(now, w)
 	}
-	h.takeLease(now, w)
+	h.acceptLease(now, w)
 	return validate, install
 }
 
-// handleRedirect turns to the leader that a voter without leadership names.
+// handleRedirect switches to the leader that a non-leading voter names.
 func (h *Holder) handleRedirect(now int64, from string, w *wire.Word) {
 	if w.Nonce != h.lastNonce || h.leader != from {
 		return
@@ -48,18 +49,20 @@
 	}
 }
 
-// adoptVersion adopts a newer version; nil: its document is missing. The version here is over in any case, and with it the lease, unless this holder
-// paused for the new one: otherwise only a new lease shows that no later version followed.
+// adoptVersion adopts a newer version and returns its document, or nil if the status does not carry
+// a valid one. In either case the previous version is no longer in force, and the lease ends with
+// it, unless this holder paused for exactly this version: otherwise only a new lease proves that no
+// later version followed.
 func (h *Holder) adoptVersion(now int64, w *wire.Word) *wire.Document {
 	if w.Current == nil || !hashMatches(w.Current) || w.Current.Number != w.Number {
 		if !h.needsCurrent {
 			h.needsCurrent = true
 			h.requestNow(now)
 		}
-		h.leaseUntil, h.keepsVersion = 0, false
+		h.leaseUntil, h.leaseOptional = 0, false
 		return nil
 	}
-	h.current, h.needsCurrent, h.keepsVersion = w.Current, false, false
+	h.current, h.needsCurrent, h.leaseOptional = w.Current, false, false
 	h.applyRegionPart()
 	if h.pausedFor == 0 || w.Decided != h.pausedFor || !w.Committed {
 		h.leaseUntil = 0
@@ -68,8 +71,8 @@
 	return w.Current
 }
 
-// forgetDecided ends pause and validation of what has been decided.
-func (h *Holder) forgetDecided(w *wire.Word) {
+// clearDecided ends the pause and the validation of attempts that are decided.
+func (h *Holder) clearDecided(w *wire.Word) {
 	if h.pausedFor != 0 && w.Decided >= h.pausedFor {
 		h.pausedFor = 0
 	}
@@ -78,8 +81,9 @@
 	}
 }
 
-// takeProposal returns the open proposal where it has to be validated; nil: it has been, or its document is missing.
-func (h *Holder) takeProposal(now int64, w *wire.Word) *wire.Proposal {
+// proposalToValidate returns the open proposal if it has to be validated, or nil if its validation
+// was started before or its document is missing.
+func (h *Holder) proposalToValidate(now int64, w *wire.Word) *wire.Proposal {
 	if h.ready == w.Open || h.refused == w.Open || h.validating == w.Open {
 		return nil
 	}
@@ -97,7 +101,8 @@
 	return &wire.Proposal{Attempt: w.Open, Document: w.Proposed}
 }
 
-// updatePause begins to pause queries where the leader wants that for the open proposal, and reports it.
+// updatePause pauses queries if the leader requests it for the open proposal, and reports the pause
+// to the leader at once.
 func (h *Holder) updatePause(now int64, w *wire.Word) {
 	if !w.Hold {
 		return
@@ -106,16 +111,17 @@
 		h.pausedFor, h.pauseEnd = w.Open, now+h.cfg.MaxPause
 		h.requestNow(now)
 	} else if w.Nonce == 0 {
-		h.requestNow(now) // the leader has not received the report
+		h.requestNow(now) // a reminder: the leader has not received the report
 	}
 }
 
-// takeLease takes a lease that answers the newest request. It counts from when that was sent.
-func (h *Holder) takeLease(now int64, w *wire.Word) {
+// acceptLease accepts a lease that answers the newest request. The lease starts when that request
+// was sent.
+func (h *Holder) acceptLease(now int64, w *wire.Word) {
 	if w.Nonce != h.lastNonce || w.Lease <= 0 || w.Number != h.current.GetNumber() {
 		return
 	}
-	h.leaseUntil, h.keepsVersion = max(h.leaseUntil, h.requestedAt+w.Lease), h.current.GetKeep()
+	h.leaseUntil, h.leaseOptional = max(h.leaseUntil, h.requestedAt+w.Lease), h.current.GetKeep()
 	if h.quota != nil {
 		h.quota.HandleGrant(h.requestedAt, w.Lease, w.Share)
 	}
@@ -124,7 +130,8 @@
 	}
 }
 
-// handleValidation takes the host's result for a proposal: staged on its disk, or why not.
+// handleValidation records the host's result for a proposal: staged on disk, or the fault that made
+// it invalid.
 func (h *Holder) handleValidation(now int64, attempt uint64, fault string) {
 	if h.validating != attempt {
 		return
--- a/internal/cluster/rollout/leader.go
+++ b/internal/cluster/rollout/leader.go
@@ -9,7 +9,7 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// updateLeadership follows raft's role. nil: it is unchanged.
+// updateLeadership follows a change of raft's role; nil means no change.
 func (v *voter) updateLeadership(now int64, s *raft.SoftState) {
 	if s == nil {
 		return
@@ -24,11 +24,11 @@
 	}
 }
 
-// startLeading begins a term as leader. What earlier leaders granted is not known.
+// startLeading begins a term as leader. The leases that earlier leaders granted are not known.
 func (v *voter) startLeading(now int64, term uint64) {
 	last, _ := v.storage.LastIndex() // memory storage has no errors here
 	v.isLeader, v.term, v.leaderSince, v.leaderHeardAt = true, term, now, now
-	v.termFirstIndex = last // its own first entry came with its election
+	v.termFirstIndex = last // raft appends the term's first entry on election
 	v.grantees, v.readBatches, v.unconfirmed = map[string]*grantee{}, map[uint64][]leaseRequest{}, nil
 	v.phase, v.attempt = idle, 0
 	v.changeIndex, v.followIndex, v.syncedGlobalRoster = 0, 0, 0
@@ -42,15 +42,17 @@
 	}
 }
 
-// leaseEndAtLatest is when a lease that was requested by now is over by this clock, however wrong the holder's is.
+// leaseEndAtLatest returns the time of this clock by which a lease that was requested no later than
+// now has expired at its holder, for any clock drift within Config.Drift.
 func (v *voter) leaseEndAtLatest(now int64) int64 { return v.endAtLatest(now, v.cfg.Lease) }
 
-// endAtLatest is when a lease of a length that was requested by now is over by this clock, however wrong the holder's is.
+// endAtLatest is leaseEndAtLatest for a lease of the given length.
 func (v *voter) endAtLatest(now, lease int64) int64 {
 	return now + lease + int64(math.Ceil(2*v.cfg.Drift*float64(lease)))
 }
 
-// grantee returns the record of a holder. A new one assumes that an earlier leader granted a lease until the beginning of this term.
+// grantee returns the record of a lease holder, and creates it if needed. A new record assumes that
+// an earlier leader granted a lease as late as the start of this term.
 func (v *voter) grantee(name string) *grantee {
 	g := v.grantees[name]
 	if g == nil {
@@ -63,7 +65,8 @@
 	return g
 }
 
-// leaseRoster is who may have a lease: everyone, those of the region or, in the global agreement, the regions.
+// leaseRoster returns those that may have a lease: all members of the roster, the members of the
+// region or, in the global agreement, the regions.
 func (v *voter) leaseRoster() []*wire.Member {
 	if !v.cfg.isGlobal && v.cfg.Region == "" {
 		return v.state.Members
@@ -83,10 +86,11 @@
 	return v.rosterCache
 }
 
-// leaseMember returns one that may have a lease; nil: it may not.
+// leaseMember returns the named entry of the lease roster, or nil.
 func (v *voter) leaseMember(name string) *wire.Member { return findMember(v.leaseRoster(), name) }
 
-// propose puts an entry into the log. After an error it is not there; without one it may still be lost.
+// propose proposes an entry to the log. After an error the entry was not appended; without an error
+// it may still be lost.
 func (v *voter) propose(e *wire.Entry) error {
 	b, err := proto.Marshal(e)
 	if err != nil {
@@ -95,7 +99,8 @@
 	return v.raftNode.Propose(b)
 }
 
-// status returns the state of the agreement, for the sender of a request, or without a request for everyone.
+// status returns the state of the agreement in answer to a request, or for an unsolicited message
+// if request is nil.
 func (v *voter) status(now int64, request *wire.Ask) *wire.Word {
 	w := &wire.Word{
 		Leader: v.name, Index: v.applied, Number: v.state.number(), Decided: v.state.Decided, Committed: v.state.Committed, Open: v.state.openAttempt(),
@@ -123,7 +128,8 @@
 	return w
 }
 
-// broadcast sends everyone a status that no request asked for: who has something to do sends a request at once.
+// broadcast sends an unsolicited status to the lease roster. A receiver that has to act on it sends
+// a request at once.
 func (v *voter) broadcast(now int64, withDocuments bool) {
 	for _, m := range v.leaseRoster() {
 		w := v.status(now, nil)
@@ -139,7 +145,8 @@
 	}
 }
 
-// remind sends those a status that have not done yet what the open proposal wants of them, since messages get lost.
+// remind sends a status to those that have not validated the open proposal or paused for it yet,
+// since messages may be lost.
 func (v *voter) remind(now int64) {
 	for _, m := range v.leaseRoster() {
 		g := v.grantees[m.Name]
@@ -156,7 +163,8 @@
 	}
 }
 
-// sendTo sends a status that no request asked for. To a region it goes by the voter that sent its last request.
+// sendTo sends an unsolicited status. A region's status goes to the voter that sent the region's
+// last request.
 func (v *voter) sendTo(to string, w *wire.Word) {
 	if v.cfg.isGlobal {
 		if to = v.grantee(to).lastSender; to == "" {
--- a/internal/cluster/rollout/lease.go
+++ b/internal/cluster/rollout/lease.go
@@ -6,7 +6,8 @@
 	"slices"
 )
 
-// handleLeaseRequest handles a holder's request, where this voter leads. It is answered once leadership is confirmed after it.
+// handleLeaseRequest handles a holder's request at the leader. The request is answered after a
+// leadership check that started after its arrival.
 func (v *voter) handleLeaseRequest(now int64, from string, identity uint64, request *wire.Ask) {
 	var g *grantee
 	if !v.cfg.isGlobal {
@@ -19,7 +20,7 @@
 	}
 	g.number = max(g.number, request.Number)
 	g.identity = identity
-	if g.left = request.Leaves; g.left { // it has reported it itself: no earlier lease is used any more
+	if g.left = request.Leaves; g.left { // the holder itself reports that it no longer uses any lease
 		g.leaseUntil = min(g.leaseUntil, now)
 		v.advance(now)
 		return
@@ -32,7 +33,7 @@
 	v.advance(now)
 }
 
-// awaitConfirmation queues a request until leadership is confirmed.
+// awaitConfirmation queues a request until a majority has confirmed this voter's leadership.
 func (v *voter) awaitConfirmation(r leaseRequest) {
 	v.unconfirmed = append(v.unconfirmed, r)
 	if len(v.readBatches) < maxEagerBatches {
@@ -40,13 +41,14 @@
 	}
 }
 
-// handleConfirmed answers the requests that came before a leadership check which a majority has confirmed.
+// handleConfirmed answers the requests that arrived before a leadership check that a majority has
+// confirmed, in order of arrival.
 func (v *voter) handleConfirmed(now int64, check uint64) {
 	if !v.isLeader {
 		return
 	}
 	v.leaderHeardAt = now
-	for _, c := range slices.Sorted(maps.Keys(v.readBatches)) { // in the order in which the requests came
+	for _, c := range slices.Sorted(maps.Keys(v.readBatches)) { // in order of arrival
 		if c > check {
 			return
 		}
@@ -62,7 +64,7 @@
 	}
 }
 
-// answerLeaseRequest answers a request with a lease, or with the reason why it gets none.
+// answerLeaseRequest answers a request with a lease, or with the reason for its refusal.
 func (v *voter) answerLeaseRequest(now int64, r leaseRequest) {
 	status := v.status(now, r.request)
 	if v.cfg.isGlobal {
@@ -74,7 +76,7 @@
 		return
 	}
 	g := v.grantee(r.sender)
-	if g.left { // it left after this request, and uses no lease any more; a new process of its name sends a request of its own
+	if g.left { // the sender left after this request; a new process of its name sends a request of its own
 		return
 	}
 	if status.Refusal = v.refusal(now, g, r); status.Refusal == "" {
@@ -84,28 +86,30 @@
 	v.outbox = append(v.outbox, &wire.Message{From: v.name, To: r.sender, Word: status})
 }
 
-// refusal is why a gatherer gets no lease now; empty: it gets one.
+// refusal returns why a gatherer gets no lease now, or "" if it gets one.
 func (v *voter) refusal(now int64, g *grantee, r leaseRequest) string {
 	switch {
 	case v.leaseMember(r.sender) == nil:
-		return "it is not on the roster"
+		return "the gatherer is not on the roster"
 	case r.request.Number != v.state.number():
-		return "it has another version" // the status has its document
+		return "the gatherer has another version in force" // the status carries the current document
 	case v.phase == validating && now-v.phaseSince > v.cfg.ValidationTimeout && g.ready != v.attempt && g.refused != v.attempt:
-		return "it has not judged the open proposal"
+		return "the gatherer has not validated the open proposal in time"
 	case v.isPausing() && g.ready != v.attempt:
 		return "a change is being put in force"
 	}
 	return ""
 }
 
-// grantLease gives a lease. It counts from when the request came, which is no earlier than when the holder sent it.
+// grantLease adds a lease to the status and records its latest end. That end is computed from the
+// arrival of the request, which is no earlier than its sending, where the holder's lease starts.
 func (v *voter) grantLease(g *grantee, r leaseRequest, status *wire.Word) {
 	status.Lease = v.cfg.Lease
 	g.leaseUntil = max(g.leaseUntil, v.leaseEndAtLatest(r.receivedAt))
 }
 
-// grantQuota returns the quotas of budgets that go with a lease; nil: budgets are not divided.
+// grantQuota returns the quotas of budgets that accompany a lease, or nil if budgets are not
+// divided.
 func (v *voter) grantQuota(now int64, r leaseRequest) []byte {
 	if v.quotaAllocator == nil {
 		return nil
--- a/internal/cluster/rollout/lease_test.go
+++ b/internal/cluster/rollout/lease_test.go
@@ -7,12 +7,13 @@
 	"testing"
 )
 
-// threeVoters is a fleet of three voters whose messages the test delivers. A fourth gatherer, without a vote, has no process.
+// threeVoters is a fleet of three voters whose messages are delivered by the test. A fourth member
+// d is no voter and has no node.
 type threeVoters struct {
 	t           *testing.T
 	now         int64
 	nodes       map[string]*Node
-	undelivered []*wire.Message // not delivered yet
+	undelivered []*wire.Message
 }
 
 func newThreeVoters(t *testing.T) *threeVoters {
@@ -34,7 +35,8 @@
 	return x
 }
 
-// collect does what a node wants done: everything is on disk immediately, and its messages wait for deliver.
+// collect executes a node's output: saves complete immediately, and messages are queued for
+// deliver.
 func (x *threeVoters) collect(n *Node) {
 	for o := n.TakeOutput(); o.Save != nil || len(o.Messages) > 0; o = n.TakeOutput() {
 		x.undelivered = append(x.undelivered, o.Messages...)
@@ -46,7 +48,8 @@
 	}
 }
 
-// deliver delivers all messages, and those that they cause. It returns the ones to gatherers without a process.
+// deliver delivers all queued messages and those sent in response. It returns the messages to
+// members without a node.
 func (x *threeVoters) deliver() (others []*wire.Message) {
 	for len(x.undelivered) > 0 {
 		m := x.undelivered[0]
@@ -61,7 +64,7 @@
 	return others
 }
 
-// awaitLeader runs the three until one of them leads and grants leases.
+// awaitLeader runs the voters until one of them leads and has granted a lease.
 func (x *threeVoters) awaitLeader() *Node {
 	for range 1000 {
 		x.now += 10_000
@@ -83,9 +86,10 @@
 	return nil
 }
 
-// A gatherer that leaves in order is not awaited, also where an earlier request of its is still unanswered. Without that, answering the request would
-// take the leave back, and the next change would wait for a lease that is not in use.
-func TestLeaveOvertakesRequest(t *testing.T) {
+// A gatherer that has reported its leave gets no lease for an earlier request that is answered
+// afterwards. Otherwise the answer would revoke the leave, and the next change would wait for a
+// lease that is not in use.
+func TestLease_LeaveBeforePendingRequest(t *testing.T) {
 	x := newThreeVoters(t)
 	leader := x.awaitLeader()
 	grantOfD := func() Grant {
@@ -101,29 +105,29 @@
 		leader.Receive(x.now, &wire.Message{From: "d", To: leader.name, Identity: 9, Ask: a})
 		x.collect(leader)
 	}
-	send(&wire.Ask{Nonce: 1}) // no voter has confirmed yet that this one leads
+	send(&wire.Ask{Nonce: 1}) // stays unanswered: leadership is not confirmed yet
 	send(&wire.Ask{Nonce: 2, Leaves: true})
 	for _, m := range x.deliver() {
 		if m.Word.GetLease() > 0 {
-			t.Errorf("a lease for a gatherer that has left: %v", m)
+			t.Errorf("gatherer got a lease after leaving: %v", m)
 		}
 	}
 	if g := grantOfD(); !g.Left || g.LeaseUntil > x.now {
-		t.Errorf("it has left, and counts as %+v at %d", g, x.now)
+		t.Errorf("after leaving: grant %+v at %d, want left without a lease", g, x.now)
 	}
-	// A new process of its name sends a request of its own.
+	// A new process of the same name requests a lease.
 	send(&wire.Ask{Nonce: 3})
 	given := false
 	for _, m := range x.deliver() {
 		given = given || m.Word.GetNonce() == 3 && m.Word.Lease > 0
 	}
 	if g := grantOfD(); !given || g.Left || g.LeaseUntil <= x.now {
-		t.Errorf("back again: a lease is given: %t; %+v at %d", given, g, x.now)
+		t.Errorf("after returning: lease granted: %t; grant %+v at %d", given, g, x.now)
 	}
 }
 
-// Where one confirmation serves several batches, their requests are answered in the order in which they came.
-func TestBatchesAreAnsweredInOrder(t *testing.T) {
+// Requests of several batches that one leadership check confirms are answered in order of arrival.
+func TestLease_ConfirmedBatchesAnsweredInOrder(t *testing.T) {
 	x := newThreeVoters(t)
 	leader := x.awaitLeader()
 	const batches = 16
@@ -139,6 +143,6 @@
 		}
 	}
 	if len(nonces) != batches || !slices.IsSorted(nonces) {
-		t.Errorf("answered in the order %v", nonces)
+		t.Errorf("answered nonces %v, want all of them in ascending order", nonces)
 	}
 }
--- a/internal/cluster/rollout/node.go
+++ b/internal/cluster/rollout/node.go
@@ -8,12 +8,13 @@
 	"saffronquay/internal/cluster/rollout/wire"
 )
 
-// Node is one gatherer's part: a holder of a lease and, where it has a vote, a voter. It must not be used by several goroutines at once. After each
-// call that takes a time, TakeOutput returns what is to be done.
+// Node is one gatherer's part in the agreement: a lease holder and, if it has a vote, a voter. It
+// is not safe for concurrent use. After each call that takes the current time, and after Leave, the
+// host has to execute what TakeOutput returns.
 type Node struct {
 	*Holder
-	local    *group // in its region's agreement, or the fleet's
-	global   *group // nil: there are no regions
+	local    *group // of the region's agreement, or the fleet's
+	global   *group // of the global agreement; nil: there are no regions
 	follower *follower
 	output   Output
 }
@@ -21,11 +22,11 @@
 // never is a time that is not reached.
 const never = math.MaxInt64
 
-// maxCollectRounds bounds how often collect delivers messages of a node to itself.
+// maxCollectRounds limits how often collect delivers messages of a node to itself in one call.
 const maxCollectRounds = 100
 
-// New makes a node from what outlasted its process. The node admits nothing before a leader has answered it. It fails where the configuration
-// does not fit together, or the stored state can't be read.
+// New creates a node from its stored state. The node admits nothing before a leader has answered
+// it. New fails if the configuration is inconsistent or the stored state can't be read.
 func New(cfg Config, now int64, rng *rand.Rand, stored PersistentState) (*Node, error) {
 	cfg = cfg.withDefaults()
 	local, global, err := cfg.agreements()
@@ -34,7 +35,7 @@
 	}
 	voters := local.voterCount()
 	if voters < 1 && !global.isInitialVoter(cfg.Name) || voters > maxVoters || cfg.Name == "" || stored.Identity == 0 {
-		return nil, fmt.Errorf("rollout: want a name, an identity and one to seven voters, not %d", voters)
+		return nil, fmt.Errorf("rollout: a node requires a name, a disk identity and 1 to 7 voters; %d voters configured", voters)
 	}
 	h := newHolder(local, now, rng, stored)
 	n := &Node{Holder: h, local: &group{cfg: local, identity: stored.Identity, rng: rng, quotaHolder: h.quota}}
@@ -54,14 +55,14 @@
 	return n, nil
 }
 
-// newHolder makes a node's holder from what outlasted its process.
+// newHolder creates a node's holder from its stored state.
 func newHolder(cfg Config, now int64, rng *rand.Rand, stored PersistentState) *Holder {
 	h := &Holder{
 		cfg: cfg, name: cfg.Name, identity: stored.Identity, rng: rng, current: stored.Current, requestAt: now,
 		members: initialMembers(cfg.Members, stored.VoterIdentities),
 	}
 	h.voters = voterNames(h.members)
-	if len(h.voters) == 0 { // a witness: its region has no voter that could give it a lease
+	if len(h.voters) == 0 { // a witness: its region has no voter that could grant it a lease
 		h.requestAt = never
 	}
 	if cfg.DivideBudgets {
@@ -72,15 +73,16 @@
 	return h
 }
 
-// SetAbsent names the gatherers that the membership view has as failed. It only shortens waits that would decide nothing, and proves nothing.
+// SetAbsent sets the gatherers that the membership view considers failed. They are only used to
+// abort a change earlier, never as proof that a gatherer is gone.
 func (n *Node) SetAbsent(names map[string]bool) {
 	if n.local.voter != nil {
 		n.local.voter.absent = names
 	}
 }
 
-// Leave makes this gatherer admit nothing any more, and notifies the voters, so that none of them waits for its lease to end. Only TakeOutput may
-// be called afterwards.
+// Leave makes this gatherer admit nothing any more, and notifies the voters, so that a change does
+// not wait for its lease to expire. Only TakeOutput may be called afterwards.
 func (n *Node) Leave() {
 	request := n.Holder.newLeaveRequest()
 	for _, name := range n.Holder.voters {
@@ -90,7 +92,7 @@
 	}
 }
 
-// NextTick is the time at which Tick is due.
+// NextTick returns the time at which Tick is due.
 func (n *Node) NextTick() int64 {
 	at := min(n.Holder.nextRequest(), n.local.nextTick())
 	if n.global != nil {
@@ -102,7 +104,8 @@
 	return at
 }
 
-// Tick does what is due.
+// Tick performs what is due: lease requests, heartbeats, campaigns and the steps of an open
+// proposal.
 func (n *Node) Tick(now int64) {
 	if now >= n.Holder.nextRequest() {
 		n.requestLease(now)
@@ -135,7 +138,8 @@
 	n.output.Messages = append(n.output.Messages, m)
 }
 
-// Receive handles a message of another gatherer. What does not fit is dropped.
+// Receive handles a message of another gatherer. Messages that are invalid or not for this node's
+// role are dropped.
 func (n *Node) Receive(now int64, m *wire.Message) {
 	n.dispatch(now, m)
 	n.collect(now)
@@ -145,7 +149,7 @@
 	switch {
 	case m.Global:
 		n.dispatchGlobal(now, m)
-	case m.Propose == nil && n.isOtherRegion(m.From): // regions exchange proposals and the messages of the global agreement, nothing else
+	case m.Propose == nil && n.isOtherRegion(m.From): // regions exchange only proposals and messages of the global agreement
 	case m.Word != nil:
 		n.handleStatus(now, m)
 	case m.Hello != nil:
@@ -156,7 +160,7 @@
 		n.local.handleRaft(now, m)
 	case m.Ask != nil && !n.local.isActiveLeader():
 		redirect := n.local.redirect(m.Ask)
-		if n.membersIndex > m.Ask.MembersIndex { // the leader may be a voter that the sender does not know yet
+		if n.membersIndex > m.Ask.MembersIndex { // the sender may not know the leader yet
 			redirect.Members, redirect.MembersIndex = n.members, n.membersIndex
 		}
 		n.send(now, &wire.Message{From: n.name, To: m.From, Word: redirect})
@@ -167,7 +171,7 @@
 	}
 }
 
-// handleStatus hands a leader's status to the holder, and queues what the host has to do.
+// handleStatus passes a status to the holder, and queues the resulting work for the host.
 func (n *Node) handleStatus(now int64, m *wire.Message) {
 	validate, install := n.Holder.handleStatus(now, m.From, m.Word)
 	if install != nil {
@@ -178,7 +182,8 @@
 	}
 }
 
-// collect gathers what holder and voters want done. Messages to this node itself are dispatched at once.
+// collect adds the pending work of the holder and the voters to the output. Messages to this node
+// itself are dispatched at once.
 func (n *Node) collect(now int64) {
 	if n.Holder.rosterChanged {
 		n.Holder.rosterChanged = false
@@ -205,7 +210,7 @@
 	}
 }
 
-// takeVoterMessages takes the messages that the voters of this node have queued.
+// takeVoterMessages returns and clears the messages that this node's voters have queued.
 func (n *Node) takeVoterMessages() (all []*wire.Message) {
 	if n.local.voter != nil {
 		all, n.local.voter.outbox = n.local.voter.outbox, nil
@@ -233,14 +238,16 @@
 	return nil
 }
 
-// Validated takes the result of a validation that Output.Validate asked for; fault is empty where the proposal is valid and staged on disk.
+// Validated reports the result of a validation that Output.Validate requested; fault is empty if
+// the proposal is valid and staged on disk.
 func (n *Node) Validated(now int64, attempt uint64, fault string) {
 	n.Holder.handleValidation(now, attempt, fault)
 	n.collect(now)
 }
 
-// Propose makes a proposal, or returns the state of the one with that nonce. The same nonce is one proposal, however often it is sent. The answer's
-// End is 0 while the proposal is open.
+// Propose submits a proposal, or returns the state of the proposal with the same nonce. It is
+// idempotent: a nonce denotes one proposal, however often it is sent. The answer's End is 0 while
+// the proposal is open.
 func (n *Node) Propose(now int64, p *wire.Propose) *wire.Answer {
 	if n.global != nil {
 		return n.proposeWithRegions(now, p)
@@ -253,7 +260,7 @@
 	return a
 }
 
-// TakeOutput returns what is to be done since the last call.
+// TakeOutput returns and clears the work that has accumulated since the last call.
 func (n *Node) TakeOutput() Output {
 	o := n.output
 	n.output = Output{}
--- a/internal/cluster/rollout/parts.go
+++ b/internal/cluster/rollout/parts.go
@@ -5,7 +5,8 @@
 	"saffronquay/internal/cluster/rollout/wire"
 )
 
-// partsByRoster is each region's part of the budgets by its gatherers' fraction of a roster, rounded down.
+// partsByRoster returns each region's part of the budgets: its fraction of the roster's gatherers,
+// rounded down.
 func partsByRoster(members []*wire.Member, regions []string) (parts []*wire.Part) {
 	count, all := map[string]uint64{}, uint64(0)
 	for _, m := range members {
@@ -20,7 +21,7 @@
 	return parts
 }
 
-// partOf is a region's part, in millionths; 0: it has none.
+// partOf returns a region's part in parts per million, or 0 if it has none.
 func partOf(parts []*wire.Part, region string) uint32 {
 	for _, p := range parts {
 		if p.Region == region {
@@ -30,8 +31,10 @@
 	return 0
 }
 
-// moveParts moves one step from a division of the budgets towards another: a region that is to have less gets that immediately, one that is to have more
-// gets its part of what is free already. So the greater of both parts of each region, taken over all regions, add up to at most the budget.
+// moveParts returns the next step from one division of the budgets to another. A region whose part
+// decreases gets its new part at once; a region whose part increases gets its proportion of what is
+// unassigned in from. The sum over all regions of the greater of the old and the new part is
+// therefore at most the budget.
 func moveParts(from, to []*wire.Part) (parts []*wire.Part) {
 	free, wanted := int64(quota.PPM), int64(0)
 	for _, p := range from {
--- a/internal/cluster/rollout/proposal.go
+++ b/internal/cluster/rollout/proposal.go
@@ -5,20 +5,21 @@
 	"saffronquay/internal/cluster/rollout/wire"
 )
 
-// What Answer.End says of a proposal.
+// Values of Answer.End.
 const (
 	endInForce = 1
 	endAborted = 2
-	endUnknown = 3 // this voter can't tell: it does not lead, or may not
+	endUnknown = 3 // this node does not lead, or can't be sure that it does
 )
 
-// reasonLeaderLost is why a new leader aborts a proposal that it finds open.
+// reasonLeaderLost is the reason with which a new leader aborts a proposal that it finds open.
 const reasonLeaderLost = "the leader was lost"
 
-// isPausing reports that queries are paused for the open proposal.
+// isPausing reports whether queries are paused for the open proposal.
 func (v *voter) isPausing() bool { return v.phase >= pausing }
 
-// advance takes the open proposal as far as it gets now, where this voter leads.
+// advance performs the leader's next steps of the open proposal and of a voter change. It does
+// nothing at other voters.
 func (v *voter) advance(now int64) {
 	if !v.isActiveLeader() {
 		return
@@ -46,7 +47,7 @@
 	}
 }
 
-// startAttempt begins with the proposal that is open now, where that has changed.
+// startAttempt resets the phase if another proposal, or none, is open now.
 func (v *voter) startAttempt(now int64) {
 	open := v.state.openAttempt()
 	if open == v.attempt {
@@ -58,13 +59,16 @@
 	case open == 0:
 		v.phase = idle
 	case v.state.Open.Prepared:
-		v.phase = prepared // others may count on it: only the global agreement's decision, or the end of the region's lease, releases it
-	case open < v.termFirstIndex: // of an earlier leader: what that one's holders know is not known
+		// The global agreement may rely on it: only its decision, or the end of the region's lease,
+		// ends this phase.
+		v.phase = prepared
+	case open < v.termFirstIndex: // proposed under an earlier leader, whose records of the holders are lost
 		v.proposeEnd(now, entryAbort, reasonLeaderLost)
 	}
 }
 
-// validate advances the phase of that name. A region reports to the global agreement at once when all have validated the proposal.
+// validate performs the validating phase. A region reports to the global agreement as soon as all
+// its gatherers have validated the proposal.
 func (v *voter) validate(now int64) {
 	before := v.validated
 	v.validated = false
@@ -78,13 +82,15 @@
 	}
 }
 
-// mustAwait reports that a gatherer may admit queries under the version in force, so a change has to wait for it: its lease may not be over,
-// or the version has the keep flag, under which only its own report counts.
+// mustAwait reports whether a change has to wait for a gatherer, because it may admit queries under
+// the version in force: its lease may not have expired, or the version has the keep flag, under
+// which only the gatherer's own report that it left releases the change.
 func (v *voter) mustAwait(now int64, g *grantee) bool {
-	return !g.left && (g.leaseUntil > now || v.state.Current.GetKeep() && !v.cfg.Bugs.ExpireKeepers)
+	return !g.left && (g.leaseUntil > now || v.state.Current.GetKeep() && !v.cfg.Bugs.IgnoreKeepFlag)
 }
 
-// validateAtHolders waits until everyone on the roster is ready or need not be awaited. One rejection ends the proposal.
+// validateAtHolders waits until every gatherer on the roster is ready or need not be awaited. One
+// rejection aborts the proposal.
 func (v *voter) validateAtHolders(now int64) {
 	for _, m := range v.leaseRoster() {
 		g := v.grantee(m.Name)
@@ -105,27 +111,28 @@
 	v.startPause(now)
 }
 
-// startPause makes all pause their queries, once all have validated the open proposal.
+// startPause begins the pausing phase, once all gatherers have validated the open proposal.
 func (v *voter) startPause(now int64) {
 	if !v.cfg.Bugs.SkipLeaseWait && v.leaseEndAtLatest(v.leaderSince) > now {
-		return // an earlier leader may have given leases to others than are on the roster now
+		return // an earlier leader may have granted leases to gatherers that are not on the roster now
 	}
 	if v.unlistedLease(now) != "" {
-		return // removal from the roster does not end a lease
+		return // a lease outlives removal from the roster
 	}
 	if v.state.Open.Dry {
-		v.proposeEnd(now, entryAbort, "dry: everybody who is there would take it")
+		v.proposeEnd(now, entryAbort, "dry: every reachable gatherer accepts it")
 		return
 	}
 	v.validated = true
 	if v.follower != nil && !v.mayPause(now) {
-		return // the other regions have to validate it as well
+		return // the other regions have to validate it too
 	}
 	v.phase, v.phaseSince = pausing, now
 	v.broadcast(now, false)
 }
 
-// unlistedLease names one that was removed from the roster, and whose lease may not be over; empty: none. Those whose lease is over are forgotten.
+// unlistedLease returns the name of a holder that was removed from the roster and whose lease may
+// not have expired, or "". It deletes the records of removed holders whose lease has expired.
 func (v *voter) unlistedLease(now int64) (name string) {
 	for n, g := range v.grantees {
 		switch {
@@ -139,13 +146,14 @@
 	return name
 }
 
-// awaitPause waits until everyone has paused or need not be awaited. It aborts while the pause lasts: a pause that runs out leaves holders in
-// doubt until the log has decided.
+// awaitPause waits until every gatherer has paused or need not be awaited, and then commits. It
+// aborts after three quarters of MaxPause, because holders whose pause runs out reject queries
+// until the log has decided.
 func (v *voter) awaitPause(now int64) {
 	awaited := v.unlistedLease(now)
 	for _, m := range v.leaseRoster() {
 		g := v.grantee(m.Name)
-		if g.refused == v.attempt { // the rejection came late; it still ends the proposal
+		if g.refused == v.attempt { // a late rejection still aborts the proposal
 			v.proposeEnd(now, entryAbort, m.Name+": "+g.refusalReason)
 			return
 		}
@@ -163,7 +171,8 @@
 	}
 }
 
-// proposeEnd puts the commit or abort of the open proposal into the log. Where the entry is lost the next leader decides.
+// proposeEnd proposes the commit or abort of the open proposal to the log. If the entry is lost,
+// the next leader decides.
 func (v *voter) proposeEnd(now int64, kind uint32, reason string) {
 	e := &wire.Entry{Kind: kind, Attempt: v.attempt, Reason: reason}
 	if v.cfg.isGlobal && kind == entryCommit {
@@ -173,16 +182,17 @@
 		v.completeRegionEnd(now, e)
 	}
 	if v.propose(e) != nil {
-		return // it is proposed again when the phase is advanced next
+		return // retried by the next advance
 	}
 	v.phase, v.phaseSince = closing, now
 	v.closingAborts, v.abortReason = kind == entryAbort, reason
 	if v.cfg.Bugs.AbortAfterCommit && kind == entryCommit && v.rng.IntN(4) == 0 {
-		_ = v.propose(&wire.Entry{Kind: entryAbort, Attempt: v.attempt}) // a seeded fault: it may be lost
+		_ = v.propose(&wire.Entry{Kind: entryAbort, Attempt: v.attempt}) // seeded fault; the entry may be lost
 	}
 }
 
-// handleProposal handles an operator's proposal, or returns the state of the one with that nonce.
+// handleProposal handles an operator's proposal, or returns the state of the proposal with the same
+// nonce.
 func (v *voter) handleProposal(now int64, p *wire.Propose) *wire.Answer {
 	a := &wire.Answer{Nonce: p.Nonce}
 	if d := v.state.decision(p.Nonce); d != nil && v.isActiveLeader() {
@@ -193,7 +203,7 @@
 	case !v.isActiveLeader():
 		a.End, a.Leader = endUnknown, v.leader()
 		return a
-	case now-v.leaderHeardAt > v.cfg.ElectionTimeout: // it may be partitioned, and another one lead
+	case now-v.leaderHeardAt > v.cfg.ElectionTimeout: // this leader may be partitioned, and another voter may lead
 		a.End = endUnknown
 		return a
 	case v.state.Open != nil && v.state.Open.Nonce == p.Nonce:
@@ -201,7 +211,7 @@
 	case p.Abort:
 		return v.abortByOperator(p, a)
 	case v.cfg.isGlobal && p.Keep:
-		a.End, a.Reason = endAborted, "a version that keeps is not for regions: they go on by themselves"
+		a.End, a.Reason = endAborted, "the keep flag is not supported with regions: an isolated region keeps its version without it"
 		return a
 	case p.VoterAdd != "" || p.VoterRemove != "":
 		return v.proposeVoterChange(now, p, a)
@@ -216,7 +226,7 @@
 	return a
 }
 
-// answerDecided fills in the answer to a proposal that is decided.
+// answerDecided fills in the answer to a decided proposal.
 func (v *voter) answerDecided(now int64, d *wire.Decision, a *wire.Answer) {
 	a.End, a.Reason, a.Number = endAborted, d.Reason, d.Number
 	if !d.Committed {
@@ -228,13 +238,14 @@
 	}
 }
 
-// abortByOperator aborts the open proposal, as long as no queries are paused for it: from then on the log decides soon.
+// abortByOperator aborts the open proposal if no queries are paused for it yet. Once they are, the
+// proposal is decided soon anyway.
 func (v *voter) abortByOperator(p *wire.Propose, a *wire.Answer) *wire.Answer {
 	if v.state.Open == nil || v.phase != validating || v.state.Open.Document.Number != p.Base {
-		a.End, a.Reason = endAborted, fmt.Sprintf("no proposal of version %d is being judged", p.Base)
+		a.End, a.Reason = endAborted, fmt.Sprintf("no proposal of version %d is being validated", p.Base)
 		return a
 	}
-	if v.propose(&wire.Entry{Kind: entryAbort, Attempt: v.attempt, Reason: "given up by " + p.By}) != nil {
+	if v.propose(&wire.Entry{Kind: entryAbort, Attempt: v.attempt, Reason: "aborted by " + p.By}) != nil {
 		a.End = endUnknown
 		return a
 	}
--- a/internal/cluster/rollout/region_leader.go
+++ b/internal/cluster/rollout/region_leader.go
@@ -2,15 +2,16 @@
 
 import "saffronquay/internal/cluster/rollout/wire"
 
-// Reasons and names that a region's log has for what follows the global agreement.
+// Proposer and reasons recorded in a region's log for proposals that follow the global agreement.
 const (
 	globalProposer          = "the global agreement"
 	reasonAbortedGlobally   = "it was given up"
 	reasonRegionIsolated    = "the region was cut off"
-	followRetryLeaseDivisor = 2 // a change that failed here is tried again after a lease divided by this
+	followRetryLeaseDivisor = 2 // a version that failed here is retried after a gatherer's lease divided by this
 )
 
-// requestGlobalLease requests the region's lease from the global agreement, once the region's voters have confirmed that this one leads them.
+// requestGlobalLease requests the region's lease from the global agreement, once the region's
+// voters have confirmed that this voter leads them.
 func (v *voter) requestGlobalLease(now int64) {
 	f := v.follower
 	f.requestAt = now + withJitter(f.rng, f.cfg.RegionLease/4, f.cfg.RegionLease/16)
@@ -20,8 +21,9 @@
 	v.awaitConfirmation(leaseRequest{receivedAt: now})
 }
 
-// sendGlobalRequest reports how the region stands, by its log: that it has paused is reported only once the log has that all have. A lease that answers
-// it counts from the given time.
+// sendGlobalRequest requests the region's lease and reports the region's state. That the region has
+// paused is reported only once its log records it. A lease granted in answer starts at the given
+// time.
 func (v *voter) sendGlobalRequest(now, from int64) {
 	f, s := v.follower, &v.state
 	request := &wire.Ask{
@@ -30,7 +32,7 @@
 	}
 	if p := s.Open; p != nil && !p.Decided {
 		switch {
-		case v.phase == closing && v.closingAborts: // from here on the region goes on without it
+		case v.phase == closing && v.closingAborts: // the region's log has an abort under way
 			request.Refused, request.Reason = p.Global, v.abortReason
 		case v.phase == validating && !v.validated:
 		default:
@@ -43,7 +45,7 @@
 	v.outbox = append(v.outbox, &wire.Message{From: v.name, To: f.prepareRequest(from, request), Ask: request, Global: true})
 }
 
-// regionStanding is how the region stands, for its gatherers.
+// regionStanding returns the status of the region that its gatherers get.
 func (v *voter) regionStanding(now int64) *wire.Standing {
 	f := v.follower
 	s := &wire.Standing{Newest: max(f.number, v.state.number())}
@@ -56,21 +58,24 @@
 	return s
 }
 
-// isDecidedGlobally reports that the version which the region's open proposal follows is in force elsewhere.
+// isDecidedGlobally reports whether the version that the region's open proposal follows is
+// committed by the global agreement.
 func (v *voter) isDecidedGlobally() bool {
 	p := v.state.Open
 	return p.GetDecided() || p != nil && v.follower.currentAttempt == p.Global
 }
 
-// mayPause reports that queries may be paused for the open proposal: it is decided, or the global agreement wants it and the region has a lease.
+// mayPause reports whether queries may be paused for the open proposal: it is decided globally, or
+// the global agreement requests the pause and the region has a lease.
 func (v *voter) mayPause(now int64) bool {
 	f := v.follower
 	return v.isDecidedGlobally() || f.openAttempt == v.state.Open.GetGlobal() && f.pause && now < f.leaseUntil
 }
 
-// followGlobal makes the region follow the global agreement, where this voter leads the region. A region that has lost its lease goes on by
-// itself, under the version that it has; its own log ends the pause for an undecided proposal. A version that is in force elsewhere and not here is
-// put in force by a change of the region's own.
+// followGlobal makes the region follow the global agreement; it is called at the region's leader. A
+// region that has lost its lease keeps its version, and its own log ends the pause for an undecided
+// proposal. A version that is in force globally and not here is put in force by a change of the
+// region's own.
 func (v *voter) followGlobal(now int64) {
 	v.updateRegionLease(now)
 	if v.state.Open != nil {
@@ -78,7 +83,7 @@
 		return
 	}
 	if v.followIndex > v.applied && now-v.followedAt < v.cfg.ElectionTimeout {
-		return // on its way through the log
+		return // the last entry is not applied yet
 	}
 	f, s := v.follower, &v.state
 	newer := f.number > s.number() && f.current.GetNumber() == f.number
@@ -91,7 +96,8 @@
 	}
 }
 
-// updateRegionLease notes since when the region has no lease, and ends the lease where a newer version is in force elsewhere.
+// updateRegionLease records since when the region has no lease, and ends the lease if a newer
+// version is in force globally that the region is not about to commit.
 func (v *voter) updateRegionLease(now int64) {
 	f, s := v.follower, &v.state
 	if now < f.leaseUntil {
@@ -104,7 +110,8 @@
 	}
 }
 
-// followOpen ends the open proposal where the global agreement has decided, or the region has lost its lease.
+// followOpen commits or aborts the open proposal once the global agreement has decided it, and
+// aborts it if the region has lost its lease.
 func (v *voter) followOpen(now int64) {
 	f, p := v.follower, v.state.Open
 	decided := v.isDecidedGlobally()
@@ -132,7 +139,8 @@
 	}
 }
 
-// proposeFollow puts an entry into the log, one at a time.
+// proposeFollow proposes an entry that follows the global agreement, and records its index: the
+// next one waits until it is applied.
 func (v *voter) proposeFollow(now int64, e *wire.Entry) {
 	if v.propose(e) == nil {
 		last, _ := v.storage.LastIndex() // memory storage has no errors here
@@ -140,8 +148,9 @@
 	}
 }
 
-// syncRoster proposes to the region's log where its roster differs from the global agreement's. A voter of the region stays on the roster until its vote
-// is taken. It reports whether anything was proposed.
+// syncRoster proposes the changes that bring the region's roster in line with the global
+// agreement's, and reports whether it proposed any. A voter of the region stays on the roster until
+// its vote is removed.
 func (v *voter) syncRoster(now int64) bool {
 	f, s := v.follower, &v.state
 	if f.membersIndex == 0 || f.membersIndex == v.syncedGlobalRoster && s.MembersIndex == v.syncedRoster {
@@ -166,8 +175,8 @@
 	return true
 }
 
-// proposePrepared records in the region's log that all have paused. If that were reported before, the next leader would not know that the region
-// is prepared.
+// proposePrepared records in the region's log that all gatherers have paused. If the region
+// reported that first, its next leader might not know that the region is prepared.
 func (v *voter) proposePrepared(now int64) {
 	if v.cfg.Bugs.PausedBeforeLogged {
 		v.phase, v.follower.requestAt = prepared, now
@@ -178,8 +187,9 @@
 	}
 }
 
-// completeRegionEnd completes the entry that ends what the region follows. An abort takes back what was reported for it: no lease counts that was requested
-// before.
+// completeRegionEnd completes the entry that ends a proposal followed by the region. An abort
+// withdraws what was reported for the proposal, so a lease that was requested before must not
+// count.
 func (v *voter) completeRegionEnd(now int64, e *wire.Entry) {
 	f, p := v.follower, v.state.Open
 	switch {
--- a/internal/cluster/rollout/regions.go
+++ b/internal/cluster/rollout/regions.go
@@ -2,7 +2,7 @@
 
 import "saffronquay/internal/cluster/rollout/wire"
 
-// isOtherRegion reports whether a gatherer is known to be of another region.
+// isOtherRegion reports whether a gatherer is known to be in another region.
 func (n *Node) isOtherRegion(name string) bool {
 	if n.global == nil {
 		return false
@@ -11,7 +11,7 @@
 	return m != nil && m.Region != n.cfg.Region
 }
 
-// tickGlobal does what is due for the global agreement.
+// tickGlobal performs what is due for the global agreement.
 func (n *Node) tickGlobal(now int64) {
 	if v := n.global.voter; v != nil {
 		v.tick(now)
@@ -60,8 +60,8 @@
 	}
 }
 
-// proposeWithRegions handles a proposal in a fleet with regions. A change of a region's voters goes to the region's agreement, everything else to
-// the global one.
+// proposeWithRegions handles a proposal in a fleet with regions. A change of a region's voters
+// belongs to the region's agreement, everything else to the global one.
 func (n *Node) proposeWithRegions(now int64, p *wire.Propose) *wire.Answer {
 	var a *wire.Answer
 	if p.Region != "" {
@@ -79,7 +79,7 @@
 		leader := n.randomMember(func(m *wire.Member) bool { return m.Region == p.Region })
 		return &wire.Answer{Nonce: p.Nonce, End: endUnknown, Leader: leader}
 	case p.VoterAdd == "" && p.VoterRemove == "":
-		return &wire.Answer{Nonce: p.Nonce, End: endAborted, Reason: "only who votes is a region's own to change"}
+		return &wire.Answer{Nonce: p.Nonce, End: endAborted, Reason: "a region's agreement decides only changes of its voters"}
 	case !n.local.hasVote():
 		return &wire.Answer{Nonce: p.Nonce, End: endUnknown, Leader: n.Holder.leader}
 	}
@@ -97,7 +97,7 @@
 	return a
 }
 
-// randomMember draws one of the roster's members that match; empty: none does.
+// randomMember returns the name of a random matching member of the roster, or "" if none matches.
 func (n *Node) randomMember(matches func(*wire.Member) bool) string {
 	var names []string
 	for _, m := range n.members {
@@ -111,7 +111,8 @@
 	return names[n.Holder.rng.IntN(len(names))]
 }
 
-// SavedGlobal confirms that Output.Global.Save is on disk. After an error the node must not be used any more.
+// SavedGlobal confirms that Output.Global.Save is on disk. After an error the node must not be used
+// any more.
 func (n *Node) SavedGlobal(now int64) error {
 	snapshot, err := n.global.handleSaved(now)
 	if err != nil {
--- a/internal/cluster/rollout/regions_test.go
+++ b/internal/cluster/rollout/regions_test.go
@@ -11,8 +11,9 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// From any division of the budgets to any other, the greater parts of both add up to at most the budget, and the moves arrive there.
-func TestMove(t *testing.T) {
+// Moving between any two divisions of the budgets, the greater parts of consecutive divisions add
+// up to at most the budget, and the target is reached within four steps.
+func TestMoveParts_StaysWithinBudget(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	draw := func() []*wire.Part {
 		var members []*wire.Member
@@ -41,7 +42,7 @@
 	}
 }
 
-func TestGroups(t *testing.T) {
+func TestNew_ChecksRegions(t *testing.T) {
 	members := func(change func(m []Member)) []Member {
 		all := []Member{
 			{Name: "a", Address: "a", Region: "n", Voter: true},
@@ -57,13 +58,13 @@
 		cfg             Config
 	}{
 		{"valid", "", Config{Name: "b", Region: "n", Members: members(func(m []Member) { m[0].Global, m[2].Global = true, true })}},
-		{"no region of its own", "members have regions, and b has none", Config{Name: "b", Members: members(func([]Member) {})}},
-		{"a member without region", "c has no region", Config{Name: "b", Region: "n", Members: members(func(m []Member) { m[2].Region = "" })}},
-		{"two regions of one member", "b is in region s, and in n among", Config{Name: "b", Region: "s", Members: members(func([]Member) {})}},
-		{"no global voters", "want one to seven global voters, not 0", Config{Name: "b", Region: "n", Members: members(func(m []Member) {
+		{"node without region", "members have regions, but b has none", Config{Name: "b", Members: members(func([]Member) {})}},
+		{"member without region", "member c has no region, but the fleet has regions", Config{Name: "b", Region: "n", Members: members(func(m []Member) { m[2].Region = "" })}},
+		{"conflicting regions of a member", "b is in region s, but in n among", Config{Name: "b", Region: "s", Members: members(func([]Member) {})}},
+		{"no global voters", "0 global voters configured, allowed are 1 to 7", Config{Name: "b", Region: "n", Members: members(func(m []Member) {
 			m[0].Voter, m[2].Voter, m[3].Global = false, false, false
 		})}},
-		{"no voters in the region", "a name, an identity and one to seven voter", Config{Name: "b", Region: "n", Members: members(func(m []Member) {
+		{"no voters in the region", "a name, a disk identity and 1 to 7 voter", Config{Name: "b", Region: "n", Members: members(func(m []Member) {
 			m[0].Voter = false
 		})}},
 	} {
@@ -76,15 +77,17 @@
 			t.Errorf("%s: %v; want %s", c.name, err, c.wantError)
 		}
 	}
-	// A witness votes, and its region has no voter that could give it a lease.
+	// A witness votes in the global agreement, and its region has no voter that could grant it a
+	// lease.
 	n, err := New(Config{Name: "w", Region: "w", Members: members(func(m []Member) { m[0].Global, m[2].Global = true, true })}, 1, rand.New(rand.NewPCG(1, 1)), PersistentState{Identity: 1})
 	if err != nil || n.global.bootstrap == nil || n.local.bootstrap != nil || n.Holder.nextRequest() != never {
-		t.Errorf("a witness: %v", err)
+		t.Errorf("witness: %v", err)
 	}
 }
 
-// A region that is made anew from one voter's disk keeps the global agreement's numbers, and has refused the proposal that it had prepared.
-func TestForceNewRegion(t *testing.T) {
+// A region that is rebuilt from one voter's disk keeps the global agreement's version numbers, and
+// rejects the proposal that it had prepared.
+func TestForceNewFleet_Region(t *testing.T) {
 	cfg := Config{Name: "a", Region: "n", Members: []Member{
 		{Name: "a", Address: "a", Region: "n", Voter: true},
 		{Name: "b", Address: "b", Region: "n", Voter: true},
@@ -115,8 +118,9 @@
 	}
 }
 
-// A region decides who votes in it; everything else goes to the global agreement.
-func TestProposeInARegion(t *testing.T) {
+// A region's agreement decides changes of its voters; every other proposal is referred to the
+// global agreement.
+func TestNode_ProposeWithRegions(t *testing.T) {
 	cfg := Config{Name: "b", Region: "n", Members: []Member{
 		{Name: "a", Address: "a", Region: "n", Voter: true},
 		{Name: "b", Address: "b", Region: "n"},
@@ -132,9 +136,9 @@
 		}
 	}
 	if a := n.Propose(2, &wire.Propose{Nonce: 3, Region: "s", VoterAdd: "c"}); a.End != 3 || a.Leader != "c" {
-		t.Errorf("of another region: %v", a)
+		t.Errorf("voter change of another region: %v", a)
 	}
 	if a := n.Propose(2, &wire.Propose{Nonce: 4, Region: "n", Text: []byte("x")}); a.End != 2 {
-		t.Errorf("a policy of a region's own: %v", a)
+		t.Errorf("policy proposed to a region: %v", a)
 	}
 }
--- a/internal/cluster/rollout/roster.go
+++ b/internal/cluster/rollout/roster.go
@@ -8,10 +8,11 @@
 	"strings"
 )
 
-// maxRoster is how many gatherers a roster may have.
+// maxRoster limits the gatherers on a roster.
 const maxRoster = 4096
 
-// initialMembers are the records of the first roster, by name. Voters' ids go by the order of names; identities are those of their disks.
+// initialMembers returns the records of the initial roster, sorted by name. Voter ids are assigned
+// in that order from 1; identities are those of the voters' disks.
 func initialMembers(members []Member, identities map[string]uint64) (all []*wire.Member) {
 	id := uint64(0)
 	for _, m := range slices.SortedFunc(slices.Values(members), func(a, b Member) int { return cmp.Compare(a.Name, b.Name) }) {
@@ -25,12 +26,12 @@
 	return all
 }
 
-// searchMember finds the place of a name in a list, which is sorted by name.
+// searchMember returns the position of a name in a list sorted by name, and whether it is there.
 func searchMember(members []*wire.Member, name string) (int, bool) {
 	return slices.BinarySearchFunc(members, name, func(m *wire.Member, name string) int { return cmp.Compare(m.Name, name) })
 }
 
-// findMember returns a member of a list; nil: it is not on it.
+// findMember returns the named member of a list sorted by name, or nil.
 func findMember(members []*wire.Member, name string) *wire.Member {
 	i, ok := searchMember(members, name)
 	if !ok {
@@ -39,7 +40,7 @@
 	return members[i]
 }
 
-// voterNames are the names of a list's members that vote.
+// voterNames returns the names of the voters in a list of members.
 func voterNames(members []*wire.Member) (names []string) {
 	for _, m := range members {
 		if m.Id != 0 {
@@ -49,10 +50,11 @@
 	return names
 }
 
-// member returns a member of the roster; nil: it is not on it.
+// member returns the named member of the roster, or nil.
 func (s *state) member(name string) *wire.Member { return findMember(s.Members, name) }
 
-// voterByID returns who votes, is to vote or voted last under an id; nil: none known.
+// voterByID returns the member that votes under an id, is about to be added under it, or was the
+// last voter removed; nil if the id is unknown.
 func (s *state) voterByID(id uint64) *wire.Member {
 	for _, m := range s.Members {
 		if m.Id == id {
@@ -68,7 +70,8 @@
 	return nil
 }
 
-// putMember adds or replaces a member of the roster. The list is copied, so that lists which were handed out stay as they are.
+// putMember adds or replaces a member of the roster. It copies the list, so that lists that were
+// handed out do not change.
 func (s *state) putMember(m *wire.Member) {
 	s.Members = slices.Clone(s.Members)
 	i, ok := searchMember(s.Members, m.Name)
@@ -79,7 +82,7 @@
 	}
 }
 
-// applyRoster applies a change of the roster: completely, or not at all with the reason.
+// applyRoster applies a roster change completely, or records the reason why it is rejected.
 func (s *state) applyRoster(index uint64, e *wire.Entry) {
 	if s.decision(e.Nonce) != nil {
 		return
@@ -94,10 +97,11 @@
 			s.Members = slices.DeleteFunc(slices.Clone(s.Members), func(m *wire.Member) bool { return m.Name == name })
 		}
 	}
-	s.remember(d)
+	s.addDecision(d)
 }
 
-// mergedMember is the record of a member that is added, or whose address changes. Its vote stays, and without another its region.
+// mergedMember returns the record of a member that is added or changed. An existing member keeps
+// its vote, and keeps its region unless a new one is given.
 func (s *state) mergedMember(m *wire.Member) *wire.Member {
 	merged := &wire.Member{Name: m.Name, Address: m.Address, Region: m.Region, Global: m.Global}
 	if was := s.member(m.Name); was != nil {
@@ -109,7 +113,7 @@
 	return merged
 }
 
-// checkRosterChange returns why a change of the roster can't be made; empty: it can.
+// checkRosterChange returns why a roster change is rejected, or "" if it is valid.
 func (s *state) checkRosterChange(e *wire.Entry) string {
 	for _, m := range e.Add {
 		if reason := s.checkAddedMember(m); reason != "" {
@@ -117,49 +121,50 @@
 		}
 	}
 	if len(s.Members)+len(e.Add) > maxRoster {
-		return fmt.Sprintf("the roster would have over %d", maxRoster)
+		return fmt.Sprintf("the roster would exceed the limit of %d gatherers", maxRoster)
 	}
 	for _, name := range e.Remove {
 		switch m := s.member(name); {
 		case m == nil:
 			return name + " is not on the roster"
 		case m.Id != 0 || s.Change.GetAdd().GetName() == name:
-			return name + " votes: take its vote first"
+			return name + " is a voter: remove its vote first"
 		case s.Current.GetKeep() && !e.Gone:
-			return fmt.Sprintf("under version %d %s may go on without a lease: stop it, and say that it is gone", s.number(), name)
+			return fmt.Sprintf("under version %d %s may admit queries without a lease: stop it and declare it gone", s.number(), name)
 		}
 	}
 	return ""
 }
 
-// checkAddedMember returns why a member can't be added; empty: it can.
+// checkAddedMember returns why a member can't be added, or "" if it can.
 func (s *state) checkAddedMember(m *wire.Member) string {
 	if m.Name == "" || m.Address == "" {
-		return "it names nobody, or no address"
+		return "a member to add needs a name and an address"
 	}
 	switch was := s.member(m.Name); {
 	case len(s.Regions) == 0 && s.Region == "" && m.Region != "":
-		return m.Name + " has a region, and the fleet has none"
+		return m.Name + " has a region, but the fleet has no regions"
 	case len(s.Regions) == 0 || m.Region == "" && was != nil:
 	case was != nil && was.Region != m.Region:
-		return m.Name + " is in region " + was.Region + ": take it off the roster first"
+		return m.Name + " is in region " + was.Region + ": remove it from the roster first"
 	case !slices.Contains(s.Regions, m.Region):
-		return fmt.Sprintf("%s: there is no region %q", m.Name, m.Region)
+		return fmt.Sprintf("%s: unknown region %q", m.Name, m.Region)
 	}
 	return ""
 }
 
-// beginVoterChange applies the beginning of a change of who votes. The same entry gives raft a learner for it.
+// beginVoterChange applies the start of a voter change. The same entry adds the new voter to raft
+// as a learner.
 func (s *state) beginVoterChange(index uint64, e *wire.Entry) {
 	c := e.Voters
 	c.Index = index
 	s.Change = c
 }
 
-// endVoterChange applies the end of a change of who votes.
+// endVoterChange applies the end of a voter change.
 func (s *state) endVoterChange(index uint64, e *wire.Entry) {
 	c := e.Voters
-	s.remember(&wire.Decision{Attempt: index, Nonce: c.Nonce, By: c.By, What: describeChange(e), Committed: e.Made, Reason: e.Reason})
+	s.addDecision(&wire.Decision{Attempt: index, Nonce: c.Nonce, By: c.By, What: describeChange(e), Committed: e.Made, Reason: e.Reason})
 	s.Change = nil
 	if !e.Made {
 		return
@@ -176,7 +181,7 @@
 	}
 }
 
-// describeChange describes what an entry changes, for the list of decisions.
+// describeChange describes a roster or voter change for the history of decisions.
 func describeChange(e *wire.Entry) string {
 	var parts []string
 	for _, m := range e.Add {
--- a/internal/cluster/rollout/simulation/operators.go
+++ b/internal/cluster/rollout/simulation/operators.go
@@ -138,7 +138,7 @@
 			return
 		}
 		voters, _, _ := w.currentVoters()
-		if !slices.Contains(voters, x.index) || strings.Contains(reason, "has the disk that it votes by") { // another attempt was made before
+		if !slices.Contains(voters, x.index) || strings.Contains(reason, "still has the disk of its vote") { // another attempt was made before
 			return
 		}
 		w.schedule(300*ms, func() { w.restoreVote(x) })
--- a/internal/cluster/rollout/simulation/proof_test.go
+++ b/internal/cluster/rollout/simulation/proof_test.go
@@ -104,7 +104,7 @@
 		{"an abort counts after a commit", 0, rollout.Bugs{AbortAfterCommit: true}},
 		{"it goes on by its own time-out", 0, rollout.Bugs{HolderTimeout: true}},
 		{"the lease counts from the grant", 370, rollout.Bugs{LeaseFromArrival: true}},
-		{"who keeps is waited out", 380, rollout.Bugs{ExpireKeepers: true}},
+		{"who keeps is waited out", 380, rollout.Bugs{IgnoreKeepFlag: true}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
--- a/internal/cluster/rollout/state.go
+++ b/internal/cluster/rollout/state.go
@@ -10,35 +10,37 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Kinds of log entries. They are on disk.
+// Kinds of log entries. The values are stored on disk.
 const (
 	entryPropose = 1 + iota
 	entryCommit
 	entryAbort
 	entryRoster
-	entryVoters    // a change of who votes begins
-	entryVotersEnd // it ends
-	entryFollow    // of a region: a proposal of the global agreement is followed
-	entryPrepared  // of a region: all have paused for it
+	entryVoters    // starts a voter change
+	entryVotersEnd // ends a voter change
+	entryFollow    // regions only: opens a proposal that follows the global agreement
+	entryPrepared  // regions only: all gatherers have paused for the open proposal
 )
 
 const (
-	maxHistory = 64      // decisions that are remembered
+	maxHistory = 64      // decisions kept in the state
 	maxText    = 8 << 20 // bytes of a document
 )
 
-// state is the state machine over the voters' log: the same at all of them after the same entries. Of two entries that end one proposal the first counts.
+// state is the replicated state machine over the voters' log. Of two entries that end the same
+// proposal only the first has an effect.
 type state struct {
 	wire.State
 }
 
-// NewDocument makes a version of a text.
+// NewDocument returns a document with the given version number and text, and the text's hash.
 func NewDocument(number uint64, text []byte) *wire.Document {
 	sum := sha256.Sum256(text)
 	return &wire.Document{Number: number, Hash: sum[:], Text: text}
 }
 
-// hashMatches reports that a document is complete: its hash is that of its text.
+// hashMatches reports whether a document is intact: its text is within the size limit and has the
+// document's hash.
 func hashMatches(d *wire.Document) bool {
 	if d == nil || len(d.Text) > maxText {
 		return false
@@ -47,11 +49,11 @@
 	return bytes.Equal(sum[:], d.Hash)
 }
 
-// apply applies one entry.
+// apply applies one committed log entry. It fails only if the entry can't be decoded.
 func (s *state) apply(index uint64, data []byte) error {
 	var e wire.Entry
 	if err := proto.Unmarshal(data, &e); err != nil {
-		return fmt.Errorf("rollout: entry %d: %w", index, err)
+		return fmt.Errorf("rollout: decode log entry %d: %w", index, err)
 	}
 	switch e.Kind {
 	case entryPropose:
@@ -76,7 +78,8 @@
 	return nil
 }
 
-// applyProposal opens a proposal, or records why it is rejected. Of two entries with one nonce the first counts.
+// applyProposal opens a proposal, or records why it is rejected. Of two entries with the same nonce
+// only the first has an effect.
 func (s *state) applyProposal(index uint64, e *wire.Entry) {
 	if e.Document != nil {
 		e.Document.Keep = e.Keep
@@ -96,7 +99,8 @@
 	}
 }
 
-// applyEnd commits or aborts the open proposal. An entry for a proposal that is decided changes nothing.
+// applyEnd commits or aborts the open proposal. An entry for a proposal that was decided before has
+// no effect.
 func (s *state) applyEnd(e *wire.Entry) {
 	p := s.Open
 	if p == nil || p.Attempt != e.Attempt {
@@ -116,22 +120,23 @@
 	s.recordOutcome(p, s.Committed, e.Reason)
 }
 
-// recordOutcome remembers how a proposal ended.
+// recordOutcome adds the outcome of a proposal to the history.
 func (s *state) recordOutcome(p *wire.Proposal, committed bool, reason string) {
-	s.remember(&wire.Decision{
+	s.addDecision(&wire.Decision{
 		Attempt: p.Attempt, Number: p.Document.GetNumber(), Nonce: p.Nonce, Committed: committed, Reason: reason, By: p.By, Hash: p.Document.GetHash(),
 	})
 }
 
-// remember adds a decision to the history, of which only the newest are kept.
-func (s *state) remember(d *wire.Decision) {
+// addDecision adds a decision to the history, and drops the oldest one beyond maxHistory.
+func (s *state) addDecision(d *wire.Decision) {
 	s.History = append(s.History, d)
 	if len(s.History) > maxHistory {
 		s.History = slices.Delete(s.History, 0, len(s.History)-maxHistory)
 	}
 }
 
-// decision is how the proposal of a nonce was decided; nil: it was not, or is forgotten.
+// decision returns the decision on the proposal with a nonce, or nil if it is undecided or no
+// longer in the history.
 func (s *state) decision(nonce uint64) *wire.Decision {
 	for _, d := range s.History {
 		if d.Nonce == nonce {
@@ -141,8 +146,8 @@
 	return nil
 }
 
-// number is the version in force; 0: none.
+// number returns the number of the version in force, or 0 if there is none.
 func (s *state) number() uint64 { return s.Current.GetNumber() }
 
-// openAttempt is the open proposal; 0: none.
+// openAttempt returns the attempt of the open proposal, or 0 if there is none.
 func (s *state) openAttempt() uint64 { return s.Open.GetAttempt() }
--- a/internal/cluster/rollout/storage.go
+++ b/internal/cluster/rollout/storage.go
@@ -6,54 +6,59 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 )
 
-// PersistentState is what outlasts a node's process.
+// PersistentState is a node's stored state, from which its next process starts.
 type PersistentState struct {
-	Identity        uint64            // of the disk, drawn once; never 0
-	VoterIdentities map[string]uint64 // identities of the first voters' disks, as far as they are known
-	Members         []*wire.Member    // the roster as known last; nil: as in Config
+	Identity        uint64            // of the disk; drawn once, never 0
+	VoterIdentities map[string]uint64 // known identities of the initial voters' disks
+	Members         []*wire.Member    // the last known roster; nil: as in Config
 	MembersIndex    uint64
-	Current         *wire.Document        // that was in force last
-	Staged          *wire.Proposal        // that was validated last
+	Current         *wire.Document        // the version last in force
+	Staged          *wire.Proposal        // the proposal that was last found valid
 	Disk            Disk                  // of a voter
 	Global          PersistentGlobalState // with regions
 }
 
-// PersistentGlobalState is what outlasts a node's process of its part in the global agreement.
+// PersistentGlobalState is a node's stored state in the global agreement.
 type PersistentGlobalState struct {
-	VoterIdentities map[string]uint64 // identities of the first global voters' disks, as far as they are known
+	VoterIdentities map[string]uint64 // known identities of the initial global voters' disks
 	Disk            Disk              // of a global voter
 }
 
-// Disk is what a voter's disk has at its start.
+// Disk is a voter's stored raft state.
 type Disk struct {
-	ID        uint64 // 0: no voter has used it
+	ID        uint64 // of the voter; 0: no voter has used the disk
 	HardState *pb.HardState
-	Entries   []*pb.Entry // behind the snapshot
+	Entries   []*pb.Entry // after the snapshot
 	Snapshot  *pb.Snapshot
 }
 
-// Save is what has to be on a voter's disk before Saved is called. No other process may learn of any of it before.
+// Save is data that has to be on a voter's disk before Saved is called. Until then no other process
+// may learn of any of it.
 type Save struct {
-	ID              uint64            // of the voter whose disk it is; stored data of another id is void
-	VoterIdentities map[string]uint64 // of a bootstrap, before there is a voter: the identities of the first voters' disks
+	ID uint64 // of the voter; stored data of another id is obsolete
+	// VoterIdentities are the known identities of the initial voters' disks, during a bootstrap.
+	VoterIdentities map[string]uint64
 	HardState       *pb.HardState
 	Entries         []*pb.Entry
 	Snapshot        *pb.Snapshot
 }
 
-// Output is what a node wants done, in order: save first, and call Saved when it is on disk; then the rest.
+// Output is the work that a node requests from its host. The host starts Save first, and calls
+// Saved when it is on disk. The rest need not wait for that: messages that depend on Save are
+// returned after Saved.
 type Output struct {
 	Save       *Save
-	Snapshot   *pb.Snapshot     // to be stored in the place of the log up to it; nothing waits for it
-	SnapshotOf uint64           // the id of the voter whose it is
+	Snapshot   *pb.Snapshot     // replaces the stored log up to its index; nothing waits for it
+	SnapshotOf uint64           // id of the voter that the snapshot belongs to
 	Messages   []*wire.Message  // to other gatherers
-	Validate   []*wire.Proposal // to be validated, and when valid staged on disk: Validated takes the result
-	Install    []*wire.Document // to be put in force before the next query is admitted, and kept on disk
-	Roster     *wire.State      // members and members_index, to be kept on disk; the addresses of all from now on; nil: as before
+	Validate   []*wire.Proposal // to validate and, if valid, stage on disk; Validated reports the result
+	Install    []*wire.Document // to put in force before the next query is admitted, and to store
+	Roster     *wire.State      // the new members and members_index, to store; nil: unchanged
 	Global     GlobalOutput     // with regions
 }
 
-// GlobalOutput is what a global voter wants stored, independent of its region's agreement. SavedGlobal confirms that Save is on disk.
+// GlobalOutput is the data that a global voter requests to be stored, independent of its region's
+// agreement. SavedGlobal confirms that Save is on disk.
 type GlobalOutput struct {
 	Save       *Save
 	Snapshot   *pb.Snapshot
--- a/internal/cluster/rollout/voter_raft.go
+++ b/internal/cluster/rollout/voter_raft.go
@@ -14,20 +14,23 @@
 )
 
 const (
-	// maxUnansweredBatches is how many leadership checks may be unanswered before the oldest is dropped.
+	// maxUnansweredBatches is the number of unanswered leadership checks above which the oldest is
+	// dropped.
 	maxUnansweredBatches = 64
-	// maxEagerBatches is up to how many unanswered checks each request begins one of its own.
+	// maxEagerBatches is the number of unanswered leadership checks up to which each request starts
+	// a check at once.
 	maxEagerBatches = 8
-	// compactKeepDivisor is what part of CompactAfter stays in the log behind a snapshot, for voters that are a little behind.
+	// compactKeepDivisor sets how many entries stay in the log at a compaction, for voters that lag
+	// a little: CompactAfter divided by this.
 	compactKeepDivisor = 10
 )
 
-// scheduleCampaign draws when to campaign, unless a leader is heard before.
+// scheduleCampaign sets a random time to campaign, one to two election timeouts from now.
 func (v *voter) scheduleCampaign(now int64) {
 	v.campaignAt = now + v.cfg.ElectionTimeout + v.rng.Int64N(v.cfg.ElectionTimeout)
 }
 
-// nextTick is when tick is due.
+// nextTick returns when tick is due.
 func (v *voter) nextTick() int64 {
 	at := v.tickAt
 	if !v.isLeader {
@@ -36,7 +39,7 @@
 	return at
 }
 
-// tick does what is due, and advances the open proposal.
+// tick sends heartbeats or campaigns if due, and advances the open proposal.
 func (v *voter) tick(now int64) {
 	if now >= v.tickAt {
 		v.tickAt = now + v.cfg.HeartbeatInterval
@@ -48,12 +51,13 @@
 	}
 	if !v.isLeader && now >= v.campaignAt {
 		v.scheduleCampaign(now)
-		_ = v.raftNode.Campaign() // where raft refuses, this voter campaigns again later
+		_ = v.raftNode.Campaign() // if raft refuses, this voter campaigns again later
 	}
 	v.advance(now)
 }
 
-// expireSnapshots reports snapshots as failed that were sent an election timeout ago. They may be lost; if not, raft ignores the report.
+// expireSnapshots reports snapshots that were sent an election timeout ago to raft as failed, since
+// they may be lost. Raft ignores the report for a snapshot that has arrived.
 func (v *voter) expireSnapshots(now int64) {
 	for id, at := range v.snapshotSentAt {
 		if now-at > v.cfg.ElectionTimeout {
@@ -63,21 +67,24 @@
 	}
 }
 
-// step handles a raft message of another voter. While a leader is heard no votes are given: a voter that was partitioned disturbs nothing.
+// step handles a raft message of another voter. Vote requests are ignored while a leader is heard,
+// so that a voter that was partitioned does not disrupt the term.
 func (v *voter) step(now int64, from string, identity uint64, m *pb.Message) error {
 	if v.confState == nil {
 		v.introducer = &wire.Member{Name: from, Id: m.GetFrom(), Identity: identity}
 	} else if x := v.state.voterByID(m.GetFrom()); x == nil || x.Name != from || x.Identity != identity && !v.cfg.Bugs.VoteByName {
-		return fmt.Errorf("rollout: message of voter %d from %s with disk identity %x", m.GetFrom(), from, identity)
+		return fmt.Errorf("rollout: raft message of voter %d from unexpected sender %s with disk identity %x", m.GetFrom(), from, identity)
 	}
 	if m.GetTo() != v.id {
-		return fmt.Errorf("rollout: message for voter %d", m.GetTo())
+		return fmt.Errorf("rollout: raft message for another voter %d", m.GetTo())
 	}
 	v.heardFrom[m.GetFrom()] = now
 	switch m.GetType() {
 	case pb.MsgApp, pb.MsgHeartbeat, pb.MsgSnap:
 		if v.saving && m.GetType() == pb.MsgSnap {
-			return nil // raft would go by its voters at once, and then by older ones of the entries that are being saved; it is sent again
+			// Raft would apply the snapshot's voters at once, and then older ones from the entries
+			// being saved; the leader retries.
+			return nil
 		}
 		if m.GetTerm() >= v.raftNode.BasicStatus().HardState.GetTerm() {
 			v.leaderHeardAt = now
@@ -91,7 +98,8 @@
 	return v.raftNode.Step(m)
 }
 
-// confirmLeadership begins a check by a majority that this voter still leads. Requests that came before it are answered after it.
+// confirmLeadership starts a check that a majority still accepts this voter as leader (raft's
+// ReadIndex). It covers all requests that have arrived and are not covered yet.
 func (v *voter) confirmLeadership() {
 	if !v.isActiveLeader() {
 		return
@@ -101,11 +109,11 @@
 	v.unconfirmed = nil
 	v.raftNode.ReadIndex(binary.BigEndian.AppendUint64(nil, v.leadershipCheck))
 	if len(v.readBatches) > maxUnansweredBatches {
-		delete(v.readBatches, slices.Min(slices.Collect(maps.Keys(v.readBatches)))) // its senders repeat their requests
+		delete(v.readBatches, slices.Min(slices.Collect(maps.Keys(v.readBatches)))) // the senders retry
 	}
 }
 
-// takeSave returns what has to be saved; nil: nothing has changed, or something is being saved.
+// takeSave returns the data to save, or nil if nothing has changed or a write is in progress.
 func (v *voter) takeSave() *Save {
 	if s := v.initialSave; s != nil && !v.saving {
 		v.saving = true
@@ -125,8 +133,8 @@
 	return s
 }
 
-// handleSaved goes on once what takeSave returned is on disk: messages are sent, committed entries are applied. snapshot, where not nil, is to be
-// stored in the place of the log up to it.
+// handleSaved continues after the data returned by takeSave is on disk: it queues raft's messages
+// and applies committed entries. A non-nil snapshot replaces the stored log up to its index.
 func (v *voter) handleSaved(now int64) (snapshot *pb.Snapshot, err error) {
 	ready := v.pendingReady
 	v.pendingReady, v.saving = raft.Ready{}, false
@@ -151,13 +159,14 @@
 		v.handleConfirmed(now, binary.BigEndian.Uint64(r.RequestCtx))
 	}
 	if first, err := v.storage.FirstIndex(); err == nil && (votersChanged || v.applied >= first+v.cfg.CompactAfter) {
-		snapshot = v.compactLog() // after a change too: a new voter has to find itself in the snapshot that it is sent
+		// Also after a voter change: a new voter has to be listed in the snapshot that it is sent.
+		snapshot = v.compactLog()
 	}
 	v.advance(now)
 	return snapshot, nil
 }
 
-// store takes what is on disk into the storage that raft reads.
+// store copies data that is on disk into the in-memory storage that raft reads.
 func (v *voter) store(ready raft.Ready) error {
 	if !raft.IsEmptySnap(ready.Snapshot) {
 		if err := v.installSnapshot(ready.Snapshot); err != nil {
@@ -166,34 +175,34 @@
 	}
 	if !raft.IsEmptyHardState(ready.HardState) {
 		if err := v.storage.SetHardState(ready.HardState); err != nil {
-			return fmt.Errorf("rollout: hard state: %w", err)
+			return fmt.Errorf("rollout: set hard state: %w", err)
 		}
 	}
 	if err := v.storage.Append(ready.Entries); err != nil {
-		return fmt.Errorf("rollout: log: %w", err)
+		return fmt.Errorf("rollout: append to log: %w", err)
 	}
 	return nil
 }
 
-// installSnapshot replaces storage and state by a snapshot.
+// installSnapshot replaces the in-memory storage and the state by a snapshot.
 func (v *voter) installSnapshot(snapshot *pb.Snapshot) error {
 	if err := v.storage.ApplySnapshot(snapshot); err != nil {
-		return fmt.Errorf("rollout: snapshot: %w", err)
+		return fmt.Errorf("rollout: apply snapshot: %w", err)
 	}
 	v.state = state{}
 	if err := proto.Unmarshal(snapshot.Data, &v.state.State); err != nil {
-		return fmt.Errorf("rollout: snapshot: %w", err)
+		return fmt.Errorf("rollout: decode snapshot: %w", err)
 	}
 	v.applied, v.confState = snapshot.Metadata.GetIndex(), snapshot.Metadata.ConfState
 	return nil
 }
 
-// queueRaftMessages queues raft's messages. Those to voters that are not known here are dropped.
+// queueRaftMessages queues raft's messages. Messages to voters that are not known here are dropped.
 func (v *voter) queueRaftMessages(now int64, messages []*pb.Message) error {
 	for _, m := range messages {
 		data, err := proto.Marshal(m)
 		if err != nil {
-			return fmt.Errorf("rollout: %w", err)
+			return fmt.Errorf("rollout: encode raft message: %w", err)
 		}
 		to := v.state.voterByID(m.GetTo())
 		if to == nil && v.introducer.GetId() == m.GetTo() {
@@ -209,7 +218,7 @@
 	return nil
 }
 
-// applyCommitted applies committed entries, and reports whether one changed the voters.
+// applyCommitted applies committed entries, and reports whether any of them changed the voters.
 func (v *voter) applyCommitted(entries []*pb.Entry) (votersChanged bool, err error) {
 	for _, e := range entries {
 		v.applied = e.GetIndex()
@@ -234,7 +243,7 @@
 	return votersChanged, nil
 }
 
-// revertAfterCommit is the seeded fault AbortAfterCommit.
+// revertAfterCommit implements the seeded fault AbortAfterCommit.
 func (v *voter) revertAfterCommit(e *pb.Entry) {
 	var x wire.Entry
 	if proto.Unmarshal(e.Data, &x) == nil && x.Kind == entryAbort && v.state.Decided == x.Attempt && v.state.Committed && v.state.number() > 0 {
@@ -242,7 +251,8 @@
 	}
 }
 
-// compactLog replaces the log by a snapshot of the state; nil: it failed, and is tried again after a later entry.
+// compactLog compacts the log into a snapshot of the state. It returns nil after an error; the next
+// applied entry retries it.
 func (v *voter) compactLog() *pb.Snapshot {
 	data, err := proto.Marshal(&v.state.State)
 	if err != nil {
@@ -259,7 +269,8 @@
 	return s
 }
 
-// discardLogger discards raft's own log lines: the host logs what matters. Fatal conditions still panic.
+// discardLogger discards raft's log lines, since the host logs the relevant events itself. Fatal
+// and Panic calls panic.
 type discardLogger struct{}
 
 func (discardLogger) Debug(...any)              {}
--- a/internal/cluster/rollout/voters.go
+++ b/internal/cluster/rollout/voters.go
@@ -11,24 +11,27 @@
 
 const (
 	maxVoters = 7
-	// minVotersToRemove is how many voters there have to be for one to be removed without a replacement.
+	// minVotersToRemove is the minimum number of voters for removing one without a replacement.
 	minVotersToRemove = 4
-	// addedVoterBase is below the ids of voters that were added later: an id is this and the index of the entry that began the change.
+	// addedVoterBase is the offset of the ids of voters that were added later: an id is this plus
+	// the index of the entry that started the change. Initial voters have lower ids.
 	addedVoterBase = 16
-	// voterChangeLeases is after how many leases a change of voters is abandoned.
+	// voterChangeLeases is the number of lease lengths after which an incomplete voter change is
+	// abandoned.
 	voterChangeLeases = 5
 )
 
-// proposeVoterChange handles an operator's change of who votes. It begins with a learner, which has no vote before it has the complete log; then the old
-// and the new voters agree jointly, so that no majority of either decides alone. One change is made at a time.
+// proposeVoterChange handles an operator's voter change. A new voter starts as a learner, without a
+// vote, until it has the complete log; the change is then committed by joint consensus, so that
+// neither the old nor the new majority decides alone. Only one change is made at a time.
 func (v *voter) proposeVoterChange(now int64, p *wire.Propose, a *wire.Answer) *wire.Answer {
 	if c := v.state.Change; c != nil && c.Nonce == p.Nonce {
-		return a // under way
+		return a // in progress
 	}
 	c := &wire.VoterChange{Nonce: p.Nonce, By: p.By, Remove: p.VoterRemove}
 	if reason := v.checkVoterChange(now, p, c); reason != "" {
 		if now-v.leaderSince < v.cfg.Lease {
-			return a // a new leader has not heard from everyone yet
+			return a // a new leader may not have heard from all gatherers yet
 		}
 		a.End, a.Reason = endAborted, reason
 		return a
@@ -41,7 +44,7 @@
 	e := &wire.Entry{Kind: entryVoters, Voters: c}
 	change := &pb.ConfChangeSingle{Type: pb.ConfChangeType_ConfChangeAddLearnerNode.Enum()}
 	if c.Add != nil {
-		c.Add.Id = addedVoterBase + last + 1 // no voter had it before: no entry of that index in another term is ever committed beside it
+		c.Add.Id = addedVoterBase + last + 1 // unique: only one entry is ever committed at that index
 		change.NodeId = proto.Uint64(c.Add.Id)
 	} else {
 		e.Kind, e.Made = entryVotersEnd, true
@@ -53,32 +56,33 @@
 	return a
 }
 
-// checkVoterChange returns why a change of who votes can't be made; empty: it can, and c is completed.
+// checkVoterChange returns why a voter change is rejected, or "" if it is valid; then it completes
+// c.
 func (v *voter) checkVoterChange(now int64, p *wire.Propose, c *wire.VoterChange) string {
 	switch {
 	case v.state.Change != nil:
-		return "a change of voters by " + v.state.Change.By + " is under way"
+		return "a voter change by " + v.state.Change.By + " is in progress"
 	case v.state.Open != nil:
 		return "a proposal of " + v.state.Open.By + " is open"
 	}
 	if p.VoterRemove != "" {
 		m := v.state.member(p.VoterRemove)
 		if m.GetId() == 0 {
-			return p.VoterRemove + " does not vote"
+			return p.VoterRemove + " is not a voter"
 		}
 		c.RemoveId = m.Id
 	}
 	voters := len(voterNames(v.state.Members))
 	if p.VoterAdd == "" {
 		if voters < minVotersToRemove {
-			return fmt.Sprintf("of %d voters none can be taken without another in its place", voters)
+			return fmt.Sprintf("with %d voters none can be removed without a replacement", voters)
 		}
 		return v.missingQuorum(now, 0, c.RemoveId)
 	}
 	return v.checkAddedVoter(now, p, c, voters)
 }
 
-// checkAddedVoter returns why a gatherer can't get a vote; empty: it can, and c names it.
+// checkAddedVoter returns why a gatherer can't get a vote, or "" if it can; then it sets c.Add.
 func (v *voter) checkAddedVoter(now int64, p *wire.Propose, c *wire.VoterChange, voters int) string {
 	m, g := v.leaseMember(p.VoterAdd), v.grantees[p.VoterAdd]
 	if v.cfg.isGlobal {
@@ -88,20 +92,20 @@
 	case m == nil:
 		return p.VoterAdd + " is not on the roster"
 	case m.Id != 0 && p.VoterAdd != p.VoterRemove:
-		return p.VoterAdd + " votes already"
+		return p.VoterAdd + " is already a voter"
 	case g == nil || g.identity == 0 || g.left || now-g.seenAt > v.cfg.Lease:
-		return p.VoterAdd + " was not heard of lately"
+		return p.VoterAdd + " has sent no request lately"
 	case m.Id != 0 && g.identity == m.Identity:
-		return p.VoterAdd + " has the disk that it votes by: there is nothing to replace"
+		return p.VoterAdd + " still has the disk of its vote: there is nothing to replace"
 	case p.VoterRemove == "" && voters >= maxVoters:
-		return fmt.Sprintf("there are %d voters already", voters)
+		return fmt.Sprintf("there are %d voters already, which is the limit", voters)
 	}
 	c.Add = &wire.Member{Name: m.Name, Address: m.Address, Identity: g.identity, Region: m.Region, Global: m.Global}
 	return v.missingQuorum(now, 0, 0)
 }
 
-// missingQuorum returns why the voters could not agree after one was added and one removed (0: none): too few of them were heard lately. Empty: they
-// can.
+// missingQuorum returns why the voters would have no reachable majority after a change that adds
+// and removes a voter (0: none), or "" if they would.
 func (v *voter) missingQuorum(now int64, added, removed uint64) string {
 	total, responsive := 0, 0
 	var unresponsive []string
@@ -124,10 +128,11 @@
 	if 2*responsive > total {
 		return ""
 	}
-	return "no majority of those who would vote is there: " + strings.Join(unresponsive, ", ") + " fell silent"
+	return "the changed set of voters would have no reachable majority: " + strings.Join(unresponsive, ", ") + " sent no recent message"
 }
 
-// proposeConfChange puts a change of raft's voters into the log, together with the entry for the state.
+// proposeConfChange proposes a change of raft's configuration to the log, together with the entry
+// for the state.
 func (v *voter) proposeConfChange(e *wire.Entry, changes ...*pb.ConfChangeSingle) error {
 	b, err := proto.Marshal(e)
 	if err != nil {
@@ -136,7 +141,8 @@
 	return v.raftNode.ProposeConfChange(&pb.ConfChangeV2{Changes: changes, Context: b})
 }
 
-// advanceVoterChange ends the change of voters that is under way: it is made once the learner has the log, and abandoned where that takes too long.
+// advanceVoterChange ends the voter change in progress: it commits the change once the learner has
+// the log, and abandons it after voterChangeLeases.
 func (v *voter) advanceVoterChange(now int64) {
 	c := v.state.Change
 	if v.changeIndex != c.Index {
@@ -157,25 +163,25 @@
 		}
 	case now-v.changeSince > voterChangeLeases*v.cfg.Lease:
 		if e.Reason = missing; missing == "" {
-			e.Reason = c.Add.Name + " did not take the log over in time"
+			e.Reason = c.Add.Name + " did not catch up with the log in time"
 		}
 		changes = append(changes, &pb.ConfChangeSingle{Type: pb.ConfChangeType_ConfChangeRemoveNode.Enum(), NodeId: proto.Uint64(c.Add.Id)})
 	default:
 		return
 	}
 	v.changeTriedAt = now
-	_ = v.proposeConfChange(e, changes...) // whether refused or lost, it is proposed again after an election timeout
+	_ = v.proposeConfChange(e, changes...) // if refused or lost, retried after an election timeout
 }
 
-// applyConfChange applies a committed change of raft's voters, and its entry to the state.
+// applyConfChange applies a committed configuration change to raft, and its entry to the state.
 func (v *voter) applyConfChange(entry *pb.Entry) error {
 	cc := &pb.ConfChangeV2{}
 	if err := proto.Unmarshal(entry.Data, cc); err != nil {
-		return fmt.Errorf("rollout: entry %d: %w", entry.GetIndex(), err)
+		return fmt.Errorf("rollout: decode log entry %d: %w", entry.GetIndex(), err)
 	}
 	v.confState = v.raftNode.ApplyConfChange(cc)
 	if len(cc.Context) == 0 {
-		return nil // raft's own: it leaves the joint configuration
+		return nil // raft's own entry that leaves the joint configuration
 	}
 	v.announced = false
 	return v.state.apply(entry.GetIndex(), cc.Context)
