--- a/internal/cluster/rollout/simulation/check.go
+++ b/internal/cluster/rollout/simulation/check.go
@@ -2,14 +2,15 @@
 
 import "saffronquay/internal/cluster/rollout"
 
-// checkEnd checks the end of a run: every node on the roster admits queries under the newest version, and nothing is open.
+// checkEnd checks the state at the end of a run: every node on the roster admits queries under the
+// newest version, and no proposal is open.
 func (w *world) checkEnd() {
 	if w.Regions > 0 {
 		w.checkRegionsEnd()
 	}
 	roster, known := w.endRoster()
 	for _, x := range w.nodes[:len(w.nodes)-w.Down] {
-		if !w.hasRegions() { // each region has decisions of its own
+		if !w.hasRegions() { // with regions, decisions of different regions are not comparable
 			w.checkDecisions(w.outcomes, x.core.Decisions())
 		}
 		admission, number, _ := x.core.Admit(w.localTime(x))
@@ -33,7 +34,7 @@
 	}
 }
 
-// endRoster is who is on the roster at the end; false: no disk has a roster.
+// endRoster returns the names on the roster at the end; known is false if no disk has a roster.
 func (w *world) endRoster() (roster map[string]bool, known bool) {
 	if w.hasRegions() {
 		return w.regionRosters(), true
@@ -46,7 +47,7 @@
 	return roster, known
 }
 
-// checkNodeEnd checks a node on the roster.
+// checkNodeEnd checks the state of a node on the roster at the end of a run.
 func (w *world) checkNodeEnd(x *node, admission rollout.Admission, number uint64) {
 	if admission != rollout.Admitted {
 		w.violation(&w.result.Stuck, "%s lets nothing in at the end: %s", x.name, admission)
--- a/internal/cluster/rollout/simulation/config.go
+++ b/internal/cluster/rollout/simulation/config.go
@@ -5,38 +5,42 @@
 	"saffronquay/internal/cluster/rollout"
 )
 
-// Config is one run. Times are microseconds from the beginning of the run.
+// Config configures a run. Times are microseconds from the start of the run.
 type Config struct {
 	Seed             uint64
 	Voters, Others   int
-	Faults           int   // so many, until FaultsEnd
-	FaultsEnd        int64 // all faults end here, and no change is proposed any more
+	Faults           int   // number of random faults until FaultsEnd
+	FaultsEnd        int64 // all faults end and no more changes are proposed
 	Length           int64
-	Loss             float64 // fraction of messages that are lost, until FaultsEnd
-	ProposeInterval  int64   // between two proposals, until FaultsEnd; 0: there are none
-	QueryInterval    int64   // between two queries at each node
+	Loss             float64 // fraction of messages lost until FaultsEnd
+	ProposeInterval  int64   // mean interval between proposals until FaultsEnd; 0: no proposals
+	QueryInterval    int64   // mean interval between queries at each node
 	Bugs             rollout.Bugs
-	Down             int    // so many of the last nodes are killed at StartAt, for good
+	Down             int    // number of last nodes that are killed at StartAt for good
 	StartAt          int64  // when proposals begin
-	CompactAfter     uint64 // entries after which logs are compacted; 0: rollout's default
-	History          bool   // Result.Operations is kept
+	CompactAfter     uint64 // log entries after which logs are compacted; 0: rollout's default
+	History          bool   // Result.Operations is recorded
 	RejectSome       bool   // some nodes find some proposals invalid
-	Spares           int    // gatherers that are not on the first roster
-	OperatorInterval int64  // between two changes of roster or voters, or lost disks of voters; 0: there are none
-	KeepSome         bool   // some versions have the keep flag: gatherers go on without a lease
+	Spares           int    // gatherers that are not on the initial roster
+	OperatorInterval int64  // mean interval between roster changes, voter changes and lost disks of voters; 0: none
+	KeepSome         bool   // some versions have the keep flag: gatherers admit queries without a lease
 
-	DivideBudgets bool                                                     // budgets are divided, among all of the first roster
-	Demand        func(now int64, node int) []quota.Demand                 // what each node could use; called every 50 ms
-	ObserveQuotas func(now int64, part func(node int, team string) uint32) // is called every 50 ms with the quotas of all nodes
-	Events        []Event                                                  // faults at fixed times
+	// DivideBudgets divides the budgets among the initial roster.
+	DivideBudgets bool
+	Demand        func(now int64, node int) []quota.Demand // the demand of a node; called every 50 ms
+	// ObserveQuotas is called every 50 ms with access to all quotas.
+	ObserveQuotas func(now int64, part func(node int, team string) uint32)
+	Events        []Event // faults at fixed times
 
-	Regions       int         // the nodes, voters too, are in so many regions by turns. 0: there are none
-	IgnoreRegions bool        // the agreement does not know the regions
-	Slots         uint64      // that budgets are divided among; 0: the size of the first roster
-	Witness       bool        // one more node, in a place of its own, has a global vote only: that of the last of the GlobalVoters
-	GlobalVoters  int         // so many of the first nodes vote in the global agreement
-	RegionDelay   int64       // a message between two regions takes from half as long to as long
-	Partitions    []Partition // of regions from each other
+	Regions       int    // number of regions, to which nodes are assigned in turn; 0: no regions
+	IgnoreRegions bool   // the agreement is configured without regions
+	Slots         uint64 // number of gatherers that share the budgets; 0: the size of the initial roster
+	// Witness adds a node in a region of its own, which takes the global vote of the last of the
+	// GlobalVoters.
+	Witness      bool
+	GlobalVoters int         // number of first nodes that vote in the global agreement
+	RegionDelay  int64       // maximum delay of a message between regions; the minimum is half of it
+	Partitions   []Partition // partitions between regions
 
 	script func(w *world) // schedules further events; nil: none
 }
@@ -44,43 +48,45 @@
 // Action is a fault of one node.
 type Action string
 
-// The faults of one node. The values are used in configurations.
+// Faults of one node. The values are used in configurations.
 const (
-	Kill    Action = "kill" // its process ends, and is started again afterwards
-	Suspend Action = "stop" // its process runs nothing, and goes on afterwards
-	Isolate Action = "cut"  // no message reaches it or leaves it
+	Kill    Action = "kill" // the process is killed, and restarted afterwards
+	Suspend Action = "stop" // the process is suspended, and resumed afterwards
+	Isolate Action = "cut"  // all messages from and to the node are lost
 )
 
-// Event is one fault of a node at a time.
+// Event is a fault of one node at a fixed time.
 type Event struct {
 	At, Duration int64
 	Action       Action
 	Node         int
 }
 
-// The ways in which a partition loses messages.
+// Directions in which a partition loses messages, as in Partition.OneWay.
 const (
 	bothWays     = 0
 	fromFirst    = 1
 	towardsFirst = 2
 )
 
-// Partition partitions the first region from the others. Times are microseconds from the beginning of the run.
+// Partition partitions the first region from the others. Times are microseconds from the start of
+// the run.
 type Partition struct {
 	At, Duration int64
-	OneWay       int   // 0: both ways; 1: messages of the first region are lost; 2: messages to it are
-	FlapPeriod   int64 // so long on, so long off, for the whole duration; 0: it does not flap
+	OneWay       int   // 0: messages are lost both ways; 1: those from the first region; 2: those to the first region
+	FlapPeriod   int64 // the partition is on and off for this long, alternately; 0: it is on for the complete duration
 }
 
 const (
 	ms     = int64(1000)
 	second = 1000 * ms
-	// epoch is the virtual time at which a run begins.
+	// epoch is the virtual time at which a run starts.
 	epoch = 100 * second
-	// quotaPeriod is the time between two looks at demand and quotas.
+	// quotaPeriod is the interval at which demand is set and quotas are checked.
 	quotaPeriod = 50 * ms
-	// maxClockError is by what fraction a node's clock may be fast or slow: a little less than rollout.Config.Drift's default.
+	// maxClockError is the maximum rate error of a node's clock, as a fraction: slightly less than
+	// the default of rollout.Config.Drift.
 	maxClockError = 0.0099
-	// runSeedStream separates the run's random draws from those of the nodes.
+	// runSeedStream separates the run's random numbers from those of the nodes.
 	runSeedStream = 0x5a11
 )
--- a/internal/cluster/rollout/simulation/doc.go
+++ b/internal/cluster/rollout/simulation/doc.go
@@ -1,9 +1,11 @@
-// Package simulation plays many nodes of package rollout in virtual time, under seeded faults, and checks every query that they admit. The same
-// seed gives the same run.
+// Package simulation runs many nodes of package rollout in virtual time with seeded faults, and
+// checks every query that they admit. Runs are deterministic: the same seed gives the same run.
 //
-// It owns the clocks, links and disks that it simulates, the operators who propose changes, and the history of admissions. It opens no file and no
-// socket, and reads no real clock. A run is one goroutine; several runs may be played at the same time.
+// The package simulates the nodes' clocks, links and disks and the operators who propose changes,
+// and records the history of admissions. It opens no files or sockets and reads no real clock. A
+// run uses one goroutine; several runs may be executed concurrently.
 //
-// Run returns an error where a node can't be started at the beginning. What breaks a guarantee during a run is counted in Result: HasViolations and
-// FirstViolation tell whether and what.
+// Run returns an error if a node can't be started at the beginning. Violations of a guarantee
+// during a run are counted in Result; HasViolations reports whether there were any, and
+// FirstViolation describes the first one.
 package simulation
--- a/internal/cluster/rollout/simulation/faults.go
+++ b/internal/cluster/rollout/simulation/faults.go
@@ -1,7 +1,7 @@
 package simulation
 
-// perturb makes a configured fault happen.
-func (w *world) perturb(e Event) {
+// applyEvent applies a configured fault.
+func (w *world) applyEvent(e Event) {
 	x := w.nodes[e.Node]
 	switch e.Action {
 	case Kill:
@@ -13,10 +13,10 @@
 	}
 }
 
-// injectFault makes a random fault happen, more often to voters and leaders than to others.
+// injectFault applies a random fault. Voters and leaders are chosen more often than other nodes.
 func (w *world) injectFault() {
 	duration := 100*ms + w.rng.Int64N(3*second)
-	x := w.drawVictim()
+	x := w.randomTarget()
 	switch w.rng.IntN(9) {
 	case 0:
 		w.kill(x, duration)
@@ -45,8 +45,8 @@
 	}
 }
 
-// drawVictim draws the node that a fault happens to.
-func (w *world) drawVictim() *node {
+// randomTarget returns the node that a random fault applies to.
+func (w *world) randomTarget() *node {
 	x := w.nodes[w.rng.IntN(len(w.nodes))]
 	if w.rng.IntN(2) == 0 {
 		x = w.nodes[w.rng.IntN(w.Voters)]
@@ -62,16 +62,16 @@
 	return x
 }
 
-// leaveOrKill ends a node's process, in half the cases after an orderly leave.
+// leaveOrKill kills a node, in half of the cases after an orderly leave.
 func (w *world) leaveOrKill(x *node, duration int64) {
 	if x.runs() && w.rng.IntN(2) == 0 {
 		x.core.Leave()
-		w.perform(x)
+		w.execute(x)
 	}
 	w.kill(x, duration)
 }
 
-// killOneOrAll kills a node, or in a quarter of the cases all at the same time.
+// killOneOrAll kills a node or, in a quarter of the cases, all nodes at the same time.
 func (w *world) killOneOrAll(x *node, duration int64) {
 	if w.rng.IntN(4) != 0 {
 		w.kill(x, duration)
@@ -82,7 +82,8 @@
 	}
 }
 
-// delayThenIsolate makes messages to a node late, and isolates it afterwards: what it knows last is old.
+// delayThenIsolate delays messages to a node and then isolates it, so that its last state is
+// outdated.
 func (w *world) delayThenIsolate(x *node, duration int64) {
 	x.extraDelay = 300*ms + w.rng.Int64N(900*ms)
 	w.schedule(duration, func() {
@@ -106,7 +107,7 @@
 	}
 }
 
-// split cuts the nodes into two random parts.
+// split partitions the nodes into two random parts.
 func (w *world) split(duration int64) {
 	var parts [2][]int
 	for i := range w.nodes {
@@ -121,7 +122,7 @@
 	}
 }
 
-// cutLink makes a link lose all messages in one direction.
+// cutLink makes a link lose all messages in one direction for the given time.
 func (w *world) cutLink(from, to int, duration int64) {
 	if w.now >= epoch+w.FaultsEnd {
 		return
@@ -131,17 +132,17 @@
 	w.schedule(duration, func() { w.cutLinks[link]-- })
 }
 
-// kill ends a node's process, and starts it again afterwards.
+// kill ends a node's process, and restarts it after the given time.
 func (w *world) kill(x *node, duration int64) {
 	if !x.running {
 		return
 	}
 	x.running = false
-	w.schedule(duration, func() { w.startAgain(x) })
+	w.schedule(duration, func() { w.restart(x) })
 }
 
-// startAgain starts a node that does not run.
-func (w *world) startAgain(x *node) {
+// restart starts a node unless it is running.
+func (w *world) restart(x *node) {
 	if x.running {
 		return
 	}
@@ -150,7 +151,7 @@
 	}
 }
 
-// suspend stops a node's process, and lets it go on afterwards.
+// suspend suspends a node's process, and resumes it after the given time.
 func (w *world) suspend(x *node, duration int64) {
 	if !x.runs() {
 		return
@@ -160,7 +161,8 @@
 	w.schedule(duration, func() { w.resume(x, incarnation) })
 }
 
-// resume lets a suspended node go on: a query comes first, then the messages that came meanwhile.
+// resume resumes a suspended node. A query is checked first, before the messages that arrived
+// meanwhile are delivered.
 func (w *world) resume(x *node, incarnation int) {
 	if !x.running || x.incarnation != incarnation || !x.suspended {
 		return
@@ -174,19 +176,19 @@
 	}
 	x.core.Tick(w.localTime(x))
 	x.wakeAt = 0
-	w.perform(x)
+	w.execute(x)
 }
 
 // endFaults ends all faults.
 func (w *world) endFaults() {
 	w.loss, w.extraDelay = 0, 0
-	clear(w.cutLinks) // cuts that end later count below zero, which cuts nothing
+	clear(w.cutLinks) // cuts that end later make the count negative, which has no effect
 	clear(w.cutRegions)
 	for _, x := range w.nodes[:len(w.nodes)-w.Down] {
 		x.diskFull, x.extraDelay = false, 0
 		if x.suspended {
 			w.resume(x, x.incarnation)
 		}
-		w.startAgain(x)
+		w.restart(x)
 	}
 }
--- a/internal/cluster/rollout/simulation/histories_test.go
+++ b/internal/cluster/rollout/simulation/histories_test.go
@@ -6,8 +6,9 @@
 	"testing"
 )
 
-// The same seed gives the history that was recorded: in a fleet without regions, and in two regions that are partitioned. A history is the complete
-// result of a run, each change and pause included, without the names of fields.
+// Runs give the recorded history of their seed: in a fleet without regions, and in two partitioned
+// regions. A history is the complete result of a run, including each change and pause, without the
+// names of fields.
 func TestRecordedHistories(t *testing.T) {
 	played := map[string]string{}
 	play := func(name string, cfg Config) {
--- a/internal/cluster/rollout/simulation/measure_test.go
+++ b/internal/cluster/rollout/simulation/measure_test.go
@@ -14,8 +14,9 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// The cost of a change in virtual time, without faults and while some gatherers are down.
-func TestPrice(t *testing.T) {
+// Bounds the duration of changes and pauses in virtual time, without faults and with some gatherers
+// down.
+func TestChange_Duration(t *testing.T) {
 	p99 := func(d []int64) time.Duration {
 		if len(d) == 0 {
 			return -1
@@ -25,7 +26,7 @@
 	}
 	for _, c := range []struct {
 		voters, others, down int
-		most                 time.Duration // that a change takes
+		most                 time.Duration // limit for a change (p99)
 	}{
 		{5, 4, 0, 200 * time.Millisecond},
 		{5, 4, 1, 3 * time.Second},
@@ -41,15 +42,16 @@
 		}
 		took, holds := p99(r.ChangeTimes), p99(r.Pauses)
 		if took > c.most || r.InForce < 3 || c.down == 0 && holds > 20*time.Millisecond {
-			t.Errorf("%d of %d down: a change takes %s (p99), and holds queries for %s", c.down, c.voters+c.others, took, holds)
+			t.Errorf("%d of %d down: a change takes %s (p99), and pauses queries for %s", c.down, c.voters+c.others, took, holds)
 		}
 		t.Logf("gatherers=%d down=%d changes=%d took_p99=%s hold_p99=%s messages_a_gatherer_s=%.1f", c.voters+c.others, c.down, r.InForce, took, holds,
 			float64(r.Messages)/float64(c.voters+c.others)/36)
 	}
 }
 
-// The register of versions is linearizable: what proposers were answered, and the versions that queries were admitted under.
-func TestRegister(t *testing.T) {
+// The register of versions is linearizable with respect to the answers to proposers and the
+// versions that queries were admitted under.
+func TestVersions_Linearizable(t *testing.T) {
 	type input struct {
 		write      bool
 		base, next uint64
@@ -79,7 +81,7 @@
 	}
 }
 
-// The cost of the admission of a query while nothing changes.
+// BenchmarkAdmit measures the admission of a query without a change in progress.
 func BenchmarkAdmit(b *testing.B) {
 	n, err := rollout.New(rollout.Config{Name: "a", Members: []rollout.Member{{Name: "a", Address: "a", Voter: true}}}, 1, rand.New(rand.NewPCG(1, 1)), rollout.PersistentState{Identity: 1})
 	if err != nil {
@@ -91,7 +93,8 @@
 	}
 }
 
-// The cost of a lease request of one of 300 gatherers for the leader, with the answer, and the bytes of both. There are some 500 a second.
+// BenchmarkLeader measures what a lease request of one of 300 gatherers costs the leader, including
+// the answer, and the bytes of both. A fleet of that size sends some 500 requests per second.
 func BenchmarkLeader(b *testing.B) {
 	cfg := rollout.Config{Name: "n000"}
 	for i := range 300 {
--- a/internal/cluster/rollout/simulation/operators.go
+++ b/internal/cluster/rollout/simulation/operators.go
@@ -6,7 +6,8 @@
 	"strings"
 )
 
-// currentVoters are the nodes that vote, and the others on the roster, as the newest roster on any disk has them; false: no disk has one.
+// currentVoters returns the voters and the other members of the newest roster on any disk; ok is
+// false if no disk has a roster.
 func (w *world) currentVoters() (voters, others []int, ok bool) {
 	newest := w.newestRoster(func(*node) bool { return true })
 	for _, m := range newest {
@@ -19,7 +20,7 @@
 	return voters, others, newest != nil
 }
 
-// newestRoster is the newest roster on the disks of nodes that match; nil: there is none.
+// newestRoster returns the newest roster on the disks of matching nodes, or nil if there is none.
 func (w *world) newestRoster(matches func(*node) bool) (newest []*wire.Member) {
 	index := uint64(0)
 	for _, x := range w.nodes {
@@ -30,7 +31,8 @@
 	return newest
 }
 
-// rosterNodes are the nodes that vote and the others on the roster; before any disk has a roster, those of the first one.
+// rosterNodes returns the voters and the other members of the newest roster, or of the initial one
+// before any disk has a roster.
 func (w *world) rosterNodes() (voters, others []int) {
 	voters, others, ok := w.currentVoters()
 	if ok {
@@ -47,7 +49,7 @@
 	return voters, others
 }
 
-// intactVoters counts the voters that have the disk that they vote with.
+// intactVoters returns the number of voters that still have the disk of their vote.
 func (w *world) intactVoters(voters []int) (n int) {
 	for _, i := range voters {
 		d := w.nodes[i].disk
@@ -58,7 +60,8 @@
 	return n
 }
 
-// operatorAction makes an operator change roster or voters, or a voter lose its disk and get a vote of its own. It schedules the next action.
+// operatorAction makes an operator change the roster or the voters, or a voter lose its disk and
+// get a new vote. It schedules the next action.
 func (w *world) operatorAction() {
 	if w.now > epoch+w.FaultsEnd {
 		return
@@ -87,7 +90,7 @@
 	case k == 4 && len(others) > 3:
 		count = &w.result.RosterChanges
 		p.Remove = []string{w.anyName(others)}
-	case k == 5 && w.intactVoters(voters)-1 >= len(voters)/2+2: // a majority is never lost, whatever else is under way
+	case k == 5 && w.intactVoters(voters)-1 >= len(voters)/2+2: // keeps a margin: other changes may be in progress
 		w.replaceDisk(w.nodes[voters[w.rng.IntN(len(voters))]])
 		return
 	default:
@@ -96,13 +99,14 @@
 	w.submitChange(p, count)
 }
 
-// anyName is the name of a random node of a list.
+// anyName returns the name of a random node of a list.
 func (w *world) anyName(indices []int) string { return w.nodes[indices[w.rng.IntN(len(indices))]].name }
 
-// anySpare is a random node that is not on the first roster.
+// anySpare returns a random node that is not on the initial roster.
 func (w *world) anySpare() *node { return w.nodes[len(w.nodes)-1-w.rng.IntN(w.Spares)] }
 
-// submitChange proposes a change of roster or voters at some node, and counts it when it is made.
+// submitChange proposes a change of the roster or the voters at a random node, and increments count
+// when it is committed.
 func (w *world) submitChange(p *wire.Propose, count *int) {
 	w.submit(&proposal{request: p, proposedAt: w.now, target: w.rng.IntN(len(w.nodes)), onEnd: func(made bool, _ string) {
 		if made {
@@ -111,7 +115,7 @@
 	}})
 }
 
-// replaceDisk makes a voter that runs lose its disk, and gives it a new vote when it is back.
+// replaceDisk makes a running voter lose its disk, and gives it a new vote after its restart.
 func (w *world) replaceDisk(x *node) {
 	if !x.running || x.disk.id == 0 {
 		return
@@ -121,14 +125,14 @@
 	w.schedule(duration, func() { w.restoreVote(x) })
 }
 
-// loseDisk kills a node, and starts it again without its disk.
+// loseDisk kills a node, and restarts it without its disk.
 func (w *world) loseDisk(x *node, duration int64) {
 	w.result.DisksLost++
 	w.kill(x, duration)
 	x.disk, x.readyAttempt = disk{}, 0
 }
 
-// restoreVote gives a voter that lost its disk a vote of its own, with as many attempts as that needs.
+// restoreVote gives a voter that lost its disk a new vote, and retries until that succeeds.
 func (w *world) restoreVote(x *node) {
 	w.lastNonce++
 	p := &wire.Propose{Nonce: w.lastNonce, By: "operator", VoterAdd: x.name, VoterRemove: x.name}
@@ -138,14 +142,15 @@
 			return
 		}
 		voters, _, _ := w.currentVoters()
-		if !slices.Contains(voters, x.index) || strings.Contains(reason, "still has the disk of its vote") { // another attempt was made before
+		// An earlier attempt has succeeded.
+		if !slices.Contains(voters, x.index) || strings.Contains(reason, "still has the disk of its vote") {
 			return
 		}
 		w.schedule(300*ms, func() { w.restoreVote(x) })
 	}})
 }
 
-// operatorRegionAction makes an operator change the roster, or who votes in a region.
+// operatorRegionAction makes an operator change the roster or the voters of a region.
 func (w *world) operatorRegionAction() {
 	w.lastNonce++
 	p := &wire.Propose{Nonce: w.lastNonce, By: "operator"}
--- a/internal/cluster/rollout/simulation/output.go
+++ b/internal/cluster/rollout/simulation/output.go
@@ -8,16 +8,17 @@
 )
 
 const (
-	// duplicateOneIn: one of so many messages is delivered twice.
+	// duplicateOneIn is the inverse of the fraction of messages that are delivered twice.
 	duplicateOneIn = 50
-	// maxUndelivered is how many messages a suspended node's socket buffers.
+	// maxUndelivered is the number of messages that are buffered for a suspended node.
 	maxUndelivered = 500
 )
 
-// perform does what a node wants done.
-func (w *world) perform(x *node) {
+// execute executes a node's output.
+func (w *world) execute(x *node) {
 	out := x.core.TakeOutput()
-	if x.diskFull && (out.Save != nil || out.Global.Save != nil) { // what can't be stored must not be sent: the node fails, until it is started again
+	// The node fails until it is restarted, since it must not send what it can't store.
+	if x.diskFull && (out.Save != nil || out.Global.Save != nil) {
 		w.kill(x, 300*ms+w.rng.Int64N(second))
 		return
 	}
@@ -52,7 +53,8 @@
 	w.scheduleWake(x)
 }
 
-// save writes to a part of the disk, and confirms it to the node some time later. A crash before loses the write.
+// save writes to one of the node's disks after a delay, and confirms it to the node. A crash before
+// that loses the write.
 func (w *world) save(x *node, target func() *disk, s *rollout.Save, confirm func(now int64) error) {
 	incarnation := x.incarnation
 	w.schedule(500+w.rng.Int64N(2000), func() {
@@ -68,10 +70,10 @@
 	})
 }
 
-// localDisk is where the data of the node's own agreement is stored.
+// localDisk returns the storage of the region's agreement, or the fleet's.
 func (d *disk) localDisk() *disk { return d }
 
-// globalDisk is where the global agreement's data is stored.
+// globalDisk returns the storage of the global agreement.
 func (d *disk) globalDisk() *disk {
 	if d.global == nil {
 		d.global = &disk{}
@@ -79,7 +81,8 @@
 	return d.global
 }
 
-// install stores a version that is in force, and checks that its number stands for one text.
+// install stores a version that is in force, and checks that all nodes have the same text under its
+// number.
 func (w *world) install(x *node, d *wire.Document) {
 	if hash, ok := w.hashes[d.Number]; ok && hash != string(d.Hash) {
 		w.violation(&w.result.Resurrected, "version %d stands for two texts", d.Number)
@@ -89,7 +92,7 @@
 	w.checkParts(d)
 }
 
-// validate validates and stages a proposal, and reports the result to the node some time later.
+// validate validates and stages a proposal after a delay, and reports the result to the node.
 func (w *world) validate(x *node, p *wire.Proposal) {
 	fault := ""
 	if w.RejectSome && len(p.Document.Text) > 0 && int(p.Document.Text[0]) == x.index+1 {
@@ -110,7 +113,8 @@
 	})
 }
 
-// whenRunning does something at a node, once it is not suspended. After a crash it is dropped.
+// whenRunning calls do for a node once it is not suspended. After a crash of the node it drops the
+// call.
 func (w *world) whenRunning(x *node, incarnation int, do func()) {
 	switch {
 	case x.incarnation != incarnation || !x.running:
@@ -118,11 +122,12 @@
 		w.schedule(10*ms, func() { w.whenRunning(x, incarnation, do) })
 	default:
 		do()
-		w.perform(x)
+		w.execute(x)
 	}
 }
 
-// send sends a message over the simulated network: it may be lost, late or duplicated. Answers to operators are handled at once.
+// send sends a message over the simulated network, which may lose, delay or duplicate it. Answers
+// to operators are handled at once.
 func (w *world) send(x *node, m *wire.Message) {
 	i, err := strconv.Atoi(strings.TrimPrefix(m.To, "n"))
 	if err != nil || i < 0 || i >= len(w.nodes) {
@@ -150,7 +155,7 @@
 	}
 }
 
-// drawDelay is how long a message takes.
+// drawDelay returns a random delay for a message.
 func (w *world) drawDelay(from, to *node) int64 {
 	delay := 200 + w.rng.Int64N(1800)
 	if w.extraDelay > 0 {
@@ -163,7 +168,7 @@
 	return delay
 }
 
-// deliver hands a message to a node. A suspended node gets it when it goes on.
+// deliver delivers a message to a node. Messages to a suspended node are buffered until it resumes.
 func (w *world) deliver(to *node, m *wire.Message) {
 	switch {
 	case !to.running:
@@ -173,6 +178,6 @@
 		}
 	default:
 		to.core.Receive(w.localTime(to), m)
-		w.perform(to)
+		w.execute(to)
 	}
 }
--- a/internal/cluster/rollout/simulation/proof_test.go
+++ b/internal/cluster/rollout/simulation/proof_test.go
@@ -13,7 +13,7 @@
 	"testing"
 )
 
-// standardRun is a run of five voters and twenty others, with faults at any step.
+// standardRun returns a run of five voters and twenty others, with faults at any step.
 func standardRun(seed uint64) Config {
 	return Config{
 		Seed: seed, Voters: 5, Others: 20, Faults: 10, FaultsEnd: 12 * second, Length: 20 * second, ProposeInterval: 900 * ms, QueryInterval: 20 * ms,
@@ -22,15 +22,15 @@
 	}
 }
 
-// largeRun is a run of 300 gatherers.
+// largeRun returns a run of 300 gatherers.
 func largeRun(seed uint64) Config {
 	return Config{
 		Seed: seed, Voters: 5, Others: 295, Faults: 12, FaultsEnd: 8 * second, Length: 16 * second, ProposeInterval: 1500 * ms, QueryInterval: 50 * ms, Loss: 0.01,
 	}
 }
 
-// playAll plays runs concurrently, and hands over their results one at a time.
-func playAll(t *testing.T, seeds int, of func(uint64) Config, take func(seed uint64, r Result)) {
+// runAll executes runs concurrently, and passes their results to take one at a time.
+func runAll(t *testing.T, seeds int, of func(uint64) Config, take func(seed uint64, r Result)) {
 	t.Helper()
 	var mu sync.Mutex
 	var wg sync.WaitGroup
@@ -53,9 +53,10 @@
 	wg.Wait()
 }
 
-// Over many seeds, with faults at every step: no query is admitted under a version after one was admitted under a later one, nothing that was
-// reported in force is lost, nothing is decided in two ways, and what is open is resolved when a majority is back. SAFFRONQUAY_SEEDS sets how many
-// seeds are played.
+// Over many seeds with faults at every step, no query is admitted under a version after one was
+// admitted under a later one, no version that was reported in force is lost, no proposal is both
+// committed and aborted, and open proposals are decided once a majority is back. SAFFRONQUAY_SEEDS
+// sets the number of seeds.
 func TestProof(t *testing.T) {
 	seeds, many := 1000, 20
 	if harness.RaceEnabled {
@@ -74,37 +75,37 @@
 		sum.VoterChanges, sum.RosterChanges, sum.DisksLost = sum.VoterChanges+r.VoterChanges, sum.RosterChanges+r.RosterChanges, sum.DisksLost+r.DisksLost
 		sum.Pauses = append(sum.Pauses, r.Pauses...)
 	}
-	playAll(t, seeds, standardRun, take)
-	playAll(t, many, largeRun, take)
+	runAll(t, seeds, standardRun, take)
+	runAll(t, many, largeRun, take)
 	slices.Sort(sum.Pauses)
 	p99 := int64(0)
 	if n := len(sum.Pauses); n > 0 {
 		p99 = sum.Pauses[n*99/100] / ms
 	}
 	if sum.InForce < seeds/2 || sum.Aborted == 0 || sum.VoterChanges < seeds/4 || sum.RosterChanges < seeds/4 || sum.DisksLost < seeds/50 {
-		t.Errorf("%d changes took hold, and %d did not: the runs show nothing", sum.InForce, sum.Aborted)
+		t.Errorf("%d changes committed, %d aborted: too few changes for the runs to be meaningful", sum.InForce, sum.Aborted)
 	}
 	t.Logf("proof: seeds=%d gatherers=25 changes=%d in_force=%d aborted=%d mixed=%d lost=%d resurrected=%d stuck=%d hold_p99_ms=%d "+
 		"(voters_changed=%d rosters_changed=%d voters_disks_lost=%d, %d seeds of 300 gatherers)", seeds+many,
 		sum.Changes, sum.InForce, sum.Aborted, sum.Mixed, sum.Lost, sum.Resurrected, sum.Stuck, p99, sum.VoterChanges, sum.RosterChanges, sum.DisksLost, many)
 }
 
-// Each seeded fault is caught by the same checks, within 1000 seeds.
-func TestSeededBugsAreCaught(t *testing.T) {
+// The checks detect each seeded bug within 1000 seeds.
+func TestRollout_SeededBugsDetected(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		from uint64 // the rarer ones are searched where they are known to show
+		from uint64 // first seed; rare bugs are searched where they are known to occur
 		bugs rollout.Bugs
 	}{
-		{"a new leader does not wait", 0, rollout.Bugs{SkipLeaseWait: true}},
-		{"ready before it is on disk", 0, rollout.Bugs{ReadyBeforeStaged: true}},
-		{"the lease is looked at on arrival", 0, rollout.Bugs{LeaseAtArrival: true}},
-		{"it serves before it asks", 0, rollout.Bugs{ServeBeforeContact: true}},
-		{"votes are forgotten", 290, rollout.Bugs{ForgetVote: true}},
-		{"an abort counts after a commit", 0, rollout.Bugs{AbortAfterCommit: true}},
-		{"it goes on by its own time-out", 0, rollout.Bugs{HolderTimeout: true}},
-		{"the lease counts from the grant", 370, rollout.Bugs{LeaseFromArrival: true}},
-		{"who keeps is waited out", 380, rollout.Bugs{IgnoreKeepFlag: true}},
+		{"new leader does not wait for leases", 0, rollout.Bugs{SkipLeaseWait: true}},
+		{"ready before staged", 0, rollout.Bugs{ReadyBeforeStaged: true}},
+		{"lease checked on arrival of the query", 0, rollout.Bugs{LeaseAtArrival: true}},
+		{"admits before contact with a leader", 0, rollout.Bugs{ServeBeforeContact: true}},
+		{"votes not stored", 290, rollout.Bugs{ForgetVote: true}},
+		{"abort after commit", 0, rollout.Bugs{AbortAfterCommit: true}},
+		{"pause ended by a local timeout", 0, rollout.Bugs{HolderTimeout: true}},
+		{"lease starts on arrival of the grant", 370, rollout.Bugs{LeaseFromArrival: true}},
+		{"keep flag ignored after the lease", 380, rollout.Bugs{IgnoreKeepFlag: true}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
@@ -117,24 +118,26 @@
 					return
 				}
 			}
-			t.Error("1000 seeds, and no violation")
+			t.Error("no violation in 1000 seeds")
 		})
 	}
 }
 
-// runRecovering plays a run. A panic of raft over a seeded fault is returned as an error.
+// runRecovering executes a run, and returns a panic of raft that a seeded bug causes as an error.
 func runRecovering(cfg Config) (r Result, err error) {
 	defer func() {
 		if x := recover(); x != nil {
-			err = fmt.Errorf("it gave up: %v", x)
+			err = fmt.Errorf("simulation: run panicked: %v", x)
 		}
 	}()
 	return Run(cfg)
 }
 
-// One of three voters is isolated while a version is put in force, and one of the two that committed it loses its disk: it and the isolated one make no
-// majority. When an operator has given it a vote of its own, changes go on.
-func TestLostDiskHasNoVote(t *testing.T) {
+// A voter that has lost its disk does not count towards a majority. One of three voters is isolated
+// while the others commit a version, and one of those then loses its disk: it must not form a
+// majority with the isolated one, which does not know the version. Once an operator has given it a
+// new vote, changes succeed again.
+func TestVoter_LostDiskHasNoVote(t *testing.T) {
 	for _, bug := range []bool{false, true} {
 		cfg := Config{Seed: 5, Voters: 3, Others: 3, FaultsEnd: 16 * second, Length: 26 * second, QueryInterval: 20 * ms, Bugs: rollout.Bugs{VoteByName: bug}}
 		cfg.script = func(w *world) {
@@ -154,19 +157,20 @@
 			w.schedule(3*second, func() { isolate(2, 6*second) })
 			change(3500*ms, 0, 0)
 			w.schedule(8900*ms, func() { w.loseDisk(w.nodes[1], 50*ms); isolate(0, 5*second) })
-			change(10*second, 0, 2) // with the fault, the voters that know of no version put another version 1 in force
+			change(10*second, 0, 2) // with the bug, the voters that know no version put a second version 1 in force
 			w.schedule(15*second, func() { w.restoreVote(w.nodes[1]) })
 			change(18*second, 1, 0)
 		}
 		r, err := runRecovering(cfg)
 		if bad := err != nil || r.HasViolations(); bad != bug || !bug && (r.InForce != 2 || r.VoterChanges != 1) {
-			t.Errorf("votes go by name: %t; %v %s; %+v", bug, err, r.FirstViolation, r)
+			t.Errorf("VoteByName=%t: %v %s; %+v", bug, err, r.FirstViolation, r)
 		}
 	}
 }
 
-// An isolated leader does not keep an operator waiting: it answers that the outcome is unknown, and the operator turns to the others.
-func TestCutOffLeaderSendsOn(t *testing.T) {
+// An isolated leader answers a proposal with an unknown outcome, so that the operator does not wait
+// for it but tries other voters.
+func TestLeader_IsolatedAnswersUnknown(t *testing.T) {
 	cfg := Config{Seed: 9, Voters: 3, Others: 1, FaultsEnd: 9 * second, Length: 14 * second, QueryInterval: 20 * ms}
 	var answers [4]int
 	cfg.script = func(w *world) {
@@ -187,6 +191,6 @@
 	}
 	r, err := Run(cfg)
 	if err != nil || r.HasViolations() || answers != [4]int{3: 1} {
-		t.Errorf("%v %s; answers by their end: %v", err, r.FirstViolation, answers)
+		t.Errorf("%v %s; number of answers by End: %v", err, r.FirstViolation, answers)
 	}
 }
--- a/internal/cluster/rollout/simulation/proposals.go
+++ b/internal/cluster/rollout/simulation/proposals.go
@@ -4,17 +4,18 @@
 	"saffronquay/internal/cluster/rollout/wire"
 )
 
-// What wire.Answer.End says of a proposal.
+// Values of wire.Answer.End.
 const (
 	endOpen    = 0
 	endInForce = 1
 	endUnknown = 3
 )
 
-// takenByAll is a first byte of a document that no node finds invalid.
-const takenByAll = 255
+// validForAll is the first byte of documents that no node finds invalid.
+const validForAll = 255
 
-// propose makes an operator propose a change of policy at some voter, and schedules the next one.
+// propose makes an operator propose a policy at a random initial voter, and schedules the next
+// proposal.
 func (w *world) propose() {
 	if w.now > epoch+w.FaultsEnd {
 		return
@@ -39,18 +40,20 @@
 	w.submit(p)
 }
 
-// newText is a document that differs from those of other proposals, and that all nodes find valid.
+// newText returns a document that differs from those of other proposals and that all nodes find
+// valid.
 func (w *world) newText() []byte {
-	return []byte{takenByAll, byte(w.lastNonce), byte(w.lastNonce >> 8)}
+	return []byte{validForAll, byte(w.lastNonce), byte(w.lastNonce >> 8)}
 }
 
-// submit makes a proposal, and polls for its end.
+// submit submits a proposal, and polls until its outcome is known.
 func (w *world) submit(p *proposal) {
 	w.proposals[p.request.Nonce] = p
 	w.poll(p)
 }
 
-// poll sends a proposal again and again, to the leader where that is known, until its end is known.
+// poll sends a proposal, and repeats it, to the leader if that is known, until its outcome is
+// known.
 func (w *world) poll(p *proposal) {
 	if p.resolved || w.now > epoch+w.Length-second {
 		return
@@ -62,7 +65,7 @@
 		return
 	}
 	answer := x.core.Propose(w.localTime(x), p.request)
-	w.perform(x)
+	w.execute(x)
 	if answer.End != endUnknown {
 		w.handleAnswer(answer)
 		return
@@ -74,7 +77,7 @@
 	}
 }
 
-// handleAnswer records the end of a proposal.
+// handleAnswer records the outcome of a proposal.
 func (w *world) handleAnswer(answer *wire.Answer) {
 	p := w.proposals[answer.Nonce]
 	if p == nil || p.resolved || answer.End == endOpen || answer.End == endUnknown {
@@ -92,7 +95,7 @@
 		if w.result.AbortReasons == nil {
 			w.result.AbortReasons = map[string]int{}
 		}
-		w.result.AbortReasons[numbers.ReplaceAllString(answer.Reason, "N")]++
+		w.result.AbortReasons[numberPattern.ReplaceAllString(answer.Reason, "N")]++
 		return
 	}
 	if w.hasRegions() {
@@ -102,5 +105,5 @@
 	if w.History {
 		w.result.Operations = append(w.result.Operations, Operation{Write: true, Number: answer.Number, Call: p.proposedAt, Return: w.now})
 	}
-	w.acknowledged = max(w.acknowledged, answer.Number) // in all regions at the end
+	w.acknowledged = max(w.acknowledged, answer.Number) // has to be in force in all regions at the end
 }
--- a/internal/cluster/rollout/simulation/queries.go
+++ b/internal/cluster/rollout/simulation/queries.go
@@ -4,10 +4,10 @@
 	"saffronquay/internal/cluster/rollout"
 )
 
-// recordEvery is the least time between two queries that the history keeps.
-const recordEvery = 40 * ms
+// recordInterval is the minimum interval between two queries in the recorded history.
+const recordInterval = 40 * ms
 
-// query is a query that arrives at a node, and schedules the next one.
+// query handles the arrival of a query at a node, and schedules the next one.
 func (w *world) query(x *node) {
 	w.schedule(w.QueryInterval/2+w.rng.Int64N(w.QueryInterval), func() { w.query(x) })
 	if !x.runs() {
@@ -28,13 +28,13 @@
 	w.checkAdmission(x)
 }
 
-// checkAdmission checks what a node would do with a query now.
+// checkAdmission checks the decision that a node would make on a query now, and tracks pauses.
 func (w *world) checkAdmission(x *node) {
 	if !x.runs() {
 		return
 	}
 	decision, number, _ := x.core.Admit(w.localTime(x))
-	if decision == rollout.Paused { // in doubt they are rejected
+	if decision == rollout.Paused { // InDoubt is a rejection
 		if x.pausedSince == 0 {
 			x.pausedSince = w.now
 		}
@@ -52,7 +52,8 @@
 	}
 }
 
-// recordAdmission checks an admitted query against those admitted before, and records some of them.
+// recordAdmission checks an admitted query against those admitted before, and records it in the
+// history if recordInterval has passed.
 func (w *world) recordAdmission(x *node, number uint64) {
 	w.result.Admitted++
 	if w.hasRegions() {
@@ -61,13 +62,13 @@
 		w.violation(&w.result.Mixed, "%s let a query in under version %d after one under %d", x.name, number, w.newest)
 	}
 	w.newest = max(w.newest, number)
-	if w.History && w.now-w.recordedAt >= recordEvery {
+	if w.History && w.now-w.recordedAt >= recordInterval {
 		w.recordedAt = w.now
 		w.result.Operations = append(w.result.Operations, Operation{Number: number, Call: w.now - 1, Return: w.now})
 	}
 }
 
-// exchangeQuotas tells each node the demand there, and reports all quotas to the run's observer.
+// exchangeQuotas sets the demand of each node, and passes all quotas to the configured observer.
 func (w *world) exchangeQuotas() {
 	w.schedule(quotaPeriod, w.exchangeQuotas)
 	for _, x := range w.nodes {
--- a/internal/cluster/rollout/simulation/region_checks.go
+++ b/internal/cluster/rollout/simulation/region_checks.go
@@ -8,7 +8,8 @@
 	"slices"
 )
 
-// checkRegionAdmission checks an admitted query against those admitted before, in its region and elsewhere.
+// checkRegionAdmission checks an admitted query against those admitted before in its region and in
+// others.
 func (w *world) checkRegionAdmission(x *node, number uint64) {
 	r, result := w.regions[x.region], &w.result.Regions
 	if number < r.newest {
@@ -24,7 +25,8 @@
 	r.newest = max(r.newest, number)
 }
 
-// checkParts checks the division of the budgets of a version: there is one, and its parts add up to at most the budget.
+// checkParts checks that a version has one division of the budgets, whose parts add up to at most
+// the budget.
 func (w *world) checkParts(d *wire.Document) {
 	if !w.hasRegions() {
 		return
@@ -41,7 +43,7 @@
 	w.versionParts[d.Number] = d.Parts
 }
 
-// checkRegionAnswer records what a proposer was told of its change.
+// checkRegionAnswer checks and records the regions that the answer to a proposer names.
 func (w *world) checkRegionAnswer(a *wire.Answer) {
 	result := &w.result.Regions
 	if named := len(a.InForce) + len(a.Apart); named != w.Regions {
@@ -59,7 +61,8 @@
 	}
 }
 
-// checkRegionsEnd sums up what was admitted, and checks that there is one version and nothing open.
+// checkRegionsEnd computes the fractions of admitted queries, and checks that all regions are
+// joined under one version at the end and no proposal is open.
 func (w *world) checkRegionsEnd() {
 	w.sumServed()
 	if w.IgnoreRegions {
@@ -76,7 +79,7 @@
 	}
 }
 
-// checkDecisions checks that no proposal is decided in two ways.
+// checkDecisions checks that no proposal is both committed and aborted.
 func (w *world) checkDecisions(outcomes map[uint64]bool, decisions []*wire.Decision) {
 	for _, d := range decisions {
 		if was, known := outcomes[d.Attempt]; known && was != d.Committed {
@@ -86,7 +89,8 @@
 	}
 }
 
-// sumServed sums up which fractions of the queries were admitted. There is at least one region.
+// sumServed computes the fractions of queries that were admitted. There has to be at least one
+// region.
 func (w *world) sumServed() {
 	result := &w.result.Regions
 	for window := range 2 {
@@ -106,8 +110,10 @@
 	}
 }
 
-// checkBudgets checks what the nodes that admit queries may use of a team's budget together: in a region its part under its version, in all regions
-// the sum of those parts. The contract is halved with each version that is a multiple of four, and doubled with the next one.
+// checkBudgets checks the sum of the quotas of all nodes that admit queries: in a region it is at
+// most the region's part under its version, over all regions at most the largest contract in force.
+// The contract is halved by each version whose number is a multiple of four, and restored by the
+// next one.
 func (w *world) checkBudgets() {
 	w.schedule(quotaPeriod, w.checkBudgets)
 	total, most, least := 0.0, 0.0, 1e9
@@ -132,7 +138,8 @@
 	}
 }
 
-// regionUse sums up the quotas of a region's nodes that admit queries, and returns the version that the last of them has; false: none admits.
+// regionUse returns the sum of the quotas of a region's nodes that admit queries, and the version
+// of the last of them; ok is false if none admits.
 func (w *world) regionUse(region int, team string) (used, number uint64, ok bool) {
 	for _, x := range w.nodes {
 		if !x.runs() || x.region != region {
@@ -156,7 +163,7 @@
 	}
 }
 
-// contract is a team's contract under a version.
+// contract returns a team's contract under a version.
 func contract(number uint64) float64 {
 	if number%4 == 0 {
 		return 50
@@ -164,7 +171,8 @@
 	return 100
 }
 
-// regionPart is a region's part of the budgets under a version, in millionths; before the first version, by the first roster.
+// regionPart returns a region's part of the budgets under a version, in parts per million. Before
+// the first version all regions have equal parts, by the initial roster.
 func (w *world) regionPart(number uint64, region string) uint32 {
 	for _, p := range w.versionParts[number] {
 		if p.Region == region {
--- a/internal/cluster/rollout/simulation/regions.go
+++ b/internal/cluster/rollout/simulation/regions.go
@@ -7,23 +7,23 @@
 	"saffronquay/internal/cluster/rollout/wire"
 )
 
-// region is what a run records of one region.
+// region is the record of one region.
 type region struct {
-	newest       uint64 // version that anything was admitted under
+	newest       uint64 // the newest version that a query was admitted under
 	acknowledged uint64 // the newest version that a proposer was told is in force here
-	leaseUntil   int64  // the end of the last lease that its leaders had of the global agreement
-	queries      [2]int // by window: before the first partition, and while it lasts
+	leaseUntil   int64  // the latest end of a lease that its leaders had from the global agreement
+	queries      [2]int // by window: before the first partition, and during it
 	admitted     [2]int // of those
 }
 
 const (
-	// maxRejoin is the time after a partition in which all nodes have to be under one version.
+	// maxRejoin is the time after a partition within which all nodes have to be under one version.
 	maxRejoin = 30 * second
-	// warmUp is the time at the beginning whose queries are not counted.
+	// warmUp is the time at the start of a run during which queries are not counted.
 	warmUp = 5 * second
 )
 
-// startRegions begins the record of regions, and schedules what happens to them.
+// startRegions initializes the records of the regions, and schedules their partitions and checks.
 func (w *world) startRegions() {
 	w.cutRegions, w.partTexts, w.versionParts, w.globalOutcomes = map[[2]int]int{}, map[uint64]string{}, map[uint64][]*wire.Part{}, map[uint64]bool{}
 	for range w.Regions {
@@ -41,10 +41,11 @@
 	}
 }
 
-// hasRegions reports that the agreement knows of regions.
+// hasRegions reports whether the agreement is configured with regions.
 func (w *world) hasRegions() bool { return w.Regions > 0 && !w.IgnoreRegions }
 
-// regionName is the name of a node's region; empty: the agreement knows of none.
+// regionName returns the name of a node's region, or "" if the agreement is configured without
+// regions.
 func (w *world) regionName(x *node) string {
 	if !w.hasRegions() {
 		return ""
@@ -63,7 +64,8 @@
 	w.flap(p, end)
 }
 
-// flap cuts the links for a period, or for the whole duration of a partition that does not flap, and goes on until its end.
+// flap cuts the links for one period, or for the complete duration of a partition that does not
+// flap, and schedules the next period until the partition ends.
 func (w *world) flap(p Partition, end int64) {
 	w.cutFirstRegion(p.OneWay, 1)
 	period := p.FlapPeriod
@@ -83,7 +85,8 @@
 	})
 }
 
-// cutFirstRegion counts cuts between the first region and each other place, the witness's too.
+// cutFirstRegion adds n to the number of cuts between the first region and each other one,
+// including the witness's.
 func (w *world) cutFirstRegion(oneWay, n int) {
 	for r := 1; r <= w.Regions; r++ {
 		if oneWay != towardsFirst {
@@ -95,7 +98,7 @@
 	}
 }
 
-// isPartitioned reports that messages are lost between regions.
+// isPartitioned reports whether messages between regions are lost now.
 func (w *world) isPartitioned() bool {
 	for _, n := range w.cutRegions {
 		if n > 0 {
@@ -105,8 +108,9 @@
 	return false
 }
 
-// proposeUntilJoined makes an operator propose a document that all nodes find valid, until one is in force everywhere: a node of a region that was
-// isolated may find invalid what is in force elsewhere, and then the region keeps its version.
+// proposeUntilJoined makes an operator propose documents that all nodes find valid, until one is in
+// force everywhere: a node of a region that was isolated may reject the version that is in force
+// elsewhere, and then the region keeps its own.
 func (w *world) proposeUntilJoined() {
 	if w.allJoined() || w.now > epoch+w.Length-4*second {
 		return
@@ -121,7 +125,7 @@
 // awaitRejoin records when all nodes are under one version again after a partition.
 func (w *world) awaitRejoin(since int64) {
 	if w.isPartitioned() || w.IgnoreRegions {
-		return // partitioned again before that: the next end counts
+		return // partitioned again: the end of the next partition counts
 	}
 	if w.allJoined() {
 		w.result.Regions.RejoinTimes = append(w.result.Regions.RejoinTimes, w.now-since)
@@ -134,7 +138,7 @@
 	w.schedule(20*ms, func() { w.awaitRejoin(since) })
 }
 
-// allJoined reports that all nodes that run are under one version, and all regions have a lease.
+// allJoined reports whether all running nodes are under one version and all regions have a lease.
 func (w *world) allJoined() bool {
 	number := uint64(math.MaxUint64)
 	for _, x := range w.nodes[:w.Voters+w.Others] {
@@ -156,7 +160,7 @@
 	return true
 }
 
-// countQuery counts a query that arrives at a node which runs, and whether it is admitted.
+// countQuery counts a query that arrives at a running node, and whether it is admitted.
 func (w *world) countQuery(x *node) {
 	window := w.measureWindow()
 	if window < 0 {
@@ -172,7 +176,8 @@
 	}
 }
 
-// countPausedQueries counts the queries that were paused and are admitted now. It also records the lease that a region's leader has.
+// countPausedQueries counts queries that were paused and are admitted now. At a region's leader it
+// also records the region's lease.
 func (w *world) countPausedQueries(x *node, decision rollout.Admission) {
 	if x.core.IsLeader() {
 		if status, ok := x.core.Region(w.localTime(x)); ok {
@@ -192,7 +197,8 @@
 	x.pausedQueries = 0
 }
 
-// measureWindow is 0 after the warm-up until the first partition, 1 while that lasts, and -1 otherwise.
+// measureWindow returns 0 after the warm-up until the first partition, 1 during that partition, and
+// -1 otherwise.
 func (w *world) measureWindow() int {
 	switch {
 	case w.partitionFrom == 0 && w.now >= epoch+warmUp:
@@ -203,7 +209,7 @@
 	return -1
 }
 
-// newestVersion is the newest version that any running node has.
+// newestVersion returns the newest version of any running node.
 func (w *world) newestVersion() (number uint64) {
 	for _, x := range w.nodes {
 		if x.running {
@@ -213,7 +219,8 @@
 	return number
 }
 
-// regionRosters are all nodes on the roster, as their own region has it; before a disk of the region has one, by the first roster.
+// regionRosters returns the names of all nodes that are on the newest roster of their own region,
+// or on the initial roster before a disk of the region has one.
 func (w *world) regionRosters() (on map[string]bool) {
 	on = map[string]bool{}
 	for r := range w.Regions {
--- a/internal/cluster/rollout/simulation/regions_cases_test.go
+++ b/internal/cluster/rollout/simulation/regions_cases_test.go
@@ -8,7 +8,8 @@
 	"testing"
 )
 
-// twoRegions is a run of 24 gatherers in two regions with no faults but those of a script; most global voters are in the first one.
+// twoRegions returns a run of 24 gatherers in two regions, without faults other than those of the
+// script. The first region has the majority of the global voters.
 func twoRegions(seed uint64, script func(*world)) Config {
 	return Config{
 		Seed: seed, Regions: 2, Voters: 10, Others: 14, GlobalVoters: 5, RegionDelay: 60 * ms, FaultsEnd: 42 * second, Length: 48 * second,
@@ -17,7 +18,8 @@
 	}
 }
 
-// seedCount is how many seeds a case has; under the race detector one, since there are many cases.
+// seedCount returns the number of seeds of a case: n, or 1 under the race detector, which makes the
+// many cases too slow.
 func seedCount(n uint64) uint64 {
 	if harness.RaceEnabled {
 		return 1
@@ -25,17 +27,18 @@
 	return n
 }
 
-// whenever does something as soon as a condition holds, from a time on.
-func (w *world) whenever(from int64, condition func() bool, do func()) {
-	var look func()
-	look = func() {
+// onceTrue calls do as soon as the condition is true, but not before the given time. It polls every
+// 0.25 ms.
+func (w *world) onceTrue(from int64, condition func() bool, do func()) {
+	var poll func()
+	poll = func() {
 		if condition() {
 			do()
 			return
 		}
-		w.schedule(ms/4, look)
+		w.schedule(ms/4, poll)
 	}
-	w.schedule(from, look)
+	w.schedule(from, poll)
 }
 
 func (w *world) globalLeader() *node {
@@ -47,7 +50,7 @@
 	return nil
 }
 
-// regionPauses reports that a node of a region pauses queries.
+// regionPauses reports whether any node of a region pauses queries.
 func (w *world) regionPauses(region int) bool {
 	for _, x := range w.nodes {
 		if x.running && x.region == region && x.core.IsPaused() {
@@ -57,7 +60,7 @@
 	return false
 }
 
-// regionLeader is a region's leader; nil: none is known.
+// regionLeader returns a region's leader, or nil if there is none.
 func (w *world) regionLeader(region int) *node {
 	for _, x := range w.nodes {
 		if x.running && x.region == region && x.core.IsLeader() {
@@ -67,35 +70,38 @@
 	return nil
 }
 
-// regionGrantsMatch reports that all of the global leader's records of regions match, while a proposal is open, or while none is.
-func (w *world) regionGrantsMatch(open bool, such func(attempt uint64, g rollout.Grant) bool) bool {
+// regionGrantsMatch reports whether the global leader has an open proposal, or none, as given by
+// open, and all its records of regions match.
+func (w *world) regionGrantsMatch(open bool, match func(attempt uint64, g rollout.Grant) bool) bool {
 	x := w.globalLeader()
 	if x == nil || open != (x.core.GlobalOpenAttempt() != 0) {
 		return false
 	}
 	for _, g := range x.core.GlobalGrants() {
-		if !such(x.core.GlobalOpenAttempt(), g) {
+		if !match(x.core.GlobalOpenAttempt(), g) {
 			return false
 		}
 	}
 	return true
 }
 
-// checkPartitionedRun checks a run with a partition: both regions admit as before, and one version is in force soon afterwards.
+// checkPartitionedRun executes a run with a partition, and checks that both regions admit queries
+// as before, and that one version is in force within 7 s after the partition.
 func checkPartitionedRun(t *testing.T, what string, cfg Config) Result {
 	t.Helper()
 	r, err := Run(cfg)
 	x := r.Regions
 	if err != nil || r.HasViolations() || x.ServedLeast[1] < 0.99*x.ServedLeast[0] || len(x.RejoinTimes) == 0 || x.RejoinTimes[len(x.RejoinTimes)-1] > 7*second {
-		t.Errorf("%s, seed %d: %v %s; admitted %.4f, and %.4f while partitioned; joined again after %v us; %d everywhere, %d in some regions; %v", what, cfg.Seed, err, r.FirstViolation, x.ServedLeast[0], x.ServedLeast[1], x.RejoinTimes,
+		t.Errorf("%s, seed %d: %v %s; admitted %.4f before and %.4f during the partition; rejoined after %v us; changes in force in all regions %d, in some %d; abort reasons %v", what, cfg.Seed, err, r.FirstViolation, x.ServedLeast[0], x.ServedLeast[1], x.RejoinTimes,
 			x.InForceEverywhere, x.InForcePartly, r.AbortReasons)
 	}
 	return r
 }
 
-// The regions are partitioned in the middle of a validation, of a pause, and of a commit, both ways or one way. The region without the global majority
-// keeps its version as long as it receives nothing, and its gatherers report that; the other one goes on changing.
-func TestCutInTheMiddle(t *testing.T) {
+// The regions are partitioned, both ways or one way, during validation, a pause, and a commit. The
+// region without the global majority keeps its version as long as it receives nothing, and its
+// gatherers report that; the other region continues to change versions.
+func TestRegions_PartitionDuringChange(t *testing.T) {
 	moments := map[string]func(w *world) bool{
 		"validating": func(w *world) bool {
 			return w.regionGrantsMatch(true, func(attempt uint64, g rollout.Grant) bool { return g.Ready != attempt })
@@ -114,7 +120,7 @@
 	}
 	for name, moment := range moments {
 		if harness.RaceEnabled && name != "pausing" && name != "committed" {
-			continue // the others are played without the race detector
+			continue // the others run without the race detector only
 		}
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -122,7 +128,7 @@
 				oneWay := int(seed % 3)
 				var unchanged, reported bool
 				cfg := twoRegions(seed, func(w *world) {
-					w.whenever(14*second, func() bool { return moment(w) }, func() {
+					w.onceTrue(14*second, func() bool { return moment(w) }, func() {
 						w.partitionRegions(Partition{Duration: 16 * second, OneWay: oneWay})
 						w.schedule(4*second, func() {
 							was := w.nodes[1].core.Number()
@@ -135,29 +141,29 @@
 					})
 				})
 				if r := checkPartitionedRun(t, name, cfg); oneWay != 2 && (!unchanged || !reported) || r.Regions.InForcePartly == 0 {
-					t.Errorf("seed %d: the version is unchanged: %t, reported: %t; %d changes in one region", seed, unchanged, reported, r.Regions.InForcePartly)
+					t.Errorf("seed %d: isolated region kept its version: %t, reported its isolation: %t; %d changes in force in one region only", seed, unchanged, reported, r.Regions.InForcePartly)
 				}
 			}
 		})
 	}
 }
 
-// The link between the regions comes and goes every second.
-func TestFlapping(t *testing.T) {
+// The link between the regions is cut and restored every second.
+func TestRegions_FlappingPartition(t *testing.T) {
 	for seed := range seedCount(4) {
 		r := checkPartitionedRun(t, "flapping", twoRegions(seed, func(w *world) {
 			w.schedule(14*second, func() { w.partitionRegions(Partition{Duration: 20 * second, FlapPeriod: second}) })
 		}))
 		if r.Regions.InForceEverywhere == 0 {
-			t.Errorf("seed %d: no change is in force everywhere", seed)
+			t.Errorf("seed %d: no change is in force in all regions", seed)
 		}
 	}
 }
 
-// While the regions are partitioned the leader of each dies, and so does the next one.
-func TestLeaderDiesWhileCutOff(t *testing.T) {
+// While the regions are partitioned, the leader of each region is killed, and later its successor.
+func TestRegions_LeadersKilledDuringPartition(t *testing.T) {
 	for seed := range seedCount(4) {
-		checkPartitionedRun(t, "a leader dies", twoRegions(seed, func(w *world) {
+		checkPartitionedRun(t, "leaders killed", twoRegions(seed, func(w *world) {
 			w.schedule(14*second, func() { w.partitionRegions(Partition{Duration: 18 * second}) })
 			for _, at := range []int64{17 * second, 22 * second} {
 				w.schedule(at, func() {
@@ -172,27 +178,28 @@
 	}
 }
 
-// The leader of a region dies while the region is prepared: the next one finds that in the log, and does not release the region before the global
-// agreement's decision is known, or the lease of the leader before is over.
-func TestLeaderDiesPrepared(t *testing.T) {
+// The leader of a region is killed while the region is prepared. Its successor finds that in the
+// log, and does not end the pause before the global agreement's decision is known or the lease of
+// the previous leader has expired.
+func TestRegions_LeaderKilledWhilePrepared(t *testing.T) {
 	for seed := range seedCount(6) {
 		r, err := Run(twoRegions(seed, func(w *world) {
 			for at := 10 * second; at < 34*second; at += 6 * second {
-				w.whenever(at, func() bool {
+				w.onceTrue(at, func() bool {
 					return w.regionGrantsMatch(true, func(attempt uint64, g rollout.Grant) bool { return g.Name != "r1" || g.Paused == attempt })
 				}, func() { w.kill(w.regionLeader(1), 2*second) })
 			}
 		}))
 		if err != nil || r.HasViolations() || r.InForce < 6 {
-			t.Errorf("seed %d: %v %s; %d in force; %v", seed, err, r.FirstViolation, r.InForce, r.AbortReasons)
+			t.Errorf("seed %d: %v %s; %d changes in force, want at least 6; abort reasons %v", seed, err, r.FirstViolation, r.InForce, r.AbortReasons)
 		}
 	}
 }
 
-// The region with the global majority is lost as a whole, and comes back.
-func TestMajoritysRegionIsLost(t *testing.T) {
+// All nodes of the region with the global majority are killed, and restarted.
+func TestRegions_MajorityRegionLost(t *testing.T) {
 	for seed := range seedCount(4) {
-		r := checkPartitionedRun(t, "the majority's region is lost", twoRegions(seed, func(w *world) {
+		r := checkPartitionedRun(t, "majority region lost", twoRegions(seed, func(w *world) {
 			w.schedule(14*second, func() {
 				w.partitionFrom, w.partitionUntil = w.now, w.now+14*second
 				for _, x := range w.nodes {
@@ -204,13 +211,14 @@
 			})
 		}))
 		if r.Regions.InForceEverywhere < 5 {
-			t.Errorf("seed %d: %d changes took hold", seed, r.Regions.InForceEverywhere)
+			t.Errorf("seed %d: %d changes in force in all regions, want at least 5", seed, r.Regions.InForceEverywhere)
 		}
 	}
 }
 
-// A gatherer and a voter of the isolated region are started again: they get a lease of their region's leader, and admit under its version.
-func TestRestartWhileCutOff(t *testing.T) {
+// A gatherer and a voter of the isolated region are restarted: they get leases from their region's
+// leader, and admit queries under its version.
+func TestRegions_RestartDuringPartition(t *testing.T) {
 	for seed := range seedCount(4) {
 		admitting := 0
 		checkPartitionedRun(t, "restarts", twoRegions(seed, func(w *world) {
@@ -225,20 +233,21 @@
 			}
 		}))
 		if admitting != 2 {
-			t.Errorf("seed %d: %d of two admit again", seed, admitting)
+			t.Errorf("seed %d: %d of two restarted nodes admit queries", seed, admitting)
 		}
 	}
 }
 
-// The roster changes while the regions are partitioned: immediately in the one with the majority, in the other one when they are joined. What one region
-// gives up of the budgets the other one gets only a version later.
-func TestRosterChangesWhileCutOff(t *testing.T) {
+// The roster changes while the regions are partitioned: the region with the majority applies it
+// immediately, the other one after it has rejoined. The part of the budgets that one region gives
+// up is given to the other one only with the next version.
+func TestRegions_RosterChangeDuringPartition(t *testing.T) {
 	for seed := range seedCount(4) {
 		var meanwhile, after [3]bool
 		var parts string
 		checkPartitionedRun(t, "roster", twoRegions(seed, func(w *world) {
 			admit := func() (all [3]bool) {
-				for i, at := range []int{24, 25, 11} { // two spares, and one that is taken off
+				for i, at := range []int{24, 25, 11} { // two spares that are added, and a member that is removed
 					v, _, _ := w.nodes[at].core.Admit(w.localTime(w.nodes[at]))
 					all[i] = v == rollout.Admitted
 				}
@@ -261,33 +270,35 @@
 			})
 		}))
 		if meanwhile != [3]bool{true, false, true} || after != [3]bool{true, true, false} || parts != "parts r0=541666 r1=458333" {
-			t.Errorf("seed %d: admitted while partitioned %v, and joined %v; %s", seed, meanwhile, after, parts)
+			t.Errorf("seed %d: admitting during the partition %v, after it %v; %s", seed, meanwhile, after, parts)
 		}
 	}
 }
 
-// A contract is halved, and the regions are partitioned right then: the isolated one goes on with its part of the full contract.
-func TestCutRightAfterAContractWasHalved(t *testing.T) {
+// The regions are partitioned immediately after the commit of a version with a halved contract: the
+// isolated region keeps its part of the full contract.
+func TestRegions_PartitionAfterContractHalved(t *testing.T) {
 	for seed := range seedCount(4) {
-		r := checkPartitionedRun(t, "halved", twoRegions(seed, func(w *world) {
-			w.whenever(10*second, func() bool {
+		r := checkPartitionedRun(t, "contract halved", twoRegions(seed, func(w *world) {
+			w.onceTrue(10*second, func() bool {
 				return w.regionPauses(1) && contract(w.newestVersion()) == 50 && w.regionGrantsMatch(false, func(uint64, rollout.Grant) bool { return true })
 			}, func() { w.partitionRegions(Partition{Duration: 16 * second}) })
 		}))
 		if r.Regions.ContractsDiffered < 20 || r.Regions.MostUsed["r1"] < 0.9 {
-			t.Errorf("seed %d: the contracts differed %d times, and r1 used %.2f of its part", seed, r.Regions.ContractsDiffered, r.Regions.MostUsed["r1"])
+			t.Errorf("seed %d: contracts differed %d times, want at least 20; r1 used at most %.2f of its part, want 0.9", seed, r.Regions.ContractsDiffered, r.Regions.MostUsed["r1"])
 		}
 	}
 }
 
-// A third place has one global voter and nothing else: whichever region it still reaches goes on changing, and it never admits a query.
-func TestWitness(t *testing.T) {
+// A third region has one global voter and nothing else (witness). During a partition versions still
+// change in a region that it reaches, and it never admits a query.
+func TestRegions_WitnessDuringPartition(t *testing.T) {
 	cfg := twoRegions(1, func(w *world) {
 		w.schedule(14*second, func() { w.partitionRegions(Partition{Duration: 16 * second}) })
 	})
 	cfg.Witness = true
 	r := checkPartitionedRun(t, "witness", cfg)
 	if r.Regions.InForcePartly == 0 {
-		t.Errorf("no change is in force while the regions are partitioned: %v", r.AbortReasons)
+		t.Errorf("no change was put in force during the partition; abort reasons %v", r.AbortReasons)
 	}
 }
--- a/internal/cluster/rollout/simulation/schedule.go
+++ b/internal/cluster/rollout/simulation/schedule.go
@@ -2,16 +2,16 @@
 
 import "container/heap"
 
-// task is something that happens at a time: a function, or the wake-up of a node.
+// task is a scheduled function call or wake-up of a node.
 type task struct {
 	at         int64
-	seq        int // of two at one time the one that was scheduled first
+	seq        int // order of scheduling, which breaks ties
 	run        func()
-	generation int // a wake-up of an earlier generation than the node's is void
+	generation int // a wake-up of an earlier generation than the node's is ignored
 	wake       *node
 }
 
-// taskQueue is a heap of tasks, the next one first.
+// taskQueue is a heap of tasks ordered by time.
 type taskQueue []task
 
 func (q taskQueue) Len() int { return len(q) }
@@ -22,14 +22,14 @@
 
 func (q taskQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 
-// Push adds a task; the heap calls it.
+// Push implements heap.Interface.
 func (q *taskQueue) Push(x any) {
 	if t, ok := x.(task); ok {
 		*q = append(*q, t)
 	}
 }
 
-// Pop removes the last task; the heap calls it.
+// Pop implements heap.Interface.
 func (q *taskQueue) Pop() any {
 	old := *q
 	last := old[len(old)-1]
@@ -37,13 +37,14 @@
 	return last
 }
 
-// schedule runs something after a time.
+// schedule schedules a call of run after the given time.
 func (w *world) schedule(after int64, run func()) {
 	w.taskSeq++
 	heap.Push(&w.tasks, task{at: w.now + max(after, 0), seq: w.taskSeq, run: run})
 }
 
-// scheduleWake wakes a node when its next tick is due, unless an earlier wake-up is scheduled.
+// scheduleWake schedules a wake-up of a node for its next tick, unless an earlier wake-up is
+// scheduled.
 func (w *world) scheduleWake(x *node) {
 	next := w.worldTime(x, x.core.NextTick())
 	if x.wakeAt != 0 && next >= x.wakeAt {
@@ -54,8 +55,8 @@
 	heap.Push(&w.tasks, task{at: max(next, w.now+1), seq: w.taskSeq, wake: x, generation: x.wakeGeneration})
 }
 
-// play runs all tasks until an end.
-func (w *world) play(end int64) {
+// runUntil runs all tasks that are due until end.
+func (w *world) runUntil(end int64) {
 	for len(w.tasks) > 0 && w.tasks[0].at <= end {
 		t, ok := heap.Pop(&w.tasks).(task)
 		if !ok {
@@ -67,17 +68,17 @@
 		} else if x.runs() && t.generation == x.wakeGeneration {
 			x.wakeAt = 0
 			x.core.Tick(w.localTime(x))
-			w.perform(x)
+			w.execute(x)
 		}
 	}
 }
 
-// localTime is the time by a node's own clock.
+// localTime returns the time of a node's own clock.
 func (w *world) localTime(x *node) int64 {
 	return x.clockOffset + int64(float64(w.now-epoch)*x.clockRate) + second
 }
 
-// worldTime is the virtual time at which a node's own clock shows a time.
+// worldTime returns the virtual time at which a node's own clock shows the given time.
 func (w *world) worldTime(x *node, at int64) int64 {
 	return epoch + int64(float64(at-second-x.clockOffset)/x.clockRate) + 1
 }
--- a/internal/cluster/rollout/simulation/world.go
+++ b/internal/cluster/rollout/simulation/world.go
@@ -13,7 +13,7 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 )
 
-// node is one gatherer: its process, clock and disk.
+// node is a simulated gatherer: its process, clock and disk.
 type node struct {
 	index          int
 	name           string
@@ -22,32 +22,32 @@
 	incarnation    int
 	running        bool
 	suspended      bool
-	undelivered    []*wire.Message // that came while it was suspended
+	undelivered    []*wire.Message // arrived while it was suspended
 	disk           disk
 	clockRate      float64
 	clockOffset    int64
 	wakeAt         int64 // 0: no wake-up is scheduled
 	wakeGeneration int
 	pausedSince    int64  // 0: queries are not paused
-	pausedQueries  int    // that wait
+	pausedQueries  int    // number of waiting queries
 	readyAttempt   uint64 // the newest proposal that it reported itself ready for
 	diskFull       bool
-	extraDelay     int64 // what is sent to it comes so much later
+	extraDelay     int64 // additional delay of messages to it
 }
 
-// runs reports that a node's process handles messages and queries now.
+// runs reports whether a node's process handles messages and queries now.
 func (x *node) runs() bool { return x.running && !x.suspended }
 
-// proposal is an operator's request, until its end is known.
+// proposal is an operator's request, which is repeated until its outcome is known.
 type proposal struct {
 	request    *wire.Propose
 	proposedAt int64
-	target     int // the node that is asked next
+	target     int // the node that the request is sent to next
 	resolved   bool
-	onEnd      func(made bool, reason string) // of a change of roster or voters; nil: it is a change of policy
+	onEnd      func(made bool, reason string) // of a roster or voter change; nil: a change of policy
 }
 
-// world is a run while it is played.
+// world is the state of a run.
 type world struct {
 	Config
 	rng     *rand.Rand
@@ -57,28 +57,28 @@
 	nodes   []*node
 	result  Result
 
-	cutLinks   map[[2]int]int // how often a link is cut, by sender and receiver
-	extraDelay int64          // messages are up to so much later
+	cutLinks   map[[2]int]int // number of current cuts of a link, by sender and receiver
+	extraDelay int64          // maximum additional delay of messages
 	loss       float64
 
-	newest       uint64 // version that anything was admitted under
+	newest       uint64 // the newest version that a query was admitted under
 	hashes       map[uint64]string
 	outcomes     map[uint64]bool // by attempt: whether it was committed
 	proposals    map[uint64]*proposal
 	lastNonce    uint64
 	acknowledged uint64 // the newest version that a proposer was told is in force
-	recordedAt   int64  // when a query was kept in the history last
+	recordedAt   int64  // when a query was last recorded in the history
 
 	regions        []*region
 	partTexts      map[uint64]string // the division of the budgets by version, as text
 	versionParts   map[uint64][]*wire.Part
 	globalOutcomes map[uint64]bool // by attempt: whether it was committed
-	partitionFrom  int64           // of the first partition; 0: there was none yet
+	partitionFrom  int64           // start of the first partition; 0: none yet
 	partitionUntil int64
-	cutRegions     map[[2]int]int // how often regions are partitioned, by sender and receiver
+	cutRegions     map[[2]int]int // number of current cuts between regions, by sender and receiver
 }
 
-// Run plays a run.
+// Run executes a run. It fails if a node can't be started at the beginning.
 func Run(cfg Config) (Result, error) {
 	w := &world{
 		Config: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, runSeedStream)), now: epoch, cutLinks: map[[2]int]int{}, hashes: map[uint64]string{},
@@ -95,12 +95,12 @@
 	if cfg.script != nil {
 		cfg.script(w)
 	}
-	w.play(epoch + cfg.Length)
+	w.runUntil(epoch + cfg.Length)
 	w.checkEnd()
 	return w.result, nil
 }
 
-// makeNodes makes all nodes, the regions and the witness.
+// makeNodes creates all nodes, the regions and the witness.
 func (w *world) makeNodes() {
 	total := w.Voters + w.Others + w.Spares
 	for i := range total {
@@ -115,7 +115,8 @@
 	}
 }
 
-// scheduleFaults schedules random faults, operators' changes, proposals, the end of all faults and the nodes that go down for good.
+// scheduleFaults schedules random faults, roster and voter changes, proposals, the end of all
+// faults and the nodes that are killed for good.
 func (w *world) scheduleFaults() {
 	for range w.Faults {
 		w.schedule(w.rng.Int64N(w.FaultsEnd*8/10), w.injectFault)
@@ -134,20 +135,20 @@
 	})
 }
 
-// scheduleLoad schedules queries, the configured events and the looks at quotas.
+// scheduleLoad schedules queries, the configured events and the updates of demand and quotas.
 func (w *world) scheduleLoad() {
 	for _, x := range w.nodes {
 		w.schedule(w.rng.Int64N(w.QueryInterval), func() { w.query(x) })
 	}
 	for _, e := range w.Events {
-		w.schedule(e.At, func() { w.perturb(e) })
+		w.schedule(e.At, func() { w.applyEvent(e) })
 	}
 	if w.DivideBudgets {
 		w.schedule(quotaPeriod, w.exchangeQuotas)
 	}
 }
 
-// start starts a node from what its disk has.
+// start starts a node from its disk.
 func (w *world) start(x *node) error {
 	x.incarnation++
 	if x.disk.identity == 0 {
@@ -169,11 +170,11 @@
 	}
 	x.core, x.running, x.suspended, x.undelivered = core, true, false, nil
 	x.wakeAt, x.pausedSince, x.pausedQueries = 0, 0, 0
-	w.perform(x)
+	w.execute(x)
 	return nil
 }
 
-// nodeConfig is a node's configuration.
+// nodeConfig returns a node's configuration.
 func (w *world) nodeConfig(x *node) rollout.Config {
 	first := w.nodes[:w.Voters+w.Others]
 	cfg := rollout.Config{
@@ -193,12 +194,12 @@
 	return cfg
 }
 
-// nodeIndex is the index of a node by its name; -1: there is none.
+// nodeIndex returns the index of the named node, or -1.
 func (w *world) nodeIndex(name string) int {
 	return slices.IndexFunc(w.nodes, func(x *node) bool { return x.name == name })
 }
 
-// findMember returns a member of a list; nil: it is not on it.
+// findMember returns the named member of a list, or nil.
 func findMember(members []*wire.Member, name string) *wire.Member {
 	for _, m := range members {
 		if m.Name == name {
@@ -208,10 +209,10 @@
 	return nil
 }
 
-// disk is what a node has on disk.
+// disk is the stored state of a node.
 type disk struct {
 	identity        uint64
-	id              uint64 // of the voter; 0: none
+	id              uint64 // of the voter; 0: no voter has used it
 	voterIdentities map[string]uint64
 	roster          *wire.State
 	current         *wire.Document
@@ -219,10 +220,10 @@
 	hardState       *pb.HardState
 	entries         []*pb.Entry
 	snapshot        *pb.Snapshot
-	global          *disk // what is kept of the global agreement
+	global          *disk // of the global agreement
 }
 
-// persistentState is what a node finds on its disk when it starts.
+// persistentState returns the stored state that a node starts from.
 func (d *disk) persistentState() rollout.PersistentState {
 	state := rollout.PersistentState{
 		Identity: d.identity, VoterIdentities: d.voterIdentities, Members: d.roster.GetMembers(), MembersIndex: d.roster.GetMembersIndex(),
@@ -238,7 +239,7 @@
 	return rollout.Disk{ID: d.id, HardState: d.hardState, Entries: slices.Clone(d.entries), Snapshot: d.snapshot}
 }
 
-// write stores what a voter wants saved. What lies there of another voter is dropped.
+// write stores a voter's save. Stored data of another voter id is deleted.
 func (d *disk) write(s *rollout.Save) {
 	if s.VoterIdentities != nil {
 		d.voterIdentities = s.VoterIdentities
@@ -261,7 +262,7 @@
 	}
 }
 
-// compact stores a snapshot in the place of the log up to it.
+// compact replaces the stored log up to a snapshot's index by the snapshot.
 func (d *disk) compact(s *pb.Snapshot) {
 	d.snapshot = s
 	d.entries = slices.DeleteFunc(slices.Clone(d.entries), func(e *pb.Entry) bool { return e.GetIndex() <= s.Metadata.GetIndex() })
