--- a/internal/cluster/rollout/simulation/regions_proof_test.go
+++ b/internal/cluster/rollout/simulation/regions_proof_test.go
@@ -145,7 +145,7 @@
 		Partitions: []Partition{{At: 20 * second, Duration: 60 * second}},
 	})
 	b := before.Regions
-	t.Logf("baseline: today's agreement, gatherers=60 voters=5 cut_s=60 served_of_all=%.3f cut_served=%.3f in_force=%d aborted=%d",
+	t.Logf("baseline: agreement without regions, gatherers=60 voters=5 cut_s=60 served_of_all=%.3f cut_served=%.3f in_force=%d aborted=%d",
 		b.ServedAll[1]/b.ServedAll[0], b.ServedLeast[1]/b.ServedLeast[0], before.InForce, before.Aborted)
 	if b.ServedAll[1] > 0.9 {
 		t.Errorf("without regions the agreement admits %.3f of all queries during a partition, want at most 0.9 for the baseline", b.ServedAll[1])
