--- a/internal/broker/transport/admin.go
+++ b/internal/broker/transport/admin.go
@@ -12,14 +12,15 @@
 )
 
 const (
-	// AdminSockets is how many descriptors the admin endpoint needs at most, its listener included.
+	// AdminSockets is the maximum number of descriptors of the admin endpoint, its listener
+	// included.
 	AdminSockets     = 16
-	adminCallTimeout = 3 * time.Second        // for a call to come in
-	adminLinger      = 500 * time.Millisecond // read on after the answer: a reset would destroy it
-	adminLingerBytes = 4 << 10                // of what is read on
+	adminCallTimeout = 3 * time.Second        // for a call to arrive completely
+	adminLinger      = 500 * time.Millisecond // for reading on after the answer: a reset would destroy the answer
+	adminLingerBytes = 4 << 10                // at most this many bytes are read on
 )
 
-// AdminListener serves the admin endpoint on a listener of its own. Its methods may be called from any goroutine.
+// AdminListener serves the admin endpoint on a listener of its own. It is safe for concurrent use.
 type AdminListener struct {
 	socket  net.Listener
 	handler adminapi.Program
@@ -28,15 +29,16 @@
 
 	mu     sync.Mutex
 	closed bool
-	calls  []net.Conn // open connections, the oldest first
+	conns  []net.Conn // open connections, oldest first
 }
 
-// NewAdminListener makes an admin listener on an open socket; Serve runs it, Close ends it and closes the socket.
+// NewAdminListener returns an admin listener on an open socket, which it takes ownership of. Serve
+// runs it; Close stops it and closes the socket.
 func NewAdminListener(l net.Listener, d adminapi.Program, logger *slog.Logger) *AdminListener {
 	return &AdminListener{socket: l, handler: d, log: logger}
 }
 
-// Serve accepts callers until Close.
+// Serve accepts connections until Close is called.
 func (d *AdminListener) Serve() {
 	for {
 		conn, err := d.socket.Accept()
@@ -52,8 +54,8 @@
 	}
 }
 
-// admit serves a connection. Where all descriptors are in use the oldest connection is closed first: guards against callers that
-// connect, send nothing and stay.
+// admit starts to serve a connection. If all descriptors are in use, it closes the oldest
+// connection first, so that callers that connect and send nothing cannot block the endpoint.
 func (d *AdminListener) admit(conn net.Conn) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -61,11 +63,11 @@
 		conn.Close()
 		return
 	}
-	if len(d.calls) >= AdminSockets-1 {
-		d.calls[0].Close()
-		d.calls = d.calls[1:]
+	if len(d.conns) >= AdminSockets-1 {
+		d.conns[0].Close()
+		d.conns = d.conns[1:]
 	}
-	d.calls = append(d.calls, conn)
+	d.conns = append(d.conns, conn)
 	d.wg.Add(1)
 	go d.serve(conn)
 }
@@ -73,8 +75,8 @@
 func (d *AdminListener) serve(conn net.Conn) {
 	defer d.wg.Done()
 	defer d.forget(conn)
-	defer panicguard.Contain(func(p *panicguard.PanicError) { // the caller sees a closed connection, which says that its call has no answer
-		logging.Error(d.log, logging.Panic, "where", "call of an operator", "error", p.Error(), "stack", string(p.Stack))
+	defer panicguard.Contain(func(p *panicguard.PanicError) { // the closed connection tells the caller that its call was not answered
+		logging.Error(d.log, logging.Panic, "where", "admin call", "error", p.Error(), "stack", string(p.Stack))
 	})
 	setDeadline(conn, time.Now().Add(adminCallTimeout))
 	var call adminapi.Call
@@ -95,7 +97,7 @@
 func (d *AdminListener) answer(conn net.Conn, answer []byte) {
 	setDeadline(conn, time.Now().Add(writeTimeout))
 	if _, err := conn.Write(answer); err != nil {
-		return // the caller has left
+		return // the caller has disconnected
 	}
 	if half, ok := conn.(interface{ CloseWrite() error }); !ok || half.CloseWrite() != nil {
 		return
@@ -115,20 +117,20 @@
 	conn.Close()
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for i, c := range d.calls {
+	for i, c := range d.conns {
 		if c == conn {
-			d.calls = append(d.calls[:i:i], d.calls[i+1:]...)
+			d.conns = append(d.conns[:i:i], d.conns[i+1:]...)
 			return
 		}
 	}
 }
 
-// Close closes the socket and all open calls, and waits until they have ended.
+// Close closes the socket and all open connections, and waits for their goroutines.
 func (d *AdminListener) Close() {
 	d.socket.Close()
 	d.mu.Lock()
 	d.closed = true
-	for _, c := range d.calls {
+	for _, c := range d.conns {
 		c.Close()
 	}
 	d.mu.Unlock()
--- a/internal/broker/transport/client_conn.go
+++ b/internal/broker/transport/client_conn.go
@@ -9,33 +9,33 @@
 	"time"
 )
 
-// clientConn is one client's connection. One goroutine reads, and so notices when the client leaves. While requests are open another
-// goroutine answers them, one at a time and in order.
+// clientConn is one client connection. One goroutine reads, and so notices when the client
+// disconnects. While requests are open a second goroutine answers them, one at a time and in order.
 type clientConn struct {
 	listener       *Listener
 	conn           net.Conn
 	accepted       time.Time
-	clientGone     chan struct{} // closed when the client has left
-	malformed      chan struct{} // closed when it has sent what can't be read
-	flooded        chan struct{} // closed when it has sent lingerBytes after that
-	lastAnswerDone chan struct{} // closed after the last answer, sent or not
+	clientGone     chan struct{} // closed when the client has disconnected
+	malformed      chan struct{} // closed when it has sent bytes that cannot be parsed
+	flooded        chan struct{} // closed when it has sent lingerBytes after those
+	lastAnswerDone chan struct{} // closed after the last answer, whether or not it was sent
 
-	// The listener's mu guards what follows.
+	// Fields below are guarded by listener.mu.
 	queue        []*http1.Message
-	fault        *http1.Error // why its bytes can't be read; requests behind it are not answered
+	fault        *http1.Error // why its bytes cannot be parsed; later requests are not answered
 	faultAt      time.Time
 	answering    bool
-	partial      bool // a request has begun to come in
-	hasRequested bool // a complete request has come in
-	evicted      bool // it is to end, unless a request comes in first
-	endsNext     bool // the next answer is the last
+	partial      bool // a request has arrived in part
+	hasRequested bool // a complete request has arrived
+	evicted      bool // to be closed unless a request arrives first
+	endsNext     bool // the connection ends with the next answer
 	readEnded    bool // the reader has ended
 	busy         bool
 	idleSince    time.Time // when it last became idle
 }
 
-// update changes the state under the listener's lock, counts the connection as busy or not and, once it is idle, sets its idle
-// deadline.
+// update calls f under the listener's lock. If the connection becomes busy or idle, it updates the
+// listener's count of busy connections and sets the idle deadline.
 func (c *clientConn) update(f func()) {
 	c.listener.mu.Lock()
 	defer c.listener.mu.Unlock()
@@ -56,24 +56,25 @@
 	}
 }
 
-// enqueue queues requests to be answered, and behind them the fault that makes the rest unreadable. It returns true where nothing more
-// is read after it. It never waits: a reader that waited for a place in the queue would not notice that its client leaves.
+// enqueue queues requests for answering and, after them, the fault that makes the remaining bytes
+// unreadable. It returns true if nothing more is to be read. It never blocks: a reader that waits
+// for space in the queue would not notice that its client disconnects.
 func (c *clientConn) enqueue(batch []*http1.Message, fault error, partial bool) (last bool) {
 	c.update(func() { last = c.enqueueLocked(batch, fault, partial) })
 	return last
 }
 
-// enqueueLocked is enqueue under the listener's lock.
+// enqueueLocked implements enqueue. The caller holds the listener's lock.
 func (c *clientConn) enqueueLocked(batch []*http1.Message, fault error, partial bool) bool {
-	if c.fault != nil { // its last answer has left
+	if c.fault != nil { // the last answer has been sent
 		return true
 	}
 	if fault == nil && len(c.queue)+len(batch) > maxPipelined {
-		fault = &http1.Error{Status: statusBadRequest, Text: "too many requests ahead of their answers"}
+		fault = &http1.Error{Status: statusBadRequest, Text: "too many pipelined requests"}
 		c.countFailed(fault, batch...)
 		batch = nil
 	}
-	if c.evicted { // these bytes were on their way from the socket to here
+	if c.evicted { // these bytes were received before the eviction
 		c.cancelEviction()
 	}
 	now := time.Now()
@@ -90,19 +91,20 @@
 		c.startAnswering()
 	}
 	if c.answering && !partial && fault == nil {
-		setReadDeadline(c.conn, time.Time{}) // an open query is no idle connection
+		setReadDeadline(c.conn, time.Time{}) // a connection with an open query is not idle
 	}
 	return fault != nil
 }
 
-// setFault records what ends the connection; the listener's lock is taken.
+// setFault records the error that ends the connection. The caller holds the listener's lock.
 func (c *clientConn) setFault(fault error, now time.Time) {
 	c.fault, c.faultAt, c.partial = &http1.Error{Status: statusBadRequest, Text: fault.Error()}, now, false
 	errors.As(fault, &c.fault)
 	close(c.malformed)
 }
 
-// startAnswering starts the goroutine that answers, unless it runs; the listener's lock is taken.
+// startAnswering starts the goroutine that answers, unless it is running. The caller holds the
+// listener's lock.
 func (c *clientConn) startAnswering() {
 	if c.answering {
 		return
@@ -112,8 +114,9 @@
 	go c.answer()
 }
 
-// discardUntilClosed reads on after unreadable bytes, within bounds, so that the client's leaving is noticed and the error answer
-// reaches it. Beyond lingerBytes it stops: the connection counts as flooded, and its open query is given up.
+// discardUntilClosed reads and discards input after malformed bytes, up to lingerBytes, so that a
+// disconnect is noticed and the error answer reaches the client. After lingerBytes it stops
+// reading: the connection counts as flooded, and its open query is abandoned.
 func (c *clientConn) discardUntilClosed() {
 	setReadDeadline(c.conn, time.Now().Add(faultGrace+linger))
 	if n, err := io.CopyN(io.Discard, c.conn, lingerBytes); err == nil && n == lingerBytes {
@@ -128,11 +131,12 @@
 	return c.answering
 }
 
-// next returns the request to answer next, or the fault to end with; neither where the connection is idle again.
+// next returns the request to answer next, or the fault to end the connection with. Both are nil if
+// the connection is idle again.
 func (c *clientConn) next() (m *http1.Message, fault *http1.Error) {
 	c.update(func() {
 		switch {
-		case c.readEnded && c.fault == nil: // the client has left: queued requests are not begun
+		case c.readEnded && c.fault == nil: // the client has disconnected: queued requests are not started
 			c.queue, c.answering = nil, false
 		case len(c.queue) > 0 && !c.readEnded && (c.fault == nil || time.Since(c.faultAt) < c.listener.faultGrace):
 			m, c.queue = c.queue[0], c.queue[1:]
@@ -147,7 +151,7 @@
 	return m, fault
 }
 
-// answer answers the queued requests in order until none is left or the connection ends.
+// answer answers the queued requests in order until the queue is empty or the connection ends.
 func (c *clientConn) answer() {
 	defer c.listener.wg.Done()
 	for {
@@ -173,16 +177,16 @@
 	}
 }
 
-// finish ends the connection after its last answer: immediately where the client does not read or nothing of it is unread, else once
-// the client has closed it or linger is over.
+// finish ends the connection after its last answer: immediately if the answer could not be written
+// or no unread bytes remain, otherwise once the client has closed it or linger has passed.
 func (c *clientConn) finish(reads bool) {
 	over := false
 	c.update(func() {
 		c.queue = nil
 		c.answering, over = false, c.readEnded
 		if c.fault == nil {
-			// A client sends nothing after an answer that ends the connection. A close over what it has sent already would reset the
-			// connection, and the answer with it.
+			// The client was told that this answer is the last. Closing the socket over unread
+			// bytes would reset the connection and might destroy the answer.
 			c.fault, over = &http1.Error{}, over || !hasUnread(c.conn)
 		}
 	})
@@ -196,7 +200,7 @@
 	}
 }
 
-// closeIfReadEnded closes the connection where its reader has ended meanwhile.
+// closeIfReadEnded closes the connection if its reader has ended in the meantime.
 func (c *clientConn) closeIfReadEnded() {
 	c.listener.mu.Lock()
 	over := c.readEnded && !c.answering
@@ -206,7 +210,7 @@
 	}
 }
 
-// close closes and removes the connection. It may be called more than once.
+// close closes and removes the connection. It is idempotent.
 func (c *clientConn) close() {
 	c.conn.Close()
 	c.listener.removeConn(c)
--- a/internal/broker/transport/conn_end.go
+++ b/internal/broker/transport/conn_end.go
@@ -18,18 +18,20 @@
 	}
 }
 
-// closeIfEmpty closes a retired connection that has no call left.
+// closeIfEmpty closes a retired connection that has no calls left.
 func (p *pool) closeIfEmpty(now int64, c *serverConn) {
 	if c.retired && len(c.calls) == 0 && len(c.backlog) == 0 && !c.closed {
 		p.closeConn(now, c, false)
 	}
 }
 
-// quietLimit is how long a connection with open calls may deliver nothing before further calls take another one, in microseconds. It
-// scales with the typical latency of calls, within bounds: load differs from day to day, and servers pause for a while.
+// quietLimit returns how long a connection with open calls may deliver nothing before further calls
+// use another connection, in microseconds. It scales with the typical latency, within bounds,
+// because load varies from day to day and servers pause now and then.
 func (p *pool) quietLimit() int64 { return p.scaledTimeout(8, 30_000) }
 
-// scaledTimeout is n typical latencies, at least least and at most unresponsiveAfter; unresponsiveAfter while no latency is known. In
+// scaledTimeout returns n times the typical latency, but at least least and at most
+// unresponsiveAfter. While no latency is known it returns unresponsiveAfter. Times are
 // microseconds.
 func (p *pool) scaledTimeout(n float64, least int64) int64 {
 	if p.typicalLatency == 0 {
@@ -38,7 +40,8 @@
 	return min(max(int64(n*p.typicalLatency), least), unresponsiveAfter)
 }
 
-// unansweredSince is since when a connection has an open call and has delivered nothing; 0 where it has none.
+// unansweredSince returns since when a connection has had an open call and has delivered nothing; 0
+// if it has no open call.
 func (c *serverConn) unansweredSince() int64 {
 	oldest := int64(0)
 	for _, at := range c.sentAt {
@@ -49,14 +52,16 @@
 	if oldest == 0 || !c.up {
 		return 0
 	}
-	return max(oldest, c.heardAt, c.upAt)
+	return max(oldest, c.lastReadAt, c.upAt)
 }
 
-// overtakenLimit is how many calls on other connections have to overtake a quiet connection before it is closed: another core of the
-// server may answer one while a long call runs.
+// overtakenLimit is how many calls on other connections must overtake a quiet connection before it
+// is closed. A lower limit would close connections on which a long call is running, since another
+// core of the server may answer a call meanwhile.
 const overtakenLimit = 3
 
-// countOvertaken counts, for the quiet connections of a server, that it has answered a call which left later, at sent.
+// countOvertaken counts, for each quiet connection of a server, that the server has answered a call
+// that was sent later, at sent.
 func (p *pool) countOvertaken(s *server, sent int64) {
 	for _, c := range s.conns {
 		if since := c.unansweredSince(); since > 0 && sent > since+p.quietLimit() {
@@ -65,10 +70,11 @@
 	}
 }
 
-// closeIfOvertaken closes a connection that has become quiet while its server answers on others, even calls that left well after this
-// one became quiet. Guards against links that fail without a reset, on which calls would wait until their deadline. The attempts on it
-// may have run; they end as Stranded, which says nothing about the server. Where a connection carries one call at a time a long call
-// looks the same, so nothing is concluded.
+// closeIfOvertaken closes a connection that is quiet while its server answers calls on other
+// connections that were sent well after it became quiet. This detects links that fail without a
+// reset, on which calls would otherwise wait until their deadline. The attempts on the connection
+// may have run; they end as Stranded, which is not counted against the server. If connections carry
+// one call at a time, a long call looks the same, so nothing is concluded.
 func (p *pool) closeIfOvertaken(now int64, c *serverConn) {
 	if p.dialect.Streams() < 2 || c.overtakenBy < overtakenLimit {
 		return
@@ -79,11 +85,11 @@
 	p.closeConn(now, c, false)
 }
 
-// unresponsiveAfter is how long a connection with an open call may deliver nothing before it takes no further calls, in microseconds.
-// Servers pause for less.
+// unresponsiveAfter is how long a connection with an open call may deliver nothing before it gets
+// no further calls, in microseconds. It is longer than the pauses of servers.
 const unresponsiveAfter = 1_500_000
 
-// closeLongestIdle closes the connection that has been idle for longest, to make room for a new one.
+// closeLongestIdle closes the connection that has been idle longest, to make room for a new one.
 func (p *pool) closeLongestIdle(now int64) {
 	var oldest *serverConn
 	for _, s := range p.servers {
@@ -98,9 +104,9 @@
 	}
 }
 
-// closeMalformed closes a connection that delivered malformed bytes. The attempt that has been open for longest is taken for the one
-// with the malformed answer and ends as Errored; the others end as Stranded. Any of them may have run. They don't end as Broken, which
-// counts against queries that bring servers down.
+// closeMalformed closes a connection that delivered malformed bytes. The oldest open attempt is
+// assumed to be the one with the malformed answer and ends as Errored; the others end as Stranded.
+// Any of them may have run. None ends as Broken, which counts against queries that crash servers.
 func (p *pool) closeMalformed(now int64, c *serverConn, err error) {
 	if !errors.Is(err, core.ErrConnectionEnding) {
 		p.lastLossAt = now
@@ -113,15 +119,16 @@
 	p.closeConn(now, c, false)
 }
 
-// closeConn ends a connection and the attempts on it. What was not written completely has never run; the rest may have. Only once the
-// writer has ended (writerEnded) is it known how much it wrote; before, all that was queued may have left. Guards against sending an
-// attempt that must not run twice again while its first frame is on its way.
+// closeConn closes a connection and ends the attempts on it. An attempt whose frame was not written
+// completely has not run; the others may have. How much was written is known only once the writer
+// has ended (writerEnded); before that, everything queued may have been sent. Otherwise an attempt
+// that must not run twice could be sent again while its first frame is still being written.
 func (p *pool) closeConn(now int64, c *serverConn, writerEnded bool) {
 	if c.closed {
 		return
 	}
 	c.closed = true
-	if c.lateTimer != nil { // it was not dialled, as in tests
+	if c.lateTimer != nil { // nil if it was not dialled, as in tests
 		c.lateTimer.Stop()
 	}
 	p.conns--
@@ -136,13 +143,14 @@
 		}
 	}
 	done := c.written.Load()
-	ran := sq.Broken
+	lost := sq.Broken
 	for _, id := range sortedKeys(c.calls) {
 		o := sq.Unreachable
 		if f := c.calls[id]; f != nil && (f.number <= done || !writerEnded) {
-			// One lost connection is one sign of a fault, however many calls were open: guards servers, and the keys of
-			// queries, against being blamed for what else was lost with the connection.
-			o, ran = ran, sq.Stranded
+			// One lost connection is one sign of a fault, however many calls were open: only the
+			// first call ends as Broken, so that neither the server nor the keys of the other
+			// queries are blamed for the rest.
+			o, lost = lost, sq.Stranded
 			p.lastLossAt = now
 		}
 		p.endAttempt(now, c, core.Reply{Attempt: id, Outcome: o})
@@ -152,12 +160,13 @@
 	}
 }
 
-// sweep closes idle connections before the server's machine does, connections whose answer has stopped, and unresponsive ones.
+// sweep closes connections that have been idle for two thirds of IdleClose, before the server's
+// machine closes them, connections whose answer has stalled, and unresponsive ones.
 func (p *pool) sweep(now int64) {
 	for _, s := range p.servers {
 		for _, c := range append([]*serverConn(nil), s.conns...) {
 			switch {
-			case c.partialHeardAt > 0 && (now-c.partialHeardAt > maxAnswerPause || now-c.partialSince > maxAnswerTime):
+			case c.partialReadAt > 0 && (now-c.partialReadAt > maxAnswerPause || now-c.partialSince > maxAnswerTime):
 				p.closeMalformed(now, c, errStalled)
 			case len(c.calls) > 0:
 				p.closeIfOvertaken(now, c)
--- a/internal/broker/transport/deadline.go
+++ b/internal/broker/transport/deadline.go
@@ -5,12 +5,13 @@
 	"time"
 )
 
-// setDeadline bounds further reads and writes of a connection. It fails only where the connection is closed, and the next read or write
-// reports that too.
+// setDeadline sets the deadline of reads and writes. It fails only on a closed connection, which
+// the next read or write reports as well.
 func setDeadline(conn net.Conn, at time.Time) { _ = conn.SetDeadline(at) }
 
-// setReadDeadline bounds further reads, and wakes a read that waits where the time has passed. As setDeadline.
+// setReadDeadline sets the deadline of reads; a deadline in the past wakes a blocked read. Errors
+// are ignored as in setDeadline.
 func setReadDeadline(conn net.Conn, at time.Time) { _ = conn.SetReadDeadline(at) }
 
-// setWriteDeadline bounds further writes. As setDeadline.
+// setWriteDeadline sets the deadline of writes. Errors are ignored as in setDeadline.
 func setWriteDeadline(conn net.Conn, at time.Time) { _ = conn.SetWriteDeadline(at) }
--- a/internal/broker/transport/departed_test.go
+++ b/internal/broker/transport/departed_test.go
@@ -18,17 +18,18 @@
 	sq "saffronquay"
 )
 
-// begunWithin is how long after its client has left an attempt may still begin.
-const begunWithin = 100 * time.Millisecond
+// maxStartDelay is how long after the client has disconnected an attempt may still start.
+const maxStartDelay = 100 * time.Millisecond
 
-// far is a server on pipes and a fake clock, which treats calls as a case says.
+// farServer is a server on pipes and a fake clock. Its fields define how it handles connections and
+// calls.
 type farServer struct {
-	up    time.Duration // that a connection takes to come up
-	reads time.Duration // from when on it reads what is sent
-	ends  string        // how it answers: OK, REJECTED, ERROR or not at all
+	up    time.Duration // time to establish a connection
+	reads time.Duration // delay before it begins to read
+	ends  string        // outcome of its answers: OK, REJECTED or ERROR; empty: it does not answer
 
 	mu    sync.Mutex
-	begun map[string][]time.Time // by query
+	begun map[string][]time.Time // start times of attempts, by query
 }
 
 func (f *farServer) connect(_ string, timeout time.Duration) (net.Conn, error) {
@@ -76,35 +77,36 @@
 	}
 }
 
-// slowLedger takes so long to keep an intent.
-type slowLedger time.Duration
+// slowIntentLog records an intent after this delay.
+type slowIntentLog time.Duration
 
-func (d slowLedger) Record(_ []core.Intent, _ int64, done func(error)) error {
+func (d slowIntentLog) Record(_ []core.Intent, _ int64, done func(error)) error {
 	time.AfterFunc(time.Duration(d), func() { done(nil) })
 	return nil
 }
-func (slowLedger) WantsResult() bool { return false }
-func (slowLedger) Release()          {}
-func (slowLedger) Abandon()          {}
+func (slowIntentLog) WantsResult() bool { return false }
+func (slowIntentLog) Release()          {}
+func (slowIntentLog) Abandon()          {}
 
-// Once its client has left, nothing more of a query begins: neither a first attempt nor a retry nor a hedged request, whatever it waits for, and
-// whether or not servers may be told that an attempt is given up. Guards servers against work that nobody waits for. Without the client's leaving
-// each case does begin an attempt later, so that there is something to prevent.
-func TestNothingBeginsForAClientThatHasLeft(t *testing.T) {
+// After its client has disconnected, no attempt of a query starts: no first attempt, retry or
+// hedged request, whatever the query waits for, and whether or not calls may be cancelled.
+// Otherwise servers work for queries that nobody waits for. Each case is also run without the
+// disconnect, to check that an attempt does start later then.
+func TestClientLeft_StartsNoFurtherAttempt(t *testing.T) {
 	for name, tc := range map[string]struct {
-		server *farServer
-		copies bool
-		before bool          // an attempt has begun when the client leaves
-		permit time.Duration // a change of policy is put in force for so long
-		ledger time.Duration // that keeping an intent takes
+		server      *farServer
+		hedging     bool
+		before      bool          // an attempt has started when the client disconnects
+		permit      time.Duration // how long a policy change is being applied
+		intentDelay time.Duration // time to record an intent
 	}{
-		"a connection that comes up late": {server: &farServer{up: 900 * time.Millisecond, ends: "OK"}},
-		"a write that does not get on":    {server: &farServer{reads: 700 * time.Millisecond, ends: "OK"}},
-		"a server that turns it away":     {server: &farServer{ends: "REJECTED"}, before: true},
-		"a server that fails it":          {server: &farServer{ends: "ERROR", up: 150 * time.Millisecond}},
-		"a server that is silent":         {server: &farServer{}, copies: true, before: true},
-		"a change that is put in force":   {server: &farServer{ends: "OK"}, permit: 800 * time.Millisecond},
-		"an intent that is being kept":    {server: &farServer{ends: "OK"}, ledger: 800 * time.Millisecond},
+		"late connection":           {server: &farServer{up: 900 * time.Millisecond, ends: "OK"}},
+		"blocked write":             {server: &farServer{reads: 700 * time.Millisecond, ends: "OK"}},
+		"rejecting server":          {server: &farServer{ends: "REJECTED"}, before: true},
+		"failing server":            {server: &farServer{ends: "ERROR", up: 150 * time.Millisecond}},
+		"silent server":             {server: &farServer{}, hedging: true, before: true},
+		"policy change in progress": {server: &farServer{ends: "OK"}, permit: 800 * time.Millisecond},
+		"intent being recorded":     {server: &farServer{ends: "OK"}, intentDelay: 800 * time.Millisecond},
 	} {
 		for _, mayCancel := range []bool{true, false} {
 			for _, leaves := range []bool{true, false} {
@@ -114,7 +116,7 @@
 						cfg := sq.Settings{
 							Aggregators: 1, Period: 1000, Shards: 1, Cells: 1, CellsPerShard: 1, PartsPerCall: 1,
 							Classes: []sq.Class{{Name: "c", LatencyTarget: 1e6, HardLimit: 3e6, Value: 1, LateValue: 0.5, CompleteWeight: 1, MinWeight: 1}},
-							Limits:  sq.Limits{MaxAttempts: 4, MayCancel: mayCancel, Hedging: tc.copies},
+							Limits:  sq.Limits{MaxAttempts: 4, MayCancel: mayCancel, Hedging: tc.hedging},
 							Rules:   sq.Rules{WarmUp: 10_000_000},
 						}
 						m, err := sq.New(cfg, 3)
@@ -139,18 +141,18 @@
 								Label: label, Unique: true, Class: "c", Deadline: now() + 3e6, Text: []byte("x"),
 								Parts: []core.QueryPart{{Weight: 1, Work: 10_000}},
 							}
-							if tc.ledger > 0 {
-								a.IntentLog = slowLedger(tc.ledger)
+							if tc.intentDelay > 0 {
+								a.IntentLog = slowIntentLog(tc.intentDelay)
 							}
 							return e.Open(a)
 						}
-						if !tc.copies {
-							ask("o1") // both connections have something to write first
+						if !tc.hedging {
+							ask("o1") // both connections have something else to write first
 							ask("o2")
 						}
 						time.Sleep(5 * time.Millisecond)
 						asked := ask("q")
-						time.Sleep(10 * time.Millisecond) // the last retry after rejections comes 117 to 149 ms after the query, as the order of draws has it
+						time.Sleep(10 * time.Millisecond) // after rejections the last retry starts 117 to 149 ms after the query with this seed
 						left := time.Now()
 						if leaves {
 							e.ClientLeft(asked)
@@ -160,21 +162,21 @@
 						defer server.mu.Unlock()
 						begun, late := server.begun["q"], 0
 						for _, at := range begun {
-							if at.Sub(left) > begunWithin {
+							if at.Sub(left) > maxStartDelay {
 								late++
 							}
 						}
 						if tc.before != (len(begun) > late) {
-							t.Errorf("begun before the client left: %d", len(begun)-late)
+							t.Errorf("%d attempts started before the client disconnected", len(begun)-late)
 						}
 						if leaves && late > 0 {
-							t.Errorf("%d attempts begun after their client had left, the last %v later", late, begun[len(begun)-1].Sub(left))
+							t.Errorf("%d attempts started after the client disconnected, the last one %v later", late, begun[len(begun)-1].Sub(left))
 						}
 						if !leaves && late == 0 {
-							t.Error("nothing was to be prevented")
+							t.Error("no attempt started late without the disconnect: the case shows nothing")
 						}
-						if !tc.copies && len(server.begun["o1"]) == 0 || !tc.copies && len(server.begun["o2"]) == 0 || e.OpenQueries() != 0 {
-							t.Errorf("others: begun %v, %d held", server.begun, e.OpenQueries())
+						if !tc.hedging && len(server.begun["o1"]) == 0 || !tc.hedging && len(server.begun["o2"]) == 0 || e.OpenQueries() != 0 {
+							t.Errorf("other queries: started %v, %d open", server.begun, e.OpenQueries())
 						}
 						e.Stop()
 						for _, s := range e.pool.servers {
--- a/internal/broker/transport/dispatch.go
+++ b/internal/broker/transport/dispatch.go
@@ -6,18 +6,19 @@
 	sq "saffronquay"
 )
 
-// withdraw ends the attempts on a connection whose calls have not begun to leave, as unreachable.
+// withdraw ends the attempts on a connection whose calls have not begun to be written, as
+// Unreachable.
 func (p *pool) withdraw(now int64, c *serverConn) {
 	for _, id := range sortedKeys(c.calls) {
-		if p.takeBack(now, c, id) {
+		if p.removeUnsent(now, c, id) {
 			p.endAttempt(now, c, core.Reply{Attempt: id, Outcome: sq.Unreachable})
 		}
 	}
 }
 
-// takeBack removes an attempt from its connection where no byte of its call has begun to leave, and reports whether it did. Other
-// attempts of the same call stay.
-func (p *pool) takeBack(now int64, c *serverConn, id core.AttemptID) bool {
+// removeUnsent removes an attempt from its connection if no byte of its call has been written yet,
+// and reports whether it did. Other attempts of the same call stay.
+func (p *pool) removeUnsent(now int64, c *serverConn, id core.AttemptID) bool {
 	f, out := c.calls[id]
 	if !out || c.closed {
 		return false
@@ -47,17 +48,19 @@
 	return taken
 }
 
-// recall takes back an attempt whose answer is no longer needed, where it has not begun to leave. It ends as not sent.
+// recall removes an attempt whose answer is no longer needed, if its call has not begun to be
+// written. The attempt ends as NotSent.
 func (p *pool) recall(now int64, id core.AttemptID) {
-	if c := p.byAttempt[id]; c != nil && p.takeBack(now, c, id) {
+	if c := p.byAttempt[id]; c != nil && p.removeUnsent(now, c, id) {
 		p.endAttempt(now, c, core.Reply{Attempt: id, Outcome: sq.NotSent})
 		p.closeIfEmpty(now, c)
 	}
 }
 
-// call sends a call over the fullest connection with capacity, over one that is coming up, or over a new one. For isolationPeriod
-// after a connection was lost under a call it takes the idle one used last, or a new one as far as the limits allow, and then the
-// emptiest.
+// call sends a call over the most loaded connection with capacity, over one that is being
+// established, or over a new one. For isolationPeriod after a connection was lost under a call, it
+// uses the most recently used idle connection, or a new one while the limits allow it, and
+// otherwise the least loaded one.
 func (p *pool) call(now int64, call core.Call) {
 	s := p.servers[call.Server]
 	if s == nil || s.address == "" || s.draining {
@@ -85,7 +88,7 @@
 	p.write(now, best, call)
 }
 
-// chooseConn returns the connection that a call takes, or nil where it needs a new one.
+// chooseConn returns the connection for a call, or nil if a new one is needed.
 func (p *pool) chooseConn(now int64, s *server, call core.Call) *serverConn {
 	isolated := p.lastLossAt > 0 && now-p.lastLossAt < isolationPeriod
 	canDial := len(s.conns) < maxConnsPerServer && p.conns < p.cfg.MaxConns*3/4
@@ -94,35 +97,36 @@
 		if !p.canTake(now, c, call) || isolated && canDial && len(c.calls) > 0 {
 			continue
 		}
-		if best == nil || c.better(best, isolated) {
+		if best == nil || c.preferredOver(best, isolated) {
 			best = c
 		}
 	}
 	return best
 }
 
-// canTake reports whether a connection has capacity for a call and no sign of a fault.
+// canTake reports whether a connection has capacity for a call and shows no sign of a fault.
 func (p *pool) canTake(now int64, c *serverConn, call core.Call) bool {
 	if c.closed || c.retired || len(c.calls)+len(call.Attempts) > max(p.dialect.Streams(), len(call.Attempts)) {
 		return false
 	}
 	if !c.up && c.hasSpare && !c.isSpare {
-		return false // it may never come up; its spare may
+		return false // it may never be established; its spare may
 	}
-	if c.partialHeardAt > 0 && len(c.calls) == 0 {
-		return false // the rest of an answer without a call is still to come
+	if c.partialReadAt > 0 && len(c.calls) == 0 {
+		return false // the rest of a cancelled call's answer is still to arrive
 	}
 	if since := c.unansweredSince(); since > 0 && now-since > p.quietLimit() && len(c.server.conns) < maxConnsPerServer {
 		return false // it may be unresponsive
 	}
 	if c.up && now-c.usedAt > p.cfg.IdleClose*2/3 && len(c.calls) == 0 {
-		return false // the far end may be closing it just now
+		return false // the far end may be closing it at this moment
 	}
 	return true
 }
 
-// better reports whether a call takes this connection rather than another.
-func (c *serverConn) better(than *serverConn, alone bool) bool {
+// preferredOver reports whether a call should use this connection rather than than. With alone set,
+// connections with fewer calls are preferred.
+func (c *serverConn) preferredOver(than *serverConn, alone bool) bool {
 	n, m := len(c.calls), len(than.calls)
 	switch {
 	case alone && n != m:
@@ -135,17 +139,18 @@
 	return n > m
 }
 
-// refuse ends a call that finds no connection, as unreachable.
+// refuse ends the attempts of a call for which there is no connection, as Unreachable.
 func (p *pool) refuse(now int64, call core.Call) {
 	for _, a := range call.Attempts {
 		p.onReply(now, core.Reply{Attempt: a.ID, Outcome: sq.Unreachable})
 	}
 }
 
-// write queues a call for its connection's writer. A full queue means that the far end reads nothing, and ends the connection.
+// write queues a call for its connection's writer. A full queue means that the far end does not
+// read, and ends the connection.
 func (p *pool) write(now int64, c *serverConn, call core.Call) {
 	f := &frame{bytes: c.session.Call(nil, call, now), call: call, number: c.lastWrite + 1}
-	if !c.writes.put(f) { // the far end takes nothing any more
+	if !c.writes.put(f) { // the far end does not read
 		p.closeConn(now, c, false)
 		return
 	}
@@ -156,14 +161,15 @@
 	}
 }
 
-// drop cancels an attempt. One whose call has not begun to leave is taken back, so that the server never receives it.
-func (p *pool) drop(now int64, id core.AttemptID) {
+// cancelAttempt cancels an attempt. If its call has not begun to be written it is removed from the
+// queue, so that the server never receives it.
+func (p *pool) cancelAttempt(now int64, id core.AttemptID) {
 	c := p.byAttempt[id]
 	if c == nil {
 		return
 	}
-	unresponsive := c.heardAt < c.sentAt[id] && now-c.sentAt[id] > unresponsiveAfter
-	unsent := p.takeBack(now, c, id)
+	unresponsive := c.lastReadAt < c.sentAt[id] && now-c.sentAt[id] > unresponsiveAfter
+	unsent := p.removeUnsent(now, c, id)
 	p.forget(c, id)
 	if !c.up {
 		return
@@ -182,8 +188,8 @@
 			c.lastWrite++
 		}
 	}
-	// Guards against machines that vanish without a reset: a connection that has delivered nothing
-	// for so long may be open at this end only.
+	// A machine that vanishes without a reset leaves the connection open at this end only: a
+	// connection that has delivered nothing for so long gets no further calls.
 	if unresponsive {
 		c.retired = true
 	}
--- a/internal/broker/transport/endings_test.go
+++ b/internal/broker/transport/endings_test.go
@@ -20,25 +20,26 @@
 	sq "saffronquay"
 )
 
-// These tests force the moments in which an end meets an open request: the listener's connections are real sockets whose reads and writes
-// stop at a hook.
+// These tests force the moments at which a connection ends while a request is open: the listener's
+// connections are real sockets whose reads and writes stop at a hook.
 
-// crossing is a point at which one goroutine waits for the test. Only once it is armed.
-type crossing struct {
+// syncPoint is a point at which a goroutine waits for the test. It stops one goroutine each time it
+// is armed.
+type syncPoint struct {
 	mu      sync.Mutex
 	armed   bool
 	reached chan struct{}
 	release chan struct{}
 }
 
-func (x *crossing) arm() {
+func (x *syncPoint) arm() {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.armed, x.reached, x.release = true, make(chan struct{}), make(chan struct{})
 }
 
-// pass waits for the test once, where it is armed.
-func (x *crossing) pass() {
+// pass blocks until the test releases the point, if it is armed.
+func (x *syncPoint) pass() {
 	x.mu.Lock()
 	armed, reached, release := x.armed, x.reached, x.release
 	x.armed = false
@@ -49,24 +50,25 @@
 	}
 }
 
-func (x *crossing) wait(t *testing.T) {
+func (x *syncPoint) wait(t *testing.T) {
 	t.Helper()
 	select {
 	case <-x.reached:
 	case <-time.After(testTimeout):
-		t.Fatal("the crossing was never reached")
+		t.Fatal("the synchronization point was not reached")
 	}
 }
 
-// hooked is a connection whose reads stop before or after the socket, and whose writes stop before it.
-type hooked struct {
+// hookedConn is a connection whose reads can be stopped before and after the socket is read, and
+// whose writes can be stopped before.
+type hookedConn struct {
 	*net.TCPConn
 	h *hooks
 }
 
-type hooks struct{ beforeRead, afterRead, afterTime, beforeWrite, beforeAccept crossing }
+type hooks struct{ beforeRead, afterRead, afterTime, beforeWrite, beforeAccept syncPoint }
 
-func (c hooked) Read(b []byte) (int, error) {
+func (c hookedConn) Read(b []byte) (int, error) {
 	c.h.beforeRead.pass()
 	n, err := c.TCPConn.Read(b)
 	var timeout net.Error
@@ -79,7 +81,7 @@
 	return n, err
 }
 
-func (c hooked) Write(b []byte) (int, error) {
+func (c hookedConn) Write(b []byte) (int, error) {
 	c.h.beforeWrite.pass()
 	return c.TCPConn.Write(b)
 }
@@ -95,22 +97,22 @@
 	if err != nil {
 		return nil, err
 	}
-	return hooked{c, l.h}, nil
+	return hookedConn{c, l.h}, nil
 }
 
-// counted is a front like echo that counts the queries it opens.
-type counted struct {
-	echo
+// countingFront is an echoFront that counts the queries it opens.
+type countingFront struct {
+	echoFront
 	opened *atomic.Int64
 }
 
-func (f counted) Open(m *http1.Message, now int64, ready bool) (core.Query, func(core.Final, int64) http1.Response, *http1.Response) {
+func (f countingFront) Open(m *http1.Message, now int64, ready bool) (core.Query, func(core.Final, int64) http1.Response, *http1.Response) {
 	f.opened.Add(1)
-	return f.echo.Open(m, now, ready)
+	return f.echoFront.Open(m, now, ready)
 }
 
-// ends is a listener with hooks, and a client of it.
-type ends struct {
+// testListener is a listener with hooked connections, and its engine.
+type testListener struct {
 	*hooks
 	t      *testing.T
 	l      *Listener
@@ -119,8 +121,8 @@
 	served chan error
 }
 
-func newEnds(t *testing.T) *ends {
-	w := &ends{hooks: &hooks{}, t: t, served: make(chan error, 1)}
+func newTestListener(t *testing.T) *testListener {
+	w := &testListener{hooks: &hooks{}, t: t, served: make(chan error, 1)}
 	gatherer := core.New(core.Config{Period: 1000, Shards: 1, Classes: []sq.Class{{Name: "c"}}}, module{})
 	quiet := slog.New(slog.DiscardHandler)
 	w.e = NewEngine(NewClock(), gatherer, PoolConfig{MaxConns: 1, IdleClose: 1 << 40}, platform.Workers{PerConn: 1}, adminapi.NewMetrics(), quiet)
@@ -129,7 +131,7 @@
 		t.Fatal(err)
 	}
 	cfg := ListenerConfig{MaxConns: 8, MaxKeepAlive: 8, IdleTimeout: testTimeout, FirstRequestTimeout: testTimeout, RequestTimeout: testTimeout, MaxPartialBytes: 1 << 20}
-	w.l = NewListener(hookedListener{socket.(*net.TCPListener), w.hooks}, cfg, w.e, counted{opened: &w.opened}, quiet)
+	w.l = NewListener(hookedListener{socket.(*net.TCPListener), w.hooks}, cfg, w.e, countingFront{opened: &w.opened}, quiet)
 	w.l.faultGrace = time.Hour
 	go w.e.Run()
 	go func() { w.served <- w.l.Serve() }()
@@ -137,7 +139,7 @@
 	return w
 }
 
-func (w *ends) dial() net.Conn {
+func (w *testListener) dial() net.Conn {
 	w.t.Helper()
 	conn, err := net.Dial("tcp", w.l.socket.Addr().String())
 	if err != nil {
@@ -150,23 +152,23 @@
 
 const get = "GET / HTTP/1.1\r\nHost: x\r\n\r\n"
 
-// rests is a client's connection that has had an answer and is idle.
-func (w *ends) rests() net.Conn {
+// idleConn returns a client connection that has had an answer and is idle.
+func (w *testListener) idleConn() net.Conn {
 	w.t.Helper()
 	conn := w.dial()
 	fmt.Fprint(conn, get)
 	w.answer(conn)
-	w.until("it rests", func(c *clientConn) bool { return c.hasRequested && !c.answering })
+	w.waitForConn("the connection is idle", func(c *clientConn) bool { return c.hasRequested && !c.answering })
 	return conn
 }
 
 // answer reads one answer.
-func (w *ends) answer(conn net.Conn) *http1.Message {
+func (w *testListener) answer(conn net.Conn) *http1.Message {
 	w.t.Helper()
 	p := http1.Parser{Response: true}
 	for buf := make([]byte, 1); ; {
 		if _, err := conn.Read(buf); err != nil {
-			w.t.Fatalf("no answer: %v", err)
+			w.t.Fatalf("read an answer: %v", err)
 		}
 		p.Feed(buf)
 		if m, err := p.Next(); m != nil || err != nil {
@@ -175,8 +177,8 @@
 	}
 }
 
-// until waits for a state of the one connection.
-func (w *ends) until(what string, is func(*clientConn) bool) {
+// waitForConn waits until a connection of the listener is in a state.
+func (w *testListener) waitForConn(what string, is func(*clientConn) bool) {
 	w.t.Helper()
 	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
 		w.l.mu.Lock()
@@ -189,185 +191,191 @@
 			return
 		}
 		if time.Now().After(end) {
-			w.t.Fatalf("never: %s", what)
+			w.t.Fatalf("timed out waiting until %s", what)
 		}
 	}
 }
 
-// A connection that is to be ended while its request has been read, or lies in the socket, answers that request first and ends with it;
-// whether it has to make room, is idle on a drain or had its time. Guards requests that would be read and sent on with nobody to answer to.
-func TestAnEndThatMeetsARequest(t *testing.T) {
-	for name, end := range map[string]func(w *ends){
-		"evicted":     func(w *ends) { w.l.evict(0) },
-		"drained":     func(w *ends) { w.l.mu.Lock(); w.l.standby.Store(true); w.l.mu.Unlock(); w.endIdle() },
-		"told to end": func(w *ends) { w.l.leaving.Store(true); w.endIdle() },
+// A connection that is being closed while a request on it has been read, or is in the socket,
+// answers that request and then closes, whether it is closed by an eviction, by a drain or because
+// the listener leaves. Otherwise a request would be executed without a client to answer.
+func TestEviction_AnswersRequestInTransit(t *testing.T) {
+	for name, end := range map[string]func(w *testListener){
+		"evicted": func(w *testListener) { w.l.evict(0) },
+		"drained": func(w *testListener) { w.l.mu.Lock(); w.l.standby.Store(true); w.l.mu.Unlock(); w.closeAllIdle() },
+		"leaving": func(w *testListener) { w.l.leaving.Store(true); w.closeAllIdle() },
 	} {
 		for _, read := range []bool{true, false} {
 			t.Run(fmt.Sprintf("%s/read=%t", name, read), func(t *testing.T) {
-				w := newEnds(t)
-				conn := w.rests()
+				w := newTestListener(t)
+				conn := w.idleConn()
 				if read { // the bytes are on their way from the socket to the listener
 					w.afterRead.arm()
 					fmt.Fprint(conn, get)
 					w.afterRead.wait(t)
 					end(w)
 					close(w.afterRead.release)
-				} else { // they come in as the reader is about to end
+				} else { // they arrive as the reader is about to end
 					w.afterTime.arm()
 					end(w)
 					w.afterTime.wait(t)
 					fmt.Fprint(conn, get)
-					w.until("they lie in the socket", func(c *clientConn) bool { return hasUnread(c.conn) })
+					w.waitForConn("the bytes are in the socket", func(c *clientConn) bool { return hasUnread(c.conn) })
 					close(w.afterTime.release)
 				}
 				if m := w.answer(conn); m.Status != 200 || !m.Close {
-					t.Errorf("answered %d, closing %t", m.Status, m.Close)
+					t.Errorf("status %d, Connection: close %t; want 200 and true", m.Status, m.Close)
 				}
 				if _, err := conn.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
-					t.Errorf("its end: %v", err)
+					t.Errorf("read after the last answer: %v, want EOF", err)
 				}
 				if n := w.opened.Load(); n != 2 {
-					t.Errorf("%d requests begun", n)
+					t.Errorf("%d requests started, want 2", n)
 				}
 			})
 		}
 	}
 }
 
-// endIdle ends what is idle, as if it had been for long.
-func (w *ends) endIdle() { w.l.closeIdle(time.Now().Add(time.Hour), true) }
+// closeAllIdle closes idle connections as if they had been idle for long.
+func (w *testListener) closeAllIdle() { w.l.closeIdle(time.Now().Add(time.Hour), true) }
 
-// An idle connection that nothing comes in on just ends, in order.
-func TestAnEndThatMeetsNothing(t *testing.T) {
-	for name, end := range map[string]func(w *ends){"evicted": func(w *ends) { w.l.evict(0) }, "drained": (*ends).endIdle} {
+// An idle connection without a request is closed in order when it is evicted or drained.
+func TestEviction_ClosesIdleConnInOrder(t *testing.T) {
+	for name, end := range map[string]func(w *testListener){"evicted": func(w *testListener) { w.l.evict(0) }, "drained": (*testListener).closeAllIdle} {
 		t.Run(name, func(t *testing.T) {
-			w := newEnds(t)
-			conn := w.rests()
+			w := newTestListener(t)
+			conn := w.idleConn()
 			end(w)
 			if _, err := conn.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
-				t.Errorf("its end: %v", err)
+				t.Errorf("read after the last answer: %v, want EOF", err)
 			}
 		})
 	}
 }
 
-// What has come in behind a last answer doesn't reset the connection, which would take the answer along.
-func TestALastAnswerOverUnreadBytes(t *testing.T) {
-	w := newEnds(t)
+// Bytes that arrive after the last request do not cause a reset, which would destroy the last
+// answer.
+func TestLastAnswer_SurvivesUnreadBytes(t *testing.T) {
+	w := newTestListener(t)
 	conn := w.dial()
 	w.beforeWrite.arm()
 	fmt.Fprint(conn, "GET / HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
-	w.beforeWrite.wait(t) // the answer is about to leave
+	w.beforeWrite.wait(t) // the answer is about to be sent
 	w.afterRead.arm()
 	fmt.Fprint(conn, "\r\n")
-	w.afterRead.wait(t) // so that what comes next lies unread
+	w.afterRead.wait(t) // so that later bytes stay unread
 	fmt.Fprint(conn, strings.Repeat("more ", 100))
-	w.until("it lies in the socket", func(c *clientConn) bool { return hasUnread(c.conn) })
+	w.waitForConn("the bytes are in the socket", func(c *clientConn) bool { return hasUnread(c.conn) })
 	close(w.beforeWrite.release)
-	w.until("its last answer has left", func(c *clientConn) bool { return !c.answering })
+	w.waitForConn("the last answer has been sent", func(c *clientConn) bool { return !c.answering })
 	close(w.afterRead.release)
 	if got, err := io.ReadAll(conn); err != nil || !strings.Contains(string(got), "200 OK") {
 		t.Errorf("%q, %v", got, err)
 	}
 }
 
-// A request that waits behind another is not begun once its client has left, although the other's answer has just been written.
-func TestNothingQueuedIsBegunForAClientThatHasLeft(t *testing.T) {
-	w := newEnds(t)
+// A request that waits behind another one is not started after its client has disconnected, even if
+// the other's answer has just been written.
+func TestClientLeft_DropsQueuedRequest(t *testing.T) {
+	w := newTestListener(t)
 	conn := w.dial()
 	w.beforeWrite.arm()
 	fmt.Fprint(conn, get+get)
 	w.beforeWrite.wait(t)
-	w.until("both have come in", func(c *clientConn) bool { return len(c.queue) == 1 })
+	w.waitForConn("both requests have arrived", func(c *clientConn) bool { return len(c.queue) == 1 })
 	conn.Close()
-	w.until("its reader has ended", func(c *clientConn) bool { return c.readEnded })
+	w.waitForConn("the reader has ended", func(c *clientConn) bool { return c.readEnded })
 	close(w.beforeWrite.release)
-	w.until2(func() bool { return w.l.Conns() == 0 })
+	w.waitFor(func() bool { return w.l.Conns() == 0 })
 	if n := w.opened.Load(); n != 1 {
-		t.Errorf("%d requests begun, want 1", n)
+		t.Errorf("%d requests started, want 1", n)
 	}
 }
 
-func (w *ends) until2(is func() bool) {
+func (w *testListener) waitFor(is func() bool) {
 	w.t.Helper()
 	for end := time.Now().Add(testTimeout); !is(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			w.t.Fatal("never")
+			w.t.Fatal("timed out waiting for a condition")
 		}
 	}
 }
 
-// A request whose client has left before it is read is not begun, as where its connection waited to be accepted. What lies behind its bytes, the
-// client's end, is kept from being read here.
-func TestNothingIsBegunForAClientThatLeftBeforeItWasRead(t *testing.T) {
+// A request whose client has disconnected before the request is read is not started, for example
+// because its connection waited to be accepted. The test keeps the listener from reading the end of
+// the connection itself.
+func TestClientLeft_DropsUnreadRequest(t *testing.T) {
 	for _, reset := range []bool{false, true} {
-		w := newEnds(t)
-		conn := w.rests()
+		w := newTestListener(t)
+		conn := w.idleConn()
 		w.afterRead.arm()
 		fmt.Fprint(conn, get)
 		w.afterRead.wait(t)
-		w.beforeRead.arm() // should it come round
+		w.beforeRead.arm() // in case the reader reads again
 		if reset {
 			conn.(*net.TCPConn).SetLinger(0)
 		}
 		conn.Close()
-		w.until("its end is there", func(c *clientConn) bool { _, gone := peek(c.conn); return gone })
+		w.waitForConn("the disconnect has arrived", func(c *clientConn) bool { _, gone := peek(c.conn); return gone })
 		close(w.afterRead.release)
 		ended := make(chan struct{})
 		go func() {
 			defer close(ended)
-			w.until2(func() bool { return w.l.Conns() == 0 || w.opened.Load() > 1 })
+			w.waitFor(func() bool { return w.l.Conns() == 0 || w.opened.Load() > 1 })
 		}()
 		select {
 		case <-ended:
-		case <-w.beforeRead.reached: // it has come round, and does not learn of the end before the request is begun, or not
-			w.until2(func() bool { return w.opened.Load() > 1 })
+		case <-w.beforeRead.reached: // the reader reads again, and cannot see the end of the connection before the request is started or not
+			w.waitFor(func() bool { return w.opened.Load() > 1 })
 		}
 		close(w.beforeRead.release)
 		<-ended
 		if n := w.opened.Load(); n != 1 {
-			t.Errorf("reset %t: %d requests begun, want 1", reset, n)
+			t.Errorf("reset %t: %d requests started, want 1", reset, n)
 		}
 	}
 }
 
-// A request that is arriving as a listener begins to leave is read to its end and answered, and its connection ends with that.
-func TestRequestSplitInTransitAsAListenerLeaves(t *testing.T) {
-	w := newEnds(t)
+// A request that has arrived in part when the listener begins to leave is read completely and
+// answered, and its connection ends with the answer.
+func TestLeave_AnswersPartialRequest(t *testing.T) {
+	w := newTestListener(t)
 	conn := w.dial()
 	fmt.Fprint(conn, get[:10])
-	w.until("it arrives", func(c *clientConn) bool { return c.partial })
+	w.waitForConn("the request has arrived in part", func(c *clientConn) bool { return c.partial })
 	w.l.Leave()
-	w.endIdle()
+	w.closeAllIdle()
 	fmt.Fprint(conn, get[10:])
 	if m := w.answer(conn); m.Status != 200 || !m.Close {
-		t.Errorf("answered %d, closing %t", m.Status, m.Close)
+		t.Errorf("status %d, Connection: close %t; want 200 and true", m.Status, m.Close)
 	}
-	w.until2(func() bool { return w.l.Conns() == 0 })
+	w.waitFor(func() bool { return w.l.Conns() == 0 })
 }
 
-// Behind what can't be read a client may go on sending without end, so that its going would not be seen: what it still waits for is given
-// up then. The grace of such a connection is an hour here.
-func TestAFloodEndsWhatItsClientWaitsFor(t *testing.T) {
-	w := newEnds(t)
+// A client may send bytes without end after a malformed request, so that its disconnect would not
+// be noticed: its open query is abandoned after lingerBytes. faultGrace is an hour here.
+func TestFlood_AbandonsOpenQuery(t *testing.T) {
+	w := newTestListener(t)
 	conn := w.dial()
 	fmt.Fprint(conn, "GET /held HTTP/1.1\r\nHost: x\r\n\r\nwhat now?\r\n\r\n")
-	w.until("it is at fault", func(c *clientConn) bool { return c.fault != nil })
+	w.waitForConn("the malformed bytes have been read", func(c *clientConn) bool { return c.fault != nil })
 	go func() {
 		conn.Write(make([]byte, 2*lingerBytes)) // fails once the connection is closed
 	}()
-	w.until2(func() bool { return w.e.OpenQueries() == 0 && w.l.Conns() == 0 })
+	w.waitFor(func() bool { return w.e.OpenQueries() == 0 && w.l.Conns() == 0 })
 }
 
-// When a listener closes its socket, who has connected already is served. Without that a connection which waits to be accepted is reset.
+// A listener that closes its socket serves the clients that have already connected. Otherwise a
+// connection that waits to be accepted is reset.
 func TestCloseSocketServesBacklog(t *testing.T) {
-	w := newEnds(t)
-	first := w.rests()
+	w := newTestListener(t)
+	first := w.idleConn()
 	w.beforeAccept.arm()
 	var waiting []net.Conn
 	for i := range 4 {
 		if i == 1 {
-			w.beforeAccept.wait(t) // Serve has come round, with the first of them or before it
+			w.beforeAccept.wait(t) // Serve is at its next Accept, with the first of them or before it
 		}
 		conn := w.dial()
 		fmt.Fprint(conn, get)
@@ -378,7 +386,7 @@
 	close(w.beforeAccept.release)
 	for _, conn := range waiting {
 		if m := w.answer(conn); m.Status != 200 {
-			t.Errorf("answered %d", m.Status)
+			t.Errorf("status %d, want 200", m.Status)
 		}
 	}
 	select {
@@ -387,24 +395,24 @@
 			t.Error(err)
 		}
 	case <-time.After(testTimeout):
-		t.Fatal("it goes on accepting")
+		t.Fatal("Serve did not return after CloseSocket")
 	}
 	if _, err := first.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
-		t.Errorf("the one that rested: %v", err)
+		t.Errorf("read on the idle connection: %v, want EOF", err)
 	}
 	if conn, err := net.Dial("tcp", w.l.socket.Addr().String()); !errors.Is(err, syscall.ECONNREFUSED) {
 		if err == nil {
 			conn.Close()
 		}
-		t.Errorf("it still listens: %v", err)
+		t.Errorf("dial after CloseSocket: %v, want connection refused", err)
 	}
 }
 
-// What arrives when the process may soon be killed has its end before, whatever time its client gives.
-func TestWhatArrivesLateEndsBeforeTheProcessMay(t *testing.T) {
+// The deadline of a query that arrives when the process may soon be killed is limited to that time.
+func TestKillDeadline_BoundsQueryDeadline(t *testing.T) {
 	for _, tc := range []struct{ by, deadline, want int64 }{{0, 9e6, 9e6}, {3e6, 9e6, 3e6}, {3e6, 2e6, 2e6}} {
 		seen := make(chan int64, 1)
-		gatherer := core.New(core.Config{Period: 1, Shards: 1, Classes: []sq.Class{{Name: "c"}}}, watched{seen: seen})
+		gatherer := core.New(core.Config{Period: 1, Shards: 1, Classes: []sq.Class{{Name: "c"}}}, deadlineRecorder{seen: seen})
 		e := NewEngine(NewClock(), gatherer, PoolConfig{}, platform.Workers{PerConn: 1}, adminapi.NewMetrics(), slog.New(slog.DiscardHandler))
 		go e.Run()
 		now := e.clock.Now()
@@ -413,19 +421,19 @@
 		}
 		e.Open(core.Query{Class: "c", Deadline: now + tc.deadline, Parts: []core.QueryPart{{Weight: 1}}})
 		if got := <-seen - now; got != tc.want {
-			t.Errorf("%+v: it may last until %d", tc, got)
+			t.Errorf("%+v: deadline %d", tc, got)
 		}
 		e.Stop()
 	}
 }
 
-// watched is a module that records the deadlines of queries.
-type watched struct {
+// deadlineRecorder is a module that records the deadlines of queries.
+type deadlineRecorder struct {
 	module
 	seen chan int64
 }
 
-func (m watched) Step(_ int64, events []sq.Event) []sq.Action {
+func (m deadlineRecorder) Step(_ int64, events []sq.Event) []sq.Action {
 	for _, e := range events {
 		if q, ok := e.(sq.Query); ok {
 			m.seen <- q.Deadline
--- a/internal/broker/transport/engine.go
+++ b/internal/broker/transport/engine.go
@@ -19,18 +19,19 @@
 
 func sortedKeys[K cmp.Ordered, V any](m map[K]V) []K { return slices.Sorted(maps.Keys(m)) }
 
-// Clock gives Unix microseconds: the time at its making plus what has passed since by the monotonic clock,
-// so that it never runs backwards and yet compares with the times at which servers started.
+// Clock gives Unix microseconds: the wall clock at its creation plus the monotonic time elapsed
+// since. It never runs backwards, yet can be compared with the start times of servers.
 type Clock struct{ start time.Time }
 
-// NewClock makes a clock.
+// NewClock returns a clock that starts at the current wall-clock time.
 func NewClock() Clock { return Clock{start: time.Now()} }
 
-// Now is the present time.
+// Now returns the current time in Unix microseconds.
 func (c Clock) Now() int64 { return c.start.UnixMicro() + time.Since(c.start).Microseconds() }
 
-// Engine is the one goroutine that owns the core, the module behind it and the pool. Others post functions to it; its methods may be
-// called from any goroutine. It blocks on nothing but its inbox.
+// Engine is the one goroutine that owns the core, the decision module and the pool. Other
+// goroutines post functions to it; its methods are safe for concurrent use. It blocks on nothing
+// but its inbox.
 type Engine struct {
 	clock        Clock
 	core         *core.Core
@@ -42,26 +43,28 @@
 	log          *slog.Logger
 	sweepAt      int64
 	metrics      *adminapi.Metrics
-	gate         *admission.Gate        // nil: there are no contracts
+	gate         *admission.Gate        // nil: no contracts are configured
 	queued       map[int64]*queuedQuery // queries that wait at the gate
 	lastGateID   int64
 	permit       *Permit          // nil: every query is admitted
-	suspended    []suspendedQuery // queries that wait while a change is put in force
-	killDeadline int64            // when this process may be killed: queries end before; 0: not known
-	// Watch and Fetch, where set, execute the module's requests to discovery. They must not block. Set them before Run.
+	suspended    []suspendedQuery // queries that wait while a policy change is applied
+	killDeadline int64            // time at which this process may be killed; queries end before it; 0: unknown
+	// Watch and Fetch, if set, execute the module's requests to discovery. They must not block. Set
+	// them before Run.
 	Watch, Fetch func()
-	// RefreshLayout, where set, has the full layout fetched. It must not block. Set it before Run.
+	// RefreshLayout, if set, starts a fetch of the full layout. It must not block. Set it before
+	// Run.
 	RefreshLayout func()
 }
 
 const (
 	inboxSize  = 1024
 	sweepEvery = 50_000 // microseconds
-	// stateTimeout bounds the wait for the engine's state.
+	// stateTimeout bounds the wait for the engine to report its state.
 	stateTimeout = 500 * time.Millisecond
 )
 
-// NewEngine makes an engine; Run starts it.
+// NewEngine returns an engine; Run starts it.
 func NewEngine(clock Clock, gatherer *core.Core, cfg PoolConfig, d core.Dialect, metrics *adminapi.Metrics,
 	logger *slog.Logger,
 ) *Engine {
@@ -72,18 +75,20 @@
 	e.pool = newPool(cfg, d, e.post)
 	e.pool.metrics = metrics
 	e.pool.onReply, e.pool.stopped = gatherer.HandleReply, e.stopped
-	e.pool.onPanic = func(p *panicguard.PanicError) { e.recordPanic("answer of a server", p) }
+	e.pool.onPanic = func(p *panicguard.PanicError) { e.recordPanic("server answer", p) }
 	e.queued = map[int64]*queuedQuery{}
 	return e
 }
 
-// recordPanic counts and logs a panic that was contained in the goroutine of one request, answer or call. It may be called from any goroutine.
+// recordPanic counts and logs a panic that was contained in the goroutine of one request, answer or
+// call. It is safe for concurrent use.
 func (e *Engine) recordPanic(where string, p *panicguard.PanicError) {
 	e.metrics.Panics.Add(1)
 	logging.Error(e.log, logging.Panic, "where", where, "error", p.Error(), "stack", string(p.Stack))
 }
 
-// post hands a function to the engine's goroutine. It waits while the inbox is full, and returns false where the engine has ended.
+// post passes a function to the engine's goroutine. It blocks while the inbox is full, and returns
+// false if the engine has stopped.
 func (e *Engine) post(f func(now int64)) bool {
 	select {
 	case e.inbox <- f:
@@ -93,7 +98,7 @@
 	}
 }
 
-// Run owns the core until Stop.
+// Run runs the engine until Stop is called.
 func (e *Engine) Run() {
 	defer close(e.stopped)
 	timer := time.NewTimer(0)
@@ -110,7 +115,7 @@
 		now := e.clock.Now()
 		e.refuseExpired(now)
 		e.admitSuspended(now)
-		e.carryOut(now, e.core.Step(now))
+		e.execute(now, e.core.Step(now))
 		if now >= e.sweepAt {
 			e.sweepAt = now + sweepEvery
 			e.pool.sweep(now)
@@ -120,7 +125,8 @@
 	}
 }
 
-// runPosted runs what was posted meanwhile: it belongs to the same step of the core.
+// runPosted runs the functions that were posted in the meantime, so that they belong to the same
+// step of the core.
 func (e *Engine) runPosted() {
 	for {
 		select {
@@ -132,7 +138,7 @@
 	}
 }
 
-// publishMetrics copies the core's state into the gauges.
+// publishMetrics copies the core's state to the gauges.
 func (e *Engine) publishMetrics() {
 	listed, out := e.core.Rotation()
 	e.metrics.KnownServers.Store(int64(listed))
@@ -144,7 +150,7 @@
 	}
 }
 
-// nextStep is when the engine has to run again although nothing is posted, in Unix microseconds.
+// nextStep returns when the engine has to run next even if nothing is posted, in Unix microseconds.
 func (e *Engine) nextStep() int64 {
 	at := e.sweepAt
 	if next, ok := e.core.NextStep(); ok {
@@ -161,14 +167,14 @@
 	return at
 }
 
-// Stop ends Run.
+// Stop ends Run and waits for it.
 func (e *Engine) Stop() {
 	close(e.stop)
 	<-e.stopped
 }
 
-// carryOut executes the core's effects in their order.
-func (e *Engine) carryOut(now int64, effects []core.Effect) {
+// execute executes the core's effects in order.
+func (e *Engine) execute(now int64, effects []core.Effect) {
 	for _, x := range effects {
 		switch x := x.(type) {
 		case core.Call:
@@ -176,7 +182,7 @@
 		case core.RecordIntents:
 			e.recordIntents(now, x)
 		case core.CancelAttempt:
-			e.pool.drop(now, x.Attempt)
+			e.pool.cancelAttempt(now, x.Attempt)
 		case core.RecallUnsent:
 			e.pool.recall(now, x.Attempt)
 		case core.CloseIdle:
@@ -204,7 +210,8 @@
 	}
 }
 
-// recordIntents passes intents to their ledger, which must not block, and its result to the core.
+// recordIntents passes intents to their log, which must not block, and reports the result to the
+// core.
 func (e *Engine) recordIntents(now int64, x core.RecordIntents) {
 	done := func(err error) { e.post(func(now int64) { e.core.IntentsRecorded(now, x.Attempts, err) }) }
 	if err := x.Log.Record(x.Intents, x.Deadline, done); err != nil {
@@ -212,33 +219,36 @@
 	}
 }
 
-// Ticket is a query that was handed to the engine. Callers wait on Final, Err and the end of the engine.
+// Ticket represents a query that was handed to the engine. Callers wait on Final, Err and the end
+// of the engine.
 type Ticket struct {
-	Final  chan core.Final // gets the one final answer
-	Err    chan error      // gets an error instead where the query is malformed
-	id     sq.ID
-	gate   int64  // of the query at the gate; 0: it has none
-	left   bool   // its client is gone; the engine's
-	policy uint64 // the version that it was let in under, and one; 0: there are none. The engine's
+	Final      chan core.Final // receives the one final answer
+	Err        chan error      // receives an error instead if the query is invalid
+	id         sq.ID
+	gate       int64  // ID of the query at the gate; 0: none
+	clientLeft bool   // the client has disconnected; owned by the engine's goroutine
+	policy     uint64 // 1 + the policy version of the query's admission; 0: none; owned by the engine's goroutine
 }
 
-// Open hands over a query. The ticket gets either a final answer or an error, unless ClientLeft is called or the engine ends before.
+// Open hands a query to the engine. The ticket receives either a final answer or an error, unless
+// ClientLeft is called or the engine stops before.
 func (e *Engine) Open(a core.Query) *Ticket {
 	t := &Ticket{Final: make(chan core.Final, 1), Err: make(chan error, 1)}
 	e.post(func(now int64) { e.arrive(now, a, t) })
 	return t
 }
 
-// SetKillDeadline sets the time, in Unix microseconds, at which this process may be killed. Queries that arrive from now on get no
-// later deadline, whatever time their clients give.
+// SetKillDeadline sets the time, in Unix microseconds, at which this process may be killed. The
+// deadlines of queries that arrive later are limited to it, whatever deadlines their clients ask
+// for.
 func (e *Engine) SetKillDeadline(at int64) {
 	e.post(func(int64) { e.killDeadline = at })
 }
 
-// ClientLeft gives a query up whose client is gone. No attempt of it begins afterwards.
+// ClientLeft abandons a query whose client has disconnected. No further attempt of it is started.
 func (e *Engine) ClientLeft(t *Ticket) {
 	e.post(func(now int64) {
-		t.left = true
+		t.clientLeft = true
 		if e.waiting[t.id] != nil {
 			delete(e.waiting, t.id)
 			e.core.ClientLeft(t.id)
@@ -250,18 +260,19 @@
 // UpdateFleet passes a change of the list of servers to the pool and to the core.
 func (e *Engine) UpdateFleet(f sq.FleetChanged, addresses map[sq.ServerID]string) {
 	e.post(func(now int64) {
-		// What ends at a process that is gone comes first: it says nothing of the one in its place.
+		// The pool comes first: the attempts that end with a replaced process must not count
+		// against its replacement.
 		e.pool.updateFleet(now, f, addresses)
 		e.core.FleetChanged(f)
 	})
 }
 
-// UpdateLayout puts a layout in force. Callers pass layouts in the order of their epochs.
+// UpdateLayout applies a layout. Callers must pass layouts in the order of their epochs.
 func (e *Engine) UpdateLayout(u layout.Update) {
 	e.post(func(now int64) { e.core.LayoutChanged(now, u) })
 }
 
-// Reconfigure puts other settings in force in core, module and pool, in one step of the engine.
+// Reconfigure applies new settings to the core, the module and the pool, in one step of the engine.
 func (e *Engine) Reconfigure(terms core.Config, settings sq.Settings, cfg PoolConfig, d core.Dialect) {
 	e.post(func(int64) {
 		e.core.Reconfigure(terms, settings)
@@ -269,14 +280,14 @@
 	})
 }
 
-// HandoverState returns the state of this process for the one that takes its place. ok is false where the engine has ended or does not
-// answer within stateTimeout.
+// HandoverState returns this process's state for the process that replaces it. ok is false if the
+// engine has stopped or does not respond within stateTimeout.
 func (e *Engine) HandoverState() (s handover.State, ok bool) {
 	got := make(chan handover.State, 1)
 	go e.post(func(int64) {
-		held, learned := e.core.Occupancy(), e.core.Learned()
+		occupancy, learned := e.core.Occupancy(), e.core.Learned()
 		got <- handover.State{
-			Sockets: e.pool.conns, Open: held.Open, Labels: held.Labels, Admission: learned.Admission,
+			Sockets: e.pool.conns, Open: occupancy.Open, Labels: occupancy.Labels, Admission: learned.Admission,
 			Suspects: learned.Suspects,
 		}
 	})
@@ -291,35 +302,35 @@
 	return s, false
 }
 
-// SetPeers passes the states of the other processes of this gatherer to the core, and limits this process's connections to servers to
-// conns.
+// SetPeers passes the states of this gatherer's other processes to the core, and limits this
+// process to conns connections to servers.
 func (e *Engine) SetPeers(others []handover.State, conns int) {
-	held := core.Occupancy{Labels: map[string]int64{}}
+	occupancy := core.Occupancy{Labels: map[string]int64{}}
 	for _, o := range others {
-		held.Open += o.Open
-		maps.Copy(held.Labels, o.Labels)
+		occupancy.Open += o.Open
+		maps.Copy(occupancy.Labels, o.Labels)
 	}
 	e.post(func(int64) {
-		e.core.SetPeer(held)
+		e.core.SetPeer(occupancy)
 		e.pool.cfg.MaxConns = conns
 	})
 }
 
-// InheritLearned starts from what the process before this one has learned.
+// InheritLearned initializes the module from what the previous process has learned.
 func (e *Engine) InheritLearned(from handover.State) {
 	e.post(func(now int64) {
 		e.core.TakeOver(now, sq.Learned{Admission: from.Admission, Suspects: from.Suspects})
 	})
 }
 
-// Memory is what a process that comes after this one's end should know. Times are Unix microseconds.
+// Memory is the state that a process keeps across a restart. Times are Unix microseconds.
 type Memory struct {
 	Learned sq.Learned
 	Spent   map[string]core.Spent
 }
 
-// ExportMemory returns what a later process should know. ok is false where the engine has ended or does not answer within
-// stateTimeout.
+// ExportMemory returns the state to keep across a restart. ok is false if the engine has stopped or
+// does not respond within stateTimeout.
 func (e *Engine) ExportMemory() (m Memory, ok bool) {
 	got := make(chan Memory, 1)
 	go e.post(func(now int64) { got <- Memory{e.core.Learned(), e.core.Spent(now)} })
@@ -334,18 +345,18 @@
 	return m, false
 }
 
-// RestoreMemory starts from the memory of a process that has ended.
+// RestoreMemory initializes the core from the state of a process that has ended.
 func (e *Engine) RestoreMemory(m Memory) {
 	e.post(func(now int64) { e.core.Restore(now, m.Learned, m.Spent) })
 }
 
-// OpenQueries returns the number of queries without a final answer; 0 once the engine has ended.
+// OpenQueries returns the number of queries without a final answer; 0 once the engine has stopped.
 func (e *Engine) OpenQueries() int {
 	n := make(chan int, 1)
 	e.post(func(int64) { n <- e.core.OpenQueries() })
 	select {
-	case held := <-n:
-		return held
+	case open := <-n:
+		return open
 	case <-e.stopped:
 		return 0
 	}
--- a/internal/broker/transport/exchange.go
+++ b/internal/broker/transport/exchange.go
@@ -13,16 +13,17 @@
 )
 
 const (
-	exchangeInterval      = 250 * time.Millisecond // between two writings
-	exchangeIntervalPeers = 100 * time.Millisecond // the same, while there is another process
+	exchangeInterval      = 250 * time.Millisecond // between two writes
+	exchangeIntervalPeers = 100 * time.Millisecond // the same, while another process of this gatherer is running
 	stateFilePrefix       = "saffronquay-"
 	stateFileSuffix       = ".handover"
-	staleFileAge          = time.Minute // then what a process left behind is removed
-	maxPeerStates         = 8           // states that are read at a time
+	staleFileAge          = time.Minute // older files were left behind by dead processes and are removed
+	maxPeerStates         = 8           // maximum number of states read in one pass
 )
 
-// StateExchange exchanges state with the other processes of this gatherer through files in a shared directory. Each process replaces
-// its own file by a rename, so that a reader never sees a part of one.
+// StateExchange exchanges state with the other processes of this gatherer through files in a shared
+// directory. Each process replaces its own file by a rename, so that readers never see a partial
+// write.
 type StateExchange struct {
 	dir, name, path string
 	clock           Clock
@@ -32,19 +33,20 @@
 	stop, done      chan struct{}
 }
 
-// NewStateExchange makes an exchange in a directory that outlives a process. snapshot returns this process's state, if it has one.
-// peersRead gets the latest states of the others after each reading, on Run's goroutine.
-func NewStateExchange(dir, name string, clock Clock, snapshot func() (handover.State, bool), met func([]handover.State),
+// NewStateExchange returns an exchange over dir, a directory that outlives the process. snapshot
+// returns this process's state; ok is false if it is not available. peersRead receives the latest
+// states of the others after each read, on Run's goroutine.
+func NewStateExchange(dir, name string, clock Clock, snapshot func() (handover.State, bool), peersRead func([]handover.State),
 	logger *slog.Logger,
 ) *StateExchange {
 	own := fmt.Sprintf("%s%d-%d%s", stateFilePrefix, os.Getpid(), time.Now().UnixNano(), stateFileSuffix)
 	return &StateExchange{
-		dir: dir, name: name, path: filepath.Join(dir, own), clock: clock, snapshot: snapshot, peersRead: met,
+		dir: dir, name: name, path: filepath.Join(dir, own), clock: clock, snapshot: snapshot, peersRead: peersRead,
 		log: logger, stop: make(chan struct{}), done: make(chan struct{}),
 	}
 }
 
-// Run writes and reads states until Stop.
+// Run writes and reads states until Stop is called.
 func (b *StateExchange) Run() {
 	defer close(b.done)
 	timer := time.NewTimer(0)
@@ -54,7 +56,7 @@
 		select {
 		case <-timer.C:
 		case <-b.stop:
-			os.Remove(b.path) // one that stays behind grows stale
+			os.Remove(b.path) // if the removal fails, the file expires
 			return
 		}
 		if s, ok := b.snapshot(); ok {
@@ -82,16 +84,16 @@
 	s.Name, s.Since, s.At = b.name, b.clock.start.UnixMicro(), b.clock.Now()
 	part := b.path + ".part"
 	if err := os.WriteFile(part, s.Append(nil), 0o600); err != nil {
-		return fmt.Errorf("write: %w", err)
+		return fmt.Errorf("write handover state: %w", err)
 	}
 	if err := os.Rename(part, b.path); err != nil {
-		return fmt.Errorf("rename: %w", err)
+		return fmt.Errorf("replace handover state: %w", err)
 	}
 	return nil
 }
 
-// PeerStates returns the latest states of the other processes of this gatherer. A file that is malformed, of another version or too
-// old is ignored; one older than staleFileAge is removed.
+// PeerStates returns the latest states of the other processes of this gatherer. It ignores files
+// that are malformed, of another version or too old, and removes files older than staleFileAge.
 func (b *StateExchange) PeerStates() []handover.State {
 	paths, err := filepath.Glob(filepath.Join(b.dir, stateFilePrefix+"*"))
 	if err != nil {
@@ -111,7 +113,7 @@
 		}
 		text, err := readStateFile(path)
 		if err != nil {
-			continue // it was taken back just now
+			continue // its process has just removed it
 		}
 		if s, err := handover.Parse(text); err == nil && s.Name == b.name && s.IsFresh(b.clock.Now()) {
 			others = append(others, s)
--- a/internal/broker/transport/exchange_test.go
+++ b/internal/broker/transport/exchange_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// Two processes hear of each other while both run, and of nothing else: guards a start against what a process that is
-// gone, another gatherer or another version has left behind.
+// Two processes receive each other's states while both run, and no other state. A starting process
+// must ignore what a dead process, another gatherer or another version has left behind.
 func TestStateExchange(t *testing.T) {
 	dir, clock, quiet := t.TempDir(), NewClock(), slog.New(slog.DiscardHandler)
 	leave := func(name string, s handover.State) {
@@ -42,7 +42,7 @@
 					return
 				}
 			case <-end:
-				t.Fatal("it was never heard of")
+				t.Fatal("timed out waiting for the peers' states")
 			}
 		}
 	}
@@ -56,11 +56,12 @@
 	b.Stop()
 	left, err := filepath.Glob(filepath.Join(dir, "*"))
 	if err != nil || len(left) != 3 {
-		t.Errorf("left behind: %v %v", left, err)
+		t.Errorf("remaining files: %v, %v; want 3", left, err)
 	}
 }
 
-// Followers that lose their directory at the same moment come back at moments of their own, and each within its bounds.
+// Followers that lose their directory at the same moment reconnect at different times, each within
+// its bounds.
 func TestFollowersReconnectWithJitter(t *testing.T) {
 	seen := map[time.Duration]int{}
 	for seed := range uint64(300) {
@@ -69,7 +70,7 @@
 		for _, pause := range []time.Duration{watchBackoffMin, watchBackoffMax} {
 			d := f.jitter(pause)
 			if d < pause/2 || d > pause*3/2+1 {
-				t.Fatalf("a pause of %v for %v", d, pause)
+				t.Fatalf("wait %v for backoff %v", d, pause)
 			}
 			if pause == watchBackoffMax {
 				seen[d/(100*time.Millisecond)]++
@@ -78,10 +79,10 @@
 	}
 	for at, n := range seen {
 		if n > 40 { // 300 over 20 tenths of a second
-			t.Errorf("%d of 300 come back within a tenth of a second, at %d", n, at)
+			t.Errorf("%d of 300 reconnect within one tenth of a second, number %d", n, at)
 		}
 	}
 	if f := newFollower("", 1, nil, nil); f.jitter(time.Second) != time.Second {
-		t.Error("without a seed a pause is spread")
+		t.Error("a backoff has jitter without a seed")
 	}
 }
--- a/internal/broker/transport/gate.go
+++ b/internal/broker/transport/gate.go
@@ -6,8 +6,8 @@
 	"saffronquay/internal/broker/core"
 )
 
-// ErrNoContract is the error of a query for which its team's contract has no entry.
-var ErrNoContract = errors.New("the contract does not have it")
+// ErrNoContract is the error of a query whose team has no contract, or none for the query's class.
+var ErrNoContract = errors.New("transport: no contract for the team and class of the query")
 
 // queuedQuery is a query that waits at the admission gate.
 type queuedQuery struct {
@@ -15,7 +15,8 @@
 	ticket *Ticket
 }
 
-// SetContracts puts admission contracts in force; with nil there are none, and the queries that wait at the gate are admitted.
+// SetContracts applies admission contracts. With nil there are none, and the queries that wait at
+// the gate are admitted.
 func (e *Engine) SetContracts(cfg *admission.Config) {
 	e.post(func(now int64) {
 		switch {
@@ -37,8 +38,9 @@
 	})
 }
 
-// Accounts lists the teams' accounts, the busiest first, at most so many. They are sorted on the caller's goroutine.
-func (e *Engine) Accounts(most int) (out []admission.TeamStatus) {
+// Accounts returns the accounts of at most limit teams, the busiest first. They are sorted on the
+// caller's goroutine.
+func (e *Engine) Accounts(limit int) (out []admission.TeamStatus) {
 	got := make(chan []admission.TeamStatus, 1)
 	e.post(func(int64) {
 		var all []admission.TeamStatus
@@ -51,10 +53,11 @@
 	case out = <-got:
 	case <-e.stopped:
 	}
-	return admission.TopTeams(out, most)
+	return admission.TopTeams(out, limit)
 }
 
-// arrive passes a query to the gate, where there is one. The core receives it once the gate admits it.
+// arrive passes a query to the gate if there is one. The core receives the query once the gate
+// admits it.
 func (e *Engine) arrive(now int64, a core.Query, t *Ticket) {
 	if e.killDeadline > 0 {
 		a.Deadline = min(a.Deadline, e.killDeadline)
@@ -88,7 +91,7 @@
 	}
 }
 
-// admit opens a query in the core, if the permit allows it.
+// admit opens a query in the core if the permit allows it.
 func (e *Engine) admit(now int64, a core.Query, t *Ticket) {
 	if !e.checkPermit(now, a, t) {
 		return
@@ -114,7 +117,8 @@
 	}
 }
 
-// releaseGate returns a query's admission to the gate where the core gives no final answer for it.
+// releaseGate returns a query's admission to the gate if the core gives no final answer for the
+// query.
 func (e *Engine) releaseGate(now int64, t *Ticket) {
 	if e.gate == nil || t.gate == 0 {
 		return
--- a/internal/broker/transport/idle.go
+++ b/internal/broker/transport/idle.go
@@ -7,25 +7,28 @@
 	"time"
 )
 
-// isCrowded reports whether idle connections should be closed: at three quarters of the table, so that new clients need not wait, or
-// where clients keep as many connections as they may.
+// isCrowded reports whether idle connections should be closed: when three quarters of the
+// connection table are in use, so that new clients need not wait, or when clients keep as many
+// connections as they may.
 func (l *Listener) isCrowded() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.conns) >= l.settings.Load().MaxConns*3/4 || l.keptAlive() >= l.settings.Load().MaxKeepAlive
 }
 
-// endsAfterAnswer reports whether a connection ends with the present answer: it was to be closed anyway, or clients keep more
-// connections than MaxKeepAlive. Guards against clients that ask one thing and keep their connection, which others then lack. The
-// answer announces the end, so that no request crosses it, unlike a later close. Requests that have come in already are answered
-// first.
+// endsAfterAnswer reports whether a connection ends with the current answer: because it was to be
+// closed anyway, or because clients keep more connections than MaxKeepAlive. Otherwise clients that
+// send one request and keep their connection would exhaust the table. The answer announces the end,
+// so that no request crosses it, unlike with a later close. Requests that have already arrived are
+// answered first.
 func (l *Listener) endsAfterAnswer(c *clientConn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(c.queue) == 0 && (c.endsNext || l.keptAlive() > l.settings.Load().MaxKeepAlive)
 }
 
-// keptAlive counts the connections that have had a request and may send another. The lock is held.
+// keptAlive counts the connections that have had a request and may send another. The caller holds
+// the lock.
 func (l *Listener) keptAlive() int {
 	n := 0
 	for c := range l.conns {
@@ -36,15 +39,16 @@
 	return n
 }
 
-// evict closes the connection with the highest evictionRank, and of equal ones the one that has been idle for longest, so that neither
-// old connections nor faulty clients keep new ones out. Ranks below least stay.
-func (l *Listener) evict(least int) {
+// evict closes the connection with the highest evictionRank, provided that it is at least minRank;
+// among equals, the one that has been idle longest. It prevents old connections and faulty clients
+// from keeping new clients out.
+func (l *Listener) evict(minRank int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
 	var pick *clientConn
 	for c := range l.conns {
-		if n := c.evictionRank(now); n >= least && (pick == nil || n > pick.evictionRank(now) || n == pick.evictionRank(now) && c.idleSince.Before(pick.idleSince)) {
+		if n := c.evictionRank(now); n >= minRank && (pick == nil || n > pick.evictionRank(now) || n == pick.evictionRank(now) && c.idleSince.Before(pick.idleSince)) {
 			pick = c
 		}
 	}
@@ -53,19 +57,20 @@
 	}
 }
 
-// evict ends an idle connection; the lock is held. The connection's reader closes it, as only that goroutine knows that no request has
-// been read: a close from here could cross a request that is then executed without a client to answer to.
+// evict ends an idle connection. The caller holds the lock. The connection is closed by its reader,
+// since only that goroutine knows that no request has been read: closing it here could cross a
+// request that would then be executed without a client to answer.
 func (c *clientConn) evict() {
 	c.evicted = true
-	if c.fault != nil { // it has had its last answer, and is only read on
+	if c.fault != nil { // its last answer has been sent; the rest of its input is only discarded
 		c.conn.Close()
 		return
 	}
 	setReadDeadline(c.conn, time.Unix(1, 0))
 }
 
-// continueIfUnread reports whether a connection goes on although its read deadline is over, since bytes wait in the socket. If it was
-// to be evicted it ends with the answer to them.
+// continueIfUnread reports whether a connection continues although its read deadline has passed,
+// because unread bytes are in the socket. If it was being evicted, it ends with the answer to them.
 func (c *clientConn) continueIfUnread() bool {
 	if !hasUnread(c.conn) {
 		return false
@@ -76,15 +81,15 @@
 	return true
 }
 
-// cancelEviction lets a connection go on until its next answer; the lock is held.
+// cancelEviction keeps a connection open until its next answer. The caller holds the lock.
 func (c *clientConn) cancelEviction() {
 	c.endsNext = c.endsNext || c.evicted
 	c.evicted = false
 	setReadDeadline(c.conn, time.Now().Add(c.listener.settings.Load().RequestTimeout))
 }
 
-// evictionRank orders connections for evict: 3 has had its error answer, 2 has sent no request for a while, 1 is long idle, 0 is idle,
-// -1 must stay. The lock is held.
+// evictionRank orders connections for evict: 3: has had its error answer; 2: has sent no request
+// for a while; 1: long idle; 0: idle; -1: must not be evicted. The caller holds the lock.
 func (c *clientConn) evictionRank(now time.Time) int {
 	age := now.Sub(c.idleSince)
 	switch {
@@ -102,8 +107,9 @@
 	return -1
 }
 
-// startIdleCloser starts to close idle connections: from after on those that have been idle for idleCloseMin, from last on all. One
-// that runs goes on as it is unless the new one begins sooner. The lock is held.
+// startIdleCloser starts to close idle connections: after after those that have been idle for
+// idleCloseMin, after last all of them. A running closer is replaced only if the new one begins
+// sooner. The caller holds the lock.
 func (l *Listener) startIdleCloser(after, last time.Duration) {
 	if l.closed || l.idleCloser != nil && after >= l.idleCloserDelay {
 		return
@@ -116,7 +122,7 @@
 	go l.runIdleCloser(l.idleCloser, after, last)
 }
 
-// runIdleCloser runs closeIdle at every tick until it is stopped or the listener closes.
+// runIdleCloser calls closeIdle at every tick until it is stopped or the listener closes.
 func (l *Listener) runIdleCloser(stop <-chan struct{}, after, last time.Duration) {
 	defer l.wg.Done()
 	began := time.Now()
@@ -136,8 +142,9 @@
 	}
 }
 
-// closeIdle evicts connections without an open request. Bytes that wait in the socket keep a connection, since a close over them would
-// reset it, and so does a new connection's pending first request for idleCloseMin.
+// closeIdle evicts connections without an open request. It keeps a connection with unread bytes in
+// its socket, since closing it would cause a reset, and a new connection that has not sent its
+// first request yet for idleCloseMin.
 func (l *Listener) closeIdle(now time.Time, all bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -150,13 +157,14 @@
 	}
 }
 
-// hasUnread reports whether bytes wait in a connection's socket.
+// hasUnread reports whether unread bytes are in a connection's socket.
 func hasUnread(conn net.Conn) bool {
 	waits, _ := peek(conn)
 	return waits
 }
 
-// peek looks at a connection's socket without reading: waits reports that bytes wait, gone that the far end has closed or reset it.
+// peek inspects a connection's socket without consuming data: waits reports unread bytes, gone that
+// the far end has closed or reset the connection.
 func peek(conn net.Conn) (waits, gone bool) {
 	raw, ok := conn.(syscall.Conn)
 	if !ok {
--- a/internal/broker/transport/listener.go
+++ b/internal/broker/transport/listener.go
@@ -12,62 +12,72 @@
 	"time"
 )
 
-// Front translates between one client protocol and the broker's queries. It has no sockets. Calls come from many goroutines at a time.
+// Front translates between one client protocol and the broker's queries. It has no sockets. It must
+// be safe for concurrent use.
 type Front interface {
-	// Open turns a request into a query and the function that turns its end into a response, or into a response without a query.
+	// Open turns a request into a query and a function that turns its final result into a response,
+	// or into a response without a query.
 	Open(m *http1.Message, now int64, ready bool) (core.Query, func(core.Final, int64) http1.Response, *http1.Response)
-	// Class is the class of a request that the broker has to decide, as far as its header shows; empty for others.
+	// Class returns the class of a request that the broker has to decide, as far as its header
+	// shows it; empty for others.
 	Class(m *http1.Message) string
-	// Fault makes the answer to a request that could not be read or decided on.
+	// Fault returns the response to a request that could not be parsed or decided.
 	Fault(status int, text string) http1.Response
 }
 
 // Splitter is a Front that can split a request into several.
 type Splitter interface {
-	// Split makes a request of each part, and a way to join their answers; or a response where it can't; or neither.
+	// Split returns a request for each part, and a function that joins their responses. It returns
+	// a response instead if the request cannot be split, and neither if it need not be.
 	Split(m *http1.Message) (parts []*http1.Message, join func([]http1.Response, int64) http1.Response, resp *http1.Response)
 }
 
-// ListenerConfig bounds a listener.
+// ListenerConfig has the limits of a listener.
 type ListenerConfig struct {
 	MaxConns int
-	// MaxKeepAlive is how many connections clients may keep between requests; with more, answers end their connection.
+	// MaxKeepAlive is how many connections clients may keep between requests. Beyond it, an answer
+	// ends its connection.
 	MaxKeepAlive int
-	// IdleTimeout bounds the wait for a further request, FirstRequestTimeout the time from the accept until the first
-	// request is complete, RequestTimeout the time from the first to the last byte of a later one.
+	// IdleTimeout bounds the wait for a further request, FirstRequestTimeout the time from the
+	// accept until the first request is complete, RequestTimeout the time from the first to the
+	// last byte of a later one.
 	IdleTimeout, FirstRequestTimeout, RequestTimeout time.Duration
-	// MaxPartialBytes bounds the bytes of unfinished requests, over all connections.
+	// MaxPartialBytes bounds the bytes of incomplete requests, over all connections.
 	MaxPartialBytes int64
-	// RetryAfter is the Retry-After of an answer to a request beyond MaxPartialBytes; 0: the answer has none.
+	// RetryAfter is the Retry-After of the answer to a request that exceeds MaxPartialBytes; 0: the
+	// answer has none.
 	RetryAfter time.Duration
 }
 
 const (
 	clientReadSize = 4 << 10
-	maxPipelined   = 4 // requests that may wait behind the one in work
-	// faultGrace is how long requests before unreadable bytes may still take. linger is how long a connection is read
-	// on after its last answer, and lingerBytes how much: a close over unread bytes resets the connection, which may
-	// destroy an answer on its way.
+	maxPipelined   = 4 // requests that may wait behind the one in progress
+	// faultGrace is how long requests before malformed bytes may still run. linger is how long a
+	// connection is read after its last answer, and lingerBytes how much is read: closing a
+	// connection over unread bytes resets it, which may destroy an answer in transit.
 	faultGrace     = 1500 * time.Millisecond
 	linger         = time.Second
 	lingerBytes    = 1 << 20
-	idleEvictAfter = 2 * time.Second // from then on a connection may be closed to make place for others
-	// A listener that ends its connections first lets answers end them. After idleCloseDelay it closes those that
-	// have been idle for idleCloseMin, after idleCloseAll all that are idle.
+	idleEvictAfter = 2 * time.Second // idle for longer, a connection may be closed to make room for others
+	// A listener that drains first lets answers end the connections. After idleCloseDelay it closes
+	// those that have been idle for idleCloseMin, after idleCloseAll all that are idle.
 	idleCloseDelay = time.Second
 	idleCloseMin   = 500 * time.Millisecond
 	idleCloseAll   = 1500 * time.Millisecond
 	idleCloseTick  = 50 * time.Millisecond
-	// Where no other process accepts the clients, new ones stay away 0.4 s after a listener has begun to leave, and a request later than
-	// 0.7 s may find no time for its answer: after leaveCloseDelay all idle connections are closed.
+	// If no other process accepts the clients, new ones stop arriving 0.4 s after a listener has
+	// begun to leave, and a request that arrives later than 0.7 s may be too late to be answered:
+	// after leaveCloseDelay all idle connections are closed.
 	leaveCloseDelay = 450 * time.Millisecond
-	// backlogTimeout is how long a listener that closes its socket still accepts what waits in the backlog.
+	// backlogTimeout is how long a listener that closes its socket still accepts connections from
+	// the backlog.
 	backlogTimeout = 20 * time.Millisecond
 	noRequestAfter = 300 * time.Millisecond // a client that has not begun a request by then may be evicted
 )
 
-// Listener accepts clients' connections and answers their requests. Each connection has one goroutine that reads and, while requests
-// are open, one that answers. mu guards the listener's fields below it and the state of all its connections.
+// Listener accepts client connections and answers their requests. Each connection has one goroutine
+// that reads and, while requests are open, one that answers. mu guards the listener's fields below
+// it and the state of all its connections.
 type Listener struct {
 	settings      atomic.Pointer[listenerSettings]
 	engine        *Engine
@@ -76,12 +86,12 @@
 	leaving       atomic.Bool
 	standby       atomic.Bool
 	closingSocket atomic.Bool  // CloseSocket was called
-	succeeded     atomic.Bool  // another process takes the clients
-	lastQuery     atomic.Int64 // when a query last came in
-	busyConns     atomic.Int64 // connections with a request being read, decided or answered
-	partialBytes  atomic.Int64 // bytes of unfinished requests
+	succeeded     atomic.Bool  // another process accepts the clients
+	lastQuery     atomic.Int64 // when the last query arrived, in Unix microseconds
+	busyConns     atomic.Int64 // connections with a request being read, executed or answered
+	partialBytes  atomic.Int64 // bytes of incomplete requests
 	connRemoved   chan struct{}
-	faultGrace    time.Duration // the constant, except in tests
+	faultGrace    time.Duration // the constant of this name, except in tests
 	wg            sync.WaitGroup
 
 	done chan struct{} // closed by Close
@@ -89,11 +99,12 @@
 	mu              sync.Mutex
 	closed          bool
 	conns           map[*clientConn]bool
-	idleCloser      chan struct{} // closed when idle connections may stay again; nil while they may
-	idleCloserDelay time.Duration // with rest: how long after its beginning they end
+	idleCloser      chan struct{} // closed to stop closing idle connections; nil: it is not running
+	idleCloserDelay time.Duration // how long after its start idleCloser begins to close connections
 }
 
-// NewListener makes a listener on an open socket; Serve runs it, Close ends it and closes the socket.
+// NewListener returns a listener on an open socket, which it takes ownership of. Serve runs it;
+// Close stops it and closes the socket.
 func NewListener(l net.Listener, cfg ListenerConfig, e *Engine, f Front, logger *slog.Logger) *Listener {
 	listener := &Listener{
 		engine: e, log: logger, socket: l, faultGrace: faultGrace, connRemoved: make(chan struct{}, 1),
@@ -103,21 +114,22 @@
 	return listener
 }
 
-// listenerSettings are the settings in force, replaced as a whole.
+// listenerSettings are the settings in force. They are replaced as a unit.
 type listenerSettings struct {
 	ListenerConfig
 	front Front
 }
 
-// Reconfigure puts other bounds and another front in force for requests that are read from now on.
+// Reconfigure applies other limits and another front to requests that are read from now on.
 func (l *Listener) Reconfigure(cfg ListenerConfig, f Front) {
 	l.settings.Store(&listenerSettings{cfg, f})
 }
 
-// Serve accepts connections until Close, HandOver or CloseSocket and then returns nil. After a failed accept, as with a full
-// descriptor table, it closes an idle connection and backs off.
+// Serve accepts connections until Close, HandOver or CloseSocket is called, and then returns nil.
+// After a failed accept, for example because the descriptor table is full, it closes an idle
+// connection and backs off.
 func (l *Listener) Serve() error {
-	const most = time.Second
+	const maxWait = time.Second
 	wait := 5 * time.Millisecond
 	for last := false; ; {
 		conn, err := l.socket.Accept()
@@ -137,7 +149,7 @@
 			logging.Warn(l.log, logging.Accept, "error", err)
 			l.evict(0)
 			l.waitForRemoval(wait)
-			wait = min(2*wait, most)
+			wait = min(2*wait, maxWait)
 			continue
 		}
 		wait = 5 * time.Millisecond
@@ -151,7 +163,7 @@
 	}
 }
 
-// waitForRemoval waits until a connection is removed, for d at most.
+// waitForRemoval waits until a connection is removed, for at most d.
 func (l *Listener) waitForRemoval(d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -161,7 +173,7 @@
 	}
 }
 
-// addConn starts to serve a connection. It returns false where the table of connections is full.
+// addConn starts to serve a connection. It returns false if the connection table is full.
 func (l *Listener) addConn(conn net.Conn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -192,7 +204,8 @@
 	}
 }
 
-// Leave makes the listener not ready. It goes on accepting and answering; idle connections are closed after leaveCloseDelay.
+// Leave makes the listener not ready. The listener continues to accept and to answer; idle
+// connections are closed after leaveCloseDelay.
 func (l *Listener) Leave() {
 	l.leaving.Store(true)
 	l.mu.Lock()
@@ -200,24 +213,26 @@
 	l.startIdleCloser(leaveCloseDelay, leaveCloseDelay)
 }
 
-// CloseSocket accepts what waits in the socket's backlog and closes the socket. Serve returns then.
+// CloseSocket accepts the connections in the socket's backlog and closes the socket. Serve returns
+// then.
 func (l *Listener) CloseSocket() {
 	l.closingSocket.Store(true)
-	if !l.acceptUntil(time.Unix(1, 0)) { // wakes Serve, which looks at what waits itself: its own time for that begins then
+	if !l.acceptUntil(time.Unix(1, 0)) { // wakes Serve, which then accepts from the backlog for backlogTimeout
 		l.socket.Close()
 	}
 }
 
-// acceptUntil sets the deadline of Accept; false where the socket has none.
+// acceptUntil sets the deadline of Accept. It returns false if the socket does not support one.
 func (l *Listener) acceptUntil(by time.Time) bool {
 	s, ok := l.socket.(interface{ SetDeadline(time.Time) error })
 	return ok && s.SetDeadline(by) == nil
 }
 
-// HandOver stops accepting. Each connection ends with its answer, or once it has been idle for a while. Another process may share the
-// socket; it stays open there. relief says that this process accepts clients, so that answers need not keep them away.
-func (l *Listener) HandOver(relief bool) {
-	l.succeeded.Store(relief)
+// HandOver stops accepting. Each connection ends with its answer, or after it has been idle for a
+// while. The socket stays open in another process that shares it. If successorAccepts, that process
+// accepts clients, so this one still reports that it is ready.
+func (l *Listener) HandOver(successorAccepts bool) {
+	l.succeeded.Store(successorAccepts)
 	l.leaving.Store(true)
 	l.socket.Close()
 	l.mu.Lock()
@@ -232,8 +247,8 @@
 	return len(l.conns)
 }
 
-// Standby begins or ends a drain. During a drain the listener accepts and answers, but is not ready, and connections end with their
-// answer or once they have been idle for a while.
+// Standby begins or ends a drain. During a drain the listener accepts and answers but is not ready,
+// and connections end with their answer or after they have been idle for a while.
 func (l *Listener) Standby(on bool) {
 	l.standby.Store(on)
 	l.mu.Lock()
@@ -249,10 +264,12 @@
 // keepsAlive reports whether connections stay open after an answer.
 func (l *Listener) keepsAlive() bool { return !l.leaving.Load() && !l.standby.Load() }
 
-// isReady reports whether new clients are welcome, here or at the process that shares the socket.
+// isReady reports whether new clients are accepted, by this process or by the one that shares the
+// socket.
 func (l *Listener) isReady() bool { return l.keepsAlive() || l.succeeded.Load() && !l.standby.Load() }
 
-// Quiet reports whether no request is open and no query has come in since a time in Unix microseconds.
+// Quiet reports whether no request is open and no query has arrived since the given time in Unix
+// microseconds.
 func (l *Listener) Quiet(since int64) bool {
 	return l.busyConns.Load() == 0 && l.lastQuery.Load() < since
 }
--- a/internal/broker/transport/listener_test.go
+++ b/internal/broker/transport/listener_test.go
@@ -28,10 +28,10 @@
 
 func (module) Rotation() (listed, out int) { return 3, 1 }
 
-// echo is a front whose requests are answered immediately or, under /held, never.
-type echo struct{}
+// echoFront is a front whose requests are answered immediately or, under /held, never.
+type echoFront struct{}
 
-func (echo) Open(m *http1.Message, now int64, _ bool) (core.Query, func(core.Final, int64) http1.Response, *http1.Response) {
+func (echoFront) Open(m *http1.Message, now int64, _ bool) (core.Query, func(core.Final, int64) http1.Response, *http1.Response) {
 	if m.Target == "/panic" {
 		panic("a fault of the front")
 	}
@@ -41,9 +41,9 @@
 	return core.Query{}, nil, &http1.Response{Status: 200, Body: []byte("ok")}
 }
 
-func (echo) Class(m *http1.Message) string { return strings.TrimPrefix(m.Target, "/") }
+func (echoFront) Class(m *http1.Message) string { return strings.TrimPrefix(m.Target, "/") }
 
-func (echo) Fault(status int, text string) http1.Response {
+func (echoFront) Fault(status int, text string) http1.Response {
 	return http1.Response{Status: status, Body: []byte(text)}
 }
 
@@ -55,15 +55,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := NewListener(l, cfg, e, echo{}, quiet)
+	s := NewListener(l, cfg, e, echoFront{}, quiet)
 	go e.Run()
 	go s.Serve()
 	t.Cleanup(func() { s.Close(); e.Stop() })
 	return s, e
 }
 
-// A panic on one client's request is that request's answer, and is counted; the process and the connection go on.
-func TestPanicOfAFront(t *testing.T) {
+// A panic on one client's request is answered with status 500 and is counted; the process and the
+// connection continue.
+func TestFrontPanic_AnsweredWith500(t *testing.T) {
 	s, e := serve(t, ListenerConfig{MaxConns: 8, MaxKeepAlive: 8, IdleTimeout: testTimeout, FirstRequestTimeout: testTimeout, RequestTimeout: testTimeout, MaxPartialBytes: 1 << 20})
 	conn, err := net.Dial("tcp", s.socket.Addr().String())
 	if err != nil {
@@ -87,9 +88,9 @@
 	}
 }
 
-// Clients that go away with requests queued, open or half sent leave nothing on the listener's count: a
-// gatherer that is to end must come to rest.
-func TestComesToRest(t *testing.T) {
+// Clients that disconnect with requests queued, open or half sent leave no request in the
+// listener's counts: a gatherer that shuts down waits until they are zero.
+func TestQuiet_AfterClientsDisconnect(t *testing.T) {
 	l, e := serve(t, ListenerConfig{MaxConns: 8, MaxKeepAlive: 8, IdleTimeout: testTimeout, FirstRequestTimeout: testTimeout, RequestTimeout: testTimeout, MaxPartialBytes: 1 << 20})
 	request := func(target string) string { return "GET " + target + " HTTP/1.1\r\nHost: x\r\n\r\n" }
 	for i := range 60 {
@@ -98,12 +99,12 @@
 			t.Fatal(err)
 		}
 		text := request("/")
-		for range i % 5 { // no more than are queued: each is read while the first is open
+		for range i % 5 { // no more than the queue holds: each is read while the first is open
 			text += request("/held")
 		}
 		conn.SetDeadline(time.Now().Add(testTimeout))
 		fmt.Fprint(conn, text+"GET /half"[:i%10])
-		if i%2 == 0 { // some are gone before, some after the first answer
+		if i%2 == 0 { // some disconnect before the first answer, some after it
 			io.ReadFull(conn, make([]byte, 12))
 		}
 		conn.Close()
@@ -111,13 +112,14 @@
 	end := time.Now().Add(testTimeout)
 	for !l.Quiet(e.clock.Now()+1) || e.OpenQueries() > 0 {
 		if time.Now().After(end) {
-			t.Fatalf("busy %d, held %d", l.busyConns.Load(), e.OpenQueries())
+			t.Fatalf("%d busy connections, %d open queries; want 0", l.busyConns.Load(), e.OpenQueries())
 		}
 	}
 }
 
-// More requests than are queued are not waited for: the client's going would not be seen meanwhile.
-func TestTooFarAhead(t *testing.T) {
+// A connection with more pipelined requests than the queue holds is ended. Waiting for space in the
+// queue would hide that the client disconnects.
+func TestPipelining_RejectsExcessRequests(t *testing.T) {
 	l, e := serve(t, ListenerConfig{MaxConns: 8, MaxKeepAlive: 8, IdleTimeout: testTimeout, FirstRequestTimeout: testTimeout, RequestTimeout: testTimeout, MaxPartialBytes: 1 << 20})
 	conn, err := net.Dial("tcp", l.socket.Addr().String())
 	if err != nil {
@@ -129,17 +131,17 @@
 		fmt.Fprint(conn, "GET /soon HTTP/1.1\r\nHost: x\r\n\r\n")
 	}
 	if got, err := io.ReadAll(conn); err != nil && len(got) == 0 {
-		t.Errorf("nothing was answered: %v", err)
+		t.Errorf("no answer: %v", err)
 	}
 	end := time.Now().Add(testTimeout)
 	for !l.Quiet(e.clock.Now()+1) || e.OpenQueries() > 0 {
 		if time.Now().After(end) {
-			t.Fatalf("busy %d, held %d", l.busyConns.Load(), e.OpenQueries())
+			t.Fatalf("%d busy connections, %d open queries; want 0", l.busyConns.Load(), e.OpenQueries())
 		}
 	}
 }
 
-// A request that is not complete in its time is answered 408 and its connection closed.
+// A request that is not complete in time is answered with status 408, and its connection is closed.
 func TestSlowRequest(t *testing.T) {
 	l, _ := serve(t, ListenerConfig{
 		MaxConns: 8, MaxKeepAlive: 8, IdleTimeout: testTimeout, FirstRequestTimeout: 50 * time.Millisecond, RequestTimeout: 50 * time.Millisecond,
@@ -158,7 +160,7 @@
 	}
 }
 
-// Clients that send nothing are disconnected, and so is one whose first request is not completed.
+// A client that sends nothing is disconnected after FirstRequestTimeout.
 func TestUnresponsiveClient(t *testing.T) {
 	l, _ := serve(t, ListenerConfig{MaxConns: 8, MaxKeepAlive: 8, IdleTimeout: testTimeout, FirstRequestTimeout: 50 * time.Millisecond, RequestTimeout: testTimeout, MaxPartialBytes: 1 << 20})
 	conn, err := net.Dial("tcp", l.socket.Addr().String())
@@ -172,9 +174,9 @@
 	}
 }
 
-// What can't be read behind an open query is answered soon, and the query is given up: a client that breaks the
-// rules must not wait for the query's own end.
-func TestFaultBehindAnOpenQuery(t *testing.T) {
+// Malformed bytes behind an open query are answered soon, and the query is abandoned, so that the
+// answer does not wait for the query's end.
+func TestMalformedRequest_AbandonsOpenQuery(t *testing.T) {
 	l, e := serve(t, ListenerConfig{MaxConns: 8, MaxKeepAlive: 8, IdleTimeout: testTimeout, FirstRequestTimeout: testTimeout, RequestTimeout: testTimeout, MaxPartialBytes: 1 << 20})
 	conn, err := net.Dial("tcp", l.socket.Addr().String())
 	if err != nil {
@@ -187,11 +189,12 @@
 		t.Errorf("%q, %v", got, err)
 	}
 	if n := e.OpenQueries(); n != 0 {
-		t.Errorf("%d queries are held", n)
+		t.Errorf("%d queries are open, want 0", n)
 	}
 }
 
-// Unfinished requests hold so many bytes in all; one more gets a Retry-After.
+// The bytes of incomplete requests are limited in total; a request beyond the limit is answered
+// with a Retry-After.
 func TestPartialBytesAreBounded(t *testing.T) {
 	l, _ := serve(t, ListenerConfig{
 		MaxConns: 8, MaxKeepAlive: 8, IdleTimeout: testTimeout, FirstRequestTimeout: testTimeout, RequestTimeout: testTimeout, MaxPartialBytes: 10_000,
@@ -210,7 +213,7 @@
 		fmt.Fprint(conn, half)
 		for end := time.Now().Add(testTimeout); l.partialBytes.Load() < 6000; {
 			if time.Now().After(end) {
-				t.Fatalf("%d bytes held", l.partialBytes.Load())
+				t.Fatalf("%d bytes of incomplete requests, want 6000", l.partialBytes.Load())
 			}
 		}
 	}
@@ -221,28 +224,28 @@
 	conns[0].Close()
 	for end := time.Now().Add(testTimeout); l.partialBytes.Load() != 0; {
 		if time.Now().After(end) {
-			t.Fatalf("%d bytes still held", l.partialBytes.Load())
+			t.Fatalf("%d bytes of incomplete requests after all connections ended, want 0", l.partialBytes.Load())
 		}
 	}
 }
 
-// Which connection is closed to make place for another.
-func TestSpareConnections(t *testing.T) {
+// evictionRank decides which connection is closed to make room for another.
+func TestEvictionRank(t *testing.T) {
 	now := time.Now()
 	ago := func(d time.Duration) time.Time { return now.Add(-d) }
 	for name, c := range map[string]struct {
 		conn clientConn
 		want int
 	}{
-		"has had its error":       {clientConn{fault: &http1.Error{}, idleSince: now}, 3},
-		"never said anything":     {clientConn{idleSince: ago(time.Second)}, 2},
-		"has just connected":      {clientConn{idleSince: now}, -1},
-		"long idle":               {clientConn{hasRequested: true, idleSince: ago(3 * time.Second)}, 1},
-		"idle for a moment":       {clientConn{hasRequested: true, idleSince: ago(time.Second)}, 0},
-		"waits for an answer":     {clientConn{hasRequested: true, answering: true, idleSince: ago(time.Hour)}, -1},
-		"waits, and broke a rule": {clientConn{fault: &http1.Error{}, answering: true, idleSince: ago(time.Hour)}, -1},
-		"is sending":              {clientConn{hasRequested: true, partial: true, idleSince: ago(time.Hour)}, -1},
-		"is being closed":         {clientConn{evicted: true, idleSince: ago(time.Hour)}, -1},
+		"error answered":                {clientConn{fault: &http1.Error{}, idleSince: now}, 3},
+		"no request":                    {clientConn{idleSince: ago(time.Second)}, 2},
+		"just connected":                {clientConn{idleSince: now}, -1},
+		"long idle":                     {clientConn{hasRequested: true, idleSince: ago(3 * time.Second)}, 1},
+		"idle":                          {clientConn{hasRequested: true, idleSince: ago(time.Second)}, 0},
+		"request open":                  {clientConn{hasRequested: true, answering: true, idleSince: ago(time.Hour)}, -1},
+		"request open, malformed bytes": {clientConn{fault: &http1.Error{}, answering: true, idleSince: ago(time.Hour)}, -1},
+		"partial request":               {clientConn{hasRequested: true, partial: true, idleSince: ago(time.Hour)}, -1},
+		"being evicted":                 {clientConn{evicted: true, idleSince: ago(time.Hour)}, -1},
 	} {
 		if got := c.conn.evictionRank(now); got != c.want {
 			t.Errorf("%s: %d, want %d", name, got, c.want)
@@ -250,9 +253,9 @@
 	}
 }
 
-// Clients that send one request and keep their connections get answers that end these, beyond MaxKeepAlive; what is kept
-// beyond gives way when the table is full, however young it is.
-func TestClientsThatKeepTheirConnections(t *testing.T) {
+// Beyond MaxKeepAlive, an answer ends its connection, so that clients that send one request and
+// keep the connection do not exhaust the table.
+func TestMaxKeepAlive_EndsExcessConns(t *testing.T) {
 	l, _ := serve(t, ListenerConfig{MaxConns: 4, MaxKeepAlive: 2, IdleTimeout: testTimeout, FirstRequestTimeout: testTimeout, RequestTimeout: testTimeout, MaxPartialBytes: 1 << 20})
 	ask := func() (conn net.Conn, closing bool) {
 		conn, err := net.Dial("tcp", l.socket.Addr().String())
@@ -276,7 +279,7 @@
 	for i := range 12 {
 		conn, closing := ask()
 		if closing != (i >= 2) {
-			t.Fatalf("client %d: told that its connection ends: %t", i, closing)
+			t.Fatalf("client %d: Connection: close: %t", i, closing)
 		}
 		if closing {
 			if _, err := conn.Read(make([]byte, 1)); err != io.EOF { //nolint:errorlint // io.EOF itself is wanted
@@ -286,8 +289,9 @@
 	}
 }
 
-// A connection is not ended over a request that has come in already.
-func TestScarceAnswersWhatHasComeIn(t *testing.T) {
+// A connection beyond MaxKeepAlive does not end before requests that have already arrived are
+// answered.
+func TestMaxKeepAlive_AnswersPipelinedRequests(t *testing.T) {
 	l, _ := serve(t, ListenerConfig{MaxConns: 4, IdleTimeout: testTimeout, FirstRequestTimeout: testTimeout, RequestTimeout: testTimeout, MaxPartialBytes: 1 << 20})
 	conn, err := net.Dial("tcp", l.socket.Addr().String())
 	if err != nil {
@@ -302,8 +306,9 @@
 	}
 }
 
-// A listener that is handed over lets a request finish that is arriving, and ends what is idle; the socket itself
-// stays open for the other process that holds it. Guards clients against resets while the program is replaced.
+// After a handover the listener completes a request that has arrived in part and closes idle
+// connections; the socket stays open for the process that shares it. Clients must not see a reset
+// while the program is replaced.
 func TestHandOver(t *testing.T) {
 	l, _ := serve(t, ListenerConfig{MaxConns: 8, MaxKeepAlive: 8, IdleTimeout: testTimeout, FirstRequestTimeout: testTimeout, RequestTimeout: testTimeout, MaxPartialBytes: 1 << 20})
 	file, err := l.socket.(*net.TCPListener).File()
@@ -329,56 +334,56 @@
 	idle, half := dial("GET / HTTP/1.1\r\nHost: x\r\n\r\n"), dial("GET / HTTP/1.1\r\n")
 	answer := make([]byte, 512)
 	if n, err := idle.Read(answer); err != nil || strings.Contains(string(answer[:n]), "Connection: close") {
-		t.Fatalf("before: %q %v", answer[:n], err)
+		t.Fatalf("answer before the handover: %q, %v", answer[:n], err)
 	}
 	for !l.partial(1) {
 		time.Sleep(time.Millisecond)
 	}
 	l.HandOver(true)
 	if !l.isReady() || l.keepsAlive() {
-		t.Error("a successor takes the clients, so they are welcome")
+		t.Error("want ready without keep-alive: the successor accepts clients")
 	}
 	if n, err := idle.Read(answer); err != io.EOF { //nolint:errorlint // io.EOF itself is wanted
-		t.Errorf("the idle one got %q %v, want its end", answer[:n], err)
+		t.Errorf("idle connection: got %q, %v, want EOF", answer[:n], err)
 	}
 	fmt.Fprint(half, "Host: x\r\n\r\n")
 	if got, err := io.ReadAll(half); err != nil || !strings.Contains(string(got), "200 OK") || !strings.Contains(string(got), "Connection: close") {
-		t.Errorf("the one arriving got %q %v", got, err)
+		t.Errorf("connection with a partial request: got %q, %v", got, err)
 	}
 	for l.Conns() > 0 {
 		time.Sleep(time.Millisecond)
 	}
 	dial("")
 	if conn, err := other.Accept(); err != nil {
-		t.Errorf("the other process's copy: %v", err)
+		t.Errorf("accept on the other process's socket: %v", err)
 	} else {
 		conn.Close()
 	}
 }
 
-// What ends idle connections on standby ends with it, and begins anew with the next.
-func TestStandbyIsUndone(t *testing.T) {
+// The end of a standby stops the closing of idle connections; the next standby starts it again.
+func TestStandby_EndStopsIdleCloser(t *testing.T) {
 	l, _ := serve(t, ListenerConfig{MaxConns: 8, MaxKeepAlive: 8, IdleTimeout: testTimeout, FirstRequestTimeout: testTimeout, RequestTimeout: testTimeout, MaxPartialBytes: 1 << 20})
 	for range 2 {
 		l.Standby(true)
 		l.Standby(true)
 		rest := l.idleCloser
 		if rest == nil || l.isReady() {
-			t.Fatal("it does not drain")
+			t.Fatal("the listener does not drain")
 		}
 		l.Standby(false)
 		select {
 		case <-rest:
 		default:
-			t.Error("connections are still being ended")
+			t.Error("idle connections are still being closed")
 		}
 		if !l.isReady() {
-			t.Error("it is not ready again")
+			t.Error("the listener is not ready again")
 		}
 	}
 }
 
-// partial reports whether so many connections have a request arriving.
+// partial reports whether at least n connections have a partial request.
 func (l *Listener) partial(n int) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -390,8 +395,8 @@
 	return n <= 0
 }
 
-// On standby a connection that has just come in has time for its first request, however late it comes.
-func TestStandbyServesWhatComes(t *testing.T) {
+// On standby a new connection has time for its first request, however late it arrives.
+func TestStandby_ServesNewConn(t *testing.T) {
 	l, _ := serve(t, ListenerConfig{MaxConns: 8, MaxKeepAlive: 8, IdleTimeout: testTimeout, FirstRequestTimeout: testTimeout, RequestTimeout: testTimeout, MaxPartialBytes: 1 << 20})
 	l.Standby(true)
 	conn, err := net.Dial("tcp", l.socket.Addr().String())
--- a/internal/broker/transport/outbox.go
+++ b/internal/broker/transport/outbox.go
@@ -6,26 +6,27 @@
 	"sync"
 )
 
-// frame is bytes that are written at once, and the call that they carry, if any.
+// frame is the bytes of one write and the call that they carry, if any.
 type frame struct {
 	bytes  []byte
 	call   core.Call
-	number int64 // of the write, on its connection
+	number int64 // sequence number of the write on its connection
 }
 
-// outbox is the queue of writes of one connection, in order. A frame that its writer has not taken yet can be taken back; it waits
-// here as long as the far end does not read. Safe for concurrent use.
+// outbox is the queue of one connection's writes, in order. A frame that the writer has not taken
+// yet can be changed or removed; frames stay queued while the far end does not read. It is safe for
+// concurrent use.
 type outbox struct {
 	limit int
-	added chan struct{} // has a token after each put
+	added chan struct{} // receives a token after each put
 
 	mu     sync.Mutex
 	frames []*frame
 }
 
-func newOutbox(most int) *outbox { return &outbox{limit: most, added: make(chan struct{}, 1)} }
+func newOutbox(limit int) *outbox { return &outbox{limit: limit, added: make(chan struct{}, 1)} }
 
-// put adds a frame; false where the queue is full.
+// put adds a frame. It returns false if the queue is full.
 func (o *outbox) put(f *frame) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -40,7 +41,8 @@
 	return true
 }
 
-// next removes and returns the next frame. It waits for one; nil once stop is closed.
+// next removes and returns the next frame. It blocks until there is one, and returns nil once stop
+// is closed.
 func (o *outbox) next(stop <-chan struct{}) *frame {
 	for {
 		if f := o.take(); f != nil {
@@ -68,7 +70,8 @@
 	return f
 }
 
-// amend changes a frame that still waits, and removes it where change leaves no bytes. It returns false where the writer has taken it.
+// amend changes a frame that is still queued, and removes it if the change leaves no bytes. It
+// returns false if the writer has already taken the frame.
 func (o *outbox) amend(f *frame, change func()) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/broker/transport/permit.go
+++ b/internal/broker/transport/permit.go
@@ -2,23 +2,24 @@
 
 import "saffronquay/internal/broker/core"
 
-// Permit says whether queries are admitted, and under which version of the policy. Times are Unix microseconds of the engine's clock.
+// Permit states whether queries are admitted, and under which version of the policy. Times are Unix
+// microseconds of the engine's clock.
 type Permit struct {
 	Version        uint64
 	Expires        int64 // end of the lease: from then on no query is admitted
-	Suspended      bool  // a change is being put in force: queries wait until HoldEnd, then they are refused in doubt
+	Suspended      bool  // a policy change is being applied: queries wait until SuspendedUntil and are then refused
 	SuspendedUntil int64
-	RetryAfter     int64 // wait before a retry after a refusal, microseconds
+	RetryAfter     int64 // wait before a retry after a refusal, in microseconds
 }
 
-// suspendedQuery is a query that waits while a change of the policy is put in force.
+// suspendedQuery is a query that waits while a policy change is applied.
 type suspendedQuery struct {
 	query  core.Query
 	ticket *Ticket
 }
 
-// SetPermit puts a permit in force and returns once it is: afterwards no query is admitted by an earlier one. As long as it was never
-// called every query is admitted.
+// SetPermit applies a permit and returns once it is in force: from then on no query is admitted
+// under an earlier one. Until the first call every query is admitted.
 func (e *Engine) SetPermit(p Permit) {
 	over := make(chan struct{})
 	if !e.post(func(now int64) {
@@ -34,8 +35,9 @@
 	}
 }
 
-// checkPermit reports whether a query may be admitted now. One that may not is suspended or refused, and the caller is done with it.
-// It is called at the admission of a query, not at its arrival, and allocates nothing where it returns true.
+// checkPermit reports whether a query may be admitted now. A query that may not is suspended or
+// refused here, and the caller must not process it further. The check belongs to the admission of a
+// query, not to its arrival. It does not allocate if it returns true.
 func (e *Engine) checkPermit(now int64, a core.Query, t *Ticket) bool {
 	p := e.permit
 	switch {
@@ -57,9 +59,11 @@
 	return true
 }
 
+// maxSuspended is the maximum number of suspended queries; further ones are refused.
 const maxSuspended = 4096
 
-// admitSuspended checks the suspended queries again once the suspension is over: after a new permit, or at its end.
+// admitSuspended checks the suspended queries again once the suspension is over, because of a new
+// permit or because its time has passed.
 func (e *Engine) admitSuspended(now int64) {
 	if len(e.suspended) == 0 || e.permit.Suspended && now < e.permit.SuspendedUntil {
 		return
@@ -67,7 +71,7 @@
 	all := e.suspended
 	e.suspended = nil
 	for _, x := range all {
-		if !x.ticket.left {
+		if !x.ticket.clientLeft {
 			e.admit(now, x.query, x.ticket)
 		}
 	}
--- a/internal/broker/transport/pool.go
+++ b/internal/broker/transport/pool.go
@@ -11,10 +11,10 @@
 	sq "saffronquay"
 )
 
-// PoolConfig bounds the connections to servers. Times are microseconds.
+// PoolConfig has the limits of connections to servers. Times are microseconds.
 type PoolConfig struct {
 	ConnectTimeout int64
-	IdleClose      int64 // the server's machine closes idle connections at the latest then
+	IdleClose      int64 // time after which the server's machine may close an idle connection
 	MaxConns       int   // over all servers
 }
 
@@ -23,12 +23,13 @@
 	readSize     = 16 << 10
 )
 
-// pool is the set of connections to servers. The engine's goroutine owns it; the goroutines of connections report to that goroutine
-// through post and touch nothing of the pool themselves. Times are Unix microseconds of the engine's clock.
+// pool is the set of connections to servers. It is owned by the engine's goroutine; the goroutines
+// of connections report to that goroutine through post and do not touch the pool. Times are Unix
+// microseconds of the engine's clock.
 type pool struct {
 	cfg            PoolConfig
 	dialect        core.Dialect
-	post           func(func(now int64)) bool // false: the engine has ended
+	post           func(func(now int64)) bool // returns false if the engine has stopped
 	onReply        func(now int64, r core.Reply)
 	onPanic        func(*panicguard.PanicError) // called from any goroutine
 	connect        func(address string, timeout time.Duration) (net.Conn, error)
@@ -36,12 +37,12 @@
 	servers        map[sq.ServerID]*server
 	byAttempt      map[core.AttemptID]*serverConn
 	metrics        *adminapi.Metrics
-	stopped        <-chan struct{} // closed when the engine has ended
+	stopped        <-chan struct{} // closed when the engine has stopped
 	conns          int
-	lastLossAt     int64   // when a connection was last lost with calls out on it; 0: never
-	typicalLatency float64 // slow moving average of how long a call takes to be served, in microseconds
-	typicalDial    float64 // the same of how long a connection takes to come up
-	lateShare      float64 // the share of connections that were late
+	lastLossAt     int64   // when a connection was last lost with calls in flight; 0: never
+	typicalLatency float64 // moving average of the latency of served calls, in microseconds
+	typicalDial    float64 // moving average of the time to establish a connection, in microseconds
+	lateShare      float64 // moving average of the fraction of connections that were late
 }
 
 // server is one shard server and the connections to it.
@@ -50,7 +51,7 @@
 	address   string
 	conns     []*serverConn
 	startedAt int64
-	draining  bool // draining or gone: nothing new
+	draining  bool // draining or gone: it gets no new calls
 }
 
 func newPool(cfg PoolConfig, d core.Dialect, post func(func(int64)) bool) *pool {
@@ -73,7 +74,8 @@
 	return s
 }
 
-// updateFleet applies a change of the list of servers: new addresses, replaced processes and servers that drain or are gone.
+// updateFleet applies a change of the list of servers: new addresses, replaced processes, and
+// servers that drain or are gone.
 func (p *pool) updateFleet(now int64, f sq.FleetChanged, addresses map[sq.ServerID]string) {
 	listed := map[sq.ServerID]bool{}
 	for _, v := range f.Servers {
@@ -85,7 +87,7 @@
 		listed[v.ID] = true
 		if v.StartedAt > s.startedAt {
 			s.startedAt = v.StartedAt
-			p.closeOutlived(now, s)
+			p.closeReplaced(now, s)
 		}
 		s.draining = v.Health != sq.Ready
 	}
@@ -96,7 +98,7 @@
 		if !s.draining {
 			continue
 		}
-		// Guards the drain rule: calls that wait for a connection or behind other writes must not leave after this change.
+		// Calls that wait for a connection or behind other writes must not reach a draining server.
 		for _, c := range append([]*serverConn(nil), s.conns...) {
 			p.withdraw(now, c)
 		}
@@ -107,9 +109,9 @@
 	}
 }
 
-// closeOutlived closes connections to a process that has since been replaced: nothing comes back on them, and a machine that vanished
-// may leave them open without a reset.
-func (p *pool) closeOutlived(now int64, s *server) {
+// closeReplaced closes connections to a process that has been replaced: they will deliver nothing,
+// and a machine that vanished may have left them open without a reset.
+func (p *pool) closeReplaced(now int64, s *server) {
 	for _, c := range append([]*serverConn(nil), s.conns...) {
 		if c.up && c.openedAt < s.startedAt {
 			p.closeConn(now, c, false)
@@ -117,7 +119,8 @@
 	}
 }
 
-// retire has a server's connections take no further calls and close once they are empty.
+// retire marks a server's connections: they get no further calls and are closed once they are
+// empty.
 func (p *pool) retire(now int64, s *server) {
 	for _, c := range append([]*serverConn(nil), s.conns...) {
 		c.retired = true
@@ -126,13 +129,16 @@
 }
 
 const (
-	// isolationPeriod is how long calls travel alone after a connection was lost under one, in microseconds: the loss
-	// also ends the other calls on it, and parts that must not run twice are then lost.
+	// isolationPeriod is how long each call gets a connection of its own after a connection was
+	// lost under a call, in microseconds. Such a loss ends all calls on the connection, and parts
+	// that must not run twice are then lost.
 	isolationPeriod   = 10_000_000
-	maxConnsPerServer = 8 // connections to one server meanwhile
-	// maxAnswerPause is how long an unfinished answer may deliver nothing, in microseconds: it is written in one go.
+	maxConnsPerServer = 8 // to one server during that period
+	// maxAnswerPause is how long an incomplete answer may deliver nothing, in microseconds. Servers
+	// write an answer in one go.
 	maxAnswerPause = 250_000
-	// maxAnswerTime is how long an unfinished answer may take in all: answers behind it on the connection wait for it.
+	// maxAnswerTime is how long an incomplete answer may take in total, in microseconds. Answers
+	// behind it on the connection wait for it.
 	maxAnswerTime = 4 * maxAnswerPause
 )
 
@@ -143,18 +149,18 @@
 	delete(p.byAttempt, id)
 }
 
-// endAttempt reports an attempt's outcome to the core, unless it has ended already.
+// endAttempt reports an attempt's outcome to the core, unless the attempt has already ended.
 func (p *pool) endAttempt(now int64, c *serverConn, r core.Reply) {
 	if _, out := c.calls[r.Attempt]; !out {
 		return
 	}
-	p.learn(now, c, r, c.sentAt[r.Attempt])
+	p.observeLatency(now, c, r, c.sentAt[r.Attempt])
 	p.forget(c, r.Attempt)
 	p.onReply(now, r)
 }
 
-// learn updates the typical latency from a call that was served.
-func (p *pool) learn(now int64, c *serverConn, r core.Reply, sent int64) {
+// observeLatency updates the typical latency with a call that was served.
+func (p *pool) observeLatency(now int64, c *serverConn, r core.Reply, sent int64) {
 	if r.Outcome == sq.Served {
 		p.countOvertaken(c.server, sent)
 		if took := float64(now - sent); p.typicalLatency == 0 {
--- a/internal/broker/transport/pool_test.go
+++ b/internal/broker/transport/pool_test.go
@@ -15,29 +15,29 @@
 	sq "saffronquay"
 )
 
-// bench is a pool whose posts the test runs itself, and what became of its attempts.
-type bench struct {
+// testPool is a pool whose posted functions are run by the test, and the outcomes of its attempts.
+type testPool struct {
 	*pool
 	posted chan func(int64)
-	ends   map[core.AttemptID]sq.Outcome
+	ends   map[core.AttemptID]sq.Outcome // outcomes of the attempts that have ended
 }
 
-func newBench() *bench {
-	b := &bench{posted: make(chan func(int64), 64), ends: map[core.AttemptID]sq.Outcome{}}
+func newTestPool() *testPool {
+	b := &testPool{posted: make(chan func(int64), 64), ends: map[core.AttemptID]sq.Outcome{}}
 	b.pool = newPool(PoolConfig{ConnectTimeout: 1_000_000, IdleClose: 9_000_000, MaxConns: 4}, platform.Workers{PerConn: 2},
 		func(f func(int64)) bool { b.posted <- f; return true })
 	b.onReply = func(_ int64, r core.Reply) { b.ends[r.Attempt] = r.Outcome }
-	b.afterFunc = func(time.Duration, func()) *time.Timer { return time.NewTimer(0) } // a test says itself when a connection is late
+	b.afterFunc = func(time.Duration, func()) *time.Timer { return time.NewTimer(0) } // tests decide themselves when a connection is late
 	return b
 }
 
-func (b *bench) fleet(now int64, health sq.Health, started int64, address string) {
+func (b *testPool) fleet(now int64, health sq.Health, started int64, address string) {
 	b.pool.updateFleet(now, sq.FleetChanged{Servers: []sq.Server{{ID: "s", Health: health, StartedAt: started}}},
 		map[sq.ServerID]string{"s": address})
 }
 
-// next runs the next post.
-func (b *bench) next(t *testing.T, now int64) {
+// next runs the next posted function.
+func (b *testPool) next(t *testing.T, now int64) {
 	t.Helper()
 	select {
 	case f := <-b.posted:
@@ -47,8 +47,8 @@
 	}
 }
 
-// awaitPosted waits until something waits for the engine, and leaves it there.
-func (b *bench) awaitPosted(t *testing.T) {
+// awaitPosted waits until a function has been posted, without running it.
+func (b *testPool) awaitPosted(t *testing.T) {
 	t.Helper()
 	select {
 	case f := <-b.posted:
@@ -58,8 +58,9 @@
 	}
 }
 
-// stalled gives the server a connection that is up and whose writer does not get to its queue of one.
-func (b *bench) stalled(t *testing.T) *serverConn {
+// stalled adds an established connection to the server, whose writer does not run and whose outbox
+// holds one frame.
+func (b *testPool) stalled(t *testing.T) *serverConn {
 	near, far := net.Pipe()
 	t.Cleanup(func() { far.Close() })
 	s := b.servers["s"]
@@ -75,7 +76,7 @@
 	return core.Call{Server: "s", Attempts: []core.Attempt{{ID: id, Label: "q", Shard: int(id), Due: 1 << 40}}}
 }
 
-// listener accepts connections and hands them to the test.
+// acceptor accepts connections on a new socket and passes them to the test.
 func acceptor(t *testing.T) (string, chan net.Conn) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -95,24 +96,26 @@
 	return l.Addr().String(), conns
 }
 
-// What was handed to a writer may be leaving just now. Until the writer has ended, only what it was never
-// handed is known not to have run: guards against sending again what must not run twice.
-func TestUnsettledWriterMayHaveSent(t *testing.T) {
-	for settled, want := range map[bool]sq.Outcome{false: sq.Broken, true: sq.Unreachable} {
-		b := newBench()
+// A frame that was passed to a writer may be being written. Until the writer has ended, only calls
+// that it never received are known not to have run. Otherwise an attempt that must not run twice
+// could be sent again.
+func TestUnwriterEndedWriterMayHaveSent(t *testing.T) {
+	for writerEnded, want := range map[bool]sq.Outcome{false: sq.Broken, true: sq.Unreachable} {
+		b := newTestPool()
 		b.fleet(0, sq.Ready, 0, "127.0.0.1:1")
 		c := b.stalled(t)
 		b.call(0, callOf(1))
-		b.closeConn(0, c, settled)
+		b.closeConn(0, c, writerEnded)
 		if got, ok := b.ends[1]; !ok || got != want {
-			t.Errorf("settled %t: outcome %d %t, want %d", settled, got, ok, want)
+			t.Errorf("writer ended %t: outcome %d %t, want %d", writerEnded, got, ok, want)
 		}
 	}
 }
 
-// A full queue of writes means that the far end takes nothing: a call beyond it was never handed over.
-func TestFullQueueNeverRan(t *testing.T) {
-	b := newBench()
+// A full outbox means that the far end does not read: a further call was never sent and ends as
+// Unreachable.
+func TestFullOutbox_CallUnreachable(t *testing.T) {
+	b := newTestPool()
 	b.fleet(0, sq.Ready, 0, "127.0.0.1:1")
 	b.stalled(t)
 	b.call(0, callOf(1))
@@ -122,10 +125,10 @@
 	}
 }
 
-// What still waits for a connection when its server drains must not leave any more.
-func TestDrainWithdrawsWhatWaits(t *testing.T) {
+// Calls that wait for a connection when their server drains are not sent any more.
+func TestDrain_WithdrawsQueuedCalls(t *testing.T) {
 	address, _ := acceptor(t)
-	b := newBench()
+	b := newTestPool()
 	b.fleet(0, sq.Ready, 0, address)
 	b.call(0, callOf(1))
 	b.fleet(1, sq.Draining, 0, address)
@@ -134,18 +137,19 @@
 	}
 	b.call(2, callOf(2))
 	if got, ok := b.ends[2]; !ok || got != sq.Unreachable {
-		t.Errorf("a send to a draining server: %d %t", got, ok)
+		t.Errorf("call to a draining server: outcome %d %t, want Unreachable", got, ok)
 	}
-	b.next(t, 3) // the connection comes up, for nobody
+	b.next(t, 3) // the connection is established and has no calls
 	if b.conns != 0 {
-		t.Errorf("%d connections are kept", b.conns)
+		t.Errorf("%d connections, want 0", b.conns)
 	}
 }
 
-// A machine that vanished leaves its connections open and unresponsive: a newer start time ends them.
-func TestReplacedProcess(t *testing.T) {
+// A machine that vanished leaves its connections open and unresponsive: a newer start time closes
+// them.
+func TestReplacedProcess_ClosesConns(t *testing.T) {
 	address, conns := acceptor(t)
-	b := newBench()
+	b := newTestPool()
 	b.fleet(0, sq.Ready, 0, address)
 	b.call(10, callOf(1))
 	b.next(t, 20)
@@ -164,31 +168,33 @@
 	}
 }
 
-// A connection that stayed unresponsive past a timeout takes no further calls, and closes once it is empty.
+// A connection that has been unresponsive for unresponsiveAfter gets no further calls and is closed
+// once it is empty.
 func TestUnresponsiveConnectionRetires(t *testing.T) {
 	address, conns := acceptor(t)
-	b := newBench()
+	b := newTestPool()
 	b.fleet(0, sq.Ready, 0, address)
 	b.call(100, callOf(1))
 	b.next(t, 100)
 	b.call(110, callOf(2))
 	far := <-conns
 	defer far.Close()
-	b.drop(unresponsiveAfter/2, 2)
+	b.cancelAttempt(unresponsiveAfter/2, 2)
 	old := b.servers["s"].conns[0]
 	if old.retired {
 		t.Error("retired too soon")
 	}
-	b.drop(2*unresponsiveAfter, 1)
+	b.cancelAttempt(2*unresponsiveAfter, 1)
 	if !old.closed {
-		t.Error("a silent connection is kept")
+		t.Error("the unresponsive connection was not closed")
 	}
 }
 
-// Streams bound the calls on a connection; the pool's bound sheds idle connections before it refuses.
-func TestStreamsAndBounds(t *testing.T) {
+// Streams limits the calls on a connection. At its limit of connections the pool closes idle ones
+// before it refuses a call.
+func TestPoolLimits(t *testing.T) {
 	address, _ := acceptor(t)
-	b := newBench()
+	b := newTestPool()
 	b.fleet(0, sq.Ready, 0, address)
 	for id := core.AttemptID(1); id <= 9; id++ {
 		b.call(0, callOf(id))
@@ -199,8 +205,8 @@
 	for range 4 {
 		b.next(t, 1)
 	}
-	b.drop(2, 1)
-	b.drop(2, 2)
+	b.cancelAttempt(2, 1)
+	b.cancelAttempt(2, 2)
 	b.fleet(3, sq.Ready, 0, address)
 	b.pool.updateFleet(3, sq.FleetChanged{Servers: []sq.Server{{ID: "u", Health: sq.Ready}}}, map[sq.ServerID]string{"u": address})
 	b.call(4, core.Call{Server: "u", Attempts: []core.Attempt{{ID: 10, Label: "q"}}})
@@ -213,12 +219,13 @@
 	}
 }
 
-// Of what is out on a connection with malformed bytes the oldest has failed and the rest is given up; while
-// such bytes are seen, calls travel alone, so that one malformed answer takes no other part along.
-func TestMalformedBytes(t *testing.T) {
+// Of the attempts on a connection with malformed bytes, the oldest ends as Errored and the others
+// as Stranded. For isolationPeriod after that each call gets its own connection, so that one
+// malformed answer affects no other part.
+func TestMalformedAnswer_ClosesConn(t *testing.T) {
 	address, conns := acceptor(t)
-	b := newBench()
-	b.lateShare = 1 // beside one that is late to come up no other is opened here
+	b := newTestPool()
+	b.lateShare = 1 // no spares are opened
 	b.fleet(0, sq.Ready, 0, address)
 	b.call(1, callOf(1))
 	b.next(t, 1)
@@ -226,7 +233,7 @@
 	far := <-conns
 	defer far.Close()
 	if len(b.servers["s"].conns) != 1 {
-		t.Fatalf("%d connections before anything was malformed", len(b.servers["s"].conns))
+		t.Fatalf("%d connections before the malformed bytes, want 1", len(b.servers["s"].conns))
 	}
 	fmt.Fprint(far, "\xff\xff\xff\xff")
 	b.next(t, 3)
@@ -236,19 +243,19 @@
 	b.call(4, callOf(3))
 	b.call(4, callOf(4))
 	if n := len(b.servers["s"].conns); n != 2 {
-		t.Errorf("%d connections for two calls, while servers send malformed bytes", n)
+		t.Errorf("%d connections for two calls within isolationPeriod, want 2", n)
 	}
-	b.drop(4+isolationPeriod, 3)
+	b.cancelAttempt(4+isolationPeriod, 3)
 	b.call(4+isolationPeriod, callOf(5))
 	if n := len(b.servers["s"].conns); n != 2 {
-		t.Errorf("%d connections after that", n)
+		t.Errorf("%d connections after isolationPeriod, want 2", n)
 	}
 }
 
-// An answer that stands still is found out, and its connection takes no call meanwhile.
-func TestAnswerThatStandsStill(t *testing.T) {
+// A stalled answer is detected, and its connection gets no call in the meantime.
+func TestStalledAnswer_ClosesConn(t *testing.T) {
 	address, conns := acceptor(t)
-	b := newBench()
+	b := newTestPool()
 	b.fleet(0, sq.Ready, 0, address)
 	b.call(1, callOf(1))
 	b.next(t, 1)
@@ -260,23 +267,23 @@
 	if len(b.ends) != 0 {
 		t.Fatalf("ended too soon: %v", b.ends)
 	}
-	b.drop(3+maxAnswerPause, 1)
+	b.cancelAttempt(3+maxAnswerPause, 1)
 	b.call(3+maxAnswerPause, callOf(2))
 	if n := len(b.servers["s"].conns); n != 2 {
-		t.Errorf("%d connections: a call follows an unfinished answer", n)
+		t.Errorf("%d connections, want 2: a call was sent behind an incomplete answer", n)
 	}
 	b.sweep(3 + maxAnswerPause)
 	if n := len(b.servers["s"].conns); n != 1 || b.lastLossAt == 0 {
-		t.Errorf("%d connections, hurt at %d", n, b.lastLossAt)
+		t.Errorf("%d connections, want 1; last loss at %d", n, b.lastLossAt)
 	}
 }
 
-// An answer that comes byte by byte without an end is found out too, however steady it is, and so that calls don't go on following it. One whose
-// predecessors on the connection do end is not.
-func TestAnswerThatNeverEnds(t *testing.T) {
+// An answer that arrives byte by byte without an end is detected as well, however steadily it
+// arrives. A connection on which earlier answers do end is kept.
+func TestEndlessAnswer_ClosesConn(t *testing.T) {
 	for _, others := range []bool{false, true} {
 		address, conns := acceptor(t)
-		b := newBench()
+		b := newTestPool()
 		b.fleet(0, sq.Ready, 0, address)
 		b.call(1, callOf(1))
 		b.next(t, 1)
@@ -290,7 +297,7 @@
 			if i == 0 {
 				text = "\x00\x00\x00\x20Yq.1 OK 1 -\n"
 			}
-			if others && i == 6 { // the first ends, and the second begins
+			if others && i == 6 { // the first answer ends, and the second begins
 				text = strings.Repeat("x", 32-len("Yq.1 OK 1 -\n")-5) + "\x00\x00\x00\x20Yq.2 OK 1 -\n"
 			}
 			fmt.Fprint(far, text)
@@ -301,15 +308,16 @@
 			}
 		}
 		if _, one := b.ends[1]; c.closed == others || !others && b.ends[1] != sq.Errored || others && (!one || b.ends[1] != sq.Served) {
-			t.Errorf("others=%t: ended %t, %v", others, c.closed, b.ends)
+			t.Errorf("others=%t: closed %t, outcomes %v", others, c.closed, b.ends)
 		}
 	}
 }
 
-// A server that sends without end has one chunk at a time with the engine, however slow that is.
-func TestReadsNoFurtherThanTaken(t *testing.T) {
+// Of a server that sends without end, only one chunk at a time waits for the engine, however slow
+// the engine is.
+func TestReadAnswers_Backpressure(t *testing.T) {
 	address, conns := acceptor(t)
-	b := newBench()
+	b := newTestPool()
 	b.fleet(0, sq.Ready, 0, address)
 	b.call(1, callOf(1))
 	b.next(t, 1)
@@ -320,17 +328,18 @@
 	}
 	b.awaitPosted(t) // a busy machine may take longer than the writes below
 	far.SetWriteDeadline(time.Now().Add(100 * time.Millisecond))
-	far.Write(make([]byte, 1<<22)) // as much as the sockets hold
+	far.Write(make([]byte, 1<<22)) // more than the socket buffers hold
 	if n := len(b.posted); n != 1 {
-		t.Errorf("%d chunks wait for the engine", n)
+		t.Errorf("%d chunks wait for the engine, want 1", n)
 	}
 }
 
-// A connection that is unresponsive while its server goes on answering takes no further calls after quietLimit,
-// and is given up once enough of them were answered elsewhere; nothing is concluded from a server that is unresponsive altogether.
-func TestConnectionThatBecameUnresponsive(t *testing.T) {
+// A connection that is quiet while its server answers on others gets no further calls after
+// quietLimit, and is closed once overtakenLimit calls have been answered elsewhere. If the server
+// is quiet on all connections, nothing is concluded.
+func TestOvertakenConn_Closed(t *testing.T) {
 	address, conns := acceptor(t)
-	b := newBench()
+	b := newTestPool()
 	b.fleet(0, sq.Ready, 0, address)
 	b.typicalLatency = 10_000
 	b.call(1, callOf(1))
@@ -339,7 +348,7 @@
 	defer far.Close()
 	late := 1 + b.quietLimit() + 1
 	b.call(late, callOf(2))
-	b.next(t, late) // it is up
+	b.next(t, late) // the connection is established
 	second := <-conns
 	defer second.Close()
 	if n := len(b.servers["s"].conns); n != 2 {
@@ -347,7 +356,7 @@
 	}
 	b.sweep(late + unresponsiveAfter)
 	if len(b.ends) != 0 {
-		t.Fatalf("nothing was answered, and yet %v", b.ends)
+		t.Fatalf("attempts ended before any answer: %v", b.ends)
 	}
 	for id := core.AttemptID(2); ; id++ {
 		fmt.Fprintf(second, "\x00\x00\x00\x0cYq.%d OK 7 -\n", id)
@@ -357,7 +366,7 @@
 			break
 		}
 		if len(b.ends) != int(id)-1 || b.ends[id] != sq.Served {
-			t.Fatalf("too soon: %v", b.ends)
+			t.Fatalf("closed too soon: %v", b.ends)
 		}
 		b.call(late, callOf(id+1))
 	}
@@ -366,17 +375,18 @@
 	}
 }
 
-// A connection that breaks is one sign of a fault: one of its calls is broken, the others are stranded with it.
-// Calls then travel alone, over the idle connection used last.
-func TestBrokenConnection(t *testing.T) {
+// A broken connection is one sign of a fault: one of its calls ends as Broken, the others as
+// Stranded. After that each call gets a connection of its own, preferably the most recently used
+// idle one.
+func TestBrokenConn_IsolatesCalls(t *testing.T) {
 	address, conns := acceptor(t)
-	b := newBench()
+	b := newTestPool()
 	b.fleet(0, sq.Ready, 0, address)
 	b.call(1, callOf(1))
 	b.next(t, 1)
 	b.call(2, callOf(2))
 	far := <-conns
-	if _, err := io.ReadFull(far, make([]byte, 40)); err != nil { // both frames have left
+	if _, err := io.ReadFull(far, make([]byte, 40)); err != nil { // both frames have been sent
 		t.Fatal(err)
 	}
 	far.Close()
@@ -393,19 +403,20 @@
 	if n := len(b.servers["s"].conns); n != 2 {
 		t.Fatalf("%d connections for two calls", n)
 	}
-	b.drop(7, 3)
-	b.drop(8, 4)
+	b.cancelAttempt(7, 3)
+	b.cancelAttempt(8, 4)
 	last := b.servers["s"].conns[0]
 	last.usedAt = 100
 	b.call(101, callOf(5))
 	if len(last.calls) != 1 || len(b.servers["s"].conns) != 2 {
-		t.Error("the idle connection used last was passed over")
+		t.Error("the call did not use the most recently used idle connection")
 	}
 }
 
-// An attempt counts as relayed once its call's last byte has left, and not where the server goes before that.
-func TestRelayedWhenWritten(t *testing.T) {
-	b := newBench()
+// An attempt counts as relayed once the last byte of its call has been written, and not if the
+// connection ends before that.
+func TestRelayed_CountsWrittenCalls(t *testing.T) {
+	b := newTestPool()
 	b.fleet(0, sq.Ready, 0, "127.0.0.1:1")
 	near, far := net.Pipe()
 	c := &serverConn{
@@ -429,9 +440,10 @@
 	}
 }
 
-// A parser that panics on a server's answer ends that attempt as malformed; the process and the connection go on.
-func TestPanicOfAParser(t *testing.T) {
-	b := newBench()
+// If the parser panics on a server's answer, the attempt ends as Errored; the process and the
+// connection continue.
+func TestParserPanic_EndsAttemptErrored(t *testing.T) {
+	b := newTestPool()
 	b.fleet(0, sq.Ready, 0, "")
 	c := b.stalled(t)
 	panics := make(chan *panicguard.PanicError, 1)
--- a/internal/broker/transport/request.go
+++ b/internal/broker/transport/request.go
@@ -10,18 +10,19 @@
 
 // openQuery is one query of a request, or the response that answers it without a query.
 type openQuery struct {
-	class    string
-	respond  func(core.Final, int64) http1.Response
-	ticket   *Ticket
-	response *http1.Response
-	ledger   core.IntentLog // of a query that must not run twice; else nil
+	class     string
+	respond   func(core.Final, int64) http1.Response
+	ticket    *Ticket
+	response  *http1.Response
+	intentLog core.IntentLog // of a query that must not run twice; otherwise nil
 }
 
-// openQuery hands the query of a message to the engine. A panic of the front on these bytes is their answer: no query was opened.
+// openQuery hands the query of a message to the engine. If the front panics, no query was opened
+// and the response is an internal error.
 func (c *clientConn) openQuery(front Front, m *http1.Message, now int64) (a *openQuery) {
 	a = &openQuery{class: front.Class(m)}
 	defer panicguard.Contain(func(p *panicguard.PanicError) {
-		c.listener.engine.recordPanic("query of a client", p)
+		c.listener.engine.recordPanic("client query", p)
 		fault := internalError(front)
 		a.response = &fault
 	})
@@ -31,38 +32,41 @@
 	var query core.Query
 	if query, a.respond, a.response = front.Open(m, now, c.listener.isReady()); a.response == nil {
 		c.listener.lastQuery.Store(now)
-		a.ticket, a.ledger = c.listener.engine.Open(query), query.IntentLog
+		a.ticket, a.intentLog = c.listener.engine.Open(query), query.IntentLog
 	}
 	return a
 }
 
-// internalError is the answer where the program itself failed. It promises nothing.
+// internalError returns the response to a failure of the program itself. It does not state whether
+// the query has run.
 func internalError(front Front) http1.Response {
 	return front.Fault(statusInternalError, "internal error")
 }
 
-// respondTo returns the answer to a query that has ended. A panic leaves a query that must not run twice in doubt, so that no retry runs it.
+// respondTo returns the response to a query that has ended. If the front panics, the result of a
+// query that must not run twice is left undetermined, so that no retry runs it again.
 func (c *clientConn) respondTo(front Front, a *openQuery, f core.Final) (r http1.Response) {
 	defer panicguard.Contain(func(p *panicguard.PanicError) {
-		c.listener.engine.recordPanic("answer to a query", p)
-		if a.ledger != nil {
-			a.ledger.Abandon()
+		c.listener.engine.recordPanic("query answer", p)
+		if a.intentLog != nil {
+			a.intentLog.Abandon()
 		}
 		r = internalError(front)
 	})
 	return a.respond(f, c.listener.engine.clock.Now())
 }
 
-// serveRequest answers one request. last reports that the answer announced the connection's end, ok is false where the client is gone.
-// The queries of a split request are all opened before the first is waited for, and each ends by itself.
+// serveRequest answers one request. last reports that the answer announced the end of the
+// connection; ok is false if the client is gone. All queries of a split request are opened before
+// the first is waited for, and each ends on its own.
 //
-// A panic is answered 500, which promises nothing, and ends the connection. openQuery and respondTo contain those of a single query, so that no
-// query is open here.
+// A panic is answered with status 500 and ends the connection. Panics on a single query are
+// contained in openQuery and respondTo, so no query is open here.
 func (c *clientConn) serveRequest(m *http1.Message) (last, ok bool) {
 	now := c.listener.engine.clock.Now()
 	front := c.listener.settings.Load().front
 	defer panicguard.Contain(func(p *panicguard.PanicError) {
-		c.listener.engine.recordPanic("request of a client", p)
+		c.listener.engine.recordPanic("client request", p)
 		last, ok = true, c.write(internalError(front), true)
 	})
 	parts := []*http1.Message{m}
@@ -90,10 +94,10 @@
 		}
 		if end != answered {
 			c.abandonQueries(all[i+1:])
-			if end == brokeRules {
+			if end == protocolError {
 				c.countFailed(&http1.Error{Status: statusBadRequest}, m)
 			}
-			return end == clientLeft, end == brokeRules
+			return end == clientLeft, end == protocolError
 		}
 		c.listener.engine.metrics.CountAnswer(a.class, r.Status)
 		rs[i] = r
@@ -104,11 +108,11 @@
 	return c.reply(m, join(rs, c.listener.engine.clock.Now()-now))
 }
 
-// abandonQueries gives up queries whose client no longer waits.
+// abandonQueries abandons queries whose client no longer waits.
 func (c *clientConn) abandonQueries(rest []*openQuery) {
 	for _, a := range rest {
 		if a.ticket != nil {
-			c.leaveQuery(a)
+			c.abandonQuery(a)
 		}
 		if a.class != "" {
 			c.listener.engine.metrics.OpenRequests.Add(-1)
@@ -116,16 +120,16 @@
 	}
 }
 
-// leaveQuery says that the client no longer waits for a query. A query whose result a retry may ask for goes on until its deadline,
-// and its end is recorded in its ledger.
-func (c *clientConn) leaveQuery(a *openQuery) {
-	if a.ledger == nil {
+// abandonQuery abandons a query whose client no longer waits. A query whose result a retry may
+// request continues until its deadline, and its result is recorded in its intent log.
+func (c *clientConn) abandonQuery(a *openQuery) {
+	if a.intentLog == nil {
 		c.listener.engine.ClientLeft(a.ticket)
 		return
 	}
-	if !a.ledger.WantsResult() {
+	if !a.intentLog.WantsResult() {
 		c.listener.engine.ClientLeft(a.ticket)
-		a.ledger.Abandon()
+		a.intentLog.Abandon()
 		return
 	}
 	c.listener.wg.Add(1)
@@ -133,19 +137,19 @@
 		defer c.listener.wg.Done()
 		select {
 		case f := <-a.ticket.Final:
-			_ = c.respondTo(c.listener.settings.Load().front, a, f) // records the end; nobody reads the response
-		case <-a.ticket.Err: //nolint:errcheck // the client that waited for it has left
-			a.ledger.Release()
+			_ = c.respondTo(c.listener.settings.Load().front, a, f) // records the result; the response is discarded
+		case <-a.ticket.Err: //nolint:errcheck // the client has disconnected
+			a.intentLog.Release()
 		case <-c.listener.engine.stopped:
-			a.ledger.Abandon()
+			a.intentLog.Abandon()
 		}
 	}()
 }
 
-// waitSignals are the further events that end the wait for a query.
+// waitSignals are further events that end the wait for a query.
 type waitSignals struct {
-	malformed <-chan struct{} // the client has broken the rules
-	graceOver <-chan time.Time
+	malformed <-chan struct{}  // the client has sent malformed bytes
+	graceOver <-chan time.Time // faultGrace after that
 	timer     *time.Timer
 }
 
@@ -165,24 +169,24 @@
 	statusUnavailable    = 503
 )
 
-// ending is why the wait for a query is over.
-type ending int
+// waitResult is the reason why the wait for a query is over.
+type waitResult int
 
 const (
-	answered   ending = iota // it has its answer
-	brokeRules               // the client broke the rules while it waited, and is owed an answer to that
-	clientLeft               // the client, or the engine, is gone
+	answered      waitResult = iota // the query has its answer
+	protocolError                   // the client sent malformed bytes while it waited, and gets an error answer
+	clientLeft                      // the client is gone, or the engine has stopped
 )
 
 // await waits for the end of one query.
-func (c *clientConn) await(front Front, a *openQuery, w *waitSignals) (http1.Response, ending) {
+func (c *clientConn) await(front Front, a *openQuery, w *waitSignals) (http1.Response, waitResult) {
 	for a.response == nil {
 		select {
 		case f := <-a.ticket.Final:
 			return c.respondTo(front, a, f), answered
 		case err := <-a.ticket.Err:
-			if a.ledger != nil {
-				a.ledger.Release()
+			if a.intentLog != nil {
+				a.intentLog.Release()
 			}
 			status := statusBadRequest
 			if errors.Is(err, core.ErrDuplicateLabel) {
@@ -196,17 +200,17 @@
 			w.timer = time.NewTimer(c.listener.faultGrace)
 			w.graceOver = w.timer.C
 		case <-w.graceOver:
-			c.leaveQuery(a)
-			return http1.Response{}, brokeRules
+			c.abandonQuery(a)
+			return http1.Response{}, protocolError
 		case <-c.flooded:
-			c.leaveQuery(a)
-			return http1.Response{}, brokeRules
+			c.abandonQuery(a)
+			return http1.Response{}, protocolError
 		case <-c.clientGone:
-			c.leaveQuery(a)
+			c.abandonQuery(a)
 			return http1.Response{}, clientLeft
 		case <-c.listener.engine.stopped:
-			if a.ledger != nil {
-				a.ledger.Abandon()
+			if a.intentLog != nil {
+				a.intentLog.Abandon()
 			}
 			return http1.Response{}, clientLeft
 		}
@@ -214,7 +218,7 @@
 	return *a.response, answered
 }
 
-// reply writes the answer to a request, and announces the connection's end where it is to end.
+// reply writes the answer to a request, and announces the end of the connection if it is to end.
 func (c *clientConn) reply(m *http1.Message, r http1.Response) (last, ok bool) {
 	last = m.Close || !c.listener.keepsAlive() || c.listener.endsAfterAnswer(c)
 	if m.Method == "HEAD" {
--- a/internal/broker/transport/request_reader.go
+++ b/internal/broker/transport/request_reader.go
@@ -7,16 +7,18 @@
 	"time"
 )
 
-// requestReader is the read side of one client's connection. The goroutine of clientConn.read owns it.
+// requestReader is the read side of one client connection. It is owned by the goroutine of
+// clientConn.read.
 type requestReader struct {
 	c        *clientConn
 	parser   http1.Parser
-	buffered int64          // bytes of unfinished requests that are counted in Listener.partialBytes
-	header   *http1.Message // whose header was read last
-	complete *http1.Message // that was read completely last
+	buffered int64          // bytes of incomplete requests that are counted in Listener.partialBytes
+	header   *http1.Message // the message whose header was read last
+	complete *http1.Message // the message that was completed last
 }
 
-// read reads requests until the client leaves, breaks the rules, takes too long or is evicted.
+// read reads requests until the client disconnects, sends malformed bytes, takes too long or is
+// evicted.
 func (c *clientConn) read() {
 	defer c.listener.wg.Done()
 	r := &requestReader{c: c}
@@ -35,7 +37,8 @@
 	}
 }
 
-// end says that nothing more is read. The connection closes here unless a request is still being answered.
+// end marks the read side as ended. It closes the connection unless a request is still being
+// answered.
 func (r *requestReader) end() {
 	c := r.c
 	c.listener.partialBytes.Add(-r.buffered)
@@ -47,17 +50,19 @@
 	}
 }
 
-// readHeader notes a request's header, and asks for its body where the client waits for that.
+// readHeader records a request's header, and sends 100 Continue if the client waits for it.
 func (r *requestReader) readHeader(m *http1.Message) {
 	r.header = m
-	// Nothing else is being written then: clients that wait for this have no request before it open.
+	// No other goroutine writes now: a client that waits for 100 Continue has no earlier request
+	// open.
 	if m.Header.Get("Expect") == "100-continue" && !r.c.isAnswering() {
 		setWriteDeadline(r.c.conn, time.Now().Add(writeTimeout))
 		_, _ = r.c.conn.Write([]byte("HTTP/1.1 100 Continue\r\n\r\n")) // a failure shows at the next read
 	}
 }
 
-// feed parses what was read and queues the complete requests. It returns false once nothing more is to be read.
+// feed parses received bytes and queues the complete requests. It returns false if nothing more is
+// to be read.
 func (r *requestReader) feed(b []byte) bool {
 	c := r.c
 	r.parser.Feed(b)
@@ -67,14 +72,15 @@
 	}
 	now := int64(r.parser.Buffered())
 	if c.listener.partialBytes.Add(now-r.buffered) > c.listener.settings.Load().MaxPartialBytes && err == nil && now > 0 {
-		// A request that was not read to its end has not run: a retry is harmless.
-		err = &http1.Error{Status: statusUnavailable, Text: "too much is coming in at once"}
+		// A request that was not read completely has not run: a retry is safe.
+		err = &http1.Error{Status: statusUnavailable, Text: "too many bytes of incomplete requests"}
 	}
 	r.buffered = now
 	if r.header != r.complete {
 		c.countFailed(err, r.header)
 	}
-	// Guards servers against requests whose client left before they were read, as where it waited to be accepted.
+	// A client may have disconnected before its request was read, for example while its connection
+	// waited to be accepted. Such a request must not put load on servers.
 	if len(batch) > 0 && err == nil {
 		if _, gone := peek(c.conn); gone {
 			return false
@@ -87,7 +93,8 @@
 	return true
 }
 
-// continueAfter handles a failed read. It returns true where the connection goes on: its idle time was over, but bytes have come.
+// continueAfter handles a failed read. It returns true if the connection continues: it timed out
+// while idle, but bytes have arrived since.
 func (r *requestReader) continueAfter(err error) bool {
 	var timeout net.Error
 	if !errors.As(err, &timeout) || !timeout.Timeout() {
@@ -96,7 +103,7 @@
 	if r.parser.Idle() {
 		return r.c.continueIfUnread()
 	}
-	slow := &http1.Error{Status: statusRequestTimeout, Text: "the request took too long to come in"}
+	slow := &http1.Error{Status: statusRequestTimeout, Text: "request not complete within the time limit"}
 	if r.header != r.complete {
 		r.c.countFailed(slow, r.header)
 	}
@@ -105,7 +112,8 @@
 	return false
 }
 
-// countFailed counts requests that end with an error of their connection instead of an answer of their own.
+// countFailed counts requests that end with an error of their connection instead of an answer of
+// their own.
 func (c *clientConn) countFailed(fault error, ms ...*http1.Message) {
 	if fault == nil {
 		return
@@ -117,7 +125,7 @@
 	}
 }
 
-// parseComplete returns the complete messages.
+// parseComplete returns the complete messages that the parser has buffered.
 func parseComplete(p *http1.Parser) (batch []*http1.Message, err error) {
 	for {
 		m, err := p.Next()
--- a/internal/broker/transport/routes.go
+++ b/internal/broker/transport/routes.go
@@ -17,54 +17,55 @@
 )
 
 const (
-	maxLayoutBytes = 8 << 20 // bytes of a full layout: some 50,000 ranges
-	refreshPause   = 250 * time.Millisecond
-	stallInterval  = time.Second // between two checks for stalled changes
-	repeatAfter    = time.Minute // then the same fault of a directory is logged again
+	maxLayoutBytes = 8 << 20                // limit of a full layout, enough for some 50,000 ranges
+	refreshPause   = 250 * time.Millisecond // minimum interval between two refreshes
+	stallInterval  = time.Second            // between two checks for stalled changes
+	repeatAfter    = time.Minute            // after which the same fault of a directory is logged again
 )
 
-// RoutesConfig is where layouts come from.
+// RoutesConfig configures the sources of layouts.
 type RoutesConfig struct {
-	Directory string        // host:port; empty: the operator's file alone
-	Stall     time.Duration // a change that stays in one state for longer is reported
+	Directory string        // host:port; empty: only the operator's file is used
+	Stall     time.Duration // changes that stay in one state for longer are reported
 }
 
-// Routes owns the layout in force. Its keeper judges what the operator's file and the directory deliver; each new layout goes to the
-// engine and to the fronts, in one order. Times are the clock's.
+// Routes owns the layout in force. Its tracker validates what the operator's file and the directory
+// deliver; each new layout is passed to the engine and to the fronts, in the same order.
 type Routes struct {
 	follower
 	cfg             RoutesConfig
 	clock           Clock
 	notify          func(layout.Update)
 	metrics         *adminapi.LayoutMetrics
-	refreshRequests chan struct{} // a server has a newer layout
+	refreshRequests chan struct{} // a request means that a server has a newer layout
 	synced          chan struct{} // closed once the directory agrees with the layout in force
 	refresher       sync.WaitGroup
 
-	current *layout.Current // what fronts plan by
+	current *layout.Current // the layout by which fronts plan queries
 
-	layoutMu  sync.Mutex // guards what follows
-	keeper    layout.Tracker
+	// layoutMu guards the fields below.
+	layoutMu  sync.Mutex
+	tracker   layout.Tracker
 	isSynced  bool
-	lastFault string // of the directory, as it was logged last
+	lastFault string // fault of the directory that was logged last
 	faultAt   time.Time
 }
 
-// NewRoutes makes the owner of a layout, with the layout that is known at the start and the servers that may hold ranges. It fails
-// where that layout is invalid.
+// NewRoutes returns the owner of a layout, starting with the layout first and the servers that may
+// hold ranges. It fails if that layout is invalid.
 func NewRoutes(cfg RoutesConfig, first layout.Doc, servers []sq.ServerID, clock Clock, current *layout.Current,
 	notify func(layout.Update), metrics *adminapi.LayoutMetrics, logger *slog.Logger,
 ) (*Routes, error) {
 	r := &Routes{cfg: cfg, clock: clock, current: current, notify: notify, metrics: metrics, refreshRequests: make(chan struct{}, 1), synced: make(chan struct{})}
 	r.follower = newFollower(cfg.Directory, maxLayoutBytes, r, logger)
 	r.needsFull = true
-	if err := r.keeper.SetServers(servers); err != nil {
+	if err := r.tracker.SetServers(servers); err != nil {
 		return nil, err
 	}
 	return r, r.ApplyFile(first, servers, true)
 }
 
-// Run follows the directory, where there is one, and reports stalled changes, until Stop.
+// Run follows the directory, if there is one, and reports stalled changes, until Stop is called.
 func (r *Routes) Run() {
 	if r.cfg.Directory != "" {
 		r.refresher.Add(1)
@@ -94,10 +95,11 @@
 	r.refresher.Wait()
 }
 
-// Synced is closed once the directory has delivered a layout that agrees with the one in force.
+// Synced returns a channel that is closed once the directory has delivered a layout that agrees
+// with the one in force.
 func (r *Routes) Synced() <-chan struct{} { return r.synced }
 
-// Refresh has the full layout fetched soon. It never blocks.
+// Refresh requests a fetch of the full layout. It never blocks.
 func (r *Routes) Refresh() {
 	select {
 	case r.refreshRequests <- struct{}{}:
@@ -105,7 +107,7 @@
 	}
 }
 
-// runRefresher fetches full layouts on request, in addition to the watch, which may lag.
+// runRefresher fetches full layouts on request, independently of the watch, which may lag.
 func (r *Routes) runRefresher() {
 	for {
 		select {
@@ -147,12 +149,13 @@
 	return r.follower.fetchFull(conn, address)
 }
 
-// ApplyFile applies the operator's file completely or not at all: the servers that may hold ranges, and a layout. Without commit it
-// only validates. What a directory has delivered prevails over an older layout in the file.
+// ApplyFile applies the operator's file atomically: the servers that may hold ranges, and a layout.
+// Without commit it only validates. A layout from the directory takes precedence over an older one
+// in the file.
 func (r *Routes) ApplyFile(d layout.Doc, servers []sq.ServerID, commit bool) error {
 	r.layoutMu.Lock()
 	defer r.layoutMu.Unlock()
-	trial := r.keeper
+	trial := r.tracker
 	if err := trial.SetServers(servers); err != nil {
 		return fmt.Errorf("layout: %w", err)
 	}
@@ -164,13 +167,14 @@
 		}
 	}
 	if commit {
-		r.keeper = trial
+		r.tracker = trial
 		r.apply(u, "file")
 	}
 	return nil
 }
 
-// apply puts an update in force. layoutMu is held, so that updates come in one order everywhere.
+// apply puts an update in force. The caller holds layoutMu, so that all consumers see updates in
+// the same order.
 func (r *Routes) apply(u *layout.Update, from string) {
 	if u == nil {
 		return
@@ -198,7 +202,7 @@
 	}
 	r.layoutMu.Lock()
 	defer r.layoutMu.Unlock()
-	u, err := r.keeper.Replace(d, r.clock.Now())
+	u, err := r.tracker.Replace(d, r.clock.Now())
 	if err != nil {
 		return err
 	}
@@ -207,8 +211,8 @@
 	return nil
 }
 
-// applyLine applies a step. One that does not follow the layout in force is an error: a step was missed, and watchEnded has the full
-// layout fetched.
+// applyLine applies a step. It fails if the step does not follow the layout in force: a step was
+// missed, and watchEnded then requests the full layout.
 func (r *Routes) applyLine(text []byte, from string) error {
 	s, err := layout.ParseStep(text)
 	if err != nil {
@@ -216,7 +220,7 @@
 	}
 	r.layoutMu.Lock()
 	defer r.layoutMu.Unlock()
-	u, err := r.keeper.Step(s, r.clock.Now())
+	u, err := r.tracker.Step(s, r.clock.Now())
 	if err != nil {
 		return err
 	}
@@ -224,7 +228,7 @@
 	return nil
 }
 
-// markSynced notes that the directory agrees with the layout in force.
+// markSynced records that the directory agrees with the layout in force. The caller holds layoutMu.
 func (r *Routes) markSynced() {
 	r.lastFault = ""
 	if !r.isSynced {
@@ -233,8 +237,9 @@
 	}
 }
 
-// watchEnded handles the end of a watch. After a lost connection the next watch continues from the epoch in force; after an error
-// status or a step that does not follow it begins with the full layout.
+// watchEnded handles the end of a watch. After a lost connection the next watch continues from the
+// epoch in force; after an error status, or a step that does not follow that epoch, it begins with
+// the full layout.
 func (r *Routes) watchEnded(err error) {
 	var status statusError
 	if errors.As(err, &status) || reasonOf(err) != unreachable {
@@ -245,7 +250,7 @@
 
 const unreachable = "unreachable"
 
-// reasonOf names the kind of a directory's fault, for logs.
+// reasonOf classifies a directory's fault for logs.
 func reasonOf(err error) string {
 	for _, k := range []struct {
 		kind error
@@ -258,7 +263,8 @@
 	return unreachable
 }
 
-// reportFault logs a fault of the directory; the layout in force stays. The same fault is logged again only after repeatAfter.
+// reportFault logs a fault of the directory; the layout in force stays. The same fault is logged
+// again only after repeatAfter.
 func (r *Routes) reportFault(what string, err error) {
 	r.layoutMu.Lock()
 	defer r.layoutMu.Unlock()
@@ -272,25 +278,25 @@
 	}
 }
 
-// reportStalled reports stalled changes; queries never wait for them.
+// reportStalled reports stalled changes. Queries never wait for them.
 func (r *Routes) reportStalled() {
 	r.layoutMu.Lock()
 	defer r.layoutMu.Unlock()
 	now := r.clock.Now()
-	all, fresh := r.keeper.Stalled(now, r.cfg.Stall.Microseconds())
+	all, fresh := r.tracker.Stalled(now, r.cfg.Stall.Microseconds())
 	r.metrics.Stalled.Store(int64(len(all)))
 	for _, s := range fresh {
 		logging.Warn(r.log, logging.LayoutStalled, "change", s.ID, "kind", s.Kind, "state", s.State, "for", time.Duration(now-s.Since)*time.Microsecond)
 	}
 }
 
-// AppendStatus appends the state of the layout in the form of the admin endpoint.
+// AppendStatus appends the state of the layout in the format of the admin endpoint.
 func (r *Routes) AppendStatus(dst []byte) []byte {
 	r.layoutMu.Lock()
 	defer r.layoutMu.Unlock()
-	l := r.keeper.Current()
+	l := r.tracker.Current()
 	dst = fmt.Appendf(dst, "history %s epoch %d ranges %d\n", l.History(), l.Epoch(), l.Len())
-	all, _ := r.keeper.Stalled(r.clock.Now(), r.cfg.Stall.Microseconds())
+	all, _ := r.tracker.Stalled(r.clock.Now(), r.cfg.Stall.Microseconds())
 	for _, c := range l.Changes() {
 		stalled := ""
 		if slices.ContainsFunc(all, func(s layout.Stall) bool { return s.ID == c.ID }) {
--- a/internal/broker/transport/server_conn.go
+++ b/internal/broker/transport/server_conn.go
@@ -12,36 +12,38 @@
 	sq "saffronquay"
 )
 
-var errStalled = errors.New("an answer that stands still")
+var errStalled = errors.New("transport: incomplete answer stalled")
 
-// serverConn is one connection to a server, from its dial to its end. The engine's goroutine owns it, except conn, written and writes,
-// which its own goroutines use too.
+// serverConn is one connection to a server, from its dial to its end. It is owned by the engine's
+// goroutine, except for conn, written and writes, which the connection's own goroutines use as
+// well.
 type serverConn struct {
-	server         *server
-	session        core.Session
-	conn           net.Conn // nil until it is up
-	up             bool
-	retired        bool // takes no further calls and closes once it is empty
-	closed         bool
-	backlog        []core.Call               // waiting for the connection to come up
-	calls          map[core.AttemptID]*frame // open calls, with the write that carries each; nil: in the backlog
-	lastWrite      int64                     // number of the last write that was queued
-	written        *atomic.Int64             // number of the last write that was completed
-	writes         *outbox
-	usedAt         int64
-	heardAt        int64
-	openedAt       int64
-	upAt           int64
-	isSpare        bool        // opened because another one is late
-	hasSpare       bool        // has a spare or is one: no further one is opened
-	lateTimer      *time.Timer // runs when this connection is late
-	overtakenBy    int         // answered calls on other connections that left after this one became quiet
-	sentAt         map[core.AttemptID]int64
-	partialHeardAt int64 // when the last bytes of an unfinished answer came; 0: there is none
-	partialSince   int64 // when its first bytes came
+	server        *server
+	session       core.Session
+	conn          net.Conn // nil until it is established
+	up            bool     // established
+	retired       bool     // gets no further calls and closes once it is empty
+	closed        bool
+	backlog       []core.Call               // calls that wait until the connection is established
+	calls         map[core.AttemptID]*frame // open calls and the frame that carries each; nil frame: in the backlog
+	lastWrite     int64                     // number of the last write that was queued
+	written       *atomic.Int64             // number of the last write that was completed
+	writes        *outbox
+	usedAt        int64                    // when a call was last sent or answered
+	lastReadAt    int64                    // when bytes were last received
+	openedAt      int64                    // when it was dialled
+	upAt          int64                    // when it was established
+	isSpare       bool                     // opened because another connection is late
+	hasSpare      bool                     // has a spare or is one; no further spare is opened
+	lateTimer     *time.Timer              // fires when this connection is late
+	overtakenBy   int                      // answered calls on other connections that were sent after this one became quiet
+	sentAt        map[core.AttemptID]int64 // when each open call was sent or queued
+	partialReadAt int64                    // when bytes of an incomplete answer were last received; 0: there is none
+	partialSince  int64                    // when its first bytes were received
 }
 
-// dial opens a connection; nil where the limit on connections is reached and none of them is idle.
+// dial opens a connection. It returns nil if the limit on connections is reached and none of them
+// is idle.
 func (p *pool) dial(now int64, s *server) *serverConn {
 	if p.conns >= p.cfg.MaxConns {
 		p.closeLongestIdle(now)
@@ -76,8 +78,9 @@
 	return c
 }
 
-// lateAfter is how long a connection may take to come up before another one is opened, in microseconds: well above what connections
-// usually take, and well below the connect timeout. A quarter of that while none has come up yet.
+// lateAfter returns how long a connection may take to be established before another one is opened,
+// in microseconds: well above the typical time, and well below the connect timeout; a quarter of
+// that timeout until one has been established.
 func (p *pool) lateAfter() int64 {
 	most := max(p.cfg.ConnectTimeout/4, 1000)
 	if p.typicalDial == 0 {
@@ -86,13 +89,13 @@
 	return min(max(int64(8*p.typicalDial), 20_000), most)
 }
 
-// lateShareLimit is the share of late connections above which no spare is opened: servers then have more handshakes than they can do,
-// and spares would add to them. Guards a fleet that has just been restarted.
+// lateShareLimit is the fraction of late connections above which no spare is opened. Servers then
+// cannot keep up with handshakes, as after a restart of the fleet, and spares would add more.
 const lateShareLimit = 0.5
 
-// openSpare opens a second connection where one is late to come up and calls wait for it; the first that is up takes them. Guards
-// calls against a lost handshake, and servers against being taken for slow because of it. The cost: two connections are tried to a
-// machine that is gone.
+// openSpare opens a second connection if one is late and calls wait for it; the first to be
+// established gets the calls. A lost handshake then neither delays calls nor makes the server look
+// slow. The cost is that two connections are tried to a machine that is gone.
 func (p *pool) openSpare(now int64, c *serverConn) {
 	if c.up || c.closed || c.hasSpare || c.server.draining || len(c.calls) == 0 || p.lateShare > lateShareLimit || len(c.server.conns) >= maxConnsPerServer {
 		return
@@ -102,7 +105,8 @@
 	}
 }
 
-// adoptBacklog moves calls that wait for other connections of the same server to one that has come up, as far as it has capacity.
+// adoptBacklog moves calls that wait for other connections of the same server to a connection that
+// has been established, as far as it has capacity.
 func (p *pool) adoptBacklog(c *serverConn) {
 	for _, o := range c.server.conns {
 		for !o.up && len(o.backlog) > 0 && len(c.calls)+len(o.backlog[0].Attempts) <= p.dialect.Streams() {
@@ -119,13 +123,15 @@
 	}
 }
 
-// connected starts the goroutines of a connection that has come up, and writes the calls that waited for it.
+// connected starts the goroutines of a connection that has been established, and writes the calls
+// that waited for it.
 func (p *pool) connected(now int64, c *serverConn, conn net.Conn) {
 	if c.closed {
 		conn.Close()
 		return
 	}
-	// heardAt stays unset: that a connection came up is no sign that its far end still lives.
+	// lastReadAt stays unset: an established connection does not show that its far end is still
+	// alive.
 	c.conn, c.up, c.usedAt, c.upAt = conn, true, now, now
 	c.lateTimer.Stop()
 	took := float64(now - c.openedAt)
@@ -135,7 +141,7 @@
 	if p.typicalDial == 0 {
 		p.typicalDial = took
 	}
-	p.typicalDial += (min(took, 2*p.typicalDial) - p.typicalDial) / 16 // a few late ones say little of what is usual
+	p.typicalDial += (min(took, 2*p.typicalDial) - p.typicalDial) / 16 // limited, since a few late ones say little about the typical time
 	go p.runConn(c, conn)
 	if !c.retired {
 		p.adoptBacklog(c)
@@ -156,7 +162,8 @@
 	}
 }
 
-// runConn reads and writes one connection until it ends, and then reports its end to the pool. It waits for its writer.
+// runConn reads and writes one connection until it ends, and then reports its end to the pool. It
+// waits for its writer.
 func (p *pool) runConn(c *serverConn, conn net.Conn) {
 	stop, written := make(chan struct{}), make(chan struct{})
 	go func() {
@@ -180,7 +187,8 @@
 	})
 }
 
-// writeFrames writes a connection's outbox until stop is closed or a write fails. An attempt counts as relayed once its frame is written.
+// writeFrames writes a connection's outbox until stop is closed or a write fails. An attempt counts
+// as relayed once its frame is written.
 func (p *pool) writeFrames(c *serverConn, conn net.Conn, stop <-chan struct{}) {
 	for {
 		f := c.writes.next(stop)
@@ -197,16 +205,17 @@
 	}
 }
 
-// readAnswers passes what a connection delivers to the engine until reading fails; the pool closes it when it is idle or quiet for too
-// long. It returns true where the far end closed it in order: a reset completes no answer.
+// readAnswers passes received bytes to the engine until a read fails; the pool closes the
+// connection if it is idle or quiet for too long. It returns true if the far end closed the
+// connection in order, since a reset completes no answer.
 func (p *pool) readAnswers(c *serverConn, conn net.Conn) bool {
 	buf := make([]byte, readSize)
 	taken := make(chan struct{}, 1)
 	for {
 		n, err := conn.Read(buf)
 		if n > 0 {
-			// The next read waits until this is processed: guards against a server that sends without end, whose
-			// bytes would pile up in the engine's inbox.
+			// The next read waits until these bytes are processed. Otherwise the bytes of a server
+			// that sends without end would accumulate in the engine's inbox.
 			if !p.post(func(now int64) { p.received(now, c, buf[:n]); taken <- struct{}{} }) {
 				return false
 			}
@@ -226,7 +235,7 @@
 	if c.closed {
 		return
 	}
-	c.heardAt, c.overtakenBy = now, 0
+	c.lastReadAt, c.overtakenBy = now, 0
 	replies, err := c.session.Feed(b)
 	for _, r := range replies {
 		c.usedAt = now
@@ -237,15 +246,16 @@
 		return
 	}
 	if !c.session.Partial() {
-		c.partialHeardAt, c.partialSince = 0, 0
-	} else if c.partialHeardAt = now; c.partialSince == 0 || len(replies) > 0 {
+		c.partialReadAt, c.partialSince = 0, 0
+	} else if c.partialReadAt = now; c.partialSince == 0 || len(replies) > 0 {
 		c.partialSince = now
 	}
 	p.closeIfEmpty(now, c)
 }
 
-// deliver ends the attempt of a reply. A reply that is yet to be parsed is parsed on a goroutine of its own, so that the engine does
-// not wait; it counts as received even if its connection ends meanwhile.
+// deliver ends the attempt of a reply. A reply that is yet to be parsed is parsed on a goroutine of
+// its own, so that the engine does not wait; it counts as received even if its connection ends
+// meanwhile.
 func (p *pool) deliver(now int64, c *serverConn, r core.Reply) {
 	if _, out := c.calls[r.Attempt]; !out || r.Read == nil {
 		p.endAttempt(now, c, r)
@@ -255,11 +265,12 @@
 	p.forget(c, r.Attempt)
 	go func() {
 		read := p.readReply(r)
-		p.post(func(now int64) { p.learn(now, c, read, sent); p.onReply(now, read) })
+		p.post(func(now int64) { p.observeLatency(now, c, read, sent); p.onReply(now, read) })
 	}()
 }
 
-// readReply parses a reply. An answer on which the parser panics counts as malformed: the attempt has run and failed.
+// readReply parses a reply. An answer on which the parser panics counts as malformed: the attempt
+// has run and ends as Errored.
 func (p *pool) readReply(r core.Reply) (read core.Reply) {
 	defer panicguard.Contain(func(panicked *panicguard.PanicError) {
 		p.onPanic(panicked)
--- a/internal/broker/transport/size_test.go
+++ b/internal/broker/transport/size_test.go
@@ -12,7 +12,8 @@
 	sq "saffronquay"
 )
 
-// listOf is a list of so many servers as discovery gives it, or only its first entries.
+// listOf returns the first entries of a list of servers, as discovery delivers it. It is complete
+// if first equals servers.
 func listOf(servers, first int, generation int64) platform.List {
 	l := platform.List{Generation: generation, Complete: first == servers, Addresses: map[sq.ServerID]string{}}
 	for i := range first {
@@ -23,8 +24,9 @@
 	return l
 }
 
-// BenchmarkListBySize is what the list of servers costs a gatherer, from the bytes that come until pool and module have it: the whole of it,
-// and a change of one entry.
+// BenchmarkListBySize measures what an update of the list of servers costs a gatherer, from the
+// received bytes until the pool and the module have applied it: a full list, and a change of one
+// entry.
 //
 //	go test -run '^$' -bench ListBySize -benchtime 1s ./internal/broker/transport
 func BenchmarkListBySize(b *testing.B) {
@@ -61,7 +63,7 @@
 				text := listOf(servers, first, 2)
 				text.Complete = !change
 				bytes := text.Append(nil)
-				if change { // as written, it would say that it is complete
+				if change { // List.Append always writes a complete list
 					bytes = append([]byte(`{"generation":2,"reset":false,`), bytes[len(`{"generation":2,"reset":true,`):]...)
 				}
 				var before, after runtime.MemStats
@@ -84,7 +86,8 @@
 	}
 }
 
-// BenchmarkLookBySize is what the engine looks at 20 times a second though nothing happens: every connection, and every server in the list.
+// BenchmarkLookBySize measures the periodic work of the engine, 20 times a second without any
+// event: over every connection, and over every server in the list.
 func BenchmarkLookBySize(b *testing.B) {
 	for _, servers := range []int{325, 650, 1300, 2600} {
 		cfg := sq.Settings{
--- a/internal/broker/transport/unsent_test.go
+++ b/internal/broker/transport/unsent_test.go
@@ -16,8 +16,9 @@
 	sq "saffronquay"
 )
 
-// heldWrite gives the server a connection whose writer has begun call 1 and gets no further: the far end has taken one byte.
-func blockedWrite(t *testing.T, b *bench) (far net.Conn) {
+// blockedWrite gives the server a connection whose writer is blocked in the frame of call 1, of
+// which the far end has read one byte.
+func blockedWrite(t *testing.T, b *testPool) (far net.Conn) {
 	t.Helper()
 	b.dialect = platform.Workers{PerConn: 8}
 	b.pool.updateFleet(0, sq.FleetChanged{Servers: []sq.Server{{ID: "s", Health: sq.Ready}}}, map[sq.ServerID]string{"s": "127.0.0.1:1"})
@@ -37,24 +38,24 @@
 	return far
 }
 
-// rest reads frames from the far end up to one that holds a call of that number, and returns how many calls each held.
-func rest(t *testing.T, far net.Conn, upTo string) (labels []string) {
+// readFrames reads frames from the far end up to and including upTo, and returns their bodies.
+func readFrames(t *testing.T, far net.Conn, upTo string) (frames []string) {
 	t.Helper()
 	far.SetReadDeadline(time.Now().Add(testTimeout))
-	missing := 1 // a byte of the first frame's length has been taken
+	missing := 1 // the first byte of the first frame's length has been read
 	for {
 		head := make([]byte, 4)
 		if _, err := io.ReadFull(far, head[missing:]); err != nil {
-			t.Fatalf("%v, after %q", err, labels)
+			t.Fatalf("%v, after %q", err, frames)
 		}
 		missing = 0
 		body := make([]byte, int(head[2])<<8|int(head[3]))
 		if _, err := io.ReadFull(far, body); err != nil {
 			t.Fatal(err)
 		}
-		labels = append(labels, string(body))
+		frames = append(frames, string(body))
 		if len(body) > 0 && string(body) == upTo {
-			return labels
+			return frames
 		}
 	}
 }
@@ -67,46 +68,47 @@
 	return string(platform.Workers{PerConn: 1}.NewSession("").Call(nil, c, 0)[4:])
 }
 
-// What waits behind a write that does not get on has not left: it is taken back when its query is over, its client gone, its attempt given
-// up or its server drains. What has begun stays, and what travels with another stays too. Guards workers against work that nobody
-// waits for, and the drain rule against frames that were handed to a writer in time and leave late.
-func TestWhatWaitsBehindAWriteIsTakenBack(t *testing.T) {
+// A call that waits behind a blocked write has not been sent: it is removed when its query is over,
+// its client has disconnected, its attempt is cancelled or its server drains. A call that is being
+// written stays, and so do other attempts of the same call. Otherwise workers work for queries that
+// nobody waits for, and frames that were queued in time reach a draining server late.
+func TestRecall_CallBehindBlockedWrite(t *testing.T) {
 	both := core.Call{Server: "s", Attempts: append(callOf(2).Attempts, callOf(3).Attempts...)}
 	for name, tc := range map[string]struct {
-		do   func(b *bench)
+		do   func(b *testPool)
 		ends map[core.AttemptID]sq.Outcome
 		want []string
 	}{
-		"over": {
-			func(b *bench) { b.recall(1, 1); b.recall(1, 2); b.recall(1, 3) },
+		"query over": {
+			func(b *testPool) { b.recall(1, 1); b.recall(1, 2); b.recall(1, 3) },
 			map[core.AttemptID]sq.Outcome{2: sq.NotSent, 3: sq.NotSent},
 			[]string{frameOf(1), frameOf(9)},
 		},
-		"one of two is over": {
-			func(b *bench) { b.recall(1, 2) },
+		"one of two attempts over": {
+			func(b *testPool) { b.recall(1, 2) },
 			map[core.AttemptID]sq.Outcome{2: sq.NotSent},
 			[]string{frameOf(1), frameOf(3), frameOf(9)},
 		},
-		"given up": {func(b *bench) { b.drop(1, 2); b.drop(1, 3) }, map[core.AttemptID]sq.Outcome{}, []string{frameOf(1), frameOf(9)}},
-		"begun and given up": {
-			func(b *bench) { b.drop(1, 1) },
+		"cancelled": {func(b *testPool) { b.cancelAttempt(1, 2); b.cancelAttempt(1, 3) }, map[core.AttemptID]sq.Outcome{}, []string{frameOf(1), frameOf(9)}},
+		"cancelled while being written": {
+			func(b *testPool) { b.cancelAttempt(1, 1) },
 			map[core.AttemptID]sq.Outcome{},
 			[]string{frameOf(1), frameOf(2, 3), "Aq.1", frameOf(9)},
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := newBench()
+			b := newTestPool()
 			far := blockedWrite(t, b)
 			b.call(0, both)
 			tc.do(b)
 			b.call(2, callOf(9))
-			got := rest(t, far, frameOf(9))
+			got := readFrames(t, far, frameOf(9))
 			if len(got) != len(tc.want) || len(b.ends) != len(tc.ends) {
-				t.Fatalf("left: %q, want %q; ended %v, want %v", got, tc.want, b.ends, tc.ends)
+				t.Fatalf("written: %q, want %q; ended %v, want %v", got, tc.want, b.ends, tc.ends)
 			}
 			for i := range got {
 				if got[i] != tc.want[i] {
-					t.Errorf("left: %q, want %q", got, tc.want)
+					t.Errorf("written: %q, want %q", got, tc.want)
 				}
 			}
 			for id, o := range tc.ends {
@@ -116,28 +118,29 @@
 			}
 		})
 	}
-	t.Run("drains", func(t *testing.T) {
-		b := newBench()
+	t.Run("server drains", func(t *testing.T) {
+		b := newTestPool()
 		far := blockedWrite(t, b)
 		b.call(0, both)
 		b.fleet(1, sq.Draining, 0, "")
 		if len(b.ends) != 2 || b.ends[2] != sq.Unreachable || b.ends[3] != sq.Unreachable {
 			t.Errorf("ended %v", b.ends)
 		}
-		if got := rest(t, far, frameOf(1)); len(got) != 1 {
-			t.Errorf("left: %q", got)
+		if got := readFrames(t, far, frameOf(1)); len(got) != 1 {
+			t.Errorf("written: %q", got)
 		}
 		c := b.servers["s"].conns[0]
 		if f := c.writes.take(); f != nil {
-			t.Errorf("a frame of %d bytes waits on for a server that drains", len(f.bytes))
+			t.Errorf("a frame of %d bytes is still queued for a draining server", len(f.bytes))
 		}
 	})
 }
 
-// What waits for a connection is taken back like this too, and the connection then comes up for nobody.
-func TestWhatWaitsForAConnectionIsTakenBack(t *testing.T) {
+// A call that waits for a connection is removed as well; the connection is then established without
+// calls.
+func TestRecall_CallWaitingForConn(t *testing.T) {
 	address, _ := acceptor(t)
-	b := newBench()
+	b := newTestPool()
 	b.fleet(0, sq.Ready, 0, address)
 	b.call(0, callOf(1))
 	b.call(0, callOf(2))
@@ -146,19 +149,19 @@
 		t.Errorf("ended %v", b.ends)
 	}
 	b.recall(1, 2)
-	b.next(t, 2) // it comes up
+	b.next(t, 2) // the connection is established
 	c := b.servers["s"].conns[0]
 	if b.ends[2] != sq.NotSent || c.lastWrite != 0 || len(c.calls) != 0 {
 		t.Errorf("ended %v, %d writes", b.ends, c.lastWrite)
 	}
 }
 
-// Beside a connection that is late to come up while a call waits for it another is opened, once, and whichever is up first takes the call. The
-// other is kept for later ones.
-func TestALateConnectionHasASpare(t *testing.T) {
+// If a connection is late and a call waits for it, one spare is opened; whichever is established
+// first gets the call. The other one is kept for later calls.
+func TestOpenSpare_LateConn(t *testing.T) {
 	for _, spareFirst := range []bool{true, false} {
 		t.Run(fmt.Sprintf("spareFirst=%t", spareFirst), func(t *testing.T) {
-			b := newBench()
+			b := newTestPool()
 			ups := make(chan chan net.Conn, 4)
 			b.connect = func(string, time.Duration) (net.Conn, error) {
 				up := make(chan net.Conn)
@@ -166,7 +169,7 @@
 				return <-up, nil
 			}
 			b.fleet(0, sq.Ready, 0, "s:1")
-			comesUp := func(up chan net.Conn) (frames chan string) {
+			establish := func(up chan net.Conn) (frames chan string) {
 				near, far := net.Pipe()
 				t.Cleanup(func() { far.Close() })
 				up <- near
@@ -190,7 +193,7 @@
 			c := b.servers["s"].conns[0]
 			b.openSpare(20_000, c)
 			spare := <-ups
-			b.openSpare(40_000, c) // a timer that rings again, and that of the spare
+			b.openSpare(40_000, c) // the timer fires again, and so does that of the spare
 			b.openSpare(40_000, b.servers["s"].conns[1])
 			if n := len(b.servers["s"].conns); n != 2 {
 				t.Fatalf("%d connections", n)
@@ -199,51 +202,52 @@
 			if !spareFirst {
 				one, other = first, spare
 			}
-			got, none := comesUp(one), comesUp(other)
+			got, none := establish(one), establish(other)
 			select {
 			case f := <-got:
 				if !strings.HasPrefix(f, "Rq.1 1 ") {
-					t.Errorf("the first up got %q", f)
+					t.Errorf("first established connection: got %q", f)
 				}
 			case <-time.After(testTimeout):
-				t.Error("the first up got nothing")
+				t.Error("the first established connection got no call")
 			}
-			b.call(50_000, callOf(2)) // the fullest takes it
+			b.call(50_000, callOf(2)) // the most loaded connection gets it
 			if f := <-got; !strings.HasPrefix(f, "Rq.2 2 ") || len(none) != 0 || b.conns != 2 || len(b.ends) != 0 {
-				t.Errorf("then %q, the other got %d, %d connections, ended %v", f, len(none), b.conns, b.ends)
+				t.Errorf("second call: got %q; the other connection got %d, %d connections, ended %v", f, len(none), b.conns, b.ends)
 			}
 		})
 	}
-	b := newBench()
+	b := newTestPool()
 	b.connect = func(string, time.Duration) (net.Conn, error) { return nil, io.ErrUnexpectedEOF }
 	b.fleet(0, sq.Ready, 0, "s:1")
 	b.call(0, callOf(1))
 	c := b.servers["s"].conns[0]
 	b.recall(1, 1)
 	if b.openSpare(20_000, c); b.conns != 1 {
-		t.Error("a spare where nothing waits")
+		t.Error("a spare was opened although no call waits")
 	}
 	b.call(2, callOf(2))
 	b.lateShare = lateShareLimit + 0.01
 	if b.openSpare(20_000, c); b.conns != 1 {
-		t.Error("a spare where most are late: servers have too many handshakes to do already")
+		t.Error("a spare was opened although most connections are late")
 	}
 	b.lateShare = 0
 	b.fleet(3, sq.Draining, 0, "")
 	if b.openSpare(20_000, c); b.conns > 1 {
-		t.Error("a spare to a server that drains")
+		t.Error("a spare was opened to a draining server")
 	}
 }
 
-// An answer without a length ends with its connection where that ends in order. A reset is no end.
-func TestAResetCompletesNothing(t *testing.T) {
+// An answer without a length is complete when its connection is closed in order. A reset does not
+// complete it.
+func TestReset_CompletesNoAnswer(t *testing.T) {
 	for name, tc := range map[string]struct {
 		reset bool
 		want  sq.Outcome
 	}{"in order": {false, sq.Served}, "reset": {true, sq.Broken}} {
 		t.Run(name, func(t *testing.T) {
 			address, conns := acceptor(t)
-			b := newBench()
+			b := newTestPool()
 			b.dialect = opensearch.Servers{}
 			b.fleet(0, sq.Ready, 0, address)
 			b.call(0, core.Call{Server: "s", Attempts: []core.Attempt{{ID: 1, Due: 1 << 40, Text: []byte("{}"), Plan: &merge.Plan{}}}})
@@ -256,7 +260,7 @@
 			}
 			io.WriteString(far, "HTTP/1.1 200 OK\r\n\r\n"+
 				`{"took":1,"timed_out":false,"_shards":{"total":1,"successful":1,"failed":0},"hits":{"total":{"value":0,"relation":"eq"},"hits":[]}}`)
-			b.next(t, 2) // all of it is taken in before the end
+			b.next(t, 2) // the whole answer is processed before the connection ends
 			if tc.reset {
 				far.(*net.TCPConn).SetLinger(0)
 			}
--- a/internal/broker/transport/vrrp.go
+++ b/internal/broker/transport/vrrp.go
@@ -10,19 +10,21 @@
 	"time"
 )
 
-// Redundancy sends and receives a virtual router's VRRP advertisements over UDP, from this router to each of its peers.
+// Redundancy runs a virtual router: it sends VRRP advertisements over UDP to each peer, and
+// receives theirs.
 type Redundancy struct {
 	clock   Clock
 	machine *vrrp.Machine
 	conn    *net.UDPConn
 	peers   []netip.AddrPort
-	changed func(vrrp.State) // runs on Run's goroutine
+	changed func(vrrp.State) // called on Run's goroutine
 	log     *slog.Logger
 	stop    chan struct{}
 	done    chan struct{}
 }
 
-// NewRedundancy makes a virtual router on an open socket; Run runs it. changed gets each new state, on Run's goroutine.
+// NewRedundancy returns a virtual router on an open socket, which it takes ownership of; Run runs
+// it. changed receives each new state, on Run's goroutine.
 func NewRedundancy(clock Clock, cfg vrrp.Config, conn *net.UDPConn, peers []netip.AddrPort,
 	changed func(vrrp.State), logger *slog.Logger,
 ) *Redundancy {
@@ -37,7 +39,7 @@
 	from netip.Addr
 }
 
-// Run takes part in the election until Stop, and closes the socket.
+// Run takes part in the election until Stop is called, and then closes the socket.
 func (r *Redundancy) Run() {
 	defer close(r.done)
 	in := make(chan received, 64)
@@ -68,13 +70,14 @@
 	}
 }
 
-// Stop gives the virtual address up, ends Run and waits for it.
+// Stop releases the virtual address, ends Run and waits for it.
 func (r *Redundancy) Stop() {
 	close(r.stop)
 	<-r.done
 }
 
-// read passes the peers' advertisements on until the socket closes. Datagrams of others are discarded.
+// read passes on the peers' advertisements until the socket closes. It discards datagrams from
+// other senders.
 func (r *Redundancy) read(in chan<- received) {
 	buf := make([]byte, 2048)
 	for {
@@ -87,7 +90,8 @@
 				return
 			default:
 			}
-			// A peer that is down shows as a refused datagram on loopback; the socket stays good.
+			// On loopback, a peer that is down causes a read error (connection refused); the socket
+			// remains usable.
 			logging.Warn(r.log, logging.VrrpRead, "error", err)
 			var netErr net.Error
 			if !errors.As(err, &netErr) {
