--- a/internal/broker/transport/watch_test.go
+++ b/internal/broker/transport/watch_test.go
@@ -18,16 +18,17 @@
 	sq "saffronquay"
 )
 
-// updateBound is how long after discovery had a change, and could be reached, the change has to be applied.
+// updateBound is the longest time to apply a change, from the moment at which discovery has the
+// change and is reachable.
 const updateBound = 6 * time.Second
 
-// list is a stand-in for discovery, on pipes and a fake clock: as it fares, so it treats its calls.
-type list struct {
-	fares func(conn net.Conn, target string) bool // false: the call has come to nothing and its connection is to end
-	calls atomic.Int64
+// fakeDiscovery is a fake discovery on pipes and a fake clock.
+type fakeDiscovery struct {
+	handle func(conn net.Conn, target string) bool // handles one request; false: the connection is closed
+	calls  atomic.Int64
 }
 
-func (l *list) dial(ctx context.Context, _ string) (net.Conn, error) {
+func (l *fakeDiscovery) dial(ctx context.Context, _ string) (net.Conn, error) {
 	l.calls.Add(1)
 	near, far := net.Pipe()
 	go func() {
@@ -43,7 +44,7 @@
 					return
 				}
 			}
-			if !l.fares(far, strings.Fields(first)[1]) {
+			if !l.handle(far, strings.Fields(first)[1]) {
 				return
 			}
 		}
@@ -58,8 +59,9 @@
 
 func chunk(text string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(text), text) }
 
-// serves is discovery as it should be, with the change; a call waits for so long in its queue.
-func (l *list) serves(wait time.Duration) func(net.Conn, string) bool {
+// serveChange returns a handler that behaves as a working discovery with the change; each call
+// waits in its queue for the given time.
+func (l *fakeDiscovery) serveChange(wait time.Duration) func(net.Conn, string) bool {
 	return func(conn net.Conn, target string) bool {
 		time.Sleep(wait)
 		if !strings.Contains(target, "watch") {
@@ -78,11 +80,11 @@
 	}
 }
 
-// watchRequester passes the module's requests for a watch on, as the engine does where they are needed.
+// watchRequester passes the module's requests for a watch to the watcher, as the engine does.
 type watchRequester struct {
 	w *Watcher
 
-	mu sync.Mutex // of the module
+	mu sync.Mutex // guards m
 	m  *sq.Scheduler
 }
 
@@ -100,18 +102,19 @@
 	}
 }
 
-// Whatever came of the calls before, a change is acted on within six seconds of discovery having it and being reachable: after calls that
-// were refused, reset, answered with an error, never answered, answered byte by byte or in part, after a watch that fell silent or kept
-// sending what is no line; where lists are pushed and where they are asked for; and whichever moment of its calls the return meets.
+// A change is applied within updateBound after discovery has it and is reachable, whatever happened
+// to the calls before: refused, reset, answered with an error, never answered, answered byte by
+// byte or in part, or a watch that went silent or sent no complete line. Tested with pushed and
+// with requested lists, and with the recovery at different moments of the calls.
 func TestUpdateWithinSixSeconds(t *testing.T) {
 	refuse := errors.New("connection refused")
 	for name, down := range map[string]struct {
-		dial  func(ctx context.Context) error
-		fares func(conn net.Conn, target string) bool
+		dial   func(ctx context.Context) error
+		handle func(conn net.Conn, target string) bool
 	}{
 		"refused": {dial: func(context.Context) error { return refuse }},
-		"a dial that never comes up": {dial: func(ctx context.Context) error {
-			t := time.NewTimer(dialTimeout) // as the dialer's own time-out
+		"dial timeout": {dial: func(ctx context.Context) error {
+			t := time.NewTimer(dialTimeout) // the dialer's own timeout
 			defer t.Stop()
 			select {
 			case <-ctx.Done():
@@ -119,24 +122,24 @@
 			}
 			return context.DeadlineExceeded
 		}},
-		"503": {fares: func(c net.Conn, _ string) bool {
+		"503": {handle: func(c net.Conn, _ string) bool {
 			fmt.Fprint(c, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
 			return true
 		}},
-		"503 late": {fares: func(c net.Conn, _ string) bool {
+		"503 late": {handle: func(c net.Conn, _ string) bool {
 			time.Sleep(2 * time.Second)
 			fmt.Fprint(c, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
 			return true
 		}},
-		"reset":     {fares: func(net.Conn, string) bool { return false }},
-		"silent":    {fares: func(c net.Conn, _ string) bool { io.Copy(io.Discard, c); return false }},
-		"head only": {fares: func(c net.Conn, _ string) bool { fmt.Fprint(c, okHead); io.Copy(io.Discard, c); return false }},
-		"half a line": {fares: func(c net.Conn, _ string) bool {
+		"reset":     {handle: func(net.Conn, string) bool { return false }},
+		"silent":    {handle: func(c net.Conn, _ string) bool { io.Copy(io.Discard, c); return false }},
+		"head only": {handle: func(c net.Conn, _ string) bool { fmt.Fprint(c, okHead); io.Copy(io.Discard, c); return false }},
+		"half a line": {handle: func(c net.Conn, _ string) bool {
 			fmt.Fprint(c, okHead+chunk(`{"gener`))
 			io.Copy(io.Discard, c)
 			return false
 		}},
-		"byte by byte": {fares: func(c net.Conn, _ string) bool {
+		"byte by byte": {handle: func(c net.Conn, _ string) bool {
 			for _, b := range []byte(okHead + chunk(strings.Repeat(" ", 200))) {
 				if _, err := c.Write([]byte{b}); err != nil {
 					return false
@@ -145,24 +148,24 @@
 			}
 			return false
 		}},
-		"a watch that falls silent": {fares: func(c net.Conn, _ string) bool {
+		"watch goes silent": {handle: func(c net.Conn, _ string) bool {
 			fmt.Fprint(c, okHead+chunk("\n"))
 			io.Copy(io.Discard, c)
 			return false
 		}},
 	} {
-		for _, asked := range []bool{false, true} {
+		for _, onRequest := range []bool{false, true} {
 			for _, moved := range []bool{false, true} {
 				for _, wait := range []time.Duration{0, time.Second} {
-					t.Run(fmt.Sprintf("%s/asked=%t/moved=%t/wait=%v", name, asked, moved, wait), func(t *testing.T) {
-						for ms := int64(10_000); ms < 16_000; ms += 371 { // the moment of its return, among its calls
+					t.Run(fmt.Sprintf("%s/onRequest=%t/moved=%t/wait=%v", name, onRequest, moved, wait), func(t *testing.T) {
+						for ms := int64(10_000); ms < 16_000; ms += 371 { // the time of recovery, relative to the calls
 							synctest.Test(t, func(t *testing.T) {
-								took, calls := returns(t, down.dial, down.fares, asked, moved, time.Duration(ms)*time.Millisecond, wait)
+								took, calls := playOutage(t, down.dial, down.handle, onRequest, moved, time.Duration(ms)*time.Millisecond, wait)
 								if took > updateBound {
-									t.Errorf("back after %d ms: the change was told %v later", ms, took)
+									t.Errorf("recovery after %d ms: the change was applied %v later", ms, took)
 								}
 								if most := int64(20); int64(calls) > ms/1000*2+most {
-									t.Errorf("%d calls in %d ms without an answer", calls, ms)
+									t.Errorf("%d calls within an outage of %d ms", calls, ms)
 								}
 							})
 						}
@@ -173,23 +176,24 @@
 	}
 }
 
-// returns has discovery down for so long, and returns how long after its return its change was applied, and how many calls it had before.
-func returns(t *testing.T, dial func(context.Context) error, fares func(net.Conn, string) bool, asked, moved bool, down,
+// playOutage makes discovery fail for down, and returns how long after its recovery the change was
+// applied, and how many calls it received before.
+func playOutage(t *testing.T, dial func(context.Context) error, handle func(net.Conn, string) bool, onRequest, moved bool, down,
 	wait time.Duration,
 ) (took time.Duration, calls int) {
-	l := &list{}
+	l := &fakeDiscovery{}
 	back := make(chan struct{})
-	told := make(chan struct{})
+	applied := make(chan struct{})
 	var a *watchRequester
-	w := NewWatcher("a", 41, asked, func(f sq.FleetChanged, _ map[sq.ServerID]string) {
+	w := NewWatcher("a", 41, onRequest, func(f sq.FleetChanged, _ map[sq.ServerID]string) {
 		if a != nil {
 			a.step(f)
 		}
 		if len(f.Servers) > 0 {
 			select {
-			case <-told:
+			case <-applied:
 			default:
-				close(told)
+				close(applied)
 			}
 		}
 	}, slog.New(slog.DiscardHandler))
@@ -210,13 +214,13 @@
 		}
 		return l.dial(ctx, address)
 	}
-	l.fares = func(conn net.Conn, target string) bool {
-		if !isBack() && fares != nil {
-			return fares(conn, target)
+	l.handle = func(conn net.Conn, target string) bool {
+		if !isBack() && handle != nil {
+			return handle(conn, target)
 		}
-		return l.serves(wait)(conn, target)
+		return l.serveChange(wait)(conn, target)
 	}
-	if asked {
+	if onRequest {
 		m, err := sq.New(sq.Settings{
 			Aggregators: 1, Period: 1000, Shards: 1, Cells: 1, CellsPerShard: 1, PartsPerCall: 1, WatchMembership: true,
 			Classes: []sq.Class{{Name: "c", LatencyTarget: 1e6, HardLimit: 3e6, Value: 1, CompleteWeight: 1, MinWeight: 1}}, Limits: sq.Limits{MaxAttempts: 1},
@@ -230,7 +234,7 @@
 	}
 	go w.Run()
 	time.Sleep(down / 2)
-	if moved { // as by SIGHUP, in the middle of the outage
+	if moved { // as by a reload in the middle of the outage
 		w.SetAddress("b")
 	}
 	time.Sleep(down / 2)
@@ -238,11 +242,11 @@
 	calls = int(l.calls.Load())
 	began := time.Now()
 	select {
-	case <-told:
+	case <-applied:
 	case <-time.After(time.Minute):
 	}
 	took = time.Since(began)
-	defer time.Sleep(10 * time.Second) // on the fake clock: whoever serves a call finds it ended
+	defer time.Sleep(10 * time.Second) // on the fake clock: handlers find their calls ended
 	w.Stop()
 	return took, calls
 }
--- a/internal/broker/transport/watcher.go
+++ b/internal/broker/transport/watcher.go
@@ -10,23 +10,26 @@
 	sq "saffronquay"
 )
 
-// Watcher follows discovery's list of servers. After a failure it continues from the last version that it received.
+// Watcher follows discovery's list of servers. After a failure it resumes from the last version
+// that it received.
 type Watcher struct {
 	follower
-	generation int64 // Run's goroutine owns it
+	generation int64 // version last received; owned by Run's goroutine
 	notify     func(sq.FleetChanged, map[sq.ServerID]string)
 	synced     chan struct{} // closed with the first list
-	isSynced   bool          // synced is closed; Run's goroutine owns it
+	isSynced   bool          // synced is closed; owned by Run's goroutine
 
-	listMu   sync.Mutex    // guards the two below
-	list     platform.List // as last received, and from which address
-	listFrom string
+	// listMu guards the fields below.
+	listMu   sync.Mutex
+	list     platform.List // the list as last received
+	listFrom string        // the address that delivered it
 }
 
-const maxListBytes = 1 << 20 // bytes of a full list, or of one object of a watch
+const maxListBytes = 1 << 20 // limit of a full list, and of one object of a watch
 
-// NewWatcher makes a watcher that starts from a version of the list; Run runs it. With onRequest it watches only after RequestWatch,
-// and passes failures to notify instead of retrying. notify runs on Run's goroutine.
+// NewWatcher returns a watcher that starts from a version of the list; Run runs it. With onRequest
+// it watches only after RequestWatch, and reports failures to notify instead of retrying. notify is
+// called on Run's goroutine.
 func NewWatcher(address string, generation int64, onRequest bool, notify func(sq.FleetChanged, map[sq.ServerID]string),
 	logger *slog.Logger,
 ) *Watcher {
@@ -36,11 +39,12 @@
 	return w
 }
 
-// RequestFullList has the next watch begin with the full list, as at a new address. Call it before Run.
+// RequestFullList makes the next watch begin with the full list, as at a new address. Call it
+// before Run.
 func (w *Watcher) RequestFullList() { w.needsFull = true }
 
-// List returns the full list as last received, in discovery's form, its version, and the address that delivered it; nil before the
-// first one.
+// List returns the full list as last received, in discovery's format, its version, and the address
+// that delivered it. list is nil before the first one.
 func (w *Watcher) List() (list []byte, generation int64, by string) {
 	w.listMu.Lock()
 	defer w.listMu.Unlock()
@@ -50,10 +54,10 @@
 	return w.list.Append(nil), w.list.Generation, w.listFrom
 }
 
-// Synced is closed once a list has been received.
+// Synced returns a channel that is closed once a list has been received.
 func (w *Watcher) Synced() <-chan struct{} { return w.synced }
 
-// RequestWatch starts a watch, where watches wait for a request. It never blocks.
+// RequestWatch starts a watch if watches are made on request. It never blocks.
 func (w *Watcher) RequestWatch() {
 	select {
 	case w.watchRequests <- struct{}{}:
@@ -79,7 +83,7 @@
 	if err != nil {
 		return err
 	}
-	l.Complete = true // by what was asked for
+	l.Complete = true // the request was for the full list
 	w.apply(l, from)
 	return nil
 }
