--- a/internal/broker/http1/message.go
+++ b/internal/broker/http1/message.go
@@ -11,9 +11,9 @@
 	MaxBody = 64 << 10 // unless Parser.BodyLimit is set
 )
 
-// Error is a message that can't be read.
+// Error reports a malformed or unsupported message.
 type Error struct {
-	Status int // what a server answers to it
+	Status int // for the answer of a server
 	Text   string
 }
 
@@ -24,12 +24,12 @@
 	return &Error{Status: status, Text: fmt.Sprintf(format, args...)}
 }
 
-// Message is a request, or a response where Method is empty.
+// Message is a request, or a response if Method is empty.
 type Message struct {
 	Method, Target string
 	Status         int // of a response
 	Header         textproto.MIMEHeader
-	Body           []byte // empty where Parser.OnBody takes it
+	Body           []byte // empty if Parser.OnBody is set
 	Close          bool   // the connection ends after this message
 }
 
@@ -41,15 +41,16 @@
 	505: "HTTP Version Not Supported",
 }
 
-// Response is a response that is to be written.
+// Response is a response to be written.
 type Response struct {
 	Status int
 	Type   string      // Content-Type; empty: none
-	Fields [][2]string // further header fields, as names and values
+	Fields [][2]string // additional header fields, as name and value
 	Body   []byte
 }
 
-// Append appends a response. last adds the field that ends the connection after it. Names and values are not checked.
+// Append appends the encoded response to dst. With last, it adds Connection: close. Names and
+// values are not validated.
 func (r Response) Append(dst []byte, last bool) []byte {
 	dst = fmt.Appendf(dst, "HTTP/1.1 %d %s\r\n", r.Status, reasons[r.Status])
 	if r.Type != "" {
@@ -63,7 +64,8 @@
 	return append(dst, r.Body...)
 }
 
-// AppendRequest appends a request. An empty body gets no Content-Length. Names and values are not checked.
+// AppendRequest appends an encoded request to dst. An empty body gets no Content-Length. Names and
+// values are not validated.
 func AppendRequest(dst []byte, method, target, host string, fields [][2]string, body []byte) []byte {
 	dst = fmt.Appendf(dst, "%s %s HTTP/1.1\r\nHost: %s\r\n", method, target, host)
 	dst = appendFields(dst, fields)
--- a/internal/broker/http1/parser.go
+++ b/internal/broker/http1/parser.go
@@ -7,10 +7,10 @@
 	"strings"
 )
 
-// maxLine is the limit in bytes of a chunk's size line and of a line of the trailers.
+// maxLine is the maximum length in bytes of a chunk size line and of a trailer line.
 const maxLine = 256
 
-// state is what the parser reads next.
+// state is the element that the parser reads next.
 type state int
 
 const (
@@ -24,30 +24,33 @@
 	ended
 )
 
-// Parser reads the messages of one direction of one connection. Set the exported fields before the first Feed. The zero value reads requests.
+// Parser reads the messages of one direction of one connection. Set the exported fields before the
+// first Feed. The zero value reads requests.
 type Parser struct {
-	// Response has the parser read responses, not requests.
+	// Response makes the parser read responses instead of requests.
 	Response bool
-	// OnBody, if not nil, gets the bytes of bodies as they come; they are then neither kept in Message.Body nor limited. It must not keep the bytes.
+	// OnBody, if not nil, receives the bytes of bodies as they arrive; they are then neither stored
+	// in Message.Body nor limited. It must not retain the slice.
 	OnBody func([]byte)
-	// BodyLimit is the limit of a body in bytes; 0: MaxBody.
+	// BodyLimit is the maximum size of a body in bytes; 0: MaxBody.
 	BodyLimit int
-	// OnHeader, if not nil, is called with each message whose header block is complete, before its body is read.
+	// OnHeader, if not nil, is called with each message whose header block is complete, before its
+	// body is read.
 	OnHeader func(*Message)
 
 	buf      []byte
-	scanned  int // bytes of buf that have no end of a header block
+	scanned  int // bytes of buf that contain no end of a header block
 	state    state
-	left     int // bytes that are missing from the body or chunk
+	left     int // missing bytes of the body or chunk
 	msg      *Message
-	trailers int // bytes of trailers
+	trailers int // bytes of trailers read
 	err      error
 }
 
 // Idle reports whether the parser is between messages and has no byte of the next one.
 func (p *Parser) Idle() bool { return p.state == inHeader && len(p.buf) == 0 }
 
-// Buffered returns how many bytes of unfinished messages are kept.
+// Buffered returns the number of bytes of incomplete messages that are buffered.
 func (p *Parser) Buffered() int {
 	if p.msg != nil {
 		return len(p.buf) + len(p.msg.Body)
@@ -55,10 +58,11 @@
 	return len(p.buf)
 }
 
-// Feed adds bytes, of which it keeps a copy. Next returns the messages that they complete.
+// Feed adds a copy of b to the buffer. Next returns the messages that are complete.
 func (p *Parser) Feed(b []byte) { p.buf = append(p.buf, b...) }
 
-// End reports that the connection has ended. It returns the message that ends with the connection, if there is one. A message that is cut short is an error.
+// End reports the end of the connection. It returns the message that ends with the connection, if
+// there is one, and an error if the connection ended within a message.
 func (p *Parser) End() (*Message, error) {
 	switch {
 	case p.err != nil:
@@ -70,10 +74,11 @@
 	case p.Idle():
 		return nil, nil
 	}
-	return nil, errors.New("http: the connection ended within a message")
+	return nil, errors.New("http1: connection closed within a message")
 }
 
-// Next returns the next complete message, or nil while it needs more bytes. An error is final: each later call returns it.
+// Next returns the next complete message, or nil if more bytes are needed. After an error each
+// later call returns the same error.
 func (p *Parser) Next() (*Message, error) {
 	for p.err == nil {
 		m, more, err := p.step()
@@ -88,7 +93,7 @@
 	return nil, p.err
 }
 
-// step reads one element of a message. more is false where it needs further bytes.
+// step reads one element of a message. more is false if further bytes are needed.
 func (p *Parser) step() (m *Message, more bool, err error) {
 	switch p.state {
 	case inHeader:
@@ -115,7 +120,7 @@
 	digits = strings.TrimSpace(digits)
 	n, err := strconv.ParseUint(digits, 16, 31)
 	if err != nil || strings.HasPrefix(digits, "+") {
-		return false, newError(400, "chunk size %q", line)
+		return false, newError(400, "invalid chunk size %q", line)
 	}
 	p.left, p.state = int(n), inChunk
 	if n == 0 {
@@ -130,13 +135,14 @@
 		return false, err
 	}
 	if line != "" {
-		return false, newError(400, "bytes after a chunk")
+		return false, newError(400, "chunk data exceeds the chunk size")
 	}
 	p.state = inChunkSize
 	return true, nil
 }
 
-// readTrailer reads one line after the last chunk. The empty line completes the message; other lines are ignored.
+// readTrailer reads one line after the last chunk. The empty line completes the message; other
+// lines are ignored.
 func (p *Parser) readTrailer() (m *Message, more bool, err error) {
 	line, ok, err := p.readLine()
 	if !ok {
@@ -146,26 +152,27 @@
 		return p.complete(), true, nil
 	}
 	if p.trailers += len(line); p.trailers > MaxHead {
-		return nil, false, newError(431, "trailers too long")
+		return nil, false, newError(431, "trailers exceed the size limit")
 	}
 	return nil, true, nil
 }
 
-// complete returns the current message and begins the next one.
+// complete returns the current message and prepares for the next one.
 func (p *Parser) complete() *Message {
 	m := p.msg
 	p.msg, p.state = nil, inHeader
 	if len(p.buf) == 0 {
-		p.buf = nil // an idle connection keeps no buffer
+		p.buf = nil // an idle connection needs no buffer
 	}
 	return m
 }
 
-// readLine removes a line of a chunked body from the buffer. ok is false where it is not complete, or with an error.
+// readLine removes a line of a chunked body from the buffer. ok is false if the line is incomplete
+// or if there is an error.
 func (p *Parser) readLine() (line string, ok bool, err error) {
 	i := bytes.IndexByte(p.buf, '\n')
 	if i < 0 && len(p.buf) > maxLine || i > maxLine {
-		return "", false, newError(400, "line too long within a chunked body")
+		return "", false, newError(400, "line of a chunked body exceeds the size limit")
 	}
 	if i < 0 {
 		return "", false, nil
@@ -175,19 +182,19 @@
 	return line, true, nil
 }
 
-// checkBodySize returns an error if the body with the bytes that are announced exceeds its limit.
+// checkBodySize returns an error if the body, including the announced bytes, exceeds its limit.
 func (p *Parser) checkBodySize() error {
 	limit := p.BodyLimit
 	if limit == 0 {
 		limit = MaxBody
 	}
 	if p.OnBody == nil && len(p.msg.Body)+p.left > limit {
-		return newError(413, "body over %d bytes", limit)
+		return newError(413, "body exceeds %d bytes", limit)
 	}
 	return nil
 }
 
-// readBody takes the bytes of the body or chunk that are in the buffer.
+// readBody consumes the bytes of the body or chunk that are in the buffer.
 func (p *Parser) readBody() (m *Message, more bool, err error) {
 	p.takeBody()
 	if p.state == untilClose {
--- a/internal/broker/http1/parser_test.go
+++ b/internal/broker/http1/parser_test.go
@@ -7,21 +7,21 @@
 	"testing"
 )
 
-// read feeds pieces to a parser and returns the messages and errors as text.
-func read(response bool, end bool, pieces ...string) string {
+// read passes chunks to a parser and returns the messages and errors as text.
+func read(response bool, end bool, chunks ...string) string {
 	p := Parser{Response: response}
 	var out strings.Builder
 	note := func(m *Message) {
 		fmt.Fprintf(&out, "%s%s %d %d %q close=%t\n", m.Method, m.Target, m.Status, len(m.Header), m.Body, m.Close)
 	}
-	for _, b := range pieces {
+	for _, b := range chunks {
 		p.Feed([]byte(b))
 		for {
 			m, err := p.Next()
 			if err != nil {
 				var e *Error
 				if !errors.As(err, &e) {
-					return "an error of another kind: " + err.Error()
+					return "error of an unexpected type: " + err.Error()
 				}
 				fmt.Fprintf(&out, "status %d\n", e.Status)
 				return out.String()
@@ -38,7 +38,7 @@
 			note(m)
 		}
 		if err != nil {
-			out.WriteString("cut short\n")
+			out.WriteString("truncated\n")
 		}
 	}
 	return out.String()
@@ -58,9 +58,9 @@
 	{"chunked", chunked, "POST/a 0 2 \"wiki0123456789\" close=false\n", false, false},
 	{"old version", "GET / HTTP/1.0\r\n\r\n", "GET/ 0 0 \"\" close=true\n", false, false},
 	{"response with a length", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", " 200 1 \"ok\" close=false\n", true, true},
-	{"response up to the end", "HTTP/1.1 200 OK\r\n\r\nall of it", " 200 0 \"all of it\" close=true\n", true, true},
+	{"response until close", "HTTP/1.1 200 OK\r\n\r\nall of it", " 200 0 \"all of it\" close=true\n", true, true},
 	{"response without a body", "HTTP/1.1 204 No Content\r\n\r\n", " 204 0 \"\" close=false\n", true, true},
-	{"response cut short", "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nok", "cut short\n", true, true},
+	{"truncated response", "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nok", "truncated\n", true, true},
 	{"no host", "GET / HTTP/1.1\r\n\r\n", "status 400\n", false, false},
 	{"no version", "GET /\r\n\r\n", "status 400\n", false, false},
 	{"other version", "GET / HTTP/2.0\r\nHost: x\r\n\r\n", "status 505\n", false, false},
@@ -75,11 +75,11 @@
 }
 
 // A message is parsed in the same way however its bytes are split.
-func TestEverySplit(t *testing.T) {
+func TestParser_SplitInput(t *testing.T) {
 	for _, c := range messages {
 		t.Run(c.name, func(t *testing.T) {
 			if got := read(c.response, c.end, c.text); got != c.want {
-				t.Fatalf("whole: got %q, want %q", got, c.want)
+				t.Fatalf("unsplit: got %q, want %q", got, c.want)
 			}
 			for i := range len(c.text) {
 				if got := read(c.response, c.end, c.text[:i], c.text[i:]); got != c.want {
@@ -93,8 +93,8 @@
 	}
 }
 
-// A header block over MaxHead is an error, whether or not its end has come.
-func TestHeadBound(t *testing.T) {
+// A header block larger than MaxHead is an error, whether or not its end has arrived.
+func TestParser_HeaderBlockLimit(t *testing.T) {
 	long := "GET / HTTP/1.1\r\nHost: x\r\nX: " + strings.Repeat("y", MaxHead)
 	for _, text := range []string{long, long + "\r\n\r\n"} {
 		if got := read(false, false, text); got != "status 431\n" {
@@ -103,12 +103,12 @@
 	}
 	fits := "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 65536\r\n\r\n" + strings.Repeat("z", MaxBody)
 	if got := read(false, false, fits); !strings.HasPrefix(got, "POST/ 0 2") {
-		t.Errorf("a body at the bound: got %.40q", got)
+		t.Errorf("body at the limit: got %.40q", got)
 	}
 }
 
-// OnBody gets bytes as they come, without the limit of a body.
-func TestStream(t *testing.T) {
+// OnBody receives bytes as they arrive, without a limit on the body.
+func TestOnBody_Unlimited(t *testing.T) {
 	var got strings.Builder
 	p := Parser{Response: true, OnBody: func(b []byte) { got.Write(b) }}
 	p.Feed([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"))
@@ -131,20 +131,20 @@
 		want := read(response, true, text)
 		at = max(0, min(at, len(text)))
 		if got := read(response, true, text[:at], text[at:]); got != want {
-			t.Errorf("split at %d: got %q, whole %q", at, got, want)
+			t.Errorf("split at %d: got %q, unsplit %q", at, got, want)
 		}
 	})
 }
 
 // An idle parser keeps no buffer, however many bytes it has parsed.
-func TestKeepsNothing(t *testing.T) {
+func TestParser_IdleKeepsNoBuffer(t *testing.T) {
 	var p Parser
 	p.Feed([]byte("POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\n\r\na"))
 	if m, err := p.Next(); m != nil || err != nil || p.Buffered() != 1 {
-		t.Errorf("%v, %v, %d held", m, err, p.Buffered())
+		t.Errorf("%v, %v, %d bytes buffered, want 1", m, err, p.Buffered())
 	}
 	p.Feed([]byte("bc"))
 	if m, err := p.Next(); m == nil || err != nil || p.buf != nil || p.Buffered() != 0 {
-		t.Errorf("%v, %v, %d held of %d", m, err, p.Buffered(), cap(p.buf))
+		t.Errorf("%v, %v, %d bytes buffered, want 0; capacity %d", m, err, p.Buffered(), cap(p.buf))
 	}
 }
