--- a/internal/broker/platform/client.go
+++ b/internal/broker/platform/client.go
@@ -15,23 +15,25 @@
 
 // Front is the protocol towards clients. It is safe for concurrent use.
 type Front struct {
-	// Margin is subtracted from each client's timeout, in microseconds, or a quarter of the timeout if that is less: the timeout counts
-	// from the client's send, which is before the arrival.
+	// Margin, in microseconds, is subtracted from each client's timeout, or a quarter of the
+	// timeout if that is less: the timeout starts when the client sends the request, which is
+	// before the request arrives.
 	Margin int64
 }
 
-// maxRequestID bounds a Request-Id, in bytes.
+// maxRequestID is the maximum length of a Request-Id in bytes.
 const maxRequestID = 128
 
 func textResponse(status int, text string) *http1.Response {
 	return &http1.Response{Status: status, Type: "text/plain; charset=utf-8", Body: []byte(text + "\n")}
 }
 
-// Fault returns the response to a request that could not be read.
+// Fault returns the response to a request that could not be parsed.
 func (Front) Fault(status int, text string) http1.Response { return *textResponse(status, text) }
 
-// Open turns a request that arrived at now, in microseconds, into a query and the function that formats its final result. If there is
-// nothing for the broker to decide, such as for a health check or a malformed request, it returns the response instead.
+// Open turns a request that arrived at now, in microseconds, into a query and a function that
+// formats its final result. If the broker has nothing to decide, for example for a health check or
+// a malformed request, it returns the response instead.
 func (f Front) Open(m *http1.Message, now int64, ready bool) (core.Query, func(core.Final, int64) http1.Response, *http1.Response) {
 	var none core.Query
 	path, _, _ := strings.Cut(m.Target, "?")
@@ -58,7 +60,7 @@
 	return query, func(final core.Final, _ int64) http1.Response { return formatAnswer(final) }, nil
 }
 
-// Class returns the class that a query names; empty for other requests.
+// Class returns the class that a query names, or the empty string for other requests.
 func (Front) Class(m *http1.Message) string {
 	path, _, _ := strings.Cut(m.Target, "?")
 	if _, ok := pathKey(path); !ok {
@@ -67,8 +69,8 @@
 	return m.Header.Get("Request-Class")
 }
 
-// pathKey returns the key that a query's path names; empty in deployments whose queries name none, where the path ends before it.
-// ok is false for other paths.
+// pathKey returns the key in a query's path. The key is empty in deployments whose queries have no
+// key, where the path ends before it. ok is false for paths that are not queries.
 func pathKey(path string) (key string, ok bool) {
 	rest, ok := strings.CutPrefix(path, "/api")
 	if !ok || rest == "" {
@@ -77,25 +79,26 @@
 	return strings.CutPrefix(rest, "/")
 }
 
-// parseQuery reads a query and its deadline. Its error names the header field or the part of the body that is wrong.
+// parseQuery parses a query and its deadline. Its error names the invalid header field or the
+// invalid part of the body.
 func (f Front) parseQuery(m *http1.Message, key string, now int64) (core.Query, error) {
 	query := core.Query{
 		Label: m.Header.Get("Request-Id"), Unique: true, Class: m.Header.Get("Request-Class"),
 		Tenant: m.Header.Get("Tenant"), Key: key,
 	}
-	// Workers read the id up to a dot or space, so it must contain neither.
+	// Workers read the ID up to a dot or space, so it must contain neither.
 	if query.Label == "" || len(query.Label) > maxRequestID || strings.ContainsFunc(query.Label, func(r rune) bool { return r <= ' ' || r > '~' || r == '.' }) {
-		return query, fmt.Errorf("Request-Id: missing, too long, or not a plain word")
+		return query, fmt.Errorf("Request-Id: missing, too long, or contains a space, a dot or a character outside printable ASCII")
 	}
-	// The protocol has no field that passes this key to a worker (docs/QUESTIONS.md). Without the key a worker would run a repeated part
-	// again.
+	// The protocol has no field that passes this key to a worker (docs/QUESTIONS.md). Without it a
+	// worker would execute a repeated part again.
 	if m.Header.Get("Idempotency-Key") != "" {
-		return query, fmt.Errorf("Idempotency-Key: can't be passed on to workers")
+		return query, fmt.Errorf("Idempotency-Key: not supported by the protocol of workers")
 	}
 	wait := m.Header.Get("Request-Timeout-Ms")
 	ms, err := strconv.ParseUint(wait, 10, 31)
 	if err != nil || ms == 0 {
-		return query, fmt.Errorf("Request-Timeout-Ms: want whole milliseconds above nought, not %.40q", wait)
+		return query, fmt.Errorf("Request-Timeout-Ms: want a positive integer, got %.40q", wait)
 	}
 	query.Deadline = now + int64(ms)*1000 - min(f.Margin, int64(ms)*250)
 	v, err := fastjson.ParseBytes(m.Body)
@@ -104,7 +107,7 @@
 	}
 	parts := v.Get("segments")
 	if parts == nil || parts.Type() != fastjson.TypeArray {
-		return query, fmt.Errorf("segments: want a list")
+		return query, fmt.Errorf("segments: want an array")
 	}
 	text := v.Get("text")
 	if text == nil || text.Type() != fastjson.TypeString {
@@ -112,7 +115,8 @@
 	}
 	query.Text = bytes.Clone(text.GetStringBytes())
 	for i, p := range parts.GetArray() {
-		// fastjson's typed readers crash on an absent value: one malformed request must not end the program.
+		// fastjson's typed getters panic on a missing value, and a malformed request must not crash
+		// the program.
 		v := p.Get("segment")
 		if v == nil {
 			return query, fmt.Errorf("segments[%d].segment: missing", i)
@@ -124,14 +128,15 @@
 		part := core.QueryPart{
 			Shard: shard, Weight: p.GetFloat64("boost"),
 			Work: int64(max(-1, min(p.GetFloat64("work"), math.MaxInt32*1e6))),
-		} // package core checks the range
+		} // package core validates the range
 		part.Key = string(p.GetStringBytes("affinity"))
 		query.Parts = append(query.Parts, part)
 	}
 	return query, nil
 }
 
-// formatAnswer returns the response for a query's final result. Only a refused query may be sent again: its status is 429.
+// formatAnswer returns the response for a query's final result. Only a refused query may safely be
+// sent again: its status is 429.
 func formatAnswer(f core.Final) http1.Response {
 	switch f.Outcome {
 	case core.Answered:
@@ -142,7 +147,7 @@
 			}
 			quoted, err := json.Marshal(string(v.Data))
 			if err != nil {
-				return *textResponse(500, "a value could not be written")
+				return *textResponse(500, "encoding of a value failed")
 			}
 			b = fmt.Appendf(b, `{"segment":%d,"payload":%s}`, v.Shard, quoted)
 		}
--- a/internal/broker/platform/discovery.go
+++ b/internal/broker/platform/discovery.go
@@ -10,17 +10,18 @@
 	sq "saffronquay"
 )
 
-// List is one message of discovery: the complete list of workers, or the workers that changed. The zero value has to take a
-// complete update first.
+// List is one message of discovery: the complete list of workers, or only the workers that changed.
+// A zero List must be merged with a complete list first.
 type List struct {
-	Generation int64 // of discovery, as it numbers its messages
-	Complete   bool  // false: Servers has only what changed
-	// Servers has start times as discovery gives them, in Unix microseconds.
+	Generation int64 // sequence number that discovery gave the message
+	Complete   bool  // false: Servers contains only changes
+	// Servers has the start times that discovery reports, in Unix microseconds.
 	Servers   []sq.Server
 	Addresses map[sq.ServerID]string
 }
 
-// Merge applies an update to the list. A complete update replaces it; a worker that the update lists as gone is removed.
+// Merge applies an update to the list. A complete update replaces the list; a worker that is listed
+// as gone is removed.
 func (l *List) Merge(update List) {
 	if update.Complete {
 		*l = List{Complete: true, Addresses: map[sq.ServerID]string{}}
@@ -39,7 +40,7 @@
 	}
 }
 
-// Append appends the list as a complete message of discovery, which ParseList reads.
+// Append appends the list as a complete message of discovery, which ParseList can read.
 func (l List) Append(dst []byte) []byte {
 	var a fastjson.Arena
 	o, items := a.NewObject(), a.NewArray()
@@ -49,9 +50,9 @@
 		e.Set("hostPort", a.NewString(l.Addresses[v.ID]))
 		e.Set("zone", a.NewString(v.Zone))
 		e.Set("cell", a.NewNumberInt(v.Cell))
-		for word, health := range lifecycles {
+		for name, health := range lifecycles {
 			if health == v.Health {
-				e.Set("lifecycle", a.NewString(word))
+				e.Set("lifecycle", a.NewString(name))
 			}
 		}
 		e.Set("startedAtMs", a.NewNumberString(strconv.FormatInt(v.StartedAt/1000, 10)))
@@ -63,24 +64,25 @@
 	return o.MarshalTo(dst)
 }
 
-// lifecycles maps a worker's lifecycle, as discovery names it, to its health.
+// lifecycles maps the lifecycle of a worker, as discovery names it, to its health.
 var lifecycles = map[string]sq.Health{"SERVING": sq.Ready, "DRAINING": sq.Draining, "DELETED": sq.Gone}
 
-// ParseList reads one message of discovery. It fails on malformed JSON, on missing fields and on an unknown lifecycle.
+// ParseList parses one message of discovery. It fails on malformed JSON, missing fields and unknown
+// lifecycles.
 func ParseList(text []byte) (List, error) {
 	v, err := fastjson.ParseBytes(text)
 	if err != nil {
-		return List{}, fmt.Errorf("list of workers: %w", err)
+		return List{}, fmt.Errorf("parse list of workers: %w", err)
 	}
 	if v.Get("generation") == nil || v.Get("instances") == nil {
-		return List{}, fmt.Errorf("list of workers: generation or instances missing")
+		return List{}, fmt.Errorf("parse list of workers: missing field generation or instances")
 	}
 	l := List{Generation: v.GetInt64("generation"), Complete: v.GetBool("reset"), Addresses: map[sq.ServerID]string{}}
 	for i, e := range v.GetArray("instances") {
 		id := sq.ServerID(e.GetStringBytes("instanceId"))
 		health, ok := lifecycles[string(e.GetStringBytes("lifecycle"))]
 		if id == "" || !ok {
-			return List{}, fmt.Errorf("list of workers: instances[%d]: no instanceId, or unknown lifecycle %q", i,
+			return List{}, fmt.Errorf("parse list of workers: instances[%d]: missing instanceId or unknown lifecycle %q", i,
 				e.GetStringBytes("lifecycle"))
 		}
 		l.Servers = append(l.Servers, sq.Server{
--- a/internal/broker/platform/platform_test.go
+++ b/internal/broker/platform/platform_test.go
@@ -35,17 +35,18 @@
 		t.Errorf("got %q, want %q", b, want)
 	}
 	if b, keep := s.Cancel(nil, 3); len(b) > 0 || !keep {
-		t.Errorf("given up twice: %q", b)
+		t.Errorf("second cancel: got %q, want no frame", b)
 	}
 }
 
-// read feeds pieces to a session with attempts 3 and 4 in flight, and 5 cancelled, and returns the replies as text.
-func read(pieces ...string) string {
+// read passes chunks to a session with attempts 3 and 4 in flight and 5 cancelled, and returns the
+// replies as text.
+func read(chunks ...string) string {
 	s := Workers{PerConn: 32}.NewSession("")
 	s.Call(nil, call(3, 4, 5), 0)
 	s.Cancel(nil, 5)
 	var out strings.Builder
-	for _, p := range pieces {
+	for _, p := range chunks {
 		replies, err := s.Feed([]byte(p))
 		for _, r := range replies {
 			fmt.Fprintf(&out, "%d:%d:%s:", r.Attempt, r.Outcome, r.Value)
@@ -63,35 +64,35 @@
 
 var answers = []struct{ name, text, want string }{
 	{
-		"in any order", frame("Y9b1f.4 OK 1 inflight=7,util=0.61,odd=1\nva\nl") + frame("Y9b1f.3 REJECTED 0 -\n"),
+		"out of order", frame("Y9b1f.4 OK 1 inflight=7,util=0.61,odd=1\nva\nl") + frame("Y9b1f.3 REJECTED 0 -\n"),
 		"4:0:va\nl:{-1 7 -1 0.61} 3:2:: ",
 	},
-	{"a late answer is dropped", frame("Y9b1f.5 OK 1 -\nv") + frame("Y9b1f.3 OK 1 -\nw") +
+	{"late answer of a cancelled attempt", frame("Y9b1f.5 OK 1 -\nv") + frame("Y9b1f.3 OK 1 -\nw") +
 		frame("Y9b1f.4 ERROR 1 queue=2\n"), "3:0:w: 4:1::{2 -1 -1 -1} "},
-	{"the late one comes but once", frame("Y9b1f.5 OK 1 -\nv") + frame("Y9b1f.5 OK 1 -\nv"), "error"},
-	{"a second copy", frame("Y9b1f.3 OK 1 -\nv") + frame("Y9b1f.3 OK 1 -\nv"), "3:0:v: error"},
-	{"noise behind", frame("Y9b1f.3 OK 1 -\nv") + frame("Y9b1f.4 OK 1 -\nw") + frame("Y9b1f.5 OK 1 -\n") + "\x00", "3:0:v: 4:0:w: error"},
-	{"never sent here", frame("Y9b1f.9 OK 1 -\nw"), "error"},
+	{"duplicate late answer", frame("Y9b1f.5 OK 1 -\nv") + frame("Y9b1f.5 OK 1 -\nv"), "error"},
+	{"duplicate answer", frame("Y9b1f.3 OK 1 -\nv") + frame("Y9b1f.3 OK 1 -\nv"), "3:0:v: error"},
+	{"trailing bytes", frame("Y9b1f.3 OK 1 -\nv") + frame("Y9b1f.4 OK 1 -\nw") + frame("Y9b1f.5 OK 1 -\n") + "\x00", "3:0:v: 4:0:w: error"},
+	{"unknown attempt", frame("Y9b1f.9 OK 1 -\nw"), "error"},
 	{
-		"reports in the settings' words", frame("Y9b1f.3 OK 1 utilization=0.086,backlog=3.177\nv") + frame("Y9b1f.4 OK 1 outstanding=5,throughput=20\nw"),
+		"reports with the settings' names", frame("Y9b1f.3 OK 1 utilization=0.086,backlog=3.177\nv") + frame("Y9b1f.4 OK 1 outstanding=5,throughput=20\nw"),
 		"3:0:v:{3.177 -1 -1 0.086} 4:0:w:{-1 5 20 -1} ",
 	},
-	{"reports of nothing that is known", frame("Y9b1f.3 OK 1 errors_per_s=2\nv") + frame("Y9b1f.4 OK 1 odd=1,odd=2\nw"), "3:0:v: 4:0:w: "},
-	{"reports that can't be read", frame("Y9b1f.3 OK 1 queue=NaN,util=0.5\nv") + frame("Y9b1f.4 OK 1 ;; util 7 = -1\nw"), "3:0:v: 4:0:w: "},
+	{"reports without known keys", frame("Y9b1f.3 OK 1 errors_per_s=2\nv") + frame("Y9b1f.4 OK 1 odd=1,odd=2\nw"), "3:0:v: 4:0:w: "},
+	{"malformed reports", frame("Y9b1f.3 OK 1 queue=NaN,util=0.5\nv") + frame("Y9b1f.4 OK 1 ;; util 7 = -1\nw"), "3:0:v: 4:0:w: "},
 	{"reports out of range", frame("Y9b1f.3 OK 1 queue=-3\nv") + frame("Y9b1f.4 OK 1 queue=1e300\nw"), "3:0:v: 4:0:w: "},
-	{"a line without an end", "\x00\x00\xff\x00Y" + strings.Repeat("9", 2000), "error"},
+	{"unterminated line", "\x00\x00\xff\x00Y" + strings.Repeat("9", 2000), "error"},
 	{"3 GB", "\xb2\xd0\x5e\x00Y9b1f.3 OK 1 -\nv", "error"},
-	{"no text", frame("Y9b1f.3 OK 1 -\n\xff\xfe"), "3:1:: error"},
-	{"unusable", frame("Nwhat was that"), "error"},
-	{"unknown end", frame("Y9b1f.3 MAYBE 1 -\n"), "3:1:: error"},
-	{"too few words", frame("Y9b1f.4 OK\nv"), "4:1:: error"},
+	{"invalid UTF-8", frame("Y9b1f.3 OK 1 -\n\xff\xfe"), "3:1:: error"},
+	{"frame rejected by the worker", frame("Nwhat was that"), "error"},
+	{"unknown outcome", frame("Y9b1f.3 MAYBE 1 -\n"), "3:1:: error"},
+	{"too few fields", frame("Y9b1f.4 OK\nv"), "4:1:: error"},
 	{"no line", frame("Y9b1f.3 OK 1 -"), "error"},
 	{"empty frame", "\x00\x00\x00\x00", "error"},
 	{"frame too long", "\x7f\x00\x00\x00", "error"},
-	{"unknown letter", frame("Z"), "error"},
+	{"unknown frame type", frame("Z"), "error"},
 }
 
-func TestAnswersEverySplit(t *testing.T) {
+func TestFeed_SplitInput(t *testing.T) {
 	for _, c := range answers {
 		t.Run(c.name, func(t *testing.T) {
 			for i := range len(c.text) {
@@ -113,7 +114,7 @@
 	f.Fuzz(func(t *testing.T, text string, at int) {
 		at = max(0, min(at, len(text)))
 		if a, b := read(text), read(text[:at], text[at:]); a != b {
-			t.Errorf("split at %d: got %q, whole %q", at, b, a)
+			t.Errorf("split at %d: got %q, unsplit %q", at, b, a)
 		}
 	})
 }
@@ -130,7 +131,7 @@
 
 const headers = "Request-Id: 9b1f\r\nRequest-Class: c\r\nTenant: acme\r\nRequest-Timeout-Ms: 480\r\n"
 
-func TestRequest(t *testing.T) {
+func TestFrontOpen(t *testing.T) {
 	body := `{"segments":[{"segment":3,"boost":0.5,"work":9000,"affinity":"00ff"},{"segment":9,"boost":0.5}],"text":"a\"b"}`
 	query, format, resp := Front{Margin: 10}.Open(request(headers, body), 1000, true)
 	if resp != nil {
@@ -153,17 +154,17 @@
 	}
 	for _, f := range []core.Final{{Outcome: core.Failed}, {Outcome: core.Failed, Overdue: true}} {
 		if r := format(f, 0); r.Status == 429 || r.Status == 503 || r.Status < 500 {
-			t.Errorf("a failure must not say that a repeat is harmless: %d", r.Status)
+			t.Errorf("status %d for a failed query: want 5xx other than 503, since a retry may run it twice", r.Status)
 		}
 	}
 }
 
-// TestRequestWithoutAKey: where queries name nothing the path ends before the key, and such a query is served as any other. Other paths are
-// not queries.
-func TestRequestWithoutAKey(t *testing.T) {
+// In deployments whose queries have no key, the path ends before the key, and such queries are
+// served. Other paths are not queries.
+func TestFrontOpen_WithoutKey(t *testing.T) {
 	for target, want := range map[string]struct {
 		key    string
-		status int // 0: it is a query
+		status int // 0: the request is a query
 	}{
 		"/api": {}, "/api/": {}, "/api?x=1": {}, "/api/7f3a": {key: "7f3a"}, "/api/7f3a?x=1": {key: "7f3a"},
 		"/apis": {status: 404}, "/apix/7f3a": {status: 404}, "/": {status: 404},
@@ -181,7 +182,7 @@
 	}
 }
 
-func TestRequestFaults(t *testing.T) {
+func TestFrontOpen_MalformedRequest(t *testing.T) {
 	const body = `{"segments":[{"segment":3,"boost":0.5}],"text":"t"}`
 	for _, c := range []struct{ headers, body, names string }{
 		{strings.Replace(headers, "9b1f", "a.b", 1), body, "Request-Id"},
@@ -205,8 +206,9 @@
 	}
 }
 
-// A cancelled attempt's name is remembered until its late answer, or until many others were cancelled after it.
-func TestDroppedNamesAreBounded(t *testing.T) {
+// The name of a cancelled attempt is kept until its late answer arrives, or until maxCancelled
+// other attempts have been cancelled after it.
+func TestSession_CancelledNamesBounded(t *testing.T) {
 	s := Workers{PerConn: 32}.NewSession("").(*session)
 	for id := core.AttemptID(1); id <= 3*maxCancelled; id++ {
 		s.Call(nil, call(id), 0)
@@ -217,7 +219,7 @@
 	}
 }
 
-func TestList(t *testing.T) {
+func TestParseList(t *testing.T) {
 	l, err := ParseList([]byte(`{"generation":43,"reset":true,"instances":[{"instanceId":"s-5","hostPort":"10.1.0.18:8080",` +
 		`"zone":"a","cell":3,"lifecycle":"DRAINING","weight":1.0,"startedAtMs":7}]}`))
 	want := sq.Server{ID: "s-5", Zone: "a", Cell: 3, Health: sq.Draining, StartedAt: 7000}
@@ -226,12 +228,12 @@
 	}
 	for _, bad := range []string{`{`, `{}`, `{"generation":1,"instances":[{"instanceId":"s","lifecycle":"ASLEEP"}]}`} {
 		if _, err := ParseList([]byte(bad)); err == nil {
-			t.Errorf("%s was taken", bad)
+			t.Errorf("ParseList accepted %s", bad)
 		}
 	}
 }
 
-// A list that has taken updates reads the same on the other side of a handover.
+// A list with merged updates reads the same after a handover.
 func TestListMerge(t *testing.T) {
 	read := func(text string) List {
 		l, err := ParseList([]byte(text))
--- a/internal/broker/platform/report.go
+++ b/internal/broker/platform/report.go
@@ -8,15 +8,16 @@
 	sq "saffronquay"
 )
 
-// maxReported is more than any value of a load report can be.
+// maxReported is a limit above any valid value in a load report.
 const maxReported = 1e9
 
-// notReported stands in a load report for a value that the worker did not send.
+// notReported marks a value that the worker did not report.
 const notReported = -1
 
-// parseReport reads a load report, such as inflight=7,util=0.61, and skips unknown keys. Workers name a value as the settings do in
-// telemetry.fields (backlog) or as the protocol page's example does (inflight); both count. It returns nil for a report that is malformed
-// or has no known key: a value such as NaN would stay in every mean that it enters.
+// parseReport parses a load report such as inflight=7,util=0.61, and skips unknown keys. Workers
+// use the names of telemetry.fields in the settings (backlog) or those of the protocol
+// specification's example (inflight); both are accepted. It returns nil for a report that is
+// malformed or has no known key. A value such as NaN would persist in every average that it enters.
 func parseReport(text string) *sq.LoadReport {
 	if text == "-" || text == "" {
 		return nil
