--- a/internal/broker/handover/doc.go
+++ b/internal/broker/handover/doc.go
@@ -1,6 +1,7 @@
-// Package handover is the state that two processes of one gatherer write for each other while one replaces the other: what it is, how it is written as JSON, and
-// when it is too old to be used.
+// Package handover defines the state that two processes of one gatherer exchange while one replaces
+// the other: its content, its encoding as JSON, and when it is too old to be used.
 //
-// The package opens no file and reads no clock: the caller writes and reads the text and gives the time. It has no state of its own, so any goroutine may use it.
-// Parse returns an error for a text that it can't read completely.
+// The package opens no file and reads no clock: the caller reads and writes the text and passes the
+// time. It has no state and is safe for concurrent use. Parse returns an error for a text that it
+// cannot parse completely.
 package handover
--- a/internal/broker/handover/format.go
+++ b/internal/broker/handover/format.go
@@ -11,11 +11,11 @@
 
 const (
 	version     = 1
-	maxSuspects = 256     // that are written, the latest first
+	maxSuspects = 256     // maximum number written; the latest are kept
 	maxInteger  = 1 << 53 // above it a JSON number is not exact
 )
 
-// Append appends a state as JSON. Of Suspects it writes the latest 256.
+// Append appends a state as JSON. Only the latest maxSuspects suspects are written.
 func (s State) Append(dst []byte) []byte {
 	var a fastjson.Arena
 	o := a.NewObject()
@@ -43,7 +43,7 @@
 	return a.NewNumberString(fmt.Sprint(n))
 }
 
-// timesValue returns an object of the latest times by their keys, at most limit of them.
+// timesValue returns an object with the latest times by key, at most limit of them.
 func timesValue(a *fastjson.Arena, times map[string]int64, limit int) *fastjson.Value {
 	v := a.NewObject()
 	keys := slices.SortedFunc(maps.Keys(times), func(x, y string) int { return int(min(max(times[y]-times[x], -1), 1)) })
@@ -53,17 +53,17 @@
 	return v
 }
 
-// Parse reads a state. With an error the state is incomplete and must not be used.
+// Parse parses a state. If it returns an error, the state is incomplete and must not be used.
 func Parse(text []byte) (State, error) {
 	if len(text) > MaxSize {
-		return State{}, fmt.Errorf("handover: over %d bytes", MaxSize)
+		return State{}, fmt.Errorf("handover: state exceeds %d bytes", MaxSize)
 	}
 	v, err := fastjson.ParseBytes(text)
 	if err != nil {
-		return State{}, fmt.Errorf("handover: %w", err)
+		return State{}, fmt.Errorf("handover: parse state: %w", err)
 	}
 	if v.Type() != fastjson.TypeObject || v.GetInt("v") != version {
-		return State{}, fmt.Errorf("handover: not of version %d", version)
+		return State{}, fmt.Errorf("handover: not a state of version %d", version)
 	}
 	r := reader{object: v}
 	s := State{
@@ -85,20 +85,21 @@
 	return s, r.err
 }
 
-// reader reads the fields of an object. It goes on after an error, and keeps it in err.
+// reader reads the fields of an object. It continues after an error, and keeps an error in err.
 type reader struct {
 	object *fastjson.Value
 	err    error
 }
 
-// field returns a field of a type. If the field is absent or of another type, it returns nil, and sets err unless it is set.
+// field returns a field of a type. If the field is missing or has another type, it returns nil, and
+// sets err unless it is set already.
 func (r *reader) field(key string, want fastjson.Type) *fastjson.Value {
 	x := r.object.Get(key)
 	if x != nil && x.Type() == want {
 		return x
 	}
 	if r.err == nil {
-		r.err = fmt.Errorf("handover: %s: want %s", key, want)
+		r.err = fmt.Errorf("handover: field %s: missing or not of type %s", key, want)
 	}
 	return nil
 }
@@ -117,12 +118,12 @@
 	return 0
 }
 
-// integer returns a number from 0 to maxInteger without its fraction.
+// integer returns a number from 0 to maxInteger, truncated.
 func (r *reader) integer(key string) int64 {
 	if n := r.number(key); n >= 0 && n <= maxInteger {
 		return int64(n)
 	}
-	r.err = fmt.Errorf("handover: %s: out of range", key)
+	r.err = fmt.Errorf("handover: field %s: number out of range", key)
 	return 0
 }
 
--- a/internal/broker/handover/handover_test.go
+++ b/internal/broker/handover/handover_test.go
@@ -14,7 +14,7 @@
 }
 
 // Parse returns what Append wrote, and an error for any damaged text.
-func TestThereAndBack(t *testing.T) {
+func TestState_RoundTrip(t *testing.T) {
 	text := completeState.Append(nil)
 	got, err := Parse(text)
 	if err != nil || !reflect.DeepEqual(got, completeState) {
@@ -22,7 +22,7 @@
 	}
 	for i := range text {
 		if _, err := Parse(text[:i]); err == nil {
-			t.Errorf("taken when cut off after %d of %d bytes", i, len(text))
+			t.Errorf("Parse accepted a state truncated to %d of %d bytes", i, len(text))
 		}
 	}
 	for _, c := range [][2]string{
@@ -35,16 +35,16 @@
 	} {
 		bad := strings.Replace(string(text), c[0], c[1], 1)
 		if _, err := Parse([]byte(bad)); err == nil || bad == string(text) {
-			t.Errorf("%s -> %s was taken", c[0], c[1])
+			t.Errorf("Parse accepted a state with %s replaced by %s", c[0], c[1])
 		}
 	}
 	if completeState.IsFresh(completeState.At+StaleAfter) || !completeState.IsFresh(completeState.At+StaleAfter-1) || completeState.IsFresh(completeState.At-StaleAfter) {
-		t.Error("freshness")
+		t.Error("IsFresh does not hold exactly within StaleAfter of the time of the state")
 	}
 }
 
-// With any number of suspected keys a state stays small, and the latest keys are written.
-func TestStaysSmall(t *testing.T) {
+// The size of a state is bounded for any number of suspects; the latest are written.
+func TestStateAppend_LimitsSuspects(t *testing.T) {
 	s := State{Suspects: map[string]int64{}}
 	for i := range 10_000 {
 		s.Suspects[fmt.Sprint("key", i)] = int64(i)
@@ -55,7 +55,7 @@
 	}
 }
 
-// Parse reads any bytes without a panic, and returns values in range.
+// FuzzParse checks that Parse reads any bytes without a panic, and returns values in range.
 func FuzzParse(f *testing.F) {
 	f.Add(completeState.Append(nil))
 	f.Add([]byte(`{"v":1,"labels":{"a":[]},"suspects":{"b":null}}`))
@@ -66,13 +66,14 @@
 	})
 }
 
-// An old process that shuts down may write later than its successor; the successor's state is the newest.
+// A process that shuts down may write its state later than its successor; the successor's state is
+// the newest.
 func TestNewest(t *testing.T) {
 	s, ok := Newest([]State{{Since: 5, At: 30}, {Since: 20, At: 25, Standby: true}, {Since: 1, At: 31}})
 	if !ok || !s.Standby {
 		t.Errorf("%+v %t", s, ok)
 	}
 	if _, ok := Newest(nil); ok {
-		t.Error("there is none")
+		t.Error("Newest found a state in an empty list")
 	}
 }
