--- a/internal/broker/vrrp/golden_test.go
+++ b/internal/broker/vrrp/golden_test.go
@@ -8,7 +8,7 @@
 	"github.com/matryer/is"
 )
 
-// goldenAdvertisement is what an earlier build sends to its neighbours.
+// goldenAdvertisement was sent by an earlier build, with which this one has to interoperate.
 const goldenAdvertisement = "3107c8020019f1ca0a0000090a000109"
 
 func TestGoldenAdvertisement(t *testing.T) {
--- a/internal/broker/vrrp/machine.go
+++ b/internal/broker/vrrp/machine.go
@@ -2,7 +2,7 @@
 
 import "net/netip"
 
-// State is one of the three states of a virtual router.
+// State is the state of a virtual router.
 type State int
 
 // The states.
@@ -18,18 +18,19 @@
 // Owner is the priority of the router that owns the addresses.
 const Owner = 255
 
-// Config is one virtual router, as configured at one of its routers.
+// Config is the configuration of a virtual router on one of its routers.
 type Config struct {
 	VRID      byte
 	Priority  byte  // 1 to 255; Owner for the owner of the addresses
 	Interval  int64 // centiseconds
-	Preempt   bool  // takes over from an Active router of lower priority
+	Preempt   bool  // take over from an Active router of lower priority
 	Addresses []netip.Addr
-	Primary   netip.Addr // this router's own address; the greater one wins a tie of priority
+	Primary   netip.Addr // this router's own address; the greater address wins a tie of priority
 }
 
-// Machine is the state machine of section 6.4 of the RFC. It has one timer: Active_Down_Timer as Backup, Adver_Timer as Active. Each method that returns an
-// advertisement returns what the caller has to send; nil: nothing. It is not safe for concurrent use.
+// Machine is the state machine of section 6.4 of the RFC. It has one timer: Active_Down_Timer as
+// Backup, Adver_Timer as Active. Each method that returns an advertisement returns what the caller
+// must send, or nil. A Machine is not safe for concurrent use.
 type Machine struct {
 	cfg      Config
 	state    State
@@ -37,19 +38,19 @@
 	timer    int64 // when the timer fires; not valid in Initialize
 }
 
-// New returns a machine in Initialize.
+// New returns a machine in state Initialize.
 func New(cfg Config) *Machine { return &Machine{cfg: cfg, interval: cfg.Interval} }
 
 // State returns the current state.
 func (m *Machine) State() State { return m.state }
 
-// Timer returns when Tick is to be called next. ok is false in Initialize, which has no timer.
+// Timer returns when Tick must be called next. ok is false in Initialize, which has no timer.
 func (m *Machine) Timer() (at int64, ok bool) { return m.timer, m.state != Initialize }
 
 const (
 	centisecond    = 10_000 // microseconds
 	priorityLevels = 256
-	missedToDown   = 3 // advertisements that are missed before a Backup takes over
+	missedToDown   = 3 // missed advertisements after which a Backup takes over
 )
 
 // skew returns Skew_Time in microseconds: the higher the priority, the earlier a Backup takes over.
@@ -69,7 +70,8 @@
 	return m.advertise(m.cfg.Priority)
 }
 
-// Start leaves Initialize: the owner of the addresses becomes Active, any other router Backup. In another state it does nothing.
+// Start leaves Initialize: the owner of the addresses becomes Active, any other router Backup. In
+// another state it does nothing.
 func (m *Machine) Start(now int64) *Advertisement {
 	if m.state != Initialize {
 		return nil
@@ -82,7 +84,8 @@
 	return nil
 }
 
-// Stop returns to Initialize. An Active router sends priority 0, which has the others take over without waiting for Active_Down_Interval.
+// Stop returns to Initialize. An Active router sends priority 0, so that the others take over
+// without waiting for Active_Down_Interval.
 func (m *Machine) Stop() *Advertisement {
 	was := m.state
 	m.state = Initialize
@@ -92,7 +95,8 @@
 	return nil
 }
 
-// Tick reports the time. At the timer a Backup becomes Active, and an Active router advertises.
+// Tick processes the current time. When the timer has expired, a Backup becomes Active, and an
+// Active router advertises.
 func (m *Machine) Tick(now int64) *Advertisement {
 	if m.state == Initialize || now < m.timer {
 		return nil
@@ -100,7 +104,8 @@
 	return m.becomeActive(now) // an Active router only advertises and sets its timer again
 }
 
-// Receive handles an advertisement from the address of another router. It ignores those of other virtual routers.
+// Receive processes an advertisement from the address of another router. It ignores those of other
+// virtual routers.
 func (m *Machine) Receive(now int64, a Advertisement, from netip.Addr) *Advertisement {
 	if a.VRID != m.cfg.VRID {
 		return nil
@@ -114,7 +119,8 @@
 	return nil
 }
 
-// receiveAsBackup restarts the timer, unless the sender has a lower priority and is to be preempted.
+// receiveAsBackup restarts the timer, unless the sender has a lower priority and is to be
+// preempted.
 func (m *Machine) receiveAsBackup(now int64, a Advertisement) {
 	switch {
 	case a.Priority == 0:
@@ -125,7 +131,8 @@
 	}
 }
 
-// receiveAsActive becomes Backup for a router of higher priority, or of the same priority and a greater address.
+// receiveAsActive becomes Backup for a router of higher priority, or of the same priority and a
+// greater address.
 func (m *Machine) receiveAsActive(now int64, a Advertisement, from netip.Addr) *Advertisement {
 	switch {
 	case a.Priority == 0:
@@ -135,7 +142,7 @@
 		m.state, m.timer = Backup, now+m.downInterval()
 		return nil
 	default:
-		// It answers the lower router at once. Its timer is not changed.
+		// Answer the router of lower priority immediately. The timer is not changed.
 		return m.advertise(m.cfg.Priority)
 	}
 }
--- a/internal/broker/vrrp/packet.go
+++ b/internal/broker/vrrp/packet.go
@@ -10,7 +10,7 @@
 // Advertisement is the only message of the protocol.
 type Advertisement struct {
 	VRID      byte
-	Priority  byte  // 0: the sender gives up being Active
+	Priority  byte  // 0: the sender stops being Active
 	Interval  int64 // centiseconds, 12 bits
 	Addresses []netip.Addr
 }
@@ -24,10 +24,11 @@
 	maxAddresses = 255
 )
 
-// Append appends an advertisement of IPv4 addresses with its checksum. With an error it appends nothing.
+// Append appends an advertisement of IPv4 addresses with its checksum. If it returns an error, it
+// appends nothing.
 func (a Advertisement) Append(dst []byte) ([]byte, error) {
 	if a.Interval < 1 || a.Interval > maxInterval || len(a.Addresses) == 0 || len(a.Addresses) > maxAddresses {
-		return dst, fmt.Errorf("vrrp: interval %d or %d addresses can't be written", a.Interval, len(a.Addresses))
+		return dst, fmt.Errorf("vrrp: append advertisement: interval %d or number of addresses %d out of range", a.Interval, len(a.Addresses))
 	}
 	start := len(dst)
 	dst = append(dst, versionType, a.VRID, a.Priority, byte(len(a.Addresses)))
@@ -35,7 +36,7 @@
 	dst = append(dst, 0, 0)
 	for _, ip := range a.Addresses {
 		if !ip.Is4() {
-			return dst[:start], fmt.Errorf("vrrp: %s is not an IPv4 address", ip)
+			return dst[:start], fmt.Errorf("vrrp: append advertisement: %s is not an IPv4 address", ip)
 		}
 		four := ip.As4()
 		dst = append(dst, four[:]...)
@@ -44,7 +45,8 @@
 	return dst, nil
 }
 
-// sum returns the one's complement sum of 16-bit words. Over a message with a correct checksum it is all ones.
+// sum returns the one's complement sum of 16-bit words. Over a message with a correct checksum all
+// its bits are set.
 func sum(b []byte) uint16 {
 	var s uint32
 	for i := 0; i+1 < len(b); i += 2 {
@@ -56,24 +58,25 @@
 	return uint16(s)
 }
 
-// Parse reads an advertisement. It returns an error for one of another version or type, of the wrong length or checksum, or without a router id or interval.
+// Parse parses an advertisement. It returns an error for another version or type, a wrong length or
+// checksum, or a missing router ID or interval.
 func Parse(b []byte) (Advertisement, error) {
 	if len(b) < headLen {
-		return Advertisement{}, errors.New("vrrp: too short")
+		return Advertisement{}, errors.New("vrrp: parse advertisement: packet too short")
 	}
 	if b[0] != versionType {
-		return Advertisement{}, fmt.Errorf("vrrp: version and type %#x", b[0])
+		return Advertisement{}, fmt.Errorf("vrrp: parse advertisement: unsupported version and type %#x", b[0])
 	}
 	n := int(b[3])
 	if n == 0 || len(b) != headLen+addressLen*n {
-		return Advertisement{}, fmt.Errorf("vrrp: %d addresses in %d bytes", n, len(b))
+		return Advertisement{}, fmt.Errorf("vrrp: parse advertisement: %d addresses do not match a length of %d bytes", n, len(b))
 	}
 	if sum(b) != 0xffff {
-		return Advertisement{}, errors.New("vrrp: wrong checksum")
+		return Advertisement{}, errors.New("vrrp: parse advertisement: wrong checksum")
 	}
 	a := Advertisement{VRID: b[1], Priority: b[2], Interval: int64(binary.BigEndian.Uint16(b[4:]) & maxInterval)}
 	if a.VRID == 0 || a.Interval == 0 {
-		return Advertisement{}, errors.New("vrrp: no router id or no interval")
+		return Advertisement{}, errors.New("vrrp: parse advertisement: router ID or interval is 0")
 	}
 	for i := range n {
 		a.Addresses = append(a.Addresses, netip.AddrFrom4([addressLen]byte(b[headLen+addressLen*i:])))
--- a/internal/broker/vrrp/vrrp_test.go
+++ b/internal/broker/vrrp/vrrp_test.go
@@ -23,7 +23,8 @@
 
 var low, high = netip.MustParseAddr("192.0.2.10"), netip.MustParseAddr("192.0.2.30")
 
-// expect checks a machine's state, its timer and the priority of what it sent; -1: nothing.
+// expect checks a machine's state, its timer and the priority of the advertisement that it sent;
+// -1: none.
 func expect(t *testing.T, step string, m *Machine, sent *Advertisement, state State, timer int64, priority int) {
 	t.Helper()
 	got := -1
@@ -36,39 +37,39 @@
 	}
 }
 
-func TestElection(t *testing.T) {
+func TestMachine_Election(t *testing.T) {
 	m := newRouter(100, true)
 	expect(t, "new", m, nil, Initialize, 0, -1)
 	skew := int64(156 * second / 256)
 	expect(t, "start", m, m.Start(0), Backup, 3*second+skew, -1)
-	expect(t, "a higher one", m, m.Receive(second, advertisement(200, 100), low), Backup, 4*second+skew, -1)
-	expect(t, "a lower one is not listened to", m, m.Receive(2*second, advertisement(50, 100), high), Backup, 4*second+skew, -1)
+	expect(t, "higher priority", m, m.Receive(second, advertisement(200, 100), low), Backup, 4*second+skew, -1)
+	expect(t, "lower priority is ignored", m, m.Receive(2*second, advertisement(50, 100), high), Backup, 4*second+skew, -1)
 	expect(t, "before the timer", m, m.Tick(4*second), Backup, 4*second+skew, -1)
-	expect(t, "silence", m, m.Tick(4*second+skew), Active, 5*second+skew, 100)
-	expect(t, "each interval", m, m.Tick(5*second+skew), Active, 6*second+skew, 100)
-	expect(t, "a lower one is told at once", m, m.Receive(5*second+skew, advertisement(50, 100), high), Active, 6*second+skew, 100)
-	expect(t, "an equal one with a lower address", m, m.Receive(5*second+skew, advertisement(100, 100), low), Active, 6*second+skew, 100)
-	expect(t, "another router id", m, m.Receive(6*second, Advertisement{VRID: 8, Priority: 255, Interval: 1}, high), Active, 6*second+skew, -1)
-	// From here on the interval is that of the Active router, and the skew follows it.
-	expect(t, "an equal one with a higher address", m, m.Receive(6*second, advertisement(100, 200), high), Backup, 12*second+2*skew, -1)
-	expect(t, "it gives up", m, m.Receive(7*second, advertisement(0, 200), high), Backup, 7*second+2*skew, -1)
-	expect(t, "after the skew", m, m.Tick(7*second+2*skew), Active, 8*second+2*skew, 100)
-	expect(t, "another gives up", m, m.Receive(8*second, advertisement(0, 100), high), Active, 9*second, 100)
-	expect(t, "shutdown", m, m.Stop(), Initialize, 0, 0)
-	expect(t, "nothing in Initialize", m, m.Receive(9*second, advertisement(50, 100), high), Initialize, 0, -1)
+	expect(t, "timer expires", m, m.Tick(4*second+skew), Active, 5*second+skew, 100)
+	expect(t, "next interval", m, m.Tick(5*second+skew), Active, 6*second+skew, 100)
+	expect(t, "lower priority is answered immediately", m, m.Receive(5*second+skew, advertisement(50, 100), high), Active, 6*second+skew, 100)
+	expect(t, "equal priority, lower address", m, m.Receive(5*second+skew, advertisement(100, 100), low), Active, 6*second+skew, 100)
+	expect(t, "other router ID", m, m.Receive(6*second, Advertisement{VRID: 8, Priority: 255, Interval: 1}, high), Active, 6*second+skew, -1)
+	// From here on the interval and the skew time are those of the Active router.
+	expect(t, "equal priority, higher address", m, m.Receive(6*second, advertisement(100, 200), high), Backup, 12*second+2*skew, -1)
+	expect(t, "Active router stops", m, m.Receive(7*second, advertisement(0, 200), high), Backup, 7*second+2*skew, -1)
+	expect(t, "skew time has passed", m, m.Tick(7*second+2*skew), Active, 8*second+2*skew, 100)
+	expect(t, "other router stops", m, m.Receive(8*second, advertisement(0, 100), high), Active, 9*second, 100)
+	expect(t, "stop", m, m.Stop(), Initialize, 0, 0)
+	expect(t, "ignored in Initialize", m, m.Receive(9*second, advertisement(50, 100), high), Initialize, 0, -1)
 }
 
-func TestOwnerAndNoPreemption(t *testing.T) {
+func TestMachine_OwnerAndNoPreemption(t *testing.T) {
 	m := newRouter(Owner, true)
 	expect(t, "the owner starts as Active", m, m.Start(0), Active, second, Owner)
 	m = newRouter(200, false)
 	skew := int64(56 * second / 256)
 	m.Start(0)
-	expect(t, "a lower one stays", m, m.Receive(second, advertisement(50, 100), low), Backup, 4*second+skew, -1)
-	expect(t, "a Backup goes in silence", m, m.Stop(), Initialize, 0, -1)
+	expect(t, "no preemption of a lower priority", m, m.Receive(second, advertisement(50, 100), low), Backup, 4*second+skew, -1)
+	expect(t, "a Backup stops without an advertisement", m, m.Stop(), Initialize, 0, -1)
 }
 
-func TestPacket(t *testing.T) {
+func TestAdvertisement_RoundTrip(t *testing.T) {
 	b, err := advertisement(100, 300).Append(nil)
 	if want := "3107640101 2c"; err != nil || fmt.Sprintf("%x %x", b[:5], b[5]) != want {
 		t.Fatalf("%x, %v", b, err)
@@ -81,16 +82,16 @@
 		c := append([]byte(nil), b...)
 		c[i] ^= 0x11
 		if got, err := Parse(c); err == nil {
-			t.Errorf("byte %d changed: %v", i, got)
+			t.Errorf("Parse accepted a packet with byte %d changed: %v", i, got)
 		}
 	}
 	for i := range b {
 		if _, err := Parse(b[:i]); err == nil {
-			t.Errorf("cut at %d", i)
+			t.Errorf("Parse accepted a packet truncated to %d bytes", i)
 		}
 	}
 	if _, err := advertisement(1, 4096).Append(nil); err == nil {
-		t.Error("the interval has 12 bits")
+		t.Error("Append accepted an interval of more than 12 bits")
 	}
 }
 
@@ -103,7 +104,7 @@
 			return
 		}
 		if _, err := a.Append(nil); err != nil {
-			t.Errorf("%v can't be written again: %v", a, err)
+			t.Errorf("append of the parsed %v: %v", a, err)
 		}
 	})
 }
