--- a/internal/broker/simwire/decode.go
+++ b/internal/broker/simwire/decode.go
@@ -11,38 +11,38 @@
 	sq "saffronquay"
 )
 
-// Kind says what a decoded line is.
+// Kind is the type of a decoded line.
 type Kind int
 
-// The kinds of line. A batch is a BatchStart, any number of other lines, and a BatchEnd.
+// The kinds of line. A batch consists of a BatchStart, any number of other lines, and a BatchEnd.
 const (
-	BatchStart Kind = iota // begins a batch at the time Message.Now
-	BatchEnd               // ends it; the host replies
-	Open                   // starts the instance Message.Who
-	List                   // declares the list Message.Slot
-	Killed                 // ends the instance Message.Who without a reply
-	Happened               // an event for the scheduler of Message.Who, in Message.Event
-	Ignored                // well formed, but not used
+	BatchStart     Kind = iota // starts a batch at the time Message.Now
+	BatchEnd                   // ends the batch; the host replies
+	Open                       // starts the instance Message.Who
+	List                       // declares the list Message.Slot
+	Killed                     // ends the instance Message.Who without a reply
+	SchedulerEvent             // an event for the scheduler of Message.Who, in Message.Event
+	Ignored                    // valid, but not used
 )
 
-// maxSlot is the highest number of a declared list.
+// maxSlot is the highest slot of a declared list.
 const maxSlot = 15
 
 // Message is one decoded line. Which fields are set depends on Kind.
 type Message struct {
 	Kind     Kind
-	Who      string // the instance that the line is for
+	Who      string // instance that the line is for
 	Now      int64  // microseconds
-	Serial   int64  // of the batch
+	Serial   int64  // sequence number of the batch
 	Seed     uint64
 	Settings sq.Settings
 	Slot     int
 	Members  []sq.Server
-	Event    sq.Event // for a FleetChanged, the servers are those of list Slot
-	UsesList bool
+	Event    sq.Event // for FleetChanged, the servers are those of list Slot
+	UsesList bool     // the event refers to list Slot
 }
 
-// rawLine has the fields of all types of line. A nil pointer is a field that is not there.
+// rawLine has the fields of all line types. A nil pointer marks a missing field.
 type rawLine struct {
 	Type        string             `json:"event_type"`
 	AtTime      *int64             `json:"at_time_us"`
@@ -82,15 +82,15 @@
 	LastStart int64   `json:"last_start_us"`
 }
 
-// Decode reads one line. The error of a malformed line names its type and the field.
+// Decode parses one line. The error for a malformed line names its type and the invalid field.
 func Decode(line []byte) (Message, error) {
 	var l rawLine
 	dec := json.NewDecoder(bytes.NewReader(line))
 	if err := dec.Decode(&l); err != nil {
-		return Message{}, fmt.Errorf("not a message: %w", err)
+		return Message{}, fmt.Errorf("malformed JSON message: %w", err)
 	}
 	if dec.More() {
-		return Message{}, errors.New("more than one value on the line")
+		return Message{}, errors.New("line contains more than one JSON value")
 	}
 	read, ok := readers[l.Type]
 	if !ok {
@@ -106,7 +106,8 @@
 	return m, nil
 }
 
-// readers has the function for each type of line; it checks the fields that the type requires.
+// readers has the decoder for each line type. A decoder checks that the fields required by the type
+// are present.
 var readers = map[string]func(*rawLine) (Message, error){
 	"Tick": func(l *rawLine) (Message, error) {
 		if err := requireFields(field{"at_time_us", l.AtTime != nil}, field{"serial", l.Serial != nil}); err != nil {
@@ -157,16 +158,16 @@
 	},
 }
 
-// eventMessage is a line that is an event for the scheduler.
-func eventMessage(e sq.Event) (Message, error) { return Message{Kind: Happened, Event: e}, nil }
+// eventMessage returns the message for an event of the scheduler.
+func eventMessage(e sq.Event) (Message, error) { return Message{Kind: SchedulerEvent, Event: e}, nil }
 
-// field is a field of a line, and whether it is there.
+// field is the name of a field and whether the line contains it.
 type field struct {
 	name    string
 	present bool
 }
 
-// requireFields names the first field that is missing.
+// requireFields returns an error that names the first missing field.
 func requireFields(fields ...field) error {
 	for _, f := range fields {
 		if !f.present {
@@ -176,7 +177,7 @@
 	return nil
 }
 
-// readOpen reads the start of an instance, settings included.
+// readOpen decodes the start of an instance, with its settings.
 func readOpen(l *rawLine) (Message, error) {
 	if err := requireFields(
 		field{"who", l.Who != nil},
@@ -192,13 +193,13 @@
 	return Message{Kind: Open, Seed: *l.Seed, Settings: set.Module}, nil
 }
 
-// readList reads a list of servers.
+// readList decodes a list of servers.
 func readList(l *rawLine) (Message, error) {
 	if err := requireFields(field{"slot", l.Slot != nil}, field{"members", l.Members != nil}); err != nil {
 		return Message{}, err
 	}
 	if *l.Slot < 0 || *l.Slot > maxSlot {
-		return Message{}, fmt.Errorf("slot %d is not within 0 to %d", *l.Slot, maxSlot)
+		return Message{}, fmt.Errorf("slot %d out of range: want 0 to %d", *l.Slot, maxSlot)
 	}
 	m := Message{Kind: List, Slot: *l.Slot}
 	for i, r := range *l.Members {
@@ -221,7 +222,7 @@
 	return m, nil
 }
 
-// readFleet reads a change of the list of servers; the servers are those of a declared list.
+// readFleet decodes a change of the list of servers; the servers are those of a declared list.
 func readFleet(l *rawLine) (Message, error) {
 	if err := requireFields(field{"who", l.Who != nil}, field{"scope", l.Scope != nil}); err != nil {
 		return Message{}, err
@@ -230,7 +231,7 @@
 	if *l.Scope < 0 || *l.Scope >= len(kinds) {
 		return Message{}, fmt.Errorf("unknown scope %d", *l.Scope)
 	}
-	m := Message{Kind: Happened, Event: sq.FleetChanged{Kind: kinds[*l.Scope]}}
+	m := Message{Kind: SchedulerEvent, Event: sq.FleetChanged{Kind: kinds[*l.Scope]}}
 	if kinds[*l.Scope] == sq.FleetFailed {
 		return m, nil
 	}
@@ -242,7 +243,7 @@
 	return m, nil
 }
 
-// readIngress reads a query, which has a negative segment, or a part.
+// readIngress decodes a query, which has a negative segment, or a part of a query.
 func readIngress(l *rawLine) (Message, error) {
 	err := requireFields(
 		field{"who", l.Who != nil},
@@ -275,7 +276,7 @@
 		})
 	}
 	if *l.Segment > math.MaxInt32 {
-		return Message{}, fmt.Errorf("segment_no %v is out of range", *l.Segment)
+		return Message{}, fmt.Errorf("segment_no %v out of range", *l.Segment)
 	}
 	if err := requireFields(field{"size_or_weight", l.Weight != nil}); err != nil {
 		return Message{}, err
@@ -286,7 +287,7 @@
 	})
 }
 
-// tenantOf reads a tenant's name. Sites without tenants have 0, null or no field there.
+// tenantOf decodes the name of a tenant. Deployments without tenants send 0, null or no field.
 func tenantOf(raw json.RawMessage) (string, error) {
 	switch string(raw) {
 	case "", "0", "null":
@@ -299,7 +300,7 @@
 	return name, nil
 }
 
-// readProbe reads the outcome of a probe.
+// readProbe decodes the outcome of a probe.
 func readProbe(l *rawLine) (Message, error) {
 	if err := requireFields(
 		field{"who", l.Who != nil},
@@ -319,7 +320,7 @@
 	})
 }
 
-// readResponse reads the outcome of an attempt.
+// readResponse decodes the outcome of an attempt.
 func readResponse(l *rawLine) (Message, error) {
 	if err := requireFields(
 		field{"who", l.Who != nil},
@@ -341,13 +342,13 @@
 	})
 }
 
-// outcomes has the module's outcome for each disposition on the wire.
+// outcomes maps the dispositions on the wire to outcomes of the module.
 var outcomes = map[int]sq.Outcome{
 	100: sq.Served, 301: sq.Errored, 302: sq.Rejected, 303: sq.TimedOut,
 	304: sq.Unreachable, 305: sq.Broken, 306: sq.Cancelled, 307: sq.NotSent,
 }
 
-// outcomeOf is the outcome of a disposition; an unknown one is an error.
+// outcomeOf returns the outcome for a disposition. An unknown disposition is an error.
 func outcomeOf(code int) (sq.Outcome, error) {
 	o, ok := outcomes[code]
 	if !ok {
@@ -356,7 +357,7 @@
 	return o, nil
 }
 
-// loadReport reads a server's load; nil when the line has none. Values that are not there are -1.
+// loadReport decodes a server's load report; nil if the line has none. Missing values are -1.
 func loadReport(values map[string]float64) *sq.LoadReport {
 	if values == nil {
 		return nil
--- a/internal/broker/simwire/encode.go
+++ b/internal/broker/simwire/encode.go
@@ -7,7 +7,7 @@
 	sq "saffronquay"
 )
 
-// rawAction has the fields of all types of action. Zero values and nil pointers are left out.
+// rawAction has the fields of all types of action. Zero values and nil pointers are omitted.
 type rawAction struct {
 	Type     string  `json:"event_type"`
 	Who      string  `json:"who,omitempty"`
@@ -25,7 +25,8 @@
 	Payload  *string `json:"payload,omitempty"`
 }
 
-// Encode appends the line of one action of the instance who to dst. An action that the wire has no form for is an error.
+// Encode appends the line for an action of the instance who to dst. It fails for an action that the
+// protocol does not define.
 func Encode(dst []byte, who string, a sq.Action) ([]byte, error) {
 	r := rawAction{Who: who}
 	id := func(v sq.ID) *int64 { n := int64(v); return &n }
@@ -58,17 +59,17 @@
 	case sq.Log:
 		r.Type, r.Text = "WriteLog", &a.Text
 	default:
-		return dst, fmt.Errorf("action %T has no form on the wire", a)
+		return dst, fmt.Errorf("encode: action %T is not defined by the protocol", a)
 	}
 	return appendLine(dst, r)
 }
 
-// EncodeAck appends the line that ends the reply to the batch with this serial.
+// EncodeAck appends the line that ends the reply to the batch with this serial number.
 func EncodeAck(dst []byte, serial int64) ([]byte, error) {
 	return appendLine(dst, rawAction{Type: "Ack", Serial: &serial})
 }
 
-// appendLine appends an action as JSON and a line feed.
+// appendLine appends an action as one line of JSON.
 func appendLine(dst []byte, r rawAction) ([]byte, error) {
 	b, err := json.Marshal(r)
 	if err != nil {
--- a/internal/broker/simwire/simwire_test.go
+++ b/internal/broker/simwire/simwire_test.go
@@ -27,17 +27,17 @@
 		{`{"event_type":"End"}`, Message{Kind: BatchEnd}},
 		{`{"event_type":"Killed","who":"node/3"}`, Message{Kind: Killed, Who: "node/3"}},
 		{`{"event_type":"DeadlineHit","who":"n","mark":77}`, Message{
-			Kind: Happened, Who: "n",
+			Kind: SchedulerEvent, Who: "n",
 			Event: sq.AlarmRang{ID: 77},
 		}},
 		{`{"event_type":"Hangup","who":"n","txn":5}`, Message{
-			Kind: Happened, Who: "n",
+			Kind: SchedulerEvent, Who: "n",
 			Event: sq.ClientLeft{Query: 5},
 		}},
 		{
 			`{"event_type":"Ingress","who":"n","txn":5,"segment_no":-1,"priority":"c","group_no":9,` +
 				`"client_deadline_us":70,"work_us":6,"object":"k","size_or_weight":3,"tenant":"t","resent":true}`,
-			Message{Kind: Happened, Who: "n", Event: sq.Query{
+			Message{Kind: SchedulerEvent, Who: "n", Event: sq.Query{
 				ID: 5, Group: 9, Class: "c", Tenant: "t", Deadline: 70,
 				Work: 6, Key: "k",
 			}},
@@ -45,19 +45,19 @@
 		{
 			`{"event_type":"Ingress","who":"n","txn":6,"segment_no":2,"priority":"c","group_no":9,` +
 				`"client_deadline_us":70,"size_or_weight":0.5,"tenant":0}`,
-			Message{Kind: Happened, Who: "n", Event: sq.Part{ID: 6, Group: 9, Shard: 2, Weight: 0.5}},
+			Message{Kind: SchedulerEvent, Who: "n", Event: sq.Part{ID: 6, Group: 9, Shard: 2, Weight: 0.5}},
 		},
 		{
 			`{"event_type":"Response","who":"n","txn":6,"shot":1,"server":"s:1","disposition":305,"latency_us":4,` +
 				`"complete":true,"health_info":{"recent_ms":14.5,"backlog":4,"throughput":2.5,"other":1}}`,
-			Message{Kind: Happened, Who: "n", Event: sq.AttemptEnded{
+			Message{Kind: SchedulerEvent, Who: "n", Event: sq.AttemptEnded{
 				Part: 6, Attempt: 1, Server: "s:1",
 				Outcome: sq.Broken, Latency: 4, Report: report,
 			}},
 		},
 		{
 			`{"event_type":"ProbeResult","who":"n","server":"s:1","disposition":100,"latency_us":4}`,
-			Message{Kind: Happened, Who: "n", Event: sq.ProbeEnded{Server: "s:1", Latency: 4}},
+			Message{Kind: SchedulerEvent, Who: "n", Event: sq.ProbeEnded{Server: "s:1", Latency: 4}},
 		},
 		{`{"event_type":"Ledger","slot":3,"members":[{"server":"s:1","campus":"z","slot_no":2,"health":1,"share":1.5,` +
 			`"last_start_us":9}]}`, Message{Kind: List, Slot: 3, Members: []sq.Server{{
@@ -65,16 +65,16 @@
 			Health: sq.Ready, StartedAt: 9,
 		}}}},
 		{`{"event_type":"Fleet","who":"n","scope":0,"generation":4,"slot":3}`, Message{
-			Kind: Happened, Who: "n",
+			Kind: SchedulerEvent, Who: "n",
 			Slot: 3, UsesList: true, Event: sq.FleetChanged{Kind: sq.FleetDelta},
 		}},
 		{`{"event_type":"Fleet","who":"n","scope":2,"generation":4}`, Message{
-			Kind: Happened, Who: "n",
+			Kind: SchedulerEvent, Who: "n",
 			Event: sq.FleetChanged{Kind: sq.FleetFailed},
 		}},
 		{
 			`{"event_type":"NeighbourSays","who":"n","sender":2,"payload":"hi"}`,
-			Message{Kind: Happened, Who: "n", Event: sq.PeerMessage{Peer: 2, Text: "hi"}},
+			Message{Kind: SchedulerEvent, Who: "n", Event: sq.PeerMessage{Peer: 2, Text: "hi"}},
 		},
 	} {
 		got, err := Decode([]byte(c.line))
@@ -95,10 +95,10 @@
 	if m.Kind != Open || m.Seed != 1<<63 || s.Self != 1 || s.Aggregators != 2 || !s.WatchMembership ||
 		s.Shards != 8 || s.Cells != 4 || s.CellsPerShard != 2 || s.CallOverhead != 7 ||
 		!s.Rules.Budgeted || s.Rules.ExtraAttemptRatio != 0.05 || s.Rules.FreeExtraAttempts != 10 || !s.Limits.Hedging {
-		t.Errorf("settings were misread: %+v", s)
+		t.Errorf("wrong settings: %+v", s)
 	}
 	if want := []sq.Tenant{{Name: "t", Quota: 1.5}}; !reflect.DeepEqual(s.Tenants, want) || s.OverQuotaValue != 0.2 {
-		t.Errorf("tenants: %+v, over their share worth %v", s.Tenants, s.OverQuotaValue)
+		t.Errorf("tenants: %+v, OverQuotaValue %v", s.Tenants, s.OverQuotaValue)
 	}
 	want := sq.Class{
 		Name: "c", LatencyTarget: 10, HardLimit: 20, Value: 2, Effect: sq.Deduplicated, DedupWindow: 5, CompleteWeight: 1,
@@ -109,10 +109,10 @@
 	}
 }
 
-func TestMalformedLines(t *testing.T) {
+func TestDecode_MalformedLines(t *testing.T) {
 	for _, c := range []struct{ line, says string }{
-		{`{`, "not a message"},
-		{`[]`, "not a message"},
+		{`{`, "malformed JSON message"},
+		{`[]`, "malformed JSON message"},
 		{`{"event_type":"End"} {}`, "more than one"},
 		{`{"event_type":"Nonsense"}`, "unknown event"},
 		{`{"event_type":"Tick","serial":1}`, `"at_time_us"`},
@@ -129,7 +129,7 @@
 		{`{"event_type":"Response","who":"n","txn":6,"shot":1,"server":"s","disposition":99,"latency_us":1}`, "99"},
 	} {
 		if _, err := Decode([]byte(c.line)); err == nil || !strings.Contains(err.Error(), c.says) {
-			t.Errorf("%s: error %v should mention %q", c.line, err, c.says)
+			t.Errorf("%s: error %v does not contain %q", c.line, err, c.says)
 		}
 	}
 }
@@ -162,7 +162,7 @@
 			t.Errorf("%T: got %s want %s", c.action, got, c.want)
 		}
 		if bytes.Count(got, []byte("\n")) != 1 || got[len(got)-1] != '\n' {
-			t.Errorf("%T: not one line: %q", c.action, got)
+			t.Errorf("%T: want exactly one line, got %q", c.action, got)
 		}
 	}
 }
@@ -173,8 +173,8 @@
 	f.Add([]byte(`{"event_type":"Ingress","who":"n","txn":6,"segment_no":1e300,"priority":"c","group_no":9}`))
 	f.Fuzz(func(t *testing.T, line []byte) {
 		m, err := Decode(line)
-		if err == nil && m.Kind == Happened && (m.Event == nil || m.Who == "" && !bytes.Contains(line, []byte("who"))) {
-			t.Errorf("%q: an event without content: %+v", line, m)
+		if err == nil && m.Kind == SchedulerEvent && (m.Event == nil || m.Who == "" && !bytes.Contains(line, []byte("who"))) {
+			t.Errorf("%q: decoded to an event without content: %+v", line, m)
 		}
 	})
 }
