--- a/internal/broker/simulation/agenda.go
+++ b/internal/broker/simulation/agenda.go
@@ -1,22 +1,23 @@
 package simulation
 
-// event is something that happens at a time. Events of the same time happen in the order they were scheduled.
+// event is a function that is scheduled at a time. Events of the same time run in the order in
+// which they were scheduled.
 type event struct {
 	at       int64
 	sequence int
 	do       func()
 }
 
-// before reports whether an event happens before another. No two events are equal.
+// before reports whether an event runs before another one. No two events are equal.
 func (e event) before(o event) bool {
 	return e.at < o.at || e.at == o.at && e.sequence < o.sequence
 }
 
-// agenda is a binary heap of events, the next one first.
-type agenda []event
+// eventQueue is a binary heap of events; the first one is next.
+type eventQueue []event
 
 // push adds an event.
-func (a *agenda) push(e event) {
+func (a *eventQueue) push(e event) {
 	*a = append(*a, e)
 	h := *a
 	for i := len(h) - 1; i > 0; {
@@ -29,8 +30,8 @@
 	}
 }
 
-// pop removes the next event. The agenda must not be empty.
-func (a *agenda) pop() event {
+// pop removes and returns the next event. The queue must not be empty.
+func (a *eventQueue) pop() event {
 	h := *a
 	next, last := h[0], len(h)-1
 	h[0], h[last] = h[last], event{}
--- a/internal/broker/simulation/clients.go
+++ b/internal/broker/simulation/clients.go
@@ -8,7 +8,7 @@
 	sq "saffronquay"
 )
 
-// query is a client's query over all its attempts.
+// query is a client's query, with all its attempts.
 type query struct {
 	id       sq.ID // of the latest attempt
 	class    int
@@ -19,17 +19,17 @@
 	shards   []int
 	over     bool // the latest attempt has ended
 	value    float64
-	tenant   int // -1: none
+	tenant   int // index in Settings.Tenants; -1: none
 }
 
-// scheduleQuery draws when the next query arrives. It repeats itself until the day ends.
+// scheduleQuery draws the arrival of the next query, and schedules itself again until the day ends.
 func (w *world) scheduleQuery() {
 	mean := 0.0
 	for i, n := range w.Parts {
 		mean += w.ClassMix[i] * float64(n)
 	}
-	capacity := float64(w.Servers*w.Cores) * 0.9                            // of the mean speed
-	rate := w.Load * w.loadFactor * capacity / (mean * float64(w.MeanWork)) // a microsecond
+	capacity := float64(w.Servers*w.Cores) * 0.9                            // at the mean speed of servers
+	rate := w.Load * w.loadFactor * capacity / (mean * float64(w.MeanWork)) // queries per microsecond
 	w.scheduleAfter(int64(w.rng.ExpFloat64()/rate)+1, func() {
 		if w.now-epochStart < w.Length {
 			w.newQuery()
@@ -38,7 +38,7 @@
 	})
 }
 
-// newQuery draws a query and lets its client send it.
+// newQuery draws a query and makes the first attempt of its client.
 func (w *world) newQuery() {
 	class := w.drawIndex(w.ClassMix)
 	q := &query{class: class, firstAt: w.now, tenant: -1}
@@ -57,7 +57,7 @@
 	w.attempt(q)
 }
 
-// drawIndex draws an index with the probabilities given, which add up to 1.
+// drawIndex draws an index with the given probabilities, which must add up to 1.
 func (w *world) drawIndex(probabilities []float64) int {
 	u, i := w.rng.Float64(), 0
 	for i < len(probabilities)-1 && u >= probabilities[i] {
@@ -67,7 +67,7 @@
 	return i
 }
 
-// drawShards draws n different shards, the popular ones more often.
+// drawShards draws n distinct shards; popular ones are drawn more often.
 func (w *world) drawShards(n int) []int {
 	var out []int
 	for len(out) < n {
@@ -79,8 +79,8 @@
 	return out
 }
 
-// attempt has a client send its query to a gatherer that is up, by the gatherers' traffic. If it finds none in 20 draws
-// it retries later.
+// attempt sends a query from its client to a gatherer that is up, drawn in proportion to the
+// gatherers' traffic. If none is found in 20 draws, the client retries later.
 func (w *world) attempt(q *query) {
 	var g *gatherer
 	for range 20 {
@@ -124,7 +124,7 @@
 	w.notify(g, events...)
 }
 
-// tenantName is the name of a query's tenant; empty for none.
+// tenantName returns the name of a query's tenant, or the empty string for none.
 func (w *world) tenantName(q *query) string {
 	if q.tenant < 0 {
 		return ""
@@ -132,7 +132,7 @@
 	return w.Settings.Tenants[q.tenant].Name
 }
 
-// retry has a client send its query again after a time, as often as the day allows.
+// retry schedules another attempt of a client after a time, unless its retries are used up.
 func (w *world) retry(q *query, wait int64) {
 	q.over = true
 	if q.attempts <= w.Retries {
--- a/internal/broker/simulation/days.go
+++ b/internal/broker/simulation/days.go
@@ -2,8 +2,10 @@
 
 import sq "saffronquay"
 
-// Fleet is a calm day of so many gatherers and servers in three zones. It has three classes: one of many parts, without value
-// when late; one of fewer; and one of two that must not run twice. Its load is 0.6 of capacity; parts take 18 ms.
+// Fleet returns a day without disturbances, with the given numbers of gatherers and servers in
+// three zones. It has three classes: one with many parts and no value when late, one with fewer
+// parts, and one with two parts that must not run twice. The load is 0.6 of capacity; parts take 18
+// ms.
 func Fleet(seed uint64, gatherers, servers int) Day {
 	class := func(name string, target, limit int64, value, late float64, e sq.Effect) sq.Class {
 		return sq.Class{
@@ -31,14 +33,14 @@
 	}
 }
 
-// Burst is a day with half as much load again in the middle.
+// Burst returns a day whose load is 50% higher for 4 s in the middle.
 func Burst(seed uint64, gatherers, servers int) Day {
 	d := Fleet(seed, gatherers, servers)
 	d.Events = []Disturbance{{At: 6 * second, Duration: 4 * second, Load: 1.5}}
 	return d
 }
 
-// ZoneLost is a day on which the servers of one zone stop for five seconds and return warming up.
+// ZoneLost returns a day on which the servers of one zone stop for five seconds and restart cold.
 func ZoneLost(seed uint64, gatherers, servers int) Day {
 	d := Fleet(seed, gatherers, servers)
 	d.Slow = slow
@@ -46,7 +48,8 @@
 	return d
 }
 
-// Herd is a day on which seven in ten gatherers are killed together in a release that restarts the servers in steps.
+// Herd returns a day on which 70% of the gatherers are killed at the same time, during a release
+// that restarts the servers in steps.
 func Herd(seed uint64, gatherers, servers int) Day {
 	d := Fleet(seed, gatherers, servers)
 	d.Events = []Disturbance{{At: 6 * second, Duration: 1500 * ms, Gatherers: func(i int) bool { return i%10 < 7 }}}
@@ -57,7 +60,7 @@
 	return d
 }
 
-// Join is a day on which six in ten servers restart within seven seconds.
+// Join returns a day on which 60% of the servers restart within seven seconds.
 func Join(seed uint64, gatherers, servers int) Day {
 	d := Fleet(seed, gatherers, servers)
 	for k := range 6 {
@@ -69,7 +72,7 @@
 	return d
 }
 
-// slow makes one of eight servers four times slower.
+// slow returns the slowdown of a server: one in eight is four times slower.
 func slow(i int) float64 {
 	if i%8 == 5 {
 		return 4
--- a/internal/broker/simulation/gatherers.go
+++ b/internal/broker/simulation/gatherers.go
@@ -6,30 +6,31 @@
 	sq "saffronquay"
 )
 
-// gatherer is one simulated gatherer with its own decision module.
+// gatherer is a simulated gatherer with its own decision module.
 type gatherer struct {
 	self      int
 	zone      string
 	module    *sq.Scheduler
-	run       int // number of its process
+	run       int // number of its process, incremented at each kill
 	up        bool
-	pending   []sq.Event // for the next step
-	stepAt    int64      // when that is due; 0: none is
+	pending   []sq.Event // events for the next step
+	stepAt    int64      // when the next step is due; 0: none is scheduled
 	steppedAt int64
 	parts     map[sq.ID]*part
 	queries   map[sq.ID]*query
-	weight    float64 // of the traffic
-	fleetSize int     // how many gatherers its module assumes
+	weight    float64 // share of the traffic, relative to the other gatherers
+	fleetSize int     // number of gatherers that its module assumes
 }
 
 // part is a part of a query at a gatherer.
 type part struct {
 	query *query
-	work  float64 // that it takes, unlike its hint
+	work  float64 // actual work; its hint differs
 	jobs  []*job  // its attempts
 }
 
-// startGatherer starts a gatherer's process, with nothing learnt and the list as of now.
+// startGatherer starts a gatherer's process without learned state and with the current list of
+// servers.
 func (w *world) startGatherer(g *gatherer) error {
 	g.fleetSize = w.Settings.Aggregators
 	m, err := sq.New(w.settingsOf(g, g.fleetSize), w.Seed<<16+uint64(g.self*100+g.run))
@@ -42,13 +43,13 @@
 	return nil
 }
 
-// notify gives events to a gatherer's module, which steps as soon as its period allows.
+// notify passes events to a gatherer's module, which steps as soon as its period allows.
 func (w *world) notify(g *gatherer, events ...sq.Event) {
 	g.pending = append(g.pending, events...)
 	w.scheduleStep(g, max(w.now, g.steppedAt+w.Settings.Period))
 }
 
-// scheduleStep has a gatherer's module step at a time, unless it steps sooner.
+// scheduleStep schedules a step of a gatherer's module, unless an earlier one is scheduled.
 func (w *world) scheduleStep(g *gatherer, at int64) {
 	if g.stepAt != 0 && g.stepAt <= at {
 		return
@@ -62,13 +63,14 @@
 		events := g.pending
 		g.pending, g.stepAt, g.steppedAt = nil, 0, w.now
 		for _, a := range g.module.Step(w.now, events) {
-			w.carryOut(g, a)
+			w.execute(g, a)
 		}
 	})
 }
 
-// carryOut does what a gatherer's module decided. Actions that the simulation has no use for are ignored.
-func (w *world) carryOut(g *gatherer, a sq.Action) {
+// execute executes an action of a gatherer's module. Actions that the simulation does not model
+// are ignored.
+func (w *world) execute(g *gatherer, a sq.Action) {
 	switch a := a.(type) {
 	case sq.Send:
 		w.startAttempt(g, a)
@@ -95,7 +97,7 @@
 	}
 }
 
-// answer ends a query, and counts its value where the answer is in time.
+// answer ends a query, and counts its value if the answer is in time.
 func (w *world) answer(g *gatherer, q *query) {
 	w.closeQuery(g, q)
 	if w.now > q.firstAt+w.Settings.Classes[q.class].LatencyTarget {
@@ -110,7 +112,7 @@
 	}
 }
 
-// fail ends a query. Its client retries unless it must not run twice.
+// fail ends a query. Its client retries unless the query must not run twice.
 func (w *world) fail(g *gatherer, q *query) {
 	w.closeQuery(g, q)
 	w.windowAt(w.now).Failed++
@@ -119,7 +121,7 @@
 	}
 }
 
-// setAlarm reports an alarm to the gatherer's process that set it.
+// setAlarm schedules an alarm of the gatherer's process that set it.
 func (w *world) setAlarm(g *gatherer, a sq.SetAlarm) {
 	run := g.run
 	w.schedule(a.At, func() {
@@ -129,7 +131,7 @@
 	})
 }
 
-// closeQuery ends a query at its gatherer and forgets its parts without attempts in flight.
+// closeQuery ends a query at its gatherer, and removes its parts that have no attempt in flight.
 func (w *world) closeQuery(g *gatherer, q *query) {
 	q.over = true
 	delete(g.queries, q.id)
--- a/internal/broker/simulation/histories_test.go
+++ b/internal/broker/simulation/histories_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// The same seed gives the day that was recorded. A history is the result of a day, without the names of fields.
+// The same seed gives the recorded day. A history is the result of a day without field names.
 func TestRecordedHistories(t *testing.T) {
 	played := map[string]string{}
 	for name, day := range map[string]func(uint64, int, int) Day{"calm": Fleet, "burst": Burst, "zone": ZoneLost, "herd": Herd, "join": Join} {
--- a/internal/broker/simulation/result.go
+++ b/internal/broker/simulation/result.go
@@ -4,41 +4,42 @@
 	"math"
 )
 
-// Window is what came of the queries that first arrived within one second. JSON keys that differ from a field's name
-// are those that readers of the command know.
+// Window summarizes one second: the queries that first arrived in it, and what happened in it. JSON
+// keys that differ from a field's name are kept for existing readers of the command's output.
 type Window struct {
 	Requested      float64 `json:"Asked"` // value of these queries
-	InTime         float64 // value of those that were answered in time
+	InTime         float64 // value of these queries that was answered in time
 	ClientAttempts int     `json:"Tries"` // arrivals at gatherers, retries included
 	Sends          int     // attempts of parts
 	Refused        int     // client attempts
 	Failed         int     // client attempts
 	Work           int64   // done by servers in that second
 	Outcomes       [10]int `json:"Ends"`   // of attempts, by sq.Outcome
-	Hedges         int     `json:"Copies"` // attempts sent while another was in flight
-	UsefulWork     float64 `json:"Useful"` // work, by its hints, of the parts of answers in time
+	Hedges         int     `json:"Copies"` // attempts sent while another one was in flight
+	UsefulWork     float64 `json:"Useful"` // work of the parts of queries answered in time, by its hints
 }
 
-// Result is what came of a day. JSON keys that differ from a field's name are those that readers of the command know.
+// Result summarizes a day. JSON keys that differ from a field's name are kept for existing readers
+// of the command's output.
 type Result struct {
 	Windows         []Window
-	Served          float64 // fraction of the value requested that came in time
-	Overloaded      int     `json:"Toppled"` // servers of a core or more that got more than the rule allows while they warmed up
-	WorstLoad       float64 `json:"Worst"`   // the most that a warming server got within a window, over what the rule allows
-	LeastWarmUpWork float64 `json:"Warming"` // the least that a server got while it warmed up, over what it could do; 1: none did
-	WorstBudget     float64 `json:"Chance"`  // the most in parts of mean work, over the budget N and its chance excess, 2·√N + 2
-	RunTwice        int     `json:"Twice"`   // parts that may have run and must not run twice, but were sent again
-	// What came of the value by class, by third of the day and by tenant.
+	Served          float64 // fraction of the requested value that was answered in time
+	Overloaded      int     `json:"Toppled"` // warming servers with a core or more of capacity that got more work than the rule allows
+	WorstLoad       float64 `json:"Worst"`   // maximum work of a warming server within a window, relative to what the rule allows
+	LeastWarmUpWork float64 `json:"Warming"` // minimum work of a warming server, relative to its capacity; 1: no server warmed up
+	WorstBudget     float64 `json:"Chance"`  // maximum work in parts of mean work, relative to the budget N and its statistical margin, 2·√N + 2
+	RunTwice        int     `json:"Twice"`   // parts that must not run twice, may have run, and were sent again
+	// Classes, Thirds and Tenants have the value by class, by third of the day and by tenant.
 	Classes, Thirds, Tenants []Portion
 }
 
-// Portion is a part of the value requested, and what of it came in time.
+// Portion is a part of the requested value, and how much of it was answered in time.
 type Portion struct {
 	Requested float64 `json:"Asked"`
 	InTime    float64
 }
 
-// Served is the fraction that came in time; 1 where nothing was requested.
+// Served returns the fraction that was answered in time; 1 if nothing was requested.
 func (p Portion) Served() float64 {
 	if p.Requested == 0 {
 		return 1
@@ -46,12 +47,12 @@
 	return p.InTime / p.Requested
 }
 
-// windowAt is the window of a time; the first or last for times outside of the day.
+// windowAt returns the window of a time; the first or the last one for times outside the day.
 func (w *world) windowAt(t int64) *Window {
 	return &w.result.Windows[min(max(0, (t-epochStart)/second), int64(len(w.result.Windows)-1))]
 }
 
-// portions are those that a query's value counts for.
+// portions returns the portions to which a query's value belongs.
 func (w *world) portions(q *query) []*Portion {
 	third := min(2, 3*(q.firstAt-epochStart)/max(1, w.Length))
 	ps := []*Portion{&w.result.Classes[q.class], &w.result.Thirds[third]}
@@ -61,8 +62,8 @@
 	return ps
 }
 
-// recordWarmUp compares what a warming server got with the rule. The module's bound is for servers of a core or more,
-// since no server reports its capacity: slower ones do not count here.
+// recordWarmUp compares the work that a warming server got with the rule. The module's limit is for
+// servers of a core or more, since servers do not report their capacity: slower ones are skipped.
 func (w *world) recordWarmUp(s *server) {
 	r := w.Settings.Rules
 	if s.speed*float64(w.Cores) < 1 {
--- a/internal/broker/simulation/servers.go
+++ b/internal/broker/simulation/servers.go
@@ -9,63 +9,63 @@
 
 // How servers account for their load.
 const (
-	busySpan       = 200 * ms // time in which the past halves its weight in server.busy
+	busySpan       = 200 * ms // half-life of the past in server.busy
 	reportInterval = 150 * ms // between two updates of a server's report
 )
 
-// server is one simulated server. Its process number grows with each stop, so that what an earlier process ran is
-// recognized.
+// server is a simulated server. Its process number is incremented at each stop, so that jobs of an
+// earlier process can be recognized.
 type server struct {
 	id         sq.ServerID
 	index      int
 	zone       string
-	speed      float64 // work in a microsecond of one core, when warm
+	speed      float64 // work per microsecond of one core, when warm
 	up         bool
 	draining   bool
-	startedAt  int64 // of this process; 0: it is warm
+	startedAt  int64 // start of this process; 0: it is warm
 	process    int
 	running    int     // jobs on cores
-	queue      []*job  // running and waiting, in order of arrival
+	queue      []*job  // running and waiting jobs, in order of arrival
 	busy       float64 // decaying mean of the fraction of busy cores
-	busyAt     int64   // when that was last brought up to date
+	busyAt     int64   // when busy was last updated
 	report     sq.LoadReport
-	reportedAt int64      // when report was made: it is brought up to date at intervals only
-	warmUpWork []workSent // work that it got while warming up
+	reportedAt int64      // when report was last updated
+	warmUpWork []workSent // work that it got while it warmed up
 }
 
-// workSent is work that reached a server.
+// workSent is work that reached a server at a time.
 type workSent struct {
 	at   int64
 	work float64
 }
 
-// jobState is how far a job has come.
+// jobState is the progress of a job.
 type jobState int
 
 // The states of a job.
 const (
-	jobWaiting jobState = iota // on its way, or in the queue
+	jobWaiting jobState = iota // in transit or in the queue
 	jobRunning
 	jobEnded
 )
 
-// neverRan is the process of a job that did not run.
+// neverRan is the process number of a job that did not run.
 const neverRan = -1
 
-// job is one attempt of a part, as the simulation sees it.
+// job is one attempt of a part.
 type job struct {
 	gatherer    *gatherer
-	gathererRun int // of the gatherer's process
+	gathererRun int // number of the gatherer's process
 	send        sq.Send
 	attempt     int
 	sentAt      int64
 	work        float64
 	server      *server
-	process     int // of the server's process that got it; neverRan
+	process     int // number of the server's process that got it, or neverRan
 	state       jobState
 }
 
-// speedAt is a server's speed at a time: less while it warms up.
+// speedAt returns a server's speed at a time, which is lower while it warms up.
 func (s *server) speedAt(now int64, d *Day) float64 {
 	if s.startedAt == 0 || now-s.startedAt >= d.WarmUp {
 		return s.speed
@@ -73,7 +73,7 @@
 	return s.speed * (d.SlowStartFraction + (1-d.SlowStartFraction)*float64(now-s.startedAt)/float64(d.WarmUp))
 }
 
-// stopServer ends a server's process; what it ran breaks.
+// stopServer stops a server's process; its jobs end as Broken.
 func (w *world) stopServer(s *server) {
 	s.up = false
 	s.process++
@@ -83,7 +83,7 @@
 	s.queue, s.running = nil, 0
 }
 
-// transitTime draws how long a message takes between two zones.
+// transitTime draws the time that a message takes between two zones.
 func (w *world) transitTime(a, b string) int64 {
 	if a != b {
 		return 600 + w.rng.Int64N(200)
@@ -91,7 +91,7 @@
 	return 250 + w.rng.Int64N(100)
 }
 
-// arriveAtServer has a job reach its server, which accepts or rejects it.
+// arriveAtServer delivers a job to its server, which accepts or rejects it.
 func (w *world) arriveAtServer(j *job) {
 	s := j.server
 	switch {
@@ -112,7 +112,7 @@
 	}
 }
 
-// serve puts waiting jobs on free cores.
+// serve starts waiting jobs on free cores.
 func (w *world) serve(s *server) {
 	w.updateLoad(s)
 	for _, j := range s.queue {
@@ -136,7 +136,7 @@
 	}
 }
 
-// removeFromServer takes a job off its server, and lets the next one run.
+// removeFromServer removes a job from its server and starts the next one.
 func (w *world) removeFromServer(s *server, j *job) {
 	if i := slices.Index(s.queue, j); i >= 0 {
 		s.queue = slices.Delete(s.queue, i, i+1)
@@ -148,7 +148,7 @@
 	}
 }
 
-// updateLoad brings up to date how busy a server has been and, at intervals, its report.
+// updateLoad updates a server's busy fraction and, at intervals, its report.
 func (w *world) updateLoad(s *server) {
 	k := math.Exp2(-float64(w.now-s.busyAt) / float64(busySpan))
 	s.busy, s.busyAt = s.busy*k+(1-k)*float64(s.running)/float64(w.Cores), w.now
@@ -158,7 +158,7 @@
 	}
 }
 
-// abandon ends a job that its gatherer no longer waits for; its work stops.
+// abandon ends a job whose result its gatherer no longer needs, and stops its work.
 func (w *world) abandon(j *job, o sq.Outcome) {
 	if j.state == jobEnded {
 		return
@@ -170,7 +170,7 @@
 	w.endAttempt(j, o, 0)
 }
 
-// endAttempt ends a job, and notifies its gatherer after the transit time. A job ends once.
+// endAttempt ends a job once, and notifies its gatherer after the transit time.
 func (w *world) endAttempt(j *job, o sq.Outcome, transit int64) {
 	if j.state == jobEnded {
 		return
--- a/internal/broker/simulation/slowstart_test.go
+++ b/internal/broker/simulation/slowstart_test.go
@@ -8,9 +8,10 @@
 	sq "saffronquay"
 )
 
-// slowStart is a day on which a quarter of the servers are lost and come back warming up, with two, twenty or thirty gatherers of which a tenth
-// have several times the traffic of the others. With restarts a third of the gatherers is killed just before the servers return, and another
-// third while they warm up: those have neither learnt what warm servers carry nor saved any credit.
+// slowStart returns a day on which a quarter of the servers are lost and restart cold. A tenth of
+// the gatherers has several times the traffic of the others. With restarts, a third of the
+// gatherers is killed just before the servers return, and another third while they warm up: these
+// have neither learned what warm servers can process nor saved any credit.
 func slowStart(seed uint64, gatherers int, work int64, restarts bool) Day {
 	d := Fleet(seed, gatherers, 12)
 	scale := work / d.MeanWork
@@ -28,15 +29,18 @@
 	return d
 }
 
-// Gatherers without shared state send a warming server, all together, no more than its budget of N calls and a chance excess of 2·√N + 2: with
-// two, twenty or thirty of them, uneven traffic, restarts among them, many small parts or few large ones. All the same the server gets work
-// while it warms up (a fifth of what it could do, but few hundredths where parts are large and gatherers many), and queries are served.
+// Gatherers without shared state send a warming server, in total, at most its budget of N calls
+// plus a statistical margin of 2·√N + 2: with two, twenty or thirty gatherers, uneven traffic,
+// restarts, and with many small or few large parts. The server still gets work while it warms up (a
+// fifth of its capacity, but only a few hundredths if parts are large and gatherers many), and
+// queries are served.
 //
-// What the bound rests on: servers of a core or more; a number of gatherers (Settings.Aggregators) that is the fleet's; hints, or served
-// work, that are about right in the mean; clocks that agree on a start to within the window; and gatherers whose list shows the start.
-func TestTheSumToAWarmingServer(t *testing.T) {
+// The bound assumes servers of a core or more, that Settings.Aggregators is the actual number of
+// gatherers, that hints or served work are about right on average, that clocks agree on a start to
+// within the window, and that the gatherers' lists show the start.
+func TestPlay_WarmUpBudget(t *testing.T) {
 	seeds, fleets, after := uint64(6), []int{2, 20, 30}, []bool{false, true}
-	if harness.RaceEnabled { // the rest is played without the race detector, which makes a day ten times as long
+	if harness.RaceEnabled { // fewer days: the race detector makes each ten times as long
 		seeds, fleets, after = 1, []int{2, 30}, []bool{true}
 	}
 	for _, n := range fleets {
@@ -52,9 +56,9 @@
 						}
 						worst, served, warm = max(worst, r.WorstBudget), min(served, r.Served), min(warm, r.LeastWarmUpWork)
 					}
-					t.Logf("at most %.2f of the budget and chance; %.3f served; a warming server did %.2f of what it could", worst, served, warm)
+					t.Logf("at most %.2f of the budget with its margin; %.3f served; at least %.2f of a warming server's capacity used", worst, served, warm)
 					if worst > 1 || served < 0.9 || warm < 0.01 {
-						t.Errorf("at most %.2f of the budget and chance, want 1; %.3f served, want 0.9; a warming server did %.2f of what it could, want 0.01",
+						t.Errorf("at most %.2f of the budget with its margin, want 1; %.3f served, want 0.9; at least %.2f of a warming server's capacity used, want 0.01",
 							worst, served, warm)
 					}
 				})
@@ -63,14 +67,16 @@
 	}
 }
 
-// No class, effect, third of the day or tenant is starved by another: each has at least a third of the fraction served that the day as a whole
-// has, on calm days, under a burst, under an overload that lasts, and with a zone lost; whether the many parts belong to the class of the
-// highest value or to that of the lowest. Under overload the value of a class decides what goes first, so that the lowest gets least.
-func TestNoClassOrTenantIsStarved(t *testing.T) {
+// No class, effect, third of the day or tenant is starved: each is served at least a third of the
+// fraction that the day as a whole is served, without disturbances, under a burst, under lasting
+// overload and with a zone lost, whether the queries with many parts have the highest or the lowest
+// value. Under overload the value of a class decides what is shed first, so that the class with the
+// lowest value gets the least.
+func TestPlay_NoClassOrTenantStarved(t *testing.T) {
 	for name, day := range map[string]func(uint64, int, int) Day{
 		"calm": Fleet, "burst": Burst, "zone": ZoneLost,
 		"overload": func(seed uint64, g, s int) Day { d := Fleet(seed, g, s); d.Load = 1.3; return d },
-		"heavy and cheap": func(seed uint64, g, s int) Day {
+		"many parts, lowest value": func(seed uint64, g, s int) Day {
 			d := Fleet(seed, g, s)
 			d.Load, d.Settings.Classes[0].Value, d.Settings.Classes[2].Value = 1.2, 1, 4
 			return d
@@ -95,7 +101,7 @@
 			for what, ps := range map[string][]Portion{"class": r.Classes, "third": r.Thirds, "tenant": r.Tenants} {
 				for i, p := range ps {
 					if p.Served() < r.Served/3 {
-						t.Errorf("%s %d: %.3f served, of all %.3f", what, i, p.Served(), r.Served)
+						t.Errorf("%s %d: %.3f served, %.3f of the whole day", what, i, p.Served(), r.Served)
 					}
 				}
 			}
--- a/internal/broker/simulation/split_test.go
+++ b/internal/broker/simulation/split_test.go
@@ -10,9 +10,11 @@
 	views "saffronquay/internal/cluster/swim/simulation"
 )
 
-// While a fleet is partitioned in halves and both go on, what it sends to a warming server and what it admits of a contract stay below their
-// bounds in sum: each half divides by the estimated members. Divided by the members alive it would be twice as much.
-func TestSumsWhileTheFleetIsSplit(t *testing.T) {
+// While a fleet is partitioned into halves that both continue, the total work that it sends to a
+// warming server, and the total that it admits under a contract, stay below their limits: each half
+// divides by the estimated number of members. Divided by the number of members alive, the totals
+// would be twice as high.
+func TestPlay_PartitionedFleetKeepsLimits(t *testing.T) {
 	const n = 24
 	s, err := faults.Parse("at 3s for 30s cut 0-11 12-23", n)
 	if err != nil {
@@ -22,7 +24,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	// The lowest number of any view at a time, as the program follows it, and the same of the members alive.
+	// by returns the divisor over time, from the minimum over all views, as the program computes
+	// it.
 	by := func(of func(views.Sample) int) func(at int64) int {
 		var f swim.Divisor
 		return func(at int64) int {
@@ -33,13 +36,13 @@
 	}
 	estimate, alive := by(func(x views.Sample) int { return x.MinEffectiveSize }), by(func(x views.Sample) int { return x.MinAlive })
 	if last := r.Samples[len(r.Samples)-1]; last.MinEffectiveSize != n || last.MinAlive != n/2 {
-		t.Fatalf("at the end views estimate %d and see %d", last.MinEffectiveSize, last.MinAlive)
+		t.Fatalf("at the end views estimate %d members and %d alive", last.MinEffectiveSize, last.MinAlive)
 	}
 	worst := map[string]float64{}
 	for name, divide := range map[string]func(int64) int{"file": nil, "estimate": estimate, "alive": alive} {
 		d := Join(3, n, n)
 		d.Length, d.FleetSize, d.MembershipDelay = 14*second, divide, 1*second
-		for i := range d.Events { // the list shows each before it is back
+		for i := range d.Events { // the list shows each restart before the server is back
 			d.Events[i].At, d.Events[i].Duration = d.Events[i].At+4*second, 3*second
 		}
 		out, err := Play(d)
@@ -48,11 +51,11 @@
 		}
 		worst[name] = out.WorstLoad
 		if name == "estimate" && out.Overloaded > 0 || out.RunTwice > 0 {
-			t.Errorf("by %s: %d warming servers got too much, the worst %.2f of it; %d run twice", name, out.Overloaded, out.WorstLoad, out.RunTwice)
+			t.Errorf("by %s: %d warming servers overloaded, at most %.2f of the allowed work; %d run twice", name, out.Overloaded, out.WorstLoad, out.RunTwice)
 		}
 	}
-	t.Logf("the most that a warming server got, of what it may get: %v", worst)
-	// A contract: what all gates together admit, each with more requests than it may admit.
+	t.Logf("maximum work of a warming server, relative to the allowed work: %v", worst)
+	// Contracts: the total that all gates admit, each of which gets more requests than it may admit.
 	out := func(divide int) (sum int) {
 		for range n {
 			g := admission.New(admission.Config{Cores: 240, Oversubscription: 1, Gatherers: divide, Teams: []admission.Team{{Name: "a", Weight: 1}}})
@@ -66,11 +69,11 @@
 	}
 	at := 29 * second
 	byEstimate, byAlive := out(estimate(at)), out(alive(at))
-	for range 20 { // it goes down in steps
+	for range 20 { // the divisor decreases in steps
 		at += second
 		byAlive = out(alive(at))
 	}
 	if byEstimate > 240 || byAlive < 400 {
-		t.Errorf("of 240 parts at a time both halves have %d by the estimated members, and %d by those alive", byEstimate, byAlive)
+		t.Errorf("of 240 concurrent parts both halves admit %d by the estimated members, and %d by those alive", byEstimate, byAlive)
 	}
 }
--- a/internal/broker/simulation/world.go
+++ b/internal/broker/simulation/world.go
@@ -8,23 +8,23 @@
 	sq "saffronquay"
 )
 
-// world is the state of a day while it is played. It runs on one goroutine.
+// world is the state of a day that is being simulated. It runs on one goroutine.
 type world struct {
 	Day
 	rng         *rand.Rand
 	now         int64
-	sequence    int // of the latest scheduled event
-	agenda      agenda
+	sequence    int // of the last scheduled event
+	queue       eventQueue
 	servers     []*server
 	byID        map[sq.ServerID]*server
 	gatherers   []*gatherer
-	totalWeight float64 // of gatherers' weights
+	totalWeight float64 // sum of the gatherers' weights
 	lastID      sq.ID
-	loadFactor  float64
+	loadFactor  float64 // current factor on the load
 	result      Result
 }
 
-// Play plays a day. It fails only if the settings are not valid.
+// Play simulates a day. It fails only if the settings are invalid.
 func Play(d Day) (Result, error) {
 	w := &world{
 		Day: d, rng: rand.New(rand.NewPCG(d.Seed, 77)), byID: map[sq.ServerID]*server{}, loadFactor: 1, now: epochStart,
@@ -45,16 +45,16 @@
 	}
 	w.scheduleQuery()
 	end := epochStart + d.Length + 4*second
-	for len(w.agenda) > 0 && w.agenda[0].at <= end {
-		e := w.agenda.pop()
+	for len(w.queue) > 0 && w.queue[0].at <= end {
+		e := w.queue.pop()
 		w.now = e.at
 		e.do()
 	}
-	w.sumUp()
+	w.computeResult()
 	return w.result, nil
 }
 
-// addServers draws the servers' speeds.
+// addServers creates the servers and draws their speeds.
 func (w *world) addServers() {
 	for i := range w.Servers {
 		s := &server{
@@ -68,7 +68,8 @@
 	}
 }
 
-// addGatherers draws the gatherers' traffic, of which one in ten has three times as much, and starts them.
+// addGatherers creates and starts the gatherers, and draws their traffic. One in ten has three
+// times the traffic.
 func (w *world) addGatherers() error {
 	for i := range w.Settings.Aggregators {
 		g := &gatherer{self: i, zone: fmt.Sprint("z", i%max(1, w.Zones)), weight: 0.3 + 1.4*w.rng.Float64()}
@@ -84,8 +85,8 @@
 	return nil
 }
 
-// sumUp computes the results of the day from its windows and servers.
-func (w *world) sumUp() {
+// computeResult computes the results of the day from its windows and servers.
+func (w *world) computeResult() {
 	requested, inTime := 0.0, 0.0
 	for _, x := range w.result.Windows {
 		requested, inTime = requested+x.Requested, inTime+x.InTime
@@ -96,16 +97,16 @@
 	}
 }
 
-// schedule has something done at a time, or now if that is past.
+// schedule schedules a function at a time, or now if that time has passed.
 func (w *world) schedule(t int64, do func()) {
 	w.sequence++
-	w.agenda.push(event{at: max(t, w.now), sequence: w.sequence, do: do})
+	w.queue.push(event{at: max(t, w.now), sequence: w.sequence, do: do})
 }
 
-// scheduleAfter has something done after a time.
+// scheduleAfter schedules a function after a delay.
 func (w *world) scheduleAfter(d int64, do func()) { w.schedule(w.now+d, do) }
 
-// beginDisturbance lets a disturbance begin, and schedules its end.
+// beginDisturbance starts a disturbance and schedules its end.
 func (w *world) beginDisturbance(e Disturbance) {
 	if e.Load > 0 {
 		w.loadFactor = e.Load
@@ -119,7 +120,8 @@
 	}
 }
 
-// disturbServers stops or drains servers, restarts them after the disturbance, and has the list follow later.
+// disturbServers stops or drains servers and restarts them after the disturbance. The list follows
+// with a delay.
 func (w *world) disturbServers(e Disturbance) {
 	var changed []sq.ServerID
 	for _, s := range w.servers {
@@ -145,7 +147,8 @@
 	}
 }
 
-// disturbGatherers kills gatherers, whose clients retry elsewhere, and restarts them after the disturbance.
+// disturbGatherers kills gatherers, whose clients retry elsewhere, and restarts them after the
+// disturbance.
 func (w *world) disturbGatherers(e Disturbance) {
 	for _, g := range w.gatherers {
 		if !e.Gatherers(g.self) {
@@ -161,8 +164,8 @@
 	}
 }
 
-// updateFleetSize notifies every gatherer's module of the number of gatherers, where that has changed, each in an event
-// of its own. It repeats itself.
+// updateFleetSize notifies every gatherer's module of the number of gatherers if it has changed,
+// each in an event of its own, and schedules itself again.
 func (w *world) updateFleetSize() {
 	n := max(1, w.FleetSize(w.now-epochStart))
 	for _, g := range w.gatherers {
@@ -174,14 +177,14 @@
 	w.scheduleAfter(500*ms, w.updateFleetSize)
 }
 
-// settingsOf is the settings of a gatherer in a fleet of n.
+// settingsOf returns the settings of a gatherer in a fleet of n.
 func (w *world) settingsOf(g *gatherer, n int) sq.Settings {
 	cfg := w.Settings
 	cfg.Aggregators, cfg.Self, cfg.Zone = n, min(g.self, n-1), g.zone
 	return cfg
 }
 
-// serverList is the list of servers as of now.
+// serverList returns the current list of servers.
 func (w *world) serverList() []sq.Server {
 	var l []sq.Server
 	for _, s := range w.servers {
@@ -196,7 +199,7 @@
 	return l
 }
 
-// announce notifies all gatherers of servers as they are now, each after a delay of its own.
+// announce notifies all gatherers of the current state of servers, each after its own delay.
 func (w *world) announce(ids []sq.ServerID) {
 	var l []sq.Server
 	for _, v := range w.serverList() {
@@ -214,7 +217,8 @@
 	}
 }
 
-// sorted is the ids of a map in order, so that what is done for each does not depend on the map.
+// sorted returns the IDs of a map in order, so that results do not depend on the order of
+// iteration.
 func sorted[V any](m map[sq.ID]V) []sq.ID {
 	ids := make([]sq.ID, 0, len(m))
 	for id := range m {
