--- a/internal/broker/handover/handover_test.go
+++ b/internal/broker/handover/handover_test.go
@@ -18,7 +18,7 @@
 	text := completeState.Append(nil)
 	got, err := Parse(text)
 	if err != nil || !reflect.DeepEqual(got, completeState) {
-		t.Fatalf("%+v %v", got, err)
+		t.Fatalf("got %+v, %v", got, err)
 	}
 	for i := range text {
 		if _, err := Parse(text[:i]); err == nil {
@@ -51,7 +51,7 @@
 	}
 	got, err := Parse(s.Append(nil))
 	if err != nil || len(got.Suspects) != maxSuspects || got.Suspects["key9999"] != 9999 {
-		t.Errorf("%d suspects, %v", len(got.Suspects), err)
+		t.Errorf("%d suspects, error %v", len(got.Suspects), err)
 	}
 }
 
@@ -61,7 +61,7 @@
 	f.Add([]byte(`{"v":1,"labels":{"a":[]},"suspects":{"b":null}}`))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		if s, err := Parse(b); err == nil && (s.Open < 0 || s.Sockets < 0 || s.Admission < 0 || s.Admission > 1) {
-			t.Errorf("%+v", s)
+			t.Errorf("value out of range: %+v", s)
 		}
 	})
 }
@@ -71,7 +71,7 @@
 func TestNewest(t *testing.T) {
 	s, ok := Newest([]State{{Since: 5, At: 30}, {Since: 20, At: 25, Standby: true}, {Since: 1, At: 31}})
 	if !ok || !s.Standby {
-		t.Errorf("%+v %t", s, ok)
+		t.Errorf("Newest returned %+v, %t", s, ok)
 	}
 	if _, ok := Newest(nil); ok {
 		t.Error("Newest found a state in an empty list")
--- a/internal/broker/http1/parser_test.go
+++ b/internal/broker/http1/parser_test.go
@@ -98,7 +98,7 @@
 	long := "GET / HTTP/1.1\r\nHost: x\r\nX: " + strings.Repeat("y", MaxHead)
 	for _, text := range []string{long, long + "\r\n\r\n"} {
 		if got := read(false, false, text); got != "status 431\n" {
-			t.Errorf("got %q", got)
+			t.Errorf("got %q, want status 431", got)
 		}
 	}
 	fits := "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 65536\r\n\r\n" + strings.Repeat("z", MaxBody)
@@ -119,7 +119,7 @@
 		}
 	}
 	if got.Len() != 2*MaxBody {
-		t.Errorf("got %d bytes", got.Len())
+		t.Errorf("OnBody got %d bytes", got.Len())
 	}
 }
 
--- a/internal/broker/transport/conn_end.go
+++ b/internal/broker/transport/conn_end.go
@@ -30,14 +30,14 @@
 // because load varies from day to day and servers pause now and then.
 func (p *pool) quietLimit() int64 { return p.scaledTimeout(8, 30_000) }
 
-// scaledTimeout returns n times the typical latency, but at least least and at most
+// scaledTimeout returns n times the typical latency, limited to the range from minimum to
 // unresponsiveAfter. While no latency is known it returns unresponsiveAfter. Times are
 // microseconds.
-func (p *pool) scaledTimeout(n float64, least int64) int64 {
+func (p *pool) scaledTimeout(n float64, minimum int64) int64 {
 	if p.typicalLatency == 0 {
 		return unresponsiveAfter
 	}
-	return min(max(int64(n*p.typicalLatency), least), unresponsiveAfter)
+	return min(max(int64(n*p.typicalLatency), minimum), unresponsiveAfter)
 }
 
 // unansweredSince returns since when a connection has had an open call and has delivered nothing; 0
--- a/internal/broker/transport/endings_test.go
+++ b/internal/broker/transport/endings_test.go
@@ -271,7 +271,7 @@
 	w.waitForConn("the last answer has been sent", func(c *clientConn) bool { return !c.answering })
 	close(w.afterRead.release)
 	if got, err := io.ReadAll(conn); err != nil || !strings.Contains(string(got), "200 OK") {
-		t.Errorf("%q, %v", got, err)
+		t.Errorf("got %q, %v", got, err)
 	}
 }
 
--- a/internal/broker/transport/engine.go
+++ b/internal/broker/transport/engine.go
@@ -239,8 +239,8 @@
 }
 
 // SetKillDeadline sets the time, in Unix microseconds, at which this process may be killed. The
-// deadlines of queries that arrive later are limited to it, whatever deadlines their clients ask
-// for.
+// deadlines of queries that arrive later are limited to it, whatever deadlines their clients
+// request.
 func (e *Engine) SetKillDeadline(at int64) {
 	e.post(func(int64) { e.killDeadline = at })
 }
--- a/internal/broker/transport/exchange.go
+++ b/internal/broker/transport/exchange.go
@@ -113,7 +113,7 @@
 		}
 		text, err := readStateFile(path)
 		if err != nil {
-			continue // its process has just removed it
+			continue // its process may have just removed it
 		}
 		if s, err := handover.Parse(text); err == nil && s.Name == b.name && s.IsFresh(b.clock.Now()) {
 			others = append(others, s)
--- a/internal/broker/transport/follower.go
+++ b/internal/broker/transport/follower.go
@@ -287,13 +287,13 @@
 		}
 		switch {
 		case err != nil:
-			return fmt.Errorf("full list: %w", err)
+			return fmt.Errorf("fetch full list: %w", err)
 		case m != nil && m.Status != 200:
-			return fmt.Errorf("full list: %w", statusError(m.Status))
+			return fmt.Errorf("fetch full list: %w", statusError(m.Status))
 		case m != nil:
 			return f.source.applyFull(m.Body, address)
 		case rerr != nil:
-			return fmt.Errorf("full list: %w", rerr)
+			return fmt.Errorf("fetch full list: %w", rerr)
 		}
 	}
 }
--- a/internal/broker/transport/idle.go
+++ b/internal/broker/transport/idle.go
@@ -107,9 +107,9 @@
 	return -1
 }
 
-// startIdleCloser starts to close idle connections: after after those that have been idle for
-// idleCloseMin, after last all of them. A running closer is replaced only if the new one begins
-// sooner. The caller holds the lock.
+// startIdleCloser starts a goroutine that closes idle connections: once after has passed, those
+// that have been idle for idleCloseMin; once last has passed, all of them. A running one is
+// replaced only if the new one begins sooner. The caller holds the lock.
 func (l *Listener) startIdleCloser(after, last time.Duration) {
 	if l.closed || l.idleCloser != nil && after >= l.idleCloserDelay {
 		return
--- a/internal/broker/transport/listener_test.go
+++ b/internal/broker/transport/listener_test.go
@@ -80,11 +80,11 @@
 		}
 		io.Copy(io.Discard, answer.Body)
 		if answer.StatusCode != want {
-			t.Errorf("%d, want %d", answer.StatusCode, want)
+			t.Errorf("status %d, want %d", answer.StatusCode, want)
 		}
 	}
 	if n, open := e.metrics.Panics.Load(), e.metrics.OpenRequests.Load(); n != 1 || open != 0 {
-		t.Errorf("%d panics, %d open requests", n, open)
+		t.Errorf("%d panics, %d open requests; want 1 and 0", n, open)
 	}
 }
 
@@ -156,7 +156,7 @@
 	conn.SetReadDeadline(time.Now().Add(testTimeout))
 	got, err := io.ReadAll(conn)
 	if err != nil || len(got) < 12 || string(got[9:12]) != "408" {
-		t.Errorf("%q, %v", got, err)
+		t.Errorf("got %q, %v", got, err)
 	}
 }
 
@@ -170,7 +170,7 @@
 	defer conn.Close()
 	conn.SetReadDeadline(time.Now().Add(testTimeout))
 	if got, err := io.ReadAll(conn); err != nil || len(got) > 0 {
-		t.Errorf("%q, %v", got, err)
+		t.Errorf("got %q, %v", got, err)
 	}
 }
 
@@ -186,7 +186,7 @@
 	conn.SetDeadline(time.Now().Add(testTimeout))
 	fmt.Fprint(conn, "GET /held HTTP/1.1\r\nHost: x\r\n\r\nwhat now?\r\n\r\n")
 	if got, err := io.ReadAll(conn); err != nil || len(got) < 12 || string(got[9:12]) != "400" {
-		t.Errorf("%q, %v", got, err)
+		t.Errorf("got %q, %v", got, err)
 	}
 	if n := e.OpenQueries(); n != 0 {
 		t.Errorf("%d queries are open, want 0", n)
@@ -219,7 +219,7 @@
 	}
 	got, err := io.ReadAll(conns[1])
 	if err != nil || len(got) < 12 || string(got[9:12]) != "503" || !strings.Contains(string(got), "\r\nRetry-After: 1\r\n") {
-		t.Errorf("%q, %v", got, err)
+		t.Errorf("got %q, %v", got, err)
 	}
 	conns[0].Close()
 	for end := time.Now().Add(testTimeout); l.partialBytes.Load() != 0; {
@@ -248,7 +248,7 @@
 		"being evicted":                 {clientConn{evicted: true, idleSince: ago(time.Hour)}, -1},
 	} {
 		if got := c.conn.evictionRank(now); got != c.want {
-			t.Errorf("%s: %d, want %d", name, got, c.want)
+			t.Errorf("%s: rank %d, want %d", name, got, c.want)
 		}
 	}
 }
@@ -302,7 +302,7 @@
 	fmt.Fprint(conn, strings.Repeat("GET / HTTP/1.1\r\nHost: x\r\n\r\n", 3))
 	got, err := io.ReadAll(conn)
 	if n := strings.Count(string(got), "HTTP/1.1 200"); err != nil || n != 3 {
-		t.Errorf("%d answers, %v", n, err)
+		t.Errorf("%d answers, want 3; %v", n, err)
 	}
 }
 
@@ -414,6 +414,6 @@
 	fmt.Fprint(conn, "GET / HTTP/1.1\r\nHost: x\r\n\r\n")
 	conn.SetDeadline(time.Now().Add(testTimeout))
 	if got, err := io.ReadAll(conn); err != nil || !strings.Contains(string(got), "200 OK") || !strings.Contains(string(got), "Connection: close") {
-		t.Errorf("%q %v", got, err)
+		t.Errorf("got %q, %v", got, err)
 	}
 }
--- a/internal/broker/transport/pool.go
+++ b/internal/broker/transport/pool.go
@@ -133,7 +133,7 @@
 	// lost under a call, in microseconds. Such a loss ends all calls on the connection, and parts
 	// that must not run twice are then lost.
 	isolationPeriod   = 10_000_000
-	maxConnsPerServer = 8 // to one server during that period
+	maxConnsPerServer = 8 // limit per server for connections opened because others were lost, are quiet or are late
 	// maxAnswerPause is how long an incomplete answer may deliver nothing, in microseconds. Servers
 	// write an answer in one go.
 	maxAnswerPause = 250_000
@@ -159,7 +159,8 @@
 	p.onReply(now, r)
 }
 
-// observeLatency updates the typical latency with a call that was served.
+// observeLatency updates the typical latency with a call that was served, and counts the quiet
+// connections that the call has overtaken.
 func (p *pool) observeLatency(now int64, c *serverConn, r core.Reply, sent int64) {
 	if r.Outcome == sq.Served {
 		p.countOvertaken(c.server, sent)
--- a/internal/broker/transport/pool_test.go
+++ b/internal/broker/transport/pool_test.go
@@ -107,7 +107,7 @@
 		b.call(0, callOf(1))
 		b.closeConn(0, c, writerEnded)
 		if got, ok := b.ends[1]; !ok || got != want {
-			t.Errorf("writer ended %t: outcome %d %t, want %d", writerEnded, got, ok, want)
+			t.Errorf("writer ended %t: outcome %d, ended %t, want outcome %d", writerEnded, got, ok, want)
 		}
 	}
 }
@@ -121,7 +121,7 @@
 	b.call(0, callOf(1))
 	b.call(0, callOf(2))
 	if b.ends[1] != sq.Broken || b.ends[2] != sq.Unreachable || len(b.ends) != 2 || b.conns != 0 {
-		t.Errorf("%v, %d connections", b.ends, b.conns)
+		t.Errorf("outcomes %v, %d connections", b.ends, b.conns)
 	}
 }
 
@@ -133,11 +133,11 @@
 	b.call(0, callOf(1))
 	b.fleet(1, sq.Draining, 0, address)
 	if got, ok := b.ends[1]; !ok || got != sq.Unreachable {
-		t.Errorf("outcome %d %t", got, ok)
+		t.Errorf("outcome %d, ended %t", got, ok)
 	}
 	b.call(2, callOf(2))
 	if got, ok := b.ends[2]; !ok || got != sq.Unreachable {
-		t.Errorf("call to a draining server: outcome %d %t, want Unreachable", got, ok)
+		t.Errorf("call to a draining server: outcome %d, ended %t, want Unreachable", got, ok)
 	}
 	b.next(t, 3) // the connection is established and has no calls
 	if b.conns != 0 {
@@ -160,7 +160,7 @@
 	}
 	b.fleet(30, sq.Ready, 25, address)
 	if got, ok := b.ends[1]; !ok || got != sq.Broken {
-		t.Errorf("outcome %d %t", got, ok)
+		t.Errorf("outcome %d, ended %t", got, ok)
 	}
 	b.call(40, callOf(2))
 	if len(b.servers["s"].conns) != 1 || b.servers["s"].conns[0].openedAt != 40 {
@@ -215,7 +215,7 @@
 	}
 	b.sweep(20_000_000)
 	if len(b.servers["s"].conns) != 3 {
-		t.Error("connections with calls out are not idle")
+		t.Error("a connection with calls in flight was closed as idle")
 	}
 }
 
@@ -238,7 +238,7 @@
 	fmt.Fprint(far, "\xff\xff\xff\xff")
 	b.next(t, 3)
 	if b.ends[1] != sq.Errored || b.ends[2] != sq.Stranded || len(b.ends) != 2 || b.conns != 0 {
-		t.Errorf("%v, %d connections", b.ends, b.conns)
+		t.Errorf("outcomes %v, %d connections", b.ends, b.conns)
 	}
 	b.call(4, callOf(3))
 	b.call(4, callOf(4))
@@ -265,7 +265,7 @@
 	b.next(t, 2)
 	b.sweep(2 + maxAnswerPause)
 	if len(b.ends) != 0 {
-		t.Fatalf("ended too soon: %v", b.ends)
+		t.Fatalf("attempts ended too soon: %v", b.ends)
 	}
 	b.cancelAttempt(3+maxAnswerPause, 1)
 	b.call(3+maxAnswerPause, callOf(2))
@@ -352,7 +352,7 @@
 	second := <-conns
 	defer second.Close()
 	if n := len(b.servers["s"].conns); n != 2 {
-		t.Fatalf("%d connections after quietLimit", n)
+		t.Fatalf("%d connections after quietLimit, want 2", n)
 	}
 	b.sweep(late + unresponsiveAfter)
 	if len(b.ends) != 0 {
@@ -371,7 +371,7 @@
 		b.call(late, callOf(id+1))
 	}
 	if b.ends[1] != sq.Stranded || len(b.servers["s"].conns) != 1 {
-		t.Errorf("%v, %d connections", b.ends, len(b.servers["s"].conns))
+		t.Errorf("outcomes %v, %d connections", b.ends, len(b.servers["s"].conns))
 	}
 }
 
@@ -394,14 +394,14 @@
 		b.next(t, 3)
 	}
 	if b.ends[1] != sq.Broken || b.ends[2] != sq.Stranded {
-		t.Errorf("%v", b.ends)
+		t.Errorf("outcomes %v, want Broken and Stranded", b.ends)
 	}
 	b.call(4, callOf(3))
 	b.call(4, callOf(4))
 	b.next(t, 5)
 	b.next(t, 6)
 	if n := len(b.servers["s"].conns); n != 2 {
-		t.Fatalf("%d connections for two calls", n)
+		t.Fatalf("%d connections for two calls, want 2", n)
 	}
 	b.cancelAttempt(7, 3)
 	b.cancelAttempt(8, 4)
@@ -436,7 +436,7 @@
 	b.next(t, 1)
 	<-ended
 	if n := b.metrics.Relayed.Load(); n != 1 || b.ends[1] != sq.Broken && b.ends[1] != sq.Stranded || b.ends[2] != sq.Unreachable {
-		t.Errorf("relayed %d, ends %v", n, b.ends)
+		t.Errorf("relayed %d, want 1; outcomes %v", n, b.ends)
 	}
 }
 
@@ -453,6 +453,6 @@
 	b.deliver(1, c, core.Reply{Attempt: 1, Outcome: sq.Served, Read: func() core.Reply { panic("a fault of the parser") }})
 	b.next(t, 2)
 	if b.ends[1] != sq.Errored || len(panics) != 1 || b.conns != 1 {
-		t.Errorf("%v, %d panics, %d connections", b.ends, len(panics), b.conns)
+		t.Errorf("outcomes %v, %d panics, %d connections", b.ends, len(panics), b.conns)
 	}
 }
--- a/internal/broker/transport/server_conn.go
+++ b/internal/broker/transport/server_conn.go
@@ -82,11 +82,11 @@
 // in microseconds: well above the typical time, and well below the connect timeout; a quarter of
 // that timeout until one has been established.
 func (p *pool) lateAfter() int64 {
-	most := max(p.cfg.ConnectTimeout/4, 1000)
+	limit := max(p.cfg.ConnectTimeout/4, 1000)
 	if p.typicalDial == 0 {
-		return most
+		return limit
 	}
-	return min(max(int64(8*p.typicalDial), 20_000), most)
+	return min(max(int64(8*p.typicalDial), 20_000), limit)
 }
 
 // lateShareLimit is the fraction of late connections above which no spare is opened. Servers then
@@ -210,17 +210,17 @@
 // connection in order, since a reset completes no answer.
 func (p *pool) readAnswers(c *serverConn, conn net.Conn) bool {
 	buf := make([]byte, readSize)
-	taken := make(chan struct{}, 1)
+	processed := make(chan struct{}, 1)
 	for {
 		n, err := conn.Read(buf)
 		if n > 0 {
 			// The next read waits until these bytes are processed. Otherwise the bytes of a server
 			// that sends without end would accumulate in the engine's inbox.
-			if !p.post(func(now int64) { p.received(now, c, buf[:n]); taken <- struct{}{} }) {
+			if !p.post(func(now int64) { p.received(now, c, buf[:n]); processed <- struct{}{} }) {
 				return false
 			}
 			select {
-			case <-taken:
+			case <-processed:
 			case <-p.stopped:
 			}
 		}
--- a/internal/broker/transport/unsent_test.go
+++ b/internal/broker/transport/unsent_test.go
@@ -46,7 +46,7 @@
 	for {
 		head := make([]byte, 4)
 		if _, err := io.ReadFull(far, head[missing:]); err != nil {
-			t.Fatalf("%v, after %q", err, frames)
+			t.Fatalf("read a frame: %v, after %q", err, frames)
 		}
 		missing = 0
 		body := make([]byte, int(head[2])<<8|int(head[3]))
@@ -104,7 +104,7 @@
 			b.call(2, callOf(9))
 			got := readFrames(t, far, frameOf(9))
 			if len(got) != len(tc.want) || len(b.ends) != len(tc.ends) {
-				t.Fatalf("written: %q, want %q; ended %v, want %v", got, tc.want, b.ends, tc.ends)
+				t.Fatalf("written: %q, want %q; outcomes %v, want %v", got, tc.want, b.ends, tc.ends)
 			}
 			for i := range got {
 				if got[i] != tc.want[i] {
@@ -113,7 +113,7 @@
 			}
 			for id, o := range tc.ends {
 				if b.ends[id] != o {
-					t.Errorf("ended %v, want %v", b.ends, tc.ends)
+					t.Errorf("outcomes %v, want %v", b.ends, tc.ends)
 				}
 			}
 		})
@@ -124,7 +124,7 @@
 		b.call(0, both)
 		b.fleet(1, sq.Draining, 0, "")
 		if len(b.ends) != 2 || b.ends[2] != sq.Unreachable || b.ends[3] != sq.Unreachable {
-			t.Errorf("ended %v", b.ends)
+			t.Errorf("outcomes %v", b.ends)
 		}
 		if got := readFrames(t, far, frameOf(1)); len(got) != 1 {
 			t.Errorf("written: %q", got)
@@ -146,13 +146,13 @@
 	b.call(0, callOf(2))
 	b.recall(1, 1)
 	if len(b.ends) != 1 || b.ends[1] != sq.NotSent {
-		t.Errorf("ended %v", b.ends)
+		t.Errorf("outcomes %v", b.ends)
 	}
 	b.recall(1, 2)
 	b.next(t, 2) // the connection is established
 	c := b.servers["s"].conns[0]
 	if b.ends[2] != sq.NotSent || c.lastWrite != 0 || len(c.calls) != 0 {
-		t.Errorf("ended %v, %d writes", b.ends, c.lastWrite)
+		t.Errorf("outcomes %v, %d writes", b.ends, c.lastWrite)
 	}
 }
 
@@ -196,7 +196,7 @@
 			b.openSpare(40_000, c) // the timer fires again, and so does that of the spare
 			b.openSpare(40_000, b.servers["s"].conns[1])
 			if n := len(b.servers["s"].conns); n != 2 {
-				t.Fatalf("%d connections", n)
+				t.Fatalf("%d connections, want 2", n)
 			}
 			one, other := spare, first
 			if !spareFirst {
@@ -213,7 +213,7 @@
 			}
 			b.call(50_000, callOf(2)) // the most loaded connection gets it
 			if f := <-got; !strings.HasPrefix(f, "Rq.2 2 ") || len(none) != 0 || b.conns != 2 || len(b.ends) != 0 {
-				t.Errorf("second call: got %q; the other connection got %d, %d connections, ended %v", f, len(none), b.conns, b.ends)
+				t.Errorf("second call: got %q; the other connection got %d, %d connections, outcomes %v", f, len(none), b.conns, b.ends)
 			}
 		})
 	}
--- a/internal/broker/vrrp/vrrp_test.go
+++ b/internal/broker/vrrp/vrrp_test.go
@@ -72,7 +72,7 @@
 func TestAdvertisement_RoundTrip(t *testing.T) {
 	b, err := advertisement(100, 300).Append(nil)
 	if want := "3107640101 2c"; err != nil || fmt.Sprintf("%x %x", b[:5], b[5]) != want {
-		t.Fatalf("%x, %v", b, err)
+		t.Fatalf("encoded %x, %v", b, err)
 	}
 	a, err := Parse(b)
 	if err != nil || fmt.Sprint(a) != fmt.Sprint(advertisement(100, 300)) {
