--- a/internal/broker/transport/pool_test.go
+++ b/internal/broker/transport/pool_test.go
@@ -99,7 +99,7 @@
 // A frame that was passed to a writer may be being written. Until the writer has ended, only calls
 // that it never received are known not to have run. Otherwise an attempt that must not run twice
 // could be sent again.
-func TestUnwriterEndedWriterMayHaveSent(t *testing.T) {
+func TestCloseConn_RunningWriterMayHaveSent(t *testing.T) {
 	for writerEnded, want := range map[bool]sq.Outcome{false: sq.Broken, true: sq.Unreachable} {
 		b := newTestPool()
 		b.fleet(0, sq.Ready, 0, "127.0.0.1:1")
