--- a/internal/broker/handover/handover_test.go
+++ b/internal/broker/handover/handover_test.go
@@ -14,15 +14,15 @@
 }
 
 // Parse returns what Append wrote, and an error for any damaged text.
-func TestThereAndBack(t *testing.T) {
+func TestState_RoundTrip(t *testing.T) {
 	text := completeState.Append(nil)
 	got, err := Parse(text)
 	if err != nil || !reflect.DeepEqual(got, completeState) {
-		t.Fatalf("%+v %v", got, err)
+		t.Fatalf("got %+v, %v", got, err)
 	}
 	for i := range text {
 		if _, err := Parse(text[:i]); err == nil {
-			t.Errorf("taken when cut off after %d of %d bytes", i, len(text))
+			t.Errorf("Parse accepted a state truncated to %d of %d bytes", i, len(text))
 		}
 	}
 	for _, c := range [][2]string{
@@ -35,44 +35,45 @@
 	} {
 		bad := strings.Replace(string(text), c[0], c[1], 1)
 		if _, err := Parse([]byte(bad)); err == nil || bad == string(text) {
-			t.Errorf("%s -> %s was taken", c[0], c[1])
+			t.Errorf("Parse accepted a state with %s replaced by %s", c[0], c[1])
 		}
 	}
 	if completeState.IsFresh(completeState.At+StaleAfter) || !completeState.IsFresh(completeState.At+StaleAfter-1) || completeState.IsFresh(completeState.At-StaleAfter) {
-		t.Error("freshness")
+		t.Error("IsFresh does not hold exactly within StaleAfter of the time of the state")
 	}
 }
 
-// With any number of suspected keys a state stays small, and the latest keys are written.
-func TestStaysSmall(t *testing.T) {
+// The size of a state is bounded for any number of suspects; the latest are written.
+func TestStateAppend_LimitsSuspects(t *testing.T) {
 	s := State{Suspects: map[string]int64{}}
 	for i := range 10_000 {
 		s.Suspects[fmt.Sprint("key", i)] = int64(i)
 	}
 	got, err := Parse(s.Append(nil))
 	if err != nil || len(got.Suspects) != maxSuspects || got.Suspects["key9999"] != 9999 {
-		t.Errorf("%d suspects, %v", len(got.Suspects), err)
+		t.Errorf("%d suspects, error %v", len(got.Suspects), err)
 	}
 }
 
-// Parse reads any bytes without a panic, and returns values in range.
+// FuzzParse checks that Parse reads any bytes without a panic, and returns values in range.
 func FuzzParse(f *testing.F) {
 	f.Add(completeState.Append(nil))
 	f.Add([]byte(`{"v":1,"labels":{"a":[]},"suspects":{"b":null}}`))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		if s, err := Parse(b); err == nil && (s.Open < 0 || s.Sockets < 0 || s.Admission < 0 || s.Admission > 1) {
-			t.Errorf("%+v", s)
+			t.Errorf("value out of range: %+v", s)
 		}
 	})
 }
 
-// An old process that shuts down may write later than its successor; the successor's state is the newest.
+// A process that shuts down may write its state later than its successor; the successor's state is
+// the newest.
 func TestNewest(t *testing.T) {
 	s, ok := Newest([]State{{Since: 5, At: 30}, {Since: 20, At: 25, Standby: true}, {Since: 1, At: 31}})
 	if !ok || !s.Standby {
-		t.Errorf("%+v %t", s, ok)
+		t.Errorf("Newest returned %+v, %t", s, ok)
 	}
 	if _, ok := Newest(nil); ok {
-		t.Error("there is none")
+		t.Error("Newest found a state in an empty list")
 	}
 }
