--- a/internal/cluster/swim/broadcast.go
+++ b/internal/cluster/swim/broadcast.go
@@ -1,7 +1,8 @@
 package swim
 
-// broadcastQueue holds the records that still have to be gossiped, those sent least often first. Each member has at most one entry, its latest record, encoded
-// once. take costs O(records taken).
+// broadcastQueue contains the records that still have to be gossiped, those sent least often first.
+// Each member has at most one entry: its latest record, which is encoded when it is added. take
+// costs O(records taken).
 type broadcastQueue struct {
 	levels      [][]broadcast // by the number of transmissions
 	count       int
@@ -9,7 +10,7 @@
 	takenLevels []int
 }
 
-// broadcast is one queued record. It is void if its generation is not the member's any more.
+// broadcast is one queued record. It is stale if its generation differs from the member's.
 type broadcast struct {
 	m   *member
 	gen uint32
@@ -18,7 +19,8 @@
 // recordOverhead is the number of bytes before a record: its tag and length.
 const recordOverhead = 3
 
-// add queues a member's record in place of an older one. A level above 0 counts as so many transmissions already made.
+// add queues a member's record in place of an older one. level is the number of transmissions that
+// count as already made.
 func (q *broadcastQueue) add(now int64, m *member, level int) {
 	if m.queued {
 		q.count--
@@ -46,7 +48,8 @@
 	}
 }
 
-// take appends to dst the records that fit into so many bytes, except that of skip. Each record is taken limit times at most.
+// take appends to dst the encoded records that fit into space bytes, except the record of skip. A
+// record is removed after limit transmissions.
 func (q *broadcastQueue) take(dst [][]byte, space, limit int, skip *member) [][]byte {
 	taken, levels := q.taken[:0], q.takenLevels[:0]
 	if dst == nil {
--- a/internal/cluster/swim/config.go
+++ b/internal/cluster/swim/config.go
@@ -8,7 +8,7 @@
 
 // Config holds the settings of a core. Times are microseconds; 0 takes the default.
 type Config struct {
-	Fleet    string // name of the fleet; messages of another one are dropped
+	Fleet    string // name of the fleet; messages of other fleets are dropped
 	Name     string // of this member
 	Start    uint64 // identity of this start: each start of a name needs a greater one, such as Unix microseconds
 	Address  netip.AddrPort
@@ -16,28 +16,30 @@
 	Version  string
 	Metadata Metadata
 
-	Join    []netip.AddrPort           // addresses where other members may be; its own address is ignored
+	Join    []netip.AddrPort           // seed addresses to join through; its own address is ignored
 	Allowed func(addr netip.Addr) bool // addresses that members may have; nil allows all
 
 	ProbePeriod     int64   // between probes of a healthy process; 200 ms
-	SuspicionFactor float64 // the shortest suspicion in probe periods, times log10 of the members; 2.5
+	SuspicionFactor float64 // minimum suspicion timeout in probe periods, per log10 of the members; 2.5
 	CountDeadFor    int64   // how long a dead member counts in the effective size; 300 s
 	ForgetAfter     int64   // how long a dead member is remembered and contacted; 1 h or CountDeadFor if that is longer
 	ExchangePeriod  int64   // mean time between exchanges; 25 probe periods
-	MaxMembers      int     // bound of the members that are remembered; 4096
+	MaxMembers      int     // maximum number of members in the table; 4096
 
 	Disabled Disabled
 }
 
-// Disabled switches single mechanisms off, so that measurements show their effect and tests show that they notice. It is never set in service.
+// Disabled switches single mechanisms off, so that measurements can show their effect and tests can
+// show that they detect a missing mechanism. It is never set in production.
 type Disabled struct {
-	Awareness     bool // health score, stalls and postponed deaths
-	Confirmation  bool // longer suspicions while there are few accusers
+	Awareness     bool // health score, stall detection and extended suspicions
+	Confirmation  bool // longer suspicion timeouts while there are few accusers
 	DeadExchanges bool // exchanges with dead members and join addresses
 	Refutation    bool // answers to accusations
 }
 
-// New returns a core that knows itself only. now is at least 1. It fails if a name, the address or the start is not valid.
+// New returns a core whose view contains only this process. now must be at least 1. It returns an
+// error if a name, the address or the start is not valid.
 func New(cfg Config, now int64, rng *rand.Rand) (*Core, error) {
 	if err := CheckName(cfg.Name); err != nil {
 		return nil, fmt.Errorf("fleet: name: %w", err)
@@ -46,7 +48,7 @@
 		return nil, fmt.Errorf("fleet: name of the fleet: %w", err)
 	}
 	if !cfg.Address.IsValid() || cfg.Address.Port() == 0 || cfg.Start == 0 {
-		return nil, fmt.Errorf("fleet: address and start: want both")
+		return nil, fmt.Errorf("fleet: address and start: both are required")
 	}
 	set := func(v *int64, otherwise int64) {
 		if *v == 0 {
--- a/internal/cluster/swim/core.go
+++ b/internal/cluster/swim/core.go
@@ -25,7 +25,7 @@
 	relays        map[uint32]relay
 	relayOrder    []uint32 // sequence numbers in the order of their expiry
 	healthScore   int      // 0 healthy, maxHealthScore at worst
-	acksToTrust   int      // acks that are missing before it accuses others again
+	acksToTrust   int      // acks still required before it accuses other members again
 	distrustUntil int64
 
 	suspicions     suspicionHeap
@@ -42,9 +42,9 @@
 	joinAttempts                       int
 	isolated, joined                   bool
 	bootstrapping                      bool  // the frame being handled is the answer to its first exchange
-	leavingSince                       int64 // 0: it does not leave
-	conflictSeenAt, conflictReportedAt int64 // of another process of its name: last evidence, last event
-	superseded                         bool  // that one's start is later, so this process is no member
+	leavingSince                       int64 // 0 if this process is not leaving
+	conflictSeenAt, conflictReportedAt int64 // another process with the same name: last evidence, last event
+	superseded                         bool  // the other process has a later start, so this one is not a member
 
 	output Output
 	counts Counts
@@ -52,8 +52,8 @@
 
 // Bounds and factors of the protocol.
 const (
-	maxSuspicionFactor = 6    // the longest suspicion, in multiples of the shortest
-	confirmations      = 3    // further accusers that make a suspicion the shortest
+	maxSuspicionFactor = 6    // maximum suspicion timeout, in multiples of the minimum
+	confirmations      = 3    // further accusers that reduce the suspicion timeout to the minimum
 	indirectProbes     = 3    // members that are sent an indirect probe request
 	gossipFanout       = 3    // members that get gossip, every half probe period
 	maxHealthScore     = 8    // steps of the health score
@@ -61,23 +61,23 @@
 	maxSeenRecords     = 4096 // hashes of merged records
 	maxChallenges      = 16   // members that are challenged at once, for each message
 	digestBuckets      = 32   // on the wire
-	mismatchLimit      = 6    // messages in a row with another digest that start an exchange
+	mismatchLimit      = 6    // consecutive messages with another digest that start an exchange
 	acksAfterStall     = 3    // acks after which a stalled process accuses others again
 	leaveHalfPeriods   = 4    // half probe periods in which a departure is announced
 )
 
-// member is what the core knows about one process.
+// member is the state of one process in the table of members.
 type member struct {
 	Record
 	since     int64 // time of the last change of state
-	lastHeard int64 // when a datagram of its own arrived last
+	lastHeard int64 // time of the last datagram from it
 	listIndex int   // in present or gone; -1: in neither
 
 	suspectedAt, suspicionEnd int64   // begin and end of its suspicion
 	checkAt                   int64   // time of the next check
 	checks                    int     // checks of the suspicion so far
-	extended                  bool    // the end was postponed once, since the member was heard
-	reportedDead              *Record // its death as another member reports it, while it is alive in this view
+	extended                  bool    // the end was postponed once, since a datagram arrived from the member
+	reportedDead              *Record // the record by which another member reports it dead while it is alive in this view
 	heapIndex                 int     // index in suspicions; -1: in none
 
 	queued     bool   // it has an entry in the broadcast queue
@@ -85,10 +85,10 @@
 	encoded    []byte // the record as it is gossiped
 }
 
-// Counts returns the counters since the core was made.
+// Counts returns the counters since the core was created.
 func (c *Core) Counts() Counts { return c.counts }
 
-// toggleDigest adds a record to the digest, or removes it if it is in.
+// toggleDigest adds a record to the digest, or removes it if it is included already.
 func (c *Core) toggleDigest(r Record) {
 	h := r.hash()
 	c.digest ^= h
@@ -104,11 +104,12 @@
 	return int(h>>7) % digestBuckets
 }
 
-// size is the number of members that are alive or suspected, this one included.
+// size returns the number of members that are alive or suspected, this process included.
 func (c *Core) size() int { return len(c.present) + 1 }
 
-// detectStall notices that this process did not run when it should have: it was stopped or starved. All timers that would have expired meanwhile are
-// extended by that time, and the process accuses no member until acks have arrived again.
+// detectStall detects that this process was stopped or starved, from a tick that is late. All
+// suspicion timers are extended by that time, and the process accuses no member until acks have
+// arrived again.
 func (c *Core) detectStall(now int64) {
 	if c.cfg.Disabled.Awareness {
 		return
@@ -122,7 +123,7 @@
 	c.probe = nil
 	c.nextProbeAt, c.nextGossipAt = now, now
 	c.nextExchangeAt += late
-	for _, m := range c.suspicions { // all by the same time: the heap stays in order
+	for _, m := range c.suspicions { // all by the same time, so the heap stays ordered
 		m.suspectedAt += late
 		m.suspicionEnd += late
 		m.checkAt += late
@@ -133,17 +134,20 @@
 	c.acksToTrust, c.distrustUntil = acksAfterStall, now+c.cfg.ExchangePeriod
 }
 
-// adjustHealth raises the health score (a less healthy process probes more slowly) or lowers it.
+// adjustHealth adds by to the health score, within its bounds. A higher score means a less healthy
+// process, which probes more slowly.
 func (c *Core) adjustHealth(by int) {
 	if !c.cfg.Disabled.Awareness {
 		c.healthScore = min(max(c.healthScore+by, 0), maxHealthScore)
 	}
 }
 
-// distrustsItself reports whether this process was stalled lately and must not accuse others yet.
+// distrustsItself reports whether this process stalled recently and must not accuse other members
+// yet.
 func (c *Core) distrustsItself(now int64) bool { return c.acksToTrust > 0 && now < c.distrustUntil }
 
-// NextTick is the time at which Tick has to be called. A call that comes much later is taken for a stall of this process.
+// NextTick returns the time at which Tick must be called next. A call that is late by more than
+// half a probe period counts as a stall of this process.
 func (c *Core) NextTick() int64 {
 	at := min(c.nextProbeAt, c.nextGossipAt, c.nextExchangeAt)
 	if c.probe != nil {
@@ -184,12 +188,13 @@
 	}
 }
 
-// Forget marks a dead member as one that has left, in all views, so that it no longer counts in the effective size. If its process runs after all, it joins
-// again with a later start. It fails unless the member is dead.
+// Forget marks a dead member as left, in all views, so that it no longer counts in the effective
+// size. If its process is in fact running, it joins again with a later start. It returns an error
+// unless the member is dead.
 func (c *Core) Forget(now int64, name string) error {
 	m := c.members[name]
 	if m == nil || m.State != Dead {
-		return fmt.Errorf("%q is not a dead member", name)
+		return fmt.Errorf("swim: forget %q: not a dead member", name)
 	}
 	r := m.Record
 	r.State = Left
@@ -197,7 +202,7 @@
 	return nil
 }
 
-// removeMember drops everything that is known about a member.
+// removeMember deletes all state of a member.
 func (c *Core) removeMember(m *member) {
 	if m.present() {
 		c.toggleDigest(m.Record)
@@ -211,7 +216,8 @@
 	c.counts.Forgotten++
 }
 
-// evictOldest makes space by removing the member that has been gone for longest. It reports false if no member is gone.
+// evictOldest removes the member that has been dead or left for longest, to make room for another.
+// It returns false if there is none.
 func (c *Core) evictOldest() bool {
 	var oldest *member
 	for _, m := range c.gone {
@@ -226,7 +232,8 @@
 	return true
 }
 
-// forgetExpired removes a member that has been gone for longer than it is kept. It looks at two members by chance, once a probe period.
+// forgetExpired removes a member that has been dead or left for longer than its retention time. It
+// checks two random members, once a probe period.
 func (c *Core) forgetExpired(now int64) {
 	for range min(len(c.gone), 2) {
 		m := c.gone[c.rng.IntN(len(c.gone))]
--- a/internal/cluster/swim/core_test.go
+++ b/internal/cluster/swim/core_test.go
@@ -38,9 +38,9 @@
 	return r
 }
 
-// The record that prevails is the same in whatever order, and however often, the records of one name arrive. A reported death is accepted after
-// it was not refuted.
-func TestRecordsInAnyOrder(t *testing.T) {
+// The same record prevails regardless of the order and number of deliveries of the records of one
+// name. A reported death is accepted if it is not refuted.
+func TestMerge_OrderIndependent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var all []Record
 		for range rapid.IntRange(1, 12).Draw(t, "records") {
@@ -61,22 +61,23 @@
 		for _, r := range order {
 			c.merge(now, r, 0)
 		}
-		for range 100 { // without acks a member that is suspected or reported dead is dead in the end
+		for range 100 { // without acks a member that is suspected or reported dead is finally declared dead
 			now = max(now, c.NextTick())
 			c.Tick(now)
 		}
 		got, _, _ := c.Lookup("m")
 		if best.State == Dead && got.State != Dead || got.Start != best.Start || got.Incarnation != best.Incarnation {
-			t.Fatalf("of %v came %v, not %v", order, got, best)
+			t.Fatalf("merged %v: got %v, want %v", order, got, best)
 		}
 		if digest, _ := c.Digest(); got.State == Dead && digest != DigestOf(c.self.Record) {
-			t.Fatal("the dead are in the digest")
+			t.Fatal("the digest includes a dead member")
 		}
 	})
 }
 
-// Records about this process itself.
-func TestRecordsAboutSelf(t *testing.T) {
+// Accusations of this process are refuted, and records of another start lead to a new start or a
+// name conflict.
+func TestMergeSelf(t *testing.T) {
 	for _, x := range []struct {
 		what    string
 		r       Record
@@ -88,7 +89,7 @@
 		{"suspected", record("me", 100, 0, Suspected), 1, 100, EventRefuted, true},
 		{"dead, with a later incarnation", record("me", 100, 7, Dead), 8, 100, EventRefuted, true},
 		{"an earlier start is dead", record("me", 99, 7, Dead), 0, 100, 0, false},
-		{"left, which it has not", record("me", 100, 0, Left), 0, uint64(2 * second), EventRejoined, true},
+		{"left, but running", record("me", 100, 0, Left), 0, uint64(2 * second), EventRejoined, true},
 		{"a later start is dead", record("me", 200, 0, Dead), 0, uint64(2 * second), EventRejoined, true},
 		{"a later start is alive", record("me", 200, 0, Alive), 0, 100, EventNameConflict, true},
 	} {
@@ -103,7 +104,8 @@
 			t.Errorf("%s: incarnation %d, start %d, emitted %t", x.what, s.Incarnation, s.Start, emitted)
 		}
 	}
-	// A process is no member while a later start of its name is known, and rejoins after that one has left.
+	// A process is not a member while a later start of its name is known, and rejoins after that
+	// one has left.
 	c := newCore(t, "me", 0)
 	c.merge(2*second, record("me", 200, 0, Alive), 0)
 	if v := c.View(2 * second); !v.Superseded || !v.NameConflict || v.AliveCount != 1 || len(v.Members) != 1 || v.Members[0].Start != 200 {
@@ -115,7 +117,7 @@
 	}
 }
 
-// The number of members alive, the effective size, and which members an operator may have forgotten.
+// AliveCount, EffectiveSize, and the members that Forget accepts.
 func TestEffectiveSize(t *testing.T) {
 	c := newCore(t, "me", 0)
 	for i := range 10 {
@@ -127,17 +129,17 @@
 		t.Errorf("alive %d, effective size %d", a, r)
 	}
 	if r := c.EffectiveSize(202 * second); r != 11 {
-		t.Errorf("later the effective size is %d", r)
+		t.Errorf("effective size after CountDeadFor: %d", r)
 	}
 	if err := c.Forget(2*second, "m1"); err == nil {
-		t.Error("a live one is forgotten")
+		t.Error("Forget accepted a live member")
 	}
 	if err := c.Forget(2*second, "lost"); err != nil || c.EffectiveSize(2*second) != 11 {
 		t.Errorf("%v, effective size %d", err, c.EffectiveSize(2*second))
 	}
 	c.Leave(3 * second)
 	if a := c.AliveCount(); a != 10 || c.HasLeft(3*second) {
-		t.Errorf("one that leaves counts itself: %d", a)
+		t.Errorf("a leaving process counts itself: %d", a)
 	}
 }
 
@@ -158,21 +160,22 @@
 		{5 * second, 399, 399},
 	} {
 		if n, _ := f.Update(x.at, x.size); n != x.want {
-			t.Errorf("at %d, of %d: %d, want %d", x.at, x.size, n, x.want)
+			t.Errorf("Update(%d, %d) = %d, want %d", x.at, x.size, n, x.want)
 		}
 	}
 }
 
-// A datagram that is malformed or of another fleet does not change the view, and is counted as dropped.
-func TestDropped(t *testing.T) {
+// A datagram that is malformed or of another fleet does not change the view, and is counted as
+// dropped.
+func TestHandleDatagram_InvalidDropped(t *testing.T) {
 	allowed := netip.MustParsePrefix("127.0.0.0/8")
 	c, err := New(Config{Fleet: "f", Name: "me", Start: 1, Address: testAddress(0), Allowed: allowed.Contains}, second, rand.New(rand.NewPCG(1, 1)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	packet := func(fleet, from, address string, news ...*wire.Member) []byte {
+	packet := func(fleet, from, address string, members ...*wire.Member) []byte {
 		p := &wire.Packet{Fleet: fleet, Kind: packetPing, From: from, Start: 1, Address: address}
-		for _, m := range news {
+		for _, m := range members {
 			p.News = append(p.News, encodeRecord(Record{Name: m.Name, Start: 1, State: Alive, Address: netip.MustParseAddrPort(m.Address)}, 0))
 		}
 		return seal(p)
@@ -186,12 +189,12 @@
 		b    []byte
 		err  error
 	}{
-		{"cut", good[:len(good)-1], ErrChecksum},
+		{"truncated", good[:len(good)-1], ErrChecksum},
 		{"empty", nil, ErrLength},
 		{"long", make([]byte, MaxDatagram+1), ErrLength},
 		{"another version", other, ErrVersion},
 		{"another fleet", packet("g", "a", "127.0.0.5:1"), ErrFleet},
-		{"outside", packet("f", "a", "10.0.0.1:1"), ErrAddress},
+		{"address not allowed", packet("f", "a", "10.0.0.1:1"), ErrAddress},
 		{"no name", packet("f", "", "127.0.0.5:1"), ErrMalformed},
 		{"no address", packet("f", "a", "127.0.0.5"), ErrMalformed},
 	} {
@@ -206,7 +209,7 @@
 		t.Errorf("%v, %d alive", err, c.AliveCount())
 	}
 	if err := c.HandleDatagram(second, packet("f", "a", "127.0.0.5:1", &wire.Member{Name: "c", Address: "10.0.0.1:1"})); err != nil || c.AliveCount() != 2 {
-		t.Errorf("a record with an address outside: %v, %d alive", err, c.AliveCount())
+		t.Errorf("record with an address that is not allowed: %v, %d alive", err, c.AliveCount())
 	}
 }
 
@@ -216,7 +219,8 @@
 	b[0], b[1], b[2], b[3] = byte(sum>>24), byte(sum>>16), byte(sum>>8), byte(sum)
 }
 
-// Any bytes: no panic, and no member whose name is not in them. Without a correct checksum no member at all.
+// No input causes a panic, or a member whose name is not in the input. A datagram with a wrong
+// checksum adds no member.
 func FuzzCore(f *testing.F) {
 	p := &wire.Packet{Fleet: "f", Kind: packetPing, From: "a", Start: 1, Address: "127.0.0.5:1", News: [][]byte{encodeRecord(record("b", 1, 2, Suspected), 0)}}
 	f.Add(seal(p), false)
@@ -230,7 +234,7 @@
 		}
 		c.HandleDatagram(second, b)
 		if !resealed && len(c.members) > 0 && checksum(b[4:]) != uint32(b[0])<<24|uint32(b[1])<<16|uint32(b[2])<<8|uint32(b[3]) {
-			t.Fatal("a member came of bytes without a checksum")
+			t.Fatal("a datagram with a wrong checksum added a member")
 		}
 		c.HandleFrame(second, b)
 		for range 50 {
@@ -238,7 +242,7 @@
 		}
 		for name, m := range c.members {
 			if CheckName(name) != nil || !strings.Contains(string(b), name) || !m.Address.IsValid() {
-				t.Fatalf("%q is not in the bytes", name)
+				t.Fatalf("member %q is not in the input", name)
 			}
 		}
 	})
@@ -248,7 +252,7 @@
 	a, _ := New(Config{Fleet: "f", Name: "a", Start: 1, Address: testAddress(0)}, second, rand.New(rand.NewPCG(1, 1)))
 	b, _ := New(Config{Fleet: "f", Name: "b", Start: 1, Address: testAddress(1), Join: []netip.AddrPort{testAddress(0)}}, second, rand.New(rand.NewPCG(1, 2)))
 	b.Tick(b.NextTick())
-	for _, open := range b.TakeOutput().Exchanges { // a driver sends the frame to open.To, and hands back the reply
+	for _, open := range b.TakeOutput().Exchanges { // a driver sends the frame to open.To, and passes the reply to HandleFrame
 		answer, _ := a.HandleFrame(2*second, open.Frame)
 		b.HandleFrame(2*second, answer)
 	}
@@ -256,7 +260,8 @@
 	// Output: 2 2
 }
 
-// The cost of a datagram without new records, of one with ten new records, and of a tick, by the size of the fleet.
+// BenchmarkStep measures the cost of a datagram without new records, of one with ten new records,
+// and of a tick, by fleet size.
 func BenchmarkStep(b *testing.B) {
 	for _, n := range []int{30, 300, 1000} {
 		c := newCore(b, "me", 0)
@@ -294,7 +299,7 @@
 				now = max(now, c.NextTick())
 				c.Tick(now)
 				c.TakeOutput()
-				for _, m := range c.present { // a member is heard, so that it does not die
+				for _, m := range c.present { // keep a member alive
 					m.lastHeard = now
 					break
 				}
--- a/internal/cluster/swim/datagram.go
+++ b/internal/cluster/swim/datagram.go
@@ -16,8 +16,8 @@
 	packetGossip
 )
 
-// HandleDatagram handles a datagram that has arrived. The error says why it was dropped: one of the Err variables of this package. A datagram that is
-// dropped does not change the view.
+// HandleDatagram processes a received datagram. If the datagram is dropped, it returns the reason,
+// one of the Err variables of this package, and the view does not change.
 func (c *Core) HandleDatagram(now int64, b []byte) error {
 	c.detectStall(now)
 	c.counts.Received++
@@ -46,8 +46,9 @@
 	return nil
 }
 
-// subjectOf handles the sender of a datagram: it records that the member was heard. It returns the address to answer to, whether the
-// sender is a live member of this view, and the record that the sender has to see since it accuses the sender, or nil.
+// subjectOf updates the sender's lastHeard. It returns the address to answer to, whether the sender
+// is a live member of this view, and the record that the answer must carry because it accuses the
+// sender, or nil.
 func (c *Core) subjectOf(now int64, p *wire.Packet, from netip.AddrPort) (to netip.AddrPort, known bool, subject *member) {
 	m := c.members[p.From]
 	known = m != nil && m.Start == p.Start && m.present()
@@ -64,7 +65,8 @@
 	return from, false, nil
 }
 
-// answer does what a datagram of its kind requires.
+// answer handles a datagram according to its kind: pings are acked, acks and nacks go to the probe,
+// and indirect pings are relayed.
 func (c *Core) answer(now int64, p *wire.Packet, to netip.AddrPort, known bool, subject *member) {
 	switch p.Kind {
 	case packetPing:
@@ -83,7 +85,7 @@
 	}
 }
 
-// decodePacket decodes a datagram and returns the address that its sender gives.
+// decodePacket decodes a datagram and returns the sender's advertised address.
 func (c *Core) decodePacket(b []byte, p *wire.Packet) (from netip.AddrPort, err error) {
 	if err = unseal(b, MaxDatagram, p); err != nil {
 		return from, err
@@ -94,7 +96,8 @@
 	return c.checkSender(p.From, p.Start, p.Address, len(p.News))
 }
 
-// checkSender checks what a message says about its sender, and returns the sender's address. records is the number of records in the message.
+// checkSender validates the sender fields of a message and its number of records, and returns the
+// sender's address.
 func (c *Core) checkSender(name string, start uint64, address string, records int) (from netip.AddrPort, err error) {
 	if CheckName(name) != nil || start == 0 || records > c.cfg.MaxMembers {
 		return from, ErrMalformed
@@ -108,7 +111,8 @@
 	return from, nil
 }
 
-// send sends a datagram with as many queued records as fit. subject, if not nil, goes first even if it is no longer queued.
+// send sends a datagram with as many queued records as fit. The record of subject, if not nil,
+// comes first even if it is no longer queued.
 func (c *Core) send(now int64, to netip.AddrPort, p *wire.Packet, subject *member) {
 	p.Fleet, p.From, p.Start, p.Address, p.Digest = c.cfg.Fleet, c.self.Name, c.self.Start, c.self.Address.String(), c.digest
 	if subject != nil {
--- a/internal/cluster/swim/departure_test.go
+++ b/internal/cluster/swim/departure_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// trio returns three live members that all have a fourth one as dead.
-func trio(t *testing.T) []*Core {
+// newCoresWithDeadMember returns three live members in whose views a fourth one is dead.
+func newCoresWithDeadMember(t *testing.T) []*Core {
 	t.Helper()
 	cores := []*Core{newCore(t, "m0", 0), newCore(t, "m1", 1), newCore(t, "m2", 2)}
 	for _, c := range cores {
@@ -23,8 +23,8 @@
 	return cores
 }
 
-// play runs the cores until a time; messages arrive without delay.
-func play(cores []*Core, from, until int64) {
+// runCores runs the cores in virtual time; messages arrive without delay.
+func runCores(cores []*Core, from, until int64) {
 	at := map[netip.AddrPort]*Core{}
 	for i, c := range cores {
 		at[testAddress(i)] = c
@@ -55,21 +55,22 @@
 	}
 }
 
-// The record that a dead member was forgotten is gossiped a few times. If all these datagrams are lost, the next exchange carries it: no view goes
-// on counting that member.
-func TestForgottenAlthoughEveryDatagramIsLost(t *testing.T) {
+// Guards against a forgotten member that stays in the effective size of other views: the record
+// that it was forgotten is gossiped a limited number of times, and if all these datagrams are lost,
+// the next exchange must deliver it.
+func TestForget_AllDatagramsLost(t *testing.T) {
 	for _, x := range []struct {
 		name      string
 		forgetter int
 	}{{"the first opens exchanges too", 0}, {"the last", 2}} {
 		t.Run(x.name, func(t *testing.T) {
-			cores := trio(t)
+			cores := newCoresWithDeadMember(t)
 			if err := cores[x.forgetter].Forget(2*second, "gone"); err != nil {
 				t.Fatal(err)
 			}
 			c := cores[x.forgetter]
 			c.broadcasts.drop(c.members["gone"]) // all gossip about it is lost
-			play(cores, 2*second, 42*second)
+			runCores(cores, 2*second, 42*second)
 			for i, c := range cores {
 				if a, r := c.AliveCount(), c.EffectiveSize(42*second); a != 3 || r != 3 {
 					t.Errorf("m%d: alive %d, effective size %d", i, a, r)
@@ -79,14 +80,14 @@
 	}
 }
 
-// Members with the same dead members exchange no more than the digests.
-func TestEqualDeadAreNotSent(t *testing.T) {
-	cores := trio(t)
+// An exchange between members with the same dead members ends after the digests.
+func TestExchange_EqualDeadMembersNotSent(t *testing.T) {
+	cores := newCoresWithDeadMember(t)
 	answer, err := cores[1].HandleFrame(3*second, cores[0].OpeningFrame(3*second))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if rest, err := cores[0].HandleFrame(3*second, answer); err != nil || rest != nil {
-		t.Errorf("%v: the exchange goes on with %d bytes", err, len(rest))
+		t.Errorf("%v: the exchange continues with %d bytes", err, len(rest))
 	}
 }
--- a/internal/cluster/swim/divisor.go
+++ b/internal/cluster/swim/divisor.go
@@ -1,8 +1,9 @@
 package swim
 
-// Divisor turns the effective size into the number by which a budget is divided. It rises immediately, since that lowers what each process may use, and falls in
-// bounded steps: when a view loses many members at a time, their parts go to the others slowly, and a mistake can still be noticed. The zero value takes
-// the first size as it is. It is not safe for concurrent use.
+// Divisor turns the effective size into the number by which a shared budget is divided. It rises
+// immediately, since that lowers the share of each process, and falls in bounded steps: when a view
+// loses many members at once, the others gain their shares slowly, so that an error can still be
+// noticed. The zero value starts with the first size. It is not safe for concurrent use.
 type Divisor struct {
 	divisor    int
 	lastStepAt int64 // time of the last step down
@@ -11,10 +12,11 @@
 // How fast a Divisor falls.
 const (
 	divisorStepEvery = 1_000_000 // microseconds between steps down
-	divisorStepPart  = 10        // a step takes at most this part, and at least one member
+	divisorStepPart  = 10        // a step down is at most one tenth of the divisor, and at least 1
 )
 
-// Update returns the divisor for an effective size. next is the time to call again even if the size stays the same; 0 if there is no need.
+// Update returns the divisor for an effective size. next is the time to call Update again even if
+// the size stays the same; 0 if that is not needed.
 func (f *Divisor) Update(now int64, size int) (divisor int, next int64) {
 	size = max(size, 1)
 	switch {
--- a/internal/cluster/swim/encoding.go
+++ b/internal/cluster/swim/encoding.go
@@ -19,9 +19,9 @@
 
 // Limits of messages.
 const (
-	// MaxDatagram is the limit of a datagram in bytes, below the usual MTU.
+	// MaxDatagram is the maximum size of a datagram in bytes, below the usual MTU.
 	MaxDatagram = 1400
-	// MaxFrame is the limit of a frame of an exchange in bytes.
+	// MaxFrame is the maximum size of a frame of an exchange in bytes.
 	MaxFrame = 1 << 20
 
 	maxNameBytes     = 64
@@ -34,23 +34,24 @@
 
 // Reasons why a message was dropped.
 var (
-	ErrLength    = errors.New("too long or too short")
-	ErrChecksum  = errors.New("checksum")
-	ErrVersion   = errors.New("another version of the form")
-	ErrFleet     = errors.New("another fleet")
-	ErrMalformed = errors.New("it can't be read")
-	ErrAddress   = errors.New("address is not allowed")
+	ErrLength    = errors.New("swim: message length out of range")
+	ErrChecksum  = errors.New("swim: message checksum mismatch")
+	ErrVersion   = errors.New("swim: unsupported message format version")
+	ErrFleet     = errors.New("swim: message of another fleet")
+	ErrMalformed = errors.New("swim: malformed message")
+	ErrAddress   = errors.New("swim: address not allowed")
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// checksum is the CRC-32C of b.
+// checksum returns the CRC-32C of b.
 func checksum(b []byte) uint32 { return crc32.Checksum(b, castagnoli) }
 
-// seal encodes a message behind its header of checksum and format version. It is nil if encoding fails.
+// seal encodes a message after a header of checksum and format version. It returns nil if encoding
+// fails.
 func seal(m proto.Message) []byte {
 	b, err := proto.MarshalOptions{}.MarshalAppend(make([]byte, headerBytes, 256), m)
-	if err != nil { // strings are checked where they arrive
+	if err != nil { // not expected: strings are validated on receipt
 		return nil
 	}
 	b[4] = formatVersion
@@ -58,7 +59,7 @@
 	return b
 }
 
-// unseal checks and decodes a message of at most limit bytes that seal made.
+// unseal verifies and decodes a message encoded by seal, of at most limit bytes.
 func unseal(b []byte, limit int, m proto.Message) error {
 	switch {
 	case len(b) <= headerBytes || len(b) > limit:
@@ -74,16 +75,17 @@
 	return nil
 }
 
-// encodeRecord encodes a record for gossip. It is nil if encoding fails.
+// encodeRecord encodes a record for gossip. It returns nil if encoding fails.
 func encodeRecord(r Record, age int64) []byte {
 	b, err := proto.Marshal(toWire(r, age))
-	if err != nil { // strings are checked where they arrive
+	if err != nil { // not expected: strings are validated on receipt
 		return nil
 	}
 	return b
 }
 
-// toWire returns the form of a record on the wire. age is the time since a death or departure.
+// toWire converts a record to its wire format. age is the time since its death or departure, in
+// microseconds.
 func toWire(r Record, age int64) *wire.Member {
 	m := &wire.Member{
 		Name: r.Name, Start: r.Start, Incarnation: r.Incarnation, Revision: r.Revision, State: uint32(r.State),
@@ -104,7 +106,7 @@
 	return m
 }
 
-// fromWire decodes and checks a record. It fails with ErrMalformed.
+// fromWire converts a record from its wire format and validates it. The only error is ErrMalformed.
 func fromWire(m *wire.Member) (r Record, err error) {
 	r = Record{
 		Name: m.Name, Start: m.Start, Incarnation: m.Incarnation, Revision: m.Revision, State: State(min(m.State, 255)),
--- a/internal/cluster/swim/exchange.go
+++ b/internal/cluster/swim/exchange.go
@@ -12,7 +12,8 @@
 	frameRest        = 3
 )
 
-// compareDigest compares a member's digest with this view's. After mismatchLimit differences in a row an exchange looks for the cause.
+// compareDigest compares a member's digest with this view's, and requests an exchange after
+// mismatchLimit consecutive differences.
 func (c *Core) compareDigest(now int64, digest uint64, from netip.AddrPort) {
 	if digest == c.digest {
 		c.mismatches = 0
@@ -32,8 +33,9 @@
 	c.output.Exchanges = append(c.output.Exchanges, Exchange{to, c.OpeningFrame(now)})
 }
 
-// startExchanges starts the periodic exchanges: with a random member, with a dead one, and with a join address where no member is known. The last
-// two may reach the other part of a partitioned fleet.
+// startExchanges starts the periodic exchanges: with a random member, with a dead one, and with a
+// join address at which no live member is known. The last two may reach the other side of a network
+// partition.
 func (c *Core) startExchanges(now int64) {
 	if c.leavingSince != 0 {
 		return
@@ -41,7 +43,7 @@
 	if len(c.present) > 0 {
 		c.requestExchange(now, c.present[c.rng.IntN(len(c.present))].Address)
 	}
-	if c.superseded { // the process with the later start should know of this one
+	if c.superseded { // let the process with the later start detect the name conflict
 		if m := c.members[c.self.Name]; m != nil {
 			c.send(now, m.Address, &wire.Packet{Kind: packetGossip}, nil)
 		}
@@ -70,7 +72,9 @@
 	return c.encodeFrame(now, &wire.Frame{Kind: frameDigests, Sums: c.bucketDigests[:], Dead: c.deadDigest(now), First: !c.joined}, nil)
 }
 
-// HandleFrame handles a frame of an exchange, on either side, and returns the reply. A nil reply ends the exchange. The error says why a frame was dropped.
+// HandleFrame processes a frame of an exchange, on either side, and returns the reply. A nil reply
+// ends the exchange. If the frame is dropped, the error is the reason, one of the Err variables of
+// this package.
 func (c *Core) HandleFrame(now int64, b []byte) (reply []byte, err error) {
 	c.detectStall(now)
 	f := &wire.Frame{}
@@ -98,7 +102,7 @@
 	return nil, nil
 }
 
-// decodeFrame decodes a frame and returns the address that its sender gives.
+// decodeFrame decodes a frame and returns the sender's advertised address.
 func (c *Core) decodeFrame(b []byte, f *wire.Frame) (from netip.AddrPort, err error) {
 	if err := unseal(b, MaxFrame, f); err != nil {
 		return from, err
@@ -109,7 +113,8 @@
 	return c.checkSender(f.From, f.Start, f.Address, len(f.Members))
 }
 
-// mergeMembers merges the records of a frame. It returns the names of those that both sides have in the same state, which need not be sent back.
+// mergeMembers merges the records of a frame. It returns the names of the members that are equal on
+// both sides, which need not be sent back.
 func (c *Core) mergeMembers(now int64, members []*wire.Member) (same map[string]bool) {
 	same = map[string]bool{}
 	for _, x := range members {
@@ -122,7 +127,8 @@
 	return same
 }
 
-// answerDigests answers the opening frame: with the numbers of the buckets that differ, and the records in them.
+// answerDigests returns the answer to the opening frame: the indices of the buckets that differ,
+// and the records in them.
 func (c *Core) answerDigests(now int64, f *wire.Frame, same map[string]bool) []byte {
 	reply := &wire.Frame{Kind: frameDifferences}
 	differ := [digestBuckets]bool{}
@@ -136,7 +142,8 @@
 	return c.encodeFrame(now, reply, c.membersIn(differ, reply.DeadDiffer, same))
 }
 
-// answerDifferences answers the second frame with this view's records in the buckets that differ. It is nil if none do.
+// answerDifferences returns the answer to the second frame: this view's records in the buckets that
+// differ. It returns nil if no bucket differs.
 func (c *Core) answerDifferences(now int64, f *wire.Frame, same map[string]bool) []byte {
 	if len(f.Differ) == 0 && !f.DeadDiffer {
 		return nil
@@ -150,7 +157,8 @@
 	return c.encodeFrame(now, &wire.Frame{Kind: frameRest}, c.membersIn(differ, f.DeadDiffer, same))
 }
 
-// membersIn returns the members in the buckets that differ, and if gone is set all that are gone, except those named in same.
+// membersIn returns the members in the buckets that differ, and if gone is set all dead and left
+// members, except those named in same.
 func (c *Core) membersIn(differ [digestBuckets]bool, gone bool, same map[string]bool) (out []*member) {
 	for _, m := range c.present {
 		if differ[bucketOf(m.Name)] && !same[m.Name] {
@@ -165,8 +173,9 @@
 	return out
 }
 
-// deadDigest is a digest of the dead members that count in the effective size. The digest of the view leaves the dead out, so the record that one of them
-// has left or was forgotten could be lost for good; exchanges compare this digest too. It costs O(members that are gone).
+// deadDigest returns a digest of the dead members that count in the effective size. The digest of
+// the view excludes dead members, so without this one a lost record that such a member has left or
+// was forgotten would never be repaired. It costs O(dead and left members).
 func (c *Core) deadDigest(now int64) (digest uint64) {
 	for _, m := range c.gone {
 		if c.countsWhileDead(now, m) {
@@ -176,7 +185,8 @@
 	return digest
 }
 
-// encodeFrame encodes a frame with this process's own record, unless it is superseded, and those of members.
+// encodeFrame encodes a frame with this process's own record, unless it is superseded, and those of
+// members.
 func (c *Core) encodeFrame(now int64, f *wire.Frame, members []*member) []byte {
 	f.Fleet, f.From, f.Start, f.Address = c.cfg.Fleet, c.self.Name, c.self.Start, c.self.Address.String()
 	if !c.superseded {
--- a/internal/cluster/swim/golden_test.go
+++ b/internal/cluster/swim/golden_test.go
@@ -9,7 +9,8 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// goldenSealed is a message of the fleet's members as an earlier build sends it; goldenHash is a record's part in a digest.
+// goldenSealed is a message as an earlier build encodes it, and goldenHash the contribution of its
+// record to a digest. Members of different builds must agree on both.
 const (
 	goldenSealed = "5f1d1ab9010a026731110200000000000000180320042801320d31302e302e302e313a373230303a017a420176500562026732"
 	goldenHash   = uint64(8278942663504643497)
--- a/internal/cluster/swim/gossip.go
+++ b/internal/cluster/swim/gossip.go
@@ -5,7 +5,8 @@
 	"saffronquay/internal/cluster/swim/wire"
 )
 
-// gossip sends the queued records to random members. A process that leaves sends its own record to twice as many.
+// gossip sends the queued records to random members. A process that is leaving sends its own
+// record, to twice as many.
 func (c *Core) gossip(now int64) {
 	n := gossipFanout
 	if c.leavingSince != 0 && now-c.leavingSince < 5*c.cfg.ProbePeriod {
@@ -22,7 +23,8 @@
 	}
 }
 
-// gossipTarget returns a random member, preferring one that is not suspected: gossip to a dead process is wasted.
+// gossipTarget returns a random member, preferring one that is not suspected: gossip to a dead
+// process is wasted.
 func (c *Core) gossipTarget() *member {
 	m := c.present[c.rng.IntN(len(c.present))]
 	for range 2 {
@@ -34,5 +36,5 @@
 	return m
 }
 
-// transmitLimit is the number of times that this process sends each record.
+// transmitLimit returns the number of times that this process sends each record.
 func (c *Core) transmitLimit() int { return 4 * int(math.Ceil(math.Log10(float64(c.size()+1)))) }
--- a/internal/cluster/swim/gossip/calls.go
+++ b/internal/cluster/swim/gossip/calls.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// call runs f on the goroutine that owns the core, and waits for it. It returns ErrClosed if the driver has ended or does not answer in time; then f may still
-// run later, so f must not write to the caller's variables.
+// call runs f on the goroutine that owns the core, and waits for it. It returns ErrClosed if the
+// driver has stopped or does not respond within callTimeout. In that case f may still run later, so
+// f must not write to the caller's variables.
 func (p *Driver) call(f func(now int64)) error {
 	finished := make(chan struct{})
 	t := time.NewTimer(callTimeout)
@@ -28,7 +29,8 @@
 	}
 }
 
-// View returns a copy of the view, and the time of the driver's clock that its times refer to. It returns ErrClosed if the driver has ended or is late.
+// View returns a copy of the view, and the time on the driver's clock at which it was taken. It
+// returns ErrClosed if the driver has stopped or does not respond.
 func (p *Driver) View() (v swim.View, now int64, err error) {
 	got := make(chan swim.View, 1)
 	at := make(chan int64, 1)
@@ -38,7 +40,7 @@
 	return <-got, <-at, nil
 }
 
-// Counts are the counters of core and driver, and the sizes of the view.
+// Counts contains the counters of the core and the driver, and the sizes of the view.
 type Counts struct {
 	swim.Counts
 	AliveCount       int // alive or suspected members
@@ -49,11 +51,11 @@
 	NameConflict     int   // 1 if another live process has this one's name
 	DroppedByAddress int64 // datagrams and connections from addresses that are not allowed
 	DroppedByLimit   int64 // datagrams and exchanges beyond a limit of the driver
-	SendFailures     int64 // datagrams that the network did not take, and connections that failed
+	SendFailures     int64 // datagrams that could not be sent, and connections that failed
 	Traffic          Traffic
 }
 
-// Counts returns the present counters; all are 0 if the driver has ended or is late.
+// Counts returns the current counters. All are 0 if the driver has stopped or does not respond.
 func (p *Driver) Counts() (c Counts) {
 	got := make(chan Counts, 1)
 	if p.call(func(now int64) {
@@ -79,14 +81,16 @@
 	return c
 }
 
-// SetMetadata changes the metadata of this process. It does not wait, and change runs on the driver's goroutine; it must not block.
+// SetMetadata changes the metadata of this process. It does not wait for the change: change runs on
+// the driver's goroutine and must not block.
 func (p *Driver) SetMetadata(change func(swim.Metadata) swim.Metadata) {
 	go func() {
-		_ = p.call(func(now int64) { p.core.SetMetadata(now, change(p.core.Self().Metadata)) }) // once the driver has ended there is nothing to announce
+		_ = p.call(func(now int64) { p.core.SetMetadata(now, change(p.core.Self().Metadata)) }) // after the driver has stopped there is nothing to announce
 	}()
 }
 
-// Forget marks a dead member as one that has left; see swim.Core.Forget. It returns ErrClosed if the driver has ended or is late.
+// Forget marks a dead member as left; see swim.Core.Forget. It returns ErrClosed if the driver has
+// stopped or does not respond.
 func (p *Driver) Forget(name string) error {
 	got := make(chan error, 1)
 	if err := p.call(func(now int64) { got <- p.core.Forget(now, name) }); err != nil {
@@ -95,5 +99,6 @@
 	return <-got
 }
 
-// Leave announces that this process leaves the fleet. It goes on answering, and is no member until it is started again.
+// Leave announces that this process leaves the fleet. It still answers messages, but is not a
+// member until it is restarted.
 func (p *Driver) Leave() error { return p.call(func(now int64) { p.core.Leave(now) }) }
--- a/internal/cluster/swim/gossip/datagrams.go
+++ b/internal/cluster/swim/gossip/datagrams.go
@@ -7,17 +7,17 @@
 	"saffronquay/internal/cluster/swim"
 )
 
-// readDatagrams passes datagrams to Run until the socket closes.
+// readDatagrams passes received datagrams to Run until the socket is closed.
 func (p *Driver) readDatagrams() {
 	defer p.wg.Done()
-	buf := make([]byte, readBuffer)
+	buf := make([]byte, readBufferBytes)
 	for {
 		n, from, err := p.udp.ReadFromUDPAddrPort(buf)
 		if err != nil {
 			if errors.Is(err, net.ErrClosed) {
 				return
 			}
-			continue // on loopback a closed port is reported here; the socket stays usable
+			continue // on loopback, sending to a closed port is reported here; the socket stays usable
 		}
 		p.traffic.CountReceived(n)
 		if !p.allowed(from.Addr()) {
--- a/internal/cluster/swim/gossip/driver.go
+++ b/internal/cluster/swim/gossip/driver.go
@@ -13,7 +13,8 @@
 	"time"
 )
 
-// Driver runs one process's core over the network. Its exported methods may be called from any goroutine; Run owns the core.
+// Driver runs one process's core over the network. Its exported methods may be called from any
+// goroutine; Run owns the core.
 type Driver struct {
 	cfg             Config
 	now             func() int64
@@ -21,15 +22,15 @@
 	core            *swim.Core // owned by Run
 	udp             *net.UDPConn
 	tcp             *net.TCPListener
-	localAddress    netip.Addr // source of outgoing connections; not valid if the system chooses it
+	localAddress    netip.Addr // source of outgoing connections; not valid if the operating system chooses it
 	datagrams       chan []byte
 	calls           chan func(now int64)
 	frames          chan frameRequest
-	outgoing        chan struct{} // a slot for each exchange that this process has open
+	outgoing        chan struct{} // semaphore of the exchanges opened by this process
 	onSize          func(alive, size int, joined bool)
 	lastSize        [2]int
 	joined          bool
-	publishedDigest uint64 // digest of the view that OnView got last
+	publishedDigest uint64 // digest of the view last passed to OnView
 	publishedAt     int64  // time of that call
 
 	droppedByAddress, droppedByLimit, sendFailures atomic.Int64
@@ -40,9 +41,10 @@
 	done                                           chan struct{}
 }
 
-// Open opens the sockets. now returns microseconds and never runs backwards. onSize, if not nil, is called with the members alive, the effective size, and whether
-// any member was met yet, whenever a number has changed. It runs on the driver's goroutine and must not block. The caller has to call Run, or Close if it does
-// not.
+// Open returns a driver with open sockets. now is a monotonic clock in microseconds. onSize, if not
+// nil, is called with the number of live members, the effective size, and whether another member
+// has ever been in the view, whenever one of the two numbers changes. It runs on the driver's
+// goroutine and must not block. The caller must call Run, or Close if it does not.
 func Open(cfg Config, now func() int64, onSize func(alive, size int, joined bool), log *slog.Logger) (*Driver, error) {
 	p := &Driver{
 		cfg: cfg, now: now, log: log, onSize: onSize, datagrams: make(chan []byte, inboxSize), calls: make(chan func(int64), 16), frames: make(chan frameRequest, 16),
@@ -66,7 +68,8 @@
 	return p, nil
 }
 
-// listen opens TCP and UDP sockets with the same port. If the system chooses the port, it tries until one is free for both.
+// listen opens TCP and UDP sockets on the same port. If the operating system chooses the port,
+// listen retries until one is free for both.
 func (p *Driver) listen() (err error) {
 	for range bindAttempts {
 		at := net.TCPAddrFromAddrPort(p.cfg.Listen)
@@ -85,10 +88,11 @@
 	return fmt.Errorf("fleet: listen: %w", err)
 }
 
-// Address is the address that the driver listens on.
+// Address returns the address that the driver listens on.
 func (p *Driver) Address() netip.AddrPort { return tcpAddress(p.tcp.Addr()) }
 
-// tcpAddress returns an address of a TCP socket; it is not valid if a is none.
+// tcpAddress returns the address of a TCP socket. The result is not valid if a is not a TCP
+// address.
 func tcpAddress(a net.Addr) netip.AddrPort {
 	address, ok := a.(*net.TCPAddr)
 	if !ok {
@@ -97,7 +101,8 @@
 	return address.AddrPort()
 }
 
-// allowed reports whether members may have an address: it is in one of Config.Allow, or that is empty.
+// allowed reports whether members may have address a: whether it is in one of the prefixes of
+// Config.Allow, or there are none.
 func (p *Driver) allowed(a netip.Addr) bool {
 	if len(p.cfg.Allow) == 0 {
 		return true
@@ -111,7 +116,8 @@
 	return false
 }
 
-// Run takes part in the protocol until Stop, and then until the departure is announced. It closes the sockets when it returns.
+// Run runs the protocol until Stop is called and the departure has been announced. It closes the
+// sockets when it returns.
 func (p *Driver) Run() {
 	defer close(p.done)
 	self := p.core.Self()
@@ -158,7 +164,7 @@
 	p.refusePending()
 }
 
-// handleFrameRequest hands a frame to the core and returns its reply to the stream.
+// handleFrameRequest passes a frame to the core and its reply back to the stream.
 func (p *Driver) handleFrameRequest(x frameRequest) {
 	reply, err := p.core.HandleFrame(p.now(), x.frame)
 	if err != nil {
@@ -167,7 +173,8 @@
 	x.reply <- reply
 }
 
-// drain handles the datagrams that have arrived already, before timers conclude anything from their absence.
+// drain handles the datagrams that are queued already, so that no timer expires for lack of a
+// datagram that has arrived.
 func (p *Driver) drain() {
 	for range maxDrain {
 		select {
@@ -179,15 +186,15 @@
 	}
 }
 
-// handleDatagram hands a datagram to the core.
+// handleDatagram passes a datagram to the core.
 func (p *Driver) handleDatagram(b []byte) {
 	_ = p.core.HandleDatagram(p.now(), b) // the core counts what it drops
 }
 
-// perform does the work that the core left, and reports whether the view may have changed.
+// perform does the work that the core requested, and reports whether the view may have changed.
 func (p *Driver) perform(o swim.Output) bool {
 	for _, d := range o.Datagrams {
-		// A full buffer or a closed port loses the datagram, as the network may.
+		// A datagram lost to a full buffer or a closed port is like one lost in the network.
 		if _, err := p.udp.WriteToUDPAddrPort(d.Bytes, d.To); err != nil {
 			p.sendFailures.Add(1)
 		} else {
@@ -203,7 +210,7 @@
 	return len(o.Events) > 0
 }
 
-// startExchange opens an exchange on its own goroutine, unless maxOutgoing are open.
+// startExchange opens an exchange on its own goroutine, unless maxOutgoing exchanges are open.
 func (p *Driver) startExchange(x swim.Exchange) {
 	select {
 	case p.outgoing <- struct{}{}:
@@ -214,7 +221,7 @@
 	}
 }
 
-// reportSize calls onSize if a number has changed.
+// reportSize calls onSize if the number of live members or the effective size has changed.
 func (p *Driver) reportSize(now int64) {
 	alive, size := p.core.AliveCount(), p.core.EffectiveSize(now)
 	p.joined = p.joined || alive > 1
@@ -224,7 +231,8 @@
 	}
 }
 
-// publishView calls Config.OnView if the digest has changed, ten times a second at most: a view is as long as the fleet is large.
+// publishView calls Config.OnView if the digest has changed, at most ten times a second, since the
+// cost of a view grows with the fleet.
 func (p *Driver) publishView(now int64) {
 	if digest, _ := p.core.Digest(); p.cfg.OnView != nil && digest != p.publishedDigest && now-p.publishedAt >= viewInterval.Microseconds() {
 		p.publishedDigest, p.publishedAt = digest, now
@@ -238,14 +246,15 @@
 	p.tcp.Close()
 }
 
-// Stop announces the departure, ends Run and waits for all goroutines. Later calls only wait. It blocks until Run has returned.
+// Stop announces the departure, makes Run return and waits for all goroutines. Further calls only
+// wait.
 func (p *Driver) Stop() {
 	p.stopOnce.Do(func() { close(p.stop) })
 	<-p.done
 	p.wg.Wait()
 }
 
-// refusePending answers the frames that still wait for the core, since it handles no more.
+// refusePending answers the queued frames with nil, since the core no longer handles them.
 func (p *Driver) refusePending() {
 	for {
 		select {
--- a/internal/cluster/swim/gossip/streams.go
+++ b/internal/cluster/swim/gossip/streams.go
@@ -13,13 +13,15 @@
 	"time"
 )
 
-// frameRequest is a frame that has arrived, and the channel for the reply. The channel has space for one, so the core never blocks on it.
+// frameRequest is a received frame and the channel for its reply. The channel has a buffer of one,
+// so the core never blocks on it.
 type frameRequest struct {
 	frame []byte
 	reply chan []byte
 }
 
-// acceptExchanges serves the exchanges that other processes open, maxIncoming at a time, until the listener closes.
+// acceptExchanges serves the exchanges that other processes open, at most maxIncoming at a time,
+// until the listener is closed.
 func (p *Driver) acceptExchanges() {
 	defer p.wg.Done()
 	slots := make(chan struct{}, maxIncoming)
@@ -30,7 +32,7 @@
 				return
 			}
 			logging.Warn(p.log, logging.PeerDropped, "what", "accept", "error", err)
-			time.Sleep(10 * time.Millisecond) // out of file descriptors: try again later
+			time.Sleep(10 * time.Millisecond) // probably out of file descriptors; do not spin
 			continue
 		}
 		from := tcpAddress(conn.RemoteAddr())
@@ -56,10 +58,11 @@
 	}
 }
 
-// serveExchange answers the frames of one exchange: the opening frame, and the one with the records that the other side has more.
+// serveExchange answers the frames of one exchange: the opening frame, and the frame with the
+// records that only the other side has.
 func (p *Driver) serveExchange(conn net.Conn) {
 	if conn.SetDeadline(time.Now().Add(exchangeTimeout)) != nil {
-		return // it is closed
+		return // the connection is closed
 	}
 	conn = p.traffic.WrapConn(conn)
 	for range 2 {
@@ -75,7 +78,8 @@
 	}
 }
 
-// handleFrame hands a frame to the core and waits for the reply; nil if there is none or the driver ends.
+// handleFrame passes a frame to the core and returns the reply, or nil if there is none or the
+// driver stops.
 func (p *Driver) handleFrame(b []byte) []byte {
 	x := frameRequest{frame: b, reply: make(chan []byte, 1)}
 	p.traffic.received.Add(1)
@@ -92,7 +96,8 @@
 	}
 }
 
-// openExchange runs one exchange that the core asked for. A failure is only counted: a later exchange replaces it.
+// openExchange runs one exchange that the core requested. A failure is not reported, since a later
+// exchange replaces this one.
 func (p *Driver) openExchange(x swim.Exchange) {
 	defer p.wg.Done()
 	defer func() { <-p.outgoing }()
@@ -116,7 +121,7 @@
 	}
 	defer conn.Close()
 	if conn.SetDeadline(time.Now().Add(exchangeTimeout)) != nil {
-		return // it is closed
+		return // the connection is closed
 	}
 	conn = p.traffic.WrapConn(conn)
 	if writeFrame(conn, x.Frame) != nil {
@@ -132,13 +137,14 @@
 	}
 }
 
-// writeFrame writes a frame behind its length.
+// writeFrame writes a frame prefixed with its length.
 func writeFrame(w io.Writer, b []byte) error {
 	_, err := w.Write(append(binary.BigEndian.AppendUint32(make([]byte, 0, 4+len(b)), uint32(len(b))), b...))
 	return err
 }
 
-// readFrame reads a frame. A length of 0 or beyond swim.MaxFrame is an error.
+// readFrame reads a frame prefixed with its length. A length of 0 or above swim.MaxFrame is an
+// error.
 func readFrame(r io.Reader) ([]byte, error) {
 	var head [4]byte
 	if _, err := io.ReadFull(r, head[:]); err != nil {
@@ -146,9 +152,10 @@
 	}
 	n := binary.BigEndian.Uint32(head[:])
 	if n == 0 || n > swim.MaxFrame {
-		return nil, fmt.Errorf("a frame of %d bytes", n)
+		return nil, fmt.Errorf("gossip: frame length %d out of range", n)
 	}
-	// The buffer grows with the bytes that arrive: a length alone takes no memory.
+	// The buffer grows with the bytes received, so that a length prefix alone cannot allocate
+	// memory.
 	b, err := io.ReadAll(io.LimitReader(r, int64(n)))
 	if err == nil && len(b) < int(n) {
 		err = io.ErrUnexpectedEOF
--- a/internal/cluster/swim/join.go
+++ b/internal/cluster/swim/join.go
@@ -4,7 +4,7 @@
 	"net/netip"
 )
 
-// join attempts exchanges with some of the join addresses, with a growing backoff.
+// join requests exchanges with some of the join addresses, with exponential backoff.
 func (c *Core) join(now int64) {
 	c.nextJoinAt = now + c.joinBackoff/2 + c.rng.Int64N(c.joinBackoff)
 	c.joinBackoff = min(2*c.joinBackoff, c.cfg.ExchangePeriod)
@@ -21,7 +21,8 @@
 	}
 }
 
-// joinAddresses returns random join addresses at which no live member is known, at most limit of them.
+// joinAddresses returns random join addresses at which no live member is known, at most limit of
+// them.
 func (c *Core) joinAddresses(limit int) (some []netip.AddrPort) {
 	if len(c.cfg.Join) == 0 {
 		return nil
--- a/internal/cluster/swim/merge.go
+++ b/internal/cluster/swim/merge.go
@@ -9,7 +9,8 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// mergeEncoded merges one gossiped record. Bytes that were merged before are skipped, since most records arrive many times.
+// mergeEncoded merges one gossiped record. Encoded records that were merged before are skipped,
+// since most records arrive many times.
 func (c *Core) mergeEncoded(now int64, b []byte) {
 	sum := xxhash.Sum64(b)
 	if _, known := c.seenRecords[sum]; known {
@@ -21,7 +22,7 @@
 		return
 	}
 	if c.mergeWire(now, m); m.Name == c.self.Name {
-		return // a record about this process is answered each time
+		return // a record about this process is handled each time it arrives
 	}
 	if len(c.seenRecords) >= maxSeenRecords {
 		clear(c.seenRecords)
@@ -29,7 +30,8 @@
 	c.seenRecords[sum] = struct{}{}
 }
 
-// mergeWire merges one decoded record. One that can't prevail is skipped before it is checked.
+// mergeWire validates and merges one decoded record. A record that cannot prevail is skipped before
+// it is validated.
 func (c *Core) mergeWire(now int64, x *wire.Member) {
 	if m := c.members[x.Name]; m != nil && x.Start == m.Start && x.Incarnation <= m.Incarnation && m.State != Suspected && x.State <= uint32(m.State) {
 		return
@@ -42,7 +44,8 @@
 	c.merge(now, r, int64(x.AgeMs)*1000)
 }
 
-// merge compares a record with the view and accepts it if it prevails. age is the time since a death or a departure, in microseconds.
+// merge compares a record with the view and applies it if it prevails. age is the time since a
+// death or a departure, in microseconds.
 func (c *Core) merge(now int64, r Record, age int64) {
 	if r.Name == c.self.Name {
 		c.mergeSelf(now, r)
@@ -63,11 +66,11 @@
 		c.setRecord(now, m, r, age)
 		return
 	case m.reportedDead != nil && !r.prevailsOver(*m.reportedDead):
-		return // the reported death is being checked
+		return // the reported death is still being verified
 	case !r.prevailsOver(m.Record) && !(m.State == Suspected && r.State == Suspected && r.Start == m.Start && r.Incarnation == m.Incarnation):
 		return
 	case m.State == Suspected && r.present() == (r.State == Suspected) && r.State != Left && r.Start == m.Start && r.Incarnation == m.Incarnation:
-		// A reported death counts as its accusers.
+		// A reported death adds its accusers to the suspicion.
 		c.addAccusers(now, m, r.Accusers)
 		return
 	case m.State == Alive && r.State == Dead && r.Start == m.Start:
@@ -77,11 +80,12 @@
 	c.setRecord(now, m, r, age)
 }
 
-// challengeDeath handles a reported death of a member that is alive in this view, as the other part of a partitioned fleet reports it. The report is not passed
-// on: the member is shown it and can refute. Without a refutation it is accepted in the end.
+// challengeDeath handles a reported death of a member that is alive in this view, such as the other
+// side of a network partition sends it. The report is not gossiped: it is sent to the member, which
+// can refute it. Without a refutation the death is accepted.
 func (c *Core) challengeDeath(now int64, m *member, r Record) {
 	if m.heapIndex >= 0 {
-		m.reportedDead = &r // it prevails over the death reported before
+		m.reportedDead = &r // it prevails over the death reported earlier
 		return
 	}
 	m.reportedDead, m.checks, m.checkAt = &r, 0, now
@@ -119,11 +123,11 @@
 		c.endSuspicion(m)
 	}
 	switch {
-	case c.bootstrapping: // the other members know these records already
+	case c.bootstrapping: // the other members have these records already
 	case r.State == Suspected:
-		c.broadcasts.add(now, m, c.transmitLimit()/2) // a refutation goes before it, and further
+		c.broadcasts.add(now, m, c.transmitLimit()/2) // a refutation is sent first, and more often
 	case r.State == Dead:
-		c.broadcasts.add(now, m, c.transmitLimit()/3) // most members come to it by themselves
+		c.broadcasts.add(now, m, c.transmitLimit()/3) // most members detect the death themselves
 	default:
 		c.broadcasts.add(now, m, 0)
 	}
@@ -152,7 +156,8 @@
 	}
 }
 
-// moveToList moves a member into the list where it belongs now. A member that is present is inserted into probeOrder at a random place.
+// moveToList moves a member into the list of its present state. A live or suspected member is also
+// inserted into probeOrder at a random position.
 func (c *Core) moveToList(m *member, wasPresent bool) {
 	if m.listIndex >= 0 {
 		c.unlist(m, wasPresent)
@@ -174,7 +179,8 @@
 	}
 }
 
-// unlist removes a member from the list that it is in: from present if wasPresent is set, otherwise from gone.
+// unlist removes a member from the list that it is in: from present if wasPresent is set, otherwise
+// from gone.
 func (c *Core) unlist(m *member, wasPresent bool) {
 	list := &c.gone
 	if wasPresent {
--- a/internal/cluster/swim/output.go
+++ b/internal/cluster/swim/output.go
@@ -10,21 +10,23 @@
 	Bytes []byte
 }
 
-// Exchange is a request to the driver for a push-pull exchange: open a stream to To, send Frame, hand the frame that comes back to Core.HandleFrame and send its
-// reply. An exchange that fails needs no report; a later one replaces it.
+// Exchange is a request to the driver for a push-pull exchange: open a stream to To, send Frame,
+// pass the frame received in return to Core.HandleFrame and send its reply. A failed exchange need
+// not be reported; a later one replaces it.
 type Exchange struct {
 	To    netip.AddrPort
 	Frame []byte
 }
 
-// Output is the work that a core leaves to its driver, in order.
+// Output is the work that a core requests from its driver, in order.
 type Output struct {
 	Datagrams []Datagram
 	Exchanges []Exchange
 	Events    []Event
 }
 
-// Event is a change that an operator or another component may want to know. Record is the record of the member concerned.
+// Event is a change that is of interest to an operator or another component. Record is the record
+// of the member concerned.
 type Event struct {
 	Kind EventKind
 	Record
@@ -43,27 +45,28 @@
 	EventLeft                          // a member has left
 	EventRestarted                     // a member has a later start
 	EventUpdated                       // a member has changed its metadata
-	EventRefuted                       // this process was accused and has refuted that
+	EventRefuted                       // this process was accused and has refuted the accusation
 	EventNameConflict                  // another live process has this one's name
-	EventRejoined                      // this process has taken a later start
-	EventStalled                       // this process did not run for a while, and accuses no member yet
+	EventRejoined                      // this process continues with a later start
+	EventStalled                       // this process was stopped or starved, and does not accuse other members yet
 	EventIsolated                      // no join address has answered
-	EventConnected                     // the first member has answered after that
+	EventConnected                     // the first member has answered after EventIsolated
 )
 
-// String is the name of the kind as it stands in log lines.
+// String returns the name of the kind as it appears in log lines.
 func (k EventKind) String() string {
 	return [...]string{"joined", "suspected", "cleared", "dead", "left", "restarted", "changed", "refuted", "twin", "rejoined", "napped", "alone", "found"}[k]
 }
 
-// Counts are the counters of a core. Dropped counts datagrams, frames and records; SentBytes are of datagrams, FrameBytes of frames.
+// Counts contains the counters of a core. Dropped counts datagrams, frames and records; SentBytes
+// counts datagrams only, and FrameBytes frames.
 type Counts struct {
 	Sent, SentBytes, Received, Dropped                         int64
 	Probes, FailedProbes, Suspicions, Refutations, Deaths      int64
 	Exchanges, DigestMismatches, Stalls, FrameBytes, Forgotten int64
 }
 
-// Plus returns the sums of two cores' counters.
+// Plus returns the sum of the counters of two cores.
 func (c Counts) Plus(o Counts) Counts {
 	c.Sent += o.Sent
 	c.SentBytes += o.SentBytes
@@ -82,7 +85,8 @@
 	return c
 }
 
-// TakeOutput returns the work since the last call, and hands it over: the core keeps no reference to it.
+// TakeOutput returns the work since the last call. The caller owns the result: the core keeps no
+// reference to it.
 func (c *Core) TakeOutput() Output {
 	o := c.output
 	c.output = Output{}
--- a/internal/cluster/swim/probe.go
+++ b/internal/cluster/swim/probe.go
@@ -4,7 +4,7 @@
 	"saffronquay/internal/cluster/swim/wire"
 )
 
-// probe is the probe that is in progress; there is one at a time.
+// probe is the probe in progress. There is at most one at a time.
 type probe struct {
 	target      *member
 	start       uint64 // the start of the target when the probe began
@@ -17,11 +17,12 @@
 	duration    int64
 }
 
-// startNextProbe starts a probe of the next member in probeOrder. The order is shuffled after each pass, so every member is probed once in a pass.
+// startNextProbe starts a probe of the next member in probeOrder. The order is shuffled after each
+// round, so every member is probed once per round.
 func (c *Core) startNextProbe(now int64) {
 	duration := c.cfg.ProbePeriod * int64(1+c.healthScore)
 	c.nextProbeAt = now + duration
-	if c.probe != nil { // its time is over
+	if c.probe != nil { // it timed out
 		c.failProbe(now)
 	}
 	if c.leavingSince != 0 {
@@ -48,7 +49,8 @@
 	}
 }
 
-// ping sends a ping. A suspected member also gets the record that accuses it, so that it can refute.
+// ping sends a ping. A suspected member also gets the record that accuses it, so that it can
+// refute.
 func (c *Core) ping(now int64, m *member, seq uint32) {
 	var subject *member
 	if m.State == Suspected {
@@ -57,7 +59,8 @@
 	c.send(now, m.Address, &wire.Packet{Kind: packetPing, Seq: seq}, subject)
 }
 
-// escalateProbe takes an unanswered probe to its next stage: a second ping, then indirect pings through other members.
+// escalateProbe advances an unanswered probe to its next stage: a second ping, then indirect pings
+// through other members.
 func (c *Core) escalateProbe(now int64) {
 	p := c.probe
 	switch p.stage {
@@ -86,14 +89,15 @@
 	}
 }
 
-// failProbe ends a probe without an ack. The member becomes suspected, or this process joins its accusers, unless the result says nothing about the
-// member: it was heard meanwhile, or this process distrusts itself, leaves or is superseded.
+// failProbe ends a probe without an ack. The member becomes suspected, or this process is added to
+// its accusers, unless the result is no evidence against the member: a datagram arrived from it
+// meanwhile, or this process distrusts itself, is leaving or is superseded.
 func (c *Core) failProbe(now int64) {
 	p := c.probe
 	c.probe = nil
 	c.counts.FailedProbes++
 	if p.nacks == 0 {
-		c.adjustHealth(1) // no relaying member answered, or there is none: this process may be the slow one
+		c.adjustHealth(1) // no relaying member answered, or there is none, so this process may be the slow one
 	}
 	if p.target.listIndex < 0 || !p.target.present() || p.target.reportedDead != nil || p.target.Start != p.start || p.target.lastHeard >= p.startedAt || c.superseded || c.leavingSince != 0 || c.distrustsItself(now) {
 		return
@@ -105,10 +109,10 @@
 	r := p.target.Record
 	r.State, r.Accusers = Suspected, []string{c.self.Name}
 	c.setRecord(now, p.target, r, 0)
-	c.ping(now, p.target, p.seq) // the member sees the accusation first
+	c.ping(now, p.target, p.seq) // the member receives the accusation before the others
 }
 
-// handleAck handles an ack, either of this process's own probe or of one that it relays.
+// handleAck handles an ack of this process's own probe or of a ping that it relayed.
 func (c *Core) handleAck(now int64, p *wire.Packet) {
 	if r, ok := c.relays[p.Seq]; ok && p.Target == "" && r.target == p.From {
 		delete(c.relays, p.Seq)
--- a/internal/cluster/swim/record.go
+++ b/internal/cluster/swim/record.go
@@ -29,18 +29,18 @@
 	return [...]string{"alive", "suspected", "dead", "left"}[s-1]
 }
 
-// Metadata is what a member announces about itself beside its identity and address.
+// Metadata is the state that a member announces about itself besides its identity and address.
 type Metadata struct {
 	Draining, Standby bool
 	PolicyVersion     uint64         // the version of the policy that the member has in force
-	PolicyAddress     netip.AddrPort // where the member takes part in the policy agreement; not valid if it does not
+	PolicyAddress     netip.AddrPort // the member's address for the policy agreement; not valid if it does not take part
 }
 
-// Record is what members gossip about one member.
+// Record is the unit of gossip: the state of one member.
 type Record struct {
 	Name                  string
 	Start                 uint64 // identity of the start; a later start has a greater one
-	Incarnation, Revision uint32 // raised by the member only: to refute, and when its metadata changes
+	Incarnation, Revision uint32 // raised only by the member itself: to refute, and when its metadata changes
 	State                 State
 	Address               netip.AddrPort
 	Zone, Version         string
@@ -48,8 +48,8 @@
 	Accusers              []string // the members that accuse it, if it is suspected or was when it was declared dead
 }
 
-// prevailsOver reports whether r replaces other, a record of the same name. The order is total: the later start, then the state Left, then the higher incarnation,
-// then the worse state.
+// prevailsOver reports whether r replaces other, a record of the same name. The order is total: the
+// later start, then the state Left, then the higher incarnation, then the worse state.
 func (r Record) prevailsOver(other Record) bool {
 	switch left, otherLeft := r.State == Left, other.State == Left; {
 	case r.Start != other.Start:
@@ -65,7 +65,7 @@
 // present reports whether the member is alive or suspected.
 func (r Record) present() bool { return r.State == Alive || r.State == Suspected }
 
-// hash is the record's part in a digest. All members of a fleet must agree on it.
+// hash returns the record's contribution to a digest. All members of a fleet must agree on it.
 func (r Record) hash() uint64 {
 	var b [96]byte
 	x := append(b[:0], r.Name...)
@@ -73,14 +73,15 @@
 	return xxhash.Sum64(binary.BigEndian.AppendUint32(x, r.Revision))
 }
 
-// CheckName returns an error if name is not valid as the name of a member, a zone or a version: empty, too long, or with spaces or characters that can't be printed.
+// CheckName returns an error if name is not valid as the name of a member, a zone or a version: if
+// it is empty, too long, or contains a space or an unprintable character.
 func CheckName(name string) error {
 	if name == "" || len(name) > maxNameBytes {
 		return fmt.Errorf("want 1 to %d bytes, not %d", maxNameBytes, len(name))
 	}
 	for _, r := range name {
 		if r == utf8.RuneError || !unicode.IsPrint(r) || r == ' ' {
-			return fmt.Errorf("%q has what can't be printed, or a space", name)
+			return fmt.Errorf("%q contains a space or an unprintable character", name)
 		}
 	}
 	return nil
--- a/internal/cluster/swim/relay.go
+++ b/internal/cluster/swim/relay.go
@@ -13,8 +13,9 @@
 	until     int64
 }
 
-// handleIndirectPing pings a member on behalf of another. Its nack shows the requester that this process is there: a requester that hears from no relaying member
-// lowers its own health. The oldest relays are dropped beyond maxRelays.
+// handleIndirectPing pings a member on behalf of another. The nack shows the requester that this
+// process is reachable: a requester that receives no nack from any relaying member lowers its own
+// health. The oldest relays are dropped beyond maxRelays.
 func (c *Core) handleIndirectPing(now int64, p *wire.Packet, requester netip.AddrPort) {
 	for len(c.relayOrder) > 0 {
 		r, open := c.relays[c.relayOrder[0]]
--- a/internal/cluster/swim/self.go
+++ b/internal/cluster/swim/self.go
@@ -5,23 +5,24 @@
 	"saffronquay/internal/cluster/swim/wire"
 )
 
-// mergeSelf merges a record about this process that another one sent. Accusations are refuted.
+// mergeSelf merges a record about this process that another process sent. Accusations are refuted.
 func (c *Core) mergeSelf(now int64, r Record) {
 	s := c.self
 	switch {
-	case c.leavingSince != 0: // a successor of this name is no conflict
-	case r.Start < s.Start: // out of date: the record of the present start answers it
+	case c.leavingSince != 0: // a successor with this name is not a conflict
+	case r.Start < s.Start: // out of date: gossip the record of the present start
 		if !s.queued && !c.superseded {
 			c.broadcasts.add(now, s, 0)
 		}
 	case r.Start > s.Start && !r.present():
-		// A process of this name with a later start has ended, or the clock ran ahead then: this process takes its place.
+		// A process of this name with a later start has ended, or the clock was ahead then: this
+		// process needs a still later start.
 		c.takeNewStart(now, r.Start+1)
 	case r.Start > s.Start:
 		c.supersede(now, r)
 	case c.superseded:
 	case r.State == Left:
-		c.takeNewStart(now, r.Start+1) // a member or an operator declared that it has left, but it runs
+		c.takeNewStart(now, r.Start+1) // a member or an operator declared that it has left, but it is running
 	case r.State != Alive && r.Incarnation >= s.Incarnation || r.Incarnation > s.Incarnation:
 		if c.cfg.Disabled.Refutation {
 			return
@@ -36,7 +37,8 @@
 	}
 }
 
-// supersede records a live process of this name with a later start: that one is the member, and this process is not.
+// supersede handles a live process of this name with a later start: that process is the member, and
+// this one no longer is.
 func (c *Core) supersede(now int64, r Record) {
 	c.reportConflict(now, r)
 	if m := c.members[r.Name]; m == nil || r.prevailsOver(m.Record) {
@@ -54,7 +56,8 @@
 	}
 }
 
-// takeNewStart gives this process a later start, since a record about the present one can no longer be refuted.
+// takeNewStart gives this process a later start, because a record about its present start can no
+// longer be refuted.
 func (c *Core) takeNewStart(now int64, start uint64) {
 	s := c.self
 	if !c.superseded {
@@ -71,10 +74,10 @@
 	c.emit(EventRejoined, s.Record)
 }
 
-// handleNamesake handles a message from a process that has this one's name.
+// handleNamesake handles a message whose sender has the name of this process.
 func (c *Core) handleNamesake(now int64, start uint64, from netip.AddrPort) {
 	if start == c.self.Start && from == c.self.Address {
-		return // its own message: one of the join addresses is its own
+		return // a message to itself: one of the join addresses is its own
 	}
 	if start > c.self.Start || c.leavingSince != 0 {
 		return // the other process's record arrives by gossip
@@ -85,7 +88,8 @@
 	c.send(now, from, &wire.Packet{Kind: packetGossip}, c.self)
 }
 
-// reportConflict records that another live process has this one's name. The event is repeated after ten exchange periods.
+// reportConflict records that another live process has this one's name. The event is repeated after
+// ten exchange periods.
 func (c *Core) reportConflict(now int64, r Record) {
 	if c.conflictSeenAt = now; c.conflictReportedAt == 0 || now-c.conflictReportedAt >= 10*c.cfg.ExchangePeriod {
 		c.conflictReportedAt = now
@@ -93,16 +97,16 @@
 	}
 }
 
-// SetMetadata changes the metadata of this process and announces it. It does nothing once the process leaves.
-func (c *Core) SetMetadata(now int64, f Metadata) {
+// SetMetadata changes the metadata of this process and announces it. It has no effect after Leave.
+func (c *Core) SetMetadata(now int64, metadata Metadata) {
 	s := c.self
-	if s.Metadata == f || c.leavingSince != 0 {
+	if s.Metadata == metadata || c.leavingSince != 0 {
 		return
 	}
 	if !c.superseded {
 		c.toggleDigest(s.Record)
 	}
-	s.Metadata = f
+	s.Metadata = metadata
 	s.Incarnation++
 	s.Revision++
 	if c.superseded {
@@ -113,7 +117,8 @@
 	c.broadcasts.add(now, s, 0)
 }
 
-// Leave starts to announce that this process leaves. HasLeft reports when the announcement is over. It can't be undone.
+// Leave starts to announce the departure of this process. HasLeft reports when the announcement is
+// complete. It cannot be undone.
 func (c *Core) Leave(now int64) {
 	if c.leavingSince != 0 {
 		return
@@ -129,7 +134,8 @@
 	c.nextGossipAt = now
 }
 
-// HasLeft reports whether the announcement of Leave is over, or no member is present to hear it.
+// HasLeft reports whether the announcement of Leave is complete, or there is no live member to
+// announce it to.
 func (c *Core) HasLeft(now int64) bool {
 	return c.leavingSince != 0 && (len(c.present) == 0 || now-c.leavingSince >= leaveHalfPeriods*c.cfg.ProbePeriod/2)
 }
--- a/internal/cluster/swim/suspicion.go
+++ b/internal/cluster/swim/suspicion.go
@@ -7,7 +7,8 @@
 	"slices"
 )
 
-// suspicionHeap holds the members under suspicion, or whose death another member reports, ordered by the time of their next check.
+// suspicionHeap contains the members that are suspected or reported dead, ordered by the time of
+// their next check.
 type suspicionHeap []*member
 
 // Len implements heap.Interface.
@@ -40,17 +41,18 @@
 	return m
 }
 
-// suspicionTimeout is the duration of a suspicion with so many accusers: from maxSuspicionFactor times the shortest, with one accuser, down to the shortest, with
-// confirmations more (Lifeguard).
+// suspicionTimeout returns the duration of a suspicion by its number of accusers: from
+// maxSuspicionFactor times the minimum with one accuser, down to the minimum with confirmations
+// further accusers (Lifeguard).
 func (c *Core) suspicionTimeout(accusers int) int64 {
 	n := float64(max(c.size(), 10))
-	least := c.cfg.SuspicionFactor * math.Log10(n) * float64(c.cfg.ProbePeriod)
+	minimum := c.cfg.SuspicionFactor * math.Log10(n) * float64(c.cfg.ProbePeriod)
 	k := min(confirmations, c.size()-2)
 	if k < 1 || c.cfg.Disabled.Confirmation {
-		return int64(least)
+		return int64(minimum)
 	}
 	share := math.Log(float64(min(max(accusers-1, 0), k)+1)) / math.Log(float64(k+1))
-	return int64(least * (maxSuspicionFactor - (maxSuspicionFactor-1)*share))
+	return int64(minimum * (maxSuspicionFactor - (maxSuspicionFactor-1)*share))
 }
 
 // startSuspicion starts a suspicion, or restarts it under a new incarnation.
@@ -65,14 +67,15 @@
 	}
 }
 
-// endSuspicion ends a suspicion and drops a reported death.
+// endSuspicion ends a suspicion and discards a reported death.
 func (c *Core) endSuspicion(m *member) {
 	if m.reportedDead = nil; m.heapIndex >= 0 {
 		heap.Remove(&c.suspicions, m.heapIndex)
 	}
 }
 
-// addAccusers adds accusers to a suspicion, which shortens it, and gossips the record if one was new.
+// addAccusers adds accusers to a suspicion, which shortens it, and gossips the record if any of
+// them is new.
 func (c *Core) addAccusers(now int64, m *member, accusers []string) {
 	added := false
 	for _, name := range accusers {
@@ -92,13 +95,15 @@
 	}
 }
 
-// nextCheck is the time of a suspicion's next check: at half of its duration, at three quarters, at its end.
+// nextCheck returns the time of a suspicion's next check: at half of its duration, at three
+// quarters, and at its end.
 func (m *member) nextCheck() int64 {
 	return m.suspicionEnd - (m.suspicionEnd-m.suspectedAt)*int64(max(0, 2-m.checks))/4
 }
 
-// checkSuspicion runs when a suspicion's next check is due. The first two checks ping the member again: its refutation may have been lost on the way here while
-// others have it. The last one declares it dead.
+// checkSuspicion runs when a suspicion's next check is due. The first two checks ping the member
+// again, since its refutation may have reached other members but not this process. The last check
+// declares the member dead.
 func (c *Core) checkSuspicion(now int64, m *member) {
 	switch {
 	case m.reportedDead != nil && m.checks == 0:
@@ -113,7 +118,7 @@
 	case c.distrustsItself(now) || c.superseded || c.leavingSince != 0:
 		m.checkAt = now + c.cfg.ProbePeriod
 	case m.lastHeard > m.suspectedAt && !m.extended && !c.cfg.Disabled.Awareness:
-		m.extended = true // it was heard since: its refutation may be on the way
+		m.extended = true // a datagram arrived from it since, so its refutation may be in flight
 		m.checks, m.suspectedAt, m.suspicionEnd = 0, now, now+c.suspicionTimeout(1)
 		m.checkAt = m.nextCheck()
 	case m.reportedDead != nil:
