--- a/internal/panicguard/panicguard.go
+++ b/internal/panicguard/panicguard.go
@@ -6,13 +6,14 @@
 	"runtime/debug"
 )
 
-// PanicError is a panic that was contained.
+// PanicError is a recovered panic.
 type PanicError struct {
-	Value any    // what the code panicked with
+	Value any    // argument of panic
 	Stack []byte // of the goroutine
 }
 
-// Error describes the panic without its stack. Of a value that is no fault of the runtime only the type is named: it might hold data of a client.
+// Error describes the panic without its stack. If the value is not a runtime error, only its type
+// is named, since the value may contain client data.
 func (p *PanicError) Error() string {
 	if fault, ok := p.Value.(runtime.Error); ok {
 		return "panic: " + fault.Error()
@@ -20,9 +21,10 @@
 	return fmt.Sprintf("panic with a %T", p.Value)
 }
 
-// Contain has to be deferred directly: defer panicguard.Contain(f). Where the goroutine panics, onPanic is called with the panic, and the function
-// that deferred Contain returns to its caller. It does nothing where there is no panic, also when runtime.Goexit ends the goroutine. A panic of
-// onPanic itself is not contained.
+// Contain recovers a panic of the goroutine and passes it to onPanic; the function that deferred
+// Contain then returns to its caller. It must be deferred directly: defer panicguard.Contain(f).
+// It does nothing if there is no panic, including when runtime.Goexit ends the goroutine. A panic
+// of onPanic itself is not recovered.
 func Contain(onPanic func(*PanicError)) {
 	if value := recover(); value != nil {
 		onPanic(&PanicError{Value: value, Stack: debug.Stack()})
--- a/internal/panicguard/panicguard_test.go
+++ b/internal/panicguard/panicguard_test.go
@@ -7,7 +7,7 @@
 	"github.com/matryer/is"
 )
 
-// A panic reaches onPanic with its value and stack, and the caller goes on.
+// A panic reaches onPanic with its value and stack, and the caller continues.
 func TestContain(t *testing.T) {
 	is := is.New(t)
 	run := func(work func()) (contained *PanicError) {
--- a/internal/storage/recordlog/clean.go
+++ b/internal/storage/recordlog/clean.go
@@ -3,23 +3,27 @@
 import "slices"
 
 const (
-	// maxSmallSegments is the number of small segments that cleaning leaves alone. Each start begins a new segment.
+	// maxSmallSegments is the number of small segments that cleaning tolerates. Each start creates
+	// a new segment.
 	maxSmallSegments = 16
-	// smallSegmentDivisor sets the size below which a segment is small: this part of the size at which a new one is begun.
+	// A segment smaller than Options.SegmentSize / smallSegmentDivisor is small.
 	smallSegmentDivisor = 4
 )
 
-// cleaning collects the live records of one segment. They are then written anew at the log's end, and the segment is dropped.
+// cleaning collects the live records of one segment. They are then rewritten at the end of the
+// log, and the segment is deleted.
 type cleaning struct {
 	journal       *journal
 	segment       *segment
 	live          []*entry
-	expiredHashes []uint64 // of records that the index points to
+	expiredHashes []uint64 // key hashes of expired records that the index refers to
 	now           int64
 }
 
-// segmentToClean returns the segment that should be cleaned next: the first that is damaged or has only expired records, else the one with
-// the smallest live part below a half, else the first small one where there are too many; nil where none needs it.
+// segmentToClean returns the segment to clean next: the first one that is damaged or has only
+// expired records, otherwise the one with the smallest live share if that is below one half,
+// otherwise the first small one if there are more than maxSmallSegments. It returns nil if no
+// segment needs cleaning.
 func (j *journal) segmentToClean() *segment {
 	j.mu.RLock()
 	defer j.mu.RUnlock()
@@ -49,7 +53,8 @@
 	return emptiest
 }
 
-// collectLive reads a sealed segment and collects its live and expired records. It may run beside the writer.
+// collectLive reads a sealed segment and collects its live and expired records. It may run
+// concurrently with the writer.
 func (j *journal) collectLive(s *segment) *cleaning {
 	c := &cleaning{journal: j, segment: s, now: j.now()}
 	var bufs copyBuffers
@@ -57,7 +62,8 @@
 	return c
 }
 
-// visitLost does nothing: spans that were lost before are known since the store was opened, later ones are found when it is opened next.
+// visitLost ignores lost spans: those lost before the store was opened are known, and later ones
+// are found when it is opened next.
 func (c *cleaning) visitLost(header) {}
 
 func (c *cleaning) visitRecord(off int64, payload []byte, h header) {
@@ -74,8 +80,9 @@
 	}
 }
 
-// dropSegment removes a cleaned segment from the manifest, its expired records from the index, and then its files. All live records of it must
-// have been committed elsewhere. It is for the writer.
+// dropSegment removes a cleaned segment from the manifest, its expired records from the index,
+// and then its files. All its live records must have been committed to another segment. It must
+// be called on the writer's goroutine.
 func (j *journal) dropSegment(c *cleaning) error {
 	s := c.segment
 	remaining := slices.DeleteFunc(slices.Clone(j.manifest.segments), func(o *segment) bool { return o == s })
@@ -95,12 +102,12 @@
 	}
 	j.mu.Unlock()
 	for _, d := range j.dirs {
-		_ = d.Remove(s.name()) // the next start removes it otherwise
+		_ = d.Remove(s.name()) // on failure the next start removes it
 	}
 	return nil
 }
 
-// forgetLostSpans removes the outdated lost spans from the manifest that is written next.
+// forgetLostSpans removes the outdated lost spans from the next manifest.
 func (j *journal) forgetLostSpans() {
 	now := j.now()
 	j.mu.Lock()
--- a/internal/storage/recordlog/commit.go
+++ b/internal/storage/recordlog/commit.go
@@ -6,22 +6,24 @@
 	"saffronquay/internal/storage/recordlog/form"
 )
 
-// entry is one record on its way to the log.
+// entry is one record that is queued or being committed.
 type entry struct {
 	Record
 	done       func(error) // may be nil
-	movedFrom  ref         // where cleaning found the record; 0: it is new
-	superseded bool        // a newer record was written since cleaning found this one, so it is not written
+	movedFrom  ref         // place from which cleaning moves the record; 0 for a new record
+	superseded bool        // a newer record was written since cleaning read this one, so it is not written
 	offset     int64       // in the active segment
 	size       int64       // of the frame
 	hash       uint64
 }
 
-// queuedSize returns the bytes that an entry counts while it waits.
+// queuedSize returns the bytes that an entry counts against Options.MaxWaiting while it is
+// queued.
 func (e *entry) queuedSize() int64 { return int64(len(e.Key)+len(e.Value)) + frameHeadSize }
 
-// commit makes entries durable together, or none of them. Where the active segment fails, nothing more is written to it, since a failed sync
-// may have dropped data and a later sync then succeeds without them; the entries are then written to a new segment.
+// commit makes all entries durable, or none of them. If a write to the active segment fails,
+// nothing more is written to that segment, since a failed sync may have dropped data and a later
+// sync can succeed without it; the entries are written to a new segment instead.
 func (j *journal) commit(entries []*entry) error {
 	if j.activeBroken || j.active.size >= j.opt.SegmentSize {
 		if err := j.roll(); err != nil {
@@ -34,7 +36,8 @@
 			return err
 		}
 	}
-	// The claim is checked only now, after the sync: that proves that the next owner will read these records.
+	// The claim must be checked after the sync: only then is it certain that the next owner reads
+	// these records.
 	if !j.isOwner() {
 		j.activeBroken = true
 		return ErrFenced
@@ -43,7 +46,8 @@
 	return nil
 }
 
-// appendToNewSegment writes entries to a new segment after the active one failed with an error.
+// appendToNewSegment writes entries to a new segment after the active one failed with the error
+// first.
 func (j *journal) appendToNewSegment(entries []*entry, first error) error {
 	j.activeBroken = true
 	if !j.isOwner() {
@@ -59,7 +63,8 @@
 	return nil
 }
 
-// append writes entries to both copies of the active segment and syncs them. It sets the entries' positions.
+// append writes entries to both copies of the active segment and syncs them. It sets the entries'
+// positions.
 func (j *journal) append(entries []*entry) error {
 	s := j.active
 	seed, at := s.seed(j.manifest.store), max(j.now(), j.lastAt)
@@ -91,7 +96,7 @@
 	return nil
 }
 
-// message returns the message that is stored for an entry.
+// message returns the stored message of an entry.
 func (e *entry) message() *form.Record {
 	return &form.Record{
 		Version: formatVersion, Seq: e.Seq, At: e.At, Until: e.ExpiresAt, Kind: uint32(e.Kind),
@@ -105,12 +110,12 @@
 		return err
 	}
 	if n < len(b) {
-		return fmt.Errorf("%d of %d bytes written", n, len(b))
+		return fmt.Errorf("short write: %d of %d bytes", n, len(b))
 	}
 	return f.Sync()
 }
 
-// updateIndex makes the index point to entries that are acknowledged.
+// updateIndex makes the index refer to the acknowledged entries.
 func (j *journal) updateIndex(entries []*entry) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
--- a/internal/storage/recordlog/decode.go
+++ b/internal/storage/recordlog/decode.go
@@ -9,10 +9,10 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// errFormat means that a payload is not a record of a known version.
-var errFormat = errors.New("store: not a record of version 1")
+// errFormat is returned for a payload that is not a record of a known version.
+var errFormat = errors.New("store: malformed record or unsupported record version")
 
-// header is a record without its value. key points into the payload.
+// header is a record without its value. key aliases the payload.
 type header struct {
 	version   uint64
 	seq       uint64
@@ -34,7 +34,8 @@
 	fieldGone    = 8
 )
 
-// readHeader decodes a record without its value. Opening a store goes through millions of records, so it does not build the message.
+// readHeader decodes a record without its value. It does not build the message, because opening a
+// store decodes millions of records.
 func readHeader(b []byte) (h header, err error) {
 	for len(b) > 0 {
 		number, wireType, n := protowire.ConsumeTag(b)
@@ -102,5 +103,5 @@
 	}, nil
 }
 
-// isExpired reports whether a record that expires at a time, 0 for never, is expired now.
+// isExpired reports whether a record is expired at time now. An expiresAt of 0 means never.
 func isExpired(expiresAt, now int64) bool { return expiresAt != 0 && expiresAt <= now }
--- a/internal/storage/recordlog/dir.go
+++ b/internal/storage/recordlog/dir.go
@@ -10,35 +10,37 @@
 	"syscall"
 )
 
-// Dir is the directory of one copy. Names have no path. Errors wrap fs.ErrExist, fs.ErrNotExist and those of package syscall. It is safe for
-// concurrent use.
+// Dir is the directory of one copy. Names have no path. Errors wrap fs.ErrExist, fs.ErrNotExist
+// and those of package syscall. It is safe for concurrent use.
 type Dir interface {
 	fmt.Stringer                      // its path, for messages
-	Create(name string) (File, error) // a new file; fs.ErrExist where there is one
+	Create(name string) (File, error) // creates a new file; fs.ErrExist if it exists
 	Open(name string) (io.ReadSeekCloser, error)
 	Exists(name string) (bool, error)
 	Remove(name string) error
 	List() ([]string, error)
 	Sync() error // makes the names of the files in it durable
-	// Lock locks a file for this process, until the lock is closed or the process ends; ErrOwned where another process has it.
+	// Lock locks a file for this process, until the lock is closed or the process ends. It returns
+	// ErrOwned if another process has locked it.
 	Lock(name string) (io.Closer, error)
 }
 
-// File is a new file that is written from its start to its end. A write is durable after Sync has returned nil.
+// File is a new file that is written sequentially. A write is durable after Sync has returned nil.
 type File interface {
 	io.WriteCloser
 	Sync() error
 }
 
-// osDir is a Dir of the operating system.
+// osDir implements Dir with a directory of the operating system.
 type osDir string
 
-// Directory returns the Dir of a path, and creates the directory where it is missing.
+// Directory returns the Dir of a path, and creates the directory if it does not exist.
 func Directory(path string) (Dir, error) {
 	if err := os.MkdirAll(path, 0o700); err != nil {
 		return nil, fmt.Errorf("store: %w", err)
 	}
-	// The directory's own name has to be durable too. A file system that can't sync a directory doesn't need that.
+	// The directory's own entry must be durable too. A file system that cannot sync a directory
+	// does not need it.
 	if parent, err := os.Open(filepath.Dir(filepath.Clean(path))); err == nil {
 		_ = parent.Sync()
 		parent.Close()
@@ -46,7 +48,7 @@
 	return osDir(path), nil
 }
 
-// ExistingDirectory returns the Dir of a path that tools only read. It creates nothing.
+// ExistingDirectory returns the Dir of a path, for tools that only read it. It creates nothing.
 func ExistingDirectory(path string) Dir { return osDir(path) }
 
 func (d osDir) String() string { return string(d) }
@@ -102,8 +104,9 @@
 	return f, nil
 }
 
-// readAll reads a complete file into dst, which it replaces where that is too small. It returns nil where the file is missing or can't be read,
-// and what comes before an error otherwise: the other copy makes up for both.
+// readAll reads a complete file into dst, or into a new buffer if dst is too small. It returns
+// nil if the file is missing or cannot be opened, and the bytes before a read error otherwise:
+// the other copy makes up for both.
 func readAll(d Dir, name string, dst []byte) []byte {
 	f, err := d.Open(name)
 	if err != nil {
@@ -122,12 +125,12 @@
 	}
 	n, err := io.ReadFull(f, dst[:size])
 	if err != nil && !errors.Is(err, io.ErrUnexpectedEOF) {
-		return dst[:n] // a bad sector: what follows it is taken from the other copy
+		return dst[:n] // a bad sector; the bytes after it are taken from the other copy
 	}
 	return dst[:n]
 }
 
-// readAt fills dst from an offset of a file on.
+// readAt fills dst with the bytes of a file at an offset.
 func readAt(d Dir, name string, off int64, dst []byte) error {
 	f, err := d.Open(name)
 	if err != nil {
--- a/internal/storage/recordlog/faults_test.go
+++ b/internal/storage/recordlog/faults_test.go
@@ -67,7 +67,7 @@
 	}
 }
 
-// crash crashes the machine and starts it again.
+// crash simulates a crash and a restart of the machine.
 func (b *fixture) crash(s *recordlog.Store, seed uint64) {
 	b.faults.CrashAt(1)
 	s.Close()
@@ -78,8 +78,9 @@
 	}
 }
 
-// A sync that fails once and then succeeds has dropped its data: nothing that is acknowledged later may depend on that.
-func TestSyncFailsThenSucceeds(t *testing.T) {
+// Guards against a sync that fails once and then succeeds although the kernel has dropped the
+// data: no record that is acknowledged later may depend on that sync.
+func TestAppend_SyncFailsThenSucceeds(t *testing.T) {
 	for call := 1; call < 12; call++ {
 		for seed := range uint64(8) {
 			b := newFixture(t)
@@ -95,7 +96,7 @@
 			}
 			b.crash(s, seed)
 			intact := b.disks
-			for gone := range intact { // each copy alone has what is acknowledged
+			for gone := range intact { // each copy alone contains all acknowledged records
 				plan := &simdisk.FaultPlan{}
 				b.disks = [2]*simdisk.Disk{intact[0].Clone(plan), intact[1].Clone(plan)}
 				for _, name := range b.disks[gone].FileNames() {
@@ -111,9 +112,9 @@
 	}
 }
 
-// Callers learn that a disk has become full in the middle of a record or of anything else. It costs nothing that was acknowledged, and
-// the store writes again when there is space.
-func TestDiskFull(t *testing.T) {
+// A disk that becomes full in the middle of a record or of any other write is reported to
+// callers, loses no acknowledged record, and the store resumes writing when there is space again.
+func TestAppend_DiskFull(t *testing.T) {
 	for budget := 1; budget < 400; budget += 3 {
 		b := newFixture(t)
 		s := b.open()
@@ -133,10 +134,10 @@
 			}
 		}
 		if !failed {
-			t.Fatalf("budget %d: it never became full", budget)
+			t.Fatalf("budget %d: no append failed", budget)
 		}
 		if s.Clean() == nil {
-			t.Errorf("budget %d: cleaning found space", budget)
+			t.Errorf("budget %d: Clean succeeded on a full disk", budget)
 		}
 		if budget%2 == 0 {
 			b.crash(s, uint64(budget))
@@ -161,8 +162,9 @@
 	}
 }
 
-// Any two files swapped, within a copy or across copies, and any file replaced by an earlier state of it.
-func TestSwappedAndOldFiles(t *testing.T) {
+// Any two files swapped, within a copy or across copies, and any file replaced by an earlier
+// version of it, are detected and repaired from the other copy.
+func TestOpen_SwappedOrStaleFiles(t *testing.T) {
 	b := newFixture(t)
 	s := b.open()
 	old := [2]map[string][]byte{}
@@ -213,13 +215,13 @@
 			}
 		}
 		for name, data := range old[d] {
-			if strings.HasPrefix(name, "manifest-") { // under another name than its own
+			if strings.HasPrefix(name, "manifest-") { // under a name that differs from its content
 				restore()
 				b.disks[d].SetFileContent("manifest-00ffffff-00000001", data)
 				verify("renamed " + name)
 			}
 			restore()
-			b.disks[d].SetFileContent(name, data) // a file that cleaning removed, or an earlier state of one that is there
+			b.disks[d].SetFileContent(name, data) // a file that cleaning removed, or an earlier version of a current one
 			verify("old " + name)
 		}
 	}
@@ -233,8 +235,9 @@
 	}
 }
 
-// Where both copies are gone, the span is reported until its records are expired; the other records are found.
-func TestBothCopiesGone(t *testing.T) {
+// A span that is damaged in both copies is reported until its records are expired; the other
+// records are found.
+func TestLostSpans_BothCopiesDamaged(t *testing.T) {
 	b := newFixture(t)
 	s := b.open()
 	for i := range 5 {
@@ -248,7 +251,7 @@
 			name = n
 		}
 	}
-	// The last record, in bytes that nothing follows: that does not look like a write that was cut off.
+	// Damage in the last record is not mistaken for a truncated write.
 	ends := &simdisk.FaultPlan{}
 	tail := [2]*simdisk.Disk{b.disks[0].Clone(ends), b.disks[1].Clone(ends)}
 	for _, d := range tail {
@@ -257,7 +260,7 @@
 		d.SetFileContent(name, data)
 	}
 	if s, err := recordlog.Open(dirs(tail), b.options(), false); err != nil || len(s.LostSpans()) != 1 {
-		t.Errorf("the end is damaged: %v", err)
+		t.Errorf("damaged last record: %v", err)
 	} else {
 		s.Close()
 	}
@@ -280,15 +283,15 @@
 	if found != 3 || len(u) != 1 || u[0].After != 0 || u[0].Before != 3 {
 		t.Errorf("%d found, lost spans %+v", found, u)
 	}
-	s.Clean() // the damaged segment is dropped, the lost span stays known
+	s.Clean() // deletes the damaged segment; the lost span stays in the manifest
 	s.Close()
 	s = b.open()
 	if len(s.LostSpans()) != 1 {
-		t.Errorf("forgotten: %v", s.LostSpans())
+		t.Errorf("lost spans after a restart: %v", s.LostSpans())
 	}
 	b.now.Add(2000)
 	if len(s.LostSpans()) != 0 {
-		t.Errorf("still reported: %v", s.LostSpans())
+		t.Errorf("lost spans after their records expired: %v", s.LostSpans())
 	}
 	// The manifests are missing in both copies.
 	for _, d := range b.disks {
@@ -311,8 +314,9 @@
 	}
 }
 
-// A clock that jumps back or ahead between two processes makes no record expire too early.
-func TestClocksJump(t *testing.T) {
+// A system clock that jumps back or ahead between two processes does not make a record expire
+// early.
+func TestNow_SystemClockJumps(t *testing.T) {
 	b := newFixture(t)
 	b.now.Store(1_000_000)
 	s := b.open()
@@ -332,12 +336,13 @@
 	b.expect(s, "k", "")
 	s.Clean()
 	if _, keys := s.Size(); keys != 0 {
-		t.Errorf("%d keys are in the index", keys)
+		t.Errorf("%d keys in the index after all records expired", keys)
 	}
 }
 
-// The old owner is suspended, and writes after another one has replaced it: nothing of that is acknowledged or counts.
-func TestOldOwnerWritesLate(t *testing.T) {
+// Guards against a suspended owner that writes after another process has taken over: none of its
+// writes may be acknowledged or become visible.
+func TestFencing_PreviousOwnerWritesLate(t *testing.T) {
 	for _, cleans := range []bool{false, true} {
 		b := newFixture(t)
 		old := b.open()
@@ -357,7 +362,7 @@
 			t.Fatal(err)
 		}
 		opened <- s
-		if err := <-late; err == nil { // it was in time
+		if err := <-late; err == nil { // committed before the takeover
 			b.expect(s, "late", "never")
 		} else if !errors.Is(err, recordlog.ErrFenced) {
 			t.Errorf("late: %v", err)
@@ -369,7 +374,7 @@
 			}
 		}
 		if cleans && old.Clean() == nil {
-			t.Error("the old owner cleans")
+			t.Error("Clean of the previous owner succeeded")
 		}
 		old.Close()
 		s.Close()
@@ -381,8 +386,9 @@
 	}
 }
 
-// With a stalled disk callers wait or fail immediately, within bounds.
-func TestStalledDisk(t *testing.T) {
+// While the disk stalls, appends are queued or rejected immediately, within the bounds of the
+// queue.
+func TestAppend_StalledDisk(t *testing.T) {
 	b := newFixture(t)
 	s := b.open()
 	release := b.faults.Stall()
@@ -398,15 +404,16 @@
 	release()
 	s.Close()
 	if acked.Load()+busy.Load() != 10_000 {
-		t.Errorf("%d of 10000 ended", acked.Load()+busy.Load())
+		t.Errorf("%d of 10000 appends completed", acked.Load()+busy.Load())
 	}
 	if err := put(s, "k", "v", 0); !errors.Is(err, recordlog.ErrClosed) {
 		t.Error(err)
 	}
 }
 
-// On a real disk: two processes, a reader beside the owner, and the lock.
-func TestOnDisk(t *testing.T) {
+// On a real disk: takeover between two processes, a read-only store beside the owner, and the
+// lock.
+func TestStore_RealDisk(t *testing.T) {
 	dir := t.TempDir()
 	open := func(force bool) (*recordlog.Store, error) {
 		var d [2]recordlog.Dir
@@ -436,14 +443,14 @@
 	}
 	read := [2]recordlog.Dir{recordlog.ExistingDirectory(dir + "/a"), recordlog.ExistingDirectory(dir + "/b")}
 	if v, err := recordlog.OpenReadOnly(read); err != nil || v.Check().Records < 50 {
-		t.Errorf("a reader beside the owner: %v", err)
+		t.Errorf("read-only store beside the owner: %v", err)
 	}
 	next, err := open(true)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if err := put(s, "k1", "late", 0); !errors.Is(err, recordlog.ErrFenced) {
-		t.Errorf("the old owner: %v", err)
+		t.Errorf("append of the previous owner: %v", err)
 	}
 	s.Close()
 	next.Close()
--- a/internal/storage/recordlog/journal.go
+++ b/internal/storage/recordlog/journal.go
@@ -9,38 +9,39 @@
 	"sync"
 )
 
-// ref is the place of a record: its segment's id and the offset in it.
+// ref is the place of a record: the id of its segment and the offset in it. 0 is no valid place.
 type ref uint64
 
 func newRef(id uint32, off int64) ref { return ref(id)<<32 | ref(off) }
 
 func (r ref) split() (id uint32, off int64) { return uint32(r >> 32), int64(r & math.MaxUint32) }
 
-// journal is the store without its goroutines. One goroutine, the writer, calls the methods that change it; it takes mu only to change what
-// mu guards, not to read that. Other goroutines take mu to read it.
+// journal is the store without its goroutines. Only the writer goroutine calls the methods that
+// change it. The writer locks mu to change the fields that mu guards, but not to read them; other
+// goroutines lock mu to read them.
 type journal struct {
 	opt          Options
 	dirs         [2]Dir
 	claim        io.Closer // lock of this process's claim
 	active       *segment
 	files        [2]File // of the active segment
-	activeBroken bool    // the active segment takes no more records
-	openedAt     int64   // by the caller's clock, when the store's clock was at clockStart
+	activeBroken bool    // the active segment accepts no more records
+	openedAt     int64   // time on the caller's clock at which the store's clock was at clockStart
 	clockStart   int64
 	lastSeq      uint64   // of the latest record
-	lastAt       int64    // the store's clock at the latest record
-	damagedFiles []string // that were found by opening
-	buf          []byte   // of the latest batch, reused
+	lastAt       int64    // time of the latest record on the store's clock
+	damagedFiles []string // found while opening
+	buf          []byte   // encoded batch, reused
 
 	mu           sync.RWMutex
 	manifest     manifest
-	index        table // place of the latest record under a key, by hash of kind and key
+	index        table // place of the latest record of a key, by hash of kind and key
 	hashSeed     maphash.Seed
 	segmentsByID map[uint32]*segment
 }
 
-// open makes this process the owner of the directories and reads what is there. force takes the ownership from a process that does not
-// yield.
+// open makes this process the owner of the directories and reads the store in them. With force it
+// takes over ownership even from a process that is still running.
 func open(dirs [2]Dir, opt Options, force bool) (*journal, error) {
 	j := &journal{opt: opt, dirs: dirs, hashSeed: maphash.MakeSeed(), segmentsByID: map[uint32]*segment{}}
 	epoch, err := j.claimOwnership(force)
@@ -54,22 +55,25 @@
 	return j, nil
 }
 
-// now returns the time of the store's clock. It goes on from the latest record by the caller's monotonic clock, so it jumps neither back nor
-// ahead when the system's clock is set, and no record expires because of that. Time in which no process has the store open does not count.
+// now returns the time of the store's clock. It continues from the latest record by the caller's
+// monotonic clock, so it does not jump when the system clock is set, and no record expires early
+// because of that. Time during which no process has the store open does not count.
 func (j *journal) now() int64 { return j.clockStart + max(0, j.opt.Now()-j.openedAt) }
 
-// keyHash returns the hash of a kind and key. Its seed is random in each process, so that no client can make hashes collide.
+// keyHash returns the hash of a kind and key. Its seed is random in each process, so that clients
+// cannot cause collisions.
 func (j *journal) keyHash(k Kind, key []byte) uint64 {
 	return mix(maphash.Bytes(j.hashSeed, key) + uint64(k))
 }
 
-// fileError adds the name of a file of one copy to an error.
+// fileError wraps an error with the name of a file of one copy.
 func (j *journal) fileError(copyIndex int, name string, err error) error {
 	return fmt.Errorf("store: %s/%s: %w", j.dirs[copyIndex], name, err)
 }
 
-// forBothCopies calls f for each copy, concurrently unless the options say otherwise. It waits for both and returns the first copy's error,
-// otherwise the second one's, with the file's name.
+// forBothCopies calls f for each copy, concurrently unless Options.Serial is set. It waits for
+// both calls and returns the first copy's error, otherwise the second one's, with the file's
+// name.
 func (j *journal) forBothCopies(name string, f func(copyIndex int) error) error {
 	var errs [2]error
 	if j.opt.Serial {
@@ -88,8 +92,8 @@
 	return nil
 }
 
-// pointTo makes the index point to a record of size bytes, and updates the live bytes of the segments. The caller holds the lock, or no other
-// goroutine has the journal yet.
+// pointTo makes the index refer to a record of size bytes, and updates the live bytes of the
+// segments. The caller must hold mu, or be the only goroutine with access to the journal.
 func (j *journal) pointTo(s *segment, off, size int64, hash uint64, expiresAt int64) {
 	if old := j.index.set(hash, newRef(s.id, off)); old != 0 {
 		id, _ := old.split()
@@ -106,37 +110,40 @@
 	s.expiresAt = max(s.expiresAt, expiresAt)
 }
 
-// pointsTo reports whether the index points to a place. The caller holds the lock, or is the writer.
+// pointsTo reports whether the index refers to a place. The caller must hold mu, or be the
+// writer.
 func (j *journal) pointsTo(hash uint64, at ref) bool {
 	got, ok := j.index.get(hash)
 	return ok && got == at
 }
 
-// isCurrent reports whether the index points to a place. It may be called from any goroutine.
+// isCurrent reports whether the index refers to a place. It may be called from any goroutine.
 func (j *journal) isCurrent(hash uint64, at ref) bool {
 	j.mu.RLock()
 	defer j.mu.RUnlock()
 	return j.pointsTo(hash, at)
 }
 
-// segments returns the segments that count, the active one last.
+// segments returns the segments in the manifest, the active one last.
 func (j *journal) segments() []*segment {
 	j.mu.RLock()
 	defer j.mu.RUnlock()
 	return slices.Clone(j.manifest.segments)
 }
 
-// freeze returns a sealed segment with the records of s that are acknowledged by now, and whether s itself is sealed.
+// freeze returns a sealed copy of a segment that ends at its last acknowledged record, and
+// whether s itself is sealed.
 func (j *journal) freeze(s *segment) (frozen segment, sealed bool) {
 	j.mu.RLock()
 	defer j.mu.RUnlock()
 	return segment{id: s.id, epoch: s.epoch, sealed: true, size: s.size}, s.sealed
 }
 
-// source returns where the journal's segments are read from.
+// source returns the source from which the journal's segments are read.
 func (j *journal) source() segmentSource { return segmentSource{dirs: j.dirs, store: j.manifest.store} }
 
-// close closes the files and gives up the ownership. The files' content is durable already, or was never acknowledged.
+// close closes the files and releases the ownership. The files' content is durable already, or
+// was never acknowledged.
 func (j *journal) close() {
 	j.closeFiles()
 	if j.claim != nil {
--- a/internal/storage/recordlog/lostspan.go
+++ b/internal/storage/recordlog/lostspan.go
@@ -1,8 +1,8 @@
 package recordlog
 
-// LostSpan is a span of the log of which both copies are gone. There may have been any records in it.
+// LostSpan is a span of the log of which both copies are lost. It may have contained any records.
 type LostSpan struct {
-	After, Before uint64 // positions of the records around it; Before is 0 where none follows
+	After, Before uint64 // positions of the records around it; Before is 0 if none follows
 	From, To      int64  // times of the records around it, in microseconds of the store's clock
 }
 
@@ -15,7 +15,7 @@
 // add adds a span that begins after a record.
 func (l *lostSpans) add(after header) { *l = append(*l, LostSpan{After: after.seq, From: after.at}) }
 
-// close ends the spans that have no end yet at a record.
+// close ends all open spans at a record.
 func (l lostSpans) close(before header) {
 	for i := range l {
 		if span := &l[i]; span.Before == 0 {
@@ -24,7 +24,7 @@
 	}
 }
 
-// end ends the spans that no record follows.
+// end ends all open spans at time now, because no record follows them.
 func (l lostSpans) end(now int64) {
 	for i := range l {
 		if l[i].Before == 0 {
--- a/internal/storage/recordlog/maintenance.go
+++ b/internal/storage/recordlog/maintenance.go
@@ -6,10 +6,12 @@
 	"time"
 )
 
-// maxMovedBytes bounds what cleaning writes between two batches, and so how long appends wait for it.
+// maxMovedBytes bounds the bytes that cleaning writes between two batches, and so the time that
+// it delays appends.
 const maxMovedBytes = 64 << 10
 
-// runCleaner is the cleaner's goroutine. It cleans and scrubs in the intervals of the options until the writer has ended.
+// runCleaner is the cleaner's goroutine. It cleans and scrubs at the intervals in Options until
+// the writer has ended.
 func (s *Store) runCleaner() {
 	defer close(s.cleanerDone)
 	if s.journal.opt.CleanEvery == 0 {
@@ -35,11 +37,11 @@
 	}
 }
 
-// Scrub compares the two copies of each sealed segment, byte by byte, and marks segments whose copies differ, so that Clean writes them anew. It
-// guards against damage that is not noticed until the other copy is needed.
+// Scrub compares the two copies of each sealed segment, byte by byte, and marks segments whose
+// copies differ, so that Clean rewrites them. It finds damage before the other copy is needed.
 func (s *Store) Scrub() { s.scrub(0) }
 
-// scrub continues with the next n segments; 0 stands for all of them.
+// scrub continues with the next n segments, or with all of them if n is 0.
 func (s *Store) scrub(n int) {
 	s.maintenance.Lock()
 	defer s.maintenance.Unlock()
@@ -72,14 +74,15 @@
 	}
 }
 
-// ignoreRecords is a visitor for scans of which only the result matters.
+// ignoreRecords is a visitor for scans of which only the result is used.
 type ignoreRecords struct{}
 
 func (ignoreRecords) visitRecord(int64, []byte, header) {}
 func (ignoreRecords) visitLost(header)                  {}
 
-// Clean writes the live records of segments that are half empty, expired, too small or damaged anew, and drops these segments, until there is
-// none. It returns ErrClosed where the store is closed meanwhile. Appends go on beside it.
+// Clean rewrites the live records of segments that are half empty, expired, too small or damaged,
+// and deletes these segments, until no such segment is left. It returns ErrClosed if the store is
+// closed meanwhile. Appends continue concurrently.
 func (s *Store) Clean() error {
 	s.maintenance.Lock()
 	defer s.maintenance.Unlock()
@@ -108,7 +111,7 @@
 	return s.runInWriter(func() error { return s.journal.dropSegment(c) })
 }
 
-// batchLength returns how many entries to move at once: at least one.
+// batchLength returns the number of entries to move in one batch: at least one.
 func batchLength(entries []*entry) int {
 	n, bytes := 0, 0
 	for n < len(entries) && (n == 0 || bytes+len(entries[n].Value) < maxMovedBytes) {
@@ -118,7 +121,8 @@
 	return n
 }
 
-// runInWriter has the writer run a task between two batches and returns the task's error; ErrClosed where the writer has ended.
+// runInWriter runs a task on the writer's goroutine between two batches and returns the task's
+// error, or ErrClosed if the writer has ended.
 func (s *Store) runInWriter(task func() error) error {
 	result := make(chan error, 1)
 	select {
--- a/internal/storage/recordlog/manifest.go
+++ b/internal/storage/recordlog/manifest.go
@@ -11,8 +11,9 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// manifest is the root of a store: which segments count, in their order. It is a file of one frame. Of several manifests, the valid one with
-// the highest name counts, whichever copy it is in.
+// manifest is the root of a store: its segments, in order. It is stored as a file of one frame.
+// Of several manifests, the valid one with the highest name is the current one, regardless of the
+// copy it is in.
 type manifest struct {
 	store         uint64 // id of the store
 	epoch         uint64
@@ -24,7 +25,7 @@
 	lastSeq       uint64
 }
 
-// The names of files are stored, so they can't change.
+// File name prefixes. They are part of the stored format and must not change.
 const (
 	manifestPrefix = "manifest-"
 	segmentPrefix  = "segment-"
@@ -55,24 +56,25 @@
 	return appendFrame(nil, manifestSeed, 0, stored)
 }
 
-// readManifest decodes a manifest. It fails where the frame is damaged or belongs to another name.
+// readManifest decodes a manifest. It returns an error if the frame is damaged or belongs to a
+// file of another name.
 func readManifest(name string, b []byte) (*manifest, error) {
 	payload, ok, _ := frameAt(b, manifestSeed, 0)
 	if !ok || len(b) != frameHeadSize+len(payload) {
-		return nil, errors.New("damaged")
+		return nil, errors.New("store: damaged manifest: invalid frame")
 	}
 	var stored form.Manifest
 	if err := proto.Unmarshal(payload, &stored); err != nil {
 		return nil, err
 	}
 	if stored.Version != formatVersion {
-		return nil, fmt.Errorf("of version %d", stored.Version)
+		return nil, fmt.Errorf("store: unsupported manifest version %d", stored.Version)
 	}
 	m := &manifest{
 		store: stored.Store, epoch: stored.Epoch, number: stored.Number, nextSegmentID: stored.Next, lastAt: stored.At, lastSeq: stored.Seq,
 	}
 	if m.name() != name {
-		return nil, fmt.Errorf("it is %s", m.name())
+		return nil, fmt.Errorf("store: manifest name mismatch: content belongs to %s", m.name())
 	}
 	for _, s := range stored.Segments {
 		m.segments = append(m.segments, &segment{id: s.Id, epoch: s.Epoch, sealed: s.Sealed, size: s.Size})
@@ -83,16 +85,17 @@
 	return m, nil
 }
 
-// directoryState is what the two directories have.
+// directoryState is the result of listing the two directories.
 type directoryState struct {
 	names         [2][]string // of the files, sorted
-	latest        *manifest   // the manifest that counts; nil where there is none
+	latest        *manifest   // the current manifest; nil if there is none
 	intact        [2]bool     // which copies of it are valid
 	maxEpoch      uint64      // the highest epoch in any name
-	nextSegmentID uint32      // above the ids of all segments there
+	nextSegmentID uint32      // greater than the ids of all segments in either directory
 }
 
-// readDirectories reads the names in both directories, and the latest manifest. A directory that can't be read counts as empty.
+// readDirectories lists both directories and reads the latest manifest. A directory that cannot
+// be read counts as empty.
 func readDirectories(dirs [2]Dir) (state directoryState) {
 	for i, d := range dirs {
 		names, err := d.List()
@@ -111,7 +114,7 @@
 	return state
 }
 
-// addNumbers takes the epoch and segment id in a file's name into account.
+// addNumbers updates maxEpoch and nextSegmentID from a file's name.
 func (state *directoryState) addNumbers(name string) {
 	epoch, id, ok := parseFileName(name)
 	if !ok {
@@ -123,7 +126,7 @@
 	}
 }
 
-// considerManifest reads a manifest of copy i, unless a later one was found.
+// considerManifest reads a manifest of copy i, unless a later one was found already.
 func (state *directoryState) considerManifest(i int, d Dir, name string) {
 	if state.latest != nil && name < state.latest.name() {
 		return
--- a/internal/storage/recordlog/measure_test.go
+++ b/internal/storage/recordlog/measure_test.go
@@ -15,7 +15,7 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// skipUnlessMeasuring skips a test that takes long and only measures, unless SAFFRONQUAY_MEASURE is set.
+// skipUnlessMeasuring skips a long test that only measures, unless SAFFRONQUAY_MEASURE is set.
 func skipUnlessMeasuring(t *testing.T) {
 	t.Helper()
 	if os.Getenv("SAFFRONQUAY_MEASURE") == "" {
@@ -57,7 +57,9 @@
 	return int64(m.HeapAlloc)
 }
 
-// A day at Cordoba's highest rate: 2 million parts, each a filing of its own, which is the worst case; an intent and an end for each.
+// Measures recovery after one day at the highest rate recorded at the site cordoba: 2 million
+// parts, each of a separate at-most-once query, which is the worst case, with two records (intent
+// and end) for each.
 func TestMeasureRecovery(t *testing.T) {
 	skipUnlessMeasuring(t)
 	dir := t.TempDir()
@@ -88,7 +90,8 @@
 	}
 }
 
-// Appends per second and the latency of one, by the number of concurrent callers, with and without group commit, and while segments are cleaned.
+// Measures appends per second and their latency by the number of concurrent callers, with and
+// without group commit, and during cleaning.
 func TestMeasureAppends(t *testing.T) {
 	skipUnlessMeasuring(t)
 	for _, c := range []struct {
--- a/internal/storage/recordlog/ownership.go
+++ b/internal/storage/recordlog/ownership.go
@@ -7,8 +7,9 @@
 	"strings"
 )
 
-// claimOwnership makes this process the owner and returns its epoch, the next one. Records that the owner before writes from now on are not
-// acknowledged, since isOwner fails there. The claims are in the first directory only.
+// claimOwnership makes this process the owner and returns its epoch, the next one. Records that
+// the previous owner writes from then on are not acknowledged, since its isOwner returns false.
+// The claims are in the first directory only.
 func (j *journal) claimOwnership(force bool) (epoch uint64, err error) {
 	found := readDirectories(j.dirs)
 	previous, err := j.lockPreviousClaim(claimName(found.maxEpoch), force)
@@ -22,7 +23,7 @@
 	name := claimName(epoch)
 	f, err := j.dirs[0].Create(name)
 	if errors.Is(err, fs.ErrExist) {
-		return 0, ErrOwned // another process was faster
+		return 0, ErrOwned // another process claimed the epoch first
 	}
 	if err != nil {
 		return 0, j.fileError(0, name, err)
@@ -33,7 +34,8 @@
 	}
 	for _, old := range found.names[0] {
 		if strings.HasPrefix(old, claimPrefix) {
-			// The owner before sees by this, too, that it is replaced. The next epoch's claim alone is enough for that.
+			// A missing claim also fences the previous owner, but the next epoch's claim is
+			// sufficient, so errors are ignored.
 			_ = j.dirs[0].Remove(old)
 		}
 	}
@@ -44,8 +46,9 @@
 	return epoch, nil
 }
 
-// lockPreviousClaim locks the claim of the owner before, which succeeds when that one has yielded, ended or died. It returns nil where there
-// is no claim, or where the owner has it locked and force is set.
+// lockPreviousClaim locks the claim of the previous owner, which succeeds if that process has
+// closed the store or ended. It returns nil if there is no claim, or if the owner still has it
+// locked and force is set.
 func (j *journal) lockPreviousClaim(name string, force bool) (io.Closer, error) {
 	exists, err := j.dirs[0].Exists(name)
 	if canLock := err == nil && exists; !canLock {
@@ -61,7 +64,8 @@
 	return nil, j.fileError(0, name, err)
 }
 
-// isOwner reports whether this process is still the owner. It is false, too, where that can't be seen.
+// isOwner reports whether this process is still the owner. It returns false if that cannot be
+// determined.
 func (j *journal) isOwner() bool {
 	own, err := j.dirs[0].Exists(claimName(j.manifest.epoch))
 	next, nextErr := j.dirs[0].Exists(claimName(j.manifest.epoch + 1))
--- a/internal/storage/recordlog/proof_test.go
+++ b/internal/storage/recordlog/proof_test.go
@@ -15,10 +15,10 @@
 	"testing"
 )
 
-// counts is what a proof counts.
+// counts contains the counters of a proof.
 type counts struct{ cuts, flips, crashes, lost, invented, resent atomic.Int64 }
 
-// world has two disks, what was acknowledged on them, and what clients and servers saw.
+// world has two disks, the records acknowledged on them, and the view of clients and servers.
 type world struct {
 	faults *simdisk.FaultPlan
 	disks  [2]*simdisk.Disk
@@ -26,19 +26,19 @@
 	rng    *rand.Rand
 	counts *counts
 
-	acked            map[string]string         // the latest acknowledged value of a key; "" where it was deleted
-	pending          map[string]map[string]int // steps of the values that were appended since and not acknowledged, by key and value
+	acked            map[string]string         // latest acknowledged value by key; "" if deleted
+	pending          map[string]map[string]int // steps of values appended since and not acknowledged, by key and value
 	submitted        map[string]map[string]int
-	sent             map[string]int    // how often a query was sent, by client's key
+	sent             map[string]int    // number of times a query was sent, by client's key
 	recordedAnswers  map[string]string // answers whose record was acknowledged, by client's key
-	submittedAnswers map[string]string // answers that were handed to the tracker, by client's key
+	submittedAnswers map[string]string // answers passed to the tracker, by client's key
 	steps            int
 	keys             int
 }
 
-func newWorld(seed uint64, sum *counts) *world {
+func newWorld(seed uint64, total *counts) *world {
 	w := &world{
-		keys: 12, faults: &simdisk.FaultPlan{}, rng: rand.New(rand.NewPCG(seed, 7)), counts: sum, acked: map[string]string{}, pending: map[string]map[string]int{},
+		keys: 12, faults: &simdisk.FaultPlan{}, rng: rand.New(rand.NewPCG(seed, 7)), counts: total, acked: map[string]string{}, pending: map[string]map[string]int{},
 		submitted: map[string]map[string]int{}, sent: map[string]int{}, recordedAnswers: map[string]string{}, submittedAnswers: map[string]string{},
 	}
 	w.disks = [2]*simdisk.Disk{simdisk.New("a", w.faults), simdisk.New("b", w.faults)}
@@ -57,7 +57,7 @@
 	return recordlog.Open(dirs(w.disks), w.options(), false)
 }
 
-// write appends n records together and waits until each is durable or has failed.
+// write appends n records concurrently and waits until each is durable or has failed.
 func (w *world) write(s *recordlog.Store, n int) {
 	var wg sync.WaitGroup
 	var mu sync.Mutex
@@ -93,8 +93,8 @@
 	wg.Wait()
 }
 
-// file has a client send a filing, for the first time or as a retry.
-func (w *world) file(l *idempotency.Tracker, client int, ends bool) {
+// sendQuery makes a client send a non-idempotent query, as a first attempt or as a retry.
+func (w *world) sendQuery(l *idempotency.Tracker, client int, ends bool) {
 	key := fmt.Sprintf("client-%d", client)
 	e, v := l.Begin(key, "label", uint64(client))
 	switch {
@@ -129,8 +129,9 @@
 	}
 }
 
-// work plays a gatherer for some rounds: appends, filings, cleaning, and restarts in between. It ends early where the disk crashes.
-func (w *world) work(rounds int) {
+// runWorkload runs a gatherer for some rounds: appends, queries, cleaning, and restarts in
+// between. It returns early if the disk crashes.
+func (w *world) runWorkload(rounds int) {
 	s, err := w.open()
 	for i := range rounds {
 		if err != nil {
@@ -140,7 +141,7 @@
 		for range 3 {
 			atomic.AddInt64(&w.now, 1000)
 			w.write(s, 1+w.rng.IntN(4))
-			w.file(l, w.rng.IntN(10), w.rng.IntN(3) > 0)
+			w.sendQuery(l, w.rng.IntN(10), w.rng.IntN(3) > 0)
 		}
 		if s.Clean(); i%3 == 2 {
 			s.Close()
@@ -152,8 +153,9 @@
 	}
 }
 
-// verify opens the store on some disks and compares it with what was acknowledged. mayLose allows lost spans.
-func (w *world) verify(disks [2]*simdisk.Disk, mayLose bool) (again [2]*simdisk.Disk, ok bool) {
+// verify opens the store on the given disks and compares it with the acknowledged records.
+// mayLose allows lost spans.
+func (w *world) verify(disks [2]*simdisk.Disk, mayLose bool) (verified [2]*simdisk.Disk, ok bool) {
 	s, err := recordlog.Open(dirs(disks), w.options(), false)
 	if err != nil {
 		w.counts.lost.Add(1)
@@ -212,7 +214,7 @@
 	return [2]*simdisk.Disk{w.disks[0].Clone(plan), w.disks[1].Clone(plan)}
 }
 
-// parallel runs jobs on all cores.
+// parallel runs n jobs on all cores.
 func parallel(n int, job func(i int)) {
 	var next atomic.Int64
 	var wg sync.WaitGroup
@@ -228,22 +230,22 @@
 	wg.Wait()
 }
 
-// damage truncates every file of a store of several segments at every byte, and flips a bit in every byte.
+// damage truncates every file at every byte, and flips a bit in every byte.
 func damage(t *testing.T, w *world) {
-	type spot struct {
+	type damagePoint struct {
 		disk, at int
 		name     string
 	}
-	var spots []spot
+	var points []damagePoint
 	for d := range w.disks {
 		for _, name := range w.disks[d].FileNames() {
 			for at := range w.disks[d].FileContent(name) {
-				spots = append(spots, spot{d, at, name})
+				points = append(points, damagePoint{d, at, name})
 			}
 		}
 	}
-	parallel(2*len(spots), func(i int) {
-		x, disks := spots[i/2], w.copies()
+	parallel(2*len(points), func(i int) {
+		x, disks := points[i/2], w.copies()
 		data := disks[x.disk].FileContent(x.name)
 		if i%2 == 0 {
 			w.counts.cuts.Add(1)
@@ -255,38 +257,39 @@
 		disks[x.disk].SetFileContent(x.name, data)
 		disks, ok := w.verify(disks, false)
 		if !ok {
-			t.Errorf("%s/%s at %d, %d: not as it was", w.disks[x.disk], x.name, x.at, i%2)
+			t.Errorf("%s/%s damaged at %d, kind %d: store differs from the acknowledged records", w.disks[x.disk], x.name, x.at, i%2)
 		}
-		if i%29 == 0 { // the damaged part was written anew: the other copy may be lost completely
+		if i%29 == 0 { // verify has rewritten the damaged segment, so the other copy may be lost completely
 			for _, name := range disks[1-x.disk].FileNames() {
 				disks[1-x.disk].SetFileContent(name, nil)
 			}
 			if _, ok := w.verify(disks, false); !ok {
-				t.Errorf("%s/%s at %d, then the other copy lost: not as it was", w.disks[x.disk], x.name, x.at)
+				t.Errorf("%s/%s damaged at %d, then the other copy lost: store differs from the acknowledged records", w.disks[x.disk], x.name, x.at)
 			}
 		}
 	})
 }
 
-// crash plays a crash at every call of the disk, three times in a row, each followed by a restart that goes on.
-func crash(t *testing.T, sum *counts, seed uint64, rounds, every int) {
-	whole := newWorld(seed, sum)
-	whole.work(rounds)
-	calls := whole.faults.Calls()
+// crash simulates a crash at every call of the disk, three times in a row, each followed by a
+// restart and the same workload.
+func crash(t *testing.T, total *counts, seed uint64, rounds, every int) {
+	reference := newWorld(seed, total)
+	reference.runWorkload(rounds)
+	calls := reference.faults.Calls()
 	parallel(calls/every, func(i int) {
-		w := newWorld(seed, sum)
+		w := newWorld(seed, total)
 		at := i*every + 1
-		for again := range 3 {
+		for repeat := range 3 {
 			w.faults.CrashAt(at)
-			w.work(rounds)
-			sum.crashes.Add(1)
+			w.runWorkload(rounds)
+			total.crashes.Add(1)
 			plan := &simdisk.FaultPlan{}
 			w.faults = plan
 			for d := range w.disks {
 				w.disks[d] = w.disks[d].Crash(plan, w.rng)
 			}
 			if _, ok := w.verify(w.copies(), true); !ok {
-				t.Errorf("seed %d, crash at call %d, the %d. time: not as it was", seed, at, again+1)
+				t.Errorf("seed %d, crash at call %d, repeat %d: store differs from the acknowledged records", seed, at, repeat+1)
 				return
 			}
 			at = 1 + w.rng.IntN(calls)
@@ -294,33 +297,33 @@
 	})
 }
 
-// No damage of a file and no crash loses an acknowledged record, invents one or sends a query twice. SAFFRONQUAY_LONG=1 plays a bigger store
-// and more seeds.
+// No damage of a file and no crash loses an acknowledged record, invents one or sends a query
+// twice. SAFFRONQUAY_LONG=1 runs a larger store and more seeds.
 func TestProof(t *testing.T) {
-	sum, rounds, seeds, every := &counts{}, 9, uint64(2), 1
+	total, rounds, seeds, every := &counts{}, 9, uint64(2), 1
 	if os.Getenv("SAFFRONQUAY_LONG") != "" {
 		rounds, seeds = 40, 12
 	} else if raceDetector {
 		rounds, seeds, every = 4, 1, 3
 	}
-	w := newWorld(1, sum)
+	w := newWorld(1, total)
 	if os.Getenv("SAFFRONQUAY_LONG") != "" {
 		w.keys = 300
 	}
-	w.work(rounds)
-	if sum.lost.Load()+sum.invented.Load()+sum.resent.Load() > 0 {
-		t.Error("without any fault it is not as it was")
+	w.runWorkload(rounds)
+	if total.lost.Load()+total.invented.Load()+total.resent.Load() > 0 {
+		t.Error("store differs from the acknowledged records without any fault")
 	}
 	damage(t, w)
 	for seed := range seeds {
-		crash(t, sum, seed+1, rounds, every)
+		crash(t, total, seed+1, rounds, every)
 	}
-	if sum.cuts.Load() == 0 || sum.crashes.Load() < 100 {
-		t.Error("too little was played")
+	if total.cuts.Load() == 0 || total.crashes.Load() < 100 {
+		t.Error("too few faults were simulated")
 	}
-	if sum.lost.Load()+sum.invented.Load()+sum.resent.Load() > 0 {
+	if total.lost.Load()+total.invented.Load()+total.resent.Load() > 0 {
 		t.Fail()
 	}
-	fmt.Printf("proof: cuts=%d flips=%d crashes=%d lost=%d invented=%d resent=%d\n", sum.cuts.Load(), sum.flips.Load(), sum.crashes.Load(),
-		sum.lost.Load(), sum.invented.Load(), sum.resent.Load())
+	fmt.Printf("proof: cuts=%d flips=%d crashes=%d lost=%d invented=%d resent=%d\n", total.cuts.Load(), total.flips.Load(), total.crashes.Load(),
+		total.lost.Load(), total.invented.Load(), total.resent.Load())
 }
--- a/internal/storage/recordlog/racedetector_test.go
+++ b/internal/storage/recordlog/racedetector_test.go
@@ -5,7 +5,8 @@
 	"slices"
 )
 
-// raceDetector reports whether the race detector is on, which makes everything about ten times as slow.
+// raceDetector reports whether the race detector is enabled, which slows tests down about
+// tenfold.
 var raceDetector = func() bool {
 	info, ok := debug.ReadBuildInfo()
 	return ok && slices.Contains(info.Settings, debug.BuildSetting{Key: "-race", Value: "true"})
--- a/internal/storage/recordlog/read.go
+++ b/internal/storage/recordlog/read.go
@@ -6,10 +6,11 @@
 	"io/fs"
 )
 
-// maxReadAttempts bounds how often a read follows a record that cleaning moves meanwhile.
+// maxReadAttempts bounds how often a read is retried because cleaning moved the record meanwhile.
 const maxReadAttempts = 8
 
-// get returns the record under a key; false where there is none, or it is deleted or expired. It may be called from any goroutine.
+// get returns the record of a key; false if there is none, or it is deleted or expired. It may be
+// called from any goroutine.
 func (j *journal) get(k Kind, key string) (Record, bool, error) {
 	hash := j.keyHash(k, []byte(key))
 	for range maxReadAttempts {
@@ -19,7 +20,7 @@
 		}
 		payload, err := j.readPayload(place)
 		if errors.Is(err, fs.ErrNotExist) {
-			continue // cleaning has dropped the segment in between
+			continue // cleaning has deleted the segment meanwhile
 		}
 		if err != nil {
 			return Record{}, false, err
@@ -33,10 +34,10 @@
 		}
 		return r, true, nil
 	}
-	return Record{}, false, errors.New("store: cleaning moves the record of a key again and again")
+	return Record{}, false, errors.New("store: get: record was moved by cleaning in every attempt")
 }
 
-// place is where the frame of a record lies.
+// place is the location of a record's frame.
 type place struct {
 	file string
 	seed uint64
@@ -56,7 +57,8 @@
 	return place{file: s.name(), seed: s.seed(j.manifest.store), off: off}, true
 }
 
-// readPayload reads the payload of one frame from the first copy that has it. Where neither has it, it returns the second copy's error.
+// readPayload reads the payload of one frame from the first copy that has it. If neither has it,
+// it returns the second copy's error.
 func (j *journal) readPayload(p place) ([]byte, error) {
 	var lastErr error
 	for _, d := range j.dirs {
@@ -71,7 +73,7 @@
 
 // readFrame reads the payload of one frame from one copy.
 func readFrame(d Dir, p place) ([]byte, error) {
-	damaged := func() error { return fmt.Errorf("store: %s/%s is damaged at %d", d, p.file, p.off) }
+	damaged := func() error { return fmt.Errorf("store: %s/%s: damaged frame at offset %d", d, p.file, p.off) }
 	head := make([]byte, frameHeadSize)
 	if err := readAt(d, p.file, p.off, head); err != nil {
 		return nil, err
--- a/internal/storage/recordlog/readonly.go
+++ b/internal/storage/recordlog/readonly.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// ReadOnlyStore is a store that tools read: nothing is claimed, locked or written. It may be read beside its owner; what is appended meanwhile
-// is seen in part.
+// ReadOnlyStore reads a store without claiming, locking or writing anything. It may be used while
+// another process owns the store; of the records that are appended meanwhile it sees some.
 type ReadOnlyStore struct {
 	dirs  [2]Dir
 	found directoryState
 }
 
-// OpenReadOnly reads the manifest of a store. It returns ErrNoManifest where neither copy is valid.
+// OpenReadOnly reads the manifest of a store. It returns ErrNoManifest if neither copy is valid.
 func OpenReadOnly(dirs [2]Dir) (*ReadOnlyStore, error) {
 	found := readDirectories(dirs)
 	if found.latest == nil {
@@ -23,15 +23,15 @@
 	return &ReadOnlyStore{dirs: dirs, found: found}, nil
 }
 
-// Dump visits every record that can be read, in the log's order, also those that are deleted, expired or replaced. It returns the spans that are
-// lost.
+// Dump visits every readable record in log order, including deleted, expired and replaced ones.
+// It returns the lost spans.
 func (r *ReadOnlyStore) Dump(visit func(Record)) []LostSpan {
 	d := &dumpVisitor{visit: visit}
 	r.scan(d, scanOptions{})
 	return r.allLostSpans(d)
 }
 
-// allLostSpans returns the spans in the manifest and those that a visitor found.
+// allLostSpans returns the lost spans in the manifest and those that a visitor found.
 func (r *ReadOnlyStore) allLostSpans(d *dumpVisitor) []LostSpan {
 	return append(slices.Clone(r.found.latest.lostSpans), d.lost...)
 }
@@ -63,19 +63,20 @@
 	return results
 }
 
-// CheckReport is the result of a check.
+// CheckReport is the result of Check.
 type CheckReport struct {
 	Epoch             uint64
 	Segments          int
 	Bytes             int64 // of one copy
 	Records           int
-	Damaged           []string // damaged or missing files, with the damage
+	Damaged           []string // damaged or missing files, with the extent of the damage
 	LostSpans         []LostSpan
-	UnreferencedFiles []string // segments that the manifest does not name; the owner removes them when it starts
+	UnreferencedFiles []string // segments that are not in the manifest; the owner removes them at its start
 	Took              time.Duration
 }
 
-// Check reads every byte of both copies. It takes time in proportion to the size of the log.
+// Check reads and verifies every byte of both copies. It takes time proportional to the size of
+// the log.
 func (r *ReadOnlyStore) Check() CheckReport {
 	began := time.Now()
 	m := r.found.latest
--- a/internal/storage/recordlog/recovery.go
+++ b/internal/storage/recordlog/recovery.go
@@ -7,10 +7,11 @@
 	"strings"
 )
 
-// maxHeadSize bounds the bytes of a segment's first frame. With any record behind it there are more.
+// maxHeadSize bounds the size of a segment's first frame. A segment with any record is larger.
 const maxHeadSize = 64
 
-// recover reads the manifest and the segments after this process has become the owner, and begins a new segment.
+// recover reads the manifest and the segments after this process has become the owner, and starts
+// a new segment.
 func (j *journal) recover(epoch uint64) error {
 	found := readDirectories(j.dirs)
 	if found.latest == nil {
@@ -40,7 +41,7 @@
 	return nil
 }
 
-// readSegments fills the index from all segments, seals the last one, and returns the spans that are lost.
+// readSegments fills the index from all segments, seals the last one, and returns the lost spans.
 func (j *journal) readSegments() lostSpans {
 	visitor := &recovery{journal: j}
 	var bufs copyBuffers
@@ -61,8 +62,9 @@
 	return visitor.lost
 }
 
-// checkNeverUsed returns an error where the directories have records although neither has a manifest. It guards records from being overwritten
-// because both manifests are gone.
+// checkNeverUsed returns an error if the directories contain records although neither has a
+// manifest. It prevents the loss of both manifests from leading to a new, empty store that
+// overwrites the records.
 func (j *journal) checkNeverUsed(found directoryState) error {
 	for i, names := range found.names {
 		for _, name := range names {
@@ -70,17 +72,18 @@
 				continue
 			}
 			if b := readAll(j.dirs[i], name, nil); len(b) > maxHeadSize {
-				return fmt.Errorf("store: %s and %s: %w, and %s holds records", j.dirs[0], j.dirs[1], ErrNoManifest, name)
+				return fmt.Errorf("store: %s and %s: %w, but %s contains records", j.dirs[0], j.dirs[1], ErrNoManifest, name)
 			}
 		}
 	}
 	return nil
 }
 
-// markDamage marks a segment as damaged, so that its live records are written anew, where one of its copies is.
+// markDamage marks a segment as damaged if one of its copies is, so that its live records are
+// rewritten.
 func (j *journal) markDamage(s *segment, result scanResult) {
 	for i, damaged := range result.damaged {
-		if damaged == 0 && i == 1 && s.size > 0 { // the second copy may not have been read; its length shows the most frequent damage
+		if damaged == 0 && i == 1 && s.size > 0 { // the second copy may not have been read; its length reveals the most frequent damage
 			if size, err := fileSize(j.dirs[1], s.name()); err != nil || size < s.size {
 				damaged = s.size - size
 			}
@@ -101,7 +104,7 @@
 	return f.Seek(0, io.SeekEnd)
 }
 
-// removeUnreferenced removes the segments that an earlier process left behind and the manifest does not name.
+// removeUnreferenced removes the segments of earlier processes that are not in the manifest.
 func (j *journal) removeUnreferenced(names [2][]string) {
 	referenced := map[string]bool{}
 	for _, s := range j.manifest.segments {
@@ -110,13 +113,13 @@
 	for i, d := range j.dirs {
 		for _, name := range names[i] {
 			if strings.HasPrefix(name, segmentPrefix) && !referenced[name] {
-				_ = d.Remove(name) // the next start repeats it
+				_ = d.Remove(name) // on failure the next start retries
 			}
 		}
 	}
 }
 
-// recovery fills the index from the records of a scan.
+// recovery is the visitor that fills the index from the records of a scan.
 type recovery struct {
 	journal *journal
 	segment *segment
--- a/internal/storage/recordlog/roll.go
+++ b/internal/storage/recordlog/roll.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// roll begins a new segment, and seals the one before at its acknowledged size.
+// roll starts a new segment, and seals the previous one at its acknowledged size.
 func (j *journal) roll() error {
 	s := &segment{id: j.manifest.nextSegmentID, epoch: j.manifest.epoch}
 	j.manifest.nextSegmentID++
@@ -18,7 +18,7 @@
 	if err == nil {
 		err = j.writeManifest(append(segments, s))
 	}
-	if err != nil { // a manifest that names the segment may be durable all the same, so its files stay
+	if err != nil { // a manifest with the segment may be durable despite the error, so its files must stay
 		for _, f := range files {
 			if f != nil {
 				f.Close()
@@ -38,7 +38,8 @@
 	return nil
 }
 
-// createSegment creates both files of a segment with its head. Where it fails, it returns the files that were created.
+// createSegment creates both files of a segment with their head frame. On an error it returns the
+// files that were created.
 func (j *journal) createSegment(s *segment) (files [2]File, err error) {
 	head, err := appendFrame(nil, s.seed(j.manifest.store), 0,
 		&form.Head{Version: formatVersion, Store: j.manifest.store, Epoch: s.epoch, Id: s.id})
@@ -66,8 +67,9 @@
 	return j.dirs[copyIndex].Sync()
 }
 
-// writeManifest makes a manifest with these segments the one that counts, and then removes the earlier ones. Its number is used up even where
-// it fails, since the manifest may be durable all the same.
+// writeManifest makes a manifest with these segments the current one, and then removes the
+// earlier ones. Its number is consumed even on an error, since the manifest may be durable
+// despite it.
 func (j *journal) writeManifest(segments []*segment) error {
 	m := j.manifest
 	m.number++
@@ -103,7 +105,7 @@
 		}
 		for _, name := range names {
 			if strings.HasPrefix(name, manifestPrefix) && name < current {
-				_ = d.Remove(name) // the next manifest repeats it; until then the latest one counts
+				_ = d.Remove(name) // on failure the next manifest retries; until then the latest manifest is the current one
 			}
 		}
 	}
--- a/internal/storage/recordlog/store.go
+++ b/internal/storage/recordlog/store.go
@@ -7,7 +7,8 @@
 	"sync/atomic"
 )
 
-// Store is a Log on disk. It is safe for concurrent use. One goroutine of it is the only writer; another one cleans. Close ends both.
+// Store is a Log on disk. It is safe for concurrent use. One goroutine is the only writer;
+// another one cleans. Close ends both.
 type Store struct {
 	journal      *journal
 	queue        chan *entry
@@ -19,27 +20,28 @@
 	health       atomic.Pointer[error]
 	metrics      Metrics
 
-	maintenance   sync.Mutex // serialises Clean, Scrub and Each, so that no segment is dropped while another one reads it
+	maintenance   sync.Mutex // serializes Clean, Scrub and Each, so that no segment is deleted while it is read
 	scrubPosition int        // guarded by maintenance
 
-	mu     sync.RWMutex // guards closed; held for reading while a record is queued
+	mu     sync.RWMutex // guards closed; read-locked while a record is queued
 	closed bool
 }
 
-// Metrics counts what a store did since it was opened. Appends and Failed are records, Syncs batches, Cleaned segments. Failed is a part of
-// Appends.
+// Metrics contains the counters of a store since it was opened. Appends and Failed count records,
+// Syncs batches, Cleaned segments. Appends includes Failed.
 type Metrics struct {
 	Appends, Syncs, Failed, Cleaned atomic.Int64
 }
 
-// queueSize is the maximal number of records that wait to be written.
+// queueSize is the maximum number of records in the write queue.
 const queueSize = 4096
 
 var _ Log = (*Store)(nil)
 
-// Open makes this process the owner of the store in two directories and reads it. Where another process owns it, Open returns ErrOwned; with
-// force it takes the ownership all the same, and that one's appends fail from then on. Damage that the other copy makes up for is logged, and
-// so are lost spans; neither fails Open. The caller must call Close.
+// Open makes this process the owner of the store in two directories and reads it. If another
+// process owns it, Open returns ErrOwned; with force it takes over the ownership, and the appends
+// of the other process fail from then on. Lost spans and damage that the other copy makes up for
+// are logged, but do not fail Open. The caller must call Close.
 func Open(dirs [2]Dir, opt Options, force bool) (*Store, error) {
 	opt.setDefaults()
 	j, err := open(dirs, opt, force)
@@ -61,16 +63,18 @@
 	return s, nil
 }
 
-// Append implements Log. It returns ErrBusy, ErrClosed, or an error for a record that is larger than MaxValue.
+// Append implements Log. It returns ErrBusy, ErrClosed, or an error for a record that is larger
+// than MaxValue.
 func (s *Store) Append(r Record, done func(error)) error {
 	size := int64(len(r.Key) + len(r.Value))
 	if size > MaxValue {
-		return fmt.Errorf("store: a record of %d bytes, of %d at most", size, MaxValue)
+		return fmt.Errorf("store: append: record of %d bytes exceeds the limit of %d bytes", size, MaxValue)
 	}
 	return s.enqueue(&entry{Record: r, done: done})
 }
 
-// enqueue queues an entry for the writer. A single entry may exceed the bound on waiting bytes where nothing else waits.
+// enqueue queues an entry for the writer. A single entry may exceed MaxWaiting if the queue is
+// empty.
 func (s *Store) enqueue(e *entry) error {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
@@ -91,7 +95,8 @@
 	}
 }
 
-// runWriter is the writer's goroutine. While one batch is synced the next one gathers in the queue, so that one sync serves all that wait.
+// runWriter is the writer's goroutine. While one batch is synced the next one accumulates in the
+// queue, so that one sync serves all queued records.
 func (s *Store) runWriter() {
 	defer close(s.writerDone)
 	var batch []*entry
@@ -111,7 +116,7 @@
 	}
 }
 
-// fillBatch adds the entries that wait to a batch, up to its maximal size.
+// fillBatch adds queued entries to a batch, up to MaxBatch.
 func (s *Store) fillBatch(batch []*entry) []*entry {
 	for len(batch) < s.journal.opt.MaxBatch {
 		select {
@@ -124,7 +129,8 @@
 	return batch
 }
 
-// drainQueue commits what waits when the store is closed. Nothing is queued any more.
+// drainQueue commits the queued entries when the store is closed. No further entries can be
+// queued then.
 func (s *Store) drainQueue() {
 	for {
 		select {
@@ -136,7 +142,8 @@
 	}
 }
 
-// commitBatch makes a batch durable, records the health of the store and calls the entries' callbacks.
+// commitBatch makes a batch durable, records the health of the store and calls the entries'
+// callbacks.
 func (s *Store) commitBatch(batch []*entry) {
 	err := s.journal.commit(batch)
 	s.metrics.Syncs.Add(1)
@@ -153,7 +160,8 @@
 	}
 }
 
-// recordHealth records the result of the last commit, and logs when appends begin to fail and when they succeed again.
+// recordHealth records the result of the last commit, and logs when appends start to fail and
+// when they succeed again.
 func (s *Store) recordHealth(err error) {
 	previous := s.health.Load()
 	switch {
@@ -168,11 +176,11 @@
 	}
 }
 
-// Get implements Log. It takes a read of the disk where the key has a record.
+// Get implements Log. It reads the disk once if the key has a record.
 func (s *Store) Get(k Kind, key string) (Record, bool, error) { return s.journal.get(k, key) }
 
-// Each implements Log. It reads the complete log, and waits for cleaning and scrubbing. Records that are appended meanwhile may be missed. It
-// returns no error.
+// Each implements Log. It reads the complete log, and waits for cleaning and scrubbing. Records
+// that are appended meanwhile may be missed. The returned error is always nil.
 func (s *Store) Each(k Kind, visit func(Record)) error {
 	s.maintenance.Lock()
 	defer s.maintenance.Unlock()
@@ -230,10 +238,11 @@
 	return spans
 }
 
-// Metrics returns the store's counters, which go on counting.
+// Metrics returns the store's live counters.
 func (s *Store) Metrics() *Metrics { return &s.metrics }
 
-// Size returns the number of bytes that the log takes in each directory, and the number of keys in the index.
+// Size returns the size of the log in each directory in bytes, and the number of keys in the
+// index.
 func (s *Store) Size() (bytes int64, keys int) {
 	s.journal.mu.RLock()
 	defer s.journal.mu.RUnlock()
@@ -243,8 +252,8 @@
 	return bytes, s.journal.index.n
 }
 
-// Close writes the records that wait, gives up the ownership, and waits until the store's goroutines have ended. Later appends fail with
-// ErrClosed. Close may be called more than once.
+// Close commits the queued records, releases the ownership, and waits until the store's
+// goroutines have ended. Later appends fail with ErrClosed. Close may be called more than once.
 func (s *Store) Close() {
 	s.mu.Lock()
 	alreadyClosed := s.closed
--- a/internal/storage/recordlog/table.go
+++ b/internal/storage/recordlog/table.go
@@ -2,10 +2,12 @@
 
 import "math/bits"
 
-// table is a hash table with open addressing, from the hashes of keys to the places of their records. A slot takes 16 bytes, and 64 to 88 of a
-// hundred slots are in use: 18 to 25 bytes for each key, where Go's map takes 36 at two million keys. It grows by three eighths, one of its
-// 256 shards at a time, so that no insertion waits for all of it and there is never a second copy of it. Hashes must be uniform. The zero
-// value is empty. It is not safe for concurrent use.
+// table is a hash table with open addressing, from the hashes of keys to the places of their
+// records. A slot has 16 bytes, and 64% to 88% of the slots are in use: 18 to 25 bytes per key,
+// compared to 36 for a Go map of two million keys. Each of the 256 shards grows separately, by
+// three eighths, so that no insertion waits for the growth of the complete table and there is
+// never a second copy of it. Hashes must be uniform. The zero value is empty. It is not safe for
+// concurrent use.
 type table struct {
 	shards [256]shard
 	n      int
@@ -16,7 +18,8 @@
 	n     int
 }
 
-// slot is empty where its ref is 0. No record has that ref, since the start of segment 0 is its head.
+// slot is empty if its ref is 0. No record has that ref, since offset 0 of segment 0 is a head
+// frame.
 type slot struct {
 	hash uint64
 	at   ref
@@ -24,8 +27,8 @@
 
 const minSlots = 8
 
-// home returns the slot where a hash is looked for first: its bits below those of the shard, scaled to the number of slots, which need not be
-// a power of two.
+// home returns the first slot of a hash's probe sequence: the hash bits below those of the shard,
+// scaled to the number of slots, which need not be a power of two.
 func (s *shard) home(hash uint64) int {
 	hi, _ := bits.Mul64(hash<<8, uint64(len(s.slots)))
 	return int(hi)
@@ -38,7 +41,7 @@
 	return i
 }
 
-// find returns the slot of a hash, or the empty one where it belongs.
+// find returns the slot of a hash, or the empty slot at which to insert it.
 func (s *shard) find(hash uint64) int {
 	i := s.home(hash)
 	for s.slots[i].at != 0 && s.slots[i].hash != hash {
@@ -56,7 +59,7 @@
 	return at, at != 0
 }
 
-// set stores the place for a hash, and returns the one before; 0: there was none.
+// set stores the place for a hash, and returns the previous one, or 0 if there was none.
 func (t *table) set(hash uint64, at ref) (before ref) {
 	s := &t.shards[hash>>56]
 	if (s.n+1)*8 > len(s.slots)*7 {
@@ -84,7 +87,8 @@
 	}
 }
 
-// drop removes a hash. Entries that collisions pushed behind it move up, so that no slot has to be marked as deleted and lookups stay short.
+// drop removes a hash. Entries displaced by collisions move up, so that no tombstones are needed
+// and lookups stay short.
 func (t *table) drop(hash uint64) {
 	s := &t.shards[hash>>56]
 	if s.n == 0 {
--- a/internal/storage/recordlog/table_test.go
+++ b/internal/storage/recordlog/table_test.go
@@ -8,7 +8,7 @@
 	_ "saffronquay/internal/testing/harness/steady"
 )
 
-// The table has the same entries as a map, also where many hashes share a home.
+// The table has the same entries as a map, even if many hashes share a home slot.
 func TestTable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var x table
@@ -20,7 +20,7 @@
 			k := uint64(rng.IntN(keys))
 			hash := mix(k)>>8 | uint64(rng.IntN(shards)*0+int(k)%shards)<<56
 			if keys == 20 {
-				hash &^= 0x00ffff0000000000 // they collide
+				hash &^= 0x00ffff0000000000 // make the keys collide
 			}
 			if rng.IntN(3) > 0 {
 				if before := x.set(hash, ref(i+1)); before != want[hash] {
@@ -42,12 +42,12 @@
 			x.drop(hash)
 		}
 		if x.n != 0 {
-			t.Fatalf("%d are left", x.n)
+			t.Fatalf("%d entries left after dropping all", x.n)
 		}
 		for i := range x.shards {
 			for _, s := range x.shards[i].slots {
 				if s.at != 0 {
-					t.Fatal("a slot is in use")
+					t.Fatal("a slot is in use after dropping all entries")
 				}
 			}
 		}
--- a/internal/storage/simdisk/crash.go
+++ b/internal/storage/simdisk/crash.go
@@ -6,8 +6,9 @@
 	"slices"
 )
 
-// Crash returns the disk as the machine finds it after a crash, under another plan and without locks: with everything that was synced and a random
-// part of the rest. The old disk should not be used any more.
+// Crash returns the disk as it is after a crash of the machine, under another plan and without
+// locks: with all synced data and a random part of the rest. The old disk must not be used
+// afterwards.
 func (d *Disk) Crash(plan *FaultPlan, rng *rand.Rand) *Disk {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -18,11 +19,11 @@
 	}
 	for _, name := range slices.Sorted(maps.Keys(d.durable)) {
 		n := d.durable[name]
-		switch taken := d.names[name]; {
-		case taken == n || rng.IntN(2) == 0:
+		switch current := d.names[name]; {
+		case current == n || rng.IntN(2) == 0:
 			keep(name, n)
-		case d.renamed[name]: // one of the two files has the name in every case
-			keep(name, taken)
+		case d.renamed[name]: // rename is atomic: one of the two files has the name
+			keep(name, current)
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(d.names)) {
@@ -33,7 +34,8 @@
 	return crashed
 }
 
-// afterCrash returns what a crash leaves of a file: what was synced, without the ranges of failed syncs, and a random part of the rest.
+// afterCrash returns the file after a crash: the synced data, without the ranges of failed syncs,
+// and a random part of the rest.
 func (n *inode) afterCrash(rng *rand.Rand) *inode {
 	data := slices.Clone(n.data)
 	for _, lost := range n.lostRanges {
@@ -51,7 +53,8 @@
 	return &inode{data: data, synced: len(data)}
 }
 
-// Clone returns a copy of the disk under another plan, without locks. Everything on it counts as synced.
+// Clone returns a copy of the disk under another plan, without locks. Everything on it counts as
+// synced.
 func (d *Disk) Clone(plan *FaultPlan) *Disk {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/storage/simdisk/disk.go
+++ b/internal/storage/simdisk/disk.go
@@ -12,14 +12,14 @@
 	"syscall"
 )
 
-// inode is a file. Names refer to it.
+// inode is the content of a file. Directory entries refer to it.
 type inode struct {
 	data       []byte
-	synced     int         // number of bytes that a sync covered
-	lostRanges []byteRange // of a failed sync: they are lost although later syncs succeeded
+	synced     int         // number of bytes covered by a sync
+	lostRanges []byteRange // ranges of failed syncs, lost even if later syncs succeed
 }
 
-// byteRange is the bytes of a file from one offset up to another.
+// byteRange is a half-open range of offsets in a file.
 type byteRange struct{ from, to int }
 
 // Disk is one directory on a simulated disk.
@@ -29,14 +29,14 @@
 
 	mu      sync.Mutex
 	names   map[string]*inode
-	durable map[string]*inode // the names that survive a crash
-	renamed map[string]bool   // names that another file got since the last Sync
+	durable map[string]*inode // directory entries that survive a crash
+	renamed map[string]bool   // names that were the target of a rename since the last Sync
 	locks   map[string]bool
 }
 
 var _ recordlog.Dir = (*Disk)(nil)
 
-// New returns an empty directory. name is for messages.
+// New returns an empty directory. name is used in messages.
 func New(name string, plan *FaultPlan) *Disk {
 	return &Disk{faults: plan, name: name, names: map[string]*inode{}, durable: map[string]*inode{}, renamed: map[string]bool{}, locks: map[string]bool{}}
 }
@@ -44,10 +44,10 @@
 // String returns the name of the directory.
 func (d *Disk) String() string { return d.name }
 
-// Faults returns the plan that decides on the disk's calls.
+// Faults returns the plan that controls the disk's calls.
 func (d *Disk) Faults() *FaultPlan { return d.faults }
 
-// call carries out a call with the lock held, unless the plan makes it fail.
+// call runs f with the lock held, unless the plan makes the call fail.
 func (d *Disk) call(f func() error) error {
 	if err := d.faults.nextCall(); err != nil {
 		return err
@@ -70,7 +70,8 @@
 	return &file{d, n}, err
 }
 
-// Open implements recordlog.Dir. The file is read as it is now. The call is not counted.
+// Open implements recordlog.Dir. It returns a snapshot of the file. The call is not counted in the
+// fault plan.
 func (d *Disk) Open(name string) (io.ReadSeekCloser, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -81,7 +82,7 @@
 	return readFile{bytes.NewReader(slices.Clone(n.data))}, nil
 }
 
-// readFile is a copy of a file's bytes.
+// readFile is a snapshot of a file.
 type readFile struct{ *bytes.Reader }
 
 func (readFile) Close() error { return nil }
@@ -103,14 +104,14 @@
 	})
 }
 
-// List implements recordlog.Dir. The names are sorted. The call is not counted.
+// List implements recordlog.Dir. The names are sorted. The call is not counted in the fault plan.
 func (d *Disk) List() ([]string, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return slices.Sorted(maps.Keys(d.names)), nil
 }
 
-// Sync implements recordlog.Dir: it makes the names durable.
+// Sync implements recordlog.Dir. It makes the directory entries durable.
 func (d *Disk) Sync() error {
 	return d.call(func() error {
 		d.durable = maps.Clone(d.names)
@@ -119,7 +120,7 @@
 	})
 }
 
-// Lock implements recordlog.Dir. The lock ends when it is closed or the disk crashes.
+// Lock implements recordlog.Dir. The lock is released when it is closed or the disk crashes.
 func (d *Disk) Lock(name string) (io.Closer, error) {
 	err := d.call(func() error {
 		switch {
@@ -149,7 +150,7 @@
 	return nil
 }
 
-// file is a file that is written from its start to its end.
+// file is a file that is written sequentially.
 type file struct {
 	disk  *Disk
 	inode *inode
@@ -186,7 +187,7 @@
 	return names
 }
 
-// FileContent returns a file's bytes; nil where there is no file.
+// FileContent returns a copy of a file's bytes, or nil if there is no such file.
 func (d *Disk) FileContent(name string) []byte {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -196,7 +197,8 @@
 	return nil
 }
 
-// SetFileContent replaces a file's bytes durably, as damage or an operator would. nil removes the file.
+// SetFileContent durably replaces a file's bytes, to simulate damage or an operator. nil removes
+// the file.
 func (d *Disk) SetFileContent(name string, data []byte) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/storage/simdisk/faultplan.go
+++ b/internal/storage/simdisk/faultplan.go
@@ -5,24 +5,25 @@
 	"sync"
 )
 
-// ErrCrashed is the error of every call after a crash.
+// ErrCrashed is returned by every call after a crash.
 var ErrCrashed = errors.New("simdisk: crashed")
 
-// FaultPlan decides on the calls of all disks that have it. With the zero value all of them succeed. It is safe for concurrent use.
+// FaultPlan controls which calls of the disks that share it fail or stall. With the zero value all
+// calls succeed. It is safe for concurrent use.
 type FaultPlan struct {
 	mu          sync.Mutex
 	calls       int
-	crashAt     int // number of the call from which on all fail; 0: none
+	crashAt     int // number of the call from which on all calls fail; 0: none
 	failSyncAt  int // number of the call from which on the next sync fails; 0: none
 	stallGate   chan struct{}
-	writeBudget int // bytes that may still be written; 0: no bound; negative: none
+	writeBudget int // bytes that may still be written; 0: unlimited; negative: none
 }
 
-// CrashAt makes the nth call from now on fail with ErrCrashed, and all after it.
+// CrashAt makes the nth call from now, and all calls after it, fail with ErrCrashed.
 func (p *FaultPlan) CrashAt(n int) { p.update(func() { p.crashAt = p.calls + n }) }
 
-// FailSync makes the first sync fail that comes at or after the nth call from now on. The data that it should have synced are lost, although
-// later syncs succeed.
+// FailSync makes the first sync at or after the nth call from now fail. The data of that sync are
+// lost, even if later syncs succeed.
 func (p *FaultPlan) FailSync(n int) { p.update(func() { p.failSyncAt = p.calls + n }) }
 
 // Stall makes all calls wait until the returned function is called.
@@ -32,10 +33,11 @@
 	return func() { p.update(func() { p.stallGate = nil }); close(gate) }
 }
 
-// SetWriteBudget sets how many bytes may still be written: 0 for any number, a negative number for none.
+// SetWriteBudget sets the number of bytes that may still be written: 0 for no limit, a negative
+// number for none.
 func (p *FaultPlan) SetWriteBudget(n int) { p.update(func() { p.writeBudget = n }) }
 
-// Calls returns how many calls there were.
+// Calls returns the number of calls so far.
 func (p *FaultPlan) Calls() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -48,7 +50,8 @@
 	f()
 }
 
-// nextCall counts a call, and returns ErrCrashed where it fails. It waits while the disks are stalled.
+// nextCall counts a call, and returns ErrCrashed if it fails. It blocks while the disks are
+// stalled.
 func (p *FaultPlan) nextCall() error {
 	p.mu.Lock()
 	gate := p.stallGate
@@ -76,7 +79,8 @@
 	return true
 }
 
-// takeBudget returns how many of n bytes may be written. A budget that is used up becomes negative, since 0 stands for no bound.
+// takeBudget returns how many of n bytes may be written, and subtracts them from the budget. An
+// exhausted budget becomes negative, since 0 means no limit.
 func (p *FaultPlan) takeBudget(n int) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/storage/simdisk/randomaccess.go
+++ b/internal/storage/simdisk/randomaccess.go
@@ -6,7 +6,8 @@
 	"syscall"
 )
 
-// RandomAccess implements the disk of package replica: its files are read and written at any offset, and renamed.
+// RandomAccess implements replica.Disk: its files are read and written at any offset, and can be
+// renamed.
 type RandomAccess struct{ Disk *Disk }
 
 var _ replica.Disk = RandomAccess{}
--- a/internal/storage/storebench/main.go
+++ b/internal/storage/storebench/main.go
@@ -1,6 +1,7 @@
-// Command weigh holds two embedded stores of the registry against what the durable store has to do, in a module of its own, so that
-// the gatherer does not depend on them: the time of an acknowledged append, memory, and what single flipped bytes cost. It is run by
-// hand; docs/STORE.md has what it said.
+// Command storebench compares two embedded stores from the Go module registry with the
+// requirements of the durable store: the latency of an acknowledged append, memory, and the
+// effects of single flipped bits. It is a separate module, so that the gatherer does not depend
+// on these stores. It is run manually; docs/STORE.md has the results.
 package main
 
 import (
@@ -20,14 +21,14 @@
 	"go.etcd.io/bbolt"
 )
 
-// db is what both come down to.
+// db is the common interface of the stores.
 type db interface {
 	put(k, v []byte) error // durable once it returns
 	get(k []byte) ([]byte, error)
 	close() error
 }
 
-type bolt struct{ d *bbolt.DB }
+type boltStore struct{ d *bbolt.DB }
 
 var bucket = []byte("b")
 
@@ -39,41 +40,41 @@
 	if err != nil {
 		return nil, err
 	}
-	d.MaxBatchDelay = 100 * time.Microsecond // by default a lone append waits for 10 ms
+	d.MaxBatchDelay = 100 * time.Microsecond // the default delays a single append by 10 ms
 	err = d.Update(func(tx *bbolt.Tx) error { _, err := tx.CreateBucketIfNotExists(bucket); return err })
-	return bolt{d}, err
+	return boltStore{d}, err
 }
 
-func (b bolt) put(k, v []byte) error {
+func (b boltStore) put(k, v []byte) error {
 	return b.d.Batch(func(tx *bbolt.Tx) error { return tx.Bucket(bucket).Put(k, v) })
 }
 
-func (b bolt) get(k []byte) (v []byte, err error) {
+func (b boltStore) get(k []byte) (v []byte, err error) {
 	err = b.d.View(func(tx *bbolt.Tx) error { v = slices.Clone(tx.Bucket(bucket).Get(k)); return nil })
 	return v, err
 }
 
-func (b bolt) close() error { return b.d.Close() }
+func (b boltStore) close() error { return b.d.Close() }
 
-type peb struct{ d *pebble.DB }
+type pebbleStore struct{ d *pebble.DB }
 
-type quiet struct{}
+type discardLogger struct{}
 
-func (quiet) Infof(string, ...any)      {}
-func (quiet) Errorf(string, ...any)     {}
-func (quiet) Fatalf(f string, a ...any) { panic(fmt.Sprintf(f, a...)) }
+func (discardLogger) Infof(string, ...any)      {}
+func (discardLogger) Errorf(string, ...any)     {}
+func (discardLogger) Fatalf(f string, a ...any) { panic(fmt.Sprintf(f, a...)) }
 
 func openPebble(dir string) (db, error) {
-	d, err := pebble.Open(dir, &pebble.Options{Logger: quiet{}, MemTableSize: 4 << 20, Cache: pebble.NewCache(8 << 20)})
+	d, err := pebble.Open(dir, &pebble.Options{Logger: discardLogger{}, MemTableSize: 4 << 20, Cache: pebble.NewCache(8 << 20)})
 	if err != nil {
 		return nil, err
 	}
-	return peb{d}, nil
+	return pebbleStore{d}, nil
 }
 
-func (p peb) put(k, v []byte) error { return p.d.Set(k, v, pebble.Sync) }
+func (p pebbleStore) put(k, v []byte) error { return p.d.Set(k, v, pebble.Sync) }
 
-func (p peb) get(k []byte) ([]byte, error) {
+func (p pebbleStore) get(k []byte) ([]byte, error) {
 	v, c, err := p.d.Get(k)
 	if err != nil {
 		return nil, err
@@ -82,7 +83,7 @@
 	return slices.Clone(v), nil
 }
 
-func (p peb) close() error { return p.d.Close() }
+func (p pebbleStore) close() error { return p.d.Close() }
 
 func key(i int) []byte {
 	return binary.BigEndian.AppendUint64([]byte("filing"), uint64(i)*0x9e3779b97f4a7c15)
@@ -99,18 +100,18 @@
 var stores = map[string]func(string) (db, error){"bbolt": openBolt, "pebble": openPebble}
 
 func main() {
-	if len(os.Args) == 3 { // a look in a process of its own: what is damaged may end it
-		os.Exit(int(look(stores[os.Args[1]], os.Args[2])))
+	if len(os.Args) == 3 { // check in a separate process: a damaged store may end it
+		os.Exit(int(checkStore(stores[os.Args[1]], os.Args[2])))
 	}
 	for name, open := range stores {
-		if err := weigh(name, open); err != nil {
+		if err := compare(name, open); err != nil {
 			fmt.Fprintln(os.Stderr, name, err)
 		}
 	}
 }
 
-func weigh(name string, open func(string) (db, error)) error {
-	dir, err := os.MkdirTemp("", "weigh")
+func compare(name string, open func(string) (db, error)) error {
+	dir, err := os.MkdirTemp("", "storebench")
 	if err != nil {
 		return err
 	}
@@ -130,7 +131,7 @@
 			return err
 		}
 	}
-	return flips(name, open, dir)
+	return flipBits(name, open, dir)
 }
 
 func load(d db, callers int, length time.Duration) (all []time.Duration) {
@@ -158,9 +159,9 @@
 	return all
 }
 
-// flips turns single bits over in a closed store and counts what that costs.
-func flips(name string, open func(string) (db, error), dir string) error {
-	const tries = 400
+// flipBits flips single bits in a closed store and counts the outcomes.
+func flipBits(name string, open func(string) (db, error), dir string) error {
+	const attempts = 400
 	master := filepath.Join(dir, "master")
 	d, err := open(master)
 	if err != nil {
@@ -182,8 +183,8 @@
 		return err
 	})
 	rng := rand.New(rand.NewPCG(1, 1))
-	ends := map[verdict]int{}
-	for range tries {
+	outcomes := map[outcome]int{}
+	for range attempts {
 		copied := filepath.Join(dir, "copy")
 		os.RemoveAll(copied)
 		if err := os.CopyFS(copied, os.DirFS(master)); err != nil {
@@ -203,31 +204,31 @@
 			return err
 		}
 		cmd := exec.Command(os.Args[0], name, copied)
-		cmd.Run() // its end is what counts
-		ends[verdict(cmd.ProcessState.ExitCode())]++
+		cmd.Run() // the exit code is evaluated
+		outcomes[outcome(cmd.ProcessState.ExitCode())]++
 	}
 	fmt.Printf("%s: %d flips over %d files: %d ended the process, %d could not be opened, %d lost acknowledged records, %d gave wrong ones\n",
-		name, tries, len(files), ends[died], ends[shut], ends[lost], ends[wrong])
+		name, attempts, len(files), outcomes[crashed], outcomes[openFailed], outcomes[lost], outcomes[wrong])
 	return nil
 }
 
-// verdict is how a look at a damaged store ends, as a process's exit code.
-type verdict int
+// outcome is the result of checking a damaged store, as the exit code of the process.
+type outcome int
 
 const (
-	good  verdict = 0
-	died  verdict = 2 // as the runtime has it
-	shut  verdict = 3
-	lost  verdict = 4
-	wrong verdict = 5
+	good       outcome = 0
+	crashed    outcome = 2 // exit code of the Go runtime after a panic
+	openFailed outcome = 3
+	lost       outcome = 4
+	wrong      outcome = 5
 )
 
 const records = 400
 
-func look(open func(string) (db, error), dir string) verdict {
+func checkStore(open func(string) (db, error), dir string) outcome {
 	d, err := open(dir)
 	if err != nil {
-		return shut
+		return openFailed
 	}
 	for i := range records {
 		v, err := d.get(key(i))
