--- a/internal/cluster/quota/allocator.go
+++ b/internal/cluster/quota/allocator.go
@@ -9,61 +9,66 @@
 )
 
 const (
-	maxBudgets      = 4096      // teams whose budgets are divided by demand; all others are divided evenly
-	targetsValidFor = 100_000   // microseconds after which targets are computed again
+	maxBudgets      = 4096      // maximum number of budgets divided by demand; all others are divided evenly
+	targetsValidFor = 100_000   // microseconds after which targets are recomputed
 	idleAfter       = 5_000_000 // microseconds without demand after which a budget is divided evenly again
-	headroomDivisor = 8         // demand is answered with an eighth more, so that it can grow
+	headroomDivisor = 8         // targets exceed the demand by an eighth, so that usage can grow
 )
 
-// Allocator grants quotas and records which gatherer may be using what. The leader of the policy agreement has one, from its election on. It is not
-// safe for concurrent use.
+// Allocator grants quotas and tracks which gatherer may be using how much. The leader of the
+// policy agreement has one, created at its election. It is not safe for concurrent use.
 //
-// A new allocator does not know what its predecessor has granted. Until all of that is over it only renews what holders report to it: what
-// they all used at one time was within the budgets, and they report after its election, when no other allocator grants.
+// A new allocator does not know the grants of its predecessor. Until all of them have expired it
+// only renews the quotas that holders report to it. That is safe because the quotas in use at any
+// one time were within the budgets, and the reports are made after its election, when no other
+// allocator grants.
 type Allocator struct {
 	term        uint64
-	exclusiveAt int64 // from then on no grant of a predecessor is in use
+	exclusiveAt int64 // time from which on no grant of a predecessor is in use
 	holders     map[string]*lessee
-	budgets     map[string]*budget // by team; only those with demand, or with an uneven quota
+	budgets     map[string]*budget // by team; only budgets with demand or an uneven quota
 	slots       uint64
 	bugs        Bugs
 }
 
-// lessee is what the allocator knows of one holder.
+// lessee is the allocator's state of one holder.
 type lessee struct {
 	claimed          bool              // it has reported to this allocator
-	leased           bool              // quotas is all that it uses; false: it uses its floors
-	quotas           map[string]uint32 // as reported last
-	claimUntil       int64             // end of the lease that it reported
-	grants           []grant           // made, and not known to be taken in; oldest first
+	leased           bool              // it uses at most quotas; false: it uses its floors
+	quotas           map[string]uint32 // as last reported
+	claimUntil       int64             // end of the reported lease
+	grants           []grant           // issued and possibly in use; oldest first
 	seq              uint64            // of the newest grant
-	outstandingUntil int64             // when its lease is over, whichever grant it took in
+	outstandingUntil int64             // end of its lease, whichever grant it has applied
 }
 
-// grant is one answer that a holder may have taken in.
+// grant is one answer that a holder may have applied.
 type grant struct {
 	seq    uint64
 	until  int64
 	quotas map[string]uint32
 }
 
-// budget is a team's budget that some gatherer wants more of than an even quota, or has another quota of.
+// budget is a team's budget of which some gatherer demands more than an even quota, or has an
+// uneven quota.
 type budget struct {
 	demand       map[string]uint32 // by gatherer
-	wantedAt     int64             // time of the newest demand
-	targets      map[string]uint32 // the division aimed at, by gatherer
+	wantedAt     int64             // time of the latest demand
+	targets      map[string]uint32 // intended division, by gatherer
 	targetsUntil int64
-	used         map[string]uint32 // the most that each gatherer may be using. Expiry shows when targets are computed again
+	used         map[string]uint32 // the most that each gatherer may be using; expired leases are removed when targets are recomputed
 	sum          uint64            // of used
 }
 
-// NewAllocator returns the allocator of a leader elected in a term. exclusiveAt is when all leases of earlier terms are over, by this process's clock.
+// NewAllocator returns the allocator of a leader elected in a term. exclusiveAt is the time, on
+// this process's clock, from which on all leases of earlier terms have expired.
 func NewAllocator(term uint64, exclusiveAt int64, bugs Bugs) *Allocator {
 	return &Allocator{term: term, exclusiveAt: exclusiveAt, holders: map[string]*lessee{}, budgets: map[string]*budget{}, bugs: bugs}
 }
 
-// SetSlots sets the number of gatherers that budgets are divided among, by the policy in force at the leader. Grants for another number
-// are void at every holder, since no gatherer admits queries under the policy before.
+// SetSlots sets the number of gatherers among which budgets are divided, by the policy in force
+// at the leader. Grants for another number are void at every holder, since no gatherer admits
+// queries under the previous policy.
 func (b *Allocator) SetSlots(n uint64) {
 	if n != b.slots {
 		b.slots = n
@@ -72,9 +77,11 @@
 	}
 }
 
-// Grant answers the encoded request of a gatherer; nil if it cannot be decoded. until is when a lease granted now is over on every clock. members
-// are the gatherers on the roster, sorted by name; the first so many as there are slots may have quotas. It costs O(budgets), and ten
-// times a second O(budgets · members).
+// Grant returns the encoded answer to the encoded request of a gatherer, or nil if the request
+// cannot be decoded. until is the time at which a lease granted now has expired on every clock.
+// members are the gatherers on the roster, sorted by name; only the first of them, as many as
+// there are slots, may have quotas. It costs O(budgets), and ten times a second O(budgets ·
+// members).
 func (b *Allocator) Grant(now, until int64, from string, text []byte, members []string) []byte {
 	request := &wire.Ask{}
 	if len(text) == 0 || proto.Unmarshal(text, request) != nil || len(request.Parts) > 2*MaxTeams || len(request.Wants) > MaxTeams {
@@ -96,7 +103,8 @@
 	return text
 }
 
-// allot fills in a grant: for each budget the target of the gatherer, as far as no other gatherer may be using it.
+// allot fills in a grant: for each budget the target of the gatherer, limited to what no other
+// gatherer may be using.
 func (b *Allocator) allot(now, until int64, from string, answer *wire.Grant, members []string) {
 	holder := b.holders[from]
 	holder.seq++
@@ -129,19 +137,20 @@
 func (b *Allocator) quotaFor(now int64, from, team string, budget *budget, members []string) uint32 {
 	floor := FloorQuota(b.slots)
 	if now < b.exclusiveAt && !b.bugs.TrustsUnclaimed {
-		// What other holders use is not known yet: renew what this one uses, and no more.
+		// The use of other holders is not known yet, so only renew what this holder uses.
 		return max(b.mayUse(now, from, team), floor)
 	}
 	target := b.updateTargets(now, team, budget, members)[from]
 	others := budget.sum - uint64(budget.used[from])
 	if known := uint64(len(budget.used)); known < b.slots {
-		others += uint64(floor) * (b.slots - known) // gatherers that join later, or are not known here, have their floors
+		others += uint64(floor) * (b.slots - known) // gatherers that are unknown or join later have their floors
 	}
 	free := PPM - min(PPM, others)
 	return max(uint32(min(uint64(target), free)), floor)
 }
 
-// forget drops a budget without demand, unless a holder may be using more than an even quota of it, and reports whether it did.
+// forget removes a budget without demand, unless a holder may be using more than an even quota of
+// it, and reports whether it did.
 func (b *Allocator) forget(now int64, team string, members []string) bool {
 	if now < b.exclusiveAt {
 		return false
@@ -151,7 +160,7 @@
 			return false
 		}
 	}
-	for name, holder := range b.holders { // those that have left the roster included
+	for name, holder := range b.holders { // includes holders that have left the roster
 		if now < holder.leaseEnd() && b.mayUse(now, name, team) > EvenQuota(b.slots) {
 			return false
 		}
--- a/internal/cluster/quota/allocator_test.go
+++ b/internal/cluster/quota/allocator_test.go
@@ -9,7 +9,8 @@
 
 var names = []string{"a", "b", "c", "d"}
 
-// request sends a holder's request, and delivers the answer to it if delivered is set.
+// request passes a holder's request to the allocator, and the answer to the holder if delivered is
+// set.
 func request(b *Allocator, h *Holder, now int64, from string, delivered bool) *wire.Grant {
 	answer := b.Grant(now, now+2_040_000, from, h.Request(now), names)
 	if delivered {
@@ -20,8 +21,8 @@
 	return g
 }
 
-// fleet returns four holders and an allocator whose election was long ago.
-func fleet(bugs Bugs) (*Allocator, map[string]*Holder) {
+// newFleet returns four holders and an allocator that was elected long ago.
+func newFleet(bugs Bugs) (*Allocator, map[string]*Holder) {
 	b, hs := NewAllocator(1, 0, bugs), map[string]*Holder{}
 	b.SetSlots(4)
 	for _, name := range names {
@@ -30,8 +31,9 @@
 	return b, hs
 }
 
-func TestPartsFollowWants(t *testing.T) {
-	b, hs := fleet(Bugs{})
+// Quotas follow the demand, but a quota that is in use is not granted to another gatherer.
+func TestAllocator_QuotasFollowDemand(t *testing.T) {
+	b, hs := newFleet(Bugs{})
 	now := int64(1)
 	round := func(times int) {
 		for range times {
@@ -46,40 +48,41 @@
 	}
 	round(2)
 	if p := hs["a"].Quota(now, "t"); p != 250_000 {
-		t.Errorf("with one: %d", p)
+		t.Errorf("with a lease: %d", p)
 	}
 	hs["a"].SetDemand([]Demand{{"t", PPM, 0}})
 	round(3)
 	if p := hs["a"].Quota(now, "t"); p != 925_000 {
-		t.Errorf("who alone wants: %d", p)
+		t.Errorf("the only one with demand: %d", p)
 	}
-	// What is in use is not given away, although it is not wanted any more.
+	// A quota in use is not granted to another gatherer, although there is no demand for it any
+	// more.
 	hs["a"].SetDemand([]Demand{{"t", 0, 800_000}})
 	hs["b"].SetDemand([]Demand{{"t", PPM, 0}})
 	round(4)
 	if a, b := hs["a"].Quota(now, "t"), hs["b"].Quota(now, "t"); a > 30_000 || b > 200_000 {
-		t.Errorf("while it is in use: %d and %d", a, b)
+		t.Errorf("while the quota is in use: %d and %d", a, b)
 	}
 	hs["a"].SetDemand(nil)
 	round(3)
 	if p := hs["b"].Quota(now, "t"); p != 925_000 {
-		t.Errorf("after it is not: %d", p)
+		t.Errorf("after the quota was released: %d", p)
 	}
-	// Without demand the division becomes even again after a while, and the budget is forgotten.
+	// Without demand the division becomes even again after idleAfter, and the budget is removed.
 	hs["b"].SetDemand(nil)
 	round(16)
 	if len(b.budgets) != 0 || hs["c"].Quota(now, "t") != 250_000 {
-		t.Errorf("%d teams are kept, and c has %d", len(b.budgets), hs["c"].Quota(now, "t"))
+		t.Errorf("%d budgets after idleAfter, and c has %d", len(b.budgets), hs["c"].Quota(now, "t"))
 	}
-	// Its lease is over.
+	// Its lease has expired.
 	if p := hs["b"].Quota(now+5_000_000, "t"); p != 25_000 {
 		t.Errorf("after the lease: %d", p)
 	}
 }
 
-// A grant that is lost, duplicated or late is recorded as no less than its holder may use.
-func TestLostGrants(t *testing.T) {
-	b, hs := fleet(Bugs{})
+// The allocator accounts for a grant that is lost with no less than its holder may use.
+func TestAllocator_LostGrants(t *testing.T) {
+	b, hs := newFleet(Bugs{})
 	now := int64(1)
 	hs["a"].SetDemand([]Demand{{"t", PPM, 0}})
 	for range 3 {
@@ -91,21 +94,22 @@
 	had := hs["a"].Quota(now, "t")
 	hs["a"].SetDemand(nil)
 	hs["b"].SetDemand([]Demand{{"t", PPM, 0}})
-	for range 3 { // a hears nothing any more: it goes on with what it has
+	for range 3 { // a receives no answers and continues to use its quota
 		request(b, hs["a"], now, "a", false)
 		g := request(b, hs["b"], now, "b", true)
 		if sum := hs["b"].Quota(now, "t") + hs["a"].Quota(now, "t"); sum > PPM || had < 900_000 {
-			t.Errorf("%d in all, of a %d: %v", sum, had, g)
+			t.Errorf("sum of quotas %d, of which a had %d: %v", sum, had, g)
 		}
 		now += 300_000
 	}
 }
 
-// A new allocator accepts a claim only if it was addressed to it, renews no more than that, and grants nothing else before all earlier leases
-// are over. With the seeded bug it accepts claims sent before its election.
-func TestNewAllocator(t *testing.T) {
+// A new allocator accepts a claim only if it was addressed to it, renews no more than that, and
+// grants nothing else before all earlier leases have expired. With the seeded bug it accepts
+// claims sent before its election.
+func TestNewAllocator_RenewsClaimsOnly(t *testing.T) {
 	for _, bug := range []bool{false, true} {
-		b, hs := fleet(Bugs{})
+		b, hs := newFleet(Bugs{})
 		now := int64(1)
 		hs["a"].SetDemand([]Demand{{"t", PPM, 0}})
 		for range 3 {
@@ -123,37 +127,39 @@
 			continue
 		}
 		if p := hs["a"].Quota(now, "t"); p != 925_000 {
-			t.Errorf("it does not keep what it has: %d", p)
+			t.Errorf("quota of a before its claim is renewed: %d", p)
 		}
 		if g := request(next, hs["a"], now, "a", true); g.Floor || hs["a"].Quota(now, "t") != 925_000 {
-			t.Errorf("its claim is not renewed: %v", g)
+			t.Errorf("claim of a is not renewed: %v", g)
 		}
 		if request(next, hs["b"], now, "b", true); hs["b"].Quota(now, "t") > 30_000 {
 			t.Errorf("b has %d", hs["b"].Quota(now, "t"))
 		}
-		// With another number of slots earlier grants are void, and requests by the old number get nothing.
+		// With another number of slots earlier grants are void, and requests with a different
+		// number get the floor.
 		hs["c"].SetSlots(3)
 		if g := request(next, hs["c"], now+3_000_000, "c", true); !g.Floor || hs["c"].Quota(now, "t") != FloorQuota(3) {
-			t.Errorf("other slots: %v", g)
+			t.Errorf("after a change of slots: %v", g)
 		}
 	}
 }
 
-func BenchmarkPart(b *testing.B) {
-	books, hs := fleet(Bugs{})
-	request(books, hs["a"], 1, "a", true)
+func BenchmarkHolderQuota(b *testing.B) {
+	allocator, hs := newFleet(Bugs{})
+	request(allocator, hs["a"], 1, "a", true)
 	hs["a"].SetDemand([]Demand{{"t", PPM, 0}})
-	request(books, hs["a"], 2, "a", true)
-	request(books, hs["a"], 3, "a", true)
+	request(allocator, hs["a"], 2, "a", true)
+	request(allocator, hs["a"], 3, "a", true)
 	b.ReportAllocs()
 	for range b.N {
 		hs["a"].Quota(4, "t")
 	}
 }
 
-// A gatherer that is taken off the roster may use its quota until its lease is over: it is granted to no other one before.
-func TestOffTheRoster(t *testing.T) {
-	b, hs := fleet(Bugs{})
+// A gatherer that is removed from the roster may use its quota until its lease expires: it is not
+// granted to another gatherer before.
+func TestAllocator_MemberOffRoster(t *testing.T) {
+	b, hs := newFleet(Bugs{})
 	now := int64(1)
 	hs["a"].SetDemand([]Demand{{"t", PPM, 0}})
 	for range 3 {
@@ -169,23 +175,24 @@
 			hs[name].HandleGrant(now, 2_000_000, b.Grant(now, now+2_040_000, name, hs[name].Request(now), names[1:]))
 		}
 		if sum := hs["a"].Quota(now, "t") + hs["b"].Quota(now, "t"); hs["a"].leased(now) && sum > PPM {
-			t.Fatalf("%d us before its lease is over: %d in all", end-now, sum)
+			t.Fatalf("%d us before the lease expires: sum of quotas %d", end-now, sum)
 		}
 	}
 	if p := hs["b"].Quota(now, "t"); p < 850_000 || b.holders["a"] != nil {
-		t.Errorf("afterwards: %d; the allocator still knows it: %t", p, b.holders["a"] != nil)
+		t.Errorf("after the lease expired: %d; holder still in the allocator: %t", p, b.holders["a"] != nil)
 	}
 }
 
-// A region has a part of every budget, and divides it as a fleet without regions divides all of it.
-func TestRegion(t *testing.T) {
+// A region has a share of every budget, and divides it like a fleet without regions divides the
+// complete budget.
+func TestHolder_Region(t *testing.T) {
 	b, hs := NewAllocator(1, 0, Bugs{}), map[string]*Holder{}
 	b.SetSlots(4)
 	for _, name := range names {
 		hs[name] = NewHolder(10, Bugs{})
 		hs[name].SetRegion(400_000)
 		if hs[name].Slots() != 4 || hs[name].Quota(1, "t") != 10_000 {
-			t.Fatalf("%d slots, and %d without a lease", hs[name].Slots(), hs[name].Quota(1, "t"))
+			t.Fatalf("%d slots, quota without a lease %d", hs[name].Slots(), hs[name].Quota(1, "t"))
 		}
 	}
 	now := int64(1)
@@ -200,9 +207,9 @@
 	if p := hs["a"].Quota(now, "t"); p != 370_000 || named["t"] != p || others != 100_000 || hs["b"].Quota(now, "t") != 10_000 {
 		t.Errorf("%d, %v, %d", p, named, others)
 	}
-	// When the region's part shrinks, granted quotas are scaled at the same moment.
+	// When the region's share decreases, granted quotas are scaled immediately.
 	hs["a"].SetRegion(200_000)
 	if p := hs["a"].Quota(now, "t"); p > 185_000 || hs["a"].Slots() != 2 {
-		t.Errorf("of less: %d among %d", p, hs["a"].Slots())
+		t.Errorf("with a smaller share: quota %d, %d slots", p, hs["a"].Slots())
 	}
 }
--- a/internal/cluster/quota/holder.go
+++ b/internal/cluster/quota/holder.go
@@ -9,43 +9,47 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Holder knows the quotas of one gatherer, which the allocator leases to it. It is not safe for concurrent use.
+// Holder is the state of one gatherer's quotas, which the allocator leases to it. It is not safe
+// for concurrent use.
 type Holder struct {
-	totalSlots uint64 // of all regions together
-	regionPPM  uint32 // the part of every budget that this gatherer's region has; PPM without regions
-	slots      uint64 // among how many gatherers the region's part is divided
+	totalSlots uint64 // number of slots in all regions
+	regionPPM  uint32 // share of every budget that this gatherer's region has; PPM without regions
+	slots      uint64 // number of gatherers among which the region's share is divided
 
-	term         uint64 // of the allocator heard last
+	term         uint64 // of the allocator that answered last
 	seq          uint64 // of the grant in use; 0 before the first one
 	until        int64  // end of the grant's lease
-	grantedSlots uint64 // the number of slots that the grant was made for
+	grantedSlots uint64 // number of slots that the grant was issued for
 	quotas       map[string]uint32
 	demand       []Demand
 	bugs         Bugs
 }
 
-// NewHolder returns a holder that has its floors only.
+// NewHolder returns a holder without a lease, which has its floors only.
 func NewHolder(slots uint64, bugs Bugs) *Holder {
 	return &Holder{totalSlots: slots, slots: slots, regionPPM: PPM, bugs: bugs}
 }
 
-// SetSlots sets the number of gatherers that budgets are divided among. A grant for another number is void.
+// SetSlots sets the number of gatherers among which budgets are divided. A grant for another
+// number is void.
 func (h *Holder) SetSlots(n uint64) {
 	h.totalSlots = n
 	h.slots = (n*uint64(h.regionPPM) + PPM - 1) / PPM
 }
 
-// SetRegion sets the part of every budget that belongs to this gatherer's region. The region divides it among the same part of the slots, rounded
-// up. Requests and grants count in millionths of the region's part.
+// SetRegion sets the share of every budget that belongs to this gatherer's region. The region
+// divides it among the same share of the slots, rounded up. Requests and grants are in millionths
+// of the region's share.
 func (h *Holder) SetRegion(ppm uint32) {
 	h.regionPPM = min(ppm, PPM)
 	h.SetSlots(h.totalSlots)
 }
 
-// Slots is the number of gatherers that budgets are divided among, in this gatherer's region if there are regions.
+// Slots returns the number of gatherers among which budgets are divided, in this gatherer's
+// region if there are regions.
 func (h *Holder) Slots() uint64 { return h.slots }
 
-// toTotal converts a quota of the region's part into one of the total budget.
+// toTotal converts a quota of the region's share into one of the total budget.
 func (h *Holder) toTotal(quota uint32) uint32 {
 	if h.regionPPM == PPM {
 		return quota
@@ -53,7 +57,7 @@
 	return uint32(uint64(quota) * uint64(h.regionPPM) / PPM)
 }
 
-// toRegional converts a quota of the total budget into one of the region's part, rounded up.
+// toRegional converts a quota of the total budget into one of the region's share, rounded up.
 func (h *Holder) toRegional(quota uint32) uint32 {
 	if h.regionPPM == PPM || quota == 0 {
 		return quota
@@ -61,7 +65,8 @@
 	return uint32(min(PPM, (uint64(quota)*PPM+uint64(h.regionPPM)-1)/uint64(max(h.regionPPM, 1))))
 }
 
-// SetDemand replaces the demand of this gatherer; teams that are not named have none. Of more than MaxTeams the greatest are kept. The slice is sorted in
+// SetDemand replaces the demand of this gatherer. Teams that are not in it have no demand. If
+// there are more than MaxTeams, those with the greatest demand are kept. The slice is sorted in
 // place and retained.
 func (h *Holder) SetDemand(all []Demand) {
 	slices.SortFunc(all, func(a, b Demand) int {
@@ -77,12 +82,13 @@
 	}
 }
 
-// leased reports whether a grant is in use: its lease is not over, and the number of slots is the one it was made for.
+// leased reports whether a grant is in use: its lease has not expired, and it was issued for the
+// present number of slots.
 func (h *Holder) leased(now int64) bool {
 	return h.seq != 0 && (now < h.until || h.bugs.IgnoresExpiry) && h.grantedSlots == h.slots
 }
 
-// Quota returns what may be used of a team's budget now. It allocates nothing.
+// Quota returns the quota of a team's budget that may be used now. It does not allocate.
 func (h *Holder) Quota(now int64, team string) uint32 { return h.toTotal(h.regionalQuota(now, team)) }
 
 func (h *Holder) regionalQuota(now int64, team string) uint32 {
@@ -100,8 +106,9 @@
 	return slices.ContainsFunc(h.demand, func(d Demand) bool { return d.Want > h.regionalQuota(now, d.Team) })
 }
 
-// Quotas returns what may be used now: the quotas of named teams, the quota of every other team, and until when. Without a lease all have the
-// floor and until is 0. The caller must not modify the map.
+// Quotas returns the quotas that may be used now: those of named teams, the quota of every other
+// team, and the end of the lease. Without a lease all teams have the floor and until is 0. The
+// caller must not modify the map.
 func (h *Holder) Quotas(now int64) (named map[string]uint32, others uint32, until int64) {
 	if !h.leased(now) {
 		return nil, h.toTotal(FloorQuota(h.slots)), 0
@@ -115,7 +122,8 @@
 	return named, h.toTotal(EvenQuota(h.slots)), h.until
 }
 
-// Request encodes the request to the allocator: what this gatherer uses under which grant, and its demand. It is nil if encoding fails.
+// Request returns the encoded request to the allocator: the grant and the quotas in use, and the
+// demand. It returns nil if encoding fails.
 func (h *Holder) Request(now int64) []byte {
 	request := &wire.Ask{Term: h.term, Slots: h.slots}
 	claims := map[string]uint32{}
@@ -128,7 +136,7 @@
 			request.Wants = append(request.Wants, &wire.Part{Team: d.Team, Ppm: min(d.Want, PPM)})
 		}
 		if quota := h.regionalQuota(now, d.Team); request.Seq != 0 && d.Used > quota {
-			claims[d.Team] = d.Used // it shrinks as its queries end
+			claims[d.Team] = d.Used // decreases as its queries end
 		}
 	}
 	for _, team := range slices.Sorted(maps.Keys(claims)) {
@@ -141,8 +149,9 @@
 	return encoded
 }
 
-// HandleGrant takes in the allocator's answer to a request that was sent at requestedAt. The grant is valid for lease microseconds from then. What cannot be
-// decoded, or was made for another number of slots, leaves the grant in use as it is.
+// HandleGrant applies the allocator's answer to a request that was sent at requestedAt. The grant
+// is valid for lease microseconds from then. An answer that cannot be decoded, or was issued for
+// another number of slots, does not change the grant in use.
 func (h *Holder) HandleGrant(requestedAt, lease int64, encoded []byte) {
 	g := &wire.Grant{}
 	if len(encoded) == 0 || proto.Unmarshal(encoded, g) != nil {
@@ -150,7 +159,7 @@
 	}
 	h.term = g.Term
 	if g.Floor || g.Slots != h.slots || len(g.Parts) > MaxTeams {
-		return // the grant in use lasts to its end
+		return // the grant in use stays valid until its lease expires
 	}
 	h.seq, h.until, h.grantedSlots = g.Seq, requestedAt+lease, g.Slots
 	h.quotas = make(map[string]uint32, len(g.Parts))
--- a/internal/cluster/quota/simulation/doc.go
+++ b/internal/cluster/quota/simulation/doc.go
@@ -1,5 +1,6 @@
-// Package simulation plays days of a fleet that divides its budgets, in virtual time.
+// Package simulation simulates a fleet that divides its budgets, for one "day" of virtual time.
 //
-// It runs on the simulation of package rollout: leases, elections, disks, clocks and faults are that one's. This package owns the demand of the days and the
-// checks of the quotas; it opens no socket or file. The same Config gives the same Result.
+// It builds on the simulation of package rollout, which provides leases, elections, disks, clocks
+// and faults. This package provides the demand and the checks of the quotas; it opens no socket
+// or file. The same Config gives the same Result.
 package simulation
--- a/internal/cluster/quota/simulation/measure_test.go
+++ b/internal/cluster/quota/simulation/measure_test.go
@@ -8,7 +8,8 @@
 	"testing"
 )
 
-// What dividing costs on the way: it adds no message, and so many bytes for each gatherer and second.
+// Measures the network cost of dividing budgets: it adds no messages, and a bounded number of
+// bytes for each gatherer and second.
 func TestMeasure(t *testing.T) {
 	sizes := []int{30, 300}
 	if harness.RaceEnabled {
@@ -22,23 +23,23 @@
 		per := 26 * float64(n)
 		t.Logf("gatherers=%d busy=12 messages_a_gatherer_s=%.1f share_bytes_a_gatherer_s=%.0f", n, float64(r.Policy.Messages)/per, float64(r.Policy.QuotaBytes)/per)
 		if bytes := float64(r.Policy.QuotaBytes) / per; bytes > 20_000 {
-			t.Errorf("%.0f bytes for each gatherer and second", bytes)
+			t.Errorf("%.0f bytes for each gatherer and second, want at most 20000", bytes)
 		}
 	}
 }
 
-// A grant to one of 300 gatherers with twelve busy teams.
+// BenchmarkGrant measures a grant to one of 300 gatherers with twelve busy teams.
 func BenchmarkGrant(b *testing.B) {
-	books, names := quota.NewAllocator(1, 0, quota.Bugs{}), []string{}
-	books.SetSlots(300)
+	allocator, names := quota.NewAllocator(1, 0, quota.Bugs{}), []string{}
+	allocator.SetSlots(300)
 	holders := []*quota.Holder{}
 	for i := range 300 {
 		h := quota.NewHolder(300, quota.Bugs{})
-		var wants []quota.Demand
+		var demand []quota.Demand
 		for team := range 12 {
-			wants = append(wants, quota.Demand{Team: fmt.Sprintf("team-%d", team), Want: uint32(3000 + 500*((i+team)%5))})
+			demand = append(demand, quota.Demand{Team: fmt.Sprintf("team-%d", team), Want: uint32(3000 + 500*((i+team)%5))})
 		}
-		h.SetDemand(wants)
+		h.SetDemand(demand)
 		names, holders = append(names, fmt.Sprintf("n%03d", i)), append(holders, h)
 	}
 	now := int64(1)
@@ -46,11 +47,11 @@
 	for i := range b.N {
 		now += 2000
 		h := holders[i%300]
-		h.HandleGrant(now, 2_000_000, books.Grant(now, now+2_040_000, names[i%300], h.Request(now), names))
+		h.HandleGrant(now, 2_000_000, allocator.Grant(now, now+2_040_000, names[i%300], h.Request(now), names))
 	}
 	var m runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&m)
 	b.ReportMetric(float64(m.HeapAlloc)/1024, "heap_kB")
-	runtime.KeepAlive(books)
+	runtime.KeepAlive(allocator)
 }
--- a/internal/cluster/quota/simulation/simulation.go
+++ b/internal/cluster/quota/simulation/simulation.go
@@ -11,37 +11,38 @@
 const (
 	second    = int64(1_000_000) // times are microseconds
 	dayLength = 26 * second
-	crashAt   = 13 * second // of the gatherer that has the moving team's traffic
+	crashAt   = 13 * second // crash of the gatherer that has the moving team's traffic
 	busyTeams = 8
-	// quietDemand is what the quiet team's one gatherer wants, in PPM.
+	// quietDemand is the demand of the quiet team's single gatherer, in PPM.
 	quietDemand = 300_000
-	// recovered is the quota from which on a crashed gatherer's part counts as in use elsewhere.
+	// recovered is the quota from which on a crashed gatherer's quota counts as in use elsewhere.
 	recovered = quota.PPM * 85 / 100
 )
 
-// Config is one day.
+// Config holds the settings of a run.
 type Config struct {
 	Seed      uint64
 	Gatherers int
-	Teams     int // of which twelve are busy
-	Faults    int // random faults, until eight seconds before the end
+	Teams     int // number of teams, of which twelve are busy
+	Faults    int // number of random faults, until eight seconds before the end
 	Bugs      quota.Bugs
 }
 
-// Result is the outcome of a day.
+// Result is the outcome of a run.
 type Result struct {
-	OverBudget int     // times that all quotas of one team exceeded the budget
+	OverBudget int     // times that the sum of a team's quotas exceeded the budget
 	MostUsed   uint64  // the greatest sum of a team's quotas, in PPM
-	BelowFloor int     // times that a running gatherer had less than its floor, or at the quiet end less than its due
-	Skewed     float64 // of its budget, what a team has 3 s after all its traffic moved to one gatherer, and to another; the lesser
-	Equal      float64 // the same if the budget were divided evenly
-	AfterCrash int64   // microseconds from the crash of the gatherer with the most until its quota is in use elsewhere; 0: there was none
-	First      string  // the first violation
+	BelowFloor int     // times that a running gatherer had less than its floor, or less than its fair quota at the end
+	Skewed     float64 // fraction of its budget that a team has 3 s after all its traffic moved to one gatherer; the minimum of two moves
+	Equal      float64 // the same fraction if the budget were divided evenly
+	AfterCrash int64   // microseconds from the crash of the gatherer with the greatest quota until it is in use elsewhere; 0: never
+	First      string  // text of the first violation
 	Policy     rolloutsim.Result
 }
 
-// day is a day while it is played. The moving team's traffic is at all gatherers, then at the first target, then at the second, which crashes, then at
-// the third. Other teams want much everywhere (loud), or something at one gatherer (quiet).
+// day is the state of a run. The moving team's traffic is at all gatherers first, then at the
+// first target, then at the second, which crashes, then at the third. Other teams have a high
+// demand everywhere (loud), or some demand at one gatherer (quiet).
 type day struct {
 	cfg     Config
 	targets [3]int
@@ -51,7 +52,7 @@
 	result  Result
 }
 
-// Run plays a day. With faults, skew and the crash are not measured.
+// Run simulates a day. With faults, Skewed and AfterCrash are not measured.
 func Run(cfg Config) (Result, error) {
 	n := cfg.Gatherers
 	d := &day{
@@ -62,14 +63,14 @@
 	for i := range busyTeams {
 		d.teams = append(d.teams, busyTeam(i))
 	}
-	played, err := rolloutsim.Run(d.rolloutConfig())
-	d.result.Policy = played
+	policy, err := rolloutsim.Run(d.rolloutConfig())
+	d.result.Policy = policy
 	return d.result, err
 }
 
 func busyTeam(i int) string { return fmt.Sprintf("busy-%d", i) }
 
-// rolloutConfig is the day as the simulation of the agreement plays it.
+// rolloutConfig returns the settings for the simulation of package rollout.
 func (d *day) rolloutConfig() rolloutsim.Config {
 	cfg := rolloutsim.Config{
 		Seed: d.cfg.Seed, Voters: 5, Others: d.cfg.Gatherers - 5, Faults: d.cfg.Faults, FaultsEnd: dayLength - 8*second, Length: dayLength,
@@ -87,10 +88,10 @@
 	return cfg
 }
 
-// demand is what a gatherer wants at a time.
+// demand returns a gatherer's demand at a time.
 func (d *day) demand(now int64, node int) []quota.Demand {
 	var all []quota.Demand
-	for i := range busyTeams { // everywhere, in different measure
+	for i := range busyTeams { // at all gatherers, at different levels
 		all = append(all, quota.Demand{Team: busyTeam(i), Want: d.even * uint32(1+(node+i)%4) / 2})
 	}
 	all = append(all, quota.Demand{Team: "loud", Want: quota.PPM})
@@ -114,7 +115,8 @@
 	return all
 }
 
-// check judges the quotas of all gatherers at a time. quotaOf returns 0 for a gatherer that doesn't run.
+// check checks the quotas of all gatherers at a time. quotaOf returns 0 for a gatherer that is
+// not running.
 func (d *day) check(now int64, quotaOf func(int, string) uint32) {
 	for _, team := range d.teams {
 		d.checkTeam(now, team, quotaOf)
@@ -137,7 +139,7 @@
 	}
 }
 
-// checkTeam checks that one team's quotas keep the floor and the budget.
+// checkTeam checks that one team's quotas are not below the floor and not above the budget.
 func (d *day) checkTeam(now int64, team string, quotaOf func(int, string) uint32) {
 	sum := uint64(0)
 	for node := range d.cfg.Gatherers {
@@ -153,7 +155,8 @@
 	}
 }
 
-// checkQuietEnd checks near the end, when no fault has come for a while, that each gatherer has its due.
+// checkQuietEnd checks, near the end and some time after the last fault, that each gatherer has
+// its fair quota.
 func (d *day) checkQuietEnd(quotaOf func(int, string) uint32) {
 	if q := quotaOf(d.cfg.Gatherers-1, "quiet"); q < quietDemand {
 		d.result.violation(&d.result.BelowFloor, "the quiet team has %d", q)
@@ -165,10 +168,11 @@
 	}
 }
 
-// within reports whether a time is in the 50 ms, one interval of checks, that begin at another one.
+// within reports whether a time is in the interval of 50 ms, the time between checks, that starts
+// at another one.
 func within(now, at int64) bool { return now >= at && now < at+second/20 }
 
-// violation counts a violation, and keeps the text of the first one.
+// violation counts a violation, and records the text of the first one.
 func (r *Result) violation(count *int, format string, args ...any) {
 	if *count++; r.First == "" {
 		r.First = fmt.Sprintf(format, args...)
--- a/internal/cluster/quota/targets.go
+++ b/internal/cluster/quota/targets.go
@@ -2,8 +2,9 @@
 
 import "slices"
 
-// updateTargets returns how a budget should be divided, computed again if the last result is too old: each live gatherer gets its demand and an
-// eighth more, cut down to one level where that exceeds the budget; what is left over is divided evenly. Gatherers without a lease get their floor.
+// updateTargets returns the intended division of a budget, recomputed if the last result is too
+// old: each live gatherer gets its demand and an eighth more, limited to a common maximum if that
+// exceeds the budget; the remainder is divided evenly. Gatherers without a lease get their floor.
 func (b *Allocator) updateTargets(now int64, team string, budget *budget, members []string) map[string]uint32 {
 	if budget.targets != nil && now < budget.targetsUntil {
 		return budget.targets
@@ -22,7 +23,7 @@
 			left -= floor
 			continue
 		}
-		budget.targetsUntil = min(budget.targetsUntil, holder.leaseEnd()) // it may be gone then
+		budget.targetsUntil = min(budget.targetsUntil, holder.leaseEnd()) // the lease may have expired then
 		want := uint64(budget.demand[member])
 		live, needs = append(live, member), append(needs, max(floor, want+want/headroomDivisor))
 	}
@@ -44,7 +45,8 @@
 	return budget.targets
 }
 
-// recomputeUse computes anew what all gatherers may be using of a budget, those that have left the roster included until their leases are over.
+// recomputeUse recomputes what all gatherers may be using of a budget, including those that have
+// left the roster until their leases expire.
 func (b *Allocator) recomputeUse(now int64, team string, budget *budget, members []string) {
 	budget.sum, budget.used = 0, make(map[string]uint32, len(members))
 	record := func(name string) {
@@ -66,7 +68,8 @@
 	}
 }
 
-// fairLevel returns the greatest level at which needs that are cut down to it add up to at most available.
+// fairLevel returns the greatest limit with which the needs, each capped at it, add up to at most
+// available.
 func fairLevel(needs []uint64, available uint64) uint64 {
 	sorted := slices.Sorted(slices.Values(needs))
 	for i, need := range sorted {
--- a/internal/cluster/quota/usage.go
+++ b/internal/cluster/quota/usage.go
@@ -5,10 +5,10 @@
 	"slices"
 )
 
-// leaseEnd returns when none of the holder's leases can be in use any more.
+// leaseEnd returns the time at which the last of the holder's leases expires.
 func (l *lessee) leaseEnd() int64 { return max(l.outstandingUntil, l.claimUntil) }
 
-// recordRequest records what a holder reports to use, and its demand.
+// recordRequest records the use that a holder reports, and its demand.
 func (b *Allocator) recordRequest(now, until int64, from string, request *wire.Ask) {
 	holder := b.holders[from]
 	if holder == nil {
@@ -22,7 +22,8 @@
 	b.updateSums(now, from)
 }
 
-// recordUse records the grant that a holder has taken in, and the quotas that it reports. until is the end of a lease that is granted now.
+// recordUse records the grant that a holder has applied, and the quotas that it reports. until is
+// the end of a lease that is granted now.
 func (b *Allocator) recordUse(now, until int64, holder *lessee, request *wire.Ask) {
 	first := !holder.claimed
 	holder.claimed, holder.leased, holder.quotas = true, request.Seq != 0, map[string]uint32{}
@@ -36,7 +37,7 @@
 			holder.claimUntil = g.until
 		}
 	}
-	if holder.leased && holder.claimUntil == 0 { // a grant of a predecessor, or one that is forgotten here
+	if holder.leased && holder.claimUntil == 0 { // a grant of a predecessor, or one that was removed here
 		holder.claimUntil = until
 	}
 	if !first {
@@ -62,14 +63,15 @@
 	}
 }
 
-// addBudget begins to divide a team's budget by demand if it is not divided so yet and admit is set.
+// addBudget adds a team's budget to those divided by demand, if admit is set and it is not one of
+// them yet.
 func (b *Allocator) addBudget(now int64, team string, admit bool) {
 	if b.budgets[team] == nil && admit {
 		b.budgets[team] = &budget{demand: map[string]uint32{}, wantedAt: now}
 	}
 }
 
-// updateSums brings one gatherer's part of all sums up to date with what it may be using.
+// updateSums updates the sums of all budgets with what one gatherer may be using.
 func (b *Allocator) updateSums(now int64, name string) {
 	for team, budget := range b.budgets {
 		if budget.used != nil {
@@ -80,7 +82,8 @@
 	}
 }
 
-// mayUse returns the most of a team's budget that a gatherer may be using: the greatest quota of all grants that it may have taken in.
+// mayUse returns the most of a team's budget that a gatherer may be using: the greatest quota of
+// all grants that it may have applied.
 func (b *Allocator) mayUse(now int64, name, team string) uint32 {
 	holder := b.holders[name]
 	if holder == nil || !holder.claimed {
