--- a/internal/golden/descriptors_test.go
+++ b/internal/golden/descriptors_test.go
@@ -17,7 +17,8 @@
 	_ "saffronquay/internal/storage/recordlog/form"
 )
 
-// Messages, fields, numbers, types and calls are what processes of an earlier build say and have on their disks.
+// Processes of other builds exchange these messages, fields, numbers, types and calls, and have
+// them in their stored data.
 func TestDescriptors(t *testing.T) {
 	var lines []string
 	protoregistry.GlobalFiles.RangeFiles(func(file protoreflect.FileDescriptor) bool {
--- a/internal/golden/doc.go
+++ b/internal/golden/doc.go
@@ -1,4 +1,6 @@
-// Package golden holds no code of the programs, only tests: they compare what the programs write to disks and wires, and what they tell
-// people, with files that an earlier build wrote. What differs would break a mixed fleet, a restart on old data, or an operator's scripts.
-// With SAFFRONQUAY_GOLDEN=write in the environment the tests write the files anew; that is for changes of a format that are meant.
+// Package golden contains only tests. They compare the data that the programs write to disks and
+// the network, and the names that operators see, with files written by an earlier build. A
+// difference would break a fleet of mixed versions, a restart on existing data, or an operator's
+// scripts. With SAFFRONQUAY_GOLDEN=write in the environment the tests rewrite the files; use that
+// only for intended changes of a format.
 package golden
--- a/internal/golden/durable_test.go
+++ b/internal/golden/durable_test.go
@@ -17,13 +17,14 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// A broker of an earlier build leaves its durable store; this build finds each record in a copy of it, and how each key stands.
-func TestDataOfTheDurableStore(t *testing.T) {
+// This build reads every record and the state of every key from the durable store of a broker of
+// an earlier build.
+func TestDurableStoreData(t *testing.T) {
 	is := is.New(t)
 	if writing() {
 		writeDurable(t, dataFolder(t, "durable/data"))
 	}
-	s := openDurable(t, copied(t, "testdata/durable/data"), func() int64 { return durableNow })
+	s := openDurable(t, copyFolder(t, "testdata/durable/data"), func() int64 { return durableNow })
 	defer s.Close()
 	is.Equal(len(s.LostSpans()), 0)
 	var lines []string
@@ -37,11 +38,11 @@
 		}))
 	}
 	slices.Sort(lines)
-	ledger := idempotency.NewTracker(s, onceConfig)
+	tracker := idempotency.NewTracker(s, trackerConfig)
 	for _, key := range []string{"answered", "long", "doubtful", "released", "never"} {
-		for _, print := range []uint64{1, 2} {
-			entry, verdict := ledger.Begin(key, "label", print)
-			lines = append(lines, fmt.Sprintf("key %s of request %d stands as %d, answer %+v", key, print, verdict.State, verdict.Answer))
+		for _, fingerprint := range []uint64{1, 2} {
+			entry, found := tracker.Begin(key, "label", fingerprint)
+			lines = append(lines, fmt.Sprintf("key %s of request %d stands as %d, answer %+v", key, fingerprint, found.State, found.Answer))
 			if entry != nil {
 				entry.Release()
 			}
@@ -50,10 +51,11 @@
 	compare(t, "durable/contents.txt", strings.Join(lines, "\n")+"\n")
 }
 
-// durableNow is the operating system's clock; the store's own goes on where the last record left it.
+// durableNow is the time of the operating system's clock. The store's own clock continues from its
+// last record.
 const durableNow = 5_000_000
 
-var onceConfig = idempotency.Config{Retention: 1_000_000, MaxBody: 10, Nonce: 99}
+var trackerConfig = idempotency.Config{Retention: 1_000_000, MaxBody: 10, Nonce: 99}
 
 func openDurable(t *testing.T, folder string, now func() int64) *recordlog.Store {
 	t.Helper()
@@ -69,7 +71,8 @@
 	return s
 }
 
-// writeDurable writes records of each kind, some of which are replaced, taken back or out of date, over several segments.
+// writeDurable writes records of each kind, some of which are replaced, deleted or expired, over
+// several segments.
 func writeDurable(t *testing.T, folder string) {
 	t.Helper()
 	is := is.New(t)
@@ -100,18 +103,18 @@
 		is.NoErr(s.Append(r, func(err error) { done <- err }))
 		is.NoErr(<-done)
 	}
-	ledger := idempotency.NewTracker(s, onceConfig)
+	tracker := idempotency.NewTracker(s, trackerConfig)
 	for _, key := range []string{"answered", "long", "doubtful", "released"} {
-		writeQuery(t, ledger, key)
+		writeQuery(t, tracker, key)
 	}
 }
 
-// writeQuery has a query of a key leave its records.
-func writeQuery(t *testing.T, ledger *idempotency.Tracker, key string) {
+// writeQuery writes the records of a query with a key.
+func writeQuery(t *testing.T, tracker *idempotency.Tracker, key string) {
 	t.Helper()
 	is := is.New(t)
-	entry, verdict := ledger.Begin(key, "label", 1)
-	is.Equal(verdict.State, idempotency.Fresh)
+	entry, found := tracker.Begin(key, "label", 1)
+	is.Equal(found.State, idempotency.Fresh)
 	done := make(chan error, 1)
 	part := core.Intent{Shard: 1, Server: "s1"}
 	part.Span.From, part.Span.To = 10, 20
@@ -123,7 +126,7 @@
 		entry.Abandon()
 		return
 	case "released":
-		entry.Release() // closing the store writes it
+		entry.Release() // it is written when the store is closed
 		return
 	case "long":
 		answer.Body = []byte(strings.Repeat("x", 11))
--- a/internal/golden/golden_test.go
+++ b/internal/golden/golden_test.go
@@ -13,10 +13,11 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// writing tells whether the golden files are written instead of compared.
+// writing reports whether the golden files are written instead of compared.
 func writing() bool { return os.Getenv("SAFFRONQUAY_GOLDEN") == "write" }
 
-// compare compares a text, line by line, with a golden file below testdata.
+// compare compares a text, line by line, with a golden file below testdata, or writes the file if
+// writing.
 func compare(t *testing.T, name, got string) {
 	t.Helper()
 	is := is.New(t)
@@ -33,15 +34,15 @@
 	}
 	wantLines, gotLines := strings.Split(string(want), "\n"), strings.Split(got, "\n")
 	for _, line := range missing(wantLines, gotLines) {
-		t.Errorf("%s: no longer there: %s", name, line)
+		t.Errorf("%s: line missing from the output: %s", name, line)
 	}
 	for _, line := range missing(gotLines, wantLines) {
-		t.Errorf("%s: not in the golden file: %s", name, line)
+		t.Errorf("%s: line missing from the golden file: %s", name, line)
 	}
 	t.Errorf("%s differs", name)
 }
 
-// missing are the lines of a that b lacks.
+// missing returns the lines of a that are not in b.
 func missing(a, b []string) (lines []string) {
 	known := map[string]int{}
 	for _, line := range b {
@@ -55,18 +56,19 @@
 	return lines
 }
 
-// text is a message in one line that stays the same from run to run.
+// text returns a message as one line of JSON that is the same in each run.
 func text(t *testing.T, m proto.Message) string {
 	t.Helper()
 	is := is.New(t)
-	loose, err := protojson.MarshalOptions{UseProtoNames: true}.Marshal(m)
+	encoded, err := protojson.MarshalOptions{UseProtoNames: true}.Marshal(m)
 	is.NoErr(err)
-	var tight bytes.Buffer
-	is.NoErr(json.Compact(&tight, loose)) // package protojson varies the spaces
-	return tight.String()
+	var compact bytes.Buffer
+	is.NoErr(json.Compact(&compact, encoded)) // package protojson varies the white space
+	return compact.String()
 }
 
-// dataFolder returns a copy of a committed folder; where the golden files are written, the folder itself, empty.
+// dataFolder returns a copy of a committed folder, or the folder itself, emptied, if the golden
+// files are written.
 func dataFolder(t *testing.T, name string) string {
 	t.Helper()
 	is := is.New(t)
@@ -76,11 +78,11 @@
 		is.NoErr(os.MkdirAll(path, 0o755))
 		return path
 	}
-	return copied(t, path)
+	return copyFolder(t, path)
 }
 
-// copied returns a copy of a folder that the test may write to.
-func copied(t *testing.T, path string) string {
+// copyFolder returns the path of a copy of a folder that the test may modify.
+func copyFolder(t *testing.T, path string) string {
 	t.Helper()
 	is := is.New(t)
 	_, err := os.Stat(path)
--- a/internal/golden/metrics_test.go
+++ b/internal/golden/metrics_test.go
@@ -11,14 +11,15 @@
 	"github.com/matryer/is"
 )
 
-// The figures of the rollout scheduler's program, as its sources name them: what stands in the package that makes them (the one over
-// VictoriaMetrics, wherever it lies) and in calls and literals of it elsewhere.
+// The metrics of the rollout scheduler, by their names in the sources: the literals of the
+// package that creates them (the wrapper of VictoriaMetrics, found by its imports) and of calls
+// and composite literals of that package elsewhere.
 func TestMetricNames(t *testing.T) {
 	list := sources(t)
-	maker := metricsFolder(t, list)
+	metricsPackage := metricsFolder(t, list)
 	found := names{}
 	for _, s := range list {
-		if s.folder == maker {
+		if s.folder == metricsPackage {
 			ast.Inspect(s.file, func(n ast.Node) bool {
 				switch x := n.(type) {
 				case *ast.ImportSpec:
@@ -32,7 +33,7 @@
 			})
 			continue
 		}
-		if local := importedAs(s.file, "saffronquay/"+maker); local != "" {
+		if local := importedAs(s.file, "saffronquay/"+metricsPackage); local != "" {
 			ast.Inspect(s.file, func(n ast.Node) bool { metricsAt(found, n, local); return true })
 		}
 	}
@@ -43,7 +44,8 @@
 
 const victoria = "github.com/VictoriaMetrics/metrics"
 
-// metricsFolder is the package that makes the figures: the one that asks the library for counters by name.
+// metricsFolder returns the folder of the package that creates the metrics: the one that gets
+// counters from the library by name.
 func metricsFolder(t *testing.T, list []source) (folder string) {
 	t.Helper()
 	for _, s := range list {
@@ -52,7 +54,7 @@
 			continue
 		}
 		ast.Inspect(s.file, func(n ast.Node) bool {
-			if x, ok := n.(*ast.SelectorExpr); ok && x.Sel.Name == "GetOrCreateCounter" && isOf(x, local) {
+			if x, ok := n.(*ast.SelectorExpr); ok && x.Sel.Name == "GetOrCreateCounter" && isFrom(x, local) {
 				folder = s.folder
 			}
 			return true
@@ -62,7 +64,8 @@
 	return folder
 }
 
-// importedAs is the name by which a file knows a package; empty where it doesn't import it.
+// importedAs returns the local name of an imported package in a file, or "" if the file does not
+// import it.
 func importedAs(file *ast.File, of string) string {
 	for _, spec := range file.Imports {
 		if value, _ := strconv.Unquote(spec.Path.Value); value == of {
@@ -75,8 +78,8 @@
 	return ""
 }
 
-// isOf tells whether an expression is a name of a package.
-func isOf(e ast.Expr, local string) bool {
+// isFrom reports whether an expression selects a name from a package.
+func isFrom(e ast.Expr, local string) bool {
 	x, ok := e.(*ast.SelectorExpr)
 	if !ok {
 		return false
@@ -85,21 +88,21 @@
 	return ok && of.Name == local
 }
 
-// metricsAt notes the figures' and labels' names that stand at a node: the first words of calls and of literals of the package that makes
-// figures.
+// metricsAt adds the names of metrics and labels at a node: the first literals of calls and
+// composite literals of the metrics package.
 func metricsAt(found names, n ast.Node, local string) {
 	switch x := n.(type) {
 	case *ast.CallExpr:
-		if isOf(x.Fun, local) && len(x.Args) > 0 {
+		if isFrom(x.Fun, local) && len(x.Args) > 0 {
 			if name, ok := leading(x.Args[0]); ok {
 				found.add("figure %s", name)
 			}
 		}
 	case *ast.CompositeLit:
-		if isOf(x.Type, local) {
+		if isFrom(x.Type, local) {
 			labelAt(found, x)
 		}
-		if list, ok := x.Type.(*ast.ArrayType); ok && isOf(list.Elt, local) {
+		if list, ok := x.Type.(*ast.ArrayType); ok && isFrom(list.Elt, local) {
 			for _, element := range x.Elts {
 				if label, ok := element.(*ast.CompositeLit); ok {
 					labelAt(found, label)
@@ -109,7 +112,7 @@
 	}
 }
 
-// labelAt notes a label's name, and its value where that is a literal.
+// labelAt adds a label's name, and its value if that is a literal.
 func labelAt(found names, x *ast.CompositeLit) {
 	line := "label"
 	for _, element := range x.Elts {
@@ -123,7 +126,8 @@
 	found.add("%s", line)
 }
 
-// leading is a literal, or the literal that a sum begins with.
+// leading returns the value of a string literal, or of the literal at the start of a
+// concatenation.
 func leading(e ast.Expr) (string, bool) {
 	if sum, ok := e.(*ast.BinaryExpr); ok {
 		name, ok := leading(sum.X)
@@ -132,8 +136,8 @@
 	return literal(e)
 }
 
-// The figures of the broker's program, each with a value of its own.
-func TestFiguresOfTheBroker(t *testing.T) {
+// The metrics of the broker, each with a distinct value.
+func TestBrokerMetrics(t *testing.T) {
 	f := adminapi.NewMetrics()
 	f.LayoutCounts = &adminapi.LayoutMetrics{}
 	f.Cursors = func() int { return 11 }
--- a/internal/golden/names_test.go
+++ b/internal/golden/names_test.go
@@ -21,14 +21,14 @@
 	"github.com/matryer/is"
 )
 
-// source is a parsed file of the repository that is no test.
+// source is a parsed non-test file of the repository.
 type source struct {
 	folder    string // from the module's root
-	generated string // what generated it, by its name; empty: somebody wrote it
+	generated string // kind of generator; "" for a file that is not generated
 	file      *ast.File
 }
 
-// sources are the parsed Go files of the repository but for tests.
+// sources returns the parsed non-test Go files of the repository.
 func sources(t *testing.T) []source {
 	t.Helper()
 	is := is.New(t)
@@ -61,14 +61,14 @@
 			return err
 		}
 		folder, err := filepath.Rel(root, filepath.Dir(path))
-		list = append(list, source{filepath.ToSlash(folder), generator(name, file), file})
+		list = append(list, source{filepath.ToSlash(folder), generatorOf(name, file), file})
 		return err
 	})
 	return list, err
 }
 
-// generator tells what made a file.
-func generator(name string, file *ast.File) string {
+// generatorOf returns the kind of generator of a file, or "" if it is not generated.
+func generatorOf(name string, file *ast.File) string {
 	for _, suffix := range []string{"_easyjson.go", ".pb.go", ".twirp.go"} {
 		if strings.HasSuffix(name, suffix) {
 			return suffix
@@ -80,7 +80,7 @@
 	return ""
 }
 
-// moduleRoot is the folder of go.mod.
+// moduleRoot returns the folder of go.mod.
 func moduleRoot() (string, error) {
 	folder, err := os.Getwd()
 	for err == nil {
@@ -88,19 +88,19 @@
 			return folder, nil
 		}
 		if folder == filepath.Dir(folder) {
-			return "", errors.New("there is no go.mod above")
+			return "", errors.New("golden: no go.mod in the working directory or above it")
 		}
 		folder = filepath.Dir(folder)
 	}
 	return "", err
 }
 
-// names is a set of lines.
+// names is a set of lines, each with the number of times that it was added.
 type names map[string]int
 
 func (n names) add(format string, words ...any) { n[fmt.Sprintf(format, words...)]++ }
 
-// text lists the lines in order, with how often each was added where that counts.
+// text returns the sorted lines, with the number of times that each was added if counted is set.
 func (n names) text(counted bool) string {
 	var lines []string
 	for line, count := range n {
@@ -113,8 +113,9 @@
 	return strings.Join(lines, "\n") + "\n"
 }
 
-// The names of JSON and TOML are a contract with clients, operators and files. A line is a struct: its tags, in the order of its fields,
-// whatever its name and place are. Exported fields without a tag are named by Go's name, which is on the wire then.
+// The names in JSON and TOML are an interface to clients, operators and stored files. A line is
+// the tags of a struct in the order of its fields, regardless of the struct's name and package.
+// An exported field without a tag is listed by its Go name, which is its encoded name.
 func TestTagNames(t *testing.T) {
 	found := names{}
 	for _, s := range sources(t) {
@@ -139,14 +140,14 @@
 	compare(t, "tags.txt", found.text(true))
 }
 
-// structTags are the tags of a struct under a key; none where no field has one.
+// structTags returns the tags of a struct for a key, or none if no field has one.
 func structTags(x *ast.StructType, key string) (tags []string) {
 	tagged := false
 	for _, field := range x.Fields.List {
 		tag, has := "", false
 		if field.Tag != nil {
-			whole, _ := strconv.Unquote(field.Tag.Value)
-			tag, has = reflect.StructTag(whole).Lookup(key)
+			unquoted, _ := strconv.Unquote(field.Tag.Value)
+			tag, has = reflect.StructTag(unquoted).Lookup(key)
 		}
 		if has {
 			tagged = true
@@ -165,7 +166,7 @@
 	return tags
 }
 
-// literal is the value of an expression that is a string's literal, also within a conversion as of []byte.
+// literal returns the value of a string literal, or of one in a conversion such as []byte("x").
 func literal(e ast.Expr) (string, bool) {
 	if call, ok := e.(*ast.CallExpr); ok && len(call.Args) == 1 {
 		if _, ok := call.Fun.(*ast.ArrayType); ok {
@@ -187,7 +188,7 @@
 	headerMethod    = regexp.MustCompile(`^(Set|Get|Add|Del|Values|Peek|Has)`)
 )
 
-// Header names are a contract with clients and servers.
+// Header names are an interface to clients and servers.
 func TestHeaderNames(t *testing.T) {
 	found := names{}
 	for _, s := range sources(t) {
@@ -198,7 +199,7 @@
 	compare(t, "headers.txt", found.text(false))
 }
 
-// headersAt notes the header names that stand at a node.
+// headersAt adds the header names at a node.
 func headersAt(found names, n ast.Node) {
 	switch x := n.(type) {
 	case *ast.BasicLit:
@@ -243,7 +244,8 @@
 
 var word = regexp.MustCompile(`^[A-Za-z][A-Za-z0-9_.-]*$`)
 
-// The keys of the broker's files, which its reader is asked for by name: first words of calls of methods in the package above the schemas.
+// The keys of the broker's settings files, which the code reads by name: the literal arguments of
+// method calls in the package that contains the schemas.
 func TestSettingsKeys(t *testing.T) {
 	found := names{}
 	folder := settingsFolder(t)
@@ -270,7 +272,8 @@
 	compare(t, "settings.txt", found.text(false))
 }
 
-// settingsFolder is the package that reads the broker's files: the schemas lie in a folder of it.
+// settingsFolder returns the package that reads the broker's settings files, which is the parent
+// folder of the schemas.
 func settingsFolder(t *testing.T) (folder string) {
 	t.Helper()
 	is := is.New(t)
@@ -286,9 +289,9 @@
 	return filepath.ToSlash(folder)
 }
 
-// Names that are read and written without tags: literals with underscores (settings, figures, keys of logs), keys of literal maps, paths,
-// and names of variables of the environment.
-func TestOtherNames(t *testing.T) {
+// Names that are read and written without tags: literals with underscores (settings, metrics, log
+// keys), keys of literal maps, paths, and environment variables.
+func TestLiteralNames(t *testing.T) {
 	found := names{}
 	for _, s := range sources(t) {
 		if s.generated != "" {
--- a/internal/golden/replicas_test.go
+++ b/internal/golden/replicas_test.go
@@ -18,9 +18,9 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// A process of an earlier build leaves its data directory; this build recovers from a copy of it the identity, the term, the vote, the
-// snapshots, the log and the state that they lead to.
-func TestDataOfReplicas(t *testing.T) {
+// This build recovers the identity, the term, the vote, the snapshots, the log and the resulting
+// state from the data directory of a process of an earlier build.
+func TestReplicaData(t *testing.T) {
 	for _, role := range []struct {
 		name     string
 		machines func() map[string]replica.StateMachine
@@ -33,7 +33,7 @@
 			if writing() {
 				writeReplicas(t, dataFolder(t, role.name+"/data"), role.machines())
 			}
-			folder := copied(t, "testdata/"+role.name+"/data")
+			folder := copyFolder(t, "testdata/"+role.name+"/data")
 			identities, err := replica.OpenIdentityStore(folder)
 			is.NoErr(err)
 			defer identities.Close()
@@ -84,10 +84,12 @@
 	engineEnd   = engineStart + 60_000
 )
 
-// commandsBeforeSnapshot is the length of a log that is replaced by a snapshot: that of one round of commands and the leader's first entry.
+// commandsBeforeSnapshot is the length of the log that a snapshot replaces: one round of commands
+// and the leader's first entry.
 const commandsBeforeSnapshot = 7
 
-// writeReplicas has the replicas of a process agree, alone, on two rounds of commands: a snapshot covers the first, the log holds the second.
+// writeReplicas writes the data of a single-replica process that commits two rounds of commands:
+// a snapshot covers the first, the log contains the second.
 func writeReplicas(t *testing.T, folder string, machines map[string]replica.StateMachine) {
 	t.Helper()
 	is := is.New(t)
@@ -131,7 +133,8 @@
 	is.NoErr(store.Close())
 }
 
-// commands are commands of each kind for a group. Two rounds of them leave something in each part of the state.
+// commands returns commands of each kind for a group. Two rounds of them leave something in each
+// part of the state.
 func commands(group string, round uint64) (list []proto.Message) {
 	switch {
 	case group == directory.Shard:
@@ -204,7 +207,8 @@
 	}
 }
 
-// logText is what a store holds of each group: term and vote, snapshot, and the entries with their data.
+// logText returns the stored state of each group: term and vote, snapshot, and the entries with
+// their data.
 func logText(t *testing.T, store *replica.Store) string {
 	t.Helper()
 	is := is.New(t)
@@ -212,7 +216,8 @@
 	for _, name := range store.Groups() {
 		stored, err := store.Load(name)
 		is.NoErr(err)
-		// The state of a snapshot is compared as it is restored: its records stand in no order.
+		// The state in a snapshot is compared after recovery, since its records have no fixed
+		// order.
 		fmt.Fprintf(&b, "%s hard state %s\n%s snapshot of %d pieces at %d of epoch %d, members %s\n", name, text(t, stored.HardState), name,
 			stored.Snapshot.Pieces, stored.Snapshot.Index, stored.Snapshot.Epoch, text(t, stored.Snapshot.Membership))
 		for _, e := range stored.Entries {
@@ -224,7 +229,8 @@
 	return b.String()
 }
 
-// recoveredState is the state of each group's machine once an engine has recovered it and applied the log.
+// recoveredState returns the state of each group's machine after an engine has recovered it and
+// applied the log.
 func recoveredState(t *testing.T, store *replica.Store, machines map[string]replica.StateMachine) string {
 	t.Helper()
 	is := is.New(t)
@@ -232,7 +238,7 @@
 	for _, name := range store.Groups() {
 		stored, err := store.Load(name)
 		is.NoErr(err)
-		is.True(machines[name] == nil || stored.Snapshot.Pieces > 0) // both snapshot and log are of use
+		is.True(machines[name] == nil || stored.Snapshot.Pieces > 0) // both snapshot and log must be used
 		last[name] = stored.Snapshot.Index + uint64(len(stored.Entries))
 	}
 	engine := newEngine(t, store, machines, 0)
@@ -255,7 +261,8 @@
 	return strings.Join(lines, "\n") + "\n"
 }
 
-// stateLines are the parts of a record of a state, a line each: the lists of some stand in no order.
+// stateLines returns the parts of a record of a state, one per line, since the lists in some
+// records have no fixed order.
 func stateLines(t *testing.T, name string, record proto.Message) (lines []string) {
 	t.Helper()
 	add := func(part proto.Message) { lines = append(lines, name+" "+text(t, part)) }
