--- a/internal/cluster/quota/allocator_test.go
+++ b/internal/cluster/quota/allocator_test.go
@@ -133,7 +133,7 @@
 			t.Errorf("claim of a is not renewed: %v", g)
 		}
 		if request(next, hs["b"], now, "b", true); hs["b"].Quota(now, "t") > 30_000 {
-			t.Errorf("b has %d", hs["b"].Quota(now, "t"))
+			t.Errorf("quota of b without a claim: %d", hs["b"].Quota(now, "t"))
 		}
 		// With another number of slots earlier grants are void, and requests with a different
 		// number get the floor.
@@ -205,7 +205,7 @@
 	}
 	named, others, _ := hs["a"].Quotas(now)
 	if p := hs["a"].Quota(now, "t"); p != 370_000 || named["t"] != p || others != 100_000 || hs["b"].Quota(now, "t") != 10_000 {
-		t.Errorf("%d, %v, %d", p, named, others)
+		t.Errorf("quota %d, named quotas %v, others %d", p, named, others)
 	}
 	// When the region's share decreases, granted quotas are scaled immediately.
 	hs["a"].SetRegion(200_000)
--- a/internal/cluster/quota/simulation/simulation.go
+++ b/internal/cluster/quota/simulation/simulation.go
@@ -33,7 +33,7 @@
 	OverBudget int     // times that the sum of a team's quotas exceeded the budget
 	MostUsed   uint64  // the greatest sum of a team's quotas, in PPM
 	BelowFloor int     // times that a running gatherer had less than its floor, or less than its fair quota at the end
-	Skewed     float64 // fraction of its budget that a team has 3 s after all its traffic moved to one gatherer; the minimum of two moves
+	Skewed     float64 // minimum fraction of its budget that a team has 3 s after its traffic moved to one gatherer
 	Equal      float64 // the same fraction if the budget were divided evenly
 	AfterCrash int64   // microseconds from the crash of the gatherer with the greatest quota until it is in use elsewhere; 0: never
 	First      string  // text of the first violation
--- a/internal/cluster/swim/core.go
+++ b/internal/cluster/swim/core.go
@@ -107,9 +107,9 @@
 // size returns the number of members that are alive or suspected, this process included.
 func (c *Core) size() int { return len(c.present) + 1 }
 
-// detectStall detects that this process was stopped or starved, from a tick that is late. All
-// suspicion timers are extended by that time, and the process accuses no member until acks have
-// arrived again.
+// detectStall detects that this process was stopped or starved, from a call that is later than
+// NextTick by more than half a probe period. The suspicion and exchange timers are extended by
+// that time, and the process accuses no member until acks have arrived again.
 func (c *Core) detectStall(now int64) {
 	if c.cfg.Disabled.Awareness {
 		return
--- a/internal/cluster/swim/core_test.go
+++ b/internal/cluster/swim/core_test.go
@@ -135,7 +135,7 @@
 		t.Error("Forget accepted a live member")
 	}
 	if err := c.Forget(2*second, "lost"); err != nil || c.EffectiveSize(2*second) != 11 {
-		t.Errorf("%v, effective size %d", err, c.EffectiveSize(2*second))
+		t.Errorf("Forget: error %v, effective size %d", err, c.EffectiveSize(2*second))
 	}
 	c.Leave(3 * second)
 	if a := c.AliveCount(); a != 10 || c.HasLeft(3*second) {
@@ -206,7 +206,7 @@
 		t.Errorf("%d members, %d dropped", len(v.Members), c.Counts().Dropped)
 	}
 	if err := c.HandleDatagram(second, good); err != nil || c.AliveCount() != 2 {
-		t.Errorf("%v, %d alive", err, c.AliveCount())
+		t.Errorf("valid datagram: error %v, %d alive", err, c.AliveCount())
 	}
 	if err := c.HandleDatagram(second, packet("f", "a", "127.0.0.5:1", &wire.Member{Name: "c", Address: "10.0.0.1:1"})); err != nil || c.AliveCount() != 2 {
 		t.Errorf("record with an address that is not allowed: %v, %d alive", err, c.AliveCount())
--- a/internal/cluster/swim/departure_test.go
+++ b/internal/cluster/swim/departure_test.go
@@ -88,6 +88,6 @@
 		t.Fatal(err)
 	}
 	if rest, err := cores[0].HandleFrame(3*second, answer); err != nil || rest != nil {
-		t.Errorf("%v: the exchange continues with %d bytes", err, len(rest))
+		t.Errorf("error %v; the exchange continues with a frame of %d bytes", err, len(rest))
 	}
 }
--- a/internal/cluster/swim/simulation/config.go
+++ b/internal/cluster/swim/simulation/config.go
@@ -11,19 +11,19 @@
 type Config struct {
 	Members     int
 	Seed        uint64
-	StartWithin time.Duration // time over which the members are started; the seed members start at once
-	WarmStart   bool          // all members know each other from the beginning
-	SeedMembers int           // number of members that the others join through; 0 means 1
-	Delay       time.Duration // of a datagram one way; a random delay of up to as much is added
+	StartWithin time.Duration // time over which the members are started; the seed members start immediately
+	WarmStart   bool          // all members are in all views from the start
+	SeedMembers int           // number of members through which the others join; 0 means 1
+	Delay       time.Duration // one-way delay of a datagram; a random delay of up to the same length is added
 	Loss        float64       // fraction of datagrams that are lost
 	Duration    time.Duration
 	Script      faults.Script
 	Core        swim.Config // settings of every core; the simulator sets name, address, start and join addresses
-	// SameStart is a seeded fault: a restart keeps the start of the process before.
+	// SameStart is a seeded fault: a restarted process keeps the start of the previous one.
 	SameStart          bool
 	SampleEvery        time.Duration // between observations of all views; 0 means 50 ms
-	StopWhenSettledFor time.Duration // if above 0, the run ends when views were correct for so long after the end of the script
-	RateFrom           time.Duration // start of the time that Result.BytesPerSecond covers
+	StopWhenSettledFor time.Duration // if above 0, the run ends when all views have been correct for this time after the end of the script
+	RateFrom           time.Duration // start of the interval that Result.BytesPerSecond covers
 }
 
 // MemberName returns the name of member i.
--- a/internal/cluster/swim/simulation/faults.go
+++ b/internal/cluster/swim/simulation/faults.go
@@ -4,7 +4,7 @@
 	"saffronquay/internal/testing/faults"
 )
 
-// applyFault applies one step of the script.
+// applyFault applies one step of the fault script.
 func (w *simulator) applyFault(x faults.Step) {
 	w.links.Begin(x)
 	for i, p := range w.latest {
--- a/internal/cluster/swim/simulation/network.go
+++ b/internal/cluster/swim/simulation/network.go
@@ -4,7 +4,7 @@
 	"saffronquay/internal/testing/faults"
 )
 
-// perform does the work that a core left, and schedules its next tick.
+// perform does the work that a core requested, and schedules its next tick.
 func (w *simulator) perform(p *process) {
 	o := p.core.TakeOutput()
 	for _, d := range o.Datagrams {
@@ -30,7 +30,8 @@
 	}
 }
 
-// sendDatagram sends a datagram over the link between two processes, which may lose, delay or repeat it.
+// sendDatagram sends a datagram over the link between two processes, which may lose, delay or
+// duplicate it.
 func (w *simulator) sendDatagram(from, to *process, b []byte) {
 	link := w.links.Between(from.index, to.index)
 	copies := 1
@@ -41,40 +42,41 @@
 		if link.Cut || link.Loss > 0 && w.rng.Float64() < link.Loss || w.Loss > 0 && w.rng.Float64() < w.Loss {
 			continue
 		}
-		late := w.linkDelay(link)
+		delay := w.linkDelay(link)
 		if i > 0 {
-			late += w.rng.Int64N(maxRepeatDelay.Microseconds())
+			delay += w.rng.Int64N(maxRepeatDelay.Microseconds())
 		}
-		w.schedule(occurrence{at: w.now + late + to.slow, kind: occurDatagram, target: to, bytes: b})
+		w.schedule(occurrence{at: w.now + delay + to.slow, kind: occurDatagram, target: to, bytes: b})
 	}
 }
 
 // linkDelay returns the delay of one message over a link, in microseconds.
 func (w *simulator) linkDelay(k faults.Link) int64 {
 	d := w.Delay.Microseconds()
-	late := d + w.rng.Int64N(d+1)
+	delay := d + w.rng.Int64N(d+1)
 	if k.Delay > 0 {
-		late += k.Delay.Microseconds() + w.rng.Int64N(k.Delay.Microseconds())
+		delay += k.Delay.Microseconds() + w.rng.Int64N(k.Delay.Microseconds())
 	}
-	return late
+	return delay
 }
 
-// sendFrame sends a frame over a stream. crossings is the number of times that the link is crossed to open the connection.
+// sendFrame sends a frame over a stream. crossings is the number of link crossings that opening
+// the connection takes.
 func (w *simulator) sendFrame(from, to *process, b []byte, crossings int) {
 	there, back := w.links.Between(from.index, to.index), w.links.Between(to.index, from.index)
 	if there.Cut || back.Cut {
 		return
 	}
 	w.countTraffic(from, len(b), 0, false)
-	late := to.slow
+	delay := to.slow
 	for range crossings + 1 {
-		late += w.linkDelay(there)
+		delay += w.linkDelay(there)
 	}
 	for range 5 {
 		if lost := 1 - (1-w.Loss)*(1-there.Loss); w.rng.Float64() >= lost {
 			break
 		}
-		late += retransmitDelay.Microseconds()
+		delay += retransmitDelay.Microseconds()
 	}
-	w.schedule(occurrence{at: w.now + late, kind: occurFrame, target: to, sender: from, bytes: b})
+	w.schedule(occurrence{at: w.now + delay, kind: occurFrame, target: to, sender: from, bytes: b})
 }
--- a/internal/cluster/swim/simulation/observe.go
+++ b/internal/cluster/swim/simulation/observe.go
@@ -10,7 +10,7 @@
 func (w *simulator) recordEvent(e swim.Event) {
 	switch e.Kind {
 	case swim.EventDead, swim.EventLeft, swim.EventRestarted:
-		for _, p := range w.processes { // rare, and few
+		for _, p := range w.processes { // such events are rare
 			w.recordEnd(e, p)
 		}
 		if e.Kind == swim.EventRestarted {
@@ -25,7 +25,8 @@
 	}
 }
 
-// recordEnd records what an event about the end of a process means for process p: a crash that was detected, or a false death.
+// recordEnd records the consequence of an event about the end of a process for process p: a
+// detected crash, or a false death.
 func (w *simulator) recordEnd(e swim.Event, p *process) {
 	if p.core.Self().Name != e.Name {
 		return
@@ -42,7 +43,8 @@
 	}
 }
 
-// liveDigest returns the digest of exactly the live processes, the latest one of each name, and all live processes.
+// liveDigest returns the digest of exactly the live processes, counting only the latest one of
+// each name, and all live processes.
 func (w *simulator) liveDigest() (digest uint64, live []*process) {
 	var records []swim.Record
 	for _, p := range w.processes {
@@ -57,7 +59,7 @@
 	return swim.DigestOf(records...), live
 }
 
-// sample observes all views, and schedules the next observation.
+// sample records the state of all views, and schedules the next sample.
 func (w *simulator) sample() {
 	w.processes = slices.DeleteFunc(w.processes, func(p *process) bool { return !p.up && w.now-w.killed[p.start] > 60_000_000 })
 	want, live := w.liveDigest()
@@ -82,7 +84,7 @@
 	w.after(w.SampleEvery.Microseconds(), w.sample)
 }
 
-// sentBytes is the number of bytes that all processes have sent.
+// sentBytes returns the number of bytes that all processes have sent.
 func (w *simulator) sentBytes() (bytes int64) {
 	for _, p := range w.processes {
 		k := p.core.Counts()
--- a/internal/cluster/swim/simulation/occurrences.go
+++ b/internal/cluster/swim/simulation/occurrences.go
@@ -4,12 +4,13 @@
 	"container/heap"
 )
 
-// occurrence is something that happens at a time: a timer, the arrival of a message, or an action of the run itself.
+// occurrence is an event in virtual time: a timer, the arrival of a message, or an action of the
+// run itself.
 type occurrence struct {
 	at             int64
 	seq            int
 	kind           int
-	target         *process // the process that it happens to
+	target         *process // process that handles it
 	sender         *process // the other end of the stream
 	bytes          []byte
 	wakeGeneration int
@@ -24,7 +25,8 @@
 	occurAction
 )
 
-// occurrenceHeap orders occurrences by time, and those of the same time by the order in which they were scheduled.
+// occurrenceHeap orders occurrences by time, and occurrences of the same time by the order in which
+// they were scheduled.
 type occurrenceHeap []occurrence
 
 // Len implements heap.Interface.
@@ -40,7 +42,7 @@
 
 // Push implements heap.Interface.
 func (a *occurrenceHeap) Push(x any) {
-	if o, ok := x.(occurrence); ok { // schedule pushes nothing else
+	if o, ok := x.(occurrence); ok { // always true: schedule pushes nothing else
 		*a = append(*a, o)
 	}
 }
@@ -63,16 +65,16 @@
 
 // next removes the earliest occurrence. There must be one.
 func (w *simulator) next() occurrence {
-	h, _ := heap.Pop(&w.pending).(occurrence) // Pop returns nothing else
+	h, _ := heap.Pop(&w.pending).(occurrence) // occurrenceHeap.Pop returns nothing else
 	return h
 }
 
-// after runs an action after some microseconds.
-func (w *simulator) after(after int64, do func()) {
-	w.schedule(occurrence{at: w.now + after, kind: occurAction, do: do})
+// after schedules an action after a delay in microseconds.
+func (w *simulator) after(delay int64, do func()) {
+	w.schedule(occurrence{at: w.now + delay, kind: occurAction, do: do})
 }
 
-// handle lets an occurrence happen.
+// handle processes an occurrence.
 func (w *simulator) handle(h occurrence) {
 	switch h.kind {
 	case occurAction:
@@ -98,15 +100,16 @@
 	}
 }
 
-// handleDatagram delivers a datagram to a process. One that is stopped has it wait in its socket buffer.
+// handleDatagram delivers a datagram to a process, or to its socket buffer if the process is
+// stopped.
 func (w *simulator) handleDatagram(p *process, b []byte) {
 	if !p.up {
 		return
 	}
 	w.countTraffic(p, 0, len(b), true)
 	if p.stopped {
-		if len(p.heldDatagrams) < maxHeldDatagrams {
-			p.heldDatagrams = append(p.heldDatagrams, b)
+		if len(p.bufferedDatagrams) < maxBufferedDatagrams {
+			p.bufferedDatagrams = append(p.bufferedDatagrams, b)
 		}
 		return
 	}
@@ -114,7 +117,7 @@
 	w.perform(p)
 }
 
-// receive hands a datagram to the process's core.
+// receive passes a datagram to the process's core.
 func (p *process) receive(now int64, b []byte) {
 	_ = p.core.HandleDatagram(now, b) // the core counts what it drops
 }
--- a/internal/cluster/swim/simulation/proof_test.go
+++ b/internal/cluster/swim/simulation/proof_test.go
@@ -15,8 +15,9 @@
 	"time"
 )
 
-// trial returns a seed's script, when its last fault is over, and whether its partitions may make views declare healthy processes dead.
-func trial(seed uint64, n int) (script string, after time.Duration, cuts bool) {
+// scenario returns the script of a seed, the time of its last fault, and whether its partitions
+// may make views declare healthy processes dead.
+func scenario(seed uint64, n int) (script string, after time.Duration, cuts bool) {
 	rng := rand.New(rand.NewPCG(seed, 0x9f))
 	some := func(most int) (s faults.Set) {
 		s = rng.Perm(n)[:1+rng.IntN(most)]
@@ -25,7 +26,7 @@
 	}
 	span := func(a, b int) string { return fmt.Sprintf("%d-%d", a, b-1) }
 	switch seed % 8 {
-	case 0: // longer than it takes to declare the others dead
+	case 0: // a partition that lasts longer than it takes to declare the others dead
 		return fmt.Sprintf("at 3s for 9s cut %s %s", span(0, n/2), span(n/2, n)), 12 * time.Second, true
 	case 1:
 		pair := rng.Perm(n)
@@ -44,8 +45,8 @@
 	return s.String(), s.End(), true
 }
 
-// Over many seeds: all views detect a crash soon, agree again after any faults, and declare no reachable process dead. SAFFRONQUAY_SEEDS sets the number of
-// seeds.
+// Over many seeds all views detect a crash soon, agree again after any faults, and declare no
+// reachable process dead. SAFFRONQUAY_SEEDS sets the number of seeds.
 func TestProof(t *testing.T) {
 	members, seeds := 300, 200
 	if harness.RaceEnabled {
@@ -57,7 +58,7 @@
 	defer debug.SetGCPercent(debug.SetGCPercent(400))
 	var mu sync.Mutex
 	var detect, settle []time.Duration
-	falseDead, never, bytes := 0, 0, 0.0
+	falseDead, neverSettled, bytes := 0, 0, 0.0
 	work := make(chan uint64)
 	var wg sync.WaitGroup
 	for range runtime.GOMAXPROCS(0) {
@@ -65,9 +66,9 @@
 		go func() {
 			defer wg.Done()
 			for seed := range work {
-				script, after, cuts := trial(seed, members)
+				script, after, cuts := scenario(seed, members)
 				cfg := Config{
-					Members: members, Seed: seed, WarmStart: seed%8 != 3, SeedMembers: 3, Delay: 500 * time.Microsecond, Duration: after + soon + time.Second,
+					Members: members, Seed: seed, WarmStart: seed%8 != 3, SeedMembers: 3, Delay: 500 * time.Microsecond, Duration: after + convergenceLimit + time.Second,
 					SampleEvery: 100 * time.Millisecond, StopWhenSettledFor: 3 * time.Second, RateFrom: 5 * time.Second,
 				}
 				if !cfg.WarmStart {
@@ -92,8 +93,8 @@
 				if !cuts {
 					falseDead += r.FalseDeaths
 				}
-				if took < 0 || took > soon {
-					never++
+				if took < 0 || took > convergenceLimit {
+					neverSettled++
 				}
 				if settle = append(settle, took); !cuts {
 					detect = append(detect, r.DetectionTimes...)
@@ -101,7 +102,7 @@
 				if seed%8 == 1 {
 					bytes = max(bytes, r.BytesPerSecond)
 				}
-				if took < 0 || took > soon || !cuts && r.FalseDeaths > 0 {
+				if took < 0 || took > convergenceLimit || !cuts && r.FalseDeaths > 0 {
 					t.Errorf("seed %d, loss %g: settled after %s, %d running processes declared dead; script:\n%s", seed, cfg.Loss, took, r.FalseDeaths, strings.TrimSpace(script))
 				}
 				mu.Unlock()
@@ -122,8 +123,8 @@
 		return d[len(d)*99/100].Milliseconds()
 	}
 	if p99(detect) > 3000 {
-		t.Errorf("a crash is detected after %d ms (p99)", p99(detect))
+		t.Errorf("p99 of crash detection is %d ms, want at most 3000", p99(detect))
 	}
 	t.Logf("proof: members=%d seeds=%d detect_p99_ms=%d settle_p99_ms=%d false_dead=%d never_settled=%d bytes_per_member_s=%.0f", members, seeds,
-		p99(detect), p99(settle), falseDead, never, bytes)
+		p99(detect), p99(settle), falseDead, neverSettled, bytes)
 }
--- a/internal/cluster/swim/simulation/scenes_test.go
+++ b/internal/cluster/swim/simulation/scenes_test.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// play runs a script, and logs it with its seed if the test fails.
-func play(t testing.TB, cfg Config, script string) Result {
+// runScript runs a script, and logs it with its seed if the test fails.
+func runScript(t testing.TB, cfg Config, script string) Result {
 	t.Helper()
 	s, err := faults.Parse(script, cfg.Members)
 	if err != nil {
@@ -34,10 +34,10 @@
 	return r
 }
 
-const soon = 10 * time.Second // time within which views have to agree again
+const convergenceLimit = 10 * time.Second // time within which all views must be correct again
 
-// hard are the difficult scenarios. after is the time when the last fault is over.
-var hard = []struct {
+// scenarios are the difficult scenarios. after is the time when the last fault is over.
+var scenarios = []struct {
 	name    string
 	members int
 	loss    float64
@@ -45,39 +45,39 @@
 	seeds   int
 	script  string
 	after   time.Duration
-	deaths  bool // running processes may be declared dead meanwhile
+	deaths  bool // running processes may be declared dead during the scenario
 	check   func(t *testing.T, r Result)
 }{
 	{name: "half killed at once", members: 60, script: "at 5s kill 0-29", after: 5 * time.Second},
-	{name: "two halves", members: 60, script: "at 5s for 12s cut 0-29 30-59", after: 17 * time.Second, deaths: true, check: func(t *testing.T, r Result) {
+	{name: "partition in halves", members: 60, script: "at 5s for 12s cut 0-29 30-59", after: 17 * time.Second, deaths: true, check: func(t *testing.T, r Result) {
 		for _, s := range r.Samples {
 			if s.At > 5*time.Second && s.MinEffectiveSize < 60 {
 				t.Errorf("at %s a view has the effective size %d", s.At, s.MinEffectiveSize)
 				return
 			}
 			if s.At == 16*time.Second && s.MinAlive != 30 {
-				t.Errorf("a half sees %d alive", s.MinAlive)
+				t.Errorf("%d alive in a view of one half, want 30", s.MinAlive)
 			}
 		}
 	}},
 	{
-		name: "three parts, healed in pieces", members: 60, after: 22 * time.Second, deaths: true,
+		name: "partition in three, healed in steps", members: 60, after: 22 * time.Second, deaths: true,
 		script: "at 5s for 17s cut 0-19 40-59\nat 5s for 10s cut 0-19 20-39\nat 5s for 14s cut 20-39 40-59",
 	},
-	{name: "one way", members: 30, script: "at 5s for 15s half 3 7"},
-	{name: "a pair cut", members: 30, script: "at 5s for 20s cut 3 7"},
-	{name: "30% lost", members: 30, loss: 0.3, script: ""},
+	{name: "one-way link failure", members: 30, script: "at 5s for 15s half 3 7"},
+	{name: "link failure between two members", members: 30, script: "at 5s for 20s cut 3 7"},
+	{name: "30% datagram loss", members: 30, loss: 0.3, script: ""},
 	{name: "stopped for 10 s", members: 30, script: "at 5s for 10s stop 4", after: 15 * time.Second, check: func(t *testing.T, r Result) {
 		if r.Stalls == 0 {
-			t.Error("it did not detect the stall")
+			t.Error("no process detected its stall")
 		}
 	}},
-	{name: "always late", members: 30, script: "at 3s slow 150ms 5"},
+	{name: "slow member", members: 30, script: "at 3s slow 150ms 5"},
 	{name: "restart within the suspicion", members: 30, script: "at 5s kill 3\nat 5500ms start 3", after: 5500 * time.Millisecond, check: replacedAtOnce},
 	{name: "restart at another address", members: 30, script: "at 5s kill 3\nat 5500ms move 3", after: 5500 * time.Millisecond, check: replacedAtOnce},
-	{name: "the seed dies while 300 start", members: 300, spread: time.Second, script: "at 500ms kill 0\nat 6s start 0", after: 6 * time.Second},
+	{name: "seed member killed while 300 start", members: 300, spread: time.Second, script: "at 500ms kill 0\nat 6s start 0", after: 6 * time.Second},
 	{
-		name: "nobody to join", members: 12, seeds: 3, script: "at 100ms kill 11\nat 5s kill 0-2\nat 8s move 11\nat 16s start 0", after: 16 * time.Second,
+		name: "no join address answers", members: 12, seeds: 3, script: "at 100ms kill 11\nat 5s kill 0-2\nat 8s move 11\nat 16s start 0", after: 16 * time.Second,
 		check: func(t *testing.T, r Result) {
 			if r.Isolations == 0 {
 				t.Error("no process reported that no join address answers")
@@ -90,31 +90,32 @@
 		}
 		return s
 	}()},
-	{name: "two under one name", members: 30, script: "at 5s twin 3", after: 5 * time.Second, check: func(t *testing.T, r Result) {
+	{name: "name conflict", members: 30, script: "at 5s twin 3", after: 5 * time.Second, check: func(t *testing.T, r Result) {
 		if r.NameConflicts < 2 {
-			t.Errorf("%d reports of the name conflict by both", r.NameConflicts)
+			t.Errorf("%d reports of the name conflict, want one by each process", r.NameConflicts)
 		}
 		if r.Restarts > 35 {
-			t.Errorf("views changed %d times between the two", r.Restarts)
+			t.Errorf("views changed %d times between the two processes", r.Restarts)
 		}
 	}},
-	{name: "answers are lost", members: 30, deaths: true, script: "at 5s for 15s half 3 0-2,4-27", after: 20 * time.Second, check: func(t *testing.T, r Result) {
+	{name: "answers lost", members: 30, deaths: true, script: "at 5s for 15s half 3 0-2,4-27", after: 20 * time.Second, check: func(t *testing.T, r Result) {
 		if r.Counts.Refutations < 2 || r.Counts.Refutations > 400 {
-			t.Errorf("it refuted %d times", r.Counts.Refutations)
+			t.Errorf("%d refutations, want 2 to 400", r.Counts.Refutations)
 		}
 	}},
-	{name: "repeats, out of order by seconds", members: 30, loss: 0.05, script: "at 0s repeat 0.5\nat 5s kill 3\nat 9s start 3", after: 9 * time.Second},
+	{name: "duplicates, out of order by seconds", members: 30, loss: 0.05, script: "at 0s repeat 0.5\nat 5s kill 3\nat 9s start 3", after: 9 * time.Second},
 }
 
-// replacedAtOnce checks that no member had to refute: records about the old start don't concern the new one.
+// replacedAtOnce checks that no member had to refute: records about the old start do not affect
+// the new one.
 func replacedAtOnce(t *testing.T, r Result) {
 	if r.Counts.Refutations > 0 || r.NameConflicts > 0 {
-		t.Errorf("it had to refute %d times, and had %d name conflicts", r.Counts.Refutations, r.NameConflicts)
+		t.Errorf("%d refutations and %d name conflicts, want none", r.Counts.Refutations, r.NameConflicts)
 	}
 }
 
-func TestHardCases(t *testing.T) {
-	for _, c := range hard {
+func TestConvergence_Scenarios(t *testing.T) {
+	for _, c := range scenarios {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			members, seeds := c.members, uint64(5)
@@ -125,12 +126,12 @@
 				}
 			}
 			for seed := range seeds {
-				r := play(t, Config{Members: members, Seed: seed, Loss: c.loss, StartWithin: c.spread, SeedMembers: c.seeds, Duration: c.after + 25*time.Second}, c.script)
+				r := runScript(t, Config{Members: members, Seed: seed, Loss: c.loss, StartWithin: c.spread, SeedMembers: c.seeds, Duration: c.after + 25*time.Second}, c.script)
 				switch took := r.SettledAfter(c.after); {
-				case took < 0 || took > soon:
+				case took < 0 || took > convergenceLimit:
 					t.Errorf("settled after %s: %d of %d views correct at the end", took, r.Samples[len(r.Samples)-1].Correct, r.Samples[len(r.Samples)-1].Live)
 				case !c.deaths && r.FalseDeaths > 0:
-					t.Errorf("%d times a running process was declared dead", r.FalseDeaths)
+					t.Errorf("running processes were declared dead %d times", r.FalseDeaths)
 				}
 				if c.check != nil {
 					c.check(t, r)
@@ -140,8 +141,9 @@
 	}
 }
 
-// starving returns a script that stops the last members for most of the time, and slows them in between.
-func starving(members, starved int) string {
+// starvationScript returns a script that stops the last members for most of the time, and slows
+// them in between.
+func starvationScript(members, starved int) string {
 	var b strings.Builder
 	for i := range starved {
 		fmt.Fprintf(&b, "at 4s for 30s slow 400ms %d\n", members-1-i)
@@ -152,48 +154,50 @@
 	return b.String()
 }
 
-// The effect of awareness, confirmation and exchanges with dead members, shown by the same runs without them.
-func TestBaselines(t *testing.T) {
-	script := starving(60, 15)
-	held, days := map[string]int{}, 2
+// Awareness, confirmation and exchanges with dead members each have an effect: the same runs are
+// worse without them.
+func TestDisabledMechanisms_HaveEffect(t *testing.T) {
+	script := starvationScript(60, 15)
+	falseDeaths, seeds := map[string]int{}, 2
 	if harness.RaceEnabled {
-		days = 1
+		seeds = 1
 	}
 	var mu sync.Mutex
 	var wg sync.WaitGroup
-	for name, w := range map[string]swim.Disabled{"all": {}, "no awareness": {Awareness: true}, "no confirmation": {Confirmation: true}, "neither": {Awareness: true, Confirmation: true}} {
+	for name, disabled := range map[string]swim.Disabled{"all": {}, "no awareness": {Awareness: true}, "no confirmation": {Confirmation: true}, "neither": {Awareness: true, Confirmation: true}} {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			for seed := range uint64(days) {
-				r := play(t, Config{Members: 60, Seed: seed, WarmStart: true, Loss: 0.05, Duration: 34 * time.Second, Core: swim.Config{Disabled: w}}, script)
+			for seed := range uint64(seeds) {
+				r := runScript(t, Config{Members: 60, Seed: seed, WarmStart: true, Loss: 0.05, Duration: 34 * time.Second, Core: swim.Config{Disabled: disabled}}, script)
 				mu.Lock()
-				held[name] += r.HealthyFalseDeaths
+				falseDeaths[name] += r.HealthyFalseDeaths
 				mu.Unlock()
 			}
 		}()
 	}
 	wg.Wait()
-	t.Logf("15 of 60 starved for 30 s, %d days: healthy ones declared dead: %v", days, held)
-	if held["all"] >= held["neither"] || held["no awareness"]+held["no confirmation"] <= 2*held["all"] {
-		t.Errorf("they have no effect here: %v", held)
+	t.Logf("15 of 60 members starved for 30 s, %d seeds: healthy members declared dead: %v", seeds, falseDeaths)
+	if falseDeaths["all"] >= falseDeaths["neither"] || falseDeaths["no awareness"]+falseDeaths["no confirmation"] <= 2*falseDeaths["all"] {
+		t.Errorf("disabling the mechanisms has no effect: healthy members declared dead: %v", falseDeaths)
 	}
 	for _, without := range []bool{false, true} {
-		r := play(t, Config{Members: 60, Duration: 60 * time.Second, Core: swim.Config{Disabled: swim.Disabled{DeadExchanges: without}}}, "at 5s for 15s cut 0-29 30-59")
+		r := runScript(t, Config{Members: 60, Duration: 60 * time.Second, Core: swim.Config{Disabled: swim.Disabled{DeadExchanges: without}}}, "at 5s for 15s cut 0-29 30-59")
 		if took := r.SettledAfter(20 * time.Second); (took < 0) != without {
-			t.Errorf("without exchanges with the dead: %t: settled after %s", without, took)
+			t.Errorf("exchanges with dead members disabled: %t; settled after %s", without, took)
 		}
 	}
 }
 
-// The checks above detect seeded faults: members that do not refute, and a restart that keeps its start.
-func TestSeededBugsAreCaught(t *testing.T) {
-	r := play(t, Config{Members: 30, Loss: 0.3, Duration: 40 * time.Second, Core: swim.Config{Disabled: swim.Disabled{Refutation: true}}}, "")
+// The checks of the scenarios detect seeded faults: members that do not refute, and a restart that
+// keeps its start.
+func TestSwimSimulation_DetectsSeededBugs(t *testing.T) {
+	r := runScript(t, Config{Members: 30, Loss: 0.3, Duration: 40 * time.Second, Core: swim.Config{Disabled: swim.Disabled{Refutation: true}}}, "")
 	if r.SettledAfter(0) >= 0 && r.FalseDeaths == 0 {
-		t.Error("without refutations no check fails")
+		t.Error("no check detects disabled refutations")
 	}
-	r = play(t, Config{Members: 30, SameStart: true, WarmStart: true, Duration: 20 * time.Second}, "at 5s kill 3\nat 5500ms move 3")
+	r = runScript(t, Config{Members: 30, SameStart: true, WarmStart: true, Duration: 20 * time.Second}, "at 5s kill 3\nat 5500ms move 3")
 	if r.Counts.Refutations == 0 && r.NameConflicts == 0 {
-		t.Error("with a restart that keeps its start no check fails")
+		t.Error("no check detects a restart that keeps its start")
 	}
 }
--- a/internal/cluster/swim/simulation/simulator.go
+++ b/internal/cluster/swim/simulation/simulator.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// simulator is the state of a run.
+// simulator is the state of one run.
 type simulator struct {
 	Config
 	rng            *rand.Rand
@@ -18,45 +18,45 @@
 	pending        occurrenceHeap
 	links          faults.Links
 	latest         []*process // latest process of each member
-	processes      []*process // all processes; those killed a minute ago are dropped
+	processes      []*process // all processes; those killed more than a minute ago are removed
 	byAddr         map[netip.AddrPort]*process
-	killed         map[uint64]int64 // times of kills, by start
+	killed         map[uint64]int64 // time of each kill, by start of the process
 	lastPort       uint16
 	result         Result
 	end            int64
 	sentBeforeRate int64 // bytes sent until Config.RateFrom
-	lastUnsettled  int64 // last time that a view was not correct; -1: none
+	lastUnsettled  int64 // last time at which a view was not correct; -1: never
 	err            error
 }
 
 // process is one simulated process: one start of a member.
 type process struct {
-	index          int
-	core           *swim.Core
-	addr           netip.AddrPort
-	start          uint64
-	up             bool
-	stopped        bool
-	disturbed      bool     // it was stopped or slow at some time
-	heldDatagrams  [][]byte // in its socket buffer while it is stopped
-	slow           int64
-	wakeAt         int64
-	wakeGeneration int
-	traffic        traffic
+	index             int
+	core              *swim.Core
+	addr              netip.AddrPort
+	start             uint64
+	up                bool
+	stopped           bool
+	disturbed         bool     // it was stopped or slow at some time in the run
+	bufferedDatagrams [][]byte // contents of its socket buffer while it is stopped
+	slow              int64
+	wakeAt            int64
+	wakeGeneration    int
+	traffic           traffic
 }
 
 // Constants of the simulated machines.
 const (
-	startTime        = int64(1_000_000_000_000) // clock at the start of a run
-	maxHeldDatagrams = 256                      // socket buffer of a stopped process
-	retransmitDelay  = 200 * time.Millisecond   // delay of a stream by a lost segment
-	maxRepeatDelay   = 3 * time.Second          // of the second copy of a datagram
+	startTime            = int64(1_000_000_000_000) // clock at the start of a run
+	maxBufferedDatagrams = 256                      // size of the socket buffer of a stopped process
+	retransmitDelay      = 200 * time.Millisecond   // delay of a stream for each lost segment
+	maxRepeatDelay       = 3 * time.Second          // maximum delay of a duplicated datagram
 )
 
-// Run runs a simulation. It fails if the settings are not valid.
+// Run runs a simulation and returns its result. It returns an error if the settings are not valid.
 func Run(cfg Config) (Result, error) {
 	if cfg.Members < 1 || cfg.Duration <= 0 {
-		return Result{}, fmt.Errorf("model: want members and a length")
+		return Result{}, fmt.Errorf("simulation: members and duration must be positive")
 	}
 	cfg.SeedMembers, cfg.SampleEvery = max(cfg.SeedMembers, 1), max(cfg.SampleEvery, 0)
 	if cfg.SampleEvery == 0 {
@@ -130,7 +130,7 @@
 	w.perform(p)
 }
 
-// kill ends a process without notice to the others.
+// kill ends a process without announcing its departure.
 func (w *simulator) kill(p *process) {
 	if p.up {
 		w.closeSecond(p)
@@ -148,15 +148,16 @@
 	w.kill(p)
 }
 
-// resume wakes a stopped process: as a driver does, it reads the datagrams that wait before it runs timers.
+// resume continues a stopped process. Like a driver, it handles the buffered datagrams before it
+// runs timers.
 func (w *simulator) resume(p *process) {
 	if !p.stopped || !p.up {
 		return
 	}
 	p.stopped = false
-	held := p.heldDatagrams
-	p.heldDatagrams = nil
-	for _, b := range held {
+	buffered := p.bufferedDatagrams
+	p.bufferedDatagrams = nil
+	for _, b := range buffered {
 		p.receive(w.now, b)
 	}
 	p.core.Tick(w.now)
@@ -164,7 +165,8 @@
 	w.perform(p)
 }
 
-// introduceAll lets the first process learn of all others, and these of all from it.
+// introduceAll merges the records of all processes into the first one's view, and its view into
+// theirs.
 func (w *simulator) introduceAll() {
 	first := w.latest[0].core
 	for _, p := range w.latest[1:] {
--- a/internal/cluster/swim/simulation/traffic.go
+++ b/internal/cluster/swim/simulation/traffic.go
@@ -1,24 +1,24 @@
 package simulation
 
-// Second is the traffic of one second, datagrams and streams together, without the headers of the network.
+// Second is the traffic of one second, of datagrams and streams, without network headers.
 type Second struct {
 	Datagrams                 int64 // sent by all processes; streams are not included
 	Sent, Received            int64 // bytes of all processes
-	MaxSent, MaxReceived      int64 // bytes of the process that sent, or received, the most
-	MaxDatagrams, MaxArriving int64 // datagrams sent and received, likewise
+	MaxSent, MaxReceived      int64 // maximum bytes sent, or received, by one process
+	MaxDatagrams, MaxArriving int64 // maximum datagrams sent, or received, by one process
 }
 
-// Peak returns the largest value of each field over some seconds.
-func Peak(all []Second) (most Second) {
+// Peak returns the maximum of each field over the given seconds.
+func Peak(all []Second) (peak Second) {
 	for _, s := range all {
-		most.Datagrams, most.Sent, most.Received = max(most.Datagrams, s.Datagrams), max(most.Sent, s.Sent), max(most.Received, s.Received)
-		most.MaxSent, most.MaxReceived = max(most.MaxSent, s.MaxSent), max(most.MaxReceived, s.MaxReceived)
-		most.MaxDatagrams, most.MaxArriving = max(most.MaxDatagrams, s.MaxDatagrams), max(most.MaxArriving, s.MaxArriving)
+		peak.Datagrams, peak.Sent, peak.Received = max(peak.Datagrams, s.Datagrams), max(peak.Sent, s.Sent), max(peak.Received, s.Received)
+		peak.MaxSent, peak.MaxReceived = max(peak.MaxSent, s.MaxSent), max(peak.MaxReceived, s.MaxReceived)
+		peak.MaxDatagrams, peak.MaxArriving = max(peak.MaxDatagrams, s.MaxDatagrams), max(peak.MaxArriving, s.MaxArriving)
 	}
-	return most
+	return peak
 }
 
-// traffic is what one process sent and received in the last second in which it did.
+// traffic is the traffic of one process in the latest second in which it sent or received anything.
 type traffic struct {
 	second                             int
 	sent, received, datagrams, arrived int64
@@ -47,7 +47,7 @@
 	}
 }
 
-// closeSecond compares a process's traffic in its last second with the greatest of all processes.
+// closeSecond updates the maxima over all processes with a process's traffic in its latest second.
 func (w *simulator) closeSecond(p *process) {
 	if t := p.traffic; t.second < len(w.result.Seconds) {
 		s := &w.result.Seconds[t.second]
--- a/internal/storage/recordlog/faults_test.go
+++ b/internal/storage/recordlog/faults_test.go
@@ -63,7 +63,7 @@
 	b.t.Helper()
 	r, ok, err := s.Get(recordlog.AtMostOnce, key)
 	if err != nil || ok != (value != "") || string(r.Value) != value {
-		b.t.Errorf("%s: %q %t %v, want %q", key, r.Value, ok, err, value)
+		b.t.Errorf("%s: value %q, found %t, error %v, want %q", key, r.Value, ok, err, value)
 	}
 }
 
@@ -130,7 +130,7 @@
 			if err := put(s, key, strings.Repeat("v", 20), 0); err == nil {
 				acked[key] = true
 			} else if failed = true; !errors.Is(err, syscall.ENOSPC) || s.Health() == nil {
-				t.Fatalf("budget %d: %v, health %v", budget, err, s.Health())
+				t.Fatalf("budget %d: append error %v, health %v", budget, err, s.Health())
 			}
 		}
 		if !failed {
@@ -146,7 +146,7 @@
 		b.faults.SetWriteBudget(0)
 		b.put(s, "after", "2", 0)
 		if s.Health() != nil {
-			t.Errorf("budget %d: %v", budget, s.Health())
+			t.Errorf("budget %d: health after space was freed: %v", budget, s.Health())
 		}
 		s.Close()
 		s = b.open()
@@ -460,7 +460,7 @@
 	defer s.Close()
 	for i := range 50 {
 		if r, ok, err := s.Get(recordlog.AtMostOnce, fmt.Sprint("k", i)); !ok || err != nil || string(r.Value) != fmt.Sprint("v", 450+i) {
-			t.Errorf("k%d: %q %t %v", i, r.Value, ok, err)
+			t.Errorf("k%d: value %q, found %t, error %v", i, r.Value, ok, err)
 		}
 	}
 }
