--- a/internal/broker/server/admin_policy.go
+++ b/internal/broker/server/admin_policy.go
@@ -8,11 +8,12 @@
 	"strconv"
 )
 
-// rolloutMetrics are the metrics of the agreement on the policy; zero before the policy node is open, and where it does not answer.
+// rolloutMetrics returns the metrics of the policy rollout. It returns the zero value before the
+// policy node is open, and only the traffic metrics when the node does not answer.
 func (g *Gatherer) rolloutMetrics() (f adminapi.RolloutMetrics) {
 	p := g.policyNode.Load()
 	if p == nil {
-		return f // it is not open yet
+		return f // not open yet
 	}
 	yes := map[bool]int64{true: 1}
 	got := make(chan adminapi.RolloutMetrics, 1)
@@ -27,10 +28,12 @@
 		f = <-got
 	}
 	f.Traffic = trafficMetrics(p.Traffic())
-	return f // 0 where the node did not answer
+	return f
 }
 
-// Policy appends the policy's state: a line for this gatherer, the members, the decisions, and on the leader a line for each lease it has granted.
+// Policy appends the state of the policy rollout: one line for this gatherer, one for each member and
+// each decision and, on the leader, one for each lease that it has granted. It returns nil when there
+// is no policy node or the node is closed.
 func (d adminProgram) Policy(dst []byte) []byte {
 	p := d.policyNode()
 	if p == nil {
@@ -75,7 +78,9 @@
 	return append(dst, <-got...)
 }
 
-// appendRegion appends how this gatherer's region stands with the others. Decisions beyond a partition are not known: behind is at least so much.
+// appendRegion appends the line with the state of this gatherer's region relative to the global
+// agreement. Decisions made on the other side of a network partition are unknown here, so that behind
+// is a lower bound.
 func appendRegion(dst []byte, n *rollout.Node, r rollout.RegionStatus, now int64) []byte {
 	statusAge := int64(-1)
 	if r.StatusAge >= 0 {
@@ -83,14 +88,15 @@
 	}
 	reason := r.Reason
 	if r.IsolatedFor > 0 && reason == "" {
-		reason = "no lease: the voters of the global agreement are not reached, or not a majority of them"
+		reason = "no lease: a majority of the voters of the global agreement cannot be reached"
 	}
 	return fmt.Appendf(dst, "region name=%s number=%d newest=%d behind=%d apart=%t apart_ms=%d lease_ms=%d asked_ms=%d global_leader=%s global_leads=%t global_votes=%t global_open=%d reason=%s\n",
 		r.Name, r.Number, r.Newest, r.Newest-r.Number, r.IsolatedFor > 0, r.IsolatedFor/1000, max(0, r.LeaseUntil-now)/1000, statusAge, r.Leader, n.IsGlobalLeader(), n.HasGlobalVote(), n.GlobalOpenAttempt(), strconv.Quote(reason))
 }
 
-// appendDecisions appends the decisions: without regions all that a voter knows; with them those of the global agreement where this gatherer votes in
-// it, else those of its region, and in both cases changes of the region's voters.
+// appendDecisions appends one line for each decision. Without regions these are all decisions that
+// this voter knows. With regions they are those of the global agreement if this gatherer votes in it,
+// otherwise those of its region; changes of the region's voters are included in both cases.
 func appendDecisions(dst []byte, n *rollout.Node, r rollout.RegionStatus, hasRegions bool) []byte {
 	appendAll := func(all []*wire.Decision, region string, include func(*wire.Decision) bool) {
 		for _, x := range all {
@@ -113,7 +119,8 @@
 	return dst
 }
 
-// millisecondsSinceSeen is how long ago a lease holder last requested something of this leader; -1: never.
+// millisecondsSinceSeen returns the time since a lease holder's last request to this leader, or -1 if
+// there was none.
 func millisecondsSinceSeen(x rollout.Grant, now int64) int64 {
 	if x.LastSeen == 0 {
 		return -1
@@ -121,7 +128,9 @@
 	return (now - x.LastSeen) / 1000
 }
 
-// PolicyText appends the document in force, or the one before it, which voters know; empty where there is none, nil where there is no policy node.
+// PolicyText appends the text of the policy in force or, with previous, of the version before it, which
+// only voters have. The result is empty when there is no such version, and nil when there is no policy
+// node or it is closed.
 func (d adminProgram) PolicyText(dst []byte, previous bool) []byte {
 	p := d.policyNode()
 	if p == nil {
--- a/internal/broker/server/admin_program.go
+++ b/internal/broker/server/admin_program.go
@@ -11,22 +11,22 @@
 	"strings"
 )
 
-// adminProgram is what the admin endpoint's calls act on; it implements adminapi.Program.
+// adminProgram implements adminapi.Program, on which the calls of the admin endpoint act.
 type adminProgram struct {
 	*adminapi.Lifecycle
 	*adminapi.Metrics
-	routes *transport.Routes
-	output *logging.Output
-	engine *transport.Engine
-	// members is the view of the fleet; nil before it is opened, or where there is none.
-	fleetView  func() *fleetView
-	policyNode func() *peering.PolicyNode // nil where there is none
+	routes     *transport.Routes
+	output     *logging.Output
+	engine     *transport.Engine
+	fleetView  func() *fleetView          // returns nil before the view is open, and without a fleet
+	policyNode func() *peering.PolicyNode // returns nil without a policy node
 }
 
-// maxListedTeams bounds the teams that the call contracts lists.
+// maxListedTeams is the maximum number of teams in the answer to the call contracts.
 const maxListedTeams = 1000
 
-// Contracts appends each team's state, a line each; nil where there are no contracts.
+// Contracts appends one line with the state of each team. It appends nothing when there are no
+// contracts.
 func (d adminProgram) Contracts(dst []byte) []byte {
 	for _, team := range d.engine.Accounts(maxListedTeams) {
 		dst = appendTeam(dst, team)
@@ -34,21 +34,22 @@
 	return dst
 }
 
-// appendTeam appends the line of one team. Operators' tools read its names: queued is the queue now, waited how many queries were ever queued.
+// appendTeam appends the line of one team. Operators' tools parse its field names: queued is the
+// present length of the queue, waited the number of queries that were ever queued.
 func appendTeam(dst []byte, a admission.TeamStatus) []byte {
 	return fmt.Appendf(dst, "team %s share=%.4f queued=%d out=%d asked=%d started=%d waited=%d ahead=%d full=%d class=%d expired=%d predicted_us=%.0f took_us=%.0f lent_us=%.0f attempts=%d budget=%.2f limit=%d ratio=%.3f\n",
 		a.Team, a.Fraction, a.Queued, a.Out, a.Requested, a.Started, a.QueuedTotal, a.RejectedBacklog, a.RejectedQueueFull, a.RejectedClass, a.Expired, a.Predicted, a.Consumed, a.Borrowed, a.Attempts, a.Budget, a.Limit, a.Ratio)
 }
 
-// SetLogLevel changes the lowest level that is logged.
+// SetLogLevel sets the minimum level of log lines.
 func (d adminProgram) SetLogLevel(level string) error {
 	if d.output == nil {
-		return errors.New("this program's log can't be changed")
+		return errors.New("set log level: the log of this program is not configurable")
 	}
 	return d.output.SetLevel(level)
 }
 
-// Layout appends the state of the layout; nil where there is none.
+// Layout appends the state of the layout. It returns nil when no layout is configured.
 func (d adminProgram) Layout(dst []byte) []byte {
 	if d.routes == nil {
 		return nil
@@ -56,7 +57,8 @@
 	return d.routes.AppendStatus(dst)
 }
 
-// Fleet appends the view of the fleet: a line of its own, then one for each member. Nil where there is none.
+// Fleet appends the view of the fleet: one line with its totals, then one for each member. It returns
+// nil when there is no view.
 func (d adminProgram) Fleet(dst []byte) []byte {
 	m := d.fleetView()
 	if m == nil {
@@ -75,7 +77,7 @@
 	return dst
 }
 
-// Forget treats a failed member as one that has left.
+// Forget marks a failed member as having left the fleet.
 func (d adminProgram) Forget(name string) error {
 	if m := d.fleetView(); m != nil {
 		return m.peers.Forget(name)
@@ -83,7 +85,7 @@
 	return errNoFleet
 }
 
-// LeaveFleet has this gatherer leave its fleet until it is started again.
+// LeaveFleet makes this gatherer leave its fleet until the process is restarted.
 func (d adminProgram) LeaveFleet() error {
 	if m := d.fleetView(); m != nil {
 		return m.peers.Leave()
--- a/internal/broker/server/admin_program_test.go
+++ b/internal/broker/server/admin_program_test.go
@@ -7,8 +7,8 @@
 	"github.com/matryer/is"
 )
 
-// Each figure of the call contracts is the one of its name.
-func TestLineOfATeam(t *testing.T) {
+// Each field of a team's line has the value of the counter that its name stands for.
+func TestAppendTeam_FieldNames(t *testing.T) {
 	is := is.New(t)
 	status := admission.TeamStatus{
 		Team: "estudio", Fraction: 0.25, Budget: 12.5, Limit: 80, Queued: 1, Out: 2, Ratio: 1.5,
--- a/internal/broker/server/bugs.go
+++ b/internal/broker/server/bugs.go
@@ -7,5 +7,6 @@
 	"saffronquay/internal/cluster/swim"
 )
 
-// seedBugs does nothing in a normal build. With the build tag seeded it injects faults, to show that soak tests find them.
+// seedBugs does nothing in a normal build. With the build tag seeded it injects known bugs, which
+// shows whether the soak tests detect them.
 func seedBugs(*swim.Config, *rollout.Config) {}
--- a/internal/broker/server/bugs_seeded.go
+++ b/internal/broker/server/bugs_seeded.go
@@ -9,7 +9,8 @@
 	"strings"
 )
 
-// seedBugs injects the faults that SAFFRONQUAY_SEEDED_BUG names, separated by commas. Either configuration may be nil.
+// seedBugs injects the bugs listed in SAFFRONQUAY_SEEDED_BUG, separated by commas. Either configuration
+// may be nil.
 func seedBugs(f *swim.Config, r *rollout.Config) {
 	for _, name := range strings.Split(os.Getenv("SAFFRONQUAY_SEEDED_BUG"), ",") {
 		switch {
--- a/internal/broker/server/durable.go
+++ b/internal/broker/server/durable.go
@@ -23,17 +23,18 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// durableState is what outlasts the process: the store, and what the gatherer keeps there. Its run goroutine saves what was learnt and owns storedLayout;
-// the mutex guards failing. It is nil where no store is set up.
+// durableState is the state that survives a restart of the process: the store and the gatherer's
+// records in it. Its run goroutine saves the statistics of servers and tenants and owns storedLayout;
+// the mutex guards failing. A nil *durableState means that no store is configured.
 type durableState struct {
 	cfg         config.Store
-	name        string // the gatherer's
+	name        string // of the gatherer
 	log         *slog.Logger
 	dirs        [2]recordlog.Dir
-	store       *recordlog.Store // nil: it could not be opened, and the file allows that
+	store       *recordlog.Store // nil: it could not be opened, and the configuration allows that
 	idempotency *idempotency.Tracker
-	cursorKey   []byte      // what seals cursors
-	lastLayout  *layout.Doc // the layout that was in force last
+	cursorKey   []byte      // authenticates cursors
+	lastLayout  *layout.Doc // the layout in force when the previous process ended
 	memory      transport.Memory
 	cursorMarks []pagination.Record
 
@@ -41,23 +42,25 @@
 	started      bool
 	closeOnce    sync.Once
 	mu           sync.Mutex
-	storedLayout *layout.Layout // the layout that is in the store
-	failing      bool
+	storedLayout *layout.Layout // the layout saved last
+	failing      bool           // the last append has failed
 }
 
 const (
-	takeoverFile          = "wanted" // a file that requests the store from its owner
+	takeoverFile          = "wanted" // the file by which a process requests the store from its owner
 	takeoverCheckInterval = 50 * time.Millisecond
-	saveInterval          = time.Second                // how often what was learnt is saved
-	yieldTimeout          = 10 * time.Second           // that open queries have to end before the store is closed
-	learnedRetention      = 24 * time.Hour             // how long a record of what was learnt is valid
-	scrubInterval         = 10 * time.Second           // how often one segment's copies are compared
+	saveInterval          = time.Second                // between two saves of the statistics
+	releaseTimeout        = 10 * time.Second           // for open queries to end before the store is closed
+	statisticsRetention   = 24 * time.Hour             // of the record of the statistics
+	scrubInterval         = 10 * time.Second           // between two comparisons of a segment's copies
 	takeoverRepeatTimeout = 10 * takeoverCheckInterval // within which a waiting process repeats its request
-	ownerFile             = "owner"                    // has the name of the gatherer that the store belongs to
+	ownerFile             = "owner"                    // contains the name of the gatherer that owns the store
 )
 
-// openDurable opens the store. It waits for the process that has it, cfg.Takeover at most, and then takes it over. Nothing is served before. Where the
-// store cannot be opened and the file allows to start without it, the result has no store.
+// openDurable opens the store and loads the gatherer's records from it. If another process has the
+// store, it waits for that process to release it, at most for cfg.Takeover, and then takes the store
+// over; the gatherer serves nothing until then. If the store cannot be opened and cfg.Without allows
+// starting without it, the store of the result is nil.
 func openDurable(cfg config.Store, name string, logger *slog.Logger) (*durableState, error) {
 	d := &durableState{cfg: cfg, name: name, log: logger, stop: make(chan struct{}), done: make(chan struct{})}
 	began := time.Now()
@@ -65,26 +68,27 @@
 	if err != nil {
 		for i, dir := range d.dirs {
 			if dir != nil {
-				err = fmt.Errorf("%w; copy %d lies in %s", err, i+1, dir)
+				err = fmt.Errorf("%w (copy %d is in %s)", err, i+1, dir)
 			}
 		}
 		if !cfg.Without {
-			return nil, fmt.Errorf("%w: look at it with 'saffronquay store check %s %s', and see docs/STORE.md", err, cfg.Directories[0], cfg.Directories[1])
+			return nil, fmt.Errorf("%w: to inspect the store run 'saffronquay store check %s %s'; see docs/STORE.md", err, cfg.Directories[0], cfg.Directories[1])
 		}
-		logging.Error(logger, logging.StoreOff, "classes", "those that must not run twice are turned away", "error", err)
+		logging.Error(logger, logging.StoreOff, "classes", "at-most-once classes are rejected", "error", err)
 		return d, nil
 	}
 	d.idempotency = idempotency.NewTracker(d.store, idempotency.Config{Retention: cfg.Keep.Microseconds(), MaxBody: cfg.MaxAnswer, Nonce: randomID()})
-	if err := d.recall(); err != nil {
+	if err := d.load(); err != nil {
 		d.store.Close()
-		return nil, fmt.Errorf("store: %w", err)
+		return nil, fmt.Errorf("store: load records: %w", err)
 	}
 	bytes, keys := d.store.Size()
 	logging.Info(logger, logging.Store, "bytes", bytes, "keys", keys, "unknown", len(d.store.LostSpans()), "took", time.Since(began).Round(time.Millisecond))
 	return d, nil
 }
 
-// open opens the store's directories and the store, and requests that a process that has it yields.
+// open opens the directories of the store and the store itself. It requests the store from a process
+// that has it open.
 func (d *durableState) open() (err error) {
 	for i, path := range d.cfg.Directories {
 		if d.dirs[i], err = recordlog.Directory(path); err != nil {
@@ -109,11 +113,13 @@
 			if err == nil && late {
 				logging.Warn(d.log, logging.StoreTakenOver, "waited", d.cfg.Takeover)
 			}
-			_ = d.dirs[0].Remove(takeoverFile) // usually it is not there; one that stays is not repeated, and so is no request
+			// The file usually does not exist. If it remains, it is not created again and so is not
+			// taken for a request.
+			_ = d.dirs[0].Remove(takeoverFile)
 			return err
 		}
 		if late {
-			return err // another process has taken it over at the same moment
+			return err // another process took the store over at the same time
 		}
 		if !logged {
 			logged = true
@@ -126,8 +132,9 @@
 	}
 }
 
-// claimDirectories checks that the store belongs to this gatherer, and marks a new one. It guards one gatherer's store against another one that is set
-// up with its directories by mistake and would take it over.
+// claimDirectories checks that the store belongs to this gatherer, and records the owner in a new
+// store. This prevents a gatherer that is configured with another gatherer's directories by mistake
+// from taking over that gatherer's store.
 func (d *durableState) claimDirectories() error {
 	var other string
 	ours := false
@@ -138,24 +145,25 @@
 		case err == nil && string(name) == d.name:
 			ours = true
 		case err == nil:
-			other = fmt.Sprintf("%s names gatherer %q, and this is %q", file, name, d.name)
+			other = fmt.Sprintf("%s names gatherer %q, this gatherer is %q", file, name, d.name)
 		case !errors.Is(err, fs.ErrNotExist):
-			return fmt.Errorf("store: %w", err)
+			return fmt.Errorf("store: read owner: %w", err)
 		case i == 1 && !ours && other != "": // a copy of another gatherer's store
 		default:
 			if err := os.WriteFile(file, []byte(d.name), 0o600); err != nil {
-				return fmt.Errorf("store: %w", err)
+				return fmt.Errorf("store: write owner: %w", err)
 			}
 		}
 	}
 	if other != "" && !ours {
-		return fmt.Errorf("store: it belongs to another gatherer: %s", other)
+		return fmt.Errorf("store: directories belong to another gatherer: %s", other)
 	}
 	return nil
 }
 
-// takeoverRequested reports whether a process waits for the store now: such a process makes the file again after it was removed. One that has ended does
-// not.
+// takeoverRequested reports whether another process is waiting for the store. It removes the request
+// file and checks that it is created again: a waiting process does so within takeoverRepeatTimeout, a
+// process that has exited does not.
 func (d *durableState) takeoverRequested() bool {
 	if ok, err := d.dirs[0].Exists(takeoverFile); err != nil || !ok {
 		return false
@@ -171,13 +179,14 @@
 	return false
 }
 
-// start begins to save what is learnt.
+// start starts the goroutine that saves the statistics and the layout.
 func (d *durableState) start(engine *transport.Engine, place *layout.Current) {
 	d.started = true
 	go d.run(engine, place)
 }
 
-// run saves what is learnt, and yields the store to a process that waits for it, until close.
+// run saves the statistics and the layout periodically until close. It returns earlier if another
+// process requests the store, which it then releases.
 func (d *durableState) run(engine *transport.Engine, place *layout.Current) {
 	defer close(d.done)
 	ticker := time.NewTicker(takeoverCheckInterval)
@@ -186,27 +195,27 @@
 	for {
 		select {
 		case <-d.stop:
-			d.saveLearned(engine, place)
+			d.saveState(engine, place)
 			return
 		case <-ticker.C:
 		}
 		if d.takeoverRequested() {
-			d.saveLearned(engine, place)
-			d.yield()
+			d.saveState(engine, place)
+			d.releaseStore()
 			return
 		}
 		if time.Since(lastSaved) >= saveInterval {
 			lastSaved = time.Now()
-			d.saveLearned(engine, place)
+			d.saveState(engine, place)
 		}
 	}
 }
 
-// saveLearned saves what is known of servers and tenants now, and the layout where it has changed.
-func (d *durableState) saveLearned(engine *transport.Engine, place *layout.Current) {
+// saveState saves the present statistics of servers and tenants, and the layout if it has changed.
+func (d *durableState) saveState(engine *transport.Engine, place *layout.Current) {
 	if m, ok := engine.ExportMemory(); ok {
-		if value, err := marshalLearned(m); err == nil {
-			d.appendRecord(recordlog.Record{Kind: recordlog.Learned, Value: value, ExpiresAt: d.store.Now() + learnedRetention.Microseconds()})
+		if value, err := marshalStatistics(m); err == nil {
+			d.appendRecord(recordlog.Record{Kind: recordlog.Learned, Value: value, ExpiresAt: d.store.Now() + statisticsRetention.Microseconds()})
 		}
 	}
 	l := place.Load()
@@ -222,10 +231,11 @@
 	}
 }
 
-// yield closes the store when the open queries that need it have ended, or after yieldTimeout. From here on queries that must not run twice are rejected.
-func (d *durableState) yield() {
+// releaseStore closes the store when the open at-most-once queries have ended, or after releaseTimeout.
+// New at-most-once queries are rejected from the moment of the call.
+func (d *durableState) releaseStore() {
 	d.idempotency.StopAccepting()
-	timeout := time.NewTimer(yieldTimeout)
+	timeout := time.NewTimer(releaseTimeout)
 	defer timeout.Stop()
 	check := time.NewTicker(takeoverCheckInterval / 5)
 	defer check.Stop()
@@ -242,7 +252,8 @@
 	logging.Info(d.log, logging.StoreYielded, "open", d.idempotency.OpenQueries())
 }
 
-// close stops run, which saves a last time, and closes the store. It may be called more than once, and on nil.
+// close stops run, which saves one last time, and closes the store. It may be called more than once,
+// and on a nil receiver.
 func (d *durableState) close() {
 	if d == nil || d.store == nil {
 		return
@@ -255,7 +266,7 @@
 	})
 }
 
-// metrics are the store's metrics.
+// metrics returns the metrics of the store, which must be open.
 func (d *durableState) metrics() adminapi.StoreMetrics {
 	bytes, keys := d.store.Size()
 	f := d.store.Metrics()
--- a/internal/broker/server/durable_records.go
+++ b/internal/broker/server/durable_records.go
@@ -18,15 +18,16 @@
 	sq "saffronquay"
 )
 
-// recall reads what the process before has saved. A layout or cursor that cannot be parsed counts as absent.
-func (d *durableState) recall() error {
+// load reads the records that the previous process has saved, and creates the cursor key if there is
+// none. A layout, statistics or cursor that cannot be parsed counts as absent.
+func (d *durableState) load() error {
 	if r, ok, err := d.store.Get(recordlog.CursorKey, ""); err != nil {
 		return err
 	} else if ok {
 		d.cursorKey = r.Value
 	} else {
 		d.cursorKey = make([]byte, 32)
-		rand.Read(d.cursorKey) // it never fails
+		rand.Read(d.cursorKey) // never fails
 		if err := d.store.Append(recordlog.Record{Kind: recordlog.CursorKey, Value: d.cursorKey}, nil); err != nil {
 			return err
 		}
@@ -44,7 +45,7 @@
 	if r, ok, err := d.store.Get(recordlog.Learned, ""); err != nil {
 		return err
 	} else if ok {
-		d.memory = parseLearned(r.Value)
+		d.memory = parseStatistics(r.Value)
 	}
 	return d.store.Each(recordlog.Cursor, func(r recordlog.Record) {
 		var f form.Cursor
@@ -54,11 +55,13 @@
 	})
 }
 
-// Learned parses the record of what was learnt of servers; one that cannot be parsed yields the zero value.
-func Learned(value []byte) sq.Learned { return parseLearned(value).Learned }
+// Learned parses the statistics of servers from the value of a stored record. It returns the zero value
+// if the value cannot be parsed.
+func Learned(value []byte) sq.Learned { return parseStatistics(value).Learned }
 
-// parseLearned parses the record of what was learnt; one that cannot be parsed yields the zero value.
-func parseLearned(value []byte) (m transport.Memory) {
+// parseStatistics parses the value of the record of the statistics of servers and tenants. It returns
+// the zero value if the value cannot be parsed.
+func parseStatistics(value []byte) (m transport.Memory) {
 	var f form.Learned
 	if proto.Unmarshal(value, &f) != nil {
 		return m
@@ -77,8 +80,8 @@
 	return m
 }
 
-// marshalLearned makes the record of what was learnt.
-func marshalLearned(m transport.Memory) ([]byte, error) {
+// marshalStatistics returns the value of the record that parseStatistics parses.
+func marshalStatistics(m transport.Memory) ([]byte, error) {
 	f := &form.Learned{Admission: m.Learned.Admission, Suspects: m.Learned.Suspects}
 	for _, s := range m.Learned.Servers {
 		f.Servers = append(f.Servers, &form.Server{Id: string(s.Server), Pace: s.LatencyRatio, PaceAt: s.LatencyRatioAt, Fails: s.Failures, Tries: s.Attempts, At: s.CountedAt})
@@ -89,7 +92,8 @@
 	return proto.Marshal(f)
 }
 
-// newestLayout is the layout to begin with: the file's, or the stored one where that is a later one of the same history and names known servers only.
+// newestLayout returns the layout to start with: the stored one if it belongs to the same history as
+// the configured one, has a higher epoch and names only known servers, otherwise the configured one.
 func (d *durableState) newestLayout(file layout.Doc, servers []sq.ServerID) layout.Doc {
 	if d == nil || d.lastLayout == nil || d.lastLayout.History != file.History || d.lastLayout.Epoch <= file.Epoch {
 		return file
@@ -105,7 +109,8 @@
 	return *d.lastLayout
 }
 
-// trackCursors restores the saved cursors into a registry, and saves its changes from now on.
+// trackCursors restores the saved cursors into a registry, and saves the registry's changes from
+// then on.
 func (d *durableState) trackCursors(k *pagination.Registry, now int64) {
 	if d == nil || d.store == nil || k == nil {
 		return
@@ -120,12 +125,14 @@
 			return
 		}
 		key := binary.BigEndian.AppendUint64([]byte(m.Tenant+"\x00"), m.Nonce)
-		// Until is Unix time, the store's clock is not: a record lasts as long as the cursor does.
+		// The record expires with the cursor. Until is Unix time, whereas the store's clock starts with
+		// the process, so the remaining time is converted.
 		d.appendRecord(recordlog.Record{Kind: recordlog.Cursor, Key: string(key), Value: value, ExpiresAt: d.store.Now() + max(1, m.Until-time.Now().UnixMicro())})
 	})
 }
 
-// appendRecord hands a record to the store and does not wait for the disk; false where the store has rejected it.
+// appendRecord passes a record to the store and does not wait until it is on disk. It reports whether
+// the store has accepted the record.
 func (d *durableState) appendRecord(r recordlog.Record) bool {
 	err := d.store.Append(r, d.recordFailure)
 	if err != nil {
@@ -134,7 +141,8 @@
 	return err == nil
 }
 
-// recordFailure logs a failed append, once until an append succeeds again.
+// recordFailure takes the result of an append; nil means success. Of a series of failures it logs the
+// first one only.
 func (d *durableState) recordFailure(err error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -144,7 +152,8 @@
 	d.failing = err != nil
 }
 
-// storedPolicy is the policy in force at the end of the process before; nil where there is none.
+// storedPolicy returns the policy that was in force when the previous process ended, or nil if there is
+// none.
 func (d *durableState) storedPolicy() []byte {
 	if d == nil || d.store == nil {
 		return nil
--- a/internal/broker/server/event_loop.go
+++ b/internal/broker/server/event_loop.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// event is what the gatherer's goroutine has met, where the caller of handleNext must act on it.
+// event is the result of handleNext: an event on which the caller must act, or eventHandled.
 type event int
 
 const (
-	eventHandled event = iota // nothing is left to do
+	eventHandled event = iota // the caller has nothing to do
 	eventListenerEnded
 	eventStop
-	eventCheck     // it is time to check whether the gatherer is idle
+	eventCheck     // the caller must check whether the gatherer is idle
 	eventGraceOver // from now on every query must end before the platform kills the process
 )
 
-// run handles events until Stop, or until the listener fails.
+// run handles events until Stop is called or the listener fails.
 func (g *Gatherer) run() {
 	defer close(g.ended)
 	defer g.durable.close()
@@ -24,9 +24,9 @@
 		defer g.quotas.tick.Stop()
 	}
 	for {
-		switch met, err := g.handleNext(nil, nil); met {
+		switch ev, err := g.handleNext(nil, nil); ev {
 		case eventListenerEnded:
-			g.failure = fmt.Errorf("accept: %w", err)
+			g.failure = fmt.Errorf("accept clients: %w", err)
 			return
 		case eventStop:
 			g.shutDown()
@@ -35,8 +35,10 @@
 	}
 }
 
-// handleNext waits for the next event and handles it. While the gatherer shuts down check and graceOver are given: then it handles what must go on while
-// queries are in flight (leases, numbers, the file), and leaves alone what would begin something new.
+// handleNext waits for the next event and handles it. During a shutdown, check and graceOver are not
+// nil. It then handles only the events that queries in flight depend on (leases, quotas, fleet size,
+// the configuration file) and ignores those that would start something new (the VRRP election, a view
+// of the fleet).
 func (g *Gatherer) handleNext(check, graceOver <-chan time.Time) (event, error) {
 	ending := check != nil
 	standby, late, stop := g.standbyChanged, g.lateFleetView, g.stopRequested
@@ -46,15 +48,15 @@
 	select {
 	case err := <-g.listenerEnded:
 		return eventListenerEnded, err
-	case <-g.reloadRequested: // also while ending: the watch may move, and queries in flight need it
+	case <-g.reloadRequested: // also during a shutdown: discovery may move, and queries in flight need it
 		g.reloadFile()
 	case others := <-g.siblingStates:
 		g.adjustToSiblings(others)
 		if g.electionPending && !ending {
-			_ = g.competeForAddress() // it logs its error and leaves electionPending set
+			_ = g.updateElection() // logs its error and leaves electionPending set
 		}
 	case <-standby:
-		_ = g.competeForAddress() // it logs its error and leaves electionPending set
+		_ = g.updateElection() // logs its error and leaves electionPending set
 		g.fleetView.updateMetadata(g.fleetMetadata)
 	case x := <-g.installs:
 		g.install(x)
--- a/internal/broker/server/fleet_view.go
+++ b/internal/broker/server/fleet_view.go
@@ -15,24 +15,25 @@
 
 var errNoFleet = errors.New("no view of a fleet is set up")
 
-// fleetView is this gatherer's view of its fleet, and the number that budgets are divided by. Updates of the view arrive on the peering goroutine and go
-// through counts; currentDivisor may be read anywhere; the other fields belong to the gatherer's goroutine.
+// fleetView is this gatherer's view of its fleet, and the number of gatherers by which budgets are
+// divided. The peering goroutine sends updates of the view through counts. currentDivisor may be read
+// from any goroutine; the other fields belong to the gatherer's goroutine.
 type fleetView struct {
 	peers           *peering.Peers
-	counts          chan memberCount // the newest
+	counts          chan memberCount // has the newest count only
 	divisorFollower swim.Divisor
-	effectiveSize   int          // 0: no other member was met yet, and the file's number applies
-	currentDivisor  atomic.Int64 // 0: the file's number applies
+	effectiveSize   int          // 0: no contact with another member yet, the configured number applies
+	currentDivisor  atomic.Int64 // 0: the configured number applies
 	stepTimer       *time.Timer
 }
 
-// memberCount is the newest size of the fleet. joined is false until another member was met.
+// memberCount is the size of the fleet. joined is false until there was contact with another member.
 type memberCount struct {
 	effectiveSize int
 	joined        bool
 }
 
-// programVersion is the build that members report to each other.
+// programVersion returns the revision of this build, which members publish to each other.
 func programVersion() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
@@ -46,8 +47,9 @@
 	return strings.Trim(info.Main.Version, "()")
 }
 
-// joinFleet opens the view and begins to take part. Where the process that this one replaces still has the address, it tries again in the background
-// while the gatherer serves, and hands the view to the gatherer's goroutine when the address is free.
+// joinFleet opens the view of the fleet and joins the fleet. If the process that this one replaces
+// still has the address, joinFleet retries in the background while the gatherer serves, and passes the
+// view to the gatherer's goroutine when the address is free.
 func (g *Gatherer) joinFleet() error {
 	f := g.fleetFile
 	if f == nil {
@@ -96,7 +98,8 @@
 	return nil
 }
 
-// startFleetView has the view run. The gatherer's goroutine calls it, or Start before that goroutine runs.
+// startFleetView starts the view. It is called on the gatherer's goroutine, or by Start before that
+// goroutine runs.
 func (g *Gatherer) startFleetView(m *fleetView) {
 	g.fleetView = m
 	g.publishedFleetView.Store(m)
@@ -104,7 +107,8 @@
 	m.peers.SetMetadata(g.fleetMetadata)
 }
 
-// fleetMetadata updates what this gatherer publishes of itself in the view.
+// fleetMetadata returns f with the fields that this gatherer publishes of itself set to their present
+// values.
 func (g *Gatherer) fleetMetadata(f swim.Metadata) swim.Metadata {
 	_, state := g.lifecycle.Status()
 	f.Draining, f.Standby = state == "leaving", state == "standby" || g.isStandby()
@@ -115,7 +119,8 @@
 	return f
 }
 
-// receive keeps the newest count for the gatherer's goroutine. It does not block.
+// receive passes the newest count to the gatherer's goroutine, replacing an older one that was not yet
+// read. It does not block. It must not be called concurrently.
 func (m *fleetView) receive(_, effectiveSize int, joined bool) {
 	select {
 	case <-m.counts:
@@ -124,7 +129,7 @@
 	m.counts <- memberCount{effectiveSize, joined}
 }
 
-// updates is where counts arrive; nil where there is no view.
+// updates returns the channel of new counts; nil without a view.
 func (m *fleetView) updates() <-chan memberCount {
 	if m == nil {
 		return nil
@@ -132,7 +137,8 @@
 	return m.counts
 }
 
-// divisorDue fires when the divisor may take its next step; nil where there is no view.
+// divisorDue returns the channel that fires when the divisor may take its next step; nil without a
+// view.
 func (m *fleetView) divisorDue() <-chan time.Time {
 	if m == nil {
 		return nil
@@ -140,8 +146,8 @@
 	return m.stepTimer.C
 }
 
-// applyMemberCount takes a new count in. Until another member was met the file's numbers apply: a gatherer that starts alone must not take every budget
-// for its own.
+// applyMemberCount applies a new size of the fleet. Until there was contact with another member the
+// configured numbers apply: a gatherer that starts in isolation must not use the whole of every budget.
 func (g *Gatherer) applyMemberCount(c memberCount) {
 	if c.joined {
 		g.fleetView.effectiveSize = c.effectiveSize
@@ -149,7 +155,7 @@
 	}
 }
 
-// updateDivisor moves the divisor towards the size of the fleet, and puts it in force.
+// updateDivisor moves the divisor towards the size of the fleet and applies it to the engine.
 func (g *Gatherer) updateDivisor() {
 	m := g.fleetView
 	n, next := m.divisorFollower.Update(g.clock.Now(), m.effectiveSize)
@@ -161,11 +167,11 @@
 	}
 	m.currentDivisor.Store(int64(n))
 	logging.Info(g.logger, logging.PeersReckon, "members", m.effectiveSize, "divide", n)
-	g.engine.Reconfigure(g.coreTerms(), g.moduleSettings(), g.poolConfig(), g.dialect)
+	g.engine.Reconfigure(g.coreConfig(), g.moduleSettings(), g.poolConfig(), g.dialect)
 	g.engine.SetContracts(g.dividedContracts())
 }
 
-// divisor is the number that budgets are divided by; 0: the file's number applies.
+// divisor returns the number by which budgets are divided; 0 means that the configured number applies.
 func (m *fleetView) divisor() int {
 	if m == nil {
 		return 0
@@ -173,29 +179,29 @@
 	return int(m.currentDivisor.Load())
 }
 
-// leave leaves the fleet; the other members are notified before it returns.
+// leave leaves the fleet. The other members are notified before it returns.
 func (m *fleetView) leave() {
 	if m != nil {
 		m.peers.Stop()
 	}
 }
 
-// updateMetadata publishes this gatherer's metadata again.
-func (m *fleetView) updateMetadata(facts func(swim.Metadata) swim.Metadata) {
+// updateMetadata publishes the metadata that update returns.
+func (m *fleetView) updateMetadata(update func(swim.Metadata) swim.Metadata) {
 	if m != nil {
-		m.peers.SetMetadata(facts)
+		m.peers.SetMetadata(update)
 	}
 }
 
-// trafficMetrics are the metrics of one part of the control traffic.
+// trafficMetrics converts the counters of one kind of control traffic.
 func trafficMetrics(t peering.Traffic) adminapi.TrafficMetrics {
 	return adminapi.TrafficMetrics{Sent: t.Sent, Received: t.Received, SentBytes: t.SentBytes, ReceivedBytes: t.ReceivedBytes, QuotaBytes: t.QuotaBytes, Links: t.Links}
 }
 
-// metrics are the view's metrics; zero before it is open.
+// metrics returns the metrics of the view; the zero value before the view is open.
 func (m *fleetView) metrics() adminapi.FleetMetrics {
 	if m == nil {
-		return adminapi.FleetMetrics{} // it is not open yet
+		return adminapi.FleetMetrics{}
 	}
 	k := m.peers.Counts()
 	return adminapi.FleetMetrics{
--- a/internal/broker/server/force.go
+++ b/internal/broker/server/force.go
@@ -13,8 +13,9 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// ForceNewFleet makes the fleet that agrees on the policy anew out of one voter's store, while that gatherer does not run. With do false it changes
-// nothing and only reports what would be given up. See rollout.ForceNewFleet.
+// ForceNewFleet recreates the fleet that agrees on the policy from one voter's store. That gatherer
+// must not be running. If execute is false, nothing changes and the report lists what would be
+// lost. See rollout.ForceNewFleet.
 func ForceNewFleet(op config.Operator, execute bool, log *slog.Logger) (report rollout.ForceReport, err error) {
 	if op.Rollout == nil || op.Store == nil {
 		return report, errNoRollout
@@ -27,9 +28,9 @@
 	}
 	defer d.store.Close()
 	h := newPolicyHost(nil, d.store)
-	memory, err := h.recall()
+	memory, err := h.load()
 	if err != nil {
-		return report, fmt.Errorf("rollout: %w", err)
+		return report, fmt.Errorf("rollout: load records: %w", err)
 	}
 	identity := randomID() | 1
 	disk, report, err := rollout.ForceNewFleet(memory.Disk, memory.Current, op.Name, identity)
@@ -40,20 +41,22 @@
 	if err := proto.Unmarshal(disk.Snapshot.Data, &s); err != nil {
 		return report, err
 	}
-	// First the records under the new id, which are not in use yet; then the members and the identity that make them valid.
+	// The records under the new id are written first, since nothing uses them yet; then the members and
+	// the identity that make them valid.
 	if err := h.Save(&rollout.Save{ID: disk.ID, HardState: disk.HardState, Snapshot: disk.Snapshot}); err != nil {
-		return report, fmt.Errorf("rollout: %w", err)
+		return report, fmt.Errorf("rollout: save voter state: %w", err)
 	}
 	if err := h.Roster(&wire.State{Members: s.Members, MembersIndex: s.MembersIndex}); err != nil {
-		return report, fmt.Errorf("rollout: %w", err)
+		return report, fmt.Errorf("rollout: save members: %w", err)
 	}
 	if err := writeRecords(d.store, recordlog.Record{Kind: recordlog.Rollout, Key: keyIdentity, Value: binary.BigEndian.AppendUint64(nil, identity)}); err != nil {
-		return report, errors.Join(errors.New("rollout: the new identity is not on disk: do it again"), err)
+		return report, errors.Join(errors.New("rollout: save new identity failed: run the command again"), err)
 	}
-	// The vote in the global agreement belongs to the old identity and is dropped, as on a lost disk. This comes last: a voter that forgets its vote
-	// under an identity that is still known could vote twice.
+	// The vote in the global agreement belongs to the old identity and is dropped, as if the disk were
+	// lost. This must be the last step: a voter that loses its vote but keeps its identity could vote
+	// twice in one term.
 	if err := h.global.drop(); err != nil {
-		return report, errors.Join(errors.New("rollout: the vote in the global agreement is still there: do it again"), err)
+		return report, errors.Join(errors.New("rollout: remove vote of the global agreement failed: run the command again"), err)
 	}
 	return report, nil
 }
--- a/internal/broker/server/gatherer.go
+++ b/internal/broker/server/gatherer.go
@@ -15,52 +15,54 @@
 	"sync/atomic"
 )
 
-// Gatherer is one running gatherer: its components and what is in force. Start makes it.
+// Gatherer is a running gatherer: its components and the settings in force. Start creates it.
 //
-// One goroutine, run, owns every field that has no owner of its own. The mutex and the atomic fields guard what other goroutines read.
+// The goroutine run owns every field that no other comment assigns to another goroutine. Other
+// goroutines read only the atomic fields, the channels and the fields guarded by the mutex.
 type Gatherer struct {
 	Plan
 	logger             *slog.Logger
 	clock              transport.Clock
 	engine             *transport.Engine
-	watcher            *transport.Watcher       // nil: the list of servers is fixed
+	watcher            *transport.Watcher       // nil: the list of servers is static
 	routes             *transport.Routes        // nil: no layout
 	virtual            *virtualService          // nil: no virtual address
 	admin              *transport.AdminListener // the admin endpoint; nil: off
 	lifecycle          *adminapi.Lifecycle
 	metrics            *adminapi.Metrics
 	publishedFleetView atomic.Pointer[fleetView]          // the same as fleetView, for other goroutines
-	policyNode         atomic.Pointer[peering.PolicyNode] // takes part in the agreement on the policy; nil: there is none
+	policyNode         atomic.Pointer[peering.PolicyNode] // replicates the policy; nil: no rollout
 	quotas             *budgetQuotas                      // of the budgets; nil: these are divided evenly
-	policyNumber       atomic.Uint64                      // of the policy in force here
-	currentFile        atomic.Pointer[config.Operator]    // the file, with the policy in force
-	installs           chan installRequest                // documents to be put in force
-	siblings           *transport.StateExchange           // the other processes of this gatherer; nil: no socket is passed, so there are none
-	siblingStates      chan []handover.State              // what the siblings report
-	electionPending    bool                               // taking part in the VRRP election has failed
+	policyNumber       atomic.Uint64                      // version of the policy in force
+	currentFile        atomic.Pointer[config.Operator]    // the operator's file, with the policy in force
+	installs           chan installRequest                // policy documents to apply
+	siblings           *transport.StateExchange           // with the other processes of this gatherer; nil: no socket was passed
+	siblingStates      chan []handover.State              // reports of the siblings
+	electionPending    bool                               // joining the VRRP election has failed and is retried
 	siblingSockets     int                                // descriptors that the siblings use
-	fleetView          *fleetView                         // nil: there is no view
-	lateFleetView      chan *fleetView                    // a view whose address the replaced process has only now released
+	fleetView          *fleetView                         // nil: no view
+	lateFleetView      chan *fleetView                    // a view whose address the replaced process has just released
 	listenerEnded      chan error                         // the result of the listener's Serve
-	standbyChanged     chan struct{}                      // standby was begun or ended
+	standbyChanged     chan struct{}                      // signals that standby was set or cleared
 
-	clientAddress, adminAddress string        // of clients and operators
-	reloadRequested             chan struct{} // the file must be read again
-	stopRequested               chan struct{} // closed: shutdown must begin
+	clientAddress, adminAddress string        // bound addresses of the two listeners
+	reloadRequested             chan struct{} // signals that the file must be read again
+	stopRequested               chan struct{} // closed by Stop
 	stopOnce                    sync.Once
-	ended                       chan struct{} // closed: the gatherer has ended
-	loopStopped                 chan struct{} // closed: the gatherer's goroutine handles no more events
+	ended                       chan struct{} // closed when the gatherer has ended
+	loopStopped                 chan struct{} // closed when the gatherer's goroutine handles no more events
 	failure                     error         // why it ended without Stop; set before ended is closed
 
-	started []func() // stop what startComponents has started, in the order of the starts; used only where the start fails
+	started []func() // stop the components started so far, in start order; used only if the start fails
 
 	mu        sync.Mutex // guards listener and onStandby
 	listener  *transport.Listener
 	onStandby bool
 }
 
-// Start starts a gatherer by a plan and returns when it serves. output may be nil; otherwise it is what logger writes through, and the plan's log
-// format and level are set there. Stop ends what it has started.
+// Start starts a gatherer according to a plan and returns when it serves. If output is not nil, it must
+// be the output that logger writes to; the plan's log format and level are applied to it. After an
+// error everything that was started has been stopped.
 func Start(p Plan, logger *slog.Logger, output *logging.Output) (*Gatherer, error) {
 	p.logOutput = output
 	if err := p.applyLog(); err != nil {
@@ -79,7 +81,7 @@
 	return g, nil
 }
 
-// newGatherer returns a gatherer of which nothing is started.
+// newGatherer returns a gatherer with no component started.
 func newGatherer(p Plan, logger *slog.Logger) *Gatherer {
 	g := &Gatherer{
 		Plan: p, logger: logger, clock: transport.NewClock(), listenerEnded: make(chan error, 1),
@@ -100,7 +102,7 @@
 			if k := cursors.Load(); k != nil {
 				return k.CountOpen(clock.Now())
 			}
-			return 0 // a later file has no cursors
+			return 0 // a reloaded file has no cursors
 		}
 	}
 	if d := g.durable; d != nil && d.store != nil {
@@ -115,13 +117,14 @@
 	return g
 }
 
-// ClientAddress is the address at which clients connect.
+// ClientAddress returns the address of the client listener.
 func (g *Gatherer) ClientAddress() string { return g.clientAddress }
 
-// AdminAddress is the address of the admin endpoint; "off" where there is none.
+// AdminAddress returns the address of the admin endpoint, or "off" if there is none.
 func (g *Gatherer) AdminAddress() string { return g.adminAddress }
 
-// FleetAddress is the address at which other members reach this gatherer's view of the fleet; empty where there is none.
+// FleetAddress returns the address at which the other members of the fleet reach this gatherer, or the
+// empty string if the view of the fleet is not open.
 func (g *Gatherer) FleetAddress() string {
 	if m := g.publishedFleetView.Load(); m != nil {
 		return m.peers.Address().String()
@@ -129,7 +132,7 @@
 	return ""
 }
 
-// PolicyAddress is the address at which this gatherer takes part in the agreement on the policy; not valid where it does not.
+// PolicyAddress returns the address of the policy node, or the zero AddrPort if there is none.
 func (g *Gatherer) PolicyAddress() netip.AddrPort {
 	if p := g.policyNode.Load(); p != nil {
 		return p.Address()
@@ -137,8 +140,8 @@
 	return netip.AddrPort{}
 }
 
-// MemberCounts returns how many members this gatherer sees alive, and the fleet size that it counts with. Both are 0 where it keeps no view, or the view
-// is not yet open.
+// MemberCounts returns the number of members that this gatherer sees alive, and the effective size of
+// the fleet. Both are 0 if the view of the fleet is not open.
 func (g *Gatherer) MemberCounts() (alive, effectiveSize int) {
 	if m := g.publishedFleetView.Load(); m != nil {
 		k := m.peers.Counts()
@@ -147,22 +150,24 @@
 	return 0, 0
 }
 
-// Reload requests that the file is read again. It does not wait, and works also while the gatherer shuts down.
+// Reload requests that the configuration file is read again. It does not wait, and also has an effect
+// during a shutdown.
 func (g *Gatherer) Reload() {
 	select {
 	case g.reloadRequested <- struct{}{}:
-	default: // one is due anyway
+	default: // a reload is already pending
 	}
 }
 
-// Stop begins a graceful shutdown: the gatherer serves until nothing is in flight and nothing comes in. Wait returns when it has ended. Stop may be called
-// more than once.
+// Stop begins a graceful shutdown: the gatherer serves until no query is in flight and no request
+// arrives any more. Wait returns when the shutdown is complete. Stop may be called more than once.
 func (g *Gatherer) Stop() { g.stopOnce.Do(func() { close(g.stopRequested) }) }
 
 // Done returns a channel that is closed when the gatherer has ended.
 func (g *Gatherer) Done() <-chan struct{} { return g.ended }
 
-// Wait waits for the end, and returns the reason where it was not Stop.
+// Wait waits until the gatherer has ended. It returns nil after Stop, otherwise the error that
+// ended it.
 func (g *Gatherer) Wait() error {
 	<-g.ended
 	return g.failure
--- a/internal/broker/server/golden_test.go
+++ b/internal/broker/server/golden_test.go
@@ -18,8 +18,8 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// An earlier build has stored its state of the agreement on the policy, the region's and the global one; this build recalls it from a copy.
-// SAFFRONQUAY_GOLDEN=write in the environment writes the directories and what is recalled anew.
+// This build must load the policy log that an earlier build has stored, both the region's and the
+// global one. SAFFRONQUAY_GOLDEN=write regenerates the directories and the expected text.
 func TestGoldenPolicyLog(t *testing.T) {
 	is := is.New(t)
 	golden := filepath.Join("testdata", "golden")
@@ -33,7 +33,7 @@
 	s := openGoldenStore(t, folder)
 	defer s.Close()
 	host := newPolicyHost(nil, s)
-	memory, err := host.recall()
+	memory, err := host.load()
 	is.NoErr(err)
 	got := memoryText(t, &memory)
 	path := filepath.Join(golden, "recalled.txt")
@@ -101,7 +101,7 @@
 	return &pb.Entry{Index: proto.Uint64(index), Term: proto.Uint64(term), Data: data}
 }
 
-// memoryText is what was recalled, a line for each part.
+// memoryText formats the loaded state, one line for each part.
 func memoryText(t *testing.T, m *rollout.PersistentState) string {
 	t.Helper()
 	var b strings.Builder
--- a/internal/broker/server/limits.go
+++ b/internal/broker/server/limits.go
@@ -10,28 +10,32 @@
 )
 
 const (
-	clientMargin     = 10_000      // microseconds subtracted from a client's deadline, which counts from its send
-	reservedSockets  = 32          // descriptors for discovery, VRRP, listeners and the process itself; the admin endpoint has its own
-	quietPeriod      = 1_000_000   // no request must have arrived for so long before an exit, in microseconds
-	firstListTimeout = time.Second // that a process waits for the first list of servers or layout
+	clientMarginMicros = 10_000      // subtracted from a client's deadline, which counts from its send
+	reservedSockets    = 32          // descriptors for discovery, VRRP, listeners and the process itself; the admin endpoint has its own
+	quietPeriodMicros  = 1_000_000   // without a request before a shutdown closes the listening socket
+	firstListTimeout   = time.Second // for the first list of servers or the first layout
 )
 
-// smallMachineSockets is the number of descriptors up to which servers get a third. All beyond it go to servers, since what a gatherer needs for
-// clients grows with its traffic and not with the fleet.
+// smallMachineSockets is the number of descriptors of which connections to servers get a third, 192 at
+// most. All descriptors beyond it go to servers, since the number of client connections grows with
+// the traffic of a gatherer and not with the fleet.
 const smallMachineSockets = 1024
 
-// availableSockets is how many descriptors this process may use: those of the other process of this gatherer are subtracted.
+// availableSockets returns the number of descriptors that this process may use. Those of the other
+// processes of this gatherer are subtracted.
 func (g *Gatherer) availableSockets() int {
 	return max(g.Plan.maxSockets-g.siblingSockets, 3*reservedSockets)
 }
 
-// maxServerConns is how many descriptors connections to servers may use. A part that finds no connection is rejected, so that a gatherer before thousands
-// of servers with too few of them would never complete a query to all.
+// maxServerConns returns the maximum number of connections to servers. A part for which no
+// connection is free is rejected, so with too few connections a gatherer in front of thousands of
+// servers would never complete a query that goes to all of them.
 func (g *Gatherer) maxServerConns() int {
 	return min(192, g.availableSockets()/3) + max(0, g.availableSockets()-smallMachineSockets)
 }
 
-// listenerConfig bounds what one listener may use. Clients must never take the descriptors that servers, discovery and operators need.
+// listenerConfig returns the limits of one client listener. Client connections must never use up the
+// descriptors that servers, discovery and operators need.
 func (g *Gatherer) listenerConfig() transport.ListenerConfig {
 	b := transport.ListenerConfig{
 		MaxConns: g.availableSockets() - g.maxServerConns() - reservedSockets, MaxKeepAlive: min(g.availableSockets(), smallMachineSockets) / 4,
@@ -51,7 +55,7 @@
 	return b
 }
 
-// poolConfig is the configuration of the connections to servers.
+// poolConfig returns the configuration of the connections to servers.
 func (g *Gatherer) poolConfig() transport.PoolConfig {
 	return transport.PoolConfig{
 		ConnectTimeout: g.settings.ConnectTimeout, IdleClose: g.settings.IdleClose,
@@ -59,8 +63,9 @@
 	}
 }
 
-// coreTerms are the terms of the core by the settings in force. It registers the classes for the metrics too.
-func (g *Gatherer) coreTerms() core.Config {
+// coreConfig returns the configuration of the core for the settings in force. It also registers the
+// classes for the metrics.
+func (g *Gatherer) coreConfig() core.Config {
 	set := g.settings
 	for _, c := range set.Module.Classes {
 		g.metrics.RegisterClasses(c.Name)
@@ -69,19 +74,20 @@
 	if g.quotas != nil && g.contracts != nil {
 		budgets = g.quotas.divideBudgets(g.clock.Now(), budgets, g.contracts)
 	}
-	held := int64(0)
-	if g.newWatcher == nil { // a search front: the size of its answers is not known
-		held = int64(g.memoryMB) << 20 / 4
+	maxValueBytes := int64(0)
+	if g.newWatcher == nil { // a search front: the size of its answers is not known in advance
+		maxValueBytes = int64(g.memoryMB) << 20 / 4
 	}
 	return core.Config{
-		MaxValueBytes: held, Period: set.Module.Period, Shards: set.Module.Shards, MaxOpen: set.MaxOpen,
+		MaxValueBytes: maxValueBytes, Period: set.Module.Period, Shards: set.Module.Shards, MaxOpen: set.MaxOpen,
 		PartsPerCall: g.partsPerCall, RetryAfter: set.Module.Limits.RetryAfter,
 		MaxRetryAfter: set.Module.Limits.MaxRetryAfter, AnswerGrace: set.Module.Period,
 		Classes: set.Module.Classes, Tenants: budgets,
 	}
 }
 
-// moduleSettings are the decision module's settings; the number of gatherers is the quotas' or the fleet view's where one of them is followed.
+// moduleSettings returns the settings of the decision module. The number of gatherers in them follows
+// from the quotas or from the view of the fleet if one of them is configured to determine it.
 func (g *Gatherer) moduleSettings() sq.Settings {
 	s := g.settings.Module
 	if g.quotas != nil && g.contracts != nil {
@@ -96,7 +102,8 @@
 	return s
 }
 
-// dividedContracts are the contracts as this gatherer applies them: by its quotas, or divided by the fleet view's number, where one of them is followed.
+// dividedContracts returns the contracts as this gatherer applies them: limited by its quotas, or
+// divided by the size of the fleet view, if one of them is configured.
 func (g *Gatherer) dividedContracts() *admission.Config {
 	if g.quotas != nil {
 		return g.quotas.divideContracts(g.contracts)
@@ -109,5 +116,6 @@
 	return g.contracts
 }
 
-// memoryLimit is the soft limit of the Go runtime in bytes: three quarters of the process's memory.
+// memoryLimit returns the soft memory limit of the Go runtime in bytes: three quarters of the process's
+// memory.
 func (p Plan) memoryLimit() int64 { return int64(p.memoryMB) << 20 * 3 / 4 }
--- a/internal/broker/server/plan.go
+++ b/internal/broker/server/plan.go
@@ -22,7 +22,8 @@
 	sq "saffronquay"
 )
 
-// Plan is what both ways of setting the program up result in: the platform's file and the operator's file. LoadPlan or SearchPlan makes it; Start uses it.
+// Plan is the complete configuration of a gatherer, made from either the platform's or the operator's
+// configuration file. LoadPlan or SearchPlan creates it, Start runs it.
 type Plan struct {
 	name, listen         string
 	seed                 uint64
@@ -34,31 +35,32 @@
 	partsPerCall         int
 	fleet                sq.FleetChanged
 	addresses            map[sq.ServerID]string
-	newWatcher           func(*transport.Engine) *transport.Watcher // nil: the list of servers is fixed
+	newWatcher           func(*transport.Engine) *transport.Watcher // nil: the list of servers is static
 	vrrp                 *config.VRRP                               // nil: off
-	adminListen          string                                     // of the admin endpoint; empty: there is none
-	passedSocket         int                                        // descriptor of the clients' socket; 0: the gatherer opens it
-	sharedDirectory      string                                     // through which the processes of one gatherer exchange their state
+	adminListen          string                                     // address of the admin endpoint; empty: none
+	passedSocket         int                                        // descriptor of the client socket; 0: the gatherer opens it
+	sharedDirectory      string                                     // in which the processes of one gatherer exchange their state
 	discovery            string
-	layout               *config.Layout                       // nil: the settings fix where shards are
-	cursors              *atomic.Pointer[pagination.Registry] // of points in time; nil: there are none
-	currentLayout        *layout.Current                      // by which the front plans, where there is a layout
-	adopt                func()                               // puts what the plan has made in force; nil: nothing
-	rereadFile           func() (Plan, error)                 // makes the plan of the file as it is now
-	durable              *durableState                        // nil: nothing outlasts the process
+	layout               *config.Layout                       // nil: the settings determine the placement of shards
+	cursors              *atomic.Pointer[pagination.Registry] // points in time; nil: none
+	currentLayout        *layout.Current                      // the layout that the front plans by, if there is one
+	adopt                func()                               // puts the objects created for the plan in force; may be nil
+	rereadFile           func() (Plan, error)                 // reads the file again and returns its plan
+	durable              *durableState                        // nil: no state survives a restart
 	logConfig            config.Log                           // format and level of the log
-	contracts            *admission.Config                    // nil: there are none
-	fleetFile            *config.Fleet                        // nil: the gatherer has no view of its fleet
-	rollout              *config.Rollout                      // nil: the file alone has the policy
+	contracts            *admission.Config                    // nil: no contracts
+	fleetFile            *config.Fleet                        // nil: no view of the fleet
+	rollout              *config.Rollout                      // nil: the policy is in the file only
 	file                 *config.Operator                     // nil on the platform
 	search               *searchState                         // nil on the platform
-	logOutput            *logging.Output                      // what log lines go through; nil: its format and level cannot be changed
+	logOutput            *logging.Output                      // output of the log; nil: its format and level cannot be changed
 }
 
-// readStable reads a file that may be written meanwhile.
+// readStable reads a file that may be written concurrently.
 func readStable(path string) ([]byte, error) { return config.ReadStable(path, os.ReadFile) }
 
-// LoadPlan reads what the environment names: the process's own settings, and the platform's file or the operator's. It opens the store where the file has one.
+// LoadPlan makes the plan from the environment: the settings of the process, and the platform's or the
+// operator's configuration file that the environment names. It opens the store if the file has one.
 func LoadPlan(logger *slog.Logger) (Plan, error) {
 	process, err := config.LoadProcess(os.Getenv)
 	if err != nil {
@@ -69,7 +71,8 @@
 	return p, err
 }
 
-// loadFile makes the plan of the operator's file where the environment names one, with the policy that was in force last, else of the platform's.
+// loadFile makes the plan from the operator's file, with the policy that was in force last, if the
+// environment names such a file, otherwise from the platform's file.
 func loadFile(logger *slog.Logger) (Plan, error) {
 	op, ok, err := config.LoadOperator(os.Getenv, readStable)
 	if err != nil {
@@ -85,7 +88,7 @@
 			state.policyTexts = [][]byte{text}
 			if op, _, err = config.LoadOperator(os.Getenv, readStable, state.policyTexts...); err != nil {
 				state.durable.close()
-				return Plan{}, fmt.Errorf("with the policy that was in force last: %w", err)
+				return Plan{}, fmt.Errorf("configuration with the last policy in force: %w", err)
 			}
 		}
 		return buildSearchPlan(op, state, logger), nil
@@ -97,11 +100,11 @@
 	return platformPlan(node, logger), nil
 }
 
-// platformPlan is the plan of the platform's settings.
+// platformPlan returns the plan for the platform's configuration file.
 func platformPlan(node config.Node, logger *slog.Logger) Plan {
 	return Plan{
 		name: node.Name, listen: node.Listen, adminListen: node.Operator, seed: node.Seed, maxSockets: node.Sockets,
-		memoryMB: node.MemoryMB, settings: node.Settings, front: platform.Front{Margin: clientMargin},
+		memoryMB: node.MemoryMB, settings: node.Settings, front: platform.Front{Margin: clientMarginMicros},
 		dialect:      platform.Workers{PerConn: node.Settings.StreamsPerConn},
 		partsPerCall: max(1, node.Settings.Module.PartsPerCall), discovery: node.Discovery,
 		fleet: sq.FleetChanged{Kind: sq.FleetCached, Servers: node.Known}, addresses: node.Addresses,
@@ -117,7 +120,8 @@
 	}
 }
 
-// SearchPlan makes the plan of an operator's file that the caller has read; the file is not read again. It opens the store where the file has one.
+// SearchPlan returns the plan for an operator's file that the caller has read; the file is not read
+// again. It opens the store if the file has one.
 func SearchPlan(op config.Operator, logger *slog.Logger) (Plan, error) {
 	state := &searchState{}
 	if op.Store != nil {
@@ -130,7 +134,8 @@
 	return buildSearchPlan(op, state, logger), nil
 }
 
-// buildSearchPlan is the plan of an operator's file over what the search front keeps. It changes nothing that is in force before the plan's adopt runs.
+// buildSearchPlan returns the plan for an operator's file and the state of the search front. Nothing in
+// force changes before the plan's adopt runs.
 func buildSearchPlan(op config.Operator, state *searchState, logger *slog.Logger) Plan {
 	registry := state.cursorRegistry(op.Cursors)
 	adopt := func() {
@@ -143,7 +148,7 @@
 	}
 	front := opensearch.Front{
 		Indices: op.Indices, TenantHeader: op.TenantHeader, Tenants: map[string]bool{},
-		MaxDuration: map[string]int64{}, Margin: clientMargin, Layout: &state.layout,
+		MaxDuration: map[string]int64{}, Margin: clientMarginMicros, Layout: &state.layout,
 		Cursors: registry, Nonce: randomID,
 	}
 	for _, t := range op.Settings.Module.Tenants {
@@ -167,32 +172,33 @@
 		rereadFile: func() (Plan, error) {
 			now, err := config.ReloadOperator(os.Getenv, readStable, op, state.policyTexts...)
 			if err != nil {
-				return Plan{}, err // nothing is made of an invalid file
+				return Plan{}, err
 			}
 			return buildSearchPlan(now, state, logger), nil
 		},
 	}
 }
 
-// searchState is what the search front keeps as long as the process runs, whatever file is in force.
+// searchState is the state of the search front that survives a reload of the file.
 type searchState struct {
 	layout       layout.Current
-	cursorKey    []byte // seals cursors where the file has no key
+	cursorKey    []byte // authenticates cursors if the file has no key
 	cursors      atomic.Pointer[pagination.Registry]
 	cursorConfig config.Cursors
-	durable      *durableState // nil: nothing outlasts the process
-	policyTexts  [][]byte      // none, or the one in force; the gatherer's goroutine owns it
+	durable      *durableState // nil: no state survives a restart
+	policyTexts  [][]byte      // empty, or the policy in force; the gatherer's goroutine owns it
 }
 
-// cursorRegistry is the registry of points in time by a file's settings; nil where there are none. Unchanged settings keep the present registry, and so its
-// cursors. It changes nothing that is in force, since the file may yet be rejected.
+// cursorRegistry returns the registry of points in time for a file's settings; nil if there are
+// none. If the settings are unchanged, it returns the present registry, so that open cursors stay
+// valid. It changes nothing in force, since the file may still be rejected.
 func (s *searchState) cursorRegistry(c *config.Cursors) *pagination.Registry {
 	if c == nil {
 		return nil
 	}
 	if s.cursorKey == nil {
 		s.cursorKey = make([]byte, 32)
-		rand.Read(s.cursorKey) // it never fails
+		rand.Read(s.cursorKey) // never fails
 	}
 	now := s.cursors.Load()
 	if now == nil || s.cursorConfig.Most != c.Most || s.cursorConfig.MaxKeep != c.MaxKeep || s.cursorConfig.MaxAge != c.MaxAge || !bytes.Equal(s.cursorConfig.Key, c.Key) {
@@ -205,9 +211,9 @@
 	return now
 }
 
-// randomID draws an id that no other cursor, process or disk has.
+// randomID returns a random id, unique among cursors, processes and disks.
 func randomID() uint64 {
 	var b [8]byte
-	rand.Read(b[:]) // it never fails
+	rand.Read(b[:]) // never fails
 	return binary.BigEndian.Uint64(b[:])
 }
--- a/internal/broker/server/policy.go
+++ b/internal/broker/server/policy.go
@@ -15,39 +15,41 @@
 	"sync"
 )
 
-// policyHost is what a peering.PolicyNode calls in the gatherer: it validates documents and puts them in force as a reload does, and saves in the store
-// what must outlast the process.
+// policyHost implements the callbacks of a peering.PolicyNode: it validates documents, puts them in
+// force as a reload does, and saves the state that must survive a restart in the store.
 type policyHost struct {
 	gatherer *Gatherer
 	store    *recordlog.Store // not read from the gatherer's plan, which belongs to its goroutine
-	regional *voterLog        // the vote in the region's agreement, or the fleet's
-	global   *voterLog        // the vote in the global agreement, where there are regions
+	regional *voterLog        // of the region's agreement, or of the fleet's without regions
+	global   *voterLog        // of the global agreement, used with regions only
 
-	mu     sync.Mutex
-	judged judgedDocument
+	mu        sync.Mutex // guards validated
+	validated validatedDocument
 }
 
-// newPolicyHost makes the host over a store; the gatherer may be nil where only the records are used.
+// newPolicyHost returns a host that uses the store s. g may be nil if only the records are used.
 func newPolicyHost(g *Gatherer, s *recordlog.Store) *policyHost {
 	return &policyHost{gatherer: g, store: s, regional: &voterLog{store: s}, global: &voterLog{store: s, prefix: globalPrefix}}
 }
 
-// judgedDocument is the result of validating a document, so that it is not parsed once more while queries are paused for it.
-type judgedDocument struct {
+// validatedDocument is a document that was validated, with the configuration parsed from it. It is kept
+// so that the document is not parsed again while queries are paused for its installation.
+type validatedDocument struct {
 	policy, local []byte
 	file          config.Operator
 }
 
-// installRequest is a document to be put in force on the gatherer's goroutine.
+// installRequest asks the gatherer's goroutine to put a document in force.
 type installRequest struct {
-	doc    *wire.Document
-	judged judgedDocument
-	done   chan error
+	doc       *wire.Document
+	validated validatedDocument
+	done      chan error // receives the result
 }
 
 var errNoRollout = errors.New("no rollout is set up")
 
-// openPolicyNode opens this gatherer's part in the agreement on versions of the policy. From here on queries are admitted by its lease only.
+// openPolicyNode opens the policy node, which agrees with the other gatherers on the versions of the
+// policy. From then on queries are admitted only while the node has a lease.
 func (g *Gatherer) openPolicyNode() error {
 	r := g.rollout
 	if r == nil {
@@ -55,17 +57,17 @@
 	}
 	switch {
 	case g.passedSocket > 0:
-		return errors.New("rollout: with a passed socket two processes would hold one lease: that is not supported yet")
+		return errors.New("rollout: not supported with a passed socket: two processes would have the same lease")
 	case g.durable == nil || g.durable.store == nil:
 		return errors.New("rollout: the store is not open")
 	}
 	h := newPolicyHost(g, g.durable.store)
-	if err := h.identify(); err != nil {
-		return fmt.Errorf("rollout: %w", err)
+	if err := h.ensureIdentity(); err != nil {
+		return fmt.Errorf("rollout: read or save identity: %w", err)
 	}
-	memory, err := h.recall()
+	memory, err := h.load()
 	if err != nil {
-		return fmt.Errorf("rollout: %w", err)
+		return fmt.Errorf("rollout: load records: %w", err)
 	}
 	if err := checkRegion(r, g.name, memory); err != nil {
 		return err
@@ -98,28 +100,30 @@
 	return nil
 }
 
-// Save stores a voter's log and vote.
+// Save stores the log entries and the vote of this voter. Like the methods below that store something,
+// it returns when the records are on disk.
 func (h *policyHost) Save(s *rollout.Save) error { return h.regional.save(s) }
 
-// Snapshot stores a snapshot that this voter has made.
+// Snapshot stores a snapshot that this voter has taken.
 func (h *policyHost) Snapshot(d rollout.Disk) error { return h.regional.snapshot(d) }
 
-// SaveGlobal stores a voter's log and vote of the global agreement.
+// SaveGlobal stores the log entries and the vote of this voter in the global agreement.
 func (h *policyHost) SaveGlobal(s *rollout.Save) error { return h.global.save(s) }
 
-// SnapshotGlobal stores a snapshot that this voter has made of the global agreement.
+// SnapshotGlobal stores a snapshot that this voter has taken of the global agreement.
 func (h *policyHost) SnapshotGlobal(d rollout.Disk) error { return h.global.snapshot(d) }
 
-// Roster stores the members.
+// Roster stores the membership.
 func (h *policyHost) Roster(s *wire.State) error { return writeMessage(h.store, keyRoster, s) }
 
-// Stage stores a document that was validated.
+// Stage stores a validated document that is not in force yet.
 func (h *policyHost) Stage(p *wire.Proposal) error { return writeMessage(h.store, keyStaged, p) }
 
 // Keep stores the document in force.
 func (h *policyHost) Keep(d *wire.Document) error { return writeMessage(h.store, keyCurrent, d) }
 
-// Judge validates a document as the next policy; the error says what is wrong with it. It changes nothing that is in force.
+// Judge validates a document as the next policy. It changes nothing in force. The error says why the
+// document is invalid or cannot replace the present policy.
 func (h *policyHost) Judge(text []byte) error {
 	op := h.gatherer.currentFile.Load()
 	now, err := config.ParseOperator(op.Text, text)
@@ -127,23 +131,25 @@
 		return err
 	}
 	h.mu.Lock()
-	h.judged = judgedDocument{text, op.Text, now}
+	h.validated = validatedDocument{text, op.Text, now}
 	h.mu.Unlock()
 	if err := op.Fits(now); err != nil {
 		return err
 	}
-	// Open queries keep the terms that they began with, but the new bound must not be below their number.
+	// Open queries keep the settings that they were admitted under, but the new limit must not be below
+	// their number.
 	if state, ok := h.gatherer.engine.HandoverState(); ok && now.Settings.MaxOpen > 0 && now.Settings.MaxOpen < op.Settings.MaxOpen && int(state.Open) > now.Settings.MaxOpen {
-		return fmt.Errorf("settings.permissions.max_open: %d, and %d are open here", now.Settings.MaxOpen, state.Open)
+		return fmt.Errorf("settings.permissions.max_open: %d is below the %d queries that are open here", now.Settings.MaxOpen, state.Open)
 	}
 	return nil
 }
 
-// Install puts a document in force on the gatherer's goroutine, and waits for that. It returns peering.ErrClosed when the gatherer ends.
+// Install puts a document in force on the gatherer's goroutine, and waits for the result. It returns
+// peering.ErrClosed if the gatherer ends before that.
 func (h *policyHost) Install(d *wire.Document) error {
 	x := installRequest{doc: d, done: make(chan error, 1)}
 	h.mu.Lock()
-	x.judged, h.judged = h.judged, judgedDocument{}
+	x.validated, h.validated = h.validated, validatedDocument{}
 	h.mu.Unlock()
 	select {
 	case h.gatherer.installs <- x:
@@ -162,7 +168,7 @@
 	}
 }
 
-// Slots is the number of gatherers among which the policy in force divides budgets.
+// Slots returns the number of gatherers among which the policy in force divides budgets.
 func (h *policyHost) Slots() uint64 {
 	if c := h.gatherer.currentFile.Load().Contracts; c != nil {
 		return uint64(c.Gatherers)
@@ -170,14 +176,15 @@
 	return 1
 }
 
-// Permit has the engine admit queries by a permit.
+// Permit sets the permit by which the engine admits queries.
 func (h *policyHost) Permit(p transport.Permit) { h.gatherer.engine.SetPermit(p) }
 
-// install puts a document in force, as a reload does a file.
+// install puts a document in force in the same way as a reload does with a file. The gatherer's
+// goroutine calls it.
 func (g *Gatherer) install(x installRequest) {
 	var err error
-	op, local := x.judged.file, g.currentFile.Load().Text
-	if !bytes.Equal(x.judged.policy, x.doc.Text) || !bytes.Equal(x.judged.local, local) {
+	op, local := x.validated.file, g.currentFile.Load().Text
+	if !bytes.Equal(x.validated.policy, x.doc.Text) || !bytes.Equal(x.validated.local, local) {
 		op, err = config.ParseOperator(local, x.doc.Text)
 	}
 	regionChanged := false
@@ -192,12 +199,12 @@
 	}
 	x.done <- err
 	if regionChanged {
-		g.requestQuotas() // until the answer this gatherer has the floor quota
+		g.requestQuotas() // the floor quota applies until the answer
 	}
 }
 
-// updatePolicyPeers passes what the view of the fleet shows to the policy node: who is absent, and the addresses of the others. It only saves time;
-// nothing is decided by it.
+// updatePolicyPeers passes hints from the view of the fleet to the policy node: which members are
+// absent, and the addresses of the others. They only save time; no decision depends on them.
 func (g *Gatherer) updatePolicyPeers(v swim.View) {
 	p := g.policyNode.Load()
 	if p == nil {
--- a/internal/broker/server/policy_test.go
+++ b/internal/broker/server/policy_test.go
@@ -17,7 +17,7 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// openPolicyStore opens a store in directories, and recalls what it has of the agreement on the policy.
+// openPolicyStore opens a store in the given directories and loads the state of the policy rollout.
 func openPolicyStore(t *testing.T, dirs [2]string) (*recordlog.Store, *policyHost, rollout.PersistentState) {
 	t.Helper()
 	var at [2]recordlog.Dir
@@ -37,22 +37,23 @@
 		t.Fatal(err)
 	}
 	h := newPolicyHost(nil, s)
-	if err := h.identify(); err != nil {
+	if err := h.ensureIdentity(); err != nil {
 		t.Fatal(err)
 	}
-	m, err := h.recall()
+	m, err := h.load()
 	if err != nil {
 		t.Fatal(err)
 	}
 	return s, h, m
 }
 
-// A log of 10,000 changes that nothing has cut is recalled within the bound, with the same result; records of another id are obsolete.
-func TestRecall(t *testing.T) {
+// A policy log of 10,000 changes without a snapshot is loaded within the time limit and gives the same
+// version. Records of another voter id are obsolete.
+func TestPolicyLog_LoadsLargeLog(t *testing.T) {
 	dirs := [2]string{t.TempDir(), t.TempDir()}
 	s, h, m := openPolicyStore(t, dirs)
 	if m.Identity == 0 || m.Disk.ID != 0 {
-		t.Fatalf("a new disk: %+v", m)
+		t.Fatalf("new disk: %+v, want an identity and no voter id", m)
 	}
 	cfg := rollout.Config{Name: "a", Members: []rollout.Member{{Name: "a", Address: "127.0.0.1:1", Voter: true}}, CompactAfter: 1 << 20}
 	n, err := rollout.New(cfg, 1, rand.New(rand.NewPCG(1, 1)), m)
@@ -69,7 +70,7 @@
 			}
 		}
 	}
-	save() // its disk begins
+	save() // initializes the disk
 	const changes = 10_000
 	var entries []*pb.Entry
 	for i := range uint64(changes) {
@@ -102,10 +103,10 @@
 	}
 	took := time.Since(began)
 	if n.Number() != changes || took > 20*time.Second { // 2 s is the target; the bound only catches a gross increase
-		t.Errorf("version %d after %s", n.Number(), took)
+		t.Errorf("loaded version %d after %s, want version 10000 within 20s", n.Number(), took)
 	}
-	t.Logf("a log of %d changes is in force again after %s", changes, took.Round(time.Millisecond))
-	// The same disk votes by another id: nothing of the first one is recalled.
+	t.Logf("loaded and applied a log of %d changes in %s", changes, took.Round(time.Millisecond))
+	// The same disk votes under another id: no record of the first id is loaded.
 	if err := h.Save(&rollout.Save{ID: 99, HardState: &pb.HardState{Term: proto.Uint64(7), Vote: proto.Uint64(0), Commit: proto.Uint64(0)}}); err != nil {
 		t.Fatal(err)
 	}
@@ -117,8 +118,9 @@
 	}
 }
 
-// Installing a document while the gatherer ends returns at once: the gatherer waits for the policy node by then.
-func TestInstallAtTheEnd(t *testing.T) {
+// Install must return immediately once the gatherer's goroutine handles no more events. The shutdown
+// waits for the policy node at that time, so waiting for it would be a deadlock.
+func TestInstall_ReturnsDuringShutdown(t *testing.T) {
 	g := &Gatherer{installs: make(chan installRequest), ended: make(chan struct{}), loopStopped: make(chan struct{})}
 	close(g.loopStopped)
 	ended := make(chan error, 1)
@@ -129,13 +131,14 @@
 			t.Error(err)
 		}
 	case <-time.After(time.Minute):
-		t.Error("it waits for a gatherer that waits for it")
+		t.Error("deadlock: Install waits for the gatherer, which waits for the policy node")
 	}
 }
 
-// A gatherer that is ending goes on handling its quotas, the size of its fleet and its file, since it still has queries in flight; it begins nothing:
-// neither the VRRP election nor a view of the fleet. Otherwise its quotas would stay in use when others have them already.
-func TestAnEndingGathererAttends(t *testing.T) {
+// During a shutdown a gatherer must continue to handle its quotas, the size of its fleet and its file,
+// since it has queries in flight: otherwise it would use quotas that are granted to others already. It
+// must not start anything new, neither the VRRP election nor a view of the fleet.
+func TestHandleNext_DuringShutdown(t *testing.T) {
 	for _, ending := range []bool{false, true} {
 		g := &Gatherer{
 			quotas: newBudgetQuotas(3, quota.PPM), standbyChanged: make(chan struct{}, 1), lateFleetView: make(chan *fleetView, 1), stopRequested: make(chan struct{}),
@@ -148,20 +151,20 @@
 		if ending {
 			look = make(chan time.Time, 1)
 			close(g.stopRequested)
-			g.standbyChanged <- struct{}{} // would have it compete again
+			g.standbyChanged <- struct{}{} // would make it join the election again
 		}
 		for end := time.Now().Add(time.Minute); g.quotas.updating; {
 			if what, err := g.handleNext(look, nil); what != eventHandled || err != nil || time.Now().After(end) {
-				t.Fatalf("ending %t: turn %d, %v", ending, what, err)
+				t.Fatalf("ending %t: event %d, error %v", ending, what, err)
 			}
 		}
 		if ending {
 			look <- time.Time{}
 			if what, _ := g.handleNext(look, nil); what != eventCheck && what != eventHandled {
-				t.Errorf("turn %d", what)
+				t.Errorf("event %d, want eventCheck or eventHandled", what)
 			}
 			if len(g.standbyChanged) != 1 {
-				t.Error("it competes although it is ending")
+				t.Error("the gatherer joined the VRRP election during a shutdown")
 			}
 		}
 	}
--- a/internal/broker/server/quotas.go
+++ b/internal/broker/server/quotas.go
@@ -9,25 +9,27 @@
 	"time"
 )
 
-// budgetQuotas is what this gatherer may use of each team's budget, where budgets are divided by leases on quotas. The gatherer's goroutine owns it, but
-// for rejectedBefore, which demands uses beside it while updating is set. Quotas are in millionths of the whole (quota.PPM).
+// budgetQuotas is the fraction of each team's budget that this gatherer may use when budgets are
+// divided by leases on quotas. Quotas are in millionths of the budget (quota.PPM). The gatherer's
+// goroutine owns it, except for rejectedBefore, which demands uses on another goroutine while
+// updating is set.
 type budgetQuotas struct {
 	tick               *time.Ticker
 	slots              uint64
-	regionPPM          uint32 // the region's fraction of everything; quota.PPM where there are no regions
-	teamQuotas         map[string]uint32
-	otherQuota         uint32
-	minimums           map[string]minimumQuota
-	currentBudgets     map[string]core.Budget // in force
-	currentAggregators int                    // among how many the bound on servers that warm up is divided
-	rejectedBefore     map[string]int64       // by team, as counted at the last request
-	teamFractions      map[string]float64     // of everything by team, of the contracts fractionsOf
+	regionPPM          uint32                  // the region's fraction of every budget; quota.PPM without regions
+	teamQuotas         map[string]uint32       // leased, by team
+	otherQuota         uint32                  // of teams that are not in teamQuotas
+	minimums           map[string]minimumQuota // by team
+	currentBudgets     map[string]core.Budget  // in force
+	currentAggregators int                     // divisor of the limit on servers that warm up, in force
+	rejectedBefore     map[string]int64        // rejected queries by team at the last request
+	teamFractions      map[string]float64      // of all cores by team, under the contracts fractionsOf
 	fractionsOf        *admission.Config
-	updating           bool             // a request for quotas is under way
-	updates            chan quotaUpdate // the answer to the request
+	updating           bool             // a request for quotas is in flight
+	updates            chan quotaUpdate // receives the answer to the request
 }
 
-// quotaUpdate is what this gatherer may use, as the policy node answered.
+// quotaUpdate is the policy node's answer to a request for quotas.
 type quotaUpdate struct {
 	slots      uint64
 	regionPPM  uint32
@@ -36,14 +38,15 @@
 	ok         bool
 }
 
-// newBudgetQuotas begins with the floor: no quota is leased yet.
+// newBudgetQuotas returns quotas at the floor, since no quota is leased yet.
 func newBudgetQuotas(slots uint64, ppm uint32) *budgetQuotas {
 	p := &budgetQuotas{tick: time.NewTicker(quotaInterval), slots: slots, regionPPM: ppm, updates: make(chan quotaUpdate, 1)}
 	p.otherQuota = p.floorQuota(slots)
 	return p
 }
 
-// floorQuota is the quota without a lease, among so many slots: the one that the region's leader assumes of each gatherer.
+// floorQuota returns the quota of a gatherer without a lease when budgets are divided into the given
+// number of slots. The region's leader assumes that each gatherer uses at least this quota.
 func (p *budgetQuotas) floorQuota(slots uint64) uint32 {
 	h := quota.NewHolder(slots, quota.Bugs{})
 	h.SetRegion(p.regionPPM)
@@ -51,8 +54,10 @@
 	return floor
 }
 
-// setRegion sets the region's fraction of every budget. Quotas that were granted under another fraction are void: the region's leader may grant them to
-// others at once, and the other regions get theirs when this one has a version by which it has less.
+// setRegion sets the region's fraction of every budget and reports whether it has changed. Quotas
+// granted under the previous fraction become void: the region's leader may grant them to others
+// immediately, and other regions get a larger fraction once this region has a version that reduces
+// its own.
 func (p *budgetQuotas) setRegion(ppm uint32) (changed bool) {
 	if p == nil || ppm == p.regionPPM {
 		return false
@@ -62,7 +67,7 @@
 	return true
 }
 
-// results is where answers to a request for quotas arrive; nil where budgets are not divided.
+// results returns the channel of answers to requests for quotas; nil if budgets are not divided.
 func (p *budgetQuotas) results() <-chan quotaUpdate {
 	if p == nil {
 		return nil
@@ -71,12 +76,13 @@
 }
 
 const (
-	quotaInterval     = 250 * time.Millisecond
-	leaseSafetyMargin = 300_000 // microseconds by which a lease counts as ended earlier, since it is checked only every quotaInterval
-	demandFactor      = 2       // a team whose queries are queued or rejected wants so many times what it has
+	quotaInterval           = 250 * time.Millisecond
+	leaseSafetyMarginMicros = 300_000 // a lease counts as expired this much earlier, since it is checked every quotaInterval only
+	demandFactor            = 2       // a team with queued or rejected queries demands this multiple of its present use or quota
 )
 
-// due fires when quotas are to be requested again; nil where budgets are not divided.
+// due returns the channel that fires when quotas must be requested again; nil if budgets are not
+// divided.
 func (p *budgetQuotas) due() <-chan time.Time {
 	if p == nil {
 		return nil
@@ -84,7 +90,9 @@
 	return p.tick.C
 }
 
-// quotaOf returns the quota of a team, for contracts that are divided among so many slots. What was granted for another number of slots is void.
+// quotaOf returns a function from a team to its quota, as a fraction of the team's budget, for
+// contracts divided into the given number of slots. Quotas granted for another number of slots are
+// void.
 func (p *budgetQuotas) quotaOf(slots uint64) func(team string) float64 {
 	named, others := p.teamQuotas, p.otherQuota
 	if slots != p.slots {
@@ -98,7 +106,8 @@
 	}
 }
 
-// divideContracts returns the contracts with this gatherer's quotas; the same ones where there is nothing to divide.
+// divideContracts returns a copy of the contracts with this gatherer's quotas. It returns c itself if
+// budgets are not divided or c is nil.
 func (p *budgetQuotas) divideContracts(c *admission.Config) *admission.Config {
 	if p == nil || c == nil {
 		return c
@@ -108,7 +117,8 @@
 	return &d
 }
 
-// fractionOfAll is this gatherer's fraction of everything, summed over its teams' quotas. It costs O(named teams), and O(teams) for new contracts.
+// fractionOfAll returns this gatherer's fraction of all budgets, summed over the quotas of the
+// teams. It takes O(teams with a leased quota) time, and O(teams) for new contracts.
 func (p *budgetQuotas) fractionOfAll(c *admission.Config) float64 {
 	if p.fractionsOf != c {
 		p.teamFractions, p.fractionsOf = c.TeamFractions(), c
@@ -124,20 +134,23 @@
 	return max(all, 1e-6)
 }
 
-// aggregators is the number among which the bound on servers that warm up is divided here, rounded up, so that all gatherers together stay within the bound.
-// Quotas are fractions of the whole fleet also where there are regions.
+// aggregators returns the number by which this gatherer divides the limit on servers that warm up.
+// It is rounded up, so that all gatherers together stay within the limit. With regions, too, quotas
+// are fractions of the budgets of the whole fleet.
 func (p *budgetQuotas) aggregators(c *admission.Config) int {
 	return int(math.Ceil(1/p.fractionOfAll(c) - 1e-9))
 }
 
-// minimumQuota is the least quota that this gatherer had of a team's budget during the present and the previous window.
+// minimumQuota is the smallest quota of a team's budget that this gatherer had in the present
+// window and in the previous one.
 type minimumQuota struct {
 	previous, current float64
-	since             int64 // when the present window began, in microseconds
+	since             int64 // start of the present window, in microseconds
 }
 
-// divideBudgets are the free attempts of each team by the least quota that this gatherer had for a window: the gatherer that had the quota before may
-// have spent them, and what was spent counts for a window.
+// divideBudgets returns the budget of each team with the free attempts that this gatherer may use. They
+// are limited by the smallest quota of the last window: the gatherer that had the rest of the present
+// quota before may have spent attempts under it, and spent attempts count for a whole window.
 func (p *budgetQuotas) divideBudgets(now int64, all map[string]core.Budget, c *admission.Config) map[string]core.Budget {
 	quotaOf := p.quotaOf(uint64(c.Gatherers))
 	out := make(map[string]core.Budget, len(all))
@@ -146,7 +159,7 @@
 		present := quotaOf(team)
 		minimum, known := p.minimums[team]
 		switch {
-		case !known: // the process has just started: another gatherer may have had the quota
+		case !known: // the process has just started, and another gatherer may have had the quota
 			minimum = minimumQuota{0, present, now}
 		case now-minimum.since >= b.Window:
 			minimum = minimumQuota{minimum.current, present, now}
@@ -159,10 +172,11 @@
 	return out
 }
 
-// demands is what this gatherer could use of each team's budget: what it has out, and more where queries are queued or were rejected. It costs O(teams
-// that have sent anything).
+// demands returns the demand for each team's budget: the part in use, and more if queries are queued or
+// were rejected since the last call. It takes O(teams that have sent a query) time.
 //
-// It runs beside the gatherer's goroutine: quotaOf was made there, by the method of that name, and of the fields only rejectedBefore is used.
+// It runs concurrently with the gatherer's goroutine and uses no field but rejectedBefore. The argument
+// quotaOf must be the result of the method quotaOf, called on the gatherer's goroutine.
 func (p *budgetQuotas) demands(all []admission.TeamStatus, quotaOf func(team string) float64) []quota.Demand {
 	var out []quota.Demand
 	rejectedNow := map[string]int64{}
@@ -183,11 +197,12 @@
 	return out
 }
 
-// toPPM returns a fraction in millionths, within 0 and 1.
+// toPPM converts a fraction, clamped to the range from 0 to 1, to millionths.
 func toPPM(x float64) uint32 { return uint32(min(max(x, 0), 1) * quota.PPM) }
 
-// requestQuotas reports the demand and requests quotas, in a goroutine of its own that delivers to results: what puts a policy in force may wait for the
-// gatherer's goroutine, so that this one must not wait for the policy. One request is under way at a time.
+// requestQuotas reports the demand and requests quotas in a new goroutine, which sends the answer to
+// results. The gatherer's goroutine must not wait for the policy node itself, since the node waits for
+// the gatherer's goroutine while it installs a policy. At most one request is in flight.
 func (g *Gatherer) requestQuotas() {
 	policy, op, p := g.policyNode.Load(), g.currentFile.Load(), g.quotas
 	if policy == nil || g.contracts == nil || p.updating {
@@ -195,20 +210,20 @@
 	}
 	p.updating = true
 	slots, ppm := uint64(op.Contracts.Gatherers), p.regionPPM
-	quotaOf := p.quotaOf(slots) // here: setRegion changes what it reads
+	quotaOf := p.quotaOf(slots) // on this goroutine, since setRegion changes the fields that it reads
 	go func() {
 		d := quotaUpdate{slots: slots, regionPPM: ppm}
-		d.teamQuotas, d.otherQuota, d.ok = policy.UpdateDemand(p.demands(g.engine.Accounts(1<<20), quotaOf), leaseSafetyMargin)
+		d.teamQuotas, d.otherQuota, d.ok = policy.UpdateDemand(p.demands(g.engine.Accounts(1<<20), quotaOf), leaseSafetyMarginMicros)
 		p.updates <- d
 	}()
 }
 
-// applyQuotas puts the quotas that were answered in force. No query waits for it. An answer from before a change of the region's fraction is dropped;
-// the next request has the new one.
+// applyQuotas puts the quotas of an answer in force. No query waits for it. An answer to a request made
+// under another fraction of the region is dropped; the next request gets quotas under the new one.
 func (g *Gatherer) applyQuotas(d quotaUpdate) {
 	p := g.quotas
 	p.updating = false
-	if g.contracts == nil || !d.ok || d.regionPPM != p.regionPPM { // requested before the region's fraction changed
+	if g.contracts == nil || !d.ok || d.regionPPM != p.regionPPM {
 		return
 	}
 	same := p.slots == d.slots && p.otherQuota == d.otherQuota && maps.Equal(p.teamQuotas, d.teamQuotas)
@@ -218,6 +233,6 @@
 	n, free := p.aggregators(g.contracts), p.divideBudgets(g.clock.Now(), g.budgets, g.contracts)
 	if n != p.currentAggregators || !maps.Equal(free, p.currentBudgets) {
 		p.currentAggregators, p.currentBudgets = n, free
-		g.engine.Reconfigure(g.coreTerms(), g.moduleSettings(), g.poolConfig(), g.dialect)
+		g.engine.Reconfigure(g.coreConfig(), g.moduleSettings(), g.poolConfig(), g.dialect)
 	}
 }
--- a/internal/broker/server/quotas_test.go
+++ b/internal/broker/server/quotas_test.go
@@ -16,12 +16,13 @@
 	{Name: "c", Weight: 1},
 }}
 
-// Over random divisions the bounds on servers that warm up of all gatherers sum to 1 at most; with even quotas each has its even one.
-func TestWarmUpBoundIsDivided(t *testing.T) {
+// For random quotas the limits on servers that warm up sum to at most 1 over all gatherers. With even
+// quotas each gatherer has an even part of the limit.
+func TestAggregators_DividesWarmUpLimit(t *testing.T) {
 	even := newBudgetQuotas(4, quota.PPM)
 	even.otherQuota = quota.EvenQuota(4)
 	if n := even.aggregators(tree); n != 4 {
-		t.Errorf("even parts: among %d", n)
+		t.Errorf("even quotas: %d aggregators, want 4", n)
 	}
 	for seed := range uint64(300) {
 		rng := rand.New(rand.NewPCG(seed, 1))
@@ -37,19 +38,20 @@
 			sum += 1 / float64(p.aggregators(tree))
 		}
 		if sum > 1+1e-9 {
-			t.Errorf("seed %d: the bounds come to %.4f of the whole", seed, sum)
+			t.Errorf("seed %d: the warm-up limits sum to %.4f, want at most 1", seed, sum)
 		}
 	}
 }
 
-// Two gatherers between which a team's quota moves never spend more free attempts in a window than the contract has.
-func TestAttemptsWithinAWindow(t *testing.T) {
+// Two gatherers between which a team's quota moves never spend more free attempts in a window than the
+// contract allows.
+func TestDivideBudgets_FreeAttemptsPerWindow(t *testing.T) {
 	const window = 10_000_000
 	all := map[string]core.Budget{"a": {Free: 12, Window: window}}
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 2))
 		two := []*budgetQuotas{newBudgetQuotas(4, quota.PPM), newBudgetQuotas(4, quota.PPM)}
-		extras := [2][]float64{} // when each spent one
+		extras := [2][]float64{} // times at which each gatherer spent a free attempt
 		to, next := 0, int64(0)
 		for now := int64(1); now < 120_000_000; now += 250_000 {
 			if now >= next {
@@ -67,7 +69,7 @@
 						recent++
 					}
 				}
-				for ; float64(recent+1) <= free; recent++ { // as the core rations them
+				for ; float64(recent+1) <= free; recent++ { // the rule by which the core limits them
 					extras[i] = append(extras[i], float64(now))
 				}
 			}
@@ -80,11 +82,11 @@
 				}
 			}
 			if sum > 12 {
-				t.Fatalf("seed %d: %d free attempts in a window at %d", seed, sum, now)
+				t.Fatalf("seed %d: %d free attempts in the window that ends at %d, want at most 12", seed, sum, now)
 			}
 		}
 		if len(extras[0])+len(extras[1]) < 20 {
-			t.Errorf("seed %d: only %d were spent", seed, len(extras[0])+len(extras[1]))
+			t.Errorf("seed %d: %d free attempts spent, want at least 20", seed, len(extras[0])+len(extras[1]))
 		}
 	}
 }
--- a/internal/broker/server/region_quota.go
+++ b/internal/broker/server/region_quota.go
@@ -8,8 +8,9 @@
 	"saffronquay/internal/cluster/rollout/wire"
 )
 
-// regionQuota is the region's fraction of every budget under a version, in millionths: as the version says or, before any version does, by the region's
-// gatherers among those of the regions that have voters in the first roster. All of it where there are no regions.
+// regionQuota returns the region's fraction of every budget under a policy version, in millionths. If
+// the version does not specify fractions, it is the region's fraction of the gatherers of all regions
+// that have voters in the bootstrap configuration. Without regions it is quota.PPM.
 func regionQuota(r *config.Rollout, d *wire.Document) uint32 {
 	if r == nil || r.Region == "" {
 		return quota.PPM
@@ -38,11 +39,12 @@
 	return uint32(quota.PPM * here / max(all, 1))
 }
 
-// checkRegion guards against a store that was made in another region, or without regions: what it has was agreed on by others.
+// checkRegion returns an error if the store was created in another region, or without regions: its
+// records belong to another group of voters.
 func checkRegion(r *config.Rollout, name string, m rollout.PersistentState) error {
 	for _, x := range m.Members {
 		if x.Name == name && x.Region != r.Region {
-			return fmt.Errorf("rollout.region: %q, and the store has this gatherer in region %q: with another one it wants an empty store", r.Region, x.Region)
+			return fmt.Errorf("rollout.region: %q, but the store belongs to region %q: changing the region requires an empty store", r.Region, x.Region)
 		}
 	}
 	return nil
--- a/internal/broker/server/regions_test.go
+++ b/internal/broker/server/regions_test.go
@@ -14,9 +14,9 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// The votes of one gatherer in its region's agreement and in the global one are separate, also under the same ids and indexes: each is compacted, and
-// dropped, without the other.
-func TestTwoVotesAreSeparate(t *testing.T) {
+// The regional and the global voter log of a gatherer are independent even with equal ids and indexes:
+// each can be compacted and dropped without the other.
+func TestVoterLog_RegionalAndGlobalAreIndependent(t *testing.T) {
 	dirs := [2]string{t.TempDir(), t.TempDir()}
 	s, h, _ := openPolicyStore(t, dirs)
 	entry := func(i uint64, data string) *pb.Entry {
@@ -51,7 +51,7 @@
 	if d := m.Global.Disk; d.ID != 2 || string(d.Snapshot.GetData()) != "s" || len(d.Entries) != 1 || string(d.Entries[0].Data) != "global" || len(m.Global.VoterIdentities) != 2 {
 		t.Errorf("global: %+v, met %v", d, m.Global.VoterIdentities)
 	}
-	// Another id in one of them makes void what that one has, and nothing of the other.
+	// Another voter id in one log makes that log's records obsolete, but not those of the other log.
 	if err := h.SaveGlobal(&rollout.Save{ID: 77, HardState: hard(0)}); err != nil {
 		t.Fatal(err)
 	}
@@ -62,10 +62,10 @@
 		t.Fatal(err)
 	}
 	if m = again(); m.Global.Disk.ID != 0 || m.Global.VoterIdentities != nil || len(m.Disk.Entries) != 2 || len(m.VoterIdentities) != 1 || m.Identity == 0 {
-		t.Errorf("after one was taken away: %+v", m)
+		t.Errorf("after the global log was dropped: %+v", m)
 	}
 	s.Close()
-	// A store of another region, or of none, is not taken up.
+	// A store of another region, or of none, is rejected.
 	r := &config.Rollout{Region: "oeste"}
 	if err := checkRegion(r, "a", m); err != nil {
 		t.Error(err)
@@ -77,7 +77,8 @@
 	}
 }
 
-// A region has the fraction that the version says, and before any version its fraction of the first roster, as package rollout computes it.
+// A region has the fraction that the version specifies. Without one it has the fraction of the
+// bootstrap membership that package rollout computes.
 func TestRegionQuota(t *testing.T) {
 	r := &config.Rollout{Region: "este", Voters: []string{"a", "d"}, Regions: map[string]string{"a": "oeste", "b": "oeste", "c": "oeste", "d": "este", "w": "norte"}}
 	parts := &wire.Document{Parts: []*wire.Part{{Region: "oeste", Ppm: 600_000}, {Region: "este", Ppm: 100_000}}}
@@ -91,13 +92,13 @@
 		}
 	}
 	if regionQuota(nil, nil) != quota.PPM {
-		t.Error("without a rollout")
+		t.Error("no rollout: want the whole budget")
 	}
 }
 
-// Over random fractions of two regions, and random quotas within them, the bounds on servers that warm up of all gatherers sum to 1 at most, and their floors to
-// the reserve at most.
-func TestWarmUpBoundOverRegions(t *testing.T) {
+// For random fractions of two regions and random quotas within them, the limits on servers that warm up
+// sum to at most 1 over all gatherers, and the floor quotas to at most the reserve.
+func TestAggregators_DividesWarmUpLimitOverRegions(t *testing.T) {
 	for seed := range uint64(300) {
 		rng := rand.New(rand.NewPCG(seed, 3))
 		west := uint32(250_000 * (1 + rng.IntN(3)))
@@ -116,35 +117,37 @@
 			}
 		}
 		if sum > 1+1e-9 || floors > quota.Reserve {
-			t.Errorf("seed %d: the bounds come to %.4f of the whole, the floors to %d", seed, sum, floors)
+			t.Errorf("seed %d: the warm-up limits sum to %.4f and the floor quotas to %d; want at most 1 and the reserve", seed, sum, floors)
 		}
 	}
 }
 
-// When a region's fraction changes, quotas granted before are void immediately, also those that are answered only then.
-func TestRegionQuotaChanges(t *testing.T) {
+// When a region's fraction changes, quotas granted before become void immediately, including those of a
+// request that is still in flight.
+func TestSetRegion_VoidsGrantedQuotas(t *testing.T) {
 	g := &Gatherer{quotas: newBudgetQuotas(4, 500_000)}
 	defer g.quotas.tick.Stop()
 	g.contracts = tree
 	p := g.quotas
 	p.teamQuotas, p.otherQuota = map[string]uint32{"a": 400_000}, 100_000
 	if p.setRegion(500_000) || p.quotaOf(4)("a") != 0.4 {
-		t.Errorf("nothing has changed: %v", p.quotaOf(4)("a"))
+		t.Errorf("unchanged fraction: quota %v, want 0.4", p.quotaOf(4)("a"))
 	}
 	if !p.setRegion(250_000) || p.quotaOf(4)("a") != float64(p.floorQuota(4))/quota.PPM || p.floorQuota(4) > quota.FloorQuota(4) {
-		t.Errorf("half as much: %v", p.quotaOf(4)("a"))
+		t.Errorf("halved fraction: quota %v, want the floor", p.quotaOf(4)("a"))
 	}
 	g.applyQuotas(quotaUpdate{slots: 4, regionPPM: 500_000, teamQuotas: map[string]uint32{"a": 400_000}, otherQuota: 100_000, ok: true})
 	if p.teamQuotas != nil || p.updating {
-		t.Errorf("what was asked before is in force: %v", p.teamQuotas)
+		t.Errorf("quotas requested before the change are in force: %v", p.teamQuotas)
 	}
 	if (*budgetQuotas)(nil).setRegion(1) {
-		t.Error("budgets that are not divided have changed")
+		t.Error("setRegion reported a change although budgets are not divided")
 	}
 }
 
-// What this gatherer demands is computed beside the gatherer's goroutine, on which a region's fraction may change meanwhile.
-func TestDemandsBesideAChangeOfTheRegion(t *testing.T) {
+// demands runs concurrently with the gatherer's goroutine, which may change the region's fraction
+// at the same time. The race detector checks that they share no field.
+func TestDemands_ConcurrentRegionChange(t *testing.T) {
 	p := newBudgetQuotas(4, 500_000)
 	defer p.tick.Stop()
 	quotaOf := p.quotaOf(4)
@@ -154,6 +157,6 @@
 	}()
 	p.setRegion(250_000)
 	if n := <-demanded; n != 1 {
-		t.Errorf("%d demands", n)
+		t.Errorf("%d demands, want 1", n)
 	}
 }
--- a/internal/broker/server/reload.go
+++ b/internal/broker/server/reload.go
@@ -8,7 +8,8 @@
 	sq "saffronquay"
 )
 
-// reloadFile reads the file again and applies it where all of it is valid. Addresses to listen at, the name and VRRP stay as at the start.
+// reloadFile reads the configuration file again and applies it if all of it is valid. The listen
+// addresses, the name and the VRRP settings stay as they were at the start.
 func (g *Gatherer) reloadFile() {
 	now, err := g.rereadFile()
 	if err == nil {
@@ -23,7 +24,8 @@
 	logging.Info(g.logger, logging.Reload, "classes", len(g.settings.Module.Classes), "discovery", g.discovery, "servers", len(g.fleet.Servers))
 }
 
-// apply puts another plan in force, completely; after an error nothing has changed. The gatherer's goroutine calls it.
+// apply puts another plan in force. After an error nothing has changed. The gatherer's goroutine calls
+// it.
 func (g *Gatherer) apply(now Plan) error {
 	if g.routes != nil {
 		if err := g.routes.ApplyFile(now.layout.Document, now.serverIDs(), false); err != nil {
@@ -31,7 +33,7 @@
 		}
 	}
 	if now.listen != g.listen || now.adminListen != g.adminListen {
-		logging.Warn(g.logger, logging.Reload, "note", "listen and operator take a restart")
+		logging.Warn(g.logger, logging.Reload, "note", "changes of listen and operator need a restart")
 	}
 	if now.adopt != nil {
 		now.adopt()
@@ -40,14 +42,14 @@
 	now.listen, now.adminListen = g.listen, g.adminListen
 	now.passedSocket, now.sharedDirectory = g.passedSocket, g.sharedDirectory
 	now.logOutput = g.logOutput
-	if now.logConfig != g.Plan.logConfig { // otherwise a level that an operator has set stays
+	if now.logConfig != g.Plan.logConfig { // if unchanged, a level that an operator has set stays
 		if err := now.applyLog(); err != nil {
 			logging.Error(g.logger, logging.Reload, "error", err)
 		}
 	}
 	g.Plan = now
 	debug.SetMemoryLimit(g.ownMemoryLimit())
-	g.engine.Reconfigure(g.coreTerms(), g.moduleSettings(), g.poolConfig(), g.dialect)
+	g.engine.Reconfigure(g.coreConfig(), g.moduleSettings(), g.poolConfig(), g.dialect)
 	g.engine.SetContracts(g.dividedContracts())
 	g.listener.Reconfigure(g.listenerConfig(), g.front)
 	if g.virtual != nil {
@@ -62,12 +64,13 @@
 	return nil
 }
 
-// applyFileServers puts the file's servers and layout in force. New servers come before the layout that names them, and removed ones leave after the
-// layout that no longer does, so that no range is without replicas in between.
+// applyFileServers puts the file's servers and layout in force. New servers are added before the layout
+// that names them, and removed servers are dropped after the layout that no longer names them, so that
+// no range is without replicas in between.
 func (g *Gatherer) applyFileServers() {
 	if g.routes != nil {
 		g.engine.UpdateFleet(sq.FleetChanged{Kind: sq.FleetDelta, Servers: g.fleet.Servers}, g.addresses)
-		if err := g.routes.ApplyFile(g.layout.Document, g.serverIDs(), true); err != nil { // the directory has sent a newer layout meanwhile
+		if err := g.routes.ApplyFile(g.layout.Document, g.serverIDs(), true); err != nil { // the directory has sent a newer layout in the meantime
 			logging.Error(g.logger, logging.Reload, "layout", "kept", "error", err)
 		}
 		if g.layout.Directory != "" {
@@ -77,7 +80,7 @@
 	g.engine.UpdateFleet(g.fleet, g.addresses)
 }
 
-// applyLog sets the log's format and level by the file.
+// applyLog sets the format and level of the log to those of the plan.
 func (p Plan) applyLog() error {
 	if p.logOutput == nil {
 		return nil
@@ -86,7 +89,7 @@
 	return p.logOutput.SetLevel(cmp.Or(p.logConfig.Level, "info"))
 }
 
-// serverIDs are the ids of the plan's servers.
+// serverIDs returns the ids of the plan's servers.
 func (p Plan) serverIDs() []sq.ServerID {
 	ids := make([]sq.ServerID, len(p.fleet.Servers))
 	for i, s := range p.fleet.Servers {
--- a/internal/broker/server/shutdown.go
+++ b/internal/broker/server/shutdown.go
@@ -6,18 +6,21 @@
 )
 
 const (
-	// fullTimeAfterStop is how long after SIGTERM a new query still gets all of its time: the platform lets it end.
+	// fullTimeAfterStop is the time after SIGTERM during which a new query still gets its full deadline,
+	// since the platform does not kill the process before such a query ends.
 	fullTimeAfterStop = 600 * time.Millisecond
-	// killDelay is how many microseconds after SIGTERM and the longest deadline, maxDeadlineAwaited at most, the platform kills the process.
-	killDelay          = 700_000
-	maxDeadlineAwaited = 3_000_000
-	killMargin         = 250_000 // microseconds that an answer takes at most from its decision to its last byte
-	// idleCheckInterval is how often a shutdown checks whether the gatherer is idle.
+	// The platform kills the process this long after SIGTERM: the longest deadline of a class, at most
+	// maxDeadlineAwaitedMicros, plus killDelayMicros.
+	killDelayMicros          = 700_000
+	maxDeadlineAwaitedMicros = 3_000_000
+	killMarginMicros         = 250_000 // maximum time from the decision on an answer to its last byte
+	// idleCheckInterval is the interval at which a shutdown checks whether the gatherer is idle.
 	idleCheckInterval = 50 * time.Millisecond
 )
 
-// shutDown serves until nothing comes in, accepts what is queued at the socket, and ends after the last connection. With a passed socket it accepts
-// nothing from the beginning, since the other process does.
+// shutDown shuts the gatherer down gracefully: it serves until no request arrives any more, accepts the
+// connections that are queued at the socket, and returns after the last connection is closed. With a
+// passed socket it accepts no connection from the start, since the other process accepts them.
 func (g *Gatherer) shutDown() {
 	g.lifecycle.SetLeaving(g.passedSocket > 0)
 	g.fleetView.updateMetadata(g.fleetMetadata)
@@ -35,8 +38,9 @@
 	logging.Info(g.logger, logging.Stopped)
 }
 
-// awaitIdle handles events until the listeners have ended, and no connection and no query is left. Where no socket
-// was passed, it accepts what is queued at the socket and closes it when no request has arrived for quietPeriod.
+// awaitIdle handles events until the listeners have ended and there is no connection and no query any
+// more. Without a passed socket it keeps accepting, and closes the socket when no request has arrived
+// for quietPeriodMicros.
 func (g *Gatherer) awaitIdle() {
 	since := g.clock.Now()
 	answersUntil := since + g.answerTimeAfterStop()
@@ -46,11 +50,11 @@
 	defer check.Stop()
 	listenerEnded, socketClosed := false, false
 	for {
-		switch met, _ := g.handleNext(check.C, graceOver.C); met {
+		switch ev, _ := g.handleNext(check.C, graceOver.C); ev {
 		case eventGraceOver:
 			g.engine.SetKillDeadline(answersUntil)
 			continue
-		case eventListenerEnded: // what it accepted last is among the connections now
+		case eventListenerEnded: // the connections accepted last are counted by now
 			listenerEnded = true
 			continue
 		case eventHandled:
@@ -58,7 +62,7 @@
 		}
 		now := g.clock.Now()
 		switch {
-		case !listenerEnded && !socketClosed && g.passedSocket == 0 && now-since >= quietPeriod && g.isQuietSince(now-quietPeriod):
+		case !listenerEnded && !socketClosed && g.passedSocket == 0 && now-since >= quietPeriodMicros && g.isQuietSince(now-quietPeriodMicros):
 			g.listener.CloseSocket()
 			socketClosed = true
 		case listenerEnded && !g.hasConnections() && g.engine.OpenQueries() == 0:
@@ -67,17 +71,17 @@
 	}
 }
 
-// isQuietSince reports whether no listener has had a request since the given time.
+// isQuietSince reports whether no listener has received a request since the given time.
 func (g *Gatherer) isQuietSince(since int64) bool {
 	return g.listener.Quiet(since) && (g.virtual == nil || g.virtual.quiet(since))
 }
 
-// hasConnections reports whether a client is still connected.
+// hasConnections reports whether any client is connected.
 func (g *Gatherer) hasConnections() bool {
 	return g.listener.Conns() != 0 || g.virtual != nil && g.virtual.conns() != 0
 }
 
-// stopComponents stops what Start has started.
+// stopComponents stops the components that Start has started.
 func (g *Gatherer) stopComponents() {
 	g.fleetView.leave()
 	if g.siblings != nil {
@@ -93,7 +97,7 @@
 	if g.routes != nil {
 		g.routes.Stop()
 	}
-	close(g.loopStopped) // the policy node may wait for this goroutine, which waits for it next
+	close(g.loopStopped) // the policy node may wait for this goroutine, which is about to wait for the node
 	if p := g.policyNode.Load(); p != nil {
 		p.Stop()
 	}
@@ -104,11 +108,12 @@
 	}
 }
 
-// answerTimeAfterStop is how long after SIGTERM answers still leave for certain, in microseconds.
+// answerTimeAfterStop returns the time after SIGTERM, in microseconds, within which an answer must be
+// decided to be sent completely before the platform kills the process.
 func (g *Gatherer) answerTimeAfterStop() int64 {
 	longest := int64(0)
 	for _, c := range g.settings.Module.Classes {
 		longest = max(longest, c.HardLimit)
 	}
-	return min(longest, maxDeadlineAwaited) + killDelay - killMargin
+	return min(longest, maxDeadlineAwaitedMicros) + killDelayMicros - killMarginMicros
 }
--- a/internal/broker/server/siblings.go
+++ b/internal/broker/server/siblings.go
@@ -10,7 +10,8 @@
 	sq "saffronquay"
 )
 
-// takeOver exchanges state with the process that this one replaces, where a socket was passed, and adopts its counts, list of servers and standby.
+// takeOver exchanges state with the process that this one replaces, if a socket was passed, and adopts
+// its statistics, list of servers and standby state.
 func (g *Gatherer) takeOver() {
 	if g.passedSocket == 0 || g.sharedDirectory == "" {
 		return
@@ -18,7 +19,7 @@
 	g.siblings = transport.NewStateExchange(g.sharedDirectory, g.name, g.clock, g.handoverState, func(others []handover.State) {
 		select {
 		case g.siblingStates <- others:
-		default: // the gatherer's goroutine has not handled the states before; the next exchange comes soon
+		default: // the gatherer's goroutine has not read the previous states yet; the next exchange follows soon
 		}
 	}, g.logger)
 	others := g.siblings.PeerStates()
@@ -39,7 +40,8 @@
 	logging.Info(g.logger, logging.Succeeds, "standby", from.Standby, "open", from.Open, "sockets", from.Sockets, "generation", from.Generation)
 }
 
-// handoverState is the state that this process reports to the other processes of the gatherer; false before it is complete.
+// handoverState returns the state that this process reports to the other processes of the gatherer. It
+// reports false while the state is not complete.
 func (g *Gatherer) handoverState() (handover.State, bool) {
 	s, ok := g.engine.HandoverState()
 	g.mu.Lock()
@@ -55,7 +57,8 @@
 	return s, true
 }
 
-// ownMemoryLimit is this process's part of the limit on memory: half of it while another process of the gatherer runs.
+// ownMemoryLimit returns the memory limit of this process: half of the gatherer's limit while another
+// process of the gatherer runs.
 func (g *Gatherer) ownMemoryLimit() int64 {
 	if g.siblingSockets > 0 {
 		return g.memoryLimit() / 2
@@ -63,7 +66,8 @@
 	return g.memoryLimit()
 }
 
-// adjustToSiblings subtracts what the other processes of this gatherer use from the limits on memory and descriptors.
+// adjustToSiblings reduces the limits on memory and descriptors while other processes of this gatherer
+// run.
 func (g *Gatherer) adjustToSiblings(others []handover.State) {
 	sockets := 0
 	for _, o := range others {
--- a/internal/broker/server/standby.go
+++ b/internal/broker/server/standby.go
@@ -4,13 +4,14 @@
 	"saffronquay/internal/broker/logging"
 )
 
-// competeForAddress takes part in the VRRP election, or on standby withdraws from it. An error is logged once and leaves electionPending set: a process
-// that replaces another one fails while that one still has the router's address, and competes again at each of its reports.
-func (g *Gatherer) competeForAddress() error {
+// updateElection joins the VRRP election, or leaves it on standby. Of a series of errors only the first
+// is logged. After an error electionPending stays set: a process that replaces another one cannot join
+// while that one still has the router's address, and retries at each of its reports.
+func (g *Gatherer) updateElection() error {
 	if g.virtual == nil {
 		return nil
 	}
-	err := g.virtual.compete(!g.isStandby())
+	err := g.virtual.setParticipating(!g.isStandby())
 	if err != nil && !g.electionPending {
 		logging.Error(g.logger, logging.Vrrp, "error", err)
 	}
@@ -18,7 +19,8 @@
 	return err
 }
 
-// applyStandby applies an operator's standby call to the listener, and notifies the gatherer's goroutine, which withdraws the virtual address.
+// applyStandby applies an operator's standby call to the listener and notifies the gatherer's
+// goroutine, which joins or leaves the VRRP election.
 func (g *Gatherer) applyStandby(standby bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/broker/server/start.go
+++ b/internal/broker/server/start.go
@@ -14,8 +14,8 @@
 	sq "saffronquay"
 )
 
-// startComponents builds and starts the components in the order in which they need each other. Clients are accepted last, when the list of servers, the
-// layout and the policy's lease are there.
+// startComponents creates and starts the components in the order of their dependencies. Clients are
+// accepted last, after the list of servers, the layout and the policy node are set up.
 func (g *Gatherer) startComponents() error {
 	if err := g.buildEngine(); err != nil {
 		return err
@@ -46,7 +46,7 @@
 	}
 	if p := g.policyNode.Load(); p != nil {
 		g.onAbort(func() {
-			go p.Run() // Stop waits for it
+			go p.Run() // Stop waits for Run
 			p.Stop()
 		})
 	}
@@ -64,7 +64,7 @@
 		g.virtual = &virtualService{clock: g.clock, config: *g.vrrp, engine: g.engine, log: g.logger}
 		g.onAbort(g.virtual.close)
 		g.virtual.reconfigure(bounds, g.front)
-		if err := g.competeForAddress(); err != nil && g.siblingSockets == 0 {
+		if err := g.updateElection(); err != nil && g.siblingSockets == 0 {
 			return err
 		}
 	}
@@ -79,20 +79,20 @@
 	return nil
 }
 
-// onAbort notes how to stop a component that was started.
+// onAbort registers a function that stops a started component if the start fails later.
 func (g *Gatherer) onAbort(stop func()) { g.started = append(g.started, stop) }
 
-// abortStart stops what a failed start has started, the last first.
+// abortStart stops the components that a failed start has started, in reverse order.
 func (g *Gatherer) abortStart() {
-	close(g.ended)       // what waits to start later gives up
-	close(g.loopStopped) // the gatherer's goroutine, for which the policy node may wait, never ran
+	close(g.ended)       // ends the retries of joinFleet
+	close(g.loopStopped) // the gatherer's goroutine, for which the policy node may wait, never runs
 	for _, stop := range slices.Backward(g.started) {
 		stop()
 	}
 	g.durable.close()
 }
 
-// startAdmin starts the admin endpoint and returns its address; "off" where the plan has none.
+// startAdmin starts the admin endpoint and returns its address, or "off" if the plan has none.
 func (g *Gatherer) startAdmin() (address string, err error) {
 	if g.adminListen == "" {
 		return "off", nil
@@ -111,13 +111,13 @@
 	return l.Addr().String(), nil
 }
 
-// buildEngine makes the decision module, the core around it and the engine that drives both.
+// buildEngine creates the decision module, the core around it and the engine that drives both.
 func (g *Gatherer) buildEngine() error {
 	module, err := sq.New(g.settings.Module, g.seed)
 	if err != nil {
 		return fmt.Errorf("configuration: settings: %w", err)
 	}
-	g.engine = transport.NewEngine(g.clock, core.New(g.coreTerms(), module), g.poolConfig(), g.dialect, g.metrics, g.logger)
+	g.engine = transport.NewEngine(g.clock, core.New(g.coreConfig(), module), g.poolConfig(), g.dialect, g.metrics, g.logger)
 	g.engine.SetContracts(g.contracts)
 	g.engine.UpdateFleet(g.fleet, g.addresses)
 	if g.newWatcher != nil {
@@ -129,15 +129,15 @@
 		g.routes, err = transport.NewRoutes(cfg, g.durable.newestLayout(g.layout.Document, g.serverIDs()), g.serverIDs(), g.clock, g.currentLayout, g.engine.UpdateLayout,
 			g.metrics.LayoutCounts, g.logger)
 		if err != nil {
-			return fmt.Errorf("configuration: %w", err)
+			return fmt.Errorf("configuration: layout: %w", err)
 		}
 		g.engine.RefreshLayout = g.routes.Refresh
 	}
 	return nil
 }
 
-// startRoutes begins to follow the layout. It waits for the directory's first answer, firstListTimeout at most: until then the file's layout may be old,
-// and servers reject what it misplaces.
+// startRoutes starts following the layout. It waits for the directory's first answer, firstListTimeout
+// at most: until then the file's layout may be outdated, and servers reject parts that it misroutes.
 func (g *Gatherer) startRoutes() {
 	if g.routes == nil {
 		return
@@ -156,8 +156,9 @@
 	}
 }
 
-// startWatcher begins to follow discovery. A process that replaces another one waits for the complete list of servers, firstListTimeout at most: until
-// then the other one serves, with a list that is up to date.
+// startWatcher starts following discovery. A process that replaces another one waits for the complete
+// list of servers, firstListTimeout at most. The other process, whose list is up to date, serves until
+// then.
 func (g *Gatherer) startWatcher() {
 	if g.watcher == nil {
 		return
@@ -178,7 +179,8 @@
 	}
 }
 
-// clientSocket is the clients' listening socket: a copy of the one that was passed, or a new one.
+// clientSocket returns the listening socket for clients: a copy of the one that was passed, or a
+// new one.
 func (g *Gatherer) clientSocket() (net.Listener, error) {
 	if g.passedSocket > 0 {
 		file := os.NewFile(uintptr(g.passedSocket), "clients")
@@ -188,7 +190,8 @@
 		defer file.Close() // FileListener makes a copy
 		return net.FileListener(file)
 	}
-	// Idle clients are closed by a timeout; keep-alive probes would only cost four system calls for each connection.
+	// Idle connections are closed by a timeout, so TCP keep-alive probes would have no use and cost four
+	// system calls for each connection.
 	accepting := net.ListenConfig{KeepAlive: -1}
 	return accepting.Listen(context.Background(), "tcp", g.listen)
 }
--- a/internal/broker/server/start_test.go
+++ b/internal/broker/server/start_test.go
@@ -13,7 +13,7 @@
 	sq "saffronquay"
 )
 
-// freeAddress returns an address on loopback that nobody listens at.
+// freeAddress returns a loopback address that is not in use.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -24,7 +24,7 @@
 	return l.Addr().String()
 }
 
-// newTestPlan returns a plan without servers that listens at free addresses.
+// newTestPlan returns a plan without servers and with free listen addresses.
 func newTestPlan(t *testing.T) Plan {
 	t.Helper()
 	return Plan{
@@ -36,8 +36,8 @@
 	}
 }
 
-// A start that fails late leaves nothing behind: its addresses are free again, and its goroutines have ended.
-func TestFailedStartStopsWhatItStarted(t *testing.T) {
+// A start that fails in its last step must release what it has acquired: its addresses are free again.
+func TestStart_FailureReleasesAddresses(t *testing.T) {
 	taken, err := net.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -46,23 +46,24 @@
 	plan := newTestPlan(t)
 	plan.fleetFile = &config.Fleet{Listen: taken.LocalAddr().(*net.UDPAddr).AddrPort(), Name: "f", Period: time.Second, Suspect: 3}
 	if _, err := Start(plan, slog.New(slog.DiscardHandler), nil); err == nil {
-		t.Fatal("it started although the address of its fleet is taken")
+		t.Fatal("Start succeeded although the fleet address is in use")
 	}
 	for _, address := range []string{plan.listen, plan.adminListen} {
 		l, err := net.Listen("tcp", address)
 		if err != nil {
-			t.Errorf("after the failed start: %v", err)
+			t.Errorf("listen after the failed start: %v", err)
 			continue
 		}
 		l.Close()
 	}
 }
 
-// While another process of the gatherer runs each has half of the memory, also after a reload.
-func TestMemoryIsHalvedWhileASiblingRuns(t *testing.T) {
+// While another process of the gatherer runs, each process has half of the memory limit, also after a
+// reload.
+func TestAdjustToSiblings_HalvesMemoryLimit(t *testing.T) {
 	plan := newTestPlan(t)
 	defer debug.SetMemoryLimit(debug.SetMemoryLimit(-1))
-	g := newGatherer(plan, slog.New(slog.DiscardHandler)) // this test is its goroutine
+	g := newGatherer(plan, slog.New(slog.DiscardHandler)) // this test acts as the gatherer's goroutine
 	if err := g.startComponents(); err != nil {
 		t.Fatal(err)
 	}
@@ -77,13 +78,13 @@
 	} {
 		g.adjustToSiblings(step.others)
 		if got := debug.SetMemoryLimit(-1); got != step.want {
-			t.Errorf("%s: %d bytes, want %d", step.name, got, step.want)
+			t.Errorf("%s: memory limit %d bytes, want %d", step.name, got, step.want)
 		}
 		if err := g.apply(plan); err != nil {
 			t.Fatal(err)
 		}
 		if got := debug.SetMemoryLimit(-1); got != step.want {
-			t.Errorf("%s, after a reload: %d bytes, want %d", step.name, got, step.want)
+			t.Errorf("%s, after a reload: memory limit %d bytes, want %d", step.name, got, step.want)
 		}
 	}
 }
--- a/internal/broker/server/virtual_service.go
+++ b/internal/broker/server/virtual_service.go
@@ -15,7 +15,7 @@
 
 const (
 	listenRetryInterval = 100 * time.Millisecond
-	maxDrainedListeners = 4 // beyond it the oldest is closed
+	maxDrainedListeners = 4 // beyond this number the oldest listener is closed
 )
 
 // virtualService listens at the virtual address while this gatherer is the Active router of VRRP.
@@ -24,17 +24,18 @@
 	config config.VRRP
 	engine *transport.Engine
 	log    *slog.Logger
-	router *transport.Redundancy // nil: on standby, or leaving; the gatherer's goroutine owns it
-	stop   chan struct{}         // ends serving as Active; the router's goroutine owns it
+	router *transport.Redundancy // nil: not in the election; the gatherer's goroutine owns it
+	stop   chan struct{}         // closed when the Active state ends; the router's goroutine owns it
 
 	mu             sync.Mutex
 	listenerConfig transport.ListenerConfig
 	front          transport.Front
-	listeners      []*transport.Listener // the present one, and draining ones that may still have answers to send
+	listeners      []*transport.Listener // the present one last, and draining ones with queries in flight
 }
 
-// compete takes part in the election, or withdraws and gives the virtual address up. The gatherer's goroutine calls it.
-func (s *virtualService) compete(on bool) error {
+// setParticipating joins the VRRP election, or leaves it and releases the virtual address. The
+// gatherer's goroutine calls it.
+func (s *virtualService) setParticipating(on bool) error {
 	if on == (s.router != nil) {
 		return nil
 	}
@@ -44,15 +45,15 @@
 	}
 	conn, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(s.config.Listen))
 	if err != nil {
-		return fmt.Errorf("vrrp: listen: %w", err)
+		return fmt.Errorf("vrrp: listen for advertisements: %w", err)
 	}
 	s.router = transport.NewRedundancy(s.clock, s.config.Router, conn, s.config.Peers, s.onStateChange, s.log)
 	go s.router.Run()
 	return nil
 }
 
-// onStateChange follows the router's state: it starts to serve as Active, and drains otherwise. The router's goroutine calls it, and leave after that one
-// has ended.
+// onStateChange handles a change of the router's state: it starts serving in state Active and drains in
+// any other. The router's goroutine calls it, and leave does after that goroutine has ended.
 func (s *virtualService) onStateChange(state vrrp.State) {
 	if s.stop != nil {
 		close(s.stop)
@@ -64,7 +65,8 @@
 	}
 }
 
-// serve opens the socket at the virtual address and serves until stop. It tries again while the router that was Active before still has the address.
+// serve opens the socket at the virtual address and serves until stop is closed. It retries while the
+// router that was Active before still has the address.
 func (s *virtualService) serve(stop <-chan struct{}) {
 	for {
 		socket, err := (&net.ListenConfig{}).Listen(context.Background(), "tcp", s.config.Service)
@@ -83,7 +85,7 @@
 	}
 }
 
-// run serves the socket; after stop its listener drains.
+// run serves the socket. When stop is closed, its listener drains.
 func (s *virtualService) run(socket net.Listener, stop <-chan struct{}) {
 	s.mu.Lock()
 	l := transport.NewListener(socket, s.listenerConfig, s.engine, s.front, s.log)
@@ -103,7 +105,7 @@
 	}
 }
 
-// reconfigure sets other bounds and another front, for the listeners that run too.
+// reconfigure sets the limits and the front, also for running listeners.
 func (s *virtualService) reconfigure(bounds transport.ListenerConfig, front transport.Front) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -113,7 +115,7 @@
 	}
 }
 
-// quiet reports whether no listener has a request in flight, nor has had one since the given time.
+// quiet reports whether no listener has a request in flight or has received one since the given time.
 func (s *virtualService) quiet(since int64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -125,7 +127,7 @@
 	return true
 }
 
-// conns is how many client connections are open.
+// conns returns the number of open client connections.
 func (s *virtualService) conns() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -136,7 +138,8 @@
 	return n
 }
 
-// leave gives the virtual address up. It comes first in a shutdown: a peer takes over while this one still answers.
+// leave leaves the election and releases the virtual address. A shutdown calls it first, so that a peer
+// takes over while this gatherer still answers.
 func (s *virtualService) leave() {
 	if s.router == nil {
 		return
--- a/internal/broker/server/voterlog.go
+++ b/internal/broker/server/voterlog.go
@@ -16,30 +16,32 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// voterLog stores a gatherer's vote in one agreement, and the log of it. The two agreements of a gatherer in a region are kept apart: a crash between
-// their records leaves each complete.
+// voterLog stores the raft state of one voter: its identities, hard state, snapshot and log
+// entries. The regional and the global agreement of a gatherer use separate voter logs, so that
+// after a crash between writes to the two each is consistent in itself.
 type voterLog struct {
 	store  *recordlog.Store
-	prefix string // of its keys
+	prefix string // of the record keys
 
-	mu       sync.Mutex
-	id       uint64   // that the disk votes by
-	idStored bool     // id is on disk
-	obsolete []string // keys of records of other ids
-	last     uint64   // index of the last entry in the store
-	first    uint64   // index of the first
+	mu       sync.Mutex // guards the fields below
+	id       uint64     // voter id of the disk
+	idStored bool       // id is on disk
+	obsolete []string   // keys of records of other ids
+	last     uint64     // index of the last entry in the store
+	first    uint64     // index of the first entry in the store
 }
 
-// storedVote is what a store has of one vote, while it is read.
-type storedVote struct {
-	met     map[string]uint64
+// storedVoter is the state of one voter while it is being read from a store.
+type storedVoter struct {
+	met     map[string]uint64 // identities of the bootstrap voters by name
 	disk    rollout.Disk
 	entries map[uint64]*pb.Entry // by index
 	err     error                // the first record that could not be parsed
 }
 
-// add takes a record in by the kind in its key; index is that of an entry.
-func (v *storedVote) add(kind, index string, r recordlog.Record) {
+// add decodes a record of the given kind, which is a part of its key. index is the index of a log
+// entry, also a part of the key.
+func (v *storedVoter) add(kind, index string, r recordlog.Record) {
 	switch kind {
 	case keyMet:
 		hello := &wire.Hello{}
@@ -57,27 +59,28 @@
 	case keyEntry:
 		i, err := strconv.ParseUint(index, 10, 64)
 		if err != nil {
-			return // not a key that entryKey makes
+			return // not a key made by entryKey
 		}
 		v.entries[i] = &pb.Entry{}
 		v.parse(r, v.entries[i])
 	}
 }
 
-func (v *storedVote) parse(r recordlog.Record, to proto.Message) {
+func (v *storedVoter) parse(r recordlog.Record, to proto.Message) {
 	if err := unmarshalRecord(r, to); err != nil && v.err == nil {
 		v.err = err
 	}
 }
 
-// recall reads a vote and its log; records of another id are obsolete. It is called before the log is used otherwise.
-func (l *voterLog) recall() (met map[string]uint64, disk rollout.Disk, err error) {
+// load reads the stored state of the voter. Records of another voter id are ignored and noted as
+// obsolete. It must be called before the other methods.
+func (l *voterLog) load() (met map[string]uint64, disk rollout.Disk, err error) {
 	id, err := readUint64(l.store, l.prefix+keyVoter)
 	if err != nil {
 		return nil, rollout.Disk{}, err
 	}
 	l.id, l.idStored, l.obsolete = id, id != 0, nil
-	v := storedVote{disk: rollout.Disk{ID: id}, entries: map[uint64]*pb.Entry{}}
+	v := storedVoter{disk: rollout.Disk{ID: id}, entries: map[uint64]*pb.Entry{}}
 	err = l.store.Each(recordlog.Rollout, func(r recordlog.Record) {
 		key, ours := strings.CutPrefix(r.Key, l.prefix)
 		if !ours || l.prefix == "" && strings.HasPrefix(key, globalPrefix) {
@@ -107,21 +110,22 @@
 		v.disk.Entries = append(v.disk.Entries, v.entries[l.last])
 	}
 	if hard := v.disk.HardState; hard != nil && hard.GetCommit() > l.last {
-		hard.Commit = proto.Uint64(l.last) // the entries beyond it were never acknowledged
+		hard.Commit = proto.Uint64(l.last) // entries beyond it were never acknowledged
 	}
 	return v.met, v.disk, nil
 }
 
-// key is the key of one of this voter's records.
+// key returns the key of one of this voter's records.
 func (l *voterLog) key(key string) string {
 	return l.prefix + key + "/" + strconv.FormatUint(l.id, 10)
 }
 
-// entryKey is the key of one entry of the log.
+// entryKey returns the key of the log entry with index i.
 func (l *voterLog) entryKey(i uint64) string { return fmt.Sprintf("%s/%020d", l.key(keyEntry), i) }
 
-// save stores a voter's log and vote, or the identities that one of the first voters has met. It returns when the records are on disk. Entries that a
-// new one replaces are removed with it.
+// save stores either the identities of the bootstrap voters or, otherwise, a snapshot, hard state and
+// log entries. It returns when the records are on disk. Entries that the snapshot covers or that
+// conflict with new entries are removed in the same batch.
 func (l *voterLog) save(s *rollout.Save) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -170,7 +174,7 @@
 	return nil
 }
 
-// saveIdentities stores the identities of the voters that were met.
+// saveIdentities stores the identities of the bootstrap voters known so far.
 func (l *voterLog) saveIdentities(identities map[string]uint64) error {
 	hello := &wire.Hello{}
 	for _, name := range slices.Sorted(maps.Keys(identities)) {
@@ -179,7 +183,8 @@
 	return writeMessage(l.store, l.prefix+keyMet, hello)
 }
 
-// changeVoter begins the log of another id. The records of the id before are obsolete when the new id is written, which save does last.
+// changeVoter starts the log of another voter id. The records of the previous id become obsolete when
+// the new id is on disk; save writes it last.
 func (l *voterLog) changeVoter(id uint64) {
 	for i := l.first; i <= l.last; i++ {
 		l.obsolete = append(l.obsolete, l.entryKey(i))
@@ -190,12 +195,13 @@
 	l.id, l.first, l.last, l.idStored = id, 1, 0, false
 }
 
-// snapshot stores a snapshot that this voter has made in place of the log up to it, and removes obsolete records.
+// snapshot stores a snapshot that this voter has taken, and removes the log entries that it covers and
+// all obsolete records.
 func (l *voterLog) snapshot(d rollout.Disk) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if d.ID != l.id {
-		return nil // the disk votes by another id now
+		return nil // the voter id of the disk has changed since
 	}
 	var batch recordBatch
 	if err := batch.put(l.key(keySnapshot), d.Snapshot); err != nil {
@@ -215,7 +221,7 @@
 	return nil
 }
 
-// drop removes a vote and its log, as if the disk were lost.
+// drop removes all records of the voter, as if the disk were lost.
 func (l *voterLog) drop() error {
 	var batch recordBatch
 	if err := l.store.Each(recordlog.Rollout, func(r recordlog.Record) {
