--- a/internal/broker/adminapi/call.go
+++ b/internal/broker/adminapi/call.go
@@ -6,44 +6,50 @@
 	"strings"
 )
 
-// Program is what calls act on. Its methods are called from the connections' goroutines and answer immediately, under any load.
+// Program is the running program that calls act on. Its methods are called from the goroutines of the
+// connections, concurrently, and must return promptly under any load.
 type Program interface {
 	// Status reports whether this process accepts clients, and its state in one word.
 	Status() (accepts bool, state string)
-	// Standby drains the program; Active puts it back in service. An error says why that is not possible.
+	// Standby drains the program; Active puts it back into service. The error says why that is not
+	// possible.
 	Standby() error
 	Active() error
-	// Stats appends the metrics, a line each.
+	// Stats appends one line for each metric.
 	Stats(dst []byte) []byte
-	// Layout appends the state of the layout of ranges, a line each; nil where there is none.
+	// Layout appends the state of the layout, one line for each range. It returns nil without a layout.
 	Layout(dst []byte) []byte
-	// Contracts appends the state of each team, a line each; nil where there are no contracts, or no team has sent a query.
+	// Contracts appends one line for each team. It returns nil without contracts, and before any team has
+	// sent a query.
 	Contracts(dst []byte) []byte
-	// Fleet appends the view of the fleet, a line each; nil where there is none.
+	// Fleet appends the view of the fleet, one line for each member. It returns nil without a view.
 	Fleet(dst []byte) []byte
-	// Forget treats a failed member of the fleet as one that has left.
+	// Forget marks a failed member of the fleet as having left it.
 	Forget(name string) error
-	// LeaveFleet has this gatherer leave the fleet.
+	// LeaveFleet makes this gatherer leave the fleet.
 	LeaveFleet() error
-	// Policy appends the state of the policy's versions, a line each; nil where no rollout is set up.
+	// Policy appends the state of the policy rollout in several lines. It returns nil without a rollout.
 	Policy(dst []byte) []byte
-	// PolicyText appends the document in force, or with previous the one before it; nil where no rollout is set up.
+	// PolicyText appends the policy in force or, with previous, the version before it. It returns nil
+	// without a rollout.
 	PolicyText(dst []byte, previous bool) []byte
-	// SetLogLevel sets the lowest level that is logged: debug, info, warn or error.
+	// SetLogLevel sets the minimum level of log lines: debug, info, warn or error.
 	SetLogLevel(level string) error
 }
 
-// MaxCall is the most bytes of a call's line, without its end.
+// MaxCall is the maximum length of a call in bytes, without the end of the line.
 const MaxCall = 128
 
-// Call is the one call of one connection. The zero value is ready; it belongs to one goroutine.
+// Call parses and executes the call of one connection. The zero value is ready to use. It must be
+// used by one goroutine only.
 type Call struct {
 	line []byte
 	done bool
 }
 
-// Feed takes bytes in as they arrive, executes the call when its line is complete, and returns the answer. done is true when the connection is finished,
-// also for a line that is too long; bytes after the line are ignored.
+// Feed processes the next bytes from the connection. When the line is complete it executes the call and
+// returns the answer. done is true when the answer, which may be the rejection of a line that is too
+// long, is the last one. Bytes after the first line are ignored.
 func (c *Call) Feed(b []byte, p Program) (answer []byte, done bool) {
 	if c.done {
 		return nil, true
@@ -52,9 +58,9 @@
 	if i >= 0 {
 		b = b[:i]
 	}
-	if len(c.line)+len(b) > MaxCall+1 { // one more for a carriage return
+	if len(c.line)+len(b) > MaxCall+1 { // one more byte for a carriage return
 		c.done = true
-		return refuse("a call has %d bytes at most", MaxCall), true
+		return reject("a call has %d bytes at most", MaxCall), true
 	}
 	c.line = append(c.line, b...)
 	if i < 0 {
@@ -64,22 +70,23 @@
 	return execute(string(bytes.TrimSuffix(c.line, []byte{'\r'})), p), true
 }
 
-// End reports that no more bytes come, and returns the answer where there was none. A line without its end is not executed: it may be half a call.
+// End must be called at the end of the input. It returns a rejection if there was no answer yet. A line
+// without an end of line is not executed, since it may be truncated.
 func (c *Call) End() []byte {
 	if c.done {
 		return nil
 	}
 	c.done = true
-	return refuse("the call has no end")
+	return reject("incomplete call: no end of line")
 }
 
-// execute executes a complete line.
+// execute executes a complete call and returns the answer.
 func execute(call string, p Program) []byte {
 	switch call {
 	case "status":
 		accepts, state := p.Status()
 		if !accepts {
-			return refuse("%s", state)
+			return reject("%s", state)
 		}
 		return []byte("YES " + state + "\n")
 	case "stats":
@@ -87,7 +94,7 @@
 	case "layout":
 		return textOr(p.Layout(nil), "no layout is set up")
 	case "contracts":
-		return textOr(p.Contracts(nil), "no contracts are set up, or nobody has asked for anything")
+		return textOr(p.Contracts(nil), "no contracts are set up, or no team has sent a query")
 	case "fleet":
 		return textOr(p.Fleet(nil), "no view of a fleet is set up")
 	case "policy":
@@ -103,7 +110,7 @@
 	case "active":
 		return acknowledge(p.Active(), call)
 	case "":
-		return refuse("empty call; there are %s", callNames)
+		return reject("empty call; there are %s", callNames)
 	}
 	if name, ok := strings.CutPrefix(call, "fleet forget "); ok {
 		return acknowledge(p.Forget(name), call)
@@ -111,30 +118,31 @@
 	if level, ok := strings.CutPrefix(call, "log "); ok {
 		return acknowledge(p.SetLogLevel(level), call)
 	}
-	return refuse("unknown call %q; there are %s", call, callNames)
+	return reject("unknown call %q; there are %s", call, callNames)
 }
 
 const (
 	callNames = "status, stats, layout, contracts, fleet, policy, standby, active and log LEVEL"
 	noRollout = "no rollout is set up"
-	end       = "END\n" // ends an answer of several lines
+	end       = "END\n" // last line of an answer of several lines
 )
 
-// textOr is the answer to a call for text: the text, or a refusal with the reason where there is none.
+// textOr returns the answer to a call for text, which is a rejection with the given reason if text
+// is nil.
 func textOr(text []byte, reason string) []byte {
 	if text == nil {
-		return refuse("%s", reason)
+		return reject("%s", reason)
 	}
 	return append(text, end...)
 }
 
-// acknowledge is the answer to a call that changes something.
+// acknowledge returns the answer to a call that changes something.
 func acknowledge(err error, call string) []byte {
 	if err != nil {
-		return refuse("%v", err)
+		return reject("%v", err)
 	}
 	return []byte("YES " + call + "\n")
 }
 
-// refuse is the answer to a call that was not executed.
-func refuse(format string, args ...any) []byte { return fmt.Appendf(nil, "NO "+format+"\n", args...) }
+// reject returns the answer to a call that was not executed or failed.
+func reject(format string, args ...any) []byte { return fmt.Appendf(nil, "NO "+format+"\n", args...) }
--- a/internal/broker/adminapi/call_test.go
+++ b/internal/broker/adminapi/call_test.go
@@ -60,8 +60,8 @@
 	{"fleet leave\n", "YES fleet leave"},
 	{"fleet forget gone\n", "YES fleet forget gone"},
 	{"fleet forget x\n", "NO it is not dead"},
-	{"stat", "NO the call has no end"},
-	{"", "NO the call has no end"},
+	{"stat", "NO incomplete call: no end of line"},
+	{"", "NO incomplete call: no end of line"},
 }
 
 func feed(pieces ...string) []byte {
@@ -76,8 +76,8 @@
 	return c.End()
 }
 
-// The answer to a call does not depend on how its bytes are split.
-func TestEverySplit(t *testing.T) {
+// The answer to a call does not depend on how its bytes are split into reads.
+func TestCallFeed_SplitReads(t *testing.T) {
 	for _, c := range calls {
 		whole := feed(c.line)
 		if !strings.HasPrefix(string(whole), c.answer) {
@@ -94,7 +94,8 @@
 	}
 }
 
-// Whatever is sent, the answer is one line that says yes or no, or the metrics, and no more than a call's length is kept.
+// For any input the answer is one line that begins with YES or NO, or the metrics, and no more than the
+// maximum length of a call is buffered.
 func FuzzCall(f *testing.F) {
 	for _, c := range calls {
 		f.Add([]byte(c.line), 1)
@@ -109,7 +110,7 @@
 			answer, done = c.Feed(b[:n], d)
 			b = b[n:]
 			if len(c.line) > MaxCall+1 {
-				t.Fatalf("%d bytes kept", len(c.line))
+				t.Fatalf("%d bytes buffered", len(c.line))
 			}
 		}
 		if answer == nil {
@@ -125,10 +126,11 @@
 	})
 }
 
-// Repeated calls change nothing, and no operator ends what SIGTERM has begun.
-func TestLifecycle(t *testing.T) {
-	var turns []bool
-	d := newTestProgram(func(standby bool) { turns = append(turns, standby) })
+// Repeated standby and active calls have no effect, and an operator's call cannot end a shutdown that
+// SIGTERM has begun.
+func TestLifecycle_Transitions(t *testing.T) {
+	var changes []bool
+	d := newTestProgram(func(standby bool) { changes = append(changes, standby) })
 	ask := func(line, want string) {
 		t.Helper()
 		var c Call
@@ -153,13 +155,14 @@
 	ask("standby", "YES")
 	d.SetLeaving(true)
 	ask("status", "NO leaving")
-	if !slices.Equal(turns, []bool{true, false, true}) {
-		t.Errorf("turns %v", turns)
+	if !slices.Equal(changes, []bool{true, false, true}) {
+		t.Errorf("standby changes %v", changes)
 	}
 }
 
-// Counts are shown from the start and stay when their class is removed; unknown classes are not counted.
-func TestMetrics(t *testing.T) {
+// The counters of a class are printed from its registration on and stay after the class is removed.
+// Answers to requests of unknown classes are not counted.
+func TestMetrics_ClassCounters(t *testing.T) {
 	d := newTestProgram(func(bool) {})
 	d.RegisterClasses("b|1", "a")
 	for _, status := range []int{200, 200, 429, 503, 400, 502, 504} {
@@ -196,8 +199,8 @@
 	}
 }
 
-// The metrics have the region's state where there are regions, and only there.
-func TestMetricsOfARegion(t *testing.T) {
+// The metrics of the region are printed only if there are regions.
+func TestMetrics_Region(t *testing.T) {
 	f := NewMetrics()
 	var r RolloutMetrics
 	f.Rollout = func() RolloutMetrics { return r }
--- a/internal/broker/adminapi/metrics.go
+++ b/internal/broker/adminapi/metrics.go
@@ -5,24 +5,25 @@
 	"sync/atomic"
 )
 
-// Metrics are what the process counts from its start. The counters may be raised and read by any goroutine. The functions and LayoutCounts are set before
-// the first call of Stats, and not changed then. NewMetrics makes them.
+// Metrics are the metrics of the process since its start. NewMetrics creates them. The counters are
+// safe for concurrent use. The functions and LayoutCounts must be set before the first call of
+// Stats and must not be changed after it.
 type Metrics struct {
 	Relayed                        atomic.Int64 // attempts written completely to servers
 	OpenRequests                   atomic.Int64 // requests accepted and not yet answered
-	KnownServers, EjectedServers   atomic.Int64 // servers in the list, and those of them that are ejected now
-	ConfigAccepted, ConfigRejected atomic.Int64 // files at a reload
-	Panics                         atomic.Int64 // contained to the request, answer or call in whose goroutine they happened
+	KnownServers, EjectedServers   atomic.Int64 // servers in the list, and those of them that are currently ejected
+	ConfigAccepted, ConfigRejected atomic.Int64 // reloads of the configuration file
+	Panics                         atomic.Int64 // recovered panics, each contained to one request, answer or call
 
-	// Cursors returns the number of open points in time; nil: there are none.
+	// Cursors returns the number of open points in time; nil if they are not configured.
 	Cursors func() int
-	// Store returns the metrics of the durable store; nil: there is none.
+	// Store returns the metrics of the durable store; nil if there is none.
 	Store func() StoreMetrics
-	// Fleet returns the metrics of the view of the fleet; nil: there is none.
+	// Fleet returns the metrics of the view of the fleet; nil if there is none.
 	Fleet func() FleetMetrics
-	// Rollout returns the metrics of the agreement on the policy; nil: there is none.
+	// Rollout returns the metrics of the policy rollout; nil if there is none.
 	Rollout func() RolloutMetrics
-	// LayoutCounts is nil where no layout is set up.
+	// LayoutCounts are the metrics of the layout of ranges; nil if there is none.
 	LayoutCounts *LayoutMetrics
 
 	mu      sync.RWMutex
@@ -31,46 +32,49 @@
 
 // StoreMetrics are the metrics of the durable store.
 type StoreMetrics struct {
-	Bytes, Keys, OpenQueries, LostSpans, Failing int64 // present values: bytes of a copy; keys; queries in flight; lost spans; 1 while appends fail
-	Appends, Syncs, Failed, CleanedSegments      int64 // records and batches written; records not known to be durable; segments rewritten
+	Bytes, Keys, OpenQueries, LostSpans, Failing int64 // gauges: bytes of one copy; keys; queries in flight; lost spans; 1 while appends fail
+	Appends, Syncs, Failed, CleanedSegments      int64 // counters: records written; batches synced; records not known to be durable; segments rewritten
 }
 
-// RolloutMetrics are the state of the agreement on the policy at one gatherer: 1 and 0 for yes and no.
+// RolloutMetrics are the metrics of the policy rollout at one gatherer. Admits, Paused and Leads
+// are 1 for true and 0 for false.
 type RolloutMetrics struct {
 	Number, Admits, Paused, LeaseMs, Leads int64
-	Region                                 *RegionMetrics // nil: there are no regions
+	Region                                 *RegionMetrics // nil: no regions
 	Traffic                                TrafficMetrics
 }
 
-// RegionMetrics are the state of a gatherer's region among the others: by how many versions it is behind and for how many milliseconds it has been
-// isolated, both at least; Leads is 1 where the gatherer leads the global agreement.
+// RegionMetrics are the metrics of a gatherer's region in the global agreement: by how many
+// versions it is behind and for how many milliseconds it has been isolated, both lower bounds.
+// Leads is 1 if the gatherer is the leader of the global agreement.
 type RegionMetrics struct{ Behind, IsolatedMs, Leads int64 }
 
-// TrafficMetrics are what one part of the control traffic has sent and received: messages, bytes of payload, those of them for quotas, and links to other
-// members that are open now.
+// TrafficMetrics are the metrics of one kind of control traffic: messages and payload bytes sent and
+// received, the bytes of them that concern quotas, and the number of open links to other members.
 type TrafficMetrics struct{ Sent, Received, SentBytes, ReceivedBytes, QuotaBytes, Links int64 }
 
 // FleetMetrics are the metrics of the view of the fleet.
 type FleetMetrics struct {
-	Alive, EffectiveSize, Suspected, Dead, HealthScore, NameConflict                                                 int64 // present values
+	Alive, EffectiveSize, Suspected, Dead, HealthScore, NameConflict                                                 int64 // gauges
 	Sent, Received, Dropped, Bytes, Exchanges, FailedProbes, Suspicions, Refutations, Deaths, Stalls, DroppedByLimit int64
 	Traffic                                                                                                          TrafficMetrics
 }
 
 // LayoutMetrics are the metrics of the layout of ranges.
 type LayoutMetrics struct {
-	Epoch, Ranges, Changes, Stalled atomic.Int64 // present values
+	Epoch, Ranges, Changes, Stalled atomic.Int64 // gauges
 	Accepted, Rejected              atomic.Int64 // layouts and steps put in force, and rejected
-	Replanned, Misplaced            atomic.Int64 // parts planned again; attempts that found their range moved
+	Replanned, Misplaced            atomic.Int64 // parts planned again; attempts sent to a server that no longer has the range
 }
 
-// answerCounts counts the answers to one class's requests by result.
+// answerCounts counts the answers to the requests of one class by result.
 type answerCounts struct{ fulfilled, throttled, faulted atomic.Int64 }
 
-// NewMetrics makes metrics that are all 0.
+// NewMetrics returns metrics that are all 0.
 func NewMetrics() *Metrics { return &Metrics{classes: map[string]*answerCounts{}} }
 
-// RegisterClasses shows these classes from now on. Classes that are no longer in the settings keep their counts.
+// RegisterClasses adds classes to the metrics. A class keeps its counts when it is removed from the
+// settings.
 func (f *Metrics) RegisterClasses(classes ...string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -81,8 +85,8 @@
 	}
 }
 
-// CountAnswer counts a request by the status of its answer. Requests of classes that were never registered are not counted: this bounds the memory against
-// clients that make names up.
+// CountAnswer counts a request by the status of its answer. Requests of classes that are not
+// registered are ignored, so that clients that send arbitrary class names cannot use up memory.
 func (f *Metrics) CountAnswer(class string, status int) {
 	f.mu.RLock()
 	e := f.classes[class]
--- a/internal/broker/adminapi/metrics_test.go
+++ b/internal/broker/adminapi/metrics_test.go
@@ -6,13 +6,14 @@
 	"time"
 )
 
-// The functions in Metrics may wait for a goroutine that counts: a policy is put in force by a goroutine that registers classes, while the policy node
-// waits for it. No goroutine waits for the lock of Metrics meanwhile.
-func TestStatsCallProvidersWithoutTheLock(t *testing.T) {
+// Stats must not hold the lock of Metrics while it calls the functions in Metrics. Otherwise there
+// is a deadlock: Rollout waits for the policy node, which waits until a goroutine that registers
+// classes has put a policy in force.
+func TestMetricsStats_CallsFunctionsUnlocked(t *testing.T) {
 	f := NewMetrics()
 	f.RegisterClasses("search")
-	var late []string
-	asks := func(what string) {
+	var blocked []string
+	checkUnlocked := func(function string) {
 		done := make(chan struct{})
 		go func() {
 			f.RegisterClasses("files")
@@ -22,14 +23,14 @@
 		select {
 		case <-done:
 		case <-time.After(10 * time.Second):
-			late = append(late, what)
+			blocked = append(blocked, function)
 		}
 	}
-	f.Cursors = func() int { asks("cursors"); return 1 }
-	f.Store = func() StoreMetrics { asks("store"); return StoreMetrics{} }
-	f.Fleet = func() FleetMetrics { asks("fleet"); return FleetMetrics{} }
-	f.Rollout = func() RolloutMetrics { asks("rollout"); return RolloutMetrics{} }
-	if text := string(f.Stats(nil)); !strings.Contains(text, "svc.rollout.number:0|g") || len(late) > 0 {
-		t.Errorf("who counts waits while these are asked: %v; %s", late, text)
+	f.Cursors = func() int { checkUnlocked("cursors"); return 1 }
+	f.Store = func() StoreMetrics { checkUnlocked("store"); return StoreMetrics{} }
+	f.Fleet = func() FleetMetrics { checkUnlocked("fleet"); return FleetMetrics{} }
+	f.Rollout = func() RolloutMetrics { checkUnlocked("rollout"); return RolloutMetrics{} }
+	if text := string(f.Stats(nil)); !strings.Contains(text, "svc.rollout.number:0|g") || len(blocked) > 0 {
+		t.Errorf("the lock is held during the calls of %v; %s", blocked, text)
 	}
 }
--- a/internal/broker/adminapi/stats.go
+++ b/internal/broker/adminapi/stats.go
@@ -7,22 +7,22 @@
 	"strings"
 )
 
-// stat is one metric as the call stats prints it.
+// stat is one metric in the answer to the call stats.
 type stat struct {
 	name  string
 	kind  statKind
 	value int64
 }
 
-// statKind is the kind of a metric in the form of statsd.
+// statKind is the type of a metric in statsd format.
 type statKind string
 
 const (
-	counter statKind = "c" // never decreases while the process runs
-	gauge   statKind = "g" // a present value
+	counter statKind = "c"
+	gauge   statKind = "g"
 )
 
-// appendStats appends metrics, a line each, below a prefix.
+// appendStats appends one line for each metric, with a prefix to its name.
 func appendStats(dst []byte, prefix string, stats ...stat) []byte {
 	for _, s := range stats {
 		dst = fmt.Appendf(dst, "%s.%s:%d|%s\n", prefix, s.name, s.value, s.kind)
@@ -30,7 +30,8 @@
 	return dst
 }
 
-// Stats appends the metrics, a line each, in the form of statsd. The functions in m are called without the lock: they may wait for a goroutine that counts.
+// Stats appends one line for each metric in statsd format. It calls the functions in m without the
+// lock, since they may wait for a goroutine that needs the lock to count.
 func (m *Metrics) Stats(dst []byte) []byte {
 	m.mu.RLock()
 	classes := maps.Clone(m.classes)
@@ -46,7 +47,7 @@
 		stat{"cfg_accepted", counter, m.ConfigAccepted.Load()},
 		stat{"cfg_invalid", counter, m.ConfigRejected.Load()},
 	)
-	if panics := m.Panics.Load(); panics > 0 { // shown once there is one: each is a fault of the program
+	if panics := m.Panics.Load(); panics > 0 { // printed only after a panic, since each is a bug in the program
 		dst = appendStats(dst, "svc", stat{"panics", counter, panics})
 	}
 	if m.Cursors != nil {
@@ -150,7 +151,8 @@
 	)
 }
 
-// sanitizeName replaces what has a meaning in the form of statsd, spaces and control characters.
+// sanitizeName replaces characters that are special in statsd format, spaces and control characters by
+// underscores.
 func sanitizeName(name string) string {
 	return strings.Map(func(r rune) rune {
 		if r <= ' ' || r == ':' || r == '|' || r == '@' || r == 0x7f {
--- a/internal/broker/config/config.go
+++ b/internal/broker/config/config.go
@@ -17,14 +17,15 @@
 	Operator                string // address of the admin endpoint; empty: none
 	Seed                    uint64
 	Sockets, MemoryMB       int
-	Known                   []sq.Server // the workers, as discovery had them last
+	Known                   []sq.Server // the workers in the last list from discovery
 	Addresses               map[sq.ServerID]string
 	Generation              int64
 	Settings                Settings
-	keys                    []string // of the file and of the objects in it
+	keys                    []string // full names of all keys in the file
 }
 
-// Load reads the platform's configuration by the variables of an environment. getenv and readFile are those of package os, or of a test.
+// Load reads the platform's configuration file that LB_CONFIG names. The other LB_ variables of the
+// environment replace values of the file. getenv and readFile are those of package os, or of a test.
 func Load(getenv func(string) string, readFile func(string) ([]byte, error)) (Node, error) {
 	path := getenv("LB_CONFIG")
 	if path == "" {
@@ -41,10 +42,12 @@
 	return n, nil
 }
 
-// Reload reads the file again while the program runs. An error means that nothing of it may be put in force.
+// Reload reads the platform's configuration file again while the program runs. After an error no
+// part of the file may be put in force.
 //
-// The file's key discovery now prevails over LB_DISCOVERY, which names the address at the start only: the variable would tie the program to an address that is
-// being given up. The file is written by a program; one that lacks a key of the file in force is taken to be damaged.
+// LB_DISCOVERY is ignored and the file's key discovery is used: the variable gives the address at
+// the start only, and would tie the program to an address that is being retired. The file is
+// generated, so a file that lacks a key of the file in force is rejected as damaged.
 func Reload(getenv func(string) string, readFile func(string) ([]byte, error), inForce Node) (Node, error) {
 	n, err := Load(func(name string) string {
 		if name == "LB_DISCOVERY" {
@@ -57,7 +60,7 @@
 	}
 	for _, key := range inForce.keys {
 		if !slices.Contains(n.keys, key) {
-			return Node{}, fmt.Errorf("LB_CONFIG: %s: missing, unlike in the file in force", key)
+			return Node{}, fmt.Errorf("LB_CONFIG: %s: missing, but present in the file in force", key)
 		}
 	}
 	if err := inForce.Settings.checkLayout(n.Settings); err != nil {
@@ -66,7 +69,7 @@
 	return n, nil
 }
 
-// keysOf returns the full names of the keys of an object and of the objects in it.
+// keysOf returns the full names of all keys of an object and of the objects nested in it.
 func keysOf(path string, o *fastjson.Object) (keys []string) {
 	o.Visit(func(key []byte, v *fastjson.Value) {
 		keys = append(keys, path+string(key))
@@ -100,7 +103,7 @@
 		}
 	}
 	r.optionalHostPort("operator", n.Operator)
-	r.limits(n.Sockets, n.MemoryMB)
+	r.checkLimits(n.Sockets, n.MemoryMB)
 	n.Seed = r.seed()
 	if r.has("settings") {
 		n.Settings = readSettings(r.object("settings"))
@@ -114,7 +117,7 @@
 	if r.has("known") {
 		list, err := platform.ParseList(r.v.Get("known").MarshalTo(nil))
 		if err != nil {
-			return Node{}, fmt.Errorf("known: %w", err)
+			return Node{}, fmt.Errorf("known: invalid list of workers: %w", err)
 		}
 		n.Generation = list.Generation
 		n.Known = list.Servers
@@ -123,7 +126,7 @@
 	return n, nil
 }
 
-// Defaults and least values of the section limits.
+// Defaults and minimum values of the section limits.
 const (
 	defaultSockets  = 1024
 	defaultMemoryMB = 192
@@ -131,8 +134,8 @@
 	minMemoryMB     = 16
 )
 
-// limits checks the bounds on descriptors and memory.
-func (r reader) limits(sockets, memoryMB int) {
+// checkLimits reports limits on descriptors and memory that are below the minimum.
+func (r reader) checkLimits(sockets, memoryMB int) {
 	if sockets < minSockets {
 		r.fault("limits.sockets", "want %d or more, not %d", minSockets, sockets)
 	}
--- a/internal/broker/config/config_test.go
+++ b/internal/broker/config/config_test.go
@@ -10,7 +10,8 @@
 	sq "saffronquay"
 )
 
-func node(t *testing.T, from, to string) (Node, error) {
+// loadValid loads the file valid with the first occurrence of from replaced.
+func loadValid(t *testing.T, from, to string) (Node, error) {
 	t.Helper()
 	text := strings.Replace(valid, from, to, 1)
 	if from != "" && text == valid {
@@ -32,7 +33,7 @@
   "rules":{"grace_to_answer_us":20000}}}`
 
 func TestLoad(t *testing.T) {
-	n, err := node(t, "", "")
+	n, err := loadValid(t, "", "")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -45,8 +46,8 @@
 	}
 }
 
-// A fault is reported with the name of its key.
-func TestFaultsNameTheKey(t *testing.T) {
+// Each fault of the platform's configuration is reported with the full name of its key.
+func TestLoad_ErrorNamesKey(t *testing.T) {
 	for _, c := range []struct{ from, to, names string }{
 		{`"127.0.0.1:8080"`, `"nowhere"`, "listen"},
 		{`"127.0.0.1:8500"`, `7`, "discovery"},
@@ -66,7 +67,7 @@
 		{`"family_info":{`, `"family":{`, "settings.family_info: missing"},
 		{`{"name"`, `"name"`, "not JSON"},
 	} {
-		if _, err := node(t, c.from, c.to); err == nil || !strings.Contains(err.Error(), c.names) {
+		if _, err := loadValid(t, c.from, c.to); err == nil || !strings.Contains(err.Error(), c.names) {
 			t.Errorf("%s: got %v, want %s named", c.to, err, c.names)
 		}
 	}
@@ -75,16 +76,16 @@
 		t.Errorf("got %v", err)
 	}
 	if _, ok, err := LoadOperator(none, nil); ok || err != nil {
-		t.Errorf("the second front is off unless a file is named: %t, %v", ok, err)
+		t.Errorf("no operator's file in the environment: got %t, %v, want false, nil", ok, err)
 	}
 	gone := errors.New("gone")
 	_, ok, err := LoadOperator(func(string) string { return "f" }, func(string) ([]byte, error) { return nil, gone })
 	if !ok || !errors.Is(err, gone) {
-		t.Errorf("got %t, %v", ok, err)
+		t.Errorf("unreadable operator's file: got %t, %v, want true and the read error", ok, err)
 	}
 }
 
-func TestOperatorFile(t *testing.T) {
+func TestParseOperator_ErrorNamesKey(t *testing.T) {
 	text, err := os.ReadFile("../../../deploy/opensearch.json")
 	if err != nil {
 		t.Fatal(err)
@@ -122,8 +123,8 @@
 	}
 }
 
-// The durable store's section is judged with the rest.
-func TestOperatorStore(t *testing.T) {
+// The section store is parsed, and each fault in it is reported with the full name of its key.
+func TestParseOperator_Store(t *testing.T) {
 	text, err := os.ReadFile("../../../deploy/durable.json")
 	if err != nil {
 		t.Fatal(err)
@@ -156,8 +157,9 @@
 	}
 }
 
-// A layout in the operator's file is judged with the rest, and takes the ranges' and cells' place.
-func TestOperatorLayout(t *testing.T) {
+// The section layout is validated with the rest of the file, and replaces the ranges of indices and the
+// cells of servers.
+func TestParseOperator_Layout(t *testing.T) {
 	text, err := os.ReadFile("../../../deploy/layout.json")
 	if err != nil {
 		t.Fatal(err)
@@ -177,7 +179,7 @@
 		{`"epoch": 1`, `"epoch": 1, "odd": 2`, "layout.whole"},
 		{`"stall_ms": 60000`, `"stall_ms": 0`, "layout.stall_ms"},
 		{`"127.0.0.1:9700"`, `"here"`, "layout.directory"},
-		{`"field": "taxpayer"`, `"field": "taxpayer", "ranges": []`, "indices[0].ranges: the layout says"},
+		{`"field": "taxpayer"`, `"field": "taxpayer", "ranges": []`, "indices[0].ranges: the layout determines them"},
 		{`"zone": "villa-maria"`, `"zone": "villa-maria", "draining": 1`, "servers[2].draining"},
 	} {
 		changed := strings.Replace(string(text), c.from, c.to, 1)
@@ -190,8 +192,8 @@
 	}
 }
 
-// The second address and the passed socket are named in the environment; a fault names the variable.
-func TestProcessAndOperator(t *testing.T) {
+// The passed socket comes from the environment. A fault is reported with the name of the variable.
+func TestLoadProcess(t *testing.T) {
 	env := func(v string) func(string) string { return func(string) string { return v } }
 	if p, err := LoadProcess(env("3")); err != nil || p.PassedSocket != 3 {
 		t.Errorf("%+v %v", p, err)
@@ -206,13 +208,13 @@
 	}
 }
 
-// A file that is read again is checked completely: one that is damaged, lacks a key, has a time or number out of range, or changes what can't change while the
-// program runs, is rejected with the name of the key.
-func TestReload(t *testing.T) {
+// A reload validates the whole file. It rejects a file that is truncated, lacks a key, has a time
+// or number out of range, or changes a setting that needs a restart, and the error names the key.
+func TestReload_RejectsInvalidFile(t *testing.T) {
 	whole := strings.Replace(valid, `"may_cancel":true`, `"may_cancel":true,"most_tries":4`, 1)
 	read := func(text string) (Node, error) {
 		if _, err := Load(func(string) string { return "f" }, func(string) ([]byte, error) { return []byte(whole), nil }); err == nil {
-			t.Fatal("an address that is none was taken")
+			t.Fatal("Load accepted an invalid address in LB_DISCOVERY")
 		}
 		env := func(name string) string {
 			return map[string]string{"LB_CONFIG": "f", "LB_DISCOVERY": "127.0.0.1:1"}[name]
@@ -227,9 +229,9 @@
 		n.Discovery != "127.0.0.1:8500" {
 		t.Errorf("%+v %v", n, err)
 	}
-	for i := range whole { // cut off anywhere
+	for i := range whole { // truncated at each byte
 		if _, err := read(whole[:i]); err == nil {
-			t.Fatalf("taken when cut off after %d bytes", i)
+			t.Fatalf("accepted a file truncated after %d bytes", i)
 		}
 	}
 	for _, c := range []struct{ from, to, names string }{
@@ -260,6 +262,6 @@
 		twice = strings.Replace(twice, `"`+key+`":[`, `"`+key+`":[0,`, 1)
 	}
 	if _, err := read(twice); err == nil || !strings.Contains(err.Error(), "twice") {
-		t.Errorf("a class named twice: %v", err)
+		t.Errorf("duplicate class: %v", err)
 	}
 }
--- a/internal/broker/config/contracts.go
+++ b/internal/broker/config/contracts.go
@@ -4,7 +4,8 @@
 	"saffronquay/internal/broker/admission"
 )
 
-// contracts reads the tree of contracts. Each tenant has one; all others have children.
+// contracts reads the tree of contracts. Its leaves are the tenants' contracts: each tenant must
+// have one, and every other contract must have children.
 func (o *Operator) contracts(r reader) {
 	r.require("cores", "teams")
 	c := &admission.Config{Cores: r.float("cores", 0), Gatherers: r.count("gatherers", 1), Oversubscription: r.float("over", 1.25)}
@@ -28,9 +29,10 @@
 	for _, fault := range c.Check() {
 		r.fault("", "%s", fault)
 	}
-	teams, above, tenants := map[string]bool{}, map[string]bool{}, map[string]bool{} // sets, since there may be ten thousand teams
+	// Sets, since there may be 10,000 teams.
+	teams, parents, tenants := map[string]bool{}, map[string]bool{}, map[string]bool{}
 	for _, x := range c.Teams {
-		teams[x.Name], above[x.Parent] = true, true
+		teams[x.Name], parents[x.Parent] = true, true
 	}
 	for _, t := range o.Settings.Module.Tenants {
 		if tenants[t.Name] = true; !teams[t.Name] {
@@ -38,8 +40,8 @@
 		}
 	}
 	for _, x := range c.Teams {
-		if above[x.Name] == tenants[x.Name] {
-			r.fault("teams", "%q has to be either a tenant or above others", x.Name)
+		if parents[x.Name] == tenants[x.Name] {
+			r.fault("teams", "%q must be either a tenant or the parent of other teams", x.Name)
 		}
 	}
 	o.Contracts = c
--- a/internal/broker/config/fleet.go
+++ b/internal/broker/config/fleet.go
@@ -8,38 +8,39 @@
 	"github.com/valyala/fastjson"
 )
 
-// Fleet configures the view of the other gatherers.
+// Fleet configures the gatherer's view of its fleet.
 type Fleet struct {
 	Listen       netip.AddrPort
-	Advertise    netip.AddrPort // not valid: what Listen turns out to be
+	Advertise    netip.AddrPort // not valid: the bound address of Listen
 	Name         string         // of the fleet
 	Join         []netip.AddrPort
-	Allow        []netip.Prefix // none: all
-	Period       time.Duration
-	Suspect      float64
-	CountLostFor time.Duration
-	// Balancers and Contracts make settings.balancers and contracts.gatherers follow the number of members that budgets are divided among.
+	Allow        []netip.Prefix // networks from which messages are accepted; empty: all
+	Period       time.Duration  // probe period
+	Suspect      float64        // suspicion factor
+	CountLostFor time.Duration  // how long a dead member counts towards the effective size
+	// Balancers and Contracts make settings.balancers and contracts.gatherers follow the number of
+	// members among which budgets are divided.
 	Balancers, Contracts bool
 }
 
-// maxJoin bounds the addresses to join by.
+// maxJoin is the maximum number of addresses in join.
 const maxJoin = 64
 
-// fleet reads the section that configures how gatherers find each other.
+// fleet reads the section fleet.
 func (o *Operator) fleet(r reader) {
 	r.require("listen")
 	f := &Fleet{
-		Name: r.str("name", "saffronquay"), Period: ms(r, "period_ms", 200, 50, 10_000), Suspect: r.float("suspect", 2.5),
-		CountLostFor: ms(r, "reckon_ms", 300_000, 1000, 86_400_000), Balancers: !r.has("balancers") || r.boolean("balancers"),
+		Name: r.str("name", "saffronquay"), Period: millis(r, "period_ms", 200, 50, 10_000), Suspect: r.float("suspect", 2.5),
+		CountLostFor: millis(r, "reckon_ms", 300_000, 1000, 86_400_000), Balancers: !r.has("balancers") || r.boolean("balancers"),
 		Contracts: !r.has("contracts") || r.boolean("contracts"),
 	}
 	f.Listen = r.addrPort("listen", r.str("listen", ""))
 	if r.has("advertise") {
 		if f.Advertise = r.addrPort("advertise", r.str("advertise", "")); f.Advertise.IsValid() && (f.Advertise.Addr().IsUnspecified() || f.Advertise.Port() == 0) {
-			r.fault("advertise", "want where others reach this gatherer, not %s", f.Advertise)
+			r.fault("advertise", "want the address at which others reach this gatherer, not %s", f.Advertise)
 		}
 	} else if f.Listen.IsValid() && f.Listen.Addr().IsUnspecified() {
-		r.fault("advertise", "missing: with %s as listen others can't be told where this gatherer is", f.Listen)
+		r.fault("advertise", "missing: required since listen, %s, is not an address that others can reach", f.Listen)
 	}
 	if err := swim.CheckName(f.Name); err != nil {
 		r.fault("name", "%v", err)
@@ -55,7 +56,7 @@
 		f.Join = append(f.Join, a)
 	}
 	if len(f.Join) > maxJoin {
-		r.fault("join", "want %d at most, not %d", maxJoin, len(f.Join))
+		r.fault("join", "want at most %d addresses, not %d", maxJoin, len(f.Join))
 	}
 	for _, text := range r.strs("allow") {
 		p, err := netip.ParsePrefix(text)
@@ -67,17 +68,18 @@
 	o.Fleet = f
 }
 
-// checkName checks that the file names the gatherer: members of a fleet need distinct names.
+// checkName reports a missing or invalid name of the gatherer. Members of a fleet need distinct
+// names, so the default does not do.
 func (o *Operator) checkName(r reader) {
 	if r.get("name", fastjson.TypeString) == nil {
-		r.fault("name", "missing: each gatherer of a fleet has a name of its own")
+		r.fault("name", "missing: each gatherer of a fleet must have a unique name")
 	} else if err := swim.CheckName(o.Name); err != nil {
 		r.fault("name", "%v", err)
 	}
 }
 
-// fixed returns the part of the section that only a restart can change.
-func (f Fleet) fixed() Fleet {
+// restartOnly returns the section without the settings that a reload can change.
+func (f Fleet) restartOnly() Fleet {
 	f.Balancers, f.Contracts = false, false
 	return f
 }
--- a/internal/broker/config/fleet_test.go
+++ b/internal/broker/config/fleet_test.go
@@ -8,8 +8,9 @@
 	"time"
 )
 
-// The example configures a view of the fleet; each fault in it is reported with its key, all of them together.
-func TestOperatorFleet(t *testing.T) {
+// The section fleet of the example is parsed, and each fault in it is reported with the full name
+// of its key. A reload may change only balancers and contracts in it.
+func TestParseOperator_Fleet(t *testing.T) {
 	o, err := config.ParseOperator(deploy.Fleet)
 	if err != nil {
 		t.Fatal(err)
@@ -20,7 +21,7 @@
 	for _, c := range []struct{ from, to, says string }{
 		{`"listen": "127.0.0.1:9410"`, `"listen": "here"`, "fleet.listen: "},
 		{`"listen": "127.0.0.1:9410"`, `"listen": "0.0.0.0:9410"`, "fleet.advertise: missing"},
-		{`"listen": "127.0.0.1:9410"`, `"listen": "127.0.0.1:9410", "advertise": "0.0.0.0:1"`, "fleet.advertise: want where others"},
+		{`"listen": "127.0.0.1:9410"`, `"listen": "127.0.0.1:9410", "advertise": "0.0.0.0:1"`, "fleet.advertise: want the address at which others"},
 		{`"listen": "127.0.0.1:9410",`, ``, "fleet.listen: missing"},
 		{`"127.0.0.1:9420"`, `"127.0.0.1:0"`, "fleet.join: 127.0.0.1:0 has no port"},
 		{`"127.0.0.0/8"`, `"loopback"`, "fleet.allow: "},
@@ -39,7 +40,7 @@
 			t.Errorf("%s: %v", c.to, err)
 		}
 	}
-	// What stays for as long as the process runs, and what does not.
+	// Changes that need a restart, and changes that do not.
 	env := func(string) string { return "file" }
 	for _, c := range []struct {
 		from, to string
--- a/internal/broker/config/operator.go
+++ b/internal/broker/config/operator.go
@@ -14,7 +14,8 @@
 	sq "saffronquay"
 )
 
-// Operator is a parsed operator's file: a gatherer that speaks the search API, away from the platform.
+// Operator is a parsed operator's file. It configures a gatherer that serves the search API and runs
+// outside of the platform.
 type Operator struct {
 	Name, Listen      string
 	Operator          string // address of the admin endpoint; empty: none
@@ -27,14 +28,14 @@
 	Servers           []sq.Server
 	Addresses         map[sq.ServerID]string
 	VRRP              *VRRP    // nil: off
-	Cursors           *Cursors // nil: there are no points in time
-	Layout            *Layout  // nil: settings and indices say where shards are, and that never changes
-	Store             *Store   // nil: nothing is kept over a restart
+	Cursors           *Cursors // nil: no points in time
+	Layout            *Layout  // nil: static placement of shards by settings and indices
+	Store             *Store   // nil: no state survives a restart
 	Log               Log
-	Contracts         *admission.Config // nil: there are none
-	Fleet             *Fleet            // nil: it knows no other gatherers
-	Rollout           *Rollout          // nil: the policy is the file's
-	Text              []byte            // the file, without what an overlay changed
+	Contracts         *admission.Config // nil: none
+	Fleet             *Fleet            // nil: no view of a fleet
+	Rollout           *Rollout          // nil: the policy is in the file
+	Text              []byte            // the text of the file, without the changes of an overlay
 }
 
 // Log configures the log.
@@ -46,42 +47,43 @@
 // Store configures the durable store.
 type Store struct {
 	Directories [2]string     // of the two copies
-	Keep        time.Duration // how long a client's key is remembered
-	Takeover    time.Duration // how long a process waits for the one it replaces to give the store up
-	KeyHeader   string        // the header field that names a client's key
-	MaxAnswer   int           // bytes of an answer that are stored at most
+	Keep        time.Duration // retention of a client's idempotency key
+	Takeover    time.Duration // maximum wait for the process that this one replaces to release the store
+	KeyHeader   string        // header field with a client's idempotency key
+	MaxAnswer   int           // maximum size of a stored answer in bytes
 	SegmentSize int64         // bytes
 	Single      bool          // no group commit; for measurements
-	Without     bool          // if it can't be opened, the program starts without the classes that need it
+	Without     bool          // if the store cannot be opened, start and reject the classes that need it
 }
 
-func (s *Store) same(o *Store) bool { return s == nil && o == nil || s != nil && o != nil && *s == *o }
+func (s *Store) equal(o *Store) bool { return s == nil && o == nil || s != nil && o != nil && *s == *o }
 
 // Cursors configures points in time.
 type Cursors struct {
-	Key             []byte // seals tokens; nil: each process has its own
-	Most            int    // open at a time, of one tenant
-	MaxKeep, MaxAge time.Duration
+	Key             []byte        // authenticates tokens; nil: each process has its own key
+	Most            int           // maximum number of open points in time of one tenant
+	MaxKeep, MaxAge time.Duration // limits of the keep-alive time and of the age of a point in time
 }
 
 // Layout configures ranges that split, merge and move.
 type Layout struct {
-	Document  layout.Doc    // as last known
-	Directory string        // host:port that announces changes; empty: the file alone has them
-	Stall     time.Duration // after which a change that stays in one state is reported
+	Document  layout.Doc    // the layout at the time the file was written
+	Directory string        // host:port of the directory that announces changes; empty: changes come by the file only
+	Stall     time.Duration // a change that stays in one state for longer is reported
 }
 
-// VRRP configures a virtual router that this gatherer takes part in.
+// VRRP configures the virtual router of which this gatherer is a member.
 type VRRP struct {
 	Router  vrrp.Config
 	Listen  netip.AddrPort
 	Peers   []netip.AddrPort
-	Service string // host:port that clients reach at the virtual address, served while Active
+	Service string // host:port of the virtual address, served in state Active
 }
 
-// LoadOperator reads the operator's file that the environment names; ok is false if it names none, and the search front stays off.
+// LoadOperator reads the operator's file that the environment names. If it names none, ok is false and
+// the search front stays off.
 //
-// overlay, if not empty, is the policy in force: its keys take the place of the file's.
+// overlay, if not empty, is the policy in force. Its keys replace those of the file.
 func LoadOperator(getenv func(string) string, readFile func(string) ([]byte, error), overlay ...[]byte) (o Operator, ok bool, err error) {
 	const variable = "SAFFRONQUAY_OPERATOR_FILE"
 	path := getenv(variable)
@@ -98,7 +100,8 @@
 	return o, true, nil
 }
 
-// ReloadOperator reads the file again while the program runs. An error means that nothing of it may be put in force.
+// ReloadOperator reads the operator's file again while the program runs. After an error no part of the
+// file may be put in force.
 func ReloadOperator(getenv func(string) string, readFile func(string) ([]byte, error), inForce Operator, overlay ...[]byte) (Operator, error) {
 	o, _, err := LoadOperator(getenv, readFile, overlay...)
 	if err != nil {
@@ -108,30 +111,31 @@
 		return Operator{}, fmt.Errorf("SAFFRONQUAY_OPERATOR_FILE: %w", err)
 	}
 	if o.Rollout != nil {
-		if key := policyChanged(inForce.Text, o.Text); key != "" {
+		if key := changedPolicyKey(inForce.Text, o.Text); key != "" {
 			return Operator{}, fmt.Errorf("SAFFRONQUAY_OPERATOR_FILE: %s: with a rollout on it is changed by 'saffronquay policy propose'", key)
 		}
 	}
 	return o, nil
 }
 
-// Fits returns why another file can't be put in force while the program runs with this one; nil if it can.
+// Fits returns nil if the file next can replace this one without a restart. Otherwise the error
+// names the setting that needs a restart.
 func (o Operator) Fits(next Operator) error {
 	if err := o.Settings.checkLayout(next.Settings); err != nil {
 		return err
 	}
 	if (o.Layout == nil) != (next.Layout == nil) ||
 		next.Layout != nil && (o.Layout.Directory == "") != (next.Layout.Directory == "") {
-		return fmt.Errorf("layout: to begin or end it, or its directory, needs a restart")
+		return fmt.Errorf("layout: adding or removing the section or its directory needs a restart")
 	}
-	if (o.Fleet == nil) != (next.Fleet == nil) || next.Fleet != nil && !reflect.DeepEqual(o.Fleet.fixed(), next.Fleet.fixed()) {
-		return fmt.Errorf("fleet: to change it needs a restart, but for balancers and contracts")
+	if (o.Fleet == nil) != (next.Fleet == nil) || next.Fleet != nil && !reflect.DeepEqual(o.Fleet.restartOnly(), next.Fleet.restartOnly()) {
+		return fmt.Errorf("fleet: a change of any key but balancers and contracts needs a restart")
 	}
-	if !o.Store.same(next.Store) {
-		return fmt.Errorf("store: to change it needs a restart")
+	if !o.Store.equal(next.Store) {
+		return fmt.Errorf("store: a change needs a restart")
 	}
 	if !reflect.DeepEqual(o.Rollout, next.Rollout) {
-		return fmt.Errorf("rollout: to change it needs a restart")
+		return fmt.Errorf("rollout: a change needs a restart")
 	}
 	return nil
 }
--- a/internal/broker/config/operator_parse.go
+++ b/internal/broker/config/operator_parse.go
@@ -13,10 +13,11 @@
 	sq "saffronquay"
 )
 
-// logLevels are the levels that a file may name.
+// logLevels are the valid values of log.level.
 var logLevels = []string{"debug", "info", "warn", "error"}
 
-// ParseOperator parses and checks an operator's file. Each overlay, a policy, replaces the file's policy keys. All faults are returned together, each with its key.
+// ParseOperator parses and validates an operator's file. Each overlay is the text of a policy whose
+// keys replace those of the file. The error joins all faults, each with the full name of its key.
 func ParseOperator(text []byte, overlay ...[]byte) (Operator, error) {
 	local := text
 	for _, policy := range overlay {
@@ -41,11 +42,11 @@
 		o.server(x, placed)
 	}
 	o.sections(r)
-	r.strict()
+	r.checkKeys()
 	return o, r.err()
 }
 
-// process reads who the gatherer is, where it listens, and what bounds it.
+// process reads the name of the gatherer, its listen addresses, settings and limits.
 func (o *Operator) process(r reader) {
 	o.Name, o.Listen, o.Operator = r.str("name", "saffronquay"), r.str("listen", ""), r.str("operator", "")
 	o.TenantHeader, o.Settings = r.str("tenant_header", "X-Tenant"), readSettings(r.object("settings"))
@@ -53,23 +54,23 @@
 	r.hostPort("listen", o.Listen)
 	r.optionalHostPort("operator", o.Operator)
 	o.Seed = r.seed()
-	r.limits(o.Sockets, o.MemoryMB)
+	r.checkLimits(o.Sockets, o.MemoryMB)
 	o.Settings.checkServing(r.object("settings"))
 }
 
-// server reads one server. With a layout it has no cell: the layout says which servers have a range.
+// server reads one server. It needs no cell if there is a layout, which assigns ranges to servers.
 func (o *Operator) server(r reader, placed bool) {
 	r.require("id", "address")
 	if !placed {
 		r.require("cell")
 	}
 	id := sq.ServerID(r.str("id", ""))
-	if _, twice := o.Addresses[id]; twice {
+	if _, duplicate := o.Addresses[id]; duplicate {
 		r.fault("id", "%q is named twice", id)
 	}
 	cell := r.count("cell", 0)
 	if cell < 0 || cell >= o.Settings.Module.Cells {
-		r.fault("cell", "there is no cell %d", cell)
+		r.fault("cell", "cell %d does not exist", cell)
 	}
 	o.Addresses[id] = r.str("address", "")
 	r.hostPort("address", o.Addresses[id])
@@ -80,7 +81,8 @@
 	o.Servers = append(o.Servers, sq.Server{ID: id, Zone: r.str("zone", ""), Cell: cell, Health: health})
 }
 
-// sections reads the optional sections. The order matters: a later one is checked against earlier ones, and faults are reported in this order.
+// sections reads the optional sections. The order matters: a section is checked against earlier
+// ones, and faults are reported in this order.
 func (o *Operator) sections(r reader) {
 	if r.has("layout") {
 		o.layout(r.object("layout"))
@@ -98,7 +100,7 @@
 		o.fleet(r.object("fleet"))
 		o.checkName(r)
 	}
-	r.str("$schema", "") // for editors
+	r.str("$schema", "") // used by editors only
 	if r.has("vrrp") {
 		o.VRRP = readVRRP(r.object("vrrp"))
 	}
@@ -122,7 +124,8 @@
 	return log
 }
 
-// store reads the durable store. A client's key has to be known for as long as a query of an at-most-once class may run.
+// store reads the section store. An idempotency key must be kept at least as long as a query of an
+// at-most-once class may run.
 func (o *Operator) store(r reader) {
 	o.Store = readStore(r)
 	for _, class := range o.Settings.Module.Classes {
@@ -132,7 +135,7 @@
 	}
 }
 
-// cursors reads the bounds of points in time, and the key that seals their tokens.
+// cursors reads the limits of points in time, and the key that authenticates their tokens.
 func (o *Operator) cursors(r reader) {
 	o.Cursors = &Cursors{
 		Most: r.count("most", 100), MaxKeep: time.Duration(r.integer("max_keep_ms", 300_000)) * time.Millisecond,
@@ -142,7 +145,7 @@
 		r.fault("most", "want 1 to 10000, not %d", o.Cursors.Most)
 	}
 	if o.Cursors.MaxKeep <= 0 || o.Cursors.MaxAge < o.Cursors.MaxKeep {
-		r.fault("max_age_ms", "want at least max_keep_ms, and both above nought")
+		r.fault("max_age_ms", "want at least max_keep_ms, and both above 0")
 	}
 	if text := r.str("key", ""); text != "" {
 		var err error
@@ -152,13 +155,13 @@
 	}
 }
 
-// layout reads where the ranges are, as last known, and which directory announces changes.
+// layout reads the initial layout of ranges and the address of the directory that announces changes.
 func (o *Operator) layout(r reader) {
 	r.require("whole")
 	o.Layout = &Layout{Directory: r.str("directory", ""), Stall: time.Duration(r.integer("stall_ms", 60_000)) * time.Millisecond}
 	r.optionalHostPort("directory", o.Layout.Directory)
 	if o.Layout.Stall <= 0 {
-		r.fault("stall_ms", "want a time above nought")
+		r.fault("stall_ms", "want a time above 0")
 	}
 	if r.get("whole", fastjson.TypeObject) == nil {
 		return
@@ -172,7 +175,7 @@
 	}
 }
 
-// tenants reads each tenant's quota, and the budget of its further attempts.
+// tenants reads the quota of each tenant, and its budget of extra attempts.
 func (o *Operator) tenants(r reader) {
 	list := r.array("tenants")
 	if len(list) > 0 {
@@ -189,7 +192,7 @@
 		b.require("window_us")
 		o.Budgets[name] = core.Budget{Free: b.float("free", 0), Ratio: b.float("ratio", 0), Window: b.integer("window_us", 0)}
 		if x := o.Budgets[name]; x.Free < 0 || x.Ratio < 0 || x.Window <= 0 {
-			b.fault("window_us", "a budget wants free and ratio of nought or more and a window above nought")
+			b.fault("window_us", "want free and ratio of 0 or more, and a window above 0")
 		}
 	}
 }
@@ -198,7 +201,7 @@
 	if x.require("name", "class", "field"); !placed {
 		x.require("ranges")
 	} else if x.has("ranges") {
-		x.fault("ranges", "the layout says where they are")
+		x.fault("ranges", "the layout determines them: want no ranges here")
 	}
 	ix := opensearch.Index{
 		Name: x.str("name", ""), Class: x.str("class", ""), Field: x.str("field", ""),
@@ -218,7 +221,7 @@
 	if !known {
 		x.fault("class", "unknown class %q", ix.Class)
 	}
-	if _, twice := o.Indices[ix.Name]; twice {
+	if _, duplicate := o.Indices[ix.Name]; duplicate {
 		x.fault("name", "%q is named twice", ix.Name)
 	}
 	for _, g := range x.array("ranges") {
@@ -226,15 +229,15 @@
 		span := opensearch.Span{From: g.integer("from", 0), To: g.integer("to", 0)}
 		shard := g.count("shard", 0)
 		if span.From >= span.To {
-			g.fault("to", "want more than from: to is the first value that is no longer in")
+			g.fault("to", "want more than from: the range does not include to")
 		}
 		if shard < 0 || shard >= o.Settings.Module.Shards {
-			g.fault("shard", "there is no shard %d", shard)
+			g.fault("shard", "shard %d does not exist", shard)
 		}
 		ix.Ranges = append(ix.Ranges, opensearch.Range{Span: span, Shard: shard})
 	}
 	if x.has("ranges") && x.v.Get("ranges").Type() == fastjson.TypeArray && len(ix.Ranges) == 0 {
-		x.fault("ranges", "want at least one")
+		x.fault("ranges", "want at least one range")
 	}
 	o.Indices[ix.Name] = ix
 }
--- a/internal/broker/config/process.go
+++ b/internal/broker/config/process.go
@@ -5,18 +5,18 @@
 	"strconv"
 )
 
-// Process is what the environment says of this process beside its configuration.
+// Process has the settings of this process that are in the environment only.
 type Process struct {
-	Shared       string // directory in which this process and the one it replaces exchange their states; empty: none
-	PassedSocket int    // descriptor of the clients' listening socket, which another process opened; 0: none
+	Shared       string // directory in which this process and the one it replaces exchange state; empty: none
+	PassedSocket int    // descriptor of the client listening socket passed by another process; 0: none
 }
 
-// LoadProcess reads the variables of the environment that concern the process.
+// LoadProcess reads the settings of the process from the environment.
 func LoadProcess(getenv func(string) string) (p Process, err error) {
 	const variable = "LB_PASSED_SOCKET"
 	if text := getenv(variable); text != "" {
 		if p.PassedSocket, err = strconv.Atoi(text); err != nil || p.PassedSocket < 3 {
-			return p, fmt.Errorf("%s: want the number of a descriptor from 3 on, not %.40q", variable, text)
+			return p, fmt.Errorf("%s: want a descriptor number of 3 or more, not %.40q", variable, text)
 		}
 	}
 	p.Shared = getenv("TMPDIR")
--- a/internal/broker/config/reader.go
+++ b/internal/broker/config/reader.go
@@ -13,20 +13,21 @@
 	"github.com/valyala/fastjson"
 )
 
-// reader reads the keys of one JSON object. The document that it belongs to collects every fault, each with the full name of its key. A reader of an absent object (v is nil)
-// returns defaults.
+// reader reads the keys of one JSON object. Its methods return defaults for absent and invalid
+// values, and record each fault in the document with the full name of the key. The reader of an
+// absent object (v is nil) returns defaults only.
 type reader struct {
 	v    *fastjson.Value
-	path string
+	path string // full name of the object; empty for the file itself
 	doc  *document
-	keys map[string]bool // the keys that were read, or checked for
+	keys map[string]bool // the keys that were read or tested for
 }
 
-// document is common to the readers of one file.
+// document is the state shared by the readers of one file.
 type document struct {
 	faults  []error
-	objects map[string]reader
-	order   []string // the paths of objects, in the order in which they were read
+	objects map[string]reader // by path
+	order   []string          // the paths of objects, in the order in which they were read
 }
 
 func newReader(text []byte) (reader, error) {
@@ -40,7 +41,8 @@
 	return (&document{objects: map[string]reader{}}).reader(v, ""), nil
 }
 
-// reader returns the reader of an object, the same one each time.
+// reader returns the reader of an object. Repeated calls return the same reader, so that it knows
+// all keys that were read.
 func (d *document) reader(v *fastjson.Value, path string) reader {
 	if r, ok := d.objects[path]; ok && r.v == v {
 		return r
@@ -50,7 +52,7 @@
 	return r
 }
 
-// err returns all faults joined; nil if there are none.
+// err returns all faults joined, or nil if there are none.
 func (r reader) err() error { return errors.Join(r.doc.faults...) }
 
 // name returns the full name of a key.
@@ -64,7 +66,7 @@
 	return r.path + "." + key
 }
 
-// fault records a fault of a key. The same fault is recorded only the first time.
+// fault records a fault of a key. Duplicates are ignored.
 func (r reader) fault(key, format string, args ...any) {
 	fault := fmt.Errorf("%s: %s", r.name(key), fmt.Sprintf(format, args...))
 	if !slices.ContainsFunc(r.doc.faults, func(o error) bool { return o.Error() == fault.Error() }) {
@@ -72,8 +74,9 @@
 	}
 }
 
-// strict reports keys that were never read, and keys that stand twice, as faults, in all objects that were read.
-func (r reader) strict() {
+// checkKeys reports unknown keys, that is, keys that were never read, and duplicate keys in all
+// objects that were read.
+func (r reader) checkKeys() {
 	for _, path := range r.doc.order {
 		o := r.doc.objects[path]
 		if o.v == nil {
@@ -86,8 +89,8 @@
 			case seen[key]:
 				o.fault(key, "it is there twice")
 			case !o.keys[key]:
-				if near := nearest(key, o.keys); near != "" {
-					o.fault(key, "unknown key; is it %q?", near)
+				if similar := closestKey(key, o.keys); similar != "" {
+					o.fault(key, "unknown key; is it %q?", similar)
 				} else {
 					o.fault(key, "unknown key")
 				}
@@ -97,39 +100,41 @@
 	}
 }
 
-// nearest returns the known key that an unknown one was most likely meant to be; empty if none is near.
-func nearest(key string, known map[string]bool) string {
-	best, least := "", max(2, len(key)/3)+1
+// closestKey returns the known key with the smallest edit distance to an unknown one, or the empty
+// string if none is similar enough.
+func closestKey(key string, known map[string]bool) string {
+	best, minDistance := "", max(2, len(key)/3)+1
 	for _, k := range slices.Sorted(maps.Keys(known)) {
-		if d := distance(key, k); d < least {
-			best, least = k, d
+		if d := editDistance(key, k); d < minDistance {
+			best, minDistance = k, d
 		}
 	}
 	return best
 }
 
-// distance is the Levenshtein distance of two strings, in bytes.
-func distance(a, b string) int {
+// editDistance returns the Levenshtein distance of two strings, in bytes.
+func editDistance(a, b string) int {
 	row := make([]int, len(b)+1)
 	for j := range row {
 		row[j] = j
 	}
 	for i := range len(a) {
-		before := row[0]
+		diagonal := row[0]
 		row[0] = i + 1
 		for j := range len(b) {
-			change := before
+			substitution := diagonal
 			if a[i] != b[j] {
-				change++
+				substitution++
 			}
-			before = row[j+1]
-			row[j+1] = min(change, row[j]+1, before+1)
+			diagonal = row[j+1]
+			row[j+1] = min(substitution, row[j]+1, diagonal+1)
 		}
 	}
 	return row[len(b)]
 }
 
-// get returns the value of a key; nil if it is absent, null, or of another type, which is a fault.
+// get returns the value of a key. It returns nil if the key is absent or null, and also if the
+// value is of another type, which it reports.
 func (r reader) get(key string, want fastjson.Type) *fastjson.Value {
 	if r.keys != nil {
 		r.keys[key] = true
@@ -148,7 +153,7 @@
 	return v
 }
 
-// has reports whether a key is there and not null.
+// has reports whether a key is present and not null.
 func (r reader) has(key string) bool {
 	if r.keys != nil {
 		r.keys[key] = true
@@ -165,12 +170,12 @@
 	}
 }
 
-// object returns the reader of an object in this one.
+// object returns the reader of a nested object.
 func (r reader) object(key string) reader {
 	return r.doc.reader(r.get(key, fastjson.TypeObject), r.name(key))
 }
 
-// array returns the readers of an array of objects.
+// array returns the readers of the elements of an array of objects.
 func (r reader) array(key string) []reader {
 	v := r.get(key, fastjson.TypeArray)
 	if v == nil {
@@ -188,40 +193,40 @@
 	return items
 }
 
-func (r reader) str(key, otherwise string) string {
+func (r reader) str(key, def string) string {
 	if v := r.get(key, fastjson.TypeString); v != nil {
 		return string(v.GetStringBytes())
 	}
-	return otherwise
+	return def
 }
 
-func (r reader) float(key string, otherwise float64) float64 {
+func (r reader) float(key string, def float64) float64 {
 	if v := r.get(key, fastjson.TypeNumber); v != nil {
 		return v.GetFloat64()
 	}
-	return otherwise
+	return def
 }
 
-// integer returns a whole number, also where it is written as a fraction such as 1e3.
-func (r reader) integer(key string, otherwise int64) int64 {
+// integer returns an integer, which may also be written in another form such as 1e3 or 2.0.
+func (r reader) integer(key string, def int64) int64 {
 	v := r.get(key, fastjson.TypeNumber)
 	if v == nil {
-		return otherwise
+		return def
 	}
 	if n, err := v.Int64(); err == nil {
 		return n
 	}
 	f := v.GetFloat64()
 	if f != math.Trunc(f) || math.Abs(f) > 1<<53 {
-		r.fault(key, "want a whole number, not %s", v)
-		return otherwise
+		r.fault(key, "want an integer, not %s", v)
+		return def
 	}
 	return int64(f)
 }
 
-func (r reader) count(key string, otherwise int) int { return int(r.integer(key, int64(otherwise))) }
+func (r reader) count(key string, def int) int { return int(r.integer(key, int64(def))) }
 
-// boolean returns true or false; false if the key is absent.
+// boolean returns the value of a key, or false if the key is absent.
 func (r reader) boolean(key string) bool {
 	if !r.has(key) {
 		return false
@@ -233,12 +238,12 @@
 	return b
 }
 
-// floats returns a list of exactly n numbers, one for each class.
+// floats returns a list of exactly n numbers, one for each class. A list of another length is reported.
 func (r reader) floats(key string, n int) []float64 {
 	out := make([]float64, n)
 	v := r.get(key, fastjson.TypeArray)
 	if items := v.GetArray(); len(items) != n {
-		r.fault(key, "want one figure for each of %d classes, not %d", n, len(items))
+		r.fault(key, "want one number for each of the %d classes, not %d", n, len(items))
 	} else {
 		for i, item := range items {
 			f, err := item.Float64()
@@ -251,7 +256,7 @@
 	return out
 }
 
-// strs returns a list of strings; empty if it is absent.
+// strs returns a list of strings, nil if the key is absent.
 func (r reader) strs(key string) (out []string) {
 	for i, v := range r.get(key, fastjson.TypeArray).GetArray() {
 		if v.Type() != fastjson.TypeString {
@@ -263,7 +268,7 @@
 	return out
 }
 
-// addrPort parses an IPv4 address and port.
+// addrPort parses an IPv4 address and port. key is named in the fault.
 func (r reader) addrPort(key, value string) netip.AddrPort {
 	a, err := netip.ParseAddrPort(value)
 	if err != nil || !a.Addr().Is4() {
@@ -286,7 +291,7 @@
 	}
 }
 
-// seed parses the key seed, hex digits.
+// seed returns the value of the key seed, a hexadecimal string; 0 if it is absent.
 func (r reader) seed() uint64 {
 	seed, err := strconv.ParseUint(r.str("seed", "0"), 16, 64)
 	if err != nil {
--- a/internal/broker/config/regions.go
+++ b/internal/broker/config/regions.go
@@ -6,16 +6,17 @@
 	"slices"
 )
 
-// maxVoters is how many members may vote in one agreement.
+// maxVoters is the maximum number of voters in one agreement.
 const maxVoters = 7
 
-// regionVotes counts the voters of each region, and which regions need any.
+// regionVotes has the number of voters of each region, and the regions that need voters.
 type regionVotes struct {
 	voters map[string]int
-	serves map[string]bool // regions with a member that serves; the others have only witnesses, which vote in the global agreement alone
+	serves map[string]bool // regions with a serving member; the others have witnesses only, which vote in the global agreement alone
 }
 
-// regions reads which region each member is in, and who votes in the global agreement. Either all members, this gatherer included, have a region, or none has.
+// regions reads the region of each member and the voters of the global agreement. Either all members,
+// including this gatherer, have a region, or none has.
 func (x *Rollout) regions(r reader, members []reader, self string) {
 	hasRegion := func(m reader) bool { return m.has("region") }
 	if !r.has("region") && !slices.ContainsFunc(members, hasRegion) {
@@ -35,12 +36,12 @@
 	case !r.has("region"):
 		r.fault("region", "missing: the members have regions")
 	case listed && region != x.Region:
-		r.fault("region", "%q, and %q among the members", x.Region, region)
+		r.fault("region", "%q here, but %q among the members", x.Region, region)
 	}
 	x.checkVoters(r, votes)
 }
 
-// regionOfMember reads one member's region and votes.
+// regionOfMember reads the region of one member, and counts it if it is a voter.
 func (x *Rollout) regionOfMember(m reader, counted *regionVotes) {
 	name, region := m.str("name", ""), m.str("region", "")
 	votes, global := m.boolean("voter"), m.boolean("global")
@@ -59,7 +60,8 @@
 	counted.serves[region] = counted.serves[region] || votes || !global
 }
 
-// checkVoters checks the numbers of voters in the regions' agreements and in the global one.
+// checkVoters reports numbers of voters that are out of range, in the regional agreements and in
+// the global one.
 func (x *Rollout) checkVoters(r reader, counted regionVotes) {
 	for _, region := range slices.Sorted(maps.Keys(counted.serves)) {
 		if n := counted.voters[region]; counted.serves[region] && (n < 1 || n > maxVoters) {
@@ -67,7 +69,7 @@
 		}
 	}
 	if n := len(x.Global); n > maxVoters {
-		r.fault("members", "want 1 to %d with global, not %d", maxVoters, n)
+		r.fault("members", "want 1 to %d members with global, not %d", maxVoters, n)
 	} else if n == 0 && len(x.Voters) > maxVoters {
 		r.fault("members", "all %d voters would vote in the global agreement: name 1 to %d with global", len(x.Voters), maxVoters)
 	}
--- a/internal/broker/config/regions_test.go
+++ b/internal/broker/config/regions_test.go
@@ -8,8 +8,9 @@
 	"testing"
 )
 
-// The example has two regions; each fault is told with its key, and all that are in a file at once.
-func TestOperatorRegions(t *testing.T) {
+// The regions of the example are parsed. Each fault in them is reported with the full name of its
+// key, and all faults of a file are reported together.
+func TestParseOperator_Regions(t *testing.T) {
 	text, err := os.ReadFile("../../../deploy/regions.json")
 	if err != nil {
 		t.Fatal(err)
@@ -33,12 +34,12 @@
   "lease_ms"`, `"lease_ms"`, "rollout.region: missing: the members have regions"},
 		{`"region": "oeste",
   "lease_ms"`, `"region": "este",
-  "lease_ms"`, `rollout.region: "este", and "oeste" among the members`},
+  "lease_ms"`, `rollout.region: "este" here, but "oeste" among the members`},
 		{third, strings.Replace(third, `"region": "oeste", `, "", 1), "rollout.members[2].region: missing: either every member"},
 		{third, strings.Replace(third, `"oeste"`, `"o este"`, 1), "rollout.members[2].region: "},
 		{third, strings.Replace(third, `"oeste"`, `""`, 1), "rollout.members[2].region: "},
 		{third, strings.Replace(third, `"oeste"`, `"sur"`, 1), ""},
-		{third, strings.Replace(third, `"oeste", "voter": true`, `"sur"`, 1), ""}, // a witness: nobody is to serve there
+		{third, strings.Replace(third, `"oeste", "voter": true`, `"sur"`, 1), ""}, // a witness: no member serves in that region
 		{third, strings.Replace(third, `"oeste", "voter": true, "global": true`, `"sur"`, 1), `rollout.members: want 1 to 7 voters in region "sur", not 0`},
 		{last, last + "," + strings.Join(many, ","), `rollout.members: want 1 to 7 voters in region "oeste", not 8`},
 		{`, "global": true`, "", ""},
@@ -53,7 +54,8 @@
 			t.Errorf("%s: %v", c.to, err)
 		}
 	}
-	// More vote than one agreement takes, and nobody says which; with regions taken out again, and one left behind.
+	// More voters than one agreement allows, without a choice of global voters; then all regions
+	// removed, but not the key global of the members.
 	unnamed := strings.ReplaceAll(string(text), `, "global": true`, "")
 	if _, err := config.ParseOperator([]byte(unnamed)); err != nil {
 		t.Errorf("six voters in all: %v", err)
@@ -68,13 +70,13 @@
 			t.Errorf("want %q in %v", want, err)
 		}
 	}
-	// A region is each file's own: no policy names one. It stays as long as the process runs.
+	// The region is local to each file, so that a policy does not contain it. Changing it needs a restart.
 	policy, err := config.PolicyOf(text)
 	if err != nil || strings.Contains(string(policy), "este") {
 		t.Errorf("%s %v", policy, err)
 	}
 	moved := strings.NewReplacer(`"region": "oeste",`, `"region": "este",`, `"region": "este",`, `"region": "oeste",`).Replace(string(text))
 	if now, err := config.ParseOperator([]byte(moved)); err != nil || o.Fits(now) == nil {
-		t.Errorf("moved: %v, and it fits", err)
+		t.Errorf("changed region: parse error %v, and Fits accepts it", err)
 	}
 }
--- a/internal/broker/config/rollout.go
+++ b/internal/broker/config/rollout.go
@@ -10,43 +10,46 @@
 	"time"
 )
 
-// Rollout configures the agreement on versions of the policy.
+// Rollout configures the replication of the policy among the gatherers.
 type Rollout struct {
 	Listen          netip.AddrPort
-	Members         map[string]netip.AddrPort // by name; this gatherer among them
-	Voters          []string                  // with regions each in its own region's agreement
-	Region          string                    // of this gatherer; empty: the fleet has none
-	Regions         map[string]string         // by name; nil: there are none
-	Global          []string                  // voters of the global agreement, where any are named; else all voters are
-	Lease, MaxPause time.Duration             // MaxPause 0: the rollout's own default
-	Drift           float64
-	DivideBudgets   bool // budgets of contracts are divided by leases on parts
+	Members         map[string]netip.AddrPort // by name, including this gatherer
+	Voters          []string                  // with regions, each votes in the agreement of its region
+	Region          string                    // of this gatherer; empty: the fleet has no regions
+	Regions         map[string]string         // of each member by name; nil: the fleet has no regions
+	Global          []string                  // voters of the global agreement; empty: all voters
+	Lease, MaxPause time.Duration             // MaxPause 0: the default of package rollout
+	Drift           float64                   // maximum relative error of the clock of any member
+	DivideBudgets   bool                      // budgets of contracts are divided by leases on quotas
 }
 
-// policyKeys are the keys of the operator's file that a policy may have. While a policy is in force they are not read from the file.
+// policyKeys are the keys of the operator's file that a policy may contain. While a policy is in force
+// they are not read from the file.
 var policyKeys = []string{"settings", "tenants", "contracts"}
 
-// localSettings are the keys of settings that say who this gatherer is: each file's own, whatever the policy.
+// localSettings are the keys of settings that identify this gatherer. They always come from the
+// file, and a policy must not contain them.
 var localSettings = []string{"me", "zone"}
 
-// drains is the key of a policy alone that names servers and zones to be drained: {"servers": [...], "zones": [...]}.
+// drains is a key of a policy that is not a key of the file. It lists the servers and zones to drain:
+// {"servers": [...], "zones": [...]}.
 const drains = "drains"
 
-// rollout reads the section that configures the agreement on versions of the policy.
+// rollout reads the section rollout.
 func (o *Operator) rollout(r reader) {
 	r.require("listen", "members")
 	x := &Rollout{
-		Listen: r.addrPort("listen", r.str("listen", "")), Members: map[string]netip.AddrPort{}, Lease: ms(r, "lease_ms", 2000, 200, 60_000),
+		Listen: r.addrPort("listen", r.str("listen", "")), Members: map[string]netip.AddrPort{}, Lease: millis(r, "lease_ms", 2000, 200, 60_000),
 		Drift: r.float("drift", 0.01), DivideBudgets: r.boolean("share"), Region: r.str("region", ""),
 	}
 	if r.has("hold_ms") {
-		x.MaxPause = ms(r, "hold_ms", 200, 20, 5000)
+		x.MaxPause = millis(r, "hold_ms", 200, 20, 5000)
 	}
 	members := r.array("members")
 	for _, m := range members {
 		m.require("name", "address")
 		name := m.str("name", "")
-		if _, twice := x.Members[name]; twice {
+		if _, duplicate := x.Members[name]; duplicate {
 			m.fault("name", "%q is named twice", name)
 		}
 		if x.Members[name] = m.addrPort("address", m.str("address", "")); m.boolean("voter") {
@@ -58,24 +61,25 @@
 	}
 	if x.regions(r, members, o.Name); x.Regions == nil {
 		if n := len(x.Voters); n != 1 && n != 3 && n != 5 && n != 7 {
-			r.fault("members", "want 3, 5 or 7 voters (1 to try it out), not %d", n)
+			r.fault("members", "want 3, 5 or 7 voters (1 for a trial), not %d", n)
 		}
 	}
 	if !(x.Drift > 0 && x.Drift <= 0.1) {
 		r.fault("drift", "want above 0 to 0.1, not %g", x.Drift)
 	}
 	if x.DivideBudgets && o.Fleet != nil && o.Fleet.Contracts {
-		r.fault("share", "fleet.contracts divides the contracts already: want one of the two")
+		r.fault("share", "want at most one of share and fleet.contracts: both divide the contracts")
 	}
 	if o.Store == nil {
-		r.fault("", "it needs a store: what was agreed on has to outlast the process")
+		r.fault("", "needs the section store: the agreed policy must survive a restart")
 	}
 	slices.Sort(x.Voters)
 	slices.Sort(x.Global)
 	o.Rollout = x
 }
 
-func objectOf(text []byte) (map[string]json.RawMessage, error) {
+// parseObject parses a JSON object without parsing its values.
+func parseObject(text []byte) (map[string]json.RawMessage, error) {
 	var v map[string]json.RawMessage
 	if err := json.Unmarshal(text, &v); err != nil {
 		return nil, fmt.Errorf("not a JSON object: %w", err)
@@ -83,9 +87,10 @@
 	return v, nil
 }
 
-// without takes keys out of an object; what is no object stays as it is.
-func without(text json.RawMessage, keys []string) json.RawMessage {
-	v, err := objectOf(text)
+// removeKeys returns a JSON object without the given keys. Text that is not an object is returned
+// unchanged.
+func removeKeys(text json.RawMessage, keys []string) json.RawMessage {
+	v, err := parseObject(text)
 	if err != nil {
 		return text
 	}
@@ -93,14 +98,15 @@
 		delete(v, k)
 	}
 	if text, err = json.Marshal(v); err != nil {
-		return nil // it was read from JSON
+		return nil // unreachable: the values were parsed from JSON
 	}
 	return text
 }
 
-// PolicyOf is the part of an operator's file that is policy, as a document for 'policy adopt'.
+// PolicyOf returns the part of an operator's file that can become a policy, as a document for
+// 'policy adopt'.
 func PolicyOf(text []byte) ([]byte, error) {
-	file, err := objectOf(text)
+	file, err := parseObject(text)
 	if err != nil {
 		return nil, err
 	}
@@ -111,21 +117,22 @@
 		}
 	}
 	if v, ok := policy["settings"]; ok {
-		policy["settings"] = without(v, localSettings)
+		policy["settings"] = removeKeys(v, localSettings)
 	}
 	return json.Marshal(policy)
 }
 
-// withPolicy puts a policy's keys in the place of a file's, but for what is the gatherer's own. An empty policy changes nothing.
+// withPolicy returns the text of a file with its policy keys replaced by those of a policy. The
+// settings that identify this gatherer stay. An empty policy changes nothing.
 func withPolicy(text, policy []byte) ([]byte, error) {
 	if len(policy) == 0 {
 		return text, nil
 	}
-	p, err := objectOf(policy)
+	p, err := parseObject(policy)
 	if err != nil {
 		return nil, fmt.Errorf("policy: %w", err)
 	}
-	file, err := objectOf(text)
+	file, err := parseObject(text)
 	if err != nil {
 		return nil, err
 	}
@@ -144,32 +151,33 @@
 		}
 	}
 	if v, ok := p[drains]; ok {
-		if file["servers"], err = drained(file["servers"], v); err != nil {
+		if file["servers"], err = markDraining(file["servers"], v); err != nil {
 			return nil, err
 		}
 	}
 	return json.Marshal(file)
 }
 
-// keepLocalSettings replaces, in a policy's settings, what each gatherer's own file says.
+// keepLocalSettings copies the local settings of the file to the settings of the policy p. It
+// returns an error if the policy contains any of them.
 func keepLocalSettings(file, p map[string]json.RawMessage) error {
 	text, ok := p["settings"]
 	if !ok {
 		return nil
 	}
-	settings, malformed := objectOf(text)
+	settings, malformed := parseObject(text)
 	if malformed != nil {
-		return nil //nolint:nilerr // the reader reports it, with its key
+		return nil //nolint:nilerr // the reader reports it with its key
 	}
-	own, malformed := objectOf(file["settings"])
+	own, malformed := parseObject(file["settings"])
 	if malformed != nil {
 		own = nil
 	}
 	for _, key := range localSettings {
-		if _, there := settings[key]; there {
-			return fmt.Errorf("settings.%s: it is each gatherer's own, and no policy's", key)
+		if _, ok := settings[key]; ok {
+			return fmt.Errorf("settings.%s: local to each gatherer: a policy must not contain it", key)
 		}
-		if v, there := own[key]; there {
+		if v, ok := own[key]; ok {
 			settings[key] = v
 		}
 	}
@@ -178,8 +186,9 @@
 	return err
 }
 
-// drained marks the servers that a policy drains, by their ids or zones. A server that this file lacks is no fault: files differ.
-func drained(servers, text json.RawMessage) (json.RawMessage, error) {
+// markDraining returns the list of servers with those marked as draining that a policy drains by id or
+// zone. A server that this file does not list is ignored, since the files of gatherers differ.
+func markDraining(servers, text json.RawMessage) (json.RawMessage, error) {
 	var d struct{ Servers, Zones []string }
 	decoder := json.NewDecoder(bytes.NewReader(text))
 	decoder.DisallowUnknownFields()
@@ -188,7 +197,7 @@
 	}
 	var all []map[string]json.RawMessage
 	if malformed := json.Unmarshal(servers, &all); malformed != nil {
-		return servers, nil //nolint:nilerr // the reader reports it, with its key
+		return servers, nil //nolint:nilerr // the reader reports it with its key
 	}
 	for _, s := range all {
 		var id, zone string
@@ -202,17 +211,18 @@
 	return json.Marshal(all)
 }
 
-// policyChanged names the first policy key by which two local files differ; empty: none.
-func policyChanged(old, now []byte) string {
-	a, err := objectOf(old)
-	b, err2 := objectOf(now)
+// changedPolicyKey returns the first policy key in which two files differ, or the empty string if
+// there is none.
+func changedPolicyKey(old, now []byte) string {
+	a, err := parseObject(old)
+	b, err2 := parseObject(now)
 	if err != nil || err2 != nil {
 		return ""
 	}
 	for _, key := range policyKeys {
 		was, is := a[key], b[key]
 		if key == "settings" {
-			was, is = without(was, localSettings), without(is, localSettings)
+			was, is = removeKeys(was, localSettings), removeKeys(is, localSettings)
 		}
 		if !bytes.Equal(compact(was), compact(is)) {
 			return key
@@ -221,7 +231,7 @@
 	return ""
 }
 
-// compact removes insignificant spaces from JSON text; of what is no JSON it returns nothing.
+// compact removes insignificant white space from JSON text. It returns nil if the text is not JSON.
 func compact(text json.RawMessage) []byte {
 	var b bytes.Buffer
 	if err := json.Compact(&b, text); err != nil {
--- a/internal/broker/config/rollout_test.go
+++ b/internal/broker/config/rollout_test.go
@@ -9,8 +9,9 @@
 	sq "saffronquay"
 )
 
-// The example agrees on its policy; each fault is told with its key; a policy replaces the keys that are policy, and no others.
-func TestOperatorRollout(t *testing.T) {
+// The section rollout of the example is parsed, and each fault in it is reported with the full name
+// of its key. A policy replaces the policy keys of the file, and no others.
+func TestParseOperator_Rollout(t *testing.T) {
 	text, err := os.ReadFile("../../../deploy/rollout.json")
 	if err != nil {
 		t.Fatal(err)
@@ -28,7 +29,7 @@
 		{` "name": "cordoba-1",
  "listen"`, ` "name": "cordoba-9",
  "listen"`, `rollout.members: this gatherer, "cordoba-9", is not among them`},
-		{` "store": {"directory": "/var/lib/saffronquay/cordoba-1"},`, ``, "rollout: it needs a store"},
+		{` "store": {"directory": "/var/lib/saffronquay/cordoba-1"},`, ``, "rollout: needs the section store"},
 	} {
 		changed := strings.Replace(string(text), c.from, c.to, 1)
 		if changed == string(text) {
@@ -46,12 +47,12 @@
 	if err != nil || now.Settings.MaxOpen != 7 || now.Listen != o.Listen {
 		t.Errorf("%+v %v", now.Settings, err)
 	}
-	// Who a gatherer is stays its own; servers and zones are drained everywhere.
+	// The settings that identify a gatherer stay local; a policy's drains apply to every gatherer.
 	elsewhere := []byte(strings.Replace(string(text), `"me": 0, "balancers": 3, "zone": "norte"`, `"me": 2, "balancers": 3, "zone": "sur"`, 1))
 	if there, err := config.ParseOperator(elsewhere, policy); err != nil || there.Settings.Module.Zone != "sur" || there.Settings.Module.Self != 2 {
-		t.Errorf("another gatherer under the policy: %+v %v", there.Settings.Module, err)
+		t.Errorf("another gatherer with the policy: %+v %v", there.Settings.Module, err)
 	}
-	if _, err := config.ParseOperator(text, []byte(strings.Replace(string(policy), `"settings":{`, `"settings":{"zone":"sur",`, 1))); err == nil || !strings.Contains(err.Error(), "settings.zone: it is each") {
+	if _, err := config.ParseOperator(text, []byte(strings.Replace(string(policy), `"settings":{`, `"settings":{"zone":"sur",`, 1))); err == nil || !strings.Contains(err.Error(), "settings.zone: local to each") {
 		t.Errorf("%v", err)
 	}
 	for drains, want := range map[string]int{`{"servers":["ledger-1","unknown"]}`: 1, `{"zones":["norte"]}`: 1, `{"zones":["norte","sur"]}`: 2, `{}`: 0} {
@@ -72,7 +73,8 @@
 	if _, err := config.ParseOperator(text, []byte(`{"store":{}}`)); err == nil || !strings.Contains(err.Error(), "store: a policy has the keys") {
 		t.Errorf("%v", err)
 	}
-	// A local file that says otherwise is refused by the key's name; another server list is not.
+	// A reload with a changed policy key is rejected and the error names the key; a changed list of
+	// servers is accepted.
 	env := func(string) string { return "file" }
 	for _, c := range []struct{ from, to, says string }{{`"max_open": 500`, `"max_open": 501`, "settings: with a rollout on"}, {`"zone": "sur"`, `"zone": "norte"`, ""}} {
 		_, err := config.ReloadOperator(env, func(string) ([]byte, error) { return []byte(strings.Replace(string(text), c.from, c.to, 1)), nil }, o, policy)
--- a/internal/broker/config/schema/schema.go
+++ b/internal/broker/config/schema/schema.go
@@ -26,15 +26,15 @@
 	Routing []byte
 )
 
-// ValidationError is one place of a file that does not match its schema.
+// ValidationError is one value of a file that does not match the schema.
 type ValidationError struct {
 	Path string // of the faulty value, such as indices[1].ranges[3].to; empty for the file itself
-	Text string // what is wrong, in English
+	Text string // description of the fault, in English
 }
 
 func (f ValidationError) Error() string { return f.Path + ": " + f.Text }
 
-// Schema is a compiled schema. It never changes.
+// Schema is a compiled schema. It is immutable and safe for concurrent use.
 type Schema struct{ compiled *jsonschema.Schema }
 
 // Compile compiles a JSON Schema, for callers that validate several files with it.
@@ -42,19 +42,20 @@
 	c := jsonschema.NewCompiler()
 	doc, err := jsonschema.UnmarshalJSON(bytes.NewReader(schema))
 	if err != nil {
-		return nil, fmt.Errorf("schema: %w", err)
+		return nil, fmt.Errorf("schema: parse: %w", err)
 	}
 	if err := c.AddResource("schema.json", doc); err != nil {
-		return nil, fmt.Errorf("schema: %w", err)
+		return nil, fmt.Errorf("schema: add resource: %w", err)
 	}
 	s, err := c.Compile("schema.json")
 	if err != nil {
-		return nil, fmt.Errorf("schema: %w", err)
+		return nil, fmt.Errorf("schema: compile: %w", err)
 	}
 	return &Schema{s}, nil
 }
 
-// Validate compiles a schema and validates a file with it. Its errors are those of Compile and Schema.Validate.
+// Validate compiles a schema and validates the text of a file with it. Its errors are those of
+// Compile and of Schema.Validate.
 func Validate(schema, file []byte) error {
 	s, err := Compile(schema)
 	if err != nil {
@@ -63,7 +64,8 @@
 	return s.Validate(file)
 }
 
-// Validate validates the text of a file. Where it is JSON, the error joins a ValidationError for each fault.
+// Validate validates the text of a file. If the text is JSON, the error joins one ValidationError
+// for each fault.
 func (s *Schema) Validate(file []byte) error {
 	value, err := jsonschema.UnmarshalJSON(bytes.NewReader(file))
 	if err != nil {
@@ -76,7 +78,8 @@
 	return err
 }
 
-// appendErrors appends the innermost causes of a validation error. The enclosing errors only say that a part is invalid.
+// appendErrors appends the innermost causes of a validation error. The enclosing errors only say
+// that some part is invalid.
 func appendErrors(dst []error, e *jsonschema.ValidationError) []error {
 	if len(e.Causes) > 0 {
 		for _, c := range e.Causes {
@@ -93,7 +96,8 @@
 	return append(dst, ValidationError{formatPath(e.InstanceLocation), e.ErrorKind.LocalizedString(message.NewPrinter(language.English))})
 }
 
-// appendKeyErrors appends the same fault for each of some keys of the object at a location.
+// appendKeyErrors appends an error with the same text for each of the given keys of the object at a
+// location.
 func appendKeyErrors(dst []error, location, keys []string, text string) []error {
 	for _, key := range keys {
 		path := append(slices.Clip(location), key)
@@ -102,7 +106,7 @@
 	return dst
 }
 
-// formatPath formats the location of a value in the same form as package config's errors.
+// formatPath formats the location of a value in the same way as the errors of package config.
 func formatPath(steps []string) string {
 	var b strings.Builder
 	for _, s := range steps {
--- a/internal/broker/config/settings.go
+++ b/internal/broker/config/settings.go
@@ -6,19 +6,21 @@
 	sq "saffronquay"
 )
 
-// Settings is the settings object of one gatherer: the decision module's part, and the part that only the program needs.
+// Settings is the settings object of one gatherer: the part for the decision module, and the part
+// that only the program uses.
 type Settings struct {
 	Module         sq.Settings
-	MaxOpen        int   // queries and parts open at a time; 0: no limit
-	ConnectTimeout int64 // microseconds, as all times here
-	IdleClose      int64 // an idle connection is closed by the worker's machine at the latest then
-	StreamsPerConn int
+	MaxOpen        int   // maximum number of open queries and parts; 0: no limit
+	ConnectTimeout int64 // microseconds, like all times in Settings
+	IdleClose      int64 // time after which the worker's machine closes an idle connection
+	StreamsPerConn int   // maximum number of concurrent requests on one connection
 }
 
 var effects = map[string]sq.Effect{"free": sq.Idempotent, "guarded": sq.Deduplicated, "single_shot": sq.AtMostOnce}
 
-// ParseSettings reads the settings object, in the form that the simulator's first message and a gatherer's
-// configuration have in common. What the figures mean is judged by saffronquay.New; form is judged here.
+// ParseSettings parses a settings object. Its form is the same in the simulator's first message and
+// in a gatherer's configuration file. ParseSettings checks the syntax and types; saffronquay.New
+// checks the meaning of the values.
 func ParseSettings(text []byte) (Settings, error) {
 	r, err := newReader(text)
 	if err != nil {
@@ -30,7 +32,7 @@
 
 func readSettings(r reader) Settings {
 	r.require("family_info", "classes")
-	r.has("areas") // the platform lists all zones there; the servers' own zones are used
+	r.has("areas") // a known key, not used: the zones come from the servers
 	fam, perm, rules := r.object("family_info"), r.object("permissions"), r.object("rules")
 	classes := r.array("classes")
 	n := len(classes)
@@ -72,7 +74,7 @@
 		return s
 	}
 	fetch, partial := fam.floats("class_fetch", n), fam.floats("class_partial", n)
-	floor, whole := fam.floats("floor_by_class", n), fam.floats("whole_at", n)
+	minWeight, completeWeight := fam.floats("floor_by_class", n), fam.floats("whole_at", n)
 	for i, c := range classes {
 		effect, ok := effects[c.str("effect", "")]
 		if !ok {
@@ -82,59 +84,61 @@
 			Name: c.str("name", ""), LatencyTarget: c.integer("aim_us", 0),
 			LatencyTargetStretch: c.float("aim_stretch", 0), HardLimit: c.integer("hard_limit_us", 0),
 			Value: c.float("worth", 0), LateValue: c.float("late_worth", 0), Effect: effect,
-			DedupWindow: c.integer("repeat_window_us", 0), CompleteWeight: whole[i], MinWeight: floor[i],
+			DedupWindow: c.integer("repeat_window_us", 0), CompleteWeight: completeWeight[i], MinWeight: minWeight[i],
 			PartialValue: partial[i], SecondStepParts: int(fetch[i]),
 		})
 	}
 	return s
 }
 
-// checkServing reports settings that the program, unlike the simulator's adapter, can't serve, and settings that are out of range.
+// checkServing reports settings that are out of range, and those that only the simulator's adapter
+// supports and the program does not.
 func (s Settings) checkServing(r reader) {
-	above := func(key string, v int64) {
+	requirePositive := func(key string, v int64) {
 		if v <= 0 {
-			r.fault(key, "want a number above nought, not %d", v)
+			r.fault(key, "want a number above 0, not %d", v)
 		}
 	}
 	for i, c := range s.Module.Classes {
 		if c.SecondStepParts > 0 {
-			r.fault("family_info.class_fetch", "class %q has a second step, which is not served on sockets", c.Name)
+			r.fault("family_info.class_fetch", "class %q has a second step, which only the simulator supports", c.Name)
 		}
 		if s.Module.Classes[i].Name == "" {
 			r.fault(fmt.Sprintf("classes[%d].name", i), "missing")
 		}
-		above(fmt.Sprintf("classes[%d].hard_limit_us", i), c.HardLimit)
-		above(fmt.Sprintf("classes[%d].aim_us", i), c.LatencyTarget)
+		requirePositive(fmt.Sprintf("classes[%d].hard_limit_us", i), c.HardLimit)
+		requirePositive(fmt.Sprintf("classes[%d].aim_us", i), c.LatencyTarget)
 	}
 	if r.object("permissions").has("most_tries") {
-		above("permissions.most_tries", int64(s.Module.Limits.MaxAttempts))
+		requirePositive("permissions.most_tries", int64(s.Module.Limits.MaxAttempts))
 	}
-	above("permissions.connect_timeout_us", s.ConnectTimeout)
-	above("permissions.idle_close_us", s.IdleClose)
-	above("permissions.streams_per_conn", int64(s.StreamsPerConn))
+	requirePositive("permissions.connect_timeout_us", s.ConnectTimeout)
+	requirePositive("permissions.idle_close_us", s.IdleClose)
+	requirePositive("permissions.streams_per_conn", int64(s.StreamsPerConn))
 	if s.MaxOpen < 0 {
-		r.fault("permissions.max_open", "want nought or more, not %d", s.MaxOpen)
+		r.fault("permissions.max_open", "want 0 or more, not %d", s.MaxOpen)
 	}
 	if len(r.doc.faults) > 0 {
-		return // Validate would report the same faults in other words
+		return // Validate would report the same faults again with other texts
 	}
 	if err := s.Module.Validate(); err != nil {
 		r.fault("", "%v", err)
 	}
 }
 
-// checkLayout returns why other settings need a restart: where the shards are can't change while the program runs.
+// checkLayout returns an error if changing to the settings now needs a restart, which applies to the
+// placement of shards and the membership mode.
 func (s Settings) checkLayout(now Settings) error {
 	a, b := s.Module, now.Module
 	switch {
 	case a.Shards != b.Shards:
-		return fmt.Errorf("settings.family_info.shards: %d now, %d needs a restart", a.Shards, b.Shards)
+		return fmt.Errorf("settings.family_info.shards: changing %d to %d needs a restart", a.Shards, b.Shards)
 	case a.Cells != b.Cells:
-		return fmt.Errorf("settings.family_info.positions: %d now, %d needs a restart", a.Cells, b.Cells)
+		return fmt.Errorf("settings.family_info.positions: changing %d to %d needs a restart", a.Cells, b.Cells)
 	case a.CellsPerShard != b.CellsPerShard:
-		return fmt.Errorf("settings.family_info.reach: %d now, %d needs a restart", a.CellsPerShard, b.CellsPerShard)
+		return fmt.Errorf("settings.family_info.reach: changing %d to %d needs a restart", a.CellsPerShard, b.CellsPerShard)
 	case a.WatchMembership != b.WatchMembership:
-		return fmt.Errorf("settings.membership_mode: another one needs a restart")
+		return fmt.Errorf("settings.membership_mode: a change needs a restart")
 	}
 	return nil
 }
--- a/internal/broker/config/sites_test.go
+++ b/internal/broker/config/sites_test.go
@@ -11,8 +11,9 @@
 	sq "saffronquay"
 )
 
-// sites are settings such as the site files in deploy/sites lead to, each unlike every operator's in another way, and what they have to
-// come to. They are written by hand from the files: the form is that of the simulator's first message.
+// sites are settings that correspond to the site files in deploy/sites, and the values expected
+// after parsing. Each differs from all operators' files in another way. They are written by hand in
+// the form of the simulator's first message.
 var sites = []struct {
 	name, settings string
 	classes        []sq.Class
@@ -72,9 +73,10 @@
 	},
 }
 
-// Settings of other customers come to just what they say, serve, and stay apart: nothing of one site is left where another's is read.
-func TestSitesOfOthers(t *testing.T) {
-	for range 2 { // in either order
+// Settings of other sites are parsed to the expected values and can be served. Parsing is
+// independent of previous calls: no value of one site appears in the settings of another.
+func TestParseSettings_Sites(t *testing.T) {
+	for range 2 { // the second round parses each site after the other one
 		for _, site := range sites {
 			s, err := ParseSettings([]byte(site.settings))
 			if err != nil {
@@ -121,8 +123,9 @@
 	}
 }
 
-// The program and the deploy files know no site's words: names of classes, tenants and zones come from settings alone.
-func TestNoSitesWordsInTheProgram(t *testing.T) {
+// No source file contains a name of a site: names of classes, tenants and zones must come from settings
+// only.
+func TestSource_ContainsNoSiteNames(t *testing.T) {
 	files, err := filepath.Glob("../../../deploy/sites/*.toml")
 	if err != nil || len(files) < 2 {
 		t.Fatal(files, err)
@@ -143,7 +146,7 @@
 		}
 	}
 	for _, w := range []string{"pauses", "shared_slow", "neighbour", "crash", "balancer_crash", "lookup", "amend", "track", "manifest", "audit", "customs"} {
-		delete(words, w) // ordinary words, and the bench's
+		delete(words, w) // ordinary words, and words of the benchmark
 	}
 	err = filepath.WalkDir("../../..", func(path string, d os.DirEntry, err error) error {
 		if err != nil {
@@ -161,7 +164,7 @@
 		}
 		for w := range words {
 			if strings.Contains(string(text), w) {
-				t.Errorf("%s holds %q, a word of a site", path, w)
+				t.Errorf("%s contains %q, a name of a site", path, w)
 			}
 		}
 		return nil
--- a/internal/broker/config/stable.go
+++ b/internal/broker/config/stable.go
@@ -5,17 +5,17 @@
 	"fmt"
 )
 
-// stableReads is how often a changing file is read at most.
-const stableReads = 5
+// maxStableReads is the maximum number of times that a file is read again while it changes.
+const maxStableReads = 5
 
-// ReadStable reads a file until two readings agree. It protects against a file that is being
-// written, whose second half is still the old one.
+// ReadStable reads a file until two consecutive reads return the same content. This avoids reading
+// a file that is being written, whose second half is still the old one.
 func ReadStable(path string, readFile func(string) ([]byte, error)) ([]byte, error) {
 	last, err := readFile(path)
 	if err != nil {
 		return nil, err
 	}
-	for range stableReads {
+	for range maxStableReads {
 		now, err := readFile(path)
 		if err != nil {
 			return nil, err
@@ -25,5 +25,5 @@
 		}
 		last = now
 	}
-	return nil, fmt.Errorf("%s: it changes while it is read", path)
+	return nil, fmt.Errorf("%s: file changes while it is being read", path)
 }
--- a/internal/broker/config/store.go
+++ b/internal/broker/config/store.go
@@ -7,11 +7,11 @@
 	"time"
 )
 
-// readStore reads where the durable store is, and its limits.
+// readStore reads the section store.
 func readStore(r reader) *Store {
 	r.require("directory")
 	s := &Store{
-		Keep: ms(r, "keep_ms", 900_000, 1000, 7*86_400_000), Takeover: ms(r, "takeover_ms", 10_000, 100, 600_000),
+		Keep: millis(r, "keep_ms", 900_000, 1000, 7*86_400_000), Takeover: millis(r, "takeover_ms", 10_000, 100, 600_000),
 		KeyHeader: textproto.CanonicalMIMEHeaderKey(r.str("key_header", "Idempotency-Key")), MaxAnswer: r.count("max_answer_kb", 64) << 10,
 		SegmentSize: int64(r.integer("segment_mb", 8)) << 20, Single: r.boolean("single"), Without: r.boolean("without"),
 	}
@@ -20,7 +20,7 @@
 		s.Directories[1] = filepath.Clean(r.str("copy", ""))
 	}
 	if s.Directories[0] == s.Directories[1] {
-		r.fault("copy", "want another directory than %q: the second copy is there for when the first one is lost", s.Directories[0])
+		r.fault("copy", "want another directory than %q: the second copy must survive the loss of the first", s.Directories[0])
 	}
 	if s.SegmentSize < 1<<20 || s.SegmentSize > 256<<20 {
 		r.fault("segment_mb", "want 1 to 256, not %d", s.SegmentSize>>20)
@@ -34,11 +34,12 @@
 	return s
 }
 
-// ms returns a time in milliseconds within bounds.
-func ms(r reader, key string, otherwise, least, most int64) time.Duration {
-	n := r.integer(key, otherwise)
-	if n < least || n > most {
-		r.fault(key, "want %d to %d, not %d", least, most, n)
+// millis returns the duration of a key in milliseconds, def if the key is absent. A value out of
+// the range from low to high is reported.
+func millis(r reader, key string, def, low, high int64) time.Duration {
+	n := r.integer(key, def)
+	if n < low || n > high {
+		r.fault(key, "want %d to %d, not %d", low, high, n)
 	}
 	return time.Duration(n) * time.Millisecond
 }
--- a/internal/broker/config/teams_test.go
+++ b/internal/broker/config/teams_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// A policy of 10,000 teams is read in a time that grows with their number, not with its square.
-func TestManyTeams(t *testing.T) {
+// The time to parse a file with 10,000 teams grows about linearly with their number, not quadratically.
+func TestParseOperator_ManyTeams(t *testing.T) {
 	text, err := os.ReadFile("../../../deploy/rollout.json")
 	if err != nil {
 		t.Fatal(err)
@@ -41,7 +41,7 @@
 		return least
 	}
 	few, many := took(1000), took(10_000)
-	if t.Logf("1,000 teams in %s, 10,000 in %s", few, many); many > 30*few { // by the square it was 47 times
+	if t.Logf("1,000 teams in %s, 10,000 in %s", few, many); many > 30*few { // a quadratic check took 47 times as long
 		t.Errorf("1,000 teams in %s, 10,000 in %s", few, many)
 	}
 }
--- a/internal/broker/config/vrrp.go
+++ b/internal/broker/config/vrrp.go
@@ -6,7 +6,7 @@
 	"saffronquay/internal/broker/vrrp"
 )
 
-// readVRRP reads a virtual router, and where its advertisements go.
+// readVRRP reads the section vrrp.
 func readVRRP(r reader) *VRRP {
 	r.require("vrid", "priority", "listen", "peers", "service")
 	v := &VRRP{Service: r.str("service", "")}
--- a/internal/broker/logging/event.go
+++ b/internal/broker/logging/event.go
@@ -3,7 +3,8 @@
 // Name is the name of an event.
 type Name string
 
-// The events. Operators' searches and alerts use their names and those of their fields: they are never renamed.
+// The events. Operators' searches and alerts use the names of events and fields, so they must never be
+// renamed.
 const (
 	Accept           Name = "accept"
 	DoorAccept       Name = "door_accept"
@@ -57,7 +58,8 @@
 	WatchMoved       Name = "watch_moved"
 )
 
-// Fields lists the fields that each event may have. None holds clients' data (queries, keys, documents).
+// Fields lists the fields that each event may have. None contains clients' data (queries, keys,
+// documents).
 var Fields = map[Name][]string{
 	Accept:           {"error"},
 	DoorAccept:       {"error"},
@@ -111,7 +113,7 @@
 	WatchMoved:       {"from"},
 }
 
-// maxPerSecond limits the lines of events that can be very frequent.
+// maxPerSecond is the maximum number of lines per second of events that can be very frequent.
 var maxPerSecond = map[Name]int{
 	VrrpDiscard: 5, VrrpRead: 5, VrrpSend: 5, Accept: 5, DoorAccept: 5, Note: 20, Panic: 5, StoreFails: 5,
 	Peer: 100, PeerDropped: 5, PeerNap: 2, RolloutApart: 2, RolloutJoined: 2,
--- a/internal/broker/logging/logging.go
+++ b/internal/broker/logging/logging.go
@@ -10,23 +10,24 @@
 	"time"
 )
 
-// Debug logs what helps to find a fault. Fields are names and values in turn.
+// Debug logs an event that helps to diagnose a fault. Fields are alternating names and values.
 func Debug(l *slog.Logger, e Name, fields ...any) { write(l, slog.LevelDebug, e, fields) }
 
-// Info logs rare events of normal operation.
+// Info logs a rare event of normal operation.
 func Info(l *slog.Logger, e Name, fields ...any) { write(l, slog.LevelInfo, e, fields) }
 
-// Warn logs faults from which the program recovers by itself.
+// Warn logs a fault from which the program recovers by itself.
 func Warn(l *slog.Logger, e Name, fields ...any) { write(l, slog.LevelWarn, e, fields) }
 
-// Error logs faults that need an operator.
+// Error logs a fault that needs an operator's action.
 func Error(l *slog.Logger, e Name, fields ...any) { write(l, slog.LevelError, e, fields) }
 
 func write(l *slog.Logger, level slog.Level, e Name, fields []any) {
 	l.Log(context.Background(), level, string(e), fields...)
 }
 
-// Output is a program's log. Its format and its level may be changed while it runs. It is safe for concurrent use.
+// Output is the log of a program. Its format and level can be changed at any time. It is safe for
+// concurrent use.
 type Output struct {
 	level slog.LevelVar
 
@@ -41,10 +42,11 @@
 type rate struct {
 	since      time.Time
 	written    int
-	suppressed int // since the last line that was written
+	suppressed int // since the last line written
 }
 
-// New returns a log that writes to w. format is text (key=value) or json.
+// New returns a log that writes to w. format is text (key=value) or json, level the minimum level
+// of lines.
 func New(w io.Writer, format string, level slog.Level) *Output {
 	o := &Output{w: w, counts: map[Name]*rate{}}
 	o.level.Set(level)
@@ -52,10 +54,10 @@
 	return o
 }
 
-// Logger returns the logger that packages log with.
+// Logger returns a logger that writes to the log.
 func (o *Output) Logger() *slog.Logger { return slog.New(sampler{o: o}) }
 
-// SetFormat sets the form of lines: text or json.
+// SetFormat sets the format of lines: text or json.
 func (o *Output) SetFormat(format string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -69,7 +71,7 @@
 	}
 }
 
-// SetLevel sets the lowest level that is written: debug, info, warn or error.
+// SetLevel sets the minimum level of lines: debug, info, warn or error.
 func (o *Output) SetLevel(name string) error {
 	var l slog.Level
 	switch name {
@@ -84,7 +86,7 @@
 	return nil
 }
 
-// renameKeys sets the names of the keys that every line has.
+// renameKeys replaces the default names and forms of the keys that every line has.
 func renameKeys(groups []string, a slog.Attr) slog.Attr {
 	if len(groups) > 0 {
 		return a
@@ -98,12 +100,13 @@
 	return a
 }
 
-// admit reports whether an event is written now, and how many of its lines were suppressed since the last one that was written.
-func (o *Output) admit(e Name, now time.Time) (h slog.Handler, missed int, ok bool) {
+// admit reports whether a line of an event may be written now. It returns the handler to write it
+// with and the number of lines of the event that were suppressed since the last one written.
+func (o *Output) admit(e Name, now time.Time) (h slog.Handler, suppressed int, ok bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	most, bounded := maxPerSecond[e]
-	if !bounded {
+	limit, limited := maxPerSecond[e]
+	if !limited {
 		return o.handler, 0, true
 	}
 	c := o.counts[e]
@@ -114,16 +117,17 @@
 	if now.Sub(c.since) >= time.Second {
 		c.since, c.written = now, 0
 	}
-	if c.written >= most {
+	if c.written >= limit {
 		c.suppressed++
 		return nil, 0, false
 	}
 	c.written++
-	missed, c.suppressed = c.suppressed, 0
-	return o.handler, missed, true
+	suppressed, c.suppressed = c.suppressed, 0
+	return o.handler, suppressed, true
 }
 
-// sampler is the handler of Output.Logger. It keeps attributes itself, since the handler behind it may change.
+// sampler is the handler of Output.Logger. It keeps the attributes itself, since the handler of the
+// output may be replaced.
 type sampler struct {
 	o     *Output
 	attrs []slog.Attr
@@ -132,15 +136,15 @@
 // Enabled implements slog.Handler.
 func (s sampler) Enabled(_ context.Context, l slog.Level) bool { return l >= s.o.level.Level() }
 
-// Handle implements slog.Handler. It drops lines of events that are too frequent.
+// Handle implements slog.Handler. It drops lines above the limit in maxPerSecond.
 func (s sampler) Handle(ctx context.Context, r slog.Record) error {
-	h, missed, ok := s.o.admit(Name(r.Message), r.Time)
+	h, suppressed, ok := s.o.admit(Name(r.Message), r.Time)
 	if !ok {
 		return nil
 	}
 	r.AddAttrs(s.attrs...)
-	if missed > 0 {
-		r.AddAttrs(slog.Int("unwritten", missed))
+	if suppressed > 0 {
+		r.AddAttrs(slog.Int("unwritten", suppressed))
 	}
 	return h.Handle(ctx, r)
 }
@@ -151,5 +155,5 @@
 	return s
 }
 
-// WithGroup implements slog.Handler. Groups are ignored: fields have flat names.
+// WithGroup implements slog.Handler. Groups are ignored, since field names are flat.
 func (s sampler) WithGroup(string) slog.Handler { return s }
--- a/internal/broker/logging/logging_test.go
+++ b/internal/broker/logging/logging_test.go
@@ -18,7 +18,7 @@
 	"testing"
 )
 
-func TestLines(t *testing.T) {
+func TestOutput_FormatAndLevel(t *testing.T) {
 	var b bytes.Buffer
 	o := logging.New(&b, "text", slog.LevelInfo)
 	l := o.Logger()
@@ -38,12 +38,12 @@
 		t.Errorf("%q", got)
 	}
 	if o.SetLevel("loud") == nil {
-		t.Error("a level that is none")
+		t.Error("SetLevel accepted an unknown level")
 	}
 }
 
-// What comes by the thousand is written a few times a second, and what was not is counted.
-func TestSampling(t *testing.T) {
+// A frequent event is limited to a few lines per second; a rare event is not limited.
+func TestOutput_LimitsFrequentEvents(t *testing.T) {
 	var b bytes.Buffer
 	l := logging.New(&b, "text", slog.LevelInfo).Logger()
 	for range 1000 {
@@ -51,15 +51,16 @@
 		logging.Info(l, logging.Reload)
 	}
 	if n := strings.Count(b.String(), "vrrp_discard"); n < 5 || n > 15 {
-		t.Errorf("%d of 1000 are written", n)
+		t.Errorf("%d of 1000 lines of a limited event written, want 5 to 15", n)
 	}
 	if n := strings.Count(b.String(), "event=reload"); n != 1000 {
-		t.Errorf("%d of 1000 rare ones are written", n)
+		t.Errorf("%d of 1000 lines of an unlimited event written", n)
 	}
 }
 
-// Every line that the program writes names an event and fields of the table, and no other package writes lines by itself.
-func TestAllEventsAreInTheTable(t *testing.T) {
+// Every call of this package's functions uses an event and fields of the table, every event is
+// used, and no package prints with package log.
+func TestEvents_AllInTable(t *testing.T) {
 	used := map[string]bool{}
 	fset := token.NewFileSet()
 	err := filepath.WalkDir("../../..", func(path string, d fs.DirEntry, err error) error {
@@ -85,10 +86,10 @@
 			case !is || from.Name != "logging":
 			case !slices.Contains([]string{"Debug", "Info", "Warn", "Error"}, sel.Sel.Name):
 			default:
-				check(t, fset.Position(call.Pos()).String(), call.Args, used)
+				checkCall(t, fset.Position(call.Pos()).String(), call.Args, used)
 			}
 			if is && from.Name == "log" && strings.HasPrefix(sel.Sel.Name, "Print") {
-				t.Errorf("%s: it writes a line by itself", fset.Position(call.Pos()))
+				t.Errorf("%s: call of package log; use package logging", fset.Position(call.Pos()))
 			}
 			return true
 		})
@@ -103,15 +104,16 @@
 			name += strings.ToUpper(part[:1]) + part[1:]
 		}
 		if !used[name] {
-			t.Errorf("nobody logs %s", e)
+			t.Errorf("event %s is never logged", e)
 		}
 	}
 }
 
-func check(t *testing.T, at string, args []ast.Expr, used map[string]bool) {
+// checkCall checks the event and the fields of a logging call.
+func checkCall(t *testing.T, at string, args []ast.Expr, used map[string]bool) {
 	name, is := args[1].(*ast.SelectorExpr)
 	if !is {
-		t.Errorf("%s: its event is no name of the table", at)
+		t.Errorf("%s: the event is not a constant of package logging", at)
 		return
 	}
 	used[name.Sel.Name] = true
@@ -128,7 +130,7 @@
 	for i := 2; i < len(args); i += 2 {
 		lit, is := args[i].(*ast.BasicLit)
 		if !is {
-			t.Errorf("%s: a field's name is no literal", at)
+			t.Errorf("%s: the name of a field is not a literal", at)
 			continue
 		}
 		if field, err := strconv.Unquote(lit.Value); err != nil || !slices.Contains(fields, field) {
@@ -137,7 +139,8 @@
 	}
 }
 
-// What a line costs: as it was before, as text, as JSON, below the level, and beyond what is written of it in a second.
+// BenchmarkLines measures the cost of a line: with package log, as text, as JSON, below the minimum
+// level, and above the limit per second.
 func BenchmarkLines(b *testing.B) {
 	b.Run("before", func(b *testing.B) {
 		l := log.New(io.Discard, "", log.LstdFlags|log.Lmicroseconds|log.LUTC)
