--- a/internal/broker/layout/current.go
+++ b/internal/broker/layout/current.go
@@ -2,7 +2,8 @@
 
 import "sync/atomic"
 
-// Current publishes the layout in force to readers. It is safe for concurrent use. The zero value has no layout.
+// Current publishes the layout in force to concurrent readers. It is safe for concurrent use. The
+// zero value has no layout.
 type Current struct{ p atomic.Pointer[Layout] }
 
 // Load returns the layout in force, or nil before the first Store.
--- a/internal/broker/layout/histories_test.go
+++ b/internal/broker/layout/histories_test.go
@@ -9,7 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestRecordedHistories checks that the same random draws give the recorded layouts and plans. Names of fields are left out.
+// TestRecordedHistories checks that the same random draws give the recorded layouts and plans. The
+// recorded text does not contain names of fields.
 func TestRecordedHistories(t *testing.T) {
 	drawn := rapid.Custom(func(t *rapid.T) string {
 		var text strings.Builder
--- a/internal/broker/layout/layout.go
+++ b/internal/broker/layout/layout.go
@@ -19,7 +19,8 @@
 // Empty reports whether the span contains no key.
 func (s Span) Empty() bool { return s.From >= s.To }
 
-// Meet returns the intersection of two spans. Without a common key the result is Empty, and its To may be below its From.
+// Meet returns the intersection of two spans. Without a common key the result is Empty, and its To
+// may be below its From.
 func (s Span) Meet(o Span) Span { return Span{max(s.From, o.From), min(s.To, o.To)} }
 
 // Range is one shard: its span and the servers that hold a replica of it.
@@ -40,21 +41,21 @@
 const (
 	Split Kind = "split" // one range becomes several
 	Merge Kind = "merge" // neighbouring ranges become one
-	Move  Kind = "move"  // one range gets other holders
+	Move  Kind = "move"  // a range gets other holders
 )
 
 // State is the progress of a change.
 type State string
 
-// The states of a change, in their order. A retired or aborted change is no longer in the layout.
+// The states of a change, in order. A retired or aborted change is removed from the layout.
 const (
 	Announced State = "announced"
 	Copying   State = "copying"
 	Ready     State = "ready"   // both sides can answer; queries still go to the old side
-	CutOver   State = "cutover" // the new side is in force; the old side may still answer the parts that it was sent
+	CutOver   State = "cutover" // the new side is in force; the old side may still answer parts in flight
 )
 
-// Change is a split, merge or move under way.
+// Change is a split, merge or move in progress.
 type Change struct {
 	ID    string  `json:"id"`
 	Kind  Kind    `json:"kind"`
@@ -67,21 +68,22 @@
 type Doc struct {
 	History   string   `json:"history"`
 	Epoch     int64    `json:"epoch"`
-	NextShard int      `json:"next_shard"` // ids below are or were in use
+	NextShard int      `json:"next_shard"` // all lower ids are or were in use
 	Ranges    []Range  `json:"ranges"`
 	Changes   []Change `json:"changes,omitempty"`
 }
 
-// Layout is a validated layout with its indexes. It is immutable, so any goroutine may read it without a lock.
+// Layout is a validated layout with its indexes. It is immutable and can be read concurrently
+// without a lock.
 type Layout struct {
 	doc   Doc
 	ends  []int64        // To of each range in force, for the binary search
 	at    map[int]int    // index in doc.Ranges of each shard in force
-	since map[int]int64  // epoch in which a shard got its present span and holders; absent: unchanged since the first layout
-	old   map[int]*Range // old sides of changes that are cut over and not yet retired, by shard; for a move, the holders that it leaves
+	since map[int]int64  // see Since; a shard that is absent is unchanged since the first layout
+	old   map[int]*Range // old sides of changes in state CutOver by shard; for a move, with the previous holders
 }
 
-// build indexes a document that has been validated.
+// build returns the layout of a validated document with its indexes.
 func build(d Doc, since map[int]int64) *Layout {
 	l := &Layout{doc: d, since: since, at: make(map[int]int, len(d.Ranges)), old: map[int]*Range{}}
 	l.ends = make([]int64, len(d.Ranges))
@@ -98,24 +100,26 @@
 	return l
 }
 
-// Doc returns the layout's serialized form. It shares memory with the layout: the caller must not change its slices.
+// Doc returns the layout's serialized form. It shares memory with the layout, so the caller must
+// not change its slices.
 func (l *Layout) Doc() Doc { return l.doc }
 
 // Epoch returns the layout's epoch, 1 or more.
 func (l *Layout) Epoch() int64 { return l.doc.Epoch }
 
-// History returns the name of the history that the epochs belong to. Epochs of different histories can't be compared.
+// History returns the name of the history that the epoch belongs to. Epochs of different histories
+// cannot be compared.
 func (l *Layout) History() string { return l.doc.History }
 
 // Len returns the number of ranges in force.
 func (l *Layout) Len() int { return len(l.doc.Ranges) }
 
-// Domain returns the span that the ranges in force cover together, without a gap.
+// Domain returns the span that the ranges in force cover together. There are no gaps in it.
 func (l *Layout) Domain() Span {
 	return Span{l.doc.Ranges[0].From, l.doc.Ranges[len(l.doc.Ranges)-1].To}
 }
 
-// InForce returns the span of a shard, or false if the shard is not in force.
+// InForce returns the span of a shard. It reports false if the shard is not in force.
 func (l *Layout) InForce(shard int) (Span, bool) {
 	i, ok := l.at[shard]
 	if !ok {
@@ -124,8 +128,9 @@
 	return l.doc.Ranges[i].Span, true
 }
 
-// Of returns the servers that hold a shard: the holders in force, or those of an old side that is not yet retired; nil for an
-// unknown shard. The decision module reads the holders through it. The caller must not change the list.
+// Of returns the servers that hold a shard: the holders in force or, if the shard is only on an old
+// side that is not yet retired, the holders of that side. It returns nil for an unknown shard. The
+// decision module reads the holders through Of. The caller must not change the list.
 func (l *Layout) Of(shard int) []sq.ServerID {
 	if i, ok := l.at[shard]; ok {
 		return l.doc.Ranges[i].Holders
@@ -136,13 +141,15 @@
 	return nil
 }
 
-// Since returns the epoch in which a shard got its present span and holders, or 0 if they are those of the first layout received.
-// Where epochs were skipped it is the first received epoch with them.
+// Since returns the epoch in which a shard got its present span and holders, or 0 if they are those
+// of the first layout received. If epochs were skipped, it is the first received epoch with that
+// span and those holders.
 func (l *Layout) Since(shard int) int64 { return l.since[shard] }
 
-// Answers reports whether an answer of a server for a span of a shard is valid now: the server holds the shard in force, or on an
-// old side that is not yet retired, and the span lies within the shard's. It guards against a server that has not yet learned
-// that it lost the shard.
+// Answers reports whether an answer of a server for a span of a shard is valid: the server must be
+// a holder of the shard, in force or on an old side that is not yet retired, and the span must lie
+// within the shard's. This protects against a server that is not yet aware that it has lost the
+// shard.
 func (l *Layout) Answers(server sq.ServerID, shard int, span Span) bool {
 	holds := func(r *Range) bool {
 		return span.From >= r.From && span.To <= r.To && slices.Contains(r.Holders, server)
@@ -154,14 +161,14 @@
 	return r != nil && holds(r)
 }
 
-// Part is one shard request of a plan: a span within the shard's.
+// Part is the request of a plan to one shard, for a span within the shard's span.
 type Part struct {
 	Shard int
 	Span
 }
 
-// searchRange returns the index, at or after from, of the first range that ends after a key. It searches in steps that double
-// (galloping search), so that a near range is found in few steps.
+// searchRange returns the index, at or after from, of the first range that ends after a key. It is
+// a galloping search, whose steps double, so that it finds a nearby range in few steps.
 func (l *Layout) searchRange(key int64, from int) int {
 	lo, hi := from, from
 	for n := 1; hi < len(l.ends) && l.ends[hi] <= key; n *= 2 {
@@ -177,11 +184,11 @@
 	return lo
 }
 
-// Plan appends one part for each range that intersects one of the wanted spans. A part has its range's full span, no range comes
-// twice, and parts are in key order. The wanted spans must be disjoint and in key order. It costs O(s log n + k) for s spans and k
-// parts.
+// Plan appends one part for each range that intersects any of the wanted spans. A part has the full
+// span of its range, and parts are in key order without duplicates. The wanted spans must be
+// disjoint and in key order. It takes O(s log n + k) time for s spans, n ranges and k parts.
 func (l *Layout) Plan(dst []Part, want []Span) []Part {
-	next := 0 // ranges before this one are planned or not wanted
+	next := 0 // all ranges before this one are planned or not wanted
 	for _, w := range want {
 		for i := l.searchRange(w.From, next); i < len(l.doc.Ranges) && l.doc.Ranges[i].From < w.To && !w.Empty(); i++ {
 			r := &l.doc.Ranges[i]
@@ -192,7 +199,8 @@
 	return dst
 }
 
-// Cover appends parts, in key order, whose spans together are exactly the given span, as far as it lies in the domain.
+// Cover appends parts, in key order, whose spans together are exactly the intersection of the given
+// span and the domain.
 func (l *Layout) Cover(dst []Part, span Span) []Part {
 	for i := l.searchRange(span.From, 0); i < len(l.doc.Ranges) && l.doc.Ranges[i].From < span.To && !span.Empty(); i++ {
 		r := &l.doc.Ranges[i]
@@ -201,14 +209,16 @@
 	return dst
 }
 
-// Changes returns the changes under way, sorted by id. The caller must not change the list.
+// Changes returns the changes in progress, sorted by id. The caller must not change the list.
 func (l *Layout) Changes() []Change { return l.doc.Changes }
 
+// change returns the index of a change in doc.Changes, or the index to insert it at and false.
 func (l *Layout) change(id string) (int, bool) {
 	return slices.BinarySearchFunc(l.doc.Changes, id, func(c Change, id string) int { return cmp.Compare(c.ID, id) })
 }
 
-// Diff returns, in order, the shards whose span or holders differ between layouts a and b, and the old sides that b has retired.
+// Diff returns, in ascending order, the shards whose span or holders differ between layouts a and
+// b, and the shards of old sides that were retired between them.
 func Diff(a, b *Layout) []int {
 	var out []int
 	for shard, i := range b.at {
--- a/internal/broker/layout/measure_test.go
+++ b/internal/broker/layout/measure_test.go
@@ -16,18 +16,20 @@
 	sq "saffronquay"
 )
 
-// TestMeasure takes the measurements of docs/LAYOUT.md; it has no limits of its own. SAFFRONQUAY_MEASURE=1 runs it.
+// TestMeasure takes the measurements in docs/LAYOUT.md. It checks no limits and runs only with
+// SAFFRONQUAY_MEASURE=1.
 func TestMeasure(t *testing.T) {
 	if os.Getenv("SAFFRONQUAY_MEASURE") == "" {
 		t.Skip("SAFFRONQUAY_MEASURE is not set")
 	}
 	t.Run("latency", measureLatency)
 	t.Run("hot", measureHot)
-	t.Run("late", measureLate)
+	t.Run("late", measureSilentServer)
 	t.Run("rate", measureRate)
 }
 
-// measureLatency sends the same queries at a constant rate two times: without changes, and during them.
+// measureLatency measures latencies at a constant rate of queries, alternately without changes and
+// during them.
 func measureLatency(t *testing.T) {
 	for _, changing := range []bool{false, true, false, true} {
 		c := newCluster(t, 12, 40, 3, 4000, fakebackend.ServerConfig{Cores: 4, Queue: 1000, Work: 2 * time.Millisecond})
@@ -38,7 +40,7 @@
 		if changing {
 			wg = runChanges(t, c, stop, 3, 100*time.Millisecond, &changes)
 		}
-		took, _ := paced(gs[0], 300, 10*time.Second, some)
+		took, _ := runAtRate(gs[0], 300, 10*time.Second, drawWideSpans)
 		close(stop)
 		if wg != nil {
 			wg.Wait()
@@ -47,13 +49,14 @@
 	}
 }
 
-// paced sends queries at a rate per second for a time, whatever the answers. It returns the sorted latencies of those served.
-func paced(g *gatherer, rate int, long time.Duration, draw func(*rand.Rand) []layout.Span) (took []time.Duration, other int) {
+// runAtRate sends queries at a constant rate per second, independent of the answers (open loop). It
+// returns the sorted latencies of the queries served, and the number of other queries.
+func runAtRate(g *gatherer, rate int, duration time.Duration, draw func(*rand.Rand) []layout.Span) (took []time.Duration, other int) {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	rng := rand.New(rand.NewPCG(1, 1))
 	began := time.Now()
-	for n := 0; time.Since(began) < long; n++ {
+	for n := 0; time.Since(began) < duration; n++ {
 		time.Sleep(time.Until(began.Add(time.Duration(n) * time.Second / time.Duration(rate))))
 		want := draw(rng)
 		wg.Add(1)
@@ -75,8 +78,8 @@
 	return took, other
 }
 
-// some draws one to four spans of 80 keys.
-func some(rng *rand.Rand) (want []layout.Span) {
+// drawWideSpans draws one to four spans of 80 keys.
+func drawWideSpans(rng *rand.Rand) (want []layout.Span) {
 	for range 1 + rng.IntN(4) {
 		from := rng.Int64N(4000 - 80)
 		want = append(want, layout.Span{From: from, To: from + 80})
@@ -84,8 +87,8 @@
 	return want
 }
 
-// hot draws one key, four times of five within the first range.
-func hot(rng *rand.Rand) []layout.Span {
+// drawHotKey draws one key, with a probability of 4/5 in the first range.
+func drawHotKey(rng *rand.Rand) []layout.Span {
 	key := rng.Int64N(100)
 	if rng.IntN(5) == 0 {
 		key = 100 + rng.Int64N(500)
@@ -93,7 +96,8 @@
 	return keys(key, key+1)
 }
 
-// measureHot loads one range of six servers with four times the rest, before and after it is split in four over other servers.
+// measureHot measures the load of six servers when one range gets four times as many queries as all
+// others together, before and after that range is split into four.
 func measureHot(t *testing.T) {
 	c := newCluster(t, 6, 6, 2, 600, fakebackend.ServerConfig{Cores: 2, Queue: 200, Work: time.Millisecond, Each: 30 * time.Microsecond})
 	g := start(t, c)
@@ -118,19 +122,20 @@
 		for _, s := range c.Servers {
 			_, busy[s.ID()] = s.Worked()
 		}
-		took, refused := paced(g, 400, 8*time.Second, hot)
+		took, rejected := runAtRate(g, 400, 8*time.Second, drawHotKey)
 		most, all := time.Duration(0), time.Duration(0)
 		for _, s := range c.Servers {
 			_, now := s.Worked()
 			most, all = max(most, now-busy[s.ID()]), all+now-busy[s.ID()]
 		}
-		t.Logf("%s the split: busiest holder %.0f%% of its cores, mean %.0f%%; queries=%d refused or failed=%d p50=%s p99=%s", when,
-			float64(most)/float64(16*time.Second)*100, float64(all)/float64(6*16*time.Second)*100, len(took), refused, took[len(took)/2], took[len(took)*99/100])
+		t.Logf("%s the split: busiest server %.0f%% of its cores, mean %.0f%%; queries=%d rejected or failed=%d p50=%s p99=%s", when,
+			float64(most)/float64(16*time.Second)*100, float64(all)/float64(6*16*time.Second)*100, len(took), rejected, took[len(took)/2], took[len(took)*99/100])
 	}
 }
 
-// measureLate measures the time to the first page of 8 parts, with all servers healthy and with one that does not answer.
-func measureLate(t *testing.T) {
+// measureSilentServer measures the latency of a first page of 8 parts, with all servers healthy and
+// with one that does not answer.
+func measureSilentServer(t *testing.T) {
 	c := newCluster(t, 8, 8, 2, 800, fakebackend.ServerConfig{Cores: 4, Queue: 100, Work: 2 * time.Millisecond})
 	g := start(t, c)
 	for _, fault := range []fakebackend.Fault{fakebackend.None, fakebackend.Silent} {
@@ -143,11 +148,12 @@
 			}
 		}
 		slices.Sort(took)
-		t.Logf("one server %q: %d of 40 answered, p50=%s, the longest %s", fault, len(took), took[len(took)/2], took[len(took)-1])
+		t.Logf("fault %q of one server: %d of 40 queries answered, p50=%s, max=%s", fault, len(took), took[len(took)/2], took[len(took)-1])
 	}
 }
 
-// measureRate measures how many queries of 8 parts per second the program answers on one core.
+// measureRate measures the number of queries of 8 parts that the program answers per second on one
+// core.
 func measureRate(t *testing.T) {
 	c := newCluster(t, 8, 8, 2, 800, fakebackend.ServerConfig{Cores: 16, Queue: 1000, Work: time.Millisecond})
 	agent, err := c.Directory.Agent("")
@@ -177,5 +183,5 @@
 		}()
 	}
 	wg.Wait()
-	t.Logf("queries of 8 parts a second on one core: %.0f, refused or failed %d", float64(served.Load())/8, other.Load())
+	t.Logf("queries of 8 parts per second on one core: %.0f; rejected or failed: %d", float64(served.Load())/8, other.Load())
 }
--- a/internal/broker/layout/program_test.go
+++ b/internal/broker/layout/program_test.go
@@ -23,7 +23,8 @@
 
 func TestMain(m *testing.M) { harness.Main(m) }
 
-// gatherer is a directory for one gatherer's files, its own agent of the layout directory, and its running process.
+// gatherer is a gatherer process with a directory for its files and its own agent of the layout
+// directory.
 type gatherer struct {
 	*harness.Place
 	t       *testing.T
@@ -31,7 +32,8 @@
 	process *harness.Process
 }
 
-// newCluster starts servers and places ranges of equal width on them, each on reach servers. Each key from 0 has one row.
+// newCluster starts servers and places ranges of equal width on them, each on reach servers. Each
+// key from 0 up to keys has one row.
 func newCluster(t *testing.T, servers, ranges, reach int, keys int64, cfg fakebackend.ServerConfig) *fakebackend.Cluster {
 	t.Helper()
 	doc := layout.Doc{History: "h1", Epoch: 1}
@@ -61,7 +63,8 @@
 	return c
 }
 
-// config returns an operator's file for a cluster. Without a directory the layout comes from the file alone.
+// config returns an operator's file for a cluster. If directory is empty, the layout comes from the
+// file only.
 func config(t *testing.T, c *fakebackend.Cluster, doc layout.Doc, directory string, draining ...sq.ServerID) []byte {
 	t.Helper()
 	var servers []any
@@ -96,7 +99,7 @@
 	return text
 }
 
-// start starts a gatherer that follows the cluster's directory through an agent of its own.
+// start starts a gatherer that follows the cluster's directory through its own agent.
 func start(t *testing.T, c *fakebackend.Cluster) *gatherer {
 	t.Helper()
 	agent, err := c.Directory.Agent("")
@@ -110,28 +113,29 @@
 	return g
 }
 
-// run starts the program, also after an earlier process has ended.
+// run starts the process, possibly after an earlier one.
 func (g *gatherer) run() { g.process = g.Start() }
 
-// at waits until the gatherer has an epoch in force.
+// waitForEpoch waits until the gatherer has put an epoch in force.
 func (g *gatherer) waitForEpoch(epoch int64) {
 	g.WaitForLine(0, "event=layout ", fmt.Sprintf("epoch=%d ", epoch))
 }
 
-// outcome is the final answer of a query.
+// outcome is the final answer to a query.
 type outcome struct {
-	status int
-	ids    []string
-	total  int
-	sum    float64
-	by     int // documents in all buckets
-	sorted bool
-	text   string
+	status   int
+	ids      []string
+	total    int
+	sum      float64
+	bucketed int  // number of documents in all buckets
+	sorted   bool // the hits are in the requested order
+	text     string
 }
 
 var client = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256}, Timeout: waitTimeout}
 
-// search sends a search for the keys in any of some spans.
+// search sends a search for the keys in the given spans. An answer that is marked complete but is
+// not gets the status 0.
 func (g *gatherer) search(index, id string, want []layout.Span) outcome {
 	var should []string
 	for _, w := range want {
@@ -175,11 +179,11 @@
 		}
 	}
 	if err := json.Unmarshal(text, &a); err != nil || o.status == 200 && (a.TimedOut || a.Shards.Successful != a.Shards.Total) {
-		return outcome{text: "not whole: " + o.text}
+		return outcome{text: "incomplete answer with status 200, or not JSON: " + o.text}
 	}
 	o.sorted, o.sum = true, a.Aggregations.Sum.Value
 	for _, b := range a.Aggregations.By.Buckets {
-		o.by += b.Count
+		o.bucketed += b.Count
 	}
 	last := math.Inf(1)
 	for _, h := range a.Hits.Hits {
@@ -192,7 +196,7 @@
 	return o
 }
 
-// equals reports whether an answer is that of a single store with all rows.
+// equals reports whether an answer equals that of a single store with all rows.
 func (o outcome) equals(c *fakebackend.Cluster, want []layout.Span) bool {
 	ids := c.Single(want)
 	sum := 0.0
@@ -201,5 +205,5 @@
 			sum += float64(r.Key)
 		}
 	}
-	return o.status == 200 && slices.Equal(o.ids, ids) && o.total == len(ids) && o.sum == sum && o.by == len(ids) && o.sorted
+	return o.status == 200 && slices.Equal(o.ids, ids) && o.total == len(ids) && o.sum == sum && o.bucketed == len(ids) && o.sorted
 }
--- a/internal/broker/layout/proof_test.go
+++ b/internal/broker/layout/proof_test.go
@@ -18,7 +18,8 @@
 
 const clients = 24
 
-// runClients sends queries to the gatherers from concurrent clients until the given number is reached.
+// runClients sends queries to the gatherers from concurrent clients until sum has the given number
+// of queries.
 func runClients(t *testing.T, c *fakebackend.Cluster, gs []*gatherer, name string, queries int64, seed uint64, sum *tally) {
 	var wg sync.WaitGroup
 	for i := range clients {
@@ -35,7 +36,7 @@
 	sum.queries.Store(queries)
 }
 
-// searchOnce sends one random search and checks the answer.
+// searchOnce sends one random search, checks the answer and counts its outcome.
 func searchOnce(t *testing.T, c *fakebackend.Cluster, g *gatherer, id string, rng *rand.Rand, sum *tally) {
 	index, n, width := "invoices", 1+rng.IntN(4), int64(80)
 	if rng.IntN(10) < 3 {
@@ -51,19 +52,19 @@
 		sum.complete.Add(1)
 	case o.status == 429 && c.Ledger.Ran(id):
 		sum.wrong.Add(1)
-		t.Errorf("%s was refused, and yet it ran", id)
+		t.Errorf("%s: rejected with 429, but a part of it ran", id)
 	case o.status == 429:
 		sum.refused.Add(1)
 	case o.status == 500:
 		sum.failed.Add(1)
 	default:
 		sum.wrong.Add(1)
-		t.Errorf("%s %v: %d %.300s; one store gives %d rows", id, want, o.status, o.text, len(c.Single(want)))
+		t.Errorf("%s %v: status %d %.300s; a single store returns %d rows", id, want, o.status, o.text, len(c.Single(want)))
 	}
 }
 
-// runChanges applies changes of all kinds until stop is closed. Some are aborted, before or after the cut over. The caller waits
-// for the returned group.
+// runChanges applies changes of all kinds until stop is closed. Some of them are aborted, before or
+// after the cut over. The caller must wait for the returned group.
 func runChanges(t *testing.T, c *fakebackend.Cluster, stop <-chan struct{}, seed uint64, pause time.Duration, changes *atomic.Int64) *sync.WaitGroup {
 	var wg sync.WaitGroup
 	for i := range 4 {
@@ -71,7 +72,7 @@
 		go func() {
 			defer wg.Done()
 			rng := rand.New(rand.NewPCG(seed, uint64(i)))
-			rest := func() bool {
+			wait := func() bool {
 				select {
 				case <-stop:
 					return false
@@ -79,24 +80,24 @@
 					return true
 				}
 			}
-			for n := 0; rest(); n++ {
+			for n := 0; wait(); n++ {
 				step, ok := c.Random(rng, fmt.Sprintf("c%d-%d", i, n), 3)
-				if !ok || c.Do(step) != nil { // another changer was first
+				if !ok || c.Do(step) != nil { // a concurrent change was applied first
 					continue
 				}
-				last := []layout.Action{layout.Copy, layout.MarkReady, layout.Cut, layout.Retire}
+				actions := []layout.Action{layout.Copy, layout.MarkReady, layout.Cut, layout.Retire}
 				if rng.IntN(4) == 0 {
-					last = append(last[:1+rng.IntN(3)], layout.Abort)
+					actions = append(actions[:1+rng.IntN(3)], layout.Abort)
 				}
-				for _, action := range last {
-					if !rest() {
+				for _, action := range actions {
+					if !wait() {
 						return
 					}
 					if err := c.Do(layout.Step{Change: step.Change, Do: action}); err != nil {
 						if action != layout.Abort {
 							t.Errorf("%s %s: %v", step.Change, action, err)
 						} else if err := c.Do(layout.Step{Change: step.Change, Do: layout.Retire}); err != nil {
-							t.Errorf("%s can't be aborted, and not be retired: %v", step.Change, err)
+							t.Errorf("%s can be neither aborted nor retired: %v", step.Change, err)
 						}
 					}
 				}
@@ -107,15 +108,15 @@
 	return &wg
 }
 
-// injectFaults repeatedly gives one server and one agent of the directory a fault for a short time, until stop is closed. With kills
-// the server's fault is that it is killed.
+// injectFaults repeatedly injects a fault into one server and one agent of the directory for a
+// short time, until stop is closed. With kills, the server is killed and restarted instead.
 func injectFaults(c *fakebackend.Cluster, gs []*gatherer, stop <-chan struct{}, seed uint64, kills bool) {
 	rng := rand.New(rand.NewPCG(seed, 99))
 	faults := []fakebackend.Fault{fakebackend.CutUnread, fakebackend.CutHalf, fakebackend.CutRan, fakebackend.Refuses, fakebackend.Mislabels, fakebackend.Lags}
-	ills := []fakebackend.Ill{fakebackend.Down, fakebackend.Mute, fakebackend.Garbles, fakebackend.Skips, fakebackend.Backs, fakebackend.Other, fakebackend.Trickle}
+	agentFaults := []fakebackend.Ill{fakebackend.Down, fakebackend.Mute, fakebackend.Garbles, fakebackend.Skips, fakebackend.Backs, fakebackend.Other, fakebackend.Trickle}
 	for n := 0; ; n++ {
 		s, a := c.Servers[rng.IntN(len(c.Servers))], gs[rng.IntN(len(gs))].agent
-		a.Set(ills[rng.IntN(len(ills))], time.Duration(rng.IntN(200))*time.Millisecond)
+		a.Set(agentFaults[rng.IntN(len(agentFaults))], time.Duration(rng.IntN(200))*time.Millisecond)
 		if kills {
 			s.Kill()
 		} else if n%2 == 0 {
@@ -143,12 +144,13 @@
 	}
 }
 
-// TestProof sends queries to the real program while ranges split, merge and move under faults. SAFFRONQUAY_PROOF_QUERIES sets their
-// number.
+// TestProof sends queries to the real program while ranges are split, merged and moved under
+// faults. No answer may be wrong and no at-most-once part may run twice or on a server that is not
+// its holder. SAFFRONQUAY_PROOF_QUERIES sets the number of queries.
 func TestProof(t *testing.T) {
-	queries, most := int64(10_000), int64(1) // per cent refused or failed
+	queries, maxLossPercent := int64(10_000), int64(1) // queries rejected or failed
 	if raceEnabled {
-		queries, most = 3_000, 10 // slower by much, while faults come by the clock
+		queries, maxLossPercent = 3_000, 10 // queries are much slower, but the rate of faults is the same
 	}
 	if text := os.Getenv("SAFFRONQUAY_PROOF_QUERIES"); text != "" {
 		queries, _ = strconv.ParseInt(text, 10, 64)
@@ -158,8 +160,8 @@
 	phase := func(name string, queries int64, kills bool) (*tally, int64) {
 		var sum tally
 		var changes atomic.Int64
-		stop, calm := make(chan struct{}), make(chan struct{})
-		go func() { defer close(calm); injectFaults(c, gs, stop, 5, kills) }()
+		stop, faultsStopped := make(chan struct{}), make(chan struct{})
+		go func() { defer close(faultsStopped); injectFaults(c, gs, stop, 5, kills) }()
 		changing := runChanges(t, c, stop, uint64(len(name)), 15*time.Millisecond, &changes)
 		for {
 			before := sum.queries.Load()
@@ -167,29 +169,29 @@
 			if kills || changes.Load() >= 200 || t.Failed() {
 				break
 			}
-			queries = 1000 // until there were changes enough
+			queries = 1000 // repeat until there were enough changes
 		}
 		close(stop)
 		changing.Wait()
-		<-calm
+		<-faultsStopped
 		return &sum, changes.Load()
 	}
 	killed, _ := phase("killed", queries/5, true)
-	t.Logf("with servers killed: queries=%d whole=%d refused=%d failed=%d", killed.queries.Load(), killed.complete.Load(),
+	t.Logf("with servers killed: queries=%d complete=%d rejected=%d failed=%d", killed.queries.Load(), killed.complete.Load(),
 		killed.refused.Load(), killed.failed.Load())
 	sum, changes := phase("proof", queries, false)
-	runs, twice, astray := c.Ledger.Counts()
+	runs, twice, misplaced := c.Ledger.Counts()
 	wrong := sum.wrong.Load() + killed.wrong.Load()
-	if twice != 0 || astray != 0 || wrong != 0 {
-		t.Errorf("run_twice=%d astray=%d wrong=%d", twice, astray, wrong)
+	if twice != 0 || misplaced != 0 || wrong != 0 {
+		t.Errorf("run_twice=%d run_on_non_holder=%d wrong=%d, want 0", twice, misplaced, wrong)
 	}
-	if lost := sum.refused.Load() + sum.failed.Load(); lost*100 >= most*sum.queries.Load() {
-		t.Errorf("%d of %d refused or failed", lost, sum.queries.Load())
+	if lost := sum.refused.Load() + sum.failed.Load(); lost*100 >= maxLossPercent*sum.queries.Load() {
+		t.Errorf("%d of %d queries rejected or failed", lost, sum.queries.Load())
 	}
 	for i, g := range gs {
 		t.Logf("gatherer %d: %s", i, g.process.Call("stats"))
 	}
-	t.Logf("parts run=%d at a server that did not hold them=%d", runs, astray)
+	t.Logf("parts run=%d, on a server that was not a holder=%d", runs, misplaced)
 	fmt.Printf("proof: queries=%d changes=%d whole=%d refused=%d failed=%d run_twice=%d wrong=%d\n", sum.queries.Load(), changes,
 		sum.complete.Load(), sum.refused.Load(), sum.failed.Load(), twice, wrong)
 }
--- a/internal/broker/layout/search_test.go
+++ b/internal/broker/layout/search_test.go
@@ -20,6 +20,7 @@
 	sq "saffronquay"
 )
 
+// post sends a POST request and returns the status, header and body of the answer.
 func (g *gatherer) post(path, body string) (int, http.Header, string) {
 	g.t.Helper()
 	resp, err := client.Post("http://"+g.process.Listen+path, "application/json", strings.NewReader(body))
@@ -34,20 +35,21 @@
 	return resp.StatusCode, resp.Header, string(text)
 }
 
-// waitForMetric waits until the statistics contain a line.
+// waitForMetric waits until the answer to the call stats contains a line.
 func (g *gatherer) waitForMetric(line string) {
 	g.t.Helper()
 	for end := time.Now().Add(waitTimeout); !strings.Contains(g.process.Call("stats"), line); {
 		if time.Now().After(end) {
-			g.t.Fatalf("never %s: %s", line, g.process.Call("stats"))
+			g.t.Fatalf("timed out waiting for metric %s: %s", line, g.process.Call("stats"))
 		}
 	}
 }
 
-// Each search of a multi-search has its own result: one is served, one has an unknown index, one can't be parsed, one exceeds its
-// deadline because its server does not answer, and one is refused because all of its holders reject it.
+// Each search of a multi-search has its own result: one is served, one has an unknown index, one
+// cannot be parsed, one exceeds its deadline since its server does not answer, and one is rejected
+// since all of its holders reject it. Searches of a client that disconnects are abandoned.
 func TestMultiSearch(t *testing.T) {
-	s := newScene(t, 1)
+	s := newScenario(t, 1)
 	s.c.Server("s01").Set(fakebackend.Silent)
 	s.c.Server("s02").Set(fakebackend.Refuses)
 	body := strings.Join([]string{
@@ -94,37 +96,38 @@
 	if status, _, text := s.gs[0].post("/invoices/_count", `{"query":{"range":{"taxpayer":{"gte":5,"lt":95}}}}`); status != 200 || !strings.HasPrefix(text, `{"count":90,`) {
 		t.Errorf("count: %d %s", status, text)
 	}
-	leaving, err := net.Dial("tcp", s.gs[0].process.Listen) // one who leaves while its searches are out
+	conn, err := net.Dial("tcp", s.gs[0].process.Listen) // a client that disconnects while its searches are in flight
 	if err != nil {
 		t.Fatal(err)
 	}
 	two := strings.Repeat("{}\n"+`{"query":{"term":{"taxpayer":150}}}`+"\n", 2)
-	fmt.Fprintf(leaving, "POST /filings/_msearch HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n%s", len(two), two)
+	fmt.Fprintf(conn, "POST /filings/_msearch HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n%s", len(two), two)
 	s.gs[0].waitForMetric("svc.open_requests:2|g")
-	leaving.Close()
+	conn.Close()
 	s.gs[0].waitForMetric("svc.open_requests:0|g")
 	if got := s.gs[0].process.Call("stats"); !strings.Contains(got, "svc.open_requests:0|g") || !strings.Contains(got, "svc.operations.once.throttled:1|c") {
 		t.Errorf("stats: %s", got)
 	}
 }
 
-// The pages of a point in time continue over writes, a split, a move, a failed server and a restarted gatherer: they contain each
-// document of the time of its opening exactly one time, and no other. The answer says so if the servers no longer have that state,
-// and after the point in time is closed.
+// The pages of a point in time contain exactly the documents that existed when it was opened, each
+// once, despite writes, a split, a move, a killed server and a restarted gatherer between the
+// pages. An error is returned if the servers no longer have that state, and after the point in time
+// was closed.
 func TestPointInTime(t *testing.T) {
-	s := &scene{t: t, c: newCluster(t, 5, 4, 2, 400, fakebackend.ServerConfig{})}
+	s := &scenario{t: t, c: newCluster(t, 5, 4, 2, 400, fakebackend.ServerConfig{})}
 	s.gs = []*gatherer{start(t, s.c)}
 	g := s.gs[0]
-	var stood []string
+	var existing []string // ids of the documents when the point in time is opened
 	for _, r := range s.c.All {
-		stood = append(stood, r.ID)
+		existing = append(existing, r.ID)
 	}
 	_, _, text := g.post("/invoices/_search/point_in_time?keep_alive=1m", "")
 	id := fastjson.MustParse(text).GetStringBytes("pit_id")
 	if len(id) == 0 {
 		t.Fatal(text)
 	}
-	write := func() { // everything with an even key goes, as many others come
+	write := func() { // deletes the rows with even keys and adds others
 		var add []fakebackend.Row
 		for k := int64(0); k < 400; k += 3 {
 			add = append(add, fakebackend.Row{Key: k, ID: fmt.Sprintf("new-%d-%d", k, time.Now().UnixNano())})
@@ -137,7 +140,7 @@
 			s.announce("x", layout.Split, []int{0}, layout.Range{Span: layout.Span{From: 0, To: 30}, Shard: 4, Holders: []sq.ServerID{"s03"}},
 				layout.Range{Span: layout.Span{From: 30, To: 100}, Shard: 5, Holders: []sq.ServerID{"s04", "s02"}})
 			s.do("x copy", "x ready", "x cutover")
-			g.process.Signal(syscall.SIGHUP) // cursors stay
+			g.process.Signal(syscall.SIGHUP) // cursors must stay valid over a reload
 			g.WaitForLine(0, "event=reload classes=")
 		},
 		func() { s.c.Server("s01").Kill(); s.do("x retire") },
@@ -171,22 +174,22 @@
 		between[page%len(between)]()
 	}
 	slices.Sort(got)
-	slices.Sort(stood)
-	if !slices.Equal(got, stood) {
-		t.Errorf("%d documents over all pages, %d stood at the opening", len(got), len(stood))
+	slices.Sort(existing)
+	if !slices.Equal(got, existing) {
+		t.Errorf("%d documents on all pages, %d existed at the opening", len(got), len(existing))
 	}
-	ask := func(id string) (int, string) {
+	search := func(id string) (int, string) {
 		status, _, text := g.post("/_search", fmt.Sprintf(`{"pit":{"id":%q}}`, id))
 		return status, text
 	}
 	for _, srv := range s.c.Servers {
 		srv.Forget(time.Now().UnixMicro())
 	}
-	if status, text := ask(string(id)); status != 404 || !strings.Contains(text, "no longer holds what stood then") {
-		t.Errorf("forgotten: %d %s", status, text)
+	if status, text := search(string(id)); status != 404 || !strings.Contains(text, "no longer holds what stood then") {
+		t.Errorf("state dropped by the servers: %d %s", status, text)
 	}
-	if status, text := ask(string(id[:len(id)-2]) + "xx"); status != 404 || !strings.Contains(text, "no cursor") {
-		t.Errorf("forged: %d %s", status, text)
+	if status, text := search(string(id[:len(id)-2]) + "xx"); status != 404 || !strings.Contains(text, "no cursor") {
+		t.Errorf("forged cursor: %d %s", status, text)
 	}
 	req, err := http.NewRequest("DELETE", "http://"+g.process.Listen+"/_search/point_in_time", strings.NewReader(fmt.Sprintf(`{"pit_id":[%q]}`, id)))
 	if err != nil {
@@ -197,15 +200,15 @@
 		t.Fatal(resp, err)
 	}
 	resp.Body.Close()
-	if status, text := ask(string(id)); status != 404 || !strings.Contains(text, "the cursor is over") {
-		t.Errorf("closed: %d %s", status, text)
+	if status, text := search(string(id)); status != 404 || !strings.Contains(text, "the cursor is over") {
+		t.Errorf("closed cursor: %d %s", status, text)
 	}
 }
 
-// Two holders of one range differ by a late write. For a point in time after it, the holder without the write rejects the part and the
-// other answers.
-func TestHoldersThatDiffer(t *testing.T) {
-	s := &scene{t: t, c: newCluster(t, 5, 4, 2, 400, fakebackend.ServerConfig{})}
+// Two holders of a range differ, since one has missed the last write. For a point in time after
+// that write, the holder that missed it must reject the part and the other one answers.
+func TestPointInTime_LaggingReplica(t *testing.T) {
+	s := &scenario{t: t, c: newCluster(t, 5, 4, 2, 400, fakebackend.ServerConfig{})}
 	g := start(t, s.c)
 	at := time.Now().UnixMicro()
 	s.c.Server("s00").Miss(at)
@@ -227,10 +230,10 @@
 	}
 }
 
-// A class with a minimum weight under 1 gets a partial answer, with its exact share and the missing parts, and never marked as
-// complete. A class that needs all parts gets no partial answer.
-func TestAnswersInPart(t *testing.T) {
-	s := &scene{t: t, c: newCluster(t, 5, 4, 1, 400, fakebackend.ServerConfig{})}
+// A class with a minimum weight below 1 gets a partial answer, which states the exact share and the
+// missing parts and is not marked as complete. A class that needs all parts gets no partial answer.
+func TestSearch_PartialAnswer(t *testing.T) {
+	s := &scenario{t: t, c: newCluster(t, 5, 4, 1, 400, fakebackend.ServerConfig{})}
 	g := &gatherer{Place: harness.NewPlace(t), t: t}
 	file := string(config(t, s.c, s.c.Directory.Now().Doc(), ""))
 	g.Write([]byte(strings.Replace(strings.Replace(file, `"floor_by_class":[1,1]`, `"floor_by_class":[0.5,1]`, 1), `"aim_us":4000000`, `"aim_us":1000000`, 1)))
--- a/internal/broker/layout/step.go
+++ b/internal/broker/layout/step.go
@@ -7,10 +7,11 @@
 	sq "saffronquay"
 )
 
-// Action is what a step does with a change.
+// Action is the action of a step on a change.
 type Action string
 
-// The actions, in the order that a change goes through them. Abort is possible until the change is retired.
+// The actions, in the order in which they apply to a change. Abort is possible until the change is
+// retired.
 const (
 	Announce  Action = "announce"
 	Copy      Action = "copy"
@@ -20,7 +21,8 @@
 	Abort     Action = "abort"
 )
 
-// Step is the transition to the next epoch: one action on one change. Only Announce has Kind, From and To.
+// Step is the transition to the next epoch: one action on one change. Only Announce has Kind, From
+// and To.
 type Step struct {
 	History string  `json:"history"`
 	Epoch   int64   `json:"epoch"`
@@ -31,18 +33,19 @@
 	To      []Range `json:"to,omitempty"`   // the new side
 }
 
-// transitions has, for each action, the state that a change must be in and the state after it.
+// transitions has, for each action, the required state of the change and the state after it.
 var transitions = map[Action][2]State{Copy: {Announced, Copying}, MarkReady: {Copying, Ready}, Cut: {Ready, CutOver}}
 
-// Step returns the layout of the next epoch, or the faults of the step joined; l does not change. isListed reports whether a server
-// may hold ranges; nil allows all. It costs O(n) for n ranges if the step changes the ranges in force, else O(changes).
+// Step returns the layout of the next epoch. The error joins all faults of the step. l does not
+// change. isListed reports whether a server may hold ranges; nil allows all servers. Step takes
+// O(n) time for n ranges if it changes the ranges in force, otherwise O(changes).
 func (l *Layout) Step(s Step, isListed func(sq.ServerID) bool) (*Layout, error) {
 	v := &validator{epoch: s.Epoch, isListed: isListed}
 	switch {
 	case s.History != l.doc.History:
-		v.add(ErrHistory, "", "history %q, where %q is in force", s.History, l.doc.History)
+		v.add(ErrHistory, "", "step is of history %q, but %q is in force", s.History, l.doc.History)
 	case s.Epoch != l.doc.Epoch+1:
-		v.add(ErrEpoch, "", "%d is in force, so %d comes next", l.doc.Epoch, l.doc.Epoch+1)
+		v.add(ErrEpoch, "", "step is out of order: epoch %d is in force, want epoch %d", l.doc.Epoch, l.doc.Epoch+1)
 	}
 	if err := v.err(); err != nil {
 		return nil, err
@@ -58,7 +61,7 @@
 	if err := v.err(); err != nil {
 		return nil, err
 	}
-	if s.Do != Cut && s.Do != Abort { // the ranges in force stay, so their index is shared
+	if s.Do != Cut && s.Do != Abort { // the ranges in force are unchanged, so their index is shared
 		n := build(Doc{Changes: next.Changes}, l.since)
 		n.doc, n.at, n.ends = next, l.at, l.ends
 		return n, nil
@@ -68,24 +71,25 @@
 	return n, nil
 }
 
-// setSince computes Since of each shard from the layout before. It costs O(n).
-func (l *Layout) setSince(before *Layout) {
-	l.since = make(map[int]int64, len(before.since)+2)
+// setSince computes Since of each shard from the previous layout. It takes O(n) time for n ranges.
+func (l *Layout) setSince(previous *Layout) {
+	l.since = make(map[int]int64, len(previous.since)+2)
 	for shard, i := range l.at {
-		if v, ok := before.at[shard]; !ok || !before.doc.Ranges[v].equal(l.doc.Ranges[i]) {
+		if j, ok := previous.at[shard]; !ok || !previous.doc.Ranges[j].equal(l.doc.Ranges[i]) {
 			l.since[shard] = l.doc.Epoch
-		} else if at, ok := before.since[shard]; ok {
-			l.since[shard] = at
+		} else if epoch, ok := previous.since[shard]; ok {
+			l.since[shard] = epoch
 		}
 	}
 }
 
-// announce adds a new change to next. Each range of its old side must be in force and have no other change under way.
+// announce adds a new change to next. Each range of its old side must be in force and not be part
+// of another change in progress.
 func (l *Layout) announce(v *validator, next *Doc, s Step) {
-	of := fmt.Sprintf("change %q: ", s.Change)
-	at, there := l.change(s.Change)
-	if there || s.Change == "" {
-		v.add(ErrState, "", "%sis under way, or has no name", of)
+	prefix := fmt.Sprintf("change %q: ", s.Change)
+	at, exists := l.change(s.Change)
+	if exists || s.Change == "" {
+		v.add(ErrState, "", "%sid is empty or already in use", prefix)
 		return
 	}
 	c := Change{ID: s.Change, Kind: s.Kind, State: Announced, To: slices.Clone(s.To)}
@@ -93,48 +97,48 @@
 	for _, shard := range s.From {
 		i, ok := l.at[shard]
 		if !ok {
-			v.add(ErrInvalid, "", "%sshard %d is not in force", of, shard)
+			v.add(ErrInvalid, "", "%sshard %d is not in force", prefix, shard)
 			return
 		}
 		r := l.doc.Ranges[i]
 		c.From = append(c.From, r)
 		for _, other := range l.doc.Changes {
 			if other.State != CutOver && slices.ContainsFunc(other.From, func(o Range) bool { return o.Shard == shard }) {
-				v.add(ErrState, r.Span.String(), "%schange %q is under way there", of, other.ID)
+				v.add(ErrState, r.Span.String(), "%srange is already part of change %q", prefix, other.ID)
 			}
 			if other.State == CutOver && other.Kind == Move && other.From[0].Shard == shard {
-				v.add(ErrState, r.Span.String(), "%smove %q is not yet retired there", of, other.ID)
+				v.add(ErrState, r.Span.String(), "%smove %q of the range is not yet retired", prefix, other.ID)
 			}
 		}
 	}
 	slices.SortStableFunc(c.From, byKey)
-	v.validateSides(of, c)
+	v.validateSides(prefix, c)
 	for _, r := range c.To {
 		if c.Kind != Move && r.Shard < l.doc.NextShard {
-			v.add(ErrInvalid, r.Span.String(), "%sshard %d was handed out before: the next is %d", of, r.Shard, l.doc.NextShard)
+			v.add(ErrInvalid, r.Span.String(), "%sshard id %d was already assigned: want %d or more", prefix, r.Shard, l.doc.NextShard)
 		}
 		next.NextShard = max(next.NextShard, r.Shard+1)
 	}
 	next.Changes = slices.Insert(next.Changes, at, c)
 }
 
-// advance moves an existing change of next to its next state, or removes it. A cut over, and an abort after one, also replace the
-// ranges in force.
+// advance moves an existing change of next to its next state, or removes it. A cut over, and an
+// abort after a cut over, also replace the ranges in force.
 func (l *Layout) advance(v *validator, next *Doc, s Step) {
-	of := fmt.Sprintf("change %q: ", s.Change)
-	at, there := l.change(s.Change)
-	if !there {
-		v.add(ErrState, "", "%sis not under way", of)
+	prefix := fmt.Sprintf("change %q: ", s.Change)
+	at, exists := l.change(s.Change)
+	if !exists {
+		v.add(ErrState, "", "%snot in progress", prefix)
 		return
 	}
 	c := &next.Changes[at]
-	wants, known := transitions[s.Do]
+	transition, ok := transitions[s.Do]
 	switch {
-	case known && c.State == wants[0]:
-		c.State = wants[1]
+	case ok && c.State == transition[0]:
+		c.State = transition[1]
 		if s.Do == Cut {
 			for _, r := range c.To {
-				v.validateHolders(of, r) // the list may have changed since the announcement
+				v.validateHolders(prefix, r) // the list of servers may have changed since the announcement
 			}
 			next.Ranges = replaceRun(l.doc.Ranges, c.From, c.To)
 		}
@@ -145,30 +149,32 @@
 	case s.Do == Abort:
 		for _, r := range c.To {
 			i, ok := l.at[r.Shard]
-			if !ok || !l.doc.Ranges[i].equal(r) || l.underWay(r.Shard, c.ID) {
-				v.add(ErrState, r.Span.String(), "%sa later change has built on it", of)
+			if !ok || !l.doc.Ranges[i].equal(r) || l.hasOtherChange(r.Shard, c.ID) {
+				v.add(ErrState, r.Span.String(), "%scannot be aborted: a later change depends on it", prefix)
 			}
 		}
 		for _, r := range c.From {
-			v.validateHolders(of, r)
+			v.validateHolders(prefix, r)
 		}
 		if len(v.faults) == 0 {
 			next.Ranges = replaceRun(l.doc.Ranges, c.To, c.From)
 			next.Changes = slices.Delete(next.Changes, at, at+1)
 		}
 	default:
-		v.add(ErrState, "", "%s%q does not follow %q", of, s.Do, c.State)
+		v.add(ErrState, "", "%saction %q is not possible in state %q", prefix, s.Do, c.State)
 	}
 }
 
-// underWay reports whether a change other than the named one has the shard on its old side.
-func (l *Layout) underWay(shard int, but string) bool {
+// hasOtherChange reports whether a change other than the one with the given id has the shard on its
+// old side.
+func (l *Layout) hasOtherChange(shard int, id string) bool {
 	return slices.ContainsFunc(l.doc.Changes, func(c Change) bool {
-		return c.ID != but && slices.ContainsFunc(c.From, func(r Range) bool { return r.Shard == shard })
+		return c.ID != id && slices.ContainsFunc(c.From, func(r Range) bool { return r.Shard == shard })
 	})
 }
 
-// replaceRun returns a copy of rs in which the ranges in replace the ranges out, which are consecutive in rs.
+// replaceRun returns a copy of rs in which the ranges in replace the ranges out. The latter must be
+// consecutive in rs.
 func replaceRun(rs, out, in []Range) []Range {
 	i, _ := slices.BinarySearchFunc(rs, out[0].From, func(r Range, from int64) int {
 		if r.From < from {
@@ -178,8 +184,8 @@
 		}
 		return 0
 	})
-	made := make([]Range, 0, len(rs)-len(out)+len(in))
-	made = append(made, rs[:i]...)
-	made = append(made, in...)
-	return append(made, rs[i+len(out):]...)
+	replaced := make([]Range, 0, len(rs)-len(out)+len(in))
+	replaced = append(replaced, rs[:i]...)
+	replaced = append(replaced, in...)
+	return append(replaced, rs[i+len(out):]...)
 }
--- a/internal/broker/layout/tracker.go
+++ b/internal/broker/layout/tracker.go
@@ -14,36 +14,37 @@
 // Update is a layout that has come into force.
 type Update struct {
 	Layout  *Layout
-	Changed []int // the shards of Diff with the layout before; nil for the first layout
+	Changed []int // Diff between the previous layout and this one; nil for the first layout
 }
 
-// Stall is a change that has stayed in one state for longer than the limit.
+// Stall is a change that has been in one state for longer than the limit.
 type Stall struct {
 	Change
-	Since int64 // when the tracker first saw the change in its state, in microseconds
+	Since int64 // when the tracker first observed the change in its state, in microseconds
 }
 
-// Tracker owns the layout in force and validates each document and step, from whatever source, against it. The zero value has no
-// layout and allows all servers as holders. It is not safe for concurrent use. Times are the caller's, in microseconds. A rejected
-// document or step leaves the tracker as it was; the errors are those of ValidationError.
+// Tracker owns the layout in force. It validates each document and step against it, regardless of
+// the source. The zero value has no layout and allows all servers as holders. It is not safe for
+// concurrent use. Times are in microseconds and come from the caller. A rejected document or step
+// leaves the tracker unchanged, and the error joins ValidationErrors.
 type Tracker struct {
 	current  *Layout
 	known    map[sq.ServerID]bool // servers that may hold ranges; nil: all
 	states   map[string]observedState
-	reported map[string]State // by change, the state in which Stalled returned it last time
+	reported map[string]State // by change, the state in which the last call of Stalled returned it
 }
 
-// observedState is a change's state, and when the tracker first saw the change in it.
+// observedState is the state of a change, and the time at which the tracker first observed it.
 type observedState struct {
 	state State
 	at    int64
 }
 
-// Current returns the layout in force, or nil before the first.
+// Current returns the layout in force, or nil if there is none yet.
 func (t *Tracker) Current() *Layout { return t.current }
 
-// SetServers sets the list of servers that may hold ranges. It fails, and changes nothing, if a range in force or a change under
-// way names a server that is not in the list.
+// SetServers sets the list of servers that may hold ranges. It fails and changes nothing if a range
+// in force or a change in progress names a server that is not in the list.
 func (t *Tracker) SetServers(ids []sq.ServerID) error {
 	known := make(map[sq.ServerID]bool, len(ids))
 	for _, id := range ids {
@@ -60,19 +61,20 @@
 
 func (t *Tracker) listed(id sq.ServerID) bool { return t.known == nil || t.known[id] }
 
-// Replace puts a full layout in force. It returns nil and no error if the layout is in force already. Epochs may be skipped. It
-// fails if the document is invalid, older than the layout in force, of another history, covers less than the domain in force, or
-// uses a shard id again.
+// Replace puts a full layout in force. It returns nil without an error if the layout is in force
+// already. Epochs may be skipped. Replace fails if the document is invalid, older than the layout
+// in force or of another history, if it covers less than the domain in force, or if it reuses a
+// shard id.
 func (t *Tracker) Replace(d Doc, at int64) (*Update, error) {
 	if t.current != nil {
 		v := &validator{epoch: d.Epoch}
 		switch now := t.current.doc; {
 		case d.History != now.History:
-			v.add(ErrHistory, "", "history %q, where %q is in force", d.History, now.History)
+			v.add(ErrHistory, "", "layout is of history %q, but %q is in force", d.History, now.History)
 		case d.Epoch < now.Epoch:
-			v.add(ErrEpoch, "", "it goes back: %d is in force", now.Epoch)
+			v.add(ErrEpoch, "", "layout is outdated: epoch %d is in force", now.Epoch)
 		case d.NextShard < now.NextShard && d.Epoch > now.Epoch:
-			v.add(ErrInvalid, "", "next_shard goes back from %d to %d", now.NextShard, d.NextShard)
+			v.add(ErrInvalid, "", "next_shard must not decrease: %d is in force, got %d", now.NextShard, d.NextShard)
 		}
 		if err := v.err(); err != nil {
 			return nil, err
@@ -85,17 +87,17 @@
 	if t.current != nil {
 		if a, b := t.current.Domain(), l.Domain(); b.From > a.From || b.To < a.To {
 			v := &validator{epoch: d.Epoch}
-			v.add(ErrInvalid, b.String(), "it covers less than the %s in force", a)
+			v.add(ErrInvalid, b.String(), "layout covers less than the domain in force, %s", a)
 			return nil, v.err()
 		}
-		if err := t.sameShards(l); err != nil {
+		if err := t.checkShardIDs(l); err != nil {
 			return nil, err
 		}
 	}
 	if t.current != nil && l.doc.Epoch == t.current.doc.Epoch {
 		if !equalDocs(l.doc, t.current.doc) {
 			v := &validator{epoch: d.Epoch}
-			v.add(ErrHistory, "", "it says something else than the one in force")
+			v.add(ErrHistory, "", "layout differs from the one in force with the same epoch")
 			return nil, v.err()
 		}
 		return nil, nil
@@ -106,20 +108,20 @@
 	return t.adopt(l, at), nil
 }
 
-// sameShards rejects a layout that gives a known shard id another span: ids are never assigned again.
-func (t *Tracker) sameShards(l *Layout) error {
+// checkShardIDs rejects a layout that gives a known shard id another span, since ids are never reused.
+func (t *Tracker) checkShardIDs(l *Layout) error {
 	v := &validator{epoch: l.doc.Epoch}
 	for _, r := range l.doc.Ranges {
 		if span, ok := t.current.InForce(r.Shard); ok && span != r.Span {
-			v.add(ErrHistory, r.Span.String(), "shard %d was %s", r.Shard, span)
+			v.add(ErrHistory, r.Span.String(), "shard %d has span %s in force, and the span of a shard must not change", r.Shard, span)
 		} else if !ok && r.Shard < t.current.doc.NextShard && !t.current.isInChange(r.Shard) {
-			v.add(ErrHistory, r.Span.String(), "shard %d is handed out again", r.Shard)
+			v.add(ErrHistory, r.Span.String(), "shard id %d must not be reused", r.Shard)
 		}
 	}
 	return v.err()
 }
 
-// isInChange reports whether a change under way has the shard on either side.
+// isInChange reports whether a change in progress has the shard on either side.
 func (l *Layout) isInChange(shard int) bool {
 	is := func(r Range) bool { return r.Shard == shard }
 	return slices.ContainsFunc(l.doc.Changes, func(c Change) bool {
@@ -135,12 +137,13 @@
 	})
 }
 
-// Step puts the layout that follows by one step in force. It returns nil and no error if the step's epoch is in force already,
-// which happens when a watch starts again. It fails with ErrEpoch if a step was missed: the caller then fetches the full layout.
+// Step applies a step to the layout in force. It returns nil without an error if the step was
+// applied already, which happens when a watch is restarted. It fails with ErrEpoch if a step was
+// missed or there is no layout yet; the caller must then fetch the full layout.
 func (t *Tracker) Step(s Step, at int64) (*Update, error) {
 	if t.current == nil {
 		v := &validator{epoch: s.Epoch}
-		v.add(ErrEpoch, "", "there is no layout that it could follow")
+		v.add(ErrEpoch, "", "step received before the first layout")
 		return nil, v.err()
 	}
 	if s.History == t.current.doc.History && s.Epoch <= t.current.doc.Epoch && s.Epoch > 0 {
@@ -153,7 +156,8 @@
 	return t.adopt(l, at), nil
 }
 
-// adopt puts a validated layout in force. A change that stays in its state keeps the time at which it was first seen there.
+// adopt puts a validated layout in force. A change whose state is unchanged keeps the time at which
+// that state was first observed.
 func (t *Tracker) adopt(l *Layout, at int64) *Update {
 	u := &Update{Layout: l}
 	if t.current != nil {
@@ -162,29 +166,29 @@
 	t.current = l
 	states := map[string]observedState{}
 	for _, c := range l.doc.Changes {
-		h := t.states[c.ID]
-		if h.state != c.State {
-			h = observedState{c.State, at}
+		o := t.states[c.ID]
+		if o.state != c.State {
+			o = observedState{c.State, at}
 		}
-		states[c.ID] = h
+		states[c.ID] = o
 	}
 	t.states = states
 	return u
 }
 
-// Stalled returns all changes that have been in one state for longer than limit, and which of them the last call did not return in
-// that state. Both arguments are in microseconds.
+// Stalled returns all changes that have been in one state for longer than limit, and those of them
+// that the previous call did not return in that state. Both arguments are in microseconds.
 func (t *Tracker) Stalled(at, limit int64) (all []Stall, fresh []Stall) {
 	if t.current == nil {
 		return nil, nil
 	}
 	reported := map[string]State{}
 	for _, c := range t.current.doc.Changes {
-		h := t.states[c.ID]
-		if at-h.at <= limit {
+		o := t.states[c.ID]
+		if at-o.at <= limit {
 			continue
 		}
-		s := Stall{c, h.at}
+		s := Stall{c, o.at}
 		all = append(all, s)
 		if t.reported[c.ID] != c.State {
 			fresh = append(fresh, s)
@@ -195,10 +199,12 @@
 	return all, fresh
 }
 
-// ParseDoc decodes a full layout from JSON. Unknown keys are errors; every error wraps ErrInvalid. The document is not validated.
+// ParseDoc decodes a full layout from JSON. Unknown keys are errors; every error wraps ErrInvalid.
+// The document is not validated.
 func ParseDoc(text []byte) (d Doc, err error) { return d, decodeStrict(text, &d) }
 
-// ParseStep decodes a step from JSON. Unknown keys are errors; every error wraps ErrInvalid. The step is not validated.
+// ParseStep decodes a step from JSON. Unknown keys are errors; every error wraps ErrInvalid. The
+// step is not validated.
 func ParseStep(text []byte) (s Step, err error) { return s, decodeStrict(text, &s) }
 
 // decodeStrict decodes exactly one JSON value and rejects unknown keys.
@@ -209,7 +215,7 @@
 		return fmt.Errorf("%w: %w", ErrInvalid, err)
 	}
 	if _, err := dec.Token(); !errors.Is(err, io.EOF) {
-		return fmt.Errorf("%w: something follows it", ErrInvalid)
+		return fmt.Errorf("%w: unexpected data after the JSON value", ErrInvalid)
 	}
 	return nil
 }
--- a/internal/broker/layout/validate.go
+++ b/internal/broker/layout/validate.go
@@ -11,18 +11,22 @@
 
 // The kinds of a ValidationError, for errors.Is.
 var (
-	ErrInvalid = errors.New("invalid layout")             // the document or step contradicts itself, or its holders are not listed
-	ErrEpoch   = errors.New("epoch out of order")         // older than the layout in force, or a step was missed
-	ErrHistory = errors.New("another history")            // it does not continue the history in force
-	ErrState   = errors.New("not possible in this state") // the change's state does not allow the action
+	// ErrInvalid: the document or step is inconsistent, or names a holder that is not in the list of servers.
+	ErrInvalid = errors.New("layout: invalid document or step")
+	// ErrEpoch: the document is older than the layout in force, or a step was missed.
+	ErrEpoch = errors.New("layout: epoch out of order")
+	// ErrHistory: the document or step is in conflict with the history in force.
+	ErrHistory = errors.New("layout: does not continue the history in force")
+	// ErrState: the state of the change does not allow the action.
+	ErrState = errors.New("layout: action not possible in the state of the change")
 )
 
-// ValidationError is one fault of a document or step. errors.Is finds its Kind. Functions that find several faults return them
-// joined.
+// ValidationError is one fault of a document or step. errors.Is matches its Kind. Functions that
+// find several faults return them joined.
 type ValidationError struct {
 	Kind  error  // ErrInvalid, ErrEpoch, ErrHistory or ErrState
 	Epoch int64  // of the document or step
-	Range string // span of the faulty range; empty if the fault concerns none
+	Range string // span of the faulty range; empty if the fault does not concern a range
 	Text  string
 }
 
@@ -47,11 +51,12 @@
 	v.faults = append(v.faults, &ValidationError{kind, v.epoch, span, fmt.Sprintf(format, args...)})
 }
 
-// err joins the faults; nil if there are none.
+// err returns all faults joined, or nil if there are none.
 func (v *validator) err() error { return errors.Join(v.faults...) }
 
-// New validates a document and builds its layout, or returns all of its faults joined. isListed reports whether a server may hold
-// ranges; nil allows all servers. The document's slices are not changed; the layout keeps references to their holders.
+// New validates a document and returns its layout. The error joins all faults of the document.
+// isListed reports whether a server may hold ranges; nil allows all servers. New does not change
+// the document's slices, but the layout keeps references to the lists of holders.
 func New(d Doc, isListed func(sq.ServerID) bool) (*Layout, error) {
 	v := &validator{epoch: d.Epoch, isListed: isListed}
 	if d.History == "" {
@@ -64,7 +69,7 @@
 	slices.SortStableFunc(d.Ranges, byKey)
 	v.validateRanges("", d.Ranges)
 	if len(d.Ranges) == 0 {
-		v.add(ErrInvalid, "", "ranges: want at least one")
+		v.add(ErrInvalid, "", "ranges: want at least one range")
 	}
 	d.Changes = slices.Clone(d.Changes)
 	slices.SortStableFunc(d.Changes, func(a, b Change) int { return cmp.Compare(a.ID, b.ID) })
@@ -80,119 +85,120 @@
 
 func byKey(a, b Range) int { return cmp.Compare(a.From, b.From) }
 
-// validateRanges checks that ranges follow one another without gap or overlap, and that each has a shard of its own and listed
-// holders. of is the prefix of the faults' texts.
-func (v *validator) validateRanges(of string, rs []Range) {
+// validateRanges checks that sorted ranges have no gap or overlap between them, and that each has a
+// unique shard id and valid holders. prefix precedes the texts of the faults.
+func (v *validator) validateRanges(prefix string, rs []Range) {
 	seen := make(map[int]bool, len(rs))
 	for i, r := range rs {
 		at := r.Span.String()
 		switch {
 		case r.Empty():
-			v.add(ErrInvalid, at, "%snothing lies in it", of)
+			v.add(ErrInvalid, at, "%sempty range", prefix)
 		case i > 0 && rs[i-1].To < r.From:
-			v.add(ErrInvalid, at, "%sgap before it, from %d", of, rs[i-1].To)
+			v.add(ErrInvalid, at, "%sgap before the range, from %d", prefix, rs[i-1].To)
 		case i > 0 && rs[i-1].To > r.From:
-			v.add(ErrInvalid, at, "%soverlaps %s", of, rs[i-1].Span)
+			v.add(ErrInvalid, at, "%soverlaps %s", prefix, rs[i-1].Span)
 		}
 		if r.Shard < 0 || seen[r.Shard] {
-			v.add(ErrInvalid, at, "%sshard %d is below nought or named twice", of, r.Shard)
+			v.add(ErrInvalid, at, "%sshard %d is negative or a duplicate", prefix, r.Shard)
 		}
 		seen[r.Shard] = true
-		v.validateHolders(of, r)
+		v.validateHolders(prefix, r)
 	}
 }
 
-// validateHolders checks that a range has holders, each listed and named one time.
-func (v *validator) validateHolders(of string, r Range) {
+// validateHolders checks that a range has holders, without duplicates and all in the list of servers.
+func (v *validator) validateHolders(prefix string, r Range) {
 	if len(r.Holders) == 0 {
-		v.add(ErrInvalid, r.Span.String(), "%sleft with no holder", of)
+		v.add(ErrInvalid, r.Span.String(), "%sno holder", prefix)
 	}
 	for i, h := range r.Holders {
 		switch {
 		case slices.Contains(r.Holders[:i], h):
-			v.add(ErrInvalid, r.Span.String(), "%sholder %q is named twice", of, h)
+			v.add(ErrInvalid, r.Span.String(), "%sduplicate holder %q", prefix, h)
 		case v.isListed != nil && !v.isListed(h):
-			v.add(ErrInvalid, r.Span.String(), "%sholder %q is not in the list of servers", of, h)
+			v.add(ErrInvalid, r.Span.String(), "%sholder %q is not in the list of servers", prefix, h)
 		}
 	}
 }
 
-// validateChanges checks the changes that a full document lists as under way. It sorts their sides and raises d.NextShard above
-// their shards.
+// validateChanges checks the changes in progress of a full document. It sorts their sides and
+// raises d.NextShard above their shard ids.
 func (v *validator) validateChanges(d *Doc) {
 	inForce := map[int]Range{}
 	for _, r := range d.Ranges {
 		inForce[r.Shard] = r
 	}
-	busy := map[int]string{} // by shard in force, the id of its change that is not yet cut over
+	busy := map[int]string{} // by shard in force, the id of its change before the cut over
 	for i := range d.Changes {
 		c := &d.Changes[i]
 		c.From, c.To = slices.Clone(c.From), slices.Clone(c.To)
 		slices.SortStableFunc(c.From, byKey)
 		slices.SortStableFunc(c.To, byKey)
-		of := fmt.Sprintf("change %q: ", c.ID)
+		prefix := fmt.Sprintf("change %q: ", c.ID)
 		if i > 0 && d.Changes[i-1].ID == c.ID || c.ID == "" {
-			v.add(ErrInvalid, "", "%snamed twice, or without a name", of)
+			v.add(ErrInvalid, "", "%sempty or duplicate id", prefix)
 		}
-		v.validateSides(of, *c)
-		v.validateState(of, c, inForce, busy)
+		v.validateSides(prefix, *c)
+		v.validateState(prefix, c, inForce, busy)
 		for _, r := range append(slices.Clone(c.From), c.To...) {
 			d.NextShard = max(d.NextShard, r.Shard+1)
 		}
 	}
 }
 
-// validateState checks that a change's old side agrees with the ranges in force, as its state requires. It records in busy the
-// shards of a change that is not yet cut over: each may have only one.
-func (v *validator) validateState(of string, c *Change, inForce map[int]Range, busy map[int]string) {
+// validateState checks that the old side of a change is consistent with the ranges in force, as the
+// state of the change requires. A shard may be in at most one change before the cut over; busy
+// records these shards.
+func (v *validator) validateState(prefix string, c *Change, inForce map[int]Range, busy map[int]string) {
 	switch c.State {
 	case Announced, Copying, Ready:
 		for _, r := range c.From {
 			if now, ok := inForce[r.Shard]; !ok || now.Span != r.Span {
-				v.add(ErrInvalid, r.Span.String(), "%sshard %d is not in force there", of, r.Shard)
+				v.add(ErrInvalid, r.Span.String(), "%sshard %d is not in force with this span", prefix, r.Shard)
 			}
 			if other := busy[r.Shard]; other != "" {
-				v.add(ErrInvalid, r.Span.String(), "%schange %q is under way there", of, other)
+				v.add(ErrInvalid, r.Span.String(), "%srange is already part of change %q", prefix, other)
 			}
 			busy[r.Shard] = c.ID
 		}
 	case CutOver:
 		for _, r := range c.From {
 			if _, ok := inForce[r.Shard]; ok && c.Kind != Move {
-				v.add(ErrInvalid, r.Span.String(), "%sshard %d is cut over and yet in force", of, r.Shard)
+				v.add(ErrInvalid, r.Span.String(), "%sshard %d of the old side is still in force after the cut over", prefix, r.Shard)
 			}
 		}
 	default:
-		v.add(ErrInvalid, "", "%sunknown state %q", of, c.State)
+		v.add(ErrInvalid, "", "%sunknown state %q", prefix, c.State)
 	}
 }
 
-// validateSides checks that a change's sides fit its kind and cover the same span.
-func (v *validator) validateSides(of string, c Change) {
+// validateSides checks that the two sides of a change match its kind and cover the same span.
+func (v *validator) validateSides(prefix string, c Change) {
 	if len(c.From) == 0 || len(c.To) == 0 {
-		v.add(ErrInvalid, "", "%swants an old and a new side", of)
+		v.add(ErrInvalid, "", "%swant at least one range on the old and on the new side", prefix)
 		return
 	}
-	v.validateRanges(of, c.From)
-	v.validateRanges(of, c.To)
+	v.validateRanges(prefix, c.From)
+	v.validateRanges(prefix, c.To)
 	a := Span{c.From[0].From, c.From[len(c.From)-1].To}
 	b := Span{c.To[0].From, c.To[len(c.To)-1].To}
 	if a != b {
-		v.add(ErrInvalid, a.String(), "%sits new side covers %s", of, b)
+		v.add(ErrInvalid, a.String(), "%sold side covers this span, but new side covers %s", prefix, b)
 	}
 	n, m := len(c.From), len(c.To)
 	switch {
 	case c.Kind == Split && n == 1 && m > 1, c.Kind == Merge && n > 1 && m == 1:
 		for _, r := range c.To {
 			if slices.ContainsFunc(c.From, func(o Range) bool { return o.Shard == r.Shard }) {
-				v.add(ErrInvalid, r.Span.String(), "%sshard %d is handed out again", of, r.Shard)
+				v.add(ErrInvalid, r.Span.String(), "%sshard id %d must not be reused", prefix, r.Shard)
 			}
 		}
 	case c.Kind == Move && n == 1 && m == 1:
 		if c.From[0].Shard != c.To[0].Shard || slices.Equal(c.From[0].Holders, c.To[0].Holders) {
-			v.add(ErrInvalid, a.String(), "%sa move keeps the shard and changes its holders", of)
+			v.add(ErrInvalid, a.String(), "%sa move must keep the shard id and change the holders", prefix)
 		}
 	default:
-		v.add(ErrInvalid, a.String(), "%skind %q does not go from %d ranges to %d", of, c.Kind, n, m)
+		v.add(ErrInvalid, a.String(), "%sinvalid change of kind %q from %d ranges to %d", prefix, c.Kind, n, m)
 	}
 }
