--- a/internal/broker/adminapi/metrics.go
+++ b/internal/broker/adminapi/metrics.go
@@ -32,8 +32,10 @@
 
 // StoreMetrics are the metrics of the durable store.
 type StoreMetrics struct {
-	Bytes, Keys, OpenQueries, LostSpans, Failing int64 // gauges: bytes of one copy; keys; queries in flight; lost spans; 1 while appends fail
-	Appends, Syncs, Failed, CleanedSegments      int64 // counters: records written; batches synced; records not known to be durable; segments rewritten
+	// Gauges: bytes of one copy, keys, queries in flight, lost spans, and 1 while appends fail.
+	Bytes, Keys, OpenQueries, LostSpans, Failing int64
+	// Counters: records written, batches synced, records not known to be durable, and segments rewritten.
+	Appends, Syncs, Failed, CleanedSegments int64
 }
 
 // RolloutMetrics are the metrics of the policy rollout at one gatherer. Admits, Paused and Leads
--- a/internal/broker/config/regions.go
+++ b/internal/broker/config/regions.go
@@ -12,7 +12,9 @@
 // regionVotes has the number of voters of each region, and the regions that need voters.
 type regionVotes struct {
 	voters map[string]int
-	serves map[string]bool // regions with a serving member; the others have witnesses only, which vote in the global agreement alone
+	// serves has the regions with a serving member. Other regions have only witnesses, which vote in the global
+	// agreement only.
+	serves map[string]bool
 }
 
 // regions reads the region of each member and the voters of the global agreement. Either all members,
--- a/internal/broker/server/limits.go
+++ b/internal/broker/server/limits.go
@@ -11,7 +11,7 @@
 
 const (
 	clientMarginMicros = 10_000      // subtracted from a client's deadline, which counts from its send
-	reservedSockets    = 32          // descriptors for discovery, VRRP, listeners and the process itself; the admin endpoint has its own
+	reservedSockets    = 32          // for discovery, VRRP, listeners and the process, without the admin endpoint
 	quietPeriodMicros  = 1_000_000   // without a request before a shutdown closes the listening socket
 	firstListTimeout   = time.Second // for the first list of servers or the first layout
 )
--- a/internal/broker/server/quotas.go
+++ b/internal/broker/server/quotas.go
@@ -77,8 +77,8 @@
 
 const (
 	quotaInterval           = 250 * time.Millisecond
-	leaseSafetyMarginMicros = 300_000 // a lease counts as expired this much earlier, since it is checked every quotaInterval only
-	demandFactor            = 2       // a team with queued or rejected queries demands this multiple of its present use or quota
+	leaseSafetyMarginMicros = 300_000 // a lease counts as expired earlier, since it is checked every quotaInterval
+	demandFactor            = 2       // multiple of its use or quota that a team with queued or rejected queries demands
 )
 
 // due returns the channel that fires when quotas must be requested again; nil if budgets are not
--- a/internal/broker/server/reload.go
+++ b/internal/broker/server/reload.go
@@ -70,7 +70,8 @@
 func (g *Gatherer) applyFileServers() {
 	if g.routes != nil {
 		g.engine.UpdateFleet(sq.FleetChanged{Kind: sq.FleetDelta, Servers: g.fleet.Servers}, g.addresses)
-		if err := g.routes.ApplyFile(g.layout.Document, g.serverIDs(), true); err != nil { // the directory has sent a newer layout in the meantime
+		// This fails if the directory has sent a newer layout in the meantime.
+		if err := g.routes.ApplyFile(g.layout.Document, g.serverIDs(), true); err != nil {
 			logging.Error(g.logger, logging.Reload, "layout", "kept", "error", err)
 		}
 		if g.layout.Directory != "" {
