--- a/internal/broker/adminapi/call.go
+++ b/internal/broker/adminapi/call.go
@@ -17,12 +17,14 @@
 	Active() error
 	// Stats appends one line for each metric.
 	Stats(dst []byte) []byte
-	// Layout appends the state of the layout, one line for each range. It returns nil without a layout.
+	// Layout appends the state of the layout, one line for the layout and one for each change in
+	// progress. It returns nil without a layout.
 	Layout(dst []byte) []byte
 	// Contracts appends one line for each team. It returns nil without contracts, and before any team has
 	// sent a query.
 	Contracts(dst []byte) []byte
-	// Fleet appends the view of the fleet, one line for each member. It returns nil without a view.
+	// Fleet appends the view of the fleet, one line for the totals and one for each member. It returns nil
+	// without a view.
 	Fleet(dst []byte) []byte
 	// Forget marks a failed member of the fleet as having left it.
 	Forget(name string) error
--- a/internal/broker/adminapi/call_test.go
+++ b/internal/broker/adminapi/call_test.go
@@ -79,17 +79,17 @@
 // The answer to a call does not depend on how its bytes are split into reads.
 func TestCallFeed_SplitReads(t *testing.T) {
 	for _, c := range calls {
-		whole := feed(c.line)
-		if !strings.HasPrefix(string(whole), c.answer) {
-			t.Errorf("%q: %q", c.line, whole)
+		unsplit := feed(c.line)
+		if !strings.HasPrefix(string(unsplit), c.answer) {
+			t.Errorf("%q: unexpected answer %q", c.line, unsplit)
 		}
 		for i := range c.line {
-			if got := feed(c.line[:i], c.line[i:]); !bytes.Equal(got, whole) {
-				t.Errorf("%q split at %d: %q, whole %q", c.line, i, got, whole)
+			if got := feed(c.line[:i], c.line[i:]); !bytes.Equal(got, unsplit) {
+				t.Errorf("%q split at %d: %q, unsplit: %q", c.line, i, got, unsplit)
 			}
 		}
-		if got := feed(strings.Split(c.line, "")...); !bytes.Equal(got, whole) {
-			t.Errorf("%q byte by byte: %q, whole %q", c.line, got, whole)
+		if got := feed(strings.Split(c.line, "")...); !bytes.Equal(got, unsplit) {
+			t.Errorf("%q byte by byte: %q, unsplit: %q", c.line, got, unsplit)
 		}
 	}
 }
@@ -169,7 +169,7 @@
 		d.CountAnswer("a", status)
 	}
 	d.RegisterClasses("c")
-	d.CountAnswer("nobody", 200)
+	d.CountAnswer("unknown", 200)
 	d.Relayed.Add(5)
 	d.OpenRequests.Add(2)
 	d.KnownServers.Store(9)
--- a/internal/broker/config/config_test.go
+++ b/internal/broker/config/config_test.go
@@ -211,26 +211,26 @@
 // A reload validates the whole file. It rejects a file that is truncated, lacks a key, has a time
 // or number out of range, or changes a setting that needs a restart, and the error names the key.
 func TestReload_RejectsInvalidFile(t *testing.T) {
-	whole := strings.Replace(valid, `"may_cancel":true`, `"may_cancel":true,"most_tries":4`, 1)
+	base := strings.Replace(valid, `"may_cancel":true`, `"may_cancel":true,"most_tries":4`, 1)
 	read := func(text string) (Node, error) {
-		if _, err := Load(func(string) string { return "f" }, func(string) ([]byte, error) { return []byte(whole), nil }); err == nil {
+		if _, err := Load(func(string) string { return "f" }, func(string) ([]byte, error) { return []byte(base), nil }); err == nil {
 			t.Fatal("Load accepted an invalid address in LB_DISCOVERY")
 		}
 		env := func(name string) string {
 			return map[string]string{"LB_CONFIG": "f", "LB_DISCOVERY": "127.0.0.1:1"}[name]
 		}
-		inForce, err := Load(env, func(string) ([]byte, error) { return []byte(whole), nil })
+		inForce, err := Load(env, func(string) ([]byte, error) { return []byte(base), nil })
 		if err != nil {
 			t.Fatal(err)
 		}
 		return Reload(env, func(string) ([]byte, error) { return []byte(text), nil }, inForce)
 	}
-	if n, err := read(strings.Replace(whole, `"name":"c"`, `"name":"d"`, 1)); err != nil || n.Settings.Module.Classes[0].Name != "d" ||
+	if n, err := read(strings.Replace(base, `"name":"c"`, `"name":"d"`, 1)); err != nil || n.Settings.Module.Classes[0].Name != "d" ||
 		n.Discovery != "127.0.0.1:8500" {
 		t.Errorf("%+v %v", n, err)
 	}
-	for i := range whole { // truncated at each byte
-		if _, err := read(whole[:i]); err == nil {
+	for i := range base { // truncated at each byte
+		if _, err := read(base[:i]); err == nil {
 			t.Fatalf("accepted a file truncated after %d bytes", i)
 		}
 	}
@@ -249,19 +249,19 @@
 		{`"shards":12`, `"shards":13`, "settings.family_info.shards"},
 		{`"reach":4`, `"reach":3`, "settings.family_info.reach"},
 	} {
-		text := strings.Replace(whole, c.from, c.to, 1)
-		if text == whole {
+		text := strings.Replace(base, c.from, c.to, 1)
+		if text == base {
 			t.Fatalf("%q is not in the text", c.from)
 		}
 		if _, err := read(text); err == nil || !strings.Contains(err.Error(), c.names) {
 			t.Errorf("%s -> %s: %v", c.from, c.to, err)
 		}
 	}
-	twice := strings.Replace(whole, `"classes":[`, `"classes":[{"name":"c","aim_us":1000,"hard_limit_us":2000,"effect":"free","worth":1.0},`, 1)
+	duplicate := strings.Replace(base, `"classes":[`, `"classes":[{"name":"c","aim_us":1000,"hard_limit_us":2000,"effect":"free","worth":1.0},`, 1)
 	for _, key := range []string{"class_fetch", "class_partial", "floor_by_class", "whole_at"} {
-		twice = strings.Replace(twice, `"`+key+`":[`, `"`+key+`":[0,`, 1)
+		duplicate = strings.Replace(duplicate, `"`+key+`":[`, `"`+key+`":[0,`, 1)
 	}
-	if _, err := read(twice); err == nil || !strings.Contains(err.Error(), "twice") {
+	if _, err := read(duplicate); err == nil || !strings.Contains(err.Error(), "twice") {
 		t.Errorf("duplicate class: %v", err)
 	}
 }
--- a/internal/broker/config/fleet_test.go
+++ b/internal/broker/config/fleet_test.go
@@ -18,7 +18,7 @@
 	if f := o.Fleet; f.Name != "ledger-cordoba" || len(f.Join) != 3 || len(f.Allow) != 1 || f.Period != 200*time.Millisecond || f.CountLostFor != 300*time.Second || !f.Balancers || !f.Contracts {
 		t.Errorf("%+v", f)
 	}
-	for _, c := range []struct{ from, to, says string }{
+	for _, c := range []struct{ from, to, want string }{
 		{`"listen": "127.0.0.1:9410"`, `"listen": "here"`, "fleet.listen: "},
 		{`"listen": "127.0.0.1:9410"`, `"listen": "0.0.0.0:9410"`, "fleet.advertise: missing"},
 		{`"listen": "127.0.0.1:9410"`, `"listen": "127.0.0.1:9410", "advertise": "0.0.0.0:1"`, "fleet.advertise: want the address at which others"},
@@ -36,7 +36,7 @@
 		if text == string(deploy.Fleet) {
 			t.Fatalf("%q is not in the file", c.from)
 		}
-		if _, err := config.ParseOperator([]byte(text)); err == nil || !strings.Contains(err.Error(), c.says) {
+		if _, err := config.ParseOperator([]byte(text)); err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s: %v", c.to, err)
 		}
 	}
--- a/internal/broker/config/regions_test.go
+++ b/internal/broker/config/regions_test.go
@@ -29,7 +29,7 @@
 	for _, name := range []string{"a", "b", "c", "d", "e"} {
 		many = append(many, strings.NewReplacer("cordoba-3", name, "este", "oeste", "rosario-3", name).Replace(last))
 	}
-	for _, c := range []struct{ from, to, says string }{
+	for _, c := range []struct{ from, to, want string }{
 		{`"region": "oeste",
   "lease_ms"`, `"lease_ms"`, "rollout.region: missing: the members have regions"},
 		{`"region": "oeste",
@@ -50,7 +50,7 @@
 		if changed == string(text) {
 			t.Fatalf("%q is not in the file", c.from)
 		}
-		if _, err := config.ParseOperator([]byte(changed)); (c.says == "") != (err == nil) || err != nil && !strings.Contains(err.Error(), c.says) {
+		if _, err := config.ParseOperator([]byte(changed)); (c.want == "") != (err == nil) || err != nil && !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s: %v", c.to, err)
 		}
 	}
--- a/internal/broker/config/rollout_test.go
+++ b/internal/broker/config/rollout_test.go
@@ -20,7 +20,7 @@
 	if err != nil || len(o.Rollout.Voters) != 3 {
 		t.Fatalf("%+v %v", o.Rollout, err)
 	}
-	for _, c := range []struct{ from, to, says string }{
+	for _, c := range []struct{ from, to, want string }{
 		{`"listen": "127.0.0.1:9450"`, `"listen": "x"`, "rollout.listen: "},
 		{`"lease_ms": 2000`, `"lease_ms": 20`, "rollout.lease_ms: want 200"},
 		{`"drift": 0.01`, `"drift": 1`, "rollout.drift: "},
@@ -35,7 +35,7 @@
 		if changed == string(text) {
 			t.Fatalf("%q is not in the file", c.from)
 		}
-		if _, err := config.ParseOperator([]byte(changed)); err == nil || !strings.Contains(err.Error(), c.says) {
+		if _, err := config.ParseOperator([]byte(changed)); err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s: %v", c.to, err)
 		}
 	}
@@ -76,9 +76,9 @@
 	// A reload with a changed policy key is rejected and the error names the key; a changed list of
 	// servers is accepted.
 	env := func(string) string { return "file" }
-	for _, c := range []struct{ from, to, says string }{{`"max_open": 500`, `"max_open": 501`, "settings: with a rollout on"}, {`"zone": "sur"`, `"zone": "norte"`, ""}} {
+	for _, c := range []struct{ from, to, want string }{{`"max_open": 500`, `"max_open": 501`, "settings: with a rollout on"}, {`"zone": "sur"`, `"zone": "norte"`, ""}} {
 		_, err := config.ReloadOperator(env, func(string) ([]byte, error) { return []byte(strings.Replace(string(text), c.from, c.to, 1)), nil }, o, policy)
-		if (err == nil) != (c.says == "") || err != nil && !strings.Contains(err.Error(), c.says) {
+		if (err == nil) != (c.want == "") || err != nil && !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s: %v", c.to, err)
 		}
 	}
--- a/internal/broker/layout/layout_test.go
+++ b/internal/broker/layout/layout_test.go
@@ -30,9 +30,9 @@
 // An invalid document is rejected with all of its faults, each with its range and the epoch.
 func TestNew_RejectsInvalidDocuments(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		spoil func(*Doc)
-		names []string
+		name   string
+		modify func(*Doc)
+		names  []string
 	}{
 		{"gap", func(d *Doc) { d.Ranges[1].From = 110 }, []string{"epoch 5", "range 110-200", "gap before the range, from 100"}},
 		{"overlap", func(d *Doc) { d.Ranges[1].From = 90 }, []string{"range 90-200", "overlaps 0-100"}},
@@ -57,7 +57,7 @@
 		}, []string{`unknown state "odd"`}},
 	} {
 		d := testDoc()
-		c.spoil(&d)
+		c.modify(&d)
 		l, err := New(d, isKnown)
 		if err == nil || l != nil {
 			t.Errorf("%s: invalid document accepted", c.name)
@@ -157,9 +157,9 @@
 		t.Errorf("layout that is in force already: %v %v", u, err)
 	}
 	for _, c := range []struct {
-		name  string
-		spoil func(*Doc)
-		kind  error
+		name   string
+		modify func(*Doc)
+		kind   error
 	}{
 		{"an older epoch", func(d *Doc) { d.Epoch = 4 }, ErrEpoch},
 		{"another history", func(d *Doc) { d.History, d.Epoch = "g", 50 }, ErrHistory},
@@ -170,7 +170,7 @@
 		{"an unlisted holder", func(d *Doc) { d.Epoch, d.Ranges[0].Holders = 9, []sq.ServerID{"z"} }, ErrInvalid},
 	} {
 		d := testDoc()
-		c.spoil(&d)
+		c.modify(&d)
 		if u, err := k.Replace(d, 0); u != nil || !errors.Is(err, c.kind) || k.Current().Epoch() != 5 {
 			t.Errorf("%s: %v %v", c.name, u, err)
 		}
@@ -229,7 +229,7 @@
 	s := Step{History: "h", Epoch: d.Epoch + 1 + int64(rapid.SampledFrom([]int{0, 0, 0, 0, 0, 0, 0, 1, -1}).Draw(t, "skew"))}
 	if cs := d.Changes; len(cs) > 0 && rapid.Bool().Draw(t, "advance") {
 		s.Change = rapid.SampledFrom(cs).Draw(t, "change").ID
-		s.Do = rapid.SampledFrom([]Action{Copy, MarkReady, Cut, Retire, Copy, MarkReady, Cut, Retire, Abort}).Draw(t, "deed")
+		s.Do = rapid.SampledFrom([]Action{Copy, MarkReady, Cut, Retire, Copy, MarkReady, Cut, Retire, Abort}).Draw(t, "action")
 		return s
 	}
 	s.Change, s.Do = fmt.Sprint("c", i), Announce
@@ -383,7 +383,7 @@
 			for range rapid.SampledFrom([]int{1, 1, 1, 2, 0}).Draw(t, "holders") {
 				r.Holders = append(r.Holders, rapid.SampledFrom([]sq.ServerID{"a", "b", "c", "d", "a", "b", "c", "d", "z"}).Draw(t, "holder"))
 			}
-			if rapid.IntRange(0, 19).Draw(t, "spoil") == 0 {
+			if rapid.IntRange(0, 19).Draw(t, "corrupt") == 0 {
 				r.From += rapid.Int64Range(-3, 3).Draw(t, "by")
 				r.Shard -= rapid.IntRange(0, 1).Draw(t, "shard")
 			}
--- a/internal/broker/layout/program_test.go
+++ b/internal/broker/layout/program_test.go
@@ -32,9 +32,9 @@
 	process *harness.Process
 }
 
-// newCluster starts servers and places ranges of equal width on them, each on reach servers. Each
+// newCluster starts servers and places ranges of equal width on them, each on replicas servers. Each
 // key from 0 up to keys has one row.
-func newCluster(t *testing.T, servers, ranges, reach int, keys int64, cfg fakebackend.ServerConfig) *fakebackend.Cluster {
+func newCluster(t *testing.T, servers, ranges, replicas int, keys int64, cfg fakebackend.ServerConfig) *fakebackend.Cluster {
 	t.Helper()
 	doc := layout.Doc{History: "h1", Epoch: 1}
 	var ids []sq.ServerID
@@ -43,7 +43,7 @@
 	}
 	for i := range ranges {
 		r := layout.Range{Shard: i, Span: layout.Span{From: keys * int64(i) / int64(ranges), To: keys * int64(i+1) / int64(ranges)}}
-		for j := range reach {
+		for j := range replicas {
 			r.Holders = append(r.Holders, ids[(i+j)%servers])
 		}
 		doc.Ranges = append(doc.Ranges, r)
--- a/internal/broker/layout/validate.go
+++ b/internal/broker/layout/validate.go
@@ -11,13 +11,14 @@
 
 // The kinds of a ValidationError, for errors.Is.
 var (
-	// ErrInvalid: the document or step is inconsistent, or names a holder that is not in the list of servers.
+	// ErrInvalid means that the document or step is inconsistent, or names a holder that is not in the
+	// list of servers.
 	ErrInvalid = errors.New("layout: invalid document or step")
-	// ErrEpoch: the document is older than the layout in force, or a step was missed.
+	// ErrEpoch means that the document is older than the layout in force, or a step was missed.
 	ErrEpoch = errors.New("layout: epoch out of order")
-	// ErrHistory: the document or step is in conflict with the history in force.
+	// ErrHistory means that the document or step is in conflict with the history in force.
 	ErrHistory = errors.New("layout: does not continue the history in force")
-	// ErrState: the state of the change does not allow the action.
+	// ErrState means that the state of the change does not allow the action.
 	ErrState = errors.New("layout: action not possible in the state of the change")
 )
 
--- a/internal/broker/server/admin_policy.go
+++ b/internal/broker/server/admin_policy.go
@@ -15,13 +15,13 @@
 	if p == nil {
 		return f // not open yet
 	}
-	yes := map[bool]int64{true: 1}
+	toInt := map[bool]int64{true: 1}
 	got := make(chan adminapi.RolloutMetrics, 1)
 	if p.Inspect(func(n *rollout.Node, now int64) {
 		v, _, _ := n.Admit(now)
-		f := adminapi.RolloutMetrics{Number: int64(n.Number()), Admits: yes[v == rollout.Admitted], Paused: yes[n.IsPaused()], LeaseMs: max(0, n.LeaseUntil()-now) / 1000, Leads: yes[n.IsLeader()]}
+		f := adminapi.RolloutMetrics{Number: int64(n.Number()), Admits: toInt[v == rollout.Admitted], Paused: toInt[n.IsPaused()], LeaseMs: max(0, n.LeaseUntil()-now) / 1000, Leads: toInt[n.IsLeader()]}
 		if r, hasRegions := n.Region(now); hasRegions {
-			f.Region = &adminapi.RegionMetrics{Behind: int64(r.Newest - r.Number), IsolatedMs: r.IsolatedFor / 1000, Leads: yes[n.IsGlobalLeader()]}
+			f.Region = &adminapi.RegionMetrics{Behind: int64(r.Newest - r.Number), IsolatedMs: r.IsolatedFor / 1000, Leads: toInt[n.IsGlobalLeader()]}
 		}
 		got <- f
 	}) == nil {
--- a/internal/broker/server/policy.go
+++ b/internal/broker/server/policy.go
@@ -49,7 +49,7 @@
 var errNoRollout = errors.New("no rollout is set up")
 
 // openPolicyNode opens the policy node, which agrees with the other gatherers on the versions of the
-// policy. From then on queries are admitted only while the node has a lease.
+// policy. From then on queries are admitted only by the permit that the node issues under its lease.
 func (g *Gatherer) openPolicyNode() error {
 	r := g.rollout
 	if r == nil {
--- a/internal/broker/server/quotas.go
+++ b/internal/broker/server/quotas.go
@@ -23,7 +23,7 @@
 	currentBudgets     map[string]core.Budget  // in force
 	currentAggregators int                     // divisor of the limit on servers that warm up, in force
 	rejectedBefore     map[string]int64        // rejected queries by team at the last request
-	teamFractions      map[string]float64      // of all cores by team, under the contracts fractionsOf
+	teamFractions      map[string]float64      // of all budgets by team, under the contracts fractionsOf
 	fractionsOf        *admission.Config
 	updating           bool             // a request for quotas is in flight
 	updates            chan quotaUpdate // receives the answer to the request
--- a/internal/broker/server/voterlog.go
+++ b/internal/broker/server/voterlog.go
@@ -123,7 +123,7 @@
 // entryKey returns the key of the log entry with index i.
 func (l *voterLog) entryKey(i uint64) string { return fmt.Sprintf("%s/%020d", l.key(keyEntry), i) }
 
-// save stores either the identities of the bootstrap voters or, otherwise, a snapshot, hard state and
+// save stores either the identities of the bootstrap voters or any of a snapshot, the hard state and
 // log entries. It returns when the records are on disk. Entries that the snapshot covers or that
 // conflict with new entries are removed in the same batch.
 func (l *voterLog) save(s *rollout.Save) error {
