--- a/internal/broker/config/config_test.go
+++ b/internal/broker/config/config_test.go
@@ -133,7 +133,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s := o.Store; s == nil || s.Directories[1] != "/var/lib/saffronquay/b" || s.Keep != 15*time.Minute || s.KeyHeader != "Idempotency-Key" || s.SegmentSize != 8<<20 {
+	if s := o.Store; s == nil || s.Directories[1] != "/var/lib/saffronquay/b" || s.Retention != 15*time.Minute || s.KeyHeader != "Idempotency-Key" || s.SegmentSize != 8<<20 {
 		t.Errorf("%+v", o.Store)
 	}
 	for _, c := range []struct{ from, to, names string }{
--- a/internal/broker/config/operator.go
+++ b/internal/broker/config/operator.go
@@ -46,30 +46,30 @@
 
 // Store configures the durable store.
 type Store struct {
-	Directories [2]string     // of the two copies
-	Keep        time.Duration // retention of a client's idempotency key
-	Takeover    time.Duration // maximum wait for the process that this one replaces to release the store
-	KeyHeader   string        // header field with a client's idempotency key
-	MaxAnswer   int           // maximum size of a stored answer in bytes
-	SegmentSize int64         // bytes
-	Single      bool          // no group commit; for measurements
-	Without     bool          // if the store cannot be opened, start and reject the classes that need it
+	Directories   [2]string     // of the two copies
+	Retention     time.Duration // retention of a client's idempotency key
+	Takeover      time.Duration // maximum wait for the process that this one replaces to release the store
+	KeyHeader     string        // header field with a client's idempotency key
+	MaxAnswer     int           // maximum size of a stored answer in bytes
+	SegmentSize   int64         // bytes
+	NoGroupCommit bool          // no group commit; for measurements
+	StartWithout  bool          // if the store cannot be opened, start and reject the classes that need it
 }
 
 func (s *Store) equal(o *Store) bool { return s == nil && o == nil || s != nil && o != nil && *s == *o }
 
 // Cursors configures points in time.
 type Cursors struct {
-	Key             []byte        // authenticates tokens; nil: each process has its own key
-	Most            int           // maximum number of open points in time of one tenant
-	MaxKeep, MaxAge time.Duration // limits of the keep-alive time and of the age of a point in time
+	Key                  []byte        // authenticates tokens; nil: each process has its own key
+	MaxOpen              int           // maximum number of open points in time of one tenant
+	MaxKeepAlive, MaxAge time.Duration // limits of the keep-alive time and of the age of a point in time
 }
 
 // Layout configures ranges that split, merge and move.
 type Layout struct {
-	Document  layout.Doc    // the layout at the time the file was written
-	Directory string        // host:port of the directory that announces changes; empty: changes come by the file only
-	Stall     time.Duration // a change that stays in one state for longer is reported
+	Document     layout.Doc    // the layout at the time the file was written
+	Directory    string        // host:port of the directory that announces changes; empty: changes come by the file only
+	StallTimeout time.Duration // a change that stays in one state for longer is reported
 }
 
 // VRRP configures the virtual router of which this gatherer is a member.
--- a/internal/broker/config/operator_parse.go
+++ b/internal/broker/config/operator_parse.go
@@ -129,7 +129,7 @@
 func (o *Operator) store(r reader) {
 	o.Store = readStore(r)
 	for _, class := range o.Settings.Module.Classes {
-		if class.Effect == sq.AtMostOnce && o.Store.Keep.Microseconds() < class.HardLimit {
+		if class.Effect == sq.AtMostOnce && o.Store.Retention.Microseconds() < class.HardLimit {
 			r.fault("keep_ms", "want at least the hard limit of class %q", class.Name)
 		}
 	}
@@ -138,13 +138,13 @@
 // cursors reads the limits of points in time, and the key that authenticates their tokens.
 func (o *Operator) cursors(r reader) {
 	o.Cursors = &Cursors{
-		Most: r.count("most", 100), MaxKeep: time.Duration(r.integer("max_keep_ms", 300_000)) * time.Millisecond,
+		MaxOpen: r.count("most", 100), MaxKeepAlive: time.Duration(r.integer("max_keep_ms", 300_000)) * time.Millisecond,
 		MaxAge: time.Duration(r.integer("max_age_ms", 3_600_000)) * time.Millisecond,
 	}
-	if o.Cursors.Most < 1 || o.Cursors.Most > 10_000 {
-		r.fault("most", "want 1 to 10000, not %d", o.Cursors.Most)
+	if o.Cursors.MaxOpen < 1 || o.Cursors.MaxOpen > 10_000 {
+		r.fault("most", "want 1 to 10000, not %d", o.Cursors.MaxOpen)
 	}
-	if o.Cursors.MaxKeep <= 0 || o.Cursors.MaxAge < o.Cursors.MaxKeep {
+	if o.Cursors.MaxKeepAlive <= 0 || o.Cursors.MaxAge < o.Cursors.MaxKeepAlive {
 		r.fault("max_age_ms", "want at least max_keep_ms, and both above 0")
 	}
 	if text := r.str("key", ""); text != "" {
@@ -158,9 +158,9 @@
 // layout reads the initial layout of ranges and the address of the directory that announces changes.
 func (o *Operator) layout(r reader) {
 	r.require("whole")
-	o.Layout = &Layout{Directory: r.str("directory", ""), Stall: time.Duration(r.integer("stall_ms", 60_000)) * time.Millisecond}
+	o.Layout = &Layout{Directory: r.str("directory", ""), StallTimeout: time.Duration(r.integer("stall_ms", 60_000)) * time.Millisecond}
 	r.optionalHostPort("directory", o.Layout.Directory)
-	if o.Layout.Stall <= 0 {
+	if o.Layout.StallTimeout <= 0 {
 		r.fault("stall_ms", "want a time above 0")
 	}
 	if r.get("whole", fastjson.TypeObject) == nil {
--- a/internal/broker/config/process.go
+++ b/internal/broker/config/process.go
@@ -7,8 +7,8 @@
 
 // Process has the settings of this process that are in the environment only.
 type Process struct {
-	Shared       string // directory in which this process and the one it replaces exchange state; empty: none
-	PassedSocket int    // descriptor of the client listening socket passed by another process; 0: none
+	StateDirectory string // directory in which this process and the one it replaces exchange state; empty: none
+	PassedSocket   int    // descriptor of the client listening socket passed by another process; 0: none
 }
 
 // LoadProcess reads the settings of the process from the environment.
@@ -19,6 +19,6 @@
 			return p, fmt.Errorf("%s: want a descriptor number of 3 or more, not %.40q", variable, text)
 		}
 	}
-	p.Shared = getenv("TMPDIR")
+	p.StateDirectory = getenv("TMPDIR")
 	return p, nil
 }
--- a/internal/broker/config/store.go
+++ b/internal/broker/config/store.go
@@ -11,9 +11,9 @@
 func readStore(r reader) *Store {
 	r.require("directory")
 	s := &Store{
-		Keep: millis(r, "keep_ms", 900_000, 1000, 7*86_400_000), Takeover: millis(r, "takeover_ms", 10_000, 100, 600_000),
+		Retention: millis(r, "keep_ms", 900_000, 1000, 7*86_400_000), Takeover: millis(r, "takeover_ms", 10_000, 100, 600_000),
 		KeyHeader: textproto.CanonicalMIMEHeaderKey(r.str("key_header", "Idempotency-Key")), MaxAnswer: r.count("max_answer_kb", 64) << 10,
-		SegmentSize: int64(r.integer("segment_mb", 8)) << 20, Single: r.boolean("single"), Without: r.boolean("without"),
+		SegmentSize: int64(r.integer("segment_mb", 8)) << 20, NoGroupCommit: r.boolean("single"), StartWithout: r.boolean("without"),
 	}
 	s.Directories[0] = filepath.Clean(r.str("directory", ""))
 	if s.Directories[1] = filepath.Join(s.Directories[0], "copy"); r.has("copy") {
--- a/internal/broker/server/durable.go
+++ b/internal/broker/server/durable.go
@@ -59,7 +59,7 @@
 
 // openDurable opens the store and loads the gatherer's records from it. If another process has the
 // store, it waits for that process to release it, at most for cfg.Takeover, and then takes the store
-// over; the gatherer serves nothing until then. If the store cannot be opened and cfg.Without allows
+// over; the gatherer serves nothing until then. If the store cannot be opened and cfg.StartWithout allows
 // starting without it, the store of the result is nil.
 func openDurable(cfg config.Store, name string, logger *slog.Logger) (*durableState, error) {
 	d := &durableState{cfg: cfg, name: name, log: logger, stop: make(chan struct{}), done: make(chan struct{})}
@@ -71,13 +71,13 @@
 				err = fmt.Errorf("%w (copy %d is in %s)", err, i+1, dir)
 			}
 		}
-		if !cfg.Without {
+		if !cfg.StartWithout {
 			return nil, fmt.Errorf("%w: to inspect the store run 'saffronquay store check %s %s'; see docs/STORE.md", err, cfg.Directories[0], cfg.Directories[1])
 		}
 		logging.Error(logger, logging.StoreOff, "classes", "at-most-once classes are rejected", "error", err)
 		return d, nil
 	}
-	d.idempotency = idempotency.NewTracker(d.store, idempotency.Config{Retention: cfg.Keep.Microseconds(), MaxBody: cfg.MaxAnswer, Nonce: randomID()})
+	d.idempotency = idempotency.NewTracker(d.store, idempotency.Config{Retention: cfg.Retention.Microseconds(), MaxBody: cfg.MaxAnswer, Nonce: randomID()})
 	if err := d.load(); err != nil {
 		d.store.Close()
 		return nil, fmt.Errorf("store: load records: %w", err)
@@ -99,11 +99,11 @@
 		return err
 	}
 	began, batch := time.Now(), 0
-	if d.cfg.Single {
+	if d.cfg.NoGroupCommit {
 		batch = 1
 	}
 	opt := recordlog.Options{
-		ID: randomID(), Now: func() int64 { return time.Since(began).Microseconds() }, MaxRetention: d.cfg.Keep.Microseconds(),
+		ID: randomID(), Now: func() int64 { return time.Since(began).Microseconds() }, MaxRetention: d.cfg.Retention.Microseconds(),
 		SegmentSize: d.cfg.SegmentSize, MaxBatch: batch, CleanEvery: time.Second, ScrubEvery: scrubInterval, Log: d.log,
 	}
 	for logged := false; ; {
--- a/internal/broker/server/force.go
+++ b/internal/broker/server/force.go
@@ -21,7 +21,7 @@
 		return report, errNoRollout
 	}
 	cfg := *op.Store
-	cfg.Without = false
+	cfg.StartWithout = false
 	d, err := openDurable(cfg, op.Name, log)
 	if err != nil {
 		return report, err
--- a/internal/broker/server/plan.go
+++ b/internal/broker/server/plan.go
@@ -67,7 +67,7 @@
 		return Plan{}, err
 	}
 	p, err := loadFile(logger)
-	p.passedSocket, p.sharedDirectory = process.PassedSocket, process.Shared
+	p.passedSocket, p.sharedDirectory = process.PassedSocket, process.StateDirectory
 	return p, err
 }
 
@@ -201,12 +201,12 @@
 		rand.Read(s.cursorKey) // never fails
 	}
 	now := s.cursors.Load()
-	if now == nil || s.cursorConfig.Most != c.Most || s.cursorConfig.MaxKeep != c.MaxKeep || s.cursorConfig.MaxAge != c.MaxAge || !bytes.Equal(s.cursorConfig.Key, c.Key) {
+	if now == nil || s.cursorConfig.MaxOpen != c.MaxOpen || s.cursorConfig.MaxKeepAlive != c.MaxKeepAlive || s.cursorConfig.MaxAge != c.MaxAge || !bytes.Equal(s.cursorConfig.Key, c.Key) {
 		key := c.Key
 		if key == nil {
 			key = s.cursorKey
 		}
-		return pagination.NewRegistry(pagination.Config{Key: key, MaxOpen: c.Most, MaxKeepAlive: c.MaxKeep.Microseconds(), MaxAge: c.MaxAge.Microseconds()})
+		return pagination.NewRegistry(pagination.Config{Key: key, MaxOpen: c.MaxOpen, MaxKeepAlive: c.MaxKeepAlive.Microseconds(), MaxAge: c.MaxAge.Microseconds()})
 	}
 	return now
 }
--- a/internal/broker/server/start.go
+++ b/internal/broker/server/start.go
@@ -125,7 +125,7 @@
 		g.engine.Watch, g.engine.Fetch = g.watcher.RequestWatch, g.watcher.RequestWatch
 	}
 	if g.layout != nil {
-		cfg := transport.RoutesConfig{Directory: g.layout.Directory, Stall: g.layout.Stall}
+		cfg := transport.RoutesConfig{Directory: g.layout.Directory, Stall: g.layout.StallTimeout}
 		g.routes, err = transport.NewRoutes(cfg, g.durable.newestLayout(g.layout.Document, g.serverIDs()), g.serverIDs(), g.clock, g.currentLayout, g.engine.UpdateLayout,
 			g.metrics.LayoutCounts, g.logger)
 		if err != nil {
