--- a/internal/broker/config/fleet.go
+++ b/internal/broker/config/fleet.go
@@ -69,7 +69,7 @@
 }
 
 // checkName reports a missing or invalid name of the gatherer. Members of a fleet need distinct
-// names, so the default does not do.
+// names, so the default name is not sufficient.
 func (o *Operator) checkName(r reader) {
 	if r.get("name", fastjson.TypeString) == nil {
 		r.fault("name", "missing: each gatherer of a fleet must have a unique name")
