--- a/cmd/saffronquay-sim/main.go
+++ b/cmd/saffronquay-sim/main.go
@@ -1,6 +1,7 @@
-// Command saffronquay-sim hosts instances of the decision module behind the simulator's line protocol: it reads batches
-// of events from standard input and writes one reply for each to standard output. It decides nothing, runs on one
-// goroutine and ends with the input. Malformed input ends it with exit code 1 and one message that names the line.
+// Command saffronquay-sim hosts instances of the decision module behind the simulator's line
+// protocol: it reads batches of events from standard input and writes one reply for each batch to
+// standard output. It makes no decisions itself, runs on one goroutine and exits at the end of the
+// input. Malformed input ends it with exit code 1 and one message that names the line.
 package main
 
 import (
@@ -14,8 +15,8 @@
 	sq "saffronquay"
 )
 
-// readBuffer is the size of the input's buffer in bytes; longer lines are read all the same.
-const readBuffer = 1 << 20
+// readBufferBytes is the size of the input buffer. It does not limit the length of a line.
+const readBufferBytes = 1 << 20
 
 func main() {
 	if err := run(os.Stdin, os.Stdout); err != nil {
@@ -31,21 +32,21 @@
 	active    bool
 }
 
-// host is the state between lines.
+// host holds the state that is kept between lines.
 type host struct {
 	out       io.Writer
 	instances map[string]*instance
-	lists     map[int][]sq.Server // declared, by slot
+	lists     map[int][]sq.Server // declared server lists by slot
 	inBatch   bool
 	now       int64
 	serial    int64
-	active    []string // instances with an event in this batch, in order of the first
+	active    []string // instances with an event in this batch, in the order of their first one
 }
 
-// run answers batches until the input ends. An input that ends within a batch is an error.
+// run replies to batches until the end of the input. An input that ends within a batch is an error.
 func run(in io.Reader, out io.Writer) error {
 	h := &host{out: out, instances: map[string]*instance{}, lists: map[int][]sq.Server{}}
-	r := bufio.NewReaderSize(in, readBuffer)
+	r := bufio.NewReaderSize(in, readBufferBytes)
 	for n := 1; ; n++ {
 		line, err := r.ReadBytes('\n')
 		if err != nil && !errors.Is(err, io.EOF) {
@@ -58,21 +59,21 @@
 		}
 		if err != nil {
 			if h.inBatch {
-				return fmt.Errorf("line %d: input ends within a batch", n)
+				return fmt.Errorf("line %d: unexpected end of input within a batch", n)
 			}
 			return nil
 		}
 	}
 }
 
-// handleLine applies one line; the end of a batch writes the reply.
+// handleLine processes one line. At the end of a batch it writes the reply.
 func (h *host) handleLine(line []byte) error {
 	m, err := simwire.Decode(line)
 	if err != nil {
 		return err
 	}
 	if h.inBatch == (m.Kind == simwire.BatchStart) {
-		return errors.New("event outside of a batch, or a batch within a batch")
+		return errors.New("unexpected event outside of a batch, or start of a batch within a batch")
 	}
 	switch m.Kind {
 	case simwire.BatchStart:
@@ -95,10 +96,10 @@
 	return nil
 }
 
-// handleEvent keeps an event for the end of the batch, or ends an instance.
+// handleEvent queues an event for the end of the batch, or removes a killed instance.
 func (h *host) handleEvent(m simwire.Message) error {
 	if h.instances[m.Who] == nil {
-		return fmt.Errorf("instance %q was never opened, or was killed", m.Who)
+		return fmt.Errorf("unknown instance %q: never opened, or killed", m.Who)
 	}
 	if m.Kind == simwire.Killed {
 		delete(h.instances, m.Who)
@@ -107,11 +108,11 @@
 	if m.UsesList {
 		list, ok := h.lists[m.Slot]
 		if !ok {
-			return fmt.Errorf("list %d was never declared", m.Slot)
+			return fmt.Errorf("unknown list %d: never declared", m.Slot)
 		}
 		change, ok := m.Event.(sq.FleetChanged)
 		if !ok {
-			return fmt.Errorf("list %d is not for an event of type %T", m.Slot, m.Event)
+			return fmt.Errorf("list %d referenced by an event of type %T: want sq.FleetChanged", m.Slot, m.Event)
 		}
 		change.Servers = list
 		m.Event = change
@@ -123,7 +124,7 @@
 	return nil
 }
 
-// markActive has an instance step at the end of the batch, after those that were marked before.
+// markActive schedules an instance to step at the end of the batch, after those marked before it.
 func (h *host) markActive(who string) *instance {
 	in := h.instances[who]
 	if !in.active {
@@ -133,7 +134,7 @@
 	return in
 }
 
-// reply steps the active instances and writes their actions and the acknowledgement in one call.
+// reply steps the active instances and writes their actions and the acknowledgement in one Write.
 func (h *host) reply() error {
 	var buf []byte
 	var err error
--- a/cmd/saffronquay-sim/main_test.go
+++ b/cmd/saffronquay-sim/main_test.go
@@ -24,7 +24,7 @@
 	`{"event_type":"Ingress","who":"node/0","txn":2,"segment_no":0,"priority":"c","group_no":1,` +
 	`"client_deadline_us":20000,"size_or_weight":1,"work_us":50}` + "\n"
 
-func TestARoundOnTheWire(t *testing.T) {
+func TestRun_RepliesToEachBatch(t *testing.T) {
 	var out bytes.Buffer
 	if err := run(strings.NewReader(tick+end+tick+open+list+query+end), &out); err != nil {
 		t.Fatal(err)
@@ -38,7 +38,9 @@
 	}
 }
 
-func TestInstancesShareNothing(t *testing.T) {
+// TestRun_InstancesAreIndependent checks that the replies of an instance do not depend on the
+// instances beside it.
+func TestRun_InstancesAreIndependent(t *testing.T) {
 	other := func(s string) string { return strings.ReplaceAll(s, "node/0", "node/1") }
 	reply := func(in, who string) string {
 		var out bytes.Buffer
@@ -60,7 +62,9 @@
 	}
 }
 
-func TestMalformedInputIsOnePlainMessage(t *testing.T) {
+// TestRun_MalformedInputIsOneLineError checks that malformed input gives one message without line
+// breaks that names the line and the fault, and no output.
+func TestRun_MalformedInputIsOneLineError(t *testing.T) {
 	for _, c := range []struct{ name, in, says string }{
 		{"not JSON", tick + "{\n", "line 2"},
 		{"unknown event", tick + `{"event_type":"What"}` + "\n", "unknown event"},
@@ -81,7 +85,7 @@
 			t.Errorf("%s: error %v should name the line and %q", c.name, err, c.says)
 		}
 		if err != nil && strings.Contains(err.Error(), "\n") || out.Len() > 0 {
-			t.Errorf("%s: more than one plain message: %v, output %q", c.name, err, out.String())
+			t.Errorf("%s: want a one-line error and no output: %v, output %q", c.name, err, out.String())
 		}
 	}
 }
--- a/cmd/saffronquay-standin/main.go
+++ b/cmd/saffronquay-standin/main.go
@@ -1,5 +1,6 @@
-// Command saffronquay-standin plays what an operator's file with a layout points at, on loopback: its search servers, with a row
-// for each key, and its layout directory. It is for trying the program out; see docs/LAYOUT.md.
+// Command saffronquay-standin runs fake versions of the services that an operator's file with a
+// layout refers to, on loopback: its search servers, with a row for each key, and its layout
+// directory. It is for trials and demos; see docs/LAYOUT.md.
 package main
 
 import (
@@ -17,18 +18,20 @@
 )
 
 func main() {
-	file := flag.String("file", "deploy/layout.json", "the operator's file")
-	work := flag.Duration("work", 5*time.Millisecond, "work of a part")
-	keys := flag.Int64("rows", 100_000, "most keys that get a row, from the domain's first on")
+	file := flag.String("file", "deploy/layout.json", "path of the operator's file")
+	work := flag.Duration("work", 5*time.Millisecond, "processing time of a part")
+	keys := flag.Int64("rows", 100_000, "maximum number of keys that get a row, from the first of the layout on")
 	flag.Parse()
 	log := slog.New(slog.NewTextHandler(os.Stderr, nil))
-	if err := play(*file, *work, *keys, log); err != nil {
+	if err := serve(*file, *work, *keys, log); err != nil {
 		log.Error("exit", "error", err)
 		os.Exit(1)
 	}
 }
 
-func play(file string, work time.Duration, keys int64, log *slog.Logger) error {
+// serve runs the servers and the directory until an interrupt or SIGTERM, and then logs how often
+// the servers executed parts.
+func serve(file string, work time.Duration, keys int64, log *slog.Logger) error {
 	text, err := os.ReadFile(file)
 	if err != nil {
 		return err
--- a/cmd/saffronquay/admin_client.go
+++ b/cmd/saffronquay/admin_client.go
@@ -11,11 +11,12 @@
 	"time"
 )
 
-// maxReplyBytes bounds what is read of one answer of an admin endpoint or a layout directory, and of standard input.
+// maxReplyBytes bounds how much is read of one response of an admin endpoint or a layout directory,
+// and of standard input.
 const maxReplyBytes = 16 << 20
 
-// findAdminAddress returns the address of the gatherer's admin endpoint: that of --door, else what the platform's or operator's file has. It
-// reads a file once only.
+// findAdminAddress returns the address of the gatherer's admin endpoint: the value of --door if
+// set, else the address in the platform's or the operator's file. The file is read at most once.
 func (c *cli) findAdminAddress() (string, error) {
 	switch {
 	case c.adminAddress != "":
@@ -27,20 +28,21 @@
 		}
 		c.adminAddress = node.Operator
 	default:
-		operator, err := c.readOperator("the gatherer's door with --door, or its file with --file")
+		operator, err := c.readOperator("the admin endpoint with --door, or the operator's file with --file")
 		if err != nil {
 			return "", err
 		}
 		c.adminAddress = operator.Operator
 	}
 	if c.adminAddress == "" {
-		return "", failed(errors.New("the file sets up no door (operator)"))
+		return "", failed(errors.New("file: operator: missing: no admin endpoint is configured"))
 	}
 	return c.adminAddress, nil
 }
 
-// callAdmin sends one command line to the gatherer's admin endpoint and returns the answer without its end mark. An answer that begins with NO
-// becomes an error with exitFailed; where the endpoint gives none in time, the error has exitUnreachable.
+// callAdmin sends one command line to the gatherer's admin endpoint and returns the response
+// without its END line. A response that begins with NO becomes an error with exitFailed. Without a
+// response within the timeout the error has exitUnreachable.
 func (c *cli) callAdmin(ctx context.Context, command string) (string, error) {
 	address, err := c.findAdminAddress()
 	if err != nil {
@@ -60,7 +62,7 @@
 	}
 	answer, err := io.ReadAll(io.LimitReader(conn, maxReplyBytes))
 	if err != nil {
-		return "", unreachable(fmt.Errorf("the door at %s: %w", address, err))
+		return "", unreachable(fmt.Errorf("read response of admin endpoint %s: %w", address, err))
 	}
 	text := string(answer)
 	if refusal, refused := strings.CutPrefix(text, "NO "); refused {
@@ -68,13 +70,14 @@
 		return refusal, failed(errors.New(refusal))
 	}
 	if text == "" {
-		return "", unreachable(fmt.Errorf("the door at %s closed without a word", address))
+		return "", unreachable(fmt.Errorf("admin endpoint %s closed the connection without a response", address))
 	}
 	return strings.TrimSuffix(text, "END\n"), nil
 }
 
-// parseAdminLines parses an answer whose lines are a kind and then name=value pairs, of which a value may be quoted. The kind gets the key "kind".
-// The rest of a line from a word without "=" on is left out.
+// parseAdminLines parses a response in which each line is a kind followed by name=value pairs,
+// whose values may be quoted. The kind is stored under the key "kind". A line is parsed up to the
+// first field without "=".
 func parseAdminLines(text string) []map[string]string {
 	var lines []map[string]string
 	for line := range strings.Lines(text) {
@@ -86,7 +89,7 @@
 				break
 			}
 			if quoted, err := strconv.QuotedPrefix(value); err == nil {
-				values[name], _ = strconv.Unquote(quoted) // it is valid: QuotedPrefix found it
+				values[name], _ = strconv.Unquote(quoted) // always valid: QuotedPrefix accepted it
 				rest = strings.TrimPrefix(value[len(quoted):], " ")
 				continue
 			}
--- a/cmd/saffronquay/campaign.go
+++ b/cmd/saffronquay/campaign.go
@@ -15,31 +15,31 @@
 // campaignFlags are the flags of the command campaign.
 type campaignFlags struct {
 	soak.Config
-	seeds  int // seeds that are played, one after the other
-	shrink int // runs at most to find a smaller script that still breaks something; 0: none
+	seeds  int // number of seeds, run one after the other
+	shrink int // maximum number of runs to find a smaller script that still fails; 0: no shrinking
 }
 
-// campaignCommand plays fleets of processes under load and faults for long.
+// campaignCommand runs fleets of processes under load and faults for a long time.
 func (c *cli) campaignCommand() *cobra.Command {
 	var flags campaignFlags
 	cmd := &cobra.Command{
-		Use: "campaign", Short: "Play a fleet of processes under load and faults for long, and judge its history", Args: cobra.NoArgs,
-		Long: "Starts gatherers that keep a view of their fleet, agree on the policy and divide the contracts, in front of stand-in servers on loopback, with\n" +
-			"faults by seed between them: kills, stops, cuts, loss, changes of policy, a rolling restart. Its history and a report as HTML are left in --dir.\n" +
-			"Ends with 1 where anything was broken; the last line of each seed is its verdict.",
+		Use: "campaign", Short: "Run a fleet of processes under load and faults for a long time, and check its history", Args: cobra.NoArgs,
+		Long: "Starts gatherers that maintain a view of their fleet, agree on the policy and divide the contracts, in front of stand-in servers on loopback, and\n" +
+			"injects seeded faults: kills, stops, partitions, message loss, changes of policy, a rolling restart. Writes the history and an HTML report to --dir.\n" +
+			"Exits with 1 if any invariant was violated; the last line of each seed is its verdict.",
 		Example: "  saffronquay campaign --processes 12 --length 10m --seeds 3 --dir /tmp/campaign",
 		RunE:    func(*cobra.Command, []string) error { return c.runCampaign(flags) },
 	}
 	f := cmd.Flags()
-	f.IntVar(&flags.Processes, "processes", 12, "how many gatherers")
-	f.IntVar(&flags.Voters, "voters", 5, "how many of them vote on the policy")
-	f.DurationVar(&flags.Length, "length", 10*time.Minute, "how long each seed is played")
-	f.IntVar(&flags.Faults, "faults", 60, "how many faults befall them, beside a rolling restart")
-	f.Uint64Var(&flags.Seed, "seed", 1, "the first seed")
-	f.IntVar(&flags.seeds, "seeds", 1, "how many seeds, one after the other")
-	f.StringVar(&flags.Second, "second", "", "another build of the program, which comes in with restarts")
-	f.StringVar(&flags.Dir, "dir", "campaign", "where history and report are left")
-	f.IntVar(&flags.shrink, "shrink", 0, "where something is broken, play parts of the script so many times to find a smaller one that still breaks it")
+	f.IntVar(&flags.Processes, "processes", 12, "number of gatherers")
+	f.IntVar(&flags.Voters, "voters", 5, "number of gatherers that vote on the policy")
+	f.DurationVar(&flags.Length, "length", 10*time.Minute, "duration of the run of each seed")
+	f.IntVar(&flags.Faults, "faults", 60, "number of faults, in addition to a rolling restart")
+	f.Uint64Var(&flags.Seed, "seed", 1, "first seed")
+	f.IntVar(&flags.seeds, "seeds", 1, "number of seeds, run one after the other")
+	f.StringVar(&flags.Second, "second", "", "path of another build of the program, which replaces this one at restarts")
+	f.StringVar(&flags.Dir, "dir", "campaign", "directory for history and report")
+	f.IntVar(&flags.shrink, "shrink", 0, "after a violation, maximum number of runs to find a smaller script that still fails")
 	return cmd
 }
 
@@ -48,12 +48,12 @@
 	votersOK := f.Voters >= 3 && f.Voters <= 7 && f.Voters <= f.Processes
 	lengthOK := f.Length >= 20*time.Second && f.Length <= 24*time.Hour
 	if !processesOK || !votersOK || !lengthOK || f.Faults < 0 || f.seeds < 1 || f.shrink < 0 {
-		return errors.New("want 3 to 40 processes, 3 to 7 of them voters, a length of 20 s to 24 h, and at least one seed")
+		return errors.New("campaign flags out of range: want --processes 3 to 40, --voters 3 to 7 and at most --processes, --length 20s to 24h, --faults and --shrink 0 or more, --seeds 1 or more")
 	}
 	return nil
 }
 
-// runCampaign plays all seeds. It ends with exitFailed where anything was broken in one of them.
+// runCampaign runs all seeds. It ends with exitFailed if any of them violated an invariant.
 func (c *cli) runCampaign(flags campaignFlags) error {
 	if err := flags.validate(); err != nil {
 		return err
@@ -66,7 +66,7 @@
 	cfg.Say = func(format string, args ...any) { fmt.Fprintf(c.errs, format+"\n", args...) }
 	broken := 0
 	for range flags.seeds {
-		n, err := c.playSeed(cfg, flags.shrink)
+		n, err := c.runSeed(cfg, flags.shrink)
 		if err != nil {
 			return err
 		}
@@ -79,8 +79,8 @@
 	return nil
 }
 
-// playSeed plays one seed, writes its report and prints what was broken. It returns how much that was.
-func (c *cli) playSeed(cfg soak.Config, shrink int) (broken int, err error) {
+// runSeed runs one seed, writes its report and prints the violations. It returns their number.
+func (c *cli) runSeed(cfg soak.Config, shrink int) (broken int, err error) {
 	result, err := soak.Run(cfg)
 	if err != nil {
 		return 0, failed(err)
@@ -103,8 +103,8 @@
 	return len(result.Broken), err
 }
 
-// shrinkScript returns a smaller script that still breaks something, found in at most runs further runs. It returns nil where nothing was broken, or
-// with no runs allowed.
+// shrinkScript returns a smaller script that still violates an invariant, found in at most runs
+// further runs. It returns nil if result has no violation or runs is 0.
 func shrinkScript(cfg soak.Config, result soak.Result, runs int) (faults.Script, error) {
 	if len(result.Broken) == 0 || runs <= 0 {
 		return nil, nil
--- a/cmd/saffronquay/check.go
+++ b/cmd/saffronquay/check.go
@@ -12,12 +12,12 @@
 	"github.com/spf13/cobra"
 )
 
-// checkCommand judges a file without using it.
+// checkCommand validates a configuration file.
 func (c *cli) checkCommand() *cobra.Command {
 	var schemaName string
 	cmd := &cobra.Command{
-		Use: "check [FILE]", Short: "Judge an operator's file, or the platform's with --node",
-		Long:    "check holds the file against its JSON Schema and against what needs meaning, and tells every fault with its path. --schema operator\nor routing prints the schema itself.",
+		Use: "check [FILE]", Short: "Validate an operator's file, or the platform's with --node",
+		Long:    "check validates the file against its JSON Schema and against the rules that a schema can't express, and prints every fault with its path.\n--schema operator or routing prints the schema itself.",
 		Example: "  saffronquay check deploy/layout.json\n  saffronquay check --schema operator > operator.schema.json", Args: cobra.MaximumNArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
 			if schemaName != "" {
@@ -26,7 +26,7 @@
 			return c.runCheck(args)
 		},
 	}
-	cmd.Flags().StringVar(&schemaName, "schema", "", "print a schema: operator or routing")
+	cmd.Flags().StringVar(&schemaName, "schema", "", "schema to print: operator or routing")
 	return cmd
 }
 
@@ -34,13 +34,14 @@
 	schemas := map[string][]byte{"operator": schema.Operator, "routing": schema.Routing}
 	text, ok := schemas[name]
 	if !ok {
-		return fmt.Errorf("--schema: want operator or routing, not %q", name)
+		return fmt.Errorf("--schema: unknown schema %q: want operator or routing", name)
 	}
 	_, err := c.out.Write(text)
 	return err
 }
 
-// runCheck prints the faults of the file in args, else of the platform's file, else of the operator's. It ends with exitFailed where there is one.
+// runCheck prints the faults of the file in args, else of the platform's file, else of the
+// operator's. It ends with exitFailed if there are any.
 func (c *cli) runCheck(args []string) error {
 	path, faults, err := c.checkFile(args)
 	if err != nil {
@@ -60,7 +61,8 @@
 	return err
 }
 
-// checkFile returns the path and the faults of the file that the command line names. The error is about a file that can't be read.
+// checkFile returns the path and the faults of the file that the command line names. It returns an
+// error only if the file cannot be read.
 func (c *cli) checkFile(args []string) (path string, faults []string, err error) {
 	if c.node != "" && len(args) == 0 {
 		_, err := c.readNodeConfig()
@@ -80,7 +82,8 @@
 	return path, operatorFaults(text), nil
 }
 
-// operatorFaults returns the faults of an operator's file: those that the program's own checks find, and those that only the schema finds.
+// operatorFaults returns the faults of an operator's file: those that the parser finds, and those
+// that only the schema finds.
 func operatorFaults(text []byte) []string {
 	_, err := config.ParseOperator(text)
 	faults := splitFaults(err)
@@ -93,7 +96,7 @@
 	return faults
 }
 
-// splitFaults returns the lines of a joined error, and nothing for nil.
+// splitFaults returns the lines of a joined error, or nil for a nil error.
 func splitFaults(err error) []string {
 	if err == nil {
 		return nil
--- a/cmd/saffronquay/cli_scale_place.go
+++ b/cmd/saffronquay/cli_scale_place.go
@@ -9,19 +9,19 @@
 	"github.com/spf13/cobra"
 )
 
-// scalePlace weighs where voters stand.
+// scalePlace returns the command that compares placements of the voters.
 func (c *cli) scalePlace() *cobra.Command {
 	detail := 0
 	cmd := &cobra.Command{
-		Use: "place", Short: "Weigh where the voters of a fleet in two regions stand", Args: cobra.NoArgs,
-		Long: "Goes, for each placing, through every single and double loss of a machine, a rack, a zone, a region and the link between the regions, and\n" +
-			"tells what stops, and for how many minutes of a year, as Markdown. The fleet is the one that is expected: 600 gatherers in two regions and\n" +
-			"six zones. --detail has each loss of one placing. Nothing is opened.",
+		Use: "place", Short: "Compare placements of the voters of a two-region fleet", Args: cobra.NoArgs,
+		Long: "Enumerates, for each placement, every single and double loss of a machine, a rack, a zone, a region and the link between the regions, and\n" +
+			"prints which functions stop, and for how many minutes a year, as Markdown. The fleet has the expected size: 600 gatherers in two regions and\n" +
+			"six zones. --detail lists each loss of one placement. It opens no sockets.",
 		Example: "  saffronquay scale place\n  saffronquay scale place --detail 6",
 		RunE: func(*cobra.Command, []string) error {
 			f, all := place.Coming(), place.Placings()
 			if detail < 0 || detail > len(all) {
-				return fmt.Errorf("--detail: want the number of a placing, 1 to %d, or 0 for the table", len(all))
+				return fmt.Errorf("--detail: no such placement: want 1 to %d, or 0 for the table", len(all))
 			}
 			if detail > 0 {
 				p := all[detail-1]
@@ -36,7 +36,7 @@
 			}
 			return c.print(sums, func(w io.Writer) {
 				place.Table(w, f, all)
-				fmt.Fprintf(w, "\nassumed of one of a kind, times a year and minutes each:")
+				fmt.Fprintf(w, "\nassumed outages of one unit, per year and minutes each:")
 				for k := place.Machine; k <= place.Gatherer; k++ {
 					fmt.Fprintf(w, " %s %.2f x %.1f;", k, f.Often[k].PerYear, f.Often[k].Minutes)
 				}
@@ -44,6 +44,6 @@
 			})
 		},
 	}
-	cmd.Flags().IntVar(&detail, "detail", 0, "each loss of the placing in that row, from 1 on; 0: the table")
+	cmd.Flags().IntVar(&detail, "detail", 0, "row of the placement whose losses are listed, from 1 on; 0: the table")
 	return cmd
 }
--- a/cmd/saffronquay/explain.go
+++ b/cmd/saffronquay/explain.go
@@ -15,7 +15,7 @@
 	sq "saffronquay"
 )
 
-// outcomesByName has the values of --failing.
+// outcomesByName maps the values of --failing to outcomes.
 var outcomesByName = map[string]sq.Outcome{
 	"unreachable": sq.Unreachable, "rejected": sq.Rejected, "errored": sq.Errored, "timedout": sq.TimedOut, "broken": sq.Broken,
 }
@@ -34,34 +34,35 @@
 func (c *cli) explainCommand() *cobra.Command {
 	var flags explainFlags
 	cmd := &cobra.Command{
-		Use: "explain", Short: "Tell what would become of one query, without sending it",
-		Long:    "explain plans one query and tells, for each part, who holds it, what the module would predict and pick, and what it would do next if\neach attempt failed. With --learned it begins with what a gatherer has kept in its store.",
+		Use: "explain", Short: "Show how one query would be routed, without sending it",
+		Long:    "explain plans one query and prints, for each part, its holders, the module's predictions and pick, and the next pick if each attempt\nfailed. With --learned it starts from the statistics that a gatherer has saved in its durable store.",
 		Example: "  saffronquay explain --file deploy/layout.json --index invoices --key 30500",
 		Args:    cobra.NoArgs,
 		RunE:    func(cmd *cobra.Command, _ []string) error { return c.runExplain(flags, cmd.Flags().Changed("key")) },
 	}
 	f := cmd.Flags()
-	f.StringVar(&flags.index, "index", "shards", "the index that is searched")
-	f.StringVar(&flags.failing, "failing", "unreachable", "how each attempt fails: unreachable, rejected, errored, timedout or broken")
-	f.Int64Var(&flags.key, "key", 0, "one key")
-	f.Int64Var(&flags.from, "from", 0, "the first key")
-	f.Int64Var(&flags.to, "to", 0, "the first key behind the last one")
-	f.StringVar(&flags.list, "roster", "", "a recorded list of servers in the place of the file's")
-	f.StringVar(&flags.learned, "learned", "", "directory of a durable store: begin with what was learnt")
+	f.StringVar(&flags.index, "index", "shards", "index to search")
+	f.StringVar(&flags.failing, "failing", "unreachable", "outcome of each attempt: unreachable, rejected, errored, timedout or broken")
+	f.Int64Var(&flags.key, "key", 0, "single key to search for")
+	f.Int64Var(&flags.from, "from", 0, "first key of the range")
+	f.Int64Var(&flags.to, "to", 0, "end of the range, exclusive")
+	f.StringVar(&flags.list, "roster", "", "path of a recorded list of servers, used instead of the file's")
+	f.StringVar(&flags.learned, "learned", "", "directory of a durable store whose saved statistics are used")
 	return cmd
 }
 
-// runExplain plans a query for one key where hasKey is set, else for the keys from flags.from to before flags.to.
+// runExplain plans a query for flags.key if hasKey is set, else for the keys in
+// [flags.from, flags.to).
 func (c *cli) runExplain(flags explainFlags, hasKey bool) error {
 	outcome, ok := outcomesByName[flags.failing]
 	if !ok {
-		return fmt.Errorf("--failing: want unreachable, rejected, errored, timedout or broken, not %q", flags.failing)
+		return fmt.Errorf("--failing: invalid outcome %q: want unreachable, rejected, errored, timedout or broken", flags.failing)
 	}
 	span := layout.Span{From: flags.from, To: flags.to}
 	if hasKey {
 		span = layout.Span{From: flags.key, To: flags.key + 1}
 	} else if span.Empty() {
-		return errors.New("which keys? Give --key, or --from and --to")
+		return errors.New("no keys given: set --key, or --from and --to")
 	}
 	roster, err := c.loadRoster("", flags.list)
 	if err != nil {
@@ -79,7 +80,8 @@
 	return c.print(parts, func(w io.Writer) { printParts(w, parts, flags.failing) })
 }
 
-// printParts prints where each part would be sent, attempt after attempt, if each failed as failing says.
+// printParts prints, for each part, the server of every attempt if each attempt ended with the
+// outcome named by failing.
 func printParts(w io.Writer, parts []routecheck.Part, failing string) {
 	for _, part := range parts {
 		fmt.Fprintf(w, "part: shard %d, keys %s, held by %v\n", part.Shard, part.Range, part.Holders)
@@ -103,7 +105,8 @@
 	}
 }
 
-// readLearned returns what a gatherer had learnt by the last record of its durable store. The store is only read.
+// readLearned returns the statistics in the last such record of a gatherer's durable store. It
+// opens the store read-only.
 func readLearned(dir string) (*sq.Learned, error) {
 	store, err := recordlog.OpenReadOnly([2]recordlog.Dir{recordlog.ExistingDirectory(dir), recordlog.ExistingDirectory(filepath.Join(dir, "copy"))})
 	if err != nil {
@@ -117,7 +120,7 @@
 		}
 	})
 	if last == nil {
-		return nil, fmt.Errorf("%s: nothing was learnt", dir)
+		return nil, fmt.Errorf("store %s: no record of learned statistics", dir)
 	}
 	return last, nil
 }
--- a/cmd/saffronquay/files.go
+++ b/cmd/saffronquay/files.go
@@ -11,10 +11,11 @@
 	"slices"
 )
 
-// readFile reads a file that may be written meanwhile. what says in an error which file the user has to name.
+// readFile reads a file that another process may be writing. what names, in the error for an empty
+// path, the file that the user has to specify.
 func (c *cli) readFile(path, what string) ([]byte, error) {
 	if path == "" {
-		return nil, fmt.Errorf("which file? Name %s", what)
+		return nil, fmt.Errorf("no file given: specify %s", what)
 	}
 	text, err := config.ReadStable(path, os.ReadFile)
 	if err != nil {
@@ -23,7 +24,8 @@
 	return text, nil
 }
 
-// readOperator reads and parses the operator's file of --file. what says in an error what the user has to name.
+// readOperator reads and parses the operator's file named by --file. what names, in the error for a
+// missing path, what the user has to specify.
 func (c *cli) readOperator(what string) (config.Operator, error) {
 	text, err := c.readFile(c.file, what)
 	if err != nil {
@@ -36,16 +38,17 @@
 	return operator, nil
 }
 
-// readRolloutOperator is readOperator for a file that has to set up a rollout: Rollout of the result is not nil.
+// readRolloutOperator is readOperator for a file that must configure a rollout: Rollout of the
+// result is not nil.
 func (c *cli) readRolloutOperator(what string) (config.Operator, error) {
 	operator, err := c.readOperator(what)
 	if err == nil && operator.Rollout == nil {
-		err = failed(errors.New("the file sets up no rollout"))
+		err = failed(errors.New("file: rollout: missing: no rollout is configured"))
 	}
 	return operator, err
 }
 
-// readNodeConfig reads the platform's file, with the variables of the environment that belong to it.
+// readNodeConfig reads the platform's file and the environment variables that complete it.
 func (c *cli) readNodeConfig() (config.Node, error) {
 	text, err := c.readFile(c.node, "the platform's file")
 	if err != nil {
@@ -57,8 +60,9 @@
 	return config.Load(func(name string) string { return environment[name] }, func(string) ([]byte, error) { return text, nil })
 }
 
-// loadRoster returns which servers hold which ranges: by the operator's file at path, else by the platform's file, else by that of --file. A
-// recorded list of servers at listPath, where it is not "", takes the place of the file's servers.
+// loadRoster returns which servers hold which ranges: from the operator's file at path if it is not
+// "", else from the platform's file, else from the file named by --file. If listPath is not "", the
+// recorded list of servers there replaces the file's servers.
 func (c *cli) loadRoster(path, listPath string) (routecheck.Roster, error) {
 	roster, err := c.loadFileRoster(path)
 	if err != nil || listPath == "" {
@@ -76,7 +80,7 @@
 	return roster, nil
 }
 
-// loadFileRoster is loadRoster without a recorded list.
+// loadFileRoster is loadRoster without a recorded list of servers.
 func (c *cli) loadFileRoster(path string) (routecheck.Roster, error) {
 	if path == "" && c.node != "" {
 		node, err := c.readNodeConfig()
@@ -103,7 +107,8 @@
 	return roster, nil
 }
 
-// nodeRoster returns the roster of a platform's file: one index, "shards", whose keys are its shards.
+// nodeRoster returns the roster of a platform's file: one index, "shards", whose keys are the shard
+// numbers.
 func nodeRoster(name string, node config.Node) routecheck.Roster {
 	settings := node.Settings.Module
 	shards := routecheck.Index{Class: settings.Classes[0].Name}
@@ -115,7 +120,8 @@
 	}
 }
 
-// operatorRoster returns the roster of an operator's file. Its name appears in errors and results.
+// operatorRoster returns the roster of an operator's file. name identifies it in errors and
+// results.
 func operatorRoster(name string, operator config.Operator) (routecheck.Roster, error) {
 	roster := routecheck.Roster{
 		Name: name, Settings: operator.Settings.Module, Seed: operator.Seed, Servers: operator.Servers, Indices: map[string]routecheck.Index{},
--- a/cmd/saffronquay/fleet.go
+++ b/cmd/saffronquay/fleet.go
@@ -11,17 +11,18 @@
 	"github.com/spf13/cobra"
 )
 
-// minWatchInterval bounds how often --watch calls the admin endpoint.
+// minWatchInterval is the least interval at which --watch may call the admin endpoint.
 const minWatchInterval = 100 * time.Millisecond
 
-// fleetCommand shows a gatherer's view of its fleet, and is the parent of the commands that change it.
+// fleetCommand returns the command that shows a gatherer's view of its fleet, with subcommands that
+// change it.
 func (c *cli) fleetCommand() *cobra.Command {
 	var watch bool
 	var every time.Duration
 	cmd := &cobra.Command{
-		Use: "fleet", Short: "Show a gatherer's view of its fleet: members, states, since when, who accuses whom", Args: cobra.NoArgs,
-		Long: "Shows how one gatherer sees its fleet. Views are settled where all live gatherers show the same digest.\n" +
-			"A member is alive, suspected, dead or left; the dead are reckoned with for a while (reckon_ms), so that no part of a split fleet uses everything.",
+		Use: "fleet", Short: "Show a gatherer's view of its fleet: members, states, time in each state, who suspects whom", Args: cobra.NoArgs,
+		Long: "Shows one gatherer's view of its fleet. The views have converged when all live gatherers show the same digest.\n" +
+			"A member is alive, suspected, dead or left. Dead members still count in dividing budgets for reckon_ms, so that no side of a partition uses all.",
 		Example: "  saffronquay fleet --door 127.0.0.1:9401\n  saffronquay fleet --watch --door 127.0.0.1:9401",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if !watch {
@@ -30,15 +31,15 @@
 			return c.watchFleet(cmd.Context(), every)
 		},
 	}
-	cmd.Flags().BoolVar(&watch, "watch", false, "again and again, until Ctrl-C")
-	cmd.Flags().DurationVar(&every, "every", time.Second, "how often with --watch")
+	cmd.Flags().BoolVar(&watch, "watch", false, "repeat until Ctrl-C")
+	cmd.Flags().DurationVar(&every, "every", time.Second, "interval of --watch")
 	cmd.AddCommand(c.fleetLeaveCommand(), c.fleetForgetCommand())
 	return cmd
 }
 
 func (c *cli) fleetLeaveCommand() *cobra.Command {
 	return &cobra.Command{
-		Use: "leave", Short: "Have a gatherer leave its fleet, until it is started again; it goes on serving", Args: cobra.NoArgs,
+		Use: "leave", Short: "Make a gatherer leave its fleet until it is restarted; it continues to serve", Args: cobra.NoArgs,
 		Example: "  saffronquay fleet leave --door 127.0.0.1:9401",
 		RunE:    func(cmd *cobra.Command, _ []string) error { return c.confirmAdmin(cmd.Context(), "fleet leave") },
 	}
@@ -46,7 +47,7 @@
 
 func (c *cli) fleetForgetCommand() *cobra.Command {
 	return &cobra.Command{
-		Use: "forget NAME", Short: "Have a dead member taken for one that has left: it is reckoned with no longer", Args: cobra.ExactArgs(1),
+		Use: "forget NAME", Short: "Mark a dead member as left, so that it no longer counts towards the division of budgets", Args: cobra.ExactArgs(1),
 		Example: "  saffronquay fleet forget cordoba-7 --door 127.0.0.1:9401",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			return c.confirmAdmin(cmd.Context(), "fleet forget "+args[0])
@@ -63,12 +64,13 @@
 	return c.print(view, view.print)
 }
 
-// watchFleet prints the view again and again until the program is interrupted or the admin endpoint fails.
+// watchFleet prints the view periodically until the program is interrupted or a call to the admin
+// endpoint fails.
 func (c *cli) watchFleet(ctx context.Context, every time.Duration) error {
 	if every < minWatchInterval {
-		return errors.New("--every: want 100ms or more")
+		return errors.New("--every: interval too short: want 100ms or more")
 	}
-	interrupt, stop := interrupted(ctx, 0) // an interrupt lets the call under way end
+	interrupt, stop := interrupted(ctx, 0) // an interrupt does not cancel the current call
 	defer stop()
 	tick := time.NewTicker(every)
 	defer tick.Stop()
@@ -84,13 +86,14 @@
 	}
 }
 
-// fleetView is a gatherer's view of its fleet, as the admin endpoint describes it.
+// fleetView is a gatherer's view of its fleet, as returned by the admin endpoint.
 type fleetView struct {
 	View    map[string]string   `json:"view"`
 	Members []map[string]string `json:"members"`
 }
 
-// parseFleetView parses the lines of the admin endpoint: a kind, then name=value pairs without spaces.
+// parseFleetView parses the lines of the admin endpoint: a kind, then name=value pairs without
+// spaces.
 func parseFleetView(text string) fleetView {
 	var view fleetView
 	for line := range strings.Lines(text) {
@@ -112,13 +115,13 @@
 
 // fleetWarnings are the texts for values of a view that need the operator's attention.
 var fleetWarnings = []struct{ key, value, text string }{
-	{"alone", "true", "nobody answers at the addresses of join: it goes on trying, and serves"},
-	{"twin", "true", "ANOTHER LIVE GATHERER BEARS THIS ONE'S NAME"},
-	{"member", "false", "that one started later: this one is no member"},
+	{"alone", "true", "WARNING: no member reached at any address in join; serving, and still trying to join"},
+	{"twin", "true", "WARNING: another live gatherer has the same name"},
+	{"member", "false", "WARNING: the gatherer with the same name started later: this one is no member"},
 }
 
 func (v fleetView) print(w io.Writer) {
-	fmt.Fprintf(w, "alive %s, reckoned with %s, budgets divided by %s; digest %s, unchanged for %s; doubt of itself %s\n", v.View["alive"], v.View["reckon"],
+	fmt.Fprintf(w, "alive %s, reckoned with %s, budgets divided by %s; digest %s, unchanged for %s; local health score %s\n", v.View["alive"], v.View["reckon"],
 		v.View["divide"], v.View["digest"], formatSince(v.View["changed_ms"]), v.View["ill"])
 	for _, warning := range fleetWarnings {
 		if v.View[warning.key] == warning.value {
@@ -132,7 +135,7 @@
 	}
 }
 
-// memberNotes returns what stands in the last column for a member.
+// memberNotes returns the entries of a member's notes column.
 func memberNotes(member map[string]string) []string {
 	var notes []string
 	for _, x := range []struct{ key, text string }{{"self", "this one"}, {"draining", "draining"}, {"standby", "standby"}} {
@@ -141,7 +144,7 @@
 		}
 	}
 	if member["by"] != "" {
-		notes = append(notes, "accused by "+member["by"])
+		notes = append(notes, "suspected by "+member["by"])
 	}
 	if member["policy"] != "0" {
 		notes = append(notes, "policy "+member["policy"])
@@ -149,7 +152,8 @@
 	return notes
 }
 
-// formatSince formats a number of milliseconds as a rounded duration, and as "?" what is no number.
+// formatSince formats a number of milliseconds as a rounded duration, or returns "?" if
+// milliseconds is not a number.
 func formatSince(milliseconds string) string {
 	d, err := time.ParseDuration(milliseconds + "ms")
 	if err != nil {
--- a/cmd/saffronquay/help_test.go
+++ b/cmd/saffronquay/help_test.go
@@ -11,7 +11,8 @@
 	"github.com/spf13/cobra"
 )
 
-// The help of each command is as in the golden file. SAFFRONQUAY_GOLDEN=write in the environment writes that file anew.
+// TestGoldenHelp compares the help of each command with the golden file. With
+// SAFFRONQUAY_GOLDEN=write in the environment it rewrites that file.
 func TestGoldenHelp(t *testing.T) {
 	is := is.New(t)
 	t.Setenv("SAFFRONQUAY_OPERATOR_FILE", "")
@@ -31,7 +32,7 @@
 	is.Equal(help.String(), string(want))
 }
 
-// writeHelp writes the help of a command and of all below it.
+// writeHelp writes the help of a command and of all its subcommands.
 func writeHelp(t *testing.T, command *cobra.Command, help *bytes.Buffer) {
 	t.Helper()
 	help.WriteString("==== " + command.CommandPath() + "\n")
--- a/cmd/saffronquay/layout.go
+++ b/cmd/saffronquay/layout.go
@@ -12,14 +12,14 @@
 	"github.com/spf13/cobra"
 )
 
-// layoutSteps are the steps that take an announced change forward, or give it up. Each is a command.
+// layoutSteps are the steps that advance or abort an announced change. Each is a subcommand.
 var layoutSteps = []string{"copy", "ready", "cutover", "retire", "abort"}
 
-// layoutCommand is the parent of the commands that show the layout of ranges and change it.
+// layoutCommand returns the parent of the commands that show and change the layout of ranges.
 func (c *cli) layoutCommand() *cobra.Command {
 	var directory string
-	parent := &cobra.Command{Use: "layout", Short: "Show the layout of ranges, and take its changes forward", Example: "  saffronquay layout show --door 127.0.0.1:9600"}
-	parent.PersistentFlags().StringVar(&directory, "directory", "", "host:port of the layout directory (default: what the file says)")
+	parent := &cobra.Command{Use: "layout", Short: "Show the layout of ranges, and announce and advance changes of it", Example: "  saffronquay layout show --door 127.0.0.1:9600"}
+	parent.PersistentFlags().StringVar(&directory, "directory", "", "host:port of the layout directory (default: from the file)")
 	parent.AddCommand(c.layoutShowCommand(), c.layoutAnnounceCommand(&directory))
 	for _, step := range layoutSteps {
 		parent.AddCommand(c.layoutStepCommand(&directory, step))
@@ -29,7 +29,7 @@
 
 func (c *cli) layoutShowCommand() *cobra.Command {
 	return &cobra.Command{
-		Use: "show", Short: "Show how the layout stands at a gatherer", Args: cobra.NoArgs, Example: "  saffronquay layout show --file deploy/layout.json",
+		Use: "show", Short: "Show the state of the layout at a gatherer", Args: cobra.NoArgs, Example: "  saffronquay layout show --file deploy/layout.json",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			text, err := c.callAdmin(cmd.Context(), "layout")
 			if err != nil {
@@ -40,10 +40,11 @@
 	}
 }
 
-// layoutAnnounceCommand announces a change to the directory. The address is read when the command runs: a flag sets it.
+// layoutAnnounceCommand returns the command that announces a change to the directory. It takes a
+// pointer because a flag sets the address after this call.
 func (c *cli) layoutAnnounceCommand(directory *string) *cobra.Command {
 	return &cobra.Command{
-		Use: "announce FILE", Short: "Announce a change, from a file or - for standard input", Args: cobra.ExactArgs(1),
+		Use: "announce FILE", Short: "Announce a change, read from a file or from standard input (-)", Args: cobra.ExactArgs(1),
 		Example: "  saffronquay layout announce split.json --directory 127.0.0.1:9700",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			body, err := c.readChange(args[0])
@@ -55,17 +56,18 @@
 	}
 }
 
-// layoutStepCommand takes an announced change to a step. The address is read when the command runs: a flag sets it.
+// layoutStepCommand returns the command that advances an announced change to a step. It takes a
+// pointer because a flag sets the address after this call.
 func (c *cli) layoutStepCommand(directory *string, step string) *cobra.Command {
 	return &cobra.Command{
-		Use: step + " CHANGE", Short: "Take a change to " + step, Args: cobra.ExactArgs(1), Example: "  saffronquay layout " + step + " hot --directory 127.0.0.1:9700",
+		Use: step + " CHANGE", Short: "Advance an announced change to step " + step, Args: cobra.ExactArgs(1), Example: "  saffronquay layout " + step + " hot --directory 127.0.0.1:9700",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			return c.sendToDirectory(cmd.Context(), *directory, fmt.Appendf(nil, `{"change":%q,"do":%q}`, args[0], step))
 		},
 	}
 }
 
-// readChange reads a change of the layout from a file, or from standard input for "-".
+// readChange reads a layout change from the file at path, or from standard input if path is "-".
 func (c *cli) readChange(path string) ([]byte, error) {
 	if path == "-" {
 		return io.ReadAll(io.LimitReader(c.in, maxReplyBytes))
@@ -73,8 +75,9 @@
 	return c.readFile(path, "the change")
 }
 
-// sendToDirectory sends a change or a step to the layout directory and prints its answer. Without an address it takes the one of the operator's
-// file. A status of 300 or above ends the command with exitFailed.
+// sendToDirectory sends a change or a step to the layout directory and prints the response. If
+// address is "", it uses the one in the operator's file. A status of 300 or above ends the command
+// with exitFailed.
 func (c *cli) sendToDirectory(ctx context.Context, address string, body []byte) error {
 	if address == "" {
 		var err error
@@ -97,7 +100,7 @@
 		return unreachable(err)
 	}
 	if response.StatusCode >= http.StatusMultipleChoices {
-		return failed(fmt.Errorf("the directory turns it down: %s", strings.TrimSpace(string(text))))
+		return failed(fmt.Errorf("layout directory rejected the request: %s", strings.TrimSpace(string(text))))
 	}
 	_, err = c.out.Write(text)
 	return err
@@ -110,7 +113,7 @@
 		return "", err
 	}
 	if operator.Layout == nil || operator.Layout.Directory == "" {
-		return "", failed(errors.New("the file names no layout directory"))
+		return "", failed(errors.New("file: layout.directory: missing: no layout directory is configured"))
 	}
 	return operator.Layout.Directory, nil
 }
--- a/cmd/saffronquay/main.go
+++ b/cmd/saffronquay/main.go
@@ -1,11 +1,13 @@
-// Command saffronquay is the query broker, and the tool of its operators. Without a command, or with serve, it is one gatherer: it takes queries
-// from clients, has their parts served by servers as the decision module says, and gives each query its one final answer.
+// Command saffronquay is the query broker and its operators' command-line tool. Without a command,
+// or with serve, it runs one gatherer: it accepts queries from clients, sends their parts to the
+// servers that the decision module selects, and returns exactly one final answer for each query.
 //
-// Each command has a function that defines it and one that runs it, in a file that is named for the command. This package reads files and flags,
-// calls packages that do the work, and prints results. It must not decide about queries itself.
+// Each command has one function that defines it and one that runs it, in a file named after the
+// command. This package reads files and flags, calls the packages that do the work, and prints
+// results. It must not make decisions about queries itself.
 //
-// A command runs in one goroutine unless its comment says otherwise. It reports failures as an exitError, whose exit codes scripts rely on; any other
-// error counts as wrong use.
+// A command runs in one goroutine unless its comment says otherwise. It reports failures as an
+// exitError, whose exit codes are an interface for scripts; any other error is a usage error.
 package main
 
 import "os"
--- a/cmd/saffronquay/model_fleet.go
+++ b/cmd/saffronquay/model_fleet.go
@@ -18,34 +18,35 @@
 // modelFleetFlags are the flags of the command model fleet.
 type modelFleetFlags struct {
 	views.Config
-	cut, stop time.Duration // how long two halves are partitioned, and one member is stopped; 0: not at all
-	kill      int           // members that are killed
+	cut, stop time.Duration // how long the fleet is partitioned, and how long one member is stopped; 0: not at all
+	kill      int           // number of members killed
 	file      string        // path of a script of faults, or ""
-	plot      string        // path of a drawing, or ""
+	plot      string        // path of the plot, or ""
 }
 
-// modelFleetCommand plays the views of a fleet in virtual time.
+// modelFleetCommand returns the command that simulates the membership views of a fleet in virtual
+// time.
 func (c *cli) modelFleetCommand() *cobra.Command {
 	flags := modelFleetFlags{Config: views.Config{SeedMembers: 3, StartWithin: time.Second}}
 	cmd := &cobra.Command{
-		Use: "fleet", Short: "Play the views of a fleet in virtual time, under faults", Args: cobra.NoArgs,
-		Long: "Plays the core that keeps a gatherer's view of its fleet, many times over, in virtual time: how many views are right, how many members\n" +
-			"they reckon with. All are started within a second; --kill, --cut and --stop do their work at second 5; --script FILE has any faults\n" +
-			"(internal/testing/faults has the form, which the harness of the tests reads as well). Ends with 1 where views are not one again.",
+		Use: "fleet", Short: "Simulate the membership views of a fleet in virtual time, under faults", Args: cobra.NoArgs,
+		Long: "Simulates the membership protocol of many gatherers in virtual time, and prints how many views are correct and how many members they count.\n" +
+			"All gatherers start within a second; --kill, --cut and --stop take effect at second 5; --script FILE adds any faults, in the form of\n" +
+			"internal/testing/faults. Exits with 1 if the views have not converged at the end.",
 		Example: "  saffronquay model fleet --members 300 --loss 0.1 --cut 12s --plot split.svg",
 		RunE:    func(*cobra.Command, []string) error { return c.runModelFleet(flags) },
 	}
 	f := cmd.Flags()
-	f.IntVar(&flags.Members, "members", 300, "how many members")
-	f.Float64Var(&flags.Loss, "loss", 0, "share of datagrams that are lost")
-	f.DurationVar(&flags.Delay, "delay", 500*time.Microsecond, "of a datagram one way, and as much again by chance")
-	f.DurationVar(&flags.cut, "cut", 0, "two halves are cut from each other for so long")
-	f.IntVar(&flags.kill, "kill", 0, "so many are killed at once")
-	f.DurationVar(&flags.stop, "stop", 0, "one is stopped for so long, and goes on")
-	f.StringVar(&flags.file, "script", "", "a file of faults")
-	f.Uint64Var(&flags.Seed, "seed", 1, "the same seed gives the same run")
-	f.DurationVar(&flags.Duration, "length", 40*time.Second, "how long, in virtual time")
-	f.StringVar(&flags.plot, "plot", "", "a file for a drawing: .svg or .png")
+	f.IntVar(&flags.Members, "members", 300, "number of members")
+	f.Float64Var(&flags.Loss, "loss", 0, "fraction of datagrams that are lost")
+	f.DurationVar(&flags.Delay, "delay", 500*time.Microsecond, "minimum one-way delay of a datagram; the maximum is twice that")
+	f.DurationVar(&flags.cut, "cut", 0, "how long two halves of the fleet are partitioned")
+	f.IntVar(&flags.kill, "kill", 0, "number of members killed at the same time")
+	f.DurationVar(&flags.stop, "stop", 0, "how long one member is stopped before it resumes")
+	f.StringVar(&flags.file, "script", "", "path of a file of faults")
+	f.Uint64Var(&flags.Seed, "seed", 1, "seed of the run, which is deterministic")
+	f.DurationVar(&flags.Duration, "length", 40*time.Second, "length of the run, in virtual time")
+	f.StringVar(&flags.plot, "plot", "", "path of a plot to write: .svg or .png")
 	return cmd
 }
 
@@ -55,12 +56,12 @@
 	badKill := f.kill < 0 || f.kill >= f.Members
 	badTimes := f.cut < 0 || f.stop < 0 || f.Delay < 0 || f.Duration <= 0
 	if badMembers || badLoss || badKill || badTimes {
-		return errors.New("want 2 to 1000 members, a loss of 0 to under 1, fewer killed than there are, and times of nought or more")
+		return errors.New("model fleet flags out of range: want --members 2 to 1000, --loss 0 to under 1, --kill 0 to under --members, --length above 0, and --delay, --cut and --stop 0 or more")
 	}
 	return nil
 }
 
-// faultScript returns the faults that the flags ask for, in the form that package faults parses.
+// faultScript returns the faults that the flags specify, in the text form of package faults.
 func (f modelFleetFlags) faultScript() (string, error) {
 	n, text := f.Members, ""
 	if f.kill > 0 {
@@ -79,7 +80,8 @@
 	return text + string(more), err
 }
 
-// runModelFleet ends with exitFailed where the views of the members differ at the end.
+// runModelFleet runs the simulation and prints its result. It ends with exitFailed if the views of
+// the members differ at the end.
 func (c *cli) runModelFleet(flags modelFleetFlags) error {
 	if err := flags.validate(); err != nil {
 		return err
@@ -107,14 +109,14 @@
 		return err
 	}
 	if result.SettledAt < 0 {
-		return failed(errors.New("views are not one at the end"))
+		return failed(errors.New("simulation: the views of the live members have not converged at the end"))
 	}
 	return nil
 }
 
-// viewsSummary is the result of a run as JSON.
+// viewsSummary is the JSON result of a run.
 type viewsSummary struct {
-	ConvergedAfterS float64 `json:"settled_after_s"` // from the end of the last fault; -1: not
+	ConvergedAfterS float64 `json:"settled_after_s"` // from the end of the last fault; -1 if never
 	DetectP50Ms     int64   `json:"detect_p50_ms"`
 	DetectP99Ms     int64   `json:"detect_p99_ms"`
 	FalseDead       int     `json:"false_dead"`
--- a/cmd/saffronquay/model_policy.go
+++ b/cmd/saffronquay/model_policy.go
@@ -15,30 +15,30 @@
 
 // Intervals of a simulated run of policy changes, in microseconds.
 const (
-	simulatedStart           = 1_000_000 // when the first change may be proposed
+	simulatedStart           = 1_000_000 // time of the earliest proposal
 	simulatedProposeInterval = 1_000_000
 	simulatedQueryInterval   = 20_000
 )
 
-// modelPolicyCommand plays changes of the policy in virtual time.
+// modelPolicyCommand returns the command that simulates policy changes in virtual time.
 func (c *cli) modelPolicyCommand() *cobra.Command {
 	var cfg changes.Config
 	var length time.Duration
 	cmd := &cobra.Command{
-		Use: "policy", Short: "Play changes of policy in virtual time, under faults by seed", Args: cobra.NoArgs,
-		Long: "Plays the core that agrees on versions of the policy, with disks, clocks and faults, and judges every query that is let in. Faults are over\n" +
-			"at six tenths of the length. Ends with 1 where two versions were mixed, or anything was lost, resurrected or stuck.",
+		Use: "policy", Short: "Simulate changes of policy in virtual time, under seeded faults", Args: cobra.NoArgs,
+		Long: "Simulates the agreement on versions of the policy, with disks, clocks and faults, and checks every admitted query. Faults end at 60 % of the\n" +
+			"length. Exits with 1 if two versions were served at once, or if a change was lost, resurrected or stuck.",
 		Example: "  saffronquay model policy --voters 5 --others 20 --faults 10 --seed 7",
 		RunE:    func(*cobra.Command, []string) error { return c.runModelPolicy(cfg, length) },
 	}
 	f := cmd.Flags()
-	f.IntVar(&cfg.Voters, "voters", 5, "how many vote")
-	f.IntVar(&cfg.Others, "others", 20, "how many others there are")
-	f.IntVar(&cfg.Faults, "faults", 10, "how many faults befall them: kills, stops, cuts, full disks, late words")
-	f.IntVar(&cfg.Down, "down", 0, "so many of the last are down from the first second on")
-	f.Float64Var(&cfg.Loss, "loss", 0, "share of messages that are lost")
-	f.Uint64Var(&cfg.Seed, "seed", 1, "the same seed gives the same run")
-	f.DurationVar(&length, "length", 20*time.Second, "how long, in virtual time")
+	f.IntVar(&cfg.Voters, "voters", 5, "number of voters")
+	f.IntVar(&cfg.Others, "others", 20, "number of gatherers that don't vote")
+	f.IntVar(&cfg.Faults, "faults", 10, "number of faults: kills, stops, partitions, full disks, delayed messages")
+	f.IntVar(&cfg.Down, "down", 0, "number of gatherers, counted from the last, that are down from second 1 on")
+	f.Float64Var(&cfg.Loss, "loss", 0, "fraction of messages that are lost")
+	f.Uint64Var(&cfg.Seed, "seed", 1, "seed of the run, which is deterministic")
+	f.DurationVar(&length, "length", 20*time.Second, "length of the run, in virtual time")
 	return cmd
 }
 
@@ -49,12 +49,13 @@
 	badLoss := cfg.Loss < 0 || cfg.Loss >= 1
 	badLength := length < 5*time.Second || length > time.Hour
 	if badMembers || badDown || badLoss || badLength || cfg.Faults < 0 {
-		return errors.New("want 1 to 7 voters, up to 1000 gatherers, fewer down than there are, a loss of 0 to under 1, and a length of 5 s to 1 h")
+		return errors.New("model policy flags out of range: want 1 to 7 voters, up to 1000 gatherers, --down 0 to under their number, --loss 0 to under 1, --length 5s to 1h, and --others and --faults 0 or more")
 	}
 	return nil
 }
 
-// runModelPolicy ends with exitFailed where a run without members that are down breaks a guarantee.
+// runModelPolicy runs the simulation and prints its result. It ends with exitFailed if a run
+// without members that are down violates a guarantee.
 func (c *cli) runModelPolicy(cfg changes.Config, length time.Duration) error {
 	if err := validateModelPolicy(cfg, length); err != nil {
 		return err
@@ -90,7 +91,7 @@
 	})
 }
 
-// quantile returns the value at rank q, from 0 to 1, of the sorted values; 0 where there are none.
+// quantile returns the value at rank q, from 0 to 1, of the sorted values, or 0 if there are none.
 func quantile(values []int64, q float64) int64 {
 	if len(values) == 0 {
 		return 0
--- a/cmd/saffronquay/output.go
+++ b/cmd/saffronquay/output.go
@@ -12,13 +12,14 @@
 )
 
 const (
-	// minWidth is the least width that lines are broken to.
+	// minWidth is the least width that lines are wrapped to.
 	minWidth = 20
-	// continuationIndent goes before the rest of a broken line.
+	// continuationIndent precedes each continuation of a wrapped line.
 	continuationIndent = "    "
 )
 
-// print writes the result of a command: with -o json v, else text in lines no wider than the terminal.
+// print writes the result of a command: v as JSON with -o json, else the output of text, wrapped to
+// the width of the terminal.
 func (c *cli) print(v any, text func(io.Writer)) error {
 	if c.output == "json" {
 		b, err := json.MarshalIndent(v, "", "  ")
@@ -34,12 +35,13 @@
 	return err
 }
 
-// plainText returns a text form for print that is the text itself.
+// plainText returns a function for print that writes text unchanged.
 func plainText(text string) func(io.Writer) {
 	return func(w io.Writer) { fmt.Fprint(w, text) }
 }
 
-// width returns how wide a line may be: as the terminal, or as COLUMNS says where the output is none. 0 means that there is no bound.
+// width returns the maximum width of a line: that of the terminal, or the value of COLUMNS if the
+// output is not a terminal. 0 means unlimited.
 func (c *cli) width() int {
 	f, ok := c.out.(*os.File)
 	if !ok || !term.IsTerminal(int(f.Fd())) {
@@ -56,7 +58,8 @@
 	return max(n, minWidth)
 }
 
-// wrap breaks lines that are wider than width, at spaces where there are any, and indents their rest. It breaks none with a width of 0.
+// wrap breaks lines that are wider than width, at spaces where possible, and indents the
+// continuations. With a width of 0 it returns text unchanged.
 func wrap(text string, width int) string {
 	if width <= 0 {
 		return text
@@ -79,7 +82,8 @@
 	return out.String()
 }
 
-// progress replaces the last line of a terminal, to show that something takes long. It writes nothing where the error output is no terminal.
+// progress replaces the last line of the terminal with the state of a long operation. It writes
+// nothing if the error output is not a terminal.
 func (c *cli) progress(format string, args ...any) {
 	if f, ok := c.errs.(*os.File); ok && term.IsTerminal(int(f.Fd())) {
 		fmt.Fprintf(f, "\r\x1b[K"+format, args...)
--- a/cmd/saffronquay/policy.go
+++ b/cmd/saffronquay/policy.go
@@ -11,13 +11,13 @@
 	"github.com/spf13/cobra"
 )
 
-// policyCommand is the parent of the commands that show the versions of the policy and change them.
+// policyCommand returns the parent of the commands that show and change the version of the policy.
 func (c *cli) policyCommand() *cobra.Command {
 	parent := &cobra.Command{
-		Use: "policy", Short: "Show the policy's versions, and change them everywhere or nowhere",
-		Long: "A policy (the keys settings, tenants and contracts of the operator's file) takes hold at all gatherers or at none; with regions, while one is\n" +
-			"cut off, in the others. Exit codes of propose, adopt and revert: 0 in force, with regions in all of them, 1 refused, 3 in doubt: the outcome is\n" +
-			"not known yet, and 'policy status' tells it, 4 in force, but in some regions only.",
+		Use: "policy", Short: "Show the versions of the policy, and change them atomically across the fleet",
+		Long: "A policy (the keys settings, tenants and contracts of the operator's file) takes effect at all gatherers or at none; with regions, while one is\n" +
+			"partitioned, in the others. Exit codes of propose, adopt and revert: 0 in force, with regions in all of them, 1 rejected, 3 in doubt: the outcome\n" +
+			"is not known yet, see 'policy status', 4 in force, but in some regions only.",
 		Example: "  saffronquay policy status --door 127.0.0.1:9401\n  saffronquay policy propose new.json --door 127.0.0.1:9401 --file deploy/rollout.json",
 	}
 	parent.AddCommand(
@@ -30,7 +30,7 @@
 
 func (c *cli) policyStatusCommand() *cobra.Command {
 	return &cobra.Command{
-		Use: "status", Short: "Show the version in force, what was decided and, at the leader, how each gatherer stands", Args: cobra.NoArgs,
+		Use: "status", Short: "Show the version in force, recent decisions and, at the leader, the state of each gatherer", Args: cobra.NoArgs,
 		Example: "  saffronquay policy status --door 127.0.0.1:9401",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			text, err := c.callAdmin(cmd.Context(), "policy")
@@ -44,7 +44,7 @@
 
 func (c *cli) policyShowCommand() *cobra.Command {
 	return &cobra.Command{
-		Use: "show", Short: "Print the document in force", Args: cobra.NoArgs, Example: "  saffronquay policy show --door 127.0.0.1:9401",
+		Use: "show", Short: "Print the policy in force", Args: cobra.NoArgs, Example: "  saffronquay policy show --door 127.0.0.1:9401",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			text, err := c.callAdmin(cmd.Context(), "policy text")
 			if err != nil {
@@ -58,7 +58,7 @@
 
 func (c *cli) policyHistoryCommand() *cobra.Command {
 	return &cobra.Command{
-		Use: "history", Short: "Show what was decided lately, from a voter's door", Args: cobra.NoArgs,
+		Use: "history", Short: "Show recent decisions, read from a voter's admin endpoint", Args: cobra.NoArgs,
 		Example: "  saffronquay policy history --door 127.0.0.1:9401",
 		RunE:    func(cmd *cobra.Command, _ []string) error { return c.runPolicyHistory(cmd.Context()) },
 	}
@@ -82,7 +82,8 @@
 	})
 }
 
-// printDecision writes one decision as a line. A decision without a "what" is about a version of the policy, others about voters or the roster.
+// printDecision writes one decision as a line. A decision without the key "what" is about a version
+// of the policy, any other about the voters or the roster.
 func printDecision(w io.Writer, decision map[string]string) {
 	result := "in force"
 	if decision["in_force"] != "true" {
@@ -97,7 +98,7 @@
 	fmt.Fprintf(w, "%s by %s: %s\n", what, decision["by"], result)
 }
 
-// previousPolicy returns the document before the one in force. Only a voter keeps it.
+// previousPolicy returns the policy that preceded the one in force. Only voters keep it.
 func (c *cli) previousPolicy(ctx context.Context) ([]byte, error) {
 	text, err := c.callAdmin(ctx, "policy previous")
 	if err != nil {
@@ -105,12 +106,13 @@
 	}
 	text = strings.TrimSpace(text)
 	if text == "" {
-		return nil, failed(errors.New("there is no version before it, or this gatherer does not vote: ask a voter's door"))
+		return nil, failed(errors.New("no previous version: none was in force, or this gatherer is not a voter; set --door to a voter's admin endpoint"))
 	}
 	return []byte(text), nil
 }
 
-// versionInForce returns the number of the version in force at the gatherer, or unknownVersion where its answer names none.
+// versionInForce returns the number of the version in force at the gatherer, or unknownVersion if
+// its response names none.
 func (c *cli) versionInForce(ctx context.Context) (int64, error) {
 	text, err := c.callAdmin(ctx, "policy")
 	if err != nil {
--- a/cmd/saffronquay/policy_diff.go
+++ b/cmd/saffronquay/policy_diff.go
@@ -15,13 +15,14 @@
 
 func (c *cli) policyDiffCommand() *cobra.Command {
 	return &cobra.Command{
-		Use: "diff FILE", Short: "Show where a policy differs from the one in force; 1 where it does", Args: cobra.ExactArgs(1),
+		Use: "diff FILE", Short: "Show the differences between a policy and the one in force; exits with 1 if there are any", Args: cobra.ExactArgs(1),
 		Example: "  saffronquay policy diff new.json --door 127.0.0.1:9401",
 		RunE:    func(cmd *cobra.Command, args []string) error { return c.runPolicyDiff(cmd.Context(), args[0]) },
 	}
 }
 
-// runPolicyDiff compares the file at path with the policy in force. It ends with exitFailed where they differ.
+// runPolicyDiff compares the file at path with the policy in force. It ends with exitFailed if they
+// differ.
 func (c *cli) runPolicyDiff(ctx context.Context, path string) error {
 	file, err := c.readFile(path, "the policy")
 	if err != nil {
@@ -33,11 +34,11 @@
 	}
 	var proposed, inForce any
 	if err := json.Unmarshal(file, &proposed); err != nil {
-		return failed(fmt.Errorf("%s: %w", path, err))
+		return failed(fmt.Errorf("decode policy %s: %w", path, err))
 	}
 	if text = strings.TrimSpace(text); text != "" {
 		if err := json.Unmarshal([]byte(text), &inForce); err != nil {
-			return failed(fmt.Errorf("the one in force: %w", err))
+			return failed(fmt.Errorf("decode policy in force: %w", err))
 		}
 	}
 	lines := diffValues(nil, "", inForce, proposed)
@@ -52,8 +53,9 @@
 	return &exitError{code: exitFailed}
 }
 
-// diffValues appends to lines one line for each key in which two JSON values differ, with both values. Arrays of different lengths differ as a
-// whole. path is the key of the values themselves, "" for a document.
+// diffValues appends to lines one line with both values for each key in which two JSON values
+// differ. Arrays of different lengths are not compared element by element. path is the key of the
+// values themselves, or "" for a document.
 func diffValues(lines []string, path string, a, b any) []string {
 	if x, ok := a.(map[string]any); ok {
 		if y, ok := b.(map[string]any); ok {
@@ -79,7 +81,7 @@
 	return append(lines, fmt.Sprintf("%s: %s, and %s", path, formatValue(a), formatValue(b)))
 }
 
-// formatValue returns a value as JSON, and "nothing" for null or a missing one.
+// formatValue returns a value as JSON, or "nothing" if it is null or missing.
 func formatValue(value any) string {
 	text, err := json.Marshal(value)
 	if err != nil || value == nil {
--- a/cmd/saffronquay/policy_propose.go
+++ b/cmd/saffronquay/policy_propose.go
@@ -18,35 +18,36 @@
 
 // The values of wire.Answer.End.
 const (
-	answerPending = 0 // the leader has the proposal, and it is not decided yet
-	answerMade    = 1 // it is in force
-	answerRefused = 2 // it never comes into force, for the answer's reason
-	answerUnknown = 3 // the voter does not lead, or does not know the outcome
+	answerPending = 0 // the leader has accepted the proposal, which is not decided yet
+	answerMade    = 1 // the change is in force
+	answerRefused = 2 // the change will never be in force, for the reason in the answer
+	answerUnknown = 3 // the voter is not the leader, or does not know the outcome
 )
 
 const (
-	// proposeInterval is the pause between two attempts to learn the outcome of a proposal.
+	// proposeInterval is the polling interval for the outcome of a proposal.
 	proposeInterval = 50 * time.Millisecond
-	// partialStableTime is how long a version has to be reported as in force in some regions only before that counts as the outcome.
+	// partialStableTime is how long a version has to be reported as in force in some regions only
+	// before that counts as the outcome.
 	partialStableTime = time.Second
 )
 
-// submission is one proposal on its way. It belongs to one goroutine.
+// submission is the state of one proposal in flight. It is not safe for concurrent use.
 type submission struct {
 	cli      *cli
 	proposal proposal
-	request  *wire.Propose // the same, with one nonce, in every attempt: voters accept it once
-	next     int           // counts the voters that were passed over; the next attempt goes to the voter of that number, counted round
-	sent     bool          // a voter has the proposal, or may have it
-	lastErr  error         // of the last attempt that got no answer
+	request  *wire.Propose // the same in every attempt: voters use its nonce to accept it only once
+	next     int           // number of failovers so far; modulo the number of voters, the index of the next voter to call
+	sent     bool          // a voter has received the proposal, or may have
+	lastErr  error         // error of the last attempt without an answer
 
-	partial      *wire.Answer // the latest answer by which the version is not in force in all regions
-	partialSince time.Time    // when the first such answer came
+	partial      *wire.Answer // latest answer that reports the version as in force in some regions only
+	partialSince time.Time    // time of the first such answer
 }
 
-// propose sends a proposal to one voter after the other until the leader accepts it, and waits for the decision.
-// text is the policy; nil where the proposal is not a version. After p.wait without a decision the outcome is in doubt, and the command
-// ends with exitUnreachable.
+// propose sends a proposal to the voters in turn until the leader accepts it, and waits for the
+// decision. text is the policy, or nil if the proposal is not a version. Without a decision after
+// p.wait the outcome is in doubt, and the command ends with exitUnreachable.
 func (c *cli) propose(ctx context.Context, p proposal, text []byte) error {
 	voters, err := c.findVoters(p)
 	if err != nil {
@@ -61,7 +62,7 @@
 	for began := time.Now(); time.Since(began) < p.wait; time.Sleep(proposeInterval) {
 		answer, err := peering.CallPolicyNode(voters[s.next%len(voters)], s.request, c.timeout)
 		if err != nil {
-			s.passOver(err)
+			s.failOver(err)
 			continue
 		}
 		if ended, err := s.handle(answer); ended {
@@ -71,10 +72,11 @@
 	return s.timedOut()
 }
 
-// newProposeRequest returns the request for a proposal, in the name of the system's user where it is known.
+// newProposeRequest returns the request for a proposal, on behalf of the current system user if
+// known.
 func newProposeRequest(p proposal, text []byte) *wire.Propose {
 	var random [8]byte
-	rand.Read(random[:])                            // it never fails
+	rand.Read(random[:])                            // never returns an error
 	nonce := binary.BigEndian.Uint64(random[:]) | 1 // never zero
 	request := &wire.Propose{Nonce: nonce, Base: uint64(p.base), Text: text, By: "operator", Dry: p.dry, Abort: p.abort, Keep: p.keep}
 	if p.change != nil {
@@ -86,14 +88,14 @@
 	return request
 }
 
-// passOver records that a voter gave no answer. The next attempt goes to the next one.
-func (s *submission) passOver(err error) {
+// failOver records that a voter gave no answer, and makes the next attempt go to the next voter.
+func (s *submission) failOver(err error) {
 	s.lastErr = err
 	s.sent = true // the voter may have received it
 	s.next++
 }
 
-// handle takes an answer in. It reports whether the command ends with that, and how.
+// handle processes an answer. It reports whether the command ends with it, and the command's error.
 func (s *submission) handle(answer *wire.Answer) (ended bool, err error) {
 	switch answer.End {
 	case answerPending:
@@ -109,11 +111,12 @@
 	}
 }
 
-// made reports a change that is in force. A version that is not in force in all regions ends the command only after partialStableTime:
-// a leader that was elected just now has not heard of all regions yet.
+// made reports a change that is in force. A version that is in force in some regions only ends the
+// command only after partialStableTime, because a newly elected leader has not heard from all
+// regions yet.
 func (s *submission) made(answer *wire.Answer) (ended bool, err error) {
 	if s.proposal.abort {
-		return true, s.cli.print(map[string]any{"ok": true}, plainText("given up\n"))
+		return true, s.cli.print(map[string]any{"ok": true}, plainText("aborted\n"))
 	}
 	if done := s.proposal.done; done != "" {
 		return true, s.cli.print(map[string]any{"ok": true, "what": done}, plainText(done+"\n"))
@@ -130,7 +133,8 @@
 	return true, s.cli.reportInForce(answer)
 }
 
-// refused reports a proposal that never comes into force. A dry run ends that way also where everybody accepts the version.
+// refused reports a proposal that will never be in force. A dry run ends this way even if all
+// gatherers accept the version.
 func (s *submission) refused(answer *wire.Answer) error {
 	if opinion, dry := strings.CutPrefix(answer.Reason, "dry: "); dry && s.proposal.dry {
 		return s.cli.print(map[string]any{"good": true}, plainText("good: "+opinion+"\n"))
@@ -138,22 +142,22 @@
 	return failed(fmt.Errorf("refused: %s", answer.Reason))
 }
 
-// timedOut reports a proposal whose outcome is not known when the wait is over.
+// timedOut reports a proposal whose outcome is unknown after the maximum wait.
 func (s *submission) timedOut() error {
 	switch {
 	case s.partial != nil:
 		return s.cli.reportInForce(s.partial)
 	case !s.sent:
-		return unreachable(errors.New("no voter leads: nothing was proposed"))
+		return unreachable(errors.New("no leader among the voters: nothing was proposed"))
 	case s.lastErr != nil:
-		return unreachable(fmt.Errorf("in doubt: %w; 'policy status' tells what became of it", s.lastErr))
+		return unreachable(fmt.Errorf("outcome of the proposal in doubt: %w; see 'policy status'", s.lastErr))
 	default:
-		return unreachable(errors.New("in doubt: it is not decided yet; 'policy status' tells what becomes of it"))
+		return unreachable(errors.New("outcome of the proposal in doubt: not decided within the wait; see 'policy status'"))
 	}
 }
 
-// reportInForce prints that a version is in force: where there are no regions, or all have confirmed it, everywhere, else in which. It ends the
-// command with exitPartial where a region is missing.
+// reportInForce prints that a version is in force and, with regions, in which of them. It ends the
+// command with exitPartial if a region has not confirmed the version.
 func (c *cli) reportInForce(answer *wire.Answer) error {
 	result := map[string]any{"in_force": true, "number": answer.Number}
 	line := fmt.Sprintf("version %d is in force", answer.Number)
@@ -162,7 +166,7 @@
 		line += strings.TrimSuffix(fmt.Sprintf(" in %d of %d regions: %s", len(answer.InForce), regions, strings.Join(answer.InForce, ", ")), ": ")
 	}
 	if len(answer.Apart) > 0 {
-		line += "; not in " + strings.Join(answer.Apart, ", ") + ", as far as is known: it takes hold there when they are joined again"
+		line += "; not in " + strings.Join(answer.Apart, ", ") + ", as far as is known: it takes effect there after they reconnect"
 	}
 	err := c.print(result, func(w io.Writer) { fmt.Fprintln(w, line) })
 	if err != nil || len(answer.Apart) == 0 {
@@ -171,7 +175,8 @@
 	return &exitError{code: exitPartial}
 }
 
-// findVoters returns the addresses that a proposal may be sent to: those of --at, else what the operator's file has.
+// findVoters returns the addresses that a proposal may be sent to: those of --at, else those in the
+// operator's file.
 func (c *cli) findVoters(p proposal) ([]netip.AddrPort, error) {
 	if len(p.at) == 0 {
 		return c.readVoters(p.region)
@@ -187,10 +192,10 @@
 	return addresses, nil
 }
 
-// readVoters returns the addresses of a region's voters by the operator's file. Without a region they are the voters of the global agreement
-// where there is one, else all voters.
+// readVoters returns the addresses of a region's voters in the operator's file. Without a region it
+// returns the voters of the global agreement if there is one, else all voters.
 func (c *cli) readVoters(region string) ([]netip.AddrPort, error) {
-	operator, err := c.readRolloutOperator("where voters are with --at, or the operator's file with --file")
+	operator, err := c.readRolloutOperator("the voters' addresses with --at, or the operator's file with --file")
 	if err != nil {
 		return nil, err
 	}
@@ -199,7 +204,7 @@
 	if region != "" {
 		names = slices.DeleteFunc(slices.Clone(names), func(name string) bool { return rollout.Regions[name] != region })
 		if len(names) == 0 {
-			return nil, failed(fmt.Errorf("nobody votes in region %q, by the file", region))
+			return nil, failed(fmt.Errorf("no voters in region %q according to the file", region))
 		}
 	} else if len(rollout.Global) > 0 {
 		names = rollout.Global
--- a/cmd/saffronquay/policy_test.go
+++ b/cmd/saffronquay/policy_test.go
@@ -8,8 +8,9 @@
 	"testing"
 )
 
-// A version that is in force in some regions is never reported as one that is everywhere, and ends the command with a code of its own.
-func TestInForceIsReportedByRegions(t *testing.T) {
+// TestReportInForce_NamesRegions checks that a version that is in force in some regions only is not
+// reported as in force everywhere, and that it ends the command with exitPartial.
+func TestReportInForce_NamesRegions(t *testing.T) {
 	for name, c := range map[string]struct {
 		answer     *wire.Answer
 		code       int
--- a/cmd/saffronquay/policy_voters.go
+++ b/cmd/saffronquay/policy_voters.go
@@ -10,14 +10,14 @@
 	"github.com/spf13/cobra"
 )
 
-// groupChange is a change of voters or roster that a command's arguments ask for.
+// groupChange is a change of voters or roster, as specified by a command's arguments.
 type groupChange struct {
 	apply func(*wire.Propose) // adds the change to the request
-	done  string              // what is printed once it is made
+	done  string              // printed once the change is in force
 }
 
-// withProposal completes a command that proposes a change of voters or roster: it adds the flags of a proposal, and the run that proposes what
-// parse makes of the arguments.
+// withProposal completes a command that proposes a change of voters or roster: it adds the flags of
+// a proposal, and a RunE that proposes the change that parse returns for the arguments.
 func (c *cli) withProposal(p *proposal, cmd *cobra.Command, parse func(args []string) (groupChange, error)) *cobra.Command {
 	p.addFlags(cmd, groupWait)
 	cmd.RunE = func(cmd *cobra.Command, args []string) error {
@@ -31,12 +31,12 @@
 	return cmd
 }
 
-// policyVotersCommand shows who votes, and is the parent of the commands that change it.
+// policyVotersCommand returns the command that shows the voters, with subcommands that change them.
 func (c *cli) policyVotersCommand() *cobra.Command {
 	parent := &cobra.Command{
-		Use: "voters", Short: "Show who votes on the policy, and change it one at a time", Args: cobra.NoArgs,
-		Long: "A change of voters takes hold once the new voter has the whole log and a majority of the old voters and of the new ones agrees. Exit codes as of\n" +
-			"propose: 0 made, 1 refused, 3 in doubt.",
+		Use: "voters", Short: "Show the voters on the policy, and change them one at a time", Args: cobra.NoArgs,
+		Long: "A change of voters takes effect once the new voter has the complete log and majorities of both the old and the new voters have agreed. Exit codes\n" +
+			"as for propose: 0 made, 1 rejected, 3 in doubt.",
 		Example: "  saffronquay policy voters --door 127.0.0.1:9401\n  saffronquay policy voters replace cordoba-2 cordoba-4 --file deploy/rollout.json",
 		RunE:    func(cmd *cobra.Command, _ []string) error { return c.runPolicyVoters(cmd.Context()) },
 	}
@@ -57,8 +57,8 @@
 	})
 }
 
-// parseVoters returns the members of the fleet by an answer of the admin endpoint, each with the key lost_disk, and the region of the
-// gatherer that answered; "" where there are none.
+// parseVoters returns the members of the fleet in a response of the admin endpoint, each with the
+// key lost_disk, and the region of the gatherer that responded, or "" if there are no regions.
 func parseVoters(text string) (members []map[string]string, region string) {
 	lostDisk := map[string]bool{}
 	for _, line := range parseAdminLines(text) {
@@ -77,12 +77,13 @@
 	return members, region
 }
 
-// describeVoter says whether a member votes, as a gatherer of a region knows it: who votes in another region is not known there.
+// describeVoter returns whether a member votes, as far as a gatherer in region knows: it does not
+// know the voters of other regions.
 func describeVoter(member map[string]string, region string) string {
 	description := "follows"
 	switch {
 	case member["lost_disk"] == "true":
-		description = "has no vote: it came back without its disk; replace it by itself"
+		description = "has no vote: it restarted without its disk; replace it with itself"
 	case member["voter"] == "true":
 		description = "votes"
 	case member["region"] != region:
@@ -97,16 +98,18 @@
 	return description
 }
 
-// voterChange names the gatherer that gets a vote and the one that loses it; either may be "".
+// voterChange names the gatherer that becomes a voter and the one that ceases to be one. Either may
+// be "".
 type voterChange struct {
 	add, remove string
-	done        string // what is printed once it is made
+	done        string // printed once the change is in force
 }
 
-// withVoterChange completes a command that changes who votes: in one region's agreement, or in the one that decides on versions.
+// withVoterChange completes a command that changes the voters of one region, or those of the
+// agreement that decides on versions.
 func (c *cli) withVoterChange(cmd *cobra.Command, parse func(args []string) voterChange) *cobra.Command {
 	p := &proposal{}
-	cmd.Flags().StringVar(&p.region, "region", "", "whose voters, where there are regions (default: the voters of the global agreement)")
+	cmd.Flags().StringVar(&p.region, "region", "", "region whose voters are changed (default: the voters of the global agreement)")
 	return c.withProposal(p, cmd, func(args []string) (groupChange, error) {
 		change := parse(args)
 		if p.region != "" {
@@ -119,7 +122,7 @@
 
 func (c *cli) addVoterCommand() *cobra.Command {
 	return c.withVoterChange(&cobra.Command{
-		Use: "add NAME", Short: "Have a gatherer of the roster vote", Args: cobra.ExactArgs(1),
+		Use: "add NAME", Short: "Make a gatherer on the roster a voter", Args: cobra.ExactArgs(1),
 		Example: "  saffronquay policy voters add cordoba-4 --file deploy/rollout.json",
 	}, func(args []string) voterChange {
 		return voterChange{add: args[0], done: args[0] + " votes"}
@@ -128,16 +131,16 @@
 
 func (c *cli) removeVoterCommand() *cobra.Command {
 	return c.withVoterChange(&cobra.Command{
-		Use: "remove NAME", Short: "Take a vote, where more than three vote", Args: cobra.ExactArgs(1),
+		Use: "remove NAME", Short: "Make a voter a non-voter; more than three must vote before", Args: cobra.ExactArgs(1),
 		Example: "  saffronquay policy voters remove cordoba-4 --file deploy/rollout.json",
 	}, func(args []string) voterChange {
-		return voterChange{remove: args[0], done: args[0] + " votes no more"}
+		return voterChange{remove: args[0], done: args[0] + " no longer votes"}
 	})
 }
 
 func (c *cli) replaceVoterCommand() *cobra.Command {
 	return c.withVoterChange(&cobra.Command{
-		Use: "replace OLD [NEW]", Short: "Have one vote in the place of another, or of itself where it lost its disk", Args: cobra.RangeArgs(1, 2),
+		Use: "replace OLD [NEW]", Short: "Replace a voter with another gatherer, or with itself after the loss of its disk", Args: cobra.RangeArgs(1, 2),
 		Example: "  saffronquay policy voters replace cordoba-2 --file deploy/rollout.json",
 	}, func(args []string) voterChange {
 		previous, next := args[0], args[len(args)-1]
--- a/cmd/saffronquay/script_test.go
+++ b/cmd/saffronquay/script_test.go
@@ -20,7 +20,7 @@
 	testscript.Main(m, map[string]func(){"saffronquay": main})
 }
 
-// The scripts in testdata/script run the commands as a user types them.
+// TestScripts runs the scripts in testdata/script, which call the commands as a user would.
 func TestScripts(t *testing.T) {
 	testscript.Run(t, testscript.Params{Dir: "testdata/script", Setup: func(e *testscript.Env) error {
 		e.Setenv("SAFFRONQUAY_OPERATOR_FILE", "")
@@ -38,7 +38,7 @@
 		}
 		return nil
 	}, Cmds: map[string]func(*testscript.TestScript, bool, []string){
-		// narrow FILE: no line is wider than 40 columns.
+		// narrow FILE fails if a line of FILE is wider than 40 columns.
 		"narrow": func(ts *testscript.TestScript, _ bool, words []string) {
 			for line := range strings.Lines(ts.ReadFile(words[0])) {
 				if len(strings.TrimSuffix(line, "\n")) > 40 {
@@ -49,8 +49,9 @@
 	}})
 }
 
-// The commands of the README are what a newcomer types: a script has to run each of them.
-func TestReadmeIsPlayed(t *testing.T) {
+// TestReadmeCommands_AreScripted checks that a script runs each command that the README shows, so
+// that the examples a new user types first keep working.
+func TestReadmeCommands_AreScripted(t *testing.T) {
 	readme, err := os.ReadFile("../../README.md")
 	if err != nil {
 		t.Fatal(err)
@@ -59,7 +60,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	played := 0
+	scripted := 0
 	for line := range strings.Lines(string(readme)) {
 		words, is := strings.CutPrefix(strings.TrimSpace(line), "bin/saffronquay ")
 		if !is || !strings.HasPrefix(line, "    ") {
@@ -67,22 +68,22 @@
 		}
 		words, _, _ = strings.Cut(words, " #")
 		if !strings.Contains(string(script), "saffronquay "+strings.TrimSpace(words)) {
-			t.Errorf("no script plays: %s", words)
+			t.Errorf("no script runs the README command: %s", words)
 		}
-		played++
+		scripted++
 	}
-	if played < 2 {
-		t.Errorf("%d commands in the README", played)
+	if scripted < 2 {
+		t.Errorf("README shows %d commands, want at least 2", scripted)
 	}
 }
 
-// oddValues are values that may stand in a file by mistake.
-var oddValues = []any{nil, true, "", "x", "127.0.0.1:1", 0, -1, 1.5, 1e30, []any{}, map[string]any{}, map[string]any{"odd": 1}, []any{map[string]any{}}}
+// malformedValues are values that a file may contain by mistake.
+var malformedValues = []any{nil, true, "", "x", "127.0.0.1:1", 0, -1, 1.5, 1e30, []any{}, map[string]any{}, map[string]any{"odd": 1}, []any{map[string]any{}}}
 
-// forEachDamage calls use with every copy of a JSON value that has one thing wrong: a key that is missing or misspelt, an odd value in the place of
-// any other, an entry too few or too many.
-func forEachDamage(v any, use func(any)) {
-	for _, o := range oddValues {
+// forEachMutation calls use with every copy of a JSON value that has exactly one fault: a missing
+// or misspelt key, a malformed value in place of any other, or one array entry too few or too many.
+func forEachMutation(v any, use func(any)) {
+	for _, o := range malformedValues {
 		use(o)
 	}
 	switch x := v.(type) {
@@ -93,7 +94,7 @@
 			use(less)
 			less[k+"x"] = x[k]
 			use(less)
-			forEachDamage(x[k], func(o any) {
+			forEachMutation(x[k], func(o any) {
 				other := maps.Clone(x)
 				other[k] = o
 				use(other)
@@ -106,7 +107,7 @@
 		}
 		use(slices.Delete(slices.Clone(x), 0, 1))
 		use(append(slices.Clone(x), x[0]))
-		forEachDamage(x[0], func(o any) { // the others are as the first
+		forEachMutation(x[0], func(o any) { // all entries have the same form
 			other := slices.Clone(x)
 			other[0] = o
 			use(other)
@@ -114,8 +115,9 @@
 	}
 }
 
-// A damaged file is rejected or harmless, and never causes a panic. What the schema rejects, the program rejects too, by its own checks.
-// Every single damage is tested, so that the outcome is always the same.
+// TestDamagedFiles checks that a malformed operator's file is either rejected or harmless and never
+// causes a panic, and that the parser rejects whatever the schema rejects. It is exhaustive over
+// single faults rather than random, so that the outcome is deterministic.
 func TestDamagedFiles(t *testing.T) {
 	expectations, err := os.ReadFile("../../deploy/routing.json")
 	if err != nil {
@@ -125,7 +127,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	form, err := schema.Compile(schema.Operator)
+	compiled, err := schema.Compile(schema.Operator)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -141,14 +143,14 @@
 				t.Fatal(err)
 			}
 			accepted, rejected := 0, 0
-			forEachDamage(document, func(v any) {
+			forEachMutation(document, func(v any) {
 				text, err := json.Marshal(v)
 				if err != nil {
 					t.Fatal(err)
 				}
 				op, perr := config.ParseOperator(text)
-				if serr := form.Validate(text); serr != nil && perr == nil {
-					t.Errorf("the schema rejects what the program accepts: %v\n%s", serr, text)
+				if serr := compiled.Validate(text); serr != nil && perr == nil {
+					t.Errorf("the schema rejects a file that the parser accepts: %v\n%s", serr, text)
 				}
 				if perr != nil {
 					rejected++
@@ -171,8 +173,9 @@
 	}
 }
 
-// Schema and program name a fault of form by the same path.
-func TestSchemaAndProgramAgree(t *testing.T) {
+// TestOperatorFile_SchemaAndParserAgreeOnPaths checks that the schema and the parser report a
+// malformed value under the same path, and that the parser reports all faults of a file at once.
+func TestOperatorFile_SchemaAndParserAgreeOnPaths(t *testing.T) {
 	text, err := os.ReadFile("../../deploy/durable.json")
 	if err != nil {
 		t.Fatal(err)
@@ -194,7 +197,7 @@
 			}
 		}
 	}
-	// All faults of a file are named together, an unknown key with the nearest known one.
+	// All faults of a file are reported at once, an unknown key with the most similar known one.
 	changed := strings.NewReplacer(`"listen"`, `"listn"`, `"zone": "villa-maria"`, `"zoone": "villa-maria"`, `"keep_ms": 900000`, `"keep_ms": 1`, `"most": 100,`, `"most": 100, "most": 200,`).Replace(string(text))
 	for _, want := range []string{"listen: missing", `listn: unknown key; is it "listen"?`, `servers[2].zoone: unknown key; is it "zone"?`, "store.keep_ms: want", "cursors.most: it is there twice"} {
 		if err := parse(changed); err == nil || !strings.Contains(err.Error(), want) {
@@ -208,8 +211,9 @@
 	return err
 }
 
-// A file that is written while it is read is read again; one that changes with every read is an error.
-func TestFileChangesWhileItIsRead(t *testing.T) {
+// TestReadStable_RereadsChangingFile checks that a file that changes while it is read is read
+// again, and that one that changes with every read is an error.
+func TestReadStable_RereadsChangingFile(t *testing.T) {
 	texts := []string{"{", "{}", "{}"}
 	n := 0
 	got, err := config.ReadStable("f", func(string) ([]byte, error) { n++; return []byte(texts[min(n-1, 2)]), nil })
@@ -217,11 +221,12 @@
 		t.Errorf("%q %v", got, err)
 	}
 	if _, err := config.ReadStable("f", func(string) ([]byte, error) { n++; return []byte(fmt.Sprint(n)), nil }); err == nil {
-		t.Error("it never stood still")
+		t.Error("no error for a file that changes with every read")
 	}
 }
 
-// Text is broken at spaces, never beyond the width, and not at all without a terminal.
+// TestWrap checks that text is broken at spaces and never exceeds the width, and that it is
+// unchanged without a width. Progress is not written to an output that is not a terminal.
 func TestWrap(t *testing.T) {
 	text := "FAIL two zones (a zone has been lost twice)\n" + strings.Repeat("x", 95) + "\n"
 	for line := range strings.Lines(wrap(text, 40)) {
--- a/cmd/saffronquay/serve.go
+++ b/cmd/saffronquay/serve.go
@@ -15,20 +15,20 @@
 	"github.com/spf13/cobra"
 )
 
-// serveCommand serves, as the program does without a command.
+// serveCommand runs a gatherer, as the program does without a command.
 func (c *cli) serveCommand() *cobra.Command {
 	return &cobra.Command{
-		Use: "serve", Short: "Serve, as without a command", Args: cobra.NoArgs,
+		Use: "serve", Short: "Run a gatherer (default command)", Args: cobra.NoArgs,
 		Example: "  SAFFRONQUAY_OPERATOR_FILE=deploy/layout.json saffronquay serve",
 		RunE:    func(*cobra.Command, []string) error { return c.serve() },
 	}
 }
 
-// serve serves until SIGTERM or an interrupt. Its errors are in the log.
+// serve runs a gatherer until SIGTERM or an interrupt. It logs its errors.
 func (c *cli) serve() error {
 	terminate, reload := make(chan os.Signal, 1), make(chan os.Signal, 1)
 	signal.Notify(terminate, syscall.SIGTERM, os.Interrupt)
-	signal.Notify(reload, syscall.SIGHUP) // without a receiver it would end the program
+	signal.Notify(reload, syscall.SIGHUP) // SIGHUP terminates a process that does not handle it
 	logger, out := newLog(c.errs, "text", slog.LevelInfo)
 	if err := serve(logger, out, terminate, reload); err != nil {
 		logging.Error(logger, logging.Exit, "error", err)
@@ -37,8 +37,8 @@
 	return nil
 }
 
-// serve runs one gatherer by the configuration of the environment until that has stopped. A signal on terminate has it drain and stop, one on
-// reload read its configuration again.
+// serve runs one gatherer, configured by the environment, until it has stopped. A signal on
+// terminate makes it drain and stop; one on reload makes it read its configuration again.
 func serve(logger *slog.Logger, out *logging.Output, terminate, reload <-chan os.Signal) error {
 	plan, err := server.LoadPlan(logger)
 	if err != nil {
@@ -60,13 +60,15 @@
 	}
 }
 
-// newLog returns the program's log, and the output behind it whose format and level can be changed.
+// newLog returns the program's logger and its output, whose format and level can be changed at run
+// time.
 func newLog(w io.Writer, format string, level slog.Level) (*slog.Logger, *logging.Output) {
 	out := logging.New(w, format, level)
 	return out.Logger(), out
 }
 
-// interrupted returns a context that ends with parent, with an interrupt or SIGTERM or, with a length above nought, after that time.
+// interrupted returns a context that is canceled when parent is, on an interrupt or SIGTERM, and,
+// if length is positive, after that time.
 func interrupted(parent context.Context, length time.Duration) (context.Context, context.CancelFunc) {
 	ctx, stop := signal.NotifyContext(parent, os.Interrupt, syscall.SIGTERM)
 	if length <= 0 {
--- a/cmd/saffronquay/status.go
+++ b/cmd/saffronquay/status.go
@@ -12,23 +12,24 @@
 )
 
 const (
-	// drainInterval is the pause between two looks at the open requests of a draining gatherer.
+	// drainInterval is the polling interval for the open requests of a draining gatherer.
 	drainInterval = 100 * time.Millisecond
-	// progressAfter is how long a wait takes before its progress is shown.
+	// progressAfter is how long a wait lasts before its progress is shown.
 	progressAfter = time.Second
 )
 
-// adminCommands are the commands at the top that ask a running gatherer's admin endpoint for something.
+// adminCommands returns the top-level commands that call a running gatherer's admin endpoint.
 func (c *cli) adminCommands() []*cobra.Command {
 	return []*cobra.Command{
-		c.simpleAdminCommand("status", "Tell whether a gatherer takes clients; 1 where it does not"),
-		c.simpleAdminCommand("standby", "Have a gatherer drain: no longer ready, idle clients are let go"),
-		c.simpleAdminCommand("active", "Put a gatherer back to work"),
+		c.simpleAdminCommand("status", "Show whether a gatherer accepts clients; exits with 1 if it does not"),
+		c.simpleAdminCommand("standby", "Drain a gatherer: it is no longer ready and closes idle client connections"),
+		c.simpleAdminCommand("active", "Return a gatherer to service after standby"),
 		c.statsCommand(), c.drainCommand(), c.logLevelCommand(), c.contractsCommand(),
 	}
 }
 
-// simpleAdminCommand is a command that bears the name of the admin endpoint's and prints its answer.
+// simpleAdminCommand returns a command that sends its own name to the admin endpoint and prints the
+// response.
 func (c *cli) simpleAdminCommand(name, short string) *cobra.Command {
 	return &cobra.Command{
 		Use: name, Short: short, Args: cobra.NoArgs, Example: "  saffronquay " + name + " --door 127.0.0.1:9600",
@@ -44,7 +45,7 @@
 
 func (c *cli) statsCommand() *cobra.Command {
 	return &cobra.Command{
-		Use: "stats", Short: "Print the figures", Args: cobra.NoArgs, Example: "  saffronquay stats --door 127.0.0.1:9600 -o json",
+		Use: "stats", Short: "Print a gatherer's metrics", Args: cobra.NoArgs, Example: "  saffronquay stats --door 127.0.0.1:9600 -o json",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			text, err := c.callAdmin(cmd.Context(), "stats")
 			if err != nil {
@@ -55,7 +56,7 @@
 	}
 }
 
-// parseStats parses metrics, one a line such as svc.relayed:12|c. It leaves out lines of another form.
+// parseStats parses metrics, one per line in the form svc.relayed:12|c. It skips malformed lines.
 func parseStats(text string) map[string]int64 {
 	stats := map[string]int64{}
 	for line := range strings.Lines(text) {
@@ -76,12 +77,13 @@
 		Example: "  saffronquay drain --wait 30s --door 127.0.0.1:9600",
 		RunE:    func(cmd *cobra.Command, _ []string) error { return c.runDrain(cmd.Context(), wait) },
 	}
-	cmd.Flags().DurationVar(&wait, "wait", 0, "how long to wait for open requests; 0: not at all")
+	cmd.Flags().DurationVar(&wait, "wait", 0, "how long to wait for open requests; 0: don't wait")
 	return cmd
 }
 
-// runDrain puts the gatherer on standby. With a wait above nought it then waits until no request is open, and ends with exitFailed where some
-// are after that time. Without one it reports -1 open requests.
+// runDrain puts the gatherer on standby. If wait is positive, it then waits until no request is
+// open, and ends with exitFailed if some still are after that time. Otherwise it reports -1 open
+// requests.
 func (c *cli) runDrain(ctx context.Context, wait time.Duration) error {
 	if _, err := c.callAdmin(ctx, "standby"); err != nil {
 		return err
@@ -110,7 +112,7 @@
 
 func (c *cli) contractsCommand() *cobra.Command {
 	return &cobra.Command{
-		Use: "contracts", Short: "Tell how each team stands: asked, started, refused and why, work, attempts", Args: cobra.NoArgs,
+		Use: "contracts", Short: "Show each team's use of its contract: requested, started, rejected by reason, work, attempts", Args: cobra.NoArgs,
 		Example: "  saffronquay contracts --door 127.0.0.1:9600 -o json",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			text, err := c.callAdmin(cmd.Context(), "contracts")
@@ -122,7 +124,8 @@
 	}
 }
 
-// parseContracts parses the lines of the admin endpoint about teams: a kind, the team's name, then name=value pairs. The name gets the key "team".
+// parseContracts parses the admin endpoint's lines about teams: a kind, the team's name, then
+// name=value pairs. The team's name is stored under the key "team".
 func parseContracts(text string) []map[string]string {
 	teams := []map[string]string{}
 	for line := range strings.Lines(text) {
@@ -141,13 +144,14 @@
 
 func (c *cli) logLevelCommand() *cobra.Command {
 	return &cobra.Command{
-		Use: "log LEVEL", Short: "Change what a running gatherer logs: debug, info, warn or error", Args: cobra.ExactArgs(1),
+		Use: "log LEVEL", Short: "Set the log level of a running gatherer: debug, info, warn or error", Args: cobra.ExactArgs(1),
 		Example: "  saffronquay log debug --door 127.0.0.1:9600",
 		RunE:    func(cmd *cobra.Command, args []string) error { return c.confirmAdmin(cmd.Context(), "log "+args[0]) },
 	}
 }
 
-// confirmAdmin sends a command line to the admin endpoint and prints its answer; as JSON only that it succeeded.
+// confirmAdmin sends a command line to the admin endpoint and prints the response. JSON output only
+// states that the call succeeded.
 func (c *cli) confirmAdmin(ctx context.Context, command string) error {
 	text, err := c.callAdmin(ctx, command)
 	if err != nil {
--- a/cmd/saffronquay/store.go
+++ b/cmd/saffronquay/store.go
@@ -13,22 +13,23 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// storeCommand is the parent of the commands that look at a durable store.
+// storeCommand returns the parent of the commands that inspect a durable store.
 func (c *cli) storeCommand() *cobra.Command {
-	parent := &cobra.Command{Use: "store", Short: "Look at a durable store, without touching it", Example: "  saffronquay store check /var/lib/saffronquay/a /var/lib/saffronquay/b"}
+	parent := &cobra.Command{Use: "store", Short: "Inspect a durable store, read-only", Example: "  saffronquay store check /var/lib/saffronquay/a /var/lib/saffronquay/b"}
 	parent.AddCommand(&cobra.Command{
-		Use: "check DIR [COPY]", Short: "Read every byte of both copies; 1 where something is damaged or lost", Args: cobra.RangeArgs(1, 2),
+		Use: "check DIR [COPY]", Short: "Read both copies completely; exits with 1 if records are damaged or lost", Args: cobra.RangeArgs(1, 2),
 		Example: "  saffronquay store check /var/lib/saffronquay/a /var/lib/saffronquay/b",
 		RunE:    func(_ *cobra.Command, args []string) error { return c.runStoreCheck(args) },
 	}, &cobra.Command{
-		Use: "dump DIR [COPY]", Short: "Print every record that can be read, a JSON object a line", Args: cobra.RangeArgs(1, 2),
+		Use: "dump DIR [COPY]", Short: "Print every readable record, one JSON object per line", Args: cobra.RangeArgs(1, 2),
 		Example: "  saffronquay store dump /var/lib/saffronquay/a /var/lib/saffronquay/b | head",
 		RunE:    func(_ *cobra.Command, args []string) error { return c.runStoreDump(args) },
 	})
 	return parent
 }
 
-// openStore opens the store whose copies are in the directories of args, to read it only. Without a second one the copy is in "copy" of the first.
+// openStore opens, read-only, the store whose two copies are in the directories in args. The second
+// defaults to the subdirectory "copy" of the first.
 func openStore(args []string) (*recordlog.ReadOnlyStore, error) {
 	second := filepath.Join(args[0], "copy")
 	if len(args) == 2 {
@@ -41,7 +42,8 @@
 	return store, nil
 }
 
-// runStoreCheck prints the report on a store. It ends with exitFailed where records are damaged or lost.
+// runStoreCheck prints the check report of a store. It ends with exitFailed if records are damaged
+// or lost.
 func (c *cli) runStoreCheck(args []string) error {
 	store, err := openStore(args)
 	if err != nil {
@@ -71,7 +73,8 @@
 		r.Records, len(r.Damaged), len(r.LostSpans), len(r.UnreferencedFiles), r.Took)
 }
 
-// recordKinds gives each kind of record its name and, where its value is printed, the message that the value holds.
+// recordKinds maps each kind of record to its name and, if its value is printed, the message type
+// of the value.
 var recordKinds = map[recordlog.Kind]struct {
 	name  string
 	value func() proto.Message
@@ -80,12 +83,12 @@
 	recordlog.Learned:    {"learned", func() proto.Message { return &form.Learned{} }},
 	recordlog.Layout:     {"layout", func() proto.Message { return &form.Layout{} }},
 	recordlog.Cursor:     {"cursor", func() proto.Message { return &form.Cursor{} }},
-	recordlog.CursorKey:  {"sealing", nil}, // a secret
-	recordlog.Rollout:    {"rollout", nil}, // of several forms
+	recordlog.CursorKey:  {"sealing", nil}, // secret, not printed
+	recordlog.Rollout:    {"rollout", nil}, // values have several message types
 }
 
-// runStoreDump prints the records of a store. It ends with exitFailed where some can't be read. It stops printing at the first failed write, such
-// as to a closed pipe, which is no failure of the command.
+// runStoreDump prints the records of a store. It ends with exitFailed if some cannot be read. It
+// stops printing at the first failed write, for example to a closed pipe, which is not an error.
 func (c *cli) runStoreDump(args []string) error {
 	store, err := openStore(args)
 	if err != nil {
@@ -108,7 +111,7 @@
 
 func (c *cli) printRecord(r recordlog.Record) error {
 	key, err := json.Marshal(r.Key)
-	if err != nil { // does not happen: a string always has a form
+	if err != nil { // does not happen: any string can be encoded
 		key = []byte("null")
 	}
 	_, err = fmt.Fprintf(c.out, `{"seq":%d,"at":%d,"until":%d,"kind":%q,"key":%s,"gone":%t,"value":%s}`+"\n", r.Seq, r.At, r.ExpiresAt,
@@ -116,7 +119,8 @@
 	return err
 }
 
-// formatRecordValue returns a record's value as JSON. It is null for a deleted record, a kind whose value is not printed, and a malformed value.
+// formatRecordValue returns a record's value as JSON. It returns null for a deleted record, a kind
+// whose value is not printed, and a malformed value.
 func formatRecordValue(r recordlog.Record) []byte {
 	null := []byte("null")
 	kind := recordKinds[r.Kind]
--- a/cmd/saffronquay/test.go
+++ b/cmd/saffronquay/test.go
@@ -16,20 +16,20 @@
 	compare []string // NAME=FILE
 }
 
-// testCommand judges a configuration against a file of expectations.
+// testCommand returns the command that checks a configuration against a file of expectations.
 func (c *cli) testCommand() *cobra.Command {
 	var flags testFlags
 	cmd := &cobra.Command{
-		Use: "test EXPECTATIONS", Short: "Judge where queries would go, without any",
-		Long: "test holds a configuration against expectations, by the planner and the module that serve. A file of expectations names what has to\n" +
-			"hold, why, and under which losses; docs/ROUTING.md has the kinds.",
+		Use: "test EXPECTATIONS", Short: "Check where queries would be routed, without sending any",
+		Long: "test checks a configuration against expectations, with the same planner and decision module that serve queries. A file of expectations\n" +
+			"states the conditions, their reasons, and the losses under which they must hold; docs/ROUTING.md describes the kinds.",
 		Example: "  saffronquay test deploy/routing.json --file deploy/layout.json\n" +
 			"  saffronquay test deploy/routing.json --file proposed.json --compare now=deploy/layout.json\n  saffronquay test shards.json --node config.json --roster recorded-list.json",
 		Args: cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error { return c.runTest(args[0], flags) },
 	}
-	cmd.Flags().StringVar(&flags.list, "roster", "", "a recorded list of servers, as discovery gives it, in the place of the file's")
-	cmd.Flags().StringArrayVar(&flags.compare, "compare", nil, "NAME=FILE: an operator's file that most_moved compares with")
+	cmd.Flags().StringVar(&flags.list, "roster", "", "path of a recorded list of servers, as discovery returns it, used instead of the file's")
+	cmd.Flags().StringArrayVar(&flags.compare, "compare", nil, "NAME=FILE: an operator's file for most_moved to compare with")
 	return cmd
 }
 
@@ -46,7 +46,7 @@
 	if err != nil {
 		return err
 	}
-	c.progress("judging %d expectations", len(expectations))
+	c.progress("evaluating %d expectations", len(expectations))
 	results, err := routecheck.Evaluate(roster, others, expectations)
 	c.progress("")
 	if err != nil {
@@ -55,7 +55,7 @@
 	return c.printResults(results)
 }
 
-// readExpectations reads and checks a file of expectations.
+// readExpectations reads and validates a file of expectations.
 func (c *cli) readExpectations(path string) ([]routecheck.Expectation, error) {
 	text, err := c.readFile(path, "the expectations")
 	if err != nil {
@@ -77,7 +77,7 @@
 	for _, pair := range pairs {
 		name, path, ok := strings.Cut(pair, "=")
 		if !ok {
-			return nil, fmt.Errorf("--compare: want NAME=FILE, not %q", pair)
+			return nil, fmt.Errorf("--compare: invalid value %q: want NAME=FILE", pair)
 		}
 		roster, err := c.loadRoster(path, "")
 		if err != nil {
@@ -88,7 +88,7 @@
 	return rosters, nil
 }
 
-// printResults prints how each expectation came out. It ends with exitFailed where one is broken.
+// printResults prints the result of each expectation. It ends with exitFailed if one is not met.
 func (c *cli) printResults(results []routecheck.Result) error {
 	broken := 0
 	for _, result := range results {
--- a/cmd/saffronquay/try.go
+++ b/cmd/saffronquay/try.go
@@ -10,50 +10,51 @@
 	"github.com/spf13/cobra"
 )
 
-// trial has the flags of the command try.
+// trial holds the flags of the command try.
 type trial struct {
 	kill, slow, split, policy bool
-	length                    time.Duration // 0: until an interrupt
-	rate                      int           // queries a second
+	length                    time.Duration // 0: until interrupted
+	rate                      int           // queries per second
 	listen                    string
 	seed                      uint64
 	gatherers                 int
 }
 
-// tryCommand serves on loopback in front of fake backends.
+// tryCommand returns the command that runs gatherers on loopback in front of fake backends.
 func (c *cli) tryCommand() *cobra.Command {
 	t := trial{}
 	cmd := &cobra.Command{
-		Use: "try", Short: "Serve on loopback with stand-in search servers, seeded data and, on command, faults", Args: cobra.NoArgs,
-		Long: "try starts five stand-in servers with 1,000 invoices each in four ranges of two copies, a gatherer before them, and a small load.\n" +
-			"It prints where to ask and a line a second of what came of the load. With --kill, --slow and --split it causes faults from the third second on.",
+		Use: "try", Short: "Run a demo on loopback with stand-in search servers, seeded data and optional faults", Args: cobra.NoArgs,
+		Long: "try starts five stand-in servers with 1,000 invoices each in four ranges of two copies, a gatherer in front of them, and a small load.\n" +
+			"It prints the addresses and, every second, the outcome of the load. With --kill, --slow and --split it injects faults from second 3 on.",
 		Example: "  saffronquay try\n  saffronquay try --kill --split --for 20s",
 		RunE:    func(cmd *cobra.Command, _ []string) error { return c.runTrial(cmd.Context(), t) },
 	}
 	f := cmd.Flags()
-	f.BoolVar(&t.kill, "kill", false, "kill a server, and start it again 5 s later")
-	f.BoolVar(&t.slow, "slow", false, "have a server answer nothing for 5 s")
+	f.BoolVar(&t.kill, "kill", false, "kill a server, and restart it 5 s later")
+	f.BoolVar(&t.slow, "slow", false, "make a server unresponsive for 5 s")
 	f.BoolVar(&t.split, "split", false, "split a range while queries run")
-	f.DurationVar(&t.length, "for", 0, "end after so long; 0: with Ctrl-C")
-	f.IntVar(&t.rate, "rate", 50, "queries a second of the load, 0 to 1000")
-	f.StringVar(&t.listen, "listen", "127.0.0.1:0", "where clients connect")
+	f.DurationVar(&t.length, "for", 0, "how long to run; 0: until Ctrl-C")
+	f.IntVar(&t.rate, "rate", 50, "load in queries per second, 0 to 1000")
+	f.StringVar(&t.listen, "listen", "127.0.0.1:0", "host:port for clients")
 	f.BoolVar(&t.policy, "policy", false, "with 3, 5 or 7 gatherers: have them agree on versions of the policy, and change it twice, once while one of them is down")
-	f.IntVar(&t.gatherers, "gatherers", 1, "so many gatherers, 1 to 9, which keep a view of each other; with --kill one of them goes, and comes back")
-	f.Uint64Var(&t.seed, "seed", 1, "of the data and the load")
+	f.IntVar(&t.gatherers, "gatherers", 1, "number of gatherers, 1 to 9, which form a fleet; with --kill one of them is stopped and restarted")
+	f.Uint64Var(&t.seed, "seed", 1, "seed of the data and the load")
 	return cmd
 }
 
 func (t trial) validate() error {
 	if t.rate < 0 || t.rate > 1000 || t.length < 0 || t.gatherers < 1 || t.gatherers > 9 {
-		return errors.New("--rate: want 0 to 1000; --for: want nought or more; --gatherers: want 1 to 9")
+		return errors.New("try flags out of range: --rate: want 0 to 1000; --for: want 0 or more; --gatherers: want 1 to 9")
 	}
 	if t.policy && (t.gatherers%2 == 0 || t.gatherers < 3 || t.gatherers > 7) {
-		return errors.New("--policy: want 3, 5 or 7 gatherers")
+		return errors.New("--policy: invalid number of gatherers: want --gatherers 3, 5 or 7")
 	}
 	return nil
 }
 
-// runTrial starts backends and gatherers, puts them under load and faults, and prints what the backends ran at the end.
+// runTrial starts backends and gatherers, applies load and faults, and finally prints how often the
+// backends executed parts.
 func (c *cli) runTrial(ctx context.Context, t trial) error {
 	if err := t.validate(); err != nil {
 		return err
@@ -65,7 +66,9 @@
 	defer backends.Close()
 	log, _ := newLog(c.errs, "text", slog.LevelWarn)
 	fleet := &trialFleet{trial: t, file: file, log: log}
-	defer func() { _ = fleet.stopAll() }() // after an early return, whose error says more; at the end all are stopped already
+	// After an early return, whose error is the more useful one. On success all are stopped
+	// already.
+	defer func() { _ = fleet.stopAll() }()
 	for range t.gatherers {
 		if err := fleet.start(ctx, len(fleet.running)); err != nil {
 			return failed(err)
@@ -75,7 +78,8 @@
 	ctx, stop := interrupted(ctx, t.length)
 	defer stop()
 	faults := &trialFaults{trial: t, out: c.out, backends: backends, fleet: fleet}
-	go faults.run(ctx) // not waited for: a change of the policy outlasts ctx, and stopAll keeps it from starting a gatherer then
+	// Not waited for: a policy change may outlast ctx. After stopAll it cannot start a gatherer.
+	go faults.run(ctx)
 	load := &trialLoad{trial: t, out: c.out, url: "http://" + fleet.running[0].ClientAddress() + "/invoices/_search"}
 	load.run(ctx, func() {
 		if t.gatherers > 1 {
@@ -84,7 +88,7 @@
 	})
 	err = fleet.stopAll()
 	runs, twice, astray := backends.Ledger.Counts()
-	fmt.Fprintf(c.out, "the servers' ledger: %d parts run, %d filings run twice, %d run where they were not held; %d filings without X-Opaque-Id can't be judged\n",
+	fmt.Fprintf(c.out, "the servers' ledger: %d parts run, %d filings run twice, %d run where they were not held; %d filings without X-Opaque-Id not checked\n",
 		runs, twice, astray, backends.Ledger.Unjudged())
 	if err != nil {
 		return failed(err)
@@ -92,10 +96,10 @@
 	return nil
 }
 
-// printGreeting prints where the first gatherer listens, and commands to try.
+// printGreeting prints the addresses of the first gatherer, and commands to try.
 func (c *cli) printGreeting(fleet *trialFleet) {
 	first := fleet.running[0]
-	fmt.Fprintf(c.out, `a gatherer serves at %[1]s, its door is at %[2]s; in another shell:
+	fmt.Fprintf(c.out, `a gatherer serves at %[1]s, its admin endpoint is at %[2]s; in another shell:
 
   curl -s http://%[1]s/invoices/_search -d '{"query":{"range":{"taxpayer":{"gte":900,"lt":1100}}},"size":3}'
   curl -s http://%[1]s/invoices/_search -d '{"size":0,"aggs":{"by":{"histogram":{"field":"taxpayer","interval":1000}}}}'
--- a/cmd/saffronquay/try_cluster.go
+++ b/cmd/saffronquay/try_cluster.go
@@ -12,13 +12,13 @@
 )
 
 const (
-	trialKeys   = 4000 // keys of the data, from 0 on
-	trialRanges = 4    // ranges that the keys are divided into, of equal length
-	trialRows   = 5000 // invoices
+	trialKeys   = 4000 // number of keys, from 0 on
+	trialRanges = 4    // number of ranges of equal length that the keys are divided into
+	trialRows   = 5000 // number of invoices
 )
 
-// startCluster starts the fake backends with their data, and returns them with the operator's file that names them. The caller closes the
-// cluster.
+// startCluster starts the fake backends with their data, and returns them and the operator's file
+// that lists them. The caller must close the cluster.
 func (t trial) startCluster() (*fakebackend.Cluster, map[string]any, error) {
 	doc, ids := trialLayout()
 	cl, err := fakebackend.NewCluster(ids, nil, fakebackend.ServerConfig{Field: "taxpayer", Once: map[string]bool{"filings": true}, Cores: 2, Queue: 50, Work: 2 * time.Millisecond}, doc, t.rows())
@@ -51,7 +51,8 @@
 	}, nil
 }
 
-// trialLayout returns the layout, in which each of trialRanges ranges has two holders, and the backends' names.
+// trialLayout returns the layout, in which each of the trialRanges ranges has two holders, and the
+// names of the backends.
 func trialLayout() (layout.Doc, []sq.ServerID) {
 	doc := layout.Doc{History: "try", Epoch: 1, NextShard: trialRanges}
 	var ids []sq.ServerID
@@ -67,7 +68,7 @@
 	return doc, ids
 }
 
-// rows returns the invoices, whose keys the seed gives.
+// rows returns the invoices, whose keys are drawn from the seed.
 func (t trial) rows() []fakebackend.Row {
 	rng := rand.New(rand.NewPCG(t.seed, 1))
 	var rows []fakebackend.Row
--- a/cmd/saffronquay/try_faults.go
+++ b/cmd/saffronquay/try_faults.go
@@ -12,13 +12,13 @@
 )
 
 const (
-	faultsAfter       = 3 * time.Second // from the start to the first fault
-	gathererAwayFor   = 2 * time.Second
-	backendFaultyFor  = 5 * time.Second
-	layoutStepLasting = time.Second
+	firstFaultDelay  = 3 * time.Second // from the start to the first fault
+	gathererDowntime = 2 * time.Second
+	backendDowntime  = 5 * time.Second
+	layoutStepPause  = time.Second
 )
 
-// trialFaults causes the faults of a trial. It is used by one goroutine.
+// trialFaults injects the faults of a trial. It is not safe for concurrent use.
 type trialFaults struct {
 	trial
 	out      io.Writer
@@ -26,9 +26,9 @@
 	fleet    *trialFleet
 }
 
-// run causes the faults that the flags ask for, one after the other, until ctx ends.
+// run injects the faults that the flags specify, one after the other, until ctx is done.
 func (f *trialFaults) run(ctx context.Context) {
-	if !sleep(ctx, faultsAfter) {
+	if !sleep(ctx, firstFaultDelay) {
 		return
 	}
 	if f.policy {
@@ -52,7 +52,7 @@
 	fmt.Fprintf(f.out, "  >> "+format+"\n", args...)
 }
 
-// sleep waits, and reports whether ctx is still open after that time.
+// sleep waits for d, and reports false if ctx was done before.
 func sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-ctx.Done():
@@ -62,17 +62,18 @@
 	}
 }
 
-// restartGatherer stops the last gatherer for a while. With --policy the policy is changed meanwhile. It reports whether ctx is still open.
+// restartGatherer stops the last gatherer for gathererDowntime. With --policy the policy is changed
+// meanwhile. It reports false if ctx is done.
 func (f *trialFaults) restartGatherer(ctx context.Context) bool {
 	last := f.gatherers - 1
-	f.say("gatherer try-%d leaves", f.gatherers)
+	f.say("gatherer try-%d is stopped", f.gatherers)
 	if err := f.fleet.stop(last); err != nil {
 		f.say("%v", err)
 	}
 	if f.policy {
 		f.fleet.proposePolicy(f.say, 2)
 	}
-	if !sleep(ctx, gathererAwayFor) {
+	if !sleep(ctx, gathererDowntime) {
 		return false
 	}
 	if err := f.fleet.start(ctx, last); err != nil {
@@ -82,11 +83,12 @@
 	return true
 }
 
-// restartBackend kills a backend and starts it again. It reports whether ctx is still open.
+// restartBackend kills a backend and restarts it after backendDowntime. It reports false if ctx is
+// done.
 func (f *trialFaults) restartBackend(ctx context.Context) bool {
 	f.say("ledger-1 is killed")
 	f.backends.Servers[1].Kill()
-	if !sleep(ctx, backendFaultyFor) {
+	if !sleep(ctx, backendDowntime) {
 		return false
 	}
 	if err := f.backends.Servers[1].Start(); err == nil {
@@ -95,11 +97,11 @@
 	return true
 }
 
-// stallBackend has a backend answer nothing for a while. It reports whether ctx is still open.
+// stallBackend makes a backend unresponsive for backendDowntime. It reports false if ctx is done.
 func (f *trialFaults) stallBackend(ctx context.Context) bool {
-	f.say("ledger-2 says nothing")
+	f.say("ledger-2 is unresponsive")
 	f.backends.Servers[2].Set(fakebackend.Silent)
-	if !sleep(ctx, backendFaultyFor) {
+	if !sleep(ctx, backendDowntime) {
 		return false
 	}
 	f.backends.Servers[2].Set(fakebackend.None)
@@ -107,7 +109,7 @@
 	return true
 }
 
-// splitRange takes the split of the first range through all its steps, until ctx ends.
+// splitRange takes a split of the first range through all its steps, until ctx is done.
 func (f *trialFaults) splitRange(ctx context.Context) {
 	steps := []layout.Step{
 		{Change: "try", Do: layout.Announce, Kind: layout.Split, From: []int{0}, To: []layout.Range{
@@ -125,7 +127,7 @@
 			return
 		}
 		f.say("keys 0 to 1000 are split in two: %s", step.Do)
-		if !sleep(ctx, layoutStepLasting) {
+		if !sleep(ctx, layoutStepPause) {
 			return
 		}
 	}
--- a/cmd/saffronquay/try_fleet.go
+++ b/cmd/saffronquay/try_fleet.go
@@ -24,28 +24,30 @@
 )
 
 const (
-	trialPolicyWait     = 8 * time.Second       // until a change of the policy counts as in doubt
-	trialPolicyInterval = 10 * time.Millisecond // between two attempts to learn its outcome
-	trialPolicyTimeout  = time.Second           // of one attempt
-	trialMaxOpen        = 500                   // max_open of the first policy, as startCluster has it; each change raises it
+	trialPolicyWait     = 8 * time.Second       // maximum wait for the outcome of a policy change
+	trialPolicyInterval = 10 * time.Millisecond // polling interval for the outcome
+	trialPolicyTimeout  = time.Second           // timeout of one call
+	trialMaxOpen        = 500                   // max_open of the first policy, as in startCluster; each change raises it
 )
 
-// trialFleet is the gatherers of a trial. With more than one, each has the view of the fleet that deploy/fleet.json sets up, and joins at the
-// first. It may be used concurrently.
+// trialFleet is the set of gatherers of a trial. If there are several, each maintains a view of the
+// fleet with the settings of deploy/fleet.json and joins through the first. It is safe for
+// concurrent use.
 type trialFleet struct {
 	trial
 	file map[string]any // the operator's file of the first gatherer
 	log  *slog.Logger
 
 	mu               sync.Mutex
-	running          []*server.Gatherer // nil: it has been stopped
-	joinAddress      string             // where the first one's view is reached
-	stopped          bool               // stopAll has begun: none is started any more
-	storeDir         string             // of the durable stores, where they agree on the policy; "" before the first start
-	rolloutAddresses []string           // where each agrees on the policy
+	running          []*server.Gatherer // an entry is nil while that gatherer is stopped
+	joinAddress      string             // membership address of the first gatherer
+	stopped          bool               // set by stopAll: no gatherer is started any more
+	storeDir         string             // parent of the durable stores with --policy; "" before the first start
+	rolloutAddresses []string           // policy listener of each gatherer
 }
 
-// start starts the i-th gatherer, the next one or one that was stopped. After stopAll it does nothing.
+// start starts the i-th gatherer, which is either the next new one or one that was stopped. After
+// stopAll it does nothing.
 func (f *trialFleet) start(ctx context.Context, i int) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -95,11 +97,12 @@
 	return json.Marshal(file)
 }
 
-// addFleet sets up the view of the fleet in the file of the i-th gatherer, which joins at the first where that runs already.
+// addFleet adds the fleet settings to the file of the i-th gatherer, which joins through the first
+// one if that is running already.
 func (f *trialFleet) addFleet(i int, file map[string]any) error {
 	var example struct{ Fleet map[string]any }
 	if err := json.Unmarshal(deploy.Fleet, &example); err != nil {
-		return fmt.Errorf("deploy/fleet.json: %w", err)
+		return fmt.Errorf("decode deploy/fleet.json: %w", err)
 	}
 	fleet := example.Fleet
 	delete(fleet, "join")
@@ -117,7 +120,8 @@
 // trialName returns the name of the i-th gatherer.
 func trialName(i int) string { return fmt.Sprint("try-", i+1) }
 
-// addRollout sets up a rollout in the file of the i-th gatherer, with all of the trial as voters and a store in a directory that stopAll removes.
+// addRollout adds a rollout to the file of the i-th gatherer, with all gatherers of the trial as
+// voters, and a store in a directory that stopAll removes.
 func (f *trialFleet) addRollout(ctx context.Context, i int, file map[string]any) error {
 	if f.storeDir == "" {
 		if err := f.reserveRollout(ctx); err != nil {
@@ -133,7 +137,8 @@
 	return nil
 }
 
-// reserveRollout makes the directory of the stores, and finds an address with a free port for each gatherer.
+// reserveRollout creates the parent directory of the stores, and picks a free port for each
+// gatherer's policy listener.
 func (f *trialFleet) reserveRollout(ctx context.Context) error {
 	var err error
 	if f.storeDir, err = os.MkdirTemp("", "saffronquay-try-"); err != nil {
@@ -145,13 +150,14 @@
 		if err != nil {
 			return err
 		}
-		defer listener.Close() // only when all are found, so that none is found twice
+		defer listener.Close() // kept open until all ports are picked, so that they differ
 		f.rolloutAddresses = append(f.rolloutAddresses, listener.Addr().String())
 	}
 	return nil
 }
 
-// proposePolicy proposes the n-th change of the policy, counted from 1, which differs in one number, and says what its outcome is.
+// proposePolicy proposes the n-th change of the policy, counted from 1, which differs from the
+// previous one in one number, and reports the outcome through say.
 func (f *trialFleet) proposePolicy(say func(string, ...any), n int) {
 	text, err := f.policyText(n)
 	if err != nil {
@@ -160,7 +166,7 @@
 	}
 	began := time.Now()
 	request := &wire.Propose{Nonce: uint64(began.UnixNano()), Base: uint64(n - 1), Text: text, By: "try"}
-	next := 0 // counts the gatherers that were passed over
+	next := 0 // number of failovers so far; modulo the number of gatherers, the index of the next one to call
 	for ; time.Since(began) < trialPolicyWait; time.Sleep(trialPolicyInterval) {
 		address, err := netip.ParseAddrPort(f.rolloutAddresses[next%len(f.rolloutAddresses)])
 		if err != nil {
@@ -175,11 +181,11 @@
 			say("version %d of the policy is in force everywhere, %s after it was proposed", answer.Number, time.Since(began).Round(time.Millisecond))
 			return
 		case answer.End == answerRefused:
-			say("the policy is refused: %s", answer.Reason)
+			say("policy rejected: %s", answer.Reason)
 			return
 		}
 	}
-	say("the policy is in doubt")
+	say("policy: outcome of the proposal in doubt")
 }
 
 // policyText returns the policy of the n-th change.
@@ -196,7 +202,7 @@
 	return bytes.Replace(text, before, after, 1), nil
 }
 
-// stop stops the i-th gatherer and waits for its end. It does nothing where that does not run.
+// stop stops the i-th gatherer and waits for its end. It does nothing if that is not running.
 func (f *trialFleet) stop(i int) error {
 	f.mu.Lock()
 	g := f.running[i]
@@ -209,7 +215,8 @@
 	return g.Wait()
 }
 
-// stopAll stops all gatherers at the same time, waits for them and removes their stores. A second call does nothing.
+// stopAll stops all gatherers concurrently, waits for them and removes their stores. A second call
+// does nothing.
 func (f *trialFleet) stopAll() error {
 	f.mu.Lock()
 	n := len(f.running)
@@ -234,7 +241,7 @@
 	var views []string
 	for i, g := range f.running {
 		if g == nil {
-			views = append(views, fmt.Sprintf("try-%d is away", i+1))
+			views = append(views, fmt.Sprintf("try-%d is stopped", i+1))
 			continue
 		}
 		alive, effective := g.MemberCounts()
--- a/cmd/saffronquay/try_load.go
+++ b/cmd/saffronquay/try_load.go
@@ -13,29 +13,31 @@
 
 const (
 	queryTimeout  = 5 * time.Second
-	querySpan     = 600 // keys that a query asks for
-	maxIdleClient = 64  // idle connections that the client keeps
+	querySpan     = 600 // number of keys in a query
+	maxIdleClient = 64  // maximum number of idle client connections
 )
 
-// trialLoad sends queries to the first gatherer and counts how they ended. The counters may be used concurrently.
+// trialLoad sends queries to the first gatherer and counts their outcomes. The counters are safe
+// for concurrent use.
 type trialLoad struct {
 	trial
 	out    io.Writer
 	url    string
 	client http.Client
 
-	complete, refused, failed atomic.Int64 // queries since the last line
-	slowest                   atomic.Int64 // of them, in ms
+	complete, refused, failed atomic.Int64 // queries since the last output line
+	slowest                   atomic.Int64 // latency of the slowest of them, in ms
 }
 
-// run sends queries at the rate of the trial until ctx ends. Each second it prints how they ended, and then calls eachSecond. It does not wait for
-// the queries that are open at the end: they end with the gatherers, or after queryTimeout.
+// run sends queries at the rate of the trial until ctx is done. Each second it prints their
+// outcomes and then calls eachSecond. It does not wait for the queries open at the end, which end
+// with the gatherers or after queryTimeout.
 func (l *trialLoad) run(ctx context.Context, eachSecond func()) {
 	l.client = http.Client{Timeout: queryTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: maxIdleClient}}
 	rng := rand.New(rand.NewPCG(l.seed, 2))
 	second := time.NewTicker(time.Second)
 	defer second.Stop()
-	var nextQuery <-chan time.Time // nil, which blocks for ever, without load
+	var nextQuery <-chan time.Time // nil, which blocks forever, if the rate is 0
 	if l.rate > 0 {
 		tick := time.NewTicker(time.Second / time.Duration(l.rate))
 		defer tick.Stop()
@@ -58,13 +60,14 @@
 	}
 }
 
-// printCounts prints the counters and sets them back.
+// printCounts prints the counters and resets them.
 func (l *trialLoad) printCounts(seconds int) {
-	fmt.Fprintf(l.out, "%3d s: %d answered whole, %d refused, %d failed, slowest %d ms\n", seconds, l.complete.Swap(0), l.refused.Swap(0), l.failed.Swap(0),
+	fmt.Fprintf(l.out, "%3d s: %d complete, %d refused, %d failed, slowest %d ms\n", seconds, l.complete.Swap(0), l.refused.Swap(0), l.failed.Swap(0),
 		l.slowest.Swap(0))
 }
 
-// query sends one query for querySpan keys and counts how it ended. Its latency counts only where it was answered.
+// query sends one query for querySpan keys and counts its outcome. It records the latency only if
+// there was a response.
 func (l *trialLoad) query(ctx context.Context, from int64) {
 	began := time.Now()
 	body := fmt.Sprintf(`{"query":{"range":{"taxpayer":{"gte":%d,"lt":%d}}},"size":5}`, from, from+querySpan)
--- a/cmd/saffronquay/version.go
+++ b/cmd/saffronquay/version.go
@@ -11,10 +11,11 @@
 	"github.com/spf13/cobra/doc"
 )
 
-// revisionLength is how much of a commit's hash a version shows.
+// revisionLength is the number of hex digits of a commit hash in the version.
 const revisionLength = 12
 
-// version returns the module's version, the commit where the version does not name it, and the version of Go, as far as the build recorded them.
+// version returns the module's version, the commit unless the version contains it, and the Go
+// version, as far as the build recorded them.
 func version() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
@@ -33,26 +34,26 @@
 	return strings.TrimSpace(v + " " + info.GoVersion)
 }
 
-// versionCommand prints the version.
+// versionCommand returns the command that prints the version.
 func (c *cli) versionCommand() *cobra.Command {
 	return &cobra.Command{
-		Use: "version", Short: "Tell which build this is", Example: "  saffronquay version -o json", Args: cobra.NoArgs,
+		Use: "version", Short: "Print the version of this build", Example: "  saffronquay version -o json", Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
 			return c.print(map[string]string{"version": version()}, func(w io.Writer) { fmt.Fprintln(w, "saffronquay", version()) })
 		},
 	}
 }
 
-// manCommand writes the manual pages.
+// manCommand returns the command that writes the manual pages.
 func (c *cli) manCommand() *cobra.Command {
 	return &cobra.Command{
-		Use: "man DIR", Short: "Write a manual page for each command into a directory", Example: "  saffronquay man /tmp/man && man /tmp/man/saffronquay-test.1",
+		Use: "man DIR", Short: "Write a manual page for each command to a directory", Example: "  saffronquay man /tmp/man && man /tmp/man/saffronquay-test.1",
 		Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error { return writeManualPages(cmd.Root(), args[0]) },
 	}
 }
 
-// writeManualPages writes a page for each command into a directory, which it makes where it is missing.
+// writeManualPages writes a page for each command to a directory, which it creates if necessary.
 func writeManualPages(root *cobra.Command, dir string) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return unreachable(err)
