--- a/internal/broker/merge/aggregation_merge.go
+++ b/internal/broker/merge/aggregation_merge.go
@@ -8,13 +8,13 @@
 	"github.com/axiomhq/hyperloglog"
 )
 
-// sketchWeight is how many buckets one sketch counts for in the bound of an answer.
+// sketchWeight is the number of buckets that one sketch counts as towards MaxBuckets.
 const sketchWeight = 4
 
-// ErrBuckets says that an answer would have more than MaxBuckets buckets and sketches.
+// ErrBuckets is returned if an answer would exceed MaxBuckets, with sketches counted as buckets.
 var ErrBuckets = errors.New("too many buckets")
 
-// node is the state of one aggregation: what one part gave, or what is merged so far.
+// node is the state of one aggregation: the result of one part, or the parts merged so far.
 type node struct {
 	count             int64
 	sum, sumOfSquares exactSum
@@ -22,8 +22,8 @@
 	sketch            *hyperloglog.Sketch
 	centroids         []centroid
 	buckets           map[string]*bucket
-	otherDocs         int64 // documents in buckets that the parts left out
-	errorBound        int64 // the most by which the count of a bucket may be too low
+	otherDocs         int64 // documents in buckets that the parts omitted
+	errorBound        int64 // maximum by which the count of a bucket may be too low
 }
 
 // centroid is one point of a t-digest.
@@ -36,8 +36,8 @@
 	subs  []*node
 }
 
-// mergeNodes merges one part's aggregations into dst. It copies what it keeps: src is not changed, and later merges into dst do not
-// change it.
+// mergeNodes merges one part's aggregations into dst. It copies what it retains: neither this nor a
+// later merge into dst modifies src.
 func mergeNodes(aggs []*Agg, dst, src []*node, bucketCount *int) error {
 	for i, a := range aggs {
 		if err := mergeNode(a, dst[i], src[i], bucketCount); err != nil {
@@ -47,7 +47,7 @@
 	return nil
 }
 
-// newNodes returns empty states, one for each aggregation.
+// newNodes returns an empty state for each aggregation.
 func newNodes(aggs []*Agg) []*node {
 	out := make([]*node, len(aggs))
 	for i := range aggs {
@@ -56,7 +56,8 @@
 	return out
 }
 
-// mergeNode merges one part's aggregation into dst. It counts new buckets and sketches in bucketCount.
+// mergeNode merges one part's aggregation into dst. It adds new buckets and sketches to
+// bucketCount.
 func mergeNode(a *Agg, dst, src *node, bucketCount *int) error {
 	dst.count += src.count
 	for _, x := range src.sum {
@@ -73,17 +74,17 @@
 	}
 	dst.centroids = append(dst.centroids, src.centroids...)
 	for name, b := range src.buckets {
-		have := dst.buckets[name]
-		if have == nil {
+		merged := dst.buckets[name]
+		if merged == nil {
 			*bucketCount++
 			if *bucketCount > MaxBuckets {
 				return fmt.Errorf("%w: [%s] has more than %d", ErrBuckets, a.Name, MaxBuckets)
 			}
-			have = &bucket{key: b.key, subs: newNodes(a.Subs)}
-			dst.buckets[name] = have
+			merged = &bucket{key: b.key, subs: newNodes(a.Subs)}
+			dst.buckets[name] = merged
 		}
-		have.count += b.count
-		if err := mergeNodes(a.Subs, have.subs, b.subs, bucketCount); err != nil {
+		merged.count += b.count
+		if err := mergeNodes(a.Subs, merged.subs, b.subs, bucketCount); err != nil {
 			return err
 		}
 	}
@@ -102,7 +103,7 @@
 		dst.sketch = hyperloglog.New14()
 	}
 	if err := dst.sketch.Merge(src.sketch); err != nil {
-		return malformedf("[%s] sketch: %v", a.Name, err)
+		return malformedf("aggregation [%s]: merge sketch: %v", a.Name, err)
 	}
 	return nil
 }
--- a/internal/broker/merge/aggregation_parse.go
+++ b/internal/broker/merge/aggregation_parse.go
@@ -8,8 +8,8 @@
 	"github.com/valyala/fastjson"
 )
 
-// ParseAggs reads an aggregation clause. Errors wrap ErrAggregation and name what is not supported. The aggregations keep references
-// to v, which must outlive them.
+// ParseAggs parses an aggregation clause. Errors wrap ErrAggregation and name the clause that is
+// invalid or unsupported. The aggregations retain references to v, which must outlive them.
 func ParseAggs(v *fastjson.Value) ([]*Agg, error) {
 	n := 0
 	return parseAggs(v, 1, &n)
@@ -18,14 +18,14 @@
 func parseAggs(v *fastjson.Value, depth int, n *int) (out []*Agg, err error) {
 	o, err := v.Object()
 	if err != nil {
-		return nil, fmt.Errorf("%w: want an object of named aggregations", ErrAggregation)
+		return nil, fmt.Errorf("%w: must be an object of named aggregations", ErrAggregation)
 	}
 	if depth > maxDepth {
-		return nil, fmt.Errorf("%w: more than %d levels", ErrAggregation, maxDepth)
+		return nil, fmt.Errorf("%w: nested more than %d levels deep", ErrAggregation, maxDepth)
 	}
 	err = visitAll(o, func(name string, v *fastjson.Value) error {
 		if *n++; *n > maxAggs {
-			return fmt.Errorf("%w [%s]: more than %d in one search", ErrAggregation, name, maxAggs)
+			return fmt.Errorf("%w [%s]: more than %d aggregations in one search", ErrAggregation, name, maxAggs)
 		}
 		a := &Agg{Name: name}
 		out = append(out, a)
@@ -34,7 +34,8 @@
 	return out, err
 }
 
-// visitAll calls f for the keys of an object in order, up to the first error. A duplicate key is an error.
+// visitAll calls f for the keys of an object in order, up to the first error. A duplicate key is an
+// error.
 func visitAll(o *fastjson.Object, f func(string, *fastjson.Value) error) (err error) {
 	var seen []string
 	o.Visit(func(k []byte, v *fastjson.Value) {
@@ -52,7 +53,7 @@
 func (a *Agg) parse(v *fastjson.Value, depth int, n *int) error {
 	o, err := v.Object()
 	if err != nil {
-		return a.invalidf("want an object")
+		return a.invalidf("must be an object")
 	}
 	err = visitAll(o, func(key string, v *fastjson.Value) error {
 		switch {
@@ -61,7 +62,7 @@
 			a.Subs = append(a.Subs, subs...)
 			return err
 		case a.Kind != "":
-			return a.invalidf("two kinds, [%s] and [%s]", a.Kind, key)
+			return a.invalidf("found two aggregation kinds, [%s] and [%s]", a.Kind, key)
 		}
 		a.Kind = key
 		return a.parseParameters(v)
@@ -70,14 +71,14 @@
 	case err != nil:
 		return err
 	case a.Kind == "":
-		return a.invalidf("no kind")
+		return a.invalidf("missing aggregation kind")
 	case len(a.Subs) > 0 && slices.Contains(metricKinds, a.Kind):
-		return a.invalidf("[%s] has no sub-aggregations", a.Kind)
+		return a.invalidf("[%s] does not accept sub-aggregations", a.Kind)
 	}
 	return nil
 }
 
-// parseParameters sets the defaults of a kind and reads its parameters.
+// parseParameters sets the defaults of a kind and parses its parameters.
 func (a *Agg) parseParameters(v *fastjson.Value) error {
 	switch a.Kind {
 	case "terms":
@@ -97,7 +98,7 @@
 	}
 	o, err := v.Object()
 	if err != nil {
-		return a.invalidf("[%s] wants an object", a.Kind)
+		return a.invalidf("[%s] must be an object", a.Kind)
 	}
 	if err := visitAll(o, a.parseParameter); err != nil {
 		return err
@@ -106,17 +107,17 @@
 }
 
 func (a *Agg) parseParameter(key string, v *fastjson.Value) error {
-	whole := func(into *int, least, most int) error {
+	integer := func(into *int, least, most int) error {
 		n, err := v.Int()
 		if *into = n; err != nil || n < least || n > most {
-			return a.invalidf("[%s] wants a whole number from %d to %d", key, least, most)
+			return a.invalidf("[%s] must be an integer from %d to %d", key, least, most)
 		}
 		return nil
 	}
 	number := func(into *float64) error {
 		f, err := parseFloat(v)
 		if *into = f; err != nil || f > 1e300 || f < -1e300 {
-			return a.invalidf("[%s] wants a number", key)
+			return a.invalidf("[%s] must be a number", key)
 		}
 		return nil
 	}
@@ -125,14 +126,14 @@
 		a.Field = string(v.GetStringBytes())
 		return nil
 	case at == "terms.size", at == "composite.size":
-		return whole(&a.size, 1, maxSize)
+		return integer(&a.size, 1, maxSize)
 	case at == "terms.shard_size":
-		return whole(&a.shardSize, 1, maxSize)
+		return integer(&a.shardSize, 1, maxSize)
 	case at == "terms.min_doc_count", at == "histogram.min_doc_count", at == "date_histogram.min_doc_count":
 		n := 0
-		err := whole(&n, 0, 1<<30)
+		err := integer(&n, 0, 1<<30)
 		if a.minDocCount = int64(n); a.Kind == "terms" && n != 1 {
-			return a.invalidf("unsupported value for [min_doc_count] of terms: want 1")
+			return a.invalidf("unsupported value for [min_doc_count] of [terms]: must be 1")
 		}
 		return err
 	case at == "terms.order":
@@ -146,7 +147,7 @@
 	case at == "date_histogram.calendar_interval":
 		a.calendar = string(v.GetStringBytes())
 		if !slices.Contains([]string{"day", "1d", "month", "1M", "year", "1y"}, a.calendar) {
-			return a.invalidf("unsupported [calendar_interval] [%s]: want day, month or year", a.calendar)
+			return a.invalidf("unsupported [calendar_interval] [%s]: must be day, month or year", a.calendar)
 		}
 		a.calendar = strings.NewReplacer("1d", "day", "1M", "month", "1y", "year").Replace(a.calendar)
 		return nil
@@ -157,7 +158,7 @@
 	case at == "filters.filters":
 		o, err := v.Object()
 		if err != nil {
-			return a.invalidf("[filters] wants an object of named queries")
+			return a.invalidf("[filters] must be an object of named queries")
 		}
 		return visitAll(o, func(name string, q *fastjson.Value) error {
 			a.filters = append(a.filters, filter{name, q})
@@ -171,19 +172,20 @@
 	return a.invalidf("unsupported parameter [%s] of [%s]", key, a.Kind)
 }
 
-// validate checks the parameters together, and derives the shard size of terms.
+// validate checks the parameters of the aggregation against each other, and sets the default shard
+// size of terms.
 func (a *Agg) validate() error {
 	switch {
 	case a.Field == "" && a.Kind != "filters" && a.Kind != "composite":
-		return a.invalidf("[%s] wants a field", a.Kind)
+		return a.invalidf("[%s] requires [field]", a.Kind)
 	case a.Kind == "histogram" && !(a.interval > 0), a.Kind == "date_histogram" && !(a.interval > 0) && a.calendar == "":
-		return a.invalidf("[%s] wants an interval above nought", a.Kind)
+		return a.invalidf("[%s] requires an interval greater than 0", a.Kind)
 	case a.interval > 0 && a.calendar != "":
-		return a.invalidf("[%s] wants one interval", a.Kind)
+		return a.invalidf("[%s] accepts only one of [fixed_interval] and [calendar_interval]", a.Kind)
 	case a.Kind == "range" && len(a.ranges) == 0, a.Kind == "filters" && len(a.filters) == 0, a.Kind == "composite" && len(a.sources) == 0:
-		return a.invalidf("[%s] wants at least one", a.Kind)
+		return a.invalidf("[%s] requires at least one range, filter or source", a.Kind)
 	case a.after != nil && len(a.after) != len(a.sources):
-		return a.invalidf("[after] has %d values, where there are %d sources", len(a.after), len(a.sources))
+		return a.invalidf("[after] has %d values but there are %d sources", len(a.after), len(a.sources))
 	}
 	if a.Kind == "terms" {
 		if a.shardSize == 0 {
@@ -197,7 +199,7 @@
 func (a *Agg) parseOrder(v *fastjson.Value) error {
 	o, err := v.Object()
 	if err != nil || o.Len() != 1 {
-		return a.invalidf("[order] wants an object of one key")
+		return a.invalidf("[order] must be an object with one key")
 	}
 	return visitAll(o, func(key string, v *fastjson.Value) error {
 		dir := string(v.GetStringBytes())
@@ -206,7 +208,7 @@
 			a.byKey, a.descending = true, dir == "desc"
 		case key == "_count" && dir == "desc":
 		default:
-			return a.invalidf("unsupported order [%s %s]: want _count desc or _key", key, dir)
+			return a.invalidf("unsupported order [%s %s]: must be _count desc or _key", key, dir)
 		}
 		return nil
 	})
@@ -221,7 +223,7 @@
 			return nil
 		}
 	}
-	return a.invalidf("[fixed_interval] wants a number and ms, s, m, h or d, not [%s]", text)
+	return a.invalidf("[fixed_interval] must be a number with unit ms, s, m, h or d, got [%s]", text)
 }
 
 func (a *Agg) parsePercents(v *fastjson.Value) error {
@@ -229,12 +231,12 @@
 	for _, x := range v.GetArray() {
 		f, err := parseFloat(x)
 		if err != nil || !(f >= 0 && f <= 100) {
-			return a.invalidf("[percents] wants numbers from 0 to 100")
+			return a.invalidf("[percents] must be numbers from 0 to 100")
 		}
 		a.percents = append(a.percents, f)
 	}
 	if len(a.percents) == 0 || len(a.percents) > maxAggs {
-		return a.invalidf("[percents] wants 1 to %d numbers", maxAggs)
+		return a.invalidf("[percents] must have 1 to %d numbers", maxAggs)
 	}
 	return nil
 }
@@ -246,7 +248,7 @@
 			return err
 		}
 		if slices.ContainsFunc(a.ranges, func(other aggRange) bool { return other.key == r.key }) {
-			return a.invalidf("range [%s] is named twice", r.key)
+			return a.invalidf("duplicate range [%s]", r.key)
 		}
 		a.ranges = append(a.ranges, r)
 	}
@@ -256,7 +258,8 @@
 	return nil
 }
 
-// parseRange reads one range. A range without a key is named FROM-TO, with * for an open end, as OpenSearch does.
+// parseRange parses one range. The default key of a range is FROM-TO, with * for an open end, as in
+// OpenSearch.
 func (a *Agg) parseRange(v *fastjson.Value) (aggRange, error) {
 	from, fromName, err := a.parseRangeBound(v, "from")
 	if err != nil {
@@ -273,7 +276,8 @@
 	return r, nil
 }
 
-// parseRangeBound reads one end of a range and its name; an end that is not given is nil, and its name is *.
+// parseRangeBound parses one bound of a range and returns it with its text. A missing bound is nil,
+// with the text *.
 func (a *Agg) parseRangeBound(v *fastjson.Value, bound string) (*float64, string, error) {
 	b := v.Get(bound)
 	if b == nil {
@@ -281,7 +285,7 @@
 	}
 	f, err := parseFloat(b)
 	if err != nil {
-		return nil, "", a.invalidf("[%s] of a range wants a number", bound)
+		return nil, "", a.invalidf("[%s] of a range must be a number", bound)
 	}
 	return &f, string(appendFloat(nil, f)), nil
 }
@@ -290,13 +294,13 @@
 	for _, x := range v.GetArray() {
 		o, err := x.Object()
 		if err != nil || o.Len() != 1 {
-			return a.invalidf("[sources] wants objects of one name")
+			return a.invalidf("[sources] must be objects with one name")
 		}
 		err = visitAll(o, func(name string, v *fastjson.Value) error {
 			s := source{name: name}
 			inner, err := v.Object()
 			if err != nil || inner.Len() != 1 {
-				return a.invalidf("source [%s] wants one kind", name)
+				return a.invalidf("source [%s] must have one kind", name)
 			}
 			a.sources = append(a.sources, s)
 			return visitAll(inner, func(kind string, v *fastjson.Value) error { return a.parseSource(len(a.sources)-1, kind, v) })
@@ -311,11 +315,11 @@
 func (a *Agg) parseSource(i int, kind string, v *fastjson.Value) error {
 	s := &a.sources[i]
 	s.kind, s.field = kind, string(v.GetStringBytes("field"))
-	s.interval, _ = parseFloat(v.Get("interval")) // an interval that is not a number is 0, which is rejected below for a histogram
+	s.interval, _ = parseFloat(v.Get("interval")) // 0 if not a number, which is rejected below for a histogram
 	s.desc = string(v.GetStringBytes("order")) == "desc"
 	o, err := v.Object()
 	if err != nil || s.field == "" || kind != "terms" && kind != "histogram" || kind == "histogram" && !(s.interval > 0) {
-		return a.invalidf("source [%s] wants terms of a field, or a histogram of one with its interval", s.name)
+		return a.invalidf("source [%s] must be terms with a field, or a histogram with a field and an interval", s.name)
 	}
 	return visitAll(o, func(key string, _ *fastjson.Value) error {
 		if key == "field" || key == "order" || key == "interval" && kind == "histogram" {
@@ -325,16 +329,17 @@
 	})
 }
 
-// parseAfter reads the key of the last bucket of the previous page. It may stand before or after the sources.
+// parseAfter parses the key of the last bucket of the previous page. It may precede or follow the
+// sources in the request.
 func (a *Agg) parseAfter(v *fastjson.Value) error {
 	o, err := v.Object()
 	if err != nil {
-		return a.invalidf("[after] wants an object")
+		return a.invalidf("[after] must be an object")
 	}
 	return visitAll(o, func(name string, v *fastjson.Value) error {
 		x, err := parseValue(v)
 		if err != nil || x.Kind == Missing {
-			return a.invalidf("[after] [%s] wants a value", name)
+			return a.invalidf("[after] has no valid value for [%s]", name)
 		}
 		a.after = append(a.after, x)
 		return nil
--- a/internal/broker/merge/aggregation_read.go
+++ b/internal/broker/merge/aggregation_read.go
@@ -10,7 +10,8 @@
 	"github.com/valyala/fastjson"
 )
 
-// reader reads the aggregations of one part and counts what they keep, for the bounds and for Part.Size.
+// reader reads the aggregations of one part and counts their buckets, sketches and centroids, for
+// the limits and for Part.Size.
 type reader struct {
 	buckets   int
 	sketches  int
@@ -18,9 +19,9 @@
 }
 
 const (
-	maxSketches  = 512  // of one part; a sketch takes 16 KiB at most
-	maxCentroids = 2000 // of one aggregation
-	maxSumTerms  = 64   // of one exact sum
+	maxSketches  = 512  // per part; a sketch takes up to 16 KiB
+	maxCentroids = 2000 // per aggregation
+	maxSumTerms  = 64   // per exact sum
 )
 
 func (r *reader) readAll(aggs []*Agg, v *fastjson.Value) ([]*node, error) {
@@ -28,7 +29,7 @@
 	for i, a := range aggs {
 		x := v.Get(a.Name)
 		if x == nil || x.Type() != fastjson.TypeObject {
-			return nil, malformedf("no aggregation [%s]", a.Name)
+			return nil, malformedf("missing aggregation [%s]", a.Name)
 		}
 		n, err := r.readNode(a, x)
 		if err != nil {
@@ -72,7 +73,7 @@
 func floatAt(a *Agg, v *fastjson.Value, key string) (float64, error) {
 	f, err := parseFloat(v.Get(key))
 	if err != nil {
-		return 0, malformedf("[%s].%s is no number: %v", a.Name, key, err)
+		return 0, malformedf("[%s].%s is not a number: %v", a.Name, key, err)
 	}
 	return f, nil
 }
@@ -80,16 +81,17 @@
 func countAt(a *Agg, v *fastjson.Value, key string) (int64, error) {
 	x := v.Get(key)
 	if x == nil {
-		return 0, malformedf("[%s] has no %s", a.Name, key)
+		return 0, malformedf("[%s].%s is missing", a.Name, key)
 	}
 	n, err := x.Int64()
 	if err != nil || n < 0 {
-		return 0, malformedf("[%s].%s is no whole number from nought", a.Name, key)
+		return 0, malformedf("[%s].%s is not an integer of 0 or more", a.Name, key)
 	}
 	return n, nil
 }
 
-// sumAt reads a sum: exactly, as its terms, where the server gives them under parts.
+// sumAt reads a sum: from its exact terms under the key parts if the server sent them, else from
+// the rounded number under key.
 func sumAt(a *Agg, v *fastjson.Value, key, parts string) (e exactSum, err error) {
 	list := v.GetArray(parts)
 	if len(list) == 0 {
@@ -102,7 +104,7 @@
 	for _, x := range list {
 		f, err := parseFloat(x)
 		if err != nil || len(list) > maxSumTerms {
-			return nil, malformedf("[%s].%s holds what is no number", a.Name, parts)
+			return nil, malformedf("[%s].%s has an entry that is not a number, or too many entries", a.Name, parts)
 		}
 		e.add(f)
 	}
@@ -131,31 +133,31 @@
 func (r *reader) readCardinality(a *Agg, n *node, v *fastjson.Value) error {
 	raw, err := base64.StdEncoding.DecodeString(string(v.GetStringBytes("sketch")))
 	if err != nil {
-		return malformedf("[%s] has no sketch: %v", a.Name, err)
+		return malformedf("[%s].sketch is not base64: %v", a.Name, err)
 	}
 	return r.readSketch(a, n, raw)
 }
 
 func (r *reader) readSketch(a *Agg, n *node, raw []byte) error {
 	if r.sketches++; r.sketches > maxSketches {
-		return malformedf("more than %d sketches", maxSketches)
+		return malformedf("more than %d sketches in one part", maxSketches)
 	}
 	if len(raw) == 0 {
 		return malformedf("[%s] has no sketch", a.Name)
 	}
 	var err error
 	if n.sketch, err = decodeSketch(raw); err != nil {
-		return malformedf("[%s] sketch: %v", a.Name, err)
+		return malformedf("[%s]: decode sketch: %v", a.Name, err)
 	}
 	return nil
 }
 
-// decodeSketch reads a sketch. The library panics over some malformed bytes, when it reads, merges or estimates; therefore all three
-// are done here, on a copy, and a panic becomes an error.
+// decodeSketch decodes a sketch. The library panics on some malformed input when it decodes, merges
+// or estimates; therefore decodeSketch does all three on a copy and turns a panic into an error.
 func decodeSketch(raw []byte) (s *hyperloglog.Sketch, err error) {
 	defer func() {
 		if p := recover(); p != nil {
-			s, err = nil, fmt.Errorf("it can't be read: %v", p)
+			s, err = nil, fmt.Errorf("malformed sketch: %v", p)
 		}
 	}()
 	s = hyperloglog.New14()
@@ -173,18 +175,18 @@
 func (n *node) readPercentiles(a *Agg, v *fastjson.Value) error {
 	list := v.Get("centroids")
 	if list == nil || list.Type() != fastjson.TypeArray || len(list.GetArray()) > maxCentroids {
-		return malformedf("[%s] has no centroids, or over %d", a.Name, maxCentroids)
+		return malformedf("[%s].centroids is not a list of up to %d entries", a.Name, maxCentroids)
 	}
 	for _, x := range list.GetArray() {
 		pair := x.GetArray()
 		if len(pair) != 2 {
-			return malformedf("[%s] has a centroid that is no pair", a.Name)
+			return malformedf("[%s] has a centroid that is not a pair of numbers", a.Name)
 		}
 		mean, err := parseFloat(pair[0])
 		weight, werr := parseFloat(pair[1])
 		c := centroid{mean, weight}
 		if err != nil || werr != nil || !(c.weight > 0) {
-			return malformedf("[%s] has a centroid out of range", a.Name)
+			return malformedf("[%s] has a centroid out of range: want a positive weight", a.Name)
 		}
 		n.centroids = append(n.centroids, c)
 	}
@@ -197,7 +199,7 @@
 		for _, f := range a.filters {
 			x := v.Get("buckets", f.name)
 			if x == nil {
-				return malformedf("[%s] has no bucket [%s]", a.Name, f.name)
+				return malformedf("[%s] is missing bucket [%s]", a.Name, f.name)
 			}
 			if err := r.readBucket(a, n, []Value{String(f.name)}, x); err != nil {
 				return err
@@ -207,7 +209,7 @@
 	}
 	list := v.Get("buckets")
 	if list == nil || list.Type() != fastjson.TypeArray {
-		return malformedf("[%s] has no buckets", a.Name)
+		return malformedf("[%s].buckets is not a list", a.Name)
 	}
 	for _, x := range list.GetArray() {
 		key, err := a.bucketKey(x)
@@ -227,34 +229,34 @@
 	return a.applyListBounds(n)
 }
 
-// bucketKey reads the key of a bucket.
+// bucketKey reads and validates the key of a bucket.
 func (a *Agg) bucketKey(x *fastjson.Value) ([]Value, error) {
 	if a.Kind == "composite" {
 		key := make([]Value, len(a.sources))
 		for i, s := range a.sources {
 			v := x.Get("key", s.name)
 			if v == nil {
-				return nil, malformedf("[%s] has a bucket without [%s]", a.Name, s.name)
+				return nil, malformedf("[%s] has a bucket whose key lacks [%s]", a.Name, s.name)
 			}
 			var err error
 			if key[i], err = parseValue(v); err != nil || key[i].Kind == Missing {
-				return nil, malformedf("[%s] has a bucket whose [%s] is no value", a.Name, s.name)
+				return nil, malformedf("[%s] has a bucket with an invalid key value for [%s]", a.Name, s.name)
 			}
 		}
 		return key, nil
 	}
 	v := x.Get("key")
 	if v == nil {
-		return nil, malformedf("[%s] has a bucket without its key", a.Name)
+		return nil, malformedf("[%s] has a bucket without a key", a.Name)
 	}
 	key, err := parseValue(v)
 	if err != nil {
-		return nil, malformedf("[%s] has a key that is no value", a.Name)
+		return nil, malformedf("[%s] has a bucket with an invalid key", a.Name)
 	}
 	return []Value{key}, a.validateKey([]Value{key})
 }
 
-// validateKey rejects a bucket that was not requested.
+// validateKey rejects the key of a bucket that was not requested.
 func (a *Agg) validateKey(key []Value) error {
 	want := 1
 	switch a.Kind {
@@ -264,19 +266,19 @@
 		want = 0
 	}
 	if len(key) != want || slices.ContainsFunc(key, func(v Value) bool { return v.Kind == Missing }) {
-		return malformedf("[%s] has a key that is no value", a.Name)
+		return malformedf("[%s] has a bucket with an invalid key", a.Name)
 	}
-	asked := true
+	requested := true
 	switch a.Kind {
 	case "range":
-		asked = slices.ContainsFunc(a.ranges, func(r aggRange) bool { return r.key == key[0].text })
+		requested = slices.ContainsFunc(a.ranges, func(r aggRange) bool { return r.key == key[0].text })
 	case "filters":
-		asked = slices.ContainsFunc(a.filters, func(f filter) bool { return f.name == key[0].text })
+		requested = slices.ContainsFunc(a.filters, func(f filter) bool { return f.name == key[0].text })
 	case "histogram", "date_histogram":
-		asked = key[0].Kind == Number
+		requested = key[0].Kind == Number
 	}
-	if !asked {
-		return malformedf("[%s] has a bucket that was not asked for", a.Name)
+	if !requested {
+		return malformedf("[%s] has a bucket that was not requested", a.Name)
 	}
 	return nil
 }
@@ -295,22 +297,22 @@
 
 func (r *reader) addBucket(a *Agg, n *node, b *bucket) error {
 	if r.buckets++; r.buckets > MaxBuckets {
-		return malformedf("more than %d buckets", MaxBuckets)
+		return malformedf("more than %d buckets in one part", MaxBuckets)
 	}
 	name := string(AppendValues(nil, b.key))
 	if n.buckets[name] != nil {
-		return malformedf("[%s] has bucket %s twice", a.Name, name)
+		return malformedf("[%s] has a duplicate bucket %s", a.Name, name)
 	}
 	n.buckets[name] = b
 	return nil
 }
 
-// applyListBounds rejects a list longer than requested, and derives the error bound of terms: a bucket that the part left out has no
-// more documents than the smallest that it gave.
+// applyListBounds rejects a list longer than requested, and derives the error bound of terms: an
+// omitted bucket has no more documents than the smallest one in the part.
 func (a *Agg) applyListBounds(n *node) error {
 	switch {
 	case a.Kind == "terms" && len(n.buckets) > a.shardSize, a.Kind == "composite" && len(n.buckets) > a.size:
-		return malformedf("[%s] has %d buckets, more than asked for", a.Name, len(n.buckets))
+		return malformedf("[%s] has %d buckets, more than requested", a.Name, len(n.buckets))
 	case a.Kind != "terms":
 		return nil
 	}
--- a/internal/broker/merge/aggregation_request.go
+++ b/internal/broker/merge/aggregation_request.go
@@ -2,7 +2,8 @@
 
 import "strconv"
 
-// AppendAggs appends the clause that servers get. It requests a form that can be merged: avg becomes stats, terms have the shard size.
+// AppendAggs appends the aggregation clause for the requests to servers. It requests results that
+// can be merged: stats instead of avg, and the shard size for terms.
 func AppendAggs(dst []byte, aggs []*Agg) []byte {
 	dst = append(dst, '{')
 	for i, a := range aggs {
@@ -22,7 +23,7 @@
 func (a *Agg) appendRequest(dst []byte) []byte {
 	kind := a.Kind
 	if kind == "avg" {
-		kind = "stats" // a mean without its count can't be merged
+		kind = "stats" // a mean cannot be merged without its count
 	}
 	dst = append(appendString(dst, kind), ':')
 	if a.Kind == "filter" {
@@ -111,7 +112,7 @@
 	return a.appendKey(append(dst, `,"after":`...), a.after)
 }
 
-// appendKey appends the key of a composite bucket as an object.
+// appendKey appends the key of a composite bucket as a JSON object.
 func (a *Agg) appendKey(dst []byte, key []Value) []byte {
 	dst = append(dst, '{')
 	for i, v := range key {
--- a/internal/broker/merge/aggregation_test.go
+++ b/internal/broker/merge/aggregation_test.go
@@ -19,7 +19,8 @@
 	_ "saffronquay/internal/testing/harness/steady"
 )
 
-// aggregationClauses have every kind of aggregation. Their merged results are compared with those of a single store.
+// aggregationClauses cover every kind of aggregation. Their merged results are compared with those
+// of a single store.
 var aggregationClauses = []string{
 	`"a":{"sum":{"field":"due"}}`, `"a":{"min":{"field":"due"}}`, `"a":{"max":{"field":"due"}}`, `"a":{"avg":{"field":"due"}}`,
 	`"a":{"value_count":{"field":"desk"}}`, `"a":{"stats":{"field":"due"}}`, `"a":{"extended_stats":{"field":"small"}}`,
@@ -35,8 +36,8 @@
 	`"a":{"sum":{"field":"due"}},"b":{"avg":{"field":"small"}}`,
 }
 
-// addAggregationFields gives rows the fields that the clauses use: due over many magnitudes, where the order of addition matters; small
-// numbers; dates.
+// addAggregationFields adds the fields that the clauses use: due, with values of many magnitudes,
+// so that the order of floating-point addition matters; small numbers; dates.
 func addAggregationFields(rng *rand.Rand, rows []fakebackend.Row) {
 	for _, r := range rows {
 		r.Fields["due"] = (rng.Float64() - 0.5) * math.Pow(10, float64(rng.IntN(34)-17))
@@ -76,7 +77,8 @@
 	return v
 }
 
-// TestProofOfAggregations compares aggregations with one store for random data, splits and orders of arrival.
+// TestProofOfAggregations compares merged aggregations with those of a single store, for random
+// data, splits and orders of arrival.
 func TestProofOfAggregations(t *testing.T) {
 	queries, orders := 0, 0
 	for seed := uint64(0); seed < 60 && !t.Failed(); seed++ {
@@ -125,8 +127,9 @@
 	fmt.Printf("proof of aggregations: queries=%d orders=%d\n", queries, orders)
 }
 
-// TestSketches checks that estimates stay within their error and do not depend on the order of arrival.
-func TestSketches(t *testing.T) {
+// TestSketches_AccurateInAnyOrder checks that merged cardinality and percentile estimates stay
+// within their error and do not depend on the order of arrival.
+func TestSketches_AccurateInAnyOrder(t *testing.T) {
 	rng := rand.New(rand.NewPCG(4, 4))
 	p := aggregationPlan(t, `"c":{"cardinality":{"field":"key"}},"p":{"percentiles":{"field":"due","percents":[1,50,99]}}`)
 	var rows []fakebackend.Row
@@ -152,12 +155,12 @@
 			first = string(page.Aggs)
 		}
 		if first != string(page.Aggs) {
-			t.Errorf("it depends on the order: %s %s", first, page.Aggs)
+			t.Errorf("result depends on the order of arrival: %s %s", first, page.Aggs)
 		}
 	}
 	v := fastjson.MustParse("{" + first + "}")
 	if n := v.GetFloat64("c", "value"); math.Abs(n-20_000) > 20_000*0.03 {
-		t.Errorf("%g different ones of 20000", n)
+		t.Errorf("estimated cardinality %g, want 20000 within 3%%", n)
 	}
 	var all []float64
 	for _, r := range rows {
@@ -172,8 +175,9 @@
 	}
 }
 
-// TestTermsBound checks truncated lists of terms: a count is too low by at most the stated bound, and the sum of all counts is right.
-func TestTermsBound(t *testing.T) {
+// TestTerms_CountsWithinErrorBound checks truncated lists of terms: a count is too low by at most
+// the reported error bound, and the sum of all counts is exact.
+func TestTerms_CountsWithinErrorBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := aggregationPlan(t, `"a":{"terms":{"field":"small","size":3,"shard_size":4}}`)
 		rows, truth := []fakebackend.Row{}, map[float64]int64{}
@@ -199,17 +203,18 @@
 		for _, b := range v.GetArray("buckets") {
 			count, real := b.GetInt64("doc_count"), truth[b.GetFloat64("key")]
 			if sum += count; count > real || count < real-bound {
-				t.Fatalf("%d of %d, bound %d", count, real, bound)
+				t.Fatalf("count %d, true count %d, error bound %d", count, real, bound)
 			}
 		}
 		if sum != int64(n) {
-			t.Fatalf("%d of %d rows", sum, n)
+			t.Fatalf("counts add up to %d of %d rows", sum, n)
 		}
 	})
 }
 
-// TestExact checks that an exact sum is the true sum, rounded only at the end, in any order of addition.
-func TestExact(t *testing.T) {
+// TestExactSum_IndependentOfOrder checks that an exactSum is the true sum, rounded only once, in
+// any order of addition.
+func TestExactSum_IndependentOfOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		xs := rapid.SliceOfN(rapid.Float64Range(-1e200, 1e200), 0, 40).Draw(t, "xs")
 		var a exactSum
@@ -229,26 +234,26 @@
 	})
 }
 
-// TestBadAggregations checks that malformed aggregations fail the part, and that parts that cannot be merged fail the page with a
-// reason.
-func TestBadAggregations(t *testing.T) {
+// TestAggregations_Malformed checks that Read rejects malformed aggregations, and that Page reports
+// why valid ones cannot be merged.
+func TestAggregations_Malformed(t *testing.T) {
 	for _, c := range []struct{ clause, aggs, want string }{
-		{`"a":{"sum":{"field":"x"}}`, `{}`, "no aggregation [a]"},
-		{`"a":{"sum":{"field":"x"}}`, `{"a":{"value":"much"}}`, "is no number"},
+		{`"a":{"sum":{"field":"x"}}`, `{}`, "missing aggregation [a]"},
+		{`"a":{"sum":{"field":"x"}}`, `{"a":{"value":"much"}}`, "is not a number"},
 		{`"a":{"sum":{"field":"x"}}`, `{"a":{"value":NaN}}`, "[a].value"},
-		{`"a":{"sum":{"field":"x"}}`, `{"a":{"value":1,"sum_exact":[1,Inf]}}`, "no number"},
+		{`"a":{"sum":{"field":"x"}}`, `{"a":{"value":1,"sum_exact":[1,Inf]}}`, "entry that is not a number"},
 		{`"a":{"stats":{"field":"x"}}`, `{"a":{"count":-1}}`, "[a].count"},
 		{`"a":{"stats":{"field":"x"}}`, `{"a":{"count":2,"sum":3,"min":1}}`, "[a].max"},
 		{`"a":{"cardinality":{"field":"x"}}`, `{"a":{"value":3}}`, "no sketch"},
 		{`"a":{"cardinality":{"field":"x"}}`, `{"a":{"sketch":"AAAA"}}`, "sketch"},
 		{`"a":{"percentiles":{"field":"x"}}`, `{"a":{"centroids":[[1,-1]]}}`, "out of range"},
 		{`"a":{"terms":{"field":"x"}}`, `{"a":{"buckets":[{"key":1}],"sum_other_doc_count":0}}`, "doc_count"},
-		{`"a":{"terms":{"field":"x"}}`, `{"a":{"buckets":[{"key":1,"doc_count":1},{"key":1.0,"doc_count":2}],"sum_other_doc_count":0}}`, "twice"},
-		{`"a":{"terms":{"field":"x"}}`, `{"a":{"buckets":[{"key":[],"doc_count":1}],"sum_other_doc_count":0}}`, "no value"},
-		{`"a":{"terms":{"field":"x","size":1,"shard_size":1}}`, `{"a":{"buckets":[{"key":1,"doc_count":1},{"key":2,"doc_count":1}],"sum_other_doc_count":0}}`, "more than asked for"},
-		{`"a":{"histogram":{"field":"x","interval":1}}`, `{"a":{"buckets":[{"key":"x","doc_count":1}]}}`, "not asked for"},
-		{`"a":{"range":{"field":"x","ranges":[{"to":1}]}}`, `{"a":{"buckets":[{"key":"z","doc_count":1}]}}`, "not asked for"},
-		{`"a":{"terms":{"field":"x"},"aggs":{"b":{"sum":{"field":"y"}}}}`, `{"a":{"buckets":[{"key":1,"doc_count":1}],"sum_other_doc_count":0}}`, "no aggregation [b]"},
+		{`"a":{"terms":{"field":"x"}}`, `{"a":{"buckets":[{"key":1,"doc_count":1},{"key":1.0,"doc_count":2}],"sum_other_doc_count":0}}`, "duplicate bucket"},
+		{`"a":{"terms":{"field":"x"}}`, `{"a":{"buckets":[{"key":[],"doc_count":1}],"sum_other_doc_count":0}}`, "invalid key"},
+		{`"a":{"terms":{"field":"x","size":1,"shard_size":1}}`, `{"a":{"buckets":[{"key":1,"doc_count":1},{"key":2,"doc_count":1}],"sum_other_doc_count":0}}`, "more than requested"},
+		{`"a":{"histogram":{"field":"x","interval":1}}`, `{"a":{"buckets":[{"key":"x","doc_count":1}]}}`, "not requested"},
+		{`"a":{"range":{"field":"x","ranges":[{"to":1}]}}`, `{"a":{"buckets":[{"key":"z","doc_count":1}]}}`, "not requested"},
+		{`"a":{"terms":{"field":"x"},"aggs":{"b":{"sum":{"field":"y"}}}}`, `{"a":{"buckets":[{"key":1,"doc_count":1}],"sum_other_doc_count":0}}`, "missing aggregation [b]"},
 	} {
 		p := aggregationPlan(t, c.clause)
 		if _, err := readAnswer(p, `{"hits":{"total":0,"hits":[]},"aggregations":`+c.aggs+`}`); !errors.Is(err, ErrMalformedPart) || !strings.Contains(err.Error(), c.want) {
@@ -261,7 +266,7 @@
 	}
 	p := aggregationPlan(t, `"a":{"histogram":{"field":"x","interval":1,"min_doc_count":1}}`)
 	if _, err := readAnswer(p, `{"hits":{"total":0,"hits":[]},"aggregations":{"a":{"buckets":[`+many.String()[1:]+`]}}}`); !errors.Is(err, ErrMalformedPart) || !strings.Contains(err.Error(), "more than 65535 buckets") {
-		t.Errorf("too many: %v", err)
+		t.Errorf("more than MaxBuckets buckets: %v", err)
 	}
 	for _, c := range []struct{ clause, a, b, want string }{
 		{`"a":{"terms":{"field":"x"}}`, `{"buckets":[{"key":1,"doc_count":1}],"sum_other_doc_count":0}`, `{"buckets":[{"key":"x","doc_count":1}],"sum_other_doc_count":0}`, "field [a]: it has both number and keyword"},
@@ -282,7 +287,7 @@
 	}
 }
 
-// FuzzAggs checks that the request made of any accepted clause is JSON.
+// FuzzAggs checks that the request built from any accepted clause is valid JSON.
 func FuzzAggs(f *testing.F) {
 	for _, c := range aggregationClauses {
 		f.Add("{" + c + "}")
@@ -297,7 +302,7 @@
 			return
 		}
 		if _, err := fastjson.ParseBytes(AppendAggs(nil, aggs)); err != nil {
-			t.Errorf("%s is asked for as what is no JSON: %v", text, err)
+			t.Errorf("request for %s is not valid JSON: %v", text, err)
 		}
 	})
 }
@@ -321,14 +326,14 @@
 	})
 }
 
-// checkMergedJSON merges a part with itself: the result must be JSON or an error.
+// checkMergedJSON merges a part with itself and checks that the result is valid JSON or an error.
 func checkMergedJSON(t *testing.T, p *Plan, x *Part) {
 	s := NewState(p)
 	s.Add(x)
 	s.Add(x)
 	if page, err := s.Page(); err == nil {
 		if _, err := fastjson.ParseBytes(append(append([]byte{'{'}, page.Aggs...), '}')); err != nil {
-			t.Errorf("an answer that is no JSON: %v", err)
+			t.Errorf("merged answer is not valid JSON: %v", err)
 		}
 	}
 }
--- a/internal/broker/merge/aggregation_write.go
+++ b/internal/broker/merge/aggregation_write.go
@@ -14,10 +14,11 @@
 // digestCompression is the compression of the t-digest that merges percentiles.
 const digestCompression = 200
 
-// writer writes the merged aggregations as JSON. It writes at most MaxBuckets buckets; beyond that, err is set and the output is useless.
+// writer encodes the merged aggregations as JSON. If there are more than MaxBuckets buckets, it
+// sets err and the output must be discarded.
 type writer struct {
 	out       []byte
-	remaining int // how many buckets may still be written
+	remaining int // number of buckets that may still be written
 	err       error
 }
 
@@ -34,7 +35,7 @@
 
 func (w *writer) writeKey(name string) { w.out = append(appendString(w.out, name), ':') }
 
-// writeNumber writes a named number, or null if some is false or the number is not finite.
+// writeNumber writes a key and a number, or null if some is false or the number is not finite.
 func (w *writer) writeNumber(name string, f float64, some bool) {
 	if len(w.out) > 0 && w.out[len(w.out)-1] != '{' {
 		w.out = append(w.out, ',')
@@ -106,7 +107,8 @@
 	w.out = append(w.out, '}')
 }
 
-// writePercentiles builds one digest of the centroids of all parts. It sorts them first, so that the order of arrival does not matter.
+// writePercentiles builds one digest from the centroids of all parts. It sorts them first, so that
+// the result does not depend on the order of arrival.
 func (w *writer) writePercentiles(a *Agg, n *node) {
 	cs := slices.Clone(n.centroids)
 	slices.SortFunc(cs, func(x, y centroid) int { return cmp.Or(cmp.Compare(x.mean, y.mean), cmp.Compare(x.weight, y.weight)) })
@@ -121,7 +123,7 @@
 	w.out = append(w.out, '}')
 }
 
-// percentName is the key of a percentile in the answer, as OpenSearch writes it: 50.0, 99.9.
+// percentName returns the key of a percentile in the answer, in OpenSearch's format: 50.0, 99.9.
 func percentName(p float64) string {
 	if p == math.Trunc(p) {
 		return strconv.FormatFloat(p, 'f', 1, 64)
@@ -147,11 +149,11 @@
 	w.out = append(w.out, '}')
 }
 
-// writeCount writes the count of a bucket and its sub-aggregations.
+// writeCount writes the document count of a bucket and its sub-aggregations.
 func (w *writer) writeCount(a *Agg, b *bucket) {
 	w.remaining--
 	if w.remaining < 0 {
-		w.fail(fmt.Errorf("%w: more than %d", ErrBuckets, MaxBuckets))
+		w.fail(fmt.Errorf("%w: more than %d in one answer", ErrBuckets, MaxBuckets))
 	}
 	w.writeKey("doc_count")
 	w.out = strconv.AppendInt(w.out, b.count, 10)
@@ -225,8 +227,8 @@
 	w.out = append(w.out, ',')
 }
 
-// sortedBuckets lists the buckets in the order of the answer. Keys of kinds without a common order give a MixedError that names the
-// aggregation.
+// sortedBuckets returns the buckets in the order of the answer. It returns a MixedError that names
+// the aggregation if keys have kinds without a common order.
 func (a *Agg) sortedBuckets(n *node) ([]*bucket, error) {
 	list := make([]*bucket, 0, len(n.buckets))
 	kinds := map[int]Kind{}
@@ -243,7 +245,8 @@
 	return list, nil
 }
 
-// compareBuckets orders two buckets: terms by falling count unless the client ordered by key, then by key. The kinds of the keys agree.
+// compareBuckets orders two buckets: those of terms by descending count, unless the client ordered
+// by key, and then by key. The kinds of the keys must agree.
 func (a *Agg) compareBuckets(x, y *bucket) int {
 	if a.Kind == "terms" && !a.byKey && x.count != y.count {
 		return cmp.Compare(y.count, x.count)
@@ -261,7 +264,7 @@
 	return 0
 }
 
-// rangeBuckets lists the ranges in the order of the request, empty ones included.
+// rangeBuckets returns a bucket for each range in the order of the request, including empty ones.
 func (a *Agg) rangeBuckets(n *node) (list []*bucket) {
 	for _, r := range a.ranges {
 		key := []Value{String(r.key)}
@@ -274,8 +277,8 @@
 	return list
 }
 
-// fillGaps adds the empty buckets of a histogram between the others, or drops the buckets below min_doc_count. More than MaxBuckets
-// set the writer's error.
+// fillGaps adds the empty buckets between the others of a histogram, or, with a positive
+// min_doc_count, drops the buckets below it. More than MaxBuckets buckets set the writer's error.
 func (w *writer) fillGaps(a *Agg, list []*bucket) []*bucket {
 	if a.minDocCount > 0 || len(list) == 0 {
 		return slices.DeleteFunc(list, func(b *bucket) bool { return b.count < a.minDocCount })
@@ -303,8 +306,9 @@
 	return out
 }
 
-// nextHistogramKey returns the key of the n-th bucket after start; previous is the key of the bucket before it. The formula for fixed
-// intervals is that of the servers, so that keys are equal to the last bit.
+// nextHistogramKey returns the key of the n-th bucket after start; previous is the key of the
+// bucket before it. Servers use the same formula for fixed intervals, so that keys are equal to the
+// last bit.
 func (a *Agg) nextHistogramKey(start, previous, n float64) float64 {
 	if a.calendar != "" {
 		return float64(nextCalendarBucket(int64(previous), a.calendar))
@@ -312,7 +316,7 @@
 	return (math.Round((start-a.offset)/a.interval)+n)*a.interval + a.offset
 }
 
-// fail keeps the first error.
+// fail records the first error.
 func (w *writer) fail(err error) {
 	if w.err == nil {
 		w.err = err
--- a/internal/broker/merge/bench_test.go
+++ b/internal/broker/merge/bench_test.go
@@ -14,8 +14,8 @@
 	"github.com/valyala/fastjson"
 )
 
-// mergeBySorting is the merge before issue 10, for comparison: it parses and writes each part, parses it again at the end, writes every
-// hit, and sorts all.
+// mergeBySorting is the implementation before issue 10, for comparison: it parses and encodes each
+// part, parses it again at the end, encodes every hit, and sorts all hits.
 func mergeBySorting(texts [][]byte, from, size int) [][]byte {
 	type hit struct {
 		score float64
@@ -45,7 +45,8 @@
 	return out
 }
 
-// serverAnswers returns the answers of n servers, each with the given number of hits in order of falling score.
+// serverAnswers returns the answers of n servers, each with the given number of hits in order of
+// descending score.
 func serverAnswers(n, hits int) (texts [][]byte) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	for i := range n {
@@ -66,7 +67,7 @@
 	return texts
 }
 
-// BenchmarkFirstPage merges 200 parts of 100 hits each into a first page of 100.
+// BenchmarkFirstPage merges 200 parts of 100 hits each into a first page of 100 hits.
 func BenchmarkFirstPage(b *testing.B) {
 	texts := serverAnswers(200, 100)
 	p, err := NewPlan(nil, 0, 100, nil, Exact)
@@ -133,9 +134,10 @@
 	}
 }
 
-// TestMemory checks that Part.Size is within a factor of three of the memory that parts keep beside their text, for hits (30 MB of
-// them) and for buckets: the bound on the parts in memory relies on it.
-func TestMemory(t *testing.T) {
+// TestPartSize_EstimatesMemory checks that Part.Size is within a factor of three of the memory that
+// parts retain in addition to their text, for hits (30 MB of them) and for buckets. The limit on
+// the memory of parts relies on this estimate.
+func TestPartSize_EstimatesMemory(t *testing.T) {
 	var b strings.Builder
 	for j := range 1000 {
 		fmt.Fprintf(&b, `,{"key":%d,"doc_count":%d,"s":{"value":%d.25}}`, j*7, 1000-j, j)
@@ -174,9 +176,9 @@
 		}
 		runtime.GC()
 		runtime.ReadMemStats(&after)
-		kept := int(after.HeapAlloc - before.HeapAlloc)
-		if t.Logf("%s: %d KB of text, %d KB kept beside, %d KB said", name, size>>10, kept>>10, estimated>>10); kept > 3*estimated || estimated > 3*kept {
-			t.Errorf("%s: %d bytes kept, %d said", name, kept, estimated)
+		retained := int(after.HeapAlloc - before.HeapAlloc)
+		if t.Logf("%s: %d KB of text, %d KB retained, %d KB estimated", name, size>>10, retained>>10, estimated>>10); retained > 3*estimated || estimated > 3*retained {
+			t.Errorf("%s: %d bytes retained, %d estimated", name, retained, estimated)
 		}
 		runtime.KeepAlive(s)
 		runtime.KeepAlive(c.texts)
--- a/internal/broker/merge/completeness.go
+++ b/internal/broker/merge/completeness.go
@@ -2,33 +2,34 @@
 
 import "slices"
 
-// CompletenessPolicy is what a class of queries demands of an answer. Weights of a query's parts add up to 1.
+// CompletenessPolicy states how much of a query an answer of its class has to cover. The weights of
+// a query's parts add up to 1.
 type CompletenessPolicy struct {
-	CompleteWeight float64 // the least weight of an answer that is marked complete
-	MinWeight      float64 // the least weight of an answer that may be given at all
+	CompleteWeight float64 // minimum weight of an answer that is marked complete
+	MinWeight      float64 // minimum weight of an answer that may be returned
 }
 
-// PartCoverage is the weight of one part, its place, and whether it was received.
+// PartCoverage is the weight of one part, its shard and keys, and whether it was received.
 type PartCoverage struct {
 	Weight   float64
 	Shard    int
-	From, To int64 // of the range of routing keys; both 0 where shards have none
+	From, To int64 // range of routing keys; both 0 if shards have none
 	Received bool
 }
 
-// Coverage says how much of a query was received.
+// Coverage is how much of a query was received.
 type Coverage struct {
 	Fraction   float64        // 0 to 1; exactly 1 if nothing is missing
-	Missing    []PartCoverage // in order of shards
-	Answerable bool           // an answer may be given
-	Complete   bool           // it may be marked complete
+	Missing    []PartCoverage // sorted by shard
+	Answerable bool           // an answer may be returned
+	Complete   bool           // the answer may be marked complete
 }
 
-// weightTolerance is how far the sum of weights may be off.
+// weightTolerance is the accepted error of the sum of weights.
 const weightTolerance = 0.0001
 
-// Evaluate tells whether an answer may be given from the parts received, and whether it may be marked complete. Without a received part
-// neither holds.
+// Evaluate returns whether the received parts suffice for an answer, and whether that may be marked
+// complete. Without a received part both are false.
 func (c CompletenessPolicy) Evaluate(parts []PartCoverage) Coverage {
 	var e Coverage
 	receivedAny := false
--- a/internal/broker/merge/exact_sum.go
+++ b/internal/broker/merge/exact_sum.go
@@ -2,9 +2,10 @@
 
 import "math"
 
-// exactSum is a sum of float64s without rounding error: terms that do not overlap, the smallest first (Shewchuk, "Adaptive Precision
-// Floating-Point Arithmetic", 1997). Its value is the true sum rounded once, so neither the order nor the split of what was added
-// matters. The zero value is 0.
+// exactSum is a sum of float64s without rounding error: non-overlapping terms in order of
+// increasing magnitude (Shewchuk, "Adaptive Precision Floating-Point Arithmetic", 1997). Its value
+// is the exact sum rounded once, so it depends neither on the order of the addends nor on how they
+// were divided among parts. The zero value is 0.
 type exactSum []float64
 
 func (e *exactSum) add(x float64) {
@@ -23,7 +24,7 @@
 	*e = append(parts[:n], x)
 }
 
-// value rounds half to even over all parts.
+// value returns the sum rounded to the nearest float64, ties to even.
 func (e exactSum) value() float64 {
 	n := len(e)
 	if n == 0 {
@@ -39,7 +40,7 @@
 			break
 		}
 	}
-	// What is left may decide a tie.
+	// The remaining terms may decide a tie.
 	if n > 0 && (lo < 0 && e[n-1] < 0 || lo > 0 && e[n-1] > 0) {
 		if y := lo * 2; y == hi+y-hi {
 			hi += y
--- a/internal/broker/merge/part_binary.go
+++ b/internal/broker/merge/part_binary.go
@@ -9,30 +9,32 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// BinaryType is the media type of the binary form of a part, in the version that ReadBinary reads.
+// BinaryType is the media type of the binary form of a part, in the version that ReadBinary
+// accepts.
 const BinaryType = "application/x-saffronquay-partial; version=1"
 
 const binaryVersion = 1
 
-// ReadBinary is Read for the binary form. It keeps body. Every error wraps ErrMalformedPart.
+// ReadBinary is Read for the binary form. The part retains body. Every error wraps
+// ErrMalformedPart.
 func (p *Plan) ReadBinary(body []byte) (*Part, error) {
 	var m partial.Answer
 	if err := proto.Unmarshal(body, &m); err != nil {
-		return nil, malformedf("%v", err)
+		return nil, malformedf("decode: %v", err)
 	}
 	switch {
 	case m.Version != binaryVersion:
-		return nil, malformedf("version %d, where %d is known", m.Version, binaryVersion)
+		return nil, malformedf("unsupported version %d: want %d", m.Version, binaryVersion)
 	case m.TimedOut || m.Failed > 0:
-		return nil, malformedf("not whole")
+		return nil, malformedf("incomplete: the search timed out or failed on a shard")
 	case len(m.Hits) > p.Window():
-		return nil, malformedf("%d hits, where %d were asked for", len(m.Hits), p.Window())
+		return nil, malformedf("%d hits, but at most %d were requested", len(m.Hits), p.Window())
 	}
 	part := p.newPart(body, len(m.Hits))
 	part.texts = make([][]byte, len(m.Hits))
 	if p.Limit != Uncounted {
 		if m.Total == nil {
-			return nil, malformedf("no total")
+			return nil, malformedf("missing total number of hits")
 		}
 		if err := p.setTotal(part, m.Total.Value, m.Total.AtLeast, len(m.Hits)); err != nil {
 			return nil, err
@@ -52,15 +54,15 @@
 func (p *Plan) addBinaryHit(part *Part, i int, h *partial.Hit) error {
 	values, err := valuesFromBinary(h.Sort)
 	if err != nil || len(values) != len(p.Keys) {
-		return malformedf("hit %d has sort values that were not asked for", i)
+		return malformedf("hit %d has invalid sort values, or not one for each sort key", i)
 	}
 	part.texts[i] = bytes.TrimSpace(h.Json)
 	if !bytes.HasPrefix(part.texts[i], []byte("{")) {
-		return malformedf("hit %d is no object", i)
+		return malformedf("hit %d is not a JSON object", i)
 	}
 	if h.Score != nil {
 		if !isFinite(*h.Score) {
-			return malformedf("hit %d has a score that is no number", i)
+			return malformedf("hit %d has a score that is not a finite number", i)
 		}
 		part.maxScore, part.hasScore = max(part.maxScore, *h.Score), true
 	}
@@ -70,7 +72,8 @@
 
 func isFinite(f float64) bool { return !math.IsNaN(f) && !math.IsInf(f, 0) }
 
-// valuesFromBinary converts sort values or the key of a bucket; numbers must be finite.
+// valuesFromBinary converts sort values or the key of a bucket. It rejects numbers that are not
+// finite.
 func valuesFromBinary(list []*partial.Value) ([]Value, error) {
 	out := make([]Value, len(list))
 	for i, v := range list {
@@ -98,12 +101,12 @@
 
 func (r *reader) readAllBinary(aggs []*Agg, list []*partial.Aggregation) ([]*node, error) {
 	if len(list) != len(aggs) {
-		return nil, malformedf("%d aggregations, where %d were asked for", len(list), len(aggs))
+		return nil, malformedf("%d aggregations, but %d were requested", len(list), len(aggs))
 	}
 	out := make([]*node, len(aggs))
 	for i, a := range aggs {
 		if list[i].GetName() != a.Name {
-			return nil, malformedf("no aggregation [%s]", a.Name)
+			return nil, malformedf("missing aggregation [%s]", a.Name)
 		}
 		var err error
 		if out[i], err = r.readNodeBinary(a, list[i]); err != nil {
@@ -132,7 +135,7 @@
 	}
 	for i, w := range m.Weights {
 		if !(w > 0) {
-			return nil, malformedf("[%s] has a centroid out of range", a.Name)
+			return nil, malformedf("[%s] has a centroid out of range: want a positive weight", a.Name)
 		}
 		n.centroids = append(n.centroids, centroid{m.Means[i], w})
 		r.centroids++
@@ -150,12 +153,13 @@
 	return n, a.applyListBounds(n)
 }
 
-// validateBinary checks the numbers of an aggregation: all are finite, none is out of range, and lists have their bounds.
+// validateBinary checks that the numbers of an aggregation are finite and in range, and that its
+// lists are within their limits.
 func (a *Agg) validateBinary(m *partial.Aggregation) error {
 	for _, list := range [][]float64{m.Sum, m.Squares, m.Means, m.Weights, {m.GetMin(), m.GetMax()}} {
 		for _, f := range list {
 			if !isFinite(f) {
-				return malformedf("[%s] holds what is no number", a.Name)
+				return malformedf("[%s] has a value that is not a finite number", a.Name)
 			}
 		}
 	}
@@ -165,7 +169,7 @@
 		len(m.Sum) > maxSumTerms, len(m.Squares) > maxSumTerms,
 		len(m.Means) != len(m.Weights), len(m.Means) > maxCentroids,
 		wantsExtremes && (m.Min == nil || m.Max == nil):
-		return malformedf("[%s] is out of range", a.Name)
+		return malformedf("[%s] has a count, list or extreme that is missing or out of range", a.Name)
 	}
 	return nil
 }
@@ -173,13 +177,13 @@
 func (r *reader) readBucketBinary(a *Agg, n *node, m *partial.Bucket) error {
 	key, err := valuesFromBinary(m.Key)
 	if err != nil {
-		return malformedf("[%s] has a key that is no value", a.Name)
+		return malformedf("[%s] has a bucket with an invalid key", a.Name)
 	}
 	if err := a.validateKey(key); err != nil {
 		return err
 	}
 	if m.Count < 0 {
-		return malformedf("[%s] has a count below nought", a.Name)
+		return malformedf("[%s] has a bucket with a negative count", a.Name)
 	}
 	subs, err := r.readAllBinary(a.Subs, m.Aggregations)
 	if err != nil {
--- a/internal/broker/merge/plan.go
+++ b/internal/broker/merge/plan.go
@@ -5,11 +5,11 @@
 	"fmt"
 )
 
-// Key is one key of the sort order.
+// Key is one sort key.
 type Key struct {
 	Field        string
 	Desc         bool
-	MissingFirst bool // documents without the field come first, whatever the direction
+	MissingFirst bool // documents without the field sort first in either direction
 }
 
 // Fields that every hit has.
@@ -18,30 +18,33 @@
 	ID    = "_id"
 )
 
-// Values of Plan.Limit: Exact counts all hits, Uncounted none. A limit above 0 counts up to it.
+// Special values of Plan.Limit: with Exact all hits are counted, with Uncounted none. A positive
+// limit counts up to that number.
 const (
 	Exact     = int64(-1)
 	Uncounted = int64(0)
 )
 
-// Plan is what a query requests of the merge. Make it with NewPlan.
+// Plan is what a query requests of the merge. NewPlan returns it.
 type Plan struct {
-	Keys           []Key // the last one is the tie-break, by _id
+	Keys           []Key // sort keys; includes _id as the tie-break
 	From, Size     int
 	After          []Value // sort values of the last hit of the previous page; nil: the first page
-	Limit          int64   // Exact, Uncounted, or how far hits are counted
+	Limit          int64   // Exact, Uncounted, or the number up to which hits are counted
 	Aggs           []*Agg
-	AsOf           int64 // the time whose state is searched, in Unix microseconds; 0: the present
+	AsOf           int64 // time of the searched state, in Unix microseconds; 0: the current state
 	Binary         bool  // servers may answer in the binary form
-	ClientKeys     int   // how many keys the client gave; 0: by score, and hits have no sort values
+	ClientKeys     int   // number of sort keys in the request; 0: by score, and hits have no sort values
 	afterWithoutID bool  // After has no _id: all hits that tie with it belong to previous pages
 }
 
-// ErrPlan marks a plan whose page is invalid.
+// ErrPlan is wrapped by the errors for an invalid page.
 var ErrPlan = errors.New("invalid page")
 
-// NewPlan returns a plan with the client's keys (none: by score), and with _id as the last key unless it is one. No two documents of an
-// index have the same _id, so the order is total and depends neither on replicas nor on the order of arrival. Errors wrap ErrPlan.
+// NewPlan returns a plan with the client's sort keys, or by score if there are none, and with _id
+// appended as the last key unless it is among them. No two documents of an index have the same _id,
+// so the order is total and depends neither on replicas nor on the order of arrival. Errors wrap
+// ErrPlan.
 func NewPlan(keys []Key, from, size int, after []Value, limit int64) (*Plan, error) {
 	p := &Plan{Keys: append([]Key(nil), keys...), From: from, Size: size, After: after, Limit: limit, ClientKeys: len(keys)}
 	if len(keys) == 0 {
@@ -55,7 +58,7 @@
 		p.Keys = append(p.Keys, Key{Field: ID})
 	}
 	if from < 0 || size < 0 {
-		return nil, fmt.Errorf("%w: from and size want nought or more", ErrPlan)
+		return nil, fmt.Errorf("%w: [from] and [size] must be 0 or more", ErrPlan)
 	}
 	if after == nil {
 		return p, nil
@@ -72,10 +75,10 @@
 	return p, nil
 }
 
-// Window is how many hits of each part the page may need.
+// Window returns the maximum number of hits of each part that the page may need.
 func (p *Plan) Window() int { return p.From + p.Size }
 
-// compare orders two hits by their sort values; kinds agree.
+// compare orders two hits by their sort values, whose kinds must agree.
 func (p *Plan) compare(a, b []Value) int {
 	for i := range min(len(a), len(b)) {
 		x, y, k := a[i], b[i], p.Keys[i]
@@ -98,7 +101,8 @@
 	return 0
 }
 
-// mergeKinds merges the kinds of one hit's values into those seen. Two kinds under one key give a MixedError.
+// mergeKinds merges the kinds of one hit's values into seen. It returns a MixedError if a key has
+// values of two kinds.
 func (p *Plan) mergeKinds(seen []Kind, values []Value) error {
 	for i, v := range values {
 		switch {
@@ -112,7 +116,8 @@
 	return nil
 }
 
-// MixedError says that a field has values of two kinds, which have no common order. Field is the name of the aggregation for buckets.
+// MixedError reports that a field has values of two kinds, which have no common order. For buckets
+// Field is the name of the aggregation.
 type MixedError struct {
 	Field string
 	A, B  Kind
--- a/internal/broker/merge/state.go
+++ b/internal/broker/merge/state.go
@@ -9,16 +9,16 @@
 	"github.com/valyala/fastjson"
 )
 
-// State is the merge of one query. It is not safe for concurrent use.
+// State is the state of the merge of one query. It is not safe for concurrent use.
 type State struct {
 	plan              *Plan
 	parts             []*Part
 	kinds             []Kind
 	total             int64
 	totalIsLowerBound bool
-	totalOverflows    bool // the sum of totals does not fit an int64
+	totalOverflows    bool // the sum of the totals overflows an int64
 	aggs              []*node
-	bucketCount       int // buckets of all aggregations; a sketch counts as sketchWeight of them
+	bucketCount       int // buckets of all aggregations; a sketch counts as sketchWeight buckets
 	err               error
 }
 
@@ -27,8 +27,8 @@
 	return &State{plan: p, kinds: make([]Kind, len(p.Keys)), aggs: newNodes(p.Aggs)}
 }
 
-// Add merges a part. Parts may come in any order, but each span of the routing key only once. A part that does not go together with the
-// others makes Page fail; the first such error is kept.
+// Add merges a part. Parts may be added in any order, but each span of the routing key only once. A
+// part that is inconsistent with the others makes Page fail with the first such error.
 func (s *State) Add(part *Part) {
 	s.parts = append(s.parts, part)
 	if err := s.mergeKinds(part.kinds); err != nil && s.err == nil {
@@ -51,28 +51,29 @@
 		case k == Missing || k == s.kinds[i]:
 		case s.kinds[i] == Missing:
 			s.kinds[i] = k
-		default: // in the order of kinds, whichever part came first
+		default: // the lower kind first, so that the error does not depend on the order of arrival
 			return &MixedError{s.plan.Keys[i].Field, min(k, s.kinds[i]), max(k, s.kinds[i])}
 		}
 	}
 	return nil
 }
 
-// ErrDuplicateDocument says that a document came from two parts, which a correct layout of the data never gives.
-var ErrDuplicateDocument = errors.New("a document stands in two parts")
+// ErrDuplicateDocument is returned if two parts contain the same document, which does not happen
+// with a consistent layout of the data.
+var ErrDuplicateDocument = errors.New("duplicate document in two partial answers")
 
-// ErrTotalOverflow says that there are more hits than an int64 counts.
-var ErrTotalOverflow = errors.New("the total is over 2^63-1")
+// ErrTotalOverflow is returned if the total number of hits overflows an int64.
+var ErrTotalOverflow = errors.New("total number of hits exceeds 2^63-1")
 
 // Page is one page of hits.
 type Page struct {
-	Hits              [][]byte // each as its server gave it, without sort values that the client did not request
+	Hits              [][]byte // as received, without sort values that the client did not request
 	Total             int64
-	TotalIsLowerBound bool // the total is at least Total
-	HasTotal          bool // the query counts hits
+	TotalIsLowerBound bool // there may be more than Total hits
+	HasTotal          bool // false if the query does not count hits
 	MaxScore          float64
 	HasScore          bool
-	Aggs              []byte // the merged aggregations as JSON, without the outer braces; nil: none
+	Aggs              []byte // merged aggregations as JSON, without the outer braces; nil if none
 }
 
 // cursor is the position of the merge in one part.
@@ -81,7 +82,7 @@
 	next int
 }
 
-// hitHeap orders the next hits of the parts; the first hit of the page's order is on top.
+// hitHeap is a min-heap of the parts, ordered by their next hit.
 type hitHeap struct {
 	plan    *Plan
 	cursors []cursor
@@ -94,7 +95,7 @@
 	return f.plan.compare(f.cursors[i].part.sortValuesAt(f.cursors[i].next, n), f.cursors[j].part.sortValuesAt(f.cursors[j].next, n)) < 0
 }
 
-// Push implements heap.Interface. Nothing pushes: the heap only shrinks.
+// Push implements heap.Interface. It is not called, because the heap only shrinks.
 func (f *hitHeap) Push(x any) {
 	if c, ok := x.(cursor); ok {
 		f.cursors = append(f.cursors, c)
@@ -108,9 +109,9 @@
 	return last
 }
 
-// Page returns the page of the parts added so far. It takes O((from+size) log parts) comparisons, and reads again only the parts that
-// have hits on the page. It fails if a part could not be merged (the first such error of Add), with ErrTotalOverflow, with
-// ErrDuplicateDocument, or with ErrBuckets.
+// Page returns the page of the parts added so far. It needs O((from+size) log parts) comparisons,
+// and parses only those parts again that have hits on the page. It returns the first error of a
+// part that could not be merged, ErrTotalOverflow, ErrDuplicateDocument, or ErrBuckets.
 func (s *State) Page() (Page, error) {
 	if s.err != nil {
 		return Page{}, s.err
@@ -142,7 +143,8 @@
 	return page, s.readHits(&page, chosen)
 }
 
-// selectHits merges the sorted hits of the parts and returns the places of those on the page, in order.
+// selectHits merges the sorted hits of the parts and returns the positions of those on the page, in
+// order.
 func (s *State) selectHits() ([]cursor, error) {
 	f := &hitHeap{plan: s.plan}
 	for _, p := range s.parts {
@@ -174,7 +176,8 @@
 	return chosen, nil
 }
 
-// readHits puts the text of the chosen hits on the page. It parses each part at most once.
+// readHits sets the hits of the page to the text of the chosen ones. It parses each part at most
+// once.
 func (s *State) readHits(page *Page, chosen []cursor) error {
 	page.Hits = make([][]byte, len(chosen))
 	byPart := map[*Part][]int{}
@@ -190,13 +193,13 @@
 			continue
 		}
 		v, err := parser.ParseBytes(part.body)
-		if err != nil { // Read parsed it before
-			return malformedf("%v", err)
+		if err != nil { // does not happen: the body was valid in Read
+			return malformedf("parse body again: %v", err)
 		}
 		hits := v.GetArray("hits", "hits")
 		for _, i := range places {
 			if chosen[i].next >= len(hits) {
-				return malformedf("hit %d is gone", chosen[i].next)
+				return malformedf("hit %d is missing from the body", chosen[i].next)
 			}
 			x := hits[chosen[i].next]
 			if s.plan.ClientKeys == 0 {
@@ -210,7 +213,8 @@
 	return nil
 }
 
-// hitText returns the text of a hit of the binary form, with its sort values if the client requested any.
+// hitText returns the JSON of a hit of the binary form, with its sort values if the client
+// requested them.
 func (s *State) hitText(part *Part, i int) []byte {
 	text := part.texts[i]
 	if s.plan.ClientKeys == 0 {
@@ -223,7 +227,7 @@
 	return append(AppendValues(append(b, `"sort":`...), part.sortValuesAt(i, len(s.plan.Keys))), '}')
 }
 
-// setSortValues adds the sort values to a hit whose server left them out.
+// setSortValues adds the sort values to a hit whose server omitted them.
 func (s *State) setSortValues(x *fastjson.Value, values []Value) {
 	x.Set("sort", fastjson.MustParseBytes(AppendValues(nil, values)))
 }
--- a/internal/broker/merge/state_test.go
+++ b/internal/broker/merge/state_test.go
@@ -18,7 +18,7 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// randomStore returns random rows, in order of the key, and the keys at which they are split into parts.
+// randomStore returns random rows sorted by key, and the keys at which they are split into parts.
 func randomStore(rng *rand.Rand) (rows []fakebackend.Row, cuts []int64) {
 	n := rng.IntN(80)
 	for i := range n {
@@ -102,7 +102,7 @@
 	return out
 }
 
-// readBinaryParts is readParts with the binary form.
+// readBinaryParts is readParts for the binary form.
 func readBinaryParts(t *testing.T, p *Plan, rows []fakebackend.Row, cuts []int64) (out []*Part) {
 	t.Helper()
 	for i := range len(cuts) - 1 {
@@ -123,7 +123,7 @@
 	return s.Page()
 }
 
-// fingerprint is the text of a page with its scores, for comparison.
+// fingerprint returns the text of a page including scores, for comparison.
 func (p Page) fingerprint() string {
 	if !p.HasTotal {
 		p.Total = 0
@@ -131,10 +131,11 @@
 	return fmt.Sprintf("%d %t %t %g %t %s", p.Total, p.TotalIsLowerBound, p.HasTotal, p.MaxScore, p.HasScore, bytes.Join(p.Hits, []byte("\n")))
 }
 
-// singleStorePage is the answer of one store with all rows, with its own order and total, as comparableText.
+// singleStorePage returns the answer of a single store with all rows, with its own order and total,
+// in the form of comparableText.
 func singleStorePage(p *Plan, rows []fakebackend.Row) string {
-	whole := *p
-	text := fakebackend.Search("key", requestBody(&whole), rows, layout.Span{From: 0, To: 1 << 40})
+	all := *p
+	text := fakebackend.Search("key", requestBody(&all), rows, layout.Span{From: 0, To: 1 << 40})
 	v := fastjson.MustParse(text)
 	hits := v.GetArray("hits", "hits")
 	page := Page{HasTotal: p.Limit != Uncounted, Total: v.GetInt64("hits", "total", "value"), TotalIsLowerBound: string(v.GetStringBytes("hits", "total", "relation")) == "gte"}
@@ -147,7 +148,7 @@
 	return fmt.Sprintf("%d %t %t %s", page.Total, page.TotalIsLowerBound, page.HasTotal, bytes.Join(page.Hits, []byte("\n")))
 }
 
-// comparableText is the text of a page without its scores, for comparison.
+// comparableText returns the text of a page without scores, for comparison.
 func (p Page) comparableText() string {
 	if !p.HasTotal {
 		p.Total = 0
@@ -155,16 +156,16 @@
 	return fmt.Sprintf("%d %t %t %s", p.Total, p.TotalIsLowerBound, p.HasTotal, bytes.Join(p.Hits, []byte("\n")))
 }
 
-// proofCounts are the counts of TestProof.
+// proofCounts are the counters of TestProof.
 type proofCounts struct{ queries, orders, pages, mismatches, falseComplete int }
 
-// TestProof compares pages with those of a single store, for random data, splits, queries and orders of arrival. Each next page uses a
-// new split, as if ranges had moved in between.
+// TestProof compares merged pages with those of a single store, for random data, splits, queries
+// and orders of arrival. Each successive page uses a new split, as if ranges had moved in between.
 func TestProof(t *testing.T) {
 	const workers = 4
 	queries := 6_000
 	if info, ok := debug.ReadBuildInfo(); ok && slices.Contains(info.Settings, debug.BuildSetting{Key: "-race", Value: "true"}) {
-		queries = 400 // the race detector has nothing to find in a pure package
+		queries = 400 // the package has no concurrency of its own for the race detector to check
 	}
 	got := make(chan proofCounts)
 	for w := range workers {
@@ -181,7 +182,8 @@
 	}
 }
 
-// runProof checks random queries of the seeds first, first+step, and so on, until most queries are done or the test has failed.
+// runProof checks random queries with the seeds first, first+step, and so on, until it has run most
+// queries or the test has failed.
 func runProof(t *testing.T, first, step uint64, most int) proofCounts {
 	var queries, orders, pages, mismatches, falseComplete int
 	for seed := first; queries < most && !t.Failed(); seed += step {
@@ -211,7 +213,7 @@
 				}
 			}
 			pages++
-			for i := range in { // without each part in turn
+			for i := range in { // omit each part in turn
 				coverage := make([]PartCoverage, len(in))
 				for j := range coverage {
 					coverage[j] = PartCoverage{Weight: 1 / float64(len(in)), Shard: j, Received: j != i}
@@ -261,19 +263,20 @@
 		slices.Sort(ids)
 		if len(ids) != len(rows) || len(slices.Compact(ids)) != len(rows) {
 			mismatches++
-			t.Errorf("seed %d: %d hits over all pages, of %d rows", seed, len(ids), len(rows))
+			t.Errorf("seed %d: %d hits on all pages, want %d distinct ones", seed, len(ids), len(rows))
 		}
 	}
 	return proofCounts{queries, orders, pages, mismatches, falseComplete}
 }
 
-// answerJSON is the answer of a server with a total and hits.
+// answerJSON returns the answer of a server with a total and hits.
 func answerJSON(total string, hits ...string) string {
 	return `{"hits":{"total":` + total + `,"hits":[` + strings.Join(hits, ",") + `]}}`
 }
 
-// TestBadParts checks that answers that do not match the request fail with ErrMalformedPart.
-func TestBadParts(t *testing.T) {
+// TestRead_MalformedParts checks that Read rejects answers that do not match the request with
+// ErrMalformedPart.
+func TestRead_MalformedParts(t *testing.T) {
 	p, err := NewPlan([]Key{{Field: "due"}}, 0, 3, []Value{Int(2), String("b")}, Exact)
 	if err != nil {
 		t.Fatal(err)
@@ -282,25 +285,25 @@
 	for text, want := range map[string]string{
 		answerJSON(`{"value":9,"relation":"eq"}`, hit("2", "c"), hit("2.5", "a"), hit("null", "a")): "",
 		answerJSON(`9`, hit("3", "a")):                                                                        "",
-		answerJSON(`{"value":9,"relation":"eq"}`, hit("3", "a"), hit("3", "a")):                               "does not come after",
-		answerJSON(`{"value":9,"relation":"eq"}`, hit("4", "a"), hit("3", "b")):                               "does not come after",
-		answerJSON(`{"value":9,"relation":"eq"}`, hit("null", "a"), hit("3", "b")):                            "does not come after",
-		answerJSON(`{"value":9,"relation":"eq"}`, hit("3", "a"), hit("4", "a"), hit("5", "a"), hit("6", "a")): "4 hits, where 3",
-		answerJSON(`{"value":9,"relation":"eq"}`, hit("2", "b")):                                              "before the page",
-		answerJSON(`{"value":9,"relation":"eq"}`, hit("1", "z")):                                              "before the page",
+		answerJSON(`{"value":9,"relation":"eq"}`, hit("3", "a"), hit("3", "a")):                               "does not sort after",
+		answerJSON(`{"value":9,"relation":"eq"}`, hit("4", "a"), hit("3", "b")):                               "does not sort after",
+		answerJSON(`{"value":9,"relation":"eq"}`, hit("null", "a"), hit("3", "b")):                            "does not sort after",
+		answerJSON(`{"value":9,"relation":"eq"}`, hit("3", "a"), hit("4", "a"), hit("5", "a"), hit("6", "a")): "4 hits, but at most 3",
+		answerJSON(`{"value":9,"relation":"eq"}`, hit("2", "b")):                                              "precedes the requested page",
+		answerJSON(`{"value":9,"relation":"eq"}`, hit("1", "z")):                                              "precedes the requested page",
 		answerJSON(`{"value":9,"relation":"eq"}`, hit("NaN", "z")):                                            "[due]",
 		answerJSON(`{"value":9,"relation":"eq"}`, hit("1e999", "z")):                                          "[due]",
 		answerJSON(`{"value":9,"relation":"eq"}`, hit("3", "a"), hit(`"x"`, "b")):                             "number and keyword",
-		answerJSON(`{"value":9,"relation":"eq"}`, `{"_id":"a"}`):                                              "no sort value of [due]",
-		answerJSON(`{"value":9,"relation":"eq"}`, `{"_id":"a","sort":[3]}`):                                   "1 sort values, where 2",
+		answerJSON(`{"value":9,"relation":"eq"}`, `{"_id":"a"}`):                                              "missing sort value of [due]",
+		answerJSON(`{"value":9,"relation":"eq"}`, `{"_id":"a","sort":[3]}`):                                   "1 sort values, but 2",
 		answerJSON(`{"value":9,"relation":"eq"}`, `{"_id":"a","sort":[{},"a"]}`):                              "[due]",
-		answerJSON(`{"value":9,"relation":"gte"}`):                                                            "not counted as far",
-		answerJSON(`{"value":9}`):                                                                             "without its relation",
-		answerJSON(`{"value":-1,"relation":"eq"}`):                                                            "from nought",
-		answerJSON(`{"value":1.5,"relation":"eq"}`):                                                           "from nought",
+		answerJSON(`{"value":9,"relation":"gte"}`):                                                            "lower bound below the requested limit",
+		answerJSON(`{"value":9}`):                                                                             "neither eq nor gte",
+		answerJSON(`{"value":-1,"relation":"eq"}`):                                                            "hits -1: want an integer of 0 or more",
+		answerJSON(`{"value":1.5,"relation":"eq"}`):                                                           "hits 1.5: want an integer of 0 or more",
 		answerJSON(`{"value":0,"relation":"eq"}`, hit("3", "a")):                                              "total of 0",
-		answerJSON(`null`):     "no total",
-		`{"hits":{"hits":{}}}`: "no list of hits",
+		answerJSON(`null`):     "missing total",
+		`{"hits":{"hits":{}}}`: "hits.hits is not a list",
 	} {
 		got, err := readAnswer(p, text)
 		if want == "" && (err != nil || got == nil) || want != "" && (!errors.Is(err, ErrMalformedPart) || !strings.Contains(err.Error(), want)) {
@@ -309,16 +312,17 @@
 	}
 }
 
-// TestMixedTwiceAndTooMany checks that parts that cannot be merged fail the page with the same reason in any order.
-func TestMixedTwiceAndTooMany(t *testing.T) {
+// TestPage_InconsistentParts checks that parts that cannot be merged make Page fail with the same
+// error in any order: sort values of two kinds, a duplicate document, an overflow of the total.
+func TestPage_InconsistentParts(t *testing.T) {
 	p, err := NewPlan([]Key{{Field: "due"}}, 0, 3, nil, Exact)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, c := range []struct{ a, b, want string }{
 		{answerJSON("1", `{"_id":"a","sort":[1,"a"]}`), answerJSON("1", `{"_id":"b","sort":["x","b"]}`), "can't sort on field [due]: it has both number and keyword values"},
-		{answerJSON("1", `{"_id":"a","sort":[-0.0,"a"]}`), answerJSON("1", `{"_id":"a","sort":[0,"a"]}`), `a document stands in two parts: "a"`},
-		{answerJSON("9223372036854775807"), answerJSON("1"), "over 2^63-1"},
+		{answerJSON("1", `{"_id":"a","sort":[-0.0,"a"]}`), answerJSON("1", `{"_id":"a","sort":[0,"a"]}`), `duplicate document in two partial answers: "a"`},
+		{answerJSON("9223372036854775807"), answerJSON("1"), "exceeds 2^63-1"},
 		{answerJSON("9007199254740993"), answerJSON("9007199254740992"), ""},
 	} {
 		for _, order := range [][]string{{c.a, c.b}, {c.b, c.a}} {
@@ -338,15 +342,16 @@
 	}
 }
 
-// A hit whose text is no object makes the part malformed, whatever blanks it has.
-func TestBinaryHitsThatAreNoObjects(t *testing.T) {
+// TestReadBinary_HitsMustBeObjects checks that ReadBinary rejects a part with a hit that is not a
+// JSON object, including hits that are empty or consist of white space.
+func TestReadBinary_HitsMustBeObjects(t *testing.T) {
 	p, err := NewPlan([]Key{{Field: "due"}}, 0, 3, nil, Exact)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, text := range []string{"", " ", "  ", " \n\t\r ", "x", "[]", " []", "7 ", "null"} {
 		_, err := p.ReadBinary(binaryAnswer(t, text))
-		if !errors.Is(err, ErrMalformedPart) || !strings.Contains(err.Error(), "hit 0 is no object") {
+		if !errors.Is(err, ErrMalformedPart) || !strings.Contains(err.Error(), "hit 0 is not a JSON object") {
 			t.Errorf("%q: %v", text, err)
 		}
 	}
@@ -355,7 +360,7 @@
 	}
 }
 
-// binaryAnswer returns the binary form of a part with one hit that has a text.
+// binaryAnswer returns the binary form of a part with one hit, whose JSON is text.
 func binaryAnswer(tb testing.TB, text string) []byte {
 	tb.Helper()
 	sort := []*partial.Value{{Kind: &partial.Value_Whole{Whole: 3}}, {Kind: &partial.Value_Text{Text: "a"}}}
@@ -368,7 +373,7 @@
 	return body
 }
 
-// FuzzReadBinaryHits reads parts with hits; FuzzReadBinary has a plan that asks for aggregations only.
+// FuzzReadBinaryHits reads parts with hits. The plan of FuzzReadBinary requests only aggregations.
 func FuzzReadBinaryHits(f *testing.F) {
 	p, err := NewPlan([]Key{{Field: "due"}}, 0, 3, nil, Exact)
 	if err != nil {
@@ -385,7 +390,7 @@
 		s := NewState(p)
 		s.Add(part)
 		if _, err := s.Page(); err != nil {
-			t.Errorf("a part that was read makes no page: %v", err)
+			t.Errorf("Page fails for a part that ReadBinary accepted: %v", err)
 		}
 	})
 }
--- a/internal/broker/merge/value.go
+++ b/internal/broker/merge/value.go
@@ -13,20 +13,20 @@
 	"github.com/valyala/fastjson"
 )
 
-// Kind is the type of a sort value or of a bucket's key.
+// Kind is the type of a sort value or of a bucket key.
 type Kind uint8
 
 // The kinds of sort values.
 const (
 	Missing Kind = iota // the document has no value
-	Number              // an integer or not; dates are numbers too
+	Number              // an integer or a float64; dates are numbers too
 	Text
 	Flag
 )
 
 func (k Kind) String() string { return [...]string{"nothing", "number", "keyword", "boolean"}[k] }
 
-// Value is one sort value. Integers are exact over the full range of int64.
+// Value is one sort value. Integers are exact over the complete range of int64.
 type Value struct {
 	Kind      Kind
 	isInteger bool
@@ -35,10 +35,11 @@
 	text      string
 }
 
-// Int returns an integer.
+// Int returns an integer as a Value.
 func Int(i int64) Value { return Value{Kind: Number, isInteger: true, integer: i} }
 
-// Float returns a number. -0 becomes 0, and integers below 2^53 equal those that Int returns.
+// Float returns a float64 as a Value. -0 becomes 0, and integers of magnitude below 2^53 equal
+// those that Int returns.
 func Float(f float64) Value {
 	if f == math.Trunc(f) && math.Abs(f) < 1<<53 {
 		return Int(int64(f))
@@ -46,15 +47,16 @@
 	return Value{Kind: Number, real: f}
 }
 
-// String returns a keyword.
+// String returns a keyword as a Value.
 func String(s string) Value { return Value{Kind: Text, text: s} }
 
 var errInvalidValue = errors.New("want a number, a string, true, false or null")
 
-// parseValue reads a sort value. Numbers that are no int64 are rounded to the nearest float64.
+// parseValue parses a sort value. Numbers other than int64 are rounded to the nearest float64.
 func parseValue(v *fastjson.Value) (Value, error) { return readValue(v, nil) }
 
-// readValue is parseValue with an arena for keywords; with nil each keyword is allocated by itself.
+// readValue is parseValue with an arena for keywords. With a nil arena each keyword is allocated
+// separately.
 func readValue(v *fastjson.Value, a *arena) (Value, error) {
 	switch v.Type() {
 	case fastjson.TypeNull:
@@ -71,10 +73,11 @@
 	case fastjson.TypeNumber:
 		return readNumber(v)
 	}
-	return Value{}, fmt.Errorf("%w, not %s", errInvalidValue, v.Type())
+	return Value{}, fmt.Errorf("%w, got %s", errInvalidValue, v.Type())
 }
 
-// parseFloat reads a number to the nearest float64. The parser of fastjson is sometimes off by one bit.
+// parseFloat returns the float64 nearest to a JSON number. It does not use fastjson's own
+// conversion, which is sometimes off by one bit.
 func parseFloat(v *fastjson.Value) (float64, error) {
 	if v == nil || v.Type() != fastjson.TypeNumber {
 		return 0, errInvalidValue
@@ -85,13 +88,13 @@
 
 func parseFloatText(text []byte) (float64, error) {
 	f, err := strconv.ParseFloat(unsafe.String(unsafe.SliceData(text), len(text)), 64)
-	if err != nil || math.IsNaN(f) || math.IsInf(f, 0) { // fastjson lets NaN and Inf pass for numbers
-		return 0, fmt.Errorf("%w, not %.40s", errInvalidValue, bytes.Clone(text))
+	if err != nil || math.IsNaN(f) || math.IsInf(f, 0) { // fastjson accepts NaN and Inf as numbers
+		return 0, fmt.Errorf("%w, got %.40s", errInvalidValue, bytes.Clone(text))
 	}
 	return f, nil
 }
 
-// readNumber reads a number; integers are exact.
+// readNumber parses a JSON number. Integers are exact.
 func readNumber(v *fastjson.Value) (Value, error) {
 	var buf [40]byte
 	text := v.MarshalTo(buf[:0])
@@ -104,7 +107,7 @@
 	return Float(f), err
 }
 
-// compare orders two values of one kind, neither of them missing.
+// compare orders two values of the same kind. Neither may be missing.
 func (a Value) compare(b Value) int {
 	switch {
 	case a.Kind == Text:
@@ -119,7 +122,7 @@
 	return compareMixed(a.real, b.integer)
 }
 
-// compareMixed compares a float64 with an integer exactly, also where no float64 equals the integer.
+// compareMixed compares a float64 with an integer exactly, even if no float64 equals the integer.
 func compareMixed(f float64, i int64) int {
 	if math.Abs(f) >= 1<<63 {
 		return cmp.Compare(f, 0)
@@ -154,10 +157,10 @@
 	return a.NewString(s).MarshalTo(dst)
 }
 
-// ParseValues reads a JSON list of sort values that is not empty.
+// ParseValues parses a non-empty JSON array of sort values.
 func ParseValues(v *fastjson.Value) ([]Value, error) {
 	if v.Type() != fastjson.TypeArray || len(v.GetArray()) == 0 {
-		return nil, errors.New("want a list of values")
+		return nil, errors.New("want a non-empty list of values")
 	}
 	var out []Value
 	for i, x := range v.GetArray() {
@@ -170,7 +173,7 @@
 	return out, nil
 }
 
-// AppendValues appends a JSON list of sort values.
+// AppendValues appends a JSON array of sort values.
 func AppendValues(dst []byte, values []Value) []byte {
 	dst = append(dst, '[')
 	for i, v := range values {
