--- a/internal/broker/opensearch/at_most_once.go
+++ b/internal/broker/opensearch/at_most_once.go
@@ -13,32 +13,32 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// AtMostOnce has what a Front needs for queries that must not run twice.
+// AtMostOnce configures a Front for at-most-once queries, which must not run twice.
 type AtMostOnce struct {
 	Tracker     *idempotency.Tracker
-	Header      string          // the field with a client's idempotency key
-	Classes     map[string]bool // those whose queries must not run twice
-	Unavailable bool            // the store could not be opened: such queries are refused
+	Header      string          // header field with the client's idempotency key
+	Classes     map[string]bool // classes whose queries are at-most-once
+	Unavailable bool            // the store could not be opened: such queries are rejected
 }
 
 const (
-	maxKeyBytes = 255 // bytes
-	// recordTimeout bounds how long an answer waits until its record is on disk.
+	maxKeyBytes = 255 // of an idempotency key
+	// recordTimeout bounds how long a response waits for its record to be durable.
 	recordTimeout = 2 * time.Second
 )
 
-// beginAtMostOnce begins a query that must not run twice. Both results are nil for other queries. If the query must not start it returns
-// the response that says why.
+// beginAtMostOnce begins an at-most-once query. Both results are nil for queries of other classes.
+// If the query must not start, it returns the response with the reason.
 func (f Front) beginAtMostOnce(m *http1.Message, index string, query *core.Query) (*idempotency.Entry, *http1.Response) {
 	if f.AtMostOnce == nil || !f.AtMostOnce.Classes[query.Class] {
 		return nil, nil
 	}
-	refused := func(entry *requestError) (*idempotency.Entry, *http1.Response) {
-		r := errorResponse(entry)
+	reject := func(cause *requestError) (*idempotency.Entry, *http1.Response) {
+		r := errorResponse(cause)
 		return nil, &r
 	}
 	if f.AtMostOnce.Unavailable {
-		return refused(&requestError{503, "cluster_block_exception", "the durable store is not open: queries of this class are not taken"})
+		return reject(&requestError{503, "cluster_block_exception", "the durable store is not open: queries of this class are not accepted"})
 	}
 	keys := m.Header[f.AtMostOnce.Header]
 	key := ""
@@ -46,9 +46,9 @@
 		key = keys[0]
 	}
 	if len(keys) > 1 || len(keys) == 1 && (key == "" || len(key) > maxKeyBytes || strings.ContainsFunc(key, func(r rune) bool { return r < ' ' || r > '~' })) {
-		return refused(&requestError{
+		return reject(&requestError{
 			400, "illegal_argument_exception",
-			fmt.Sprintf("[%s] wants one key of 1 to %d printable characters", f.AtMostOnce.Header, maxKeyBytes),
+			fmt.Sprintf("header [%s] must have one key of 1 to %d printable characters", f.AtMostOnce.Header, maxKeyBytes),
 		})
 	}
 	if key != "" {
@@ -56,7 +56,7 @@
 	}
 	fingerprint := xxhash.New()
 	fmt.Fprintf(fingerprint, "%s %s\n", m.Method, m.Target)
-	_, _ = fingerprint.Write(m.Body) // a hash returns no error
+	_, _ = fingerprint.Write(m.Body) // a hash never returns an error
 	entry, decision := f.AtMostOnce.Tracker.Begin(key, query.Label, fingerprint.Sum64())
 	if decision.State == idempotency.Fresh {
 		return entry, nil
@@ -65,52 +65,54 @@
 	return nil, &r
 }
 
-// notStartedResponse returns the response to a query that the tracker did not let start: its recorded answer, or an error.
+// notStartedResponse returns the response to a query that the tracker did not admit: the recorded
+// answer, or an error.
 func (f Front) notStartedResponse(v idempotency.Decision) http1.Response {
-	later := func(r http1.Response, us int64) http1.Response {
+	withRetryAfter := func(r http1.Response, us int64) http1.Response {
 		r.Fields = append(r.Fields, [2]string{"Retry-After", strconv.FormatInt(max(1, int64(math.Ceil(float64(us)/1e6))), 10)})
 		return r
 	}
 	switch v.State {
 	case idempotency.InProgress:
-		return later(errorResponse(&requestError{409, "version_conflict_engine_exception", "the first query with this key is still under way"}), 0)
+		return withRetryAfter(errorResponse(&requestError{409, "version_conflict_engine_exception", "the first query with this idempotency key is still in progress"}), 0)
 	case idempotency.Mismatch:
-		return errorResponse(&requestError{422, "illegal_argument_exception", "this key came with another request before"})
+		return errorResponse(&requestError{422, "illegal_argument_exception", "this idempotency key was used with a different request"})
 	case idempotency.InDoubt:
-		return errorResponse(&requestError{500, "search_phase_execution_exception", "a query with this key was sent before and its end is not known; parts of it may have run"})
+		return errorResponse(&requestError{500, "search_phase_execution_exception", "a query with this idempotency key was sent before and its outcome is unknown; parts of it may have run"})
 	case idempotency.Completed:
 		if v.Answer.Shortened {
-			return errorResponse(&requestError{500, "exception", "a query with this key has been carried out before; its answer was too long to be kept"})
+			return errorResponse(&requestError{500, "exception", "a query with this idempotency key has completed before; its answer was too long to be recorded"})
 		}
 		return http1.Response{
 			Status: v.Answer.Status, Type: v.Answer.Type, Body: v.Answer.Body,
 			Fields: append(v.Answer.Fields, [2]string{"Idempotent-Replayed", "true"}),
 		}
 	case idempotency.HistoryLost:
-		return later(errorResponse(&requestError{
+		return withRetryAfter(errorResponse(&requestError{
 			429, "rejected_execution_exception",
-			"records of the durable store are lost, and one of this key may have been among them; later it may be sent",
+			"records of the durable store were lost, possibly one with this idempotency key; retry after the given time",
 		}), v.RetryAfter)
 	}
-	return later(errorResponse(&requestError{429, "rejected_execution_exception", "the durable store takes nothing now: sending it again does no harm"}), 0)
+	return withRetryAfter(errorResponse(&requestError{429, "rejected_execution_exception", "the durable store does not accept records at present: the query did not run and may be retried"}), 0)
 }
 
-// recordOutcome records the answer to a query before its client gets it. It waits for the disk on the client's goroutine, up to
-// recordTimeout. A refused query has not run, and its key becomes free again.
+// recordOutcome records the answer to a query before its client receives it. It waits on the
+// client's goroutine for the record to be durable, up to recordTimeout. A refused query has not
+// run, and its key may be used again.
 func recordOutcome(e *idempotency.Entry, outcome core.QueryOutcome, r http1.Response) {
 	if outcome == core.Refused {
 		e.Release()
 		return
 	}
-	kept := make(chan struct{})
-	e.End(idempotency.Answer{Status: r.Status, Type: r.Type, Fields: r.Fields, Body: r.Body}, func(error) { close(kept) })
+	recorded := make(chan struct{})
+	e.End(idempotency.Answer{Status: r.Status, Type: r.Type, Fields: r.Fields, Body: r.Body}, func(error) { close(recorded) })
 	if outcome != core.Answered {
-		return // a retry gets the same answer also without the record
+		return // without the record a retry gets an equivalent answer
 	}
 	t := time.NewTimer(recordTimeout)
 	defer t.Stop()
 	select {
-	case <-kept:
-	case <-t.C: // the answer is true, also if it is not on disk yet
+	case <-recorded:
+	case <-t.C: // the answer is valid even if it is not durable yet
 	}
 }
--- a/internal/broker/opensearch/clauses.go
+++ b/internal/broker/opensearch/clauses.go
@@ -9,12 +9,12 @@
 	"github.com/valyala/fastjson"
 )
 
-// querySpans returns the values of the range field that a query can match. Clauses on other fields do not restrict them: the servers
-// evaluate those.
+// querySpans returns the values of the range field that a query can match. Clauses on other fields,
+// which only servers evaluate, do not restrict them.
 func (ix Index) querySpans(v *fastjson.Value) (spans, error) {
 	o, err := v.Object()
 	if err != nil || o.Len() != 1 {
-		return nil, parsing("a query wants an object with one clause")
+		return nil, parsingError("[query] must be an object with one clause")
 	}
 	var out spans
 	err = visit(o, func(name string, v *fastjson.Value) error {
@@ -29,23 +29,23 @@
 		case "match", "match_phrase", "exists", "prefix":
 			out, err = everything, nil
 			if v.Get(ix.Field) != nil {
-				err = parsing("unsupported clause [%s] on the range field [%s]", name, ix.Field)
+				err = parsingError("unsupported clause [%s] on the range field [%s]", name, ix.Field)
 			}
 		case "bool":
 			out, err = ix.boolSpans(v)
 		default:
-			err = parsing("unsupported clause [%s]", name)
+			err = parsingError("unsupported clause [%s]", name)
 		}
 		return err
 	})
 	return out, err
 }
 
-// boolSpans returns the values that a clause [bool] can match.
+// boolSpans returns the values of the range field that a clause [bool] can match.
 func (ix Index) boolSpans(v *fastjson.Value) (spans, error) {
 	o, err := v.Object()
 	if err != nil {
-		return nil, parsing("[bool] wants an object")
+		return nil, parsingError("[bool] must be an object")
 	}
 	out, any, required, least := everything, spans(nil), false, -1
 	shoulds := false
@@ -53,13 +53,13 @@
 		switch name {
 		case "minimum_should_match":
 			if text := strings.Trim(v.String(), `"`); text != "1" {
-				return parsing("unsupported value [%s] for [minimum_should_match]: want 1", text)
+				return parsingError("unsupported value [%s] for [minimum_should_match]: must be 1", text)
 			}
 			least = 1
 			return nil
 		case "filter", "must", "should":
 		default:
-			return parsing("unsupported clause [%s] in [bool]", name)
+			return parsingError("unsupported clause [%s] in [bool]", name)
 		}
 		clauses, err := boolClauses(name, v)
 		if err != nil {
@@ -78,13 +78,13 @@
 		}
 		return nil
 	})
-	if shoulds && (!required || least == 1) { // else it only adds to the score
+	if shoulds && (!required || least == 1) { // otherwise [should] only affects the score
 		out = intersect(out, any)
 	}
 	return out, err
 }
 
-// boolClauses returns the queries of one kind of clause of [bool]: a query or a list of them.
+// boolClauses returns the queries of one occurrence type of [bool]: a query or a list of queries.
 func boolClauses(name string, v *fastjson.Value) ([]*fastjson.Value, error) {
 	switch v.Type() {
 	case fastjson.TypeObject:
@@ -92,11 +92,11 @@
 	case fastjson.TypeArray:
 		return v.GetArray(), nil
 	default:
-		return nil, parsing("[%s] wants a query or a list of them", name)
+		return nil, parsingError("[%s] must be a query or a list of queries", name)
 	}
 }
 
-// parseBound reads a bound: an integer, or a string with one.
+// parseBound parses a bound: an integer, or a string that contains one.
 func parseBound(v *fastjson.Value) (int64, error) {
 	text := v.String()
 	if v.Type() == fastjson.TypeString {
@@ -104,29 +104,29 @@
 	}
 	n, err := strconv.ParseInt(text, 10, 64)
 	if err != nil || n == math.MaxInt64 {
-		return 0, parsing("[%s] is not a whole number", text)
+		return 0, parsingError("[%s] is not an integer below 2^63-1", text)
 	}
 	return n, nil
 }
 
-// rangeSpans returns the values that a clause [range] matches.
+// rangeSpans returns the values of the range field that a clause [range] matches.
 func (ix Index) rangeSpans(v *fastjson.Value) (spans, error) {
 	o, err := v.Object()
 	if err != nil || o.Len() != 1 {
-		return nil, parsing("[range] wants one field")
+		return nil, parsingError("[range] must be an object with one field")
 	}
 	s := everything[0]
 	err = visit(o, func(field string, v *fastjson.Value) error {
 		if field != ix.Field {
-			return parsing("unknown range: [%s] has no ranges on field [%s]", ix.Name, field)
+			return parsingError("unknown range: [%s] has no ranges on field [%s]", ix.Name, field)
 		}
 		bounds, err := v.Object()
 		if err != nil {
-			return parsing("[range] on [%s] wants bounds", field)
+			return parsingError("[range] on [%s] must be an object with bounds", field)
 		}
 		return visit(bounds, func(name string, v *fastjson.Value) error {
 			if !slices.Contains([]string{"gte", "gt", "lte", "lt"}, name) {
-				return parsing("[range] query does not support [%s]", name)
+				return parsingError("[range] query does not support [%s]", name)
 			}
 			n, err := parseBound(v)
 			switch name {
@@ -146,15 +146,15 @@
 		return nil, err
 	}
 	if s.From >= s.To {
-		return nil, parsing("inverted range on [%s]: nothing lies between its bounds", ix.Field)
+		return nil, parsingError("inverted range on [%s]: there are no values between its bounds", ix.Field)
 	}
 	if len(intersect(spans{s}, ix.domain())) == 0 {
-		return nil, parsing("unknown range on [%s]: [%s] holds nothing there", ix.Field, ix.Name)
+		return nil, parsingError("unknown range on [%s]: outside of all ranges of [%s]", ix.Field, ix.Name)
 	}
 	return spans{s}, nil
 }
 
-// termSpans returns the values that a clause [term] or [terms] matches.
+// termSpans returns the values of the range field that a clause [term] or [terms] matches.
 func (ix Index) termSpans(name string, v *fastjson.Value) (spans, error) {
 	values := v.Get(ix.Field)
 	if values == nil {
@@ -170,7 +170,7 @@
 	var out spans
 	for _, x := range list {
 		if x == nil {
-			return nil, parsing("[%s] on [%s] has no value", name, ix.Field)
+			return nil, parsingError("[%s] on [%s] has no value", name, ix.Field)
 		}
 		n, err := parseBound(x)
 		if err != nil {
@@ -178,7 +178,7 @@
 		}
 		point := spans{{From: n, To: n + 1}}
 		if len(intersect(point, ix.domain())) == 0 {
-			return nil, parsing("unknown range on [%s]: [%s] holds nothing at [%d]", ix.Field, ix.Name, n)
+			return nil, parsingError("unknown range on [%s]: no range of [%s] contains [%d]", ix.Field, ix.Name, n)
 		}
 		out = union(out, point)
 	}
--- a/internal/broker/opensearch/front.go
+++ b/internal/broker/opensearch/front.go
@@ -12,20 +12,21 @@
 	"strings"
 )
 
-// Front is the search API towards clients. Its fields are not changed after it is in use; then it is safe for concurrent use.
+// Front is the search API for clients. It is safe for concurrent use as long as its fields are not
+// modified.
 type Front struct {
 	Indices      map[string]Index
-	Tenants      map[string]bool      // those with a contract; empty: requests have no tenant
-	TenantHeader string               // which header field names the tenant
-	MaxDuration  map[string]int64     // of a query by its class, in microseconds
-	Margin       int64                // subtracted from each query's time, in microseconds, but a quarter of it at most
-	Cursors      *pagination.Registry // the open points in time; nil: there are none
-	Nonce        func() uint64        // returns a random number, never the same again
-	Layout       *layout.Current      // where the ranges of placed indices are; nil: there are none
-	AtMostOnce   *AtMostOnce          // for queries that must not run twice; nil: there are none
+	Tenants      map[string]bool      // tenants with a contract; empty: requests have no tenant
+	TenantHeader string               // header field that names the tenant
+	MaxDuration  map[string]int64     // maximum duration of a query by class, in microseconds
+	Margin       int64                // subtracted from each query's duration, in microseconds, at most a quarter of it
+	Cursors      *pagination.Registry // open points in time; nil: not supported
+	Nonce        func() uint64        // returns a unique random number
+	Layout       *layout.Current      // placement of the ranges of placed indices; nil: there are none
+	AtMostOnce   *AtMostOnce          // configuration of at-most-once queries; nil: there are none
 }
 
-// errorResponse formats an error as OpenSearch does.
+// errorResponse formats an error in OpenSearch's form.
 func errorResponse(e *requestError) http1.Response {
 	cause := fmt.Sprintf(`{"type":%s,"reason":%s}`, quote(e.kind), quote(e.reason))
 	return http1.Response{
@@ -34,23 +35,24 @@
 	}
 }
 
-// quote returns a string as JSON.
+// quote returns s as a JSON string.
 func quote(s string) string {
 	b, err := json.Marshal(s)
-	if err != nil { // a string can always be encoded
+	if err != nil { // does not happen: a string can always be encoded
 		return `""`
 	}
 	return string(b)
 }
 
-// Fault returns the response to a request that could not be read or decided on.
+// Fault returns the response to a request that could not be parsed or processed.
 func (f Front) Fault(status int, text string) http1.Response {
 	return errorResponse(&requestError{status, "illegal_argument_exception", text})
 }
 
-// Open turns a request that arrived at now, in microseconds, into a query and the function that formats its final result at a later time.
-// If there is nothing for the broker to decide, such as for a health check, a point in time or a malformed request, it returns the response
-// instead. The function may wait for the disk, for queries that must not run twice.
+// Open converts a request received at time now, in microseconds, into a query and a function that
+// formats the query's final result at a later time. For requests that need no query, such as a
+// health check, a point in time or a malformed request, it returns the response instead. For
+// at-most-once queries the returned function may wait for the disk.
 func (f Front) Open(m *http1.Message, now int64, ready bool) (core.Query, func(core.Final, int64) http1.Response, *http1.Response) {
 	if path, _, _ := strings.Cut(m.Target, "?"); path == "/_health" {
 		r := http1.Response{Status: 200, Type: "application/json; charset=UTF-8", Body: []byte(`{"status":"green"}`)}
@@ -85,7 +87,7 @@
 		r := finish(errorResponse(e))
 		return query, nil, &r
 	}
-	if len(query.Parts) == 0 { // clauses that exclude each other: nothing can match
+	if len(query.Parts) == 0 { // mutually exclusive clauses: nothing can match
 		r := finish(s.respond(core.Final{Complete: true}, 0))
 		return query, nil, &r
 	}
@@ -106,7 +108,7 @@
 	}, nil
 }
 
-// Class returns the class of a search, by its index; empty for other requests.
+// Class returns the class of a search, which its index determines, or "" for other requests.
 func (f Front) Class(m *http1.Message) string {
 	path, _, _ := strings.Cut(m.Target, "?")
 	name, _, ok := parseSearchPath(path)
--- a/internal/broker/opensearch/index.go
+++ b/internal/broker/opensearch/index.go
@@ -4,24 +4,24 @@
 	"slices"
 )
 
-// Index is one index that may be searched.
+// Index is one searchable index.
 type Index struct {
 	Name, Class  string
-	Field        string // the range field: its value decides the shard of a document
+	Field        string // range field, whose value determines the shard of a document
 	PartWork     int64  // expected work of a part, in microseconds; 0: unknown
 	Ranges       []Range
 	Binary       bool  // requests to servers accept partial answers in the binary form
-	Placed       bool  // the layout maps ranges to shards, not Ranges
-	layoutDomain spans // of a placed index, at the time of the request
+	Placed       bool  // the layout, instead of Ranges, maps ranges to shards
+	layoutDomain spans // domain of a placed index at the time of the request
 }
 
-// Range maps a span of the range field's values to its shard.
+// Range maps a span of values of the range field to a shard.
 type Range struct {
 	Span
 	Shard int
 }
 
-// domain returns the values of the range field that the index has.
+// domain returns the values of the range field that the index covers.
 func (ix Index) domain() spans {
 	if ix.Placed {
 		return ix.layoutDomain
@@ -33,7 +33,7 @@
 	return union(out)
 }
 
-// shards returns the shards of a set of values, sorted and without duplicates.
+// shards returns the shards that contain any of the given values, sorted and without duplicates.
 func (ix Index) shards(want spans) []int {
 	var out []int
 	for _, r := range ix.Ranges {
--- a/internal/broker/opensearch/opensearch_test.go
+++ b/internal/broker/opensearch/opensearch_test.go
@@ -35,7 +35,8 @@
 
 func anyOf(q ...string) string { return `{"bool":{"should":[` + strings.Join(q, ",") + `]}}` }
 
-// TestRangesToShards: ranges in any order, overlapping or repeated, give the same parts as sorted ones.
+// TestRangesToShards checks the shards of a query's clauses, and that ranges in any order, also
+// overlapping or repeated ones, give the same parts as sorted ones.
 func TestRangesToShards(t *testing.T) {
 	for _, c := range []struct{ query, shards string }{
 		{`{"match_all":{}}`, "[0 1 2]"},
@@ -76,15 +77,16 @@
 	}
 }
 
-func TestExclusiveClauses(t *testing.T) {
+func TestOpen_ExclusiveClausesGiveEmptyAnswer(t *testing.T) {
 	_, _, resp := open("/ix/_search", "desk", `{"query":{"bool":{"filter":[`+between(0, 50)+`,`+between(200, 210)+`]}}}`)
 	if resp == nil || resp.Status != 200 || !strings.Contains(string(resp.Body), `"hits":[]`) {
 		t.Errorf("%v", resp)
 	}
 }
 
-// TestRefusedByName: the error of a search that is not supported names what is wrong.
-func TestRefusedByName(t *testing.T) {
+// TestOpen_ErrorNamesFault checks that the error for an invalid or unsupported search names the
+// clause, parameter or value at fault.
+func TestOpen_ErrorNamesFault(t *testing.T) {
 	q := func(query string) string { return `{"query":` + query + `}` }
 	for _, c := range []struct {
 		target, tenant, body string
@@ -122,7 +124,7 @@
 	} {
 		_, _, resp := open(c.target, c.tenant, c.body)
 		if resp == nil {
-			t.Errorf("%s %s was taken", c.target, c.body)
+			t.Errorf("%s %s was accepted", c.target, c.body)
 			continue
 		}
 		var e struct {
@@ -139,7 +141,7 @@
 	}
 }
 
-func TestDeadline(t *testing.T) {
+func TestOpen_Deadline(t *testing.T) {
 	for _, c := range []struct {
 		target, body string
 		want         int64
@@ -155,7 +157,7 @@
 	}
 }
 
-// servedPart parses a server's answer, as the session does.
+// servedPart parses a server's answer like a session.
 func servedPart(t *testing.T, query core.Query, shard, total int, hits ...string) core.Value {
 	t.Helper()
 	body := fmt.Appendf(nil, `{"took":1,"timed_out":false,"_shards":{"total":1,"successful":1,"failed":0},"hits":{"total":{"value":%d,"relation":"eq"},"hits":[%s]}}`,
@@ -167,7 +169,7 @@
 	return core.Value{Shard: shard, Part: part}
 }
 
-func TestMerge(t *testing.T) {
+func TestOpen_FormatsMergedParts(t *testing.T) {
 	query, format, _ := open("/ix/_search", "desk", `{"from":1,"size":2}`)
 	values := []core.Value{
 		servedPart(t, query, 0, 7, `{"_id":"a","_score":3}`, `{"_id":"b","_score":1}`), servedPart(t, query, 1, 0),
@@ -185,7 +187,7 @@
 	}, 42_000)
 	for _, want := range []string{`"timed_out":true`, `"failed":1,"failures":[{"shard":2,`, `"completeness":{"whole":false,"share":0.75,"missing":[{"shard":2,"from":5,"to":9}]}`} {
 		if !strings.Contains(string(r.Body), want) {
-			t.Errorf("%s is not in %s", want, r.Body)
+			t.Errorf("%s is missing from %s", want, r.Body)
 		}
 	}
 	query, format, _ = open("/ix/_count", "desk", `{"query":{"match_all":{}}}`)
@@ -196,8 +198,9 @@
 	}
 }
 
-// TestServerRequest: requests to servers have the complete order, with its tie-break, and as many hits as the page may need.
-func TestServerRequest(t *testing.T) {
+// TestServerBody checks that requests to servers have the total order, with its tie-break, and
+// request as many hits as the page may need.
+func TestServerBody(t *testing.T) {
 	for body, want := range map[string]string{
 		``: `{"from":0,"size":10,"track_total_hits":true,"sort":[{"_score":{"order":"desc"}},{"_id":{"order":"asc"}}],"track_scores":true}`,
 		`{"size":5,"sort":[{"due":{"order":"desc","missing":"_first","unmapped_type":"long"}},"_id"],"search_after":[9007199254740993,"x"],"track_total_hits":false}`: `{"from":0,"size":5,"track_total_hits":false,` +
@@ -213,8 +216,9 @@
 	}
 }
 
-// TestEnds: clients of this API retry a 429, and many libraries a 502, 503 or 504. A query that may have run has none of these statuses.
-func TestEnds(t *testing.T) {
+// TestFormatFinal_StatusOfUnansweredQueries checks that a query that may have run gets status 500:
+// clients of this API retry a 429, and many libraries a 502, 503 or 504.
+func TestFormatFinal_StatusOfUnansweredQueries(t *testing.T) {
 	_, format, _ := open("/ix/_search", "desk", "")
 	r := format(core.Final{Outcome: core.Refused, RetryAfter: 1_200_000}, 0)
 	if r.Status != 429 || fmt.Sprint(r.Fields) != "[[Retry-After 2]]" {
@@ -229,12 +233,12 @@
 
 var anyHits, _ = merge.NewPlan(nil, 0, 10, nil, merge.Exact)
 
-func readServerAnswer(text string, pieces int) string {
+func readServerAnswer(text string, reads int) string {
 	s := Servers{}.NewSession("h:1")
 	s.Call(nil, core.Call{Attempts: []core.Attempt{{ID: 5, Text: []byte("ix\n{}"), Plan: anyHits}}}, 0)
 	out := ""
-	for i := range pieces {
-		replies, err := s.Feed([]byte(text[i*len(text)/pieces : (i+1)*len(text)/pieces]))
+	for i := range reads {
+		replies, err := s.Feed([]byte(text[i*len(text)/reads : (i+1)*len(text)/reads]))
 		for _, r := range replies {
 			r = r.Read()
 			out += fmt.Sprintf("%d:%d:%t ", r.Attempt, r.Outcome, r.Part != nil)
@@ -245,13 +249,14 @@
 	}
 	for _, r := range s.Closed() {
 		r = r.Read()
-		out += fmt.Sprintf("%d:%d:%t at the end", r.Attempt, r.Outcome, r.Part != nil)
+		out += fmt.Sprintf("%d:%d:%t at close", r.Attempt, r.Outcome, r.Part != nil)
 	}
 	return out
 }
 
-// TestJudge: a success status alone does not make an answer a served part.
-func TestJudge(t *testing.T) {
+// TestSession_AnswerOutcomes checks the outcomes of answers, whether they arrive in one or several
+// reads. A success status alone does not make an answer a served part.
+func TestSession_AnswerOutcomes(t *testing.T) {
 	const ok = `"took":1,"timed_out":false,"_shards":{"total":1,"successful":1,"failed":0},"hits":{"total":{"value":0,"relation":"eq"},"hits":[]}`
 	for _, c := range []struct {
 		status     int
@@ -270,17 +275,17 @@
 		{429, `{"error":{"type":"circuit_breaking_exception"},"status":429}`, "5:1:false "},
 	} {
 		text := fmt.Sprintf("HTTP/1.1 %d X\r\nContent-Length: %d\r\n\r\n%s", c.status, len(c.body), c.body)
-		for _, pieces := range []int{1, 2, len(text)} {
-			if got := readServerAnswer(text, pieces); got != c.want {
-				t.Errorf("%d %s in %d pieces: got %q, want %q", c.status, c.body, pieces, got, c.want)
+		for _, reads := range []int{1, 2, len(text)} {
+			if got := readServerAnswer(text, reads); got != c.want {
+				t.Errorf("%d %s in %d reads: got %q, want %q", c.status, c.body, reads, got, c.want)
 			}
 		}
 	}
-	if got := readServerAnswer("HTTP/1.1 200 OK\r\n\r\n{"+ok+"}", 3); got != "5:0:true at the end" {
-		t.Errorf("up to the end: %q", got)
+	if got := readServerAnswer("HTTP/1.1 200 OK\r\n\r\n{"+ok+"}", 3); got != "5:0:true at close" {
+		t.Errorf("answer delimited by close: %q", got)
 	}
 	if got := readServerAnswer("HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n{", 1); got != "" {
-		t.Errorf("cut short: %q", got)
+		t.Errorf("truncated answer: %q", got)
 	}
 }
 
--- a/internal/broker/opensearch/point_in_time.go
+++ b/internal/broker/opensearch/point_in_time.go
@@ -15,7 +15,8 @@
 
 const pitPath = "/_search/point_in_time"
 
-// handlePointInTime answers a request to open or close points in time; both results are nil for other requests.
+// handlePointInTime handles a request to open or close points in time. Both results are nil for
+// other requests.
 func (f Front) handlePointInTime(m *http1.Message, now int64) (*http1.Response, error) {
 	path, params, _ := strings.Cut(m.Target, "?")
 	index, ok := strings.CutSuffix(path, pitPath)
@@ -32,21 +33,21 @@
 	case m.Method == "DELETE" && index == "" && params == "":
 		return f.closePoints(m.Body, tenant, now)
 	}
-	return nil, &requestError{405, "illegal_argument_exception", "incorrect HTTP method for [" + path + "]: want POST of an index's, or DELETE"}
+	return nil, &requestError{405, "illegal_argument_exception", "incorrect HTTP method for [" + path + "]: must be POST with an index, or DELETE without one"}
 }
 
-// openPoint opens a point in time of an index, whose name is escaped.
+// openPoint opens a point in time of an index, whose name is URL-escaped.
 func (f Front) openPoint(index, tenant, params string, now int64) (*http1.Response, error) {
 	name, err := url.PathUnescape(index)
 	if err != nil {
-		return nil, illegal("the path can't be read: %v", err)
+		return nil, illegalArgument("invalid path: %v", err)
 	}
 	if _, ok := f.Indices[name]; !ok {
 		return nil, &requestError{404, "index_not_found_exception", "no such index [" + name + "]"}
 	}
 	values, err := url.ParseQuery(params)
 	if err != nil || len(values) != 1 || !values.Has("keep_alive") {
-		return nil, illegal("a point in time wants [keep_alive] and nothing else")
+		return nil, illegalArgument("opening a point in time requires [keep_alive] and accepts no other parameter")
 	}
 	var keep time.Duration
 	if err := parseDuration(values.Get("keep_alive"), &keep); err != nil {
@@ -62,7 +63,7 @@
 	}, nil
 }
 
-// closePoints closes the points in time that a body names, and reports for each whether it was open.
+// closePoints closes the points in time listed in a body, and reports for each whether it was open.
 func (f Front) closePoints(body []byte, tenant string, now int64) (*http1.Response, error) {
 	var request struct {
 		ID json.RawMessage `json:"pit_id"`
@@ -71,7 +72,7 @@
 	if err := json.Unmarshal(body, &request); err != nil || json.Unmarshal(request.ID, &ids) != nil {
 		var id string
 		if err != nil || json.Unmarshal(request.ID, &id) != nil {
-			return nil, parsing("want [pit_id], one or a list")
+			return nil, parsingError("[pit_id] must be an id or a list of ids")
 		}
 		ids = []string{id}
 	}
@@ -86,7 +87,7 @@
 	return &http1.Response{Status: 200, Type: "application/json; charset=UTF-8", Body: append(b, "]}"...)}, nil
 }
 
-// pointInTimeError translates an error of package pagination.
+// pointInTimeError converts an error of package pagination to a requestError.
 func pointInTimeError(err error) error {
 	switch {
 	case errors.Is(err, pagination.ErrExpired), errors.Is(err, pagination.ErrInvalid):
@@ -94,7 +95,7 @@
 	case errors.Is(err, pagination.ErrTooMany):
 		return &requestError{429, "rejected_execution_exception", "point in time: " + err.Error()}
 	}
-	return illegal("point in time: %v", err)
+	return illegalArgument("point in time: %v", err)
 }
 
 // pointInTime is the clause [pit] of a search.
@@ -103,8 +104,9 @@
 	keep time.Duration
 }
 
-// parsePointInTime reads the clause [pit] of a search that names no index; nil if there is none. A malformed
-// body counts as one without the clause: its error is reported where the search is parsed.
+// parsePointInTime parses the clause [pit] of a search without an index, and returns nil if there
+// is none. It treats a malformed body as one without the clause, because parseSearch reports the
+// error.
 func parsePointInTime(body []byte) (*pointInTime, error) {
 	clause := clauseOf(body, "pit")
 	if clause == nil {
@@ -112,7 +114,7 @@
 	}
 	o, err := clause.Object()
 	if err != nil {
-		return nil, parsing("[pit] wants an object")
+		return nil, parsingError("[pit] must be an object")
 	}
 	p := &pointInTime{}
 	err = visit(o, func(key string, v *fastjson.Value) error {
@@ -123,15 +125,15 @@
 		case "keep_alive":
 			return parseDuration(string(v.GetStringBytes()), &p.keep)
 		}
-		return parsing("unsupported [%s] in [pit]", key)
+		return parsingError("unsupported [%s] in [pit]", key)
 	})
 	if err == nil && p.id == "" {
-		err = parsing("[pit] wants an [id]")
+		err = parsingError("[pit] requires [id]")
 	}
 	return p, err
 }
 
-// clauseOf returns a clause of a search; nil if the body has none or is not JSON.
+// clauseOf returns a clause of a search, or nil if the body lacks it or is not JSON.
 func clauseOf(body []byte, name string) *fastjson.Value {
 	v, err := fastjson.ParseBytes(body)
 	if err != nil {
--- a/internal/broker/opensearch/query.go
+++ b/internal/broker/opensearch/query.go
@@ -13,17 +13,18 @@
 	"time"
 )
 
-// searchTarget is what a request searches: its index, its tenant and its point in time.
+// searchTarget is the index, the tenant and the point in time of a search.
 type searchTarget struct {
 	index  string
 	count  bool   // hits are only counted
-	params string // of the address, not parsed
+	params string // query string of the URL
 	tenant string
-	cursor pagination.Cursor // of the point in time; zero without one
-	token  string            // of the point in time; empty without one
+	cursor pagination.Cursor // of the point in time; zero if there is none
+	token  string            // of the point in time; "" if there is none
 }
 
-// parseQuery reads a search and plans its parts. Its error is a *requestError, or one that the client sees as a 500.
+// parseQuery parses a search and plans its parts. Its error is a *requestError, or another one that
+// the client receives with status 500.
 func (f Front) parseQuery(m *http1.Message, now int64) (query core.Query, s search, err error) {
 	target, err := f.parseTarget(m, now)
 	if err != nil {
@@ -50,7 +51,7 @@
 		return query, s, err
 	}
 	if s.from > maxWindow || s.size > maxWindow || s.from+s.size > maxWindow {
-		return query, s, illegal("result window is too large: from + size must be %d at most", maxWindow)
+		return query, s, illegalArgument("result window is too large: from + size must be at most %d", maxWindow)
 	}
 	query = core.Query{Label: m.Header.Get("X-Opaque-Id"), Class: ix.Class, Tenant: target.tenant, Deadline: f.deadline(now, ix.Class, s.timeout)}
 	matching := intersect(s.want, ix.domain())
@@ -63,7 +64,7 @@
 	return query, s, nil
 }
 
-// parseTarget reads what a request searches. It renews the point in time that the request names.
+// parseTarget parses the target of a search. It renews the point in time that the request names.
 func (f Front) parseTarget(m *http1.Message, now int64) (searchTarget, error) {
 	path, params, _ := strings.Cut(m.Target, "?")
 	name, count, ok := parseSearchPath(path)
@@ -72,14 +73,14 @@
 		return target, &requestError{400, "illegal_argument_exception", "no handler found for uri [" + path + "] and method [" + m.Method + "]"}
 	}
 	if m.Method != "POST" && m.Method != "GET" {
-		return target, &requestError{405, "illegal_argument_exception", "incorrect HTTP method for [" + path + "]: want POST or GET"}
+		return target, &requestError{405, "illegal_argument_exception", "incorrect HTTP method for [" + path + "]: must be POST or GET"}
 	}
 	var err error
 	if target.tenant, err = f.tenant(m); err != nil {
 		return target, err
 	}
 	if target.index, err = url.PathUnescape(name); err != nil {
-		return target, illegal("the path can't be read: %v", err)
+		return target, illegalArgument("invalid path: %v", err)
 	}
 	if path != "/_search" {
 		return target, nil
@@ -89,7 +90,7 @@
 		return target, err
 	}
 	if p == nil {
-		return target, illegal("a search without an index wants [pit]")
+		return target, illegalArgument("a search without an index requires [pit]")
 	}
 	if target.cursor, target.token, err = f.Cursors.Use(now, target.tenant, p.id, p.keep.Microseconds()); err != nil {
 		return target, pointInTimeError(err)
@@ -98,7 +99,8 @@
 	return target, nil
 }
 
-// deadline returns when the broker must have an answer: within the class's limit, or the client's own timeout if that is shorter.
+// deadline returns the time by which the broker must have an answer: after the class's maximum
+// duration or the client's timeout, whichever is shorter, less the margin.
 func (f Front) deadline(now int64, class string, timeout time.Duration) int64 {
 	wait := f.MaxDuration[class]
 	if us := timeout.Microseconds(); timeout > 0 && us < wait {
@@ -107,7 +109,8 @@
 	return now + wait - min(f.Margin, wait/4)
 }
 
-// parts returns the parts of a query over a set of the range field's values, with equal weights. current is the layout of a placed index.
+// parts returns the parts of a query over a set of values of the range field, with equal weights.
+// current is the layout, which is only used for a placed index.
 func (ix Index) parts(key string, matching spans, current *layout.Layout) []core.QueryPart {
 	var parts []core.QueryPart
 	if ix.Placed {
@@ -124,7 +127,8 @@
 	return parts
 }
 
-// parseSearchPath returns the index that a path names, and whether the path is that of a count. ok is false for other paths.
+// parseSearchPath returns the index named by the path of a search or a count, and which of them it
+// is. ok is false for other paths.
 func parseSearchPath(path string) (name string, count, ok bool) {
 	if name, ok = strings.CutSuffix(strings.TrimPrefix(path, "/"), "/_search"); !ok {
 		name, count = strings.CutSuffix(strings.TrimPrefix(path, "/"), "/_count")
@@ -132,7 +136,8 @@
 	return name, count, (ok || count) && !strings.Contains(name, "/")
 }
 
-// tenant returns the tenant that a request names. It is empty if no tenant has a contract, whatever the request names.
+// tenant returns the tenant named by a request. It returns "" if there are no contracts, even if
+// the request names a tenant.
 func (f Front) tenant(m *http1.Message) (string, error) {
 	if len(f.Tenants) == 0 {
 		return "", nil
@@ -144,7 +149,7 @@
 	return tenant, nil
 }
 
-// placedParts returns a part for each entry of a layout's plan.
+// placedParts returns a part for each part of a layout's plan.
 func placedParts(plan []layout.Part) []core.QueryPart {
 	parts := make([]core.QueryPart, len(plan))
 	for i, x := range plan {
@@ -153,11 +158,11 @@
 	return parts
 }
 
-// parseParams reads the parameters of the address; they override the body, as in OpenSearch.
+// parseParams parses the URL's query parameters, which override the body, as in OpenSearch.
 func (s *search) parseParams(text string) error {
 	values, err := url.ParseQuery(text)
 	if err != nil {
-		return illegal("the parameters can't be read: %v", err)
+		return illegalArgument("invalid request parameters: %v", err)
 	}
 	names := make([]string, 0, len(values))
 	for name := range values {
@@ -172,7 +177,7 @@
 		case "size", "from":
 			n, nerr := strconv.Atoi(v)
 			if nerr != nil || n < 0 {
-				return illegal("[%s] wants a whole number from nought, not [%s]", name, v)
+				return illegalArgument("[%s] must be an integer of 0 or more, got [%s]", name, v)
 			}
 			if name == "size" {
 				s.size = n
@@ -181,7 +186,7 @@
 			}
 		case "pretty", "human", "error_trace":
 		default:
-			return illegal("request contains unrecognized parameter: [%s]", name)
+			return illegalArgument("request contains unrecognized parameter: [%s]", name)
 		}
 		if err != nil {
 			return err
--- a/internal/broker/opensearch/respond.go
+++ b/internal/broker/opensearch/respond.go
@@ -11,13 +11,13 @@
 	"strconv"
 )
 
-// respond merges the answers of the parts into the response.
+// respond merges the answers to the parts into the response.
 func (s search) respond(final core.Final, us int64) http1.Response {
 	state := merge.NewState(s.plan)
 	for _, v := range final.Values {
 		part, ok := v.Part.(*merge.Part)
-		if !ok { // a session parses every answer that it delivers
-			return errorResponse(&requestError{500, "search_phase_execution_exception", "a part was not read"})
+		if !ok { // does not happen: a session parses every answer that it delivers
+			return errorResponse(&requestError{500, "search_phase_execution_exception", "internal error: a partial answer was not parsed"})
 		}
 		if part.Expired() {
 			return errorResponse(&requestError{404, "search_context_missing_exception", "point in time: a server no longer holds what stood then"})
@@ -53,7 +53,8 @@
 	return http1.Response{Status: 200, Type: "application/json; charset=UTF-8", Body: append(b, '}')}
 }
 
-// appendShards writes how many parts have answered. A partial answer has its exact fraction and what is missing.
+// appendShards writes the numbers of received and missing parts, and for an incomplete answer its
+// exact fraction and the missing ranges.
 func (s search) appendShards(b []byte, final core.Final) []byte {
 	in := len(final.Values)
 	b = fmt.Appendf(b, `"_shards":{"total":%d,"successful":%d,"skipped":0,"failed":%d`, final.Shards, in, final.Shards-in)
@@ -104,8 +105,8 @@
 	return append(b, "]}"...)
 }
 
-// formatFinal formats a query's final result. The status of a failed query is 500: client libraries of this API retry a 502, 503 or 504 on
-// their own, and parts of the query may have run.
+// formatFinal formats a query's final result. A failed query has status 500, because client
+// libraries of this API retry a 502, 503 or 504 automatically and parts of the query may have run.
 func formatFinal(s search, final core.Final, took int64) http1.Response {
 	r := formatOutcome(s, final, took)
 	if final.Policy > 0 {
@@ -114,23 +115,24 @@
 	return r
 }
 
-// PolicyField is the header field with the version of the policy under which a query was admitted.
+// PolicyField is the response header field with the version of the policy under which a query was
+// admitted.
 const PolicyField = "X-Policy-Version"
 
-// formatOutcome formats a final result without the version of the policy.
+// formatOutcome formats a final result without the policy version.
 func formatOutcome(s search, final core.Final, took int64) http1.Response {
 	switch {
 	case final.Outcome == core.Answered:
 		return s.respond(final, took)
 	case final.Outcome == core.Refused:
-		r := errorResponse(&requestError{429, "rejected_execution_exception", "turned away: sending it again does no harm"})
+		r := errorResponse(&requestError{429, "rejected_execution_exception", "rejected: the query did not run and may be retried"})
 		if final.RetryAfter > 0 {
 			seconds := int64(math.Ceil(float64(final.RetryAfter) / 1e6))
 			r.Fields = append(r.Fields, [2]string{"Retry-After", strconv.FormatInt(seconds, 10)})
 		}
 		return r
 	case final.Overdue:
-		return errorResponse(&requestError{500, "timeout_exception", "no answer in time; parts of it may have run"})
+		return errorResponse(&requestError{500, "timeout_exception", "no answer before the deadline; parts of the query may have run"})
 	}
-	return errorResponse(&requestError{500, "search_phase_execution_exception", "shards failed; parts of it may have run"})
+	return errorResponse(&requestError{500, "search_phase_execution_exception", "shards failed; parts of the query may have run"})
 }
--- a/internal/broker/opensearch/servers.go
+++ b/internal/broker/opensearch/servers.go
@@ -16,44 +16,47 @@
 	sq "saffronquay"
 )
 
-// maxAnswer bounds a server's answer, in bytes.
-const maxAnswer = 1 << 20
+// maxAnswerBytes is the maximum size of the body of a server's answer.
+const maxAnswerBytes = 1 << 20
 
-// asOfField is the header field of a part and of its answer with the time of the searched state, in Unix microseconds. statusGone is the
-// status of a server that no longer has that state.
+// asOfField is the header field of a request for a part and of its answer with the time of the
+// searched state, in Unix microseconds. statusGone is the status of a server that no longer has
+// that state.
 const (
 	asOfField  = "X-As-Of"
 	statusGone = 410
 )
 
-// statusMisdirected is the status of a server that does not have the requested span (RFC 9110, 15.5.20).
+// statusMisdirected is the status of a server that does not have the requested span (RFC 9110,
+// 15.5.20).
 const statusMisdirected = 421
 
-// Servers is the search API towards servers: a connection carries one search, and then the next.
+// Servers is the search API for servers. A connection carries one search at a time.
 type Servers struct{}
 
-// Streams returns how many calls one connection carries concurrently.
+// Streams returns the number of concurrent calls per connection.
 func (Servers) Streams() int { return 1 }
 
 // NewSession returns the state of a new connection to the server at an address.
 func (Servers) NewSession(address string) core.Session {
-	return &session{host: address, parser: http1.Parser{Response: true, BodyLimit: maxAnswer}}
+	return &session{host: address, parser: http1.Parser{Response: true, BodyLimit: maxAnswerBytes}}
 }
 
 // session is the state of one connection. It is not safe for concurrent use.
 type session struct {
-	host   string
-	parser http1.Parser
-	out    core.AttemptID // in flight; 0: none
-	plan   *merge.Plan    // by which the answer is parsed
-	place  layout.Place   // the requested place under a layout; without one its epoch is 0
+	host     string
+	parser   http1.Parser
+	inFlight core.AttemptID // attempt in flight; 0: none
+	plan     *merge.Plan    // against which the answer is validated
+	place    layout.Place   // requested place; its epoch is 0 if the index is not placed by a layout
 }
 
-// Call appends the search for one part, restricted to its shard, that is sent at now, in microseconds.
+// Call appends the request for one part, restricted to its shard. now is the time at which it is
+// sent, in microseconds.
 func (s *session) Call(dst []byte, c core.Call, now int64) []byte {
 	a := c.Attempts[0]
 	s.plan, _ = a.Plan.(*merge.Plan)
-	s.out, s.place = a.ID, layout.Place{Shard: a.Shard, Span: a.Span, Epoch: a.Epoch}
+	s.inFlight, s.place = a.ID, layout.Place{Shard: a.Shard, Span: a.Span, Epoch: a.Epoch}
 	index, body, _ := bytes.Cut(a.Text, []byte{'\n'})
 	target := fmt.Sprintf("/%s/_search?preference=_shards:%d&timeout=%dms&allow_partial_search_results=false", index,
 		a.Shard, max(1, (a.Due-now)/1000))
@@ -73,19 +76,20 @@
 	return http1.AppendRequest(dst, "POST", target, s.host, fields, body)
 }
 
-// Cancel appends nothing: this API has no request that cancels a search. It returns false if the connection has to be closed.
-func (s *session) Cancel(dst []byte, id core.AttemptID) ([]byte, bool) { return dst, s.out != id }
+// Cancel appends nothing, because this API has no request that cancels a search. It returns false
+// if the connection has to be closed instead.
+func (s *session) Cancel(dst []byte, id core.AttemptID) ([]byte, bool) { return dst, s.inFlight != id }
 
-// Unsent forgets a search that was never sent; the connection can carry another.
+// Unsent discards a search that was never sent, so that the connection can carry another.
 func (s *session) Unsent(id core.AttemptID) {
-	if s.out == id {
-		s.out = 0
+	if s.inFlight == id {
+		s.inFlight = 0
 	}
 }
 
-// Feed takes received bytes and returns the reply that they complete. The reply's Read parses the body, so that the caller chooses the
-// goroutine. After an error the connection must be closed; core.ErrConnectionEnding means that the server closes it after this
-// answer.
+// Feed consumes received bytes and returns the reply that they complete, if any. The reply's Read
+// parses the body, so that the caller chooses the goroutine for it. After an error the connection
+// must be closed; core.ErrConnectionEnding means that the server closes it after this answer.
 func (s *session) Feed(b []byte) ([]core.Reply, error) {
 	s.parser.Feed(b)
 	for {
@@ -99,30 +103,30 @@
 		if m.Status >= 100 && m.Status < 200 {
 			continue
 		}
-		if s.out == 0 {
-			return nil, errors.New("unsolicited answer")
+		if s.inFlight == 0 {
+			return nil, errors.New("opensearch: unsolicited answer")
 		}
-		r := s.take(m)
+		r := s.newReply(m)
 		switch {
 		case m.Close:
 			return r, core.ErrConnectionEnding
 		case !s.parser.Idle():
-			return r, errors.New("unsolicited bytes after an answer")
+			return r, errors.New("opensearch: unsolicited bytes after an answer")
 		}
 		return r, nil
 	}
 }
 
-// take returns the reply to the search in flight, not yet parsed.
-func (s *session) take(m *http1.Message) []core.Reply {
-	r := core.Reply{Attempt: s.out, Size: len(m.Body)}
-	s.out = 0
+// newReply returns the reply to the search in flight, with a body that is not parsed yet.
+func (s *session) newReply(m *http1.Message) []core.Reply {
+	r := core.Reply{Attempt: s.inFlight, Size: len(m.Body)}
+	s.inFlight = 0
 	plan, place := s.plan, s.place
 	r.Read = func() core.Reply { return readReply(r, m, plan, place) }
 	return []core.Reply{r}
 }
 
-// readReply parses the answer to a part and decides its outcome.
+// readReply parses the answer to a part and determines its outcome.
 func readReply(r core.Reply, m *http1.Message, plan *merge.Plan, place layout.Place) core.Reply {
 	r.Read = nil
 	if r.Outcome, r.Part = readAnswer(m, plan); place.Epoch > 0 {
@@ -136,9 +140,10 @@
 	return r
 }
 
-// checkPlace returns the outcome of a part that names a place, given the outcome by the answer's body. It protects against a server that
-// does not have the place: a 421 proves that nothing ran, and its epoch shows whether the broker's layout is older. Any other answer counts
-// only if it names the same shard and span.
+// checkPlace returns the outcome of a part with a requested place, given the outcome of its body.
+// It guards against a server that does not have the place: a 421 proves that nothing ran, and its
+// epoch shows whether the broker's layout is outdated. Any other answer is valid only if it names
+// the same shard and span.
 func checkPlace(place layout.Place, m *http1.Message, o sq.Outcome) sq.Outcome {
 	if m.Status == statusMisdirected {
 		epoch, err := strconv.ParseInt(m.Header.Get(layout.EpochField), 10, 64)
@@ -160,21 +165,23 @@
 	return o
 }
 
-// Partial reports whether the session has bytes of an incomplete answer.
+// Partial reports whether the session has received part of an answer.
 func (s *session) Partial() bool { return !s.parser.Idle() }
 
-// Closed handles the end of the connection by the server. It completes an answer whose length is not declared.
+// Closed handles the closing of the connection by the server, which completes an answer without a
+// declared length.
 func (s *session) Closed() []core.Reply {
-	if m, err := s.parser.End(); err == nil && m != nil && s.out != 0 {
-		return s.take(m)
+	if m, err := s.parser.End(); err == nil && m != nil && s.inFlight != 0 {
+		return s.newReply(m)
 	}
 	return nil
 }
 
-// readAnswer returns the outcome of a search and its parsed part. A success status proves nothing: errors, timeouts and failed shards inside
-// a well-formed 200, and hits that do not fit the plan, must not pass for a served part.
+// readAnswer returns the outcome of a search and its parsed part. A success status is not
+// sufficient: a well-formed 200 with an error, a timeout, failed shards, or hits that do not match
+// the plan is not a served part.
 func readAnswer(m *http1.Message, plan *merge.Plan) (sq.Outcome, any) {
-	if plan != nil && plan.AsOf > 0 { // a server without points in time would ignore the field
+	if plan != nil && plan.AsOf > 0 { // a server without points in time ignores the field
 		if m.Header.Get(asOfField) != strconv.FormatInt(plan.AsOf, 10) {
 			return sq.Errored, nil
 		}
@@ -196,7 +203,7 @@
 		return sq.Errored, nil
 	}
 	if m.Status == 429 && strings.HasSuffix(string(v.GetStringBytes("error", "type")), "rejected_execution_exception") {
-		return sq.Rejected, nil // rejected by a full queue: it did not run
+		return sq.Rejected, nil // rejected by a full queue, without running
 	}
 	hits := v.Get("hits")
 	shards := v.Get("_shards")
@@ -208,7 +215,7 @@
 		return sq.Errored, nil
 	}
 	if plan == nil {
-		return sq.Errored, nil // without a plan it cannot be merged
+		return sq.Errored, nil // cannot be merged without a plan
 	}
 	part, err := plan.Read(v, m.Body)
 	if err != nil {
@@ -224,5 +231,5 @@
 	return strings.TrimSpace(is) == name
 }
 
-// parsers has reusable parsers. A parsed answer must not be used after its parser is put back.
+// parsers is a pool of parsers. A parsed answer must not be used after its parser is returned.
 var parsers fastjson.ParserPool
--- a/internal/broker/opensearch/sort.go
+++ b/internal/broker/opensearch/sort.go
@@ -9,24 +9,25 @@
 	"github.com/valyala/fastjson"
 )
 
-// sortKey is one key of the order, as the client gave it.
+// sortKey is one sort key of a client's request.
 type sortKey struct {
 	merge.Key
-	missing  *fastjson.Value // nil: last
-	unmapped string
+	missing  *fastjson.Value // nil: _last
+	unmapped string          // unmapped_type; "" if not set
 }
 
-// maxKeys bounds the keys of an order.
+// maxKeys is the maximum number of sort keys.
 const maxKeys = 16
 
-// parseSortKeys reads [sort]: a key or a list of them, each a field or an object of one field. What is not supported is refused by name.
+// parseSortKeys parses [sort]: a key or a list of keys, each a field or an object with one field.
+// An unsupported key or option is an error that names it.
 func parseSortKeys(v *fastjson.Value) ([]sortKey, error) {
 	list := []*fastjson.Value{v}
 	if v.Type() == fastjson.TypeArray {
 		list = v.GetArray()
 	}
 	if len(list) > maxKeys {
-		return nil, parsing("[sort] has %d keys, %d at most", len(list), maxKeys)
+		return nil, parsingError("[sort] has %d keys, must have at most %d", len(list), maxKeys)
 	}
 	var keys []sortKey
 	for _, x := range list {
@@ -36,7 +37,7 @@
 		}
 		for _, other := range keys {
 			if other.Field == k.Field {
-				return nil, parsing("[sort] names [%s] twice", k.Field)
+				return nil, parsingError("[sort] names [%s] twice", k.Field)
 			}
 		}
 		keys = append(keys, k)
@@ -44,14 +45,14 @@
 	return keys, nil
 }
 
-// parseSortKey reads one key of [sort].
+// parseSortKey parses one key of [sort].
 func parseSortKey(x *fastjson.Value) (sortKey, error) {
 	var k sortKey
 	field := func(name string) error {
 		if k.Field = name; name == "" || name == "_doc" || name == "_shard_doc" || name == "_script" || name == "_geo_distance" {
-			return parsing("unsupported sort on [%s]", name)
+			return parsingError("unsupported sort on [%s]", name)
 		}
-		k.Desc = name == merge.Score // the default of OpenSearch
+		k.Desc = name == merge.Score // OpenSearch's default
 		return nil
 	}
 	if x.Type() == fastjson.TypeString {
@@ -59,7 +60,7 @@
 	}
 	o, err := x.Object()
 	if err != nil || o.Len() != 1 {
-		return k, parsing("[sort] wants fields, or objects of one field")
+		return k, parsingError("[sort] must have fields, or objects with one field")
 	}
 	err = visit(o, func(name string, v *fastjson.Value) error {
 		if err := field(name); err != nil {
@@ -70,7 +71,7 @@
 		}
 		options, err := v.Object()
 		if err != nil {
-			return parsing("[sort] on [%s] wants an order or an object", name)
+			return parsingError("[sort] on [%s] must be an order or an object", name)
 		}
 		return visit(options, func(option string, v *fastjson.Value) error {
 			switch option {
@@ -83,24 +84,24 @@
 				k.unmapped = string(v.GetStringBytes())
 				return nil
 			}
-			return parsing("unsupported option [%s] of the sort on [%s]", option, name)
+			return parsingError("unsupported option [%s] of the sort on [%s]", option, name)
 		})
 	})
 	return k, err
 }
 
-// order reads the direction of a key.
+// order parses the direction of a key.
 func (k *sortKey) order(v *fastjson.Value) error {
 	switch text := string(v.GetStringBytes()); text {
 	case "asc", "desc":
 		k.Desc = text == "desc"
 		return nil
 	default:
-		return parsing("unknown order [%s] of the sort on [%s]: want asc or desc", v, k.Field)
+		return parsingError("unknown order [%s] of the sort on [%s]: must be asc or desc", v, k.Field)
 	}
 }
 
-// parseTrackTotalHits reads [track_total_hits].
+// parseTrackTotalHits parses [track_total_hits].
 func (s *search) parseTrackTotalHits(v *fastjson.Value) error {
 	switch v.Type() {
 	case fastjson.TypeTrue:
@@ -110,14 +111,14 @@
 	default:
 		n, err := v.Int64()
 		if err != nil || n < 0 || n > 1<<31-1 {
-			return parsing("unsupported value [%s] for [track_total_hits]: want true, false or a whole number", v)
+			return parsingError("unsupported value [%s] for [track_total_hits]: must be true, false or an integer of 0 or more", v)
 		}
 		s.limit = n
 	}
 	return nil
 }
 
-// planMerge makes the plan of the merge. Body and parameters must have been parsed.
+// planMerge sets the plan of the merge. Body and parameters must have been parsed before.
 func (s *search) planMerge() error {
 	var keys []merge.Key
 	for _, k := range s.keys {
@@ -125,7 +126,7 @@
 	}
 	var err error
 	if s.plan, err = merge.NewPlan(keys, s.from, s.size, s.after, s.limit); errors.Is(err, merge.ErrPlan) {
-		return illegal("%v", err)
+		return illegalArgument("%v", err)
 	} else if err != nil {
 		return err
 	}
@@ -133,8 +134,8 @@
 	return nil
 }
 
-// serverBody returns the body of the requests to servers: each returns as many hits as the page may need, in the complete order with its
-// tie-break.
+// serverBody returns the body of the requests to servers. It requests as many hits as the page may
+// need, in the total order including the tie-break.
 func (s search) serverBody() []byte {
 	b := fmt.Appendf(nil, `{"from":0,"size":%d`, s.plan.Window())
 	switch s.limit {
@@ -192,5 +193,5 @@
 	return b
 }
 
-// formatTook returns a duration in microseconds as the milliseconds of [took], rounded down.
+// formatTook formats a duration in microseconds as the milliseconds of [took], rounded down.
 func formatTook(us int64) string { return strconv.FormatInt(us/1000, 10) }
--- a/internal/broker/opensearch/spans.go
+++ b/internal/broker/opensearch/spans.go
@@ -7,11 +7,11 @@
 	"slices"
 )
 
-// Span is a range of integers, from From up to but without To.
+// Span is the half-open range [From, To) of integers.
 type Span = layout.Span
 
-// spans is a set of integers as disjoint spans in order. Equal sets are equal spans, whatever the order, overlap or repetition of a search's
-// ranges.
+// spans is a set of integers as sorted, disjoint spans. The form is canonical: equal sets have
+// equal spans, regardless of the order, overlap or repetition of a search's ranges.
 type spans []Span
 
 // everything is the set of all values.
--- a/internal/broker/pagination/registry_test.go
+++ b/internal/broker/pagination/registry_test.go
@@ -25,14 +25,14 @@
 		now, keep           int64
 		want                error
 	}{
-		{"in time", "lagos", token, 14 * second, 0, nil},
+		{"before expiry", "lagos", token, 14 * second, 0, nil},
 		{"another tenant", "ferrer", token, 6 * second, 0, ErrInvalid},
-		{"made up", "lagos", "AAAA", 6 * second, 0, ErrInvalid},
+		{"forged", "lagos", "AAAA", 6 * second, 0, ErrInvalid},
 		{"damaged", "lagos", token[:len(token)-1] + "x", 6 * second, 0, ErrInvalid},
-		{"longer than may be", "lagos", token, 6 * second, 61 * second, ErrKeepAlive},
-		{"kept alive", "lagos", token, 14 * second, 50 * second, nil},
-		{"later, by the old token", "lagos", token, 63 * second, 60 * second, nil},
-		{"over its age", "lagos", token, 105 * second, 0, ErrExpired},
+		{"keep_alive too long", "lagos", token, 6 * second, 61 * second, ErrKeepAlive},
+		{"extended", "lagos", token, 14 * second, 50 * second, nil},
+		{"extended, with the old token", "lagos", token, 63 * second, 60 * second, nil},
+		{"older than MaxAge", "lagos", token, 105 * second, 0, ErrExpired},
 	} {
 		got, _, err := k.Use(c.now, c.tenant, c.token, c.keep)
 		if !errors.Is(err, c.want) || err == nil && (got.At != 5*second || got.Index != "invoices") {
@@ -44,8 +44,9 @@
 	}
 }
 
-// A tenant has at most MaxOpen open cursors. Expired and closed cursors make room; a closed one keeps its entry until it expires.
-func TestBounds(t *testing.T) {
+// TestRegistry_LimitsOpenCursors checks that a tenant has at most MaxOpen open cursors, that
+// expired and closed ones do not count, and that a closed one retains its entry until it expires.
+func TestRegistry_LimitsOpenCursors(t *testing.T) {
 	k := newTestRegistry()
 	var tokens []string
 	for n := range uint64(3) {
@@ -56,40 +57,41 @@
 		tokens = append(tokens, token)
 	}
 	if _, err := k.Open(0, "lagos", "i", second, 9); !errors.Is(err, ErrTooMany) {
-		t.Errorf("a fourth: %v", err)
+		t.Errorf("cursor beyond MaxOpen: %v", err)
 	}
 	if _, err := k.Open(0, "ferrer", "i", second, 9); err != nil {
-		t.Errorf("another tenant's first: %v", err)
+		t.Errorf("first cursor of another tenant: %v", err)
 	}
 	if open, err := k.Close(second, "lagos", tokens[0]); !open || err != nil {
 		t.Error(open, err)
 	}
 	if _, _, err := k.Use(second, "lagos", tokens[0], 0); !errors.Is(err, ErrExpired) {
-		t.Errorf("closed: %v", err)
+		t.Errorf("use of a closed cursor: %v", err)
 	}
 	again, err := k.Open(second, "lagos", "i", second, 11)
 	if err != nil {
-		t.Errorf("one was closed, which makes room at once: %v", err)
+		t.Errorf("open after another was closed: %v", err)
 	}
 	if _, err := k.Close(second, "lagos", again); err != nil {
 		t.Error(err)
 	}
 	if open, _ := k.Close(second, "ferrer", tokens[1]); open {
-		t.Error("closed by another tenant")
+		t.Error("cursor closed by another tenant")
 	}
 	if _, err := k.Open(11*second, "lagos", "i", second, 10); err != nil {
-		t.Errorf("two are over: %v", err)
+		t.Errorf("open after two have expired: %v", err)
 	}
 	if n := k.CountOpen(11 * second); n != 1 {
-		t.Errorf("%d held", n)
+		t.Errorf("%d open cursors, want 1", n)
 	}
 	if k.CountOpen(200 * second); len(k.tenants) != 0 {
-		t.Errorf("left behind: %v", k.tenants)
+		t.Errorf("entries after all cursors have expired: %v", k.tenants)
 	}
 }
 
-// A process with the same key accepts the token of another; one with another key does not.
-func TestOtherProcess(t *testing.T) {
+// TestUse_TokenOfAnotherProcess checks that a process accepts the token of another one only if both
+// have the same key.
+func TestUse_TokenOfAnotherProcess(t *testing.T) {
 	token, err := newTestRegistry().Open(0, "lagos", "i", second, 1)
 	if err != nil {
 		t.Fatal(err)
@@ -103,8 +105,8 @@
 	}
 }
 
-// A token that differs in any byte is not accepted.
-func TestForgery(t *testing.T) {
+// TestUse_RejectsModifiedToken checks that a token with any modified byte is rejected.
+func TestUse_RejectsModifiedToken(t *testing.T) {
 	k := newTestRegistry()
 	token, err := k.Open(0, "lagos", "invoices", 10*second, 1)
 	if err != nil {
@@ -129,7 +131,7 @@
 	f.Add(token)
 	f.Fuzz(func(t *testing.T, text string) {
 		if _, _, err := k.Use(1, "lagos", text, 0); err == nil && text != token {
-			t.Errorf("%q was taken", text)
+			t.Errorf("token %q was accepted", text)
 		}
 	})
 }
--- a/internal/broker/pagination/token.go
+++ b/internal/broker/pagination/token.go
@@ -7,8 +7,8 @@
 	"encoding/binary"
 )
 
-// seal returns the token of a cursor.
-func (r *Registry) seal(c Cursor) string {
+// encode returns the token of a cursor.
+func (r *Registry) encode(c Cursor) string {
 	b := []byte{version, byte(len(c.Tenant))}
 	b = append(b, c.Tenant...)
 	b = append(append(b, byte(len(c.Index))), c.Index...)
@@ -21,19 +21,20 @@
 func (r *Registry) mac(b []byte) []byte {
 	m := hmac.New(sha256.New, r.cfg.Key)
 	m.Write(b)
-	return m.Sum(nil)[:sealSize]
+	return m.Sum(nil)[:macSize]
 }
 
-// parse returns the cursor of a token with a valid seal. Errors: ErrInvalid, and ErrExpired for a token of another version.
+// parse verifies the MAC of a token and returns its cursor. Errors: ErrInvalid, and ErrExpired for
+// a token of another version.
 func (r *Registry) parse(token string) (Cursor, error) {
 	if len(token) > MaxToken {
 		return Cursor{}, ErrInvalid
 	}
 	b, err := base64.RawURLEncoding.Strict().DecodeString(token)
-	if err != nil || len(b) < sealSize+1 || !hmac.Equal(r.mac(b[:len(b)-sealSize]), b[len(b)-sealSize:]) {
+	if err != nil || len(b) < macSize+1 || !hmac.Equal(r.mac(b[:len(b)-macSize]), b[len(b)-macSize:]) {
 		return Cursor{}, ErrInvalid
 	}
-	if b = b[:len(b)-sealSize]; b[0] != version { // sealed with this key by an older or newer program
+	if b = b[:len(b)-macSize]; b[0] != version { // issued with this key by another version of the program
 		return Cursor{}, ErrExpired
 	}
 	b = b[1:]
