--- a/internal/broker/idempotency/contracts_test.go
+++ b/internal/broker/idempotency/contracts_test.go
@@ -10,8 +10,9 @@
 	"time"
 )
 
-// With the started program: a loud team that sends far more than its quota is rejected, the quiet one is not, and the counters agree.
-func TestContractsThroughTheProgram(t *testing.T) {
+// TestProgram_ContractsIsolateTeams checks, with a started process, that a team that sends far more
+// than its quota is rejected while another one is not, and that the counters match.
+func TestProgram_ContractsIsolateTeams(t *testing.T) {
 	c := newCluster(t, 10*time.Millisecond)
 	g := newGatherer(t, c, "")
 	delete(g.cfg, "store")
@@ -55,7 +56,7 @@
 		}
 	}
 	if a := send("quiet", "filings"); a.status != 403 {
-		t.Errorf("a class that its contract does not have: %+v", a)
+		t.Errorf("query of a class that is not in the team's contract: %+v", a)
 	}
 	close(stop)
 	wg.Wait()
--- a/internal/broker/idempotency/entry.go
+++ b/internal/broker/idempotency/entry.go
@@ -11,11 +11,12 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// ErrEnded means that a query has ended, so no part of it may leave and no other end is recorded.
+// ErrEnded means that a query has ended: no part of it may be sent, and no other answer is
+// recorded.
 var ErrEnded = errors.New("idempotency: the query has ended")
 
-// Entry is one query that must run at most once, from its begin to its end. It implements core.IntentLog. It is safe for concurrent use. Its
-// owner ends it with one call of End, Release or Abandon.
+// Entry is one at-most-once query in progress. It implements core.IntentLog. It is safe for
+// concurrent use. Its owner must end it with one call of End, Release or Abandon.
 type Entry struct {
 	tracker      *Tracker
 	key          string // in the log
@@ -24,14 +25,15 @@
 	label        string
 
 	mu        sync.Mutex
-	parts     []*form.Part // whose intents are in the log or on their way to it
+	parts     []*form.Part // parts with an intent that was appended to the log
 	ended     bool
-	hasIntent bool // an intent was handed to the log
+	hasIntent bool // an intent was appended to the log
 }
 
-// Record makes the intent durable to send parts until a deadline. done is called on the log's goroutine, with nil when the intent is durable,
-// otherwise with the reason why that is not known; it is not called where Record returns an error. No part may leave before done was called
-// with nil, and none after an error.
+// Record makes the intent to send parts until a deadline durable. It calls done on the log's
+// goroutine, with nil once the intent is durable, or with an error if that is unknown. If Record
+// returns an error, it does not call done. No part may be sent before done was called with nil, or
+// after an error.
 func (e *Entry) Record(parts []core.Intent, deadline int64, done func(error)) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -58,21 +60,22 @@
 	return nil
 }
 
-// append appends a record under the entry's key. done is called unless it returns an error.
+// append appends a record under the entry's key. It calls done unless it returns an error.
 func (e *Entry) append(content *form.Once, done func(error)) error {
 	value, err := proto.Marshal(content)
 	if err != nil {
-		return fmt.Errorf("idempotency: encode a record: %w", err)
+		return fmt.Errorf("idempotency: encode record: %w", err)
 	}
 	log := e.tracker.log
 	return log.Append(recordlog.Record{Kind: recordlog.AtMostOnce, Key: e.key, Value: value, ExpiresAt: log.Now() + e.tracker.cfg.Retention}, done)
 }
 
-// WantsResult reports whether the query has to go on to its end after its client has left, because a retry with its key may want the answer.
+// WantsResult reports whether the query must run to completion after its client has disconnected,
+// because a retry with the same key may request the answer.
 func (e *Entry) WantsResult() bool { return e.hasClientKey }
 
-// Release ends a query of which no part was sent or none has run, and makes its key Fresh again. Where the log can't take that, a retry
-// is answered InDoubt until the key's time is over.
+// Release ends a query of which no part was sent or none has run, and makes its key Fresh again. If
+// the log does not accept the deletion, the key is InDoubt until its retention ends.
 func (e *Entry) Release() {
 	if alreadyEnded, hasIntent := e.markEnded(); alreadyEnded {
 		return
@@ -80,8 +83,8 @@
 		e.tracker.drop(e)
 		return
 	}
-	// The entry stays among those in progress until the deletion is durable: the log keeps the order of records, and until then no other
-	// query can write one under the key.
+	// The entry stays in progress until the deletion is durable, so that no other query can append
+	// a record under the key before. The log preserves the order of records.
 	log := e.tracker.log
 	deletion := recordlog.Record{Kind: recordlog.AtMostOnce, Key: e.key, Deleted: true, ExpiresAt: log.Now() + e.tracker.cfg.Retention}
 	if err := log.Append(deletion, func(error) { e.tracker.drop(e) }); err != nil {
@@ -89,11 +92,11 @@
 	}
 }
 
-// Abandon ends a query whose end will not be known. Where an intent was handed to the log, the key is InDoubt from now on; otherwise it is
-// Fresh.
+// Abandon ends a query whose outcome will remain unknown. If an intent was appended to the log, the
+// key is InDoubt from now on; otherwise it is Fresh.
 //
-// It does nothing after End or Release: the entry stays among those in progress until their record is durable, so that a retry in between is not
-// answered InDoubt.
+// It does nothing after End or Release: the entry stays in progress until their record is durable,
+// so that a retry in between is not answered InDoubt.
 func (e *Entry) Abandon() {
 	if alreadyEnded, _ := e.markEnded(); alreadyEnded {
 		return
@@ -101,9 +104,10 @@
 	e.tracker.drop(e)
 }
 
-// End records the query's answer. done is called exactly once: with nil when the record is durable, otherwise with the reason why that is not
-// known, or with ErrEnded. It runs on the log's goroutine or, where there is nothing to wait for, on the caller's. The client may get the
-// answer in every case: without a record a retry is answered InDoubt. A query without an intent needs no record.
+// End records the query's answer. It calls done exactly once: with nil once the record is durable,
+// with an error if that is unknown, or with ErrEnded. done runs on the log's goroutine or, if there
+// is nothing to wait for, on the caller's. The answer may be sent to the client in any case:
+// without a record a retry is answered InDoubt. A query without an intent needs no record.
 func (e *Entry) End(a Answer, done func(error)) {
 	alreadyEnded, hasIntent := e.markEnded()
 	if alreadyEnded {
@@ -125,7 +129,8 @@
 	}
 }
 
-// markEnded marks the query as ended. It returns whether it had ended before, and whether an intent was handed to the log.
+// markEnded marks the query as ended. It returns whether it had ended before, and whether an intent
+// was appended to the log.
 func (e *Entry) markEnded() (alreadyEnded, hasIntent bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -134,7 +139,7 @@
 	return alreadyEnded, e.hasIntent
 }
 
-// endRecord returns the record of an answer, without a body that is too long.
+// endRecord returns the record of an answer. It omits a body longer than Config.MaxBody.
 func (e *Entry) endRecord(a Answer) *form.End {
 	end := &form.End{Print: e.fingerprint, Status: uint32(a.Status), Type: a.Type, Body: a.Body}
 	for _, field := range a.Fields {
--- a/internal/broker/idempotency/kill_test.go
+++ b/internal/broker/idempotency/kill_test.go
@@ -20,9 +20,10 @@
 	"time"
 )
 
-// Two of five gatherers at a time are killed, again and again, while 2,000 filings go through them with clients that retry. Nothing runs
-// twice, and a client that got an answer gets the same one again.
-func TestKilledGatherers(t *testing.T) {
+// TestRestart_KilledGatherersRunNothingTwice repeatedly kills two of five gatherers while clients
+// send 2,000 at-most-once queries through them and retry. No part runs twice, and a client that
+// received an answer receives the same one again.
+func TestRestart_KilledGatherersRunNothingTwice(t *testing.T) {
 	c := newCluster(t, time.Millisecond)
 	var gs []*gatherer
 	var ps []*harness.Process
@@ -46,7 +47,7 @@
 				switch {
 				case a.status == 200:
 					if !c.Ledger.Ran(key) {
-						t.Errorf("%s is acknowledged and never ran", key)
+						t.Errorf("%s is acknowledged but did not run", key)
 					}
 					answers.Store(key, a.body)
 				case a.status == 500:
@@ -77,7 +78,7 @@
 			kills++
 		}
 	}
-	// Finally all of them are killed, and each client sends its filing again.
+	// Finally all gatherers are killed, and each client sends its query again.
 	for i, p := range ps {
 		p.Kill()
 		ps[i] = gs[i].start()
@@ -89,7 +90,7 @@
 		fmt.Sscanf(key.(string), "filing-%d", &i)
 		if a := gs[i%5].send("POST", "/filings/_search", key.(string), key.(string), `{"query":{"range":{"taxpayer":{"gte":5,"lt":25}}}}`); a.status != 200 || a.body != body.(string) || !a.replayed {
 			lost.Add(1)
-			t.Errorf("%s: answered %q, and now %+v", key, body, a)
+			t.Errorf("%s: answered %q, then %+v", key, body, a)
 		}
 		return true
 	})
@@ -101,8 +102,9 @@
 		retries.Load(), kills, runs, twice, lost.Load())
 }
 
-// A process replaces another one: filings go on, and each one is answered.
-func TestStoreIsHandedOver(t *testing.T) {
+// TestStore_HandoverAnswersAllQueries checks that at-most-once queries are all answered while one
+// process after another takes over the store.
+func TestStore_HandoverAnswersAllQueries(t *testing.T) {
 	c := newCluster(t, time.Millisecond)
 	g := newGatherer(t, c, "")
 	old := g.start()
@@ -142,15 +144,17 @@
 		t.Errorf("%d parts ran twice", twice)
 	}
 	if n := strings.Count(g.Output(), "event=store_yielded"); n != 3 {
-		t.Errorf("the store was yielded %d times: %s", n, g.Output())
+		t.Errorf("the store was handed over %d times, want 3: %s", n, g.Output())
 	}
 	if !strings.Contains(old.Call("stats"), "svc.store.failing:0|g") {
 		t.Error("no metrics of the store")
 	}
 }
 
-// The old process is suspended with filings in flight, another one takes its store, and the old one goes on: with SAFFRONQUAY_LONG=1 after 10 s.
-func TestOldProcessGoesOnLate(t *testing.T) {
+// TestStore_ReplacedProcessResumes suspends a process with at-most-once queries in flight, has
+// another one take over its store, and resumes the first one, with SAFFRONQUAY_LONG=1 after 10 s.
+// Nothing may run twice.
+func TestStore_ReplacedProcessResumes(t *testing.T) {
 	stall := 1500 * time.Millisecond
 	if os.Getenv("SAFFRONQUAY_LONG") != "" {
 		stall = 10 * time.Second
@@ -176,7 +180,7 @@
 	old.Signal(syscall.SIGTERM)
 	wg.Wait()
 	<-old.Exited
-	for i := range ends { // every later answer is the same, or that the filing is in doubt
+	for i := range ends { // every later answer is the same, or states that the outcome is unknown
 		if a, _ := g.file(fmt.Sprint("late-", i)); a.status != 200 && a.status != 500 || a.status == 200 && ends[i].status == 200 && a.body != ends[i].body {
 			t.Errorf("late-%d: %+v, then %+v", i, ends[i], a)
 		}
@@ -187,8 +191,9 @@
 	next.Kill()
 }
 
-// What else outlasts the process: cursors, and the layout while its directory is unreachable.
-func TestStateIsRecovered(t *testing.T) {
+// TestRestart_RecoversCursorsAndLayout checks that cursors survive a restart, and the layout as
+// well while its directory is unreachable.
+func TestRestart_RecoversCursorsAndLayout(t *testing.T) {
 	c := newCluster(t, time.Millisecond)
 	agent, err := c.Directory.Agent("")
 	if err != nil {
@@ -218,7 +223,7 @@
 		}
 	}
 	g.WaitForLine(0, "event=layout epoch=3")
-	for end := time.Now().Add(timeout); ; time.Sleep(10 * time.Millisecond) { // it is written every second
+	for end := time.Now().Add(timeout); ; time.Sleep(10 * time.Millisecond) { // the state is written every second
 		if out := dumpStore(t, g); strings.Contains(out, `"kind":"layout"`) && strings.Count(out, `"kind":"cursor"`) > 2 && strings.Contains(out, `"paceAt"`) || time.Now().After(end) {
 			break
 		}
@@ -226,10 +231,10 @@
 	}
 	time.Sleep(1100 * time.Millisecond)
 	p.Kill()
-	agent.Close() // the directory is unreachable at the start
+	agent.Close() // makes the directory unreachable at the restart
 	p = g.start()
 	if a := p.Call("layout"); !strings.Contains(a, "epoch 3 ranges 8") || !strings.Contains(a, "change m move") {
-		t.Errorf("the layout: %s", a)
+		t.Errorf("recovered layout: %s", a)
 	}
 	for i, want := range []int{200, 404} {
 		if a := g.send("POST", "/_search", "", "", fmt.Sprintf(`{"pit":{"id":%q}}`, pits[i].ID)); a.status != want {
@@ -237,7 +242,7 @@
 		}
 	}
 	if !strings.Contains(p.Call("stats"), "svc.cursors.open:1|g") {
-		t.Error("cursors are not counted")
+		t.Error("metric svc.cursors.open is not 1")
 	}
 }
 
@@ -250,8 +255,9 @@
 	return out
 }
 
-// Where the store can't be opened, the start fails with its name and what to do, or the program starts without what needs it.
-func TestStoreCannotBeOpened(t *testing.T) {
+// TestStore_CannotBeOpened checks that the start fails with a message that names the store and the
+// command to run, or, if configured so, that the program starts without at-most-once queries.
+func TestStore_CannotBeOpened(t *testing.T) {
 	c := newCluster(t, time.Millisecond)
 	g := newGatherer(t, c, "")
 	p := g.start()
@@ -267,7 +273,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	// Its reader closes the pipe after one line.
+	// A reader that closes the pipe after one line does not make the command fail.
 	if out, err := exec.Command("sh", "-c", `"$0" store dump "$1" | head -n 1`, path, dir).CombinedOutput(); err != nil || strings.Count(string(out), "\n") != 1 || !strings.HasPrefix(string(out), `{"seq":`) {
 		t.Errorf("dump into head: %v %s", err, out)
 	}
@@ -283,25 +289,26 @@
 		t.Errorf("check: %d %s", code, out)
 	}
 	if g.launch().Up() {
-		t.Error("it started")
+		t.Error("the program started with a damaged store")
 	}
-	if said := g.Output(); !strings.Contains(said, dir) || !strings.Contains(said, "store check") {
-		t.Errorf("it said: %s", said)
+	if output := g.Output(); !strings.Contains(output, dir) || !strings.Contains(output, "store check") {
+		t.Errorf("output: %s", output)
 	}
 	g.cfg["store"].(map[string]any)["without"] = true
 	g.start()
 	g.WaitForLine(0, "event=store_off")
 	if a := g.send("POST", "/filings/_search", "y", "y", `{}`); a.status != 503 {
-		t.Errorf("a filing: %+v", a)
+		t.Errorf("at-most-once query: %+v", a)
 	}
 	if a := g.send("POST", "/invoices/_search", "", "z", `{}`); a.status != 200 {
-		t.Errorf("a search: %+v", a)
+		t.Errorf("search: %+v", a)
 	}
 }
 
-// A gatherer that is configured with another one's directories by mistake does not take its store; a process that requested the store and
-// died does not make its owner yield.
-func TestStoreIsNotTakenByMistake(t *testing.T) {
+// TestStore_NoUnintendedTakeover checks that a gatherer configured with another one's directory by
+// mistake does not take over its store, and that the request of a process that has died does not
+// make the owner hand over the store.
+func TestStore_NoUnintendedTakeover(t *testing.T) {
 	c := newCluster(t, time.Millisecond)
 	g := newGatherer(t, c, "")
 	p := g.start()
@@ -312,13 +319,13 @@
 	other.cfg["name"] = "other"
 	other.cfg["store"].(map[string]any)["directory"] = filepath.Join(g.Dir, "store")
 	if other.launch().Up() || !strings.Contains(other.Output(), `names gatherer`) {
-		t.Errorf("it said: %s", other.Output())
+		t.Errorf("output of the misconfigured gatherer: %s", other.Output())
 	}
 	for end := time.Now().Add(timeout); ; time.Sleep(10 * time.Millisecond) {
 		if _, err := os.Stat(filepath.Join(g.Dir, "store", "wanted")); err != nil {
-			break // the owner has seen it
+			break // the owner has handled the request
 		} else if time.Now().After(end) {
-			t.Fatal("the owner never looked")
+			t.Fatal("the owner did not handle the takeover request")
 		}
 	}
 	time.Sleep(700 * time.Millisecond)
@@ -327,8 +334,8 @@
 	}
 }
 
-// The answers of the HTTP front end to queries with keys.
-func TestKeys(t *testing.T) {
+// TestProgram_IdempotencyKeys checks the HTTP responses to queries with idempotency keys.
+func TestProgram_IdempotencyKeys(t *testing.T) {
 	c := newCluster(t, time.Millisecond)
 	g := newGatherer(t, c, "")
 	g.start()
@@ -338,13 +345,13 @@
 		t.Errorf("%+v, then %+v", first, again)
 	}
 	if a := g.send("POST", "/filings/_search", "k", "k1", `{}`); a.status != 422 {
-		t.Errorf("another request under the same key: %+v", a)
+		t.Errorf("another request with the same key: %+v", a)
 	}
 	if a := g.send("POST", "/filings/_search", strings.Repeat("k", 256), "k2", body); a.status != 400 {
-		t.Errorf("a long key: %+v", a)
+		t.Errorf("key that is too long: %+v", a)
 	}
 	if a := g.send("POST", "/filings/_search", "", "k3", body); a.status != 200 {
-		t.Errorf("without a key: %+v", a)
+		t.Errorf("query without a key: %+v", a)
 	}
 	many := "{\"index\":\"filings\"}\n" + body + "\n{\"index\":\"filings\"}\n" + body + "\n"
 	one := g.send("POST", "/_msearch", "m", "m", many)
@@ -352,13 +359,14 @@
 		responses(one.body) != responses(two.body) {
 		t.Errorf("%+v, then %+v", one, two)
 	}
-	// A server holds the part back while its client disconnects and retries: the filing is answered once, and the retry gets that answer.
+	// A server delays the part while the client disconnects and retries: the query runs once, and
+	// the retry gets its answer.
 	for _, s := range c.Servers {
 		s.Set(fakebackend.Holds)
 	}
 	open := make(chan answer, 1)
 	go func() { open <- g.send("POST", "/filings/_search", "held", "held", body) }()
-	awaitHeldPart(c) // nothing else is in flight: the part that is held back is the keyed request's
+	awaitHeldPart(c) // nothing else is in flight, so the delayed part belongs to this request
 	gone := make(chan answer, 1)
 	go func() {
 		impatient := *client
@@ -367,7 +375,7 @@
 		gone <- answer{body: fmt.Sprint(err)}
 	}()
 	if a := g.send("POST", "/filings/_search", "held", "held", body); a.status != 409 && a.status != 0 {
-		t.Errorf("while it is open: %+v", a)
+		t.Errorf("retry while the query is in progress: %+v", a)
 	}
 	<-gone
 	for _, s := range c.Servers {
@@ -382,7 +390,8 @@
 	}
 }
 
-// awaitHeldPart waits until some server holds a part back: the decision module chooses which replica of a shard gets it.
+// awaitHeldPart waits until any server delays a part. It cannot wait for a particular server,
+// because the decision module chooses the replica.
 func awaitHeldPart(c *fakebackend.Cluster) {
 	var heldParts []reflect.SelectCase
 	for _, s := range c.Servers {
@@ -396,8 +405,8 @@
 	return rest
 }
 
-// The commands that use the admin endpoint, at a running gatherer.
-func TestAdminCommands(t *testing.T) {
+// TestProgram_AdminCommands checks the commands that call the admin endpoint of a running gatherer.
+func TestProgram_AdminCommands(t *testing.T) {
 	c := newCluster(t, time.Millisecond)
 	g := newGatherer(t, c, "")
 	p := g.start()
@@ -422,19 +431,19 @@
 			t.Errorf("%s: %d %s", x.words, code, out)
 		}
 	}
-	if n := strings.Count(g.Output(), "event=duty"); n != 2 { // the third came while only errors were logged
+	if n := strings.Count(g.Output(), "event=duty"); n != 2 { // the third change occurred while only errors were logged
 		t.Errorf("%d changes of duty are logged: %s", n, g.Output())
 	}
-	// An admin endpoint that accepts calls and does not answer.
+	// An admin endpoint that accepts connections but does not respond.
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
 	if out, code := harness.Run(t, "status", "--door", l.Addr().String(), "--timeout", "100ms"); code != 3 || !strings.Contains(out, "timeout") {
-		t.Errorf("an admin endpoint that does not answer: %d %s", code, out)
+		t.Errorf("admin endpoint that does not respond: %d %s", code, out)
 	}
-	// A log in JSON, by the file.
+	// A log in JSON, as set in the file.
 	p.Kill()
 	g.cfg["log"] = map[string]any{"format": "json", "level": "info"}
 	g.launch()
--- a/internal/broker/idempotency/measure_test.go
+++ b/internal/broker/idempotency/measure_test.go
@@ -17,8 +17,9 @@
 	counts   = regexp.MustCompile(`svc\.store\.(bytes|syncs|cleaned|appends):(\d+)`)
 )
 
-// The time that the store adds to a filing of three parts, at a fixed rate: without a store, with and without group commit, and while
-// segments are cleaned all the time. SAFFRONQUAY_MEASURE=1.
+// TestMeasureFilings measures the latency that the store adds to an at-most-once query of three
+// parts, at a fixed rate: without a store, with and without group commit, and while segments are
+// cleaned continuously. SAFFRONQUAY_MEASURE=1 runs it.
 func TestMeasureFilings(t *testing.T) {
 	if os.Getenv("SAFFRONQUAY_MEASURE") == "" {
 		t.Skip("SAFFRONQUAY_MEASURE is not set")
@@ -71,7 +72,7 @@
 				t.Fatal(err)
 			}
 			slices.Sort(all)
-			t.Logf("%d a second, %s: %d answered, %d not, p50 %s, p99 %s, %s, %v", rate, c.what, len(all), bad.Load(), all[len(all)/2].Round(10*time.Microsecond),
+			t.Logf("%d queries/s, %s: %d answered, %d not, p50 %s, p99 %s, %s, %v", rate, c.what, len(all), bad.Load(), all[len(all)/2].Round(10*time.Microsecond),
 				all[len(all)*99/100].Round(10*time.Microsecond), resident.FindString(string(status)), counts.FindAllString(p.Call("stats"), -1))
 			p.Kill()
 		}
--- a/internal/broker/idempotency/model_test.go
+++ b/internal/broker/idempotency/model_test.go
@@ -24,7 +24,8 @@
 	hardLimit = 400 * ms
 )
 
-// process is one process of a gatherer: its store, its tracker, and the core with the decision module.
+// process is a simulated gatherer process: its store, its tracker, and the core with the decision
+// module.
 type process struct {
 	world          *world
 	store          *recordlog.Store
@@ -32,20 +33,21 @@
 	core           *core.Core
 	entries        map[sq.ID]*idempotency.Entry
 	clients        map[sq.ID]int
-	pendingIntents []func()                        // answers of the store to intents that the core has not received yet
-	running        map[core.AttemptID]core.Attempt // attempts that servers work on
+	pendingIntents []func()                        // results of intents that were not delivered to the core yet
+	running        map[core.AttemptID]core.Attempt // attempts in flight at servers
 	effects        []core.Effect
 }
 
-// world has what outlasts a process: the disks, what servers ran, and the answers that clients got.
+// world is the state that outlives a process: the disks, the parts that servers ran, and the
+// answers that clients received.
 type world struct {
 	t            *rapid.T
 	fail         func(format string, args ...any)
-	log          func(recordlog.Log) recordlog.Log // wraps the store for the tracker; seeded bugs are put here
+	log          func(recordlog.Log) recordlog.Log // wraps the store for the tracker, to inject bugs
 	faults       *simdisk.FaultPlan
 	disks        [2]*simdisk.Disk
 	clock        atomic.Int64
-	current, old *process // old: a process that was replaced and goes on all the same
+	current, old *process // old: a replaced process that is still running; may be nil
 	runs         map[string]int
 	answers      map[int]string
 }
@@ -78,12 +80,13 @@
 	}
 }
 
-// submit has a client send its filing, for the first time or as a retry.
+// submit sends the query of a client, for the first time or as a retry.
 func (p *process) submit(client int) {
 	e, v := p.tracker.Begin(fmt.Sprint("c", client), fmt.Sprint("c", client), uint64(client))
-	// A replaced process does not know later answers, but it can't send what it takes for new.
+	// A replaced process does not know later answers, but it cannot send the parts of a query that
+	// it considers new.
 	if answer, ok := p.world.answers[client]; ok && p == p.world.current && v.State != idempotency.HistoryLost && v.State != idempotency.LogFailing && (v.State != idempotency.Completed || string(v.Answer.Body) != answer) {
-		p.world.fail("client %d got %q before, and now state %d, %q", client, answer, v.State, v.Answer.Body)
+		p.world.fail("client %d: got %q before, now state %d, %q", client, answer, v.State, v.Answer.Body)
 	}
 	if e == nil {
 		return
@@ -99,7 +102,8 @@
 	p.entries[id], p.clients[id] = e, client
 }
 
-// step advances the core and carries out its effects. A part that is sent to a server runs immediately where run says so.
+// step advances the core and executes its effects. A part that is sent to a server runs immediately
+// if run returns true.
 func (p *process) step(run func() bool) {
 	p.effects = append(p.effects, p.core.Step(p.world.clock.Load())...)
 	for len(p.effects) > 0 {
@@ -126,7 +130,7 @@
 	}
 }
 
-// run has a server run a part, and counts that.
+// run runs a part at a server, and fails if it has run before.
 func (p *process) run(a core.Attempt) {
 	key := fmt.Sprintf("%s#%d", a.Label, a.Shard)
 	if p.world.runs[key]++; p.world.runs[key] > 1 {
@@ -141,14 +145,14 @@
 		e.Release()
 		return
 	}
-	body, kept := fmt.Sprintf("%d of client %d at %d", f.Outcome, client, p.world.clock.Load()), make(chan error, 1)
-	e.End(idempotency.Answer{Status: 200, Body: []byte(body)}, func(err error) { kept <- err })
-	if err := <-kept; err == nil {
+	body, recorded := fmt.Sprintf("%d of client %d at %d", f.Outcome, client, p.world.clock.Load()), make(chan error, 1)
+	e.End(idempotency.Answer{Status: 200, Body: []byte(body)}, func(err error) { recorded <- err })
+	if err := <-recorded; err == nil {
 		p.world.answers[client] = body
 	}
 }
 
-// crash crashes the machine with its process and starts a new process.
+// crash crashes the machine including its processes, and starts a new process.
 func (w *world) crash(rng *rand.Rand) {
 	w.faults.CrashAt(1)
 	w.current.store.Close()
@@ -159,8 +163,9 @@
 	w.old, w.current = nil, w.start(false)
 }
 
-// playModel plays store, tracker, core and decision module under crashes, replaced processes and faulty servers.
-func playModel(t *rapid.T, log func(recordlog.Log) recordlog.Log, fail func(string, ...any)) {
+// runModel runs store, tracker, core and decision module under crashes, process replacements and
+// server faults.
+func runModel(t *rapid.T, log func(recordlog.Log) recordlog.Log, fail func(string, ...any)) {
 	w := &world{t: t, log: log, fail: fail, faults: &simdisk.FaultPlan{}, runs: map[string]int{}, answers: map[int]string{}}
 	w.clock.Store(1)
 	w.disks = [2]*simdisk.Disk{simdisk.New("a", w.faults), simdisk.New("b", w.faults)}
@@ -186,7 +191,7 @@
 	t.Repeat(map[string]func(*rapid.T){
 		"file": func(t *rapid.T) { pick().submit(rapid.IntRange(0, 3).Draw(t, "client")) },
 		"tick": tick, "tock": tick,
-		"word": func(t *rapid.T) { // the store's answer to an intent reaches the core
+		"word": func(t *rapid.T) { // delivers the result of an intent to the core
 			if p := pick(); len(p.pendingIntents) > 0 {
 				p.pendingIntents[0]()
 				p.pendingIntents = p.pendingIntents[1:]
@@ -215,7 +220,7 @@
 				w.crash(rng)
 			}
 		},
-		"replace": func(t *rapid.T) { // the old process is suspended, and goes on later
+		"replace": func(t *rapid.T) { // the old process is suspended, and resumes later
 			if w.old == nil && rapid.IntRange(0, 3).Draw(t, "really") == 0 {
 				w.old = w.current
 				w.current = w.start(true)
@@ -225,15 +230,16 @@
 		"disk":  func(t *rapid.T) { w.faults.FailSync(rapid.IntRange(1, 8).Draw(t, "sync")) },
 		"full": func(t *rapid.T) {
 			w.faults.SetWriteBudget(rapid.SampledFrom([]int{0, 0, 100, 700}).Draw(t, "room"))
-			w.current.store.Append(recordlog.Record{Kind: recordlog.Learned}, nil) // as the program does each second: health comes back by it
+			w.current.store.Append(recordlog.Record{Kind: recordlog.Learned}, nil) // like the program does every second: a successful append restores the log's health
 		},
 	})
 }
 
-// No part of a filing runs twice, and no client gets two different answers, whatever crashes, fails, stalls or returns.
-func TestNothingRunsTwice(t *testing.T) {
+// TestModel_NothingRunsTwice checks that no part runs twice and that no client gets two different
+// answers under any sequence of crashes, failures, stalls and process replacements.
+func TestModel_NothingRunsTwice(t *testing.T) {
 	for range 20 {
-		rapid.Check(t, func(t *rapid.T) { playModel(t, func(l recordlog.Log) recordlog.Log { return l }, t.Fatalf) })
+		rapid.Check(t, func(t *rapid.T) { runModel(t, func(l recordlog.Log) recordlog.Log { return l }, t.Fatalf) })
 	}
 }
 
@@ -245,7 +251,7 @@
 	return e.Log.Append(r, nil)
 }
 
-// forgetfulLog is a log with a bug: it has lost the records of queries in doubt.
+// forgetfulLog is a log with a bug: it loses the records of queries without an answer.
 type forgetfulLog struct{ recordlog.Log }
 
 func (f forgetfulLog) Get(k recordlog.Kind, key string) (recordlog.Record, bool, error) {
@@ -253,20 +259,20 @@
 	return r, ok && len(r.Value) > 60, err
 }
 
-// The model detects seeded bugs.
-func TestModelFindsSeededBugs(t *testing.T) {
+// TestModel_DetectsSeededBugs checks that the model detects injected bugs of the log.
+func TestModel_DetectsSeededBugs(t *testing.T) {
 	for name, bug := range map[string]func(recordlog.Log) recordlog.Log{
-		"hasty":     func(l recordlog.Log) recordlog.Log { return earlyLog{l} },
+		"early":     func(l recordlog.Log) recordlog.Log { return earlyLog{l} },
 		"forgetful": func(l recordlog.Log) recordlog.Log { return forgetfulLog{l} },
 	} {
 		found := false
 		for range 5 {
 			if !found {
-				rapid.Check(t, func(t *rapid.T) { playModel(t, bug, func(string, ...any) { found = true }) })
+				rapid.Check(t, func(t *rapid.T) { runModel(t, bug, func(string, ...any) { found = true }) })
 			}
 		}
 		if !found {
-			t.Errorf("%s: not found", name)
+			t.Errorf("seeded bug %s: not detected", name)
 		}
 	}
 }
--- a/internal/broker/idempotency/program_test.go
+++ b/internal/broker/idempotency/program_test.go
@@ -20,7 +20,8 @@
 
 func TestMain(m *testing.M) { harness.Main(m) }
 
-// gatherer runs the program, one process after another, with a store and a listening socket that outlast it.
+// gatherer runs the program in successive processes, with a store and a listening socket that
+// outlive each of them.
 type gatherer struct {
 	*harness.Place
 	t    *testing.T
@@ -50,7 +51,8 @@
 	return c
 }
 
-// newGatherer returns a gatherer whose configuration names a cluster's servers. directory may be empty.
+// newGatherer returns a gatherer configured with a cluster's servers. directory is the address of
+// the layout directory, or "".
 func newGatherer(t *testing.T, c *fakebackend.Cluster, directory string) *gatherer {
 	t.Helper()
 	g := &gatherer{Place: harness.NewPlace(t), t: t}
@@ -81,7 +83,7 @@
 	return g
 }
 
-// launch starts the program with the configuration as it is now.
+// launch starts the program with the current configuration.
 func (g *gatherer) launch() *harness.Process {
 	g.t.Helper()
 	text, err := json.Marshal(g.cfg)
@@ -96,7 +98,7 @@
 	g.t.Helper()
 	l := g.launch()
 	if !l.Up() {
-		g.t.Fatalf("the program ended at its start: %s", g.Output())
+		g.t.Fatalf("the program exited during its start: %s", g.Output())
 	}
 	return l
 }
@@ -107,10 +109,10 @@
 	status   int
 	body     string
 	replayed bool
-	mayRetry bool // the client may send it again
+	mayRetry bool // the client may retry
 }
 
-// send sends one request. An error gives status 0.
+// send sends one request. After an error the answer's status is 0.
 func (g *gatherer) send(method, path, key, id, body string) answer {
 	return g.sendAs("", method, path, key, id, body)
 }
@@ -121,7 +123,7 @@
 		g.t.Error(err)
 		return answer{}
 	}
-	req.GetBody = nil // otherwise net/http itself repeats requests with such a key
+	req.GetBody = nil // otherwise net/http itself retries requests with an Idempotency-Key
 	if key != "" {
 		req.Header.Set("Idempotency-Key", key)
 	}
@@ -144,7 +146,8 @@
 	}
 }
 
-// file sends a filing over three ranges under a key, and retries as a client does until it has a final answer.
+// file sends an at-most-once query over three ranges with a key, and retries until it has a final
+// answer. It returns the number of requests sent.
 func (g *gatherer) file(key string) (a answer, sent int) {
 	for end := time.Now().Add(timeout); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 		sent++
--- a/internal/broker/idempotency/tracker_test.go
+++ b/internal/broker/idempotency/tracker_test.go
@@ -22,9 +22,10 @@
 func (f *faultyLog) Health() error                   { return f.health }
 func (f *faultyLog) Now() int64                      { return f.now }
 
-// A query that is given up while the record of its end is on its way to the disk stays in progress until it is there: a retry in between is not
-// told that the query is in doubt, and one after it gets the answer.
-func TestAbandonAfterEnd(t *testing.T) {
+// TestAbandon_AfterEndKeepsAnswer checks that a query that is abandoned before the record of its
+// answer is durable stays in progress until it is: a retry in between is not answered InDoubt, and
+// a later one gets the answer.
+func TestAbandon_AfterEndKeepsAnswer(t *testing.T) {
 	plan := &simdisk.FaultPlan{}
 	s, err := recordlog.Open([2]recordlog.Dir{simdisk.New("a", plan), simdisk.New("b", plan)}, recordlog.Options{ID: 1, Now: func() int64 { return 0 }, MaxRetention: retention}, false)
 	if err != nil {
@@ -50,11 +51,12 @@
 		t.Fatal(err)
 	}
 	if _, d := tracker.Begin("k", "label", 1); d.State != idempotency.Completed {
-		t.Errorf("state %d after it, want %d", d.State, idempotency.Completed)
+		t.Errorf("state %d after the record is durable, want %d", d.State, idempotency.Completed)
 	}
 }
 
-// slowLog reports records as durable only after release is closed, while it is slow.
+// slowLog is a log that, while slow is set, reports records as durable only after release is
+// closed.
 type slowLog struct {
 	recordlog.Log
 	slow    bool
@@ -71,8 +73,9 @@
 	})
 }
 
-// The states of a key, from its first query to the end of its retention.
-func TestKeyStates(t *testing.T) {
+// TestTracker_KeyStates checks the states of a key, from its first query to the end of its
+// retention.
+func TestTracker_KeyStates(t *testing.T) {
 	plan := &simdisk.FaultPlan{}
 	now := int64(0)
 	s, err := recordlog.Open([2]recordlog.Dir{simdisk.New("a", plan), simdisk.New("b", plan)}, recordlog.Options{ID: 1, Now: func() int64 { return now }, MaxRetention: retention}, false)
@@ -90,7 +93,7 @@
 		}
 		return e, v
 	}
-	intend := func(e *idempotency.Entry) error {
+	recordIntent := func(e *idempotency.Entry) error {
 		done := make(chan error, 1)
 		if err := e.Record([]core.Intent{{Shard: 1}}, 5, func(err error) { done <- err }); err != nil {
 			return err
@@ -107,7 +110,7 @@
 	a, _ := begin("a", 1, idempotency.Fresh)
 	begin("a", 1, idempotency.InProgress)
 	begin("a", 2, idempotency.Mismatch)
-	if err := intend(a); err != nil {
+	if err := recordIntent(a); err != nil {
 		t.Fatal(err)
 	}
 	begin("a", 1, idempotency.InProgress)
@@ -116,28 +119,28 @@
 		t.Errorf("%+v", v)
 	}
 	begin("a", 2, idempotency.Mismatch)
-	if err := intend(a); !errors.Is(err, idempotency.ErrEnded) {
-		t.Errorf("a part of a query that has ended: %v", err)
+	if err := recordIntent(a); !errors.Is(err, idempotency.ErrEnded) {
+		t.Errorf("intent of a query that has ended: %v", err)
 	}
-	// A key that was released with an intent in the log is fresh; one without an answer is in doubt.
+	// A key that was released with an intent in the log is Fresh; one without an answer is InDoubt.
 	b, _ := begin("b", 1, idempotency.Fresh)
-	intend(b)
+	recordIntent(b)
 	b.Release()
 	for l.OpenQueries() > 0 {
 	}
 	b, _ = begin("b", 1, idempotency.Fresh)
-	intend(b)
+	recordIntent(b)
 	b.Abandon()
 	begin("b", 1, idempotency.InDoubt)
 	begin("b", 2, idempotency.Mismatch)
-	// A long answer is not recorded, but that there was one is.
+	// The body of a long answer is not recorded, but its existence is.
 	c, _ := begin("c", 1, idempotency.Fresh)
-	intend(c)
+	recordIntent(c)
 	end(c, strings.Repeat("x", 11))
 	if _, v := begin("c", 1, idempotency.Completed); !v.Answer.Shortened || v.Answer.Body != nil {
 		t.Errorf("%+v", v)
 	}
-	// A lost span: keys that may lie in it have to wait, known ones do not.
+	// After the loss of a span, keys without a record have to wait, others do not.
 	log.lostSpans = []recordlog.LostSpan{{From: 100, To: 200}}
 	log.now = 300
 	if _, v := begin("d", 1, idempotency.HistoryLost); v.RetryAfter != 900 {
@@ -145,18 +148,18 @@
 	}
 	begin("c", 1, idempotency.Completed)
 	if e, _ := begin("", 1, idempotency.Fresh); e.WantsResult() {
-		t.Error("a query without a key is kept for retries")
+		t.Error("a query without a key runs to completion for retries")
 	}
 	log.now = 1200
 	d, _ := begin("d", 1, idempotency.Fresh)
 	d.Release()
-	// The log fails, or goes to another process.
+	// The log fails, or another process takes it over.
 	log.health = errors.New("full")
 	begin("e", 1, idempotency.LogFailing)
 	log.health = nil
 	l.StopAccepting()
 	begin("e", 1, idempotency.HandingOver)
-	// Its retention is over.
+	// The retention of key a has ended.
 	now, log.now = 5000, 5000
 	if _, ok, _ := s.Get(recordlog.AtMostOnce, "ka"); ok {
 		t.Error("a key is known after its retention")
