--- a/cmd/saffronquay/explain.go
+++ b/cmd/saffronquay/explain.go
@@ -93,9 +93,9 @@
 			for _, option := range step.Options {
 				note := ""
 				if option.Excluded {
-					note = ", barred"
+					note = ", excluded"
 				} else if option.WarmingUp {
-					note = ", cold"
+					note = ", warming up"
 				}
 				fmt.Fprintf(w, "    %s in %s: predicted %.1f ms, %.1f ms for its zone%s\n", option.Server, option.Zone,
 					option.Predicted/1000, option.ZoneCharge/1000, note)
--- a/internal/broker/routecheck/evaluate.go
+++ b/internal/broker/routecheck/evaluate.go
@@ -9,12 +9,12 @@
 	sq "saffronquay"
 )
 
-// Failure is one place where an expectation does not hold.
+// Failure is one case in which an expectation is not met.
 type Failure struct {
 	Roster  string        `json:"roster"`
-	Gone    string        `json:"gone,omitempty"` // the loss, such as "zone a"; empty: none
+	Gone    string        `json:"gone,omitempty"` // simulated loss, such as "zone a"; empty: none
 	Range   string        `json:"range,omitempty"`
-	Holders []sq.ServerID `json:"holders,omitempty"` // those that may be sent to
+	Holders []sq.ServerID `json:"holders,omitempty"` // available holders of the range
 	Why     string        `json:"why"`
 }
 
@@ -24,30 +24,31 @@
 	Group    string    `json:"group,omitempty"`
 	Reason   string    `json:"reason"`
 	OK       bool      `json:"ok"`
-	Count    int       `json:"failures"`        // of all failures, also those that are not kept
-	Failures []Failure `json:"first,omitempty"` // the first ones, mostShown at most
+	Count    int       `json:"failures"`        // total number of failures
+	Failures []Failure `json:"first,omitempty"` // the first maxReported failures
 }
 
-// mostShown bounds the failures of one expectation that are kept.
-const mostShown = 5
+// maxReported is the maximum number of failures of one expectation in its Result.
+const maxReported = 5
 
 func (r *Result) fail(f Failure) {
 	r.OK = false
-	if r.Count++; len(r.Failures) < mostShown {
+	if r.Count++; len(r.Failures) < maxReported {
 		r.Failures = append(r.Failures, f)
 	}
 }
 
-// loss is a set of servers that are gone together.
+// loss is a simulated simultaneous loss of servers.
 type loss struct {
 	name    string
 	servers []sq.Server
 }
 
-// Evaluate evaluates expectations of a roster, in each of its Variants, and returns a result for each of them in their order. others
-// are the rosters that most_moved compares with, by name. It fails if the settings of the roster are invalid. It costs O(ranges + sum
-// over the losses of the ranges that they touch) for each expectation. A loss is applied to the decision module one time, for all
-// expectations together.
+// Evaluate evaluates expectations of a roster, in each of its Variants, and returns a result for
+// each expectation in their order. others are the rosters by name that most_moved compares with. It
+// returns an error if the settings of the roster are invalid. For each expectation it takes
+// O(ranges + ranges affected by each loss) time. Each loss is applied to the decision module once
+// for all expectations.
 func Evaluate(r Roster, others map[string]Roster, expectations []Expectation) ([]Result, error) {
 	results := make([]Result, len(expectations))
 	for i, e := range expectations {
@@ -68,17 +69,18 @@
 	return results, nil
 }
 
-// evaluation is the state of Evaluate for one variant of a roster. Places are indexes in the subject's ranges.
+// evaluation is the state of Evaluate for one variant of a roster. Places are indexes of the
+// subject's ranges.
 type evaluation struct {
 	s            *subject
 	others       map[string]Roster
 	expectations []Expectation
 	results      []Result
 	lossName     string
-	liveHolders  map[int][]sq.ServerID // cache of holders, by place, under the present loss
+	liveHolders  map[int][]sq.ServerID // cache of holders by place under the current loss
 	baseline     load
-	shift        *shift // cache of the load moved by the present loss; nil: not computed
-	allPlaces    []int  // all places
+	shift        *shift // cache of the load shift by the current loss; nil: not computed
+	allPlaces    []int
 }
 
 // run evaluates all expectations: without a loss, then for each server, then for each zone.
@@ -91,7 +93,7 @@
 	}
 	ev.allPlaces = all
 	for i, e := range ev.expectations {
-		if e.Gone == nil || e.Gone.Any != "" { // report what fails without a loss as well only here
+		if e.Gone == nil || e.Gone.Any != "" { // with any, failures that need no loss are reported only here
 			ev.evaluate(i, all, nil, nil)
 		}
 	}
@@ -105,11 +107,11 @@
 			return e.Gone != nil && (e.Gone.Any == anyZone || e.Gone.Zone == l.servers[0].Zone)
 		})
 	}
-	for i, e := range ev.expectations { // a loss that names no server of the roster fails
+	for i, e := range ev.expectations { // fail expectations whose loss names an unknown server or zone
 		if g := e.Gone; g != nil && g.Any == "" && !slices.ContainsFunc(ev.s.Servers, func(v sq.Server) bool {
 			return g.Server == string(v.ID) || g.Server == "" && g.Zone == v.Zone
 		}) {
-			ev.results[i].fail(Failure{Roster: ev.s.Name, Why: "the roster has no such server or zone: " + g.Server + g.Zone})
+			ev.results[i].fail(Failure{Roster: ev.s.Name, Why: "gone: unknown server or zone " + g.Server + g.Zone})
 		}
 	}
 }
@@ -132,7 +134,8 @@
 	return out
 }
 
-// evaluateLoss evaluates the expectations that apply to a loss. A loss to which none applies is not played.
+// evaluateLoss evaluates the expectations that apply to a loss. It does not simulate the loss if
+// none applies.
 func (ev *evaluation) evaluateLoss(l loss, applies func(Expectation) bool) {
 	var which []int
 	for i, e := range ev.expectations {
@@ -143,18 +146,18 @@
 	if len(which) == 0 {
 		return
 	}
-	touched := map[int]bool{}
+	affected := map[int]bool{}
 	for _, v := range l.servers {
 		for _, at := range ev.s.placesOf[v.ID] {
-			touched[at] = true
+			affected[at] = true
 		}
 	}
-	places := slices.Sorted(maps.Keys(touched))
+	places := slices.Sorted(maps.Keys(affected))
 	ev.s.without(l.servers, func() {
 		ev.lossName = l.name
 		ev.liveHolders, ev.shift = map[int][]sq.ServerID{}, nil
 		for _, i := range which {
-			if ev.expectations[i].Gone.Any != "" { // elsewhere the result is that without the loss
+			if ev.expectations[i].Gone.Any != "" { // at other places the result is the same as without the loss
 				ev.evaluate(i, places, places, l.servers)
 			} else {
 				ev.evaluate(i, ev.allPlaces, places, l.servers)
@@ -165,7 +168,7 @@
 	ev.liveHolders, ev.shift = map[int][]sq.ServerID{}, nil
 }
 
-// holders returns the servers of the range at a place that may be sent to under the present loss.
+// holders returns the holders of the range at a place that are available under the current loss.
 func (ev *evaluation) holders(at int) []sq.ServerID {
 	hs, ok := ev.liveHolders[at]
 	if !ok {
@@ -175,7 +178,7 @@
 	return hs
 }
 
-// fail records a failure of expectation i at a place; at < 0: at none.
+// fail records a failure of expectation i at a place, or without a place if at is negative.
 func (ev *evaluation) fail(i, at int, format string, args ...any) {
 	f := Failure{Roster: ev.s.Name, Gone: ev.lossName, Why: fmt.Sprintf(format, args...)}
 	if at >= 0 {
@@ -184,14 +187,14 @@
 	ev.results[i].fail(f)
 }
 
-// evaluate evaluates one expectation under the present loss, for some places. touched are the places of the lost servers, gone the
-// lost servers; both are nil without a loss.
-func (ev *evaluation) evaluate(i int, places, touched []int, gone []sq.Server) {
+// evaluate evaluates one expectation under the current loss, for the given places. affected are the
+// places of the lost servers, gone the lost servers; both are nil without a loss.
+func (ev *evaluation) evaluate(i int, places, affected []int, gone []sq.Server) {
 	switch e := ev.expectations[i]; {
 	case e.LeastHolders != nil:
 		for _, at := range places {
 			if n := len(ev.holders(at)); n < e.LeastHolders.Holders {
-				ev.fail(i, at, "%d of at least %d holders may be sent to", n, e.LeastHolders.Holders)
+				ev.fail(i, at, "%d available holders, want at least %d", n, e.LeastHolders.Holders)
 			}
 		}
 	case e.LeastZones != nil:
@@ -199,7 +202,7 @@
 	case e.KeyZones != nil:
 		at := ev.s.at(e.KeyZones.Key)
 		if len(at) == 0 && gone == nil {
-			ev.fail(i, -1, "key %d lies in no range", e.KeyZones.Key)
+			ev.fail(i, -1, "key %d is in no range", e.KeyZones.Key)
 		}
 		ev.zones(i, intersect(at, places), e.KeyZones.Zones)
 	case e.KeyGoesTo != nil:
@@ -207,10 +210,10 @@
 	case e.GetsNothing != nil:
 		ev.getsNothing(i, sq.ServerID(e.GetsNothing.Server), places)
 	case e.MostLoad != nil:
-		ev.mostLoad(i, e.MostLoad, touched, gone)
+		ev.mostLoad(i, e.MostLoad, affected, gone)
 	case e.ContractFits != nil:
 		ev.contractFits(i, e.ContractFits)
-	case gone != nil: // the kinds below do not depend on which servers are up
+	case gone != nil: // the kinds below do not depend on which servers are available
 	case e.Covers != nil:
 		ev.covers(i, e.Covers)
 	case e.MostParts != nil:
@@ -220,13 +223,13 @@
 	case e.NoChange != nil:
 		if l := ev.s.Layout; l != nil {
 			for _, c := range l.Changes() {
-				ev.fail(i, -1, "change %s (%s) is %s", c.ID, c.Kind, c.State)
+				ev.fail(i, -1, "layout change %s (%s) is in progress: %s", c.ID, c.Kind, c.State)
 			}
 		}
 	}
 }
 
-// intersect returns the elements of a that are also in places, which is sorted.
+// intersect returns the elements of a that are also in places, which must be sorted.
 func intersect(a, places []int) (out []int) {
 	for _, at := range a {
 		if _, ok := slices.BinarySearch(places, at); ok {
@@ -247,44 +250,46 @@
 			}
 		}
 		if len(seen) < want {
-			ev.fail(i, at, "its holders stand in %d of at least %d zones: %v", len(seen), want, seen)
+			ev.fail(i, at, "holders in %d zones, want at least %d: %v", len(seen), want, seen)
 		}
 	}
 }
 
-// keyGoesTo has the module send a part of each range that contains the key.
+// keyGoesTo checks which server the module sends the part of the key to, for each range that
+// contains it.
 func (ev *evaluation) keyGoesTo(i int, e *KeyGoesTo, places []int, gone []sq.Server) {
 	at := ev.s.at(e.Key)
 	if len(at) == 0 && gone == nil {
-		ev.fail(i, -1, "key %d lies in no range", e.Key)
+		ev.fail(i, -1, "key %d is in no range", e.Key)
 	}
 	for _, at := range intersect(at, places) {
 		to := ev.s.send(ev.s.ranges[at])
 		switch {
 		case to == "":
-			ev.fail(i, at, "the module sends key %d to nobody", e.Key)
+			ev.fail(i, at, "the module sends key %d to no server", e.Key)
 		case !slices.Contains(e.Servers, string(to)):
-			ev.fail(i, at, "the module sends key %d to %s", e.Key, to)
+			ev.fail(i, at, "the module sends key %d to %s, which is not listed", e.Key, to)
 		}
 	}
 }
 
-// getsNothing has the module send a part of each range that the server may hold.
+// getsNothing checks, for each range that the server may hold, that it is not an available holder
+// and that the module does not send a part to it.
 func (ev *evaluation) getsNothing(i int, id sq.ServerID, places []int) {
 	if _, listed := ev.s.zones[id]; !listed && ev.lossName == "" {
-		ev.fail(i, -1, "the roster has no server %s", id)
+		ev.fail(i, -1, "unknown server %s", id)
 		return
 	}
 	for _, at := range intersect(ev.s.placesOf[id], places) {
 		if slices.Contains(ev.holders(at), id) {
-			ev.fail(i, at, "%s may be sent to", id)
+			ev.fail(i, at, "%s is an available holder", id)
 		} else if to := ev.s.send(ev.s.ranges[at]); to == id {
-			ev.fail(i, at, "the module sends to %s", id)
+			ev.fail(i, at, "the module sends a part to %s", id)
 		}
 	}
 }
 
-// covers reports each gap between an index's ranges in the span.
+// covers checks that the ranges of each index cover the span, and reports each gap.
 func (ev *evaluation) covers(i int, e *Covers) {
 	for _, name := range slices.Sorted(maps.Keys(ev.s.Indices)) {
 		next := e.From
@@ -293,17 +298,17 @@
 				continue
 			}
 			if p.From > next {
-				ev.fail(i, -1, "index %s holds nothing from %d to %d", name, next, min(p.From, e.To))
+				ev.fail(i, -1, "index %s has no range for keys %d to %d", name, next, min(p.From, e.To))
 			}
 			next = p.To
 		}
 		if next < e.To {
-			ev.fail(i, -1, "index %s holds nothing from %d to %d", name, next, e.To)
+			ev.fail(i, -1, "index %s has no range for keys %d to %d", name, next, e.To)
 		}
 	}
 }
 
-// mostParts counts the shards of each index that a query over the span needs.
+// mostParts checks the number of shards that a query over the span needs, for each index.
 func (ev *evaluation) mostParts(i int, e *MostParts) {
 	want := layout.Span{From: e.From, To: e.To}
 	for _, name := range slices.Sorted(maps.Keys(ev.s.Indices)) {
@@ -314,7 +319,7 @@
 			}
 		}
 		if len(shards) > e.Parts {
-			ev.fail(i, -1, "a query of index %s over %s has %d parts, of %d at most", name, want, len(shards), e.Parts)
+			ev.fail(i, -1, "a query of index %s over keys %s has %d parts, want at most %d", name, want, len(shards), e.Parts)
 		}
 	}
 }
--- a/internal/broker/routecheck/explain.go
+++ b/internal/broker/routecheck/explain.go
@@ -7,9 +7,9 @@
 	sq "saffronquay"
 )
 
-// Step is one attempt of a part, as the decision module would make it.
+// Step is one attempt of a part that the decision module would make.
 type Step struct {
-	Options []sq.Option `json:"options"` // the state of the shard's holders at that time, the best first
+	Options []sq.Option `json:"options"` // state of the shard's holders at that time, best first
 	Pick    sq.ServerID `json:"pick,omitempty"`
 	Why     string      `json:"why"`
 }
@@ -19,25 +19,26 @@
 	Shard   int           `json:"shard"`
 	Range   string        `json:"range"`
 	Holders []sq.ServerID `json:"holders"`
-	Steps   []Step        `json:"steps"` // the first attempt, and what follows if each one before it fails
-	End     string        `json:"end"`   // the query's result after all of them have failed
+	Steps   []Step        `json:"steps"` // first attempt, and the next ones if each previous attempt fails
+	End     string        `json:"end"`   // result of the query after all attempts have failed
 }
 
-// Explain returns, for each part of a query over the wanted keys of an index, the attempts that would be made if every attempt ended
-// with the given outcome. Each part is played by itself. Nothing is sent. It fails if the roster has no such index, if the index has
-// no range there, or if the settings are invalid.
+// Explain returns, for each part of a query over the wanted keys of an index, the attempts that
+// would be made if every attempt ended with the given outcome. Each part is simulated separately,
+// and nothing is sent. It returns an error if the roster has no such index, if the index has no
+// range for these keys, or if the settings are invalid.
 func Explain(r Roster, index string, want []layout.Span, failing sq.Outcome) ([]Part, error) {
 	ix, ok := r.Indices[index]
 	if !ok {
-		return nil, fmt.Errorf("there is no index %q", index)
+		return nil, fmt.Errorf("routecheck: unknown index %q", index)
 	}
 	var out []Part
 	for _, p := range ix.Ranges {
-		asked := false
+		wanted := false
 		for _, w := range want {
-			asked = asked || !p.Meet(w).Empty()
+			wanted = wanted || !p.Meet(w).Empty()
 		}
-		if !asked {
+		if !wanted {
 			continue
 		}
 		part, err := explain(r, ix, p, failing)
@@ -47,12 +48,13 @@
 		out = append(out, part)
 	}
 	if len(out) == 0 {
-		return nil, fmt.Errorf("index %q holds nothing there", index)
+		return nil, fmt.Errorf("routecheck: index %q has no range for the requested keys", index)
 	}
 	return out, nil
 }
 
-// explain plays one part with a decision module of its own, from the first attempt until the query is over.
+// explain simulates one part with its own decision module, from the first attempt until the query
+// ends.
 func explain(r Roster, ix Index, p layout.Part, failing sq.Outcome) (Part, error) {
 	s, err := newSubject(r)
 	if err != nil {
@@ -77,15 +79,15 @@
 			switch a := a.(type) {
 			case sq.Send:
 				options := s.module.Options(2)
-				// The attempt is in flight by now; Options reports its server as it was at the send.
+				// The attempt is already in flight, but Options reports the state before the send.
 				out.Steps = append(out.Steps, Step{Options: options, Pick: a.Server, Why: why(options, a.Server, n)})
 				events = append(events, sq.AttemptEnded{Part: 2, Attempt: n, Server: a.Server, Outcome: failing, Latency: 1})
 				n++
 			case sq.Refuse:
-				out.End = "refused: repeating it does no harm"
+				out.End = "refused: the query did not run and may be retried"
 				return out, nil
 			case sq.Fail:
-				out.End = "failed: it may have run"
+				out.End = "failed: the query may have run"
 				return out, nil
 			case sq.Answer:
 				out.End = "answered without this part"
@@ -93,20 +95,20 @@
 			}
 		}
 	}
-	out.End = "nothing until its time is over"
+	out.End = "no result before the deadline"
 	return out, nil
 }
 
-// why returns the reason for the nth attempt's server, for the operator.
+// why returns the reason why the nth attempt goes to the picked server, for the operator.
 func why(options []sq.Option, pick sq.ServerID, n int) string {
-	first := "the smallest predicted time of those that may be sent to"
+	reason := "lowest predicted time among the available holders"
 	if n > 0 {
-		first = "the next one: " + first
+		reason = "next attempt: " + reason
 	}
 	for _, o := range options {
 		if o.Server == pick && o.ZoneCharge > 0 {
-			return first + ", its other zone counted in"
+			return reason + ", including the charge for its zone"
 		}
 	}
-	return first
+	return reason
 }
--- a/internal/broker/routecheck/load.go
+++ b/internal/broker/routecheck/load.go
@@ -9,26 +9,28 @@
 	sq "saffronquay"
 )
 
-// roundingTolerance is the factor by which a sum of floating-point numbers may exceed a limit.
+// roundingTolerance is the factor by which a sum of floating-point numbers may exceed a limit due
+// to rounding.
 const roundingTolerance = 1 + 1e-9
 
 // microsecondsPerSecond converts the work of a part, which is in microseconds.
 const microsecondsPerSecond = 1e6
 
-// load is the load of each server. A range's load is its number of keys, divided evenly among its holders.
+// load is the load of each server. A range's load is its number of keys, divided evenly among its
+// holders.
 type load struct {
 	of    map[sq.ServerID]float64
-	most  []sq.ServerID // servers that hold a range, the most loaded first
-	total float64       // of the ranges that have a holder
-	count []int         // number of holders, by place
+	most  []sq.ServerID // holders of any range, by descending load
+	total float64       // load of the ranges that have a holder
+	count []int         // number of holders by place
 }
 
 // shift is the change of a load by a loss.
 type shift struct {
-	moved   map[sq.ServerID]float64 // additional load of the servers that remain
-	away    map[sq.ServerID]bool    // the lost servers
-	total   float64                 // of the ranges that still have a holder
-	holders int                     // number of servers that hold a range
+	moved   map[sq.ServerID]float64 // additional load of the remaining servers
+	away    map[sq.ServerID]bool    // lost servers
+	total   float64                 // load of the ranges that still have a holder
+	holders int                     // number of remaining servers that hold a range
 }
 
 // newLoad computes the load without a loss.
@@ -51,8 +53,9 @@
 // width returns the number of keys of a span.
 func width(s layout.Span) float64 { return float64(s.To) - float64(s.From) }
 
-// shifted returns the shift by the present loss. It is computed for the first expectation that needs it, in O(touched ranges).
-func (ev *evaluation) shifted(touched []int, gone []sq.Server) *shift {
+// shifted returns the shift by the current loss. It is computed once per loss, for the first
+// expectation that needs it, in O(affected ranges).
+func (ev *evaluation) shifted(affected []int, gone []sq.Server) *shift {
 	if ev.shift != nil {
 		return ev.shift
 	}
@@ -63,7 +66,7 @@
 			x.holders--
 		}
 	}
-	for _, at := range touched {
+	for _, at := range affected {
 		w, now := width(ev.s.ranges[at].Span), ev.holders(at)
 		for _, id := range now {
 			x.moved[id] += w/float64(len(now)) - w/float64(ev.baseline.count[at])
@@ -76,19 +79,19 @@
 	return x
 }
 
-// mostLoad checks each server's load. It visits only the servers that a loss gives more load, and the most loaded of the others up
-// to the first that is within the limit.
-func (ev *evaluation) mostLoad(i int, e *MostLoad, touched []int, gone []sq.Server) {
-	x := ev.shifted(touched, gone)
+// mostLoad checks the load of each server. It visits only the servers whose load the loss changes,
+// and the others in descending order of load up to the first one within the limit.
+func (ev *evaluation) mostLoad(i int, e *MostLoad, affected []int, gone []sq.Server) {
+	x := ev.shifted(affected, gone)
 	if x.holders <= 0 {
-		ev.fail(i, -1, "nobody holds anything")
+		ev.fail(i, -1, "no available server holds a range")
 		return
 	}
 	mean := x.total / float64(x.holders)
 	check := func(id sq.ServerID, has float64) bool {
 		over := has > mean*e.TimesMean*roundingTolerance
 		if over {
-			ev.fail(i, -1, "%s has %.2f times the mean, of %.2f at most", id, has/mean, e.TimesMean)
+			ev.fail(i, -1, "load of %s is %.2f times the mean, want at most %.2f", id, has/mean, e.TimesMean)
 		}
 		return over
 	}
@@ -106,7 +109,7 @@
 func (ev *evaluation) mostMoved(i int, e *MostMoved) {
 	other, ok := ev.others[e.FromRoster]
 	if !ok {
-		ev.fail(i, -1, "there is no roster %q to compare with", e.FromRoster)
+		ev.fail(i, -1, "unknown roster %q to compare with", e.FromRoster)
 		return
 	}
 	from, err := newSubject(other)
@@ -132,13 +135,13 @@
 		}
 	}
 	if all > 0 && moved/all > e.Share*roundingTolerance {
-		ev.fail(i, worstAt, "%.1f%% of the keys get a holder that they have not in %q, of %.1f%% at most; most of them in this range",
+		ev.fail(i, worstAt, "%.1f%% of the keys have a holder that they do not have in roster %q, want at most %.1f%%; most of them are in this range",
 			100*moved/all, e.FromRoster, 100*e.Share)
 	}
 }
 
-// widthWithHolders returns the number of keys of a span that lie in ranges which all of some servers hold. at is the place of the
-// first range that may intersect the span.
+// widthWithHolders returns the number of keys of a span that are in ranges held by all of the given
+// servers. at is the place of the first range that may intersect the span.
 func (s *subject) widthWithHolders(span layout.Span, at int, servers []sq.ServerID) float64 {
 	sum := 0.0
 	for n := at; n < len(s.ranges) && s.ranges[n].From < span.To; n++ {
@@ -150,11 +153,12 @@
 	return sum
 }
 
-// contractFits compares the parts per second that quotas allow with what the ready servers can do.
+// contractFits compares the parts per second that quotas allow with the capacity of the ready
+// servers.
 func (ev *evaluation) contractFits(i int, e *ContractFits) {
 	ix, ok := ev.s.Indices[e.Index]
 	if !ok {
-		ev.fail(i, -1, "there is no index %q", e.Index)
+		ev.fail(i, -1, "unknown index %q", e.Index)
 		return
 	}
 	up := ev.s.up
@@ -168,10 +172,10 @@
 	}
 	switch {
 	case !known:
-		ev.fail(i, -1, "there is no tenant %q", e.Tenant)
+		ev.fail(i, -1, "unknown tenant %q", e.Tenant)
 	case ix.PartWork <= 0:
-		ev.fail(i, -1, "index %q does not say what a part costs (part_work_us)", e.Index)
+		ev.fail(i, -1, "index %q has no expected work of a part (part_work_us)", e.Index)
 	case demand > capacity*e.Share*roundingTolerance:
-		ev.fail(i, -1, "%.0f parts a second, of %.0f that %d servers can do and %.0f that are meant for it", demand, capacity, up, capacity*e.Share)
+		ev.fail(i, -1, "quotas allow %.0f parts/s; capacity is %.0f parts/s with %d ready servers, of which at most %.0f may be used", demand, capacity, up, capacity*e.Share)
 	}
 }
--- a/internal/broker/routecheck/proof_test.go
+++ b/internal/broker/routecheck/proof_test.go
@@ -13,7 +13,8 @@
 	sq "saffronquay"
 )
 
-// good returns a valid roster: twelve servers in three zones, forty ranges of a thousand keys, each with a holder in every zone.
+// good returns a valid roster: twelve servers in three zones, and forty ranges of a thousand keys,
+// each with a holder in every zone.
 func good() Roster {
 	r := Roster{Name: "good", Seed: 1, Settings: sq.Settings{
 		Aggregators: 1, Zone: "norte", Period: 1000, Shards: 1, Cells: 1, CellsPerShard: 1, PartsPerCall: 1,
@@ -60,7 +61,8 @@
 	return r.with(doc)
 }
 
-// under returns the roster with a change under way, to which the given actions were applied.
+// under returns the roster with a layout change in progress, to which the given actions were
+// applied.
 func (r Roster) under(kind layout.Kind, from []int, to []layout.Range, actions ...layout.Action) Roster {
 	l := r.Layout
 	for i, do := range append([]layout.Action{layout.Announce}, actions...) {
@@ -112,7 +114,8 @@
 
 func span(i int) layout.Span { return layout.Span{From: int64(i) * 1000, To: int64(i+1) * 1000} }
 
-// broken are rosters with one fault each, and the expectations that fail because of it. extra is evaluated beside the usual ones.
+// broken are rosters with one fault each, and the expectations that fail because of it. extra is
+// evaluated in addition to the usual ones.
 var broken = []struct {
 	name  string
 	make  func(Roster) Roster
@@ -155,7 +158,7 @@
 	{"a range in pieces", func(r Roster) Roster {
 		return r.ranges(func(rs []layout.Range) []layout.Range {
 			half := rs[3]
-			rs[3].To, half.From, half.Shard = 3500, 3500, 39 // the last shard's number is free
+			rs[3].To, half.From, half.Shard = 3500, 3500, 39 // reuses the number of the dropped last shard
 			return slices.Insert(rs[:39:39], 4, half)
 		})
 	}, "", "covers, parts"},
@@ -214,7 +217,7 @@
 	{"a key nowhere", func(r Roster) Roster { return r }, `{"name":"far","reason":"r","key_zones":{"key":99999,"zones":1}}`, "far"},
 }
 
-// sound are changes that make no expectation fail.
+// sound are changes under which all expectations are met.
 var sound = []struct {
 	name string
 	make func(Roster) Roster
@@ -258,7 +261,7 @@
 			names = append(names, x.Name)
 			for _, f := range x.Failures {
 				if f.Why == "" {
-					t.Errorf("%s: it says not why", x.Name)
+					t.Errorf("%s: failure without a reason", x.Name)
 				}
 			}
 		}
@@ -267,6 +270,8 @@
 	return names, took
 }
 
+// TestProof checks that each broken roster fails exactly the expectations listed for it, that the
+// sound ones fail none, and that no evaluation takes longer than a second.
 func TestProof(t *testing.T) {
 	caught, passed, slowest := 0, 0, time.Duration(0)
 	for _, c := range broken {
@@ -280,7 +285,7 @@
 		if slices.Equal(names, want) {
 			caught++
 		} else {
-			t.Errorf("%s: %q fail, want %q", c.name, names, want)
+			t.Errorf("%s: failing expectations %q, want %q", c.name, names, want)
 		}
 		slowest = max(slowest, took)
 	}
@@ -289,18 +294,19 @@
 		if len(names) == 0 {
 			passed++
 		} else {
-			t.Errorf("%s: %q fail", c.name, names)
+			t.Errorf("%s: failing expectations %q, want none", c.name, names)
 		}
 		slowest = max(slowest, took)
 	}
 	if slowest > time.Second {
-		t.Errorf("one took %s", slowest)
+		t.Errorf("slowest evaluation took %s, want at most 1s", slowest)
 	}
 	fmt.Printf("proof: broken_caught=%d good_passed=%d slowest_ms=%d\n", caught, passed, slowest.Milliseconds())
 }
 
-// The results under a loss are those of a roster without the lost servers.
-func TestLossesAgreeWithSmallerRosters(t *testing.T) {
+// TestEvaluate_LossEqualsRosterWithoutServer checks that the results under the simulated loss of a
+// server match those of a roster that does not list it.
+func TestEvaluate_LossEqualsRosterWithoutServer(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	for round := range 30 {
 		r := good().ranges(func(rs []layout.Range) []layout.Range {
@@ -327,15 +333,17 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			// A loss reports only the ranges that it touches: ranges that fail without it are reported there.
+			// Under a loss only the affected ranges are reported; others are reported without the
+			// loss.
 			if a[0].OK && !b[0].OK && kind[1:6] != "least" || !a[0].OK && b[0].OK {
-				t.Errorf("round %d, %s without %s: %v, of a roster that lacks it %v", round, kind, id(at), a[0], b[0])
+				t.Errorf("round %d, %s: with the loss of %s %v, with a roster that lacks it %v", round, kind, id(at), a[0], b[0])
 			}
 		}
 	}
 }
 
-// TestMeasure measures a roster of the intended size. SAFFRONQUAY_MEASURE=1 runs it.
+// TestMeasure measures the evaluation of a roster of production size. SAFFRONQUAY_MEASURE=1 runs
+// it.
 func TestMeasure(t *testing.T) {
 	if os.Getenv("SAFFRONQUAY_MEASURE") == "" {
 		t.Skip("SAFFRONQUAY_MEASURE is not set")
--- a/internal/broker/routecheck/subject.go
+++ b/internal/broker/routecheck/subject.go
@@ -11,22 +11,24 @@
 // Index is one index of a roster.
 type Index struct {
 	Class    string
-	PartWork int64         // predicted work of one part, in microseconds
-	Ranges   []layout.Part // in key order; those of the layout if the index is placed by it
+	PartWork int64         // expected work of one part, in microseconds; 0: unknown
+	Ranges   []layout.Part // in key order; the layout's ranges if the index is placed by it
 }
 
-// Roster is what is evaluated: servers, ranges, and the settings of the decision module.
+// Roster is the configuration that is evaluated: servers, ranges, and the settings of the decision
+// module.
 type Roster struct {
 	Name     string
 	Settings sq.Settings
 	Seed     uint64
 	Servers  []sq.Server
-	Layout   *layout.Layout // nil: the settings' formula gives the holders of a shard
+	Layout   *layout.Layout // nil: the settings determine the holders of a shard
 	Indices  map[string]Index
-	Learned  *sq.Learned // what the module has learned about servers before; nil: nothing
+	Learned  *sq.Learned // saved server statistics of the module; nil: none
 }
 
-// Variants returns the roster and, if changes of its layout are under way, the roster after the cut over of all of them.
+// Variants returns the roster and, if changes of its layout are in progress, the roster after the
+// cutover of all of them.
 func (r Roster) Variants() ([]Roster, error) {
 	out := []Roster{r}
 	if r.Layout == nil || len(r.Layout.Changes()) == 0 {
@@ -36,7 +38,7 @@
 	for _, c := range r.Layout.Changes() {
 		for _, do := range []layout.Action{layout.Copy, layout.MarkReady, layout.Cut} {
 			if next, err := l.Step(layout.Step{History: l.History(), Epoch: l.Epoch() + 1, Change: c.ID, Do: do}, nil); err == nil {
-				l = next // else the change is past that state
+				l = next // on an error the change is already past that state
 			}
 		}
 	}
@@ -50,26 +52,27 @@
 	return append(out, done), nil
 }
 
-// Placed returns a layout's ranges as the ranges of an index that it places.
+// Placed returns the ranges of an index that is placed by a layout.
 func Placed(l *layout.Layout) []layout.Part { return l.Cover(nil, l.Domain()) }
 
-// startTime is the virtual time at which a module starts, in microseconds. Its value has no meaning.
+// startTime is the virtual time at which a module starts, in microseconds. The value is arbitrary.
 const startTime = 1_000_000_000_000
 
-// subject is a roster with the decision module that would serve it. It runs in virtual time.
+// subject is a roster with a decision module for it, which runs in virtual time.
 type subject struct {
 	Roster
 	module   *sq.Scheduler
 	now      int64
 	lastID   sq.ID
 	zones    map[sq.ServerID]string
-	up       int                   // number of servers that are ready and not lost
-	ranges   []layout.Part         // of all indices, without duplicates, in key order
-	keys     map[int64][]int       // cache of at, by key
-	placesOf map[sq.ServerID][]int // by server, the indexes in ranges of what it may hold
+	up       int                   // number of ready servers under the current loss
+	ranges   []layout.Part         // ranges of all indices, without duplicates, in key order
+	keys     map[int64][]int       // cache of at by key
+	placesOf map[sq.ServerID][]int // places of the ranges that each server may hold
 }
 
-// newSubject starts a decision module and gives it the roster's servers, layout and learned state.
+// newSubject returns a subject whose decision module has the roster's servers, layout and saved
+// statistics.
 func newSubject(r Roster) (*subject, error) {
 	m, err := sq.New(r.Settings, r.Seed)
 	if err != nil {
@@ -120,7 +123,7 @@
 	return s.module.Step(s.now, events)
 }
 
-// without runs evaluate while some servers are gone, and restores them.
+// without calls evaluate while the given servers are gone, and restores them afterwards.
 func (s *subject) without(gone []sq.Server, evaluate func()) {
 	away := make([]sq.Server, len(gone))
 	back := make([]sq.Server, len(gone))
@@ -145,7 +148,8 @@
 	return 0
 }
 
-// at returns the indexes in ranges of those that contain a key. The first call for a key costs O(ranges).
+// at returns the places of the ranges that contain a key. The first call for a key takes O(ranges)
+// time.
 func (s *subject) at(key int64) (places []int) {
 	if places, ok := s.keys[key]; ok {
 		return places
@@ -162,7 +166,8 @@
 	return places
 }
 
-// send returns the server to which the module sends one part, or "" if it sends none. It withdraws the query afterwards.
+// send returns the server to which the module sends one part, or "" if it sends none. It cancels
+// the query afterwards.
 func (s *subject) send(p layout.Part) sq.ServerID {
 	s.lastID += 2
 	q, part := s.lastID-1, s.lastID
@@ -176,7 +181,7 @@
 		}
 	}
 	events := []sq.Event{sq.ClientLeft{Query: q}}
-	if to != "" { // nothing was sent, so the module learns nothing about the server
+	if to != "" { // NotSent keeps the module from updating its statistics of the server
 		events = append(events, sq.AttemptEnded{Part: part, Server: to, Outcome: sq.NotSent})
 	}
 	s.step(events...)
