--- a/cmd/saffronquay/try_faults.go
+++ b/cmd/saffronquay/try_faults.go
@@ -12,13 +12,13 @@
 )
 
 const (
-	faultsAfter       = 3 * time.Second // from the start to the first fault
-	gathererAwayFor   = 2 * time.Second
-	backendFaultyFor  = 5 * time.Second
-	layoutStepLasting = time.Second
+	firstFaultDelay  = 3 * time.Second // from the start to the first fault
+	gathererDowntime = 2 * time.Second
+	backendDowntime  = 5 * time.Second
+	layoutStepPause  = time.Second
 )
 
-// trialFaults causes the faults of a trial. It is used by one goroutine.
+// trialFaults injects the faults of a trial. It is not safe for concurrent use.
 type trialFaults struct {
 	trial
 	out      io.Writer
@@ -26,13 +26,13 @@
 	fleet    *trialFleet
 }
 
-// run causes the faults that the flags ask for, one after the other, until ctx ends.
+// run injects the faults that the flags specify, one after the other, until ctx is done.
 func (f *trialFaults) run(ctx context.Context) {
-	if !sleep(ctx, faultsAfter) {
+	if !sleep(ctx, firstFaultDelay) {
 		return
 	}
 	if f.policy {
-		f.fleet.proposePolicy(f.say, 1)
+		f.fleet.proposePolicy(f.reportf, 1)
 	}
 	if (f.kill || f.policy) && f.gatherers > 1 && !f.restartGatherer(ctx) {
 		return
@@ -48,11 +48,11 @@
 	}
 }
 
-func (f *trialFaults) say(format string, args ...any) {
+func (f *trialFaults) reportf(format string, args ...any) {
 	fmt.Fprintf(f.out, "  >> "+format+"\n", args...)
 }
 
-// sleep waits, and reports whether ctx is still open after that time.
+// sleep waits for d, and reports false if ctx was done before.
 func sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-ctx.Done():
@@ -62,52 +62,54 @@
 	}
 }
 
-// restartGatherer stops the last gatherer for a while. With --policy the policy is changed meanwhile. It reports whether ctx is still open.
+// restartGatherer stops the last gatherer for gathererDowntime. With --policy the policy is changed
+// meanwhile. It reports false if ctx is done.
 func (f *trialFaults) restartGatherer(ctx context.Context) bool {
 	last := f.gatherers - 1
-	f.say("gatherer try-%d leaves", f.gatherers)
+	f.reportf("gatherer try-%d is stopped", f.gatherers)
 	if err := f.fleet.stop(last); err != nil {
-		f.say("%v", err)
+		f.reportf("%v", err)
 	}
 	if f.policy {
-		f.fleet.proposePolicy(f.say, 2)
+		f.fleet.proposePolicy(f.reportf, 2)
 	}
-	if !sleep(ctx, gathererAwayFor) {
+	if !sleep(ctx, gathererDowntime) {
 		return false
 	}
 	if err := f.fleet.start(ctx, last); err != nil {
-		f.say("%v", err)
+		f.reportf("%v", err)
 	}
-	f.say("gatherer try-%d is back", f.gatherers)
+	f.reportf("gatherer try-%d is back", f.gatherers)
 	return true
 }
 
-// restartBackend kills a backend and starts it again. It reports whether ctx is still open.
+// restartBackend kills a backend and restarts it after backendDowntime. It reports false if ctx is
+// done.
 func (f *trialFaults) restartBackend(ctx context.Context) bool {
-	f.say("ledger-1 is killed")
+	f.reportf("ledger-1 is killed")
 	f.backends.Servers[1].Kill()
-	if !sleep(ctx, backendFaultyFor) {
+	if !sleep(ctx, backendDowntime) {
 		return false
 	}
 	if err := f.backends.Servers[1].Start(); err == nil {
-		f.say("ledger-1 is back")
+		f.reportf("ledger-1 is back")
 	}
 	return true
 }
 
-// stallBackend has a backend answer nothing for a while. It reports whether ctx is still open.
+// stallBackend makes a backend unresponsive for backendDowntime. It reports false if ctx is done.
 func (f *trialFaults) stallBackend(ctx context.Context) bool {
-	f.say("ledger-2 says nothing")
+	f.reportf("ledger-2 is unresponsive")
 	f.backends.Servers[2].Set(fakebackend.Silent)
-	if !sleep(ctx, backendFaultyFor) {
+	if !sleep(ctx, backendDowntime) {
 		return false
 	}
 	f.backends.Servers[2].Set(fakebackend.None)
-	f.say("ledger-2 answers again")
+	f.reportf("ledger-2 answers again")
 	return true
 }
 
-// splitRange takes the split of the first range through all its steps, until ctx ends.
+// splitRange takes a split of the first range through all its steps, until ctx is done.
 func (f *trialFaults) splitRange(ctx context.Context) {
 	steps := []layout.Step{
 		{Change: "try", Do: layout.Announce, Kind: layout.Split, From: []int{0}, To: []layout.Range{
@@ -121,11 +123,11 @@
 	}
 	for _, step := range steps {
 		if err := f.backends.Do(step); err != nil {
-			f.say("split: %v", err)
+			f.reportf("split: %v", err)
 			return
 		}
-		f.say("keys 0 to 1000 are split in two: %s", step.Do)
-		if !sleep(ctx, layoutStepLasting) {
+		f.reportf("keys 0 to 1000 are split in two: %s", step.Do)
+		if !sleep(ctx, layoutStepPause) {
 			return
 		}
 	}
