--- a/internal/testing/fakebackend/aggs.go
+++ b/internal/testing/fakebackend/aggs.go
@@ -15,8 +15,10 @@
 	"github.com/valyala/fastjson"
 )
 
-// Aggregate is what one store of rows answers to an aggregation clause, in OpenSearch's own shape; with partial, sums are
-// given exactly beside, and sketches in the place of figures that can't be merged. It shares nothing with what merges.
+// Aggregate evaluates an aggregation clause over rows and returns the result in OpenSearch's
+// response format. With partial, it adds sums as exact terms, and returns sketches in place of
+// values that cannot be merged. It shares no code with the broker's merge, so that tests compare
+// two independent implementations.
 func Aggregate(clause *fastjson.Value, rows []Row, key string, partial bool) map[string]any {
 	out := map[string]any{}
 	clause.GetObject().Visit(func(name []byte, v *fastjson.Value) {
@@ -24,7 +26,7 @@
 		v.GetObject().Visit(func(kind []byte, spec *fastjson.Value) {
 			if k := string(kind); k != "aggs" {
 				a := aggregation{k, spec, subs, key, partial}
-				out[string(name)] = a.of(rows)
+				out[string(name)] = a.evaluate(rows)
 			}
 		})
 	})
@@ -48,7 +50,7 @@
 	return out
 }
 
-func (a aggregation) of(rows []Row) any {
+func (a aggregation) evaluate(rows []Row) any {
 	values := a.values(rows)
 	switch a.kind {
 	case "value_count":
@@ -68,7 +70,7 @@
 	case "range":
 		return a.ranges(rows)
 	case "terms", "histogram", "date_histogram", "composite":
-		return a.grouped(rows)
+		return a.groupedBuckets(rows)
 	}
 	return a.metric(values)
 }
@@ -92,8 +94,8 @@
 	return b
 }
 
-// total is a sum without any rounding.
-func total(values []any, of func(float64) *big.Float) *big.Float {
+// exactSum returns the sum of the values, each mapped by of, without rounding.
+func exactSum(values []any, of func(float64) *big.Float) *big.Float {
 	sum := new(big.Float).SetPrec(4500)
 	for _, v := range values {
 		sum.Add(sum, of(float(v)))
@@ -101,12 +103,12 @@
 	return sum
 }
 
-func plainly(f float64) *big.Float { return new(big.Float).SetPrec(4500).SetFloat64(f) }
+func exactFloat(f float64) *big.Float { return new(big.Float).SetPrec(4500).SetFloat64(f) }
 
-func squared(f float64) *big.Float { x := plainly(f); return x.Mul(x, x) }
+func exactSquare(f float64) *big.Float { x := exactFloat(f); return x.Mul(x, x) }
 
-// pieces are float64s that add up to a sum exactly.
-func pieces(sum *big.Float) []float64 {
+// exactTerms returns float64 terms whose exact sum is sum.
+func exactTerms(sum *big.Float) []float64 {
 	out := []float64{}
 	for rest := new(big.Float).Copy(sum); rest.Sign() != 0; {
 		f, _ := rest.Float64()
@@ -114,23 +116,23 @@
 			break
 		}
 		out = append(out, f)
-		rest.Sub(rest, plainly(f))
+		rest.Sub(rest, exactFloat(f))
 	}
 	return out
 }
 
-func rounded(sum *big.Float) float64 { f, _ := sum.Float64(); return f }
+func roundToFloat64(sum *big.Float) float64 { f, _ := sum.Float64(); return f }
 
 func (a aggregation) metric(values []any) any {
-	sum, sq := total(values, plainly), total(values, squared)
+	sum, sq := exactSum(values, exactFloat), exactSum(values, exactSquare)
 	n := float64(len(values))
 	var lo, hi, avg any
 	if len(values) > 0 {
-		lo, hi, avg = float(slices.MinFunc(values, compareAny)), float(slices.MaxFunc(values, compareAny)), rounded(sum)/n
+		lo, hi, avg = float(slices.MinFunc(values, compareAny)), float(slices.MaxFunc(values, compareAny)), roundToFloat64(sum)/n
 	}
 	switch a.kind {
 	case "sum":
-		return a.exactly(map[string]any{"value": rounded(sum)}, "sum_exact", sum)
+		return a.addExactSum(map[string]any{"value": roundToFloat64(sum)}, "sum_exact", sum)
 	case "min":
 		return map[string]any{"value": lo}
 	case "max":
@@ -138,15 +140,15 @@
 	case "avg":
 		return map[string]any{"value": avg}
 	}
-	out := a.exactly(map[string]any{"count": len(values), "min": lo, "max": hi, "avg": avg, "sum": rounded(sum)}, "sum_exact", sum)
+	out := a.addExactSum(map[string]any{"count": len(values), "min": lo, "max": hi, "avg": avg, "sum": roundToFloat64(sum)}, "sum_exact", sum)
 	if a.kind == "extended_stats" {
-		a.exactly(out, "sum_of_squares_exact", sq)
+		a.addExactSum(out, "sum_of_squares_exact", sq)
 		for _, k := range []string{"sum_of_squares", "variance", "std_deviation"} {
 			out[k] = nil
 		}
 		bounds := map[string]any{"upper": nil, "lower": nil}
 		if out["std_deviation_bounds"] = bounds; n > 0 {
-			s, q := rounded(sum), rounded(sq)
+			s, q := roundToFloat64(sum), roundToFloat64(sq)
 			v := math.Max(0, (q-s*s/n)/n)
 			out["sum_of_squares"], out["variance"], out["std_deviation"] = q, v, math.Sqrt(v)
 			bounds["upper"], bounds["lower"] = s/n+2*math.Sqrt(v), s/n-2*math.Sqrt(v)
@@ -155,9 +157,9 @@
 	return out
 }
 
-func (a aggregation) exactly(m map[string]any, name string, sum *big.Float) map[string]any {
+func (a aggregation) addExactSum(m map[string]any, name string, sum *big.Float) map[string]any {
 	if a.partial {
-		m[name] = pieces(sum)
+		m[name] = exactTerms(sum)
 	}
 	return m
 }
@@ -171,7 +173,7 @@
 	if !a.partial {
 		return map[string]any{"value": len(seen)}
 	}
-	raw, _ := sketch.MarshalBinary() // never fails
+	raw, _ := sketch.MarshalBinary() // MarshalBinary of a sketch never fails
 	return map[string]any{"value": len(seen), "sketch": base64.StdEncoding.EncodeToString(raw)}
 }
 
@@ -220,11 +222,12 @@
 	rows []Row
 }
 
-// grouped makes buckets of whatever rows have in common.
-func (a aggregation) grouped(rows []Row) any {
+// groupedBuckets returns the buckets of an aggregation that groups rows by their values: terms, histogram,
+// date_histogram and composite.
+func (a aggregation) groupedBuckets(rows []Row) any {
 	by := map[string]*group{}
 	for _, r := range rows {
-		key, ok := a.keyOf(r)
+		key, ok := a.groupKey(r)
 		if !ok {
 			continue
 		}
@@ -238,38 +241,38 @@
 	for _, g := range by {
 		list = append(list, g)
 	}
-	slices.SortFunc(list, a.before)
-	most := len(list)
+	slices.SortFunc(list, a.compareGroups)
+	limit := len(list)
 	if a.spec.Exists("size") {
-		most = min(most, a.spec.GetInt("size"))
+		limit = min(limit, a.spec.GetInt("size"))
 	} else if a.kind == "terms" || a.kind == "composite" {
-		most = min(most, 10)
+		limit = min(limit, 10)
 	}
 	out, other := []any{}, 0
-	for _, g := range list[most:] {
+	for _, g := range list[limit:] {
 		other += len(g.rows)
 	}
 	res := map[string]any{}
-	least := a.spec.GetInt("min_doc_count")
-	for i, g := range list[:most] {
-		if !a.partial && len(g.rows) < least {
+	minDocCount := a.spec.GetInt("min_doc_count")
+	for i, g := range list[:limit] {
+		if !a.partial && len(g.rows) < minDocCount {
 			continue
 		}
-		if a.kind != "composite" && a.kind != "terms" && !a.partial && least == 0 && i > 0 {
+		if a.kind != "composite" && a.kind != "terms" && !a.partial && minDocCount == 0 && i > 0 {
 			for k := list[i-1].key[0]; ; {
 				if k = a.next(k); float(k) >= float(g.key[0])-0.25 {
 					break
 				}
-				out = append(out, a.bucket(a.named([]any{k}), nil))
+				out = append(out, a.bucket(a.bucketWithKey([]any{k}), nil))
 			}
 		}
-		out = append(out, a.bucket(a.named(g.key), g.rows))
+		out = append(out, a.bucket(a.bucketWithKey(g.key), g.rows))
 	}
 	if res["buckets"] = out; a.kind == "terms" {
 		res["sum_other_doc_count"], res["doc_count_error_upper_bound"] = other, 0
 	}
-	if a.kind == "composite" && most > 0 {
-		res["after_key"] = a.named(list[most-1].key)["key"]
+	if a.kind == "composite" && limit > 0 {
+		res["after_key"] = a.bucketWithKey(list[limit-1].key)["key"]
 	}
 	return res
 }
@@ -285,13 +288,13 @@
 	return names, specs, kinds
 }
 
-func (a aggregation) keyOf(r Row) ([]any, bool) {
+func (a aggregation) groupKey(r Row) ([]any, bool) {
 	if a.kind != "composite" {
 		v := r.Field(string(a.spec.GetStringBytes("field")), a.key)
 		if v == nil {
 			return nil, false
 		}
-		return []any{a.slot(a.kind, a.spec, v)}, true
+		return []any{a.bucketKey(a.kind, a.spec, v)}, true
 	}
 	names, specs, kinds := a.sources()
 	key := make([]any, len(names))
@@ -300,21 +303,21 @@
 		if v == nil {
 			return nil, false
 		}
-		key[i] = a.slot(kinds[i], specs[i], v)
+		key[i] = a.bucketKey(kinds[i], specs[i], v)
 	}
 	if after := a.spec.Get("after"); after != nil {
 		var last []any
 		for _, n := range names {
 			last = append(last, valuesOf(fastjson.MustParseBytes(append(after.Get(n).MarshalTo([]byte{'['}), ']')))...)
 		}
-		if a.before(&group{key: key}, &group{key: last}) <= 0 {
+		if a.compareGroups(&group{key: key}, &group{key: last}) <= 0 {
 			return nil, false
 		}
 	}
 	return key, true
 }
 
-func (a aggregation) slot(kind string, spec *fastjson.Value, v any) any {
+func (a aggregation) bucketKey(kind string, spec *fastjson.Value, v any) any {
 	switch kind {
 	case "histogram":
 		step, offset := spec.GetFloat64("interval"), spec.GetFloat64("offset")
@@ -356,8 +359,8 @@
 	return int64(float(k)) + max(1, step.Milliseconds())
 }
 
-// before is the order of buckets.
-func (a aggregation) before(x, y *group) int {
+// compareGroups compares two buckets by the order that the clause requests.
+func (a aggregation) compareGroups(x, y *group) int {
 	_, specs, _ := a.sources()
 	byKey := string(a.spec.GetStringBytes("order", "_key"))
 	if a.kind == "terms" && byKey == "" && len(x.rows) != len(y.rows) {
@@ -375,7 +378,7 @@
 	return 0
 }
 
-func (a aggregation) named(key []any) map[string]any {
+func (a aggregation) bucketWithKey(key []any) map[string]any {
 	switch a.kind {
 	case "composite":
 		names, _, _ := a.sources()
--- a/internal/testing/fakebackend/binary.go
+++ b/internal/testing/fakebackend/binary.go
@@ -10,7 +10,8 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Binary is Search in the binary form of partial answers.
+// Binary runs a search as Search does and returns the result in the binary encoding of partial
+// answers.
 func Binary(field string, body []byte, rows []Row, span layout.Span) []byte {
 	asked := fastjson.MustParseBytes(body)
 	v := fastjson.MustParse(Search(field, body, rows, span))
@@ -30,7 +31,7 @@
 		json.Unmarshal(v.Get("aggregations").MarshalTo(nil), &all)
 		m.Aggregations = binaryAggs(clause, all)
 	}
-	b, _ := proto.Marshal(m) // it has nothing that has no form
+	b, _ := proto.Marshal(m) // every value set above can be encoded
 	return b
 }
 
@@ -54,7 +55,8 @@
 	return out
 }
 
-// binaryAggs turns one store's answer to a clause into the binary form.
+// binaryAggs converts the results of an aggregation clause, by aggregation name, to the binary
+// encoding.
 func binaryAggs(clause *fastjson.Value, all map[string]any) (out []*partial.Aggregation) {
 	clause.GetObject().Visit(func(name []byte, v *fastjson.Value) {
 		in, _ := all[string(name)].(map[string]any)
--- a/internal/testing/fakebackend/cluster.go
+++ b/internal/testing/fakebackend/cluster.go
@@ -10,75 +10,78 @@
 	sq "saffronquay"
 )
 
-// Cluster is servers with rows, the directory that says where they are, and who may hold what in truth.
+// Cluster is a set of search servers, the layout directory that assigns rows to them, and the
+// ground truth of which server may run which range.
 type Cluster struct {
 	Directory *Directory
 	Ledger    *Ledger
 	Servers   []*Server
-	All       []Row // in order of the key: the single store to compare with
+	All       []Row // all rows, sorted by key: the reference to compare search results with
 
-	doing sync.Mutex                          // one step at a time
-	mu    sync.Mutex                          // of the truth
-	truth map[sq.ServerID]map[int]layout.Span // who may run what, by server and shard
-	byID  map[sq.ServerID]*Server
+	stepMu  sync.Mutex                          // serializes steps and writes
+	mu      sync.Mutex                          // guards allowed
+	allowed map[sq.ServerID]map[int]layout.Span // span that each server may run, by shard
+	byID    map[sq.ServerID]*Server
 }
 
-// NewCluster makes servers of one kind that hold the ranges of a layout's document over rows; without addresses they listen
-// anywhere on loopback.
+// NewCluster starts one server per id, all with the same configuration, and distributes rows to them
+// by the ranges of doc. Rows must be sorted by key. A nil addresses lets each server choose a free
+// loopback port.
 func NewCluster(ids []sq.ServerID, addresses map[sq.ServerID]string, cfg ServerConfig, doc layout.Doc, rows []Row) (*Cluster, error) {
-	c := &Cluster{Ledger: &Ledger{}, All: rows, truth: map[sq.ServerID]map[int]layout.Span{}, byID: map[sq.ServerID]*Server{}}
+	c := &Cluster{Ledger: &Ledger{}, All: rows, allowed: map[sq.ServerID]map[int]layout.Span{}, byID: map[sq.ServerID]*Server{}}
 	for _, id := range ids {
 		if cfg.ID = id; addresses != nil {
 			cfg.Address = addresses[id]
 		}
-		s, err := newServer(cfg, c.Ledger, c.holds)
+		s, err := newServer(cfg, c.Ledger, c.mayRun)
 		if err != nil {
 			c.Close()
 			return nil, err
 		}
 		c.Servers, c.byID[id] = append(c.Servers, s), s
-		c.truth[id] = map[int]layout.Span{}
+		c.allowed[id] = map[int]layout.Span{}
 	}
 	var err error
 	if c.Directory, err = newDirectory(doc, func(id sq.ServerID) bool { return c.byID[id] != nil }); err != nil {
 		c.Close()
 		return nil, err
 	}
-	c.Directory.do = c.Do
+	c.Directory.applyStep = c.Do
 	for _, r := range doc.Ranges {
 		c.fill(r)
-		c.allow(r, true, doc.Epoch)
+		c.setAllowed(r, true, doc.Epoch)
 	}
 	return c, nil
 }
 
-// Close ends the servers.
+// Close stops all servers.
 func (c *Cluster) Close() {
 	for _, s := range c.Servers {
 		s.Kill()
 	}
 }
 
-// Server is one by its id.
+// Server returns the server with the given id, or nil if there is none.
 func (c *Cluster) Server(id sq.ServerID) *Server { return c.byID[id] }
 
-func (c *Cluster) holds(id sq.ServerID, p layout.Place) bool {
+func (c *Cluster) mayRun(id sq.ServerID, p layout.Place) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	span, ok := c.truth[id][p.Shard]
+	span, ok := c.allowed[id][p.Shard]
 	return ok && within(p.Span, span)
 }
 
-// fill copies the rows of a range to its holders. Rows never change, so any source gives the same.
+// fill copies the rows of a range to its holders. It takes them from All instead of a server: all copies
+// of a range are equal, so the source does not matter.
 func (c *Cluster) fill(r layout.Range) {
-	rows := between(c.All, r.Span)
+	rows := rowsInSpan(c.All, r.Span)
 	for _, h := range r.Holders {
 		c.byID[h].store(r.Shard, r.Span, rows)
 	}
 }
 
-// between are the rows of a span.
-func between(all []Row, span layout.Span) (rows []Row) {
+// rowsInSpan returns the rows whose keys are in span.
+func rowsInSpan(all []Row, span layout.Span) (rows []Row) {
 	for _, x := range all {
 		if x.Key >= span.From && x.Key < span.To {
 			rows = append(rows, x)
@@ -87,10 +90,12 @@
 	return rows
 }
 
-// Write puts rows in and takes others away, at a time, at every holder. What was there stays for those who ask as of before.
+// Write inserts the rows of add and deletes those for which gone returns true, with the timestamp at
+// (Unix microseconds), on every holder. Deleted rows remain visible to searches as of an earlier
+// time.
 func (c *Cluster) Write(at int64, add []Row, gone func(Row) bool) {
-	c.doing.Lock()
-	defer c.doing.Unlock()
+	c.stepMu.Lock()
+	defer c.stepMu.Unlock()
 	all := slices.Clone(c.All)
 	for i := range all {
 		if all[i].Until == 0 && gone(all[i]) {
@@ -108,17 +113,18 @@
 	}
 }
 
-// allow changes who may run a range, in truth and at the servers. The truth is widened first and narrowed last, since a server
-// may be at work between the two.
-func (c *Cluster) allow(r layout.Range, on bool, epoch int64) {
+// setAllowed grants or revokes the right of a range's holders to run it, in the ground truth and on the
+// servers. The ground truth is widened before the servers and narrowed after them: a server may run
+// a part between the two updates.
+func (c *Cluster) setAllowed(r layout.Range, on bool, epoch int64) {
 	set := func() {
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		for _, h := range r.Holders {
 			if on {
-				c.truth[h][r.Shard] = r.Span
+				c.allowed[h][r.Shard] = r.Span
 			} else {
-				delete(c.truth[h], r.Shard)
+				delete(c.allowed[h], r.Shard)
 			}
 		}
 	}
@@ -133,17 +139,18 @@
 	}
 }
 
-// only is a range with those of its holders that another one lacks.
-func only(r, without layout.Range) layout.Range {
+// exceptHoldersOf returns r with just the holders that are not holders of without.
+func exceptHoldersOf(r, without layout.Range) layout.Range {
 	r.Holders = slices.DeleteFunc(slices.Clone(r.Holders), func(id sq.ServerID) bool { return slices.Contains(without.Holders, id) })
 	return r
 }
 
-// Do takes one step of a change, data first: the side that goes out of force is fenced at its servers before the side that
-// comes in force answers, and both before anyone is told of the epoch.
+// Do applies one step of a layout change, data before directory: the ranges that are replaced are
+// fenced on their servers before the new ranges are activated, and both happen before the directory
+// publishes the new epoch.
 func (c *Cluster) Do(s layout.Step) error {
-	c.doing.Lock()
-	defer c.doing.Unlock()
+	c.stepMu.Lock()
+	defer c.stepMu.Unlock()
 	now := c.Directory.Now()
 	at := slices.IndexFunc(now.Changes(), func(x layout.Change) bool { return x.ID == s.Change })
 	if at < 0 {
@@ -151,7 +158,8 @@
 		return err
 	}
 	change, epoch := now.Changes()[at], now.Epoch()+1
-	// The directory is the one writer here, so what it would say of this step is known beforehand.
+	// Steps are serialized by this lock, so validating against the current layout gives the same
+	// result as the directory's own check below.
 	s.History, s.Epoch = now.History(), epoch
 	if _, err := now.Step(s, nil); err != nil {
 		return err
@@ -170,34 +178,35 @@
 		return err
 	}
 	if s.Do == layout.Retire || s.Do == layout.Abort {
-		c.clean(change, s.Do == layout.Retire)
+		c.dropUnused(change, s.Do == layout.Retire)
 	}
 	return nil
 }
 
 func (c *Cluster) swap(change layout.Change, out, in []layout.Range, epoch int64) {
 	if change.Kind == layout.Move {
-		c.allow(only(out[0], in[0]), false, epoch)
-		c.allow(only(in[0], out[0]), true, epoch)
+		c.setAllowed(exceptHoldersOf(out[0], in[0]), false, epoch)
+		c.setAllowed(exceptHoldersOf(in[0], out[0]), true, epoch)
 		return
 	}
 	for _, r := range out {
-		c.allow(r, false, epoch)
+		c.setAllowed(r, false, epoch)
 	}
 	for _, r := range in {
-		c.allow(r, true, epoch)
+		c.setAllowed(r, true, epoch)
 	}
 }
 
-// clean has the side that is over dropped by those that no longer hold it.
-func (c *Cluster) clean(change layout.Change, retired bool) {
+// dropUnused drops the ranges that the change replaced (retired) or abandoned from the servers that no
+// longer hold them.
+func (c *Cluster) dropUnused(change layout.Change, retired bool) {
 	gone, stays := change.To, change.From
 	if retired {
 		gone, stays = change.From, change.To
 	}
 	for i, r := range gone {
 		if change.Kind == layout.Move {
-			r = only(r, stays[i])
+			r = exceptHoldersOf(r, stays[i])
 		}
 		for _, h := range r.Holders {
 			c.byID[h].drop(r.Shard)
@@ -205,7 +214,8 @@
 	}
 }
 
-// Random draws a change that can be announced now and on which nothing is under way; ok is false where it finds none.
+// Random draws a change of shards that have no change in progress, with reach holders for each new
+// range. It returns false if the draw gives no valid change.
 func (c *Cluster) Random(rng *rand.Rand, id string, reach int) (layout.Step, bool) {
 	l := c.Directory.Now()
 	doc := l.Doc()
@@ -250,7 +260,8 @@
 	return layout.Step{}, false
 }
 
-// Single gives the ids of the rows whose keys lie in any of some spans, as one store would.
+// Single returns the sorted ids of all rows whose keys are in any span of want: the result that a
+// single store would give.
 func (c *Cluster) Single(want []layout.Span) []string {
 	var ids []string
 	for _, r := range c.All {
--- a/internal/testing/fakebackend/directory.go
+++ b/internal/testing/fakebackend/directory.go
@@ -16,34 +16,36 @@
 	sq "saffronquay"
 )
 
-// Directory is a stand-in layout directory: one line of epochs, told through agents.
+// Directory is a fake layout directory: a linear history of layouts that agents publish. It is safe
+// for concurrent use.
 type Directory struct {
-	known func(sq.ServerID) bool
-	do    func(layout.Step) error // an operator's step, with what it does to the data
+	known     func(sq.ServerID) bool
+	applyStep func(layout.Step) error // applies an operator's step to the data and to the directory
 
 	mu      sync.Mutex
-	layouts []*layout.Layout // from the first epoch on
-	steps   []layout.Step    // steps[i] leads to layouts[i+1]
-	at      []time.Time      // when each layout came in force
-	changed chan struct{}    // closed, and replaced, with each step
+	layouts []*layout.Layout // by epoch, starting with the first
+	steps   []layout.Step    // steps[i] changes layouts[i] to layouts[i+1]
+	at      []time.Time      // when each layout took effect
+	changed chan struct{}    // closed and replaced with each step
 }
 
 func newDirectory(first layout.Doc, known func(sq.ServerID) bool) (*Directory, error) {
 	l, err := layout.New(first, known)
 	if err != nil {
-		return nil, fmt.Errorf("stand-in directory: %w", err)
+		return nil, fmt.Errorf("fakebackend: create layout directory: %w", err)
 	}
 	return &Directory{known: known, layouts: []*layout.Layout{l}, at: []time.Time{time.Now()}, changed: make(chan struct{})}, nil
 }
 
-// Now is the layout in force.
+// Now returns the current layout.
 func (d *Directory) Now() *layout.Layout {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.layouts[len(d.layouts)-1]
 }
 
-// Step judges a step with the next epoch and, where it is sound, has it in force.
+// Step validates a step under the next epoch and applies it. It returns the new layout, or an error
+// if the step is invalid. The step's History and Epoch are overwritten.
 func (d *Directory) Step(s layout.Step) (*layout.Layout, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -59,79 +61,81 @@
 	return l, nil
 }
 
-// seen is how many layouts an agent that lags has heard of, what changes that, and when the next one comes.
-func (d *Directory) seen(lag time.Duration) (int, <-chan struct{}, time.Duration) {
+// visible returns how many layouts an agent with the given lag knows, a channel that is closed with the
+// next step, and how long to wait before the next layout or keepalive is due.
+func (d *Directory) visible(lag time.Duration) (int, <-chan struct{}, time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	n := len(d.layouts)
 	for n > 1 && time.Since(d.at[n-1]) < lag {
 		n--
 	}
-	wait := 2 * time.Second // then a sign of life
+	wait := 2 * time.Second // keepalive interval
 	if n < len(d.layouts) {
 		wait = lag - time.Since(d.at[n])
 	}
 	return n, d.changed, max(wait, time.Millisecond)
 }
 
-// Ill is how an agent treats those who ask it.
+// Ill is a fault of an Agent.
 type Ill string
 
 // The faults of agents.
 const (
 	Well    Ill = ""
-	Down    Ill = "down"    // resets whoever asks
-	Mute    Ill = "mute"    // accepts and says nothing
-	Garbles Ill = "garbles" // lines that are no steps
-	Backs   Ill = "backs"   // an older epoch than it told
-	Other   Ill = "other"   // another history
-	Skips   Ill = "skips"   // leaves one step out, then is well
-	Trickle Ill = "trickle" // writes byte by byte
+	Down    Ill = "down"    // resets every connection
+	Mute    Ill = "mute"    // accepts requests and never responds
+	Garbles Ill = "garbles" // sends malformed steps
+	Backs   Ill = "backs"   // serves an older epoch than before
+	Other   Ill = "other"   // serves a layout of another history
+	Skips   Ill = "skips"   // omits one step, then recovers
+	Trickle Ill = "trickle" // flushes after each byte
 )
 
-// Agent is one address at which the directory tells; each gatherer has its own.
+// Agent is an HTTP endpoint that publishes the layouts of a Directory; each broker has its own.
 type Agent struct {
 	d       *Directory
 	http    *http.Server
 	address string
 
-	mu      sync.Mutex
-	lag     time.Duration
-	ill     Ill
-	hit     chan struct{} // closed, and replaced, when the fault changes
-	watches int           // open now
-	wholes  int           // whole layouts told
-	resumed int           // watches that began behind the first epoch
+	mu           sync.Mutex
+	lag          time.Duration
+	fault        Ill
+	faultChanged chan struct{} // closed and replaced when the fault changes
+	watches      int           // open watches
+	fullLayouts  int           // full layouts served
+	resumed      int           // watches that started after the first epoch
 }
 
-// Agent begins one, at an address or, where that is empty, anywhere on loopback.
+// Agent starts an agent at address, or on a free loopback port if address is empty. The caller must
+// Close it.
 func (d *Directory) Agent(address string) (*Agent, error) {
 	l, err := net.Listen("tcp", cmp.Or(address, "127.0.0.1:0"))
 	if err != nil {
-		return nil, fmt.Errorf("stand-in directory: %w", err)
+		return nil, fmt.Errorf("fakebackend: start layout agent: %w", err)
 	}
-	a := &Agent{d: d, address: l.Addr().String(), hit: make(chan struct{})}
+	a := &Agent{d: d, address: l.Addr().String(), faultChanged: make(chan struct{})}
 	a.http = &http.Server{Handler: a, ReadHeaderTimeout: 5 * time.Second, ErrorLog: log.New(io.Discard, "", 0)}
 	go a.http.Serve(l)
 	return a, nil
 }
 
-// Address is where it listens.
+// Address returns the host:port that the agent listens on.
 func (a *Agent) Address() string { return a.address }
 
-// Close ends it.
+// Close stops the agent and closes its connections.
 func (a *Agent) Close() { a.http.Close() }
 
-// Set gives it a fault, and how much later it hears of steps than others.
-func (a *Agent) Set(ill Ill, lag time.Duration) {
+// Set sets the agent's fault, and the lag after which it publishes a step.
+func (a *Agent) Set(fault Ill, lag time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.ill, a.lag = ill, lag
-	close(a.hit)
-	a.hit = make(chan struct{})
+	a.fault, a.lag = fault, lag
+	close(a.faultChanged)
+	a.faultChanged = make(chan struct{})
 }
 
-// Watches is how many watches are open.
+// Watches returns the number of open watches.
 func (a *Agent) Watches() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -146,11 +150,12 @@
 	}
 }
 
-// Asked is how many whole layouts were asked for, and how many watches went on from a later epoch than the first.
+// Asked returns how many full layouts the agent has served, and how many watches resumed from an
+// epoch after the first.
 func (a *Agent) Asked() (wholes, resumed int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.wholes, a.resumed
+	return a.fullLayouts, a.resumed
 }
 
 func (a *Agent) watching(n int) {
@@ -159,47 +164,47 @@
 	a.watches += n
 }
 
-func (a *Agent) how() (Ill, time.Duration, <-chan struct{}) {
+func (a *Agent) currentFault() (Ill, time.Duration, <-chan struct{}) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.ill, a.lag, a.hit
+	return a.fault, a.lag, a.faultChanged
 }
 
-// ServeHTTP answers a call for the whole layout, a watch, or an operator's step.
+// ServeHTTP serves the full layout, a watch (GET with watch=1), or an operator's step (POST).
 func (a *Agent) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	ill, lag, hit := a.how()
+	fault, lag, faultChanged := a.currentFault()
 	switch {
-	case ill == Down:
-		cut(w)
-	case ill == Mute:
+	case fault == Down:
+		resetConnection(w)
+	case fault == Mute:
 		select {
 		case <-r.Context().Done():
-		case <-hit:
-			cut(w)
+		case <-faultChanged:
+			resetConnection(w)
 		}
 	case r.Method == http.MethodPost:
 		a.step(w, r)
 	case r.URL.Query().Get("watch") == "1":
-		a.watch(w, r, hit)
+		a.watch(w, r, faultChanged)
 	default:
-		n, _, _ := a.d.seen(lag)
-		if ill == Backs {
+		n, _, _ := a.d.visible(lag)
+		if fault == Backs {
 			n = 1
 		}
 		a.mu.Lock()
-		a.wholes++
+		a.fullLayouts++
 		a.mu.Unlock()
 		doc := a.d.layout(n - 1).Doc()
-		if ill == Other {
+		if fault == Other {
 			doc.History = "another"
 		}
-		text, _ := json.Marshal(doc) // a document always has a form
-		if ill == Trickle {
+		text, _ := json.Marshal(doc) // a layout document can always be encoded
+		if fault == Trickle {
 			w.Header().Set("Content-Length", strconv.Itoa(len(text)))
 			trickle(w, text)
 			return
 		}
-		answer(w, http.StatusOK, string(text))
+		respond(w, http.StatusOK, string(text))
 	}
 }
 
@@ -216,26 +221,27 @@
 		s, err = layout.ParseStep(text)
 	}
 	if err == nil {
-		err = a.d.do(s)
+		err = a.d.applyStep(s)
 	}
 	if err != nil {
-		answer(w, http.StatusConflict, err.Error()+"\n")
+		respond(w, http.StatusConflict, err.Error()+"\n")
 		return
 	}
-	answer(w, http.StatusOK, fmt.Sprintf("epoch %d\n", a.d.Now().Epoch()))
+	respond(w, http.StatusOK, fmt.Sprintf("epoch %d\n", a.d.Now().Epoch()))
 }
 
-// watch tells steps as they come.
-func (a *Agent) watch(w http.ResponseWriter, r *http.Request, hit <-chan struct{}) {
+// watch streams steps from the requested epoch on, one JSON line each, until the client disconnects
+// or a fault ends the watch. It sends an empty line as a keepalive.
+func (a *Agent) watch(w http.ResponseWriter, r *http.Request, faultChanged <-chan struct{}) {
 	from, err := strconv.ParseInt(r.URL.Query().Get("from"), 10, 64)
 	first := a.d.layout(0)
-	ill, lag, _ := a.how()
-	n, _, _ := a.d.seen(lag)
-	if ill == Backs {
+	fault, lag, _ := a.currentFault()
+	n, _, _ := a.d.visible(lag)
+	if fault == Backs {
 		n = 1
 	}
-	if ill == Other || err != nil || r.URL.Query().Get("history") != first.History() || from < first.Epoch() || from > first.Epoch()+int64(n)-1 {
-		answer(w, http.StatusGone, "begin with the whole layout\n")
+	if fault == Other || err != nil || r.URL.Query().Get("history") != first.History() || from < first.Epoch() || from > first.Epoch()+int64(n)-1 {
+		respond(w, http.StatusGone, "watch cannot resume from this history and epoch: fetch the full layout\n")
 		return
 	}
 	out := http.NewResponseController(w)
@@ -245,19 +251,19 @@
 	defer a.watching(-1)
 	a.resume(from)
 	for next := int(from - first.Epoch()); ; {
-		ill, lag, _ := a.how()
-		n, changed, wait := a.d.seen(lag)
+		fault, lag, _ := a.currentFault()
+		n, changed, wait := a.d.visible(lag)
 		for ; next < n-1; next++ {
 			a.d.mu.Lock()
-			text, _ := json.Marshal(a.d.steps[next]) // a step always has a form
+			text, _ := json.Marshal(a.d.steps[next]) // a step can always be encoded
 			a.d.mu.Unlock()
-			switch ill {
+			switch fault {
 			case Garbles:
 				text = []byte(`{"epoch":"next"`)
 			case Skips:
 				a.Set(Well, lag)
-				ill = Well
-				continue // the watch goes on as if nothing were missing
+				fault = Well
+				continue // the watch continues with the following step
 			case Trickle:
 				trickle(w, append(text, '\n'))
 				continue
@@ -272,13 +278,13 @@
 		case <-t.C:
 			fmt.Fprintln(w)
 		case <-changed:
-		case <-hit:
-			if ill, _, h := a.how(); ill == Down || ill == Mute || ill == Backs || ill == Other {
+		case <-faultChanged:
+			if fault, _, h := a.currentFault(); fault == Down || fault == Mute || fault == Backs || fault == Other {
 				t.Stop()
-				cut(w)
+				resetConnection(w)
 				return
 			} else {
-				hit = h
+				faultChanged = h
 			}
 		case <-r.Context().Done():
 			t.Stop()
--- a/internal/testing/fakebackend/doc.go
+++ b/internal/testing/fakebackend/doc.go
@@ -1,6 +1,7 @@
-// Package fakebackend is what the gatherer speaks to where there is no real cluster: search servers that hold ranges of rows, a
-// layout directory, and a cluster that splits, merges and moves what they hold while queries run. Everything listens on
-// loopback. A Ledger of its own counts what must never happen: a part run twice that may run once, or run where it is not held.
+// Package fakebackend implements a fake search cluster for tests and demonstrations of the broker:
+// search servers that hold ranges of rows, a layout directory, and a cluster that splits, merges and
+// moves ranges while queries run. Everything listens on loopback. A Ledger counts violations: a part
+// of an at-most-once query that ran twice, or a part that ran on a server that does not hold it.
 //
-// It is a stand-in for tests and for trying the program out: it owns no rule of the gatherer and must never be asked by it.
+// The package implements none of the broker's rules, and the broker must not import it.
 package fakebackend
--- a/internal/testing/fakebackend/ledger.go
+++ b/internal/testing/fakebackend/ledger.go
@@ -5,30 +5,33 @@
 	"sync"
 )
 
-// Ledger writes down every part that runs, apart from what the gatherer believes.
+// Ledger records every part that runs, independently of the broker's own accounting. It is safe for
+// concurrent use.
 type Ledger struct {
-	mu     sync.Mutex
-	ran    map[string][]layout.Span // by query: what ran of it, of indices that may run once
-	runs   int
-	twice  int
-	astray int
-	alone  int // runs that may happen once only, of queries that nobody named: nothing can be told of them
+	mu        sync.Mutex
+	ran       map[string][]layout.Span // spans that ran of each at-most-once query, by X-Opaque-Id
+	runs      int
+	twice     int
+	notHeld   int
+	withoutID int // at-most-once runs without an X-Opaque-Id: duplicates among them cannot be detected
 }
 
-// note writes a run down. held says whether the cluster's own truth has the server hold the span. Two runs are of one query where both
-// bear its name; guards against taking all queries without a name for the same one.
-func (l *Ledger) note(query string, once bool, span layout.Span, held bool) {
+// record records a run of span. once says that the index allows each part to run at most once; held
+// says whether, by the cluster's ground truth, the server holds the span. Two runs belong to the same
+// query if they have the same X-Opaque-Id; runs without one are never counted as duplicates of each
+// other.
+func (l *Ledger) record(query string, once bool, span layout.Span, held bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.runs++
 	if !held {
-		l.astray++
+		l.notHeld++
 	}
 	if !once {
 		return
 	}
 	if query == "" {
-		l.alone++
+		l.withoutID++
 		return
 	}
 	if l.ran == nil {
@@ -42,22 +45,23 @@
 	l.ran[query] = append(l.ran[query], span)
 }
 
-// Counts are the parts that ran, those that ran twice and must not, and those that ran where they were not held.
+// Counts returns the number of parts that ran, of parts of at-most-once queries that ran again, and
+// of parts that ran on a server that did not hold them.
 func (l *Ledger) Counts() (runs, twice, astray int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.runs, l.twice, l.astray
+	return l.runs, l.twice, l.notHeld
 }
 
-// Unjudged is how many parts ran that must not run twice and whose queries bore no name (X-Opaque-Id): whether one of them is the
-// second run of another can't be told.
+// Unjudged returns the number of at-most-once parts that ran without an X-Opaque-Id. Duplicates among
+// them cannot be detected.
 func (l *Ledger) Unjudged() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.alone
+	return l.withoutID
 }
 
-// Ran tells whether any part of a query of an index that may run once has run.
+// Ran reports whether any part of the at-most-once query with this X-Opaque-Id has run.
 func (l *Ledger) Ran(query string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/testing/fakebackend/ledger_test.go
+++ b/internal/testing/fakebackend/ledger_test.go
@@ -5,8 +5,9 @@
 	"testing"
 )
 
-// Queries are told apart by their names. Those without one are not one and the same query: nothing can be said of them.
-func TestLedgerJudgesByName(t *testing.T) {
+// Runs with the same X-Opaque-Id belong to one query. Runs without one must not be counted as
+// duplicates of each other, only as unjudged.
+func TestLedger_DuplicatesByOpaqueID(t *testing.T) {
 	span, beside := layout.Span{From: 0, To: 10}, layout.Span{From: 10, To: 20}
 	for _, c := range []struct {
 		what            string
@@ -14,14 +15,14 @@
 		spans           []layout.Span
 		twice, unjudged int
 	}{
-		{"six clients without a name", []string{"", "", "", "", "", ""}, []layout.Span{span, span, span, span, span, span}, 0, 6},
+		{"six queries without an id", []string{"", "", "", "", "", ""}, []layout.Span{span, span, span, span, span, span}, 0, 6},
 		{"one query, two parts", []string{"a", "a"}, []layout.Span{span, beside}, 0, 0},
 		{"one query, a part twice", []string{"a", "a"}, []layout.Span{span, span}, 1, 0},
 		{"two queries", []string{"a", "b"}, []layout.Span{span, span}, 0, 0},
 	} {
 		l := &Ledger{}
 		for i, q := range c.queries {
-			l.note(q, true, c.spans[i], true)
+			l.record(q, true, c.spans[i], true)
 		}
 		if runs, twice, _ := l.Counts(); runs != len(c.queries) || twice != c.twice || l.Unjudged() != c.unjudged {
 			t.Errorf("%s: runs %d, twice %d, unjudged %d", c.what, runs, twice, l.Unjudged())
--- a/internal/testing/fakebackend/query.go
+++ b/internal/testing/fakebackend/query.go
@@ -9,17 +9,18 @@
 	"github.com/valyala/fastjson"
 )
 
-// Row is one document, by the key that ranges are of.
+// Row is one document. Layout ranges partition rows by Key.
 type Row struct {
 	Key    int64
 	ID     string
-	Score  float64        // whatever is asked for
+	Score  float64        // the same for every query
 	Fields map[string]any // int64, float64 or string
-	From   int64          // when it was written, in Unix microseconds; 0: long ago
-	Until  int64          // when it was taken away; 0: it stands
+	From   int64          // when it was written, in Unix microseconds; 0: it always existed
+	Until  int64          // when it was deleted, in Unix microseconds; 0: not deleted
 }
 
-// matches tells whether a row's key answers to a query, as far as stand-ins speak it; other leaves match all.
+// matches reports whether a row with this key matches the query. It supports range, term, terms and
+// bool; any other clause matches all rows.
 func matches(q *fastjson.Value, field string, key int64) bool {
 	if q == nil {
 		return true
@@ -91,7 +92,7 @@
 	return n
 }
 
-// SortRows puts rows in the order of their keys, as a cluster wants them.
+// SortRows sorts rows by key, as NewCluster requires.
 func SortRows(rows []Row) {
 	slices.SortStableFunc(rows, func(a, b Row) int { return cmp.Compare(a.Key, b.Key) })
 }
--- a/internal/testing/fakebackend/server.go
+++ b/internal/testing/fakebackend/server.go
@@ -21,43 +21,43 @@
 	sq "saffronquay"
 )
 
-// Fault is how a server treats searches, until it is told otherwise.
+// Fault is how a server treats searches until Set changes it.
 type Fault string
 
-// The faults. The three cuts end the connection without an answer.
+// The faults of servers. The three cuts reset the connection without a response.
 const (
 	None      Fault = ""
-	CutUnread Fault = "cut-unread" // before the search is read
-	CutHalf   Fault = "cut-half"   // with half of its body read
-	CutRan    Fault = "cut-ran"    // after it ran
-	Silent    Fault = "silent"     // says nothing, runs nothing, until the caller goes
-	Holds     Fault = "holds"      // waits for another fault, and goes on with that one
-	Refuses   Fault = "refuses"    // turned away, as with a full queue
-	Zombie    Fault = "zombie"     // goes on answering for what it has lost
-	Mislabels Fault = "mislabels"  // answers under another span than was asked for
-	Lags      Fault = "lags"       // denies what it holds, by an old epoch
+	CutUnread Fault = "cut-unread" // before the request is read
+	CutHalf   Fault = "cut-half"   // with half of the body read
+	CutRan    Fault = "cut-ran"    // after the search ran
+	Silent    Fault = "silent"     // runs nothing and does not respond until the client disconnects
+	Holds     Fault = "holds"      // blocks until the fault changes, then behaves by the new one
+	Refuses   Fault = "refuses"    // rejects with 429, as with a full queue
+	Zombie    Fault = "zombie"     // keeps serving shards after it was fenced
+	Mislabels Fault = "mislabels"  // responds with another span than requested
+	Lags      Fault = "lags"       // rejects shards that it holds, with an older epoch
 )
 
-// ServerConfig is what a server is made of.
+// ServerConfig configures a Server.
 type ServerConfig struct {
 	ID      sq.ServerID
-	Address string          // host:port to listen at; empty: any of loopback's
-	Field   string          // the key's name in queries
-	Once    map[string]bool // indices whose parts may run once
-	Cores   int             // parts in work at a time
-	Queue   int             // parts that wait; beyond that they are turned away
-	Work    time.Duration   // of a part
-	Each    time.Duration   // and of each row that it gives
+	Address string          // host:port to listen on; empty: a free loopback port
+	Field   string          // the name of the key in queries
+	Once    map[string]bool // indices whose parts may run at most once
+	Cores   int             // parts that run concurrently
+	Queue   int             // parts that wait for a core; more are rejected
+	Work    time.Duration   // service time of a part
+	Each    time.Duration   // additional service time per row of the shard
 }
 
-// partialType is the media type of the binary form.
+// partialType is the media type of the binary encoding of partial answers.
 const partialType = "application/x-saffronquay-partial"
 
-// asOfField has the time whose state is asked for, in Unix microseconds.
+// asOfField is the header with the time of the requested snapshot, in Unix microseconds.
 const asOfField = "X-As-Of"
 
-// standing are the rows that stood at a time; 0: now.
-func standing(rows []Row, asOf int64) (out []Row) {
+// rowsAsOf returns the rows that exist at the time asOf, in Unix microseconds; 0: now.
+func rowsAsOf(rows []Row, asOf int64) (out []Row) {
 	for _, r := range rows {
 		if asOf == 0 && r.Until == 0 || asOf > 0 && r.From <= asOf && (r.Until == 0 || r.Until > asOf) {
 			out = append(out, r)
@@ -66,87 +66,88 @@
 	return out
 }
 
-// Forget has it hold no state from before a time.
+// Forget makes the server reject snapshots older than before, in Unix microseconds.
 func (s *Server) Forget(before int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.oldest = before
+	s.keptSince = before
 }
 
-// Miss has it lack all writes from a time on; 0: none.
+// Miss makes the server miss all writes from a time on, in Unix microseconds; 0: none.
 func (s *Server) Miss(from int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.behind = from
+	s.missingFrom = from
 }
 
-func (s *Server) lacks(asOf int64) bool {
+func (s *Server) lacksWritesAt(asOf int64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.behind > 0 && asOf >= s.behind
+	return s.missingFrom > 0 && asOf >= s.missingFrom
 }
 
-func (s *Server) since() int64 {
+func (s *Server) oldestSnapshot() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.oldest
+	return s.keptSince
 }
 
-// write replaces the rows of what it holds.
+// write replaces the rows of all shards, unless the server misses writes.
 func (s *Server) write(all []Row) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, h := range s.holds {
-		if s.behind == 0 {
-			h.rows = between(all, h.span)
+	for _, h := range s.copies {
+		if s.missingFrom == 0 {
+			h.rows = rowsInSpan(all, h.span)
 		}
 	}
 }
 
-// hold is what a server has of one shard.
-type hold struct {
+// shardCopy is a server's copy of one shard.
+type shardCopy struct {
 	span   layout.Span
 	rows   []Row
-	active bool // answers; else it is a copy that is not yet, or no longer, in force
+	active bool // serves searches; false: not yet activated, or fenced
 }
 
-// Server is a stand-in search server. It speaks the search API, and the place fields of package layout.
+// Server is a fake search server. It implements the search API with the place headers of package
+// layout. Its methods are safe for concurrent use.
 type Server struct {
 	cfg    ServerConfig
 	ledger *Ledger
-	truth  func(sq.ServerID, layout.Place) bool
+	mayRun func(sq.ServerID, layout.Place) bool
 	cores  chan struct{}
 
-	mu      sync.Mutex
-	address string
-	http    *http.Server
-	holds   map[int]*hold
-	epoch   int64
-	fault   Fault
-	other   chan struct{} // closed, and replaced, with each fault
-	held    chan struct{} // gets one for each search that begins to wait
-	waiting int
-	oldest  int64         // the state from before is gone
-	behind  int64         // it has no writes from then on; 0: it has all
-	busy    time.Duration // worked, in all
-	parts   int           // run, in all
+	mu           sync.Mutex
+	address      string
+	http         *http.Server
+	copies       map[int]*shardCopy
+	epoch        int64
+	fault        Fault
+	faultChanged chan struct{} // closed and replaced when the fault changes
+	blocked      chan struct{} // receives one value for each search that Holds blocks
+	waiting      int           // parts that run or wait for a core
+	keptSince    int64         // snapshots before this time are rejected
+	missingFrom  int64         // writes from this time on are missing; 0: none
+	busy         time.Duration // total service time of all parts
+	parts        int           // total number of parts run
 }
 
-func newServer(cfg ServerConfig, ledger *Ledger, truth func(sq.ServerID, layout.Place) bool) (*Server, error) {
+func newServer(cfg ServerConfig, ledger *Ledger, mayRun func(sq.ServerID, layout.Place) bool) (*Server, error) {
 	s := &Server{
-		cfg: cfg, ledger: ledger, truth: truth, cores: make(chan struct{}, cfg.Cores), holds: map[int]*hold{},
-		address: cmp.Or(cfg.Address, "127.0.0.1:0"), other: make(chan struct{}), held: make(chan struct{}, 1024),
+		cfg: cfg, ledger: ledger, mayRun: mayRun, cores: make(chan struct{}, cfg.Cores), copies: map[int]*shardCopy{},
+		address: cmp.Or(cfg.Address, "127.0.0.1:0"), faultChanged: make(chan struct{}), blocked: make(chan struct{}, 1024),
 	}
 	return s, s.Start()
 }
 
-// Start listens, at the same address as before where there was one.
+// Start starts serving, after a Kill at the same address as before.
 func (s *Server) Start() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	l, err := net.Listen("tcp", s.address)
 	if err != nil {
-		return fmt.Errorf("stand-in %s: %w", s.cfg.ID, err)
+		return fmt.Errorf("fakebackend: start server %s: %w", s.cfg.ID, err)
 	}
 	s.address = l.Addr().String()
 	s.http = &http.Server{Handler: s, ReadHeaderTimeout: 5 * time.Second, ErrorLog: log.New(io.Discard, "", 0)}
@@ -154,7 +155,8 @@
 	return nil
 }
 
-// Kill ends it as a process that dies: connections are reset. What it holds is there when it starts again.
+// Kill closes the listener and all connections, as a crash would. The shards are kept for the next
+// Start.
 func (s *Server) Kill() {
 	s.mu.Lock()
 	h := s.http
@@ -162,97 +164,99 @@
 	h.Close()
 }
 
-// Address is where it listens.
+// Address returns the host:port that the server listens on.
 func (s *Server) Address() string { return s.address }
 
-// Set gives it a fault.
+// Set sets the server's fault.
 func (s *Server) Set(f Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.fault = f
-	close(s.other)
-	s.other = make(chan struct{})
+	close(s.faultChanged)
+	s.faultChanged = make(chan struct{})
 }
 
-// Held gets one for each search that a server which Holds has begun to hold.
-func (s *Server) Held() <-chan struct{} { return s.held }
+// Held returns a channel that receives one value for each search that the fault Holds blocks.
+func (s *Server) Held() <-chan struct{} { return s.blocked }
 
-// doing is the fault that a search meets, once nothing holds it back.
-func (s *Server) doing(gone <-chan struct{}) Fault {
+// awaitFault blocks while the fault is Holds and returns the first other fault, or Silent if the client
+// disconnects first.
+func (s *Server) awaitFault(clientGone <-chan struct{}) Fault {
 	for waits := false; ; waits = true {
 		s.mu.Lock()
-		f, other := s.fault, s.other
+		f, changed := s.fault, s.faultChanged
 		s.mu.Unlock()
 		if f != Holds {
 			return f
 		}
 		if !waits {
-			s.held <- struct{}{}
+			s.blocked <- struct{}{}
 		}
 		select {
-		case <-other:
-		case <-gone:
+		case <-changed:
+		case <-clientGone:
 			return Silent
 		}
 	}
 }
 
-// Worked is how many parts it has run, and for how long.
+// Worked returns the number of parts that the server has run, and their total service time.
 func (s *Server) Worked() (parts int, busy time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.parts, s.busy
 }
 
-// store has it keep rows of a span, without answering for them yet; what it keeps already stays as it is.
+// store adds an inactive copy of a shard. A copy that exists already is left unchanged.
 func (s *Server) store(shard int, span layout.Span, rows []Row) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.holds[shard] == nil {
-		s.holds[shard] = &hold{span: span, rows: rows}
+	if s.copies[shard] == nil {
+		s.copies[shard] = &shardCopy{span: span, rows: rows}
 	}
 }
 
-// fence changes whether it answers for a shard from an epoch on; nothing of the shard begins to run after a fence.
+// fence activates or deactivates a shard as of an epoch. Once it has deactivated a shard, no part of
+// that shard starts to run.
 func (s *Server) fence(shard int, active bool, epoch int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.epoch = max(s.epoch, epoch)
-	if h := s.holds[shard]; h != nil {
+	if h := s.copies[shard]; h != nil {
 		h.active = active
 	}
 }
 
-// drop has it forget a shard.
+// drop deletes the copy of a shard.
 func (s *Server) drop(shard int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.fault != Holds && s.fault != Zombie { // it may be to answer for what it has lost
-		delete(s.holds, shard)
+	if s.fault != Holds && s.fault != Zombie { // a zombie still needs the rows, and Holds may become Zombie
+		delete(s.copies, shard)
 	}
 }
 
-// ServeHTTP answers one search.
+// ServeHTTP serves one search request.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	fault := s.doing(r.Context().Done())
+	fault := s.awaitFault(r.Context().Done())
 	switch fault {
 	case CutUnread:
-		cut(w)
+		resetConnection(w)
 		return
 	case CutHalf:
 		io.ReadFull(r.Body, make([]byte, max(1, r.ContentLength/2)))
-		cut(w)
+		resetConnection(w)
 		return
 	}
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, 1<<20))
 	index, ok := strings.CutSuffix(strings.Trim(r.URL.Path, "/"), "/_search")
 	if err != nil || !ok {
-		answer(w, http.StatusBadRequest, `{"error":{"type":"illegal_argument_exception","reason":"want a search"},"status":400}`)
+		respond(w, http.StatusBadRequest, `{"error":{"type":"illegal_argument_exception","reason":"want /INDEX/_search with a body of at most 1 MiB"},"status":400}`)
 		return
 	}
 	place, err := layout.ParsePlace(r.Header.Get(layout.PlaceField))
 	if err != nil {
-		answer(w, http.StatusBadRequest, `{"error":{"type":"illegal_argument_exception","reason":"want a place"},"status":400}`)
+		respond(w, http.StatusBadRequest, `{"error":{"type":"illegal_argument_exception","reason":"place header is missing or malformed"},"status":400}`)
 		return
 	}
 	switch fault {
@@ -260,21 +264,21 @@
 		<-r.Context().Done()
 		return
 	case Refuses:
-		turnAway(w)
+		rejectQueueFull(w)
 		return
 	case Lags:
-		s.deny(w, place.Epoch-1)
+		s.rejectNotHeld(w, place.Epoch-1)
 		return
 	}
 	asOf, _ := strconv.ParseInt(r.Header.Get(asOfField), 10, 64)
 	rows, epoch, ran := s.run(r, index, place, fault == Zombie)
 	switch {
-	case ran == full:
-		turnAway(w)
-	case ran == gone:
-		s.deny(w, epoch)
+	case ran == queueFull:
+		rejectQueueFull(w)
+	case ran == placeNotHeld:
+		s.rejectNotHeld(w, epoch)
 	case fault == CutRan:
-		cut(w)
+		resetConnection(w)
 	default:
 		asked := place.Span
 		place.Epoch = epoch
@@ -284,42 +288,44 @@
 		w.Header().Set(layout.PlaceField, place.String())
 		if asOf > 0 {
 			w.Header().Set(asOfField, r.Header.Get(asOfField))
-			if s.lacks(asOf) { // it can't tell what stood then, yet
-				turnAway(w)
+			if s.lacksWritesAt(asOf) { // writes up to asOf have not arrived, so the snapshot is incomplete
+				rejectQueueFull(w)
 				return
 			}
-			if asOf < s.since() {
-				answer(w, http.StatusGone, `{"error":{"type":"state_gone_exception","reason":"too long ago"},"status":410}`)
+			if asOf < s.oldestSnapshot() {
+				respond(w, http.StatusGone, `{"error":{"type":"state_gone_exception","reason":"snapshot is older than the retained history"},"status":410}`)
 				return
 			}
 		}
-		rows = standing(rows, asOf)
+		rows = rowsAsOf(rows, asOf)
 		if strings.HasPrefix(r.Header.Get("Accept"), partialType) {
 			w.Header().Set("Content-Type", partialType)
-			answer(w, http.StatusOK, string(Binary(s.cfg.Field, body, rows, asked)))
+			respond(w, http.StatusOK, string(Binary(s.cfg.Field, body, rows, asked)))
 			return
 		}
-		answer(w, http.StatusOK, Search(s.cfg.Field, body, rows, asked))
+		respond(w, http.StatusOK, Search(s.cfg.Field, body, rows, asked))
 	}
 }
 
-type verdict int
+type runResult int
 
 const (
-	done verdict = iota
-	full
-	gone
+	partDone runResult = iota
+	queueFull
+	placeNotHeld
 )
 
-// run waits for a core and works. Whether it still holds the place is judged when it begins.
-func (s *Server) run(r *http.Request, index string, place layout.Place, zombie bool) ([]Row, int64, verdict) {
-	if epoch, ok := s.holding(place, zombie); !ok {
-		return nil, epoch, gone
+// run waits for a core, then runs the part for its service time and records it in the ledger. It
+// checks whether the server holds the place again once it has a core: the shard may have been fenced
+// meanwhile.
+func (s *Server) run(r *http.Request, index string, place layout.Place, zombie bool) ([]Row, int64, runResult) {
+	if epoch, ok := s.holdsPlace(place, zombie); !ok {
+		return nil, epoch, placeNotHeld
 	}
 	s.mu.Lock()
 	if s.waiting >= s.cfg.Cores+s.cfg.Queue {
 		s.mu.Unlock()
-		return nil, 0, full
+		return nil, 0, queueFull
 	}
 	s.waiting++
 	s.mu.Unlock()
@@ -327,44 +333,44 @@
 	select {
 	case s.cores <- struct{}{}:
 	case <-r.Context().Done():
-		return nil, 0, full
+		return nil, 0, queueFull
 	}
 	defer func() { <-s.cores }()
 	s.mu.Lock()
-	h := s.holds[place.Shard]
+	h := s.copies[place.Shard]
 	if epoch := s.epoch; h == nil || !h.active && !zombie || !within(place.Span, h.span) {
 		s.mu.Unlock()
-		return nil, epoch, gone
+		return nil, epoch, placeNotHeld
 	}
-	s.ledger.note(r.Header.Get("X-Opaque-Id"), s.cfg.Once[index], place.Span, s.truth(s.cfg.ID, place))
+	s.ledger.record(r.Header.Get("X-Opaque-Id"), s.cfg.Once[index], place.Span, s.mayRun(s.cfg.ID, place))
 	rows, epoch := h.rows, s.epoch
-	took := s.cfg.Work + time.Duration(len(rows))*s.cfg.Each
+	serviceTime := s.cfg.Work + time.Duration(len(rows))*s.cfg.Each
 	s.parts++
-	s.busy += took
+	s.busy += serviceTime
 	s.mu.Unlock()
-	time.Sleep(took)
-	return rows, epoch, done
+	time.Sleep(serviceTime)
+	return rows, epoch, partDone
 }
 
-func (s *Server) holding(place layout.Place, zombie bool) (int64, bool) {
+func (s *Server) holdsPlace(place layout.Place, zombie bool) (int64, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	h := s.holds[place.Shard]
+	h := s.copies[place.Shard]
 	return s.epoch, h != nil && (h.active || zombie) && within(place.Span, h.span)
 }
 
 func within(a, b layout.Span) bool { return a.From >= b.From && a.To <= b.To }
 
-func (s *Server) deny(w http.ResponseWriter, epoch int64) {
+func (s *Server) rejectNotHeld(w http.ResponseWriter, epoch int64) {
 	w.Header().Set(layout.EpochField, strconv.FormatInt(epoch, 10))
-	answer(w, http.StatusMisdirectedRequest, `{"error":{"type":"shard_not_held_exception","reason":"not held here"},"status":421}`)
+	respond(w, http.StatusMisdirectedRequest, `{"error":{"type":"shard_not_held_exception","reason":"shard is not held by this server"},"status":421}`)
 }
 
-func turnAway(w http.ResponseWriter) {
-	answer(w, http.StatusTooManyRequests, `{"error":{"type":"rejected_execution_exception","reason":"queue is full"},"status":429}`)
+func rejectQueueFull(w http.ResponseWriter) {
+	respond(w, http.StatusTooManyRequests, `{"error":{"type":"rejected_execution_exception","reason":"queue is full"},"status":429}`)
 }
 
-func answer(w http.ResponseWriter, status int, body string) {
+func respond(w http.ResponseWriter, status int, body string) {
 	if w.Header().Get("Content-Type") == "" {
 		w.Header().Set("Content-Type", "application/json")
 	}
@@ -373,7 +379,8 @@
 	io.WriteString(w, body)
 }
 
-// Search is what a server that holds rows, in order of the key, answers to a search kept to exactly a span.
+// Search runs a search over the rows of a span and returns the response as JSON. Rows must be sorted
+// by key. Aggregations are returned in their mergeable form.
 func Search(field string, body []byte, rows []Row, span layout.Span) string {
 	v, err := fastjson.ParseBytes(body)
 	if err != nil {
@@ -410,7 +417,7 @@
 		hits[i] = hit{"i", r.ID, r.Score, source, sorted[i]}
 	}
 	text, err := json.Marshal(hits)
-	if err != nil { // rows hold nothing that has no form
+	if err != nil { // unreachable: rows have only values that can be encoded
 		return ""
 	}
 	aggs := ""
@@ -422,11 +429,12 @@
 		aggs = `,"aggregations":` + string(text)
 	}
 	return fmt.Sprintf(`{"took":1,"timed_out":false,"_shards":{"total":1,"successful":1,"skipped":0,"failed":0},"hits":{%s"max_score":null,"hits":%s}%s}`,
-		counted(v.Get("track_total_hits"), len(found)), text, aggs)
+		totalHits(v.Get("track_total_hits"), len(found)), text, aggs)
 }
 
-// counted is the count of hits, as far as it was asked for.
-func counted(limit *fastjson.Value, found int) string {
+// totalHits returns the "total" member of the response with the number of hits, capped as
+// track_total_hits requests; empty if it is false.
+func totalHits(limit *fastjson.Value, found int) string {
 	relation := "eq"
 	switch {
 	case limit != nil && limit.Type() == fastjson.TypeFalse:
@@ -437,8 +445,8 @@
 	return fmt.Sprintf(`"total":{"value":%d,"relation":%q},`, found, relation)
 }
 
-// cut resets the connection.
-func cut(w http.ResponseWriter) {
+// resetConnection resets the client's connection.
+func resetConnection(w http.ResponseWriter) {
 	conn, _, err := http.NewResponseController(w).Hijack()
 	if err != nil {
 		return
@@ -449,5 +457,5 @@
 	conn.Close()
 }
 
-// ID is its id.
+// ID returns the server's id.
 func (s *Server) ID() sq.ServerID { return s.cfg.ID }
--- a/internal/testing/fakebackend/sort.go
+++ b/internal/testing/fakebackend/sort.go
@@ -9,7 +9,7 @@
 	"github.com/valyala/fastjson"
 )
 
-// order is a sort clause, as far as stand-ins speak it: objects of one field with order and missing.
+// order is a parsed sort clause. It supports objects of one field with the options order and missing.
 type order []struct {
 	field       string
 	desc, first bool
@@ -27,7 +27,8 @@
 	return o
 }
 
-// Field is a row's value of a field: an int64, a float64, a string, or nil where it has none.
+// Field returns the row's value of the named field as int64, float64 or string, or nil if it has
+// none. key is the name under which the row's Key is queried.
 func (r Row) Field(name, key string) any {
 	switch name {
 	case "_id":
@@ -40,7 +41,7 @@
 	return r.Fields[name]
 }
 
-// values are a row's sort values.
+// values returns a row's sort values.
 func (o order) values(r Row, key string) []any {
 	out := make([]any, len(o))
 	for i, k := range o {
@@ -92,7 +93,8 @@
 	return f
 }
 
-// page sorts rows and gives those behind search_after, with their sort values.
+// page sorts rows and returns the first size of them after the search_after values, with their sort
+// values.
 func (o order) page(rows []Row, key string, after []any, size int) (out []Row, sorted [][]any) {
 	type entry struct {
 		row    Row
@@ -112,7 +114,7 @@
 	return out, sorted
 }
 
-// valuesOf reads a list of sort values.
+// valuesOf parses a list of sort values. It returns nil if one cannot be parsed.
 func valuesOf(v *fastjson.Value) (out []any) {
 	for _, x := range v.GetArray() {
 		d := json.NewDecoder(bytes.NewReader(x.MarshalTo(nil)))
--- a/internal/testing/faults/format.go
+++ b/internal/testing/faults/format.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// String returns the text that Parse reads as this set.
+// String returns the text form of the set that Parse accepts.
 func (s Set) String() string {
 	if s == nil {
 		return "*"
@@ -25,7 +25,7 @@
 	return strings.Join(parts, ",")
 }
 
-// String returns the line that Parse reads as this step.
+// String returns the script line that Parse accepts for this step.
 func (x Step) String() string {
 	text := "at " + x.At.String()
 	if x.For != 0 {
@@ -47,7 +47,7 @@
 	return text
 }
 
-// String returns the text that Parse reads as this script.
+// String returns the text form of the script that Parse accepts.
 func (s Script) String() string {
 	var b strings.Builder
 	for _, x := range s {
--- a/internal/testing/faults/links.go
+++ b/internal/testing/faults/links.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// Link is the faults in force from one member to another.
+// Link is the combination of the active faults from one member to another.
 type Link struct {
 	Cut          bool
 	Loss, Repeat float64
-	Delay        time.Duration // at least; up to twice that
+	Delay        time.Duration // minimum; the maximum is twice this
 }
 
-// Links is the faults of links that are in force. The zero value has none.
+// Links is the set of active link faults. The zero value has none.
 type Links struct{ active []Step }
 
-// Begin puts a step in force; steps that concern members, not links, have no effect.
+// Begin activates a step. Steps that affect members, not links, are ignored.
 func (l *Links) Begin(x Step) {
 	switch x.Do {
 	case Loss, Cut, Half, Delay, Repeat:
@@ -23,12 +23,13 @@
 	}
 }
 
-// Expire ends the steps that are over at a time of the script.
+// Expire ends the steps that have ended by now, which is relative to the start of the script.
 func (l *Links) Expire(now time.Duration) {
 	l.active = slices.DeleteFunc(l.active, func(x Step) bool { return x.For > 0 && x.At+x.For <= now })
 }
 
-// Between returns the faults from one member to another. It takes time in proportion to the steps in force.
+// Between returns the faults from one member to another. Its cost is linear in the number of active
+// steps.
 func (l *Links) Between(from, to int) (k Link) {
 	for _, x := range l.active {
 		either := x.A.Has(from) && x.B.Has(to) || x.A.Has(to) && x.B.Has(from)
--- a/internal/testing/faults/parse.go
+++ b/internal/testing/faults/parse.go
@@ -9,10 +9,11 @@
 	"time"
 )
 
-// maxDuration bounds the times of a script.
+// maxDuration is the maximum of every time in a script.
 const maxDuration = 24 * time.Hour
 
-// Parse reads a script for a group of this many members. Steps are sorted by time; those of the same time keep their order.
+// Parse parses a script for a group with the given number of members. It sorts the steps by start time;
+// steps with the same start time keep their order.
 func Parse(text string, members int) (Script, error) {
 	var s Script
 	n := 0
@@ -33,9 +34,9 @@
 	return s, nil
 }
 
-// parseStep reads the words of one line.
+// parseStep parses the words of one line.
 func parseStep(words []string, members int) (x Step, err error) {
-	take := func() string {
+	next := func() string {
 		if len(words) == 0 {
 			return ""
 		}
@@ -43,47 +44,48 @@
 		words = words[1:]
 		return w
 	}
-	if take() != "at" {
-		return x, fmt.Errorf("want 'at TIME'")
+	if next() != "at" {
+		return x, fmt.Errorf("step does not start with 'at TIME'")
 	}
-	if x.At, err = parseDuration(take()); err != nil {
+	if x.At, err = parseDuration(next()); err != nil {
 		return x, err
 	}
-	word := take()
+	word := next()
 	if word == "for" {
-		if x.For, err = parseDuration(take()); err != nil {
+		if x.For, err = parseDuration(next()); err != nil {
 			return x, err
 		}
-		word = take()
+		word = next()
 	}
 	x.Do = Kind(word)
 	form, ok := operands[x.Do]
 	if !ok {
-		return x, fmt.Errorf("there is no fault %q", word)
+		return x, fmt.Errorf("unknown fault %q", word)
 	}
 	if x.For != 0 && !x.Do.Lasting() {
-		return x, fmt.Errorf("%s holds for no time", x.Do)
+		return x, fmt.Errorf("fault %s is instantaneous: 'for TIME' is not allowed", x.Do)
 	}
 	if x.For == 0 && x.Do == Stop {
-		return x, fmt.Errorf("stop wants 'for TIME'")
+		return x, fmt.Errorf("fault stop requires 'for TIME'")
 	}
 	for _, c := range form {
-		if err = x.parseOperand(c, take(), members); err != nil {
+		if err = x.parseOperand(c, next(), members); err != nil {
 			return x, err
 		}
 	}
 	if len(words) > 0 {
-		return x, fmt.Errorf("%q is too much", strings.Join(words, " "))
+		return x, fmt.Errorf("unexpected %q after the last operand", strings.Join(words, " "))
 	}
 	return x, nil
 }
 
-// parseOperand sets the field of one operand, as operands names it.
+// parseOperand parses the word w as an operand of the given kind, a letter of operands, and sets the
+// step's field.
 func (x *Step) parseOperand(operand rune, w string, members int) (err error) {
 	switch operand {
 	case 'p':
 		if x.Fraction, err = strconv.ParseFloat(w, 64); err == nil && !(x.Fraction >= 0 && x.Fraction <= 1) {
-			err = fmt.Errorf("want a share of 0 to 1, not %s", w)
+			err = fmt.Errorf("want a fraction from 0 to 1, got %s", w)
 		}
 	case 'd':
 		x.Delay, err = parseDuration(w)
@@ -95,16 +97,16 @@
 	return err
 }
 
-// parseDuration reads a duration of 0 to maxDuration.
+// parseDuration parses a duration from 0 to maxDuration.
 func parseDuration(w string) (time.Duration, error) {
 	d, err := time.ParseDuration(w)
 	if err != nil || d < 0 || d > maxDuration {
-		return 0, fmt.Errorf("want a time such as 500ms, not %q", w)
+		return 0, fmt.Errorf("want a duration from 0 to 24h such as 500ms, got %q", w)
 	}
 	return d, nil
 }
 
-// parseSet reads a set of members.
+// parseSet parses a set of members.
 func parseSet(w string, members int) (Set, error) {
 	if w == "*" {
 		return nil, nil
@@ -118,7 +120,7 @@
 		a, err := strconv.Atoi(from)
 		b, err2 := strconv.Atoi(to)
 		if err != nil || err2 != nil || a < 0 || b < a || b >= members {
-			return nil, fmt.Errorf("want members of 0 to %d such as 0-3,7 or *, not %q", members-1, w)
+			return nil, fmt.Errorf("want members from 0 to %d such as 0-3,7, or *, got %q", members-1, w)
 		}
 		for i := a; i <= b; i++ {
 			s = append(s, i)
--- a/internal/testing/faults/script.go
+++ b/internal/testing/faults/script.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// Kind is what a step does; its value is the word in a script.
+// Kind is the kind of a fault; its value is the keyword in a script.
 type Kind string
 
-// The kinds: faults of links, then those of members. The package comment describes each.
+// The kinds of faults: those of links, then those of members. The package comment describes each.
 const (
 	Loss   Kind = "loss"
 	Cut    Kind = "cut"
@@ -24,13 +24,13 @@
 	Twin   Kind = "twin"
 )
 
-// operands lists what follows a kind's name: p a fraction, d a duration, a and b sets.
+// operands lists the operands of each kind: p is a fraction, d a duration, a and b are sets.
 var operands = map[Kind]string{
 	Loss: "p", Cut: "ab", Half: "ab", Delay: "dab", Repeat: "p", Kill: "a", Start: "a", Move: "a", Stop: "a",
 	Slow: "da", Leave: "a", Twin: "a",
 }
 
-// Lasting returns whether a step of this kind may be in force for a limited time.
+// Lasting reports whether a step of this kind may have a limited duration.
 func (k Kind) Lasting() bool {
 	switch k {
 	case Loss, Cut, Half, Delay, Repeat, Stop, Slow:
@@ -39,25 +39,25 @@
 	return false
 }
 
-// Set is members by index; nil: all.
+// Set is a set of member indexes; nil: all members.
 type Set []int
 
-// Has returns whether a member is in the set.
+// Has reports whether a member is in the set.
 func (s Set) Has(i int) bool { return s == nil || slices.Contains(s, i) }
 
 // Step is one line of a script.
 type Step struct {
-	At, For  time.Duration // beginning, from that of the script, and length; For 0: to the end
+	At, For  time.Duration // start, relative to that of the script, and duration; For 0: until the end
 	Do       Kind
-	A, B     Set // nil: all
+	A, B     Set // nil: all members
 	Fraction float64
 	Delay    time.Duration
 }
 
-// Script is steps in the order of their times.
+// Script is a list of steps, sorted by start time.
 type Script []Step
 
-// End returns when the last step is over. Steps that last to the end count by their beginning.
+// End returns when the last step ends. Steps that last until the end count by their start.
 func (s Script) End() (end time.Duration) {
 	for _, x := range s {
 		end = max(end, x.At+x.For)
--- a/internal/testing/harness/histories.go
+++ b/internal/testing/harness/histories.go
@@ -11,11 +11,13 @@
 	"strings"
 )
 
-// recordedHistories is the file, in the tested package, with a line "name digest" for each of its histories.
+// recordedHistories is the file in the tested package with a line "name digest" for each history.
 var recordedHistories = filepath.Join("testdata", "histories.txt")
 
-// CheckHistories compares the SHA-256 of each history, by its name, with the one in testdata/histories.txt of the package. Runs of white space
-// count as one space, since the text form of protocol buffers varies them from build to build. With SAFFRONQUAY_RECORD set the file is written.
+// CheckHistories compares the SHA-256 digest of each history, by name, with the digests recorded in
+// testdata/histories.txt of the tested package. Runs of white space count as one space, because the
+// text format of protocol buffers varies them from build to build. If SAFFRONQUAY_RECORD is set, the
+// file is written instead.
 func CheckHistories(t T, played map[string]string) {
 	t.Helper()
 	digests := map[string]string{}
@@ -39,7 +41,7 @@
 	}
 }
 
-// readHistories returns the recorded digests by name.
+// readHistories returns the recorded digests by history name.
 func readHistories(t T) map[string]string {
 	t.Helper()
 	text, err := os.ReadFile(recordedHistories)
@@ -50,14 +52,14 @@
 	for line := range strings.Lines(string(text)) {
 		words := strings.Fields(line)
 		if len(words) != 2 {
-			t.Fatalf("%s: want a name and a digest, not %q", recordedHistories, line)
+			t.Fatalf("%s: want a history name and its digest, got %q", recordedHistories, line)
 		}
 		recorded[words[0]] = words[1]
 	}
 	return recorded
 }
 
-// recordHistories writes the digests to the file, sorted by name.
+// recordHistories writes the digests to recordedHistories, sorted by name.
 func recordHistories(t T, digests map[string]string) {
 	t.Helper()
 	var text bytes.Buffer
--- a/internal/testing/harness/lifecycle.go
+++ b/internal/testing/harness/lifecycle.go
@@ -5,7 +5,8 @@
 	"syscall"
 )
 
-// Start starts members together and waits until each of them serves. It does not wait until they know each other: see WaitConverged.
+// Start starts members concurrently and waits until each of them serves. It does not wait for their
+// membership views to converge: see WaitConverged.
 func (g *Group) Start(which ...int) {
 	g.T.Helper()
 	for _, i := range which {
@@ -16,7 +17,7 @@
 	}
 }
 
-// StartAll starts all members together.
+// StartAll starts all members concurrently.
 func (g *Group) StartAll() {
 	g.T.Helper()
 	all := make([]int, len(g.Members))
@@ -26,7 +27,7 @@
 	g.Start(all...)
 }
 
-// Twin starts a second process under a member's name, at addresses of its own.
+// Twin starts a second process under a member's name, with its own addresses.
 func (g *Group) Twin(i int, edit func(i int, file, fleet map[string]any)) *Member {
 	g.T.Helper()
 	m := g.newMember(i, firstTwinHost+i)
@@ -37,7 +38,8 @@
 	return m
 }
 
-// Move gives a member that does not run a new relay, by which it is reached from its next start on.
+// Move replaces the relay of a member that does not run, so that its advertised address changes with
+// its next start.
 func (g *Group) Move(i int) {
 	g.T.Helper()
 	m := g.Members[i]
@@ -47,8 +49,8 @@
 	g.Record("move %s to %s", m.Name, m.relay.address())
 }
 
-// MovePolicy gives a member that does not run a new relay for the policy agreement. Only its own configuration names the new address; the
-// others learn it by the protocol.
+// MovePolicy replaces the relay for the policy consensus of a member that does not run. Only its own
+// configuration is updated; the other members learn the new address through the protocol.
 func (g *Group) MovePolicy(i int) {
 	g.T.Helper()
 	m := g.Members[i]
@@ -57,7 +59,7 @@
 	m.Edit(func(file map[string]any) {
 		members, ok := section(g.T, file, "rollout")["members"].([]any)
 		if !ok {
-			g.T.Fatal("the configuration has no list rollout.members")
+			g.T.Fatal("move policy relay: configuration has no list rollout.members")
 		}
 		for _, x := range members {
 			if x, ok := x.(map[string]any); ok && x["name"] == m.Name {
@@ -65,10 +67,11 @@
 			}
 		}
 	})
-	g.Record("%s agrees on the policy at %s", m.Name, m.policyRelay.address())
+	g.Record("move policy relay of %s to %s", m.Name, m.policyRelay.address())
 }
 
-// Kill kills a member by SIGKILL and waits for its end; nothing where it does not run. Its relays lead nowhere from before the kill.
+// Kill kills a member by SIGKILL and waits for its exit. It is a no-op if the member does not run. The
+// relays stop forwarding before the kill.
 func (g *Group) Kill(i int) {
 	if m := g.Members[i]; m.Process != nil {
 		g.Record("kill %s", m.Name)
@@ -80,7 +83,7 @@
 	}
 }
 
-// Halt suspends a member by SIGSTOP; nothing where it does not run.
+// Halt suspends a member by SIGSTOP. It is a no-op if the member does not run.
 func (g *Group) Halt(i int) {
 	if m := g.Members[i]; m.Process != nil {
 		g.Record("stop %s", m.Name)
@@ -89,7 +92,7 @@
 	}
 }
 
-// Continue resumes a member that Halt has suspended; nothing where it is not suspended.
+// Continue resumes a member that Halt has suspended. It is a no-op if the member is not suspended.
 func (g *Group) Continue(i int) {
 	if m := g.Members[i]; m.Process != nil && m.Halted {
 		g.Record("continue %s", m.Name)
@@ -98,13 +101,14 @@
 	}
 }
 
-// Leave ends a member by SIGTERM and waits for its end; nothing where it does not run.
+// Leave shuts a member down by SIGTERM and waits for its exit. It is a no-op if the member does not
+// run.
 func (g *Group) Leave(i int) {
 	g.T.Helper()
 	if m := g.Members[i]; m.Process != nil {
 		g.Continue(i) // a suspended process does not handle SIGTERM
 		g.Record("leave %s", m.Name)
-		g.removeAddresses(i) // first: the process serves for as long as clients find it
+		g.removeAddresses(i) // before the signal: the process keeps serving as long as clients find it
 		m.Process.Leave()
 		m.relay.setTarget(netip.AddrPort{})
 		m.policyRelay.setTarget(netip.AddrPort{})
--- a/internal/testing/harness/member.go
+++ b/internal/testing/harness/member.go
@@ -11,23 +11,23 @@
 	"saffronquay/deploy"
 )
 
-// Member is one place of a group and the process that runs in it.
+// Member is one member of a group: a Place, its relays and the process that runs in it.
 type Member struct {
 	*Place
 	Name        string
-	Process     *Process       // nil: none runs
+	Process     *Process       // nil: not running
 	Halted      bool           // suspended by SIGSTOP
-	Policy      netip.AddrPort // where this process takes part in the policy agreement, past the relay
+	Policy      netip.AddrPort // policy consensus endpoint of this process, bypassing the relay
 	group       *Group
 	index       int
-	local       netip.Addr // where it listens, and where its messages come from
-	relay       *relay     // in front of its membership protocol
-	policyRelay *relay     // in front of its part of the policy agreement
-	firstLine   int        // number of log lines before this process
-	hasRollout  bool       // its configuration sets up a rollout
+	local       netip.Addr // address that it listens on and sends from
+	relay       *relay     // for the membership protocol
+	policyRelay *relay     // for the policy consensus
+	firstLine   int        // number of log lines of earlier processes
+	hasRollout  bool       // the configuration enables a rollout
 }
 
-// newMember makes the place and the relays of a member; host is the last octet of its addresses.
+// newMember creates the place and the relays of a member; host is the last octet of its addresses.
 func (g *Group) newMember(i, host int) *Member {
 	m := &Member{
 		Place: NewPlace(g.T),
@@ -43,7 +43,7 @@
 	return m
 }
 
-// writeFile writes the configuration of member i into the place of m, which is that member or a twin of it.
+// writeFile writes the configuration of member i for m, which is that member or a twin of it.
 func (g *Group) writeFile(i int, m *Member, edit func(i int, file, fleet map[string]any)) {
 	g.T.Helper()
 	var file map[string]any
@@ -68,23 +68,23 @@
 	m.Write(text)
 }
 
-// section returns an object of a configuration, and ends the run where there is none under the key.
+// section returns the object under key of a configuration, and ends the run if there is none.
 func section(t T, file map[string]any, key string) map[string]any {
 	t.Helper()
 	s, ok := file[key].(map[string]any)
 	if !ok {
-		t.Fatalf("the configuration has no section %q", key)
+		t.Fatalf("configuration has no section %q", key)
 	}
 	return s
 }
 
-// peersListen matches the log line that has the address of the membership protocol.
+// peersListen matches the log line with the listen address of the membership protocol.
 var peersListen = regexp.MustCompile(`event=peers listen=(\S+)`)
 
-// policyListens matches the log line that has the address of the policy agreement.
+// policyListens matches the log line with the listen address of the policy consensus.
 var policyListens = regexp.MustCompile(`event=rollout listen=(\S+)`)
 
-// launch starts the member's process and does not wait for it.
+// launch starts the member's process without waiting for it.
 func (m *Member) launch() {
 	m.group.T.Helper()
 	m.group.Record("start %s", m.Name)
@@ -92,7 +92,8 @@
 	m.Process, m.Halted = m.Begin(), false
 }
 
-// waitUp waits until the launched process serves, points the relays at it and publishes its addresses.
+// waitUp waits until the launched process serves, sets the relays' targets and publishes its
+// addresses.
 func (m *Member) waitUp() {
 	m.group.T.Helper()
 	if !m.Process.Up() {
@@ -121,11 +122,12 @@
 	}
 }
 
-// SetRollout says whether the member's configuration sets up a rollout; a start then waits for that to listen too.
+// SetRollout sets whether the member's configuration enables a rollout; if so, Start also waits for
+// the rollout's listener.
 func (m *Member) SetRollout(does bool) { m.hasRollout = does }
 
-// EnableRollout sets up a rollout in the configuration of all members, each with a store of its own. The first voters members vote; more is
-// added to the rollout section.
+// EnableRollout enables a rollout in the configuration of all members, each with its own store. The
+// first voters members are voters; more is added to the rollout section.
 func (g *Group) EnableRollout(voters int, more map[string]any) {
 	g.T.Helper()
 	var members []any
@@ -142,7 +144,8 @@
 	}
 }
 
-// FixListenPort writes into the member's configuration, as the port of its membership protocol, one that is free now.
+// FixListenPort sets the port of the membership protocol in the member's configuration to one that is
+// currently free.
 func (m *Member) FixListenPort() {
 	m.T.Helper()
 	l, err := listen(m.local.String() + ":0")
@@ -153,13 +156,13 @@
 	m.setFleet("listen", l.Addr().String())
 }
 
-// setFleet changes one key of the section fleet in the member's configuration.
+// setFleet sets one key of the fleet section in the member's configuration.
 func (m *Member) setFleet(key, value string) {
 	m.T.Helper()
 	m.Edit(func(file map[string]any) { section(m.T, file, "fleet")[key] = value })
 }
 
-// Edit changes the member's configuration file. A running process is not told.
+// Edit changes the member's configuration file. A running process is not notified.
 func (m *Member) Edit(change func(file map[string]any)) {
 	m.T.Helper()
 	var file map[string]any
--- a/internal/testing/harness/net.go
+++ b/internal/testing/harness/net.go
@@ -9,41 +9,43 @@
 )
 
 const (
-	maxRepeatDelay = 3 * time.Second        // of a datagram's second copy, beside its delay
-	resendDelay    = 200 * time.Millisecond // of a stream, for a lost segment
-	maxResends     = 5                      // of one segment
+	maxRepeatDelay = 3 * time.Second        // additional delay of a datagram's second copy
+	resendDelay    = 200 * time.Millisecond // stream delay per lost segment
+	maxResends     = 5                      // per segment
 )
 
-// Net decides what happens to the messages between the members of a group. Each member is reached by way of relays; these know a sender
-// by the loopback address it sends from, and ask Net about each datagram and each read of a stream. Safe for concurrent use.
+// Net applies the active faults to the messages between the members of a group. Members are reached
+// through relays, which identify a sender by its loopback address and consult Net for each datagram
+// and each read of a stream. It is safe for concurrent use.
 type Net struct {
 	mu           sync.Mutex
 	links        faults.Links
 	rng          *rand.Rand
-	senders      map[netip.Addr]int // member by address
+	senders      map[netip.Addr]int // member index by address
 	passed, lost int                // datagrams
 }
 
-// NewNet makes a Net without faults whose random draws are seeded.
+// NewNet returns a Net without faults whose random draws are seeded with seed.
 func NewNet(seed uint64) *Net {
 	return &Net{rng: rand.New(rand.NewPCG(seed, 0x7e1a)), senders: map[netip.Addr]int{}}
 }
 
-// AddSender says which member sends from an address. Messages from unknown addresses are dropped.
+// AddSender registers the address that a member sends from. Messages from unknown addresses are
+// dropped.
 func (n *Net) AddSender(a netip.Addr, member int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.senders[a] = member
 }
 
-// Begin puts a fault in force. Steps that concern members, not links, have no effect.
+// Begin activates a fault. Steps that affect members, not links, are ignored.
 func (n *Net) Begin(x faults.Step) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.links.Begin(x)
 }
 
-// Expire ends the faults that are over at a time of the script.
+// Expire ends the faults that have ended by now, which counts from the start of the script.
 func (n *Net) Expire(now time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -57,14 +59,14 @@
 	n.links = faults.Links{}
 }
 
-// Counts returns how many datagrams have passed and how many were lost; a repeated one counts once.
+// Counts returns the number of delivered and of lost datagrams; a duplicated datagram counts once.
 func (n *Net) Counts() (passed, lost int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.passed, n.lost
 }
 
-// copyDelays returns the delay of each copy of a datagram that is to be delivered; none: it is lost.
+// copyDelays returns the delay of each copy of a datagram to deliver; nil if the datagram is lost.
 func (n *Net) copyDelays(src netip.Addr, to int) (after []time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -86,7 +88,7 @@
 	return after
 }
 
-// randomDelay draws a delay from the link's to twice that. The caller holds mu.
+// randomDelay draws a delay between one and two times the link's delay. The caller must hold mu.
 func (n *Net) randomDelay(k faults.Link) time.Duration {
 	if k.Delay == 0 {
 		return 0
@@ -94,7 +96,8 @@
 	return k.Delay + time.Duration(n.rng.Int64N(int64(k.Delay)))
 }
 
-// streamDelay returns whether a stream from a sender to a member goes on, which needs both directions, and the delay of its next bytes.
+// streamDelay returns the delay of the next bytes of a stream from a sender to a member. ok is false
+// if a fault cuts the link in either direction, which ends the stream.
 func (n *Net) streamDelay(src netip.Addr, to int) (late time.Duration, ok bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/testing/harness/place.go
+++ b/internal/testing/harness/place.go
@@ -10,33 +10,36 @@
 	"time"
 )
 
-// WaitTimeout bounds each wait for a state. It only tells a run that hangs from one that is slow: no check depends on it.
+// WaitTimeout bounds each wait for a state. It only distinguishes a run that hangs from a slow one: no
+// check depends on its value.
 const WaitTimeout = 90 * time.Second
 
-// Place is where the program runs, one process after another, with files and, where PassSocket was called, a listening socket that all
-// of them share. Its log is that of all its processes. Output, Lines and WaitForLine are safe for concurrent use.
+// Place is a directory in which the program runs, one process after another. All processes share its
+// files, its log and, if PassSocket was called, a listening socket. Output, Lines and WaitForLine are
+// safe for concurrent use.
 type Place struct {
 	T       T
 	Dir     string   // for files; the program's TMPDIR
-	File    string   // the configuration, in Dir
+	File    string   // path of the configuration, in Dir
 	Env     []string // added to the environment
-	Socket  *os.File // passed to the program as the clients' socket; nil: it opens its own
-	Program string   // the program's file; empty: Binary
-	Quiet   bool     // a panic, data race or deadline guard message in the log is no error: the test expects it
+	Socket  *os.File // listening socket passed to the program for clients; nil: it opens its own
+	Program string   // path of the executable; empty: Binary
+	Quiet   bool     // the test expects a panic, data race or deadline guard message: do not report it
 
 	mu      sync.Mutex
 	log     []string
-	changed chan struct{} // closed, and replaced, with each line
+	changed chan struct{} // closed and replaced with each line
 }
 
-// NewPlace makes a place with a directory that T removes. The configuration is not written yet.
+// NewPlace returns a place with a new directory that T removes. The configuration is not written yet.
 func NewPlace(t T) *Place {
 	p := &Place{T: t, Dir: t.TempDir(), changed: make(chan struct{})}
 	p.File = filepath.Join(p.Dir, "operator.json")
 	return p
 }
 
-// PassSocket opens a listening socket that every process of this place gets passed, and returns its address.
+// PassSocket opens a listening socket that is passed to every process of this place, and returns its
+// address.
 func (p *Place) PassSocket() string {
 	p.T.Helper()
 	l, err := listen("127.0.0.1:0")
@@ -46,7 +49,7 @@
 	defer l.Close()
 	socket, ok := l.(*net.TCPListener)
 	if !ok {
-		p.T.Fatalf("%T is no TCP listener", l)
+		p.T.Fatalf("pass socket: listener is a %T, not a *net.TCPListener", l)
 	}
 	if p.Socket, err = socket.File(); err != nil {
 		p.T.Fatal(err)
@@ -56,7 +59,7 @@
 	return l.Addr().String()
 }
 
-// Write replaces the configuration file. A running process is not told.
+// Write replaces the configuration file. A running process is not notified.
 func (p *Place) Write(text []byte) {
 	p.T.Helper()
 	if err := os.WriteFile(p.File, text, 0o600); err != nil {
@@ -74,7 +77,7 @@
 	return l
 }
 
-// Output returns the whole log of this place.
+// Output returns the complete log of this place.
 func (p *Place) Output() string { return strings.Join(p.Lines(), "\n") }
 
 // Lines returns all lines of the log so far. The caller must not change them.
@@ -84,7 +87,8 @@
 	return p.log[:len(p.log):len(p.log)]
 }
 
-// WaitForLine waits until a line, from number from on, contains each of words, and returns its number.
+// WaitForLine waits for a line that contains each of words, starting at line number from, and returns
+// its number.
 func (p *Place) WaitForLine(from int, words ...string) int {
 	p.T.Helper()
 	end := time.After(WaitTimeout)
@@ -100,7 +104,7 @@
 		select {
 		case <-news:
 		case <-end:
-			p.T.Fatalf("the program never said %q: %s", words, strings.Join(log[min(from, len(log)):], "\n"))
+			p.T.Fatalf("timed out waiting for a log line with %q; log: %s", words, strings.Join(log[min(from, len(log)):], "\n"))
 		}
 	}
 }
@@ -110,7 +114,7 @@
 	return !slices.ContainsFunc(words, func(w string) bool { return !strings.Contains(line, w) })
 }
 
-// appendLine adds a line to the log and wakes those that wait for one.
+// appendLine adds a line to the log and wakes up the waiters of WaitForLine.
 func (p *Place) appendLine(line string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/testing/harness/play.go
+++ b/internal/testing/harness/play.go
@@ -6,13 +6,14 @@
 	"time"
 )
 
-// action is the beginning or the end of a step.
+// action is the start or the end of a step.
 type action struct {
-	at  time.Duration // from the script's beginning
+	at  time.Duration // since the start of the script
 	run func()
 }
 
-// Play plays a script to its end by the machine's clock, and returns when its last step is over. Slow members are played as delayed links.
+// Play plays a script in real time and returns after its last step has ended. Slow members are
+// simulated by delayed links.
 func (g *Group) Play(s faults.Script) {
 	g.T.Helper()
 	g.Record("script of seed %d:\n%s", g.Seed, s)
@@ -29,12 +30,13 @@
 	slices.SortStableFunc(todo, func(a, b action) int { return int(a.at - b.at) })
 	began := time.Now()
 	for _, a := range todo {
-		time.Sleep(a.at - time.Since(began)) // the script's own time
+		time.Sleep(a.at - time.Since(began)) // until the action is due
 		a.run()
 	}
 }
 
-// apply begins a step: its faults of links first, then what it does to members, in their order. Members to be started start together.
+// apply starts a step: link faults first, then member faults in the order of members. The members to
+// start are started concurrently.
 func (g *Group) apply(x faults.Step) {
 	g.T.Helper()
 	g.Record("%s", x)
@@ -65,7 +67,7 @@
 	g.Start(start...)
 }
 
-// end ends a step that holds for a time.
+// end ends a step of limited duration.
 func (g *Group) end(x faults.Step) {
 	g.Net.Expire(x.At + x.For)
 	if x.Do != faults.Stop {
--- a/internal/testing/harness/process.go
+++ b/internal/testing/harness/process.go
@@ -15,17 +15,18 @@
 // Process is one run of the program.
 type Process struct {
 	Listen, AdminAddress string        // set before Up returns true
-	Exited               chan struct{} // closed when the process has ended and its log is read
+	Exited               chan struct{} // closed when the process has exited and its log has been read
 
 	place *Place
 	cmd   *exec.Cmd
 	up    chan struct{}
 }
 
-// started matches the log line with which the program reports that it serves.
+// started matches the log line that the program writes once it serves.
 var started = regexp.MustCompile(`event=start .*listen=(\S+) operator=(\S+)`)
 
-// Begin starts the program and does not wait for it. Cleanup kills the process where it still runs, and waits for its end.
+// Begin starts the program without waiting until it serves. Cleanup kills the process if it still runs
+// and waits for its exit.
 func (p *Place) Begin() *Process {
 	p.T.Helper()
 	path, err := p.Program, error(nil)
@@ -35,10 +36,10 @@
 	if err != nil {
 		p.T.Fatal(err)
 	}
-	command := exec.Command(path) //nolint:noctx // the process is ended by Kill or Stop, not by a context
+	command := exec.Command(path) //nolint:noctx // the process is ended by Kill or Leave, not by a context
 	proc := &Process{place: p, cmd: command, Exited: make(chan struct{}), up: make(chan struct{})}
-	usual := append(os.Environ(), "SAFFRONQUAY_OPERATOR_FILE="+p.File, "LB_OPERATOR=", "LB_PASSED_SOCKET=", "TMPDIR="+p.Dir)
-	proc.cmd.Env = append(usual, p.Env...)
+	baseEnv := append(os.Environ(), "SAFFRONQUAY_OPERATOR_FILE="+p.File, "LB_OPERATOR=", "LB_PASSED_SOCKET=", "TMPDIR="+p.Dir)
+	proc.cmd.Env = append(baseEnv, p.Env...)
 	if p.Socket != nil {
 		proc.cmd.ExtraFiles = []*os.File{p.Socket}
 	}
@@ -54,14 +55,14 @@
 	return proc
 }
 
-// read reads the log to its end, and then waits for the process.
+// read reads the log until the process closes it, then waits for the process to exit.
 func (proc *Process) read(errs io.Reader) {
 	defer close(proc.Exited)
 	serves := false
 	for lines := bufio.NewScanner(errs); lines.Scan(); {
 		text := lines.Text()
 		if !proc.place.Quiet && reportsBug(text) {
-			proc.place.T.Errorf("the program said: %s", text)
+			proc.place.T.Errorf("program logged a panic, data race or deadline guard message: %s", text)
 		}
 		proc.place.appendLine(text)
 		if m := started.FindStringSubmatch(text); m != nil && !serves {
@@ -70,15 +71,15 @@
 			close(proc.up)
 		}
 	}
-	_ = proc.cmd.Wait() // tests end processes by signals: a status other than 0 is no error here
+	_ = proc.cmd.Wait() // tests end processes by signals, so a non-zero exit status is not an error
 }
 
-// reportsBug returns whether a log line reports what is wrong in every test.
+// reportsBug reports whether a log line shows a failure that is an error in every test.
 func reportsBug(line string) bool {
 	return strings.Contains(line, "panic") || strings.Contains(line, "DATA RACE") || strings.Contains(line, "deadline guard")
 }
 
-// Up waits until the process serves, and returns false where it ended without.
+// Up waits until the process serves. It returns false if the process exited before it served.
 func (proc *Process) Up() bool {
 	proc.place.T.Helper()
 	select {
@@ -86,10 +87,10 @@
 		return true
 	case <-proc.Exited:
 	case <-time.After(WaitTimeout):
-		proc.place.T.Fatal("the program neither started nor ended")
+		proc.place.T.Fatal("program neither served nor exited within WaitTimeout")
 	}
 	select {
-	case <-proc.up: // it has served before it ended
+	case <-proc.up: // it served before it exited
 		return true
 	default:
 		return false
@@ -99,27 +100,28 @@
 // PID returns the process id.
 func (proc *Process) PID() int { return proc.cmd.Process.Pid }
 
-// Signal sends the process a signal. A process that has ended gets none; that is no error.
+// Signal sends a signal to the process. It is a no-op if the process has exited.
 func (proc *Process) Signal(s syscall.Signal) { _ = proc.cmd.Process.Signal(s) }
 
-// Kill kills the process by SIGKILL, and waits for its end.
+// Kill kills the process by SIGKILL and waits for its exit.
 func (proc *Process) Kill() {
-	_ = proc.cmd.Process.Kill() // fails where it has ended already
+	_ = proc.cmd.Process.Kill() // fails if the process has already exited
 	<-proc.Exited
 }
 
-// Leave ends the process by SIGTERM, and waits for its end.
+// Leave shuts the process down by SIGTERM and waits for its exit.
 func (proc *Process) Leave() {
 	proc.place.T.Helper()
 	proc.Signal(syscall.SIGTERM)
 	select {
 	case <-proc.Exited:
 	case <-time.After(WaitTimeout):
-		proc.place.T.Fatal("the program never ended")
+		proc.place.T.Fatal("program did not exit within WaitTimeout after SIGTERM")
 	}
 }
 
-// Call sends a command to the admin endpoint and returns the answer; empty where the endpoint is not reached or the answer breaks off.
+// Call sends a command to the admin endpoint and returns the response. It returns an empty string if
+// the endpoint is unreachable or the response is truncated.
 func (proc *Process) Call(words string) string {
 	conn, err := dial(proc.AdminAddress, WaitTimeout)
 	if err != nil {
--- a/internal/testing/harness/relay.go
+++ b/internal/testing/harness/relay.go
@@ -10,11 +10,12 @@
 )
 
 const (
-	portAttempts      = 32 // to find a port that is free for UDP and TCP
+	portAttempts      = 32 // attempts to find a port that is free for both UDP and TCP
 	streamDialTimeout = time.Second
 )
 
-// relay is the address at which one member is reached: a UDP and a TCP socket of the same port.
+// relay forwards datagrams and streams to one member. It listens on a UDP and a TCP socket with the
+// same port.
 type relay struct {
 	net    *Net
 	member int
@@ -22,12 +23,13 @@
 	tcp    net.Listener
 
 	mu     sync.Mutex
-	target netip.AddrPort // not valid: messages lead nowhere
+	target netip.AddrPort // invalid: messages are dropped
 	conns  map[net.Conn]bool
 	closed bool
 }
 
-// newRelay opens a relay to a member at an address, on a port that the system chooses. Cleanup closes it; its goroutines end then.
+// newRelay opens a relay to the member to at the address at, on a port chosen by the system. Cleanup
+// closes it, which ends its goroutines.
 func newRelay(t T, n *Net, to int, at netip.Addr) *relay {
 	t.Helper()
 	for range portAttempts {
@@ -46,28 +48,28 @@
 		t.Cleanup(r.close)
 		return r
 	}
-	t.Fatal("no port that UDP and TCP both have free")
+	t.Fatal("open relay: found no port that is free for both UDP and TCP")
 	return nil
 }
 
-// address returns where the others reach the member.
+// address returns the address through which the other members reach the member.
 func (r *relay) address() netip.AddrPort { return addrPort(r.udp.LocalAddr()) }
 
-// setTarget says where the member listens; not valid: nowhere.
+// setTarget sets the address to forward to. An invalid address makes the relay drop all messages.
 func (r *relay) setTarget(at netip.AddrPort) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.target = at
 }
 
-// currentTarget returns where the member listens; not valid: nowhere.
+// currentTarget returns the address to forward to; invalid if there is none.
 func (r *relay) currentTarget() netip.AddrPort {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.target
 }
 
-// close closes the sockets and all streams. It does not wait for datagrams that are delayed; these are dropped.
+// close closes the sockets and all streams. Delayed datagrams are dropped.
 func (r *relay) close() {
 	r.udp.Close()
 	r.tcp.Close()
@@ -79,7 +81,7 @@
 	}
 }
 
-// forwardDatagrams delivers the datagrams until the relay is closed.
+// forwardDatagrams forwards datagrams until the relay is closed.
 func (r *relay) forwardDatagrams() {
 	buf := make([]byte, 64<<10)
 	for {
@@ -94,7 +96,7 @@
 		for _, late := range r.net.copyDelays(src.Addr(), r.member) {
 			send := func() {
 				if to := r.currentTarget(); to.IsValid() {
-					_, _ = r.udp.WriteToUDPAddrPort(b, to) // a datagram may be lost
+					_, _ = r.udp.WriteToUDPAddrPort(b, to) // datagrams may be lost
 				}
 			}
 			if late == 0 {
@@ -117,7 +119,8 @@
 	}
 }
 
-// forwardStream connects an accepted stream to the member and copies both directions until one of them ends or a fault cuts them.
+// forwardStream connects an accepted stream to the member and copies both directions until one of
+// them ends or a fault cuts the link.
 func (r *relay) forwardStream(in net.Conn) {
 	defer in.Close()
 	src := addrPort(in.RemoteAddr()).Addr()
@@ -139,7 +142,7 @@
 	r.mu.Unlock()
 	over := make(chan struct{})
 	go func() {
-		if r.copyDirection(src, in, out) { // neither side is to wait for the other
+		if r.copyDirection(src, in, out) { // close both, so that neither direction waits for the other
 			in.Close()
 			out.Close()
 		}
@@ -155,7 +158,8 @@
 	r.mu.Unlock()
 }
 
-// copyDirection copies one direction of a stream until its end, which it passes on. cut is true where a fault or a failed write ended it.
+// copyDirection copies one direction of a stream until EOF, which it propagates. cut is true if a fault
+// or a failed write ended the copy.
 func (r *relay) copyDirection(src netip.Addr, from, to net.Conn) (cut bool) {
 	buf := make([]byte, 16<<10)
 	for {
@@ -172,25 +176,27 @@
 		}
 		if err != nil {
 			if half, ok := to.(*net.TCPConn); ok && errors.Is(err, io.EOF) {
-				_ = half.CloseWrite() // fails where the stream has ended already
+				_ = half.CloseWrite() // fails if the stream is already closed
 			}
 			return false
 		}
 	}
 }
 
-// Relay is an address of a process that is no member of the group, behind the same faults.
+// Relay is a relay for a process that is not a member of the group, subject to the same faults.
 type Relay struct{ r *relay }
 
-// Relay opens a relay with the index i, which no member has and by which scripts name the process. The process sends from the address at.
+// Relay opens a relay for a process that is not a member. Fault scripts refer to it by the index i,
+// which must not be that of a member. The process must send from the address at.
 func (g *Group) Relay(i int, at netip.Addr) *Relay {
 	g.T.Helper()
 	g.Net.AddSender(at, i)
 	return &Relay{newRelay(g.T, g.Net, i, at)}
 }
 
-// Address returns where the members reach the process.
+// Address returns the address through which the members reach the process.
 func (r *Relay) Address() netip.AddrPort { return r.r.address() }
 
-// SetTarget says where the process listens; not valid: nowhere.
+// SetTarget sets the address that the process listens on. An invalid address makes the relay drop all
+// messages.
 func (r *Relay) SetTarget(at netip.AddrPort) { r.r.setTarget(at) }
--- a/internal/testing/harness/runner.go
+++ b/internal/testing/harness/runner.go
@@ -8,31 +8,33 @@
 	"sync"
 )
 
-// Runner is the T of the harness where no test runs. Its methods are safe for concurrent use, except that Fatal and Fatalf panic: call them
-// on the goroutine that recovers with FatalReason, and call Close there in the end.
+// Runner is the harness's T outside of tests. Its methods are safe for concurrent use, except Fatal
+// and Fatalf: these panic and must be called on the goroutine that recovers with FatalReason. That
+// goroutine must call Close at the end.
 type Runner struct {
 	mu      sync.Mutex
 	dir     string
 	dirs    int
 	cleanup []func()
 	errors  []string
-	say     func(string, ...any)
+	logf    func(string, ...any)
 }
 
-// fatal is what Fatal panics with.
+// fatal is the value that Fatal panics with.
 type fatal string
 
-// NewRunner makes a Runner with a new directory below dir. Messages go to say.
+// NewRunner returns a Runner with a new directory below dir. Log messages are passed to say.
 func NewRunner(dir string, say func(format string, args ...any)) (*Runner, error) {
 	own, err := os.MkdirTemp(dir, "run-")
 	if err != nil {
 		return nil, err
 	}
-	return &Runner{dir: own, say: say}, nil
+	return &Runner{dir: own, logf: say}, nil
 }
 
-// FatalReason returns the text that Fatal was called with, from the recovered value: a state that was never reached, or a failure of the
-// harness. It is empty for nil, and panics again with any other value.
+// FatalReason returns the message that Fatal was called with, given the recovered value: a state that
+// was not reached in time, or a failure of the harness. It returns an empty string for nil, and panics
+// with any other value.
 func FatalReason(recovered any) string {
 	switch x := recovered.(type) {
 	case nil:
@@ -44,17 +46,17 @@
 	}
 }
 
-// Helper does nothing: a Runner reports no lines of source.
+// Helper does nothing: a Runner does not report source lines.
 func (r *Runner) Helper() {}
 
-// Errorf keeps an error; the run continues.
+// Errorf records an error; the run continues.
 func (r *Runner) Errorf(format string, args ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.errors = append(r.errors, fmt.Sprintf(format, args...))
 }
 
-// Errors returns a copy of the errors kept so far.
+// Errors returns a copy of the errors recorded so far.
 func (r *Runner) Errors() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -68,22 +70,22 @@
 func (r *Runner) Fatalf(format string, args ...any) { panic(fatal(fmt.Sprintf(format, args...))) }
 
 // Log passes a message to say.
-func (r *Runner) Log(args ...any) { r.say("%s", fmt.Sprint(args...)) }
+func (r *Runner) Log(args ...any) { r.logf("%s", fmt.Sprint(args...)) }
 
 // Logf passes a message to say.
-func (r *Runner) Logf(format string, args ...any) { r.say(format, args...) }
+func (r *Runner) Logf(format string, args ...any) { r.logf(format, args...) }
 
-// Cleanup registers f to be called by Close, the last registered first.
+// Cleanup registers f to be called by Close, in last-in, first-out order.
 func (r *Runner) Cleanup(f func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.cleanup = append(r.cleanup, f)
 }
 
-// Failed returns whether an error was kept.
+// Failed reports whether an error was recorded.
 func (r *Runner) Failed() bool { return len(r.Errors()) > 0 }
 
-// TempDir makes a new directory that Close removes; it ends the run by a panic where it can't.
+// TempDir creates a directory that Close removes. It ends the run by a panic if that fails.
 func (r *Runner) TempDir() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/testing/harness/sockets.go
+++ b/internal/testing/harness/sockets.go
@@ -6,17 +6,17 @@
 	"time"
 )
 
-// listen opens a TCP socket. It needs no context: to bind a local address does not block.
+// listen opens a TCP listener.
 func listen(address string) (net.Listener, error) {
-	return net.Listen("tcp", address) //nolint:noctx // an address of loopback: nothing is looked up, so nothing can be waited for
+	return net.Listen("tcp", address) //nolint:noctx // binding a loopback address needs no name lookup and does not block
 }
 
-// dial connects by TCP within a time.
+// dial opens a TCP connection within timeout.
 func dial(address string, timeout time.Duration) (net.Conn, error) {
-	return net.DialTimeout("tcp", address, timeout) //nolint:noctx // bounded by timeout, and by nothing else as before
+	return net.DialTimeout("tcp", address, timeout) //nolint:noctx // bounded by timeout
 }
 
-// addrPort returns the address of a TCP or UDP socket; not valid for any other.
+// addrPort returns the address and port of a TCP or UDP address; invalid for any other type.
 func addrPort(a net.Addr) netip.AddrPort {
 	switch a := a.(type) {
 	case *net.TCPAddr:
--- a/internal/testing/harness/steady/steady.go
+++ b/internal/testing/harness/steady/steady.go
@@ -1,6 +1,6 @@
-// Package steady makes property tests draw the same cases in each run, so that a result depends on the code alone. Tests import it for its
-// effect, which is to set the flag rapid.seed before the tests start; '-rapid.seed N' on the command line draws other cases. The program
-// must not import it.
+// Package steady fixes the seed of property tests, so that each run draws the same cases and a result
+// depends on the code alone. Tests import it for its side effect: it sets the flag rapid.seed before
+// the tests start. '-rapid.seed N' on the command line overrides it. The program must not import it.
 package steady
 
 import (
--- a/internal/testing/harness/t.go
+++ b/internal/testing/harness/t.go
@@ -1,6 +1,7 @@
 package harness
 
-// T is the part of *testing.T that the harness uses. A Runner implements it where no test runs. Fatal and Fatalf must not return.
+// T is the part of *testing.T that the harness uses. Outside of tests a Runner implements it. Fatal and
+// Fatalf must not return.
 type T interface {
 	Helper()
 	Errorf(format string, args ...any)
--- a/internal/testing/harness/view.go
+++ b/internal/testing/harness/view.go
@@ -7,13 +7,13 @@
 	"time"
 )
 
-// View is what a member's admin endpoint reports of its membership view.
+// View is a member's membership view as its admin endpoint reports it.
 type View struct {
-	Of      map[string]string            // the view's own values by key, such as digest
-	Members map[string]map[string]string // values by key, such as state, of each member by name
+	Of      map[string]string            // values of the view by key, such as digest
+	Members map[string]map[string]string // values by key, such as state, by member name
 }
 
-// Present returns the names of the members that are alive or suspected, in order.
+// Present returns the sorted names of the members that are alive or suspected.
 func (v View) Present() (names []string) {
 	for name, m := range v.Members {
 		if m["state"] == "alive" || m["state"] == "suspected" {
@@ -24,7 +24,8 @@
 	return names
 }
 
-// View requests the member's view from its admin endpoint; ok is false where it does not run, is suspended or does not answer.
+// View requests the member's view from its admin endpoint. ok is false if the member does not run, is
+// suspended or does not respond.
 func (m *Member) View() (v View, ok bool) {
 	if m.Process == nil || m.Halted {
 		return v, false
@@ -47,7 +48,7 @@
 	return v, ok
 }
 
-// Live returns the names of the members that run and are not suspended, in order.
+// Live returns the names of the members that run and are not suspended, in member order.
 func (g *Group) Live() (names []string) {
 	for _, m := range g.Members {
 		if m.Process != nil && !m.Halted {
@@ -57,7 +58,8 @@
 	return names
 }
 
-// WaitConverged waits until the views of all live members have the same digest and show exactly the live members.
+// WaitConverged waits until the views of all live members have the same digest and contain exactly the
+// live members.
 func (g *Group) WaitConverged() {
 	g.T.Helper()
 	began := time.Now()
@@ -78,12 +80,13 @@
 				wrong += fmt.Sprintf("%s sees %v with digest %s; ", m.Name, got, v.Of["digest"])
 			}
 		}
-		return fmt.Sprintf("want %v with one digest: %s", want, wrong), wrong == ""
+		return fmt.Sprintf("want view of %v with the same digest on all: %s", want, wrong), wrong == ""
 	})
 	g.Record("converged after %s", time.Since(began).Round(time.Millisecond))
 }
 
-// Policy returns the number of the policy version in force at a member, from its admin endpoint; empty where that does not answer.
+// Policy returns the number of the policy version in effect at a member, from its admin endpoint. It
+// returns an empty string if the endpoint does not respond.
 func (g *Group) Policy(m *Member) string {
 	g.mu.Lock()
 	admin := g.addresses[m.index].admin
@@ -97,7 +100,7 @@
 	return number
 }
 
-// Leader waits until a running member leads the policy agreement, and returns its index.
+// Leader waits until a running member is the leader of the policy consensus, and returns its index.
 func (g *Group) Leader() (leader int) {
 	g.T.Helper()
 	g.Until("a leader", func() (string, bool) {
--- a/internal/testing/plots/plots.go
+++ b/internal/testing/plots/plots.go
@@ -1,4 +1,5 @@
-// Package plots draws what runs of models came to as files. It owns no figure and decides nothing.
+// Package plots draws the results of simulations and soak tests as image files. It only draws: it
+// computes no results.
 package plots
 
 import (
@@ -12,16 +13,17 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Line is one line of a drawing: values at times.
+// Line is one line of a plot: the values Y at the times X, in seconds.
 type Line struct {
 	Name string
 	X, Y []float64
 }
 
-// Draw writes lines over seconds into a file, as SVG or PNG by its ending.
+// Draw plots lines over time in seconds and writes the plot to file, as SVG or PNG by its extension.
+// The y axis is labeled with unit and starts at 0.
 func Draw(file, title, unit string, lines ...Line) error {
 	if !slices.Contains([]string{".svg", ".png"}, filepath.Ext(file)) {
-		return fmt.Errorf("%s: want a name that ends in .svg or .png", file)
+		return fmt.Errorf("plot file %s: want a name that ends in .svg or .png", file)
 	}
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, "seconds", unit
@@ -35,14 +37,14 @@
 		}
 		line, err := plotter.NewLine(points)
 		if err != nil {
-			return fmt.Errorf("%s: %w", l.Name, err)
+			return fmt.Errorf("plot line %s: %w", l.Name, err)
 		}
 		line.Color, line.Dashes = plotutil.Color(i), plotutil.Dashes(i)
 		p.Add(line)
 		p.Legend.Add(l.Name, line)
 	}
 	if err := p.Save(20*vg.Centimeter, 10*vg.Centimeter, file); err != nil {
-		return fmt.Errorf("%s: %w", file, err)
+		return fmt.Errorf("write plot %s: %w", file, err)
 	}
 	return nil
 }
