--- a/internal/testing/endtoend/opensearch_test.go
+++ b/internal/testing/endtoend/opensearch_test.go
@@ -17,13 +17,13 @@
 
 func (d openSearchDialect) config(t *testing.T, w *world) []string {
 	d.rewrite(t, w, nil)
-	return []string{"SAFFRONQUAY_OPERATOR_FILE=" + w.file}
+	return []string{"SAFFRONQUAY_OPERATOR_FILE=" + w.configFile}
 }
 
-func (openSearchDialect) rewrite(t *testing.T, w *world, gone []string) {
+func (openSearchDialect) rewrite(t *testing.T, w *world, removed []string) {
 	var servers, ranges, indices []map[string]any
 	for i, s := range w.servers {
-		if !slices.Contains(gone, s.name) {
+		if !slices.Contains(removed, s.name) {
 			servers = append(servers, map[string]any{"id": s.name, "address": s.address, "zone": "a", "cell": s.cell})
 		}
 		ranges = append(ranges, map[string]any{"from": 100 * i, "to": 100 * (i + 1), "shard": i})
@@ -71,30 +71,30 @@
 		return fmt.Sprintf("not JSON: %s", m.Body)
 	}
 	if m.Status != 200 && (a.Status != m.Status || a.Error.Type == "" || a.Error.Reason == "") {
-		return fmt.Sprintf("an error in another shape: %s", m.Body)
+		return fmt.Sprintf("malformed error body: %s", m.Body)
 	}
 	switch m.Status {
 	case 200:
 		if a.Took == nil || a.TimedOut == nil || *a.TimedOut || a.Shards.Failed > 0 ||
 			a.Shards.Successful != len(a.Hits.Hits) || a.Hits.Total.Value != len(a.Hits.Hits) ||
 			m.Header.Get("X-Opaque-Id") != "o-7" {
-			return fmt.Sprintf("not whole: %s", m.Body)
+			return fmt.Sprintf("incomplete response: %s", m.Body)
 		}
 		var in []int
 		for _, h := range a.Hits.Hits {
 			n, err := strconv.Atoi(h.ID)
 			if err != nil {
-				return fmt.Sprintf("made up: %s", m.Body)
+				return fmt.Sprintf("response with an unknown hit: %s", m.Body)
 			}
 			in = append(in, n)
 		}
-		return answered(in)
+		return answeredOutcome(in)
 	case 429:
 		if a.Error.Type != "rejected_execution_exception" {
-			return "refused as " + a.Error.Type
+			return "refused with error type " + a.Error.Type
 		}
-		return refused(m)
-	case 404: // of an index that is gone with its class
+		return refusedOutcome(m)
+	case 404: // the index was removed together with its class
 		return "malformed 400"
 	case 400, 408, 413, 431, 501, 505:
 		return fmt.Sprint("malformed ", m.Status)
@@ -104,7 +104,7 @@
 	return fmt.Sprint("status ", m.Status)
 }
 
-// What stand-in servers answer, by behaviour; %d is the shard.
+// bodies are the response bodies of fake servers, by behaviour; %d is the shard.
 var bodies = map[string]string{
 	"serve": `{"took":1,"timed_out":false,"_shards":{"total":1,"successful":1,"skipped":0,"failed":0},` +
 		`"hits":{"total":{"value":1,"relation":"eq"},"max_score":1.0,"hits":[{"_index":"i","_id":"%d","_score":1.0}]}}`,
@@ -116,8 +116,8 @@
 	"reject":               `{"error":{"type":"rejected_execution_exception","reason":"queue is full"},"status":429}`,
 }
 
-// serve is a stand-in search server.
-func (openSearchDialect) serve(w *world, s *standIn, conn net.Conn) {
+// serve implements a fake search server on one connection.
+func (openSearchDialect) serve(w *world, s *fakeServer, conn net.Conn) {
 	r := bufio.NewReader(conn)
 	for {
 		m, err := readMessage(conn, r, false)
@@ -133,14 +133,14 @@
 		}
 		if err != nil || nerr != nil || !strings.HasSuffix(path, "/_search") || json.Unmarshal(m.Body, &body) != nil ||
 			len(body.Query) == 0 || !strings.HasSuffix(q.Get("timeout"), "ms") || m.Header.Get("X-Opaque-Id") != "o-7" {
-			w.t.Errorf("a server got %s %s %s", m.Method, m.Target, m.Body)
+			w.t.Errorf("fake server received an invalid search request: %s %s %s", m.Method, m.Target, m.Body)
 			return
 		}
 		w.count(w.received, shard)
-		status, does := 200, s.held()
-		switch does {
+		status, behaviour := 200, s.waitNotHeld()
+		switch behaviour {
 		case "hang":
-			r.ReadByte() // until the gatherer closes it
+			r.ReadByte() // returns when the broker closes the connection
 			w.count(w.dropped, shard)
 			return
 		case "reset":
@@ -150,13 +150,13 @@
 		case "reject":
 			status = 429
 		}
-		text := bodies[does]
+		text := bodies[behaviour]
 		if text == "" {
 			text = bodies["serve"]
 		}
 		text = strings.Replace(text, "%d", strconv.Itoa(shard), 1)
 		good := fmt.Sprintf("HTTP/1.1 %d X\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s", status, len(text), text)
-		switch does {
+		switch behaviour {
 		case "twice":
 			good += good
 		case "noise-behind":
@@ -171,7 +171,7 @@
 			good = good[:len(good)-3]
 		}
 		fmt.Fprint(conn, good)
-		for does == "huge" { // keeps coming until the gatherer cuts it off
+		for behaviour == "huge" { // sends until the broker closes the connection
 			if _, err := conn.Write(make([]byte, 1<<16)); err != nil {
 				w.count(w.dropped, shard)
 				return
--- a/internal/testing/endtoend/platform_test.go
+++ b/internal/testing/endtoend/platform_test.go
@@ -21,12 +21,12 @@
 func (d platformDialect) config(t *testing.T, w *world) []string {
 	address := discovery(t, w, 41, nil)
 	writePlatform(t, w, address)
-	return []string{"LB_CONFIG=" + w.file, "LB_LISTEN=", "LB_DISCOVERY=" + address, "LB_NAME="}
+	return []string{"LB_CONFIG=" + w.configFile, "LB_LISTEN=", "LB_DISCOVERY=" + address, "LB_NAME="}
 }
 
-func (platformDialect) rewrite(t *testing.T, w *world, gone []string) {
-	close(w.lists) // the old address ends its watch and takes no more
-	writePlatform(t, w, discovery(t, w, 7, gone))
+func (platformDialect) rewrite(t *testing.T, w *world, removed []string) {
+	close(w.fleetChanges) // ends the watch at the old address and closes its listener
+	writePlatform(t, w, discovery(t, w, 7, removed))
 }
 
 func writePlatform(t *testing.T, w *world, discovery string) {
@@ -38,37 +38,37 @@
 	})
 }
 
-func entries(w *world, gone []string) []map[string]any {
+func entries(w *world, removed []string) []map[string]any {
 	var list []map[string]any
 	for _, s := range w.servers {
-		if !slices.Contains(gone, s.name) {
+		if !slices.Contains(removed, s.name) {
 			list = append(list, entry(s, "SERVING"))
 		}
 	}
 	return list
 }
 
-func entry(s *standIn, state string) map[string]any {
+func entry(s *fakeServer, state string) map[string]any {
 	return map[string]any{
 		"instanceId": s.name, "hostPort": s.address, "zone": "a", "cell": s.cell,
 		"lifecycle": state, "weight": 1.0, "startedAtMs": 0,
 	}
 }
 
-// discovery is a stand-in agent: it gives the whole list, which lacks some servers, holds a watch open and tells
-// what the scenario says.
-func discovery(t *testing.T, w *world, generation int, gone []string) string {
-	return discoveryAt(t, w, "127.0.0.1:0", generation, gone)
+// discovery starts a fake discovery agent and returns its address. It serves the full list without the
+// servers named in removed, keeps a watch open and publishes the changes that the scenario sends.
+func discovery(t *testing.T, w *world, generation int, removed []string) string {
+	return discoveryAt(t, w, "127.0.0.1:0", generation, removed)
 }
 
-func discoveryAt(t *testing.T, w *world, address string, generation int, gone []string) string {
+func discoveryAt(t *testing.T, w *world, address string, generation int, removed []string) string {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { l.Close() })
 	lists := make(chan string, 8)
-	w.lists = lists
+	w.fleetChanges = lists
 	chunk := func(conn net.Conn, whole bool, entries []map[string]any) {
 		line, err := json.Marshal(map[string]any{"generation": generation, "reset": whole, "instances": entries})
 		if err != nil {
@@ -77,7 +77,7 @@
 		fmt.Fprintf(conn, "%x\r\n%s\n\r\n", len(line)+1, line)
 	}
 	go func() {
-		for { // a gatherer has one watch at a time; where two run, one of them is told of a change
+		for { // a broker has one watch at a time; if two brokers run, only one of them receives a change
 			conn, err := l.Accept()
 			if err != nil {
 				return
@@ -88,7 +88,7 @@
 				m, err := readMessage(conn, r, false)
 				if err == nil && m.Target == "/catalog/members" {
 					fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-					chunk(conn, true, entries(w, gone))
+					chunk(conn, true, entries(w, removed))
 					fmt.Fprintf(conn, "0\r\n\r\n")
 					m, err = readMessage(conn, r, false)
 				}
@@ -96,7 +96,7 @@
 					return
 				}
 				if want := fmt.Sprintf("/catalog/members?watch=1&from=%d", generation); m.Target != want {
-					t.Errorf("discovery was asked for %s, want %s", m.Target, want)
+					t.Errorf("discovery got a request for %s, want %s", m.Target, want)
 				}
 				fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n")
 				for change := range lists {
@@ -105,7 +105,7 @@
 						return
 					}
 					generation++
-					i := slices.IndexFunc(w.servers, func(s *standIn) bool { return s.name == name })
+					i := slices.IndexFunc(w.servers, func(s *fakeServer) bool { return s.name == name })
 					chunk(conn, false, []map[string]any{entry(w.servers[i], state)})
 				}
 				l.Close()
@@ -139,18 +139,18 @@
 			}
 		}
 		if err := json.Unmarshal(m.Body, &a); err != nil || !a.Whole {
-			return fmt.Sprintf("not whole: %s", m.Body)
+			return fmt.Sprintf("incomplete response: %s", m.Body)
 		}
 		var in []int
 		for _, x := range a.Matches {
 			if x.Payload != fmt.Sprintf("v%d \"c41e77d0\"", x.Segment) {
-				return fmt.Sprintf("made up: %s", m.Body)
+				return fmt.Sprintf("response with a wrong payload: %s", m.Body)
 			}
 			in = append(in, x.Segment)
 		}
-		return answered(in)
+		return answeredOutcome(in)
 	case 429:
-		return refused(m)
+		return refusedOutcome(m)
 	case 400, 408, 413, 431, 501, 505:
 		return fmt.Sprint("malformed ", m.Status)
 	case 502, 504:
@@ -159,7 +159,7 @@
 	return fmt.Sprint("status ", m.Status)
 }
 
-func answered(shards []int) string {
+func answeredOutcome(shards []int) string {
 	slices.Sort(shards)
 	var text []string
 	for _, s := range shards {
@@ -168,22 +168,23 @@
 	return "answered " + strings.Join(text, ",")
 }
 
-func refused(m *http1.Message) string {
+func refusedOutcome(m *http1.Message) string {
 	if s, err := strconv.ParseFloat(m.Header.Get("Retry-After"), 64); err == nil && s > 0 {
 		return "refused later"
 	}
 	return "refused"
 }
 
-// serve is a stand-in worker: frames in, frames out.
-func (platformDialect) serve(w *world, s *standIn, conn net.Conn) {
+// serve implements a fake worker on one connection: it receives request frames and sends response
+// frames.
+func (platformDialect) serve(w *world, s *fakeServer, conn net.Conn) {
 	r := bufio.NewReader(conn)
 	var mu sync.Mutex
-	out := map[string]int{}
+	inFlight := map[string]int{}
 	defer func() {
 		mu.Lock()
 		defer mu.Unlock()
-		for _, shard := range out {
+		for _, shard := range inFlight {
 			w.count(w.dropped, shard)
 		}
 	}()
@@ -199,8 +200,8 @@
 		if body[0] == 'A' {
 			id := string(body[1:])
 			mu.Lock()
-			if shard, ok := out[id]; ok {
-				delete(out, id)
+			if shard, ok := inFlight[id]; ok {
+				delete(inFlight, id)
 				w.count(w.dropped, shard)
 			}
 			mu.Unlock()
@@ -210,22 +211,22 @@
 		f := strings.Fields(line)
 		shard, err := strconv.Atoi(f[1])
 		if body[0] != 'R' || err != nil || !strings.HasPrefix(f[2], "d=") || f[3] != strconv.Itoa(len(text)) {
-			w.t.Errorf("a worker got the frame %q", body)
+			w.t.Errorf("fake worker received the invalid frame %q", body)
 			return
 		}
 		w.count(w.received, shard)
-		if does := s.does(); does == "hang" {
+		if behaviour := s.currentBehaviour(); behaviour == "hang" {
 			mu.Lock()
-			out[f[0]] = shard
+			inFlight[f[0]] = shard
 			mu.Unlock()
 			continue
-		} else if does == "reset" {
+		} else if behaviour == "reset" {
 			return
 		}
 		go func() {
-			does := s.held()
-			conn.Write(workerAnswer(does, f[0], fmt.Sprintf("v%d %q", shard, text)))
-			for does == "huge" { // keeps coming until the gatherer cuts it off
+			behaviour := s.waitNotHeld()
+			conn.Write(workerAnswer(behaviour, f[0], fmt.Sprintf("v%d %q", shard, text)))
+			for behaviour == "huge" { // sends until the broker closes the connection
 				if _, err := conn.Write(make([]byte, 1<<16)); err != nil {
 					w.count(w.dropped, shard)
 					return
@@ -235,10 +236,10 @@
 	}
 }
 
-// workerAnswer is what a worker that behaves so sends for a part.
-func workerAnswer(does, id, value string) []byte {
+// workerAnswer returns the bytes that a worker with the given behaviour sends for a part.
+func workerAnswer(behaviour, id, value string) []byte {
 	good := frame(fmt.Sprintf("Y%s OK 7 queue=0,util=0.1\n%s", id, value))
-	switch does {
+	switch behaviour {
 	case "serve":
 		return good
 	case "reject":
@@ -259,7 +260,7 @@
 		return good[:len(good)-3]
 	case "stranger":
 		return frame("Y9b1f.0 OK 7 -\n" + value)
-	default: // every way of saying that it went wrong
+	default: // all behaviours that report an error
 		return frame(fmt.Sprintf("Y%s ERROR 7 queue=0,util=0.1\n", id))
 	}
 }
--- a/internal/testing/endtoend/scenario_test.go
+++ b/internal/testing/endtoend/scenario_test.go
@@ -1,41 +1,42 @@
-// Package endtoend tests the program as it is started, over loopback sockets, in both dialects. A scenario is
-// a text of one step a line; the same text runs in each dialect and has to come out the same.
+// Package endtoend tests the program as a process, over loopback sockets, in both dialects. A scenario
+// is a text with one step per line; the same text runs in each dialect and must have the same outcome.
 //
-//	only DIALECT                      the scenario is not for the other one
-//	passed                            as the first step: clients' socket is held by the test and passed on
-//	replace                           the program is started once more, beside the one that runs; what follows is
-//	                                  about the new one, and "old" means the other
-//	junk                              what can't be read lies where the two tell each other how they stand
-//	wait handed N                     until a process has told of N open queries
-//	wait open N                       until a process has told of N open queries and parts
-//	wait standby 1|0                  until a process has told that it is on standby, or not
-//	twin Q P                          a client sends what P has sent, under the same id
-//	call WORDS... = ANSWER            an operator calls; the answer begins like this
-//	callers N TEXT                    so many operators connect, send so much, and stay
-//	server NAME|* BEHAVIOUR           how a stand-in server treats calls from here on; hold keeps the answers
-//	                                  back until the next one
-//	fleet NAME STATE                  discovery tells of a server
-//	fleet break                       discovery ends its watch without a word
-//	send Q CLASS SHARDS [MS]          a client sends a query; shards in any order. The same Q again, once it
-//	                                  has its answer, is sent on the same connection
-//	idle N                            so many clients connect and send nothing
-//	raw Q NAME                        a client sends one of the malformed requests
-//	conceal Q SHARD                   a request that can be read in two ways, with a whole one in its body
-//	flood Q SHARD N                   so many requests at once on one connection
-//	close Q                           the client goes away
-//	stop [old]                        SIGTERM to the program
-//	reload bad | reload NAME...       SIGHUP, with a file that can't be used or one by which these servers are gone;
-//	                                  discovery is then at another address, where versions begin anew
-//	retune TRIES NAME:EFFECT[:LIMIT]...  SIGHUP, with these classes and most attempts; a faulty file where a deadline or
-//	                                  the attempts are not above nought
-//	wait shard S received|dropped N   until servers have seen so much
-//	wait told N                       until the program has heard of discovery's version N
-//	expect Q OUTCOME                  the one final answer of a query
-//	expect Q closing                  its answer, which has come, ended the connection
-//	expect Q ended                    its connection, once it has its answer
-//	expect shard S received N         how many calls for a shard servers have seen in all
-//	expect figure NAME N              what the program counts, once it has
-//	expect ready|leaving|exit [old]   the program's health, or its orderly end
+//	only DIALECT                      run the scenario in this dialect only
+//	passed                            first step: the test opens the clients' socket and passes it on
+//	replace                           start the program again while the first process runs; later steps
+//	                                  refer to the new process, and "old" to the first one
+//	junk                              write malformed files where the two processes exchange their state
+//	wait handed N                     until a process has published N open queries
+//	wait open N                       until a process has published N open queries and parts
+//	wait standby 1|0                  until a process has published that it is (not) on standby
+//	twin Q P                          send the request of P again as Q, with the same id
+//	later Q P                         as twin, retried while the response is status 409
+//	call WORDS... = ANSWER            send an admin command; the response must start with ANSWER
+//	callers N TEXT                    open N admin connections, send TEXT on each, keep them open
+//	server NAME|* BEHAVIOUR           set the behaviour of a fake server; hold delays its responses
+//	                                  until the behaviour changes
+//	fleet NAME STATE                  discovery publishes the state of a server
+//	fleet break                       discovery closes the watch
+//	send Q CLASS SHARDS [MS]          send a query; shards in any order. A Q that has its response can
+//	                                  be sent again, on the same connection
+//	idle N                            open N client connections that send nothing
+//	raw Q NAME                        send one of the malformed requests
+//	conceal Q SHARD                   send a request of ambiguous length with a valid one in its body
+//	flood Q SHARD N                   send N pipelined requests on one connection
+//	close Q                           close the client's connection
+//	stop [old]                        send SIGTERM to the program
+//	reload bad | reload NAME...       send SIGHUP with an invalid file, or with a file without these
+//	                                  servers; discovery then has a new address and restarts its versions
+//	retune TRIES NAME:EFFECT[:LIMIT]...  send SIGHUP with these classes and maximum attempts; the file is
+//	                                  invalid if a limit or TRIES is not positive
+//	wait shard S received|dropped N   until the servers have counted N calls
+//	wait told N                       until the program has logged discovery's version N
+//	expect Q OUTCOME                  the only response of a query
+//	expect Q closing                  its response, which was received, closes the connection
+//	expect Q ended                    its connection is closed after the response
+//	expect shard S received N         the total number of calls that servers received for a shard
+//	expect figure NAME N              a metric of the program, once it has this value
+//	expect ready|leaving|exit [old]   the program's health, or its exit with status 0
 package endtoend
 
 import (
@@ -58,7 +59,7 @@
 	"time"
 )
 
-const patience = 20 * time.Second // for what has to happen; no verdict hangs on how soon it does
+const waitTimeout = 20 * time.Second // bounds each wait; no check depends on how soon a state is reached
 
 var program string
 
@@ -80,56 +81,59 @@
 	os.Exit(code)
 }
 
-// dialect is what differs between the two fronts for a test.
+// dialect abstracts the differences between the two front ends.
 type dialect interface {
 	// config writes the program's configuration and returns the environment that names it.
 	config(t *testing.T, w *world) []string
-	// rewrite writes the file anew, with a list that lacks some servers.
-	rewrite(t *testing.T, w *world, gone []string)
+	// rewrite replaces the configuration by one without the servers named in removed.
+	rewrite(t *testing.T, w *world, removed []string)
+	// request returns a request of a class for shards with a timeout in milliseconds.
 	request(class string, shards []int, ms int) []byte
-	// outcome reads an answer: "answered 0,2", "refused later", "refused", "failed" or "malformed STATUS".
+	// outcome summarizes a response: "answered 0,2", "refused later", "refused", "failed", "malformed
+	// STATUS" or "status STATUS".
 	outcome(m *http1.Message) string
-	serve(w *world, s *standIn, conn net.Conn)
+	// serve runs the protocol of a fake server on one connection until it ends.
+	serve(w *world, s *fakeServer, conn net.Conn)
 }
 
-// world is one run of the program with its stand-ins.
+// world is one run of the program with its fake servers and clients.
 type world struct {
 	t       *testing.T
 	d       dialect
-	servers []*standIn
+	servers []*fakeServer
 	address string
 	process
-	old         process  // the one that was replaced
-	env         []string // of the program
-	socket      *os.File // passed to the program; nil where it opens its own
-	clients     map[string]*client
-	lists       chan string // changes that discovery has to tell
-	file        string      // the program's configuration
-	classes     []class     // in it
-	tries       int
-	shared      string            // directory of the two processes
-	descriptors int               // that the program may open; 0: as many as this test
-	sent        map[string][]byte // by client
+	replaced     process  // replaced by process
+	env          []string // of the program
+	socket       *os.File // passed to the program; nil: it opens its own
+	clients      map[string]*client
+	fleetChanges chan string       // changes for discovery to publish
+	configFile   string            // path of the program's configuration
+	classes      []class           // in the configuration
+	maxAttempts  int               // maximum attempts in the configuration
+	handoverDir  string            // TMPDIR of all processes, for their handover files
+	descriptors  int               // file descriptor limit of the program; 0: that of this test
+	sent         map[string][]byte // last request by client
 
 	mu       sync.Mutex
-	changed  *sync.Cond
-	received map[int]int
-	dropped  map[int]int
-	told     map[int]int // by version of the list
+	changed  *sync.Cond  // broadcast when one of the counts below changes
+	received map[int]int // calls by shard
+	dropped  map[int]int // canceled calls by shard
+	logged   map[int]int // log lines by fleet generation, or by one of the constants below
 }
 
-// process is one start of the program.
+// process is one run of the program.
 type process struct {
 	cmd    *exec.Cmd
-	door   string // where operators call
+	admin  string // address of the admin endpoint
 	exited chan error
 }
 
 type client struct {
-	conn    net.Conn
-	r       *bufio.Reader
-	got     chan string
-	closing bool // by its last answer
+	conn     net.Conn
+	r        *bufio.Reader
+	outcomes chan string
+	closing  bool // the last response closes the connection
 }
 
 func (w *world) count(of map[int]int, shard int) {
@@ -139,37 +143,37 @@
 	w.mu.Unlock()
 }
 
-// standIn is one server: it serves, or treats calls in another way that a scenario names.
-type standIn struct {
+// fakeServer is a fake server. Its behaviour is "serve" or another one that the scenario sets.
+type fakeServer struct {
 	name      string
 	cell      int
 	mu        sync.Mutex
 	l         net.Listener
 	address   string
 	behaviour string
-	changed   chan struct{} // closed when the behaviour changes
+	changed   chan struct{} // closed and replaced when the behaviour changes
 }
 
-func (s *standIn) does() string {
+func (s *fakeServer) currentBehaviour() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.behaviour
 }
 
-// held waits until the server is told to do something else than hold its answer back.
-func (s *standIn) held() string {
+// waitNotHeld waits while the behaviour is "hold", and returns the next one.
+func (s *fakeServer) waitNotHeld() string {
 	for {
 		s.mu.Lock()
-		does, changed := s.behaviour, s.changed
+		behaviour, changed := s.behaviour, s.changed
 		s.mu.Unlock()
-		if does != "hold" {
-			return does
+		if behaviour != "hold" {
+			return behaviour
 		}
 		<-changed
 	}
 }
 
-func (s *standIn) set(w *world, behaviour string) {
+func (s *fakeServer) set(w *world, behaviour string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.behaviour = behaviour
@@ -180,8 +184,9 @@
 	}
 }
 
-func (s *standIn) listen(w *world) {
-	// An address of this process's own: a port let go by "down" must stay closed, while other tests open ports beside this one.
+func (s *fakeServer) listen(w *world) {
+	// The address is unique to this test process: after "down" the port must stay closed, although
+	// tests in other processes open ports at the same time.
 	l, err := net.Listen("tcp", fmt.Sprintf("127.%d.%d.1:0", 1+os.Getpid()%250, 1+os.Getpid()/250%250))
 	if err != nil {
 		w.t.Fatal(err)
@@ -202,36 +207,36 @@
 	}()
 }
 
-// These stand among the versions for word that the program has heard a signal.
+// Keys of world.told for log events other than fleet generations, which are not negative.
 const (
-	leaving  = -1
-	reloaded = -2
-	keptOld  = -3
-	active   = -4 // as a router
+	loggedLeaving     = -1 // shutdown after SIGTERM
+	loggedReload      = -2 // configuration replaced after SIGHUP
+	loggedReloadError = -3 // configuration rejected after SIGHUP
+	loggedVRRPActive  = -4 // VRRP address acquired
 )
 
 const (
 	badFile = `{"listen":"127.0.0.1:1","discovery":"127.0.0.1:1","indices":[],"servers":[],"settings":7}`
 )
 
-// faultyKey is how the log names the fault of each bad file here.
+// faultyKey matches the log line with the error of each invalid configuration of these tests.
 var faultyKey = regexp.MustCompile(`settings: want object|classes\[\d\]\.hard_limit_us: |permissions\.most_tries: `)
 
-var told = regexp.MustCompile(`event=fleet generation=(\d+)`)
+var fleetLogged = regexp.MustCompile(`event=fleet generation=(\d+)`)
 
 var started = regexp.MustCompile(`event=start .*listen=(\S+) operator=(\S+)`)
 
 func newWorld(t *testing.T, d dialect, passed bool) *world {
 	w := prepare(t, d)
 	if passed {
-		w.pass()
+		w.passSocket()
 	}
 	w.start(d.config(t, w))
 	return w
 }
 
-// pass has the clients' socket held here, and passed to every process.
-func (w *world) pass() {
+// passSocket opens the clients' listening socket, which start passes to every process.
+func (w *world) passSocket() {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		w.t.Fatal(err)
@@ -243,15 +248,15 @@
 	w.t.Cleanup(func() { w.socket.Close() })
 }
 
-// prepare makes a world whose stand-ins listen and whose program is not started.
+// prepare returns a world whose fake servers listen and whose program is not started.
 func prepare(t *testing.T, d dialect) *world {
 	w := &world{
-		t: t, d: d, classes: usual, tries: usualTries, shared: t.TempDir(), sent: map[string][]byte{}, clients: map[string]*client{}, lists: make(chan string, 8),
-		received: map[int]int{}, dropped: map[int]int{}, told: map[int]int{},
+		t: t, d: d, classes: defaultClasses, maxAttempts: defaultMaxAttempts, handoverDir: t.TempDir(), sent: map[string][]byte{}, clients: map[string]*client{}, fleetChanges: make(chan string, 8),
+		received: map[int]int{}, dropped: map[int]int{}, logged: map[int]int{},
 	}
 	w.changed = sync.NewCond(&w.mu)
 	for i := range 4 {
-		s := &standIn{name: fmt.Sprintf("s%d", i), cell: i}
+		s := &fakeServer{name: fmt.Sprintf("s%d", i), cell: i}
 		s.listen(w)
 		w.servers = append(w.servers, s)
 	}
@@ -266,7 +271,7 @@
 	if w.descriptors > 0 {
 		cmd = exec.Command("/bin/sh", "-c", fmt.Sprintf("ulimit -n %d && exec %s", w.descriptors, program))
 	}
-	cmd.Env = append(append(os.Environ(), "LB_OPERATOR=", "TMPDIR="+w.shared), env...)
+	cmd.Env = append(append(os.Environ(), "LB_OPERATOR=", "TMPDIR="+w.handoverDir), env...)
 	if w.socket != nil {
 		cmd.ExtraFiles = []*os.File{w.socket}
 		cmd.Env = append(cmd.Env, "LB_PASSED_SOCKET=3")
@@ -286,23 +291,23 @@
 				addresses <- m
 			}
 			if strings.Contains(lines.Text(), "level=info event=vrrp_service address") {
-				w.count(w.told, active)
+				w.count(w.logged, loggedVRRPActive)
 			}
 			if strings.Contains(lines.Text(), "event=leaving") {
-				w.count(w.told, leaving)
+				w.count(w.logged, loggedLeaving)
 			}
 			if strings.Contains(lines.Text(), "event=reload kept=old") && faultyKey.MatchString(lines.Text()) {
-				w.count(w.told, keptOld)
+				w.count(w.logged, loggedReloadError)
 			} else if strings.Contains(lines.Text(), "event=reload") {
-				w.count(w.told, reloaded)
+				w.count(w.logged, loggedReload)
 			}
-			if m := told.FindStringSubmatch(lines.Text()); m != nil {
+			if m := fleetLogged.FindStringSubmatch(lines.Text()); m != nil {
 				n, _ := strconv.Atoi(m[1])
-				w.count(w.told, n)
+				w.count(w.logged, n)
 			}
 			if strings.Contains(lines.Text(), "panic") || strings.Contains(lines.Text(), "DATA RACE") ||
 				strings.Contains(lines.Text(), "deadline guard") {
-				t.Errorf("the program said: %s", lines.Text())
+				t.Errorf("program logged a panic, data race or deadline guard message: %s", lines.Text())
 			}
 		}
 	}()
@@ -312,30 +317,31 @@
 	case m := <-addresses:
 		w.address, w.process = m[1], process{cmd, m[2], exited}
 	case <-ended:
-		t.Fatal("the program ended at its start")
-	case <-time.After(patience):
-		t.Fatal("the program did not start")
+		t.Fatal("program exited before it served")
+	case <-time.After(waitTimeout):
+		t.Fatal("program did not serve in time")
 	}
 }
 
-// which is the process that a step means.
-func (w *world) which(f []string, i int) process {
+// processOf returns the process that a step refers to by its word i: "old" or the current one.
+func (w *world) processOf(f []string, i int) process {
 	if len(f) > i && f[i] == "old" {
-		return w.old
+		return w.replaced
 	}
 	return w.process
 }
 
-// handed tells that some process has told of so much.
-func (w *world) handed(what string, n int) bool {
-	files, err := filepath.Glob(filepath.Join(w.shared, "*.handover"))
+// handoverFileShows reports whether some process's handover file has the value n for what: open (open
+// queries and parts), standby (1 or 0) or handed (labels of open queries).
+func (w *world) handoverFileShows(what string, n int) bool {
+	files, err := filepath.Glob(filepath.Join(w.handoverDir, "*.handover"))
 	if err != nil {
 		w.t.Fatal(err)
 	}
 	for _, file := range files {
 		text, err := os.ReadFile(file)
 		if err != nil {
-			continue // it was taken back just now
+			continue // removed since Glob
 		}
 		s, err := handover.Parse(text)
 		if err == nil && (what == "open" && s.Open == n || what == "standby" && s.Standby == (n == 1) || what == "handed" && len(s.Labels) == n) {
@@ -345,28 +351,28 @@
 	return false
 }
 
-// hup sends SIGHUP and waits until the program has heard it.
-func (w *world) hup(heard int) error {
+// sendSIGHUP sends SIGHUP and waits until the program has logged event.
+func (w *world) sendSIGHUP(event int) error {
 	w.mu.Lock()
-	before := w.told[heard]
+	before := w.logged[event]
 	w.mu.Unlock()
 	if err := w.cmd.Process.Signal(syscall.SIGHUP); err != nil {
 		return err
 	}
-	if !w.await(w.told, heard, before+1) {
-		return fmt.Errorf("the program did not hear it")
+	if !w.await(w.logged, event, before+1) {
+		return fmt.Errorf("program did not log the expected reload after SIGHUP")
 	}
 	return nil
 }
 
-// call has an operator call, byte by byte, and returns the answer.
+// call sends a command to the admin endpoint, byte by byte, and returns the response.
 func (w *world) call(words string) string {
-	conn := w.dialTo(w.door)
+	conn := w.dialTo(w.admin)
 	defer conn.Close()
-	conn.SetDeadline(time.Now().Add(patience))
+	conn.SetDeadline(time.Now().Add(waitTimeout))
 	for _, b := range []byte(words + "\n") {
 		if _, err := conn.Write([]byte{b}); err != nil {
-			break // a line that is too long is answered before its end
+			break // an overlong line is rejected before its end
 		}
 	}
 	answer, err := io.ReadAll(conn)
@@ -379,7 +385,7 @@
 func (w *world) dial() net.Conn { return w.dialTo(w.address) }
 
 func (w *world) dialTo(address string) net.Conn {
-	conn, err := net.DialTimeout("tcp", address, patience)
+	conn, err := net.DialTimeout("tcp", address, waitTimeout)
 	if err != nil {
 		w.t.Fatal(err)
 	}
@@ -387,13 +393,13 @@
 	return conn
 }
 
-// send writes a request on its client's connection and reads the answer in the background.
+// send writes a request on the client's connection and reads the response in the background.
 func (w *world) send(name string, request []byte) {
 	w.sent[name] = request
 	c := w.clients[name]
 	if c == nil {
 		conn := w.dial()
-		c = &client{conn: conn, r: bufio.NewReader(conn), got: make(chan string, 1)}
+		c = &client{conn: conn, r: bufio.NewReader(conn), outcomes: make(chan string, 1)}
 		w.clients[name] = c
 	}
 	if _, err := c.conn.Write(request); err != nil {
@@ -402,11 +408,11 @@
 	go func() {
 		m, err := readMessage(c.conn, c.r, true)
 		if err != nil {
-			c.got <- "no answer: " + err.Error()
+			c.outcomes <- "no response: " + err.Error()
 			return
 		}
 		c.closing = m.Close
-		c.got <- w.d.outcome(m)
+		c.outcomes <- w.d.outcome(m)
 	}()
 }
 
@@ -416,7 +422,7 @@
 		if m, err := p.Next(); m != nil || err != nil {
 			return m, err
 		}
-		conn.SetReadDeadline(time.Now().Add(patience))
+		conn.SetReadDeadline(time.Now().Add(waitTimeout))
 		b, err := r.ReadByte()
 		if err != nil {
 			return nil, err
@@ -441,11 +447,11 @@
 	return strconv.Itoa(m.Status)
 }
 
-// await waits until a count is reached.
+// await waits until the count of a key is at least n, and returns false after the timeout.
 func (w *world) await(of map[int]int, shard, n int) bool {
-	timer := time.AfterFunc(patience, w.changed.Broadcast)
+	timer := time.AfterFunc(waitTimeout, w.changed.Broadcast)
 	defer timer.Stop()
-	end := time.Now().Add(patience)
+	end := time.Now().Add(waitTimeout)
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for of[shard] < n {
@@ -471,7 +477,7 @@
 	"bad-chunk":    "POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n",
 }
 
-// play runs a scenario and returns what its queries came to.
+// play runs a scenario and returns the outcomes of its queries, in the order of the expect steps.
 func play(t *testing.T, d dialect, text string) []string {
 	w := newWorld(t, d, strings.Contains(text, "\npassed\n"))
 	var seen []string
@@ -499,26 +505,26 @@
 	switch verb := f[0]; verb {
 	case "only", "passed":
 	case "replace":
-		w.old = w.process
+		w.replaced = w.process
 		w.start(w.env)
 	case "junk":
 		for name, text := range map[string]string{
 			"1": "", "2": "{\"v\":1", "3": "{\"v\":2}", "4": "\x00",
 			"5": `{"v":1,"name":"n0","at":-1,"sockets":-5,"open":1e300,"labels":7}`,
 		} {
-			if err := os.WriteFile(filepath.Join(w.shared, "saffronquay-"+name+".handover"), []byte(text), 0o600); err != nil {
+			if err := os.WriteFile(filepath.Join(w.handoverDir, "saffronquay-"+name+".handover"), []byte(text), 0o600); err != nil {
 				return err
 			}
 		}
 	case "twin":
 		w.send(f[1], w.sent[f[2]])
-	case "later": // the twin is taken once the other process has told that the first one has ended
-		for end := time.Now().Add(patience); ; time.Sleep(5 * time.Millisecond) {
+	case "later": // accepted only after the other process has published that the first request ended
+		for end := time.Now().Add(waitTimeout); ; time.Sleep(5 * time.Millisecond) {
 			w.send(f[1], w.sent[f[2]])
 			c := w.clients[f[1]]
-			got := <-c.got
+			got := <-c.outcomes
 			if got != "status 409" || time.Now().After(end) {
-				c.got <- got
+				c.outcomes <- got
 				break
 			}
 			if c.closing {
@@ -528,11 +534,11 @@
 	case "call":
 		words, want, _ := strings.Cut(strings.Join(f[1:], " "), " = ")
 		if got := w.call(words); !strings.HasPrefix(got, want) {
-			return fmt.Errorf("got %q", got)
+			return fmt.Errorf("admin endpoint responded %q", got)
 		}
 	case "callers":
 		for range num(1) {
-			fmt.Fprint(w.dialTo(w.door), strings.Join(f[2:], " "))
+			fmt.Fprint(w.dialTo(w.admin), strings.Join(f[2:], " "))
 		}
 	case "server":
 		for _, s := range w.servers {
@@ -541,7 +547,7 @@
 			}
 		}
 	case "fleet":
-		w.lists <- strings.Join(f[1:], " ")
+		w.fleetChanges <- strings.Join(f[1:], " ")
 	case "send":
 		var shards []int
 		for _, s := range strings.Split(f[3], ",") {
@@ -560,11 +566,11 @@
 		for range num(1) {
 			w.dial()
 		}
-	case "conceal": // a whole request in the body of one whose length can be read in two ways
+	case "conceal": // request smuggling: a valid request in the body of one with two lengths
 		inner := w.d.request("once", []int{num(2)}, 3000)
 		w.send(f[1], fmt.Appendf(nil, "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n%s",
 			5+len(inner), inner))
-	case "flood": // many requests on one connection, without waiting for answers
+	case "flood": // pipelined requests on one connection
 		var all []byte
 		for range num(3) {
 			all = append(all, w.d.request("once", []int{num(2)}, 3000)...)
@@ -572,66 +578,66 @@
 		w.send(f[1], all)
 	case "raw":
 		if malformed[f[2]] == "" {
-			return fmt.Errorf("unknown request")
+			return fmt.Errorf("unknown malformed request")
 		}
 		w.send(f[1], []byte(malformed[f[2]]))
 	case "close":
 		w.clients[f[1]].conn.Close()
 	case "stop":
-		// A signal takes its time: what follows is about a program that has heard it.
+		// Signals are asynchronous: wait until the program has handled it before the next step.
 		w.mu.Lock()
-		before := w.told[leaving]
+		before := w.logged[loggedLeaving]
 		w.mu.Unlock()
-		if err := w.which(f, 1).cmd.Process.Signal(syscall.SIGTERM); err != nil {
+		if err := w.processOf(f, 1).cmd.Process.Signal(syscall.SIGTERM); err != nil {
 			return err
 		}
-		if !w.await(w.told, leaving, before+1) {
-			return fmt.Errorf("the program did not hear it")
+		if !w.await(w.logged, loggedLeaving, before+1) {
+			return fmt.Errorf("program did not log its shutdown after SIGTERM")
 		}
 	case "retune":
-		before, tries, heard := w.classes, w.tries, reloaded
-		w.classes, w.tries = nil, num(1)
+		before, tries, event := w.classes, w.maxAttempts, loggedReload
+		w.classes, w.maxAttempts = nil, num(1)
 		for _, text := range f[2:] {
 			c := class{limit: 4_000_000}
 			fields := strings.Split(text, ":")
 			if c.name, c.effect = fields[0], fields[1]; len(fields) > 2 {
 				c.limit, _ = strconv.Atoi(fields[2])
 			}
-			if w.classes = append(w.classes, c); c.limit <= 0 || w.tries <= 0 {
-				heard = keptOld
+			if w.classes = append(w.classes, c); c.limit <= 0 || w.maxAttempts <= 0 {
+				event = loggedReloadError
 			}
 		}
 		w.d.rewrite(w.t, w, nil)
-		if heard == keptOld {
-			w.classes, w.tries = before, tries
+		if event == loggedReloadError {
+			w.classes, w.maxAttempts = before, tries
 		}
-		return w.hup(heard)
+		return w.sendSIGHUP(event)
 	case "reload":
-		heard, gone := reloaded, f[1:]
+		event, removed := loggedReload, f[1:]
 		if f[1] == "bad" {
-			heard = keptOld
-			if err := os.WriteFile(w.file, []byte(badFile), 0o600); err != nil {
+			event = loggedReloadError
+			if err := os.WriteFile(w.configFile, []byte(badFile), 0o600); err != nil {
 				return err
 			}
 		} else {
-			w.d.rewrite(w.t, w, gone)
+			w.d.rewrite(w.t, w, removed)
 		}
-		return w.hup(heard)
+		return w.sendSIGHUP(event)
 	case "wait":
 		if f[1] == "handed" || f[1] == "open" || f[1] == "standby" {
-			for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
-				if w.handed(f[1], num(2)) {
+			for end := time.Now().Add(waitTimeout); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
+				if w.handoverFileShows(f[1], num(2)) {
 					return nil
 				}
 			}
-			return fmt.Errorf("it never came to that")
+			return fmt.Errorf("no handover file had this value in time")
 		}
 		if f[1] == "told" {
 			f = []string{"wait", "shard", f[2], "told", "1"}
 		}
-		of := map[string]map[int]int{"received": w.received, "dropped": w.dropped, "told": w.told}[f[3]]
+		of := map[string]map[int]int{"received": w.received, "dropped": w.dropped, "told": w.logged}[f[3]]
 		if !w.await(of, num(2), num(4)) {
-			return fmt.Errorf("it never came to that")
+			return fmt.Errorf("count was not reached in time")
 		}
 	case "expect":
 		got, want := "", strings.Join(f[2:], " ")
@@ -642,7 +648,7 @@
 			w.mu.Unlock()
 		case "figure":
 			want = fmt.Sprintf("\nsvc.%s:%s|", f[2], f[3])
-			for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
+			for end := time.Now().Add(waitTimeout); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 				if got = "\n" + w.call("stats"); strings.Contains(got, want) && strings.HasSuffix(got, "\nEND\n") {
 					return nil
 				}
@@ -651,31 +657,31 @@
 			got, want = w.health(), f[1]
 		case "exit":
 			select {
-			case err := <-w.which(f, 2).exited:
+			case err := <-w.processOf(f, 2).exited:
 				got, want = fmt.Sprint(err), fmt.Sprint(error(nil))
-			case <-time.After(patience):
+			case <-time.After(waitTimeout):
 				got = "still running"
 			}
 		default:
 			if want == "closing" {
 				if !w.clients[f[1]].closing {
-					return fmt.Errorf("its answer keeps the connection")
+					return fmt.Errorf("response does not close the connection")
 				}
 				return nil
 			}
 			if want == "ended" {
 				c := w.clients[f[1]]
-				c.conn.SetReadDeadline(time.Now().Add(patience))
+				c.conn.SetReadDeadline(time.Now().Add(waitTimeout))
 				if b, err := c.r.ReadByte(); err != io.EOF {
-					return fmt.Errorf("got %q and %v, not the end", b, err) //nolint:errorlint // the error may be nil
+					return fmt.Errorf("read %q and error %v, want EOF", b, err) //nolint:errorlint // the error may be nil
 				}
 				return nil
 			}
 			select {
-			case got = <-w.clients[f[1]].got:
+			case got = <-w.clients[f[1]].outcomes:
 				*seen = append(*seen, f[1]+" "+got)
-			case <-time.After(patience):
-				got = "no answer"
+			case <-time.After(waitTimeout):
+				got = "no response"
 			}
 		}
 		if got != want {
@@ -690,7 +696,7 @@
 func TestScenarios(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.txt")
 	if err != nil || len(files) == 0 {
-		t.Fatalf("no scenarios: %v", err)
+		t.Fatalf("no scenarios in testdata: %v", err)
 	}
 	for _, file := range files {
 		text, err := os.ReadFile(file)
@@ -709,24 +715,24 @@
 				})
 			}
 			if len(results) == 2 && results["platform"] != results["opensearch"] {
-				t.Errorf("the dialects differ:\n%s\n--\n%s", results["platform"], results["opensearch"])
+				t.Errorf("outcomes differ between the dialects: platform:\n%s\n--\nopensearch:\n%s", results["platform"], results["opensearch"])
 			}
 		})
 	}
 }
 
-// class is one class of the settings.
+// class is one request class of the settings.
 type class struct {
 	name, effect string
 	limit        int // microseconds
 }
 
-// The classes and the most attempts that a program starts with.
-var usual = []class{{"safe", "free", 4_000_000}, {"once", "single_shot", 4_000_000}}
+// defaultClasses and usualTries are the classes and the maximum attempts that a program starts with.
+var defaultClasses = []class{{"safe", "free", 4_000_000}, {"once", "single_shot", 4_000_000}}
 
-const usualTries = 2
+const defaultMaxAttempts = 2
 
-// settings are those of both dialects: four shards in four cells, each held by two.
+// settings returns the settings of both dialects: four shards in four cells, each with two replicas.
 func (w *world) settings() json.RawMessage {
 	var classes []string
 	for _, c := range w.classes {
@@ -743,7 +749,7 @@
  "parties":[{"name":"desk","quota_per_s":100}],"over_share_worth":0.1,"prices":{"cross_zone":0},
  "rules":{"cold_share":0.2,"fall_multiple":2.5,"fall_us":1500000,"grace_to_answer_us":20000,
   "stop_sending_within_us":250000,"warm_within_us":14000000,"ask_within_us":10000000}}`,
-		strings.Join(classes, ","), each("0"), each("0.9"), each("1"), w.tries)
+		strings.Join(classes, ","), each("0"), each("0.9"), each("1"), w.maxAttempts)
 }
 
 func writeJSON(t *testing.T, w *world, v any) {
@@ -751,10 +757,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if w.file == "" {
-		w.file = filepath.Join(t.TempDir(), "config.json")
+	if w.configFile == "" {
+		w.configFile = filepath.Join(t.TempDir(), "config.json")
 	}
-	if err := os.WriteFile(w.file, b, 0o600); err != nil {
+	if err := os.WriteFile(w.configFile, b, 0o600); err != nil {
 		t.Fatal(err)
 	}
 }
--- a/internal/testing/endtoend/vrrp_test.go
+++ b/internal/testing/endtoend/vrrp_test.go
@@ -12,7 +12,8 @@
 	"time"
 )
 
-// withVRRP adds a virtual router to a configuration that config has written.
+// withVRRP adds a virtual router to the configuration that env names, and returns the environment that
+// names the result.
 func withVRRP(t *testing.T, env []string, router map[string]any) []string {
 	_, path, _ := strings.Cut(env[0], "=")
 	text, err := os.ReadFile(path)
@@ -26,7 +27,7 @@
 	file["vrrp"] = router
 	w := &world{}
 	writeJSON(t, w, file)
-	return []string{"SAFFRONQUAY_OPERATOR_FILE=" + w.file}
+	return []string{"SAFFRONQUAY_OPERATOR_FILE=" + w.configFile}
 }
 
 func freePort(t *testing.T) int {
@@ -38,8 +39,9 @@
 	return l.LocalAddr().(*net.UDPAddr).Port
 }
 
-// Two gatherers share a virtual address: it is served, and goes on being served when the Active one ends.
-func TestVirtualAddress(t *testing.T) {
+// Two brokers share a virtual address. The address must stay served when the active broker goes on
+// standby, becomes active again, and exits.
+func TestVirtualAddress_Failover(t *testing.T) {
 	t.Parallel()
 	port := freePort(t)
 	service := fmt.Sprintf("127.0.0.10:%d", port)
@@ -54,12 +56,12 @@
 		worlds[name] = w
 	}
 	served := func() string {
-		end := time.Now().Add(patience)
+		end := time.Now().Add(waitTimeout)
 		for last := ""; ; {
 			if !time.Now().Before(end) {
 				return last
 			}
-			conn, err := net.DialTimeout("tcp", service, patience)
+			conn, err := net.DialTimeout("tcp", service, waitTimeout)
 			if err != nil {
 				last = err.Error()
 				continue
@@ -67,7 +69,7 @@
 			conn.Write(openSearchDialect{}.request("safe", []int{2, 0}, 3000))
 			m, err := readMessage(conn, bufio.NewReader(conn), true)
 			conn.Close()
-			if err != nil { // it changed hands just then
+			if err != nil { // the address moved to the other broker during the request
 				last = err.Error()
 				continue
 			}
@@ -75,47 +77,47 @@
 		}
 	}
 	if got := served(); got != "answered 0,2" {
-		t.Fatalf("at first: %s", got)
+		t.Fatalf("request after the start: %s", got)
 	}
-	// On standby the address is given up, and with active the better one takes it back.
+	// standby releases the address; active lets the router with the higher priority take it back.
 	first, second := worlds["first"], worlds["second"]
 	for i, call := range []string{"standby", "active", "standby", "active"} {
 		if got := first.call(call); !strings.HasPrefix(got, "YES") {
 			t.Fatalf("%s: %s", call, got)
 		}
 		w := []*world{second, first}[i%2]
-		if !w.await(w.told, active, i/2+1+(i%2)) {
-			t.Fatalf("%s: the other state never came", call)
+		if !w.await(w.logged, loggedVRRPActive, i/2+1+(i%2)) {
+			t.Fatalf("%s: the virtual address did not move", call)
 		}
 		if got := served(); got != "answered 0,2" {
-			t.Errorf("after %s: %s", call, got)
+			t.Errorf("request after %s: %s", call, got)
 		}
 	}
 	if err := first.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
 	if err := <-first.exited; err != nil {
-		t.Fatalf("the first ended with %v", err)
+		t.Fatalf("the first broker exited with %v", err)
 	}
 	if got := served(); got != "answered 0,2" {
-		t.Errorf("after the first has ended: %s", got)
+		t.Errorf("request after the first broker exited: %s", got)
 	}
 }
 
-// A process that replaces another gets the virtual address once that one has given it up, and does not end because it
-// is still held.
-func TestVirtualAddressIsHandedOn(t *testing.T) {
+// A process that replaces another takes over the virtual address once the old process has released it.
+// It must not exit because the address is still in use.
+func TestVirtualAddress_Handover(t *testing.T) {
 	t.Parallel()
 	port := freePort(t)
 	w := prepare(t, openSearchDialect{})
-	w.pass()
+	w.passSocket()
 	w.start(withVRRP(t, w.d.config(t, w), map[string]any{
 		"vrid": 8, "priority": 200, "interval_ms": 100,
 		"listen": fmt.Sprintf("127.0.0.14:%d", port), "service": fmt.Sprintf("127.0.0.15:%d", port),
 		"peers": []any{map[string]any{"address": fmt.Sprintf("127.0.0.16:%d", port)}},
 	}))
-	if !w.await(w.told, active, 1) {
-		t.Fatal("the virtual address was never served")
+	if !w.await(w.logged, loggedVRRPActive, 1) {
+		t.Fatal("the virtual address was not served")
 	}
 	seen := []string{}
 	for _, step := range []string{
@@ -126,7 +128,7 @@
 			t.Fatalf("%s: %v", step, err)
 		}
 	}
-	if !w.await(w.told, active, 2) {
-		t.Error("the virtual address was never served again")
+	if !w.await(w.logged, loggedVRRPActive, 2) {
+		t.Error("the virtual address was not served by the new process")
 	}
 }
