--- a/internal/testing/soak/campaign.go
+++ b/internal/testing/soak/campaign.go
@@ -21,54 +21,56 @@
 	sq "saffronquay"
 )
 
-// Config is one campaign.
+// Config configures a campaign: one soak run.
 type Config struct {
 	Seed      uint64
 	Processes int
 	Voters    int
 	Length    time.Duration
-	Faults    int           // by chance, beside a rolling restart
-	Script    faults.Script // in the place of what chance would make; nil: none
-	Program   string        // the program's file
-	Second    string        // another build, which a rolling restart brings in; empty: the same
-	Dir       string        // for what outlasts the run: history, report
+	Faults    int           // maximum number of random faults, in addition to a rolling restart
+	Script    faults.Script // replaces the random faults and the rolling restart; nil: none
+	Program   string        // path of the executable
+	Second    string        // path of another build that is used for restarts; empty: Program
+	Dir       string        // for the history and the report, which are kept after the run
 	Say       func(format string, args ...any)
 }
 
-// Result is what came of one.
+// Result is the result of a campaign. Unanswered, RunTwice, Mixed, OverContract, MemoryGrowth and
+// Unsettled count violations.
 type Result struct {
-	Script                                                         faults.Script
-	Queries, LetIn, Unanswered, Twice, Mixed, Over, Grown, Unended int
-	Most, Whole                                                    int // parts out that all might have together, and the contract
-	Kills, Changes, Refused, Runs                                  int
-	Broken                                                         []string // what was broken, a line each
-	queries                                                        []Query
-	readings                                                       []Reading
-	memory                                                         map[string][]sample
+	Script                                                                                faults.Script
+	Queries, Admitted, Unanswered, RunTwice, Mixed, OverContract, MemoryGrowth, Unsettled int
+	MaxInFlight, Contract                                                                 int // maximum of parts that all processes together could have in flight, and the contract
+	Kills, Changes, Refused, PartsRun                                                     int
+	Broken                                                                                []string // descriptions of the violations, one line each
+	queries                                                                               []Query
+	readings                                                                              []Reading
+	memory                                                                                map[string][]sample
 }
 
-// sample is a process's memory at a time.
+// sample is the memory of a process at a point of the history.
 type sample struct {
 	at time.Duration
 	mb int
-	id int // of the process
+	id int // process id
 }
 
-// Verdict is the last line.
+// Verdict returns the summary of a result as one line of key=value pairs.
 func (r Result) Verdict(cfg Config) string {
 	return fmt.Sprintf("campaign: seed=%d processes=%d seconds=%.0f queries=%d let_in=%d unanswered=%d run_twice=%d of %d mixed=%d over_contract=%d (most %d of %d) grown=%d unsettled=%d faults=%d kills=%d changes=%d refused=%d broken=%d",
-		cfg.Seed, cfg.Processes, cfg.Length.Seconds(), r.Queries, r.LetIn, r.Unanswered, r.Twice, r.Runs, r.Mixed, r.Over, r.Most, r.Whole, r.Grown, r.Unended, len(r.Script), r.Kills, r.Changes, r.Refused, len(r.Broken))
+		cfg.Seed, cfg.Processes, cfg.Length.Seconds(), r.Queries, r.Admitted, r.Unanswered, r.RunTwice, r.PartsRun, r.Mixed, r.OverContract, r.MaxInFlight, r.Contract, r.MemoryGrowth, r.Unsettled, len(r.Script), r.Kills, r.Changes, r.Refused, len(r.Broken))
 }
 
 const (
-	cores  = 24
-	over   = 1.25
-	widest = 2 // parts of a query
+	cores            = 24
+	overcommit       = 1.25 // factor by which the contract exceeds cores
+	maxPartsPerQuery = 2    // maximum parts of a query
 )
 
 var teams = []string{"moves", "loud", "quiet", "files"}
 
-// Run plays a campaign and judges it. An error says that it could not be played.
+// Run runs a campaign and checks its history. An error means that the campaign could not be run;
+// violations are in Result.Broken.
 func Run(cfg Config) (res Result, err error) {
 	if err := os.MkdirAll(cfg.Dir, 0o755); err != nil {
 		return res, err
@@ -79,35 +81,35 @@
 	}
 	defer r.Close()
 	defer func() {
-		if never := harness.FatalReason(recover()); never != "" { // a state that never came
-			res.Unended++
+		if never := harness.FatalReason(recover()); never != "" { // a state was not reached in time
+			res.Unsettled++
 			res.Broken = append(res.Broken, never)
 		}
 	}()
-	d := &day{cfg: cfg, res: &res, r: r, calm: make(chan struct{}), over: make(chan struct{})}
-	if err := d.prepare(); err != nil {
+	run := &campaign{cfg: cfg, res: &res, r: r, faultsEnded: make(chan struct{}), loadEnded: make(chan struct{})}
+	if err := run.prepare(); err != nil {
 		return res, err
 	}
-	d.play()
+	run.play()
 	return res, nil
 }
 
-// day is a campaign that is being played.
-type day struct {
-	cfg     Config
-	res     *Result
-	r       *harness.Runner
-	g       *harness.Group
-	cluster *fakebackend.Cluster
-	calm    chan struct{} // closed once the faults are over
-	over    chan struct{} // closed once the load is
-	mu      sync.Mutex
-	acked   uint64
-	wg      sync.WaitGroup
+// campaign is the state of a running campaign.
+type campaign struct {
+	cfg         Config
+	res         *Result
+	r           *harness.Runner
+	g           *harness.Group
+	cluster     *fakebackend.Cluster
+	faultsEnded chan struct{} // closed when the faults have ended
+	loadEnded   chan struct{} // closed to stop the load
+	mu          sync.Mutex
+	acked       uint64 // last policy version that was reported as committed
+	wg          sync.WaitGroup
 }
 
-// prepare makes stand-in servers, files and the script.
-func (d *day) prepare() error {
+// prepare starts the fake servers, and creates the group, its configuration and the script.
+func (run *campaign) prepare() error {
 	doc := layout.Doc{History: "campaign", Epoch: 1}
 	ids := []sq.ServerID{"s0", "s1", "s2"}
 	for i := range 2 {
@@ -115,22 +117,22 @@
 	}
 	rows := []fakebackend.Row{{Key: 1, ID: "one"}, {Key: 3000, ID: "two"}}
 	var err error
-	d.cluster, err = fakebackend.NewCluster(ids, nil, fakebackend.ServerConfig{Field: "taxpayer", Once: map[string]bool{"filings": true}, Cores: 8, Queue: 1000, Work: 20 * time.Millisecond}, doc, rows)
+	run.cluster, err = fakebackend.NewCluster(ids, nil, fakebackend.ServerConfig{Field: "taxpayer", Once: map[string]bool{"filings": true}, Cores: 8, Queue: 1000, Work: 20 * time.Millisecond}, doc, rows)
 	if err != nil {
 		return err
 	}
-	d.r.Cleanup(d.cluster.Close)
+	run.r.Cleanup(run.cluster.Close)
 	var servers, tenants, contracts []any
-	for _, s := range d.cluster.Servers {
+	for _, s := range run.cluster.Servers {
 		servers = append(servers, map[string]any{"id": s.ID(), "address": s.Address(), "zone": "norte"})
 	}
 	for _, name := range teams {
 		tenants, contracts = append(tenants, map[string]any{"name": name, "quota_per_s": 100}), append(contracts, map[string]any{"name": name, "weight": 1, "wait_ms": 1000})
 	}
-	d.g = harness.NewGroup(d.r, d.cfg.Seed, d.cfg.Processes, func(i int, file, fleet map[string]any) {
+	run.g = harness.NewGroup(run.r, run.cfg.Seed, run.cfg.Processes, func(i int, file, fleet map[string]any) {
 		fleet["contracts"] = false
 		file["servers"], file["layout"], file["tenants"] = servers, map[string]any{"whole": doc}, tenants
-		file["contracts"] = map[string]any{"cores": cores, "gatherers": d.cfg.Processes, "over": over, "teams": contracts}
+		file["contracts"] = map[string]any{"cores": cores, "gatherers": run.cfg.Processes, "over": overcommit, "teams": contracts}
 		file["indices"] = []any{
 			map[string]any{"name": "invoices", "class": "search", "field": "taxpayer", "part_work_us": 20000},
 			map[string]any{"name": "filings", "class": "filing", "field": "taxpayer", "part_work_us": 20000},
@@ -140,18 +142,18 @@
 		family := settings["family_info"].(map[string]any)
 		family["class_fetch"], family["class_partial"], family["floor_by_class"], family["whole_at"] = []any{0, 0}, []any{0.9, 1}, []any{1, 1}, []any{1, 1}
 	})
-	d.g.EnableRollout(d.cfg.Voters, map[string]any{"lease_ms": 1000, "share": true})
-	for _, m := range d.g.Members {
-		m.Program = d.cfg.Program
+	run.g.EnableRollout(run.cfg.Voters, map[string]any{"lease_ms": 1000, "share": true})
+	for _, m := range run.g.Members {
+		m.Program = run.cfg.Program
 	}
-	d.res.Whole = int(cores * over)
-	if d.res.Script = d.cfg.Script; d.res.Script == nil {
-		d.res.Script = script(d.cfg)
+	run.res.Contract = int(cores * overcommit)
+	if run.res.Script = run.cfg.Script; run.res.Script == nil {
+		run.res.Script = script(run.cfg)
 	}
 	return nil
 }
 
-// script is faults by chance and a rolling restart in the middle of them.
+// script returns random faults and a rolling restart that begins at half of the campaign.
 func script(cfg Config) faults.Script {
 	s := faults.Random(cfg.Seed, cfg.Processes, cfg.Faults, cfg.Length*85/100)
 	rolling := cfg.Length / 2
@@ -165,26 +167,26 @@
 	return s
 }
 
-// play plays the day to its end, and judges it.
-func (d *day) play() {
-	g := d.g
+// play runs the campaign to its end and checks its history.
+func (run *campaign) play() {
+	g := run.g
 	g.StartAll()
-	d.admits()
-	d.cfg.Say("%d processes serve, under one version of the policy", len(g.Members))
+	run.waitAdmitting()
+	run.cfg.Say("%d processes serve under the same policy version", len(g.Members))
 	began := time.Since(g.Began())
-	d.load()
-	d.wg.Add(2)
-	go d.operate()
-	go d.watch()
-	if d.cfg.Second != "" { // the build that comes in with each start from now on
+	run.load()
+	run.wg.Add(2)
+	go run.operate()
+	go run.sampleMembers()
+	if run.cfg.Second != "" { // each start from now on uses the second build
 		for _, m := range g.Members {
-			m.Program = d.cfg.Second
+			m.Program = run.cfg.Second
 		}
 	}
-	g.Play(d.res.Script)
-	time.Sleep(d.cfg.Length - (time.Since(g.Began()) - began)) // the rest of the day is calm
-	close(d.calm)
-	d.cfg.Say("the faults are over")
+	g.Play(run.res.Script)
+	time.Sleep(run.cfg.Length - (time.Since(g.Began()) - began)) // no faults for the rest of the campaign
+	close(run.faultsEnded)
+	run.cfg.Say("faults ended")
 	var down []int
 	for i, m := range g.Members {
 		g.Continue(i)
@@ -194,19 +196,19 @@
 	}
 	g.Net.Clear()
 	g.Start(down...)
-	number := d.admits()
+	number := run.waitAdmitting()
 	g.WaitConverged()
-	close(d.over)
-	d.wg.Wait()
-	d.judge(began, number)
+	close(run.loadEnded)
+	run.wg.Wait()
+	run.check(began, number)
 }
 
-// admits waits until all let queries in under one version, and returns it.
-func (d *day) admits() (number uint64) {
-	d.g.Until("all let queries in under one version", func() (how string, ok bool) {
+// waitAdmitting waits until all processes admit queries under the same policy version, and returns it.
+func (run *campaign) waitAdmitting() (number uint64) {
+	run.g.Until("all processes admit queries under one policy version", func() (how string, ok bool) {
 		ok = true
 		numbers := map[string]bool{}
-		for _, m := range d.g.Members {
+		for _, m := range run.g.Members {
 			text := m.Process.Call("policy")
 			ok = ok && strings.Contains(text, "admits=let")
 			_, rest, _ := strings.Cut(text, "number=")
@@ -220,11 +222,12 @@
 	return number
 }
 
-// operate proposes a change of the policy every few seconds: limits, and at times half of the contract.
-func (d *day) operate() {
-	defer d.wg.Done()
-	rng := rand.New(rand.NewPCG(d.cfg.Seed, 11))
-	file, err := os.ReadFile(d.g.Members[0].File)
+// operate proposes a policy change, of the limit max_open, every one to four seconds until the faults
+// have ended.
+func (run *campaign) operate() {
+	defer run.wg.Done()
+	rng := rand.New(rand.NewPCG(run.cfg.Seed, 11))
+	file, err := os.ReadFile(run.g.Members[0].File)
 	if err == nil {
 		file, err = config.PolicyOf(file)
 	}
@@ -233,57 +236,58 @@
 		err = json.Unmarshal(file, &doc)
 	}
 	if err != nil {
-		d.r.Errorf("policy: %v", err)
+		run.r.Errorf("read policy from the configuration of the first member: %v", err)
 		return
 	}
 	for n := uint64(1); ; n++ {
 		select {
-		case <-d.calm:
+		case <-run.faultsEnded:
 			return
-		case <-time.After(time.Duration(1000+rng.IntN(3000)) * time.Millisecond): // an operator's pace
+		case <-time.After(time.Duration(1000+rng.IntN(3000)) * time.Millisecond): // interval between two changes
 		}
 		doc["settings"].(map[string]any)["permissions"].(map[string]any)["max_open"] = 1000 + n
 		text, err := json.Marshal(doc)
 		if err != nil {
-			d.r.Errorf("policy: %v", err)
+			run.r.Errorf("encode policy change: %v", err)
 			return
 		}
-		d.mu.Lock()
-		x := &wire.Propose{Nonce: d.cfg.Seed<<20 + n, Base: d.acked, Text: text, By: "campaign"}
-		d.mu.Unlock()
-		switch a, err := d.propose(x); {
-		case errors.Is(err, errCalm):
+		run.mu.Lock()
+		x := &wire.Propose{Nonce: run.cfg.Seed<<20 + n, Base: run.acked, Text: text, By: "campaign"}
+		run.mu.Unlock()
+		switch a, err := run.propose(x); {
+		case errors.Is(err, errFaultsEnded):
 			return
 		case a.End == 1:
-			d.g.Record("version %d is in force", a.Number)
-			d.mu.Lock()
-			d.acked = a.Number
-			d.res.Changes++
-			d.mu.Unlock()
+			run.g.Record("policy version %d committed", a.Number)
+			run.mu.Lock()
+			run.acked = a.Number
+			run.res.Changes++
+			run.mu.Unlock()
 		default:
-			d.g.Record("refused: %s", a.Reason)
-			d.mu.Lock()
-			d.res.Refused++
+			run.g.Record("policy change refused: %s", a.Reason)
+			run.mu.Lock()
+			run.res.Refused++
 			if _, rest, ok := strings.Cut(a.Reason, "and version "); ok {
 				word, _, _ := strings.Cut(rest, " ")
-				d.acked, _ = strconv.ParseUint(word, 10, 64)
+				run.acked, _ = strconv.ParseUint(word, 10, 64)
 			}
-			d.mu.Unlock()
+			run.mu.Unlock()
 		}
 	}
 }
 
-var errCalm = errors.New("the faults are over")
+var errFaultsEnded = errors.New("soak: faults ended")
 
-// propose asks one after the other until the end of a proposal is known.
-func (d *day) propose(x *wire.Propose) (*wire.Answer, error) {
+// propose sends a proposal to one process after the other until its outcome is known. It returns
+// errCalm if the faults end first.
+func (run *campaign) propose(x *wire.Propose) (*wire.Answer, error) {
 	for i := 0; ; {
 		select {
-		case <-d.calm:
-			return nil, errCalm
-		case <-time.After(20 * time.Millisecond): // between two asks
+		case <-run.faultsEnded:
+			return nil, errFaultsEnded
+		case <-time.After(20 * time.Millisecond): // interval between two attempts
 		}
-		at := d.g.PolicyAt(i % len(d.g.Members))
+		at := run.g.PolicyAt(i % len(run.g.Members))
 		if !at.IsValid() {
 			i++
 			continue
--- a/internal/testing/soak/campaign_test.go
+++ b/internal/testing/soak/campaign_test.go
@@ -14,7 +14,7 @@
 
 func TestMain(m *testing.M) { harness.Main(m) }
 
-// A short campaign breaks nothing, and leaves its report and its history.
+// A short campaign has no violations, and writes its report and its history.
 func TestCampaign(t *testing.T) {
 	program, err := harness.Binary()
 	if err != nil {
@@ -27,22 +27,22 @@
 	}
 	t.Log(r.Verdict(cfg))
 	if len(r.Broken) > 0 {
-		t.Errorf("broken: %s", strings.Join(r.Broken, "\n"))
+		t.Errorf("violations: %s", strings.Join(r.Broken, "\n"))
 	}
 	path, err := Report(cfg, r, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	text, err := os.ReadFile(path)
-	if err != nil || !strings.Contains(string(text), "Nothing is broken") || strings.Count(string(text), "<svg") != 3 {
-		t.Errorf("the report has %d bytes, %v", len(text), err)
+	if err != nil || !strings.Contains(string(text), "No violations") || strings.Count(string(text), "<svg") != 3 {
+		t.Errorf("report of %d bytes, error %v: want \"No violations\" and 3 plots", len(text), err)
 	}
 	if history, err := os.ReadFile(filepath.Join(cfg.Dir, "history-3.jsonl")); err != nil || strings.Count(string(history), "\n") < r.Queries {
-		t.Errorf("the history has %d bytes, %v", len(history), err)
+		t.Errorf("history of %d bytes, error %v: want a line per query", len(history), err)
 	}
 }
 
-// The one step of thirty that breaks something is found.
+// Shrink reduces a script of thirty steps to the only one that causes a violation.
 func TestShrink(t *testing.T) {
 	s := faults.Random(5, 8, 30, time.Minute)
 	bad := s[17]
@@ -50,17 +50,18 @@
 	got, err := Shrink(Config{}, s, 100, func(cfg Config) (r Result, err error) {
 		runs++
 		if slices.ContainsFunc(cfg.Script, func(x faults.Step) bool { return x.String() == bad.String() }) {
-			r.Broken = []string{"it is broken"}
+			r.Broken = []string{"violation"}
 		}
 		return r, nil
 	})
 	if err != nil || len(got) != 1 || got[0].String() != bad.String() {
-		t.Errorf("after %d runs of %d steps: %v %v", runs, len(s), got, err)
+		t.Errorf("script after %d runs, shrunk from %d steps: %v, error %v", runs, len(s), got, err)
 	}
 }
 
-// SAFFRONQUAY_LONG=1: builds with a seeded bug of each part are found by a campaign of theirs.
-func TestSeededBuildsAreFound(t *testing.T) {
+// A campaign detects a bug that is seeded into each part of the program. Runs only with
+// SAFFRONQUAY_LONG=1.
+func TestCampaign_DetectsSeededBugs(t *testing.T) {
 	if os.Getenv("SAFFRONQUAY_LONG") == "" {
 		t.Skip("takes minutes: SAFFRONQUAY_LONG=1")
 	}
@@ -82,7 +83,7 @@
 					return
 				}
 			}
-			t.Error("six seeds, and nothing came of it")
+			t.Error("no violation with any of six seeds")
 		})
 	}
 }
--- a/internal/testing/soak/judge.go
+++ b/internal/testing/soak/judge.go
@@ -8,16 +8,17 @@
 	"time"
 )
 
-// Query is one that a client sent. Times count from the beginning of the history, in which its fields are stored under their Go names.
+// Query is a query that a client sent. Times are relative to the start of the history, which stores
+// the fields under their Go names.
 type Query struct {
-	Sent, Came time.Duration
-	Version    int64 // that it was admitted under; -1: it was not admitted
-	At         string
-	Status     int // 0: there was no answer
+	Sent, Came time.Duration // when the request was sent, and the response received or the query failed
+	Version    int64         // policy version of its admission; -1: not admitted
+	At         string        // name of the process
+	Status     int           // HTTP status; 0: no response
 }
 
-// Mixed counts the queries that were admitted under a version although they were sent after another was answered under a later version. first
-// describes the first of them.
+// Mixed returns the number of queries that were admitted under a policy version although they were sent
+// after another query had been answered under a later version. first describes the first of them.
 func Mixed(all []Query) (n int, first string) {
 	bySent, byCame := slices.Clone(all), slices.Clone(all)
 	slices.SortFunc(bySent, func(a, b Query) int { return cmp.Compare(a.Sent, b.Sent) })
@@ -31,22 +32,25 @@
 		}
 		if q.Version >= 0 && q.Version < newest.Version {
 			if n++; first == "" {
-				first = fmt.Sprintf("%s let one in under %d that was sent at %s, after %s had answered one under %d at %s", q.At, q.Version, q.Sent, newest.At, newest.Version, newest.Came)
+				first = fmt.Sprintf("%s admitted a query under version %d that was sent at %s, after %s had answered one under version %d at %s", q.At, q.Version, q.Sent, newest.At, newest.Version, newest.Came)
 			}
 		}
 	}
 	return n, first
 }
 
-// Reading is how many parts one process may have in flight, as its admin endpoint reported. It is stored in the history like Query.
+// Reading is the number of parts that a process may have in flight, as its admin endpoint reported it.
+// It is stored in the history like Query.
 type Reading struct {
-	Sent, Came time.Duration
-	At         string
+	Sent, Came time.Duration // when the request was sent, and the response received
+	At         string        // name of the process
 	Limit      int
 }
 
-// Over counts the times at which all together may have had out more than the whole, and slack for each. A process counts with the lesser of
-// the readings before and after a time, so that a part that moves between two readings is not counted twice.
+// Over returns the number of readings at which all processes together could have more than whole parts
+// in flight, plus slack per process; the maximum sum; and a description of the first violation. Each
+// process counts with the smaller of its readings before and after that time, so that quota that moves
+// from one process to another between two readings is not counted twice.
 func Over(readings []Reading, whole, slack int) (n, most int, first string) {
 	by := map[string][]Reading{}
 	for _, r := range readings {
@@ -58,27 +62,27 @@
 		for _, rs := range by {
 			i, _ := slices.BinarySearchFunc(rs, at, func(r Reading, at time.Duration) int { return cmp.Compare(r.Came, at) })
 			if i == 0 || i >= len(rs) || rs[i].Sent-rs[i-1].Came > 2*time.Second {
-				continue // it did not run, or did not answer
+				continue // not running, or not responding
 			}
 			sum, count = sum+min(rs[i-1].Limit, rs[i].Limit), count+1
 		}
 		if most = max(most, sum); sum > whole+slack*count {
 			if n++; first == "" {
-				first = fmt.Sprintf("at %s %d processes might have %d out, and the contract has %d", at, count, sum, whole)
+				first = fmt.Sprintf("at %s %d processes could have %d parts in flight, contract allows %d", at, count, sum, whole)
 			}
 		}
 	}
 	return n, most, first
 }
 
-// away is a span in which a script had a process ended or suspended.
-type away struct {
+// downtime is a period in which the script had a process stopped or suspended.
+type downtime struct {
 	who      int
 	from, to time.Duration
 }
 
-// aways returns the spans of a script's ended and suspended members.
-func aways(s faults.Script, members int) (all []away) {
+// downtimes returns the periods in which the script has members stopped or suspended.
+func downtimes(s faults.Script, members int) (all []downtime) {
 	for _, x := range s {
 		for i := range members {
 			if !x.A.Has(i) {
@@ -86,7 +90,7 @@
 			}
 			switch x.Do {
 			case faults.Stop:
-				all = append(all, away{i, x.At, x.At + x.For})
+				all = append(all, downtime{i, x.At, x.At + x.For})
 			case faults.Kill, faults.Leave:
 				to := s.End()
 				for _, y := range s {
@@ -95,21 +99,23 @@
 						break
 					}
 				}
-				all = append(all, away{i, x.At, to})
+				all = append(all, downtime{i, x.At, to})
 			}
 		}
 	}
 	return all
 }
 
-// disturbed returns whether a process was away in a span of time, extended by slack on both sides.
-func disturbed(all []away, who int, from, to, slack time.Duration) bool {
-	return slices.ContainsFunc(all, func(a away) bool { return a.who == who && from < a.to+slack && to > a.from-slack })
+// disturbed reports whether a process was stopped or suspended between from and to. Each such period is
+// extended by slack on both sides.
+func disturbed(all []downtime, who int, from, to, slack time.Duration) bool {
+	return slices.ContainsFunc(all, func(a downtime) bool { return a.who == who && from < a.to+slack && to > a.from-slack })
 }
 
-// grown tells whether a process's memory grows: the median of the last quarter of its samples is over that of the second one by half, and by
-// 24 MB at least. Samples are of one life.
-func grown(samples []int) bool {
+// memoryGrows reports whether the memory of a process grows: the median of the last quarter of its samples
+// exceeds that of the second quarter by more than half and by more than 24 MB. The samples, in MB, must
+// be of one process. Fewer than 40 samples never count as growth.
+func memoryGrows(samples []int) bool {
 	if len(samples) < 40 {
 		return false
 	}
--- a/internal/testing/soak/load.go
+++ b/internal/testing/soak/load.go
@@ -12,29 +12,30 @@
 	"time"
 )
 
-// load sends queries of all teams until the day is over: one team's traffic moves from gatherer to gatherer, one is loud everywhere, one
-// quiet at one, and one files what must not run twice.
-func (d *day) load() {
+// load starts clients that send queries of all teams until run.loadEnded is closed. The traffic of team moves
+// moves from one broker to the next, loud sends at a high rate to all, quiet sends at a low rate to one
+// broker, and files sends at-most-once queries.
+func (run *campaign) load() {
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}, Timeout: 8 * time.Second}
-	d.r.Cleanup(client.CloseIdleConnections)
+	run.r.Cleanup(client.CloseIdleConnections)
 	var mu sync.Mutex
 	began := time.Now()
 	send := func(who, n int, team string, pause time.Duration) {
-		defer d.wg.Done()
+		defer run.wg.Done()
 		for i := n; ; i++ {
 			select {
-			case <-d.over:
+			case <-run.loadEnded:
 				return
-			case <-time.After(pause): // between two queries of one client
+			case <-time.After(pause): // pause between two queries of a client
 			}
-			to := i % d.cfg.Processes
+			to := i % run.cfg.Processes
 			switch team {
 			case "moves":
-				to = int(time.Since(began)/(7*time.Second)) % d.cfg.Processes
+				to = int(time.Since(began)/(7*time.Second)) % run.cfg.Processes
 			case "quiet":
-				to = d.cfg.Processes - 1
+				to = run.cfg.Processes - 1
 			}
-			at, name := d.g.ListensAt(to)
+			at, name := run.g.ListensAt(to)
 			if at == "" {
 				continue
 			}
@@ -53,7 +54,7 @@
 			if team == "files" {
 				req.Header.Set("Idempotency-Key", key)
 			}
-			q := Query{Sent: time.Since(d.g.Began()), Version: -1, At: name}
+			q := Query{Sent: time.Since(run.g.Began()), Version: -1, At: name}
 			if resp, err := client.Do(req); err == nil {
 				q.Status = resp.StatusCode
 				io.Copy(io.Discard, resp.Body)
@@ -62,9 +63,9 @@
 					q.Version = n
 				}
 			}
-			q.Came = time.Since(d.g.Began())
+			q.Came = time.Since(run.g.Began())
 			mu.Lock()
-			d.res.queries = append(d.res.queries, q)
+			run.res.queries = append(run.res.queries, q)
 			mu.Unlock()
 		}
 	}
@@ -74,43 +75,43 @@
 		pause   time.Duration
 	}{{"moves", 12, 5 * time.Millisecond}, {"loud", 12, 10 * time.Millisecond}, {"quiet", 2, 30 * time.Millisecond}, {"files", 4, 40 * time.Millisecond}} {
 		for n := range c.clients {
-			d.wg.Add(1)
+			run.wg.Add(1)
 			go send(n, n, c.team, c.pause)
 		}
 	}
 }
 
-// watch reads the limit and the memory of each process until the run is over.
-func (d *day) watch() {
-	defer d.wg.Done()
-	d.res.memory = map[string][]sample{}
+// sampleMembers samples the limit and the memory of each process until run.loadEnded is closed.
+func (run *campaign) sampleMembers() {
+	defer run.wg.Done()
+	run.res.memory = map[string][]sample{}
 	var mu sync.Mutex
 	for i := 0; ; i++ {
 		select {
-		case <-d.over:
+		case <-run.loadEnded:
 			return
-		case <-time.After(200 * time.Millisecond): // between two looks
+		case <-time.After(200 * time.Millisecond): // sampling interval
 		}
 		var wg sync.WaitGroup
-		for k := range d.g.Members {
-			admin, name, pid := d.g.AdminAddressOf(k)
+		for k := range run.g.Members {
+			admin, name, pid := run.g.AdminAddressOf(k)
 			if admin == "" {
 				continue
 			}
 			wg.Add(1)
 			go func() {
 				defer wg.Done()
-				x := Reading{Sent: time.Since(d.g.Began()), At: name}
+				x := Reading{Sent: time.Since(run.g.Began()), At: name}
 				limit, ok := limitAt(admin)
-				x.Limit, x.Came = limit, time.Since(d.g.Began())
-				mb, known := resident(pid)
+				x.Limit, x.Came = limit, time.Since(run.g.Began())
+				mb, known := residentMB(pid)
 				mu.Lock()
 				defer mu.Unlock()
 				if ok {
-					d.res.readings = append(d.res.readings, x)
+					run.res.readings = append(run.res.readings, x)
 				}
 				if known && i%5 == 0 {
-					d.res.memory[name] = append(d.res.memory[name], sample{x.Came, mb, pid})
+					run.res.memory[name] = append(run.res.memory[name], sample{x.Came, mb, pid})
 				}
 			}()
 		}
@@ -118,7 +119,7 @@
 	}
 }
 
-// limitAt requests from an admin endpoint how many parts its process may have in flight.
+// limitAt requests the number of parts that a process may have in flight from its admin endpoint.
 func limitAt(admin string) (limit int, ok bool) {
 	conn, err := net.DialTimeout("tcp", admin, 300*time.Millisecond)
 	if err != nil {
@@ -137,8 +138,8 @@
 	return limit, err == nil
 }
 
-// resident returns a process's resident memory in MB, from /proc.
-func resident(pid int) (mb int, ok bool) {
+// residentMB returns the residentMB memory of a process in MB, from /proc.
+func residentMB(pid int) (mb int, ok bool) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", pid))
 	if err != nil {
 		return 0, false
--- a/internal/testing/soak/verdict.go
+++ b/internal/testing/soak/verdict.go
@@ -11,19 +11,20 @@
 )
 
 const (
-	mostMemory = 192 // MB
-	timeGiven  = 3 * time.Second
+	maxMemoryMB   = 192             // MB of a process
+	downtimeSlack = 3 * time.Second // a query without a response is excused this long before and after a downtime
 )
 
-// judge holds the history against what is promised.
-func (d *day) judge(began time.Duration, number uint64) {
-	res := d.res
-	broken := func(count int, format string, args ...any) {
+// check checks the history and adds the violations to the result. began is the start of the script;
+// number is the policy version at the end.
+func (run *campaign) check(began time.Duration, number uint64) {
+	res := run.res
+	violation := func(count int, format string, args ...any) {
 		if count > 0 {
 			res.Broken = append(res.Broken, fmt.Sprintf(format, args...))
 		}
 	}
-	gone := aways(res.Script, d.cfg.Processes)
+	gone := downtimes(res.Script, run.cfg.Processes)
 	for _, x := range res.Script {
 		if x.Do == faults.Kill {
 			res.Kills += len(x.A)
@@ -32,69 +33,72 @@
 	first := ""
 	for _, q := range res.queries {
 		if res.Queries++; q.Version >= 0 {
-			res.LetIn++
+			res.Admitted++
 		}
 		var who int
 		fmt.Sscanf(q.At, "g%d", &who)
-		if q.Status == 0 && !disturbed(gone, who, q.Sent-began, q.Came-began, timeGiven) {
+		if q.Status == 0 && !disturbed(gone, who, q.Sent-began, q.Came-began, downtimeSlack) {
 			if res.Unanswered++; first == "" {
-				first = fmt.Sprintf("at %s, sent at %s, given up at %s", q.At, q.Sent, q.Came)
+				first = fmt.Sprintf("query to %s, sent at %s, failed at %s", q.At, q.Sent, q.Came)
 			}
 		}
 	}
-	broken(res.Unanswered, "%d queries had no answer, and nothing befell their gatherer: %s", res.Unanswered, first)
-	res.Runs, res.Twice, _ = d.cluster.Ledger.Counts()
-	broken(res.Twice, "%d parts ran twice that must not", res.Twice)
+	violation(res.Unanswered, "%d queries got no response although their broker was not stopped or suspended; first: %s", res.Unanswered, first)
+	res.PartsRun, res.RunTwice, _ = run.cluster.Ledger.Counts()
+	violation(res.RunTwice, "%d parts of at-most-once queries ran more than once", res.RunTwice)
 	res.Mixed, first = Mixed(res.queries)
-	broken(res.Mixed, "%d queries under a version after a later one: %s", res.Mixed, first)
-	d.mu.Lock()
-	if acked := d.acked; number < acked {
-		broken(1, "version %d was told to be in force, and %d is", acked, number)
+	violation(res.Mixed, "%d queries were admitted under an outdated policy version; first: %s", res.Mixed, first)
+	run.mu.Lock()
+	if acked := run.acked; number < acked {
+		violation(1, "policy version %d was reported as committed, but version %d is in effect at the end", acked, number)
 	}
-	d.mu.Unlock()
-	res.Over, res.Most, first = Over(res.readings, res.Whole, widest)
-	broken(res.Over, "%d times over the contract: %s", res.Over, first)
+	run.mu.Unlock()
+	res.OverContract, res.MaxInFlight, first = Over(res.readings, res.Contract, maxPartsPerQuery)
+	violation(res.OverContract, "limits of all processes exceeded the contract in %d readings; first: %s", res.OverContract, first)
 	for name, all := range res.memory {
-		life := map[int][]int{}
+		byProcess := map[int][]int{}
 		most := 0
 		for _, s := range all {
-			life[s.id] = append(life[s.id], s.mb)
+			byProcess[s.id] = append(byProcess[s.id], s.mb)
 			most = max(most, s.mb)
 		}
-		for _, samples := range life {
-			if grown(samples) || most > mostMemory {
-				res.Grown++
-				broken(1, "the memory of %s grows: %d MB at most, from %d to %d MB in one life", name, most, samples[0], samples[len(samples)-1])
+		for _, samples := range byProcess {
+			if memoryGrows(samples) || most > maxMemoryMB {
+				res.MemoryGrowth++
+				violation(1, "memory of %s grows or exceeds its limit: maximum %d MB, from %d to %d MB in one process", name, most, samples[0], samples[len(samples)-1])
 				break
 			}
 		}
 	}
-	res.Broken = append(res.Broken, d.r.Errors()...)
-	if res.LetIn < 100 { // loud clients that are turned away come again at once, so most of them are
-		broken(1, "%d of %d queries were let in: the campaign shows nothing", res.LetIn, res.Queries)
+	res.Broken = append(res.Broken, run.r.Errors()...)
+	if res.Admitted < 100 { // an absolute minimum: rejected clients retry at once, so most queries are rejected
+		violation(1, "%d of %d queries were admitted, want at least 100 for a conclusive campaign", res.Admitted, res.Queries)
 	}
-	d.keep()
+	run.writeHistory()
 }
 
-// keep writes the history: what befell the fleet, then a JSON line for each query and reading.
-func (d *day) keep() {
-	f, err := os.Create(filepath.Join(d.cfg.Dir, fmt.Sprintf("history-%d.jsonl", d.cfg.Seed)))
+// writeHistory writes the history to disk: a JSON line with the seed, the script and the events of the group,
+// then a line for each query and each reading.
+func (run *campaign) writeHistory() {
+	f, err := os.Create(filepath.Join(run.cfg.Dir, fmt.Sprintf("history-%d.jsonl", run.cfg.Seed)))
 	if err != nil {
-		d.cfg.Say("the history is not kept: %v", err)
+		run.cfg.Say("write history: %v", err)
 		return
 	}
 	defer f.Close()
 	e := json.NewEncoder(f)
-	e.Encode(map[string]any{"seed": d.cfg.Seed, "script": strings.Split(strings.TrimSpace(d.res.Script.String()), "\n"), "notes": d.g.History()})
-	for _, q := range d.res.queries {
+	e.Encode(map[string]any{"seed": run.cfg.Seed, "script": strings.Split(strings.TrimSpace(run.res.Script.String()), "\n"), "notes": run.g.History()})
+	for _, q := range run.res.queries {
 		e.Encode(q)
 	}
-	for _, r := range d.res.readings {
+	for _, r := range run.res.readings {
 		e.Encode(r)
 	}
 }
 
-// Shrink plays parts of a script that breaks something, so many times at most, and gives the smallest one found that still does.
+// Shrink minimizes a script that causes a violation. It plays parts of the script, at most runs times,
+// and returns the smallest part found that still causes one. If play fails, it returns the smallest
+// part found so far and the error.
 func Shrink(cfg Config, s faults.Script, runs int, play func(Config) (Result, error)) (faults.Script, error) {
 	for size := len(s) / 2; size > 0 && runs > 0; {
 		smaller := false
