--- a/internal/testing/endtoend/platform_test.go
+++ b/internal/testing/endtoend/platform_test.go
@@ -69,8 +69,8 @@
 	t.Cleanup(func() { l.Close() })
 	lists := make(chan string, 8)
 	w.fleetChanges = lists
-	chunk := func(conn net.Conn, whole bool, entries []map[string]any) {
-		line, err := json.Marshal(map[string]any{"generation": generation, "reset": whole, "instances": entries})
+	chunk := func(conn net.Conn, reset bool, entries []map[string]any) {
+		line, err := json.Marshal(map[string]any{"generation": generation, "reset": reset, "instances": entries})
 		if err != nil {
 			t.Error(err)
 		}
@@ -132,13 +132,13 @@
 	switch m.Status {
 	case 200:
 		var a struct {
-			Whole   bool `json:"all_in"`
+			AllIn   bool `json:"all_in"`
 			Matches []struct {
 				Segment int
 				Payload string
 			}
 		}
-		if err := json.Unmarshal(m.Body, &a); err != nil || !a.Whole {
+		if err := json.Unmarshal(m.Body, &a); err != nil || !a.AllIn {
 			return fmt.Sprintf("incomplete response: %s", m.Body)
 		}
 		var in []int
--- a/internal/testing/endtoend/scenario_test.go
+++ b/internal/testing/endtoend/scenario_test.go
@@ -207,7 +207,7 @@
 	}()
 }
 
-// Keys of world.told for log events other than fleet generations, which are not negative.
+// Keys of world.logged for log events other than fleet generations, which are not negative.
 const (
 	loggedLeaving     = -1 // shutdown after SIGTERM
 	loggedReload      = -2 // configuration replaced after SIGHUP
--- a/internal/testing/harness/member.go
+++ b/internal/testing/harness/member.go
@@ -97,7 +97,7 @@
 func (m *Member) waitUp() {
 	m.group.T.Helper()
 	if !m.Process.Up() {
-		m.group.T.Fatalf("%s ended at its start: %s", m.Name, m.Output())
+		m.group.T.Fatalf("%s exited before it served; log: %s", m.Name, m.Output())
 	}
 	n := m.WaitForLine(m.firstLine, "event=peers listen=")
 	at, err := netip.ParseAddrPort(peersListen.FindStringSubmatch(m.Lines()[n])[1])
--- a/internal/testing/harness/place.go
+++ b/internal/testing/harness/place.go
@@ -72,7 +72,7 @@
 	p.T.Helper()
 	l := p.Begin()
 	if !l.Up() {
-		p.T.Fatalf("the program ended at its start: %s", p.Output())
+		p.T.Fatalf("program exited before it served; log: %s", p.Output())
 	}
 	return l
 }
--- a/internal/testing/soak/judge.go
+++ b/internal/testing/soak/judge.go
@@ -47,11 +47,11 @@
 	Limit      int
 }
 
-// Over returns the number of readings at which all processes together could have more than whole parts
+// Over returns the number of readings at which all processes together could have more than contract parts
 // in flight, plus slack per process; the maximum sum; and a description of the first violation. Each
 // process counts with the smaller of its readings before and after that time, so that quota that moves
 // from one process to another between two readings is not counted twice.
-func Over(readings []Reading, whole, slack int) (n, most int, first string) {
+func Over(readings []Reading, contract, slack int) (n, most int, first string) {
 	by := map[string][]Reading{}
 	for _, r := range readings {
 		by[r.At] = append(by[r.At], r)
@@ -66,9 +66,9 @@
 			}
 			sum, count = sum+min(rs[i-1].Limit, rs[i].Limit), count+1
 		}
-		if most = max(most, sum); sum > whole+slack*count {
+		if most = max(most, sum); sum > contract+slack*count {
 			if n++; first == "" {
-				first = fmt.Sprintf("at %s %d processes could have %d parts in flight, contract allows %d", at, count, sum, whole)
+				first = fmt.Sprintf("at %s %d processes could have %d parts in flight, contract allows %d", at, count, sum, contract)
 			}
 		}
 	}
