--- a/internal/cluster/swim/merge.go
+++ b/internal/cluster/swim/merge.go
@@ -80,9 +80,9 @@
 	c.setRecord(now, m, r, age)
 }
 
-// challengeDeath handles a reported death of a member that is alive in this view, such as the other
-// side of a network partition sends it. The report is not gossiped: it is sent to the member, which
-// can refute it. Without a refutation the death is accepted.
+// challengeDeath handles a reported death of a member that is alive in this view, for example a
+// report from the other side of a network partition. The report is not gossiped: it is sent to
+// the member, which can refute it. Without a refutation the death is accepted.
 func (c *Core) challengeDeath(now int64, m *member, r Record) {
 	if m.heapIndex >= 0 {
 		m.reportedDead = &r // it prevails over the death reported earlier
--- a/internal/storage/recordlog/commit.go
+++ b/internal/storage/recordlog/commit.go
@@ -46,7 +46,7 @@
 	return nil
 }
 
-// appendToNewSegment writes entries to a new segment after the active one failed with the error
+// appendToNewSegment writes entries to a new segment after the active one failed with error
 // first.
 func (j *journal) appendToNewSegment(entries []*entry, first error) error {
 	j.activeBroken = true
--- a/internal/storage/recordlog/dir.go
+++ b/internal/storage/recordlog/dir.go
@@ -105,8 +105,8 @@
 }
 
 // readAll reads a complete file into dst, or into a new buffer if dst is too small. It returns
-// nil if the file is missing or cannot be opened, and the bytes before a read error otherwise:
-// the other copy makes up for both.
+// nil if the file is missing, cannot be opened or is larger than maxFileSize, and the bytes
+// before a read error otherwise: the other copy makes up for both.
 func readAll(d Dir, name string, dst []byte) []byte {
 	f, err := d.Open(name)
 	if err != nil {
--- a/internal/storage/recordlog/store.go
+++ b/internal/storage/recordlog/store.go
@@ -73,8 +73,8 @@
 	return s.enqueue(&entry{Record: r, done: done})
 }
 
-// enqueue queues an entry for the writer. A single entry may exceed MaxWaiting if the queue is
-// empty.
+// enqueue queues an entry for the writer. A single entry may exceed MaxWaiting if no other entry
+// is pending.
 func (s *Store) enqueue(e *entry) error {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
@@ -176,7 +176,7 @@
 	}
 }
 
-// Get implements Log. It reads the disk once if the key has a record.
+// Get implements Log. It reads the disk if the key has a record.
 func (s *Store) Get(k Kind, key string) (Record, bool, error) { return s.journal.get(k, key) }
 
 // Each implements Log. It reads the complete log, and waits for cleaning and scrubbing. Records
