--- a/internal/broker/opensearch/servers.go
+++ b/internal/broker/opensearch/servers.go
@@ -117,7 +117,8 @@
 	}
 }
 
-// newReply returns the reply to the search in flight, with a body that is not parsed yet.
+// newReply returns the reply to the search in flight, with a body that is not parsed yet. No search
+// is in flight afterwards.
 func (s *session) newReply(m *http1.Message) []core.Reply {
 	r := core.Reply{Attempt: s.inFlight, Size: len(m.Body)}
 	s.inFlight = 0
