--- a/internal/scale/children.go
+++ b/internal/scale/children.go
@@ -19,37 +19,37 @@
 	"time"
 )
 
-// process is one of hollow gatherers. Calls are one at a time.
+// process is a child process that runs several simulated gatherers. Calls are serialized.
 type process struct {
-	rig    *Rig
-	from   int // the first one's number in scripts
-	places []Place
-	agrees []netip.AddrPort // where the others reach them to agree on the policy
+	rig             *Rig
+	from            int // member number of its first gatherer in fault scripts
+	specs           []GathererSpec
+	policyAddresses []netip.AddrPort // policy addresses that the other members use for each gatherer
 
-	mu      sync.Mutex
-	cmd     *exec.Cmd                // nil: it does not run
-	runs    atomic.Pointer[exec.Cmd] // the same, for who can't wait
-	in      io.WriteCloser
-	answers *bufio.Reader
-	empty   int64 // bytes of memory before any gatherer was made
+	mu          sync.Mutex
+	cmd         *exec.Cmd                // nil: not running
+	running     atomic.Pointer[exec.Cmd] // same as cmd, readable without the lock
+	in          io.WriteCloser
+	answers     *bufio.Reader
+	baselineRSS int64 // resident bytes before any gatherer was created
 }
 
-// words are the command line by which the program is a process of hollow gatherers.
-var words = []string{"scale", "hollow"}
+// childArgs are the arguments that run the program as a process of simulated gatherers.
+var childArgs = []string{"scale", "hollow"}
 
-// begin starts the process with all its gatherers made, none of which runs.
-func (p *process) begin() {
+// launch starts the process and creates all its gatherers without starting them.
+func (p *process) launch() {
 	program := p.rig.cfg.Program
 	if program == "" {
 		var err error
 		if program, err = harness.Binary(); err != nil {
-			p.rig.t.Errorf("%v", err)
+			p.rig.t.Errorf("find the program for simulated gatherers: %v", err)
 			return
 		}
 	}
-	cmd := exec.Command(program, words...)
+	cmd := exec.Command(program, childArgs...)
 	cmd.Env = append(os.Environ(), "SAFFRONQUAY_OPERATOR_FILE=")
-	cmd.Stderr = &cries{t: p.rig.t}
+	cmd.Stderr = &stderrReporter{t: p.rig.t}
 	in, err := cmd.StdinPipe()
 	if err == nil {
 		var out io.ReadCloser
@@ -59,37 +59,38 @@
 		}
 	}
 	if err != nil {
-		p.rig.t.Errorf("a process of hollow gatherers: %v", err)
+		p.rig.t.Errorf("start a process of simulated gatherers: %v", err)
 		return
 	}
 	p.mu.Lock()
 	p.cmd, p.in = cmd, in
-	p.runs.Store(cmd)
+	p.running.Store(cmd)
 	p.mu.Unlock()
 	p.rig.t.Cleanup(p.kill)
-	p.empty = p.call(Order{Do: "read"}).RSS
-	p.call(Order{Do: "make", Template: p.rig.template, Places: p.places, Version: p.rig.version, Busy: p.rig.cfg.Busy})
+	p.baselineRSS = p.call(Command{Do: "read"}).RSS
+	p.call(Command{Do: "make", Template: p.rig.template, Places: p.specs, Version: p.rig.version, Busy: p.rig.cfg.Busy})
 }
 
-// cries has what a process says on its standard error for errors: it has nothing to say.
-type cries struct{ t harness.T }
+// stderrReporter reports everything that a process writes to its standard error as a test error: a
+// healthy process writes nothing there.
+type stderrReporter struct{ t harness.T }
 
-func (c *cries) Write(b []byte) (int, error) {
-	c.t.Errorf("hollow gatherers said: %s", b)
+func (c *stderrReporter) Write(b []byte) (int, error) {
+	c.t.Errorf("simulated gatherers: unexpected output on stderr: %s", b)
 	return len(b), nil
 }
 
-// call gives an order and takes the report; an empty one where the process does not run.
-func (p *process) call(o Order) (r Report) {
+// call sends a command and returns the report. The report is empty if the process is not running.
+func (p *process) call(c Command) (r Report) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.cmd == nil {
 		return r
 	}
 	cmd := p.cmd
-	late := time.AfterFunc(callWait, func() { cmd.Process.Kill() })
+	late := time.AfterFunc(callTimeout, func() { cmd.Process.Kill() })
 	defer late.Stop()
-	err := encode(p.in, o)
+	err := encode(p.in, c)
 	if err == nil {
 		var line []byte
 		if line, err = p.answers.ReadBytes('\n'); err == nil {
@@ -100,28 +101,28 @@
 		err = fmt.Errorf("%s", r.Fault)
 	}
 	if err != nil {
-		p.rig.t.Errorf("hollow gatherers: %s: %v", o.Do, err)
+		p.rig.t.Errorf("simulated gatherers: command %s: %v", c.Do, err)
 	}
 	return r
 }
 
-// start starts those of a span that do not run.
+// start starts the gatherers from..to-1 that are not running.
 func (p *process) start(from, to int) {
 	var which []int
-	for i := from; i < min(to, len(p.places)); i++ {
+	for i := from; i < min(to, len(p.specs)); i++ {
 		which = append(which, i)
 	}
 	if len(which) > 0 {
-		p.call(Order{Do: "start", Which: which})
+		p.call(Command{Do: "start", Which: which})
 	}
 }
 
-// kill kills the process where it runs, and waits for its end.
+// kill kills the process if it is running, and waits for its exit.
 func (p *process) kill() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.cmd != nil {
-		p.runs.Store(nil)
+		p.running.Store(nil)
 		p.cmd.Process.Kill()
 		p.in.Close()
 		p.cmd.Wait()
@@ -129,31 +130,31 @@
 	}
 }
 
-// pid is the process's id; 0 where it does not run.
+// pid returns the process ID, or 0 if the process is not running.
 func (p *process) pid() int {
-	if cmd := p.runs.Load(); cmd != nil {
+	if cmd := p.running.Load(); cmd != nil {
 		return cmd.Process.Pid
 	}
 	return 0
 }
 
-// end kills the process without waiting for the call that is under way.
-func (p *process) end() {
-	if cmd := p.runs.Load(); cmd != nil {
+// killNow kills the process without waiting for a call in progress.
+func (p *process) killNow() {
+	if cmd := p.running.Load(); cmd != nil {
 		cmd.Process.Kill()
 	}
 }
 
-// names are those of the process's gatherers.
+// names returns the names of the process's gatherers.
 func (p *process) names() (all []string) {
-	for _, x := range p.places {
+	for _, x := range p.specs {
 		all = append(all, x.Name)
 	}
 	return all
 }
 
-// Real is how a real process stands.
-type Real struct {
+// RealState is the state of one real process.
+type RealState struct {
 	Name         string
 	Leads, Votes bool
 	Alive        int64
@@ -161,35 +162,36 @@
 	CPU, RSS     int64 // microseconds; bytes
 }
 
-// Sample is how everybody stands at a time.
+// Sample is the state of all members at one time.
 type Sample struct {
 	At      int64 // Unix microseconds
 	Reports []Report
-	Real    []Real
+	Real    []RealState
 }
 
-// Hollow are all hollow gatherers of it.
-func (s Sample) Hollow() (all []Stand) {
+// Simulated returns the state of all simulated gatherers in the sample.
+func (s Sample) Simulated() (all []GathererState) {
 	for _, r := range s.Reports {
 		all = append(all, r.Hollow...)
 	}
 	return all
 }
 
-// Read reads how everybody stands, with who has put a version in force.
-func (r *Rig) Read(number uint64) Sample { return r.read(Order{Do: "read", Number: number}) }
+// Read samples all members. With a version number, simulated gatherers report when they installed
+// it.
+func (r *Rig) Read(number uint64) Sample { return r.read(Command{Do: "read", Number: number}) }
 
-// Collect is the same after memory that nobody uses was given back.
-func (r *Rig) Collect() Sample { return r.read(Order{Do: "collect"}) }
+// Collect samples all members after a garbage collection in each process of simulated gatherers.
+func (r *Rig) Collect() Sample { return r.read(Command{Do: "collect"}) }
 
-func (r *Rig) read(o Order) Sample {
-	s := Sample{At: time.Now().UnixMicro(), Reports: make([]Report, len(r.processes)), Real: make([]Real, r.real)}
+func (r *Rig) read(c Command) Sample {
+	s := Sample{At: time.Now().UnixMicro(), Reports: make([]Report, len(r.processes)), Real: make([]RealState, r.real)}
 	var wg sync.WaitGroup
 	for i, p := range r.processes {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			s.Reports[i] = p.call(o)
+			s.Reports[i] = p.call(c)
 		}()
 	}
 	for i := range r.real {
@@ -203,15 +205,15 @@
 	return s
 }
 
-// readReal reads a real process by its door and the system's word.
-func (r *Rig) readReal(i int) (x Real) {
-	door, name, pid := r.g.AdminAddressOf(i)
-	x = Real{Name: name, Votes: i < r.cfg.Voters}
-	if door == "" {
+// readReal reads the state of a real process from its admin endpoint and from /proc.
+func (r *Rig) readReal(i int) (x RealState) {
+	endpoint, name, pid := r.g.AdminAddressOf(i)
+	x = RealState{Name: name, Votes: i < r.cfg.Voters}
+	if endpoint == "" {
 		return x
 	}
 	at := map[string]int64{}
-	for line := range strings.Lines((&harness.Process{AdminAddress: door}).Call("stats")) {
+	for line := range strings.Lines((&harness.Process{AdminAddress: endpoint}).Call("stats")) {
 		name, rest, ok := strings.Cut(strings.TrimSpace(line), ":")
 		value, _, _ := strings.Cut(rest, "|")
 		if n, err := strconv.ParseInt(value, 10, 64); ok && err == nil {
@@ -226,23 +228,24 @@
 		}
 	}
 	x.View, x.Policy, x.Leads, x.Alive = traffic("fleet"), traffic("rollout"), at["svc.rollout.leads"] == 1, at["svc.fleet.alive"]
-	x.CPU, x.RSS = processor(pid), resident(pid)
+	x.CPU, x.RSS = cpuMicros(pid), residentBytes(pid)
 	return x
 }
 
-// ask sends searches to the voters, so many a second, until the rig is closed, and keeps what came of each.
-func (r *Rig) ask() {
+// generateLoad sends searches to the voters in turn at the configured rate until the rig is closed,
+// and records each result.
+func (r *Rig) generateLoad() {
 	defer r.load.Done()
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 16}, Timeout: 5 * time.Second}
 	defer client.CloseIdleConnections()
 	tick := time.NewTicker(time.Second / time.Duration(r.cfg.Queries))
 	defer tick.Stop()
-	places := make(chan struct{}, 32)
+	slots := make(chan struct{}, 32)
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	for i := 0; ; i++ {
 		select {
-		case <-r.over:
+		case <-r.done:
 			return
 		case <-tick.C:
 		}
@@ -251,14 +254,14 @@
 			continue
 		}
 		select {
-		case places <- struct{}{}:
+		case slots <- struct{}{}:
 		default:
-			continue // as many are under way as may be
+			continue // the limit of concurrent queries is reached
 		}
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			defer func() { <-places }()
+			defer func() { <-slots }()
 			q := soak.Query{Sent: time.Since(r.g.Began()), Version: -1, At: name}
 			req, err := http.NewRequest("POST", "http://"+at+"/invoices/_search", strings.NewReader(`{"query":{"range":{"taxpayer":{"gte":0,"lt":4000}}}}`))
 			if err != nil {
@@ -277,7 +280,7 @@
 				q.Version = n
 			}
 			r.mu.Lock()
-			r.asked = append(r.asked, q)
+			r.sent = append(r.sent, q)
 			r.mu.Unlock()
 		}()
 	}
--- a/internal/scale/disk.go
+++ b/internal/scale/disk.go
@@ -8,7 +8,7 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// disk is what a follower would keep in its store, as bytes.
+// disk holds in memory the encoded records that a follower would write to its store.
 type disk struct {
 	mu                      sync.Mutex
 	identity                uint64
@@ -26,7 +26,7 @@
 	return nil
 }
 
-// memory is what the next life begins with.
+// memory decodes the records as the state that the next start of the gatherer begins with.
 func (d *disk) memory() rollout.PersistentState {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/scale/event.go
+++ b/internal/scale/event.go
@@ -10,70 +10,70 @@
 	"time"
 )
 
-// Event is what befell a fleet, and what it cost by the second.
+// Event is the recorded outcome of one scene: what happened and what it cost per second.
 type Event struct {
-	Name      string   `json:"name"`
-	Gatherers int      `json:"gatherers"`
-	Run       int      `json:"run"`
-	Script    string   `json:"script"`
-	Began     float64  `json:"began_s"` // of the seconds' count
-	Ended     float64  `json:"ended_s"` // when all see what is so again, and let queries in; 0: never
-	Before    Second   `json:"before"`  // the mean of the seconds before
-	Peak      Second   `json:"peak"`    // the most of each by itself
-	Over      Over     `json:"over_budget"`
-	Known     Times    `json:"known_at_each"` // what the script did to members, from its last such step on
-	Changes   []Landed `json:"changes"`
-	LetIn     int      `json:"queries_let_in"`
-	Queries   int      `json:"queries"`
-	Fault     string   `json:"fault,omitempty"`
-	Seconds   []Second `json:"seconds"`
+	Name       string        `json:"name"`
+	Gatherers  int           `json:"gatherers"`
+	Run        int           `json:"run"`
+	Script     string        `json:"script"`
+	Began      float64       `json:"began_s"` // in seconds since the recording started
+	Ended      float64       `json:"ended_s"` // when all members had converged again and admitted queries; 0: never
+	Before     Second        `json:"before"`  // mean of the seconds before the event
+	Peak       Second        `json:"peak"`    // maximum of each figure on its own
+	OverBudget OverBudget    `json:"over_budget"`
+	Known      DurationStats `json:"known_at_each"` // delay until each gatherer knew of the script's membership changes
+	Changes    []EventChange `json:"changes"`
+	Admitted   int           `json:"queries_let_in"`
+	Queries    int           `json:"queries"`
+	Fault      string        `json:"fault,omitempty"`
+	Seconds    []Second      `json:"seconds"`
 }
 
-// Landed is a change that was made meanwhile.
-type Landed struct {
+// EventChange is a policy change made during an event.
+type EventChange struct {
 	At      float64  `json:"at_s"`
 	Took    float64  `json:"in_force_everywhere_ms"`
 	Refused []string `json:"refused,omitempty"`
 }
 
-// Second is what everybody's control cost in one second.
+// Second is the control cost of all members within one second.
 type Second struct {
-	At       float64 `json:"at_s"`
-	Runs     int     `json:"runs"`
-	Hollow   Rates   `json:"hollow"`
-	Busiest  Rates   `json:"hollow_busiest"`
-	Follower Rates   `json:"real_follower"`
-	Voter    Rates   `json:"voter"`
-	Leader   Rates   `json:"leader"`
+	At        float64 `json:"at_s"`
+	Runs      int     `json:"runs"`
+	Simulated Rates   `json:"hollow"`
+	Busiest   Rates   `json:"hollow_busiest"`
+	Follower  Rates   `json:"real_follower"`
+	Voter     Rates   `json:"voter"`
+	Leader    Rates   `json:"leader"`
 }
 
-// Over is for how many seconds a budget was broken.
-type Over struct {
-	HollowBytes  int `json:"hollow_bytes"` // by the mean gatherer,
-	BusiestBytes int `json:"busiest_bytes"`
-	HollowCPU    int `json:"hollow_cpu"`
-	LeaderBytes  int `json:"leader_bytes"`
-	LeaderCPU    int `json:"leader_cpu"`
+// OverBudget counts the seconds in which a budget was exceeded.
+type OverBudget struct {
+	SimulatedBytes int `json:"hollow_bytes"` // by the mean simulated gatherer
+	BusiestBytes   int `json:"busiest_bytes"`
+	SimulatedCPU   int `json:"hollow_cpu"`
+	LeaderBytes    int `json:"leader_bytes"`
+	LeaderCPU      int `json:"leader_cpu"`
 }
 
-// The budgets that the fleet's operators gave for control, at each gatherer.
+// The fleet operators' budgets for control at each gatherer.
 const (
 	BudgetCPU   = 4.0       // percent of a core
-	BudgetBytes = 28 * 1000 // a second
+	BudgetBytes = 28 * 1000 // per second
 	BudgetMB    = 32.0
 	BudgetForce = 7 * time.Second
 )
 
-// Scene is what an event is made of.
+// Scene describes how an event is produced.
 type Scene struct {
 	Name    string
-	Script  func(r *Rig) string // faults' text; what it kills or lets leave of hollow ones it kills by whole processes
-	Changes int                 // made one after the other from the script's first step on
-	Slack   time.Duration       // after the script's end, for which it is watched at least
+	Script  func(r *Rig) string // script of package faults; simulated gatherers are killed only by whole processes
+	Changes int                 // policy changes, one after the other from the script's first step on
+	Slack   time.Duration       // minimum observation time after the end of the script
 	Relayed bool
 }
 
-// Scenes are the events that are played at full size.
+// Scenes are the events that can be measured.
 var Scenes = []Scene{
 	{Name: "nine down", Changes: 6, Slack: 15 * time.Second, Script: func(r *Rig) string {
 		return fmt.Sprintf("at 0s kill %s\nat 30s start %s", r.processes[0].set(), r.processes[0].set())
@@ -86,7 +86,7 @@
 		zones := r.processes[len(r.cfg.Apart):]
 		for i := range 60 {
 			p := zones[i%len(zones)]
-			who := p.from + i/len(zones)%len(p.places)
+			who := p.from + i/len(zones)%len(p.specs)
 			text += fmt.Sprintf("at %dms leave %d\nat %dms start %d\n", 400*i, who, 400*i+1500, who)
 		}
 		return text
@@ -97,37 +97,38 @@
 	}},
 }
 
-// set is a process's gatherers, as scripts name them.
+// set returns the process's gatherers in the notation of fault scripts.
 func (p *process) set() string {
 	var s faults.Set
-	for i := range p.places {
+	for i := range p.specs {
 		s = append(s, p.from+i)
 	}
 	return s.String()
 }
 
-// regions are two halves: every other real process and every other process of hollow gatherers, so that voters are 3 and 2 of 5.
+// regions splits the members into two halves: every other real process and every other process of
+// simulated gatherers, so that 5 voters are split 3 and 2.
 func (r *Rig) regions() (a, b faults.Set) {
 	of := [2]*faults.Set{&a, &b}
 	for i := range r.real {
 		*of[i%2] = append(*of[i%2], i)
 	}
 	for k, p := range r.processes {
-		for i := range p.places {
+		for i := range p.specs {
 			*of[k%2] = append(*of[k%2], p.from+i)
 		}
 	}
 	return a, b
 }
 
-// Delay has all words between the regions come so much later, and up to as much again.
+// Delay delays all messages between the regions by d to 2d.
 func (r *Rig) Delay(d time.Duration) {
 	a, b := r.regions()
 	r.g.Net.Begin(faults.Step{Do: faults.Delay, Delay: d, A: a, B: b})
 }
 
-// Play plays one event, at a fleet that is at rest.
-func Play(t harness.T, cfg Config, scene Scene, delay, calm time.Duration) (e Event, err error) {
+// PlayScene starts a fleet, waits until it is idle and plays one scene.
+func PlayScene(t harness.T, cfg Config, scene Scene, delay, maxWait time.Duration) (e Event, err error) {
 	t.Helper()
 	cfg.Relayed = scene.Relayed
 	r, err := NewRig(t, cfg)
@@ -137,12 +138,12 @@
 	defer r.Close()
 	defer r.End()
 	r.Start()
-	r.Adopt()
+	r.InstallFirstPolicy()
 	if scene.Relayed && delay > 0 {
 		r.Delay(delay)
 	}
-	r.Settled(cfg.Gatherers)
-	r.quiet(calm)
+	r.WaitConverged(cfg.Gatherers)
+	r.waitQuiet(maxWait)
 	e.Name, e.Gatherers = scene.Name, cfg.Gatherers
 	script, err := faults.Parse(scene.Script(r), cfg.Gatherers)
 	if err != nil {
@@ -150,14 +151,14 @@
 	}
 	e.Script = summary(script)
 	watch := r.watch()
-	time.Sleep(3 * time.Second) // the rest that it is held against
-	asked := len(r.Asked())
+	time.Sleep(3 * time.Second) // baseline before the event
+	asked := len(r.SentQueries())
 	e.Began = watch.since()
 	var changes sync.WaitGroup
 	changes.Add(1)
 	go func() {
 		defer changes.Done()
-		defer func() { // a change that never ends is told of, and the watch goes on
+		defer func() { // record a failed change as a fault and keep recording
 			if x := recover(); x != nil {
 				e.Fault = harness.FatalReason(x)
 			}
@@ -165,79 +166,79 @@
 		for range scene.Changes {
 			at := watch.since()
 			c := r.Change()
-			e.Changes = append(e.Changes, Landed{at - e.Began, float64(c.Most().Microseconds()) / 1000, c.Refused})
-			time.Sleep(2 * time.Second) // an operator's pace
+			e.Changes = append(e.Changes, EventChange{at - e.Began, float64(c.Total().Microseconds()) / 1000, c.Refused})
+			time.Sleep(2 * time.Second) // pause between an operator's changes
 		}
 	}()
-	known := r.play(script)
+	known := r.playScript(script)
 	e.Known = timesOf(known, false)
-	r.Settled(cfg.Gatherers)
+	r.WaitConverged(cfg.Gatherers)
 	changes.Wait()
-	r.Settled(cfg.Gatherers)
+	r.WaitConverged(cfg.Gatherers)
 	e.Ended = watch.since()
-	time.Sleep(scene.Slack) // what follows
+	time.Sleep(scene.Slack) // observe the aftermath
 	e.Seconds = watch.end()
 	e.sum()
-	for _, q := range r.Asked()[asked:] {
+	for _, q := range r.SentQueries()[asked:] {
 		e.Queries++
 		if q.Version >= 0 {
-			e.LetIn++
+			e.Admitted++
 		}
 	}
 	return e, nil
 }
 
-// summary is a script's text, shortened where it is long.
+// summary returns the script's text, shortened to a few lines if it is long.
 func summary(s faults.Script) string {
 	lines := strings.Split(strings.TrimSpace(s.String()), "\n")
 	if len(lines) > 6 {
-		lines = append(lines[:4:4], fmt.Sprintf("and %d steps more of this kind, to %s", len(lines)-4, s.End()))
+		lines = append(lines[:4:4], fmt.Sprintf("and %d more steps of this kind, until %s", len(lines)-4, s.End()))
 	}
 	return strings.Join(lines, "\n")
 }
 
-// sum works out peaks, what lay before, and what was over budget.
+// sum computes the baseline before the event, the peaks and the seconds over budget.
 func (e *Event) sum() {
 	var before Second
 	n := 0.0
 	for _, s := range e.Seconds {
 		if s.At <= e.Began {
-			before.Hollow, before.Follower = before.Hollow.plus(s.Hollow, 1), before.Follower.plus(s.Follower, 1)
-			before.Voter, before.Leader, before.Busiest = before.Voter.plus(s.Voter, 1), before.Leader.plus(s.Leader, 1), before.Busiest.most(s.Busiest)
+			before.Simulated, before.Follower = before.Simulated.addScaled(s.Simulated, 1), before.Follower.addScaled(s.Follower, 1)
+			before.Voter, before.Leader, before.Busiest = before.Voter.addScaled(s.Voter, 1), before.Leader.addScaled(s.Leader, 1), before.Busiest.maxOf(s.Busiest)
 			n++
 			continue
 		}
 		p := &e.Peak
-		p.Hollow, p.Busiest, p.Follower, p.Voter, p.Leader = p.Hollow.most(s.Hollow), p.Busiest.most(s.Busiest), p.Follower.most(s.Follower), p.Voter.most(s.Voter), p.Leader.most(s.Leader)
-		count := func(n *int, over bool) {
-			if over {
+		p.Simulated, p.Busiest, p.Follower, p.Voter, p.Leader = p.Simulated.maxOf(s.Simulated), p.Busiest.maxOf(s.Busiest), p.Follower.maxOf(s.Follower), p.Voter.maxOf(s.Voter), p.Leader.maxOf(s.Leader)
+		count := func(n *int, exceeded bool) {
+			if exceeded {
 				*n++
 			}
 		}
-		count(&e.Over.HollowBytes, s.Hollow.Bytes() > BudgetBytes)
-		count(&e.Over.BusiestBytes, s.Busiest.Bytes() > BudgetBytes)
-		count(&e.Over.HollowCPU, s.Hollow.CPU > BudgetCPU)
-		count(&e.Over.LeaderBytes, s.Leader.Bytes() > BudgetBytes)
-		count(&e.Over.LeaderCPU, s.Leader.CPU > BudgetCPU)
+		count(&e.OverBudget.SimulatedBytes, s.Simulated.Bytes() > BudgetBytes)
+		count(&e.OverBudget.BusiestBytes, s.Busiest.Bytes() > BudgetBytes)
+		count(&e.OverBudget.SimulatedCPU, s.Simulated.CPU > BudgetCPU)
+		count(&e.OverBudget.LeaderBytes, s.Leader.Bytes() > BudgetBytes)
+		count(&e.OverBudget.LeaderCPU, s.Leader.CPU > BudgetCPU)
 	}
 	by := 1 / max(n, 1)
 	e.Before = Second{
-		Hollow: Rates{}.plus(before.Hollow, by), Busiest: before.Busiest, Follower: Rates{}.plus(before.Follower, by), Voter: Rates{}.plus(before.Voter, by),
-		Leader: Rates{}.plus(before.Leader, by),
+		Simulated: Rates{}.addScaled(before.Simulated, by), Busiest: before.Busiest, Follower: Rates{}.addScaled(before.Follower, by), Voter: Rates{}.addScaled(before.Voter, by),
+		Leader: Rates{}.addScaled(before.Leader, by),
 	}
 }
 
-// watcher reads everybody once a second.
+// watcher samples all members once a second.
 type watcher struct {
-	began time.Time
-	over  chan struct{}
-	told  chan []Second
+	began  time.Time
+	done   chan struct{}
+	result chan []Second
 }
 
 func (w *watcher) since() float64 { return time.Since(w.began).Seconds() }
 
 func (r *Rig) watch() *watcher {
-	w := &watcher{began: time.Now(), over: make(chan struct{}), told: make(chan []Second, 1)}
+	w := &watcher{began: time.Now(), done: make(chan struct{}), result: make(chan []Second, 1)}
 	go func() {
 		var all []Second
 		last := r.Read(0)
@@ -245,14 +246,14 @@
 		defer tick.Stop()
 		for {
 			select {
-			case <-w.over:
-				w.told <- all
+			case <-w.done:
+				w.result <- all
 				return
 			case <-tick.C:
 			}
 			now := r.Read(0)
 			s := between(last, now)
-			all = append(all, Second{w.since(), s.Runs, s.Hollow, s.Busiest, s.Follower, s.Voter, s.Leader})
+			all = append(all, Second{w.since(), s.Runs, s.Simulated, s.Busiest, s.Follower, s.Voter, s.Leader})
 			last = now
 		}
 	}()
@@ -260,13 +261,13 @@
 }
 
 func (w *watcher) end() []Second {
-	close(w.over)
-	return <-w.told
+	close(w.done)
+	return <-w.result
 }
 
-// play plays a script to its end, by the machine's clock, and gives how long after the last step that killed or started members each hollow
-// gatherer knew.
-func (r *Rig) play(s faults.Script) (known []time.Duration) {
+// playScript plays a script in real time. It returns, for each simulated gatherer, the delay from a
+// step that killed a process until the gatherer knew.
+func (r *Rig) playScript(s faults.Script) (known []time.Duration) {
 	r.t.Helper()
 	type due struct {
 		at time.Duration
@@ -280,7 +281,7 @@
 				r.g.Net.Begin(x)
 				return
 			}
-			known = append(known, r.befall(x)...)
+			known = append(known, r.applyToMembers(x)...)
 		}})
 		if x.For > 0 {
 			todo = append(todo, due{x.At + x.For, func() { r.g.Net.Expire(x.At + x.For) }})
@@ -289,14 +290,15 @@
 	slices.SortStableFunc(todo, func(a, b due) int { return int(a.at - b.at) })
 	began := time.Now()
 	for _, d := range todo {
-		time.Sleep(d.at - time.Since(began)) // the script's own time
+		time.Sleep(d.at - time.Since(began)) // wait until the step is due
 		d.do()
 	}
 	return known
 }
 
-// befall does what a step does to members. How long a death of a whole process takes to be known is waited for.
-func (r *Rig) befall(x faults.Step) (known []time.Duration) {
+// applyToMembers applies a script step to the members. After the kill of a whole process it waits
+// until the death is known everywhere and returns the delays.
+func (r *Rig) applyToMembers(x faults.Step) (known []time.Duration) {
 	r.t.Helper()
 	for i := range r.real {
 		if x.A.Has(i) {
@@ -312,28 +314,28 @@
 	}
 	for _, p := range r.processes {
 		var which []int
-		for i := range p.places {
+		for i := range p.specs {
 			if x.A.Has(p.from + i) {
 				which = append(which, i)
 			}
 		}
 		switch {
 		case len(which) == 0:
-		case x.Do == faults.Kill && len(which) < len(p.places):
-			r.t.Fatalf("%s: hollow gatherers die with their process, which has %s", x, p.set())
+		case x.Do == faults.Kill && len(which) < len(p.specs):
+			r.t.Fatalf("step %s: simulated gatherers can only be killed as a whole process, which runs %s", x, p.set())
 		case x.Do == faults.Kill:
-			r.Expect(p.names(), false)
+			r.ExpectMembers(p.names(), false)
 			at := time.Now().UnixMicro()
 			p.kill()
-			known = r.Known("the end of a process", at)
-			r.Expect(nil, false)
+			known = r.WaitKnown("death of a process", at)
+			r.ExpectMembers(nil, false)
 		case x.Do == faults.Leave:
-			go p.call(Order{Do: "leave", Which: which})
+			go p.call(Command{Do: "leave", Which: which})
 		case x.Do == faults.Start:
 			if p.dead() {
-				p.begin()
+				p.launch()
 			}
-			go p.call(Order{Do: "start", Which: which})
+			go p.call(Command{Do: "start", Which: which})
 		}
 	}
 	return known
--- a/internal/scale/fit.go
+++ b/internal/scale/fit.go
@@ -2,15 +2,15 @@
 
 import "math"
 
-// Fit is a law by which something grows with its variable: At = A + B·x, or where Power is set B·x^Power.
+// Fit is a fitted curve: A + B·x, or B·x^Power if Power is set.
 type Fit struct {
-	A     float64 `json:"a"`
-	B     float64 `json:"b"`
-	Power float64 `json:"power,omitempty"`
-	Off   float64 `json:"off"` // the most that a measured point lies off, as a part of it
+	A            float64 `json:"a"`
+	B            float64 `json:"b"`
+	Power        float64 `json:"power,omitempty"`
+	MaxDeviation float64 `json:"off"` // largest relative deviation of a measured point
 }
 
-// At is what it foretells.
+// At returns the predicted value at x.
 func (f Fit) At(x float64) float64 {
 	if f.Power != 0 {
 		return f.B * math.Pow(x, f.Power)
@@ -18,13 +18,17 @@
 	return f.A + f.B*x
 }
 
-// scatter is how far at most measured points lie off, in parts of them, that are taken not to grow at all.
-const scatter = 0.3
+// maxConstantDeviation is the largest relative deviation at which points may still be fitted by a
+// constant.
+const maxConstantDeviation = 0.3
 
-// FitTo fits what does not grow at all, a line by least squares of what it is off in proportion where that fits more than twice as well, and
-// a power of the variable where that does so once more: what scatters is not taken for growth. It needs two points with x above nought.
+// FitTo fits a constant, a line or a power law to the points. The line minimizes the relative
+// squared error. A constant is preferred if no point deviates by more than maxConstantDeviation and
+// the line does not fit more than twice as well. A power law is used only if it fits more than
+// twice as well as that choice. So noise is not taken for growth. It needs at least two points with
+// x > 0.
 func FitTo(xs, ys []float64) Fit {
-	weigh := func(xs, ys, ws []float64) (a, b float64) {
+	fitLine := func(xs, ys, ws []float64) (a, b float64) {
 		var w, x, y, xx, xy float64
 		for i := range xs {
 			w, x, y, xx, xy = w+ws[i], x+ws[i]*xs[i], y+ws[i]*ys[i], xx+ws[i]*xs[i]*xs[i], xy+ws[i]*xs[i]*ys[i]
@@ -39,28 +43,28 @@
 		line[i], ones[i] = 1/max(ys[i]*ys[i], 1e-18), 1
 		logX[i], logY[i] = math.Log(xs[i]), math.Log(max(ys[i], 1e-18))
 	}
-	a, b := weigh(xs, ys, line)
-	linear := off(Fit{A: a, B: b}, xs, ys)
+	a, b := fitLine(xs, ys, line)
+	linear := withDeviation(Fit{A: a, B: b}, xs, ys)
 	var sum, weights float64
 	for i := range ys {
 		sum, weights = sum+line[i]*ys[i], weights+line[i]
 	}
-	if level := off(Fit{A: sum / weights}, xs, ys); level.Off <= scatter && level.Off <= 2*linear.Off {
+	if level := withDeviation(Fit{A: sum / weights}, xs, ys); level.MaxDeviation <= maxConstantDeviation && level.MaxDeviation <= 2*linear.MaxDeviation {
 		linear = level
 	}
 	if !positive {
 		return linear
 	}
-	c, p := weigh(logX, logY, ones)
-	if power := off(Fit{B: math.Exp(c), Power: p}, xs, ys); p != 0 && 2*power.Off < linear.Off {
+	c, p := fitLine(logX, logY, ones)
+	if power := withDeviation(Fit{B: math.Exp(c), Power: p}, xs, ys); p != 0 && 2*power.MaxDeviation < linear.MaxDeviation {
 		return power
 	}
 	return linear
 }
 
-func off(f Fit, xs, ys []float64) Fit {
+func withDeviation(f Fit, xs, ys []float64) Fit {
 	for i := range xs {
-		f.Off = max(f.Off, math.Abs(f.At(xs[i])-ys[i])/max(math.Abs(ys[i]), 1e-18))
+		f.MaxDeviation = max(f.MaxDeviation, math.Abs(f.At(xs[i])-ys[i])/max(math.Abs(ys[i]), 1e-18))
 	}
 	return f
 }
--- a/internal/scale/hollow.go
+++ b/internal/scale/hollow.go
@@ -21,64 +21,66 @@
 	"time"
 )
 
-// As package gatherer has them.
+// Same values as in a real gatherer.
 const (
-	partsEvery = 250 * time.Millisecond
-	partsEarly = 300_000
+	quotaRequestInterval = 250 * time.Millisecond
+	quotaEarlyMicros     = 300_000
 )
 
-// Place is who one hollow gatherer is, and where.
-type Place struct {
+// GathererSpec is the identity and the addresses of one simulated gatherer.
+type GathererSpec struct {
 	Name, Zone     string
-	View, Policy   netip.AddrPort // where it listens
-	Advertise      netip.AddrPort // where the others reach its view
+	View, Policy   netip.AddrPort // listen addresses
+	Advertise      netip.AddrPort // address at which other members reach its view
 	Seed, Identity uint64
 }
 
-// hollow is one hollow gatherer. Its life is begun and ended by one goroutine; drivers call it on theirs.
-type hollow struct {
-	Place
+// simulatedGatherer is one simulated gatherer. One goroutine starts and stops it; drivers call it
+// from their own goroutines.
+type simulatedGatherer struct {
+	GathererSpec
 	version string
-	busy    int // teams that it always wants more of than an even part
+	busy    int // number of teams that always want more than an even share
 	log     *slog.Logger
 	clock   transport.Clock
-	op      atomic.Pointer[config.Operator] // the file, with the policy in force
+	op      atomic.Pointer[config.Operator] // the operator's file with the installed policy
 	disk    disk
 
-	view   *peering.Peers // nil: it does not run
+	view   *peering.Peers // nil: not running
 	policy *peering.PolicyNode
-	over   chan struct{}
+	done   chan struct{}
 	wg     sync.WaitGroup
 
-	alive, reckon atomic.Int64
-	digest        atomic.Uint64
-	number        atomic.Uint64
-	permit        atomic.Pointer[transport.Permit]
-	expect        atomic.Pointer[expectation]
+	alive, expected atomic.Int64
+	digest          atomic.Uint64
+	number          atomic.Uint64
+	permit          atomic.Pointer[transport.Permit]
+	expect          atomic.Pointer[expectation]
 
-	mu       sync.Mutex
-	installs map[uint64][]int64 // of the newest versions: when each was put in force, in Unix microseconds
-	judged   judged
+	mu        sync.Mutex
+	installs  map[uint64][]int64 // installation times of the newest versions, in Unix microseconds
+	validated validated
 }
 
-// judged is what a document came to, so that it is not read once more when it is put in force.
-type judged struct {
+// validated caches the last validated document so that its installation does not parse it again.
+type validated struct {
 	text []byte
 	op   config.Operator
 }
 
-// expectation is that a view comes to hold some members for gone, or for present.
+// expectation is fulfilled when the view shows all named members as present, or as absent.
 type expectation struct {
 	names   map[string]bool
 	present bool
-	at      atomic.Int64 // when it did, in Unix microseconds; 0: not yet
+	at      atomic.Int64 // when it was fulfilled, in Unix microseconds; 0: not yet
 }
 
-const mostInstalls = 64
+const maxInstallsKept = 64
 
-// newHollow reads a gatherer's file, which is another one's but for who and where it is.
-func newHollow(template []byte, p Place, version string, busy int, log *slog.Logger) (*hollow, error) {
-	h := &hollow{Place: p, version: version, busy: busy, log: log, clock: transport.NewClock(), installs: map[uint64][]int64{}, disk: disk{identity: p.Identity}}
+// newSimulatedGatherer creates a simulated gatherer from another gatherer's file, replacing its
+// name and addresses.
+func newSimulatedGatherer(template []byte, p GathererSpec, version string, busy int, log *slog.Logger) (*simulatedGatherer, error) {
+	h := &simulatedGatherer{GathererSpec: p, version: version, busy: busy, log: log, clock: transport.NewClock(), installs: map[uint64][]int64{}, disk: disk{identity: p.Identity}}
 	var file map[string]any
 	if err := json.Unmarshal(template, &file); err != nil {
 		return nil, err
@@ -93,14 +95,14 @@
 	}
 	op, err := config.ParseOperator(text)
 	if err != nil {
-		return nil, fmt.Errorf("%s: %w", p.Name, err)
+		return nil, fmt.Errorf("scale: simulated gatherer %s: parse operator file: %w", p.Name, err)
 	}
 	h.op.Store(&op)
 	return h, nil
 }
 
-// start begins a life, as a gatherer's process does: first the policy's sockets, then the view.
-func (h *hollow) start() error {
+// start starts the gatherer in the order of a real process: the policy's sockets, then the view.
+func (h *simulatedGatherer) start() error {
 	op := h.op.Load()
 	r, f := op.Rollout, op.Fleet
 	node := rollout.Config{Name: h.Name, Lease: r.Lease.Microseconds(), MaxPause: r.MaxPause.Microseconds(), Drift: r.Drift, DivideBudgets: r.DivideBudgets}
@@ -120,29 +122,29 @@
 		Fleet: f.Name, Name: h.Name, Start: uint64(time.Now().UnixMicro()), Address: f.Advertise, Zone: op.Settings.Module.Zone, Version: h.version,
 		Join: f.Join, ProbePeriod: f.Period.Microseconds(), SuspicionFactor: f.Suspect, CountDeadFor: f.CountLostFor.Microseconds(),
 	}
-	if h.view, err = peering.Open(peering.Config{Listen: f.Listen, Allow: f.Allow, Seed: h.Seed, Core: core, OnView: h.sees}, h.clock.Now, h.heard, h.log); err != nil {
+	if h.view, err = peering.Open(peering.Config{Listen: f.Listen, Allow: f.Allow, Seed: h.Seed, Core: core, OnView: h.onView}, h.clock.Now, h.onMembers, h.log); err != nil {
 		go h.policy.Run()
 		h.policy.Stop()
 		h.policy = nil
 		return err
 	}
 	go h.view.Run()
-	h.view.SetMetadata(h.facts)
+	h.view.SetMetadata(h.metadata)
 	go h.policy.Run()
-	h.over = make(chan struct{})
+	h.done = make(chan struct{})
 	if r.DivideBudgets {
 		h.wg.Add(1)
-		go h.divide(h.policy, h.over)
+		go h.divide(h.policy, h.done)
 	}
 	return nil
 }
 
-// leave ends a life in order.
-func (h *hollow) leave() {
+// leave stops the gatherer gracefully.
+func (h *simulatedGatherer) leave() {
 	if h.view == nil {
 		return
 	}
-	close(h.over)
+	close(h.done)
 	h.view.Stop()
 	h.policy.Stop()
 	h.wg.Wait()
@@ -150,23 +152,24 @@
 	h.alive.Store(0)
 }
 
-// divide asks what may be used of budgets, as often as a gatherer does.
-func (h *hollow) divide(policy *peering.PolicyNode, over <-chan struct{}) {
+// divide requests quota at the interval of a real gatherer.
+func (h *simulatedGatherer) divide(policy *peering.PolicyNode, done <-chan struct{}) {
 	defer h.wg.Done()
-	tick := time.NewTicker(partsEvery)
+	tick := time.NewTicker(quotaRequestInterval)
 	defer tick.Stop()
 	for {
 		select {
-		case <-over:
+		case <-done:
 			return
 		case <-tick.C:
-			policy.UpdateDemand(h.demands(), partsEarly)
+			policy.UpdateDemand(h.demands(), quotaEarlyMicros)
 		}
 	}
 }
 
-// demands are of the first busy teams of the contracts: half of an even part is in use, and twice as much wanted.
-func (h *hollow) demands() (all []quota.Demand) {
+// demands returns the demand of the first busy teams: each uses half of an even share and wants
+// twice an even share.
+func (h *simulatedGatherer) demands() (all []quota.Demand) {
 	even := quota.EvenQuota(h.Slots())
 	for i := range h.busy {
 		all = append(all, quota.Demand{Team: team(i), Want: 2 * even, Used: even / 2})
@@ -174,21 +177,21 @@
 	return all
 }
 
-// team is a team's name by its number.
+// team returns the name of the i-th team.
 func team(i int) string { return fmt.Sprintf("team-%05d", i) }
 
-func (h *hollow) facts(f swim.Metadata) swim.Metadata {
+func (h *simulatedGatherer) metadata(f swim.Metadata) swim.Metadata {
 	f.PolicyVersion, f.PolicyAddress = h.number.Load(), h.op.Load().Rollout.Members[h.Name]
 	return f
 }
 
-func (h *hollow) heard(alive, reckon int, _ bool) {
+func (h *simulatedGatherer) onMembers(alive, expected int, _ bool) {
 	h.alive.Store(int64(alive))
-	h.reckon.Store(int64(reckon))
+	h.expected.Store(int64(expected))
 }
 
-// sees does with a view what a gatherer does, and looks whether what is expected of it has come.
-func (h *hollow) sees(v swim.View) {
+// onView handles a view as a real gatherer does, and checks whether the expectation is fulfilled.
+func (h *simulatedGatherer) onView(v swim.View) {
 	absent := map[string]bool{}
 	for _, m := range v.Members {
 		if m.State == swim.Dead || m.State == swim.Left {
@@ -214,24 +217,24 @@
 	}
 }
 
-// Judge tells what is wrong with a document in the place of the policy in force.
-func (h *hollow) Judge(text []byte) error {
+// Judge validates a document against the installed policy.
+func (h *simulatedGatherer) Judge(text []byte) error {
 	op := h.op.Load()
 	now, err := config.ParseOperator(op.Text, text)
 	if err != nil {
 		return err
 	}
 	h.mu.Lock()
-	h.judged = judged{text, now}
+	h.validated = validated{text, now}
 	h.mu.Unlock()
 	return op.Fits(now)
 }
 
-// Install puts a document in force: there is no engine to hand it to.
-func (h *hollow) Install(d *wire.Document) error {
+// Install installs a document. There is no engine to pass it to.
+func (h *simulatedGatherer) Install(d *wire.Document) error {
 	h.mu.Lock()
-	x := h.judged
-	h.judged = judged{}
+	x := h.validated
+	h.validated = validated{}
 	h.mu.Unlock()
 	op, err := x.op, error(nil)
 	if string(x.text) != string(d.Text) {
@@ -243,52 +246,52 @@
 	h.number.Store(d.Number)
 	h.mu.Lock()
 	h.installs[d.Number] = append(h.installs[d.Number], time.Now().UnixMicro())
-	if len(h.installs) > mostInstalls {
+	if len(h.installs) > maxInstallsKept {
 		delete(h.installs, slices.Min(slices.Collect(maps.Keys(h.installs))))
 	}
 	h.mu.Unlock()
 	if h.view != nil {
-		h.view.SetMetadata(h.facts)
+		h.view.SetMetadata(h.metadata)
 	}
 	return nil
 }
 
-// Slots is among how many budgets are divided.
-func (h *hollow) Slots() uint64 {
+// Slots returns the number of gatherers among which budgets are divided.
+func (h *simulatedGatherer) Slots() uint64 {
 	if c := h.op.Load().Contracts; c != nil {
 		return uint64(c.Gatherers)
 	}
 	return 1
 }
 
-// Permit keeps what the engine would let in by.
-func (h *hollow) Permit(p transport.Permit) { h.permit.Store(&p) }
+// Permit stores the permit by which an engine would admit queries.
+func (h *simulatedGatherer) Permit(p transport.Permit) { h.permit.Store(&p) }
 
-var errNoVote = errors.New("a hollow gatherer has no vote")
+var errNoVote = errors.New("scale: a simulated gatherer has no vote")
 
-// Save is for voters.
-func (h *hollow) Save(*rollout.Save) error { return errNoVote }
+// Save fails: only voters write to the log.
+func (h *simulatedGatherer) Save(*rollout.Save) error { return errNoVote }
 
-// Snapshot is for voters.
-func (h *hollow) Snapshot(rollout.Disk) error { return errNoVote }
+// Snapshot fails: only voters take snapshots.
+func (h *simulatedGatherer) Snapshot(rollout.Disk) error { return errNoVote }
 
-// Stage, Keep and Roster word a record as for the disk.
-func (h *hollow) Stage(p *wire.Proposal) error { return h.disk.keep(&h.disk.staged, p) }
+// Stage keeps the encoded proposal.
+func (h *simulatedGatherer) Stage(p *wire.Proposal) error { return h.disk.keep(&h.disk.staged, p) }
 
-// Keep keeps the document in force.
-func (h *hollow) Keep(d *wire.Document) error { return h.disk.keep(&h.disk.current, d) }
+// Keep keeps the encoded document in force.
+func (h *simulatedGatherer) Keep(d *wire.Document) error { return h.disk.keep(&h.disk.current, d) }
 
-// Roster keeps who is there.
-func (h *hollow) Roster(s *wire.State) error { return h.disk.keep(&h.disk.roster, s) }
+// Roster keeps the encoded membership.
+func (h *simulatedGatherer) Roster(s *wire.State) error { return h.disk.keep(&h.disk.roster, s) }
 
-// admits tells whether a query would be let in now.
-func (h *hollow) admits() bool {
+// admits reports whether a query would be admitted now.
+func (h *simulatedGatherer) admits() bool {
 	p := h.permit.Load()
 	return p != nil && !p.Suspended && h.clock.Now() < p.Expires
 }
 
-// stand is how it stands.
-func (h *hollow) stand(number uint64) (s Stand) {
+// status returns the gatherer's state, with its installations of a version.
+func (h *simulatedGatherer) status(number uint64) (s GathererState) {
 	s.Name = h.Name
 	if h.view == nil {
 		return s
@@ -306,8 +309,8 @@
 	return s
 }
 
-// expecting has it look out for members that are gone, or present.
-func (h *hollow) expecting(names string, present bool) {
+// setExpectation sets the expectation; an empty list of names clears it.
+func (h *simulatedGatherer) setExpectation(names string, present bool) {
 	if names == "" {
 		h.expect.Store(nil)
 		return
--- a/internal/scale/measure.go
+++ b/internal/scale/measure.go
@@ -7,59 +7,59 @@
 	"time"
 )
 
-// Size is what one fleet came to.
-type Size struct {
+// FleetResult is the result of measuring one fleet.
+type FleetResult struct {
 	Gatherers int     `json:"gatherers"`
-	Hollow    int     `json:"hollow"`
+	Simulated int     `json:"hollow"`
 	Busy      int     `json:"busy_teams"`
 	Policy    int     `json:"policy_bytes"`
 	Run       int     `json:"run"`
-	Seconds   float64 `json:"seconds"` // at rest, that the rates are over
+	Seconds   float64 `json:"seconds"` // length of the idle span that the rates are taken over
 	Started   float64 `json:"started_s"`
-	Calm      bool    `json:"calm"`             // no news were told in that time
-	HeldMB    int64   `json:"all_processes_mb"` // at the most
+	Quiet     bool    `json:"calm"`             // no membership updates were gossiped in that span
+	PeakMB    int64   `json:"all_processes_mb"` // peak resident memory
 
 	Rest struct {
-		Hollow   Rates `json:"hollow"`
-		Busiest  Rates `json:"hollow_busiest"`
-		Follower Rates `json:"real_follower"`
-		Voter    Rates `json:"voter"`
-		Leader   Rates `json:"leader"`
+		Simulated Rates `json:"hollow"`
+		Busiest   Rates `json:"hollow_busiest"`
+		Follower  Rates `json:"real_follower"`
+		Voter     Rates `json:"voter"`
+		Leader    Rates `json:"leader"`
 	} `json:"at_rest"`
-	HeapMB float64 `json:"hollow_heap_stack_mb"` // of a hollow gatherer, after what nobody uses was given back
-	Alike  Alike   `json:"hollow_vs_real"`
+	HeapMB     float64    `json:"hollow_heap_stack_mb"` // per simulated gatherer, after a garbage collection
+	CostRatios CostRatios `json:"hollow_vs_real"`
 
-	PerChange struct { // beyond what the same time at rest costs
-		Bytes       float64 `json:"hollow_bytes"`
-		Words       float64 `json:"hollow_words"`
-		CPU         float64 `json:"hollow_cpu_ms"`
-		LeaderBytes float64 `json:"leader_bytes"`
-		LeaderWords float64 `json:"leader_words"`
-		LeaderCPU   float64 `json:"leader_cpu_ms"`
+	PerChange struct { // in addition to the idle cost of the same time
+		Bytes          float64 `json:"hollow_bytes"`
+		Messages       float64 `json:"hollow_words"`
+		CPU            float64 `json:"hollow_cpu_ms"`
+		LeaderBytes    float64 `json:"leader_bytes"`
+		LeaderMessages float64 `json:"leader_words"`
+		LeaderCPU      float64 `json:"leader_cpu_ms"`
 	} `json:"a_change"`
-	InForce  Times    `json:"in_force_everywhere"`          // over changes, the most of all gatherers, refusals and what was proposed again in it
-	LastTry  Times    `json:"in_force_everywhere_last_try"` // the same from the proposal that was not refused
-	Each     Times    `json:"in_force_at_each"`             // over changes and gatherers
-	Answered Times    `json:"answered"`
-	Refused  []string `json:"refused,omitempty"`
-	Crash    Times    `json:"crash_known_to_all"`
-	CrashAt  Times    `json:"crash_known_at_each"`
-	LetIn    int      `json:"queries_let_in"`
-	Queries  int      `json:"queries"`
-	Mixed    int      `json:"mixed"`
+	InForce  DurationStats `json:"in_force_everywhere"`          // over changes: until the last gatherer, including refused proposals
+	LastTry  DurationStats `json:"in_force_everywhere_last_try"` // the same, from the accepted proposal on
+	Each     DurationStats `json:"in_force_at_each"`             // over changes and gatherers
+	Answered DurationStats `json:"answered"`
+	Refused  []string      `json:"refused,omitempty"`
+	Crash    DurationStats `json:"crash_known_to_all"`
+	CrashAt  DurationStats `json:"crash_known_at_each"`
+	Admitted int           `json:"queries_let_in"`
+	Queries  int           `json:"queries"`
+	Mixed    int           `json:"mixed"`
 }
 
-// Effort is how much is done at each size.
-type Effort struct {
-	Rest    time.Duration // that rates at rest are over
+// MeasureOptions is how much is measured at each size.
+type MeasureOptions struct {
+	Rest    time.Duration // length of the idle span
 	Changes int
-	Calm    time.Duration // that is waited at most until no news are told any more
-	Crashes int           // of a real follower
-	Ready   func()        // called when a fleet is at rest; it returns when rates are to be measured
+	Calm    time.Duration // maximum wait until no membership updates are gossiped
+	Crashes int           // kills of a real follower
+	Ready   func()        // called when the fleet is idle; blocks until the rates may be measured
 }
 
-// Measure plays one fleet to its end.
-func Measure(t harness.T, cfg Config, e Effort) (s Size, err error) {
+// Measure starts one fleet, measures it and ends it.
+func Measure(t harness.T, cfg Config, e MeasureOptions) (s FleetResult, err error) {
 	t.Helper()
 	r, err := NewRig(t, cfg)
 	if err != nil {
@@ -69,24 +69,24 @@
 	defer r.End()
 	began := time.Now()
 	r.Start()
-	r.Adopt()
-	r.Settled(cfg.Gatherers)
+	r.InstallFirstPolicy()
+	r.WaitConverged(cfg.Gatherers)
 	s.Started = time.Since(began).Seconds()
-	s.Gatherers, s.Hollow, s.Busy, s.Policy = cfg.Gatherers, cfg.Gatherers-r.real, cfg.Busy, len(r.document(1))
+	s.Gatherers, s.Simulated, s.Busy, s.Policy = cfg.Gatherers, cfg.Gatherers-r.real, cfg.Busy, len(r.policyDocument(1))
 	rest := r.atRest(e)
-	s.Calm = calm(rest)
+	s.Quiet = isQuiet(rest)
 	s.Seconds = rest.Seconds
-	s.Rest.Hollow, s.Rest.Busiest, s.Rest.Follower, s.Rest.Voter, s.Rest.Leader = rest.Hollow, rest.Busiest, rest.Follower, rest.Voter, rest.Leader
-	s.Alike = alike(rest.Hollow, rest.Follower)
-	held, empty, n := int64(0), int64(0), 0
+	s.Rest.Simulated, s.Rest.Busiest, s.Rest.Follower, s.Rest.Voter, s.Rest.Leader = rest.Simulated, rest.Busiest, rest.Follower, rest.Voter, rest.Leader
+	s.CostRatios = costRatios(rest.Simulated, rest.Follower)
+	held, baselineRSS, n := int64(0), int64(0), 0
 	for _, x := range r.Collect().Reports {
 		held, n = held+x.Heap+x.Stack, n+len(x.Hollow)
 	}
 	for _, p := range r.processes {
-		empty += p.empty
+		baselineRSS += p.baselineRSS
 	}
 	s.HeapMB = float64(held) / (1 << 20) / float64(max(n, 1))
-	s.Rest.Hollow.MB -= float64(empty) / (1 << 20) / float64(max(n, 1))
+	s.Rest.Simulated.MB -= float64(baselineRSS) / (1 << 20) / float64(max(n, 1))
 	r.changes(e, rest, &s)
 	var all, each []time.Duration
 	for range e.Crashes {
@@ -94,36 +94,37 @@
 		all, each = append(all, known[len(known)-1]), append(each, known...)
 	}
 	s.Crash, s.CrashAt = timesOf(all, true), timesOf(each, false)
-	s.HeldMB = r.held.Load()
-	asked := r.Asked()
+	s.PeakMB = r.peakMB.Load()
+	asked := r.SentQueries()
 	s.Queries = len(asked)
 	for _, q := range asked {
 		if q.Version >= 0 {
-			s.LetIn++
+			s.Admitted++
 		}
 	}
 	var first string
 	if s.Mixed, first = soak.Mixed(asked); s.Mixed > 0 {
-		t.Errorf("%d queries were let in under a version that was over: %s", s.Mixed, first)
+		t.Errorf("%d queries were admitted under an expired policy version: %s", s.Mixed, first)
 	}
 	return s, nil
 }
 
-// restLength is how many bytes a word of the view has at most where it tells no news: a probe and its answer have some 78 on the mean, the
-// exchanges among them.
-const restLength = 90
+// maxQuietMessageBytes is the largest mean size in bytes of a view message without membership
+// updates. A probe and its answer have about 78 bytes on average, including the periodic exchanges.
+const maxQuietMessageBytes = 90
 
-func calm(s Span) bool {
-	return s.Hollow.ViewWords > 0 && s.Hollow.ViewBytes < restLength*s.Hollow.ViewWords
+func isQuiet(s Span) bool {
+	return s.Simulated.ViewMessages > 0 && s.Simulated.ViewBytes < maxQuietMessageBytes*s.Simulated.ViewMessages
 }
 
-// quiet waits until views tell no news for a second, and gives up after a while.
-func (r *Rig) quiet(most time.Duration) bool {
+// waitQuiet waits until views gossip no membership updates for a second, for at most the given
+// time, and reports whether that happened.
+func (r *Rig) waitQuiet(most time.Duration) bool {
 	end := time.Now().Add(most)
 	for a := r.Read(0); time.Now().Before(end); {
-		time.Sleep(time.Second) // between two looks
+		time.Sleep(time.Second) // length of the sampled span
 		b := r.Read(0)
-		if calm(between(a, b)) {
+		if isQuiet(between(a, b)) {
 			return true
 		}
 		a = b
@@ -131,24 +132,25 @@
 	return false
 }
 
-// atRest measures a span in which no news are told; where none comes in the time that is given, it measures one in which some are.
-func (r *Rig) atRest(e Effort) (s Span) {
+// atRest measures an idle span in which no membership updates are gossiped. If there is none before
+// e.Calm has passed, it returns the last span measured.
+func (r *Rig) atRest(e MeasureOptions) (s Span) {
 	for end := time.Now().Add(e.Calm); ; {
-		r.quiet(time.Until(end))
+		r.waitQuiet(time.Until(end))
 		if e.Ready != nil {
 			e.Ready()
 			e.Ready = nil
 		}
 		a := r.Read(0)
-		time.Sleep(e.Rest) // the span that is measured
-		if s = between(a, r.Read(0)); calm(s) || time.Now().After(end) {
+		time.Sleep(e.Rest) // the measured span
+		if s = between(a, r.Read(0)); isQuiet(s) || time.Now().After(end) {
 			return s
 		}
 	}
 }
 
-// changes changes the policy a few times, and works out what one costs beyond rest.
-func (r *Rig) changes(e Effort, rest Span, s *Size) {
+// changes makes the policy changes and computes the cost of one beyond the idle cost.
+func (r *Rig) changes(e MeasureOptions, rest Span, s *FleetResult) {
 	if e.Changes == 0 {
 		return
 	}
@@ -156,39 +158,40 @@
 	var most, last, each, answered []time.Duration
 	for range e.Changes {
 		c := r.Change()
-		last = append(last, c.Most()-c.Last)
-		most, each, answered = append(most, c.Most()), append(each, c.At...), append(answered, c.Answered)
+		last = append(last, c.Total()-c.RefusalDelay)
+		most, each, answered = append(most, c.Total()), append(each, c.InstallDelays...), append(answered, c.Answered)
 		s.Refused = append(s.Refused, c.Refused...)
-		if c.Times != len(c.At) {
-			r.t.Errorf("version %d was put in force %d times at %d gatherers", c.Number, c.Times, len(c.At))
+		if c.Installs != len(c.InstallDelays) {
+			r.t.Errorf("version %d was installed %d times at %d gatherers", c.Number, c.Installs, len(c.InstallDelays))
 		}
 	}
-	r.quiet(e.Calm)
+	r.waitQuiet(e.Calm)
 	span := between(a, r.Read(0))
 	n := span.Seconds / float64(e.Changes)
-	hollow, leader := span.Hollow.plus(rest.Hollow, -1), span.Leader.plus(rest.Leader, -1)
-	s.PerChange.Bytes, s.PerChange.Words, s.PerChange.CPU = hollow.Bytes()*n, hollow.Words()*n, hollow.CPU*10*n
-	s.PerChange.LeaderBytes, s.PerChange.LeaderWords, s.PerChange.LeaderCPU = leader.Bytes()*n, leader.Words()*n, leader.CPU*10*n
+	simulated, leader := span.Simulated.addScaled(rest.Simulated, -1), span.Leader.addScaled(rest.Leader, -1)
+	s.PerChange.Bytes, s.PerChange.Messages, s.PerChange.CPU = simulated.Bytes()*n, simulated.Messages()*n, simulated.CPU*10*n
+	s.PerChange.LeaderBytes, s.PerChange.LeaderMessages, s.PerChange.LeaderCPU = leader.Bytes()*n, leader.Messages()*n, leader.CPU*10*n
 	s.LastTry = timesOf(last, true)
 	s.InForce, s.Each, s.Answered = timesOf(most, true), timesOf(each, false), timesOf(answered, true)
 }
 
-// crash kills a real follower, waits until all hollow gatherers know, starts it again, and waits until all are back.
+// crash kills a real follower, waits until all simulated gatherers know, restarts it and waits
+// until the fleet has converged. It returns the delays until they knew.
 func (r *Rig) crash(i int) []time.Duration {
 	r.t.Helper()
-	r.Expect([]string{r.g.Members[i].Name}, false)
+	r.ExpectMembers([]string{r.g.Members[i].Name}, false)
 	at := time.Now().UnixMicro()
 	r.g.Kill(i)
-	known := r.Known(fmt.Sprintf("the end of %s", r.g.Members[i].Name), at)
-	r.Expect(nil, false)
+	known := r.WaitKnown(fmt.Sprintf("death of %s", r.g.Members[i].Name), at)
+	r.ExpectMembers(nil, false)
 	r.g.Start(i)
-	r.Settled(r.cfg.Gatherers)
+	r.WaitConverged(r.cfg.Gatherers)
 	return known
 }
 
-// End ends all processes at once; else t's end does.
+// End kills all processes immediately instead of at the end of t.
 func (r *Rig) End() {
-	r.each((*process).kill)
+	r.forEachProcess((*process).kill)
 	for i := range r.g.Members {
 		r.g.Kill(i)
 	}
--- a/internal/scale/process.go
+++ b/internal/scale/process.go
@@ -16,48 +16,50 @@
 	"time"
 )
 
-// Order is what a process of hollow gatherers is told, a line of JSON each; it answers each with a Report.
-type Order struct {
+// Command is a request to a process of simulated gatherers, one line of JSON. The process answers
+// each with a Report.
+type Command struct {
 	Do       string // make, start, leave, expect, read, collect
-	Template []byte // make: an operator's file
-	Places   []Place
+	Template []byte // make: the operator's file to start from
+	Places   []GathererSpec
 	Version  string
-	Busy     int    // teams
-	Which    []int  // start, leave: of its places
-	Names    string // expect: with commas between; empty: nothing more
+	Busy     int    // number of busy teams
+	Which    []int  // start, leave: indices into Places
+	Names    string // expect: separated by commas; empty clears the expectation
 	Present  bool
-	Number   uint64 // read: the version whose installs are asked for
+	Number   uint64 // read: the version whose installations are reported
 }
 
-// Report is how a process of hollow gatherers stands.
+// Report is the state of a process of simulated gatherers.
 type Report struct {
 	Fault            string
-	Hollow           []Stand
+	Hollow           []GathererState
 	At               int64 // Unix microseconds
 	CPU              int64 // microseconds, user and system, of the whole process
 	Heap, Stack, RSS int64 // bytes
 	Goroutines       int
 }
 
-// Stand is how one hollow gatherer stands.
-type Stand struct {
+// GathererState is the state of one simulated gatherer.
+type GathererState struct {
 	Name         string
 	Runs         bool
 	Alive        int
 	Digest       uint64
 	Number       uint64
 	Admits       bool
-	Installed    int64 // when the version asked for was put in force first, in Unix microseconds; 0: not
-	Times        int   // how often
-	Known        int64 // when what was expected had come; 0: not yet
+	Installed    int64 // first installation of the requested version, in Unix microseconds; 0: none
+	Times        int   // number of installations
+	Known        int64 // when the expectation was fulfilled, in Unix microseconds; 0: not yet
 	View, Policy peering.Traffic
 }
 
-// Serve is a process of hollow gatherers: it carries out orders until they end, and then ends without a word to others.
+// Serve runs a process of simulated gatherers. It executes commands until the input ends, then
+// returns without sending leave messages.
 func Serve(in io.Reader, out io.Writer) error {
 	lines, answers := bufio.NewReader(in), json.NewEncoder(out)
 	log := logging.New(io.Discard, "text", slog.LevelInfo).Logger()
-	var all []*hollow
+	var all []*simulatedGatherer
 	for {
 		line, err := lines.ReadBytes('\n')
 		if err == io.EOF {
@@ -66,12 +68,12 @@
 		if err != nil {
 			return err
 		}
-		var o Order
+		var o Command
 		var r Report
 		if err := json.Unmarshal(line, &o); err != nil {
-			return fmt.Errorf("order: %w", err)
+			return fmt.Errorf("scale: decode command: %w", err)
 		}
-		if err := carryOut(o, &all, log); err != nil {
+		if err := execute(o, &all, log); err != nil {
 			r.Fault = err.Error()
 		}
 		if o.Do == "read" || o.Do == "collect" {
@@ -83,11 +85,11 @@
 	}
 }
 
-func carryOut(o Order, all *[]*hollow, log *slog.Logger) error {
+func execute(o Command, all *[]*simulatedGatherer, log *slog.Logger) error {
 	switch o.Do {
 	case "make":
 		for _, p := range o.Places {
-			h, err := newHollow(o.Template, p, o.Version, o.Busy, log)
+			h, err := newSimulatedGatherer(o.Template, p, o.Version, o.Busy, log)
 			if err != nil {
 				return err
 			}
@@ -107,27 +109,27 @@
 		}
 	case "expect":
 		for _, h := range *all {
-			h.expecting(o.Names, o.Present)
+			h.setExpectation(o.Names, o.Present)
 		}
 	case "collect":
 		runtime.GC()
 	case "read":
 	default:
-		return fmt.Errorf("order %q", o.Do)
+		return fmt.Errorf("scale: unknown command %q", o.Do)
 	}
 	return nil
 }
 
-func read(o Order, all []*hollow) (r Report) {
+func read(o Command, all []*simulatedGatherer) (r Report) {
 	for _, h := range all {
-		r.Hollow = append(r.Hollow, h.stand(o.Number))
+		r.Hollow = append(r.Hollow, h.status(o.Number))
 	}
 	var m runtime.MemStats
 	if o.Do == "collect" {
 		runtime.ReadMemStats(&m)
 		r.Heap, r.Stack = int64(m.HeapAlloc), int64(m.StackInuse)
 	}
-	r.RSS, r.Goroutines = resident(os.Getpid()), runtime.NumGoroutine()
+	r.RSS, r.Goroutines = residentBytes(os.Getpid()), runtime.NumGoroutine()
 	var u syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &u) == nil {
 		r.CPU = u.Utime.Sec*1e6 + u.Utime.Usec + u.Stime.Sec*1e6 + u.Stime.Usec
@@ -136,39 +138,42 @@
 	return r
 }
 
-// resident is a process's memory in bytes, as the system tells it; 0 where it is gone.
-func resident(pid int) int64 {
+// residentBytes returns a process's resident memory in bytes according to /proc, or 0 if the
+// process is gone.
+func residentBytes(pid int) int64 {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", pid))
 	if err != nil {
 		return 0
 	}
-	words := strings.Fields(string(text))
-	if len(words) < 2 {
+	fields := strings.Fields(string(text))
+	if len(fields) < 2 {
 		return 0
 	}
-	pages, err := strconv.ParseInt(words[1], 10, 64)
+	pages, err := strconv.ParseInt(fields[1], 10, 64)
 	if err != nil {
 		return 0
 	}
 	return pages * int64(os.Getpagesize())
 }
 
-// clockTick is the unit of times in /proc: 10 ms on Linux, whatever the kernel counts by.
+// clockTick is the unit of CPU times in /proc in microseconds: 10 ms on Linux, independent of the
+// kernel's timer frequency.
 const clockTick = 10_000
 
-// processor is a process's time on processors in microseconds, user and system; 0 where it is gone.
-func processor(pid int) int64 {
+// cpuMicros returns a process's CPU time, user and system, in microseconds, or 0 if the process is
+// gone.
+func cpuMicros(pid int) int64 {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return 0
 	}
-	_, rest, _ := strings.Cut(string(text), ") ") // the name may hold spaces
-	words := strings.Fields(rest)
-	if len(words) < 13 {
+	_, rest, _ := strings.Cut(string(text), ") ") // the name may contain spaces
+	fields := strings.Fields(rest)
+	if len(fields) < 13 {
 		return 0
 	}
-	user, err := strconv.ParseInt(words[11], 10, 64)
-	system, err2 := strconv.ParseInt(words[12], 10, 64)
+	user, err := strconv.ParseInt(fields[11], 10, 64)
+	system, err2 := strconv.ParseInt(fields[12], 10, 64)
 	if err != nil || err2 != nil {
 		return 0
 	}
--- a/internal/scale/rates.go
+++ b/internal/scale/rates.go
@@ -7,57 +7,59 @@
 	"time"
 )
 
-// Rates are what one gatherer's control costs a second: words and bytes of payload both ways, in parts of a core.
+// Rates are the control costs of one gatherer per second: messages and payload bytes, sent and
+// received, and percent of a core.
 type Rates struct {
-	ViewWords   float64 `json:"view_words_s"`
-	ViewBytes   float64 `json:"view_bytes_s"`
-	PolicyWords float64 `json:"policy_words_s"`
-	PolicyBytes float64 `json:"policy_bytes_s"` // those of shares among them
-	ShareBytes  float64 `json:"share_bytes_s"`
-	CPU         float64 `json:"core_pct"`
-	MB          float64 `json:"mb"` // as it stands
+	ViewMessages   float64 `json:"view_words_s"`
+	ViewBytes      float64 `json:"view_bytes_s"`
+	PolicyMessages float64 `json:"policy_words_s"`
+	PolicyBytes    float64 `json:"policy_bytes_s"` // including QuotaBytes
+	QuotaBytes     float64 `json:"share_bytes_s"`
+	CPU            float64 `json:"core_pct"`
+	MB             float64 `json:"mb"` // at the end of the span
 }
 
-// Bytes are all of them.
+// Bytes returns the bytes of view and policy.
 func (r Rates) Bytes() float64 { return r.ViewBytes + r.PolicyBytes }
 
-// Words are all of them.
-func (r Rates) Words() float64 { return r.ViewWords + r.PolicyWords }
+// Messages returns the messages of view and policy.
+func (r Rates) Messages() float64 { return r.ViewMessages + r.PolicyMessages }
 
-func (r Rates) plus(o Rates, by float64) Rates {
+func (r Rates) addScaled(o Rates, by float64) Rates {
 	return Rates{
-		r.ViewWords + by*o.ViewWords, r.ViewBytes + by*o.ViewBytes, r.PolicyWords + by*o.PolicyWords, r.PolicyBytes + by*o.PolicyBytes,
-		r.ShareBytes + by*o.ShareBytes, r.CPU + by*o.CPU, r.MB + by*o.MB,
+		r.ViewMessages + by*o.ViewMessages, r.ViewBytes + by*o.ViewBytes, r.PolicyMessages + by*o.PolicyMessages, r.PolicyBytes + by*o.PolicyBytes,
+		r.QuotaBytes + by*o.QuotaBytes, r.CPU + by*o.CPU, r.MB + by*o.MB,
 	}
 }
 
-// most takes the greater of each.
-func (r Rates) most(o Rates) Rates {
+// maxOf returns the maximum of each rate.
+func (r Rates) maxOf(o Rates) Rates {
 	return Rates{
-		max(r.ViewWords, o.ViewWords), max(r.ViewBytes, o.ViewBytes), max(r.PolicyWords, o.PolicyWords), max(r.PolicyBytes, o.PolicyBytes),
-		max(r.ShareBytes, o.ShareBytes), max(r.CPU, o.CPU), max(r.MB, o.MB),
+		max(r.ViewMessages, o.ViewMessages), max(r.ViewBytes, o.ViewBytes), max(r.PolicyMessages, o.PolicyMessages), max(r.PolicyBytes, o.PolicyBytes),
+		max(r.QuotaBytes, o.QuotaBytes), max(r.CPU, o.CPU), max(r.MB, o.MB),
 	}
 }
 
-// Span is what everybody's control cost between two samples.
+// Span is the control cost of all members between two samples.
 type Span struct {
-	Seconds  float64
-	Runs     int   // hollow gatherers that ran at both
-	Hollow   Rates // the mean; processor time and memory are the processes', divided by their gatherers
-	Busiest  Rates // the most of any hollow one; of its processor time nothing is known
-	Follower Rates // the mean of real followers,
-	Voter    Rates // of voters that don't lead,
-	Leader   Rates // and the leader's
+	Seconds   float64
+	Runs      int   // simulated gatherers that ran at both samples
+	Simulated Rates // mean; CPU time and memory are those of the processes divided by their gatherers
+	Busiest   Rates // maximum over simulated gatherers, except CPU time, which is not known for one
+	Follower  Rates // mean of real followers
+	Voter     Rates // mean of voters other than the leader
+	Leader    Rates
 }
 
-// between works out what lies between two samples. Who did not run at both, or was started anew, counts in nothing.
+// between computes the rates between two samples. Members that did not run at both, or that
+// restarted in between, are not counted.
 func between(a, b Sample) (s Span) {
 	s.Seconds = float64(b.At-a.At) / 1e6
 	per := func(view, policy peering.Traffic, seconds float64) Rates {
 		return Rates{
-			ViewWords: float64(view.Sent+view.Received) / seconds, ViewBytes: float64(view.SentBytes+view.ReceivedBytes) / seconds,
-			PolicyWords: float64(policy.Sent+policy.Received) / seconds, PolicyBytes: float64(policy.SentBytes+policy.ReceivedBytes) / seconds,
-			ShareBytes: float64(policy.QuotaBytes) / seconds,
+			ViewMessages: float64(view.Sent+view.Received) / seconds, ViewBytes: float64(view.SentBytes+view.ReceivedBytes) / seconds,
+			PolicyMessages: float64(policy.Sent+policy.Received) / seconds, PolicyBytes: float64(policy.SentBytes+policy.ReceivedBytes) / seconds,
+			QuotaBytes: float64(policy.QuotaBytes) / seconds,
 		}
 	}
 	cpu, mb, ran := 0.0, 0.0, 0
@@ -74,7 +76,7 @@
 			}
 			here++
 			r := per(minus(v.View, u.View), minus(v.Policy, u.Policy), seconds)
-			s.Hollow, s.Busiest = s.Hollow.plus(r, 1), s.Busiest.most(r)
+			s.Simulated, s.Busiest = s.Simulated.addScaled(r, 1), s.Busiest.maxOf(r)
 		}
 		if here > 0 {
 			ran += here
@@ -83,8 +85,8 @@
 		}
 	}
 	if s.Runs = ran; ran > 0 {
-		s.Hollow = Rates{}.plus(s.Hollow, 1/float64(ran))
-		s.Hollow.CPU, s.Hollow.MB = cpu/float64(ran), mb/float64(ran)
+		s.Simulated = Rates{}.addScaled(s.Simulated, 1/float64(ran))
+		s.Simulated.CPU, s.Simulated.MB = cpu/float64(ran), mb/float64(ran)
 	}
 	followers, voters := 0.0, 0.0
 	for i, y := range b.Real {
@@ -98,12 +100,12 @@
 		case y.Leads:
 			s.Leader = r
 		case y.Votes:
-			s.Voter, voters = s.Voter.plus(r, 1), voters+1
+			s.Voter, voters = s.Voter.addScaled(r, 1), voters+1
 		default:
-			s.Follower, followers = s.Follower.plus(r, 1), followers+1
+			s.Follower, followers = s.Follower.addScaled(r, 1), followers+1
 		}
 	}
-	s.Follower, s.Voter = Rates{}.plus(s.Follower, 1/max(followers, 1)), Rates{}.plus(s.Voter, 1/max(voters, 1))
+	s.Follower, s.Voter = Rates{}.addScaled(s.Follower, 1/max(followers, 1)), Rates{}.addScaled(s.Voter, 1/max(voters, 1))
 	return s
 }
 
@@ -114,28 +116,28 @@
 	}
 }
 
-// Alike is how hollow gatherers stand to real ones, as ratios.
-type Alike struct {
-	ViewWords   float64 `json:"view_words"`
-	ViewBytes   float64 `json:"view_bytes"`
-	PolicyWords float64 `json:"policy_words"`
-	PolicyBytes float64 `json:"policy_bytes"`
+// CostRatios holds the ratios of simulated to real gatherers.
+type CostRatios struct {
+	ViewMessages   float64 `json:"view_words"`
+	ViewBytes      float64 `json:"view_bytes"`
+	PolicyMessages float64 `json:"policy_words"`
+	PolicyBytes    float64 `json:"policy_bytes"`
 }
 
-func alike(hollow, real Rates) Alike {
+func costRatios(simulated, real Rates) CostRatios {
 	ratio := func(a, b float64) float64 {
 		if b == 0 {
 			return math.NaN()
 		}
 		return a / b
 	}
-	return Alike{ratio(hollow.ViewWords, real.ViewWords), ratio(hollow.ViewBytes, real.ViewBytes), ratio(hollow.PolicyWords, real.PolicyWords), ratio(hollow.PolicyBytes, real.PolicyBytes)}
+	return CostRatios{ratio(simulated.ViewMessages, real.ViewMessages), ratio(simulated.ViewBytes, real.ViewBytes), ratio(simulated.PolicyMessages, real.PolicyMessages), ratio(simulated.PolicyBytes, real.PolicyBytes)}
 }
 
-// Worst is the ratio that is farthest from one.
-func (a Alike) Worst() (worst float64) {
+// Worst returns the ratio farthest from 1, or NaN if one is undefined.
+func (a CostRatios) Worst() (worst float64) {
 	worst = 1
-	for _, x := range []float64{a.ViewWords, a.ViewBytes, a.PolicyWords, a.PolicyBytes} {
+	for _, x := range []float64{a.ViewMessages, a.ViewBytes, a.PolicyMessages, a.PolicyBytes} {
 		if math.IsNaN(x) || math.Abs(math.Log(x)) > math.Abs(math.Log(worst)) {
 			worst = x
 		}
@@ -143,8 +145,8 @@
 	return worst
 }
 
-// Times are how long something took, over several gatherers or changes.
-type Times struct {
+// DurationStats summarizes durations over several gatherers or changes.
+type DurationStats struct {
 	N       int       `json:"n"`
 	Median  float64   `json:"p50_ms"`
 	P99     float64   `json:"p99_ms"`
@@ -152,8 +154,8 @@
 	Samples []float64 `json:"each_ms,omitempty"`
 }
 
-// timesOf sorts out times; keep keeps each.
-func timesOf(all []time.Duration, keep bool) (t Times) {
+// timesOf summarizes durations; with keep set it also returns each of them.
+func timesOf(all []time.Duration, keep bool) (t DurationStats) {
 	if len(all) == 0 {
 		return t
 	}
--- a/internal/scale/rig.go
+++ b/internal/scale/rig.go
@@ -21,45 +21,45 @@
 	sq "saffronquay"
 )
 
-// Config is one fleet.
+// Config describes one fleet.
 type Config struct {
 	Seed      uint64
-	Gatherers int           // all of them
-	Voters    int           // of them, real processes that vote, under load; and
-	Followers int           // real ones that follow, and have no load
-	Process   int           // hollow gatherers to a process; a process is a zone
-	Apart     []int         // sizes of further processes of hollow ones, which can be killed by themselves
-	Teams     int           // of the contracts
-	Busy      int           // of them, that every hollow gatherer wants more of than an even part
-	Padding   int           // bytes that the policy is longer by, about
-	Period    time.Duration // of the view's probes; 0, as for the next two: the program's default
+	Gatherers int           // total
+	Voters    int           // real processes that vote and receive the load
+	Followers int           // real processes that follow, without load
+	Process   int           // simulated gatherers per process; each process is a zone
+	Apart     []int         // sizes of additional processes of simulated gatherers, which can be killed on their own
+	Teams     int           // in the contracts
+	Busy      int           // teams of which every simulated gatherer wants more than an even share
+	Padding   int           // approximate extra bytes in the policy
+	Period    time.Duration // probe period of the view; 0 in this and the next two: the program's default
 	Lease     time.Duration
 	Hold      time.Duration
-	Relayed   bool // everybody is reached through a relay, so that links can be cut and delayed
-	Queries   int  // a second, over all voters
+	Relayed   bool // reach every member through a relay, so that links can be cut and delayed
+	Queries   int  // per second, over all voters
 	Program   string
-	Dir       string // for what the run needs
+	Dir       string // working directory of the run
 	Say       func(format string, args ...any)
 }
 
 const (
-	mostGatherers = 1600
-	mostProcesses = 200
-	mostMB        = 12 << 10 // of all processes together
-	guardEvery    = 250 * time.Millisecond
-	viewPort      = 7946
-	policyPort    = 7947
-	lockPort      = 7945
-	startAtOnce   = 50 // hollow gatherers that begin together
-	callWait      = 60 * time.Second
+	maxGatherers        = 1600
+	maxProcesses        = 200
+	memoryLimitMB       = 12 << 10 // of all processes together
+	memoryCheckInterval = 250 * time.Millisecond
+	viewPort            = 7946
+	policyPort          = 7947
+	lockPort            = 7945
+	startBatch          = 50 // simulated gatherers started together
+	callTimeout         = 60 * time.Second
 )
 
-var errBounds = errors.New("want 10 to 1600 gatherers, 1, 3, 5 or 7 voters, and processes of 1 to 400")
+var errBounds = errors.New("scale: fleet out of bounds: want 10 to 1600 gatherers, 1, 3, 5 or 7 voters, 1 to 400 simulated gatherers per process, at most 200 processes, and no more busy teams than teams")
 
 func (c Config) check() error {
 	real := c.Voters + c.Followers
-	if c.Gatherers < 10 || c.Gatherers > mostGatherers || c.Voters < 1 || c.Voters > 7 || c.Voters%2 == 0 || c.Process < 1 || c.Process > 400 || real+sum(c.Apart) > c.Gatherers ||
-		real+len(c.Apart)+(c.Gatherers-real)/c.Process+1 > mostProcesses || c.Busy > c.Teams {
+	if c.Gatherers < 10 || c.Gatherers > maxGatherers || c.Voters < 1 || c.Voters > 7 || c.Voters%2 == 0 || c.Process < 1 || c.Process > 400 || real+sum(c.Apart) > c.Gatherers ||
+		real+len(c.Apart)+(c.Gatherers-real)/c.Process+1 > maxProcesses || c.Busy > c.Teams {
 		return errBounds
 	}
 	return nil
@@ -72,33 +72,34 @@
 	return n
 }
 
-// Rig is a fleet of real processes and hollow gatherers. It is for one goroutine, but for reads.
+// Rig is a fleet of real processes and simulated gatherers. Its methods are for one goroutine,
+// except the reads.
 type Rig struct {
-	cfg       Config
-	t         harness.T
-	g         *harness.Group
-	real      int
-	processes []*process
-	template  []byte
-	version   string
-	base      uint64 // the version in force, as told last
-	nonce     uint64
-	queries   atomic.Int64
-	mu        sync.Mutex
-	asked     []soak.Query
-	over      chan struct{}
-	load      sync.WaitGroup
-	held      atomic.Int64 // MB of all processes together, at the most
-	mostMB    int64
+	cfg           Config
+	t             harness.T
+	g             *harness.Group
+	real          int
+	processes     []*process
+	template      []byte
+	version       string
+	base          uint64 // last known version in force
+	nonce         uint64
+	queries       atomic.Int64
+	mu            sync.Mutex
+	sent          []soak.Query
+	done          chan struct{}
+	load          sync.WaitGroup
+	peakMB        atomic.Int64 // peak MB of all processes together
+	memoryLimitMB int64
 }
 
-// NewRig makes a fleet of which nothing runs yet; it ends with t.
+// NewRig prepares a fleet without starting anything. The fleet is cleaned up at the end of t.
 func NewRig(t harness.T, cfg Config) (*Rig, error) {
 	if err := cfg.check(); err != nil {
 		return nil, err
 	}
-	r := &Rig{cfg: cfg, t: t, real: cfg.Voters + cfg.Followers, nonce: cfg.Seed << 20, over: make(chan struct{}), mostMB: mostMB}
-	first, err := block(t)
+	r := &Rig{cfg: cfg, t: t, real: cfg.Voters + cfg.Followers, nonce: cfg.Seed << 20, done: make(chan struct{}), memoryLimitMB: memoryLimitMB}
+	first, err := reserveAddresses(t)
 	if err != nil {
 		return nil, err
 	}
@@ -134,26 +135,27 @@
 		terms["hold_ms"] = cfg.Hold.Milliseconds()
 	}
 	r.g.EnableRollout(cfg.Voters, terms)
-	r.hollow(first)
-	r.files()
+	r.assignGatherers(first)
+	r.addMembers()
 	return r, nil
 }
 
-// teams are tenants and contracts, with as much that says nothing as the policy is to be longer by.
+// teams returns the tenants and contracts, with padding entries to make the policy longer.
 func (c Config) teams() (tenants, contracts any) {
 	var all, weights []any
 	for i := range max(c.Teams, 1) {
 		all, weights = append(all, map[string]any{"name": team(i), "quota_per_s": 100}), append(weights, map[string]any{"name": team(i), "weight": 1, "wait_ms": 1000})
 	}
-	for i := range c.Padding / 74 { // as long as a tenant and its contract are
+	for i := range c.Padding / 74 { // bytes of a tenant and its contract
 		name := fmt.Sprintf("pad-%06d", i)
 		all, weights = append(all, map[string]any{"name": name, "quota_per_s": 1}), append(weights, map[string]any{"name": name, "weight": 1})
 	}
 	return all, map[string]any{"cores": 100 * c.Gatherers, "gatherers": c.Gatherers, "over": 1.25, "teams": weights}
 }
 
-// block takes a block of loopback addresses that no other run uses, for as long as this one lasts.
-func block(t harness.T) (netip.Addr, error) {
+// reserveAddresses reserves a block of loopback addresses that no other run uses, until the end of
+// t.
+func reserveAddresses(t harness.T) (netip.Addr, error) {
 	for i := range 7 * 32 {
 		n := (os.Getpid()*13 + i) % (7 * 32)
 		at := netip.AddrFrom4([4]byte{127, byte(121 + n/32), byte(n % 32 * 8), 0})
@@ -166,14 +168,14 @@
 	return netip.Addr{}, errors.New("scale: no block of loopback addresses is free")
 }
 
-// host is the address of a hollow gatherer in a block.
-func host(first netip.Addr, j int) netip.Addr {
+// gathererAddress returns the address of the j-th simulated gatherer in a block.
+func gathererAddress(first netip.Addr, j int) netip.Addr {
 	b := first.As4()
 	return netip.AddrFrom4([4]byte{127, b[1], b[2] + byte(j/200), byte(10 + j%200)})
 }
 
-// hollow says who the hollow gatherers are, and in which processes.
-func (r *Rig) hollow(first netip.Addr) {
+// assignGatherers assigns names, addresses and processes to the simulated gatherers.
+func (r *Rig) assignGatherers(first netip.Addr) {
 	sizes := slices.Clone(r.cfg.Apart)
 	rest := r.cfg.Gatherers - r.real - sum(sizes)
 	for n := (rest + r.cfg.Process - 1) / r.cfg.Process; n > 0; n-- {
@@ -184,34 +186,34 @@
 	for k, size := range sizes {
 		p := &process{rig: r, from: r.real + j}
 		for range size {
-			at := host(first, j)
-			x := Place{
+			at := gathererAddress(first, j)
+			x := GathererSpec{
 				Name: fmt.Sprintf("h%03d", j), Zone: fmt.Sprintf("zone-%02d", k+1), View: netip.AddrPortFrom(at, viewPort), Policy: netip.AddrPortFrom(at, policyPort),
 				Seed: r.cfg.Seed + uint64(j), Identity: (r.cfg.Seed+uint64(j))<<1 | 1,
 			}
 			x.Advertise = x.View
-			agrees := x.Policy
+			policyAddress := x.Policy
 			if r.cfg.Relayed {
 				view, policy := r.g.Relay(r.real+j, at), r.g.Relay(r.real+j, at)
 				view.SetTarget(x.View)
 				policy.SetTarget(x.Policy)
-				x.Advertise, agrees = view.Address(), policy.Address()
+				x.Advertise, policyAddress = view.Address(), policy.Address()
 			} else {
 				r.g.Net.AddSender(at, r.real+j)
 			}
-			p.places, p.agrees = append(p.places, x), append(p.agrees, agrees)
+			p.specs, p.policyAddresses = append(p.specs, x), append(p.policyAddresses, policyAddress)
 			j++
 		}
 		r.processes = append(r.processes, p)
 	}
 }
 
-// files puts all on everybody's roster.
-func (r *Rig) files() {
+// addMembers adds all simulated gatherers to the rollout members in every real process's file.
+func (r *Rig) addMembers() {
 	var more []any
 	for _, p := range r.processes {
-		for i, x := range p.places {
-			more = append(more, map[string]any{"name": x.Name, "address": p.agrees[i].String(), "voter": false})
+		for i, x := range p.specs {
+			more = append(more, map[string]any{"name": x.Name, "address": p.policyAddresses[i].String(), "voter": false})
 		}
 	}
 	for _, m := range r.g.Members {
@@ -223,11 +225,11 @@
 	}
 }
 
-// Start starts all, and waits until everybody sees everybody and lets queries in.
+// Start starts all members and waits until the fleet has converged and admits queries.
 func (r *Rig) Start() {
 	r.t.Helper()
 	r.load.Add(1)
-	go r.guard()
+	go r.enforceMemoryLimit()
 	r.g.StartAll()
 	r.g.Leader()
 	var err error
@@ -236,58 +238,58 @@
 	}
 	v, _ := r.g.Members[0].View()
 	r.version = v.Members["g00"]["version"]
-	r.each(func(p *process) { p.begin() })
-	for from := 0; ; from += startAtOnce / len(r.processes) {
+	r.forEachProcess(func(p *process) { p.launch() })
+	for from := 0; ; from += startBatch / len(r.processes) {
 		began := false
 		for _, p := range r.processes {
-			began = began || from < len(p.places)
+			began = began || from < len(p.specs)
 		}
 		if !began {
 			break
 		}
-		r.each(func(p *process) { p.start(from, from+startAtOnce/len(r.processes)) })
+		r.forEachProcess(func(p *process) { p.start(from, from+startBatch/len(r.processes)) })
 	}
-	r.Settled(r.cfg.Gatherers)
+	r.WaitConverged(r.cfg.Gatherers)
 	if r.cfg.Queries > 0 {
 		r.load.Add(1)
-		go r.ask()
+		go r.generateLoad()
 	}
 }
 
-// guard ends all processes where together they hold more memory than may be held.
-func (r *Rig) guard() {
+// enforceMemoryLimit ends all processes if together they exceed the memory limit.
+func (r *Rig) enforceMemoryLimit() {
 	defer r.load.Done()
-	tick := time.NewTicker(guardEvery)
+	tick := time.NewTicker(memoryCheckInterval)
 	defer tick.Stop()
 	for {
 		select {
-		case <-r.over:
+		case <-r.done:
 			return
 		case <-tick.C:
 		}
-		held := resident(os.Getpid())
+		held := residentBytes(os.Getpid())
 		for _, p := range r.processes {
-			held += resident(p.pid())
+			held += residentBytes(p.pid())
 		}
 		for i := range r.real {
 			_, _, pid := r.g.AdminAddressOf(i)
-			held += resident(pid)
+			held += residentBytes(pid)
 		}
-		if held >>= 20; held > r.held.Load() {
-			r.held.Store(held)
+		if held >>= 20; held > r.peakMB.Load() {
+			r.peakMB.Store(held)
 		}
-		if held > r.mostMB {
-			r.t.Errorf("all together hold %d MB, and %d may be held: all are ended", held, r.mostMB)
+		if held > r.memoryLimitMB {
+			r.t.Errorf("processes use %d MB together, limit %d MB: ending all processes", held, r.memoryLimitMB)
 			for _, p := range r.processes {
-				p.end()
+				p.killNow()
 			}
 			return
 		}
 	}
 }
 
-// each does something with all processes at once.
-func (r *Rig) each(do func(*process)) {
+// forEachProcess calls do for all processes concurrently.
+func (r *Rig) forEachProcess(do func(*process)) {
 	var wg sync.WaitGroup
 	for _, p := range r.processes {
 		wg.Add(1)
@@ -299,14 +301,15 @@
 	wg.Wait()
 }
 
-// Settled waits until all that run see as many as are said, in one and the same view, and let queries in under one version.
-func (r *Rig) Settled(alive int) {
+// WaitConverged waits until all running members see the given number of members in one and the same
+// view and admit queries under one version.
+func (r *Rig) WaitConverged(alive int) {
 	r.t.Helper()
-	r.g.Until(fmt.Sprintf("one view of %d, and one version", alive), func() (string, bool) {
-		time.Sleep(100 * time.Millisecond) // a look at all of them costs as much as they do in a while
+	r.g.Until(fmt.Sprintf("one view with %d members, and one version", alive), func() (string, bool) {
+		time.Sleep(100 * time.Millisecond) // a sample of all members costs as much as they use in some time
 		wrong, ran, example := 0, 0, ""
 		digests, numbers := map[uint64]int{}, map[uint64]int{}
-		for _, x := range r.Read(0).Hollow() {
+		for _, x := range r.Read(0).Simulated() {
 			if !x.Runs {
 				continue
 			}
@@ -315,7 +318,7 @@
 			numbers[x.Number]++
 			if x.Alive != alive || !x.Admits {
 				wrong++
-				example = fmt.Sprintf("%s sees %d, admits %t under %d", x.Name, x.Alive, x.Admits, x.Number)
+				example = fmt.Sprintf("%s sees %d members, admits queries: %t, version %d", x.Name, x.Alive, x.Admits, x.Number)
 			}
 		}
 		for _, m := range r.g.Members {
@@ -325,28 +328,28 @@
 			ran++
 			if text := m.Process.Call("stats"); !strings.Contains(text, fmt.Sprintf("svc.fleet.alive:%d|", alive)) || !strings.Contains(text, "svc.rollout.admits:1|") {
 				wrong++
-				example = m.Name + " sees another number, or lets nothing in"
+				example = m.Name + " sees another number of members, or admits no queries"
 			}
 		}
-		return fmt.Sprintf("%d of %d are not there yet, such as %s; %d digests, %d versions", wrong, ran, example, len(digests), len(numbers)),
+		return fmt.Sprintf("%d of %d have not converged, for example %s; %d digests, %d versions", wrong, ran, example, len(digests), len(numbers)),
 			wrong == 0 && ran == alive && len(digests) <= 1 && len(numbers) <= 1
 	})
 }
 
-// Close ends the load; what was started ends with t.
+// Close stops the load and the memory check; the processes end with t.
 func (r *Rig) Close() {
-	close(r.over)
+	close(r.done)
 	r.load.Wait()
 }
 
-// Asked are the queries of the load so far, to be judged.
-func (r *Rig) Asked() []soak.Query {
+// SentQueries returns the queries sent so far.
+func (r *Rig) SentQueries() []soak.Query {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return slices.Clone(r.asked)
+	return slices.Clone(r.sent)
 }
 
-// encode words a line of JSON.
+// encode writes a value as a line of JSON.
 func encode(w io.Writer, v any) error {
 	b, err := json.Marshal(v)
 	if err == nil {
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -14,75 +14,76 @@
 	"time"
 )
 
-// Plan is what a run plays: fleets of each size, of each number of busy teams and each length of a policy at one size, and scenes.
+// Plan is what a run measures: fleets of each size, with each number of busy teams and each policy
+// length, and scenes.
 type Plan struct {
-	Fleet   Config // Gatherers is the size of fleets that vary in something else, and of scenes
-	Effort  Effort
+	Fleet   Config // its Gatherers is the fleet size wherever something else varies
+	Effort  MeasureOptions
 	Sizes   []int
 	Busy    []int
 	Padding []int
 	Scenes  []string
-	Delay   time.Duration // between regions: at least, and up to twice that
+	Delay   time.Duration // between regions: from Delay to twice Delay
 	Runs    int
-	Out     string // files of that name with .json and .md; what is in the first already is kept, and added to
+	Out     string // writes Out.json and Out.md; an existing record is extended
 	Limit   time.Duration
 }
 
-// Record is all that was measured, over several runs of the command.
+// Record contains all measurements, over several runs of the command.
 type Record struct {
-	Runs    []Occasion `json:"runs"`
-	Sizes   []Size     `json:"sizes"`
-	Busy    []Size     `json:"busy"`
-	Padding []Size     `json:"padding"`
-	Events  []Event    `json:"events"`
-	Faults  []string   `json:"faults"` // what could not be played to its end
+	Runs    []RunInfo     `json:"runs"`
+	Sizes   []FleetResult `json:"sizes"`
+	Busy    []FleetResult `json:"busy"`
+	Padding []FleetResult `json:"padding"`
+	Events  []Event       `json:"events"`
+	Faults  []string      `json:"faults"` // measurements that did not complete
 }
 
-// Occasion is when and on what a run was made.
-type Occasion struct {
+// RunInfo is the date, machine and build of a run.
+type RunInfo struct {
 	Date     string `json:"date"`
 	Cores    int    `json:"cores"`
 	MemoryMB int64  `json:"memory_mb"`
 	System   string `json:"system"`
 	Seed     uint64 `json:"seed"`
 	Build    string `json:"build"`
-	Load     string `json:"load_average"` // at the beginning
+	Load     string `json:"load_average"` // at the start
 }
 
-func occasion(seed uint64) Occasion {
-	o := Occasion{Date: time.Now().UTC().Format("2006-01-02 15:04Z"), Cores: runtime.NumCPU(), System: runtime.GOOS + "/" + runtime.GOARCH, Seed: seed, Build: runtime.Version()}
+func currentRunInfo(seed uint64) RunInfo {
+	o := RunInfo{Date: time.Now().UTC().Format("2006-01-02 15:04Z"), Cores: runtime.NumCPU(), System: runtime.GOOS + "/" + runtime.GOARCH, Seed: seed, Build: runtime.Version()}
 	if text, err := os.ReadFile("/proc/meminfo"); err == nil {
 		fmt.Sscanf(string(text), "MemTotal: %d kB", &o.MemoryMB)
 		o.MemoryMB >>= 10
 	}
 	if text, err := os.ReadFile("/proc/loadavg"); err == nil {
-		if words := strings.Fields(string(text)); len(words) > 0 {
-			o.Load = words[0]
+		if fields := strings.Fields(string(text)); len(fields) > 0 {
+			o.Load = fields[0]
 		}
 	}
 	return o
 }
 
-// ErrLimit says that a run was ended by its limit before all was played.
-var ErrLimit = errors.New("scale: the limit of time has come before all was played")
+// ErrLimit is returned when a run reaches its time limit before the plan is complete.
+var ErrLimit = errors.New("scale: time limit reached before the plan was complete")
 
-// Run plays a plan. What each fleet came to is written before the next one begins.
+// Run executes a plan. The result of each fleet is written before the next one starts.
 func Run(ctx context.Context, p Plan) (rec Record, err error) {
 	if text, err := os.ReadFile(p.Out + ".json"); err == nil {
 		if err := json.Unmarshal(text, &rec); err != nil {
-			return rec, fmt.Errorf("%s.json: %w", p.Out, err)
+			return rec, fmt.Errorf("scale: decode record %s.json: %w", p.Out, err)
 		}
 	} else if !errors.Is(err, fs.ErrNotExist) {
 		return rec, err
 	}
-	rec.Runs = append(rec.Runs, occasion(p.Fleet.Seed))
+	rec.Runs = append(rec.Runs, currentRunInfo(p.Fleet.Seed))
 	began := time.Now()
-	one := func(what string, do func(t harness.T) error) error {
+	runStep := func(what string, do func(t harness.T) error) error {
 		if err := ctx.Err(); err != nil || time.Since(began) > p.Limit {
 			return errors.Join(ErrLimit, err)
 		}
 		p.Fleet.Say("%s", what)
-		fault, err := played(ctx, p.Fleet, do)
+		fault, err := runFleet(ctx, p.Fleet, do)
 		if err != nil {
 			return err
 		}
@@ -93,12 +94,12 @@
 	}
 	for run := range p.Runs {
 		first := len(rec.Runs) + run
-		vary := func(to *[]Size, what string, values []int, set func(*Config, int)) error {
+		vary := func(to *[]FleetResult, what string, values []int, set func(*Config, int)) error {
 			for _, v := range values {
 				cfg := p.Fleet
 				cfg.Seed += uint64(run)
 				set(&cfg, v)
-				if err := one(fmt.Sprintf("%s %d, run %d", what, v, run+1), func(t harness.T) error {
+				if err := runStep(fmt.Sprintf("%s %d, run %d", what, v, run+1), func(t harness.T) error {
 					s, err := Measure(t, cfg, p.Effort)
 					s.Run = first
 					*to = append(*to, s)
@@ -120,8 +121,8 @@
 			}
 			cfg := p.Fleet
 			cfg.Seed += uint64(run)
-			if err := one(fmt.Sprintf("%s, run %d", s.Name, run+1), func(t harness.T) error {
-				e, err := Play(t, cfg, s, p.Delay, p.Effort.Calm)
+			if err := runStep(fmt.Sprintf("%s, run %d", s.Name, run+1), func(t harness.T) error {
+				e, err := PlayScene(t, cfg, s, p.Delay, p.Effort.Calm)
 				e.Run = first
 				rec.Events = append(rec.Events, e)
 				return err
@@ -133,26 +134,27 @@
 	return rec, nil
 }
 
-// played plays one fleet and ends all that it started, also where the context ends first: then the program ends.
-func played(ctx context.Context, cfg Config, do func(harness.T) error) (fault string, err error) {
+// runFleet runs one fleet and ends everything that it started. If the context ends first, the
+// cleanup runs and the program exits.
+func runFleet(ctx context.Context, cfg Config, do func(harness.T) error) (fault string, err error) {
 	t, err := harness.NewRunner(cfg.Dir, cfg.Say)
 	if err != nil {
 		return "", err
 	}
-	over := make(chan struct{})
-	defer close(over)
+	done := make(chan struct{})
+	defer close(done)
 	go func() {
 		select {
 		case <-ctx.Done():
 			t.Close()
 			os.Exit(1)
-		case <-over:
+		case <-done:
 		}
 	}()
 	defer t.Close()
 	defer func() {
-		if never := harness.FatalReason(recover()); never != "" {
-			fault = never
+		if reason := harness.FatalReason(recover()); reason != "" {
+			fault = reason
 		} else {
 			fault = strings.Join(t.Errors(), "; ")
 		}
