--- a/internal/scale/work/clients.go
+++ b/internal/scale/work/clients.go
@@ -16,45 +16,47 @@
 	"github.com/valyala/fastjson"
 )
 
-// Load is what clients ask for: queries of so many parts, each of another shard, at a steady rate.
+// Load describes a client load: queries with a number of parts, each for another shard, at a steady
+// rate.
 type Load struct {
 	Parts, Shards int
-	Rate          float64 // queries a second
+	Rate          float64 // queries per second
 	For           time.Duration
-	Patience      time.Duration // of a client, as it tells
-	Work          int           // microseconds that a client guesses a part to take; 0: it does not say
+	Timeout       time.Duration // client timeout, sent with the query
+	Work          int           // the client's estimate of a part's work in microseconds; 0: not sent
 }
 
-// Answers are how a load's queries came out, each counted once.
-type Answers struct {
-	Asked    int           `json:"asked"`
-	Whole    int           `json:"whole"`
-	Partial  int           `json:"partial"`
-	Refused  int           `json:"refused"`
-	Failed   int           `json:"failed"` // any other answer
-	Lost     int           `json:"lost"`   // no answer
-	Held     int           `json:"held"`   // not sent, since too many were out
-	PartsIn  int           `json:"parts_in"`
-	Bytes    int64         `json:"bytes"` // of answers' bodies
-	P50, P99 time.Duration `json:"-"`
+// Results counts the queries of a load by outcome, each once.
+type Results struct {
+	Queries    int           `json:"asked"`
+	Complete   int           `json:"whole"`
+	Partial    int           `json:"partial"`
+	Refused    int           `json:"refused"`
+	Failed     int           `json:"failed"` // any other status
+	Unanswered int           `json:"lost"`   // no response
+	Unsent     int           `json:"held"`   // not sent: too many were in flight
+	PartsIn    int           `json:"parts_in"`
+	Bytes      int64         `json:"bytes"` // of response bodies
+	P50, P99   time.Duration `json:"-"`
 }
 
-const mostOut = 512 // queries that all clients have out at a time
+const maxInFlight = 512 // queries in flight, over all clients
 
 var queries atomic.Int64
 
-// body reads an answer's body.
-func body(resp *http.Response) ([]byte, error) {
+// readBody reads a response body and returns an error unless the status is 2xx.
+func readBody(resp *http.Response) ([]byte, error) {
 	defer resp.Body.Close()
 	b, err := io.ReadAll(resp.Body)
 	if err == nil && resp.StatusCode/100 != 2 {
-		return b, fmt.Errorf("status %d", resp.StatusCode)
+		return b, fmt.Errorf("HTTP status %d", resp.StatusCode)
 	}
 	return b, err
 }
 
-// share is a part's weight in as few words as add up to 1 well enough: a body holds 64 KiB at most.
-func share(parts int) string {
+// weightText returns a part's weight in as few digits as add up to about 1, because a request body
+// is limited to 64 KiB.
+func weightText(parts int) string {
 	for digits := 0; ; digits++ {
 		word := strings.Replace(strconv.FormatFloat(1/float64(parts), 'e', digits, 64), "e-0", "e-", 1)
 		if w, err := strconv.ParseFloat(word, 64); err == nil && math.Abs(w*float64(parts)-1) < 0.008 {
@@ -63,11 +65,11 @@
 	}
 }
 
-// segments is the body of a query whose parts begin at a shard.
-func segments(first, parts, shards, work int) string {
+// queryBody returns the body of a query whose parts begin at the given shard.
+func queryBody(first, parts, shards, work int) string {
 	var b strings.Builder
 	b.WriteString(`{"segments":[`)
-	weight, guess := share(parts), ""
+	weight, guess := weightText(parts), ""
 	if work > 0 {
 		guess = fmt.Sprintf(`,"work":%d`, work)
 	}
@@ -81,33 +83,33 @@
 	return b.String()
 }
 
-// Play sends a load to a gatherer and waits until all of it is answered or given up.
-func Play(ctx context.Context, listen string, l Load) (a Answers) {
-	transport := &http.Transport{MaxIdleConnsPerHost: mostOut, MaxConnsPerHost: mostOut}
+// SendLoad sends a load to a gatherer and waits until every query is answered or has timed out.
+func SendLoad(ctx context.Context, listen string, l Load) (a Results) {
+	transport := &http.Transport{MaxIdleConnsPerHost: maxInFlight, MaxConnsPerHost: maxInFlight}
 	defer transport.CloseIdleConnections()
-	client := &http.Client{Transport: transport, Timeout: l.Patience + 2*time.Second}
-	bodies := make([]string, 8) // the same few, at other shards each
+	client := &http.Client{Transport: transport, Timeout: l.Timeout + 2*time.Second}
+	bodies := make([]string, 8) // reused; each begins at another shard
 	for i := range bodies {
-		bodies[i] = segments(i*l.Shards/len(bodies), l.Parts, l.Shards, l.Work)
+		bodies[i] = queryBody(i*l.Shards/len(bodies), l.Parts, l.Shards, l.Work)
 	}
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	var took []time.Duration
-	out := make(chan bool, mostOut)
+	out := make(chan bool, maxInFlight)
 	ask := func(text string) {
 		defer wg.Done()
 		defer func() { <-out }()
 		began := time.Now()
-		status, whole, in, n := query(client, listen, text, l.Patience)
+		status, complete, in, n := query(client, listen, text, l.Timeout)
 		d := time.Since(began)
 		mu.Lock()
 		defer mu.Unlock()
 		a.PartsIn, a.Bytes = a.PartsIn+in, a.Bytes+n
 		switch {
 		case status == 0:
-			a.Lost++
-		case status == 200 && whole:
-			a.Whole++
+			a.Unanswered++
+		case status == 200 && complete:
+			a.Complete++
 			took = append(took, d)
 		case status == 200:
 			a.Partial++
@@ -125,20 +127,20 @@
 		select {
 		case out <- true:
 			mu.Lock()
-			a.Asked++
+			a.Queries++
 			mu.Unlock()
 			wg.Add(1)
 			go ask(bodies[int(queries.Load())%len(bodies)])
 		default:
 			mu.Lock()
-			a.Held++
+			a.Unsent++
 			mu.Unlock()
 		}
 		if i == total-1 {
 			break
 		}
 		select {
-		case <-tick.C: // a steady rate, whatever comes back
+		case <-tick.C: // send at a steady rate, independent of responses
 		case <-ctx.Done():
 			wg.Wait()
 			return a
@@ -152,32 +154,33 @@
 	return a
 }
 
-// Warm sends queries one after the other until each shard was asked for: a gatherer that has served none of a shard takes its parts to last
-// as long as the aim, and turns away what comes beside them.
-func Warm(ctx context.Context, listen string, parts, shards int) (a Answers) {
-	for range 8 { // as many as there are bodies, and more than shards need
-		one := Play(ctx, listen, Load{Parts: parts, Shards: shards, Rate: 1, For: time.Second, Patience: warmPatience})
-		a.Asked, a.Whole, a.PartsIn = a.Asked+one.Asked, a.Whole+one.Whole, a.PartsIn+one.PartsIn
+// WarmUp sends queries one after the other until every shard has been queried. A gatherer that has
+// not served a shard yet assumes that its parts take as long as the latency target, and rejects
+// queries beside them.
+func WarmUp(ctx context.Context, listen string, parts, shards int) (a Results) {
+	for range 8 { // the number of bodies, and more than the shards need
+		one := SendLoad(ctx, listen, Load{Parts: parts, Shards: shards, Rate: 1, For: time.Second, Timeout: warmTimeout})
+		a.Queries, a.Complete, a.PartsIn = a.Queries+one.Queries, a.Complete+one.Complete, a.PartsIn+one.PartsIn
 	}
 	return a
 }
 
-const warmPatience = time.Minute
+const warmTimeout = time.Minute
 
-// query asks once; status 0: there was no answer.
-func query(client *http.Client, listen, text string, patience time.Duration) (status int, whole bool, in int, bytes int64) {
+// query sends one query. Status 0 means that there was no response.
+func query(client *http.Client, listen, text string, timeout time.Duration) (status int, complete bool, in int, bytes int64) {
 	req, err := http.NewRequest("POST", fmt.Sprintf("http://%s/api/k%d", listen, queries.Load()%64), strings.NewReader(text))
 	if err != nil {
 		return 0, false, 0, 0
 	}
 	req.Header["Request-Id"] = []string{fmt.Sprintf("%016x", queries.Add(1))}
 	req.Header["Request-Class"] = []string{"q"}
-	req.Header["Request-Timeout-Ms"] = []string{fmt.Sprint(patience.Milliseconds())}
+	req.Header["Request-Timeout-Ms"] = []string{fmt.Sprint(timeout.Milliseconds())}
 	resp, err := client.Do(req)
 	if err != nil {
 		return 0, false, 0, 0
 	}
-	b, err := body(resp)
+	b, err := readBody(resp)
 	if resp.StatusCode == 200 && err == nil {
 		var p fastjson.Parser
 		v, err := p.ParseBytes(b)
--- a/internal/scale/work/discovery.go
+++ b/internal/scale/work/discovery.go
@@ -11,45 +11,46 @@
 	"time"
 )
 
-// Discovery gives the list of a hollow fleet as the platform's does, the whole of it and a watch that pushes changes, and answers for the
-// fleet: what it has counted (GET /counts), and that so many entries change (POST /change?entries=N).
+// Discovery serves the list of a simulated fleet like the platform's discovery service: the full
+// list and a watch that pushes changes. It also serves the fleet's counters (GET /counts) and
+// restarts entries on request (POST /change?entries=N).
 type Discovery struct {
 	workers *Workers
 	http    *http.Server
 	address string
-	over    chan struct{}
+	done    chan struct{}
 
-	bytes   atomic.Int64 // written to watches and as whole lists
-	wholes  atomic.Int64
-	watches atomic.Int64 // open ones
+	bytes     atomic.Int64 // written to watches and as full lists
+	fullLists atomic.Int64
+	watches   atomic.Int64 // currently open
 
 	mu         sync.Mutex
 	generation int64
-	started    []int64       // by worker, in Unix milliseconds
-	last       []byte        // the object that leads to the present generation
-	changed    chan struct{} // closed, and replaced, with each
-	next       int           // worker that changes next
+	started    []int64       // start times by worker, in Unix milliseconds
+	last       []byte        // the message that leads to the current generation
+	changed    chan struct{} // closed and replaced with each generation
+	next       int           // next worker to restart
 }
 
-// Told is what discovery has told, beside the fleet's own counts.
-type Told struct {
+// FleetStats contains the counters of the fleet and of its discovery.
+type FleetStats struct {
 	Counts
 	Generation int64 `json:"generation"`
 	ListBytes  int64 `json:"list_bytes"`
-	Wholes     int64 `json:"wholes"`
+	FullLists  int64 `json:"wholes"`
 	Watches    int64 `json:"watches"`
 }
 
-const aliveEvery = 2 * time.Second // as the platform's
+const keepAliveInterval = 2 * time.Second // same as the platform's
 
-// NewDiscovery listens for those who want the list of a fleet; Close ends it.
+// NewDiscovery starts to serve the list of a fleet. The caller must call Close.
 func NewDiscovery(w *Workers) (*Discovery, error) {
 	l, err := net.Listen("tcp", net.JoinHostPort(w.cfg.Host, "0"))
 	if err != nil {
 		return nil, err
 	}
 	d := &Discovery{
-		workers: w, address: l.Addr().String(), over: make(chan struct{}), generation: 41, started: make([]int64, w.cfg.Workers),
+		workers: w, address: l.Addr().String(), done: make(chan struct{}), generation: 41, started: make([]int64, w.cfg.Workers),
 		changed: make(chan struct{}),
 	}
 	mux := http.NewServeMux()
@@ -61,12 +62,12 @@
 	return d, nil
 }
 
-// Address is where it listens.
+// Address returns the listen address.
 func (d *Discovery) Address() string { return d.address }
 
-// Close ends it and its watches.
+// Close stops the server and its watches.
 func (d *Discovery) Close() {
-	close(d.over)
+	close(d.done)
 	d.http.Close()
 }
 
@@ -90,7 +91,7 @@
 	}
 }
 
-// List is the whole list, in discovery's form.
+// List returns the full list in discovery's format.
 func (d *Discovery) List() []byte {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -98,13 +99,13 @@
 	for i := range all {
 		all[i] = d.entry(i)
 	}
-	return object(d.generation, true, all)
+	return listMessage(d.generation, true, all)
 }
 
-func object(generation int64, whole bool, entries []entry) []byte {
-	b, err := json.Marshal(map[string]any{"generation": generation, "reset": whole, "instances": entries})
+func listMessage(generation int64, full bool, entries []entry) []byte {
+	b, err := json.Marshal(map[string]any{"generation": generation, "reset": full, "instances": entries})
 	if err != nil {
-		panic(err) // numbers and plain words
+		panic(err) // cannot happen: numbers and plain strings
 	}
 	return b
 }
@@ -112,7 +113,7 @@
 func (d *Discovery) members(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Query().Get("watch") == "" {
 		list := d.List()
-		d.wholes.Add(1)
+		d.fullLists.Add(1)
 		d.bytes.Add(int64(len(list)))
 		w.Header().Set("Content-Length", strconv.Itoa(len(list)))
 		w.Write(list)
@@ -120,23 +121,23 @@
 	}
 	from, err := strconv.ParseInt(r.URL.Query().Get("from"), 10, 64)
 	if err != nil {
-		http.Error(w, "from", http.StatusBadRequest)
+		http.Error(w, "query parameter from: want a generation number", http.StatusBadRequest)
 		return
 	}
 	d.watches.Add(1)
 	defer d.watches.Add(-1)
 	control := http.NewResponseController(w)
-	tell := func(line []byte) bool {
-		control.SetWriteDeadline(time.Now().Add(writeWithin))
+	send := func(line []byte) bool {
+		control.SetWriteDeadline(time.Now().Add(writeTimeout))
 		if _, err := w.Write(append(line, '\n')); err != nil {
 			return false
 		}
 		d.bytes.Add(int64(len(line) + 1))
 		return control.Flush() == nil
 	}
-	tick := time.NewTicker(aliveEvery)
+	tick := time.NewTicker(keepAliveInterval)
 	defer tick.Stop()
-	for line := []byte(nil); tell(line); {
+	for line := []byte(nil); send(line); {
 		d.mu.Lock()
 		generation, last, changed := d.generation, d.last, d.changed
 		d.mu.Unlock()
@@ -144,7 +145,7 @@
 		case generation == from+1:
 			from, line = generation, append([]byte(nil), last...)
 			continue
-		case generation != from: // it has missed some
+		case generation != from: // generations were missed
 			from, line = generation, d.List()
 			continue
 		}
@@ -159,13 +160,13 @@
 		case <-tick.C:
 		case <-r.Context().Done():
 			return
-		case <-d.over:
+		case <-d.done:
 			return
 		}
 	}
 }
 
-// Change has so many workers start anew, the next in turn, and tells every watch.
+// Change restarts the given number of workers, in turn, and pushes the change to every watch.
 func (d *Discovery) Change(entries int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -176,7 +177,7 @@
 		d.next = (d.next + 1) % len(d.started)
 	}
 	d.generation++
-	d.last = object(d.generation, false, all)
+	d.last = listMessage(d.generation, false, all)
 	close(d.changed)
 	d.changed = make(chan struct{})
 }
@@ -184,21 +185,21 @@
 func (d *Discovery) change(w http.ResponseWriter, r *http.Request) {
 	n, err := strconv.Atoi(r.URL.Query().Get("entries"))
 	if err != nil || n < 1 {
-		http.Error(w, "entries", http.StatusBadRequest)
+		http.Error(w, "query parameter entries: want a positive number", http.StatusBadRequest)
 		return
 	}
 	d.Change(n)
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// Told tells what was told and counted so far.
-func (d *Discovery) Told() Told {
+// FleetStats returns the current counters.
+func (d *Discovery) FleetStats() FleetStats {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return Told{Counts: d.workers.Counts(), Generation: d.generation, ListBytes: d.bytes.Load(), Wholes: d.wholes.Load(), Watches: d.watches.Load()}
+	return FleetStats{Counts: d.workers.Counts(), Generation: d.generation, ListBytes: d.bytes.Load(), FullLists: d.fullLists.Load(), Watches: d.watches.Load()}
 }
 
 func (d *Discovery) counts(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "application/json")
-	json.NewEncoder(w).Encode(d.Told())
+	json.NewEncoder(w).Encode(d.FleetStats())
 }
--- a/internal/scale/work/engine_test.go
+++ b/internal/scale/work/engine_test.go
@@ -15,8 +15,9 @@
 	sq "saffronquay"
 )
 
-// BenchmarkEngineBySize is a query through engine, core, module, pool and sockets, without the front, before a hollow fleet in the same
-// process, whose share of the processor time is in the figures; a profile tells them apart:
+// BenchmarkEngineBySize measures a query through engine, core, module, pool and sockets, without
+// the front end, with a simulated fleet in the same process. The fleet's CPU time is included; a
+// profile tells them apart:
 //
 //	go test -run '^$' -bench EngineBySize -benchtime 2s -cpuprofile cpu.out ./internal/scale/work
 func BenchmarkEngineBySize(b *testing.B) {
@@ -75,14 +76,14 @@
 			}
 			var before, after runtime.MemStats
 			runtime.ReadMemStats(&before)
-			began, n := own(), 0
+			began, n := ownCPU(), 0
 			for b.Loop() {
 				query()
 				n++
 			}
 			runtime.ReadMemStats(&after)
 			all := float64(n * parts)
-			b.ReportMetric(float64(own()-began)/all, "cpu-ns/part")
+			b.ReportMetric(float64(ownCPU()-began)/all, "cpu-ns/part")
 			b.ReportMetric(float64(after.Mallocs-before.Mallocs)/all, "allocs/part")
 			b.ReportMetric(float64(after.TotalAlloc-before.TotalAlloc)/all, "B/part")
 		})
--- a/internal/scale/work/measure.go
+++ b/internal/scale/work/measure.go
@@ -9,28 +9,28 @@
 	"time"
 )
 
-// Use is what a process has used and holds, as the system tells.
-type Use struct {
+// Usage is a process's resource usage according to /proc.
+type Usage struct {
 	User, System time.Duration // in steps of 10 ms
 	Resident     int64         // bytes
 	Descriptors  int
 }
 
-// Total is its processor time.
-func (u Use) Total() time.Duration { return u.User + u.System }
+// Total returns the CPU time.
+func (u Usage) Total() time.Duration { return u.User + u.System }
 
-const tick = 10 * time.Millisecond // of the system's count of processor time
+const clockTick = 10 * time.Millisecond // unit of CPU times in /proc
 
-// UseOf reads a process's use.
-func UseOf(pid int) (u Use, err error) {
+// UsageOf reads a process's usage.
+func UsageOf(pid int) (u Usage, err error) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return u, err
 	}
-	_, rest, _ := strings.Cut(string(text), ") ") // a name may hold spaces
+	_, rest, _ := strings.Cut(string(text), ") ") // the name may contain spaces
 	f := strings.Fields(rest)
 	if len(f) < 22 {
-		return u, fmt.Errorf("process %d: %d figures", pid, len(f))
+		return u, fmt.Errorf("work: /proc/%d/stat: got %d fields after the name, want at least 22", pid, len(f))
 	}
 	count := func(i int) int64 {
 		n, perr := strconv.ParseInt(f[i], 10, 64)
@@ -39,7 +39,7 @@
 		}
 		return n
 	}
-	u.User, u.System = time.Duration(count(11))*tick, time.Duration(count(12))*tick
+	u.User, u.System = time.Duration(count(11))*clockTick, time.Duration(count(12))*clockTick
 	u.Resident = count(21) * int64(os.Getpagesize())
 	open, derr := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid))
 	if derr == nil {
@@ -48,8 +48,8 @@
 	return u, err
 }
 
-// own is the processor time that this process has used.
-func own() time.Duration {
+// ownCPU returns the CPU time that this process has used.
+func ownCPU() time.Duration {
 	var u syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &u) != nil {
 		return 0
@@ -57,11 +57,12 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// slabs are the system's own records for a connection, and what they take for each object, in bytes.
-var slabs = []string{"TCP", "sock_inode_cache", "filp", "eventpoll_epi", "eventpoll_pwq"}
+// slabCaches are the kernel's slab caches for the records of a connection.
+var slabCaches = []string{"TCP", "sock_inode_cache", "filp", "eventpoll_epi", "eventpoll_pwq"}
 
-// KernelBytes is what the system's records of all connections and files of the machine take, without their buffers; 0 where it does not
-// tell. Others on the machine count too.
+// KernelBytes returns the memory of the kernel's records of all connections and files of the
+// machine, without their buffers, or 0 if the kernel does not report it. It includes those of other
+// processes.
 func KernelBytes() (sum int64) {
 	text, err := os.ReadFile("/proc/slabinfo")
 	if err != nil {
@@ -72,7 +73,7 @@
 		if len(f) < 4 {
 			continue
 		}
-		for _, name := range slabs {
+		for _, name := range slabCaches {
 			if f[0] == name {
 				objects, _ := strconv.ParseInt(f[1], 10, 64)
 				size, _ := strconv.ParseInt(f[3], 10, 64)
--- a/internal/scale/work/scene.go
+++ b/internal/scale/work/scene.go
@@ -14,29 +14,30 @@
 	"time"
 )
 
-// Hollow is a hollow fleet in a process of its own.
+// Hollow is a simulated fleet in a process of its own.
 type Hollow struct {
 	Address string `json:"discovery"` // of its discovery
-	Worker  string `json:"worker"`    // of its first worker
+	Worker  string `json:"worker"`    // address of its first worker
 	PID     int    `json:"pid"`
 }
 
-// Program is the program's file, and the words by which it plays a hollow fleet.
+// Program is the program's file, and the arguments that run it as a simulated fleet.
 type Program struct {
 	File   string
 	Hollow []string
 }
 
-// words are those that have it play such a fleet.
-func (p Program) words(cfg Config) []string {
+// fleetArgs returns the arguments that run a fleet.
+func (p Program) fleetArgs(cfg Config) []string {
 	return append(slices.Clone(p.Hollow), "--workers", fmt.Sprint(cfg.Workers), "--cells", fmt.Sprint(cfg.Cells), "--delay", cfg.Delay.String(),
 		"--value", fmt.Sprint(cfg.Value), "--seed", fmt.Sprint(cfg.Seed))
 }
 
-// Begin starts the program as a hollow fleet and waits until it listens; it ends with t, or with this process.
-func Begin(t harness.T, program Program, cfg Config) Hollow {
+// StartFleet starts the program as a simulated fleet and waits until it listens. It ends with t, or
+// with this process.
+func StartFleet(t harness.T, program Program, cfg Config) Hollow {
 	t.Helper()
-	cmd := exec.Command(program.File, program.words(cfg)...)
+	cmd := exec.Command(program.File, program.fleetArgs(cfg)...)
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	out, err := cmd.StdoutPipe()
 	if err != nil {
@@ -46,30 +47,30 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { cmd.Process.Kill(); cmd.Wait() })
-	told := make(chan Hollow, 1)
+	started := make(chan Hollow, 1)
 	go func() {
-		defer close(told)
+		defer close(started)
 		for lines := bufio.NewScanner(out); lines.Scan(); {
 			var h Hollow
 			if json.Unmarshal(lines.Bytes(), &h) == nil && h.Address != "" {
-				told <- h
+				started <- h
 			}
 		}
 	}()
 	select {
-	case h, ok := <-told:
+	case h, ok := <-started:
 		if !ok {
-			t.Fatal("the hollow fleet ended at its start: is the limit on descriptors too low for so many workers?")
+			t.Fatal("simulated fleet exited at startup: is the limit on file descriptors too low for the number of workers?")
 		}
 		return h
 	case <-time.After(harness.WaitTimeout):
-		t.Fatal("the hollow fleet neither started nor ended")
+		t.Fatal("simulated fleet did not report its address within the time limit")
 	}
 	return Hollow{}
 }
 
-// Told is what the fleet has seen so far.
-func (h Hollow) Told() (x Told, err error) {
+// FleetStats returns the fleet's counters.
+func (h Hollow) FleetStats() (x FleetStats, err error) {
 	b, err := fetch(h.Address, "/counts")
 	if err != nil {
 		return x, err
@@ -77,90 +78,90 @@
 	return x, json.Unmarshal(b, &x)
 }
 
-// Change has so many workers start anew.
+// Change restarts the given number of workers.
 func (h Hollow) Change(entries int) error {
-	c := http.Client{Timeout: fetchWithin}
+	c := http.Client{Timeout: fetchTimeout}
 	defer c.CloseIdleConnections()
 	resp, err := c.Post(fmt.Sprintf("http://%s/change?entries=%d", h.Address, entries), "", nil)
 	if err != nil {
 		return err
 	}
-	_, err = body(resp)
+	_, err = readBody(resp)
 	return err
 }
 
-// Run is what one stretch of time came to.
+// Run is the result of one measured time span.
 type Run struct {
-	Answers
+	Results
 	Took              time.Duration `json:"took"`
-	Gatherer, Workers Use           // used within it; memory and descriptors as they stood at its end
-	Fleet             Told          // counted within it; connections open as they stood at its end
+	Gatherer, Workers Usage         // CPU time used in the span; memory and descriptors at its end
+	Fleet             FleetStats    // counted in the span; open connections at its end
 }
 
-// Scene is a gatherer in front of a hollow fleet.
-type Scene struct {
+// Testbed is a gatherer in front of a simulated fleet.
+type Testbed struct {
 	T        harness.T
 	Gatherer *Gatherer
-	Hollow   Hollow
+	Fleet    Hollow
 }
 
-// Stage starts both.
-func Stage(t harness.T, program Program, cfg Config, s Size) *Scene {
+// StartTestbed starts the fleet and the gatherer.
+func StartTestbed(t harness.T, program Program, cfg Config, s GathererConfig) *Testbed {
 	t.Helper()
-	h := Begin(t, program, cfg)
-	return &Scene{t, Start(t, program.File, s, h.Address), h}
+	h := StartFleet(t, program, cfg)
+	return &Testbed{t, StartGatherer(t, program.File, s, h.Address), h}
 }
 
-// Watch tells what a stretch in which something is done comes to.
-func (s *Scene) Watch(do func() Answers) (r Run) {
+// Record measures the span in which do runs.
+func (s *Testbed) Record(do func() Results) (r Run) {
 	s.T.Helper()
-	look := func() (g, w Use, told Told) {
+	look := func() (g, w Usage, stats FleetStats) {
 		var errs [3]error
-		g, errs[0] = UseOf(s.Gatherer.PID())
-		w, errs[1] = UseOf(s.Hollow.PID)
-		told, errs[2] = s.Hollow.Told()
+		g, errs[0] = UsageOf(s.Gatherer.PID())
+		w, errs[1] = UsageOf(s.Fleet.PID)
+		stats, errs[2] = s.Fleet.FleetStats()
 		for _, err := range errs {
 			if err != nil {
 				s.T.Fatal(err)
 			}
 		}
-		return g, w, told
+		return g, w, stats
 	}
 	g0, w0, t0 := look()
 	began := time.Now()
-	r.Answers = do()
+	r.Results = do()
 	r.Took = time.Since(began)
 	g1, w1, t1 := look()
-	r.Gatherer, r.Workers = since(g0, g1), since(w0, w1)
+	r.Gatherer, r.Workers = usageBetween(g0, g1), usageBetween(w0, w1)
 	r.Fleet = t1
 	r.Fleet.Opened -= t0.Opened
 	r.Fleet.Calls -= t0.Calls
 	r.Fleet.Parts -= t0.Parts
-	r.Fleet.GivenUp -= t0.GivenUp
+	r.Fleet.Cancelled -= t0.Cancelled
 	r.Fleet.Received -= t0.Received
 	r.Fleet.Sent -= t0.Sent
-	r.Fleet.Spoilt -= t0.Spoilt
+	r.Fleet.Malformed -= t0.Malformed
 	r.Fleet.ListBytes -= t0.ListBytes
-	r.Fleet.Wholes -= t0.Wholes
+	r.Fleet.FullLists -= t0.FullLists
 	return r
 }
 
-func since(from, to Use) Use {
+func usageBetween(from, to Usage) Usage {
 	to.User -= from.User
 	to.System -= from.System
 	return to
 }
 
-// Play sends a load.
-func (s *Scene) Play(ctx context.Context, l Load) Run {
+// SendLoad measures a load.
+func (s *Testbed) SendLoad(ctx context.Context, l Load) Run {
 	s.T.Helper()
-	return s.Watch(func() Answers { return Play(ctx, s.Gatherer.Listen, l) })
+	return s.Record(func() Results { return SendLoad(ctx, s.Gatherer.Listen, l) })
 }
 
-// Rest lets time pass.
-func (s *Scene) Rest(ctx context.Context, d time.Duration) Run {
+// Idle measures idle time.
+func (s *Testbed) Idle(ctx context.Context, d time.Duration) Run {
 	s.T.Helper()
-	return s.Watch(func() (a Answers) {
+	return s.Record(func() (a Results) {
 		t := time.NewTimer(d)
 		defer t.Stop()
 		select {
@@ -171,11 +172,11 @@
 	})
 }
 
-// Dial opens so many connections to one worker of a hollow fleet; they end with t.
+// Dial opens n connections to one worker of the fleet. They are closed at the end of t.
 func (h Hollow) Dial(t harness.T, n int) (conns []net.Conn) {
 	t.Helper()
 	for range n {
-		conn, err := net.DialTimeout("tcp", h.Worker, fetchWithin)
+		conn, err := net.DialTimeout("tcp", h.Worker, fetchTimeout)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -185,9 +186,9 @@
 	return conns
 }
 
-// Ask sends one call of one part on a connection and waits for its answer.
-func Ask(conn net.Conn, id int) error {
-	conn.SetDeadline(time.Now().Add(fetchWithin))
+// RoundTrip sends one call with one part on a connection and waits for the answer.
+func RoundTrip(conn net.Conn, id int) error {
+	conn.SetDeadline(time.Now().Add(fetchTimeout))
 	if _, err := conn.Write(frame(fmt.Appendf(nil, "R%016x.%d %d d=75 8\nc41e77d0", id, 0, 0))); err != nil {
 		return err
 	}
--- a/internal/scale/work/slopes.go
+++ b/internal/scale/work/slopes.go
@@ -14,7 +14,7 @@
 	"time"
 )
 
-// SlopeConfig is how a slope is measured.
+// SlopeConfig configures the measurement of a slope.
 type SlopeConfig struct {
 	Program        Program
 	For            time.Duration
@@ -24,7 +24,7 @@
 	Say            func(format string, args ...any)
 }
 
-// Table is one slope: figures against a variable, and the line through each.
+// Table is the result for one slope: figures against a variable, and the line through each.
 type Table struct {
 	Slope, Variable string
 	Figures         []string
@@ -32,28 +32,29 @@
 	Lines           []Line
 }
 
-// Row is one size.
+// Row contains the figures at one size.
 type Row struct {
 	X      float64
 	Values []float64
 }
 
-// Line is a figure's line by least squares; Misses is the largest share of a measured value that it is off by.
+// Line is a figure's least-squares line. Misses is the largest relative error over the measured
+// values.
 type Line struct {
 	Figure                   string
 	Intercept, Slope, Misses float64
 }
 
-// slope measures one size after the other.
+// slope defines a measurement over several sizes.
 type slope struct {
 	variable string
 	sizes    []float64
 	figures  []string
-	one      func(*stage, float64) []float64
+	one      func(*measurement, float64) []float64
 }
 
-// stage is what a slope's sizes share.
-type stage struct {
+// measurement is what the sizes of a slope share.
+type measurement struct {
 	SlopeConfig
 	ctx context.Context
 	t   harness.T
@@ -64,47 +65,47 @@
 		"servers",
 		[]float64{325, 650, 1300, 2600},
 		[]string{"core_pct", "core_pct_connected", "MB", "MB_connected", "kB_connection", "connections", "ms_change", "stats_B", "us_stats"},
-		(*stage).rest,
+		(*measurement).measureRest,
 	},
-	"walk": {"servers", []float64{325, 650, 1300, 2600}, []string{"core_pct", "core_us_query", "queries"}, (*stage).walk},
+	"walk": {"servers", []float64{325, 650, 1300, 2600}, []string{"core_pct", "core_us_query", "queries"}, (*measurement).measureWalk},
 	"parts": {
 		"parts",
 		[]float64{100, 187, 375, 750, 1500},
 		[]string{"ms_query", "us_part", "system_us_part", "worker_us_part", "out_B_part", "in_B_part", "MB", "p50_ms", "p99_ms", "answered"},
-		(*stage).parts,
+		(*measurement).measureParts,
 	},
-	"opening": {"parts", []float64{187, 375, 750, 1500}, []string{"ms_query", "ms_query_kept", "opened_query", "us_opening"}, (*stage).opening},
-	"calls":   {"parts_a_call", []float64{1, 2, 4, 8}, []string{"us_part", "system_us_part", "worker_us_part", "parts_call", "out_B_part", "answered"}, (*stage).calls},
+	"opening": {"parts", []float64{187, 375, 750, 1500}, []string{"ms_query", "ms_query_kept", "opened_query", "us_opening"}, (*measurement).measureOpening},
+	"calls":   {"parts_a_call", []float64{1, 2, 4, 8}, []string{"us_part", "system_us_part", "worker_us_part", "parts_call", "out_B_part", "answered"}, (*measurement).measureCalls},
 	"rates": {
 		"queries_s",
 		[]float64{1, 2, 4, 8, 16, 32},
 		[]string{"core_pct", "ms_query", "whole", "partial", "refused", "failed", "lost_or_held", "copies_1000", "p50_ms", "p99_ms", "MB"},
-		(*stage).rates,
+		(*measurement).measureRates,
 	},
-	"connections": {"connections", []float64{75, 150, 300, 600}, []string{"MB", "kB", "kernel_kB", "us_part"}, (*stage).connections},
-	"watchers":    {"watchers", []float64{75, 150, 300, 600}, []string{"list_kB", "kB_change", "B_s_rest", "calls", "ms_list", "us_change"}, (*stage).watchers},
+	"connections": {"connections", []float64{75, 150, 300, 600}, []string{"MB", "kB", "kernel_kB", "us_part"}, (*measurement).measureConnections},
+	"watchers":    {"watchers", []float64{75, 150, 300, 600}, []string{"list_kB", "kB_change", "B_s_rest", "calls", "ms_list", "us_change"}, (*measurement).measureWatchers},
 }
 
-// Slopes are those that can be measured.
+// Slopes returns the names of all slopes.
 func Slopes() []string { return slices.Sorted(maps.Keys(slopes)) }
 
-// Measure measures one slope. An error says that it could not be.
+// Measure measures one slope. On an error the table is incomplete.
 func Measure(ctx context.Context, name string, cfg SlopeConfig) (table Table, err error) {
 	s, ok := slopes[name]
 	if !ok {
-		return table, fmt.Errorf("there is no slope %q", name)
+		return table, fmt.Errorf("work: unknown slope %q", name)
 	}
 	table = Table{Slope: name, Variable: s.variable, Figures: s.figures}
 	for _, x := range s.sizes {
 		if err := ctx.Err(); err != nil {
 			return table, err
 		}
-		values, err := size(ctx, cfg, x, s.one)
+		values, err := measureSize(ctx, cfg, x, s.one)
 		if err != nil {
-			return table, fmt.Errorf("%s=%g: %w", s.variable, x, err)
+			return table, fmt.Errorf("work: measure at %s=%g: %w", s.variable, x, err)
 		}
 		table.Rows = append(table.Rows, Row{x, values})
-		cfg.Say("%s=%g %s", s.variable, x, words(s.figures, values))
+		cfg.Say("%s=%g %s", s.variable, x, formatValues(s.figures, values))
 	}
 	for i, figure := range s.figures {
 		var ys []float64
@@ -117,7 +118,7 @@
 	return table, nil
 }
 
-func words(figures []string, values []float64) string {
+func formatValues(figures []string, values []float64) string {
 	var b strings.Builder
 	for i, f := range figures {
 		fmt.Fprintf(&b, "%s=%.4g ", f, values[i])
@@ -125,21 +126,21 @@
 	return strings.TrimSpace(b.String())
 }
 
-// size measures one size, and ends what it has started.
-func size(ctx context.Context, cfg SlopeConfig, x float64, one func(*stage, float64) []float64) (values []float64, err error) {
+// measureSize measures one size and ends everything that it started.
+func measureSize(ctx context.Context, cfg SlopeConfig, x float64, one func(*measurement, float64) []float64) (values []float64, err error) {
 	r, err := harness.NewRunner("", cfg.Say)
 	if err != nil {
 		return nil, err
 	}
 	defer r.Close()
 	defer func() {
-		if never := harness.FatalReason(recover()); never != "" {
-			err = errors.New(never)
+		if reason := harness.FatalReason(recover()); reason != "" {
+			err = errors.New(reason)
 		} else if all := r.Errors(); len(all) > 0 {
 			err = errors.New(strings.Join(all, "; "))
 		}
 	}()
-	return one(&stage{cfg, ctx, r}, x), nil
+	return one(&measurement{cfg, ctx, r}, x), nil
 }
 
 // Write writes a table as text.
@@ -156,7 +157,7 @@
 	for _, part := range []struct {
 		name string
 		of   func(Line) float64
-	}{{"at nought", func(l Line) float64 { return l.Intercept }}, {"slope", func(l Line) float64 { return l.Slope }}, {"misses", func(l Line) float64 { return l.Misses }}} {
+	}{{"intercept", func(l Line) float64 { return l.Intercept }}, {"slope", func(l Line) float64 { return l.Slope }}, {"misses", func(l Line) float64 { return l.Misses }}} {
 		fmt.Fprintf(w, "%s\t", part.name)
 		for _, l := range t.Lines {
 			fmt.Fprintf(w, "%.4g\t", part.of(l))
--- a/internal/scale/work/slopes_test.go
+++ b/internal/scale/work/slopes_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// A slope is measured at all its sizes, and told with the line through each figure; what it has started is gone then.
-func TestASlopeIsMeasured(t *testing.T) {
+// Measure covers all sizes of a slope and fits a line to each figure.
+func TestSlope_MeasuresAllSizes(t *testing.T) {
 	path, err := harness.Binary()
 	if err != nil {
 		t.Fatal(err)
@@ -27,24 +27,24 @@
 	table.Write(&text)
 	for _, want := range []string{"connections", "600", "slope", "misses", "us_part"} {
 		if !strings.Contains(text.String(), want) {
-			t.Errorf("%q is missing in\n%s", want, text.String())
+			t.Errorf("%q is missing in the table:\n%s", want, text.String())
 		}
 	}
 }
 
-func TestASlopeThatCannotBeMeasured(t *testing.T) {
+func TestSlope_Errors(t *testing.T) {
 	quiet := SlopeConfig{Program: Program{File: "/nowhere"}, Say: func(string, ...any) {}}
 	for _, name := range append(Slopes(), "none") {
 		if _, err := Measure(context.Background(), name, quiet); err == nil {
-			t.Errorf("%s was measured with no program", name)
+			t.Errorf("Measure of slope %s returned no error with a missing program", name)
 		}
 	}
 	if !slices.Contains(Slopes(), "parts") {
-		t.Errorf("%v", Slopes())
+		t.Errorf("Slopes() = %v, want parts among them", Slopes())
 	}
-	over, cancel := context.WithCancel(context.Background())
+	ended, cancel := context.WithCancel(context.Background())
 	cancel()
-	if _, err := Measure(over, "parts", quiet); err != context.Canceled {
-		t.Errorf("%v after the end", err)
+	if _, err := Measure(ended, "parts", quiet); err != context.Canceled {
+		t.Errorf("Measure returned %v, want context.Canceled", err)
 	}
 }
--- a/internal/scale/work/workers.go
+++ b/internal/scale/work/workers.go
@@ -14,36 +14,36 @@
 	"time"
 )
 
-// Config is a hollow fleet of workers.
+// Config describes a simulated fleet of workers.
 type Config struct {
 	Workers, Cells int
-	Host           string        // of loopback, where all of them listen; empty: 127.0.0.1
-	Delay          time.Duration // between a call and its answer, on average; 0: it is answered at once
-	Value          int           // bytes that a worker gives for a part
+	Host           string        // loopback address where all of them listen; empty: 127.0.0.1
+	Delay          time.Duration // average between a call and its answer; 0: immediate
+	Value          int           // bytes in the answer to a part
 	Seed           uint64        // of the delays
 }
 
-// Counts are what a fleet has seen since its start.
+// Counts contains the fleet's counters since its start.
 type Counts struct {
-	Opened   int64 `json:"opened"` // connections, those that are open still included
-	Open     int64 `json:"open"`
-	Calls    int64 `json:"calls"` // frames that carried parts
-	Parts    int64 `json:"parts"`
-	GivenUp  int64 `json:"given_up"`
-	Received int64 `json:"received"` // bytes, of frames whole
-	Sent     int64 `json:"sent"`     // bytes
-	Spoilt   int64 `json:"spoilt"`   // frames that could not be read
+	Opened    int64 `json:"opened"` // connections, including those still open
+	Open      int64 `json:"open"`
+	Calls     int64 `json:"calls"` // frames that carried parts
+	Parts     int64 `json:"parts"`
+	Cancelled int64 `json:"given_up"`
+	Received  int64 `json:"received"` // bytes of complete frames
+	Sent      int64 `json:"sent"`     // bytes
+	Malformed int64 `json:"spoilt"`   // malformed frames
 }
 
-// Workers are hollow workers, each with a listener of its own.
+// Workers is a fleet of simulated workers, each with its own listener.
 type Workers struct {
 	cfg       Config
 	addresses []string
 
-	opened, open, calls, parts, givenUp, received, sent, spoilt atomic.Int64
+	opened, open, calls, parts, cancelled, received, sent, malformed atomic.Int64
 
 	wg   sync.WaitGroup
-	over chan struct{} // closed by Close
+	done chan struct{} // closed by Close
 
 	mu        sync.Mutex
 	listeners []net.Listener
@@ -51,26 +51,26 @@
 }
 
 const (
-	mostFrame   = 1 << 20 // bytes of a call
-	writeWithin = 2 * time.Second
-	frameBuffer = 2 << 10 // bytes; one is kept for each connection
-	unanswered  = 64      // answers that wait on one connection
+	maxFrameBytes     = 1 << 20 // bytes of a call
+	writeTimeout      = 2 * time.Second
+	frameBuffer       = 2 << 10 // bytes, one buffer per connection
+	maxPendingAnswers = 64      // delayed answers per connection
 )
 
-// Listen opens a fleet; Close ends it.
+// Listen starts a fleet. The caller must call Close.
 func Listen(cfg Config) (*Workers, error) {
 	if cfg.Workers < 1 || cfg.Cells < 1 || cfg.Value < 0 || cfg.Delay < 0 {
-		return nil, fmt.Errorf("%d workers in %d cells, %d bytes and %v an answer make no sense", cfg.Workers, cfg.Cells, cfg.Value, cfg.Delay)
+		return nil, fmt.Errorf("work: invalid fleet: %d workers, %d cells, %d bytes per answer, delay %v; want at least 1 worker and 1 cell, and no negative value", cfg.Workers, cfg.Cells, cfg.Value, cfg.Delay)
 	}
 	if cfg.Host == "" {
 		cfg.Host = "127.0.0.1"
 	}
-	w := &Workers{cfg: cfg, over: make(chan struct{}), conns: map[net.Conn]bool{}}
+	w := &Workers{cfg: cfg, done: make(chan struct{}), conns: map[net.Conn]bool{}}
 	for i := range cfg.Workers {
 		l, err := net.Listen("tcp", net.JoinHostPort(cfg.Host, "0"))
 		if err != nil {
 			w.Close()
-			return nil, fmt.Errorf("worker %d of %d: %w", i, cfg.Workers, err)
+			return nil, fmt.Errorf("work: listen for worker %d of %d: %w", i, cfg.Workers, err)
 		}
 		w.listeners, w.addresses = append(w.listeners, l), append(w.addresses, l.Addr().String())
 		w.wg.Add(1)
@@ -79,13 +79,13 @@
 	return w, nil
 }
 
-// Close ends all listeners and connections, and waits for them.
+// Close closes all listeners and connections and waits for their goroutines.
 func (w *Workers) Close() {
 	w.mu.Lock()
 	select {
-	case <-w.over:
+	case <-w.done:
 	default:
-		close(w.over)
+		close(w.done)
 	}
 	for _, l := range w.listeners {
 		l.Close()
@@ -97,18 +97,18 @@
 	w.wg.Wait()
 }
 
-// Counts tells what was seen so far.
+// Counts returns the current counters.
 func (w *Workers) Counts() Counts {
 	return Counts{
-		Opened: w.opened.Load(), Open: w.open.Load(), Calls: w.calls.Load(), Parts: w.parts.Load(), GivenUp: w.givenUp.Load(),
-		Received: w.received.Load(), Sent: w.sent.Load(), Spoilt: w.spoilt.Load(),
+		Opened: w.opened.Load(), Open: w.open.Load(), Calls: w.calls.Load(), Parts: w.parts.Load(), Cancelled: w.cancelled.Load(),
+		Received: w.received.Load(), Sent: w.sent.Load(), Malformed: w.malformed.Load(),
 	}
 }
 
-// Address is where a worker listens.
+// Address returns the listen address of a worker.
 func (w *Workers) Address(i int) string { return w.addresses[i] }
 
-// Name is what discovery calls a worker.
+// Name returns the instance ID of a worker in discovery.
 func Name(i int) string { return fmt.Sprintf("s-%08x", i) }
 
 func (w *Workers) accept(l net.Listener, rng *rand.Rand) {
@@ -116,12 +116,12 @@
 	for {
 		conn, err := l.Accept()
 		if err != nil {
-			return // closed, or out of descriptors: the caller has counted them
+			return // closed, or out of file descriptors, which the caller has planned for
 		}
 		seed := rng.Uint64()
 		w.mu.Lock()
 		select {
-		case <-w.over:
+		case <-w.done:
 			w.mu.Unlock()
 			conn.Close()
 			return
@@ -136,7 +136,7 @@
 	}
 }
 
-func (w *Workers) forget(conn net.Conn) {
+func (w *Workers) removeConn(conn net.Conn) {
 	conn.Close()
 	w.open.Add(-1)
 	w.mu.Lock()
@@ -144,12 +144,12 @@
 	w.mu.Unlock()
 }
 
-// serve answers the calls of one connection, at once or, with a delay, each when its own timer says so.
+// serve answers the calls of one connection, immediately or, with a delay, each on its own timer.
 func (w *Workers) serve(conn net.Conn, seed uint64) {
 	defer w.wg.Done()
-	defer w.forget(conn)
+	defer w.removeConn(conn)
 	r := bufio.NewReaderSize(conn, frameBuffer)
-	c := &caller{w: w, conn: conn, rng: rand.New(rand.NewPCG(seed, 1))}
+	c := &connWriter{w: w, conn: conn, rng: rand.New(rand.NewPCG(seed, 1))}
 	var head [4]byte
 	var body []byte
 	for {
@@ -157,8 +157,8 @@
 			return
 		}
 		n := binary.BigEndian.Uint32(head[:])
-		if n < 1 || n > mostFrame {
-			w.spoilt.Add(1)
+		if n < 1 || n > maxFrameBytes {
+			w.malformed.Add(1)
 			return
 		}
 		if cap(body) < int(n) {
@@ -173,8 +173,8 @@
 		case 'R':
 			answers, parts, ok := w.answers(body[1:])
 			if !ok {
-				w.spoilt.Add(1)
-				conn.SetWriteDeadline(time.Now().Add(writeWithin))
+				w.malformed.Add(1)
+				conn.SetWriteDeadline(time.Now().Add(writeTimeout))
 				conn.Write(frame([]byte("Na call that can't be read")))
 				return
 			}
@@ -182,58 +182,59 @@
 			w.parts.Add(int64(parts))
 			c.answer(answers)
 		case 'A':
-			w.givenUp.Add(1)
+			w.cancelled.Add(1)
 		default:
-			w.spoilt.Add(1)
+			w.malformed.Add(1)
 			return
 		}
 	}
 }
 
-// caller is one connection's side that writes.
-type caller struct {
+// connWriter is the writing side of one connection.
+type connWriter struct {
 	w    *Workers
 	conn net.Conn
-	rng  *rand.Rand // the reader's
+	rng  *rand.Rand // used by the reading goroutine only
 
 	mu      sync.Mutex
-	waiting int
+	pending int
 }
 
-// answer writes answers at once, or after a delay drawn from half to one and a half times the mean.
-func (c *caller) answer(b []byte) {
+// answer writes answers immediately, or after a random delay of half to one and a half times the
+// mean.
+func (c *connWriter) answer(b []byte) {
 	d := c.w.cfg.Delay
 	if d == 0 {
 		c.write(b)
 		return
 	}
 	c.mu.Lock()
-	if c.waiting >= unanswered {
+	if c.pending >= maxPendingAnswers {
 		c.mu.Unlock()
 		c.write(b)
 		return
 	}
-	c.waiting++
+	c.pending++
 	c.mu.Unlock()
 	time.AfterFunc(d/2+time.Duration(c.rng.Int64N(int64(d)+1)), func() {
 		c.mu.Lock()
-		c.waiting--
+		c.pending--
 		c.mu.Unlock()
 		c.write(b)
 	})
 }
 
-// write writes whole frames; several timers may, so one at a time is the connection's own business.
-func (c *caller) write(b []byte) {
-	c.conn.SetWriteDeadline(time.Now().Add(writeWithin))
+// write writes complete frames. Timers may call it concurrently; net.Conn serializes the writes.
+func (c *connWriter) write(b []byte) {
+	c.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
 	if _, err := c.conn.Write(b); err != nil {
-		c.conn.Close() // its reader sees that
+		c.conn.Close() // the reader sees the error
 		return
 	}
 	c.w.sent.Add(int64(len(b)))
 }
 
-// answers reads a call and words the answers to its parts.
+// answers parses a call and encodes the answers to its parts.
 func (w *Workers) answers(call []byte) (out []byte, parts int, ok bool) {
 	for len(call) > 0 {
 		line, rest, found := bytes.Cut(call, []byte{'\n'})
@@ -255,7 +256,7 @@
 	return out, parts, parts > 0
 }
 
-// value is what a worker gives for a shard: its number in front, and as many bytes as are wanted.
+// value returns a worker's answer for a shard: the shard's number, padded to the given length.
 func value(shard []byte, bytes int) []byte {
 	v := make([]byte, bytes)
 	for i := range v {
