--- a/internal/scale/events/candidates_test.go
+++ b/internal/scale/events/candidates_test.go
@@ -9,11 +9,12 @@
 	rm "saffronquay/internal/cluster/rollout/simulation"
 )
 
-// What regions that are apart for a minute cost by rollout's own model: 60 gatherers, five voters, a change every 2 s, and thirty of them with
-// two of the voters cut off. What is cut off has no majority whether its members reach each other or not, so each is cut off from all: that
-// model knows no halves. SAFFRONQUAY_MEASURE=1.
+// Measures a partition of the regions for a minute in rollout's own model: 60 gatherers, five
+// voters, a change every 2 s, and thirty gatherers with two of the voters cut off. That model
+// cannot cut halves, so each of the thirty is cut off from all others: without a majority it makes
+// no difference whether they reach each other. Needs SAFFRONQUAY_MEASURE=1.
 func TestMeasureCut(t *testing.T) {
-	measured(t)
+	requireMeasure(t)
 	const second = int64(1_000_000)
 	for _, keep := range []bool{false, true} {
 		for seed := range uint64(3) {
@@ -30,15 +31,15 @@
 			}
 			before, during, calm := run(true, 10*second), run(true, 70*second), run(false, 70*second)
 			let, refused := during.Admitted-before.Admitted, during.Refused-before.Refused
-			t.Logf("keep=%t seed=%d: of %d looks while they are apart %.1f%% are refused or held; changes in force before the cut %d, within its 60 s %d; without a cut %d; reasons %v", keep, seed, let+refused,
+			t.Logf("keep=%t seed=%d: of %d samples during the cut %.1f%% are refused or held; changes in force before the cut %d, within its 60 s %d; without a cut %d; reasons %v", keep, seed, let+refused,
 				100*float64(refused)/float64(let+refused), before.InForce, during.InForce-before.InForce, calm.InForce-before.InForce, during.AbortReasons)
 		}
 	}
 }
 
-// What the placings' sums come to, in words. SAFFRONQUAY_MEASURE=1.
+// Prints the yearly sums of the placements. Needs SAFFRONQUAY_MEASURE=1.
 func TestMeasureCandidates(t *testing.T) {
-	measured(t)
+	requireMeasure(t)
 	f := place.Coming()
 	for _, p := range place.Placings() {
 		s := f.Weigh(p)
@@ -46,18 +47,19 @@
 	}
 }
 
-// What 1,100 changes a day hold and refuse by being put in force, with nobody down, by how far regions are apart and in which of them the
-// leader is: three voters are in A, two in B. SAFFRONQUAY_MEASURE=1.
+// Measures for how long 1,100 changes a day pause and refuse queries while they come into force,
+// with all gatherers up, by the delay between regions and by the leader's region. Three voters are
+// in A, two in B. Needs SAFFRONQUAY_MEASURE=1.
 func TestMeasureHolds(t *testing.T) {
-	measured(t)
+	requireMeasure(t)
 	var all []func()
 	for _, n := range []int{600, 150} {
 		for _, apart := range []time.Duration{0, 5 * time.Millisecond, 15 * time.Millisecond, 30 * time.Millisecond} {
 			for seed := range uint64(6) {
 				all = append(all, func() {
-					cfg := coming(n)
+					cfg := twoRegions(n)
 					cfg.Seed, cfg.Apart, cfg.Length, cfg.Changes = seed, apart, 40*time.Second, times(10*time.Second, 2*time.Second, 39*time.Second)
-					r := play(t, cfg, "")
+					r := runScript(t, cfg, "")
 					in, heldFor, doubt := 0, 0.0, 0.0
 					for _, c := range r.Changes {
 						if c.InForce {
@@ -66,23 +68,24 @@
 					}
 					for _, l := range r.Looks {
 						if l.At >= 10*time.Second {
-							heldFor, doubt = heldFor+l.Held*every.Seconds(), doubt+(l.Doubt+l.Lapse)*every.Seconds()
+							heldFor, doubt = heldFor+l.Held*sampleInterval.Seconds(), doubt+(l.Doubt+l.Lapse)*sampleInterval.Seconds()
 						}
 					}
 					heldFor, doubt = heldFor/float64(len(r.Changes)), doubt/float64(len(r.Changes))
 					t.Logf("gatherers=%d apart=%s leader in %c: %d of %d in force; held %.1f ms a change, refused %.2f ms; at 1,100 a day %.4f%% of the time held, %.4f%% refused; of a year %.0f min held, %.1f min refused; %s",
-						n, apart, "AB"[2*r.Leader/n], in, len(r.Changes), 1000*heldFor, 1000*doubt, 100*heldFor*1100/86400, 100*doubt*1100/86400, heldFor*1100*365/60, doubt*1100*365/60, told(r))
+						n, apart, "AB"[2*r.Leader/n], in, len(r.Changes), 1000*heldFor, 1000*doubt, 100*heldFor*1100/86400, 100*doubt*1100/86400, heldFor*1100*365/60, doubt*1100*365/60, summarizeChanges(r))
 				})
 			}
 		}
 	}
-	sideBySide(all)
+	runParallel(all)
 }
 
-// What rollout's own model has of changes by gatherers, on one spot (0.2 to 2 ms a word), with a judge of every query: to hold this package's
-// figures against. SAFFRONQUAY_MEASURE=1.
+// Measures changes by fleet size in rollout's own model, in one place (0.2 to 2 ms per message) and
+// with a check of every query, as a reference for this package's figures. Needs
+// SAFFRONQUAY_MEASURE=1.
 func TestMeasureRollout(t *testing.T) {
-	measured(t)
+	requireMeasure(t)
 	const second = int64(1_000_000)
 	milli := func(d []int64, q float64) int64 {
 		if len(d) == 0 {
@@ -104,5 +107,5 @@
 			})
 		}
 	}
-	sideBySide(all)
+	runParallel(all)
 }
--- a/internal/scale/events/doc.go
+++ b/internal/scale/events/doc.go
@@ -1,8 +1,11 @@
-// Package events plays what befalls a large fleet in two regions, on the cores of package rollout and the parts of budgets that go with its
-// leases, in virtual time, and counts what each gatherer sends and receives in each second: what a change of policy costs at the leader, and
-// what a zone that is lost, or regions that are cut from each other, cost at the peak. Scripts are package faults'. The same seed gives
-// the same run. It judges nothing: rollout/model holds the rules, over faults by seed.
+// Package events simulates a large fleet in two regions in virtual time, on the cores of package
+// rollout and the quotas that are granted with its leases. It counts what each gatherer sends and
+// receives per second: the cost of a policy change at the leader, and the peak cost of losing a
+// zone or of a partition between the regions. Scripts are those of package faults. The same seed
+// gives the same run. The package does not check invariants; rollout/simulation does so under
+// random faults.
 //
-// What it leaves out: processor time, bandwidth (a document of any size takes as long as a word), the headers of the network, clocks of
-// different speed, and what dials and retries cost. A word is counted with the 8 bytes of its frame.
+// It leaves out CPU time, bandwidth (a document of any size takes as long as any message), network
+// headers, clocks of different speed, and the cost of dialing and retries. The size of a message
+// includes the 8 bytes of its frame.
 package events
--- a/internal/scale/events/look.go
+++ b/internal/scale/events/look.go
@@ -9,20 +9,21 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 )
 
-// look sees how queries stand, and which changes are in force at everybody that lets any in.
-func (w *world) look() {
-	w.later(every.Microseconds(), w.look)
-	l := Look{At: time.Duration(w.now-epoch) * time.Microsecond}
+// sample samples whether queries are admitted, and records which changes are in force at every
+// gatherer that admits any.
+func (w *world) sample() {
+	w.schedule(sampleInterval.Microseconds(), w.sample)
+	l := Look{At: time.Duration(w.now-startMicros) * time.Microsecond}
 	var count [4]int
 	least, versions := ^uint64(0), map[uint64]bool{}
-	takenFor := make([]int, len(w.nodes)) // the leader, by so many
+	believers := make([]int, len(w.nodes)) // how many gatherers consider each the leader
 	for _, x := range w.nodes {
 		if !x.up {
 			continue
 		}
 		l.Live++
 		if i, known := w.index[x.n.Leader()]; known {
-			takenFor[i]++
+			believers[i]++
 		}
 		v, number, _ := x.n.Admit(w.now)
 		if count[v]++; v == rollout.Admitted {
@@ -33,9 +34,9 @@
 		l.Let, l.Held, l.Doubt, l.Lapse = float64(count[rollout.Admitted])/n, float64(count[rollout.Paused])/n, float64(count[rollout.InDoubt])/n, float64(count[rollout.NoLease])/n
 	}
 	l.Versions = len(versions)
-	most := slices.Max(takenFor)
-	w.res.Leader = slices.Index(takenFor, most)
-	w.led[(w.now-epoch)/1_000_000] = w.res.Leader
+	most := slices.Max(believers)
+	w.res.Leader = slices.Index(believers, most)
+	w.leaderBySecond[(w.now-startMicros)/1_000_000] = w.res.Leader
 	w.res.Looks = append(w.res.Looks, l)
 	for i := range w.res.Changes {
 		if c := &w.res.Changes[i]; c.InForce && c.All == 0 && count[rollout.Admitted] > 0 && count[rollout.Paused] == 0 && least >= c.number {
@@ -44,15 +45,15 @@
 	}
 }
 
-// sum adds up what each sent and received, second by second.
-func (w *world) sum(seconds int) {
+// summarize computes the traffic of all gatherers second by second.
+func (w *world) summarize(seconds int) {
 	for s := range seconds {
 		var x Second
 		for _, n := range w.nodes {
 			x.Messages, x.Sent = x.Messages+n.out[s], x.Sent+n.sent[s]
 			x.MostSent, x.MostReceived, x.MostMessages = max(x.MostSent, n.sent[s]), max(x.MostReceived, n.received[s]), max(x.MostMessages, n.out[s]+n.in[s])
 			switch both := n.sent[s] + n.received[s]; {
-			case n.index == w.led[s]:
+			case n.index == w.leaderBySecond[s]:
 				x.Leader = both
 			case n.voter:
 				x.Voter = max(x.Voter, both)
@@ -66,7 +67,7 @@
 	}
 }
 
-// Peak is the largest of each over some seconds.
+// Peak returns the maximum of each figure over some seconds.
 func Peak(all []Second) (most Second) {
 	for _, s := range all {
 		most.Messages, most.Sent, most.MostSent = max(most.Messages, s.Messages), max(most.Sent, s.Sent), max(most.MostSent, s.MostSent)
@@ -76,29 +77,29 @@
 	return most
 }
 
-// disk is what outlasts a gatherer's process.
+// disk is the state of a gatherer that survives its process.
 type disk struct {
-	identity uint64
-	id       uint64
-	met      map[string]uint64
-	roster   *wire.State
-	current  *wire.Document
-	staged   *wire.Proposal
-	hard     *pb.HardState
-	entries  []*pb.Entry
-	snapshot *pb.Snapshot
+	identity        uint64
+	id              uint64
+	voterIdentities map[string]uint64
+	roster          *wire.State
+	current         *wire.Document
+	staged          *wire.Proposal
+	hard            *pb.HardState
+	entries         []*pb.Entry
+	snapshot        *pb.Snapshot
 }
 
-func (d *disk) memory() rollout.PersistentState {
+func (d *disk) persistentState() rollout.PersistentState {
 	return rollout.PersistentState{
-		Identity: d.identity, VoterIdentities: d.met, Members: d.roster.GetMembers(), MembersIndex: d.roster.GetMembersIndex(), Current: d.current, Staged: d.staged,
+		Identity: d.identity, VoterIdentities: d.voterIdentities, Members: d.roster.GetMembers(), MembersIndex: d.roster.GetMembersIndex(), Current: d.current, Staged: d.staged,
 		Disk: rollout.Disk{ID: d.id, HardState: d.hard, Entries: slices.Clone(d.entries), Snapshot: d.snapshot},
 	}
 }
 
 func (d *disk) write(s *rollout.Save) {
 	if s.VoterIdentities != nil {
-		d.met = s.VoterIdentities
+		d.voterIdentities = s.VoterIdentities
 		return
 	}
 	if s.ID != d.id {
--- a/internal/scale/events/measure_test.go
+++ b/internal/scale/events/measure_test.go
@@ -14,15 +14,15 @@
 
 var sizes = []int{75, 150, 300, 600, 1200}
 
-func measured(t *testing.T) {
+func requireMeasure(t *testing.T) {
 	t.Helper()
 	if os.Getenv("SAFFRONQUAY_MEASURE") == "" {
 		t.Skip("SAFFRONQUAY_MEASURE is not set")
 	}
 }
 
-// sideBySide does all of it, three at a time.
-func sideBySide(all []func()) {
+// runParallel runs all functions, three at a time.
+func runParallel(all []func()) {
 	turns := make(chan struct{}, 3)
 	var wg sync.WaitGroup
 	for _, do := range all {
@@ -37,24 +37,26 @@
 	wg.Wait()
 }
 
-// coming is a fleet of two regions and six zones with five voters, three in one region and two in the other, each in another zone.
-func coming(n int) Config {
+// twoRegions returns a fleet of two regions and six zones with five voters, three in one region and
+// two in the other, each in another zone.
+func twoRegions(n int) Config {
 	z := n / 6
 	return Config{Seed: 1, Gatherers: n, Voters: []int{0, z, 2 * z, n / 2, n/2 + z}, Apart: 30 * time.Millisecond, Length: 30 * time.Second}
 }
 
-// led is a fleet with a seed by which the first leader is in a region; whatever comes after its first seconds changes nothing of that.
-func led(t testing.TB, cfg Config, region int) Config {
+// withLeaderIn returns the configuration with a seed by which the first leader is in the given
+// region. What happens after the first seconds does not affect that.
+func withLeaderIn(t testing.TB, cfg Config, region int) Config {
 	for ; ; cfg.Seed++ {
 		short := Config{Seed: cfg.Seed, Gatherers: cfg.Gatherers, Voters: cfg.Voters, Apart: cfg.Apart, Teams: cfg.Teams, Length: 5 * time.Second}
-		if r := play(t, short, ""); 2*r.Leader/cfg.Gatherers == region {
+		if r := runScript(t, short, ""); 2*r.Leader/cfg.Gatherers == region {
 			return cfg
 		}
 	}
 }
 
-func times(from, every, to time.Duration) (all []time.Duration) {
-	for ; from < to; from += every {
+func times(from, interval, to time.Duration) (all []time.Duration) {
+	for ; from < to; from += interval {
 		all = append(all, from)
 	}
 	return all
@@ -68,15 +70,16 @@
 	return d[min(int(q*float64(len(d))), len(d)-1)]
 }
 
-// told words how changes went: how many took hold, and when everybody was under them.
-func told(r Result) string {
-	var all, toldIn []time.Duration
+// summarizeChanges summarizes the changes: how many came into force, and after what time
+// everywhere.
+func summarizeChanges(r Result) string {
+	var all, decidedAfter []time.Duration
 	in, reasons := 0, map[string]int{}
 	for _, c := range r.Changes {
 		switch {
 		case c.InForce:
 			in++
-			toldIn = append(toldIn, c.Told)
+			decidedAfter = append(decidedAfter, c.Told)
 			if c.All > 0 {
 				all = append(all, c.All)
 			}
@@ -86,20 +89,20 @@
 			reasons["not decided"]++
 		}
 	}
-	return fmt.Sprintf("changes=%d in_force=%d told_p50_ms=%d told_max_ms=%d everywhere_p50_ms=%d p99_ms=%d max_ms=%d not=%v", len(r.Changes), in, quantile(toldIn, 0.5).Milliseconds(),
-		quantile(toldIn, 1).Milliseconds(), quantile(all, 0.5).Milliseconds(), quantile(all, 0.99).Milliseconds(), quantile(all, 1).Milliseconds(), reasons)
+	return fmt.Sprintf("changes=%d in_force=%d told_p50_ms=%d told_max_ms=%d everywhere_p50_ms=%d p99_ms=%d max_ms=%d not=%v", len(r.Changes), in, quantile(decidedAfter, 0.5).Milliseconds(),
+		quantile(decidedAfter, 1).Milliseconds(), quantile(all, 0.5).Milliseconds(), quantile(all, 0.99).Milliseconds(), quantile(all, 1).Milliseconds(), reasons)
 }
 
-// held is how much of the gatherers' time from a moment on queries were held, and refused, in seconds of all of them; and the longest that
-// anybody was refused.
-func held(r Result, from time.Duration) string {
+// summarizePauses summarizes, from a moment on, for how long queries were held and refused, in
+// gatherer-seconds, and the longest period in which any gatherer refused.
+func summarizePauses(r Result, from time.Duration) string {
 	var held, doubt, lapse, most float64
 	refusing, longest, first, last := 0, 0, time.Duration(0), time.Duration(0)
 	for _, l := range r.Looks {
 		if l.At < from {
 			continue
 		}
-		held, doubt, lapse = held+l.Held*every.Seconds(), doubt+l.Doubt*every.Seconds(), lapse+l.Lapse*every.Seconds()
+		held, doubt, lapse = held+l.Held*sampleInterval.Seconds(), doubt+l.Doubt*sampleInterval.Seconds(), lapse+l.Lapse*sampleInterval.Seconds()
 		if most = max(most, l.Doubt+l.Lapse); l.Doubt+l.Lapse > 0 {
 			if refusing++; first == 0 {
 				first = l.At
@@ -110,11 +113,11 @@
 		}
 		longest = max(longest, refusing)
 	}
-	return fmt.Sprintf("held_s=%.3f refused_s=%.3f (in_doubt %.3f) most_refused=%.3f refused_for_s=%.2f (from %.2f to %.2f s)", held, doubt+lapse, doubt, most, (time.Duration(longest) * every).Seconds(),
+	return fmt.Sprintf("held_s=%.3f refused_s=%.3f (in_doubt %.3f) most_refused=%.3f refused_for_s=%.2f (from %.2f to %.2f s)", held, doubt+lapse, doubt, most, (time.Duration(longest) * sampleInterval).Seconds(),
 		first.Seconds(), last.Seconds())
 }
 
-func traffic(r Result, from int, n int) string {
+func summarizeTraffic(r Result, from int, n int) string {
 	p, over := Peak(r.Seconds[from:]), 0
 	for _, s := range r.Seconds[from:] {
 		if s.Follower > 28_000 {
@@ -125,7 +128,7 @@
 		p.Leader, p.MostSent, p.MostReceived, p.MostMessages, p.Voter, p.Follower, p.FollowerMean, over)
 }
 
-// mean is that of each over some seconds.
+// mean returns the mean of each figure over some seconds.
 func mean(all []Second) (m Second) {
 	for _, s := range all {
 		m.Messages, m.Sent, m.Leader, m.Voter = m.Messages+s.Messages, m.Sent+s.Sent, m.Leader+s.Leader, m.Voter+s.Voter
@@ -135,16 +138,17 @@
 	return Second{Messages: m.Messages / k, Sent: m.Sent / k, Leader: m.Leader / k, Voter: m.Voter / k, Follower: m.Follower / k, FollowerMean: m.FollowerMean / k}
 }
 
-// What rest costs, and changes with nobody, one and nine down, as the fleet grows. SAFFRONQUAY_MEASURE=1.
+// Measures idle cost, and changes with none, one and nine gatherers down, by fleet size. Needs
+// SAFFRONQUAY_MEASURE=1.
 func TestMeasureSizes(t *testing.T) {
-	measured(t)
+	requireMeasure(t)
 	var mu sync.Mutex
 	rest, at := map[[2]int]Second{}, map[[2]int][2]float64{}
 	var all []func()
 	for _, n := range slices.Backward(sizes) {
 		for region := range 2 {
 			all = append(all, func() {
-				r := play(t, led(t, coming(n), region), "")
+				r := runScript(t, withLeaderIn(t, twoRegions(n), region), "")
 				x := mean(r.Seconds[10:])
 				mu.Lock()
 				rest[[2]int{n, region}] = x
@@ -154,14 +158,14 @@
 		}
 		for _, down := range []int{0, 1, 9} {
 			all = append(all, func() {
-				cfg := led(t, coming(n), 0)
+				cfg := withLeaderIn(t, twoRegions(n), 0)
 				cfg.Length, cfg.Text = 90*time.Second, 10_000
 				script := ""
 				cfg.Changes = times(15*time.Second, 3*time.Second, 85*time.Second)
-				if down > 0 { // one is killed with each change, so that each has to wait for its lease; the last ones are followers in B
-					script = fmt.Sprintf("at 14900ms kill %s\n", faults.Set(span(n-down, n)))
+				if down > 0 { // killed just before the first change, which has to wait for their leases; the last gatherers are followers in B
+					script = fmt.Sprintf("at 14900ms kill %s\n", faults.Set(nodeRange(n-down, n)))
 				}
-				r := play(t, cfg, script)
+				r := runScript(t, cfg, script)
 				var times []time.Duration
 				for _, c := range r.Changes {
 					if c.All > 0 {
@@ -170,18 +174,18 @@
 				}
 				mu.Lock()
 				at[[2]int{n, down}] = [2]float64{quantile(times, 0.5).Seconds(), quantile(times, 1).Seconds()}
-				t.Logf("gatherers=%d down=%d text=%d: %s; %s; %s", n, down, cfg.Text, told(r), held(r, 14*time.Second), traffic(r, 14, n))
+				t.Logf("gatherers=%d down=%d text=%d: %s; %s; %s", n, down, cfg.Text, summarizeChanges(r), summarizePauses(r, 14*time.Second), summarizeTraffic(r, 14, n))
 				mu.Unlock()
 			})
 		}
 	}
-	sideBySide(all)
+	runParallel(all)
 	line := func(name string, of func(n int) float64) {
 		var xs, ys []float64
 		for _, n := range sizes {
 			xs, ys = append(xs, float64(n)), append(ys, of(n))
 		}
-		t.Log(fitted(name, xs, ys))
+		t.Log(describeFit(name, xs, ys))
 	}
 	for region, name := range []string{"leader in A", "leader in B"} {
 		line(name+" messages_s", func(n int) float64 { return float64(rest[[2]int{n, region}].Messages) })
@@ -195,10 +199,11 @@
 	}
 }
 
-// fitted tells the line through points of 75 to 1200 gatherers, and what the one through those up to 300 foretells of 600.
-func fitted(name string, xs, ys []float64) string {
+// describeFit describes the line through the points of 75 to 1200 gatherers, and how well the line
+// through those below 600 predicts 600.
+func describeFit(name string, xs, ys []float64) string {
 	a, b, worst := fit.Line(xs, ys)
-	text := fmt.Sprintf("fit %s = %.4g + %.4g a unit, misses %.0f%%", name, a, b, 100*worst)
+	text := fmt.Sprintf("fit %s = %.4g + %.4g a unit, error %.0f%%", name, a, b, 100*worst)
 	if i := slices.Index(xs, 600); i > 1 {
 		fa, fb, _ := fit.Line(xs[:i], ys[:i])
 		text += fmt.Sprintf("; by those under it at 600: %.4g, measured %.4g, off by %.0f%%", fa+600*fb, ys[i], 100*fit.Miss(fa+600*fb, ys[i]))
@@ -206,43 +211,45 @@
 	return text
 }
 
-// What a policy's bytes cost at its leader and at each gatherer, a change. SAFFRONQUAY_MEASURE=1.
+// Measures the cost of a change at the leader and at each gatherer by policy size. Needs
+// SAFFRONQUAY_MEASURE=1.
 func TestMeasureText(t *testing.T) {
-	measured(t)
+	requireMeasure(t)
 	var all []func()
 	for _, apart := range []time.Duration{0, 30 * time.Millisecond} {
 		for _, n := range []int{600, 300, 150, 75} {
 			for _, text := range []int{1_000_000, 300_000, 100_000, 10_000} {
 				all = append(all, func() {
-					cfg := coming(n)
+					cfg := twoRegions(n)
 					cfg.Apart = apart
-					cfg = led(t, cfg, 0)
+					cfg = withLeaderIn(t, cfg, 0)
 					cfg.Text, cfg.Changes, cfg.Length = text, []time.Duration{10*time.Second + 100*time.Millisecond}, 14*time.Second
-					r := play(t, cfg, "")
+					r := runScript(t, cfg, "")
 					rest, x := mean(r.Seconds[6:9]), mean(r.Seconds[10:12])
 					leader, most, follower := 2*(x.Leader-rest.Leader), 2*(x.Follower-rest.Follower), 2*(x.FollowerMean-rest.FollowerMean)
 					t.Logf("gatherers=%d apart=%s text=%d: leader_bytes=%d texts_a_gatherer=%.2f; follower_bytes=%d texts=%.2f, the most %.2f; %s", n, apart, text, leader,
-						float64(leader)/float64(text)/float64(n-1), follower, float64(follower)/float64(text), float64(most)/float64(text), told(r))
+						float64(leader)/float64(text)/float64(n-1), follower, float64(follower)/float64(text), float64(most)/float64(text), summarizeChanges(r))
 				})
 			}
 		}
 	}
-	sideBySide(all)
+	runParallel(all)
 }
 
-// What parts of budgets cost by the teams that are busy, and by gatherers. SAFFRONQUAY_MEASURE=1.
+// Measures the cost of quotas by the number of busy teams and by fleet size. Needs
+// SAFFRONQUAY_MEASURE=1.
 func TestMeasureTeams(t *testing.T) {
-	measured(t)
+	requireMeasure(t)
 	var mu sync.Mutex
 	costs := map[[2]int]Second{}
 	var all []func()
 	one := func(n, teams int) func() {
 		return func() {
-			cfg := coming(n)
+			cfg := twoRegions(n)
 			cfg.Teams = teams
-			cfg = led(t, cfg, 0)
+			cfg = withLeaderIn(t, cfg, 0)
 			cfg.Length = 20 * time.Second
-			r := play(t, cfg, "")
+			r := runScript(t, cfg, "")
 			x, peak := mean(r.Seconds[10:]), Peak(r.Seconds[10:])
 			mu.Lock()
 			defer mu.Unlock()
@@ -259,31 +266,31 @@
 	for _, n := range []int{75, 150, 1200} {
 		all = append(all, one(n, 12))
 	}
-	sideBySide(all)
+	runParallel(all)
 	for _, n := range []int{300, 600} {
 		var xs, ys []float64
 		for _, k := range teams {
 			xs, ys = append(xs, float64(k)), append(ys, float64(costs[[2]int{n, k}].FollowerMean))
 		}
 		a, b, _ := fit.Line(xs, ys)
-		t.Logf("%s; 28 kB at %.0f teams", fitted(fmt.Sprintf("gatherers=%d bytes by teams", n), xs, ys), (28_000-a)/b)
+		t.Logf("%s; 28 kB at %.0f teams", describeFit(fmt.Sprintf("gatherers=%d bytes by teams", n), xs, ys), (28_000-a)/b)
 	}
 	var xs, ys []float64
 	for _, n := range sizes {
 		xs, ys = append(xs, float64(n)), append(ys, float64(costs[[2]int{n, 12}].FollowerMean))
 	}
-	t.Log(fitted("teams=12 bytes by gatherers", xs, ys))
+	t.Log(describeFit("teams=12 bytes by gatherers", xs, ys))
 }
 
-// What events cost at the peak second, and what queries see. SAFFRONQUAY_MEASURE=1; other words than 1 play the events only that have them in
-// their names.
+// Measures the peak second and the effect on queries of each event. Needs SAFFRONQUAY_MEASURE=1;
+// any other value selects the events whose names contain it.
 func TestMeasureEvents(t *testing.T) {
-	measured(t)
+	requireMeasure(t)
 	var all []func()
 	for _, n := range []int{600, 1200} {
-		a, b := faults.Set(span(0, n/2)), faults.Set(span(n/2, n))
-		zone, rack := faults.Set(span(n-n/6, n)), faults.Set(span(n-20, n)) // B3, where nobody votes
-		voting := faults.Set(span(0, n/6))                                  // A1, with a voter, maybe the leader
+		a, b := faults.Set(nodeRange(0, n/2)), faults.Set(nodeRange(n/2, n))
+		zone, rack := faults.Set(nodeRange(n-n/6, n)), faults.Set(nodeRange(n-20, n)) // in zone B3, which has no voter
+		voting := faults.Set(nodeRange(0, n/6))                                       // zone A1, with a voter that may be the leader
 		wave := faults.Set{}
 		for i := 5; i < n; i += 10 {
 			wave = append(wave, i)
@@ -310,22 +317,22 @@
 			{"regions apart for 20 s, a change each 2 s, versions that keep", fmt.Sprintf("at 12s for 20s cut %s %s", a, b), 50 * time.Second, times(6*time.Second, 2*time.Second, 48*time.Second), true, false},
 		} {
 			if only := os.Getenv("SAFFRONQUAY_MEASURE"); n > 600 && e.length > 5*time.Minute || only != "1" && !strings.Contains(e.name, only) {
-				continue // ten minutes at 1,200 are half an hour of processor time
+				continue // ten minutes at 1,200 gatherers take half an hour of CPU time
 			}
 			all = append(all, func() {
-				cfg := coming(n)
+				cfg := twoRegions(n)
 				cfg.Teams = 12
-				cfg = led(t, cfg, 0)
+				cfg = withLeaderIn(t, cfg, 0)
 				cfg.Length, cfg.Changes, cfg.Text, cfg.Keep, cfg.InOrder = e.length, e.changes, 10_000, e.keep, e.inOrder
-				r := play(t, cfg, e.script)
-				t.Logf("gatherers=%d %s: %s; %s; %s leaders=%d", n, e.name, traffic(r, 10, n), told(r), held(r, 10*time.Second), r.Leaders)
+				r := runScript(t, cfg, e.script)
+				t.Logf("gatherers=%d %s: %s; %s; %s leaders=%d", n, e.name, summarizeTraffic(r, 10, n), summarizeChanges(r), summarizePauses(r, 10*time.Second), r.Leaders)
 			})
 		}
 	}
-	sideBySide(all)
+	runParallel(all)
 }
 
-func span(a, b int) (s []int) {
+func nodeRange(a, b int) (s []int) {
 	for ; a < b; a++ {
 		s = append(s, a)
 	}
