--- a/internal/scale/place/place.go
+++ b/internal/scale/place/place.go
@@ -5,71 +5,72 @@
 	"slices"
 )
 
-// Kind is what is lost.
+// Kind is the kind of a loss.
 type Kind int
 
-// The kinds of losses.
+// Kinds of losses.
 const (
-	Machine  Kind = iota // one that bears voters
-	Rack                 // one with such a machine in it
-	Zone                 // with all that stands in it
-	Region               // likewise
+	Machine  Kind = iota // a machine that hosts voters
+	Rack                 // a rack with such a machine in it
+	Zone                 // with everything in it
+	Region               // with everything in it
 	Link                 // between the regions; a third place still reaches both of them
-	Gatherer             // any of those that bear no voter; it counts where it matters, under Keep
+	Gatherer             // any gatherer that hosts no voter; counted under Keep only
 )
 
 var kinds = [...]string{"machine", "rack", "zone", "region", "link", "gatherer"}
 
 func (k Kind) String() string { return kinds[k] }
 
-// Rule is what the loss of a majority does.
+// Rule determines what the loss of a majority stops.
 type Rule int
 
-// The rules.
+// Rules.
 const (
-	Lease    Rule = iota // one group of voters gives leases to all; who gets none refuses
-	Keep                 // one group, and versions that go on without a lease: nobody refuses, but a change needs everybody on the roster
-	Regional             // a group in each region gives the leases there, and follows one group above, which agrees on versions
+	Lease    Rule = iota // one group of voters grants all leases; gatherers without a lease refuse queries
+	Keep                 // one group; gatherers without a lease keep their version and refuse nothing, but a change needs every member
+	Regional             // a group per region grants its leases and follows one global group, which decides versions
 )
 
-// Third is the region of what stands in neither and reaches both.
+// Third is the region of hosts that are in neither region and reach both.
 const Third = -1
 
-// Host is a machine that bears voters. Zones and racks are numbered over the whole fleet; a third place has zones and racks of its own.
+// Host is a machine that hosts a voter. Zones and racks are numbered over the whole fleet; a third
+// place has zones and racks of its own.
 type Host struct {
 	Region, Zone, Rack int
-	Control            bool // one of those that are set aside; else a gatherer's
+	Control            bool // a dedicated machine; else a gatherer's
 }
 
-// Placing is who votes where.
+// Placing is a placement of voters on hosts.
 type Placing struct {
 	Name   string
 	Rule   Rule
 	Hosts  []Host
-	Voters []int    // of the one group, or of the one above: indices of hosts
-	Local  [2][]int // of each region's own group, under Regional
+	Voters []int    // indices of the hosts of the one group, or of the global group
+	Local  [2][]int // Regional: hosts of each region's group
 }
 
-// Fleet is what voters stand in, and how often what is lost. There are two regions.
+// Fleet is the fleet's topology of two regions, and its loss rates.
 type Fleet struct {
-	Gatherers int // evenly over the zones
+	Gatherers int // spread evenly over the zones
 	Zones     int // over both regions, evenly
-	InRack    int // gatherers that a rack holds
+	InRack    int // gatherers per rack
 	Often     map[Kind]Often
 }
 
-// Often is how many times a year one of a kind is lost, and for how many minutes.
+// Often is how many times a year one of a kind is lost, and for how many minutes each.
 type Often struct{ PerYear, Minutes float64 }
 
-const year = 365 * 24 * 60 // in minutes
+const minutesPerYear = 365 * 24 * 60
 
-// Loss is one thing that is lost.
+// Loss is a single loss.
 type Loss struct {
 	Kind Kind
-	Of   int // host, rack, zone or region
+	Of   int // index of the host, rack, zone or region
 }
 
-// Name words a loss in a fleet.
+// Name formats a loss.
 func (f Fleet) Name(l Loss) string {
 	switch l.Kind {
 	case Zone:
@@ -89,8 +90,8 @@
 
 func regionName(i int) string { return [...]string{"third", "A", "B"}[i+1] }
 
-// Losses are all single ones that matter to a placing: its hosts, the racks and zones, both regions and the link; under Keep the other
-// gatherers as well.
+// Losses returns all single losses that matter to a placement: its hosts, the racks and zones, both
+// regions and the link, and under Keep the other gatherers.
 func (f Fleet) Losses(p Placing) (all []Loss) {
 	racks := map[int]bool{}
 	third := false
@@ -117,14 +118,14 @@
 	return all
 }
 
-// Outcome is what losses do while they last.
+// Outcome is the effect of losses while they last.
 type Outcome struct {
-	Changes [2]bool // whether changes can be put in force in a region
-	Refused float64 // of all gatherers, those that run and refuse
-	Lost    float64 // of all gatherers, those that are lost themselves
+	Changes [2]bool // per region: whether changes can come into force
+	Refused float64 // fraction of all gatherers that run and refuse queries
+	Lost    float64 // fraction of all gatherers that are lost themselves
 }
 
-// Stops words it.
+// Stops formats what the losses stop.
 func (o Outcome) Stops() string {
 	s := ""
 	switch {
@@ -147,18 +148,19 @@
 	return s
 }
 
-// After is what stops once all of these are lost.
+// After returns the effect of losing all of the given.
 func (f Fleet) After(p Placing, lost ...Loss) (o Outcome) {
 	gone := map[Loss]bool{}
 	for _, l := range lost {
 		gone[l] = true
 	}
 	cut := gone[Loss{Kind: Link}]
-	down, live := f.standing(p, gone)
+	down, live := f.surviving(p, gone)
 	all := float64(f.Gatherers)
 	o.Lost = 1 - (live[0]+live[1])/all
-	// whole tells whether those of a group that reach a region are its majority
-	whole := func(group []int, r int) bool {
+	// hasMajority reports whether the voters of a group that a region reaches are a majority of the
+	// group.
+	hasMajority := func(group []int, r int) bool {
 		n := 0
 		for _, i := range group {
 			if h := p.Hosts[i]; !down[i] && (!cut || h.Region == r || h.Region == Third) {
@@ -167,8 +169,8 @@
 		}
 		return 2*n > len(group)
 	}
-	led := [2]bool{whole(p.Voters, 0), whole(p.Voters, 1)}
-	if cut && led[0] { // by a third place both might be one: one leads
+	led := [2]bool{hasMajority(p.Voters, 0), hasMajority(p.Voters, 1)}
+	if cut && led[0] { // both regions may reach a majority through a third place, but only one has the leader
 		led[1] = false
 	}
 	for r := range 2 {
@@ -177,7 +179,7 @@
 		}
 		leases := led[r]
 		if p.Rule == Regional {
-			leases = whole(p.Local[r], r)
+			leases = hasMajority(p.Local[r], r)
 		}
 		if o.Changes[r] = led[r] && leases; !leases && p.Rule != Keep {
 			o.Refused += live[r] / all
@@ -186,7 +188,7 @@
 	if p.Rule == Keep && (o.Lost > 0 || cut || slices.Contains(down, true)) {
 		o.Changes = [2]bool{}
 	}
-	for r := range 2 { // where nobody is left nobody misses a change
+	for r := range 2 { // a region without gatherers has none that miss a change
 		if live[r] == 0 {
 			o.Changes[r] = o.Changes[1-r]
 		}
@@ -194,8 +196,8 @@
 	return o
 }
 
-// standing is which hosts are down, and how many gatherers still run in each region.
-func (f Fleet) standing(p Placing, gone map[Loss]bool) (down []bool, live [2]float64) {
+// surviving returns which hosts are down, and the number of running gatherers per region.
+func (f Fleet) surviving(p Placing, gone map[Loss]bool) (down []bool, live [2]float64) {
 	for z := range f.Zones {
 		if r := f.regionOf(z); !gone[Loss{Zone, z}] && !gone[Loss{Region, r}] {
 			live[r] += float64(f.Gatherers) / float64(f.Zones)
@@ -203,11 +205,11 @@
 	}
 	racks := map[int]bool{}
 	for i, h := range p.Hosts {
-		whole := !gone[Loss{Zone, h.Zone}] && (h.Region == Third || !gone[Loss{Region, h.Region}])
+		inPlace := !gone[Loss{Zone, h.Zone}] && (h.Region == Third || !gone[Loss{Region, h.Region}])
 		rack, machine := gone[Loss{Rack, h.Rack}], gone[Loss{Machine, i}]
-		down = append(down, !whole || rack || machine)
+		down = append(down, !inPlace || rack || machine)
 		switch {
-		case !whole || h.Region == Third:
+		case !inPlace || h.Region == Third:
 		case rack && !racks[h.Rack]:
 			live[h.Region] -= float64(f.InRack)
 			racks[h.Rack] = true
--- a/internal/scale/place/place_test.go
+++ b/internal/scale/place/place_test.go
@@ -7,19 +7,19 @@
 	"testing"
 )
 
-func named(t *testing.T, name string) Placing {
+func findPlacing(t *testing.T, name string) Placing {
 	t.Helper()
 	for _, p := range Placings() {
 		if p.Name == name {
 			return p
 		}
 	}
-	t.Fatalf("there is no placing %q", name)
+	t.Fatalf("unknown placement %q", name)
 	return Placing{}
 }
 
-// What stops, worked out by hand.
-func TestAfter(t *testing.T) {
+// Effects of losses, computed by hand.
+func TestFleetAfter(t *testing.T) {
 	const (
 		five     = "5 on gatherers' machines, 3+2"
 		two      = "4 on the 4 machines, 2+2"
@@ -37,7 +37,7 @@
 		{five, nil, "nothing"},
 		{five, []Loss{link}, "changes in B, 50% of queries"},
 		{five, []Loss{a}, "changes, 50% of queries"},
-		{five, []Loss{b}, "nothing"}, // A has three of five, and B nobody who misses a change
+		{five, []Loss{b}, "nothing"}, // A has three of five voters, and B has no gatherer left to miss a change
 		{five, []Loss{{Machine, 0}, {Machine, 3}}, "nothing"},
 		{five, []Loss{{Machine, 0}, link}, "changes, 100% of queries"},
 		{five, []Loss{{Zone, 0}, {Zone, 1}}, "nothing"},
@@ -47,30 +47,31 @@
 		{two, []Loss{link}, "changes, 100% of queries"},
 		{two, []Loss{{Zone, 0}}, "nothing"},
 		{two, []Loss{{Zone, 0}, {Zone, 3}}, "changes, 67% of queries"},
-		{two, []Loss{{Zone, 0}, {Zone, 2}}, "nothing"}, // nobody votes in A3
+		{two, []Loss{{Zone, 0}, {Zone, 2}}, "nothing"}, // zone A3 has no voter
 		{three, []Loss{link}, "changes in B, 50% of queries"},
 		{three, []Loss{link, {Machine, 3}}, "changes in B, 50% of queries"},
 		{three, []Loss{link, {Machine, 0}}, "changes, 100% of queries"},
 		{witness, []Loss{a}, "nothing"},
-		{witness, []Loss{link}, "changes in B, 50% of queries"}, // both reach it, one leads
+		{witness, []Loss{link}, "changes in B, 50% of queries"}, // both reach the witness, but only one region has the leader
 		{witness, []Loss{link, {Zone, 6}}, "changes, 100% of queries"},
 		{witness, []Loss{a, {Zone, 6}}, "changes, 50% of queries"},
 		{regional, []Loss{link}, "changes in B"},
 		{regional, []Loss{a}, "changes"},
-		{regional, []Loss{link, {Machine, 0}}, "changes"}, // above two of five are left in A, and two in B
+		{regional, []Loss{link, {Machine, 0}}, "changes"}, // of the five global voters, two are left in A and two in B
 		{regional, []Loss{{Zone, 3}, {Zone, 4}}, "changes in B, 17% of queries"},
 		{alone, []Loss{{Machine, 2}}, "changes in B, 50% of queries"},
 	} {
-		if got := Coming().After(named(t, c.placing), c.lost...).Stops(); got != c.stops {
+		if got := Coming().After(findPlacing(t, c.placing), c.lost...).Stops(); got != c.stops {
 			t.Errorf("%s, lost %v: stops %q, want %q", c.placing, c.lost, got, c.stops)
 		}
 	}
 }
 
-// A rack takes all that stands in it, and a loss within a greater one is no further one.
-func TestLost(t *testing.T) {
+// A rack takes all its machines with it, and a loss that is contained in a larger one is not
+// counted twice.
+func TestFleetAfter_LostGatherers(t *testing.T) {
 	f := Coming()
-	p := named(t, "4 on the 4 machines, 2+2, a region's two in one rack")
+	p := findPlacing(t, "4 on the 4 machines, 2+2, a region's two in one rack")
 	if got := f.After(p, Loss{Rack, 0}).Stops(); got != "changes, 97% of queries" {
 		t.Error(got)
 	}
@@ -89,19 +90,20 @@
 		{[]Loss{{Kind: Link}}, 0},
 	} {
 		if got := f.After(p, c.lost...).Lost * 600; math.Abs(got-c.want) > 1e-9 {
-			t.Errorf("%v: %g gatherers are lost", c.lost, got)
+			t.Errorf("%v: %g gatherers lost", c.lost, got)
 		}
 	}
-	if got := f.After(named(t, "5 on gatherers' machines, 3+2"), Loss{Machine, 0}).Lost * 600; math.Abs(got-1) > 1e-9 {
-		t.Errorf("a gatherer's machine: %g", got)
+	if got := f.After(findPlacing(t, "5 on gatherers' machines, 3+2"), Loss{Machine, 0}).Lost * 600; math.Abs(got-1) > 1e-9 {
+		t.Errorf("loss of a gatherer's machine: %g gatherers lost, want 1", got)
 	}
 }
 
-// What is left out of three losses and more is no more than Beyond: all states of two placings are gone through.
-func TestWeighIsExact(t *testing.T) {
+// Enumerates all states of two placements: three and more losses, which Weigh leaves out, must not
+// exceed Sum.Beyond.
+func TestFleetWeigh_MatchesEnumeration(t *testing.T) {
 	f := Coming()
 	for _, name := range []string{"4 on the 4 machines, 2+2", "groups by region, the 4 machines alone: 2 each; 2+1 above"} {
-		p := named(t, name)
+		p := findPlacing(t, name)
 		losses := f.Losses(p)
 		none, refused := 0.0, 0.0
 		for state := range 1 << len(losses) {
@@ -109,28 +111,28 @@
 			var lost []Loss
 			for i, l := range losses {
 				if state>>i&1 == 1 {
-					lost, prob = append(lost, l), prob*f.one(p, l)
+					lost, prob = append(lost, l), prob*f.unavailability(p, l)
 				} else {
-					prob *= 1 - f.one(p, l)
+					prob *= 1 - f.unavailability(p, l)
 				}
 			}
 			o := f.After(p, lost...)
-			if refused += prob * year * o.Refused; !o.Changes[0] || !o.Changes[1] {
-				none += prob * year
+			if refused += prob * minutesPerYear * o.Refused; !o.Changes[0] || !o.Changes[1] {
+				none += prob * minutesPerYear
 			}
 		}
 		s := f.Weigh(p)
 		if none < s.NoChange-1e-6 || none > s.NoChange+s.Beyond+1e-6 || refused < s.Refused-1e-6 || refused > s.Refused+s.Beyond+1e-6 {
-			t.Errorf("%s: %g and %g of all states, %g and %g counted, beyond %g", name, none, refused, s.NoChange, s.Refused, s.Beyond)
+			t.Errorf("%s: %g minutes without changes and %g refused over all states; Weigh has %g and %g, beyond %g", name, none, refused, s.NoChange, s.Refused, s.Beyond)
 		}
 		if s.Beyond > 1 {
-			t.Errorf("%s: %g minutes a year are left out", name, s.Beyond)
+			t.Errorf("%s: %g minutes per year left out, want at most 1", name, s.Beyond)
 		}
 	}
 }
 
-// Every placing of the table is what its kind wants, and has a row.
-func TestPlacings(t *testing.T) {
+// Every placement is valid for its rule and has a row in the table.
+func TestPlacings_Valid(t *testing.T) {
 	f := Coming()
 	var b bytes.Buffer
 	Table(&b, f, Placings())
@@ -139,20 +141,20 @@
 			t.Errorf("%s has no row", p.Name)
 		}
 		if len(p.Voters) > 7 || f.After(p).Stops() != "nothing" {
-			t.Errorf("%s: %d vote; with nothing lost stops %s", p.Name, len(p.Voters), f.After(p).Stops())
+			t.Errorf("%s: %d voters; without losses stops %s", p.Name, len(p.Voters), f.After(p).Stops())
 		}
 		for i, h := range p.Hosts {
 			if h.Region != Third && f.regionOf(h.Zone) != h.Region || h.Region == Third && h.Zone < f.Zones {
-				t.Errorf("%s: host %d stands in zone %d of region %d", p.Name, i, h.Zone, h.Region)
+				t.Errorf("%s: host %d has zone %d and region %d, which do not match", p.Name, i, h.Zone, h.Region)
 			}
 		}
 		for r, group := range p.Local {
 			if (p.Rule == Regional) != (len(group) > 0) {
-				t.Errorf("%s: region %d has a group of %d", p.Name, r, len(group))
+				t.Errorf("%s: region %d has a group of %d voters, which does not match the rule", p.Name, r, len(group))
 			}
 			for _, i := range group {
 				if p.Hosts[i].Region != r {
-					t.Errorf("%s: host %d votes in region %d", p.Name, i, r)
+					t.Errorf("%s: host %d votes in the group of region %d, but is not there", p.Name, i, r)
 				}
 			}
 		}
--- a/internal/scale/place/sum.go
+++ b/internal/scale/place/sum.go
@@ -7,40 +7,43 @@
 	"strings"
 )
 
-// Sum is what a placing comes to.
+// Sum is the evaluation of a placement.
 type Sum struct {
 	Placing Placing
-	Worst   map[Kind]Outcome // by the worst of a kind: most refused, then fewest regions that can change
-	// Of all pairs of losses: how many there are, and how many stop changes somewhere, everywhere, or queries.
+	Worst   map[Kind]Outcome // worst outcome of each kind: most refused, then fewest regions with changes
+	// The number of pairs of losses, and how many of them stop changes in some region, in both, or
+	// stop queries.
 	Pairs, Somewhere, Everywhere, Queries int
-	// Minutes of a year without changes in some region, and in both; by all states with two losses at the most.
+	// Minutes per year without changes in some region, and in both, over all states with at most
+	// two losses.
 	NoChange, NoChangeAtAll float64
-	// Refused is share of service lost to the rule times minutes of a year; Lost that which goes with the machines themselves.
+	// Fraction of service times minutes per year: Refused is lost to the rule, Lost with the
+	// machines themselves.
 	Refused, Lost float64
-	Beyond        float64 // minutes of a year with three losses or more
+	Beyond        float64 // minutes per year with three or more losses
 }
 
-// one is how much of the time one thing is lost.
-func (f Fleet) one(p Placing, l Loss) float64 {
+// unavailability returns the fraction of time for which a loss lasts.
+func (f Fleet) unavailability(p Placing, l Loss) float64 {
 	o := f.Often[l.Kind]
-	share := min(1, o.PerYear*o.Minutes/year)
-	if l.Kind == Gatherer { // any of many
+	share := min(1, o.PerYear*o.Minutes/minutesPerYear)
+	if l.Kind == Gatherer { // any one of them
 		return 1 - math.Pow(1-share, float64(f.Gatherers))
 	}
 	return share
 }
 
-// Weigh goes through all single and double losses of a placing.
+// Weigh evaluates all single and double losses of a placement.
 func (f Fleet) Weigh(p Placing) Sum {
 	s := Sum{Placing: p, Worst: map[Kind]Outcome{}}
 	losses := f.Losses(p)
 	none, seen := 1.0, 0.0
 	for _, l := range losses {
-		none *= 1 - f.one(p, l)
+		none *= 1 - f.unavailability(p, l)
 	}
-	odds := func(l Loss) float64 { x := f.one(p, l); return x / (1 - x) }
+	odds := func(l Loss) float64 { x := f.unavailability(p, l); return x / (1 - x) }
 	add := func(prob float64, o Outcome) {
-		m := prob * year
+		m := prob * minutesPerYear
 		seen += prob
 		if !o.Changes[0] || !o.Changes[1] {
 			s.NoChange += m
@@ -72,7 +75,7 @@
 			}
 		}
 	}
-	s.Beyond = max(0, 1-seen) * year
+	s.Beyond = max(0, 1-seen) * minutesPerYear
 	return s
 }
 
@@ -91,10 +94,10 @@
 	return can(a) < can(b)
 }
 
-// Table writes one row a placing, as Markdown.
+// Table writes one row per placement, as Markdown.
 func Table(w io.Writer, f Fleet, all []Placing) {
 	rows := []string{
-		"| placing | machine | rack | zone | region | link | pairs: changes stop somewhere / everywhere / queries, of | min a year without changes, somewhere / everywhere | refused, min of full service a year |",
+		"| placement | machine | rack | zone | region | link | pairs of losses that stop changes somewhere / everywhere / queries, of | minutes per year without changes, somewhere / everywhere | refused, minutes of full service per year |",
 		"| --- | --- | --- | --- | --- | --- | --- | --- | --- |",
 	}
 	for _, p := range all {
@@ -108,12 +111,13 @@
 	fmt.Fprintln(w, strings.Join(rows, "\n"))
 }
 
-// Detail writes every single loss of a placing, and the pairs that stop more than both of them alone, as Markdown.
+// Detail writes every single loss of a placement, and the pairs that stop more than the two losses
+// alone, as Markdown.
 func Detail(w io.Writer, f Fleet, p Placing) {
-	rows := []string{"| lost | min a year | what stops |", "| --- | --- | --- |"}
+	rows := []string{"| lost | minutes per year | stops |", "| --- | --- | --- |"}
 	losses := f.Losses(p)
 	for i, a := range losses {
-		rows = append(rows, fmt.Sprintf("| %s | %.2f | %s |", f.Name(a), f.one(p, a)*year, f.After(p, a).Stops()))
+		rows = append(rows, fmt.Sprintf("| %s | %.2f | %s |", f.Name(a), f.unavailability(p, a)*minutesPerYear, f.After(p, a).Stops()))
 		for _, b := range losses[i+1:] {
 			both, x, y := f.After(p, a, b), f.After(p, a), f.After(p, b)
 			more := both.Refused > x.Refused+y.Refused+1e-9
@@ -121,7 +125,7 @@
 				more = more || x.Changes[r] && y.Changes[r] && !both.Changes[r]
 			}
 			if more {
-				rows = append(rows, fmt.Sprintf("| %s and %s | %.4f | %s |", f.Name(a), f.Name(b), f.one(p, a)*f.one(p, b)*year, both.Stops()))
+				rows = append(rows, fmt.Sprintf("| %s and %s | %.4f | %s |", f.Name(a), f.Name(b), f.unavailability(p, a)*f.unavailability(p, b)*minutesPerYear, both.Stops()))
 			}
 		}
 	}
