--- a/internal/scale/fit/doc.go
+++ b/internal/scale/fit/doc.go
@@ -1,2 +1,2 @@
-// Package fit puts a line through measured points, and says what the line misses. It is pure.
+// Package fit fits a line to measured points and returns its largest relative error. It is pure.
 package fit
--- a/internal/scale/fit/fit.go
+++ b/internal/scale/fit/fit.go
@@ -2,9 +2,10 @@
 
 import "math"
 
-// Line puts a straight line through points by least squares: y = intercept + slope·x. worst is what it misses: the largest of
-// |measured - fitted| / |measured| over the points, 0 where it goes through all of them. A point whose measured value is nought counts
-// by |fitted| itself. Fewer than two points, lists of different length, or points of one x give NaN for all three.
+// Line fits a straight line to points by least squares: y = intercept + slope·x. worst is the
+// largest relative error |measured - fitted| / |measured| over the points. A point with a measured
+// value of zero counts with |fitted| itself. Fewer than two points, lists of different length, or
+// points that all have the same x give NaN for all three.
 func Line(xs, ys []float64) (intercept, slope, worst float64) {
 	if len(xs) != len(ys) || len(xs) < 2 {
 		return math.NaN(), math.NaN(), math.NaN()
@@ -28,10 +29,11 @@
 	return intercept, slope, worst
 }
 
-// Miss is by how much of the measured value a foretold one is off; by how much at all where the measured one is nought.
-func Miss(foretold, measured float64) float64 {
+// Miss returns the relative error of a predicted value, or the absolute error if the measured value
+// is zero.
+func Miss(predicted, measured float64) float64 {
 	if measured == 0 {
-		return math.Abs(foretold)
+		return math.Abs(predicted)
 	}
-	return math.Abs(foretold-measured) / math.Abs(measured)
+	return math.Abs(predicted-measured) / math.Abs(measured)
 }
