--- a/internal/scale/doc.go
+++ b/internal/scale/doc.go
@@ -31,6 +31,6 @@
 // # Restrictions
 //
 // Regular tests must not judge durations: they check counts and order only. The package starts
-// nothing but the program and test backends on loopback, at most 200 processes, and ends all of
-// them when they use more than 12 GB together.
+// nothing but the program and test backends on loopback, at most 200 processes, and kills those
+// of simulated gatherers when all together use more than 12 GB.
 package scale
--- a/internal/scale/event.go
+++ b/internal/scale/event.go
@@ -152,7 +152,7 @@
 	e.Script = summary(script)
 	watch := r.watch()
 	time.Sleep(3 * time.Second) // baseline before the event
-	asked := len(r.SentQueries())
+	sentBefore := len(r.SentQueries())
 	e.Began = watch.since()
 	var changes sync.WaitGroup
 	changes.Add(1)
@@ -179,7 +179,7 @@
 	time.Sleep(scene.Slack) // observe the aftermath
 	e.Seconds = watch.end()
 	e.sum()
-	for _, q := range r.SentQueries()[asked:] {
+	for _, q := range r.SentQueries()[sentBefore:] {
 		e.Queries++
 		if q.Version >= 0 {
 			e.Admitted++
--- a/internal/scale/events/candidates_test.go
+++ b/internal/scale/events/candidates_test.go
@@ -29,10 +29,10 @@
 				}
 				return r
 			}
-			before, during, calm := run(true, 10*second), run(true, 70*second), run(false, 70*second)
+			before, during, uncut := run(true, 10*second), run(true, 70*second), run(false, 70*second)
 			let, refused := during.Admitted-before.Admitted, during.Refused-before.Refused
 			t.Logf("keep=%t seed=%d: of %d samples during the cut %.1f%% are refused or held; changes in force before the cut %d, within its 60 s %d; without a cut %d; reasons %v", keep, seed, let+refused,
-				100*float64(refused)/float64(let+refused), before.InForce, during.InForce-before.InForce, calm.InForce-before.InForce, during.AbortReasons)
+				100*float64(refused)/float64(let+refused), before.InForce, during.InForce-before.InForce, uncut.InForce-before.InForce, during.AbortReasons)
 		}
 	}
 }
--- a/internal/scale/events/events.go
+++ b/internal/scale/events/events.go
@@ -186,6 +186,7 @@
 	return w.res, w.err
 }
 
+// schedule runs do after the given number of microseconds.
 func (w *world) schedule(after int64, do func()) {
 	w.seq++
 	heap.Push(&w.queue, event{at: w.now + max(after, 0), seq: w.seq, do: do})
@@ -307,6 +308,7 @@
 // region returns the region of a gatherer: 0 or 1.
 func (w *world) region(x *node) int { return 2 * x.index / w.Gatherers }
 
+// applyFault applies a script step to the links and gatherers.
 func (w *world) applyFault(s faults.Step) {
 	w.links.Begin(s)
 	if s.For > 0 {
--- a/internal/scale/hollow.go
+++ b/internal/scale/hollow.go
@@ -180,11 +180,13 @@
 // team returns the name of the i-th team.
 func team(i int) string { return fmt.Sprintf("team-%05d", i) }
 
+// metadata adds the installed policy version and the policy address to the view's metadata.
 func (h *simulatedGatherer) metadata(f swim.Metadata) swim.Metadata {
 	f.PolicyVersion, f.PolicyAddress = h.number.Load(), h.op.Load().Rollout.Members[h.Name]
 	return f
 }
 
+// onMembers records the number of live members and the expected number of members.
 func (h *simulatedGatherer) onMembers(alive, expected int, _ bool) {
 	h.alive.Store(int64(alive))
 	h.expected.Store(int64(expected))
--- a/internal/scale/measure.go
+++ b/internal/scale/measure.go
@@ -78,14 +78,14 @@
 	s.Seconds = rest.Seconds
 	s.Rest.Simulated, s.Rest.Busiest, s.Rest.Follower, s.Rest.Voter, s.Rest.Leader = rest.Simulated, rest.Busiest, rest.Follower, rest.Voter, rest.Leader
 	s.CostRatios = costRatios(rest.Simulated, rest.Follower)
-	held, baselineRSS, n := int64(0), int64(0), 0
+	heapAndStack, baselineRSS, n := int64(0), int64(0), 0
 	for _, x := range r.Collect().Reports {
-		held, n = held+x.Heap+x.Stack, n+len(x.Hollow)
+		heapAndStack, n = heapAndStack+x.Heap+x.Stack, n+len(x.Hollow)
 	}
 	for _, p := range r.processes {
 		baselineRSS += p.baselineRSS
 	}
-	s.HeapMB = float64(held) / (1 << 20) / float64(max(n, 1))
+	s.HeapMB = float64(heapAndStack) / (1 << 20) / float64(max(n, 1))
 	s.Rest.Simulated.MB -= float64(baselineRSS) / (1 << 20) / float64(max(n, 1))
 	r.changes(e, rest, &s)
 	var all, each []time.Duration
@@ -95,15 +95,15 @@
 	}
 	s.Crash, s.CrashAt = timesOf(all, true), timesOf(each, false)
 	s.PeakMB = r.peakMB.Load()
-	asked := r.SentQueries()
-	s.Queries = len(asked)
-	for _, q := range asked {
+	queries := r.SentQueries()
+	s.Queries = len(queries)
+	for _, q := range queries {
 		if q.Version >= 0 {
 			s.Admitted++
 		}
 	}
 	var first string
-	if s.Mixed, first = soak.Mixed(asked); s.Mixed > 0 {
+	if s.Mixed, first = soak.Mixed(queries); s.Mixed > 0 {
 		t.Errorf("%d queries were admitted under an expired policy version: %s", s.Mixed, first)
 	}
 	return s, nil
--- a/internal/scale/place/sum.go
+++ b/internal/scale/place/sum.go
@@ -79,6 +79,7 @@
 	return s
 }
 
+// worse orders outcomes by refused queries, then by the number of regions with changes.
 func worse(a, b Outcome) bool {
 	can := func(o Outcome) (n int) {
 		for _, c := range o.Changes {
--- a/internal/scale/report.go
+++ b/internal/scale/report.go
@@ -17,8 +17,8 @@
 var rows = []row{
 	{"simulated gatherer: messages per second", func(s FleetResult) float64 { return s.Rest.Simulated.Messages() }},
 	{"simulated gatherer: kB per second", func(s FleetResult) float64 { return s.Rest.Simulated.Bytes() / 1000 }},
-	{"simulated gatherer: kB per second of the view", func(s FleetResult) float64 { return s.Rest.Simulated.ViewBytes / 1000 }},
-	{"simulated gatherer: kB per second of quotas", func(s FleetResult) float64 { return s.Rest.Simulated.QuotaBytes / 1000 }},
+	{"simulated gatherer: kB per second for the view", func(s FleetResult) float64 { return s.Rest.Simulated.ViewBytes / 1000 }},
+	{"simulated gatherer: kB per second for quotas", func(s FleetResult) float64 { return s.Rest.Simulated.QuotaBytes / 1000 }},
 	{"simulated gatherer: % of a core", func(s FleetResult) float64 { return s.Rest.Simulated.CPU }},
 	{"simulated gatherer: MB of heap and stacks", func(s FleetResult) float64 { return s.HeapMB }},
 	{"simulated gatherer: MB resident", func(s FleetResult) float64 { return s.Rest.Simulated.MB }},
--- a/internal/scale/rig.go
+++ b/internal/scale/rig.go
@@ -240,11 +240,11 @@
 	r.version = v.Members["g00"]["version"]
 	r.forEachProcess(func(p *process) { p.launch() })
 	for from := 0; ; from += startBatch / len(r.processes) {
-		began := false
+		remaining := false
 		for _, p := range r.processes {
-			began = began || from < len(p.specs)
+			remaining = remaining || from < len(p.specs)
 		}
-		if !began {
+		if !remaining {
 			break
 		}
 		r.forEachProcess(func(p *process) { p.start(from, from+startBatch/len(r.processes)) })
@@ -256,7 +256,8 @@
 	}
 }
 
-// enforceMemoryLimit ends all processes if together they exceed the memory limit.
+// enforceMemoryLimit kills the processes of simulated gatherers if all processes together exceed
+// the memory limit.
 func (r *Rig) enforceMemoryLimit() {
 	defer r.load.Done()
 	tick := time.NewTicker(memoryCheckInterval)
@@ -267,19 +268,19 @@
 			return
 		case <-tick.C:
 		}
-		held := residentBytes(os.Getpid())
+		used := residentBytes(os.Getpid())
 		for _, p := range r.processes {
-			held += residentBytes(p.pid())
+			used += residentBytes(p.pid())
 		}
 		for i := range r.real {
 			_, _, pid := r.g.AdminAddressOf(i)
-			held += residentBytes(pid)
+			used += residentBytes(pid)
 		}
-		if held >>= 20; held > r.peakMB.Load() {
-			r.peakMB.Store(held)
+		if used >>= 20; used > r.peakMB.Load() {
+			r.peakMB.Store(used)
 		}
-		if held > r.memoryLimitMB {
-			r.t.Errorf("processes use %d MB together, limit %d MB: ending all processes", held, r.memoryLimitMB)
+		if used > r.memoryLimitMB {
+			r.t.Errorf("processes use %d MB together, limit %d MB: killing the processes of simulated gatherers", used, r.memoryLimitMB)
 			for _, p := range r.processes {
 				p.killNow()
 			}
--- a/internal/scale/scale_test.go
+++ b/internal/scale/scale_test.go
@@ -57,12 +57,12 @@
 	var b Sample
 	r.g.Until("enough messages", func() (string, bool) {
 		b = r.Read(0)
-		least, asked := int64(math.MaxInt64), int64(math.MaxInt64)
+		least, leastPolicy := int64(math.MaxInt64), int64(math.MaxInt64)
 		for i, x := range b.Real[r.cfg.Voters:] {
 			y := a.Real[r.cfg.Voters+i]
-			least, asked = min(least, x.View.Sent-y.View.Sent), min(asked, x.Policy.Sent-y.Policy.Sent)
+			least, leastPolicy = min(least, x.View.Sent-y.View.Sent), min(leastPolicy, x.Policy.Sent-y.Policy.Sent)
 		}
-		return fmt.Sprint(least, " and ", asked), least >= view && asked >= policy
+		return fmt.Sprint(least, " and ", leastPolicy), least >= view && leastPolicy >= policy
 	})
 	s := between(a, b)
 	simulated, real := s.Simulated, s.Follower
@@ -132,7 +132,8 @@
 	}
 }
 
-// Processes that together exceed the memory limit are ended.
+// The processes of simulated gatherers are killed if all processes together exceed the memory
+// limit.
 func TestMemoryLimit_EndsProcesses(t *testing.T) {
 	runner, err := harness.NewRunner(t.TempDir(), t.Logf)
 	if err != nil {
--- a/internal/scale/work/discovery.go
+++ b/internal/scale/work/discovery.go
@@ -102,6 +102,7 @@
 	return listMessage(d.generation, true, all)
 }
 
+// listMessage encodes a list, or a change of it, in discovery's format.
 func listMessage(generation int64, full bool, entries []entry) []byte {
 	b, err := json.Marshal(map[string]any{"generation": generation, "reset": full, "instances": entries})
 	if err != nil {
@@ -110,6 +111,8 @@
 	return b
 }
 
+// members serves the full list, or a watch from a generation on. A watch that missed generations
+// gets the full list again.
 func (d *Discovery) members(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Query().Get("watch") == "" {
 		list := d.List()
--- a/internal/scale/work/engine_test.go
+++ b/internal/scale/work/engine_test.go
@@ -54,18 +54,18 @@
 			e.UpdateFleet(news, addresses)
 			go e.Run()
 			defer e.Stop()
-			asked := 0
+			sent := 0
 			query := func() {
-				ask := core.Query{Label: fmt.Sprintf("%016x", asked), Unique: true, Class: "q", Deadline: clock.Now() + 30_000_000, Text: []byte("c41e77d0")}
+				ask := core.Query{Label: fmt.Sprintf("%016x", sent), Unique: true, Class: "q", Deadline: clock.Now() + 30_000_000, Text: []byte("c41e77d0")}
 				for i := range parts {
-					ask.Parts = append(ask.Parts, core.QueryPart{Shard: (asked*parts + i) % servers, Weight: 1 / float64(parts)})
+					ask.Parts = append(ask.Parts, core.QueryPart{Shard: (sent*parts + i) % servers, Weight: 1 / float64(parts)})
 				}
-				asked++
+				sent++
 				t := e.Open(ask)
 				select {
 				case f := <-t.Final:
 					if f.Outcome != core.Answered || !f.Complete {
-						b.Fatalf("query %d: %+v", asked, f.Outcome)
+						b.Fatalf("query %d: %+v", sent, f.Outcome)
 					}
 				case err := <-t.Err:
 					b.Fatal(err)
--- a/internal/scale/work/measured.go
+++ b/internal/scale/work/measured.go
@@ -50,7 +50,7 @@
 	cfg, size := s.uncontended(servers)
 	testbed := s.setUp(cfg, size, 0)
 	testbed.Idle(s.ctx, time.Second)
-	bare := testbed.Idle(s.ctx, s.For)
+	unconnected := testbed.Idle(s.ctx, s.For)
 	WarmUp(s.ctx, testbed.Gatherer.Listen, min(servers, 1500), size.Shards)
 	for testbed.Idle(s.ctx, 0).Fleet.Open < int64(servers)*98/100 && s.ctx.Err() == nil {
 		WarmUp(s.ctx, testbed.Gatherer.Listen, min(servers, 1500), size.Shards)
@@ -71,18 +71,18 @@
 	})
 	const calls = 300
 	length := 0
-	asked := testbed.Record(func() (a Results) {
+	polled := testbed.Record(func() (a Results) {
 		for range calls {
 			length = len(testbed.Gatherer.Call("stats"))
 		}
 		return a
 	})
 	pct := func(r Run) float64 { return 100 * float64(r.Gatherer.Total()) / float64(r.Took) }
-	grown := float64(connected.Gatherer.Resident - bare.Gatherer.Resident)
+	grown := float64(connected.Gatherer.Resident - unconnected.Gatherer.Resident)
 	return []float64{
-		pct(bare), pct(connected), float64(bare.Gatherer.Resident) / mb, float64(connected.Gatherer.Resident) / mb,
+		pct(unconnected), pct(connected), float64(unconnected.Gatherer.Resident) / mb, float64(connected.Gatherer.Resident) / mb,
 		grown / kb / float64(max(1, connected.Fleet.Open)), float64(connected.Fleet.Open), ms(changed.Gatherer.Total()) / changes, float64(length),
-		us(asked.Gatherer.Total()) / calls,
+		us(polled.Gatherer.Total()) / calls,
 	}
 }
 
