--- a/cmd/saffronquay-sim/main_test.go
+++ b/cmd/saffronquay-sim/main_test.go
@@ -71,7 +71,7 @@
 		{"never opened", tick + query + end, "never opened"},
 		{"killed", tick + open + `{"event_type":"Killed","who":"node/0"}` + "\n" + query + end, "killed"},
 		{"no shards", tick + strings.ReplaceAll(open, `"shards":1`, `"shards":0`) + end, "0 shards"},
-		{"negative time", tick + strings.ReplaceAll(open, `"aim_us":10000`, `"aim_us":-1`) + end, "a time"},
+		{"negative time", tick + strings.ReplaceAll(open, `"aim_us":10000`, `"aim_us":-1`) + end, "latency target, hard limit or dedup window is out of range"},
 		{
 			"undeclared list", tick + open + `{"event_type":"Fleet","who":"node/0","scope":3,"generation":1,"slot":4}` + "\n" + end,
 			"list 4",
--- a/cmd/saffronquay-system/account.go
+++ b/cmd/saffronquay-system/account.go
@@ -11,11 +11,11 @@
 	"github.com/urfave/cli/v3"
 )
 
-// accountCommand returns the command that breaks down the scores of days on the test bench (package
-// dayreport).
+// accountCommand returns the command that breaks down the worth of days on the test bench by cause of
+// loss (package dayreport).
 func accountCommand() *cli.Command {
 	return &cli.Command{
-		Name: "account", Usage: "break down the scores of days on the test bench, from their reports", ArgsUsage: "REPORT...",
+		Name: "account", Usage: "break down the worth of days on the test bench by cause of loss, from their reports", ArgsUsage: "REPORT...",
 		Flags: []cli.Flag{&cli.IntFlag{Name: "tolerance", Value: 1, Usage: "number of machines with a disk that may fail at the same time"}},
 		Action: func(_ context.Context, c *cli.Command) error {
 			if c.Args().Len() == 0 {
--- a/cmd/saffronquay-system/main.go
+++ b/cmd/saffronquay-system/main.go
@@ -1,6 +1,6 @@
 // Command saffronquay-system runs the processes of the rollout scheduler: proxy and agent on edge
 // machines, steward on core machines, store on storage machines. Further commands check a settings
-// file, simulate the control plane in virtual time, and break down the score of a day on the test
+// file, simulate the control plane in virtual time, and break down the worth of a day on the test
 // bench.
 //
 // The exit code is 0 on success or an orderly shutdown, and 1 after an error, which is written to
--- a/internal/broker/idempotency/kill_test.go
+++ b/internal/broker/idempotency/kill_test.go
@@ -285,7 +285,7 @@
 			}
 		}
 	}
-	if out, code := harness.Run(t, "store", "check", dir); code != 3 || !strings.Contains(out, "no whole manifest") {
+	if out, code := harness.Run(t, "store", "check", dir); code != 3 || !strings.Contains(out, "no valid manifest") {
 		t.Errorf("check: %d %s", code, out)
 	}
 	if g.launch().Up() {
--- a/internal/broker/opensearch/at_most_once.go
+++ b/internal/broker/opensearch/at_most_once.go
@@ -93,7 +93,7 @@
 			"records of the durable store were lost, possibly one with this idempotency key; retry after the given time",
 		}), v.RetryAfter)
 	}
-	return withRetryAfter(errorResponse(&requestError{429, "rejected_execution_exception", "the durable store does not accept records at present: the query did not run and may be retried"}), 0)
+	return withRetryAfter(errorResponse(&requestError{429, "rejected_execution_exception", "the durable store does not accept records at present; the query may be retried safely"}), 0)
 }
 
 // recordOutcome records the answer to a query before its client receives it. It waits on the
--- a/internal/broker/opensearch/respond.go
+++ b/internal/broker/opensearch/respond.go
@@ -125,7 +125,7 @@
 	case final.Outcome == core.Answered:
 		return s.respond(final, took)
 	case final.Outcome == core.Refused:
-		r := errorResponse(&requestError{429, "rejected_execution_exception", "rejected: the query did not run and may be retried"})
+		r := errorResponse(&requestError{429, "rejected_execution_exception", "rejected: the query may be retried safely"})
 		if final.RetryAfter > 0 {
 			seconds := int64(math.Ceil(float64(final.RetryAfter) / 1e6))
 			r.Fields = append(r.Fields, [2]string{"Retry-After", strconv.FormatInt(seconds, 10)})
--- a/internal/broker/routecheck/explain.go
+++ b/internal/broker/routecheck/explain.go
@@ -84,7 +84,7 @@
 				events = append(events, sq.AttemptEnded{Part: 2, Attempt: n, Server: a.Server, Outcome: failing, Latency: 1})
 				n++
 			case sq.Refuse:
-				out.End = "refused: the query did not run and may be retried"
+				out.End = "refused: the query may be retried safely"
 				return out, nil
 			case sq.Fail:
 				out.End = "failed: the query may have run"
--- a/internal/broker/transport/admin.go
+++ b/internal/broker/transport/admin.go
@@ -76,7 +76,7 @@
 	defer d.wg.Done()
 	defer d.forget(conn)
 	defer panicguard.Contain(func(p *panicguard.PanicError) { // the closed connection tells the caller that its call was not answered
-		logging.Error(d.log, logging.Panic, "where", "admin call", "error", p.Error(), "stack", string(p.Stack))
+		logging.Error(d.log, logging.Panic, "where", "call of an operator", "error", p.Error(), "stack", string(p.Stack))
 	})
 	setDeadline(conn, time.Now().Add(adminCallTimeout))
 	var call adminapi.Call
--- a/internal/broker/transport/engine.go
+++ b/internal/broker/transport/engine.go
@@ -75,7 +75,7 @@
 	e.pool = newPool(cfg, d, e.post)
 	e.pool.metrics = metrics
 	e.pool.onReply, e.pool.stopped = gatherer.HandleReply, e.stopped
-	e.pool.onPanic = func(p *panicguard.PanicError) { e.recordPanic("server answer", p) }
+	e.pool.onPanic = func(p *panicguard.PanicError) { e.recordPanic("answer of a server", p) }
 	e.queued = map[int64]*queuedQuery{}
 	return e
 }
--- a/internal/broker/transport/request.go
+++ b/internal/broker/transport/request.go
@@ -22,7 +22,7 @@
 func (c *clientConn) openQuery(front Front, m *http1.Message, now int64) (a *openQuery) {
 	a = &openQuery{class: front.Class(m)}
 	defer panicguard.Contain(func(p *panicguard.PanicError) {
-		c.listener.engine.recordPanic("client query", p)
+		c.listener.engine.recordPanic("query of a client", p)
 		fault := internalError(front)
 		a.response = &fault
 	})
@@ -47,7 +47,7 @@
 // query that must not run twice is left undetermined, so that no retry runs it again.
 func (c *clientConn) respondTo(front Front, a *openQuery, f core.Final) (r http1.Response) {
 	defer panicguard.Contain(func(p *panicguard.PanicError) {
-		c.listener.engine.recordPanic("query answer", p)
+		c.listener.engine.recordPanic("answer to a query", p)
 		if a.intentLog != nil {
 			a.intentLog.Abandon()
 		}
@@ -66,7 +66,7 @@
 	now := c.listener.engine.clock.Now()
 	front := c.listener.settings.Load().front
 	defer panicguard.Contain(func(p *panicguard.PanicError) {
-		c.listener.engine.recordPanic("client request", p)
+		c.listener.engine.recordPanic("request of a client", p)
 		last, ok = true, c.write(internalError(front), true)
 	})
 	parts := []*http1.Message{m}
--- a/internal/scheduler/batchjobs/job.go
+++ b/internal/scheduler/batchjobs/job.go
@@ -84,7 +84,7 @@
 // the caller may reuse. The error's text is meant for the trainer.
 func ParseSubmission(body []byte) (*rpc.CreateJob, error) {
 	if !utf8.Valid(body) {
-		return nil, errors.New("batch job: the text is not UTF-8")
+		return nil, errors.New("batch job: body is not valid UTF-8")
 	}
 	var submission Submission
 	if err := easyjson.Unmarshal(body, &submission); err != nil {
--- a/internal/scheduler/dayreport/doc.go
+++ b/internal/scheduler/dayreport/doc.go
@@ -1,4 +1,4 @@
-// Package dayreport breaks down the score of a day on the test bench: the losses by requests, the
+// Package dayreport breaks down the worth of a day on the test bench: the losses by requests, the
 // charges, and for each loss the lower bound that no scheduling decision can reduce. It is meant for
 // tuning the scheduler for a new deployment.
 //
--- a/internal/scheduler/dayreport/loss.go
+++ b/internal/scheduler/dayreport/loss.go
@@ -6,11 +6,11 @@
 	"slices"
 )
 
-// Loss is the reduction of a day's score by one component or charge.
+// Loss is the reduction of a day's worth by one component or charge.
 type Loss struct {
 	Name   string
 	Amount float64 // fraction that was not earned, or amount that was charged
-	Cost   float64 // in units of the score
+	Cost   float64 // in units of the worth
 	Bound  float64 // part of Cost that no decision can avoid; NaN if unknown
 }
 
--- a/internal/scheduler/dayreport/report.go
+++ b/internal/scheduler/dayreport/report.go
@@ -8,7 +8,7 @@
 
 // Report has the fields of a day's report that the breakdown needs. Other fields are ignored.
 type Report struct {
-	Value      float64         `json:"G"` // score of the day
+	Worth      float64         `json:"G"` // of the day
 	Components []Component     `json:"parts"`
 	Charges    []Charge        `json:"prices"`
 	Roles      []RoleUsage     `json:"nodes"`
@@ -17,7 +17,7 @@
 	Services   []ServiceLoad   `json:"services"`
 }
 
-// Component is a component of the score, which adds Weight times Earned. It is encoded as a list of
+// Component is a component of the worth, which adds Weight times Earned. It is encoded as a list of
 // three values.
 type Component struct {
 	Name   string
@@ -25,7 +25,7 @@
 	Earned float64 // fraction, 0 to 1
 }
 
-// Charge reduces the score by Cost. It is encoded as a list of three values.
+// Charge reduces the worth by Cost. It is encoded as a list of three values.
 type Charge struct {
 	Name   string
 	Amount float64 // in the unit given by Name
--- a/internal/scheduler/dayreport/write.go
+++ b/internal/scheduler/dayreport/write.go
@@ -12,7 +12,7 @@
 func (r *Report) Write(out io.Writer, title string, tolerance int) error {
 	const minWidth, tabWidth, padding = 0, 0, 2
 	table := tabwriter.NewWriter(out, minWidth, tabWidth, padding, ' ', 0)
-	fmt.Fprintf(table, "%s: score %.3f\nloss\tamount\tcost\tbound\n", title, r.Value)
+	fmt.Fprintf(table, "%s: worth %.3f\nloss\tamount\tworth\tbound\n", title, r.Worth)
 	for _, l := range r.Losses(tolerance) {
 		l.write(table)
 	}
--- a/internal/scheduler/proxy/jobs_test.go
+++ b/internal/scheduler/proxy/jobs_test.go
@@ -81,7 +81,7 @@
 		{"submitted", done, "POST", "/x", submission, 202, ""},
 		{"not submitted", absent, "POST", "/x", submission, 503, "batch job not stored: shard owner unavailable"},
 		{"not submitted: connection refused", refusing, "POST", "/x", submission, 503, "batch job not stored: shard owner unavailable"},
-		{"submission with invalid UTF-8", done, "POST", "/x", "{\"requests\":[{\"id\":\"a\xff\",\"path\":\"/x\"}]}", 400, "batch job: the text is not UTF-8"},
+		{"submission with invalid UTF-8", done, "POST", "/x", "{\"requests\":[{\"id\":\"a\xff\",\"path\":\"/x\"}]}", 400, "batch job: body is not valid UTF-8"},
 		{"submission outcome unknown", unknown, "POST", "/x", submission, 504, "submission not confirmed by the shard owner; the batch job may have been stored"},
 		{"read", done, "GET", job, "", 200, `{"total":3`},
 		{"read of an unknown job", missing, "GET", job, "", 404, "no such batch job"},
--- a/internal/scheduler/storage/server.go
+++ b/internal/scheduler/storage/server.go
@@ -128,7 +128,7 @@
 	ctx, cancel := context.WithTimeout(ctx, lifecycle.ShutdownTimeout)
 	defer cancel()
 	if err := server.Close(ctx); err != nil {
-		s.log.Info("closing the server did not complete in time", "error", err)
+		s.log.Info("server did not close in time", "error", err)
 	}
 	s.tasks.Wait(ctx)
 	if s.host.Failed() {
--- a/internal/storage/recordlog/record.go
+++ b/internal/storage/recordlog/record.go
@@ -51,7 +51,7 @@
 	ErrOwned = errors.New("store: owned by another process")
 	// ErrNoManifest means that neither copy of the manifest can be read, so that the set of
 	// segments is unknown.
-	ErrNoManifest = errors.New("no whole manifest in either copy")
+	ErrNoManifest = errors.New("no valid manifest in either copy")
 )
 
 // Log is the interface of a store to its users. It is safe for concurrent use.
