--- a/api.go
+++ b/api.go
@@ -136,7 +136,7 @@
 	Broken
 	Cancelled
 	NotSent
-	Stranded // the connection was closed for a reason that is unrelated to the server
+	ConnectionClosed // the connection was closed for a reason that is unrelated to the server
 	// Misplaced: the server no longer has the shard, according to a table of holders that is newer
 	// than the one in force here. The attempt did not run, and the outcome is no evidence about the
 	// server. The part is not sent there again until the holders of its shard change.
@@ -214,23 +214,23 @@
 	Text string
 }
 
-// AlarmRang reports that an alarm set by SetAlarm is due. Only the latest alarm is considered.
-type AlarmRang struct{ ID int64 }
+// TimerFired reports that a timer set by SetTimer is due. Only the latest timer is considered.
+type TimerFired struct{ ID int64 }
 
 // SettingsChanged puts new settings in force. They must be valid and have the same Shards, Cells
 // and CellsPerShard as before. An open query keeps the class definition under which it arrived.
 type SettingsChanged struct{ Settings Settings }
 
-// Learned is the learned state that a process hands over to its successor. Times are on the clock
+// Snapshot is the learned state that a process hands over to its successor. Times are on the clock
 // that Step is given.
-type Learned struct {
+type Snapshot struct {
 	Admission float64          // admission slack as a fraction of the fully open slack, 0 to 1
 	Suspects  map[string]int64 // keys whose queries crash servers, with the time of detection
-	Servers   []LearnedServer
+	Servers   []ServerSnapshot
 }
 
-// LearnedServer is the learned state of one server. Its weight decays from the times given.
-type LearnedServer struct {
+// ServerSnapshot is the learned state of one server. Its weight decays from the times given.
+type ServerSnapshot struct {
 	Server             ServerID
 	LatencyRatio       float64 // observed latency divided by predicted latency
 	LatencyRatioAt     int64   // time of the latest observation; 0: none
@@ -238,10 +238,10 @@
 	CountedAt          int64   // time of the latest update of the counts
 }
 
-// Recalled restores the learned state of the previous process. That process may still be sending,
-// so the free part of the budget counts as spent for one ExtraAttemptWindow. The state of a server
-// is used only if the server is in the list and has not restarted since.
-type Recalled struct{ Learned }
+// SnapshotRestored restores the learned state of the previous process. That process may still be
+// sending, so the free part of the budget counts as spent for one ExtraAttemptWindow. The state of
+// a server is used only if the server is in the list and has not restarted since.
+type SnapshotRestored struct{ Snapshot }
 
 // Holders is an immutable table of the servers that have each shard. Of returns nothing for a shard
 // that does not exist. Since returns a version of a shard's holders, which differs whenever the
@@ -263,18 +263,18 @@
 	Into []Part
 }
 
-func (HoldersChanged) isEvent()  {}
-func (Replanned) isEvent()       {}
-func (Query) isEvent()           {}
-func (Part) isEvent()            {}
-func (ClientLeft) isEvent()      {}
-func (AttemptEnded) isEvent()    {}
-func (ProbeEnded) isEvent()      {}
-func (FleetChanged) isEvent()    {}
-func (PeerMessage) isEvent()     {}
-func (AlarmRang) isEvent()       {}
-func (SettingsChanged) isEvent() {}
-func (Recalled) isEvent()        {}
+func (HoldersChanged) isEvent()   {}
+func (Replanned) isEvent()        {}
+func (Query) isEvent()            {}
+func (Part) isEvent()             {}
+func (ClientLeft) isEvent()       {}
+func (AttemptEnded) isEvent()     {}
+func (ProbeEnded) isEvent()       {}
+func (FleetChanged) isEvent()     {}
+func (PeerMessage) isEvent()      {}
+func (TimerFired) isEvent()       {}
+func (SettingsChanged) isEvent()  {}
+func (SnapshotRestored) isEvent() {}
 
 // Action is something that the owner of the Scheduler has to do: one of the types below. Actions
 // are carried out in the order in which Step returns them.
@@ -313,8 +313,8 @@
 // CloseIdle closes the idle connections to a server.
 type CloseIdle struct{ Server ServerID }
 
-// SetAlarm requests an AlarmRang with its ID at a time. It replaces an earlier alarm.
-type SetAlarm struct{ ID, At int64 }
+// SetTimer requests a TimerFired with its ID at a time. It replaces an earlier timer.
+type SetTimer struct{ ID, At int64 }
 
 // Watch subscribes to changes of the server list.
 type Watch struct{}
@@ -338,7 +338,7 @@
 func (Refuse) isAction()     {}
 func (Fail) isAction()       {}
 func (CloseIdle) isAction()  {}
-func (SetAlarm) isAction()   {}
+func (SetTimer) isAction()   {}
 func (Watch) isAction()      {}
 func (Fetch) isAction()      {}
 func (NotifyPeer) isAction() {}
--- a/attempts.go
+++ b/attempts.go
@@ -90,7 +90,7 @@
 		s.partServed(p, a, float64(e.Latency))
 	case e.Outcome == Misplaced:
 		a.misplaced = true
-	case s.brokeWhileIdle(a, e.Outcome), e.Outcome == Stranded:
+	case s.brokeWhileIdle(a, e.Outcome), e.Outcome == ConnectionClosed:
 	case e.Outcome == Broken && !p.query.done:
 		if s.zones[r.Zone].mean(s.now, 4*s.shortestTarget, 0) <= 0.5 { // else the path to the zone is faulty
 			a.brokeAt = s.now
--- a/doc.go
+++ b/doc.go
@@ -20,8 +20,8 @@
 // the complete query. Tenant.Quota is in queries per second.
 //
 // The owner guarantees that an ID is never reused; that each Send gets exactly one AttemptEnded,
-// also after a Cancel; and that a SetAlarm is followed by AlarmRang with its ID at or after its
-// time, unless a later alarm has replaced it. An event that refers to an unknown or ended object is
+// also after a Cancel; and that a SetTimer is followed by TimerFired with its ID at or after its
+// time, unless a later timer has replaced it. An event that refers to an unknown or ended object is
 // ignored, so a late or repeated event is harmless.
 //
 // # Concurrency and errors
--- a/evidence_test.go
+++ b/evidence_test.go
@@ -180,7 +180,7 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				now += 5 * ms
-				s.Step(now, []Event{AlarmRang{}})
+				s.Step(now, []Event{TimerFired{}})
 			}
 		})
 	}
@@ -216,7 +216,7 @@
 	sc.step(0, fleetOf(map[ServerID]string{"a1": "a"}))
 	for id := ID(100); id < 140; id += 2 {
 		s := of[Send](sc.step(ms, sc.request(id, 10*ms)...))[0]
-		got := sc.step(500*ms, AttemptEnded{Part: s.Part, Server: s.Server, Outcome: Stranded, Latency: 500 * ms})
+		got := sc.step(500*ms, AttemptEnded{Part: s.Part, Server: s.Server, Outcome: ConnectionClosed, Latency: 500 * ms})
 		if len(of[Fail](got)) != 1 || len(of[Send](got)) != 0 {
 			t.Fatalf("want one Fail and no Send, got %v", got)
 		}
@@ -368,11 +368,11 @@
 
 // After a handover, blocked keys stay blocked, admission stays as strict as before, and the free
 // part of the budget is not spent twice.
-func TestRecalled_KeysAdmissionAndBudget(t *testing.T) {
+func TestSnapshotRestored_KeysAdmissionAndBudget(t *testing.T) {
 	before := newScript(t, plain(), "a")
 	before.s.blockKey("bad")
 	before.s.adjustAdmission(&query{class: &before.s.cfg.Classes[0], admitted: true}, false)
-	l := before.s.Learned()
+	l := before.s.Snapshot()
 	if l.Admission < 0.7 || l.Admission > 0.8 || l.Suspects["bad"] != before.now {
 		t.Fatalf("handed-over state %+v, want admission 0.7 to 0.8 and the blocked key", l)
 	}
@@ -380,7 +380,7 @@
 	cfg := plain()
 	cfg.Rules.Budgeted, cfg.Rules.FreeExtraAttempts, cfg.Rules.ExtraAttemptWindow = true, 5, 100*ms
 	sc := newScript(t, cfg, "a")
-	sc.step(ms, Recalled{l})
+	sc.step(ms, SnapshotRestored{l})
 	if got := sc.s.currentSlack() / sc.s.openSlack; got < 0.7 || got > 0.8 {
 		t.Errorf("admission %v, want 0.7 to 0.8", got)
 	}
@@ -405,13 +405,13 @@
 
 // After a handover, the statistics of servers keep their age and are dropped for servers that have
 // restarted since. Times in the future count as now, and implausible values are ignored.
-func TestRecalled_ServerStatistics(t *testing.T) {
+func TestSnapshotRestored_ServerStatistics(t *testing.T) {
 	before := newScript(t, plain(), "slow", "bad", "new")
 	r := before.s.servers["slow"]
 	r.latencyRatio, r.latencyRatioAt = 3, before.now
 	before.s.servers["bad"].failureRate = decayingMean{sum: 8, count: 9, at: before.now}
 	before.s.servers["new"].failureRate = decayingMean{sum: 8, count: 9, at: before.now}
-	l := before.s.Learned()
+	l := before.s.Snapshot()
 	if len(l.Servers) != 3 || l.Servers[2].Server != "slow" || l.Servers[2].LatencyRatio != 3 {
 		t.Fatalf("handed-over servers %+v, want three with a latency ratio of 3 for the slow one", l.Servers)
 	}
@@ -419,7 +419,7 @@
 		sc := newScript(t, plain(), "slow", "bad", "new")
 		sc.s.servers["new"].StartedAt = before.now + 1
 		sc.now = before.now + age
-		sc.step(0, Recalled{l})
+		sc.step(0, SnapshotRestored{l})
 		return sc
 	}
 	young, old := at(ms), at(100*before.s.evidenceSpan)
@@ -436,7 +436,7 @@
 		t.Errorf("failure rate %v, %v after 100 evidence spans, %v of a restarted server", rate(young, "bad"), rate(old, "bad"), rate(young, "new"))
 	}
 	sc := newScript(t, plain(), "a", "b")
-	sc.step(ms, Recalled{Learned{Admission: 1, Servers: []LearnedServer{
+	sc.step(ms, SnapshotRestored{Snapshot{Admission: 1, Servers: []ServerSnapshot{
 		{Server: "a", LatencyRatio: 2, LatencyRatioAt: 1 << 60, Failures: 1, Attempts: 2, CountedAt: 1 << 60},
 		{Server: "b", LatencyRatio: math.NaN(), LatencyRatioAt: 5, Failures: math.NaN(), Attempts: 1, CountedAt: 5},
 		{Server: "gone", LatencyRatio: 1, LatencyRatioAt: 5},
--- a/fleet_test.go
+++ b/fleet_test.go
@@ -293,7 +293,7 @@
 		})
 		var times []int64
 		for now < f.now+1000*ms {
-			events := []Event{AlarmRang{}}
+			events := []Event{TimerFired{}}
 			for _, a := range of[Send](as) {
 				events = append(events, AttemptEnded{Part: a.Part, Attempt: len(times), Server: a.Server, Outcome: Rejected})
 				times = append(times, now-f.now)
@@ -314,7 +314,7 @@
 }
 
 // BenchmarkStepBySize measures a step that opens a query of eight parts and the step in which these
-// are served, with 200 and 1,000 servers. The idle case is a step with an alarm only.
+// are served, with 200 and 1,000 servers. The idle case is a step with a timer only.
 func BenchmarkStepBySize(b *testing.B) {
 	for _, servers := range []int{200, 1000} {
 		for _, busy := range []bool{false, true} {
@@ -352,7 +352,7 @@
 				for b.Loop() {
 					now += 2 * ms
 					if !busy {
-						s.Step(now, []Event{AlarmRang{}})
+						s.Step(now, []Event{TimerFired{}})
 						continue
 					}
 					var back []Event
--- a/handover.go
+++ b/handover.go
@@ -8,9 +8,9 @@
 	"slices"
 )
 
-// Learned returns a copy of the learned state, for the process that replaces this one.
-func (s *Scheduler) Learned() Learned {
-	l := Learned{Admission: s.currentSlack() / s.openSlack, Suspects: map[string]int64{}}
+// Snapshot returns a copy of the learned state, for the process that replaces this one.
+func (s *Scheduler) Snapshot() Snapshot {
+	l := Snapshot{Admission: s.currentSlack() / s.openSlack, Suspects: map[string]int64{}}
 	for key, k := range s.keys {
 		if k.harmful && s.isRecent(k.at) {
 			l.Suspects[key] = k.at
@@ -18,19 +18,19 @@
 	}
 	for id, r := range s.servers {
 		if r.listed && (r.latencyRatioAt > 0 || r.failureRate.at > 0) {
-			l.Servers = append(l.Servers, LearnedServer{
+			l.Servers = append(l.Servers, ServerSnapshot{
 				Server:       id,
 				LatencyRatio: r.latencyRatio, LatencyRatioAt: r.latencyRatioAt,
 				Failures: r.failureRate.sum, Attempts: r.failureRate.count, CountedAt: r.failureRate.at,
 			})
 		}
 	}
-	slices.SortFunc(l.Servers, func(a, b LearnedServer) int { return cmp.Compare(a.Server, b.Server) })
+	slices.SortFunc(l.Servers, func(a, b ServerSnapshot) int { return cmp.Compare(a.Server, b.Server) })
 	return l
 }
 
 // restore restores the learned state of the previous process.
-func (s *Scheduler) restore(l Learned) {
+func (s *Scheduler) restore(l Snapshot) {
 	s.medianLatencyRatio() // computed from the state before the change
 	for _, k := range l.Servers {
 		s.restoreServer(k)
@@ -48,7 +48,7 @@
 // restoreServer restores the learned state of a server, unless this process has its own
 // observations. A time in the future, as after a clock was set back, counts as now; implausible
 // values are ignored.
-func (s *Scheduler) restoreServer(k LearnedServer) {
+func (s *Scheduler) restoreServer(k ServerSnapshot) {
 	r := s.servers[k.Server]
 	plausible := k.Failures >= 0 && k.Attempts >= k.Failures && !math.IsInf(k.Attempts, 0)
 	if r == nil || r.StartedAt > max(k.LatencyRatioAt, k.CountedAt) || !plausible {
--- a/internal/broker/admission/gate.go
+++ b/internal/broker/admission/gate.go
@@ -305,6 +305,6 @@
 // Queued returns the number of queued queries.
 func (g *Gate) Queued() int { return g.queued }
 
-// PartsOut returns the number of parts in flight and its limit. One query may exceed the limit, by
+// PartsInFlight returns the number of parts in flight and its limit. One query may exceed the limit, by
 // its number of parts.
-func (g *Gate) PartsOut() (parts, limit int) { return g.root.inFlight, g.limit }
+func (g *Gate) PartsInFlight() (parts, limit int) { return g.root.inFlight, g.limit }
--- a/internal/broker/admission/gate_test.go
+++ b/internal/broker/admission/gate_test.go
@@ -95,7 +95,7 @@
 		w.nextExpiry = max(at, w.now)
 		w.at(w.nextExpiry, func() { w.nextExpiry = 0 })
 	}
-	if out, most := w.g.PartsOut(); out > most+200 {
+	if out, most := w.g.PartsInFlight(); out > most+200 {
 		w.t.Fatalf("%d parts in flight, limit %d", out, most)
 	}
 }
@@ -403,7 +403,7 @@
 			t.Errorf("query %d of %s did not end", id, team)
 		}
 	}
-	if out, _ := w.g.PartsOut(); out != 0 || w.g.Queued() != 0 || len(w.g.queries) != 0 {
+	if out, _ := w.g.PartsInFlight(); out != 0 || w.g.Queued() != 0 || len(w.g.queries) != 0 {
 		t.Errorf("remaining: %d parts in flight, %d queued, %d queries; want 0", out, w.g.Queued(), len(w.g.queries))
 	}
 }
@@ -420,7 +420,7 @@
 	}
 	w.stream("other", 500, 1, 10_000, second, 5*second)
 	w.run(3 * second)
-	if out, most := w.g.PartsOut(); out > most-4 {
+	if out, most := w.g.PartsInFlight(); out > most-4 {
 		t.Errorf("%d of %d parts in flight, with 4 reserved", out, most)
 	}
 	if v, _, _ := w.send("kept", 1, 10_000, second); v != Admitted {
@@ -488,7 +488,7 @@
 			c.Quota = func(team string) float64 { return parts[i][team] }
 			g := New(cfg)
 			g.Reconfigure(c)
-			_, most := g.PartsOut()
+			_, most := g.PartsInFlight()
 			sum += most
 			for team, fraction := range budgets {
 				if got := g.Budget(team); math.Abs(got-fraction*cfg.Cores*cfg.Oversubscription) > 1e-6 {
@@ -510,7 +510,7 @@
 	}
 	cfg.Quota = func(string) float64 { return 0.1 }
 	g.Reconfigure(cfg)
-	if out, most := g.PartsOut(); out != 8 || most != 4 {
+	if out, most := g.PartsInFlight(); out != 8 || most != 4 {
 		t.Errorf("%d parts in flight, limit %d; want 8 and 4", out, most)
 	}
 	if v, _ := g.Arrive(2, Request{ID: 9, Team: "b", Parts: 1, Work: 1000, Deadline: 1e9}); v != Queued {
--- a/internal/broker/admission/usage.go
+++ b/internal/broker/admission/usage.go
@@ -31,7 +31,7 @@
 	Budget   float64 // parts in flight at all gatherers together
 	Limit    int     // maximum number of parts in flight of all teams together at this gatherer
 	Queued   int
-	Out      int     // parts in flight
+	InFlight int     // parts in flight
 	Ratio    float64 // moving average of actual work divided by predicted work
 	Usage
 }
@@ -43,7 +43,7 @@
 	for name, team := range g.teams {
 		if team.usage.Requested > 0 {
 			statuses = append(statuses, TeamStatus{
-				Team: name, Fraction: team.fraction(false), Budget: g.Budget(name), Limit: g.limit, Queued: len(team.queue), Out: team.inFlight,
+				Team: name, Fraction: team.fraction(false), Budget: g.Budget(name), Limit: g.limit, Queued: len(team.queue), InFlight: team.inFlight,
 				Ratio: team.ratio, Usage: team.usage,
 			})
 		}
--- a/internal/broker/core/attempt.go
+++ b/internal/broker/core/attempt.go
@@ -170,7 +170,7 @@
 func (c *Core) recallUnsent(p *part) {
 	for _, a := range p.running {
 		if a.pending == nil { // one that waits for its intent ends in IntentsRecorded
-			c.emit(RecallUnsent{Attempt: a.id})
+			c.emit(CancelIfUnsent{Attempt: a.id})
 		}
 	}
 }
--- a/internal/broker/core/core.go
+++ b/internal/broker/core/core.go
@@ -17,8 +17,8 @@
 	// Rotation returns the number of servers in the list, and how many of them are avoided at
 	// present.
 	Rotation() (listed, out int)
-	// Learned returns the state to hand over to a process that replaces this one.
-	Learned() sq.Learned
+	// Snapshot returns the state to hand over to a process that replaces this one.
+	Snapshot() sq.Snapshot
 }
 
 // Config has the limits that the core itself enforces. Times are microseconds.
@@ -54,7 +54,7 @@
 
 	timeouts  schedule[*attempt]   // attempts by timeout
 	deadlines schedule[*openQuery] // queries by deadline plus Config.AnswerGrace
-	alarms    []sq.SetAlarm
+	timers    []sq.SetTimer
 
 	events     []sq.Event // not yet reported to the module
 	lastStep   int64      // time of the module's latest step
@@ -141,28 +141,28 @@
 // labels and Config.MaxOpen apply to both processes together.
 func (c *Core) SetPeer(other Occupancy) { c.peer = other }
 
-// Learned returns the state to hand over to a process that replaces this one.
-func (c *Core) Learned() sq.Learned { return c.module.Learned() }
+// Snapshot returns the state to hand over to a process that replaces this one.
+func (c *Core) Snapshot() sq.Snapshot { return c.module.Snapshot() }
 
 // Restore starts from the learned state and the spent budgets of an earlier process that no longer
 // runs.
-func (c *Core) Restore(now int64, l sq.Learned, spent map[string]Spent) {
+func (c *Core) Restore(now int64, l sq.Snapshot, spent map[string]Spent) {
 	for name, s := range spent {
 		if b := c.budgets[name]; b != nil {
 			b.restore(now, s)
 		}
 	}
-	c.events = append(c.events, sq.Recalled{Learned: l})
+	c.events = append(c.events, sq.SnapshotRestored{Snapshot: l})
 }
 
 // TakeOver starts from the learned state of the process that this one replaces. That process still
 // runs and may spend its budgets: the free part of each budget counts as spent here for one window,
 // so that both processes together stay within it.
-func (c *Core) TakeOver(now int64, l sq.Learned) {
+func (c *Core) TakeOver(now int64, l sq.Snapshot) {
 	for _, b := range c.budgets {
 		b.freeFrom = now + b.Window
 	}
-	c.events = append(c.events, sq.Recalled{Learned: l})
+	c.events = append(c.events, sq.SnapshotRestored{Snapshot: l})
 }
 
 // FleetChanged reports a change of the server list.
@@ -178,7 +178,7 @@
 	if len(c.events) > 0 {
 		at = c.lastStep + c.config.Period
 	}
-	for _, a := range c.alarms {
+	for _, a := range c.timers {
 		at = min(at, max(a.At, c.lastStep+c.config.Period))
 	}
 	if due, ok := c.timeouts.next(); ok {
@@ -199,7 +199,7 @@
 	c.failOverdueQueries(now)
 	if c.isLayoutStale {
 		c.isLayoutStale = false
-		c.emit(Refresh{})
+		c.emit(FetchLayout{})
 	}
 	effects := c.effects
 	c.effects = nil
@@ -208,13 +208,13 @@
 	return effects
 }
 
-// stepModule reports the pending events and alarms to the module and applies its actions, unless
+// stepModule reports the pending events and timers to the module and applies its actions, unless
 // its last step was less than a period ago.
 func (c *Core) stepModule(now int64) {
 	if now < c.lastStep+c.config.Period {
 		return
 	}
-	c.fireAlarms(now)
+	c.fireTimers(now)
 	if len(c.events) == 0 {
 		return
 	}
@@ -225,17 +225,17 @@
 	}
 }
 
-// fireAlarms appends an event for each alarm that is due.
-func (c *Core) fireAlarms(now int64) {
-	pending := c.alarms[:0]
-	for _, a := range c.alarms {
+// fireTimers appends an event for each timer that is due.
+func (c *Core) fireTimers(now int64) {
+	pending := c.timers[:0]
+	for _, a := range c.timers {
 		if a.At <= now {
-			c.events = append(c.events, sq.AlarmRang{ID: a.ID})
+			c.events = append(c.events, sq.TimerFired{ID: a.ID})
 		} else {
 			pending = append(pending, a)
 		}
 	}
-	c.alarms = pending
+	c.timers = pending
 }
 
 // apply carries out one action of the module. An action for a query, part or attempt that has ended
@@ -256,8 +256,8 @@
 		if q := c.queries[action.Query]; q != nil {
 			c.finish(q, Final{Outcome: Failed, Overdue: c.isOverdue(q, now)})
 		}
-	case sq.SetAlarm:
-		c.alarms = append(c.alarms, action)
+	case sq.SetTimer:
+		c.timers = append(c.timers, action)
 	case sq.CloseIdle:
 		c.emit(CloseIdle{Server: action.Server})
 	case sq.Watch:
--- a/internal/broker/core/core_test.go
+++ b/internal/broker/core/core_test.go
@@ -25,7 +25,7 @@
 
 func (*scriptedModule) Rotation() (listed, out int) { return 0, 0 }
 
-func (*scriptedModule) Learned() sq.Learned { return sq.Learned{Admission: 0.5} }
+func (*scriptedModule) Snapshot() sq.Snapshot { return sq.Snapshot{Admission: 0.5} }
 
 func (s *scriptedModule) outcomes() string {
 	var out []string
@@ -216,15 +216,15 @@
 			}
 		}
 		if now == 110 {
-			m.next = []sq.Action{sq.SetAlarm{ID: 7, At: 125}}
+			m.next = []sq.Action{sq.SetTimer{ID: 7, At: 125}}
 			c.FleetChanged(sq.FleetChanged{})
 		}
 	}
 	if fmt.Sprint(m.steps) != "[100 110 120 130]" {
 		t.Errorf("steps at %v, want one per period", m.steps)
 	}
-	if last := m.seen[len(m.seen)-1]; last != (sq.AlarmRang{ID: 7}) {
-		t.Errorf("last event is %v, want AlarmRang", last)
+	if last := m.seen[len(m.seen)-1]; last != (sq.TimerFired{ID: 7}) {
+		t.Errorf("last event is %v, want TimerFired", last)
 	}
 }
 
@@ -341,7 +341,7 @@
 	now.Tenants = map[string]Budget{"t": {Free: 1, Ratio: 1, Window: 1000}}
 	m := &scriptedModule{}
 	c := New(now, m)
-	c.TakeOver(100, sq.Learned{Admission: 0.5})
+	c.TakeOver(100, sq.Snapshot{Admission: 0.5})
 	c.SetPeer(Occupancy{Open: 4, Labels: map[string]int64{"theirs": 200}})
 	a := testQuery("free", 0)
 	a.Label, a.Unique = "theirs", true
@@ -366,8 +366,8 @@
 	if got := len(stepEffects[Call](c, m, 300, sq.Send{Part: 3, Server: "s"})); got != 0 {
 		t.Errorf("%d calls beyond the common budget, want 0", got)
 	}
-	if first, ok := m.seen[0].(sq.Recalled); !ok || first.Admission != 0.5 {
-		t.Errorf("the module's first event is %#v, want Recalled", m.seen[0])
+	if first, ok := m.seen[0].(sq.SnapshotRestored); !ok || first.Admission != 0.5 {
+		t.Errorf("the module's first event is %#v, want SnapshotRestored", m.seen[0])
 	}
 	r := c.budgets["t"]
 	r.parts, r.retries = nil, nil
--- a/internal/broker/core/dialect.go
+++ b/internal/broker/core/dialect.go
@@ -26,7 +26,7 @@
 	// Cancel appends the bytes that notify the server that an attempt is cancelled. keep is false
 	// if the connection must be closed to cancel it.
 	Cancel(dst []byte, id AttemptID) (out []byte, keep bool)
-	// Unsent reports that an attempt was recalled before any byte of its call was sent, so no reply
+	// Unsent reports that an attempt was cancelled before any byte of its call was sent, so no reply
 	// to it will come.
 	Unsent(id AttemptID)
 	// Feed processes bytes received from the server; it does not retain b. Along with an error it
--- a/internal/broker/core/effects.go
+++ b/internal/broker/core/effects.go
@@ -43,9 +43,9 @@
 // CancelAttempt cancels an attempt that was sent. A later reply to it is ignored.
 type CancelAttempt struct{ Attempt AttemptID }
 
-// RecallUnsent withdraws an attempt if no byte of its call has been sent; the owner then reports it
+// CancelIfUnsent withdraws an attempt if no byte of its call has been sent; the owner then reports it
 // as sq.NotSent. Otherwise it has no effect.
-type RecallUnsent struct{ Attempt AttemptID }
+type CancelIfUnsent struct{ Attempt AttemptID }
 
 // CloseIdle closes the idle connections to a server.
 type CloseIdle struct{ Server sq.ServerID }
@@ -56,8 +56,8 @@
 // Fetch requests the complete server list once.
 type Fetch struct{}
 
-// Refresh requests the complete layout, because a server has reported a newer one.
-type Refresh struct{}
+// FetchLayout requests the complete layout, because a server has reported a newer one.
+type FetchLayout struct{}
 
 // LogLine is a line for the log.
 type LogLine struct{ Text string }
@@ -95,13 +95,13 @@
 	Part  any // the answer as decoded by the session
 }
 
-func (Call) isEffect()          {}
-func (RecordIntents) isEffect() {}
-func (CancelAttempt) isEffect() {}
-func (RecallUnsent) isEffect()  {}
-func (CloseIdle) isEffect()     {}
-func (Refresh) isEffect()       {}
-func (Watch) isEffect()         {}
-func (Fetch) isEffect()         {}
-func (LogLine) isEffect()       {}
-func (Final) isEffect()         {}
+func (Call) isEffect()           {}
+func (RecordIntents) isEffect()  {}
+func (CancelAttempt) isEffect()  {}
+func (CancelIfUnsent) isEffect() {}
+func (CloseIdle) isEffect()      {}
+func (FetchLayout) isEffect()    {}
+func (Watch) isEffect()          {}
+func (Fetch) isEffect()          {}
+func (LogLine) isEffect()        {}
+func (Final) isEffect()          {}
--- a/internal/broker/core/intent_test.go
+++ b/internal/broker/core/intent_test.go
@@ -126,11 +126,11 @@
 		}
 	}
 	spent := a.Spent(950)
-	if s := spent["t"]; s.Taken[9] != 10 || s.Extras[0] != 1 || s.Extras[4] != 1 || s.Extras[9] != 1 {
+	if s := spent["t"]; s.Parts[9] != 10 || s.Retries[0] != 1 || s.Retries[4] != 1 || s.Retries[9] != 1 {
 		t.Errorf("spent %+v, want 10 parts and 3 retries", spent)
 	}
 	b := New(after, &scriptedModule{})
-	b.Restore(960, sq.Learned{}, spent)
+	b.Restore(960, sq.Snapshot{}, spent)
 	if b.budgets["t"].trySpend(960) {
 		t.Error("retry permitted immediately after the crash")
 	}
@@ -140,5 +140,5 @@
 	if !b.budgets["t"].trySpend(1960) {
 		t.Error("retry not permitted after the end of the window")
 	}
-	b.Restore(960, sq.Learned{}, map[string]Spent{"gone": {}, "t": {At: 1 << 60}})
+	b.Restore(960, sq.Snapshot{}, map[string]Spent{"gone": {}, "t": {At: 1 << 60}})
 }
--- a/internal/broker/core/layout_test.go
+++ b/internal/broker/core/layout_test.go
@@ -181,7 +181,7 @@
 		now := int64(110 + 20*n)
 		calls := stepEffects[Call](core, m, now, sq.Send{Part: q.parts[0].id, Server: "s0"})
 		core.AttemptEnded(now+5, calls[0].Attempts[0].ID, sq.Misplaced, nil, nil)
-		if requests := stepEffects[Refresh](core, m, now+10); len(requests) != 1 || len(q.parts) != 1 || core.replanned != 0 {
+		if requests := stepEffects[FetchLayout](core, m, now+10); len(requests) != 1 || len(q.parts) != 1 || core.replanned != 0 {
 			t.Fatalf("misplaced reply %d: %d layout requests, want 1; parts %v", n, len(requests), q.partSpans())
 		}
 	}
--- a/internal/broker/core/retrybudget.go
+++ b/internal/broker/core/retrybudget.go
@@ -19,8 +19,8 @@
 // Spent is a tenant's use of its budget within the window before At, in buckets of a tenth of the
 // window, the latest first.
 type Spent struct {
-	At            int64
-	Taken, Extras [spentBuckets]uint32 // numbers of parts and of retries
+	At             int64
+	Parts, Retries [spentBuckets]uint32 // numbers of parts and of retries
 }
 
 // retryBudget counts the parts and retries of one tenant within the window.
@@ -56,8 +56,8 @@
 // O(parts and retries recorded).
 func (b *retryBudget) spent(now int64) (s Spent, ok bool) {
 	s.At = now
-	parts := b.countBuckets(now, b.parts, &s.Taken)
-	retries := b.countBuckets(now, b.retries, &s.Extras)
+	parts := b.countBuckets(now, b.parts, &s.Parts)
+	retries := b.countBuckets(now, b.retries, &s.Retries)
 	return s, parts || retries
 }
 
@@ -80,10 +80,10 @@
 	at := min(s.At, now)
 	width := b.Window / spentBuckets
 	for i := spentBuckets - 1; i >= 0; i-- {
-		for range min(s.Taken[i], maxRestoredPerBucket) {
+		for range min(s.Parts[i], maxRestoredPerBucket) {
 			b.parts = append(b.parts, at-int64(i+1)*width+1)
 		}
-		for range min(s.Extras[i], maxRestoredPerBucket) {
+		for range min(s.Retries[i], maxRestoredPerBucket) {
 			b.retries = append(b.retries, at-int64(i)*width)
 		}
 	}
--- a/internal/broker/routecheck/subject.go
+++ b/internal/broker/routecheck/subject.go
@@ -24,7 +24,7 @@
 	Servers  []sq.Server
 	Layout   *layout.Layout // nil: the settings determine the holders of a shard
 	Indices  map[string]Index
-	Learned  *sq.Learned // saved server statistics of the module; nil: none
+	Learned  *sq.Snapshot // saved server statistics of the module; nil: none
 }
 
 // Variants returns the roster and, if changes of its layout are in progress, the roster after the
@@ -88,7 +88,7 @@
 		events = append(events, sq.HoldersChanged{Holders: r.Layout})
 	}
 	if r.Learned != nil {
-		events = append(events, sq.Recalled{Learned: *r.Learned})
+		events = append(events, sq.SnapshotRestored{Snapshot: *r.Learned})
 	}
 	s.step(events...)
 	seen := map[layout.Part]bool{}
--- a/internal/broker/server/admin_program.go
+++ b/internal/broker/server/admin_program.go
@@ -38,7 +38,7 @@
 // present length of the queue, waited the number of queries that were ever queued.
 func appendTeam(dst []byte, a admission.TeamStatus) []byte {
 	return fmt.Appendf(dst, "team %s share=%.4f queued=%d out=%d asked=%d started=%d waited=%d ahead=%d full=%d class=%d expired=%d predicted_us=%.0f took_us=%.0f lent_us=%.0f attempts=%d budget=%.2f limit=%d ratio=%.3f\n",
-		a.Team, a.Fraction, a.Queued, a.Out, a.Requested, a.Started, a.QueuedTotal, a.RejectedBacklog, a.RejectedQueueFull, a.RejectedClass, a.Expired, a.Predicted, a.Consumed, a.Borrowed, a.Attempts, a.Budget, a.Limit, a.Ratio)
+		a.Team, a.Fraction, a.Queued, a.InFlight, a.Requested, a.Started, a.QueuedTotal, a.RejectedBacklog, a.RejectedQueueFull, a.RejectedClass, a.Expired, a.Predicted, a.Consumed, a.Borrowed, a.Attempts, a.Budget, a.Limit, a.Ratio)
 }
 
 // SetLogLevel sets the minimum level of log lines.
--- a/internal/broker/server/admin_program_test.go
+++ b/internal/broker/server/admin_program_test.go
@@ -11,7 +11,7 @@
 func TestAppendTeam_FieldNames(t *testing.T) {
 	is := is.New(t)
 	status := admission.TeamStatus{
-		Team: "estudio", Fraction: 0.25, Budget: 12.5, Limit: 80, Queued: 1, Out: 2, Ratio: 1.5,
+		Team: "estudio", Fraction: 0.25, Budget: 12.5, Limit: 80, Queued: 1, InFlight: 2, Ratio: 1.5,
 		Usage: admission.Usage{
 			Requested: 3, Started: 4, QueuedTotal: 5, RejectedBacklog: 6, RejectedQueueFull: 7, RejectedClass: 8, Expired: 9,
 			Predicted: 10, Consumed: 11, Borrowed: 12, Attempts: 13,
--- a/internal/broker/server/durable_records.go
+++ b/internal/broker/server/durable_records.go
@@ -57,7 +57,7 @@
 
 // Learned parses the statistics of servers from the value of a stored record. It returns the zero value
 // if the value cannot be parsed.
-func Learned(value []byte) sq.Learned { return parseStatistics(value).Learned }
+func Learned(value []byte) sq.Snapshot { return parseStatistics(value).Learned }
 
 // parseStatistics parses the value of the record of the statistics of servers and tenants. It returns
 // the zero value if the value cannot be parsed.
@@ -66,15 +66,15 @@
 	if proto.Unmarshal(value, &f) != nil {
 		return m
 	}
-	m.Learned = sq.Learned{Admission: min(max(f.Admission, 0), 1), Suspects: f.Suspects}
+	m.Learned = sq.Snapshot{Admission: min(max(f.Admission, 0), 1), Suspects: f.Suspects}
 	for _, s := range f.Servers {
-		m.Learned.Servers = append(m.Learned.Servers, sq.LearnedServer{Server: sq.ServerID(s.Id), LatencyRatio: s.Pace, LatencyRatioAt: s.PaceAt, Failures: s.Fails, Attempts: s.Tries, CountedAt: s.At})
+		m.Learned.Servers = append(m.Learned.Servers, sq.ServerSnapshot{Server: sq.ServerID(s.Id), LatencyRatio: s.Pace, LatencyRatioAt: s.PaceAt, Failures: s.Fails, Attempts: s.Tries, CountedAt: s.At})
 	}
 	m.Spent = map[string]core.Spent{}
 	for _, r := range f.Rations {
 		s := core.Spent{At: r.At}
-		copy(s.Taken[:], r.Taken)
-		copy(s.Extras[:], r.Extras)
+		copy(s.Parts[:], r.Taken)
+		copy(s.Retries[:], r.Extras)
 		m.Spent[r.Tenant] = s
 	}
 	return m
@@ -87,7 +87,7 @@
 		f.Servers = append(f.Servers, &form.Server{Id: string(s.Server), Pace: s.LatencyRatio, PaceAt: s.LatencyRatioAt, Fails: s.Failures, Tries: s.Attempts, At: s.CountedAt})
 	}
 	for tenant, s := range m.Spent {
-		f.Rations = append(f.Rations, &form.Ration{Tenant: tenant, At: s.At, Taken: s.Taken[:], Extras: s.Extras[:]})
+		f.Rations = append(f.Rations, &form.Ration{Tenant: tenant, At: s.At, Taken: s.Parts[:], Extras: s.Retries[:]})
 	}
 	return proto.Marshal(f)
 }
--- a/internal/broker/server/quotas.go
+++ b/internal/broker/server/quotas.go
@@ -183,10 +183,10 @@
 	for _, a := range all {
 		rejected := a.RejectedBacklog + a.RejectedQueueFull + a.Expired
 		rejectedNow[a.Team] = rejected
-		if a.Budget <= 0 || a.Queued == 0 && a.Out == 0 && rejected == p.rejectedBefore[a.Team] {
+		if a.Budget <= 0 || a.Queued == 0 && a.InFlight == 0 && rejected == p.rejectedBefore[a.Team] {
 			continue
 		}
-		used := float64(a.Out) / a.Budget
+		used := float64(a.InFlight) / a.Budget
 		want := used
 		if a.Queued > 0 || rejected > p.rejectedBefore[a.Team] {
 			want = demandFactor * max(used, quotaOf(a.Team))
--- a/internal/broker/server/quotas_test.go
+++ b/internal/broker/server/quotas_test.go
@@ -94,7 +94,7 @@
 func TestDemands(t *testing.T) {
 	p := newBudgetQuotas(4, quota.PPM)
 	p.otherQuota = quota.EvenQuota(4)
-	got := p.demands([]admission.TeamStatus{{Team: "idle", Budget: 10}, {Team: "works", Budget: 10, Out: 2}, {Team: "waits", Budget: 10, Out: 2, Queued: 3}}, p.quotaOf(4))
+	got := p.demands([]admission.TeamStatus{{Team: "idle", Budget: 10}, {Team: "works", Budget: 10, InFlight: 2}, {Team: "waits", Budget: 10, InFlight: 2, Queued: 3}}, p.quotaOf(4))
 	if len(got) != 2 || got[0] != (quota.Demand{Team: "works", Want: 200_000, Used: 200_000}) || got[1].Want != 500_000 || math.Abs(float64(got[1].Used)-200_000) > 1 {
 		t.Errorf("%+v", got)
 	}
--- a/internal/broker/server/regions_test.go
+++ b/internal/broker/server/regions_test.go
@@ -153,7 +153,7 @@
 	quotaOf := p.quotaOf(4)
 	demanded := make(chan int)
 	go func() {
-		demanded <- len(p.demands([]admission.TeamStatus{{Team: "a", Budget: 10, Out: 2, Queued: 3}}, quotaOf))
+		demanded <- len(p.demands([]admission.TeamStatus{{Team: "a", Budget: 10, InFlight: 2, Queued: 3}}, quotaOf))
 	}()
 	p.setRegion(250_000)
 	if n := <-demanded; n != 1 {
--- a/internal/broker/simulation/gatherers.go
+++ b/internal/broker/simulation/gatherers.go
@@ -92,8 +92,8 @@
 		if q := g.queries[a.Query]; q != nil {
 			w.fail(g, q)
 		}
-	case sq.SetAlarm:
-		w.setAlarm(g, a)
+	case sq.SetTimer:
+		w.setTimer(g, a)
 	}
 }
 
@@ -121,12 +121,12 @@
 	}
 }
 
-// setAlarm schedules an alarm of the gatherer's process that set it.
-func (w *world) setAlarm(g *gatherer, a sq.SetAlarm) {
+// setTimer schedules a timer of the gatherer's process that set it.
+func (w *world) setTimer(g *gatherer, a sq.SetTimer) {
 	run := g.run
 	w.schedule(a.At, func() {
 		if g.up && g.run == run {
-			w.notify(g, sq.AlarmRang{ID: a.ID})
+			w.notify(g, sq.TimerFired{ID: a.ID})
 		}
 	})
 }
--- a/internal/broker/simulation/split_test.go
+++ b/internal/broker/simulation/split_test.go
@@ -62,7 +62,7 @@
 			for id := range int64(1000) {
 				g.Arrive(1, admission.Request{ID: id, Team: "a", Parts: 1, Work: 1000, Deadline: second})
 			}
-			parts, _ := g.PartsOut()
+			parts, _ := g.PartsInFlight()
 			sum += parts
 		}
 		return sum
--- a/internal/broker/simwire/decode.go
+++ b/internal/broker/simwire/decode.go
@@ -68,7 +68,7 @@
 	Latency     *int64             `json:"latency_us"`
 	Health      map[string]float64 `json:"health_info"`
 	Shot        *int               `json:"shot"`
-	AlarmID     *int64             `json:"mark"`
+	TimerID     *int64             `json:"mark"`
 	Sender      *int64             `json:"sender"`
 	Payload     *string            `json:"payload"`
 }
@@ -141,10 +141,10 @@
 		return Message{Kind: Killed}, requireFields(field{"who", l.Who != nil})
 	},
 	"DeadlineHit": func(l *rawLine) (Message, error) {
-		if err := requireFields(field{"who", l.Who != nil}, field{"mark", l.AlarmID != nil}); err != nil {
+		if err := requireFields(field{"who", l.Who != nil}, field{"mark", l.TimerID != nil}); err != nil {
 			return Message{}, err
 		}
-		return eventMessage(sq.AlarmRang{ID: *l.AlarmID})
+		return eventMessage(sq.TimerFired{ID: *l.TimerID})
 	},
 	"NeighbourSays": func(l *rawLine) (Message, error) {
 		if err := requireFields(
--- a/internal/broker/simwire/encode.go
+++ b/internal/broker/simwire/encode.go
@@ -17,8 +17,8 @@
 	Shot     *int    `json:"shot,omitempty"`
 	Entire   *bool   `json:"entire,omitempty"`
 	CoolDown int64   `json:"cool_down_us,omitempty"`
-	AlarmID  *int64  `json:"mark,omitempty"`
-	Alarm    *int64  `json:"alarm_time_us,omitempty"`
+	TimerID  *int64  `json:"mark,omitempty"`
+	TimerAt  *int64  `json:"alarm_time_us,omitempty"`
 	Text     *string `json:"reason_text,omitempty"`
 	Serial   *int64  `json:"serial,omitempty"`
 	Target   any     `json:"target,omitempty"`
@@ -43,8 +43,8 @@
 		r.Type, r.Txn = "RespondError", id(a.Query)
 	case sq.CloseIdle:
 		r.Type, r.Server = "FreeLinks", string(a.Server)
-	case sq.SetAlarm:
-		r.Type, r.AlarmID, r.Alarm = "SetAlarm", &a.ID, &a.At
+	case sq.SetTimer:
+		r.Type, r.TimerID, r.TimerAt = "SetAlarm", &a.ID, &a.At
 	case sq.Watch:
 		on := true
 		r.Type, r.Entire = "KeepInformed", &on
--- a/internal/broker/simwire/simwire_test.go
+++ b/internal/broker/simwire/simwire_test.go
@@ -28,7 +28,7 @@
 		{`{"event_type":"Killed","who":"node/3"}`, Message{Kind: Killed, Who: "node/3"}},
 		{`{"event_type":"DeadlineHit","who":"n","mark":77}`, Message{
 			Kind: SchedulerEvent, Who: "n",
-			Event: sq.AlarmRang{ID: 77},
+			Event: sq.TimerFired{ID: 77},
 		}},
 		{`{"event_type":"Hangup","who":"n","txn":5}`, Message{
 			Kind: SchedulerEvent, Who: "n",
@@ -145,7 +145,7 @@
 		{sq.Refuse{Query: 7, RetryAfter: 9}, `{"event_type":"TurnAway","who":"n","txn":7,"cool_down_us":9}`},
 		{sq.Fail{Query: 7}, `{"event_type":"RespondError","who":"n","txn":7}`},
 		{sq.CloseIdle{Server: "s:1"}, `{"event_type":"FreeLinks","who":"n","server":"s:1"}`},
-		{sq.SetAlarm{ID: 0, At: 3}, `{"event_type":"SetAlarm","who":"n","mark":0,"alarm_time_us":3}`},
+		{sq.SetTimer{ID: 0, At: 3}, `{"event_type":"SetAlarm","who":"n","mark":0,"alarm_time_us":3}`},
 		{sq.Watch{}, `{"event_type":"KeepInformed","who":"n","entire":true}`},
 		{sq.NotifyPeer{Peer: -1, Text: "hi"}, `{"event_type":"Share","who":"n","target":"*","payload":"hi"}`},
 		{sq.NotifyPeer{Peer: 0, Text: "hi"}, `{"event_type":"Share","who":"n","target":0,"payload":"hi"}`},
--- a/internal/broker/transport/conn_end.go
+++ b/internal/broker/transport/conn_end.go
@@ -73,14 +73,14 @@
 // closeIfOvertaken closes a connection that is quiet while its server answers calls on other
 // connections that were sent well after it became quiet. This detects links that fail without a
 // reset, on which calls would otherwise wait until their deadline. The attempts on the connection
-// may have run; they end as Stranded, which is not counted against the server. If connections carry
-// one call at a time, a long call looks the same, so nothing is concluded.
+// may have run; they end as ConnectionClosed, which is not counted against the server. If
+// connections carry one call at a time, a long call looks the same, so nothing is concluded.
 func (p *pool) closeIfOvertaken(now int64, c *serverConn) {
 	if p.dialect.Streams() < 2 || c.overtakenBy < overtakenLimit {
 		return
 	}
 	for _, id := range sortedKeys(c.calls) {
-		p.endAttempt(now, c, core.Reply{Attempt: id, Outcome: sq.Stranded})
+		p.endAttempt(now, c, core.Reply{Attempt: id, Outcome: sq.ConnectionClosed})
 	}
 	p.closeConn(now, c, false)
 }
@@ -105,7 +105,7 @@
 }
 
 // closeMalformed closes a connection that delivered malformed bytes. The oldest open attempt is
-// assumed to be the one with the malformed answer and ends as Errored; the others end as Stranded.
+// assumed to be the one with the malformed answer and ends as Errored; the others end as ConnectionClosed.
 // Any of them may have run. None ends as Broken, which counts against queries that crash servers.
 func (p *pool) closeMalformed(now int64, c *serverConn, err error) {
 	if !errors.Is(err, core.ErrConnectionEnding) {
@@ -114,7 +114,7 @@
 	o := sq.Errored
 	for _, id := range sortedKeys(c.calls) {
 		p.endAttempt(now, c, core.Reply{Attempt: id, Outcome: o})
-		o = sq.Stranded
+		o = sq.ConnectionClosed
 	}
 	p.closeConn(now, c, false)
 }
@@ -150,7 +150,7 @@
 			// One lost connection is one sign of a fault, however many calls were open: only the
 			// first call ends as Broken, so that neither the server nor the keys of the other
 			// queries are blamed for the rest.
-			o, lost = lost, sq.Stranded
+			o, lost = lost, sq.ConnectionClosed
 			p.lastLossAt = now
 		}
 		p.endAttempt(now, c, core.Reply{Attempt: id, Outcome: o})
--- a/internal/broker/transport/dispatch.go
+++ b/internal/broker/transport/dispatch.go
@@ -48,9 +48,9 @@
 	return taken
 }
 
-// recall removes an attempt whose answer is no longer needed, if its call has not begun to be
+// cancelIfUnsent removes an attempt whose answer is no longer needed, if its call has not begun to be
 // written. The attempt ends as NotSent.
-func (p *pool) recall(now int64, id core.AttemptID) {
+func (p *pool) cancelIfUnsent(now int64, id core.AttemptID) {
 	if c := p.byAttempt[id]; c != nil && p.removeUnsent(now, c, id) {
 		p.endAttempt(now, c, core.Reply{Attempt: id, Outcome: sq.NotSent})
 		p.closeIfEmpty(now, c)
--- a/internal/broker/transport/engine.go
+++ b/internal/broker/transport/engine.go
@@ -183,8 +183,8 @@
 			e.recordIntents(now, x)
 		case core.CancelAttempt:
 			e.pool.cancelAttempt(now, x.Attempt)
-		case core.RecallUnsent:
-			e.pool.recall(now, x.Attempt)
+		case core.CancelIfUnsent:
+			e.pool.cancelIfUnsent(now, x.Attempt)
 		case core.CloseIdle:
 			e.pool.closeIdle(now, x.Server)
 		case core.Final:
@@ -200,7 +200,7 @@
 			if e.Fetch != nil {
 				e.Fetch()
 			}
-		case core.Refresh:
+		case core.FetchLayout:
 			if e.RefreshLayout != nil {
 				e.RefreshLayout()
 			}
@@ -285,7 +285,7 @@
 func (e *Engine) HandoverState() (s handover.State, ok bool) {
 	got := make(chan handover.State, 1)
 	go e.post(func(int64) {
-		occupancy, learned := e.core.Occupancy(), e.core.Learned()
+		occupancy, learned := e.core.Occupancy(), e.core.Snapshot()
 		got <- handover.State{
 			Sockets: e.pool.conns, Open: occupancy.Open, Labels: occupancy.Labels, Admission: learned.Admission,
 			Suspects: learned.Suspects,
@@ -319,13 +319,13 @@
 // InheritLearned initializes the module from what the previous process has learned.
 func (e *Engine) InheritLearned(from handover.State) {
 	e.post(func(now int64) {
-		e.core.TakeOver(now, sq.Learned{Admission: from.Admission, Suspects: from.Suspects})
+		e.core.TakeOver(now, sq.Snapshot{Admission: from.Admission, Suspects: from.Suspects})
 	})
 }
 
 // Memory is the state that a process keeps across a restart. Times are Unix microseconds.
 type Memory struct {
-	Learned sq.Learned
+	Learned sq.Snapshot
 	Spent   map[string]core.Spent
 }
 
@@ -333,7 +333,7 @@
 // does not respond within stateTimeout.
 func (e *Engine) ExportMemory() (m Memory, ok bool) {
 	got := make(chan Memory, 1)
-	go e.post(func(now int64) { got <- Memory{e.core.Learned(), e.core.Spent(now)} })
+	go e.post(func(now int64) { got <- Memory{e.core.Snapshot(), e.core.Spent(now)} })
 	t := time.NewTimer(stateTimeout)
 	defer t.Stop()
 	select {
--- a/internal/broker/transport/listener_test.go
+++ b/internal/broker/transport/listener_test.go
@@ -24,7 +24,7 @@
 
 func (module) Step(int64, []sq.Event) []sq.Action { return nil }
 
-func (module) Learned() sq.Learned { return sq.Learned{} }
+func (module) Snapshot() sq.Snapshot { return sq.Snapshot{} }
 
 func (module) Rotation() (listed, out int) { return 3, 1 }
 
--- a/internal/broker/transport/pool_test.go
+++ b/internal/broker/transport/pool_test.go
@@ -220,7 +220,7 @@
 }
 
 // Of the attempts on a connection with malformed bytes, the oldest ends as Errored and the others
-// as Stranded. For isolationPeriod after that each call gets its own connection, so that one
+// as ConnectionClosed. For isolationPeriod after that each call gets its own connection, so that one
 // malformed answer affects no other part.
 func TestMalformedAnswer_ClosesConn(t *testing.T) {
 	address, conns := acceptor(t)
@@ -237,7 +237,7 @@
 	}
 	fmt.Fprint(far, "\xff\xff\xff\xff")
 	b.next(t, 3)
-	if b.ends[1] != sq.Errored || b.ends[2] != sq.Stranded || len(b.ends) != 2 || b.conns != 0 {
+	if b.ends[1] != sq.Errored || b.ends[2] != sq.ConnectionClosed || len(b.ends) != 2 || b.conns != 0 {
 		t.Errorf("outcomes %v, %d connections", b.ends, b.conns)
 	}
 	b.call(4, callOf(3))
@@ -370,13 +370,13 @@
 		}
 		b.call(late, callOf(id+1))
 	}
-	if b.ends[1] != sq.Stranded || len(b.servers["s"].conns) != 1 {
+	if b.ends[1] != sq.ConnectionClosed || len(b.servers["s"].conns) != 1 {
 		t.Errorf("outcomes %v, %d connections", b.ends, len(b.servers["s"].conns))
 	}
 }
 
 // A broken connection is one sign of a fault: one of its calls ends as Broken, the others as
-// Stranded. After that each call gets a connection of its own, preferably the most recently used
+// ConnectionClosed. After that each call gets a connection of its own, preferably the most recently used
 // idle one.
 func TestBrokenConn_IsolatesCalls(t *testing.T) {
 	address, conns := acceptor(t)
@@ -393,8 +393,8 @@
 	for len(b.ends) == 0 {
 		b.next(t, 3)
 	}
-	if b.ends[1] != sq.Broken || b.ends[2] != sq.Stranded {
-		t.Errorf("outcomes %v, want Broken and Stranded", b.ends)
+	if b.ends[1] != sq.Broken || b.ends[2] != sq.ConnectionClosed {
+		t.Errorf("outcomes %v, want Broken and ConnectionClosed", b.ends)
 	}
 	b.call(4, callOf(3))
 	b.call(4, callOf(4))
@@ -435,7 +435,7 @@
 	far.Close()
 	b.next(t, 1)
 	<-ended
-	if n := b.metrics.Relayed.Load(); n != 1 || b.ends[1] != sq.Broken && b.ends[1] != sq.Stranded || b.ends[2] != sq.Unreachable {
+	if n := b.metrics.Relayed.Load(); n != 1 || b.ends[1] != sq.Broken && b.ends[1] != sq.ConnectionClosed || b.ends[2] != sq.Unreachable {
 		t.Errorf("relayed %d, want 1; outcomes %v", n, b.ends)
 	}
 }
--- a/internal/broker/transport/unsent_test.go
+++ b/internal/broker/transport/unsent_test.go
@@ -72,7 +72,7 @@
 // its client has disconnected, its attempt is cancelled or its server drains. A call that is being
 // written stays, and so do other attempts of the same call. Otherwise workers work for queries that
 // nobody waits for, and frames that were queued in time reach a draining server late.
-func TestRecall_CallBehindBlockedWrite(t *testing.T) {
+func TestCancelIfUnsent_CallBehindBlockedWrite(t *testing.T) {
 	both := core.Call{Server: "s", Attempts: append(callOf(2).Attempts, callOf(3).Attempts...)}
 	for name, tc := range map[string]struct {
 		do   func(b *testPool)
@@ -80,12 +80,12 @@
 		want []string
 	}{
 		"query over": {
-			func(b *testPool) { b.recall(1, 1); b.recall(1, 2); b.recall(1, 3) },
+			func(b *testPool) { b.cancelIfUnsent(1, 1); b.cancelIfUnsent(1, 2); b.cancelIfUnsent(1, 3) },
 			map[core.AttemptID]sq.Outcome{2: sq.NotSent, 3: sq.NotSent},
 			[]string{frameOf(1), frameOf(9)},
 		},
 		"one of two attempts over": {
-			func(b *testPool) { b.recall(1, 2) },
+			func(b *testPool) { b.cancelIfUnsent(1, 2) },
 			map[core.AttemptID]sq.Outcome{2: sq.NotSent},
 			[]string{frameOf(1), frameOf(3), frameOf(9)},
 		},
@@ -138,17 +138,17 @@
 
 // A call that waits for a connection is removed as well; the connection is then established without
 // calls.
-func TestRecall_CallWaitingForConn(t *testing.T) {
+func TestCancelIfUnsent_CallWaitingForConn(t *testing.T) {
 	address, _ := acceptor(t)
 	b := newTestPool()
 	b.fleet(0, sq.Ready, 0, address)
 	b.call(0, callOf(1))
 	b.call(0, callOf(2))
-	b.recall(1, 1)
+	b.cancelIfUnsent(1, 1)
 	if len(b.ends) != 1 || b.ends[1] != sq.NotSent {
 		t.Errorf("outcomes %v", b.ends)
 	}
-	b.recall(1, 2)
+	b.cancelIfUnsent(1, 2)
 	b.next(t, 2) // the connection is established
 	c := b.servers["s"].conns[0]
 	if b.ends[2] != sq.NotSent || c.lastWrite != 0 || len(c.calls) != 0 {
@@ -222,7 +222,7 @@
 	b.fleet(0, sq.Ready, 0, "s:1")
 	b.call(0, callOf(1))
 	c := b.servers["s"].conns[0]
-	b.recall(1, 1)
+	b.cancelIfUnsent(1, 1)
 	if b.openSpare(20_000, c); b.conns != 1 {
 		t.Error("a spare was opened although no call waits")
 	}
--- a/internal/broker/transport/watch_test.go
+++ b/internal/broker/transport/watch_test.go
@@ -96,8 +96,8 @@
 		switch x := x.(type) {
 		case sq.Watch:
 			a.w.RequestWatch()
-		case sq.SetAlarm:
-			time.AfterFunc(time.Duration(x.At-now)*time.Microsecond, func() { a.step(sq.AlarmRang{ID: x.ID}) })
+		case sq.SetTimer:
+			time.AfterFunc(time.Duration(x.At-now)*time.Microsecond, func() { a.step(sq.TimerFired{ID: x.ID}) })
 		}
 	}
 }
--- a/invariants_test.go
+++ b/invariants_test.go
@@ -53,8 +53,8 @@
 	parts            map[ID]*seenPart
 	out              []*sentAttempt
 	cancels          map[*sentAttempt]bool
-	alarms           map[int64]int64
-	alarmIDs         []int64
+	timers           map[int64]int64
+	timerIDs         []int64
 	requests         []int64
 	extras           []int64
 	trace            []string
@@ -93,7 +93,7 @@
 	o := &observer{
 		t: t, cfg: cfg, rng: rand.New(rand.NewPCG(seed, 99)), s: s, now: 50_000_000, nextID: 1,
 		servers: map[ServerID]*Server{}, unavailableSince: map[ServerID]int64{}, queries: map[ID]*seenQuery{},
-		parts: map[ID]*seenPart{}, cancels: map[*sentAttempt]bool{}, alarms: map[int64]int64{},
+		parts: map[ID]*seenPart{}, cancels: map[*sentAttempt]bool{}, timers: map[int64]int64{},
 		warmUpSends: map[ServerID][]warmUpSend{},
 	}
 	var list []Server
@@ -194,14 +194,14 @@
 		}
 	}
 	var left []int64
-	for _, m := range o.alarmIDs {
-		if o.alarms[m] <= o.now {
-			es = append(es, AlarmRang{ID: m})
+	for _, m := range o.timerIDs {
+		if o.timers[m] <= o.now {
+			es = append(es, TimerFired{ID: m})
 		} else {
 			left = append(left, m)
 		}
 	}
-	o.alarmIDs = left
+	o.timerIDs = left
 	return es
 }
 
@@ -271,9 +271,9 @@
 		o.final(a.Query)
 	case Cancel:
 		o.cancels[o.parts[a.Part].attempts[a.Attempt]] = true
-	case SetAlarm:
-		o.alarms[a.ID] = a.At
-		o.alarmIDs = append(o.alarmIDs, a.ID)
+	case SetTimer:
+		o.timers[a.ID] = a.At
+		o.timerIDs = append(o.timerIDs, a.ID)
 	}
 }
 
--- a/median_test.go
+++ b/median_test.go
@@ -22,10 +22,10 @@
 		t.Fatalf("%d sends, want 100", len(out))
 	}
 	scanned := c.s.replicasScanned
-	for range 50 { // a query is open with its parts in flight, and only alarms occur
+	for range 50 { // a query is open with its parts in flight, and only timers occur
 		c.now += 100
-		if got := c.s.Step(c.now, []Event{AlarmRang{}}); len(of[Send](got)) > 0 {
-			t.Fatal("a part was sent in a step with an alarm only")
+		if got := c.s.Step(c.now, []Event{TimerFired{}}); len(of[Send](got)) > 0 {
+			t.Fatal("a part was sent in a step with a timer only")
 		}
 	}
 	if n := c.s.replicasScanned - scanned; n != 0 {
@@ -57,7 +57,7 @@
 }
 
 // Two modules get the same events: servers are added, removed, drained and restarted, settings
-// change and state is recalled. One of them also computes the median after each step. Both must
+// change and state is restored. One of them also computes the median after each step. Both must
 // return the same actions, and the median must be that of all sorted ratios.
 func TestMedianLatencyRatio_LazyEqualsEager(t *testing.T) {
 	for seed := range uint64(12) {
@@ -110,7 +110,7 @@
 				tries[x.Part]++
 			}
 			now += int64(1+rng.IntN(8)) * ms
-			events = []Event{AlarmRang{ID: lazy.alarmID}}
+			events = []Event{TimerFired{ID: lazy.timerID}}
 			kept := out[:0]
 			for _, f := range out {
 				switch {
@@ -142,11 +142,11 @@
 				other.Classes[0].LatencyTarget = int64(40+rng.IntN(80)) * ms
 				events = append(events, SettingsChanged{Settings: other})
 			case 2:
-				l := Learned{Admission: rng.Float64()}
+				l := Snapshot{Admission: rng.Float64()}
 				for i := range 130 { // applied to servers without samples
-					l.Servers = append(l.Servers, LearnedServer{Server: ServerID(fmt.Sprint("s", i)), LatencyRatio: 9 * rng.Float64(), LatencyRatioAt: now, Attempts: 2, CountedAt: now})
+					l.Servers = append(l.Servers, ServerSnapshot{Server: ServerID(fmt.Sprint("s", i)), LatencyRatio: 9 * rng.Float64(), LatencyRatioAt: now, Attempts: 2, CountedAt: now})
 				}
-				events = slices.Insert(events, rng.IntN(2), Event(Recalled{l}))
+				events = slices.Insert(events, rng.IntN(2), Event(SnapshotRestored{l}))
 			}
 			if rng.IntN(2) == 0 { // events in random order
 				rng.Shuffle(len(events)-1, func(i, j int) {
@@ -164,14 +164,14 @@
 	}
 }
 
-// State recalled from an earlier process changes the median only from the next step on.
-func TestMedianLatencyRatio_RecalledStateAppliesNextStep(t *testing.T) {
+// State restored from an earlier process changes the median only from the next step on.
+func TestMedianLatencyRatio_RestoredStateAppliesNextStep(t *testing.T) {
 	sc := newScript(t, plain(), "a", "b", "c", "d", "e")
 	sc.s.servers["a"].latencyRatio, sc.s.servers["a"].latencyRatioAt = 3, sc.now
 	sc.step(10 * ms)
-	l := Learned{Admission: 1}
+	l := Snapshot{Admission: 1}
 	for _, id := range []ServerID{"b", "c", "d"} {
-		l.Servers = append(l.Servers, LearnedServer{Server: id, LatencyRatio: 9, LatencyRatioAt: sc.now, CountedAt: sc.now})
+		l.Servers = append(l.Servers, ServerSnapshot{Server: id, LatencyRatio: 9, LatencyRatioAt: sc.now, CountedAt: sc.now})
 	}
 	want := sortedMedian(sc.s)
 	sc.s.restore(l)
--- a/scheduler.go
+++ b/scheduler.go
@@ -1,5 +1,5 @@
 // The event loop of the decision module: Step applies the events of one moment, reviews the open queries,
-// sends waiting parts and sets the next alarm. The interface is in api.go, the contract in doc.go. Decisions
+// sends waiting parts and sets the next timer. The interface is in api.go, the contract in doc.go. Decisions
 // are in this file, admission.go, answering.go, prediction.go, slowstart.go, dispatch.go and attempts.go; the
 // state is declared in state.go, replicas.go, queries.go and statistics.go.
 
@@ -27,7 +27,7 @@
 	s.scheduleMedian()
 	s.reviewQueries()
 	s.dispatch()
-	s.armAlarm()
+	s.armTimer()
 	return s.actions
 }
 
@@ -68,15 +68,15 @@
 		}
 	case SettingsChanged:
 		s.applySettings(e.Settings)
-	case Recalled:
-		s.restore(e.Learned)
+	case SnapshotRestored:
+		s.restore(e.Snapshot)
 	case HoldersChanged:
 		s.table = e.Holders
 	case Replanned:
 		s.replan(e)
-	case AlarmRang:
-		if e.ID == s.alarmID {
-			s.alarmAt = 0
+	case TimerFired:
+		if e.ID == s.timerID {
+			s.timerAt = 0
 		}
 	}
 }
@@ -93,8 +93,8 @@
 	s.watchAt = min(s.now+pause, max(latest, soon))
 }
 
-// armAlarm requests the next step while a query is open or the server list is to be requested.
-func (s *Scheduler) armAlarm() {
+// armTimer requests the next step while a query is open or the server list is to be requested.
+func (s *Scheduler) armTimer() {
 	if s.watchAt > 0 && s.now >= s.watchAt {
 		s.watchAt = 0
 		s.watch()
@@ -103,10 +103,10 @@
 	if len(s.openQueries) > 0 {
 		next = s.now + 2*max(s.cfg.Period, 1)
 	}
-	if next == 0 || s.alarmAt > s.now && s.alarmAt <= next {
+	if next == 0 || s.timerAt > s.now && s.timerAt <= next {
 		return
 	}
-	s.alarmID++
-	s.alarmAt = next
-	s.emit(SetAlarm{ID: s.alarmID, At: next})
+	s.timerID++
+	s.timerAt = next
+	s.emit(SetTimer{ID: s.timerID, At: next})
 }
--- a/script_test.go
+++ b/script_test.go
@@ -46,11 +46,11 @@
 }
 
 // step advances the time by a number of microseconds and steps with the events or, without events,
-// with an alarm.
+// with a timer.
 func (sc *script) step(after int64, events ...Event) []Action {
 	sc.now += after
 	if len(events) == 0 {
-		events = []Event{AlarmRang{ID: sc.s.alarmID}}
+		events = []Event{TimerFired{ID: sc.s.timerID}}
 	}
 	sc.got = sc.s.Step(sc.now, events)
 	return sc.got
--- a/size_test.go
+++ b/size_test.go
@@ -94,7 +94,7 @@
 			back = append(back, e)
 		}
 		if len(back) == 0 {
-			back = []Event{AlarmRang{}}
+			back = []Event{TimerFired{}}
 		}
 		got := c.s.Step(c.now, back)
 		answered = answered || len(of[Answer](got)) > 0
@@ -103,7 +103,7 @@
 	return answered, sent
 }
 
-// BenchmarkIdleStepBySize measures a step with an alarm only, by number of servers in the list.
+// BenchmarkIdleStepBySize measures a step with a timer only, by number of servers in the list.
 func BenchmarkIdleStepBySize(b *testing.B) {
 	for _, servers := range []int{325, 650, 1300, 2600} {
 		b.Run(fmt.Sprintf("servers=%d", servers), func(b *testing.B) {
@@ -112,7 +112,7 @@
 			began := processorTime()
 			for b.Loop() {
 				c.now += 5 * ms
-				c.s.Step(c.now, []Event{AlarmRang{}})
+				c.s.Step(c.now, []Event{TimerFired{}})
 			}
 			b.ReportMetric(float64(processorTime()-began)/float64(b.N), "cpu-ns/step")
 		})
--- a/state.go
+++ b/state.go
@@ -39,8 +39,8 @@
 	endedUnserved map[string]int64 // first arrival of queries that ended without an answer, by signature
 	sweptAt       int64            // time of the latest sweep
 	longestWait   int64            // the longest HardLimit of a class
-	alarmAt       int64            // time of the latest alarm; 0: none is set
-	alarmID       int64            // ID of the latest alarm
+	timerAt       int64            // time of the latest timer; 0: none is set
+	timerID       int64            // ID of the latest timer
 
 	// Budget of further attempts.
 	requestTimes      []int64 // arrivals of queries and parts within the window
