--- a/cmd/saffronquay-system/model.go
+++ b/cmd/saffronquay-system/model.go
@@ -67,7 +67,7 @@
 
 // traceHistory simulates the history of a seed and prints its trace and report.
 func traceHistory(out io.Writer, seed uint64, bug simulation.Bug) error {
-	options := simulation.Seeded(seed, bug)
+	options := simulation.OptionsForSeed(seed, bug)
 	options.Trace = func(format string, values ...any) { fmt.Fprintf(out, format+"\n", values...) }
 	report, err := simulation.Play(options)
 	fmt.Fprintf(out, "%+v\n", report)
--- a/internal/golden/replicas_test.go
+++ b/internal/golden/replicas_test.go
@@ -49,7 +49,7 @@
 	}
 }
 
-var identity = replica.Identity{ID: replica.FounderID("10.0.0.1:7000"), Address: "10.0.0.1:7001", Node: "core-1"}
+var identity = replica.Identity{ID: replica.BootstrapMemberID("10.0.0.1:7000"), Address: "10.0.0.1:7001", Node: "core-1"}
 
 func stewardMachines() map[string]replica.StateMachine {
 	table := feed.NewTable()
--- a/internal/scheduler/batchjobs/maintenance.go
+++ b/internal/scheduler/batchjobs/maintenance.go
@@ -54,8 +54,8 @@
 // tickShard advances the scheduler of an owned shard, reports its demand and abandons expired items.
 func (s *Service) tickShard(ctx context.Context, owner ownership) {
 	expired, demand := owner.shard.tick(owner.epoch)
-	if s.Demand != nil && len(demand) > 0 {
-		s.Demand(owner.shard.name, demand)
+	if s.OnDemand != nil && len(demand) > 0 {
+		s.OnDemand(owner.shard.name, demand)
 	}
 	for job, items := range expired {
 		results := make([]*rpc.Result, 0, len(items))
--- a/internal/scheduler/batchjobs/service.go
+++ b/internal/scheduler/batchjobs/service.go
@@ -22,10 +22,10 @@
 	Host        *replica.Host
 	Log         *slog.Logger
 	KeepResults time.Duration // retention of an ended job's results, since this process first saw the job
-	// Demand, if not nil, is called about every half second for each owned shard with open jobs
+	// OnDemand, if not nil, is called about every half second for each owned shard with open jobs
 	// whose results still have a value. slots is the result of Scheduler.Demand: the number of
-	// items of each model that must run concurrently. Demand must not block.
-	Demand func(shard string, slots map[string]float64)
+	// items of each model that must run concurrently. It must not block.
+	OnDemand func(shard string, slots map[string]float64)
 
 	mu     sync.Mutex
 	shards map[string]*shard
@@ -109,7 +109,7 @@
 // followerContactMS and knows the job, otherwise nil.
 func (s *Service) followerOf(name, job string) *shard {
 	sh, status := s.shard(name), s.Host.Status(name)
-	if sh == nil || status == nil || !status.InTouch(s.Host.Now(), followerContactMS) || !sh.state.HasJob(job) {
+	if sh == nil || status == nil || !status.IsCurrent(s.Host.Now(), followerContactMS) || !sh.state.HasJob(job) {
 		return nil
 	}
 	return sh
--- a/internal/scheduler/consensus/simulation/world.go
+++ b/internal/scheduler/consensus/simulation/world.go
@@ -121,7 +121,7 @@
 		list = append(list, placement.Machine{Node: m.name, Identity: m.id, Address: m.name, Zone: m.name, Alive: m.up, DeadMS: dead})
 	}
 	plan := placement.Plan(w.wanted, list, w.options.Machines, nil)
-	if !placement.Same(plan, w.wanted) {
+	if !placement.Equal(plan, w.wanted) {
 		w.report.PlacementChanges++
 		w.trace("wanted %v", plan)
 		w.wanted = plan
--- a/internal/scheduler/controlplane/control_loop.go
+++ b/internal/scheduler/controlplane/control_loop.go
@@ -27,7 +27,7 @@
 		}
 		for name, placement := range s.directory.Placements() {
 			if s.stateMachine(name) != nil {
-				s.host.SetWanted(placement)
+				s.host.SetPlacement(placement)
 			}
 		}
 		for _, sh := range s.shards {
--- a/internal/scheduler/controlplane/control_service.go
+++ b/internal/scheduler/controlplane/control_service.go
@@ -37,7 +37,7 @@
 func (s *Server) inTouch() bool {
 	for _, name := range controlGroups() {
 		status := s.host.Status(name)
-		if status == nil || !status.InTouch(s.host.Now(), inTouchMS) {
+		if status == nil || !status.IsCurrent(s.host.Now(), inTouchMS) {
 			return false
 		}
 	}
--- a/internal/scheduler/controlplane/founding_test.go
+++ b/internal/scheduler/controlplane/founding_test.go
@@ -15,13 +15,13 @@
 	"github.com/matryer/is"
 )
 
-// A founder is queried until it replies; a single one that has had contact with the querying
-// founder decides.
-func TestQueryFounders(t *testing.T) {
+// A bootstrap member is queried until it replies; a single one that has had contact with the
+// querying bootstrap member decides.
+func TestQueryBootstrapMembers(t *testing.T) {
 	refused := errors.New("connection refused")
 	for _, test := range []struct {
 		name      string
-		answers   map[string][]any // by address, in order: an error, or whether it has had contact with the founder
+		answers   map[string][]any // by address, in order: an error, or whether it has had contact with the bootstrap member
 		contacted bool
 	}{
 		{"first start", map[string][]any{"b": {refused, false}, "c": {refused, refused, false}}, false},
@@ -30,7 +30,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			is := is.New(t)
-			contacted := queryFounders(context.Background(), []string{"b", "c"}, func(_ context.Context, address string) (bool, error) {
+			contacted := queryBootstrapMembers(context.Background(), []string{"b", "c"}, func(_ context.Context, address string) (bool, error) {
 				answer := test.answers[address][0]
 				test.answers[address] = test.answers[address][1:]
 				if err, failed := answer.(error); failed {
@@ -44,13 +44,13 @@
 	is := is.New(t)
 	ended, cancel := context.WithCancel(context.Background())
 	cancel()
-	is.True(!queryFounders(ended, []string{"b"}, func(context.Context, string) (bool, error) { return false, refused })) // the groups are created without that founder
+	is.True(!queryBootstrapMembers(ended, []string{"b"}, func(context.Context, string) (bool, error) { return false, refused })) // the groups are created without that bootstrap member
 }
 
-// A founder with an empty disk uses its founder id at the first start, and another id once one of
-// its messages has arrived at another founder, although the setting bootstrap is still true. The
-// record survives a restart of the other founder.
-func TestFounderIdentity_ChangesAfterDiskLoss(t *testing.T) {
+// A bootstrap member with an empty disk uses its bootstrap member id at the first start, and
+// another id once one of its messages has arrived at another bootstrap member, although the setting
+// bootstrap is still true. The record survives a restart of the other bootstrap member.
+func TestBootstrapMemberIdentity_ChangesAfterDiskLoss(t *testing.T) {
 	is := is.New(t)
 	const self, other = "127.0.0.1:8144", "127.0.0.2:8144"
 	s := &settings.Settings{IP: "127.0.0.1", PortRange: []int{7380, 7395}, Bootstrap: true, Seeds: []string{self, other}, Listen: settings.Listen{ControlPlane: self}}
@@ -62,18 +62,18 @@
 		own, err := replica.OpenIdentityStore(t.TempDir())
 		is.NoErr(err)
 		defer own.Close()
-		service := &replica.Service{Host: newTestHost(t, record), HasContact: func(founder string) bool {
-			contacted, err := record.HasContact(founder)
+		service := &replica.Service{Host: newTestHost(t, record), HasContact: func(bootstrapMember string) bool {
+			contacted, err := record.HasContact(bootstrapMember)
 			is.NoErr(err)
 			return contacted
 		}}
-		identity, err := replica.LoadOrCreateIdentity(own, s, func(founder string) bool {
-			response, err := service.Status(context.Background(), &rpc.StatusRequest{Founder: founder})
+		identity, err := replica.LoadOrCreateIdentity(own, s, func(bootstrapMember string) bool {
+			response, err := service.Status(context.Background(), &rpc.StatusRequest{Founder: bootstrapMember})
 			is.NoErr(err)
 			return response.FounderMet
 		})
 		is.NoErr(err)
-		// The new process sends a message to the other founder.
+		// The new process sends a message to the other bootstrap member.
 		stopped := make(chan struct{})
 		go func() { defer close(stopped); service.Host.Run() }()
 		service.Host.Step([]*rpc.Message{{Kind: rpc.MessageKind_PRE_VOTE, Group: "g", From: identity.ID, To: "other", Epoch: 2}})
@@ -82,9 +82,9 @@
 		<-stopped
 		return identity
 	}
-	is.Equal(start().ID, replica.FounderID(self))
+	is.Equal(start().ID, replica.BootstrapMemberID(self))
 	again := start().ID
-	is.True(again != replica.FounderID(self))
+	is.True(again != replica.BootstrapMemberID(self))
 	is.True(start().ID != again)
 }
 
@@ -106,9 +106,9 @@
 	return host
 }
 
-// At the first start all founders query each other at the same time, and reply although none has a
-// replica yet.
-func TestParticipatedBefore_ConcurrentFounders(t *testing.T) {
+// At the first start all bootstrap members query each other at the same time, and reply although
+// none has a replica yet.
+func TestParticipatedBefore_ConcurrentBootstrapMembers(t *testing.T) {
 	is := is.New(t)
 	probe, err := net.Listen("tcp4", "127.0.0.1:0")
 	is.NoErr(err)
@@ -117,7 +117,7 @@
 	is.NoErr(probe.Close())
 	first, err := strconv.Atoi(port)
 	is.NoErr(err)
-	newFounder := func(ip string) *Server {
+	newBootstrapMember := func(ip string) *Server {
 		return &Server{
 			settings: &settings.Settings{
 				IP: ip, PortRange: []int{first, first + 3}, Bootstrap: true,
@@ -128,8 +128,10 @@
 	}
 	results := make(chan bool, 2)
 	for _, ip := range []string{"127.0.0.1", "127.0.0.2"} {
-		founder := newFounder(ip)
-		go func() { results <- founder.participatedBefore(context.Background(), replica.FounderID(ip+":8144")) }()
+		bootstrapMember := newBootstrapMember(ip)
+		go func() {
+			results <- bootstrapMember.participatedBefore(context.Background(), replica.BootstrapMemberID(ip+":8144"))
+		}()
 	}
 	is.True(!<-results)
 	is.True(!<-results)
--- a/internal/scheduler/controlplane/groups.go
+++ b/internal/scheduler/controlplane/groups.go
@@ -44,23 +44,23 @@
 }
 
 // createInitialGroups creates the groups at the first start of the system, if the settings enable
-// it and the seeds include this machine: the machines listed as seeds are the founders. A group
-// that already exists on this disk is unchanged.
+// it and the seeds include this machine: the machines listed as seeds are the bootstrap members. A
+// group that already exists on this disk is unchanged.
 func (s *Server) createInitialGroups() {
 	if !s.settings.Bootstrap {
 		return
 	}
-	var founders []*rpc.Replica
+	var bootstrapMembers []*rpc.Replica
 	included := false
 	for _, seed := range s.settings.Seeds {
-		id := replica.FounderID(seed)
-		founders = append(founders, &rpc.Replica{Id: id, Address: s.settings.PeerAddressOf(seed)})
+		id := replica.BootstrapMemberID(seed)
+		bootstrapMembers = append(bootstrapMembers, &rpc.Replica{Id: id, Address: s.settings.PeerAddressOf(seed)})
 		included = included || id == s.identity.ID
 	}
 	if !included {
 		return
 	}
 	for _, name := range controlGroups() {
-		s.host.CreateGroup(name, founders)
+		s.host.CreateGroup(name, bootstrapMembers)
 	}
 }
--- a/internal/scheduler/controlplane/placements.go
+++ b/internal/scheduler/controlplane/placements.go
@@ -66,7 +66,7 @@
 		if current == nil {
 			current = withNodeNames(directoryVoters, machines)
 		}
-		plan := placement.Plan(current, placement.WithForgotten(machines, current, ledMS), s.settings.GroupSize(), nil)
+		plan := placement.Plan(current, placement.WithMissingMachines(machines, current, ledMS), s.settings.GroupSize(), nil)
 		s.proposePlacement(ctx, name, current, plan)
 	}
 }
@@ -85,7 +85,7 @@
 		if current == nil && !s.mayPlaceFirst(machines, size) {
 			continue
 		}
-		plan := placement.Plan(current, placement.WithForgotten(machines, current, ledMS), size, load)
+		plan := placement.Plan(current, placement.WithMissingMachines(machines, current, ledMS), size, load)
 		if current == nil {
 			countReplicas(load, plan)
 		}
@@ -112,8 +112,8 @@
 	return alive >= size && age > firstPlacementDelay || alive > 0 && age > maxFirstPlacementDelay
 }
 
-// withNodeNames returns the replicas with the names of their machines; founders know only each
-// other's addresses. A replica whose machine is unknown is named by its id.
+// withNodeNames returns the replicas with the names of their machines; bootstrap members know only
+// each other's addresses. A replica whose machine is unknown is named by its id.
 func withNodeNames(replicas []*rpc.Replica, machines []placement.Machine) (named []*rpc.Replica) {
 	for _, r := range replicas {
 		x := &rpc.Replica{Id: r.Id, Address: r.Address, Node: r.Node}
@@ -133,7 +133,7 @@
 // proposePlacement commits a plan that differs from the current placement. If it is not committed
 // in time, a later iteration proposes it again.
 func (s *Server) proposePlacement(ctx context.Context, group string, current, plan []*rpc.Replica) {
-	if len(plan) == 0 || placement.Same(current, plan) && s.directory.Placements()[group] != nil {
+	if len(plan) == 0 || placement.Equal(current, plan) && s.directory.Placements()[group] != nil {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, controlTimeout)
--- a/internal/scheduler/controlplane/retirements.go
+++ b/internal/scheduler/controlplane/retirements.go
@@ -102,7 +102,7 @@
 	case s.host.Now()-status.LeaderSince < minLeadTime.Milliseconds():
 		return &rpc.RetireResponse{Outcome: rpc.Outcome_UNAVAILABLE} // machines whose state has not been received yet would count as missing
 	}
-	refusal := RetireRefusal(r.Node, s.machines(settings.ServesStorage), s.jobPlacements(), s.settings.GroupSize())
+	refusal := CheckRetirement(r.Node, s.machines(settings.ServesStorage), s.jobPlacements(), s.settings.GroupSize())
 	if refusal != rpc.RetireState_RETIRE_NOT_ASKED {
 		return &rpc.RetireResponse{Outcome: rpc.Outcome_DONE, State: refusal}
 	}
@@ -117,10 +117,10 @@
 	return s.host.ProposeMessage(ctx, directory.Shard, command).Outcome
 }
 
-// RetireRefusal returns the reason why a storage machine must not be drained: it is unknown, or
+// CheckRetirement returns the reason why a storage machine must not be drained: it is unknown, or
 // fewer machines than the group size would remain. It returns RETIRE_NOT_ASKED if the request may
 // be accepted. It has no side effects.
-func RetireRefusal(node string, machines []placement.Machine, placements []*rpc.Placement, size int) rpc.RetireState {
+func CheckRetirement(node string, machines []placement.Machine, placements []*rpc.Placement, size int) rpc.RetireState {
 	known, remaining := false, 0
 	for _, m := range machines {
 		known = known || m.Node == node
@@ -203,5 +203,5 @@
 // those of the placement, this membership is committed, and each member has persisted the complete
 // log up to it. Any other machine then has no data that they lack. It has no side effects.
 func MatchesPlacement(g *rpc.GroupStatus, wanted *rpc.Placement) bool {
-	return g.Leads && g.Settled && g.HeldByAll && len(g.Membership.GetLearners()) == 0 && len(g.Membership.GetOutgoing()) == 0 && placement.Same(g.Membership.GetVoters(), wanted.Replicas)
+	return g.Leads && g.Settled && g.HeldByAll && len(g.Membership.GetLearners()) == 0 && len(g.Membership.GetOutgoing()) == 0 && placement.Equal(g.Membership.GetVoters(), wanted.Replicas)
 }
--- a/internal/scheduler/controlplane/retirements_test.go
+++ b/internal/scheduler/controlplane/retirements_test.go
@@ -18,7 +18,7 @@
 
 // A request to drain a machine is rejected if the machine is unknown or too few machines would
 // remain. Machines that are briefly down count as available: the rejection would be final.
-func TestRetireRefusal(t *testing.T) {
+func TestCheckRetirement(t *testing.T) {
 	failedFor := func(ms int64) placement.Machine { return placement.Machine{Node: "c", DeadMS: ms} }
 	for name, test := range map[string]struct {
 		node       string
@@ -37,7 +37,7 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			machines := []placement.Machine{{Node: "a", Alive: true}, {Node: "b", Alive: true}, test.third, {Node: "d", Alive: true}}
-			is.Equal(RetireRefusal(test.node, machines, test.placements, 3), test.want)
+			is.Equal(CheckRetirement(test.node, machines, test.placements, 3), test.want)
 		})
 	}
 }
--- a/internal/scheduler/controlplane/server.go
+++ b/internal/scheduler/controlplane/server.go
@@ -76,7 +76,7 @@
 
 // open determines the identity, and prepares the state machines and the host of the replicas.
 func (s *Server) open(ctx context.Context, options replica.Options) (err error) {
-	participatedBefore := func(founder string) bool { return s.participatedBefore(ctx, founder) }
+	participatedBefore := func(bootstrapMember string) bool { return s.participatedBefore(ctx, bootstrapMember) }
 	if s.identity, err = replica.LoadOrCreateIdentity(s.identities, s.settings, participatedBefore); err != nil {
 		return err
 	}
@@ -94,11 +94,11 @@
 	return err
 }
 
-// hasContact reports whether a message of a founder has ever arrived here. It returns true if the
-// disk cannot be read: a founder that is wrongly assumed to have lost its disk uses another id,
-// which is harmless.
-func (s *Server) hasContact(founder string) bool {
-	contacted, err := s.identities.HasContact(founder)
+// hasContact reports whether a message of a bootstrap member has ever arrived here. It returns true
+// if the disk cannot be read: a bootstrap member that is wrongly assumed to have lost its disk uses
+// another id, which is harmless.
+func (s *Server) hasContact(bootstrapMember string) bool {
+	contacted, err := s.identities.HasContact(bootstrapMember)
 	return contacted || err != nil
 }
 
@@ -148,7 +148,7 @@
 func (s *Server) transferLeadership(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), lifecycle.HandOverTimeout)
 	defer cancel()
-	s.host.HandOver(ctx)
+	s.host.TransferLeadership(ctx)
 }
 
 // shutdown closes the servers, waits for the tasks and stops the replicas.
@@ -172,7 +172,7 @@
 func (s *Server) newDispatcher(sh *shard) *weights.Dispatcher {
 	return &weights.Dispatcher{
 		Node: s.settings.NodeName, TakeOverDelay: settings.Milliseconds(s.settings.Bounds.TakeOverDelayMS),
-		Fenced: s.settings.Bounds.Fencing, Shard: sh, Wanted: s.directory.NamedVersions,
+		Fenced: s.settings.Bounds.Fencing, Shard: sh, Wanted: s.directory.LatestVersions,
 		Rules: weights.Rules{SingleVersion: s.singleVersion, MaxConcurrent: weights.ConcurrentLoads, Slots: s.slots}, Log: s.log,
 	}
 }
--- a/internal/scheduler/directory/directory.go
+++ b/internal/scheduler/directory/directory.go
@@ -132,8 +132,8 @@
 	return d.table
 }
 
-// NamedVersions returns the latest named version of each model's weights. The caller owns the map.
-func (d *Directory) NamedVersions() map[string]uint64 {
+// LatestVersions returns the latest named version of each model's weights. The caller owns the map.
+func (d *Directory) LatestVersions() map[string]uint64 {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
 	return maps.Clone(d.namedVersions)
--- a/internal/scheduler/directory/directory_test.go
+++ b/internal/scheduler/directory/directory_test.go
@@ -78,7 +78,7 @@
 	is.NoErr(err)
 	restored := newHarness()
 	is.NoErr(restored.Restore(h.index, state))
-	is.Equal(restored.NamedVersions()["m"], uint64(4))
+	is.Equal(restored.LatestVersions()["m"], uint64(4))
 	is.Equal(restored.Retirements()["n"], true)
 	is.Equal(len(restored.Placements()["g"].Replicas), 1)
 	single, known := restored.SingleVersionPolicy("m")
--- a/internal/scheduler/placement/placement.go
+++ b/internal/scheduler/placement/placement.go
@@ -72,11 +72,12 @@
 	return kept, replaceable
 }
 
-// WithForgotten returns machines and, in addition, the machines of replicas that are missing from
-// the membership view. These failed so long ago that the membership protocol no longer lists them,
-// or before this process joined it. They count as failed for listenedMS, the time in milliseconds
-// for which the caller has participated in the protocol. The argument machines is not modified.
-func WithForgotten(machines []Machine, replicas []*rpc.Replica, listenedMS int64) []Machine {
+// WithMissingMachines returns machines and, in addition, the machines of replicas that are missing
+// from the membership view. These failed so long ago that the membership protocol no longer lists
+// them, or before this process joined it. They count as failed for listenedMS, the time in
+// milliseconds for which the caller has participated in the protocol. The argument machines is not
+// modified.
+func WithMissingMachines(machines []Machine, replicas []*rpc.Replica, listenedMS int64) []Machine {
 	machines = slices.Clone(machines)
 	for _, replica := range replicas {
 		known := slices.ContainsFunc(machines, func(m Machine) bool { return m.Node == replica.Node })
@@ -106,8 +107,8 @@
 	return &best
 }
 
-// Same reports whether two plans contain the same replicas at the same addresses, in any order.
-func Same(a, b []*rpc.Replica) bool {
+// Equal reports whether two plans contain the same replicas at the same addresses, in any order.
+func Equal(a, b []*rpc.Replica) bool {
 	if len(a) != len(b) {
 		return false
 	}
--- a/internal/scheduler/placement/placement_test.go
+++ b/internal/scheduler/placement/placement_test.go
@@ -44,7 +44,7 @@
 	is := is.New(t)
 	all := machines(4, 4)
 	current := Plan(nil, all[:3], 3, nil)
-	is.True(Same(Plan(current, all, 3, nil), current))
+	is.True(Equal(Plan(current, all, 3, nil), current))
 
 	wiped := machines(4, 4)
 	wiped[1].Identity = "m1/2"
@@ -53,10 +53,10 @@
 
 	dead := machines(4, 4)
 	dead[1].Alive, dead[1].DeadMS = false, ReplaceAfterMS-1
-	is.True(Same(Plan(current, dead, 3, nil), current))
+	is.True(Equal(Plan(current, dead, 3, nil), current))
 	dead[1].DeadMS = ReplaceAfterMS
 	is.Equal(nodes(Plan(current, dead, 3, nil))["m3"], "m3/1")
-	is.True(Same(Plan(current, dead[:3], 3, nil), current))
+	is.True(Equal(Plan(current, dead[:3], 3, nil), current))
 
 	retiring := machines(4, 4)
 	retiring[0].Retiring = true
@@ -70,9 +70,9 @@
 	is := is.New(t)
 	current := []*rpc.Replica{{Id: "a1", Address: "a", Node: "a"}, {Id: "b1", Address: "b", Node: "b"}, {Id: "x1", Address: "x", Node: "x"}}
 	machines := []Machine{{Node: "a", Identity: "a1", Address: "a", Alive: true}, {Node: "b", Identity: "b1", Address: "b", Alive: true}, {Node: "c", Identity: "c1", Address: "c", Alive: true}}
-	soon := Plan(current, WithForgotten(machines, current, ReplaceAfterMS-1), 3, nil)
-	is.True(Same(soon, current))
-	later := Plan(current, WithForgotten(machines, current, ReplaceAfterMS), 3, nil)
+	soon := Plan(current, WithMissingMachines(machines, current, ReplaceAfterMS-1), 3, nil)
+	is.True(Equal(soon, current))
+	later := Plan(current, WithMissingMachines(machines, current, ReplaceAfterMS), 3, nil)
 	is.Equal(later[2].Node, "c")
-	is.True(Same(Plan(current, WithForgotten(machines[:2], current, ReplaceAfterMS), 3, nil), current)) // no machine is free
+	is.True(Equal(Plan(current, WithMissingMachines(machines[:2], current, ReplaceAfterMS), 3, nil), current)) // no machine is free
 }
--- a/internal/scheduler/replica/config.go
+++ b/internal/scheduler/replica/config.go
@@ -68,10 +68,11 @@
 	Send   func(address string, messages []*rpc.Message)
 	Log    *slog.Logger
 	Random *rand.Rand // for election timeouts; nil: randomly seeded
-	// FirstContact is called before the first message received from a founder since the process
-	// started is processed; nil: not called. After an error the message is dropped. The contact it
-	// records allows a founder that has lost its disk to detect that it took part before.
-	FirstContact func(founder string) error
+	// FirstContact is called before the first message received from a bootstrap member since the
+	// process started is processed; nil: not called. After an error the message is dropped. The
+	// contact it records allows a bootstrap member that has lost its disk to detect that it took
+	// part before.
+	FirstContact func(bootstrapMember string) error
 	// Options may be the zero value.
 	Options Options
 	// Changed is called when a group's leader or applied index has changed; nil: not called. It
--- a/internal/scheduler/replica/engine.go
+++ b/internal/scheduler/replica/engine.go
@@ -19,7 +19,7 @@
 	groups    map[string]*group
 	names     []string                  // of the groups, sorted: the iteration order, so that simulations are deterministic
 	addresses map[string]string         // of replicas by id
-	contacts  map[string]bool           // founders whose first contact is recorded
+	contacts  map[string]bool           // bootstrap members whose first contact is recorded
 	creations []groupCreation           // requested by CreateGroup, in order
 	wanted    map[string]*rpc.Placement // the latest placement of each group, including groups without a replica here
 	pending   *readyBatch               // not persisted yet, so neither sent nor applied; nil: none
@@ -32,7 +32,7 @@
 // Counts are the numbers of snapshots that an Engine has created, and received from leaders, since
 // it was started.
 type Counts struct {
-	SnapshotsMade, SnapshotsReceived int
+	SnapshotsCreated, SnapshotsReceived int
 }
 
 // group is this process's replica of one group.
@@ -155,14 +155,14 @@
 	}
 }
 
-// recordContact records the first contact with a founder before any of its votes and
+// recordContact records the first contact with a bootstrap member before any of its votes and
 // acknowledgements takes effect here. It returns false if that failed: the message counts as lost.
 func (e *Engine) recordContact(from string) bool {
-	if e.cfg.FirstContact == nil || !IsFounder(from) || e.contacts[from] {
+	if e.cfg.FirstContact == nil || !IsBootstrapMember(from) || e.contacts[from] {
 		return true
 	}
 	if err := e.cfg.FirstContact(from); err != nil {
-		e.cfg.Log.Error("failed to record first contact with founder", "error", err)
+		e.cfg.Log.Error("failed to record first contact with bootstrap member", "error", err)
 		return false
 	}
 	e.contacts[from] = true
--- a/internal/scheduler/replica/groups.go
+++ b/internal/scheduler/replica/groups.go
@@ -58,11 +58,11 @@
 	return e.groups[m.Group]
 }
 
-// SetWanted sets the voters that a group should have. Its leader changes the membership
+// SetPlacement sets the voters that a group should have. Its leader changes the membership
 // accordingly, one replica at a time. A placement older than the latest one set is ignored. A
 // placement of a group that this process does not have is retained until the process joins the
 // group: it may become the leader, and the placement is announced only once.
-func (e *Engine) SetWanted(wanted *rpc.Placement) {
+func (e *Engine) SetPlacement(wanted *rpc.Placement) {
 	if known := e.wanted[wanted.Group]; known != nil && wanted.Revision < known.Revision {
 		return
 	}
@@ -106,10 +106,11 @@
 	return true
 }
 
-// HandOver transfers the leadership of all groups that this replica leads to other voters, because
-// its process is shutting down. It returns the number of groups that it still leads; the caller
-// repeats the call until that is 0. A group whose other voters do not reply keeps this leader.
-func (e *Engine) HandOver() (leading int) {
+// TransferLeadership transfers the leadership of all groups that this replica leads to other
+// voters, because its process is shutting down. It returns the number of groups that it still
+// leads; the caller repeats the call until that is 0. A group whose other voters do not reply keeps
+// this leader.
+func (e *Engine) TransferLeadership() (leading int) {
 	if e.Stalled() || e.err != nil {
 		return 0 // the leases expire
 	}
--- a/internal/scheduler/replica/host.go
+++ b/internal/scheduler/replica/host.go
@@ -14,9 +14,9 @@
 const (
 	// inputQueueLength is the maximum number of calls and messages waiting for the engine.
 	inputQueueLength = 4096
-	// handOverInterval is the polling interval at which HandOver checks whether a transfer is
-	// complete.
-	handOverInterval = 5 * time.Millisecond
+	// transferPollInterval is the polling interval at which TransferLeadership checks whether a
+	// transfer is complete.
+	transferPollInterval = 5 * time.Millisecond
 	// clockStartMS is the first value of a host's clock.
 	clockStartMS = 1_000_000
 	// batchWindow is how long a host with Options.BatchCalls collects calls and messages. It is
@@ -77,10 +77,10 @@
 	h.enqueue(func(int64) { h.engine.CreateGroup(name, initialVoters) })
 }
 
-// SetWanted sets the voters that a group should have. Its leader changes the membership
+// SetPlacement sets the voters that a group should have. Its leader changes the membership
 // accordingly, one replica at a time.
-func (h *Host) SetWanted(wanted *rpc.Placement) {
-	h.enqueue(func(int64) { h.engine.SetWanted(wanted) })
+func (h *Host) SetPlacement(wanted *rpc.Placement) {
+	h.enqueue(func(int64) { h.engine.SetPlacement(wanted) })
 }
 
 // Step passes messages of other replicas to the engine. It does not block: if the queue is full the
@@ -178,13 +178,13 @@
 	}
 }
 
-// HandOver transfers the leadership of all groups that this process leads to other processes,
-// because it is shutting down. It returns when no transferable leadership remains, or when ctx
-// ends. The host must be running.
-func (h *Host) HandOver(ctx context.Context) {
+// TransferLeadership transfers the leadership of all groups that this process leads to other
+// processes, because it is shutting down. It returns when no transferable leadership remains, or
+// when ctx ends. The host must be running.
+func (h *Host) TransferLeadership(ctx context.Context) {
 	for ctx.Err() == nil {
 		leading := make(chan int, 1)
-		h.enqueue(func(int64) { leading <- h.engine.HandOver() })
+		h.enqueue(func(int64) { leading <- h.engine.TransferLeadership() })
 		select {
 		case n := <-leading:
 			if n == 0 {
@@ -196,7 +196,7 @@
 			return
 		}
 		select {
-		case <-time.After(handOverInterval):
+		case <-time.After(transferPollInterval):
 		case <-ctx.Done():
 		}
 	}
--- a/internal/scheduler/replica/host_test.go
+++ b/internal/scheduler/replica/host_test.go
@@ -164,7 +164,7 @@
 	}
 	n.start(t, "d", machines["d"], options) // replaces c
 	for _, host := range hosts {
-		host.SetWanted(&rpc.Placement{Group: "g", Replicas: []*rpc.Replica{replicas[0], replicas[1], replicas[3]}, Revision: 1})
+		host.SetPlacement(&rpc.Placement{Group: "g", Replicas: []*rpc.Replica{replicas[0], replicas[1], replicas[3]}, Revision: 1})
 	}
 	for len(machines["d"].distinct()) < commands {
 		select {
@@ -276,7 +276,7 @@
 
 // A process that is shutting down transfers its leadership. Before it sends the message that starts
 // the election, readers of its status no longer see the lease.
-func TestHost_HandOver(t *testing.T) {
+func TestHost_TransferLeadership(t *testing.T) {
 	is := is.New(t)
 	n := &network{hosts: map[string]*Host{}}
 	var initialVoters []*rpc.Replica
@@ -308,7 +308,7 @@
 			if !host.Status("g").Leader {
 				continue
 			}
-			host.HandOver(ctx)
+			host.TransferLeadership(ctx)
 			select {
 			case hadLease := <-leases:
 				is.True(!hadLease)
@@ -334,8 +334,8 @@
 	}, 0)
 	is.NoErr(err)
 	own, next := &rpc.Replica{Id: "d", Address: "d"}, &rpc.Replica{Id: "e", Address: "e"}
-	engine.SetWanted(&rpc.Placement{Group: "g", Replicas: []*rpc.Replica{own, next}, Revision: 7})
-	engine.SetWanted(&rpc.Placement{Group: "g", Replicas: []*rpc.Replica{own}, Revision: 6}) // out of order
+	engine.SetPlacement(&rpc.Placement{Group: "g", Replicas: []*rpc.Replica{own, next}, Revision: 7})
+	engine.SetPlacement(&rpc.Placement{Group: "g", Replicas: []*rpc.Replica{own}, Revision: 6}) // out of order
 	engine.Step(10, []*rpc.Message{{
 		Kind: rpc.MessageKind_SNAPSHOT, Group: "g", From: "a", FromAddress: "a", To: "d", Epoch: 5,
 		Snapshot: &rpc.Snapshot{Index: 3, Epoch: 4, Membership: &rpc.Membership{Voters: []*rpc.Replica{own}}},
--- a/internal/scheduler/replica/identity.go
+++ b/internal/scheduler/replica/identity.go
@@ -8,26 +8,26 @@
 	"strings"
 )
 
-// founderPrefix is the prefix of the ids of founders.
-const founderPrefix = "founder-"
+// bootstrapMemberPrefix is the prefix of the ids of bootstrap members.
+const bootstrapMemberPrefix = "founder-"
 
 // idBytes is the number of random bytes in a replica's id.
 const idBytes = 8
 
-// FounderID returns the id of a founder: a replica that is an initial member of the control plane's
-// groups at the first start of the system. Founders know each other only by the seed addresses, so
-// the id is derived from them.
-func FounderID(seed string) string { return founderPrefix + seed }
+// BootstrapMemberID returns the id of a bootstrap member: a replica that is an initial member of
+// the control plane's groups at the first start of the system. Bootstrap members know each other
+// only by the seed addresses, so the id is derived from them.
+func BootstrapMemberID(seed string) string { return bootstrapMemberPrefix + seed }
 
-// IsFounder reports whether an id is that of a founder.
-func IsFounder(id string) bool { return strings.HasPrefix(id, founderPrefix) }
+// IsBootstrapMember reports whether an id is that of a bootstrap member.
+func IsBootstrapMember(id string) bool { return strings.HasPrefix(id, bootstrapMemberPrefix) }
 
 // LoadOrCreateIdentity returns the identity of a process's replicas. Their id is bound to the disk.
 // An empty disk is assigned a new random id, under which no other replica has received a vote or an
-// acknowledgement. Only with the setting bootstrap does a seed use its founder id, and only if
-// participatedBefore reports that it has not taken part in the groups under that id before. A role
-// without founders may pass nil.
-func LoadOrCreateIdentity(identities *IdentityStore, s *settings.Settings, participatedBefore func(founder string) bool) (Identity, error) {
+// acknowledgement. Only with the setting bootstrap does a seed use its bootstrap member id, and
+// only if participatedBefore reports that it has not taken part in the groups under that id before.
+// A role without bootstrap members may pass nil.
+func LoadOrCreateIdentity(identities *IdentityStore, s *settings.Settings, participatedBefore func(bootstrapMember string) bool) (Identity, error) {
 	id, err := identities.Identity()
 	if err != nil {
 		return Identity{}, err
@@ -35,8 +35,8 @@
 	if id == "" {
 		id = newID()
 		founds := s.Bootstrap && s.Listen.ControlPlane != "" && slices.Contains(s.Seeds, s.Listen.ControlPlane)
-		if founder := FounderID(s.Listen.ControlPlane); founds && participatedBefore != nil && !participatedBefore(founder) {
-			id = founder
+		if bootstrapMember := BootstrapMemberID(s.Listen.ControlPlane); founds && participatedBefore != nil && !participatedBefore(bootstrapMember) {
+			id = bootstrapMember
 		}
 		if err := identities.SetIdentity(id); err != nil {
 			return Identity{}, err
--- a/internal/scheduler/replica/identity_store.go
+++ b/internal/scheduler/replica/identity_store.go
@@ -12,7 +12,7 @@
 const (
 	identityFileName = "facts.db"
 	identityKey      = "identity"
-	contactKeyPrefix = "met:" // key prefix of the ids of founders that have sent a message
+	contactKeyPrefix = "met:" // key prefix of the ids of bootstrap members that have sent a message
 )
 
 // IdentityStore stores the id that is bound to a disk. It is separate from the Store, so that the
@@ -54,22 +54,22 @@
 	return id, err
 }
 
-// RecordContact records that a message of a founder has arrived. The record is durable when
-// RecordContact returns without an error. A known founder causes no write.
-func (s *IdentityStore) RecordContact(founder string) error {
-	if contacted, err := s.HasContact(founder); contacted || err != nil {
+// RecordContact records that a message of a bootstrap member has arrived. The record is durable
+// when RecordContact returns without an error. A known bootstrap member causes no write.
+func (s *IdentityStore) RecordContact(bootstrapMember string) error {
+	if contacted, err := s.HasContact(bootstrapMember); contacted || err != nil {
 		return err
 	}
 	return s.db.Update(func(tx *buntdb.Tx) error {
-		_, _, err := tx.Set(contactKeyPrefix+founder, "1", nil)
+		_, _, err := tx.Set(contactKeyPrefix+bootstrapMember, "1", nil)
 		return err
 	})
 }
 
-// HasContact reports whether a message of a founder has been recorded.
-func (s *IdentityStore) HasContact(founder string) (contacted bool, err error) {
+// HasContact reports whether a message of a bootstrap member has been recorded.
+func (s *IdentityStore) HasContact(bootstrapMember string) (contacted bool, err error) {
 	err = s.db.View(func(tx *buntdb.Tx) error {
-		_, err := tx.Get(contactKeyPrefix + founder)
+		_, err := tx.Get(contactKeyPrefix + bootstrapMember)
 		if errors.Is(err, buntdb.ErrNotFound) {
 			return nil
 		}
--- a/internal/scheduler/replica/service.go
+++ b/internal/scheduler/replica/service.go
@@ -14,9 +14,9 @@
 // methods never return an error.
 type Service struct {
 	Host *Host
-	// HasContact reports whether a message of a founder has ever arrived here; nil: contacts are
-	// not recorded.
-	HasContact func(founder string) bool
+	// HasContact reports whether a message of a bootstrap member has ever arrived here; nil:
+	// contacts are not recorded.
+	HasContact func(bootstrapMember string) bool
 }
 
 // Step passes messages to the host. It returns before they are processed.
--- a/internal/scheduler/replica/snapshots.go
+++ b/internal/scheduler/replica/snapshots.go
@@ -146,6 +146,6 @@
 	}
 	g.core.Compact(snapshot)
 	g.logBytes = max(0, g.logBytes-writer.logBytes)
-	e.counts.SnapshotsMade++
+	e.counts.SnapshotsCreated++
 	e.cfg.Log.Info("snapshot created", "group", g.name, "index", snapshot.Index, "chunks", snapshot.Pieces)
 }
--- a/internal/scheduler/replica/status.go
+++ b/internal/scheduler/replica/status.go
@@ -36,9 +36,9 @@
 	return s.Leader && s.Ready && now-s.QuorumContactAt < leaseMS
 }
 
-// InTouch reports whether this replica leads under its lease, or had every entry committed
+// IsCurrent reports whether this replica leads under its lease, or had every entry committed
 // according to its leader within the given time.
-func (s *Status) InTouch(now, within int64) bool {
+func (s *Status) IsCurrent(now, within int64) bool {
 	return s.HasLease(now) || !s.Leader && s.LeaderID != "" && now-s.CaughtUpAt < within
 }
 
--- a/internal/scheduler/simulation/checks.go
+++ b/internal/scheduler/simulation/checks.go
@@ -66,7 +66,7 @@
 	for _, group := range allGroups() {
 		status := w.leader(group).engine.Status(group)
 		voters := status.Membership.GetVoters()
-		if !placement.Same(voters, placements[group].GetReplicas()) || len(voters) != w.groupSize() {
+		if !placement.Equal(voters, placements[group].GetReplicas()) || len(voters) != w.groupSize() {
 			w.reportViolation(Stuck, "%s has not the members that it should have: %s", group, w.describe(group))
 			return
 		}
@@ -107,7 +107,7 @@
 // linearizable, and the leaders have all acknowledged changes.
 func (w *world) checkEnd() {
 	if err := w.history.check(); err != nil {
-		w.reportViolation(TwoWinners, "%v", err)
+		w.reportViolation(ConflictingOrders, "%v", err)
 		return
 	}
 	w.checkLeaders()
@@ -119,8 +119,8 @@
 		w.reportViolation(Lost, "configuration %d was acknowledged, %d is in force", newest, leader.directory.Table().Version)
 	}
 	for name, version := range w.versions {
-		if leader.directory.NamedVersions()[name] < version {
-			w.reportViolation(Lost, "version %d of %s was acknowledged, %d is known", version, name, leader.directory.NamedVersions()[name])
+		if leader.directory.LatestVersions()[name] < version {
+			w.reportViolation(Lost, "version %d of %s was acknowledged, %d is known", version, name, leader.directory.LatestVersions()[name])
 		}
 	}
 	for _, id := range slices.Sorted(maps.Keys(w.jobs)) {
@@ -154,7 +154,7 @@
 		return
 	}
 	c := m.engine.Counts()
-	w.report.SnapshotsMade += c.SnapshotsMade
+	w.report.SnapshotsMade += c.SnapshotsCreated
 	w.report.SnapshotsReceived += c.SnapshotsReceived
 }
 
--- a/internal/scheduler/simulation/control.go
+++ b/internal/scheduler/simulation/control.go
@@ -31,7 +31,7 @@
 	placements := m.directory.Placements()
 	for _, group := range slices.Sorted(maps.Keys(placements)) {
 		if m.stateMachineOf(group) != nil {
-			m.engine.SetWanted(placements[group])
+			m.engine.SetPlacement(placements[group])
 		}
 	}
 	for _, shard := range slices.Sorted(maps.Keys(m.heartbeatHandlers)) {
@@ -57,13 +57,13 @@
 		if current == nil {
 			current = status.Membership.GetVoters()
 		}
-		machines := placement.WithForgotten(m.visibleMachines(controllerKind), current, listenedMS)
+		machines := placement.WithMissingMachines(m.visibleMachines(controllerKind), current, listenedMS)
 		m.updatePlacement(&rpc.Placement{Group: group, Replicas: current}, machines)
 	}
 	for n := range jobShards {
 		group := batchjobs.ShardName(n)
 		current := placements[group].GetReplicas()
-		machines := placement.WithForgotten(m.visibleMachines(storageKind), current, listenedMS)
+		machines := placement.WithMissingMachines(m.visibleMachines(storageKind), current, listenedMS)
 		m.updatePlacement(&rpc.Placement{Group: group, Replicas: current, Founding: current == nil}, machines)
 	}
 }
@@ -79,7 +79,7 @@
 		hideLostDisks(machines, current.Replicas)
 	}
 	plan := placement.Plan(current.Replicas, machines, size, nil)
-	if len(plan) == 0 || placement.Same(current.Replicas, plan) && m.directory.Placements()[current.Group] != nil {
+	if len(plan) == 0 || placement.Equal(current.Replicas, plan) && m.directory.Placements()[current.Group] != nil {
 		return
 	}
 	m.world.trace("%s wants %s on %v", m.name, current.Group, plan)
@@ -169,7 +169,7 @@
 		m.engine.CreateGroup(wanted.Group, wanted.Replicas)
 	}
 	m.engine.Tick(m.world.now) // the group must exist before its wanted members are set
-	m.engine.SetWanted(wanted)
+	m.engine.SetPlacement(wanted)
 	m.nextTickAt = 0
 }
 
@@ -201,7 +201,7 @@
 func (m *machine) plannedOrders(shard string) []weights.Order {
 	present := m.heartbeatHandlers[shard].ResponsiveInstances(m.world.now)
 	slices.SortFunc(present, func(a, b *rpc.Instance) int { return cmp.Compare(a.Id, b.Id) })
-	orders := weights.Plan(present, m.directory.NamedVersions(), nil, &weights.Rules{
+	orders := weights.Plan(present, m.directory.LatestVersions(), nil, &weights.Rules{
 		SingleVersion: func(string) bool { return false },
 		MaxConcurrent: func(n int) int { return n },
 		Slots:         func(string) float64 { return workerSlots },
--- a/internal/scheduler/simulation/controllers.go
+++ b/internal/scheduler/simulation/controllers.go
@@ -116,7 +116,7 @@
 			placements = append(placements, p)
 		}
 	}
-	switch controlplane.RetireRefusal(node, m.visibleMachines(storageKind), placements, m.world.groupSize()) {
+	switch controlplane.CheckRetirement(node, m.visibleMachines(storageKind), placements, m.world.groupSize()) {
 	case rpc.RetireState_RETIRE_NO_SUCH_MACHINE:
 		answer(http.StatusNotFound)
 		return
--- a/internal/scheduler/simulation/faults.go
+++ b/internal/scheduler/simulation/faults.go
@@ -205,7 +205,7 @@
 // stopGracefully makes a machine transfer its leaderships before its process ends, as after a SIGTERM.
 // The process may end before the transfers are complete.
 func (w *world) stopGracefully(m *machine) {
-	if m.engine.HandOver() > 0 {
+	if m.engine.TransferLeadership() > 0 {
 		w.report.HandOvers++
 	}
 	stopsAt := w.now + w.randomBetween(tickMS, handOverMS)
--- a/internal/scheduler/simulation/histories_test.go
+++ b/internal/scheduler/simulation/histories_test.go
@@ -11,7 +11,7 @@
 // violation.
 func runTraced(seed uint64, bug Bug) string {
 	var text strings.Builder
-	options := Seeded(seed, bug)
+	options := OptionsForSeed(seed, bug)
 	options.Trace = func(format string, values ...any) { fmt.Fprintf(&text, format+"\n", values...) }
 	report, err := Play(options)
 	fmt.Fprintf(&text, "%v\n%v\n", report, err)
--- a/internal/scheduler/simulation/operators.go
+++ b/internal/scheduler/simulation/operators.go
@@ -118,7 +118,7 @@
 	order.acknowledged = true
 	w.report.Orders++
 	if other, taken := w.acknowledgedOrders[order.version]; taken && other != order.name {
-		w.reportViolation(TwoWinners, "%s and %s were both acknowledged under %d", other, order.name, order.version)
+		w.reportViolation(ConflictingOrders, "%s and %s were both acknowledged under %d", other, order.name, order.version)
 	}
 	w.acknowledgedOrders[order.version] = order.name
 	w.history.end(order.name, w.now, accepted)
--- a/internal/scheduler/simulation/options.go
+++ b/internal/scheduler/simulation/options.go
@@ -60,8 +60,9 @@
 	Trace     func(format string, values ...any) // called for each event; may be nil
 }
 
-// Seeded returns the options of the history of a seed. Tolerance and Fencing depend on the seed.
-func Seeded(seed uint64, bug Bug) Options {
+// OptionsForSeed returns the options of the history of a seed. Tolerance and Fencing depend on the
+// seed.
+func OptionsForSeed(seed uint64, bug Bug) Options {
 	o := Options{Seed: seed, Tolerance: 1, Fencing: seed%2 == 0, Phases: 5, Bug: bug}
 	if seed%6 == 0 {
 		o.Tolerance = 2
@@ -120,15 +121,15 @@
 
 // The rules, each with its violations.
 const (
-	Lost        Rule = "lost"         // an acknowledged change is lost, or replicas differ
-	Refused     Rule = "refused"      // an order that was acknowledged, or must be accepted, is refused
-	TwoWinners  Rule = "two_winners"  // two orders were acknowledged for one version, or the history is not linearizable
-	TwoHolders  Rule = "two_holders"  // two processes sent orders under one epoch, or less than a lease apart
-	Regressed   Rule = "back"         // an older state followed a newer one, or a gatherer in touch acts on an outdated one
-	WrongCaller Rule = "wrong_caller" // a call got the answer to another call
-	Duplicated  Rule = "twice"        // a call that is not idempotent ran twice, or an item has two positions
-	OverBudget  Rule = "over_budget"  // an item is granted after its last allowed failure, or abandoned before it
-	Stuck       Rule = "stuck"        // no leader, missing members, or an unfinished job or retirement too long after a fault
+	Lost                   Rule = "lost"         // an acknowledged change is lost, or replicas differ
+	Refused                Rule = "refused"      // an order that was acknowledged, or must be accepted, is refused
+	ConflictingOrders      Rule = "two_winners"  // two orders were acknowledged for one version, or the history is not linearizable
+	ConflictingDispatchers Rule = "two_holders"  // two processes sent orders under one epoch, or less than a lease apart
+	Regressed              Rule = "back"         // an older state followed a newer one, or a gatherer in touch acts on an outdated one
+	WrongCaller            Rule = "wrong_caller" // a call got the answer to another call
+	Duplicated             Rule = "twice"        // a call that is not idempotent ran twice, or an item has two positions
+	OverBudget             Rule = "over_budget"  // an item is granted after its last allowed failure, or abandoned before it
+	Stuck                  Rule = "stuck"        // no leader, missing members, or an unfinished job or retirement too long after a fault
 )
 
 // ViolationError reports the violation of a rule.
--- a/internal/scheduler/simulation/proof_test.go
+++ b/internal/scheduler/simulation/proof_test.go
@@ -61,7 +61,7 @@
 	}
 	t.Logf("%+v", total)
 	t.Logf("proof: seeds=%d lost=%d refused=%d twice=%d two_winners=%d two_holders=%d back=%d wrong_caller=%d over_budget=%d stuck=%d snapshots=%d installed=%d bugs_caught=%d/%d", seeds(),
-		broken[Lost], broken[Refused], broken[Duplicated], broken[TwoWinners], broken[TwoHolders], broken[Regressed], broken[WrongCaller], broken[OverBudget], broken[Stuck],
+		broken[Lost], broken[Refused], broken[Duplicated], broken[ConflictingOrders], broken[ConflictingDispatchers], broken[Regressed], broken[WrongCaller], broken[OverBudget], broken[Stuck],
 		total.SnapshotsMade, total.SnapshotsReceived, detected, len(Bugs)+len(consensusmodel.Bugs))
 	is.True(total.Orders > 0 && total.Repeated > 0 && total.Jobs > 0 && total.Calls > 0 && total.SnapshotsReceived > 0)
 	is.True(total.Wipes > 0 && total.Cuts > 0 && total.Halves > 0 && total.Overlaps > 0 && total.Replacements > 0 && total.Retirements > 0 && total.ClockStep > 0)
@@ -85,7 +85,7 @@
 	if err != nil {
 		t.Skip("SAFFRONQUAY_SEED is not set")
 	}
-	o := Seeded(seed, Bug(os.Getenv("SAFFRONQUAY_BUG")))
+	o := OptionsForSeed(seed, Bug(os.Getenv("SAFFRONQUAY_BUG")))
 	o.Trace = func(format string, values ...any) { fmt.Printf(format+"\n", values...) }
 	report, err := Play(o)
 	t.Logf("%+v %v", report, err)
@@ -111,8 +111,8 @@
 // TestPlay_Deterministic runs histories twice: the same seed must give the same history.
 func TestPlay_Deterministic(t *testing.T) {
 	for seed := uint64(1); seed <= 3; seed++ {
-		first, err := Play(Seeded(seed, NoBug))
-		again, errAgain := Play(Seeded(seed, NoBug))
+		first, err := Play(OptionsForSeed(seed, NoBug))
+		again, errAgain := Play(OptionsForSeed(seed, NoBug))
 		if first != again || fmt.Sprint(err) != fmt.Sprint(errAgain) {
 			t.Errorf("seed %d: %+v %v, then %+v %v", seed, first, err, again, errAgain)
 		}
--- a/internal/scheduler/simulation/replication.go
+++ b/internal/scheduler/simulation/replication.go
@@ -169,7 +169,7 @@
 	if m.world.bug(CountContactOnly) && !status.Leader && status.LeaderID != "" && m.world.now-status.LeaderContactAt < withinMS {
 		return true
 	}
-	return status.InTouch(m.world.now, withinMS)
+	return status.IsCurrent(m.world.now, withinMS)
 }
 
 // isFresh reports whether this controller is in touch with the leaders of all its groups, so that
--- a/internal/scheduler/simulation/scan.go
+++ b/internal/scheduler/simulation/scan.go
@@ -31,7 +31,7 @@
 				if seed >= first+count {
 					return
 				}
-				report, err := Play(Seeded(seed, bug))
+				report, err := Play(OptionsForSeed(seed, bug))
 				mu.Lock()
 				if !stopped.Load() && !visit(Result{seed, report, err}) {
 					stopped.Store(true)
--- a/internal/scheduler/simulation/workers.go
+++ b/internal/scheduler/simulation/workers.go
@@ -153,12 +153,12 @@
 		w.checkDispatcher(shard, epoch, holder)
 		if epoch < k.epoch {
 			if !w.options.Fencing && sentAt-k.orderedAt < dispatchLeaseMS && from.name != k.orderedBy {
-				w.reportViolation(TwoHolders, "%s was ordered by %s under %d, then by %s under %d", k.id, k.orderedBy, k.epoch, from.name, epoch)
+				w.reportViolation(ConflictingDispatchers, "%s was ordered by %s under %d, then by %s under %d", k.id, k.orderedBy, k.epoch, from.name, epoch)
 			}
 			return
 		}
 		if !w.options.Fencing && k.orderedBy != "" && k.orderedBy != from.name && w.now-k.orderedAt < dispatchLeaseMS-clockToleranceMS {
-			w.reportViolation(TwoHolders, "%s was ordered by %s and %d ms later by %s", k.id, k.orderedBy, w.now-k.orderedAt, from.name)
+			w.reportViolation(ConflictingDispatchers, "%s was ordered by %s and %d ms later by %s", k.id, k.orderedBy, w.now-k.orderedAt, from.name)
 		}
 		k.epoch, k.orderedBy, k.orderedAt = epoch, from.name, w.now
 		k.version = max(k.version, version)
@@ -172,7 +172,7 @@
 		w.dispatchers[shard] = map[uint64]string{}
 	}
 	if other, ok := w.dispatchers[shard][epoch]; ok && other != holder {
-		w.reportViolation(TwoHolders, "%s and %s sent orders of %s under the fence %d", other, holder, shard, epoch)
+		w.reportViolation(ConflictingDispatchers, "%s and %s sent orders of %s under the fence %d", other, holder, shard, epoch)
 	}
 	w.dispatchers[shard][epoch] = holder
 }
--- a/internal/scheduler/storage/placements.go
+++ b/internal/scheduler/storage/placements.go
@@ -18,6 +18,6 @@
 		if p.Founding && included {
 			s.host.CreateGroup(p.Group, p.Replicas)
 		}
-		s.host.SetWanted(p)
+		s.host.SetPlacement(p)
 	}
 }
--- a/internal/scheduler/storage/server.go
+++ b/internal/scheduler/storage/server.go
@@ -71,7 +71,7 @@
 func (s *Server) open(store *replica.Store, options replica.Options) (err error) {
 	current := s.source.Current()
 	s.service = &batchjobs.Service{
-		Log: s.log, KeepResults: settings.Seconds(current.Bounds.StatusIntervalS + resultSlackS), Demand: s.reportDemand,
+		Log: s.log, KeepResults: settings.Seconds(current.Bounds.StatusIntervalS + resultSlackS), OnDemand: s.reportDemand,
 	}
 	options.SnapshotBytes = cmp.Or(options.SnapshotBytes, current.Limits.DiskMB<<20/logsPerDisk)
 	options.BatchCalls = current.FeatureGates.BatchedWrites
@@ -110,17 +110,17 @@
 	case <-s.host.Done():
 	}
 	s.log.Info("stopping")
-	s.handOver(ctx)
+	s.transferLeadership(ctx)
 	stop()
 	return s.shutdown(context.WithoutCancel(ctx), server)
 }
 
-// handOver transfers the leadership of all groups to other processes, so that none of the groups has to
-// wait for an election. Calls are served meanwhile.
-func (s *Server) handOver(ctx context.Context) {
+// transferLeadership transfers the leadership of all groups to other processes, so that none of the
+// groups has to wait for an election. Calls are served meanwhile.
+func (s *Server) transferLeadership(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), lifecycle.HandOverTimeout)
 	defer cancel()
-	s.host.HandOver(ctx)
+	s.host.TransferLeadership(ctx)
 }
 
 // shutdown closes the server, waits for the tasks and stops the replicas.
--- a/internal/scheduler/transport/dial.go
+++ b/internal/scheduler/transport/dial.go
@@ -26,10 +26,10 @@
 
 // Dial opens a connection over IPv4, within DialTimeout. The connection fails if its peer does not
 // acknowledge sent bytes for 1.5 s; an idle connection is not probed.
-func Dial(address string) (net.Conn, error) { return DialWithin(address, DialTimeout) }
+func Dial(address string) (net.Conn, error) { return DialWithTimeout(address, DialTimeout) }
 
-// DialWithin is Dial with the given timeout instead of DialTimeout.
-func DialWithin(address string, timeout time.Duration) (net.Conn, error) {
+// DialWithTimeout is Dial with the given timeout instead of DialTimeout.
+func DialWithTimeout(address string, timeout time.Duration) (net.Conn, error) {
 	dialer := net.Dialer{Timeout: timeout, KeepAlive: -1, Control: setUserTimeout}
 	return dialer.Dial("tcp4", address)
 }
--- a/internal/scheduler/weights/dispatcher.go
+++ b/internal/scheduler/weights/dispatcher.go
@@ -84,7 +84,7 @@
 // Run sends orders while this process owns the shard, until ctx ends. It returns after the orders
 // in flight have ended, which takes at most one request to a worker and one query.
 func (d *Dispatcher) Run(ctx context.Context) {
-	d.inFlight, d.loadTimes = map[string]string{}, map[Mode]*loadTime{Wait: {}, Retain: {}}
+	d.inFlight, d.loadTimes = map[string]string{}, map[Mode]*loadTime{ModeWait: {}, ModeRetain: {}}
 	d.client = newWorkerClient()
 	defer d.orders.Wait()
 	ticker := time.NewTicker(planInterval)
--- a/internal/scheduler/weights/dispatcher_test.go
+++ b/internal/scheduler/weights/dispatcher_test.go
@@ -136,7 +136,7 @@
 	case <-ctx.Done():
 		t.Fatal("the dispatcher did not record the version within 20 s")
 	}
-	is.Equal(<-orders, orderBody{Operation: "version", Model: "m", Version: 2, Mode: Retain, Holder: "a", Epoch: 7})
+	is.Equal(<-orders, orderBody{Operation: "version", Model: "m", Version: 2, Mode: ModeRetain, Holder: "a", Epoch: 7})
 	is.Equal(shard.holderEpoch(), uint64(7))
 	cancel()
 	<-ended
@@ -165,7 +165,7 @@
 	d := &Dispatcher{
 		Node: "a", Shard: shard, Wanted: func() map[string]uint64 { return map[string]uint64{"m": 2} }, Log: slog.New(slog.DiscardHandler),
 		Rules:    Rules{SingleVersion: func(string) bool { return false }, MaxConcurrent: ConcurrentLoads, Slots: func(string) float64 { return 1 }},
-		inFlight: map[string]string{}, loadTimes: map[Mode]*loadTime{Wait: {}, Retain: {}}, client: newWorkerClient(),
+		inFlight: map[string]string{}, loadTimes: map[Mode]*loadTime{ModeWait: {}, ModeRetain: {}}, client: newWorkerClient(),
 	}
 	for range 5 {
 		d.dispatch(context.Background())
--- a/internal/scheduler/weights/order.go
+++ b/internal/scheduler/weights/order.go
@@ -17,8 +17,8 @@
 
 // The modes.
 const (
-	Wait   Mode = "wait"   // the load starts after the requests have ended
-	Retain Mode = "retain" // the requests continue with the new version
+	ModeWait   Mode = "wait"   // the load starts after the requests have ended
+	ModeRetain Mode = "retain" // the requests continue with the new version
 )
 
 // Cause is the reason for an order. Its values are label values of the metric orders_total.
@@ -26,9 +26,9 @@
 
 // The causes.
 const (
-	NextVersion     Cause = "next_version" // the worker has the previous version
-	SkippedVersions Cause = "skips"        // the worker has an older version and never loaded those in between
-	NoVersion       Cause = "empty"        // the worker has no version
+	CauseNextVersion     Cause = "next_version" // the worker has the previous version
+	CauseSkippedVersions Cause = "skips"        // the worker has an older version and never loaded those in between
+	CauseNoVersion       Cause = "empty"        // the worker has no version
 )
 
 // causeOf returns the cause of an order for a worker with the version current, which is older than
@@ -36,9 +36,9 @@
 func causeOf(current, ordered uint64) Cause {
 	switch {
 	case current == 0:
-		return NoVersion
+		return CauseNoVersion
 	case ordered-current > 1:
-		return SkippedVersions
+		return CauseSkippedVersions
 	}
-	return NextVersion
+	return CauseNextVersion
 }
--- a/internal/scheduler/weights/plan.go
+++ b/internal/scheduler/weights/plan.go
@@ -101,9 +101,9 @@
 			if m.Version >= wanted[m.Name] || !assigned[m.Name][w.Id] {
 				continue
 			}
-			mode := Retain
+			mode := ModeRetain
 			if rules.SingleVersion(m.Name) {
-				mode = Wait
+				mode = ModeWait
 			}
 			version := wanted[m.Name]
 			candidates = append(candidates, candidate{
--- a/internal/scheduler/weights/plan_test.go
+++ b/internal/scheduler/weights/plan_test.go
@@ -36,7 +36,7 @@
 		orders := Plan(list, wanted, nil, rules())
 		is.True(len(orders) <= 3)
 		for _, o := range orders {
-			is.Equal(o.Mode, Retain)
+			is.Equal(o.Mode, ModeRetain)
 			o.Instance.Models[0].Version = o.Version
 			loads++
 		}
@@ -72,7 +72,7 @@
 	single := rules()
 	single.SingleVersion = func(string) bool { return true }
 	orders := Plan(workers(3, "a"), map[string]uint64{"a": 2}, nil, single)
-	is.Equal(orders[0].Mode, Wait)
+	is.Equal(orders[0].Mode, ModeWait)
 	lost := workers(1, "a")
 	lost[0].Lost = true
 	is.Equal(len(Plan(lost, map[string]uint64{"a": 2}, nil, rules())), 0)
@@ -81,7 +81,7 @@
 // The cause of an order depends on the version that the worker has.
 func TestPlanCause(t *testing.T) {
 	is := is.New(t)
-	for has, want := range map[uint64]Cause{0: NoVersion, 4: NextVersion, 3: SkippedVersions} {
+	for has, want := range map[uint64]Cause{0: CauseNoVersion, 4: CauseNextVersion, 3: CauseSkippedVersions} {
 		w := workers(1, "a")
 		w[0].Models[0].Version = has
 		orders := Plan(w, map[string]uint64{"a": 5}, nil, rules())
--- a/internal/scheduler/worker/pool.go
+++ b/internal/scheduler/worker/pool.go
@@ -78,7 +78,7 @@
 	if timeout == 0 {
 		timeout = transport.DialTimeout
 	}
-	opened, err := transport.DialWithin(call.Address, timeout)
+	opened, err := transport.DialWithTimeout(call.Address, timeout)
 	if err != nil {
 		return nil, err
 	}
