--- a/cmd/saffronquay/model_fleet.go
+++ b/cmd/saffronquay/model_fleet.go
@@ -108,7 +108,7 @@
 	if err != nil {
 		return err
 	}
-	if result.SettledAt < 0 {
+	if result.ConvergedAt < 0 {
 		return failed(errors.New("simulation: the views of the live members have not converged at the end"))
 	}
 	return nil
@@ -125,7 +125,7 @@
 
 func summarizeViews(cfg views.Config, r views.Result) viewsSummary {
 	v := viewsSummary{ConvergedAfterS: -1, FalseDead: r.FalseDeaths, BytesS: r.BytesPerSecond}
-	if took := r.SettledAfter(cfg.Script.End()); took >= 0 {
+	if took := r.ConvergedAfter(cfg.Script.End()); took >= 0 {
 		v.ConvergedAfterS = took.Seconds()
 	}
 	if d := r.DetectionTimes; len(d) > 0 {
--- a/internal/broker/server/policy.go
+++ b/internal/broker/server/policy.go
@@ -72,7 +72,7 @@
 	if err := checkRegion(r, g.name, memory); err != nil {
 		return err
 	}
-	cfg := peering.PolicyConfig{Listen: r.Listen, Seed: g.seed, Memory: memory, Node: rollout.Config{
+	cfg := peering.PolicyConfig{Listen: r.Listen, Seed: g.seed, Stored: memory, Node: rollout.Config{
 		Name:   g.name,
 		Region: r.Region, Lease: r.Lease.Microseconds(), MaxPause: r.MaxPause.Microseconds(), Drift: r.Drift,
 	}}
@@ -122,9 +122,9 @@
 // Keep stores the document in force.
 func (h *policyHost) Keep(d *wire.Document) error { return writeMessage(h.store, keyCurrent, d) }
 
-// Judge validates a document as the next policy. It changes nothing in force. The error says why the
-// document is invalid or cannot replace the present policy.
-func (h *policyHost) Judge(text []byte) error {
+// Validate validates a document as the next policy. It changes nothing in force. The error says why
+// the document is invalid or cannot replace the present policy.
+func (h *policyHost) Validate(text []byte) error {
 	op := h.gatherer.currentFile.Load()
 	now, err := config.ParseOperator(op.Text, text)
 	if err != nil {
--- a/internal/cluster/peering/execute.go
+++ b/internal/cluster/peering/execute.go
@@ -91,7 +91,7 @@
 // to the node.
 func (p *PolicyNode) validate(proposal *wire.Proposal) {
 	validateAndStage := func() error {
-		if err := p.host.Judge(proposal.Document.Text); err != nil {
+		if err := p.host.Validate(proposal.Document.Text); err != nil {
 			return err
 		}
 		return p.host.Stage(proposal)
--- a/internal/cluster/peering/links_test.go
+++ b/internal/cluster/peering/links_test.go
@@ -15,7 +15,7 @@
 // idleHost is a PolicyHost whose methods do nothing and succeed.
 type idleHost struct{}
 
-func (idleHost) Judge([]byte) error           { return nil }
+func (idleHost) Validate([]byte) error        { return nil }
 func (idleHost) Install(*wire.Document) error { return nil }
 func (idleHost) Permit(transport.Permit)      {}
 func (idleHost) Save(*rollout.Save) error     { return nil }
@@ -29,7 +29,7 @@
 // voters, and the last one is this node.
 func startNode(t *testing.T, members int, idle time.Duration, edit func([]rollout.Member)) *PolicyNode {
 	t.Helper()
-	cfg := PolicyConfig{Listen: netip.MustParseAddrPort("127.0.0.1:0"), Seed: 1, Memory: rollout.PersistentState{Identity: 1}, Node: rollout.Config{Name: fmt.Sprintf("g%04d", members-1)}}
+	cfg := PolicyConfig{Listen: netip.MustParseAddrPort("127.0.0.1:0"), Seed: 1, Stored: rollout.PersistentState{Identity: 1}, Node: rollout.Config{Name: fmt.Sprintf("g%04d", members-1)}}
 	for i := range members {
 		cfg.Node.Members = append(cfg.Node.Members, rollout.Member{Name: fmt.Sprintf("g%04d", i), Address: "127.0.0.1:1", Voter: i < 3})
 	}
@@ -124,7 +124,7 @@
 	runtime.GC()
 	runtime.ReadMemStats(&before)
 	goroutines := runtime.NumGoroutine()
-	cfg := PolicyConfig{Listen: netip.MustParseAddrPort("127.0.0.1:0"), Seed: 1, Memory: rollout.PersistentState{Identity: 1}, Node: rollout.Config{Name: fmt.Sprintf("g%04d", members-1)}}
+	cfg := PolicyConfig{Listen: netip.MustParseAddrPort("127.0.0.1:0"), Seed: 1, Stored: rollout.PersistentState{Identity: 1}, Node: rollout.Config{Name: fmt.Sprintf("g%04d", members-1)}}
 	for i := range members {
 		cfg.Node.Members = append(cfg.Node.Members, rollout.Member{Name: fmt.Sprintf("g%04d", i), Address: "127.0.0.1:1", Voter: i < 3})
 	}
--- a/internal/cluster/peering/node.go
+++ b/internal/cluster/peering/node.go
@@ -28,18 +28,18 @@
 // PolicyConfig configures a gatherer's part in the agreement.
 type PolicyConfig struct {
 	Node   rollout.Config
-	Memory rollout.PersistentState // as stored by the previous process of this gatherer
+	Stored rollout.PersistentState // as stored by the previous process of this gatherer
 	Global GlobalHost              // required if the node has a region
 	Listen netip.AddrPort
 	Seed   uint64
 }
 
 // PolicyHost is the gatherer's side of a PolicyNode. Save, Stage, Keep, Snapshot and Roster return
-// when the data is on disk, or an error if it could not be stored; like Judge they are called from
-// goroutines of their own. Install, Permit and Slots are called from Run's goroutine.
+// when the data is on disk, or an error if it could not be stored; like Validate they are called
+// from goroutines of their own. Install, Permit and Slots are called from Run's goroutine.
 type PolicyHost interface {
-	// Judge validates a document. Its error names the key that is invalid.
-	Judge(text []byte) error
+	// Validate validates a document. Its error names the key that is invalid.
+	Validate(text []byte) error
 	// Install puts a document in force, before anything that is passed to the engine afterwards.
 	Install(*wire.Document) error
 	// Permit makes the engine admit queries by a permit, and returns when it does.
@@ -116,7 +116,7 @@
 		p.localAddress = cfg.Listen.Addr()
 	}
 	random := rand.New(rand.NewPCG(cfg.Seed, uint64(time.Now().UnixNano())))
-	if p.node, err = rollout.New(cfg.Node, now(), random, cfg.Memory); err != nil {
+	if p.node, err = rollout.New(cfg.Node, now(), random, cfg.Stored); err != nil {
 		tcp.Close()
 		return nil, err
 	}
--- a/internal/cluster/swim/simulation/config.go
+++ b/internal/cluster/swim/simulation/config.go
@@ -20,10 +20,10 @@
 	Script      faults.Script
 	Core        swim.Config // settings of every core; the simulator sets name, address, start and join addresses
 	// SameStart is a seeded fault: a restarted process keeps the start of the previous one.
-	SameStart          bool
-	SampleEvery        time.Duration // between observations of all views; 0 means 50 ms
-	StopWhenSettledFor time.Duration // if above 0, the run ends when all views have been correct for this time after the end of the script
-	RateFrom           time.Duration // start of the interval that Result.BytesPerSecond covers
+	SameStart            bool
+	SampleEvery          time.Duration // between observations of all views; 0 means 50 ms
+	StopWhenConvergedFor time.Duration // if above 0, the run ends when all views have been correct for this time after the end of the script
+	RateFrom             time.Duration // start of the interval that Result.BytesPerSecond covers
 }
 
 // MemberName returns the name of member i.
--- a/internal/cluster/swim/simulation/measure_test.go
+++ b/internal/cluster/swim/simulation/measure_test.go
@@ -43,8 +43,8 @@
 func TestMeasure(t *testing.T) {
 	skipUnlessMeasuring(t)
 	type row struct {
-		datagrams, bytes, detect, most, settled, kB float64
-		text                                        string
+		datagrams, bytes, detect, most, converged, kB float64
+		text                                          string
 	}
 	losses := []float64{0, 0.1}
 	rows := map[[2]float64]*row{}
@@ -59,10 +59,10 @@
 				split := runScript(t, Config{Members: n, Seed: 1, WarmStart: true, Loss: loss, Duration: 26 * time.Second},
 					fmt.Sprintf("at 3s for 12s cut %s %s", faults.Set(span(0, n/2)), faults.Set(span(n/2, n))))
 				x.datagrams, x.bytes = float64(idle.Counts.Sent)/float64(n)/20, idle.BytesPerSecond
-				x.detect, x.most, x.settled = Quantile(crash.DetectionTimes, 0.5).Seconds(), slices.Max(crash.DetectionTimes).Seconds(), split.SettledAfter(15*time.Second).Seconds()
+				x.detect, x.most, x.converged = Quantile(crash.DetectionTimes, 0.5).Seconds(), slices.Max(crash.DetectionTimes).Seconds(), split.ConvergedAfter(15*time.Second).Seconds()
 				heal := Peak(split.Seconds[15:])
 				x.text = fmt.Sprintf("members=%d loss=%g datagrams_s=%.1f bytes_s=%.0f detect_p50_ms=%.0f detect_max_ms=%.0f settled_after_split_ms=%.0f heal_peak_bytes_s=%d heal_most_sent=%d heal_most_received=%d",
-					n, loss, x.datagrams, x.bytes, 1000*x.detect, 1000*x.most, 1000*x.settled, heal.Sent/int64(n), heal.MaxSent, heal.MaxReceived)
+					n, loss, x.datagrams, x.bytes, 1000*x.detect, 1000*x.most, 1000*x.converged, heal.Sent/int64(n), heal.MaxSent, heal.MaxReceived)
 			})
 		}
 	}
@@ -81,7 +81,7 @@
 			{"bytes_s", func(x *row) float64 { return x.bytes }},
 			{"detect_p50_s", func(x *row) float64 { return x.detect }},
 			{"detect_max_s", func(x *row) float64 { return x.most }},
-			{"settled_s", func(x *row) float64 { return x.settled }},
+			{"settled_s", func(x *row) float64 { return x.converged }},
 			{"kB_a_view", func(x *row) float64 { return x.kB }},
 		} {
 			var xs, ys []float64
@@ -174,7 +174,7 @@
 				}
 				t.Logf("members=%d %s: peak_sent_a_member=%d most_sent=%d most_received=%d most_datagrams=%d most_arriving=%d seconds_over_28kB=%d detect_p50_ms=%d detect_max_ms=%d settled_ms=%d false_dead=%d least_reckoned_with=%d failed_probes=%d accused=%d refuted=%d mean_bytes_s=%.0f",
 					n, e.name, p.Sent/int64(n), p.MaxSent, p.MaxReceived, p.MaxDatagrams, p.MaxArriving, over, Quantile(r.DetectionTimes, 0.5).Milliseconds(),
-					Quantile(r.DetectionTimes, 1).Milliseconds(), r.SettledAfter(e.over).Milliseconds(), r.FalseDeaths, minSize, r.Counts.FailedProbes, r.Counts.Suspicions,
+					Quantile(r.DetectionTimes, 1).Milliseconds(), r.ConvergedAfter(e.over).Milliseconds(), r.FalseDeaths, minSize, r.Counts.FailedProbes, r.Counts.Suspicions,
 					r.Counts.Refutations, r.BytesPerSecond)
 			})
 		}
--- a/internal/cluster/swim/simulation/observe.go
+++ b/internal/cluster/swim/simulation/observe.go
@@ -75,9 +75,9 @@
 		s.MinEffectiveSize, s.MaxEffectiveSize, s.MinAlive = min(s.MinEffectiveSize, r), max(s.MaxEffectiveSize, r), min(s.MinAlive, a)
 	}
 	if s.Correct < s.Live {
-		w.lastUnsettled = w.now
+		w.lastUnconverged = w.now
 	}
-	if over := startTime + w.Script.End().Microseconds(); w.StopWhenSettledFor > 0 && w.now-max(w.lastUnsettled, over) > w.StopWhenSettledFor.Microseconds() {
+	if over := startTime + w.Script.End().Microseconds(); w.StopWhenConvergedFor > 0 && w.now-max(w.lastUnconverged, over) > w.StopWhenConvergedFor.Microseconds() {
 		w.end = w.now
 	}
 	w.result.Samples = append(w.result.Samples, s)
--- a/internal/cluster/swim/simulation/proof_test.go
+++ b/internal/cluster/swim/simulation/proof_test.go
@@ -58,7 +58,7 @@
 	defer debug.SetGCPercent(debug.SetGCPercent(400))
 	var mu sync.Mutex
 	var detect, settle []time.Duration
-	falseDead, neverSettled, bytes := 0, 0, 0.0
+	falseDead, neverConverged, bytes := 0, 0, 0.0
 	work := make(chan uint64)
 	var wg sync.WaitGroup
 	for range runtime.GOMAXPROCS(0) {
@@ -69,7 +69,7 @@
 				script, after, cuts := scenario(seed, members)
 				cfg := Config{
 					Members: members, Seed: seed, WarmStart: seed%8 != 3, SeedMembers: 3, Delay: 500 * time.Microsecond, Duration: after + convergenceLimit + time.Second,
-					SampleEvery: 100 * time.Millisecond, StopWhenSettledFor: 3 * time.Second, RateFrom: 5 * time.Second,
+					SampleEvery: 100 * time.Millisecond, StopWhenConvergedFor: 3 * time.Second, RateFrom: 5 * time.Second,
 				}
 				if !cfg.WarmStart {
 					cfg.StartWithin = time.Second
@@ -88,13 +88,13 @@
 					t.Error(err)
 					continue
 				}
-				took := r.SettledAfter(after)
+				took := r.ConvergedAfter(after)
 				mu.Lock()
 				if !cuts {
 					falseDead += r.FalseDeaths
 				}
 				if took < 0 || took > convergenceLimit {
-					neverSettled++
+					neverConverged++
 				}
 				if settle = append(settle, took); !cuts {
 					detect = append(detect, r.DetectionTimes...)
@@ -103,7 +103,7 @@
 					bytes = max(bytes, r.BytesPerSecond)
 				}
 				if took < 0 || took > convergenceLimit || !cuts && r.FalseDeaths > 0 {
-					t.Errorf("seed %d, loss %g: settled after %s, %d running processes declared dead; script:\n%s", seed, cfg.Loss, took, r.FalseDeaths, strings.TrimSpace(script))
+					t.Errorf("seed %d, loss %g: converged after %s, %d running processes declared dead; script:\n%s", seed, cfg.Loss, took, r.FalseDeaths, strings.TrimSpace(script))
 				}
 				mu.Unlock()
 			}
@@ -126,5 +126,5 @@
 		t.Errorf("p99 of crash detection is %d ms, want at most 3000", p99(detect))
 	}
 	t.Logf("proof: members=%d seeds=%d detect_p99_ms=%d settle_p99_ms=%d false_dead=%d never_settled=%d bytes_per_member_s=%.0f", members, seeds,
-		p99(detect), p99(settle), falseDead, neverSettled, bytes)
+		p99(detect), p99(settle), falseDead, neverConverged, bytes)
 }
--- a/internal/cluster/swim/simulation/result.go
+++ b/internal/cluster/swim/simulation/result.go
@@ -15,7 +15,7 @@
 	HealthyFalseDeaths int             // false deaths of processes that were never stopped or slow
 	Isolations         int             // times that no join address answered a process
 	Restarts           int             // times that a view replaced the start of a name
-	SettledAt          time.Duration   // time from which on all views were correct until the end; -1 if they are not at the end
+	ConvergedAt        time.Duration   // time from which on all views were correct until the end; -1 if they are not at the end
 	Stalls             int             // stalls detected by all processes
 	NameConflicts      int             // times that a process reported another one of its name
 	Counts             swim.Counts
@@ -24,13 +24,13 @@
 	Cores              []*swim.Core // cores of the processes that run at the end
 }
 
-// SettledAfter returns how long after a time all views became correct until the end, or -1 if
+// ConvergedAfter returns how long after a time all views became correct until the end, or -1 if
 // they did not.
-func (r Result) SettledAfter(after time.Duration) time.Duration {
-	if r.SettledAt < 0 {
+func (r Result) ConvergedAfter(after time.Duration) time.Duration {
+	if r.ConvergedAt < 0 {
 		return -1
 	}
-	return max(0, r.SettledAt-after)
+	return max(0, r.ConvergedAt-after)
 }
 
 // Sample is the state of all views at one time.
--- a/internal/cluster/swim/simulation/scenes_test.go
+++ b/internal/cluster/swim/simulation/scenes_test.go
@@ -127,9 +127,9 @@
 			}
 			for seed := range seeds {
 				r := runScript(t, Config{Members: members, Seed: seed, Loss: c.loss, StartWithin: c.spread, SeedMembers: c.seeds, Duration: c.after + 25*time.Second}, c.script)
-				switch took := r.SettledAfter(c.after); {
+				switch took := r.ConvergedAfter(c.after); {
 				case took < 0 || took > convergenceLimit:
-					t.Errorf("settled after %s: %d of %d views correct at the end", took, r.Samples[len(r.Samples)-1].Correct, r.Samples[len(r.Samples)-1].Live)
+					t.Errorf("converged after %s: %d of %d views correct at the end", took, r.Samples[len(r.Samples)-1].Correct, r.Samples[len(r.Samples)-1].Live)
 				case !c.deaths && r.FalseDeaths > 0:
 					t.Errorf("running processes were declared dead %d times", r.FalseDeaths)
 				}
@@ -183,8 +183,8 @@
 	}
 	for _, without := range []bool{false, true} {
 		r := runScript(t, Config{Members: 60, Duration: 60 * time.Second, Core: swim.Config{Disabled: swim.Disabled{DeadExchanges: without}}}, "at 5s for 15s cut 0-29 30-59")
-		if took := r.SettledAfter(20 * time.Second); (took < 0) != without {
-			t.Errorf("exchanges with dead members disabled: %t; settled after %s", without, took)
+		if took := r.ConvergedAfter(20 * time.Second); (took < 0) != without {
+			t.Errorf("exchanges with dead members disabled: %t; converged after %s", without, took)
 		}
 	}
 }
@@ -193,7 +193,7 @@
 // keeps its start.
 func TestSwimSimulation_DetectsSeededBugs(t *testing.T) {
 	r := runScript(t, Config{Members: 30, Loss: 0.3, Duration: 40 * time.Second, Core: swim.Config{Disabled: swim.Disabled{Refutation: true}}}, "")
-	if r.SettledAfter(0) >= 0 && r.FalseDeaths == 0 {
+	if r.ConvergedAfter(0) >= 0 && r.FalseDeaths == 0 {
 		t.Error("no check detects disabled refutations")
 	}
 	r = runScript(t, Config{Members: 30, SameStart: true, WarmStart: true, Duration: 20 * time.Second}, "at 5s kill 3\nat 5500ms move 3")
--- a/internal/cluster/swim/simulation/simulator.go
+++ b/internal/cluster/swim/simulation/simulator.go
@@ -12,21 +12,21 @@
 // simulator is the state of one run.
 type simulator struct {
 	Config
-	rng            *rand.Rand
-	now            int64
-	seq            int
-	pending        occurrenceHeap
-	links          faults.Links
-	latest         []*process // latest process of each member
-	processes      []*process // all processes; those killed more than a minute ago are removed
-	byAddr         map[netip.AddrPort]*process
-	killed         map[uint64]int64 // time of each kill, by start of the process
-	lastPort       uint16
-	result         Result
-	end            int64
-	sentBeforeRate int64 // bytes sent until Config.RateFrom
-	lastUnsettled  int64 // last time at which a view was not correct; -1: never
-	err            error
+	rng             *rand.Rand
+	now             int64
+	seq             int
+	pending         occurrenceHeap
+	links           faults.Links
+	latest          []*process // latest process of each member
+	processes       []*process // all processes; those killed more than a minute ago are removed
+	byAddr          map[netip.AddrPort]*process
+	killed          map[uint64]int64 // time of each kill, by start of the process
+	lastPort        uint16
+	result          Result
+	end             int64
+	sentBeforeRate  int64 // bytes sent until Config.RateFrom
+	lastUnconverged int64 // last time at which a view was not correct; -1: never
+	err             error
 }
 
 // process is one simulated process: one start of a member.
@@ -64,7 +64,7 @@
 	}
 	w := &simulator{
 		Config: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 0xf1ee7)), now: startTime, latest: make([]*process, cfg.Members),
-		byAddr: map[netip.AddrPort]*process{}, killed: map[uint64]int64{}, lastPort: 7000, lastUnsettled: -1,
+		byAddr: map[netip.AddrPort]*process{}, killed: map[uint64]int64{}, lastPort: 7000, lastUnconverged: -1,
 	}
 	w.scheduleRun()
 	for len(w.pending) > 0 && w.pending[0].at <= w.end && w.err == nil {
@@ -192,12 +192,12 @@
 		w.result.BytesPerSecond = float64(w.sentBytes()-w.sentBeforeRate) / float64(w.Members) / (float64(d) / 1e6)
 	}
 	switch {
-	case w.lastUnsettled < 0:
-		w.result.SettledAt = 0
-	case w.now-w.lastUnsettled < 2*w.SampleEvery.Microseconds():
-		w.result.SettledAt = -1
+	case w.lastUnconverged < 0:
+		w.result.ConvergedAt = 0
+	case w.now-w.lastUnconverged < 2*w.SampleEvery.Microseconds():
+		w.result.ConvergedAt = -1
 	default:
-		w.result.SettledAt = time.Duration(w.lastUnsettled-startTime)*time.Microsecond + w.SampleEvery
+		w.result.ConvergedAt = time.Duration(w.lastUnconverged-startTime)*time.Microsecond + w.SampleEvery
 	}
 	for _, p := range w.processes {
 		w.closeSecond(p)
--- a/internal/scale/hollow.go
+++ b/internal/scale/hollow.go
@@ -113,7 +113,7 @@
 	memory := h.disk.memory()
 	h.number.Store(memory.Current.GetNumber())
 	var err error
-	if h.policy, err = peering.OpenPolicyNode(peering.PolicyConfig{Listen: r.Listen, Seed: h.Seed, Memory: memory, Node: node}, h.clock.Now, h, h.log); err != nil {
+	if h.policy, err = peering.OpenPolicyNode(peering.PolicyConfig{Listen: r.Listen, Seed: h.Seed, Stored: memory, Node: node}, h.clock.Now, h, h.log); err != nil {
 		return err
 	}
 	core := swim.Config{
@@ -214,8 +214,8 @@
 	}
 }
 
-// Judge tells what is wrong with a document in the place of the policy in force.
-func (h *hollow) Judge(text []byte) error {
+// Validate returns an error if a document cannot replace the policy in force.
+func (h *hollow) Validate(text []byte) error {
 	op := h.op.Load()
 	now, err := config.ParseOperator(op.Text, text)
 	if err != nil {
