--- a/cmd/saffronquay-sim/main.go
+++ b/cmd/saffronquay-sim/main.go
@@ -81,15 +81,15 @@
 	case simwire.BatchEnd:
 		h.inBatch = false
 		return h.reply()
-	case simwire.List:
+	case simwire.ListDeclared:
 		h.lists[m.Slot] = m.Members
 	case simwire.Open:
 		s, err := sq.New(m.Settings, m.Seed)
 		if err != nil {
 			return fmt.Errorf("OpenInstance: setup: %w", err)
 		}
-		h.instances[m.Who] = &instance{scheduler: s}
-		h.markActive(m.Who)
+		h.instances[m.Instance] = &instance{scheduler: s}
+		h.markActive(m.Instance)
 	default:
 		return h.handleEvent(m)
 	}
@@ -98,11 +98,11 @@
 
 // handleEvent queues an event for the end of the batch, or removes a killed instance.
 func (h *host) handleEvent(m simwire.Message) error {
-	if h.instances[m.Who] == nil {
-		return fmt.Errorf("unknown instance %q: never opened, or killed", m.Who)
+	if h.instances[m.Instance] == nil {
+		return fmt.Errorf("unknown instance %q: never opened, or killed", m.Instance)
 	}
-	if m.Kind == simwire.Killed {
-		delete(h.instances, m.Who)
+	if m.Kind == simwire.InstanceKilled {
+		delete(h.instances, m.Instance)
 		return nil
 	}
 	if m.UsesList {
@@ -117,7 +117,7 @@
 		change.Servers = list
 		m.Event = change
 	}
-	in := h.markActive(m.Who)
+	in := h.markActive(m.Instance)
 	if m.Event != nil {
 		in.events = append(in.events, m.Event)
 	}
--- a/cmd/saffronquay/campaign.go
+++ b/cmd/saffronquay/campaign.go
@@ -63,7 +63,7 @@
 	if cfg.Program, err = os.Executable(); err != nil {
 		return failed(err)
 	}
-	cfg.Say = func(format string, args ...any) { fmt.Fprintf(c.errs, format+"\n", args...) }
+	cfg.Logf = func(format string, args ...any) { fmt.Fprintf(c.errs, format+"\n", args...) }
 	broken := 0
 	for range flags.seeds {
 		n, err := c.runSeed(cfg, flags.shrink)
@@ -94,21 +94,21 @@
 		return 0, failed(err)
 	}
 	verdict := result.Verdict(cfg)
-	err = c.print(map[string]any{"seed": cfg.Seed, "broken": result.Broken, "report": path, "verdict": verdict}, func(w io.Writer) {
-		for _, violation := range result.Broken {
+	err = c.print(map[string]any{"seed": cfg.Seed, "broken": result.Violations, "report": path, "verdict": verdict}, func(w io.Writer) {
+		for _, violation := range result.Violations {
 			fmt.Fprintln(w, "broken:", violation)
 		}
 		fmt.Fprintf(w, "report: %s\n%s\n", path, verdict)
 	})
-	return len(result.Broken), err
+	return len(result.Violations), err
 }
 
 // shrinkScript returns a smaller script that still violates an invariant, found in at most runs
 // further runs. It returns nil if result has no violation or runs is 0.
 func shrinkScript(cfg soak.Config, result soak.Result, runs int) (faults.Script, error) {
-	if len(result.Broken) == 0 || runs <= 0 {
+	if len(result.Violations) == 0 || runs <= 0 {
 		return nil, nil
 	}
-	cfg.Say = func(string, ...any) {}
+	cfg.Logf = func(string, ...any) {}
 	return soak.Shrink(cfg, result.Script, runs, soak.Run)
 }
--- a/cmd/saffronquay/cli_scale.go
+++ b/cmd/saffronquay/cli_scale.go
@@ -42,7 +42,7 @@
 			if p.Fleet.Program, err = os.Executable(); err != nil {
 				return failed(err)
 			}
-			p.Fleet.Say = func(format string, args ...any) { fmt.Fprintf(c.errs, format+"\n", args...) }
+			p.Fleet.Logf = func(format string, args ...any) { fmt.Fprintf(c.errs, format+"\n", args...) }
 			ctx, stop := interrupted(cmd.Context(), 0)
 			defer stop()
 			rec, err := scale.Run(ctx, p)
--- a/cmd/saffronquay/cli_scale_workers.go
+++ b/cmd/saffronquay/cli_scale_workers.go
@@ -75,7 +75,7 @@
 			}
 			path := strings.Fields(cmd.CommandPath()) // "workers" has the same parent command
 			cfg.Program.Hollow = append(path[1:len(path)-1:len(path)-1], "workers")
-			cfg.Say = func(format string, args ...any) { fmt.Fprintf(c.errs, format+"\n", args...) }
+			cfg.Logf = func(format string, args ...any) { fmt.Fprintf(c.errs, format+"\n", args...) }
 			ctx, stop := interrupted(cmd.Context(), 10*time.Minute)
 			defer stop()
 			table, err := work.Measure(ctx, words[0], cfg)
--- a/cmd/saffronquay/explain.go
+++ b/cmd/saffronquay/explain.go
@@ -108,13 +108,13 @@
 // readLearned returns the statistics in the last such record of a gatherer's durable store. It
 // opens the store read-only.
 func readLearned(dir string) (*sq.Snapshot, error) {
-	store, err := recordlog.OpenReadOnly([2]recordlog.Dir{recordlog.ExistingDirectory(dir), recordlog.ExistingDirectory(filepath.Join(dir, "copy"))})
+	store, err := recordlog.OpenReadOnly([2]recordlog.Dir{recordlog.ExistingDir(dir), recordlog.ExistingDir(filepath.Join(dir, "copy"))})
 	if err != nil {
 		return nil, err
 	}
 	var last *sq.Snapshot
 	store.Dump(func(r recordlog.Record) {
-		if r.Kind == recordlog.Learned && !r.Deleted {
+		if r.Kind == recordlog.ServerState && !r.Deleted {
 			learned := server.Learned(r.Value)
 			last = &learned
 		}
--- a/cmd/saffronquay/files.go
+++ b/cmd/saffronquay/files.go
@@ -136,7 +136,7 @@
 	for indexName, from := range operator.Indices {
 		index := routecheck.Index{Class: from.Class, PartWork: from.PartWork}
 		if roster.Layout != nil {
-			index.Ranges = routecheck.Placed(roster.Layout)
+			index.Ranges = routecheck.PlacedRanges(roster.Layout)
 		}
 		for _, r := range from.Ranges {
 			index.Ranges = append(index.Ranges, layout.Part{Shard: r.Shard, Span: r.Span})
--- a/cmd/saffronquay/model.go
+++ b/cmd/saffronquay/model.go
@@ -14,7 +14,7 @@
 // simulatedDays are the scenarios of the command model by name.
 var simulatedDays = map[string]func(seed uint64, gatherers, servers int) simulation.Day{
 	"calm": simulation.Fleet, "burst": simulation.Burst,
-	"zone": simulation.ZoneLost, "herd": simulation.Herd, "join": simulation.Join,
+	"zone": simulation.ZoneLost, "herd": simulation.GathererRestarts, "join": simulation.ServerRestarts,
 }
 
 // simulatedDayNames returns the names of the scenarios, separated by commas.
--- a/cmd/saffronquay/store.go
+++ b/cmd/saffronquay/store.go
@@ -35,7 +35,7 @@
 	if len(args) == 2 {
 		second = args[1]
 	}
-	store, err := recordlog.OpenReadOnly([2]recordlog.Dir{recordlog.ExistingDirectory(args[0]), recordlog.ExistingDirectory(second)})
+	store, err := recordlog.OpenReadOnly([2]recordlog.Dir{recordlog.ExistingDir(args[0]), recordlog.ExistingDir(second)})
 	if err != nil {
 		return nil, unreachable(err)
 	}
@@ -79,12 +79,12 @@
 	name  string
 	value func() proto.Message
 }{
-	recordlog.AtMostOnce: {"once", func() proto.Message { return &form.Once{} }},
-	recordlog.Learned:    {"learned", func() proto.Message { return &form.Learned{} }},
-	recordlog.Layout:     {"layout", func() proto.Message { return &form.Layout{} }},
-	recordlog.Cursor:     {"cursor", func() proto.Message { return &form.Cursor{} }},
-	recordlog.CursorKey:  {"sealing", nil}, // secret, not printed
-	recordlog.Rollout:    {"rollout", nil}, // values have several message types
+	recordlog.AtMostOnce:  {"once", func() proto.Message { return &form.Once{} }},
+	recordlog.ServerState: {"learned", func() proto.Message { return &form.Learned{} }},
+	recordlog.Layout:      {"layout", func() proto.Message { return &form.Layout{} }},
+	recordlog.Cursor:      {"cursor", func() proto.Message { return &form.Cursor{} }},
+	recordlog.CursorKey:   {"sealing", nil}, // secret, not printed
+	recordlog.Rollout:     {"rollout", nil}, // values have several message types
 }
 
 // runStoreDump prints the records of a store. It ends with exitFailed if some cannot be read. It
--- a/internal/broker/core/intent.go
+++ b/internal/broker/core/intent.go
@@ -12,8 +12,8 @@
 	// with nil once the intents are durable, else with the reason why they may not be. If Record
 	// returns an error, the intents are not durable and done is not called.
 	Record(parts []Intent, deadline int64, done func(error)) error
-	// WantsResult reports whether the query must run to its end although its client has left.
-	WantsResult() bool
+	// RunToCompletion reports whether the query must run to its end although its client has left.
+	RunToCompletion() bool
 	// Release reports that no part of the query has run or will run.
 	Release()
 	// Abandon reports that the outcome of the query will remain unknown.
--- a/internal/broker/core/intent_test.go
+++ b/internal/broker/core/intent_test.go
@@ -11,7 +11,7 @@
 type countingIntentLog struct{ released, abandoned int }
 
 func (*countingIntentLog) Record([]Intent, int64, func(error)) error { return nil }
-func (*countingIntentLog) WantsResult() bool                         { return true }
+func (*countingIntentLog) RunToCompletion() bool                     { return true }
 func (b *countingIntentLog) Release()                                { b.released++ }
 func (b *countingIntentLog) Abandon()                                { b.abandoned++ }
 
--- a/internal/broker/http1/header.go
+++ b/internal/broker/http1/header.go
@@ -61,8 +61,8 @@
 		end += p.scanned
 	}
 	p.scanned = max(0, len(p.buf)-maxEndOverlap)
-	if end < 0 && len(p.buf) > MaxHead || end > MaxHead {
-		return nil, newError(431, "header block exceeds %d bytes", MaxHead)
+	if end < 0 && len(p.buf) > MaxHeaderBytes || end > MaxHeaderBytes {
+		return nil, newError(431, "header block exceeds %d bytes", MaxHeaderBytes)
 	}
 	if end < 0 {
 		return nil, nil
--- a/internal/broker/http1/message.go
+++ b/internal/broker/http1/message.go
@@ -7,8 +7,8 @@
 
 // The limits of one message, in bytes.
 const (
-	MaxHead = 16 << 10
-	MaxBody = 64 << 10 // unless Parser.BodyLimit is set
+	MaxHeaderBytes = 16 << 10
+	MaxBodyBytes   = 64 << 10 // unless Parser.BodyLimit is set
 )
 
 // Error reports a malformed or unsupported message.
--- a/internal/broker/http1/parser.go
+++ b/internal/broker/http1/parser.go
@@ -151,7 +151,7 @@
 	if line == "" {
 		return p.complete(), true, nil
 	}
-	if p.trailers += len(line); p.trailers > MaxHead {
+	if p.trailers += len(line); p.trailers > MaxHeaderBytes {
 		return nil, false, newError(431, "trailers exceed the size limit")
 	}
 	return nil, true, nil
@@ -186,7 +186,7 @@
 func (p *Parser) checkBodySize() error {
 	limit := p.BodyLimit
 	if limit == 0 {
-		limit = MaxBody
+		limit = MaxBodyBytes
 	}
 	if p.OnBody == nil && len(p.msg.Body)+p.left > limit {
 		return newError(413, "body exceeds %d bytes", limit)
--- a/internal/broker/http1/parser_test.go
+++ b/internal/broker/http1/parser_test.go
@@ -93,15 +93,15 @@
 	}
 }
 
-// A header block larger than MaxHead is an error, whether or not its end has arrived.
+// A header block larger than MaxHeaderBytes is an error, whether or not its end has arrived.
 func TestParser_HeaderBlockLimit(t *testing.T) {
-	long := "GET / HTTP/1.1\r\nHost: x\r\nX: " + strings.Repeat("y", MaxHead)
+	long := "GET / HTTP/1.1\r\nHost: x\r\nX: " + strings.Repeat("y", MaxHeaderBytes)
 	for _, text := range []string{long, long + "\r\n\r\n"} {
 		if got := read(false, false, text); got != "status 431\n" {
 			t.Errorf("got %q, want status 431", got)
 		}
 	}
-	fits := "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 65536\r\n\r\n" + strings.Repeat("z", MaxBody)
+	fits := "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 65536\r\n\r\n" + strings.Repeat("z", MaxBodyBytes)
 	if got := read(false, false, fits); !strings.HasPrefix(got, "POST/ 0 2") {
 		t.Errorf("body at the limit: got %.40q", got)
 	}
@@ -112,13 +112,13 @@
 	var got strings.Builder
 	p := Parser{Response: true, OnBody: func(b []byte) { got.Write(b) }}
 	p.Feed([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"))
-	for range 2 * MaxBody / 16 {
+	for range 2 * MaxBodyBytes / 16 {
 		p.Feed([]byte("10\r\n0123456789abcdef\r\n"))
 		if m, err := p.Next(); m != nil || err != nil {
 			t.Fatal(m, err)
 		}
 	}
-	if got.Len() != 2*MaxBody {
+	if got.Len() != 2*MaxBodyBytes {
 		t.Errorf("OnBody got %d bytes", got.Len())
 	}
 }
--- a/internal/broker/idempotency/entry.go
+++ b/internal/broker/idempotency/entry.go
@@ -70,9 +70,9 @@
 	return log.Append(recordlog.Record{Kind: recordlog.AtMostOnce, Key: e.key, Value: value, ExpiresAt: log.Now() + e.tracker.cfg.Retention}, done)
 }
 
-// WantsResult reports whether the query must run to completion after its client has disconnected,
-// because a retry with the same key may request the answer.
-func (e *Entry) WantsResult() bool { return e.hasClientKey }
+// RunToCompletion reports whether the query must run to completion after its client has
+// disconnected, because a retry with the same key may request the answer.
+func (e *Entry) RunToCompletion() bool { return e.hasClientKey }
 
 // Release ends a query of which no part was sent or none has run, and makes its key Fresh again. If
 // the log does not accept the deletion, the key is InDoubt until its retention ends.
--- a/internal/broker/idempotency/model_test.go
+++ b/internal/broker/idempotency/model_test.go
@@ -230,7 +230,7 @@
 		"disk":  func(t *rapid.T) { w.faults.FailSync(rapid.IntRange(1, 8).Draw(t, "sync")) },
 		"full": func(t *rapid.T) {
 			w.faults.SetWriteBudget(rapid.SampledFrom([]int{0, 0, 100, 700}).Draw(t, "room"))
-			w.current.store.Append(recordlog.Record{Kind: recordlog.Learned}, nil) // like the program does every second: a successful append restores the log's health
+			w.current.store.Append(recordlog.Record{Kind: recordlog.ServerState}, nil) // like the program does every second: a successful append restores the log's health
 		},
 	})
 }
--- a/internal/broker/idempotency/tracker.go
+++ b/internal/broker/idempotency/tracker.go
@@ -36,8 +36,8 @@
 	HistoryLost
 	// LogFailing means that the log does not accept records at present, so nothing may be sent.
 	LogFailing
-	// HandingOver means that another process is taking over the log, so nothing may be sent here.
-	HandingOver
+	// LogHandover means that another process is taking over the log, so nothing may be sent here.
+	LogHandover
 )
 
 // Decision is the result of Tracker.Begin. The zero value permits the query.
@@ -109,7 +109,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.stopAccepting {
-		return HandingOver
+		return LogHandover
 	}
 	if !e.hasClientKey {
 		t.unkeyedCount++
@@ -186,7 +186,7 @@
 	return len(t.inProgress)
 }
 
-// StopAccepting makes Begin return HandingOver from now on, because another process waits for the
+// StopAccepting makes Begin return LogHandover from now on, because another process waits for the
 // log. Queries in progress continue. It cannot be undone.
 func (t *Tracker) StopAccepting() {
 	t.mu.Lock()
--- a/internal/broker/idempotency/tracker_test.go
+++ b/internal/broker/idempotency/tracker_test.go
@@ -147,7 +147,7 @@
 		t.Errorf("%+v", v)
 	}
 	begin("c", 1, idempotency.Completed)
-	if e, _ := begin("", 1, idempotency.Fresh); e.WantsResult() {
+	if e, _ := begin("", 1, idempotency.Fresh); e.RunToCompletion() {
 		t.Error("a query without a key runs to completion for retries")
 	}
 	log.now = 1200
@@ -158,7 +158,7 @@
 	begin("e", 1, idempotency.LogFailing)
 	log.health = nil
 	l.StopAccepting()
-	begin("e", 1, idempotency.HandingOver)
+	begin("e", 1, idempotency.LogHandover)
 	// The retention of key a has ended.
 	now, log.now = 5000, 5000
 	if _, ok, _ := s.Get(recordlog.AtMostOnce, "ka"); ok {
--- a/internal/broker/merge/part_binary.go
+++ b/internal/broker/merge/part_binary.go
@@ -89,7 +89,7 @@
 		case *partial.Value_Text:
 			out[i] = String(k.Text)
 		case *partial.Value_Flag:
-			if out[i] = (Value{Kind: Flag}); k.Flag {
+			if out[i] = (Value{Kind: Bool}); k.Flag {
 				out[i].integer = 1
 			}
 		default:
--- a/internal/broker/merge/value.go
+++ b/internal/broker/merge/value.go
@@ -21,7 +21,7 @@
 	Missing Kind = iota // the document has no value
 	Number              // an integer or a float64; dates are numbers too
 	Text
-	Flag
+	Bool
 )
 
 func (k Kind) String() string { return [...]string{"nothing", "number", "keyword", "boolean"}[k] }
@@ -67,9 +67,9 @@
 		}
 		return String(string(v.GetStringBytes())), nil
 	case fastjson.TypeTrue:
-		return Value{Kind: Flag, integer: 1}, nil
+		return Value{Kind: Bool, integer: 1}, nil
 	case fastjson.TypeFalse:
-		return Value{Kind: Flag}, nil
+		return Value{Kind: Bool}, nil
 	case fastjson.TypeNumber:
 		return readNumber(v)
 	}
@@ -112,7 +112,7 @@
 	switch {
 	case a.Kind == Text:
 		return cmp.Compare(a.text, b.text)
-	case a.Kind == Flag, a.isInteger && b.isInteger:
+	case a.Kind == Bool, a.isInteger && b.isInteger:
 		return cmp.Compare(a.integer, b.integer)
 	case !a.isInteger && !b.isInteger:
 		return cmp.Compare(a.real, b.real)
@@ -144,7 +144,7 @@
 		return append(dst, "null"...)
 	case a.Kind == Text:
 		return appendString(dst, a.text)
-	case a.Kind == Flag:
+	case a.Kind == Bool:
 		return strconv.AppendBool(dst, a.integer == 1)
 	case a.isInteger:
 		return strconv.AppendInt(dst, a.integer, 10)
--- a/internal/broker/opensearch/at_most_once.go
+++ b/internal/broker/opensearch/at_most_once.go
@@ -13,7 +13,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// AtMostOnce configures a Front for at-most-once queries, which must not run twice.
+// AtMostOnce configures a Frontend for at-most-once queries, which must not run twice.
 type AtMostOnce struct {
 	Tracker     *idempotency.Tracker
 	Header      string          // header field with the client's idempotency key
@@ -29,7 +29,7 @@
 
 // beginAtMostOnce begins an at-most-once query. Both results are nil for queries of other classes.
 // If the query must not start, it returns the response with the reason.
-func (f Front) beginAtMostOnce(m *http1.Message, index string, query *core.Query) (*idempotency.Entry, *http1.Response) {
+func (f Frontend) beginAtMostOnce(m *http1.Message, index string, query *core.Query) (*idempotency.Entry, *http1.Response) {
 	if f.AtMostOnce == nil || !f.AtMostOnce.Classes[query.Class] {
 		return nil, nil
 	}
@@ -67,7 +67,7 @@
 
 // notStartedResponse returns the response to a query that the tracker did not admit: the recorded
 // answer, or an error.
-func (f Front) notStartedResponse(v idempotency.Decision) http1.Response {
+func (f Frontend) notStartedResponse(v idempotency.Decision) http1.Response {
 	withRetryAfter := func(r http1.Response, us int64) http1.Response {
 		r.Fields = append(r.Fields, [2]string{"Retry-After", strconv.FormatInt(max(1, int64(math.Ceil(float64(us)/1e6))), 10)})
 		return r
--- a/internal/broker/opensearch/front.go
+++ b/internal/broker/opensearch/front.go
@@ -12,9 +12,9 @@
 	"strings"
 )
 
-// Front is the search API for clients. It is safe for concurrent use as long as its fields are not
-// modified.
-type Front struct {
+// Frontend is the search API for clients. It is safe for concurrent use as long as its fields are
+// not modified.
+type Frontend struct {
 	Indices      map[string]Index
 	Tenants      map[string]bool      // tenants with a contract; empty: requests have no tenant
 	TenantHeader string               // header field that names the tenant
@@ -45,7 +45,7 @@
 }
 
 // Fault returns the response to a request that could not be parsed or processed.
-func (f Front) Fault(status int, text string) http1.Response {
+func (f Frontend) Fault(status int, text string) http1.Response {
 	return errorResponse(&requestError{status, "illegal_argument_exception", text})
 }
 
@@ -53,7 +53,7 @@
 // formats the query's final result at a later time. For requests that need no query, such as a
 // health check, a point in time or a malformed request, it returns the response instead. For
 // at-most-once queries the returned function may wait for the disk.
-func (f Front) Open(m *http1.Message, now int64, ready bool) (core.Query, func(core.Final, int64) http1.Response, *http1.Response) {
+func (f Frontend) Open(m *http1.Message, now int64, ready bool) (core.Query, func(core.Final, int64) http1.Response, *http1.Response) {
 	if path, _, _ := strings.Cut(m.Target, "?"); path == "/_health" {
 		r := http1.Response{Status: 200, Type: "application/json; charset=UTF-8", Body: []byte(`{"status":"green"}`)}
 		if !ready {
@@ -109,7 +109,7 @@
 }
 
 // Class returns the class of a search, which its index determines, or "" for other requests.
-func (f Front) Class(m *http1.Message) string {
+func (f Frontend) Class(m *http1.Message) string {
 	path, _, _ := strings.Cut(m.Target, "?")
 	name, _, ok := parseSearchPath(path)
 	if path == "/_search" && f.Cursors != nil {
--- a/internal/broker/opensearch/multi_search.go
+++ b/internal/broker/opensearch/multi_search.go
@@ -19,7 +19,7 @@
 // its own outcome, deadline and budget. join combines their responses in the same order. All
 // results are nil if m is not a multi-search. For a malformed one only resp, the error response, is
 // set, and none of its searches runs.
-func (f Front) Split(m *http1.Message) (parts []*http1.Message, join func([]http1.Response, int64) http1.Response, resp *http1.Response) {
+func (f Frontend) Split(m *http1.Message) (parts []*http1.Message, join func([]http1.Response, int64) http1.Response, resp *http1.Response) {
 	path, params, _ := strings.Cut(m.Target, "?")
 	in, ok := strings.CutSuffix(path, "/_msearch")
 	if !ok || strings.Count(in, "/") > 1 {
--- a/internal/broker/opensearch/opensearch_test.go
+++ b/internal/broker/opensearch/opensearch_test.go
@@ -12,7 +12,7 @@
 	sq "saffronquay"
 )
 
-var front = Front{
+var front = Frontend{
 	TenantHeader: "X-Tenant", Tenants: map[string]bool{"desk": true}, MaxDuration: map[string]int64{"c": 5_000_000},
 	Indices: map[string]Index{"ix": {Name: "ix", Class: "c", Field: "taxpayer", PartWork: 7, Ranges: []Range{
 		{Span{From: 0, To: 100}, 0}, {Span{From: 100, To: 200}, 1}, {Span{From: 200, To: 300}, 2}, {Span{From: 300, To: 400}, 0},
@@ -234,7 +234,7 @@
 var anyHits, _ = merge.NewPlan(nil, 0, 10, nil, merge.Exact)
 
 func readServerAnswer(text string, reads int) string {
-	s := Servers{}.NewSession("h:1")
+	s := ServerProtocol{}.NewSession("h:1")
 	s.Call(nil, core.Call{Attempts: []core.Attempt{{ID: 5, Text: []byte("ix\n{}"), Plan: anyHits}}}, 0)
 	out := ""
 	for i := range reads {
--- a/internal/broker/opensearch/point_in_time.go
+++ b/internal/broker/opensearch/point_in_time.go
@@ -17,7 +17,7 @@
 
 // handlePointInTime handles a request to open or close points in time. Both results are nil for
 // other requests.
-func (f Front) handlePointInTime(m *http1.Message, now int64) (*http1.Response, error) {
+func (f Frontend) handlePointInTime(m *http1.Message, now int64) (*http1.Response, error) {
 	path, params, _ := strings.Cut(m.Target, "?")
 	index, ok := strings.CutSuffix(path, pitPath)
 	if !ok || f.Cursors == nil {
@@ -37,7 +37,7 @@
 }
 
 // openPoint opens a point in time of an index, whose name is URL-escaped.
-func (f Front) openPoint(index, tenant, params string, now int64) (*http1.Response, error) {
+func (f Frontend) openPoint(index, tenant, params string, now int64) (*http1.Response, error) {
 	name, err := url.PathUnescape(index)
 	if err != nil {
 		return nil, illegalArgument("invalid path: %v", err)
@@ -64,7 +64,7 @@
 }
 
 // closePoints closes the points in time listed in a body, and reports for each whether it was open.
-func (f Front) closePoints(body []byte, tenant string, now int64) (*http1.Response, error) {
+func (f Frontend) closePoints(body []byte, tenant string, now int64) (*http1.Response, error) {
 	var request struct {
 		ID json.RawMessage `json:"pit_id"`
 	}
--- a/internal/broker/opensearch/query.go
+++ b/internal/broker/opensearch/query.go
@@ -25,7 +25,7 @@
 
 // parseQuery parses a search and plans its parts. Its error is a *requestError, or another one that
 // the client receives with status 500.
-func (f Front) parseQuery(m *http1.Message, now int64) (query core.Query, s search, err error) {
+func (f Frontend) parseQuery(m *http1.Message, now int64) (query core.Query, s search, err error) {
 	target, err := f.parseTarget(m, now)
 	if err != nil {
 		return query, s, err
@@ -65,7 +65,7 @@
 }
 
 // parseTarget parses the target of a search. It renews the point in time that the request names.
-func (f Front) parseTarget(m *http1.Message, now int64) (searchTarget, error) {
+func (f Frontend) parseTarget(m *http1.Message, now int64) (searchTarget, error) {
 	path, params, _ := strings.Cut(m.Target, "?")
 	name, count, ok := parseSearchPath(path)
 	target := searchTarget{count: count, params: params}
@@ -101,7 +101,7 @@
 
 // deadline returns the time by which the broker must have an answer: after the class's maximum
 // duration or the client's timeout, whichever is shorter, less the margin.
-func (f Front) deadline(now int64, class string, timeout time.Duration) int64 {
+func (f Frontend) deadline(now int64, class string, timeout time.Duration) int64 {
 	wait := f.MaxDuration[class]
 	if us := timeout.Microseconds(); timeout > 0 && us < wait {
 		wait = us
@@ -138,7 +138,7 @@
 
 // tenant returns the tenant named by a request. It returns "" if there are no contracts, even if
 // the request names a tenant.
-func (f Front) tenant(m *http1.Message) (string, error) {
+func (f Frontend) tenant(m *http1.Message) (string, error) {
 	if len(f.Tenants) == 0 {
 		return "", nil
 	}
--- a/internal/broker/opensearch/servers.go
+++ b/internal/broker/opensearch/servers.go
@@ -31,14 +31,14 @@
 // 15.5.20).
 const statusMisdirected = 421
 
-// Servers is the search API for servers. A connection carries one search at a time.
-type Servers struct{}
+// ServerProtocol is the search API for servers. A connection carries one search at a time.
+type ServerProtocol struct{}
 
 // Streams returns the number of concurrent calls per connection.
-func (Servers) Streams() int { return 1 }
+func (ServerProtocol) Streams() int { return 1 }
 
 // NewSession returns the state of a new connection to the server at an address.
-func (Servers) NewSession(address string) core.Session {
+func (ServerProtocol) NewSession(address string) core.Session {
 	return &session{host: address, parser: http1.Parser{Response: true, BodyLimit: maxAnswerBytes}}
 }
 
--- a/internal/broker/platform/frames.go
+++ b/internal/broker/platform/frames.go
@@ -18,7 +18,7 @@
 const (
 	lengthBytes   = 4 // size of the length field before a frame
 	maxAnswerLine = 1 << 10
-	maxFrame      = 1 + maxAnswerLine + http1.MaxBody
+	maxFrame      = 1 + maxAnswerLine + http1.MaxBodyBytes
 	maxCancelled  = 256 // cancelled attempts that a session keeps by name
 )
 
--- a/internal/broker/routecheck/proof_test.go
+++ b/internal/broker/routecheck/proof_test.go
@@ -44,7 +44,7 @@
 		panic(err)
 	}
 	r.Layout = l
-	r.Indices = map[string]Index{"invoices": {Class: "c", PartWork: 10_000, Ranges: Placed(l)}}
+	r.Indices = map[string]Index{"invoices": {Class: "c", PartWork: 10_000, Ranges: PlacedRanges(l)}}
 	r.Servers = slices.Clone(r.Servers)
 	return r
 }
--- a/internal/broker/routecheck/subject.go
+++ b/internal/broker/routecheck/subject.go
@@ -46,14 +46,14 @@
 	done.Name, done.Layout = r.Name+", all changes cut over", l
 	done.Indices = map[string]Index{}
 	for name, ix := range r.Indices {
-		ix.Ranges = Placed(l)
+		ix.Ranges = PlacedRanges(l)
 		done.Indices[name] = ix
 	}
 	return append(out, done), nil
 }
 
-// Placed returns the ranges of an index that is placed by a layout.
-func Placed(l *layout.Layout) []layout.Part { return l.Cover(nil, l.Domain()) }
+// PlacedRanges returns the ranges of an index that is placed by a layout.
+func PlacedRanges(l *layout.Layout) []layout.Part { return l.Cover(nil, l.Domain()) }
 
 // startTime is the virtual time at which a module starts, in microseconds. The value is arbitrary.
 const startTime = 1_000_000_000_000
--- a/internal/broker/server/admin_program.go
+++ b/internal/broker/server/admin_program.go
@@ -28,7 +28,7 @@
 // Contracts appends one line with the state of each team. It appends nothing when there are no
 // contracts.
 func (d adminProgram) Contracts(dst []byte) []byte {
-	for _, team := range d.engine.Accounts(maxListedTeams) {
+	for _, team := range d.engine.TeamStatuses(maxListedTeams) {
 		dst = appendTeam(dst, team)
 	}
 	return dst
--- a/internal/broker/server/durable.go
+++ b/internal/broker/server/durable.go
@@ -35,7 +35,7 @@
 	idempotency *idempotency.Tracker
 	cursorKey   []byte      // authenticates cursors
 	lastLayout  *layout.Doc // the layout in force when the previous process ended
-	memory      transport.Memory
+	persisted   transport.PersistentState
 	cursorMarks []pagination.Record
 
 	stop, done   chan struct{}
@@ -91,7 +91,7 @@
 // that has it open.
 func (d *durableState) open() (err error) {
 	for i, path := range d.cfg.Directories {
-		if d.dirs[i], err = recordlog.Directory(path); err != nil {
+		if d.dirs[i], err = recordlog.CreateDir(path); err != nil {
 			return err
 		}
 	}
@@ -104,7 +104,7 @@
 	}
 	opt := recordlog.Options{
 		ID: randomID(), Now: func() int64 { return time.Since(began).Microseconds() }, MaxRetention: d.cfg.Retention.Microseconds(),
-		SegmentSize: d.cfg.SegmentSize, MaxBatch: batch, CleanEvery: time.Second, ScrubEvery: scrubInterval, Log: d.log,
+		SegmentSize: d.cfg.SegmentSize, MaxBatch: batch, CleanInterval: time.Second, ScrubInterval: scrubInterval, Log: d.log,
 	}
 	for logged := false; ; {
 		late := time.Since(began) > d.cfg.Takeover
@@ -213,9 +213,9 @@
 
 // saveState saves the present statistics of servers and tenants, and the layout if it has changed.
 func (d *durableState) saveState(engine *transport.Engine, place *layout.Current) {
-	if m, ok := engine.ExportMemory(); ok {
+	if m, ok := engine.ExportState(); ok {
 		if value, err := marshalStatistics(m); err == nil {
-			d.appendRecord(recordlog.Record{Kind: recordlog.Learned, Value: value, ExpiresAt: d.store.Now() + statisticsRetention.Microseconds()})
+			d.appendRecord(recordlog.Record{Kind: recordlog.ServerState, Value: value, ExpiresAt: d.store.Now() + statisticsRetention.Microseconds()})
 		}
 	}
 	l := place.Load()
--- a/internal/broker/server/durable_records.go
+++ b/internal/broker/server/durable_records.go
@@ -42,10 +42,10 @@
 			}
 		}
 	}
-	if r, ok, err := d.store.Get(recordlog.Learned, ""); err != nil {
+	if r, ok, err := d.store.Get(recordlog.ServerState, ""); err != nil {
 		return err
 	} else if ok {
-		d.memory = parseStatistics(r.Value)
+		d.persisted = parseStatistics(r.Value)
 	}
 	return d.store.Each(recordlog.Cursor, func(r recordlog.Record) {
 		var f form.Cursor
@@ -61,7 +61,7 @@
 
 // parseStatistics parses the value of the record of the statistics of servers and tenants. It returns
 // the zero value if the value cannot be parsed.
-func parseStatistics(value []byte) (m transport.Memory) {
+func parseStatistics(value []byte) (m transport.PersistentState) {
 	var f form.Learned
 	if proto.Unmarshal(value, &f) != nil {
 		return m
@@ -81,7 +81,7 @@
 }
 
 // marshalStatistics returns the value of the record that parseStatistics parses.
-func marshalStatistics(m transport.Memory) ([]byte, error) {
+func marshalStatistics(m transport.PersistentState) ([]byte, error) {
 	f := &form.Learned{Admission: m.Learned.Admission, Suspects: m.Learned.Suspects}
 	for _, s := range m.Learned.Servers {
 		f.Servers = append(f.Servers, &form.Server{Id: string(s.Server), Pace: s.LatencyRatio, PaceAt: s.LatencyRatioAt, Fails: s.Failures, Tries: s.Attempts, At: s.CountedAt})
--- a/internal/broker/server/golden_test.go
+++ b/internal/broker/server/golden_test.go
@@ -52,7 +52,7 @@
 	var dirs [2]recordlog.Dir
 	var err error
 	for i, name := range []string{"a", "b"} {
-		dirs[i], err = recordlog.Directory(filepath.Join(folder, name))
+		dirs[i], err = recordlog.CreateDir(filepath.Join(folder, name))
 		is.NoErr(err)
 	}
 	s, err := recordlog.Open(dirs, recordlog.Options{ID: 7, Now: func() int64 { return 5_000_000 }, MaxRetention: 1_000_000}, false)
--- a/internal/broker/server/plan.go
+++ b/internal/broker/server/plan.go
@@ -146,7 +146,7 @@
 			state.cursorConfig = *op.Cursors
 		}
 	}
-	front := opensearch.Front{
+	front := opensearch.Frontend{
 		Indices: op.Indices, TenantHeader: op.TenantHeader, Tenants: map[string]bool{},
 		MaxDuration: map[string]int64{}, Margin: clientMarginMicros, Layout: &state.layout,
 		Cursors: registry, Nonce: randomID,
@@ -165,7 +165,7 @@
 	}
 	return Plan{
 		name: op.Name, listen: op.Listen, adminListen: op.Operator, seed: op.Seed, maxSockets: op.Sockets, memoryMB: op.MemoryMB,
-		settings: op.Settings, budgets: op.Budgets, front: front, dialect: opensearch.Servers{}, partsPerCall: 1,
+		settings: op.Settings, budgets: op.Budgets, front: front, dialect: opensearch.ServerProtocol{}, partsPerCall: 1,
 		fleet: sq.FleetChanged{Kind: sq.FleetFull, Servers: op.Servers}, addresses: op.Addresses, vrrp: op.VRRP,
 		layout: op.Layout, currentLayout: &state.layout, cursors: &state.cursors, adopt: adopt,
 		durable: state.durable, logConfig: op.Log, contracts: op.Contracts, fleetFile: op.Fleet, rollout: op.Rollout, file: &op, search: state,
--- a/internal/broker/server/policy_test.go
+++ b/internal/broker/server/policy_test.go
@@ -22,7 +22,7 @@
 	t.Helper()
 	var at [2]recordlog.Dir
 	for i, path := range dirs {
-		d, err := recordlog.Directory(path)
+		d, err := recordlog.CreateDir(path)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -31,7 +31,7 @@
 	began := time.Now()
 	s, err := recordlog.Open(at, recordlog.Options{
 		ID: randomID(), Now: func() int64 { return time.Since(began).Microseconds() }, MaxRetention: 900_000_000, SegmentSize: 8 << 20,
-		CleanEvery: time.Second, ScrubEvery: time.Hour, Log: slog.New(slog.DiscardHandler),
+		CleanInterval: time.Second, ScrubInterval: time.Hour, Log: slog.New(slog.DiscardHandler),
 	}, true)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/broker/server/quotas.go
+++ b/internal/broker/server/quotas.go
@@ -213,7 +213,7 @@
 	quotaOf := p.quotaOf(slots) // on this goroutine, since setRegion changes the fields that it reads
 	go func() {
 		d := quotaUpdate{slots: slots, regionPPM: ppm}
-		d.teamQuotas, d.otherQuota, d.ok = policy.UpdateDemand(p.demands(g.engine.Accounts(1<<20), quotaOf), leaseSafetyMarginMicros)
+		d.teamQuotas, d.otherQuota, d.ok = policy.UpdateDemand(p.demands(g.engine.TeamStatuses(1<<20), quotaOf), leaseSafetyMarginMicros)
 		p.updates <- d
 	}()
 }
--- a/internal/broker/server/shutdown.go
+++ b/internal/broker/server/shutdown.go
@@ -73,7 +73,7 @@
 
 // isQuietSince reports whether no listener has received a request since the given time.
 func (g *Gatherer) isQuietSince(since int64) bool {
-	return g.listener.Quiet(since) && (g.virtual == nil || g.virtual.quiet(since))
+	return g.listener.IdleSince(since) && (g.virtual == nil || g.virtual.quiet(since))
 }
 
 // hasConnections reports whether any client is connected.
--- a/internal/broker/server/siblings.go
+++ b/internal/broker/server/siblings.go
@@ -27,7 +27,7 @@
 	if !ok {
 		return
 	}
-	g.engine.InheritLearned(from)
+	g.engine.InitFromPredecessor(from)
 	if list, err := platform.ParseList(from.List); err == nil && g.watcher != nil && from.Discovery == g.discovery {
 		g.engine.UpdateFleet(sq.FleetChanged{Kind: sq.FleetCached, Servers: list.Servers}, list.Addresses)
 	}
--- a/internal/broker/server/start.go
+++ b/internal/broker/server/start.go
@@ -30,7 +30,7 @@
 	}
 	g.onAbort(func() { socket.Close() })
 	if d := g.durable; d != nil && d.store != nil {
-		g.engine.RestoreMemory(d.memory)
+		g.engine.RestoreState(d.persisted)
 	}
 	g.takeOver()
 	bounds := g.listenerConfig()
--- a/internal/broker/server/virtual_service.go
+++ b/internal/broker/server/virtual_service.go
@@ -24,8 +24,8 @@
 	config config.VRRP
 	engine *transport.Engine
 	log    *slog.Logger
-	router *transport.Redundancy // nil: not in the election; the gatherer's goroutine owns it
-	stop   chan struct{}         // closed when the Active state ends; the router's goroutine owns it
+	router *transport.VirtualRouter // nil: not in the election; the gatherer's goroutine owns it
+	stop   chan struct{}            // closed when the Active state ends; the router's goroutine owns it
 
 	mu             sync.Mutex
 	listenerConfig transport.ListenerConfig
@@ -47,7 +47,7 @@
 	if err != nil {
 		return fmt.Errorf("vrrp: listen for advertisements: %w", err)
 	}
-	s.router = transport.NewRedundancy(s.clock, s.config.Router, conn, s.config.Peers, s.onStateChange, s.log)
+	s.router = transport.NewVirtualRouter(s.clock, s.config.Router, conn, s.config.Peers, s.onStateChange, s.log)
 	go s.router.Run()
 	return nil
 }
@@ -120,7 +120,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, l := range s.listeners {
-		if !l.Quiet(since) {
+		if !l.IdleSince(since) {
 			return false
 		}
 	}
--- a/internal/broker/simulation/days.go
+++ b/internal/broker/simulation/days.go
@@ -48,9 +48,9 @@
 	return d
 }
 
-// Herd returns a day on which 70% of the gatherers are killed at the same time, during a release
-// that restarts the servers in steps.
-func Herd(seed uint64, gatherers, servers int) Day {
+// GathererRestarts returns a day on which 70% of the gatherers are killed at the same time, during
+// a release that restarts the servers in steps.
+func GathererRestarts(seed uint64, gatherers, servers int) Day {
 	d := Fleet(seed, gatherers, servers)
 	d.Events = []Disturbance{{At: 6 * second, Duration: 1500 * ms, Gatherers: func(i int) bool { return i%10 < 7 }}}
 	d.Slow = slow
@@ -60,8 +60,8 @@
 	return d
 }
 
-// Join returns a day on which 60% of the servers restart within seven seconds.
-func Join(seed uint64, gatherers, servers int) Day {
+// ServerRestarts returns a day on which 60% of the servers restart within seven seconds.
+func ServerRestarts(seed uint64, gatherers, servers int) Day {
 	d := Fleet(seed, gatherers, servers)
 	for k := range 6 {
 		d.Events = append(d.Events, Disturbance{
--- a/internal/broker/simulation/days_test.go
+++ b/internal/broker/simulation/days_test.go
@@ -13,7 +13,7 @@
 		day       func(uint64, int, int) Day
 		minServed float64 // minimum fraction of the value that is served in time
 		listed    bool    // the list shows that servers are gone before they are back
-	}{"calm": {Fleet, 0.99, true}, "burst": {Burst, 0.98, true}, "zone": {ZoneLost, 0.7, true}, "join": {Join, 0.6, false}} {
+	}{"calm": {Fleet, 0.99, true}, "burst": {Burst, 0.98, true}, "zone": {ZoneLost, 0.7, true}, "join": {ServerRestarts, 0.6, false}} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			d := tc.day(3, 24, 24)
--- a/internal/broker/simulation/split_test.go
+++ b/internal/broker/simulation/split_test.go
@@ -40,7 +40,7 @@
 	}
 	worst := map[string]float64{}
 	for name, divide := range map[string]func(int64) int{"file": nil, "estimate": estimate, "alive": alive} {
-		d := Join(3, n, n)
+		d := ServerRestarts(3, n, n)
 		d.Length, d.FleetSize, d.MembershipDelay = 14*second, divide, 1*second
 		for i := range d.Events { // the list shows each restart before the server is back
 			d.Events[i].At, d.Events[i].Duration = d.Events[i].At+4*second, 3*second
--- a/internal/broker/simwire/decode.go
+++ b/internal/broker/simwire/decode.go
@@ -18,10 +18,10 @@
 const (
 	BatchStart     Kind = iota // starts a batch at the time Message.Now
 	BatchEnd                   // ends the batch; the host replies
-	Open                       // starts the instance Message.Who
-	List                       // declares the list Message.Slot
-	Killed                     // ends the instance Message.Who without a reply
-	SchedulerEvent             // an event for the scheduler of Message.Who, in Message.Event
+	Open                       // starts the instance Message.Instance
+	ListDeclared               // declares the list Message.Slot
+	InstanceKilled             // ends the instance Message.Instance without a reply
+	SchedulerEvent             // an event for the scheduler of Message.Instance, in Message.Event
 	Ignored                    // valid, but not used
 )
 
@@ -31,7 +31,7 @@
 // Message is one decoded line. Which fields are set depends on Kind.
 type Message struct {
 	Kind     Kind
-	Who      string // instance that the line is for
+	Instance string // instance that the line is for
 	Now      int64  // microseconds
 	Serial   int64  // sequence number of the batch
 	Seed     uint64
@@ -101,7 +101,7 @@
 		return Message{}, fmt.Errorf("%s: %w", l.Type, err)
 	}
 	if l.Who != nil {
-		m.Who = *l.Who
+		m.Instance = *l.Who
 	}
 	return m, nil
 }
@@ -138,7 +138,7 @@
 		)
 	},
 	"Killed": func(l *rawLine) (Message, error) {
-		return Message{Kind: Killed}, requireFields(field{"who", l.Who != nil})
+		return Message{Kind: InstanceKilled}, requireFields(field{"who", l.Who != nil})
 	},
 	"DeadlineHit": func(l *rawLine) (Message, error) {
 		if err := requireFields(field{"who", l.Who != nil}, field{"mark", l.TimerID != nil}); err != nil {
@@ -201,7 +201,7 @@
 	if *l.Slot < 0 || *l.Slot > maxSlot {
 		return Message{}, fmt.Errorf("slot %d out of range: want 0 to %d", *l.Slot, maxSlot)
 	}
-	m := Message{Kind: List, Slot: *l.Slot}
+	m := Message{Kind: ListDeclared, Slot: *l.Slot}
 	for i, r := range *l.Members {
 		if err := requireFields(
 			field{"server", r.Server != nil},
--- a/internal/broker/simwire/simwire_test.go
+++ b/internal/broker/simwire/simwire_test.go
@@ -25,19 +25,19 @@
 	}{
 		{`{"event_type":"Tick","at_time_us":8,"serial":12}`, Message{Kind: BatchStart, Now: 8, Serial: 12}},
 		{`{"event_type":"End"}`, Message{Kind: BatchEnd}},
-		{`{"event_type":"Killed","who":"node/3"}`, Message{Kind: Killed, Who: "node/3"}},
+		{`{"event_type":"Killed","who":"node/3"}`, Message{Kind: InstanceKilled, Instance: "node/3"}},
 		{`{"event_type":"DeadlineHit","who":"n","mark":77}`, Message{
-			Kind: SchedulerEvent, Who: "n",
+			Kind: SchedulerEvent, Instance: "n",
 			Event: sq.TimerFired{ID: 77},
 		}},
 		{`{"event_type":"Hangup","who":"n","txn":5}`, Message{
-			Kind: SchedulerEvent, Who: "n",
+			Kind: SchedulerEvent, Instance: "n",
 			Event: sq.ClientLeft{Query: 5},
 		}},
 		{
 			`{"event_type":"Ingress","who":"n","txn":5,"segment_no":-1,"priority":"c","group_no":9,` +
 				`"client_deadline_us":70,"work_us":6,"object":"k","size_or_weight":3,"tenant":"t","resent":true}`,
-			Message{Kind: SchedulerEvent, Who: "n", Event: sq.Query{
+			Message{Kind: SchedulerEvent, Instance: "n", Event: sq.Query{
 				ID: 5, Group: 9, Class: "c", Tenant: "t", Deadline: 70,
 				Work: 6, Key: "k",
 			}},
@@ -45,36 +45,36 @@
 		{
 			`{"event_type":"Ingress","who":"n","txn":6,"segment_no":2,"priority":"c","group_no":9,` +
 				`"client_deadline_us":70,"size_or_weight":0.5,"tenant":0}`,
-			Message{Kind: SchedulerEvent, Who: "n", Event: sq.Part{ID: 6, Group: 9, Shard: 2, Weight: 0.5}},
+			Message{Kind: SchedulerEvent, Instance: "n", Event: sq.Part{ID: 6, Group: 9, Shard: 2, Weight: 0.5}},
 		},
 		{
 			`{"event_type":"Response","who":"n","txn":6,"shot":1,"server":"s:1","disposition":305,"latency_us":4,` +
 				`"complete":true,"health_info":{"recent_ms":14.5,"backlog":4,"throughput":2.5,"other":1}}`,
-			Message{Kind: SchedulerEvent, Who: "n", Event: sq.AttemptEnded{
+			Message{Kind: SchedulerEvent, Instance: "n", Event: sq.AttemptEnded{
 				Part: 6, Attempt: 1, Server: "s:1",
 				Outcome: sq.Broken, Latency: 4, Report: report,
 			}},
 		},
 		{
 			`{"event_type":"ProbeResult","who":"n","server":"s:1","disposition":100,"latency_us":4}`,
-			Message{Kind: SchedulerEvent, Who: "n", Event: sq.ProbeEnded{Server: "s:1", Latency: 4}},
+			Message{Kind: SchedulerEvent, Instance: "n", Event: sq.ProbeEnded{Server: "s:1", Latency: 4}},
 		},
 		{`{"event_type":"Ledger","slot":3,"members":[{"server":"s:1","campus":"z","slot_no":2,"health":1,"share":1.5,` +
-			`"last_start_us":9}]}`, Message{Kind: List, Slot: 3, Members: []sq.Server{{
+			`"last_start_us":9}]}`, Message{Kind: ListDeclared, Slot: 3, Members: []sq.Server{{
 			ID: "s:1", Zone: "z", Cell: 2,
 			Health: sq.Ready, StartedAt: 9,
 		}}}},
 		{`{"event_type":"Fleet","who":"n","scope":0,"generation":4,"slot":3}`, Message{
-			Kind: SchedulerEvent, Who: "n",
+			Kind: SchedulerEvent, Instance: "n",
 			Slot: 3, UsesList: true, Event: sq.FleetChanged{Kind: sq.FleetDelta},
 		}},
 		{`{"event_type":"Fleet","who":"n","scope":2,"generation":4}`, Message{
-			Kind: SchedulerEvent, Who: "n",
+			Kind: SchedulerEvent, Instance: "n",
 			Event: sq.FleetChanged{Kind: sq.FleetFailed},
 		}},
 		{
 			`{"event_type":"NeighbourSays","who":"n","sender":2,"payload":"hi"}`,
-			Message{Kind: SchedulerEvent, Who: "n", Event: sq.PeerMessage{Peer: 2, Text: "hi"}},
+			Message{Kind: SchedulerEvent, Instance: "n", Event: sq.PeerMessage{Peer: 2, Text: "hi"}},
 		},
 	} {
 		got, err := Decode([]byte(c.line))
@@ -173,7 +173,7 @@
 	f.Add([]byte(`{"event_type":"Ingress","who":"n","txn":6,"segment_no":1e300,"priority":"c","group_no":9}`))
 	f.Fuzz(func(t *testing.T, line []byte) {
 		m, err := Decode(line)
-		if err == nil && m.Kind == SchedulerEvent && (m.Event == nil || m.Who == "" && !bytes.Contains(line, []byte("who"))) {
+		if err == nil && m.Kind == SchedulerEvent && (m.Event == nil || m.Instance == "" && !bytes.Contains(line, []byte("who"))) {
 			t.Errorf("%q: decoded to an event without content: %+v", line, m)
 		}
 	})
--- a/internal/broker/transport/departed_test.go
+++ b/internal/broker/transport/departed_test.go
@@ -84,9 +84,9 @@
 	time.AfterFunc(time.Duration(d), func() { done(nil) })
 	return nil
 }
-func (slowIntentLog) WantsResult() bool { return false }
-func (slowIntentLog) Release()          {}
-func (slowIntentLog) Abandon()          {}
+func (slowIntentLog) RunToCompletion() bool { return false }
+func (slowIntentLog) Release()              {}
+func (slowIntentLog) Abandon()              {}
 
 // After its client has disconnected, no attempt of a query starts: no first attempt, retry or
 // hedged request, whatever the query waits for, and whether or not calls may be cancelled.
--- a/internal/broker/transport/doc.go
+++ b/internal/broker/transport/doc.go
@@ -9,7 +9,7 @@
 //     request_reader.go, request.go, idle.go).
 //   - follower: a watch on a list served over HTTP. Watcher uses it for discovery's members, Routes for
 //     layouts.
-//   - AdminListener, StateExchange and Redundancy: the admin endpoint, the state files of this
+//   - AdminListener, StateExchange and VirtualRouter: the admin endpoint, the state files of this
 //     gatherer's processes, and VRRP over UDP.
 //
 // The package does not interpret queries: a Front turns requests into queries and results into
--- a/internal/broker/transport/engine.go
+++ b/internal/broker/transport/engine.go
@@ -316,24 +316,24 @@
 	})
 }
 
-// InheritLearned initializes the module from what the previous process has learned.
-func (e *Engine) InheritLearned(from handover.State) {
+// InitFromPredecessor initializes the module from what the previous process has learned.
+func (e *Engine) InitFromPredecessor(from handover.State) {
 	e.post(func(now int64) {
 		e.core.TakeOver(now, sq.Snapshot{Admission: from.Admission, Suspects: from.Suspects})
 	})
 }
 
-// Memory is the state that a process keeps across a restart. Times are Unix microseconds.
-type Memory struct {
+// PersistentState is the state that a process keeps across a restart. Times are Unix microseconds.
+type PersistentState struct {
 	Learned sq.Snapshot
 	Spent   map[string]core.Spent
 }
 
-// ExportMemory returns the state to keep across a restart. ok is false if the engine has stopped or
+// ExportState returns the state to keep across a restart. ok is false if the engine has stopped or
 // does not respond within stateTimeout.
-func (e *Engine) ExportMemory() (m Memory, ok bool) {
-	got := make(chan Memory, 1)
-	go e.post(func(now int64) { got <- Memory{e.core.Snapshot(), e.core.Spent(now)} })
+func (e *Engine) ExportState() (m PersistentState, ok bool) {
+	got := make(chan PersistentState, 1)
+	go e.post(func(now int64) { got <- PersistentState{e.core.Snapshot(), e.core.Spent(now)} })
 	t := time.NewTimer(stateTimeout)
 	defer t.Stop()
 	select {
@@ -345,8 +345,8 @@
 	return m, false
 }
 
-// RestoreMemory initializes the core from the state of a process that has ended.
-func (e *Engine) RestoreMemory(m Memory) {
+// RestoreState initializes the core from the state of a process that has ended.
+func (e *Engine) RestoreState(m PersistentState) {
 	e.post(func(now int64) { e.core.Restore(now, m.Learned, m.Spent) })
 }
 
--- a/internal/broker/transport/gate.go
+++ b/internal/broker/transport/gate.go
@@ -38,9 +38,9 @@
 	})
 }
 
-// Accounts returns the accounts of at most limit teams, the busiest first. They are sorted on the
-// caller's goroutine.
-func (e *Engine) Accounts(limit int) (out []admission.TeamStatus) {
+// TeamStatuses returns the accounts of at most limit teams, the busiest first. They are sorted on
+// the caller's goroutine.
+func (e *Engine) TeamStatuses(limit int) (out []admission.TeamStatus) {
 	got := make(chan []admission.TeamStatus, 1)
 	e.post(func(int64) {
 		var all []admission.TeamStatus
--- a/internal/broker/transport/listener.go
+++ b/internal/broker/transport/listener.go
@@ -268,9 +268,9 @@
 // socket.
 func (l *Listener) isReady() bool { return l.keepsAlive() || l.succeeded.Load() && !l.standby.Load() }
 
-// Quiet reports whether no request is open and no query has arrived since the given time in Unix
-// microseconds.
-func (l *Listener) Quiet(since int64) bool {
+// IdleSince reports whether no request is open and no query has arrived since the given time in
+// Unix microseconds.
+func (l *Listener) IdleSince(since int64) bool {
 	return l.busyConns.Load() == 0 && l.lastQuery.Load() < since
 }
 
--- a/internal/broker/transport/listener_test.go
+++ b/internal/broker/transport/listener_test.go
@@ -110,7 +110,7 @@
 		conn.Close()
 	}
 	end := time.Now().Add(testTimeout)
-	for !l.Quiet(e.clock.Now()+1) || e.OpenQueries() > 0 {
+	for !l.IdleSince(e.clock.Now()+1) || e.OpenQueries() > 0 {
 		if time.Now().After(end) {
 			t.Fatalf("%d busy connections, %d open queries; want 0", l.busyConns.Load(), e.OpenQueries())
 		}
@@ -134,7 +134,7 @@
 		t.Errorf("no answer: %v", err)
 	}
 	end := time.Now().Add(testTimeout)
-	for !l.Quiet(e.clock.Now()+1) || e.OpenQueries() > 0 {
+	for !l.IdleSince(e.clock.Now()+1) || e.OpenQueries() > 0 {
 		if time.Now().After(end) {
 			t.Fatalf("%d busy connections, %d open queries; want 0", l.busyConns.Load(), e.OpenQueries())
 		}
--- a/internal/broker/transport/request.go
+++ b/internal/broker/transport/request.go
@@ -127,7 +127,7 @@
 		c.listener.engine.ClientLeft(a.ticket)
 		return
 	}
-	if !a.intentLog.WantsResult() {
+	if !a.intentLog.RunToCompletion() {
 		c.listener.engine.ClientLeft(a.ticket)
 		a.intentLog.Abandon()
 		return
--- a/internal/broker/transport/unsent_test.go
+++ b/internal/broker/transport/unsent_test.go
@@ -248,7 +248,7 @@
 		t.Run(name, func(t *testing.T) {
 			address, conns := acceptor(t)
 			b := newTestPool()
-			b.dialect = opensearch.Servers{}
+			b.dialect = opensearch.ServerProtocol{}
 			b.fleet(0, sq.Ready, 0, address)
 			b.call(0, core.Call{Server: "s", Attempts: []core.Attempt{{ID: 1, Due: 1 << 40, Text: []byte("{}"), Plan: &merge.Plan{}}}})
 			b.next(t, 1)
--- a/internal/broker/transport/vrrp.go
+++ b/internal/broker/transport/vrrp.go
@@ -10,9 +10,9 @@
 	"time"
 )
 
-// Redundancy runs a virtual router: it sends VRRP advertisements over UDP to each peer, and
+// VirtualRouter runs a virtual router: it sends VRRP advertisements over UDP to each peer, and
 // receives theirs.
-type Redundancy struct {
+type VirtualRouter struct {
 	clock   Clock
 	machine *vrrp.Machine
 	conn    *net.UDPConn
@@ -23,12 +23,12 @@
 	done    chan struct{}
 }
 
-// NewRedundancy returns a virtual router on an open socket, which it takes ownership of; Run runs
-// it. changed receives each new state, on Run's goroutine.
-func NewRedundancy(clock Clock, cfg vrrp.Config, conn *net.UDPConn, peers []netip.AddrPort,
+// NewVirtualRouter returns a virtual router on an open socket, which it takes ownership of; Run
+// runs it. changed receives each new state, on Run's goroutine.
+func NewVirtualRouter(clock Clock, cfg vrrp.Config, conn *net.UDPConn, peers []netip.AddrPort,
 	changed func(vrrp.State), logger *slog.Logger,
-) *Redundancy {
-	return &Redundancy{
+) *VirtualRouter {
+	return &VirtualRouter{
 		clock: clock, machine: vrrp.New(cfg), conn: conn, peers: peers, changed: changed,
 		log: logger, stop: make(chan struct{}), done: make(chan struct{}),
 	}
@@ -40,7 +40,7 @@
 }
 
 // Run takes part in the election until Stop is called, and then closes the socket.
-func (r *Redundancy) Run() {
+func (r *VirtualRouter) Run() {
 	defer close(r.done)
 	in := make(chan received, 64)
 	go r.read(in)
@@ -71,14 +71,14 @@
 }
 
 // Stop releases the virtual address, ends Run and waits for it.
-func (r *Redundancy) Stop() {
+func (r *VirtualRouter) Stop() {
 	close(r.stop)
 	<-r.done
 }
 
 // read passes on the peers' advertisements until the socket closes. It discards datagrams from
 // other senders.
-func (r *Redundancy) read(in chan<- received) {
+func (r *VirtualRouter) read(in chan<- received) {
 	buf := make([]byte, 2048)
 	for {
 		n, from, err := r.conn.ReadFromUDPAddrPort(buf)
@@ -116,7 +116,7 @@
 	}
 }
 
-func (r *Redundancy) send(a *vrrp.Advertisement) {
+func (r *VirtualRouter) send(a *vrrp.Advertisement) {
 	if a == nil {
 		return
 	}
--- a/internal/golden/durable_test.go
+++ b/internal/golden/durable_test.go
@@ -63,7 +63,7 @@
 	var dirs [2]recordlog.Dir
 	var err error
 	for i, name := range []string{"a", "b"} {
-		dirs[i], err = recordlog.Directory(filepath.Join(folder, name))
+		dirs[i], err = recordlog.CreateDir(filepath.Join(folder, name))
 		is.NoErr(err)
 	}
 	s, err := recordlog.Open(dirs, recordlog.Options{ID: 7, Now: now, MaxRetention: 1_000_000, SegmentSize: 600}, false)
@@ -89,7 +89,7 @@
 		Rations: []*form.Ration{{Tenant: "t", At: 7, Taken: []uint32{1, 2}, Extras: []uint32{3}}},
 	}
 	for _, r := range []recordlog.Record{
-		{Kind: recordlog.Learned, Key: "learned", Value: encoded(learned)},
+		{Kind: recordlog.ServerState, Key: "learned", Value: encoded(learned)},
 		{Kind: recordlog.Layout, Key: "layout", Value: encoded(&form.Layout{Doc: []byte("an older one")})},
 		{Kind: recordlog.Layout, Key: "layout", Value: encoded(&form.Layout{Doc: []byte("document")})},
 		{Kind: recordlog.Cursor, Key: "cursor", Value: encoded(&form.Cursor{Tenant: "t", Nonce: 8, Until: 9, Closed: true}), ExpiresAt: 500_000},
--- a/internal/scale/proof_test.go
+++ b/internal/scale/proof_test.go
@@ -35,7 +35,7 @@
 				here := sync.OnceFunc(ready.Done)
 				defer here() // the others don't wait for one that failed
 				e.Ready = func() { here(); ready.Wait() }
-				s, err := Measure(t, Config{Seed: 1, Gatherers: n, Voters: 5, Followers: 3, Process: 100, Teams: 12, Queries: 10, Hold: time.Second, Say: t.Logf}, e)
+				s, err := Measure(t, Config{Seed: 1, Gatherers: n, Voters: 5, Followers: 3, Process: 100, Teams: 12, Queries: 10, Hold: time.Second, Logf: t.Logf}, e)
 				if err != nil {
 					t.Fatal(err)
 				}
--- a/internal/scale/rig.go
+++ b/internal/scale/rig.go
@@ -39,7 +39,7 @@
 	Queries   int  // a second, over all voters
 	Program   string
 	Dir       string // for what the run needs
-	Say       func(format string, args ...any)
+	Logf      func(format string, args ...any)
 }
 
 const (
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -81,7 +81,7 @@
 		if err := ctx.Err(); err != nil || time.Since(began) > p.Limit {
 			return errors.Join(ErrLimit, err)
 		}
-		p.Fleet.Say("%s", what)
+		p.Fleet.Logf("%s", what)
 		fault, err := played(ctx, p.Fleet, do)
 		if err != nil {
 			return err
@@ -135,7 +135,7 @@
 
 // played plays one fleet and ends all that it started, also where the context ends first: then the program ends.
 func played(ctx context.Context, cfg Config, do func(harness.T) error) (fault string, err error) {
-	t, err := harness.NewRunner(cfg.Dir, cfg.Say)
+	t, err := harness.NewRunner(cfg.Dir, cfg.Logf)
 	if err != nil {
 		return "", err
 	}
--- a/internal/scale/scale_test.go
+++ b/internal/scale/scale_test.go
@@ -20,7 +20,7 @@
 // A small fleet: all see all; a change is in force at all, once; an end of a process is known to all, and they come back; a hollow gatherer says
 // what a real one says. Counts and orders only, so that it ends the same on a busy machine.
 func TestSmallFleet(t *testing.T) {
-	cfg := Config{Seed: 1, Gatherers: 44, Voters: 3, Followers: 4, Process: 20, Apart: []int{3}, Teams: 4, Lease: 3 * time.Second, Hold: 2 * time.Second, Queries: 20, Say: t.Logf}
+	cfg := Config{Seed: 1, Gatherers: 44, Voters: 3, Followers: 4, Process: 20, Apart: []int{3}, Teams: 4, Lease: 3 * time.Second, Hold: 2 * time.Second, Queries: 20, Logf: t.Logf}
 	r, err := NewRig(t, cfg)
 	if err != nil {
 		t.Fatal(err)
@@ -82,7 +82,7 @@
 		t.Fatal(err)
 	}
 	p := Plan{
-		Fleet: Config{Seed: 3, Gatherers: 12, Voters: 1, Followers: 1, Process: 10, Teams: 2, Busy: 1, Program: program, Dir: t.TempDir(), Say: t.Logf}, Sizes: []int{12}, Runs: 1, Out: filepath.Join(t.TempDir(), "scale"),
+		Fleet: Config{Seed: 3, Gatherers: 12, Voters: 1, Followers: 1, Process: 10, Teams: 2, Busy: 1, Program: program, Dir: t.TempDir(), Logf: t.Logf}, Sizes: []int{12}, Runs: 1, Out: filepath.Join(t.TempDir(), "scale"),
 		Effort: Effort{Rest: time.Second, Changes: 1}, Limit: time.Hour,
 	}
 	for i := range 2 {
--- a/internal/scale/work/slopes.go
+++ b/internal/scale/work/slopes.go
@@ -21,7 +21,7 @@
 	Cores          int
 	Workers, Parts int
 	Delay          time.Duration
-	Say            func(format string, args ...any)
+	Logf           func(format string, args ...any)
 }
 
 // Table is one slope: figures against a variable, and the line through each.
@@ -104,7 +104,7 @@
 			return table, fmt.Errorf("%s=%g: %w", s.variable, x, err)
 		}
 		table.Rows = append(table.Rows, Row{x, values})
-		cfg.Say("%s=%g %s", s.variable, x, words(s.figures, values))
+		cfg.Logf("%s=%g %s", s.variable, x, words(s.figures, values))
 	}
 	for i, figure := range s.figures {
 		var ys []float64
@@ -127,7 +127,7 @@
 
 // size measures one size, and ends what it has started.
 func size(ctx context.Context, cfg SlopeConfig, x float64, one func(*stage, float64) []float64) (values []float64, err error) {
-	r, err := harness.NewRunner("", cfg.Say)
+	r, err := harness.NewRunner("", cfg.Logf)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/scale/work/slopes_test.go
+++ b/internal/scale/work/slopes_test.go
@@ -15,7 +15,7 @@
 		t.Fatal(err)
 	}
 	said := 0
-	cfg := SlopeConfig{Program: Program{File: path, Hollow: []string{"scale", "workers"}}, Say: func(string, ...any) { said++ }}
+	cfg := SlopeConfig{Program: Program{File: path, Hollow: []string{"scale", "workers"}}, Logf: func(string, ...any) { said++ }}
 	table, err := Measure(context.Background(), "connections", cfg)
 	if err != nil {
 		t.Fatal(err)
@@ -33,7 +33,7 @@
 }
 
 func TestASlopeThatCannotBeMeasured(t *testing.T) {
-	quiet := SlopeConfig{Program: Program{File: "/nowhere"}, Say: func(string, ...any) {}}
+	quiet := SlopeConfig{Program: Program{File: "/nowhere"}, Logf: func(string, ...any) {}}
 	for _, name := range append(Slopes(), "none") {
 		if _, err := Measure(context.Background(), name, quiet); err == nil {
 			t.Errorf("%s was measured with no program", name)
--- a/internal/scale/work/workers_test.go
+++ b/internal/scale/work/workers_test.go
@@ -117,7 +117,7 @@
 	for _, parts := range []int{1, 3, 100, 187, 375, 750, 1500} {
 		text := segments(1100, parts, 2600, guessed)
 		w, err := strconv.ParseFloat(share(parts), 64)
-		if len(text) > http1.MaxBody || err != nil || math.Abs(w*float64(parts)-1) > 0.01 {
+		if len(text) > http1.MaxBodyBytes || err != nil || math.Abs(w*float64(parts)-1) > 0.01 {
 			t.Errorf("%d parts: %d bytes, weights of %s", parts, len(text), share(parts))
 		}
 	}
--- a/internal/storage/recordlog/commit.go
+++ b/internal/storage/recordlog/commit.go
@@ -17,7 +17,7 @@
 	hash       uint64
 }
 
-// queuedSize returns the bytes that an entry counts against Options.MaxWaiting while it is
+// queuedSize returns the bytes that an entry counts against Options.MaxQueuedBytes while it is
 // queued.
 func (e *entry) queuedSize() int64 { return int64(len(e.Key)+len(e.Value)) + frameHeadSize }
 
--- a/internal/storage/recordlog/dir.go
+++ b/internal/storage/recordlog/dir.go
@@ -34,8 +34,8 @@
 // osDir implements Dir with a directory of the operating system.
 type osDir string
 
-// Directory returns the Dir of a path, and creates the directory if it does not exist.
-func Directory(path string) (Dir, error) {
+// CreateDir returns the Dir of a path, and creates the directory if it does not exist.
+func CreateDir(path string) (Dir, error) {
 	if err := os.MkdirAll(path, 0o700); err != nil {
 		return nil, fmt.Errorf("store: %w", err)
 	}
@@ -48,8 +48,8 @@
 	return osDir(path), nil
 }
 
-// ExistingDirectory returns the Dir of a path, for tools that only read it. It creates nothing.
-func ExistingDirectory(path string) Dir { return osDir(path) }
+// ExistingDir returns the Dir of a path, for tools that only read it. It creates nothing.
+func ExistingDir(path string) Dir { return osDir(path) }
 
 func (d osDir) String() string { return string(d) }
 
--- a/internal/storage/recordlog/faults_test.go
+++ b/internal/storage/recordlog/faults_test.go
@@ -419,14 +419,14 @@
 		var d [2]recordlog.Dir
 		for i, name := range []string{"/a", "/b"} {
 			var err error
-			if d[i], err = recordlog.Directory(dir + name); err != nil {
+			if d[i], err = recordlog.CreateDir(dir + name); err != nil {
 				t.Fatal(err)
 			}
 		}
 		start := time.Now()
 		return recordlog.Open(d, recordlog.Options{
-			ID: 1, Now: func() int64 { return time.Since(start).Microseconds() }, MaxRetention: 1 << 40, CleanEvery: time.Millisecond,
-			ScrubEvery: time.Millisecond, SegmentSize: 1 << 12,
+			ID: 1, Now: func() int64 { return time.Since(start).Microseconds() }, MaxRetention: 1 << 40, CleanInterval: time.Millisecond,
+			ScrubInterval: time.Millisecond, SegmentSize: 1 << 12,
 		}, force)
 	}
 	s, err := open(false)
@@ -441,7 +441,7 @@
 	if _, err := open(false); !errors.Is(err, recordlog.ErrOwned) {
 		t.Errorf("two owners: %v", err)
 	}
-	read := [2]recordlog.Dir{recordlog.ExistingDirectory(dir + "/a"), recordlog.ExistingDirectory(dir + "/b")}
+	read := [2]recordlog.Dir{recordlog.ExistingDir(dir + "/a"), recordlog.ExistingDir(dir + "/b")}
 	if v, err := recordlog.OpenReadOnly(read); err != nil || v.Check().Records < 50 {
 		t.Errorf("read-only store beside the owner: %v", err)
 	}
--- a/internal/storage/recordlog/maintenance.go
+++ b/internal/storage/recordlog/maintenance.go
@@ -14,11 +14,11 @@
 // the writer has ended.
 func (s *Store) runCleaner() {
 	defer close(s.cleanerDone)
-	if s.journal.opt.CleanEvery == 0 {
+	if s.journal.opt.CleanInterval == 0 {
 		<-s.writerDone
 		return
 	}
-	tick := time.NewTicker(s.journal.opt.CleanEvery)
+	tick := time.NewTicker(s.journal.opt.CleanInterval)
 	defer tick.Stop()
 	lastScrub := time.Now()
 	for {
@@ -27,7 +27,7 @@
 			if err := s.Clean(); err != nil && !errors.Is(err, ErrClosed) {
 				logging.Warn(s.journal.opt.Log, logging.StoreClean, "error", err)
 			}
-			if every := s.journal.opt.ScrubEvery; every > 0 && time.Since(lastScrub) >= every {
+			if every := s.journal.opt.ScrubInterval; every > 0 && time.Since(lastScrub) >= every {
 				lastScrub = time.Now()
 				s.scrub(1)
 			}
--- a/internal/storage/recordlog/measure_test.go
+++ b/internal/storage/recordlog/measure_test.go
@@ -28,7 +28,7 @@
 	var d [2]recordlog.Dir
 	for i, name := range []string{"/a", "/b"} {
 		var err error
-		if d[i], err = recordlog.Directory(dir + name); err != nil {
+		if d[i], err = recordlog.CreateDir(dir + name); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -63,7 +63,7 @@
 func TestMeasureRecovery(t *testing.T) {
 	skipUnlessMeasuring(t)
 	dir := t.TempDir()
-	s := openOn(t, dir, recordlog.Options{MaxWaiting: 64 << 20})
+	s := openOn(t, dir, recordlog.Options{MaxQueuedBytes: 64 << 20})
 	intent := value(t, &form.Once{Intent: &form.Intent{Label: "filing-1234567", Deadline: 1 << 50, Print: 7, Parts: []*form.Part{{Shard: 1, From: 10, To: 20, Server: "ledger-3"}}}})
 	end := value(t, &form.Once{End: &form.End{Print: 7, Status: 200, Type: "application/json; charset=UTF-8", Body: bytes.Repeat([]byte("x"), 200)}})
 	began := time.Now()
@@ -100,7 +100,7 @@
 		callers int
 		clean   time.Duration
 	}{{"one caller", 512, 1, 0}, {"group commit", 512, 64, 0}, {"no group commit", 1, 64, 0}, {"group commit, cleaning", 512, 64, 10 * time.Millisecond}} {
-		s := openOn(t, t.TempDir(), recordlog.Options{MaxBatch: c.batch, SegmentSize: 1 << 20, CleanEvery: c.clean})
+		s := openOn(t, t.TempDir(), recordlog.Options{MaxBatch: c.batch, SegmentSize: 1 << 20, CleanInterval: c.clean})
 		var mu sync.Mutex
 		var all []time.Duration
 		var wg sync.WaitGroup
--- a/internal/storage/recordlog/record.go
+++ b/internal/storage/recordlog/record.go
@@ -13,8 +13,8 @@
 const (
 	// AtMostOnce is the state of a non-idempotent query, which must not run twice.
 	AtMostOnce Kind = 1 + iota
-	// Learned is the state that was learned about servers at run time.
-	Learned
+	// ServerState is the state that was learned about servers at run time.
+	ServerState
 	// Layout is the layout in force.
 	Layout
 	// Cursor is an open point in time.
@@ -76,24 +76,24 @@
 }
 
 // Options are the settings of a store. Times are microseconds, sizes bytes. Zero values of
-// SegmentSize, MaxBatch, MaxWaiting and Log select defaults.
+// SegmentSize, MaxBatch, MaxQueuedBytes and Log select defaults.
 type Options struct {
-	ID           uint64        // id of the store if Open creates it; should be random
-	Now          func() int64  // a monotonic clock
-	MaxRetention int64         // maximum time between the append of a record and its ExpiresAt
-	SegmentSize  int64         // size at which a new segment is started
-	MaxBatch     int           // maximum number of records per sync; 1: no group commit
-	MaxWaiting   int64         // maximum number of bytes in the write queue
-	CleanEvery   time.Duration // interval of cleaning; 0: only explicitly, with Clean
-	ScrubEvery   time.Duration // interval after which the next segment is scrubbed; 0: only explicitly, with Scrub
-	Serial       bool          // write the two copies sequentially instead of concurrently
-	Log          *slog.Logger
+	ID             uint64        // id of the store if Open creates it; should be random
+	Now            func() int64  // a monotonic clock
+	MaxRetention   int64         // maximum time between the append of a record and its ExpiresAt
+	SegmentSize    int64         // size at which a new segment is started
+	MaxBatch       int           // maximum number of records per sync; 1: no group commit
+	MaxQueuedBytes int64         // maximum number of bytes in the write queue
+	CleanInterval  time.Duration // interval of cleaning; 0: only explicitly, with Clean
+	ScrubInterval  time.Duration // interval after which the next segment is scrubbed; 0: only explicitly, with Scrub
+	Serial         bool          // write the two copies sequentially instead of concurrently
+	Log            *slog.Logger
 }
 
 const (
-	defaultSegmentSize = 8 << 20
-	defaultMaxBatch    = 512
-	defaultMaxWaiting  = 4 << 20
+	defaultSegmentSize    = 8 << 20
+	defaultMaxBatch       = 512
+	defaultMaxQueuedBytes = 4 << 20
 )
 
 func (o *Options) setDefaults() {
@@ -103,8 +103,8 @@
 	if o.MaxBatch == 0 {
 		o.MaxBatch = defaultMaxBatch
 	}
-	if o.MaxWaiting == 0 {
-		o.MaxWaiting = defaultMaxWaiting
+	if o.MaxQueuedBytes == 0 {
+		o.MaxQueuedBytes = defaultMaxQueuedBytes
 	}
 	if o.Log == nil {
 		o.Log = slog.New(slog.DiscardHandler)
--- a/internal/storage/recordlog/store.go
+++ b/internal/storage/recordlog/store.go
@@ -10,15 +10,15 @@
 // Store is a Log on disk. It is safe for concurrent use. One goroutine is the only writer;
 // another one cleans. Close ends both.
 type Store struct {
-	journal      *journal
-	queue        chan *entry
-	waitingBytes atomic.Int64 // of the records in the queue
-	writerTasks  chan func()  // run by the writer between batches
-	stop         chan struct{}
-	writerDone   chan struct{} // closed when the writer has ended
-	cleanerDone  chan struct{} // closed when the cleaner has ended
-	health       atomic.Pointer[error]
-	metrics      Metrics
+	journal     *journal
+	queue       chan *entry
+	queuedBytes atomic.Int64 // of the records in the queue
+	writerTasks chan func()  // run by the writer between batches
+	stop        chan struct{}
+	writerDone  chan struct{} // closed when the writer has ended
+	cleanerDone chan struct{} // closed when the cleaner has ended
+	health      atomic.Pointer[error]
+	metrics     Metrics
 
 	maintenance   sync.Mutex // serializes Clean, Scrub and Each, so that no segment is deleted while it is read
 	scrubPosition int        // guarded by maintenance
@@ -73,8 +73,8 @@
 	return s.enqueue(&entry{Record: r, done: done})
 }
 
-// enqueue queues an entry for the writer. A single entry may exceed MaxWaiting if no other entry
-// is pending.
+// enqueue queues an entry for the writer. A single entry may exceed MaxQueuedBytes if no other
+// entry is pending.
 func (s *Store) enqueue(e *entry) error {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
@@ -82,15 +82,15 @@
 		return ErrClosed
 	}
 	size := e.queuedSize()
-	if s.waitingBytes.Add(size) > s.journal.opt.MaxWaiting && s.waitingBytes.Load() > size {
-		s.waitingBytes.Add(-size)
+	if s.queuedBytes.Add(size) > s.journal.opt.MaxQueuedBytes && s.queuedBytes.Load() > size {
+		s.queuedBytes.Add(-size)
 		return ErrBusy
 	}
 	select {
 	case s.queue <- e:
 		return nil
 	default:
-		s.waitingBytes.Add(-size)
+		s.queuedBytes.Add(-size)
 		return ErrBusy
 	}
 }
@@ -153,7 +153,7 @@
 	}
 	s.recordHealth(err)
 	for _, e := range batch {
-		s.waitingBytes.Add(-e.queuedSize())
+		s.queuedBytes.Add(-e.queuedSize())
 		if e.done != nil {
 			e.done(err)
 		}
--- a/internal/testing/soak/campaign.go
+++ b/internal/testing/soak/campaign.go
@@ -32,7 +32,7 @@
 	Program   string        // path of the executable
 	Second    string        // path of another build that is used for restarts; empty: Program
 	Dir       string        // for the history and the report, which are kept after the run
-	Say       func(format string, args ...any)
+	Logf      func(format string, args ...any)
 }
 
 // Result is the result of a campaign. Unanswered, RunTwice, Mixed, OverContract, MemoryGrowth and
@@ -42,7 +42,7 @@
 	Queries, Admitted, Unanswered, RunTwice, Mixed, OverContract, MemoryGrowth, Unsettled int
 	MaxInFlight, Contract                                                                 int // maximum of parts that all processes together could have in flight, and the contract
 	Kills, Changes, Refused, PartsRun                                                     int
-	Broken                                                                                []string // descriptions of the violations, one line each
+	Violations                                                                            []string // descriptions of the violations, one line each
 	queries                                                                               []Query
 	readings                                                                              []Reading
 	memory                                                                                map[string][]sample
@@ -58,7 +58,7 @@
 // Verdict returns the summary of a result as one line of key=value pairs.
 func (r Result) Verdict(cfg Config) string {
 	return fmt.Sprintf("campaign: seed=%d processes=%d seconds=%.0f queries=%d let_in=%d unanswered=%d run_twice=%d of %d mixed=%d over_contract=%d (most %d of %d) grown=%d unsettled=%d faults=%d kills=%d changes=%d refused=%d broken=%d",
-		cfg.Seed, cfg.Processes, cfg.Length.Seconds(), r.Queries, r.Admitted, r.Unanswered, r.RunTwice, r.PartsRun, r.Mixed, r.OverContract, r.MaxInFlight, r.Contract, r.MemoryGrowth, r.Unsettled, len(r.Script), r.Kills, r.Changes, r.Refused, len(r.Broken))
+		cfg.Seed, cfg.Processes, cfg.Length.Seconds(), r.Queries, r.Admitted, r.Unanswered, r.RunTwice, r.PartsRun, r.Mixed, r.OverContract, r.MaxInFlight, r.Contract, r.MemoryGrowth, r.Unsettled, len(r.Script), r.Kills, r.Changes, r.Refused, len(r.Violations))
 }
 
 const (
@@ -70,12 +70,12 @@
 var teams = []string{"moves", "loud", "quiet", "files"}
 
 // Run runs a campaign and checks its history. An error means that the campaign could not be run;
-// violations are in Result.Broken.
+// violations are in Result.Violations.
 func Run(cfg Config) (res Result, err error) {
 	if err := os.MkdirAll(cfg.Dir, 0o755); err != nil {
 		return res, err
 	}
-	r, err := harness.NewRunner(cfg.Dir, cfg.Say)
+	r, err := harness.NewRunner(cfg.Dir, cfg.Logf)
 	if err != nil {
 		return res, err
 	}
@@ -83,7 +83,7 @@
 	defer func() {
 		if never := harness.FatalReason(recover()); never != "" { // a state was not reached in time
 			res.Unsettled++
-			res.Broken = append(res.Broken, never)
+			res.Violations = append(res.Violations, never)
 		}
 	}()
 	run := &campaign{cfg: cfg, res: &res, r: r, faultsEnded: make(chan struct{}), loadEnded: make(chan struct{})}
@@ -172,7 +172,7 @@
 	g := run.g
 	g.StartAll()
 	run.waitAdmitting()
-	run.cfg.Say("%d processes serve under the same policy version", len(g.Members))
+	run.cfg.Logf("%d processes serve under the same policy version", len(g.Members))
 	began := time.Since(g.Began())
 	run.load()
 	run.wg.Add(2)
@@ -186,7 +186,7 @@
 	g.Play(run.res.Script)
 	time.Sleep(run.cfg.Length - (time.Since(g.Began()) - began)) // no faults for the rest of the campaign
 	close(run.faultsEnded)
-	run.cfg.Say("faults ended")
+	run.cfg.Logf("faults ended")
 	var down []int
 	for i, m := range g.Members {
 		g.Continue(i)
--- a/internal/testing/soak/campaign_test.go
+++ b/internal/testing/soak/campaign_test.go
@@ -20,14 +20,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	cfg := Config{Seed: 3, Processes: 4, Voters: 3, Length: 14 * time.Second, Faults: 4, Program: program, Dir: t.TempDir(), Say: t.Logf}
+	cfg := Config{Seed: 3, Processes: 4, Voters: 3, Length: 14 * time.Second, Faults: 4, Program: program, Dir: t.TempDir(), Logf: t.Logf}
 	r, err := Run(cfg)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Log(r.Verdict(cfg))
-	if len(r.Broken) > 0 {
-		t.Errorf("violations: %s", strings.Join(r.Broken, "\n"))
+	if len(r.Violations) > 0 {
+		t.Errorf("violations: %s", strings.Join(r.Violations, "\n"))
 	}
 	path, err := Report(cfg, r, nil)
 	if err != nil {
@@ -50,7 +50,7 @@
 	got, err := Shrink(Config{}, s, 100, func(cfg Config) (r Result, err error) {
 		runs++
 		if slices.ContainsFunc(cfg.Script, func(x faults.Step) bool { return x.String() == bad.String() }) {
-			r.Broken = []string{"violation"}
+			r.Violations = []string{"violation"}
 		}
 		return r, nil
 	})
@@ -73,13 +73,13 @@
 		t.Run(bug, func(t *testing.T) {
 			t.Setenv("SAFFRONQUAY_SEEDED_BUG", bug)
 			for seed := uint64(1); seed <= 6; seed++ {
-				cfg := Config{Seed: seed, Processes: 6, Voters: 3, Length: 40 * time.Second, Faults: 25, Program: program, Dir: t.TempDir(), Say: t.Logf}
+				cfg := Config{Seed: seed, Processes: 6, Voters: 3, Length: 40 * time.Second, Faults: 25, Program: program, Dir: t.TempDir(), Logf: t.Logf}
 				r, err := Run(cfg)
 				if err != nil {
 					t.Fatal(err)
 				}
-				if len(r.Broken) > 0 {
-					t.Logf("seed %d: %s", seed, r.Broken[0])
+				if len(r.Violations) > 0 {
+					t.Logf("seed %d: %s", seed, r.Violations[0])
 					return
 				}
 			}
--- a/internal/testing/soak/doc.go
+++ b/internal/testing/soak/doc.go
@@ -12,5 +12,6 @@
 //   - no process's memory grows
 //
 // No check may depend on how soon something happens. The package must only start the program and fake
-// backends, on loopback. Errors mean that a run could not be executed; violations are in Result.Broken.
+// backends, on loopback. Errors mean that a run could not be executed; violations are in
+// Result.Violations.
 package soak
--- a/internal/testing/soak/report.go
+++ b/internal/testing/soak/report.go
@@ -46,7 +46,7 @@
 		return "", fmt.Errorf("soak report: %w", err)
 	}
 	defer f.Close()
-	return path, reportTemplate.Execute(f, map[string]any{"Verdict": r.Verdict(cfg), "Broken": r.Broken, "Script": r.Script.String(), "Smallest": smallest.String(), "Found": smallest != nil, "Drawings": drawings})
+	return path, reportTemplate.Execute(f, map[string]any{"Verdict": r.Verdict(cfg), "Broken": r.Violations, "Script": r.Script.String(), "Smallest": smallest.String(), "Found": smallest != nil, "Drawings": drawings})
 }
 
 // queriesPerSecond returns the number of queries per second of the history, by outcome.
--- a/internal/testing/soak/verdict.go
+++ b/internal/testing/soak/verdict.go
@@ -21,7 +21,7 @@
 	res := run.res
 	violation := func(count int, format string, args ...any) {
 		if count > 0 {
-			res.Broken = append(res.Broken, fmt.Sprintf(format, args...))
+			res.Violations = append(res.Violations, fmt.Sprintf(format, args...))
 		}
 	}
 	gone := downtimes(res.Script, run.cfg.Processes)
@@ -70,7 +70,7 @@
 			}
 		}
 	}
-	res.Broken = append(res.Broken, run.r.Errors()...)
+	res.Violations = append(res.Violations, run.r.Errors()...)
 	if res.Admitted < 100 { // an absolute minimum: rejected clients retry at once, so most queries are rejected
 		violation(1, "%d of %d queries were admitted, want at least 100 for a conclusive campaign", res.Admitted, res.Queries)
 	}
@@ -82,7 +82,7 @@
 func (run *campaign) writeHistory() {
 	f, err := os.Create(filepath.Join(run.cfg.Dir, fmt.Sprintf("history-%d.jsonl", run.cfg.Seed)))
 	if err != nil {
-		run.cfg.Say("write history: %v", err)
+		run.cfg.Logf("write history: %v", err)
 		return
 	}
 	defer f.Close()
@@ -113,7 +113,7 @@
 			if err != nil {
 				return s, err
 			}
-			if len(r.Broken) > 0 {
+			if len(r.Violations) > 0 {
 				s, smaller = rest, true
 				break
 			}
