--- a/internal/broker/transport/engine.go
+++ b/internal/broker/transport/engine.go
@@ -75,7 +75,7 @@
 	e.pool = newPool(cfg, d, e.post)
 	e.pool.metrics = metrics
 	e.pool.onReply, e.pool.stopped = gatherer.HandleReply, e.stopped
-	e.pool.onPanic = func(p *panicguard.PanicError) { e.recordPanic("server answer", p) }
+	e.pool.onPanic = func(p *panicguard.PanicError) { e.recordPanic("answer of a server", p) }
 	e.queued = map[int64]*queuedQuery{}
 	return e
 }
@@ -183,8 +183,8 @@
 			e.recordIntents(now, x)
 		case core.CancelAttempt:
 			e.pool.cancelAttempt(now, x.Attempt)
-		case core.RecallUnsent:
-			e.pool.recall(now, x.Attempt)
+		case core.CancelIfUnsent:
+			e.pool.cancelIfUnsent(now, x.Attempt)
 		case core.CloseIdle:
 			e.pool.closeIdle(now, x.Server)
 		case core.Final:
@@ -200,7 +200,7 @@
 			if e.Fetch != nil {
 				e.Fetch()
 			}
-		case core.Refresh:
+		case core.FetchLayout:
 			if e.RefreshLayout != nil {
 				e.RefreshLayout()
 			}
@@ -285,7 +285,7 @@
 func (e *Engine) HandoverState() (s handover.State, ok bool) {
 	got := make(chan handover.State, 1)
 	go e.post(func(int64) {
-		occupancy, learned := e.core.Occupancy(), e.core.Learned()
+		occupancy, learned := e.core.Occupancy(), e.core.Snapshot()
 		got <- handover.State{
 			Sockets: e.pool.conns, Open: occupancy.Open, Labels: occupancy.Labels, Admission: learned.Admission,
 			Suspects: learned.Suspects,
@@ -316,24 +316,24 @@
 	})
 }
 
-// InheritLearned initializes the module from what the previous process has learned.
-func (e *Engine) InheritLearned(from handover.State) {
+// InitFromPredecessor initializes the module from what the previous process has learned.
+func (e *Engine) InitFromPredecessor(from handover.State) {
 	e.post(func(now int64) {
-		e.core.TakeOver(now, sq.Learned{Admission: from.Admission, Suspects: from.Suspects})
+		e.core.TakeOver(now, sq.Snapshot{Admission: from.Admission, Suspects: from.Suspects})
 	})
 }
 
-// Memory is the state that a process keeps across a restart. Times are Unix microseconds.
-type Memory struct {
-	Learned sq.Learned
+// PersistentState is the state that a process keeps across a restart. Times are Unix microseconds.
+type PersistentState struct {
+	Learned sq.Snapshot
 	Spent   map[string]core.Spent
 }
 
-// ExportMemory returns the state to keep across a restart. ok is false if the engine has stopped or
+// ExportState returns the state to keep across a restart. ok is false if the engine has stopped or
 // does not respond within stateTimeout.
-func (e *Engine) ExportMemory() (m Memory, ok bool) {
-	got := make(chan Memory, 1)
-	go e.post(func(now int64) { got <- Memory{e.core.Learned(), e.core.Spent(now)} })
+func (e *Engine) ExportState() (m PersistentState, ok bool) {
+	got := make(chan PersistentState, 1)
+	go e.post(func(now int64) { got <- PersistentState{e.core.Snapshot(), e.core.Spent(now)} })
 	t := time.NewTimer(stateTimeout)
 	defer t.Stop()
 	select {
@@ -345,8 +345,8 @@
 	return m, false
 }
 
-// RestoreMemory initializes the core from the state of a process that has ended.
-func (e *Engine) RestoreMemory(m Memory) {
+// RestoreState initializes the core from the state of a process that has ended.
+func (e *Engine) RestoreState(m PersistentState) {
 	e.post(func(now int64) { e.core.Restore(now, m.Learned, m.Spent) })
 }
 
--- a/internal/broker/transport/listener_test.go
+++ b/internal/broker/transport/listener_test.go
@@ -24,7 +24,7 @@
 
 func (module) Step(int64, []sq.Event) []sq.Action { return nil }
 
-func (module) Learned() sq.Learned { return sq.Learned{} }
+func (module) Snapshot() sq.Snapshot { return sq.Snapshot{} }
 
 func (module) Rotation() (listed, out int) { return 3, 1 }
 
@@ -110,7 +110,7 @@
 		conn.Close()
 	}
 	end := time.Now().Add(testTimeout)
-	for !l.Quiet(e.clock.Now()+1) || e.OpenQueries() > 0 {
+	for !l.IdleSince(e.clock.Now()+1) || e.OpenQueries() > 0 {
 		if time.Now().After(end) {
 			t.Fatalf("%d busy connections, %d open queries; want 0", l.busyConns.Load(), e.OpenQueries())
 		}
@@ -134,7 +134,7 @@
 		t.Errorf("no answer: %v", err)
 	}
 	end := time.Now().Add(testTimeout)
-	for !l.Quiet(e.clock.Now()+1) || e.OpenQueries() > 0 {
+	for !l.IdleSince(e.clock.Now()+1) || e.OpenQueries() > 0 {
 		if time.Now().After(end) {
 			t.Fatalf("%d busy connections, %d open queries; want 0", l.busyConns.Load(), e.OpenQueries())
 		}
--- a/internal/scale/hollow.go
+++ b/internal/scale/hollow.go
@@ -115,7 +115,7 @@
 	memory := h.disk.memory()
 	h.number.Store(memory.Current.GetNumber())
 	var err error
-	if h.policy, err = peering.OpenPolicyNode(peering.PolicyConfig{Listen: r.Listen, Seed: h.Seed, Memory: memory, Node: node}, h.clock.Now, h, h.log); err != nil {
+	if h.policy, err = peering.OpenPolicyNode(peering.PolicyConfig{Listen: r.Listen, Seed: h.Seed, Stored: memory, Node: node}, h.clock.Now, h, h.log); err != nil {
 		return err
 	}
 	core := swim.Config{
--- a/internal/scale/scale_test.go
+++ b/internal/scale/scale_test.go
@@ -22,7 +22,7 @@
 // send the same messages as real ones. Checks counts and order only, so that the result does not
 // depend on the machine's load.
 func TestSmallFleet(t *testing.T) {
-	cfg := Config{Seed: 1, Gatherers: 44, Voters: 3, Followers: 4, Process: 20, Apart: []int{3}, Teams: 4, Lease: 3 * time.Second, Hold: 2 * time.Second, Queries: 20, Say: t.Logf}
+	cfg := Config{Seed: 1, Gatherers: 44, Voters: 3, Followers: 4, Process: 20, Apart: []int{3}, Teams: 4, Lease: 3 * time.Second, Hold: 2 * time.Second, Queries: 20, Logf: t.Logf}
 	r, err := NewRig(t, cfg)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/scale/work/slopes.go
+++ b/internal/scale/work/slopes.go
@@ -21,7 +21,7 @@
 	Cores          int
 	Workers, Parts int
 	Delay          time.Duration
-	Say            func(format string, args ...any)
+	Logf           func(format string, args ...any)
 }
 
 // Table is the result for one slope: figures against a variable, and the line through each.
