--- a/internal/scale/hollow.go
+++ b/internal/scale/hollow.go
@@ -219,8 +219,8 @@
 	}
 }
 
-// Judge validates a document against the installed policy.
-func (h *simulatedGatherer) Judge(text []byte) error {
+// Validate validates a document against the installed policy.
+func (h *simulatedGatherer) Validate(text []byte) error {
 	op := h.op.Load()
 	now, err := config.ParseOperator(op.Text, text)
 	if err != nil {
--- a/internal/scale/rig.go
+++ b/internal/scale/rig.go
@@ -39,7 +39,7 @@
 	Queries   int  // per second, over all voters
 	Program   string
 	Dir       string // working directory of the run
-	Say       func(format string, args ...any)
+	Logf      func(format string, args ...any)
 }
 
 const (
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -82,7 +82,7 @@
 		if err := ctx.Err(); err != nil || time.Since(began) > p.Limit {
 			return errors.Join(ErrLimit, err)
 		}
-		p.Fleet.Say("%s", what)
+		p.Fleet.Logf("%s", what)
 		fault, err := runFleet(ctx, p.Fleet, do)
 		if err != nil {
 			return err
@@ -137,7 +137,7 @@
 // runFleet runs one fleet and ends everything that it started. If the context ends first, the
 // cleanup runs and the program exits.
 func runFleet(ctx context.Context, cfg Config, do func(harness.T) error) (fault string, err error) {
-	t, err := harness.NewRunner(cfg.Dir, cfg.Say)
+	t, err := harness.NewRunner(cfg.Dir, cfg.Logf)
 	if err != nil {
 		return "", err
 	}
--- a/internal/scale/scale_test.go
+++ b/internal/scale/scale_test.go
@@ -85,7 +85,7 @@
 		t.Fatal(err)
 	}
 	p := Plan{
-		Fleet: Config{Seed: 3, Gatherers: 12, Voters: 1, Followers: 1, Process: 10, Teams: 2, Busy: 1, Program: program, Dir: t.TempDir(), Say: t.Logf}, Sizes: []int{12}, Runs: 1, Out: filepath.Join(t.TempDir(), "scale"),
+		Fleet: Config{Seed: 3, Gatherers: 12, Voters: 1, Followers: 1, Process: 10, Teams: 2, Busy: 1, Program: program, Dir: t.TempDir(), Logf: t.Logf}, Sizes: []int{12}, Runs: 1, Out: filepath.Join(t.TempDir(), "scale"),
 		Effort: MeasureOptions{Rest: time.Second, Changes: 1}, Limit: time.Hour,
 	}
 	for i := range 2 {
--- a/internal/scale/work/slopes.go
+++ b/internal/scale/work/slopes.go
@@ -105,7 +105,7 @@
 			return table, fmt.Errorf("work: measure at %s=%g: %w", s.variable, x, err)
 		}
 		table.Rows = append(table.Rows, Row{x, values})
-		cfg.Say("%s=%g %s", s.variable, x, formatValues(s.figures, values))
+		cfg.Logf("%s=%g %s", s.variable, x, formatValues(s.figures, values))
 	}
 	for i, figure := range s.figures {
 		var ys []float64
@@ -128,7 +128,7 @@
 
 // measureSize measures one size and ends everything that it started.
 func measureSize(ctx context.Context, cfg SlopeConfig, x float64, one func(*measurement, float64) []float64) (values []float64, err error) {
-	r, err := harness.NewRunner("", cfg.Say)
+	r, err := harness.NewRunner("", cfg.Logf)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/scale/work/slopes_test.go
+++ b/internal/scale/work/slopes_test.go
@@ -33,7 +33,7 @@
 }
 
 func TestSlope_Errors(t *testing.T) {
-	quiet := SlopeConfig{Program: Program{File: "/nowhere"}, Say: func(string, ...any) {}}
+	quiet := SlopeConfig{Program: Program{File: "/nowhere"}, Logf: func(string, ...any) {}}
 	for _, name := range append(Slopes(), "none") {
 		if _, err := Measure(context.Background(), name, quiet); err == nil {
 			t.Errorf("Measure of slope %s returned no error with a missing program", name)
--- a/internal/scale/work/workers_test.go
+++ b/internal/scale/work/workers_test.go
@@ -117,7 +117,7 @@
 	for _, parts := range []int{1, 3, 100, 187, 375, 750, 1500} {
 		text := queryBody(1100, parts, 2600, estimatedWorkMicros)
 		w, err := strconv.ParseFloat(weightText(parts), 64)
-		if len(text) > http1.MaxBody || err != nil || math.Abs(w*float64(parts)-1) > 0.01 {
+		if len(text) > http1.MaxBodyBytes || err != nil || math.Abs(w*float64(parts)-1) > 0.01 {
 			t.Errorf("%d parts: %d bytes, weights of %s", parts, len(text), weightText(parts))
 		}
 	}
