--- a/internal/broker/core/layout.go
+++ b/internal/broker/core/layout.go
@@ -148,7 +148,7 @@
 	case o == sq.Misplaced && a.epoch >= c.routes.Epoch():
 		c.isLayoutStale = true
 	case o == sq.Served && !c.routes.Answers(a.server, a.part.spec.Shard, a.part.spec.Span):
-		c.emit(LogLine{Text: "answer of server " + string(a.server) + " ignored: it no longer holds range " + a.part.spec.Span.String()})
+		c.emit(LogLine{Text: "answer of server " + string(a.server) + " for range " + a.part.spec.Span.String() + " ignored: the server no longer holds the range"})
 		return sq.Errored
 	}
 	return o
--- a/internal/broker/layout/scenes_test.go
+++ b/internal/broker/layout/scenes_test.go
@@ -283,7 +283,7 @@
 	if o := <-submit; o.status != 500 { // it may have run: its outcome is unknown
 		t.Errorf("at-most-once query: status %d %.200s", o.status, o.text)
 	}
-	s.gs[0].WaitForLine(0, "event=note", "answer of server s00 ignored: it no longer holds range 0-100")
+	s.gs[0].WaitForLine(0, "event=note", "answer of server s00 for range 0-100 ignored: the server no longer holds the range")
 	s.checkAnswers("the former holder is avoided")
 	s.checkLedger(2)
 }
--- a/internal/scheduler/controlplane/founding_test.go
+++ b/internal/scheduler/controlplane/founding_test.go
@@ -117,7 +117,7 @@
 	is.NoErr(probe.Close())
 	first, err := strconv.Atoi(port)
 	is.NoErr(err)
-	newBootstrapMember := func(ip string) *Server {
+	newServer := func(ip string) *Server {
 		return &Server{
 			settings: &settings.Settings{
 				IP: ip, PortRange: []int{first, first + 3}, Bootstrap: true,
@@ -128,10 +128,8 @@
 	}
 	results := make(chan bool, 2)
 	for _, ip := range []string{"127.0.0.1", "127.0.0.2"} {
-		bootstrapMember := newBootstrapMember(ip)
-		go func() {
-			results <- bootstrapMember.participatedBefore(context.Background(), replica.BootstrapMemberID(ip+":8144"))
-		}()
+		s := newServer(ip)
+		go func() { results <- s.participatedBefore(context.Background(), replica.BootstrapMemberID(ip+":8144")) }()
 	}
 	is.True(!<-results)
 	is.True(!<-results)
