--- a/cmd/saffronquay-standin/main.go
+++ b/cmd/saffronquay-standin/main.go
@@ -43,11 +43,11 @@
 	case op.Layout == nil || op.Layout.Directory == "":
 		return fmt.Errorf("%s: layout.directory: missing", file)
 	}
-	cfg := fakebackend.ServerConfig{Once: map[string]bool{}, Cores: 2, Queue: 100, Work: work}
+	cfg := fakebackend.ServerConfig{AtMostOnce: map[string]bool{}, Cores: 2, Queue: 100, PartTime: work}
 	for name, ix := range op.Indices {
 		cfg.Field = ix.Field
 		for _, c := range op.Settings.Module.Classes {
-			cfg.Once[name] = cfg.Once[name] || c.Name == ix.Class && c.Effect == sq.AtMostOnce
+			cfg.AtMostOnce[name] = cfg.AtMostOnce[name] || c.Name == ix.Class && c.Effect == sq.AtMostOnce
 		}
 	}
 	var ids []sq.ServerID
@@ -74,6 +74,6 @@
 	signal.Notify(stop, os.Interrupt, syscall.SIGTERM)
 	<-stop
 	runs, twice, astray := c.Ledger.Counts()
-	log.Info("ledger", "parts_run", runs, "run_twice", twice, "run_where_not_held", astray, "unjudged", c.Ledger.Unjudged())
+	log.Info("ledger", "parts_run", runs, "run_twice", twice, "run_where_not_held", astray, "unjudged", c.Ledger.RunsWithoutID())
 	return nil
 }
--- a/cmd/saffronquay/try.go
+++ b/cmd/saffronquay/try.go
@@ -89,7 +89,7 @@
 	err = fleet.stopAll()
 	runs, twice, astray := backends.Ledger.Counts()
 	fmt.Fprintf(c.out, "the servers' ledger: %d parts run, %d filings run twice, %d run where they were not held; %d filings without X-Opaque-Id not checked\n",
-		runs, twice, astray, backends.Ledger.Unjudged())
+		runs, twice, astray, backends.Ledger.RunsWithoutID())
 	if err != nil {
 		return failed(err)
 	}
--- a/cmd/saffronquay/try_cluster.go
+++ b/cmd/saffronquay/try_cluster.go
@@ -21,7 +21,7 @@
 // that lists them. The caller must close the cluster.
 func (t trial) startCluster() (*fakebackend.Cluster, map[string]any, error) {
 	doc, ids := trialLayout()
-	cl, err := fakebackend.NewCluster(ids, nil, fakebackend.ServerConfig{Field: "taxpayer", Once: map[string]bool{"filings": true}, Cores: 2, Queue: 50, Work: 2 * time.Millisecond}, doc, t.rows())
+	cl, err := fakebackend.NewCluster(ids, nil, fakebackend.ServerConfig{Field: "taxpayer", AtMostOnce: map[string]bool{"filings": true}, Cores: 2, Queue: 50, PartTime: 2 * time.Millisecond}, doc, t.rows())
 	if err != nil {
 		return nil, nil, err
 	}
--- a/internal/broker/idempotency/kill_test.go
+++ b/internal/broker/idempotency/kill_test.go
@@ -362,7 +362,7 @@
 	// A server delays the part while the client disconnects and retries: the query runs once, and
 	// the retry gets its answer.
 	for _, s := range c.Servers {
-		s.Set(fakebackend.Holds)
+		s.Set(fakebackend.Block)
 	}
 	open := make(chan answer, 1)
 	go func() { open <- g.send("POST", "/filings/_search", "held", "held", body) }()
@@ -395,7 +395,7 @@
 func awaitHeldPart(c *fakebackend.Cluster) {
 	var heldParts []reflect.SelectCase
 	for _, s := range c.Servers {
-		heldParts = append(heldParts, reflect.SelectCase{Dir: reflect.SelectRecv, Chan: reflect.ValueOf(s.Held())})
+		heldParts = append(heldParts, reflect.SelectCase{Dir: reflect.SelectRecv, Chan: reflect.ValueOf(s.Blocked())})
 	}
 	reflect.Select(heldParts)
 }
--- a/internal/broker/idempotency/program_test.go
+++ b/internal/broker/idempotency/program_test.go
@@ -43,7 +43,7 @@
 	for k := range int64(80) {
 		rows = append(rows, fakebackend.Row{Key: k, ID: fmt.Sprint("row-", k)})
 	}
-	c, err := fakebackend.NewCluster(ids, nil, fakebackend.ServerConfig{Field: "taxpayer", Once: map[string]bool{"filings": true}, Cores: 8, Queue: 1000, Work: work}, doc, rows)
+	c, err := fakebackend.NewCluster(ids, nil, fakebackend.ServerConfig{Field: "taxpayer", AtMostOnce: map[string]bool{"filings": true}, Cores: 8, Queue: 1000, PartTime: work}, doc, rows)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/broker/layout/measure_test.go
+++ b/internal/broker/layout/measure_test.go
@@ -32,7 +32,7 @@
 // during them.
 func measureLatency(t *testing.T) {
 	for _, changing := range []bool{false, true, false, true} {
-		c := newCluster(t, 12, 40, 3, 4000, fakebackend.ServerConfig{Cores: 4, Queue: 1000, Work: 2 * time.Millisecond})
+		c := newCluster(t, 12, 40, 3, 4000, fakebackend.ServerConfig{Cores: 4, Queue: 1000, PartTime: 2 * time.Millisecond})
 		gs := []*gatherer{start(t, c)}
 		var changes atomic.Int64
 		stop := make(chan struct{})
@@ -99,7 +99,7 @@
 // measureHot measures the load of six servers when one range gets four times as many queries as all
 // others together, before and after that range is split into four.
 func measureHot(t *testing.T) {
-	c := newCluster(t, 6, 6, 2, 600, fakebackend.ServerConfig{Cores: 2, Queue: 200, Work: time.Millisecond, Each: 30 * time.Microsecond})
+	c := newCluster(t, 6, 6, 2, 600, fakebackend.ServerConfig{Cores: 2, Queue: 200, PartTime: time.Millisecond, RowTime: 30 * time.Microsecond})
 	g := start(t, c)
 	for _, when := range []string{"before", "after"} {
 		if when == "after" {
@@ -120,12 +120,12 @@
 		}
 		busy := map[sq.ServerID]time.Duration{}
 		for _, s := range c.Servers {
-			_, busy[s.ID()] = s.Worked()
+			_, busy[s.ID()] = s.Stats()
 		}
 		took, rejected := runAtRate(g, 400, 8*time.Second, drawHotKey)
 		most, all := time.Duration(0), time.Duration(0)
 		for _, s := range c.Servers {
-			_, now := s.Worked()
+			_, now := s.Stats()
 			most, all = max(most, now-busy[s.ID()]), all+now-busy[s.ID()]
 		}
 		t.Logf("%s the split: busiest server %.0f%% of its cores, mean %.0f%%; queries=%d rejected or failed=%d p50=%s p99=%s", when,
@@ -136,7 +136,7 @@
 // measureSilentServer measures the latency of a first page of 8 parts, with all servers healthy and
 // with one that does not answer.
 func measureSilentServer(t *testing.T) {
-	c := newCluster(t, 8, 8, 2, 800, fakebackend.ServerConfig{Cores: 4, Queue: 100, Work: 2 * time.Millisecond})
+	c := newCluster(t, 8, 8, 2, 800, fakebackend.ServerConfig{Cores: 4, Queue: 100, PartTime: 2 * time.Millisecond})
 	g := start(t, c)
 	for _, fault := range []fakebackend.Fault{fakebackend.None, fakebackend.Silent} {
 		c.Servers[3].Set(fault)
@@ -155,7 +155,7 @@
 // measureRate measures the number of queries of 8 parts that the program answers per second on one
 // core.
 func measureRate(t *testing.T) {
-	c := newCluster(t, 8, 8, 2, 800, fakebackend.ServerConfig{Cores: 16, Queue: 1000, Work: time.Millisecond})
+	c := newCluster(t, 8, 8, 2, 800, fakebackend.ServerConfig{Cores: 16, Queue: 1000, PartTime: time.Millisecond})
 	agent, err := c.Directory.Agent("")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/broker/layout/program_test.go
+++ b/internal/broker/layout/program_test.go
@@ -52,8 +52,8 @@
 	for k := range keys {
 		rows = append(rows, fakebackend.Row{Key: k, ID: fmt.Sprintf("row-%d", k)})
 	}
-	if cfg.Field, cfg.Once = "taxpayer", map[string]bool{"filings": true}; cfg.Cores == 0 {
-		cfg.Cores, cfg.Queue, cfg.Work = 4, 1000, 300*time.Microsecond
+	if cfg.Field, cfg.AtMostOnce = "taxpayer", map[string]bool{"filings": true}; cfg.Cores == 0 {
+		cfg.Cores, cfg.Queue, cfg.PartTime = 4, 1000, 300*time.Microsecond
 	}
 	c, err := fakebackend.NewCluster(ids, nil, cfg, doc, rows)
 	if err != nil {
@@ -198,7 +198,7 @@
 
 // equals reports whether an answer equals that of a single store with all rows.
 func (o outcome) equals(c *fakebackend.Cluster, want []layout.Span) bool {
-	ids := c.Single(want)
+	ids := c.ReferenceIDs(want)
 	sum := 0.0
 	for _, r := range c.All {
 		if slices.ContainsFunc(want, func(w layout.Span) bool { return r.Key >= w.From && r.Key < w.To }) {
--- a/internal/broker/layout/proof_test.go
+++ b/internal/broker/layout/proof_test.go
@@ -59,7 +59,7 @@
 		sum.failed.Add(1)
 	default:
 		sum.wrong.Add(1)
-		t.Errorf("%s %v: status %d %.300s; a single store returns %d rows", id, want, o.status, o.text, len(c.Single(want)))
+		t.Errorf("%s %v: status %d %.300s; a single store returns %d rows", id, want, o.status, o.text, len(c.ReferenceIDs(want)))
 	}
 }
 
@@ -113,7 +113,7 @@
 func injectFaults(c *fakebackend.Cluster, gs []*gatherer, stop <-chan struct{}, seed uint64, kills bool) {
 	rng := rand.New(rand.NewPCG(seed, 99))
 	faults := []fakebackend.Fault{fakebackend.CutUnread, fakebackend.CutHalf, fakebackend.CutRan, fakebackend.Refuses, fakebackend.Mislabels, fakebackend.Lags}
-	agentFaults := []fakebackend.Ill{fakebackend.Down, fakebackend.Mute, fakebackend.Garbles, fakebackend.Skips, fakebackend.Backs, fakebackend.Other, fakebackend.Trickle}
+	agentFaults := []fakebackend.AgentFault{fakebackend.Down, fakebackend.Mute, fakebackend.Malformed, fakebackend.SkipStep, fakebackend.OlderEpoch, fakebackend.OtherHistory, fakebackend.Trickle}
 	for n := 0; ; n++ {
 		s, a := c.Servers[rng.IntN(len(c.Servers))], gs[rng.IntN(len(gs))].agent
 		a.Set(agentFaults[rng.IntN(len(agentFaults))], time.Duration(rng.IntN(200))*time.Millisecond)
@@ -132,7 +132,7 @@
 		if kills {
 			s.Start()
 		}
-		a.Set(fakebackend.Well, time.Duration(rng.IntN(100))*time.Millisecond)
+		a.Set(fakebackend.NoAgentFault, time.Duration(rng.IntN(100))*time.Millisecond)
 		if ended {
 			return
 		}
--- a/internal/broker/layout/scenes_test.go
+++ b/internal/broker/layout/scenes_test.go
@@ -107,9 +107,9 @@
 			s.announce("m", layout.Move, []int{0}, part(0, 100, 0, "s04"))
 			s.do("m copy", "m ready")
 			old := s.c.Server("s00")
-			old.Set(fakebackend.Holds)
+			old.Set(fakebackend.Block)
 			got := s.searchAsync(s.gs[0], "filings", "f", keys(10, 20))
-			<-old.Held()
+			<-old.Blocked()
 			s.do("m cutover")
 			s.waitForNewestEpoch()
 			// The old holder is fenced by now. It rejects a search whose connection is not cut, and the
@@ -144,7 +144,7 @@
 		s.gs[0].agent.Set(fakebackend.Down, 0)
 		s.c.Server("s00").Kill()
 		got := s.searchAsync(s.gs[0], "filings", "f", keys(10, 20))
-		s.gs[0].agent.Set(fakebackend.Well, 0)
+		s.gs[0].agent.Set(fakebackend.NoAgentFault, 0)
 		o := <-got
 		if o.status == 429 { // all attempts were used up before the update arrived: none ran, so a retry is safe
 			s.waitForNewestEpoch()
@@ -204,11 +204,11 @@
 			got := map[string]outcome{}
 			for index, o := range pending { // the update arrives while they are in flight, or after their attempts are used up
 				if index == "invoices" {
-					s.gs[0].agent.Set(fakebackend.Well, 0)
+					s.gs[0].agent.Set(fakebackend.NoAgentFault, 0)
 				}
 				got[index] = <-o
 			}
-			s.gs[0].agent.Set(fakebackend.Well, 0)
+			s.gs[0].agent.Set(fakebackend.NoAgentFault, 0)
 			for index, o := range got {
 				// Each refused connection uses up an attempt. A query that has used up its attempts on the dead
 				// source before the update arrives is rejected with 429, and no part of it has run. Any other
@@ -248,10 +248,10 @@
 	s.announce("x", layout.Split, []int{0}, part(0, 50, 4, "s03"), part(50, 100, 5, "s04"))
 	s.do("x copy", "x ready", "x cutover")
 	s.waitForNewestEpoch()
-	s.c.Server("s03").Set(fakebackend.Holds)
+	s.c.Server("s03").Set(fakebackend.Block)
 	read, submit := s.searchAsync(s.gs[0], "invoices", "r", keys(0, 100)), s.searchAsync(s.gs[0], "filings", "f", keys(20, 30))
-	<-s.c.Server("s03").Held()
-	<-s.c.Server("s03").Held()
+	<-s.c.Server("s03").Blocked()
+	<-s.c.Server("s03").Blocked()
 	s.do("x abort")
 	s.c.Server("s03").Set(fakebackend.None) // fenced: it rejects both parts
 	if o := <-read; !o.equals(s.c, keys(0, 100)) {
@@ -270,10 +270,10 @@
 	s.announce("m", layout.Move, []int{0}, part(0, 100, 0, "s04"))
 	s.do("m copy", "m ready")
 	old := s.c.Server("s00")
-	old.Set(fakebackend.Holds)
+	old.Set(fakebackend.Block)
 	read, submit := s.searchAsync(s.gs[0], "invoices", "r", keys(10, 20)), s.searchAsync(s.gs[0], "filings", "f", keys(10, 20))
-	<-old.Held()
-	<-old.Held()
+	<-old.Blocked()
+	<-old.Blocked()
 	s.do("m cutover", "m retire")
 	s.waitForNewestEpoch()
 	old.Set(fakebackend.Zombie)
@@ -314,7 +314,7 @@
 	s.do("x copy", "x ready")
 	s.waitForNewestEpoch()
 	const lag = 3 * time.Second
-	s.gs[1].agent.Set(fakebackend.Well, lag)
+	s.gs[1].agent.Set(fakebackend.NoAgentFault, lag)
 	began := time.Now()
 	s.do("x cutover", "x retire")
 	late := []<-chan outcome{s.searchAsync(s.gs[1], "invoices", "r1", keys(0, 400)), s.searchAsync(s.gs[1], "filings", "f1", keys(30, 70))}
@@ -337,15 +337,15 @@
 	s := newScenario(t, 1)
 	g := s.gs[0]
 	for i, c := range []struct {
-		fault   fakebackend.Ill
+		fault   fakebackend.AgentFault
 		wantLog string
 	}{
 		{fakebackend.Down, "reason=unreachable"},
 		{fakebackend.Mute, "reason=unreachable"},
-		{fakebackend.Backs, "reason=epoch"},
-		{fakebackend.Other, "reason=history"},
-		{fakebackend.Garbles, "reason=invalid"},
-		{fakebackend.Skips, "reason=epoch"},
+		{fakebackend.OlderEpoch, "reason=epoch"},
+		{fakebackend.OtherHistory, "reason=history"},
+		{fakebackend.Malformed, "reason=invalid"},
+		{fakebackend.SkipStep, "reason=epoch"},
 		{fakebackend.Trickle, ""},
 	} {
 		for end := time.Now().Add(waitTimeout); g.agent.Watches() == 0 && time.Now().Before(end); {
@@ -359,12 +359,12 @@
 		if c.wantLog != "" {
 			g.WaitForLine(before, "event=layout_kept", c.wantLog)
 		}
-		g.agent.Set(fakebackend.Well, 0)
+		g.agent.Set(fakebackend.NoAgentFault, 0)
 		s.checkAnswers(string(c.fault) + ", possibly before the last update")
 		s.waitForNewestEpoch()
 		s.checkAnswers(string(c.fault))
 	}
-	full, resumed := g.agent.Asked()
+	full, resumed := g.agent.RequestCounts()
 	if t.Logf("full layouts sent %d, watches resumed %d", full, resumed); resumed == 0 {
 		t.Error("no watch was resumed from its epoch")
 	}
--- a/internal/broker/layout/search_test.go
+++ b/internal/broker/layout/search_test.go
@@ -183,7 +183,7 @@
 		return status, text
 	}
 	for _, srv := range s.c.Servers {
-		srv.Forget(time.Now().UnixMicro())
+		srv.DropSnapshotsBefore(time.Now().UnixMicro())
 	}
 	if status, text := search(string(id)); status != 404 || !strings.Contains(text, "no longer holds what stood then") {
 		t.Errorf("state dropped by the servers: %d %s", status, text)
@@ -211,7 +211,7 @@
 	s := &scenario{t: t, c: newCluster(t, 5, 4, 2, 400, fakebackend.ServerConfig{})}
 	g := start(t, s.c)
 	at := time.Now().UnixMicro()
-	s.c.Server("s00").Miss(at)
+	s.c.Server("s00").MissWritesFrom(at)
 	s.c.Write(at, []fakebackend.Row{{Key: 7, ID: "late"}}, func(r fakebackend.Row) bool { return r.Key == 8 })
 	_, _, text := g.post("/invoices/_search/point_in_time?keep_alive=1m", "")
 	id := fastjson.MustParse(text).GetStringBytes("pit_id")
--- a/internal/cluster/peering/policy_test.go
+++ b/internal/cluster/peering/policy_test.go
@@ -54,7 +54,7 @@
 		doc.Ranges = append(doc.Ranges, layout.Range{Shard: i, Span: layout.Span{From: int64(i) * 2000, To: int64(i+1) * 2000}, Holders: ids})
 	}
 	rows := []fakebackend.Row{{Key: 1, ID: "one"}, {Key: 3000, ID: "two"}}
-	c, err := fakebackend.NewCluster(ids, nil, fakebackend.ServerConfig{Field: "taxpayer", Cores: 8 * max(1, int(work/(50*time.Millisecond))), Queue: 1000, Work: work}, doc, rows)
+	c, err := fakebackend.NewCluster(ids, nil, fakebackend.ServerConfig{Field: "taxpayer", Cores: 8 * max(1, int(work/(50*time.Millisecond))), Queue: 1000, PartTime: work}, doc, rows)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -252,7 +252,7 @@
 			awaitSameVersion(t, g)
 			close(over)
 			all := wait()
-			n, first := soak.Mixed(all)
+			n, first := soak.OutdatedAdmissions(all)
 			admitted := 0
 			for _, q := range all {
 				if q.Version >= 0 {
--- a/internal/cluster/peering/regions_test.go
+++ b/internal/cluster/peering/regions_test.go
@@ -113,7 +113,7 @@
 				}
 			}
 		}
-		if n, first := soak.Mixed(here); n > 0 {
+		if n, first := soak.OutdatedAdmissions(here); n > 0 {
 			t.Errorf("region %s: %d queries admitted under an outdated version, first: %s", region, n, first)
 		}
 	}
--- a/internal/cluster/peering/steps_test.go
+++ b/internal/cluster/peering/steps_test.go
@@ -142,7 +142,7 @@
 	c.number = uint64(awaitSameVersion(t, g))
 
 	// A change over links with one-way loss, 30% loss, duplication and reordering.
-	for _, x := range []faults.Step{{Do: faults.Loss, Fraction: 0.3}, {Do: faults.Repeat, Fraction: 0.3}, {Do: faults.Delay, Delay: 20 * time.Millisecond}, {Do: faults.Half, A: faults.Set{3}, B: faults.Set{g.Leader()}}} {
+	for _, x := range []faults.Step{{Do: faults.Loss, Fraction: 0.3}, {Do: faults.Repeat, Fraction: 0.3}, {Do: faults.Delay, Delay: 20 * time.Millisecond}, {Do: faults.OneWayCut, A: faults.Set{3}, B: faults.Set{g.Leader()}}} {
 		g.Net.Begin(x)
 	}
 	_, end = c.start()
--- a/internal/scale/events/events.go
+++ b/internal/scale/events/events.go
@@ -159,7 +159,7 @@
 	}
 	for _, s := range cfg.Script {
 		switch s.Do {
-		case faults.Kill, faults.Start, faults.Leave, faults.Cut, faults.Half, faults.Delay, faults.Loss:
+		case faults.Kill, faults.Start, faults.Leave, faults.Cut, faults.OneWayCut, faults.Delay, faults.Loss:
 			w.schedule(s.At.Microseconds(), func() { w.applyFault(s) })
 		default:
 			return Result{}, fmt.Errorf("events: fault %s is not supported in a script", s.Do)
--- a/internal/scale/measure.go
+++ b/internal/scale/measure.go
@@ -103,7 +103,7 @@
 		}
 	}
 	var first string
-	if s.Mixed, first = soak.Mixed(queries); s.Mixed > 0 {
+	if s.Mixed, first = soak.OutdatedAdmissions(queries); s.Mixed > 0 {
 		t.Errorf("%d queries were admitted under an expired policy version: %s", s.Mixed, first)
 	}
 	return s, nil
--- a/internal/scale/rig.go
+++ b/internal/scale/rig.go
@@ -108,7 +108,7 @@
 	for i := range 2 {
 		doc.Ranges = append(doc.Ranges, layout.Range{Shard: i, Span: layout.Span{From: int64(i) * 2000, To: int64(i+1) * 2000}, Holders: ids})
 	}
-	cluster, err := fakebackend.NewCluster(ids, nil, fakebackend.ServerConfig{Field: "taxpayer", Cores: 8, Queue: 1000, Work: time.Millisecond}, doc, []fakebackend.Row{{Key: 1, ID: "one"}, {Key: 3000, ID: "two"}})
+	cluster, err := fakebackend.NewCluster(ids, nil, fakebackend.ServerConfig{Field: "taxpayer", Cores: 8, Queue: 1000, PartTime: time.Millisecond}, doc, []fakebackend.Row{{Key: 1, ID: "one"}, {Key: 3000, ID: "two"}})
 	if err != nil {
 		return nil, err
 	}
--- a/internal/scale/scale_test.go
+++ b/internal/scale/scale_test.go
@@ -43,7 +43,7 @@
 	r.WaitConverged(cfg.Gatherers - 3)
 	r.applyToMembers(step(t, "at 0s start "+apart.set(), cfg.Gatherers))
 	r.WaitConverged(cfg.Gatherers)
-	if n, first := soak.Mixed(r.SentQueries()); n > 0 {
+	if n, first := soak.OutdatedAdmissions(r.SentQueries()); n > 0 {
 		t.Errorf("%d queries were admitted under an expired policy version: %s", n, first)
 	}
 }
--- a/internal/testing/fakebackend/cluster.go
+++ b/internal/testing/fakebackend/cluster.go
@@ -260,9 +260,9 @@
 	return layout.Step{}, false
 }
 
-// Single returns the sorted ids of all rows whose keys are in any span of want: the result that a
-// single store would give.
-func (c *Cluster) Single(want []layout.Span) []string {
+// ReferenceIDs returns the sorted ids of all rows whose keys are in any span of want: the result that
+// a single store would give.
+func (c *Cluster) ReferenceIDs(want []layout.Span) []string {
 	var ids []string
 	for _, r := range c.All {
 		if slices.ContainsFunc(want, func(w layout.Span) bool { return r.Key >= w.From && r.Key < w.To }) {
--- a/internal/testing/fakebackend/directory.go
+++ b/internal/testing/fakebackend/directory.go
@@ -77,19 +77,19 @@
 	return n, d.changed, max(wait, time.Millisecond)
 }
 
-// Ill is a fault of an Agent.
-type Ill string
+// AgentFault is a fault of an Agent.
+type AgentFault string
 
 // The faults of agents.
 const (
-	Well    Ill = ""
-	Down    Ill = "down"    // resets every connection
-	Mute    Ill = "mute"    // accepts requests and never responds
-	Garbles Ill = "garbles" // sends malformed steps
-	Backs   Ill = "backs"   // serves an older epoch than before
-	Other   Ill = "other"   // serves a layout of another history
-	Skips   Ill = "skips"   // omits one step, then recovers
-	Trickle Ill = "trickle" // flushes after each byte
+	NoAgentFault AgentFault = ""
+	Down         AgentFault = "down"    // resets every connection
+	Mute         AgentFault = "mute"    // accepts requests and never responds
+	Malformed    AgentFault = "garbles" // sends malformed steps
+	OlderEpoch   AgentFault = "backs"   // serves an older epoch than before
+	OtherHistory AgentFault = "other"   // serves a layout of another history
+	SkipStep     AgentFault = "skips"   // omits one step, then recovers
+	Trickle      AgentFault = "trickle" // flushes after each byte
 )
 
 // Agent is an HTTP endpoint that publishes the layouts of a Directory; each broker has its own.
@@ -100,7 +100,7 @@
 
 	mu           sync.Mutex
 	lag          time.Duration
-	fault        Ill
+	fault        AgentFault
 	faultChanged chan struct{} // closed and replaced when the fault changes
 	watches      int           // open watches
 	fullLayouts  int           // full layouts served
@@ -127,7 +127,7 @@
 func (a *Agent) Close() { a.http.Close() }
 
 // Set sets the agent's fault, and the lag after which it publishes a step.
-func (a *Agent) Set(fault Ill, lag time.Duration) {
+func (a *Agent) Set(fault AgentFault, lag time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.fault, a.lag = fault, lag
@@ -150,9 +150,9 @@
 	}
 }
 
-// Asked returns how many full layouts the agent has served, and how many watches resumed from an
-// epoch after the first.
-func (a *Agent) Asked() (wholes, resumed int) {
+// RequestCounts returns how many full layouts the agent has served, and how many watches resumed from
+// an epoch after the first.
+func (a *Agent) RequestCounts() (fullLayouts, resumed int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.fullLayouts, a.resumed
@@ -164,7 +164,7 @@
 	a.watches += n
 }
 
-func (a *Agent) currentFault() (Ill, time.Duration, <-chan struct{}) {
+func (a *Agent) currentFault() (AgentFault, time.Duration, <-chan struct{}) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.fault, a.lag, a.faultChanged
@@ -188,14 +188,14 @@
 		a.watch(w, r, faultChanged)
 	default:
 		n, _, _ := a.d.visible(lag)
-		if fault == Backs {
+		if fault == OlderEpoch {
 			n = 1
 		}
 		a.mu.Lock()
 		a.fullLayouts++
 		a.mu.Unlock()
 		doc := a.d.layout(n - 1).Doc()
-		if fault == Other {
+		if fault == OtherHistory {
 			doc.History = "another"
 		}
 		text, _ := json.Marshal(doc) // a layout document can always be encoded
@@ -237,10 +237,10 @@
 	first := a.d.layout(0)
 	fault, lag, _ := a.currentFault()
 	n, _, _ := a.d.visible(lag)
-	if fault == Backs {
+	if fault == OlderEpoch {
 		n = 1
 	}
-	if fault == Other || err != nil || r.URL.Query().Get("history") != first.History() || from < first.Epoch() || from > first.Epoch()+int64(n)-1 {
+	if fault == OtherHistory || err != nil || r.URL.Query().Get("history") != first.History() || from < first.Epoch() || from > first.Epoch()+int64(n)-1 {
 		respond(w, http.StatusGone, "watch cannot resume from this history and epoch: fetch the full layout\n")
 		return
 	}
@@ -258,11 +258,11 @@
 			text, _ := json.Marshal(a.d.steps[next]) // a step can always be encoded
 			a.d.mu.Unlock()
 			switch fault {
-			case Garbles:
+			case Malformed:
 				text = []byte(`{"epoch":"next"`)
-			case Skips:
-				a.Set(Well, lag)
-				fault = Well
+			case SkipStep:
+				a.Set(NoAgentFault, lag)
+				fault = NoAgentFault
 				continue // the watch continues with the following step
 			case Trickle:
 				trickle(w, append(text, '\n'))
@@ -279,7 +279,7 @@
 			fmt.Fprintln(w)
 		case <-changed:
 		case <-faultChanged:
-			if fault, _, h := a.currentFault(); fault == Down || fault == Mute || fault == Backs || fault == Other {
+			if fault, _, h := a.currentFault(); fault == Down || fault == Mute || fault == OlderEpoch || fault == OtherHistory {
 				t.Stop()
 				resetConnection(w)
 				return
--- a/internal/testing/fakebackend/ledger.go
+++ b/internal/testing/fakebackend/ledger.go
@@ -53,9 +53,9 @@
 	return l.runs, l.twice, l.notHeld
 }
 
-// Unjudged returns the number of at-most-once parts that ran without an X-Opaque-Id. Duplicates among
-// them cannot be detected.
-func (l *Ledger) Unjudged() int {
+// RunsWithoutID returns the number of at-most-once parts that ran without an X-Opaque-Id. Duplicates
+// among them cannot be detected.
+func (l *Ledger) RunsWithoutID() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.withoutID
--- a/internal/testing/fakebackend/server.go
+++ b/internal/testing/fakebackend/server.go
@@ -31,7 +31,7 @@
 	CutHalf   Fault = "cut-half"   // with half of the body read
 	CutRan    Fault = "cut-ran"    // after the search ran
 	Silent    Fault = "silent"     // runs nothing and does not respond until the client disconnects
-	Holds     Fault = "holds"      // blocks until the fault changes, then behaves by the new one
+	Block     Fault = "holds"      // blocks until the fault changes, then behaves by the new one
 	Refuses   Fault = "refuses"    // rejects with 429, as with a full queue
 	Zombie    Fault = "zombie"     // keeps serving shards after it was fenced
 	Mislabels Fault = "mislabels"  // responds with another span than requested
@@ -40,14 +40,14 @@
 
 // ServerConfig configures a Server.
 type ServerConfig struct {
-	ID      sq.ServerID
-	Address string          // host:port to listen on; empty: a free loopback port
-	Field   string          // the name of the key in queries
-	Once    map[string]bool // indices whose parts may run at most once
-	Cores   int             // parts that run concurrently
-	Queue   int             // parts that wait for a core; more are rejected
-	Work    time.Duration   // service time of a part
-	Each    time.Duration   // additional service time per row of the shard
+	ID         sq.ServerID
+	Address    string          // host:port to listen on; empty: a free loopback port
+	Field      string          // the name of the key in queries
+	AtMostOnce map[string]bool // indices whose parts may run at most once
+	Cores      int             // parts that run concurrently
+	Queue      int             // parts that wait for a core; more are rejected
+	PartTime   time.Duration   // service time of a part
+	RowTime    time.Duration   // additional service time per row of the shard
 }
 
 // partialType is the media type of the binary encoding of partial answers.
@@ -66,15 +66,15 @@
 	return out
 }
 
-// Forget makes the server reject snapshots older than before, in Unix microseconds.
-func (s *Server) Forget(before int64) {
+// DropSnapshotsBefore makes the server reject snapshots older than before, in Unix microseconds.
+func (s *Server) DropSnapshotsBefore(before int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.keptSince = before
 }
 
-// Miss makes the server miss all writes from a time on, in Unix microseconds; 0: none.
-func (s *Server) Miss(from int64) {
+// MissWritesFrom makes the server miss all writes from a time on, in Unix microseconds; 0: none.
+func (s *Server) MissWritesFrom(from int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.missingFrom = from
@@ -125,7 +125,7 @@
 	epoch        int64
 	fault        Fault
 	faultChanged chan struct{} // closed and replaced when the fault changes
-	blocked      chan struct{} // receives one value for each search that Holds blocks
+	blocked      chan struct{} // receives one value for each search that Block blocks
 	waiting      int           // parts that run or wait for a core
 	keptSince    int64         // snapshots before this time are rejected
 	missingFrom  int64         // writes from this time on are missing; 0: none
@@ -176,17 +176,17 @@
 	s.faultChanged = make(chan struct{})
 }
 
-// Held returns a channel that receives one value for each search that the fault Holds blocks.
-func (s *Server) Held() <-chan struct{} { return s.blocked }
+// Blocked returns a channel that receives one value for each search that the fault Block blocks.
+func (s *Server) Blocked() <-chan struct{} { return s.blocked }
 
-// awaitFault blocks while the fault is Holds and returns the first other fault, or Silent if the client
+// awaitFault blocks while the fault is Block and returns the first other fault, or Silent if the client
 // disconnects first.
 func (s *Server) awaitFault(clientGone <-chan struct{}) Fault {
 	for waits := false; ; waits = true {
 		s.mu.Lock()
 		f, changed := s.fault, s.faultChanged
 		s.mu.Unlock()
-		if f != Holds {
+		if f != Block {
 			return f
 		}
 		if !waits {
@@ -200,8 +200,8 @@
 	}
 }
 
-// Worked returns the number of parts that the server has run, and their total service time.
-func (s *Server) Worked() (parts int, busy time.Duration) {
+// Stats returns the number of parts that the server has run, and their total service time.
+func (s *Server) Stats() (parts int, busy time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.parts, s.busy
@@ -231,7 +231,7 @@
 func (s *Server) drop(shard int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.fault != Holds && s.fault != Zombie { // a zombie still needs the rows, and Holds may become Zombie
+	if s.fault != Block && s.fault != Zombie { // a zombie still needs the rows, and Block may become Zombie
 		delete(s.copies, shard)
 	}
 }
@@ -342,9 +342,9 @@
 		s.mu.Unlock()
 		return nil, epoch, placeNotHeld
 	}
-	s.ledger.record(r.Header.Get("X-Opaque-Id"), s.cfg.Once[index], place.Span, s.mayRun(s.cfg.ID, place))
+	s.ledger.record(r.Header.Get("X-Opaque-Id"), s.cfg.AtMostOnce[index], place.Span, s.mayRun(s.cfg.ID, place))
 	rows, epoch := h.rows, s.epoch
-	serviceTime := s.cfg.Work + time.Duration(len(rows))*s.cfg.Each
+	serviceTime := s.cfg.PartTime + time.Duration(len(rows))*s.cfg.RowTime
 	s.parts++
 	s.busy += serviceTime
 	s.mu.Unlock()
--- a/internal/testing/faults/links.go
+++ b/internal/testing/faults/links.go
@@ -18,7 +18,7 @@
 // Begin activates a step. Steps that affect members, not links, are ignored.
 func (l *Links) Begin(x Step) {
 	switch x.Do {
-	case Loss, Cut, Half, Delay, Repeat:
+	case Loss, Cut, OneWayCut, Delay, Repeat:
 		l.active = append(l.active, x)
 	}
 }
@@ -38,7 +38,7 @@
 			k.Loss = 1 - (1-k.Loss)*(1-x.Fraction)
 		case x.Do == Repeat:
 			k.Repeat = max(k.Repeat, x.Fraction)
-		case x.Do == Cut && either, x.Do == Half && x.A.Has(from) && x.B.Has(to):
+		case x.Do == Cut && either, x.Do == OneWayCut && x.A.Has(from) && x.B.Has(to):
 			k.Cut = true
 		case x.Do == Delay && either:
 			k.Delay += x.Delay
--- a/internal/testing/faults/random.go
+++ b/internal/testing/faults/random.go
@@ -54,7 +54,7 @@
 	case 2:
 		x.Do, x.A, x.B = Cut, g.randomMembers(1), g.randomMembers(1)
 	case 3:
-		x.Do, x.A, x.B = Half, g.randomMembers(2), g.randomMembers(g.members)
+		x.Do, x.A, x.B = OneWayCut, g.randomMembers(2), g.randomMembers(g.members)
 	case 4:
 		x.Do, x.Delay, x.A = Delay, time.Duration(1+g.rng.Int64N(150))*time.Millisecond, g.randomMembers(g.members/3)
 	case 5:
--- a/internal/testing/faults/script.go
+++ b/internal/testing/faults/script.go
@@ -10,30 +10,30 @@
 
 // The kinds of faults: those of links, then those of members. The package comment describes each.
 const (
-	Loss   Kind = "loss"
-	Cut    Kind = "cut"
-	Half   Kind = "half"
-	Delay  Kind = "delay"
-	Repeat Kind = "repeat"
-	Kill   Kind = "kill"
-	Start  Kind = "start"
-	Move   Kind = "move"
-	Stop   Kind = "stop"
-	Slow   Kind = "slow"
-	Leave  Kind = "leave"
-	Twin   Kind = "twin"
+	Loss      Kind = "loss"
+	Cut       Kind = "cut"
+	OneWayCut Kind = "half"
+	Delay     Kind = "delay"
+	Repeat    Kind = "repeat"
+	Kill      Kind = "kill"
+	Start     Kind = "start"
+	Move      Kind = "move"
+	Stop      Kind = "stop"
+	Slow      Kind = "slow"
+	Leave     Kind = "leave"
+	Twin      Kind = "twin"
 )
 
 // operands lists the operands of each kind: p is a fraction, d a duration, a and b are sets.
 var operands = map[Kind]string{
-	Loss: "p", Cut: "ab", Half: "ab", Delay: "dab", Repeat: "p", Kill: "a", Start: "a", Move: "a", Stop: "a",
+	Loss: "p", Cut: "ab", OneWayCut: "ab", Delay: "dab", Repeat: "p", Kill: "a", Start: "a", Move: "a", Stop: "a",
 	Slow: "da", Leave: "a", Twin: "a",
 }
 
 // Lasting reports whether a step of this kind may have a limited duration.
 func (k Kind) Lasting() bool {
 	switch k {
-	case Loss, Cut, Half, Delay, Repeat, Stop, Slow:
+	case Loss, Cut, OneWayCut, Delay, Repeat, Stop, Slow:
 		return true
 	}
 	return false
--- a/internal/testing/soak/campaign.go
+++ b/internal/testing/soak/campaign.go
@@ -117,7 +117,7 @@
 	}
 	rows := []fakebackend.Row{{Key: 1, ID: "one"}, {Key: 3000, ID: "two"}}
 	var err error
-	run.cluster, err = fakebackend.NewCluster(ids, nil, fakebackend.ServerConfig{Field: "taxpayer", Once: map[string]bool{"filings": true}, Cores: 8, Queue: 1000, Work: 20 * time.Millisecond}, doc, rows)
+	run.cluster, err = fakebackend.NewCluster(ids, nil, fakebackend.ServerConfig{Field: "taxpayer", AtMostOnce: map[string]bool{"filings": true}, Cores: 8, Queue: 1000, PartTime: 20 * time.Millisecond}, doc, rows)
 	if err != nil {
 		return err
 	}
--- a/internal/testing/soak/judge.go
+++ b/internal/testing/soak/judge.go
@@ -17,9 +17,10 @@
 	Status     int           // HTTP status; 0: no response
 }
 
-// Mixed returns the number of queries that were admitted under a policy version although they were sent
-// after another query had been answered under a later version. first describes the first of them.
-func Mixed(all []Query) (n int, first string) {
+// OutdatedAdmissions returns the number of queries that were admitted under a policy version although
+// they were sent after another query had been answered under a later version. first describes the
+// first of them.
+func OutdatedAdmissions(all []Query) (n int, first string) {
 	bySent, byCame := slices.Clone(all), slices.Clone(all)
 	slices.SortFunc(bySent, func(a, b Query) int { return cmp.Compare(a.Sent, b.Sent) })
 	slices.SortFunc(byCame, func(a, b Query) int { return cmp.Compare(a.Came, b.Came) })
--- a/internal/testing/soak/judge_test.go
+++ b/internal/testing/soak/judge_test.go
@@ -10,11 +10,11 @@
 func TestHistoryChecks(t *testing.T) {
 	s := time.Second
 	good := []Query{{0, s, 1, "a", 200}, {s / 2, 3 * s, 1, "b", 200}, {s, 2 * s, 2, "a", 200}, {3 * s, 4 * s, 2, "b", 200}}
-	if n, first := Mixed(good); n != 0 {
+	if n, first := OutdatedAdmissions(good); n != 0 {
 		t.Error(first)
 	}
-	if n, _ := Mixed(append(good, Query{5 * s, 6 * s, 1, "c", 200})); n != 1 {
-		t.Errorf("Mixed found %d violations, want 1", n)
+	if n, _ := OutdatedAdmissions(append(good, Query{5 * s, 6 * s, 1, "c", 200})); n != 1 {
+		t.Errorf("OutdatedAdmissions found %d violations, want 1", n)
 	}
 	// 15 parts of the limit move from a to b, which is valid; then both have them, which is not.
 	moves := []Reading{{0, 1, "a", 20}, {0, 1, "b", 5}, {s, s + 1, "a", 5}, {s, s + 2, "b", 20}, {2 * s, 2*s + 1, "a", 5}, {2 * s, 2*s + 1, "b", 20}}
--- a/internal/testing/soak/verdict.go
+++ b/internal/testing/soak/verdict.go
@@ -46,7 +46,7 @@
 	violation(res.Unanswered, "%d queries got no response although their broker was not stopped or suspended; first: %s", res.Unanswered, first)
 	res.PartsRun, res.RunTwice, _ = run.cluster.Ledger.Counts()
 	violation(res.RunTwice, "%d parts of at-most-once queries ran more than once", res.RunTwice)
-	res.Mixed, first = Mixed(res.queries)
+	res.Mixed, first = OutdatedAdmissions(res.queries)
 	violation(res.Mixed, "%d queries were admitted under an outdated policy version; first: %s", res.Mixed, first)
 	run.mu.Lock()
 	if acked := run.acked; number < acked {
