--- a/cmd/saffronquay/cli_scale.go
+++ b/cmd/saffronquay/cli_scale.go
@@ -73,7 +73,7 @@
 	f.IntVar(&p.Fleet.Queries, "queries", 20, "queries per second, over all voters")
 	f.DurationVar(&p.Delay, "delay", 30*time.Millisecond, "minimum one-way delay between the regions; the maximum is twice that")
 	f.DurationVar(&p.Effort.Rest, "rest", 15*time.Second, "measuring time of the idle rates")
-	f.DurationVar(&p.Effort.Calm, "calm", time.Minute, "maximum wait until no membership updates are sent any more")
+	f.DurationVar(&p.Effort.QuietTimeout, "calm", time.Minute, "maximum wait until no membership updates are sent any more")
 	f.IntVar(&p.Effort.Changes, "changes", 5, "number of policy changes at each size")
 	f.IntVar(&p.Effort.Crashes, "crashes", 1, "number of real non-voters killed at each size, one after the other")
 	f.IntVar(&p.Runs, "runs", 1, "number of runs")
--- a/cmd/saffronquay/cli_scale_events.go
+++ b/cmd/saffronquay/cli_scale_events.go
@@ -30,7 +30,7 @@
 		Example: "  saffronquay scale events --gatherers 600 --text 10000 --every 3s --length 60s",
 		RunE: func(*cobra.Command, []string) error {
 			n := cfg.Gatherers
-			if n < 12 || n > 1200 || cfg.Length < 10*time.Second || cfg.Length > time.Hour || cfg.Apart < 0 || cfg.Text < 0 || cfg.Teams < 0 || every < 0 {
+			if n < 12 || n > 1200 || cfg.Length < 10*time.Second || cfg.Length > time.Hour || cfg.RegionDelay < 0 || cfg.Text < 0 || cfg.Teams < 0 || every < 0 {
 				return errors.New("events flags out of range: want 12 to 1200 gatherers, --length 10s to 1h, and --apart, --text, --teams and --every 0 or more")
 			}
 			if script != "" {
@@ -57,7 +57,7 @@
 	f := cmd.Flags()
 	f.Uint64Var(&cfg.Seed, "seed", 1, "seed of the run")
 	f.IntVar(&cfg.Gatherers, "gatherers", 600, "number of gatherers, half of them in each region")
-	f.DurationVar(&cfg.Apart, "apart", 30*time.Millisecond, "minimum one-way delay between the regions; the maximum is twice that")
+	f.DurationVar(&cfg.RegionDelay, "apart", 30*time.Millisecond, "minimum one-way delay between the regions; the maximum is twice that")
 	f.DurationVar(&cfg.Length, "length", 30*time.Second, "length of the run, in virtual time")
 	f.DurationVar(&every, "every", 3*time.Second, "interval between policy changes, from 6 s on; 0: no changes")
 	f.IntVar(&cfg.Text, "text", 10_000, "size of a policy in bytes")
--- a/cmd/saffronquay/cli_scale_place.go
+++ b/cmd/saffronquay/cli_scale_place.go
@@ -19,26 +19,26 @@
 			"six zones. --detail lists each loss of one placement. It opens no sockets.",
 		Example: "  saffronquay scale place\n  saffronquay scale place --detail 6",
 		RunE: func(*cobra.Command, []string) error {
-			f, all := place.Coming(), place.Placings()
+			f, all := place.ExpectedFleet(), place.Placements()
 			if detail < 0 || detail > len(all) {
 				return fmt.Errorf("--detail: no such placement: want 1 to %d, or 0 for the table", len(all))
 			}
 			if detail > 0 {
 				p := all[detail-1]
-				return c.print(f.Weigh(p), func(w io.Writer) {
+				return c.print(f.Evaluate(p), func(w io.Writer) {
 					fmt.Fprintf(w, "%s\n\n", strings.ToUpper(p.Name[:1])+p.Name[1:])
 					place.Detail(w, f, p)
 				})
 			}
 			var sums []place.Sum
 			for _, p := range all {
-				sums = append(sums, f.Weigh(p))
+				sums = append(sums, f.Evaluate(p))
 			}
 			return c.print(sums, func(w io.Writer) {
 				place.Table(w, f, all)
 				fmt.Fprintf(w, "\nassumed outages of one unit, per year and minutes each:")
 				for k := place.Machine; k <= place.Gatherer; k++ {
-					fmt.Fprintf(w, " %s %.2f x %.1f;", k, f.Often[k].PerYear, f.Often[k].Minutes)
+					fmt.Fprintf(w, " %s %.2f x %.1f;", k, f.LossRates[k].PerYear, f.LossRates[k].Minutes)
 				}
 				fmt.Fprintln(w)
 			})
--- a/cmd/saffronquay/cli_scale_workers.go
+++ b/cmd/saffronquay/cli_scale_workers.go
@@ -34,7 +34,7 @@
 				return failed(err)
 			}
 			defer d.Close()
-			b, err := json.Marshal(work.Hollow{Address: d.Address(), Worker: w.Address(0), PID: os.Getpid()})
+			b, err := json.Marshal(work.FleetInfo{Address: d.Address(), Worker: w.Address(0), PID: os.Getpid()})
 			if err != nil {
 				return failed(err)
 			}
@@ -74,7 +74,7 @@
 				return failed(err)
 			}
 			path := strings.Fields(cmd.CommandPath()) // "workers" has the same parent command
-			cfg.Program.Hollow = append(path[1:len(path)-1:len(path)-1], "workers")
+			cfg.Program.FleetCommand = append(path[1:len(path)-1:len(path)-1], "workers")
 			cfg.Say = func(format string, args ...any) { fmt.Fprintf(c.errs, format+"\n", args...) }
 			ctx, stop := interrupted(cmd.Context(), 10*time.Minute)
 			defer stop()
--- a/internal/cluster/swim/simulation/measure_test.go
+++ b/internal/cluster/swim/simulation/measure_test.go
@@ -106,7 +106,7 @@
 	fa, fb, _ := fit.Line(xs[:small], ys[:small])
 	i := slices.Index(xs, 600)
 	return fmt.Sprintf("fit %s = %.4g + %.4g a member, misses %.0f%%; by 75 to 300 at 600: %.4g, measured %.4g, off by %.0f%%", name, a, b, 100*worst, fa+600*fb, ys[i],
-		100*fit.Miss(fa+600*fb, ys[i]))
+		100*fit.RelativeError(fa+600*fb, ys[i]))
 }
 
 // viewKiB measures the memory of one view in KiB.
--- a/internal/scale/events/candidates_test.go
+++ b/internal/scale/events/candidates_test.go
@@ -40,9 +40,9 @@
 // Prints the yearly sums of the placements. Needs SAFFRONQUAY_MEASURE=1.
 func TestMeasureCandidates(t *testing.T) {
 	requireMeasure(t)
-	f := place.Coming()
-	for _, p := range place.Placings() {
-		s := f.Weigh(p)
+	f := place.ExpectedFleet()
+	for _, p := range place.Placements() {
+		s := f.Evaluate(p)
 		t.Logf("%s: refused %.1f min of full service a year, no changes somewhere %.1f min, everywhere %.1f min; lost with the machines %.1f", p.Name, s.Refused, s.NoChange, s.NoChangeAtAll, s.Lost)
 	}
 }
@@ -54,11 +54,11 @@
 	requireMeasure(t)
 	var all []func()
 	for _, n := range []int{600, 150} {
-		for _, apart := range []time.Duration{0, 5 * time.Millisecond, 15 * time.Millisecond, 30 * time.Millisecond} {
+		for _, regionDelay := range []time.Duration{0, 5 * time.Millisecond, 15 * time.Millisecond, 30 * time.Millisecond} {
 			for seed := range uint64(6) {
 				all = append(all, func() {
 					cfg := twoRegions(n)
-					cfg.Seed, cfg.Apart, cfg.Length, cfg.Changes = seed, apart, 40*time.Second, times(10*time.Second, 2*time.Second, 39*time.Second)
+					cfg.Seed, cfg.RegionDelay, cfg.Length, cfg.Changes = seed, regionDelay, 40*time.Second, times(10*time.Second, 2*time.Second, 39*time.Second)
 					r := runScript(t, cfg, "")
 					in, heldFor, doubt := 0, 0.0, 0.0
 					for _, c := range r.Changes {
@@ -73,7 +73,7 @@
 					}
 					heldFor, doubt = heldFor/float64(len(r.Changes)), doubt/float64(len(r.Changes))
 					t.Logf("gatherers=%d apart=%s leader in %c: %d of %d in force; held %.1f ms a change, refused %.2f ms; at 1,100 a day %.4f%% of the time held, %.4f%% refused; of a year %.0f min held, %.1f min refused; %s",
-						n, apart, "AB"[2*r.Leader/n], in, len(r.Changes), 1000*heldFor, 1000*doubt, 100*heldFor*1100/86400, 100*doubt*1100/86400, heldFor*1100*365/60, doubt*1100*365/60, summarizeChanges(r))
+						n, regionDelay, "AB"[2*r.Leader/n], in, len(r.Changes), 1000*heldFor, 1000*doubt, 100*heldFor*1100/86400, 100*doubt*1100/86400, heldFor*1100*365/60, doubt*1100*365/60, summarizeChanges(r))
 				})
 			}
 		}
--- a/internal/scale/events/events.go
+++ b/internal/scale/events/events.go
@@ -16,18 +16,18 @@
 // Config describes one run. The first half of the gatherers is one region, the second half the
 // other.
 type Config struct {
-	Seed      uint64
-	Gatherers int
-	Voters    []int         // by gatherer number; one to seven
-	Apart     time.Duration // one-way delay between regions, plus a random part of up to the same length
-	Length    time.Duration
-	Script    faults.Script   // only kill, start, leave, cut, half, delay and loss
-	Changes   []time.Duration // when an operator proposes a change
-	Text      int             // policy size in bytes
-	Keep      bool            // versions keep: gatherers without a lease continue with their version
-	Teams     int             // number of teams busy at all gatherers, whose budgets are divided; 0: budgets are not divided
-	InOrder   bool            // messages from one gatherer to another arrive in order, as on one connection; else the order is random
-	Core      rollout.Config  // template for every gatherer; name, members and quota settings are set by Run
+	Seed        uint64
+	Gatherers   int
+	Voters      []int         // by gatherer number; one to seven
+	RegionDelay time.Duration // one-way delay between regions, plus a random part of up to the same length
+	Length      time.Duration
+	Script      faults.Script   // only kill, start, leave, cut, half, delay and loss
+	Changes     []time.Duration // when an operator proposes a change
+	Text        int             // policy size in bytes
+	Keep        bool            // versions keep: gatherers without a lease continue with their version
+	Teams       int             // number of teams busy at all gatherers, whose budgets are divided; 0: budgets are not divided
+	InOrder     bool            // messages from one gatherer to another arrive in order, as on one connection; else the order is random
+	Core        rollout.Config  // template for every gatherer; name, members and quota settings are set by Run
 }
 
 // Second is the traffic within one second.
@@ -285,8 +285,8 @@
 		return
 	}
 	delay := 200 + w.rng.Int64N(1800)
-	if apart := w.Apart.Microseconds(); apart > 0 && w.region(x) != w.region(y) {
-		delay += apart + w.rng.Int64N(apart)
+	if regionDelay := w.RegionDelay.Microseconds(); regionDelay > 0 && w.region(x) != w.region(y) {
+		delay += regionDelay + w.rng.Int64N(regionDelay)
 	}
 	if d := k.Delay.Microseconds(); d > 0 {
 		delay += d + w.rng.Int64N(d)
--- a/internal/scale/events/events_test.go
+++ b/internal/scale/events/events_test.go
@@ -22,7 +22,7 @@
 }
 
 func smallConfig() Config {
-	return Config{Seed: 1, Gatherers: 24, Voters: []int{0, 4, 8, 12, 16}, Apart: 30 * time.Millisecond, Length: 20 * time.Second}
+	return Config{Seed: 1, Gatherers: 24, Voters: []int{0, 4, 8, 12, 16}, RegionDelay: 30 * time.Millisecond, Length: 20 * time.Second}
 }
 
 // A change comes into force at every gatherer, with one version at a time, and the leader sends the
--- a/internal/scale/events/measure_test.go
+++ b/internal/scale/events/measure_test.go
@@ -41,14 +41,14 @@
 // two in the other, each in another zone.
 func twoRegions(n int) Config {
 	z := n / 6
-	return Config{Seed: 1, Gatherers: n, Voters: []int{0, z, 2 * z, n / 2, n/2 + z}, Apart: 30 * time.Millisecond, Length: 30 * time.Second}
+	return Config{Seed: 1, Gatherers: n, Voters: []int{0, z, 2 * z, n / 2, n/2 + z}, RegionDelay: 30 * time.Millisecond, Length: 30 * time.Second}
 }
 
 // withLeaderIn returns the configuration with a seed by which the first leader is in the given
 // region. What happens after the first seconds does not affect that.
 func withLeaderIn(t testing.TB, cfg Config, region int) Config {
 	for ; ; cfg.Seed++ {
-		short := Config{Seed: cfg.Seed, Gatherers: cfg.Gatherers, Voters: cfg.Voters, Apart: cfg.Apart, Teams: cfg.Teams, Length: 5 * time.Second}
+		short := Config{Seed: cfg.Seed, Gatherers: cfg.Gatherers, Voters: cfg.Voters, RegionDelay: cfg.RegionDelay, Teams: cfg.Teams, Length: 5 * time.Second}
 		if r := runScript(t, short, ""); 2*r.Leader/cfg.Gatherers == region {
 			return cfg
 		}
@@ -206,7 +206,7 @@
 	text := fmt.Sprintf("fit %s = %.4g + %.4g a unit, error %.0f%%", name, a, b, 100*worst)
 	if i := slices.Index(xs, 600); i > 1 {
 		fa, fb, _ := fit.Line(xs[:i], ys[:i])
-		text += fmt.Sprintf("; by those under it at 600: %.4g, measured %.4g, off by %.0f%%", fa+600*fb, ys[i], 100*fit.Miss(fa+600*fb, ys[i]))
+		text += fmt.Sprintf("; by those under it at 600: %.4g, measured %.4g, off by %.0f%%", fa+600*fb, ys[i], 100*fit.RelativeError(fa+600*fb, ys[i]))
 	}
 	return text
 }
@@ -216,18 +216,18 @@
 func TestMeasureText(t *testing.T) {
 	requireMeasure(t)
 	var all []func()
-	for _, apart := range []time.Duration{0, 30 * time.Millisecond} {
+	for _, regionDelay := range []time.Duration{0, 30 * time.Millisecond} {
 		for _, n := range []int{600, 300, 150, 75} {
 			for _, text := range []int{1_000_000, 300_000, 100_000, 10_000} {
 				all = append(all, func() {
 					cfg := twoRegions(n)
-					cfg.Apart = apart
+					cfg.RegionDelay = regionDelay
 					cfg = withLeaderIn(t, cfg, 0)
 					cfg.Text, cfg.Changes, cfg.Length = text, []time.Duration{10*time.Second + 100*time.Millisecond}, 14*time.Second
 					r := runScript(t, cfg, "")
 					rest, x := mean(r.Seconds[6:9]), mean(r.Seconds[10:12])
 					leader, most, follower := 2*(x.Leader-rest.Leader), 2*(x.Follower-rest.Follower), 2*(x.FollowerMean-rest.FollowerMean)
-					t.Logf("gatherers=%d apart=%s text=%d: leader_bytes=%d texts_a_gatherer=%.2f; follower_bytes=%d texts=%.2f, the most %.2f; %s", n, apart, text, leader,
+					t.Logf("gatherers=%d apart=%s text=%d: leader_bytes=%d texts_a_gatherer=%.2f; follower_bytes=%d texts=%.2f, the most %.2f; %s", n, regionDelay, text, leader,
 						float64(leader)/float64(text)/float64(n-1), follower, float64(follower)/float64(text), float64(most)/float64(text), summarizeChanges(r))
 				})
 			}
--- a/internal/scale/fit/fit.go
+++ b/internal/scale/fit/fit.go
@@ -24,14 +24,14 @@
 	slope = sxy / sxx
 	intercept = my - slope*mx
 	for i := range xs {
-		worst = max(worst, Miss(intercept+slope*xs[i], ys[i]))
+		worst = max(worst, RelativeError(intercept+slope*xs[i], ys[i]))
 	}
 	return intercept, slope, worst
 }
 
-// Miss returns the relative error of a predicted value, or the absolute error if the measured value
-// is zero.
-func Miss(predicted, measured float64) float64 {
+// RelativeError returns the relative error of a predicted value, or the absolute error if the measured
+// value is zero.
+func RelativeError(predicted, measured float64) float64 {
 	if measured == 0 {
 		return math.Abs(predicted)
 	}
--- a/internal/scale/measure.go
+++ b/internal/scale/measure.go
@@ -51,11 +51,11 @@
 
 // MeasureOptions is how much is measured at each size.
 type MeasureOptions struct {
-	Rest    time.Duration // length of the idle span
-	Changes int
-	Calm    time.Duration // maximum wait until no membership updates are gossiped
-	Crashes int           // kills of a real follower
-	Ready   func()        // called when the fleet is idle; blocks until the rates may be measured
+	Rest         time.Duration // length of the idle span
+	Changes      int
+	QuietTimeout time.Duration // maximum wait until no membership updates are gossiped
+	Crashes      int           // kills of a real follower
+	Ready        func()        // called when the fleet is idle; blocks until the rates may be measured
 }
 
 // Measure starts one fleet, measures it and ends it.
@@ -133,9 +133,9 @@
 }
 
 // atRest measures an idle span in which no membership updates are gossiped. If there is none before
-// e.Calm has passed, it returns the last span measured.
+// e.QuietTimeout has passed, it returns the last span measured.
 func (r *Rig) atRest(e MeasureOptions) (s Span) {
-	for end := time.Now().Add(e.Calm); ; {
+	for end := time.Now().Add(e.QuietTimeout); ; {
 		r.waitQuiet(time.Until(end))
 		if e.Ready != nil {
 			e.Ready()
@@ -165,7 +165,7 @@
 			r.t.Errorf("version %d was installed %d times at %d gatherers", c.Number, c.Installs, len(c.InstallDelays))
 		}
 	}
-	r.waitQuiet(e.Calm)
+	r.waitQuiet(e.QuietTimeout)
 	span := between(a, r.Read(0))
 	n := span.Seconds / float64(e.Changes)
 	simulated, leader := span.Simulated.addScaled(rest.Simulated, -1), span.Leader.addScaled(rest.Leader, -1)
--- a/internal/scale/place/place.go
+++ b/internal/scale/place/place.go
@@ -42,8 +42,8 @@
 	Control            bool // a dedicated machine; else a gatherer's
 }
 
-// Placing is a placement of voters on hosts.
-type Placing struct {
+// Placement is a placement of voters on hosts.
+type Placement struct {
 	Name   string
 	Rule   Rule
 	Hosts  []Host
@@ -56,11 +56,11 @@
 	Gatherers int // spread evenly over the zones
 	Zones     int // over both regions, evenly
 	InRack    int // gatherers per rack
-	Often     map[Kind]Often
+	LossRates map[Kind]LossRate
 }
 
-// Often is how many times a year one of a kind is lost, and for how many minutes each.
-type Often struct{ PerYear, Minutes float64 }
+// LossRate is how many times a year one of a kind is lost, and for how many minutes each.
+type LossRate struct{ PerYear, Minutes float64 }
 
 const minutesPerYear = 365 * 24 * 60
 
@@ -92,7 +92,7 @@
 
 // Losses returns all single losses that matter to a placement: its hosts, the racks and zones, both
 // regions and the link, and under Keep the other gatherers.
-func (f Fleet) Losses(p Placing) (all []Loss) {
+func (f Fleet) Losses(p Placement) (all []Loss) {
 	racks := map[int]bool{}
 	third := false
 	for i, h := range p.Hosts {
@@ -149,7 +149,7 @@
 }
 
 // After returns the effect of losing all of the given.
-func (f Fleet) After(p Placing, lost ...Loss) (o Outcome) {
+func (f Fleet) After(p Placement, lost ...Loss) (o Outcome) {
 	gone := map[Loss]bool{}
 	for _, l := range lost {
 		gone[l] = true
@@ -197,7 +197,7 @@
 }
 
 // surviving returns which hosts are down, and the number of running gatherers per region.
-func (f Fleet) surviving(p Placing, gone map[Loss]bool) (down []bool, live [2]float64) {
+func (f Fleet) surviving(p Placement, gone map[Loss]bool) (down []bool, live [2]float64) {
 	for z := range f.Zones {
 		if r := f.regionOf(z); !gone[Loss{Zone, z}] && !gone[Loss{Region, r}] {
 			live[r] += float64(f.Gatherers) / float64(f.Zones)
--- a/internal/scale/place/place_test.go
+++ b/internal/scale/place/place_test.go
@@ -7,15 +7,15 @@
 	"testing"
 )
 
-func findPlacing(t *testing.T, name string) Placing {
+func findPlacement(t *testing.T, name string) Placement {
 	t.Helper()
-	for _, p := range Placings() {
+	for _, p := range Placements() {
 		if p.Name == name {
 			return p
 		}
 	}
 	t.Fatalf("unknown placement %q", name)
-	return Placing{}
+	return Placement{}
 }
 
 // Effects of losses, computed by hand.
@@ -30,9 +30,9 @@
 	)
 	link, a, b := Loss{Kind: Link}, Loss{Region, 0}, Loss{Region, 1}
 	for _, c := range []struct {
-		placing string
-		lost    []Loss
-		stops   string
+		placement string
+		lost      []Loss
+		stops     string
 	}{
 		{five, nil, "nothing"},
 		{five, []Loss{link}, "changes in B, 50% of queries"},
@@ -61,8 +61,8 @@
 		{regional, []Loss{{Zone, 3}, {Zone, 4}}, "changes in B, 17% of queries"},
 		{alone, []Loss{{Machine, 2}}, "changes in B, 50% of queries"},
 	} {
-		if got := Coming().After(findPlacing(t, c.placing), c.lost...).Stops(); got != c.stops {
-			t.Errorf("%s, lost %v: stops %q, want %q", c.placing, c.lost, got, c.stops)
+		if got := ExpectedFleet().After(findPlacement(t, c.placement), c.lost...).Stops(); got != c.stops {
+			t.Errorf("%s, lost %v: stops %q, want %q", c.placement, c.lost, got, c.stops)
 		}
 	}
 }
@@ -70,8 +70,8 @@
 // A rack takes all its machines with it, and a loss that is contained in a larger one is not
 // counted twice.
 func TestFleetAfter_LostGatherers(t *testing.T) {
-	f := Coming()
-	p := findPlacing(t, "4 on the 4 machines, 2+2, a region's two in one rack")
+	f := ExpectedFleet()
+	p := findPlacement(t, "4 on the 4 machines, 2+2, a region's two in one rack")
 	if got := f.After(p, Loss{Rack, 0}).Stops(); got != "changes, 97% of queries" {
 		t.Error(got)
 	}
@@ -93,17 +93,17 @@
 			t.Errorf("%v: %g gatherers lost", c.lost, got)
 		}
 	}
-	if got := f.After(findPlacing(t, "5 on gatherers' machines, 3+2"), Loss{Machine, 0}).Lost * 600; math.Abs(got-1) > 1e-9 {
+	if got := f.After(findPlacement(t, "5 on gatherers' machines, 3+2"), Loss{Machine, 0}).Lost * 600; math.Abs(got-1) > 1e-9 {
 		t.Errorf("loss of a gatherer's machine: %g gatherers lost, want 1", got)
 	}
 }
 
-// Enumerates all states of two placements: three and more losses, which Weigh leaves out, must not
+// Enumerates all states of two placements: three and more losses, which Evaluate leaves out, must not
 // exceed Sum.Beyond.
-func TestFleetWeigh_MatchesEnumeration(t *testing.T) {
-	f := Coming()
+func TestFleetEvaluate_MatchesEnumeration(t *testing.T) {
+	f := ExpectedFleet()
 	for _, name := range []string{"4 on the 4 machines, 2+2", "groups by region, the 4 machines alone: 2 each; 2+1 above"} {
-		p := findPlacing(t, name)
+		p := findPlacement(t, name)
 		losses := f.Losses(p)
 		none, refused := 0.0, 0.0
 		for state := range 1 << len(losses) {
@@ -121,9 +121,9 @@
 				none += prob * minutesPerYear
 			}
 		}
-		s := f.Weigh(p)
+		s := f.Evaluate(p)
 		if none < s.NoChange-1e-6 || none > s.NoChange+s.Beyond+1e-6 || refused < s.Refused-1e-6 || refused > s.Refused+s.Beyond+1e-6 {
-			t.Errorf("%s: %g minutes without changes and %g refused over all states; Weigh has %g and %g, beyond %g", name, none, refused, s.NoChange, s.Refused, s.Beyond)
+			t.Errorf("%s: %g minutes without changes and %g refused over all states; Evaluate has %g and %g, beyond %g", name, none, refused, s.NoChange, s.Refused, s.Beyond)
 		}
 		if s.Beyond > 1 {
 			t.Errorf("%s: %g minutes per year left out, want at most 1", name, s.Beyond)
@@ -132,11 +132,11 @@
 }
 
 // Every placement is valid for its rule and has a row in the table.
-func TestPlacings_Valid(t *testing.T) {
-	f := Coming()
+func TestPlacements_Valid(t *testing.T) {
+	f := ExpectedFleet()
 	var b bytes.Buffer
-	Table(&b, f, Placings())
-	for _, p := range Placings() {
+	Table(&b, f, Placements())
+	for _, p := range Placements() {
 		if !strings.Contains(b.String(), "| "+p.Name+" |") {
 			t.Errorf("%s has no row", p.Name)
 		}
--- a/internal/scale/place/sum.go
+++ b/internal/scale/place/sum.go
@@ -9,7 +9,7 @@
 
 // Sum is the evaluation of a placement.
 type Sum struct {
-	Placing Placing
+	Placing Placement
 	Worst   map[Kind]Outcome // worst outcome of each kind: most refused, then fewest regions with changes
 	// The number of pairs of losses, and how many of them stop changes in some region, in both, or
 	// stop queries.
@@ -24,8 +24,8 @@
 }
 
 // unavailability returns the fraction of time for which a loss lasts.
-func (f Fleet) unavailability(p Placing, l Loss) float64 {
-	o := f.Often[l.Kind]
+func (f Fleet) unavailability(p Placement, l Loss) float64 {
+	o := f.LossRates[l.Kind]
 	share := min(1, o.PerYear*o.Minutes/minutesPerYear)
 	if l.Kind == Gatherer { // any one of them
 		return 1 - math.Pow(1-share, float64(f.Gatherers))
@@ -33,8 +33,8 @@
 	return share
 }
 
-// Weigh evaluates all single and double losses of a placement.
-func (f Fleet) Weigh(p Placing) Sum {
+// Evaluate computes the outcomes of all single and double losses of a placement.
+func (f Fleet) Evaluate(p Placement) Sum {
 	s := Sum{Placing: p, Worst: map[Kind]Outcome{}}
 	losses := f.Losses(p)
 	none, seen := 1.0, 0.0
@@ -96,13 +96,13 @@
 }
 
 // Table writes one row per placement, as Markdown.
-func Table(w io.Writer, f Fleet, all []Placing) {
+func Table(w io.Writer, f Fleet, all []Placement) {
 	rows := []string{
 		"| placement | machine | rack | zone | region | link | pairs of losses that stop changes somewhere / everywhere / queries, of | minutes per year without changes, somewhere / everywhere | refused, minutes of full service per year |",
 		"| --- | --- | --- | --- | --- | --- | --- | --- | --- |",
 	}
 	for _, p := range all {
-		s := f.Weigh(p)
+		s := f.Evaluate(p)
 		row := "| " + p.Name
 		for k := Machine; k <= Link; k++ {
 			row += " | " + s.Worst[k].Stops()
@@ -114,7 +114,7 @@
 
 // Detail writes every single loss of a placement, and the pairs that stop more than the two losses
 // alone, as Markdown.
-func Detail(w io.Writer, f Fleet, p Placing) {
+func Detail(w io.Writer, f Fleet, p Placement) {
 	rows := []string{"| lost | minutes per year | stops |", "| --- | --- | --- |"}
 	losses := f.Losses(p)
 	for i, a := range losses {
--- a/internal/scale/proof_test.go
+++ b/internal/scale/proof_test.go
@@ -17,9 +17,9 @@
 // from them, are checked only with SAFFRONQUAY_LONG=1 on an idle machine.
 func TestProof(t *testing.T) {
 	strict, sizes := os.Getenv("SAFFRONQUAY_LONG") != "", []int{50, 100, 200, 400}
-	e := MeasureOptions{Rest: 8 * time.Second, Changes: 2, Calm: 30 * time.Second}
+	e := MeasureOptions{Rest: 8 * time.Second, Changes: 2, QuietTimeout: 30 * time.Second}
 	if harness.RaceEnabled {
-		sizes, e = []int{20, 30, 40, 60}, MeasureOptions{Rest: 6 * time.Second, Changes: 2, Calm: 30 * time.Second}
+		sizes, e = []int{20, 30, 40, 60}, MeasureOptions{Rest: 6 * time.Second, Changes: 2, QuietTimeout: 30 * time.Second}
 	}
 	if strict {
 		e.Rest = 24 * time.Second // three real followers send about 700 messages in it
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -122,7 +122,7 @@
 			cfg := p.Fleet
 			cfg.Seed += uint64(run)
 			if err := runStep(fmt.Sprintf("%s, run %d", s.Name, run+1), func(t harness.T) error {
-				e, err := PlayScene(t, cfg, s, p.Delay, p.Effort.Calm)
+				e, err := PlayScene(t, cfg, s, p.Delay, p.Effort.QuietTimeout)
 				e.Run = first
 				rec.Events = append(rec.Events, e)
 				return err
--- a/internal/scale/work/scene.go
+++ b/internal/scale/work/scene.go
@@ -14,8 +14,8 @@
 	"time"
 )
 
-// Hollow is a simulated fleet in a process of its own.
-type Hollow struct {
+// FleetInfo identifies a simulated fleet in a process of its own.
+type FleetInfo struct {
 	Address string `json:"discovery"` // of its discovery
 	Worker  string `json:"worker"`    // address of its first worker
 	PID     int    `json:"pid"`
@@ -23,19 +23,19 @@
 
 // Program is the program's file, and the arguments that run it as a simulated fleet.
 type Program struct {
-	File   string
-	Hollow []string
+	File         string
+	FleetCommand []string
 }
 
 // fleetArgs returns the arguments that run a fleet.
 func (p Program) fleetArgs(cfg Config) []string {
-	return append(slices.Clone(p.Hollow), "--workers", fmt.Sprint(cfg.Workers), "--cells", fmt.Sprint(cfg.Cells), "--delay", cfg.Delay.String(),
+	return append(slices.Clone(p.FleetCommand), "--workers", fmt.Sprint(cfg.Workers), "--cells", fmt.Sprint(cfg.Cells), "--delay", cfg.Delay.String(),
 		"--value", fmt.Sprint(cfg.Value), "--seed", fmt.Sprint(cfg.Seed))
 }
 
 // StartFleet starts the program as a simulated fleet and waits until it listens. It ends with t, or
 // with this process.
-func StartFleet(t harness.T, program Program, cfg Config) Hollow {
+func StartFleet(t harness.T, program Program, cfg Config) FleetInfo {
 	t.Helper()
 	cmd := exec.Command(program.File, program.fleetArgs(cfg)...)
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
@@ -47,11 +47,11 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { cmd.Process.Kill(); cmd.Wait() })
-	started := make(chan Hollow, 1)
+	started := make(chan FleetInfo, 1)
 	go func() {
 		defer close(started)
 		for lines := bufio.NewScanner(out); lines.Scan(); {
-			var h Hollow
+			var h FleetInfo
 			if json.Unmarshal(lines.Bytes(), &h) == nil && h.Address != "" {
 				started <- h
 			}
@@ -66,11 +66,11 @@
 	case <-time.After(harness.WaitTimeout):
 		t.Fatal("simulated fleet did not report its address within the time limit")
 	}
-	return Hollow{}
+	return FleetInfo{}
 }
 
 // FleetStats returns the fleet's counters.
-func (h Hollow) FleetStats() (x FleetStats, err error) {
+func (h FleetInfo) FleetStats() (x FleetStats, err error) {
 	b, err := fetch(h.Address, "/counts")
 	if err != nil {
 		return x, err
@@ -79,7 +79,7 @@
 }
 
 // Change restarts the given number of workers.
-func (h Hollow) Change(entries int) error {
+func (h FleetInfo) Change(entries int) error {
 	c := http.Client{Timeout: fetchTimeout}
 	defer c.CloseIdleConnections()
 	resp, err := c.Post(fmt.Sprintf("http://%s/change?entries=%d", h.Address, entries), "", nil)
@@ -102,7 +102,7 @@
 type Testbed struct {
 	T        harness.T
 	Gatherer *Gatherer
-	Fleet    Hollow
+	Fleet    FleetInfo
 }
 
 // StartTestbed starts the fleet and the gatherer.
@@ -173,7 +173,7 @@
 }
 
 // Dial opens n connections to one worker of the fleet. They are closed at the end of t.
-func (h Hollow) Dial(t harness.T, n int) (conns []net.Conn) {
+func (h FleetInfo) Dial(t harness.T, n int) (conns []net.Conn) {
 	t.Helper()
 	for range n {
 		conn, err := net.DialTimeout("tcp", h.Worker, fetchTimeout)
--- a/internal/scale/work/slopes_test.go
+++ b/internal/scale/work/slopes_test.go
@@ -15,7 +15,7 @@
 		t.Fatal(err)
 	}
 	said := 0
-	cfg := SlopeConfig{Program: Program{File: path, Hollow: []string{"scale", "workers"}}, Say: func(string, ...any) { said++ }}
+	cfg := SlopeConfig{Program: Program{File: path, FleetCommand: []string{"scale", "workers"}}, Say: func(string, ...any) { said++ }}
 	table, err := Measure(context.Background(), "connections", cfg)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/scale/work/workers_test.go
+++ b/internal/scale/work/workers_test.go
@@ -77,7 +77,7 @@
 // A malformed frame ends its connection and is counted.
 func TestSimulatedWorkers_RejectMalformedCalls(t *testing.T) {
 	w, _, _ := startSmallFleet(t)
-	h := Hollow{Worker: w.addresses[0]}
+	h := FleetInfo{Worker: w.addresses[0]}
 	for i, text := range []string{"R9b1f.3 3 d=240 9\nc41e77d0", "R9b1f.3 3 d=240\nc41e77d0", "R", "Q"} {
 		conn := h.Dial(t, 1)[0]
 		conn.SetDeadline(time.Now().Add(fetchTimeout))
