--- a/internal/broker/routecheck/subject.go
+++ b/internal/broker/routecheck/subject.go
@@ -24,7 +24,7 @@
 	Servers  []sq.Server
 	Layout   *layout.Layout // nil: the settings determine the holders of a shard
 	Indices  map[string]Index
-	Learned  *sq.Learned // saved server statistics of the module; nil: none
+	Learned  *sq.Snapshot // saved server statistics of the module; nil: none
 }
 
 // Variants returns the roster and, if changes of its layout are in progress, the roster after the
@@ -46,14 +46,14 @@
 	done.Name, done.Layout = r.Name+", all changes cut over", l
 	done.Indices = map[string]Index{}
 	for name, ix := range r.Indices {
-		ix.Ranges = Placed(l)
+		ix.Ranges = PlacedRanges(l)
 		done.Indices[name] = ix
 	}
 	return append(out, done), nil
 }
 
-// Placed returns the ranges of an index that is placed by a layout.
-func Placed(l *layout.Layout) []layout.Part { return l.Cover(nil, l.Domain()) }
+// PlacedRanges returns the ranges of an index that is placed by a layout.
+func PlacedRanges(l *layout.Layout) []layout.Part { return l.Cover(nil, l.Domain()) }
 
 // startTime is the virtual time at which a module starts, in microseconds. The value is arbitrary.
 const startTime = 1_000_000_000_000
@@ -88,7 +88,7 @@
 		events = append(events, sq.HoldersChanged{Holders: r.Layout})
 	}
 	if r.Learned != nil {
-		events = append(events, sq.Recalled{Learned: *r.Learned})
+		events = append(events, sq.SnapshotRestored{Snapshot: *r.Learned})
 	}
 	s.step(events...)
 	seen := map[layout.Part]bool{}
--- a/internal/scale/work/engine_test.go
+++ b/internal/scale/work/engine_test.go
@@ -15,8 +15,9 @@
 	sq "saffronquay"
 )
 
-// BenchmarkEngineBySize is a query through engine, core, module, pool and sockets, without the front, before a hollow fleet in the same
-// process, whose share of the processor time is in the figures; a profile tells them apart:
+// BenchmarkEngineBySize measures a query through engine, core, module, pool and sockets, without
+// the front end, with a simulated fleet in the same process. The fleet's CPU time is included; a
+// profile tells them apart:
 //
 //	go test -run '^$' -bench EngineBySize -benchtime 2s -cpuprofile cpu.out ./internal/scale/work
 func BenchmarkEngineBySize(b *testing.B) {
@@ -53,18 +54,18 @@
 			e.UpdateFleet(news, addresses)
 			go e.Run()
 			defer e.Stop()
-			asked := 0
+			sent := 0
 			query := func() {
-				ask := core.Query{Label: fmt.Sprintf("%016x", asked), Unique: true, Class: "q", Deadline: clock.Now() + 30_000_000, Text: []byte("c41e77d0")}
+				ask := core.Query{Label: fmt.Sprintf("%016x", sent), Unique: true, Class: "q", Deadline: clock.Now() + 30_000_000, Text: []byte("c41e77d0")}
 				for i := range parts {
-					ask.Parts = append(ask.Parts, core.QueryPart{Shard: (asked*parts + i) % servers, Weight: 1 / float64(parts)})
+					ask.Parts = append(ask.Parts, core.QueryPart{Shard: (sent*parts + i) % servers, Weight: 1 / float64(parts)})
 				}
-				asked++
+				sent++
 				t := e.Open(ask)
 				select {
 				case f := <-t.Final:
 					if f.Outcome != core.Answered || !f.Complete {
-						b.Fatalf("query %d: %+v", asked, f.Outcome)
+						b.Fatalf("query %d: %+v", sent, f.Outcome)
 					}
 				case err := <-t.Err:
 					b.Fatal(err)
@@ -75,14 +76,14 @@
 			}
 			var before, after runtime.MemStats
 			runtime.ReadMemStats(&before)
-			began, n := own(), 0
+			began, n := ownCPU(), 0
 			for b.Loop() {
 				query()
 				n++
 			}
 			runtime.ReadMemStats(&after)
 			all := float64(n * parts)
-			b.ReportMetric(float64(own()-began)/all, "cpu-ns/part")
+			b.ReportMetric(float64(ownCPU()-began)/all, "cpu-ns/part")
 			b.ReportMetric(float64(after.Mallocs-before.Mallocs)/all, "allocs/part")
 			b.ReportMetric(float64(after.TotalAlloc-before.TotalAlloc)/all, "B/part")
 		})
