--- a/api.go
+++ b/api.go
@@ -243,11 +243,11 @@
 // is used only if the server is in the list and has not restarted since.
 type Recalled struct{ Learned }
 
-// Holders is an immutable table of the servers that have each shard. Of returns nothing for a shard
-// that does not exist. Since returns a version of a shard's holders, which differs whenever the
-// holders do.
+// Holders is an immutable table of the servers that have each shard. The method Holders returns
+// nothing for a shard that does not exist. Since returns a version of a shard's holders, which differs
+// whenever the holders do.
 type Holders interface {
-	Of(shard int) []ServerID
+	Holders(shard int) []ServerID
 	Since(shard int) int64
 }
 
--- a/internal/broker/core/layout.go
+++ b/internal/broker/core/layout.go
@@ -64,7 +64,7 @@
 	cover := c.routes.Cover(nil, p.Span)
 	if len(requested) > 0 {
 		cover = slices.DeleteFunc(cover, func(piece layout.Part) bool {
-			return !slices.ContainsFunc(requested, func(r layout.Span) bool { return !r.Meet(piece.Span).Empty() })
+			return !slices.ContainsFunc(requested, func(r layout.Span) bool { return !r.Intersect(piece.Span).Empty() })
 		})
 	}
 	parts := make([]QueryPart, 0, len(cover))
@@ -106,7 +106,7 @@
 	}
 	atMostOnce := p.query.class.Effect == sq.AtMostOnce
 	if len(p.running) > 0 {
-		if atMostOnce || c.routes.Of(p.spec.Shard) != nil {
+		if atMostOnce || c.routes.Holders(p.spec.Shard) != nil {
 			return // the old holders may still answer; an at-most-once part must not be sent elsewhere
 		}
 		for len(p.running) > 0 { // the end of the last attempt calls replanIfMoved again
@@ -147,7 +147,7 @@
 	case c.routes == nil:
 	case o == sq.Misplaced && a.epoch >= c.routes.Epoch():
 		c.isLayoutStale = true
-	case o == sq.Served && !c.routes.Answers(a.server, a.part.spec.Shard, a.part.spec.Span):
+	case o == sq.Served && !c.routes.IsValidAnswer(a.server, a.part.spec.Shard, a.part.spec.Span):
 		c.emit(LogLine{Text: "an answer of " + string(a.server) + " for range " + a.part.spec.Span.String() + ", which it holds no longer"})
 		return sq.Errored
 	}
--- a/internal/broker/core/layout_simulation_test.go
+++ b/internal/broker/core/layout_simulation_test.go
@@ -140,14 +140,14 @@
 	switch {
 	case w.rng.IntN(10) == 0:
 		got.outcome = sq.Unreachable
-	case !ok || a.Span.From < inForce.From || a.Span.To > inForce.To || !slices.Contains(w.layout.Of(a.Shard), server):
+	case !ok || a.Span.From < inForce.From || a.Span.To > inForce.To || !slices.Contains(w.layout.Holders(a.Shard), server):
 		if got.outcome = sq.Rejected; w.layout.Epoch() > a.Epoch {
 			got.outcome = sq.Misplaced
 		}
 	default:
 		if p.query.class.Effect == sq.AtMostOnce {
 			for _, other := range w.ran[p.query.id] {
-				if !other.Meet(a.Span).Empty() {
+				if !other.Intersect(a.Span).Empty() {
 					w.violate("query %d ran %s after %s", p.query.id, a.Span, other)
 				}
 			}
--- a/internal/broker/layout/layout.go
+++ b/internal/broker/layout/layout.go
@@ -19,9 +19,9 @@
 // Empty reports whether the span contains no key.
 func (s Span) Empty() bool { return s.From >= s.To }
 
-// Meet returns the intersection of two spans. Without a common key the result is Empty, and its To
-// may be below its From.
-func (s Span) Meet(o Span) Span { return Span{max(s.From, o.From), min(s.To, o.To)} }
+// Intersect returns the intersection of two spans. Without a common key the result is Empty, and its
+// To may be below its From.
+func (s Span) Intersect(o Span) Span { return Span{max(s.From, o.From), min(s.To, o.To)} }
 
 // Range is one shard: its span and the servers that hold a replica of it.
 type Range struct {
@@ -128,10 +128,11 @@
 	return l.doc.Ranges[i].Span, true
 }
 
-// Of returns the servers that hold a shard: the holders in force or, if the shard is only on an old
-// side that is not yet retired, the holders of that side. It returns nil for an unknown shard. The
-// decision module reads the holders through Of. The caller must not change the list.
-func (l *Layout) Of(shard int) []sq.ServerID {
+// Holders returns the servers that hold a shard: the holders in force or, if the shard is only on an
+// old side that is not yet retired, the holders of that side. It returns nil for an unknown shard.
+// The decision module calls it through the interface saffronquay.Holders. The caller must not change
+// the list.
+func (l *Layout) Holders(shard int) []sq.ServerID {
 	if i, ok := l.at[shard]; ok {
 		return l.doc.Ranges[i].Holders
 	}
@@ -146,11 +147,11 @@
 // span and those holders.
 func (l *Layout) Since(shard int) int64 { return l.since[shard] }
 
-// Answers reports whether an answer of a server for a span of a shard is valid: the server must be
-// a holder of the shard, in force or on an old side that is not yet retired, and the span must lie
+// IsValidAnswer reports whether an answer of a server for a span of a shard is valid: the server must
+// be a holder of the shard, in force or on an old side that is not yet retired, and the span must be
 // within the shard's. This protects against a server that is not yet aware that it has lost the
 // shard.
-func (l *Layout) Answers(server sq.ServerID, shard int, span Span) bool {
+func (l *Layout) IsValidAnswer(server sq.ServerID, shard int, span Span) bool {
 	holds := func(r *Range) bool {
 		return span.From >= r.From && span.To <= r.To && slices.Contains(r.Holders, server)
 	}
@@ -204,7 +205,7 @@
 func (l *Layout) Cover(dst []Part, span Span) []Part {
 	for i := l.searchRange(span.From, 0); i < len(l.doc.Ranges) && l.doc.Ranges[i].From < span.To && !span.Empty(); i++ {
 		r := &l.doc.Ranges[i]
-		dst = append(dst, Part{r.Shard, r.Span.Meet(span)})
+		dst = append(dst, Part{r.Shard, r.Span.Intersect(span)})
 	}
 	return dst
 }
@@ -232,7 +233,7 @@
 		}
 	}
 	for shard := range a.old { // retired: answers still in flight are no longer valid
-		if _, ok := b.old[shard]; !ok && b.Of(shard) == nil {
+		if _, ok := b.old[shard]; !ok && b.Holders(shard) == nil {
 			out = append(out, shard)
 		}
 	}
--- a/internal/broker/layout/place.go
+++ b/internal/broker/layout/place.go
@@ -7,8 +7,8 @@
 
 // Header fields between the broker and shard servers.
 const (
-	PlaceField = "X-Layout-Part"  // in the request for a part and in the answer to it: a Place
-	EpochField = "X-Layout-Epoch" // in a 421 answer: the server's epoch
+	PlaceHeader = "X-Layout-Part"  // in the request for a part and in the answer to it: a Place
+	EpochHeader = "X-Layout-Epoch" // in a 421 answer: the server's epoch
 )
 
 // Place is the shard and span that a part requests, and the epoch in which the part was planned.
--- a/internal/broker/opensearch/servers.go
+++ b/internal/broker/opensearch/servers.go
@@ -71,7 +71,7 @@
 		fields = append(fields, [2]string{"X-Opaque-Id", a.Label})
 	}
 	if a.Epoch > 0 {
-		fields = append(fields, [2]string{layout.PlaceField, s.place.String()})
+		fields = append(fields, [2]string{layout.PlaceHeader, s.place.String()})
 	}
 	return http1.AppendRequest(dst, "POST", target, s.host, fields, body)
 }
@@ -147,7 +147,7 @@
 // the same shard and span.
 func checkPlace(place layout.Place, m *http1.Message, o sq.Outcome) sq.Outcome {
 	if m.Status == statusMisdirected {
-		epoch, err := strconv.ParseInt(m.Header.Get(layout.EpochField), 10, 64)
+		epoch, err := strconv.ParseInt(m.Header.Get(layout.EpochHeader), 10, 64)
 		switch {
 		case err != nil:
 			return sq.Errored
@@ -159,7 +159,7 @@
 	if o != sq.Served {
 		return o
 	}
-	in, err := layout.ParsePlace(m.Header.Get(layout.PlaceField))
+	in, err := layout.ParsePlace(m.Header.Get(layout.PlaceHeader))
 	if in.Epoch = place.Epoch; err != nil || in != place {
 		return sq.Errored
 	}
--- a/internal/broker/opensearch/spans.go
+++ b/internal/broker/opensearch/spans.go
@@ -39,7 +39,7 @@
 func intersect(a, b spans) spans {
 	var out spans
 	for i, j := 0, 0; i < len(a) && j < len(b); {
-		if s := a[i].Meet(b[j]); !s.Empty() {
+		if s := a[i].Intersect(b[j]); !s.Empty() {
 			out = append(out, s)
 		}
 		if a[i].To < b[j].To {
--- a/internal/broker/routecheck/evaluate.go
+++ b/internal/broker/routecheck/evaluate.go
@@ -314,7 +314,7 @@
 	for _, name := range slices.Sorted(maps.Keys(ev.s.Indices)) {
 		shards := map[int]bool{}
 		for _, p := range ev.s.Indices[name].Ranges {
-			if !p.Meet(want).Empty() {
+			if !p.Intersect(want).Empty() {
 				shards[p.Shard] = true
 			}
 		}
--- a/internal/broker/routecheck/explain.go
+++ b/internal/broker/routecheck/explain.go
@@ -36,7 +36,7 @@
 	for _, p := range ix.Ranges {
 		wanted := false
 		for _, w := range want {
-			wanted = wanted || !p.Meet(w).Empty()
+			wanted = wanted || !p.Intersect(w).Empty()
 		}
 		if !wanted {
 			continue
--- a/internal/broker/routecheck/load.go
+++ b/internal/broker/routecheck/load.go
@@ -147,7 +147,7 @@
 	for n := at; n < len(s.ranges) && s.ranges[n].From < span.To; n++ {
 		holders := s.module.Holders(s.ranges[n].Shard)
 		if !slices.ContainsFunc(servers, func(id sq.ServerID) bool { return !slices.Contains(holders, id) }) {
-			sum += width(s.ranges[n].Meet(span))
+			sum += width(s.ranges[n].Intersect(span))
 		}
 	}
 	return sum
--- a/internal/testing/fakebackend/ledger.go
+++ b/internal/testing/fakebackend/ledger.go
@@ -38,7 +38,7 @@
 		l.ran = map[string][]layout.Span{}
 	}
 	for _, other := range l.ran[query] {
-		if !other.Meet(span).Empty() {
+		if !other.Intersect(span).Empty() {
 			l.twice++
 		}
 	}
--- a/internal/testing/fakebackend/server.go
+++ b/internal/testing/fakebackend/server.go
@@ -254,7 +254,7 @@
 		respond(w, http.StatusBadRequest, `{"error":{"type":"illegal_argument_exception","reason":"want /INDEX/_search with a body of at most 1 MiB"},"status":400}`)
 		return
 	}
-	place, err := layout.ParsePlace(r.Header.Get(layout.PlaceField))
+	place, err := layout.ParsePlace(r.Header.Get(layout.PlaceHeader))
 	if err != nil {
 		respond(w, http.StatusBadRequest, `{"error":{"type":"illegal_argument_exception","reason":"place header is missing or malformed"},"status":400}`)
 		return
@@ -285,7 +285,7 @@
 		if fault == Mislabels {
 			place.To++
 		}
-		w.Header().Set(layout.PlaceField, place.String())
+		w.Header().Set(layout.PlaceHeader, place.String())
 		if asOf > 0 {
 			w.Header().Set(asOfField, r.Header.Get(asOfField))
 			if s.lacksWritesAt(asOf) { // writes up to asOf have not arrived, so the snapshot is incomplete
@@ -362,7 +362,7 @@
 func within(a, b layout.Span) bool { return a.From >= b.From && a.To <= b.To }
 
 func (s *Server) rejectNotHeld(w http.ResponseWriter, epoch int64) {
-	w.Header().Set(layout.EpochField, strconv.FormatInt(epoch, 10))
+	w.Header().Set(layout.EpochHeader, strconv.FormatInt(epoch, 10))
 	respond(w, http.StatusMisdirectedRequest, `{"error":{"type":"shard_not_held_exception","reason":"shard is not held by this server"},"status":421}`)
 }
 
--- a/replicas.go
+++ b/replicas.go
@@ -88,7 +88,7 @@
 func (s *Scheduler) holders(shard int) []*replica {
 	var hs []*replica
 	if s.table != nil {
-		for _, id := range s.table.Of(shard) {
+		for _, id := range s.table.Holders(shard) {
 			if r := s.servers[id]; r != nil && r.Health == Ready {
 				hs = append(hs, r)
 			}
@@ -109,7 +109,7 @@
 // queries would wait in vain for a shard whose holders are all draining. Without a table it returns true,
 // since the list may be incomplete.
 func (s *Scheduler) hasHolder(p *part) bool {
-	return s.table == nil || slices.ContainsFunc(s.table.Of(p.Shard), func(id ServerID) bool {
+	return s.table == nil || slices.ContainsFunc(s.table.Holders(p.Shard), func(id ServerID) bool {
 		r := s.servers[id]
 		return r != nil && r.Health == Ready
 	})
--- a/state.go
+++ b/state.go
@@ -175,7 +175,7 @@
 	maps.DeleteFunc(s.endedUnserved, func(_ string, at int64) bool { return s.now >= at+s.longestWait })
 	s.forgetClasses()
 	if s.table != nil {
-		maps.DeleteFunc(s.shardLatencies, func(shard int, _ float64) bool { return s.table.Of(shard) == nil })
+		maps.DeleteFunc(s.shardLatencies, func(shard int, _ float64) bool { return s.table.Holders(shard) == nil })
 	}
 }
 
