--- a/cmd/saffronquay/explain.go
+++ b/cmd/saffronquay/explain.go
@@ -115,7 +115,7 @@
 	var last *sq.Learned
 	store.Dump(func(r recordlog.Record) {
 		if r.Kind == recordlog.Learned && !r.Deleted {
-			learned := server.Learned(r.Value)
+			learned := server.ParseStatistics(r.Value)
 			last = &learned
 		}
 	})
--- a/cmd/saffronquay/policy_change.go
+++ b/cmd/saffronquay/policy_change.go
@@ -79,7 +79,7 @@
 			if err != nil {
 				return err
 			}
-			text, err := config.PolicyOf(file)
+			text, err := config.ExtractPolicy(file)
 			if err != nil {
 				return failed(err)
 			}
--- a/cmd/saffronquay/try_fleet.go
+++ b/cmd/saffronquay/try_fleet.go
@@ -194,7 +194,7 @@
 	if err != nil {
 		return nil, err
 	}
-	text, err := config.PolicyOf(file)
+	text, err := config.ExtractPolicy(file)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/broker/config/fleet.go
+++ b/internal/broker/config/fleet.go
@@ -10,14 +10,14 @@
 
 // Fleet configures the gatherer's view of its fleet.
 type Fleet struct {
-	Listen       netip.AddrPort
-	Advertise    netip.AddrPort // not valid: the bound address of Listen
-	Name         string         // of the fleet
-	Join         []netip.AddrPort
-	Allow        []netip.Prefix // networks from which messages are accepted; empty: all
-	Period       time.Duration  // probe period
-	Suspect      float64        // suspicion factor
-	CountLostFor time.Duration  // how long a dead member counts towards the effective size
+	Listen          netip.AddrPort
+	Advertise       netip.AddrPort // not valid: the bound address of Listen
+	Name            string         // of the fleet
+	Join            []netip.AddrPort
+	Allow           []netip.Prefix // networks from which messages are accepted; empty: all
+	ProbePeriod     time.Duration  // probe period
+	SuspicionFactor float64        // suspicion factor
+	CountDeadFor    time.Duration  // how long a dead member counts towards the effective size
 	// Balancers and Contracts make settings.balancers and contracts.gatherers follow the number of
 	// members among which budgets are divided.
 	Balancers, Contracts bool
@@ -30,8 +30,8 @@
 func (o *Operator) fleet(r reader) {
 	r.require("listen")
 	f := &Fleet{
-		Name: r.str("name", "saffronquay"), Period: millis(r, "period_ms", 200, 50, 10_000), Suspect: r.float("suspect", 2.5),
-		CountLostFor: millis(r, "reckon_ms", 300_000, 1000, 86_400_000), Balancers: !r.has("balancers") || r.boolean("balancers"),
+		Name: r.str("name", "saffronquay"), ProbePeriod: millis(r, "period_ms", 200, 50, 10_000), SuspicionFactor: r.float("suspect", 2.5),
+		CountDeadFor: millis(r, "reckon_ms", 300_000, 1000, 86_400_000), Balancers: !r.has("balancers") || r.boolean("balancers"),
 		Contracts: !r.has("contracts") || r.boolean("contracts"),
 	}
 	f.Listen = r.addrPort("listen", r.str("listen", ""))
@@ -45,8 +45,8 @@
 	if err := swim.CheckName(f.Name); err != nil {
 		r.fault("name", "%v", err)
 	}
-	if !(f.Suspect >= 1 && f.Suspect <= 20) {
-		r.fault("suspect", "want 1 to 20, not %g", f.Suspect)
+	if !(f.SuspicionFactor >= 1 && f.SuspicionFactor <= 20) {
+		r.fault("suspect", "want 1 to 20, not %g", f.SuspicionFactor)
 	}
 	for _, text := range r.strs("join") {
 		a := r.addrPort("join", text)
--- a/internal/broker/config/fleet_test.go
+++ b/internal/broker/config/fleet_test.go
@@ -15,7 +15,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if f := o.Fleet; f.Name != "ledger-cordoba" || len(f.Join) != 3 || len(f.Allow) != 1 || f.Period != 200*time.Millisecond || f.CountLostFor != 300*time.Second || !f.Balancers || !f.Contracts {
+	if f := o.Fleet; f.Name != "ledger-cordoba" || len(f.Join) != 3 || len(f.Allow) != 1 || f.ProbePeriod != 200*time.Millisecond || f.CountDeadFor != 300*time.Second || !f.Balancers || !f.Contracts {
 		t.Errorf("%+v", f)
 	}
 	for _, c := range []struct{ from, to, want string }{
--- a/internal/broker/config/operator.go
+++ b/internal/broker/config/operator.go
@@ -107,7 +107,7 @@
 	if err != nil {
 		return Operator{}, err
 	}
-	if err := inForce.Fits(o); err != nil {
+	if err := inForce.CheckReload(o); err != nil {
 		return Operator{}, fmt.Errorf("SAFFRONQUAY_OPERATOR_FILE: %w", err)
 	}
 	if o.Rollout != nil {
@@ -118,9 +118,9 @@
 	return o, nil
 }
 
-// Fits returns nil if the file next can replace this one without a restart. Otherwise the error
+// CheckReload returns nil if the file next can replace this one without a restart. Otherwise the error
 // names the setting that needs a restart.
-func (o Operator) Fits(next Operator) error {
+func (o Operator) CheckReload(next Operator) error {
 	if err := o.Settings.checkLayout(next.Settings); err != nil {
 		return err
 	}
--- a/internal/broker/config/regions_test.go
+++ b/internal/broker/config/regions_test.go
@@ -71,12 +71,12 @@
 		}
 	}
 	// The region is local to each file, so that a policy does not contain it. Changing it needs a restart.
-	policy, err := config.PolicyOf(text)
+	policy, err := config.ExtractPolicy(text)
 	if err != nil || strings.Contains(string(policy), "este") {
 		t.Errorf("%s %v", policy, err)
 	}
 	moved := strings.NewReplacer(`"region": "oeste",`, `"region": "este",`, `"region": "este",`, `"region": "oeste",`).Replace(string(text))
-	if now, err := config.ParseOperator([]byte(moved)); err != nil || o.Fits(now) == nil {
-		t.Errorf("changed region: parse error %v, and Fits accepts it", err)
+	if now, err := config.ParseOperator([]byte(moved)); err != nil || o.CheckReload(now) == nil {
+		t.Errorf("changed region: parse error %v, and CheckReload accepts it", err)
 	}
 }
--- a/internal/broker/config/rollout.go
+++ b/internal/broker/config/rollout.go
@@ -103,9 +103,9 @@
 	return text
 }
 
-// PolicyOf returns the part of an operator's file that can become a policy, as a document for
+// ExtractPolicy returns the part of an operator's file that can become a policy, as a document for
 // 'policy adopt'.
-func PolicyOf(text []byte) ([]byte, error) {
+func ExtractPolicy(text []byte) ([]byte, error) {
 	file, err := parseObject(text)
 	if err != nil {
 		return nil, err
--- a/internal/broker/config/rollout_test.go
+++ b/internal/broker/config/rollout_test.go
@@ -39,7 +39,7 @@
 			t.Errorf("%s: %v", c.to, err)
 		}
 	}
-	policy, err := config.PolicyOf(text)
+	policy, err := config.ExtractPolicy(text)
 	if err != nil || strings.Contains(string(policy), "9450") || !strings.Contains(string(policy), `"max_open":500`) {
 		t.Fatalf("%s %v", policy, err)
 	}
--- a/internal/broker/server/durable_records.go
+++ b/internal/broker/server/durable_records.go
@@ -55,9 +55,9 @@
 	})
 }
 
-// Learned parses the statistics of servers from the value of a stored record. It returns the zero value
-// if the value cannot be parsed.
-func Learned(value []byte) sq.Learned { return parseStatistics(value).Learned }
+// ParseStatistics parses the statistics of servers from the value of a stored record. It returns the
+// zero value if the value cannot be parsed.
+func ParseStatistics(value []byte) sq.Learned { return parseStatistics(value).Learned }
 
 // parseStatistics parses the value of the record of the statistics of servers and tenants. It returns
 // the zero value if the value cannot be parsed.
--- a/internal/broker/server/fleet_view.go
+++ b/internal/broker/server/fleet_view.go
@@ -59,8 +59,8 @@
 	m.stepTimer.Stop()
 	cfg := peering.Config{Listen: f.Listen, Allow: f.Allow, Seed: g.seed, Core: swim.Config{
 		Fleet: f.Name, Name: g.name, Start: uint64(time.Now().UnixMicro()),
-		Address: f.Advertise, Zone: g.settings.Module.Zone, Version: programVersion(), Join: f.Join, ProbePeriod: f.Period.Microseconds(),
-		SuspicionFactor: f.Suspect, CountDeadFor: f.CountLostFor.Microseconds(),
+		Address: f.Advertise, Zone: g.settings.Module.Zone, Version: programVersion(), Join: f.Join, ProbePeriod: f.ProbePeriod.Microseconds(),
+		SuspicionFactor: f.SuspicionFactor, CountDeadFor: f.CountDeadFor.Microseconds(),
 	}, OnView: g.updatePolicyPeers}
 	seedBugs(&cfg.Core, nil)
 	open := func() (err error) {
--- a/internal/broker/server/policy.go
+++ b/internal/broker/server/policy.go
@@ -133,7 +133,7 @@
 	h.mu.Lock()
 	h.validated = validatedDocument{text, op.Text, now}
 	h.mu.Unlock()
-	if err := op.Fits(now); err != nil {
+	if err := op.CheckReload(now); err != nil {
 		return err
 	}
 	// Open queries keep the settings that they were admitted under, but the new limit must not be below
--- a/internal/broker/server/start_test.go
+++ b/internal/broker/server/start_test.go
@@ -44,7 +44,7 @@
 	}
 	defer taken.Close()
 	plan := newTestPlan(t)
-	plan.fleetFile = &config.Fleet{Listen: taken.LocalAddr().(*net.UDPAddr).AddrPort(), Name: "f", Period: time.Second, Suspect: 3}
+	plan.fleetFile = &config.Fleet{Listen: taken.LocalAddr().(*net.UDPAddr).AddrPort(), Name: "f", ProbePeriod: time.Second, SuspicionFactor: 3}
 	if _, err := Start(plan, slog.New(slog.DiscardHandler), nil); err == nil {
 		t.Fatal("Start succeeded although the fleet address is in use")
 	}
--- a/internal/cluster/peering/policy_test.go
+++ b/internal/cluster/peering/policy_test.go
@@ -117,7 +117,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	text, err := config.PolicyOf(file)
+	text, err := config.ExtractPolicy(file)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/scale/change.go
+++ b/internal/scale/change.go
@@ -35,7 +35,7 @@
 
 // policyDocument returns a policy that differs from others only in one number.
 func (r *Rig) policyDocument(n uint64) []byte {
-	text, err := config.PolicyOf(r.template)
+	text, err := config.ExtractPolicy(r.template)
 	var v map[string]any
 	if err == nil {
 		err = json.Unmarshal(text, &v)
--- a/internal/scale/hollow.go
+++ b/internal/scale/hollow.go
@@ -120,7 +120,7 @@
 	}
 	core := swim.Config{
 		Fleet: f.Name, Name: h.Name, Start: uint64(time.Now().UnixMicro()), Address: f.Advertise, Zone: op.Settings.Module.Zone, Version: h.version,
-		Join: f.Join, ProbePeriod: f.Period.Microseconds(), SuspicionFactor: f.Suspect, CountDeadFor: f.CountLostFor.Microseconds(),
+		Join: f.Join, ProbePeriod: f.ProbePeriod.Microseconds(), SuspicionFactor: f.SuspicionFactor, CountDeadFor: f.CountDeadFor.Microseconds(),
 	}
 	if h.view, err = peering.Open(peering.Config{Listen: f.Listen, Allow: f.Allow, Seed: h.Seed, Core: core, OnView: h.onView}, h.clock.Now, h.onMembers, h.log); err != nil {
 		go h.policy.Run()
@@ -229,7 +229,7 @@
 	h.mu.Lock()
 	h.validated = validated{text, now}
 	h.mu.Unlock()
-	return op.Fits(now)
+	return op.CheckReload(now)
 }
 
 // Install installs a document. There is no engine to pass it to.
--- a/internal/testing/soak/campaign.go
+++ b/internal/testing/soak/campaign.go
@@ -229,7 +229,7 @@
 	rng := rand.New(rand.NewPCG(run.cfg.Seed, 11))
 	file, err := os.ReadFile(run.g.Members[0].File)
 	if err == nil {
-		file, err = config.PolicyOf(file)
+		file, err = config.ExtractPolicy(file)
 	}
 	var doc map[string]any
 	if err == nil {
