--- a/cmd/saffronquay/explain.go
+++ b/cmd/saffronquay/explain.go
@@ -115,7 +115,7 @@
 	var last *sq.Snapshot
 	store.Dump(func(r recordlog.Record) {
 		if r.Kind == recordlog.ServerState && !r.Deleted {
-			learned := server.Learned(r.Value)
+			learned := server.ParseStatistics(r.Value)
 			last = &learned
 		}
 	})
