--- a/api.go
+++ b/api.go
@@ -255,7 +255,7 @@
 // by the settings' Shards, Cells and CellsPerShard.
 type HoldersChanged struct{ Holders Holders }
 
-// Replanned replaces a part by others, because its data belongs to other shards under the table in
+// Replanned replaces a part with others, because its data belongs to other shards under the table in
 // force. The weights of Into add up to the weight of the part. No attempt of the part may be in
 // flight.
 type Replanned struct {
--- a/cmd/saffronquay/campaign.go
+++ b/cmd/saffronquay/campaign.go
@@ -103,8 +103,8 @@
 	return len(result.Violations), err
 }
 
-// shrinkScript returns a smaller script that still violates an invariant, found in at most runs
-// further runs. It returns nil if result has no violation or runs is 0.
+// shrinkScript returns a smaller script that still violates an invariant. It executes at most the
+// given number of runs to find one, and returns nil if result has no violation or runs is 0.
 func shrinkScript(cfg soak.Config, result soak.Result, runs int) (faults.Script, error) {
 	if len(result.Violations) == 0 || runs <= 0 {
 		return nil, nil
--- a/cmd/saffronquay/cli_scale_events.go
+++ b/cmd/saffronquay/cli_scale_events.go
@@ -13,7 +13,7 @@
 	scripts "saffronquay/internal/testing/faults"
 )
 
-// warmUpTime is how long a fleet gets to start up before the first policy change.
+// warmUpTime is the time from the start of a fleet to the first policy change.
 const warmUpTime = 6 * time.Second
 
 // scaleEvents returns the command that simulates policy changes and faults of a two-region fleet in
@@ -62,7 +62,7 @@
 	f.DurationVar(&every, "every", 3*time.Second, "interval between policy changes, from 6 s on; 0: no changes")
 	f.IntVar(&cfg.Text, "text", 10_000, "size of a policy in bytes")
 	f.IntVar(&cfg.Teams, "teams", 0, "number of teams that are busy at all gatherers; 0: budgets are not divided")
-	f.BoolVar(&cfg.Keep, "keep", false, "versions are of the kind under which gatherers without a lease continue to serve")
+	f.BoolVar(&cfg.Keep, "keep", false, "gatherers without a lease continue to serve under each version")
 	f.StringVar(&script, "script", "", "path of a file of faults")
 	return cmd
 }
--- a/cmd/saffronquay/fleet.go
+++ b/cmd/saffronquay/fleet.go
@@ -113,7 +113,8 @@
 	return view
 }
 
-// fleetWarnings are the texts for values of a view that need the operator's attention.
+// fleetWarnings lists the values of a view that need the operator's attention, and the text printed
+// for each.
 var fleetWarnings = []struct{ key, value, text string }{
 	{"alone", "true", "WARNING: no member reached at any address in join; serving, and still trying to join"},
 	{"twin", "true", "WARNING: another live gatherer has the same name"},
--- a/cmd/saffronquay/try_fleet.go
+++ b/cmd/saffronquay/try_fleet.go
@@ -202,7 +202,7 @@
 	return bytes.Replace(text, before, after, 1), nil
 }
 
-// stop stops the i-th gatherer and waits for its end. It does nothing if that is not running.
+// stop stops the i-th gatherer and waits for its end. It does nothing if the gatherer is not running.
 func (f *trialFleet) stop(i int) error {
 	f.mu.Lock()
 	g := f.running[i]
@@ -234,7 +234,8 @@
 	return errors.Join(errs...)
 }
 
-// printViews prints in one line how many members each gatherer sees.
+// printViews prints, in one line, the numbers of live members and of expected members that each
+// gatherer's view has.
 func (f *trialFleet) printViews(out io.Writer) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/deploy/ci_test.go
+++ b/deploy/ci_test.go
@@ -8,7 +8,8 @@
 	"testing"
 )
 
-// TestKnownRed checks that CI skips exactly the tests that KNOWN-RED.txt names, and that a malformed list fails.
+// TestKnownRed checks that CI skips exactly the tests that KNOWN-RED.txt names, and that a
+// malformed list fails.
 func TestKnownRed(t *testing.T) {
 	script, err := filepath.Abs("../.ci/known-red")
 	if err != nil {
@@ -19,7 +20,7 @@
 	for _, c := range []struct {
 		name, list, also string
 		absent           bool
-		skip, says       string // says: what it fails with
+		skip, says       string // says: part of the script's error output if it must fail
 	}{
 		{name: "no file", absent: true},
 		{name: "empty file", list: "\n"},
--- a/internal/broker/idempotency/tracker_test.go
+++ b/internal/broker/idempotency/tracker_test.go
@@ -22,9 +22,9 @@
 func (f *faultyLog) Health() error                   { return f.health }
 func (f *faultyLog) Now() int64                      { return f.now }
 
-// TestAbandon_AfterEndKeepsAnswer checks that a query that is abandoned before the record of its
-// answer is durable stays in progress until it is: a retry in between is not answered InDoubt, and
-// a later one gets the answer.
+// TestAbandon_AfterEndKeepsAnswer checks that a query that is abandoned after its end, but before
+// the record of its answer is durable, stays in progress until the record is durable: a retry in
+// between is not answered InDoubt, and a later one gets the answer.
 func TestAbandon_AfterEndKeepsAnswer(t *testing.T) {
 	plan := &simdisk.FaultPlan{}
 	s, err := recordlog.Open([2]recordlog.Dir{simdisk.New("a", plan), simdisk.New("b", plan)}, recordlog.Options{ID: 1, Now: func() int64 { return 0 }, MaxRetention: retention}, false)
@@ -116,13 +116,14 @@
 	begin("a", 1, idempotency.InProgress)
 	end(a, "done")
 	if _, v := begin("a", 1, idempotency.Completed); string(v.Answer.Body) != "done" || v.Answer.Status != 200 || v.Answer.Fields[0] != [2]string{"A", "b"} {
-		t.Errorf("%+v", v)
+		t.Errorf("retry of a completed query: got %+v, want the recorded answer", v)
 	}
 	begin("a", 2, idempotency.Mismatch)
 	if err := recordIntent(a); !errors.Is(err, idempotency.ErrEnded) {
-		t.Errorf("intent of a query that has ended: %v", err)
+		t.Errorf("intent of a query that has ended: got error %v, want ErrEnded", err)
 	}
-	// A key that was released with an intent in the log is Fresh; one without an answer is InDoubt.
+	// A released key is Fresh even if its intent was logged; an abandoned one without an answer is
+	// InDoubt.
 	b, _ := begin("b", 1, idempotency.Fresh)
 	recordIntent(b)
 	b.Release()
@@ -138,13 +139,13 @@
 	recordIntent(c)
 	end(c, strings.Repeat("x", 11))
 	if _, v := begin("c", 1, idempotency.Completed); !v.Answer.Shortened || v.Answer.Body != nil {
-		t.Errorf("%+v", v)
+		t.Errorf("retry of a query with a long answer: got %+v, want a shortened answer without a body", v)
 	}
 	// After the loss of a span, keys without a record have to wait, others do not.
 	log.lostSpans = []recordlog.LostSpan{{From: 100, To: 200}}
 	log.now = 300
 	if _, v := begin("d", 1, idempotency.HistoryLost); v.RetryAfter != 900 {
-		t.Errorf("%+v", v)
+		t.Errorf("key without a record after the loss of a span: got %+v, want RetryAfter 900", v)
 	}
 	begin("c", 1, idempotency.Completed)
 	if e, _ := begin("", 1, idempotency.Fresh); e.RunToCompletion() {
--- a/internal/broker/transport/exchange_test.go
+++ b/internal/broker/transport/exchange_test.go
@@ -10,7 +10,7 @@
 )
 
 // Two processes receive each other's states while both run, and no other state. A starting process
-// must ignore what a dead process, another gatherer or another version has left behind.
+// must ignore the files left by a dead process, another gatherer or another version.
 func TestStateExchange(t *testing.T) {
 	dir, clock, quiet := t.TempDir(), NewClock(), slog.New(slog.DiscardHandler)
 	leave := func(name string, s handover.State) {
@@ -78,8 +78,8 @@
 		}
 	}
 	for at, n := range seen {
-		if n > 40 { // 300 over 20 tenths of a second
-			t.Errorf("%d of 300 reconnect within one tenth of a second, number %d", n, at)
+		if n > 40 { // the mean is 30: 300 waits over 10 intervals of 100 ms
+			t.Errorf("%d of 300 followers reconnect within the same 100 ms, interval %d; want at most 40", n, at)
 		}
 	}
 	if f := newFollower("", 1, nil, nil); f.jitter(time.Second) != time.Second {
--- a/internal/cluster/peering/policy_test.go
+++ b/internal/cluster/peering/policy_test.go
@@ -39,7 +39,7 @@
 	return g
 }
 
-// newGroup returns such a group without starting it.
+// newGroup returns a group like that of startGroup without starting it.
 func newGroup(t *testing.T, seed uint64, members, voters int) *harness.Group {
 	t.Helper()
 	return newGroupWithWork(t, seed, members, voters, time.Millisecond)
@@ -151,7 +151,8 @@
 	}
 }
 
-// load sends searches to all members until over is closed. wait returns the result of each.
+// load sends searches to all members until over is closed. wait waits for the clients to end and
+// returns the searches that got a response.
 func load(g *harness.Group, clients int, over <-chan struct{}) (wait func() []soak.Query) {
 	var mu sync.Mutex
 	var all []soak.Query
@@ -386,7 +387,7 @@
 	run(1, "aimm_us", append([]string{"propose", bad, "--door", adminAddress(4)}, flags()...)...)
 	run(1, "listen: a policy has the keys", append([]string{"propose", write("listen.json", []byte(`{"listen":"127.0.0.1:1"}`)), "--door", adminAddress(4)}, flags()...)...)
 	if n := awaitSameVersion(t, g); n != 2 {
-		t.Fatalf("version %d", n)
+		t.Fatalf("version %d in force, want 2", n)
 	}
 	run(1, "settings.permissions.max_open: 1007, and 1011", "diff", write("other.json", policy(t, g, 11)), "--door", adminAddress(2))
 	run(0, "", "diff", good, "--door", adminAddress(2))
@@ -394,7 +395,7 @@
 	run(1, "no proposal of version 9", append([]string{"abort", "9"}, flags()...)...)
 	run(0, `"max_open":1007`, "show", "--door", adminAddress(3))
 	if text := g.Members[4].Process.Call("stats"); !strings.Contains(text, "svc.rollout.number:2|g") || !strings.Contains(text, "svc.rollout.admits:1|g") {
-		t.Errorf("figures: %s", text)
+		t.Errorf("stats: got %s, want version 2 in force and queries admitted", text)
 	}
 	run(0, "holder name=g04 number=2", "status", "--door", adminAddress(g.Leader()))
 	// A local file that conflicts with the agreed policy is rejected on reload.
@@ -409,7 +410,7 @@
 	run(0, "version 3 is in force", append([]string{"propose", write("three.json", policy(t, g, 9)), "--base", "2"}, flags()...)...)
 	g.Start(4)
 	if n := awaitSameVersion(t, g); n != 3 {
-		t.Fatalf("version %d", n)
+		t.Fatalf("version %d in force, want 3", n)
 	}
 	// Without a majority nothing changes, and once leases have expired nothing is admitted.
 	g.Kill(0)
@@ -420,7 +421,7 @@
 	})
 	resp, err := http.Post("http://"+g.Members[3].Process.Listen+"/invoices/_search", "application/json", strings.NewReader(`{}`))
 	if err != nil || resp.StatusCode != 429 || resp.Header.Get("Retry-After") == "" {
-		t.Errorf("%v %v", resp, err)
+		t.Errorf("query without a lease: got %v, error %v; want 429 with Retry-After", resp, err)
 	}
 	run(3, "", "propose", good, "--base", "3", "--at", g.PolicyAt(2).String(), "--wait", "2s")
 	// All members are killed at once, and started in another order.
@@ -430,7 +431,7 @@
 	g.Start(4, 2, 3)
 	g.Start(1, 0)
 	if n := awaitSameVersion(t, g); n != 3 {
-		t.Fatalf("version %d", n)
+		t.Fatalf("version %d in force, want 3", n)
 	}
 	run(0, "version 4 is in force", append([]string{"propose", good, "--base", "3"}, flags()...)...)
 	run(0, "version 5 is in force", append([]string{"revert", "--door", adminAddress(0)}, flags()...)...)
--- a/internal/cluster/peering/program_test.go
+++ b/internal/cluster/peering/program_test.go
@@ -39,7 +39,7 @@
 	}
 }
 
-// The view of the fleet converges under each kind of fault, with started processes. Each case waits
+// The view of the fleet converges under each kind of fault, with real processes. Each case waits
 // for states; what must not happen is checked over the complete logs.
 func TestFleetView_Faults(t *testing.T) {
 	long := time.Duration(1)
@@ -168,22 +168,22 @@
 				t.Errorf("forget a live member: exit code %d, output %s", code, out)
 			}
 			if out, code := harness.Run(t, "fleet", "forget", "g03", "--door", address); code != 0 {
-				t.Errorf("%d %s", code, out)
+				t.Errorf("forget a dead member: exit code %d, output %s", code, out)
 			}
 			for i := range 3 {
 				g.Until("forgotten everywhere", func() (string, bool) { v, _ := g.Members[i].View(); return fmt.Sprint(v.Of), v.Of["reckon"] == "3" })
 			}
 			if out, code := harness.Run(t, "fleet", "--door", address); code != 0 || !strings.Contains(out, "alive 3, reckoned with 3") || !strings.Contains(out, "standby") {
-				t.Errorf("%d %s", code, out)
+				t.Errorf("fleet: exit code %d, output %s", code, out)
 			}
 			if out, code := harness.Run(t, "fleet", "-o", "json", "--door", address); code != 0 || !strings.Contains(out, `"state": "left"`) {
-				t.Errorf("%d %s", code, out)
+				t.Errorf("fleet -o json: exit code %d, output %s", code, out)
 			}
 			if out, code := harness.Run(t, "stats", "--door", address); code != 0 || !strings.Contains(out, "svc.fleet.alive:3|g") || !strings.Contains(out, "svc.fleet.died:1|c") {
-				t.Errorf("%d %s", code, out)
+				t.Errorf("stats: exit code %d, output %s", code, out)
 			}
 			if out, code := harness.Run(t, "fleet", "leave", "--door", g.Members[2].Process.AdminAddress); code != 0 {
-				t.Errorf("%d %s", code, out)
+				t.Errorf("fleet leave: exit code %d, output %s", code, out)
 			}
 			g.Until("left, and serving", func() (string, bool) {
 				v, _ := g.Members[0].View()
--- a/internal/cluster/quota/simulation/measure_test.go
+++ b/internal/cluster/quota/simulation/measure_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// Measures the network cost of dividing budgets: it adds no messages, and a bounded number of
-// bytes for each gatherer and second.
+// Measures the network cost of dividing budgets: the number of bytes per gatherer and second is
+// bounded. Budget shares are sent in the lease messages; the number of messages is logged.
 func TestMeasure(t *testing.T) {
 	sizes := []int{30, 300}
 	if harness.RaceEnabled {
@@ -18,12 +18,12 @@
 	for _, n := range sizes {
 		r, err := Run(Config{Seed: 1, Gatherers: n})
 		if err != nil || r.OverBudget > 0 {
-			t.Fatalf("%v %s", err, r.First)
+			t.Fatalf("run: error %v, first violation %q; want neither", err, r.First)
 		}
 		per := 26 * float64(n)
 		t.Logf("gatherers=%d busy=12 messages_a_gatherer_s=%.1f share_bytes_a_gatherer_s=%.0f", n, float64(r.Policy.Messages)/per, float64(r.Policy.QuotaBytes)/per)
 		if bytes := float64(r.Policy.QuotaBytes) / per; bytes > 20_000 {
-			t.Errorf("%.0f bytes for each gatherer and second, want at most 20000", bytes)
+			t.Errorf("%.0f bytes per gatherer and second, want at most 20000", bytes)
 		}
 	}
 }
--- a/internal/cluster/rollout/holder_status.go
+++ b/internal/cluster/rollout/holder_status.go
@@ -49,10 +49,10 @@
 	}
 }
 
-// adoptVersion adopts a newer version and returns its document, or nil if the status does not carry
-// a valid one. In either case the previous version is no longer in force, and the lease ends with
-// it, unless this holder paused for exactly this version: otherwise only a new lease proves that no
-// later version followed.
+// adoptVersion adopts a newer version and returns its document. If the status does not carry a
+// valid one, it requests the document and returns nil. The lease ends with the previous version,
+// because only a new lease proves that no later version followed. The exception is a valid document
+// of the very version that this holder paused for: the lease then continues.
 func (h *Holder) adoptVersion(now int64, w *wire.Word) *wire.Document {
 	if w.Current == nil || !hashMatches(w.Current) || w.Current.Number != w.Number {
 		if !h.needsCurrent {
@@ -81,8 +81,8 @@
 	}
 }
 
-// proposalToValidate returns the open proposal if it has to be validated, or nil if its validation
-// was started before or its document is missing.
+// proposalToValidate returns the open proposal if it has to be validated. It returns nil if its
+// validation was started or finished before, or if its document is missing or corrupt.
 func (h *Holder) proposalToValidate(now int64, w *wire.Word) *wire.Proposal {
 	if h.ready == w.Open || h.refused == w.Open || h.validating == w.Open {
 		return nil
--- a/internal/cluster/rollout/simulation/histories_test.go
+++ b/internal/cluster/rollout/simulation/histories_test.go
@@ -6,9 +6,9 @@
 	"testing"
 )
 
-// Runs give the recorded history of their seed: in a fleet without regions, and in two partitioned
-// regions. A history is the complete result of a run, including each change and pause, without the
-// names of fields.
+// Each run must reproduce the history recorded for its seed, in a fleet without regions and in two
+// partitioned regions. A history is the complete result of a run, including each change and pause,
+// printed without field names.
 func TestRecordedHistories(t *testing.T) {
 	played := map[string]string{}
 	play := func(name string, cfg Config) {
--- a/internal/cluster/rollout/simulation/output.go
+++ b/internal/cluster/rollout/simulation/output.go
@@ -8,16 +8,18 @@
 )
 
 const (
-	// duplicateOneIn is the inverse of the fraction of messages that are delivered twice.
+	// duplicateOneIn: until the faults end, one message in this many is delivered twice on average.
 	duplicateOneIn = 50
-	// maxUndelivered is the number of messages that are buffered for a suspended node.
+	// maxUndelivered is the maximum number of messages that are buffered for a suspended node.
+	// Further messages are dropped.
 	maxUndelivered = 500
 )
 
 // execute executes a node's output.
 func (w *world) execute(x *node) {
 	out := x.core.TakeOutput()
-	// The node fails until it is restarted, since it must not send what it can't store.
+	// A node whose disk is full crashes and restarts later, since it must not send what it can't
+	// store.
 	if x.diskFull && (out.Save != nil || out.Global.Save != nil) {
 		w.kill(x, 300*ms+w.rng.Int64N(second))
 		return
@@ -168,7 +170,8 @@
 	return delay
 }
 
-// deliver delivers a message to a node. Messages to a suspended node are buffered until it resumes.
+// deliver delivers a message to a node. Up to maxUndelivered messages to a suspended node are
+// buffered until it resumes.
 func (w *world) deliver(to *node, m *wire.Message) {
 	switch {
 	case !to.running:
--- a/internal/cluster/rollout/simulation/proposals.go
+++ b/internal/cluster/rollout/simulation/proposals.go
@@ -52,8 +52,8 @@
 	w.poll(p)
 }
 
-// poll sends a proposal, and repeats it, to the leader if that is known, until its outcome is
-// known.
+// poll sends a proposal and repeats it until its outcome is known: to the leader that the last
+// answer names, or else to a random node.
 func (w *world) poll(p *proposal) {
 	if p.resolved || w.now > epoch+w.Length-second {
 		return
@@ -105,5 +105,5 @@
 	if w.History {
 		w.result.Operations = append(w.result.Operations, Operation{Write: true, Number: answer.Number, Call: p.proposedAt, Return: w.now})
 	}
-	w.acknowledged = max(w.acknowledged, answer.Number) // has to be in force in all regions at the end
+	w.acknowledged = max(w.acknowledged, answer.Number) // all regions must have this or a later one at the end
 }
--- a/internal/cluster/rollout/voter.go
+++ b/internal/cluster/rollout/voter.go
@@ -43,7 +43,7 @@
 	pendingReady   raft.Ready // being saved
 	saving         bool
 	tickAt         int64            // when the next heartbeat is due
-	leaderHeardAt  int64            // last message of a leader, or at the leader last confirmation by a majority
+	leaderHeardAt  int64            // last message from the leader; while leading, last confirmation by a majority
 	campaignAt     int64            // when to campaign unless a leader is heard before
 	heardFrom      map[uint64]int64 // time of each voter's last message
 	snapshotSentAt map[uint64]int64 // by voter; raft sends it no entries until the outcome is reported
--- a/internal/scheduler/batchjobs/memory_test.go
+++ b/internal/scheduler/batchjobs/memory_test.go
@@ -12,8 +12,8 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// The state has one copy of its texts and bodies: its memory is at most 1.3 times their size. Log
-// entries release their copy after they are applied, see package replica.
+// The state stores a single copy of the result texts and the item bodies: its memory is at most 1.3
+// times their size. Log entries release their copy after they are applied (see package replica).
 func TestState_MemoryUse(t *testing.T) {
 	is := is.New(t)
 	const jobs, items, bodyBytes, textBytes = 8, 400, 2000, 3000
--- a/internal/scheduler/proxy/handler_test.go
+++ b/internal/scheduler/proxy/handler_test.go
@@ -41,8 +41,8 @@
 	is.True(took >= maxConfigurationWait)
 }
 
-// A panic in a handler is answered 502 and does not end the process; the request no longer counts
-// as active.
+// A panic in a handler is answered with status 502 and does not end the process; the request no
+// longer counts as active.
 func TestHandlePanic(t *testing.T) {
 	is := is.New(t)
 	p := &Proxy{settings: &settings.Settings{}, configured: make(chan struct{}), log: slog.New(slog.DiscardHandler)}
--- a/internal/scheduler/proxy/stream_test.go
+++ b/internal/scheduler/proxy/stream_test.go
@@ -11,7 +11,7 @@
 )
 
 // The request that resumes a stream contains the ID of the last event, does not modify the first
-// request, and has no time of arrival.
+// request, and has no arrival time.
 func TestResumeRequest(t *testing.T) {
 	is := is.New(t)
 	headers := append(make([]worker.Header, 0, 4), worker.Header{Name: "Model", Value: "m"})
@@ -29,7 +29,8 @@
 // A panic while a stream is relayed ends the stream with an error and does not end the process.
 func TestStreamRelayPanic(t *testing.T) {
 	is := is.New(t)
-	relay := &streamRelay{proxy: &Proxy{log: slog.New(slog.DiscardHandler)}, request: &forward.Request{ID: "r"}} // it has no answer to read
+	// Read panics, as the relay has no response.
+	relay := &streamRelay{proxy: &Proxy{log: slog.New(slog.DiscardHandler)}, request: &forward.Request{ID: "r"}}
 	_, err := relay.Read(make([]byte, 9))
 	is.Equal(err, errPanicked)
 }
--- a/internal/storage/recordlog/readonly.go
+++ b/internal/storage/recordlog/readonly.go
@@ -8,7 +8,7 @@
 )
 
 // ReadOnlyStore reads a store without claiming, locking or writing anything. It may be used while
-// another process owns the store; of the records that are appended meanwhile it sees some.
+// another process owns the store; it may then see only some of the records appended meanwhile.
 type ReadOnlyStore struct {
 	dirs  [2]Dir
 	found directoryState
--- a/internal/storage/recordlog/table.go
+++ b/internal/storage/recordlog/table.go
@@ -2,7 +2,7 @@
 
 import "math/bits"
 
-// table is a hash table with open addressing, from the hashes of keys to the places of their
+// table is a hash table with open addressing that maps the hashes of keys to the locations of their
 // records. A slot has 16 bytes, and 64% to 88% of the slots are in use: 18 to 25 bytes per key,
 // compared to 36 for a Go map of two million keys. Each of the 256 shards grows separately, by
 // three eighths, so that no insertion waits for the growth of the complete table and there is
@@ -87,8 +87,8 @@
 	}
 }
 
-// drop removes a hash. Entries displaced by collisions move up, so that no tombstones are needed
-// and lookups stay short.
+// drop removes a hash. Later entries of the probe sequence are shifted back into the free slot, so
+// that no tombstones are needed and lookups stay short.
 func (t *table) drop(hash uint64) {
 	s := &t.shards[hash>>56]
 	if s.n == 0 {
@@ -101,7 +101,7 @@
 	s.n--
 	t.n--
 	for j := s.next(i); s.slots[j].at != 0; j = s.next(j) {
-		// The entry at j may move to i unless its home is after i, up to j.
+		// The entry at j may move to i unless its home is in (i, j], modulo the number of slots.
 		if h := s.home(s.slots[j].hash); i <= j && (h <= i || h > j) || i > j && h <= i && h > j {
 			s.slots[i] = s.slots[j]
 			i = j
--- a/queries.go
+++ b/queries.go
@@ -7,8 +7,8 @@
 	"slices"
 )
 
-// partsPerQueryWeight is the number of parts for which a query counts in means over parts, since parts of
-// one query are similar.
+// partsPerQueryWeight is the maximum number of parts for which a query counts in means over parts, since
+// parts of one query are similar.
 const partsPerQueryWeight = 4.0
 
 // query is an open query. It is in Scheduler.openQueries until its final answer has been emitted.
@@ -21,7 +21,7 @@
 	inSecondStep      bool    // the answer of the first step has been emitted
 	firstStepComplete bool    // that answer was complete
 	admitted          bool    // the query has passed admission
-	outcomeCounted    bool    // the outcome has adjusted admission, or must not
+	outcomeCounted    bool    // the outcome has adjusted admission already, or must not adjust it
 	done              bool    // the final answer has been emitted
 }
 
@@ -48,7 +48,7 @@
 	ended            bool
 	mayHaveRun       bool  // the outcome does not prove that the attempt did not run
 	brokeAt          int64 // time at which the connection broke during the attempt; 0: it did not
-	retryAt          int64 // the part is not sent to this replica before, since the replica rejected it
+	retryAt          int64 // not resent to this replica before this time, since the replica rejected it
 	holdersSince     int64 // version of the shard's holders at the send, under a table
 	misplaced        bool  // the replica did not have the shard
 }
@@ -90,7 +90,7 @@
 	}
 }
 
-// replan replaces a part whose shard is no longer in force by other parts.
+// replan replaces a part, whose shard is no longer in force, with other parts.
 func (s *Scheduler) replan(e Replanned) {
 	p := s.parts[e.Part]
 	if p == nil || p.query.done {
@@ -136,7 +136,7 @@
 	}
 }
 
-// weight returns the total weight of the current step's parts that match.
+// weight returns the total weight of the current step's parts for which of returns true.
 func (q *query) weight(of func(*part) bool) float64 {
 	w := 0.0
 	for _, p := range q.parts {
@@ -183,7 +183,8 @@
 }
 
 // brokeIndependently reports whether attempts of a query's parts broke on two servers in a way that no
-// single event explains: in two zones, where zones are known, or one sent after the other broke.
+// single event explains: the servers are in different zones or their zones are unknown, or one attempt was
+// sent after the other broke.
 func (q *query) brokeIndependently() bool {
 	var broke []*attempt
 	for _, p := range q.parts {
@@ -207,7 +208,8 @@
 	return min(q.firstArrivedAt+int64(target), q.Deadline)
 }
 
-// signature identifies a client's retry of a query that carries no explicit mark of a retry.
+// signature returns a string that is the same for a query and for a client's retry of it. It identifies
+// retries that are not marked as such.
 func (q *query) signature() string { return fmt.Sprint(q.Class, " ", q.Key, " ", q.Work) }
 
 // openAttempts returns the number of attempts in flight.
