--- a/internal/broker/http1/parser.go
+++ b/internal/broker/http1/parser.go
@@ -32,7 +32,7 @@
 	// OnBody, if not nil, receives the bytes of bodies as they arrive; they are then neither stored
 	// in Message.Body nor limited. It must not retain the slice.
 	OnBody func([]byte)
-	// BodyLimit is the maximum size of a body in bytes; 0: MaxBody.
+	// BodyLimit is the maximum size of a body in bytes; 0: MaxBodyBytes.
 	BodyLimit int
 	// OnHeader, if not nil, is called with each message whose header block is complete, before its
 	// body is read.
--- a/internal/scheduler/replica/engine.go
+++ b/internal/scheduler/replica/engine.go
@@ -188,7 +188,7 @@
 
 // Tick performs all due work: it retries a failed write, creates groups, passes the time to the
 // cores, and processes their results. It returns when it is due again. The caller should call it
-// earlier after calls of Step, Propose, CreateGroup or SetWanted.
+// earlier after calls of Step, Propose, CreateGroup or SetPlacement.
 func (e *Engine) Tick(now int64) (next int64) {
 	if e.err != nil {
 		return now + maxTickIntervalMS
--- a/internal/scheduler/weights/dispatcher.go
+++ b/internal/scheduler/weights/dispatcher.go
@@ -50,7 +50,7 @@
 	Log           *slog.Logger
 
 	client        *workerClient
-	loadTimes     map[Mode]*loadTime // by mode, since with Wait the requests end before the load
+	loadTimes     map[Mode]*loadTime // by mode, since with ModeWait the requests end before the load
 	recordedEpoch uint64             // epoch under which this machine is recorded as the holder; only used by Run's goroutine
 	orders        sync.WaitGroup     // goroutines of the orders in flight
 
