--- a/deploy/embed.go
+++ b/deploy/embed.go
@@ -1,9 +1,9 @@
-// Package deploy holds the operators' files of the examples, for the commands that show them.
+// Package deploy embeds example configuration files for the programs that use them.
 package deploy
 
 import _ "embed"
 
-// Fleet is the file of one of three gatherers that keep a view of each other.
+// Fleet is the configuration of one of three brokers that share a membership view.
 //
 //go:embed fleet.json
 var Fleet []byte
--- a/tools/histories.sh
+++ b/tools/histories.sh
@@ -1,28 +1,31 @@
 #!/usr/bin/env bash
-# Plays the deterministic models and prints "name digest" for each history, its SHA-256.
+# Runs the deterministic simulations and prints "name digest" for each history; the digest is its SHA-256.
 #
 #   tools/histories.sh                    print the digests of all histories
 #   tools/histories.sh record             write them to tools/testdata/histories.txt
-#   tools/histories.sh check              play again, compare with that file, name each line that differs, and run the TestRecordedHistories of the
-#                                         packages, which hold digests of what no command prints (rollout over regions, share, layout)
+#   tools/histories.sh check              run again, compare with that file and print each difference; then run
+#                                         TestRecordedHistories of the packages that record digests of output
+#                                         that no command prints (rollout over regions, share, layout)
 #   tools/histories.sh --quick check      the same with every tenth history
 #
-# The same seed gives the same history, so a change that is not meant to alter behaviour leaves every digest as it is. A history is all that a
-# command prints, errors included, and its exit code. Normalised away before the digest:
-#   - runs of spaces: the text form of protocol buffers varies them from build to build, on purpose;
-#   - names of Go fields in reports ({Orders:75 ...}, "Asked": 12): renaming a field is no change of behaviour, values keep their order;
+# The same seed gives the same history, so a change that is not meant to alter behaviour must not change any
+# digest. A history is the output of a command, including errors, and its exit code. Normalized before the digest:
+#   - runs of spaces: the text format of protocol buffers deliberately varies them from build to build;
+#   - names of Go fields in reports ({Orders:75 ...}, "Asked": 12): renaming a field does not change behaviour,
+#     and values keep their order;
 #   - the real time that `model fleet` took.
-# The words of traces and errors are part of the digest: a change that rewords them records anew, and says so.
+# The texts of traces and errors are part of the digest: a change that rewords them must record the digests
+# again and say so.
 #
-# With LBSIM (path of the program) and LBSIM_SITE (path of a site file) set, short days of that simulator are played as well, one after the
-# other, since each writes a journal entry in the worktree; the digest leaves out processor time and the snapshot's name. Without them these
-# lines are passed over.
+# If LBSIM (path of the program) and LBSIM_SITE (path of a site file) are set, short days of that simulator are
+# run as well. They run sequentially, because each writes a journal entry in the worktree; their digest excludes
+# processor time and the name of the snapshot. Otherwise these histories are skipped.
 #
-# All histories repeat. One that does not (a draw in the order of a Go map, say) is left out with unsteadySeeds, or with unsteadyFaults in the
-# form fault/seed, until its cause is mended.
+# All histories are reproducible. A history that is not (for example because a draw depends on the iteration order
+# of a Go map) is excluded by unsteadySeeds, or by unsteadyFaults in the form fault/seed, until its cause is fixed.
 #
-# JOBS says how many histories are played at once, 4 unless set. Digests were recorded on amd64; processors with fused multiply-add may round
-# some figures of the days otherwise.
+# JOBS is the number of histories to run in parallel; default 4. The digests were recorded on amd64: processors
+# with fused multiply-add may round some values of the days differently.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 recorded=tools/testdata/histories.txt
@@ -45,7 +48,7 @@
 export programs=$work/bin
 touch "$work/digests"
 
-# list prints a part's histories: a name, and the command that plays it.
+# list prints the histories of a part, one per line: the name and the command that runs it.
 list() {
   local seed fault day kind
   case $1 in
@@ -84,7 +87,8 @@
   esac
 }
 
-# played is what a command prints, errors and exit code included, without what differs between two plays of the same history.
+# played runs a command and prints its output, including errors and the exit code, without the parts that differ
+# between two runs of the same history.
 played() {
   local code=0
   "$programs/$1" "${@:2}" >"$out" 2>&1 || code=$?
@@ -92,7 +96,7 @@
   echo "exit code $code"
 }
 
-# digest prints one line: the name of a history, and the SHA-256 of what its command prints.
+# digest prints one line: the name of a history and the SHA-256 of its command's output.
 digest() {
   local out
   out=$(mktemp "$programs/out.XXXXXX")
@@ -101,7 +105,8 @@
 }
 export -f played digest
 
-# simulated prints the digest of one day of the outside simulator, without processor time and the snapshot's name.
+# simulated prints the digest of one day of the external simulator, without processor time and the name of the
+# snapshot.
 simulated() {
   local out=$programs/day.json
   "$LBSIM" run "$LBSIM_SITE" --no-build --kind "$2" --seed "$3" --policy-seed "$3" --small-twin --json \
@@ -110,7 +115,7 @@
   printf '%s %s\n' "$1" "$(sed -E -e 's/"usage":.*,"wall_ms":[0-9.e+-]+//' -e 's/"snapshot":"[^"]*"//' -e 's/"cpu_late":[^,}]*//' "$out" | sha256sum | cut -d' ' -f1)"
 }
 
-# part plays one part's histories, and tells how long that took.
+# part runs the histories of a part and prints how long that took.
 part() {
   local began=$SECONDS name kind seed
   list "$1" | awk -v every="$every" '(NR - 1) % every == 0' >"$work/list"
@@ -128,7 +133,8 @@
   echo "$1: $(wc -l <"$work/list") histories, $((SECONDS - began)) s" >&2
 }
 
-# recordedNow are the recorded lines of the parts that were played: all of them, or with --quick those whose names were played.
+# recordedNow prints the recorded lines to compare with: all of the parts that were run, or with --quick those of
+# the histories that were run.
 recordedNow() {
   if [ "$every" = 1 ]; then
     if [ -n "${LBSIM:-}" ] && [ -n "${LBSIM_SITE:-}" ]; then cat "$recorded"; else grep -v '^lbsim/' "$recorded"; fi
@@ -137,7 +143,7 @@
   fi
 }
 
-# compare names each history whose digest differs from the recorded one, is missing, or was never recorded.
+# compare prints each history whose digest differs from the recorded one, is missing, or is not recorded.
 compare() {
   recordedNow | awk -v now="$work/digests" '
     { want[$1] = $2 }
@@ -151,7 +157,7 @@
     }' | sort
 }
 
-# packages runs the tests of the packages that hold digests of their own, wherever they lie.
+# packages runs TestRecordedHistories in every package that has one.
 packages() {
   local began=$SECONDS code=0 directories
   directories=$(git grep --untracked -l '^func TestRecordedHistories(' -- '*_test.go' | xargs -n 1 dirname | sed 's|^|./|')
@@ -170,7 +176,7 @@
 case $mode in
   print) cat "$work/digests" ;;
   record)
-    # Lines of the simulator stay where it was not played.
+    # Keep the recorded lines of the simulator if it was not run.
     if ! grep -q '^lbsim/' "$work/digests" && [ -f "$recorded" ]; then grep '^lbsim/' "$recorded" >>"$work/digests" || true; fi
     sort -V "$work/digests" >"$recorded" ;;
   check)
--- a/tools/mixed.sh
+++ b/tools/mixed.sh
@@ -1,11 +1,14 @@
 #!/usr/bin/env bash
-# Runs two builds of both programs beside each other, and the newer one on data that the older one wrote.
+# Tests mixed-version operation: runs two builds of both programs in one deployment, and the newer build on data
+# that the older one wrote.
 #
-#   tools/mixed.sh OLD NEW      OLD, NEW: source trees of this repository (a git worktree, say)
+#   tools/mixed.sh OLD NEW      OLD, NEW: source trees of this repository, for example git worktrees
 #
-# Broker: a fleet of OLD's gatherers is restarted into NEW one by one, and a fleet of NEW's into OLD, under load and faults, each on its own
-# data directory (`saffronquay campaign --second`): view, policy versions, quotas, queries that must not run twice. NEW checks OLD's files below
-# deploy/. Rollout scheduler: tools/mixed/mixed_test.go. Uses loopback only, for about three minutes. Exits with 1 at the first failure.
+# Broker: a fleet of OLD is restarted into NEW one process at a time, and a fleet of NEW into OLD, under load and
+# faults, each process on its own data directory (`saffronquay campaign --second`). This checks membership views,
+# policy versions, quotas and at-most-once queries. NEW also validates OLD's configuration files in deploy/.
+# Rollout scheduler: see tools/mixed/mixed_test.go. Uses only loopback, takes about three minutes, and exits with
+# status 1 at the first failure.
 set -euo pipefail
 if [ $# != 2 ]; then echo "usage: tools/mixed.sh OLD NEW" >&2; exit 2; fi
 old=$(cd "$1" && pwd)
